--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -44,8 +44,21 @@
     # Faults.
 
     async def faults_come(self, until: float) -> None:
-        kinds = ("kill", "kill the leader", "stop", "stop the leader", "cut", "one way", "loss", "delay",
-                 "double", "full disk", "lose the file", "kill a node", "clock")
+        kinds = (
+            "kill",
+            "kill the leader",
+            "stop",
+            "stop the leader",
+            "cut",
+            "one way",
+            "loss",
+            "delay",
+            "double",
+            "full disk",
+            "lose the file",
+            "kill a node",
+            "clock",
+        )
         while time.monotonic() < until:
             kind = self.random.choice(kinds)
             self.faults[kind] += 1
@@ -106,9 +119,18 @@
         async def votes() -> bool:
             told = await self.rig.records()
             leads = next((each for each in told.values() if each.leads), None)
-            return bool(leads and host in told and told[host].epoch == leads.epoch and any(
-                each.name == host and each.votes and each.behind < 3 and each.life == self.life(told, host)
-                for each in leads.members))
+            return bool(
+                leads
+                and host in told
+                and told[host].epoch == leads.epoch
+                and any(
+                    each.name == host
+                    and each.votes
+                    and each.behind < 3
+                    and each.life == self.life(told, host)
+                    for each in leads.members
+                )
+            )
 
         await self.rig.until(f"{host} votes again", votes)
 
@@ -121,8 +143,9 @@
     async def look(self) -> None:
         began = 0.0
         while not self.over:
-            answers, _ = await self.rig.asker.ask({host: messages.AskRecord() for host in KEEPERS},
-                                                  200_000_000)
+            answers, _ = await self.rig.asker.ask(
+                {host: messages.AskRecord() for host in KEEPERS}, 200_000_000
+            )
             now = time.monotonic()
             if any(isinstance(each, messages.RecordTold) and each.leads for each in answers.values()):
                 if began:
@@ -149,10 +172,10 @@
                         await asyncio.sleep(0.1)
                         continue
                     sent = time.monotonic()
-                    answer = await self.rig.order(ident, "restart", chosen, 15,
-                                                  generations=generations)
+                    answer = await self.rig.order(ident, "restart", chosen, 15, generations=generations)
                     if isinstance(answer, messages.FleetTold) and any(
-                            part.state != "refused" for part in answer.parts):
+                        part.state != "refused" for part in answer.parts
+                    ):
                         self.taken[ident] = time.monotonic() - began
                         if quiet and not self.wrong:
                             self.quiet.append(time.monotonic() - sent)
@@ -164,8 +187,16 @@
 
 async def measure(seconds: float, seed: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = Site(folder, HOSTS, AWAY, seed, sites=SITES, keepers=KEEPERS, fleet_away=FLEET,
-                    supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>')
+        site = Site(
+            folder,
+            HOSTS,
+            AWAY,
+            seed,
+            sites=SITES,
+            keepers=KEEPERS,
+            fleet_away=FLEET,
+            supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>',
+        )
         rig = Rig(site, seed)
         try:
             await rig.open()
@@ -193,17 +224,29 @@
             await rig.close()
         groups = {"fleet": (FLEET, [name for names in HOSTS.values() for name in names])}
         for name in set(SITES.values()):
-            groups[name] = (AWAY, [each for host, names in HOSTS.items() if SITES[host] == name
-                                   for each in names])
+            groups[name] = (
+                AWAY,
+                [each for host, names in HOSTS.items() if SITES[host] == name for each in names],
+            )
         judge = audit(folder, HOSTS, groups, LATE)
         doubled = doubled_leaves(folder)
-    return {"machine": processor(), "seconds": seconds, "faults": dict(play.faults), "elections": elections,
-            "taken": len(play.taken), "lost": lost, "doubled": doubled, "breaches": judge.end(0),
-            "most_out": judge.most_out["fleet"], "bound": FLEET,
-            "worst_gap_s": max((lasts for _, lasts in play.gaps), default=0.0),
-            "after_death_s": [lasts for at, lasts in play.gaps
-                              if any(0 <= at - death < 0.6 for death in play.deaths)],
-            "agreed_s": play.quiet}
+    return {
+        "machine": processor(),
+        "seconds": seconds,
+        "faults": dict(play.faults),
+        "elections": elections,
+        "taken": len(play.taken),
+        "lost": lost,
+        "doubled": doubled,
+        "breaches": judge.end(0),
+        "most_out": judge.most_out["fleet"],
+        "bound": FLEET,
+        "worst_gap_s": max((lasts for _, lasts in play.gaps), default=0.0),
+        "after_death_s": [
+            lasts for at, lasts in play.gaps if any(0 <= at - death < 0.6 for death in play.deaths)
+        ],
+        "agreed_s": play.quiet,
+    }
 
 
 def doubled_leaves(folder: str) -> int:
@@ -228,14 +271,20 @@
         say(breach)
     say(f"{figures['taken']} orders taken; faults {figures['faults']}")
     if figures["agreed_s"]:
-        say(f"agreed with nothing wrong after {1000 * statistics.median(figures['agreed_s']):.0f} ms in the"
-            f" median of {len(figures['agreed_s'])}")
+        say(
+            f"agreed with nothing wrong after {1000 * statistics.median(figures['agreed_s']):.0f} ms in the"
+            f" median of {len(figures['agreed_s'])}"
+        )
     if figures["after_death_s"]:
-        say(f"a new leader after a death within {max(figures['after_death_s']):.2f} s at worst of"
-            f" {len(figures['after_death_s'])}")
-    say(f"agreement: {sum(figures['faults'].values())} faults, {figures['elections']} elections,"
+        say(
+            f"a new leader after a death within {max(figures['after_death_s']):.2f} s at worst of"
+            f" {len(figures['after_death_s'])}"
+        )
+    say(
+        f"agreement: {sum(figures['faults'].values())} faults, {figures['elections']} elections,"
         f" {len(figures['lost'])} lost, {figures['doubled']} doubled, at most {figures['most_out']} of"
-        f" {figures['bound']} out, no leader for {figures['worst_gap_s']:.2f} s at worst")
+        f" {figures['bound']} out, no leader for {figures['worst_gap_s']:.2f} s at worst"
+    )
     return 1 if figures["lost"] or figures["doubled"] or figures["breaches"] else 0
 
 
--- a/measure/common.py
+++ b/measure/common.py
@@ -46,8 +46,10 @@
 
 def spread(values: list[float], digits: int = 2) -> str:
     """Median, and the least and most."""
-    return (f"{statistics.median(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f},"
-            f" {len(values)} times)")
+    return (
+        f"{statistics.median(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f},"
+        f" {len(values)} times)"
+    )
 
 
 class Running:
@@ -61,8 +63,14 @@
     async def start_agent(self, host: str, *command: str) -> None:
         with open(os.path.join(self.site.folder, f"{host}.agent.log"), "ab") as log:
             self.processes[host] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", *(command or ("oakkeel.agent",)), self.site.settings, host, stderr=log,
-                start_new_session=True)
+                sys.executable,
+                "-m",
+                *(command or ("oakkeel.agent",)),
+                self.site.settings,
+                host,
+                stderr=log,
+                start_new_session=True,
+            )
 
     async def look_until(self, done: Callable[[], bool], wait: float, pause: float = 0.05) -> float:
         """Ask all agents until something is so; returns the seconds that it took."""
@@ -96,9 +104,12 @@
         await self.agents.look(self.view)
         wanted = by_host(self.rows())
         for attempt in range(3):
-            await self.agents.ask({host: messages.Order(f"end-{attempt}", "stop", instances, 30 * SECOND,
-                                                        supersede=True) for host,
-                                                        instances in wanted.items()})
+            await self.agents.ask(
+                {
+                    host: messages.Order(f"end-{attempt}", "stop", instances, 30 * SECOND, supersede=True)
+                    for host, instances in wanted.items()
+                }
+            )
             with contextlib.suppress(TimeoutError):
                 await self.look_until(lambda: self.all_in("stopped"), 15)
                 break
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -58,19 +58,32 @@
     for _ in range(30):
         reports.append(fleet.pass_time(100 * MS))
         quiet.append(fleet.turn())
-    order = fleet.orders.take(fleet.now, "all", "asha", Verb.RESTART,
-                              tuple((each.name, each.generation) for each in fleet.instances), 3600 * SECOND)
+    order = fleet.orders.take(
+        fleet.now,
+        "all",
+        "asha",
+        Verb.RESTART,
+        tuple((each.name, each.generation) for each in fleet.instances),
+        3600 * SECOND,
+    )
     busy, worst, turns = [], 0, 0
     while order.open:
         fleet.pass_time(100 * MS)
         busy.append(fleet.turn())
-        worst = max(worst, *(fleet.supervision.out[site] - fleet.supervision.away[site]
-                             for site in fleet.supervision.out))
+        worst = max(
+            worst,
+            *(fleet.supervision.out[site] - fleet.supervision.away[site] for site in fleet.supervision.out),
+        )
         turns += 1
-    return {"size": size, "quiet_ms": statistics.median(quiet) / 1e6,
-            "busy_ms": statistics.median(busy) / 1e6,
-            "busy_worst_ms": max(busy) / 1e6, "report_us": statistics.median(reports) / 1e3 / size,
-            "turns": turns, "beyond_bound": worst}
+    return {
+        "size": size,
+        "quiet_ms": statistics.median(quiet) / 1e6,
+        "busy_ms": statistics.median(busy) / 1e6,
+        "busy_worst_ms": max(busy) / 1e6,
+        "report_us": statistics.median(reports) / 1e3 / size,
+        "turns": turns,
+        "beyond_bound": worst,
+    }
 
 
 def main() -> int:
@@ -78,14 +91,18 @@
     rows = [measure(size, told.seed) for size in (100, 1000, 10_000)]
     say(f"{processor()}; simulated time")
     for row in rows:
-        say(f"  {row['size']:6} instances: quiet turn {row['quiet_ms']:.3f} ms, turn of a restart of all"
+        say(
+            f"  {row['size']:6} instances: quiet turn {row['quiet_ms']:.3f} ms, turn of a restart of all"
             f" {row['busy_ms']:.3f} ms (worst {row['busy_worst_ms']:.2f}),"
             f" a report {row['report_us']:.2f} us, {row['turns']} turns,"
-            f" beyond the bound {row['beyond_bound']}")
+            f" beyond the bound {row['beyond_bound']}"
+        )
     keep(told, {"rows": rows})
     growth = rows[-1]["busy_ms"] / rows[0]["busy_ms"] / (rows[-1]["size"] / rows[0]["size"])
-    say(f"decisions: {rows[-1]['busy_ms']:.2f} ms a turn at 10,000 instances, {growth:.2f} times as much an"
-        " instance as at 100 (simulated)")
+    say(
+        f"decisions: {rows[-1]['busy_ms']:.2f} ms a turn at 10,000 instances, {growth:.2f} times as much an"
+        " instance as at 100 (simulated)"
+    )
     return 1 if any(row["beyond_bound"] > 0 for row in rows) else 0
 
 
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -44,8 +44,9 @@
             self.answered_at.setdefault(sent.node, []).append(time.monotonic())
 
 
-async def one(rig: Rig, ident: str, name: str, cancel_after: float | None, figures: dict[str, Any],
-              dispatcher: Watched) -> None:
+async def one(
+    rig: Rig, ident: str, name: str, cancel_after: float | None, figures: dict[str, Any], dispatcher: Watched
+) -> None:
     answer = await rig.order(ident, "drain", [name], 60)
     assert isinstance(answer, messages.FleetTold), answer
     if cancel_after is None:
@@ -74,12 +75,24 @@
 
 async def measure(drains: int, rate: float, seed: int) -> dict[str, Any]:
     random = Random(seed)
-    figures: dict[str, Any] = {"cancels": 0, "while draining": 0, "back_s": [], "anew_s": [],
-                               "not_left_s": []}
+    figures: dict[str, Any] = {
+        "cancels": 0,
+        "while draining": 0,
+        "back_s": [],
+        "anew_s": [],
+        "not_left_s": [],
+    }
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = Site(folder, HOSTS, 2, seed, keepers=("h1",), fleet_away=2,
-                    sites={"h1": "woodbrook", "h2": "belmont"},
-                    supervision='<supervision silent="2s" start="10s" drain="10s" backoff="200ms"/>')
+        site = Site(
+            folder,
+            HOSTS,
+            2,
+            seed,
+            keepers=("h1",),
+            fleet_away=2,
+            sites={"h1": "woodbrook", "h2": "belmont"},
+            supervision='<supervision silent="2s" start="10s" drain="10s" backoff="200ms"/>',
+        )
         rig = Rig(site, seed, real=True)
         arrivals: dict[bytes, tuple[str, float]] = {}
         try:
@@ -121,8 +134,9 @@
             for each in watched:
                 await each.stop()
             counts: Counter[str] = sum((each.counts for each in watched), Counter())
-            runs = {ident: count for engine in site.engines.values() for ident, count
-                    in engine.started.items()}
+            runs = {
+                ident: count for engine in site.engines.values() for ident, count in engine.started.items()
+            }
             for engine_name, engine in site.engines.items():
                 for ident, at in engine.begun.items():
                     arrivals[ident] = engine_name, at
@@ -130,9 +144,14 @@
             await rig.close()
         late = after_grace(folder, arrivals, watched)
     figures |= {"sent_late": max(each.latest for each in watched)}
-    figures |= {"machine": processor(), "drains": drains, "counts": dict(counts),
-                "lost": counts["lost"] + counts["late"], "doubled": sum(count > 1 for count in runs.values()),
-                "after_grace": late}
+    figures |= {
+        "machine": processor(),
+        "drains": drains,
+        "counts": dict(counts),
+        "lost": counts["lost"] + counts["late"],
+        "doubled": sum(count > 1 for count in runs.values()),
+        "after_grace": late,
+    }
     return figures
 
 
@@ -145,8 +164,11 @@
         elif kind in ("told to stay", "ended") and facts.get("of") in stands:
             stands[facts["of"]][-1][1] = min(stands[facts["of"]][-1][1], at / 1e9)
     sent = {ident: at for each in watched for ident, (_, at) in each.sent_at.items()}
-    return sum(any(begin + SLACK < sent[ident] < end - SLACK for begin, end in stands.get(name, ()))
-               for ident, (name, _) in arrivals.items() if ident in sent)
+    return sum(
+        any(begin + SLACK < sent[ident] < end - SLACK for begin, end in stands.get(name, ()))
+        for ident, (name, _) in arrivals.items()
+        if ident in sent
+    )
 
 
 def main() -> int:
@@ -159,8 +181,10 @@
     back = 1000 * max(figures["back_s"], default=0.0)
     if figures["back_s"]:
         say(f"taken back while draining: works after {spread(figures['back_s'])} s")
-    say(f"drain: {figures['drains']} drains, {figures['cancels']} cancels, {figures['lost']} lost,"
-        f" {figures['after_grace']} run after the grace, back in service after {back:.0f} ms")
+    say(
+        f"drain: {figures['drains']} drains, {figures['cancels']} cancels, {figures['lost']} lost,"
+        f" {figures['after_grace']} run after the grace, back in service after {back:.0f} ms"
+    )
     return 1 if figures["lost"] or figures["after_grace"] or figures["doubled"] else 0
 
 
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -13,14 +13,29 @@
 
 
 def one(nodes: int, seconds: float, seed: int) -> dict:
-    played = Played(Day(nodes=nodes, cores=4, seconds=seconds, dispatchers=max(2, nodes // 10), seed=seed,
-                        manners=Manners(way=Way.ROUND)))
+    played = Played(
+        Day(
+            nodes=nodes,
+            cores=4,
+            seconds=seconds,
+            dispatchers=max(2, nodes // 10),
+            seed=seed,
+            manners=Manners(way=Way.ROUND),
+        )
+    )
     played.rate = EACH * nodes / len(played.callers)
     began = time.perf_counter()
     result = played.play()
     took = time.perf_counter() - began
-    return {"nodes": nodes, "took_s": took, "events": result.happened, "asked": result.asked,
-            "times_real": (seconds + 10) / took, "breaches": len(result.breaches), "digest": result.digest()}
+    return {
+        "nodes": nodes,
+        "took_s": took,
+        "events": result.happened,
+        "asked": result.asked,
+        "times_real": (seconds + 10) / took,
+        "breaches": len(result.breaches),
+        "digest": result.digest(),
+    }
 
 
 def main() -> int:
@@ -30,14 +45,20 @@
     for nodes in (10, 100, 1000):
         rows.append(one(nodes, 10.0, told.seed))
         row = rows[-1]
-        say(f"  {nodes:5} nodes, 10 s: {row['took_s']:.1f} s, {1e6 * row['took_s'] / row['asked']:.0f} us an"
-            f" exchange, {row['events']} events, {row['breaches']} breaches")
+        say(
+            f"  {nodes:5} nodes, 10 s: {row['took_s']:.1f} s, {1e6 * row['took_s'] / row['asked']:.0f} us an"
+            f" exchange, {row['events']} events, {row['breaches']} breaches"
+        )
     whole = one(told.nodes, told.seconds, told.seed)
     keep(told, {"rows": rows, "whole": whole})
-    say(f"  {whole['nodes']} nodes, {told.seconds:g} s: {whole['asked']} exchanges, {whole['took_s']:.1f} s,"
-        f" record {whole['digest']}")
-    say(f"emulator: {whole['events'] / whole['took_s']:.0f} events/s,"
-        f" {whole['times_real']:.1f} times real time")
+    say(
+        f"  {whole['nodes']} nodes, {told.seconds:g} s: {whole['asked']} exchanges, {whole['took_s']:.1f} s,"
+        f" record {whole['digest']}"
+    )
+    say(
+        f"emulator: {whole['events'] / whole['took_s']:.0f} events/s,"
+        f" {whole['times_real']:.1f} times real time"
+    )
     return 1 if any(row["breaches"] for row in (*rows, whole)) else 0
 
 
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -43,11 +43,23 @@
         if fair:
             told = os.path.join(folder, "n1.told")
             with open(told, "w", encoding="utf-8") as file:
-                json.dump({"fair": {"by": ["client"], "weights": {}, "places": 256, "promises": 1024,
-                                    "half": 4 * SECOND, "snapshot": ""}}, file)
+                json.dump(
+                    {
+                        "fair": {
+                            "by": ["client"],
+                            "weights": {},
+                            "places": 256,
+                            "promises": 1024,
+                            "half": 4 * SECOND,
+                            "snapshot": "",
+                        }
+                    },
+                    file,
+                )
             variables["OAKKEEL_TOLD"] = told
-        node = await asyncio.create_subprocess_exec(sys.executable, "-m", "oakkeel", env=variables,
-                                                    stderr=asyncio.subprocess.PIPE)
+        node = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "oakkeel", env=variables, stderr=asyncio.subprocess.PIPE
+        )
         assert node.stderr is not None
         line = await asyncio.wait_for(node.stderr.readline(), 20)
         address = "127.0.0.1", int(line.rsplit(b":", 1)[1])
@@ -75,9 +87,18 @@
         await reading
         await site.close()
         kept = [min(1.0, got / share) for got, share in zip(done[:-1], shares[:-1], strict=True)]
-        return {"fair": fair, "times": times, "kept_mean": statistics.mean(kept), "kept_least": min(kept),
-                "jain": jain(done[:-1]), "crawler_a_second": done[-1], "completed_a_second": sum(done),
-                "returned": returns, "went_ahead": ahead, "cpu_ms_a_try": 1000 * cpu / max(1, tries)}
+        return {
+            "fair": fair,
+            "times": times,
+            "kept_mean": statistics.mean(kept),
+            "kept_least": min(kept),
+            "jain": jain(done[:-1]),
+            "crawler_a_second": done[-1],
+            "completed_a_second": sum(done),
+            "returned": returns,
+            "went_ahead": ahead,
+            "cpu_ms_a_try": 1000 * cpu / max(1, tries),
+        }
 
 
 def cpu_of(pid: int) -> float:
@@ -88,6 +109,7 @@
 
 # The measures alone.
 
+
 class Exact:
     """A counter for each sender: what a bound on memory is measured against."""
 
@@ -132,8 +154,12 @@
 
 
 def measures(seed: int) -> list[dict]:
-    kinds: dict[str, Callable] = {"space-saving, 256": lambda: HeavySenders(256, 4 * SECOND), "exact": Exact,
-                                  "count-min, 4 x 512": CountMin, "hashed flows, 512": HashedFlows}
+    kinds: dict[str, Callable] = {
+        "space-saving, 256": lambda: HeavySenders(256, 4 * SECOND),
+        "exact": Exact,
+        "count-min, 4 x 512": CountMin,
+        "hashed flows, 512": HashedFlows,
+    }
     rows = []
     for clients in (10, 10_000, 1_000_000):
         keys = keys_of(clients, seed)
@@ -149,8 +175,9 @@
                 again.add(number * 100_000, key, 1.0)
             memory = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
-            rows.append({"clients": clients, "measure": name, "kb": memory / 1024,
-                         "us": spent / len(keys) / 1e3})
+            rows.append(
+                {"clients": clients, "measure": name, "kb": memory / 1024, "us": spent / len(keys) / 1e3}
+            )
     return rows
 
 
@@ -159,9 +186,21 @@
     rows = []
     for clients in (10, 1_000_000):
         fair = Fairness(FairRules(("tenant", "client"), {}), True, random.Random(seed).random)
-        exchanges = [Exchange(GROUP, None, 0, 10.0, False, 0, 0, False, False,
-                              who=((1 + key % 7, b"tenant"), (key, b"client")))
-                     for key in keys_of(clients, seed, 100_000)]
+        exchanges = [
+            Exchange(
+                GROUP,
+                None,
+                0,
+                10.0,
+                False,
+                0,
+                0,
+                False,
+                False,
+                who=((1 + key % 7, b"tenant"), (key, b"client")),
+            )
+            for key in keys_of(clients, seed, 100_000)
+        ]
         began = time.perf_counter_ns()
         for number, ex in enumerate(exchanges):
             fair.arrive(number * 1_000_000, ex, 20e6, 4.0)
@@ -173,8 +212,10 @@
     told = options(__doc__ or "", seconds=10.0, rounds=2, seed=17)
     sizes = measures(told.seed)
     for row in sizes:
-        say(f"  {row['clients']:9,} clients, {row['measure']}: {row['kb']:.0f} KB,"
-            f" {row['us']:.2f} us an exchange")
+        say(
+            f"  {row['clients']:9,} clients, {row['measure']}: {row['kb']:.0f} KB,"
+            f" {row['us']:.2f} us an exchange"
+        )
     whole = decisions(told.seed)
     for row in whole:
         say(f"  {row['clients']:9,} clients: {row['us']:.1f} us to decide of an exchange, at 1,000 a second")
@@ -184,10 +225,12 @@
             for fair in (False, True):
                 days.append(asyncio.run(one(fair, times, told.seconds, told.seed + number)))
                 day = days[-1]
-                say(f"  crawler at {times} times its share, {'fair' if fair else 'before'}: kept"
+                say(
+                    f"  crawler at {times} times its share, {'fair' if fair else 'before'}: kept"
                     f" {day['kept_mean']:.3f} (least {day['kept_least']:.3f}), Jain {day['jain']:.3f},"
                     f" crawler {day['crawler_a_second']:.1f} of {day['completed_a_second']:.0f} a second,"
-                    f" as told {day['went_ahead']} of {day['returned']}, {day['cpu_ms_a_try']:.2f} ms a try")
+                    f" as told {day['went_ahead']} of {day['returned']}, {day['cpu_ms_a_try']:.2f} ms a try"
+                )
     keep(told, {"measures": sizes, "decisions": whole, "days": days})
     fair_days = [day for day in days if day["fair"]]
     kept = min(day["kept_mean"] for day in fair_days)
@@ -195,8 +238,10 @@
     ahead = sum(day["went_ahead"] for day in fair_days) / max(1, returned)
     before = min(day["kept_mean"] for day in days if not day["fair"])
     say(f"before: compliant clients keep {100 * before:.1f} % of it on the worst day")
-    say(f"fair: compliant clients keep {100 * kept:.1f} % of their fair share,"
-        f" promises kept {100 * ahead:.1f} %")
+    say(
+        f"fair: compliant clients keep {100 * kept:.1f} % of their fair share,"
+        f" promises kept {100 * ahead:.1f} %"
+    )
     return 1 if kept < 0.9 or ahead < 0.95 or not returned else 0
 
 
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -15,8 +15,11 @@
 from oakkeel.standins.dispatcher import Dispatcher
 from oakkeel.standins.site import Site
 
-HOSTS = {"wb1": [f"n{n}" for n in (1, 2, 3, 4)], "sj1": [f"n{n}" for n in (5, 6, 7, 8)],
-         "be1": [f"n{n}" for n in (9, 10, 11, 12)]}
+HOSTS = {
+    "wb1": [f"n{n}" for n in (1, 2, 3, 4)],
+    "sj1": [f"n{n}" for n in (5, 6, 7, 8)],
+    "be1": [f"n{n}" for n in (9, 10, 11, 12)],
+}
 SITES = {"wb1": "woodbrook", "sj1": "st-james", "be1": "belmont"}
 
 
@@ -47,8 +50,10 @@
     await asyncio.sleep(1.5)  # under load: those left alone must go on losing nothing
     os.kill(rows[quiet], signal.SIGCONT)
     back = await fleet.look_until(lambda: fleet.all_in("serving"), 20)
-    say(f"  killed {', '.join(killed)}, stopped {quiet}: reports true after {took:.2f} s,"
-        f" all serving {back:.1f} s after it went on")
+    say(
+        f"  killed {', '.join(killed)}, stopped {quiet}: reports true after {took:.2f} s,"
+        f" all serving {back:.1f} s after it went on"
+    )
     return took, set(chosen)
 
 
@@ -61,8 +66,9 @@
             say(f"twelve instances on three hosts serve after {took:.1f} s")
             times, lost, answered = [], Counter[str](), 0
             for number in range(rounds):
-                dispatchers = [Dispatcher(each, fleet.addresses, rate / 2, seed + 10 * number + each)
-                               for each in (1, 2)]
+                dispatchers = [
+                    Dispatcher(each, fleet.addresses, rate / 2, seed + 10 * number + each) for each in (1, 2)
+                ]
                 for each in dispatchers:
                     each.start()
                 await asyncio.sleep(1.0)
@@ -75,8 +81,12 @@
                         place = "touched" if node in touched else "others"
                         lost[place] += counts["lost"] + counts["late"]
                 await asyncio.sleep(0.5)
-    return {"times_s": times, "lost_on_others": lost["others"], "lost_on_killed_and_stopped": lost["touched"],
-            "answered": answered}
+    return {
+        "times_s": times,
+        "lost_on_others": lost["others"],
+        "lost_on_killed_and_stopped": lost["touched"],
+        "answered": answered,
+    }
 
 
 def main() -> int:
@@ -84,9 +94,11 @@
     began = time.monotonic()
     figures = asyncio.run(measure(told.rounds, told.rate, told.seed))
     keep(told, figures)
-    say(f"{figures['answered']} exchanges answered; lost on the others: {figures['lost_on_others']}; on those"
+    say(
+        f"{figures['answered']} exchanges answered; lost on the others: {figures['lost_on_others']}; on those"
         f" killed and stopped: {figures['lost_on_killed_and_stopped']};"
-        f" took {time.monotonic() - began:.0f} s")
+        f" took {time.monotonic() - began:.0f} s"
+    )
     say(f"reports true after {spread(figures['times_s'])} s")
     worst = max(figures["times_s"])
     say(f"fleet: 12 instances, 3 killed, 1 silent, reports true after {worst:.2f} s")
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -80,8 +80,11 @@
             node.benefit.add(Sums(count, good, good))
             logs = chance.normal(-2.5, 0.6, good)
             node.times.add(Sums(good, float(logs.sum()), float((logs * logs).sum())))
-            node.memory = 25_000 + float(chance.normal(0, 150)) + (
-                200.0 * age if kind == "leaks" and node.version == "new" else 0.0)
+            node.memory = (
+                25_000
+                + float(chance.normal(0, 150))
+                + (200.0 * age if kind == "leaks" and node.version == "new" else 0.0)
+            )
             name = f"n{number}"
             times = {"quote": Sums(*_of(node.times))}
             figures = Figures(Sums(*_of(node.benefit)), 0, 0, node.memory, times)
@@ -98,17 +101,38 @@
         verdict = gate.verdict(gate.full())
         _others(others, old, new, second, limits, look_every)
         if verdict.answer is Answer.WORSE:
-            return {"kind": kind, "end": "halted", "second": second, "samples": new.count, "why": verdict.why,
-                    "there": there, "others": others}
+            return {
+                "kind": kind,
+                "end": "halted",
+                "second": second,
+                "samples": new.count,
+                "why": verdict.why,
+                "there": there,
+                "others": others,
+            }
         if verdict.answer is Answer.GOOD and second - changed_at >= SOAK:
             if there >= NODES:
-                return {"kind": kind, "end": "done", "second": second, "samples": new.count, "why": "",
-                        "there": there, "others": others}
+                return {
+                    "kind": kind,
+                    "end": "done",
+                    "second": second,
+                    "samples": new.count,
+                    "why": "",
+                    "there": there,
+                    "others": others,
+                }
             for number in range(there, min(NODES, 2 * there)):
                 nodes[number] = Node("new", second, nodes[number].loss, nodes[number].generation + 1)
             there, changed_at = min(NODES, 2 * there), second
-    return {"kind": kind, "end": "no answer", "second": MOST, "samples": new.count, "why": "", "there": there,
-            "others": others}
+    return {
+        "kind": kind,
+        "end": "no answer",
+        "second": MOST,
+        "samples": new.count,
+        "why": "",
+        "there": there,
+        "others": others,
+    }
 
 
 def _of(sums: Sums) -> tuple[float, float, float]:
@@ -156,10 +180,14 @@
         ends = {end: sum(each["end"] == end for each in played) for end in ("halted", "done", "no answer")}
         line = f"{kind}: {ends}"
         if halted:
-            middle = {name: statistics.median(each[name] for each in halted)
-                      for name in ("samples", "second", "there")}
-            line += (f"; halted after {middle['samples']:.0f} exchanges of the new and"
-                     f" {middle['second']:.0f} s in the median, {middle['there']:.0f} of {NODES} changed")
+            middle = {
+                name: statistics.median(each[name] for each in halted)
+                for name in ("samples", "second", "there")
+            }
+            line += (
+                f"; halted after {middle['samples']:.0f} exchanges of the new and"
+                f" {middle['second']:.0f} s in the median, {middle['there']:.0f} of {NODES} changed"
+            )
         say(line)
         if kind in KINDS[:2]:
             for name, label in zip(("once", "looks", "bayes"), METHODS, strict=True):
@@ -171,8 +199,10 @@
     false = 100 * sum(each["end"] == "halted" for each in found["good"]) / max(1, len(found["good"]))
     samples = statistics.median(each["samples"] for each in halted) if halted else 0
     keep(told, {"machine": processor(), "played": found})
-    say(f"gates: {share:.1f} % of worse ones halted after {samples:.0f} samples in the median, {false:.1f} %"
-        " of good ones halted")
+    say(
+        f"gates: {share:.1f} % of worse ones halted after {samples:.0f} samples in the median, {false:.1f} %"
+        " of good ones halted"
+    )
     return 0 if share >= 90 and false <= 2 else 1
 
 
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -19,8 +19,21 @@
 async def listed(settings: str, *words: str) -> tuple[float, int, dict]:
     began = time.monotonic()
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "oakkeel", "ls", "--settings", settings, "--as", "asha", "--deadline", "1s",
-        "--output", "json", *words, stdout=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "oakkeel",
+        "ls",
+        "--settings",
+        settings,
+        "--as",
+        "asha",
+        "--deadline",
+        "1s",
+        "--output",
+        "json",
+        *words,
+        stdout=asyncio.subprocess.PIPE,
+    )
     out, _ = await process.communicate()
     return time.monotonic() - began, process.returncode or 0, json.loads(out)
 
@@ -38,9 +51,13 @@
                 os.kill(fleet.processes["h7"].pid, signal.SIGCONT)
     right = all(code == 0 and len(out["instances"]) == 12 for _, code, out in whole) and all(
         code == 3 and [row["instance"] for row in out["instances"] if row["state"] == "unknown"] == ["n7"]
-        for _, code, out in silent)
-    return {"all_answer_s": [took for took, _, _ in whole], "one_silent_s": [took for took, _, _ in silent],
-            "right": right}
+        for _, code, out in silent
+    )
+    return {
+        "all_answer_s": [took for took, _, _ in whole],
+        "one_silent_s": [took for took, _, _ in silent],
+        "right": right,
+    }
 
 
 def main() -> int:
@@ -48,8 +65,10 @@
     figures = asyncio.run(measure(told.times))
     keep(told, figures)
     say(f"all answer: {spread(figures['all_answer_s'])} s; one silent: {spread(figures['one_silent_s'])} s")
-    say(f"listing: 12 agents, 1 silent, told after {max(figures['one_silent_s']):.2f} s with a deadline of"
-        f" {DEADLINE:g} s, {'right' if figures['right'] else 'WRONG'} each time")
+    say(
+        f"listing: 12 agents, 1 silent, told after {max(figures['one_silent_s']):.2f} s with a deadline of"
+        f" {DEADLINE:g} s, {'right' if figures['right'] else 'WRONG'} each time"
+    )
     return 0 if figures["right"] else 1
 
 
--- a/measure/node.py
+++ b/measure/node.py
@@ -22,8 +22,14 @@
 from oakkeel.standins.site import Site
 
 TICKS = os.sysconf("SC_CLK_TCK")
-FAIR = {"by": ["caller", "subject"], "weights": {}, "places": 256, "promises": 1024, "half": 4_000_000_000,
-        "snapshot": ""}
+FAIR = {
+    "by": ["caller", "subject"],
+    "weights": {},
+    "places": 256,
+    "promises": 1024,
+    "half": 4_000_000_000,
+    "snapshot": "",
+}
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
@@ -51,8 +57,9 @@
                 json.dump({"fair": FAIR}, file)
         if linked:
             variables |= {"OAKKEEL_CONTROL": path, "OAKKEEL_GENERATION": "1"}
-        node = await asyncio.create_subprocess_exec(sys.executable, "-m", "oakkeel", env=variables, cwd=tree,
-                                                    stderr=asyncio.subprocess.PIPE)
+        node = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "oakkeel", env=variables, cwd=tree, stderr=asyncio.subprocess.PIPE
+        )
         assert node.stderr is not None
         line = await asyncio.wait_for(node.stderr.readline(), 20)
         address = "127.0.0.1", int(line.rsplit(b":", 1)[1])
@@ -73,8 +80,12 @@
         await asyncio.wait_for(node.wait(), 20)
         await reading
         await site.close()
-        return {"resident_mb": resident, "ms_an_exchange": 1000 * cpu / answered, "rate": answered / took,
-                "lost": dispatcher.counts["lost"] + dispatcher.counts["late"]}
+        return {
+            "resident_mb": resident,
+            "ms_an_exchange": 1000 * cpu / answered,
+            "rate": answered / took,
+            "lost": dispatcher.counts["lost"] + dispatcher.counts["late"],
+        }
 
 
 async def ask(path: str) -> None:
@@ -93,8 +104,10 @@
         for name in found:
             found[name].append(await one(kinds[name], name, rate, seconds, number + 1))
             last = found[name][-1]
-            say(f"  {name}: {last['resident_mb']:.1f} MB, {last['ms_an_exchange']:.3f} ms an exchange at"
-                f" {last['rate']:.0f} a second")
+            say(
+                f"  {name}: {last['resident_mb']:.1f} MB, {last['ms_an_exchange']:.3f} ms an exchange at"
+                f" {last['rate']:.0f} a second"
+            )
     return found
 
 
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -27,8 +27,9 @@
 
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
         self.folder, self.random, self.crashes = folder, Random(seed), crashes
-        site = Site(folder, {"wb1": ["n1"]}, away=1,
-                    supervision='<supervision backoff="20ms" restarts="1000"/>')
+        site = Site(
+            folder, {"wb1": ["n1"]}, away=1, supervision='<supervision backoff="20ms" restarts="1000"/>'
+        )
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         self.fleet = read_fleet(site.settings)
@@ -53,8 +54,15 @@
                 await self.crashes.acquire()
                 step, self.doomed = self.random.randint(1, MOST_STEPS), True
             self.agent = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "oakkeel.standins.crashing", self.fleet.path, "wb1", str(step),
-                stderr=asyncio.subprocess.DEVNULL, start_new_session=True)
+                sys.executable,
+                "-m",
+                "oakkeel.standins.crashing",
+                self.fleet.path,
+                "wb1",
+                str(step),
+                stderr=asyncio.subprocess.DEVNULL,
+                start_new_session=True,
+            )
 
     async def ask(self, wish: messages.Wish) -> messages.Answer | None:
         await self.keep_agent()
@@ -127,11 +135,14 @@
                 crashed, orders = sum(lane.crashed for lane in made), sum(lane.orders for lane in made)
                 say(f"  {crashed} crashes, {orders} orders")
             await runs
-            return {"crashes": sum(lane.crashed for lane in made),
-                    "orders": sum(lane.orders for lane in made),
-                    "resent": sum(lane.resent for lane in made), "lost": sum(lane.unkept for lane in made),
-                    "starts": sum(lane.starts() for lane in made),
-                    "expected_starts": sum(lane.expected_starts for lane in made)}
+            return {
+                "crashes": sum(lane.crashed for lane in made),
+                "orders": sum(lane.orders for lane in made),
+                "resent": sum(lane.resent for lane in made),
+                "lost": sum(lane.unkept for lane in made),
+                "starts": sum(lane.starts() for lane in made),
+                "expected_starts": sum(lane.expected_starts for lane in made),
+            }
         finally:
             for lane in made:
                 await lane.end()
@@ -144,8 +155,10 @@
     keep(told, figures)
     twice = max(0, figures["starts"] - figures["expected_starts"])
     missing = max(0, figures["expected_starts"] - figures["starts"])
-    say(f"{figures['orders']} orders, sent again {figures['resent']} times; {figures['starts']} processes"
-        f" made, {figures['expected_starts']} ordered; took {time.monotonic() - began:.0f} s")
+    say(
+        f"{figures['orders']} orders, sent again {figures['resent']} times; {figures['starts']} processes"
+        f" made, {figures['expected_starts']} ordered; took {time.monotonic() - began:.0f} s"
+    )
     say(f"orders: {figures['crashes']} crashes, {figures['lost'] + missing} lost, {twice} carried out twice")
     return 1 if figures["lost"] or twice or missing or figures["crashes"] < told.crashes else 0
 
--- a/measure/places.py
+++ b/measure/places.py
@@ -31,21 +31,41 @@
     def __init__(self, hosts: int, each: int) -> None:
         names = [f"h{number}" for number in range(hosts)]
         things = {name: tuple(f"{name}i{number}" for number in range(each)) for name in names}
-        sites = {f"s{number}": [thing for place, name in enumerate(names) if place % 20 == number
-                                for thing in things[name]] for number in range(20)}
+        sites = {
+            f"s{number}": [
+                thing for place, name in enumerate(names) if place % 20 == number for thing in things[name]
+            ]
+            for number in range(20)
+        }
         groups = [Group(f"site {site}", max(1, len(held) // 10), tuple(held)) for site, held in sites.items()]
         every = tuple(thing for held in things.values() for thing in held)
         groups.append(Group("fleet", hosts * each // 10, every))
         self.layout = Layout(things, tuple(groups))
         self.now = SECOND
-        self.stewards = {name: Steward(self.now, Disk(Durable(name, f"{name}.1")).load(), place, Pace(),
-                                       tuple(names[:3]), self.layout, Terms())
-                         for place, name in enumerate(names[:3])}
+        self.stewards = {
+            name: Steward(
+                self.now,
+                Disk(Durable(name, f"{name}.1")).load(),
+                place,
+                Pace(),
+                tuple(names[:3]),
+                self.layout,
+                Terms(),
+            )
+            for place, name in enumerate(names[:3])
+        }
         self.agents = {name: Holding(name, held, 1) for name, held in things.items()}
         self.back_at: dict[str, int] = {}
         self.letters: deque[tuple[str, Letter]] = deque()
-        self.count = {"polls": 0, "letters": 0, "poll_ns": 0, "letter_ns": 0, "worst_ns": 0, "entries": 0,
-                      "most_out": 0}
+        self.count = {
+            "polls": 0,
+            "letters": 0,
+            "poll_ns": 0,
+            "letter_ns": 0,
+            "worst_ns": 0,
+            "entries": 0,
+            "most_out": 0,
+        }
 
     def carry_out(self, all_steps: list[Steps]) -> None:
         for steps in all_steps:
@@ -81,8 +101,12 @@
         self.deliver()
         holding.answered(self.now, self.now, answer)
         for place in answer.places:
-            if not place.out and holding.may_begin(self.now, place.thing, place.ident) and \
-                    place.thing not in self.back_at and not holding.places[place.thing].begun:
+            if (
+                not place.out
+                and holding.may_begin(self.now, place.thing, place.ident)
+                and place.thing not in self.back_at
+                and not holding.places[place.thing].begun
+            ):
                 holding.begin(self.now, place.thing)
                 self.back_at[place.thing] = self.now + OUT
 
@@ -111,9 +135,18 @@
     every = [thing for name in names for thing in fleet.layout.hosts[name]]
     for place in range(0, len(every), 1000):
         try:
-            _, steps = leader.propose(fleet.now, commands.Order(
-                f"o{place}", "asha", "restart", 0, 3600 * SECOND, False,
-                [(thing, 1) for thing in every[place : place + 1000]]))
+            _, steps = leader.propose(
+                fleet.now,
+                commands.Order(
+                    f"o{place}",
+                    "asha",
+                    "restart",
+                    0,
+                    3600 * SECOND,
+                    False,
+                    [(thing, 1) for thing in every[place : place + 1000]],
+                ),
+            )
         except NotLeading as error:
             raise RuntimeError(f"no leader in a calm simulation: {error}") from None
         fleet.carry_out(steps)
@@ -125,17 +158,24 @@
         turns += 1
     took = (fleet.now - began) / SECOND
     spent = {name: value - before[name] for name, value in fleet.count.items()}
-    return {"hosts": hosts, "instances": hosts * each, "ended": not any(
-                order.open for order in leader.ledger.held.orders.values()),
-            "simulated_s": took, "real_s": time.monotonic() - real,
-            "poll_us": spent["poll_ns"] / max(1, spent["polls"]) / 1000,
-            "quiet_poll_us": quiet["poll_ns"] / max(1, quiet["polls"]) / 1000,
-            "worst_poll_ms": fleet.count["worst_ns"] / 1e6,
-            "letter_us": spent["letter_ns"] / max(1, spent["letters"]) / 1000,
-            "polls_a_second": spent["polls"] / took, "letters_a_second": spent["letters"] / took,
-            "leader_busy": (spent["poll_ns"] + spent["letter_ns"] / 2) / 1e9 / took,
-            "entries": spent["entries"], "most_out": fleet.count["most_out"], "bound": hosts * each // 10,
-            "snapshot_kb": len(leader.ledger.fold()) / 1024}
+    return {
+        "hosts": hosts,
+        "instances": hosts * each,
+        "ended": not any(order.open for order in leader.ledger.held.orders.values()),
+        "simulated_s": took,
+        "real_s": time.monotonic() - real,
+        "poll_us": spent["poll_ns"] / max(1, spent["polls"]) / 1000,
+        "quiet_poll_us": quiet["poll_ns"] / max(1, quiet["polls"]) / 1000,
+        "worst_poll_ms": fleet.count["worst_ns"] / 1e6,
+        "letter_us": spent["letter_ns"] / max(1, spent["letters"]) / 1000,
+        "polls_a_second": spent["polls"] / took,
+        "letters_a_second": spent["letters"] / took,
+        "leader_busy": (spent["poll_ns"] + spent["letter_ns"] / 2) / 1e9 / took,
+        "entries": spent["entries"],
+        "most_out": fleet.count["most_out"],
+        "bound": hosts * each // 10,
+        "snapshot_kb": len(leader.ledger.fold()) / 1024,
+    }
 
 
 def main() -> int:
@@ -144,18 +184,22 @@
     for hosts in (told.hosts // 10, told.hosts):
         found = play(hosts, told.each, told.most)
         figures.append(found)
-        say(f"{found['instances']} instances on {hosts} hosts restarted in {found['simulated_s']:.0f} s"
+        say(
+            f"{found['instances']} instances on {hosts} hosts restarted in {found['simulated_s']:.0f} s"
             f" simulated ({found['real_s']:.0f} s real), at most {found['most_out']} of {found['bound']} out;"
             f" {found['polls_a_second']:.0f} polls and {found['letters_a_second']:.0f} letters a second,"
             f" {found['poll_us']:.0f} us a poll ({found['quiet_poll_us']:.0f} with no order, worst"
-            f" {found['worst_poll_ms']:.0f} ms), {found['letter_us']:.0f} us a letter")
+            f" {found['worst_poll_ms']:.0f} ms), {found['letter_us']:.0f} us a letter"
+        )
     keep(told, {"machine": processor(), "plays": figures})
     small, large = figures
     messages = large["polls_a_second"] + large["letters_a_second"]
-    say(f"places: {large['instances']} instances, {large['hosts']} agents, simulated:"
+    say(
+        f"places: {large['instances']} instances, {large['hosts']} agents, simulated:"
         f" {large['poll_us']:.0f} us a poll, {messages:.0f} messages a second, the leader busy"
         f" {large['leader_busy']:.2f} of a core, {large['snapshot_kb']:.0f} KB a snapshot,"
-        f" {large['poll_us'] / small['poll_us']:.2f} times as much a poll as with {small['hosts']}")
+        f" {large['poll_us'] / small['poll_us']:.2f} times as much a poll as with {small['hosts']}"
+    )
     return 0 if all(each["ended"] and each["most_out"] <= each["bound"] for each in figures) else 1
 
 
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -31,12 +31,16 @@
     names = [f"n{number}" for number in range(count)]
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
-    groups = [Group(f"site {number}", max(1, len(site) // 10), tuple(site))
-              for number, site in enumerate(sites)]
+    groups = [
+        Group(f"site {number}", max(1, len(site) // 10), tuple(site)) for number, site in enumerate(sites)
+    ]
     layout = Layout(hosts, (*groups, Group("fleet", count // 10, tuple(names))))
     planner, random, found = Planner(layout), Random(1), {}
-    for label, most, out_share in (("one", 1, 0.0), ("as many as may be", 500, 0.0),
-                                   ("a tenth out", 500, 0.1)):
+    for label, most, out_share in (
+        ("one", 1, 0.0),
+        ("as many as may be", 500, 0.0),
+        ("a tenth out", 500, 0.1),
+    ):
         out = Out(layout)
         seen = {name: Seen(name, "serving", 1, "", 0, 0.3) for name in names}
         for name in random.sample(names, int(count * out_share)):
@@ -76,11 +80,22 @@
 def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
     """1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
     random = Random(seed)
-    troubles = [Trouble(random.randrange(4 * SECOND, 60 * SECOND), "die", random.randrange(HOSTS),
-                        random.randrange(EACH))
-                for _ in range(deaths)]
-    troubles += [Trouble(random.randrange(4 * SECOND, 60 * SECOND), "kill", random.randrange(3, HOSTS), 0,
-                         random.randrange(SECOND, 4 * SECOND)) for _ in range(kills)]
+    troubles = [
+        Trouble(
+            random.randrange(4 * SECOND, 60 * SECOND), "die", random.randrange(HOSTS), random.randrange(EACH)
+        )
+        for _ in range(deaths)
+    ]
+    troubles += [
+        Trouble(
+            random.randrange(4 * SECOND, 60 * SECOND),
+            "kill",
+            random.randrange(3, HOSTS),
+            0,
+            random.randrange(SECOND, 4 * SECOND),
+        )
+        for _ in range(kills)
+    ]
     troubles += [Trouble(20 * SECOND, "kill", 0, 0, SECOND), Trouble(35 * SECOND, "kill", 1, 0, SECOND)]
     schedule = Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(troubles, key=lambda each: each.at)))
     world = World(schedule)
@@ -107,9 +122,17 @@
     took = (world.clock.now - began) / SECOND
     out = [lasted / SECOND for lasted in watched.lasted.values()]
     best = max(sum(out) / (BOUND * SITES), max(out, default=0.0))
-    return {"gated": gated, "state": state, "seconds": took, "best": best, "nodes": len(out),
-            "out_s": statistics.median(out) if out else 0.0, "most": watched.most,
-            "breaches": world.audit.breaches + world.of_releases.breaches, "events": world.clock.happened}
+    return {
+        "gated": gated,
+        "state": state,
+        "seconds": took,
+        "best": best,
+        "nodes": len(out),
+        "out_s": statistics.median(out) if out else 0.0,
+        "most": watched.most,
+        "breaches": world.audit.breaches + world.of_releases.breaches,
+        "events": world.clock.happened,
+    }
 
 
 def order(world: World, command: commands.Command) -> None:
@@ -121,13 +144,26 @@
 
 
 def leader_of(world: World) -> Host | None:
-    return next((host for host in world.hosts.values() if host.running and host.steward
-                 and isinstance(host.steward.above, Driver) and host.steward.keeper.leads(host.now())), None)
+    return next(
+        (
+            host
+            for host in world.hosts.values()
+            if host.running
+            and host.steward
+            and isinstance(host.steward.above, Driver)
+            and host.steward.keeper.leads(host.now())
+        ),
+        None,
+    )
 
 
 def main() -> int:
-    told = options("The planner at 10,000 instances; a release of 1,000 nodes in simulated time.", seed=26,
-                   deaths=40, kills=8)
+    told = options(
+        "The planner at 10,000 instances; a release of 1,000 nodes in simulated time.",
+        seed=26,
+        deaths=40,
+        kills=8,
+    )
     found = {count: turns(count) for count in (1000, 10_000)}
     for count, each in found.items():
         say(f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in each.items()))
@@ -136,17 +172,21 @@
         began = time.monotonic()
         run = release(told.seed, told.deaths, told.kills, gated)
         runs.append(run)
-        say(f"{'with gates' if gated else 'batches alone'}: {run['state']} after {run['seconds']:.1f} s"
+        say(
+            f"{'with gates' if gated else 'batches alone'}: {run['state']} after {run['seconds']:.1f} s"
             f" simulated, {run['nodes']} changed, each out {run['out_s']:.2f} s in the median, at most"
             f" {run['most']} of {BOUND * SITES} out; who knows all needs {run['best']:.1f} s;"
-            f" {run['events']} events in {time.monotonic() - began:.0f} s")
+            f" {run['events']} events in {time.monotonic() - began:.0f} s"
+        )
         for breach in run["breaches"]:
             say(breach)
     keep(told, {"machine": processor(), "turns": found, "runs": runs})
     first = runs[0]
     turn = found[10_000]["as many as may be"]
-    say(f"plan: {turn:.1f} ms a turn at 10,000 instances; 1,000 nodes released in {first['seconds']:.1f} s,"
-        f" {first['best'] / first['seconds']:.2f} of the best")
+    say(
+        f"plan: {turn:.1f} ms a turn at 10,000 instances; 1,000 nodes released in {first['seconds']:.1f} s,"
+        f" {first['best'] / first['seconds']:.2f} of the best"
+    )
     return 1 if any(run["breaches"] or run["state"] != "done" for run in runs) else 0
 
 
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -88,8 +88,13 @@
 
     def lost_but(self, killed: set[str]) -> int:
         """Without an answer, at nodes that nobody killed."""
-        return sum(each.by_node[name][word] for each in self.dispatchers for name in NAMES
-                   if name not in killed and name in each.by_node for word in ("lost", "late"))
+        return sum(
+            each.by_node[name][word]
+            for each in self.dispatchers
+            for name in NAMES
+            if name not in killed and name in each.by_node
+            for word in ("lost", "late")
+        )
 
     async def stop(self) -> None:
         if self.following:
@@ -127,8 +132,9 @@
                 pass
             await asyncio.sleep(0.03)
 
-    async def release(self, ident: str, what: What, things: list[str], pace: Pace, kills: int,
-                      nodes: int) -> messages.ReleaseTold:
+    async def release(
+        self, ident: str, what: What, things: list[str], pace: Pace, kills: int, nodes: int
+    ) -> messages.ReleaseTold:
         """Begin it, break things on the way, and follow it to its end."""
         answer = await self.ask(messages.StartRelease(ident, what, pace, things))
         assert isinstance(answer, messages.ReleaseTold), answer
@@ -178,8 +184,11 @@
 def program(folder: str, name: str) -> What:
     """The program as it is, with one line more: another content, which behaves the same."""
     path = os.path.join(folder, name)
-    shutil.copytree(os.path.dirname(oakkeel.__file__), os.path.join(path, "oakkeel"),
-                    ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(
+        os.path.dirname(oakkeel.__file__),
+        os.path.join(path, "oakkeel"),
+        ignore=shutil.ignore_patterns("__pycache__"),
+    )
     with open(os.path.join(path, "oakkeel", "RELEASE"), "w", encoding="ascii") as file:
         file.write(name + "\n")
     return What(version_of(path, ""), path)
@@ -191,12 +200,26 @@
         services = {name: Catalogue() for name in ports}
         for name, each in services.items():
             await each.open(ports[name])
-        below = '<below><kind name="db" away="1">' + "".join(
-            f'<service name="{name}" address="127.0.0.1:{port}" host="h{number}"/>'
-            for number, (name, port) in enumerate(ports.items(), 5)) + "</kind></below>"
-        site = Site(folder, HOSTS, AWAY, seed, sites=SITES, keepers=KEEPERS, fleet_away=FLEET, below=below,
-                    hanging=HANGING, supervision='<supervision silent="2s" start="10s" drain="6s"'
-                    ' backoff="200ms"/>')
+        below = (
+            '<below><kind name="db" away="1">'
+            + "".join(
+                f'<service name="{name}" address="127.0.0.1:{port}" host="h{number}"/>'
+                for number, (name, port) in enumerate(ports.items(), 5)
+            )
+            + "</kind></below>"
+        )
+        site = Site(
+            folder,
+            HOSTS,
+            AWAY,
+            seed,
+            sites=SITES,
+            keepers=KEEPERS,
+            fleet_away=FLEET,
+            below=below,
+            hanging=HANGING,
+            supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
+        )
         site.catalogues = {name: f"127.0.0.1:{ports[on]}" for name, on in HANGING.items()}
         rig = Rig(site, seed, real=True)
         play = Play(rig, dict(services), ports, seed)
@@ -210,11 +233,23 @@
             await asyncio.sleep(3.0)
             before, benefit = load.counts, load.benefit
             began = time.monotonic()
-            pace = Pace(soak=2 * SECOND, lasts=30 * SECOND, patience=40 * SECOND, margin=0.10, gated=gated,
-                        ceiling=0.95)
+            pace = Pace(
+                soak=2 * SECOND,
+                lasts=30 * SECOND,
+                patience=40 * SECOND,
+                margin=0.10,
+                gated=gated,
+                ceiling=0.95,
+            )
             first = await play.release("nodes", program(folder, "v2"), NAMES, pace, 3, 3)
-            second = await play.release("below", What("db-2", services=True), ["db1", "db2"],
-                                        Pace(soak=SECOND, lasts=30 * SECOND, gated=False), 2, 0)
+            second = await play.release(
+                "below",
+                What("db-2", services=True),
+                ["db1", "db2"],
+                Pace(soak=SECOND, lasts=30 * SECOND, gated=False),
+                2,
+                0,
+            )
             took = time.monotonic() - began
             counts = load.counts - before
             asked, came = (now - then for now, then in zip(load.benefit, benefit, strict=True))
@@ -230,11 +265,20 @@
             for each in play.services.values():
                 await each.close()
     asked += counts["unsent"] * sum(BENEFIT.values()) / len(BENEFIT)
-    return {"gated": gated, "seconds": took, "ends": [first.state, second.state], "counts": dict(counts),
-            "lost": lost, "kept": came / max(1.0, asked), "most_placed": play.most_placed,
-            "most_out": play.most_out, "driver_kills": play.driver_kills, "killed": sorted(play.killed),
-            "batches": [first.batch, second.batch],
-            "new": sum(version == first.what.version for version in runs.values())}
+    return {
+        "gated": gated,
+        "seconds": took,
+        "ends": [first.state, second.state],
+        "counts": dict(counts),
+        "lost": lost,
+        "kept": came / max(1.0, asked),
+        "most_placed": play.most_placed,
+        "most_out": play.most_out,
+        "driver_kills": play.driver_kills,
+        "killed": sorted(play.killed),
+        "batches": [first.batch, second.batch],
+        "new": sum(version == first.what.version for version in runs.values()),
+    }
 
 
 def main() -> int:
@@ -243,15 +287,19 @@
     keep(told, {"machine": processor(), "runs": figures})
     for each in figures:
         how = "with gates" if each["gated"] else "batches alone"
-        say(f"{how}: {each['ends']} in {each['seconds']:.1f} s,"
+        say(
+            f"{how}: {each['ends']} in {each['seconds']:.1f} s,"
             f" batches {each['batches']}, {each['new']} of 12 run the new, driver killed"
             f" {each['driver_kills']} times, {', '.join(each['killed'])} killed, out with places"
             f" {each['most_placed']}, out in all {each['most_out']}, {each['counts']}, benefit kept"
-            f" {100 * each['kept']:.1f} %")
+            f" {100 * each['kept']:.1f} %"
+        )
     first = figures[0]
     good = first["lost"] == 0 and first["new"] == 12 and first["ends"] == ["done", "done"]
-    say(f"rollout: done in {first['seconds']:.1f} s, at most {first['most_placed']} of {FLEET} out,"
-        f" {first['lost']} lost, benefit kept {100 * first['kept']:.1f} %")
+    say(
+        f"rollout: done in {first['seconds']:.1f} s, at most {first['most_placed']} of {FLEET} out,"
+        f" {first['lost']} lost, benefit kept {100 * first['kept']:.1f} %"
+    )
     return 0 if good and first["most_placed"] <= FLEET else 1
 
 
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -39,8 +39,9 @@
 
 
 def main() -> int:
-    told = options("Drawn schedules in simulated time.", count=600, seed=1, play="", out="schedule.json",
-                   releases=0)
+    told = options(
+        "Drawn schedules in simulated time.", count=600, seed=1, play="", out="schedule.json", releases=0
+    )
     if told.play:
         with open(told.play, encoding="utf-8") as file:
             world, breaches = play(read(json.load(file)))
@@ -49,8 +50,9 @@
         return 1 if breaches else 0
     began, broken, stuck, happened = time.monotonic(), [], [], 0
     with multiprocessing.Pool(os.cpu_count()) as pool:
-        played = pool.imap_unordered(partial(look, releases=bool(told.releases)),
-                                     range(told.seed, told.seed + told.count), chunksize=8)
+        played = pool.imap_unordered(
+            partial(look, releases=bool(told.releases)), range(told.seed, told.seed + told.count), chunksize=8
+        )
         for done, (seed, breaches, left, count) in enumerate(played, 1):
             happened += count
             if breaches:
@@ -69,8 +71,17 @@
         say(f"the first, cut down to {len(less.troubles)} troubles, is in {told.out}:")
         for trouble in less.troubles:
             say(f"  {trouble}")
-    keep(told, {"machine": processor(), "played": told.count, "broken": broken, "not_ended": stuck,
-                "seconds": took, "events": happened})
+    keep(
+        told,
+        {
+            "machine": processor(),
+            "played": told.count,
+            "broken": broken,
+            "not_ended": stuck,
+            "seconds": took,
+            "events": happened,
+        },
+    )
     say(f"{processor()}; {happened / told.count:.0f} events each; {len(stuck)} did not come to an end")
     say(f"schedules: {told.count} played, {len(broken)} broken, {told.count / took:.1f} a second")
     return 1 if broken else 0
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -17,8 +17,7 @@
 SOCKET_PATH = 107  # bytes that the path of a Unix socket may have
 
 
-def serve(settings: str, name: str, form: str = "console",
-          make: Callable[..., Agent] = Agent) -> int:
+def serve(settings: str, name: str, form: str = "console", make: Callable[..., Agent] = Agent) -> int:
     """Run the agent of a host, which `make` makes; 2 and a line for each fault where it can't start."""
     try:
         fleet = read_fleet(settings)
@@ -27,22 +26,32 @@
         keys |= {key.ident: key for key in agent_keys.values()}
         longest = max(len(os.path.join(host.state, each.name + ".sock").encode()) for each in host.instances)
         if longest > SOCKET_PATH:
-            raise SettingsError(f"{settings}: the state folder of {name} is"
-                                f" {longest - SOCKET_PATH} bytes too long")
+            raise SettingsError(
+                f"{settings}: the state folder of {name} is {longest - SOCKET_PATH} bytes too long"
+            )
         os.makedirs(host.state, mode=0o700, exist_ok=True)
         lock = os.open(os.path.join(host.state, "agent.lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            raise SettingsError(f"another agent looks after {name} already: process"
-                                f" {os.read(lock, 20).decode().strip()}") from None
+            raise SettingsError(
+                f"another agent looks after {name} already: process {os.read(lock, 20).decode().strip()}"
+            ) from None
         os.ftruncate(lock, 0)
         os.write(lock, f"{os.getpid()}\n".encode())
         log = Log(f"agent {name}" if form == "console" else name, LOG_LINES, form)
 
         async def run() -> None:
-            agent = make(host, patience_of(fleet.supervision), keys, log, new_seed(),
-                         fairness=fleet.fairness, fleet=fleet, agent_keys=agent_keys)
+            agent = make(
+                host,
+                patience_of(fleet.supervision),
+                keys,
+                log,
+                new_seed(),
+                fairness=fleet.fairness,
+                fleet=fleet,
+                agent_keys=agent_keys,
+            )
             asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, _take_settings, agent, settings)
             await agent.run()
 
--- a/oakkeel/agent/acting.py
+++ b/oakkeel/agent/acting.py
@@ -26,9 +26,17 @@
 
 
 class Acting:
-    def __init__(self, host: HostSettings, supervision: Supervision, log: Log, processes: type[Processes],
-                 program: tuple[str, ...], fairness: Fairness | None, moved: Callable[[], None],
-                 holding: Holding | None = None) -> None:
+    def __init__(
+        self,
+        host: HostSettings,
+        supervision: Supervision,
+        log: Log,
+        processes: type[Processes],
+        program: tuple[str, ...],
+        fairness: Fairness | None,
+        moved: Callable[[], None],
+        holding: Holding | None = None,
+    ) -> None:
         """`moved` is called when a process has ended."""
         self.holding = holding
         self.versions: Versions | None = None  # where releases are made
@@ -72,8 +80,13 @@
 
     def _start(self, instance: Instance, facts: dict[str, object]) -> None:
         told = self.told[instance.name]
-        variables = {**os.environ, "PROXY_CONFIG": told.config, "PROXY_NAME": told.name,
-                     "OAKKEEL_CONTROL": self.processes.path(told.name, "sock"), "OAKKEEL_LOG": told.log}
+        variables = {
+            **os.environ,
+            "PROXY_CONFIG": told.config,
+            "PROXY_NAME": told.name,
+            "OAKKEEL_CONTROL": self.processes.path(told.name, "sock"),
+            "OAKKEEL_LOG": told.log,
+        }
         if told.listen:
             variables["PROXY_LISTEN"] = told.listen
         if self.fairness:
@@ -99,15 +112,22 @@
         leave."""
         before = self.words.get(instance)
         self.words[instance] = task = asyncio.ensure_future(
-            self._say_after(before, instance, process, act, facts))
+            self._say_after(before, instance, process, act, facts)
+        )
         task.add_done_callback(partial(self._said, instance))
 
     def _said(self, instance: Instance, task: asyncio.Task) -> None:
         if self.words.get(instance) is task:
             del self.words[instance]
 
-    async def _say_after(self, before: asyncio.Task | None, instance: Instance, process: Process, act: Act,
-                         facts: dict[str, object]) -> None:
+    async def _say_after(
+        self,
+        before: asyncio.Task | None,
+        instance: Instance,
+        process: Process,
+        act: Act,
+        facts: dict[str, object],
+    ) -> None:
         if before is not None:
             await asyncio.wait((before,))
         if self.alive.get(instance) is not process:
@@ -121,8 +141,9 @@
                     instance.why = f"told to stay: {answer.why}"
                 return
             # All is answered before it could be killed.
-            answer = await client.leave(process.generation, ANSWER / SECOND,
-                                        self.supervision.patience.drain * 9 // 10)
+            answer = await client.leave(
+                process.generation, ANSWER / SECOND, self.supervision.patience.drain * 9 // 10
+            )
             self.log.say("told to leave", answer=answer.why or None, **facts)
             if answer.done:
                 return
@@ -189,8 +210,14 @@
             return
         del self.alive[instance]
         self.asking.pop(instance).cancel()
-        self.log.say("ended", of=instance.name, pid=process.pid, generation=process.generation, how=why,
-                     phase=instance.phase.value)
+        self.log.say(
+            "ended",
+            of=instance.name,
+            pid=process.pid,
+            generation=process.generation,
+            how=why,
+            phase=instance.phase.value,
+        )
         self.supervision.died(time.monotonic_ns(), instance, why)
         self.moved()
 
@@ -205,8 +232,9 @@
                     if client.pid != process.pid:
                         client.close()
                         raise ControlError(f"process {client.pid} answers in place of {process.pid}")
-                    self.supervision.heard(time.monotonic_ns(), instance, report.state, report.generation,
-                                           report)
+                    self.supervision.heard(
+                        time.monotonic_ns(), instance, report.state, report.generation, report
+                    )
                 except ControlError as error:
                     if instance.report is not None:
                         instance.why = f"asked how it is: {error}"
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -49,11 +49,20 @@
 class Agent:
     """Puts the parts together. `store`, `processes` and `program` may be handed in."""
 
-    def __init__(self, host: HostSettings, patience: Patience, keys: dict[str, Key], log: Log, seed: int,
-                 store: Store | None = None, processes: type[Processes] = Processes,
-                 program: tuple[str, ...] = (sys.executable, "-m", "oakkeel"),
-                 fairness: Fairness | None = None, fleet: Fleet | None = None,
-                 agent_keys: dict[str, Key] | None = None) -> None:
+    def __init__(
+        self,
+        host: HostSettings,
+        patience: Patience,
+        keys: dict[str, Key],
+        log: Log,
+        seed: int,
+        store: Store | None = None,
+        processes: type[Processes] = Processes,
+        program: tuple[str, ...] = (sys.executable, "-m", "oakkeel"),
+        fairness: Fairness | None = None,
+        fleet: Fleet | None = None,
+        agent_keys: dict[str, Key] | None = None,
+    ) -> None:
         """`fleet` with `agent_keys`: it keeps a record. Raises OSError where its folder can't be used or its
         address is taken."""
         os.makedirs(host.state, mode=0o700, exist_ok=True)
@@ -71,21 +80,27 @@
             each.since = self.started
         self.fleet = fleet if fleet and fleet.keepers else None
         self.holding = self._holding(seed) if self.fleet else None
-        self.supervision = Supervision(instances.values(), patience, {host.site: host.away}, seed,
-                                       time.time_ns)
+        self.supervision = Supervision(
+            instances.values(), patience, {host.site: host.away}, seed, time.time_ns
+        )
         self.orders = Orders(self.supervision, time.time_ns, holding=self.holding)
         take_up_orders(self.store, self.orders)
         if not same_boot:
             self.orders.expire_all(self.started, "the host was started anew")
         self.store_fault = ""
         self.dropped_at = self.started
-        self.acting = Acting(host, self.supervision, log, processes, program, fairness, self.turn,
-                             self.holding)
+        self.acting = Acting(
+            host, self.supervision, log, processes, program, fairness, self.turn, self.holding
+        )
         self.deciding: Deciding | None = None
         self.versions: Versions | None = None
         if self.holding:
-            self.deciding = Deciding(self.supervision, self.orders, self.holding,
-                                     services=tuple(each.name for each in self.services))
+            self.deciding = Deciding(
+                self.supervision,
+                self.orders,
+                self.holding,
+                services=tuple(each.name for each in self.services),
+            )
             take_up_fitting(self.store, self.deciding.fitting)
             self.versions = self.acting.versions = Versions(host, self.deciding.fitting, log, self._ready)
         self.done = asyncio.Event()
@@ -135,17 +150,24 @@
             self._open_record()
         self.door.open()
         address = f"{self.door.address[0]}:{self.door.address[1]}"
-        self.log.say("the agent listens", address=address, instances=len(self.supervision.instances),
-                     running=len(self.alive),
-                     open_orders=sum(each.open for each in self.orders.orders.values()))
+        self.log.say(
+            "the agent listens",
+            address=address,
+            instances=len(self.supervision.instances),
+            running=len(self.alive),
+            open_orders=sum(each.open for each in self.orders.orders.values()),
+        )
         while not self.done.is_set():
             self.turn()
             try:
                 await asyncio.wait_for(self.done.wait(), TURN / SECOND)
             except TimeoutError:
                 continue
-        self.log.say("the agent leaves", running=len(self.alive),
-                     open_orders=sum(each.open for each in self.orders.orders.values()))
+        self.log.say(
+            "the agent leaves",
+            running=len(self.alive),
+            open_orders=sum(each.open for each in self.orders.orders.values()),
+        )
         self.door.close()
         for task in self.tasks:
             task.cancel()
@@ -168,17 +190,21 @@
             deciding.lost_file()
         self.polling = Polling(self.fleet, self.host.name, self.agent_keys, deciding, self.log, self._heard)
         if self.host.name in self.fleet.keepers.hosts or os.path.exists(
-                os.path.join(self.host.state, "record.db")):
+            os.path.join(self.host.state, "record.db")
+        ):
             self._keep_record()
         self.tasks.append(asyncio.ensure_future(self.polling.run()))
-        self.tasks += [asyncio.ensure_future(probe(each, deciding.below, self.polling.soon.set))
-                       for each in self.services]
+        self.tasks += [
+            asyncio.ensure_future(probe(each, deciding.below, self.polling.soon.set))
+            for each in self.services
+        ]
 
     def _keep_record(self) -> None:
         assert self.fleet and self.polling
         try:
-            self.keeping = self.polling.keeping = Keeping(self.fleet, self.host.name, self.agent_keys,
-                                                          self.log)
+            self.keeping = self.polling.keeping = Keeping(
+                self.fleet, self.host.name, self.agent_keys, self.log
+            )
             self.keeping.open()
         except OSError as error:
             self.log.say("the record can't be kept here", error=str(error))
@@ -242,8 +268,13 @@
         changed = [each for each in self.supervision.instances if each.dirty]
         fitting = self.deciding.fitting if self.deciding else None
         places = bool(self.holding and self.holding.changed) or bool(fitting and fitting.changed)
-        if not changed and not self.orders.changed and not self.orders.dropped and not places \
-                and not self.store_fault:
+        if (
+            not changed
+            and not self.orders.changed
+            and not self.orders.dropped
+            and not places
+            and not self.store_fault
+        ):
             return True
         rows = statements(changed, self.orders.changed, self.orders.dropped)
         if self.holding:
--- a/oakkeel/agent/answering.py
+++ b/oakkeel/agent/answering.py
@@ -25,8 +25,15 @@
 from oakkeel.sealing.marks import Key
 from oakkeel.settings.fleet import HostSettings
 
-OF_THE_FLEET = (messages.FleetOrder, messages.FleetEnd, messages.SetKeepers, messages.AskFleet,
-                messages.StartRelease, messages.TurnRelease, messages.AskRelease)
+OF_THE_FLEET = (
+    messages.FleetOrder,
+    messages.FleetEnd,
+    messages.SetKeepers,
+    messages.AskFleet,
+    messages.StartRelease,
+    messages.TurnRelease,
+    messages.AskRelease,
+)
 
 
 class Answerer(Protocol):
@@ -59,11 +66,20 @@
         if isinstance(wish, messages.Polled):
             if wish.poll.host != key.operator:
                 return messages.Fault(f"the key of {key.operator} with a poll of {wish.poll.host}")
-            return agent.keeping.polled(wish.poll) if agent.keeping else messages.Elsewhere(
-                "", "no keeper runs here")
+            return (
+                agent.keeping.polled(wish.poll)
+                if agent.keeping
+                else messages.Elsewhere("", "no keeper runs here")
+            )
         if isinstance(wish, messages.Look):
-            return host_told(now, agent.host, agent.supervision, agent.started, list(agent.said()),
-                             {each: process.pid for each, process in agent.acting.alive.items()})
+            return host_told(
+                now,
+                agent.host,
+                agent.supervision,
+                agent.started,
+                list(agent.said()),
+                {each: process.pid for each, process in agent.acting.alive.items()},
+            )
         if isinstance(wish, messages.Clients):
             return self._clients(wish)
         if isinstance(wish, messages.AskRecord):
@@ -71,7 +87,7 @@
         if isinstance(wish, OF_THE_FLEET):
             return self._fleet(key, wish)
         if isinstance(wish, messages.ListOrders):
-            latest = list(agent.orders.orders.values())[-max(1, min(wish.most, 200)):]
+            latest = list(agent.orders.orders.values())[-max(1, min(wish.most, 200)) :]
             return messages.OrdersTold([order_told(now, each) for each in reversed(latest)])
         try:
             if isinstance(wish, messages.Cancel):
@@ -105,8 +121,9 @@
             return messages.Fault("this fleet keeps a record: what leaves is agreed there")
         asked = tuple((name, generation) for name, generation in wish.instances)
         known = wish.ident in agent.orders.orders
-        order = agent.orders.take(now, wish.ident, key.operator, Verb(wish.verb), asked, wish.lasts,
-                                  wish.supersede)
+        order = agent.orders.take(
+            now, wish.ident, key.operator, Verb(wish.verb), asked, wish.lasts, wish.supersede
+        )
         if order.open and not known:
             if not agent.keep():
                 agent.orders.undo(order)
@@ -122,9 +139,14 @@
         keeping = self.agent.keeping
         if keeping is None or keeping.steward is None:
             leader = self.agent.polling.leader if self.agent.polling else ""
-            return messages.Elsewhere(leader, keeping.fault if keeping and keeping.fault else
-                                      "this agent does not keep the record" if self.agent.polling else
-                                      "this fleet has no keepers in its settings")
+            return messages.Elsewhere(
+                leader,
+                keeping.fault
+                if keeping and keeping.fault
+                else "this agent does not keep the record"
+                if self.agent.polling
+                else "this fleet has no keepers in its settings",
+            )
         try:
             if isinstance(wish, messages.AskFleet):
                 return state_told(time.monotonic_ns(), keeping, wish.ident)
@@ -140,8 +162,9 @@
         if isinstance(result, Refusal):
             return messages.Fault(result.why)
         if isinstance(result, Release):
-            self.agent.log.say("agreed", release=result.ident, operator=key.operator,
-                               what=getattr(wish, "to", "start"))
+            self.agent.log.say(
+                "agreed", release=result.ident, operator=key.operator, what=getattr(wish, "to", "start")
+            )
             return release_told(time.monotonic_ns(), keeping, result.ident)
         assert isinstance(result, Agreed)
         self.agent.log.say("agreed", order=result.ident, operator=key.operator, what=type(wish).__name__)
@@ -161,8 +184,9 @@
 
 def command_of(key: Key, wish: messages.Wish, unix: int) -> commands.Command | releases.Command:
     if isinstance(wish, messages.FleetOrder):
-        return commands.Order(wish.ident, key.operator, wish.verb, unix, wish.lasts, wish.whole,
-                              list(wish.things))
+        return commands.Order(
+            wish.ident, key.operator, wish.verb, unix, wish.lasts, wish.whole, list(wish.things)
+        )
     if isinstance(wish, messages.StartRelease):
         return releases.Begin(wish.ident, key.operator, unix, wish.what, wish.pace, wish.things)
     if isinstance(wish, messages.TurnRelease):
@@ -172,6 +196,10 @@
 
 
 def said_taken(log: Log, order: Order) -> None:
-    log.say("an order is taken", order=order.ident, operator=order.operator, verb=order.verb.value,
-            of=",".join(part.instance.name for part in order.parts if part.open))
-
+    log.say(
+        "an order is taken",
+        order=order.ident,
+        operator=order.operator,
+        verb=order.verb.value,
+        of=",".join(part.instance.name for part in order.parts if part.open),
+    )
--- a/oakkeel/agent/below.py
+++ b/oakkeel/agent/below.py
@@ -42,7 +42,13 @@
 
     def ended(self) -> list[PartTold]:
         """Orders on services that are over: it is down."""
-        return [PartTold(order.ident, thing, "done", "")
-                for order in self.holding.orders.values() for thing, _, state in order.parts
-                if state == "out" and thing in self.up and not self.up[thing]
-                and (held := self.holding.places.get(thing)) and held.ident == order.ident]
+        return [
+            PartTold(order.ident, thing, "done", "")
+            for order in self.holding.orders.values()
+            for thing, _, state in order.parts
+            if state == "out"
+            and thing in self.up
+            and not self.up[thing]
+            and (held := self.holding.places.get(thing))
+            and held.ident == order.ident
+        ]
--- a/oakkeel/agent/deciding.py
+++ b/oakkeel/agent/deciding.py
@@ -17,14 +17,26 @@
 from oakkeel.rollout.sequential import Sums
 from oakkeel.rollout.words import Run
 
-HOW = {PartState.DONE: "done", PartState.FAILED: "failed", PartState.REFUSED: "refused",
-       PartState.CANCELLED: "cancelled", PartState.SUPERSEDED: "failed", PartState.EXPIRED: "expired"}
+HOW = {
+    PartState.DONE: "done",
+    PartState.FAILED: "failed",
+    PartState.REFUSED: "refused",
+    PartState.CANCELLED: "cancelled",
+    PartState.SUPERSEDED: "failed",
+    PartState.EXPIRED: "expired",
+}
 OPEN = ("waiting", "granted", "out")
 
 
 class Deciding:
-    def __init__(self, supervision: Supervision, orders: Orders, holding: Holding, block: int = 64,
-                 services: tuple[str, ...] = ()) -> None:
+    def __init__(
+        self,
+        supervision: Supervision,
+        orders: Orders,
+        holding: Holding,
+        block: int = 64,
+        services: tuple[str, ...] = (),
+    ) -> None:
         self.supervision, self.orders, self.holding, self.block = supervision, orders, holding, block
         self.below = Below(holding, services)
         self.fitting = Fitting(services)
@@ -45,8 +57,9 @@
         for instance in self.supervision.instances:
             up[instance.name] = instance.phase is Phase.SERVING
             self._look(instance)
-            if not self.lost and instance.generation + self.block // 2 > \
-                    self.holding.generations.get(instance.name, 0):
+            if not self.lost and instance.generation + self.block // 2 > self.holding.generations.get(
+                instance.name, 0
+            ):
                 reserve[instance.name] = instance.generation + self.block
         owes = {each.name: told for each in self.supervision.instances if (told := _owes(each))}
         poll = self.holding.poll(now, up, self._ended(), reserve, owes)
@@ -59,14 +72,25 @@
         runs = [Run(name, "", 0, "serving" if up else "stopped", 0) for name, up in self.below.up.items()]
         for each in self.supervision.instances:
             report = each.report
-            run = Run(each.name, each.ran, each.generation, each.phase.value,
-                      now - each.heard if report is not None else -1, each.resting, each.died)
+            run = Run(
+                each.name,
+                each.ran,
+                each.generation,
+                each.phase.value,
+                now - each.heard if report is not None else -1,
+                each.resting,
+                each.died,
+            )
             if isinstance(report, Report):
                 run.load = report.load
                 if self.fitting.watch and len(report.benefit) == 3:
-                    run.figures = Figures(Sums(*report.benefit), report.denied, report.terminated,
-                                          report.resident_kb, {group: Sums(*sums) for group, sums
-                                                               in report.times.items() if len(sums) == 3})
+                    run.figures = Figures(
+                        Sums(*report.benefit),
+                        report.denied,
+                        report.terminated,
+                        report.resident_kb,
+                        {group: Sums(*sums) for group, sums in report.times.items() if len(sums) == 3},
+                    )
             runs.append(run)
         return runs
 
@@ -105,8 +129,15 @@
     def _done_before(self, order: OrderTold, thing: str) -> bool:
         """It was carried out here, and our file with it was lost before that was told."""
         held, instance = self.holding.places.get(thing), self.orders.named.get(thing)
-        return bool(held and held.begun and held.ident == order.ident and order.verb in ("drain", "stop")
-                    and instance and instance.phase is Phase.STOPPED and instance.goal is Goal.DOWN)
+        return bool(
+            held
+            and held.begun
+            and held.ident == order.ident
+            and order.verb in ("drain", "stop")
+            and instance
+            and instance.phase is Phase.STOPPED
+            and instance.goal is Goal.DOWN
+        )
 
     # What is heard.
 
@@ -133,12 +164,20 @@
                     taken.append(order)
             if order is not None and told.cancelled:
                 self.orders.call_back(now, order, told.cancelled)
-            elif order is not None and told.halted and any(
-                    part.state is PartState.WAITING for part in order.parts):
+            elif (
+                order is not None
+                and told.halted
+                and any(part.state is PartState.WAITING for part in order.parts)
+            ):
                 self.orders.cancel(now, order.ident, told.halted)
         current = {told.ident for told in answer.orders}
-        for order in [part.order for part in self.orders.acting if part.state is PartState.WAITING
-                      and part.order.verb is not Verb.START and part.order.ident not in current]:
+        for order in [
+            part.order
+            for part in self.orders.acting
+            if part.state is PartState.WAITING
+            and part.order.verb is not Verb.START
+            and part.order.ident not in current
+        ]:
             self.orders.cancel(now, order.ident, "the record")  # it is over there, and must not stand here
         self.refused = {key: why for key, why in self.refused.items() if key[0] in current}
         return taken
@@ -161,10 +200,14 @@
                 instance.generation, instance.dirty = max(instance.generation, told), True
 
     def _take(self, now: int, told: OrderTold) -> Order | None:
-        asked = tuple((thing, generation) for thing, generation, state in told.parts if state in OPEN
-                      and (told.ident, thing) not in self.refused and thing in self.orders.named)
-        if not asked or any(self.orders.named[thing].generation >= self.orders.named[thing].limit
-                            for thing, _ in asked):
+        asked = tuple(
+            (thing, generation)
+            for thing, generation, state in told.parts
+            if state in OPEN and (told.ident, thing) not in self.refused and thing in self.orders.named
+        )
+        if not asked or any(
+            self.orders.named[thing].generation >= self.orders.named[thing].limit for thing, _ in asked
+        ):
             return None  # until it may number what it does
         try:
             order = self.orders.take(now, told.ident, told.operator, Verb(told.verb), asked, told.left)
@@ -185,5 +228,7 @@
     if instance.phase is not Phase.DRAINING or not getattr(report, "owes", 0):
         return ""
     groups = ", ".join(f"{count} {group}" for group, count in sorted(report.owes_by.items()))
-    return (f"{report.owes}: {report.hold} held, {report.runs} running, {report.calls} at calls"
-            f" on {report.connections} connections" + (f"; {groups}" if groups else ""))[:200]
+    return (
+        f"{report.owes}: {report.hold} held, {report.runs} running, {report.calls} at calls"
+        f" on {report.connections} connections" + (f"; {groups}" if groups else "")
+    )[:200]
--- a/oakkeel/agent/door.py
+++ b/oakkeel/agent/door.py
@@ -19,8 +19,15 @@
 from oakkeel.sealing.marks import NONCE, SECOND, Key, Receiver, Refused, Role
 
 Handler = Callable[[Key, messages.Wish], messages.Answer | Awaitable[messages.Answer]]
-ACTS = (messages.Order, messages.Cancel, messages.FleetOrder, messages.FleetEnd, messages.SetKeepers,
-        messages.StartRelease, messages.TurnRelease)
+ACTS = (
+    messages.Order,
+    messages.Cancel,
+    messages.FleetOrder,
+    messages.FleetEnd,
+    messages.SetKeepers,
+    messages.StartRelease,
+    messages.TurnRelease,
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,8 +41,14 @@
 
 
 class Door:
-    def __init__(self, address: tuple[str, int], keys: Callable[[], dict[str, Key]], handler: Handler,
-                 log: Log, bounds: DoorBounds | None = None) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        keys: Callable[[], dict[str, Key]],
+        handler: Handler,
+        log: Log,
+        bounds: DoorBounds | None = None,
+    ) -> None:
         """Raises OSError where the address can't be listened on. `keys` gives those that hold by now."""
         self.keys, self.handler, self.log, self.bounds = keys, handler, log, bounds or DoorBounds()
         self.links: dict[IOStream, asyncio.Task] = {}  # the oldest first
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -30,13 +30,24 @@
     Phase.COLD: {Phase.SERVING, Phase.STARTING, Phase.DRAINING, Phase.SILENT, Phase.STOPPED, Phase.FAILING},
     Phase.SERVING: {Phase.COLD, Phase.STARTING, Phase.DRAINING, Phase.SILENT, Phase.STOPPED, Phase.FAILING},
     Phase.DRAINING: {Phase.COLD, Phase.SERVING, Phase.STOPPED},  # called back, or gone
-    Phase.SILENT: {Phase.STARTING, Phase.COLD, Phase.SERVING, Phase.DRAINING, Phase.STUCK, Phase.STOPPED,
-                   Phase.FAILING},
+    Phase.SILENT: {
+        Phase.STARTING,
+        Phase.COLD,
+        Phase.SERVING,
+        Phase.DRAINING,
+        Phase.STUCK,
+        Phase.STOPPED,
+        Phase.FAILING,
+    },
     Phase.STUCK: {Phase.STARTING, Phase.COLD, Phase.SERVING, Phase.DRAINING, Phase.STOPPED, Phase.FAILING},
     Phase.FAILING: {Phase.STARTING, Phase.STOPPED},
 }
-REPORTED = {"waiting": Phase.STARTING, "cold": Phase.COLD, "serving": Phase.SERVING,
-            "draining": Phase.DRAINING}
+REPORTED = {
+    "waiting": Phase.STARTING,
+    "cold": Phase.COLD,
+    "serving": Phase.SERVING,
+    "draining": Phase.DRAINING,
+}
 
 
 class Goal(Enum):
--- a/oakkeel/agent/keeping.py
+++ b/oakkeel/agent/keeping.py
@@ -48,8 +48,9 @@
 class Keeping:
     """One keeper. Every write, link and timer of it is here."""
 
-    def __init__(self, fleet: Fleet, name: str, keys: dict[str, Key], log: Log,
-                 pace: Pace | None = None) -> None:
+    def __init__(
+        self, fleet: Fleet, name: str, keys: dict[str, Key], log: Log, pace: Pace | None = None
+    ) -> None:
         """Raises StoreError where its file can't be used."""
         assert fleet.keepers is not None
         self.fleet, self.name, self.keys, self.log = fleet, name, keys, log
@@ -87,8 +88,16 @@
         except StoreError as error:
             return self._failed(error)
         self.fault, founders = "", self.fleet.keepers.hosts if self.fleet.keepers else ()
-        self.steward = Steward(time.monotonic_ns(), held, secrets.randbits(60), self.pace, founders,
-                               self.layout, ledger=Book, above=self._driver)
+        self.steward = Steward(
+            time.monotonic_ns(),
+            held,
+            secrets.randbits(60),
+            self.pace,
+            founders,
+            self.layout,
+            ledger=Book,
+            above=self._driver,
+        )
         self.steward.watched = self._agreed
 
     def _driver(self, now: int, book: Book, granting: Granting) -> Driver:
@@ -111,8 +120,9 @@
             self.log.say("what may be out is as this host's settings say", fence=index)
         elif isinstance(command, commands.Lapse | commands.Over):
             over = isinstance(command, commands.Over)
-            self.log.say("a place is free" if over else "a place has lapsed", of=command.thing,
-                         fence=command.fence)
+            self.log.say(
+                "a place is free" if over else "a place has lapsed", of=command.thing, fence=command.fence
+            )
 
     def _of_release(self, command: releases.Command) -> None:
         book = self.steward.ledger if self.steward else None
@@ -125,8 +135,9 @@
             facts["fence"] = command.fence
         elif isinstance(command, releases.Settle):
             facts["new"] = ",".join(command.new)
-        self.log.say(f"release: {type(command).__name__.lower()}", step=release.step, why=release.why or None,
-                     **facts)
+        self.log.say(
+            f"release: {type(command).__name__.lower()}", step=release.step, why=release.why or None, **facts
+        )
 
     def _set_aside(self, why: str) -> None:
         """Put the file away under a name that says when, and begin a new life."""
@@ -237,8 +248,11 @@
             self._begin()
         elif (leads := steward.granting is not None) != self.leads:
             self.leads = leads
-            self.log.say("leads the record" if leads else "leads the record no more",
-                         term=steward.keeper.term, agreed=steward.keeper.commit)
+            self.log.say(
+                "leads the record" if leads else "leads the record no more",
+                term=steward.keeper.term,
+                agreed=steward.keeper.commit,
+            )
 
     def _ended(self, proposal: Proposal) -> None:
         future = self.futures.pop(proposal, None)
@@ -314,12 +328,12 @@
                 await asyncio.sleep(AGAIN / SECOND)
 
     async def _ask(self, letters: list[Letter]) -> None:
-        answer = messages.read_answer(await self.link.ask(messages.encode(messages.Carry(letters)),
-                                                          CARRY / SECOND))
+        answer = messages.read_answer(
+            await self.link.ask(messages.encode(messages.Carry(letters)), CARRY / SECOND)
+        )
         if isinstance(answer, messages.Carried):
             self.came(self.name, answer.letters)
 
     def close(self) -> None:
         self.task.cancel()
         self.link.close()
-
--- a/oakkeel/agent/kept.py
+++ b/oakkeel/agent/kept.py
@@ -27,33 +27,78 @@
     replaces INTEGER, PRIMARY KEY (ident, instance))
 """
 # Beside the schema, so that a file of an earlier program is gone on with.
-PLACES: list[Statement] = [("CREATE TABLE IF NOT EXISTS places (thing TEXT PRIMARY KEY, fence INTEGER,"
-                            " ident TEXT, begun INTEGER)", ()),
-                           ("CREATE TABLE IF NOT EXISTS reserved (thing TEXT PRIMARY KEY, upto INTEGER)", ()),
-                           ("CREATE TABLE IF NOT EXISTS fitting (one INTEGER PRIMARY KEY, content BLOB)", ()),
-                           ("CREATE TABLE IF NOT EXISTS heard (one INTEGER PRIMARY KEY, epoch TEXT)", ())]
+PLACES: list[Statement] = [
+    (
+        "CREATE TABLE IF NOT EXISTS places (thing TEXT PRIMARY KEY, fence INTEGER,"
+        " ident TEXT, begun INTEGER)",
+        (),
+    ),
+    ("CREATE TABLE IF NOT EXISTS reserved (thing TEXT PRIMARY KEY, upto INTEGER)", ()),
+    ("CREATE TABLE IF NOT EXISTS fitting (one INTEGER PRIMARY KEY, content BLOB)", ()),
+    ("CREATE TABLE IF NOT EXISTS heard (one INTEGER PRIMARY KEY, epoch TEXT)", ()),
+]
 PUT_PLACE = "INSERT OR REPLACE INTO places VALUES (?,?,?,?)"
 PUT_INSTANCE = "INSERT OR REPLACE INTO instances VALUES (?,?,?,?,?,?,?,?,?,?,?,?,?,?)"
 PUT_ORDER = "INSERT OR IGNORE INTO orders VALUES (NULL,?,?,?,?,?,?)"
 PUT_PART = "INSERT OR REPLACE INTO parts VALUES (?,?,?,?,?,?,?)"
 
 
-def statements(instances: Iterable[Instance], orders: Iterable[Order],
-               dropped: Iterable[str]) -> list[Statement]:
+def statements(
+    instances: Iterable[Instance], orders: Iterable[Order], dropped: Iterable[str]
+) -> list[Statement]:
     """What to write for all that changed."""
     rows: list[Statement] = []
     for each in instances:
-        rows.append((PUT_INSTANCE, (
-            each.name, each.generation, each.changed, each.changed_by, each.born, each.spawned,
-            each.goal.value,
-            each.phase.value, each.kill, each.start_at, each.failures, json.dumps(list(each.deaths)),
-            each.resting, each.why)))
+        rows.append(
+            (
+                PUT_INSTANCE,
+                (
+                    each.name,
+                    each.generation,
+                    each.changed,
+                    each.changed_by,
+                    each.born,
+                    each.spawned,
+                    each.goal.value,
+                    each.phase.value,
+                    each.kill,
+                    each.start_at,
+                    each.failures,
+                    json.dumps(list(each.deaths)),
+                    each.resting,
+                    each.why,
+                ),
+            )
+        )
     for order in orders:
-        rows.append((PUT_ORDER, (order.ident, order.operator, order.verb.value, order.taken, order.expires,
-                                 json.dumps(order.asked))))
+        rows.append(
+            (
+                PUT_ORDER,
+                (
+                    order.ident,
+                    order.operator,
+                    order.verb.value,
+                    order.taken,
+                    order.expires,
+                    json.dumps(order.asked),
+                ),
+            )
+        )
         for part in order.parts:
-            rows.append((PUT_PART, (order.ident, part.instance.name, part.generation, part.state.value,
-                                    part.since, part.why, part.replaces)))
+            rows.append(
+                (
+                    PUT_PART,
+                    (
+                        order.ident,
+                        part.instance.name,
+                        part.generation,
+                        part.state.value,
+                        part.since,
+                        part.why,
+                        part.replaces,
+                    ),
+                )
+            )
     for ident in dropped:
         rows.append(("DELETE FROM orders WHERE ident = ?", (ident,)))
         rows.append(("DELETE FROM parts WHERE ident = ?", (ident,)))
@@ -66,9 +111,22 @@
         each = instances.get(row[0])
         if each is None:
             continue  # its settings are gone; what is kept of it stays, should they come back
-        (_, each.generation, each.changed, each.changed_by, each.born, spawned, goal, phase, kill,
-         each.start_at,
-         each.failures, deaths, resting, each.why) = row
+        (
+            _,
+            each.generation,
+            each.changed,
+            each.changed_by,
+            each.born,
+            spawned,
+            goal,
+            phase,
+            kill,
+            each.start_at,
+            each.failures,
+            deaths,
+            resting,
+            each.why,
+        ) = row
         each.spawned, each.kill, each.resting = bool(spawned), bool(kill), bool(resting)
         each.goal, each.phase, each.deaths = Goal(goal), Phase(phase), deque(json.loads(deaths))
         if not same_boot:
@@ -80,14 +138,16 @@
     """The orders with their parts, the oldest first."""
     found: dict[str, Order] = {}
     for ident, operator, verb, taken, expires, asked in store.read(
-            "SELECT ident, operator, verb, taken, expires, asked FROM orders ORDER BY place"):
+        "SELECT ident, operator, verb, taken, expires, asked FROM orders ORDER BY place"
+    ):
         pairs = tuple((name, generation) for name, generation in json.loads(asked))
         found[ident] = Order(ident, operator, Verb(verb), taken, expires, pairs)
     for ident, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
         instance = orders.named.get(name)
         if instance is not None and ident in found:
             found[ident].parts.append(
-                Part(found[ident], instance, generation, PartState(state), since, why, replaces))
+                Part(found[ident], instance, generation, PartState(state), since, why, replaces)
+            )
     orders.restore(list(found.values()))
 
 
@@ -96,8 +156,12 @@
     rows: list[Statement] = []
     for thing in sorted(holding.changed):
         held = holding.places.get(thing)
-        rows.append((PUT_PLACE, (thing, holding.floors.get(thing, 0), held.ident if held else "",
-                                 bool(held and held.begun))))
+        rows.append(
+            (
+                PUT_PLACE,
+                (thing, holding.floors.get(thing, 0), held.ident if held else "", bool(held and held.begun)),
+            )
+        )
         if thing in holding.generations:
             rows.append(("INSERT OR REPLACE INTO reserved VALUES (?,?)", (thing, holding.generations[thing])))
     if rows:
@@ -107,21 +171,30 @@
 
 def take_up_places(store: Store, holding: Holding) -> None:
     epochs = store.read("SELECT epoch FROM heard")
-    holding.restore(epochs[0][0] if epochs else "",
-                    [(thing, fence, ident, bool(begun)) for thing, fence, ident, begun
-                     in store.read("SELECT thing, fence, ident, begun FROM places")],
-                    dict(store.read("SELECT thing, upto FROM reserved")))
+    holding.restore(
+        epochs[0][0] if epochs else "",
+        [
+            (thing, fence, ident, bool(begun))
+            for thing, fence, ident, begun in store.read("SELECT thing, fence, ident, begun FROM places")
+        ],
+        dict(store.read("SELECT thing, upto FROM reserved")),
+    )
 
 
 def fitting_statements(fitting: Fitting) -> list[Statement]:
     """What things shall run, where the versions come from, and what they ran before."""
     if not fitting.changed:
         return []
-    return [("INSERT OR REPLACE INTO fitting VALUES (1, ?)", (msgspec.msgpack.encode(
-        (fitting.versions, fitting.sources, fitting.bases)),))]
+    return [
+        (
+            "INSERT OR REPLACE INTO fitting VALUES (1, ?)",
+            (msgspec.msgpack.encode((fitting.versions, fitting.sources, fitting.bases)),),
+        )
+    ]
 
 
 def take_up_fitting(store: Store, fitting: Fitting) -> None:
     for (content,) in store.read("SELECT content FROM fitting"):
-        fitting.restore(*msgspec.msgpack.decode(content, type=tuple[dict[str, str], dict[str, What],
-                                                                    dict[str, str]]))
+        fitting.restore(
+            *msgspec.msgpack.decode(content, type=tuple[dict[str, str], dict[str, What], dict[str, str]])
+        )
--- a/oakkeel/agent/laying.py
+++ b/oakkeel/agent/laying.py
@@ -24,6 +24,8 @@
     if keepers:
         every = tuple(name for names in sites.values() for name in names)
         groups.append(Group("fleet", keepers.away, every))
-        groups += [Group(f"kind {kind}", away, tuple(each.name for each in services if each.kind == kind))
-                   for kind, away in keepers.kinds.items()]
+        groups += [
+            Group(f"kind {kind}", away, tuple(each.name for each in services if each.kind == kind))
+            for kind, away in keepers.kinds.items()
+        ]
     return Layout(hosts, tuple(groups), {name: tuple(found) for name, found in hanging.items() if found})
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -296,10 +296,36 @@
 
 
 Between = Carry | Polled  # agents
-Wish = (Look | Order | Cancel | ListOrders | Clients | FleetOrder | FleetEnd | SetKeepers | AskRecord
-        | AskFleet | StartRelease | TurnRelease | AskRelease | Between)
-Answer = (HostTold | OrderTold | OrdersTold | ClientsOf | Carried | AgreedTold | Elsewhere | FleetTold
-          | FleetStateTold | RecordTold | ReleaseTold | Fault)
+Wish = (
+    Look
+    | Order
+    | Cancel
+    | ListOrders
+    | Clients
+    | FleetOrder
+    | FleetEnd
+    | SetKeepers
+    | AskRecord
+    | AskFleet
+    | StartRelease
+    | TurnRelease
+    | AskRelease
+    | Between
+)
+Answer = (
+    HostTold
+    | OrderTold
+    | OrdersTold
+    | ClientsOf
+    | Carried
+    | AgreedTold
+    | Elsewhere
+    | FleetTold
+    | FleetStateTold
+    | RecordTold
+    | ReleaseTold
+    | Fault
+)
 _wishes = msgspec.msgpack.Decoder(Wish)
 _answers = msgspec.msgpack.Decoder(Answer)
 _encoder = msgspec.msgpack.Encoder()
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -92,8 +92,14 @@
 class Orders:
     """The open orders of a host and the last of those that ended."""
 
-    def __init__(self, supervision: Supervision, unix: Callable[[], int], most_open: int = 256,
-                 most: int = 2048, holding: Holding | None = None) -> None:
+    def __init__(
+        self,
+        supervision: Supervision,
+        unix: Callable[[], int],
+        most_open: int = 256,
+        most: int = 2048,
+        holding: Holding | None = None,
+    ) -> None:
         """`holding`: the places of a fleet with keepers, without which nothing is taken out."""
         self.supervision, self.unix, self.most_open, self.most = supervision, unix, most_open, most
         self.holding = holding
@@ -105,8 +111,16 @@
 
     # What operators do.
 
-    def take(self, now: int, ident: str, operator: str, verb: Verb, asked: tuple[tuple[str, int], ...],
-             lasts: int, supersede: bool = False) -> Order:
+    def take(
+        self,
+        now: int,
+        ident: str,
+        operator: str,
+        verb: Verb,
+        asked: tuple[tuple[str, int], ...],
+        lasts: int,
+        supersede: bool = False,
+    ) -> Order:
         """Take an order, as far as it can be: each part is open or says why it is refused.
 
         Raises OrderRefused where it can't be read as one. The same order again is the same object again.
@@ -132,8 +146,13 @@
                 part.state, part.why = PartState.REFUSED, why
                 continue
             standing = instance.part
-            part.before = (instance.generation, instance.changed, instance.changed_by, standing,
-                           standing and (standing.state, standing.since, standing.why))
+            part.before = (
+                instance.generation,
+                instance.changed,
+                instance.changed_by,
+                standing,
+                standing and (standing.state, standing.since, standing.why),
+            )
             if standing is not None:
                 self._move(now, standing, PartState.SUPERSEDED, f"by {operator}, {verb.value}")
             instance.part, instance.dirty = part, True
@@ -170,15 +189,22 @@
         """Why an order does not hold for an instance; empty where it does."""
         instance, standing = part.instance, part.instance.part
         if part.generation != instance.generation:
-            whose = f"{standing.order.operator}'s {standing.order.verb.value} stands" if standing else (
-                f"changed by {instance.changed_by or 'nobody'}")
-            return (f"{whose} since {_clock(instance.changed)}; it is generation {instance.generation},"
-                    f" not {part.generation}")
+            whose = (
+                f"{standing.order.operator}'s {standing.order.verb.value} stands"
+                if standing
+                else (f"changed by {instance.changed_by or 'nobody'}")
+            )
+            return (
+                f"{whose} since {_clock(instance.changed)}; it is generation {instance.generation},"
+                f" not {part.generation}"
+            )
         if instance.generation >= instance.limit:
             return "no generation is left for it until the record is heard"
         if standing is not None and not supersede:
-            return (f"{standing.order.operator}'s {standing.order.verb.value} stands since"
-                    f" {_clock(standing.order.taken)}")
+            return (
+                f"{standing.order.operator}'s {standing.order.verb.value} stands since"
+                f" {_clock(standing.order.taken)}"
+            )
         return ""
 
     def cancel(self, now: int, ident: str, operator: str) -> Order:
@@ -221,8 +247,12 @@
             took = part.state in (PartState.ACTING, PartState.DONE)
             if part.state in OPEN:
                 self._move(now, part, PartState.CANCELLED, f"by {operator}")
-            if took and order.verb in (Verb.DRAIN, Verb.STOP) and part.instance.goal is Goal.DOWN \
-                    and part.instance.part is None:
+            if (
+                took
+                and order.verb in (Verb.DRAIN, Verb.STOP)
+                and part.instance.goal is Goal.DOWN
+                and part.instance.part is None
+            ):
                 self.supervision.want_back(now, part.instance)
 
     def _begin(self, now: int, part: Part) -> None:
@@ -250,8 +280,14 @@
         may = []
         for step in steps:
             part, instance = step.instance.part, step.instance
-            if (self.holding is None or step.act not in (Act.LEAVE, Act.TERM) or part is None or part.sent
-                    or part.state is not PartState.ACTING or part.order.verb is Verb.START):
+            if (
+                self.holding is None
+                or step.act not in (Act.LEAVE, Act.TERM)
+                or part is None
+                or part.sent
+                or part.state is not PartState.ACTING
+                or part.order.verb is Verb.START
+            ):
                 may.append(step)
                 continue
             told = getattr(instance.report, "state", "")
--- a/oakkeel/agent/polling.py
+++ b/oakkeel/agent/polling.py
@@ -28,8 +28,15 @@
 
 
 class Polling:
-    def __init__(self, fleet: Fleet, name: str, keys: dict[str, Key], deciding: Deciding, log: Log,
-                 heard: Callable[[Agreed], None]) -> None:
+    def __init__(
+        self,
+        fleet: Fleet,
+        name: str,
+        keys: dict[str, Key],
+        deciding: Deciding,
+        log: Log,
+        heard: Callable[[Agreed], None],
+    ) -> None:
         """`heard` is called with each answer that was taken."""
         assert fleet.keepers is not None
         self.fleet, self.name, self.key, self.deciding, self.log = fleet, name, keys[name], deciding, log
@@ -77,8 +84,9 @@
         else:
             if self.leader not in self.links:
                 self.links[self.leader] = Link(self.fleet.host(self.leader).agent, self.key)
-            answer = messages.read_answer(await self.links[self.leader].ask(
-                messages.encode(messages.Polled(poll)), ANSWER / SECOND))
+            answer = messages.read_answer(
+                await self.links[self.leader].ask(messages.encode(messages.Polled(poll)), ANSWER / SECOND)
+            )
         if isinstance(answer, messages.AgreedTold):
             self._take(sent_at, answer.agreed)
         return answer
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -59,11 +59,20 @@
                 if os.path.getsize(log) > LOG_MOST:
                     os.replace(log, log + ".1")
             with open(log, "ab") as out:
-                given = {**variables, "OAKKEEL_GENERATION": str(generation),
-                         "OAKKEEL_PID_FILE": self.path(name, "pid")}
-                child = subprocess.Popen(["/bin/sh", "-c", SHELL, "sh", *argv], env=given, pass_fds=(lock,),
-                                         stdin=subprocess.DEVNULL, stdout=out, stderr=out,
-                                         start_new_session=True)
+                given = {
+                    **variables,
+                    "OAKKEEL_GENERATION": str(generation),
+                    "OAKKEEL_PID_FILE": self.path(name, "pid"),
+                }
+                child = subprocess.Popen(
+                    ["/bin/sh", "-c", SHELL, "sh", *argv],
+                    env=given,
+                    pass_fds=(lock,),
+                    stdin=subprocess.DEVNULL,
+                    stdout=out,
+                    stderr=out,
+                    start_new_session=True,
+                )
         except OSError as error:
             raise ProcessError(str(error)) from None
         finally:
--- a/oakkeel/agent/supervision.py
+++ b/oakkeel/agent/supervision.py
@@ -55,8 +55,14 @@
 class Supervision:
     """The instances of one host. `away` holds, by site, how many of them may be out at one time."""
 
-    def __init__(self, instances: Iterable[Instance], patience: Patience, away: dict[str, int], seed: int,
-                 unix: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        instances: Iterable[Instance],
+        patience: Patience,
+        away: dict[str, int],
+        seed: int,
+        unix: Callable[[], int],
+    ) -> None:
         """`unix` gives the time for people; no decision hangs on it."""
         self.instances = list(instances)
         self.patience, self.away, self.unix = patience, away, unix
@@ -79,8 +85,11 @@
         instance.heard, instance.report = now, report
         instance.ran = getattr(report, "version", "")
         told = REPORTED[state]
-        if instance.phase is not Phase.DRAINING and told is not instance.phase or (
-                instance.recalled and told in (Phase.COLD, Phase.SERVING)):
+        if (
+            instance.phase is not Phase.DRAINING
+            and told is not instance.phase
+            or (instance.recalled and told in (Phase.COLD, Phase.SERVING))
+        ):
             instance.recalled = instance.soft = instance.kill = False
             self._move(now, instance, told)
         if instance.phase is Phase.SERVING and now - instance.since > self.patience.steady:
@@ -192,8 +201,12 @@
         for instance in self.instances:
             phase = instance.phase
             if phase in (Phase.STOPPED, Phase.FAILING):
-                if (instance.goal is Goal.UP and now >= instance.start_at and self._numbered(instance)
-                        and self.booting < self.patience.starting):
+                if (
+                    instance.goal is Goal.UP
+                    and now >= instance.start_at
+                    and self._numbered(instance)
+                    and self.booting < self.patience.starting
+                ):
                     self._begin(now, instance)
                     steps.append(Step(Act.START, instance))
             elif phase is Phase.DRAINING:
--- a/oakkeel/agent/told.py
+++ b/oakkeel/agent/told.py
@@ -18,32 +18,63 @@
 from oakkeel.settings.fleet import HostSettings
 
 
-def host_told(now: int, host: HostSettings, supervision: Supervision, started: int, notes: list[str],
-              pids: dict[Instance, int]) -> messages.HostTold:
+def host_told(
+    now: int,
+    host: HostSettings,
+    supervision: Supervision,
+    started: int,
+    notes: list[str],
+    pids: dict[Instance, int],
+) -> messages.HostTold:
     return messages.HostTold(
-        host.name, host.site, now - started, time.time_ns(), host.away, supervision.out[host.site], notes,
-        [_instance_told(now, each, pids.get(each, 0)) for each in supervision.instances])
+        host.name,
+        host.site,
+        now - started,
+        time.time_ns(),
+        host.away,
+        supervision.out[host.site],
+        notes,
+        [_instance_told(now, each, pids.get(each, 0)) for each in supervision.instances],
+    )
 
 
 def _instance_told(now: int, instance: Instance, pid: int) -> messages.InstanceTold:
     part, on = instance.part, None
     if part is not None:
-        on = messages.OrderOn(part.order.ident, part.order.operator, part.order.verb.value, part.state.value,
-                              now - part.since)
+        on = messages.OrderOn(
+            part.order.ident, part.order.operator, part.order.verb.value, part.state.value, now - part.since
+        )
     waits = instance.phase in (Phase.STOPPED, Phase.FAILING) and instance.goal is Goal.UP
     return messages.InstanceTold(
-        instance.name, instance.phase.value, now - instance.since, instance.goal.value, instance.generation,
-        instance.changed, instance.changed_by, pid, now - instance.heard if instance.report else -1,
-        instance.report, on, len(instance.deaths), instance.resting,
-        max(0, instance.start_at - now) if waits else 0, instance.why)
+        instance.name,
+        instance.phase.value,
+        now - instance.since,
+        instance.goal.value,
+        instance.generation,
+        instance.changed,
+        instance.changed_by,
+        pid,
+        now - instance.heard if instance.report else -1,
+        instance.report,
+        on,
+        len(instance.deaths),
+        instance.resting,
+        max(0, instance.start_at - now) if waits else 0,
+        instance.why,
+    )
 
 
 def order_told(now: int, order: Order) -> messages.OrderTold:
-    parts = [messages.PartTold(part.instance.name, part.state.value, max(0, now - part.since), part.why)
-             for part in order.parts]
+    parts = [
+        messages.PartTold(part.instance.name, part.state.value, max(0, now - part.since), part.why)
+        for part in order.parts
+    ]
     here = {part.instance for part in parts}
-    parts += [messages.PartTold(name, "refused", 0, "no such instance here") for name, _ in order.asked
-              if name not in here]
+    parts += [
+        messages.PartTold(name, "refused", 0, "no such instance here")
+        for name, _ in order.asked
+        if name not in here
+    ]
     return messages.OrderTold(order.ident, order.operator, order.verb.value, order.taken, parts)
 
 
@@ -54,8 +85,21 @@
     heard = now - polling.heard_at if polling and polling.heard_at else -1
     if keeping is None or keeping.steward is None:
         why = keeping.fault if keeping else polling.why if polling else "this fleet has no keepers"
-        return messages.RecordTold(host, "none", 0, "", 0, polling.leader if polling and heard >= 0 else "",
-                                   False, 0, 0, 0, heard, [], why)
+        return messages.RecordTold(
+            host,
+            "none",
+            0,
+            "",
+            0,
+            polling.leader if polling and heard >= 0 else "",
+            False,
+            0,
+            0,
+            0,
+            heard,
+            [],
+            why,
+        )
     keeper = keeping.steward.keeper
     peers = keeper.leading.peers if keeper.leading else {}
     members = []
@@ -66,9 +110,20 @@
         age = 0 if mine else now - peer.heard if peer and peer.heard > -NEVER else -1
         members.append(messages.KeeperTold(each.name, each.life, each.votes, behind, age))
     return messages.RecordTold(
-        host, keeper.role.value, now - keeper.since, keeper.durable.epoch, keeper.term, keeper.leader,
-        keeper.leads(now), keeper.commit, keeper.log.last, keeper.elections, heard, members,
-        keeper.why or (polling.why if polling else ""))
+        host,
+        keeper.role.value,
+        now - keeper.since,
+        keeper.durable.epoch,
+        keeper.term,
+        keeper.leader,
+        keeper.leads(now),
+        keeper.commit,
+        keeper.log.last,
+        keeper.elections,
+        heard,
+        members,
+        keeper.why or (polling.why if polling else ""),
+    )
 
 
 def fleet_told(keeping: Keeping, order: Agreed) -> messages.FleetTold:
@@ -77,16 +132,21 @@
         places = keeping.steward.ledger.held.places
         hosts = {thing: host for host, things in keeping.layout.hosts.items() for thing in things}
         if keeping.steward.granting:
-            owes = {thing: told for host in keeping.steward.granting.hosts.values()
-                    for thing, told in host.owes.items()}
+            owes = {
+                thing: told
+                for host in keeping.steward.granting.hosts.values()
+                for thing, told in host.owes.items()
+            }
     parts = []
     for thing, part in order.parts.items():
         place = places.get(thing)
         fence = place.fence if place and place.ident == order.ident else 0
-        parts.append(messages.FleetPart(thing, hosts.get(thing, ""), part.state, part.why, fence,
-                                        owes.get(thing, "")))
-    return messages.FleetTold(order.ident, order.operator, order.verb, order.unix, order.whole, order.halted,
-                              order.cancelled, parts)
+        parts.append(
+            messages.FleetPart(thing, hosts.get(thing, ""), part.state, part.why, fence, owes.get(thing, ""))
+        )
+    return messages.FleetTold(
+        order.ident, order.operator, order.verb, order.unix, order.whole, order.halted, order.cancelled, parts
+    )
 
 
 def state_told(now: int, keeping: Keeping, ident: str) -> messages.Answer:
@@ -104,12 +164,20 @@
     things = []
     for thing, reasons in sorted(out.reasons.items()):
         place = held.places.get(thing)
-        things.append(messages.PlaceOut(thing, hosts.get(thing, ""), sorted(reasons),
-                                        place.fence if place else 0, place.ident if place else ""))
+        things.append(
+            messages.PlaceOut(
+                thing,
+                hosts.get(thing, ""),
+                sorted(reasons),
+                place.fence if place else 0,
+                place.ident if place else "",
+            )
+        )
     groups = [messages.GroupOut(name, out.counts[name], group.bound) for name, group in out.groups.items()]
     latest = list(held.orders.values())[-50:]
-    return messages.FleetStateTold(steward.ledger.index, groups, things,
-                                   [fleet_told(keeping, each) for each in reversed(latest)])
+    return messages.FleetStateTold(
+        steward.ledger.index, groups, things, [fleet_told(keeping, each) for each in reversed(latest)]
+    )
 
 
 def release_told(now: int, keeping: Keeping, ident: str) -> messages.Answer:
@@ -129,11 +197,30 @@
     for thing, part in release.parts.items():
         seen = driver.seen.get(thing)
         why = order.parts[thing].why if order and thing in order.parts and thing in release.now else ""
-        parts.append(messages.ReleasePart(
-            thing, steward.granting.host_of.get(thing, ""), part.state, seen.version if seen else "",
-            seen.phase if seen else "unknown", now - seen.at if seen else -1, why))
+        parts.append(
+            messages.ReleasePart(
+                thing,
+                steward.granting.host_of.get(thing, ""),
+                part.state,
+                seen.version if seen else "",
+                seen.phase if seen else "unknown",
+                now - seen.at if seen else -1,
+                why,
+            )
+        )
     others = [(each.ident, each.state) for each in releases.values() if each is not release][-5:]
     return messages.ReleaseTold(
-        release.ident, release.operator, release.unix, release.state, release.what, release.step,
-        release.batch, release.why, release.said, "" if release.over else driver.why,
-        lease.holder.partition(".")[0] if lease else "", parts, others)
+        release.ident,
+        release.operator,
+        release.unix,
+        release.state,
+        release.what,
+        release.step,
+        release.batch,
+        release.why,
+        release.said,
+        "" if release.over else driver.why,
+        lease.holder.partition(".")[0] if lease else "",
+        parts,
+        others,
+    )
--- a/oakkeel/agent/versions.py
+++ b/oakkeel/agent/versions.py
@@ -44,8 +44,12 @@
         except Exception as error:
             why = "an error of the agent"
             self.log.say("copying failed", release=copy.release, error=fault(error))
-        self.log.say("ready for a release" if not why else "not ready for a release", release=copy.release,
-                     version=copy.what.version, error=why or None)
+        self.log.say(
+            "ready for a release" if not why else "not ready for a release",
+            release=copy.release,
+            version=copy.what.version,
+            error=why or None,
+        )
         self.fitting.prepared(copy.release, why[:300], bases)
         self.moved()
 
@@ -68,8 +72,9 @@
             return
         program = self.contents.keep_folder(what.program) if what.program else ""
         if program and not self._runs(program):
-            raise ContentError(f"{what.program}: neither a file `run` that can be executed, nor"
-                               " oakkeel/__main__.py")
+            raise ContentError(
+                f"{what.program}: neither a file `run` that can be executed, nor oakkeel/__main__.py"
+            )
         patch = self.contents.keep_file(what.patch) if what.patch else ""
         if patch:
             read_json(self.contents.path(patch))
@@ -79,7 +84,8 @@
     def _runs(self, program: str) -> bool:
         folder = self.contents.path(program)
         return os.access(os.path.join(folder, "run"), os.X_OK) or os.path.exists(
-            os.path.join(folder, "oakkeel", "__main__.py"))
+            os.path.join(folder, "oakkeel", "__main__.py")
+        )
 
     # Running.
 
--- a/oakkeel/audit/agreement.py
+++ b/oakkeel/audit/agreement.py
@@ -79,14 +79,20 @@
             if thing not in things:
                 continue
             taken = [each for each in things if each in self.taken]
-            known = [each for each in things if each not in self.taken
-                     and now - self.away.get(each, now) > self.known_after]
+            known = [
+                each
+                for each in things
+                if each not in self.taken and now - self.away.get(each, now) > self.known_after
+            ]
             self.most_out[name] = max(self.most_out[name], len(taken))
             if len(taken) > bound:
                 self._breach(now, f"4: {name}: {', '.join(taken)} are taken out, bound {bound}")
             elif served and len(taken) + len(known) > bound:
-                self._breach(now, f"4: {name}: {', '.join(taken)} are taken out while {', '.join(known)} are"
-                             f" known to be away, bound {bound}")
+                self._breach(
+                    now,
+                    f"4: {name}: {', '.join(taken)} are taken out while {', '.join(known)} are"
+                    f" known to be away, bound {bound}",
+                )
 
     def serves(self, now: int, thing: str) -> None:
         self.taken.pop(thing, None)
@@ -99,8 +105,7 @@
 
     def started(self, now: int, thing: str, generation: int) -> None:
         if generation <= self.generations.get(thing, 0):
-            self._breach(now, f"6: {thing} starts as generation {generation} after"
-                         f" {self.generations[thing]}")
+            self._breach(now, f"6: {thing} starts as generation {generation} after {self.generations[thing]}")
         self.generations[thing] = max(generation, self.generations.get(thing, 0))
 
     def end(self, now: int) -> list[str]:
--- a/oakkeel/audit/logs.py
+++ b/oakkeel/audit/logs.py
@@ -34,8 +34,9 @@
     return sorted(found, key=lambda each: each[0])
 
 
-def audit(folder: str, hosts: dict[str, list[str]], groups: dict[str, tuple[int, list[str]]],
-          known_after: int) -> AgreementAudit:
+def audit(
+    folder: str, hosts: dict[str, list[str]], groups: dict[str, tuple[int, list[str]]], known_after: int
+) -> AgreementAudit:
     """The breaches of one run, with what was out at most."""
     judge = AgreementAudit(groups, known_after)
     last: dict[str, int] = {}  # by thing: the fence under which its agent last told it to leave
--- a/oakkeel/audit/rollout.py
+++ b/oakkeel/audit/rollout.py
@@ -55,8 +55,11 @@
         for ident, new in self.version.items():
             if version != new or thing not in self.things[ident]:
                 continue
-            others = [other for other, same in self.version.items() if same == new and other != ident
-                      and self.over.get(other) in ("done", "left")]
+            others = [
+                other
+                for other, same in self.version.items()
+                if same == new and other != ident and self.over.get(other) in ("done", "left")
+            ]
             if thing not in self.named.get(ident, ()) and not others:
                 self._breach(now, f"8: {thing} starts with {version[:8]} before {ident} names it")
             if self.over.get(ident) == "undone" and not others:
--- a/oakkeel/changes/leading.py
+++ b/oakkeel/changes/leading.py
@@ -96,8 +96,9 @@
         if current and current.state == "decided":
             since = self.decided_at.setdefault(current.number, now)
             if now - since > self.terms.beyond(LEASE) or all(
-                    (known := self.known.get(host)) and known.number >= current.number and known.at >= since
-                    for host in self.hosts):
+                (known := self.known.get(host)) and known.number >= current.number and known.at >= since
+                for host in self.hosts
+            ):
                 wanted.append(InForce(current.number))
         return self._once(wanted)
 
--- a/oakkeel/changes/register.py
+++ b/oakkeel/changes/register.py
@@ -22,9 +22,14 @@
 
 MOST_BYTES = 64 * 1024  # of one version
 MOST_KEPT = 64  # versions
-NEXT = {"proposed": {"decided", "refused", "withdrawn"}, "decided": {"in force", "overtaken"},
-        "in force": {"overtaken"}, "overtaken": set(),
-        "refused": set(), "withdrawn": set()}
+NEXT = {
+    "proposed": {"decided", "refused", "withdrawn"},
+    "decided": {"in force", "overtaken"},
+    "in force": {"overtaken"},
+    "overtaken": set(),
+    "refused": set(),
+    "withdrawn": set(),
+}
 
 
 class Propose(msgspec.Struct, tag="propose", array_like=True):
@@ -117,8 +122,15 @@
             return Refusal(f"version {held.decided} is decided, and this was made of {command.based_on}")
         if not command.ident or not 0 < len(command.content) <= MOST_BYTES:
             return Refusal(f"no id, or not 1 to {MOST_BYTES} bytes")
-        policy = Policy(latest + 1, command.ident, command.operator, command.unix, command.why[:500], digest,
-                        command.content)
+        policy = Policy(
+            latest + 1,
+            command.ident,
+            command.operator,
+            command.unix,
+            command.why[:500],
+            digest,
+            command.content,
+        )
         held.policies[policy.number] = policy
         for number in sorted(held.policies)[:-MOST_KEPT]:
             if number != held.decided:
@@ -152,5 +164,11 @@
         policy.state, policy.why = state, why
         return policy
 
-    ACTS: ClassVar[dict[type, Any]] = {**Book.ACTS, Propose: _propose, Withdraw: _withdraw, Refuse: _refuse,
-                                       Decide: _decide, InForce: _in_force}
+    ACTS: ClassVar[dict[type, Any]] = {
+        **Book.ACTS,
+        Propose: _propose,
+        Withdraw: _withdraw,
+        Refuse: _refuse,
+        Decide: _decide,
+        InForce: _in_force,
+    }
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -46,28 +46,49 @@
 
 def fleet_options(command: Callable) -> Callable:
     """Where the settings are and who asks."""
-    for option in reversed((
-        click.option("--settings", envvar="OAKKEEL_SETTINGS", default=SETTINGS, show_default=True,
-                     help="The operators' XML; also OAKKEEL_SETTINGS."),
-        click.option("--as", "operator", envvar="OAKKEEL_OPERATOR", metavar="NAME",
-                     help="The operator whose key is used; also OAKKEEL_OPERATOR. Else your login name."),
-        click.option("--deadline", type=Duration(), metavar="TIME",
-                     help="For agents to answer, such as 500ms or 2s. Else as the settings say."),
-        click.option("--output", type=click.Choice(["table", "json"]), default="table", show_default=True),
-    )):
+    for option in reversed(
+        (
+            click.option(
+                "--settings",
+                envvar="OAKKEEL_SETTINGS",
+                default=SETTINGS,
+                show_default=True,
+                help="The operators' XML; also OAKKEEL_SETTINGS.",
+            ),
+            click.option(
+                "--as",
+                "operator",
+                envvar="OAKKEEL_OPERATOR",
+                metavar="NAME",
+                help="The operator whose key is used; also OAKKEEL_OPERATOR. Else your login name.",
+            ),
+            click.option(
+                "--deadline",
+                type=Duration(),
+                metavar="TIME",
+                help="For agents to answer, such as 500ms or 2s. Else as the settings say.",
+            ),
+            click.option(
+                "--output", type=click.Choice(["table", "json"]), default="table", show_default=True
+            ),
+        )
+    ):
         command = option(command)
     return command
 
 
 def choice_options(command: Callable) -> Callable:
     """Which instances are meant."""
-    for option in reversed((
-        click.argument("names", nargs=-1, metavar="[NAME_OR_GLOB]..."),
-        click.option("--site", "sites", multiple=True, metavar="GLOB", help="Instances of this site."),
-        click.option("--host", "hosts", multiple=True, metavar="GLOB", help="Instances of this host."),
-        click.option("--state", "states", multiple=True, type=click.Choice(STATES),
-                     help="Instances in this state."),
-    )):
+    for option in reversed(
+        (
+            click.argument("names", nargs=-1, metavar="[NAME_OR_GLOB]..."),
+            click.option("--site", "sites", multiple=True, metavar="GLOB", help="Instances of this site."),
+            click.option("--host", "hosts", multiple=True, metavar="GLOB", help="Instances of this host."),
+            click.option(
+                "--state", "states", multiple=True, type=click.Choice(STATES), help="Instances in this state."
+            ),
+        )
+    ):
         command = option(command)
     return command
 
--- a/oakkeel/cli/looking.py
+++ b/oakkeel/cli/looking.py
@@ -35,17 +35,32 @@
 
 
 def row_json(row: Row) -> dict[str, Any]:
-    return {"instance": row.name, "site": row.site, "host": row.host, "state": row.state, "old": row.old,
-            "age_s": round(row.age / 1e9, 3) if row.age >= 0 else None,
-            "report_age_s": round(row.report_age / 1e9, 3) if row.report_age >= 0 else None,
-            "source": row.source, "told": msgspec.to_builtins(row.told)}
+    return {
+        "instance": row.name,
+        "site": row.site,
+        "host": row.host,
+        "state": row.state,
+        "old": row.old,
+        "age_s": round(row.age / 1e9, 3) if row.age >= 0 else None,
+        "report_age_s": round(row.report_age / 1e9, 3) if row.report_age >= 0 else None,
+        "source": row.source,
+        "told": msgspec.to_builtins(row.told),
+    }
 
 
 @click.command(epilog=CODES)
 @choice_options
 @fleet_options
-def ls(names: tuple[str, ...], sites: tuple[str, ...], hosts: tuple[str, ...], states: tuple[str, ...],
-       settings: str, operator: str | None, deadline: int | None, output: str) -> None:
+def ls(
+    names: tuple[str, ...],
+    sites: tuple[str, ...],
+    hosts: tuple[str, ...],
+    states: tuple[str, ...],
+    settings: str,
+    operator: str | None,
+    deadline: int | None,
+    output: str,
+) -> None:
     """List instances with their state and load.
 
     \b
@@ -61,8 +76,9 @@
         else:
             out.print(instances_table(rows, out.width))
             counts = Counter(row.shown for row in rows)
-            err.print(", ".join(f"{count} {state}" for state, count in counts.most_common()) or "none",
-                      style="dim")
+            err.print(
+                ", ".join(f"{count} {state}" for state, count in counts.most_common()) or "none", style="dim"
+            )
             asker.print_notes()
         return asker.code
 
@@ -73,8 +89,9 @@
 @click.argument("name")
 @click.option("--clients", is_flag=True, help="Who sends it the most, and what of that is kept and promised.")
 @fleet_options
-def show(name: str, clients: bool, settings: str, operator: str | None, deadline: int | None,
-         output: str) -> None:
+def show(
+    name: str, clients: bool, settings: str, operator: str | None, deadline: int | None, output: str
+) -> None:
     """Tell all that is known of one instance, each fact with its age.
 
     \b
@@ -86,8 +103,11 @@
         run(show_clients(asker, name, output == "json"))
 
     async def work() -> int:
-        hosts = [host.name for host in asker.fleet.hosts
-                 if any(instance.name == name for instance in host.instances)]
+        hosts = [
+            host.name
+            for host in asker.fleet.hosts
+            if any(instance.name == name for instance in host.instances)
+        ]
         rows = asker.chosen(await asker.look(hosts), Choice((name,)))
         if output == "json":
             print_json({"instances": [row_json(row) for row in rows], "notes": asker.view.notes()})
@@ -125,9 +145,18 @@
 @click.option("--every", type=Duration(), default="1s", show_default=True, metavar="TIME")
 @click.option("--for", "lasts", type=Duration(), metavar="TIME", help="End by itself after this time.")
 @fleet_options
-def watch(names: tuple[str, ...], sites: tuple[str, ...], hosts: tuple[str, ...], states: tuple[str, ...],
-          every: int, lasts: int | None, settings: str, operator: str | None, deadline: int | None,
-          output: str) -> None:
+def watch(
+    names: tuple[str, ...],
+    sites: tuple[str, ...],
+    hosts: tuple[str, ...],
+    states: tuple[str, ...],
+    every: int,
+    lasts: int | None,
+    settings: str,
+    operator: str | None,
+    deadline: int | None,
+    output: str,
+) -> None:
     """Keep a live table of instances; with json, a line each time.
 
     \b
@@ -159,8 +188,14 @@
 @click.option("--host", "hosts", multiple=True, metavar="NAME", help="Orders of this host only.")
 @click.option("--open", "only_open", is_flag=True, help="Only those that have not ended.")
 @fleet_options
-def orders(hosts: tuple[str, ...], only_open: bool, settings: str, operator: str | None, deadline: int | None,
-           output: str) -> None:
+def orders(
+    hosts: tuple[str, ...],
+    only_open: bool,
+    settings: str,
+    operator: str | None,
+    deadline: int | None,
+    output: str,
+) -> None:
     """List the last orders and what became of each, the latest first.
 
     \b
@@ -170,8 +205,9 @@
 
     async def work() -> int:
         names = [host.name for host in asker.fleet.hosts if not hosts or host.name in hosts]
-        answers, silent = await asker.agents.ask({name: messages.ListOrders() for name in names},
-                                                 asker.deadline)
+        answers, silent = await asker.agents.ask(
+            {name: messages.ListOrders() for name in names}, asker.deadline
+        )
         told: dict[str, list[tuple[str, messages.OrderTold]]] = {}
         for host, answer in answers.items():
             if isinstance(answer, messages.OrdersTold):
@@ -179,13 +215,28 @@
                     told.setdefault(order.ident, []).append((host, order))
         found = sorted(told.values(), key=lambda each: -each[0][1].taken)
         if only_open:
-            found = [each for each in found if any(part.state in ("waiting", "acting")
-                                                   for _, order in each for part in order.parts)]
+            found = [
+                each
+                for each in found
+                if any(part.state in ("waiting", "acting") for _, order in each for part in order.parts)
+            ]
         if output == "json":
-            print_json([{"order": each[0][1].ident, "operator": each[0][1].operator, "verb": each[0][1].verb,
-                         "taken": each[0][1].taken, "parts": [
-                             {"host": host, **msgspec.to_builtins(part)} for host, order in each
-                             for part in order.parts]} for each in found])
+            print_json(
+                [
+                    {
+                        "order": each[0][1].ident,
+                        "operator": each[0][1].operator,
+                        "verb": each[0][1].verb,
+                        "taken": each[0][1].taken,
+                        "parts": [
+                            {"host": host, **msgspec.to_builtins(part)}
+                            for host, order in each
+                            for part in order.parts
+                        ],
+                    }
+                    for each in found
+                ]
+            )
         else:
             table = Table(box=None, header_style="bold", pad_edge=False)
             for column in ("order", "operator", "verb", "taken", "instances"):
@@ -193,9 +244,13 @@
             for each in found:
                 first = each[0][1]
                 states = Counter(part.state for _, order in each for part in order.parts)
-                table.add_row(first.ident, first.operator, first.verb,
-                              f"{span(time.time_ns() - first.taken)} ago",
-                              ", ".join(f"{count} {state}" for state, count in states.items()))
+                table.add_row(
+                    first.ident,
+                    first.operator,
+                    first.verb,
+                    f"{span(time.time_ns() - first.taken)} ago",
+                    ", ".join(f"{count} {state}" for state, count in states.items()),
+                )
             out.print(table)
         for host, why in silent.items():
             err.print(f"agent of {host}: {why}", style="yellow", markup=False, highlight=False)
--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -45,8 +45,9 @@
 
 
 @main.command()
-@click.option("--settings", envvar="OAKKEEL_SETTINGS",
-              help="With NAME: the operators' XML that it stands in.")
+@click.option(
+    "--settings", envvar="OAKKEEL_SETTINGS", help="With NAME: the operators' XML that it stands in."
+)
 @click.argument("name", required=False)
 def node(settings: str | None, name: str | None) -> None:
     """Run one node, told by PROXY_CONFIG, or by NAME in the operators' settings.
@@ -68,8 +69,12 @@
             fail(f"{fleet.path}: no instance {name!r}")
         host, told = found[0]
         os.makedirs(host.state, mode=0o700, exist_ok=True)
-        variables |= {"PROXY_CONFIG": told.config, "PROXY_NAME": told.name, "OAKKEEL_LOG": told.log,
-                      "OAKKEEL_CONTROL": os.path.join(host.state, f"{name}.sock")}
+        variables |= {
+            "PROXY_CONFIG": told.config,
+            "PROXY_NAME": told.name,
+            "OAKKEEL_LOG": told.log,
+            "OAKKEEL_CONTROL": os.path.join(host.state, f"{name}.sock"),
+        }
         if told.listen:
             variables["PROXY_LISTEN"] = told.listen
     # In place of this process: nothing that the command line loaded stays in the node's memory.
@@ -97,15 +102,24 @@
             read_agent_keys(fleet)
     except SettingsError as error:
         fail(str(error))
-    out.print(f"{file}: fleet {fleet.name}, {len(fleet.operators)} operators,"
-              f" {sum(len(host.instances) for host in fleet.hosts)} instances", highlight=False)
+    out.print(
+        f"{file}: fleet {fleet.name}, {len(fleet.operators)} operators,"
+        f" {sum(len(host.instances) for host in fleet.hosts)} instances",
+        highlight=False,
+    )
     for host in fleet.hosts:
-        out.print(f"  {host.site}/{host.name} at {host.agent[0]}:{host.agent[1]}:"
-                  f" {len(host.instances)} instances" + (
-                  "" if fleet.keepers else f", at most {host.away} out at once"), highlight=False)
+        out.print(
+            f"  {host.site}/{host.name} at {host.agent[0]}:{host.agent[1]}:"
+            f" {len(host.instances)} instances"
+            + ("" if fleet.keepers else f", at most {host.away} out at once"),
+            highlight=False,
+        )
     if fleet.keepers:
-        out.print(f"  keepers of a new record: {', '.join(fleet.keepers.hosts)}; at most {fleet.keepers.away}"
-                  f" out at once, and by site {fleet.sites}", highlight=False)
+        out.print(
+            f"  keepers of a new record: {', '.join(fleet.keepers.hosts)}; at most {fleet.keepers.away}"
+            f" out at once, and by site {fleet.sites}",
+            highlight=False,
+        )
 
 
 @settings_group.command("key")
@@ -126,8 +140,9 @@
 
 @main.command()
 @click.option("--for", "lasts", type=Duration(), metavar="TIME", help="End by itself after this time.")
-@click.option("--rate", type=click.FloatRange(1, 2000), default=60.0, show_default=True,
-              help="Exchanges a second.")
+@click.option(
+    "--rate", type=click.FloatRange(1, 2000), default=60.0, show_default=True, help="Exchanges a second."
+)
 def demo(lasts: int | None, rate: float) -> None:
     """A small fleet on loopback: an agent, three nodes, and stand-ins for all that is round them.
 
--- a/oakkeel/cli/ordering.py
+++ b/oakkeel/cli/ordering.py
@@ -42,23 +42,45 @@
 
 def ordering(verb: str, takes_out: bool, text: str, example: str) -> click.Command:
     """One command for one kind of order."""
+
     @click.command(verb, epilog=CODES, help=f"{text}\n\n\b\nExample: {example}")
     @choice_options
     @click.option("--all", "everything", is_flag=True, help="All instances.")
     @click.option("--yes", is_flag=True, help="Do not ask, however much of a site it takes out.")
     @click.option("--no-wait", is_flag=True, help="Return once the order is taken.")
-    @click.option("--lasts", type=Duration(), default="2m", show_default=True, metavar="TIME",
-                  help="What has not ended by then counts as failed.")
-    @click.option("--supersede", is_flag=True,
-                  help="End another operator's open order on the same instances.")
+    @click.option(
+        "--lasts",
+        type=Duration(),
+        default="2m",
+        show_default=True,
+        metavar="TIME",
+        help="What has not ended by then counts as failed.",
+    )
+    @click.option(
+        "--supersede", is_flag=True, help="End another operator's open order on the same instances."
+    )
     @click.option("--whole", is_flag=True, help="All or nothing, in a fleet with keepers.")
     @click.option("--halt", "halted", metavar="ORDER", help="Halt that order in place of a new one.")
     @click.option("--id", "ident", metavar="ID", help="Of the order: the same once more is carried out once.")
     @fleet_options
-    def command(names: tuple[str, ...], sites: tuple[str, ...], hosts: tuple[str, ...],
-                states: tuple[str, ...], everything: bool, yes: bool, no_wait: bool, lasts: int,
-                supersede: bool, whole: bool, halted: str | None, ident: str | None, settings: str,
-                operator: str | None, deadline: int | None, output: str) -> None:
+    def command(
+        names: tuple[str, ...],
+        sites: tuple[str, ...],
+        hosts: tuple[str, ...],
+        states: tuple[str, ...],
+        everything: bool,
+        yes: bool,
+        no_wait: bool,
+        lasts: int,
+        supersede: bool,
+        whole: bool,
+        halted: str | None,
+        ident: str | None,
+        settings: str,
+        operator: str | None,
+        deadline: int | None,
+        output: str,
+    ) -> None:
         choice = Choice(names, sites, hosts, states)
         asker = Asker(settings, operator, deadline)
         if halted:
@@ -72,14 +94,26 @@
             run(agree(asker, verb, choice, lasts, whole, ident, no_wait, output == "json"))
         if whole:
             fail("--whole needs keepers in the settings: each agent of this fleet is on its own")
-        run(carry_out(asker, verb, choice, takes_out and not yes, lasts, supersede, ident, no_wait,
-                      output == "json"))
+        run(
+            carry_out(
+                asker, verb, choice, takes_out and not yes, lasts, supersede, ident, no_wait, output == "json"
+            )
+        )
 
     return command
 
 
-async def carry_out(asker: Asker, verb: str, choice: Choice, ask_first: bool, lasts: int, supersede: bool,
-                    ident: str, no_wait: bool, as_json: bool) -> int:
+async def carry_out(
+    asker: Asker,
+    verb: str,
+    choice: Choice,
+    ask_first: bool,
+    lasts: int,
+    supersede: bool,
+    ident: str,
+    no_wait: bool,
+    as_json: bool,
+) -> int:
     """Look, order each agent its part, follow it to its end, and tell what became of every instance."""
     rows, chosen = await choose(asker, choice)
     if ask_first and not sure(verb, rows, chosen):
@@ -113,10 +147,18 @@
 
 def tell(ident: str, verb: str, parts: Sequence[Followed | messages.PartTold], as_json: bool) -> None:
     if as_json:
-        return print_json({"order": ident, "verb": verb, "instances": [
-            {"instance": part.instance, "state": part.state, "why": part.why} for part in parts]})
-    table = Table(box=None, header_style="bold", pad_edge=False, title=f"{verb}, order {ident}",
-                  title_justify="left")
+        return print_json(
+            {
+                "order": ident,
+                "verb": verb,
+                "instances": [
+                    {"instance": part.instance, "state": part.state, "why": part.why} for part in parts
+                ],
+            }
+        )
+    table = Table(
+        box=None, header_style="bold", pad_edge=False, title=f"{verb}, order {ident}", title_justify="left"
+    )
     for column in ("instance", "state", "for", "remarks"):
         table.add_column(column)
     for part in sorted(parts, key=lambda each: each.instance):
@@ -143,10 +185,15 @@
 
     async def work() -> int:
         hosts = [host.name for host in asker.fleet.hosts]
-        answers, silent = await asker.agents.ask({host: messages.Cancel(ident) for host in hosts},
-                                                 asker.deadline)
-        parts = {part.instance: part for answer in answers.values() if isinstance(answer, messages.OrderTold)
-                 for part in answer.parts}
+        answers, silent = await asker.agents.ask(
+            {host: messages.Cancel(ident) for host in hosts}, asker.deadline
+        )
+        parts = {
+            part.instance: part
+            for answer in answers.values()
+            if isinstance(answer, messages.OrderTold)
+            for part in answer.parts
+        }
         if not parts:
             fail(f"no agent knows an order {ident}", SOME_SILENT if silent else SOME_FAILED)
         tell(ident, "cancel", list(parts.values()), output == "json")
@@ -178,13 +225,22 @@
 
 
 COMMANDS: list[Callable] = [
-    ordering("drain", True, "Take instances out of service: each answers what it has read, and ends.",
-             "oakkeel drain --host wb1"),
-    ordering("stop", True, "Drain instances, and kill what does not end in its drain time.",
-             "oakkeel stop n3 n4"),
+    ordering(
+        "drain",
+        True,
+        "Take instances out of service: each answers what it has read, and ends.",
+        "oakkeel drain --host wb1",
+    ),
+    ordering(
+        "stop", True, "Drain instances, and kill what does not end in its drain time.", "oakkeel stop n3 n4"
+    ),
     ordering("start", False, "Start instances that are not there.", "oakkeel start --site belmont"),
-    ordering("restart", True, "Drain instances and start them anew, no more at once than their site allows.",
-             "oakkeel restart --site st-james --yes"),
+    ordering(
+        "restart",
+        True,
+        "Drain instances and start them anew, no more at once than their site allows.",
+        "oakkeel restart --site st-james --yes",
+    ),
     cancel,
     halt,
 ]
--- a/oakkeel/cli/record.py
+++ b/oakkeel/cli/record.py
@@ -52,8 +52,9 @@
     return answer
 
 
-async def agree(asker: Asker, verb: str, choice: Choice, lasts: int, whole: bool, ident: str, no_wait: bool,
-                as_json: bool) -> int:
+async def agree(
+    asker: Asker, verb: str, choice: Choice, lasts: int, whole: bool, ident: str, no_wait: bool, as_json: bool
+) -> int:
     """Put an order to the record, follow it to its end, and tell what became of every part.
 
     The operator is not asked whether he is sure: no more go out at once than was agreed.
@@ -67,13 +68,19 @@
     else:
         _, chosen = await choose(asker, choice)
         if unseen := [row.name for row in chosen if row.told is None]:
-            fail(f"{unseen[0]}: its agent did not answer, so no order can say for which process it is",
-                 SOME_SILENT)
+            fail(
+                f"{unseen[0]}: its agent did not answer, so no order can say for which process it is",
+                SOME_SILENT,
+            )
         things = [(row.name, row.told.generation) for row in chosen if row.told]
     answer = await ask(asker, messages.FleetOrder(ident, verb, things, lasts, whole))
     until = time.monotonic_ns() + lasts + 10 * asker.deadline
-    while not no_wait and isinstance(answer, messages.FleetTold) and time.monotonic_ns() < until and any(
-            part.state in OPEN for part in answer.parts):
+    while (
+        not no_wait
+        and isinstance(answer, messages.FleetTold)
+        and time.monotonic_ns() < until
+        and any(part.state in OPEN for part in answer.parts)
+    ):
         await asyncio.sleep(LOOK_EVERY)
         answer = await look_at(asker, ident)
     return tell(answer, as_json, OPEN if no_wait else ())
@@ -88,9 +95,14 @@
     """Halt or cancel: wait until nothing can leave by it any more."""
     answer = await ask(asker, messages.FleetEnd(ident, back))
     until = time.monotonic_ns() + 20 * asker.deadline
-    while isinstance(answer, messages.FleetTold) and time.monotonic_ns() < until and any(
+    while (
+        isinstance(answer, messages.FleetTold)
+        and time.monotonic_ns() < until
+        and any(
             part.state in (OPEN if back else ("waiting", "granted")) or back and part.place
-            for part in answer.parts):
+            for part in answer.parts
+        )
+    ):
         await asyncio.sleep(LOOK_EVERY)
         answer = await look_at(asker, ident)
     return tell(answer, as_json, ("out", "halted", "cancelled", "done"))
@@ -110,8 +122,9 @@
 @click.group(epilog=CODES, invoke_without_command=True)
 @fleet_options
 @click.pass_context
-def keepers(context: click.Context, settings: str, operator: str | None, deadline: int | None,
-            output: str) -> None:
+def keepers(
+    context: click.Context, settings: str, operator: str | None, deadline: int | None, output: str
+) -> None:
     """Who keeps the record of the fleet: who leads, who is behind, since when.
 
     \b
@@ -125,20 +138,31 @@
 
     async def work() -> int:
         hosts = [host.name for host in asker.fleet.hosts]
-        answers, silent = await asker.agents.ask({name: messages.AskRecord() for name in hosts},
-                                                 asker.deadline)
+        answers, silent = await asker.agents.ask(
+            {name: messages.AskRecord() for name in hosts}, asker.deadline
+        )
         told = {name: answer for name, answer in answers.items() if isinstance(answer, messages.RecordTold)}
         leads = any(each.leads for each in told.values())
         if output == "json":
-            print_json({"keepers": [msgspec.to_builtins(each) for each in told.values()], "silent": silent,
-                        "led": leads})
+            print_json(
+                {
+                    "keepers": [msgspec.to_builtins(each) for each in told.values()],
+                    "silent": silent,
+                    "led": leads,
+                }
+            )
         else:
             out.print(keepers_table(list(told.values())))
             for host, why in sorted(silent.items()):
                 err.print(f"agent of {host}: {why}", style="yellow", markup=False, highlight=False)
         if not leads:
-            err.print("oakkeel: no agent that we reach leads the record: nothing new is agreed, what serves"
-                      " goes on", markup=False, highlight=False, soft_wrap=True)
+            err.print(
+                "oakkeel: no agent that we reach leads the record: nothing new is agreed, what serves"
+                " goes on",
+                markup=False,
+                highlight=False,
+                soft_wrap=True,
+            )
         return DONE if leads else SOME_SILENT
 
     run(work())
@@ -169,8 +193,11 @@
                     out.print(keepers_table([answer]))
                 return DONE
             await asyncio.sleep(LOOK_EVERY)
-        err.print("oakkeel: it is agreed, and not all of them are there yet; `oakkeel keepers` shows who",
-                  markup=False, highlight=False)
+        err.print(
+            "oakkeel: it is agreed, and not all of them are there yet; `oakkeel keepers` shows who",
+            markup=False,
+            highlight=False,
+        )
         return SOME_SILENT
 
     run(work())
@@ -178,17 +205,27 @@
 
 async def ask_leader_record(asker: Asker) -> messages.RecordTold | None:
     """How the leader sees the members."""
-    answers, _ = await asker.agents.ask({host.name: messages.AskRecord() for host in asker.fleet.hosts},
-                                        asker.deadline)
-    return next((each for each in answers.values() if isinstance(each, messages.RecordTold) and each.leads),
-                None)
+    answers, _ = await asker.agents.ask(
+        {host.name: messages.AskRecord() for host in asker.fleet.hosts}, asker.deadline
+    )
+    return next(
+        (each for each in answers.values() if isinstance(each, messages.RecordTold) and each.leads), None
+    )
 
 
 @click.command(epilog=CODES)
 @choice_options
 @fleet_options
-def places(names: tuple[str, ...], sites: tuple[str, ...], hosts: tuple[str, ...], states: tuple[str, ...],
-           settings: str, operator: str | None, deadline: int | None, output: str) -> None:
+def places(
+    names: tuple[str, ...],
+    sites: tuple[str, ...],
+    hosts: tuple[str, ...],
+    states: tuple[str, ...],
+    settings: str,
+    operator: str | None,
+    deadline: int | None,
+    output: str,
+) -> None:
     """What is out, why, under which place; and how much more may be.
 
     \b
@@ -201,11 +238,20 @@
         answer = await ask(asker, messages.AskFleet())
         if not isinstance(answer, messages.FleetStateTold):
             fail("an answer to another question", SOME_SILENT)
-        wanted = [each for each in answer.out if (not names or each.thing in names)
-                  and (not hosts or each.host in hosts)]
+        wanted = [
+            each
+            for each in answer.out
+            if (not names or each.thing in names) and (not hosts or each.host in hosts)
+        ]
         if output == "json":
-            print_json({"index": answer.index, "groups": msgspec.to_builtins(answer.groups),
-                        "out": msgspec.to_builtins(wanted), "orders": msgspec.to_builtins(answer.orders)})
+            print_json(
+                {
+                    "index": answer.index,
+                    "groups": msgspec.to_builtins(answer.groups),
+                    "out": msgspec.to_builtins(wanted),
+                    "orders": msgspec.to_builtins(answer.orders),
+                }
+            )
         else:
             for table in places_table(answer.groups, wanted, answer.orders):
                 out.print(table)
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -52,38 +52,100 @@
 @rollout.command(epilog=CODES)
 @choice_options
 @click.option("--all", "everything", is_flag=True, help="All instances.")
-@click.option("--program", type=click.Path(exists=True, file_okay=False),
-              help="Folder with the program, at the same path on every host.")
-@click.option("--config", "patch", type=click.Path(exists=True, dir_okay=False),
-              help="JSON merge patch for the configurations, at the same path on every host.")
+@click.option(
+    "--program",
+    type=click.Path(exists=True, file_okay=False),
+    help="Folder with the program, at the same path on every host.",
+)
+@click.option(
+    "--config",
+    "patch",
+    type=click.Path(exists=True, dir_okay=False),
+    help="JSON merge patch for the configurations, at the same path on every host.",
+)
 @click.option("--version", "label", default="", help="Of services below: what they are replaced by, by hand.")
 @click.option("--canary", type=click.IntRange(1, 100), default=1, show_default=True, help="Changed first.")
-@click.option("--growth", type=click.FloatRange(1.1, 100), default=2.0, show_default=True,
-              help="From one batch to the next, in all that have the new.")
+@click.option(
+    "--growth",
+    type=click.FloatRange(1.1, 100),
+    default=2.0,
+    show_default=True,
+    help="From one batch to the next, in all that have the new.",
+)
 @click.option("--most", type=click.IntRange(0, 1000), default=0, help="In one batch; 0: as the bounds allow.")
-@click.option("--soak", type=Duration(), default="60s", show_default=True, metavar="TIME",
-              help="Watched at least so long after each batch.")
-@click.option("--patience", type=Duration(), default="10m", show_default=True, metavar="TIME",
-              help="With no answer from the gates for so long it halts.")
-@click.option("--lasts", type=Duration(), default="2m", show_default=True, metavar="TIME",
-              help="For one batch.")
-@click.option("--margin", type=click.FloatRange(0.001, 0.5), default=0.02, show_default=True,
-              help="Part of the benefit that must not be lost.")
-@click.option("--ceiling", type=click.FloatRange(0.1, 1.0), default=0.85, show_default=True,
-              help="Load of those left at a site.")
-@click.option("--as-set", is_flag=True, help="What is not named of program and configuration is as the"
-              " settings say, whatever was released before.")
+@click.option(
+    "--soak",
+    type=Duration(),
+    default="60s",
+    show_default=True,
+    metavar="TIME",
+    help="Watched at least so long after each batch.",
+)
+@click.option(
+    "--patience",
+    type=Duration(),
+    default="10m",
+    show_default=True,
+    metavar="TIME",
+    help="With no answer from the gates for so long it halts.",
+)
+@click.option(
+    "--lasts", type=Duration(), default="2m", show_default=True, metavar="TIME", help="For one batch."
+)
+@click.option(
+    "--margin",
+    type=click.FloatRange(0.001, 0.5),
+    default=0.02,
+    show_default=True,
+    help="Part of the benefit that must not be lost.",
+)
+@click.option(
+    "--ceiling",
+    type=click.FloatRange(0.1, 1.0),
+    default=0.85,
+    show_default=True,
+    help="Load of those left at a site.",
+)
+@click.option(
+    "--as-set",
+    is_flag=True,
+    help="What is not named of program and configuration is as the"
+    " settings say, whatever was released before.",
+)
 @click.option("--no-gates", is_flag=True, help="By batches alone, whatever becomes of the benefit.")
 @click.option("--no-control", is_flag=True, help="Restart none of the old beside the first.")
 @click.option("--back", is_flag=True, help="Undo by itself what the gates halt.")
 @click.option("--no-wait", is_flag=True, help="Return once it is agreed.")
 @click.option("--id", "ident", metavar="ID", help="Of the release: the same once more begins nothing new.")
 @fleet_options
-def start(names: tuple[str, ...], sites: tuple[str, ...], hosts: tuple[str, ...], states: tuple[str, ...],
-          everything: bool, program: str | None, patch: str | None, label: str, canary: int, growth: float,
-          most: int, soak: int, patience: int, lasts: int, margin: float, ceiling: float, as_set: bool,
-          no_gates: bool, no_control: bool, back: bool, no_wait: bool, ident: str | None, settings: str,
-          operator: str | None, deadline: int | None, output: str) -> None:
+def start(
+    names: tuple[str, ...],
+    sites: tuple[str, ...],
+    hosts: tuple[str, ...],
+    states: tuple[str, ...],
+    everything: bool,
+    program: str | None,
+    patch: str | None,
+    label: str,
+    canary: int,
+    growth: float,
+    most: int,
+    soak: int,
+    patience: int,
+    lasts: int,
+    margin: float,
+    ceiling: float,
+    as_set: bool,
+    no_gates: bool,
+    no_control: bool,
+    back: bool,
+    no_wait: bool,
+    ident: str | None,
+    settings: str,
+    operator: str | None,
+    deadline: int | None,
+    output: str,
+) -> None:
     """Release to the instances that are named, or to services below.
 
     \b
@@ -96,8 +158,9 @@
     if choice.all != everything:
         fail("say which instances: names, --site, --host or --state, or else --all")
     paths = os.path.abspath(program) if program else "", os.path.abspath(patch) if patch else ""
-    pace = Pace(canary, growth, most, not no_control, not no_gates, back, soak, patience, lasts, margin,
-                ceiling)
+    pace = Pace(
+        canary, growth, most, not no_control, not no_gates, back, soak, patience, lasts, margin, ceiling
+    )
 
     async def work() -> int:
         things, what = await _what(asker, choice, *paths, label, as_set)
@@ -107,8 +170,9 @@
     run(work())
 
 
-async def _what(asker: Asker, choice: Choice, program: str, patch: str, label: str,
-                as_set: bool) -> tuple[list[str], What]:
+async def _what(
+    asker: Asker, choice: Choice, program: str, patch: str, label: str, as_set: bool
+) -> tuple[list[str], What]:
     assert asker.fleet.keepers is not None
     services = {each.name for each in asker.fleet.keepers.services}
     if named := [name for name in choice.names if name in services]:
@@ -188,14 +252,27 @@
     return command
 
 
-look("status", "How far it is, and what it waits for. Without an id the open release, or the last.\n\n\b\n"
-     "Example: oakkeel rollout status", False)
+look(
+    "status",
+    "How far it is, and what it waits for. Without an id the open release, or the last.\n\n\b\n"
+    "Example: oakkeel rollout status",
+    False,
+)
 look("watch", "The same until it is over or halted.\n\n\b\nExample: oakkeel rollout watch", True)
 turn("pause", "Nothing further leaves until it is told to go on.\n\n\b\nExample: oakkeel rollout pause")
-turn("resume", "Let it go on where it was paused or halted, in the same direction.\n\n\b\n"
-     "Example: oakkeel rollout resume")
-turn("abort", "Halt it: nothing further leaves, and what was changed stays until it is told to go on, back,"
-     " or that it is left so.\n\n\b\nExample: oakkeel rollout abort")
+turn(
+    "resume",
+    "Let it go on where it was paused or halted, in the same direction.\n\n\b\n"
+    "Example: oakkeel rollout resume",
+)
+turn(
+    "abort",
+    "Halt it: nothing further leaves, and what was changed stays until it is told to go on, back,"
+    " or that it is left so.\n\n\b\nExample: oakkeel rollout abort",
+)
 turn("undo", "Bring back what was there before, by the same safe steps.\n\n\b\nExample: oakkeel rollout undo")
-turn("leave", "Give a halted release up where it stands: some run the new, some the old.\n\n\b\n"
-     "Example: oakkeel rollout leave")
+turn(
+    "leave",
+    "Give a halted release up where it stands: some run the new, some the old.\n\n\b\n"
+    "Example: oakkeel rollout leave",
+)
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -141,8 +141,11 @@
             if isinstance(wish, AskClients):
                 return self.listener.node.clients(wish.tag, max(1, min(wish.most, MOST_CLIENTS)))
             node = self.listener.node
-            why = (node.ordered_to_stay(wish.generation) if isinstance(wish, Stay) else
-                   node.ordered_to_leave(wish.generation, wish.within))
+            why = (
+                node.ordered_to_stay(wish.generation)
+                if isinstance(wish, Stay)
+                else node.ordered_to_leave(wish.generation, wish.within)
+            )
             return Told(wish.tag, not why, why)
         except Exception as error:  # an error of ours answers it, and the node lives on
             self.listener.log.say("a control message failed", error=fault(error))
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -52,14 +52,18 @@
     site = Site(folder, {"wb1": list(NODES)}, away=len(NODES))
     await site.open()
     log = open(os.path.join(folder, "agent.log"), "wb")  # noqa: SIM115  # it ends with the demo
-    agent = await asyncio.create_subprocess_exec(sys.executable, "-m", "oakkeel.agent", site.settings, "wb1",
-                                                 stderr=log, start_new_session=True)
+    agent = await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "oakkeel.agent", site.settings, "wb1", stderr=log, start_new_session=True
+    )
     fleet = read_fleet(site.settings)
     agents, view = Agents(fleet, key_of(fleet, "asha")), View(fleet)
     dispatcher = Dispatcher(1, lambda: addresses_of(view), rate, seed=1)
-    console.print(f"Three nodes at {rate:g} exchanges a second. From another terminal, as long as it lasts:\n"
-                  f"  export OAKKEEL_SETTINGS={site.settings} OAKKEEL_OPERATOR=asha\n"
-                  "  oakkeel ls      oakkeel restart n2      oakkeel orders", highlight=False)
+    console.print(
+        f"Three nodes at {rate:g} exchanges a second. From another terminal, as long as it lasts:\n"
+        f"  export OAKKEEL_SETTINGS={site.settings} OAKKEEL_OPERATOR=asha\n"
+        "  oakkeel ls      oakkeel restart n2      oakkeel orders",
+        highlight=False,
+    )
     try:
         with Live(console=console, auto_refresh=False, transient=not console.is_terminal) as live:
             began = time.monotonic_ns()
@@ -88,8 +92,12 @@
     """Leave no process behind."""
     await agents.look(view)
     wanted = by_host(view.rows(time.monotonic_ns()))
-    await agents.ask({host: messages.Order("demo-ends", "stop", instances, 20 * SECOND, supersede=True)
-                      for host, instances in wanted.items()})
+    await agents.ask(
+        {
+            host: messages.Order("demo-ends", "stop", instances, 20 * SECOND, supersede=True)
+            for host, instances in wanted.items()
+        }
+    )
     until = time.monotonic_ns() + 20 * SECOND
     while time.monotonic_ns() < until:
         await agents.look(view)
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -37,8 +37,15 @@
 class ExchangeReader:
     """Makes exchanges of the words of a CALL, by the endpoint groups and tenants of this node."""
 
-    def __init__(self, limits: NodeLimits, groups: list[str], tenants: list[str], bounds: Bounds,
-                 unix_ns: Callable[[], int] = time.time_ns, who: Who | None = None) -> None:
+    def __init__(
+        self,
+        limits: NodeLimits,
+        groups: list[str],
+        tenants: list[str],
+        bounds: Bounds,
+        unix_ns: Callable[[], int] = time.time_ns,
+        who: Who | None = None,
+    ) -> None:
         """`who` makes the senders of an exchange from its fields, where shares are fair."""
         self.bounds, self.who = bounds, who
         self.groups: dict[bytes, EndpointGroup] = {
@@ -107,8 +114,9 @@
         return value
 
 
-def answer(tag: int, word: bytes, signal: float | None, body: bytes = b"", last: bool = False,
-           retry_after: int = 0) -> bytes:
+def answer(
+    tag: int, word: bytes, signal: float | None, body: bytes = b"", last: bool = False, retry_after: int = 0
+) -> bytes:
     """An answer, or the answer to a check, with the advice as it stands now."""
     fields = []
     if signal is not None:
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -56,8 +56,15 @@
 class Connection:
     """Reads arrays, writes answers, and knows what is open on it."""
 
-    def __init__(self, stream: HalfClosingStream, pool: BufferPool, bounds: Bounds, front: Front, log: Log,
-                 heard: Callable[[Connection], None]) -> None:
+    def __init__(
+        self,
+        stream: HalfClosingStream,
+        pool: BufferPool,
+        bounds: Bounds,
+        front: Front,
+        log: Log,
+        heard: Callable[[Connection], None],
+    ) -> None:
         self.stream, self.bounds, self.front, self.log = stream, bounds, front, log
         self.heard = heard  # called with the connection after each array, and whenever it gets idle
         self.read_buffer = ReadBuffer(pool)
@@ -114,8 +121,9 @@
             while self.unread > self.bounds.unread:
                 await self._moved()
             # One that always has more to say must not keep the loop: a done future does not yield.
-            pause = max(read_at + self.bounds.read_pause - time.monotonic_ns(),
-                        spent * self.bounds.read_share)
+            pause = max(
+                read_at + self.bounds.read_pause - time.monotonic_ns(), spent * self.bounds.read_share
+            )
             await asyncio.sleep(max(0, pause) / SECOND)
 
     async def _moved(self, within: int = 0) -> None:
@@ -184,8 +192,9 @@
         """What an ending connection waits for may have happened. One that broke has no socket any more: its
         reader closes it, and may not have run yet."""
         self.moved.set()
-        if self.phase is Phase.ENDING and not (self.open or self.unread or self.stream.ended
-                                               or self.stream.closed()):
+        if self.phase is Phase.ENDING and not (
+            self.open or self.unread or self.stream.ended or self.stream.closed()
+        ):
             self._linger()
 
     def _linger(self) -> None:
@@ -228,8 +237,11 @@
         that work. One that left half an array may still wait for answers to others."""
         if self.taken and now - self.taken > self.bounds.untaken:
             self.close()
-        elif self.awaited and (late := now - self.awaited - self.bounds.silent) > 0 and (
-                not self.comes() or self.read_buffer.waiting and late > self.bounds.sweep):
+        elif (
+            self.awaited
+            and (late := now - self.awaited - self.bounds.silent) > 0
+            and (not self.comes() or self.read_buffer.waiting and late > self.bounds.sweep)
+        ):
             self._end()  # what just comes is read first, but at the second look it is a trickle
 
     # What comes.
@@ -271,16 +283,18 @@
             if number in self.open:
                 self._drop(self.open[number])
         elif verb == codec.CHECK:
-            self.write(codec.answer(number, codec.GOOD if self.front.healthy() else codec.BAD,
-                                    self.front.signal()))
+            self.write(
+                codec.answer(number, codec.GOOD if self.front.healthy() else codec.BAD, self.front.signal())
+            )
         else:
             self._unreadable(number, f"an unknown verb {verb[:20]!r}")
 
     def _call(self, tag: int, words: list[bytes]) -> None:
         reader = self.front.reader
         if reader is None or self.refusing:
-            return self.write(codec.answer(tag, codec.DENIED, self.front.signal(),
-                                           retry_after=self.front.return_after()))
+            return self.write(
+                codec.answer(tag, codec.DENIED, self.front.signal(), retry_after=self.front.return_after())
+            )
         if len(self.open) >= self.bounds.open_exchanges:
             self.write(codec.answer(tag, codec.DENIED, self.front.signal()))
             raise Malformed(f"more than {self.bounds.open_exchanges} exchanges open")
@@ -308,8 +322,9 @@
         self._close_exchange(ex)
         self.front.gone(ex)
 
-    def answer(self, ex: LiveExchange, word: bytes, body: bytes = b"", last: bool = False,
-               retry_after: int = 0) -> None:
+    def answer(
+        self, ex: LiveExchange, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+    ) -> None:
         self.write(codec.answer(ex.tag, word, self.front.signal(), body, last, retry_after))
         self._close_exchange(ex)  # behind the write: an ending connection is shut down with its last answer
 
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -18,8 +18,9 @@
 
 
 class Listener:
-    def __init__(self, address: tuple[str, int], pool: BufferPool, bounds: Bounds, front: Front,
-                 log: Log) -> None:
+    def __init__(
+        self, address: tuple[str, int], pool: BufferPool, bounds: Bounds, front: Front, log: Log
+    ) -> None:
         self.pool, self.bounds, self.front, self.log = pool, bounds, front, log
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task] = set()
@@ -103,8 +104,9 @@
         room = len(self.connections) < self.bounds.connections or self._make_room()
         with contextlib.suppress(OSError):  # reset by now: its stream finds out
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stream = HalfClosingStream(accepted, max_buffer_size=self.bounds.buffer_size,
-                                   read_chunk_size=self.bounds.buffer_size)
+        stream = HalfClosingStream(
+            accepted, max_buffer_size=self.bounds.buffer_size, read_chunk_size=self.bounds.buffer_size
+        )
         connection = Connection(stream, self.pool, self.bounds, self.front, self.log, self._heard)
         if room:
             self.connections.add(connection)
--- a/oakkeel/emulator/agreement.py
+++ b/oakkeel/emulator/agreement.py
@@ -109,8 +109,17 @@
         if self.disk is None:
             self.counted = 0
             self.disk = Disk(Durable(self.name, f"{self.name}.{self.random.getrandbits(40):x}"))
-        self.steward = Steward(now, self.disk.load(), self.random.getrandbits(60), PACE, self.founders,
-                               world.layout, TERMS, Book, self._driver)
+        self.steward = Steward(
+            now,
+            self.disk.load(),
+            self.random.getrandbits(60),
+            PACE,
+            self.founders,
+            world.layout,
+            TERMS,
+            Book,
+            self._driver,
+        )
         self.steward.watched = self._applied
         self.pending: dict[Proposal, Callable[[Proposal], None]] = {}
 
@@ -123,11 +132,13 @@
         audit.applied(self.world.clock.now, self.name, index, content)
         if not isinstance(result, Refusal):
             self.world.of_releases.taken(self.world.clock.now, self.name, content)
-        if self.steward and isinstance(command, commands.Halt | commands.Cancel | commands.Over
-                                       | commands.Lapse):
+        if self.steward and isinstance(
+            command, commands.Halt | commands.Cancel | commands.Over | commands.Lapse
+        ):
             for order in self.steward.ledger.held.orders.values():
-                if order.halted and all(part.state not in ("waiting", "granted")
-                                        for part in order.parts.values()):
+                if order.halted and all(
+                    part.state not in ("waiting", "granted") for part in order.parts.values()
+                ):
                     audit.halt_holds(order.ident)
 
     def _start_agent(self) -> None:
@@ -255,8 +266,18 @@
         lasted = max(0, self.world.clock.now - process.up_at)
         count = float(lasted * 400 // SECOND)
         good = float(int(count * (0.6 if process.version.startswith("worse") else 0.98)))
-        return Report(0, "", 0, process.generation, state, "", 0, version=process.version, load=0.2,
-                      benefit=[count, good, good])
+        return Report(
+            0,
+            "",
+            0,
+            process.generation,
+            state,
+            "",
+            0,
+            version=process.version,
+            load=0.2,
+            benefit=[count, good, good],
+        )
 
     def act(self, now: int) -> None:
         for copy in self.deciding.fitting.to_prepare():
@@ -286,8 +307,13 @@
 
     def _save(self) -> None:
         holding, instances = self.holding, self.supervision.instances
-        if not (holding.changed or self.orders.changed or self.orders.dropped
-                or self.deciding.fitting.changed or any(each.dirty for each in instances)):
+        if not (
+            holding.changed
+            or self.orders.changed
+            or self.orders.dropped
+            or self.deciding.fitting.changed
+            or any(each.dirty for each in instances)
+        ):
             return
         self.deciding.fitting.changed = False
         self.saved.versions = dict(self.deciding.fitting.versions)
@@ -295,8 +321,15 @@
             each.dirty = False
         self.orders.dropped.clear()
         self.saved.epoch, self.saved.generations = holding.epoch, dict(holding.generations)
-        self.saved.places = [(thing, fence, held.ident if (held := holding.places.get(thing)) else "",
-                              bool(held and held.begun)) for thing, fence in holding.floors.items()]
+        self.saved.places = [
+            (
+                thing,
+                fence,
+                held.ident if (held := holding.places.get(thing)) else "",
+                bool(held and held.begun),
+            )
+            for thing, fence in holding.floors.items()
+        ]
         holding.changed.clear()
         self.orders.changed.clear()
         orders, self.orders.holding = self.orders, None
@@ -324,8 +357,9 @@
         elif process and step.act in (Act.TERM, Act.LEAVE) and not process.leaving:
             held = self.holding.places.get(name)
             if step.instance.goal is Goal.DOWN or step.instance.part is not None:
-                world.audit.left(true, name, held.fence if held and held.begun else -1,
-                                 held.ident if held else "")
+                world.audit.left(
+                    true, name, held.fence if held and held.begun else -1, held.ident if held else ""
+                )
             else:
                 world.audit.gone(true, name)
             process.leaving = true + self.random.randrange(100 * MS, 1500 * MS)
@@ -341,8 +375,11 @@
             self.world.audit.serves(self.world.clock.now, name)
 
     def _ended(self, name: str, process: Process, how: str, surely: bool = False) -> None:
-        if self.processes.get(name) is not process or not surely and not (
-                process.leaving and self.world.clock.now >= process.leaving):
+        if (
+            self.processes.get(name) is not process
+            or not surely
+            and not (process.leaving and self.world.clock.now >= process.leaving)
+        ):
             return
         del self.processes[name]
         self.world.audit.gone(self.world.clock.now, name)
@@ -386,14 +423,21 @@
         self.names = names = [f"h{number}" for number in range(schedule.hosts)]
         sites = {name: f"s{number % schedule.sites}" for number, name in enumerate(names)}
         things = {name: tuple(f"{name}i{number}" for number in range(schedule.instances)) for name in names}
-        groups = [Group(f"site {site}", schedule.bound, tuple(
-            thing for name in names if sites[name] == site for thing in things[name]))
-            for site in dict.fromkeys(sites.values())]
+        groups = [
+            Group(
+                f"site {site}",
+                schedule.bound,
+                tuple(thing for name in names if sites[name] == site for thing in things[name]),
+            )
+            for site in dict.fromkeys(sites.values())
+        ]
         every = tuple(thing for each in things.values() for thing in each)
         groups.append(Group("fleet", schedule.bound * schedule.sites, every))
         self.layout = Layout({name: things[name] for name in names}, tuple(groups))
-        self.audit = AgreementAudit({group.name: (group.bound, list(group.things)) for group in groups},
-                                    TERMS.lapse + TERMS.silent + 2 * SECOND)
+        self.audit = AgreementAudit(
+            {group.name: (group.bound, list(group.things)) for group in groups},
+            TERMS.lapse + TERMS.silent + 2 * SECOND,
+        )
         self.troubled: dict[tuple[str, str], list[Trouble]] = {}
         self.said: list[str] = []
         self.orders: list[str] = []
@@ -520,11 +564,17 @@
             ident = f"o{len(self.orders)}"
             self.orders.append(ident)
             wanted = {thing, *(each for each in self.every if self.random.random() < trouble.size)}
-            things = [(each.name, each.generation) for one in self.hosts.values()
-                      for each in one.supervision.instances if each.name in wanted]
+            things = [
+                (each.name, each.generation)
+                for one in self.hosts.values()
+                for each in one.supervision.instances
+                if each.name in wanted
+            ]
             verb = {"restart": "restart", "stop it": "stop"}.get(trouble.kind, "drain")
-            self.order(commands.Order(ident, "asha", verb, 0, 6 * SECOND, trouble.kind == "drain whole",
-                                      things), ident)
+            self.order(
+                commands.Order(ident, "asha", verb, 0, 6 * SECOND, trouble.kind == "drain whole", things),
+                ident,
+            )
         elif trouble.kind in ("halt", "cancel") and self.orders:
             ident = self.orders[trouble.who % len(self.orders)]
             kind = commands.Halt if trouble.kind == "halt" else commands.Cancel
@@ -533,8 +583,13 @@
             ident = f"r{trouble.at}"
             new = ("good", "good", "worse", "crash")[trouble.to % 4]
             chosen = [each for each in self.every if self.random.random() < 0.3 + trouble.size] or [thing]
-            pace = ReleasePace(soak=200 * MS, patience=10 * SECOND, lasts=4 * SECOND,
-                               control=trouble.who % 2 == 0, back=trouble.to % 3 == 0)
+            pace = ReleasePace(
+                soak=200 * MS,
+                patience=10 * SECOND,
+                lasts=4 * SECOND,
+                control=trouble.who % 2 == 0,
+                back=trouble.to % 3 == 0,
+            )
             what = What(f"{new} {ident}", "bad" if trouble.to % 16 == 0 else "here")
             self.order(releases.Begin(ident, "asha", 0, what, pace, chosen), ident)
         elif trouble.kind in ("pause", "resume", "abort", "undo", "leave"):
@@ -614,7 +669,8 @@
             # With the whole folder nothing on the host shows it: only others can, and they must be there.
             others = [each for each in self.hosts.values() if each is not host]
             if any(not each.running or each.stopped or each.full for each in others) or any(
-                    now_troubled for pair in self.troubled for now_troubled in self._links(*pair)):
+                now_troubled for pair in self.troubled for now_troubled in self._links(*pair)
+            ):
                 return
             wait = MS
             host.counted = counted
@@ -624,14 +680,21 @@
 
     def _may_lose(self, host: Host) -> bool:
         """No promise holds once a majority of the keepers' files is gone: that takes a rite of its own."""
-        leaders = [each.steward.keeper for each in self.hosts.values() if each.steward
-                   and each.steward.granting]
+        leaders = [
+            each.steward.keeper for each in self.hosts.values() if each.steward and each.steward.granting
+        ]
         if not leaders:
             return False
         # One at a time: a learner may be a voter the moment after, and one who was replaced is none yet.
         members = [each for each in leaders[-1].members if each.name != host.name]
-        return all((disk := self.hosts[each.name].disk) and disk.head.life == each.life and disk.head.epoch
-                   and each.votes and self.hosts[each.name].running for each in members)
+        return all(
+            (disk := self.hosts[each.name].disk)
+            and disk.head.life == each.life
+            and disk.head.epoch
+            and each.votes
+            and self.hosts[each.name].running
+            for each in members
+        )
 
     def _pairs(self, trouble: Trouble, name: str, other: str) -> list[tuple[str, str]]:
         names = sorted(self.hosts)
@@ -657,16 +720,25 @@
     def _look(self) -> None:
         """What an operator is told of releases by whoever leads, again and again."""
         for host in self.hosts.values():
-            if host.running and not host.stopped and host.steward and host.steward.granting \
-                    and host.steward.keeper.leads(host.now()):
+            if (
+                host.running
+                and not host.stopped
+                and host.steward
+                and host.steward.granting
+                and host.steward.keeper.leads(host.now())
+            ):
                 for each in host.steward.ledger.held.releases.values():  # type: ignore[attr-defined]
                     if each.over and each.ident in self.of_releases.version:
                         self.of_releases.ended(self.clock.now, each.ident, each.state, self._serving())
         self.clock.after(50 * MS, self._look)
 
     def _serving(self) -> set[str]:
-        return {name for host in self.hosts.values() for name, process in host.processes.items()
-                if not process.leaving and self.clock.now >= process.up_at}
+        return {
+            name
+            for host in self.hosts.values()
+            for name, process in host.processes.items()
+            if not process.leaving and self.clock.now >= process.up_at
+        }
 
     def stuck(self) -> list[str]:
         """What a good end would have: one leader, no order that is open, nothing away without a place. What
@@ -677,20 +749,27 @@
         return found
 
     def _stuck(self) -> list[str]:
-        leaders = [each for each in self.hosts.values() if each.steward and each.steward.granting
-                   and each.steward.keeper.leads(each.now())]
+        leaders = [
+            each
+            for each in self.hosts.values()
+            if each.steward and each.steward.granting and each.steward.keeper.leads(each.now())
+        ]
         if len(leaders) != 1:
             return [f"{len(leaders)} leaders at the end"]
         ledger = leaders[0].steward.ledger  # type: ignore[union-attr]
-        found = [f"order {order.ident} is open: {order.parts}" for order in ledger.held.orders.values()
-                 if any(part.state in OPEN for part in order.parts.values())]
+        found = [
+            f"order {order.ident} is open: {order.parts}"
+            for order in ledger.held.orders.values()
+            if any(part.state in OPEN for part in order.parts.values())
+        ]
         release = ledger.open  # type: ignore[union-attr]
         if release and release.state in ("preparing", "running", "undoing"):
             above = leaders[0].steward.above  # type: ignore[union-attr]
             why = above.why if isinstance(above, Driver) else "nobody drives"
             if not any(word in why for word in WAITS):  # for what operators have taken out for good
-                found.append(f"release {release.ident} is {release.state}, batch {release.batch},"
-                             f" {release.now}: {why}")
+                found.append(
+                    f"release {release.ident} is {release.state}, batch {release.batch}, {release.now}: {why}"
+                )
         for host in self.hosts.values():
             for part in host.orders.acting:
                 order = ledger.held.orders.get(part.order.ident)
--- a/oakkeel/emulator/callers.py
+++ b/oakkeel/emulator/callers.py
@@ -55,8 +55,16 @@
 
 
 class Dispatcher:
-    def __init__(self, number: int, clock: Clock, limits: NodeLimits, sizes: list[float], manners: Manners,
-                 audit: Audit, seed: int) -> None:
+    def __init__(
+        self,
+        number: int,
+        clock: Clock,
+        limits: NodeLimits,
+        sizes: list[float],
+        manners: Manners,
+        audit: Audit,
+        seed: int,
+    ) -> None:
         """`sizes`: nanoseconds of a core that an exchange of each group takes, in the mean."""
         self.number, self.clock, self.limits, self.sizes = number, clock, limits, sizes
         self.manners, self.audit, self.random = manners, audit, Random(seed)
@@ -86,8 +94,9 @@
         self.made += 1
         group = self.random.randrange(len(self.sizes))
         size = self.sizes[group] * (0.5 + self.random.random())
-        work = Work(f"{self.number}.{self.made}", group, self.clock.now,
-                    int(self.random.paretovariate(1.1)), size)
+        work = Work(
+            f"{self.number}.{self.made}", group, self.clock.now, int(self.random.paretovariate(1.1)), size
+        )
         self.counts["asked"] += 1
         self._try(work)
 
--- a/oakkeel/emulator/changing.py
+++ b/oakkeel/emulator/changing.py
@@ -121,11 +121,27 @@
         self.hosts = {name: Host(self, name) for name in self.names}
         self.clock.at(100 * MS, self.lead)
         self.clock.at(200 * MS, self.tick)
-        kinds = ("leader", "leader", "cut", "cut", "slow", "node stops", "node stops", "node dies",
-                 "agent stops", "agent dies", "propose", "propose", "propose", "withdraw", "bad")
+        kinds = (
+            "leader",
+            "leader",
+            "cut",
+            "cut",
+            "slow",
+            "node stops",
+            "node stops",
+            "node dies",
+            "agent stops",
+            "agent dies",
+            "propose",
+            "propose",
+            "propose",
+            "withdraw",
+            "bad",
+        )
         for _ in range(troubles + 8):
-            self.clock.at(self.random.randrange(SECOND, lasts - 12 * SECOND), self.trouble,
-                          self.random.choice(kinds))
+            self.clock.at(
+                self.random.randrange(SECOND, lasts - 12 * SECOND), self.trouble, self.random.choice(kinds)
+            )
 
     def apply(self, command) -> object:
         """It is agreed at once: whoever asked is told what came of it."""
@@ -205,12 +221,13 @@
 
     def stuck(self) -> list[str]:
         """With all well for three leases, what was proposed has an end, and nodes decide under the last."""
-        found = [f"version {each.number} is {each.state}" for each in self.register.held.policies.values()
-                 if each.state in ("proposed", "decided")]
+        found = [
+            f"version {each.number} is {each.state}"
+            for each in self.register.held.policies.values()
+            if each.state in ("proposed", "decided")
+        ]
         for host in self.hosts.values():
             for node in host.nodes:
                 if node.policy.number != self.register.held.decided or not node.policy.may_decide(host.now()):
                     found.append(f"{node.name} goes by {node.policy.number}, {node.policy.standing.value}")
         return found
-
-
