--- a/oakkeel/emulator/day.py
+++ b/oakkeel/emulator/day.py
@@ -45,8 +45,11 @@
     effect: Effect = Effect.REPEATABLE
 
 
-GROUPS = (Group(5.0, 30 * MS, 800 * MS), Group(1.0, 8 * MS, 400 * MS),
-          Group(2.0, 15 * MS, 600 * MS, Effect.MUTATING))
+GROUPS = (
+    Group(5.0, 30 * MS, 800 * MS),
+    Group(1.0, 8 * MS, 400 * MS),
+    Group(2.0, 15 * MS, 600 * MS, Effect.MUTATING),
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,23 +92,51 @@
         self.random = Random(day.seed)
         self.made = 0
         self.nodes = [self._node(cold=False) for _ in range(day.nodes)]
-        self.callers = [Dispatcher(number + 1, self.clock, self._limits(False),
-                                   [each.work for each in day.groups],
-                                   day.manners, self.audit, self.random.getrandbits(60))
-                        for number in range(day.dispatchers)]
+        self.callers = [
+            Dispatcher(
+                number + 1,
+                self.clock,
+                self._limits(False),
+                [each.work for each in day.groups],
+                day.manners,
+                self.audit,
+                self.random.getrandbits(60),
+            )
+            for number in range(day.dispatchers)
+        ]
         mean = sum(each.work for each in day.groups) / len(day.groups)
         self.rate = day.load * day.nodes * day.cores * SECOND / mean / day.dispatchers
 
     def _limits(self, cold: bool) -> NodeLimits:
-        groups = [EndpointGroup(number, each.effect, each.benefit, each.slo, 3 * each.slo, 0, 0.0, 0.0)
-                  for number, each in enumerate(self.day.groups)]
+        groups = [
+            EndpointGroup(number, each.effect, each.benefit, each.slo, 3 * each.slo, 0, 0.0, 0.0)
+            for number, each in enumerate(self.day.groups)
+        ]
         return NodeLimits(
-            cores=self.day.cores, memory_kb=100_000.0, run_factor=8.0, key_kb=0.0, cold=cold, cold_from=0.3,
-            cold_time=8 * SECOND, crowd_multiple=8.0, drain_grace=2 * SECOND, marks_retries=True,
-            max_retry_after=SECOND, stop_kind=StopKind.ABORT, peers=self.day.nodes, below=Below.NOTHING,
-            call_share=0.0, call_window=SECOND, call_linger=0, fresh=0, idle=15 * SECOND,
+            cores=self.day.cores,
+            memory_kb=100_000.0,
+            run_factor=8.0,
+            key_kb=0.0,
+            cold=cold,
+            cold_from=0.3,
+            cold_time=8 * SECOND,
+            crowd_multiple=8.0,
+            drain_grace=2 * SECOND,
+            marks_retries=True,
+            max_retry_after=SECOND,
+            stop_kind=StopKind.ABORT,
+            peers=self.day.nodes,
+            below=Below.NOTHING,
+            call_share=0.0,
+            call_window=SECOND,
+            call_linger=0,
+            fresh=0,
+            idle=15 * SECOND,
             advice=AdviceKind.SILENT,
-            over_share=1.0, groups=groups, tenants=[])
+            over_share=1.0,
+            groups=groups,
+            tenants=[],
+        )
 
     def _node(self, cold: bool) -> Node:
         self.made += 1
@@ -168,12 +199,20 @@
         for caller in self.callers:
             counts.update(caller.counts)
         latencies = sorted(each for caller in self.callers for each in caller.latencies)
-        shares = {f"{share:g}": latencies[int(share * (len(latencies) - 1))] / MS if latencies else 0.0
-                  for share in (0.5, 0.9, 0.99)}
+        shares = {
+            f"{share:g}": latencies[int(share * (len(latencies) - 1))] / MS if latencies else 0.0
+            for share in (0.5, 0.9, 0.99)
+        }
         mean = sum(each.benefit for each in self.day.groups) / len(self.day.groups)
-        return Result(counts["asked"], round(sum(each.benefit for each in self.callers), 6),
-                      round(counts["asked"] * mean, 6), dict(sorted(counts.items())), shares,
-                      self.audit.end(self.clock.now), self.clock.happened)
+        return Result(
+            counts["asked"],
+            round(sum(each.benefit for each in self.callers), 6),
+            round(counts["asked"] * mean, 6),
+            dict(sorted(counts.items())),
+            shares,
+            self.audit.end(self.clock.now),
+            self.clock.happened,
+        )
 
 
 def play(day: Day) -> Result:
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -29,8 +29,9 @@
 class Node:
     """`Host` for its `Keel`. Reading costs `reading` nanoseconds of a core for each exchange."""
 
-    def __init__(self, name: str, clock: Clock, limits: NodeLimits, seed: int, audit: Audit,
-                 reading: int = 200_000) -> None:
+    def __init__(
+        self, name: str, clock: Clock, limits: NodeLimits, seed: int, audit: Audit, reading: int = 200_000
+    ) -> None:
         self.name, self.clock, self.audit, self.reading = name, clock, audit, reading
         self.limits, self.chance = limits, Random(seed)
         self.machine = Machine(clock, limits.cores)
--- a/oakkeel/emulator/troubles.py
+++ b/oakkeel/emulator/troubles.py
@@ -8,17 +8,37 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-KINDS = ("kill", "kill in a step", "stop", "stop in a step", "power", "lose the file", "old file",
-         "full disk", "cut", "cut one way", "part", "slow links", "loss", "double", "die",
-         "die all of a site", "clock", "kill all")
+KINDS = (
+    "kill",
+    "kill in a step",
+    "stop",
+    "stop in a step",
+    "power",
+    "lose the file",
+    "old file",
+    "full disk",
+    "cut",
+    "cut one way",
+    "part",
+    "slow links",
+    "loss",
+    "double",
+    "die",
+    "die all of a site",
+    "clock",
+    "kill all",
+)
 # What goes together badly: half of the schedules draw from one of these alone.
-THEMES = (("kill", "kill in a step", "kill all", "slow links", "loss"),
-          ("part", "cut", "cut one way", "stop"),
-          ("lose the file", "old file", "kill", "power"), ("stop", "stop in a step", "cut one way", "die"),
-          ("full disk", "kill in a step", "power"), ("die", "die all of a site", "kill all", "part"))
+THEMES = (
+    ("kill", "kill in a step", "kill all", "slow links", "loss"),
+    ("part", "cut", "cut one way", "stop"),
+    ("lose the file", "old file", "kill", "power"),
+    ("stop", "stop in a step", "cut one way", "die"),
+    ("full disk", "kill in a step", "power"),
+    ("die", "die all of a site", "kill all", "part"),
+)
 RELEASE_ACTS = ("pause", "resume", "abort", "undo", "leave", "restart", "drain", "cancel")
-ACTS = ("drain", "drain whole", "restart", "stop it", "start", "start", "halt", "cancel", "cancel",
-        "keepers")
+ACTS = ("drain", "drain whole", "restart", "stop it", "start", "start", "halt", "cancel", "cancel", "keepers")
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,8 +75,9 @@
     return Schedule(**{**told, "troubles": tuple(Trouble(**each) for each in told["troubles"])})
 
 
-def draw(seed: int, faults: int = 9, acts: int = 8, lasts: int = 22 * SECOND,
-         releases: bool = False) -> Schedule:
+def draw(
+    seed: int, faults: int = 9, acts: int = 8, lasts: int = 22 * SECOND, releases: bool = False
+) -> Schedule:
     """A schedule of so many troubles and orders; the second half of the time is free of them. `releases`: of
     one or two of them under way."""
     random = Random(seed)
@@ -66,19 +87,58 @@
     kinds = random.choice(THEMES) if random.random() < 0.5 else KINDS
     waits = random.choice(((40 * MS, 150 * MS, 700 * MS), (150 * MS, 700 * MS, 1500 * MS, 4 * SECOND)))
     for _ in range(random.randint(1, faults)):
-        found.append(Trouble(random.randrange(2 * SECOND, lasts // 2), random.choice(kinds),
-                             random.randrange(100), random.randrange(100), random.choice(waits),
-                             random.random()))
+        found.append(
+            Trouble(
+                random.randrange(2 * SECOND, lasts // 2),
+                random.choice(kinds),
+                random.randrange(100),
+                random.randrange(100),
+                random.choice(waits),
+                random.random(),
+            )
+        )
     for _ in range(random.randint(2, acts)):
-        found.append(Trouble(random.randrange(2 * SECOND, lasts // 2), random.choice(ACTS),
-                             random.randrange(100), random.randrange(100), 0, random.random()))
+        found.append(
+            Trouble(
+                random.randrange(2 * SECOND, lasts // 2),
+                random.choice(ACTS),
+                random.randrange(100),
+                random.randrange(100),
+                0,
+                random.random(),
+            )
+        )
     if releases:
         for _ in range(random.randint(1, 2)):
-            found.append(Trouble(random.randrange(SECOND, lasts // 3), "release", random.randrange(100),
-                                 random.randrange(100), 0, random.random()))
+            found.append(
+                Trouble(
+                    random.randrange(SECOND, lasts // 3),
+                    "release",
+                    random.randrange(100),
+                    random.randrange(100),
+                    0,
+                    random.random(),
+                )
+            )
         for _ in range(random.randint(0, 3)):
-            found.append(Trouble(random.randrange(2 * SECOND, lasts // 2), random.choice(RELEASE_ACTS),
-                                 random.randrange(100), random.randrange(100), 0, random.random()))
+            found.append(
+                Trouble(
+                    random.randrange(2 * SECOND, lasts // 2),
+                    random.choice(RELEASE_ACTS),
+                    random.randrange(100),
+                    random.randrange(100),
+                    0,
+                    random.random(),
+                )
+            )
     found.sort(key=lambda each: each.at)
-    return Schedule(seed, keepers, hosts, random.randint(1, 2), random.randint(1, 2),
-                    random.randint(1, 2), tuple(found), lasts)
+    return Schedule(
+        seed,
+        keepers,
+        hosts,
+        random.randint(1, 2),
+        random.randint(1, 2),
+        random.randint(1, 2),
+        tuple(found),
+        lasts,
+    )
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -54,8 +54,14 @@
     def doubtful(self) -> bool:
         """Nothing proves that this run was started, nor that it was not, and it may not be started twice."""
         ex = self.ex
-        return bool(ex and ex.in_engine and self.written and self.verb == b"RUN" and ex.group.once
-                    and self.heard == ex.heard)
+        return bool(
+            ex
+            and ex.in_engine
+            and self.written
+            and self.verb == b"RUN"
+            and ex.group.once
+            and self.heard == ex.heard
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -70,8 +76,14 @@
 class EngineLink:
     """Commands are written at once while the link is open; else they wait for it."""
 
-    def __init__(self, address: tuple[str, int], pool: BufferPool, bounds: Bounds, log: Log,
-                 started: Callable[[bool, int], None]) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        pool: BufferPool,
+        bounds: Bounds,
+        log: Log,
+        started: Callable[[bool, int], None],
+    ) -> None:
         self.address, self.pool, self.bounds, self.log, self.started = address, pool, bounds, log, started
         self.runs: dict[bytes, LiveExchange] = {}
         self.unconfirmed: deque[Command] = deque()
--- a/oakkeel/fleet/agents.py
+++ b/oakkeel/fleet/agents.py
@@ -47,17 +47,21 @@
         self.fleet, self.key = fleet, key
         self.chance = secrets.randbits
 
-    async def ask(self, wishes: dict[str, messages.Wish], deadline: int = 0,
-                  heard: Callable[[str, int, messages.Answer], None] | None = None) -> tuple[
-                      dict[str, messages.Answer], dict[str, str]]:
+    async def ask(
+        self,
+        wishes: dict[str, messages.Wish],
+        deadline: int = 0,
+        heard: Callable[[str, int, messages.Answer], None] | None = None,
+    ) -> tuple[dict[str, messages.Answer], dict[str, str]]:
         """Ask each host its wish. Returns the answers, and of the others why there is none.
 
         `deadline` in nanoseconds, 0 for that of the settings; `heard` is called with each answer and when its
         question was sent.
         """
         how = self.fleet.asking
-        asking = Asking(time.monotonic_ns(), wishes, deadline or how.deadline, how.hedge, how.tries,
-                        self.chance(63))
+        asking = Asking(
+            time.monotonic_ns(), wishes, deadline or how.deadline, how.hedge, how.tries, self.chance(63)
+        )
         answers: dict[str, messages.Answer] = {}
         moved = asyncio.Event()
         tasks: set[asyncio.Task] = set()
@@ -88,15 +92,21 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return answers, {name: why(target.state, target.why) for name, target in asking.targets.items()
-                         if target.state is not Asked.ANSWERED}
+        return answers, {
+            name: why(target.state, target.why)
+            for name, target in asking.targets.items()
+            if target.state is not Asked.ANSWERED
+        }
 
     async def ask_leader(self, wish: messages.Wish, deadline: int = 0) -> messages.Answer:
         """What the agent that leads the record answers. Raises NoLeader; `deadline` in nanoseconds."""
         assert self.fleet.keepers is not None
         others = [host.name for host in self.fleet.hosts if host.name not in self.fleet.keepers.hosts]
-        search = Leader(time.monotonic_ns(), [*self.fleet.keepers.hosts, *others],
-                        deadline or 3 * self.fleet.asking.deadline)
+        search = Leader(
+            time.monotonic_ns(),
+            [*self.fleet.keepers.hosts, *others],
+            deadline or 3 * self.fleet.asking.deadline,
+        )
         while search.state is Search.ASKING:
             now = time.monotonic_ns()
             if not (name := search.whom(now)):
@@ -104,8 +114,9 @@
                 continue
             try:
                 left = min(self.fleet.asking.deadline, max(1, search.deadline - now))
-                answer = await asyncio.wait_for(ask_one(self.fleet.host(name).agent, self.key, wish),
-                                                left / SECOND)
+                answer = await asyncio.wait_for(
+                    ask_one(self.fleet.host(name).agent, self.key, wish), left / SECOND
+                )
             except TimeoutError:
                 search.failed(time.monotonic_ns(), name, "did not answer")
             except OSError as error:
--- a/oakkeel/fleet/asking.py
+++ b/oakkeel/fleet/asking.py
@@ -31,7 +31,10 @@
     Asked.ASKED: {Asked.AGAIN, Asked.PAUSED, Asked.ANSWERED, Asked.REFUSED, Asked.FAILED, Asked.LATE},
     Asked.AGAIN: {Asked.PAUSED, Asked.ANSWERED, Asked.REFUSED, Asked.FAILED, Asked.LATE},
     Asked.PAUSED: {Asked.AGAIN, Asked.FAILED, Asked.LATE},
-    Asked.ANSWERED: set(), Asked.REFUSED: set(), Asked.FAILED: set(), Asked.LATE: set(),
+    Asked.ANSWERED: set(),
+    Asked.REFUSED: set(),
+    Asked.FAILED: set(),
+    Asked.LATE: set(),
 }
 OVER = {state for state, then in NEXT.items() if not then}
 
@@ -52,8 +55,17 @@
 class Asking:
     """One question to many. The caller sends what `tick` names, and tells what came of each."""
 
-    def __init__(self, now: int, names: Iterable[str], deadline: int, hedge: int, tries: int, seed: int,
-                 budget: float = 0.2, budget_least: int = 3) -> None:
+    def __init__(
+        self,
+        now: int,
+        names: Iterable[str],
+        deadline: int,
+        hedge: int,
+        tries: int,
+        seed: int,
+        budget: float = 0.2,
+        budget_least: int = 3,
+    ) -> None:
         """`deadline` and `hedge` are nanoseconds; `budget` is the share of agents asked once more."""
         self.targets = {name: Target(name) for name in names}
         self.deadline, self.hedge, self.tries = now + deadline, hedge, max(1, tries)
@@ -85,8 +97,11 @@
 
     def next_at(self) -> int:
         """When `tick` has something to do, should nothing happen before."""
-        at = [target.again_at for target in self.targets.values()
-              if target.state not in OVER and target.sent < self.tries and self.extra]
+        at = [
+            target.again_at
+            for target in self.targets.values()
+            if target.state not in OVER and target.sent < self.tries and self.extra
+        ]
         return min([self.deadline, *at])
 
     def answered(self, now: int, name: str) -> bool:
--- a/oakkeel/fleet/choosing.py
+++ b/oakkeel/fleet/choosing.py
@@ -34,16 +34,23 @@
         for words, field in ((self.names, "name"), (self.sites, "site"), (self.hosts, "host")):
             for word in words:
                 if not any(fnmatch.fnmatchcase(getattr(row, field), word) for row in rows):
-                    raise ChoiceError(f"no instance has the {field} {word!r}" if field == "name" else
-                                      f"there is no {field} {word!r}")
+                    raise ChoiceError(
+                        f"no instance has the {field} {word!r}"
+                        if field == "name"
+                        else f"there is no {field} {word!r}"
+                    )
         return [row for row in rows if self._means(row)]
 
     def _means(self, row: Row) -> bool:
         def fits(words: tuple[str, ...], value: str) -> bool:
             return not words or any(fnmatch.fnmatchcase(value, word) for word in words)
 
-        return (fits(self.names, row.name) and fits(self.sites, row.site) and fits(self.hosts, row.host)
-                and (not self.states or row.state in self.states or row.old and "old" in self.states))
+        return (
+            fits(self.names, row.name)
+            and fits(self.sites, row.site)
+            and fits(self.hosts, row.host)
+            and (not self.states or row.state in self.states or row.old and "old" in self.states)
+        )
 
 
 def by_host(rows: list[Row]) -> dict[str, list[tuple[str, int]]]:
@@ -60,5 +67,8 @@
     sizes = Counter(row.site for row in rows)
     serving = Counter(row.site for row in chosen if not row.out)
     out = Counter(row.site for row in rows if row.out)
-    return [f"{site}: {serving[site]} of {size} would leave, {out[site]} are out already"
-            for site, size in sizes.items() if serving[site] and serving[site] + out[site] > share * size]
+    return [
+        f"{site}: {serving[site]} of {size} would leave, {out[site]} are out already"
+        for site, size in sizes.items()
+        if serving[site] and serving[site] + out[site] > share * size
+    ]
--- a/oakkeel/fleet/following.py
+++ b/oakkeel/fleet/following.py
@@ -32,7 +32,9 @@
     Stand.SENT: {Stand.REFUSED, Stand.NOT_KNOWN, Stand.OPEN, Stand.DONE, Stand.ENDED},
     Stand.NOT_KNOWN: {Stand.OPEN, Stand.DONE, Stand.ENDED, Stand.REFUSED},
     Stand.OPEN: {Stand.DONE, Stand.ENDED},
-    Stand.REFUSED: set(), Stand.DONE: set(), Stand.ENDED: set(),
+    Stand.REFUSED: set(),
+    Stand.DONE: set(),
+    Stand.ENDED: set(),
 }
 OF_PARTS = {"refused": Stand.REFUSED, "waiting": Stand.OPEN, "acting": Stand.OPEN, "done": Stand.DONE}
 
@@ -74,8 +76,10 @@
 
     def wishes(self) -> dict[str, messages.Wish]:
         """What to send to each agent."""
-        return {host: messages.Order(self.ident, self.verb, instances, self.lasts, self.supersede)
-                for host, instances in self.wanted.items()}
+        return {
+            host: messages.Order(self.ident, self.verb, instances, self.lasts, self.supersede)
+            for host, instances in self.wanted.items()
+        }
 
     def answered(self, host: str, answer: messages.Answer) -> None:
         """What an agent said to the order itself, or to being asked about orders later."""
@@ -100,8 +104,13 @@
 
     def to_ask(self) -> list[str]:
         """The hosts with something open, or that may have."""
-        return sorted({part.host for part in self.parts.values()
-                       if part.stand in (Stand.OPEN, Stand.NOT_KNOWN) and part.host in self.wanted})
+        return sorted(
+            {
+                part.host
+                for part in self.parts.values()
+                if part.stand in (Stand.OPEN, Stand.NOT_KNOWN) and part.host in self.wanted
+            }
+        )
 
     @property
     def over(self) -> bool:
@@ -114,8 +123,9 @@
 
     def result(self, waited: bool) -> Result:
         """`waited`: the sender stayed for the end; else what is open by now counts as good."""
-        if any(part.stand in (Stand.NOT_ORDERED, Stand.NOT_KNOWN,
-                              Stand.SENT) for part in self.parts.values()):
+        if any(
+            part.stand in (Stand.NOT_ORDERED, Stand.NOT_KNOWN, Stand.SENT) for part in self.parts.values()
+        ):
             return Result.SOME_SILENT
         good = {Stand.DONE} if waited else {Stand.DONE, Stand.OPEN}
         return Result.DONE if all(part.stand in good for part in self.parts.values()) else Result.SOME_FAILED
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -78,12 +78,30 @@
         fact = self.facts.get(host.name)
         found = fact and next((each for each in fact.told.instances if each.name == instance.name), None)
         if fact is None or not found:
-            return Row(instance.name, host.site, host.name, "unknown", False, -1, -1,
-                       f"agent of {host.name}" if fact else "nobody", None)
+            return Row(
+                instance.name,
+                host.site,
+                host.name,
+                "unknown",
+                False,
+                -1,
+                -1,
+                f"agent of {host.name}" if fact else "nobody",
+                None,
+            )
         age = now - fact.asked_at
         report_age = age + found.heard_age if found.heard_age >= 0 else -1
-        return Row(instance.name, host.site, host.name, found.phase, age > OLD, age, report_age,
-                   f"agent of {host.name}", found)
+        return Row(
+            instance.name,
+            host.site,
+            host.name,
+            found.phase,
+            age > OLD,
+            age,
+            report_age,
+            f"agent of {host.name}",
+            found,
+        )
 
     def notes(self) -> list[str]:
         """What an operator should know beside the rows."""
--- a/oakkeel/interface.py
+++ b/oakkeel/interface.py
@@ -174,8 +174,9 @@
     call_commit: int = 0  # call time booked for a call in flight
     remembered: bool = False
 
-    who: tuple[tuple[int, bytes],
-               ...] = ()  # its senders by level, as keys and labels; told where shares are fair
+    who: tuple[
+        tuple[int, bytes], ...
+    ] = ()  # its senders by level, as keys and labels; told where shares are fair
     sender: Any = None
     promise: Any = None  # that it comes by
     place: Place = Place.FAIR
--- a/oakkeel/lines.py
+++ b/oakkeel/lines.py
@@ -11,8 +11,9 @@
 class LineParser:
     """Takes whole messages out of a read buffer: the words of the line, and the bytes that follow it."""
 
-    def __init__(self, read_buffer: ReadBuffer, with_body: frozenset[tuple[int, bytes]],
-                 most_words: int) -> None:
+    def __init__(
+        self, read_buffer: ReadBuffer, with_body: frozenset[tuple[int, bytes]], most_words: int
+    ) -> None:
         """`with_body` holds place and word of the lines whose last word is a length."""
         self.read_buffer, self.with_body, self.most_words = read_buffer, with_body, most_words
 
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -52,10 +52,13 @@
 
 def console(name: str) -> Callable[[object, str, Event], str]:
     """Lines as `oakkeel n3: the event fact=value ...`; a value with blanks stands in quotes."""
+
     def render(logger: object, method: str, event: Event) -> str:
         said = event.pop("event")
-        return f"oakkeel {name}: " + " ".join([str(said), *(f"{key}={_word(value)}" for key, value
-                                                             in event.items() if value is not None)])
+        return f"oakkeel {name}: " + " ".join(
+            [str(said), *(f"{key}={_word(value)}" for key, value in event.items() if value is not None)]
+        )
+
     return render
 
 
@@ -67,15 +70,18 @@
 class Log:
     """What one process says, by `say`."""
 
-    def __init__(self, name: str, lines_per_s: int, form: str = "console",
-                 stream: TextIO | None = None) -> None:
+    def __init__(
+        self, name: str, lines_per_s: int, form: str = "console", stream: TextIO | None = None
+    ) -> None:
         """`form`: `console` or `json`; `stream`: standard error where none is given."""
         self.stream = stream or sys.stderr
         self.lines = LineBound(lines_per_s)
         processors: list[Any] = []
         if form == "json":
-            processors += [structlog.processors.TimeStamper(fmt="iso", utc=True),
-                           structlog.processors.JSONRenderer(default=str)]
+            processors += [
+                structlog.processors.TimeStamper(fmt="iso", utc=True),
+                structlog.processors.JSONRenderer(default=str),
+            ]
         else:
             processors.append(console(name))
         self.bound = structlog.BoundLogger(self, processors, {"instance": name} if form == "json" else {})
@@ -94,7 +100,8 @@
     def take_others(self, loop: asyncio.AbstractEventLoop) -> None:
         """What the loop and Tornado would write for themselves comes here too, under the same bound."""
         loop.set_exception_handler(
-            lambda _, told: self.say(told["message"], error=repr(told.get("exception"))))
+            lambda _, told: self.say(told["message"], error=repr(told.get("exception")))
+        )
         logging.getLogger().handlers[:] = [OthersHandler(self)]
 
 
--- a/oakkeel/models/changes.py
+++ b/oakkeel/models/changes.py
@@ -15,8 +15,15 @@
     on until it hears of another; "wall": it ends at a time of a clock that may be set back."""
     sent, answered, came, decided, told, exchange = z3.Reals("sent answered came decided told exchange")
     solver = z3.Solver()
-    solver.add(sent >= 0, sent <= answered, answered <= came, answered <= decided, decided <= told,
-               came <= exchange, exchange >= told)
+    solver.add(
+        sent >= 0,
+        sent <= answered,
+        answered <= came,
+        answered <= decided,
+        decided <= told,
+        came <= exchange,
+        exchange >= told,
+    )
 
     def shown(name: str, since, until):
         """What a clock may show to have passed between two moments."""
--- a/oakkeel/models/places.py
+++ b/oakkeel/models/places.py
@@ -17,8 +17,14 @@
     """
     granted, sent, answered, came, begun, lapsed = z3.Reals("granted sent answered came begun lapsed")
     solver = z3.Solver()
-    solver.add(granted >= 0, sent <= answered, granted <= answered, answered <= came, came <= begun,
-               granted <= lapsed)
+    solver.add(
+        granted >= 0,
+        sent <= answered,
+        granted <= answered,
+        answered <= came,
+        came <= begun,
+        granted <= lapsed,
+    )
 
     def passed(name: str, since, until):
         """What a clock may show between two moments."""
@@ -43,7 +49,11 @@
     solver = z3.Solver()
     solver.add(sent >= 0, sent <= heard, heard <= elected, sure >= elected)
     by_leader, by_follower = z3.Reals("by_leader by_follower")
-    solver.add(by_leader >= (sure - sent) * (1 - drift), by_leader <= (sure - sent) * (1 + drift),
-               by_follower >= (elected - heard) * (1 - drift), by_follower <= (elected - heard) * (1 + drift))
+    solver.add(
+        by_leader >= (sure - sent) * (1 - drift),
+        by_leader <= (sure - sent) * (1 + drift),
+        by_follower >= (elected - heard) * (1 - drift),
+        by_follower <= (elected - heard) * (1 + drift),
+    )
     solver.add(by_leader < lease, by_follower >= least)
     return solver.check() == z3.sat
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -13,9 +13,19 @@
 TRIES = 2
 # State of the release, whether it goes back, the thing that is out (0: none), versions, tries.
 State = tuple[str, bool, int, str, str, int]
-OPERATOR = {("running", "paused"), ("paused", "running"), ("running", "halted"), ("paused", "halted"),
-            ("halted", "running"), ("halted", "undoing"), ("undoing", "halted"), ("running", "undoing"),
-            ("paused", "undoing"), ("halted", "left"), ("preparing", "left")}
+OPERATOR = {
+    ("running", "paused"),
+    ("paused", "running"),
+    ("running", "halted"),
+    ("paused", "halted"),
+    ("halted", "running"),
+    ("halted", "undoing"),
+    ("undoing", "halted"),
+    ("running", "undoing"),
+    ("paused", "undoing"),
+    ("halted", "left"),
+    ("preparing", "left"),
+}
 ENDS = ("done", "undone", "left", "halted", "paused")
 
 
@@ -62,13 +72,22 @@
         name, back, out, one, two, tries = state
         for was, to in OPERATOR:
             if was == name and not (to == "running" and back):
-                ahead.append((to, back or to == "undoing", out, one, two,
-                              0 if (was, to) != ("running", "paused") else tries))
+                ahead.append(
+                    (
+                        to,
+                        back or to == "undoing",
+                        out,
+                        one,
+                        two,
+                        0 if (was, to) != ("running", "paused") else tries,
+                    )
+                )
     return found
 
 
-MOVES = OPERATOR | {(state[0], after[0]) for state in reached() for after in steps(state)
-                    if state[0] != after[0]}
+MOVES = OPERATOR | {
+    (state[0], after[0]) for state in reached() for after in steps(state) if state[0] != after[0]
+}
 
 
 def stuck() -> list[State]:
@@ -97,8 +116,10 @@
     names = ("fence", "step", "fence0", "fence1", "knows0", "knows1", "way0", "way1", "under0", "under1")
     states = [{name: z3.Int(f"{name}.{number}") for name in names} for number in range(count + 1)]
     bad = [z3.Bool(f"bad.{number}") for number in range(count + 1)]
-    solver.add(*[value == (1 if name in ("fence", "fence0") else 0) for name, value in states[0].items()],
-               z3.Not(bad[0]))
+    solver.add(
+        *[value == (1 if name in ("fence", "fence0") else 0) for name, value in states[0].items()],
+        z3.Not(bad[0]),
+    )
     for number in range(count):
         a, b = states[number], states[number + 1]
 
@@ -107,12 +128,24 @@
 
         moves = []
         for who in "01":
-            moves.append(z3.And(b["fence"] == a["fence"] + 1, b["fence" + who] == a["fence"] + 1,
-                                b["knows" + who] == a["step"], *same("fence", "fence" + who, "knows" + who),
-                                bad[number + 1] == bad[number]))  # the lease goes over
-            moves.append(z3.And(a["fence" + who] > 0, b["way" + who] == a["knows" + who] + 1,
-                                b["under" + who] == a["fence" + who], *same("way" + who, "under" + who),
-                                bad[number + 1] == bad[number]))  # it proposes the next step
+            moves.append(
+                z3.And(
+                    b["fence"] == a["fence"] + 1,
+                    b["fence" + who] == a["fence"] + 1,
+                    b["knows" + who] == a["step"],
+                    *same("fence", "fence" + who, "knows" + who),
+                    bad[number + 1] == bad[number],
+                )
+            )  # the lease goes over
+            moves.append(
+                z3.And(
+                    a["fence" + who] > 0,
+                    b["way" + who] == a["knows" + who] + 1,
+                    b["under" + who] == a["fence" + who],
+                    *same("way" + who, "under" + who),
+                    bad[number + 1] == bad[number],
+                )
+            )  # it proposes the next step
             holds = [a["way" + who] > 0]
             if "fence" in rules:
                 holds.append(a["under" + who] == a["fence"])
@@ -120,8 +153,9 @@
                 holds.append(a["way" + who] == a["step"] + 1)
             wrong = z3.Or(a["under" + who] != a["fence"], a["way" + who] <= a["step"])
             step = z3.If(a["way" + who] > a["step"], a["way" + who], a["step"])
-            moves.append(z3.And(*holds, b["step"] == step,
-                                *same("step"), bad[number + 1] == z3.Or(bad[number], wrong)))  # it is taken
+            moves.append(
+                z3.And(*holds, b["step"] == step, *same("step"), bad[number + 1] == z3.Or(bad[number], wrong))
+            )  # it is taken
         solver.add(z3.Or(*moves))
     solver.add(bad[count])
     return solver.check() == z3.sat
@@ -155,8 +189,12 @@
             if way[who]:
                 at, thing = way[who]
                 left = ((), way[1]) if who == 0 else (way[0], ())
-                holds = (("step" not in rules or at == step) and ("one batch" not in rules or batch < 0)
-                         and thing not in out and ("places" not in rules or len(out) < bound))
+                holds = (
+                    ("step" not in rules or at == step)
+                    and ("one batch" not in rules or batch < 0)
+                    and thing not in out
+                    and ("places" not in rules or len(out) < bound)
+                )
                 ahead.append((step, saw, left, batch, out))  # refused, or lost on its way
                 if holds:
                     ahead.append((step + 1, saw, left, thing, out | {thing}))
--- a/oakkeel/models/votes.py
+++ b/oakkeel/models/votes.py
@@ -29,8 +29,13 @@
         self.agreed = ints("agreed", LENGTH)  # the term of the entry agreed there; 0: none
 
     def all(self) -> list:
-        return [*self.term, *self.voted, *(each for log in self.log for each in log), *self.leads,
-                *self.agreed]
+        return [
+            *self.term,
+            *self.voted,
+            *(each for log in self.log for each in log),
+            *self.leads,
+            *self.agreed,
+        ]
 
 
 def same(before: list, after: list, but: Iterable[int] = ()) -> list:
@@ -50,9 +55,12 @@
     term = b.leads[who]
     wants = [term > a.term[who], term <= 4]
     for voter in voters:
-        current = z3.Or(last_term(a.log[who]) > last_term(a.log[voter]),
-                        z3.And(last_term(a.log[who]) == last_term(a.log[voter]),
-                               length(a.log[who]) >= length(a.log[voter])))
+        current = z3.Or(
+            last_term(a.log[who]) > last_term(a.log[voter]),
+            z3.And(
+                last_term(a.log[who]) == last_term(a.log[voter]), length(a.log[who]) >= length(a.log[voter])
+            ),
+        )
         free = z3.Or(term > a.term[voter], z3.And(term == a.term[voter], a.voted[voter] == -1))
         if "one vote" in rules:
             wants.append(free)
@@ -61,51 +69,86 @@
         if "current log" in rules:
             wants.append(current)
         wants += [b.term[voter] == term, b.voted[voter] == who]
-    return z3.And(*wants, *same(a.voted, b.voted, voters), *same(a.term, b.term, voters),
-                  *same(a.leads, b.leads, [who]),
-                  *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])),
-                  *same(a.agreed, b.agreed))
+    return z3.And(
+        *wants,
+        *same(a.voted, b.voted, voters),
+        *same(a.term, b.term, voters),
+        *same(a.leads, b.leads, [who]),
+        *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])),
+        *same(a.agreed, b.agreed),
+    )
 
 
 def forgot(a: State, b: State, who: int):
     """One loses the file with its vote, and stays the same to all others."""
-    return z3.And(b.voted[who] == -1, *same(a.voted, b.voted, [who]), *same(a.term, b.term),
-                  *same(a.leads, b.leads), *same(a.agreed, b.agreed),
-                  *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])))
+    return z3.And(
+        b.voted[who] == -1,
+        *same(a.voted, b.voted, [who]),
+        *same(a.term, b.term),
+        *same(a.leads, b.leads),
+        *same(a.agreed, b.agreed),
+        *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])),
+    )
 
 
 def appended(a: State, b: State, who: int):
     place = length(a.log[who])
     log = [z3.If(place == index, a.leads[who], a.log[who][index]) for index in range(LENGTH)]
-    return z3.And(a.leads[who] > 0, a.leads[who] == a.term[who], place < LENGTH,
-                  *[b.log[who][index] == log[index] for index in range(LENGTH)],
-                  *(each for keeper in range(KEEPERS) if keeper != who
-                    for each in same(a.log[keeper], b.log[keeper])),
-                  *same(a.term, b.term), *same(a.voted, b.voted), *same(a.leads, b.leads),
-                  *same(a.agreed, b.agreed))
+    return z3.And(
+        a.leads[who] > 0,
+        a.leads[who] == a.term[who],
+        place < LENGTH,
+        *[b.log[who][index] == log[index] for index in range(LENGTH)],
+        *(each for keeper in range(KEEPERS) if keeper != who for each in same(a.log[keeper], b.log[keeper])),
+        *same(a.term, b.term),
+        *same(a.voted, b.voted),
+        *same(a.leads, b.leads),
+        *same(a.agreed, b.agreed),
+    )
 
 
 def copied(a: State, b: State, who: int, to: int):
     """A follower takes the leader's whole log, which is what appends come to in the end."""
-    return z3.And(a.leads[who] > 0, a.leads[who] == a.term[who], a.term[to] <= a.leads[who],
-                  *[b.log[to][index] == a.log[who][index] for index in range(LENGTH)],
-                  *(each for keeper in range(KEEPERS) if keeper != to
-                    for each in same(a.log[keeper], b.log[keeper])),
-                  b.term[to] == a.leads[who],
-                  b.voted[to] == z3.If(a.term[to] == a.leads[who], a.voted[to], -1),
-                  b.leads[to] == 0, *same(a.term, b.term, [to]), *same(a.voted, b.voted, [to]),
-                  *same(a.leads, b.leads, [to]), *same(a.agreed, b.agreed))
+    return z3.And(
+        a.leads[who] > 0,
+        a.leads[who] == a.term[who],
+        a.term[to] <= a.leads[who],
+        *[b.log[to][index] == a.log[who][index] for index in range(LENGTH)],
+        *(each for keeper in range(KEEPERS) if keeper != to for each in same(a.log[keeper], b.log[keeper])),
+        b.term[to] == a.leads[who],
+        b.voted[to] == z3.If(a.term[to] == a.leads[who], a.voted[to], -1),
+        b.leads[to] == 0,
+        *same(a.term, b.term, [to]),
+        *same(a.voted, b.voted, [to]),
+        *same(a.leads, b.leads, [to]),
+        *same(a.agreed, b.agreed),
+    )
 
 
 def agreed(a: State, b: State, who: int, index: int, quorum: set[int], rules: set[str]):
-    kept = [z3.And(a.log[keeper][index] == a.log[who][index], a.term[keeper] == a.leads[who])
-            for keeper in quorum]
+    kept = [
+        z3.And(a.log[keeper][index] == a.log[who][index], a.term[keeper] == a.leads[who]) for keeper in quorum
+    ]
     own = [a.log[who][index] == a.leads[who]] if "own term" in rules else [a.log[who][index] > 0]
-    return z3.And(a.leads[who] > 0, a.leads[who] == a.term[who], *kept, *own,
-                  *[b.agreed[place] == (z3.If(a.agreed[place] == 0, a.log[who][place], a.agreed[place])
-                                        if place <= index else a.agreed[place]) for place in range(LENGTH)],
-                  *same(a.term, b.term), *same(a.voted, b.voted), *same(a.leads, b.leads),
-                  *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])))
+    return z3.And(
+        a.leads[who] > 0,
+        a.leads[who] == a.term[who],
+        *kept,
+        *own,
+        *[
+            b.agreed[place]
+            == (
+                z3.If(a.agreed[place] == 0, a.log[who][place], a.agreed[place])
+                if place <= index
+                else a.agreed[place]
+            )
+            for place in range(LENGTH)
+        ],
+        *same(a.term, b.term),
+        *same(a.voted, b.voted),
+        *same(a.leads, b.leads),
+        *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])),
+    )
 
 
 RULES = {"one vote", "current log", "own term"}
@@ -113,21 +156,30 @@
 
 def steps_of(a: State, b: State, rules: set[str]):
     everyone = range(KEEPERS)
-    return z3.Or(*[elected(a, b, who, voters, rules) for who in everyone for voters in QUORUMS
-                   if who in voters],
-                 *([forgot(a, b, who) for who in everyone] if "forgets" in rules else []),
-                 *[appended(a, b, who) for who in everyone],
-                 *[copied(a, b, who, to) for who in everyone for to in everyone if to != who],
-                 *[agreed(a, b, who, index, quorum, rules) for who in everyone for index in range(LENGTH)
-                   for quorum in QUORUMS if who in quorum])
+    return z3.Or(
+        *[elected(a, b, who, voters, rules) for who in everyone for voters in QUORUMS if who in voters],
+        *([forgot(a, b, who) for who in everyone] if "forgets" in rules else []),
+        *[appended(a, b, who) for who in everyone],
+        *[copied(a, b, who, to) for who in everyone for to in everyone if to != who],
+        *[
+            agreed(a, b, who, index, quorum, rules)
+            for who in everyone
+            for index in range(LENGTH)
+            for quorum in QUORUMS
+            if who in quorum
+        ],
+    )
 
 
 def runs(count: int, rules: set[str]) -> tuple[z3.Solver, list[State]]:
     solver = z3.Solver()
     states = [State(f"s{number}") for number in range(count + 1)]
     first = states[0]
-    solver.add(*[each == 0 for each in (*first.term, *first.leads, *first.agreed)],
-               *[each == -1 for each in first.voted], *[each == 0 for log in first.log for each in log])
+    solver.add(
+        *[each == 0 for each in (*first.term, *first.leads, *first.agreed)],
+        *[each == -1 for each in first.voted],
+        *[each == 0 for log in first.log for each in log],
+    )
     for a, b in zip(states, states[1:], strict=False):
         solver.add(steps_of(a, b, rules))
     return solver, states
@@ -136,9 +188,18 @@
 def two_leaders(count: int, rules: set[str]) -> bool:
     """Whether some run of so many steps has two leaders in one term."""
     solver, states = runs(count, rules)
-    solver.add(z3.Or(*[z3.And(a.leads[one] > 0, a.leads[one] == b.leads[other])
-                       for number, a in enumerate(states) for b in states[number:]
-                       for one in range(KEEPERS) for other in range(KEEPERS) if one != other]))
+    solver.add(
+        z3.Or(
+            *[
+                z3.And(a.leads[one] > 0, a.leads[one] == b.leads[other])
+                for number, a in enumerate(states)
+                for b in states[number:]
+                for one in range(KEEPERS)
+                for other in range(KEEPERS)
+                if one != other
+            ]
+        )
+    )
     return solver.check() == z3.sat
 
 
@@ -146,8 +207,16 @@
     """Whether some run ends with a leader that lacks what was agreed before its term, or has it otherwise."""
     solver, states = runs(count, rules)
     end = states[-1]
-    lacks = [z3.And(end.leads[who] > 0, end.leads[who] == end.term[who], end.agreed[index] > 0,
-                    end.log[who][index] != end.agreed[index], end.leads[who] > end.agreed[index])
-             for who in range(KEEPERS) for index in range(LENGTH)]
+    lacks = [
+        z3.And(
+            end.leads[who] > 0,
+            end.leads[who] == end.term[who],
+            end.agreed[index] > 0,
+            end.log[who][index] != end.agreed[index],
+            end.leads[who] > end.agreed[index],
+        )
+        for who in range(KEEPERS)
+        for index in range(LENGTH)
+    ]
     solver.add(z3.Or(*lacks))
     return solver.check() == z3.sat
--- a/oakkeel/node/assembly.py
+++ b/oakkeel/node/assembly.py
@@ -46,8 +46,9 @@
         self.engine = EngineLink(start.engine, self.pool, bounds, self.log, self._engine_up)
         self.catalogue = Catalogue(start.catalogue, self.pool, bounds, self.log)
         self.results = ResultCache(bounds, start.limits.fresh)
-        self.host = NodeHost(start, self.engine, self.listener, self.reports, self.results, self.measures,
-                             self.log)
+        self.host = NodeHost(
+            start, self.engine, self.listener, self.reports, self.results, self.measures, self.log
+        )
         self.draining = Drain(self, start.limits.drain_grace, bounds.stop_after)
         self.fairly = None
         if start.limits.fair:
@@ -59,8 +60,9 @@
             from oakkeel.node.controlled import open_control  # it brings libraries that a plain node spares
 
             self.control = open_control(self)
-        self.handler = ExchangeHandler(self.host, self.engine, self.catalogue, self.results, self.measures,
-                                       self.log)
+        self.handler = ExchangeHandler(
+            self.host, self.engine, self.catalogue, self.results, self.measures, self.log
+        )
 
     async def run(self) -> None:
         """From the start to the end of the drain."""
@@ -102,10 +104,10 @@
         if self.fairly:
             self.fairly.begin()
             who = self.fairly.keys.who
-        self.reader = ExchangeReader(self.start.limits, self.start.groups, self.start.tenants, self.bounds,
-                                     who=who)
-        self.log.say("the engine is up", state="cold" if cold else "steady",
-                     age_s=round(age / SECOND, 1))
+        self.reader = ExchangeReader(
+            self.start.limits, self.start.groups, self.start.tenants, self.bounds, who=who
+        )
+        self.log.say("the engine is up", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
     def stay(self) -> None:
         """A drain was taken back: take exchanges, where the engine came up meanwhile."""
--- a/oakkeel/node/controlled.py
+++ b/oakkeel/node/controlled.py
@@ -30,21 +30,32 @@
         node.measures.watch = self._answered
 
     def _answered(self, ex: LiveExchange, word: bytes) -> None:
-        self.outcomes.answered(time.monotonic_ns(), ex, ex.group_name.decode(errors="replace")[:64],
-                               word == codec.COMPLETED)
+        self.outcomes.answered(
+            time.monotonic_ns(), ex, ex.group_name.decode(errors="replace")[:64], word == codec.COMPLETED
+        )
 
     def report(self, tag: int) -> Report:
         node, now = self.node, time.monotonic_ns()
         host, port = node.listener.address
         report = Report(
-            tag=tag, name=node.start.name, pid=os.getpid(), generation=node.start.generation,
-            state=self._state(now), address=f"{host}:{port}", uptime=now - self.started,
-            resident_kb=resident() // 1024, descriptors=descriptors(),
-            connections=len(node.listener.connections), owes=len(node.open), cpu=time.process_time_ns(),
+            tag=tag,
+            name=node.start.name,
+            pid=os.getpid(),
+            generation=node.start.generation,
+            state=self._state(now),
+            address=f"{host}:{port}",
+            uptime=now - self.started,
+            resident_kb=resident() // 1024,
+            descriptors=descriptors(),
+            connections=len(node.listener.connections),
+            owes=len(node.open),
+            cpu=time.process_time_ns(),
             completed=node.measures.total.get(codec.COMPLETED, 0),
             denied=node.measures.total.get(codec.DENIED, 0),
             terminated=node.measures.total.get(codec.TERMINATED, 0),
-            version=self.version, load=round(node.host.gauges.core_busy, 4), benefit=self.outcomes.benefit,
+            version=self.version,
+            load=round(node.host.gauges.core_busy, 4),
+            benefit=self.outcomes.benefit,
             times=self.outcomes.times,
         )
         if node.host.gauges_at:
@@ -57,8 +68,13 @@
             report.runs = keel.count[State.RUNNING] + keel.count[State.ORPHANED]
             report.calls = keel.count[State.AT_CALL] + keel.count[State.CALLING]
         if node.draining:
-            report.owes_by = dict(Counter(ex.group_name.decode(errors="replace") for each in
-                                          node.listener.connections for ex in each.open.values()))
+            report.owes_by = dict(
+                Counter(
+                    ex.group_name.decode(errors="replace")
+                    for each in node.listener.connections
+                    for ex in each.open.values()
+                )
+            )
         return report
 
     def clients(self, tag: int, most: int) -> ClientsTold:
--- a/oakkeel/node/fairly.py
+++ b/oakkeel/node/fairly.py
@@ -48,8 +48,11 @@
         fair = self.node.host.keel.fair
         if self.found and fair:
             state.take_up(self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises)
-            self.node.log.say("the snapshot of shares is taken", senders=len(fair.levels.tables[-1].senders),
-                              promises=fair.promises.count)
+            self.node.log.say(
+                "the snapshot of shares is taken",
+                senders=len(fair.levels.tables[-1].senders),
+                promises=fair.promises.count,
+            )
         self.found = None
         if self.path:
             self._keep_again()
@@ -64,9 +67,17 @@
         if not self.path or fair is None:
             return
         try:
-            snapshot.write(self.path,
-                           state.kept(time.monotonic_ns(), time.time_ns(), self.rules.by, self.secret,
-                                                 fair.levels, fair.promises))
+            snapshot.write(
+                self.path,
+                state.kept(
+                    time.monotonic_ns(),
+                    time.time_ns(),
+                    self.rules.by,
+                    self.secret,
+                    fair.levels,
+                    fair.promises,
+                ),
+            )
         except OSError as error:
             self.node.log.say("the snapshot of shares can't be written", error=str(error))
 
@@ -92,11 +103,25 @@
         total = table.total(now) or 1.0
         heaviest = sorted(table.senders.values(), key=lambda each: -table.rate(now, each))[:most]
         return ClientsTold(
-            tag, list(self.rules.by), len(table.senders), table.error(now) / total, promises.count,
+            tag,
+            list(self.rules.by),
+            len(table.senders),
+            table.error(now) / total,
+            promises.count,
             promises.made,
-            promises.kept, promises.broken, promises.lapsed,
-            [ClientTold(_path(each), table.rate(now, each) / total, table.retry_rate(now, each) / total,
-                        min(1.0, each.allowed / max(1e-9, table.rate(now, each)))) for each in heaviest])
+            promises.kept,
+            promises.broken,
+            promises.lapsed,
+            [
+                ClientTold(
+                    _path(each),
+                    table.rate(now, each) / total,
+                    table.retry_rate(now, each) / total,
+                    min(1.0, each.allowed / max(1e-9, table.rate(now, each))),
+                )
+                for each in heaviest
+            ],
+        )
 
 
 def _path(sender: Sender) -> str:
--- a/oakkeel/node/handler.py
+++ b/oakkeel/node/handler.py
@@ -18,8 +18,15 @@
 
 
 class ExchangeHandler:
-    def __init__(self, host: NodeHost, engine: EngineLink, catalogue: Catalogue, results: ResultCache,
-                 measures: Measures, log: Log) -> None:
+    def __init__(
+        self,
+        host: NodeHost,
+        engine: EngineLink,
+        catalogue: Catalogue,
+        results: ResultCache,
+        measures: Measures,
+        log: Log,
+    ) -> None:
         self.host, self.engine, self.catalogue, self.results = host, engine, catalogue, results
         self.measures, self.log = measures, log
 
@@ -117,8 +124,9 @@
     def _deny(self, ex: LiveExchange) -> None:
         self._answer(ex, codec.DENIED, retry_after=self.host.keel.return_after())
 
-    def _answer(self, ex: LiveExchange, word: bytes, body: bytes = b"", last: bool = False,
-                retry_after: int = 0) -> None:
+    def _answer(
+        self, ex: LiveExchange, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+    ) -> None:
         """The one place that answers; what was answered, or whose caller is gone, is not answered again."""
         if not ex.answered:
             ex.answered = True
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -22,8 +22,16 @@
 class NodeHost:
     """Carries out what `Keel` asks, and brings it the time, the timers and the gauges."""
 
-    def __init__(self, start: Start, engine: EngineLink, listener: Listener, reports: Reports,
-                 results: ResultCache, measures: Measures, log: Log) -> None:
+    def __init__(
+        self,
+        start: Start,
+        engine: EngineLink,
+        listener: Listener,
+        reports: Reports,
+        results: ResultCache,
+        measures: Measures,
+        log: Log,
+    ) -> None:
         self.engine, self.listener, self.reports, self.results = engine, listener, reports, results
         self.start, self.measures, self.log = start, measures, log
         self.loop = asyncio.get_running_loop()
--- a/oakkeel/node/outcomes.py
+++ b/oakkeel/node/outcomes.py
@@ -28,8 +28,10 @@
         if completed:
             brought = ex.group.benefit / self.most * (1.0 if now <= ex.slo_end else ex.group.late_share)
             if group in self.times or len(self.times) < MOST_GROUPS:
-                _add(self.times.setdefault(group, [0.0, 0.0, 0.0]),
-                     math.log(max(1e-6, (now - ex.arrived) / SECOND)))
+                _add(
+                    self.times.setdefault(group, [0.0, 0.0, 0.0]),
+                    math.log(max(1e-6, (now - ex.arrived) / SECOND)),
+                )
         _add(self.benefit, brought)
 
 
--- a/oakkeel/node/results.py
+++ b/oakkeel/node/results.py
@@ -15,11 +15,22 @@
 class CachedResult:
     """One exchange that may be repeated: under way, or over with its outcome and result."""
 
-    __slots__ = ("key", "until", "dropped", "once", "body", "outcome", "result", "ended", "followers",
-                 "before")
-
-    def __init__(self, key: Key, ex: LiveExchange, now: int, duration: int,
-                 before: CachedResult | None) -> None:
+    __slots__ = (
+        "key",
+        "until",
+        "dropped",
+        "once",
+        "body",
+        "outcome",
+        "result",
+        "ended",
+        "followers",
+        "before",
+    )
+
+    def __init__(
+        self, key: Key, ex: LiveExchange, now: int, duration: int, before: CachedResult | None
+    ) -> None:
         """`duration` in nanoseconds: of what may run once from its arrival at the machine, of a read from
         now."""
         self.key, self.once = key, ex.group.once
@@ -62,8 +73,11 @@
         cached = self.results.get(ex.key) if ex.key else None
         if cached is None or now - ex.backlog >= cached.until:
             return False
-        if not cached.once and cached.outcome is not None and (
-                cached.outcome is not Outcome.COMPLETED or now - cached.ended > self.fresh):
+        if (
+            not cached.once
+            and cached.outcome is not None
+            and (cached.outcome is not Outcome.COMPLETED or now - cached.ended > self.fresh)
+        ):
             return False
         ex.earlier = cached
         return True
--- a/oakkeel/node/start.py
+++ b/oakkeel/node/start.py
@@ -90,8 +90,9 @@
         weights = {str(name).encode(): float(value) for name, value in told["weights"].items()}
         if not 1 <= len(told["by"]) <= 2 or not all(0 < value < 1e6 for value in weights.values()):
             fail("the operator's settings name no senders, or a weight that can't be")
-        return FairRules(tuple(told["by"]), weights, int(told["places"]), int(told["promises"]),
-                         int(told["half"])), str(told["snapshot"])
+        return FairRules(
+            tuple(told["by"]), weights, int(told["places"]), int(told["promises"]), int(told["half"])
+        ), str(told["snapshot"])
     except (OSError, KeyError, TypeError, ValueError) as error:
         raise LimitsError(f"the operator's settings can't be used: {error}") from None
 
--- a/oakkeel/places/commands.py
+++ b/oakkeel/places/commands.py
@@ -114,8 +114,22 @@
     fence: int
 
 
-Command = (Lay | Order | Halt | Cancel | Grant | Began | Over | Lapse | Ended | Expire | Reserve | Keepers
-           | Hold | Release)
+Command = (
+    Lay
+    | Order
+    | Halt
+    | Cancel
+    | Grant
+    | Began
+    | Over
+    | Lapse
+    | Ended
+    | Expire
+    | Reserve
+    | Keepers
+    | Hold
+    | Release
+)
 _commands = msgspec.msgpack.Decoder(Command)
 
 
--- a/oakkeel/places/granting.py
+++ b/oakkeel/places/granting.py
@@ -114,8 +114,14 @@
         if known and (echo <= known.echo if poll.life != known.life else poll.count < known.count):
             return []
         told = {each.name: each.up for each in poll.things}
-        self.hosts[poll.host] = host = Heard(poll.life, poll.count, now, told, {
-            each.name: each.owes for each in poll.things if each.owes}, echo)
+        self.hosts[poll.host] = host = Heard(
+            poll.life,
+            poll.count,
+            now,
+            told,
+            {each.name: each.owes for each in poll.things if each.owes},
+            echo,
+        )
         if known is None or known.told != told or now - known.at > self.terms.silent:
             self._believe(poll.host, host)
         wanted: list[commands.Command] = []
@@ -127,15 +133,24 @@
             began = each.begun == place.fence
             if began and not place.out:
                 wanted.append(commands.Began(each.name, place.fence))
-            if began and each.back and each.up or each.given == place.fence or not began and (
-                    0 < place.lapsed <= poll.heard):
+            if (
+                began
+                and each.back
+                and each.up
+                or each.given == place.fence
+                or not began
+                and (0 < place.lapsed <= poll.heard)
+            ):
                 wanted.append(commands.Over(each.name, place.fence))
         for part in poll.ended:
             order = held.orders.get(part.ident)
             if order and part.thing in order.parts and order.parts[part.thing].state in OPEN:
                 wanted.append(commands.Ended(part.ident, part.thing, part.how, part.why[:200]))
-        upto = {thing: number for thing, number in poll.reserve.items()
-                if self.host_of.get(thing) == poll.host and number > held.generations.get(thing, 0)}
+        upto = {
+            thing: number
+            for thing, number in poll.reserve.items()
+            if self.host_of.get(thing) == poll.host and number > held.generations.get(thing, 0)
+        }
         if upto:
             wanted.append(commands.Reserve(poll.host, upto))
         return self._propose(wanted)
@@ -261,8 +276,11 @@
 
     def _grant(self, order: Order, things: list[str]) -> list[commands.Command]:
         # What is out by itself takes no room. Where there is none, it must not have come up when it is used.
-        down = any(self.out.counts[name] > self.out.groups[name].bound
-                   for thing in things for name in self.out.of.get(thing, ()))
+        down = any(
+            self.out.counts[name] > self.out.groups[name].bound
+            for thing in things
+            for name in self.out.of.get(thing, ())
+        )
         for thing in things:
             self.out.put(thing, ASKED)
         return [commands.Grant(order.ident, things, down)]
@@ -288,23 +306,53 @@
                 order = held.orders.get(place.ident)
                 left = self.granted.setdefault(place.fence, now) + self.terms.good - now
                 halted = order is None or order.halted
-                places.append(PlaceTold(thing, place.ident, place.fence, place.out,
-                                        0 if halted or place.lapsed else max(0, left), place.down))
+                places.append(
+                    PlaceTold(
+                        thing,
+                        place.ident,
+                        place.fence,
+                        place.out,
+                        0 if halted or place.lapsed else max(0, left),
+                        place.down,
+                    )
+                )
         known = self.orders_of.get(host, [])
         for ident in list(known):
             order = held.orders.get(ident)
-            parts = [(thing, order.parts[thing].generation, order.parts[thing].state)
-                     for thing in here if thing in order.parts] if order else []
+            parts = (
+                [
+                    (thing, order.parts[thing].generation, order.parts[thing].state)
+                    for thing in here
+                    if thing in order.parts
+                ]
+                if order
+                else []
+            )
             placed = any(thing in held.places and held.places[thing].ident == ident for thing, _, _ in parts)
             if order is None or not placed and not any(state in OPEN for _, _, state in parts):
                 known.remove(ident)  # what is over here stays so
                 continue
             left = self.orders_at.get(ident, now) + order.lasts - now
-            orders.append(OrderTold(ident, order.operator, order.verb, order.unix, max(0, left), order.halted,
-                                    order.cancelled, parts))
-        return Agreed(epoch, self.ledger.index, places, orders,
-                      {thing: held.generations[thing] for thing in here if thing in held.generations},
-                      stamp=(self.nonce, now))
+            orders.append(
+                OrderTold(
+                    ident,
+                    order.operator,
+                    order.verb,
+                    order.unix,
+                    max(0, left),
+                    order.halted,
+                    order.cancelled,
+                    parts,
+                )
+            )
+        return Agreed(
+            epoch,
+            self.ledger.index,
+            places,
+            orders,
+            {thing: held.generations[thing] for thing in here if thing in held.generations},
+            stamp=(self.nonce, now),
+        )
 
 
 def _things(command: commands.Command) -> list[str]:
--- a/oakkeel/places/holding.py
+++ b/oakkeel/places/holding.py
@@ -42,8 +42,9 @@
         self.changed: set[str] = set()
         self.why = ""  # the last answer was not taken
 
-    def restore(self, epoch: str, rows: list[tuple[str, int, str, bool]],
-                generations: dict[str, int]) -> None:
+    def restore(
+        self, epoch: str, rows: list[tuple[str, int, str, bool]], generations: dict[str, int]
+    ) -> None:
         """What was kept: thing, fence, order, and whether it was begun; generations that may be used."""
         self.epoch, self.generations = epoch, dict(generations)
         for thing, fence, ident, begun in rows:
@@ -51,8 +52,14 @@
             if begun:
                 self.places[thing] = Held(thing, ident, fence, 0, True)
 
-    def poll(self, now: int, up: dict[str, bool], ended: list[PartTold], reserve: dict[str, int],
-             owes: dict[str, str] | None = None) -> Poll:
+    def poll(
+        self,
+        now: int,
+        up: dict[str, bool],
+        ended: list[PartTold],
+        reserve: dict[str, int],
+        owes: dict[str, str] | None = None,
+    ) -> Poll:
         self.count += 1
         things = []
         for thing in self.things:
@@ -62,8 +69,9 @@
                 told.begun = held.fence if held.begun else 0
                 told.back, told.given = held.back, held.fence if held.given else 0
             things.append(told)
-        wanted = {thing: number for thing, number in reserve.items()
-                  if number > self.generations.get(thing, 0)}
+        wanted = {
+            thing: number for thing, number in reserve.items() if number > self.generations.get(thing, 0)
+        }
         return Poll(self.host, self.life, self.count, self.heard, things, ended, wanted, b"", self.stamp)
 
     def answered(self, now: int, sent_at: int, answer: Agreed) -> bool:
@@ -76,13 +84,17 @@
             self.why = "an older state than was told before"
             return False
         self.epoch, self.heard, self.told, self.why = answer.epoch, answer.index, True, ""
-        self.changed |= {thing for thing, upto in answer.generations.items()
-                         if self.generations.get(thing) != upto}
+        self.changed |= {
+            thing for thing, upto in answer.generations.items() if self.generations.get(thing) != upto
+        }
         self.generations.update(answer.generations)
         self.orders = {order.ident: order for order in answer.orders}
         told = {place.thing: place for place in answer.places if place.thing in self.things}
-        for thing in [thing for thing, held in self.places.items()
-                      if thing not in told or told[thing].fence > held.fence]:
+        for thing in [
+            thing
+            for thing, held in self.places.items()
+            if thing not in told or told[thing].fence > held.fence
+        ]:
             del self.places[thing]  # it is over, or lapsed: nothing may be begun by it
             self.changed.add(thing)
         for thing, place in told.items():
@@ -105,8 +117,12 @@
     def may_begin(self, now: int, thing: str, ident: str, runs: bool = True) -> bool:
         """`runs`: a process of it is there, for all that is known."""
         held = self.places.get(thing)
-        return bool(held and held.ident == ident and not held.given and (
-            held.begun or now < held.until and not (held.down and runs)))
+        return bool(
+            held
+            and held.ident == ident
+            and not held.given
+            and (held.begun or now < held.until and not (held.down and runs))
+        )
 
     def fresh(self, now: int, thing: str, ident: str) -> bool:
         """It was begun, and there is still time to tell the thing so."""
--- a/oakkeel/places/layout.py
+++ b/oakkeel/places/layout.py
@@ -64,13 +64,19 @@
     def against(self, things: list[str]) -> str:
         """What keeps these from being taken out as well; empty where nothing does."""
         more: dict[str, int] = {}
-        news = {each for thing in things for each in (thing, *self.layout.hanging.get(thing, ()))
-                if each not in self.reasons}
+        news = {
+            each
+            for thing in things
+            for each in (thing, *self.layout.hanging.get(thing, ()))
+            if each not in self.reasons
+        }
         for thing in news:
             for name in self.of.get(thing, ()):
                 more[name] = more.get(name, 0) + 1
         for name, count in more.items():
             if self.counts[name] + count > self.groups[name].bound:
-                return (f"{name}: {self.counts[name]} out, {count} more would pass its bound of"
-                        f" {self.groups[name].bound}")
+                return (
+                    f"{name}: {self.counts[name]} out, {count} more would pass its bound of"
+                    f" {self.groups[name].bound}"
+                )
         return ""
--- a/oakkeel/places/ledger.py
+++ b/oakkeel/places/ledger.py
@@ -29,8 +29,12 @@
 # Of a part. waiting: for a place; out: begun.
 OPEN = ("waiting", "granted", "out")
 ENDS = {"done", "failed", "refused", "halted", "cancelled", "expired"}
-NEXT = {"waiting": {"granted", "out"} | ENDS, "granted": {"out", "waiting"} | ENDS, "out": ENDS,
-        **{state: set() for state in ENDS}}
+NEXT = {
+    "waiting": {"granted", "out"} | ENDS,
+    "granted": {"out", "waiting"} | ENDS,
+    "out": ENDS,
+    **{state: set() for state in ENDS},
+}
 
 
 class Order(msgspec.Struct, array_like=True):
@@ -144,8 +148,11 @@
         held = self.held
         if known := held.orders.get(command.ident):
             asked = {name: part.generation for name, part in known.parts.items()}
-            same = (known.operator, known.verb, asked) == (command.operator, command.verb,
-                                                           dict(command.things))
+            same = (known.operator, known.verb, asked) == (
+                command.operator,
+                command.verb,
+                dict(command.things),
+            )
             return known if same else Refusal(f"that id is of another order, by {known.operator}")
         things = dict(command.things)
         known_things = {thing for here in held.layout.hosts.values() for thing in here}
@@ -160,19 +167,34 @@
         parts = {}
         for thing, generation in things.items():
             parts[thing] = part = Part(generation)
-            other = next((each for each in held.orders.values() if thing in each.parts
-                          and each.parts[thing].state in OPEN), None)
+            other = next(
+                (
+                    each
+                    for each in held.orders.values()
+                    if thing in each.parts and each.parts[thing].state in OPEN
+                ),
+                None,
+            )
             if other:
                 part.state, part.why = "refused", f"{other.operator}'s {other.verb} {other.ident} stands"
-            elif (place := held.places.get(thing)) and not (command.verb == "restart"
-                                                            or self._comes_back(place)):
+            elif (place := held.places.get(thing)) and not (
+                command.verb == "restart" or self._comes_back(place)
+            ):
                 part.state, part.why = "refused", f"it is out already, by {place.ident}"
         if command.whole and any(part.state == "refused" for part in parts.values()):
             for part in parts.values():
                 if part.state != "refused":
                     part.state, part.why = "refused", "not all of it can be taken"
-        order = Order(command.ident, command.operator, command.verb, command.unix, command.lasts,
-                      command.whole, index, parts)
+        order = Order(
+            command.ident,
+            command.operator,
+            command.verb,
+            command.unix,
+            command.lasts,
+            command.whole,
+            index,
+            parts,
+        )
         if order.open:
             held.orders[order.ident] = order
             self._forget()
@@ -223,8 +245,13 @@
             return Refusal(why)
         for thing in command.things:
             before = held.places.get(thing)
-            held.places[thing] = Place(thing, order.ident, index, down=command.down,
-                                       was=before.ident if before and before.out else "")
+            held.places[thing] = Place(
+                thing,
+                order.ident,
+                index,
+                down=command.down,
+                was=before.ident if before and before.out else "",
+            )
             self.out.put(thing, HELD)
             self._move(order.parts[thing], "granted", "")
         return index
@@ -261,9 +288,15 @@
         if order and part and part.state in OPEN:
             if place.out:
                 back = order.cancelled and order.verb != "restart"
-                self._move(part, "cancelled" if back else "done" if order.verb == "restart" else "failed",
-                           f"by {order.cancelled}" if back else "" if order.verb == "restart"
-                           else "it was started again")
+                self._move(
+                    part,
+                    "cancelled" if back else "done" if order.verb == "restart" else "failed",
+                    f"by {order.cancelled}"
+                    if back
+                    else ""
+                    if order.verb == "restart"
+                    else "it was started again",
+                )
             elif order.halted:
                 self._move(part, "cancelled" if order.cancelled else "halted", f"by {order.halted}")
             else:
@@ -294,8 +327,11 @@
         if order is None or part is None or part.state not in OPEN or command.how not in ENDS:
             return Refusal("nothing of that is open")
         self._move(part, command.how, command.why)
-        if command.how == "refused" and order.whole and not any(
-                each.state in ("out", "done") for each in order.parts.values()):
+        if (
+            command.how == "refused"
+            and order.whole
+            and not any(each.state in ("out", "done") for each in order.parts.values())
+        ):
             order.halted = order.halted or order.operator
             self._end_waiting(order, "refused", f"not all of it can be taken: {command.thing} {command.why}")
         return index
@@ -355,7 +391,18 @@
         part.state, part.why = state, why
 
     ACTS: ClassVar[dict[type, Callable[[Any, int, Any], object]]] = {
-        commands.Lay: _lay, commands.Order: _order, commands.Halt: _halt, commands.Cancel: _cancel,
-        commands.Grant: _grant, commands.Began: _began, commands.Over: _over, commands.Lapse: _lapse,
-        commands.Ended: _ended, commands.Expire: _expire, commands.Reserve: _reserve,
-        commands.Keepers: _keepers, commands.Hold: _hold, commands.Release: _release}
+        commands.Lay: _lay,
+        commands.Order: _order,
+        commands.Halt: _halt,
+        commands.Cancel: _cancel,
+        commands.Grant: _grant,
+        commands.Began: _began,
+        commands.Over: _over,
+        commands.Lapse: _lapse,
+        commands.Ended: _ended,
+        commands.Expire: _expire,
+        commands.Reserve: _reserve,
+        commands.Keepers: _keepers,
+        commands.Hold: _hold,
+        commands.Release: _release,
+    }
--- a/oakkeel/places/steward.py
+++ b/oakkeel/places/steward.py
@@ -29,9 +29,18 @@
 
 
 class Steward:
-    def __init__(self, now: int, held: Durable, seed: int, pace: Pace, founders: tuple[str, ...],
-                 layout: Layout, terms: Terms | None = None, ledger: type[Ledger] = Ledger,
-                 above: Callable[[int, Any, Granting], Above] | None = None) -> None:
+    def __init__(
+        self,
+        now: int,
+        held: Durable,
+        seed: int,
+        pace: Pace,
+        founders: tuple[str, ...],
+        layout: Layout,
+        terms: Terms | None = None,
+        ledger: type[Ledger] = Ledger,
+        above: Callable[[int, Any, Granting], Above] | None = None,
+    ) -> None:
         """`layout` is by this host's settings: it holds once a leader of the same settings has agreed it.
         `ledger` and `above` bring in what is built on places."""
         self.now, self.layout, self.terms = now, layout, terms or Terms()
--- a/oakkeel/policy/fairness.py
+++ b/oakkeel/policy/fairness.py
@@ -5,6 +5,7 @@
 half as fast finds each exchange twice as dear, and allows and promises half as many. The measures are in
 `oakkeel.shares`.
 """
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -15,14 +16,14 @@
 from oakkeel.shares.levels import Levels
 from oakkeel.shares.promises import Promises
 
-EVERY = 200 * MS                            # between looks at the shares
-ROOM = 0.95                                 # of what the node can do, for all together
-BURST = 500 * MS                            # of its share, that a sender may have at once
-PROMISED_ROOM = 0.5                         # of what the node can do, for promises
-STEP, STEPS = 50 * MS, 200                  # of time ahead that can be promised
-EARLY, LATE = 25 * MS, SECOND               # from a promise's time, and still as told
-EARLY_MOST = 8                              # times that coming early puts a promise off
-RETRY_SHARE = 0.2                           # of a sender's work, for its further tries
+EVERY = 200 * MS  # between looks at the shares
+ROOM = 0.95  # of what the node can do, for all together
+BURST = 500 * MS  # of its share, that a sender may have at once
+PROMISED_ROOM = 0.5  # of what the node can do, for promises
+STEP, STEPS = 50 * MS, 200  # of time ahead that can be promised
+EARLY, LATE = 25 * MS, SECOND  # from a promise's time, and still as told
+EARLY_MOST = 8  # times that coming early puts a promise off
+RETRY_SHARE = 0.2  # of a sender's work, for its further tries
 
 
 class Fairness:
@@ -30,7 +31,7 @@
         self.marks_retries, self.chance = marks_retries, chance
         self.levels = Levels(len(rules.by), rules.places, rules.half, rules.weights)
         self.promises = Promises(STEP, STEPS, rules.promises)
-        self.room, self.looked = 0.0, 0             # for promises in one step; when shares were set
+        self.room, self.looked = 0.0, 0  # for promises in one step; when shares were set
 
     def arrive(self, now: int, ex: Exchange, work: float, capacity: float) -> None:
         """Count an exchange with its senders; say whether it is over its share, within it, or promised."""
@@ -38,17 +39,17 @@
             self.looked, self.room = now, capacity * PROMISED_ROOM * STEP
             self.levels.share_out(now, capacity * ROOM * SECOND)
         key, again = ex.who[-1][0], ex.marked_retry or not self.marks_retries
-        ex.promise = self.promises.due(now, key, EARLY, LATE) if again else None    # it comes as it was told
-        ex.work, asked = work, 0.0 if ex.promise else work      # and asks for nothing new
+        ex.promise = self.promises.due(now, key, EARLY, LATE) if again else None  # it comes as it was told
+        ex.work, asked = work, 0.0 if ex.promise else work  # and asks for nothing new
         sender = ex.sender = self.levels.count(now, ex.who, asked, ex.marked_retry)
         if ex.promise and ex.promise.work:
             ex.place = Place.PROMISED
             return
-        if ex.promise:                      # told a time, and no room: it is judged as any other
+        if ex.promise:  # told a time, and no room: it is judged as any other
             self.promises.end(ex.promise, None)
             ex.promise = None
         elif again and (ahead := self.promises.ahead(key)):
-            ex.place = Place.OVER           # to try before its time gains nothing, and waits longer
+            ex.place = Place.OVER  # to try before its time gains nothing, and waits longer
             if ahead.early < EARLY_MOST and self.promises.all_known(key):
                 own = min(SECOND, int(work / max(1.0, sender.allowed) * SECOND))
                 self.promises.put_off(now, ahead, ahead.at + max(STEP, own), self.room)
@@ -61,7 +62,7 @@
             over = rest < 1 and not known and self.chance() > rest
         tries = ex.marked_retry and known and sender.retries > RETRY_SHARE * sender.count
         ex.place = Place.OVER if over or tries else Place.FAIR
-        if ex.place is Place.FAIR:          # of its share, though the ladder may still deny it
+        if ex.place is Place.FAIR:  # of its share, though the ladder may still deny it
             self._charge(now, ex)
 
     def _charge(self, now: int, ex: Exchange) -> None:
@@ -73,17 +74,17 @@
         """How long one that is denied should stay away: until room that is its own, if that can be told."""
         sender, known = ex.sender, ex.sender.allowed < inf
         if ex.promise and ex.state is State.READ:
-            self.promises.end(ex.promise, False)    # the room was not enough
+            self.promises.end(ex.promise, False)  # the room was not enough
         if ex.place is Place.OVER and not known:
-            return most     # one of many who share too little to promise them any
+            return most  # one of many who share too little to promise them any
         own = sender.free_at - BURST if known else now
         promise = None
-        if ex.place is not Place.OVER or not ex.marked_retry:   # nothing more for one that came early
+        if ex.place is not Place.OVER or not ex.marked_retry:  # nothing more for one that came early
             promise = self.promises.book(now, max(now, own), sender.key, ex.work, self.room)
         if promise and promise.at - now <= most:
             self._charge(now, ex)
             return promise.at - now
-        if promise:                         # longer than callers take: not made, so not broken
+        if promise:  # longer than callers take: not made, so not broken
             self.promises.end(promise, None)
         self.promises.note(now + most, sender.key)
         return most
--- a/oakkeel/policy/ladder.py
+++ b/oakkeel/policy/ladder.py
@@ -15,8 +15,18 @@
 from itertools import count
 from random import Random
 
-from oakkeel.interface import (AdviceKind, Below, Effect, Exchange, Gauges, Host, NodeLimits, Outcome, State,
-                               StopKind)
+from oakkeel.interface import (
+    AdviceKind,
+    Below,
+    Effect,
+    Exchange,
+    Gauges,
+    Host,
+    NodeLimits,
+    Outcome,
+    State,
+    StopKind,
+)
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -24,61 +34,64 @@
 
 class Stage(IntEnum):
     """The rungs of the ladder."""
+
     NORMAL, EXPAND, REAP, REORDER, BACKPRESSURE, REJECT = range(6)
 
 
 # The ladder. A row's n-th figure enters the n-th stage after NORMAL; a stage is left below it less the slack.
 POLL, POLL_TOKEN = SECOND, 0
-CPU = (0.70, 0.80, 0.85, 0.90, 0.95)        # busy share of the cores
+CPU = (0.70, 0.80, 0.85, 0.90, 0.95)  # busy share of the cores
 CPU_SLACK = 0.05
-CPU_QUEUE = (0.0, 0.0, 1.0, 1.0, 3.0)       # a CPU stage acts only while the depth exceeds this
-DEPTH = (0.75, 1.0, 1.25, 1.75, 3.0)        # exchanges in the hold and on the cores, for each core
-DEPTH_SLACK, DEPTH_SPARE = 0.25, 2          # the first uncounted: on few cores counts for each are coarse
-LATENCY = (0.5, 0.6, 0.75, 0.9, 1.1)        # mean time to completion over the SLO time
+CPU_QUEUE = (0.0, 0.0, 1.0, 1.0, 3.0)  # a CPU stage acts only while the depth exceeds this
+DEPTH = (0.75, 1.0, 1.25, 1.75, 3.0)  # exchanges in the hold and on the cores, for each core
+DEPTH_SLACK, DEPTH_SPARE = 0.25, 2  # the first uncounted: on few cores counts for each are coarse
+LATENCY = (0.5, 0.6, 0.75, 0.9, 1.1)  # mean time to completion over the SLO time
 LATENCY_SLACK = 0.1
-CUT_MOST, CUT_PACE = 0.9, 0.08              # of what is asked, denied as low; its pace by arrival and core
-HOPE = 0.7                                  # of the expected time must fit, for sizes vary
-DELAY = 50 * MS                             # the wait at BACKPRESSURE
-LINK_CROWD, LINK_RATE = 1.5, 8              # new connections a second and core, while more are read
-LINK_WORTH = (20 * SECOND, 4 * SECOND)      # idle time that saves a new connection, below REAP and from it on
-LINK_LEAST, LINK_STEP, LINK_STEPS = 10 * MS, 64 * MS, 9     # idle times: the least, and doubled steps
-CALLERS_MOST = 512                          # remembered, those heard last
-RETRY_AFTER, RETRY_LEAST = 500 * MS, 25 * MS    # from a node that is full or reading; that sheds low ranks
-RETRY_PEERS = 8                             # nodes of a fleet from which on all of it is told
-READ_CROWD = 0.75                           # being read, for each core: from there on retries fill it
-RETRIES = 0.1                               # of what is read: from there on the other nodes are full as well
+CUT_MOST, CUT_PACE = 0.9, 0.08  # of what is asked, denied as low; its pace by arrival and core
+HOPE = 0.7  # of the expected time must fit, for sizes vary
+DELAY = 50 * MS  # the wait at BACKPRESSURE
+LINK_CROWD, LINK_RATE = 1.5, 8  # new connections a second and core, while more are read
+LINK_WORTH = (20 * SECOND, 4 * SECOND)  # idle time that saves a new connection, below REAP and from it on
+LINK_LEAST, LINK_STEP, LINK_STEPS = 10 * MS, 64 * MS, 9  # idle times: the least, and doubled steps
+CALLERS_MOST = 512  # remembered, those heard last
+RETRY_AFTER, RETRY_LEAST = 500 * MS, 25 * MS  # from a node that is full or reading; that sheds low ranks
+RETRY_PEERS = 8  # nodes of a fleet from which on all of it is told
+READ_CROWD = 0.75  # being read, for each core: from there on retries fill it
+RETRIES = 0.1  # of what is read: from there on the other nodes are full as well
 # How many run: exchanges on the cores for each core, below EXPAND and from it on.
 RUN = (1.0, 1.24)
-STALE = 0.2                                 # of the SLO time unread: reading goes first until it is below
-RUN_LEAST = 0.5                             # of the cores, however much is being read
-RUN_QUEUE = 1.25                            # runs, reading, checks and new connections together
-CROWD_ROOM = 0.7                            # of the crowd that kills, for all that could be on the cores
-MEMORY_ROOM, HOLD_ROOM = 0.85, 0.95         # of the memory, for what runs; with what is held and kept
+STALE = 0.2  # of the SLO time unread: reading goes first until it is below
+RUN_LEAST = 0.5  # of the cores, however much is being read
+RUN_QUEUE = 1.25  # runs, reading, checks and new connections together
+CROWD_ROOM = 0.7  # of the crowd that kills, for all that could be on the cores
+MEMORY_ROOM, HOLD_ROOM = 0.85, 0.95  # of the memory, for what runs; with what is held and kept
 # Advice: moved each poll by what wants a core, for each core.
 ADVICE_CROWD, ADVICE_DOWN, ADVICE_UP, ADVICE_LEAST = 2.0, 0.8, 1.15, 0.05
-UNFIT = 0.6                                 # of the SLO time spent unread: off the list until below half
+UNFIT = 0.6  # of the SLO time spent unread: off the list until below half
 # Calls below.
-CALL_ROOM = 0.8                             # of the share of what lies below, as a mean
-CALL_CROWD = 0.5                            # of that share, in hand at one time; never less than one
-CALL_TIME, CALL_WAIT = 0.25, 0.15           # of the SLO time: one call; room for one that may be left out
-CALL_TRIES, BREAK_AFTER = 3, 5              # tries of one call; failures in a row that stop all calls
+CALL_ROOM = 0.8  # of the share of what lies below, as a mean
+CALL_CROWD = 0.5  # of that share, in hand at one time; never less than one
+CALL_TIME, CALL_WAIT = 0.25, 0.15  # of the SLO time: one call; room for one that may be left out
+CALL_TRIES, BREAK_AFTER = 3, 5  # tries of one call; failures in a row that stop all calls
 TRIAL_EVERY = SECOND
-ALARM_STEP = 16 * MS                        # alarms are gathered in steps of this
-DUE_ROOM, STOP_ROOM = 20 * MS, 64 * MS      # an answer leaves this long before it is due; before the stop
-SPAN_FADE = 0.8                             # a second, of a time on the cores that nothing confirms any more
+ALARM_STEP = 16 * MS  # alarms are gathered in steps of this
+DUE_ROOM, STOP_ROOM = 20 * MS, 64 * MS  # an answer leaves this long before it is due; before the stop
+SPAN_FADE = 0.8  # a second, of a time on the cores that nothing confirms any more
 RING_STEP, RING_SIZE = 500 * MS, 12
 
 # Which states may follow each.
-NEXT = {State.READ: {State.DELAYED, State.HELD, State.SHARING, State.OVER},
-        State.DELAYED: {State.HELD, State.OVER},
-        State.HELD: {State.RUNNING, State.OVER},
-        State.SHARING: {State.OVER},
-        State.RUNNING: {State.AT_CALL, State.ORPHANED, State.OVER},
-        State.AT_CALL: {State.CALLING, State.RUNNING, State.ENDING, State.OVER},
-        State.CALLING: {State.AT_CALL, State.RUNNING, State.ENDING, State.OVER},
-        State.ORPHANED: {State.ENDING, State.OVER},
-        State.ENDING: {State.OVER},
-        State.OVER: set()}
+NEXT = {
+    State.READ: {State.DELAYED, State.HELD, State.SHARING, State.OVER},
+    State.DELAYED: {State.HELD, State.OVER},
+    State.HELD: {State.RUNNING, State.OVER},
+    State.SHARING: {State.OVER},
+    State.RUNNING: {State.AT_CALL, State.ORPHANED, State.OVER},
+    State.AT_CALL: {State.CALLING, State.RUNNING, State.ENDING, State.OVER},
+    State.CALLING: {State.AT_CALL, State.RUNNING, State.ENDING, State.OVER},
+    State.ORPHANED: {State.ENDING, State.OVER},
+    State.ENDING: {State.OVER},
+    State.OVER: set(),
+}
 
 
 class Ring:
@@ -123,35 +136,36 @@
     def __init__(self, host: Host, limits: NodeLimits, seed: int, now: int) -> None:
         self.host, self.limits, self.now, self.started = host, limits, now, now
         self.chance = Random(seed).random
-        self.reading, self.readings = 0.0, Ring()               # what else wanted a core when last seen
+        self.reading, self.readings = 0.0, Ring()  # what else wanted a core when last seen
         self.cpu_stage = self.depth_stage = self.latency_stage = int(Stage.NORMAL)
         self.count = [0] * len(State)
         factor = limits.run_factor
-        self.weight = [0, 1, 1, 1, factor, factor, factor, factor, factor, 0]   # memory by state
+        self.weight = [0, 1, 1, 1, factor, factor, factor, factor, factor, 0]  # memory by state
         self.memory_kb = self.cut = self.stale = 0.0
         self.hold: list[tuple[float, int, Exchange]] = []
         self.order = count()
-        self.keys: list[int] = []                               # when the memory of a kept key is free
+        self.keys: list[int] = []  # when the memory of a kept key is free
         self.alarms: dict[int, list[Exchange]] = {}
-        self.stop_at = self.grace_end = 0                       # set by the notice to leave
-        self.latency, self.unread = Ring(), Ring()              # to completion, unread, over the SLO time
-        self.retries = Ring()                                   # marked later tries among what was read
-        self.spans = [Ring() for _ in limits.groups]            # time on the cores of completed runs
+        self.stop_at = self.grace_end = 0  # set by the notice to leave
+        self.latency, self.unread = Ring(), Ring()  # to completion, unread, over the SLO time
+        self.retries = Ring()  # marked later tries among what was read
+        self.spans = [Ring() for _ in limits.groups]  # time on the cores of completed runs
         self.span = [group.slo_time / 6 for group in limits.groups]
         tenants = max(1, len(limits.tenants))
         self.asked = [[Ring() for _ in range(tenants)] for _ in limits.groups]
         self.ranks = [[(0.0, 1.0)] * tenants for _ in limits.groups]  # place among the asked, breadth
-        self.calls_time = Ring(limits.call_window // (RING_SIZE - 1) + 1)   # call time spent below
+        self.calls_time = Ring(limits.call_window // (RING_SIZE - 1) + 1)  # call time spent below
         self.calls_booked = self.calls_failed = self.trial_at = 0
-        self.waiting: deque[Exchange] = deque()                 # at calls that can't be placed yet
+        self.waiting: deque[Exchange] = deque()  # at calls that can't be placed yet
         self.advice, self.willing, self.fit = -1.0, 1.0, True
-        self.fair, self.run = None, limits.cores * RUN[0]       # fair shares, and how many may run
+        self.fair, self.run = None, limits.cores * RUN[0]  # fair shares, and how many may run
         if limits.fair:
-            from oakkeel.policy.fairness import Fairness        # loaded only where an operator asks for it
+            from oakkeel.policy.fairness import Fairness  # loaded only where an operator asks for it
+
             self.fair = Fairness(limits.fair, limits.marks_retries, self.chance)
-        self.callers: dict[int, int] = {}                       # when each was heard, the latest last
-        self.returns = [Ring(2 * SECOND) for _ in range(LINK_STEPS + 1)]    # times between, by doubled steps
-        host.set_health(True, True)                             # from store: a real check costs work
+        self.callers: dict[int, int] = {}  # when each was heard, the latest last
+        self.returns = [Ring(2 * SECOND) for _ in range(LINK_STEPS + 1)]  # times between, by doubled steps
+        host.set_health(True, True)  # from store: a real check costs work
         self._advise()
         host.set_timer(POLL_TOKEN, now + int(POLL * (0.5 + self.chance() / 2)))
 
@@ -199,20 +213,21 @@
         if depth > CPU_QUEUE[max(0, self.cpu_stage - 1)]:
             stage = max(stage, self.cpu_stage)
         if ex.place and now + HOPE * self.span[group.index] <= min(ex.slo_end, ex.give_up_at):
-            if ex.place < 0 and self._on_cores():         # an idle node takes what comes
+            if ex.place < 0 and self._on_cores():  # an idle node takes what comes
                 return self._deny(ex)
-            stage = Stage.NORMAL if ex.place > 0 else stage     # room was kept for it
+            stage = Stage.NORMAL if ex.place > 0 else stage  # room was kept for it
         elif stage == Stage.REJECT or now + self._needed(group.index) > min(ex.slo_end, ex.give_up_at):
             return self._deny(ex, ex.marked_retry or self.readings.mean(now, 0.0) > READ_CROWD * limits.cores)
         self.cut += min(1.0, CUT_PACE * limits.cores) * (self._cut(depth) - self.cut)
         if stage >= Stage.REORDER and ex.rank < self.cut:
-            return self._deny(ex, ex.marked_retry or not limits.marks_retries
-                              or self.retries.mean(now, 1.0) > RETRIES)
+            return self._deny(
+                ex, ex.marked_retry or not limits.marks_retries or self.retries.mean(now, 1.0) > RETRIES
+            )
         if ex.has_key and (limits.fresh or group.effect is Effect.DEDUPLICATED):
             self._remember(ex)
         self._alarm(ex, ex.give_up_at)
         if ex.promise:
-            self.fair.promises.end(ex.promise, True)            # type: ignore[union-attr]
+            self.fair.promises.end(ex.promise, True)  # type: ignore[union-attr]
         if stage == Stage.BACKPRESSURE:
             self._move(ex, State.DELAYED)
             self._alarm(ex, now + DELAY)
@@ -226,10 +241,11 @@
             self.waiting.popleft()
         limits = self.limits
         reading = self.reading / limits.cores
-        self.run = run = max(RUN_LEAST,
-                             min(RUN[self._stage() >= Stage.EXPAND], RUN_QUEUE - reading)) * limits.cores
+        self.run = run = (
+            max(RUN_LEAST, min(RUN[self._stage() >= Stage.EXPAND], RUN_QUEUE - reading)) * limits.cores
+        )
         if self.stale > STALE and reading > RUN_LEAST:
-            run = 0     # in a jam one run beside the reading makes all that is read too old to be served
+            run = 0  # in a jam one run beside the reading makes all that is read too old to be served
         crowd = (1 + (limits.crowd_multiple - 1) * self._warmth()) * limits.cores * CROWD_ROOM
         while self.hold:
             ex = self.hold[0][2]
@@ -238,12 +254,15 @@
                 continue
             on_cores = self._on_cores()
             more = ex.memory_kb * (limits.run_factor - 1)
-            if (on_cores + 0.5 > run or on_cores + self.count[State.CALLING] + 1 > crowd
-                    or self.memory_kb + more > limits.memory_kb * MEMORY_ROOM):
+            if (
+                on_cores + 0.5 > run
+                or on_cores + self.count[State.CALLING] + 1 > crowd
+                or self.memory_kb + more > limits.memory_kb * MEMORY_ROOM
+            ):
                 break
             heappop(self.hold)
             if now + HOPE * self.span[ex.group.index] > min(ex.slo_end, ex.give_up_at):
-                self._deny(ex)              # it waited too long behind higher ranks: no run in vain
+                self._deny(ex)  # it waited too long behind higher ranks: no run in vain
                 continue
             self._move(ex, State.RUNNING)
             self.host.run(ex)
@@ -359,7 +378,7 @@
             return
         self._end_call(ex, 0)
         if outcome is Outcome.STOPPED and state in (State.RUNNING, State.AT_CALL, State.CALLING):
-            self.host.terminate(ex)             # stopped, but not by us: it must not stay without an answer
+            self.host.terminate(ex)  # stopped, but not by us: it must not stay without an answer
         self._move(ex, State.OVER)
         if outcome is Outcome.COMPLETED and state is State.RUNNING:
             self.spans[ex.group.index].add(now, ex.on_cores)
@@ -500,7 +519,7 @@
         self.calls_failed += 1
         ex.calls_failed += 1
         self._move(ex, State.AT_CALL)
-        broke = outcome in (Outcome.UNREACHED, Outcome.RESET)   # its link did: what lies below is not full
+        broke = outcome in (Outcome.UNREACHED, Outcome.RESET)  # its link did: what lies below is not full
         may = not ex.group.once or outcome in (Outcome.DENIED, Outcome.UNREACHED, Outcome.MOOT)  # never ran
         if ex.calls_failed < CALL_TRIES and may and (broke or not ex.group.skip_share):
             self._try_call(ex)
@@ -512,7 +531,7 @@
     def _try_call(self, ex: Exchange) -> None:
         if not self._place_call(ex):
             if ex.group.skip_share and self.calls_failed >= BREAK_AFTER:
-                return self._leave_out(ex)      # no use to wait for what is known to fail
+                return self._leave_out(ex)  # no use to wait for what is known to fail
             self.waiting.append(ex)
             if ex.group.skip_share:
                 self._alarm(ex, self.now + int(CALL_WAIT * ex.group.slo_time) + ALARM_STEP)
@@ -529,15 +548,17 @@
         if self.calls_failed >= BREAK_AFTER and now < self.trial_at:
             return False
         until = ex.give_up_at
-        if ex.group.skip_share:                 # leave time to end without the call
+        if ex.group.skip_share:  # leave time to end without the call
             until = max(now + MS, until - int(self.span[ex.group.index]))
         if limits.below is Below.SHARED and limits.call_share:
             budget = limits.call_share * limits.call_window * CALL_ROOM
             until = min(until, now + int(min(ex.group.slo_time * CALL_TIME, budget / 2)))
             commit = until - now + limits.call_linger
             crowd = max(1.0, limits.call_share * CALL_CROWD)
-            if (self.count[State.CALLING] + 1 > crowd
-                    or self.calls_time.total(now)[0] + self.calls_booked + commit > budget):
+            if (
+                self.count[State.CALLING] + 1 > crowd
+                or self.calls_time.total(now)[0] + self.calls_booked + commit > budget
+            ):
                 return False
             ex.call_commit = commit
             self.calls_booked += commit
--- a/oakkeel/record/disk.py
+++ b/oakkeel/record/disk.py
@@ -39,5 +39,6 @@
 
     def copy(self) -> Disk:
         """As a backup takes it."""
-        return Disk(replace(self.head, marks=dict(self.head.marks)), self.snapshot, dict(self.entries),
-                    self.writes)
+        return Disk(
+            replace(self.head, marks=dict(self.head.marks)), self.snapshot, dict(self.entries), self.writes
+        )
--- a/oakkeel/record/keeper.py
+++ b/oakkeel/record/keeper.py
@@ -133,8 +133,9 @@
 class Keeper:
     """See the module. `tick`, `heard` and `propose` return what is to be done."""
 
-    def __init__(self, now: int, held: Durable, machine: Machine, seed: int, pace: Pace,
-                 founders: tuple[str, ...]) -> None:
+    def __init__(
+        self, now: int, held: Durable, machine: Machine, seed: int, pace: Pace, founders: tuple[str, ...]
+    ) -> None:
         """`founders` names those that the operators' settings make keepers of a new record."""
         self.durable, self.machine, self.pace, self.founders = held, machine, pace, founders
         self.name, self.life = held.name, held.life
@@ -233,8 +234,11 @@
             self._known(now, letter, word)
         elif isinstance(word, Found):
             self._found(now, word)
-        elif letter.epoch == self.durable.epoch and letter.epoch and self.role not in (Role.OUTDATED,
-                                                                                       Role.JOINING):
+        elif (
+            letter.epoch == self.durable.epoch
+            and letter.epoch
+            and self.role not in (Role.OUTDATED, Role.JOINING)
+        ):
             # One that joins keeps nothing yet: what it kept since its start would look like what it forgot.
             self.HANDLERS[type(word)](self, now, letter, word)
         return self._done(now)
@@ -266,8 +270,11 @@
 
     def _found_record(self, now: int) -> None:
         """If all founders have empty files there is no record, and one of them begins it."""
-        lives = {name: life for name, (life, at, fresh) in self.hellos.items()
-                 if fresh and now - at < 5 * self.pace.hello}
+        lives = {
+            name: life
+            for name, (life, at, fresh) in self.hellos.items()
+            if fresh and now - at < 5 * self.pace.hello
+        }
         lives[self.name] = self.life
         if set(lives) >= set(self.founders):
             members = [Member(name, lives[name]) for name in sorted(self.founders)]
@@ -303,15 +310,20 @@
         if not self.durable.epoch or letter.epoch != self.durable.epoch:
             return
         if (word.mark_term, word.mark) > self.began:
-            self.why = (f"{letter.name} knows it to have kept entry {word.mark} of term {word.mark_term};"
-                        f" its file ends with {self.began[1]} of {self.began[0]}")
+            self.why = (
+                f"{letter.name} knows it to have kept entry {word.mark} of term {word.mark_term};"
+                f" its file ends with {self.began[1]} of {self.began[0]}"
+            )
             self._move(now, Role.OUTDATED)
             return
         self._set_term(max(word.term, self.durable.term), SPENT)  # it may have voted in it
         self.answered.add(letter.life)
         # All if they are there: the first to answer may be one that knows less than another.
-        if self.answered | {self.life} >= self.voters or now - self.started >= self.pace.ask_all and (
-                self._majority(self.answered | {self.life})):
+        if (
+            self.answered | {self.life} >= self.voters
+            or now - self.started >= self.pace.ask_all
+            and (self._majority(self.answered | {self.life}))
+        ):
             self._move(now, Role.FOLLOWING)
             self._wait(now)
 
@@ -361,8 +373,13 @@
         replaced = any(each.name == letter.name and each.life != letter.life for each in self.members)
         led = now - self.heard_at < self.pace.least or self.leads(now)
         current = (word.last_term, word.last) >= (self.log.last_term, self.log.last)
-        may = (self.role is not Role.JOINING and not replaced and not led and current
-               and word.term >= durable.term)
+        may = (
+            self.role is not Role.JOINING
+            and not replaced
+            and not led
+            and current
+            and word.term >= durable.term
+        )
         if word.pre:
             granted = may and word.term > durable.term
             return self.send(letter.name, Vote(word.term if granted else durable.term, True, granted))
@@ -422,8 +439,10 @@
         for life, term, index in word.marks:
             if life == self.life and (term, index) > (log.last_term, log.last):
                 # The leader has our word for what we do not have: no count of it may include us.
-                self.why = (f"{letter.name} has its word for entry {index} of term {term}; its file ends with"
-                            f" {log.last} of {log.last_term}")
+                self.why = (
+                    f"{letter.name} has its word for entry {index} of term {term}; its file ends with"
+                    f" {log.last} of {log.last_term}"
+                )
                 return self._move(now, Role.OUTDATED)
         if before < log.snapshot.index:  # what the snapshot holds is agreed, and so the same
             entries = entries[log.snapshot.index - before :]
@@ -434,8 +453,9 @@
             term = log.term_at(index)
             while index > self.commit and log.term_at(index) == term and before <= log.last:
                 index -= 1
-            return self.send(letter.name, Appended(self.durable.term, False, max(index, self.commit),
-                                                    word.sent))
+            return self.send(
+                letter.name, Appended(self.durable.term, False, max(index, self.commit), word.sent)
+            )
         for place, entry in enumerate(entries):
             index = before + 1 + place
             if index <= log.last:
@@ -545,5 +565,10 @@
         self.role, self.since = role, now
 
     HANDLERS: ClassVar[dict[type, Callable[[Any, int, Letter, Any], None]]] = {
-        Ballot: _heard_ballot, Vote: _heard_vote, Append: _heard_append, Appended: _heard_appended,
-        Piece: _heard_piece, Taken: _heard_taken}
+        Ballot: _heard_ballot,
+        Vote: _heard_vote,
+        Append: _heard_append,
+        Appended: _heard_appended,
+        Piece: _heard_piece,
+        Taken: _heard_taken,
+    }
--- a/oakkeel/record/kept.py
+++ b/oakkeel/record/kept.py
@@ -31,22 +31,38 @@
     """In the order that `Keep` asks for."""
     rows: list[Statement] = []
     if keep.head:
-        rows.append((PUT_HEAD, (durable.name, durable.life, durable.epoch, durable.term, durable.voted,
-                                json.dumps(durable.marks))))
+        rows.append(
+            (
+                PUT_HEAD,
+                (
+                    durable.name,
+                    durable.life,
+                    durable.epoch,
+                    durable.term,
+                    durable.voted,
+                    json.dumps(durable.marks),
+                ),
+            )
+        )
     if keep.snapshot and keep.whole:
         rows.append(("DELETE FROM entries", ()))
     if keep.cut:
         rows.append(("DELETE FROM entries WHERE place >= ?", (keep.cut,)))
     rows += [(PUT_ENTRY, (index, entry.term, entry.kind, entry.content)) for index, entry in keep.entries]
     if snapshot := keep.snapshot:
-        rows.append((PUT_SNAPSHOT, (snapshot.index, snapshot.term, encode_members(list(snapshot.members)),
-                                    snapshot.content)))
+        rows.append(
+            (
+                PUT_SNAPSHOT,
+                (snapshot.index, snapshot.term, encode_members(list(snapshot.members)), snapshot.content),
+            )
+        )
         rows.append(("DELETE FROM entries WHERE place <= ?", (snapshot.index,)))
     return rows
 
 
 COUNTED: list[Statement] = [
-    ("CREATE TABLE IF NOT EXISTS writes (one INTEGER PRIMARY KEY, count INTEGER)", ())]
+    ("CREATE TABLE IF NOT EXISTS writes (one INTEGER PRIMARY KEY, count INTEGER)", ())
+]
 
 
 class Witness:
@@ -109,12 +125,19 @@
         write(store, durable, Keep(head=True))
         return durable
     held, life, epoch, term, voted, marks = rows[0]
-    durable = Durable(held, life, epoch, term, voted,
-                      marks={key: (value[0], value[1]) for key, value in json.loads(marks).items()})
+    durable = Durable(
+        held,
+        life,
+        epoch,
+        term,
+        voted,
+        marks={key: (value[0], value[1]) for key, value in json.loads(marks).items()},
+    )
     for place, of_term, members, content in store.read("SELECT place, term, members, content FROM snapshot"):
         durable.snapshot = Snapshot(place, of_term, tuple(read_members(members)), content)
-    durable.entries = [Entry(*row) for row in store.read(
-        "SELECT term, kind, content FROM entries ORDER BY place")]
+    durable.entries = [
+        Entry(*row) for row in store.read("SELECT term, kind, content FROM entries ORDER BY place")
+    ]
     return durable
 
 
--- a/oakkeel/record/leading.py
+++ b/oakkeel/record/leading.py
@@ -52,8 +52,11 @@
 
     def _follow_members(self, now: int) -> None:
         keeper, known = self.keeper, self.peers
-        self.peers = {each.life: known.get(each.life) or Peer(each.name, keeper.log.last + 1, heard=now)
-                      for each in keeper.members if each.life != keeper.life}
+        self.peers = {
+            each.life: known.get(each.life) or Peer(each.name, keeper.log.last + 1, heard=now)
+            for each in keeper.members
+            if each.life != keeper.life
+        }
 
     def ready(self, commit: int) -> bool:
         """Whether something of its own term is agreed: before, it does not know all that is."""
@@ -68,8 +71,9 @@
         voters = [each for each in keeper.members if each.votes]
         if not voters:
             return commit
-        index = self._quorum([keeper.log.last if each.life == keeper.life else self.peers[each.life].match
-                              for each in voters])
+        index = self._quorum(
+            [keeper.log.last if each.life == keeper.life else self.peers[each.life].match for each in voters]
+        )
         return index if index > commit and keeper.log.term_at(index) == keeper.term else commit
 
     # Lease.
@@ -77,8 +81,13 @@
     def _reached(self, now: int) -> int:
         """The latest time at which a majority was still sent what it then answered."""
         voters = [each for each in self.keeper.members if each.votes]
-        return self._quorum([now if each.life == self.keeper.life else self.peers[each.life].heard
-                             for each in voters]) if voters else now
+        return (
+            self._quorum(
+                [now if each.life == self.keeper.life else self.peers[each.life].heard for each in voters]
+            )
+            if voters
+            else now
+        )
 
     def lease_until(self, now: int) -> int:
         return self._reached(now) + self.keeper.pace.lease
@@ -116,20 +125,33 @@
             if not peer.behind:
                 peer.behind, peer.piece = True, 0
             peer.waiting = True
-            return keeper.send(peer.name, Piece(
-                term, snapshot.index, snapshot.term, list(snapshot.members), peer.piece,
-                len(snapshot.content), snapshot.content[peer.piece : peer.piece + MOST_BATCH], now))
+            return keeper.send(
+                peer.name,
+                Piece(
+                    term,
+                    snapshot.index,
+                    snapshot.term,
+                    list(snapshot.members),
+                    peer.piece,
+                    len(snapshot.content),
+                    snapshot.content[peer.piece : peer.piece + MOST_BATCH],
+                    now,
+                ),
+            )
         before = peer.next - 1
         entries = log.after(before)
         peer.waiting = bool(entries)
-        keeper.send(peer.name, Append(term, before, log.term_at(before), entries, keeper.commit, now,
-                                      self.marks()))
+        keeper.send(
+            peer.name, Append(term, before, log.term_at(before), entries, keeper.commit, now, self.marks())
+        )
 
     def marks(self) -> list[tuple[str, int, int]]:
         """What each member is known to have kept."""
         log = self.keeper.log
-        return [(self.keeper.life, log.last_term, log.last),
-                *((life, log.term_at(each.match), each.match) for life, each in self.peers.items())]
+        return [
+            (self.keeper.life, log.last_term, log.last),
+            *((life, log.term_at(each.match), each.match) for life, each in self.peers.items()),
+        ]
 
     # Answers.
 
@@ -179,16 +201,22 @@
             return b""
         # None that a majority of the new ones could not carry by now.
         voters = [each.life for each in change if each.votes]
-        recent = [life for life in voters if life == keeper.life or life in self.peers
-                  and now - self.peers[life].heard < keeper.pace.most]
+        recent = [
+            life
+            for life in voters
+            if life == keeper.life or life in self.peers and now - self.peers[life].heard < keeper.pace.most
+        ]
         return encode_members(change) if 2 * len(recent) > len(voters) else b""
 
     def _next_change(self, now: int) -> list[Member] | None:
         keeper = self.keeper
         members = list(keeper.members)
         wanted = set(keeper.wanted()) or {each.name for each in members}
-        said = {name: (life, fresh) for name, (life, at, fresh) in keeper.hellos.items()
-                if now - at < 5 * keeper.pace.hello}
+        said = {
+            name: (life, fresh)
+            for name, (life, at, fresh) in keeper.hellos.items()
+            if now - at < 5 * keeper.pace.hello
+        }
         for place, each in enumerate(members):
             life, fresh = said.get(each.name, (each.life, False))
             if fresh and life != each.life and each.life != keeper.life:  # its file was lost
@@ -196,8 +224,13 @@
                 return members
         for each in members:
             peer = self.peers.get(each.life)
-            if (peer and not each.votes and each.name in wanted and peer.match >= keeper.commit
-                    and now - peer.heard < keeper.pace.least):
+            if (
+                peer
+                and not each.votes
+                and each.name in wanted
+                and peer.match >= keeper.commit
+                and now - peer.heard < keeper.pace.least
+            ):
                 return [Member(m.name, m.life, m.votes or m is each) for m in members]
         here = {each.name for each in members}
         for name in sorted(wanted - here):
--- a/oakkeel/rollout/book.py
+++ b/oakkeel/rollout/book.py
@@ -21,9 +21,16 @@
 
 # Of a release. preparing: hosts make their copies; running, undoing: forth and back; halted: nothing further
 # leaves until an operator says how it goes on.
-NEXT = {"preparing": {"running", "left"}, "running": {"paused", "halted", "undoing", "done"},
-        "paused": {"running", "halted", "undoing"}, "halted": {"running", "undoing", "left"},
-        "undoing": {"halted", "undone"}, "done": set(), "undone": set(), "left": set()}
+NEXT = {
+    "preparing": {"running", "left"},
+    "running": {"paused", "halted", "undoing", "done"},
+    "paused": {"running", "halted", "undoing"},
+    "halted": {"running", "undoing", "left"},
+    "undoing": {"halted", "undone"},
+    "done": set(),
+    "undone": set(),
+    "left": set(),
+}
 OVER = ("done", "undone", "left")
 # Of a part.
 PART_NEXT = {"old": {"changing"}, "changing": {"old", "new"}, "new": {"changing"}}
@@ -102,18 +109,28 @@
     def _begin(self, index: int, command: commands.Begin) -> object:
         held, what = self.held, command.what
         if known := held.releases.get(command.ident):
-            same = (known.operator, known.what, sorted(known.parts)) == (command.operator, what,
-                                                                         sorted(command.things))
+            same = (known.operator, known.what, sorted(known.parts)) == (
+                command.operator,
+                what,
+                sorted(command.things),
+            )
             return known if same else Refusal(f"that id is of another release, by {known.operator}")
         if other := self.open:
             return Refusal(f"{other.operator}'s release {other.ident} is {other.state}: it has to end first")
         things = command.things
-        if not command.ident or len(command.ident) > 48 or "." in command.ident or not things \
-                or len(set(things)) != len(things) or len(things) > MOST_THINGS:
+        if (
+            not command.ident
+            or len(command.ident) > 48
+            or "." in command.ident
+            or not things
+            or len(set(things)) != len(things)
+            or len(things) > MOST_THINGS
+        ):
             return Refusal("no id without a dot, nothing named, something twice, or too much at once")
         known_things = {thing for here in held.layout.hosts.values() for thing in here}
-        services = {thing for group in held.layout.groups if group.name.startswith("kind ")
-                    for thing in group.things}
+        services = {
+            thing for group in held.layout.groups if group.name.startswith("kind ") for thing in group.things
+        }
         if unknown := sorted(set(things) - known_things):
             return Refusal(f"there is no {unknown[0]}")
         if wrong := [thing for thing in things if (thing in services) != what.services]:
@@ -128,8 +145,10 @@
                 ran = held.sources.get(part.was, What(""))
                 for name in ("program", "patch"):
                     if getattr(ran, name) and not getattr(what, name):
-                        return Refusal(f"{thing} runs a released {name}: name one here too, or say that it"
-                                       " shall be as the settings say")
+                        return Refusal(
+                            f"{thing} runs a released {name}: name one here too, or say that it"
+                            " shall be as the settings say"
+                        )
         release = Release(command.ident, command.operator, command.unix, index, what, command.pace, parts)
         held.releases[release.ident] = release
         if not what.services:
@@ -147,8 +166,13 @@
             to = "leave"
         if to == "undo" and release.state == "preparing":
             return Refusal("nothing of it was changed yet: abort it")
-        state = {"pause": "paused", "abort": "halted", "undo": "undoing", "leave": "left",
-                 "resume": "undoing" if release.back else "running"}.get(to, "")
+        state = {
+            "pause": "paused",
+            "abort": "halted",
+            "undo": "undoing",
+            "leave": "left",
+            "resume": "undoing" if release.back else "running",
+        }.get(to, "")
         if state == release.state:
             return release
         if state not in NEXT[release.state]:
@@ -198,14 +222,22 @@
         if isinstance(release, Refusal):
             return release
         names = [thing for thing, _ in command.things]
-        if release.now or not names or any(
-                thing not in release.parts for thing in names):
+        if release.now or not names or any(thing not in release.parts for thing in names):
             return Refusal("a batch is under way, or something of this one can't be changed now")
         held = self.held
         verb = "drain" if release.what.services else "restart"
-        order = self._order(index, places.Order(
-            f"{release.ident}.{release.batch + 1}", release.operator, verb, command.unix, release.pace.lasts,
-            False, [*command.things, *command.controls]))
+        order = self._order(
+            index,
+            places.Order(
+                f"{release.ident}.{release.batch + 1}",
+                release.operator,
+                verb,
+                command.unix,
+                release.pace.lasts,
+                False,
+                [*command.things, *command.controls],
+            ),
+        )
         if isinstance(order, Refusal):
             return order
         release.step, release.batch = release.step + 1, release.batch + 1
@@ -296,12 +328,21 @@
                 if part.state == "old":
                     self._shall_run(thing, part.was)
             wanted = {*self.held.versions.values()}
-            self.held.sources = {version: what for version, what in self.held.sources.items()
-                                 if version in wanted}
+            self.held.sources = {
+                version: what for version, what in self.held.sources.items() if version in wanted
+            }
         if was == "preparing" or state == "running":
             release.why = why
         return release
 
     ACTS: ClassVar[dict[type, Any]] = {
-        **Ledger.ACTS, commands.Begin: _begin, commands.Turn: _turn, commands.Ready: _ready, commands.Go: _go,
-        commands.Batch: _batch, commands.Settle: _settle, commands.Judge: _judge, commands.Finish: _finish}
+        **Ledger.ACTS,
+        commands.Begin: _begin,
+        commands.Turn: _turn,
+        commands.Ready: _ready,
+        commands.Go: _go,
+        commands.Batch: _batch,
+        commands.Settle: _settle,
+        commands.Judge: _judge,
+        commands.Finish: _finish,
+    }
--- a/oakkeel/rollout/driver.py
+++ b/oakkeel/rollout/driver.py
@@ -74,17 +74,33 @@
             if known and known.at > host.echo:
                 continue
             before = known.version if known else run.version
-            self.seen[run.name] = Seen(run.name, run.phase, run.generation, run.version or
-                                       (before if run.age < 0 else ""), host.echo, run.load,
-                                       run.resting)
+            self.seen[run.name] = Seen(
+                run.name,
+                run.phase,
+                run.generation,
+                run.version or (before if run.age < 0 else ""),
+                host.echo,
+                run.load,
+                run.resting,
+            )
             if release:
                 self._measure(now, release, poll.life, run, before)
         if release and release.state == "preparing" and self.lease.holds(now):
-            return [commands.Ready(release.ident, self.lease.fence, poll.host, why,
-                                   {thing: base for thing, base in told.bases.items()
-                                    if self.granting.host_of.get(thing) == poll.host})
-                    for ident, why in told.ready.items()
-                    if ident == release.ident and (why or poll.host not in release.ready)]
+            return [
+                commands.Ready(
+                    release.ident,
+                    self.lease.fence,
+                    poll.host,
+                    why,
+                    {
+                        thing: base
+                        for thing, base in told.bases.items()
+                        if self.granting.host_of.get(thing) == poll.host
+                    },
+                )
+                for ident, why in told.ready.items()
+                if ident == release.ident and (why or poll.host not in release.ready)
+            ]
         return []
 
     def _measure(self, now: int, release: Release, life: int, run, before: str) -> None:
@@ -93,8 +109,11 @@
         was = self.died.get(run.name)
         self.died[run.name] = life, run.died
         if was and was[0] == life and run.died > was[1]:
-            arms = [self._arm(release, name, each.version) for name, each in self.seen.items()
-                    if each.serves or name == run.name]
+            arms = [
+                self._arm(release, name, each.version)
+                for name, each in self.seen.items()
+                if each.serves or name == run.name
+            ]
             gate.died(run.name, self._arm(release, run.name, before), arms.count("new"), arms.count("old"))
         if run.figures is not None and run.phase in ("serving", "cold"):
             gate.heard(now, run.name, arm, run.version, run.generation, run.phase == "cold", run.figures)
@@ -105,8 +124,11 @@
             if thing not in release.parts:
                 return "old" if version != release.what.version else "new"
             return "new" if version == release.what.version else "old"
-        on = {release.parts[service].state for service in self.planner.below.get(thing, ())
-              if service in release.parts}
+        on = {
+            release.parts[service].state
+            for service in self.planner.below.get(thing, ())
+            if service in release.parts
+        }
         return {"old": "old", "new": "new"}.get(on.pop(), "") if len(on) == 1 else ""
 
     def _gate(self, now: int, release: Release) -> Gate:
@@ -121,8 +143,10 @@
         held, release = self.book.held, self.book.open
         here = self.granting.layout.hosts.get(host, ())
         versions = {thing: held.versions[thing] for thing in here if thing in held.versions}
-        heard = Heard(versions, {version: held.sources[version] for version in {*versions.values()}
-                                 if version in held.sources})
+        heard = Heard(
+            versions,
+            {version: held.sources[version] for version in {*versions.values()} if version in held.sources},
+        )
         if release:
             heard.watch, heard.release, heard.what = True, release.ident, release.what
             heard.things = [thing for thing in here if thing in release.parts]
@@ -158,8 +182,11 @@
         if release is None:
             self.gate, self.gate_of = None, ""
             return wanted
-        if not self.asked_at and now >= self.ask_at and (
-                not self.lease.holds(now) or now > self.lease.until - LASTS * 3 // 4):
+        if (
+            not self.asked_at
+            and now >= self.ask_at
+            and (not self.lease.holds(now) or now > self.lease.until - LASTS * 3 // 4)
+        ):
             self.asked_at, self.ask_at = now, now + AGAIN
             wanted.append(self.lease.asking())
         if not self.lease.holds(now) or self.waiting or now < self.act_at:
@@ -182,21 +209,31 @@
             self.why = ""
             return None
         end = "old" if release.back else "new"
-        left = [thing for thing, part in release.parts.items() if part.state != end
-                or self._strays(now, release, thing)]
+        left = [
+            thing
+            for thing, part in release.parts.items()
+            if part.state != end or self._strays(now, release, thing)
+        ]
         if gated := self._gated(now, release, gate):
             return gated
         if self.why:
             return None
         if not left:
-            if unheard := [thing for thing in release.parts if not release.what.services and (
-                    (each := self.seen.get(thing)) is None or not each.fresh(now))]:
+            if unheard := [
+                thing
+                for thing in release.parts
+                if not release.what.services
+                and ((each := self.seen.get(thing)) is None or not each.fresh(now))
+            ]:
                 self.why = f"waits to hear what {', '.join(unheard[:5])} run"
                 return None
             return commands.Finish(*head)
         if worn := [thing for thing in left if release.parts[thing].tries >= TRIES]:
-            return self._halt(release, gate, f"{worn[0]} was changed {TRIES} times, and is not there:"
-                                             f" {self._story(release, worn[0])}")
+            return self._halt(
+                release,
+                gate,
+                f"{worn[0]} was changed {TRIES} times, and is not there: {self._story(release, worn[0])}",
+            )
         return self._next_batch(now, release, left)
 
     def _prepare(self, now: int, release: Release) -> commands.Command | None:
@@ -218,16 +255,23 @@
             self.batch_of, self.batch_at = batch, now
         held, order = self.book.held, self.book.held.orders.get(release.order)
         parts = order.parts if order else {}
-        open_ones = [thing for thing in (*release.now, *release.controls)
-                     if thing in parts and parts[thing].state in OPEN]
+        open_ones = [
+            thing
+            for thing in (*release.now, *release.controls)
+            if thing in parts and parts[thing].state in OPEN
+        ]
         halted = bool(order and order.halted not in ("", EXPIRED))
         stopped = release.state in ("paused", "halted") or halted or release.forward is release.back
         failed = [thing for thing in release.now if thing in parts and parts[thing].state == "failed"]
         if not stopped:
             if failed:
-                return self._halt(release, gate, f"{failed[0]} did not come up with the"
-                                                 f" {'old' if release.back else 'new'}:"
-                                                 f" {self._story(release, failed[0])}")
+                return self._halt(
+                    release,
+                    gate,
+                    f"{failed[0]} did not come up with the"
+                    f" {'old' if release.back else 'new'}:"
+                    f" {self._story(release, failed[0])}",
+                )
             if release.pace.gated and not release.back:
                 verdict = gate.verdict(gate.full())
                 if verdict.answer is Answer.WORSE:
@@ -235,8 +279,11 @@
         if release.state in ("running", "undoing") and now - self.batch_at > release.pace.lasts + LATE:
             late = next((thing for thing in open_ones or release.now), "")
             return self._halt(release, gate, f"{late} was not heard of in the time of its batch")
-        out = [thing for thing in release.now if thing in held.places
-               and held.places[thing].ident == release.order]
+        out = [
+            thing
+            for thing in release.now
+            if thing in held.places and held.places[thing].ident == release.order
+        ]
         came = [thing for thing in release.now if self._came(now, release, thing)]
         if open_ones or out:
             # What is broken will not come back by itself: a halted release says so and lets it be.
@@ -247,25 +294,38 @@
         elif not stopped and len(came) < len(release.now) and not self._refused(parts, release):
             self.why = f"batch {release.batch}: waits to hear what it runs"
             return None
-        if any(not (each := self.seen.get(thing)) or not each.fresh(now) for thing in release.now) \
-                and not release.what.services:
+        if (
+            any(not (each := self.seen.get(thing)) or not each.fresh(now) for thing in release.now)
+            and not release.what.services
+        ):
             self.why = "waits to hear of all in the batch"
             return None
         self.why = ""
-        return commands.Settle(release.ident, self.lease.fence, release.step, [
-            thing for thing in release.now if self._is_new(release, thing, parts)])
+        return commands.Settle(
+            release.ident,
+            self.lease.fence,
+            release.step,
+            [thing for thing in release.now if self._is_new(release, thing, parts)],
+        )
 
     def _refused(self, parts: dict, release: Release) -> bool:
         """Nothing of what has not come was begun: it can be tried again."""
-        return all(parts[thing].state in ("refused", "expired", "halted", "cancelled", "done")
-                   for thing in release.now if thing in parts)
+        return all(
+            parts[thing].state in ("refused", "expired", "halted", "cancelled", "done")
+            for thing in release.now
+            if thing in parts
+        )
 
     def _came(self, now: int, release: Release, thing: str) -> bool:
         each = self.seen.get(thing)
         if release.what.services:
             return thing not in self.granting.out.reasons
-        return bool(each and each.fresh(now) and each.phase in ("cold", "serving")
-                    and (each.version == release.what.version) is release.forward)
+        return bool(
+            each
+            and each.fresh(now)
+            and each.phase in ("cold", "serving")
+            and (each.version == release.what.version) is release.forward
+        )
 
     def _strays(self, now: int, release: Release, thing: str) -> bool:
         """It runs something else than it was settled with: it died before its agent had heard of that."""
@@ -277,8 +337,11 @@
 
     def _broken(self, now: int, thing: str) -> bool:
         each = self.seen.get(thing)
-        return bool(each and each.fresh(now) and (each.resting or each.phase in (
-            "failing", "stopped", "silent", "stuck")))
+        return bool(
+            each
+            and each.fresh(now)
+            and (each.resting or each.phase in ("failing", "stopped", "silent", "stuck"))
+        )
 
     def _is_new(self, release: Release, thing: str, parts: dict) -> bool:
         """What it runs by now, or will run: one with no process, or whose process leaves, may be started
@@ -315,12 +378,14 @@
         if verdict.answer is Answer.TOO_FEW and waited > release.pace.patience:
             return self._halt(release, gate, f"no answer from the gates: {verdict.why}")
         if verdict.answer is Answer.TOO_FEW or waited < release.pace.soak:
-            self.why = verdict.why or (f"watched for {release.pace.soak / SECOND:.0f} s,"
-                                       f" {waited / SECOND:.0f} by now")
+            self.why = verdict.why or (
+                f"watched for {release.pace.soak / SECOND:.0f} s, {waited / SECOND:.0f} by now"
+            )
             if now - self.kept_at >= KEEP_EVERY:
                 self.kept_at = now
-                return commands.Judge(release.ident, self.lease.fence, release.step, gate.kept(),
-                                      verdict.figures)
+                return commands.Judge(
+                    release.ident, self.lease.fence, release.step, gate.kept(), verdict.figures
+                )
         return None
 
     def _next_batch(self, now: int, release: Release, left: list[str]) -> commands.Command | None:
@@ -338,8 +403,16 @@
         if not free:
             self.why = f"{standing[left[0]]} stands on {left[0]}"
             return None
-        choice = self.planner.choose(now, free, self.seen, self.granting.out, max(1, min(most, MOST)),
-                                     pace.ceiling, release.back, len(release.parts) > 1)
+        choice = self.planner.choose(
+            now,
+            free,
+            self.seen,
+            self.granting.out,
+            max(1, min(most, MOST)),
+            pace.ceiling,
+            release.back,
+            len(release.parts) > 1,
+        )
         if not choice.things:
             self.why, self.act_at = choice.why, now + LOOK_AGAIN
             return None
@@ -347,22 +420,37 @@
         controls: list[str] = []
         if pace.control and pace.gated and not release.batch and not release.what.services:
             controls = self._controls(now, release, choice.things)
-        return commands.Batch(release.ident, self.lease.fence, release.step, release.unix,
-                              [(thing, generations.get(thing, 0)) for thing in choice.things],
-                              [(thing, generations.get(thing, 0)) for thing in controls])
+        return commands.Batch(
+            release.ident,
+            self.lease.fence,
+            release.step,
+            release.unix,
+            [(thing, generations.get(thing, 0)) for thing in choice.things],
+            [(thing, generations.get(thing, 0)) for thing in controls],
+        )
 
     def _standing(self) -> dict[str, str]:
         """Things on which an order is open, and whose: what is tried there would be refused."""
-        return {thing: f"{order.operator}'s {order.verb} {order.ident}"
-                for ident in self.granting.orders_at if (order := self.book.held.orders.get(ident))
-                for thing, part in order.parts.items() if part.state in OPEN}
+        return {
+            thing: f"{order.operator}'s {order.verb} {order.ident}"
+            for ident in self.granting.orders_at
+            if (order := self.book.held.orders.get(ident))
+            for thing, part in order.parts.items()
+            if part.state in OPEN
+        }
 
     def _controls(self, now: int, release: Release, chosen: list[str]) -> list[str]:
         """As many of the old, to begin anew beside the first of the new, where there is room for both."""
-        others = [thing for thing in self.planner.site if thing not in chosen
-                  and (each := self.seen.get(thing)) and each.serves
-                  and self._arm(release, thing, each.version) == "old"
-                  and not self.granting.out.against([*chosen, thing])]
-        found = self.planner.choose(now, others, self.seen, self.granting.out, len(chosen),
-                                    release.pace.ceiling, False).things
+        others = [
+            thing
+            for thing in self.planner.site
+            if thing not in chosen
+            and (each := self.seen.get(thing))
+            and each.serves
+            and self._arm(release, thing, each.version) == "old"
+            and not self.granting.out.against([*chosen, thing])
+        ]
+        found = self.planner.choose(
+            now, others, self.seen, self.granting.out, len(chosen), release.pace.ceiling, False
+        ).things
         return [] if self.granting.out.against([*chosen, *found]) else found
--- a/oakkeel/rollout/fitting.py
+++ b/oakkeel/rollout/fitting.py
@@ -46,8 +46,19 @@
 
     def told(self, runs: list[Run]) -> bytes:
         if not self.watch:
-            runs = [Run(each.name, each.version, each.generation, each.phase, each.age, each.resting,
-                        each.died, each.load) for each in runs]
+            runs = [
+                Run(
+                    each.name,
+                    each.version,
+                    each.generation,
+                    each.phase,
+                    each.age,
+                    each.resting,
+                    each.died,
+                    each.load,
+                )
+                for each in runs
+            ]
         return encode(Told(runs, self.ready, self.bases if self.release else {}))
 
     def heard(self, content: bytes) -> None:
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -102,8 +102,9 @@
 
     # What is told.
 
-    def heard(self, now: int, thing: str, arm: str, version: str, generation: int, cold: bool,
-              figures: Figures) -> None:
+    def heard(
+        self, now: int, thing: str, arm: str, version: str, generation: int, cold: bool, figures: Figures
+    ) -> None:
         """A report. `arm` is new or old, or empty where the thing is in neither."""
         age = "cold" if cold else "warm"
         known, born = self.known.get(thing), (version, generation, age)
@@ -166,7 +167,7 @@
                 state.slower[group].look(_turned(old), _turned(new), 0.25)
         growth_old, growth_new = found.growth.get("old"), found.growth.get("new")
         if growth_old and growth_new:
-            state.growth.look(_turned(growth_old), _turned(growth_new), 100.0 ** 2)
+            state.growth.look(_turned(growth_old), _turned(growth_new), 100.0**2)
             found.growth.clear()
         self.stretch, self.stretch_at = Stretch(growth=found.growth), now
 
@@ -174,12 +175,13 @@
         """`full`: the benefit of an exchange as the old have it, by which losses are measured."""
         state = self.state
         scale = self.margin * max(full, 1e-6)
-        logs = {"benefit": state.warm.worse(0.25 * scale, scale) if _some(state.warm) else 0.0,
-                "benefit while cold": state.cold.worse(0.5 * scale, 4 * scale) if _some(state.cold) else 0.0,
-                "denials": state.denied.worse(0.25 * self.margin, self.margin) if _some(state.denied)
-                else 0.0,
-                "deaths": state.deaths.worse(),
-                "memory": state.growth.worse(GROWTH_BORNE, 4 * GROWTH_BORNE)}
+        logs = {
+            "benefit": state.warm.worse(0.25 * scale, scale) if _some(state.warm) else 0.0,
+            "benefit while cold": state.cold.worse(0.5 * scale, 4 * scale) if _some(state.cold) else 0.0,
+            "denials": state.denied.worse(0.25 * self.margin, self.margin) if _some(state.denied) else 0.0,
+            "deaths": state.deaths.worse(),
+            "memory": state.growth.worse(GROWTH_BORNE, 4 * GROWTH_BORNE),
+        }
         slower = [test.worse(0.05, 0.2) for test in state.slower.values() if _some(test)]
         logs["time"] = log_mean(slower)
         figures = self.figures()
@@ -190,11 +192,16 @@
             worst = max(logs, key=lambda name: logs[name])
             return Verdict(Answer.WORSE, f"worse than the old: {self._said(worst)}", figures)
         if not _some(state.warm):
-            return Verdict(Answer.TOO_FEW, f"{state.warm.new.count:.0f} exchanges of the new and"
-                           f" {state.warm.old.count:.0f} of the old at the same time", figures)
+            return Verdict(
+                Answer.TOO_FEW,
+                f"{state.warm.new.count:.0f} exchanges of the new and"
+                f" {state.warm.old.count:.0f} of the old at the same time",
+                figures,
+            )
         if state.warm.not_worse(scale, scale) < math.log(1 / FALSE_PASSES):
-            return Verdict(Answer.TOO_FEW, f"a loss of {100 * self.margin:.1f} % can't be told from none yet",
-                           figures)
+            return Verdict(
+                Answer.TOO_FEW, f"a loss of {100 * self.margin:.1f} % can't be told from none yet", figures
+            )
         return Verdict(Answer.GOOD, "", figures)
 
     def full(self) -> float:
@@ -205,23 +212,31 @@
         if worst == "deaths":
             return f"{state.deaths.new} deaths of the new, {state.deaths.old} of the old"
         if worst == "memory":
-            return (f"memory grows {-state.growth.new.mean:.0f} KB a second, the old's"
-                    f" {-state.growth.old.mean:.0f}")
+            return (
+                f"memory grows {-state.growth.new.mean:.0f} KB a second, the old's"
+                f" {-state.growth.old.mean:.0f}"
+            )
         if worst == "denials":
-            return (f"{100 * -state.denied.new.mean:.1f} % are denied, of the old's"
-                    f" {100 * -state.denied.old.mean:.1f} %")
+            return (
+                f"{100 * -state.denied.new.mean:.1f} % are denied, of the old's"
+                f" {100 * -state.denied.old.mean:.1f} %"
+            )
         if worst == "time":
             group = max(state.slower, key=lambda name: state.slower[name].loss)
             return f"{group} takes {100 * math.expm1(state.slower[group].loss):.1f} % longer"
         test = state.cold if worst.endswith("cold") else state.warm
-        return (f"{worst} {test.new.mean:.4f} an exchange, the old's {test.old.mean:.4f},"
-                f" {100 * test.loss / max(1e-9, test.old.mean):.1f} % less")
+        return (
+            f"{worst} {test.new.mean:.4f} an exchange, the old's {test.old.mean:.4f},"
+            f" {100 * test.loss / max(1e-9, test.old.mean):.1f} % less"
+        )
 
     def figures(self) -> str:
         warm = self.state.warm
-        return (f"benefit {warm.new.mean:.4f} of {warm.new.count:.0f} new, {warm.old.mean:.4f} of"
-                f" {warm.old.count:.0f} old, loss {warm.loss:+.4f} +- {min(warm.spread, 9.0):.4f};"
-                f" deaths {self.state.deaths.new}, {self.state.deaths.old}")
+        return (
+            f"benefit {warm.new.mean:.4f} of {warm.new.count:.0f} new, {warm.old.mean:.4f} of"
+            f" {warm.old.count:.0f} old, loss {warm.loss:+.4f} +- {min(warm.spread, 9.0):.4f};"
+            f" deaths {self.state.deaths.new}, {self.state.deaths.old}"
+        )
 
 
 def _some(test: Difference) -> bool:
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -71,8 +71,17 @@
             for each in instances:
                 self.below.setdefault(each, []).append(service)
 
-    def choose(self, now: int, wanted: Iterable[str], seen: dict[str, Seen], out: Out, most: int,
-               ceiling: float, broken_first: bool, keep_last: bool = True) -> Choice:
+    def choose(
+        self,
+        now: int,
+        wanted: Iterable[str],
+        seen: dict[str, Seen],
+        out: Out,
+        most: int,
+        ceiling: float,
+        broken_first: bool,
+        keep_last: bool = True,
+    ) -> Choice:
         """At most so many of those wanted. `broken_first`: what does not serve is changed first, as on a way
         back; else only after what serves, and never as the first of a release."""
         left: dict[str, int] = {}  # serving, by group
@@ -84,8 +93,9 @@
             if each is None or not each.fresh(now):
                 old += 1
             elif thing in out.reasons:
-                if each.phase != "draining" and not any(reason.startswith("hangs on")
-                                                        for reason in out.reasons[thing]):
+                if each.phase != "draining" and not any(
+                    reason.startswith("hangs on") for reason in out.reasons[thing]
+                ):
                     free.append(thing)
             else:
                 able.append(thing)
@@ -102,8 +112,9 @@
             found = ""
             for site in sorted(by_site, key=lambda site: (count.get(site, 0), -left.get(site, 0), site)):
                 for thing in by_site[site][-TRIES:][::-1]:
-                    why = self._against(thing, choice.things, seen, out, left, capacity, load, ceiling,
-                                        keep_last)
+                    why = self._against(
+                        thing, choice.things, seen, out, left, capacity, load, ceiling, keep_last
+                    )
                     if not why:
                         found = thing
                         break
@@ -121,8 +132,9 @@
             choice.why = why or "all that is left is out"
         return choice
 
-    def _sites(self, now: int, seen: dict[str, Seen], out: Out, left: dict[str, int]) -> tuple[
-            dict[str, float], dict[str, float]]:
+    def _sites(
+        self, now: int, seen: dict[str, Seen], out: Out, left: dict[str, int]
+    ) -> tuple[dict[str, float], dict[str, float]]:
         """By site, what those that serve can carry and do carry; `left` is filled with counts by group."""
         capacity: dict[str, float] = {}
         load: dict[str, float] = {}
@@ -144,8 +156,18 @@
                 load[site] = load.get(site, 0.0) + each.load
         return capacity, load
 
-    def _against(self, thing: str, chosen: list[str], seen: dict[str, Seen], out: Out, left: dict[str, int],
-                 capacity: dict[str, float], load: dict[str, float], ceiling: float, keep_last: bool) -> str:
+    def _against(
+        self,
+        thing: str,
+        chosen: list[str],
+        seen: dict[str, Seen],
+        out: Out,
+        left: dict[str, int],
+        capacity: dict[str, float],
+        load: dict[str, float],
+        ceiling: float,
+        keep_last: bool,
+    ) -> str:
         for service in self.below.get(thing, ()):
             if service in out.reasons or service in chosen:
                 return f"{service} is out, on which {thing} hangs"
@@ -169,12 +191,15 @@
                 continue  # it is all of the site, which nobody there could carry
             can = capacity.get(place, 0.0) - lost
             if load.get(place, 0.0) > 0.05 and load[place] > ceiling * max(can, 1e-9):
-                return (f"{place}: those left would carry {load[place]:.2f} on {max(0.0, can):.2f} nodes'"
-                        f" worth of cores, over {ceiling:g}")
+                return (
+                    f"{place}: those left would carry {load[place]:.2f} on {max(0.0, can):.2f} nodes'"
+                    f" worth of cores, over {ceiling:g}"
+                )
         return ""
 
-    def _take(self, thing: str, left: dict[str, int], capacity: dict[str, float],
-              count: dict[str, int]) -> None:
+    def _take(
+        self, thing: str, left: dict[str, int], capacity: dict[str, float], count: dict[str, int]
+    ) -> None:
         for each in (thing, *self.layout.hanging.get(thing, ())):
             for name in self.of.get(each, ()):
                 left[name] = left.get(name, 0) - 1
--- a/oakkeel/sealing/link.py
+++ b/oakkeel/sealing/link.py
@@ -54,8 +54,9 @@
             hello = await read_frame(self.stream)
             if not hello.startswith(HELLO) or len(hello) != len(HELLO) + NONCE:
                 raise LinkRefused("no agent of this version listens there")
-            self.sender = Sender(self.key, hello[len(HELLO):], lambda: secrets.token_bytes(NONCE),
-                                 time.time_ns)
+            self.sender = Sender(
+                self.key, hello[len(HELLO) :], lambda: secrets.token_bytes(NONCE), time.time_ns
+            )
         self.stream.write(frame(self.sender.seal(content)))
         answer = await read_frame(self.stream, LONGEST_ANSWER)
         if answer == REFUSED:
--- a/oakkeel/sealing/marks.py
+++ b/oakkeel/sealing/marks.py
@@ -58,8 +58,9 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def _mark(secret: bytes, kind: bytes, challenge: bytes, place: int, nonce: bytes, time: int,
-          content: bytes) -> bytes:
+def _mark(
+    secret: bytes, kind: bytes, challenge: bytes, place: int, nonce: bytes, time: int, content: bytes
+) -> bytes:
     hasher = blake3.blake3(key=secret)
     for part in (kind, challenge, place.to_bytes(8, "big"), nonce, time.to_bytes(8, "big"), content):
         hasher.update(len(part).to_bytes(8, "big"))  # or bytes could move from one part to the next
@@ -70,8 +71,9 @@
 class Sender:
     """The command line's end of one link."""
 
-    def __init__(self, key: Key, challenge: bytes, nonce: Callable[[], bytes],
-                 unix: Callable[[], int]) -> None:
+    def __init__(
+        self, key: Key, challenge: bytes, nonce: Callable[[], bytes], unix: Callable[[], int]
+    ) -> None:
         self.key, self.challenge, self.nonce, self.unix = key, challenge, nonce, unix
         self.place = 0
 
@@ -84,8 +86,9 @@
     def open(self, frame: bytes) -> bytes:
         """The content of the answer to what was sealed last. Raises Refused."""
         sealed = _read(frame)
-        mark = _mark(self.key.secret, b"answer", self.challenge, self.place, self.sent, sealed.time,
-                     sealed.content)
+        mark = _mark(
+            self.key.secret, b"answer", self.challenge, self.place, self.sent, sealed.time, sealed.content
+        )
         if not hmac.compare_digest(mark, sealed.mark):
             raise Refused("an answer that was not made with our key, or not to our message")
         return sealed.content
@@ -94,8 +97,9 @@
 class Receiver:
     """The agent's end of one link."""
 
-    def __init__(self, keys: dict[str, Key], challenge: bytes, made: int,
-                 good_for: int = 10 * SECOND) -> None:
+    def __init__(
+        self, keys: dict[str, Key], challenge: bytes, made: int, good_for: int = 10 * SECOND
+    ) -> None:
         """`made` is when the challenge was made, monotonic nanoseconds."""
         self.keys, self.challenge, self.made, self.good_for = keys, challenge, made, good_for
         self.place = 0
--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -101,8 +101,14 @@
 
     def told(self, snapshot: str) -> dict[str, Any]:
         """As a node reads it."""
-        return {"by": list(self.by), "weights": dict(self.weights), "places": self.places,
-                "promises": self.promises, "half": self.half, "snapshot": snapshot if self.snapshot else ""}
+        return {
+            "by": list(self.by),
+            "weights": dict(self.weights),
+            "places": self.places,
+            "promises": self.promises,
+            "half": self.half,
+            "snapshot": snapshot if self.snapshot else "",
+        }
 
 
 @dataclass(slots=True, frozen=True)
@@ -132,9 +138,19 @@
         raise SettingsError(f"{self.path}: no operator {name!r}; there are {names}")
 
 
-SUPERVISION = {"silent": "silent", "start": "start", "stuck": "stuck", "restart-stuck": "restart_stuck",
-               "drain": "drain", "backoff": "backoff", "backoff-most": "backoff_most", "steady": "steady",
-               "restarts": "budget", "window": "window", "starting": "starting"}
+SUPERVISION = {
+    "silent": "silent",
+    "start": "start",
+    "stuck": "stuck",
+    "restart-stuck": "restart_stuck",
+    "drain": "drain",
+    "backoff": "backoff",
+    "backoff-most": "backoff_most",
+    "steady": "steady",
+    "restarts": "budget",
+    "window": "window",
+    "starting": "starting",
+}
 
 
 def read_fleet(path: str) -> Fleet:
@@ -146,8 +162,14 @@
         raise SettingsError(f"{path}: {error.strerror}") from None
     if len(data) > MOST_BYTES:
         raise SettingsError(f"{path}: more than {MOST_BYTES} bytes")
-    parser = etree.XMLParser(resolve_entities=False, no_network=True, load_dtd=False, huge_tree=False,
-                             remove_comments=True, remove_pis=True)
+    parser = etree.XMLParser(
+        resolve_entities=False,
+        no_network=True,
+        load_dtd=False,
+        huge_tree=False,
+        remove_comments=True,
+        remove_pis=True,
+    )
     try:
         root = etree.fromstring(data, parser)
     except etree.XMLSyntaxError as error:
@@ -167,8 +189,11 @@
 
 def _fault(path: str, root: Any, error: Any) -> str:
     text = error.message.replace(SPACE, "")
-    text = re.sub(r"^Element '(\w+)'(, attribute '([\w-]+)')?: ", lambda found: "<" + found[1] + ">" + (
-        f" {found[3]}" if found[3] else "") + ": ", text)
+    text = re.sub(
+        r"^Element '(\w+)'(, attribute '([\w-]+)')?: ",
+        lambda found: "<" + found[1] + ">" + (f" {found[3]}" if found[3] else "") + ": ",
+        text,
+    )
     return f"{path}:{error.line}: {text}"
 
 
@@ -193,12 +218,18 @@
         for found in root.iter(SPACE + "supervision"):
             for attribute, value in found.attrib.items():
                 supervision[SUPERVISION[attribute]] = (
-                    value in ("true", "1") if attribute == "restart-stuck"
-                    else int(value) if value.isdigit() else time_of(value))
+                    value in ("true", "1")
+                    if attribute == "restart-stuck"
+                    else int(value)
+                    if value.isdigit()
+                    else time_of(value)
+                )
         asking = {}
         for found in root.iter(SPACE + "asking"):
-            asking = {name: int(value) if value.isdigit() else time_of(value)
-                      for name, value in found.attrib.items()}
+            asking = {
+                name: int(value) if value.isdigit() else time_of(value)
+                for name, value in found.attrib.items()
+            }
         fairness = None
         for found in root.iter(SPACE + "fairness"):
             fairness = self._fairness(found)
@@ -210,8 +241,17 @@
         keepers = self._keepers(root, hosts, sum(sites.values()))
         if self.faults:
             raise SettingsError("\n".join(self.faults))
-        return Fleet(root.get("name"), self.path, operators, supervision, Asking(**asking), sites,
-                     tuple(hosts), fairness, keepers)
+        return Fleet(
+            root.get("name"),
+            self.path,
+            operators,
+            supervision,
+            Asking(**asking),
+            sites,
+            tuple(hosts),
+            fairness,
+            keepers,
+        )
 
     def _fault(self, element: Any, text: str) -> None:
         self.faults.append(f"{self.path}:{element.sourceline}: <{etree.QName(element).localname}> {text}")
@@ -239,8 +279,9 @@
     def _fairness(self, element: Any) -> Fairness:
         self._unique(element.iter(SPACE + "weight"), "of")
         weights = tuple((each.get("of"), float(each.get("is"))) for each in element.iter(SPACE + "weight"))
-        numbers: dict[str, Any] = {name: int(element.get(name)) for name in ("places", "promises")
-                                   if element.get(name)}
+        numbers: dict[str, Any] = {
+            name: int(element.get(name)) for name in ("places", "promises") if element.get(name)
+        }
         if any(not 1 <= value <= 65536 for value in numbers.values()):
             self._fault(element, "places and promises: 1 to 65536 are allowed")
         if element.get("half"):
@@ -259,8 +300,14 @@
         for element in root.iter(SPACE + "service"):
             if element.get("host") not in names:
                 self._fault(element, f"host: there is no host {element.get('host')!r}")
-            services.append(Service(element.get("name"), element.getparent().get("name"),
-                                    self._address(element, "address"), element.get("host")))
+            services.append(
+                Service(
+                    element.get("name"),
+                    element.getparent().get("name"),
+                    self._address(element, "address"),
+                    element.get("host"),
+                )
+            )
         known = {service.name for service in services}
         for element in root.iter(SPACE + "instance"):
             for name in element.get("below", "").split():
@@ -299,17 +346,32 @@
         for index, share in zip(free, shares, strict=True):
             parts[index] = share
             if not share and site.getparent().find(SPACE + "keepers") is None:  # else places are lent
-                self._fault(elements[index],
-                            f"away: nothing is left for it of the {allowed} of its site, so no"
-                            " order could take an instance out; allow the site more, or tell it 0")
-        return [HostSettings(
-            element.get("name"), site.get("name"), self._address(element), self._path(element.get("state")),
-            part,
-            tuple(InstanceSettings(each.get("name"), self._path(each.get("config")), each.get("listen", ""),
-                                   each.get("log", "console"), tuple(each.get("below", "").split()))
-                  for each in element.iter(SPACE + "instance")),
-            self._path(element.get("key")) if element.get("key") else "")
-            for element, part in zip(elements, parts, strict=True)]
+                self._fault(
+                    elements[index],
+                    f"away: nothing is left for it of the {allowed} of its site, so no"
+                    " order could take an instance out; allow the site more, or tell it 0",
+                )
+        return [
+            HostSettings(
+                element.get("name"),
+                site.get("name"),
+                self._address(element),
+                self._path(element.get("state")),
+                part,
+                tuple(
+                    InstanceSettings(
+                        each.get("name"),
+                        self._path(each.get("config")),
+                        each.get("listen", ""),
+                        each.get("log", "console"),
+                        tuple(each.get("below", "").split()),
+                    )
+                    for each in element.iter(SPACE + "instance")
+                ),
+                self._path(element.get("key")) if element.get("key") else "",
+            )
+            for element, part in zip(elements, parts, strict=True)
+        ]
 
     def _address(self, element: Any, attribute: str = "agent") -> tuple[str, int]:
         host, _, port = element.get(attribute).rpartition(":")
@@ -338,5 +400,3 @@
     if not (found := re.fullmatch(r"(\d{1,6})(ms|s|m|h)", text)):
         raise ValueError(f"no time like 250ms, 2s, 5m or 1h: {text!r}")
     return int(found[1]) * UNITS[found[2]]
-
-
--- a/oakkeel/settings/keys.py
+++ b/oakkeel/settings/keys.py
@@ -19,8 +19,10 @@
     """The keys that agents mark with among themselves, by host. Raises SettingsError."""
     if fleet.keepers is None:
         return {}
-    return {host.name: Key(f"{AGENT}{host.name}", host.name, Role.AGENT, _secret(host.key))
-            for host in fleet.hosts}
+    return {
+        host.name: Key(f"{AGENT}{host.name}", host.name, Role.AGENT, _secret(host.key))
+        for host in fleet.hosts
+    }
 
 
 def key_of(fleet: Fleet, name: str) -> Key:
@@ -33,8 +35,9 @@
 
 
 def _key(operator: Operator, file: KeyFile) -> Key:
-    return Key(file.ident, operator.name, Role.ACT if operator.acts else Role.VIEW, _secret(file.path),
-               file.until)
+    return Key(
+        file.ident, operator.name, Role.ACT if operator.acts else Role.VIEW, _secret(file.path), file.until
+    )
 
 
 def _secret(path: str) -> bytes:
--- a/oakkeel/shares/heavy.py
+++ b/oakkeel/shares/heavy.py
@@ -22,8 +22,7 @@
 class Sender:
     """One that has a place. Its sums are in the scale of their table: ask `HeavySenders` for rates."""
 
-    __slots__ = ("key", "label", "parent", "count", "error", "retries", "allowed", "free_at",
-                 "rest")
+    __slots__ = ("key", "label", "parent", "count", "error", "retries", "allowed", "free_at", "rest")
 
     def __init__(self, key: int, label: bytes, parent: Any) -> None:
         self.key, self.label, self.parent = key, label, parent
@@ -43,8 +42,9 @@
         self.heap: list[tuple[float, int]] = []  # a count that is not over the sender's, and its key
         self.landmark, self.sum = 0, 0.0
 
-    def add(self, now: int, key: int, weight: float, retry: bool = False, label: bytes = b"",
-            parent: Any = None) -> Sender:
+    def add(
+        self, now: int, key: int, weight: float, retry: bool = False, label: bytes = b"", parent: Any = None
+    ) -> Sender:
         """Count what a sender sent; returns its place. `parent` is kept as it was when it got the place."""
         scaled = weight * self.scale(now)
         self.sum += scaled
--- a/oakkeel/shares/levels.py
+++ b/oakkeel/shares/levels.py
@@ -52,11 +52,13 @@
         for parent, senders in within.items():
             asked = outer.rate(now, parent)
             unknown = 1.0 if asked >= outer.error(now) else self.rest
-            parent.rest = self._share(now, self.tables[1], senders, asked,
-                                      min(parent.allowed, asked * unknown))
+            parent.rest = self._share(
+                now, self.tables[1], senders, asked, min(parent.allowed, asked * unknown)
+            )
 
-    def _share(self, now: int, table: HeavySenders, senders: list[Sender], asked: float,
-               whole: float) -> float:
+    def _share(
+        self, now: int, table: HeavySenders, senders: list[Sender], asked: float, whole: float
+    ) -> float:
         """What each of them may have; returns the share that those not known keep."""
         for sender in senders:
             sender.allowed = inf
--- a/oakkeel/shares/state.py
+++ b/oakkeel/shares/state.py
@@ -37,13 +37,28 @@
     """It is from the future, too old, or of other settings; the text says which."""
 
 
-def kept(now: int, unix: int, by: tuple[str, ...], secret: bytes, levels: Levels,
-         promises: Promises) -> bytes:
-    tables = [[SenderKept(each.key, each.label, each.parent.key if each.parent else 0, table.rate(now, each),
-                          table.retry_rate(now, each)) for each in table.senders.values()]
-              for table in levels.tables]
-    ahead = [PromiseKept(each.key, each.at - now, each.work) for found in promises.open.values()
-             for each in found if each.at > now]
+def kept(
+    now: int, unix: int, by: tuple[str, ...], secret: bytes, levels: Levels, promises: Promises
+) -> bytes:
+    tables = [
+        [
+            SenderKept(
+                each.key,
+                each.label,
+                each.parent.key if each.parent else 0,
+                table.rate(now, each),
+                table.retry_rate(now, each),
+            )
+            for each in table.senders.values()
+        ]
+        for table in levels.tables
+    ]
+    ahead = [
+        PromiseKept(each.key, each.at - now, each.work)
+        for found in promises.open.values()
+        for each in found
+        if each.at > now
+    ]
     return msgspec.msgpack.encode(FairKept(unix, list(by), secret, tables, ahead))
 
 
--- a/oakkeel/standins/below.py
+++ b/oakkeel/standins/below.py
@@ -11,8 +11,9 @@
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        self.server = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1",
-                                                 self.port)
+        self.server = await asyncio.start_server(
+            lambda reader, writer: writer.close(), "127.0.0.1", self.port
+        )
 
     async def close(self) -> None:
         if self.server:
--- a/oakkeel/standins/catalogue.py
+++ b/oakkeel/standins/catalogue.py
@@ -25,8 +25,9 @@
             self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(OSError, ValueError, IndexError, asyncio.IncompleteReadError,
-                                 asyncio.CancelledError):  # by the end of the loop
+        with contextlib.suppress(
+            OSError, ValueError, IndexError, asyncio.IncompleteReadError, asyncio.CancelledError
+        ):  # by the end of the loop
             while line := (await reader.readline()).split():
                 if self.fault is Fault.CRASH:
                     break
--- a/oakkeel/standins/crashing.py
+++ b/oakkeel/standins/crashing.py
@@ -68,8 +68,7 @@
     steps = Steps(last)
     store = CrashingStore(os.path.join(host.state, "agent.db"), steps)
     patience, keys, log, seed = rest
-    return Agent(host, patience, keys, log, seed, store, crashing_processes(steps), PROGRAM,
-                 **more)
+    return Agent(host, patience, keys, log, seed, store, crashing_processes(steps), PROGRAM, **more)
 
 
 if __name__ == "__main__":
--- a/oakkeel/standins/crowd.py
+++ b/oakkeel/standins/crowd.py
@@ -65,8 +65,9 @@
             if word != b"full":
                 self.lost += word == b""
                 return
-            after = float(dict(item.partition(b"=")[::2] for item in fields.split(b",")).get(b"holdoff",
-                                                                                             b"1000"))
+            after = float(
+                dict(item.partition(b"=")[::2] for item in fields.split(b",")).get(b"holdoff", b"1000")
+            )
             told = self.gap is None and after < 5000  # the most that the node tells stands for no promise
             await asyncio.sleep(after / 1000 if self.gap is None else self.gap)
 
@@ -75,9 +76,12 @@
         if link is None:
             link = await Door.open(self.address)
             self.links = [each for each in self.links if not each.ended] + [link]
-        fields = (f"req={self.random.getrandbits(64):016x},ts={time.time_ns() // 1_000_000},via=1,"
-                  f"timeout={int(self.patience * 1000)},need=24.5,level=0.5,client={self.name}"
-                  + ",resent=1" * again)
+        fields = (
+            f"req={self.random.getrandbits(64):016x},ts={time.time_ns() // 1_000_000},via=1,"
+            f"timeout={int(self.patience * 1000)},need=24.5,level=0.5,client={self.name}"
+            + ",resent=1"
+            * again
+        )
         return await link.call(b"quote", fields.encode())
 
 
@@ -109,8 +113,9 @@
         self.tag += 1
         words = [b"CALL", b"%d" % self.tag, group, fields, b"what"]
         answer = self.open_calls[self.tag] = asyncio.get_running_loop().create_future()
-        self.writer.write(b"*%d\r\n" % len(words) + b"".join(
-            b"$%d\r\n%s\r\n" % (len(word), word) for word in words))
+        self.writer.write(
+            b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+        )
         return await answer
 
     async def _read(self) -> None:
--- a/oakkeel/standins/dispatcher.py
+++ b/oakkeel/standins/dispatcher.py
@@ -25,8 +25,9 @@
 class Link:
     """One connection to one node."""
 
-    def __init__(self, owner: Dispatcher, node: str, reader: asyncio.StreamReader,
-                 writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, owner: Dispatcher, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.owner, self.node, self.reader, self.writer = owner, node, reader, writer
         self.open: dict[int, Sent] = {}
         self.tag = 0
@@ -41,8 +42,9 @@
         self.tag += 1
         self.open[self.tag] = sent
         words = [b"CALL", b"%d" % self.tag, sent.group.encode(), fields.encode(), body]
-        self.writer.write(b"*%d\r\n" % len(words) + b"".join(
-            b"$%d\r\n%s\r\n" % (len(word), word) for word in words))
+        self.writer.write(
+            b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+        )
 
     async def _read(self) -> None:
         with contextlib.suppress(OSError, ValueError, IndexError, asyncio.IncompleteReadError):
@@ -66,8 +68,15 @@
 class Dispatcher:
     """Sends to the nodes that `addresses` gives, in turn; a node that refuses a connection is passed over."""
 
-    def __init__(self, number: int, addresses: Callable[[], dict[str, Address]], rate: float, seed: int,
-                 groups: tuple[str, ...] = ("quote", "card"), patience: float = 4.0) -> None:
+    def __init__(
+        self,
+        number: int,
+        addresses: Callable[[], dict[str, Address]],
+        rate: float,
+        seed: int,
+        groups: tuple[str, ...] = ("quote", "card"),
+        patience: float = 4.0,
+    ) -> None:
         """`rate` in exchanges a second; `patience` in seconds, told to the node and waited for."""
         self.number, self.addresses, self.rate, self.groups = number, addresses, rate, groups
         self.patience, self.random = patience, Random(seed)
@@ -97,8 +106,10 @@
             name, address = nodes[self.turn % len(nodes)]
             if link := await self._link(name, address):
                 ident = f"{self.random.getrandbits(64):016x}"
-                fields = (f"req={ident},ts={time.time_ns() // 1_000_000},via={self.number},"
-                          f"timeout={int(self.patience * 1000)},need=24.5,level=0.5")
+                fields = (
+                    f"req={ident},ts={time.time_ns() // 1_000_000},via={self.number},"
+                    f"timeout={int(self.patience * 1000)},need=24.5,level=0.5"
+                )
                 sent = Sent(name, time.monotonic(), self.random.choice(self.groups))
                 self.going(ident, sent)
                 link.call(sent, fields, ident.encode())
@@ -148,7 +159,8 @@
             self.sending.cancel()
         until = time.monotonic() + self.patience + 0.5
         while time.monotonic() < until and any(
-                link.open for node, links in self.links.items() if not unanswered(node) for link in links):
+            link.open for node, links in self.links.items() if not unanswered(node) for link in links
+        ):
             await asyncio.sleep(0.01)
         for links in list(self.links.values()):
             for link in list(links):
--- a/oakkeel/standins/links.py
+++ b/oakkeel/standins/links.py
@@ -54,8 +54,10 @@
             far, near = await asyncio.wait_for(asyncio.open_connection(*self.address), 2)
             other = near
             self.writers.add(near)
-            ways = [asyncio.ensure_future(self._pass(reader, near, self.there)),
-                    asyncio.ensure_future(self._pass(far, writer, self.back))]
+            ways = [
+                asyncio.ensure_future(self._pass(reader, near, self.there)),
+                asyncio.ensure_future(self._pass(far, writer, self.back)),
+            ]
             self.tasks.update(ways)
             await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
             for way in ways:
--- a/oakkeel/standins/node.py
+++ b/oakkeel/standins/node.py
@@ -49,9 +49,13 @@
         bad = 0.3 if "worse" in script or "worse-cold" in script and cold else 0.02
         good = float(int(count * (1 - bad)))
         middle = -2.0 + ("slower" in script)
-        return {"version": os.environ.get("OAKKEEL_VERSION", ""), "load": 0.2, "benefit": [count, good, good],
-                "resident_kb": 20_000 + int(1000 * lasted) * ("leak" in script), "times": {
-                    "quote": [good, good * middle, good * (middle * middle + 0.25)]}}
+        return {
+            "version": os.environ.get("OAKKEEL_VERSION", ""),
+            "load": 0.2,
+            "benefit": [count, good, good],
+            "resident_kb": 20_000 + int(1000 * lasted) * ("leak" in script),
+            "times": {"quote": [good, good * middle, good * (middle * middle + 0.25)]},
+        }
 
     def leave(self, *_: object) -> None:
         """SIGTERM: nothing takes it back."""
@@ -126,9 +130,16 @@
                     self.leave_for_now()
                 answer = {"type": "told", "tag": wish["tag"], "done": not why, "why": why}
             else:
-                answer = {"type": "report", "tag": wish["tag"], "name": os.environ["PROXY_NAME"],
-                          "pid": os.getpid(), "generation": self.generation - ("old" in script),
-                          "state": self.state(script), "address": "127.0.0.1:1", "uptime": 1}
+                answer = {
+                    "type": "report",
+                    "tag": wish["tag"],
+                    "name": os.environ["PROXY_NAME"],
+                    "pid": os.getpid(),
+                    "generation": self.generation - ("old" in script),
+                    "state": self.state(script),
+                    "address": "127.0.0.1:1",
+                    "uptime": 1,
+                }
                 answer |= self.figures(script, answer["state"] == "cold")
             link.sendall(json.dumps(answer).encode() + b"\n")
         return True
--- a/oakkeel/standins/rig.py
+++ b/oakkeel/standins/rig.py
@@ -80,8 +80,14 @@
         self.say(f"start {host}")
         with open(os.path.join(self.site.folder, f"{host}.agent.log"), "ab") as log:
             self.agents[host] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "oakkeel.standins.agent", self.settings(host), host, stderr=log,
-                start_new_session=True)
+                sys.executable,
+                "-m",
+                "oakkeel.standins.agent",
+                self.settings(host),
+                host,
+                stderr=log,
+                start_new_session=True,
+            )
 
     async def close(self) -> None:
         for host in list(self.agents):
@@ -171,8 +177,13 @@
     def ways(self, sources: Iterable[str], to: Iterable[str]) -> list[Way]:
         """All that goes from some hosts to others, in whichever link it goes."""
         ends = list(to)
-        return [way for source in sources for end in ends if source != end
-                for way in (self.links[source, end].there, self.links[end, source].back)]
+        return [
+            way
+            for source in sources
+            for end in ends
+            if source != end
+            for way in (self.links[source, end].there, self.links[end, source].back)
+        ]
 
     def cut(self, sources: Iterable[str], to: Iterable[str], both: bool = True) -> None:
         sources, to = list(sources), list(to)
@@ -217,20 +228,34 @@
             await asyncio.sleep(0.02)
         raise TimeoutError(f"nobody leads within {wait:g} s: {await self.records()}")
 
-    async def order(self, ident: str, verb: str, names: Iterable[str], lasts: float = 20.0,
-                    whole: bool = False, generations: dict[str, int] | None = None) -> messages.Answer:
+    async def order(
+        self,
+        ident: str,
+        verb: str,
+        names: Iterable[str],
+        lasts: float = 20.0,
+        whole: bool = False,
+        generations: dict[str, int] | None = None,
+    ) -> messages.Answer:
         """For the generations told by now; 0 for services and what nobody tells of. Raises NoLeader."""
         known = generations or await self.generations()
-        return await self.asker.ask_leader(messages.FleetOrder(
-            ident, verb, [(name, known.get(name, 0)) for name in names], int(lasts * 1e9), whole))
+        return await self.asker.ask_leader(
+            messages.FleetOrder(
+                ident, verb, [(name, known.get(name, 0)) for name in names], int(lasts * 1e9), whole
+            )
+        )
 
     async def end_order(self, ident: str, back: bool) -> messages.Answer:
         return await self.asker.ask_leader(messages.FleetEnd(ident, back))
 
     async def look(self) -> dict[str, messages.InstanceTold]:
         answers, _ = await self.asker.ask({host: messages.Look() for host in self.site.hosts})
-        return {each.name: each for answer in answers.values() if isinstance(answer, messages.HostTold)
-                for each in answer.instances}
+        return {
+            each.name: each
+            for answer in answers.values()
+            if isinstance(answer, messages.HostTold)
+            for each in answer.instances
+        }
 
     async def generations(self) -> dict[str, int]:
         return {name: told.generation for name, told in (await self.look()).items()}
--- a/oakkeel/standins/site.py
+++ b/oakkeel/standins/site.py
@@ -17,14 +17,24 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 TOLD = {
-    "extra": {"cores": 2, "heap-kb": 30000.0, "run-factor": 8.0, "halt": "abort", "depends-on": "tier",
-              "gauges": ["core_use", "on_cores", "heap_share", "links"], "say": "share_of", "readiness": True,
-              "idle": 15 * SECOND, "linger": 200 * MS},
+    "extra": {
+        "cores": 2,
+        "heap-kb": 30000.0,
+        "run-factor": 8.0,
+        "halt": "abort",
+        "depends-on": "tier",
+        "gauges": ["core_use", "on_cores", "heap_share", "links"],
+        "say": "share_of",
+        "readiness": True,
+        "idle": 15 * SECOND,
+        "linger": 200 * MS,
+    },
     "obligations": {"fall-multiple": 8.0, "drain-grace": 500 * MS, "cold": 2 * SECOND, "cold-from": 0.25},
     "ceilings": {"retry-after": True, "max-retry-after": SECOND},
-    "classes": [{"name": "quote", "aim": 2 * SECOND, "hard-limit": 4 * SECOND, "effect": "read_like",
-                 "worth": 5.0},
-                {"name": "card", "aim": 2 * SECOND, "hard-limit": 4 * SECOND, "effect": "non_idempotent"}],
+    "classes": [
+        {"name": "quote", "aim": 2 * SECOND, "hard-limit": 4 * SECOND, "effect": "read_like", "worth": 5.0},
+        {"name": "card", "aim": 2 * SECOND, "hard-limit": 4 * SECOND, "effect": "non_idempotent"},
+    ],
     "clients": {"marks-retry": True},
 }
 
@@ -32,11 +42,21 @@
 class Site:
     """Hosts with instances, and all that stands round them. Made in `open`, ended in `close`."""
 
-    def __init__(self, folder: str, hosts: dict[str, list[str]], away: int, seed: int = 1,
-                 work: float = 0.005,
-                 supervision: str = "", sites: dict[str, str] | None = None, most_return: int = 1,
-                 keepers: tuple[str, ...] = (), fleet_away: int = 0, below: str = "",
-                 hanging: dict[str, str] | None = None) -> None:
+    def __init__(
+        self,
+        folder: str,
+        hosts: dict[str, list[str]],
+        away: int,
+        seed: int = 1,
+        work: float = 0.005,
+        supervision: str = "",
+        sites: dict[str, str] | None = None,
+        most_return: int = 1,
+        keepers: tuple[str, ...] = (),
+        fleet_away: int = 0,
+        below: str = "",
+        hanging: dict[str, str] | None = None,
+    ) -> None:
         """`hosts` names the instances of each; `sites` the site of each host, where there are several;
         `below` is the element of that name, and `hanging` names the services of some instances."""
         self.keepers, self.fleet_away, self.below, self.hanging = keepers, fleet_away, below, hanging or {}
@@ -55,11 +75,17 @@
         for name in (name for names in self.hosts.values() for name in names):
             self.engines[name] = Engine(self.seed + len(self.engines), work=self.work, calls=4)
             port = await self.engines[name].open()
-            told = {"name": name, "listen": "127.0.0.1:0", "engine": f"127.0.0.1:{port}",
-                    "lookup": f"127.0.0.1:{lookup}",
-                    "catalog": self.catalogues.get(name, f"127.0.0.1:{catalogue}"),
-                    "seed": f"{self.seed + len(self.engines):016x}", "stop_ms": 3200,
-                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": self.told}
+            told = {
+                "name": name,
+                "listen": "127.0.0.1:0",
+                "engine": f"127.0.0.1:{port}",
+                "lookup": f"127.0.0.1:{lookup}",
+                "catalog": self.catalogues.get(name, f"127.0.0.1:{catalogue}"),
+                "seed": f"{self.seed + len(self.engines):016x}",
+                "stop_ms": 3200,
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                "settings": self.told,
+            }
             with open(os.path.join(self.folder, f"{name}.json"), "w", encoding="utf-8") as file:
                 json.dump(told, file)
         for key in ("asha", "lena", "ravi"):
@@ -75,12 +101,19 @@
     def write_to(self, path: str, ports: dict[str, int], **operators: str) -> None:
         """With other ports of agents, as far as told: what stands between hosts."""
         element = '<operator name="{0}" role="{1}"><key id="{0}-1" file="{0}.key"/></operator>'
-        first = {name: element.format(name, role)
-                 for name, role in (("asha", "act"), ("ravi", "act"), ("lena", "view"))}
+        first = {
+            name: element.format(name, role)
+            for name, role in (("asha", "act"), ("ravi", "act"), ("lena", "view"))
+        }
         told = first | operators
         away = f' away="{self.fleet_away}"' if self.fleet_away else ""
-        lines = [f'<fleet xmlns="urn:oakkeel:fleet:1" name="guild"{away}>', "  <operators>",
-                 *(f"    {each}" for each in told.values()), "  </operators>", f"  {self.supervision}"]
+        lines = [
+            f'<fleet xmlns="urn:oakkeel:fleet:1" name="guild"{away}>',
+            "  <operators>",
+            *(f"    {each}" for each in told.values()),
+            "  </operators>",
+            f"  {self.supervision}",
+        ]
         if self.keepers:
             lines += [f'  <keepers hosts="{" ".join(self.keepers)}"/>', f"  {self.below}"]
         for site in dict.fromkeys(self.sites.values()):
--- a/oakkeel/standins/world.py
+++ b/oakkeel/standins/world.py
@@ -50,18 +50,45 @@
 class World:
     """`fair` as an operator tells it; None is the node without fairness."""
 
-    def __init__(self, fair: FairRules | None, seed: int, cores: int = 4, work: int = 20 * MS,
-                 slow: float = 1.0,
-                 slo: int = 500 * MS, cold: bool = False, most_return: int = 5 * SECOND,
-                 **limits: Any) -> None:
+    def __init__(
+        self,
+        fair: FairRules | None,
+        seed: int,
+        cores: int = 4,
+        work: int = 20 * MS,
+        slow: float = 1.0,
+        slo: int = 500 * MS,
+        cold: bool = False,
+        most_return: int = 5 * SECOND,
+        **limits: Any,
+    ) -> None:
         group = EndpointGroup(0, Effect.REPEATABLE, 1.0, slo, 4 * slo, 0, 0.0, 0.0)
         given: dict[str, Any] = dict(
-            cores=cores, memory_kb=200_000.0, run_factor=8.0, key_kb=0.0, cold=cold, cold_from=0.25,
-            cold_time=10 * SECOND, crowd_multiple=8.0, drain_grace=2 * SECOND, marks_retries=True,
-            max_retry_after=most_return, stop_kind=StopKind.ABORT, peers=1, below=Below.NOTHING,
+            cores=cores,
+            memory_kb=200_000.0,
+            run_factor=8.0,
+            key_kb=0.0,
+            cold=cold,
+            cold_from=0.25,
+            cold_time=10 * SECOND,
+            crowd_multiple=8.0,
+            drain_grace=2 * SECOND,
+            marks_retries=True,
+            max_retry_after=most_return,
+            stop_kind=StopKind.ABORT,
+            peers=1,
+            below=Below.NOTHING,
             call_share=0.0,
-            call_window=SECOND, call_linger=0, fresh=0, idle=SECOND, advice=AdviceKind.SILENT, over_share=1.0,
-            groups=[group], tenants=[Tenant(0, 0.0)], fair=fair)
+            call_window=SECOND,
+            call_linger=0,
+            fresh=0,
+            idle=SECOND,
+            advice=AdviceKind.SILENT,
+            over_share=1.0,
+            groups=[group],
+            tenants=[Tenant(0, 0.0)],
+            fair=fair,
+        )
         self.limits = NodeLimits(**(given | limits))
         self.random = Random(seed)
         self.now, self.order = 1000 * SECOND, count()
--- a/oakkeel/store/contents.py
+++ b/oakkeel/store/contents.py
@@ -59,8 +59,9 @@
             size += os.path.getsize(path)
             found.append(os.path.relpath(path, folder))
     if len(found) > MOST_FILES or size > MOST_BYTES:
-        raise ContentError(f"{folder}: {len(found)} files with {size} bytes; {MOST_FILES} and {MOST_BYTES}"
-                           " are allowed")
+        raise ContentError(
+            f"{folder}: {len(found)} files with {size} bytes; {MOST_FILES} and {MOST_BYTES} are allowed"
+        )
     return sorted(found)
 
 
--- a/oakkeel/store/durable.py
+++ b/oakkeel/store/durable.py
@@ -37,7 +37,8 @@
             if self.new:
                 self.base.executescript(
                     f"BEGIN; {schema}; PRAGMA application_id = {APPLICATION};"
-                    f" PRAGMA user_version = {version}; COMMIT;")
+                    f" PRAGMA user_version = {version}; COMMIT;"
+                )
             pages = max(16, most_bytes // self._number("page_size"))
             self.base.execute(f"PRAGMA max_page_count = {pages}")
         except sqlite3.Error as error:
--- a/oakkeel/tables/instances.py
+++ b/oakkeel/tables/instances.py
@@ -9,8 +9,17 @@
 from oakkeel.fleet.view import Row
 from oakkeel.tables.times import span
 
-COLOURS = {"serving": "green", "cold": "cyan", "starting": "cyan", "draining": "yellow", "stopped": "dim",
-           "silent": "magenta", "stuck": "red", "failing": "red", "unknown": "magenta"}
+COLOURS = {
+    "serving": "green",
+    "cold": "cyan",
+    "starting": "cyan",
+    "draining": "yellow",
+    "stopped": "dim",
+    "silent": "magenta",
+    "stuck": "red",
+    "failing": "red",
+    "unknown": "magenta",
+}
 
 
 def instances_table(rows: list[Row], width: int = 120) -> Table:
@@ -40,9 +49,16 @@
     report = row.told.report if row.told else None
     if report is None:
         return "-"
-    return {"stage": report.stage.lower(), "hold": str(report.hold), "runs": str(report.runs),
-            "calls": str(report.calls), "owes": str(report.owes), "ok": str(report.completed),
-            "denied": str(report.denied), "MB": str(report.resident_kb // 1024)}[column]
+    return {
+        "stage": report.stage.lower(),
+        "hold": str(report.hold),
+        "runs": str(report.runs),
+        "calls": str(report.calls),
+        "owes": str(report.owes),
+        "ok": str(report.completed),
+        "denied": str(report.denied),
+        "MB": str(report.resident_kb // 1024),
+    }[column]
 
 
 def remarks(row: Row) -> str:
@@ -65,17 +81,26 @@
 
 
 def facts_of(row: Row) -> list[tuple[str, str]]:
-    facts = [("instance", row.name), ("site, host", f"{row.site}, {row.host}"), ("state", row.shown),
-             ("told", f"by {row.source}, {span(row.age)} ago" if row.age >= 0 else "by nobody")]
+    facts = [
+        ("instance", row.name),
+        ("site, host", f"{row.site}, {row.host}"),
+        ("state", row.shown),
+        ("told", f"by {row.source}, {span(row.age)} ago" if row.age >= 0 else "by nobody"),
+    ]
     if (told := row.told) is None:
         return facts
-    facts += [("for", span(told.phase_age + row.age)), ("wanted", told.goal),
-              ("process", str(told.pid or "none")),
-              ("generation", f"{told.generation}, by {told.changed_by or 'nobody'}"),
-              ("deaths lately", str(told.deaths)), ("remarks", remarks(row) or "none")]
+    facts += [
+        ("for", span(told.phase_age + row.age)),
+        ("wanted", told.goal),
+        ("process", str(told.pid or "none")),
+        ("generation", f"{told.generation}, by {told.changed_by or 'nobody'}"),
+        ("deaths lately", str(told.deaths)),
+        ("remarks", remarks(row) or "none"),
+    ]
     if told.order:
-        facts.append(("order", f"{told.order.ident}: {told.order.verb} by {told.order.operator},"
-                      f" {told.order.state}"))
+        facts.append(
+            ("order", f"{told.order.ident}: {told.order.verb} by {told.order.operator}, {told.order.state}")
+        )
     if report := told.report:
         facts.append(("its own report", f"{span(row.report_age)} ago"))
         for field, value in msgspec.to_builtins(report).items():
@@ -92,13 +117,16 @@
     for column in (" / ".join(told.by) or "sender", "asks for", "of it retries", "keeps"):
         table.add_column(column, justify="left" if column == " / ".join(told.by) else "right")
     for each in told.clients:
-        table.add_row(each.name or "(none told)", f"{each.asks:.1%}", f"{each.retries:.1%}",
-                      f"{each.keeps:.0%}")
+        table.add_row(
+            each.name or "(none told)", f"{each.asks:.1%}", f"{each.retries:.1%}", f"{each.keeps:.0%}"
+        )
     return table
 
 
 def clients_line(told: ClientsTold) -> str:
     if not told.by:
         return "no sender is told from another: the settings name none"
-    return (f"{told.known} known, others ask for at most {told.error:.2%} each; promises: {told.open} open,"
-            f" {told.kept} kept, {told.broken} broken, {told.lapsed} not come for, of {told.made}")
+    return (
+        f"{told.known} known, others ask for at most {told.error:.2%} each; promises: {told.open} open,"
+        f" {told.kept} kept, {told.broken} broken, {told.lapsed} not come for, of {told.made}"
+    )
--- a/oakkeel/tables/record.py
+++ b/oakkeel/tables/record.py
@@ -10,8 +10,14 @@
 from oakkeel.agent import messages
 from oakkeel.tables.times import span
 
-COLOURS = {"done": "green", "waiting": "cyan", "granted": "cyan", "out": "yellow", "halted": "yellow",
-           "cancelled": "yellow"}
+COLOURS = {
+    "done": "green",
+    "waiting": "cyan",
+    "granted": "cyan",
+    "out": "yellow",
+    "halted": "yellow",
+    "cancelled": "yellow",
+}
 
 
 def keepers_table(told: list[messages.RecordTold]) -> Table:
@@ -27,18 +33,36 @@
         role = f"[green]{each.role}[/]" if each.leads else each.role
         behind = "-" if member is None or member.behind < 0 else str(member.behind)
         heard = "-" if member is None or member.heard_age < 0 else f"{span(member.heard_age)} ago"
-        table.add_row(each.host, role, span(each.role_age),
-                      "-" if member is None else "yes" if member.votes else "not yet", str(each.term),
-                      str(each.agreed), behind, heard, each.why)
+        table.add_row(
+            each.host,
+            role,
+            span(each.role_age),
+            "-" if member is None else "yes" if member.votes else "not yet",
+            str(each.term),
+            str(each.agreed),
+            behind,
+            heard,
+            each.why,
+        )
     for name, member in members.items():
         if name not in {each.host for each in told}:
-            table.add_row(name, "[magenta]unknown[/]", "-", "yes" if member.votes else "not yet", "-", "-",
-                          str(member.behind), f"{span(member.heard_age)} ago", "its agent did not answer us")
+            table.add_row(
+                name,
+                "[magenta]unknown[/]",
+                "-",
+                "yes" if member.votes else "not yet",
+                "-",
+                "-",
+                str(member.behind),
+                f"{span(member.heard_age)} ago",
+                "its agent did not answer us",
+            )
     return table
 
 
-def places_table(groups: list[messages.GroupOut], out: list[messages.PlaceOut],
-                 orders: list[messages.FleetTold]) -> list[Table]:
+def places_table(
+    groups: list[messages.GroupOut], out: list[messages.PlaceOut], orders: list[messages.FleetTold]
+) -> list[Table]:
     first = Table(box=None, header_style="bold", pad_edge=False)
     for column in ("of", "out", "may be out"):
         first.add_column(column)
@@ -55,23 +79,40 @@
         third.add_column(column)
     for order in orders[:10]:
         states = Counter(part.state for part in order.parts)
-        remark = (f"cancelled by {order.cancelled}" if order.cancelled else
-                  f"halted by {order.halted}" if order.halted else "")
-        third.add_row(order.ident, order.operator, order.verb, f"{span(time.time_ns() - order.unix)} ago",
-                      ", ".join(f"{count} {state}" for state, count in states.items()), remark)
+        remark = (
+            f"cancelled by {order.cancelled}"
+            if order.cancelled
+            else f"halted by {order.halted}"
+            if order.halted
+            else ""
+        )
+        third.add_row(
+            order.ident,
+            order.operator,
+            order.verb,
+            f"{span(time.time_ns() - order.unix)} ago",
+            ", ".join(f"{count} {state}" for state, count in states.items()),
+            remark,
+        )
     return [first, *([second] if out else []), *([third] if orders else [])]
 
 
 def order_table(order: messages.FleetTold) -> Table:
     title = f"{order.verb}, order {order.ident}" + (", all or nothing" if order.whole else "")
     if order.cancelled or order.halted:
-        title += (f", cancelled by {order.cancelled}" if order.cancelled else
-                  ", its time is over" if order.halted == "its time" else f", halted by {order.halted}")
+        title += (
+            f", cancelled by {order.cancelled}"
+            if order.cancelled
+            else ", its time is over"
+            if order.halted == "its time"
+            else f", halted by {order.halted}"
+        )
     table = Table(box=None, header_style="bold", pad_edge=False, title=title, title_justify="left")
     for column in ("thing", "host", "state", "place", "owes", "remarks"):
         table.add_column(column)
     for part in sorted(order.parts, key=lambda each: each.thing):
         colour = COLOURS.get(part.state, "red")
-        table.add_row(part.thing, part.host, f"[{colour}]{part.state}[/]", str(part.place or "-"), part.owes,
-                      part.why)
+        table.add_row(
+            part.thing, part.host, f"[{colour}]{part.state}[/]", str(part.place or "-"), part.owes, part.why
+        )
     return table
--- a/oakkeel/tables/release.py
+++ b/oakkeel/tables/release.py
@@ -20,9 +20,11 @@
 def release_table(told: messages.ReleaseTold) -> Group:
     states = Counter(part.state for part in told.parts)
     colour = OF_STATES.get(told.state, "cyan")
-    lines = [f"release {told.ident} of {told.what.version[:12]} by {told.operator},"
-             f" {span(time.time_ns() - told.unix)} ago: [{colour}]{told.state}[/], "
-             + ", ".join(f"{count} {state}" for state, count in sorted(states.items()))]
+    lines = [
+        f"release {told.ident} of {told.what.version[:12]} by {told.operator},"
+        f" {span(time.time_ns() - told.unix)} ago: [{colour}]{told.state}[/], "
+        + ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
+    ]
     if told.why:
         lines.append(f"because: {escape(told.why)}")
     if told.waits:
@@ -36,7 +38,13 @@
         table.add_column(column)
     for part in sorted(told.parts, key=lambda each: each.thing):
         colour = COLOURS.get(part.state, "")
-        table.add_row(part.thing, part.host, f"[{colour}]{part.state}[/]" if colour else part.state,
-                      part.runs[:8] or "as set", part.phase,
-                      f"{span(part.age)} ago" if part.age >= 0 else "-", part.why)
+        table.add_row(
+            part.thing,
+            part.host,
+            f"[{colour}]{part.state}[/]" if colour else part.state,
+            part.runs[:8] or "as set",
+            part.phase,
+            f"{span(part.age)} ago" if part.age >= 0 else "-",
+            part.why,
+        )
     return Group(*(Text.from_markup(line) for line in lines), table)
