--- a/tests/fake.py
+++ b/tests/fake.py
@@ -17,8 +17,19 @@
 from dataclasses import replace
 
 from oakkeel.dispatch.resp import encode
-from oakkeel.interface import (AdviceKind, Below, Effect, EndpointGroup, Exchange, Gauges, NodeLimits,
-                               Outcome, State, StopKind, Tenant)
+from oakkeel.interface import (
+    AdviceKind,
+    Below,
+    Effect,
+    EndpointGroup,
+    Exchange,
+    Gauges,
+    NodeLimits,
+    Outcome,
+    State,
+    StopKind,
+    Tenant,
+)
 from oakkeel.policy import MS, SECOND, Keel
 
 LIMITS = NodeLimits(
@@ -131,16 +142,28 @@
 WAIT = 20
 TOLD = {
     "extra": {
-        "cores": 4, "heap-kb": 30000.0, "run-factor": 8.0, "halt": "abort", "depends-on": "tier",
-        "gauges": ["core_use", "on_cores", "heap_share", "links"], "say": "share_of", "readiness": True,
-        "class-skip-worth": [0.6, 0.0, 0.0, 0.0], "idle": 15 * SECOND, "linger": 200 * MS,
+        "cores": 4,
+        "heap-kb": 30000.0,
+        "run-factor": 8.0,
+        "halt": "abort",
+        "depends-on": "tier",
+        "gauges": ["core_use", "on_cores", "heap_share", "links"],
+        "say": "share_of",
+        "readiness": True,
+        "class-skip-worth": [0.6, 0.0, 0.0, 0.0],
+        "idle": 15 * SECOND,
+        "linger": 200 * MS,
     },
     "obligations": {"fall-multiple": 8.0, "drain-grace": 300 * MS, "cold": 10 * SECOND, "cold-from": 0.25},
     "ceilings": {"retry-after": True, "max-retry-after": SECOND},
     "classes": [
         {"name": name, "aim": 8 * SECOND, "hard-limit": 12 * SECOND, "effect": effect, "window": 5 * SECOND}
-        for name, effect in (("quote", "read_like"), ("card", "read_like"), ("order", "idempotency_key"),
-                             ("pay", "non_idempotent"))
+        for name, effect in (
+            ("quote", "read_like"),
+            ("card", "read_like"),
+            ("order", "idempotency_key"),
+            ("pay", "non_idempotent"),
+        )
     ],
     "clients": {"marks-retry": True},
     "unheard": {"of": [1, {"two": None}]},
@@ -174,14 +197,26 @@
     def send(self, *words: bytes | str) -> None:
         self.socket.sendall(encode(*(word if isinstance(word, bytes) else word.encode() for word in words)))
 
-    def call(self, group: str = "quote", body: bytes = b"what", tag: int = 0, fields: str = "", age: int = 0,
-             timeout: int = 10_000) -> str:
+    def call(
+        self,
+        group: str = "quote",
+        body: bytes = b"what",
+        tag: int = 0,
+        fields: str = "",
+        age: int = 0,
+        timeout: int = 10_000,
+    ) -> str:
         """Send an exchange and return its id."""
         self.tag = tag or self.tag + 1
         ident = f"{id(self) % 2**32:08x}{self.tag:08x}"
         stamp = time.time_ns() // MS - age
-        self.send("CALL", str(self.tag), group,
-                  f"req={ident},ts={stamp},via=4,timeout={timeout},need=24.5,level=0.5{fields}", body)
+        self.send(
+            "CALL",
+            str(self.tag),
+            group,
+            f"req={ident},ts={stamp},via=4,timeout={timeout},need=24.5,level=0.5{fields}",
+            body,
+        )
         return ident
 
     def next(self) -> list[bytes]:
@@ -312,11 +347,16 @@
     def told(self, **changes) -> dict:
         host = "127.0.0.1:"
         return {
-            "name": "n3", "listen": host + "0", "engine": host + str(self.engine.server.getsockname()[1]),
+            "name": "n3",
+            "listen": host + "0",
+            "engine": host + str(self.engine.server.getsockname()[1]),
             "lookup": host + str(self.directory.getsockname()[1]),
             "catalog": host + str(self.catalogue.getsockname()[1]),
-            "seed": "8c1f30d27a5be964", "stop_ms": 3200,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": TOLD, **changes,
+            "seed": "8c1f30d27a5be964",
+            "stop_ms": 3200,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": TOLD,
+            **changes,
         }
 
     def launch(self, told: dict | str | None) -> subprocess.Popen:
@@ -325,8 +365,9 @@
         self.addCleanup(os.unlink, file.name)
         self.config = file.name
         given = {"PROXY_CONFIG": file.name} if told is not None else {}
-        self.process = subprocess.Popen(self.command, env={**os.environ, **self.variables, **given},
-                                        stderr=subprocess.PIPE, text=True)
+        self.process = subprocess.Popen(
+            self.command, env={**os.environ, **self.variables, **given}, stderr=subprocess.PIPE, text=True
+        )
         watch = threading.Timer(4 * WAIT, self.process.kill)  # a story that hangs ends, and fails
         watch.start()
         self.addCleanup(watch.cancel)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -75,8 +75,15 @@
 
     async def agent(self, patience: Patience = FAST, **more) -> Agent:
         """An agent in this process, which `leave` ends as SIGTERM would."""
-        agent = Agent(self.host, patience, read_keys(self.fleet), Log("agent", 1000, stream=self.said), 7,
-                      program=PROGRAM, **more)
+        agent = Agent(
+            self.host,
+            patience,
+            read_keys(self.fleet),
+            Log("agent", 1000, stream=self.said),
+            7,
+            program=PROGRAM,
+            **more,
+        )
         with mock.patch.object(asyncio.get_running_loop(), "add_signal_handler"):
             task = asyncio.ensure_future(agent.run())
             await asyncio.sleep(0)
@@ -104,8 +111,15 @@
     async def ask(self, wish: messages.Wish, operator: str = "asha") -> messages.Answer:
         return await asyncio.wait_for(ask_one(self.host.agent, key_of(self.fleet, operator), wish), WAIT)
 
-    async def order(self, verb: str, *names: str, ident: str = "o1", operator: str = "asha",
-                    generation: int = 0, supersede: bool = False) -> dict[str, messages.PartTold]:
+    async def order(
+        self,
+        verb: str,
+        *names: str,
+        ident: str = "o1",
+        operator: str = "asha",
+        generation: int = 0,
+        supersede: bool = False,
+    ) -> dict[str, messages.PartTold]:
         asked = [(name, generation or await self.generation(name)) for name in names]
         told = await self.ask(messages.Order(ident, verb, asked, 30 * SECOND, supersede), operator)
         self.assertIsInstance(told, messages.OrderTold, told)
@@ -121,8 +135,9 @@
         while time.monotonic() < end:
             told = await self.ask(messages.ListOrders())
             for order in told.orders:
-                if order.ident == ident and not any(part.state in ("waiting",
-                                                                   "acting") for part in order.parts):
+                if order.ident == ident and not any(
+                    part.state in ("waiting", "acting") for part in order.parts
+                ):
                     return {part.instance: part.state for part in order.parts}
             await asyncio.sleep(0.02)
         raise AssertionError(f"order {ident} did not end: {told}\n{self.said.getvalue()}")
@@ -134,8 +149,9 @@
         await self.serving(agent)
         await self.agents.look(self.view)
         rows = self.view.rows(time.monotonic_ns())
-        self.assertEqual([(row.name, row.shown) for row in rows],
-                         [("n1", "serving"), ("n2", "serving"), ("n3", "serving")])
+        self.assertEqual(
+            [(row.name, row.shown) for row in rows], [("n1", "serving"), ("n2", "serving"), ("n3", "serving")]
+        )
         self.assertTrue(all(0 <= row.age < row.report_age < 2 * SECOND for row in rows))
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1], [1], [1]])
 
@@ -170,7 +186,7 @@
         n1 = self.of(agent, "n1")
         agent.processes.signal(agent.alive[n1], signal.SIGKILL)
         await self.until(lambda: n1.born == 2 and n1.phase is Phase.SERVING)
-        self.assertIn("how=\"killed by SIGKILL\"", self.said.getvalue())
+        self.assertIn('how="killed by SIGKILL"', self.said.getvalue())
 
     async def test_a_crash_loop_rests_and_the_others_serve(self):
         self.script("n1", "crash")
@@ -206,14 +222,22 @@
 
     async def test_a_second_agent_for_the_host_ends_at_once_and_says_why(self):
         first = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "oakkeel.standins.crashing", self.site.settings, "wb1",
-            stderr=subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "oakkeel.standins.crashing",
+            self.site.settings,
+            "wb1",
+            stderr=subprocess.PIPE,
+        )
         await asyncio.wait_for(first.stderr.readline(), WAIT)
         second = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "oakkeel.agent", self.site.settings, "wb1", stderr=subprocess.PIPE)
+            sys.executable, "-m", "oakkeel.agent", self.site.settings, "wb1", stderr=subprocess.PIPE
+        )
         _, error = await asyncio.wait_for(second.communicate(), WAIT)
-        self.assertEqual((second.returncode, error.decode()),
-                         (2, f"oakkeel: another agent looks after wb1 already: process {first.pid}\n"))
+        self.assertEqual(
+            (second.returncode, error.decode()),
+            (2, f"oakkeel: another agent looks after wb1 already: process {first.pid}\n"),
+        )
         first.terminate()
         await first.communicate()
         self.assertEqual(first.returncode, 0)
@@ -227,8 +251,9 @@
         again = await self.agent()
         await self.until(lambda: self.of(again, "n3").born == 2)
         await self.serving(again)
-        self.assertEqual([again.alive[self.of(again, name)].pid for name in ("n1", "n2")],
-                         [pids["n1"], pids["n2"]])
+        self.assertEqual(
+            [again.alive[self.of(again, name)].pid for name in ("n1", "n2")], [pids["n1"], pids["n2"]]
+        )
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1], [1], [1, 2]])
 
     async def test_a_damaged_state_is_set_aside_named_and_what_runs_is_taken_up_all_the_same(self):
@@ -248,8 +273,10 @@
     async def test_opposite_orders_in_the_same_moment_leave_one_standing_and_the_other_told(self):
         agent = await self.agent()
         await self.serving(agent)
-        wishes = [(messages.Order("o1", "stop", [("n1", 1)], 30 * SECOND), "asha"),
-                  (messages.Order("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi")]
+        wishes = [
+            (messages.Order("o1", "stop", [("n1", 1)], 30 * SECOND), "asha"),
+            (messages.Order("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi"),
+        ]
         first, second = await asyncio.gather(*(self.ask(*wish) for wish in wishes))
         states = sorted(answer.parts[0].state for answer in (first, second))
         self.assertEqual(states[0], "refused")
@@ -354,14 +381,24 @@
                 if agent is None or agent.returncode is not None:
                     died = died or agent is not None
                     agent = await asyncio.create_subprocess_exec(
-                        sys.executable, "-m", "oakkeel.standins.crashing", site.settings, "wb1",
-                        *([str(crash)] if agent is None else []), stderr=subprocess.DEVNULL)
+                        sys.executable,
+                        "-m",
+                        "oakkeel.standins.crashing",
+                        site.settings,
+                        "wb1",
+                        *([str(crash)] if agent is None else []),
+                        stderr=subprocess.DEVNULL,
+                    )
                 with contextlib.suppress(AgentError, asyncio.TimeoutError):
                     told = await asyncio.wait_for(ask_one(host.agent, key, messages.Look()), 1)
                     if not taken and told.instances[0].phase == "serving":
                         # The same words again whenever no answer came: the sender can't know.
-                        answer = await asyncio.wait_for(ask_one(host.agent, key, messages.Order(
-                            "o1", "restart", [("n1", 1)], 30 * SECOND)), 1)
+                        answer = await asyncio.wait_for(
+                            ask_one(
+                                host.agent, key, messages.Order("o1", "restart", [("n1", 1)], 30 * SECOND)
+                            ),
+                            1,
+                        )
                         taken = answer.parts[0].state != "refused"
                         self.assertTrue(taken, answer)
                     elif taken and told.instances[0].order is None and told.instances[0].phase == "serving":
@@ -406,12 +443,17 @@
         agent = await self.agent()
         await self.serving(agent)
         recorded: list[bytes] = []
-        with mock.patch("oakkeel.sealing.link.frame", lambda content: recorded.append(frame(content))
-                        or recorded[-1]):
+        with mock.patch(
+            "oakkeel.sealing.link.frame", lambda content: recorded.append(frame(content)) or recorded[-1]
+        ):
             await self.ask(messages.Order("o1", "start", [("n1", 1)], SECOND))
         generation = self.of(agent, "n1").generation
-        for spoilt in (recorded[0], recorded[0][:-1] + bytes([recorded[0][-1] ^ 1]), frame(b"what"),
-                       (1 << 30).to_bytes(4, "big")):
+        for spoilt in (
+            recorded[0],
+            recorded[0][:-1] + bytes([recorded[0][-1] ^ 1]),
+            frame(b"what"),
+            (1 << 30).to_bytes(4, "big"),
+        ):
             hello, answer = await self.raw(spoilt)
             self.assertTrue(hello.startswith(HELLO))
             self.assertEqual(answer, REFUSED)
@@ -446,26 +488,56 @@
         agent = await self.agent()
         old = key_of(self.fleet, "asha")
         write_key(os.path.join(self.folder, "asha-2.key"), os.urandom(32))
-        two = ('<operator name="asha" role="act"><key id="asha-1" file="asha.key"/>'
-               '<key id="asha-2" file="asha-2.key"/></operator>')
-        for text, good in ((two, (True, True)),
-                           (two.replace('<key id="asha-1" file="asha.key"/>', ""), (False, True))):
+        two = (
+            '<operator name="asha" role="act"><key id="asha-1" file="asha.key"/>'
+            '<key id="asha-2" file="asha-2.key"/></operator>'
+        )
+        for text, good in (
+            (two, (True, True)),
+            (two.replace('<key id="asha-1" file="asha.key"/>', ""), (False, True)),
+        ):
             self.site.write_settings(asha=text)
             agent.keys = read_keys(read_fleet(self.site.settings))
             new = agent.keys["asha-2"]
             for key, taken in zip((old, new), good, strict=True):
                 if taken:
-                    self.assertIsInstance(await ask_one(self.host.agent, key, messages.Look()),
-                                          messages.HostTold)
+                    self.assertIsInstance(
+                        await ask_one(self.host.agent, key, messages.Look()), messages.HostTold
+                    )
                 else:
                     with self.assertRaises(AgentRefused):
                         await ask_one(self.host.agent, key, messages.Look())
 
     async def test_a_host_of_a_thousand_instances_can_be_told(self):
-        whole = messages.HostTold("wb1", "woodbrook", 1, 1, 1, 0, [], [messages.InstanceTold(
-            f"n{number}", "serving", 1, "up", 1, 1, "the agent", 77, 1,
-            Report(1, "n", 1, 1, "serving", "a:1", 1),
-            None, 0, False, 0, "") for number in range(1000)])
+        whole = messages.HostTold(
+            "wb1",
+            "woodbrook",
+            1,
+            1,
+            1,
+            0,
+            [],
+            [
+                messages.InstanceTold(
+                    f"n{number}",
+                    "serving",
+                    1,
+                    "up",
+                    1,
+                    1,
+                    "the agent",
+                    77,
+                    1,
+                    Report(1, "n", 1, 1, "serving", "a:1", 1),
+                    None,
+                    0,
+                    False,
+                    0,
+                    "",
+                )
+                for number in range(1000)
+            ],
+        )
         door = Door(self.host.agent, lambda: read_keys(self.fleet), lambda key, wish: whole, Log("door", 10))
         door.open()
         told = await self.ask(messages.Look())
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -53,8 +53,10 @@
         again = Register()
         again.restore(self.register.fold())
         found = again.held.policies[1]
-        self.assertEqual((found.operator, found.reason, found.state, found.why),
-                         ("asha", "for Carnival", "refused", "h3: no such group"))
+        self.assertEqual(
+            (found.operator, found.reason, found.state, found.why),
+            ("asha", "for Carnival", "refused", "h3: no such group"),
+        )
         self.assertIsInstance(self.do(InForce(7)), Refusal)
         self.assertIsInstance(self.propose("big", content=bytes(70_000)), Refusal)
 
@@ -169,8 +171,9 @@
 
     def test_a_lease_that_counts_from_the_answer_is_caught(self):
         old = Host.answered
-        with mock.patch.object(Host, "answered", lambda host, life, sent_at, heard: old(
-                host, life, host.now(), heard)):
+        with mock.patch.object(
+            Host, "answered", lambda host, life, sent_at, heard: old(host, life, host.now(), heard)
+        ):
             self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
 
     def test_one_told_as_in_force_before_the_longest_lease_is_over_is_caught(self):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -30,11 +30,22 @@
 class CommandStory(AgentStory):
     async def oakkeel(self, *words: str, operator: str = "asha") -> tuple[int, str, str]:
         """The exit code, what was printed, and what was said on standard error."""
-        variables = {**os.environ, "OAKKEEL_SETTINGS": self.site.settings, "OAKKEEL_OPERATOR": operator,
-                     "COLUMNS": "200"}
+        variables = {
+            **os.environ,
+            "OAKKEEL_SETTINGS": self.site.settings,
+            "OAKKEEL_OPERATOR": operator,
+            "COLUMNS": "200",
+        }
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "oakkeel", *words, env=variables, stdin=subprocess.DEVNULL,
-            stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "oakkeel",
+            *words,
+            env=variables,
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+        )
         out, err = await asyncio.wait_for(process.communicate(), 2 * WAIT)
         return process.returncode, out.decode(), err.decode()
 
@@ -50,8 +61,9 @@
         code, out, err = await self.oakkeel("ls")
         self.assertEqual((code, len(out.splitlines())), (0, 4))
         self.assertIn("3 serving", err)
-        self.assertEqual(await self.instances("n[12]", "--state", "serving"),
-                         {"n1": "serving", "n2": "serving"})
+        self.assertEqual(
+            await self.instances("n[12]", "--state", "serving"), {"n1": "serving", "n2": "serving"}
+        )
         code, out, _ = await self.oakkeel("show", "n2")
         self.assertEqual(code, 0)
         self.assertRegex(out, r"generation +1, by the agent")
@@ -67,8 +79,9 @@
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1]])
         _, out, _ = await self.oakkeel("orders", "--output", "json")
         told = json.loads(out)
-        self.assertEqual([(each["order"], each["operator"], len(each["parts"])) for each in told],
-                         [("mine", "asha", 2)])
+        self.assertEqual(
+            [(each["order"], each["operator"], len(each["parts"])) for each in told], [("mine", "asha", 2)]
+        )
         code, out, _ = await self.oakkeel("cancel", "mine")
         self.assertEqual((code, out.count("done")), (0, 2))  # it was over
         self.assertEqual((await self.oakkeel("cancel", "other"))[0], 1)
@@ -108,13 +121,15 @@
     async def test_words_that_fit_nothing_and_bad_settings_are_one_line_each(self):
         agent = await self.agent()
         await self.serving(agent)
-        for words, said in ((("ls", "n7"), "no instance has the name 'n7'"),
-                            (("ls", "--as", "nobody"), "no operator 'nobody'"),
-                            (("ls", "--settings", "/nowhere.xml"), "No such file"),
-                            (("stop", "--site", "x*"), "there is no site 'x*'"),
-                            (("agent", "wb9"), "no host 'wb9'; there are wb1"),
-                            (("node", "n9"), "no instance 'n9'"),
-                            (("settings", "check", "/dev/null"), "no XML")):
+        for words, said in (
+            (("ls", "n7"), "no instance has the name 'n7'"),
+            (("ls", "--as", "nobody"), "no operator 'nobody'"),
+            (("ls", "--settings", "/nowhere.xml"), "No such file"),
+            (("stop", "--site", "x*"), "there is no site 'x*'"),
+            (("agent", "wb9"), "no host 'wb9'; there are wb1"),
+            (("node", "n9"), "no instance 'n9'"),
+            (("settings", "check", "/dev/null"), "no XML"),
+        ):
             with self.subTest(words):
                 code, out, err = await self.oakkeel(*words)
                 self.assertEqual((code, out, err.count("\n")), (2, "", 1), err)
@@ -133,8 +148,9 @@
             if not isinstance(command, Group):
                 with self.subTest(path):
                     self.assertIsInstance(command, Command)
-                    self.assertIn(f"Example: {'PROXY_CONFIG=config.json ' * path.endswith(' node')}{path}",
-                                  command.help)
+                    self.assertIn(
+                        f"Example: {'PROXY_CONFIG=config.json ' * path.endswith(' node')}{path}", command.help
+                    )
         code, out, _ = await self.oakkeel("drain", "--help")
         self.assertIn("3 some agent did not answer", " ".join(out.split()))
 
@@ -163,7 +179,8 @@
         await self.site.open()
         self.addAsyncCleanup(self.site.close)
         self.server = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "oakkeel.agent", self.site.settings, "wb1", stderr=subprocess.PIPE)
+            sys.executable, "-m", "oakkeel.agent", self.site.settings, "wb1", stderr=subprocess.PIPE
+        )
         self.addAsyncCleanup(self.end_server)
 
     async def end_server(self) -> None:
@@ -211,8 +228,12 @@
         self.addAsyncCleanup(self.site.close)
         self.engine = self.site.engines["n1"]
         self.node = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "oakkeel", stderr=subprocess.PIPE,
-            env={**os.environ, "PROXY_CONFIG": os.path.join(self.site.folder, "n1.json")})
+            sys.executable,
+            "-m",
+            "oakkeel",
+            stderr=subprocess.PIPE,
+            env={**os.environ, "PROXY_CONFIG": os.path.join(self.site.folder, "n1.json")},
+        )
         address = "127.0.0.1", int((await self.said("listening")).rsplit(b":", 1)[1])
         await self.said("the engine is up")
         self.dispatcher = Dispatcher(1, lambda: {"n1": address}, 100, 7)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -121,11 +121,24 @@
         counts = {}
         for row in load("messages.json"):
             counts[row["form"]] = counts.get(row["form"], 0) + 1
-        self.assertEqual(counts, {
-            "control request": 4, "control response": 3, "agent request": 15 + 9, "agent response": 12,
-            "replicated command": 14 + 8, "policy change command": 5, "release status": 1,
-            "release assignment": 1, "gate progress": 1, "policy lease status": 1, "policy lease": 1,
-            "members": 1, "authenticated frame": 1})
+        self.assertEqual(
+            counts,
+            {
+                "control request": 4,
+                "control response": 3,
+                "agent request": 15 + 9,
+                "agent response": 12,
+                "replicated command": 14 + 8,
+                "policy change command": 5,
+                "release status": 1,
+                "release assignment": 1,
+                "gate progress": 1,
+                "policy lease status": 1,
+                "policy lease": 1,
+                "members": 1,
+                "authenticated frame": 1,
+            },
+        )
 
 
 class ReplicatedStateCompatibilityTest(unittest.TestCase):
@@ -136,8 +149,11 @@
                 for row in log["commands"]:
                     result = machine.apply(row["index"], base64.b64decode(row["command"]))
                     folded = hashlib.sha256(machine.fold()).hexdigest()
-                    self.assertEqual((isinstance(result, Refusal), folded), (row["refused"], row["snapshot"]),
-                                     (kind, number, row["index"]))
+                    self.assertEqual(
+                        (isinstance(result, Refusal), folded),
+                        (row["refused"], row["snapshot"]),
+                        (kind, number, row["index"]),
+                    )
 
     def test_snapshots_are_restored_and_written_with_the_same_bytes(self):
         for kind, machine_type in (("cluster", Book), ("policy", Register)):
@@ -173,24 +189,62 @@
     def test_requests_are_read_to_the_same_values_and_answers_written_with_the_same_bytes(self):
         expected = load("network.json")
         settings = Pairs(load("simulator-settings.json"))
-        reader = codec.ExchangeReader(read_limits(settings), ["quote", "pay", "card"], ["guild", "south"],
-                                      Bounds(1024, 192 * 2**20, 3_000_000_000),
-                                      lambda: 1_700_000_000_000_000_000)
+        reader = codec.ExchangeReader(
+            read_limits(settings),
+            ["quote", "pay", "card"],
+            ["guild", "south"],
+            Bounds(1024, 192 * 2**20, 3_000_000_000),
+            lambda: 1_700_000_000_000_000_000,
+        )
         for content, values in zip(expected["calls"], expected["read"], strict=True):
             content = base64.b64decode(content)
             call = words_of(io.BytesIO(content))
             self.assertEqual(resp.encode(*call), content)
             found = reader.read(int(call[1]), call, None)
-            self.assertEqual(leaves([
-                "group", found.group, "tenant", found.tenant, "caller", found.caller,
-                "memory_kb", found.memory_kb, "marked_retry", found.marked_retry, "left", found.left,
-                "backlog", found.backlog, "has_key", found.has_key, "repeats", found.repeats,
-                "ident", found.ident, "tag", found.tag, "group_name", found.group_name,
-                "body", found.body, "key", found.key]), values)
-        written = [codec.answer(7, codec.COMPLETED, 0.625, b"result"),
-                   codec.answer(8, codec.DENIED, None, b"", True, 250_000_000),
-                   codec.answer(9, codec.TERMINATED, 1.0), codec.answer(10, codec.GOOD, 0.5),
-                   codec.answer(11, codec.BAD, None), codec.LAST, codec.BROKEN]
+            self.assertEqual(
+                leaves(
+                    [
+                        "group",
+                        found.group,
+                        "tenant",
+                        found.tenant,
+                        "caller",
+                        found.caller,
+                        "memory_kb",
+                        found.memory_kb,
+                        "marked_retry",
+                        found.marked_retry,
+                        "left",
+                        found.left,
+                        "backlog",
+                        found.backlog,
+                        "has_key",
+                        found.has_key,
+                        "repeats",
+                        found.repeats,
+                        "ident",
+                        found.ident,
+                        "tag",
+                        found.tag,
+                        "group_name",
+                        found.group_name,
+                        "body",
+                        found.body,
+                        "key",
+                        found.key,
+                    ]
+                ),
+                values,
+            )
+        written = [
+            codec.answer(7, codec.COMPLETED, 0.625, b"result"),
+            codec.answer(8, codec.DENIED, None, b"", True, 250_000_000),
+            codec.answer(9, codec.TERMINATED, 1.0),
+            codec.answer(10, codec.GOOD, 0.5),
+            codec.answer(11, codec.BAD, None),
+            codec.LAST,
+            codec.BROKEN,
+        ]
         self.assertEqual(written, [base64.b64decode(each) for each in expected["answers"]])
 
     def test_the_simulator_is_answered_with_the_same_bytes(self):
@@ -198,10 +252,14 @@
             content, table, at, batches = gzip.decompress((DATA / name).read_bytes()), InstanceTable(), 0, 0
             while at < len(content):
                 asked, answered = struct.unpack_from("<II", content, at)
-                frame, reply = content[at + 8:at + 8 + asked], content[at + 8 + asked:at + 8 + asked + answered]
+                frame, reply = (
+                    content[at + 8 : at + 8 + asked],
+                    content[at + 8 + asked : at + 8 + asked + answered],
+                )
                 at, batches = at + 8 + asked + answered, batches + 1
-                self.assertEqual(table.batch(*wire.read_frame(io.BytesIO(frame))).hex(), reply.hex(),
-                                 (name, batches))
+                self.assertEqual(
+                    table.batch(*wire.read_frame(io.BytesIO(frame))).hex(), reply.hex(), (name, batches)
+                )
             self.assertGreater(batches, 3000)
 
 
@@ -232,7 +290,9 @@
         self.addCleanup(dispatcher.close)
 
         def call(tag: bytes, ident: bytes) -> None:
-            dispatcher.sendall(resp.encode(b"CALL", tag, b"quote", b"req=%s,need=24.5,via=4" % ident, b"what"))
+            dispatcher.sendall(
+                resp.encode(b"CALL", tag, b"quote", b"req=%s,need=24.5,via=4" % ident, b"what")
+            )
 
         call(b"1", b"00c4913a5d91c40f")
         engine_next()
@@ -273,10 +333,22 @@
 
 
 async def assert_same_keys(test: unittest.TestCase, folder: str, row: dict) -> None:
-    variables = {**os.environ, "OAKKEEL_SETTINGS": os.path.join(folder, "fleet.xml"), "OAKKEEL_OPERATOR": "asha"}
+    variables = {
+        **os.environ,
+        "OAKKEEL_SETTINGS": os.path.join(folder, "fleet.xml"),
+        "OAKKEEL_OPERATOR": "asha",
+    }
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "oakkeel", *row["arguments"], "--output", "json", env=variables,
-        stdin=subprocess.DEVNULL, stdout=subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "oakkeel",
+        *row["arguments"],
+        "--output",
+        "json",
+        env=variables,
+        stdin=subprocess.DEVNULL,
+        stdout=subprocess.PIPE,
+    )
     printed, _ = await process.communicate()
     document = json.loads(printed.splitlines()[0] if row["arguments"][0] == "watch" else printed)
     with test.subTest(row["arguments"]):
@@ -295,8 +367,15 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        site = Site(self.folder, HOSTS, 1, supervision=SUPERVISION, sites=dict.fromkeys(HOSTS, "woodbrook"),
-                    keepers=("h1", "h2", "h3"), fleet_away=1)
+        site = Site(
+            self.folder,
+            HOSTS,
+            1,
+            supervision=SUPERVISION,
+            sites=dict.fromkeys(HOSTS, "woodbrook"),
+            keepers=("h1", "h2", "h3"),
+            fleet_away=1,
+        )
         for host in HOSTS:
             shutil.copytree(DATA / "state" / host, os.path.join(self.folder, host))
         self.rig = Rig(site)
@@ -311,8 +390,10 @@
         self.assertGreater(found.term, expected["term"])
         self.assertGreaterEqual(found.agreed, expected["committed"])
         orders = (await self.rig.state_of()).orders
-        self.assertEqual({order.ident: {part.thing: part.state for part in order.parts} for order in orders},
-                         expected["orders"])
+        self.assertEqual(
+            {order.ident: {part.thing: part.state for part in order.parts} for order in orders},
+            expected["orders"],
+        )
         permits = {each.thing: each.order for each in (await self.rig.state_of()).out if each.order}
         self.assertEqual(permits, {thing: order for thing, order in expected["permits"].items() if order})
         release = await self.rig.asker.ask_leader(messages.AskRelease())
@@ -320,12 +401,17 @@
 
         async def started_again() -> bool:
             generations = await self.rig.generations()
-            return all(generations[name] > generation for name, generation in expected["generations"].items()
-                       if name not in expected["permits"])
+            return all(
+                generations[name] > generation
+                for name, generation in expected["generations"].items()
+                if name not in expected["permits"]
+            )
 
         await self.rig.until("all that serves has a later generation", started_again)
         for row in load("command-line.json")["cluster"]:
-            arguments = ["cli-2" if word == "cli-1" else word for word in row["arguments"]]  # that id is known
+            arguments = [
+                "cli-2" if word == "cli-1" else word for word in row["arguments"]
+            ]  # that id is known
             await assert_same_keys(self, self.folder, {**row, "arguments": arguments})
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -56,9 +56,17 @@
         ident = dispatcher.call("card")
         self.engine.next()
         report = self.say(link, type="ask", tag=2)
-        self.assertEqual((report["tag"], report["name"], report["generation"], report["state"],
-                          report["owes"],
-                          report["runs"]), (2, "n3", 7, "serving", 1, 1))
+        self.assertEqual(
+            (
+                report["tag"],
+                report["name"],
+                report["generation"],
+                report["state"],
+                report["owes"],
+                report["runs"],
+            ),
+            (2, "n3", 7, "serving", 1, 1),
+        )
         self.engine.done(ident)
         dispatcher.answer()
         report = self.say(link, type="ask", tag=3)
@@ -246,9 +254,22 @@
         with open(f"/proc/{self.process.pid}/maps", encoding="utf-8") as file:
             self.assertRegex(file.read(), r"/ld-linux|/ld-musl")  # linked dynamically
         self.assertIn("oakkeel.node.assembly", loaded)
-        unwanted = ("msgspec", "blake3", "lxml", "click", "sqlite3", "oakkeel.agent", "oakkeel.record",
-                    "oakkeel.places", "oakkeel.control", "oakkeel.settings", "oakkeel.node.fairly",
-                    "oakkeel.node.controlled", "subprocess._", "multiprocessing")
+        unwanted = (
+            "msgspec",
+            "blake3",
+            "lxml",
+            "click",
+            "sqlite3",
+            "oakkeel.agent",
+            "oakkeel.record",
+            "oakkeel.places",
+            "oakkeel.control",
+            "oakkeel.settings",
+            "oakkeel.node.fairly",
+            "oakkeel.node.controlled",
+            "subprocess._",
+            "multiprocessing",
+        )
         self.assertEqual([name for name in loaded if name.startswith(unwanted)], [])
 
 
@@ -262,7 +283,8 @@
                 tree = ast.parse(file.read())
             named = [node.module for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)]
             knows.setdefault(parts[1], set()).update(
-                module.split(".")[1] for module in named if module and module.startswith("oakkeel."))
+                module.split(".")[1] for module in named if module and module.startswith("oakkeel.")
+            )
         graph = {name: found - {name} for name, found in knows.items()}
         list(graphlib.TopologicalSorter(graph).static_order())  # raises where there is a circle
         sides = {"dispatch", "engine", "catalogue", "directory", "control"}
@@ -270,8 +292,10 @@
             self.assertFalse(graph[side] & (sides | {"node", "agent", "fleet"}), side)
 
     def test_a_plain_node_loads_none_of_what_agents_and_commands_need(self):
-        code = ("import sys, oakkeel.__main__, oakkeel.node.assembly\n"
-                "print([name for name in ('msgspec', 'click', 'rich', 'lxml', 'blake3', 'sqlite3',"
-                " 'oakkeel.agent', 'oakkeel.cli') if sys.modules.get(name)])")
+        code = (
+            "import sys, oakkeel.__main__, oakkeel.node.assembly\n"
+            "print([name for name in ('msgspec', 'click', 'rich', 'lxml', 'blake3', 'sqlite3',"
+            " 'oakkeel.agent', 'oakkeel.cli') if sys.modules.get(name)])"
+        )
         out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
         self.assertEqual(out.stdout.strip(), "[]")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,8 +26,14 @@
 from oakkeel.streams import BufferPool
 from tests.fake import WAIT, FakeHost
 
-BOUNDS = Bounds(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND, last_wait=600 * SECOND,
-                linger=600 * SECOND, sweep=600 * SECOND)
+BOUNDS = Bounds(
+    sockets=1024,
+    memory=192 * 2**20,
+    stop_after=3 * SECOND,
+    last_wait=600 * SECOND,
+    linger=600 * SECOND,
+    sweep=600 * SECOND,
+)
 LAST = [b"0", b"last"]
 
 
@@ -273,8 +279,10 @@
         self.assertEqual(self.gone_here, [])
         self.answer()
         self.answer()
-        self.assertEqual([each for each in await caller.end() if each != LAST],
-                         [[b"1", b"ok", b"", b"result"], [b"2", b"ok", b"", b"result"]])
+        self.assertEqual(
+            [each for each in await caller.end() if each != LAST],
+            [[b"1", b"ok", b"", b"result"], [b"2", b"ok", b"", b"result"]],
+        )
 
     async def test_the_end_that_comes_with_the_last_bytes_costs_none_of_them(self):
         for size in (0, 1, 100, 2000):
@@ -300,7 +308,6 @@
         caller.close(reset=True)
         await self.until(lambda: self.gone_here)
 
-
     async def test_one_that_resets_while_we_linger_leaves_nothing_for_the_collector(self):
         # Its error held the frames and these the stream with 8 KB: the soak went from 20 to 34 MB.
         gc.disable()
@@ -418,8 +425,9 @@
 
 
 class RoomStories(DoorStory):
-    bounds = replace(BOUNDS, sockets=BOUNDS.spare_sockets + BOUNDS.call_links + BOUNDS.ending + 2,
-                     young=600 * SECOND)
+    bounds = replace(
+        BOUNDS, sockets=BOUNDS.spare_sockets + BOUNDS.call_links + BOUNDS.ending + 2, young=600 * SECOND
+    )
 
     async def test_room_is_not_made_of_one_that_just_sends(self):
         caller, first = await self.rested()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -68,16 +68,28 @@
         self.assertGreater(first.benefit / first.of, 0.9)
 
     def test_troubles_that_overlap_break_no_rule(self):
-        result = play(Day(nodes=3, dispatchers=2, seconds=9.0, manners=Manners(way=Way.LEAST), events=(
-            Event(Trouble.SLOW, 1, 3, 0.5), Event(Trouble.STILL, 2, 0.7, node=1),
-            Event(Trouble.DIE, 3, node=2),
-            Event(Trouble.FLOOD, 4, 2, 2.0), Event(Trouble.RELEASE, 5, 2, 1))))
+        result = play(
+            Day(
+                nodes=3,
+                dispatchers=2,
+                seconds=9.0,
+                manners=Manners(way=Way.LEAST),
+                events=(
+                    Event(Trouble.SLOW, 1, 3, 0.5),
+                    Event(Trouble.STILL, 2, 0.7, node=1),
+                    Event(Trouble.DIE, 3, node=2),
+                    Event(Trouble.FLOOD, 4, 2, 2.0),
+                    Event(Trouble.RELEASE, 5, 2, 1),
+                ),
+            )
+        )
         self.assertEqual(result.breaches, [])
         self.assertGreater(result.counts["denied"], 0)
 
     def test_a_hasty_dispatcher_gives_up_while_answers_travel_and_nothing_runs_twice(self):
-        result = play(Day(nodes=2, dispatchers=2, seconds=4.0, load=1.2,
-                          manners=Manners(hasty=60 * MS, delay=20 * MS)))
+        result = play(
+            Day(nodes=2, dispatchers=2, seconds=4.0, load=1.2, manners=Manners(hasty=60 * MS, delay=20 * MS))
+        )
         self.assertEqual(result.breaches, [])
 
     def test_a_node_that_dies_as_a_run_ends_owes_nothing(self):
@@ -128,8 +140,14 @@
         self.assertIn("ms late", self.told("_answer", late))
 
     def test_an_answer_to_what_never_ran_is_told(self):
-        self.assertIn("never ran", self.told("deny", lambda self, ex, last, after: self._answer(
-            self.open[ex], "completed", 0), Day(nodes=1, dispatchers=1, seconds=3.0, load=2.0)))
+        self.assertIn(
+            "never ran",
+            self.told(
+                "deny",
+                lambda self, ex, last, after: self._answer(self.open[ex], "completed", 0),
+                Day(nodes=1, dispatchers=1, seconds=3.0, load=2.0),
+            ),
+        )
 
     def test_a_second_run_is_told(self):
         run = Node.run
@@ -154,8 +172,10 @@
         def never_listed(self):
             return None  # dispatchers go on sending to the node that leaves
 
-        with mock.patch.object(Played, "_list", never_listed), mock.patch.object(
-                Keel, "leave", lambda self, now, left: None):
+        with (
+            mock.patch.object(Played, "_list", never_listed),
+            mock.patch.object(Keel, "leave", lambda self, now, left: None),
+        ):
             self.assertIn("after its grace and ran", "\n".join(play(day).breaches))
         with mock.patch.object(Played, "_list", never_listed):
             self.assertNotIn("after its grace", "\n".join(play(day).breaches))
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -26,8 +26,10 @@
 
 
 class HeavyStories(unittest.TestCase):
-    @given(st.lists(st.tuples(st.integers(0, 40), st.integers(1, 9)), min_size=1, max_size=300),
-           st.integers(1, 12))
+    @given(
+        st.lists(st.tuples(st.integers(0, 40), st.integers(1, 9)), min_size=1, max_size=300),
+        st.integers(1, 12),
+    )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_counts_are_never_under_and_certain_ones_never_over_the_truth(self, sent, most):
         table, truth = HeavySenders(most, LONG), {}
@@ -74,19 +76,24 @@
     def test_keys_cannot_be_aimed_without_the_secret(self):
         names = [f"client-{number}".encode() for number in range(300)]
         first, second = (SenderKeys(bytes([number]) * SECRET, (b"client",)) for number in (1, 2))
-        keys = [[maker.who(lambda field, name=name: name)[0][0] for name in names] for maker in (first,
-                                                                                                 second)]
+        keys = [
+            [maker.who(lambda field, name=name: name)[0][0] for name in names] for maker in (first, second)
+        ]
         self.assertEqual(len(set(keys[0])), 300)
         self.assertFalse(set(keys[0]) & set(keys[1]))
         both = SenderKeys(bytes(SECRET), (b"owner", b"client"))
-        apart = {both.who({b"owner": owner, b"client": client}.__getitem__)[1][0]
-                 for owner, client in ((b"ab", b"c"), (b"a", b"bc"), (b"abc", b""))}
+        apart = {
+            both.who({b"owner": owner, b"client": client}.__getitem__)[1][0]
+            for owner, client in ((b"ab", b"c"), (b"a", b"bc"), (b"abc", b""))
+        }
         self.assertEqual(len(apart), 3)
 
 
 class LevelStories(unittest.TestCase):
-    @given(st.lists(st.tuples(st.floats(0.1, 100), st.floats(0.1, 10)), min_size=1, max_size=20),
-           st.floats(0.1, 500))
+    @given(
+        st.lists(st.tuples(st.floats(0.1, 100), st.floats(0.1, 10)), min_size=1, max_size=20),
+        st.floats(0.1, 500),
+    )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_water_fills_evenly_gives_nobody_more_than_asked_and_leaves_nothing(self, rows, whole):
         level = fill(rows, whole)
@@ -137,20 +144,28 @@
     return World(rules if fair else None, seed, **more)
 
 
-def kept(made: World, clients: list[Client], seconds: float = 8, warm: float = 4) -> tuple[list[float],
-                                                                                           float]:
+def kept(
+    made: World, clients: list[Client], seconds: float = 8, warm: float = 4
+) -> tuple[list[float], float]:
     """Of its fair share, what each kept after a while; and the share of returns as told that went ahead."""
     made.pass_time(warm)
     before = [(each.counts["in time"], each.sent, each.promised, each.taken) for each in made.clients]
     made.pass_time(seconds)
-    done = [(each.counts["in time"] - was[0]) / seconds for each,
-            was in zip(made.clients, before, strict=True)]
+    done = [
+        (each.counts["in time"] - was[0]) / seconds for each, was in zip(made.clients, before, strict=True)
+    ]
     sent = [(each.sent - was[1]) / seconds for each, was in zip(made.clients, before, strict=True)]
     shares = fair_share(sent, max(150.0, sum(done)))
     told = sum(each.promised - was[2] for each, was in zip(made.clients, before, strict=True))
     taken = sum(each.taken - was[3] for each, was in zip(made.clients, before, strict=True))
-    return ([min(1.0, one / share) for each, one, share in zip(made.clients, done, shares, strict=True)
-             if each in clients], taken / told if told else 1.0)
+    return (
+        [
+            min(1.0, one / share)
+            for each, one, share in zip(made.clients, done, shares, strict=True)
+            if each in clients
+        ],
+        taken / told if told else 1.0,
+    )
 
 
 class ShareStories(unittest.TestCase):
@@ -305,15 +320,20 @@
         key = max(old.levels.tables[0].senders.values(), key=lambda each: each.count).key
         before = old.levels.tables[0].rate(made.now, old.levels.tables[0].senders[key])
         after = fair.levels.tables[0].rate(again.now, fair.levels.tables[0].senders[key])
-        self.assertAlmostEqual(after / before, 0.5 ** 0.25, delta=0.01)  # a second of the four that halve it
-        ahead = [sorted(each.at - made_at for rows in ledger.open.values() for each in rows)
-                 for ledger, made_at in ((old.promises, made.now + SECOND), (fair.promises, again.now))]
+        self.assertAlmostEqual(after / before, 0.5**0.25, delta=0.01)  # a second of the four that halve it
+        ahead = [
+            sorted(each.at - made_at for rows in ledger.open.values() for each in rows)
+            for ledger, made_at in ((old.promises, made.now + SECOND), (fair.promises, again.now))
+        ]
         self.assertEqual(ahead[1], [after for after in ahead[0] if after > 0])
 
     def test_one_from_the_future_too_old_or_of_other_senders_is_not_taken(self):
         content = self.content(self.filled())
-        for unix, by in ((10**18 - 5 * SECOND, ("caller",)), (10**18 + 61 * SECOND, ("caller",)),
-                         (10**18, ("tenant",))):
+        for unix, by in (
+            (10**18 - 5 * SECOND, ("caller",)),
+            (10**18 + 61 * SECOND, ("caller",)),
+            (10**18, ("tenant",)),
+        ):
             with self.assertRaises(state.Unfit):
                 state.read(content, unix, by)
         with self.assertRaises(state.Unfit):
@@ -338,14 +358,30 @@
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         self.told_path = os.path.join(self.folder, "n3.told")
         self.write_told()
-        self.enterContext(mock.patch.dict(os.environ, OAKKEEL_TOLD=self.told_path, OAKKEEL_GENERATION="1",
-                                          OAKKEEL_CONTROL=os.path.join(self.folder, "n3.sock")))
+        self.enterContext(
+            mock.patch.dict(
+                os.environ,
+                OAKKEEL_TOLD=self.told_path,
+                OAKKEEL_GENERATION="1",
+                OAKKEEL_CONTROL=os.path.join(self.folder, "n3.sock"),
+            )
+        )
 
     def write_told(self, by=("client",), **weights: float) -> None:
         with open(self.told_path, "w") as file:
-            json.dump({"fair": {"by": list(by), "weights": weights, "places": 64, "promises": 64,
-                                "half": 4 * SECOND, "snapshot": os.path.join(self.folder, "n3.shares")}},
-                                file)
+            json.dump(
+                {
+                    "fair": {
+                        "by": list(by),
+                        "weights": weights,
+                        "places": 64,
+                        "promises": 64,
+                        "half": 4 * SECOND,
+                        "snapshot": os.path.join(self.folder, "n3.shares"),
+                    }
+                },
+                file,
+            )
 
     def clients(self) -> dict:
         import socket  # noqa: PLC0415  # a link of this story alone
@@ -368,9 +404,10 @@
         for client in ("a", "a", "a", "b"):
             self.served(dispatcher, client)
         told = self.clients()
-        self.assertEqual([(each["name"], round(each["asks"], 1)) for each in told["clients"]],
-                         [("a", 0.8), ("b", 0.2)] if told["clients"][0]["asks"] > 0.76 else [("a", 0.7),
-                                                                                             ("b", 0.3)])
+        self.assertEqual(
+            [(each["name"], round(each["asks"], 1)) for each in told["clients"]],
+            [("a", 0.8), ("b", 0.2)] if told["clients"][0]["asks"] > 0.76 else [("a", 0.7), ("b", 0.3)],
+        )
         self.process.send_signal(signal.SIGTERM)
         dispatcher.close()
         self.assertEqual(self.process.wait(20), 0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -67,8 +67,12 @@
         asking.failed(asking.next_at(), "h0", "connection refused")
         self.assertEqual(asking.targets["h0"].state, Asked.FAILED)
 
-    @given(st.lists(st.tuples(st.integers(0, 4), st.sampled_from(["answered", "failed", "refused", "time"])),
-                    max_size=60))
+    @given(
+        st.lists(
+            st.tuples(st.integers(0, 4), st.sampled_from(["answered", "failed", "refused", "time"])),
+            max_size=60,
+        )
+    )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_whatever_comes_it_ends_by_its_deadline_within_its_budget(self, events):
         asking, now, on_way = self.asking(5), 0, []
@@ -94,16 +98,43 @@
 
 
 def fleet_of(hosts: int = 2, each: int = 3) -> Fleet:
-    return Fleet("f", "f.xml", (), {}, HowToAsk(), {"woodbrook": 2}, tuple(
-        HostSettings(f"h{host}", "woodbrook", ("127.0.0.1", 1), "", 1, tuple(
-            InstanceSettings(f"n{host}{number}", "", "", "console") for number in range(each)))
-        for host in range(hosts)))
+    return Fleet(
+        "f",
+        "f.xml",
+        (),
+        {},
+        HowToAsk(),
+        {"woodbrook": 2},
+        tuple(
+            HostSettings(
+                f"h{host}",
+                "woodbrook",
+                ("127.0.0.1", 1),
+                "",
+                1,
+                tuple(InstanceSettings(f"n{host}{number}", "", "", "console") for number in range(each)),
+            )
+            for host in range(hosts)
+        ),
+    )
 
 
 def told(host: str, phase: str = "serving", names=(0, 1, 2), unix: int = 0) -> messages.HostTold:
-    return messages.HostTold(host, "woodbrook", 1, unix, 1, 0, [], [messages.InstanceTold(
-        f"n{host[1:]}{number}", phase, 5, "up", 4, 0, "", 77, 200 * MS, None, None, 0, False, 0, "")
-        for number in names])
+    return messages.HostTold(
+        host,
+        "woodbrook",
+        1,
+        unix,
+        1,
+        0,
+        [],
+        [
+            messages.InstanceTold(
+                f"n{host[1:]}{number}", phase, 5, "up", 4, 0, "", 77, 200 * MS, None, None, 0, False, 0, ""
+            )
+            for number in names
+        ],
+    )
 
 
 class ViewStories(unittest.TestCase):
@@ -177,14 +208,18 @@
 
     def test_each_instance_has_one_end_and_what_nobody_told_of_is_not_ordered(self):
         following = self.following()
-        self.assertEqual({host: wish.instances for host, wish in following.wishes().items()},
-                         {"h0": [("n00", 4)], "h1": [("n10", 4)]})
+        self.assertEqual(
+            {host: wish.instances for host, wish in following.wishes().items()},
+            {"h0": [("n00", 4)], "h1": [("n10", 4)]},
+        )
         following.answered("h0", self.order("n00", "waiting"))
         following.answered("h1", messages.Fault("not taken, as it can't be kept"))
         self.assertEqual((following.over, following.to_ask()), (False, ["h0"]))
         following.answered("h0", messages.OrdersTold([self.order("n00", "done")]))
-        self.assertEqual({part.instance: part.state for part in following.parts.values()},
-                         {"n00": "done", "n10": "refused", "n20": "not ordered"})
+        self.assertEqual(
+            {part.instance: part.state for part in following.parts.values()},
+            {"n00": "done", "n10": "refused", "n20": "not ordered"},
+        )
         self.assertIs(following.result(True), Result.SOME_SILENT)
 
     def test_an_answer_that_comes_late_takes_nothing_back(self):
@@ -199,8 +234,9 @@
         following = self.following()
         following.answered("h0", self.order("n00", "done"))
         following.unanswered("h1", "did not answer")
-        self.assertEqual((following.parts["n10"].state, following.result(True)),
-                         ("not known", Result.SOME_SILENT))
+        self.assertEqual(
+            (following.parts["n10"].state, following.result(True)), ("not known", Result.SOME_SILENT)
+        )
         self.assertEqual(following.to_ask(), ["h1"])
         following.answered("h1", messages.OrdersTold([self.order("n10", "failed")]))
         del following.parts["n20"]
@@ -217,13 +253,16 @@
 class MarkStories(unittest.TestCase):
     def setUp(self) -> None:
         self.old, self.new, self.foreign = (
-            Key(ident, "asha", Role.ACT, secrets.token_bytes(32)) for ident in ("a-1", "a-2", "a-1"))
+            Key(ident, "asha", Role.ACT, secrets.token_bytes(32)) for ident in ("a-1", "a-2", "a-1")
+        )
         self.keys = {key.ident: key for key in (self.old, self.new)}
 
     def ends(self, key: Key, keys=None, made: int = 0) -> tuple[Sender, Receiver]:
         challenge = secrets.token_bytes(NONCE)
-        return (Sender(key, challenge, lambda: secrets.token_bytes(NONCE), time.time_ns),
-                Receiver(keys or self.keys, challenge, made))
+        return (
+            Sender(key, challenge, lambda: secrets.token_bytes(NONCE), time.time_ns),
+            Receiver(keys or self.keys, challenge, made),
+        )
 
     def test_both_keys_are_good_during_a_change_and_the_answer_is_proved(self):
         for key in (self.old, self.new):
@@ -321,15 +360,16 @@
 
     def test_each_fault_is_a_line_with_place_and_what_is_allowed(self):
         for old, new, line, words in (
-                ('away="3"', 'away="many"', 4, "'many'"),
-                ('role="act"', 'role="admin"', 2, "'view', 'act'"),
-                ('silent="1500ms"', 'silent="soon"', 3, "pattern"),
-                (' log="json"', ' lug="json"', 9, "'lug' is not allowed"),
-                ('name="n3"', 'name="n1"', 9, "stands in line 6 already"),
-                ('127.0.0.1:7402', '127.0.0.1:99999', 8, "no port"),
-                ('away="3"', 'away="1"', 8, "nothing is left for it"),
-                ('name="wb1"', 'name="wb1" away="4"', 4, "told 4 in all"),
-                ("</site>", "", 12, "no XML")):
+            ('away="3"', 'away="many"', 4, "'many'"),
+            ('role="act"', 'role="admin"', 2, "'view', 'act'"),
+            ('silent="1500ms"', 'silent="soon"', 3, "pattern"),
+            (' log="json"', ' lug="json"', 9, "'lug' is not allowed"),
+            ('name="n3"', 'name="n1"', 9, "stands in line 6 already"),
+            ("127.0.0.1:7402", "127.0.0.1:99999", 8, "no port"),
+            ('away="3"', 'away="1"', 8, "nothing is left for it"),
+            ('name="wb1"', 'name="wb1" away="4"', 4, "told 4 in all"),
+            ("</site>", "", 12, "no XML"),
+        ):
             with self.subTest(new), self.assertRaises(SettingsError) as caught:
                 self.read(GOOD.replace(old, new, 1))
             self.assertRegex(str(caught.exception).replace("\n", " "), rf"fleet\.xml:{line}: .*{words}")
@@ -338,12 +378,17 @@
         fairness = '  <fairness by="tenant client" half="2s"><weight of="a" is="2.5"/></fairness>'
         plain = GOOD.replace("  <site name", fairness + "\n  <site name", 1)
         fair = self.read(plain).fairness
-        self.assertEqual((fair.by, fair.weights, fair.half, fair.places),
-                         (("tenant", "client"), (("a", 2.5),), 2 * SECOND, 256))
+        self.assertEqual(
+            (fair.by, fair.weights, fair.half, fair.places),
+            (("tenant", "client"), (("a", 2.5),), 2 * SECOND, 256),
+        )
         self.assertIsNone(self.read(GOOD).fairness)
-        for old, new, words in (('"tenant client"', '"a b c"', "pattern"), ('is="2.5"', 'is="0"', "0.001"),
-                                ('half="2s"', 'places="0"', "1 to 65536"),
-                                ('is="2.5"/>', 'is="2.5"/><weight of="a" is="1"/>', "stands in line 4")):
+        for old, new, words in (
+            ('"tenant client"', '"a b c"', "pattern"),
+            ('is="2.5"', 'is="0"', "0.001"),
+            ('half="2s"', 'places="0"', "1 to 65536"),
+            ('is="2.5"/>', 'is="2.5"/><weight of="a" is="1"/>', "stands in line 4"),
+        ):
             with self.subTest(new), self.assertRaisesRegex(SettingsError, words):
                 self.read(plain.replace(old, new))
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -34,11 +34,18 @@
             (some / "test_some.py").write_text(textwrap.dedent(stories))
             if lines:
                 Path(folder, "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
-            run = f"from pathlib import Path; from tests.known_red import run; " \
-                  f"raise SystemExit(run(Path({str(some)!r}), Path({folder!r})))"
+            run = (
+                f"from pathlib import Path; from tests.known_red import run; "
+                f"raise SystemExit(run(Path({str(some)!r}), Path({folder!r})))"
+            )
             root = str(Path(__file__).resolve().parent.parent)
-            done = subprocess.run([sys.executable, "-c", run], capture_output=True, text=True, timeout=60,
-                                  env={**os.environ, "PYTHONPATH": root})
+            done = subprocess.run(
+                [sys.executable, "-c", run],
+                capture_output=True,
+                text=True,
+                timeout=60,
+                env={**os.environ, "PYTHONPATH": root},
+            )
             return done.returncode, done.stdout + done.stderr
 
     def test_without_a_list_each_failure_counts(self):
@@ -65,9 +72,13 @@
 
     def test_a_list_that_is_too_long_wrong_or_of_others_fails_the_run(self):
         row = f"{BAD} | a | 34"
-        for lines, why in (([f"{BAD}{n} | a | 34" for n in range(4)], "at most 3"), ([BAD], "line 1"),
-                           ([row, f"{WORSE} |  | 34"], "line 2"), ([row, row], "twice"),
-                           (["some.test_some.Stories.test_gone | a | 34"], "no story some.test_some")):
+        for lines, why in (
+            ([f"{BAD}{n} | a | 34" for n in range(4)], "at most 3"),
+            ([BAD], "line 1"),
+            ([row, f"{WORSE} |  | 34"], "line 2"),
+            ([row, row], "twice"),
+            (["some.test_some.Stories.test_gone | a | 34"], "no story some.test_some"),
+        ):
             code, said = self.play(*lines)
             self.assertEqual(code, 1)
             self.assertIn(why, said)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -32,9 +32,23 @@
 def exchange(ident: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", group=GROUP, **fields) -> LiveExchange:
     return LiveExchange(
         **{
-            **dict(group=group, tenant=None, caller=0, memory_kb=50, marked_retry=False, left=5 * SECOND,
-                   backlog=0, has_key=bool(mark), repeats=False, ident=ident, tag=1, group_name=b"quote",
-                   body=b"", key=(group.index, mark) if mark else None, connection=None),
+            **dict(
+                group=group,
+                tenant=None,
+                caller=0,
+                memory_kb=50,
+                marked_retry=False,
+                left=5 * SECOND,
+                backlog=0,
+                has_key=bool(mark),
+                repeats=False,
+                ident=ident,
+                tag=1,
+                group_name=b"quote",
+                body=b"",
+                key=(group.index, mark) if mark else None,
+                connection=None,
+            ),
             **fields,
         }
     )
@@ -53,15 +67,27 @@
 
 class ParserStories(unittest.TestCase):
     def test_arrays_are_the_same_in_pieces_of_any_size(self):
-        wanted = [[b"CALL", b"7", b"checkout", b"req=1", b"*1\r\n$\r\n\0"], [b"CANCEL", b"7"],
-                  [b"CHECK", b"8", b""]]
+        wanted = [
+            [b"CALL", b"7", b"checkout", b"req=1", b"*1\r\n$\r\n\0"],
+            [b"CANCEL", b"7"],
+            [b"CHECK", b"8", b""],
+        ]
         data = b"".join(encode(*words) for words in wanted)
         for step in (1, 2, 3, 7, len(data)):
             self.assertEqual(split(data, step, lambda read_buffer: list(arrays(read_buffer, 16))), wanted)
 
     def test_what_is_no_array_is_named(self):
-        for data in (b"CALL 7\r\n", b"*0\r\n", b"*99\r\n", b"*1\r\n:1\r\n", b"*1\r\n$1\r\nxyz", b"*x\r\n",
-                     b"*" + b"1" * 20, b"*1\r\n$600\r\n", b"*1\r\n$-1\r\n"):
+        for data in (
+            b"CALL 7\r\n",
+            b"*0\r\n",
+            b"*99\r\n",
+            b"*1\r\n:1\r\n",
+            b"*1\r\n$1\r\nxyz",
+            b"*x\r\n",
+            b"*" + b"1" * 20,
+            b"*1\r\n$600\r\n",
+            b"*1\r\n$-1\r\n",
+        ):
             with self.assertRaises(Malformed, msg=data):
                 split(data, len(data), lambda read_buffer: list(arrays(read_buffer, 16)))
 
@@ -72,21 +98,35 @@
             ([b"NEED", b"2", b"9b1f", b"0"], b""),
             ([b"9b1f", b"DATA", b"3"], b"a\r\n"),
         ]
-        data = b"".join(b" ".join(words) + b"\r\n" + (body + b"\r\n" if at else b"")
-                        for at, (words, body) in enumerate(wanted))
+        data = b"".join(
+            b" ".join(words) + b"\r\n" + (body + b"\r\n" if at else b"")
+            for at, (words, body) in enumerate(wanted)
+        )
         with_body = frozenset({(0, b"DONE"), (0, b"NEED"), (1, b"DATA")})
         for step in (1, 2, 5, len(data)):
             parsers = {}
-            found = split(data, step, lambda read_buffer: list(
-                parsers.setdefault(0, LineParser(read_buffer, with_body, 16)).messages()))  # noqa: B023
+            found = split(
+                data,
+                step,
+                lambda read_buffer: list(
+                    parsers.setdefault(0, LineParser(read_buffer, with_body, 16)).messages()
+                ),
+            )  # noqa: B023
             self.assertEqual(found, wanted)
 
     def test_lines_that_cant_be_read_are_named(self):
-        for data in (b"\r\n", b"DONE 1 x success 1 many\r\n", b"DONE 1 x success 1 9999\r\n",
-                     b"DONE 1 x success 1 2\r\nabcd"):
+        for data in (
+            b"\r\n",
+            b"DONE 1 x success 1 many\r\n",
+            b"DONE 1 x success 1 9999\r\n",
+            b"DONE 1 x success 1 2\r\nabcd",
+        ):
             with self.assertRaises(Malformed, msg=data):
-                split(data, len(data),
-                      lambda buffer: list(LineParser(buffer, frozenset({(0, b"DONE")}), 16).messages()))
+                split(
+                    data,
+                    len(data),
+                    lambda buffer: list(LineParser(buffer, frozenset({(0, b"DONE")}), 16).messages()),
+                )
 
     def test_buffers_are_used_again_and_their_number_is_bounded(self):
         pool = BufferPool(64, 1)
@@ -151,8 +191,12 @@
         self.assertEqual((await ex.hear())[:3], (Event.REPLY, Outcome.COMPLETED, b"new"))
 
     async def test_each_reply_is_the_outcome_that_it_proves(self):
-        for word, outcome in ((b"LATER", Outcome.DENIED), (b"FAULT", Outcome.ERROR), (b"NOUSE", Outcome.MOOT),
-                              (b"TOOSLOW", Outcome.GIVEN_UP)):
+        for word, outcome in (
+            (b"LATER", Outcome.DENIED),
+            (b"FAULT", Outcome.ERROR),
+            (b"NOUSE", Outcome.MOOT),
+            (b"TOOSLOW", Outcome.GIVEN_UP),
+        ):
             ex = exchange(b"%016x" % len(word))
             self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"")
             if not self.catalogue.links[0].connected:
@@ -172,9 +216,18 @@
     async def test_a_reply_that_breaks_its_link_costs_no_other_call(self):
         # With four links for all, each spoilt, silent or reset one took the calls beside it along.
         other, other_writer = await self._placed(b"0123456789abcdef")
-        for number, spoilt in enumerate((b"\x00\xff\r\n", b"%s DATA 3000000000\r\nxx", b"%s DATA 9\r\nabc",
-                                         b"%s DATA 2\r\nabcdef\r\n", b"%s DATA 1 2\r\nab\r\n",
-                                         b"%s FAULT 1\r\n", b"x" * 9000, b"%s DA")):
+        for number, spoilt in enumerate(
+            (
+                b"\x00\xff\r\n",
+                b"%s DATA 3000000000\r\nxx",
+                b"%s DATA 9\r\nabc",
+                b"%s DATA 2\r\nabcdef\r\n",
+                b"%s DATA 1 2\r\nab\r\n",
+                b"%s FAULT 1\r\n",
+                b"x" * 9000,
+                b"%s DA",
+            )
+        ):
             ex, writer = await self._placed(b"%016x" % number)
             writer.write(spoilt.replace(b"%s", ex.ident))
             self.assertEqual((await asyncio.wait_for(ex.hear(), WAIT))[1], Outcome.RESET, spoilt)
@@ -315,8 +368,9 @@
             writer.close()
 
         server = await asyncio.start_server(accepted, "127.0.0.1", 0)
-        link = EngineLink(server.sockets[0].getsockname(), BufferPool(8192, 9), BOUNDS, LOG,
-                          lambda cold, age: up.set())
+        link = EngineLink(
+            server.sockets[0].getsockname(), BufferPool(8192, 9), BOUNDS, LOG, lambda cold, age: up.set()
+        )
         serving = asyncio.ensure_future(link.serve())
         await asyncio.wait_for(up.wait(), WAIT)
         ex = exchange()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -203,15 +203,22 @@
         dispatcher.call(fields=",need=much")
         dispatcher.send("CALL", "3", "quote", "ts=1", b"")
         dispatcher.send("WHAT", "4")
-        self.assertEqual([dispatcher.answer()[:2] for _ in range(4)],
-                         [(1, b"fault"), (2, b"fault"), (3, b"fault"), (4, b"fault")])
+        self.assertEqual(
+            [dispatcher.answer()[:2] for _ in range(4)],
+            [(1, b"fault"), (2, b"fault"), (3, b"fault"), (4, b"fault")],
+        )
         self.engine.done(dispatcher.call(tag=5) and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (5, b"ok"))
 
     def test_bytes_that_are_no_array_end_a_connection_once_all_on_it_is_answered(self):
         self.begin()
-        for garbage in (b"GET / HTTP/1.1\r\n\r\n", b"*2\r\n$9999999\r\n", b"*2\r\n$-1\r\n",
-                        b"*3\r\n$4\r\nCALL\r\n$1\r\n0\r\n$0\r\n\r\n", b"*1\r\n$8000\r\n" + b"x" * 9000):
+        for garbage in (
+            b"GET / HTTP/1.1\r\n\r\n",
+            b"*2\r\n$9999999\r\n",
+            b"*2\r\n$-1\r\n",
+            b"*3\r\n$4\r\nCALL\r\n$1\r\n0\r\n$0\r\n\r\n",
+            b"*1\r\n$8000\r\n" + b"x" * 9000,
+        ):
             dispatcher = self.dispatcher()
             ident = dispatcher.call()
             self.engine.next()
@@ -251,7 +258,6 @@
         self.assertEqual(dispatcher.next()[:2], [b"2", b"ok"])
         self.assertEqual(dispatcher.next(), [])
 
-
     def test_connections_that_say_nothing_or_half_are_closed_and_make_room(self):
         # They were never idle, filled the table, and no dispatcher was accepted any more.
         self.begin(limits={"cores": 1.0, "memory_mb": 192, "sockets": 140})
@@ -265,8 +271,9 @@
         self.assertLess(time.monotonic() - start, 3)
 
     def test_connections_held_for_good_make_room_for_those_that_work(self):
-        self.begin(limits={"cores": 1.0, "memory_mb": 192, "sockets": 140},
-                   settings=self.settings(idle=600 * 10**9))
+        self.begin(
+            limits={"cores": 1.0, "memory_mb": 192, "sockets": 140}, settings=self.settings(idle=600 * 10**9)
+        )
         for _ in range(60):
             held = self.dispatcher()
             self.engine.done(held.call() and self.engine.next()[1])
@@ -285,11 +292,22 @@
     def test_ids_and_figures_that_cant_be_are_refused_and_change_nothing(self):
         self.begin()
         now = time.time_ns() // 10**6
-        for fields in ("req=12345678 9abcdef,need=1", "req=1234567\r\nabcdef,need=1",
-                       "req=0123456789abcdeg,need=1", "need=1", "req={},need=0x10", "req={},need=nan",
-                       "req={},need=1e9", "req={},need=-1",
-                       "req={},need=1,ts=5", "req={},need=1,ts=inf", f"req={{}},need=1,ts={now * 2}",
-                       "req={},need=1,timeout=1e12", "req={},need=1,level=1.5", "req={},need=1,via=nan"):
+        for fields in (
+            "req=12345678 9abcdef,need=1",
+            "req=1234567\r\nabcdef,need=1",
+            "req=0123456789abcdeg,need=1",
+            "need=1",
+            "req={},need=0x10",
+            "req={},need=nan",
+            "req={},need=1e9",
+            "req={},need=-1",
+            "req={},need=1,ts=5",
+            "req={},need=1,ts=inf",
+            f"req={{}},need=1,ts={now * 2}",
+            "req={},need=1,timeout=1e12",
+            "req={},need=1,level=1.5",
+            "req={},need=1,via=nan",
+        ):
             dispatcher = self.dispatcher()
             dispatcher.send("CALL", "1", "quote", fields.format("0123456789abcdef"), b"")
             self.assertEqual(dispatcher.answer()[:2], (1, b"fault"), fields)
@@ -335,8 +353,9 @@
                 for first in range(1, 10**9, 500):
                     if stop.is_set():
                         return
-                    flood.socket.sendall(b"".join(encode(b"CANCEL", b"%d" % tag)
-                                                  for tag in range(first, first + 500)))
+                    flood.socket.sendall(
+                        b"".join(encode(b"CANCEL", b"%d" % tag) for tag in range(first, first + 500))
+                    )
 
         pouring = threading.Thread(target=pour)
         pouring.start()
@@ -569,8 +588,14 @@
 
     def test_an_unreadable_configuration_is_named(self):
         import sys
-        ended = subprocess.run([sys.executable, "-m", "oakkeel"], env={"PROXY_CONFIG": "/nowhere/at/all"},
-                               capture_output=True, text=True, timeout=WAIT)
+
+        ended = subprocess.run(
+            [sys.executable, "-m", "oakkeel"],
+            env={"PROXY_CONFIG": "/nowhere/at/all"},
+            capture_output=True,
+            text=True,
+            timeout=WAIT,
+        )
         self.assertEqual((ended.returncode, ended.stderr.count("\n")), (2, 1))
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -134,8 +134,12 @@
             self.assertEqual(host.words(ex).count("call"), calls)
 
     def test_a_call_that_could_be_left_out_is_placed_again_where_only_its_link_broke(self):
-        for outcome, word in ((Outcome.RESET, "call"), (Outcome.UNREACHED, "call"),
-                              (Outcome.DENIED, "leave_out"), (Outcome.GIVEN_UP, "leave_out")):
+        for outcome, word in (
+            (Outcome.RESET, "call"),
+            (Outcome.UNREACHED, "call"),
+            (Outcome.DENIED, "leave_out"),
+            (Outcome.GIVEN_UP, "leave_out"),
+        ):
             host = FakeHost(groups=[{"skip_share": 0.5}], below=Below.TIER)
             ex = host.arrive()
             host.at_call(ex)
@@ -218,9 +222,7 @@
         )
 
     def test_calls_in_hand_stay_under_a_share_below_one(self):
-        host = FakeHost(
-            groups=[{}], below=Below.SHARED, call_share=0.4, stop_kind=StopKind.SUSPEND
-        )
+        host = FakeHost(groups=[{}], below=Below.SHARED, call_share=0.4, stop_kind=StopKind.SUSPEND)
         spent = 0
         for _ in range(100):
             ex = host.arrive()
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -275,8 +275,10 @@
         net.run(10 * SECOND, lambda: voters() == set("cde"))
         self.assertEqual(voters(), set("cde"))
         net.agree(b"after")
-        self.assertEqual({name: lines[-1] for name, lines in net.lines().items() if name in "cde"},
-                         dict.fromkeys("cde", b"after"))
+        self.assertEqual(
+            {name: lines[-1] for name, lines in net.lines().items() if name in "cde"},
+            dict.fromkeys("cde", b"after"),
+        )
 
     def test_a_leader_that_is_no_keeper_any_more_steps_down_by_itself(self):
         net = Net("a", "b", "c", "d")
@@ -295,8 +297,11 @@
         leader = net.leader()
         others = [name for name in net.keepers if name != leader.name]
         net.cut = {(leader.name, other) for other in others}
-        leader._append(net.now, Kind.MEMBERS, encode_members([
-            each for each in leader.members if each.name != leader.name]))
+        leader._append(
+            net.now,
+            Kind.MEMBERS,
+            encode_members([each for each in leader.members if each.name != leader.name]),
+        )
         net.carry_out(leader.name, leader._done(net.now))
         del net.disks[others[0]]
         net.start(others[0])
@@ -325,10 +330,16 @@
         net.agree(b"one")
         leader = net.leader()
         follower = next(each for each in net.keepers.values() if each is not leader)
-        for letter in (Letter("other", "x", "x.1", Append(99, 0, 0, [Entry(99, 2, b"bad")], 1, 0, [])),
-                       Letter("other", "x", "x.1", Hello(1, False, 99, 99, 99)),
-                       Letter(leader.durable.epoch, leader.name, leader.life,
-                              Append(leader.term, 0, 0, list(leader.log.entries), 2, 0, []))):
+        for letter in (
+            Letter("other", "x", "x.1", Append(99, 0, 0, [Entry(99, 2, b"bad")], 1, 0, [])),
+            Letter("other", "x", "x.1", Hello(1, False, 99, 99, 99)),
+            Letter(
+                leader.durable.epoch,
+                leader.name,
+                leader.life,
+                Append(leader.term, 0, 0, list(leader.log.entries), 2, 0, []),
+            ),
+        ):
             for _ in range(2):
                 follower.heard(net.now, letter)
         self.assertEqual((follower.term, follower.machine.lines), (leader.term, [b"one"]))
@@ -407,8 +418,9 @@
 
     @rule(name=names)
     def letters_come_twice(self, name):
-        self.net.waiting += [(at, -count, to, letter) for at, count, to, letter in self.net.waiting
-                             if to == name]
+        self.net.waiting += [
+            (at, -count, to, letter) for at, count, to, letter in self.net.waiting if to == name
+        ]
 
     @invariant()
     def what_is_agreed_stays(self):
@@ -467,8 +479,9 @@
         pages = store._number("page_count")
         store.base.execute(f"PRAGMA max_page_count = {pages}")
         with self.assertRaises(StoreError):
-            kept.write(store, durable, Keep(entries=[(1, Entry(1, 2, b"small")),
-                                                     (2, Entry(1, 2, bytes(100_000)))]))
+            kept.write(
+                store, durable, Keep(entries=[(1, Entry(1, 2, b"small")), (2, Entry(1, 2, bytes(100_000)))])
+            )
         self.assertEqual(kept.load(store, "a", "a.2").entries, [])
 
     def test_a_copy_that_is_put_back_shows_by_how_often_it_was_written(self):
@@ -510,10 +523,15 @@
         self.assertRegex(kept.check(durable), "members")
 
 
-LAYOUT = Layout({"h1": ("a", "b", "cat1"), "h2": ("c", "d", "cat2")},
-                (Group("fleet", 2, ("a", "b", "c", "d")), Group("site s", 1, ("a", "b")),
-                 Group("kind cat", 1, ("cat1", "cat2"))),
-                {"cat1": ("a",), "cat2": ("c", "d")})
+LAYOUT = Layout(
+    {"h1": ("a", "b", "cat1"), "h2": ("c", "d", "cat2")},
+    (
+        Group("fleet", 2, ("a", "b", "c", "d")),
+        Group("site s", 1, ("a", "b")),
+        Group("kind cat", 1, ("cat1", "cat2")),
+    ),
+    {"cat1": ("a",), "cat2": ("c", "d")},
+)
 
 
 class PlaceStories(unittest.TestCase):
@@ -548,8 +566,9 @@
             holding.answered(self.now, self.now, self.granting.answer(self.now, "e", host))
 
     def order(self, ident: str, *things: str, verb: str = "drain", whole: bool = False) -> object:
-        return self.put(commands.Order(ident, "asha", verb, 0, 60 * SECOND, whole,
-                                       [(thing, 1) for thing in things]))
+        return self.put(
+            commands.Order(ident, "asha", verb, 0, 60 * SECOND, whole, [(thing, 1) for thing in things])
+        )
 
     def states(self, ident: str) -> dict[str, str]:
         return {thing: part.state for thing, part in self.ledger.held.orders[ident].parts.items()}
@@ -841,8 +860,12 @@
     things = st.sampled_from(["a", "b", "c", "d", "cat1", "cat2"])
     idents = st.sampled_from(["o1", "o2", "o3"])
 
-    @rule(ident=idents, named=st.sets(things, min_size=1), verb=st.sampled_from(["drain", "stop", "restart"]),
-          whole=st.booleans())
+    @rule(
+        ident=idents,
+        named=st.sets(things, min_size=1),
+        verb=st.sampled_from(["drain", "stop", "restart"]),
+        whole=st.booleans(),
+    )
     def order(self, ident, named, verb, whole):
         self.put(commands.Order(ident, "asha", verb, 0, SECOND, whole, [(each, 1) for each in sorted(named)]))
 
@@ -894,14 +917,25 @@
         schedule = draw(3)
         first, second = play(schedule)[0], play(read(schedule.told()))[0]
         self.assertEqual((first.clock.happened, first.said), (second.clock.happened, second.said))
-        code = ("from oakkeel.emulator.agreement import play; from oakkeel.emulator.troubles import draw\n"
-                "print(play(draw(3))[0].clock.happened)")
-        told = {subprocess.run([sys.executable, "-c", code], env={**os.environ, "PYTHONHASHSEED": seed},
-                               capture_output=True, text=True, check=True).stdout for seed in ("1", "2")}
+        code = (
+            "from oakkeel.emulator.agreement import play; from oakkeel.emulator.troubles import draw\n"
+            "print(play(draw(3))[0].clock.happened)"
+        )
+        told = {
+            subprocess.run(
+                [sys.executable, "-c", code],
+                env={**os.environ, "PYTHONHASHSEED": seed},
+                capture_output=True,
+                text=True,
+                check=True,
+            ).stdout
+            for seed in ("1", "2")
+        }
         self.assertEqual(told, {f"{first.clock.happened}\n"})
 
     def test_a_planted_fault_is_caught_and_cut_down(self):
         with mock.patch.object(Out, "against", lambda self, things: ""):
+
             def fails(schedule: Schedule) -> bool:
                 return bool(play(schedule)[1])
 
@@ -915,10 +949,23 @@
         self.assertEqual(play(less)[1], [])
 
     def test_an_agent_that_would_go_by_a_place_whose_time_is_over_is_caught(self):
-        schedules = [Schedule(seed, 3, 3, 2, 1, 1, (
-            Trouble(3 * SECOND, "stop in a step", 0, 0, 6 * SECOND),
-            Trouble(4 * SECOND, "drain", 0, 0, 0, 0.0), Trouble(5 * SECOND, "halt")), 16 * SECOND)
-            for seed in range(6)]
+        schedules = [
+            Schedule(
+                seed,
+                3,
+                3,
+                2,
+                1,
+                1,
+                (
+                    Trouble(3 * SECOND, "stop in a step", 0, 0, 6 * SECOND),
+                    Trouble(4 * SECOND, "drain", 0, 0, 0, 0.0),
+                    Trouble(5 * SECOND, "halt"),
+                ),
+                16 * SECOND,
+            )
+            for seed in range(6)
+        ]
         self.assertEqual([breach for each in schedules for breach in play(each)[1]], [])
 
         def for_ever(self, now, thing, ident, runs=True):
@@ -932,13 +979,13 @@
     def test_the_auditor_catches_each_breach_by_itself(self):
         def judge() -> AgreementAudit:
             audit = AgreementAudit({"s": (1, ["a", "b"])}, SECOND)
-            audit.applied(0, "k", 5, b'\x93\xa5grant\xa1o\x92\xa1a\xa1b')
+            audit.applied(0, "k", 5, b"\x93\xa5grant\xa1o\x92\xa1a\xa1b")
             return audit
 
         audit = judge()
         audit.led(0, 1, "x")
         audit.led(1, 1, "y")
-        audit.applied(1, "y", 5, b'\x93\xa5grant\xa1o\x91\xa1a')
+        audit.applied(1, "y", 5, b"\x93\xa5grant\xa1o\x91\xa1a")
         audit.answered("o9", 5)
         audit.started(2, "a", 3)
         audit.started(3, "a", 3)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -99,8 +99,10 @@
 
     def test_two_tenants_never_share_a_key_or_a_subject(self):
         for effect, name in ((Effect.DEDUPLICATED, b"opkey"), (Effect.REPEATABLE, b"subject")):
-            keys = {self.read(effect, owner + name + b"=k1").key
-                    for owner in (b"owner=hall,", b"owner=fete,", b"owner=,", b"owner=unheard-of,")}
+            keys = {
+                self.read(effect, owner + name + b"=k1").key
+                for owner in (b"owner=hall,", b"owner=fete,", b"owner=,", b"owner=unheard-of,")
+            }
             self.assertEqual(len(keys), 4)
 
     def test_two_mutating_exchanges_about_one_subject_are_two(self):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -38,9 +38,17 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = Site(self.folder, self.hosts, self.away, supervision=SUPERVISION, sites=self.sites,
-                         keepers=self.keepers, fleet_away=self.fleet_away, below=self.below,
-                         hanging=self.hanging)
+        self.site = Site(
+            self.folder,
+            self.hosts,
+            self.away,
+            supervision=SUPERVISION,
+            sites=self.sites,
+            keepers=self.keepers,
+            fleet_away=self.fleet_away,
+            below=self.below,
+            hanging=self.hanging,
+        )
         self.rig = Rig(self.site)
         self.addAsyncCleanup(self.end)
         await self.rig.open()
@@ -51,8 +59,10 @@
         await self.rig.close()
         groups = {"fleet": (self.fleet_away, [name for names in self.hosts.values() for name in names])}
         for site in set(self.sites.values()):
-            groups[site] = (self.away, [name for host, names in self.hosts.items()
-                                        if self.sites[host] == site for name in names])
+            groups[site] = (
+                self.away,
+                [name for host, names in self.hosts.items() if self.sites[host] == site for name in names],
+            )
         self.assertEqual(audit(self.folder, self.hosts, groups, LATE).end(0), [])
 
     def said(self, host: str) -> str:
@@ -175,8 +185,10 @@
 
         async def anew() -> bool:
             told = (await self.rig.records())[await self.rig.leader()]
-            return any(each.name == victim and each.votes and each.life != lives[victim] and not each.behind
-                       for each in told.members)
+            return any(
+                each.name == victim and each.votes and each.life != lives[victim] and not each.behind
+                for each in told.members
+            )
 
         await self.rig.until("it votes under a new life", anew)
         self.assertIn("knows it to have kept entry", self.said(victim))
@@ -233,8 +245,12 @@
     async def test_two_operators_that_drain_all_sites_at_once_take_out_no_more_than_the_bound(self):
         everything = [name for names in self.hosts.values() for name in names]
         generations = await self.rig.generations()
-        first, second = await asyncio.gather(*(
-            self.rig.order(ident, "drain", everything, 4, generations=generations) for ident in ("o1", "o2")))
+        first, second = await asyncio.gather(
+            *(
+                self.rig.order(ident, "drain", everything, 4, generations=generations)
+                for ident in ("o1", "o2")
+            )
+        )
         refused = [sum(part.state == "refused" for part in each.parts) for each in (first, second)]
         self.assertEqual(sorted(refused), [0, len(everything)])
         await self.all_granted("o1" if not refused[0] else "o2")
@@ -321,8 +337,18 @@
             await asyncio.sleep(1.5)
             await self.rig.order("o1", "drain", ["n4a"])
         self.assertGreaterEqual(len(caught.exception.why), 3)
-        command = [sys.executable, "-m", "oakkeel", "drain", "n4a", "--settings", self.site.settings, "--as",
-                   "asha", "--yes"]
+        command = [
+            sys.executable,
+            "-m",
+            "oakkeel",
+            "drain",
+            "n4a",
+            "--settings",
+            self.site.settings,
+            "--as",
+            "asha",
+            "--yes",
+        ]
         ended = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
         self.assertEqual(ended.returncode, 3, ended)
         self.assertIn("nothing new is agreed, what serves goes on", ended.stderr)
@@ -336,9 +362,14 @@
 
     @property
     def below(self) -> str:  # type: ignore[override]
-        return ('<below><kind name="catalogue" away="1">' + "".join(
-            f'<service name="{name}" address="127.0.0.1:{port}" host="h5"/>' for name, port in
-            self.ports.items()) + "</kind></below>")
+        return (
+            '<below><kind name="catalogue" away="1">'
+            + "".join(
+                f'<service name="{name}" address="127.0.0.1:{port}" host="h5"/>'
+                for name, port in self.ports.items()
+            )
+            + "</kind></below>"
+        )
 
     async def asyncSetUp(self) -> None:
         self.ports = {"cat1": free_port(), "cat2": free_port()}
@@ -348,8 +379,9 @@
         await super().asyncSetUp()
 
     async def serve(self, name: str) -> None:
-        self.servers[name] = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1",
-                                                        self.ports[name])
+        self.servers[name] = await asyncio.start_server(
+            lambda reader, writer: writer.close(), "127.0.0.1", self.ports[name]
+        )
         self.addCleanup(self.servers[name].close)
 
     async def down(self, name: str) -> None:
@@ -385,8 +417,24 @@
     async def test_keepers_change_from_three_to_five_while_one_is_cut_off(self):
         away = await self.follower()
         self.rig.cut([away], [host for host in self.hosts if host != away])
-        command = [sys.executable, "-m", "oakkeel", "keepers", "--settings", self.site.settings, "--as",
-                   "asha", "--output", "json", "set", "h1", "h2", "h3", "h4", "h5"]
+        command = [
+            sys.executable,
+            "-m",
+            "oakkeel",
+            "keepers",
+            "--settings",
+            self.site.settings,
+            "--as",
+            "asha",
+            "--output",
+            "json",
+            "set",
+            "h1",
+            "h2",
+            "h3",
+            "h4",
+            "h5",
+        ]
         ended = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
         self.assertEqual(ended.returncode, 0, ended)
         members = json.loads(ended.stdout)["members"]
@@ -432,8 +480,11 @@
         leader = await self.rig.leader()
 
         def run(*words: str) -> subprocess.CompletedProcess:
-            return subprocess.run([sys.executable, "-m", "oakkeel", *words, "--settings", self.site.settings,
-                                   "--as", "asha"], capture_output=True, text=True)
+            return subprocess.run(
+                [sys.executable, "-m", "oakkeel", *words, "--settings", self.site.settings, "--as", "asha"],
+                capture_output=True,
+                text=True,
+            )
 
         shown = await asyncio.to_thread(run, "keepers")
         self.assertEqual(shown.returncode, 0, shown)
@@ -471,21 +522,31 @@
 
     @staticmethod
     def left(at: int, name: str, fence: int) -> list[dict]:
-        return [{"mono": at, "event": "a place is granted", "of": name, "fence": fence},
-                {"mono": at + 1, "event": "told to leave", "of": name, "fence": fence, "order": "o"}]
+        return [
+            {"mono": at, "event": "a place is granted", "of": name, "fence": fence},
+            {"mono": at + 1, "event": "told to leave", "of": name, "fence": fence, "order": "o"},
+        ]
 
     def test_each_planted_fault_is_caught_and_a_good_run_is_not(self):
         up = "start 1 9 1\nup 1 9 2\n"
         good = [*self.left(10, "n1", 3), *self.left(30, "n2", 5)]
-        self.assertEqual(self.judge(good, n1=up + "leave 1 9 12\nend 1 9 13\nstart 2 9 14\nup 2 9 20\n",
-                                    n2=up), [])
+        self.assertEqual(
+            self.judge(good, n1=up + "leave 1 9 12\nend 1 9 13\nstart 2 9 14\nup 2 9 20\n", n2=up), []
+        )
         for planted, lines, journal in (
-                ("promise 1", [{"mono": 1, "event": "leads the record", "term": 4},
-                               {"mono": 2, "event": "leads the record", "term": 4}], up),
-                ("promise 4", good, up),  # the first is not back
-                ("promise 5", [self.left(10, "n1", 3)[1]], up),  # no grant
-                ("promise 5", [*self.left(10, "n1", 3), *self.left(30, "n1", 2)], up),
-                ("promise 6", [], up + "end 1 9 3\nstart 1 9 4\n")):
+            (
+                "promise 1",
+                [
+                    {"mono": 1, "event": "leads the record", "term": 4},
+                    {"mono": 2, "event": "leads the record", "term": 4},
+                ],
+                up,
+            ),
+            ("promise 4", good, up),  # the first is not back
+            ("promise 5", [self.left(10, "n1", 3)[1]], up),  # no grant
+            ("promise 5", [*self.left(10, "n1", 3), *self.left(30, "n1", 2)], up),
+            ("promise 6", [], up + "end 1 9 3\nstart 1 9 4\n"),
+        ):
             if planted == "promise 1":
                 lines[1]["host"] = "h2"
             with self.subTest(planted):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -28,10 +28,16 @@
 from oakkeel.store.contents import Content, ContentError, Contents, hash_folder, merged
 
 SECOND = 1_000_000_000
-LAYOUT = Layout({"h1": ("a", "b"), "h2": ("c", "d"), "h3": ("db1", "db2")},
-                (Group("site one", 1, ("a", "b")), Group("site two", 1, ("c", "d")),
-                 Group("fleet", 2, ("a", "b", "c", "d")), Group("kind db", 1, ("db1", "db2"))),
-                {"db1": ("a", "c"), "db2": ("b", "d")})
+LAYOUT = Layout(
+    {"h1": ("a", "b"), "h2": ("c", "d"), "h3": ("db1", "db2")},
+    (
+        Group("site one", 1, ("a", "b")),
+        Group("site two", 1, ("c", "d")),
+        Group("fleet", 2, ("a", "b", "c", "d")),
+        Group("kind db", 1, ("db1", "db2")),
+    ),
+    {"db1": ("a", "c"), "db2": ("b", "d")},
+)
 
 
 def bits(random: Random, chance: float, count: int) -> Sums:
@@ -83,8 +89,15 @@
 
 
 class GateStories(unittest.TestCase):
-    def feed(self, gate: Gate, seconds: int, bad: float = 0.02, leak: float = 0.0, cold: float | None = None,
-             start: int = 0) -> None:
+    def feed(
+        self,
+        gate: Gate,
+        seconds: int,
+        bad: float = 0.02,
+        leak: float = 0.0,
+        cold: float | None = None,
+        start: int = 0,
+    ) -> None:
         for second in range(start, start + seconds):
             now = second * SECOND
             for thing, arm in (("new", "new"), ("old1", "old"), ("old2", "old")):
@@ -159,8 +172,9 @@
 class PlanStories(unittest.TestCase):
     def setUp(self) -> None:
         self.out, self.planner = Out(LAYOUT), Planner(LAYOUT)
-        self.seen = {name: Seen(name, "serving", 1, "", 0)
-                     for names in LAYOUT.hosts.values() for name in names}
+        self.seen = {
+            name: Seen(name, "serving", 1, "", 0) for names in LAYOUT.hosts.values() for name in names
+        }
 
     def choose(self, wanted: str, most: int = 9, ceiling: float = 0.85, broken: bool = False, now: int = 0):
         return self.planner.choose(now, wanted.split(), self.seen, self.out, most, ceiling, broken)
@@ -284,10 +298,13 @@
     def test_what_can_t_be_released_is_refused_with_a_reason(self):
         self.do(commands.Turn("r", "asha", "abort"))
         self.assertEqual(self.release.state, "left")
-        for things, what, text in ((["zz"], What("v", "/p"), "no zz"),
-                                   (["db1"], What("v", "/p"), "one after the"),
-                                   (["a", "a"], What("v", "/p"), "twice"), (["a"], What(""), "no version"),
-                                   (["a"], What("v", services=True), "one after the")):
+        for things, what, text in (
+            (["zz"], What("v", "/p"), "no zz"),
+            (["db1"], What("v", "/p"), "one after the"),
+            (["a", "a"], What("v", "/p"), "twice"),
+            (["a"], What(""), "no version"),
+            (["a"], What("v", services=True), "one after the"),
+        ):
             self.refused(commands.Begin("x", "asha", 0, what, Pace(), things), text)
 
     def test_a_release_of_a_patch_alone_does_not_take_a_released_program_away_unasked(self):
@@ -337,13 +354,27 @@
         again.restore(self.book.fold())
         self.assertEqual(again.fold(), self.book.fold())
         from oakkeel.places.ledger import Ledger
+
         old = Ledger()
         old.apply(1, places.encode(places.Lay(LAYOUT)))
         again.restore(old.fold())
         self.assertEqual((again.held.releases, again.held.layout), ({}, LAYOUT))
 
-    ACTS = ("go", "batch", "settle", "settle new", "worse", "finish", "pause", "resume", "abort", "undo",
-            "leave", "old fence", "old step")
+    ACTS = (
+        "go",
+        "batch",
+        "settle",
+        "settle new",
+        "worse",
+        "finish",
+        "pause",
+        "resume",
+        "abort",
+        "undo",
+        "leave",
+        "old fence",
+        "old step",
+    )
 
     @given(st.lists(st.tuples(st.sampled_from(ACTS), st.integers(0, 1)), max_size=40))
     @settings(max_examples=150, deadline=None)
@@ -352,14 +383,16 @@
         for act, who in acts:
             was, step, thing = self.release.state, self.release.step, "ab"[who]
             fence = self.fence - (act == "old fence")
-            command = {"go": commands.Go("r", fence, step), "finish": commands.Finish("r", fence, step),
-                       "batch": commands.Batch("r", fence, step, 0, [(thing, 1)]),
-                       "settle": commands.Settle("r", fence, step, []),
-                       "settle new": commands.Settle("r", fence, step, list(self.release.now)),
-                       "worse": commands.Judge("r", fence, step, b"", "", "worse"),
-                       "old fence": commands.Settle("r", fence, step, []),
-                       "old step": commands.Finish("r", fence, step - 1)}.get(
-                           act, commands.Turn("r", "asha", act))
+            command = {
+                "go": commands.Go("r", fence, step),
+                "finish": commands.Finish("r", fence, step),
+                "batch": commands.Batch("r", fence, step, 0, [(thing, 1)]),
+                "settle": commands.Settle("r", fence, step, []),
+                "settle new": commands.Settle("r", fence, step, list(self.release.now)),
+                "worse": commands.Judge("r", fence, step, b"", "", "worse"),
+                "old fence": commands.Settle("r", fence, step, []),
+                "old step": commands.Finish("r", fence, step - 1),
+            }.get(act, commands.Turn("r", "asha", act))
             answer = self.do(command)
             if act.startswith("old"):
                 self.assertIsInstance(answer, Refusal)
@@ -482,9 +515,11 @@
         ended = set()
         for at in range(0, 6000, 150):
             for kind in (0, 1):
-                kills = [Trouble((2 * SECOND) + at * 1_000_000, "kill in a step", host, kind, 0, 0.0)
-                         for host in range(3)]
-                ended.add(self.play(release(1), *kills[:1 + at // 150 % 3], seed=at, lasts=40)[0])
+                kills = [
+                    Trouble((2 * SECOND) + at * 1_000_000, "kill in a step", host, kind, 0, 0.0)
+                    for host in range(3)
+                ]
+                ended.add(self.play(release(1), *kills[: 1 + at // 150 % 3], seed=at, lasts=40)[0])
         self.assertEqual(ended, {"done"})
 
     def test_without_a_majority_nothing_moves_and_nothing_is_lost(self):
@@ -518,18 +553,26 @@
     def test_a_start_with_the_new_before_its_batch_and_an_end_that_is_not_true_are_noticed(self):
         def early(world: World) -> None:
             old = Fitting.version
-            self.enterContext(unittest.mock.patch.object(
-                Fitting, "version", lambda fitting, thing: old(fitting, thing) or (
-                    world.of_releases.version.get(fitting.release, ""))))
+            self.enterContext(
+                unittest.mock.patch.object(
+                    Fitting,
+                    "version",
+                    lambda fitting, thing: (
+                        old(fitting, thing) or (world.of_releases.version.get(fitting.release, ""))
+                    ),
+                )
+            )
 
         self.assertIn("promise 8", self.breaches(early))
 
     def test_an_end_that_is_not_true_is_noticed(self):
-        for owner, name, lie in ((Driver, "_is_new", lambda driver, release, thing, parts: release.forward),
-                                 (Driver, "_came", lambda *words: True),
-                                 (Driver, "_strays", lambda *words: False),
-                                 (Fitting, "version", lambda *words: ""),
-                                 (Driver, "_gated", lambda driver, *words: setattr(driver, "why", ""))):
+        for owner, name, lie in (
+            (Driver, "_is_new", lambda driver, release, thing, parts: release.forward),
+            (Driver, "_came", lambda *words: True),
+            (Driver, "_strays", lambda *words: False),
+            (Fitting, "version", lambda *words: ""),
+            (Driver, "_gated", lambda driver, *words: setattr(driver, "why", "")),
+        ):
             self.enterContext(unittest.mock.patch.object(owner, name, lie))
         self.assertIn("promise 9", self.breaches(None))
 
--- a/tests/test_rollout_rig.py
+++ b/tests/test_rollout_rig.py
@@ -40,8 +40,10 @@
         folder = os.path.join(self.folder, name)
         os.makedirs(folder)
         with open(os.path.join(folder, "run"), "w", encoding="ascii") as file:
-            file.write(f'#!/bin/sh\n# {name}\nOAKKEEL_BEHAVE="{words}"'
-                       f' exec {sys.executable} -m oakkeel.standins.node\n')
+            file.write(
+                f'#!/bin/sh\n# {name}\nOAKKEEL_BEHAVE="{words}"'
+                f" exec {sys.executable} -m oakkeel.standins.node\n"
+            )
         os.chmod(os.path.join(folder, "run"), 0o755)
         return What(version_of(folder, ""), folder)
 
@@ -103,8 +105,9 @@
         await self.begin(what, ["n1a", "n2a", "n3a", "n4a", "n5a"], gated=False, most=1)
         step, kills = 0, 0
         while kills < 5:
-            told = await self.until_told("it goes on", lambda told, step=step: (
-                told.step > step or told.state == "done"))
+            told = await self.until_told(
+                "it goes on", lambda told, step=step: told.step > step or told.state == "done"
+            )
             if told.state == "done":
                 break
             leader = await self.rig.leader()
@@ -249,8 +252,9 @@
     async def test_reports_that_look_good_and_are_old_are_not_gone_by(self):
         what = self.program("v2")
         await self.begin(what, ["n4a", "n4b", "n5a"], gated=False, most=1)
-        told = await self.until_told("one is there", lambda told: any(
-            part.state == "new" for part in told.parts))
+        told = await self.until_told(
+            "one is there", lambda told: any(part.state == "new" for part in told.parts)
+        )
         names = {"h4", "h5"} - {await self.rig.leader()}
         for host in names:
             self.rig.stop(host)  # their last word was that all serve
@@ -292,24 +296,38 @@
 
     async def oakkeel(self, *words: str) -> tuple[int, str, str]:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "oakkeel", "rollout", *words, "--settings", self.site.settings, "--as",
-            "asha", stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "oakkeel",
+            "rollout",
+            *words,
+            "--settings",
+            self.site.settings,
+            "--as",
+            "asha",
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         out, err = await process.communicate()
         return process.returncode or 0, out.decode(), err.decode()
 
     async def test_bad_words_begin_nothing_and_a_patch_reaches_the_configuration_and_stays(self):
         program = self.program("v2").program
-        for words, text in ((["--program", program], "say which instances"), (["--all"], "say what is new"),
-                            (["--all", "--program", program, "--version", "x"], "say what is new"),
-                            (["--all", "--config", self.site.settings], "Expecting value")):
+        for words, text in (
+            (["--program", program], "say which instances"),
+            (["--all"], "say what is new"),
+            (["--all", "--program", program, "--version", "x"], "say what is new"),
+            (["--all", "--config", self.site.settings], "Expecting value"),
+        ):
             code, _, err = await self.oakkeel("start", *words)
             self.assertEqual((code, text in err), (2, True), err)
         self.assertEqual((await self.oakkeel("status"))[0], 1)
         patch = os.path.join(self.folder, "patch.json")
         with open(patch, "w", encoding="ascii") as file:
             file.write('{"settings": {"ceilings": {"max-retry-after": 1234567}}, "stop_ms": null}')
-        code, out, err = await self.oakkeel("start", "--config", patch, "n1a", "--no-gates", "--output",
-                                            "json")
+        code, out, err = await self.oakkeel(
+            "start", "--config", patch, "n1a", "--no-gates", "--output", "json"
+        )
         self.assertEqual((code, json.loads(out)["state"]), (0, "done"), err)
         with open(os.path.join(self.folder, "h1", "n1a.config.json"), encoding="ascii") as file:
             told = json.load(file)
@@ -317,8 +335,9 @@
         self.assertNotIn("stop_ms", told)
         code, _, err = await self.oakkeel("start", "--program", program, "n1a", "--no-wait")
         self.assertEqual((code, "released patch" in err), (1, True), err)
-        code, out, _ = await self.oakkeel("start", "--program", program, "n1a", "n2a", "--as-set",
-                                          "--no-gates")
+        code, out, _ = await self.oakkeel(
+            "start", "--program", program, "n1a", "n2a", "--as-set", "--no-gates"
+        )
         self.assertEqual((code, "2 new" in out), (0, True), out)
 
 
@@ -357,9 +376,14 @@
         self.services = {name: Stood(free_port()) for name in ("db1", "db2")}
         for each in self.services.values():
             await each.open()
-        self.below = '<below><kind name="db" away="1">' + "".join(
-            f'<service name="{name}" address="127.0.0.1:{each.port}" host="h{number}"/>'
-            for number, (name, each) in enumerate(self.services.items(), 1)) + "</kind></below>"
+        self.below = (
+            '<below><kind name="db" away="1">'
+            + "".join(
+                f'<service name="{name}" address="127.0.0.1:{each.port}" host="h{number}"/>'
+                for number, (name, each) in enumerate(self.services.items(), 1)
+            )
+            + "</kind></below>"
+        )
         await super().asyncSetUp()
 
     async def end(self) -> None:
@@ -369,8 +393,10 @@
 
     async def replace(self, after) -> str:
         """As an operator would: wait for the leave, take it down, bring up another."""
-        told = await self.until_told("one may be taken down", lambda told: told.state == "halted" or any(
-            part.state == "changing" for part in told.parts))
+        told = await self.until_told(
+            "one may be taken down",
+            lambda told: told.state == "halted" or any(part.state == "changing" for part in told.parts),
+        )
         names = [part.thing for part in told.parts if part.state == "changing"]
         if not names:
             return ""
@@ -411,7 +437,10 @@
         await self.over("done")
         await self.begin(self.program("v3"), ["n1a", "n1b"], ident="r2", gated=False)
         await self.services["db1"].close()
-        await self.until_told("it waits", lambda told: "db1 is out" in told.waits or "hangs" in told.waits
-                              or told.batch >= 1, ident="r2")
+        await self.until_told(
+            "it waits",
+            lambda told: "db1 is out" in told.waits or "hangs" in told.waits or told.batch >= 1,
+            ident="r2",
+        )
         await self.services["db1"].open()
         await self.over("done", ident="r2")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -69,8 +69,9 @@
                 inodes.add(os.readlink(f"/proc/{self.process.pid}/fd/{number}"))
         with open("/proc/net/tcp") as file:
             rows = [line.split() for line in file][1:]
-        return next(int(row[1].split(":")[1], 16) for row in rows
-                    if row[3] == "0A" and f"socket:[{row[9]}]" in inodes)
+        return next(
+            int(row[1].split(":")[1], 16) for row in rows if row[3] == "0A" and f"socket:[{row[9]}]" in inodes
+        )
 
     def test_signals_when_all_is_done_change_nothing_of_how_it_ends(self):
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
@@ -156,8 +157,16 @@
     def test_a_file_that_is_cut_missing_or_of_others_changes_no_groups(self):
         self.begin()
         whole = json.dumps(self.told())
-        for text in (whole[: len(whole) // 2], "", "[" * 100_000, self.told(seed=[]), self.told(seed={}),
-                     self.told(limits=[1]), self.told(settings=[1]), self.told(stop_ms=None)):
+        for text in (
+            whole[: len(whole) // 2],
+            "",
+            "[" * 100_000,
+            self.told(seed=[]),
+            self.told(seed={}),
+            self.told(limits=[1]),
+            self.told(settings=[1]),
+            self.told(stop_ms=None),
+        ):
             self.reload(text)
             self.assertEqual(self.log("configuration").count("not taken"), 1)
         os.rename(self.config, self.config + ".gone")
@@ -272,8 +281,9 @@
         barrier = self.engine.stream.readline().split()  # asked for behind the greeting, which is read
         self.assertEqual(self.say(link, type="ask", tag=2)["state"], "draining")
         self.engine.say(f"STATS {barrier[1].decode()} {self.engine.gauges}")
-        reading = threading.Thread(target=self.engine._read, daemon=True,
-                                   args=(self.engine.stream, self.engine.commands))
+        reading = threading.Thread(
+            target=self.engine._read, daemon=True, args=(self.engine.stream, self.engine.commands)
+        )
         reading.start()
         self.engine.answering = True
         self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])
@@ -403,8 +413,9 @@
 
     async def asyncSetUp(self) -> None:
         self.ups, self.age = [], 60_000
-        self.link = EngineLink(("127.0.0.1", 1), BufferPool(8192, 9), self.bounds, LOG,
-                               lambda cold, age: self.ups.append(cold))
+        self.link = EngineLink(
+            ("127.0.0.1", 1), BufferPool(8192, 9), self.bounds, LOG, lambda cold, age: self.ups.append(cold)
+        )
         self.servers = []
 
     async def asyncTearDown(self) -> None:
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -19,8 +19,13 @@
     def __init__(self, names: int = 4, away: int = 1, **patience) -> None:
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{number}", "woodbrook") for number in range(1, names + 1)]
-        self.supervision = Supervision(self.instances, Patience(**patience), {"woodbrook": away}, 7,
-                                       lambda: 1_790_000_000 * SECOND + self.now)
+        self.supervision = Supervision(
+            self.instances,
+            Patience(**patience),
+            {"woodbrook": away},
+            7,
+            lambda: 1_790_000_000 * SECOND + self.now,
+        )
         self.orders = WatchedOrders(self.supervision, time.time_ns)
         self.steps: list[tuple[Act, Instance]] = []
         self.quiet: set[Instance] = set()  # their processes say nothing
@@ -47,10 +52,19 @@
                     self.supervision.heard(self.now, instance, state, instance.born, REPORT)
             self.tick()
 
-    def take(self, verb: Verb, *instances: Instance, ident: str = "o1", operator: str = "asha",
-             generation: int | None = None, lasts: int = 60 * SECOND, supersede: bool = False):
-        asked = tuple((each.name,
-                       each.generation if generation is None else generation) for each in instances)
+    def take(
+        self,
+        verb: Verb,
+        *instances: Instance,
+        ident: str = "o1",
+        operator: str = "asha",
+        generation: int | None = None,
+        lasts: int = 60 * SECOND,
+        supersede: bool = False,
+    ):
+        asked = tuple(
+            (each.name, each.generation if generation is None else generation) for each in instances
+        )
         return self.orders.take(self.now, ident, operator, verb, asked, lasts, supersede)
 
     def died(self, instance: Instance) -> None:
@@ -209,8 +223,9 @@
         first = host.take(Verb.DRAIN, instance, generation=seen)
         host.now += MS // 2
         second = host.take(Verb.START, instance, ident="o2", operator="ravi", generation=seen, supersede=True)
-        self.assertEqual((first.parts[0].state, second.parts[0].state),
-                         (PartState.WAITING, PartState.REFUSED))
+        self.assertEqual(
+            (first.parts[0].state, second.parts[0].state), (PartState.WAITING, PartState.REFUSED)
+        )
         self.assertIn("asha's drain stands since", second.parts[0].why)
         host.run(2)
         self.assertEqual((instance.phase, instance.goal), (Phase.STOPPED, Goal.DOWN))
@@ -224,8 +239,9 @@
         refused = host.take(Verb.DRAIN, instance, ident="o2", operator="ravi")
         self.assertIn("asha's restart stands", refused.parts[0].why)
         second = host.take(Verb.DRAIN, instance, ident="o3", operator="ravi", supersede=True)
-        self.assertEqual((first.parts[0].state, second.parts[0].state),
-                         (PartState.SUPERSEDED, PartState.WAITING))
+        self.assertEqual(
+            (first.parts[0].state, second.parts[0].state), (PartState.SUPERSEDED, PartState.WAITING)
+        )
         host.died(instance)
         host.run(1)
         self.assertEqual((instance.phase, second.parts[0].state), (Phase.STOPPED, PartState.DONE))
@@ -260,8 +276,9 @@
         host.died(instance)
         order = host.take(Verb.STOP, instance)
         host.run(60)
-        self.assertEqual((order.parts[0].state, instance.phase, host.steps),
-                         (PartState.DONE, Phase.STOPPED, []))
+        self.assertEqual(
+            (order.parts[0].state, instance.phase, host.steps), (PartState.DONE, Phase.STOPPED, [])
+        )
 
     def test_a_restart_while_a_drain_runs_waits_for_nothing_and_brings_it_back(self):
         host = self.serving()
@@ -274,8 +291,9 @@
         self.assertEqual(instance.phase, Phase.DRAINING)
         host.died(instance)
         host.run(1)
-        self.assertEqual((instance.phase, [act for act, _ in host.steps]),
-                         (Phase.SERVING, [Act.TERM, Act.START]))
+        self.assertEqual(
+            (instance.phase, [act for act, _ in host.steps]), (Phase.SERVING, [Act.TERM, Act.START])
+        )
 
     def test_a_drain_never_kills_and_a_stop_does(self):
         host = self.serving(away=2, drain=5 * SECOND)
@@ -354,12 +372,23 @@
         self.host.run(2)
         self.number = 0
 
-    @rule(verb=st.sampled_from(list(Verb)), which=st.sets(st.integers(0, 4), min_size=1),
-          old=st.booleans(), supersede=st.booleans(), operator=st.sampled_from(["asha", "ravi"]))
+    @rule(
+        verb=st.sampled_from(list(Verb)),
+        which=st.sets(st.integers(0, 4), min_size=1),
+        old=st.booleans(),
+        supersede=st.booleans(),
+        operator=st.sampled_from(["asha", "ravi"]),
+    )
     def order(self, verb, which, old, supersede, operator):
         self.number += 1
-        self.host.take(verb, *(self.host.instances[each] for each in sorted(which)), ident=f"o{self.number}",
-                       operator=operator, generation=1 if old else None, supersede=supersede)
+        self.host.take(
+            verb,
+            *(self.host.instances[each] for each in sorted(which)),
+            ident=f"o{self.number}",
+            operator=operator,
+            generation=1 if old else None,
+            supersede=supersede,
+        )
 
     @rule(which=st.integers(0, 4))
     def dies(self, which):
@@ -386,12 +415,14 @@
     @invariant()
     def what_is_out_is_counted_right(self):
         assert self.host.supervision.out["woodbrook"] == sum(
-            each.phase is not Phase.SERVING for each in self.host.instances)
+            each.phase is not Phase.SERVING for each in self.host.instances
+        )
 
     @invariant()
     def one_open_order_each(self):
-        open_parts = [part.instance for order in self.host.orders.orders.values() for part in order.parts
-                      if part.open]
+        open_parts = [
+            part.instance for order in self.host.orders.orders.values() for part in order.parts if part.open
+        ]
         assert len(open_parts) == len(set(open_parts))
         assert all(each.part is not None for each in open_parts)
 
