--- a/oakkeel/agent/keeping.py
+++ b/oakkeel/agent/keeping.py
@@ -108,12 +108,12 @@
         """Told for whoever looks for a cause: grants by each keeper, as their leader may be gone, the rest by
         the leader."""
         if isinstance(result, Refusal):
-            return
+            return None
         if isinstance(command, commands.Grant):
             for thing in command.things:
                 self.log.say("a place is granted", of=thing, fence=index, order=command.ident)
         if self.steward is None or self.steward.granting is None:
-            return
+            return None
         if isinstance(command, releases.Command):
             return self._of_release(command)
         if isinstance(command, commands.Lay):
@@ -127,7 +127,7 @@
     def _of_release(self, command: releases.Command) -> None:
         book = self.steward.ledger if self.steward else None
         release = book.held.releases.get(command.ident) if isinstance(book, Book) else None
-        if release is None or isinstance(command, releases.Judge) and not command.why:
+        if release is None or (isinstance(command, releases.Judge) and not command.why):
             return
         facts: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
         if isinstance(command, releases.Batch):
@@ -229,7 +229,7 @@
         """Written before anything is sent or told, in the order in which it was decided."""
         for steps in all_steps:
             if self.steward is None:
-                return
+                return None
             if steps.keep:
                 try:
                     kept.write(self.store, self.steward.keeper.durable, steps.keep, self.witness)
@@ -242,7 +242,7 @@
                 self._ended(proposal)
         steward = self.steward
         if steward is None:
-            return
+            return None
         if steward.keeper.role is Role.OUTDATED:
             self._set_aside(steward.keeper.why)
             self._begin()
--- a/oakkeel/agent/supervision.py
+++ b/oakkeel/agent/supervision.py
@@ -85,10 +85,8 @@
         instance.heard, instance.report = now, report
         instance.ran = getattr(report, "version", "")
         told = REPORTED[state]
-        if (
-            instance.phase is not Phase.DRAINING
-            and told is not instance.phase
-            or (instance.recalled and told in (Phase.COLD, Phase.SERVING))
+        if (instance.phase is not Phase.DRAINING and told is not instance.phase) or (
+            instance.recalled and told in (Phase.COLD, Phase.SERVING)
         ):
             instance.recalled = instance.soft = instance.kill = False
             self._move(now, instance, told)
@@ -131,7 +129,7 @@
     def died(self, now: int, instance: Instance, why: str) -> None:
         """Its process has ended: proved, not guessed."""
         if not instance.alive:
-            return
+            return None
         asked = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
         instance.left_at, instance.kill, instance.report = 0, False, None
         instance.soft = instance.recalled = False
@@ -226,7 +224,7 @@
 
     def _numbered(self, instance: Instance) -> bool:
         """Whether it may have a generation more: a number that was used before must never come again."""
-        if instance.generation < instance.limit or not instance.spawned and instance.born:
+        if instance.generation < instance.limit or (not instance.spawned and instance.born):
             return True
         instance.why = "no generation is left for it until the record is heard"
         return False
--- a/oakkeel/audit/rollout.py
+++ b/oakkeel/audit/rollout.py
@@ -73,7 +73,7 @@
         new = self.version[ident]
         for thing in sorted(self.things[ident] & serving):
             runs = self.runs.get(thing, "")
-            if state == "done" and runs != new or state == "undone" and runs == new:
+            if (state == "done" and runs != new) or (state == "undone" and runs == new):
                 self._breach(now, f"9: {ident} is told as {state}, and {thing} runs {runs[:8] or 'as set'}")
 
     def _breach(self, now: int, text: str) -> None:
--- a/oakkeel/changes/holding.py
+++ b/oakkeel/changes/holding.py
@@ -27,7 +27,7 @@
 
     def told(self, now: int, number: int, until: int) -> bool:
         """Whether it goes by another version from now on. It never goes back to an earlier one."""
-        if number < self.number or number == self.number and until < self.until:
+        if number < self.number or (number == self.number and until < self.until):
             return False
         switched = number != self.number
         self.number, self.until = number, until
--- a/oakkeel/cli/record.py
+++ b/oakkeel/cli/record.py
@@ -99,7 +99,7 @@
         isinstance(answer, messages.FleetTold)
         and time.monotonic_ns() < until
         and any(
-            part.state in (OPEN if back else ("waiting", "granted")) or back and part.place
+            part.state in (OPEN if back else ("waiting", "granted")) or (back and part.place)
             for part in answer.parts
         )
     ):
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -181,7 +181,7 @@
         if not label or program or patch:
             fail("services below are replaced by hand: say by what with --version")
         return named, What(label, services=True)
-    if label or not program and not patch:
+    if label or (not program and not patch):
         fail("say what is new: --program, --config or both")
     try:
         what = What(version_of(program, patch), program, patch, as_set=as_set)
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -240,7 +240,7 @@
         elif (
             self.awaited
             and (late := now - self.awaited - self.bounds.silent) > 0
-            and (not self.comes() or self.read_buffer.waiting and late > self.bounds.sweep)
+            and (not self.comes() or (self.read_buffer.waiting and late > self.bounds.sweep))
         ):
             self._end()  # what just comes is read first, but at the second look it is a trickle
 
@@ -275,7 +275,7 @@
     def _take(self, words: list[bytes]) -> None:
         verb, tag = words[0], words[1] if len(words) > 1 else b""
         number = int(tag) if tag.isdigit() and len(tag) <= 18 else 0
-        if not number or number in self.open and verb != codec.CANCEL:
+        if not number or (number in self.open and verb != codec.CANCEL):
             raise Malformed(f"{verb[:20]!r} with no new tag")
         if verb == codec.CALL:
             self._call(number, words)
--- a/oakkeel/emulator/agreement.py
+++ b/oakkeel/emulator/agreement.py
@@ -177,7 +177,7 @@
     def _beat(self, lives: int) -> None:
         """The keeper's timer."""
         if lives != self.lives:
-            return
+            return None
         if self.stopped:
             return self.waiting.append(lambda: self._beat(lives))
         if self.steward:
@@ -200,7 +200,7 @@
         for steps in all_steps:
             steward = self.steward
             if steward is None or self.disk is None:
-                return
+                return None
             if steps.keep:
                 if self.crash_in == 1:
                     self.crash_in = 0
@@ -208,7 +208,7 @@
                 if self.full:  # as if it had crashed: made again from what is there
                     self.steward = None
                     self.world.clock.after(300 * MS, self._again, self.lives)
-                    return
+                    return None
                 self.disk.write(steward.keeper.durable, steps.keep)
                 self.counted = self.disk.writes
                 if self.crash_in == 2:
@@ -245,7 +245,7 @@
     def _turn(self, lives: int) -> None:
         """The agent's."""
         if lives != self.lives:
-            return
+            return None
         if self.stopped:
             return self.waiting.append(lambda: self._turn(lives))
         now = self.now()
@@ -375,10 +375,8 @@
             self.world.audit.serves(self.world.clock.now, name)
 
     def _ended(self, name: str, process: Process, how: str, surely: bool = False) -> None:
-        if (
-            self.processes.get(name) is not process
-            or not surely
-            and not (process.leaving and self.world.clock.now >= process.leaving)
+        if self.processes.get(name) is not process or (
+            not surely and not (process.leaving and self.world.clock.now >= process.leaving)
         ):
             return
         del self.processes[name]
@@ -387,7 +385,7 @@
 
     def _died(self, name: str, how: str, lives: int) -> None:
         if lives != self.lives or not self.running:
-            return
+            return None
         if self.stopped:
             return self.waiting.append(lambda: self._died(name, how, lives))
         instance = next(each for each in self.supervision.instances if each.name == name)
@@ -396,7 +394,7 @@
 
     def answered(self, lives: int, sent_at: int, answer: Agreed) -> None:
         if lives != self.lives:
-            return
+            return None
         if self.stopped:
             return self.waiting.append(lambda: self.answered(lives, sent_at, answer))
         now = self.now()
@@ -522,7 +520,7 @@
     def order(self, command: commands.Command | releases.Command, ident: str, tries: int = 40) -> None:
         """To whoever leads, again and again with the same id until it is answered."""
         host = self.random.choice([each for each in self.hosts.values() if each.running] or [None])
-        if tries and host is None or host is not None and (host.stopped or host.steward is None):
+        if (tries and host is None) or (host is not None and (host.stopped or host.steward is None)):
             self.clock.after(100 * MS, self.order, command, ident, tries - 1)
             return
         if host is None or host.steward is None:
--- a/oakkeel/emulator/callers.py
+++ b/oakkeel/emulator/callers.py
@@ -38,7 +38,7 @@
 class Link:
     """What a dispatcher knows of one node."""
 
-    __slots__ = ("node", "open", "away_until", "mean")
+    __slots__ = ("away_until", "mean", "node", "open")
 
     def __init__(self, node: Node) -> None:
         self.node, self.open, self.away_until, self.mean = node, 0, 0, 0.0
@@ -47,7 +47,7 @@
 class Work:
     """One exchange with all its tries."""
 
-    __slots__ = ("name", "group", "begun", "tries", "subject", "over", "size")
+    __slots__ = ("begun", "group", "name", "over", "size", "subject", "tries")
 
     def __init__(self, name: str, group: int, begun: int, subject: int, size: float) -> None:
         self.name, self.group, self.begun, self.subject, self.size = name, group, begun, subject, size
@@ -144,7 +144,7 @@
 
         def heard(word: str, retry_after: int) -> None:
             if state["over"]:
-                return
+                return None
             state["over"] = True
             link.open -= 1
             took = self.clock.now - now
--- a/oakkeel/emulator/machines.py
+++ b/oakkeel/emulator/machines.py
@@ -16,7 +16,7 @@
 class Task:
     """Work on the cores: nanoseconds of a core at full speed."""
 
-    __slots__ = ("ends", "done", "counted")
+    __slots__ = ("counted", "done", "ends")
 
     def __init__(self, ends: float, done: Callable[[], None]) -> None:
         self.ends, self.done, self.counted = ends, done, True
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -18,7 +18,7 @@
 class Open:
     """One exchange on a node, with what becomes of it on the machine."""
 
-    __slots__ = ("ident", "ex", "work", "answer", "answered", "task", "arrived")
+    __slots__ = ("answer", "answered", "arrived", "ex", "ident", "task", "work")
 
     def __init__(self, ident: int, ex: Exchange, work: float, answer: Answer, arrived: int) -> None:
         self.ident, self.ex, self.work, self.answer, self.arrived = ident, ex, work, answer, arrived
--- a/oakkeel/fleet/asking.py
+++ b/oakkeel/fleet/asking.py
@@ -125,10 +125,10 @@
         target = self.targets[name]
         target.open -= 1
         if target.state in OVER:
-            return
+            return None
         target.why = why
         if target.open:
-            return
+            return None
         if target.sent >= self.tries:
             return self._move(target, Asked.FAILED)
         self._move(target, Asked.PAUSED)
--- a/oakkeel/fleet/choosing.py
+++ b/oakkeel/fleet/choosing.py
@@ -49,7 +49,7 @@
             fits(self.names, row.name)
             and fits(self.sites, row.site)
             and fits(self.hosts, row.host)
-            and (not self.states or row.state in self.states or row.old and "old" in self.states)
+            and (not self.states or row.state in self.states or (row.old and "old" in self.states))
         )
 
 
--- a/oakkeel/node/assembly.py
+++ b/oakkeel/node/assembly.py
@@ -97,7 +97,7 @@
             return self.host.begin_anew(cold, age)
         if self.draining:  # it leaves without having taken anything, or is told to stay after all
             self.came_up = (cold, age, time.monotonic_ns())
-            return
+            return None
         self.host.begin(cold, age)
         self.reports.start()
         who = None
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -59,8 +59,8 @@
 
     def leave(self, within: int = 0, final: bool = True) -> None:
         """The notice. `within` nanoseconds until all is answered, 0 as the platform says."""
-        if self.final or self and not final:
-            return  # a second one changes nothing
+        if self.final or (self and not final):
+            return None  # a second one changes nothing
         self.final = final
         if self:  # it may have been given longer
             self._end_by(self.stop_after)
--- a/oakkeel/node/handler.py
+++ b/oakkeel/node/handler.py
@@ -50,7 +50,7 @@
                 tell(keel.run_done, ex, outcome, 0)
                 return self._answer_run(ex, outcome, result)
             if what is not Event.RUN:
-                return  # denied, or its caller is gone
+                return None  # denied, or its caller is gone
             engine.run(ex)
             what, *words = await self._next(ex)
             while what is Event.NEED:
--- a/oakkeel/node/results.py
+++ b/oakkeel/node/results.py
@@ -16,16 +16,16 @@
     """One exchange that may be repeated: under way, or over with its outcome and result."""
 
     __slots__ = (
-        "key",
-        "until",
+        "before",
+        "body",
         "dropped",
+        "ended",
+        "followers",
+        "key",
         "once",
-        "body",
         "outcome",
         "result",
-        "ended",
-        "followers",
-        "before",
+        "until",
     )
 
     def __init__(
--- a/oakkeel/places/granting.py
+++ b/oakkeel/places/granting.py
@@ -134,12 +134,9 @@
             if began and not place.out:
                 wanted.append(commands.Began(each.name, place.fence))
             if (
-                began
-                and each.back
-                and each.up
+                (began and each.back and each.up)
                 or each.given == place.fence
-                or not began
-                and (0 < place.lapsed <= poll.heard)
+                or (not began and (0 < place.lapsed <= poll.heard))
             ):
                 wanted.append(commands.Over(each.name, place.fence))
         for part in poll.ended:
@@ -166,7 +163,7 @@
         """Something was agreed, whoever proposed it."""
         self._settled(command)
         if isinstance(result, Refusal):
-            return
+            return None
         held = self.ledger.held
         if isinstance(command, commands.Lay):
             return self._lay(now)
@@ -255,7 +252,7 @@
                         return wanted
                     if order.parts[thing].state != "waiting":
                         del things_alike[thing]
-                    elif full and thing not in self.out.reasons or not self._may(thing, ident):
+                    elif (full and thing not in self.out.reasons) or not self._may(thing, ident):
                         continue
                     elif self._against([thing]):
                         full = True
@@ -329,7 +326,7 @@
                 else []
             )
             placed = any(thing in held.places and held.places[thing].ident == ident for thing, _, _ in parts)
-            if order is None or not placed and not any(state in OPEN for _, _, state in parts):
+            if order is None or (not placed and not any(state in OPEN for _, _, state in parts)):
                 known.remove(ident)  # what is over here stays so
                 continue
             left = self.orders_at.get(ident, now) + order.lasts - now
--- a/oakkeel/places/holding.py
+++ b/oakkeel/places/holding.py
@@ -121,7 +121,7 @@
             held
             and held.ident == ident
             and not held.given
-            and (held.begun or now < held.until and not (held.down and runs))
+            and (held.begun or (now < held.until and not (held.down and runs)))
         )
 
     def fresh(self, now: int, thing: str, ident: str) -> bool:
--- a/oakkeel/policy/ladder.py
+++ b/oakkeel/policy/ladder.py
@@ -97,7 +97,7 @@
 class Ring:
     """Sums and counts over the last few seconds, in buckets of time that are used again."""
 
-    __slots__ = ("step", "sums", "counts", "marks")
+    __slots__ = ("counts", "marks", "step", "sums")
 
     def __init__(self, step: int = RING_STEP) -> None:
         self.step, self.sums = step, [0.0] * RING_SIZE
@@ -199,7 +199,7 @@
             ex.rank += ex.place
         full = self.memory_kb + ex.memory_kb + limits.key_kb > limits.memory_kb * HOLD_ROOM
         # One that repeats another takes its result: no second effect, and a twentieth of the work.
-        if ex.repeats and (ex.group.once or limits.fresh and not full):
+        if ex.repeats and (ex.group.once or (limits.fresh and not full)):
             self._move(ex, State.SHARING)
             self.host.share(ex)
             return self._alarm(ex, ex.give_up_at)
@@ -511,7 +511,7 @@
         """A call came back: go on, try again, leave it out, or give the exchange up."""
         self.now = now
         if ex.state is not State.CALLING:
-            return
+            return None
         self._end_call(ex, self.limits.call_linger if outcome is Outcome.GIVEN_UP else 0)
         if outcome is Outcome.COMPLETED:
             self.calls_failed = 0
--- a/oakkeel/record/keeper.py
+++ b/oakkeel/record/keeper.py
@@ -162,7 +162,7 @@
         self.steps = Steps()
         self.elections = 0  # that it won, for those who look
         self.why = ""  # it is outdated
-        if self.voters == {self.life} or held.epoch and not self.counts:
+        if self.voters == {self.life} or (held.epoch and not self.counts):
             self._move(now, Role.FOLLOWING)  # nobody else can know what it has forgotten, or it has no vote
 
     # What it is asked.
@@ -211,7 +211,7 @@
     def tick(self, now: int) -> Steps:
         if self.role is Role.OUTDATED:
             return self._done(now)
-        if self.role is Role.JOINING or self.role is Role.FOLLOWING and not self.counts:
+        if self.role is Role.JOINING or (self.role is Role.FOLLOWING and not self.counts):
             if now >= self.hello_at:
                 self._say_hello(now)
         elif self.leading:
@@ -319,10 +319,8 @@
         self._set_term(max(word.term, self.durable.term), SPENT)  # it may have voted in it
         self.answered.add(letter.life)
         # All if they are there: the first to answer may be one that knows less than another.
-        if (
-            self.answered | {self.life} >= self.voters
-            or now - self.started >= self.pace.ask_all
-            and (self._majority(self.answered | {self.life}))
+        if self.answered | {self.life} >= self.voters or (
+            now - self.started >= self.pace.ask_all and (self._majority(self.answered | {self.life}))
         ):
             self._move(now, Role.FOLLOWING)
             self._wait(now)
@@ -480,7 +478,7 @@
 
     def _heard_piece(self, now: int, letter: Letter, word: Piece) -> None:
         if not self._led(now, letter, word.term) or word.total > MOST_SNAPSHOT:
-            return
+            return None
         if word.index <= self.commit:
             return self.send(letter.name, Taken(self.durable.term, word.index, word.total, word.sent))
         if self.arriving is None or self.arriving[:2] != (word.index, word.index_term):
--- a/oakkeel/record/leading.py
+++ b/oakkeel/record/leading.py
@@ -204,7 +204,7 @@
         recent = [
             life
             for life in voters
-            if life == keeper.life or life in self.peers and now - self.peers[life].heard < keeper.pace.most
+            if life == keeper.life or (life in self.peers and now - self.peers[life].heard < keeper.pace.most)
         ]
         return encode_members(change) if 2 * len(recent) > len(voters) else b""
 
--- a/oakkeel/rollout/driver.py
+++ b/oakkeel/rollout/driver.py
@@ -352,7 +352,7 @@
             return replaced is release.forward
         each = self.seen.get(thing)
         stays = each is not None and each.phase in ("starting", "cold", "serving", "silent", "stuck")
-        return not stays or each is not None and each.version == release.what.version
+        return not stays or (each is not None and each.version == release.what.version)
 
     def _story(self, release: Release, thing: str) -> str:
         order = self.book.held.orders.get(release.order)
--- a/oakkeel/shares/heavy.py
+++ b/oakkeel/shares/heavy.py
@@ -22,7 +22,7 @@
 class Sender:
     """One that has a place. Its sums are in the scale of their table: ask `HeavySenders` for rates."""
 
-    __slots__ = ("key", "label", "parent", "count", "error", "retries", "allowed", "free_at", "rest")
+    __slots__ = ("allowed", "count", "error", "free_at", "key", "label", "parent", "rest", "retries")
 
     def __init__(self, key: int, label: bytes, parent: Any) -> None:
         self.key, self.label, self.parent = key, label, parent
--- a/oakkeel/simhost/wire.py
+++ b/oakkeel/simhost/wire.py
@@ -88,7 +88,7 @@
 class Reply:
     """The actions of one reply."""
 
-    __slots__ = ("records", "texts", "text_size")
+    __slots__ = ("records", "text_size", "texts")
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
--- a/oakkeel/standins/dispatcher.py
+++ b/oakkeel/standins/dispatcher.py
@@ -16,7 +16,7 @@
 class Sent:
     """One exchange on its way."""
 
-    __slots__ = ("node", "at", "group")
+    __slots__ = ("at", "group", "node")
 
     def __init__(self, node: str, at: float, group: str) -> None:
         self.node, self.at, self.group = node, at, group
--- a/oakkeel/standins/node.py
+++ b/oakkeel/standins/node.py
@@ -46,7 +46,7 @@
         """As if it had answered so many exchanges a second since its start, evenly good or bad."""
         lasted = time.monotonic() - self.began
         count = float(int(RATE * lasted))
-        bad = 0.3 if "worse" in script or "worse-cold" in script and cold else 0.02
+        bad = 0.3 if "worse" in script or ("worse-cold" in script and cold) else 0.02
         good = float(int(count * (1 - bad)))
         middle = -2.0 + ("slower" in script)
         return {
@@ -82,7 +82,7 @@
     def state(self, script: list[str]) -> str:
         if self.leaving:
             return "draining"
-        if "cold" in script or "slow" in script and time.monotonic() - self.began < 1.0:
+        if "cold" in script or ("slow" in script and time.monotonic() - self.began < 1.0):
             return "cold"
         if not self.up:
             self.up = True
--- a/oakkeel/streams.py
+++ b/oakkeel/streams.py
@@ -41,7 +41,7 @@
 class ReadBuffer:
     """What was read from one stream and is not yet parsed: a leased buffer, filled behind, emptied before."""
 
-    __slots__ = ("pool", "buffer", "start", "end")
+    __slots__ = ("buffer", "end", "pool", "start")
 
     def __init__(self, pool: BufferPool) -> None:
         self.pool, self.buffer = pool, pool.lease()
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -9,7 +9,8 @@
 import unittest
 from unittest import mock
 
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from oakkeel.interface import FairRules, Place
 from oakkeel.policy import MS, SECOND
@@ -384,7 +385,7 @@
             )
 
     def clients(self) -> dict:
-        import socket  # noqa: PLC0415  # a link of this story alone
+        import socket  # a link of this story alone
 
         with socket.socket(socket.AF_UNIX) as link:
             link.connect(os.path.join(self.folder, "n3.sock"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,8 @@
 import time
 import unittest
 
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from oakkeel.agent import messages
 from oakkeel.fleet.asking import MS, Asked, Asking
@@ -15,8 +16,8 @@
 from oakkeel.fleet.following import Following, Result
 from oakkeel.fleet.view import SECOND, View
 from oakkeel.sealing.marks import NONCE, Key, Receiver, Refused, Role, Sender
-from oakkeel.settings.fleet import Asking as HowToAsk, Fleet, HostSettings, InstanceSettings, SettingsError
-from oakkeel.settings.fleet import read_fleet, split
+from oakkeel.settings.fleet import Asking as HowToAsk
+from oakkeel.settings.fleet import Fleet, HostSettings, InstanceSettings, SettingsError, read_fleet, split
 from oakkeel.settings.keys import key_of, read_keys, write_key
 from oakkeel.store.durable import Store, StoreError
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -19,10 +19,10 @@
 from oakkeel.limits import Pairs, flatten, read_limits
 from oakkeel.lines import LineParser
 from oakkeel.log import Log
-from oakkeel.node.results import ResultCache
 from oakkeel.node.handler import ExchangeHandler
 from oakkeel.node.measures import Measures
-from oakkeel.streams import BufferPool, ReadBuffer, Malformed
+from oakkeel.node.results import ResultCache
+from oakkeel.streams import BufferPool, Malformed, ReadBuffer
 from tests.fake import GROUP, TOLD, WAIT, FakeHost, replace
 
 BOUNDS = Bounds(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
@@ -111,7 +111,7 @@
                 lambda read_buffer: list(
                     parsers.setdefault(0, LineParser(read_buffer, with_body, 16)).messages()
                 ),
-            )  # noqa: B023
+            )
             self.assertEqual(found, wanted)
 
     def test_lines_that_cant_be_read_are_named(self):
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -12,7 +12,8 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from hypothesis import settings, strategies as st
+from hypothesis import settings
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from oakkeel.agent.instances import Instance, Phase
@@ -25,8 +26,8 @@
 from oakkeel.places import commands
 from oakkeel.places.granting import Granting, Terms
 from oakkeel.places.holding import Holding
-from oakkeel.places.lease import LeaseHeld
 from oakkeel.places.layout import Group, Layout, Out
+from oakkeel.places.lease import LeaseHeld
 from oakkeel.places.ledger import Ledger, Refusal
 from oakkeel.places.words import Agreed, PlaceTold
 from oakkeel.record import kept
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -3,7 +3,8 @@
 import time
 import unittest
 
-from hypothesis import settings, strategies as st
+from hypothesis import settings
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from oakkeel.agent.instances import Goal, Instance, Phase
