--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -17,11 +17,11 @@
 
 from measure.common import keep, options, processor, say
 from oakkeel.agent import messages
-from oakkeel.audit.logs import audit, events
-from oakkeel.fleet.agents import NoLeader
-from oakkeel.places.granting import Terms
-from oakkeel.standins.rig import Rig
-from oakkeel.standins.site import Site
+from oakkeel.disruption.allocator import Terms
+from oakkeel.fakes.rig import Rig
+from oakkeel.fakes.site import Site
+from oakkeel.fleet.agent_clients import NoLeader
+from oakkeel.invariants.logs import audit, events
 
 HOSTS = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
 SITES = {host: ("woodbrook", "st-james", "belmont")[number % 3] for number, host in enumerate(HOSTS)}
--- a/measure/common.py
+++ b/measure/common.py
@@ -15,13 +15,13 @@
 from typing import Any
 
 from oakkeel.agent import messages
-from oakkeel.fleet.agents import Agents
-from oakkeel.fleet.choosing import by_host
+from oakkeel.fakes.dispatcher import Address
+from oakkeel.fakes.site import Site
+from oakkeel.fleet.agent_clients import Agents
+from oakkeel.fleet.selection import by_host
 from oakkeel.fleet.view import View
 from oakkeel.settings.fleet import Fleet, read_fleet
 from oakkeel.settings.keys import key_of
-from oakkeel.standins.dispatcher import Address
-from oakkeel.standins.site import Site
 
 SECOND = 1_000_000_000
 
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -12,7 +12,7 @@
 from measure.common import keep, options, processor, say
 from oakkeel.agent.instances import Instance, Phase
 from oakkeel.agent.orders import Orders, Verb
-from oakkeel.agent.supervision import MS, SECOND, Act, Patience, Supervision
+from oakkeel.agent.supervisor import MS, SECOND, Act, Patience, Supervision
 
 REPORT = object()
 SITES = 10
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -15,10 +15,10 @@
 
 from measure.common import keep, options, processor, say, spread
 from oakkeel.agent import messages
-from oakkeel.audit.logs import events
-from oakkeel.standins.dispatcher import Address, Dispatcher
-from oakkeel.standins.rig import Rig
-from oakkeel.standins.site import TOLD, Site
+from oakkeel.fakes.dispatcher import Address, Dispatcher
+from oakkeel.fakes.rig import Rig
+from oakkeel.fakes.site import TOLD, Site
+from oakkeel.invariants.logs import events
 
 HOSTS = {"h1": ["n1", "n2", "n3"], "h2": ["n4", "n5", "n6"]}
 GRACE = TOLD["obligations"]["drain-grace"]  # type: ignore[index]
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -6,8 +6,8 @@
 import time
 
 from measure.common import keep, options, processor, say
-from oakkeel.emulator.callers import Manners, Way
-from oakkeel.emulator.day import Day, Played
+from oakkeel.emulator.clients import Manners, Way
+from oakkeel.emulator.scenario import Day, Played
 
 EACH = 10.0  # exchanges a second and node
 
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -19,12 +19,12 @@
 from collections.abc import Callable
 
 from measure.common import keep, options, say
-from oakkeel.interface import Effect, EndpointGroup, Exchange, FairRules
-from oakkeel.policy.fairness import Fairness
-from oakkeel.shares.heavy import HeavySenders
-from oakkeel.standins.crowd import Crawler, Polite
-from oakkeel.standins.site import Site
-from oakkeel.standins.world import fair_share, jain
+from oakkeel.admission.fairness import Fairness
+from oakkeel.admission.types import Effect, EndpointGroup, Exchange, FairRules
+from oakkeel.fair_sharing.heavy_hitters import HeavySenders
+from oakkeel.fakes.load_clients import Crawler, Polite
+from oakkeel.fakes.simulated_node import fair_share, jain
+from oakkeel.fakes.site import Site
 
 SECOND = 1_000_000_000
 CORES, WORK = 2, 0.02  # the engine's, and seconds of a run: it can do a hundred in a second
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -12,8 +12,8 @@
 from random import Random
 
 from measure.common import Running, keep, options, running, say, spread
-from oakkeel.standins.dispatcher import Dispatcher
-from oakkeel.standins.site import Site
+from oakkeel.fakes.dispatcher import Dispatcher
+from oakkeel.fakes.site import Site
 
 HOSTS = {
     "wb1": [f"n{n}" for n in (1, 2, 3, 4)],
--- a/measure/node.py
+++ b/measure/node.py
@@ -18,8 +18,8 @@
 
 from measure.common import keep, options, say
 from oakkeel.control.client import ControlClient, ControlError
-from oakkeel.standins.dispatcher import Dispatcher
-from oakkeel.standins.site import Site
+from oakkeel.fakes.dispatcher import Dispatcher
+from oakkeel.fakes.site import Site
 
 TICKS = os.sysconf("SC_CLK_TCK")
 FAIR = {
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -13,10 +13,10 @@
 from measure.common import SECOND, keep, options, say
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
-from oakkeel.fleet.agents import AgentError, ask_one
+from oakkeel.fakes.site import Site
+from oakkeel.fleet.agent_clients import AgentError, ask_one
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import key_of, write_key
-from oakkeel.standins.site import Site
 
 VERBS = ("restart", "stop", "start")  # in turn: each must be carried out for the next to mean anything
 MOST_STEPS = 14  # an agent kills itself at one of its first so many steps
@@ -56,7 +56,7 @@
             self.agent = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "oakkeel.standins.crashing",
+                "oakkeel.fakes.crashing",
                 self.fleet.path,
                 "wb1",
                 str(step),
--- a/measure/places.py
+++ b/measure/places.py
@@ -12,15 +12,15 @@
 from typing import Any
 
 from measure.common import keep, options, processor, say
-from oakkeel.places import commands
-from oakkeel.places.granting import Terms
-from oakkeel.places.holding import Holding
-from oakkeel.places.layout import Group, Layout
-from oakkeel.places.steward import Steward
-from oakkeel.record.disk import Disk
-from oakkeel.record.keeper import Durable, NotLeading, Steps
-from oakkeel.record.pace import Pace
-from oakkeel.record.words import Letter
+from oakkeel.disruption import commands
+from oakkeel.disruption.allocator import Terms
+from oakkeel.disruption.control_plane import Steward
+from oakkeel.disruption.holder import Holding
+from oakkeel.disruption.topology import Group, Layout
+from oakkeel.raft.memory_storage import Disk
+from oakkeel.raft.messages import Letter
+from oakkeel.raft.replica import Durable, NotLeading, Steps
+from oakkeel.raft.timeouts import Pace
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 from measure.common import SECOND, keep, options, processor, say
-from oakkeel.emulator.agreement import Host, World
-from oakkeel.emulator.troubles import Schedule, Trouble
-from oakkeel.places.layout import Group, Layout, Out
+from oakkeel.disruption.topology import Group, Layout, Out
+from oakkeel.emulator.consensus import Host, World
+from oakkeel.emulator.faults import Schedule, Trouble
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import What
-from oakkeel.rollout.driver import Driver
+from oakkeel.rollout.controller import Driver
 from oakkeel.rollout.plan import Planner, Seen
 
 MS = 1_000_000
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -19,13 +19,13 @@
 import oakkeel
 from measure.common import SECOND, keep, options, processor, say
 from oakkeel.agent import messages
-from oakkeel.agent.versions import version_of
-from oakkeel.fleet.agents import NoLeader
+from oakkeel.agent.artifacts import version_of
+from oakkeel.fakes.catalogue import Catalogue
+from oakkeel.fakes.dispatcher import Address, Dispatcher, Sent
+from oakkeel.fakes.rig import Rig
+from oakkeel.fakes.site import TOLD, Site, free_port
+from oakkeel.fleet.agent_clients import NoLeader
 from oakkeel.rollout.commands import Pace, What
-from oakkeel.standins.catalogue import Catalogue
-from oakkeel.standins.dispatcher import Address, Dispatcher, Sent
-from oakkeel.standins.rig import Rig
-from oakkeel.standins.site import TOLD, Site, free_port
 
 HOSTS = {f"h{number}": [f"n{2 * number - 1}", f"n{2 * number}"] for number in range(1, 7)}
 SITES = {host: ("woodbrook", "belmont")[number % 2] for number, host in enumerate(HOSTS)}
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -14,8 +14,8 @@
 from functools import partial
 
 from measure.common import SECOND, keep, options, processor, say
-from oakkeel.emulator.agreement import play, smallest
-from oakkeel.emulator.troubles import Schedule, draw, read
+from oakkeel.emulator.consensus import play, smallest
+from oakkeel.emulator.faults import Schedule, draw, read
 
 
 def drawn(seed: int, releases: bool) -> Schedule:
--- a/oakkeel/__main__.py
+++ b/oakkeel/__main__.py
@@ -31,11 +31,11 @@
     import asyncio
     import os
 
-    from oakkeel.limits import LimitsError
-    from oakkeel.node.start import Start, read_start
+    from oakkeel.node.configuration import Start, read_start
+    from oakkeel.node_limits import LimitsError
 
     async def run(start: Start) -> None:
-        from oakkeel.node.assembly import Node  # a bad start fails before anything else is loaded
+        from oakkeel.node.node import Node  # a bad start fails before anything else is loaded
 
         await Node(start).run()
 
--- a/oakkeel/policy/ladder.py
+++ b/oakkeel/admission/controller.py
@@ -3,7 +3,7 @@
 How it is invoked: a front makes one `Keel` for each node (host, limits, seed, clock), calls `arrive`,
 `run_done`, `at_call`, `call_done`, `gone`, `leave` and `timer` for what happens, and `settle` once after all
 that happened at one moment. What the node shall do goes out through `Host`. The types and `Host` are in
-`oakkeel/interface.py`; why each rule is as it is stands in `docs/design.md`. Times are whole nanoseconds,
+`oakkeel/admission/types.py`; why each rule is as it is stands in `docs/design.md`. Times are whole nanoseconds,
 memory is in kilobytes.
 """
 
@@ -15,7 +15,7 @@
 from itertools import count
 from random import Random
 
-from oakkeel.interface import (
+from oakkeel.admission.types import (
     AdviceKind,
     Below,
     Effect,
@@ -160,7 +160,7 @@
         self.advice, self.willing, self.fit = -1.0, 1.0, True
         self.fair, self.run = None, limits.cores * RUN[0]  # fair shares, and how many may run
         if limits.fair:
-            from oakkeel.policy.fairness import Fairness  # loaded only where an operator asks for it
+            from oakkeel.admission.fairness import Fairness  # loaded only where an operator asks for it
 
             self.fair = Fairness(limits.fair, limits.marks_retries, self.chance)
         self.callers: dict[int, int] = {}  # when each was heard, the latest last
--- a/oakkeel/policy/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -3,7 +3,7 @@
 Shares are weighted max-min: nobody gets more than it asks for, and what some leave is the others'. Work is
 time on the cores; what a node can do is the number of runs that the ladder lets run at one time. So a node
 half as fast finds each exchange twice as dear, and allows and promises half as many. The measures are in
-`oakkeel.shares`.
+`oakkeel.fair_sharing`.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from math import inf
 
-from oakkeel.bounds import MS, SECOND
-from oakkeel.interface import Exchange, FairRules, Place, State
-from oakkeel.shares.levels import Levels
-from oakkeel.shares.promises import Promises
+from oakkeel.admission.types import Exchange, FairRules, Place, State
+from oakkeel.fair_sharing.max_min import Levels
+from oakkeel.fair_sharing.reservations import Promises
+from oakkeel.resource_limits import MS, SECOND
 
 EVERY = 200 * MS  # between looks at the shares
 ROOM = 0.95  # of what the node can do, for all together
--- a/oakkeel/interface.py
+++ b/oakkeel/admission/types.py
@@ -1,6 +1,6 @@
-"""The types between the decisions (`oakkeel.policy`) and whatever hosts them.
+"""The types between the decisions (`oakkeel.admission`) and whatever hosts them.
 
-A front (today `oakkeel.simhost`) fills in `NodeLimits`, `EndpointGroup` rows and `Exchange` objects, calls
+A front (today `oakkeel.simulator_adapter`) fills in `NodeLimits`, `EndpointGroup` rows and `Exchange` objects, calls
 the methods of `policy.Keel`, and carries out what comes back through `Host`. Times are whole nanoseconds,
 memory is in kilobytes. Nothing here decides or tunes.
 """
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -11,13 +11,17 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from oakkeel.agent.acting import Acting
-from oakkeel.agent.answering import Answering
-from oakkeel.agent.deciding import Deciding
-from oakkeel.agent.door import Door, DoorBounds
+from oakkeel.agent.artifacts import Versions
+from oakkeel.agent.executor import Acting
 from oakkeel.agent.instances import Instance
-from oakkeel.agent.keeping import Keeping
-from oakkeel.agent.kept import (
+from oakkeel.agent.orders import Orders
+from oakkeel.agent.processes import Processes, boot
+from oakkeel.agent.raft_runtime import Keeping
+from oakkeel.agent.reconciler import Deciding
+from oakkeel.agent.request_handlers import Answering
+from oakkeel.agent.server import Door, DoorBounds
+from oakkeel.agent.status_reporter import Polling, probe
+from oakkeel.agent.storage import (
     PLACES,
     SCHEMA,
     VERSION,
@@ -29,17 +33,13 @@
     take_up_orders,
     take_up_places,
 )
-from oakkeel.agent.orders import Orders
-from oakkeel.agent.polling import Polling, probe
-from oakkeel.agent.processes import Processes, boot
-from oakkeel.agent.supervision import MS, SECOND, Patience, Supervision
-from oakkeel.agent.versions import Versions
+from oakkeel.agent.supervisor import MS, SECOND, Patience, Supervision
+from oakkeel.authentication.mac import Key
+from oakkeel.disruption.holder import Holding
+from oakkeel.disruption.messages import Agreed
 from oakkeel.log import Log, fault
-from oakkeel.places.holding import Holding
-from oakkeel.places.words import Agreed
-from oakkeel.sealing.marks import Key
 from oakkeel.settings.fleet import Fairness, Fleet, HostSettings
-from oakkeel.store.durable import Store, StoreError
+from oakkeel.store.database import Store, StoreError
 
 TURN = 100 * MS  # between looks at everything
 LOG_LINES = 50  # a second
--- a/oakkeel/agent/versions.py
+++ b/oakkeel/agent/artifacts.py
@@ -9,10 +9,18 @@
 
 import oakkeel
 from oakkeel.log import Log, fault
+from oakkeel.rollout.assignments import Copy, Fitting
 from oakkeel.rollout.commands import What
-from oakkeel.rollout.fitting import Copy, Fitting
 from oakkeel.settings.fleet import HostSettings, InstanceSettings
-from oakkeel.store.contents import Content, ContentError, Contents, hash_file, hash_folder, merged, read_json
+from oakkeel.store.content_store import (
+    Content,
+    ContentError,
+    Contents,
+    hash_file,
+    hash_folder,
+    merged,
+    read_json,
+)
 
 PACKAGE = os.path.dirname(os.path.abspath(oakkeel.__file__))
 
--- a/oakkeel/agent/below.py
+++ b/oakkeel/agent/downstream_services.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from oakkeel.places.holding import Holding
-from oakkeel.places.words import PartTold
+from oakkeel.disruption.holder import Holding
+from oakkeel.disruption.messages import PartTold
 
 LOST = 2  # looks in a row that must fail before it counts as down
 
--- a/oakkeel/agent/acting.py
+++ b/oakkeel/agent/executor.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from functools import partial
 
+from oakkeel.agent.artifacts import Versions
 from oakkeel.agent.instances import Instance
 from oakkeel.agent.processes import Process, Processes
-from oakkeel.agent.supervision import MS, SECOND, Act, Step, Supervision
-from oakkeel.agent.versions import Versions
+from oakkeel.agent.supervisor import MS, SECOND, Act, Step, Supervision
 from oakkeel.control.client import ControlClient, ControlError
+from oakkeel.disruption.holder import Holding
 from oakkeel.log import Log, fault
-from oakkeel.places.holding import Holding
 from oakkeel.settings.fleet import Fairness, HostSettings, InstanceSettings
 
 ASK = 200 * MS  # between questions to one instance, or more where there are many
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from oakkeel.control.messages import ClientsTold, Report
-from oakkeel.places.words import Agreed, Poll
-from oakkeel.record.words import Letter
+from oakkeel.disruption.messages import Agreed, Poll
+from oakkeel.raft.messages import Letter
 from oakkeel.rollout.commands import Pace, What
 
 
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -13,8 +13,8 @@
 from enum import Enum
 
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.supervision import Act, Step, Supervision
-from oakkeel.places.holding import Holding
+from oakkeel.agent.supervisor import Act, Step, Supervision
+from oakkeel.disruption.holder import Holding
 
 SECOND = 1_000_000_000
 
--- a/oakkeel/agent/keeping.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -13,24 +13,24 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.agent.laying import layout_of
+from oakkeel.agent.topology import layout_of
+from oakkeel.authentication.client import Link, LinkError
+from oakkeel.authentication.mac import Key
+from oakkeel.disruption import commands
+from oakkeel.disruption.allocator import Granting
+from oakkeel.disruption.control_plane import Steward
+from oakkeel.disruption.messages import Poll
+from oakkeel.disruption.state_machine import Refusal
 from oakkeel.log import Log, fault
-from oakkeel.places import commands
-from oakkeel.places.granting import Granting
-from oakkeel.places.ledger import Refusal
-from oakkeel.places.steward import Steward
-from oakkeel.places.words import Poll
-from oakkeel.record import kept
-from oakkeel.record.keeper import Fate, NotLeading, Proposal, Role, Steps
-from oakkeel.record.pace import Pace
-from oakkeel.record.words import Letter
+from oakkeel.raft import storage
+from oakkeel.raft.messages import Letter
+from oakkeel.raft.replica import Fate, NotLeading, Proposal, Role, Steps
+from oakkeel.raft.timeouts import Pace
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.book import Book
-from oakkeel.rollout.driver import Driver
-from oakkeel.sealing.link import Link, LinkError
-from oakkeel.sealing.marks import Key
+from oakkeel.rollout.controller import Driver
+from oakkeel.rollout.state_machine import Book
 from oakkeel.settings.fleet import Fleet
-from oakkeel.store.durable import Store, StoreError
+from oakkeel.store.database import Store, StoreError
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -57,10 +57,10 @@
         self.pace = pace or Pace()
         host = fleet.host(name)
         self.path = os.path.join(host.state, "record.db")
-        self.store = Store(self.path, kept.SCHEMA, kept.VERSION, kept.MOST_BYTES)
+        self.store = Store(self.path, storage.SCHEMA, storage.VERSION, storage.MOST_BYTES)
         if self.store.set_aside:
             log.say("the record was set aside", file=self.store.set_aside)
-        self.witness = kept.Witness(self.path + ".count", self.store)
+        self.witness = storage.Witness(self.path + ".count", self.store)
         if self.store.new:
             self._count_anew()
         elif why := self.witness.why():
@@ -81,10 +81,10 @@
     def _begin(self) -> None:
         """Make the keeper from what is on disk."""
         try:
-            held = kept.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
-            if why := kept.check(held):
+            held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
+            if why := storage.check(held):
                 self._set_aside(why)
-                held = kept.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
+                held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
         except StoreError as error:
             return self._failed(error)
         self.fault, founders = "", self.fleet.keepers.hosts if self.fleet.keepers else ()
@@ -148,13 +148,13 @@
             with contextlib.suppress(FileNotFoundError):
                 os.rename(self.path + ending, aside + ending)
         self.log.say("the record's file is not gone by", file=aside, error=why)
-        self.store = Store(self.path, kept.SCHEMA, kept.VERSION, kept.MOST_BYTES)
-        self.witness = kept.Witness(self.path + ".count", self.store)
+        self.store = Store(self.path, storage.SCHEMA, storage.VERSION, storage.MOST_BYTES)
+        self.witness = storage.Witness(self.path + ".count", self.store)
 
     def _count_anew(self) -> None:
         """The file is a new one, whatever was counted of the one before."""
         self.witness.begin_anew()
-        self.witness = kept.Witness(self.path + ".count", self.store)
+        self.witness = storage.Witness(self.path + ".count", self.store)
 
     def _failed(self, error: StoreError) -> None:
         """As if it had crashed: made again from what is there, once that can be written."""
@@ -232,7 +232,7 @@
                 return None
             if steps.keep:
                 try:
-                    kept.write(self.store, self.steward.keeper.durable, steps.keep, self.witness)
+                    storage.write(self.store, self.steward.keeper.durable, steps.keep, self.witness)
                 except StoreError as error:
                     return self._failed(error)
             for name, letter in steps.send:
--- a/oakkeel/agent/deciding.py
+++ b/oakkeel/agent/reconciler.py
@@ -5,17 +5,17 @@
 
 from __future__ import annotations
 
-from oakkeel.agent.below import Below
+from oakkeel.agent.downstream_services import Below
 from oakkeel.agent.instances import Goal, Instance, Phase
 from oakkeel.agent.orders import Order, OrderRefused, Orders, PartState, Verb
-from oakkeel.agent.supervision import Supervision
+from oakkeel.agent.supervisor import Supervision
 from oakkeel.control.messages import Report
-from oakkeel.places.holding import Holding
-from oakkeel.places.words import Agreed, OrderTold, PartTold, Poll
-from oakkeel.rollout.fitting import Fitting
+from oakkeel.disruption.holder import Holding
+from oakkeel.disruption.messages import Agreed, OrderTold, PartTold, Poll
+from oakkeel.rollout.assignments import Fitting
 from oakkeel.rollout.gates import Figures
+from oakkeel.rollout.messages import Run
 from oakkeel.rollout.sequential import Sums
-from oakkeel.rollout.words import Run
 
 HOW = {
     PartState.DONE: "done",
--- a/oakkeel/agent/answering.py
+++ b/oakkeel/agent/request_handlers.py
@@ -8,21 +8,28 @@
 from typing import Protocol
 
 from oakkeel.agent import messages
-from oakkeel.agent.acting import ANSWER, Acting
-from oakkeel.agent.keeping import Keeping, Undecided
+from oakkeel.agent.executor import ANSWER, Acting
 from oakkeel.agent.orders import Order, OrderRefused, Orders, Verb
-from oakkeel.agent.polling import Polling
-from oakkeel.agent.supervision import SECOND, Supervision
-from oakkeel.agent.told import fleet_told, host_told, order_told, record_told, release_told, state_told
+from oakkeel.agent.raft_runtime import Keeping, Undecided
+from oakkeel.agent.status_reporter import Polling
+from oakkeel.agent.status_views import (
+    fleet_told,
+    host_told,
+    order_told,
+    record_told,
+    release_told,
+    state_told,
+)
+from oakkeel.agent.supervisor import SECOND, Supervision
+from oakkeel.authentication.mac import Key
 from oakkeel.control.client import ControlClient, ControlError
+from oakkeel.disruption import commands
+from oakkeel.disruption.state_machine import Order as Agreed
+from oakkeel.disruption.state_machine import Refusal
 from oakkeel.log import Log
-from oakkeel.places import commands
-from oakkeel.places.ledger import Order as Agreed
-from oakkeel.places.ledger import Refusal
-from oakkeel.record.keeper import NotLeading
+from oakkeel.raft.replica import NotLeading
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.book import Release
-from oakkeel.sealing.marks import Key
+from oakkeel.rollout.state_machine import Release
 from oakkeel.settings.fleet import HostSettings
 
 OF_THE_FLEET = (
--- a/oakkeel/agent/door.py
+++ b/oakkeel/agent/server.py
@@ -14,9 +14,17 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from oakkeel.agent import messages
+from oakkeel.authentication.framing import (
+    HELLO,
+    LONGEST,
+    LONGEST_ANSWER,
+    REFUSED,
+    BadFrame,
+    frame,
+    read_frame,
+)
+from oakkeel.authentication.mac import NONCE, SECOND, Key, Receiver, Refused, Role
 from oakkeel.log import Log, fault
-from oakkeel.sealing.frames import HELLO, LONGEST, LONGEST_ANSWER, REFUSED, BadFrame, frame, read_frame
-from oakkeel.sealing.marks import NONCE, SECOND, Key, Receiver, Refused, Role
 
 Handler = Callable[[Key, messages.Wish], messages.Answer | Awaitable[messages.Answer]]
 ACTS = (
--- a/oakkeel/agent/polling.py
+++ b/oakkeel/agent/status_reporter.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.agent.below import Below
-from oakkeel.agent.deciding import Deciding
-from oakkeel.agent.keeping import Keeping
-from oakkeel.agent.whom import Whom
+from oakkeel.agent.downstream_services import Below
+from oakkeel.agent.leader_locator import Whom
+from oakkeel.agent.raft_runtime import Keeping
+from oakkeel.agent.reconciler import Deciding
+from oakkeel.authentication.client import Link, LinkError
+from oakkeel.authentication.mac import Key
+from oakkeel.disruption.messages import Agreed
 from oakkeel.log import Log, fault
-from oakkeel.places.words import Agreed
-from oakkeel.sealing.link import Link, LinkError
-from oakkeel.sealing.marks import Key
 from oakkeel.settings.fleet import Fleet, Service
 
 MS = 1_000_000
--- a/oakkeel/agent/told.py
+++ b/oakkeel/agent/status_views.py
@@ -6,15 +6,15 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.keeping import Keeping
 from oakkeel.agent.orders import Order
-from oakkeel.agent.polling import Polling
-from oakkeel.agent.supervision import Supervision
-from oakkeel.places.ledger import Order as Agreed
-from oakkeel.record.keeper import NotLeading
-from oakkeel.record.leading import NEVER
-from oakkeel.rollout.book import LEASE, Book
-from oakkeel.rollout.driver import Driver
+from oakkeel.agent.raft_runtime import Keeping
+from oakkeel.agent.status_reporter import Polling
+from oakkeel.agent.supervisor import Supervision
+from oakkeel.disruption.state_machine import Order as Agreed
+from oakkeel.raft.leader import NEVER
+from oakkeel.raft.replica import NotLeading
+from oakkeel.rollout.controller import Driver
+from oakkeel.rollout.state_machine import LEASE, Book
 from oakkeel.settings.fleet import HostSettings
 
 
--- a/oakkeel/agent/kept.py
+++ b/oakkeel/agent/storage.py
@@ -10,10 +10,10 @@
 
 from oakkeel.agent.instances import Goal, Instance, Phase
 from oakkeel.agent.orders import Order, Orders, Part, PartState, Verb
-from oakkeel.places.holding import Holding
+from oakkeel.disruption.holder import Holding
+from oakkeel.rollout.assignments import Fitting
 from oakkeel.rollout.commands import What
-from oakkeel.rollout.fitting import Fitting
-from oakkeel.store.durable import Statement, Store
+from oakkeel.store.database import Statement, Store
 
 VERSION = 1
 SCHEMA = """
--- a/oakkeel/agent/laying.py
+++ b/oakkeel/agent/topology.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oakkeel.places.layout import Group, Layout
+from oakkeel.disruption.topology import Group, Layout
 from oakkeel.settings.fleet import Fleet
 
 
--- a/oakkeel/sealing/link.py
+++ b/oakkeel/authentication/client.py
@@ -9,8 +9,8 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from oakkeel.sealing.frames import HELLO, LONGEST_ANSWER, REFUSED, BadFrame, frame, read_frame
-from oakkeel.sealing.marks import NONCE, Key, Refused, Sender
+from oakkeel.authentication.framing import HELLO, LONGEST_ANSWER, REFUSED, BadFrame, frame, read_frame
+from oakkeel.authentication.mac import NONCE, Key, Refused, Sender
 
 
 class LinkError(OSError):
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -8,12 +8,12 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from oakkeel.bounds import MS, SECOND, Bounds
-from oakkeel.exchange import Event, LiveExchange
-from oakkeel.interface import Outcome
-from oakkeel.lines import LineParser
+from oakkeel.admission.types import Outcome
+from oakkeel.line_protocol import LineParser
 from oakkeel.log import Log
-from oakkeel.streams import BufferPool, Malformed, ReadBuffer, connect, readable, send
+from oakkeel.request import Event, LiveExchange
+from oakkeel.resource_limits import MS, SECOND, Bounds
+from oakkeel.stream_buffers import BufferPool, Malformed, ReadBuffer, connect, readable, send
 
 WITH_BODY = frozenset({(1, b"DATA")})
 REPLIES = {
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -14,8 +14,8 @@
 import click
 from rich.console import Console
 
-from oakkeel.fleet.agents import Agents
-from oakkeel.fleet.choosing import STATES, Choice, ChoiceError
+from oakkeel.fleet.agent_clients import Agents
+from oakkeel.fleet.selection import STATES, Choice, ChoiceError
 from oakkeel.fleet.view import Row, View
 from oakkeel.settings.fleet import Fleet, SettingsError, read_fleet, time_of
 from oakkeel.settings.keys import key_of
--- a/oakkeel/cli/record.py
+++ b/oakkeel/cli/control_plane.py
@@ -11,7 +11,6 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.cli.choosing import choose
 from oakkeel.cli.common import (
     CODES,
     DONE,
@@ -26,9 +25,10 @@
     print_json,
     run,
 )
-from oakkeel.fleet.agents import NoLeader
-from oakkeel.fleet.choosing import Choice
-from oakkeel.tables.record import keepers_table, order_table, places_table
+from oakkeel.cli.selection import choose
+from oakkeel.fleet.agent_clients import NoLeader
+from oakkeel.fleet.selection import Choice
+from oakkeel.rendering.control_plane import keepers_table, order_table, places_table
 
 OPEN = ("waiting", "granted", "out")
 GOOD = ("done", *OPEN)
--- a/oakkeel/cli/looking.py
+++ b/oakkeel/cli/inspect.py
@@ -28,10 +28,10 @@
     print_json,
     run,
 )
-from oakkeel.fleet.choosing import Choice
+from oakkeel.fleet.selection import Choice
 from oakkeel.fleet.view import Row
-from oakkeel.tables.instances import clients_line, clients_table, facts_of, instances_table
-from oakkeel.tables.times import span
+from oakkeel.rendering.instances import clients_line, clients_table, facts_of, instances_table
+from oakkeel.rendering.times import span
 
 
 def row_json(row: Row) -> dict[str, Any]:
--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -8,9 +8,9 @@
 import click
 
 from oakkeel.cli.common import CODES, Duration, fail, out
-from oakkeel.cli.looking import ls, orders, show, watch
-from oakkeel.cli.ordering import COMMANDS
-from oakkeel.cli.record import keepers, places
+from oakkeel.cli.control_plane import keepers, places
+from oakkeel.cli.inspect import ls, orders, show, watch
+from oakkeel.cli.operate import COMMANDS
 from oakkeel.cli.rollout import rollout
 from oakkeel.settings.fleet import SettingsError, read_fleet
 from oakkeel.settings.keys import read_agent_keys, read_keys, write_key
--- a/oakkeel/cli/ordering.py
+++ b/oakkeel/cli/operate.py
@@ -13,7 +13,6 @@
 from rich.table import Table
 
 from oakkeel.agent import messages
-from oakkeel.cli.choosing import choose, sure
 from oakkeel.cli.common import (
     CODES,
     DONE,
@@ -30,10 +29,11 @@
     print_json,
     run,
 )
-from oakkeel.cli.record import agree, end
-from oakkeel.fleet.choosing import Choice
-from oakkeel.fleet.following import Followed, Following, Result
-from oakkeel.tables.times import span
+from oakkeel.cli.control_plane import agree, end
+from oakkeel.cli.selection import choose, sure
+from oakkeel.fleet.order_tracking import Followed, Following, Result
+from oakkeel.fleet.selection import Choice
+from oakkeel.rendering.times import span
 
 OPEN, GOOD = ("waiting", "acting"), ("done",)
 CODES_OF = {Result.DONE: DONE, Result.SOME_FAILED: SOME_FAILED, Result.SOME_SILENT: SOME_SILENT}
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -11,8 +11,7 @@
 from rich.live import Live
 
 from oakkeel.agent import messages
-from oakkeel.agent.versions import version_of
-from oakkeel.cli.choosing import choose
+from oakkeel.agent.artifacts import version_of
 from oakkeel.cli.common import (
     CODES,
     DONE,
@@ -27,11 +26,12 @@
     print_json,
     run,
 )
-from oakkeel.cli.record import LOOK_EVERY, ask, with_record
-from oakkeel.fleet.choosing import Choice
+from oakkeel.cli.control_plane import LOOK_EVERY, ask, with_record
+from oakkeel.cli.selection import choose
+from oakkeel.fleet.selection import Choice
+from oakkeel.rendering.rollout import release_table
 from oakkeel.rollout.commands import Pace, What
-from oakkeel.store.contents import ContentError
-from oakkeel.tables.release import release_table
+from oakkeel.store.content_store import ContentError
 
 ENDS = {"done": DONE, "undone": SOME_FAILED, "halted": SOME_FAILED, "left": SOME_FAILED}
 
--- a/oakkeel/cli/choosing.py
+++ b/oakkeel/cli/selection.py
@@ -5,7 +5,7 @@
 import click
 
 from oakkeel.cli.common import Asker, err, fail, interactive
-from oakkeel.fleet.choosing import Choice, taken_out
+from oakkeel.fleet.selection import Choice, taken_out
 from oakkeel.fleet.view import Row
 
 ASK_ABOVE = 0.34  # of a site, taken out by one order: from there on it is asked first
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -12,7 +12,6 @@
 import msgspec
 from tornado.iostream import IOStream, StreamClosedError
 
-from oakkeel.bounds import SECOND, Bounds
 from oakkeel.control.messages import (
     LONGEST,
     Answer,
@@ -26,7 +25,8 @@
     read_wish,
 )
 from oakkeel.log import Log, fault
-from oakkeel.streams import BufferPool, Malformed, ReadBuffer, send
+from oakkeel.resource_limits import SECOND, Bounds
+from oakkeel.stream_buffers import BufferPool, Malformed, ReadBuffer, send
 
 MOST_CLIENTS = 25  # in one answer, so that it is no longer than a line may be
 
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -15,14 +15,14 @@
 from rich.text import Text
 
 from oakkeel.agent import messages
-from oakkeel.fleet.agents import Agents
-from oakkeel.fleet.choosing import by_host
+from oakkeel.fakes.dispatcher import Address, Dispatcher
+from oakkeel.fakes.site import Site
+from oakkeel.fleet.agent_clients import Agents
+from oakkeel.fleet.selection import by_host
 from oakkeel.fleet.view import View
+from oakkeel.rendering.instances import instances_table
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import key_of
-from oakkeel.standins.dispatcher import Address, Dispatcher
-from oakkeel.standins.site import Site
-from oakkeel.tables.instances import instances_table
 
 SECOND = 1_000_000_000
 NODES = ("n1", "n2", "n3")
--- a/oakkeel/directory/reports.py
+++ b/oakkeel/directory/reports.py
@@ -6,7 +6,7 @@
 import contextlib
 import socket
 
-from oakkeel.bounds import SECOND, Bounds
+from oakkeel.resource_limits import SECOND, Bounds
 
 
 class Reports:
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from oakkeel.bounds import MS, Bounds
+from oakkeel.admission.types import Effect, EndpointGroup, NodeLimits, Tenant
 from oakkeel.dispatch.resp import encode
-from oakkeel.exchange import LiveExchange
-from oakkeel.interface import Effect, EndpointGroup, NodeLimits, Tenant
+from oakkeel.request import LiveExchange
+from oakkeel.resource_limits import MS, Bounds
 
 CALL, CANCEL, CHECK = b"CALL", b"CANCEL", b"CHECK"
 COMPLETED, DENIED, TERMINATED = b"ok", b"full", b"fault"
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -13,12 +13,12 @@
 
 from tornado.iostream import StreamClosedError
 
-from oakkeel.bounds import SECOND, Bounds
 from oakkeel.dispatch import codec
 from oakkeel.dispatch.resp import arrays
-from oakkeel.exchange import LiveExchange
 from oakkeel.log import Log
-from oakkeel.streams import BufferPool, HalfClosingStream, Malformed, ReadBuffer, readable, send
+from oakkeel.request import LiveExchange
+from oakkeel.resource_limits import SECOND, Bounds
+from oakkeel.stream_buffers import BufferPool, HalfClosingStream, Malformed, ReadBuffer, readable, send
 
 
 class Front(Protocol):
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -8,10 +8,10 @@
 import socket
 import time
 
-from oakkeel.bounds import SECOND, Bounds
 from oakkeel.dispatch.connection import Connection, Front
 from oakkeel.log import Log, fault
-from oakkeel.streams import BufferPool, HalfClosingStream
+from oakkeel.resource_limits import SECOND, Bounds
+from oakkeel.stream_buffers import BufferPool, HalfClosingStream
 
 BACKLOG = 1024  # connections that the kernel lets wait
 NO_DESCRIPTOR = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
--- a/oakkeel/dispatch/resp.py
+++ b/oakkeel/dispatch/resp.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterator
 
-from oakkeel.lines import number
-from oakkeel.streams import Malformed, ReadBuffer
+from oakkeel.line_protocol import number
+from oakkeel.stream_buffers import Malformed, ReadBuffer
 
 
 def arrays(read_buffer: ReadBuffer, most_words: int) -> Iterator[list[bytes]]:
--- a/oakkeel/places/granting.py
+++ b/oakkeel/disruption/allocator.py
@@ -12,10 +12,10 @@
 
 from dataclasses import dataclass
 
-from oakkeel.places import commands
-from oakkeel.places.layout import Layout, Out
-from oakkeel.places.ledger import HELD, OPEN, Ledger, Order, Refusal
-from oakkeel.places.words import Agreed, OrderTold, PlaceTold, Poll
+from oakkeel.disruption import commands
+from oakkeel.disruption.messages import Agreed, OrderTold, PlaceTold, Poll
+from oakkeel.disruption.state_machine import HELD, OPEN, Ledger, Order, Refusal
+from oakkeel.disruption.topology import Layout, Out
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/oakkeel/places/commands.py
+++ b/oakkeel/disruption/commands.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from oakkeel.places.layout import Layout
+from oakkeel.disruption.topology import Layout
 
 MOST_THINGS = 1000  # of one order, or in one command
 
--- a/oakkeel/places/steward.py
+++ b/oakkeel/disruption/control_plane.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from oakkeel.places import commands
-from oakkeel.places.granting import Granting, Terms
-from oakkeel.places.layout import Layout
-from oakkeel.places.ledger import Ledger
-from oakkeel.places.words import Agreed, Poll
-from oakkeel.record.keeper import Durable, Fate, Keeper, NotLeading, Proposal, Steps
-from oakkeel.record.pace import Pace
-from oakkeel.record.words import Letter
+from oakkeel.disruption import commands
+from oakkeel.disruption.allocator import Granting, Terms
+from oakkeel.disruption.messages import Agreed, Poll
+from oakkeel.disruption.state_machine import Ledger
+from oakkeel.disruption.topology import Layout
+from oakkeel.raft.messages import Letter
+from oakkeel.raft.replica import Durable, Fate, Keeper, NotLeading, Proposal, Steps
+from oakkeel.raft.timeouts import Pace
 
 
 class Above(Protocol):
--- a/oakkeel/places/holding.py
+++ b/oakkeel/disruption/holder.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from oakkeel.places.words import Agreed, OrderTold, PartTold, Poll, ThingTold
+from oakkeel.disruption.messages import Agreed, OrderTold, PartTold, Poll, ThingTold
 
 
 @dataclass(slots=True, eq=False)
--- a/oakkeel/places/lease.py
+++ b/oakkeel/disruption/lease_holder.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from oakkeel.places import commands
+from oakkeel.disruption import commands
 
 
 class LeaseHeld:
--- a/oakkeel/places/ledger.py
+++ b/oakkeel/disruption/state_machine.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from oakkeel.places import commands
-from oakkeel.places.layout import Layout, Out
+from oakkeel.disruption import commands
+from oakkeel.disruption.topology import Layout, Out
 
 MOST_OPEN, MOST_ORDERS = 256, 1024
 VERBS = ("drain", "stop", "restart")
--- a/oakkeel/emulator/callers.py
+++ b/oakkeel/emulator/clients.py
@@ -7,10 +7,10 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.emulator.audit import Audit
+from oakkeel.admission.types import Exchange, NodeLimits
 from oakkeel.emulator.clock import SECOND, Clock
+from oakkeel.emulator.invariants import Audit
 from oakkeel.emulator.nodes import MS, Node
-from oakkeel.interface import Exchange, NodeLimits
 
 
 class Way(Enum):
--- a/oakkeel/emulator/agreement.py
+++ b/oakkeel/emulator/consensus.py
@@ -12,33 +12,33 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from oakkeel.agent.deciding import Deciding
 from oakkeel.agent.instances import Goal, Instance, Phase
+from oakkeel.agent.leader_locator import Whom
 from oakkeel.agent.orders import Orders, Verb
-from oakkeel.agent.supervision import Act, Patience, Step, Supervision
-from oakkeel.agent.whom import Whom
-from oakkeel.audit.agreement import AgreementAudit
-from oakkeel.audit.rollout import ReleaseAudit
+from oakkeel.agent.reconciler import Deciding
+from oakkeel.agent.supervisor import Act, Patience, Step, Supervision
 from oakkeel.control.messages import Report
+from oakkeel.disruption import commands
+from oakkeel.disruption.allocator import Granting, Terms
+from oakkeel.disruption.control_plane import Steward
+from oakkeel.disruption.holder import Holding
+from oakkeel.disruption.messages import Agreed, Poll
+from oakkeel.disruption.state_machine import OPEN, Refusal
+from oakkeel.disruption.topology import Group, Layout
 from oakkeel.emulator.clock import Clock, Happening
-from oakkeel.emulator.troubles import MS, SECOND, Schedule, Trouble
-from oakkeel.places import commands
-from oakkeel.places.granting import Granting, Terms
-from oakkeel.places.holding import Holding
-from oakkeel.places.layout import Group, Layout
-from oakkeel.places.ledger import OPEN, Refusal
-from oakkeel.places.steward import Steward
-from oakkeel.places.words import Agreed, Poll
-from oakkeel.record.disk import Disk
-from oakkeel.record.keeper import Durable, NotLeading, Proposal, Role, Steps
-from oakkeel.record.pace import Pace
-from oakkeel.record.words import Letter
+from oakkeel.emulator.faults import MS, SECOND, Schedule, Trouble
+from oakkeel.invariants.consensus import AgreementAudit
+from oakkeel.invariants.rollout import ReleaseAudit
+from oakkeel.raft.memory_storage import Disk
+from oakkeel.raft.messages import Letter
+from oakkeel.raft.replica import Durable, NotLeading, Proposal, Role, Steps
+from oakkeel.raft.timeouts import Pace
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.book import Book
+from oakkeel.rollout.assignments import Copy
 from oakkeel.rollout.commands import Pace as ReleasePace
 from oakkeel.rollout.commands import What
-from oakkeel.rollout.driver import Driver
-from oakkeel.rollout.fitting import Copy
+from oakkeel.rollout.controller import Driver
+from oakkeel.rollout.state_machine import Book
 
 TURN, POLL, ANSWER = 100 * MS, 150 * MS, 800 * MS
 PACE, TERMS = Pace(fold=64), Terms()
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from random import Random
 
-from oakkeel.emulator.audit import Audit
+from oakkeel.admission import Keel
+from oakkeel.admission.types import Exchange, Gauges, NodeLimits, Outcome
 from oakkeel.emulator.clock import Clock
+from oakkeel.emulator.invariants import Audit
 from oakkeel.emulator.machines import Machine, Task
-from oakkeel.interface import Exchange, Gauges, NodeLimits, Outcome
-from oakkeel.policy import Keel
 
 MS = 1_000_000
 Answer = Callable[[str, int], None]  # a word, and the time to stay away
--- a/oakkeel/emulator/changing.py
+++ b/oakkeel/emulator/policy_change.py
@@ -8,14 +8,14 @@
 
 from random import Random
 
-from oakkeel.audit.changes import ChangeAudit
-from oakkeel.changes.holding import AgentPolicy, NodePolicy
-from oakkeel.changes.leading import Changing, Heard, Told
-from oakkeel.changes.register import Propose, Register, Withdraw
+from oakkeel.disruption import commands
+from oakkeel.disruption.allocator import Terms
+from oakkeel.disruption.state_machine import Refusal
 from oakkeel.emulator.clock import Clock
-from oakkeel.places import commands
-from oakkeel.places.granting import Terms
-from oakkeel.places.ledger import Refusal
+from oakkeel.invariants.policy_change import ChangeAudit
+from oakkeel.policy_change.coordinator import Changing, Heard, Told
+from oakkeel.policy_change.policy_lease import AgentPolicy, NodePolicy
+from oakkeel.policy_change.state_machine import Propose, Register, Withdraw
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/oakkeel/emulator/day.py
+++ b/oakkeel/emulator/scenario.py
@@ -9,11 +9,11 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.emulator.audit import Audit
-from oakkeel.emulator.callers import Dispatcher, Manners
+from oakkeel.admission.types import AdviceKind, Below, Effect, EndpointGroup, NodeLimits, StopKind
+from oakkeel.emulator.clients import Dispatcher, Manners
 from oakkeel.emulator.clock import SECOND, Clock
+from oakkeel.emulator.invariants import Audit
 from oakkeel.emulator.nodes import MS, Node
-from oakkeel.interface import AdviceKind, Below, Effect, EndpointGroup, NodeLimits, StopKind
 
 LISTED = SECOND  # until dispatchers see a change of the fleet
 
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -12,12 +12,12 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from oakkeel.bounds import SECOND, Bounds
-from oakkeel.exchange import Event, LiveExchange
-from oakkeel.interface import Outcome
-from oakkeel.lines import LineParser, milliseconds, number
+from oakkeel.admission.types import Outcome
+from oakkeel.line_protocol import LineParser, milliseconds, number
 from oakkeel.log import Log, fault
-from oakkeel.streams import BufferPool, Malformed, ReadBuffer, connect, send
+from oakkeel.request import Event, LiveExchange
+from oakkeel.resource_limits import SECOND, Bounds
+from oakkeel.stream_buffers import BufferPool, Malformed, ReadBuffer, connect, send
 
 WITH_BODY = frozenset({(0, b"DONE"), (0, b"NEED")})
 ENDS = {
--- a/oakkeel/shares/levels.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence
 from math import inf
 
-from oakkeel.shares.heavy import HeavySenders, Sender
+from oakkeel.fair_sharing.heavy_hitters import HeavySenders, Sender
 
 
 class Levels:
--- a/oakkeel/shares/state.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from oakkeel.shares.heavy import HeavySenders
-from oakkeel.shares.levels import Levels
-from oakkeel.shares.promises import Promise, Promises
+from oakkeel.fair_sharing.heavy_hitters import HeavySenders
+from oakkeel.fair_sharing.max_min import Levels
+from oakkeel.fair_sharing.reservations import Promise, Promises
 
 YOUNG = 60_000_000_000  # nanoseconds: an older one tells nothing of now
 
--- a/oakkeel/standins/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -17,9 +17,9 @@
 from oakkeel.agent.__main__ import serve
 from oakkeel.agent.agent import Agent
 from oakkeel.log import Log
-from oakkeel.store.durable import Statement, Store
+from oakkeel.store.database import Statement, Store
 
-NODE = (sys.executable, "-m", "oakkeel.standins.node")
+NODE = (sys.executable, "-m", "oakkeel.fakes.node")
 _write, _time_ns = Store.write, time.time_ns
 
 
--- a/oakkeel/standins/catalogue.py
+++ b/oakkeel/fakes/catalogue.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from oakkeel.standins.faults import Fault, Faulty
+from oakkeel.fakes.faults import Fault, Faulty
 
 
 class Catalogue(Faulty):
--- a/oakkeel/standins/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -15,12 +15,12 @@
 
 from oakkeel.agent.__main__ import serve
 from oakkeel.agent.agent import Agent
-from oakkeel.agent.kept import SCHEMA, VERSION
 from oakkeel.agent.processes import Process, Processes
+from oakkeel.agent.storage import SCHEMA, VERSION
 from oakkeel.settings.fleet import HostSettings
-from oakkeel.store.durable import Statement, Store
+from oakkeel.store.database import Statement, Store
 
-PROGRAM = (sys.executable, "-m", "oakkeel.standins.node")
+PROGRAM = (sys.executable, "-m", "oakkeel.fakes.node")
 
 
 class Steps:
--- a/oakkeel/standins/engine.py
+++ b/oakkeel/fakes/engine.py
@@ -8,7 +8,7 @@
 from collections import deque
 from random import Random
 
-from oakkeel.standins.faults import Fault, Faulty
+from oakkeel.fakes.faults import Fault, Faulty
 
 NOTICES = 4000  # kept for a link that is made anew
 NEW_NODE = 0.3  # seconds without a link, after which one that heard nothing is a node that has just started
--- a/oakkeel/standins/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -18,11 +18,11 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
-from oakkeel.fleet.agents import Agents, NoLeader
+from oakkeel.fakes.faulty_link import FaultyLink, Way
+from oakkeel.fakes.site import Site
+from oakkeel.fleet.agent_clients import Agents, NoLeader
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import key_of
-from oakkeel.standins.links import FaultyLink, Way
-from oakkeel.standins.site import Site
 
 WAIT = 30.0  # seconds, for what must come
 
@@ -82,7 +82,7 @@
             self.agents[host] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "oakkeel.standins.agent",
+                "oakkeel.fakes.agent",
                 self.settings(host),
                 host,
                 stderr=log,
--- a/oakkeel/standins/world.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -14,7 +14,8 @@
 from random import Random
 from typing import Any
 
-from oakkeel.interface import (
+from oakkeel.admission import MS, SECOND, Keel
+from oakkeel.admission.types import (
     AdviceKind,
     Below,
     Effect,
@@ -27,7 +28,6 @@
     StopKind,
     Tenant,
 )
-from oakkeel.policy import MS, SECOND, Keel
 
 
 @dataclass(eq=False)
--- a/oakkeel/standins/site.py
+++ b/oakkeel/fakes/site.py
@@ -9,10 +9,10 @@
 import socket
 from xml.sax.saxutils import quoteattr
 
+from oakkeel.fakes.catalogue import Catalogue
+from oakkeel.fakes.directory import Directory
+from oakkeel.fakes.engine import Engine
 from oakkeel.settings.keys import write_key
-from oakkeel.standins.catalogue import Catalogue
-from oakkeel.standins.directory import Directory
-from oakkeel.standins.engine import Engine
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/oakkeel/fleet/agents.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.fleet.asking import Asked, Asking
-from oakkeel.fleet.leading import Leader, Search
+from oakkeel.authentication.client import Link, LinkError, LinkRefused
+from oakkeel.authentication.mac import SECOND, Key
+from oakkeel.fleet.fan_out import Asked, Asking
+from oakkeel.fleet.leader_discovery import Leader, Search
 from oakkeel.fleet.view import View
-from oakkeel.sealing.link import Link, LinkError, LinkRefused
-from oakkeel.sealing.marks import SECOND, Key
 from oakkeel.settings.fleet import Fleet
 
 AgentError, AgentRefused = LinkError, LinkRefused
--- a/oakkeel/fleet/following.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from oakkeel.agent import messages
-from oakkeel.fleet.choosing import by_host
+from oakkeel.fleet.selection import by_host
 from oakkeel.fleet.view import Row
 
 
--- a/oakkeel/audit/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -8,7 +8,7 @@
 import json
 import os
 
-from oakkeel.audit.agreement import AgreementAudit
+from oakkeel.invariants.consensus import AgreementAudit
 
 
 def events(folder: str, hosts: dict[str, list[str]]) -> list[tuple[int, str, dict]]:
--- a/oakkeel/lines.py
+++ b/oakkeel/line_protocol.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterator
 
-from oakkeel.bounds import MS
-from oakkeel.streams import Malformed, ReadBuffer
+from oakkeel.resource_limits import MS
+from oakkeel.stream_buffers import Malformed, ReadBuffer
 
 
 class LineParser:
--- a/oakkeel/node/start.py
+++ b/oakkeel/node/configuration.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakkeel.bounds import MS, Bounds
-from oakkeel.interface import FairRules, NodeLimits
-from oakkeel.limits import LimitsError, Pairs, fail, flatten, read_limits
+from oakkeel.admission.types import FairRules, NodeLimits
+from oakkeel.node_limits import LimitsError, Pairs, fail, flatten, read_limits
+from oakkeel.resource_limits import MS, Bounds
 
 Address = tuple[str, int]
 
--- a/oakkeel/node/whole.py
+++ b/oakkeel/node/context.py
@@ -5,14 +5,14 @@
 from asyncio import Task
 from typing import Any, Protocol
 
-from oakkeel.bounds import Bounds
 from oakkeel.dispatch.codec import ExchangeReader
 from oakkeel.dispatch.listener import Listener
 from oakkeel.log import Log
+from oakkeel.node.configuration import Start
 from oakkeel.node.drain import Drain
 from oakkeel.node.host import NodeHost
-from oakkeel.node.measures import Measures
-from oakkeel.node.start import Start
+from oakkeel.node.metrics import Measures
+from oakkeel.resource_limits import Bounds
 
 
 class Whole(Protocol):
--- a/oakkeel/node/controlled.py
+++ b/oakkeel/node/control_endpoint.py
@@ -6,15 +6,15 @@
 import time
 from collections import Counter
 
+from oakkeel.admission import Stage
+from oakkeel.admission.types import State
 from oakkeel.control.listener import ControlListener
 from oakkeel.control.messages import ClientsTold, Report
 from oakkeel.dispatch import codec
-from oakkeel.exchange import LiveExchange
-from oakkeel.interface import State
-from oakkeel.node.measures import descriptors, resident
-from oakkeel.node.outcomes import Outcomes
-from oakkeel.node.whole import Whole
-from oakkeel.policy import Stage
+from oakkeel.node.context import Whole
+from oakkeel.node.metrics import descriptors, resident
+from oakkeel.node.outcome_counters import Outcomes
+from oakkeel.request import LiveExchange
 
 
 def open_control(node: Whole) -> ControlListener:
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -6,11 +6,11 @@
 from enum import Enum
 from typing import Protocol
 
-from oakkeel.bounds import SECOND, Bounds
 from oakkeel.directory.reports import Reports
 from oakkeel.dispatch.listener import Listener
 from oakkeel.log import Log, fault
 from oakkeel.node.host import NodeHost
+from oakkeel.resource_limits import SECOND, Bounds
 
 
 class Leaving(Enum):
--- a/oakkeel/node/fairly.py
+++ b/oakkeel/node/fair_sharing.py
@@ -6,15 +6,15 @@
 import os
 import time
 
-from oakkeel.bounds import SECOND
+from oakkeel.admission.types import FairRules
 from oakkeel.control.messages import ClientsTold, ClientTold
 from oakkeel.dispatch.codec import sender_fields
-from oakkeel.interface import FairRules
-from oakkeel.node.whole import Whole
-from oakkeel.shares import state
-from oakkeel.shares.heavy import Sender
-from oakkeel.shares.keys import SECRET, SenderKeys
-from oakkeel.store import snapshot
+from oakkeel.fair_sharing import persistence
+from oakkeel.fair_sharing.heavy_hitters import Sender
+from oakkeel.fair_sharing.keys import SECRET, SenderKeys
+from oakkeel.node.context import Whole
+from oakkeel.resource_limits import SECOND
+from oakkeel.store import snapshot_file
 
 KEEP_EVERY = 5 * SECOND
 
@@ -30,16 +30,16 @@
         self.keys = SenderKeys(self.secret, sender_fields(rules.by))
         self.timer: asyncio.TimerHandle | None = None
 
-    def _read(self) -> state.FairKept | None:
+    def _read(self) -> persistence.FairKept | None:
         if not self.path:
             return None
         try:
-            content = snapshot.read(self.path)
-            return None if content is None else state.read(content, time.time_ns(), self.rules.by)
-        except state.Unfit as error:
+            content = snapshot_file.read(self.path)
+            return None if content is None else persistence.read(content, time.time_ns(), self.rules.by)
+        except persistence.Unfit as error:
             self.node.log.say("the snapshot of shares is not taken", why=str(error))
-        except (snapshot.SnapshotError, OSError) as error:
-            aside = snapshot.set_aside(self.path)
+        except (snapshot_file.SnapshotError, OSError) as error:
+            aside = snapshot_file.set_aside(self.path)
             self.node.log.say("the snapshot of shares is set aside", why=str(error), file=aside)
         return None
 
@@ -47,7 +47,7 @@
         """The decisions are there: they begin with what an earlier process knew."""
         fair = self.node.host.keel.fair
         if self.found and fair:
-            state.take_up(self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises)
+            persistence.take_up(self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises)
             self.node.log.say(
                 "the snapshot of shares is taken",
                 senders=len(fair.levels.tables[-1].senders),
@@ -67,9 +67,9 @@
         if not self.path or fair is None:
             return
         try:
-            snapshot.write(
+            snapshot_file.write(
                 self.path,
-                state.kept(
+                persistence.kept(
                     time.monotonic_ns(),
                     time.time_ns(),
                     self.rules.by,
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -6,17 +6,17 @@
 import time
 from collections.abc import Callable
 
-from oakkeel.bounds import SECOND
+from oakkeel.admission import Keel
+from oakkeel.admission.types import Gauges
 from oakkeel.directory.reports import Reports
 from oakkeel.dispatch.listener import Listener
 from oakkeel.engine.link import EngineLink
-from oakkeel.exchange import Event, LiveExchange
-from oakkeel.interface import Gauges
 from oakkeel.log import Log, fault
-from oakkeel.node.measures import Measures
-from oakkeel.node.results import ResultCache
-from oakkeel.node.start import Start
-from oakkeel.policy import Keel
+from oakkeel.node.configuration import Start
+from oakkeel.node.metrics import Measures
+from oakkeel.node.response_cache import ResultCache
+from oakkeel.request import Event, LiveExchange
+from oakkeel.resource_limits import SECOND
 
 
 class NodeHost:
--- a/oakkeel/node/assembly.py
+++ b/oakkeel/node/node.py
@@ -8,22 +8,22 @@
 import signal
 import time
 
-from oakkeel.bounds import SECOND
 from oakkeel.catalogue.links import Catalogue
 from oakkeel.directory.reports import Reports
 from oakkeel.dispatch.codec import ExchangeReader
 from oakkeel.dispatch.listener import Listener
 from oakkeel.engine.link import EngineLink
-from oakkeel.exchange import Event, LiveExchange
-from oakkeel.limits import LimitsError
 from oakkeel.log import Log
+from oakkeel.node.configuration import Start, read_start
 from oakkeel.node.drain import Drain
-from oakkeel.node.handler import ExchangeHandler
 from oakkeel.node.host import NodeHost
-from oakkeel.node.measures import Measures
-from oakkeel.node.results import ResultCache
-from oakkeel.node.start import Start, read_start
-from oakkeel.streams import BufferPool
+from oakkeel.node.metrics import Measures
+from oakkeel.node.request_handler import ExchangeHandler
+from oakkeel.node.response_cache import ResultCache
+from oakkeel.node_limits import LimitsError
+from oakkeel.request import Event, LiveExchange
+from oakkeel.resource_limits import SECOND
+from oakkeel.stream_buffers import BufferPool
 
 SIGNALS = (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
 
@@ -52,12 +52,14 @@
         self.draining = Drain(self, start.limits.drain_grace, bounds.stop_after)
         self.fairly = None
         if start.limits.fair:
-            from oakkeel.node.fairly import FairNode  # it brings libraries that a plain node spares
+            from oakkeel.node.fair_sharing import FairNode  # it brings libraries that a plain node spares
 
             self.fairly = FairNode(self, start.limits.fair, start.snapshot)
         self.control = None
         if start.control:
-            from oakkeel.node.controlled import open_control  # it brings libraries that a plain node spares
+            from oakkeel.node.control_endpoint import (
+                open_control,  # it brings libraries that a plain node spares
+            )
 
             self.control = open_control(self)
         self.handler = ExchangeHandler(
--- a/oakkeel/node/outcomes.py
+++ b/oakkeel/node/outcome_counters.py
@@ -7,7 +7,7 @@
 
 import math
 
-from oakkeel.interface import Exchange
+from oakkeel.admission.types import Exchange
 
 SECOND = 1_000_000_000
 MOST_GROUPS = 16  # the first ones seen; a report has room for no more
--- a/oakkeel/node/handler.py
+++ b/oakkeel/node/request_handler.py
@@ -4,15 +4,15 @@
 
 import time
 
+from oakkeel.admission.types import Outcome, State
 from oakkeel.catalogue.links import Catalogue
 from oakkeel.dispatch import codec
 from oakkeel.engine.link import EngineLink
-from oakkeel.exchange import Event, LiveExchange
-from oakkeel.interface import Outcome, State
 from oakkeel.log import Log, fault
 from oakkeel.node.host import NodeHost
-from oakkeel.node.measures import Measures
-from oakkeel.node.results import ResultCache
+from oakkeel.node.metrics import Measures
+from oakkeel.node.response_cache import ResultCache
+from oakkeel.request import Event, LiveExchange
 
 OVER = (None,)
 
--- a/oakkeel/node/results.py
+++ b/oakkeel/node/response_cache.py
@@ -5,9 +5,9 @@
 import time
 from hashlib import blake2b
 
-from oakkeel.bounds import Bounds
-from oakkeel.exchange import Event, LiveExchange
-from oakkeel.interface import Outcome
+from oakkeel.admission.types import Outcome
+from oakkeel.request import Event, LiveExchange
+from oakkeel.resource_limits import Bounds
 
 Key = tuple[int, bytes, bytes]  # endpoint group, tenant, key: nobody gets another tenant's result
 
--- a/oakkeel/limits.py
+++ b/oakkeel/node_limits.py
@@ -7,7 +7,7 @@
 
 from typing import Any, NoReturn
 
-from oakkeel.interface import AdviceKind, Below, Effect, EndpointGroup, NodeLimits, StopKind, Tenant
+from oakkeel.admission.types import AdviceKind, Below, Effect, EndpointGroup, NodeLimits, StopKind, Tenant
 
 EFFECTS = {
     "read_like": Effect.REPEATABLE,
--- a/oakkeel/changes/leading.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from oakkeel.changes.register import Change, Decide, InForce, Refuse, Register
-from oakkeel.places.granting import Terms
+from oakkeel.disruption.allocator import Terms
+from oakkeel.policy_change.state_machine import Change, Decide, InForce, Refuse, Register
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/oakkeel/changes/holding.py
+++ b/oakkeel/policy_change/policy_lease.py
@@ -8,7 +8,7 @@
 
 from enum import Enum
 
-from oakkeel.changes.leading import Heard, Told
+from oakkeel.policy_change.coordinator import Heard, Told
 
 
 class Standing(Enum):
--- a/oakkeel/changes/register.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -15,10 +15,10 @@
 import blake3
 import msgspec
 
-from oakkeel.places import commands as places
-from oakkeel.places.ledger import Refusal
+from oakkeel.disruption import commands as places
+from oakkeel.disruption.state_machine import Refusal
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.book import Book, HeldMore
+from oakkeel.rollout.state_machine import Book, HeldMore
 
 MOST_BYTES = 64 * 1024  # of one version
 MOST_KEPT = 64  # versions
--- a/oakkeel/record/leading.py
+++ b/oakkeel/raft/leader.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from oakkeel.record.log import Log
-from oakkeel.record.pace import Pace
-from oakkeel.record.words import MOST_BATCH, Append, Appended, Member, Piece, Taken, Word, encode_members
+from oakkeel.raft.log import Log
+from oakkeel.raft.messages import MOST_BATCH, Append, Appended, Member, Piece, Taken, Word, encode_members
+from oakkeel.raft.timeouts import Pace
 
 NEVER = 1 << 62
 
--- a/oakkeel/record/log.py
+++ b/oakkeel/raft/log.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from oakkeel.record.words import MOST_BATCH, MOST_ENTRIES, Entry, Kind, Member, read_members
+from oakkeel.raft.messages import MOST_BATCH, MOST_ENTRIES, Entry, Kind, Member, read_members
 
 
 @dataclass(slots=True, frozen=True)
--- a/oakkeel/record/disk.py
+++ b/oakkeel/raft/memory_storage.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field, replace
 
-from oakkeel.record.keeper import Durable, Keep
-from oakkeel.record.log import Snapshot
-from oakkeel.record.words import Entry
+from oakkeel.raft.log import Snapshot
+from oakkeel.raft.messages import Entry
+from oakkeel.raft.replica import Durable, Keep
 
 
 @dataclass(slots=True)
--- a/oakkeel/record/keeper.py
+++ b/oakkeel/raft/replica.py
@@ -21,10 +21,9 @@
 from random import Random
 from typing import Any, ClassVar, Protocol
 
-from oakkeel.record.leading import Leading
-from oakkeel.record.log import Log, Snapshot
-from oakkeel.record.pace import Pace
-from oakkeel.record.words import (
+from oakkeel.raft.leader import Leading
+from oakkeel.raft.log import Log, Snapshot
+from oakkeel.raft.messages import (
     MOST_COMMAND,
     Append,
     Appended,
@@ -41,6 +40,7 @@
     Vote,
     Word,
 )
+from oakkeel.raft.timeouts import Pace
 
 SPENT = "?"  # a vote that may have been given and is forgotten
 MOST_SNAPSHOT = 32 * 1024 * 1024  # bytes
--- a/oakkeel/record/kept.py
+++ b/oakkeel/raft/storage.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from oakkeel.record.keeper import Durable, Keep
-from oakkeel.record.log import Snapshot
-from oakkeel.record.words import Entry, encode_members, read_members
-from oakkeel.store.durable import Statement, Store
+from oakkeel.raft.log import Snapshot
+from oakkeel.raft.messages import Entry, encode_members, read_members
+from oakkeel.raft.replica import Durable, Keep
+from oakkeel.store.database import Statement, Store
 
 VERSION = 1
 MOST_BYTES = 256 * 1024 * 1024
--- a/oakkeel/tables/record.py
+++ b/oakkeel/rendering/control_plane.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from oakkeel.agent import messages
-from oakkeel.tables.times import span
+from oakkeel.rendering.times import span
 
 COLOURS = {
     "done": "green",
--- a/oakkeel/tables/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -7,7 +7,7 @@
 
 from oakkeel.control.messages import ClientsTold
 from oakkeel.fleet.view import Row
-from oakkeel.tables.times import span
+from oakkeel.rendering.times import span
 
 COLOURS = {
     "serving": "green",
--- a/oakkeel/tables/release.py
+++ b/oakkeel/rendering/rollout.py
@@ -11,7 +11,7 @@
 from rich.text import Text
 
 from oakkeel.agent import messages
-from oakkeel.tables.times import span
+from oakkeel.rendering.times import span
 
 COLOURS = {"old": "", "changing": "yellow", "new": "green"}
 OF_STATES = {"done": "green", "undone": "cyan", "halted": "red", "left": "yellow", "paused": "yellow"}
--- a/oakkeel/exchange.py
+++ b/oakkeel/request.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from oakkeel.interface import Exchange
+from oakkeel.admission.types import Exchange
 
 
 class Event(Enum):
--- a/oakkeel/rollout/fitting.py
+++ b/oakkeel/rollout/assignments.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from oakkeel.rollout.commands import What
-from oakkeel.rollout.words import Run, Told, encode, read_heard
+from oakkeel.rollout.messages import Run, Told, encode, read_heard
 
 
 @dataclass(slots=True, frozen=True)
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from oakkeel.places import commands as places
+from oakkeel.disruption import commands as places
 
 MOST_THINGS = places.MOST_THINGS
 
--- a/oakkeel/rollout/driver.py
+++ b/oakkeel/rollout/controller.py
@@ -9,16 +9,16 @@
 
 import msgspec
 
-from oakkeel.places import commands as places
-from oakkeel.places.granting import Granting
-from oakkeel.places.lease import LeaseHeld
-from oakkeel.places.ledger import OPEN, Refusal
-from oakkeel.places.words import Poll
+from oakkeel.disruption import commands as places
+from oakkeel.disruption.allocator import Granting
+from oakkeel.disruption.lease_holder import LeaseHeld
+from oakkeel.disruption.messages import Poll
+from oakkeel.disruption.state_machine import OPEN, Refusal
 from oakkeel.rollout import commands
-from oakkeel.rollout.book import LEASE, Book, Release
 from oakkeel.rollout.gates import Answer, Gate
+from oakkeel.rollout.messages import Heard, encode, read_told
 from oakkeel.rollout.plan import Planner, Seen
-from oakkeel.rollout.words import Heard, encode, read_told
+from oakkeel.rollout.state_machine import LEASE, Book, Release
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from oakkeel.places.layout import Layout, Out
+from oakkeel.disruption.topology import Layout, Out
 
 SECOND = 1_000_000_000
 OLD = 3 * SECOND  # news of that age say nothing of now
--- a/oakkeel/rollout/book.py
+++ b/oakkeel/rollout/state_machine.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from oakkeel.places import commands as places
-from oakkeel.places.ledger import Held, Ledger, Order, Refusal
+from oakkeel.disruption import commands as places
+from oakkeel.disruption.state_machine import Held, Ledger, Order, Refusal
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import MOST_THINGS, Pace, What
 
--- a/oakkeel/settings/keys.py
+++ b/oakkeel/settings/keys.py
@@ -4,7 +4,7 @@
 
 import os
 
-from oakkeel.sealing.marks import SECRET, Key, Role
+from oakkeel.authentication.mac import SECRET, Key, Role
 from oakkeel.settings.fleet import Fleet, KeyFile, Operator, SettingsError
 
 AGENT = "agent:"  # before the names of hosts, so that no operator's key has the same
--- a/oakkeel/simhost/__init__.py
+++ b/oakkeel/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that lets the bench's simulated nodes be decided by `oakkeel.policy`."""
+"""The adapter that lets the bench's simulated nodes be decided by `oakkeel.admission`."""
--- a/oakkeel/simhost/__main__.py
+++ b/oakkeel/simulator_adapter/__main__.py
@@ -1,12 +1,12 @@
-"""`python -m oakkeel.simhost`: batches on standard input, one reply each on standard output."""
+"""`python -m oakkeel.simulator_adapter`: batches on standard input, one reply each on standard output."""
 
 from __future__ import annotations
 
 import gc
 import sys
 
-from oakkeel.simhost.table import InstanceTable
-from oakkeel.simhost.wire import WireError, read_frame
+from oakkeel.simulator_adapter.table import InstanceTable
+from oakkeel.simulator_adapter.wire import WireError, read_frame
 
 
 def main() -> int:
--- a/oakkeel/simhost/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from oakkeel.interface import Effect, Exchange, Gauges, Outcome
-from oakkeel.limits import LimitsError, Pairs, read_limits
-from oakkeel.policy import Keel
-from oakkeel.simhost import wire
+from oakkeel.admission import Keel
+from oakkeel.admission.types import Effect, Exchange, Gauges, Outcome
+from oakkeel.node_limits import LimitsError, Pairs, read_limits
+from oakkeel.simulator_adapter import wire
 
 OUTCOMES = {
     200: Outcome.COMPLETED,
--- a/oakkeel/simhost/table.py
+++ b/oakkeel/simulator_adapter/table.py
@@ -5,8 +5,8 @@
 import struct
 from collections.abc import Callable
 
-from oakkeel.simhost import wire
-from oakkeel.simhost.instance import OUTCOMES, Instance
+from oakkeel.simulator_adapter import wire
+from oakkeel.simulator_adapter.instance import OUTCOMES, Instance
 
 
 class InstanceTable:
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -16,8 +16,8 @@
 import unittest
 from dataclasses import replace
 
-from oakkeel.dispatch.resp import encode
-from oakkeel.interface import (
+from oakkeel.admission import MS, SECOND, Keel
+from oakkeel.admission.types import (
     AdviceKind,
     Below,
     Effect,
@@ -30,7 +30,7 @@
     StopKind,
     Tenant,
 )
-from oakkeel.policy import MS, SECOND, Keel
+from oakkeel.dispatch.resp import encode
 
 LIMITS = NodeLimits(
     cores=4,
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -14,22 +14,22 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.agent import Agent
-from oakkeel.agent.door import Door
 from oakkeel.agent.instances import Phase
-from oakkeel.agent.kept import SCHEMA, VERSION
 from oakkeel.agent.processes import Process, Processes, started
-from oakkeel.agent.supervision import MS, SECOND, Patience
+from oakkeel.agent.server import Door
+from oakkeel.agent.storage import SCHEMA, VERSION
+from oakkeel.agent.supervisor import MS, SECOND, Patience
+from oakkeel.authentication.framing import HELLO, REFUSED, frame
+from oakkeel.authentication.mac import Key, Role
 from oakkeel.control.messages import Report
-from oakkeel.fleet.agents import AgentError, AgentRefused, Agents, ask_one
+from oakkeel.fakes.crashing import PROGRAM
+from oakkeel.fakes.site import Site
+from oakkeel.fleet.agent_clients import AgentError, AgentRefused, Agents, ask_one
 from oakkeel.fleet.view import View
 from oakkeel.log import Log
-from oakkeel.sealing.frames import HELLO, REFUSED, frame
-from oakkeel.sealing.marks import Key, Role
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import key_of, read_keys, write_key
-from oakkeel.standins.crashing import PROGRAM
-from oakkeel.standins.site import Site
-from oakkeel.store.durable import Store, StoreError
+from oakkeel.store.database import Store, StoreError
 
 WAIT = 20.0
 FAST = Patience(silent=400 * MS, start=3 * SECOND, stuck=60 * SECOND, drain=SECOND, backoff=50 * MS)
@@ -224,7 +224,7 @@
         first = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "oakkeel.standins.crashing",
+            "oakkeel.fakes.crashing",
             self.site.settings,
             "wb1",
             stderr=subprocess.PIPE,
@@ -383,7 +383,7 @@
                     agent = await asyncio.create_subprocess_exec(
                         sys.executable,
                         "-m",
-                        "oakkeel.standins.crashing",
+                        "oakkeel.fakes.crashing",
                         site.settings,
                         "wb1",
                         *([str(crash)] if agent is None else []),
@@ -444,7 +444,8 @@
         await self.serving(agent)
         recorded: list[bytes] = []
         with mock.patch(
-            "oakkeel.sealing.link.frame", lambda content: recorded.append(frame(content)) or recorded[-1]
+            "oakkeel.authentication.client.frame",
+            lambda content: recorded.append(frame(content)) or recorded[-1],
         ):
             await self.ask(messages.Order("o1", "start", [("n1", 1)], SECOND))
         generation = self.of(agent, "n1").generation
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -3,15 +3,15 @@
 import unittest
 from unittest import mock
 
-from oakkeel.audit.changes import ChangeAudit
-from oakkeel.changes.holding import AgentPolicy, NodePolicy, Standing
-from oakkeel.changes.leading import LEASE, Changing, Heard, Told
-from oakkeel.changes.register import Decide, InForce, Policy, Propose, Refuse, Register, Withdraw
-from oakkeel.emulator.changing import Host, World
-from oakkeel.models import changes as model
-from oakkeel.places import commands
-from oakkeel.places.granting import Terms
-from oakkeel.places.ledger import Refusal
+from oakkeel.disruption import commands
+from oakkeel.disruption.allocator import Terms
+from oakkeel.disruption.state_machine import Refusal
+from oakkeel.emulator.policy_change import Host, World
+from oakkeel.invariants.policy_change import ChangeAudit
+from oakkeel.models import policy_change as model
+from oakkeel.policy_change.coordinator import LEASE, Changing, Heard, Told
+from oakkeel.policy_change.policy_lease import AgentPolicy, NodePolicy, Standing
+from oakkeel.policy_change.state_machine import Decide, InForce, Policy, Propose, Refuse, Register, Withdraw
 
 SECOND = 1_000_000_000
 DRIFT = Terms().drift
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,10 +13,10 @@
 from click import Command, Group
 
 from oakkeel.cli.main import main
-from oakkeel.standins.crowd import Polite
-from oakkeel.standins.dispatcher import Dispatcher
-from oakkeel.standins.faults import Fault
-from oakkeel.standins.site import Site
+from oakkeel.fakes.dispatcher import Dispatcher
+from oakkeel.fakes.faults import Fault
+from oakkeel.fakes.load_clients import Polite
+from oakkeel.fakes.site import Site
 from tests.test_agent import WAIT, AgentStory
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -24,26 +24,26 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.bounds import Bounds
-from oakkeel.changes import leading
-from oakkeel.changes.register import Register
+from oakkeel.authentication.mac import Sealed
 from oakkeel.control import messages as control
 from oakkeel.dispatch import codec, resp
-from oakkeel.limits import Pairs, read_limits
-from oakkeel.places.ledger import Refusal
-from oakkeel.record import words
-from oakkeel.rollout import words as release_words
-from oakkeel.rollout.book import Book
+from oakkeel.disruption.state_machine import Refusal
+from oakkeel.fair_sharing import persistence
+from oakkeel.fakes.rig import Rig
+from oakkeel.fakes.site import Site
+from oakkeel.node_limits import Pairs, read_limits
+from oakkeel.policy_change import coordinator
+from oakkeel.policy_change.state_machine import Register
+from oakkeel.raft import messages as raft_messages
+from oakkeel.resource_limits import Bounds
+from oakkeel.rollout import messages as release_words
 from oakkeel.rollout.gates import State
-from oakkeel.sealing.marks import Sealed
+from oakkeel.rollout.state_machine import Book
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import write_key
-from oakkeel.shares import state
-from oakkeel.simhost import wire
-from oakkeel.simhost.table import InstanceTable
-from oakkeel.standins.rig import Rig
-from oakkeel.standins.site import Site
-from oakkeel.store import snapshot
+from oakkeel.simulator_adapter import wire
+from oakkeel.simulator_adapter.table import InstanceTable
+from oakkeel.store import snapshot_file
 from tests.fake import NodeStory, words_of
 from tests.test_agent import AgentStory
 from tests.test_rig import SUPERVISION
@@ -101,9 +101,9 @@
     "release status": lambda content: release_words.encode(release_words.read_told(content)),
     "release assignment": lambda content: release_words.encode(release_words.read_heard(content)),
     "gate progress": of_type(State),
-    "policy lease status": of_type(leading.Told),
-    "policy lease": of_type(leading.Heard),
-    "members": lambda content: words.encode_members(words.read_members(content)),
+    "policy lease status": of_type(coordinator.Told),
+    "policy lease": of_type(coordinator.Heard),
+    "members": lambda content: raft_messages.encode_members(raft_messages.read_members(content)),
     "authenticated frame": of_type(Sealed),
 }
 
@@ -170,12 +170,12 @@
         self.assertEqual([leaf.replace(str(DATA), "HERE") for leaf in leaves(fleet)], load("settings.json"))
 
     def test_a_snapshot_of_fair_shares_is_read_and_written_with_the_same_bytes(self):
-        content = snapshot.read(str(DATA / "fair-shares.snapshot"))
-        found = state.read(content, 1_700_000_001_000_000_000, ("tenant", "via"))
+        content = snapshot_file.read(str(DATA / "fair-shares.snapshot"))
+        found = persistence.read(content, 1_700_000_001_000_000_000, ("tenant", "via"))
         self.assertEqual(msgspec.msgpack.encode(found), content)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "snapshot"
-            snapshot.write(str(path), content)
+            snapshot_file.write(str(path), content)
             self.assertEqual(path.read_bytes(), (DATA / "fair-shares.snapshot").read_bytes())
 
     def test_a_key_file_is_written_with_the_same_bytes(self):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -253,7 +253,7 @@
             self.assertEqual(file.read(), b"")
         with open(f"/proc/{self.process.pid}/maps", encoding="utf-8") as file:
             self.assertRegex(file.read(), r"/ld-linux|/ld-musl")  # linked dynamically
-        self.assertIn("oakkeel.node.assembly", loaded)
+        self.assertIn("oakkeel.node.node", loaded)
         unwanted = (
             "msgspec",
             "blake3",
@@ -261,12 +261,12 @@
             "click",
             "sqlite3",
             "oakkeel.agent",
-            "oakkeel.record",
-            "oakkeel.places",
+            "oakkeel.raft",
+            "oakkeel.disruption",
             "oakkeel.control",
             "oakkeel.settings",
-            "oakkeel.node.fairly",
-            "oakkeel.node.controlled",
+            "oakkeel.node.fair_sharing",
+            "oakkeel.node.control_endpoint",
             "subprocess._",
             "multiprocessing",
         )
@@ -293,7 +293,7 @@
 
     def test_a_plain_node_loads_none_of_what_agents_and_commands_need(self):
         code = (
-            "import sys, oakkeel.__main__, oakkeel.node.assembly\n"
+            "import sys, oakkeel.__main__, oakkeel.node.node\n"
             "print([name for name in ('msgspec', 'click', 'rich', 'lxml', 'blake3', 'sqlite3',"
             " 'oakkeel.agent', 'oakkeel.cli') if sys.modules.get(name)])"
         )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,6 @@
 import weakref
 from dataclasses import replace
 
-from oakkeel.bounds import MS, SECOND, Bounds
 from oakkeel.dispatch import codec
 from oakkeel.dispatch.codec import ExchangeReader
 from oakkeel.dispatch.connection import Connection, Phase
@@ -23,7 +22,8 @@
 from oakkeel.dispatch.resp import encode
 from oakkeel.log import Log
 from oakkeel.node.drain import Drain, Leaving
-from oakkeel.streams import BufferPool
+from oakkeel.resource_limits import MS, SECOND, Bounds
+from oakkeel.stream_buffers import BufferPool
 from tests.fake import WAIT, FakeHost
 
 BOUNDS = Bounds(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -3,13 +3,13 @@
 import unittest
 from unittest import mock
 
-from oakkeel.emulator.audit import Audit
-from oakkeel.emulator.callers import Manners, Way
+from oakkeel.admission import Keel
+from oakkeel.emulator.clients import Manners, Way
 from oakkeel.emulator.clock import SECOND, Clock
-from oakkeel.emulator.day import Day, Event, Played, Trouble, play
+from oakkeel.emulator.invariants import Audit
 from oakkeel.emulator.machines import Machine
 from oakkeel.emulator.nodes import MS, Node
-from oakkeel.policy import Keel
+from oakkeel.emulator.scenario import Day, Event, Played, Trouble, play
 
 SHORT = Day(nodes=2, dispatchers=2, seconds=4.0)
 
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -12,15 +12,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.interface import FairRules, Place
-from oakkeel.policy import MS, SECOND
-from oakkeel.shares import state
-from oakkeel.shares.heavy import HeavySenders
-from oakkeel.shares.keys import SECRET, SenderKeys
-from oakkeel.shares.levels import Levels, fill
-from oakkeel.shares.promises import EACH, Promises
-from oakkeel.standins.world import Client, World, fair_share, jain
-from oakkeel.store import snapshot
+from oakkeel.admission import MS, SECOND
+from oakkeel.admission.types import FairRules, Place
+from oakkeel.fair_sharing import persistence
+from oakkeel.fair_sharing.heavy_hitters import HeavySenders
+from oakkeel.fair_sharing.keys import SECRET, SenderKeys
+from oakkeel.fair_sharing.max_min import Levels, fill
+from oakkeel.fair_sharing.reservations import EACH, Promises
+from oakkeel.fakes.simulated_node import Client, World, fair_share, jain
+from oakkeel.store import snapshot_file
 from tests.fake import NodeStory
 
 LONG = 10**9 * SECOND  # a half-life in which nothing fades
@@ -310,14 +310,14 @@
 
     def content(self, made: World, unix: int = 10**18) -> bytes:
         fair = made.keel.fair
-        return state.kept(made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises)
+        return persistence.kept(made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises)
 
     def test_a_restart_forgives_nobody_and_breaks_no_promise(self):
         made, again = self.filled(), world()
         content = self.content(made)
-        found = state.read(content, 10**18 + SECOND, ("caller",))
+        found = persistence.read(content, 10**18 + SECOND, ("caller",))
         fair, old = again.keel.fair, made.keel.fair
-        state.take_up(found, again.now, 10**18 + SECOND, fair.levels, fair.promises)
+        persistence.take_up(found, again.now, 10**18 + SECOND, fair.levels, fair.promises)
         key = max(old.levels.tables[0].senders.values(), key=lambda each: each.count).key
         before = old.levels.tables[0].rate(made.now, old.levels.tables[0].senders[key])
         after = fair.levels.tables[0].rate(again.now, fair.levels.tables[0].senders[key])
@@ -335,22 +335,22 @@
             (10**18 + 61 * SECOND, ("caller",)),
             (10**18, ("tenant",)),
         ):
-            with self.assertRaises(state.Unfit):
-                state.read(content, unix, by)
-        with self.assertRaises(state.Unfit):
-            state.read(content[:50], 10**18, ("caller",))
+            with self.assertRaises(persistence.Unfit):
+                persistence.read(content, unix, by)
+        with self.assertRaises(persistence.Unfit):
+            persistence.read(content[:50], 10**18, ("caller",))
 
     def test_a_file_cut_in_half_or_with_one_bit_changed_is_told_from_a_whole_one(self):
-        snapshot.write(self.path, b"content" * 100)
-        self.assertEqual(snapshot.read(self.path), b"content" * 100)
+        snapshot_file.write(self.path, b"content" * 100)
+        self.assertEqual(snapshot_file.read(self.path), b"content" * 100)
         with open(self.path, "rb") as file:
             whole = file.read()
         for spoilt in (whole[: len(whole) // 2], whole[:-1] + bytes([whole[-1] ^ 1]), b"", b"x" * 100):
             with open(self.path, "wb") as file:
                 file.write(spoilt)
-            with self.assertRaises(snapshot.SnapshotError):
-                snapshot.read(self.path)
-        self.assertIsNone(snapshot.read(self.path + "x"))
+            with self.assertRaises(snapshot_file.SnapshotError):
+                snapshot_file.read(self.path)
+        self.assertIsNone(snapshot_file.read(self.path + "x"))
 
 
 class FairNodeStories(NodeStory):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,15 +11,15 @@
 from hypothesis import strategies as st
 
 from oakkeel.agent import messages
-from oakkeel.fleet.asking import MS, Asked, Asking
-from oakkeel.fleet.choosing import Choice, ChoiceError, by_host, taken_out
-from oakkeel.fleet.following import Following, Result
+from oakkeel.authentication.mac import NONCE, Key, Receiver, Refused, Role, Sender
+from oakkeel.fleet.fan_out import MS, Asked, Asking
+from oakkeel.fleet.order_tracking import Following, Result
+from oakkeel.fleet.selection import Choice, ChoiceError, by_host, taken_out
 from oakkeel.fleet.view import SECOND, View
-from oakkeel.sealing.marks import NONCE, Key, Receiver, Refused, Role, Sender
 from oakkeel.settings.fleet import Asking as HowToAsk
 from oakkeel.settings.fleet import Fleet, HostSettings, InstanceSettings, SettingsError, read_fleet, split
 from oakkeel.settings.keys import key_of, read_keys, write_key
-from oakkeel.store.durable import Store, StoreError
+from oakkeel.store.database import Store, StoreError
 
 
 class AskingStories(unittest.TestCase):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,21 +8,21 @@
 import unittest
 import unittest.mock
 
-from oakkeel.bounds import MS, SECOND, Bounds
+from oakkeel.admission.types import Outcome, State
 from oakkeel.catalogue.links import Catalogue
 from oakkeel.directory.reports import Reports
 from oakkeel.dispatch.listener import Listener
 from oakkeel.dispatch.resp import arrays, encode
 from oakkeel.engine.link import EngineLink
-from oakkeel.exchange import Event, LiveExchange
-from oakkeel.interface import Outcome, State
-from oakkeel.limits import Pairs, flatten, read_limits
-from oakkeel.lines import LineParser
+from oakkeel.line_protocol import LineParser
 from oakkeel.log import Log
-from oakkeel.node.handler import ExchangeHandler
-from oakkeel.node.measures import Measures
-from oakkeel.node.results import ResultCache
-from oakkeel.streams import BufferPool, Malformed, ReadBuffer
+from oakkeel.node.metrics import Measures
+from oakkeel.node.request_handler import ExchangeHandler
+from oakkeel.node.response_cache import ResultCache
+from oakkeel.node_limits import Pairs, flatten, read_limits
+from oakkeel.request import Event, LiveExchange
+from oakkeel.resource_limits import MS, SECOND, Bounds
+from oakkeel.stream_buffers import BufferPool, Malformed, ReadBuffer
 from tests.fake import GROUP, TOLD, WAIT, FakeHost, replace
 
 BOUNDS = Bounds(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -2,38 +2,40 @@
 
 import unittest
 
-from oakkeel.models import drains, places, votes
-from oakkeel.places.granting import Terms
-from oakkeel.record.pace import Pace
+from oakkeel.disruption.allocator import Terms
+from oakkeel.models import disruption, drains, elections
+from oakkeel.raft.timeouts import Pace
 
 
 class VoteModels(unittest.TestCase):
     def test_no_run_has_two_leaders_of_one_term(self):
-        self.assertFalse(votes.two_leaders(4, votes.RULES))
+        self.assertFalse(elections.two_leaders(4, elections.RULES))
 
     def test_with_two_votes_a_term_or_a_forgotten_one_there_are_two(self):
-        self.assertTrue(votes.two_leaders(2, votes.RULES - {"one vote"}))
-        self.assertTrue(votes.two_leaders(3, votes.RULES | {"forgets"}))  # why a lost file is a new member
+        self.assertTrue(elections.two_leaders(2, elections.RULES - {"one vote"}))
+        self.assertTrue(
+            elections.two_leaders(3, elections.RULES | {"forgets"})
+        )  # why a lost file is a new member
 
     def test_no_run_loses_what_was_agreed(self):
-        self.assertFalse(votes.agreed_is_lost(5, votes.RULES))
+        self.assertFalse(elections.agreed_is_lost(5, elections.RULES))
 
     def test_with_votes_for_any_log_it_is_lost(self):
-        self.assertTrue(votes.agreed_is_lost(5, votes.RULES - {"current log"}))
+        self.assertTrue(elections.agreed_is_lost(5, elections.RULES - {"current log"}))
 
 
 class PlaceModels(unittest.TestCase):
     def test_nobody_begins_after_a_place_has_lapsed(self):
         terms = Terms()
         good, lapse = terms.good / 1e9, terms.lapse / 1e9
-        self.assertFalse(places.begun_after_lapse(good, lapse, terms.drift))
-        self.assertTrue(places.begun_after_lapse(good, good, terms.drift))
-        self.assertTrue(places.begun_after_lapse(good, lapse, terms.drift, "came"))
+        self.assertFalse(disruption.begun_after_lapse(good, lapse, terms.drift))
+        self.assertTrue(disruption.begun_after_lapse(good, good, terms.drift))
+        self.assertTrue(disruption.begun_after_lapse(good, lapse, terms.drift, "came"))
 
     def test_a_leader_is_never_sure_beyond_its_time(self):
         pace = Pace()
-        self.assertFalse(places.two_hold_a_lease(pace.lease / 1e9, pace.least / 1e9, pace.drift))
-        self.assertTrue(places.two_hold_a_lease(pace.least / 1e9, pace.least / 1e9, pace.drift))
+        self.assertFalse(disruption.two_hold_a_lease(pace.lease / 1e9, pace.least / 1e9, pace.drift))
+        self.assertTrue(disruption.two_hold_a_lease(pace.least / 1e9, pace.least / 1e9, pace.drift))
 
 
 class DrainModels(unittest.TestCase):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from oakkeel.interface import AdviceKind, Below, Effect, Gauges, Outcome, State, StopKind
-from oakkeel.policy.ladder import CALLERS_MOST, MS, SECOND, Stage, climb
+from oakkeel.admission.controller import CALLERS_MOST, MS, SECOND, Stage, climb
+from oakkeel.admission.types import AdviceKind, Below, Effect, Gauges, Outcome, State, StopKind
 from tests.fake import FakeHost
 
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -17,26 +17,26 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from oakkeel.agent.instances import Instance, Phase
+from oakkeel.agent.leader_locator import Whom
 from oakkeel.agent.orders import Orders, PartState, Verb
-from oakkeel.agent.supervision import Patience, Supervision
-from oakkeel.agent.whom import Whom
-from oakkeel.audit.agreement import AgreementAudit
-from oakkeel.emulator.agreement import play, smallest
-from oakkeel.emulator.troubles import MS, SECOND, Schedule, Trouble, draw, read
-from oakkeel.places import commands
-from oakkeel.places.granting import Granting, Terms
-from oakkeel.places.holding import Holding
-from oakkeel.places.layout import Group, Layout, Out
-from oakkeel.places.lease import LeaseHeld
-from oakkeel.places.ledger import Ledger, Refusal
-from oakkeel.places.words import Agreed, PlaceTold
-from oakkeel.record import kept
-from oakkeel.record.disk import Disk
-from oakkeel.record.keeper import Durable, Fate, Keep, Keeper, NotLeading, Role
-from oakkeel.record.log import Log, Snapshot
-from oakkeel.record.pace import Pace
-from oakkeel.record.words import Append, Appended, Entry, Hello, Kind, Letter, Member, encode_members
-from oakkeel.store.durable import APPLICATION, Store, StoreError
+from oakkeel.agent.supervisor import Patience, Supervision
+from oakkeel.disruption import commands
+from oakkeel.disruption.allocator import Granting, Terms
+from oakkeel.disruption.holder import Holding
+from oakkeel.disruption.lease_holder import LeaseHeld
+from oakkeel.disruption.messages import Agreed, PlaceTold
+from oakkeel.disruption.state_machine import Ledger, Refusal
+from oakkeel.disruption.topology import Group, Layout, Out
+from oakkeel.emulator.consensus import play, smallest
+from oakkeel.emulator.faults import MS, SECOND, Schedule, Trouble, draw, read
+from oakkeel.invariants.consensus import AgreementAudit
+from oakkeel.raft import storage
+from oakkeel.raft.log import Log, Snapshot
+from oakkeel.raft.memory_storage import Disk
+from oakkeel.raft.messages import Append, Appended, Entry, Hello, Kind, Letter, Member, encode_members
+from oakkeel.raft.replica import Durable, Fate, Keep, Keeper, NotLeading, Role
+from oakkeel.raft.timeouts import Pace
+from oakkeel.store.database import APPLICATION, Store, StoreError
 
 
 class Notes:
@@ -450,8 +450,8 @@
         for _ in range(30):
             if os.path.exists(self.path):
                 os.unlink(self.path)
-            store = Store(self.path, kept.SCHEMA, kept.VERSION)
-            durable = kept.load(store, "a", "a.1")
+            store = Store(self.path, storage.SCHEMA, storage.VERSION)
+            durable = storage.load(store, "a", "a.1")
             disk, log = Disk(durable), Log(Snapshot(0, 0, (), b""), [])
             for _ in range(40):
                 keep = Keep()
@@ -466,37 +466,37 @@
                     keep.entries.append((log.append(entry), entry))
                 if log.entries and random_.random() < 0.2:
                     keep.snapshot = log.fold(random_.randint(log.snapshot.index + 1, log.last), b"all")
-                kept.write(store, durable, keep)
+                storage.write(store, durable, keep)
                 disk.write(durable, keep)
             store.close()
-            store = Store(self.path, kept.SCHEMA, kept.VERSION)
-            self.assertEqual(kept.load(store, "a", "a.2"), disk.load())
-            self.assertEqual(kept.check(disk.load()), "")
+            store = Store(self.path, storage.SCHEMA, storage.VERSION)
+            self.assertEqual(storage.load(store, "a", "a.2"), disk.load())
+            self.assertEqual(storage.check(disk.load()), "")
             store.close()
 
     def test_a_write_that_fails_leaves_nothing_of_it(self):
-        store = Store(self.path, kept.SCHEMA, kept.VERSION)
-        durable = kept.load(store, "a", "a.1")
+        store = Store(self.path, storage.SCHEMA, storage.VERSION)
+        durable = storage.load(store, "a", "a.1")
         pages = store._number("page_count")
         store.base.execute(f"PRAGMA max_page_count = {pages}")
         with self.assertRaises(StoreError):
-            kept.write(
+            storage.write(
                 store, durable, Keep(entries=[(1, Entry(1, 2, b"small")), (2, Entry(1, 2, bytes(100_000)))])
             )
-        self.assertEqual(kept.load(store, "a", "a.2").entries, [])
+        self.assertEqual(storage.load(store, "a", "a.2").entries, [])
 
     def test_a_copy_that_is_put_back_shows_by_how_often_it_was_written(self):
         """Drawn schedule 1008469: with its leader stopped nobody else could know."""
-        store = Store(self.path, kept.SCHEMA, kept.VERSION)
-        witness = kept.Witness(self.path + ".count", store)
-        durable = kept.load(store, "a", "a.1")
-        kept.write(store, durable, Keep(head=True), witness)
+        store = Store(self.path, storage.SCHEMA, storage.VERSION)
+        witness = storage.Witness(self.path + ".count", store)
+        durable = storage.load(store, "a", "a.1")
+        storage.write(store, durable, Keep(head=True), witness)
         store.base.execute("VACUUM INTO ?", (self.path + ".backup",))
-        kept.write(store, durable, Keep(head=True), witness)
+        storage.write(store, durable, Keep(head=True), witness)
         witness.close()
         store.close()
-        again = Store(self.path, kept.SCHEMA, kept.VERSION)
-        self.assertEqual(kept.Witness(self.path + ".count", again).why(), "")
+        again = Store(self.path, storage.SCHEMA, storage.VERSION)
+        self.assertEqual(storage.Witness(self.path + ".count", again).why(), "")
         again.close()
         os.replace(self.path + ".backup", self.path)
         for ending in ("-wal", "-shm"):
@@ -505,23 +505,23 @@
         back = sqlite3.connect(self.path)
         back.execute(f"PRAGMA application_id = {APPLICATION}")
         back.close()
-        old = Store(self.path, kept.SCHEMA, kept.VERSION)
-        self.assertIn("written 1 times, and 2", kept.Witness(self.path + ".count", old).why())
+        old = Store(self.path, storage.SCHEMA, storage.VERSION)
+        self.assertIn("written 1 times, and 2", storage.Witness(self.path + ".count", old).why())
         old.close()
 
     def test_a_power_cut_may_leave_the_count_beside_the_file_behind_and_that_is_no_old_copy(self):
-        store = Store(self.path, kept.SCHEMA, kept.VERSION)
-        witness = kept.Witness(self.path + ".count", store)
-        kept.write(store, kept.load(store, "a", "a.1"), Keep(head=True), witness)
+        store = Store(self.path, storage.SCHEMA, storage.VERSION)
+        witness = storage.Witness(self.path + ".count", store)
+        storage.write(store, storage.load(store, "a", "a.1"), Keep(head=True), witness)
         os.truncate(self.path + ".count", 0)
-        self.assertEqual(kept.Witness(self.path + ".count", store).why(), "")
+        self.assertEqual(storage.Witness(self.path + ".count", store).why(), "")
         store.close()
 
     def test_terms_that_go_back_are_damage(self):
         durable = Durable("a", "a.1", term=3, entries=[Entry(2, 2, b""), Entry(1, 2, b"")])
-        self.assertEqual(kept.check(durable), "terms that go back")
+        self.assertEqual(storage.check(durable), "terms that go back")
         durable.entries = [Entry(1, int(Kind.MEMBERS), b"\xc1")]
-        self.assertRegex(kept.check(durable), "members")
+        self.assertRegex(storage.check(durable), "members")
 
 
 LAYOUT = Layout(
@@ -919,7 +919,7 @@
         first, second = play(schedule)[0], play(read(schedule.told()))[0]
         self.assertEqual((first.clock.happened, first.said), (second.clock.happened, second.said))
         code = (
-            "from oakkeel.emulator.agreement import play; from oakkeel.emulator.troubles import draw\n"
+            "from oakkeel.emulator.consensus import play; from oakkeel.emulator.faults import draw\n"
             "print(play(draw(3))[0].clock.happened)"
         )
         told = {
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,11 +4,11 @@
 from dataclasses import replace
 from types import SimpleNamespace
 
-from oakkeel.bounds import MS, SECOND
+from oakkeel.admission.types import Effect, Outcome
 from oakkeel.dispatch.codec import ExchangeReader
-from oakkeel.exchange import Event
-from oakkeel.interface import Effect, Outcome
-from oakkeel.node.results import ResultCache
+from oakkeel.node.response_cache import ResultCache
+from oakkeel.request import Event
+from oakkeel.resource_limits import MS, SECOND
 from tests.fake import GROUP, FakeHost, NodeStory
 from tests.test_links import BOUNDS, exchange
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -15,16 +15,16 @@
 
 from measure import drain
 from oakkeel.agent import messages
-from oakkeel.audit.logs import audit
-from oakkeel.fleet.agents import NoLeader, ask_one
-from oakkeel.places.granting import Terms
-from oakkeel.places.words import Poll
-from oakkeel.record.words import Hello, Letter
-from oakkeel.sealing.frames import frame
-from oakkeel.sealing.marks import Key, Role
+from oakkeel.authentication.framing import frame
+from oakkeel.authentication.mac import Key, Role
+from oakkeel.disruption.allocator import Terms
+from oakkeel.disruption.messages import Poll
+from oakkeel.fakes.rig import Rig
+from oakkeel.fakes.site import Site, free_port
+from oakkeel.fleet.agent_clients import NoLeader, ask_one
+from oakkeel.invariants.logs import audit
+from oakkeel.raft.messages import Hello, Letter
 from oakkeel.settings.keys import read_agent_keys
-from oakkeel.standins.rig import Rig
-from oakkeel.standins.site import Site, free_port
 
 HOSTS = {f"h{number}": [f"n{number}a", f"n{number}b"] for number in range(1, 6)}
 SITES = {"h1": "woodbrook", "h2": "woodbrook", "h3": "belmont", "h4": "belmont", "h5": "belmont"}
@@ -566,7 +566,7 @@
 
 class RawStories(unittest.IsolatedAsyncioTestCase):
     async def test_a_faulty_link_loses_whole_messages_and_passes_the_others_whole(self):
-        from oakkeel.standins.links import FaultyLink, Way
+        from oakkeel.fakes.faulty_link import FaultyLink, Way
 
         async def echo(reader, writer):
             with contextlib.suppress(asyncio.IncompleteReadError):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,23 +9,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.audit.rollout import ReleaseAudit
-from oakkeel.emulator.agreement import World, play
-from oakkeel.emulator.troubles import Schedule, Trouble, draw
+from oakkeel.disruption import commands as places
+from oakkeel.disruption.state_machine import Order, Refusal
+from oakkeel.disruption.topology import Group, Layout, Out
+from oakkeel.emulator.consensus import World, play
+from oakkeel.emulator.faults import Schedule, Trouble, draw
+from oakkeel.invariants.rollout import ReleaseAudit
 from oakkeel.models import releases as model
-from oakkeel.places import commands as places
-from oakkeel.places.layout import Group, Layout, Out
-from oakkeel.places.ledger import Order, Refusal
 from oakkeel.rollout import commands
-from oakkeel.rollout.book import LEASE, NEXT, OVER, Book, Release
+from oakkeel.rollout.assignments import Fitting
 from oakkeel.rollout.commands import Pace, What
-from oakkeel.rollout.driver import Driver
-from oakkeel.rollout.fitting import Fitting
+from oakkeel.rollout.controller import Driver
 from oakkeel.rollout.gates import Answer, Figures, Gate
+from oakkeel.rollout.messages import Heard, encode
 from oakkeel.rollout.plan import OLD, Planner, Seen
 from oakkeel.rollout.sequential import Difference, Events, Sums
-from oakkeel.rollout.words import Heard, encode
-from oakkeel.store.contents import Content, ContentError, Contents, hash_folder, merged
+from oakkeel.rollout.state_machine import LEASE, NEXT, OVER, Book, Release
+from oakkeel.store.content_store import Content, ContentError, Contents, hash_folder, merged
 
 SECOND = 1_000_000_000
 LAYOUT = Layout(
@@ -353,7 +353,7 @@
         again = Book()
         again.restore(self.book.fold())
         self.assertEqual(again.fold(), self.book.fold())
-        from oakkeel.places.ledger import Ledger
+        from oakkeel.disruption.state_machine import Ledger
 
         old = Ledger()
         old.apply(1, places.encode(places.Lay(LAYOUT)))
--- a/tests/test_rollout_rig.py
+++ b/tests/test_rollout_rig.py
@@ -11,13 +11,13 @@
 import time
 
 from oakkeel.agent import messages
-from oakkeel.agent.versions import version_of
-from oakkeel.audit.rollout import runs_by_journals, steps_by_logs
-from oakkeel.fleet.agents import NoLeader
+from oakkeel.agent.artifacts import version_of
+from oakkeel.fakes.downstream_service import Stood
+from oakkeel.fakes.site import free_port
+from oakkeel.fleet.agent_clients import NoLeader
+from oakkeel.invariants.rollout import runs_by_journals, steps_by_logs
 from oakkeel.rollout.commands import Pace, What
-from oakkeel.standins.below import Stood
-from oakkeel.standins.site import free_port
-from oakkeel.store.contents import Contents
+from oakkeel.store.content_store import Contents
 from tests.test_rig import HOSTS, RigStory
 
 SECOND = 1_000_000_000
@@ -41,8 +41,7 @@
         os.makedirs(folder)
         with open(os.path.join(folder, "run"), "w", encoding="ascii") as file:
             file.write(
-                f'#!/bin/sh\n# {name}\nOAKKEEL_BEHAVE="{words}"'
-                f" exec {sys.executable} -m oakkeel.standins.node\n"
+                f'#!/bin/sh\n# {name}\nOAKKEEL_BEHAVE="{words}" exec {sys.executable} -m oakkeel.fakes.node\n'
             )
         os.chmod(os.path.join(folder, "run"), 0o755)
         return What(version_of(folder, ""), folder)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,10 +12,10 @@
 import unittest
 from dataclasses import replace
 
-from oakkeel.bounds import MS, SECOND
 from oakkeel.dispatch.resp import encode
 from oakkeel.engine.link import EngineLink
-from oakkeel.streams import BufferPool, connect
+from oakkeel.resource_limits import MS, SECOND
+from oakkeel.stream_buffers import BufferPool, connect
 from tests.fake import WAIT, NodeStory, until_refused
 from tests.test_control import ControlStory
 from tests.test_links import BOUNDS, LOG, exchange
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -9,7 +9,7 @@
 
 from oakkeel.agent.instances import Goal, Instance, Phase
 from oakkeel.agent.orders import OrderRefused, Orders, PartState, Verb
-from oakkeel.agent.supervision import MS, SECOND, Act, Patience, Supervision
+from oakkeel.agent.supervisor import MS, SECOND, Act, Patience, Supervision
 
 REPORT = object()
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,8 +6,8 @@
 import sys
 import unittest
 
-from oakkeel.simhost import wire
-from oakkeel.simhost.table import InstanceTable
+from oakkeel.simulator_adapter import wire
+from oakkeel.simulator_adapter.table import InstanceTable
 
 SETTINGS = "\n".join(
     (
@@ -36,7 +36,7 @@
 
 def run_adapter(data: bytes) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "oakkeel.simhost"], input=data, capture_output=True, timeout=20
+        [sys.executable, "-m", "oakkeel.simulator_adapter"], input=data, capture_output=True, timeout=20
     )
 
 
