--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -17,21 +17,21 @@
 
 from measure.common import keep, options, processor, say
 from oakkeel.agent import messages
-from oakkeel.disruption.allocator import Terms
-from oakkeel.fakes.rig import Rig
-from oakkeel.fakes.site import Site
-from oakkeel.fleet.agent_clients import NoLeader
+from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.fakes.rig import ProcessRig
+from oakkeel.fakes.site import FakeSite
+from oakkeel.fleet.agent_clients import NoLeaderError
 from oakkeel.invariants.logs import audit, events
 
 HOSTS = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
 SITES = {host: ("woodbrook", "st-james", "belmont")[number % 3] for number, host in enumerate(HOSTS)}
 KEEPERS = ("h1", "h2", "h3", "h4", "h5")
 AWAY, FLEET = 1, 3
-LATE = Terms().lapse + Terms().silent + 2_000_000_000
+LATE = PermitTimeouts().lapse + PermitTimeouts().silent + 2_000_000_000
 
 
 class Play:
-    def __init__(self, rig: Rig, seed: int) -> None:
+    def __init__(self, rig: ProcessRig, seed: int) -> None:
         self.rig, self.random = rig, Random(seed)
         self.faults: Counter[str] = Counter()
         self.taken: dict[str, float] = {}  # seconds until it was agreed, by order
@@ -135,7 +135,7 @@
         await self.rig.until(f"{host} votes again", votes)
 
     @staticmethod
-    def life(told: dict[str, messages.RecordTold], host: str) -> str:
+    def life(told: dict[str, messages.RaftStatus], host: str) -> str:
         return next((each.life for each in told[host].members if each.name == host), "")
 
     # Looking on.
@@ -144,10 +144,10 @@
         began = 0.0
         while not self.over:
             answers, _ = await self.rig.asker.ask(
-                {host: messages.AskRecord() for host in KEEPERS}, 200_000_000
+                {host: messages.RaftStatusRequest() for host in KEEPERS}, 200_000_000
             )
             now = time.monotonic()
-            if any(isinstance(each, messages.RecordTold) and each.leads for each in answers.values()):
+            if any(isinstance(each, messages.RaftStatus) and each.leads for each in answers.values()):
                 if began:
                     self.gaps.append((began, now - began))
                 began = 0.0
@@ -173,21 +173,21 @@
                         continue
                     sent = time.monotonic()
                     answer = await self.rig.order(ident, "restart", chosen, 15, generations=generations)
-                    if isinstance(answer, messages.FleetTold) and any(
+                    if isinstance(answer, messages.FleetOrderStatus) and any(
                         part.state != "refused" for part in answer.parts
                     ):
                         self.taken[ident] = time.monotonic() - began
                         if quiet and not self.wrong:
                             self.quiet.append(time.monotonic() - sent)
                     break
-                except NoLeader:
+                except NoLeaderError:
                     continue
             await asyncio.sleep(self.random.uniform(0.2, 0.8))
 
 
 async def measure(seconds: float, seed: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = Site(
+        site = FakeSite(
             folder,
             HOSTS,
             AWAY,
@@ -197,7 +197,7 @@
             fleet_away=FLEET,
             supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>',
         )
-        rig = Rig(site, seed)
+        rig = ProcessRig(site, seed)
         try:
             await rig.open()
             await rig.leader()
--- a/measure/common.py
+++ b/measure/common.py
@@ -16,10 +16,10 @@
 
 from oakkeel.agent import messages
 from oakkeel.fakes.dispatcher import Address
-from oakkeel.fakes.site import Site
-from oakkeel.fleet.agent_clients import Agents
+from oakkeel.fakes.site import FakeSite
+from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import by_host
-from oakkeel.fleet.view import View
+from oakkeel.fleet.view import FleetView
 from oakkeel.settings.fleet import Fleet, read_fleet
 from oakkeel.settings.keys import key_of
 
@@ -55,9 +55,9 @@
 class Running:
     """A site with its agents as processes, and a view of it."""
 
-    def __init__(self, site: Site, fleet: Fleet) -> None:
+    def __init__(self, site: FakeSite, fleet: Fleet) -> None:
         self.site, self.fleet = site, fleet
-        self.agents, self.view = Agents(fleet, key_of(fleet, "asha")), View(fleet)
+        self.agents, self.view = AgentClients(fleet, key_of(fleet, "asha")), FleetView(fleet)
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start_agent(self, host: str, *command: str) -> None:
@@ -106,7 +106,7 @@
         for attempt in range(3):
             await self.agents.ask(
                 {
-                    host: messages.Order(f"end-{attempt}", "stop", instances, 30 * SECOND, supersede=True)
+                    host: messages.OrderRequest(f"end-{attempt}", "stop", instances, 30 * SECOND, supersede=True)
                     for host, instances in wanted.items()
                 }
             )
@@ -117,7 +117,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(site: Site, *command: str) -> AsyncIterator[Running]:
+async def running(site: FakeSite, *command: str) -> AsyncIterator[Running]:
     """A site with an agent for each host, all ended at the end."""
     await site.open()
     fleet = Running(site, read_fleet(site.settings))
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -1,6 +1,6 @@
 """The decisions of the agent alone, in simulated time: what a turn costs with 100 to 10,000 instances.
 
-No process, socket or file: `Supervision` and `Orders` only, with steps carried out in memory.
+No process, socket or file: `Supervisor` and `OrderRegistry` only, with steps carried out in memory.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 from measure.common import keep, options, processor, say
 from oakkeel.agent.instances import Instance, Phase
-from oakkeel.agent.orders import Orders, Verb
-from oakkeel.agent.supervisor import MS, SECOND, Act, Patience, Supervision
+from oakkeel.agent.orders import OrderRegistry, Verb
+from oakkeel.agent.supervisor import MS, SECOND, Action, SupervisionTimeouts, Supervisor
 
 REPORT = object()
 SITES = 10
@@ -23,8 +23,8 @@
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{n}", f"site{n % SITES}") for n in range(size)]
         away = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
-        self.supervision = Supervision(self.instances, Patience(starting=size), away, seed, lambda: self.now)
-        self.orders = Orders(self.supervision, lambda: self.now)
+        self.supervision = Supervisor(self.instances, SupervisionTimeouts(starting=size), away, seed, lambda: self.now)
+        self.orders = OrderRegistry(self.supervision, lambda: self.now)
         self.worst = 0
 
     def turn(self) -> int:
@@ -34,7 +34,7 @@
         steps = self.supervision.tick(self.now)
         spent += time.perf_counter_ns()
         for step in steps:
-            if step.act is Act.START:
+            if step.act is Action.START:
                 self.supervision.spawned(self.now, step.instance)
             else:
                 self.supervision.died(self.now, step.instance, "told to")
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -16,12 +16,12 @@
 from measure.common import keep, options, processor, say, spread
 from oakkeel.agent import messages
 from oakkeel.fakes.dispatcher import Address, Dispatcher
-from oakkeel.fakes.rig import Rig
-from oakkeel.fakes.site import TOLD, Site
+from oakkeel.fakes.rig import ProcessRig
+from oakkeel.fakes.site import NODE_SETTINGS, FakeSite
 from oakkeel.invariants.logs import events
 
 HOSTS = {"h1": ["n1", "n2", "n3"], "h2": ["n4", "n5", "n6"]}
-GRACE = TOLD["obligations"]["drain-grace"]  # type: ignore[index]
+GRACE = NODE_SETTINGS["obligations"]["drain-grace"]  # type: ignore[index]
 SLACK = 0.06  # seconds, from a message at our end to its log line
 
 
@@ -45,10 +45,10 @@
 
 
 async def one(
-    rig: Rig, ident: str, name: str, cancel_after: float | None, figures: dict[str, Any], dispatcher: Watched
+    rig: ProcessRig, ident: str, name: str, cancel_after: float | None, figures: dict[str, Any], dispatcher: Watched
 ) -> None:
     answer = await rig.order(ident, "drain", [name], 60)
-    assert isinstance(answer, messages.FleetTold), answer
+    assert isinstance(answer, messages.FleetOrderStatus), answer
     if cancel_after is None:
         await rig.ended(ident)
     else:
@@ -56,7 +56,7 @@
     before = (await rig.look())[name]
     cancelled = time.monotonic()
     answer = await rig.end_order(ident, True)
-    assert isinstance(answer, messages.FleetTold), answer
+    assert isinstance(answer, messages.FleetOrderStatus), answer
     figures["cancels"] += 1
     figures["while draining"] += before.phase == "draining"
 
@@ -83,7 +83,7 @@
         "not_left_s": [],
     }
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = Site(
+        site = FakeSite(
             folder,
             HOSTS,
             2,
@@ -93,7 +93,7 @@
             sites={"h1": "woodbrook", "h2": "belmont"},
             supervision='<supervision silent="2s" start="10s" drain="10s" backoff="200ms"/>',
         )
-        rig = Rig(site, seed, real=True)
+        rig = ProcessRig(site, seed, real=True)
         arrivals: dict[bytes, tuple[str, float]] = {}
         try:
             await rig.open()
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -6,21 +6,21 @@
 import time
 
 from measure.common import keep, options, processor, say
-from oakkeel.emulator.clients import Manners, Way
-from oakkeel.emulator.scenario import Day, Played
+from oakkeel.emulator.clients import ClientBehavior, BalancingPolicy
+from oakkeel.emulator.scenario import Scenario, ScenarioRun
 
 EACH = 10.0  # exchanges a second and node
 
 
 def one(nodes: int, seconds: float, seed: int) -> dict:
-    played = Played(
-        Day(
+    played = ScenarioRun(
+        Scenario(
             nodes=nodes,
             cores=4,
             seconds=seconds,
             dispatchers=max(2, nodes // 10),
             seed=seed,
-            manners=Manners(way=Way.ROUND),
+            manners=ClientBehavior(way=BalancingPolicy.ROUND),
         )
     )
     played.rate = EACH * nodes / len(played.callers)
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -19,23 +19,23 @@
 from collections.abc import Callable
 
 from measure.common import keep, options, say
-from oakkeel.admission.fairness import Fairness
-from oakkeel.admission.types import Effect, EndpointGroup, Exchange, FairRules
-from oakkeel.fair_sharing.heavy_hitters import HeavySenders
-from oakkeel.fakes.load_clients import Crawler, Polite
+from oakkeel.admission.fairness import FairSharing
+from oakkeel.admission.types import Effect, RequestClass, Request, FairSharingRules
+from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
+from oakkeel.fakes.load_clients import CrawlerClient, PoliteClient
 from oakkeel.fakes.simulated_node import fair_share, jain
-from oakkeel.fakes.site import Site
+from oakkeel.fakes.site import FakeSite
 
 SECOND = 1_000_000_000
 CORES, WORK = 2, 0.02  # the engine's, and seconds of a run: it can do a hundred in a second
 GOOD, EACH = 10, 10.0  # compliant clients, and what each asks for in a second
-GROUP = EndpointGroup(0, Effect.REPEATABLE, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
+GROUP = RequestClass(0, Effect.REPEATABLE, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
 SHARE = CORES / WORK / (GOOD + 1)
 
 
 async def one(fair: bool, times: int, seconds: float, seed: int) -> dict:
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = Site(folder, {"wb1": ["n1"]}, away=1, seed=seed, work=WORK, most_return=5)
+        site = FakeSite(folder, {"wb1": ["n1"]}, away=1, seed=seed, work=WORK, most_return=5)
         await site.open()
         engine = site.engines["n1"]
         engine.calls = 0
@@ -65,8 +65,8 @@
         address = "127.0.0.1", int(line.rsplit(b":", 1)[1])
         reading = asyncio.ensure_future(node.stderr.read())
         await asyncio.sleep(0.5)
-        good = [Polite(f"good-{number}", address, EACH, seed + number) for number in range(GOOD)]
-        crawler = Crawler("crawler", address, SHARE * times, seed + 99)
+        good = [PoliteClient(f"good-{number}", address, EACH, seed + number) for number in range(GOOD)]
+        crawler = CrawlerClient("crawler", address, SHARE * times, seed + 99)
         for each in (*good, crawler):
             await each.start()
         await asyncio.sleep(4.0)
@@ -155,7 +155,7 @@
 
 def measures(seed: int) -> list[dict]:
     kinds: dict[str, Callable] = {
-        "space-saving, 256": lambda: HeavySenders(256, 4 * SECOND),
+        "space-saving, 256": lambda: HeavyHitters(256, 4 * SECOND),
         "exact": Exact,
         "count-min, 4 x 512": CountMin,
         "hashed flows, 512": HashedFlows,
@@ -185,9 +185,9 @@
     """What `Fairness.arrive` takes in all, the shares looked over five times a second among it."""
     rows = []
     for clients in (10, 1_000_000):
-        fair = Fairness(FairRules(("tenant", "client"), {}), True, random.Random(seed).random)
+        fair = FairSharing(FairSharingRules(("tenant", "client"), {}), True, random.Random(seed).random)
         exchanges = [
-            Exchange(
+            Request(
                 GROUP,
                 None,
                 0,
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -13,7 +13,7 @@
 
 from measure.common import Running, keep, options, running, say, spread
 from oakkeel.fakes.dispatcher import Dispatcher
-from oakkeel.fakes.site import Site
+from oakkeel.fakes.site import FakeSite
 
 HOSTS = {
     "wb1": [f"n{n}" for n in (1, 2, 3, 4)],
@@ -60,7 +60,7 @@
 async def measure(rounds: int, rate: float, seed: int) -> dict:
     random = Random(seed)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = Site(folder, HOSTS, away=4, seed=seed, sites=SITES)
+        site = FakeSite(folder, HOSTS, away=4, seed=seed, sites=SITES)
         async with running(site) as fleet:
             took = await fleet.look_until(lambda: fleet.all_in("serving"), 30)
             say(f"twelve instances on three hosts serve after {took:.1f} s")
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -20,7 +20,7 @@
 from scipy import stats
 
 from measure.common import SECOND, keep, options, processor, say
-from oakkeel.rollout.gates import Answer, Figures, Gate
+from oakkeel.rollout.gates import Decision, Samples, Gate
 from oakkeel.rollout.sequential import Sums
 
 NODES, RATE = 12, 60.0  # exchanges a second at each node
@@ -87,7 +87,7 @@
             )
             name = f"n{number}"
             times = {"quote": Sums(*_of(node.times))}
-            figures = Figures(Sums(*_of(node.benefit)), 0, 0, node.memory, times)
+            figures = Samples(Sums(*_of(node.benefit)), 0, 0, node.memory, times)
             gate.heard(now, name, node.version, node.version, node.generation, cold, figures)
             if not cold:
                 (new if node.version == "new" else old).add(Sums(count, good, good))
@@ -100,7 +100,7 @@
         gate.look(now)
         verdict = gate.verdict(gate.full())
         _others(others, old, new, second, limits, look_every)
-        if verdict.answer is Answer.WORSE:
+        if verdict.answer is Decision.WORSE:
             return {
                 "kind": kind,
                 "end": "halted",
@@ -110,7 +110,7 @@
                 "there": there,
                 "others": others,
             }
-        if verdict.answer is Answer.GOOD and second - changed_at >= SOAK:
+        if verdict.answer is Decision.GOOD and second - changed_at >= SOAK:
             if there >= NODES:
                 return {
                     "kind": kind,
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -11,7 +11,7 @@
 import time
 
 from measure.common import keep, options, running, say, spread
-from oakkeel.fakes.site import Site
+from oakkeel.fakes.site import FakeSite
 
 DEADLINE = 1.0
 
@@ -41,7 +41,7 @@
 async def measure(times: int) -> dict:
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         hosts = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
-        async with running(Site(folder, hosts, away=12), "oakkeel.fakes.crashing") as fleet:
+        async with running(FakeSite(folder, hosts, away=12), "oakkeel.fakes.crashing") as fleet:
             await fleet.look_until(lambda: fleet.all_in("serving"), 30)
             whole = [await listed(fleet.site.settings) for _ in range(times)]
             os.kill(fleet.processes["h7"].pid, signal.SIGSTOP)
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -13,8 +13,8 @@
 from measure.common import SECOND, keep, options, say
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
-from oakkeel.fakes.site import Site
-from oakkeel.fleet.agent_clients import AgentError, ask_one
+from oakkeel.fakes.site import FakeSite
+from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import key_of, write_key
 
@@ -27,7 +27,7 @@
 
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
         self.folder, self.random, self.crashes = folder, Random(seed), crashes
-        site = Site(
+        site = FakeSite(
             folder, {"wb1": ["n1"]}, away=1, supervision='<supervision backoff="20ms" restarts="1000"/>'
         )
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
@@ -64,18 +64,18 @@
                 start_new_session=True,
             )
 
-    async def ask(self, wish: messages.Wish) -> messages.Answer | None:
+    async def ask(self, wish: messages.Request) -> messages.Response | None:
         await self.keep_agent()
         with contextlib.suppress(AgentError, asyncio.TimeoutError):
-            return await asyncio.wait_for(ask_one(self.host.agent, self.key, wish), 1.0)
+            return await asyncio.wait_for(request_once(self.host.agent, self.key, wish), 1.0)
         await asyncio.sleep(0.02)
         return None
 
     async def generation(self) -> int:
         """Once the instance is where the last order left it and no order is open."""
         while True:
-            answer = await self.ask(messages.Look())
-            if isinstance(answer, messages.HostTold):
+            answer = await self.ask(messages.HostStatusRequest())
+            if isinstance(answer, messages.HostStatus):
                 each = answer.instances[0]
                 if each.order is None and each.phase in ("serving", "stopped"):
                     return each.generation
@@ -85,10 +85,10 @@
         """Send an order until it is told as taken, whatever dies; then wait until it has ended."""
         generation = await self.generation()
         ident = f"o{self.orders}"
-        wish = messages.Order(ident, verb, [("n1", generation)], 120 * SECOND)
+        wish = messages.OrderRequest(ident, verb, [("n1", generation)], 120 * SECOND)
         while True:
             answer = await self.ask(wish)
-            if isinstance(answer, messages.OrderTold):
+            if isinstance(answer, messages.OrderStatus):
                 break
             self.resent += answer is None
         if answer.parts[0].state == "refused":
@@ -96,8 +96,8 @@
         self.orders += 1
         self.expected_starts += verb in ("restart", "start")
         while True:  # from here on it was told as taken: no crash may lose it
-            answer = await self.ask(messages.ListOrders(200))
-            if isinstance(answer, messages.OrdersTold):
+            answer = await self.ask(messages.ListOrdersRequest(200))
+            if isinstance(answer, messages.OrderList):
                 mine = [order for order in answer.orders if order.ident == ident]
                 if not mine or mine[0].parts[0].state not in ("waiting", "acting", "done"):
                     self.unkept += 1
--- a/measure/places.py
+++ b/measure/places.py
@@ -13,14 +13,14 @@
 
 from measure.common import keep, options, processor, say
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import Terms
-from oakkeel.disruption.control_plane import Steward
-from oakkeel.disruption.holder import Holding
-from oakkeel.disruption.topology import Group, Layout
-from oakkeel.raft.memory_storage import Disk
-from oakkeel.raft.messages import Letter
-from oakkeel.raft.replica import Durable, NotLeading, Steps
-from oakkeel.raft.timeouts import Pace
+from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.disruption.control_plane import ControlPlaneReplica
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.disruption.topology import BudgetGroup, Topology
+from oakkeel.raft.memory_storage import InMemoryStorage
+from oakkeel.raft.messages import Envelope
+from oakkeel.raft.replica import DurableState, NotLeaderError, Output
+from oakkeel.raft.timeouts import RaftTimeouts
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -37,26 +37,26 @@
             ]
             for number in range(20)
         }
-        groups = [Group(f"site {site}", max(1, len(held) // 10), tuple(held)) for site, held in sites.items()]
+        groups = [BudgetGroup(f"site {site}", max(1, len(held) // 10), tuple(held)) for site, held in sites.items()]
         every = tuple(thing for held in things.values() for thing in held)
-        groups.append(Group("fleet", hosts * each // 10, every))
-        self.layout = Layout(things, tuple(groups))
+        groups.append(BudgetGroup("fleet", hosts * each // 10, every))
+        self.layout = Topology(things, tuple(groups))
         self.now = SECOND
         self.stewards = {
-            name: Steward(
+            name: ControlPlaneReplica(
                 self.now,
-                Disk(Durable(name, f"{name}.1")).load(),
+                InMemoryStorage(DurableState(name, f"{name}.1")).load(),
                 place,
-                Pace(),
+                RaftTimeouts(),
                 tuple(names[:3]),
                 self.layout,
-                Terms(),
+                PermitTimeouts(),
             )
             for place, name in enumerate(names[:3])
         }
-        self.agents = {name: Holding(name, held, 1) for name, held in things.items()}
+        self.agents = {name: PermitHolder(name, held, 1) for name, held in things.items()}
         self.back_at: dict[str, int] = {}
-        self.letters: deque[tuple[str, Letter]] = deque()
+        self.letters: deque[tuple[str, Envelope]] = deque()
         self.count = {
             "polls": 0,
             "letters": 0,
@@ -67,7 +67,7 @@
             "most_out": 0,
         }
 
-    def carry_out(self, all_steps: list[Steps]) -> None:
+    def carry_out(self, all_steps: list[Output]) -> None:
         for steps in all_steps:
             self.count["entries"] += len(steps.keep.entries) if steps.keep else 0
             self.letters += steps.send
@@ -137,7 +137,7 @@
         try:
             _, steps = leader.propose(
                 fleet.now,
-                commands.Order(
+                commands.SubmitOrder(
                     f"o{place}",
                     "asha",
                     "restart",
@@ -147,7 +147,7 @@
                     [(thing, 1) for thing in every[place : place + 1000]],
                 ),
             )
-        except NotLeading as error:
+        except NotLeaderError as error:
             raise RuntimeError(f"no leader in a calm simulation: {error}") from None
         fleet.carry_out(steps)
         fleet.deliver()
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -14,13 +14,13 @@
 from typing import Any
 
 from measure.common import SECOND, keep, options, processor, say
-from oakkeel.disruption.topology import Group, Layout, Out
-from oakkeel.emulator.consensus import Host, World
-from oakkeel.emulator.faults import Schedule, Trouble
+from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
+from oakkeel.emulator.consensus import SimulatedHost, ConsensusSimulation
+from oakkeel.emulator.faults import Schedule, Fault
 from oakkeel.rollout import commands
-from oakkeel.rollout.commands import What
-from oakkeel.rollout.controller import Driver
-from oakkeel.rollout.plan import Planner, Seen
+from oakkeel.rollout.commands import VersionSpec
+from oakkeel.rollout.controller import RolloutController
+from oakkeel.rollout.plan import BatchPlanner, TargetObservation
 
 MS = 1_000_000
 HOSTS, EACH, SITES, BOUND = 100, 10, 5, 20
@@ -32,17 +32,17 @@
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
     groups = [
-        Group(f"site {number}", max(1, len(site) // 10), tuple(site)) for number, site in enumerate(sites)
+        BudgetGroup(f"site {number}", max(1, len(site) // 10), tuple(site)) for number, site in enumerate(sites)
     ]
-    layout = Layout(hosts, (*groups, Group("fleet", count // 10, tuple(names))))
-    planner, random, found = Planner(layout), Random(1), {}
+    layout = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
+    planner, random, found = BatchPlanner(layout), Random(1), {}
     for label, most, out_share in (
         ("one", 1, 0.0),
         ("as many as may be", 500, 0.0),
         ("a tenth out", 500, 0.1),
     ):
-        out = Out(layout)
-        seen = {name: Seen(name, "serving", 1, "", 0, 0.3) for name in names}
+        out = UnavailableTargets(layout)
+        seen = {name: TargetObservation(name, "serving", 1, "", 0, 0.3) for name in names}
         for name in random.sample(names, int(count * out_share)):
             out.put(name, "does not serve")
             seen[name].phase = "failing"
@@ -58,7 +58,7 @@
 class Watched:
     """When each thing left by an order and when it served again."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: ConsensusSimulation) -> None:
         self.left_at: dict[str, int] = {}
         self.lasted: dict[str, int] = {}
         self.out = self.most = 0
@@ -81,13 +81,13 @@
     """1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
     random = Random(seed)
     troubles = [
-        Trouble(
+        Fault(
             random.randrange(4 * SECOND, 60 * SECOND), "die", random.randrange(HOSTS), random.randrange(EACH)
         )
         for _ in range(deaths)
     ]
     troubles += [
-        Trouble(
+        Fault(
             random.randrange(4 * SECOND, 60 * SECOND),
             "kill",
             random.randrange(3, HOSTS),
@@ -96,14 +96,14 @@
         )
         for _ in range(kills)
     ]
-    troubles += [Trouble(20 * SECOND, "kill", 0, 0, SECOND), Trouble(35 * SECOND, "kill", 1, 0, SECOND)]
+    troubles += [Fault(20 * SECOND, "kill", 0, 0, SECOND), Fault(35 * SECOND, "kill", 1, 0, SECOND)]
     schedule = Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(troubles, key=lambda each: each.at)))
-    world = World(schedule)
+    world = ConsensusSimulation(schedule)
     watched = Watched(world)
     world.clock.run(3 * SECOND)
     began = world.clock.now
-    pace = commands.Pace(soak=SECOND, patience=120 * SECOND, lasts=20 * SECOND, gated=gated, margin=0.05)
-    order(world, commands.Begin("r", "asha", 0, What("good r", "here"), pace, list(world.every)))
+    pace = commands.RolloutPolicy(soak=SECOND, patience=120 * SECOND, lasts=20 * SECOND, gated=gated, margin=0.05)
+    order(world, commands.StartRelease("r", "asha", 0, VersionSpec("good r", "here"), pace, list(world.every)))
     state = ""
     while world.clock.now < began + 600 * SECOND:
         world.clock.run(world.clock.now + 200 * MS)
@@ -116,7 +116,7 @@
         state = found.state
         if state == "halted":
             say(f"  halted: {found.why}; told to go on")
-            order(world, commands.Turn("r", "asha", "resume"))
+            order(world, commands.ControlRelease("r", "asha", "resume"))
         if found.over:
             break
     took = (world.clock.now - began) / SECOND
@@ -135,7 +135,7 @@
     }
 
 
-def order(world: World, command: commands.Command) -> None:
+def order(world: ConsensusSimulation, command: commands.Command) -> None:
     """An operator's word, to whoever leads."""
     while (leader := leader_of(world)) is None or leader.steward is None:
         world.clock.run(world.clock.now + 100 * MS)
@@ -143,14 +143,14 @@
     leader.carry_out(steps)
 
 
-def leader_of(world: World) -> Host | None:
+def leader_of(world: ConsensusSimulation) -> SimulatedHost | None:
     return next(
         (
             host
             for host in world.hosts.values()
             if host.running
             and host.steward
-            and isinstance(host.steward.above, Driver)
+            and isinstance(host.steward.above, RolloutController)
             and host.steward.keeper.leads(host.now())
         ),
         None,
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -21,18 +21,18 @@
 from oakkeel.agent import messages
 from oakkeel.agent.artifacts import version_of
 from oakkeel.fakes.catalogue import Catalogue
-from oakkeel.fakes.dispatcher import Address, Dispatcher, Sent
-from oakkeel.fakes.rig import Rig
-from oakkeel.fakes.site import TOLD, Site, free_port
-from oakkeel.fleet.agent_clients import NoLeader
-from oakkeel.rollout.commands import Pace, What
+from oakkeel.fakes.dispatcher import Address, Dispatcher, SentRequest
+from oakkeel.fakes.rig import ProcessRig
+from oakkeel.fakes.site import NODE_SETTINGS, FakeSite, free_port
+from oakkeel.fleet.agent_clients import NoLeaderError
+from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 
 HOSTS = {f"h{number}": [f"n{2 * number - 1}", f"n{2 * number}"] for number in range(1, 7)}
 SITES = {host: ("woodbrook", "belmont")[number % 2] for number, host in enumerate(HOSTS)}
 KEEPERS = ("h1", "h2", "h3")
 NAMES = [name for names in HOSTS.values() for name in names]
 AWAY, FLEET = 4, 7  # a service takes six nodes with it
-GROUPS: list[dict[str, Any]] = TOLD["classes"]  # type: ignore[assignment]
+GROUPS: list[dict[str, Any]] = NODE_SETTINGS["classes"]  # type: ignore[assignment]
 BENEFIT = {str(group["name"]): float(group.get("worth", 1.0)) for group in GROUPS}
 HANGING = {name: ("db1", "db2")[number % 2] for number, name in enumerate(NAMES)}
 
@@ -42,10 +42,10 @@
 
     asked = came = 0.0
 
-    def going(self, ident: str, sent: Sent) -> None:
+    def going(self, ident: str, sent: SentRequest) -> None:
         self.asked += BENEFIT[sent.group]
 
-    def ended(self, sent: Sent, word: str, fields: bytes) -> None:
+    def ended(self, sent: SentRequest, word: str, fields: bytes) -> None:
         super().ended(sent, word, fields)
         if word == "ok":
             self.came += BENEFIT[sent.group]
@@ -54,7 +54,7 @@
 class Load:
     """Dispatchers, and what came of what they sent, second by second."""
 
-    def __init__(self, rig: Rig, rate: float, seed: int) -> None:
+    def __init__(self, rig: ProcessRig, rate: float, seed: int) -> None:
         self.rig = rig
         self.addresses: dict[str, Address] = {}
         self.dispatchers = [Weighed(number, self.open_ones, rate / 2, seed + number) for number in (1, 2)]
@@ -104,18 +104,18 @@
 
 
 class Play:
-    def __init__(self, rig: Rig, services: dict[str, Catalogue], ports: dict[str, int], seed: int) -> None:
+    def __init__(self, rig: ProcessRig, services: dict[str, Catalogue], ports: dict[str, int], seed: int) -> None:
         self.rig, self.services, self.ports, self.random = rig, services, ports, Random(seed)
         self.killed: set[str] = set()
         self.driver_kills = 0
         self.most_out, self.most_placed = 0, 0
         self.over = False
 
-    async def ask(self, wish: messages.Wish) -> messages.Answer:
+    async def ask(self, wish: messages.Request) -> messages.Response:
         while True:
             try:
                 return await self.rig.asker.ask_leader(wish)
-            except NoLeader:
+            except NoLeaderError:
                 await asyncio.sleep(0.05)
 
     async def look(self) -> None:
@@ -128,25 +128,25 @@
                 self.most_placed = max(self.most_placed, len(placed & set(NAMES) | hanging))
                 known = [each for each in out if each.thing in NAMES and each.reasons != ["not known"]]
                 self.most_out = max(self.most_out, len(known))
-            except (NoLeader, AssertionError):
+            except (NoLeaderError, AssertionError):
                 pass
             await asyncio.sleep(0.03)
 
     async def release(
-        self, ident: str, what: What, things: list[str], pace: Pace, kills: int, nodes: int
-    ) -> messages.ReleaseTold:
+        self, ident: str, what: VersionSpec, things: list[str], pace: RolloutPolicy, kills: int, nodes: int
+    ) -> messages.ReleaseStatus:
         """Begin it, break things on the way, and follow it to its end."""
-        answer = await self.ask(messages.StartRelease(ident, what, pace, things))
-        assert isinstance(answer, messages.ReleaseTold), answer
+        answer = await self.ask(messages.StartReleaseRequest(ident, what, pace, things))
+        assert isinstance(answer, messages.ReleaseStatus), answer
         last, due, step_kills = -1, 2, 0
         while True:
-            told = await self.ask(messages.AskRelease(ident))
-            assert isinstance(told, messages.ReleaseTold), told
+            told = await self.ask(messages.ReleaseStatusRequest(ident))
+            assert isinstance(told, messages.ReleaseStatus), told
             if told.state in ("done", "undone", "left"):
                 return told
             if told.state == "halted":
                 say(f"  {ident} is halted: {told.why}; told to go on")
-                await self.ask(messages.TurnRelease(ident, "resume"))
+                await self.ask(messages.ControlReleaseRequest(ident, "resume"))
             if told.step > last and told.step >= due and step_kills < kills:
                 leader = await self.rig.leader()
                 await self.rig.kill(leader)
@@ -163,14 +163,14 @@
                 await self.replace(told)
             await asyncio.sleep(0.05)
 
-    async def replace(self, told: messages.ReleaseTold) -> None:
+    async def replace(self, told: messages.ReleaseStatus) -> None:
         """As an operator would: what has a place is taken down, and another comes up."""
         for part in told.parts:
             if part.state != "changing" or part.thing not in self.services:
                 continue
             try:
                 out = (await self.rig.state_of()).out
-            except (NoLeader, AssertionError):
+            except (NoLeaderError, AssertionError):
                 return
             if not any(each.thing == part.thing and each.fence for each in out):
                 continue
@@ -181,7 +181,7 @@
             await new.open(self.ports[part.thing])
 
 
-def program(folder: str, name: str) -> What:
+def program(folder: str, name: str) -> VersionSpec:
     """The program as it is, with one line more: another content, which behaves the same."""
     path = os.path.join(folder, name)
     shutil.copytree(
@@ -191,7 +191,7 @@
     )
     with open(os.path.join(path, "oakkeel", "RELEASE"), "w", encoding="ascii") as file:
         file.write(name + "\n")
-    return What(version_of(path, ""), path)
+    return VersionSpec(version_of(path, ""), path)
 
 
 async def one(rate: float, seed: int, gated: bool) -> dict[str, Any]:
@@ -208,7 +208,7 @@
             )
             + "</kind></below>"
         )
-        site = Site(
+        site = FakeSite(
             folder,
             HOSTS,
             AWAY,
@@ -221,7 +221,7 @@
             supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
         )
         site.catalogues = {name: f"127.0.0.1:{ports[on]}" for name, on in HANGING.items()}
-        rig = Rig(site, seed, real=True)
+        rig = ProcessRig(site, seed, real=True)
         play = Play(rig, dict(services), ports, seed)
         try:
             await rig.open()
@@ -233,7 +233,7 @@
             await asyncio.sleep(3.0)
             before, benefit = load.counts, load.benefit
             began = time.monotonic()
-            pace = Pace(
+            pace = RolloutPolicy(
                 soak=2 * SECOND,
                 lasts=30 * SECOND,
                 patience=40 * SECOND,
@@ -244,9 +244,9 @@
             first = await play.release("nodes", program(folder, "v2"), NAMES, pace, 3, 3)
             second = await play.release(
                 "below",
-                What("db-2", services=True),
+                VersionSpec("db-2", services=True),
                 ["db1", "db2"],
-                Pace(soak=SECOND, lasts=30 * SECOND, gated=False),
+                RolloutPolicy(soak=SECOND, lasts=30 * SECOND, gated=False),
                 2,
                 0,
             )
--- a/oakkeel/__main__.py
+++ b/oakkeel/__main__.py
@@ -31,16 +31,16 @@
     import asyncio
     import os
 
-    from oakkeel.node.configuration import Start, read_start
+    from oakkeel.node.configuration import NodeConfiguration, read_configuration
     from oakkeel.node_limits import LimitsError
 
-    async def run(start: Start) -> None:
+    async def run(start: NodeConfiguration) -> None:
         from oakkeel.node.node import Node  # a bad start fails before anything else is loaded
 
         await Node(start).run()
 
     try:
-        asyncio.run(run(read_start(os.environ)))
+        asyncio.run(run(read_configuration(os.environ)))
     except (LimitsError, OSError) as error:
         print(f"oakkeel: {error}", file=sys.stderr)
         return 2
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -1,6 +1,6 @@
 """Every decision of an oakkeel node.
 
-How it is invoked: a front makes one `Keel` for each node (host, limits, seed, clock), calls `arrive`,
+How it is invoked: a front makes one `AdmissionController` for each node (host, limits, seed, clock), calls `arrive`,
 `run_done`, `at_call`, `call_done`, `gone`, `leave` and `timer` for what happens, and `settle` once after all
 that happened at one moment. What the node shall do goes out through `Host`. The types and `Host` are in
 `oakkeel/admission/types.py`; why each rule is as it is stands in `docs/design.md`. Times are whole nanoseconds,
@@ -16,15 +16,15 @@
 from random import Random
 
 from oakkeel.admission.types import (
-    AdviceKind,
-    Below,
+    LoadReportKind,
+    DownstreamKind,
     Effect,
-    Exchange,
+    Request,
     Gauges,
     Host,
     NodeLimits,
     Outcome,
-    State,
+    RequestState,
     StopKind,
 )
 
@@ -77,43 +77,43 @@
 ALARM_STEP = 16 * MS  # alarms are gathered in steps of this
 DUE_ROOM, STOP_ROOM = 20 * MS, 64 * MS  # an answer leaves this long before it is due; before the stop
 SPAN_FADE = 0.8  # a second, of a time on the cores that nothing confirms any more
-RING_STEP, RING_SIZE = 500 * MS, 12
+WINDOW_STEP, WINDOW_BUCKETS = 500 * MS, 12
 
 # Which states may follow each.
-NEXT = {
-    State.READ: {State.DELAYED, State.HELD, State.SHARING, State.OVER},
-    State.DELAYED: {State.HELD, State.OVER},
-    State.HELD: {State.RUNNING, State.OVER},
-    State.SHARING: {State.OVER},
-    State.RUNNING: {State.AT_CALL, State.ORPHANED, State.OVER},
-    State.AT_CALL: {State.CALLING, State.RUNNING, State.ENDING, State.OVER},
-    State.CALLING: {State.AT_CALL, State.RUNNING, State.ENDING, State.OVER},
-    State.ORPHANED: {State.ENDING, State.OVER},
-    State.ENDING: {State.OVER},
-    State.OVER: set(),
+TRANSITIONS = {
+    RequestState.READ: {RequestState.DELAYED, RequestState.HELD, RequestState.SHARING, RequestState.OVER},
+    RequestState.DELAYED: {RequestState.HELD, RequestState.OVER},
+    RequestState.HELD: {RequestState.RUNNING, RequestState.OVER},
+    RequestState.SHARING: {RequestState.OVER},
+    RequestState.RUNNING: {RequestState.AT_CALL, RequestState.ORPHANED, RequestState.OVER},
+    RequestState.AT_CALL: {RequestState.CALLING, RequestState.RUNNING, RequestState.ENDING, RequestState.OVER},
+    RequestState.CALLING: {RequestState.AT_CALL, RequestState.RUNNING, RequestState.ENDING, RequestState.OVER},
+    RequestState.ORPHANED: {RequestState.ENDING, RequestState.OVER},
+    RequestState.ENDING: {RequestState.OVER},
+    RequestState.OVER: set(),
 }
 
 
-class Ring:
+class SlidingWindow:
     """Sums and counts over the last few seconds, in buckets of time that are used again."""
 
     __slots__ = ("counts", "marks", "step", "sums")
 
-    def __init__(self, step: int = RING_STEP) -> None:
-        self.step, self.sums = step, [0.0] * RING_SIZE
-        self.counts, self.marks = [0] * RING_SIZE, [0] * RING_SIZE
+    def __init__(self, step: int = WINDOW_STEP) -> None:
+        self.step, self.sums = step, [0.0] * WINDOW_BUCKETS
+        self.counts, self.marks = [0] * WINDOW_BUCKETS, [0] * WINDOW_BUCKETS
 
     def add(self, now: int, value: float) -> None:
         mark = now // self.step
-        place = mark % RING_SIZE
+        place = mark % WINDOW_BUCKETS
         if self.marks[place] != mark:
             self.marks[place], self.sums[place], self.counts[place] = mark, 0.0, 0
         self.sums[place] += value
         self.counts[place] += 1
 
     def total(self, now: int) -> tuple[float, int]:
-        oldest = now // self.step - RING_SIZE
-        live = [place for place in range(RING_SIZE) if self.marks[place] > oldest]
+        oldest = now // self.step - WINDOW_BUCKETS
+        live = [place for place in range(WINDOW_BUCKETS) if self.marks[place] > oldest]
         return sum(self.sums[place] for place in live), sum(self.counts[place] for place in live)
 
     def mean(self, now: int, otherwise: float) -> float:
@@ -121,7 +121,7 @@
         return total / count if count else otherwise
 
 
-def climb(stage: int, value: float, row: tuple[float, ...], slack: float) -> int:
+def next_stage(stage: int, value: float, row: tuple[float, ...], slack: float) -> int:
     """Up to the highest stage whose threshold is reached; down only below a threshold less its slack."""
     while stage < Stage.REJECT and value >= row[stage]:
         stage += 1
@@ -130,48 +130,48 @@
     return stage
 
 
-class Keel:
+class AdmissionController:
     """The decisions of one node, from its start to its end."""
 
     def __init__(self, host: Host, limits: NodeLimits, seed: int, now: int) -> None:
         self.host, self.limits, self.now, self.started = host, limits, now, now
         self.chance = Random(seed).random
-        self.reading, self.readings = 0.0, Ring()  # what else wanted a core when last seen
+        self.reading, self.readings = 0.0, SlidingWindow()  # what else wanted a core when last seen
         self.cpu_stage = self.depth_stage = self.latency_stage = int(Stage.NORMAL)
-        self.count = [0] * len(State)
+        self.count = [0] * len(RequestState)
         factor = limits.run_factor
         self.weight = [0, 1, 1, 1, factor, factor, factor, factor, factor, 0]  # memory by state
         self.memory_kb = self.cut = self.stale = 0.0
-        self.hold: list[tuple[float, int, Exchange]] = []
+        self.hold: list[tuple[float, int, Request]] = []
         self.order = count()
         self.keys: list[int] = []  # when the memory of a kept key is free
-        self.alarms: dict[int, list[Exchange]] = {}
+        self.alarms: dict[int, list[Request]] = {}
         self.stop_at = self.grace_end = 0  # set by the notice to leave
-        self.latency, self.unread = Ring(), Ring()  # to completion, unread, over the SLO time
-        self.retries = Ring()  # marked later tries among what was read
-        self.spans = [Ring() for _ in limits.groups]  # time on the cores of completed runs
+        self.latency, self.unread = SlidingWindow(), SlidingWindow()  # to completion, unread, over the SLO time
+        self.retries = SlidingWindow()  # marked later tries among what was read
+        self.spans = [SlidingWindow() for _ in limits.groups]  # time on the cores of completed runs
         self.span = [group.slo_time / 6 for group in limits.groups]
         tenants = max(1, len(limits.tenants))
-        self.asked = [[Ring() for _ in range(tenants)] for _ in limits.groups]
+        self.asked = [[SlidingWindow() for _ in range(tenants)] for _ in limits.groups]
         self.ranks = [[(0.0, 1.0)] * tenants for _ in limits.groups]  # place among the asked, breadth
-        self.calls_time = Ring(limits.call_window // (RING_SIZE - 1) + 1)  # call time spent below
+        self.calls_time = SlidingWindow(limits.call_window // (WINDOW_BUCKETS - 1) + 1)  # call time spent below
         self.calls_booked = self.calls_failed = self.trial_at = 0
-        self.waiting: deque[Exchange] = deque()  # at calls that can't be placed yet
+        self.waiting: deque[Request] = deque()  # at calls that can't be placed yet
         self.advice, self.willing, self.fit = -1.0, 1.0, True
         self.fair, self.run = None, limits.cores * RUN[0]  # fair shares, and how many may run
         if limits.fair:
-            from oakkeel.admission.fairness import Fairness  # loaded only where an operator asks for it
+            from oakkeel.admission.fairness import FairSharing  # loaded only where an operator asks for it
 
-            self.fair = Fairness(limits.fair, limits.marks_retries, self.chance)
+            self.fair = FairSharing(limits.fair, limits.marks_retries, self.chance)
         self.callers: dict[int, int] = {}  # when each was heard, the latest last
-        self.returns = [Ring(2 * SECOND) for _ in range(LINK_STEPS + 1)]  # times between, by doubled steps
+        self.returns = [SlidingWindow(2 * SECOND) for _ in range(LINK_STEPS + 1)]  # times between, by doubled steps
         host.set_health(True, True)  # from store: a real check costs work
         self._advise()
         host.set_timer(POLL_TOKEN, now + int(POLL * (0.5 + self.chance() / 2)))
 
     # The ordinary path.
 
-    def arrive(self, now: int, ex: Exchange) -> None:
+    def arrive(self, now: int, ex: Request) -> None:
         """An exchange was read: share, deny, hold back or admit it."""
         self.now = ex.arrived = ex.since = now
         group, limits = ex.group, self.limits
@@ -200,7 +200,7 @@
         full = self.memory_kb + ex.memory_kb + limits.key_kb > limits.memory_kb * HOLD_ROOM
         # One that repeats another takes its result: no second effect, and a twentieth of the work.
         if ex.repeats and (ex.group.once or (limits.fresh and not full)):
-            self._move(ex, State.SHARING)
+            self._move(ex, RequestState.SHARING)
             self.host.share(ex)
             return self._alarm(ex, ex.give_up_at)
         after_grace = self.grace_end and now - ex.backlog > self.grace_end - DUE_ROOM
@@ -208,7 +208,7 @@
             return self._deny(ex, ex.give_up_at <= now)
         # The ladder.
         depth = self._depth()
-        self.depth_stage = climb(self.depth_stage, depth, DEPTH, DEPTH_SLACK)
+        self.depth_stage = next_stage(self.depth_stage, depth, DEPTH, DEPTH_SLACK)
         stage = max(self.depth_stage, self.latency_stage)
         if depth > CPU_QUEUE[max(0, self.cpu_stage - 1)]:
             stage = max(stage, self.cpu_stage)
@@ -229,7 +229,7 @@
         if ex.promise:
             self.fair.promises.end(ex.promise, True)  # type: ignore[union-attr]
         if stage == Stage.BACKPRESSURE:
-            self._move(ex, State.DELAYED)
+            self._move(ex, RequestState.DELAYED)
             self._alarm(ex, now + DELAY)
         else:
             self._admit(ex)
@@ -249,14 +249,14 @@
         crowd = (1 + (limits.crowd_multiple - 1) * self._warmth()) * limits.cores * CROWD_ROOM
         while self.hold:
             ex = self.hold[0][2]
-            if ex.state is not State.HELD:
+            if ex.state is not RequestState.HELD:
                 heappop(self.hold)
                 continue
             on_cores = self._on_cores()
             more = ex.memory_kb * (limits.run_factor - 1)
             if (
                 on_cores + 0.5 > run
-                or on_cores + self.count[State.CALLING] + 1 > crowd
+                or on_cores + self.count[RequestState.CALLING] + 1 > crowd
                 or self.memory_kb + more > limits.memory_kb * MEMORY_ROOM
             ):
                 break
@@ -264,11 +264,11 @@
             if now + HOPE * self.span[ex.group.index] > min(ex.slo_end, ex.give_up_at):
                 self._deny(ex)  # it waited too long behind higher ranks: no run in vain
                 continue
-            self._move(ex, State.RUNNING)
+            self._move(ex, RequestState.RUNNING)
             self.host.run(ex)
 
-    def _admit(self, ex: Exchange) -> None:
-        self._move(ex, State.HELD)
+    def _admit(self, ex: Request) -> None:
+        self._move(ex, RequestState.HELD)
         heappush(self.hold, (-ex.rank, next(self.order), ex))
 
     # What the ladder goes by.
@@ -278,12 +278,12 @@
 
     def _depth(self) -> float:
         """In the hold and on the cores, for each core; those at calls have a bound of their own."""
-        held = self.count[State.DELAYED] + self.count[State.HELD]
+        held = self.count[RequestState.DELAYED] + self.count[RequestState.HELD]
         return max(0, held + self._on_cores() - DEPTH_SPARE) / self.limits.cores
 
     def _on_cores(self) -> int:
         """Runs, and those whose call we have not placed: these wait on us, not on what lies below."""
-        return self.count[State.RUNNING] + self.count[State.ORPHANED] + self.count[State.AT_CALL]
+        return self.count[RequestState.RUNNING] + self.count[RequestState.ORPHANED] + self.count[RequestState.AT_CALL]
 
     def _cut(self, depth: float) -> float:
         """The rank below which an exchange is low: it rises with the signals from REORDER to BACKPRESSURE."""
@@ -293,7 +293,7 @@
 
     def _needed(self, group: int) -> int:
         """The time that an exchange of the group must have left, behind what is held."""
-        held = self.count[State.HELD] + self.count[State.DELAYED]
+        held = self.count[RequestState.HELD] + self.count[RequestState.DELAYED]
         wait = sum(self.span) / len(self.span) * held / (RUN[1] * self.limits.cores)
         return int(HOPE * (self.span[group] + wait))
 
@@ -307,7 +307,7 @@
 
     # Answers.
 
-    def _deny(self, ex: Exchange, last: bool = True) -> None:
+    def _deny(self, ex: Request, last: bool = True) -> None:
         """Answer at once, with when to come back and whether a try elsewhere is worth its reading."""
         after = self.return_after()
         if self.fair and self.limits.max_retry_after and not self.stop_at:
@@ -316,31 +316,31 @@
         if ex.remembered:
             ex.remembered = False
             self.host.forget(ex)
-        self._move(ex, State.OVER)
+        self._move(ex, RequestState.OVER)
 
-    def _give_up(self, ex: Exchange) -> None:
+    def _give_up(self, ex: Request) -> None:
         """Answer at once what can no longer be in time, and stop its work where the host can."""
-        if ex.state in (State.DELAYED, State.HELD):
+        if ex.state in (RequestState.DELAYED, RequestState.HELD):
             return self._deny(ex)
-        if ex.state < State.ORPHANED:
+        if ex.state < RequestState.ORPHANED:
             if ex.group.once:
                 self.host.terminate(ex)
             else:
                 self.host.deny(ex, True, self.return_after())
             self._abandon(ex)
 
-    def _abandon(self, ex: Exchange) -> None:
+    def _abandon(self, ex: Request) -> None:
         """Nobody waits for it any more: stop its work where the host can, so that no core is held in vain."""
-        if ex.state is State.RUNNING:
-            self._move(ex, State.ORPHANED)
+        if ex.state is RequestState.RUNNING:
+            self._move(ex, RequestState.ORPHANED)
             self.spans[ex.group.index].add(self.now, ex.on_cores)  # or a stuck node would not see it
             if self.limits.stop_kind is not StopKind.NONE:
                 self.host.stop(ex)
-        elif ex.state in (State.AT_CALL, State.CALLING):
+        elif ex.state in (RequestState.AT_CALL, RequestState.CALLING):
             self._end_call(ex, self.limits.call_linger)
-            self._move(ex, State.ENDING)
-        elif ex.state < State.ORPHANED:
-            self._move(ex, State.OVER)
+            self._move(ex, RequestState.ENDING)
+        elif ex.state < RequestState.ORPHANED:
+            self._move(ex, RequestState.OVER)
 
     def return_after(self) -> int:
         """When to return: soon where only low ranks are shed, as a caller stays away with all that it has."""
@@ -348,19 +348,19 @@
         crowd *= min(1.0, self.limits.peers / RETRY_PEERS)  # where few could take it, cores idle meanwhile
         return min(int(RETRY_LEAST + (RETRY_AFTER - RETRY_LEAST) * crowd), self.limits.max_retry_after)
 
-    def _move(self, ex: Exchange, state: State) -> None:
+    def _move(self, ex: Request, state: RequestState) -> None:
         """The one place where an exchange changes its state."""
         old = ex.state
-        if state not in NEXT[old]:
+        if state not in TRANSITIONS[old]:
             raise RuntimeError(f"an exchange can't go from {old.name} to {state.name}")
-        if old is State.RUNNING:
+        if old is RequestState.RUNNING:
             ex.on_cores += self.now - ex.since
         self.count[old] -= 1
         self.count[state] += 1
         self.memory_kb += ex.memory_kb * (self.weight[state] - self.weight[old])
         ex.state, ex.since = state, self.now
 
-    def _remember(self, ex: Exchange) -> None:
+    def _remember(self, ex: Request) -> None:
         """Keep its key: through its time and as long after as its answer may serve."""
         duration = ex.group.window if ex.group.once else max(0, ex.give_up_at - self.now) + self.limits.fresh
         self.host.remember(ex, duration)
@@ -370,21 +370,21 @@
 
     # What the host tells.
 
-    def run_done(self, now: int, ex: Exchange, outcome: Outcome, latency: int) -> None:
+    def run_done(self, now: int, ex: Request, outcome: Outcome, latency: int) -> None:
         """A run or a share is over."""
         self.now = now
         state = ex.state
-        if state is State.OVER or outcome is Outcome.MOOT:
+        if state is RequestState.OVER or outcome is Outcome.MOOT:
             return
         self._end_call(ex, 0)
-        if outcome is Outcome.STOPPED and state in (State.RUNNING, State.AT_CALL, State.CALLING):
+        if outcome is Outcome.STOPPED and state in (RequestState.RUNNING, RequestState.AT_CALL, RequestState.CALLING):
             self.host.terminate(ex)  # stopped, but not by us: it must not stay without an answer
-        self._move(ex, State.OVER)
-        if outcome is Outcome.COMPLETED and state is State.RUNNING:
+        self._move(ex, RequestState.OVER)
+        if outcome is Outcome.COMPLETED and state is RequestState.RUNNING:
             self.spans[ex.group.index].add(now, ex.on_cores)
             self.latency.add(now, (now - ex.arrived + ex.backlog) / ex.group.slo_time)
 
-    def gone(self, now: int, ex: Exchange) -> None:
+    def gone(self, now: int, ex: Request) -> None:
         """The caller is known to have given up; no answer is owed."""
         self.now = now
         self._abandon(ex)
@@ -411,9 +411,9 @@
             for ex in self.alarms.pop(token, ()):
                 self._ring(ex)
             return
-        self.cpu_stage = climb(self.cpu_stage, gauges.core_busy, CPU, CPU_SLACK)
-        self.latency_stage = climb(self.latency_stage, self.latency.mean(now, 0.0), LATENCY, LATENCY_SLACK)
-        self.depth_stage = climb(self.depth_stage, self._depth(), DEPTH, DEPTH_SLACK)
+        self.cpu_stage = next_stage(self.cpu_stage, gauges.core_busy, CPU, CPU_SLACK)
+        self.latency_stage = next_stage(self.latency_stage, self.latency.mean(now, 0.0), LATENCY, LATENCY_SLACK)
+        self.depth_stage = next_stage(self.depth_stage, self._depth(), DEPTH, DEPTH_SLACK)
         self.span = [ring.mean(now, self.span[index] * SPAN_FADE) for index, ring in enumerate(self.spans)]
         while self.keys and self.keys[0] <= now:
             heappop(self.keys)
@@ -441,7 +441,7 @@
             keep = max(keep, int(links * SECOND / (LINK_RATE * self.limits.cores)))
         self.host.close_idle(min(self.limits.idle, keep))
 
-    def _alarm(self, ex: Exchange, at: int) -> None:
+    def _alarm(self, ex: Request, at: int) -> None:
         """Look at the exchange again at a time: one timer serves all alarms of a step."""
         step = max(at // ALARM_STEP, self.now // ALARM_STEP + 1)
         if step not in self.alarms:
@@ -449,13 +449,13 @@
             self.host.set_timer(step, step * ALARM_STEP)
         self.alarms[step].append(ex)
 
-    def _ring(self, ex: Exchange) -> None:
+    def _ring(self, ex: Request) -> None:
         if self.now + ALARM_STEP > ex.give_up_at:
             self._give_up(ex)
-        elif ex.state is State.AT_CALL:
+        elif ex.state is RequestState.AT_CALL:
             if ex.group.skip_share and self.now >= ex.since + CALL_WAIT * ex.group.slo_time:
                 self._leave_out(ex)
-        elif ex.state is State.DELAYED:
+        elif ex.state is RequestState.DELAYED:
             (self._deny if self.depth_stage == Stage.REJECT else self._admit)(ex)
 
     def _set_ranks(self) -> None:
@@ -463,7 +463,7 @@
         limits, rows = self.limits, []
         for tenant in range(len(self.asked[0])):
             counts = [rings[tenant].total(self.now)[1] for rings in self.asked]
-            rate = sum(counts) * SECOND / min(RING_SIZE * RING_STEP, max(1, self.now - self.started))
+            rate = sum(counts) * SECOND / min(WINDOW_BUCKETS * WINDOW_STEP, max(1, self.now - self.started))
             allowance = limits.tenants[tenant].allowance_per_s / limits.peers if limits.tenants else 0.0
             within = min(1.0, allowance / rate) if rate and allowance else 1.0
             worth = within + (1 - within) * limits.over_share
@@ -480,7 +480,7 @@
     def _advise(self) -> None:
         """Tell callers how much to send, in the meaning that they give to the value."""
         kind = self.limits.advice
-        if kind is AdviceKind.SILENT:
+        if kind is LoadReportKind.SILENT:
             return
         cut = 1.0 if self.stop_at else self.cut
         # A denial costs its reading, one sent elsewhere nothing: lower until what wants a core is bounded.
@@ -488,9 +488,9 @@
         step = ADVICE_DOWN if crowd > ADVICE_CROWD else ADVICE_UP
         self.willing = min(1.0, max(ADVICE_LEAST, self.willing * step))
         value = {
-            AdviceKind.LEVEL: cut,
-            AdviceKind.SHARE: ADVICE_LEAST if self.stop_at else min(self.willing, self._warmth()),
-            AdviceKind.WINDOW: max(1.0, DEPTH[4] * self.limits.cores * (1 - cut)),
+            LoadReportKind.LEVEL: cut,
+            LoadReportKind.SHARE: ADVICE_LEAST if self.stop_at else min(self.willing, self._warmth()),
+            LoadReportKind.WINDOW: max(1.0, DEPTH[4] * self.limits.cores * (1 - cut)),
         }[kind]
         if value != self.advice:
             self.advice = value
@@ -498,27 +498,27 @@
 
     # Calls below.
 
-    def at_call(self, now: int, ex: Exchange) -> None:
+    def at_call(self, now: int, ex: Request) -> None:
         """A run can't go on without a call."""
         self.now = now
-        if ex.state is State.ORPHANED:
-            return self._move(ex, State.ENDING)
-        if ex.state is State.RUNNING:
-            self._move(ex, State.AT_CALL)
+        if ex.state is RequestState.ORPHANED:
+            return self._move(ex, RequestState.ENDING)
+        if ex.state is RequestState.RUNNING:
+            self._move(ex, RequestState.AT_CALL)
             self._try_call(ex)
 
-    def call_done(self, now: int, ex: Exchange, outcome: Outcome, latency: int) -> None:
+    def call_done(self, now: int, ex: Request, outcome: Outcome, latency: int) -> None:
         """A call came back: go on, try again, leave it out, or give the exchange up."""
         self.now = now
-        if ex.state is not State.CALLING:
+        if ex.state is not RequestState.CALLING:
             return None
         self._end_call(ex, self.limits.call_linger if outcome is Outcome.GIVEN_UP else 0)
         if outcome is Outcome.COMPLETED:
             self.calls_failed = 0
-            return self._move(ex, State.RUNNING)
+            return self._move(ex, RequestState.RUNNING)
         self.calls_failed += 1
         ex.calls_failed += 1
-        self._move(ex, State.AT_CALL)
+        self._move(ex, RequestState.AT_CALL)
         broke = outcome in (Outcome.UNREACHED, Outcome.RESET)  # its link did: what lies below is not full
         may = not ex.group.once or outcome in (Outcome.DENIED, Outcome.UNREACHED, Outcome.MOOT)  # never ran
         if ex.calls_failed < CALL_TRIES and may and (broke or not ex.group.skip_share):
@@ -528,7 +528,7 @@
         else:
             self._give_up(ex)
 
-    def _try_call(self, ex: Exchange) -> None:
+    def _try_call(self, ex: Request) -> None:
         if not self._place_call(ex):
             if ex.group.skip_share and self.calls_failed >= BREAK_AFTER:
                 return self._leave_out(ex)  # no use to wait for what is known to fail
@@ -536,13 +536,13 @@
             if ex.group.skip_share:
                 self._alarm(ex, self.now + int(CALL_WAIT * ex.group.slo_time) + ALARM_STEP)
 
-    def _leave_out(self, ex: Exchange) -> None:
+    def _leave_out(self, ex: Request) -> None:
         self.host.leave_out(ex)
-        self._move(ex, State.RUNNING)
+        self._move(ex, RequestState.RUNNING)
 
-    def _place_call(self, ex: Exchange) -> bool:
+    def _place_call(self, ex: Request) -> bool:
         """Place its call if the breaker and the share of what lies below leave room."""
-        if ex.state is not State.AT_CALL:
+        if ex.state is not RequestState.AT_CALL:
             return True
         limits, now = self.limits, self.now
         if self.calls_failed >= BREAK_AFTER and now < self.trial_at:
@@ -550,13 +550,13 @@
         until = ex.give_up_at
         if ex.group.skip_share:  # leave time to end without the call
             until = max(now + MS, until - int(self.span[ex.group.index]))
-        if limits.below is Below.SHARED and limits.call_share:
+        if limits.below is DownstreamKind.SHARED and limits.call_share:
             budget = limits.call_share * limits.call_window * CALL_ROOM
             until = min(until, now + int(min(ex.group.slo_time * CALL_TIME, budget / 2)))
             commit = until - now + limits.call_linger
             crowd = max(1.0, limits.call_share * CALL_CROWD)
             if (
-                self.count[State.CALLING] + 1 > crowd
+                self.count[RequestState.CALLING] + 1 > crowd
                 or self.calls_time.total(now)[0] + self.calls_booked + commit > budget
             ):
                 return False
@@ -564,12 +564,12 @@
             self.calls_booked += commit
         self.trial_at = now + TRIAL_EVERY
         self.host.call(ex, until)
-        self._move(ex, State.CALLING)
+        self._move(ex, RequestState.CALLING)
         return True
 
-    def _end_call(self, ex: Exchange, linger: int) -> None:
+    def _end_call(self, ex: Request, linger: int) -> None:
         """Book the time that a call was in the hands of what lies below."""
-        if ex.state is State.CALLING:
+        if ex.state is RequestState.CALLING:
             self.calls_booked -= ex.call_commit
             ex.call_commit = 0
             self.calls_time.add(self.now, self.now - ex.since + linger)
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from math import inf
 
-from oakkeel.admission.types import Exchange, FairRules, Place, State
-from oakkeel.fair_sharing.max_min import Levels
-from oakkeel.fair_sharing.reservations import Promises
+from oakkeel.admission.types import Request, FairSharingRules, ShareStanding, RequestState
+from oakkeel.fair_sharing.max_min import MaxMinShares
+from oakkeel.fair_sharing.reservations import Reservations
 from oakkeel.resource_limits import MS, SECOND
 
 EVERY = 200 * MS  # between looks at the shares
@@ -26,14 +26,14 @@
 RETRY_SHARE = 0.2  # of a sender's work, for its further tries
 
 
-class Fairness:
-    def __init__(self, rules: FairRules, marks_retries: bool, chance: Callable[[], float]) -> None:
+class FairSharing:
+    def __init__(self, rules: FairSharingRules, marks_retries: bool, chance: Callable[[], float]) -> None:
         self.marks_retries, self.chance = marks_retries, chance
-        self.levels = Levels(len(rules.by), rules.places, rules.half, rules.weights)
-        self.promises = Promises(STEP, STEPS, rules.promises)
+        self.levels = MaxMinShares(len(rules.by), rules.places, rules.half, rules.weights)
+        self.promises = Reservations(STEP, STEPS, rules.promises)
         self.room, self.looked = 0.0, 0  # for promises in one step; when shares were set
 
-    def arrive(self, now: int, ex: Exchange, work: float, capacity: float) -> None:
+    def arrive(self, now: int, ex: Request, work: float, capacity: float) -> None:
         """Count an exchange with its senders; say whether it is over its share, within it, or promised."""
         if now - self.looked >= EVERY:
             self.looked, self.room = now, capacity * PROMISED_ROOM * STEP
@@ -43,13 +43,13 @@
         ex.work, asked = work, 0.0 if ex.promise else work  # and asks for nothing new
         sender = ex.sender = self.levels.count(now, ex.who, asked, ex.marked_retry)
         if ex.promise and ex.promise.work:
-            ex.place = Place.PROMISED
+            ex.place = ShareStanding.PROMISED
             return
         if ex.promise:  # told a time, and no room: it is judged as any other
             self.promises.end(ex.promise, None)
             ex.promise = None
         elif again and (ahead := self.promises.ahead(key)):
-            ex.place = Place.OVER  # to try before its time gains nothing, and waits longer
+            ex.place = ShareStanding.OVER  # to try before its time gains nothing, and waits longer
             if ahead.early < EARLY_MOST and self.promises.all_known(key):
                 own = min(SECOND, int(work / max(1.0, sender.allowed) * SECOND))
                 self.promises.put_off(now, ahead, ahead.at + max(STEP, own), self.room)
@@ -61,25 +61,25 @@
             rest = self.levels.kept_of_rest(sender)
             over = rest < 1 and not known and self.chance() > rest
         tries = ex.marked_retry and known and sender.retries > RETRY_SHARE * sender.count
-        ex.place = Place.OVER if over or tries else Place.FAIR
-        if ex.place is Place.FAIR:  # of its share, though the ladder may still deny it
+        ex.place = ShareStanding.OVER if over or tries else ShareStanding.FAIR
+        if ex.place is ShareStanding.FAIR:  # of its share, though the ladder may still deny it
             self._charge(now, ex)
 
-    def _charge(self, now: int, ex: Exchange) -> None:
+    def _charge(self, now: int, ex: Request) -> None:
         if ex.sender.allowed < inf:
             took = int(ex.work / max(1.0, ex.sender.allowed) * SECOND)
             ex.sender.free_at = max(ex.sender.free_at, now) + took
 
-    def return_after(self, now: int, ex: Exchange, most: int) -> int:
+    def return_after(self, now: int, ex: Request, most: int) -> int:
         """How long one that is denied should stay away: until room that is its own, if that can be told."""
         sender, known = ex.sender, ex.sender.allowed < inf
-        if ex.promise and ex.state is State.READ:
+        if ex.promise and ex.state is RequestState.READ:
             self.promises.end(ex.promise, False)  # the room was not enough
-        if ex.place is Place.OVER and not known:
+        if ex.place is ShareStanding.OVER and not known:
             return most  # one of many who share too little to promise them any
         own = sender.free_at - BURST if known else now
         promise = None
-        if ex.place is not Place.OVER or not ex.marked_retry:  # nothing more for one that came early
+        if ex.place is not ShareStanding.OVER or not ex.marked_retry:  # nothing more for one that came early
             promise = self.promises.book(now, max(now, own), sender.key, ex.work, self.room)
         if promise and promise.at - now <= most:
             self._charge(now, ex)
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -1,6 +1,6 @@
 """The types between the decisions (`oakkeel.admission`) and whatever hosts them.
 
-A front (today `oakkeel.simulator_adapter`) fills in `NodeLimits`, `EndpointGroup` rows and `Exchange` objects, calls
+A front (today `oakkeel.simulator_adapter`) fills in `NodeLimits`, `RequestClass` rows and `Request` objects, calls
 the methods of `policy.Keel`, and carries out what comes back through `Host`. Times are whole nanoseconds,
 memory is in kilobytes. Nothing here decides or tunes.
 """
@@ -28,7 +28,7 @@
     SUSPEND = "suspend"
 
 
-class AdviceKind(Enum):
+class LoadReportKind(Enum):
     """How callers read the value given to `Host.advise`."""
 
     SILENT = "silent"
@@ -37,7 +37,7 @@
     SHARE = "share"  # the chance that a caller does not skip this node
 
 
-class Below(Enum):
+class DownstreamKind(Enum):
     """What the exchanges of this node call."""
 
     NOTHING = "nothing"
@@ -58,7 +58,7 @@
     MOOT = "moot"  # never ran
 
 
-class State(IntEnum):
+class RequestState(IntEnum):
     """The states of an exchange; `policy.Keel` alone moves one on."""
 
     READ = 0  # read, not yet decided
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class EndpointGroup:
+class RequestClass:
     """A row of the table of endpoint groups."""
 
     index: int
@@ -100,7 +100,7 @@
     allowance_per_s: float
 
 
-class Place(IntEnum):
+class ShareStanding(IntEnum):
     """Where an exchange stands among those of all senders: below FAIR denied first, above it run first."""
 
     OVER = -1  # its sender had its share
@@ -109,7 +109,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class FairRules:
+class FairSharingRules:
     """Who counts as one sender, and what each may have; told by the operator."""
 
     by: tuple[str, ...]  # one level or two, the outermost first: tenant, caller, subject or a field's name
@@ -136,24 +136,24 @@
     max_retry_after: int  # 0: callers take no such advice
     stop_kind: StopKind
     peers: int
-    below: Below
+    below: DownstreamKind
     call_share: float  # mean calls in the hands of what lies below; 0: no bound
     call_window: int
     call_linger: int
     fresh: int  # how long an answer may serve other reads; 0: never
     idle: int
-    advice: AdviceKind
+    advice: LoadReportKind
     over_share: float  # benefit of an exchange above its tenant's share
-    groups: list[EndpointGroup]
+    groups: list[RequestClass]
     tenants: list[Tenant]
-    fair: FairRules | None = None  # None: no sender is told from another
+    fair: FairSharingRules | None = None  # None: no sender is told from another
 
 
 @dataclass(slots=True, eq=False)
-class Exchange:
+class Request:
     """One exchange read by this node: the host fills in the first block, the decisions keep the second."""
 
-    group: EndpointGroup
+    group: RequestClass
     tenant: Tenant | None
     caller: int
     memory_kb: float
@@ -163,7 +163,7 @@
     has_key: bool  # reads of its key may be shared
     repeats: bool  # it repeats an exchange that the host remembers
 
-    state: State = State.READ
+    state: RequestState = RequestState.READ
     slo_end: int = 0
     give_up_at: int = 0
     since: int = 0  # when it entered its state
@@ -179,7 +179,7 @@
     ] = ()  # its senders by level, as keys and labels; told where shares are fair
     sender: Any = None
     promise: Any = None  # that it comes by
-    place: Place = Place.FAIR
+    place: ShareStanding = ShareStanding.FAIR
     work: float = 0.0  # time on the cores that it was counted with
 
 
@@ -196,15 +196,15 @@
 class Host(Protocol):
     """What the decisions may ask of the node."""
 
-    def run(self, ex: Exchange) -> None: ...
-    def deny(self, ex: Exchange, last: bool, retry_after: int) -> None: ...
-    def terminate(self, ex: Exchange) -> None: ...
-    def stop(self, ex: Exchange) -> None: ...
-    def call(self, ex: Exchange, until: int) -> None: ...
-    def leave_out(self, ex: Exchange) -> None: ...
-    def share(self, ex: Exchange) -> None: ...
-    def remember(self, ex: Exchange, duration: int) -> None: ...
-    def forget(self, ex: Exchange) -> None: ...
+    def run(self, ex: Request) -> None: ...
+    def deny(self, ex: Request, last: bool, retry_after: int) -> None: ...
+    def terminate(self, ex: Request) -> None: ...
+    def stop(self, ex: Request) -> None: ...
+    def call(self, ex: Request, until: int) -> None: ...
+    def leave_out(self, ex: Request) -> None: ...
+    def share(self, ex: Request) -> None: ...
+    def remember(self, ex: Request, duration: int) -> None: ...
+    def forget(self, ex: Request) -> None: ...
     def set_timer(self, token: int, at: int) -> None: ...
     def set_health(self, good: bool, stored: bool) -> None: ...
     def advise(self, value: float) -> None: ...
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -9,8 +9,8 @@
 import sys
 from collections.abc import Callable
 
-from oakkeel.agent.agent import LOG_LINES, Agent, new_seed, patience_of
-from oakkeel.log import Log
+from oakkeel.agent.agent import LOG_LINES, Agent, new_seed, timeouts_of
+from oakkeel.log import EventLog
 from oakkeel.settings.fleet import SettingsError, read_fleet
 from oakkeel.settings.keys import read_agent_keys, read_keys
 
@@ -39,12 +39,12 @@
             ) from None
         os.ftruncate(lock, 0)
         os.write(lock, f"{os.getpid()}\n".encode())
-        log = Log(f"agent {name}" if form == "console" else name, LOG_LINES, form)
+        log = EventLog(f"agent {name}" if form == "console" else name, LOG_LINES, form)
 
         async def run() -> None:
             agent = make(
                 host,
-                patience_of(fleet.supervision),
+                timeouts_of(fleet.supervision),
                 keys,
                 log,
                 new_seed(),
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -11,35 +11,35 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from oakkeel.agent.artifacts import Versions
-from oakkeel.agent.executor import Acting
+from oakkeel.agent.artifacts import ArtifactStore
+from oakkeel.agent.executor import InstanceExecutor
 from oakkeel.agent.instances import Instance
-from oakkeel.agent.orders import Orders
+from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.processes import Processes, boot
-from oakkeel.agent.raft_runtime import Keeping
-from oakkeel.agent.reconciler import Deciding
-from oakkeel.agent.request_handlers import Answering
-from oakkeel.agent.server import Door, DoorBounds
-from oakkeel.agent.status_reporter import Polling, probe
+from oakkeel.agent.raft_runtime import RaftRuntime
+from oakkeel.agent.reconciler import Reconciler
+from oakkeel.agent.request_handlers import RequestHandlers
+from oakkeel.agent.server import AgentServer, ServerLimits
+from oakkeel.agent.status_reporter import StatusReporter, probe
 from oakkeel.agent.storage import (
-    PLACES,
+    ADDED_TABLES,
     SCHEMA,
     VERSION,
-    fitting_statements,
-    place_statements,
+    assignment_statements,
+    permit_statements,
     statements,
-    take_up_fitting,
-    take_up_instances,
-    take_up_orders,
-    take_up_places,
+    restore_assignments,
+    restore_instances,
+    restore_orders,
+    restore_permits,
 )
-from oakkeel.agent.supervisor import MS, SECOND, Patience, Supervision
+from oakkeel.agent.supervisor import MS, SECOND, SupervisionTimeouts, Supervisor
 from oakkeel.authentication.mac import Key
-from oakkeel.disruption.holder import Holding
-from oakkeel.disruption.messages import Agreed
-from oakkeel.log import Log, fault
-from oakkeel.settings.fleet import Fairness, Fleet, HostSettings
-from oakkeel.store.database import Store, StoreError
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.disruption.messages import HeartbeatResponse
+from oakkeel.log import EventLog, fault
+from oakkeel.settings.fleet import FairSharingSettings, Fleet, HostSettings
+from oakkeel.store.database import Database, DatabaseError
 
 TURN = 100 * MS  # between looks at everything
 LOG_LINES = 50  # a second
@@ -52,14 +52,14 @@
     def __init__(
         self,
         host: HostSettings,
-        patience: Patience,
+        patience: SupervisionTimeouts,
         keys: dict[str, Key],
-        log: Log,
+        log: EventLog,
         seed: int,
-        store: Store | None = None,
+        store: Database | None = None,
         processes: type[Processes] = Processes,
         program: tuple[str, ...] = (sys.executable, "-m", "oakkeel"),
-        fairness: Fairness | None = None,
+        fairness: FairSharingSettings | None = None,
         fleet: Fleet | None = None,
         agent_keys: dict[str, Key] | None = None,
     ) -> None:
@@ -68,57 +68,57 @@
         os.makedirs(host.state, mode=0o700, exist_ok=True)
         self.host, self.keys, self.log = host, keys, log
         self.started = time.monotonic_ns()
-        self.store = store or Store(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
+        self.store = store or Database(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
         self.notes: list[str] = []
         instances = {each.name: Instance(each.name, host.site, since=self.started) for each in host.instances}
         if self.store.set_aside:
             self.notes.append(f"the state was set aside: {self.store.set_aside}")
             log.say("the state was set aside", file=self.store.set_aside)
         same_boot = self._same_boot()
-        take_up_instances(self.store, instances, same_boot)
+        restore_instances(self.store, instances, same_boot)
         for each in instances.values():
             each.since = self.started
         self.fleet = fleet if fleet and fleet.keepers else None
         self.holding = self._holding(seed) if self.fleet else None
-        self.supervision = Supervision(
+        self.supervision = Supervisor(
             instances.values(), patience, {host.site: host.away}, seed, time.time_ns
         )
-        self.orders = Orders(self.supervision, time.time_ns, holding=self.holding)
-        take_up_orders(self.store, self.orders)
+        self.orders = OrderRegistry(self.supervision, time.time_ns, holding=self.holding)
+        restore_orders(self.store, self.orders)
         if not same_boot:
             self.orders.expire_all(self.started, "the host was started anew")
         self.store_fault = ""
         self.dropped_at = self.started
-        self.acting = Acting(
+        self.acting = InstanceExecutor(
             host, self.supervision, log, processes, program, fairness, self.turn, self.holding
         )
-        self.deciding: Deciding | None = None
-        self.versions: Versions | None = None
+        self.deciding: Reconciler | None = None
+        self.versions: ArtifactStore | None = None
         if self.holding:
-            self.deciding = Deciding(
+            self.deciding = Reconciler(
                 self.supervision,
                 self.orders,
                 self.holding,
                 services=tuple(each.name for each in self.services),
             )
-            take_up_fitting(self.store, self.deciding.fitting)
-            self.versions = self.acting.versions = Versions(host, self.deciding.fitting, log, self._ready)
+            restore_assignments(self.store, self.deciding.fitting)
+            self.versions = self.acting.versions = ArtifactStore(host, self.deciding.fitting, log, self._ready)
         self.done = asyncio.Event()
-        self.keeping: Keeping | None = None
-        self.polling: Polling | None = None
+        self.keeping: RaftRuntime | None = None
+        self.polling: StatusReporter | None = None
         self.tasks: list[asyncio.Task] = []
         self.agent_keys = agent_keys or {}
-        links = DoorBounds(links=64 + 3 * len(fleet.hosts)) if self.fleet and fleet else None
-        self.answering = Answering(self)
-        self.door = Door(host.agent, lambda: self.keys, self.answering.handle, log, links)
+        links = ServerLimits(links=64 + 3 * len(fleet.hosts)) if self.fleet and fleet else None
+        self.answering = RequestHandlers(self)
+        self.door = AgentServer(host.agent, lambda: self.keys, self.answering.handle, log, links)
 
-    def _holding(self, seed: int) -> Holding:
+    def _holding(self, seed: int) -> PermitHolder:
         assert self.fleet and self.fleet.keepers
         self.services = tuple(each for each in self.fleet.keepers.services if each.host == self.host.name)
         things = (*(each.name for each in self.host.instances), *(each.name for each in self.services))
-        holding = Holding(self.host.name, things, seed & (1 << 60) - 1)
-        self.store.write(PLACES)
-        take_up_places(self.store, holding)
+        holding = PermitHolder(self.host.name, things, seed & (1 << 60) - 1)
+        self.store.write(ADDED_TABLES)
+        restore_permits(self.store, holding)
         return holding
 
     def _same_boot(self) -> bool:
@@ -188,7 +188,7 @@
         assert self.fleet and self.fleet.keepers and deciding
         if self.store.new:
             deciding.lost_file()
-        self.polling = Polling(self.fleet, self.host.name, self.agent_keys, deciding, self.log, self._heard)
+        self.polling = StatusReporter(self.fleet, self.host.name, self.agent_keys, deciding, self.log, self._heard)
         if self.host.name in self.fleet.keepers.hosts or os.path.exists(
             os.path.join(self.host.state, "record.db")
         ):
@@ -202,14 +202,14 @@
     def _keep_record(self) -> None:
         assert self.fleet and self.polling
         try:
-            self.keeping = self.polling.keeping = Keeping(
+            self.keeping = self.polling.keeping = RaftRuntime(
                 self.fleet, self.host.name, self.agent_keys, self.log
             )
             self.keeping.open()
         except OSError as error:
             self.log.say("the record can't be kept here", error=str(error))
 
-    def _heard(self, agreed: Agreed) -> None:
+    def _heard(self, agreed: HeartbeatResponse) -> None:
         if self.keeping is None and self.host.name in agreed.keepers:
             self._keep_record()
         self.turn()
@@ -278,12 +278,12 @@
             return True
         rows = statements(changed, self.orders.changed, self.orders.dropped)
         if self.holding:
-            rows += place_statements(self.holding)
+            rows += permit_statements(self.holding)
         if fitting:
-            rows += fitting_statements(fitting)
+            rows += assignment_statements(fitting)
         try:
             self.store.write(rows)
-        except StoreError as error:
+        except DatabaseError as error:
             if str(error) != self.store_fault:
                 self.log.say("the state can't be kept", error=str(error))
             self.store_fault = str(error)
@@ -308,9 +308,9 @@
         self.log.say("the settings are taken", keys=len(keys))
 
 
-def patience_of(told: dict[str, int | bool]) -> Patience:
+def timeouts_of(told: dict[str, int | bool]) -> SupervisionTimeouts:
     """What the settings say, the rest as it is built in."""
-    return replace(Patience(), **told)  # type: ignore[arg-type]
+    return replace(SupervisionTimeouts(), **told)  # type: ignore[arg-type]
 
 
 def new_seed() -> int:
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 
 import oakkeel
-from oakkeel.log import Log, fault
-from oakkeel.rollout.assignments import Copy, Fitting
-from oakkeel.rollout.commands import What
+from oakkeel.log import EventLog, fault
+from oakkeel.rollout.assignments import ArtifactRequest, VersionAssignments
+from oakkeel.rollout.commands import VersionSpec
 from oakkeel.settings.fleet import HostSettings, InstanceSettings
 from oakkeel.store.content_store import (
     Content,
     ContentError,
-    Contents,
+    ContentStore,
     hash_file,
     hash_folder,
     merged,
@@ -25,13 +25,13 @@
 PACKAGE = os.path.dirname(os.path.abspath(oakkeel.__file__))
 
 
-class Versions:
-    def __init__(self, host: HostSettings, fitting: Fitting, log: Log, moved: Callable[[], None]) -> None:
+class ArtifactStore:
+    def __init__(self, host: HostSettings, fitting: VersionAssignments, log: EventLog, moved: Callable[[], None]) -> None:
         """`moved` is called once copies are made, or can't be."""
         self.fitting, self.log, self.moved = fitting, log, moved
         self.told = {each.name: each for each in host.instances}
         self.state = host.state
-        self.contents = Contents(os.path.join(host.state, "versions"))
+        self.contents = ContentStore(os.path.join(host.state, "versions"))
         self.tasks: set[asyncio.Task] = set()
 
     # Making ready.
@@ -43,7 +43,7 @@
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _prepare(self, copy: Copy) -> None:
+    async def _prepare(self, copy: ArtifactRequest) -> None:
         why, bases = "", {}
         try:
             bases = await asyncio.to_thread(self._copy, copy)
@@ -61,7 +61,7 @@
         self.fitting.prepared(copy.release, why[:300], bases)
         self.moved()
 
-    def _copy(self, copy: Copy) -> dict[str, str]:
+    def _copy(self, copy: ArtifactRequest) -> dict[str, str]:
         """Raises OSError. Returns the versions of what the things run by their settings."""
         os.makedirs(os.path.join(self.contents.folder, "content"), mode=0o700, exist_ok=True)
         self._keep(copy.what)
@@ -75,7 +75,7 @@
             bases[thing] = self.contents.keep(Content(program, "", self.contents.keep_file(told.config)))
         return bases
 
-    def _keep(self, what: What) -> None:
+    def _keep(self, what: VersionSpec) -> None:
         if self.contents.find(what.version):
             return
         program = self.contents.keep_folder(what.program) if what.program else ""
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -6,14 +6,14 @@
 
 from __future__ import annotations
 
-from oakkeel.disruption.holder import Holding
-from oakkeel.disruption.messages import PartTold
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.disruption.messages import TaskResult
 
 LOST = 2  # looks in a row that must fail before it counts as down
 
 
-class Below:
-    def __init__(self, holding: Holding, names: tuple[str, ...]) -> None:
+class DownstreamServices:
+    def __init__(self, holding: PermitHolder, names: tuple[str, ...]) -> None:
         self.holding = holding
         self.up = dict.fromkeys(names, False)  # until it is seen
         self.failed = dict.fromkeys(names, 0)
@@ -40,10 +40,10 @@
             else:
                 self.holding.is_out(name)
 
-    def ended(self) -> list[PartTold]:
+    def ended(self) -> list[TaskResult]:
         """Orders on services that are over: it is down."""
         return [
-            PartTold(order.ident, thing, "done", "")
+            TaskResult(order.ident, thing, "done", "")
             for order in self.holding.orders.values()
             for thing, _, state in order.parts
             if state == "out"
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable
 from functools import partial
 
-from oakkeel.agent.artifacts import Versions
+from oakkeel.agent.artifacts import ArtifactStore
 from oakkeel.agent.instances import Instance
 from oakkeel.agent.processes import Process, Processes
-from oakkeel.agent.supervisor import MS, SECOND, Act, Step, Supervision
+from oakkeel.agent.supervisor import MS, SECOND, Action, Step, Supervisor
 from oakkeel.control.client import ControlClient, ControlError
-from oakkeel.disruption.holder import Holding
-from oakkeel.log import Log, fault
-from oakkeel.settings.fleet import Fairness, HostSettings, InstanceSettings
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.log import EventLog, fault
+from oakkeel.settings.fleet import FairSharingSettings, HostSettings, InstanceSettings
 
 ASK = 200 * MS  # between questions to one instance, or more where there are many
 ASK_EACH = 4 * MS  # of this times the instances
@@ -25,21 +25,21 @@
 FIND = 2 * SECOND  # for a process of an earlier agent to say which it is
 
 
-class Acting:
+class InstanceExecutor:
     def __init__(
         self,
         host: HostSettings,
-        supervision: Supervision,
-        log: Log,
+        supervision: Supervisor,
+        log: EventLog,
         processes: type[Processes],
         program: tuple[str, ...],
-        fairness: Fairness | None,
+        fairness: FairSharingSettings | None,
         moved: Callable[[], None],
-        holding: Holding | None = None,
+        holding: PermitHolder | None = None,
     ) -> None:
         """`moved` is called when a process has ended."""
         self.holding = holding
-        self.versions: Versions | None = None  # where releases are made
+        self.versions: ArtifactStore | None = None  # where releases are made
         self.supervision, self.log, self.fairness, self.moved = supervision, log, fairness, moved
         self.processes, self.program = processes(host.state, self._ended), list(program)
         self.told: dict[str, InstanceSettings] = {each.name: each for each in host.instances}
@@ -58,22 +58,22 @@
             facts |= {"order": order.ident, "operator": order.operator}
         if self.holding and (held := self.holding.places.get(instance.name)) and held.begun:
             facts["fence"] = held.fence
-        if step.act is Act.START:
+        if step.act is Action.START:
             self._start(instance, facts)
         elif process is None:
             self.log.say("no process to signal", **facts)
-        elif step.act in (Act.LEAVE, Act.STAY):
+        elif step.act in (Action.LEAVE, Action.STAY):
             self._say(instance, process, step.act, facts)
         else:
-            number = signal.SIGTERM if step.act is Act.TERM else signal.SIGKILL
-            self.log.say("told to leave" if step.act is Act.TERM else "killed after its drain time", **facts)
+            number = signal.SIGTERM if step.act is Action.TERM else signal.SIGKILL
+            self.log.say("told to leave" if step.act is Action.TERM else "killed after its drain time", **facts)
             self.processes.signal(process, number)
 
     def put_off(self, step: Step) -> None:
         """An order's step that could not be kept is not carried out: it comes again."""
-        if step.act is Act.START:
+        if step.act is Action.START:
             self.supervision.never_there(time.monotonic_ns(), step.instance)
-        elif step.act in (Act.TERM, Act.LEAVE, Act.STAY):
+        elif step.act in (Action.TERM, Action.LEAVE, Action.STAY):
             step.instance.left_at = 0
             if step.instance.part:
                 step.instance.part.sent = False
@@ -107,7 +107,7 @@
         self.supervision.spawned(now, instance)
         self._watch(instance, process)
 
-    def _say(self, instance: Instance, process: Process, act: Act, facts: dict[str, object]) -> None:
+    def _say(self, instance: Instance, process: Process, act: Action, facts: dict[str, object]) -> None:
         """By the control link, behind what it was told before: a word to stay must not overtake one to
         leave."""
         before = self.words.get(instance)
@@ -125,7 +125,7 @@
         before: asyncio.Task | None,
         instance: Instance,
         process: Process,
-        act: Act,
+        act: Action,
         facts: dict[str, object],
     ) -> None:
         if before is not None:
@@ -134,7 +134,7 @@
             return
         client = ControlClient(self.processes.path(instance.name, "sock"))
         try:
-            if act is Act.STAY:
+            if act is Action.STAY:
                 answer = await client.stay(process.generation, ANSWER / SECOND)
                 self.log.say("told to stay", answer=answer.why or "it does", **facts)
                 if answer.why:
@@ -151,7 +151,7 @@
             self.log.say("it does not take a word", error=str(error), **facts)
         finally:
             client.close()
-        if act is Act.LEAVE and not instance.recalled:
+        if act is Action.LEAVE and not instance.recalled:
             self.log.say("told to leave", by="signal", **facts)
             self.processes.signal(process, signal.SIGTERM)
 
@@ -163,7 +163,7 @@
                 json.dump({"fair": self.fairness.told(self.processes.path(name, "shares"))}, file)
             os.replace(path + ".new", path)
 
-    def take_fairness(self, fairness: Fairness | None) -> None:
+    def take_fairness(self, fairness: FairSharingSettings | None) -> None:
         """New shares: what nodes are told they read again."""
         if self.fairness and fairness and self.fairness != fairness:
             self.fairness = fairness
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -12,7 +12,7 @@
 
 
 class Phase(Enum):
-    """What is known of an instance; `Supervision` alone moves one on."""
+    """What is known of an instance; `Supervisor` alone moves one on."""
 
     STOPPED = "stopped"  # no process, and none is wanted yet
     STARTING = "starting"  # a process, which takes no exchanges yet
@@ -24,7 +24,7 @@
     FAILING = "failing"  # died by itself, and waits to be started again
 
 
-NEXT = {
+TRANSITIONS = {
     Phase.STOPPED: {Phase.STARTING},
     Phase.STARTING: {Phase.COLD, Phase.SERVING, Phase.DRAINING, Phase.SILENT, Phase.STOPPED, Phase.FAILING},
     Phase.COLD: {Phase.SERVING, Phase.STARTING, Phase.DRAINING, Phase.SILENT, Phase.STOPPED, Phase.FAILING},
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, eq=False)
 class Instance:
-    """Its owner is the agent; `Supervision` and `Orders` both refer to it."""
+    """Its owner is the agent; `Supervisor` and `OrderRegistry` both refer to it."""
 
     name: str
     site: str
--- a/oakkeel/agent/leader_locator.py
+++ b/oakkeel/agent/leader_locator.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 
 
-class Whom:
+class LeaderLocator:
     def __init__(self, keepers: Sequence[str], known: Iterable[str]) -> None:
         """`known`: hosts that there are; a name that is none of them is not gone by."""
         self.keepers, self.known = keepers, frozenset(known)
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from oakkeel.control.messages import ClientsTold, Report
-from oakkeel.disruption.messages import Agreed, Poll
-from oakkeel.raft.messages import Letter
-from oakkeel.rollout.commands import Pace, What
+from oakkeel.control.messages import ClientsStatus, NodeStatus
+from oakkeel.disruption.messages import HeartbeatResponse, Heartbeat
+from oakkeel.raft.messages import Envelope
+from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 
 
-class Look(msgspec.Struct, tag="look", forbid_unknown_fields=True):
-    """How is everything on the host? `HostTold` comes back."""
+class HostStatusRequest(msgspec.Struct, tag="look", forbid_unknown_fields=True):
+    """How is everything on the host? `HostStatus` comes back."""
 
 
-class Order(msgspec.Struct, tag="order", forbid_unknown_fields=True):
+class OrderRequest(msgspec.Struct, tag="order", forbid_unknown_fields=True):
     """An order for instances, each with the generation that it is made for. `OrderTold` comes back."""
 
     ident: str
@@ -24,39 +24,39 @@
     supersede: bool = False
 
 
-class Cancel(msgspec.Struct, tag="cancel", forbid_unknown_fields=True):
+class CancelOrderRequest(msgspec.Struct, tag="cancel", forbid_unknown_fields=True):
     """End what an order has not begun. `OrderTold` comes back."""
 
     ident: str
 
 
-class ListOrders(msgspec.Struct, tag="orders", forbid_unknown_fields=True):
-    """The last orders. `OrdersTold` comes back."""
+class ListOrdersRequest(msgspec.Struct, tag="orders", forbid_unknown_fields=True):
+    """The last orders. `OrderList` comes back."""
 
     most: int = 50
 
 
-class Clients(msgspec.Struct, tag="clients", forbid_unknown_fields=True):
-    """Who sends the most to an instance? `ClientsOf` comes back."""
+class InstanceClientsRequest(msgspec.Struct, tag="clients", forbid_unknown_fields=True):
+    """Who sends the most to an instance? `InstanceClients` comes back."""
 
     instance: str
     most: int = 20
 
 
-class Carry(msgspec.Struct, tag="carry", forbid_unknown_fields=True):
-    """Letters from one keeper to another. `Carried` comes back."""
+class PeerEnvelopesRequest(msgspec.Struct, tag="carry", forbid_unknown_fields=True):
+    """Letters from one keeper to another. `PeerEnvelopesResponse` comes back."""
 
-    letters: list[Letter]
+    letters: list[Envelope]
 
 
-class Polled(msgspec.Struct, tag="polled", forbid_unknown_fields=True):
-    """An agent to whom it takes for the leader. `AgreedTold` comes back, or `Elsewhere`."""
+class HeartbeatRequest(msgspec.Struct, tag="polled", forbid_unknown_fields=True):
+    """An agent to whom it takes for the leader. `HeartbeatAccepted` comes back, or `NotLeaderResponse`."""
 
-    poll: Poll
+    poll: Heartbeat
 
 
-class FleetOrder(msgspec.Struct, tag="fleet", forbid_unknown_fields=True):
-    """An order for things of any host, to be agreed. `FleetTold` comes back, or `Elsewhere`."""
+class FleetOrderRequest(msgspec.Struct, tag="fleet", forbid_unknown_fields=True):
+    """An order for things of any host, to be agreed. `FleetOrderStatus` comes back, or `NotLeaderResponse`."""
 
     ident: str
     verb: str
@@ -65,52 +65,52 @@
     whole: bool = False
 
 
-class FleetEnd(msgspec.Struct, tag="end", forbid_unknown_fields=True):
-    """Halt an order of the fleet, or cancel it: what it took out comes back. `FleetTold` comes back."""
+class EndFleetOrderRequest(msgspec.Struct, tag="end", forbid_unknown_fields=True):
+    """Halt an order of the fleet, or cancel it: what it took out comes back. `FleetOrderStatus` comes back."""
 
     ident: str
     back: bool
 
 
-class SetKeepers(msgspec.Struct, tag="set keepers", forbid_unknown_fields=True):
-    """Who should keep the record from now on. `RecordTold` comes back, or `Elsewhere`."""
+class SetVotersRequest(msgspec.Struct, tag="set keepers", forbid_unknown_fields=True):
+    """Who should keep the record from now on. `RaftStatus` comes back, or `NotLeaderResponse`."""
 
     hosts: list[str]
 
 
-class StartRelease(msgspec.Struct, tag="start release", forbid_unknown_fields=True):
-    """Bring that to those things, step by step. `ReleaseTold` comes back, or `Elsewhere`."""
+class StartReleaseRequest(msgspec.Struct, tag="start release", forbid_unknown_fields=True):
+    """Bring that to those things, step by step. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
 
     ident: str
-    what: What
-    pace: Pace
+    what: VersionSpec
+    pace: RolloutPolicy
     things: list[str]
 
 
-class TurnRelease(msgspec.Struct, tag="turn release", forbid_unknown_fields=True):
-    """pause, resume, abort, undo, leave. `ReleaseTold` comes back, or `Elsewhere`."""
+class ControlReleaseRequest(msgspec.Struct, tag="turn release", forbid_unknown_fields=True):
+    """pause, resume, abort, undo, leave. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
 
     ident: str
     to: str
 
 
-class AskRelease(msgspec.Struct, tag="ask release", forbid_unknown_fields=True):
-    """How far is it? Without an id the open one, or the last. `ReleaseTold` comes back, or `Elsewhere`."""
+class ReleaseStatusRequest(msgspec.Struct, tag="ask release", forbid_unknown_fields=True):
+    """How far is it? Without an id the open one, or the last. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
 
     ident: str = ""
 
 
-class AskRecord(msgspec.Struct, tag="record", forbid_unknown_fields=True):
-    """How is the record, as this agent knows it? `RecordTold` comes back."""
+class RaftStatusRequest(msgspec.Struct, tag="record", forbid_unknown_fields=True):
+    """How is the record, as this agent knows it? `RaftStatus` comes back."""
 
 
-class AskFleet(msgspec.Struct, tag="fleet state", forbid_unknown_fields=True):
-    """Places and orders of the fleet. `FleetStateTold` comes back, or `Elsewhere`."""
+class FleetStatusRequest(msgspec.Struct, tag="fleet state", forbid_unknown_fields=True):
+    """Places and orders of the fleet. `FleetStatus` comes back, or `NotLeaderResponse`."""
 
     ident: str = ""  # of one order; else the latest
 
 
-class OrderOn(msgspec.Struct):
+class OpenOrder(msgspec.Struct):
     """The order that is open on an instance."""
 
     ident: str
@@ -120,7 +120,7 @@
     age: int
 
 
-class InstanceTold(msgspec.Struct):
+class InstanceStatus(msgspec.Struct):
     """An instance as its agent knows it."""
 
     name: str
@@ -132,15 +132,15 @@
     changed_by: str
     pid: int
     heard_age: int  # of `report`
-    report: Report | None
-    order: OrderOn | None
+    report: NodeStatus | None
+    order: OpenOrder | None
     deaths: int  # within the window of the budget
     resting: bool
     starts_in: int  # nanoseconds until it may be started; 0: now or not to be
     why: str  # the last thing that went wrong
 
 
-class HostTold(msgspec.Struct, tag="host"):
+class HostStatus(msgspec.Struct, tag="host"):
     host: str
     site: str
     uptime: int  # of the agent
@@ -148,49 +148,49 @@
     away: int  # how many of its instances may be out at one time
     out: int  # how many are
     notes: list[str]  # what its operator should know of
-    instances: list[InstanceTold]
+    instances: list[InstanceStatus]
 
 
-class PartTold(msgspec.Struct):
+class TaskStatus(msgspec.Struct):
     instance: str
     state: str
     age: int
     why: str
 
 
-class OrderTold(msgspec.Struct, tag="order"):
+class OrderStatus(msgspec.Struct, tag="order"):
     ident: str
     operator: str
     verb: str
     taken: int  # Unix nanoseconds
-    parts: list[PartTold]
+    parts: list[TaskStatus]
 
 
-class OrdersTold(msgspec.Struct, tag="orders"):
-    orders: list[OrderTold]  # the latest first
+class OrderList(msgspec.Struct, tag="orders"):
+    orders: list[OrderStatus]  # the latest first
 
 
-class ClientsOf(msgspec.Struct, tag="clients"):
+class InstanceClients(msgspec.Struct, tag="clients"):
     instance: str
-    told: ClientsTold
+    told: ClientsStatus
 
 
-class Carried(msgspec.Struct, tag="carried"):
-    letters: list[Letter]
+class PeerEnvelopesResponse(msgspec.Struct, tag="carried"):
+    letters: list[Envelope]
 
 
-class AgreedTold(msgspec.Struct, tag="agreed"):
-    agreed: Agreed
+class HeartbeatAccepted(msgspec.Struct, tag="agreed"):
+    agreed: HeartbeatResponse
 
 
-class Elsewhere(msgspec.Struct, tag="elsewhere"):
+class NotLeaderResponse(msgspec.Struct, tag="elsewhere"):
     """Only the leader answers that; `leader` is a host, or empty where none is known."""
 
     leader: str
     why: str
 
 
-class FleetPart(msgspec.Struct):
+class FleetTaskStatus(msgspec.Struct):
     thing: str
     host: str
     state: str
@@ -199,7 +199,7 @@
     owes: str = ""  # what it has yet to answer while it leaves
 
 
-class FleetTold(msgspec.Struct, tag="fleet"):
+class FleetOrderStatus(msgspec.Struct, tag="fleet"):
     """An order of the fleet as it is agreed."""
 
     ident: str
@@ -209,10 +209,10 @@
     whole: bool
     halted: str
     cancelled: str
-    parts: list[FleetPart]
+    parts: list[FleetTaskStatus]
 
 
-class PlaceOut(msgspec.Struct):
+class UnavailableTarget(msgspec.Struct):
     """A thing that is out, and why."""
 
     thing: str
@@ -222,20 +222,20 @@
     order: str = ""
 
 
-class GroupOut(msgspec.Struct):
+class BudgetUsage(msgspec.Struct):
     name: str
     out: int
     bound: int
 
 
-class FleetStateTold(msgspec.Struct, tag="fleet state"):
+class FleetStatus(msgspec.Struct, tag="fleet state"):
     index: int
-    groups: list[GroupOut]
-    out: list[PlaceOut]
-    orders: list[FleetTold]  # the latest first
+    groups: list[BudgetUsage]
+    out: list[UnavailableTarget]
+    orders: list[FleetOrderStatus]  # the latest first
 
 
-class KeeperTold(msgspec.Struct):
+class MemberStatus(msgspec.Struct):
     """A member of the record, as its leader or one who follows knows it. -1: not known here."""
 
     name: str
@@ -245,7 +245,7 @@
     heard_age: int
 
 
-class RecordTold(msgspec.Struct, tag="record"):
+class RaftStatus(msgspec.Struct, tag="record"):
     host: str
     role: str  # none: it keeps nothing
     role_age: int
@@ -257,11 +257,11 @@
     last: int
     elections: int
     heard_age: int  # since this agent heard the record's answer last
-    members: list[KeeperTold]
+    members: list[MemberStatus]
     why: str
 
 
-class ReleasePart(msgspec.Struct):
+class ReleaseTargetStatus(msgspec.Struct):
     thing: str
     host: str
     state: str  # old, changing, new
@@ -271,75 +271,75 @@
     why: str = ""
 
 
-class ReleaseTold(msgspec.Struct, tag="release"):
+class ReleaseStatus(msgspec.Struct, tag="release"):
     """A release as it is agreed, and what whoever drives it waits for."""
 
     ident: str
     operator: str
     unix: int
     state: str
-    what: What
+    what: VersionSpec
     step: int
     batch: int
     why: str
     said: str  # the gates' figures
     waits: str  # what for, as the driver knows it
     driver: str
-    parts: list[ReleasePart]
+    parts: list[ReleaseTargetStatus]
     others: list[tuple[str, str]]  # releases that are over: id and state
 
 
-class Fault(msgspec.Struct, tag="fault"):
+class ErrorResponse(msgspec.Struct, tag="fault"):
     """Nothing came of it."""
 
     why: str
 
 
-Between = Carry | Polled  # agents
-Wish = (
-    Look
-    | Order
-    | Cancel
-    | ListOrders
-    | Clients
-    | FleetOrder
-    | FleetEnd
-    | SetKeepers
-    | AskRecord
-    | AskFleet
-    | StartRelease
-    | TurnRelease
-    | AskRelease
-    | Between
+PeerRequest = PeerEnvelopesRequest | HeartbeatRequest  # agents
+Request = (
+    HostStatusRequest
+    | OrderRequest
+    | CancelOrderRequest
+    | ListOrdersRequest
+    | InstanceClientsRequest
+    | FleetOrderRequest
+    | EndFleetOrderRequest
+    | SetVotersRequest
+    | RaftStatusRequest
+    | FleetStatusRequest
+    | StartReleaseRequest
+    | ControlReleaseRequest
+    | ReleaseStatusRequest
+    | PeerRequest
 )
-Answer = (
-    HostTold
-    | OrderTold
-    | OrdersTold
-    | ClientsOf
-    | Carried
-    | AgreedTold
-    | Elsewhere
-    | FleetTold
-    | FleetStateTold
-    | RecordTold
-    | ReleaseTold
-    | Fault
+Response = (
+    HostStatus
+    | OrderStatus
+    | OrderList
+    | InstanceClients
+    | PeerEnvelopesResponse
+    | HeartbeatAccepted
+    | NotLeaderResponse
+    | FleetOrderStatus
+    | FleetStatus
+    | RaftStatus
+    | ReleaseStatus
+    | ErrorResponse
 )
-_wishes = msgspec.msgpack.Decoder(Wish)
-_answers = msgspec.msgpack.Decoder(Answer)
+_request_decoder = msgspec.msgpack.Decoder(Request)
+_response_decoder = msgspec.msgpack.Decoder(Response)
 _encoder = msgspec.msgpack.Encoder()
 
 
-def encode(message: Wish | Answer) -> bytes:
+def encode(message: Request | Response) -> bytes:
     return _encoder.encode(message)
 
 
-def read_wish(content: bytes) -> Wish:
+def decode_request(content: bytes) -> Request:
     """Raises `msgspec.MsgspecError` with one plain line."""
-    return _wishes.decode(content)
+    return _request_decoder.decode(content)
 
 
-def read_answer(content: bytes) -> Answer:
+def decode_response(content: bytes) -> Response:
     """Raises `msgspec.MsgspecError` with one plain line."""
-    return _answers.decode(content)
+    return _response_decoder.decode(content)
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -13,8 +13,8 @@
 from enum import Enum
 
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.supervisor import Act, Step, Supervision
-from oakkeel.disruption.holder import Holding
+from oakkeel.agent.supervisor import Action, Step, Supervisor
+from oakkeel.disruption.holder import PermitHolder
 
 SECOND = 1_000_000_000
 
@@ -26,8 +26,8 @@
     RESTART = "restart"
 
 
-class PartState(Enum):
-    """Where an order is with one instance; `Orders._move` alone moves it on."""
+class TaskState(Enum):
+    """Where an order is with one instance; `OrderRegistry._move` alone moves it on."""
 
     REFUSED = "refused"
     WAITING = "waiting"  # for room among those that are out
@@ -39,24 +39,24 @@
     EXPIRED = "expired"
 
 
-OPEN = (PartState.WAITING, PartState.ACTING)
-ENDS = frozenset(PartState) - set(OPEN) - {PartState.REFUSED}
-NEXT = {
-    PartState.WAITING: {PartState.ACTING} | ENDS,
-    PartState.ACTING: ENDS - {PartState.EXPIRED},
-    **{state: frozenset() for state in ENDS},
-    PartState.REFUSED: frozenset(),
+OPEN_STATES = (TaskState.WAITING, TaskState.ACTING)
+FINAL_STATES = frozenset(TaskState) - set(OPEN_STATES) - {TaskState.REFUSED}
+TRANSITIONS = {
+    TaskState.WAITING: {TaskState.ACTING} | FINAL_STATES,
+    TaskState.ACTING: FINAL_STATES - {TaskState.EXPIRED},
+    **{state: frozenset() for state in FINAL_STATES},
+    TaskState.REFUSED: frozenset(),
 }
 
 
 @dataclass(slots=True, eq=False)
-class Part:
+class Task:
     """What one order means for one instance."""
 
     order: Order
     instance: Instance
     generation: int  # that it was made for
-    state: PartState = PartState.WAITING
+    state: TaskState = TaskState.WAITING
     since: int = 0
     why: str = ""
     sent: bool = False  # its process was told to leave
@@ -65,7 +65,7 @@
 
     @property
     def open(self) -> bool:
-        return self.state in OPEN
+        return self.state in OPEN_STATES
 
 
 @dataclass(slots=True, eq=False)
@@ -78,34 +78,34 @@
     taken: int
     expires: int
     asked: tuple[tuple[str, int], ...]  # instance and generation, as they came
-    parts: list[Part] = field(default_factory=list)
+    parts: list[Task] = field(default_factory=list)
 
     @property
     def open(self) -> bool:
         return any(part.open for part in self.parts)
 
 
-class OrderRefused(ValueError):
+class OrderRejectedError(ValueError):
     """The order as a whole is not taken; the text says why."""
 
 
-class Orders:
+class OrderRegistry:
     """The open orders of a host and the last of those that ended."""
 
     def __init__(
         self,
-        supervision: Supervision,
+        supervision: Supervisor,
         unix: Callable[[], int],
         most_open: int = 256,
         most: int = 2048,
-        holding: Holding | None = None,
+        holding: PermitHolder | None = None,
     ) -> None:
         """`holding`: the places of a fleet with keepers, without which nothing is taken out."""
         self.supervision, self.unix, self.most_open, self.most = supervision, unix, most_open, most
         self.holding = holding
         self.named = {each.name: each for each in supervision.instances}
         self.orders: dict[str, Order] = {}  # the oldest first
-        self.acting: list[Part] = []  # open parts, in the order in which they were taken
+        self.acting: list[Task] = []  # open parts, in the order in which they were taken
         self.changed: set[Order] = set()  # since they were last kept
         self.dropped: list[str] = []  # ids of those that need no longer be kept
 
@@ -127,23 +127,23 @@
         """
         if known := self.orders.get(ident):
             if (known.operator, known.verb, known.asked) != (operator, verb, asked):
-                raise OrderRefused(f"that id is of another order, by {known.operator}")
+                raise OrderRejectedError(f"that id is of another order, by {known.operator}")
             return known
         if not ident or len(ident) > 64 or not asked or len(asked) > len(self.named):
-            raise OrderRefused("no id, no instances, or more than there are")
+            raise OrderRejectedError("no id, no instances, or more than there are")
         if len({name for name, _ in asked}) < len(asked):
-            raise OrderRefused("an instance is named twice")
+            raise OrderRejectedError("an instance is named twice")
         if sum(order.open for order in self.orders.values()) >= self.most_open:
-            raise OrderRefused(f"{self.most_open} orders are open already")
+            raise OrderRejectedError(f"{self.most_open} orders are open already")
         order = Order(ident, operator, verb, self.unix(), now + max(SECOND, lasts), asked)
         for name, generation in asked:
             instance = self.named.get(name)
             if instance is None:
                 continue  # the answer names what was taken, and so what was not
-            part = Part(order, instance, generation, since=now)
+            part = Task(order, instance, generation, since=now)
             order.parts.append(part)
             if why := self._against(part, supersede):
-                part.state, part.why = PartState.REFUSED, why
+                part.state, part.why = TaskState.REFUSED, why
                 continue
             standing = instance.part
             part.before = (
@@ -154,7 +154,7 @@
                 standing and (standing.state, standing.since, standing.why),
             )
             if standing is not None:
-                self._move(now, standing, PartState.SUPERSEDED, f"by {operator}, {verb.value}")
+                self._move(now, standing, TaskState.SUPERSEDED, f"by {operator}, {verb.value}")
             instance.part, instance.dirty = part, True
             instance.generation += 1
             instance.changed, instance.changed_by = order.taken, f"{operator}: {verb.value}"
@@ -185,7 +185,7 @@
         self.orders.pop(order.ident, None)
         self.changed.discard(order)
 
-    def _against(self, part: Part, supersede: bool) -> str:
+    def _against(self, part: Task, supersede: bool) -> str:
         """Why an order does not hold for an instance; empty where it does."""
         instance, standing = part.instance, part.instance.part
         if part.generation != instance.generation:
@@ -211,11 +211,11 @@
         """End what has not begun; what has goes on, and says so. Raises OrderRefused for an unknown id."""
         order = self.orders.get(ident)
         if order is None:
-            raise OrderRefused("no such order")
+            raise OrderRejectedError("no such order")
         for part in order.parts:
-            if part.state is PartState.WAITING:
-                self._move(now, part, PartState.CANCELLED, f"by {operator}")
-            elif part.state is PartState.ACTING:
+            if part.state is TaskState.WAITING:
+                self._move(now, part, TaskState.CANCELLED, f"by {operator}")
+            elif part.state is TaskState.ACTING:
                 part.why = f"begun before {operator} cancelled it"
                 self.changed.add(order)
         return order
@@ -223,19 +223,19 @@
     # What becomes of them.
 
     def advance(self, now: int) -> None:
-        """Begin what has room, end what is over. The steps come from `Supervision.tick`."""
+        """Begin what has room, end what is over. The steps come from `Supervisor.tick`."""
         for part in list(self.acting):
-            if part.state is PartState.WAITING:
+            if part.state is TaskState.WAITING:
                 if now >= part.order.expires:
-                    self._move(now, part, PartState.EXPIRED, "no room in its time")
+                    self._move(now, part, TaskState.EXPIRED, "no room in its time")
                 elif part.order.verb is Verb.START or self._room(now, part):
                     self._begin(now, part)
-            if part.state is PartState.ACTING:
+            if part.state is TaskState.ACTING:
                 self._look(now, part)
         # Those superseded leave here too, not when that is decided: it may have to be undone.
         self.acting = [part for part in self.acting if part.open]
 
-    def _room(self, now: int, part: Part) -> bool:
+    def _room(self, now: int, part: Task) -> bool:
         """Whether it may be taken out: by the host's own part of its site, or by a place of the record."""
         if self.holding is None:
             return self.supervision.room(part.instance)
@@ -244,9 +244,9 @@
     def call_back(self, now: int, order: Order, operator: str) -> None:
         """Cancel it for good: what it has taken out comes back, also what has ended by then."""
         for part in order.parts:
-            took = part.state in (PartState.ACTING, PartState.DONE)
-            if part.state in OPEN:
-                self._move(now, part, PartState.CANCELLED, f"by {operator}")
+            took = part.state in (TaskState.ACTING, TaskState.DONE)
+            if part.state in OPEN_STATES:
+                self._move(now, part, TaskState.CANCELLED, f"by {operator}")
             if (
                 took
                 and order.verb in (Verb.DRAIN, Verb.STOP)
@@ -255,12 +255,12 @@
             ):
                 self.supervision.want_back(now, part.instance)
 
-    def _begin(self, now: int, part: Part) -> None:
+    def _begin(self, now: int, part: Task) -> None:
         instance, supervision = part.instance, self.supervision
         if self.holding and part.order.verb is not Verb.START:
             self.holding.begin(now, instance.name)
         part.replaces = instance.born
-        self._move(now, part, PartState.ACTING)
+        self._move(now, part, TaskState.ACTING)
         if part.order.verb is Verb.START:
             if not instance.alive or instance.phase is Phase.DRAINING:
                 supervision.want_up(now, instance)
@@ -282,10 +282,10 @@
             part, instance = step.instance.part, step.instance
             if (
                 self.holding is None
-                or step.act not in (Act.LEAVE, Act.TERM)
+                or step.act not in (Action.LEAVE, Action.TERM)
                 or part is None
                 or part.sent
-                or part.state is not PartState.ACTING
+                or part.state is not TaskState.ACTING
                 or part.order.verb is Verb.START
             ):
                 may.append(step)
@@ -295,13 +295,13 @@
                 part.sent = True
                 may.append(step)
             elif told:
-                self._move(now, part, PartState.CANCELLED, "its place was over before it was used")
+                self._move(now, part, TaskState.CANCELLED, "its place was over before it was used")
                 self.supervision.stays(now, instance, told)
             else:
                 instance.left_at = 0  # until it has said whether it was told before
         return may
 
-    def _look(self, now: int, part: Part) -> None:
+    def _look(self, now: int, part: Task) -> None:
         """Whether it is over with its instance."""
         instance, verb = part.instance, part.order.verb
         up = instance.phase in (Phase.COLD, Phase.SERVING)
@@ -312,16 +312,16 @@
         else:
             over = up and instance.born != part.replaces
         if over:
-            self._move(now, part, PartState.DONE)
+            self._move(now, part, TaskState.DONE)
         elif instance.resting:
-            self._move(now, part, PartState.FAILED, f"it keeps ending: {instance.why}")
+            self._move(now, part, TaskState.FAILED, f"it keeps ending: {instance.why}")
         elif now >= part.order.expires:
-            self._move(now, part, PartState.FAILED, f"still {instance.phase.value} when its time was over")
+            self._move(now, part, TaskState.FAILED, f"still {instance.phase.value} when its time was over")
 
     def expire_all(self, now: int, why: str) -> None:
         """The host was started anew: no order made for what ran on it before holds."""
         for part in self.acting:
-            self._move(now, part, PartState.FAILED, why)
+            self._move(now, part, TaskState.FAILED, why)
         self.acting.clear()
 
     def restore(self, orders: list[Order]) -> None:
@@ -333,9 +333,9 @@
                     part.instance.part = part
                     self.acting.append(part)
 
-    def _move(self, now: int, part: Part, state: PartState, why: str = "") -> None:
+    def _move(self, now: int, part: Task, state: TaskState, why: str = "") -> None:
         """The one place where the state of a part changes."""
-        if state not in NEXT[part.state]:
+        if state not in TRANSITIONS[part.state]:
             raise RuntimeError(f"order {part.order.ident}: {part.state.value} to {state.value}")
         part.state, part.since, part.why = state, now, why or part.why
         self.changed.add(part.order)
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -1,4 +1,4 @@
-"""The record in one agent: its file, its links to other agents, its timers. `Steward` decides."""
+"""The record in one agent: its file, its links to other agents, its timers. `ControlPlaneReplica` decides."""
 
 from __future__ import annotations
 
@@ -13,66 +13,66 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.agent.topology import layout_of
-from oakkeel.authentication.client import Link, LinkError
+from oakkeel.agent.topology import topology_of
+from oakkeel.authentication.client import AuthenticatedClient, LinkError
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import Granting
-from oakkeel.disruption.control_plane import Steward
-from oakkeel.disruption.messages import Poll
-from oakkeel.disruption.state_machine import Refusal
-from oakkeel.log import Log, fault
+from oakkeel.disruption.allocator import PermitAllocator
+from oakkeel.disruption.control_plane import ControlPlaneReplica
+from oakkeel.disruption.messages import Heartbeat
+from oakkeel.disruption.state_machine import Rejection
+from oakkeel.log import EventLog, fault
 from oakkeel.raft import storage
-from oakkeel.raft.messages import Letter
-from oakkeel.raft.replica import Fate, NotLeading, Proposal, Role, Steps
-from oakkeel.raft.timeouts import Pace
+from oakkeel.raft.messages import Envelope
+from oakkeel.raft.replica import ProposalStatus, NotLeaderError, Proposal, Role, Output
+from oakkeel.raft.timeouts import RaftTimeouts
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.controller import Driver
-from oakkeel.rollout.state_machine import Book
+from oakkeel.rollout.controller import RolloutController
+from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.settings.fleet import Fleet
-from oakkeel.store.database import Store, StoreError
+from oakkeel.store.database import Database, DatabaseError
 
 MS = 1_000_000
 SECOND = 1000 * MS
-MOST_LETTERS = 256  # that wait for one peer
-MOST_CARRIED = 96 * 1024  # bytes of letters in one message
+MAX_QUEUED_ENVELOPES = 256  # that wait for one peer
+MAX_REQUEST_BYTES = 96 * 1024  # bytes of letters in one message
 CARRY = 700 * MS  # for a message to a peer to be taken; what it held is lost then
 AGAIN = 100 * MS  # after a link failed, and after the file could not be written
 AGREE = 5 * SECOND  # for something proposed to be agreed
 
 
-class Undecided(Exception):
+class CommitUnknownError(Exception):
     """Nobody can say yet whether it is agreed; the same id may be sent again."""
 
 
-class Keeping:
+class RaftRuntime:
     """One keeper. Every write, link and timer of it is here."""
 
     def __init__(
-        self, fleet: Fleet, name: str, keys: dict[str, Key], log: Log, pace: Pace | None = None
+        self, fleet: Fleet, name: str, keys: dict[str, Key], log: EventLog, pace: RaftTimeouts | None = None
     ) -> None:
         """Raises StoreError where its file can't be used."""
         assert fleet.keepers is not None
         self.fleet, self.name, self.keys, self.log = fleet, name, keys, log
-        self.pace = pace or Pace()
+        self.pace = pace or RaftTimeouts()
         host = fleet.host(name)
         self.path = os.path.join(host.state, "record.db")
-        self.store = Store(self.path, storage.SCHEMA, storage.VERSION, storage.MOST_BYTES)
+        self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
         if self.store.set_aside:
             log.say("the record was set aside", file=self.store.set_aside)
-        self.witness = storage.Witness(self.path + ".count", self.store)
+        self.witness = storage.WriteCounter(self.path + ".count", self.store)
         if self.store.new:
             self._count_anew()
         elif why := self.witness.why():
             self._set_aside(f"an older copy: {why}")
-        self.layout = layout_of(fleet)
-        self.peers: dict[str, Peer] = {}
+        self.layout = topology_of(fleet)
+        self.peers: dict[str, PeerSender] = {}
         self.futures: dict[Proposal, asyncio.Future] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.fault = ""  # the file can't be written
         self.leads = False
         self.again_at = 0  # when to make the keeper anew, where there is none
-        self.steward: Steward | None = None
+        self.steward: ControlPlaneReplica | None = None
 
     def open(self) -> None:
         self._begin()
@@ -85,58 +85,58 @@
             if why := storage.check(held):
                 self._set_aside(why)
                 held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
-        except StoreError as error:
+        except DatabaseError as error:
             return self._failed(error)
         self.fault, founders = "", self.fleet.keepers.hosts if self.fleet.keepers else ()
-        self.steward = Steward(
+        self.steward = ControlPlaneReplica(
             time.monotonic_ns(),
             held,
             secrets.randbits(60),
             self.pace,
             founders,
             self.layout,
-            ledger=Book,
+            ledger=RolloutStateMachine,
             above=self._driver,
         )
         self.steward.watched = self._agreed
 
-    def _driver(self, now: int, book: Book, granting: Granting) -> Driver:
+    def _driver(self, now: int, book: RolloutStateMachine, granting: PermitAllocator) -> RolloutController:
         """What a leader does for releases, with a name that no other has."""
-        return Driver(now, book, granting, f"{self.name}.{secrets.token_hex(6)}")
+        return RolloutController(now, book, granting, f"{self.name}.{secrets.token_hex(6)}")
 
     def _agreed(self, index: int, command: commands.Command, result: object) -> None:
         """Told for whoever looks for a cause: grants by each keeper, as their leader may be gone, the rest by
         the leader."""
-        if isinstance(result, Refusal):
+        if isinstance(result, Rejection):
             return None
-        if isinstance(command, commands.Grant):
+        if isinstance(command, commands.GrantPermits):
             for thing in command.things:
                 self.log.say("a place is granted", of=thing, fence=index, order=command.ident)
         if self.steward is None or self.steward.granting is None:
             return None
         if isinstance(command, releases.Command):
             return self._of_release(command)
-        if isinstance(command, commands.Lay):
+        if isinstance(command, commands.SetTopology):
             self.log.say("what may be out is as this host's settings say", fence=index)
-        elif isinstance(command, commands.Lapse | commands.Over):
-            over = isinstance(command, commands.Over)
+        elif isinstance(command, commands.ExpirePermit | commands.ReleasePermit):
+            over = isinstance(command, commands.ReleasePermit)
             self.log.say(
                 "a place is free" if over else "a place has lapsed", of=command.thing, fence=command.fence
             )
 
     def _of_release(self, command: releases.Command) -> None:
         book = self.steward.ledger if self.steward else None
-        release = book.held.releases.get(command.ident) if isinstance(book, Book) else None
-        if release is None or (isinstance(command, releases.Judge) and not command.why):
+        release = book.held.releases.get(command.ident) if isinstance(book, RolloutStateMachine) else None
+        if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
             return
         facts: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
-        if isinstance(command, releases.Batch):
+        if isinstance(command, releases.StartBatch):
             facts["of"] = ",".join(thing for thing, _ in command.things)
             facts["fence"] = command.fence
-        elif isinstance(command, releases.Settle):
+        elif isinstance(command, releases.FinishBatch):
             facts["new"] = ",".join(command.new)
         self.log.say(
-            f"release: {type(command).__name__.lower()}", step=release.step, why=release.why or None, **facts
+            f"release: {type(command).__struct_config__.tag}", step=release.step, why=release.why or None, **facts
         )
 
     def _set_aside(self, why: str) -> None:
@@ -148,27 +148,27 @@
             with contextlib.suppress(FileNotFoundError):
                 os.rename(self.path + ending, aside + ending)
         self.log.say("the record's file is not gone by", file=aside, error=why)
-        self.store = Store(self.path, storage.SCHEMA, storage.VERSION, storage.MOST_BYTES)
-        self.witness = storage.Witness(self.path + ".count", self.store)
+        self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
+        self.witness = storage.WriteCounter(self.path + ".count", self.store)
 
     def _count_anew(self) -> None:
         """The file is a new one, whatever was counted of the one before."""
         self.witness.begin_anew()
-        self.witness = storage.Witness(self.path + ".count", self.store)
+        self.witness = storage.WriteCounter(self.path + ".count", self.store)
 
-    def _failed(self, error: StoreError) -> None:
+    def _failed(self, error: DatabaseError) -> None:
         """As if it had crashed: made again from what is there, once that can be written."""
         if str(error) != self.fault:
             self.log.say("the record can't be kept", error=str(error))
         self.fault, self.steward, self.again_at = str(error), None, time.monotonic_ns() + AGAIN
         for future in self.futures.values():
             if not future.done():
-                future.set_exception(Undecided("the record can't be kept here"))
+                future.set_exception(CommitUnknownError("the record can't be kept here"))
         self.futures.clear()
 
     # What happens.
 
-    def carried(self, sender: str, letters: list[Letter]) -> list[Letter]:
+    def carried(self, sender: str, letters: list[Envelope]) -> list[Envelope]:
         """Letters came from a host, as its key proves. Returns those that wait for it."""
         for letter in letters:
             if letter.name == sender and self.steward:
@@ -176,21 +176,21 @@
         self._schedule()
         return self._peer(sender).take() if sender in self.keys else []
 
-    def polled(self, poll: Poll) -> messages.Answer:
+    def polled(self, poll: Heartbeat) -> messages.Response:
         if self.steward is None:
-            return messages.Elsewhere("", self.fault or "the record is not kept here")
+            return messages.NotLeaderResponse("", self.fault or "the record is not kept here")
         try:
             agreed, steps = self.steward.polled(time.monotonic_ns(), poll)
-        except NotLeading as error:
-            return messages.Elsewhere(error.leader, str(error))
+        except NotLeaderError as error:
+            return messages.NotLeaderResponse(error.leader, str(error))
         self._carry_out(steps)
         self._schedule()
-        return messages.AgreedTold(agreed)
+        return messages.HeartbeatAccepted(agreed)
 
     async def propose(self, command: commands.Command | releases.Command) -> object:
         """What came of it once it is agreed. Raises NotLeading, or Undecided."""
         if self.steward is None:
-            raise NotLeading("", self.fault)
+            raise NotLeaderError("", self.fault)
         proposal, steps = self.steward.propose(time.monotonic_ns(), command)
         future: asyncio.Future = asyncio.get_running_loop().create_future()
         self.futures[proposal] = future
@@ -199,7 +199,7 @@
         try:
             return await asyncio.wait_for(future, AGREE / SECOND)
         except TimeoutError:
-            raise Undecided("no majority has kept it yet") from None
+            raise CommitUnknownError("no majority has kept it yet") from None
         finally:
             self.futures.pop(proposal, None)
 
@@ -225,7 +225,7 @@
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(max(MS, at - now) / SECOND, self._tick)
 
-    def _carry_out(self, all_steps: list[Steps]) -> None:
+    def _carry_out(self, all_steps: list[Output]) -> None:
         """Written before anything is sent or told, in the order in which it was decided."""
         for steps in all_steps:
             if self.steward is None:
@@ -233,7 +233,7 @@
             if steps.keep:
                 try:
                     storage.write(self.store, self.steward.keeper.durable, steps.keep, self.witness)
-                except StoreError as error:
+                except DatabaseError as error:
                     return self._failed(error)
             for name, letter in steps.send:
                 if name in self.keys:
@@ -258,18 +258,18 @@
         future = self.futures.pop(proposal, None)
         if future is None or future.done():
             return
-        if proposal.fate is Fate.AGREED:
+        if proposal.fate is ProposalStatus.AGREED:
             future.set_result(proposal.result)
         else:
-            future.set_exception(Undecided("its leader is leader no more"))
+            future.set_exception(CommitUnknownError("its leader is leader no more"))
 
-    def _peer(self, name: str) -> Peer:
+    def _peer(self, name: str) -> PeerSender:
         if name not in self.peers:
-            link = Link(self.fleet.host(name).agent, self.keys[self.name])
-            self.peers[name] = Peer(name, link, self._came, self.log)
+            link = AuthenticatedClient(self.fleet.host(name).agent, self.keys[self.name])
+            self.peers[name] = PeerSender(name, link, self._came, self.log)
         return self.peers[name]
 
-    def _came(self, name: str, letters: list[Letter]) -> None:
+    def _came(self, name: str, letters: list[Envelope]) -> None:
         """With the answer to what we sent."""
         for letter in letters:
             if letter.name == name and self.steward:
@@ -285,26 +285,26 @@
         self.store.close()
 
 
-class Peer:
+class PeerSender:
     """Another keeper: what waits for it, and the link on which it goes."""
 
-    def __init__(self, name: str, link: Link, came: Callable[[str, list[Letter]], None], log: Log) -> None:
+    def __init__(self, name: str, link: AuthenticatedClient, came: Callable[[str, list[Envelope]], None], log: EventLog) -> None:
         self.name, self.link, self.came, self.log = name, link, came, log
-        self.waiting: deque[Letter] = deque(maxlen=MOST_LETTERS)  # the oldest is lost first
+        self.waiting: deque[Envelope] = deque(maxlen=MAX_QUEUED_ENVELOPES)  # the oldest is lost first
         self.some = asyncio.Event()
         self.task = asyncio.ensure_future(self._send())
 
-    def put(self, letter: Letter) -> None:
+    def put(self, letter: Envelope) -> None:
         self.waiting.append(letter)
         self.some.set()
 
-    def take(self) -> list[Letter]:
+    def take(self) -> list[Envelope]:
         """As many as one message holds."""
-        letters: list[Letter] = []
+        letters: list[Envelope] = []
         size = 0
         while self.waiting:
             size += len(msgspec.msgpack.encode(self.waiting[0]))
-            if letters and size > MOST_CARRIED:
+            if letters and size > MAX_REQUEST_BYTES:
                 break
             letters.append(self.waiting.popleft())
         if not self.waiting:
@@ -327,11 +327,11 @@
                 self.log.say("an answer of a keeper failed", of=self.name, error=fault(error))
                 await asyncio.sleep(AGAIN / SECOND)
 
-    async def _ask(self, letters: list[Letter]) -> None:
-        answer = messages.read_answer(
-            await self.link.ask(messages.encode(messages.Carry(letters)), CARRY / SECOND)
+    async def _ask(self, letters: list[Envelope]) -> None:
+        answer = messages.decode_response(
+            await self.link.ask(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
         )
-        if isinstance(answer, messages.Carried):
+        if isinstance(answer, messages.PeerEnvelopesResponse):
             self.came(self.name, answer.letters)
 
     def close(self) -> None:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -1,45 +1,45 @@
 """What an agent does with what the record says: orders taken up, places used, what is told back. Free of I/O.
 
-It stands between `Holding`, which knows places, and `Orders` and `Supervision`, which know instances.
+It stands between `PermitHolder`, which knows places, and `OrderRegistry` and `Supervisor`, which know instances.
 """
 
 from __future__ import annotations
 
-from oakkeel.agent.downstream_services import Below
+from oakkeel.agent.downstream_services import DownstreamServices
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.orders import Order, OrderRefused, Orders, PartState, Verb
-from oakkeel.agent.supervisor import Supervision
-from oakkeel.control.messages import Report
-from oakkeel.disruption.holder import Holding
-from oakkeel.disruption.messages import Agreed, OrderTold, PartTold, Poll
-from oakkeel.rollout.assignments import Fitting
-from oakkeel.rollout.gates import Figures
-from oakkeel.rollout.messages import Run
+from oakkeel.agent.orders import Order, OrderRejectedError, OrderRegistry, TaskState, Verb
+from oakkeel.agent.supervisor import Supervisor
+from oakkeel.control.messages import NodeStatus
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.disruption.messages import HeartbeatResponse, AssignedOrder, TaskResult, Heartbeat
+from oakkeel.rollout.assignments import VersionAssignments
+from oakkeel.rollout.gates import Samples
+from oakkeel.rollout.messages import TargetStatus
 from oakkeel.rollout.sequential import Sums
 
 HOW = {
-    PartState.DONE: "done",
-    PartState.FAILED: "failed",
-    PartState.REFUSED: "refused",
-    PartState.CANCELLED: "cancelled",
-    PartState.SUPERSEDED: "failed",
-    PartState.EXPIRED: "expired",
+    TaskState.DONE: "done",
+    TaskState.FAILED: "failed",
+    TaskState.REFUSED: "refused",
+    TaskState.CANCELLED: "cancelled",
+    TaskState.SUPERSEDED: "failed",
+    TaskState.EXPIRED: "expired",
 }
 OPEN = ("waiting", "granted", "out")
 
 
-class Deciding:
+class Reconciler:
     def __init__(
         self,
-        supervision: Supervision,
-        orders: Orders,
-        holding: Holding,
+        supervision: Supervisor,
+        orders: OrderRegistry,
+        holding: PermitHolder,
         block: int = 64,
         services: tuple[str, ...] = (),
     ) -> None:
         self.supervision, self.orders, self.holding, self.block = supervision, orders, holding, block
-        self.below = Below(holding, services)
-        self.fitting = Fitting(services)
+        self.below = DownstreamServices(holding, services)
+        self.fitting = VersionAssignments(services)
         self.lost = False  # our own file was: nothing begins before the record was heard
         for instance in supervision.instances:
             instance.limit = holding.generations.get(instance.name, 0)
@@ -51,7 +51,7 @@
 
     # What is told.
 
-    def poll(self, now: int) -> Poll:
+    def poll(self, now: int) -> Heartbeat:
         self.below.advance(now)
         up, reserve = dict(self.below.up), {}
         for instance in self.supervision.instances:
@@ -67,12 +67,12 @@
             poll.above = self.fitting.told(self._runs(now))
         return poll
 
-    def _runs(self, now: int) -> list[Run]:
+    def _runs(self, now: int) -> list[TargetStatus]:
         """For whoever drives a release: what runs here, and how it does."""
-        runs = [Run(name, "", 0, "serving" if up else "stopped", 0) for name, up in self.below.up.items()]
+        runs = [TargetStatus(name, "", 0, "serving" if up else "stopped", 0) for name, up in self.below.up.items()]
         for each in self.supervision.instances:
             report = each.report
-            run = Run(
+            run = TargetStatus(
                 each.name,
                 each.ran,
                 each.generation,
@@ -81,10 +81,10 @@
                 each.resting,
                 each.died,
             )
-            if isinstance(report, Report):
+            if isinstance(report, NodeStatus):
                 run.load = report.load
                 if self.fitting.watch and len(report.benefit) == 3:
-                    run.figures = Figures(
+                    run.figures = Samples(
                         Sums(*report.benefit),
                         report.denied,
                         report.terminated,
@@ -99,13 +99,13 @@
         held = self.holding.places.get(instance.name)
         if held is None or not held.begun:
             return
-        acts = instance.part is not None and instance.part.state is PartState.ACTING
+        acts = instance.part is not None and instance.part.state is TaskState.ACTING
         if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not acts:
             self.holding.is_back(instance.name)
         else:
             self.holding.is_out(instance.name)
 
-    def _ended(self) -> list[PartTold]:
+    def _ended(self) -> list[TaskResult]:
         """What the record takes for open and is over here."""
         told = self.below.ended()
         for order in self.holding.orders.values():
@@ -116,17 +116,17 @@
                 if state not in OPEN or thing in self.below.up:
                     continue
                 if part is not None and not part.open:
-                    told.append(PartTold(order.ident, thing, HOW[part.state], part.why))
+                    told.append(TaskResult(order.ident, thing, HOW[part.state], part.why))
                 elif why := self.refused.get((order.ident, thing)):
-                    told.append(PartTold(order.ident, thing, "refused", why))
+                    told.append(TaskResult(order.ident, thing, "refused", why))
                 elif self._done_before(order, thing):
-                    told.append(PartTold(order.ident, thing, "done", ""))
+                    told.append(TaskResult(order.ident, thing, "done", ""))
                 elif part is None and state == "out" and (order.halted or order.left <= 0):
                     # Else it would stand for ever: nobody here knows that it was ever begun.
-                    told.append(PartTold(order.ident, thing, "failed", "its agent lost its file meanwhile"))
+                    told.append(TaskResult(order.ident, thing, "failed", "its agent lost its file meanwhile"))
         return told
 
-    def _done_before(self, order: OrderTold, thing: str) -> bool:
+    def _done_before(self, order: AssignedOrder, thing: str) -> bool:
         """It was carried out here, and our file with it was lost before that was told."""
         held, instance = self.holding.places.get(thing), self.orders.named.get(thing)
         return bool(
@@ -141,7 +141,7 @@
 
     # What is heard.
 
-    def answered(self, now: int, sent_at: int, answer: Agreed) -> list[Order]:
+    def answered(self, now: int, sent_at: int, answer: HeartbeatResponse) -> list[Order]:
         """Take what the record says. Returns the orders that are new here, to be kept."""
         first, reserved = not self.holding.told, dict(self.holding.generations)
         if not self.holding.answered(now, sent_at, answer):
@@ -167,14 +167,14 @@
             elif (
                 order is not None
                 and told.halted
-                and any(part.state is PartState.WAITING for part in order.parts)
+                and any(part.state is TaskState.WAITING for part in order.parts)
             ):
                 self.orders.cancel(now, order.ident, told.halted)
         current = {told.ident for told in answer.orders}
         for order in [
             part.order
             for part in self.orders.acting
-            if part.state is PartState.WAITING
+            if part.state is TaskState.WAITING
             and part.order.verb is not Verb.START
             and part.order.ident not in current
         ]:
@@ -199,7 +199,7 @@
             if told > reserved.get(instance.name, 0):
                 instance.generation, instance.dirty = max(instance.generation, told), True
 
-    def _take(self, now: int, told: OrderTold) -> Order | None:
+    def _take(self, now: int, told: AssignedOrder) -> Order | None:
         asked = tuple(
             (thing, generation)
             for thing, generation, state in told.parts
@@ -211,7 +211,7 @@
             return None  # until it may number what it does
         try:
             order = self.orders.take(now, told.ident, told.operator, Verb(told.verb), asked, told.left)
-        except (OrderRefused, ValueError) as error:
+        except (OrderRejectedError, ValueError) as error:
             for thing, _ in asked:
                 self.refused[told.ident, thing] = str(error)
             return None
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -16,30 +16,30 @@
 from oakkeel.agent import messages
 from oakkeel.authentication.framing import (
     HELLO,
-    LONGEST,
-    LONGEST_ANSWER,
+    MAX_FRAME_BYTES,
+    MAX_RESPONSE_BYTES,
     REFUSED,
-    BadFrame,
+    FrameError,
     frame,
     read_frame,
 )
-from oakkeel.authentication.mac import NONCE, SECOND, Key, Receiver, Refused, Role
-from oakkeel.log import Log, fault
+from oakkeel.authentication.mac import NONCE, SECOND, Key, ServerAuthenticator, AuthenticationError, Role
+from oakkeel.log import EventLog, fault
 
-Handler = Callable[[Key, messages.Wish], messages.Answer | Awaitable[messages.Answer]]
+Handler = Callable[[Key, messages.Request], messages.Response | Awaitable[messages.Response]]
 ACTS = (
-    messages.Order,
-    messages.Cancel,
-    messages.FleetOrder,
-    messages.FleetEnd,
-    messages.SetKeepers,
-    messages.StartRelease,
-    messages.TurnRelease,
+    messages.OrderRequest,
+    messages.CancelOrderRequest,
+    messages.FleetOrderRequest,
+    messages.EndFleetOrderRequest,
+    messages.SetVotersRequest,
+    messages.StartReleaseRequest,
+    messages.ControlReleaseRequest,
 )
 
 
 @dataclass(slots=True, frozen=True)
-class DoorBounds:
+class ServerLimits:
     """Times in nanoseconds."""
 
     links: int = 64
@@ -48,17 +48,17 @@
     refusals: int = SECOND  # one line of the log in that time
 
 
-class Door:
+class AgentServer:
     def __init__(
         self,
         address: tuple[str, int],
         keys: Callable[[], dict[str, Key]],
         handler: Handler,
-        log: Log,
-        bounds: DoorBounds | None = None,
+        log: EventLog,
+        bounds: ServerLimits | None = None,
     ) -> None:
         """Raises OSError where the address can't be listened on. `keys` gives those that hold by now."""
-        self.keys, self.handler, self.log, self.bounds = keys, handler, log, bounds or DoorBounds()
+        self.keys, self.handler, self.log, self.bounds = keys, handler, log, bounds or ServerLimits()
         self.links: dict[IOStream, asyncio.Task] = {}  # the oldest first
         self.refused_at = self.refused = 0
         self.socket = socket.socket()
@@ -86,34 +86,34 @@
                     oldest = next(iter(self.links))
                     del self.links[oldest]
                     oldest.close()
-                stream = IOStream(accepted, max_buffer_size=LONGEST + 4)
+                stream = IOStream(accepted, max_buffer_size=MAX_FRAME_BYTES + 4)
                 self.links[stream] = asyncio.ensure_future(self._serve(stream))
 
     async def _serve(self, stream: IOStream) -> None:
         wait = self.bounds.wait / SECOND
         try:
             challenge = secrets.token_bytes(NONCE)
-            receiver = Receiver(self.keys(), challenge, time.monotonic_ns(), self.bounds.wait)
+            receiver = ServerAuthenticator(self.keys(), challenge, time.monotonic_ns(), self.bounds.wait)
             stream.write(frame(HELLO + challenge))
-            most = LONGEST
+            most = MAX_FRAME_BYTES
             while True:
                 content = await asyncio.wait_for(read_frame(stream, most), wait)
                 try:
                     key, wish = receiver.open(time.monotonic_ns(), time.time_ns(), content)
-                except Refused as error:
+                except AuthenticationError as error:
                     self._refuse(str(error))
                     await stream.write(frame(REFUSED))  # and no reason: a stranger learns nothing
                     return
                 if key.role is Role.AGENT:  # it has shown whose it is: keepers send each other more
-                    most, stream.max_buffer_size = LONGEST_ANSWER, LONGEST_ANSWER + 4
+                    most, stream.max_buffer_size = MAX_RESPONSE_BYTES, MAX_RESPONSE_BYTES + 4
                 answer = messages.encode(await self._answer(key, wish))
-                if len(answer) > LONGEST_ANSWER - 256:
-                    answer = messages.encode(messages.Fault("the answer is too long; ask for less"))
+                if len(answer) > MAX_RESPONSE_BYTES - 256:
+                    answer = messages.encode(messages.ErrorResponse("the answer is too long; ask for less"))
                 written = stream.write(frame(receiver.seal(time.time_ns(), answer)))
                 await asyncio.wait_for(asyncio.shield(written), wait)
         except (TimeoutError, StreamClosedError):
             pass
-        except BadFrame as error:
+        except FrameError as error:
             self._refuse(str(error))
             with contextlib.suppress(StreamClosedError):
                 stream.write(frame(REFUSED))
@@ -123,23 +123,23 @@
             stream.close()
             self.links.pop(stream, None)
 
-    async def _answer(self, key: Key, content: bytes) -> messages.Answer:
+    async def _answer(self, key: Key, content: bytes) -> messages.Response:
         try:
-            wish = messages.read_wish(content)
+            wish = messages.decode_request(content)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            return messages.Fault(f"no message of this version: {error}")
-        if isinstance(wish, messages.Between) != (key.role is Role.AGENT):
+            return messages.ErrorResponse(f"no message of this version: {error}")
+        if isinstance(wish, messages.PeerRequest) != (key.role is Role.AGENT):
             self.log.say("a message was refused", key=key.ident, error="not for that key")
-            return messages.Fault(f"key {key.ident} is not for that")
+            return messages.ErrorResponse(f"key {key.ident} is not for that")
         if isinstance(wish, ACTS) and key.role < Role.ACT:
             self.log.say("an order was refused", operator=key.operator, key=key.ident, error="it views only")
-            return messages.Fault(f"{key.operator} may view and not act")
+            return messages.ErrorResponse(f"{key.operator} may view and not act")
         try:
             answer = self.handler(key, wish)
             return await answer if isinstance(answer, Awaitable) else answer
         except Exception as error:  # an error of ours answers it, and the agent lives on
             self.log.say("a message failed", operator=key.operator, error=fault(error))
-            return messages.Fault("an error of the agent")
+            return messages.ErrorResponse("an error of the agent")
 
     def _refuse(self, why: str) -> None:
         """Told once a second at most, with how many there were."""
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.agent.downstream_services import Below
-from oakkeel.agent.leader_locator import Whom
-from oakkeel.agent.raft_runtime import Keeping
-from oakkeel.agent.reconciler import Deciding
-from oakkeel.authentication.client import Link, LinkError
+from oakkeel.agent.downstream_services import DownstreamServices
+from oakkeel.agent.leader_locator import LeaderLocator
+from oakkeel.agent.raft_runtime import RaftRuntime
+from oakkeel.agent.reconciler import Reconciler
+from oakkeel.authentication.client import AuthenticatedClient, LinkError
 from oakkeel.authentication.mac import Key
-from oakkeel.disruption.messages import Agreed
-from oakkeel.log import Log, fault
+from oakkeel.disruption.messages import HeartbeatResponse
+from oakkeel.log import EventLog, fault
 from oakkeel.settings.fleet import Fleet, Service
 
 MS = 1_000_000
@@ -27,23 +27,23 @@
 PROBE = 400 * MS  # between looks at a service below
 
 
-class Polling:
+class StatusReporter:
     def __init__(
         self,
         fleet: Fleet,
         name: str,
         keys: dict[str, Key],
-        deciding: Deciding,
-        log: Log,
-        heard: Callable[[Agreed], None],
+        deciding: Reconciler,
+        log: EventLog,
+        heard: Callable[[HeartbeatResponse], None],
     ) -> None:
         """`heard` is called with each answer that was taken."""
         assert fleet.keepers is not None
         self.fleet, self.name, self.key, self.deciding, self.log = fleet, name, keys[name], deciding, log
         self.heard = heard
-        self.whom = Whom(fleet.keepers.hosts, (host.name for host in fleet.hosts))
-        self.keeping: Keeping | None = None
-        self.links: dict[str, Link] = {}
+        self.whom = LeaderLocator(fleet.keepers.hosts, (host.name for host in fleet.hosts))
+        self.keeping: RaftRuntime | None = None
+        self.links: dict[str, AuthenticatedClient] = {}
         self.heard_at = 0  # monotonic; 0: never
         self.why = "not asked yet"
         self.soon = asyncio.Event()
@@ -58,10 +58,10 @@
         while True:
             try:
                 answer = await self._ask()
-                if isinstance(answer, messages.Elsewhere):
+                if isinstance(answer, messages.NotLeaderResponse):
                     self.why = answer.why
                     self.whom.elsewhere(answer.leader)
-                elif not isinstance(answer, messages.AgreedTold):
+                elif not isinstance(answer, messages.HeartbeatAccepted):
                     self.why = getattr(answer, "why", "an answer to another question")
                     self.whom.elsewhere("")
             except (LinkError, msgspec.MsgspecError) as error:
@@ -76,22 +76,22 @@
                 continue
             await asyncio.sleep(0.005)  # what changes at the same time goes along
 
-    async def _ask(self) -> messages.Answer:
+    async def _ask(self) -> messages.Response:
         sent_at = time.monotonic_ns()
         poll = self.deciding.poll(sent_at)
         if self.leader == self.name and self.keeping:
             answer = self.keeping.polled(poll)
         else:
             if self.leader not in self.links:
-                self.links[self.leader] = Link(self.fleet.host(self.leader).agent, self.key)
-            answer = messages.read_answer(
-                await self.links[self.leader].ask(messages.encode(messages.Polled(poll)), ANSWER / SECOND)
+                self.links[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
+            answer = messages.decode_response(
+                await self.links[self.leader].ask(messages.encode(messages.HeartbeatRequest(poll)), ANSWER / SECOND)
             )
-        if isinstance(answer, messages.AgreedTold):
+        if isinstance(answer, messages.HeartbeatAccepted):
             self._take(sent_at, answer.agreed)
         return answer
 
-    def _take(self, sent_at: int, agreed: Agreed) -> None:
+    def _take(self, sent_at: int, agreed: HeartbeatResponse) -> None:
         holding = self.deciding.holding
         self.deciding.answered(time.monotonic_ns(), sent_at, agreed)
         if holding.why:
@@ -109,7 +109,7 @@
             link.close()
 
 
-async def probe(service: Service, below: Below, moved: Callable[[], None]) -> None:
+async def probe(service: Service, below: DownstreamServices, moved: Callable[[], None]) -> None:
     """Look whether a service below takes connections, again and again."""
     while True:
         up = False
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -7,26 +7,26 @@
 from oakkeel.agent import messages
 from oakkeel.agent.instances import Goal, Instance, Phase
 from oakkeel.agent.orders import Order
-from oakkeel.agent.raft_runtime import Keeping
-from oakkeel.agent.status_reporter import Polling
-from oakkeel.agent.supervisor import Supervision
+from oakkeel.agent.raft_runtime import RaftRuntime
+from oakkeel.agent.status_reporter import StatusReporter
+from oakkeel.agent.supervisor import Supervisor
 from oakkeel.disruption.state_machine import Order as Agreed
 from oakkeel.raft.leader import NEVER
-from oakkeel.raft.replica import NotLeading
-from oakkeel.rollout.controller import Driver
-from oakkeel.rollout.state_machine import LEASE, Book
+from oakkeel.raft.replica import NotLeaderError
+from oakkeel.rollout.controller import RolloutController
+from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
 from oakkeel.settings.fleet import HostSettings
 
 
-def host_told(
+def host_status(
     now: int,
     host: HostSettings,
-    supervision: Supervision,
+    supervision: Supervisor,
     started: int,
     notes: list[str],
     pids: dict[Instance, int],
-) -> messages.HostTold:
-    return messages.HostTold(
+) -> messages.HostStatus:
+    return messages.HostStatus(
         host.name,
         host.site,
         now - started,
@@ -34,18 +34,18 @@
         host.away,
         supervision.out[host.site],
         notes,
-        [_instance_told(now, each, pids.get(each, 0)) for each in supervision.instances],
+        [_instance_status(now, each, pids.get(each, 0)) for each in supervision.instances],
     )
 
 
-def _instance_told(now: int, instance: Instance, pid: int) -> messages.InstanceTold:
+def _instance_status(now: int, instance: Instance, pid: int) -> messages.InstanceStatus:
     part, on = instance.part, None
     if part is not None:
-        on = messages.OrderOn(
+        on = messages.OpenOrder(
             part.order.ident, part.order.operator, part.order.verb.value, part.state.value, now - part.since
         )
     waits = instance.phase in (Phase.STOPPED, Phase.FAILING) and instance.goal is Goal.UP
-    return messages.InstanceTold(
+    return messages.InstanceStatus(
         instance.name,
         instance.phase.value,
         now - instance.since,
@@ -64,28 +64,28 @@
     )
 
 
-def order_told(now: int, order: Order) -> messages.OrderTold:
+def order_status(now: int, order: Order) -> messages.OrderStatus:
     parts = [
-        messages.PartTold(part.instance.name, part.state.value, max(0, now - part.since), part.why)
+        messages.TaskStatus(part.instance.name, part.state.value, max(0, now - part.since), part.why)
         for part in order.parts
     ]
     here = {part.instance for part in parts}
     parts += [
-        messages.PartTold(name, "refused", 0, "no such instance here")
+        messages.TaskStatus(name, "refused", 0, "no such instance here")
         for name, _ in order.asked
         if name not in here
     ]
-    return messages.OrderTold(order.ident, order.operator, order.verb.value, order.taken, parts)
+    return messages.OrderStatus(order.ident, order.operator, order.verb.value, order.taken, parts)
 
 
 # The record.
 
 
-def record_told(now: int, host: str, keeping: Keeping | None, polling: Polling | None) -> messages.RecordTold:
+def raft_status(now: int, host: str, keeping: RaftRuntime | None, polling: StatusReporter | None) -> messages.RaftStatus:
     heard = now - polling.heard_at if polling and polling.heard_at else -1
     if keeping is None or keeping.steward is None:
         why = keeping.fault if keeping else polling.why if polling else "this fleet has no keepers"
-        return messages.RecordTold(
+        return messages.RaftStatus(
             host,
             "none",
             0,
@@ -108,8 +108,8 @@
         mine = each.life == keeper.life
         behind = 0 if mine else keeper.log.last - peer.match if peer else -1
         age = 0 if mine else now - peer.heard if peer and peer.heard > -NEVER else -1
-        members.append(messages.KeeperTold(each.name, each.life, each.votes, behind, age))
-    return messages.RecordTold(
+        members.append(messages.MemberStatus(each.name, each.life, each.votes, behind, age))
+    return messages.RaftStatus(
         host,
         keeper.role.value,
         now - keeper.since,
@@ -126,7 +126,7 @@
     )
 
 
-def fleet_told(keeping: Keeping, order: Agreed) -> messages.FleetTold:
+def fleet_order_status(keeping: RaftRuntime, order: Agreed) -> messages.FleetOrderStatus:
     places, hosts, owes = {}, {}, {}
     if keeping.steward:
         places = keeping.steward.ledger.held.places
@@ -142,30 +142,30 @@
         place = places.get(thing)
         fence = place.fence if place and place.ident == order.ident else 0
         parts.append(
-            messages.FleetPart(thing, hosts.get(thing, ""), part.state, part.why, fence, owes.get(thing, ""))
+            messages.FleetTaskStatus(thing, hosts.get(thing, ""), part.state, part.why, fence, owes.get(thing, ""))
         )
-    return messages.FleetTold(
+    return messages.FleetOrderStatus(
         order.ident, order.operator, order.verb, order.unix, order.whole, order.halted, order.cancelled, parts
     )
 
 
-def state_told(now: int, keeping: Keeping, ident: str) -> messages.Answer:
+def fleet_status(now: int, keeping: RaftRuntime, ident: str) -> messages.Response:
     """Raises NotLeading: only a leader whose lease holds knows what is so by now."""
     steward = keeping.steward
     if steward is None or steward.granting is None or not steward.keeper.leads(now):
-        raise NotLeading(steward.keeper.leader if steward and not steward.keeper.leading else "")
+        raise NotLeaderError(steward.keeper.leader if steward and not steward.keeper.leading else "")
     held, out = steward.ledger.held, steward.granting.out
     if ident:
         if ident not in held.orders:
-            return messages.Fault(f"there is no order {ident}")
-        told = fleet_told(keeping, held.orders[ident])
-        return messages.FleetStateTold(steward.ledger.index, [], [], [told])
+            return messages.ErrorResponse(f"there is no order {ident}")
+        told = fleet_order_status(keeping, held.orders[ident])
+        return messages.FleetStatus(steward.ledger.index, [], [], [told])
     hosts = steward.granting.host_of
     things = []
     for thing, reasons in sorted(out.reasons.items()):
         place = held.places.get(thing)
         things.append(
-            messages.PlaceOut(
+            messages.UnavailableTarget(
                 thing,
                 hosts.get(thing, ""),
                 sorted(reasons),
@@ -173,24 +173,24 @@
                 place.ident if place else "",
             )
         )
-    groups = [messages.GroupOut(name, out.counts[name], group.bound) for name, group in out.groups.items()]
+    groups = [messages.BudgetUsage(name, out.counts[name], group.bound) for name, group in out.groups.items()]
     latest = list(held.orders.values())[-50:]
-    return messages.FleetStateTold(
-        steward.ledger.index, groups, things, [fleet_told(keeping, each) for each in reversed(latest)]
+    return messages.FleetStatus(
+        steward.ledger.index, groups, things, [fleet_order_status(keeping, each) for each in reversed(latest)]
     )
 
 
-def release_told(now: int, keeping: Keeping, ident: str) -> messages.Answer:
+def release_status(now: int, keeping: RaftRuntime, ident: str) -> messages.Response:
     """Raises NotLeading, as `state_told` does."""
     steward = keeping.steward
     if steward is None or steward.granting is None or not steward.keeper.leads(now):
-        raise NotLeading(steward.keeper.leader if steward and not steward.keeper.leading else "")
+        raise NotLeaderError(steward.keeper.leader if steward and not steward.keeper.leading else "")
     book, driver = steward.ledger, steward.above
-    assert isinstance(book, Book) and isinstance(driver, Driver)
+    assert isinstance(book, RolloutStateMachine) and isinstance(driver, RolloutController)
     releases = book.held.releases
     release = releases.get(ident) if ident else book.open or next(reversed(releases.values()), None)
     if release is None:
-        return messages.Fault(f"there is no release {ident}" if ident else "there was no release yet")
+        return messages.ErrorResponse(f"there is no release {ident}" if ident else "there was no release yet")
     order = book.held.orders.get(release.order)
     lease = book.held.leases.get(LEASE)
     parts = []
@@ -198,7 +198,7 @@
         seen = driver.seen.get(thing)
         why = order.parts[thing].why if order and thing in order.parts and thing in release.now else ""
         parts.append(
-            messages.ReleasePart(
+            messages.ReleaseTargetStatus(
                 thing,
                 steward.granting.host_of.get(thing, ""),
                 part.state,
@@ -209,7 +209,7 @@
             )
         )
     others = [(each.ident, each.state) for each in releases.values() if each is not release][-5:]
-    return messages.ReleaseTold(
+    return messages.ReleaseStatus(
         release.ident,
         release.operator,
         release.unix,
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -9,11 +9,11 @@
 import msgspec
 
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.orders import Order, Orders, Part, PartState, Verb
-from oakkeel.disruption.holder import Holding
-from oakkeel.rollout.assignments import Fitting
-from oakkeel.rollout.commands import What
-from oakkeel.store.database import Statement, Store
+from oakkeel.agent.orders import Order, OrderRegistry, Task, TaskState, Verb
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.rollout.assignments import VersionAssignments
+from oakkeel.rollout.commands import VersionSpec
+from oakkeel.store.database import Statement, Database
 
 VERSION = 1
 SCHEMA = """
@@ -27,7 +27,7 @@
     replaces INTEGER, PRIMARY KEY (ident, instance))
 """
 # Beside the schema, so that a file of an earlier program is gone on with.
-PLACES: list[Statement] = [
+ADDED_TABLES: list[Statement] = [
     (
         "CREATE TABLE IF NOT EXISTS places (thing TEXT PRIMARY KEY, fence INTEGER,"
         " ident TEXT, begun INTEGER)",
@@ -37,7 +37,7 @@
     ("CREATE TABLE IF NOT EXISTS fitting (one INTEGER PRIMARY KEY, content BLOB)", ()),
     ("CREATE TABLE IF NOT EXISTS heard (one INTEGER PRIMARY KEY, epoch TEXT)", ()),
 ]
-PUT_PLACE = "INSERT OR REPLACE INTO places VALUES (?,?,?,?)"
+PUT_PERMIT = "INSERT OR REPLACE INTO places VALUES (?,?,?,?)"
 PUT_INSTANCE = "INSERT OR REPLACE INTO instances VALUES (?,?,?,?,?,?,?,?,?,?,?,?,?,?)"
 PUT_ORDER = "INSERT OR IGNORE INTO orders VALUES (NULL,?,?,?,?,?,?)"
 PUT_PART = "INSERT OR REPLACE INTO parts VALUES (?,?,?,?,?,?,?)"
@@ -105,7 +105,7 @@
     return rows
 
 
-def take_up_instances(store: Store, instances: dict[str, Instance], same_boot: bool) -> None:
+def restore_instances(store: Database, instances: dict[str, Instance], same_boot: bool) -> None:
     """Fill in what was kept. After another boot no time on the monotonic clock means anything any more."""
     for row in store.read("SELECT * FROM instances"):
         each = instances.get(row[0])
@@ -134,7 +134,7 @@
             each.deaths.clear()
 
 
-def take_up_orders(store: Store, orders: Orders) -> None:
+def restore_orders(store: Database, orders: OrderRegistry) -> None:
     """The orders with their parts, the oldest first."""
     found: dict[str, Order] = {}
     for ident, operator, verb, taken, expires, asked in store.read(
@@ -146,19 +146,19 @@
         instance = orders.named.get(name)
         if instance is not None and ident in found:
             found[ident].parts.append(
-                Part(found[ident], instance, generation, PartState(state), since, why, replaces)
+                Task(found[ident], instance, generation, TaskState(state), since, why, replaces)
             )
     orders.restore(list(found.values()))
 
 
-def place_statements(holding: Holding) -> list[Statement]:
+def permit_statements(holding: PermitHolder) -> list[Statement]:
     """The fences and places that changed, and the record that they are of."""
     rows: list[Statement] = []
     for thing in sorted(holding.changed):
         held = holding.places.get(thing)
         rows.append(
             (
-                PUT_PLACE,
+                PUT_PERMIT,
                 (thing, holding.floors.get(thing, 0), held.ident if held else "", bool(held and held.begun)),
             )
         )
@@ -169,7 +169,7 @@
     return rows
 
 
-def take_up_places(store: Store, holding: Holding) -> None:
+def restore_permits(store: Database, holding: PermitHolder) -> None:
     epochs = store.read("SELECT epoch FROM heard")
     holding.restore(
         epochs[0][0] if epochs else "",
@@ -181,7 +181,7 @@
     )
 
 
-def fitting_statements(fitting: Fitting) -> list[Statement]:
+def assignment_statements(fitting: VersionAssignments) -> list[Statement]:
     """What things shall run, where the versions come from, and what they ran before."""
     if not fitting.changed:
         return []
@@ -193,8 +193,8 @@
     ]
 
 
-def take_up_fitting(store: Store, fitting: Fitting) -> None:
+def restore_assignments(store: Database, fitting: VersionAssignments) -> None:
     for (content,) in store.read("SELECT content FROM fitting"):
         fitting.restore(
-            *msgspec.msgpack.decode(content, type=tuple[dict[str, str], dict[str, What], dict[str, str]])
+            *msgspec.msgpack.decode(content, type=tuple[dict[str, str], dict[str, VersionSpec], dict[str, str]])
         )
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.agent.instances import NEXT, REPORTED, Goal, Instance, Phase
+from oakkeel.agent.instances import TRANSITIONS, REPORTED, Goal, Instance, Phase
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Patience:
+class SupervisionTimeouts:
     """How long the agent waits for what. Nanoseconds, but for counts."""
 
     silent: int = 750 * MS  # without a report, until an instance counts as silent
@@ -36,7 +36,7 @@
     starting: int = 4  # processes of the host that may be starting at one time
 
 
-class Act(Enum):
+class Action(Enum):
     START = "start"  # a process of the instance's new generation
     TERM = "term"  # tell it to leave, for good
     LEAVE = "leave"  # tell it to leave in a way that can be taken back
@@ -48,17 +48,17 @@
 class Step:
     """Something for the acting half to do."""
 
-    act: Act
+    act: Action
     instance: Instance
 
 
-class Supervision:
+class Supervisor:
     """The instances of one host. `away` holds, by site, how many of them may be out at one time."""
 
     def __init__(
         self,
         instances: Iterable[Instance],
-        patience: Patience,
+        patience: SupervisionTimeouts,
         away: dict[str, int],
         seed: int,
         unix: Callable[[], int],
@@ -206,18 +206,18 @@
                     and self.booting < self.patience.starting
                 ):
                     self._begin(now, instance)
-                    steps.append(Step(Act.START, instance))
+                    steps.append(Step(Action.START, instance))
             elif phase is Phase.DRAINING:
                 if instance.recalled:
                     if now - instance.left_at >= RECALL:
                         instance.left_at = now
-                        steps.append(Step(Act.STAY, instance))
+                        steps.append(Step(Action.STAY, instance))
                 elif not instance.left_at:
                     instance.left_at = now
-                    steps.append(Step(Act.LEAVE if instance.soft else Act.TERM, instance))
+                    steps.append(Step(Action.LEAVE if instance.soft else Action.TERM, instance))
                 elif instance.kill and now - instance.left_at >= self.patience.drain:
                     instance.left_at = now  # should even that not be enough
-                    steps.append(Step(Act.KILL, instance))
+                    steps.append(Step(Action.KILL, instance))
             else:
                 self._watch(now, instance)
         return steps
@@ -270,7 +270,7 @@
 
     def _move(self, now: int, instance: Instance, phase: Phase) -> None:
         """The one place where a phase changes."""
-        if phase not in NEXT[instance.phase]:
+        if phase not in TRANSITIONS[instance.phase]:
             raise RuntimeError(f"{instance.name}: {instance.phase.value} to {phase.value}")
         self.out[instance.site] -= _out(instance)
         self.booting -= instance.phase is Phase.STARTING
--- a/oakkeel/agent/topology.py
+++ b/oakkeel/agent/topology.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from oakkeel.disruption.topology import Group, Layout
+from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.settings.fleet import Fleet
 
 
-def layout_of(fleet: Fleet) -> Layout:
+def topology_of(fleet: Fleet) -> Topology:
     """Groups for the fleet, each site and each kind of service below."""
     keepers = fleet.keepers
     services = keepers.services if keepers else ()
@@ -20,12 +20,12 @@
         for instance in host.instances:
             for name in instance.below:
                 hanging[name].append(instance.name)
-    groups = [Group(f"site {site}", fleet.sites[site], tuple(names)) for site, names in sites.items()]
+    groups = [BudgetGroup(f"site {site}", fleet.sites[site], tuple(names)) for site, names in sites.items()]
     if keepers:
         every = tuple(name for names in sites.values() for name in names)
-        groups.append(Group("fleet", keepers.away, every))
+        groups.append(BudgetGroup("fleet", keepers.away, every))
         groups += [
-            Group(f"kind {kind}", away, tuple(each.name for each in services if each.kind == kind))
+            BudgetGroup(f"kind {kind}", away, tuple(each.name for each in services if each.kind == kind))
             for kind, away in keepers.kinds.items()
         ]
-    return Layout(hosts, tuple(groups), {name: tuple(found) for name, found in hanging.items() if found})
+    return Topology(hosts, tuple(groups), {name: tuple(found) for name, found in hanging.items() if found})
--- a/oakkeel/authentication/mac.py
+++ b/oakkeel/authentication/mac.py
@@ -40,7 +40,7 @@
     until: int = 0  # Unix nanoseconds from which it is good no more; 0: none
 
 
-class Sealed(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+class AuthenticatedMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     """A message with its mark. `time` is the sender's Unix clock in nanoseconds, told and not gone by."""
 
     key: str
@@ -50,11 +50,11 @@
     mark: bytes
 
 
-class Refused(ValueError):
+class AuthenticationError(ValueError):
     """The message is not taken. The text is for our own log: whoever sent it is told no reason."""
 
 
-_decoder = msgspec.msgpack.Decoder(Sealed)
+_decoder = msgspec.msgpack.Decoder(AuthenticatedMessage)
 _encoder = msgspec.msgpack.Encoder()
 
 
@@ -68,7 +68,7 @@
     return hasher.digest()
 
 
-class Sender:
+class ClientAuthenticator:
     """The command line's end of one link."""
 
     def __init__(
@@ -81,7 +81,7 @@
         self.place += 1
         self.sent, time = self.nonce(), self.unix()
         mark = _mark(self.key.secret, b"ask", self.challenge, self.place, self.sent, time, content)
-        return _encoder.encode(Sealed(self.key.ident, self.sent, time, content, mark))
+        return _encoder.encode(AuthenticatedMessage(self.key.ident, self.sent, time, content, mark))
 
     def open(self, frame: bytes) -> bytes:
         """The content of the answer to what was sealed last. Raises Refused."""
@@ -90,11 +90,11 @@
             self.key.secret, b"answer", self.challenge, self.place, self.sent, sealed.time, sealed.content
         )
         if not hmac.compare_digest(mark, sealed.mark):
-            raise Refused("an answer that was not made with our key, or not to our message")
+            raise AuthenticationError("an answer that was not made with our key, or not to our message")
         return sealed.content
 
 
-class Receiver:
+class ServerAuthenticator:
     """The agent's end of one link."""
 
     def __init__(
@@ -109,15 +109,15 @@
         sealed = _read(frame)
         key = self.keys.get(sealed.key)
         if key is None:
-            raise Refused("an unknown key")
+            raise AuthenticationError("an unknown key")
         place = self.place + 1
         mark = _mark(key.secret, b"ask", self.challenge, place, sealed.nonce, sealed.time, sealed.content)
         if not hmac.compare_digest(mark, sealed.mark):
-            raise Refused(f"a wrong mark for key {key.ident}: altered, replayed, or made with another key")
+            raise AuthenticationError(f"a wrong mark for key {key.ident}: altered, replayed, or made with another key")
         if now - self.made > self.good_for:
-            raise Refused(f"key {key.ident}: the challenge is too old")
+            raise AuthenticationError(f"key {key.ident}: the challenge is too old")
         if key.until and unix >= key.until:
-            raise Refused(f"key {key.ident} is good no more")
+            raise AuthenticationError(f"key {key.ident} is good no more")
         self.place, self.nonce, self.key = place, sealed.nonce, key
         self.made = now  # each message that is good gives the next its time
         return key, sealed.content
@@ -125,16 +125,16 @@
     def seal(self, unix: int, content: bytes) -> bytes:
         """The answer to what was opened last."""
         mark = _mark(self.key.secret, b"answer", self.challenge, self.place, self.nonce, unix, content)
-        return _encoder.encode(Sealed(self.key.ident, self.nonce, unix, content, mark))
+        return _encoder.encode(AuthenticatedMessage(self.key.ident, self.nonce, unix, content, mark))
 
 
-def _read(frame: bytes) -> Sealed:
+def _read(frame: bytes) -> AuthenticatedMessage:
     try:
         sealed = _decoder.decode(frame)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise Refused(f"no sealed message: {error}") from None
+        raise AuthenticationError(f"no sealed message: {error}") from None
     if len(sealed.nonce) != NONCE or len(sealed.mark) != MARK or not 0 <= sealed.time < 1 << 63:
-        raise Refused("a nonce, mark or time of the wrong size")
+        raise AuthenticationError("a nonce, mark or time of the wrong size")
     return sealed
 
 
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -10,10 +10,10 @@
 
 from oakkeel.admission.types import Outcome
 from oakkeel.line_protocol import LineParser
-from oakkeel.log import Log
-from oakkeel.request import Event, LiveExchange
-from oakkeel.resource_limits import MS, SECOND, Bounds
-from oakkeel.stream_buffers import BufferPool, Malformed, ReadBuffer, connect, readable, send
+from oakkeel.log import EventLog
+from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.resource_limits import MS, SECOND, ResourceLimits
+from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, readable, send
 
 WITH_BODY = frozenset({(1, b"DATA")})
 REPLIES = {
@@ -30,7 +30,7 @@
 
     __slots__ = ("ex", "link", "placed", "timer")
 
-    def __init__(self, ex: LiveExchange, link: CallLink, until: int) -> None:
+    def __init__(self, ex: NodeRequest, link: CallLink, until: int) -> None:
         self.ex, self.link, self.placed = ex, link, time.monotonic_ns()
         wait = (until - self.placed + link.bounds.call_slack) / SECOND
         self.timer = asyncio.get_running_loop().call_later(wait, self.give_up)
@@ -41,7 +41,7 @@
         self.link.used = time.monotonic_ns()
         self.ex.call = None
         if outcome is not None:
-            self.ex.tell(Event.REPLY, outcome, reply, self.link.used - self.placed)
+            self.ex.tell(RequestEvent.REPLY, outcome, reply, self.link.used - self.placed)
         self.link.leave()
 
     def give_up(self, outcome: Outcome | None = Outcome.GIVEN_UP) -> None:
@@ -57,7 +57,7 @@
 class CallLink:
     """One connection, with the calls that are on it."""
 
-    def __init__(self, address: tuple[str, int], pool: BufferPool, bounds: Bounds, log: Log) -> None:
+    def __init__(self, address: tuple[str, int], pool: BufferPool, bounds: ResourceLimits, log: EventLog) -> None:
         self.address, self.bounds, self.log = address, bounds, log
         self.calls: dict[bytes, Call] = {}
         self.connected = False
@@ -88,7 +88,7 @@
                 await asyncio.sleep(0)  # one that always has more to say must not keep the loop
         except StreamClosedError:
             pass
-        except Malformed as error:
+        except MalformedInputError as error:
             self.log.say("the catalogue's link can't be read", error=str(error))
         finally:
             self.stream.close()
@@ -102,14 +102,14 @@
 
     def _reply(self, words: list[bytes], body: bytes) -> None:
         if len(words) != (3 if words[1:2] == [b"DATA"] else 2) or words[1] not in REPLIES:
-            raise Malformed(f"a reply {b' '.join(words)[:60]!r}")
+            raise MalformedInputError(f"a reply {b' '.join(words)[:60]!r}")
         if call := self.calls.get(words[0]):
             return call.end(REPLIES[words[1]], body)
         # A second copy, or one to nobody: the others still get theirs here, but no new call does.
         self.spent = True
         self.surplus += 1
         if self.surplus > self.bounds.call_surplus:
-            raise Malformed("replies that nobody waits for")
+            raise MalformedInputError("replies that nobody waits for")
         self.leave()
 
     def _watch_partial(self, taken: bool) -> None:
@@ -140,21 +140,21 @@
 class Catalogue:
     """The links, opened as calls need them: one call each, so that what breaks on one costs no other."""
 
-    def __init__(self, address: tuple[str, int] | None, pool: BufferPool, bounds: Bounds, log: Log) -> None:
+    def __init__(self, address: tuple[str, int] | None, pool: BufferPool, bounds: ResourceLimits, log: EventLog) -> None:
         self.address, self.pool, self.bounds, self.log = address, pool, bounds, log
         self.links: list[CallLink] = []
 
-    def fetch(self, ex: LiveExchange, until: int, body: bytes) -> None:
+    def fetch(self, ex: NodeRequest, until: int, body: bytes) -> None:
         """Place the call that its run waits for; a REPLY tells how it ended."""
         link = self._link(ex)
         if link is None:
-            return ex.tell(Event.REPLY, Outcome.UNREACHED, b"", 0)
+            return ex.tell(RequestEvent.REPLY, Outcome.UNREACHED, b"", 0)
         ex.call = link.calls[ex.ident] = Call(ex, link, until)
         ex.call_links.append(link)
         wait_ms = max(1, (until - ex.call.placed) // MS)
         link.place(ex.ident, b"FETCH %s %d %d\r\n%s\r\n" % (ex.ident, wait_ms, len(body), body))
 
-    def quit(self, ex: LiveExchange) -> None:
+    def quit(self, ex: NodeRequest) -> None:
         """Nobody needs its call any more."""
         if ex.call:
             ex.call.give_up(None)
@@ -168,7 +168,7 @@
             link.spent = True
             link.leave()
 
-    def _link(self, ex: LiveExchange) -> CallLink | None:
+    def _link(self, ex: NodeRequest) -> CallLink | None:
         """The link used last among those free, a new one, or the least busy; never one that had a call of
         this exchange: a second copy of its reply would be taken for that of the next."""
         self._trim()
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -14,9 +14,9 @@
 import click
 from rich.console import Console
 
-from oakkeel.fleet.agent_clients import Agents
-from oakkeel.fleet.selection import STATES, Choice, ChoiceError
-from oakkeel.fleet.view import Row, View
+from oakkeel.fleet.agent_clients import AgentClients
+from oakkeel.fleet.selection import STATES, Selection, SelectionError
+from oakkeel.fleet.view import Row, FleetView
 from oakkeel.settings.fleet import Fleet, SettingsError, read_fleet, time_of
 from oakkeel.settings.keys import key_of
 
@@ -93,7 +93,7 @@
     return command
 
 
-class Asker:
+class FleetClient:
     """One command's fleet, key and view."""
 
     def __init__(self, settings: str, operator: str | None, deadline: int | None) -> None:
@@ -102,17 +102,17 @@
             self.key = key_of(self.fleet, operator or getpass.getuser())
         except SettingsError as error:
             fail(str(error))
-        self.agents, self.view = Agents(self.fleet, self.key), View(self.fleet)
+        self.agents, self.view = AgentClients(self.fleet, self.key), FleetView(self.fleet)
         self.deadline = deadline or self.fleet.asking.deadline
 
     async def look(self, hosts: list[str] | None = None) -> list[Row]:
         await self.agents.look(self.view, hosts, self.deadline)
         return self.view.rows(time.monotonic_ns())
 
-    def chosen(self, rows: list[Row], choice: Choice) -> list[Row]:
+    def chosen(self, rows: list[Row], choice: Selection) -> list[Row]:
         try:
             return choice.among(rows)
-        except ChoiceError as error:
+        except SelectionError as error:
             fail(str(error))
 
     @property
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -16,7 +16,7 @@
     DONE,
     SOME_FAILED,
     SOME_SILENT,
-    Asker,
+    FleetClient,
     choice_options,
     err,
     fail,
@@ -26,34 +26,34 @@
     run,
 )
 from oakkeel.cli.selection import choose
-from oakkeel.fleet.agent_clients import NoLeader
-from oakkeel.fleet.selection import Choice
-from oakkeel.rendering.control_plane import keepers_table, order_table, places_table
+from oakkeel.fleet.agent_clients import NoLeaderError
+from oakkeel.fleet.selection import Selection
+from oakkeel.rendering.control_plane import replicas_table, order_table, permits_table
 
 OPEN = ("waiting", "granted", "out")
 GOOD = ("done", *OPEN)
 LOOK_EVERY = 0.25  # seconds
 
 
-def no_leader(error: NoLeader) -> NoReturn:
+def no_leader(error: NoLeaderError) -> NoReturn:
     for host, why in sorted(error.why.items()):
         err.print(f"agent of {host}: {why}", style="yellow", markup=False, highlight=False)
     fail(f"{error}: nothing new is agreed, what serves goes on", SOME_SILENT)
 
 
-async def ask(asker: Asker, wish: messages.Wish) -> messages.Answer:
+async def ask(asker: FleetClient, wish: messages.Request) -> messages.Response:
     """What the leader says; ends the command where there is none, or where it says no."""
     try:
         answer = await asker.agents.ask_leader(wish, 3 * asker.deadline)
-    except NoLeader as error:
+    except NoLeaderError as error:
         no_leader(error)
-    if isinstance(answer, messages.Fault):
+    if isinstance(answer, messages.ErrorResponse):
         fail(answer.why, SOME_FAILED)
     return answer
 
 
 async def agree(
-    asker: Asker, verb: str, choice: Choice, lasts: int, whole: bool, ident: str, no_wait: bool, as_json: bool
+    asker: FleetClient, verb: str, choice: Selection, lasts: int, whole: bool, ident: str, no_wait: bool, as_json: bool
 ) -> int:
     """Put an order to the record, follow it to its end, and tell what became of every part.
 
@@ -73,11 +73,11 @@
                 SOME_SILENT,
             )
         things = [(row.name, row.told.generation) for row in chosen if row.told]
-    answer = await ask(asker, messages.FleetOrder(ident, verb, things, lasts, whole))
+    answer = await ask(asker, messages.FleetOrderRequest(ident, verb, things, lasts, whole))
     until = time.monotonic_ns() + lasts + 10 * asker.deadline
     while (
         not no_wait
-        and isinstance(answer, messages.FleetTold)
+        and isinstance(answer, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
         and any(part.state in OPEN for part in answer.parts)
     ):
@@ -86,17 +86,17 @@
     return tell(answer, as_json, OPEN if no_wait else ())
 
 
-async def look_at(asker: Asker, ident: str) -> messages.Answer:
-    answer = await ask(asker, messages.AskFleet(ident))
-    return answer.orders[0] if isinstance(answer, messages.FleetStateTold) else answer
+async def look_at(asker: FleetClient, ident: str) -> messages.Response:
+    answer = await ask(asker, messages.FleetStatusRequest(ident))
+    return answer.orders[0] if isinstance(answer, messages.FleetStatus) else answer
 
 
-async def end(asker: Asker, ident: str, back: bool, as_json: bool) -> int:
+async def end(asker: FleetClient, ident: str, back: bool, as_json: bool) -> int:
     """Halt or cancel: wait until nothing can leave by it any more."""
-    answer = await ask(asker, messages.FleetEnd(ident, back))
+    answer = await ask(asker, messages.EndFleetOrderRequest(ident, back))
     until = time.monotonic_ns() + 20 * asker.deadline
     while (
-        isinstance(answer, messages.FleetTold)
+        isinstance(answer, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
         and any(
             part.state in (OPEN if back else ("waiting", "granted")) or (back and part.place)
@@ -108,8 +108,8 @@
     return tell(answer, as_json, ("out", "halted", "cancelled", "done"))
 
 
-def tell(answer: messages.Answer, as_json: bool, also_good: Sequence[str]) -> int:
-    if not isinstance(answer, messages.FleetTold):
+def tell(answer: messages.Response, as_json: bool, also_good: Sequence[str]) -> int:
+    if not isinstance(answer, messages.FleetOrderStatus):
         fail("an answer to another question", SOME_SILENT)
     if as_json:
         print_json(msgspec.to_builtins(answer))
@@ -139,9 +139,9 @@
     async def work() -> int:
         hosts = [host.name for host in asker.fleet.hosts]
         answers, silent = await asker.agents.ask(
-            {name: messages.AskRecord() for name in hosts}, asker.deadline
+            {name: messages.RaftStatusRequest() for name in hosts}, asker.deadline
         )
-        told = {name: answer for name, answer in answers.items() if isinstance(answer, messages.RecordTold)}
+        told = {name: answer for name, answer in answers.items() if isinstance(answer, messages.RaftStatus)}
         leads = any(each.leads for each in told.values())
         if output == "json":
             print_json(
@@ -152,7 +152,7 @@
                 }
             )
         else:
-            out.print(keepers_table(list(told.values())))
+            out.print(replicas_table(list(told.values())))
             for host, why in sorted(silent.items()):
                 err.print(f"agent of {host}: {why}", style="yellow", markup=False, highlight=False)
         if not leads:
@@ -181,7 +181,7 @@
     asker = with_record(settings, operator, deadline)
 
     async def work() -> int:
-        await ask(asker, messages.SetKeepers(list(hosts)))
+        await ask(asker, messages.SetVotersRequest(list(hosts)))
         until = time.monotonic_ns() + 30 * asker.deadline
         while time.monotonic_ns() < until:
             answer = await ask_leader_record(asker)
@@ -190,7 +190,7 @@
                 if output == "json":
                     print_json(msgspec.to_builtins(answer))
                 else:
-                    out.print(keepers_table([answer]))
+                    out.print(replicas_table([answer]))
                 return DONE
             await asyncio.sleep(LOOK_EVERY)
         err.print(
@@ -203,13 +203,13 @@
     run(work())
 
 
-async def ask_leader_record(asker: Asker) -> messages.RecordTold | None:
+async def ask_leader_record(asker: FleetClient) -> messages.RaftStatus | None:
     """How the leader sees the members."""
     answers, _ = await asker.agents.ask(
-        {host.name: messages.AskRecord() for host in asker.fleet.hosts}, asker.deadline
+        {host.name: messages.RaftStatusRequest() for host in asker.fleet.hosts}, asker.deadline
     )
     return next(
-        (each for each in answers.values() if isinstance(each, messages.RecordTold) and each.leads), None
+        (each for each in answers.values() if isinstance(each, messages.RaftStatus) and each.leads), None
     )
 
 
@@ -235,8 +235,8 @@
     asker = with_record(settings, operator, deadline)
 
     async def work() -> int:
-        answer = await ask(asker, messages.AskFleet())
-        if not isinstance(answer, messages.FleetStateTold):
+        answer = await ask(asker, messages.FleetStatusRequest())
+        if not isinstance(answer, messages.FleetStatus):
             fail("an answer to another question", SOME_SILENT)
         wanted = [
             each
@@ -253,15 +253,15 @@
                 }
             )
         else:
-            for table in places_table(answer.groups, wanted, answer.orders):
+            for table in permits_table(answer.groups, wanted, answer.orders):
                 out.print(table)
         return DONE
 
     run(work())
 
 
-def with_record(settings: str, operator: str | None, deadline: int | None) -> Asker:
-    asker = Asker(settings, operator, deadline)
+def with_record(settings: str, operator: str | None, deadline: int | None) -> FleetClient:
+    asker = FleetClient(settings, operator, deadline)
     if asker.fleet.keepers is None:
         fail(f"{settings}: this fleet has no keepers: each agent is on its own")
     return asker
