--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -18,7 +18,7 @@
     DONE,
     SOME_FAILED,
     SOME_SILENT,
-    Asker,
+    FleetClient,
     Duration,
     choice_options,
     err,
@@ -28,7 +28,7 @@
     print_json,
     run,
 )
-from oakkeel.fleet.selection import Choice
+from oakkeel.fleet.selection import Selection
 from oakkeel.fleet.view import Row
 from oakkeel.rendering.instances import clients_line, clients_table, facts_of, instances_table
 from oakkeel.rendering.times import span
@@ -67,10 +67,10 @@
     Example: oakkeel ls --site woodbrook --state serving
              oakkeel ls 'n*' --output json
     """
-    asker = Asker(settings, operator, deadline)
+    asker = FleetClient(settings, operator, deadline)
 
     async def work() -> int:
-        rows = asker.chosen(await asker.look(), Choice(names, sites, hosts, states))
+        rows = asker.chosen(await asker.look(), Selection(names, sites, hosts, states))
         if output == "json":
             print_json({"instances": [row_json(row) for row in rows], "notes": asker.view.notes()})
         else:
@@ -98,7 +98,7 @@
     Example: oakkeel show n3
              oakkeel show n3 --clients
     """
-    asker = Asker(settings, operator, deadline)
+    asker = FleetClient(settings, operator, deadline)
     if clients:
         run(show_clients(asker, name, output == "json"))
 
@@ -108,7 +108,7 @@
             for host in asker.fleet.hosts
             if any(instance.name == name for instance in host.instances)
         ]
-        rows = asker.chosen(await asker.look(hosts), Choice((name,)))
+        rows = asker.chosen(await asker.look(hosts), Selection((name,)))
         if output == "json":
             print_json({"instances": [row_json(row) for row in rows], "notes": asker.view.notes()})
             return asker.code
@@ -123,14 +123,14 @@
     run(work())
 
 
-async def show_clients(asker: Asker, name: str, as_json: bool) -> int:
+async def show_clients(asker: FleetClient, name: str, as_json: bool) -> int:
     hosts = [host.name for host in asker.fleet.hosts if any(each.name == name for each in host.instances)]
     if not hosts:
         fail(f"no instance has the name {name!r}")
-    answers, silent = await asker.agents.ask({hosts[0]: messages.Clients(name)}, asker.deadline)
+    answers, silent = await asker.agents.ask({hosts[0]: messages.InstanceClientsRequest(name)}, asker.deadline)
     answer = answers.get(hosts[0])
-    if not isinstance(answer, messages.ClientsOf):
-        why = answer.why if isinstance(answer, messages.Fault) else silent.get(hosts[0], "no answer")
+    if not isinstance(answer, messages.InstanceClients):
+        why = answer.why if isinstance(answer, messages.ErrorResponse) else silent.get(hosts[0], "no answer")
         fail(f"{name}: {why}", SOME_SILENT if silent else SOME_FAILED)
     if as_json:
         print_json(msgspec.to_builtins(answer.told))
@@ -162,8 +162,8 @@
     \b
     Example: oakkeel watch --site woodbrook --every 2s
     """
-    asker = Asker(settings, operator, deadline)
-    choice = Choice(names, sites, hosts, states)
+    asker = FleetClient(settings, operator, deadline)
+    choice = Selection(names, sites, hosts, states)
 
     async def work() -> int:
         until = time.monotonic_ns() + lasts if lasts else 0
@@ -201,16 +201,16 @@
     \b
     Example: oakkeel orders --open
     """
-    asker = Asker(settings, operator, deadline)
+    asker = FleetClient(settings, operator, deadline)
 
     async def work() -> int:
         names = [host.name for host in asker.fleet.hosts if not hosts or host.name in hosts]
         answers, silent = await asker.agents.ask(
-            {name: messages.ListOrders() for name in names}, asker.deadline
+            {name: messages.ListOrdersRequest() for name in names}, asker.deadline
         )
-        told: dict[str, list[tuple[str, messages.OrderTold]]] = {}
+        told: dict[str, list[tuple[str, messages.OrderStatus]]] = {}
         for host, answer in answers.items():
-            if isinstance(answer, messages.OrdersTold):
+            if isinstance(answer, messages.OrderList):
                 for order in answer.orders:
                     told.setdefault(order.ident, []).append((host, order))
         found = sorted(told.values(), key=lambda each: -each[0][1].taken)
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -19,7 +19,7 @@
     SOME_FAILED,
     SOME_SILENT,
     USAGE,
-    Asker,
+    FleetClient,
     Duration,
     choice_options,
     err,
@@ -31,8 +31,8 @@
 )
 from oakkeel.cli.control_plane import agree, end
 from oakkeel.cli.selection import choose, sure
-from oakkeel.fleet.order_tracking import Followed, Following, Result
-from oakkeel.fleet.selection import Choice
+from oakkeel.fleet.order_tracking import TrackedTask, OrderTracker, Result
+from oakkeel.fleet.selection import Selection
 from oakkeel.rendering.times import span
 
 OPEN, GOOD = ("waiting", "acting"), ("done",)
@@ -81,8 +81,8 @@
         deadline: int | None,
         output: str,
     ) -> None:
-        choice = Choice(names, sites, hosts, states)
-        asker = Asker(settings, operator, deadline)
+        choice = Selection(names, sites, hosts, states)
+        asker = FleetClient(settings, operator, deadline)
         if halted:
             run_halt(asker, halted, output == "json")
         if choice.all != everything:
@@ -104,9 +104,9 @@
 
 
 async def carry_out(
-    asker: Asker,
+    asker: FleetClient,
     verb: str,
-    choice: Choice,
+    choice: Selection,
     ask_first: bool,
     lasts: int,
     supersede: bool,
@@ -118,7 +118,7 @@
     rows, chosen = await choose(asker, choice)
     if ask_first and not sure(verb, rows, chosen):
         return USAGE
-    following = Following(ident, verb, chosen, lasts, supersede)
+    following = OrderTracker(ident, verb, chosen, lasts, supersede)
     answers, silent = await asker.agents.ask(following.wishes(), asker.deadline)
     for host, answer in answers.items():
         following.answered(host, answer)
@@ -130,7 +130,7 @@
     return CODES_OF[following.result(not no_wait)]
 
 
-async def follow(asker: Asker, following: Following) -> None:
+async def follow(asker: FleetClient, following: OrderTracker) -> None:
     """Ask until nothing is open any more, or the time of the order is over."""
     until = time.monotonic_ns() + following.lasts + 2 * asker.deadline
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
@@ -138,14 +138,14 @@
         bar = progress.add_task(f"{following.verb} {following.ident}", total=len(following.parts))
         while not following.over and time.monotonic_ns() < until:
             await asyncio.sleep(LOOK_EVERY)
-            asked: dict[str, messages.Wish] = {host: messages.ListOrders() for host in following.to_ask()}
+            asked: dict[str, messages.Request] = {host: messages.ListOrdersRequest() for host in following.to_ask()}
             answers, _ = await asker.agents.ask(asked, asker.deadline)
             for host, answer in answers.items():
                 following.answered(host, answer)
             progress.update(bar, completed=following.ended)
 
 
-def tell(ident: str, verb: str, parts: Sequence[Followed | messages.PartTold], as_json: bool) -> None:
+def tell(ident: str, verb: str, parts: Sequence[TrackedTask | messages.TaskStatus], as_json: bool) -> None:
     if as_json:
         return print_json(
             {
@@ -179,19 +179,19 @@
     \b
     Example: oakkeel cancel 3f9a01c2d4e5
     """
-    asker = Asker(settings, operator, deadline)
+    asker = FleetClient(settings, operator, deadline)
     if asker.fleet.keepers:
         run(end(asker, ident, True, output == "json"))
 
     async def work() -> int:
         hosts = [host.name for host in asker.fleet.hosts]
         answers, silent = await asker.agents.ask(
-            {host: messages.Cancel(ident) for host in hosts}, asker.deadline
+            {host: messages.CancelOrderRequest(ident) for host in hosts}, asker.deadline
         )
         parts = {
             part.instance: part
             for answer in answers.values()
-            if isinstance(answer, messages.OrderTold)
+            if isinstance(answer, messages.OrderStatus)
             for part in answer.parts
         }
         if not parts:
@@ -215,10 +215,10 @@
     \b
     Example: oakkeel halt 3f9a01c2d4e5
     """
-    run_halt(Asker(settings, operator, deadline), ident, output == "json")
+    run_halt(FleetClient(settings, operator, deadline), ident, output == "json")
 
 
-def run_halt(asker: Asker, ident: str, as_json: bool) -> NoReturn:
+def run_halt(asker: FleetClient, ident: str, as_json: bool) -> NoReturn:
     if not asker.fleet.keepers:
         fail("halt needs keepers in the settings; cancel ends what an order has not begun")
     run(end(asker, ident, False, as_json))
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -17,7 +17,7 @@
     DONE,
     SOME_FAILED,
     SOME_SILENT,
-    Asker,
+    FleetClient,
     Duration,
     choice_options,
     fail,
@@ -28,9 +28,9 @@
 )
 from oakkeel.cli.control_plane import LOOK_EVERY, ask, with_record
 from oakkeel.cli.selection import choose
-from oakkeel.fleet.selection import Choice
+from oakkeel.fleet.selection import Selection
 from oakkeel.rendering.rollout import release_table
-from oakkeel.rollout.commands import Pace, What
+from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.store.content_store import ContentError
 
 ENDS = {"done": DONE, "undone": SOME_FAILED, "halted": SOME_FAILED, "left": SOME_FAILED}
@@ -154,25 +154,25 @@
              oakkeel rollout start --version catalogue-9 db1 db2
     """
     asker = with_record(settings, operator, deadline)
-    choice = Choice(names, sites, hosts, states)
+    choice = Selection(names, sites, hosts, states)
     if choice.all != everything:
         fail("say which instances: names, --site, --host or --state, or else --all")
     paths = os.path.abspath(program) if program else "", os.path.abspath(patch) if patch else ""
-    pace = Pace(
+    pace = RolloutPolicy(
         canary, growth, most, not no_control, not no_gates, back, soak, patience, lasts, margin, ceiling
     )
 
     async def work() -> int:
         things, what = await _what(asker, choice, *paths, label, as_set)
-        answer = await ask(asker, messages.StartRelease(ident or secrets.token_hex(4), what, pace, things))
+        answer = await ask(asker, messages.StartReleaseRequest(ident or secrets.token_hex(4), what, pace, things))
         return await _follow(asker, answer, output == "json", no_wait)
 
     run(work())
 
 
 async def _what(
-    asker: Asker, choice: Choice, program: str, patch: str, label: str, as_set: bool
-) -> tuple[list[str], What]:
+    asker: FleetClient, choice: Selection, program: str, patch: str, label: str, as_set: bool
+) -> tuple[list[str], VersionSpec]:
     assert asker.fleet.keepers is not None
     services = {each.name for each in asker.fleet.keepers.services}
     if named := [name for name in choice.names if name in services]:
@@ -180,37 +180,37 @@
             fail("name either instances or services below")
         if not label or program or patch:
             fail("services below are replaced by hand: say by what with --version")
-        return named, What(label, services=True)
+        return named, VersionSpec(label, services=True)
     if label or (not program and not patch):
         fail("say what is new: --program, --config or both")
     try:
-        what = What(version_of(program, patch), program, patch, as_set=as_set)
+        what = VersionSpec(version_of(program, patch), program, patch, as_set=as_set)
     except ContentError as error:
         fail(str(error))
     _, chosen = await choose(asker, choice)
     return [row.name for row in chosen], what
 
 
-async def _follow(asker: Asker, answer: messages.Answer, as_json: bool, no_wait: bool) -> int:
+async def _follow(asker: FleetClient, answer: messages.Response, as_json: bool, no_wait: bool) -> int:
     """Show it until it is over or halted."""
     told = _told(answer)
     if not no_wait:
         with Live(release_table(told), console=out, auto_refresh=False, transient=True) as live:
             while told.state not in ENDS:
                 await asyncio.sleep(LOOK_EVERY)
-                told = _told(await ask(asker, messages.AskRelease(told.ident)))
+                told = _told(await ask(asker, messages.ReleaseStatusRequest(told.ident)))
                 if out.is_terminal and not as_json:
                     live.update(release_table(told), refresh=True)
     return tell(told, as_json, DONE)
 
 
-def _told(answer: messages.Answer) -> messages.ReleaseTold:
-    if not isinstance(answer, messages.ReleaseTold):
+def _told(answer: messages.Response) -> messages.ReleaseStatus:
+    if not isinstance(answer, messages.ReleaseStatus):
         fail("an answer to another question", SOME_SILENT)
     return answer
 
 
-def tell(told: messages.ReleaseTold, as_json: bool, open_code: int) -> int:
+def tell(told: messages.ReleaseStatus, as_json: bool, open_code: int) -> int:
     if as_json:
         print_json(msgspec.to_builtins(told))
     else:
@@ -226,7 +226,7 @@
         asker = with_record(settings, operator, deadline)
 
         async def work() -> int:
-            answer = await ask(asker, messages.AskRelease(ident))
+            answer = await ask(asker, messages.ReleaseStatusRequest(ident))
             return await _follow(asker, answer, output == "json", not follows)
 
         run(work())
@@ -242,8 +242,8 @@
         asker = with_record(settings, operator, deadline)
 
         async def work() -> int:
-            which = ident or _told(await ask(asker, messages.AskRelease())).ident
-            told = _told(await ask(asker, messages.TurnRelease(which, name)))
+            which = ident or _told(await ask(asker, messages.ReleaseStatusRequest())).ident
+            told = _told(await ask(asker, messages.ControlReleaseRequest(which, name)))
             tell(told, output == "json", DONE)
             return DONE
 
--- a/oakkeel/cli/selection.py
+++ b/oakkeel/cli/selection.py
@@ -4,14 +4,14 @@
 
 import click
 
-from oakkeel.cli.common import Asker, err, fail, interactive
-from oakkeel.fleet.selection import Choice, taken_out
+from oakkeel.cli.common import FleetClient, err, fail, interactive
+from oakkeel.fleet.selection import Selection, sites_over_share
 from oakkeel.fleet.view import Row
 
 ASK_ABOVE = 0.34  # of a site, taken out by one order: from there on it is asked first
 
 
-async def choose(asker: Asker, choice: Choice) -> tuple[list[Row], list[Row]]:
+async def choose(asker: FleetClient, choice: Selection) -> tuple[list[Row], list[Row]]:
     """All rows, and those that are meant."""
     rows = await asker.look()
     chosen = asker.chosen(rows, choice)
@@ -22,7 +22,7 @@
 
 def sure(verb: str, rows: list[Row], chosen: list[Row]) -> bool:
     """Asked first where it takes out much of a site."""
-    if much := taken_out(rows, chosen, ASK_ABOVE):
+    if much := sites_over_share(rows, chosen, ASK_ABOVE):
         for line in much:
             err.print(line, style="yellow", markup=False)
         if not interactive():
--- a/oakkeel/control/client.py
+++ b/oakkeel/control/client.py
@@ -11,18 +11,18 @@
 from tornado.iostream import IOStream
 
 from oakkeel.control.messages import (
-    LONGEST,
-    Answer,
-    Ask,
-    AskClients,
-    ClientsTold,
-    Leave,
-    Report,
-    Stay,
-    Told,
-    Wish,
+    MAX_LINE_BYTES,
+    Response,
+    StatusRequest,
+    ClientsRequest,
+    ClientsStatus,
+    DrainRequest,
+    NodeStatus,
+    CancelDrainRequest,
+    Acknowledgement,
+    Request,
     encode,
-    read_answer,
+    decode_response,
 )
 
 
@@ -39,33 +39,33 @@
         self.stream: IOStream | None = None
         self.pid = 0  # of the process at the other end, as the kernel says
 
-    async def ask(self, timeout: float) -> Report:
+    async def ask(self, timeout: float) -> NodeStatus:
         """Raises ControlError; `timeout` in seconds."""
-        answer = await self._exchange(Ask(next(self.tags)), timeout)
-        if not isinstance(answer, Report):
+        answer = await self._exchange(StatusRequest(next(self.tags)), timeout)
+        if not isinstance(answer, NodeStatus):
             raise ControlError(f"no report: {getattr(answer, 'why', '')}")
         return answer
 
-    async def leave(self, generation: int, timeout: float, within: int = 0) -> Told:
+    async def leave(self, generation: int, timeout: float, within: int = 0) -> Acknowledgement:
         """`within`: nanoseconds until it ends, 0 as after a SIGTERM."""
-        return await self._order(Leave(next(self.tags), generation, within), timeout)
+        return await self._order(DrainRequest(next(self.tags), generation, within), timeout)
 
-    async def stay(self, generation: int, timeout: float) -> Told:
-        return await self._order(Stay(next(self.tags), generation), timeout)
+    async def stay(self, generation: int, timeout: float) -> Acknowledgement:
+        return await self._order(CancelDrainRequest(next(self.tags), generation), timeout)
 
-    async def _order(self, wish: Leave | Stay, timeout: float) -> Told:
+    async def _order(self, wish: DrainRequest | CancelDrainRequest, timeout: float) -> Acknowledgement:
         answer = await self._exchange(wish, timeout)
-        if not isinstance(answer, Told):
+        if not isinstance(answer, Acknowledgement):
             raise ControlError("a report in place of an answer to an order")
         return answer
 
-    async def clients(self, most: int, timeout: float) -> ClientsTold:
-        answer = await self._exchange(AskClients(next(self.tags), most), timeout)
-        if not isinstance(answer, ClientsTold):
+    async def clients(self, most: int, timeout: float) -> ClientsStatus:
+        answer = await self._exchange(ClientsRequest(next(self.tags), most), timeout)
+        if not isinstance(answer, ClientsStatus):
             raise ControlError("no list of clients")
         return answer
 
-    async def _exchange(self, wish: Wish, timeout: float) -> Answer:
+    async def _exchange(self, wish: Request, timeout: float) -> Response:
         try:
             return await asyncio.wait_for(self._try(wish), timeout)
         except ControlError:
@@ -75,15 +75,15 @@
             self.close()  # an answer that comes late must not be taken for that of the next question
             raise ControlError(f"{type(error).__name__}: {error}".rstrip(": ")) from None
 
-    async def _try(self, wish: Wish) -> Answer:
+    async def _try(self, wish: Request) -> Response:
         if self.stream is None:
-            self.stream = IOStream(socket.socket(socket.AF_UNIX), max_buffer_size=LONGEST)
+            self.stream = IOStream(socket.socket(socket.AF_UNIX), max_buffer_size=MAX_LINE_BYTES)
             await self.stream.connect(self.path)  # type: ignore[arg-type]  # a path is an address as well
             peer = self.stream.socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
             self.pid = struct.unpack("3i", peer)[0]
         self.stream.write(encode(wish))
-        line = await self.stream.read_until(b"\n", max_bytes=LONGEST)
-        answer = read_answer(line)
+        line = await self.stream.read_until(b"\n", max_bytes=MAX_LINE_BYTES)
+        answer = decode_response(line)
         if answer.tag != wish.tag:
             raise ControlError(f"an answer to another question: {getattr(answer, 'why', '')}")
         return answer
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -13,29 +13,29 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from oakkeel.control.messages import (
-    LONGEST,
-    Answer,
-    Ask,
-    AskClients,
-    ClientsTold,
-    Report,
-    Stay,
-    Told,
+    MAX_LINE_BYTES,
+    Response,
+    StatusRequest,
+    ClientsRequest,
+    ClientsStatus,
+    NodeStatus,
+    CancelDrainRequest,
+    Acknowledgement,
     encode,
-    read_wish,
+    decode_request,
 )
-from oakkeel.log import Log, fault
-from oakkeel.resource_limits import SECOND, Bounds
-from oakkeel.stream_buffers import BufferPool, Malformed, ReadBuffer, send
+from oakkeel.log import EventLog, fault
+from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, send
 
-MOST_CLIENTS = 25  # in one answer, so that it is no longer than a line may be
+MAX_CONNECTIONS = 25  # in one answer, so that it is no longer than a line may be
 
 
-class Controlled(Protocol):
+class ControlTarget(Protocol):
     """What a control link needs of the node."""
 
-    def report(self, tag: int) -> Report: ...
-    def clients(self, tag: int, most: int) -> ClientsTold: ...
+    def report(self, tag: int) -> NodeStatus: ...
+    def clients(self, tag: int, most: int) -> ClientsStatus: ...
     def ordered_to_leave(self, generation: int, within: int) -> str: ...  # why not; empty where it leaves
     def ordered_to_stay(self, generation: int) -> str: ...
 
@@ -43,10 +43,10 @@
 class ControlListener:
     """The Unix socket and the links that came through it."""
 
-    def __init__(self, path: str, node: Controlled, bounds: Bounds, log: Log) -> None:
+    def __init__(self, path: str, node: ControlTarget, bounds: ResourceLimits, log: EventLog) -> None:
         self.path, self.node, self.bounds, self.log = path, node, bounds, log
         self.links: dict[ControlLink, asyncio.Task] = {}  # the one heard longest ago first
-        self.pool = BufferPool(LONGEST, 2 * bounds.control_links)
+        self.pool = BufferPool(MAX_LINE_BYTES, 2 * bounds.control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by one that was killed
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -69,7 +69,7 @@
                 oldest = next(iter(self.links))
                 oldest.stream.close()
                 del self.links[oldest]
-            link = ControlLink(IOStream(accepted, max_write_buffer_size=8 * LONGEST), self)
+            link = ControlLink(IOStream(accepted, max_write_buffer_size=8 * MAX_LINE_BYTES), self)
             self.links[link] = asyncio.ensure_future(link.serve())
 
     def heard(self, link: ControlLink) -> None:
@@ -119,10 +119,10 @@
                     spent = -time.thread_time_ns()
                 self.listener.heard(self)
                 await asyncio.sleep(max(0, began + bounds.control_pause - time.monotonic_ns()) / SECOND)
-        except Malformed:
-            send(self.stream, encode(Told(0, False, f"a line of more than {LONGEST} bytes")))
+        except MalformedInputError:
+            send(self.stream, encode(Acknowledgement(0, False, f"a line of more than {MAX_LINE_BYTES} bytes")))
         except TimeoutError:
-            send(self.stream, encode(Told(0, False, "half a message, or an answer not taken, for too long")))
+            send(self.stream, encode(Acknowledgement(0, False, "half a message, or an answer not taken, for too long")))
         except StreamClosedError:
             pass
         finally:
@@ -130,23 +130,23 @@
             read_buffer.close()
             self.listener.gone(self)
 
-    def _answer(self, line: bytes) -> Answer:
+    def _answer(self, line: bytes) -> Response:
         try:
-            wish = read_wish(line)
+            wish = decode_request(line)
         except msgspec.MsgspecError as error:
-            return Told(0, False, str(error))
+            return Acknowledgement(0, False, str(error))
         try:
-            if isinstance(wish, Ask):
+            if isinstance(wish, StatusRequest):
                 return self.listener.node.report(wish.tag)
-            if isinstance(wish, AskClients):
-                return self.listener.node.clients(wish.tag, max(1, min(wish.most, MOST_CLIENTS)))
+            if isinstance(wish, ClientsRequest):
+                return self.listener.node.clients(wish.tag, max(1, min(wish.most, MAX_CONNECTIONS)))
             node = self.listener.node
             why = (
                 node.ordered_to_stay(wish.generation)
-                if isinstance(wish, Stay)
+                if isinstance(wish, CancelDrainRequest)
                 else node.ordered_to_leave(wish.generation, wish.within)
             )
-            return Told(wish.tag, not why, why)
+            return Acknowledgement(wish.tag, not why, why)
         except Exception as error:  # an error of ours answers it, and the node lives on
             self.listener.log.say("a control message failed", error=fault(error))
-            return Told(wish.tag, False, "an error of the node")
+            return Acknowledgement(wish.tag, False, "an error of the node")
--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -4,38 +4,38 @@
 
 import msgspec
 
-LONGEST = 4096  # bytes of a line
+MAX_LINE_BYTES = 4096  # bytes of a line
 
 
-class Ask(msgspec.Struct, tag="ask", forbid_unknown_fields=True):
-    """How is the node? A `Report` comes back."""
+class StatusRequest(msgspec.Struct, tag="ask", forbid_unknown_fields=True):
+    """How is the node? A `NodeStatus` comes back."""
 
     tag: int
 
 
-class Leave(msgspec.Struct, tag="leave", forbid_unknown_fields=True):
-    """Drain and end, if the node is of that generation; `Stay` takes it back. `Told` comes back."""
+class DrainRequest(msgspec.Struct, tag="leave", forbid_unknown_fields=True):
+    """Drain and end, if the node is of that generation; `CancelDrainRequest` takes it back. `Told` comes back."""
 
     tag: int
     generation: int
     within: int = 0  # nanoseconds, until the rest is answered and it ends; 0: as after a SIGTERM
 
 
-class Stay(msgspec.Struct, tag="stay", forbid_unknown_fields=True):
+class CancelDrainRequest(msgspec.Struct, tag="stay", forbid_unknown_fields=True):
     """Take work again, if the node is of that generation and has not ended. `Told` comes back."""
 
     tag: int
     generation: int
 
 
-class AskClients(msgspec.Struct, tag="clients", forbid_unknown_fields=True):
-    """Who sends the most, where shares are fair? `ClientsTold` comes back."""
+class ClientsRequest(msgspec.Struct, tag="clients", forbid_unknown_fields=True):
+    """Who sends the most, where shares are fair? `ClientsStatus` comes back."""
 
     tag: int
     most: int = 20
 
 
-class Report(msgspec.Struct, tag="report"):
+class NodeStatus(msgspec.Struct, tag="report"):
     """A node as it is now. Sizes in KB unless named otherwise, times in nanoseconds."""
 
     tag: int
@@ -67,7 +67,7 @@
     times: dict[str, list[float]] = {}  # the same by endpoint group, of logarithms of seconds
 
 
-class Told(msgspec.Struct, tag="told"):
+class Acknowledgement(msgspec.Struct, tag="told"):
     """What became of an order, or why a message was refused (tag 0: it could not be read)."""
 
     tag: int
@@ -75,7 +75,7 @@
     why: str = ""
 
 
-class ClientTold(msgspec.Struct):
+class ClientUsage(msgspec.Struct):
     """One sender, as shares of what all ask for."""
 
     name: str
@@ -84,7 +84,7 @@
     keeps: float  # of what it asks, under its fair share
 
 
-class ClientsTold(msgspec.Struct, tag="clients"):
+class ClientsStatus(msgspec.Struct, tag="clients"):
     """The heaviest senders. Promises are counted since the start."""
 
     tag: int
@@ -96,25 +96,25 @@
     kept: int = 0
     broken: int = 0
     lapsed: int = 0
-    clients: list[ClientTold] = []
+    clients: list[ClientUsage] = []
 
 
-Wish = Ask | Leave | Stay | AskClients
-Answer = Report | Told | ClientsTold
-_wishes = msgspec.json.Decoder(Wish)
-_answers = msgspec.json.Decoder(Answer)
+Request = StatusRequest | DrainRequest | CancelDrainRequest | ClientsRequest
+Response = NodeStatus | Acknowledgement | ClientsStatus
+_request_decoder = msgspec.json.Decoder(Request)
+_response_decoder = msgspec.json.Decoder(Response)
 _encoder = msgspec.json.Encoder()
 
 
-def encode(message: Wish | Answer) -> bytes:
+def encode(message: Request | Response) -> bytes:
     return _encoder.encode(message) + b"\n"
 
 
-def read_wish(line: bytes) -> Wish:
+def decode_request(line: bytes) -> Request:
     """Raises `msgspec.MsgspecError` with one plain line."""
-    return _wishes.decode(line)
+    return _request_decoder.decode(line)
 
 
-def read_answer(line: bytes) -> Answer:
+def decode_response(line: bytes) -> Response:
     """Raises `msgspec.MsgspecError` with one plain line."""
-    return _answers.decode(line)
+    return _response_decoder.decode(line)
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -16,10 +16,10 @@
 
 from oakkeel.agent import messages
 from oakkeel.fakes.dispatcher import Address, Dispatcher
-from oakkeel.fakes.site import Site
-from oakkeel.fleet.agent_clients import Agents
+from oakkeel.fakes.site import FakeSite
+from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import by_host
-from oakkeel.fleet.view import View
+from oakkeel.fleet.view import FleetView
 from oakkeel.rendering.instances import instances_table
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import key_of
@@ -34,7 +34,7 @@
         return asyncio.run(_play(folder, lasts, rate, Console()))
 
 
-def addresses_of(view: View) -> dict[str, Address]:
+def addresses_of(view: FleetView) -> dict[str, Address]:
     """Where the nodes that serve listen, by their own reports."""
     found = {}
     for row in view.rows(time.monotonic_ns()):
@@ -49,14 +49,14 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, done.set)
-    site = Site(folder, {"wb1": list(NODES)}, away=len(NODES))
+    site = FakeSite(folder, {"wb1": list(NODES)}, away=len(NODES))
     await site.open()
     log = open(os.path.join(folder, "agent.log"), "wb")  # noqa: SIM115  # it ends with the demo
     agent = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "oakkeel.agent", site.settings, "wb1", stderr=log, start_new_session=True
     )
     fleet = read_fleet(site.settings)
-    agents, view = Agents(fleet, key_of(fleet, "asha")), View(fleet)
+    agents, view = AgentClients(fleet, key_of(fleet, "asha")), FleetView(fleet)
     dispatcher = Dispatcher(1, lambda: addresses_of(view), rate, seed=1)
     console.print(
         f"Three nodes at {rate:g} exchanges a second. From another terminal, as long as it lasts:\n"
@@ -88,13 +88,13 @@
     return 1 if lost or not dispatcher.answered else 0
 
 
-async def _stop_all(agents: Agents, view: View) -> None:
+async def _stop_all(agents: AgentClients, view: FleetView) -> None:
     """Leave no process behind."""
     await agents.look(view)
     wanted = by_host(view.rows(time.monotonic_ns()))
     await agents.ask(
         {
-            host: messages.Order("demo-ends", "stop", instances, 20 * SECOND, supersede=True)
+            host: messages.OrderRequest("demo-ends", "stop", instances, 20 * SECOND, supersede=True)
             for host, instances in wanted.items()
         }
     )
--- a/oakkeel/directory/reports.py
+++ b/oakkeel/directory/reports.py
@@ -6,11 +6,11 @@
 import contextlib
 import socket
 
-from oakkeel.resource_limits import SECOND, Bounds
+from oakkeel.resource_limits import SECOND, ResourceLimits
 
 
-class Reports:
-    def __init__(self, address: tuple[str, int], name: str, bounds: Bounds) -> None:
+class DirectoryReporter:
+    def __init__(self, address: tuple[str, int], name: str, bounds: ResourceLimits) -> None:
         self.name, self.bounds = name, bounds
         self.taking = True
         self.again = 0  # reports that still follow at once, as one that is lost would leave the old state
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -7,34 +7,34 @@
 from collections.abc import Callable
 from typing import Any
 
-from oakkeel.admission.types import Effect, EndpointGroup, NodeLimits, Tenant
+from oakkeel.admission.types import Effect, RequestClass, NodeLimits, Tenant
 from oakkeel.dispatch.resp import encode
-from oakkeel.request import LiveExchange
-from oakkeel.resource_limits import MS, Bounds
+from oakkeel.request import NodeRequest
+from oakkeel.resource_limits import MS, ResourceLimits
 
 CALL, CANCEL, CHECK = b"CALL", b"CANCEL", b"CHECK"
 COMPLETED, DENIED, TERMINATED = b"ok", b"full", b"fault"
 GOOD, BAD = b"yes", b"no"
 LAST = encode(b"0", b"last")
 BROKEN = encode(b"0", TERMINATED)  # to one whose bytes can't be read: no tag of its own is known
-Who = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
+FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
 MARKS = {Effect.DEDUPLICATED: b"opkey", Effect.REPEATABLE: b"subject"}  # what repeats are known by
 IDENT = re.compile(rb"[0-9a-fA-F]{16}")
 
 
 # Who may count as one sender, in the words of operators' settings; any other word is the name of a field.
-SENDERS = {"tenant": b"owner", "caller": b"via", "subject": b"subject"}
+FLOW_FIELDS = {"tenant": b"owner", "caller": b"via", "subject": b"subject"}
 
 
-def sender_fields(by: tuple[str, ...]) -> tuple[bytes, ...]:
-    return tuple(SENDERS.get(word, word.encode()) for word in by)
+def flow_fields(by: tuple[str, ...]) -> tuple[bytes, ...]:
+    return tuple(FLOW_FIELDS.get(word, word.encode()) for word in by)
 
 
-class Unreadable(ValueError):
+class UnreadableRequestError(ValueError):
     """An array whose tag is good but whose group or fields are not."""
 
 
-class ExchangeReader:
+class RequestReader:
     """Makes exchanges of the words of a CALL, by the endpoint groups and tenants of this node."""
 
     def __init__(
@@ -42,13 +42,13 @@
         limits: NodeLimits,
         groups: list[str],
         tenants: list[str],
-        bounds: Bounds,
+        bounds: ResourceLimits,
         unix_ns: Callable[[], int] = time.time_ns,
-        who: Who | None = None,
+        who: FlowKeyReader | None = None,
     ) -> None:
         """`who` makes the senders of an exchange from its fields, where shares are fair."""
         self.bounds, self.who = bounds, who
-        self.groups: dict[bytes, EndpointGroup] = {
+        self.groups: dict[bytes, RequestClass] = {
             name.encode(): group for name, group in zip(groups, limits.groups, strict=False)
         }
         self.tenants: dict[bytes, Tenant] = {
@@ -56,19 +56,19 @@
         }
         self.unix_ns = unix_ns
 
-    def read(self, tag: int, words: list[bytes], connection: Any) -> LiveExchange:
+    def read(self, tag: int, words: list[bytes], connection: Any) -> NodeRequest:
         if len(words) not in (4, 5):
-            raise Unreadable("too few or many words")
+            raise UnreadableRequestError("too few or many words")
         if words[2] not in self.groups:
-            raise Unreadable("an unknown endpoint group")
+            raise UnreadableRequestError("an unknown endpoint group")
         group = self.groups[words[2]]
         body = words[4] if len(words) == 5 else b""
         fields = dict(item.partition(b"=")[::2] for item in words[3].split(b",") if item)
         ident = fields.get(b"req", b"")
         if not IDENT.fullmatch(ident):  # it goes into lines to the engine and the catalogue as it is
-            raise Unreadable("no id")
+            raise UnreadableRequestError("no id")
         if len(body) > self.bounds.body:
-            raise Unreadable("a body that is too long")
+            raise UnreadableRequestError("a body that is too long")
         # How old it is, and how long its caller still waits, as of now: both count from its stamp. A figure
         # out of range would live on in what the decisions measure: one stamp of long ago took a node off the
         # list for seconds.
@@ -76,7 +76,7 @@
         if b"ts" in fields:
             age = self.unix_ns() - int(self._number(fields, b"ts", 1e15) * MS)
             if abs(age) > self.bounds.stamp:
-                raise Unreadable("a stamp far from now")
+                raise UnreadableRequestError("a stamp far from now")
             age = max(0, age)
         if b"timeout" in fields:
             waits = int(self._number(fields, b"timeout", self.bounds.patience / MS) * MS)
@@ -84,7 +84,7 @@
             self._number(fields, b"level", 1.0)
         # A subject tells that two reads ask for the same; of two mutating exchanges it tells nothing.
         mark = fields.get(MARKS[group.effect], b"") if group.effect in MARKS else b""
-        return LiveExchange(
+        return NodeRequest(
             group=group,
             tenant=self.tenants.get(fields.get(b"owner", b"")),
             caller=int(self._number(fields, b"via", 1e15)) if b"via" in fields else 0,
@@ -110,11 +110,11 @@
         except ValueError:
             value = -1.0
         if not 0 <= value < below:
-            raise Unreadable(f"no number in range in {name.decode()}")
+            raise UnreadableRequestError(f"no number in range in {name.decode()}")
         return value
 
 
-def answer(
+def encode_answer(
     tag: int, word: bytes, signal: float | None, body: bytes = b"", last: bool = False, retry_after: int = 0
 ) -> bytes:
     """An answer, or the answer to a check, with the advice as it stands now."""
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a dispatcher, from its accept to its end: the table `NEXT` says what may follow what."""
+"""One connection of a dispatcher, from its accept to its end: the table `TRANSITIONS` says what may follow what."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 from oakkeel.dispatch import codec
 from oakkeel.dispatch.resp import arrays
-from oakkeel.log import Log
-from oakkeel.request import LiveExchange
-from oakkeel.resource_limits import SECOND, Bounds
-from oakkeel.stream_buffers import BufferPool, HalfClosingStream, Malformed, ReadBuffer, readable, send
+from oakkeel.log import EventLog
+from oakkeel.request import NodeRequest
+from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.stream_buffers import BufferPool, HalfClosingStream, MalformedInputError, ReadBuffer, readable, send
 
 
-class Front(Protocol):
+class ConnectionOwner(Protocol):
     """What connections tell the node, and ask it."""
 
-    reader: codec.ExchangeReader | None  # None until the node may take exchanges
+    reader: codec.RequestReader | None  # None until the node may take exchanges
 
-    def arrived(self, ex: LiveExchange) -> None: ...
-    def gone(self, ex: LiveExchange) -> None: ...
+    def arrived(self, ex: NodeRequest) -> None: ...
+    def gone(self, ex: NodeRequest) -> None: ...
     def holds(self, ident: bytes) -> bool: ...
     def healthy(self) -> bool: ...
     def signal(self) -> float | None: ...
@@ -44,7 +44,7 @@
     CLOSED = "closed"
 
 
-NEXT = {
+TRANSITIONS = {
     Phase.OPEN: {Phase.LEAVING, Phase.ENDING, Phase.LINGERING, Phase.CLOSED},
     Phase.LEAVING: {Phase.ENDING, Phase.LINGERING, Phase.CLOSED},
     Phase.ENDING: {Phase.LINGERING, Phase.CLOSED},
@@ -60,16 +60,16 @@
         self,
         stream: HalfClosingStream,
         pool: BufferPool,
-        bounds: Bounds,
-        front: Front,
-        log: Log,
+        bounds: ResourceLimits,
+        front: ConnectionOwner,
+        log: EventLog,
         heard: Callable[[Connection], None],
     ) -> None:
         self.stream, self.bounds, self.front, self.log = stream, bounds, front, log
         self.heard = heard  # called with the connection after each array, and whenever it gets idle
         self.read_buffer = ReadBuffer(pool)
         self.phase = Phase.OPEN
-        self.open: dict[int, LiveExchange] = {}
+        self.open: dict[int, NodeRequest] = {}
         self.worked = False  # an exchange came on it
         self.wrote = False  # an answer to something
         self.refusing = False  # there was no room for it: what it brings is denied
@@ -108,7 +108,7 @@
             read_at = time.monotonic_ns()
             try:
                 await self.read_buffer.fill(self.stream)
-            except Malformed as error:
+            except MalformedInputError as error:
                 self._unusable(error)
                 continue
             if self.stream.ended:
@@ -141,7 +141,7 @@
 
     def _move(self, phase: Phase) -> None:
         """The one place where the phase changes."""
-        if phase not in NEXT[self.phase]:
+        if phase not in TRANSITIONS[self.phase]:
             raise RuntimeError(f"a connection can't go from {self.phase.value} to {phase.value}")
         self.phase = phase
         if self.timer:
@@ -255,8 +255,8 @@
                 self._take(words)
                 taken = True
                 if self.faults >= self.bounds.faults:
-                    raise Malformed("too many exchanges that can't be used")
-        except Malformed as error:
+                    raise MalformedInputError("too many exchanges that can't be used")
+        except MalformedInputError as error:
             return self._unusable(error)
         if not self.read_buffer.waiting:
             self.awaited = 0
@@ -265,7 +265,7 @@
         if taken:
             self.heard(self)
 
-    def _unusable(self, error: Malformed) -> None:
+    def _unusable(self, error: MalformedInputError) -> None:
         """What it sends can't be read any further; what is open on it is answered all the same."""
         self.log.say("a dispatcher's connection can't be read", error=str(error))
         self.write(codec.BROKEN)
@@ -276,7 +276,7 @@
         verb, tag = words[0], words[1] if len(words) > 1 else b""
         number = int(tag) if tag.isdigit() and len(tag) <= 18 else 0
         if not number or (number in self.open and verb != codec.CANCEL):
-            raise Malformed(f"{verb[:20]!r} with no new tag")
+            raise MalformedInputError(f"{verb[:20]!r} with no new tag")
         if verb == codec.CALL:
             self._call(number, words)
         elif verb == codec.CANCEL:
@@ -284,7 +284,7 @@
                 self._drop(self.open[number])
         elif verb == codec.CHECK:
             self.write(
-                codec.answer(number, codec.GOOD if self.front.healthy() else codec.BAD, self.front.signal())
+                codec.encode_answer(number, codec.GOOD if self.front.healthy() else codec.BAD, self.front.signal())
             )
         else:
             self._unreadable(number, f"an unknown verb {verb[:20]!r}")
@@ -293,23 +293,23 @@
         reader = self.front.reader
         if reader is None or self.refusing:
             return self.write(
-                codec.answer(tag, codec.DENIED, self.front.signal(), retry_after=self.front.return_after())
+                codec.encode_answer(tag, codec.DENIED, self.front.signal(), retry_after=self.front.return_after())
             )
         if len(self.open) >= self.bounds.open_exchanges:
-            self.write(codec.answer(tag, codec.DENIED, self.front.signal()))
-            raise Malformed(f"more than {self.bounds.open_exchanges} exchanges open")
+            self.write(codec.encode_answer(tag, codec.DENIED, self.front.signal()))
+            raise MalformedInputError(f"more than {self.bounds.open_exchanges} exchanges open")
         try:
             ex = reader.read(tag, words, self)
             if self.front.holds(ex.ident):
-                raise codec.Unreadable("an id that is open already")  # the first must not notice
-        except codec.Unreadable as error:
+                raise codec.UnreadableRequestError("an id that is open already")  # the first must not notice
+        except codec.UnreadableRequestError as error:
             return self._unreadable(tag, str(error))
         self.open[tag] = ex
         self.worked = True
         self.front.arrived(ex)
 
     def _unreadable(self, tag: int, why: str) -> None:
-        self.write(codec.answer(tag, codec.TERMINATED, self.front.signal()))
+        self.write(codec.encode_answer(tag, codec.TERMINATED, self.front.signal()))
         self.fault(f"an exchange can't be read: {why}")
 
     def fault(self, why: str) -> None:
@@ -317,18 +317,18 @@
         self.log.say(why)
         self.faults += 1
 
-    def _drop(self, ex: LiveExchange) -> None:
+    def _drop(self, ex: NodeRequest) -> None:
         """Its caller no longer waits."""
         self._close_exchange(ex)
         self.front.gone(ex)
 
     def answer(
-        self, ex: LiveExchange, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self, ex: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
     ) -> None:
-        self.write(codec.answer(ex.tag, word, self.front.signal(), body, last, retry_after))
+        self.write(codec.encode_answer(ex.tag, word, self.front.signal(), body, last, retry_after))
         self._close_exchange(ex)  # behind the write: an ending connection is shut down with its last answer
 
-    def _close_exchange(self, ex: LiveExchange) -> None:
+    def _close_exchange(self, ex: NodeRequest) -> None:
         if self.open.pop(ex.tag, None) and not self.open:
             self.heard(self)
             self._settled()
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -8,9 +8,9 @@
 import socket
 import time
 
-from oakkeel.dispatch.connection import Connection, Front
-from oakkeel.log import Log, fault
-from oakkeel.resource_limits import SECOND, Bounds
+from oakkeel.dispatch.connection import Connection, ConnectionOwner
+from oakkeel.log import EventLog, fault
+from oakkeel.resource_limits import SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
 
 BACKLOG = 1024  # connections that the kernel lets wait
@@ -19,7 +19,7 @@
 
 class Listener:
     def __init__(
-        self, address: tuple[str, int], pool: BufferPool, bounds: Bounds, front: Front, log: Log
+        self, address: tuple[str, int], pool: BufferPool, bounds: ResourceLimits, front: ConnectionOwner, log: EventLog
     ) -> None:
         self.pool, self.bounds, self.front, self.log = pool, bounds, front, log
         self.connections: set[Connection] = set()
--- a/oakkeel/dispatch/resp.py
+++ b/oakkeel/dispatch/resp.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from oakkeel.line_protocol import number
-from oakkeel.stream_buffers import Malformed, ReadBuffer
+from oakkeel.stream_buffers import MalformedInputError, ReadBuffer
 
 
 def arrays(read_buffer: ReadBuffer, most_words: int) -> Iterator[list[bytes]]:
@@ -20,20 +20,20 @@
         return None
     count, at = head
     if not 1 <= count <= most_words:
-        raise Malformed(f"an array of {count} words")
+        raise MalformedInputError(f"an array of {count} words")
     words = []
     for _ in range(count):
         if (head := _length(read_buffer, at, b"$")) is None:
             return None
         length, at = head
         if at + length + 2 - read_buffer.start > len(read_buffer.buffer):
-            raise Malformed(f"a word of {length} bytes")
+            raise MalformedInputError(f"a word of {length} bytes")
         if at + length + 2 > read_buffer.end:
             return None
         words.append(bytes(read_buffer.buffer[at : at + length]))
         at += length + 2
         if read_buffer.buffer[at - 2 : at] != b"\r\n":
-            raise Malformed("no end behind a word")
+            raise MalformedInputError("no end behind a word")
     return words, at
 
 
@@ -42,11 +42,11 @@
     if at == read_buffer.end:
         return None
     if read_buffer.buffer[at : at + 1] != sign:
-        raise Malformed(f"{bytes(read_buffer.buffer[at : at + 1])!r} in place of {sign!r}")
+        raise MalformedInputError(f"{bytes(read_buffer.buffer[at : at + 1])!r} in place of {sign!r}")
     end = read_buffer.buffer.find(b"\r\n", at, min(read_buffer.end, at + 16))
     if end < 0:
         if read_buffer.end - at >= 16:
-            raise Malformed("a length without end")
+            raise MalformedInputError("a length without end")
         return None
     return number(bytes(read_buffer.buffer[at + 1 : end])), end + 2
 
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -13,19 +13,19 @@
 from dataclasses import dataclass
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.messages import Agreed, OrderTold, PlaceTold, Poll
-from oakkeel.disruption.state_machine import HELD, OPEN, Ledger, Order, Refusal
-from oakkeel.disruption.topology import Layout, Out
+from oakkeel.disruption.messages import HeartbeatResponse, AssignedOrder, GrantedPermit, Heartbeat
+from oakkeel.disruption.state_machine import PERMIT_REASON, OPEN_STATES, PermitStateMachine, Order, Rejection
+from oakkeel.disruption.topology import Topology, UnavailableTargets
 
 MS = 1_000_000
 SECOND = 1000 * MS
 TOLD, UNHEARD, ASKED = "does not serve", "not known", "to be granted"
-MOST_GRANTS = 64  # in one turn
+MAX_GRANTS = 64  # in one turn
 SCAN = 50 * MS  # between looks at what time alone brings about
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class PermitTimeouts:
     """Nanoseconds."""
 
     good: int = 3 * SECOND  # a place may be begun
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Heard:
+class AgentSession:
     """The last of one agent."""
 
     life: int
@@ -53,13 +53,13 @@
     echo: int  # it was alive after we had told it that time; 0: it has not heard us yet
 
 
-class Granting:
+class PermitAllocator:
     """Made when a leader begins, and thrown away when it ends. Calls return commands to propose."""
 
-    def __init__(self, now: int, ledger: Ledger, terms: Terms, nonce: int = 1) -> None:
+    def __init__(self, now: int, ledger: PermitStateMachine, terms: PermitTimeouts, nonce: int = 1) -> None:
         """`nonce` tells our stamps from those of other leaders."""
         self.ledger, self.terms, self.nonce = ledger, terms, nonce
-        self.hosts: dict[str, Heard] = {}
+        self.hosts: dict[str, AgentSession] = {}
         self.granted: dict[int, int] = {}  # when places were granted, or when we began, by fence
         self.leases_at: dict[str, int] = {}  # when leases were taken or renewed, by name
         self.orders_at: dict[str, int] = {}  # the same of orders that are open
@@ -72,13 +72,13 @@
 
     def _lay(self, now: int) -> None:
         held = self.ledger.held
-        self.layout: Layout = held.layout
-        self.out = Out(held.layout)
+        self.layout: Topology = held.layout
+        self.out = UnavailableTargets(held.layout)
         self.host_of = {thing: host for host, things in held.layout.hosts.items() for thing in things}
         for thing in self.host_of:
             self.out.put(thing, UNHEARD)
         for thing in held.places:
-            self.out.put(thing, HELD)
+            self.out.put(thing, PERMIT_REASON)
         for name, host in self.hosts.items():
             self._believe(name, host)
         self.orders_of.clear()
@@ -104,7 +104,7 @@
 
     # What happens.
 
-    def heard(self, now: int, poll: Poll) -> list[commands.Command]:
+    def heard(self, now: int, poll: Heartbeat) -> list[commands.Command]:
         """An agent's report; one that was overtaken by a later one changes nothing.
 
         One of another life is believed once it shows to have been alive after the one that we know of: a
@@ -114,7 +114,7 @@
         if known and (echo <= known.echo if poll.life != known.life else poll.count < known.count):
             return []
         told = {each.name: each.up for each in poll.things}
-        self.hosts[poll.host] = host = Heard(
+        self.hosts[poll.host] = host = AgentSession(
             poll.life,
             poll.count,
             now,
@@ -132,27 +132,27 @@
                 continue
             began = each.begun == place.fence
             if began and not place.out:
-                wanted.append(commands.Began(each.name, place.fence))
+                wanted.append(commands.StartPermit(each.name, place.fence))
             if (
                 (began and each.back and each.up)
                 or each.given == place.fence
                 or (not began and (0 < place.lapsed <= poll.heard))
             ):
-                wanted.append(commands.Over(each.name, place.fence))
+                wanted.append(commands.ReleasePermit(each.name, place.fence))
         for part in poll.ended:
             order = held.orders.get(part.ident)
-            if order and part.thing in order.parts and order.parts[part.thing].state in OPEN:
-                wanted.append(commands.Ended(part.ident, part.thing, part.how, part.why[:200]))
+            if order and part.thing in order.parts and order.parts[part.thing].state in OPEN_STATES:
+                wanted.append(commands.FinishTask(part.ident, part.thing, part.how, part.why[:200]))
         upto = {
             thing: number
             for thing, number in poll.reserve.items()
             if self.host_of.get(thing) == poll.host and number > held.generations.get(thing, 0)
         }
         if upto:
-            wanted.append(commands.Reserve(poll.host, upto))
+            wanted.append(commands.ReserveGenerations(poll.host, upto))
         return self._propose(wanted)
 
-    def _believe(self, name: str, host: Heard) -> None:
+    def _believe(self, name: str, host: AgentSession) -> None:
         for thing in self.layout.hosts.get(name, ()):
             told = host.told.get(thing)
             self.out.set(thing, UNHEARD, told is None)
@@ -162,21 +162,21 @@
     def applied(self, now: int, index: int, command: commands.Command, result: object) -> None:
         """Something was agreed, whoever proposed it."""
         self._settled(command)
-        if isinstance(result, Refusal):
+        if isinstance(result, Rejection):
             return None
         held = self.ledger.held
-        if isinstance(command, commands.Lay):
+        if isinstance(command, commands.SetTopology):
             return self._lay(now)
-        if isinstance(command, commands.Hold):
+        if isinstance(command, commands.AcquireLease):
             self.leases_at[command.name] = now
         if isinstance(result, Order) and result.index == index and result.ident in held.orders:
             self._know(now, result)
-        for thing in _things(command):
+        for thing in _targets_of(command):
             place = held.places.get(thing)
-            self.out.set(thing, HELD, place is not None)
+            self.out.set(thing, PERMIT_REASON, place is not None)
             if place is not None:
                 self.granted.setdefault(place.fence, now)
-            if not isinstance(command, commands.Grant):
+            if not isinstance(command, commands.GrantPermits):
                 for ident in self.orders_at:  # a place that was given back or has lapsed
                     part = held.orders[ident].parts.get(thing) if ident in held.orders else None
                     if part and part.state == "waiting":
@@ -190,7 +190,7 @@
 
     def _settled(self, command: commands.Command) -> None:
         self.asked.discard(commands.encode(command))
-        if isinstance(command, commands.Grant):
+        if isinstance(command, commands.GrantPermits):
             for thing in command.things:
                 self.out.take(thing, ASKED)
 
@@ -216,20 +216,20 @@
         for place in held.places.values():
             since = self.granted.setdefault(place.fence, now)
             if not place.out and not place.lapsed and now - since > self.terms.lapse:
-                wanted.append(commands.Lapse(place.thing, place.fence))
+                wanted.append(commands.ExpirePermit(place.thing, place.fence))
         if len(self.granted) > 2 * len(held.places) + 64:
             fences = {place.fence for place in held.places.values()}
             self.granted = {fence: at for fence, at in self.granted.items() if fence in fences}
         for name, lease in held.leases.items():  # a new leader gives each its whole time anew
             if now - self.leases_at.setdefault(name, now) > self.terms.beyond(lease.lasts):
-                wanted.append(commands.Release(name, lease.fence))
+                wanted.append(commands.ReleaseLease(name, lease.fence))
         for ident, since in list(self.orders_at.items()):
             order = held.orders.get(ident)
             if order is None or not order.open:
                 del self.orders_at[ident]
                 self.waiting.pop(ident, None)
             elif not order.halted and now - since > order.lasts:
-                wanted.append(commands.Expire(ident))
+                wanted.append(commands.ExpireOrder(ident))
         return wanted
 
     def _grants(self) -> list[commands.Command]:
@@ -248,7 +248,7 @@
             for things_alike in kinds.values():
                 full = False
                 for thing in list(things_alike):
-                    if len(wanted) >= MOST_GRANTS:
+                    if len(wanted) >= MAX_GRANTS:
                         return wanted
                     if order.parts[thing].state != "waiting":
                         del things_alike[thing]
@@ -280,7 +280,7 @@
         )
         for thing in things:
             self.out.put(thing, ASKED)
-        return [commands.Grant(order.ident, things, down)]
+        return [commands.GrantPermits(order.ident, things, down)]
 
     def _propose(self, wanted: list[commands.Command]) -> list[commands.Command]:
         """Once each: the next report says the same as long as it is not agreed."""
@@ -294,7 +294,7 @@
 
     # What agents and people are told.
 
-    def answer(self, now: int, epoch: str, host: str) -> Agreed:
+    def answer(self, now: int, epoch: str, host: str) -> HeartbeatResponse:
         """To be asked for only while the leader's lease holds."""
         held, here = self.ledger.held, self.layout.hosts.get(host, ())
         places, orders = [], []
@@ -304,7 +304,7 @@
                 left = self.granted.setdefault(place.fence, now) + self.terms.good - now
                 halted = order is None or order.halted
                 places.append(
-                    PlaceTold(
+                    GrantedPermit(
                         thing,
                         place.ident,
                         place.fence,
@@ -326,12 +326,12 @@
                 else []
             )
             placed = any(thing in held.places and held.places[thing].ident == ident for thing, _, _ in parts)
-            if order is None or (not placed and not any(state in OPEN for _, _, state in parts)):
+            if order is None or (not placed and not any(state in OPEN_STATES for _, _, state in parts)):
                 known.remove(ident)  # what is over here stays so
                 continue
             left = self.orders_at.get(ident, now) + order.lasts - now
             orders.append(
-                OrderTold(
+                AssignedOrder(
                     ident,
                     order.operator,
                     order.verb,
@@ -342,7 +342,7 @@
                     parts,
                 )
             )
-        return Agreed(
+        return HeartbeatResponse(
             epoch,
             self.ledger.index,
             places,
@@ -352,9 +352,9 @@
         )
 
 
-def _things(command: commands.Command) -> list[str]:
-    if isinstance(command, commands.Grant):
+def _targets_of(command: commands.Command) -> list[str]:
+    if isinstance(command, commands.GrantPermits):
         return command.things
-    if isinstance(command, commands.Began | commands.Over | commands.Lapse):
+    if isinstance(command, commands.StartPermit | commands.ReleasePermit | commands.ExpirePermit):
         return [command.thing]
     return []
--- a/oakkeel/disruption/commands.py
+++ b/oakkeel/disruption/commands.py
@@ -4,18 +4,18 @@
 
 import msgspec
 
-from oakkeel.disruption.topology import Layout
+from oakkeel.disruption.topology import Topology
 
-MOST_THINGS = 1000  # of one order, or in one command
+MAX_TARGETS = 1000  # of one order, or in one command
 
 
-class Lay(msgspec.Struct, tag="lay", array_like=True):
+class SetTopology(msgspec.Struct, tag="lay", array_like=True):
     """What there is and what may be out, from the settings of the leader's host."""
 
-    layout: Layout
+    layout: Topology
 
 
-class Order(msgspec.Struct, tag="order", array_like=True):
+class SubmitOrder(msgspec.Struct, tag="order", array_like=True):
     """An operator's order for things, each with the generation that it is made for."""
 
     ident: str
@@ -27,21 +27,21 @@
     things: list[tuple[str, int]]
 
 
-class Halt(msgspec.Struct, tag="halt", array_like=True):
+class HaltOrder(msgspec.Struct, tag="halt", array_like=True):
     """Nothing further leaves by that order."""
 
     ident: str
     operator: str
 
 
-class Cancel(msgspec.Struct, tag="cancel", array_like=True):
+class CancelOrder(msgspec.Struct, tag="cancel", array_like=True):
     """Halt it, and what it has taken out comes back."""
 
     ident: str
     operator: str
 
 
-class Grant(msgspec.Struct, tag="grant", array_like=True):
+class GrantPermits(msgspec.Struct, tag="grant", array_like=True):
     """Places for things of an order, all or none."""
 
     ident: str
@@ -49,28 +49,28 @@
     down: bool = False  # to be used only while no process of them is there
 
 
-class Began(msgspec.Struct, tag="began", array_like=True):
+class StartPermit(msgspec.Struct, tag="began", array_like=True):
     """Its agent has begun to take it out."""
 
     thing: str
     fence: int
 
 
-class Over(msgspec.Struct, tag="over", array_like=True):
+class ReleasePermit(msgspec.Struct, tag="over", array_like=True):
     """The place is free again: what it took out is back, or it was never used."""
 
     thing: str
     fence: int
 
 
-class Lapse(msgspec.Struct, tag="lapse", array_like=True):
+class ExpirePermit(msgspec.Struct, tag="lapse", array_like=True):
     """Nobody may begin under it any more, and whoever holds it has not said whether he did."""
 
     thing: str
     fence: int
 
 
-class Ended(msgspec.Struct, tag="ended", array_like=True):
+class FinishTask(msgspec.Struct, tag="ended", array_like=True):
     """What its agent told of an order's part that is over."""
 
     ident: str
@@ -79,27 +79,27 @@
     why: str
 
 
-class Expire(msgspec.Struct, tag="expire", array_like=True):
+class ExpireOrder(msgspec.Struct, tag="expire", array_like=True):
     """The time of an order is over."""
 
     ident: str
 
 
-class Reserve(msgspec.Struct, tag="reserve", array_like=True):
+class ReserveGenerations(msgspec.Struct, tag="reserve", array_like=True):
     """An agent may number processes and changes of its things up to these."""
 
     host: str
     upto: dict[str, int]
 
 
-class Keepers(msgspec.Struct, tag="keepers", array_like=True):
+class SetVoters(msgspec.Struct, tag="keepers", array_like=True):
     """Who should keep the record from now on."""
 
     names: list[str]
     operator: str
 
 
-class Hold(msgspec.Struct, tag="hold", array_like=True):
+class AcquireLease(msgspec.Struct, tag="hold", array_like=True):
     """A lease on a name, for one that asks for it."""
 
     name: str
@@ -107,7 +107,7 @@
     lasts: int  # nanoseconds
 
 
-class Release(msgspec.Struct, tag="release", array_like=True):
+class ReleaseLease(msgspec.Struct, tag="release", array_like=True):
     """It is given up, or its time is over."""
 
     name: str
@@ -115,20 +115,20 @@
 
 
 Command = (
-    Lay
-    | Order
-    | Halt
-    | Cancel
-    | Grant
-    | Began
-    | Over
-    | Lapse
-    | Ended
-    | Expire
-    | Reserve
-    | Keepers
-    | Hold
-    | Release
+    SetTopology
+    | SubmitOrder
+    | HaltOrder
+    | CancelOrder
+    | GrantPermits
+    | StartPermit
+    | ReleasePermit
+    | ExpirePermit
+    | FinishTask
+    | ExpireOrder
+    | ReserveGenerations
+    | SetVoters
+    | AcquireLease
+    | ReleaseLease
 )
 _commands = msgspec.msgpack.Decoder(Command)
 
@@ -137,5 +137,5 @@
     return msgspec.msgpack.encode(command)
 
 
-def read(content: bytes) -> Command:
+def decode(content: bytes) -> Command:
     return _commands.decode(content)
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -9,57 +9,57 @@
 from typing import Any, Protocol
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import Granting, Terms
-from oakkeel.disruption.messages import Agreed, Poll
-from oakkeel.disruption.state_machine import Ledger
-from oakkeel.disruption.topology import Layout
-from oakkeel.raft.messages import Letter
-from oakkeel.raft.replica import Durable, Fate, Keeper, NotLeading, Proposal, Steps
-from oakkeel.raft.timeouts import Pace
+from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
+from oakkeel.disruption.messages import HeartbeatResponse, Heartbeat
+from oakkeel.disruption.state_machine import PermitStateMachine
+from oakkeel.disruption.topology import Topology
+from oakkeel.raft.messages import Envelope
+from oakkeel.raft.replica import DurableState, ProposalStatus, Replica, NotLeaderError, Proposal, Output
+from oakkeel.raft.timeouts import RaftTimeouts
 
 
-class Above(Protocol):
-    """What a leader does beyond places: made when it begins, thrown away when it ends, as `Granting` is."""
+class LeaderExtension(Protocol):
+    """What a leader does beyond places: made when it begins, thrown away when it ends, as `PermitAllocator` is."""
 
-    def heard(self, now: int, poll: Poll) -> list[Any]: ...
+    def heard(self, now: int, poll: Heartbeat) -> list[Any]: ...
     def answer(self, now: int, host: str) -> bytes: ...
     def applied(self, now: int, command: object, result: object) -> None: ...
     def lost(self, command: object) -> None: ...
     def tick(self, now: int) -> list[Any]: ...
 
 
-class Steward:
+class ControlPlaneReplica:
     def __init__(
         self,
         now: int,
-        held: Durable,
+        held: DurableState,
         seed: int,
-        pace: Pace,
+        pace: RaftTimeouts,
         founders: tuple[str, ...],
-        layout: Layout,
-        terms: Terms | None = None,
-        ledger: type[Ledger] = Ledger,
-        above: Callable[[int, Any, Granting], Above] | None = None,
+        layout: Topology,
+        terms: PermitTimeouts | None = None,
+        ledger: type[PermitStateMachine] = PermitStateMachine,
+        above: Callable[[int, Any, PermitAllocator], LeaderExtension] | None = None,
     ) -> None:
         """`layout` is by this host's settings: it holds once a leader of the same settings has agreed it.
         `ledger` and `above` bring in what is built on places."""
-        self.now, self.layout, self.terms = now, layout, terms or Terms()
+        self.now, self.layout, self.terms = now, layout, terms or PermitTimeouts()
         self.ledger = ledger(self._applied)
         self.make_above = above
-        self.above: Above | None = None
-        self.granting: Granting | None = None
+        self.above: LeaderExtension | None = None
+        self.granting: PermitAllocator | None = None
         self.watched: Callable[[int, commands.Command, object], None] | None = None  # told of what is agreed
         self.ours: dict[Proposal, commands.Command] = {}  # proposed by `granting`
-        self.keeper = Keeper(now, held, self.ledger, seed, pace, founders)
+        self.keeper = Replica(now, held, self.ledger, seed, pace, founders)
 
-    def tick(self, now: int) -> list[Steps]:
+    def tick(self, now: int) -> list[Output]:
         return self._after(now, [self.keeper.tick(now)])
 
-    def heard(self, now: int, letter: Letter) -> list[Steps]:
+    def heard(self, now: int, letter: Envelope) -> list[Output]:
         self.now = now
         return self._after(now, [self.keeper.heard(now, letter)])
 
-    def polled(self, now: int, poll: Poll) -> tuple[Agreed, list[Steps]]:
+    def polled(self, now: int, poll: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
         """An agent's report and what it is told. Raises NotLeading."""
         granting = self._leads(now)
         above = self.above
@@ -70,25 +70,25 @@
         answer.keepers = sorted({*self.ledger.keepers(), *(each.name for each in self.keeper.members)})
         return answer, self._after(now, steps)
 
-    def propose(self, now: int, command: Any) -> tuple[Proposal, list[Steps]]:
+    def propose(self, now: int, command: Any) -> tuple[Proposal, list[Output]]:
         """Raises NotLeading."""
         self.now = now
         self._leads(now)
         proposal, steps = self.keeper.propose(now, commands.encode(command))
         return proposal, self._after(now, [steps])
 
-    def _leads(self, now: int) -> Granting:
+    def _leads(self, now: int) -> PermitAllocator:
         if self.granting is None or not self.keeper.leads(now):
-            raise NotLeading(self.keeper.leader if self.keeper.leader != self.keeper.name else "")
+            raise NotLeaderError(self.keeper.leader if self.keeper.leader != self.keeper.name else "")
         return self.granting
 
-    def _after(self, now: int, steps: list[Steps]) -> list[Steps]:
+    def _after(self, now: int, steps: list[Output]) -> list[Output]:
         """Begin, go on with or end what a leader does."""
         self.now = now
         for each in list(steps):
             for proposal in each.ended:
                 command = self.ours.pop(proposal, None)
-                if command and proposal.fate is not Fate.AGREED and self.granting:
+                if command and proposal.fate is not ProposalStatus.AGREED and self.granting:
                     self._lost(command)
         if not self.keeper.leads(now):
             if self.keeper.leading is None:
@@ -96,9 +96,9 @@
                 self.ours.clear()
             return steps
         if self.granting is None:
-            self.granting = Granting(now, self.ledger, self.terms, self.keeper.random.getrandbits(50) + 1)
+            self.granting = PermitAllocator(now, self.ledger, self.terms, self.keeper.random.getrandbits(50) + 1)
             if self.ledger.held.layout != self.layout:
-                steps += self._propose(now, [commands.Lay(self.layout)])
+                steps += self._propose(now, [commands.SetTopology(self.layout)])
             if self.make_above:
                 self.above = self.make_above(now, self.ledger, self.granting)
         while self.granting and (wanted := self._wanted(now, self.granting)):
@@ -108,18 +108,18 @@
             steps += more
         return steps
 
-    def _wanted(self, now: int, granting: Granting) -> list[Any]:
+    def _wanted(self, now: int, granting: PermitAllocator) -> list[Any]:
         return granting.tick(now) + (self.above.tick(now) if self.above else [])
 
-    def _propose(self, now: int, wanted: list[commands.Command]) -> list[Steps]:
+    def _propose(self, now: int, wanted: list[commands.Command]) -> list[Output]:
         self.now, done = now, []
         for command in wanted:
             try:
                 proposal, steps = self.keeper.propose(now, commands.encode(command))
-            except NotLeading:
+            except NotLeaderError:
                 self._lost(command)
                 continue
-            if proposal.fate is Fate.WAITING:
+            if proposal.fate is ProposalStatus.WAITING:
                 self.ours[proposal] = command
             done.append(steps)
         return done
--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -8,11 +8,11 @@
 
 from dataclasses import dataclass
 
-from oakkeel.disruption.messages import Agreed, OrderTold, PartTold, Poll, ThingTold
+from oakkeel.disruption.messages import HeartbeatResponse, AssignedOrder, TaskResult, Heartbeat, TargetReport
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HeldPermit:
     """A place that this agent knows of."""
 
     thing: str
@@ -26,7 +26,7 @@
     down: bool = False  # it may be begun only while no process of it is there
 
 
-class Holding:
+class PermitHolder:
     """`changed` names the things whose fence or place is to be kept on disk before anything is done by it."""
 
     def __init__(self, host: str, things: tuple[str, ...], life: int) -> None:
@@ -35,10 +35,10 @@
         self.count = self.heard = 0
         self.stamp = (0, 0)
         self.told = False  # an answer was taken since the start
-        self.places: dict[str, Held] = {}
+        self.places: dict[str, HeldPermit] = {}
         self.floors: dict[str, int] = {}  # by thing: the highest fence that was seen
         self.generations: dict[str, int] = {}  # may be used up to there
-        self.orders: dict[str, OrderTold] = {}  # that concern this host and are open, or hold a place
+        self.orders: dict[str, AssignedOrder] = {}  # that concern this host and are open, or hold a place
         self.changed: set[str] = set()
         self.why = ""  # the last answer was not taken
 
@@ -50,21 +50,21 @@
         for thing, fence, ident, begun in rows:
             self.floors[thing] = fence
             if begun:
-                self.places[thing] = Held(thing, ident, fence, 0, True)
+                self.places[thing] = HeldPermit(thing, ident, fence, 0, True)
 
     def poll(
         self,
         now: int,
         up: dict[str, bool],
-        ended: list[PartTold],
+        ended: list[TaskResult],
         reserve: dict[str, int],
         owes: dict[str, str] | None = None,
-    ) -> Poll:
+    ) -> Heartbeat:
         self.count += 1
         things = []
         for thing in self.things:
             held = self.places.get(thing)
-            told = ThingTold(thing, up.get(thing, False), owes=(owes or {}).get(thing, ""))
+            told = TargetReport(thing, up.get(thing, False), owes=(owes or {}).get(thing, ""))
             if held:
                 told.begun = held.fence if held.begun else 0
                 told.back, told.given = held.back, held.fence if held.given else 0
@@ -72,9 +72,9 @@
         wanted = {
             thing: number for thing, number in reserve.items() if number > self.generations.get(thing, 0)
         }
-        return Poll(self.host, self.life, self.count, self.heard, things, ended, wanted, b"", self.stamp)
+        return Heartbeat(self.host, self.life, self.count, self.heard, things, ended, wanted, b"", self.stamp)
 
-    def answered(self, now: int, sent_at: int, answer: Agreed) -> bool:
+    def answered(self, now: int, sent_at: int, answer: HeartbeatResponse) -> bool:
         """Whether it holds: one of another record, or older than one that was taken, does not."""
         self.stamp = answer.stamp  # whatever comes of it: by that the leader knows that we are alive
         if self.epoch and answer.epoch != self.epoch:
@@ -102,7 +102,7 @@
                 continue  # an older one than was seen
             held = self.places.get(thing)
             if held is None:
-                held = self.places[thing] = Held(thing, place.ident, place.fence, 0, place.out)
+                held = self.places[thing] = HeldPermit(thing, place.ident, place.fence, 0, place.out)
                 self.floors[thing] = place.fence
                 self.changed.add(thing)
             order = self.orders.get(place.ident)
--- a/oakkeel/disruption/lease_holder.py
+++ b/oakkeel/disruption/lease_holder.py
@@ -9,15 +9,15 @@
 from oakkeel.disruption import commands
 
 
-class LeaseHeld:
+class LeaseHolder:
     def __init__(self, name: str, holder: str, lasts: int) -> None:
         """`lasts` in nanoseconds."""
         self.name, self.holder, self.lasts = name, holder, lasts
         self.fence = self.until = 0
 
-    def asking(self) -> commands.Hold:
+    def asking(self) -> commands.AcquireLease:
         """To take it, and to renew it: the fence stays as long as it does not end between."""
-        return commands.Hold(self.name, self.holder, self.lasts)
+        return commands.AcquireLease(self.name, self.holder, self.lasts)
 
     def answered(self, sent_at: int, result: object) -> bool:
         """Whether it is ours; `sent_at` is when that was asked, by our monotonic clock."""
--- a/oakkeel/disruption/messages.py
+++ b/oakkeel/disruption/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class ThingTold(msgspec.Struct, array_like=True):
+class TargetReport(msgspec.Struct, array_like=True):
     name: str
     up: bool  # it serves
     begun: int = 0  # fence of the place under which it was taken out
@@ -14,7 +14,7 @@
     owes: str = ""  # what it has yet to answer while it leaves, for people
 
 
-class PartTold(msgspec.Struct, array_like=True):
+class TaskResult(msgspec.Struct, array_like=True):
     """How a part of an order ended on its host."""
 
     ident: str
@@ -23,19 +23,19 @@
     why: str
 
 
-class Poll(msgspec.Struct, array_like=True):
+class Heartbeat(msgspec.Struct, array_like=True):
     host: str
     life: int  # of the agent's process
     count: int  # of its polls
     heard: int  # index of the latest answer that it took
-    things: list[ThingTold]
-    ended: list[PartTold]
+    things: list[TargetReport]
+    ended: list[TaskResult]
     reserve: dict[str, int]  # generations that it wants to be free to use
     above: bytes = b""  # for what is built on places
     echo: tuple[int, int] = (0, 0)  # the stamp of the latest answer that it took
 
 
-class PlaceTold(msgspec.Struct, array_like=True):
+class GrantedPermit(msgspec.Struct, array_like=True):
     thing: str
     ident: str
     fence: int
@@ -44,7 +44,7 @@
     down: bool = False  # only while no process of it is there
 
 
-class OrderTold(msgspec.Struct, array_like=True):
+class AssignedOrder(msgspec.Struct, array_like=True):
     """An order as far as it concerns the host. Times in nanoseconds."""
 
     ident: str
@@ -57,13 +57,13 @@
     parts: list[tuple[str, int, str]]  # thing, generation, state
 
 
-class Agreed(msgspec.Struct, array_like=True):
+class HeartbeatResponse(msgspec.Struct, array_like=True):
     """The answer to a poll."""
 
     epoch: str
     index: int
-    places: list[PlaceTold]
-    orders: list[OrderTold]
+    places: list[GrantedPermit]
+    orders: list[AssignedOrder]
     generations: dict[str, int]
     keepers: list[str] = []  # hosts whose agents keep the record, or shall
     above: bytes = b""  # of what is built on places
--- a/oakkeel/disruption/state_machine.py
+++ b/oakkeel/disruption/state_machine.py
@@ -11,15 +11,15 @@
 import msgspec
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.topology import Layout, Out
+from oakkeel.disruption.topology import Topology, UnavailableTargets
 
-MOST_OPEN, MOST_ORDERS = 256, 1024
+MAX_OPEN_ORDERS, MAX_ORDERS = 256, 1024
 VERBS = ("drain", "stop", "restart")
-HELD = "a place"  # why it is out
+PERMIT_REASON = "a place"  # why it is out
 
 
-class Part(msgspec.Struct, array_like=True):
-    """What an order means for one thing. `Ledger._move` alone changes its state."""
+class Task(msgspec.Struct, array_like=True):
+    """What an order means for one thing. `PermitStateMachine._move` alone changes its state."""
 
     generation: int
     state: str = "waiting"
@@ -27,13 +27,13 @@
 
 
 # Of a part. waiting: for a place; out: begun.
-OPEN = ("waiting", "granted", "out")
-ENDS = {"done", "failed", "refused", "halted", "cancelled", "expired"}
-NEXT = {
-    "waiting": {"granted", "out"} | ENDS,
-    "granted": {"out", "waiting"} | ENDS,
-    "out": ENDS,
-    **{state: set() for state in ENDS},
+OPEN_STATES = ("waiting", "granted", "out")
+FINAL_STATES = {"done", "failed", "refused", "halted", "cancelled", "expired"}
+TRANSITIONS = {
+    "waiting": {"granted", "out"} | FINAL_STATES,
+    "granted": {"out", "waiting"} | FINAL_STATES,
+    "out": FINAL_STATES,
+    **{state: set() for state in FINAL_STATES},
 }
 
 
@@ -45,16 +45,16 @@
     lasts: int
     whole: bool
     index: int
-    parts: dict[str, Part]
+    parts: dict[str, Task]
     halted: str = ""  # by whom
     cancelled: str = ""
 
     @property
     def open(self) -> bool:
-        return any(part.state in OPEN for part in self.parts.values())
+        return any(part.state in OPEN_STATES for part in self.parts.values())
 
 
-class Place(msgspec.Struct, array_like=True):
+class Permit(msgspec.Struct, array_like=True):
     thing: str
     ident: str  # of the order that it was granted to
     fence: int
@@ -70,27 +70,27 @@
     lasts: int
 
 
-class Held(msgspec.Struct, array_like=True):
+class ControlPlaneState(msgspec.Struct, array_like=True):
     """All of it, as a snapshot holds it."""
 
-    layout: Layout = Layout()
+    layout: Topology = Topology()
     orders: dict[str, Order] = {}
-    places: dict[str, Place] = {}
+    places: dict[str, Permit] = {}
     generations: dict[str, int] = {}
     leases: dict[str, Lease] = {}
     keepers: list[str] = []
 
 
-class Refusal(msgspec.Struct):
+class Rejection(msgspec.Struct):
     """Nothing came of the command."""
 
     why: str
 
 
-_snapshots = msgspec.msgpack.Decoder(Held)
+_snapshot_decoder = msgspec.msgpack.Decoder(ControlPlaneState)
 
 
-class Ledger:
+class PermitStateMachine:
     """A machine for `record.keeper`. `applied` is told of each command with its index and result."""
 
     def __init__(self, applied: Callable[[int, commands.Command, object], None] | None = None) -> None:
@@ -103,7 +103,7 @@
         try:
             command = self.read(content)
         except msgspec.MsgspecError as error:  # by a version that knows more: the same no everywhere
-            return Refusal(f"no command of this version: {error}")
+            return Rejection(f"no command of this version: {error}")
         result = self.ACTS[type(command)](self, index, command)
         self.index = index
         if self.applied:
@@ -124,27 +124,27 @@
     # What a machine with more in it does in its own way.
 
     def read(self, content: bytes) -> Any:
-        return commands.read(content)
+        return commands.decode(content)
 
-    def taken_up(self, content: bytes) -> Held:
-        return _snapshots.decode(content) if content else Held()
+    def taken_up(self, content: bytes) -> ControlPlaneState:
+        return _snapshot_decoder.decode(content) if content else ControlPlaneState()
 
     # Reckoning.
 
     def _count(self) -> None:
         """What is out by places alone: no grant may pass a bound even if nothing else were known."""
-        self.out = Out(self.held.layout)
+        self.out = UnavailableTargets(self.held.layout)
         for thing in self.held.places:
-            self.out.put(thing, HELD)
+            self.out.put(thing, PERMIT_REASON)
 
     # Commands.
 
-    def _lay(self, index: int, command: commands.Lay) -> object:
+    def _lay(self, index: int, command: commands.SetTopology) -> object:
         self.held.layout = command.layout
         self._count()
         return None
 
-    def _order(self, index: int, command: commands.Order) -> object:
+    def _order(self, index: int, command: commands.SubmitOrder) -> object:
         held = self.held
         if known := held.orders.get(command.ident):
             asked = {name: part.generation for name, part in known.parts.items()}
@@ -153,25 +153,25 @@
                 command.verb,
                 dict(command.things),
             )
-            return known if same else Refusal(f"that id is of another order, by {known.operator}")
+            return known if same else Rejection(f"that id is of another order, by {known.operator}")
         things = dict(command.things)
         known_things = {thing for here in held.layout.hosts.values() for thing in here}
         if not command.ident or len(command.ident) > 64 or not things or len(things) != len(command.things):
-            return Refusal("no id, nothing named, or something twice")
-        if command.verb not in VERBS or len(things) > commands.MOST_THINGS:
-            return Refusal("no such order, or too much at once")
+            return Rejection("no id, nothing named, or something twice")
+        if command.verb not in VERBS or len(things) > commands.MAX_TARGETS:
+            return Rejection("no such order, or too much at once")
         if unknown := sorted(set(things) - known_things):
-            return Refusal(f"there is no {unknown[0]}")
-        if sum(order.open for order in held.orders.values()) >= MOST_OPEN:
-            return Refusal(f"{MOST_OPEN} orders are open already")
+            return Rejection(f"there is no {unknown[0]}")
+        if sum(order.open for order in held.orders.values()) >= MAX_OPEN_ORDERS:
+            return Rejection(f"{MAX_OPEN_ORDERS} orders are open already")
         parts = {}
         for thing, generation in things.items():
-            parts[thing] = part = Part(generation)
+            parts[thing] = part = Task(generation)
             other = next(
                 (
                     each
                     for each in held.orders.values()
-                    if thing in each.parts and each.parts[thing].state in OPEN
+                    if thing in each.parts and each.parts[thing].state in OPEN_STATES
                 ),
                 None,
             )
@@ -204,23 +204,23 @@
         orders = self.held.orders
         placed = {place.ident for place in self.held.places.values()}
         for ident, order in list(orders.items()):
-            if len(orders) <= MOST_ORDERS:
+            if len(orders) <= MAX_ORDERS:
                 break
             if not order.open and ident not in placed:
                 del orders[ident]
 
-    def _halt(self, index: int, command: commands.Halt) -> object:
+    def _halt(self, index: int, command: commands.HaltOrder) -> object:
         order = self.held.orders.get(command.ident)
         if order is None:
-            return Refusal("no such order")
+            return Rejection("no such order")
         order.halted = order.halted or command.operator
         self._end_waiting(order, "halted", f"by {command.operator}")
         return order
 
-    def _cancel(self, index: int, command: commands.Cancel) -> object:
+    def _cancel(self, index: int, command: commands.CancelOrder) -> object:
         order = self.held.orders.get(command.ident)
         if order is None:
-            return Refusal("no such order")
+            return Rejection("no such order")
         order.cancelled = order.cancelled or command.operator
         order.halted = order.halted or command.operator
         self._end_waiting(order, "cancelled", f"by {command.operator}")
@@ -231,28 +231,28 @@
             if part.state == "waiting":
                 self._move(part, state, why)
 
-    def _grant(self, index: int, command: commands.Grant) -> object:
+    def _grant(self, index: int, command: commands.GrantPermits) -> object:
         held, order = self.held, self.held.orders.get(command.ident)
         if order is None or order.halted:
-            return Refusal("no such order, or it is halted")
+            return Rejection("no such order, or it is halted")
         for thing in command.things:
             part = order.parts.get(thing)
             if part is None or part.state != "waiting":
-                return Refusal(f"{thing} does not wait for a place")
+                return Rejection(f"{thing} does not wait for a place")
             if why := self.taken(thing, order.ident):
-                return Refusal(why)
+                return Rejection(why)
         if why := self.out.against(command.things):
-            return Refusal(why)
+            return Rejection(why)
         for thing in command.things:
             before = held.places.get(thing)
-            held.places[thing] = Place(
+            held.places[thing] = Permit(
                 thing,
                 order.ident,
                 index,
                 down=command.down,
                 was=before.ident if before and before.out else "",
             )
-            self.out.put(thing, HELD)
+            self.out.put(thing, PERMIT_REASON)
             self._move(order.parts[thing], "granted", "")
         return index
 
@@ -263,29 +263,29 @@
             return f"{thing} has a place by {place.ident}"
         return ""
 
-    def _comes_back(self, place: Place) -> bool:
+    def _comes_back(self, place: Permit) -> bool:
         """What a cancelled drain took out. A restart has no other way back than to come up."""
         order = self.held.orders.get(place.ident)
         return bool(order and order.cancelled and order.verb != "restart")
 
-    def _place(self, thing: str, fence: int) -> Place | None:
+    def _place(self, thing: str, fence: int) -> Permit | None:
         place = self.held.places.get(thing)
         return place if place and place.fence == fence else None
 
-    def _began(self, index: int, command: commands.Began) -> object:
+    def _began(self, index: int, command: commands.StartPermit) -> object:
         if place := self._place(command.thing, command.fence):
             place.out, place.lapsed = True, 0
             self._move_placed(place, "out", "")
             return index
-        return Refusal("no such place")
+        return Rejection("no such place")
 
-    def _over(self, index: int, command: commands.Over) -> object:
+    def _over(self, index: int, command: commands.ReleasePermit) -> object:
         place = self._place(command.thing, command.fence)
         if place is None:
-            return Refusal("no such place")
+            return Rejection("no such place")
         order = self.held.orders.get(place.ident)
         part = order.parts[place.thing] if order else None
-        if order and part and part.state in OPEN:
+        if order and part and part.state in OPEN_STATES:
             if place.out:
                 back = order.cancelled and order.verb != "restart"
                 self._move(
@@ -302,30 +302,30 @@
             else:
                 self._move(part, "waiting", "its place was given back")
         if place.was and not place.out:  # what an earlier order took out is out as before
-            self.held.places[place.thing] = Place(place.thing, place.was, index, True)
+            self.held.places[place.thing] = Permit(place.thing, place.was, index, True)
         else:
             self._free(place)
         return index
 
-    def _lapse(self, index: int, command: commands.Lapse) -> object:
+    def _lapse(self, index: int, command: commands.ExpirePermit) -> object:
         place = self._place(command.thing, command.fence)
         if place is None or place.out or place.lapsed:
-            return Refusal("no such place, or it was begun")
+            return Rejection("no such place, or it was begun")
         order = self.held.orders.get(place.ident)
         halted = order and order.halted
         self._move_placed(place, "halted" if halted else "waiting", "its agent was not heard in time")
         place.lapsed = index
         return index
 
-    def _free(self, place: Place) -> None:
+    def _free(self, place: Permit) -> None:
         del self.held.places[place.thing]
-        self.out.take(place.thing, HELD)
+        self.out.take(place.thing, PERMIT_REASON)
 
-    def _ended(self, index: int, command: commands.Ended) -> object:
+    def _ended(self, index: int, command: commands.FinishTask) -> object:
         order = self.held.orders.get(command.ident)
         part = order.parts.get(command.thing) if order else None
-        if order is None or part is None or part.state not in OPEN or command.how not in ENDS:
-            return Refusal("nothing of that is open")
+        if order is None or part is None or part.state not in OPEN_STATES or command.how not in FINAL_STATES:
+            return Rejection("nothing of that is open")
         self._move(part, command.how, command.why)
         if (
             command.how == "refused"
@@ -336,73 +336,73 @@
             self._end_waiting(order, "refused", f"not all of it can be taken: {command.thing} {command.why}")
         return index
 
-    def _expire(self, index: int, command: commands.Expire) -> object:
+    def _expire(self, index: int, command: commands.ExpireOrder) -> object:
         if order := self.held.orders.get(command.ident):
             order.halted = order.halted or "its time"
             self._end_waiting(order, "expired", "no room in its time")
             return index
-        return Refusal("no such order")
+        return Rejection("no such order")
 
-    def _reserve(self, index: int, command: commands.Reserve) -> object:
+    def _reserve(self, index: int, command: commands.ReserveGenerations) -> object:
         """Only up: what was once reserved may have been used."""
         generations = self.held.generations
         for thing, upto in command.upto.items():
             generations[thing] = max(upto, generations.get(thing, 0))
         return index
 
-    def _keepers(self, index: int, command: commands.Keepers) -> object:
+    def _keepers(self, index: int, command: commands.SetVoters) -> object:
         if not command.names or len(set(command.names)) != len(command.names) or len(command.names) > 9:
-            return Refusal("one to nine keepers, each once")
+            return Rejection("one to nine keepers, each once")
         self.held.keepers = list(command.names)
         return index
 
-    def _hold(self, index: int, command: commands.Hold) -> object:
+    def _hold(self, index: int, command: commands.AcquireLease) -> object:
         lease = self.held.leases.get(command.name)
         if lease and lease.holder != command.holder:
-            return Refusal(f"{lease.holder} holds it")
+            return Rejection(f"{lease.holder} holds it")
         if lease:  # renewed: what was done under its fence goes on
             lease.lasts = command.lasts
             return lease.fence
-        if len(self.held.leases) >= MOST_OPEN:
-            return Refusal("too many leases")
+        if len(self.held.leases) >= MAX_OPEN_ORDERS:
+            return Rejection("too many leases")
         self.held.leases[command.name] = Lease(command.holder, index, command.lasts)
         return index
 
-    def _release(self, index: int, command: commands.Release) -> object:
+    def _release(self, index: int, command: commands.ReleaseLease) -> object:
         lease = self.held.leases.get(command.name)
         if lease is None or lease.fence != command.fence:
-            return Refusal("no such lease")
+            return Rejection("no such lease")
         del self.held.leases[command.name]
         return index
 
     # States.
 
-    def _move_placed(self, place: Place, state: str, why: str) -> None:
+    def _move_placed(self, place: Permit, state: str, why: str) -> None:
         order = self.held.orders.get(place.ident)
-        if order and order.parts[place.thing].state in OPEN:
+        if order and order.parts[place.thing].state in OPEN_STATES:
             self._move(order.parts[place.thing], state, why)
 
-    def _move(self, part: Part, state: str, why: str) -> None:
+    def _move(self, part: Task, state: str, why: str) -> None:
         """The one place where the state of a part changes."""
         if state == part.state:
             return
-        if state not in NEXT[part.state]:
+        if state not in TRANSITIONS[part.state]:
             raise RuntimeError(f"{part.state} to {state}")
         part.state, part.why = state, why
 
     ACTS: ClassVar[dict[type, Callable[[Any, int, Any], object]]] = {
-        commands.Lay: _lay,
-        commands.Order: _order,
-        commands.Halt: _halt,
-        commands.Cancel: _cancel,
-        commands.Grant: _grant,
-        commands.Began: _began,
-        commands.Over: _over,
-        commands.Lapse: _lapse,
-        commands.Ended: _ended,
-        commands.Expire: _expire,
-        commands.Reserve: _reserve,
-        commands.Keepers: _keepers,
-        commands.Hold: _hold,
-        commands.Release: _release,
+        commands.SetTopology: _lay,
+        commands.SubmitOrder: _order,
+        commands.HaltOrder: _halt,
+        commands.CancelOrder: _cancel,
+        commands.GrantPermits: _grant,
+        commands.StartPermit: _began,
+        commands.ReleasePermit: _over,
+        commands.ExpirePermit: _lapse,
+        commands.FinishTask: _ended,
+        commands.ExpireOrder: _expire,
+        commands.ReserveGenerations: _reserve,
+        commands.SetVoters: _keepers,
+        commands.AcquireLease: _hold,
+        commands.ReleaseLease: _release,
     }
--- a/oakkeel/disruption/topology.py
+++ b/oakkeel/disruption/topology.py
@@ -8,24 +8,24 @@
 import msgspec
 
 
-class Group(msgspec.Struct, array_like=True, frozen=True):
+class BudgetGroup(msgspec.Struct, array_like=True, frozen=True):
     name: str  # as fleet, site woodbrook, kind catalogue
     bound: int
     things: tuple[str, ...]
 
 
-class Layout(msgspec.Struct, array_like=True, frozen=True):
+class Topology(msgspec.Struct, array_like=True, frozen=True):
     """As the operators' settings say; part of what is agreed, so that all reckon alike."""
 
     hosts: dict[str, tuple[str, ...]] = {}  # the things that each host's agent looks after
-    groups: tuple[Group, ...] = ()
+    groups: tuple[BudgetGroup, ...] = ()
     hanging: dict[str, tuple[str, ...]] = {}  # by service: the instances that can't do without it
 
 
-class Out:
+class UnavailableTargets:
     """What is out and why, with a count for each group that is brought along by every change."""
 
-    def __init__(self, layout: Layout) -> None:
+    def __init__(self, layout: Topology) -> None:
         self.layout = layout
         self.groups = {group.name: group for group in layout.groups}
         self.of: dict[str, list[str]] = {}  # by thing: its groups
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -7,13 +7,13 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.admission.types import Exchange, NodeLimits
+from oakkeel.admission.types import Request, NodeLimits
 from oakkeel.emulator.clock import SECOND, Clock
-from oakkeel.emulator.invariants import Audit
-from oakkeel.emulator.nodes import MS, Node
+from oakkeel.emulator.invariants import RuleAudit
+from oakkeel.emulator.nodes import MS, SimulatedNode
 
 
-class Way(Enum):
+class BalancingPolicy(Enum):
     """How a dispatcher chooses among the nodes that it believes to be good."""
 
     ROUND = "round"
@@ -23,10 +23,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Manners:
+class ClientBehavior:
     """How a dispatcher treats its callers and nodes. Times in nanoseconds."""
 
-    way: Way = Way.ROUND
+    way: BalancingPolicy = BalancingPolicy.ROUND
     tries: int = 3
     patience: int = 2 * SECOND  # of a try, in all
     hasty: int = 0  # without an answer for so long, another node is tried and the first told so; 0: never
@@ -35,16 +35,16 @@
     loss: float = 0.0  # of exchanges that never arrive
 
 
-class Link:
+class NodeView:
     """What a dispatcher knows of one node."""
 
     __slots__ = ("away_until", "mean", "node", "open")
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: SimulatedNode) -> None:
         self.node, self.open, self.away_until, self.mean = node, 0, 0, 0.0
 
 
-class Work:
+class ClientRequest:
     """One exchange with all its tries."""
 
     __slots__ = ("begun", "group", "name", "over", "size", "subject", "tries")
@@ -61,23 +61,23 @@
         clock: Clock,
         limits: NodeLimits,
         sizes: list[float],
-        manners: Manners,
-        audit: Audit,
+        manners: ClientBehavior,
+        audit: RuleAudit,
         seed: int,
     ) -> None:
         """`sizes`: nanoseconds of a core that an exchange of each group takes, in the mean."""
         self.number, self.clock, self.limits, self.sizes = number, clock, limits, sizes
         self.manners, self.audit, self.random = manners, audit, Random(seed)
-        self.links: list[Link] = []
+        self.links: list[NodeView] = []
         self.rate, self.turn, self.made, self.sent = 0.0, 0, 0, 0
         self.counts: Counter[str] = Counter()
         self.benefit = 0.0
         self.latencies: list[int] = []
 
-    def list(self, nodes: list[Node]) -> None:
+    def list(self, nodes: list[SimulatedNode]) -> None:
         """Those that the directory names by now."""
         known = {link.node: link for link in self.links}
-        self.links = [known.get(node) or Link(node) for node in nodes]
+        self.links = [known.get(node) or NodeView(node) for node in nodes]
 
     def start(self, rate: float) -> None:
         """Exchanges a second, from now on."""
@@ -94,15 +94,15 @@
         self.made += 1
         group = self.random.randrange(len(self.sizes))
         size = self.sizes[group] * (0.5 + self.random.random())
-        work = Work(
+        work = ClientRequest(
             f"{self.number}.{self.made}", group, self.clock.now, int(self.random.paretovariate(1.1)), size
         )
         self.counts["asked"] += 1
         self._try(work)
 
-    def _choose(self, work: Work) -> Link | None:
+    def _choose(self, work: ClientRequest) -> NodeView | None:
         way = self.manners.way
-        if way is Way.ROUND:  # no look at all of a large fleet
+        if way is BalancingPolicy.ROUND:  # no look at all of a large fleet
             for _ in self.links:
                 self.turn += 1
                 link = self.links[self.turn % len(self.links)]
@@ -112,18 +112,18 @@
         links = [link for link in self.links if self._good(link)]
         if not links:
             return None
-        if way is Way.SUBJECT:
+        if way is BalancingPolicy.SUBJECT:
             return links[(work.subject * 2654435761 + work.tries) % len(links)]
-        if way is Way.LEAST:
+        if way is BalancingPolicy.LEAST:
             return min(links, key=lambda link: (link.open, self.random.random()))
-        if way is Way.FASTEST:
+        if way is BalancingPolicy.FASTEST:
             return min(links, key=lambda link: (link.mean, self.random.random()))
         raise ValueError(f"no way of choosing: {way}")
 
-    def _good(self, link: Link) -> bool:
+    def _good(self, link: NodeView) -> bool:
         return link.node.healthy and not (self.manners.heeds and link.away_until > self.clock.now)
 
-    def _try(self, work: Work) -> None:
+    def _try(self, work: ClientRequest) -> None:
         link = self._choose(work)
         if link is None:
             return self._end(work, "unsent")
@@ -132,7 +132,7 @@
         self.sent += 1
         ident = self.number * 100_000_000 + self.sent
         group = self.limits.groups[work.group]
-        ex = Exchange(group, None, self.number, 25.0, work.tries > 1, manners.patience, 0, False, False)
+        ex = Request(group, None, self.number, 25.0, work.tries > 1, manners.patience, 0, False, False)
         due = now + min(manners.patience, group.async_timeout)
         self.audit.sent(ident, now, due + 2 * manners.delay * 8, group.once, work.name, link.node.name)
         link.open += 1
@@ -174,7 +174,7 @@
         wait = manners.hasty or manners.patience + 2 * manners.delay * 8 + 100 * MS
         self.clock.after(wait, silent)
 
-    def _again(self, work: Work, may_have_run: bool) -> None:
+    def _again(self, work: ClientRequest, may_have_run: bool) -> None:
         """Another try, where it does no harm and is in time."""
         if may_have_run or work.tries >= self.manners.tries:
             return self._end(work, "given up")
@@ -182,7 +182,7 @@
             return self._end(work, "given up")
         self._try(work)
 
-    def _end(self, work: Work, how: str) -> None:
+    def _end(self, work: ClientRequest, how: str) -> None:
         if work.over:
             return
         work.over = True
--- a/oakkeel/emulator/clock.py
+++ b/oakkeel/emulator/clock.py
@@ -9,7 +9,7 @@
 SECOND = 1_000_000_000
 
 
-class Happening:
+class ScheduledEvent:
     """One thing that is to happen; it can be called off."""
 
     __slots__ = ("act", "words")
@@ -27,15 +27,15 @@
 
     def __init__(self) -> None:
         self.now = self.order = self.happened = 0
-        self.ahead: list[tuple[int, int, Happening]] = []
+        self.ahead: list[tuple[int, int, ScheduledEvent]] = []
 
-    def at(self, when: int, act: Callable[..., None], *words: Any) -> Happening:
+    def at(self, when: int, act: Callable[..., None], *words: Any) -> ScheduledEvent:
         self.order += 1
-        happening = Happening(act, words)
+        happening = ScheduledEvent(act, words)
         heappush(self.ahead, (max(when, self.now), self.order, happening))
         return happening
 
-    def after(self, wait: int, act: Callable[..., None], *words: Any) -> Happening:
+    def after(self, wait: int, act: Callable[..., None], *words: Any) -> ScheduledEvent:
         return self.at(self.now + wait, act, *words)
 
     def run(self, until: int) -> None:
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -13,37 +13,37 @@
 from random import Random
 
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.leader_locator import Whom
-from oakkeel.agent.orders import Orders, Verb
-from oakkeel.agent.reconciler import Deciding
-from oakkeel.agent.supervisor import Act, Patience, Step, Supervision
-from oakkeel.control.messages import Report
+from oakkeel.agent.leader_locator import LeaderLocator
+from oakkeel.agent.orders import OrderRegistry, Verb
+from oakkeel.agent.reconciler import Reconciler
+from oakkeel.agent.supervisor import Action, SupervisionTimeouts, Step, Supervisor
+from oakkeel.control.messages import NodeStatus
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import Granting, Terms
-from oakkeel.disruption.control_plane import Steward
-from oakkeel.disruption.holder import Holding
-from oakkeel.disruption.messages import Agreed, Poll
-from oakkeel.disruption.state_machine import OPEN, Refusal
-from oakkeel.disruption.topology import Group, Layout
-from oakkeel.emulator.clock import Clock, Happening
-from oakkeel.emulator.faults import MS, SECOND, Schedule, Trouble
-from oakkeel.invariants.consensus import AgreementAudit
-from oakkeel.invariants.rollout import ReleaseAudit
-from oakkeel.raft.memory_storage import Disk
-from oakkeel.raft.messages import Letter
-from oakkeel.raft.replica import Durable, NotLeading, Proposal, Role, Steps
-from oakkeel.raft.timeouts import Pace
+from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
+from oakkeel.disruption.control_plane import ControlPlaneReplica
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.disruption.messages import HeartbeatResponse, Heartbeat
+from oakkeel.disruption.state_machine import OPEN_STATES, Rejection
+from oakkeel.disruption.topology import BudgetGroup, Topology
+from oakkeel.emulator.clock import Clock, ScheduledEvent
+from oakkeel.emulator.faults import MS, SECOND, Schedule, Fault
+from oakkeel.invariants.consensus import ConsensusAudit
+from oakkeel.invariants.rollout import RolloutAudit
+from oakkeel.raft.memory_storage import InMemoryStorage
+from oakkeel.raft.messages import Envelope
+from oakkeel.raft.replica import DurableState, NotLeaderError, Proposal, Role, Output
+from oakkeel.raft.timeouts import RaftTimeouts
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.assignments import Copy
-from oakkeel.rollout.commands import Pace as ReleasePace
-from oakkeel.rollout.commands import What
-from oakkeel.rollout.controller import Driver
-from oakkeel.rollout.state_machine import Book
+from oakkeel.rollout.assignments import ArtifactRequest
+from oakkeel.rollout.commands import RolloutPolicy as ReleasePace
+from oakkeel.rollout.commands import VersionSpec
+from oakkeel.rollout.controller import RolloutController
+from oakkeel.rollout.state_machine import RolloutStateMachine
 
 TURN, POLL, ANSWER = 100 * MS, 150 * MS, 800 * MS
-PACE, TERMS = Pace(fold=64), Terms()
+PACE, TERMS = RaftTimeouts(fold=64), PermitTimeouts()
 WAITS = ("would pass its bound", "the last that serves", "all that is left is out", "would carry")
-PATIENCE = Patience(backoff=300 * MS, steady=2 * SECOND, drain=3 * SECOND)
+PATIENCE = SupervisionTimeouts(backoff=300 * MS, steady=2 * SECOND, drain=3 * SECOND)
 
 
 @dataclass(slots=True, eq=False)
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Saved:
+class AgentDisk:
     """What an agent has on disk."""
 
     places: list[tuple[str, int, str, bool]] = field(default_factory=list)
@@ -67,20 +67,20 @@
     versions: dict[str, str] = field(default_factory=dict)
 
 
-class Host:
+class SimulatedHost:
     """One host with all that runs on it. `now` gives its own clock, `world.clock` the true one."""
 
-    def __init__(self, world: World, name: str, things: tuple[str, ...], founders: tuple[str, ...]) -> None:
+    def __init__(self, world: ConsensusSimulation, name: str, things: tuple[str, ...], founders: tuple[str, ...]) -> None:
         self.world, self.name, self.things, self.founders = world, name, things, founders
         self.random = Random(f"{world.schedule.seed} {name}")
         self.rate, self.offset = 1 + self.random.uniform(-0.015, 0.015), self.random.randrange(10 * SECOND)
         self.lives = 0
-        self.disk: Disk | None = None
+        self.disk: InMemoryStorage | None = None
         self.counted = 0  # writes of its record, beside the file
-        self.saved = Saved()
+        self.saved = AgentDisk()
         self.processes: dict[str, Process] = {}
         self.running = self.stopped = self.full = False
-        self.timer: Happening | None = None
+        self.timer: ScheduledEvent | None = None
         self.crash_in = 0  # at the next step that writes: 1 before it, 2 after
         self.stop_in = 0  # for so long, at the next answer that grants something
         self.start()
@@ -92,9 +92,9 @@
 
     def start(self) -> None:
         self.running, self.lives = True, self.lives + 1
-        self.steward: Steward | None = None
+        self.steward: ControlPlaneReplica | None = None
         self.waiting: list[Callable[[], None]] = []  # while it is stopped
-        self.whom = Whom(self.founders, self.world.names)
+        self.whom = LeaderLocator(self.founders, self.world.names)
         self.polled_at = -SECOND
         self._start_keeper()
         self._start_agent()
@@ -108,8 +108,8 @@
             self.disk = None  # an older copy
         if self.disk is None:
             self.counted = 0
-            self.disk = Disk(Durable(self.name, f"{self.name}.{self.random.getrandbits(40):x}"))
-        self.steward = Steward(
+            self.disk = InMemoryStorage(DurableState(self.name, f"{self.name}.{self.random.getrandbits(40):x}"))
+        self.steward = ControlPlaneReplica(
             now,
             self.disk.load(),
             self.random.getrandbits(60),
@@ -117,23 +117,23 @@
             self.founders,
             world.layout,
             TERMS,
-            Book,
+            RolloutStateMachine,
             self._driver,
         )
         self.steward.watched = self._applied
         self.pending: dict[Proposal, Callable[[Proposal], None]] = {}
 
-    def _driver(self, now: int, book: Book, granting: Granting) -> Driver:
-        return Driver(now, book, granting, f"{self.name}.{self.random.getrandbits(40):x}")
+    def _driver(self, now: int, book: RolloutStateMachine, granting: PermitAllocator) -> RolloutController:
+        return RolloutController(now, book, granting, f"{self.name}.{self.random.getrandbits(40):x}")
 
     def _applied(self, index: int, command: commands.Command, result: object) -> None:
         audit = self.world.audit
         content = commands.encode(command)
         audit.applied(self.world.clock.now, self.name, index, content)
-        if not isinstance(result, Refusal):
+        if not isinstance(result, Rejection):
             self.world.of_releases.taken(self.world.clock.now, self.name, content)
         if self.steward and isinstance(
-            command, commands.Halt | commands.Cancel | commands.Over | commands.Lapse
+            command, commands.HaltOrder | commands.CancelOrder | commands.ReleasePermit | commands.ExpirePermit
         ):
             for order in self.steward.ledger.held.orders.values():
                 if order.halted and all(
@@ -144,18 +144,18 @@
     def _start_agent(self) -> None:
         now, saved = self.now(), self.saved
         fresh = not saved.orders
-        self.holding = Holding(self.name, self.things, self.random.getrandbits(40))
+        self.holding = PermitHolder(self.name, self.things, self.random.getrandbits(40))
         self.holding.restore(saved.epoch, saved.places, saved.generations)
         if fresh:
             instances = [Instance(name, "site", since=now) for name in self.things]
-            self.supervision = Supervision(instances, PATIENCE, {}, self.random.getrandbits(40), self.now)
-            self.orders = Orders(self.supervision, self.now, holding=self.holding)
+            self.supervision = Supervisor(instances, PATIENCE, {}, self.random.getrandbits(40), self.now)
+            self.orders = OrderRegistry(self.supervision, self.now, holding=self.holding)
         else:
             self.orders = pickle.loads(saved.orders)
             self.supervision = self.orders.supervision
             self.supervision.unix = self.orders.unix = self.now
             self.orders.holding = self.holding
-        self.deciding = Deciding(self.supervision, self.orders, self.holding, block=8)
+        self.deciding = Reconciler(self.supervision, self.orders, self.holding, block=8)
         self.deciding.fitting.restore(dict(saved.versions), {}, {})
         if fresh:
             self.deciding.lost_file()
@@ -195,7 +195,7 @@
             wait = min(wait, 50 * MS if self.steward.granting else SECOND)
         self.timer = self.world.clock.after(wait, self._beat, self.lives)
 
-    def carry_out(self, all_steps: list[Steps]) -> None:
+    def carry_out(self, all_steps: list[Output]) -> None:
         """Write, send, tell: in this order, or crash between."""
         for steps in all_steps:
             steward = self.steward
@@ -233,7 +233,7 @@
             else:
                 self._start_keeper()
 
-    def heard(self, letter: Letter) -> None:
+    def heard(self, letter: Envelope) -> None:
         if self.running and self.steward:
             if self.stopped:
                 return self.waiting.append(lambda: self.heard(letter))
@@ -261,12 +261,12 @@
         self.act(now)
         self.world.clock.after(TURN, self._turn, lives)
 
-    def _report(self, process: Process, state: str) -> Report:
+    def _report(self, process: Process, state: str) -> NodeStatus:
         """As a node of that version makes it: 400 exchanges a second, of which the bad bring less."""
         lasted = max(0, self.world.clock.now - process.up_at)
         count = float(lasted * 400 // SECOND)
         good = float(int(count * (0.6 if process.version.startswith("worse") else 0.98)))
-        return Report(
+        return NodeStatus(
             0,
             "",
             0,
@@ -287,11 +287,11 @@
         steps = self.orders.hold_back(now, self.supervision.tick(now))
         if self.full:  # what is not kept is not done
             for step in steps:
-                if step.act is Act.START and step.instance.part is not None:
+                if step.act is Action.START and step.instance.part is not None:
                     self.supervision.never_there(now, step.instance)
-                elif step.act in (Act.TERM, Act.LEAVE) and step.instance.part is not None:
+                elif step.act in (Action.TERM, Action.LEAVE) and step.instance.part is not None:
                     step.instance.left_at, step.instance.part.sent = 0, False
-            steps = [step for step in steps if step.instance.part is None and step.act is not Act.START]
+            steps = [step for step in steps if step.instance.part is None and step.act is not Action.START]
         else:
             self._save()
         for step in steps:
@@ -299,7 +299,7 @@
         if steps and not self.full:
             self._save()
 
-    def _prepared(self, copy: Copy, lives: int) -> None:
+    def _prepared(self, copy: ArtifactRequest, lives: int) -> None:
         if lives == self.lives:
             why = "it can't be run here" if copy.what.program == "bad" and self.random.random() < 0.5 else ""
             bases = {thing: f"base {thing}" for thing in copy.things}
@@ -342,7 +342,7 @@
     def _carry_out(self, step: Step) -> None:
         world, name, process = self.world, step.instance.name, self.processes.get(step.instance.name)
         true = world.clock.now
-        if step.act is Act.START and process is None:
+        if step.act is Action.START and process is None:
             generation = step.instance.born
             world.audit.started(true, name, generation)
             version = self.deciding.fitting.version(name)
@@ -354,7 +354,7 @@
                 world.clock.at(true + 50 * MS, self._ended, name, started, "exit code 3", True)
             else:
                 world.clock.at(started.up_at, self._up, name, started)
-        elif process and step.act in (Act.TERM, Act.LEAVE) and not process.leaving:
+        elif process and step.act in (Action.TERM, Action.LEAVE) and not process.leaving:
             held = self.holding.places.get(name)
             if step.instance.goal is Goal.DOWN or step.instance.part is not None:
                 world.audit.left(
@@ -364,10 +364,10 @@
                 world.audit.gone(true, name)
             process.leaving = true + self.random.randrange(100 * MS, 1500 * MS)
             world.clock.at(process.leaving, self._ended, name, process, "left")
-        elif process and step.act is Act.STAY and process.leaving:
+        elif process and step.act is Action.STAY and process.leaving:
             process.leaving = 0
             self._up(name, process)
-        elif process and step.act is Act.KILL:
+        elif process and step.act is Action.KILL:
             self._ended(name, process, "killed", True)
 
     def _up(self, name: str, process: Process) -> None:
@@ -392,7 +392,7 @@
         if name not in self.processes:
             self.supervision.died(self.now(), instance, how)
 
-    def answered(self, lives: int, sent_at: int, answer: Agreed) -> None:
+    def answered(self, lives: int, sent_at: int, answer: HeartbeatResponse) -> None:
         if lives != self.lives:
             return None
         if self.stopped:
@@ -414,15 +414,15 @@
             act()
 
 
-class World:
-    def __init__(self, schedule: Schedule, plant: Callable[[World], None] | None = None) -> None:
+class ConsensusSimulation:
+    def __init__(self, schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None) -> None:
         self.schedule, self.clock = schedule, Clock()
         self.random = Random(schedule.seed)
         self.names = names = [f"h{number}" for number in range(schedule.hosts)]
         sites = {name: f"s{number % schedule.sites}" for number, name in enumerate(names)}
         things = {name: tuple(f"{name}i{number}" for number in range(schedule.instances)) for name in names}
         groups = [
-            Group(
+            BudgetGroup(
                 f"site {site}",
                 schedule.bound,
                 tuple(thing for name in names if sites[name] == site for thing in things[name]),
@@ -430,22 +430,22 @@
             for site in dict.fromkeys(sites.values())
         ]
         every = tuple(thing for each in things.values() for thing in each)
-        groups.append(Group("fleet", schedule.bound * schedule.sites, every))
-        self.layout = Layout({name: things[name] for name in names}, tuple(groups))
-        self.audit = AgreementAudit(
+        groups.append(BudgetGroup("fleet", schedule.bound * schedule.sites, every))
+        self.layout = Topology({name: things[name] for name in names}, tuple(groups))
+        self.audit = ConsensusAudit(
             {group.name: (group.bound, list(group.things)) for group in groups},
             TERMS.lapse + TERMS.silent + 2 * SECOND,
         )
-        self.troubled: dict[tuple[str, str], list[Trouble]] = {}
+        self.troubled: dict[tuple[str, str], list[Fault]] = {}
         self.said: list[str] = []
         self.orders: list[str] = []
         self.every = every
-        self.of_releases = ReleaseAudit()
+        self.of_releases = RolloutAudit()
         self.releases: list[str] = []
         if plant:
             plant(self)
         founders = tuple(names[: schedule.keepers])
-        self.hosts = {name: Host(self, name, things[name], founders) for name in names}
+        self.hosts = {name: SimulatedHost(self, name, things[name], founders) for name in names}
         for trouble in schedule.troubles:
             self.clock.at(trouble.at, self._trouble, trouble)
 
@@ -454,7 +454,7 @@
 
     # The network.
 
-    def _links(self, source: str, to: str) -> list[Trouble]:
+    def _links(self, source: str, to: str) -> list[Fault]:
         now = self.clock.now
         return [each for each in self.troubled.get((source, to), ()) if now < each.at + each.lasts]
 
@@ -476,11 +476,11 @@
             self.clock.after(delay, act, *words)
             delay += self.random.randrange(20 * MS)
 
-    def send(self, source: str, to: str, letter: Letter) -> None:
+    def send(self, source: str, to: str, letter: Envelope) -> None:
         if to in self.hosts:
             self._deliver(source, to, self.hosts[to].heard, letter)
 
-    def poll(self, host: Host, poll: Poll, sent_at: int) -> None:
+    def poll(self, host: SimulatedHost, poll: Heartbeat, sent_at: int) -> None:
         leader, lives, waits = self.hosts[host.whom.name], host.lives, True
 
         def asked() -> None:
@@ -493,13 +493,13 @@
                 return
             try:
                 answer, steps = leader.steward.polled(leader.now(), poll)
-            except NotLeading as error:
+            except NotLeaderError as error:
                 self._deliver(leader.name, host.name, other, error.leader)
                 return
             self._deliver(leader.name, host.name, came, answer)
             leader.carry_out(steps)
 
-        def came(answer: Agreed) -> None:
+        def came(answer: HeartbeatResponse) -> None:
             nonlocal waits
             waits = False
             if host.lives == lives and answer.keepers:
@@ -533,16 +533,16 @@
             told = True
             if proposal.fate.value == "agreed":
                 result = proposal.result
-                if not isinstance(result, Refusal) and isinstance(command, releases.Begin):
+                if not isinstance(result, Rejection) and isinstance(command, releases.StartRelease):
                     self.releases.append(ident)
-                if not isinstance(result, Refusal) and isinstance(command, commands.Order):
+                if not isinstance(result, Rejection) and isinstance(command, commands.SubmitOrder):
                     self.audit.answered(ident, getattr(result, "index", proposal.index))
             else:
                 self.clock.after(100 * MS, self.order, command, ident, tries - 1)
 
         try:
             proposal, steps = host.steward.propose(host.now(), command)
-        except NotLeading:
+        except NotLeaderError:
             if tries:
                 self.clock.after(100 * MS, self.order, command, ident, tries - 1)
             return
@@ -555,7 +555,7 @@
 
         self.clock.after(2 * SECOND, again)
 
-    def _act(self, trouble: Trouble) -> None:
+    def _act(self, trouble: Fault) -> None:
         thing = self.every[trouble.who % len(self.every)]
         host = next(each for each in self.hosts.values() if thing in each.things)
         if trouble.kind in ("drain", "drain whole", "restart", "stop it"):
@@ -570,12 +570,12 @@
             ]
             verb = {"restart": "restart", "stop it": "stop"}.get(trouble.kind, "drain")
             self.order(
-                commands.Order(ident, "asha", verb, 0, 6 * SECOND, trouble.kind == "drain whole", things),
+                commands.SubmitOrder(ident, "asha", verb, 0, 6 * SECOND, trouble.kind == "drain whole", things),
                 ident,
             )
         elif trouble.kind in ("halt", "cancel") and self.orders:
             ident = self.orders[trouble.who % len(self.orders)]
-            kind = commands.Halt if trouble.kind == "halt" else commands.Cancel
+            kind = commands.HaltOrder if trouble.kind == "halt" else commands.CancelOrder
             self.order(kind(ident, "ravi"), ident)
         elif trouble.kind == "release":
             ident = f"r{trouble.at}"
@@ -588,15 +588,15 @@
                 control=trouble.who % 2 == 0,
                 back=trouble.to % 3 == 0,
             )
-            what = What(f"{new} {ident}", "bad" if trouble.to % 16 == 0 else "here")
-            self.order(releases.Begin(ident, "asha", 0, what, pace, chosen), ident)
+            what = VersionSpec(f"{new} {ident}", "bad" if trouble.to % 16 == 0 else "here")
+            self.order(releases.StartRelease(ident, "asha", 0, what, pace, chosen), ident)
         elif trouble.kind in ("pause", "resume", "abort", "undo", "leave"):
             if self.releases:
-                self.order(releases.Turn(self.releases[-1], "ravi", trouble.kind), self.releases[-1])
+                self.order(releases.ControlRelease(self.releases[-1], "ravi", trouble.kind), self.releases[-1])
         elif trouble.kind == "keepers":
             count = min(len(self.hosts), 3 + 2 * (trouble.to % 2))
             names = self.random.sample(sorted(self.hosts), count)
-            self.order(commands.Keepers(names, "asha"), "keepers")
+            self.order(commands.SetVoters(names, "asha"), "keepers")
         elif trouble.kind == "start" and host.running and not host.full:
             instance = next(each for each in host.supervision.instances if each.name == thing)
             if instance.part is None and instance.phase in (Phase.STOPPED, Phase.FAILING):
@@ -604,16 +604,16 @@
 
     # Troubles.
 
-    def kill(self, host: Host, wait: int) -> None:
+    def kill(self, host: SimulatedHost, wait: int) -> None:
         if host.running:
             host.kill()
             self.clock.after(wait, self._start, host)
 
-    def _start(self, host: Host) -> None:
+    def _start(self, host: SimulatedHost) -> None:
         if not host.running:
             host.start()
 
-    def _trouble(self, trouble: Trouble) -> None:
+    def _trouble(self, trouble: Fault) -> None:
         self.say(f"{trouble.kind} {trouble.who} {trouble.to} for {trouble.lasts // MS} ms")
         names = sorted(self.hosts)
         host = self.hosts[names[trouble.who % len(names)]]
@@ -637,7 +637,7 @@
                 if trouble.size < 0.5:
                     host._ended(thing, process, "power", True)
             self.kill(host, trouble.lasts)
-            host.disk, host.saved, host.counted = None, Saved(), 0
+            host.disk, host.saved, host.counted = None, AgentDisk(), 0
         elif kind == "old file" and host.disk is not None:
             counted = host.counted if trouble.size < 0.3 else -1  # the whole folder, or the file alone
             self.clock.after(trouble.lasts, self._put_back, host, host.disk.copy(), counted, trouble.lasts)
@@ -660,7 +660,7 @@
         else:
             self._act(trouble)
 
-    def _put_back(self, host: Host, backup: Disk, counted: int, wait: int) -> None:
+    def _put_back(self, host: SimulatedHost, backup: InMemoryStorage, counted: int, wait: int) -> None:
         if not host.running or not self._may_lose(host):
             return
         if counted >= 0:
@@ -676,7 +676,7 @@
         self.kill(host, wait)
         host.disk = backup
 
-    def _may_lose(self, host: Host) -> bool:
+    def _may_lose(self, host: SimulatedHost) -> bool:
         """No promise holds once a majority of the keepers' files is gone: that takes a rite of its own."""
         leaders = [
             each.steward.keeper for each in self.hosts.values() if each.steward and each.steward.granting
@@ -694,7 +694,7 @@
             for each in members
         )
 
-    def _pairs(self, trouble: Trouble, name: str, other: str) -> list[tuple[str, str]]:
+    def _pairs(self, trouble: Fault, name: str, other: str) -> list[tuple[str, str]]:
         names = sorted(self.hosts)
         if trouble.kind == "cut one way":
             away = [(name, each) for each in names]
@@ -758,12 +758,12 @@
         found = [
             f"order {order.ident} is open: {order.parts}"
             for order in ledger.held.orders.values()
-            if any(part.state in OPEN for part in order.parts.values())
+            if any(part.state in OPEN_STATES for part in order.parts.values())
         ]
         release = ledger.open  # type: ignore[union-attr]
         if release and release.state in ("preparing", "running", "undoing"):
             above = leaders[0].steward.above  # type: ignore[union-attr]
-            why = above.why if isinstance(above, Driver) else "nobody drives"
+            why = above.why if isinstance(above, RolloutController) else "nobody drives"
             if not any(word in why for word in WAITS):  # for what operators have taken out for good
                 found.append(
                     f"release {release.ident} is {release.state}, batch {release.batch}, {release.now}: {why}"
@@ -776,8 +776,8 @@
         return found
 
 
-def play(schedule: Schedule, plant: Callable[[World], None] | None = None) -> tuple[World, list[str]]:
-    world = World(schedule, plant)
+def play(schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None) -> tuple[ConsensusSimulation, list[str]]:
+    world = ConsensusSimulation(schedule, plant)
     return world, world.run()
 
 
--- a/oakkeel/emulator/faults.py
+++ b/oakkeel/emulator/faults.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Trouble:
+class Fault:
     """`who` and `to` are numbers of hosts or things, taken modulo how many there are."""
 
     at: int
@@ -63,7 +63,7 @@
     instances: int  # a host
     sites: int
     bound: int  # a site
-    troubles: tuple[Trouble, ...]
+    troubles: tuple[Fault, ...]
     lasts: int = 22 * SECOND
 
     def told(self) -> dict[str, Any]:
@@ -72,7 +72,7 @@
 
 def read(told: dict[str, Any]) -> Schedule:
     """The other way of `Schedule.told`."""
-    return Schedule(**{**told, "troubles": tuple(Trouble(**each) for each in told["troubles"])})
+    return Schedule(**{**told, "troubles": tuple(Fault(**each) for each in told["troubles"])})
 
 
 def draw(
@@ -88,7 +88,7 @@
     waits = random.choice(((40 * MS, 150 * MS, 700 * MS), (150 * MS, 700 * MS, 1500 * MS, 4 * SECOND)))
     for _ in range(random.randint(1, faults)):
         found.append(
-            Trouble(
+            Fault(
                 random.randrange(2 * SECOND, lasts // 2),
                 random.choice(kinds),
                 random.randrange(100),
@@ -99,7 +99,7 @@
         )
     for _ in range(random.randint(2, acts)):
         found.append(
-            Trouble(
+            Fault(
                 random.randrange(2 * SECOND, lasts // 2),
                 random.choice(ACTS),
                 random.randrange(100),
@@ -111,7 +111,7 @@
     if releases:
         for _ in range(random.randint(1, 2)):
             found.append(
-                Trouble(
+                Fault(
                     random.randrange(SECOND, lasts // 3),
                     "release",
                     random.randrange(100),
@@ -122,7 +122,7 @@
             )
         for _ in range(random.randint(0, 3)):
             found.append(
-                Trouble(
+                Fault(
                     random.randrange(2 * SECOND, lasts // 2),
                     random.choice(RELEASE_ACTS),
                     random.randrange(100),
--- a/oakkeel/emulator/invariants.py
+++ b/oakkeel/emulator/invariants.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class Attempt:
     """One try of one exchange."""
 
     sent: int
@@ -25,16 +25,16 @@
     excused: bool = False  # its caller was gone, or its node died under it
 
 
-class Audit:
+class RuleAudit:
     def __init__(self, most_breaches: int = 1000) -> None:
-        self.tries: dict[int, Seen] = {}
+        self.tries: dict[int, Attempt] = {}
         self.effects: Counter[str] = Counter()  # runs that were finished, by the work they did
         self.breaches: list[str] = []
         self.most = most_breaches
         self.leaves: dict[str, int] = {}  # by node: when its grace was over
 
     def sent(self, ident: int, now: int, due: int, once: bool, work: str, node: str) -> None:
-        self.tries[ident] = Seen(now, due, once, work, node)
+        self.tries[ident] = Attempt(now, due, once, work, node)
 
     def answered(self, ident: int, now: int, word: str) -> None:
         self.tries[ident].answers.append((now, word))
--- a/oakkeel/emulator/machines.py
+++ b/oakkeel/emulator/machines.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-from oakkeel.emulator.clock import Clock, Happening
+from oakkeel.emulator.clock import Clock, ScheduledEvent
 
 
 class Task:
@@ -31,7 +31,7 @@
         self.served = self.busy = 0.0  # service that each task had; nanoseconds of busy cores
         self.at, self.order = clock.now, 0
         self.heap: list[tuple[float, int, Task]] = []
-        self.next: Happening | None = None
+        self.next: ScheduledEvent | None = None
 
     def speed(self) -> float:
         """Of one task, by now."""
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -5,42 +5,42 @@
 from collections.abc import Callable
 from random import Random
 
-from oakkeel.admission import Keel
-from oakkeel.admission.types import Exchange, Gauges, NodeLimits, Outcome
+from oakkeel.admission import AdmissionController
+from oakkeel.admission.types import Request, Gauges, NodeLimits, Outcome
 from oakkeel.emulator.clock import Clock
-from oakkeel.emulator.invariants import Audit
+from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.machines import Machine, Task
 
 MS = 1_000_000
 Answer = Callable[[str, int], None]  # a word, and the time to stay away
 
 
-class Open:
+class OpenRequest:
     """One exchange on a node, with what becomes of it on the machine."""
 
     __slots__ = ("answer", "answered", "arrived", "ex", "ident", "task", "work")
 
-    def __init__(self, ident: int, ex: Exchange, work: float, answer: Answer, arrived: int) -> None:
+    def __init__(self, ident: int, ex: Request, work: float, answer: Answer, arrived: int) -> None:
         self.ident, self.ex, self.work, self.answer, self.arrived = ident, ex, work, answer, arrived
         self.answered = False
         self.task: Task | None = None
 
 
-class Node:
-    """`Host` for its `Keel`. Reading costs `reading` nanoseconds of a core for each exchange."""
+class SimulatedNode:
+    """`Host` for its `AdmissionController`. Reading costs `reading` nanoseconds of a core for each exchange."""
 
     def __init__(
-        self, name: str, clock: Clock, limits: NodeLimits, seed: int, audit: Audit, reading: int = 200_000
+        self, name: str, clock: Clock, limits: NodeLimits, seed: int, audit: RuleAudit, reading: int = 200_000
     ) -> None:
         self.name, self.clock, self.audit, self.reading = name, clock, audit, reading
         self.limits, self.chance = limits, Random(seed)
         self.machine = Machine(clock, limits.cores)
-        self.open: dict[Exchange, Open] = {}
+        self.open: dict[Request, OpenRequest] = {}
         self.runs = 0  # on the cores
         self.alive, self.healthy, self.settling = True, True, False
         self.advice: float | None = None
         self.polled = (0.0, clock.now)
-        self.keel = Keel(self, limits, seed, clock.now)  # type: ignore[arg-type]  # the rest is __getattr__
+        self.keel = AdmissionController(self, limits, seed, clock.now)  # type: ignore[arg-type]  # the rest is __getattr__
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         """What of `Host` has no meaning on a simulated machine: connections, remarks, repeats."""
@@ -50,20 +50,20 @@
 
     # What the network brings.
 
-    def receive(self, ident: int, ex: Exchange, work: float, answer: Answer) -> None:
+    def receive(self, ident: int, ex: Request, work: float, answer: Answer) -> None:
         """An exchange reached the machine; it has to be read first."""
         if not self.alive:
             return
         arrived = self.clock.now
-        self.machine.start(self.reading, lambda: self._read(Open(ident, ex, work, answer, arrived)))
+        self.machine.start(self.reading, lambda: self._read(OpenRequest(ident, ex, work, answer, arrived)))
 
-    def _read(self, opened: Open) -> None:
+    def _read(self, opened: OpenRequest) -> None:
         opened.ex.backlog += self.clock.now - opened.arrived
         self.open[opened.ex] = opened
         self.keel.arrive(self.clock.now, opened.ex)
         self._settle_soon()
 
-    def gone(self, ex: Exchange) -> None:
+    def gone(self, ex: Request) -> None:
         """Its caller gave up."""
         if self.alive and (opened := self.open.get(ex)) and not opened.answered:
             opened.answered = True
@@ -84,7 +84,7 @@
 
     # Host.
 
-    def run(self, ex: Exchange) -> None:
+    def run(self, ex: Request) -> None:
         opened = self.open[ex]
         self.audit.arrived_and_ran(opened.ident, opened.arrived)
         opened.task = self.machine.start(opened.work, lambda: self._done(opened))
@@ -93,7 +93,7 @@
         if self.runs / self.limits.cores > 1 + (self.limits.crowd_multiple - 1) * warm:
             self.audit.fell(self.name, f"{self.runs / self.limits.cores:.1f} runs a core")
 
-    def _done(self, opened: Open) -> None:
+    def _done(self, opened: OpenRequest) -> None:
         if not self.alive:
             return
         self.runs -= 1
@@ -103,34 +103,34 @@
         self._over(opened)
         self._settle_soon()
 
-    def stop(self, ex: Exchange) -> None:
+    def stop(self, ex: Request) -> None:
         opened = self.open[ex]
         if opened.task and opened.task.counted:
             self.machine.stop(opened.task)
             self.runs -= 1
             self.clock.after(0, self._stopped, opened)
 
-    def _stopped(self, opened: Open) -> None:
+    def _stopped(self, opened: OpenRequest) -> None:
         if self.alive:
             self.keel.run_done(self.clock.now, opened.ex, Outcome.STOPPED, 0)
             self._over(opened)
             self._settle_soon()
 
-    def deny(self, ex: Exchange, last: bool, retry_after: int) -> None:
+    def deny(self, ex: Request, last: bool, retry_after: int) -> None:
         opened = self.open[ex]
         self._answer(opened, "denied", retry_after)
         if opened.task is None:
             self._over(opened)
 
-    def terminate(self, ex: Exchange) -> None:
+    def terminate(self, ex: Request) -> None:
         self._answer(self.open[ex], "terminated", 0)
 
-    def _answer(self, opened: Open, word: str, retry_after: int) -> None:
+    def _answer(self, opened: OpenRequest, word: str, retry_after: int) -> None:
         if not opened.answered:
             opened.answered = True
             opened.answer(word, retry_after)
 
-    def _over(self, opened: Open) -> None:
+    def _over(self, opened: OpenRequest) -> None:
         self.open.pop(opened.ex, None)
 
     def set_timer(self, token: int, at: int) -> None:
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -9,24 +9,24 @@
 from random import Random
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import Terms
-from oakkeel.disruption.state_machine import Refusal
+from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.disruption.state_machine import Rejection
 from oakkeel.emulator.clock import Clock
-from oakkeel.invariants.policy_change import ChangeAudit
-from oakkeel.policy_change.coordinator import Changing, Heard, Told
-from oakkeel.policy_change.policy_lease import AgentPolicy, NodePolicy
-from oakkeel.policy_change.state_machine import Propose, Register, Withdraw
+from oakkeel.invariants.policy_change import PolicyChangeAudit
+from oakkeel.policy_change.coordinator import PolicyCoordinator, PolicyAssignment, AgentReport
+from oakkeel.policy_change.policy_lease import AgentPolicyLease, NodePolicyLease
+from oakkeel.policy_change.state_machine import ProposePolicy, PolicyStateMachine, WithdrawPolicy
 
 MS = 1_000_000
 SECOND = 1000 * MS
-TERMS = Terms()
+TERMS = PermitTimeouts()
 POLL, TELL, DECIDE = 150 * MS, 50 * MS, 40 * MS
 
 
-class Node:
-    def __init__(self, host: Host, name: str) -> None:
+class PolicyNode:
+    def __init__(self, host: PolicyHost, name: str) -> None:
         self.host, self.name = host, name
-        self.policy, self.stopped, self.life = NodePolicy(), False, 0
+        self.policy, self.stopped, self.life = NodePolicyLease(), False, 0
         self.came: list[tuple[int, int]] = []
         host.agent.node_there(name)
         host.world.clock.after(host.random.randrange(DECIDE), self.decide, 0)
@@ -34,7 +34,7 @@
     def start(self) -> None:
         """Another process: it knows nothing."""
         self.life += 1
-        self.policy, self.came, self.stopped = NodePolicy(), [], False
+        self.policy, self.came, self.stopped = NodePolicyLease(), [], False
         self.host.agent.node_gone(self.name)
         self.host.agent.node_there(self.name)
         self.host.world.clock.after(DECIDE, self.decide, self.life)
@@ -55,13 +55,13 @@
         world.clock.after(self.host.random.randrange(DECIDE // 4, DECIDE), self.decide, life)
 
 
-class Host:
-    def __init__(self, world: World, name: str) -> None:
+class PolicyHost:
+    def __init__(self, world: PolicySimulation, name: str) -> None:
         self.world, self.name = world, name
         self.random = Random(f"{world.seed} {name}")
         self.rate, self.offset = 1 + self.random.uniform(-0.018, 0.018), self.random.randrange(10 * SECOND)
-        self.agent, self.stopped, self.life = AgentPolicy(), False, 0
-        self.nodes = [Node(self, f"{name}n{number}") for number in range(2)]
+        self.agent, self.stopped, self.life = AgentPolicyLease(), False, 0
+        self.nodes = [PolicyNode(self, f"{name}n{number}") for number in range(2)]
         self.bad = 0  # a proposed version that one of its nodes can't take
         world.clock.after(self.random.randrange(POLL), self.poll, 0)
         world.clock.after(self.random.randrange(TELL), self.tell, 0)
@@ -72,7 +72,7 @@
     def start(self) -> None:
         """Its agent anew; the nodes go on as they were told."""
         self.life += 1
-        self.agent, self.stopped = AgentPolicy(), False
+        self.agent, self.stopped = AgentPolicyLease(), False
         for node in self.nodes:
             self.agent.node_there(node.name)
         self.world.clock.after(POLL, self.poll, self.life)
@@ -89,7 +89,7 @@
             self.world.send(self.name, self.world.asked, self, life, sent_at, true, agent.told())
         self.world.clock.after(POLL, self.poll, life)
 
-    def answered(self, life: int, sent_at: int, heard: Heard) -> None:
+    def answered(self, life: int, sent_at: int, heard: PolicyAssignment) -> None:
         if life != self.life:
             return
         if self.stopped:
@@ -108,17 +108,17 @@
         self.world.clock.after(TELL, self.tell, life)
 
 
-class World:
+class PolicySimulation:
     def __init__(self, seed: int, hosts: int = 4, troubles: int = 10, lasts: int = 40 * SECOND) -> None:
-        self.seed, self.clock, self.audit = seed, Clock(), ChangeAudit()
+        self.seed, self.clock, self.audit = seed, Clock(), PolicyChangeAudit()
         self.random, self.lasts = Random(seed), lasts
-        self.index, self.register = 0, Register()
+        self.index, self.register = 0, PolicyStateMachine()
         self.names = tuple(f"h{number}" for number in range(hosts))
         self.cut: dict[str, int] = {}
         self.slow_until = 0
-        self.leader: Changing | None = None
+        self.leader: PolicyCoordinator | None = None
         self.leaders = 0
-        self.hosts = {name: Host(self, name) for name in self.names}
+        self.hosts = {name: PolicyHost(self, name) for name in self.names}
         self.clock.at(100 * MS, self.lead)
         self.clock.at(200 * MS, self.tick)
         kinds = (
@@ -158,7 +158,7 @@
 
     def lead(self) -> None:
         self.leaders += 1
-        self.leader = Changing(self.clock.now, self.register, self.names, TERMS)
+        self.leader = PolicyCoordinator(self.clock.now, self.register, self.names, TERMS)
 
     def tick(self) -> None:
         if self.leader:
@@ -174,7 +174,7 @@
             delay += self.random.randrange(1800 * MS)
         self.clock.after(delay, act, *words)
 
-    def asked(self, host: Host, life: int, sent_at: int, true: int, told: Told) -> None:
+    def asked(self, host: PolicyHost, life: int, sent_at: int, true: int, told: AgentReport) -> None:
         """`true`: when it was said; an echo of the leader's stamp shows no later time."""
         if self.leader is None:
             return
@@ -198,7 +198,7 @@
         elif kind == "slow":
             self.slow_until = now + lasts
         elif kind in ("node stops", "agent stops"):
-            it: Node | Host = node if kind == "node stops" else host
+            it: PolicyNode | PolicyHost = node if kind == "node stops" else host
             it.stopped = True
             self.clock.after(lasts, setattr, it, "stopped", False)
         elif kind == "node dies":
@@ -207,12 +207,12 @@
             host.start()
         elif kind == "propose":
             held = self.register.held
-            self.apply(Propose(f"c{now}", "asha", 0, "", held.decided, b"%d" % now))
+            self.apply(ProposePolicy(f"c{now}", "asha", 0, "", held.decided, b"%d" % now))
         elif kind == "withdraw" and self.register.proposed:
-            self.apply(Withdraw(self.register.proposed.number, "ravi"))
+            self.apply(WithdrawPolicy(self.register.proposed.number, "ravi"))
         elif kind == "bad":
-            result = self.apply(Propose(f"b{now}", "ravi", 0, "", self.register.held.decided, b"bad"))
-            if not isinstance(result, Refusal):
+            result = self.apply(ProposePolicy(f"b{now}", "ravi", 0, "", self.register.held.decided, b"bad"))
+            if not isinstance(result, Rejection):
                 host.bad = result.number  # type: ignore[attr-defined]
 
     def run(self) -> list[str]:
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -9,16 +9,16 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.admission.types import AdviceKind, Below, Effect, EndpointGroup, NodeLimits, StopKind
-from oakkeel.emulator.clients import Dispatcher, Manners
+from oakkeel.admission.types import LoadReportKind, DownstreamKind, Effect, RequestClass, NodeLimits, StopKind
+from oakkeel.emulator.clients import Dispatcher, ClientBehavior
 from oakkeel.emulator.clock import SECOND, Clock
-from oakkeel.emulator.invariants import Audit
-from oakkeel.emulator.nodes import MS, Node
+from oakkeel.emulator.invariants import RuleAudit
+from oakkeel.emulator.nodes import MS, SimulatedNode
 
 LISTED = SECOND  # until dispatchers see a change of the fleet
 
 
-class Trouble(Enum):
+class FaultKind(Enum):
     SLOW = "slow"  # a node at `size` of its speed
     STILL = "still"  # a node stands still
     DIE = "die"  # a node ends without a word, and a cold one takes its place
@@ -27,10 +27,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Event:
+class FaultEvent:
     """A trouble from a second on, for so many; troubles may overlap."""
 
-    kind: Trouble
+    kind: FaultKind
     at: float
     lasts: float = 5.0
     size: float = 0.5
@@ -38,35 +38,35 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Group:
+class RequestClassSpec:
     benefit: float
     work: int  # nanoseconds of a core
     slo: int
     effect: Effect = Effect.REPEATABLE
 
 
-GROUPS = (
-    Group(5.0, 30 * MS, 800 * MS),
-    Group(1.0, 8 * MS, 400 * MS),
-    Group(2.0, 15 * MS, 600 * MS, Effect.MUTATING),
+REQUEST_CLASSES = (
+    RequestClassSpec(5.0, 30 * MS, 800 * MS),
+    RequestClassSpec(1.0, 8 * MS, 400 * MS),
+    RequestClassSpec(2.0, 15 * MS, 600 * MS, Effect.MUTATING),
 )
 
 
 @dataclass(slots=True, frozen=True)
-class Day:
+class Scenario:
     nodes: int = 4
     cores: int = 4
     load: float = 0.8  # of what all cores can do, in the mean
     seconds: float = 20.0
     dispatchers: int = 4
-    groups: tuple[Group, ...] = GROUPS
-    manners: Manners = Manners()
-    events: tuple[Event, ...] = ()
+    groups: tuple[RequestClassSpec, ...] = REQUEST_CLASSES
+    manners: ClientBehavior = ClientBehavior()
+    events: tuple[FaultEvent, ...] = ()
     seed: int = 1
 
 
 @dataclass(slots=True)
-class Result:
+class ScenarioResult:
     """What came of a day; the same day gives the same bytes of `record`."""
 
     asked: int
@@ -84,11 +84,11 @@
         return hashlib.sha256(self.record()).hexdigest()[:16]
 
 
-class Played:
+class ScenarioRun:
     """A day being played."""
 
-    def __init__(self, day: Day) -> None:
-        self.day, self.clock, self.audit = day, Clock(), Audit()
+    def __init__(self, day: Scenario) -> None:
+        self.day, self.clock, self.audit = day, Clock(), RuleAudit()
         self.random = Random(day.seed)
         self.made = 0
         self.nodes = [self._node(cold=False) for _ in range(day.nodes)]
@@ -109,7 +109,7 @@
 
     def _limits(self, cold: bool) -> NodeLimits:
         groups = [
-            EndpointGroup(number, each.effect, each.benefit, each.slo, 3 * each.slo, 0, 0.0, 0.0)
+            RequestClass(number, each.effect, each.benefit, each.slo, 3 * each.slo, 0, 0.0, 0.0)
             for number, each in enumerate(self.day.groups)
         ]
         return NodeLimits(
@@ -126,31 +126,31 @@
             max_retry_after=SECOND,
             stop_kind=StopKind.ABORT,
             peers=self.day.nodes,
-            below=Below.NOTHING,
+            below=DownstreamKind.NOTHING,
             call_share=0.0,
             call_window=SECOND,
             call_linger=0,
             fresh=0,
             idle=15 * SECOND,
-            advice=AdviceKind.SILENT,
+            advice=LoadReportKind.SILENT,
             over_share=1.0,
             groups=groups,
             tenants=[],
         )
 
-    def _node(self, cold: bool) -> Node:
+    def _node(self, cold: bool) -> SimulatedNode:
         self.made += 1
-        node = Node(f"n{self.made}", self.clock, self._limits(cold), self.random.getrandbits(60), self.audit)
+        node = SimulatedNode(f"n{self.made}", self.clock, self._limits(cold), self.random.getrandbits(60), self.audit)
         if cold:
             for step in range(8):  # warmer each second
                 self.clock.after(step * SECOND, self._warm, node, 0.3 + 0.7 * step / 8)
             self.clock.after(8 * SECOND, self._warm, node, 1.0)
         return node
 
-    def _warm(self, node: Node, factor: float) -> None:
+    def _warm(self, node: SimulatedNode, factor: float) -> None:
         node.machine.change(factor)
 
-    def play(self) -> Result:
+    def play(self) -> ScenarioResult:
         for caller in self.callers:
             caller.list(self.nodes)
             caller.start(self.rate)
@@ -162,19 +162,19 @@
         self.clock.run(self.clock.now + 10 * SECOND)  # what was sent is owed its answer
         return self._result()
 
-    def _begin(self, event: Event) -> None:
+    def _begin(self, event: FaultEvent) -> None:
         node = self.nodes[event.node % len(self.nodes)]
         until = self.clock.now + int(event.lasts * SECOND)
-        if event.kind is Trouble.FLOOD:
+        if event.kind is FaultKind.FLOOD:
             for caller in self.callers:
                 caller.start(self.rate * event.size)
                 self.clock.at(until, caller.start, self.rate)
-        elif event.kind in (Trouble.SLOW, Trouble.STILL):
-            node.machine.change(event.size if event.kind is Trouble.SLOW else 0.0)
+        elif event.kind in (FaultKind.SLOW, FaultKind.STILL):
+            node.machine.change(event.size if event.kind is FaultKind.SLOW else 0.0)
             self.clock.at(until, node.machine.change, 1.0)
-            if event.kind is Trouble.STILL:
+            if event.kind is FaultKind.STILL:
                 self.clock.at(until, self.audit.stood_still, node.name, self.clock.now, until)
-        elif event.kind is Trouble.DIE:
+        elif event.kind is FaultKind.DIE:
             node.die()
             self._replace(node)
         else:
@@ -182,11 +182,11 @@
                 wait = int(number * event.lasts * SECOND / max(1.0, event.size))
                 self.clock.after(wait, self._release, self.nodes[number % len(self.nodes)])
 
-    def _release(self, node: Node) -> None:
+    def _release(self, node: SimulatedNode) -> None:
         node.leave(5 * SECOND)
         self._replace(node)
 
-    def _replace(self, node: Node) -> None:
+    def _replace(self, node: SimulatedNode) -> None:
         self.nodes[self.nodes.index(node)] = self._node(cold=True)
         self.clock.after(LISTED, self._list)
 
@@ -194,7 +194,7 @@
         for caller in self.callers:
             caller.list(self.nodes)
 
-    def _result(self) -> Result:
+    def _result(self) -> ScenarioResult:
         counts: Counter[str] = Counter()
         for caller in self.callers:
             counts.update(caller.counts)
@@ -204,7 +204,7 @@
             for share in (0.5, 0.9, 0.99)
         }
         mean = sum(each.benefit for each in self.day.groups) / len(self.day.groups)
-        return Result(
+        return ScenarioResult(
             counts["asked"],
             round(sum(each.benefit for each in self.callers), 6),
             round(counts["asked"] * mean, 6),
@@ -215,5 +215,5 @@
         )
 
 
-def play(day: Day) -> Result:
-    return Played(day).play()
+def play(day: Scenario) -> ScenarioResult:
+    return ScenarioRun(day).play()
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -14,10 +14,10 @@
 
 from oakkeel.admission.types import Outcome
 from oakkeel.line_protocol import LineParser, milliseconds, number
-from oakkeel.log import Log, fault
-from oakkeel.request import Event, LiveExchange
-from oakkeel.resource_limits import SECOND, Bounds
-from oakkeel.stream_buffers import BufferPool, Malformed, ReadBuffer, connect, send
+from oakkeel.log import EventLog, fault
+from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, send
 
 WITH_BODY = frozenset({(0, b"DONE"), (0, b"NEED")})
 ENDS = {
@@ -33,7 +33,7 @@
     """A command whose effect may still be lost with the link."""
 
     line: bytes
-    ex: LiveExchange | None  # None for a mark: the gauges were asked for here
+    ex: NodeRequest | None  # None for a mark: the gauges were asked for here
     verb: bytes
     heard: int = 0  # the number of the last notice for the exchange when it was given
     written: bool = False
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class GaugeRequest:
     """Gauges that were asked for: whoever waits for them, and the mark among the commands."""
 
     future: asyncio.Future[list[float]]
@@ -80,16 +80,16 @@
         self,
         address: tuple[str, int],
         pool: BufferPool,
-        bounds: Bounds,
-        log: Log,
+        bounds: ResourceLimits,
+        log: EventLog,
         started: Callable[[bool, int], None],
     ) -> None:
         self.address, self.pool, self.bounds, self.log, self.started = address, pool, bounds, log, started
-        self.runs: dict[bytes, LiveExchange] = {}
+        self.runs: dict[bytes, NodeRequest] = {}
         self.unconfirmed: deque[Command] = deque()
         self.marks: deque[tuple[int, Command]] = deque()  # with the time when the engine had read so far
-        self.doubtful: dict[LiveExchange, int] = {}  # their run may be lost; when they were seen answered
-        self.asked: dict[bytes, Asked] = {}  # gauges, by tag, the oldest first
+        self.doubtful: dict[NodeRequest, int] = {}  # their run may be lost; when they were seen answered
+        self.asked: dict[bytes, GaugeRequest] = {}  # gauges, by tag, the oldest first
         self.tags = count(1)
         self.heard = 0  # the number of the last notice read
         self.up = False  # the engine has said how it started
@@ -127,7 +127,7 @@
                     await asyncio.sleep(0)  # one that always has more to say must not keep the loop
             except StreamClosedError:
                 pass
-            except Malformed as error:
+            except MalformedInputError as error:
                 self.log.say("the engine's link can't be read", error=str(error))
             except Exception as error:  # a node without its engine's notices would answer nothing more
                 self.log.say("the engine's link failed", error=fault(error))
@@ -164,21 +164,21 @@
 
     # Commands.
 
-    def run(self, ex: LiveExchange) -> None:
+    def run(self, ex: NodeRequest) -> None:
         ex.in_engine = ex.ran = True
         self.runs[ex.ident] = ex
         self._command(ex, b"RUN", b"%s %d" % (ex.group_name, len(ex.body)), ex.body)
 
-    def halt(self, ex: LiveExchange) -> None:
+    def halt(self, ex: NodeRequest) -> None:
         self._command(ex, b"HALT")
 
-    def feed(self, ex: LiveExchange, reply: bytes) -> None:
+    def feed(self, ex: NodeRequest, reply: bytes) -> None:
         self._command(ex, b"FEED", b"%d" % len(reply), reply)
 
-    def skip(self, ex: LiveExchange, notice: int) -> None:
+    def skip(self, ex: NodeRequest, notice: int) -> None:
         self._command(ex, b"SKIP", b"%d" % notice)
 
-    def _command(self, ex: LiveExchange, verb: bytes, rest: bytes = b"", body: bytes | None = None) -> None:
+    def _command(self, ex: NodeRequest, verb: bytes, rest: bytes = b"", body: bytes | None = None) -> None:
         line = b" ".join((verb, ex.ident, rest)).rstrip() + b"\r\n"
         if body is not None:
             line += body + b"\r\n"
@@ -208,7 +208,7 @@
         self._settle_doubts(now)
         tag = b"%d" % next(self.tags)
         mark = Command(b"STAT %s\r\n" % tag, None, b"STAT")
-        asked = Asked(asyncio.get_running_loop().create_future(), mark, now)
+        asked = GaugeRequest(asyncio.get_running_loop().create_future(), mark, now)
         self.asked[tag] = asked
         self._send(mark)
         return asked.future
@@ -243,19 +243,19 @@
                     self._done(words[2], ENDS[words[3]], milliseconds(words[4]), body)
                 elif verb == b"NEED" and (ex := self.runs.get(words[2])):
                     ex.heard = numbered
-                    ex.tell(Event.NEED, numbered, body)
+                    ex.tell(RequestEvent.NEED, numbered, body)
             elif verb == b"NO":
                 self._not_carried_out(words[1], words[2])
             else:
-                raise Malformed(f"an unknown notice {verb[:20]!r}")
+                raise MalformedInputError(f"an unknown notice {verb[:20]!r}")
         except (IndexError, KeyError, ValueError) as error:
-            raise Malformed(f"a notice {b' '.join(words)[:60]!r}") from error
+            raise MalformedInputError(f"a notice {b' '.join(words)[:60]!r}") from error
 
     def _done(self, ident: bytes, outcome: Outcome, spent: int, result: bytes) -> None:
         if ex := self.runs.pop(ident, None):
             ex.in_engine = False
             ex.ran = outcome is not Outcome.MOOT
-            ex.tell(Event.DONE, outcome, result, spent)
+            ex.tell(RequestEvent.DONE, outcome, result, spent)
 
     def _not_carried_out(self, verb: bytes, ident: bytes) -> None:
         """A run that the engine does not know is over; of the other commands nothing hangs on."""
@@ -299,7 +299,7 @@
 
     def _stats(self, tag: bytes, values: list[float]) -> None:
         if not all(0 <= value < 1e12 for value in values):
-            raise Malformed(f"gauges {values}")  # the decisions would go by them
+            raise MalformedInputError(f"gauges {values}")  # the decisions would go by them
         now = time.monotonic_ns()
         if tag == self.barrier:
             self.barrier = b""
--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -19,8 +19,8 @@
 REBASE = 40.0  # halvings after which all counts are brought back to scale
 
 
-class Sender:
-    """One that has a place. Its sums are in the scale of their table: ask `HeavySenders` for rates."""
+class Flow:
+    """One that has a place. Its sums are in the scale of their table: ask `HeavyHitters` for rates."""
 
     __slots__ = ("allowed", "count", "error", "free_at", "key", "label", "parent", "rest", "retries")
 
@@ -32,25 +32,25 @@
         self.allowed, self.free_at, self.rest = math.inf, 0, 1.0
 
 
-class HeavySenders:
+class HeavyHitters:
     """Keys are whole numbers that nobody can choose: a keyed hash of whatever names a sender."""
 
     def __init__(self, most: int, half: int) -> None:
         """`half` in nanoseconds: the age at which what was sent counts half."""
         self.most, self.half = most, half
-        self.senders: dict[int, Sender] = {}
+        self.senders: dict[int, Flow] = {}
         self.heap: list[tuple[float, int]] = []  # a count that is not over the sender's, and its key
         self.landmark, self.sum = 0, 0.0
 
     def add(
         self, now: int, key: int, weight: float, retry: bool = False, label: bytes = b"", parent: Any = None
-    ) -> Sender:
+    ) -> Flow:
         """Count what a sender sent; returns its place. `parent` is kept as it was when it got the place."""
         scaled = weight * self.scale(now)
         self.sum += scaled
         sender = self.senders.get(key)
         if sender is None:
-            sender = Sender(key, label, parent)
+            sender = Flow(key, label, parent)
             if len(self.senders) < self.most:
                 heappush(self.heap, (scaled, key))
             else:
@@ -64,11 +64,11 @@
             sender.retries += scaled
         return sender
 
-    def rate(self, now: int, sender: Sender) -> float:
+    def rate(self, now: int, sender: Flow) -> float:
         """At least what it sends a second, of late: never more than it did."""
         return (sender.count - sender.error) * self._a_second(now)
 
-    def retry_rate(self, now: int, sender: Sender) -> float:
+    def retry_rate(self, now: int, sender: Flow) -> float:
         """The part of it that was further tries."""
         return sender.retries * self._a_second(now)
 
@@ -103,7 +103,7 @@
         self.heap = [(sender.count, sender.key) for sender in self.senders.values()]
         heapify(self.heap)
 
-    def _least(self) -> Sender:
+    def _least(self) -> Flow:
         """The one with the least count. Counts only grow, so one that is behind in the heap goes back in."""
         while True:
             count, key = self.heap[0]
--- a/oakkeel/fair_sharing/keys.py
+++ b/oakkeel/fair_sharing/keys.py
@@ -9,7 +9,7 @@
 SECRET, LABEL = 32, 40  # bytes; what is kept of a name, for people
 
 
-class SenderKeys:
+class FlowKeys:
     """Makes the keys and labels of an exchange's senders from the values of its fields."""
 
     def __init__(self, secret: bytes, fields: tuple[bytes, ...]) -> None:
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -11,32 +11,32 @@
 from collections.abc import Mapping, Sequence
 from math import inf
 
-from oakkeel.fair_sharing.heavy_hitters import HeavySenders, Sender
+from oakkeel.fair_sharing.heavy_hitters import HeavyHitters, Flow
 
 
-class Levels:
+class MaxMinShares:
     """The tables of senders, the outermost level first."""
 
     def __init__(self, levels: int, places: int, half: int, weights: Mapping[bytes, float]) -> None:
-        self.tables = [HeavySenders(places, half) for _ in range(levels)]
+        self.tables = [HeavyHitters(places, half) for _ in range(levels)]
         self.weights = weights
         self.rest = 1.0  # the share that those keep who have no place at the outermost level
 
-    def count(self, now: int, who: Sequence[tuple[int, bytes]], work: float, retry: bool) -> Sender:
+    def count(self, now: int, who: Sequence[tuple[int, bytes]], work: float, retry: bool) -> Flow:
         """Count work with its sender at each level; returns the innermost. `who` holds keys and labels."""
-        sender: Sender | None = None
+        sender: Flow | None = None
         for table, (key, label) in zip(self.tables, who, strict=True):
             sender = table.add(now, key, work, retry, label, sender)
         if sender is None:
             raise ValueError("an exchange of nobody")
         return sender
 
-    def known(self, now: int, sender: Sender) -> bool:
+    def known(self, now: int, sender: Flow) -> bool:
         """Whether it certainly sends more than one without a place could."""
         table = self.tables[-1]
         return table.rate(now, sender) >= table.error(now)
 
-    def kept_of_rest(self, sender: Sender) -> float:
+    def kept_of_rest(self, sender: Flow) -> float:
         """The share of what it sends that one not known keeps."""
         return sender.parent.rest if sender.parent else self.rest
 
@@ -46,7 +46,7 @@
         self.rest = self._share(now, outer, list(outer.senders.values()), outer.total(now), whole)
         if len(self.tables) == 1:
             return
-        within: dict[Sender, list[Sender]] = {sender: [] for sender in outer.senders.values()}
+        within: dict[Flow, list[Flow]] = {sender: [] for sender in outer.senders.values()}
         for sender in self.tables[1].senders.values():
             within.setdefault(sender.parent, []).append(sender)
         for parent, senders in within.items():
@@ -57,7 +57,7 @@
             )
 
     def _share(
-        self, now: int, table: HeavySenders, senders: list[Sender], asked: float, whole: float
+        self, now: int, table: HeavyHitters, senders: list[Flow], asked: float, whole: float
     ) -> float:
         """What each of them may have; returns the share that those not known keep."""
         for sender in senders:
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from oakkeel.fair_sharing.heavy_hitters import HeavySenders
-from oakkeel.fair_sharing.max_min import Levels
-from oakkeel.fair_sharing.reservations import Promise, Promises
+from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
+from oakkeel.fair_sharing.max_min import MaxMinShares
+from oakkeel.fair_sharing.reservations import Reservation, Reservations
 
 YOUNG = 60_000_000_000  # nanoseconds: an older one tells nothing of now
 
 
-class SenderKept(msgspec.Struct, array_like=True):
+class FlowRecord(msgspec.Struct, array_like=True):
     key: int
     label: bytes
     parent: int  # key at the level outside; 0: none
@@ -19,30 +19,30 @@
     retries: float
 
 
-class PromiseKept(msgspec.Struct, array_like=True):
+class ReservationRecord(msgspec.Struct, array_like=True):
     key: int
     after: int  # nanoseconds from when it was kept
     work: float
 
 
-class FairKept(msgspec.Struct, array_like=True):
+class FairSharingSnapshot(msgspec.Struct, array_like=True):
     written: int  # Unix nanoseconds
     by: list[str]
     secret: bytes
-    levels: list[list[SenderKept]]
-    promises: list[PromiseKept]
+    levels: list[list[FlowRecord]]
+    promises: list[ReservationRecord]
 
 
-class Unfit(ValueError):
+class SnapshotRejectedError(ValueError):
     """It is from the future, too old, or of other settings; the text says which."""
 
 
-def kept(
-    now: int, unix: int, by: tuple[str, ...], secret: bytes, levels: Levels, promises: Promises
+def encode_snapshot(
+    now: int, unix: int, by: tuple[str, ...], secret: bytes, levels: MaxMinShares, promises: Reservations
 ) -> bytes:
     tables = [
         [
-            SenderKept(
+            FlowRecord(
                 each.key,
                 each.label,
                 each.parent.key if each.parent else 0,
@@ -54,30 +54,30 @@
         for table in levels.tables
     ]
     ahead = [
-        PromiseKept(each.key, each.at - now, each.work)
+        ReservationRecord(each.key, each.at - now, each.work)
         for found in promises.open.values()
         for each in found
         if each.at > now
     ]
-    return msgspec.msgpack.encode(FairKept(unix, list(by), secret, tables, ahead))
+    return msgspec.msgpack.encode(FairSharingSnapshot(unix, list(by), secret, tables, ahead))
 
 
-def read(content: bytes, unix: int, by: tuple[str, ...]) -> FairKept:
+def decode_snapshot(content: bytes, unix: int, by: tuple[str, ...]) -> FairSharingSnapshot:
     """Raises Unfit, also for bytes that are none of ours."""
     try:
-        found = msgspec.msgpack.decode(content, type=FairKept)
+        found = msgspec.msgpack.decode(content, type=FairSharingSnapshot)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise Unfit(f"not readable: {error}") from None
+        raise SnapshotRejectedError(f"not readable: {error}") from None
     if found.written > unix + 1_000_000_000:
-        raise Unfit("from the future")
+        raise SnapshotRejectedError("from the future")
     if unix - found.written > YOUNG:
-        raise Unfit(f"{(unix - found.written) // 1_000_000_000} s old")
+        raise SnapshotRejectedError(f"{(unix - found.written) // 1_000_000_000} s old")
     if tuple(found.by) != by:
-        raise Unfit(f"of senders by {' '.join(found.by)}")
+        raise SnapshotRejectedError(f"of senders by {' '.join(found.by)}")
     return found
 
 
-def take_up(found: FairKept, now: int, unix: int, levels: Levels, promises: Promises) -> None:
+def restore_snapshot(found: FairSharingSnapshot, now: int, unix: int, levels: MaxMinShares, promises: Reservations) -> None:
     """Fill empty measures: who was heavy still is, as much as its age has left, and promises hold."""
     age = max(0, unix - found.written)
     outer: dict[int, object] = {}
@@ -88,10 +88,10 @@
         outer = inner
     for each in found.promises:
         if (at := now + each.after - age) > now and promises.count < promises.most:
-            promises.restore(Promise(each.key, at, each.work))
+            promises.restore(Reservation(each.key, at, each.work))
 
 
-def _restore(table: HeavySenders, row: SenderKept, now: int, age: int, parent: object) -> object:
+def _restore(table: HeavyHitters, row: FlowRecord, now: int, age: int, parent: object) -> object:
     weight = 0.5 ** (age / table.half) * table.half / (0.6931471805599453 * 1e9)  # of a rate: its fading sum
     sender = table.add(now, row.key, row.rate * weight, False, row.label, parent)
     sender.retries = row.retries * weight * table.scale(now)
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Promise:
+class Reservation:
     """One sender may come at `at` and go ahead. Nanoseconds."""
 
     key: int
@@ -22,15 +22,15 @@
     early: int = 0  # how often it came before its time
 
 
-class Promises:
+class Reservations:
     def __init__(self, step: int, steps: int, most: int) -> None:
         """`steps` of `step` nanoseconds ahead can be booked, with `most` promises open at one time."""
         self.step, self.steps, self.most = step, steps, most
         self.marks, self.booked = [-1] * steps, [0.0] * steps
-        self.open: dict[int, list[Promise]] = {}  # by sender, each list with the soonest first
+        self.open: dict[int, list[Reservation]] = {}  # by sender, each list with the soonest first
         self.notes = self.count = self.made = self.kept = self.broken = self.lapsed = 0
 
-    def due(self, now: int, key: int, early: int, late: int) -> Promise | None:
+    def due(self, now: int, key: int, early: int, late: int) -> Reservation | None:
         """The sender's promise whose time it is, give or take; those whose time is over are dropped.
 
         The nearest, as others of the sender may never be come for: their exchange was given up.
@@ -46,11 +46,11 @@
                 found = promise
         return found
 
-    def ahead(self, key: int) -> Promise | None:
+    def ahead(self, key: int) -> Reservation | None:
         """The sender's last promise that has room behind it."""
         return next((each for each in reversed(self.open.get(key, ())) if each.work), None)
 
-    def book(self, now: int, not_before: int, key: int, work: float, room: float) -> Promise | None:
+    def book(self, now: int, not_before: int, key: int, work: float, room: float) -> Reservation | None:
         """The first step with room for that work from then on; None where there is none, or no place."""
         if self.count >= self.most:
             self._drop_lapsed(now)
@@ -64,7 +64,7 @@
             # One that is larger than a whole step gets a step of its own.
             if self.booked[place] + work <= room or not self.booked[place]:
                 self.made += 1
-                promise = Promise(key, mark * self.step, work)
+                promise = Reservation(key, mark * self.step, work)
                 self.restore(promise)
                 return promise
         return None
@@ -72,13 +72,13 @@
     def note(self, at: int, key: int) -> None:
         """A time told with no room behind it, so that coming then is not taken for coming early."""
         if self.notes < MORE_NOTES * self.most and len(self.open.get(key, ())) < NOTES:
-            self.restore(Promise(key, at, 0.0))
+            self.restore(Reservation(key, at, 0.0))
 
     def all_known(self, key: int) -> bool:
         """Whether every time told to the sender is still here: else one that comes early can't be told."""
         return len(self.open.get(key, ())) < NOTES
 
-    def put_off(self, now: int, promise: Promise, not_before: int, room: float) -> None:
+    def put_off(self, now: int, promise: Reservation, not_before: int, room: float) -> None:
         """Move a promise to a later step, if one has room; else it stays."""
         self.end(promise, None)
         later = self.book(now, not_before, promise.key, promise.work, room)
@@ -87,7 +87,7 @@
         later.early = promise.early + 1
         self.made -= 1  # it is the same one
 
-    def restore(self, promise: Promise) -> None:
+    def restore(self, promise: Reservation) -> None:
         """Take its room, whatever else is booked there: it was told."""
         mark = promise.at // self.step
         place = mark % self.steps
@@ -100,7 +100,7 @@
         self.count += promise.work > 0
         self.notes += not promise.work
 
-    def end(self, promise: Promise, kept: bool | None) -> None:
+    def end(self, promise: Reservation, kept: bool | None) -> None:
         """Its sender came in time, and went ahead or not; None: it is given up, and its room free again."""
         promises = self.open[promise.key]
         promises.remove(promise)
--- a/oakkeel/fakes/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -16,14 +16,14 @@
 
 from oakkeel.agent.__main__ import serve
 from oakkeel.agent.agent import Agent
-from oakkeel.log import Log
-from oakkeel.store.database import Statement, Store
+from oakkeel.log import EventLog
+from oakkeel.store.database import Statement, Database
 
 NODE = (sys.executable, "-m", "oakkeel.fakes.node")
-_write, _time_ns = Store.write, time.time_ns
+_write, _time_ns = Database.write, time.time_ns
 
 
-def write(self: Store, statements: Sequence[Statement]) -> None:
+def write(self: Database, statements: Sequence[Statement]) -> None:
     """With as many pages as it has by now, while the disk is said to be full."""
     full = os.path.exists(os.path.join(os.path.dirname(self.path), "full"))
     pages = self._number("page_count") if full else 65536
@@ -40,13 +40,13 @@
     return _time_ns()
 
 
-class TimedLog(Log):
+class TimedLog(EventLog):
     def say(self, event: str, **facts: Any) -> None:
         super().say(event, **facts, mono=time.monotonic_ns())
 
 
-def make(host: Any, patience: Any, keys: Any, log: Log, seed: int, **more: Any) -> Agent:
-    Store.write = write  # type: ignore[method-assign]
+def make(host: Any, patience: Any, keys: Any, log: EventLog, seed: int, **more: Any) -> Agent:
+    Database.write = write  # type: ignore[method-assign]
     time.time_ns = lambda: shifted(host.state)  # type: ignore[assignment]
     if not os.path.exists(os.path.join(host.state, "real")):
         more["program"] = NODE
--- a/oakkeel/fakes/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -18,12 +18,12 @@
 from oakkeel.agent.processes import Process, Processes
 from oakkeel.agent.storage import SCHEMA, VERSION
 from oakkeel.settings.fleet import HostSettings
-from oakkeel.store.database import Statement, Store
+from oakkeel.store.database import Statement, Database
 
 PROGRAM = (sys.executable, "-m", "oakkeel.fakes.node")
 
 
-class Steps:
+class CrashPoint:
     """Counts, and ends the process at the one that was asked for; 0: never."""
 
     def __init__(self, last: int) -> None:
@@ -35,8 +35,8 @@
             os.kill(os.getpid(), signal.SIGKILL)
 
 
-class CrashingStore(Store):
-    def __init__(self, path: str, steps: Steps) -> None:
+class CrashingDatabase(Database):
+    def __init__(self, path: str, steps: CrashPoint) -> None:
         self.steps = steps
         super().__init__(path, SCHEMA, VERSION)
 
@@ -46,7 +46,7 @@
         self.steps.step()
 
 
-def crashing_processes(steps: Steps) -> type[Processes]:
+def crashing_processes(steps: CrashPoint) -> type[Processes]:
     class CrashingProcesses(Processes):
         def spawn(self, name: str, generation: int, argv: list[str], variables: dict[str, str]) -> Process:
             steps.step()
@@ -65,8 +65,8 @@
 
 def make_agent(last: int, host: HostSettings, *rest: Any, **more: Any) -> Agent:
     os.makedirs(host.state, mode=0o700, exist_ok=True)
-    steps = Steps(last)
-    store = CrashingStore(os.path.join(host.state, "agent.db"), steps)
+    steps = CrashPoint(last)
+    store = CrashingDatabase(os.path.join(host.state, "agent.db"), steps)
     patience, keys, log, seed = rest
     return Agent(host, patience, keys, log, seed, store, crashing_processes(steps), PROGRAM, **more)
 
--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -13,7 +13,7 @@
 MOST_OPEN = 32  # exchanges on one connection
 
 
-class Sent:
+class SentRequest:
     """One exchange on its way."""
 
     __slots__ = ("at", "group", "node")
@@ -22,14 +22,14 @@
         self.node, self.at, self.group = node, at, group
 
 
-class Link:
+class NodeConnection:
     """One connection to one node."""
 
     def __init__(
         self, owner: Dispatcher, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.owner, self.node, self.reader, self.writer = owner, node, reader, writer
-        self.open: dict[int, Sent] = {}
+        self.open: dict[int, SentRequest] = {}
         self.tag = 0
         self.last = False  # the node takes no more on it
         self.task = asyncio.ensure_future(self._read())
@@ -38,7 +38,7 @@
     def usable(self) -> bool:
         return not self.last and not self.writer.is_closing() and len(self.open) < MOST_OPEN
 
-    def call(self, sent: Sent, fields: str, body: bytes) -> None:
+    def call(self, sent: SentRequest, fields: str, body: bytes) -> None:
         self.tag += 1
         self.open[self.tag] = sent
         words = [b"CALL", b"%d" % self.tag, sent.group.encode(), fields.encode(), body]
@@ -80,7 +80,7 @@
         """`rate` in exchanges a second; `patience` in seconds, told to the node and waited for."""
         self.number, self.addresses, self.rate, self.groups = number, addresses, rate, groups
         self.patience, self.random = patience, Random(seed)
-        self.links: dict[str, list[Link]] = {}
+        self.links: dict[str, list[NodeConnection]] = {}
         self.counts: Counter[str] = Counter()  # by word; lost and late beside the node's own
         self.by_node: dict[str, Counter[str]] = {}
         self.times: list[float] = []  # seconds, of what was completed
@@ -110,17 +110,17 @@
                     f"req={ident},ts={time.time_ns() // 1_000_000},via={self.number},"
                     f"timeout={int(self.patience * 1000)},need=24.5,level=0.5"
                 )
-                sent = Sent(name, time.monotonic(), self.random.choice(self.groups))
+                sent = SentRequest(name, time.monotonic(), self.random.choice(self.groups))
                 self.going(ident, sent)
                 link.call(sent, fields, ident.encode())
                 self.counts["sent"] += 1
                 return
         self.counts["unsent"] += 1  # no node took a connection
 
-    def going(self, ident: str, sent: Sent) -> None:
+    def going(self, ident: str, sent: SentRequest) -> None:
         """For those who want to know of each exchange that is sent."""
 
-    async def _link(self, name: str, address: Address) -> Link | None:
+    async def _link(self, name: str, address: Address) -> NodeConnection | None:
         for link in self.links.get(name, ()):
             if link.usable:
                 return link
@@ -128,11 +128,11 @@
             reader, writer = await asyncio.wait_for(asyncio.open_connection(*address), 0.25)
         except (TimeoutError, OSError):
             return None
-        link = Link(self, name, reader, writer)
+        link = NodeConnection(self, name, reader, writer)
         self.links.setdefault(name, []).append(link)
         return link
 
-    def ended(self, sent: Sent, word: str, fields: bytes) -> None:
+    def ended(self, sent: SentRequest, word: str, fields: bytes) -> None:
         took = time.monotonic() - sent.at
         if word == "ok":
             self.times.append(took)
@@ -141,7 +141,7 @@
         self.counts[word] += 1
         self.by_node.setdefault(sent.node, Counter())[word] += 1
 
-    def gone(self, link: Link) -> None:
+    def gone(self, link: NodeConnection) -> None:
         with contextlib.suppress(ValueError, KeyError):
             self.links[link.node].remove(link)
 
--- a/oakkeel/fakes/downstream_service.py
+++ b/oakkeel/fakes/downstream_service.py
@@ -5,7 +5,7 @@
 import asyncio
 
 
-class Stood:
+class DownstreamService:
     def __init__(self, port: int) -> None:
         self.port = port
         self.server: asyncio.Server | None = None
--- a/oakkeel/fakes/load_clients.py
+++ b/oakkeel/fakes/load_clients.py
@@ -12,7 +12,7 @@
 MOST_OPEN = 30  # on one connection
 
 
-class Polite:
+class PoliteClient:
     """Sends first tries at a rate by chance; what is denied comes again when it was told to."""
 
     gap: float | None = None  # seconds until a next try, in place of what was told
@@ -20,7 +20,7 @@
     def __init__(self, name: str, address: Address, rate: float, seed: int, patience: float = 2.0) -> None:
         self.name, self.address, self.rate, self.patience = name, address, rate, patience
         self.random = Random(seed)
-        self.links: list[Door] = []
+        self.links: list[NodeConnection] = []
         self.tasks: set[asyncio.Task] = set()
         self.begin()
 
@@ -74,7 +74,7 @@
     async def _try(self, again: bool) -> tuple[bytes, bytes]:
         link = next((each for each in self.links if each.usable), None)
         if link is None:
-            link = await Door.open(self.address)
+            link = await NodeConnection.open(self.address)
             self.links = [each for each in self.links if not each.ended] + [link]
         fields = (
             f"req={self.random.getrandbits(64):016x},ts={time.time_ns() // 1_000_000},via=1,"
@@ -85,13 +85,13 @@
         return await link.call(b"quote", fields.encode())
 
 
-class Crawler(Polite):
+class CrawlerClient(PoliteClient):
     """Takes no advice: what is denied comes again at once."""
 
     gap = 0.02
 
 
-class Door:
+class NodeConnection:
     """One connection to a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -101,7 +101,7 @@
         self.task = asyncio.ensure_future(self._read())
 
     @classmethod
-    async def open(cls, address: Address) -> Door:
+    async def open(cls, address: Address) -> NodeConnection:
         return cls(*await asyncio.open_connection(*address))
 
     @property
--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -22,7 +22,7 @@
 RATE = 400.0  # exchanges a second, as it makes believe
 
 
-class NodeStandin:
+class FakeNode:
     def __init__(self) -> None:
         self.path = os.environ["OAKKEEL_CONTROL"]
         self.base = self.path.removesuffix(".sock")
@@ -146,4 +146,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(NodeStandin().run())
+    sys.exit(FakeNode().run())
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -18,9 +18,9 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
-from oakkeel.fakes.faulty_link import FaultyLink, Way
-from oakkeel.fakes.site import Site
-from oakkeel.fleet.agent_clients import Agents, NoLeader
+from oakkeel.fakes.faulty_link import FaultyLink, LinkDirection
+from oakkeel.fakes.site import FakeSite
+from oakkeel.fleet.agent_clients import AgentClients, NoLeaderError
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import key_of
 
@@ -35,8 +35,8 @@
     at: int = field(default_factory=time.monotonic_ns)
 
 
-class Rig:
-    def __init__(self, site: Site, seed: int = 1, real: bool = False) -> None:
+class ProcessRig:
+    def __init__(self, site: FakeSite, seed: int = 1, real: bool = False) -> None:
         """`real`: with real nodes, and engines, catalogue and directory round them."""
         self.site, self.real = site, real
         self.random = Random(seed)
@@ -54,12 +54,12 @@
         site = self.site
         await site.open()
         self.fleet = read_fleet(site.settings)
-        self.asker = Agents(self.fleet, key_of(self.fleet, "asha"))
+        self.asker = AgentClients(self.fleet, key_of(self.fleet, "asha"))
         for source in site.hosts:
             ports = {}
             for to in site.hosts:
                 if to != source:
-                    there, back = Way(), Way()
+                    there, back = LinkDirection(), LinkDirection()
                     link = FaultyLink(("127.0.0.1", site.ports[to]), there, back, self.random.getrandbits(32))
                     self.links[source, to] = link
                     ports[to] = await link.open()
@@ -174,7 +174,7 @@
         for name in os.listdir(backup.folder):
             shutil.copy(os.path.join(backup.folder, name), self.state(host))
 
-    def ways(self, sources: Iterable[str], to: Iterable[str]) -> list[Way]:
+    def ways(self, sources: Iterable[str], to: Iterable[str]) -> list[LinkDirection]:
         """All that goes from some hosts to others, in whichever link it goes."""
         ends = list(to)
         return [
@@ -209,14 +209,14 @@
         self.say("heal")
         for link in self.links.values():
             for way in (link.there, link.back):
-                for name, value in ((each, getattr(Way(), each)) for each in Way.__slots__):
+                for name, value in ((each, getattr(LinkDirection(), each)) for each in LinkDirection.__slots__):
                     setattr(way, name, value)
 
     # What is seen.
 
-    async def records(self) -> dict[str, messages.RecordTold]:
-        answers, _ = await self.asker.ask({host: messages.AskRecord() for host in self.site.hosts})
-        return {host: each for host, each in answers.items() if isinstance(each, messages.RecordTold)}
+    async def records(self) -> dict[str, messages.RaftStatus]:
+        answers, _ = await self.asker.ask({host: messages.RaftStatusRequest() for host in self.site.hosts})
+        return {host: each for host, each in answers.items() if isinstance(each, messages.RaftStatus)}
 
     async def leader(self, but: Iterable[str] = (), wait: float = WAIT) -> str:
         """Wait until one leads, other than some."""
@@ -236,33 +236,33 @@
         lasts: float = 20.0,
         whole: bool = False,
         generations: dict[str, int] | None = None,
-    ) -> messages.Answer:
+    ) -> messages.Response:
         """For the generations told by now; 0 for services and what nobody tells of. Raises NoLeader."""
         known = generations or await self.generations()
         return await self.asker.ask_leader(
-            messages.FleetOrder(
+            messages.FleetOrderRequest(
                 ident, verb, [(name, known.get(name, 0)) for name in names], int(lasts * 1e9), whole
             )
         )
 
-    async def end_order(self, ident: str, back: bool) -> messages.Answer:
-        return await self.asker.ask_leader(messages.FleetEnd(ident, back))
+    async def end_order(self, ident: str, back: bool) -> messages.Response:
+        return await self.asker.ask_leader(messages.EndFleetOrderRequest(ident, back))
 
-    async def look(self) -> dict[str, messages.InstanceTold]:
-        answers, _ = await self.asker.ask({host: messages.Look() for host in self.site.hosts})
+    async def look(self) -> dict[str, messages.InstanceStatus]:
+        answers, _ = await self.asker.ask({host: messages.HostStatusRequest() for host in self.site.hosts})
         return {
             each.name: each
             for answer in answers.values()
-            if isinstance(answer, messages.HostTold)
+            if isinstance(answer, messages.HostStatus)
             for each in answer.instances
         }
 
     async def generations(self) -> dict[str, int]:
         return {name: told.generation for name, told in (await self.look()).items()}
 
-    async def state_of(self, ident: str = "") -> messages.FleetStateTold:
-        answer = await self.asker.ask_leader(messages.AskFleet(ident))
-        assert isinstance(answer, messages.FleetStateTold), answer
+    async def state_of(self, ident: str = "") -> messages.FleetStatus:
+        answer = await self.asker.ask_leader(messages.FleetStatusRequest(ident))
+        assert isinstance(answer, messages.FleetStatus), answer
         return answer
 
     async def until(self, what: str, done, wait: float = WAIT) -> float:
@@ -272,7 +272,7 @@
             try:
                 if await done():
                     return time.monotonic() - began
-            except (NoLeader, AssertionError):
+            except (NoLeaderError, AssertionError):
                 pass
             if time.monotonic() - began > wait:
                 raise TimeoutError(f"not within {wait:g} s: {what}")
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -14,14 +14,14 @@
 from random import Random
 from typing import Any
 
-from oakkeel.admission import MS, SECOND, Keel
+from oakkeel.admission import MS, SECOND, AdmissionController
 from oakkeel.admission.types import (
-    AdviceKind,
-    Below,
+    LoadReportKind,
+    DownstreamKind,
     Effect,
-    EndpointGroup,
-    Exchange,
-    FairRules,
+    RequestClass,
+    Request,
+    FairSharingRules,
     Gauges,
     NodeLimits,
     Outcome,
@@ -31,7 +31,7 @@
 
 
 @dataclass(eq=False)
-class Client:
+class SimulatedClient:
     """Sends at a rate, by chance; retries what is denied as it is told, or at once and again."""
 
     name: bytes
@@ -47,12 +47,12 @@
     taken: int = 0  # of those, went ahead
 
 
-class World:
+class SimulatedNode:
     """`fair` as an operator tells it; None is the node without fairness."""
 
     def __init__(
         self,
-        fair: FairRules | None,
+        fair: FairSharingRules | None,
         seed: int,
         cores: int = 4,
         work: int = 20 * MS,
@@ -62,7 +62,7 @@
         most_return: int = 5 * SECOND,
         **limits: Any,
     ) -> None:
-        group = EndpointGroup(0, Effect.REPEATABLE, 1.0, slo, 4 * slo, 0, 0.0, 0.0)
+        group = RequestClass(0, Effect.REPEATABLE, 1.0, slo, 4 * slo, 0, 0.0, 0.0)
         given: dict[str, Any] = dict(
             cores=cores,
             memory_kb=200_000.0,
@@ -77,13 +77,13 @@
             max_retry_after=most_return,
             stop_kind=StopKind.ABORT,
             peers=1,
-            below=Below.NOTHING,
+            below=DownstreamKind.NOTHING,
             call_share=0.0,
             call_window=SECOND,
             call_linger=0,
             fresh=0,
             idle=SECOND,
-            advice=AdviceKind.SILENT,
+            advice=LoadReportKind.SILENT,
             over_share=1.0,
             groups=[group],
             tenants=[Tenant(0, 0.0)],
@@ -94,10 +94,10 @@
         self.now, self.order = 1000 * SECOND, count()
         self.events: list[tuple[int, int, Callable[..., None], tuple]] = []
         self.work, self.slow, self.running = work, slow, 0
-        self.clients: list[Client] = []
-        self.owners: dict[Exchange, tuple[Client, int, bool]] = {}
+        self.clients: list[SimulatedClient] = []
+        self.owners: dict[Request, tuple[SimulatedClient, int, bool]] = {}
         self.denying: tuple | None = None
-        self.keel = Keel(self, self.limits, seed, self.now)  # type: ignore[arg-type]  # the rest is __getattr__
+        self.keel = AdmissionController(self, self.limits, seed, self.now)  # type: ignore[arg-type]  # the rest is __getattr__
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         """What of `Host` means nothing here: health, advice, connections."""
@@ -122,25 +122,25 @@
 
     # Senders.
 
-    def add(self, *clients: Client) -> None:
+    def add(self, *clients: SimulatedClient) -> None:
         for client in clients:
             self.clients.append(client)
             self._later(client)
 
-    def _later(self, client: Client) -> None:
+    def _later(self, client: SimulatedClient) -> None:
         if client.rate > 0:
             self.at(self.now + int(self.random.expovariate(client.rate) * SECOND), self._first, client)
 
-    def _first(self, client: Client) -> None:
+    def _first(self, client: SimulatedClient) -> None:
         if client in self.clients:
             client.sent += 1
             self.send(client, 1)
             self._later(client)
 
-    def send(self, client: Client, number: int, as_told: bool = False) -> None:
+    def send(self, client: SimulatedClient, number: int, as_told: bool = False) -> None:
         """One try of an exchange."""
         client.counts["tries"] += 1
-        ex = Exchange(self.limits.groups[0], None, 0, 10.0, number > 1, 0, 0, False, False)
+        ex = Request(self.limits.groups[0], None, 0, 10.0, number > 1, 0, 0, False, False)
         if fair := self.limits.fair:
             labels = {"tenant": client.tenant, "caller": client.name}
             key, who = 0, []
@@ -154,7 +154,7 @@
 
     # Host.
 
-    def run(self, ex: Exchange) -> None:
+    def run(self, ex: Request) -> None:
         client, _, as_told = self.owners[ex]
         client.taken += as_told
         self.running += 1
@@ -162,14 +162,14 @@
         time = self.work * (0.5 + self.random.random()) * crowd
         self.at(self.now + int(time), self._done, ex)
 
-    def _done(self, ex: Exchange) -> None:
+    def _done(self, ex: Request) -> None:
         self.running -= 1
         self.keel.run_done(self.now, ex, Outcome.COMPLETED, 0)
         if ex in self.owners:
             client, _, _ = self.owners.pop(ex)
             client.counts["in time" if self.now <= ex.slo_end else "late"] += 1
 
-    def deny(self, ex: Exchange, last: bool, retry_after: int) -> None:
+    def deny(self, ex: Request, last: bool, retry_after: int) -> None:
         client, number, _ = self.owners.pop(ex)
         client.counts["denied"] += 1
         client.told.append(retry_after)
@@ -181,7 +181,7 @@
         else:
             self.at(self.now + client.gap, self.send, client, number + 1)
 
-    def terminate(self, ex: Exchange) -> None:
+    def terminate(self, ex: Request) -> None:
         if ex in self.owners:
             self.owners.pop(ex)[0].counts["terminated"] += 1
 
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -16,7 +16,7 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-TOLD = {
+NODE_SETTINGS = {
     "extra": {
         "cores": 2,
         "heap-kb": 30000.0,
@@ -39,7 +39,7 @@
 }
 
 
-class Site:
+class FakeSite:
     """Hosts with instances, and all that stands round them. Made in `open`, ended in `close`."""
 
     def __init__(
@@ -62,7 +62,7 @@
         self.keepers, self.fleet_away, self.below, self.hanging = keepers, fleet_away, below, hanging or {}
         self.folder, self.hosts, self.away, self.seed, self.work = folder, hosts, away, seed, work
         self.supervision = supervision
-        self.told = {**TOLD, "ceilings": {"retry-after": True, "max-retry-after": most_return * SECOND}}
+        self.told = {**NODE_SETTINGS, "ceilings": {"retry-after": True, "max-retry-after": most_return * SECOND}}
         self.sites = sites or dict.fromkeys(hosts, "woodbrook")
         self.catalogue, self.directory = Catalogue(), Directory()
         self.catalogues: dict[str, str] = {}  # addresses in place of the one, by instance
