--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -11,17 +11,17 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.authentication.client import Link, LinkError, LinkRefused
+from oakkeel.authentication.client import AuthenticatedClient, LinkError, AuthenticationRejectedError
 from oakkeel.authentication.mac import SECOND, Key
-from oakkeel.fleet.fan_out import Asked, Asking
-from oakkeel.fleet.leader_discovery import Leader, Search
-from oakkeel.fleet.view import View
+from oakkeel.fleet.fan_out import TargetState, FanOut
+from oakkeel.fleet.leader_discovery import LeaderDiscovery, SearchState
+from oakkeel.fleet.view import FleetView
 from oakkeel.settings.fleet import Fleet
 
-AgentError, AgentRefused = LinkError, LinkRefused
+AgentError, AgentRejectedError = LinkError, AuthenticationRejectedError
 
 
-class NoLeader(OSError):
+class NoLeaderError(OSError):
     """Nobody leads the record that we reach; `why` says for each host what it answered."""
 
     def __init__(self, why: dict[str, str]) -> None:
@@ -29,18 +29,18 @@
         self.why = why
 
 
-async def ask_one(address: tuple[str, int], key: Key, wish: messages.Wish) -> messages.Answer:
+async def request_once(address: tuple[str, int], key: Key, wish: messages.Request) -> messages.Response:
     """One question on a link of its own. Raises AgentError; waits as long as the other side does."""
-    link = Link(address, key)
+    link = AuthenticatedClient(address, key)
     try:
-        return messages.read_answer(await link.ask(messages.encode(wish)))
+        return messages.decode_response(await link.ask(messages.encode(wish)))
     except msgspec.MsgspecError as error:
         raise AgentError(str(error)) from None
     finally:
         link.close()
 
 
-class Agents:
+class AgentClients:
     """All agents of a fleet, asked with one operator's key."""
 
     def __init__(self, fleet: Fleet, key: Key) -> None:
@@ -49,31 +49,31 @@
 
     async def ask(
         self,
-        wishes: dict[str, messages.Wish],
+        wishes: dict[str, messages.Request],
         deadline: int = 0,
-        heard: Callable[[str, int, messages.Answer], None] | None = None,
-    ) -> tuple[dict[str, messages.Answer], dict[str, str]]:
+        heard: Callable[[str, int, messages.Response], None] | None = None,
+    ) -> tuple[dict[str, messages.Response], dict[str, str]]:
         """Ask each host its wish. Returns the answers, and of the others why there is none.
 
         `deadline` in nanoseconds, 0 for that of the settings; `heard` is called with each answer and when its
         question was sent.
         """
         how = self.fleet.asking
-        asking = Asking(
+        asking = FanOut(
             time.monotonic_ns(), wishes, deadline or how.deadline, how.hedge, how.tries, self.chance(63)
         )
-        answers: dict[str, messages.Answer] = {}
+        answers: dict[str, messages.Response] = {}
         moved = asyncio.Event()
         tasks: set[asyncio.Task] = set()
 
         async def send(name: str, sent_at: int) -> None:
             try:
-                answer = await ask_one(self.fleet.host(name).agent, self.key, wishes[name])
+                answer = await request_once(self.fleet.host(name).agent, self.key, wishes[name])
                 if asking.answered(time.monotonic_ns(), name):
                     answers[name] = answer
                     if heard:
                         heard(name, sent_at, answer)
-            except AgentRefused as error:
+            except AgentRejectedError as error:
                 asking.refused(time.monotonic_ns(), name, str(error))
             except OSError as error:
                 asking.failed(time.monotonic_ns(), name, str(error))
@@ -95,19 +95,19 @@
         return answers, {
             name: why(target.state, target.why)
             for name, target in asking.targets.items()
-            if target.state is not Asked.ANSWERED
+            if target.state is not TargetState.ANSWERED
         }
 
-    async def ask_leader(self, wish: messages.Wish, deadline: int = 0) -> messages.Answer:
+    async def ask_leader(self, wish: messages.Request, deadline: int = 0) -> messages.Response:
         """What the agent that leads the record answers. Raises NoLeader; `deadline` in nanoseconds."""
         assert self.fleet.keepers is not None
         others = [host.name for host in self.fleet.hosts if host.name not in self.fleet.keepers.hosts]
-        search = Leader(
+        search = LeaderDiscovery(
             time.monotonic_ns(),
             [*self.fleet.keepers.hosts, *others],
             deadline or 3 * self.fleet.asking.deadline,
         )
-        while search.state is Search.ASKING:
+        while search.state is SearchState.ASKING:
             now = time.monotonic_ns()
             if not (name := search.whom(now)):
                 await asyncio.sleep(max(0, min(search.not_before, search.deadline) - now) / SECOND)
@@ -115,34 +115,34 @@
             try:
                 left = min(self.fleet.asking.deadline, max(1, search.deadline - now))
                 answer = await asyncio.wait_for(
-                    ask_one(self.fleet.host(name).agent, self.key, wish), left / SECOND
+                    request_once(self.fleet.host(name).agent, self.key, wish), left / SECOND
                 )
             except TimeoutError:
                 search.failed(time.monotonic_ns(), name, "did not answer")
             except OSError as error:
                 search.failed(time.monotonic_ns(), name, str(error))
             else:
-                if not isinstance(answer, messages.Elsewhere):
+                if not isinstance(answer, messages.NotLeaderResponse):
                     search.found()
                     return answer
                 search.elsewhere(time.monotonic_ns(), name, answer.leader, answer.why)
-        raise NoLeader(search.why)
+        raise NoLeaderError(search.why)
 
-    async def look(self, view: View, hosts: list[str] | None = None, deadline: int = 0) -> None:
+    async def look(self, view: FleetView, hosts: list[str] | None = None, deadline: int = 0) -> None:
         """Bring a view up to date, as far as agents answer."""
         names = hosts if hosts is not None else [host.name for host in self.fleet.hosts]
 
-        def heard(name: str, sent_at: int, answer: messages.Answer) -> None:
-            if isinstance(answer, messages.HostTold):
+        def heard(name: str, sent_at: int, answer: messages.Response) -> None:
+            if isinstance(answer, messages.HostStatus):
                 view.told(name, sent_at, answer)
             else:
                 view.unanswered(name, getattr(answer, "why", "an answer to another question"))
 
         view.unix = time.time_ns() - time.monotonic_ns()
-        _, silent = await self.ask({name: messages.Look() for name in names}, deadline, heard)
+        _, silent = await self.ask({name: messages.HostStatusRequest() for name in names}, deadline, heard)
         for name, reason in silent.items():
             view.unanswered(name, reason)
 
 
-def why(state: Asked, text: str) -> str:
+def why(state: TargetState, text: str) -> str:
     return f"{state.value}: {text}" if text else state.value
--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -15,7 +15,7 @@
 MS = 1_000_000
 
 
-class Asked(Enum):
+class TargetState(Enum):
     """Where one agent is; `Asking._move` alone moves it on."""
 
     ASKED = "asked"
@@ -27,16 +27,16 @@
     LATE = "did not answer"  # the deadline came first
 
 
-NEXT = {
-    Asked.ASKED: {Asked.AGAIN, Asked.PAUSED, Asked.ANSWERED, Asked.REFUSED, Asked.FAILED, Asked.LATE},
-    Asked.AGAIN: {Asked.PAUSED, Asked.ANSWERED, Asked.REFUSED, Asked.FAILED, Asked.LATE},
-    Asked.PAUSED: {Asked.AGAIN, Asked.FAILED, Asked.LATE},
-    Asked.ANSWERED: set(),
-    Asked.REFUSED: set(),
-    Asked.FAILED: set(),
-    Asked.LATE: set(),
+TRANSITIONS = {
+    TargetState.ASKED: {TargetState.AGAIN, TargetState.PAUSED, TargetState.ANSWERED, TargetState.REFUSED, TargetState.FAILED, TargetState.LATE},
+    TargetState.AGAIN: {TargetState.PAUSED, TargetState.ANSWERED, TargetState.REFUSED, TargetState.FAILED, TargetState.LATE},
+    TargetState.PAUSED: {TargetState.AGAIN, TargetState.FAILED, TargetState.LATE},
+    TargetState.ANSWERED: set(),
+    TargetState.REFUSED: set(),
+    TargetState.FAILED: set(),
+    TargetState.LATE: set(),
 }
-OVER = {state for state, then in NEXT.items() if not then}
+FINAL_STATES = {state for state, then in TRANSITIONS.items() if not then}
 
 
 @dataclass(slots=True, eq=False)
@@ -44,7 +44,7 @@
     """One agent, by its host's name."""
 
     name: str
-    state: Asked = Asked.ASKED
+    state: TargetState = TargetState.ASKED
     sent: int = 0
     open: int = 0  # tries that may still be answered
     sent_at: int = 0
@@ -52,7 +52,7 @@
     why: str = ""
 
 
-class Asking:
+class FanOut:
     """One question to many. The caller sends what `tick` names, and tells what came of each."""
 
     def __init__(
@@ -74,25 +74,25 @@
 
     @property
     def over(self) -> bool:
-        return all(target.state in OVER for target in self.targets.values())
+        return all(target.state in FINAL_STATES for target in self.targets.values())
 
     def tick(self, now: int) -> list[str]:
         """The names to send the question to by now."""
         names = []
         for target in self.targets.values():
-            if target.state in OVER:
+            if target.state in FINAL_STATES:
                 continue
             if now >= self.deadline:
-                self._move(target, Asked.LATE)
+                self._move(target, TargetState.LATE)
             elif not target.sent:
                 names.append(self._send(now, target))
             elif now >= target.again_at and target.sent < self.tries and self.extra:
                 self.extra -= 1
-                if target.state is not Asked.AGAIN:
-                    self._move(target, Asked.AGAIN)
+                if target.state is not TargetState.AGAIN:
+                    self._move(target, TargetState.AGAIN)
                 names.append(self._send(now, target))
-            elif target.state is Asked.PAUSED and not self.extra:
-                self._move(target, Asked.FAILED)
+            elif target.state is TargetState.PAUSED and not self.extra:
+                self._move(target, TargetState.FAILED)
         return names
 
     def next_at(self) -> int:
@@ -100,7 +100,7 @@
         at = [
             target.again_at
             for target in self.targets.values()
-            if target.state not in OVER and target.sent < self.tries and self.extra
+            if target.state not in FINAL_STATES and target.sent < self.tries and self.extra
         ]
         return min([self.deadline, *at])
 
@@ -108,30 +108,30 @@
         """An answer came: whether it is the first. One after the end is too late to be believed."""
         target = self.targets[name]
         target.open -= 1
-        if target.state in OVER:
+        if target.state in FINAL_STATES:
             return False
-        self._move(target, Asked.ANSWERED)
+        self._move(target, TargetState.ANSWERED)
         return True
 
     def refused(self, now: int, name: str, why: str) -> None:
         target = self.targets[name]
         target.open -= 1
-        if target.state not in OVER:
+        if target.state not in FINAL_STATES:
             target.why = why
-            self._move(target, Asked.REFUSED)
+            self._move(target, TargetState.REFUSED)
 
     def failed(self, now: int, name: str, why: str) -> None:
         """One try came to nothing; others of the same agent may still be on their way."""
         target = self.targets[name]
         target.open -= 1
-        if target.state in OVER:
+        if target.state in FINAL_STATES:
             return None
         target.why = why
         if target.open:
             return None
         if target.sent >= self.tries:
-            return self._move(target, Asked.FAILED)
-        self._move(target, Asked.PAUSED)
+            return self._move(target, TargetState.FAILED)
+        self._move(target, TargetState.PAUSED)
         target.again_at = now + int(self.hedge * (0.5 + self.chance()))
 
     def _send(self, now: int, target: Target) -> str:
@@ -141,7 +141,7 @@
         target.again_at = now + self.hedge
         return target.name
 
-    def _move(self, target: Target, state: Asked) -> None:
-        if state not in NEXT[target.state]:
+    def _move(self, target: Target, state: TargetState) -> None:
+        if state not in TRANSITIONS[target.state]:
             raise RuntimeError(f"{target.name}: {target.state.value} to {state.value}")
         target.state = state
--- a/oakkeel/fleet/leader_discovery.py
+++ b/oakkeel/fleet/leader_discovery.py
@@ -12,19 +12,19 @@
 MS = 1_000_000
 
 
-class Search(Enum):
-    """`Leader._move` alone changes it."""
+class SearchState(Enum):
+    """`LeaderDiscovery._move` alone changes it."""
 
     ASKING = "asking"
     FOUND = "found"
     NOBODY = "nobody"  # the deadline came first
 
 
-class Leader:
+class LeaderDiscovery:
     def __init__(self, now: int, names: Iterable[str], deadline: int, pause: int = 100 * MS) -> None:
         """`names`: the likeliest first. Times in nanoseconds."""
         self.names, self.deadline, self.pause = list(names), now + deadline, pause
-        self.state = Search.ASKING
+        self.state = SearchState.ASKING
         self.asked: set[str] = set()  # in this round
         self.next = self.names[0]
         self.not_before = now
@@ -33,9 +33,9 @@
 
     def whom(self, now: int) -> str:
         """Whom to ask by now; empty: nobody, until `not_before` or for ever."""
-        if self.state is Search.ASKING and now >= self.deadline:
-            self._move(Search.NOBODY)
-        if self.state is not Search.ASKING or now < self.not_before:
+        if self.state is SearchState.ASKING and now >= self.deadline:
+            self._move(SearchState.NOBODY)
+        if self.state is not SearchState.ASKING or now < self.not_before:
             return ""
         self.asked.add(self.next)
         return self.next
@@ -51,7 +51,7 @@
         self._turn(now, "")
 
     def found(self) -> None:
-        self._move(Search.FOUND)
+        self._move(SearchState.FOUND)
 
     def _turn(self, now: int, leader: str) -> None:
         left = [name for name in self.names if name not in self.asked]
@@ -63,7 +63,7 @@
             self.asked.clear()
             self.next, self.not_before = leader if leader in self.names else self.names[0], now + self.pause
 
-    def _move(self, state: Search) -> None:
-        if self.state is not Search.ASKING:
+    def _move(self, state: SearchState) -> None:
+        if self.state is not SearchState.ASKING:
             raise RuntimeError(f"{self.state.value} to {state.value}")
         self.state = state
--- a/oakkeel/fleet/selection.py
+++ b/oakkeel/fleet/selection.py
@@ -12,12 +12,12 @@
 STATES = [phase.value for phase in Phase] + ["unknown", "old"]
 
 
-class ChoiceError(ValueError):
+class SelectionError(ValueError):
     """Nothing is meant, or something that is not there; the text is one plain line."""
 
 
 @dataclass(slots=True, frozen=True)
-class Choice:
+class Selection:
     """Names may be globs. An empty field allows all; several allow what each of them allows."""
 
     names: tuple[str, ...] = ()
@@ -34,7 +34,7 @@
         for words, field in ((self.names, "name"), (self.sites, "site"), (self.hosts, "host")):
             for word in words:
                 if not any(fnmatch.fnmatchcase(getattr(row, field), word) for row in rows):
-                    raise ChoiceError(
+                    raise SelectionError(
                         f"no instance has the {field} {word!r}"
                         if field == "name"
                         else f"there is no {field} {word!r}"
@@ -62,7 +62,7 @@
     return wanted
 
 
-def taken_out(rows: list[Row], chosen: list[Row], share: float) -> list[str]:
+def sites_over_share(rows: list[Row], chosen: list[Row], share: float) -> list[str]:
     """The sites of which an order would take out more than a share, each with a line that says how much."""
     sizes = Counter(row.site for row in rows)
     serving = Counter(row.site for row in chosen if not row.out)
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from oakkeel.agent.messages import HostTold, InstanceTold
+from oakkeel.agent.messages import HostStatus, InstanceStatus
 from oakkeel.settings.fleet import Fleet, HostSettings, InstanceSettings
 
 SECOND = 1_000_000_000
@@ -21,7 +21,7 @@
     """The last that an agent told."""
 
     asked_at: int
-    told: HostTold
+    told: HostStatus
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,7 +36,7 @@
     age: int  # nanoseconds; -1: nothing was ever told
     report_age: int  # of what the instance itself told; -1: nothing
     source: str  # who told
-    told: InstanceTold | None
+    told: InstanceStatus | None
 
     @property
     def shown(self) -> str:
@@ -49,7 +49,7 @@
         return self.old or self.state in OUT
 
 
-class View:
+class FleetView:
     """All instances of the settings, with what their agents told."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -57,7 +57,7 @@
         self.facts: dict[str, HostFact] = {}
         self.silent: dict[str, str] = {}  # hosts whose agent did not answer the last question, and why
 
-    def told(self, host: str, asked_at: int, told: HostTold) -> None:
+    def told(self, host: str, asked_at: int, told: HostStatus) -> None:
         """An answer to a question sent at that time; one to an earlier question changes nothing."""
         if told.host != host:
             self.silent[host] = f"the agent of {told.host} answers in its place"
--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -24,7 +24,7 @@
 SECOND = 1_000_000_000
 
 
-class AgreementAudit:
+class ConsensusAudit:
     def __init__(self, groups: dict[str, tuple[int, list[str]]], known_after: int, most: int = 100) -> None:
         """`groups`: bound and things by name; `known_after`: nanoseconds after which one that is away by
         itself must be counted by whoever uses a place."""
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -1,6 +1,6 @@
 """Reads what agents logged and nodes wrote down, in the order of the time that a machine's processes share.
 
-Feeds `AgreementAudit`: it knows agents by their lines and nodes by their journals, and asks none of them.
+Feeds `ConsensusAudit`: it knows agents by their lines and nodes by their journals, and asks none of them.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import json
 import os
 
-from oakkeel.invariants.consensus import AgreementAudit
+from oakkeel.invariants.consensus import ConsensusAudit
 
 
 def events(folder: str, hosts: dict[str, list[str]]) -> list[tuple[int, str, dict]]:
@@ -36,9 +36,9 @@
 
 def audit(
     folder: str, hosts: dict[str, list[str]], groups: dict[str, tuple[int, list[str]]], known_after: int
-) -> AgreementAudit:
+) -> ConsensusAudit:
     """The breaches of one run, with what was out at most."""
-    judge = AgreementAudit(groups, known_after)
+    judge = ConsensusAudit(groups, known_after)
     last: dict[str, int] = {}  # by thing: the fence under which its agent last told it to leave
     for at, kind, facts in events(folder, hosts):
         thing = facts.get("of", "")
--- a/oakkeel/invariants/policy_change.py
+++ b/oakkeel/invariants/policy_change.py
@@ -9,7 +9,7 @@
 SECOND = 1_000_000_000
 
 
-class ChangeAudit:
+class PolicyChangeAudit:
     """Told with the true time; what is decided after the end of something is found when either comes."""
 
     def __init__(self, most: int = 50) -> None:
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -19,7 +19,7 @@
 SECOND = 1_000_000_000
 
 
-class ReleaseAudit:
+class RolloutAudit:
     def __init__(self, most: int = 100) -> None:
         self.most = most
         self.breaches: list[str] = []
--- a/oakkeel/line_protocol.py
+++ b/oakkeel/line_protocol.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from oakkeel.resource_limits import MS
-from oakkeel.stream_buffers import Malformed, ReadBuffer
+from oakkeel.stream_buffers import MalformedInputError, ReadBuffer
 
 
 class LineParser:
@@ -22,24 +22,24 @@
         while (at := read_buffer.buffer.find(b"\r\n", read_buffer.start, read_buffer.end)) >= 0:
             words = bytes(read_buffer.buffer[read_buffer.start : at]).split(None, self.most_words)
             if not words:
-                raise Malformed("a line of no words")
+                raise MalformedInputError("a line of no words")
             after, body = at + 2, b""
             if any((place, word) in self.with_body for place, word in enumerate(words[:2])):
                 length = number(words[-1])
                 if after + length + 2 - read_buffer.start > len(read_buffer.buffer):
-                    raise Malformed(f"a body of {length} bytes")
+                    raise MalformedInputError(f"a body of {length} bytes")
                 if after + length + 2 > read_buffer.end:
                     return
                 body, after = bytes(read_buffer.buffer[after : after + length]), after + length + 2
                 if read_buffer.buffer[after - 2 : after] != b"\r\n":
-                    raise Malformed("no end behind a body")
+                    raise MalformedInputError("no end behind a body")
             read_buffer.start = after
             yield words, body
 
 
 def number(word: bytes) -> int:
     if not word.isdigit() or len(word) > 20:
-        raise Malformed(f"no number: {word[:20]!r}")
+        raise MalformedInputError(f"no number: {word[:20]!r}")
     return int(word)
 
 
@@ -50,5 +50,5 @@
     except ValueError:
         value = -1.0
     if not 0 <= value < 1e12:
-        raise Malformed(f"no time: {word[:20]!r}")
+        raise MalformedInputError(f"no time: {word[:20]!r}")
     return int(value * MS)
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -23,7 +23,7 @@
 Event = MutableMapping[str, Any]
 
 
-class LineBound:
+class LineLimiter:
     """Which lines may be said: so many a second, and each only once in it.
 
     Asked before a line is made: in a flood of bad input, all but a few lines must cost next to nothing.
@@ -67,7 +67,7 @@
     return text if text and text.isprintable() and not set(' "=') & set(text) else json.dumps(text)
 
 
-class Log:
+class EventLog:
     """What one process says, by `say`."""
 
     def __init__(
@@ -75,7 +75,7 @@
     ) -> None:
         """`form`: `console` or `json`; `stream`: standard error where none is given."""
         self.stream = stream or sys.stderr
-        self.lines = LineBound(lines_per_s)
+        self.lines = LineLimiter(lines_per_s)
         processors: list[Any] = []
         if form == "json":
             processors += [
@@ -102,11 +102,11 @@
         loop.set_exception_handler(
             lambda _, told: self.say(told["message"], error=repr(told.get("exception")))
         )
-        logging.getLogger().handlers[:] = [OthersHandler(self)]
+        logging.getLogger().handlers[:] = [LibraryLogHandler(self)]
 
 
-class OthersHandler(logging.Handler):
-    def __init__(self, log: Log) -> None:
+class LibraryLogHandler(logging.Handler):
+    def __init__(self, log: EventLog) -> None:
         super().__init__(logging.ERROR)  # a refused or reset connection is told by its link
         self.log = log
 
--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -12,8 +12,8 @@
 
 import z3
 
-KEEPERS, LENGTH = 3, 2
-QUORUMS = [set(each) for size in (2, 3) for each in combinations(range(KEEPERS), size)]
+REPLICAS, LENGTH = 3, 2
+QUORUMS = [set(each) for size in (2, 3) for each in combinations(range(REPLICAS), size)]
 
 
 class State:
@@ -23,9 +23,9 @@
         def ints(what: str, count: int) -> list:
             return [z3.Int(f"{name}.{what}{number}") for number in range(count)]
 
-        self.term, self.voted = ints("term", KEEPERS), ints("voted", KEEPERS)  # -1: nobody
-        self.log = [ints(f"log{keeper}.", LENGTH) for keeper in range(KEEPERS)]  # 0: no entry
-        self.leads = ints("leads", KEEPERS)  # the term that it leads; 0: none
+        self.term, self.voted = ints("term", REPLICAS), ints("voted", REPLICAS)  # -1: nobody
+        self.log = [ints(f"log{keeper}.", LENGTH) for keeper in range(REPLICAS)]  # 0: no entry
+        self.leads = ints("leads", REPLICAS)  # the term that it leads; 0: none
         self.agreed = ints("agreed", LENGTH)  # the term of the entry agreed there; 0: none
 
     def all(self) -> list:
@@ -74,7 +74,7 @@
         *same(a.voted, b.voted, voters),
         *same(a.term, b.term, voters),
         *same(a.leads, b.leads, [who]),
-        *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])),
+        *(each for keeper in range(REPLICAS) for each in same(a.log[keeper], b.log[keeper])),
         *same(a.agreed, b.agreed),
     )
 
@@ -87,7 +87,7 @@
         *same(a.term, b.term),
         *same(a.leads, b.leads),
         *same(a.agreed, b.agreed),
-        *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])),
+        *(each for keeper in range(REPLICAS) for each in same(a.log[keeper], b.log[keeper])),
     )
 
 
@@ -99,7 +99,7 @@
         a.leads[who] == a.term[who],
         place < LENGTH,
         *[b.log[who][index] == log[index] for index in range(LENGTH)],
-        *(each for keeper in range(KEEPERS) if keeper != who for each in same(a.log[keeper], b.log[keeper])),
+        *(each for keeper in range(REPLICAS) if keeper != who for each in same(a.log[keeper], b.log[keeper])),
         *same(a.term, b.term),
         *same(a.voted, b.voted),
         *same(a.leads, b.leads),
@@ -114,7 +114,7 @@
         a.leads[who] == a.term[who],
         a.term[to] <= a.leads[who],
         *[b.log[to][index] == a.log[who][index] for index in range(LENGTH)],
-        *(each for keeper in range(KEEPERS) if keeper != to for each in same(a.log[keeper], b.log[keeper])),
+        *(each for keeper in range(REPLICAS) if keeper != to for each in same(a.log[keeper], b.log[keeper])),
         b.term[to] == a.leads[who],
         b.voted[to] == z3.If(a.term[to] == a.leads[who], a.voted[to], -1),
         b.leads[to] == 0,
@@ -147,7 +147,7 @@
         *same(a.term, b.term),
         *same(a.voted, b.voted),
         *same(a.leads, b.leads),
-        *(each for keeper in range(KEEPERS) for each in same(a.log[keeper], b.log[keeper])),
+        *(each for keeper in range(REPLICAS) for each in same(a.log[keeper], b.log[keeper])),
     )
 
 
@@ -155,7 +155,7 @@
 
 
 def steps_of(a: State, b: State, rules: set[str]):
-    everyone = range(KEEPERS)
+    everyone = range(REPLICAS)
     return z3.Or(
         *[elected(a, b, who, voters, rules) for who in everyone for voters in QUORUMS if who in voters],
         *([forgot(a, b, who) for who in everyone] if "forgets" in rules else []),
@@ -194,8 +194,8 @@
                 z3.And(a.leads[one] > 0, a.leads[one] == b.leads[other])
                 for number, a in enumerate(states)
                 for b in states[number:]
-                for one in range(KEEPERS)
-                for other in range(KEEPERS)
+                for one in range(REPLICAS)
+                for other in range(REPLICAS)
                 if one != other
             ]
         )
@@ -215,7 +215,7 @@
             end.log[who][index] != end.agreed[index],
             end.leads[who] > end.agreed[index],
         )
-        for who in range(KEEPERS)
+        for who in range(REPLICAS)
         for index in range(LENGTH)
     ]
     solver.add(z3.Or(*lacks))
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakkeel.admission.types import FairRules, NodeLimits
+from oakkeel.admission.types import FairSharingRules, NodeLimits
 from oakkeel.node_limits import LimitsError, Pairs, fail, flatten, read_limits
-from oakkeel.resource_limits import MS, Bounds
+from oakkeel.resource_limits import MS, ResourceLimits
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
-class Start:
+class NodeConfiguration:
     """Everything that a node goes by."""
 
     name: str
@@ -24,7 +24,7 @@
     lookup: Address
     catalogue: Address | None  # nodes of the last tier have none
     seed: int
-    bounds: Bounds
+    bounds: ResourceLimits
     limits: NodeLimits
     gauges: list[str | None]
     groups: list[str]
@@ -36,7 +36,7 @@
     generation: int  # told by whoever started it, and told back on its control link
 
 
-def read_start(variables: Mapping[str, str]) -> Start:
+def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
     path = variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
@@ -50,14 +50,14 @@
     try:
         limits = read_limits(node)
         limits.fair, snapshot = _fair(variables.get("OAKKEEL_TOLD", ""))
-        return Start(
+        return NodeConfiguration(
             name=variables.get("PROXY_NAME") or pairs.need("name"),
             listen=_address(variables.get("PROXY_LISTEN") or pairs.need("listen")),
             engine=_address(pairs.need("engine")),
             lookup=_address(pairs.need("lookup")),
             catalogue=_address(pairs.get("catalog", "")) if pairs.get("catalog", "") else None,
             seed=_seed(told.get("seed", 0)),
-            bounds=Bounds(
+            bounds=ResourceLimits(
                 sockets=int(pairs.needed_number("limits.sockets")),
                 memory=int(pairs.needed_number("limits.memory_mb") * 1024 * 1024),
                 stop_after=int(pairs.needed_number("stop_ms") * MS),
@@ -78,7 +78,7 @@
         raise LimitsError(f"the configuration holds what can't be used: {error}") from None
 
 
-def _fair(path: str) -> tuple[FairRules | None, str]:
+def _fair(path: str) -> tuple[FairSharingRules | None, str]:
     """What the operator says of fair shares, in the file that an agent made of his settings."""
     if not path:
         return None, ""
@@ -90,7 +90,7 @@
         weights = {str(name).encode(): float(value) for name, value in told["weights"].items()}
         if not 1 <= len(told["by"]) <= 2 or not all(0 < value < 1e6 for value in weights.values()):
             fail("the operator's settings name no senders, or a weight that can't be")
-        return FairRules(
+        return FairSharingRules(
             tuple(told["by"]), weights, int(told["places"]), int(told["promises"]), int(told["half"])
         ), str(told["snapshot"])
     except (OSError, KeyError, TypeError, ValueError) as error:
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -5,24 +5,24 @@
 from asyncio import Task
 from typing import Any, Protocol
 
-from oakkeel.dispatch.codec import ExchangeReader
+from oakkeel.dispatch.codec import RequestReader
 from oakkeel.dispatch.listener import Listener
-from oakkeel.log import Log
-from oakkeel.node.configuration import Start
+from oakkeel.log import EventLog
+from oakkeel.node.configuration import NodeConfiguration
 from oakkeel.node.drain import Drain
 from oakkeel.node.host import NodeHost
-from oakkeel.node.metrics import Measures
-from oakkeel.resource_limits import Bounds
+from oakkeel.node.metrics import Metrics
+from oakkeel.resource_limits import ResourceLimits
 
 
-class Whole(Protocol):
-    start: Start
-    bounds: Bounds
-    log: Log
+class NodeContext(Protocol):
+    start: NodeConfiguration
+    bounds: ResourceLimits
+    log: EventLog
     listener: Listener
     host: NodeHost
     open: dict[bytes, Task]
-    measures: Measures
+    measures: Metrics
     draining: Drain
-    reader: ExchangeReader | None
+    reader: RequestReader | None
     fairly: Any  # measures of senders, or None
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -7,37 +7,37 @@
 from collections import Counter
 
 from oakkeel.admission import Stage
-from oakkeel.admission.types import State
+from oakkeel.admission.types import RequestState
 from oakkeel.control.listener import ControlListener
-from oakkeel.control.messages import ClientsTold, Report
+from oakkeel.control.messages import ClientsStatus, NodeStatus
 from oakkeel.dispatch import codec
-from oakkeel.node.context import Whole
-from oakkeel.node.metrics import descriptors, resident
-from oakkeel.node.outcome_counters import Outcomes
-from oakkeel.request import LiveExchange
+from oakkeel.node.context import NodeContext
+from oakkeel.node.metrics import open_descriptors, resident_bytes
+from oakkeel.node.outcome_counters import OutcomeCounters
+from oakkeel.request import NodeRequest
 
 
-def open_control(node: Whole) -> ControlListener:
+def open_control(node: NodeContext) -> ControlListener:
     """Raises OSError where its socket can't be made."""
-    return ControlListener(node.start.control, ControlledNode(node), node.bounds, node.log)
+    return ControlListener(node.start.control, ControlEndpoint(node), node.bounds, node.log)
 
 
-class ControlledNode:
-    def __init__(self, node: Whole) -> None:
+class ControlEndpoint:
+    def __init__(self, node: NodeContext) -> None:
         self.node, self.started = node, time.monotonic_ns()
-        self.outcomes = Outcomes(max((each.benefit for each in node.start.limits.groups), default=1.0))
+        self.outcomes = OutcomeCounters(max((each.benefit for each in node.start.limits.groups), default=1.0))
         self.version = os.environ.get("OAKKEEL_VERSION", "")
         node.measures.watch = self._answered
 
-    def _answered(self, ex: LiveExchange, word: bytes) -> None:
+    def _answered(self, ex: NodeRequest, word: bytes) -> None:
         self.outcomes.answered(
             time.monotonic_ns(), ex, ex.group_name.decode(errors="replace")[:64], word == codec.COMPLETED
         )
 
-    def report(self, tag: int) -> Report:
+    def report(self, tag: int) -> NodeStatus:
         node, now = self.node, time.monotonic_ns()
         host, port = node.listener.address
-        report = Report(
+        report = NodeStatus(
             tag=tag,
             name=node.start.name,
             pid=os.getpid(),
@@ -45,8 +45,8 @@
             state=self._state(now),
             address=f"{host}:{port}",
             uptime=now - self.started,
-            resident_kb=resident() // 1024,
-            descriptors=descriptors(),
+            resident_kb=resident_bytes() // 1024,
+            descriptors=open_descriptors(),
             connections=len(node.listener.connections),
             owes=len(node.open),
             cpu=time.process_time_ns(),
@@ -64,9 +64,9 @@
             keel = node.host.keel
             report.stage = Stage(max(keel.cpu_stage, keel.depth_stage, keel.latency_stage)).name
             report.cut, report.memory_kb = round(keel.cut, 4), round(keel.memory_kb, 1)
-            report.hold = keel.count[State.DELAYED] + keel.count[State.HELD]
-            report.runs = keel.count[State.RUNNING] + keel.count[State.ORPHANED]
-            report.calls = keel.count[State.AT_CALL] + keel.count[State.CALLING]
+            report.hold = keel.count[RequestState.DELAYED] + keel.count[RequestState.HELD]
+            report.runs = keel.count[RequestState.RUNNING] + keel.count[RequestState.ORPHANED]
+            report.calls = keel.count[RequestState.AT_CALL] + keel.count[RequestState.CALLING]
         if node.draining:
             report.owes_by = dict(
                 Counter(
@@ -77,9 +77,9 @@
             )
         return report
 
-    def clients(self, tag: int, most: int) -> ClientsTold:
+    def clients(self, tag: int, most: int) -> ClientsStatus:
         fairly = self.node.fairly
-        return fairly.told(tag, most) if fairly and self.node.host.begun else ClientsTold(tag, [])
+        return fairly.told(tag, most) if fairly and self.node.host.begun else ClientsStatus(tag, [])
 
     def _state(self, now: int) -> str:
         node = self.node
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -6,14 +6,14 @@
 from enum import Enum
 from typing import Protocol
 
-from oakkeel.directory.reports import Reports
+from oakkeel.directory.reports import DirectoryReporter
 from oakkeel.dispatch.listener import Listener
-from oakkeel.log import Log, fault
+from oakkeel.log import EventLog, fault
 from oakkeel.node.host import NodeHost
-from oakkeel.resource_limits import SECOND, Bounds
+from oakkeel.resource_limits import SECOND, ResourceLimits
 
 
-class Leaving(Enum):
+class DrainState(Enum):
     """`Drain._move` alone changes it."""
 
     NOT = "not"
@@ -22,40 +22,40 @@
     ENDED = "ended"
 
 
-NEXT = {
-    Leaving.NOT: {Leaving.GRACE},
-    Leaving.GRACE: {Leaving.EMPTYING, Leaving.NOT},
-    Leaving.EMPTYING: {Leaving.ENDED, Leaving.NOT},
-    Leaving.ENDED: set(),
+TRANSITIONS = {
+    DrainState.NOT: {DrainState.GRACE},
+    DrainState.GRACE: {DrainState.EMPTYING, DrainState.NOT},
+    DrainState.EMPTYING: {DrainState.ENDED, DrainState.NOT},
+    DrainState.ENDED: set(),
 }
 
 
-class Drained(Protocol):
+class DrainContext(Protocol):
     """What it needs of the node."""
 
     listener: Listener
-    reports: Reports
+    reports: DirectoryReporter
     host: NodeHost
-    log: Log
-    bounds: Bounds
+    log: EventLog
+    bounds: ResourceLimits
     done: asyncio.Event
 
     def stay(self) -> None: ...
 
 
 class Drain:
-    def __init__(self, node: Drained, grace: int, stop_after: int) -> None:
+    def __init__(self, node: DrainContext, grace: int, stop_after: int) -> None:
         """`grace` and `stop_after` in nanoseconds from the notice: what comes later does not run, and what is
         not answered by then may be killed."""
         self.node, self.grace, self.stop_after = node, grace, stop_after
-        self.state = Leaving.NOT
+        self.state = DrainState.NOT
         self.final = False  # told by SIGTERM, which nothing takes back
         self.task: asyncio.Task | None = None
         self.timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
 
     def __bool__(self) -> bool:
         """Whether it goes on, or is over."""
-        return self.state is not Leaving.NOT
+        return self.state is not DrainState.NOT
 
     def leave(self, within: int = 0, final: bool = True) -> None:
         """The notice. `within` nanoseconds until all is answered, 0 as the platform says."""
@@ -65,7 +65,7 @@
         if self:  # it may have been given longer
             self._end_by(self.stop_after)
             return self._tell(self.stop_after)
-        self._move(Leaving.GRACE)
+        self._move(DrainState.GRACE)
         self._end_by(within or self.stop_after)
         self.task = asyncio.ensure_future(self._drain(within or self.stop_after))
 
@@ -73,7 +73,7 @@
         """Take work again. Returns why it can't; empty where it does."""
         if not self:
             return ""
-        if self.final or self.state is Leaving.ENDED:
+        if self.final or self.state is DrainState.ENDED:
             return "it leaves for good" if self.final else "it has ended"
         node = self.node
         try:
@@ -84,7 +84,7 @@
             self.task.cancel()
         if self.timer:
             self.timer.cancel()
-        self._move(Leaving.NOT)
+        self._move(DrainState.NOT)
         self._tell(None)
         node.reports.set_taking(True)
         node.stay()
@@ -100,11 +100,11 @@
             self._tell(left)
             node.listener.last()
             await asyncio.sleep(self.grace / SECOND)
-        self._move(Leaving.EMPTYING)
+        self._move(DrainState.EMPTYING)
         await node.listener.close()
         node.listener.last()
         await node.listener.gone()  # each ends only when all on it is answered and on its way
-        self._move(Leaving.ENDED)
+        self._move(DrainState.ENDED)
         if self.timer:
             self.timer.cancel()
         node.done.set()
@@ -128,8 +128,8 @@
         except Exception as error:  # the drain goes on
             self.node.log.say("leaving failed", error=fault(error))
 
-    def _move(self, state: Leaving) -> None:
+    def _move(self, state: DrainState) -> None:
         """The one place where the state changes."""
-        if state not in NEXT[self.state]:
+        if state not in TRANSITIONS[self.state]:
             raise RuntimeError(f"{self.state.value} to {state.value}")
         self.state = state
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -6,37 +6,37 @@
 import os
 import time
 
-from oakkeel.admission.types import FairRules
-from oakkeel.control.messages import ClientsTold, ClientTold
-from oakkeel.dispatch.codec import sender_fields
+from oakkeel.admission.types import FairSharingRules
+from oakkeel.control.messages import ClientsStatus, ClientUsage
+from oakkeel.dispatch.codec import flow_fields
 from oakkeel.fair_sharing import persistence
-from oakkeel.fair_sharing.heavy_hitters import Sender
-from oakkeel.fair_sharing.keys import SECRET, SenderKeys
-from oakkeel.node.context import Whole
+from oakkeel.fair_sharing.heavy_hitters import Flow
+from oakkeel.fair_sharing.keys import SECRET, FlowKeys
+from oakkeel.node.context import NodeContext
 from oakkeel.resource_limits import SECOND
 from oakkeel.store import snapshot_file
 
 KEEP_EVERY = 5 * SECOND
 
 
-class FairNode:
+class NodeFairSharing:
     """The measures of one node, taken up from its snapshot and kept there."""
 
-    def __init__(self, node: Whole, rules: FairRules, path: str) -> None:
+    def __init__(self, node: NodeContext, rules: FairSharingRules, path: str) -> None:
         """`path` of the snapshot; empty: none is kept."""
         self.node, self.rules, self.path = node, rules, path
         self.found = self._read()
         self.secret = self.found.secret if self.found else os.urandom(SECRET)
-        self.keys = SenderKeys(self.secret, sender_fields(rules.by))
+        self.keys = FlowKeys(self.secret, flow_fields(rules.by))
         self.timer: asyncio.TimerHandle | None = None
 
-    def _read(self) -> persistence.FairKept | None:
+    def _read(self) -> persistence.FairSharingSnapshot | None:
         if not self.path:
             return None
         try:
             content = snapshot_file.read(self.path)
-            return None if content is None else persistence.read(content, time.time_ns(), self.rules.by)
-        except persistence.Unfit as error:
+            return None if content is None else persistence.decode_snapshot(content, time.time_ns(), self.rules.by)
+        except persistence.SnapshotRejectedError as error:
             self.node.log.say("the snapshot of shares is not taken", why=str(error))
         except (snapshot_file.SnapshotError, OSError) as error:
             aside = snapshot_file.set_aside(self.path)
@@ -47,7 +47,7 @@
         """The decisions are there: they begin with what an earlier process knew."""
         fair = self.node.host.keel.fair
         if self.found and fair:
-            persistence.take_up(self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises)
+            persistence.restore_snapshot(self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises)
             self.node.log.say(
                 "the snapshot of shares is taken",
                 senders=len(fair.levels.tables[-1].senders),
@@ -69,7 +69,7 @@
         try:
             snapshot_file.write(
                 self.path,
-                persistence.kept(
+                persistence.encode_snapshot(
                     time.monotonic_ns(),
                     time.time_ns(),
                     self.rules.by,
@@ -86,7 +86,7 @@
             self.timer.cancel()
         self.keep()
 
-    def reload(self, rules: FairRules | None) -> None:
+    def reload(self, rules: FairSharingRules | None) -> None:
         """New weights hold at once; who counts as one sender stays as it was at the start."""
         if rules is None or rules.by != self.rules.by:
             return self.node.log.say("who counts as one sender stays until the next start")
@@ -94,15 +94,15 @@
         self.rules.weights.update(rules.weights)
         self.node.log.say("the new weights are taken", weights=len(rules.weights))
 
-    def told(self, tag: int, most: int) -> ClientsTold:
+    def told(self, tag: int, most: int) -> ClientsStatus:
         """The heaviest senders by now, innermost level."""
         fair, now = self.node.host.keel.fair, time.monotonic_ns()
         if fair is None:
-            return ClientsTold(tag, list(self.rules.by))
+            return ClientsStatus(tag, list(self.rules.by))
         table, promises = fair.levels.tables[-1], fair.promises
         total = table.total(now) or 1.0
         heaviest = sorted(table.senders.values(), key=lambda each: -table.rate(now, each))[:most]
-        return ClientsTold(
+        return ClientsStatus(
             tag,
             list(self.rules.by),
             len(table.senders),
@@ -113,7 +113,7 @@
             promises.broken,
             promises.lapsed,
             [
-                ClientTold(
+                ClientUsage(
                     _path(each),
                     table.rate(now, each) / total,
                     table.retry_rate(now, each) / total,
@@ -124,6 +124,6 @@
         )
 
 
-def _path(sender: Sender) -> str:
+def _path(sender: Flow) -> str:
     outer = _path(sender.parent) + "/" if sender.parent else ""
     return outer + sender.label.decode(errors="replace")
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -6,31 +6,31 @@
 import time
 from collections.abc import Callable
 
-from oakkeel.admission import Keel
+from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import Gauges
-from oakkeel.directory.reports import Reports
+from oakkeel.directory.reports import DirectoryReporter
 from oakkeel.dispatch.listener import Listener
 from oakkeel.engine.link import EngineLink
-from oakkeel.log import Log, fault
-from oakkeel.node.configuration import Start
-from oakkeel.node.metrics import Measures
-from oakkeel.node.response_cache import ResultCache
-from oakkeel.request import Event, LiveExchange
+from oakkeel.log import EventLog, fault
+from oakkeel.node.configuration import NodeConfiguration
+from oakkeel.node.metrics import Metrics
+from oakkeel.node.response_cache import ResponseCache
+from oakkeel.request import RequestEvent, NodeRequest
 from oakkeel.resource_limits import SECOND
 
 
 class NodeHost:
-    """Carries out what `Keel` asks, and brings it the time, the timers and the gauges."""
+    """Carries out what `AdmissionController` asks, and brings it the time, the timers and the gauges."""
 
     def __init__(
         self,
-        start: Start,
+        start: NodeConfiguration,
         engine: EngineLink,
         listener: Listener,
-        reports: Reports,
-        results: ResultCache,
-        measures: Measures,
-        log: Log,
+        reports: DirectoryReporter,
+        results: ResponseCache,
+        measures: Metrics,
+        log: EventLog,
     ) -> None:
         self.engine, self.listener, self.reports, self.results = engine, listener, reports, results
         self.start, self.measures, self.log = start, measures, log
@@ -40,7 +40,7 @@
         self.signal: float | None = None
         self.settling = False
         self.timers: set[asyncio.Task] = set()
-        self.keel: Keel  # from `begin` on
+        self.keel: AdmissionController  # from `begin` on
         self.begun = False
 
     def begin(self, cold: bool, age: int) -> None:
@@ -50,7 +50,7 @@
         self.begun = True
         started = time.monotonic_ns() - (age if cold else 0)
         # Each exchange that it names is one that we gave it, a LiveExchange.
-        self.keel = Keel(self, limits, self.start.seed, started)  # type: ignore[arg-type]
+        self.keel = AdmissionController(self, limits, self.start.seed, started)  # type: ignore[arg-type]
 
     def begin_anew(self, cold: bool, age: int) -> None:
         """Another engine is up in the place of the first: the node is as cold as that is."""
@@ -74,31 +74,31 @@
 
     # Verdicts.
 
-    def run(self, ex: LiveExchange) -> None:
-        ex.tell(Event.RUN)
+    def run(self, ex: NodeRequest) -> None:
+        ex.tell(RequestEvent.RUN)
 
-    def deny(self, ex: LiveExchange, last: bool, retry_after: int) -> None:
-        ex.tell(Event.DENY, last, retry_after)
+    def deny(self, ex: NodeRequest, last: bool, retry_after: int) -> None:
+        ex.tell(RequestEvent.DENY, last, retry_after)
 
-    def terminate(self, ex: LiveExchange) -> None:
-        ex.tell(Event.TERMINATE)
+    def terminate(self, ex: NodeRequest) -> None:
+        ex.tell(RequestEvent.TERMINATE)
 
-    def stop(self, ex: LiveExchange) -> None:
-        ex.tell(Event.STOP)
+    def stop(self, ex: NodeRequest) -> None:
+        ex.tell(RequestEvent.STOP)
 
-    def call(self, ex: LiveExchange, until: int) -> None:
-        ex.tell(Event.CALL, until)
+    def call(self, ex: NodeRequest, until: int) -> None:
+        ex.tell(RequestEvent.CALL, until)
 
-    def leave_out(self, ex: LiveExchange) -> None:
-        ex.tell(Event.LEAVE_OUT)
+    def leave_out(self, ex: NodeRequest) -> None:
+        ex.tell(RequestEvent.LEAVE_OUT)
 
-    def share(self, ex: LiveExchange) -> None:
-        ex.tell(Event.SHARE)
+    def share(self, ex: NodeRequest) -> None:
+        ex.tell(RequestEvent.SHARE)
 
-    def remember(self, ex: LiveExchange, duration: int) -> None:
+    def remember(self, ex: NodeRequest, duration: int) -> None:
         self.results.remember(ex, time.monotonic_ns(), duration)
 
-    def forget(self, ex: LiveExchange) -> None:
+    def forget(self, ex: NodeRequest) -> None:
         self.results.forget(ex)
 
     # Timers.
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -10,7 +10,7 @@
 from oakkeel.resource_limits import MS, SECOND
 
 
-class Measures:
+class Metrics:
     """Counts since the last line; how late timers came is counted by doubled steps of milliseconds."""
 
     STEPS = 12
@@ -58,8 +58,8 @@
             "calls": calls or 0,
             "open": open_exchanges,
             "connections": connections,
-            "descriptors": descriptors(),
-            "resident_mb": round(resident() / 2**20, 1),
+            "descriptors": open_descriptors(),
+            "resident_mb": round(resident_bytes() / 2**20, 1),
             "cpu": round((cpu - self.cpu) / max(1, now - self.since), 3),
             "timers": sum(self.late),
             "late_ms_half": self._late_share(0.5),  # half of them came less late
@@ -73,11 +73,11 @@
         return facts
 
 
-def resident() -> int:
+def resident_bytes() -> int:
     """Bytes of memory that the process holds."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def descriptors() -> int:
+def open_descriptors() -> int:
     return len(os.listdir("/proc/self/fd"))
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -9,19 +9,19 @@
 import time
 
 from oakkeel.catalogue.links import Catalogue
-from oakkeel.directory.reports import Reports
-from oakkeel.dispatch.codec import ExchangeReader
+from oakkeel.directory.reports import DirectoryReporter
+from oakkeel.dispatch.codec import RequestReader
 from oakkeel.dispatch.listener import Listener
 from oakkeel.engine.link import EngineLink
-from oakkeel.log import Log
-from oakkeel.node.configuration import Start, read_start
+from oakkeel.log import EventLog
+from oakkeel.node.configuration import NodeConfiguration, read_configuration
 from oakkeel.node.drain import Drain
 from oakkeel.node.host import NodeHost
-from oakkeel.node.metrics import Measures
-from oakkeel.node.request_handler import ExchangeHandler
-from oakkeel.node.response_cache import ResultCache
+from oakkeel.node.metrics import Metrics
+from oakkeel.node.request_handler import RequestHandler
+from oakkeel.node.response_cache import ResponseCache
 from oakkeel.node_limits import LimitsError
-from oakkeel.request import Event, LiveExchange
+from oakkeel.request import RequestEvent, NodeRequest
 from oakkeel.resource_limits import SECOND
 from oakkeel.stream_buffers import BufferPool
 
@@ -31,30 +31,30 @@
 class Node:
     """The front of all connections, and the order in which the parts start and end."""
 
-    def __init__(self, start: Start) -> None:
+    def __init__(self, start: NodeConfiguration) -> None:
         bounds = start.bounds
         self.start, self.bounds = start, bounds
-        self.log = Log(start.name, bounds.log_lines, start.log_form)
-        self.measures = Measures()
+        self.log = EventLog(start.name, bounds.log_lines, start.log_form)
+        self.measures = Metrics()
         self.pool = BufferPool(bounds.buffer_size, bounds.buffers)
-        self.reader: ExchangeReader | None = None
+        self.reader: RequestReader | None = None
         self.open: dict[bytes, asyncio.Task] = {}  # by the ids of their exchanges
         self.came_up: tuple[bool, int, int] | None = None  # the engine, while the node was leaving
         self.done = asyncio.Event()
         self.listener = Listener(start.listen, self.pool, bounds, self, self.log)
-        self.reports = Reports(start.lookup, start.name, bounds)
+        self.reports = DirectoryReporter(start.lookup, start.name, bounds)
         self.engine = EngineLink(start.engine, self.pool, bounds, self.log, self._engine_up)
         self.catalogue = Catalogue(start.catalogue, self.pool, bounds, self.log)
-        self.results = ResultCache(bounds, start.limits.fresh)
+        self.results = ResponseCache(bounds, start.limits.fresh)
         self.host = NodeHost(
             start, self.engine, self.listener, self.reports, self.results, self.measures, self.log
         )
         self.draining = Drain(self, start.limits.drain_grace, bounds.stop_after)
         self.fairly = None
         if start.limits.fair:
-            from oakkeel.node.fair_sharing import FairNode  # it brings libraries that a plain node spares
+            from oakkeel.node.fair_sharing import NodeFairSharing  # it brings libraries that a plain node spares
 
-            self.fairly = FairNode(self, start.limits.fair, start.snapshot)
+            self.fairly = NodeFairSharing(self, start.limits.fair, start.snapshot)
         self.control = None
         if start.control:
             from oakkeel.node.control_endpoint import (
@@ -62,7 +62,7 @@
             )
 
             self.control = open_control(self)
-        self.handler = ExchangeHandler(
+        self.handler = RequestHandler(
             self.host, self.engine, self.catalogue, self.results, self.measures, self.log
         )
 
@@ -106,7 +106,7 @@
         if self.fairly:
             self.fairly.begin()
             who = self.fairly.keys.who
-        self.reader = ExchangeReader(
+        self.reader = RequestReader(
             self.start.limits, self.start.groups, self.start.tenants, self.bounds, who=who
         )
         self.log.say("the engine is up", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
@@ -121,7 +121,7 @@
     def reload(self) -> None:
         """Go over to the engine, catalogue and directory that the file names by now, or stay as it is."""
         try:
-            start = read_start(os.environ)
+            start = read_configuration(os.environ)
         except (LimitsError, OSError) as error:
             return self.log.say("the new configuration is not taken", error=str(error))
         self.engine.move(start.engine)
@@ -133,7 +133,7 @@
 
     # The front of the connections.
 
-    def arrived(self, ex: LiveExchange) -> None:
+    def arrived(self, ex: NodeRequest) -> None:
         self.measures.read += 1
         task = asyncio.ensure_future(self.handler.handle(ex))
         self.open[ex.ident] = task
@@ -143,10 +143,10 @@
         """Whether an exchange of that id is open, or its run is."""
         return ident in self.open
 
-    def gone(self, ex: LiveExchange) -> None:
+    def gone(self, ex: NodeRequest) -> None:
         if not ex.answered:
             ex.answered = True  # nothing is owed any more
-            ex.tell(Event.GONE)
+            ex.tell(RequestEvent.GONE)
 
     def healthy(self) -> bool:
         return self.host.good and self.host.begun and not self.draining
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -7,13 +7,13 @@
 
 import math
 
-from oakkeel.admission.types import Exchange
+from oakkeel.admission.types import Request
 
 SECOND = 1_000_000_000
 MOST_GROUPS = 16  # the first ones seen; a report has room for no more
 
 
-class Outcomes:
+class OutcomeCounters:
     """Each sum is a list of count, sum and sum of squares."""
 
     def __init__(self, most_benefit: float) -> None:
@@ -22,7 +22,7 @@
         self.benefit = [0.0, 0.0, 0.0]
         self.times: dict[str, list[float]] = {}  # logarithms of seconds until completed
 
-    def answered(self, now: int, ex: Exchange, group: str, completed: bool) -> None:
+    def answered(self, now: int, ex: Request, group: str, completed: bool) -> None:
         """One was answered; what is late brings the part that its group says."""
         brought = 0.0
         if completed:
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -6,13 +6,13 @@
 from hashlib import blake2b
 
 from oakkeel.admission.types import Outcome
-from oakkeel.request import Event, LiveExchange
-from oakkeel.resource_limits import Bounds
+from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.resource_limits import ResourceLimits
 
 Key = tuple[int, bytes, bytes]  # endpoint group, tenant, key: nobody gets another tenant's result
 
 
-class CachedResult:
+class CachedResponse:
     """One exchange that may be repeated: under way, or over with its outcome and result."""
 
     __slots__ = (
@@ -29,7 +29,7 @@
     )
 
     def __init__(
-        self, key: Key, ex: LiveExchange, now: int, duration: int, before: CachedResult | None
+        self, key: Key, ex: NodeRequest, now: int, duration: int, before: CachedResponse | None
     ) -> None:
         """`duration` in nanoseconds: of what may run once from its arrival at the machine, of a read from
         now."""
@@ -40,13 +40,13 @@
         self.body = blake2b(ex.body, digest_size=16).digest() if self.once else b""
         self.outcome: Outcome | None = None
         self.result, self.ended = b"", 0
-        self.followers: list[LiveExchange] = []
+        self.followers: list[NodeRequest] = []
         self.before = before  # whose place it has, while it may still turn out never to have run
 
-    def follow(self, ex: LiveExchange) -> None:
+    def follow(self, ex: NodeRequest) -> None:
         """It takes the result, now or when there is one."""
         if self.outcome is not None:
-            ex.tell(Event.SHARED, self.outcome, self.result)
+            ex.tell(RequestEvent.SHARED, self.outcome, self.result)
         else:
             self.followers.append(ex)
 
@@ -56,19 +56,19 @@
             self.outcome, self.result, self.ended = outcome, result, time.monotonic_ns()
             self.before = None
             for ex in self.followers:
-                ex.tell(Event.SHARED, outcome, result)
+                ex.tell(RequestEvent.SHARED, outcome, result)
             self.followers.clear()
 
 
-class ResultCache:
+class ResponseCache:
     """By endpoint group, tenant and key. A later exchange takes the place of one whose time is up."""
 
-    def __init__(self, bounds: Bounds, fresh: int) -> None:
+    def __init__(self, bounds: ResourceLimits, fresh: int) -> None:
         """`fresh`: nanoseconds for which the result of a read may serve others."""
         self.most, self.fresh = bounds.results, fresh
-        self.results: dict[Key, CachedResult] = {}
+        self.results: dict[Key, CachedResponse] = {}
 
-    def find(self, ex: LiveExchange, now: int) -> bool:
+    def find(self, ex: NodeRequest, now: int) -> bool:
         """Whether it repeats one that is here: it reached the machine while that one's time was not up."""
         cached = self.results.get(ex.key) if ex.key else None
         if cached is None or now - ex.backlog >= cached.until:
@@ -82,13 +82,13 @@
         ex.earlier = cached
         return True
 
-    def differs(self, ex: LiveExchange) -> bool:
+    def differs(self, ex: NodeRequest) -> bool:
         """Whether it has the key of the one that it would repeat, but asks for something else. A result that
         was not made for it would be an answer to nothing it asked, and to run it might be a second effect."""
         earlier = ex.earlier
         return earlier.once and earlier.body != blake2b(ex.body, digest_size=16).digest()
 
-    def share(self, ex: LiveExchange) -> None:
+    def share(self, ex: NodeRequest) -> None:
         ex.earlier.follow(ex)
 
     def full(self, now: int) -> bool:
@@ -102,16 +102,16 @@
                 break
         return len(self.results) >= self.most
 
-    def remember(self, ex: LiveExchange, now: int, duration: int) -> None:
+    def remember(self, ex: NodeRequest, now: int, duration: int) -> None:
         if ex.key is None:
             return  # nothing that its repeats could be known by
         self.full(now)  # makes room
-        ex.cached = self.results[ex.key] = CachedResult(ex.key, ex, now, duration, self.results.get(ex.key))
+        ex.cached = self.results[ex.key] = CachedResponse(ex.key, ex, now, duration, self.results.get(ex.key))
 
-    def forget(self, ex: LiveExchange) -> None:
+    def forget(self, ex: NodeRequest) -> None:
         """It never ran, and never will. One whose place it had is there again: that one may have run, and
         repeats of it may still be unread, or have been taken for repeats of this one."""
-        cached: CachedResult | None = ex.cached
+        cached: CachedResponse | None = ex.cached
         if cached is None:
             return
         before = cached.before
@@ -124,7 +124,7 @@
                 before.follow(each)
         cached.end(Outcome.DENIED, b"")
 
-    def ended(self, ex: LiveExchange, outcome: Outcome, result: bytes) -> None:
+    def ended(self, ex: NodeRequest, outcome: Outcome, result: bytes) -> None:
         if ex.cached is not None:
             ex.cached.end(outcome, result)
 
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -7,7 +7,7 @@
 
 from typing import Any, NoReturn
 
-from oakkeel.admission.types import AdviceKind, Below, Effect, EndpointGroup, NodeLimits, StopKind, Tenant
+from oakkeel.admission.types import LoadReportKind, DownstreamKind, Effect, RequestClass, NodeLimits, StopKind, Tenant
 
 EFFECTS = {
     "read_like": Effect.REPEATABLE,
@@ -16,12 +16,12 @@
 }
 STOPS = {"silent": StopKind.NONE, "abort": StopKind.ABORT, "suspend": StopKind.SUSPEND}
 ADVICE = {
-    "silent": AdviceKind.SILENT,
-    "threshold": AdviceKind.LEVEL,
-    "window": AdviceKind.WINDOW,
-    "share_of": AdviceKind.SHARE,
+    "silent": LoadReportKind.SILENT,
+    "threshold": LoadReportKind.LEVEL,
+    "window": LoadReportKind.WINDOW,
+    "share_of": LoadReportKind.SHARE,
 }
-BELOW = {"silent": Below.NOTHING, "shared": Below.SHARED, "tier": Below.TIER}
+BELOW = {"silent": DownstreamKind.NOTHING, "shared": DownstreamKind.SHARED, "tier": DownstreamKind.TIER}
 GAUGES = {
     "core_use": "core_busy",
     "on_cores": "run_queue",
@@ -139,10 +139,10 @@
     )
 
 
-def _group(pairs: Pairs, index: int) -> EndpointGroup:
+def _group(pairs: Pairs, index: int) -> RequestClass:
     path = f"classes.{index}."
     async_timeout = int(pairs.needed_number(path + "hard-limit"))
-    return EndpointGroup(
+    return RequestClass(
         index=index,
         effect=pairs.choice(path + "effect", EFFECTS, "non_idempotent"),
         benefit=pairs.number(path + "worth", 1.0),
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from oakkeel.disruption.allocator import Terms
-from oakkeel.policy_change.state_machine import Change, Decide, InForce, Refuse, Register
+from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.policy_change.state_machine import PolicyCommand, CommitPolicy, MarkInForce, RejectPolicy, PolicyStateMachine
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -21,7 +21,7 @@
 LOST = 5 * SECOND  # a host that is not heard for so long is not waited for: it has no lease by then
 
 
-class Told(msgspec.Struct, array_like=True):
+class AgentReport(msgspec.Struct, array_like=True):
     """What an agent says with its poll."""
 
     number: int  # under which every node of it decides by now, and no other
@@ -31,7 +31,7 @@
     why: str = ""
 
 
-class Heard(msgspec.Struct, array_like=True):
+class PolicyAssignment(msgspec.Struct, array_like=True):
     """What it hears."""
 
     number: int
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class HostProgress:
     """The last of one host."""
 
     at: int
@@ -50,48 +50,48 @@
     ready: int
 
 
-class Changing:
+class PolicyCoordinator:
     """Made when a leader begins, thrown away when it ends. Calls return commands to propose."""
 
-    def __init__(self, now: int, register: Register, hosts: tuple[str, ...], terms: Terms) -> None:
+    def __init__(self, now: int, register: PolicyStateMachine, hosts: tuple[str, ...], terms: PermitTimeouts) -> None:
         self.register, self.hosts, self.terms, self.began = register, hosts, terms, now
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, HostProgress] = {}
         self.decided_at: dict[int, int] = {}  # since when we tell of no earlier one, by number
         self.offered_at: dict[int, int] = {}
         self.asked: set[bytes] = set()
 
-    def heard(self, now: int, host: str, told: Told, alive_at: int) -> list[Change]:
+    def heard(self, now: int, host: str, told: AgentReport, alive_at: int) -> list[PolicyCommand]:
         """`alive_at`: by our clock it is known to have said that after then."""
         if host not in self.hosts:
             return []
         known = self.known.get(host)
         if known is None or alive_at >= known.at:
-            self.known[host] = Known(alive_at, told.number, told.ready)
+            self.known[host] = HostProgress(alive_at, told.number, told.ready)
         proposed = self.register.proposed
         if proposed and told.refused == proposed.number:
-            return self._once([Refuse(proposed.number, host, told.why)])
+            return self._once([RejectPolicy(proposed.number, host, told.why)])
         return []
 
-    def answer(self, now: int, host: str, told: Told) -> Heard:
+    def answer(self, now: int, host: str, told: AgentReport) -> PolicyAssignment:
         """To be given only while the leader's lease holds."""
         held, proposed = self.register.held, self.register.proposed
         current = held.policies.get(held.decided)
         content = current.content if current and told.has != held.decided else b""
-        heard = Heard(held.decided, LEASE, content)
+        heard = PolicyAssignment(held.decided, LEASE, content)
         if proposed:
             heard.proposed = proposed.number
             if told.ready != proposed.number:
                 heard.offered = proposed.content
         return heard
 
-    def tick(self, now: int) -> list[Change]:
+    def tick(self, now: int) -> list[PolicyCommand]:
         held, proposed = self.register.held, self.register.proposed
-        wanted: list[Change] = []
+        wanted: list[PolicyCommand] = []
         if proposed:
             began = self.offered_at.setdefault(proposed.number, now)
             waits = [host for host in self.hosts if not self._ready(now, host, proposed.number, began)]
             if not waits:
-                wanted.append(Decide(proposed.number))
+                wanted.append(CommitPolicy(proposed.number))
         current = held.policies.get(held.decided)
         if current and current.state == "decided":
             since = self.decided_at.setdefault(current.number, now)
@@ -99,7 +99,7 @@
                 (known := self.known.get(host)) and known.number >= current.number and known.at >= since
                 for host in self.hosts
             ):
-                wanted.append(InForce(current.number))
+                wanted.append(MarkInForce(current.number))
         return self._once(wanted)
 
     def _ready(self, now: int, host: str, number: int, began: int) -> bool:
@@ -110,10 +110,10 @@
         heard_at = max(self.began, began, known.at if known else 0)
         return now - heard_at > self.terms.beyond(LOST)
 
-    def _once(self, wanted: list[Change]) -> list[Change]:
+    def _once(self, wanted: list[PolicyCommand]) -> list[PolicyCommand]:
         news = [each for each in wanted if msgspec.msgpack.encode(each) not in self.asked]
         self.asked |= {msgspec.msgpack.encode(each) for each in news}
         return news
 
-    def lost(self, command: Change) -> None:
+    def lost(self, command: PolicyCommand) -> None:
         self.asked.discard(msgspec.msgpack.encode(command))
--- a/oakkeel/policy_change/policy_lease.py
+++ b/oakkeel/policy_change/policy_lease.py
@@ -8,22 +8,22 @@
 
 from enum import Enum
 
-from oakkeel.policy_change.coordinator import Heard, Told
+from oakkeel.policy_change.coordinator import PolicyAssignment, AgentReport
 
 
-class Standing(Enum):
-    """Of a node. `NodePolicy` alone changes it."""
+class LeaseStatus(Enum):
+    """Of a node. `NodePolicyLease` alone changes it."""
 
     UNTOLD = "untold"  # it has just begun
     HOLDS = "holds"
     LAPSED = "lapsed"  # its agent is cut off, or it was stopped
 
 
-class NodePolicy:
+class NodePolicyLease:
     """Asked before each decision. One switch is one call, between two exchanges."""
 
     def __init__(self) -> None:
-        self.standing, self.number, self.until = Standing.UNTOLD, 0, 0
+        self.standing, self.number, self.until = LeaseStatus.UNTOLD, 0, 0
 
     def told(self, now: int, number: int, until: int) -> bool:
         """Whether it goes by another version from now on. It never goes back to an earlier one."""
@@ -31,17 +31,17 @@
             return False
         switched = number != self.number
         self.number, self.until = number, until
-        self.standing = Standing.HOLDS if now < until else Standing.LAPSED
+        self.standing = LeaseStatus.HOLDS if now < until else LeaseStatus.LAPSED
         return switched
 
     def may_decide(self, now: int) -> bool:
         """Else what comes is denied at once, with when to come back: there may be a later version."""
-        if self.standing is Standing.HOLDS and now >= self.until:
-            self.standing = Standing.LAPSED
-        return self.standing is Standing.HOLDS
+        if self.standing is LeaseStatus.HOLDS and now >= self.until:
+            self.standing = LeaseStatus.LAPSED
+        return self.standing is LeaseStatus.HOLDS
 
 
-class AgentPolicy:
+class AgentPolicyLease:
     """`nodes` are told what `hand_on` says; a node counts as going by a version once it has said so."""
 
     def __init__(self) -> None:
@@ -50,12 +50,12 @@
         self.offered = b""
         self.nodes: dict[str, int] = {}  # by node that is there: the number that it said it goes by
 
-    def told(self) -> Told:
+    def told(self) -> AgentReport:
         """With the next poll. The least of its nodes counts, and one that has not said yet goes by none."""
         number = min(self.nodes.values(), default=self.number)
-        return Told(number, self.number, self.ready, self.refused, self.why)
+        return AgentReport(number, self.number, self.ready, self.refused, self.why)
 
-    def heard(self, sent_at: int, heard: Heard) -> bool:
+    def heard(self, sent_at: int, heard: PolicyAssignment) -> bool:
         """Whether nodes are to be told. Later answers count from when their polls were sent."""
         if heard.number < self.number:
             return False  # of a leader that does not know yet, or that was overtaken
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -16,13 +16,13 @@
 import msgspec
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import Refusal
+from oakkeel.disruption.state_machine import Rejection
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.state_machine import Book, HeldMore
+from oakkeel.rollout.state_machine import RolloutStateMachine, RolloutState
 
-MOST_BYTES = 64 * 1024  # of one version
-MOST_KEPT = 64  # versions
-NEXT = {
+MAX_POLICY_BYTES = 64 * 1024  # of one version
+MAX_VERSIONS = 64  # versions
+TRANSITIONS = {
     "proposed": {"decided", "refused", "withdrawn"},
     "decided": {"in force", "overtaken"},
     "in force": {"overtaken"},
@@ -32,7 +32,7 @@
 }
 
 
-class Propose(msgspec.Struct, tag="propose", array_like=True):
+class ProposePolicy(msgspec.Struct, tag="propose", array_like=True):
     """A new version, made of the one that its maker saw."""
 
     ident: str
@@ -43,12 +43,12 @@
     content: bytes
 
 
-class Withdraw(msgspec.Struct, tag="withdraw", array_like=True):
+class WithdrawPolicy(msgspec.Struct, tag="withdraw", array_like=True):
     number: int
     operator: str
 
 
-class Refuse(msgspec.Struct, tag="refuse", array_like=True):
+class RejectPolicy(msgspec.Struct, tag="refuse", array_like=True):
     """A host can't take it, and says why: that is the end of it."""
 
     number: int
@@ -56,24 +56,24 @@
     why: str
 
 
-class Decide(msgspec.Struct, tag="decide", array_like=True):
+class CommitPolicy(msgspec.Struct, tag="decide", array_like=True):
     """All hosts have it ready: from now on nobody is told of an earlier one."""
 
     number: int
 
 
-class InForce(msgspec.Struct, tag="in force", array_like=True):
+class MarkInForce(msgspec.Struct, tag="in force", array_like=True):
     """No exchange is decided under an earlier one anywhere any more."""
 
     number: int
 
 
-Change = Propose | Withdraw | Refuse | Decide | InForce
-_commands = msgspec.msgpack.Decoder(Change | releases.Command | places.Command)
+PolicyCommand = ProposePolicy | WithdrawPolicy | RejectPolicy | CommitPolicy | MarkInForce
+_command_decoder = msgspec.msgpack.Decoder(PolicyCommand | releases.Command | places.Command)
 
 
-class Policy(msgspec.Struct, array_like=True):
-    """One version. `Register._turn_version` alone changes its state."""
+class PolicyVersion(msgspec.Struct, array_like=True):
+    """One version. `PolicyStateMachine._turn_version` alone changes its state."""
 
     number: int
     ident: str
@@ -86,43 +86,43 @@
     why: str = ""
 
 
-class HeldPolicies(HeldMore, array_like=True):
-    policies: dict[int, Policy] = {}
+class PolicyState(RolloutState, array_like=True):
+    policies: dict[int, PolicyVersion] = {}
     decided: int = 0  # number of the latest that was; 0: none, as the settings of each host say
 
 
-_snapshots = msgspec.msgpack.Decoder(HeldPolicies)
+_snapshot_decoder = msgspec.msgpack.Decoder(PolicyState)
 
 
-class Register(Book):
-    held: HeldPolicies
+class PolicyStateMachine(RolloutStateMachine):
+    held: PolicyState
 
     def read(self, content: bytes) -> Any:
-        return _commands.decode(content)
+        return _command_decoder.decode(content)
 
-    def taken_up(self, content: bytes) -> HeldPolicies:
-        return _snapshots.decode(content) if content else HeldPolicies()
+    def taken_up(self, content: bytes) -> PolicyState:
+        return _snapshot_decoder.decode(content) if content else PolicyState()
 
     @property
-    def proposed(self) -> Policy | None:
+    def proposed(self) -> PolicyVersion | None:
         """There is one at most."""
         return next((each for each in self.held.policies.values() if each.state == "proposed"), None)
 
-    def _propose(self, index: int, command: Propose) -> object:
+    def _propose(self, index: int, command: ProposePolicy) -> object:
         held = self.held
         digest = blake3.blake3(command.content).hexdigest()[:32]
         for known in held.policies.values():
             if known.ident == command.ident:
                 same = (known.operator, known.digest) == (command.operator, digest)
-                return known if same else Refusal(f"that id is of another change, by {known.operator}")
+                return known if same else Rejection(f"that id is of another change, by {known.operator}")
         if other := self.proposed:
-            return Refusal(f"{other.operator}'s change {other.number} is proposed: it has to end first")
+            return Rejection(f"{other.operator}'s change {other.number} is proposed: it has to end first")
         latest = max(held.policies, default=0)
         if command.based_on != held.decided:
-            return Refusal(f"version {held.decided} is decided, and this was made of {command.based_on}")
-        if not command.ident or not 0 < len(command.content) <= MOST_BYTES:
-            return Refusal(f"no id, or not 1 to {MOST_BYTES} bytes")
-        policy = Policy(
+            return Rejection(f"version {held.decided} is decided, and this was made of {command.based_on}")
+        if not command.ident or not 0 < len(command.content) <= MAX_POLICY_BYTES:
+            return Rejection(f"no id, or not 1 to {MAX_POLICY_BYTES} bytes")
+        policy = PolicyVersion(
             latest + 1,
             command.ident,
             command.operator,
@@ -132,43 +132,43 @@
             command.content,
         )
         held.policies[policy.number] = policy
-        for number in sorted(held.policies)[:-MOST_KEPT]:
+        for number in sorted(held.policies)[:-MAX_VERSIONS]:
             if number != held.decided:
                 del held.policies[number]
         return policy
 
-    def _withdraw(self, index: int, command: Withdraw) -> object:
+    def _withdraw(self, index: int, command: WithdrawPolicy) -> object:
         return self._turn_version(command.number, "withdrawn", f"by {command.operator}")
 
-    def _refuse(self, index: int, command: Refuse) -> object:
+    def _refuse(self, index: int, command: RejectPolicy) -> object:
         return self._turn_version(command.number, "refused", f"{command.host}: {command.why[:300]}")
 
-    def _decide(self, index: int, command: Decide) -> object:
+    def _decide(self, index: int, command: CommitPolicy) -> object:
         result = self._turn_version(command.number, "decided", "")
-        if isinstance(result, Policy):
+        if isinstance(result, PolicyVersion):
             before, self.held.decided = self.held.decided, command.number
             if before:
                 self._turn_version(before, "overtaken", f"by version {command.number}")
         return result
 
-    def _in_force(self, index: int, command: InForce) -> object:
+    def _in_force(self, index: int, command: MarkInForce) -> object:
         return self._turn_version(command.number, "in force", "")
 
-    def _turn_version(self, number: int, state: str, why: str) -> Policy | Refusal:
+    def _turn_version(self, number: int, state: str, why: str) -> PolicyVersion | Rejection:
         """The one place where the state of a version changes."""
         policy = self.held.policies.get(number)
         if policy is None:
-            return Refusal(f"there is no version {number}")
-        if state not in NEXT[policy.state]:
-            return Refusal(f"version {number} is {policy.state}")
+            return Rejection(f"there is no version {number}")
+        if state not in TRANSITIONS[policy.state]:
+            return Rejection(f"version {number} is {policy.state}")
         policy.state, policy.why = state, why
         return policy
 
     ACTS: ClassVar[dict[type, Any]] = {
-        **Book.ACTS,
-        Propose: _propose,
-        Withdraw: _withdraw,
-        Refuse: _refuse,
-        Decide: _decide,
-        InForce: _in_force,
+        **RolloutStateMachine.ACTS,
+        ProposePolicy: _propose,
+        WithdrawPolicy: _withdraw,
+        RejectPolicy: _refuse,
+        CommitPolicy: _decide,
+        MarkInForce: _in_force,
     }
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -5,19 +5,19 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from oakkeel.raft.log import Log
-from oakkeel.raft.messages import MOST_BATCH, Append, Appended, Member, Piece, Taken, Word, encode_members
-from oakkeel.raft.timeouts import Pace
+from oakkeel.raft.log import ReplicatedLog
+from oakkeel.raft.messages import MAX_BATCH_BYTES, AppendEntriesRequest, AppendEntriesResponse, Member, SnapshotChunk, SnapshotChunkResponse, Message, encode_members
+from oakkeel.raft.timeouts import RaftTimeouts
 
 NEVER = 1 << 62
 
 
-class Led(Protocol):
+class LeaderContext(Protocol):
     """What it needs of the keeper that leads."""
 
     life: str
-    log: Log
-    pace: Pace
+    log: ReplicatedLog
+    pace: RaftTimeouts
     commit: int
     hellos: dict[str, tuple[str, int, bool]]
 
@@ -26,11 +26,11 @@
     @property
     def members(self) -> tuple[Member, ...]: ...
     def wanted(self) -> tuple[str, ...]: ...
-    def send(self, name: str, word: Word) -> None: ...
+    def send(self, name: str, word: Message) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
-class Peer:
+class PeerProgress:
     """Another member, as far as its answers tell."""
 
     name: str
@@ -43,17 +43,17 @@
     behind: bool = False  # beyond what the log holds: it gets the snapshot
 
 
-class Leading:
-    def __init__(self, now: int, keeper: Led) -> None:
+class LeaderState:
+    def __init__(self, now: int, keeper: LeaderContext) -> None:
         self.keeper, self.began = keeper, now
         self.first = keeper.log.last + 1  # of its own term
-        self.peers: dict[str, Peer] = {}  # by life
+        self.peers: dict[str, PeerProgress] = {}  # by life
         self._follow_members(now)
 
     def _follow_members(self, now: int) -> None:
         keeper, known = self.keeper, self.peers
         self.peers = {
-            each.life: known.get(each.life) or Peer(each.name, keeper.log.last + 1, heard=now)
+            each.life: known.get(each.life) or PeerProgress(each.name, keeper.log.last + 1, heard=now)
             for each in keeper.members
             if each.life != keeper.life
         }
@@ -117,7 +117,7 @@
             if not peer.waiting and (peer.next <= self.keeper.log.last or peer.behind):
                 self._send(now, peer)
 
-    def _send(self, now: int, peer: Peer) -> None:
+    def _send(self, now: int, peer: PeerProgress) -> None:
         keeper, log = self.keeper, self.keeper.log
         peer.sent_at, term = now, keeper.term
         if peer.next <= log.snapshot.index:
@@ -127,14 +127,14 @@
             peer.waiting = True
             return keeper.send(
                 peer.name,
-                Piece(
+                SnapshotChunk(
                     term,
                     snapshot.index,
                     snapshot.term,
                     list(snapshot.members),
                     peer.piece,
                     len(snapshot.content),
-                    snapshot.content[peer.piece : peer.piece + MOST_BATCH],
+                    snapshot.content[peer.piece : peer.piece + MAX_BATCH_BYTES],
                     now,
                 ),
             )
@@ -142,7 +142,7 @@
         entries = log.after(before)
         peer.waiting = bool(entries)
         keeper.send(
-            peer.name, Append(term, before, log.term_at(before), entries, keeper.commit, now, self.marks())
+            peer.name, AppendEntriesRequest(term, before, log.term_at(before), entries, keeper.commit, now, self.marks())
         )
 
     def marks(self) -> list[tuple[str, int, int]]:
@@ -155,7 +155,7 @@
 
     # Answers.
 
-    def answered(self, now: int, life: str, word: Appended) -> None:
+    def answered(self, now: int, life: str, word: AppendEntriesResponse) -> None:
         peer = self.peers.get(life)
         if peer is None or word.sent > now:
             return
@@ -167,7 +167,7 @@
         elif word.index >= peer.match:  # else it was sent before a later one that was good
             peer.next = min(self.keeper.log.last, word.index) + 1
 
-    def _heard(self, peer: Peer, sent: int) -> bool:
+    def _heard(self, peer: PeerProgress, sent: int) -> bool:
         """Whether it answers what was sent last. Only that makes room for more at once: were a second copy to
         do so too, a link that doubles messages would double them without end."""
         peer.heard = max(peer.heard, sent)
@@ -175,7 +175,7 @@
             peer.waiting = False
         return sent == peer.sent_at
 
-    def taken(self, now: int, life: str, word: Taken) -> None:
+    def taken(self, now: int, life: str, word: SnapshotChunkResponse) -> None:
         peer = self.peers.get(life)
         if peer is None or word.sent > now:
             return
--- a/oakkeel/raft/log.py
+++ b/oakkeel/raft/log.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from oakkeel.raft.messages import MOST_BATCH, MOST_ENTRIES, Entry, Kind, Member, read_members
+from oakkeel.raft.messages import MAX_BATCH_BYTES, MAX_BATCH_ENTRIES, Entry, EntryKind, Member, decode_members
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,7 +17,7 @@
     content: bytes
 
 
-class Log:
+class ReplicatedLog:
     """Indexes count from 1; index 0 is what a record begins with."""
 
     def __init__(self, snapshot: Snapshot, entries: list[Entry]) -> None:
@@ -57,9 +57,9 @@
         """The next ones that one letter can hold."""
         batch: list[Entry] = []
         size = 0
-        for entry in self.entries[index - self.snapshot.index : index - self.snapshot.index + MOST_ENTRIES]:
+        for entry in self.entries[index - self.snapshot.index : index - self.snapshot.index + MAX_BATCH_ENTRIES]:
             size += len(entry.content) + 16
-            if batch and size > MOST_BATCH:
+            if batch and size > MAX_BATCH_BYTES:
                 break
             batch.append(entry)
         return batch
@@ -85,5 +85,5 @@
         return snapshot
 
     def _note(self, index: int, entry: Entry) -> None:
-        if entry.kind == Kind.MEMBERS:
-            self.changes.append((index, tuple(read_members(entry.content))))
+        if entry.kind == EntryKind.MEMBERS:
+            self.changes.append((index, tuple(decode_members(entry.content))))
--- a/oakkeel/raft/messages.py
+++ b/oakkeel/raft/messages.py
@@ -1,4 +1,4 @@
-"""What passes between keepers. Each word goes in a `Letter`, whose sender its link has proved."""
+"""What passes between keepers. Each word goes in a `Envelope`, whose sender its link has proved."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import msgspec
 
-MOST_COMMAND = 4 * 1024 * 1024  # bytes of one command: what there is in a fleet of 10,000 has some 300 KB
-MOST_BATCH = 64 * 1024  # bytes of entries, or of a snapshot's piece, in one letter
-MOST_ENTRIES = 64  # in one letter
+MAX_COMMAND_BYTES = 4 * 1024 * 1024  # bytes of one command: what there is in a fleet of 10,000 has some 300 KB
+MAX_BATCH_BYTES = 64 * 1024  # bytes of entries, or of a snapshot's piece, in one letter
+MAX_BATCH_ENTRIES = 64  # in one letter
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     NOTHING = 0  # by which a new leader finds out what is agreed
     MEMBERS = 1
     COMMAND = 2
@@ -31,7 +31,7 @@
     content: bytes
 
 
-class Hello(msgspec.Struct, tag="hello", array_like=True):
+class RecoveryRequest(msgspec.Struct, tag="hello", array_like=True):
     """From one that has just started: what may I have forgotten? `Known` comes back."""
 
     nonce: int  # of this start
@@ -41,7 +41,7 @@
     last: int
 
 
-class Known(msgspec.Struct, tag="known", array_like=True):
+class RecoveryResponse(msgspec.Struct, tag="known", array_like=True):
     """The latest entry that the asker is known to have kept, and the latest term that we know of."""
 
     nonce: int
@@ -51,7 +51,7 @@
     mark: int
 
 
-class Found(msgspec.Struct, tag="found", array_like=True):
+class JoinCluster(msgspec.Struct, tag="found", array_like=True):
     """To one with a new file: the record that it belongs to."""
 
     nonce: int
@@ -59,7 +59,7 @@
     members: list[Member]
 
 
-class Ballot(msgspec.Struct, tag="ballot", array_like=True):
+class VoteRequest(msgspec.Struct, tag="ballot", array_like=True):
     """Vote for me. `pre`: would you? Nothing changes by that."""
 
     term: int
@@ -68,13 +68,13 @@
     last: int
 
 
-class Vote(msgspec.Struct, tag="vote", array_like=True):
+class VoteResponse(msgspec.Struct, tag="vote", array_like=True):
     term: int
     pre: bool
     granted: bool
 
 
-class Append(msgspec.Struct, tag="append", array_like=True):
+class AppendEntriesRequest(msgspec.Struct, tag="append", array_like=True):
     """Entries behind one that both should have; with none it is a sign of life."""
 
     term: int
@@ -86,14 +86,14 @@
     marks: list[tuple[str, int, int]]  # of each member's life: term and index of the last that it has kept
 
 
-class Appended(msgspec.Struct, tag="appended", array_like=True):
+class AppendEntriesResponse(msgspec.Struct, tag="appended", array_like=True):
     term: int
     good: bool
     index: int  # good: kept up to there; else where to try next
     sent: int
 
 
-class Piece(msgspec.Struct, tag="piece", array_like=True):
+class SnapshotChunk(msgspec.Struct, tag="piece", array_like=True):
     """A part of a snapshot, for one who is behind all that the leader's log still holds."""
 
     term: int
@@ -106,29 +106,29 @@
     sent: int
 
 
-class Taken(msgspec.Struct, tag="taken", array_like=True):
+class SnapshotChunkResponse(msgspec.Struct, tag="taken", array_like=True):
     term: int
     index: int
     offset: int  # of the next piece; the total once the snapshot is kept
     sent: int
 
 
-Word = Hello | Known | Found | Ballot | Vote | Append | Appended | Piece | Taken
+Message = RecoveryRequest | RecoveryResponse | JoinCluster | VoteRequest | VoteResponse | AppendEntriesRequest | AppendEntriesResponse | SnapshotChunk | SnapshotChunkResponse
 
 
-class Letter(msgspec.Struct, array_like=True):
+class Envelope(msgspec.Struct, array_like=True):
     epoch: str  # of the record, empty while the sender has none
     name: str
     life: str
-    word: Word
+    word: Message
 
 
-_members = msgspec.msgpack.Decoder(list[Member])
+_members_decoder = msgspec.msgpack.Decoder(list[Member])
 
 
 def encode_members(members: list[Member]) -> bytes:
     return msgspec.msgpack.encode(members)
 
 
-def read_members(content: bytes) -> list[Member]:
-    return _members.decode(content)
+def decode_members(content: bytes) -> list[Member]:
+    return _members_decoder.decode(content)
--- a/oakkeel/raft/replica.py
+++ b/oakkeel/raft/replica.py
@@ -21,34 +21,34 @@
 from random import Random
 from typing import Any, ClassVar, Protocol
 
-from oakkeel.raft.leader import Leading
-from oakkeel.raft.log import Log, Snapshot
+from oakkeel.raft.leader import LeaderState
+from oakkeel.raft.log import ReplicatedLog, Snapshot
 from oakkeel.raft.messages import (
-    MOST_COMMAND,
-    Append,
-    Appended,
-    Ballot,
+    MAX_COMMAND_BYTES,
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    VoteRequest,
     Entry,
-    Found,
-    Hello,
-    Kind,
-    Known,
-    Letter,
+    JoinCluster,
+    RecoveryRequest,
+    EntryKind,
+    RecoveryResponse,
+    Envelope,
     Member,
-    Piece,
-    Taken,
-    Vote,
-    Word,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+    VoteResponse,
+    Message,
 )
-from oakkeel.raft.timeouts import Pace
+from oakkeel.raft.timeouts import RaftTimeouts
 
-SPENT = "?"  # a vote that may have been given and is forgotten
-MOST_SNAPSHOT = 32 * 1024 * 1024  # bytes
-MOST_WAITING = 1024  # proposals that are not agreed yet
+UNKNOWN_VOTE = "?"  # a vote that may have been given and is forgotten
+MAX_SNAPSHOT_BYTES = 32 * 1024 * 1024  # bytes
+MAX_PENDING_PROPOSALS = 1024  # proposals that are not agreed yet
 
 
 class Role(Enum):
-    """`Keeper._move` alone changes it."""
+    """`Replica._move` alone changes it."""
 
     JOINING = "joining"  # it has yet to learn what it may have forgotten, or which record it belongs to
     FOLLOWING = "following"
@@ -58,7 +58,7 @@
     OUTDATED = "outdated"  # its file is an older copy than others know it to have had
 
 
-NEXT = {
+TRANSITIONS = {
     Role.JOINING: {Role.FOLLOWING, Role.OUTDATED},
     Role.FOLLOWING: {Role.ASKING, Role.OUTDATED},
     Role.ASKING: {Role.FOLLOWING, Role.STANDING},
@@ -68,7 +68,7 @@
 }
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What the agreed commands make: the same on every keeper, as no clock or chance goes in."""
 
     def apply(self, index: int, content: bytes) -> object: ...
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class Durable:
+class DurableState:
     """All that a keeper has on disk."""
 
     name: str
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True)
-class Keep:
+class StorageUpdate:
     """What changed of it. Carried out in this order, all or nothing."""
 
     snapshot: Snapshot | None = None
@@ -102,7 +102,7 @@
     head: bool = False  # life, epoch, term, vote or marks
 
 
-class Fate(Enum):
+class ProposalStatus(Enum):
     WAITING = "waiting"
     AGREED = "agreed"
     UNKNOWN = "unknown"  # its leader is leader no more: it may be agreed yet
@@ -111,18 +111,18 @@
 @dataclass(slots=True, eq=False)
 class Proposal:
     index: int
-    fate: Fate = Fate.WAITING
+    fate: ProposalStatus = ProposalStatus.WAITING
     result: object = None
 
 
 @dataclass(slots=True)
-class Steps:
-    keep: Keep | None = None
-    send: list[tuple[str, Letter]] = field(default_factory=list)  # to keepers by name
+class Output:
+    keep: StorageUpdate | None = None
+    send: list[tuple[str, Envelope]] = field(default_factory=list)  # to keepers by name
     ended: list[Proposal] = field(default_factory=list)
 
 
-class NotLeading(ValueError):
+class NotLeaderError(ValueError):
     """Only a leader takes proposals; `leader` is whom it takes for that, or empty."""
 
     def __init__(self, leader: str, why: str = "") -> None:
@@ -130,21 +130,21 @@
         self.leader = leader
 
 
-class Keeper:
+class Replica:
     """See the module. `tick`, `heard` and `propose` return what is to be done."""
 
     def __init__(
-        self, now: int, held: Durable, machine: Machine, seed: int, pace: Pace, founders: tuple[str, ...]
+        self, now: int, held: DurableState, machine: StateMachine, seed: int, pace: RaftTimeouts, founders: tuple[str, ...]
     ) -> None:
         """`founders` names those that the operators' settings make keepers of a new record."""
         self.durable, self.machine, self.pace, self.founders = held, machine, pace, founders
         self.name, self.life = held.name, held.life
         self.random = Random(seed)
-        self.log = Log(held.snapshot, held.entries)
+        self.log = ReplicatedLog(held.snapshot, held.entries)
         self.role, self.since = Role.JOINING, now
         self.started = now
         self.leader = ""  # by name
-        self.leading: Leading | None = None
+        self.leading: LeaderState | None = None
         self.commit = self.applied = held.snapshot.index
         machine.restore(held.snapshot.content)
         self.began = self.log.last_term, self.log.last
@@ -158,8 +158,8 @@
         self.hellos: dict[str, tuple[str, int, bool]] = {}  # by name: life, when, fresh
         self.arriving: tuple[int, int, bytearray] | None = None  # a snapshot: index, term, what came
         self.proposals: dict[int, Proposal] = {}
-        self.keep = Keep()
-        self.steps = Steps()
+        self.keep = StorageUpdate()
+        self.steps = Output()
         self.elections = 0  # that it won, for those who look
         self.why = ""  # it is outdated
         if self.voters == {self.life} or (held.epoch and not self.counts):
@@ -208,7 +208,7 @@
 
     # What happens.
 
-    def tick(self, now: int) -> Steps:
+    def tick(self, now: int) -> Output:
         if self.role is Role.OUTDATED:
             return self._done(now)
         if self.role is Role.JOINING or (self.role is Role.FOLLOWING and not self.counts):
@@ -221,18 +221,18 @@
             elif now >= self.tend_at:
                 self.tend_at = now + self.pace.tend
                 if change := self.leading.wanted_members(now):
-                    self._append(now, Kind.MEMBERS, change)
+                    self._append(now, EntryKind.MEMBERS, change)
         elif now >= self.due:
             self._ask(now)
         return self._done(now)
 
-    def heard(self, now: int, letter: Letter) -> Steps:
+    def heard(self, now: int, letter: Envelope) -> Output:
         word = letter.word
-        if isinstance(word, Hello):
+        if isinstance(word, RecoveryRequest):
             self._hello(now, letter, word)
-        elif isinstance(word, Known):
+        elif isinstance(word, RecoveryResponse):
             self._known(now, letter, word)
-        elif isinstance(word, Found):
+        elif isinstance(word, JoinCluster):
             self._found(now, word)
         elif (
             letter.epoch == self.durable.epoch
@@ -243,14 +243,14 @@
             self.HANDLERS[type(word)](self, now, letter, word)
         return self._done(now)
 
-    def propose(self, now: int, content: bytes) -> tuple[Proposal, Steps]:
+    def propose(self, now: int, content: bytes) -> tuple[Proposal, Output]:
         """Raises NotLeading where it is not the leader, or can't take more."""
         leading = self.leading
         if leading is None or not leading.ready(self.commit):
-            raise NotLeading(self.leader if leading is None else "")
-        if len(self.proposals) >= MOST_WAITING or len(content) > MOST_COMMAND:
-            raise NotLeading(self.name, "too much waits to be agreed, or the command is too long")
-        proposal = Proposal(self._append(now, Kind.COMMAND, content))
+            raise NotLeaderError(self.leader if leading is None else "")
+        if len(self.proposals) >= MAX_PENDING_PROPOSALS or len(content) > MAX_COMMAND_BYTES:
+            raise NotLeaderError(self.name, "too much waits to be agreed, or the command is too long")
+        proposal = Proposal(self._append(now, EntryKind.COMMAND, content))
         self.proposals[proposal.index] = proposal
         return proposal, self._done(now)
 
@@ -259,7 +259,7 @@
     def _say_hello(self, now: int) -> None:
         self.hello_at = now + self.pace.hello
         log = self.log
-        word = Hello(self.nonce, not self.durable.epoch, self.durable.term, *self.began)
+        word = RecoveryRequest(self.nonce, not self.durable.epoch, self.durable.term, *self.began)
         if self.role is not Role.JOINING:
             word.last_term, word.last = log.last_term, log.last
         names = {each.name for each in self.members} | set(self.founders) | set(self.machine.keepers())
@@ -288,15 +288,15 @@
         self.heard_at = now
         self._wait(now)
 
-    def _hello(self, now: int, letter: Letter, word: Hello) -> None:
+    def _hello(self, now: int, letter: Envelope, word: RecoveryRequest) -> None:
         if letter.epoch and letter.epoch != self.durable.epoch:
             return  # of another record
         self.hellos[letter.name] = letter.life, now, word.fresh
         mark_term, mark = self._mark(letter.life)
-        self.send(letter.name, Known(word.nonce, not self.durable.epoch, self.durable.term, mark_term, mark))
+        self.send(letter.name, RecoveryResponse(word.nonce, not self.durable.epoch, self.durable.term, mark_term, mark))
         # One that is named among us and has nothing was on its way when the record began, or is new.
         if word.fresh and self.durable.epoch and any(each.life == letter.life for each in self.members):
-            self.send(letter.name, Found(word.nonce, self.durable.epoch, list(self.log.snapshot.members)))
+            self.send(letter.name, JoinCluster(word.nonce, self.durable.epoch, list(self.log.snapshot.members)))
 
     def _mark(self, life: str) -> tuple[int, int]:
         known = self.durable.marks.get(life, (0, 0))
@@ -304,7 +304,7 @@
             known = max(known, (self.log.term_at(peer.match), peer.match))
         return known
 
-    def _known(self, now: int, letter: Letter, word: Known) -> None:
+    def _known(self, now: int, letter: Envelope, word: RecoveryResponse) -> None:
         if self.role is not Role.JOINING or word.nonce != self.nonce:
             return
         if not self.durable.epoch or letter.epoch != self.durable.epoch:
@@ -316,7 +316,7 @@
             )
             self._move(now, Role.OUTDATED)
             return
-        self._set_term(max(word.term, self.durable.term), SPENT)  # it may have voted in it
+        self._set_term(max(word.term, self.durable.term), UNKNOWN_VOTE)  # it may have voted in it
         self.answered.add(letter.life)
         # All if they are there: the first to answer may be one that knows less than another.
         if self.answered | {self.life} >= self.voters or (
@@ -325,7 +325,7 @@
             self._move(now, Role.FOLLOWING)
             self._wait(now)
 
-    def _found(self, now: int, word: Found) -> None:
+    def _found(self, now: int, word: JoinCluster) -> None:
         if not self.durable.epoch and word.nonce == self.nonce:
             self._begin(now, word.epoch, word.members)
 
@@ -349,7 +349,7 @@
     def _ballot(self, now: int, pre: bool) -> None:
         if self._majority(self.votes):
             return self._won(now, pre)
-        word = Ballot(self.durable.term + pre, pre, self.log.last_term, self.log.last)
+        word = VoteRequest(self.durable.term + pre, pre, self.log.last_term, self.log.last)
         for each in self.members:
             if each.votes and each.life != self.life:
                 self.send(each.name, word)
@@ -363,10 +363,10 @@
             return self._ballot(now, False)
         self._move(now, Role.LEADING)
         self.leader, self.elections = self.name, self.elections + 1
-        self.leading = Leading(now, self)
-        self._append(now, Kind.NOTHING, b"")
+        self.leading = LeaderState(now, self)
+        self._append(now, EntryKind.NOTHING, b"")
 
-    def _heard_ballot(self, now: int, letter: Letter, word: Ballot) -> None:
+    def _heard_ballot(self, now: int, letter: Envelope, word: VoteRequest) -> None:
         durable = self.durable
         replaced = any(each.name == letter.name and each.life != letter.life for each in self.members)
         led = now - self.heard_at < self.pace.least or self.leads(now)
@@ -380,16 +380,16 @@
         )
         if word.pre:
             granted = may and word.term > durable.term
-            return self.send(letter.name, Vote(word.term if granted else durable.term, True, granted))
+            return self.send(letter.name, VoteResponse(word.term if granted else durable.term, True, granted))
         if may and word.term > durable.term:
             self._follow(now, word.term, "")
         granted = may and word.term == durable.term and durable.voted in ("", letter.life)
         if granted and not durable.voted:
             self._set_term(word.term, letter.life)
             self._wait(now)
-        self.send(letter.name, Vote(durable.term, False, granted))
+        self.send(letter.name, VoteResponse(durable.term, False, granted))
 
-    def _heard_vote(self, now: int, letter: Letter, word: Vote) -> None:
+    def _heard_vote(self, now: int, letter: Envelope, word: VoteResponse) -> None:
         if not word.granted:
             if word.term > self.durable.term:
                 self._follow(now, word.term, self.leader)
@@ -408,7 +408,7 @@
         if self.leading:
             self.leading = None
             for proposal in self.proposals.values():
-                proposal.fate = Fate.UNKNOWN
+                proposal.fate = ProposalStatus.UNKNOWN
                 self.steps.ended.append(proposal)
             self.proposals.clear()
         if self.role not in (Role.FOLLOWING, Role.JOINING):
@@ -421,7 +421,7 @@
 
     # The log, as a follower.
 
-    def _led(self, now: int, letter: Letter, term: int) -> bool:
+    def _led(self, now: int, letter: Envelope, term: int) -> bool:
         """Whether it comes from the leader of this term or a later one."""
         if term < self.durable.term:
             return False
@@ -430,9 +430,9 @@
         self._wait(now)
         return True
 
-    def _heard_append(self, now: int, letter: Letter, word: Append) -> None:
+    def _heard_append(self, now: int, letter: Envelope, word: AppendEntriesRequest) -> None:
         if not self._led(now, letter, word.term):
-            return self.send(letter.name, Appended(self.durable.term, False, 0, word.sent))
+            return self.send(letter.name, AppendEntriesResponse(self.durable.term, False, 0, word.sent))
         log, before, entries = self.log, word.before, word.entries
         for life, term, index in word.marks:
             if life == self.life and (term, index) > (log.last_term, log.last):
@@ -452,7 +452,7 @@
             while index > self.commit and log.term_at(index) == term and before <= log.last:
                 index -= 1
             return self.send(
-                letter.name, Appended(self.durable.term, False, max(index, self.commit), word.sent)
+                letter.name, AppendEntriesResponse(self.durable.term, False, max(index, self.commit), word.sent)
             )
         for place, entry in enumerate(entries):
             index = before + 1 + place
@@ -468,7 +468,7 @@
         held = before + len(entries)
         self._set_marks([mark for mark in word.marks if mark[2] <= held])
         self.commit = max(self.commit, min(word.commit, held))
-        self.send(letter.name, Appended(self.durable.term, True, held, word.sent))
+        self.send(letter.name, AppendEntriesResponse(self.durable.term, True, held, word.sent))
 
     def _set_marks(self, marks: list[tuple[str, int, int]]) -> None:
         """What others have kept goes along with what is written anyway."""
@@ -476,11 +476,11 @@
         if self.keep.entries and found != self.durable.marks:
             self.durable.marks, self.keep.head = found, True
 
-    def _heard_piece(self, now: int, letter: Letter, word: Piece) -> None:
-        if not self._led(now, letter, word.term) or word.total > MOST_SNAPSHOT:
+    def _heard_piece(self, now: int, letter: Envelope, word: SnapshotChunk) -> None:
+        if not self._led(now, letter, word.term) or word.total > MAX_SNAPSHOT_BYTES:
             return None
         if word.index <= self.commit:
-            return self.send(letter.name, Taken(self.durable.term, word.index, word.total, word.sent))
+            return self.send(letter.name, SnapshotChunkResponse(self.durable.term, word.index, word.total, word.sent))
         if self.arriving is None or self.arriving[:2] != (word.index, word.index_term):
             self.arriving = word.index, word.index_term, bytearray()
         came = self.arriving[2]
@@ -496,17 +496,17 @@
                 self._adopt(snapshot)
             self.commit = self.applied = word.index
             self.machine.restore(snapshot.content)
-        self.send(letter.name, Taken(self.durable.term, word.index, min(len(came), word.total), word.sent))
+        self.send(letter.name, SnapshotChunkResponse(self.durable.term, word.index, min(len(came), word.total), word.sent))
 
     def _adopt(self, snapshot: Snapshot) -> None:
         """In place of all that it holds."""
-        self.log = Log(snapshot, [])
+        self.log = ReplicatedLog(snapshot, [])
         self.keep.snapshot, self.keep.whole, self.keep.cut = snapshot, True, 0
         self.keep.entries.clear()
 
     # The log, as the leader.
 
-    def _append(self, now: int, kind: Kind, content: bytes) -> int:
+    def _append(self, now: int, kind: EntryKind, content: bytes) -> int:
         entry = Entry(self.durable.term, kind, content)
         index = self.log.append(entry)
         self.keep.entries.append((index, entry))
@@ -515,19 +515,19 @@
             self._set_marks(self.leading.marks())
         return index
 
-    def _heard_appended(self, now: int, letter: Letter, word: Appended) -> None:
+    def _heard_appended(self, now: int, letter: Envelope, word: AppendEntriesResponse) -> None:
         if word.term > self.durable.term:
             return self._follow(now, word.term, "")
         if self.leading and word.term == self.durable.term:
             self.leading.answered(now, letter.life, word)
 
-    def _heard_taken(self, now: int, letter: Letter, word: Taken) -> None:
+    def _heard_taken(self, now: int, letter: Envelope, word: SnapshotChunkResponse) -> None:
         if self.leading and word.term == self.durable.term:
             self.leading.taken(now, letter.life, word)
 
     # The end of each call.
 
-    def _done(self, now: int) -> Steps:
+    def _done(self, now: int) -> Output:
         if self.leading:
             self.commit = self.leading.agreed(self.commit)
             self.leading.replicate(now)
@@ -535,38 +535,38 @@
         gone = self.life not in {each.life for each in self.members}
         if self.leading and gone and self.log.members_at <= self.commit:
             self._follow(now, self.durable.term, "")  # it has left by its own work
-        steps, self.steps = self.steps, Steps()
+        steps, self.steps = self.steps, Output()
         keep = self.keep
         if keep.head or keep.cut or keep.entries or keep.snapshot:
-            steps.keep, self.keep = keep, Keep()
+            steps.keep, self.keep = keep, StorageUpdate()
         return steps
 
     def _apply(self) -> None:
         while self.applied < self.commit:
             self.applied += 1
             entry = self.log.entry(self.applied)
-            result = self.machine.apply(self.applied, entry.content) if entry.kind == Kind.COMMAND else None
+            result = self.machine.apply(self.applied, entry.content) if entry.kind == EntryKind.COMMAND else None
             if proposal := self.proposals.pop(self.applied, None):
-                proposal.fate, proposal.result = Fate.AGREED, result  # a leader drops nothing of its own
+                proposal.fate, proposal.result = ProposalStatus.AGREED, result  # a leader drops nothing of its own
                 self.steps.ended.append(proposal)
         if self.applied - self.log.snapshot.index >= self.pace.fold:
             self.keep.snapshot = self.log.fold(self.applied, self.machine.fold())
 
-    def send(self, name: str, word: Word) -> None:
+    def send(self, name: str, word: Message) -> None:
         if name != self.name:
-            self.steps.send.append((name, Letter(self.durable.epoch, self.name, self.life, word)))
+            self.steps.send.append((name, Envelope(self.durable.epoch, self.name, self.life, word)))
 
     def _move(self, now: int, role: Role) -> None:
         """The one place where the role changes."""
-        if role not in NEXT[self.role]:
+        if role not in TRANSITIONS[self.role]:
             raise RuntimeError(f"{self.name}: {self.role.value} to {role.value}")
         self.role, self.since = role, now
 
-    HANDLERS: ClassVar[dict[type, Callable[[Any, int, Letter, Any], None]]] = {
-        Ballot: _heard_ballot,
-        Vote: _heard_vote,
-        Append: _heard_append,
-        Appended: _heard_appended,
-        Piece: _heard_piece,
-        Taken: _heard_taken,
+    HANDLERS: ClassVar[dict[type, Callable[[Any, int, Envelope, Any], None]]] = {
+        VoteRequest: _heard_ballot,
+        VoteResponse: _heard_vote,
+        AppendEntriesRequest: _heard_append,
+        AppendEntriesResponse: _heard_appended,
+        SnapshotChunk: _heard_piece,
+        SnapshotChunkResponse: _heard_taken,
     }
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -1,4 +1,4 @@
-"""A keeper's file: what `Keep` says, in one SQLite transaction."""
+"""A keeper's file: what `StorageUpdate` says, in one SQLite transaction."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import msgspec
 
 from oakkeel.raft.log import Snapshot
-from oakkeel.raft.messages import Entry, encode_members, read_members
-from oakkeel.raft.replica import Durable, Keep
-from oakkeel.store.database import Statement, Store
+from oakkeel.raft.messages import Entry, encode_members, decode_members
+from oakkeel.raft.replica import DurableState, StorageUpdate
+from oakkeel.store.database import Statement, Database
 
 VERSION = 1
-MOST_BYTES = 256 * 1024 * 1024
+MAX_FILE_BYTES = 256 * 1024 * 1024
 SCHEMA = """
 CREATE TABLE head (one INTEGER PRIMARY KEY CHECK (one = 1), name TEXT, life TEXT, epoch TEXT, term INTEGER,
     voted TEXT, marks TEXT);
@@ -27,8 +27,8 @@
 PUT_SNAPSHOT = "INSERT OR REPLACE INTO snapshot VALUES (1,?,?,?,?)"
 
 
-def statements(durable: Durable, keep: Keep) -> list[Statement]:
-    """In the order that `Keep` asks for."""
+def statements(durable: DurableState, keep: StorageUpdate) -> list[Statement]:
+    """In the order that `StorageUpdate` asks for."""
     rows: list[Statement] = []
     if keep.head:
         rows.append(
@@ -60,22 +60,22 @@
     return rows
 
 
-COUNTED: list[Statement] = [
+WRITE_COUNTER_SCHEMA: list[Statement] = [
     ("CREATE TABLE IF NOT EXISTS writes (one INTEGER PRIMARY KEY, count INTEGER)", ())
 ]
 
 
-class Witness:
+class WriteCounter:
     """How often the record was written, beside the file and in it: a copy that is put back has fewer.
 
     Beside it the count is written after the file, and not forced to the disk: a process that is killed leaves
     it right, a power cut may leave it behind, and it is never ahead of the file that it belongs to.
     """
 
-    def __init__(self, path: str, store: Store) -> None:
+    def __init__(self, path: str, store: Database) -> None:
         """Raises StoreError, or OSError."""
         self.path, self.store = path, store
-        store.write(COUNTED)
+        store.write(WRITE_COUNTER_SCHEMA)
         rows = store.read("SELECT count FROM writes")
         self.count = rows[0][0] if rows else 0
         self.descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -108,7 +108,7 @@
         os.close(self.descriptor)
 
 
-def write(store: Store, durable: Durable, keep: Keep, witness: Witness | None = None) -> None:
+def write(store: Database, durable: DurableState, keep: StorageUpdate, witness: WriteCounter | None = None) -> None:
     """On disk once it returns. Raises StoreError: nothing of it is then."""
     rows = statements(durable, keep)
     if witness is None:
@@ -117,15 +117,15 @@
     witness.written()
 
 
-def load(store: Store, name: str, new_life: str) -> Durable:
+def load(store: Database, name: str, new_life: str) -> DurableState:
     """What a keeper finds when it starts; an empty file begins a new life. Raises StoreError."""
     rows = store.read("SELECT name, life, epoch, term, voted, marks FROM head")
     if not rows:
-        durable = Durable(name, new_life)
-        write(store, durable, Keep(head=True))
+        durable = DurableState(name, new_life)
+        write(store, durable, StorageUpdate(head=True))
         return durable
     held, life, epoch, term, voted, marks = rows[0]
-    durable = Durable(
+    durable = DurableState(
         held,
         life,
         epoch,
@@ -134,14 +134,14 @@
         marks={key: (value[0], value[1]) for key, value in json.loads(marks).items()},
     )
     for place, of_term, members, content in store.read("SELECT place, term, members, content FROM snapshot"):
-        durable.snapshot = Snapshot(place, of_term, tuple(read_members(members)), content)
+        durable.snapshot = Snapshot(place, of_term, tuple(decode_members(members)), content)
     durable.entries = [
         Entry(*row) for row in store.read("SELECT term, kind, content FROM entries ORDER BY place")
     ]
     return durable
 
 
-def check(durable: Durable) -> str:
+def check(durable: DurableState) -> str:
     """Why what is held can't be one file's content; empty where it can. Damage that no page sum shows."""
     terms = [durable.snapshot.term, *(entry.term for entry in durable.entries)]
     if terms != sorted(terms) or terms[-1] > durable.term:
@@ -149,7 +149,7 @@
     try:
         for entry in durable.entries:
             if entry.kind == 1:
-                read_members(entry.content)
+                decode_members(entry.content)
     except msgspec.MsgspecError as error:
         return f"members that can't be read: {error}"
     return ""
--- a/oakkeel/raft/timeouts.py
+++ b/oakkeel/raft/timeouts.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
+class RaftTimeouts:
     """A longer wait costs time without a leader, a shorter one elections in vain."""
 
     beat: int = 80 * MS  # between signs of life of a leader
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -20,7 +20,7 @@
 }
 
 
-def keepers_table(told: list[messages.RecordTold]) -> Table:
+def replicas_table(told: list[messages.RaftStatus]) -> Table:
     table = Table(box=None, header_style="bold", pad_edge=False)
     for column in ("host", "role", "for", "votes", "term", "agreed", "behind", "heard", "remarks"):
         table.add_column(column)
@@ -60,8 +60,8 @@
     return table
 
 
-def places_table(
-    groups: list[messages.GroupOut], out: list[messages.PlaceOut], orders: list[messages.FleetTold]
+def permits_table(
+    groups: list[messages.BudgetUsage], out: list[messages.UnavailableTarget], orders: list[messages.FleetOrderStatus]
 ) -> list[Table]:
     first = Table(box=None, header_style="bold", pad_edge=False)
     for column in ("of", "out", "may be out"):
@@ -97,7 +97,7 @@
     return [first, *([second] if out else []), *([third] if orders else [])]
 
 
-def order_table(order: messages.FleetTold) -> Table:
+def order_table(order: messages.FleetOrderStatus) -> Table:
     title = f"{order.verb}, order {order.ident}" + (", all or nothing" if order.whole else "")
     if order.cancelled or order.halted:
         title += (
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -5,7 +5,7 @@
 import msgspec
 from rich.table import Table
 
-from oakkeel.control.messages import ClientsTold
+from oakkeel.control.messages import ClientsStatus
 from oakkeel.fleet.view import Row
 from oakkeel.rendering.times import span
 
@@ -111,7 +111,7 @@
     return facts
 
 
-def clients_table(told: ClientsTold) -> Table:
+def clients_table(told: ClientsStatus) -> Table:
     """The heaviest senders of a node, with shares of all that is asked."""
     table = Table(box=None, header_style="bold", pad_edge=False)
     for column in (" / ".join(told.by) or "sender", "asks for", "of it retries", "keeps"):
@@ -123,7 +123,7 @@
     return table
 
 
-def clients_line(told: ClientsTold) -> str:
+def clients_line(told: ClientsStatus) -> str:
     if not told.by:
         return "no sender is told from another: the settings name none"
     return (
--- a/oakkeel/rendering/rollout.py
+++ b/oakkeel/rendering/rollout.py
@@ -17,7 +17,7 @@
 OF_STATES = {"done": "green", "undone": "cyan", "halted": "red", "left": "yellow", "paused": "yellow"}
 
 
-def release_table(told: messages.ReleaseTold) -> Group:
+def release_table(told: messages.ReleaseStatus) -> Group:
     states = Counter(part.state for part in told.parts)
     colour = OF_STATES.get(told.state, "cyan")
     lines = [
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -8,10 +8,10 @@
 from enum import Enum, auto
 from typing import Any
 
-from oakkeel.admission.types import Exchange
+from oakkeel.admission.types import Request
 
 
-class Event(Enum):
+class RequestEvent(Enum):
     """What the life of an exchange can wait for."""
 
     # The verdicts of the decisions.
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class LiveExchange(Exchange):
+class NodeRequest(Request):
     """One exchange with its place at the door; its handler reads the events in the order in which it came."""
 
     ident: bytes
@@ -53,7 +53,7 @@
     events: deque = field(default_factory=deque)
     waiter: asyncio.Future | None = None
 
-    def tell(self, what: Event, *words: Any) -> None:
+    def tell(self, what: RequestEvent, *words: Any) -> None:
         self.events.append((what, *words))
         if self.waiter and not self.waiter.done():
             self.waiter.set_result(None)
--- a/oakkeel/resource_limits.py
+++ b/oakkeel/resource_limits.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class ResourceLimits:
     """Times are nanoseconds, sizes bytes. None of these decides what becomes of an exchange."""
 
     # Told at the start.
--- a/oakkeel/rollout/assignments.py
+++ b/oakkeel/rollout/assignments.py
@@ -10,24 +10,24 @@
 
 import msgspec
 
-from oakkeel.rollout.commands import What
-from oakkeel.rollout.messages import Run, Told, encode, read_heard
+from oakkeel.rollout.commands import VersionSpec
+from oakkeel.rollout.messages import TargetStatus, AgentReport, encode, decode_assignments
 
 
 @dataclass(slots=True, frozen=True)
-class Copy:
+class ArtifactRequest:
     """One copy to make: of what a version is, and of what the things here run without one."""
 
     release: str
-    what: What
+    what: VersionSpec
     things: tuple[str, ...]
 
 
-class Fitting:
+class VersionAssignments:
     def __init__(self, services: tuple[str, ...] = ()) -> None:
         self.services = frozenset(services)
         self.versions: dict[str, str] = {}  # by thing
-        self.sources: dict[str, What] = {}  # by version
+        self.sources: dict[str, VersionSpec] = {}  # by version
         self.bases: dict[str, str] = {}  # by thing: its copy of what it runs without a version
         self.changed = False
         self.active = False  # whoever leads knows of releases
@@ -35,19 +35,19 @@
         self.release = ""
         self.ready: dict[str, str] = {}
         self.asked: set[str] = set()  # releases whose copies are made, or were
-        self.missing: dict[str, Copy] = {}
+        self.missing: dict[str, ArtifactRequest] = {}
 
-    def restore(self, versions: dict[str, str], sources: dict[str, What], bases: dict[str, str]) -> None:
+    def restore(self, versions: dict[str, str], sources: dict[str, VersionSpec], bases: dict[str, str]) -> None:
         self.versions, self.sources, self.bases = versions, sources, bases
 
     def version(self, thing: str) -> str:
         """What its next process shall run; empty as its settings say."""
         return self.versions.get(thing, "")
 
-    def told(self, runs: list[Run]) -> bytes:
+    def told(self, runs: list[TargetStatus]) -> bytes:
         if not self.watch:
             runs = [
-                Run(
+                TargetStatus(
                     each.name,
                     each.version,
                     each.generation,
@@ -59,14 +59,14 @@
                 )
                 for each in runs
             ]
-        return encode(Told(runs, self.ready, self.bases if self.release else {}))
+        return encode(AgentReport(runs, self.ready, self.bases if self.release else {}))
 
     def heard(self, content: bytes) -> None:
         """What the leader's answer says of our things. One that can't be read changes nothing."""
         if not content:
             return  # whoever leads knows of no releases
         try:
-            heard = read_heard(content)
+            heard = decode_assignments(content)
         except msgspec.MsgspecError:
             return
         self.active, self.watch = True, heard.watch
@@ -81,9 +81,9 @@
         things = tuple(thing for thing in heard.things if thing not in self.services)
         if heard.release and things and heard.release not in self.asked:
             self.asked.add(heard.release)
-            self.missing[heard.release] = Copy(heard.release, heard.what, things)
+            self.missing[heard.release] = ArtifactRequest(heard.release, heard.what, things)
 
-    def to_prepare(self) -> list[Copy]:
+    def to_prepare(self) -> list[ArtifactRequest]:
         """Copies to be made now; each is asked for once, and again by an agent that starts anew."""
         found, self.missing = list(self.missing.values()), {}
         return found
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -6,10 +6,10 @@
 
 from oakkeel.disruption import commands as places
 
-MOST_THINGS = places.MOST_THINGS
+MAX_TARGETS = places.MAX_TARGETS
 
 
-class What(msgspec.Struct, array_like=True):
+class VersionSpec(msgspec.Struct, array_like=True):
     """What is released: a content, and where hosts find it until they have a copy of their own."""
 
     version: str  # hash of the content; of services any text
@@ -19,7 +19,7 @@
     as_set: bool = False  # what is not named of it is as the operators' settings say, whatever ran before
 
 
-class Pace(msgspec.Struct, array_like=True):
+class RolloutPolicy(msgspec.Struct, array_like=True):
     """How a release goes on. Times in nanoseconds."""
 
     canary: int = 1
@@ -35,16 +35,16 @@
     ceiling: float = 0.85  # load of those left at a site
 
 
-class Begin(msgspec.Struct, tag="begin", array_like=True):
+class StartRelease(msgspec.Struct, tag="begin", array_like=True):
     ident: str
     operator: str
     unix: int
-    what: What
-    pace: Pace
+    what: VersionSpec
+    pace: RolloutPolicy
     things: list[str]
 
 
-class Turn(msgspec.Struct, tag="turn", array_like=True):
+class ControlRelease(msgspec.Struct, tag="turn", array_like=True):
     """An operator's word: pause, resume, abort, undo, leave."""
 
     ident: str
@@ -52,7 +52,7 @@
     to: str
 
 
-class Ready(msgspec.Struct, tag="ready", array_like=True):
+class ReportPrepared(msgspec.Struct, tag="ready", array_like=True):
     """A host has its copy of the new and of what runs there, or says why not."""
 
     ident: str
@@ -62,13 +62,13 @@
     bases: dict[str, str]  # by thing: the version of what it runs now
 
 
-class Go(msgspec.Struct, tag="go", array_like=True):
+class BeginRollout(msgspec.Struct, tag="go", array_like=True):
     ident: str
     fence: int
     step: int
 
 
-class Batch(msgspec.Struct, tag="batch", array_like=True):
+class StartBatch(msgspec.Struct, tag="batch", array_like=True):
     """Change these now, each of the generation that was seen; `controls` begin anew as they are."""
 
     ident: str
@@ -79,7 +79,7 @@
     controls: list[tuple[str, int]] = []
 
 
-class Settle(msgspec.Struct, tag="settle", array_like=True):
+class FinishBatch(msgspec.Struct, tag="settle", array_like=True):
     """The batch is over: these run the new, the rest the old."""
 
     ident: str
@@ -88,7 +88,7 @@
     new: list[str]
 
 
-class Judge(msgspec.Struct, tag="judge", array_like=True):
+class RecordVerdict(msgspec.Struct, tag="judge", array_like=True):
     """What the gates have seen so far, for whoever drives next; with a reason it halts."""
 
     ident: str
@@ -99,7 +99,7 @@
     why: str = ""  # it halts; empty: it goes on
 
 
-class Finish(msgspec.Struct, tag="finish", array_like=True):
+class FinishRelease(msgspec.Struct, tag="finish", array_like=True):
     """All of it is where it shall be."""
 
     ident: str
@@ -107,9 +107,9 @@
     step: int
 
 
-Command = Begin | Turn | Ready | Go | Batch | Settle | Judge | Finish
-_commands = msgspec.msgpack.Decoder(Command | places.Command)
+Command = StartRelease | ControlRelease | ReportPrepared | BeginRollout | StartBatch | FinishBatch | RecordVerdict | FinishRelease
+_command_decoder = msgspec.msgpack.Decoder(Command | places.Command)
 
 
-def read(content: bytes) -> Command | places.Command:
-    return _commands.decode(content)
+def decode(content: bytes) -> Command | places.Command:
+    return _command_decoder.decode(content)
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -10,15 +10,15 @@
 import msgspec
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.allocator import Granting
-from oakkeel.disruption.lease_holder import LeaseHeld
-from oakkeel.disruption.messages import Poll
-from oakkeel.disruption.state_machine import OPEN, Refusal
+from oakkeel.disruption.allocator import PermitAllocator
+from oakkeel.disruption.lease_holder import LeaseHolder
+from oakkeel.disruption.messages import Heartbeat
+from oakkeel.disruption.state_machine import OPEN_STATES, Rejection
 from oakkeel.rollout import commands
-from oakkeel.rollout.gates import Answer, Gate
-from oakkeel.rollout.messages import Heard, encode, read_told
-from oakkeel.rollout.plan import Planner, Seen
-from oakkeel.rollout.state_machine import LEASE, Book, Release
+from oakkeel.rollout.gates import Decision, Gate
+from oakkeel.rollout.messages import AgentAssignments, encode, decode_report
+from oakkeel.rollout.plan import BatchPlanner, TargetObservation
+from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine, Release
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -33,18 +33,18 @@
 LATE = 8 * SECOND  # past the time of a batch, before it counts as lost
 
 
-class Driver:
+class RolloutController:
     """Times are nanoseconds of the leader's monotonic clock."""
 
-    def __init__(self, now: int, book: Book, granting: Granting, holder: str) -> None:
+    def __init__(self, now: int, book: RolloutStateMachine, granting: PermitAllocator, holder: str) -> None:
         """`holder` is a name that no driver before had."""
         self.book, self.granting = book, granting
-        self.lease = LeaseHeld(LEASE, holder, LASTS)
+        self.lease = LeaseHolder(LEASE, holder, LASTS)
         self.asked_at = 0  # when the lease was asked for, until that is answered
         self.ask_at = now
-        self.seen: dict[str, Seen] = {}
+        self.seen: dict[str, TargetObservation] = {}
         self.died: dict[str, tuple[int, int]] = {}  # by thing: life of its agent, deaths told
-        self.planner = Planner(granting.layout)
+        self.planner = BatchPlanner(granting.layout)
         self.gate: Gate | None = None
         self.gate_of = ""  # release and direction
         self.since = now  # when the last batch was up, or the release began, as far as we know
@@ -57,13 +57,13 @@
 
     # What agents tell.
 
-    def heard(self, now: int, poll: Poll) -> list[commands.Command | places.Command]:
+    def heard(self, now: int, poll: Heartbeat) -> list[commands.Command | places.Command]:
         """News of one host, no older than what its echo shows."""
         host = self.granting.hosts.get(poll.host)
         if host is None or host.life != poll.life or host.count != poll.count or not host.echo:
             return []  # overtaken, or nobody knows how old it is
         try:
-            told = read_told(poll.above)
+            told = decode_report(poll.above)
         except msgspec.MsgspecError:
             return []  # of a version that says other things
         release = self.book.open
@@ -74,7 +74,7 @@
             if known and known.at > host.echo:
                 continue
             before = known.version if known else run.version
-            self.seen[run.name] = Seen(
+            self.seen[run.name] = TargetObservation(
                 run.name,
                 run.phase,
                 run.generation,
@@ -87,7 +87,7 @@
                 self._measure(now, release, poll.life, run, before)
         if release and release.state == "preparing" and self.lease.holds(now):
             return [
-                commands.Ready(
+                commands.ReportPrepared(
                     release.ident,
                     self.lease.fence,
                     poll.host,
@@ -143,7 +143,7 @@
         held, release = self.book.held, self.book.open
         here = self.granting.layout.hosts.get(host, ())
         versions = {thing: held.versions[thing] for thing in here if thing in held.versions}
-        heard = Heard(
+        heard = AgentAssignments(
             versions,
             {version: held.sources[version] for version in {*versions.values()} if version in held.sources},
         )
@@ -155,21 +155,21 @@
     # What is agreed.
 
     def applied(self, now: int, command: object, result: object) -> None:
-        if isinstance(command, places.Lay):
-            self.planner = Planner(self.granting.layout)
-        if isinstance(command, places.Hold) and command.name == LEASE and command.holder == self.lease.holder:
+        if isinstance(command, places.SetTopology):
+            self.planner = BatchPlanner(self.granting.layout)
+        if isinstance(command, places.AcquireLease) and command.name == LEASE and command.holder == self.lease.holder:
             if not self.lease.answered(self.asked_at, result):
                 self.ask_at = now + AGAIN
             self.asked_at = 0
         if self.waiting and places.encode(command) == self.waiting:  # type: ignore[arg-type]
             self.waiting = b""
-            if isinstance(result, Refusal):
+            if isinstance(result, Rejection):
                 self.why, self.act_at = result.why, now + AGAIN
-            elif isinstance(command, commands.Settle):
+            elif isinstance(command, commands.FinishBatch):
                 self.since = now
 
     def lost(self, command: object) -> None:
-        if isinstance(command, places.Hold):
+        if isinstance(command, places.AcquireLease):
             self.asked_at = 0
         if self.waiting and places.encode(command) == self.waiting:  # type: ignore[arg-type]
             self.waiting = b""
@@ -227,7 +227,7 @@
             ]:
                 self.why = f"waits to hear what {', '.join(unheard[:5])} run"
                 return None
-            return commands.Finish(*head)
+            return commands.FinishRelease(*head)
         if worn := [thing for thing in left if release.parts[thing].tries >= TRIES]:
             return self._halt(
                 release,
@@ -240,10 +240,10 @@
         hosts = {self.granting.host_of[thing] for thing in release.parts if thing in self.granting.host_of}
         missing = sorted(hosts - set(release.ready)) if not release.what.services else []
         if not missing:
-            return commands.Go(release.ident, self.lease.fence, release.step)
+            return commands.BeginRollout(release.ident, self.lease.fence, release.step)
         self.why = f"{', '.join(missing[:5])} not ready yet"
         if now - self.since > PREPARE:
-            return commands.Ready(release.ident, self.lease.fence, missing[0], "it did not say in time", {})
+            return commands.ReportPrepared(release.ident, self.lease.fence, missing[0], "it did not say in time", {})
         return None
 
     # A batch that is under way.
@@ -258,7 +258,7 @@
         open_ones = [
             thing
             for thing in (*release.now, *release.controls)
-            if thing in parts and parts[thing].state in OPEN
+            if thing in parts and parts[thing].state in OPEN_STATES
         ]
         halted = bool(order and order.halted not in ("", EXPIRED))
         stopped = release.state in ("paused", "halted") or halted or release.forward is release.back
@@ -274,7 +274,7 @@
                 )
             if release.pace.gated and not release.back:
                 verdict = gate.verdict(gate.full())
-                if verdict.answer is Answer.WORSE:
+                if verdict.answer is Decision.WORSE:
                     return self._halt(release, gate, verdict.why)
         if release.state in ("running", "undoing") and now - self.batch_at > release.pace.lasts + LATE:
             late = next((thing for thing in open_ones or release.now), "")
@@ -301,7 +301,7 @@
             self.why = "waits to hear of all in the batch"
             return None
         self.why = ""
-        return commands.Settle(
+        return commands.FinishBatch(
             release.ident,
             self.lease.fence,
             release.step,
@@ -360,7 +360,7 @@
         return part.why or part.state if part else "nothing was ordered"
 
     def _halt(self, release: Release, gate: Gate, why: str) -> commands.Command:
-        return commands.Judge(release.ident, self.lease.fence, release.step, gate.kept(), gate.figures(), why)
+        return commands.RecordVerdict(release.ident, self.lease.fence, release.step, gate.kept(), gate.figures(), why)
 
     # Between batches.
 
@@ -370,20 +370,20 @@
         if release.back or not release.pace.gated:
             return None
         verdict = gate.verdict(gate.full())
-        if verdict.answer is Answer.WORSE:
+        if verdict.answer is Decision.WORSE:
             return self._halt(release, gate, verdict.why)
         if not release.batch:
             return None
         waited = now - self.since
-        if verdict.answer is Answer.TOO_FEW and waited > release.pace.patience:
+        if verdict.answer is Decision.TOO_FEW and waited > release.pace.patience:
             return self._halt(release, gate, f"no answer from the gates: {verdict.why}")
-        if verdict.answer is Answer.TOO_FEW or waited < release.pace.soak:
+        if verdict.answer is Decision.TOO_FEW or waited < release.pace.soak:
             self.why = verdict.why or (
                 f"watched for {release.pace.soak / SECOND:.0f} s, {waited / SECOND:.0f} by now"
             )
             if now - self.kept_at >= KEEP_EVERY:
                 self.kept_at = now
-                return commands.Judge(
+                return commands.RecordVerdict(
                     release.ident, self.lease.fence, release.step, gate.kept(), verdict.figures
                 )
         return None
@@ -420,7 +420,7 @@
         controls: list[str] = []
         if pace.control and pace.gated and not release.batch and not release.what.services:
             controls = self._controls(now, release, choice.things)
-        return commands.Batch(
+        return commands.StartBatch(
             release.ident,
             self.lease.fence,
             release.step,
@@ -436,7 +436,7 @@
             for ident in self.granting.orders_at
             if (order := self.book.held.orders.get(ident))
             for thing, part in order.parts.items()
-            if part.state in OPEN
+            if part.state in OPEN_STATES
         }
 
     def _controls(self, now: int, release: Release, chosen: list[str]) -> list[str]:
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -25,7 +25,7 @@
 LEAST = 50  # exchanges of each arm before anything is said
 
 
-class Figures(msgspec.Struct, array_like=True):
+class Samples(msgspec.Struct, array_like=True):
     """What one process has counted since its start."""
 
     benefit: Sums = msgspec.field(default_factory=Sums)  # in time, of each exchange as a part of the most
@@ -35,7 +35,7 @@
     times: dict[str, Sums] = {}  # by endpoint group: logarithms of seconds until completed
 
 
-class Answer(Enum):
+class Decision(Enum):
     WORSE = "worse"
     GOOD = "good"
     TOO_FEW = "too few samples"
@@ -43,12 +43,12 @@
 
 @dataclass(slots=True)
 class Verdict:
-    answer: Answer
+    answer: Decision
     why: str
     figures: str
 
 
-class State(msgspec.Struct, array_like=True):
+class GateState(msgspec.Struct, array_like=True):
     """All that a gate has seen, for whoever drives next."""
 
     warm: Difference = msgspec.field(default_factory=Difference)
@@ -61,18 +61,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Known:
+class ProcessBaseline:
     """The last of one process."""
 
     born: tuple[str, int, str]  # version, generation, class of age
     at: int
-    figures: Figures
+    figures: Samples
     arm: str = ""
     memory: list[tuple[int, float]] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class Stretch:
+class Window:
     """What came since the last comparison, by arm and class of age."""
 
     benefit: dict[tuple[str, str], Sums] = field(default_factory=dict)
@@ -88,11 +88,11 @@
         """`margin`: a part of the benefit that is too much to lose."""
         self.margin = margin
         try:
-            self.state = msgspec.msgpack.decode(seen, type=State) if seen else State()
+            self.state = msgspec.msgpack.decode(seen, type=GateState) if seen else GateState()
         except msgspec.MsgspecError:
-            self.state = State()
-        self.known: dict[str, Known] = {}
-        self.stretch, self.stretch_at = Stretch(), now
+            self.state = GateState()
+        self.known: dict[str, ProcessBaseline] = {}
+        self.stretch, self.stretch_at = Window(), now
 
     def kept(self) -> bytes:
         return msgspec.msgpack.encode(self.state)
@@ -103,13 +103,13 @@
     # What is told.
 
     def heard(
-        self, now: int, thing: str, arm: str, version: str, generation: int, cold: bool, figures: Figures
+        self, now: int, thing: str, arm: str, version: str, generation: int, cold: bool, figures: Samples
     ) -> None:
         """A report. `arm` is new or old, or empty where the thing is in neither."""
         age = "cold" if cold else "warm"
         known, born = self.known.get(thing), (version, generation, age)
         if known is None or known.born[:2] != born[:2]:
-            self.known[thing] = Known(born, now, figures, arm)
+            self.known[thing] = ProcessBaseline(born, now, figures, arm)
             return
         if figures.benefit.count < known.figures.benefit.count:
             return  # an older report
@@ -127,7 +127,7 @@
             known.memory.clear()
         known.born, known.at, known.figures, known.arm = born, now, figures, arm
 
-    def _memory(self, now: int, known: Known, arm: str, memory: float) -> None:
+    def _memory(self, now: int, known: ProcessBaseline, arm: str, memory: float) -> None:
         """Growth by the second, over stretches long enough for noise to drop out."""
         known.memory.append((now, memory))
         since, first = known.memory[0]
@@ -169,7 +169,7 @@
         if growth_old and growth_new:
             state.growth.look(_turned(growth_old), _turned(growth_new), 100.0**2)
             found.growth.clear()
-        self.stretch, self.stretch_at = Stretch(growth=found.growth), now
+        self.stretch, self.stretch_at = Window(growth=found.growth), now
 
     def verdict(self, full: float) -> Verdict:
         """`full`: the benefit of an exchange as the old have it, by which losses are measured."""
@@ -187,22 +187,22 @@
         figures = self.figures()
         most = max(DEATHS_MOST, DEATHS_PART * state.there)
         if state.deaths.new >= most and state.deaths.new > state.deaths.old:
-            return Verdict(Answer.WORSE, f"{state.deaths.new} of the new died by themselves", figures)
+            return Verdict(Decision.WORSE, f"{state.deaths.new} of the new died by themselves", figures)
         if log_mean(list(logs.values())) >= math.log(1 / FALSE_HALTS):
             worst = max(logs, key=lambda name: logs[name])
-            return Verdict(Answer.WORSE, f"worse than the old: {self._said(worst)}", figures)
+            return Verdict(Decision.WORSE, f"worse than the old: {self._said(worst)}", figures)
         if not _some(state.warm):
             return Verdict(
-                Answer.TOO_FEW,
+                Decision.TOO_FEW,
                 f"{state.warm.new.count:.0f} exchanges of the new and"
                 f" {state.warm.old.count:.0f} of the old at the same time",
                 figures,
             )
         if state.warm.not_worse(scale, scale) < math.log(1 / FALSE_PASSES):
             return Verdict(
-                Answer.TOO_FEW, f"a loss of {100 * self.margin:.1f} % can't be told from none yet", figures
+                Decision.TOO_FEW, f"a loss of {100 * self.margin:.1f} % can't be told from none yet", figures
             )
-        return Verdict(Answer.GOOD, "", figures)
+        return Verdict(Decision.GOOD, "", figures)
 
     def full(self) -> float:
         return self.state.warm.old.mean or 1.0
--- a/oakkeel/rollout/messages.py
+++ b/oakkeel/rollout/messages.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from oakkeel.rollout.commands import What
-from oakkeel.rollout.gates import Figures
+from oakkeel.rollout.commands import VersionSpec
+from oakkeel.rollout.gates import Samples
 
 
-class Run(msgspec.Struct, array_like=True):
+class TargetStatus(msgspec.Struct, array_like=True):
     """One thing as its agent knows it."""
 
     name: str
@@ -19,38 +19,38 @@
     resting: bool = False  # it keeps ending, and is let alone for a time
     died: int = 0  # by itself, since its agent started
     load: float = 0.0  # of its cores
-    figures: Figures | None = None
+    figures: Samples | None = None
 
 
-class Told(msgspec.Struct, array_like=True):
-    runs: list[Run] = []
+class AgentReport(msgspec.Struct, array_like=True):
+    runs: list[TargetStatus] = []
     ready: dict[str, str] = {}  # by release: why it can't be taken, empty where it can
     bases: dict[str, str] = {}  # by thing: the copy of what it runs now
 
 
-class Heard(msgspec.Struct, array_like=True):
+class AgentAssignments(msgspec.Struct, array_like=True):
     """The answer: what its things run from their next start on."""
 
     versions: dict[str, str] = {}
-    sources: dict[str, What] = {}  # of these
+    sources: dict[str, VersionSpec] = {}  # of these
     release: str = ""  # that is open and has something here
-    what: What = msgspec.field(default_factory=lambda: What(""))
+    what: VersionSpec = msgspec.field(default_factory=lambda: VersionSpec(""))
     things: list[str] = []  # of it, here
     watch: bool = False  # figures are asked for
 
 
-_told, _heard = msgspec.msgpack.Decoder(Told), msgspec.msgpack.Decoder(Heard)
+_report_decoder, _assignments_decoder = msgspec.msgpack.Decoder(AgentReport), msgspec.msgpack.Decoder(AgentAssignments)
 
 
-def encode(word: Told | Heard) -> bytes:
+def encode(word: AgentReport | AgentAssignments) -> bytes:
     return msgspec.msgpack.encode(word)
 
 
-def read_told(content: bytes) -> Told:
+def decode_report(content: bytes) -> AgentReport:
     """Raises `msgspec.MsgspecError`."""
-    return _told.decode(content) if content else Told()
+    return _report_decoder.decode(content) if content else AgentReport()
 
 
-def read_heard(content: bytes) -> Heard:
+def decode_assignments(content: bytes) -> AgentAssignments:
     """Raises `msgspec.MsgspecError`."""
-    return _heard.decode(content) if content else Heard()
+    return _assignments_decoder.decode(content) if content else AgentAssignments()
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from oakkeel.disruption.topology import Layout, Out
+from oakkeel.disruption.topology import Topology, UnavailableTargets
 
 SECOND = 1_000_000_000
 OLD = 3 * SECOND  # news of that age say nothing of now
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class TargetObservation:
     """One thing by the last news of it."""
 
     name: str
@@ -44,17 +44,17 @@
 
 
 @dataclass(slots=True)
-class Choice:
+class BatchChoice:
     """What to change now; with nothing, why not."""
 
     things: list[str] = field(default_factory=list)
     why: str = ""
 
 
-class Planner:
+class BatchPlanner:
     """Made of a layout, asked before each batch."""
 
-    def __init__(self, layout: Layout) -> None:
+    def __init__(self, layout: Topology) -> None:
         self.layout = layout
         self.groups = {group.name: group for group in layout.groups}
         self.site: dict[str, str] = {}
@@ -75,13 +75,13 @@
         self,
         now: int,
         wanted: Iterable[str],
-        seen: dict[str, Seen],
-        out: Out,
+        seen: dict[str, TargetObservation],
+        out: UnavailableTargets,
         most: int,
         ceiling: float,
         broken_first: bool,
         keep_last: bool = True,
-    ) -> Choice:
+    ) -> BatchChoice:
         """At most so many of those wanted. `broken_first`: what does not serve is changed first, as on a way
         back; else only after what serves, and never as the first of a release."""
         left: dict[str, int] = {}  # serving, by group
@@ -100,8 +100,8 @@
             else:
                 able.append(thing)
         if not free and not able:
-            return Choice([], f"{old} of which nothing new is known" if old else "all that is left is out")
-        choice, why = Choice(), ""
+            return BatchChoice([], f"{old} of which nothing new is known" if old else "all that is left is out")
+        choice, why = BatchChoice(), ""
         count: dict[str, int] = {}  # chosen, by site
         if broken_first:
             choice.things = free[:most]
@@ -133,7 +133,7 @@
         return choice
 
     def _sites(
-        self, now: int, seen: dict[str, Seen], out: Out, left: dict[str, int]
+        self, now: int, seen: dict[str, TargetObservation], out: UnavailableTargets, left: dict[str, int]
     ) -> tuple[dict[str, float], dict[str, float]]:
         """By site, what those that serve can carry and do carry; `left` is filled with counts by group."""
         capacity: dict[str, float] = {}
@@ -160,8 +160,8 @@
         self,
         thing: str,
         chosen: list[str],
-        seen: dict[str, Seen],
-        out: Out,
+        seen: dict[str, TargetObservation],
+        out: UnavailableTargets,
         left: dict[str, int],
         capacity: dict[str, float],
         load: dict[str, float],
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -11,17 +11,17 @@
 import msgspec
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import Held, Ledger, Order, Refusal
+from oakkeel.disruption.state_machine import ControlPlaneState, PermitStateMachine, Order, Rejection
 from oakkeel.rollout import commands
-from oakkeel.rollout.commands import MOST_THINGS, Pace, What
+from oakkeel.rollout.commands import MAX_TARGETS, RolloutPolicy, VersionSpec
 
 LEASE = "release"  # whoever holds it drives
-MOST_KEPT = 32  # releases that are over
-MOST_SEEN = 16 * 1024  # bytes of what the gates have seen
+MAX_RELEASES = 32  # releases that are over
+MAX_GATE_STATE_BYTES = 16 * 1024  # bytes of what the gates have seen
 
 # Of a release. preparing: hosts make their copies; running, undoing: forth and back; halted: nothing further
 # leaves until an operator says how it goes on.
-NEXT = {
+TRANSITIONS = {
     "preparing": {"running", "left"},
     "running": {"paused", "halted", "undoing", "done"},
     "paused": {"running", "halted", "undoing"},
@@ -31,13 +31,13 @@
     "undone": set(),
     "left": set(),
 }
-OVER = ("done", "undone", "left")
+FINAL_STATES = ("done", "undone", "left")
 # Of a part.
-PART_NEXT = {"old": {"changing"}, "changing": {"old", "new"}, "new": {"changing"}}
+TARGET_TRANSITIONS = {"old": {"changing"}, "changing": {"old", "new"}, "new": {"changing"}}
 
 
-class Part(msgspec.Struct, array_like=True):
-    """One thing of a release. `Book._put` alone changes its state."""
+class ReleaseTarget(msgspec.Struct, array_like=True):
+    """One thing of a release. `RolloutStateMachine._put` alone changes its state."""
 
     was: str  # the version before
     state: str = "old"
@@ -50,9 +50,9 @@
     operator: str
     unix: int
     index: int
-    what: What
-    pace: Pace
-    parts: dict[str, Part]
+    what: VersionSpec
+    pace: RolloutPolicy
+    parts: dict[str, ReleaseTarget]
     state: str = "preparing"
     step: int = 0  # changed by everything that a driver does
     batch: int = 0  # of the last one
@@ -68,7 +68,7 @@
 
     @property
     def over(self) -> bool:
-        return self.state in OVER
+        return self.state in FINAL_STATES
 
     @property
     def order(self) -> str:
@@ -81,23 +81,23 @@
         return part.base or part.was if self.back else self.what.version
 
 
-class HeldMore(Held, array_like=True):
+class RolloutState(ControlPlaneState, array_like=True):
     releases: dict[str, Release] = {}
     versions: dict[str, str] = {}  # that a thing runs from its next start on; none: as its settings say
-    sources: dict[str, What] = {}  # of versions that some thing may have
+    sources: dict[str, VersionSpec] = {}  # of versions that some thing may have
 
 
-_snapshots = msgspec.msgpack.Decoder(HeldMore)
+_snapshot_decoder = msgspec.msgpack.Decoder(RolloutState)
 
 
-class Book(Ledger):
-    held: HeldMore
+class RolloutStateMachine(PermitStateMachine):
+    held: RolloutState
 
     def read(self, content: bytes) -> Any:
-        return commands.read(content)
+        return commands.decode(content)
 
-    def taken_up(self, content: bytes) -> HeldMore:
-        return _snapshots.decode(content) if content else HeldMore()
+    def taken_up(self, content: bytes) -> RolloutState:
+        return _snapshot_decoder.decode(content) if content else RolloutState()
 
     @property
     def open(self) -> Release | None:
@@ -106,7 +106,7 @@
 
     # An operator's.
 
-    def _begin(self, index: int, command: commands.Begin) -> object:
+    def _begin(self, index: int, command: commands.StartRelease) -> object:
         held, what = self.held, command.what
         if known := held.releases.get(command.ident):
             same = (known.operator, known.what, sorted(known.parts)) == (
@@ -114,9 +114,9 @@
                 what,
                 sorted(command.things),
             )
-            return known if same else Refusal(f"that id is of another release, by {known.operator}")
+            return known if same else Rejection(f"that id is of another release, by {known.operator}")
         if other := self.open:
-            return Refusal(f"{other.operator}'s release {other.ident} is {other.state}: it has to end first")
+            return Rejection(f"{other.operator}'s release {other.ident} is {other.state}: it has to end first")
         things = command.things
         if (
             not command.ident
@@ -124,28 +124,28 @@
             or "." in command.ident
             or not things
             or len(set(things)) != len(things)
-            or len(things) > MOST_THINGS
+            or len(things) > MAX_TARGETS
         ):
-            return Refusal("no id without a dot, nothing named, something twice, or too much at once")
+            return Rejection("no id without a dot, nothing named, something twice, or too much at once")
         known_things = {thing for here in held.layout.hosts.values() for thing in here}
         services = {
             thing for group in held.layout.groups if group.name.startswith("kind ") for thing in group.things
         }
         if unknown := sorted(set(things) - known_things):
-            return Refusal(f"there is no {unknown[0]}")
+            return Rejection(f"there is no {unknown[0]}")
         if wrong := [thing for thing in things if (thing in services) != what.services]:
-            return Refusal(f"{wrong[0]}: instances and services below are released one after the other")
+            return Rejection(f"{wrong[0]}: instances and services below are released one after the other")
         if not what.version:
-            return Refusal("no version is named")
-        parts = {thing: Part(held.versions.get(thing, "")) for thing in things}
+            return Rejection("no version is named")
+        parts = {thing: ReleaseTarget(held.versions.get(thing, "")) for thing in things}
         if same_now := [thing for thing, part in parts.items() if part.was == what.version]:
-            return Refusal(f"{same_now[0]} has that version already")
+            return Rejection(f"{same_now[0]} has that version already")
         if not what.services and not what.as_set:
             for thing, part in parts.items():
-                ran = held.sources.get(part.was, What(""))
+                ran = held.sources.get(part.was, VersionSpec(""))
                 for name in ("program", "patch"):
                     if getattr(ran, name) and not getattr(what, name):
-                        return Refusal(
+                        return Rejection(
                             f"{thing} runs a released {name}: name one here too, or say that it"
                             " shall be as the settings say"
                         )
@@ -153,19 +153,19 @@
         held.releases[release.ident] = release
         if not what.services:
             held.sources[what.version] = what
-        for ident in [each.ident for each in held.releases.values() if each.over][:-MOST_KEPT]:
+        for ident in [each.ident for each in held.releases.values() if each.over][:-MAX_RELEASES]:
             del held.releases[ident]
         return release
 
-    def _turn(self, index: int, command: commands.Turn) -> object:
+    def _turn(self, index: int, command: commands.ControlRelease) -> object:
         release = self.held.releases.get(command.ident)
         if release is None:
-            return Refusal("no such release")
+            return Rejection("no such release")
         to, by = command.to, f"by {command.operator}"
         if to == "abort" and release.state == "preparing":
             to = "leave"
         if to == "undo" and release.state == "preparing":
-            return Refusal("nothing of it was changed yet: abort it")
+            return Rejection("nothing of it was changed yet: abort it")
         state = {
             "pause": "paused",
             "abort": "halted",
@@ -175,8 +175,8 @@
         }.get(to, "")
         if state == release.state:
             return release
-        if state not in NEXT[release.state]:
-            return Refusal(f"it is {release.state}, and can't be told to {to}")
+        if state not in TRANSITIONS[release.state]:
+            return Rejection(f"it is {release.state}, and can't be told to {to}")
         release.turns += 1
         if to == "resume" and release.state == "halted":  # an operator knows better than the gates
             release.seen = b""
@@ -186,21 +186,21 @@
 
     # A driver's.
 
-    def _of(self, command: Any, *states: str) -> Release | Refusal:
+    def _of(self, command: Any, *states: str) -> Release | Rejection:
         """The release that a driver's step is for, if the step holds."""
         release, lease = self.held.releases.get(command.ident), self.held.leases.get(LEASE)
         if lease is None or lease.fence != command.fence:
-            return Refusal("another drives by now, or none")
+            return Rejection("another drives by now, or none")
         if release is None or release.state not in states:
-            return Refusal("no such release, or it is not at that")
+            return Rejection("no such release, or it is not at that")
         if command.step != release.step:
-            return Refusal(f"step {command.step} was taken: it is at {release.step}")
+            return Rejection(f"step {command.step} was taken: it is at {release.step}")
         return release
 
-    def _ready(self, index: int, command: commands.Ready) -> object:
+    def _ready(self, index: int, command: commands.ReportPrepared) -> object:
         release, lease = self.held.releases.get(command.ident), self.held.leases.get(LEASE)
         if lease is None or lease.fence != command.fence or release is None or release.state != "preparing":
-            return Refusal("nothing is prepared, or another drives")
+            return Rejection("nothing is prepared, or another drives")
         if command.why:
             return self._shift(release, "left", f"{command.host} can't take it: {command.why}")
         if command.host not in release.ready:
@@ -210,25 +210,25 @@
                     release.parts[thing].base = base
         return release
 
-    def _go(self, index: int, command: commands.Go) -> object:
+    def _go(self, index: int, command: commands.BeginRollout) -> object:
         release = self._of(command, "preparing")
-        if isinstance(release, Refusal):
+        if isinstance(release, Rejection):
             return release
         release.step += 1
         return self._shift(release, "running", "")
 
-    def _batch(self, index: int, command: commands.Batch) -> object:
+    def _batch(self, index: int, command: commands.StartBatch) -> object:
         release = self._of(command, "running", "undoing")
-        if isinstance(release, Refusal):
+        if isinstance(release, Rejection):
             return release
         names = [thing for thing, _ in command.things]
         if release.now or not names or any(thing not in release.parts for thing in names):
-            return Refusal("a batch is under way, or something of this one can't be changed now")
+            return Rejection("a batch is under way, or something of this one can't be changed now")
         held = self.held
         verb = "drain" if release.what.services else "restart"
         order = self._order(
             index,
-            places.Order(
+            places.SubmitOrder(
                 f"{release.ident}.{release.batch + 1}",
                 release.operator,
                 verb,
@@ -238,7 +238,7 @@
                 [*command.things, *command.controls],
             ),
         )
-        if isinstance(order, Refusal):
+        if isinstance(order, Rejection):
             return order
         release.step, release.batch = release.step + 1, release.batch + 1
         for thing in names:
@@ -253,9 +253,9 @@
             held.orders.setdefault(order.ident, order)
         return order
 
-    def _settle(self, index: int, command: commands.Settle) -> object:
+    def _settle(self, index: int, command: commands.FinishBatch) -> object:
         release = self._of(command, "running", "paused", "halted", "undoing")
-        if isinstance(release, Refusal):
+        if isinstance(release, Rejection):
             return release
         release.step += 1
         for thing in release.now:
@@ -266,12 +266,12 @@
         release.now = []
         return release
 
-    def _judge(self, index: int, command: commands.Judge) -> object:
+    def _judge(self, index: int, command: commands.RecordVerdict) -> object:
         release = self._of(command, "running", "paused", "undoing")
-        if isinstance(release, Refusal):
+        if isinstance(release, Rejection):
             return release
         release.step += 1
-        if len(command.seen) <= MOST_SEEN:
+        if len(command.seen) <= MAX_GATE_STATE_BYTES:
             release.seen = command.seen
         release.said = command.said[:500]
         if command.why:
@@ -281,13 +281,13 @@
                 self._shift(release, "undoing", command.why[:500])
         return release
 
-    def _finish(self, index: int, command: commands.Finish) -> object:
+    def _finish(self, index: int, command: commands.FinishRelease) -> object:
         release = self._of(command, "running", "undoing")
-        if isinstance(release, Refusal):
+        if isinstance(release, Rejection):
             return release
         end = "old" if release.back else "new"
         if release.now or any(part.state != end for part in release.parts.values()):
-            return Refusal("not all of it is there")
+            return Rejection("not all of it is there")
         release.step += 1
         return self._shift(release, "undone" if release.back else "done", "")
 
@@ -299,15 +299,15 @@
         else:
             self.held.versions.pop(thing, None)
 
-    def _put(self, part: Part, state: str) -> None:
+    def _put(self, part: ReleaseTarget, state: str) -> None:
         """The one place where the state of a part changes."""
-        if state not in PART_NEXT[part.state] and state != part.state:
+        if state not in TARGET_TRANSITIONS[part.state] and state != part.state:
             raise RuntimeError(f"{part.state} to {state}")
         part.state = state
 
     def _shift(self, release: Release, state: str, why: str) -> Release:
         """The one place where the state of a release changes."""
-        if state not in NEXT[release.state]:
+        if state not in TRANSITIONS[release.state]:
             raise RuntimeError(f"{release.state} to {state}")
         was, release.state = release.state, state
         release.why = why or release.why
@@ -323,7 +323,7 @@
                 for part in release.parts.values():
                     part.tries = 0
             release.back = True
-        if state in OVER:
+        if state in FINAL_STATES:
             for thing, part in release.parts.items():
                 if part.state == "old":
                     self._shall_run(thing, part.was)
@@ -336,13 +336,13 @@
         return release
 
     ACTS: ClassVar[dict[type, Any]] = {
-        **Ledger.ACTS,
-        commands.Begin: _begin,
-        commands.Turn: _turn,
-        commands.Ready: _ready,
-        commands.Go: _go,
-        commands.Batch: _batch,
-        commands.Settle: _settle,
-        commands.Judge: _judge,
-        commands.Finish: _finish,
+        **PermitStateMachine.ACTS,
+        commands.StartRelease: _begin,
+        commands.ControlRelease: _turn,
+        commands.ReportPrepared: _ready,
+        commands.BeginRollout: _go,
+        commands.StartBatch: _batch,
+        commands.FinishBatch: _settle,
+        commands.RecordVerdict: _judge,
+        commands.FinishRelease: _finish,
     }
--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -14,7 +14,7 @@
 
 from lxml import etree
 
-MOST_BYTES = 1024 * 1024
+MAX_FILE_BYTES = 1024 * 1024
 SPACE = "{urn:oakkeel:fleet:1}"
 UNITS = {"ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3600_000_000_000}
 
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Keepers:
+class ControlPlaneSettings:
     """What a fleet that keeps a record has beside the rest."""
 
     hosts: tuple[str, ...]  # that begin a new record
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asking:
+class ClientSettings:
     """How the command line asks agents. Nanoseconds."""
 
     deadline: int = 1000 * UNITS["ms"]
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fairness:
+class FairSharingSettings:
     """Who counts as one sender at the door of a node, and what each may have."""
 
     by: tuple[str, ...]  # the outer level first
@@ -116,12 +116,12 @@
     name: str
     path: str
     operators: tuple[Operator, ...]
-    supervision: dict[str, Any]  # what is set of `Patience`, by its fields
-    asking: Asking
+    supervision: dict[str, Any]  # what is set of `SupervisionTimeouts`, by its fields
+    asking: ClientSettings
     sites: dict[str, int]  # how many of each may be out at one time
     hosts: tuple[HostSettings, ...]
-    fairness: Fairness | None = None
-    keepers: Keepers | None = None  # None: each agent is on its own
+    fairness: FairSharingSettings | None = None
+    keepers: ControlPlaneSettings | None = None  # None: each agent is on its own
 
     def host(self, name: str) -> HostSettings:
         for host in self.hosts:
@@ -157,11 +157,11 @@
     """Raises SettingsError."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
-    if len(data) > MOST_BYTES:
-        raise SettingsError(f"{path}: more than {MOST_BYTES} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise SettingsError(f"{path}: more than {MAX_FILE_BYTES} bytes")
     parser = etree.XMLParser(
         resolve_entities=False,
         no_network=True,
@@ -246,7 +246,7 @@
             self.path,
             operators,
             supervision,
-            Asking(**asking),
+            ClientSettings(**asking),
             sites,
             tuple(hosts),
             fairness,
@@ -276,7 +276,7 @@
             keys.append(KeyFile(key.get("id"), self._path(key.get("file")), until))
         return Operator(element.get("name"), element.get("role") == "act", tuple(keys))
 
-    def _fairness(self, element: Any) -> Fairness:
+    def _fairness(self, element: Any) -> FairSharingSettings:
         self._unique(element.iter(SPACE + "weight"), "of")
         weights = tuple((each.get("of"), float(each.get("is"))) for each in element.iter(SPACE + "weight"))
         numbers: dict[str, Any] = {
@@ -288,9 +288,9 @@
             numbers["half"] = max(1, time_of(element.get("half")))
         if element.get("snapshot"):
             numbers["snapshot"] = element.get("snapshot") in ("true", "1")
-        return Fairness(tuple(element.get("by").split()), weights, **numbers)
+        return FairSharingSettings(tuple(element.get("by").split()), weights, **numbers)
 
-    def _keepers(self, root: Any, hosts: list[HostSettings], all_sites: int) -> Keepers | None:
+    def _keepers(self, root: Any, hosts: list[HostSettings], all_sites: int) -> ControlPlaneSettings | None:
         """What the record needs to be told; None where the fleet has none."""
         services = []
         kinds = {kind.get("name"): int(kind.get("away")) for kind in root.iter(SPACE + "kind")}
@@ -325,7 +325,7 @@
         for element in root.iter(SPACE + "host"):
             if not element.get("key"):
                 self._fault(element, "key: agents that agree need one each")
-        return Keepers(told, int(root.get("away") or all_sites), kinds, tuple(services))
+        return ControlPlaneSettings(told, int(root.get("away") or all_sites), kinds, tuple(services))
 
     def _path(self, text: str) -> str:
         """Relative to the settings."""
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from oakkeel.admission import Keel
-from oakkeel.admission.types import Effect, Exchange, Gauges, Outcome
+from oakkeel.admission import AdmissionController
+from oakkeel.admission.types import Effect, Request, Gauges, Outcome
 from oakkeel.node_limits import LimitsError, Pairs, read_limits
 from oakkeel.simulator_adapter import wire
 
@@ -20,7 +20,7 @@
 
 
 class Instance:
-    """The `Host` of one `Keel`. Ids stay known for its life, so that late events are harmless."""
+    """The `Host` of one `AdmissionController`. Ids stay known for its life, so that late events are harmless."""
 
     def __init__(self, number: int, seed: int, text: str, now: int, reply: wire.Reply) -> None:
         self.number = number
@@ -32,13 +32,13 @@
             wire.fail(str(error))
         self.gauge_names = pairs.gauges()
         self.gauges = Gauges()
-        self.exchanges: dict[int, Exchange] = {}
-        self.ids: dict[Exchange, int] = {}
-        self.keel = Keel(self, self.limits, seed, now)
+        self.exchanges: dict[int, Request] = {}
+        self.ids: dict[Request, int] = {}
+        self.keel = AdmissionController(self, self.limits, seed, now)
 
     # Events in.
 
-    def exchange(self, ident: int) -> Exchange:
+    def exchange(self, ident: int) -> Request:
         return self.exchanges.get(ident) or wire.fail(f"unknown exchange {ident} on instance {self.number}")
 
     def incoming(self, now: int, fields: tuple) -> None:
@@ -47,7 +47,7 @@
         if group >= len(limits.groups) or ident in self.exchanges:
             wire.fail(f"exchange {ident} on instance {self.number}: id used before, or group {group} unknown")
         row = limits.groups[group]
-        ex = Exchange(
+        ex = Request(
             group=row,
             tenant=limits.tenants[tenant] if tenant < len(limits.tenants) else None,
             caller=caller,
@@ -70,36 +70,36 @@
 
     # Actions out.
 
-    def _named(self, code: int, ex: Exchange) -> None:
+    def _named(self, code: int, ex: Request) -> None:
         self.reply.records.append(wire.ACT_ID.pack(code, self.number, self.ids[ex]))
 
-    def run(self, ex: Exchange) -> None:
+    def run(self, ex: Request) -> None:
         self._named(wire.LAUNCH, ex)
 
-    def deny(self, ex: Exchange, last: bool, retry_after: int) -> None:
+    def deny(self, ex: Request, last: bool, retry_after: int) -> None:
         self.reply.records.append(
             wire.ACT_BOUNCE.pack(wire.BOUNCE, self.number, self.ids[ex], last, retry_after)
         )
 
-    def terminate(self, ex: Exchange) -> None:
+    def terminate(self, ex: Request) -> None:
         self._named(wire.REPORT_FAILURE, ex)
 
-    def stop(self, ex: Exchange) -> None:
+    def stop(self, ex: Request) -> None:
         self._named(wire.INTERRUPT, ex)
 
-    def call(self, ex: Exchange, until: int) -> None:
+    def call(self, ex: Request, until: int) -> None:
         self.reply.records.append(wire.ACT_ID_TIME.pack(wire.DIAL, self.number, self.ids[ex], until))
 
-    def leave_out(self, ex: Exchange) -> None:
+    def leave_out(self, ex: Request) -> None:
         self._named(wire.GO_ON, ex)
 
-    def share(self, ex: Exchange) -> None:
+    def share(self, ex: Request) -> None:
         self._named(wire.SHARE, ex)
 
-    def remember(self, ex: Exchange, duration: int) -> None:
+    def remember(self, ex: Request, duration: int) -> None:
         self.reply.records.append(wire.ACT_ID_TIME.pack(wire.REMEMBER, self.number, self.ids[ex], duration))
 
-    def forget(self, ex: Exchange) -> None:
+    def forget(self, ex: Request) -> None:
         self._named(wire.RELEASE_KEY, ex)
 
     def set_timer(self, token: int, at: int) -> None:
--- a/oakkeel/store/content_store.py
+++ b/oakkeel/store/content_store.py
@@ -10,8 +10,8 @@
 
 import blake3
 
-MOST_FILES = 20_000
-MOST_BYTES = 512 * 1024 * 1024
+MAX_FILES = 20_000
+MAX_BYTES = 512 * 1024 * 1024
 PASSED_OVER = {"__pycache__", ".git"}
 NAME = 32  # characters of a hash
 
@@ -36,8 +36,8 @@
 def hash_file(path: str) -> str:
     """Raises ContentError."""
     try:
-        if os.path.getsize(path) > MOST_BYTES:
-            raise ContentError(f"{path} has more than {MOST_BYTES} bytes")
+        if os.path.getsize(path) > MAX_BYTES:
+            raise ContentError(f"{path} has more than {MAX_BYTES} bytes")
         with open(path, "rb") as file:
             return blake3.blake3(file.read()).hexdigest()[:NAME]
     except OSError as error:
@@ -58,9 +58,9 @@
                 raise ContentError(f"{path}: neither file nor folder")
             size += os.path.getsize(path)
             found.append(os.path.relpath(path, folder))
-    if len(found) > MOST_FILES or size > MOST_BYTES:
+    if len(found) > MAX_FILES or size > MAX_BYTES:
         raise ContentError(
-            f"{folder}: {len(found)} files with {size} bytes; {MOST_FILES} and {MOST_BYTES} are allowed"
+            f"{folder}: {len(found)} files with {size} bytes; {MAX_FILES} and {MAX_BYTES} are allowed"
         )
     return sorted(found)
 
@@ -101,7 +101,7 @@
     return told
 
 
-class Contents:
+class ContentStore:
     """The copies of one host: `content/HASH` and `VERSION.json` in one folder, each whole or not there."""
 
     def __init__(self, folder: str) -> None:
--- a/oakkeel/store/database.py
+++ b/oakkeel/store/database.py
@@ -12,11 +12,11 @@
 Statement = tuple[str, Sequence[object]]
 
 
-class StoreError(OSError):
+class DatabaseError(OSError):
     """Nothing of the write was kept; the text says why."""
 
 
-class Store:
+class Database:
     """Opens a file, or sets aside one that can't be used and begins another.
 
     `set_aside` names the file that was put away and why, or is empty. Raises StoreError where the folder
@@ -42,7 +42,7 @@
             pages = max(16, most_bytes // self._number("page_size"))
             self.base.execute(f"PRAGMA max_page_count = {pages}")
         except sqlite3.Error as error:
-            raise StoreError(f"{path}: {error}") from None
+            raise DatabaseError(f"{path}: {error}") from None
 
     def _connect(self) -> sqlite3.Connection:
         base = sqlite3.connect(self.path, isolation_level=None, timeout=2.0)
@@ -76,7 +76,7 @@
         except sqlite3.Error as error:
             with contextlib.suppress(sqlite3.Error):
                 self.base.execute("ROLLBACK")
-            raise StoreError(str(error)) from None
+            raise DatabaseError(str(error)) from None
 
     def read(self, text: str) -> list[tuple]:
         return self.base.execute(text).fetchall()
--- a/oakkeel/store/snapshot_file.py
+++ b/oakkeel/store/snapshot_file.py
@@ -8,7 +8,7 @@
 import blake3
 
 MAGIC, SUM = b"oakkeel snapshot 1\n", 32
-MOST = 4 * 1024 * 1024  # bytes
+MAX_BYTES = 4 * 1024 * 1024  # bytes
 
 
 class SnapshotError(ValueError):
@@ -27,11 +27,11 @@
     """The content; None where there is none. Raises SnapshotError, or OSError."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST + 1)
+            data = file.read(MAX_BYTES + 1)
     except FileNotFoundError:
         return None
     head = len(MAGIC) + SUM
-    if len(data) > MOST or not data.startswith(MAGIC) or len(data) < head:
+    if len(data) > MAX_BYTES or not data.startswith(MAGIC) or len(data) < head:
         raise SnapshotError("no snapshot")
     if blake3.blake3(data[head:]).digest() != data[len(MAGIC) : head]:
         raise SnapshotError("damaged, or cut short")
--- a/oakkeel/stream_buffers.py
+++ b/oakkeel/stream_buffers.py
@@ -10,7 +10,7 @@
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """Bytes that can't be what the other side should send; the text says why in a few words."""
 
 
@@ -65,7 +65,7 @@
             self.buffer[: self.end - self.start] = self.buffer[self.start : self.end]
             self.start, self.end = 0, self.end - self.start
         if self.end == len(self.buffer):
-            raise Malformed(f"longer than {self.end} bytes")
+            raise MalformedInputError(f"longer than {self.end} bytes")
         room = memoryview(self.buffer)[self.end :]
         count = await stream.read_into(room, partial=True)  # type: ignore[arg-type]  # any buffer will do
         self.end += stream.delivered(count) if isinstance(stream, HalfClosingStream) else count
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -16,17 +16,17 @@
 import unittest
 from dataclasses import replace
 
-from oakkeel.admission import MS, SECOND, Keel
+from oakkeel.admission import MS, SECOND, AdmissionController
 from oakkeel.admission.types import (
-    AdviceKind,
-    Below,
+    LoadReportKind,
+    DownstreamKind,
     Effect,
-    EndpointGroup,
-    Exchange,
+    RequestClass,
+    Request,
     Gauges,
     NodeLimits,
     Outcome,
-    State,
+    RequestState,
     StopKind,
     Tenant,
 )
@@ -46,18 +46,18 @@
     max_retry_after=SECOND,
     stop_kind=StopKind.ABORT,
     peers=1,
-    below=Below.NOTHING,
+    below=DownstreamKind.NOTHING,
     call_share=0,
     call_window=5 * SECOND,
     call_linger=200 * MS,
     fresh=0,
     idle=30 * SECOND,
-    advice=AdviceKind.SILENT,
+    advice=LoadReportKind.SILENT,
     over_share=0.1,
     groups=[],
     tenants=[],
 )
-GROUP = EndpointGroup(
+GROUP = RequestClass(
     index=0,
     effect=Effect.REPEATABLE,
     benefit=1,
@@ -81,7 +81,7 @@
         self.timers: list[tuple[int, int]] = []
         self.gauges = Gauges()
         self.now = SECOND
-        self.keel = Keel(self, self.limits, 7, self.now)
+        self.keel = AdmissionController(self, self.limits, 7, self.now)
 
     def __getattr__(self, name: str):
         return lambda *words: self.said.append((name, *words))
@@ -89,7 +89,7 @@
     def set_timer(self, token: int, at: int) -> None:
         self.timers.append((at, token))
 
-    def arrive(self, group: int = 0, settle: bool = True, tenant: int | None = None, **fields) -> Exchange:
+    def arrive(self, group: int = 0, settle: bool = True, tenant: int | None = None, **fields) -> Request:
         row = self.limits.groups[group]
         given = dict(
             group=row,
@@ -102,21 +102,21 @@
             has_key=False,
             repeats=False,
         )
-        ex = Exchange(**(given | fields))
+        ex = Request(**(given | fields))
         self.keel.arrive(self.now, ex)
         if settle:
             self.keel.settle(self.now)
         return ex
 
-    def done(self, ex: Exchange, outcome: Outcome = Outcome.COMPLETED) -> None:
+    def done(self, ex: Request, outcome: Outcome = Outcome.COMPLETED) -> None:
         self.keel.run_done(self.now, ex, outcome, 0)
         self.keel.settle(self.now)
 
-    def at_call(self, ex: Exchange) -> None:
+    def at_call(self, ex: Request) -> None:
         self.keel.at_call(self.now, ex)
         self.keel.settle(self.now)
 
-    def call_done(self, ex: Exchange, outcome: Outcome) -> None:
+    def call_done(self, ex: Request, outcome: Outcome) -> None:
         self.keel.call_done(self.now, ex, outcome, 0)
         self.keel.settle(self.now)
 
@@ -128,11 +128,11 @@
             self.keel.settle(self.now)
         self.now = max(self.now, time)
 
-    def words(self, ex: Exchange) -> list[str]:
+    def words(self, ex: Request) -> list[str]:
         """What was asked about an exchange, in order."""
         return [wish[0] for wish in self.said if len(wish) > 1 and wish[1] is ex]
 
-    def in_state(self, exchanges: list[Exchange], *states: State) -> list[Exchange]:
+    def in_state(self, exchanges: list[Request], *states: RequestState) -> list[Request]:
         return [ex for ex in exchanges if ex.state in states]
 
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -16,23 +16,23 @@
 from oakkeel.agent.agent import Agent
 from oakkeel.agent.instances import Phase
 from oakkeel.agent.processes import Process, Processes, started
-from oakkeel.agent.server import Door
+from oakkeel.agent.server import AgentServer
 from oakkeel.agent.storage import SCHEMA, VERSION
-from oakkeel.agent.supervisor import MS, SECOND, Patience
+from oakkeel.agent.supervisor import MS, SECOND, SupervisionTimeouts
 from oakkeel.authentication.framing import HELLO, REFUSED, frame
 from oakkeel.authentication.mac import Key, Role
-from oakkeel.control.messages import Report
+from oakkeel.control.messages import NodeStatus
 from oakkeel.fakes.crashing import PROGRAM
-from oakkeel.fakes.site import Site
-from oakkeel.fleet.agent_clients import AgentError, AgentRefused, Agents, ask_one
-from oakkeel.fleet.view import View
-from oakkeel.log import Log
+from oakkeel.fakes.site import FakeSite
+from oakkeel.fleet.agent_clients import AgentError, AgentRejectedError, AgentClients, request_once
+from oakkeel.fleet.view import FleetView
+from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import key_of, read_keys, write_key
-from oakkeel.store.database import Store, StoreError
+from oakkeel.store.database import Database, DatabaseError
 
 WAIT = 20.0
-FAST = Patience(silent=400 * MS, start=3 * SECOND, stuck=60 * SECOND, drain=SECOND, backoff=50 * MS)
+FAST = SupervisionTimeouts(silent=400 * MS, start=3 * SECOND, stuck=60 * SECOND, drain=SECOND, backoff=50 * MS)
 
 
 class AgentStory(unittest.IsolatedAsyncioTestCase):
@@ -40,14 +40,14 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = Site(self.folder, {"wb1": ["n1", "n2", "n3"]}, away=1)
+        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, away=1)
         for key in ("asha", "ravi", "lena"):
             write_key(os.path.join(self.folder, f"{key}.key"), os.urandom(32))
         self.site.write_settings()
         self.fleet = read_fleet(self.site.settings)
         self.host = self.fleet.hosts[0]
         self.said = io.StringIO()
-        self.agents, self.view = Agents(self.fleet, key_of(self.fleet, "asha")), View(self.fleet)
+        self.agents, self.view = AgentClients(self.fleet, key_of(self.fleet, "asha")), FleetView(self.fleet)
         self.addAsyncCleanup(self.end_all)
 
     async def end_all(self) -> None:
@@ -73,13 +73,13 @@
     def starts(self, name: str) -> list[int]:
         return [int(line[1]) for line in self.journal(name) if line[0] == "start"]
 
-    async def agent(self, patience: Patience = FAST, **more) -> Agent:
+    async def agent(self, patience: SupervisionTimeouts = FAST, **more) -> Agent:
         """An agent in this process, which `leave` ends as SIGTERM would."""
         agent = Agent(
             self.host,
             patience,
             read_keys(self.fleet),
-            Log("agent", 1000, stream=self.said),
+            EventLog("agent", 1000, stream=self.said),
             7,
             program=PROGRAM,
             **more,
@@ -108,8 +108,8 @@
     def of(self, agent: Agent, name: str):
         return agent.orders.named[name]
 
-    async def ask(self, wish: messages.Wish, operator: str = "asha") -> messages.Answer:
-        return await asyncio.wait_for(ask_one(self.host.agent, key_of(self.fleet, operator), wish), WAIT)
+    async def ask(self, wish: messages.Request, operator: str = "asha") -> messages.Response:
+        return await asyncio.wait_for(request_once(self.host.agent, key_of(self.fleet, operator), wish), WAIT)
 
     async def order(
         self,
@@ -119,21 +119,21 @@
         operator: str = "asha",
         generation: int = 0,
         supersede: bool = False,
-    ) -> dict[str, messages.PartTold]:
+    ) -> dict[str, messages.TaskStatus]:
         asked = [(name, generation or await self.generation(name)) for name in names]
-        told = await self.ask(messages.Order(ident, verb, asked, 30 * SECOND, supersede), operator)
-        self.assertIsInstance(told, messages.OrderTold, told)
+        told = await self.ask(messages.OrderRequest(ident, verb, asked, 30 * SECOND, supersede), operator)
+        self.assertIsInstance(told, messages.OrderStatus, told)
         return {part.instance: part for part in told.parts}
 
     async def generation(self, name: str) -> int:
-        told = await self.ask(messages.Look())
+        told = await self.ask(messages.HostStatusRequest())
         return next(each.generation for each in told.instances if each.name == name)
 
     async def ended(self, ident: str = "o1") -> dict[str, str]:
         """Wait until an order is over; returns its instances with their states."""
         end = time.monotonic() + WAIT
         while time.monotonic() < end:
-            told = await self.ask(messages.ListOrders())
+            told = await self.ask(messages.ListOrdersRequest())
             for order in told.orders:
                 if order.ident == ident and not any(
                     part.state in ("waiting", "acting") for part in order.parts
@@ -168,7 +168,7 @@
 
     async def test_one_that_accepts_and_never_answers_is_silent(self):
         self.script("n1", "mute")
-        agent = await self.agent(Patience(silent=400 * MS, start=500 * MS, backoff=50 * MS))
+        agent = await self.agent(SupervisionTimeouts(silent=400 * MS, start=500 * MS, backoff=50 * MS))
         await self.until(lambda: self.of(agent, "n1").phase is Phase.SILENT)
         self.script("n1", "")
         await self.until(lambda: self.of(agent, "n1").phase is Phase.SERVING)
@@ -176,7 +176,7 @@
 
     async def test_one_that_answers_an_old_generation_is_not_believed(self):
         self.script("n1", "old")
-        agent = await self.agent(Patience(silent=400 * MS, start=500 * MS, backoff=50 * MS))
+        agent = await self.agent(SupervisionTimeouts(silent=400 * MS, start=500 * MS, backoff=50 * MS))
         await self.until(lambda: self.of(agent, "n1").phase is Phase.SILENT)
         self.assertIn("generation 0 answers in place of 1", self.of(agent, "n1").why)
 
@@ -190,13 +190,13 @@
 
     async def test_a_crash_loop_rests_and_the_others_serve(self):
         self.script("n1", "crash")
-        agent = await self.agent(Patience(backoff=10 * MS, budget=3, silent=400 * MS))
+        agent = await self.agent(SupervisionTimeouts(backoff=10 * MS, budget=3, silent=400 * MS))
         n1 = self.of(agent, "n1")
         await self.until(lambda: n1.resting)
         count = len(self.starts("n1"))
         await self.until(lambda: self.of(agent, "n2").phase is Phase.SERVING)
         self.assertEqual((count, len(self.starts("n1"))), (4, 4))
-        told = await self.ask(messages.Look())
+        told = await self.ask(messages.HostStatusRequest())
         self.assertEqual((told.instances[0].resting, told.instances[0].why), (True, "exit code 3"))
         self.script("n1", "")
         await self.order("start", "n1")
@@ -264,7 +264,7 @@
             file.write(b"\x00" * 8192)
         again = await self.agent()
         await self.serving(again)
-        told = await self.ask(messages.Look())
+        told = await self.ask(messages.HostStatusRequest())
         self.assertIn("the state was set aside", told.notes[0])
         self.assertEqual((self.starts("n1"), [each.generation for each in told.instances]), ([1], [1, 1, 1]))
 
@@ -274,8 +274,8 @@
         agent = await self.agent()
         await self.serving(agent)
         wishes = [
-            (messages.Order("o1", "stop", [("n1", 1)], 30 * SECOND), "asha"),
-            (messages.Order("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi"),
+            (messages.OrderRequest("o1", "stop", [("n1", 1)], 30 * SECOND), "asha"),
+            (messages.OrderRequest("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi"),
         ]
         first, second = await asyncio.gather(*(self.ask(*wish) for wish in wishes))
         states = sorted(answer.parts[0].state for answer in (first, second))
@@ -320,22 +320,22 @@
 
     async def test_a_full_disk_refuses_orders_and_watching_goes_on(self):
         os.makedirs(self.host.state, exist_ok=True)
-        store = Store(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
+        store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
         store.base.execute("PRAGMA max_page_count = 1")  # as full as it can be
         for number in range(200):  # until what is free in the pages that it has is used up
             generation = await self.generation("n2")
-            answer = await self.ask(messages.Order(f"f{number}", "start", [("n2", generation)], SECOND))
-            if isinstance(answer, messages.Fault):
+            answer = await self.ask(messages.OrderRequest(f"f{number}", "start", [("n2", generation)], SECOND))
+            if isinstance(answer, messages.ErrorResponse):
                 break
         self.assertIn("can't be kept: database or disk is full", getattr(answer, "why", ""))
         self.assertEqual(await self.generation("n2"), generation)
-        with mock.patch.object(store, "write", side_effect=StoreError("database or disk is full")):
+        with mock.patch.object(store, "write", side_effect=DatabaseError("database or disk is full")):
             n1 = self.of(agent, "n1")
             agent.processes.signal(agent.alive[n1], signal.SIGKILL)
             await self.until(lambda: n1.born == 2 and n1.phase is Phase.SERVING)
-            self.assertIn("orders wait", (await self.ask(messages.Look())).notes[0])
+            self.assertIn("orders wait", (await self.ask(messages.HostStatusRequest())).notes[0])
         store.base.execute("PRAGMA max_page_count = 10000")
         await self.until(lambda: not agent.store_fault)
         await self.order("restart", "n2", ident="later")
@@ -343,11 +343,11 @@
 
     async def test_a_state_file_that_is_read_only_refuses_orders_too(self):
         os.makedirs(self.host.state, exist_ok=True)
-        store = Store(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
+        store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
         store.base.execute("PRAGMA query_only = 1")
-        answer = await self.ask(messages.Order("o1", "stop", [("n1", 1)], SECOND))
+        answer = await self.ask(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
         self.assertIn("readonly", getattr(answer, "why", ""))
         self.assertEqual((self.of(agent, "n1").generation, self.of(agent, "n1").phase), (1, Phase.SERVING))
 
@@ -369,7 +369,7 @@
         """Whether the agent never came to that step. In any case the restart was carried out once."""
         folder = os.path.join(self.folder, f"at{step}")
         os.mkdir(folder)
-        site = Site(folder, {"wb1": ["n1"]}, away=1, supervision='<supervision backoff="50ms"/>')
+        site = FakeSite(folder, {"wb1": ["n1"]}, away=1, supervision='<supervision backoff="50ms"/>')
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         fleet = read_fleet(site.settings)
@@ -390,12 +390,12 @@
                         stderr=subprocess.DEVNULL,
                     )
                 with contextlib.suppress(AgentError, asyncio.TimeoutError):
-                    told = await asyncio.wait_for(ask_one(host.agent, key, messages.Look()), 1)
+                    told = await asyncio.wait_for(request_once(host.agent, key, messages.HostStatusRequest()), 1)
                     if not taken and told.instances[0].phase == "serving":
                         # The same words again whenever no answer came: the sender can't know.
                         answer = await asyncio.wait_for(
-                            ask_one(
-                                host.agent, key, messages.Order("o1", "restart", [("n1", 1)], 30 * SECOND)
+                            request_once(
+                                host.agent, key, messages.OrderRequest("o1", "restart", [("n1", 1)], 30 * SECOND)
                             ),
                             1,
                         )
@@ -406,7 +406,7 @@
                 await asyncio.sleep(0.02)
             else:
                 self.fail(f"step {step}: no end")
-            orders = await ask_one(host.agent, key, messages.ListOrders())
+            orders = await request_once(host.agent, key, messages.ListOrdersRequest())
             self.assertEqual([part.state for part in orders.orders[0].parts], ["done"], f"step {step}")
             with open(os.path.join(host.state, "n1.journal")) as file:
                 words = [line.split()[:2] for line in file if line.startswith(("start ", "end "))]
@@ -447,7 +447,7 @@
             "oakkeel.authentication.client.frame",
             lambda content: recorded.append(frame(content)) or recorded[-1],
         ):
-            await self.ask(messages.Order("o1", "start", [("n1", 1)], SECOND))
+            await self.ask(messages.OrderRequest("o1", "start", [("n1", 1)], SECOND))
         generation = self.of(agent, "n1").generation
         for spoilt in (
             recorded[0],
@@ -459,8 +459,8 @@
             self.assertTrue(hello.startswith(HELLO))
             self.assertEqual(answer, REFUSED)
         wrong = Key("asha-1", "asha", Role.ACT, os.urandom(32))
-        with self.assertRaisesRegex(AgentRefused, "its log says why"):
-            await ask_one(self.host.agent, wrong, messages.Look())
+        with self.assertRaisesRegex(AgentRejectedError, "its log says why"):
+            await request_once(self.host.agent, wrong, messages.HostStatusRequest())
         self.assertEqual(self.of(agent, "n1").generation, generation)
         refusals = [line for line in self.said.getvalue().splitlines() if "a message was refused" in line]
         self.assertLessEqual(len(refusals), 2)  # once a second at most
@@ -468,8 +468,8 @@
     async def test_one_who_views_may_not_act(self):
         agent = await self.agent()
         await self.serving(agent)
-        self.assertIsInstance(await self.ask(messages.Look(), "lena"), messages.HostTold)
-        answer = await self.ask(messages.Order("o1", "stop", [("n1", 1)], SECOND), "lena")
+        self.assertIsInstance(await self.ask(messages.HostStatusRequest(), "lena"), messages.HostStatus)
+        answer = await self.ask(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND), "lena")
         self.assertEqual(answer.why, "lena may view and not act")
         self.assertEqual(self.of(agent, "n1").generation, 1)
 
@@ -480,7 +480,7 @@
         for _, writer in half:
             writer.write(b"\x00\x00")
         for _ in range(10):
-            self.assertIsInstance(await self.ask(messages.Look()), messages.HostTold)
+            self.assertIsInstance(await self.ask(messages.HostStatusRequest()), messages.HostStatus)
         self.assertLessEqual(len(agent.door.links), agent.door.bounds.links)
         for _, writer in half:
             writer.close()
@@ -503,14 +503,14 @@
             for key, taken in zip((old, new), good, strict=True):
                 if taken:
                     self.assertIsInstance(
-                        await ask_one(self.host.agent, key, messages.Look()), messages.HostTold
+                        await request_once(self.host.agent, key, messages.HostStatusRequest()), messages.HostStatus
                     )
                 else:
-                    with self.assertRaises(AgentRefused):
-                        await ask_one(self.host.agent, key, messages.Look())
+                    with self.assertRaises(AgentRejectedError):
+                        await request_once(self.host.agent, key, messages.HostStatusRequest())
 
     async def test_a_host_of_a_thousand_instances_can_be_told(self):
-        whole = messages.HostTold(
+        whole = messages.HostStatus(
             "wb1",
             "woodbrook",
             1,
@@ -519,7 +519,7 @@
             0,
             [],
             [
-                messages.InstanceTold(
+                messages.InstanceStatus(
                     f"n{number}",
                     "serving",
                     1,
@@ -529,7 +529,7 @@
                     "the agent",
                     77,
                     1,
-                    Report(1, "n", 1, 1, "serving", "a:1", 1),
+                    NodeStatus(1, "n", 1, 1, "serving", "a:1", 1),
                     None,
                     0,
                     False,
@@ -539,9 +539,9 @@
                 for number in range(1000)
             ],
         )
-        door = Door(self.host.agent, lambda: read_keys(self.fleet), lambda key, wish: whole, Log("door", 10))
+        door = AgentServer(self.host.agent, lambda: read_keys(self.fleet), lambda key, wish: whole, EventLog("door", 10))
         door.open()
-        told = await self.ask(messages.Look())
+        told = await self.ask(messages.HostStatusRequest())
         self.assertEqual(len(told.instances), 1000)
         door.close()
 
