--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -4,29 +4,29 @@
 from unittest import mock
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import Terms
-from oakkeel.disruption.state_machine import Refusal
-from oakkeel.emulator.policy_change import Host, World
-from oakkeel.invariants.policy_change import ChangeAudit
+from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.disruption.state_machine import Rejection
+from oakkeel.emulator.policy_change import PolicyHost, PolicySimulation
+from oakkeel.invariants.policy_change import PolicyChangeAudit
 from oakkeel.models import policy_change as model
-from oakkeel.policy_change.coordinator import LEASE, Changing, Heard, Told
-from oakkeel.policy_change.policy_lease import AgentPolicy, NodePolicy, Standing
-from oakkeel.policy_change.state_machine import Decide, InForce, Policy, Propose, Refuse, Register, Withdraw
+from oakkeel.policy_change.coordinator import LEASE, PolicyCoordinator, PolicyAssignment, AgentReport
+from oakkeel.policy_change.policy_lease import AgentPolicyLease, NodePolicyLease, LeaseStatus
+from oakkeel.policy_change.state_machine import CommitPolicy, MarkInForce, PolicyVersion, ProposePolicy, RejectPolicy, PolicyStateMachine, WithdrawPolicy
 
 SECOND = 1_000_000_000
-DRIFT = Terms().drift
+DRIFT = PermitTimeouts().drift
 
 
 class RegisterStories(unittest.TestCase):
     def setUp(self) -> None:
-        self.register, self.index = Register(), 0
+        self.register, self.index = PolicyStateMachine(), 0
 
     def do(self, command):
         self.index += 1
         return self.register.apply(self.index, commands.encode(command))
 
     def propose(self, ident: str = "c1", based_on: int = 0, content: bytes = b"<policy/>"):
-        return self.do(Propose(ident, "asha", 0, "for Carnival", based_on, content))
+        return self.do(ProposePolicy(ident, "asha", 0, "for Carnival", based_on, content))
 
     def test_one_at_a_time_each_made_of_the_one_that_holds_and_the_same_twice_is_one(self):
         first = self.propose()
@@ -34,49 +34,49 @@
         self.assertIs(self.propose(), first)
         self.assertIn("another change", self.propose(content=b"<other/>").why)
         self.assertIn("asha's change 1", self.propose("c2").why)
-        self.do(Decide(1))
+        self.do(CommitPolicy(1))
         self.assertIn("made of 0", self.propose("c2").why)
         self.assertEqual(self.propose("c2", 1).number, 2)
 
     def test_of_a_decision_and_a_withdrawal_that_cross_the_first_holds(self):
         self.propose()
-        self.do(Decide(1))
-        self.assertIsInstance(self.do(Withdraw(1, "ravi")), Refusal)
+        self.do(CommitPolicy(1))
+        self.assertIsInstance(self.do(WithdrawPolicy(1, "ravi")), Rejection)
         self.propose("c2", 1)
-        self.assertIsInstance(self.do(Withdraw(2, "ravi")), Policy)
-        self.assertIsInstance(self.do(Decide(2)), Refusal)
+        self.assertIsInstance(self.do(WithdrawPolicy(2, "ravi")), PolicyVersion)
+        self.assertIsInstance(self.do(CommitPolicy(2)), Rejection)
         self.assertEqual(self.register.held.decided, 1)
 
     def test_a_snapshot_holds_all_versions_with_who_when_and_why(self):
         self.propose()
-        self.do(Refuse(1, "h3", "no such group"))
-        again = Register()
+        self.do(RejectPolicy(1, "h3", "no such group"))
+        again = PolicyStateMachine()
         again.restore(self.register.fold())
         found = again.held.policies[1]
         self.assertEqual(
             (found.operator, found.reason, found.state, found.why),
             ("asha", "for Carnival", "refused", "h3: no such group"),
         )
-        self.assertIsInstance(self.do(InForce(7)), Refusal)
-        self.assertIsInstance(self.propose("big", content=bytes(70_000)), Refusal)
+        self.assertIsInstance(self.do(MarkInForce(7)), Rejection)
+        self.assertIsInstance(self.propose("big", content=bytes(70_000)), Rejection)
 
 
 class HoldingStories(unittest.TestCase):
     def test_a_node_decides_nothing_before_it_was_told_nor_after_its_time_and_never_goes_back(self):
-        node = NodePolicy()
+        node = NodePolicyLease()
         self.assertFalse(node.may_decide(0))
         self.assertTrue(node.told(0, 3, 100))
         self.assertTrue(node.may_decide(99))
         self.assertFalse(node.may_decide(100))
-        self.assertIs(node.standing, Standing.LAPSED)
+        self.assertIs(node.standing, LeaseStatus.LAPSED)
         self.assertFalse(node.told(101, 2, 900))
         self.assertFalse(node.may_decide(102))
         node.told(103, 3, 200)
         self.assertTrue(node.may_decide(104))
 
     def test_an_agent_says_the_least_of_its_nodes_and_one_that_was_not_heard_counts_as_none(self):
-        agent = AgentPolicy()
-        agent.heard(0, Heard(2, SECOND, b"two"))
+        agent = AgentPolicyLease()
+        agent.heard(0, PolicyAssignment(2, SECOND, b"two"))
         agent.node_there("a")
         agent.node_there("b")
         agent.node_said("a", 2)
@@ -87,20 +87,20 @@
         self.assertEqual(agent.told().number, 2)
 
     def test_a_lease_counts_from_when_was_asked_and_an_overtaken_answer_shortens_nothing(self):
-        agent = AgentPolicy()
-        agent.heard(100, Heard(1, 50, b"one"))
-        agent.heard(20, Heard(1, 50))
+        agent = AgentPolicyLease()
+        agent.heard(100, PolicyAssignment(1, 50, b"one"))
+        agent.heard(20, PolicyAssignment(1, 50))
         self.assertEqual(agent.hand_on(), (1, 150))
-        self.assertFalse(agent.heard(300, Heard(0, 50)))
-        agent.heard(200, Heard(2, 50))  # with no content it can't go by that, and has no more time for this
+        self.assertFalse(agent.heard(300, PolicyAssignment(0, 50)))
+        agent.heard(200, PolicyAssignment(2, 50))  # with no content it can't go by that, and has no more time for this
         self.assertEqual(agent.hand_on(), (1, 150))
 
 
 class LeadingStories(unittest.TestCase):
     def setUp(self) -> None:
-        self.register, self.index = Register(), 0
-        self.leader = Changing(0, self.register, ("h1", "h2"), Terms())
-        self.do(Propose("c1", "asha", 0, "", 0, b"one"))
+        self.register, self.index = PolicyStateMachine(), 0
+        self.leader = PolicyCoordinator(0, self.register, ("h1", "h2"), PermitTimeouts())
+        self.do(ProposePolicy("c1", "asha", 0, "", 0, b"one"))
 
     def do(self, *wanted):
         for command in wanted:
@@ -111,7 +111,7 @@
         return self.register.held.policies[1].state
 
     def say(self, now: int, host: str, **told) -> None:
-        self.do(*self.leader.heard(now, host, Told(**({"number": 0} | told)), now))
+        self.do(*self.leader.heard(now, host, AgentReport(**({"number": 0} | told)), now))
         self.do(*self.leader.tick(now))
 
     def test_it_is_decided_once_all_are_ready_and_in_force_once_all_go_by_it(self):
@@ -119,7 +119,7 @@
         self.assertEqual(self.state(), "proposed")
         self.say(SECOND, "h2", ready=1)
         self.assertEqual(self.state(), "decided")
-        self.assertEqual(self.leader.answer(SECOND, "h1", Told(0)).content, b"one")
+        self.assertEqual(self.leader.answer(SECOND, "h1", AgentReport(0)).content, b"one")
         self.do(*self.leader.tick(SECOND))
         self.say(2 * SECOND, "h1", number=1, has=1)
         self.assertEqual(self.state(), "decided")
@@ -133,13 +133,13 @@
         self.say(2 * SECOND, "h1", number=1, has=1)
         self.do(*self.leader.tick(SECOND + LEASE))
         self.assertEqual(self.state(), "decided")
-        self.do(*self.leader.tick(SECOND + Terms().beyond(LEASE) + 2))
+        self.do(*self.leader.tick(SECOND + PermitTimeouts().beyond(LEASE) + 2))
         self.assertEqual(self.state(), "in force")
 
     def test_a_new_leader_waits_a_whole_lease_anew(self):
         self.say(SECOND, "h1", ready=1)
         self.say(SECOND, "h2", ready=1)
-        self.leader = Changing(3 * SECOND, self.register, ("h1", "h2"), Terms())
+        self.leader = PolicyCoordinator(3 * SECOND, self.register, ("h1", "h2"), PermitTimeouts())
         self.do(*self.leader.tick(3 * SECOND))
         self.do(*self.leader.tick(3 * SECOND + LEASE))
         self.assertEqual(self.state(), "decided")
@@ -147,7 +147,7 @@
     def test_any_no_ends_it_by_name_and_one_down_does_not_keep_it_from_being_made(self):
         self.say(SECOND, "h2", refused=1, why="n3 has no group 'quote'")
         self.assertEqual(self.register.held.policies[1].why, "h2: n3 has no group 'quote'")
-        self.do(Propose("c2", "asha", 0, "", 0, b"two"))
+        self.do(ProposePolicy("c2", "asha", 0, "", 0, b"two"))
         self.say(2 * SECOND, "h1", ready=2)
         self.say(12 * SECOND, "h1", ready=2)
         self.assertEqual(self.register.held.policies[2].state, "decided")
@@ -155,33 +155,33 @@
 
 class ChangeStories(unittest.TestCase):
     def breaches(self, seeds=range(40)) -> list[str]:
-        return [breach for seed in seeds for breach in World(seed).run()]
+        return [breach for seed in seeds for breach in PolicySimulation(seed).run()]
 
     def test_drawn_schedules_break_no_promise_and_come_to_an_end(self):
         made = 0
         for seed in range(100):
-            world = World(seed)
+            world = PolicySimulation(seed)
             self.assertEqual((world.run(), world.stuck()), ([], []), seed)
             made += len(world.audit.decided)
         self.assertGreater(made, 100)
 
     def test_nodes_that_go_on_without_a_lease_are_caught(self):
-        with mock.patch.object(NodePolicy, "may_decide", lambda policy, now: policy.until > 0):
+        with mock.patch.object(NodePolicyLease, "may_decide", lambda policy, now: policy.until > 0):
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
     def test_a_lease_that_counts_from_the_answer_is_caught(self):
-        old = Host.answered
+        old = PolicyHost.answered
         with mock.patch.object(
-            Host, "answered", lambda host, life, sent_at, heard: old(host, life, host.now(), heard)
+            PolicyHost, "answered", lambda host, life, sent_at, heard: old(host, life, host.now(), heard)
         ):
             self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
 
     def test_one_told_as_in_force_before_the_longest_lease_is_over_is_caught(self):
-        with mock.patch.object(Terms, "beyond", lambda terms, time: time // 4):
+        with mock.patch.object(PermitTimeouts, "beyond", lambda terms, time: time // 4):
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
     def test_a_version_that_is_used_before_it_is_decided_is_caught(self):
-        old = Changing.answer
+        old = PolicyCoordinator.answer
 
         def early(leader, now, host, told):
             heard = old(leader, now, host, told)
@@ -189,11 +189,11 @@
                 heard.number, heard.content = heard.proposed, heard.offered
             return heard
 
-        with mock.patch.object(Changing, "answer", early):
+        with mock.patch.object(PolicyCoordinator, "answer", early):
             self.assertRegex(self.breaches()[0], "promise 12: ")
 
     def test_the_auditor_finds_what_comes_before_and_after_it_is_told(self):
-        audit = ChangeAudit()
+        audit = PolicyChangeAudit()
         audit.decide(0, "n1", 2)
         audit.told_not_made(1, 2)
         audit.told_in_force(2, 3)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,8 +15,8 @@
 from oakkeel.cli.main import main
 from oakkeel.fakes.dispatcher import Dispatcher
 from oakkeel.fakes.faults import Fault
-from oakkeel.fakes.load_clients import Polite
-from oakkeel.fakes.site import Site
+from oakkeel.fakes.load_clients import PoliteClient
+from oakkeel.fakes.site import FakeSite
 from tests.test_agent import WAIT, AgentStory
 
 
@@ -175,7 +175,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.other = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = Site(self.other, {"wb1": ["n1"]}, away=1, supervision='<fairness by="client"/>')
+        self.site = FakeSite(self.other, {"wb1": ["n1"]}, away=1, supervision='<fairness by="client"/>')
         await self.site.open()
         self.addAsyncCleanup(self.site.close)
         self.server = await asyncio.create_subprocess_exec(
@@ -200,7 +200,7 @@
             await asyncio.sleep(0.1)
         _, out, _ = await self.oakkeel("show", "n1", "--output", "json")
         host, _, port = json.loads(out)["instances"][0]["told"]["report"]["address"].rpartition(":")
-        client = Polite("steelpan", (host, int(port)), 1.0, 7)
+        client = PoliteClient("steelpan", (host, int(port)), 1.0, 7)
         await client._exchange()
         await client.stop()
         code, out, err = await self.oakkeel("show", "n1", "--clients")
@@ -223,7 +223,7 @@
     """A real node between stand-ins that have a fault each."""
 
     async def asyncSetUp(self) -> None:
-        self.site = Site(self.enterContext(tempfile.TemporaryDirectory()), {"wb1": ["n1"]}, away=1)
+        self.site = FakeSite(self.enterContext(tempfile.TemporaryDirectory()), {"wb1": ["n1"]}, away=1)
         await self.site.open()
         self.addAsyncCleanup(self.site.close)
         self.engine = self.site.engines["n1"]
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -24,21 +24,21 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.authentication.mac import Sealed
+from oakkeel.authentication.mac import AuthenticatedMessage
 from oakkeel.control import messages as control
 from oakkeel.dispatch import codec, resp
-from oakkeel.disruption.state_machine import Refusal
+from oakkeel.disruption.state_machine import Rejection
 from oakkeel.fair_sharing import persistence
-from oakkeel.fakes.rig import Rig
-from oakkeel.fakes.site import Site
+from oakkeel.fakes.rig import ProcessRig
+from oakkeel.fakes.site import FakeSite
 from oakkeel.node_limits import Pairs, read_limits
 from oakkeel.policy_change import coordinator
-from oakkeel.policy_change.state_machine import Register
+from oakkeel.policy_change.state_machine import PolicyStateMachine
 from oakkeel.raft import messages as raft_messages
-from oakkeel.resource_limits import Bounds
+from oakkeel.resource_limits import ResourceLimits
 from oakkeel.rollout import messages as release_words
-from oakkeel.rollout.gates import State
-from oakkeel.rollout.state_machine import Book
+from oakkeel.rollout.gates import GateState
+from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import write_key
 from oakkeel.simulator_adapter import wire
@@ -92,19 +92,19 @@
 
 
 REWRITE = {
-    "control request": lambda content: control.encode(control.read_wish(content)),
-    "control response": lambda content: control.encode(control.read_answer(content)),
-    "agent request": lambda content: messages.encode(messages.read_wish(content)),
-    "agent response": lambda content: messages.encode(messages.read_answer(content)),
-    "replicated command": apply_and_encode(Book),
-    "policy change command": apply_and_encode(Register),
-    "release status": lambda content: release_words.encode(release_words.read_told(content)),
-    "release assignment": lambda content: release_words.encode(release_words.read_heard(content)),
-    "gate progress": of_type(State),
-    "policy lease status": of_type(coordinator.Told),
-    "policy lease": of_type(coordinator.Heard),
-    "members": lambda content: raft_messages.encode_members(raft_messages.read_members(content)),
-    "authenticated frame": of_type(Sealed),
+    "control request": lambda content: control.encode(control.decode_request(content)),
+    "control response": lambda content: control.encode(control.decode_response(content)),
+    "agent request": lambda content: messages.encode(messages.decode_request(content)),
+    "agent response": lambda content: messages.encode(messages.decode_response(content)),
+    "replicated command": apply_and_encode(RolloutStateMachine),
+    "policy change command": apply_and_encode(PolicyStateMachine),
+    "release status": lambda content: release_words.encode(release_words.decode_report(content)),
+    "release assignment": lambda content: release_words.encode(release_words.decode_assignments(content)),
+    "gate progress": of_type(GateState),
+    "policy lease status": of_type(coordinator.AgentReport),
+    "policy lease": of_type(coordinator.PolicyAssignment),
+    "members": lambda content: raft_messages.encode_members(raft_messages.decode_members(content)),
+    "authenticated frame": of_type(AuthenticatedMessage),
 }
 
 
@@ -143,20 +143,20 @@
 
 class ReplicatedStateCompatibilityTest(unittest.TestCase):
     def test_replayed_commands_give_the_same_results_and_snapshots(self):
-        for kind, machine_type in (("cluster", Book), ("policy", Register)):
+        for kind, machine_type in (("cluster", RolloutStateMachine), ("policy", PolicyStateMachine)):
             for number, log in enumerate(load("replicated.json.gz")[kind]):
                 machine = machine_type()
                 for row in log["commands"]:
                     result = machine.apply(row["index"], base64.b64decode(row["command"]))
                     folded = hashlib.sha256(machine.fold()).hexdigest()
                     self.assertEqual(
-                        (isinstance(result, Refusal), folded),
+                        (isinstance(result, Rejection), folded),
                         (row["refused"], row["snapshot"]),
                         (kind, number, row["index"]),
                     )
 
     def test_snapshots_are_restored_and_written_with_the_same_bytes(self):
-        for kind, machine_type in (("cluster", Book), ("policy", Register)):
+        for kind, machine_type in (("cluster", RolloutStateMachine), ("policy", PolicyStateMachine)):
             for log in load("replicated.json.gz")[kind]:
                 machine = machine_type()
                 content = base64.b64decode(log["snapshot"])
@@ -171,7 +171,7 @@
 
     def test_a_snapshot_of_fair_shares_is_read_and_written_with_the_same_bytes(self):
         content = snapshot_file.read(str(DATA / "fair-shares.snapshot"))
-        found = persistence.read(content, 1_700_000_001_000_000_000, ("tenant", "via"))
+        found = persistence.decode_snapshot(content, 1_700_000_001_000_000_000, ("tenant", "via"))
         self.assertEqual(msgspec.msgpack.encode(found), content)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "snapshot"
@@ -189,11 +189,11 @@
     def test_requests_are_read_to_the_same_values_and_answers_written_with_the_same_bytes(self):
         expected = load("network.json")
         settings = Pairs(load("simulator-settings.json"))
-        reader = codec.ExchangeReader(
+        reader = codec.RequestReader(
             read_limits(settings),
             ["quote", "pay", "card"],
             ["guild", "south"],
-            Bounds(1024, 192 * 2**20, 3_000_000_000),
+            ResourceLimits(1024, 192 * 2**20, 3_000_000_000),
             lambda: 1_700_000_000_000_000_000,
         )
         for content, values in zip(expected["calls"], expected["read"], strict=True):
@@ -237,11 +237,11 @@
                 values,
             )
         written = [
-            codec.answer(7, codec.COMPLETED, 0.625, b"result"),
-            codec.answer(8, codec.DENIED, None, b"", True, 250_000_000),
-            codec.answer(9, codec.TERMINATED, 1.0),
-            codec.answer(10, codec.GOOD, 0.5),
-            codec.answer(11, codec.BAD, None),
+            codec.encode_answer(7, codec.COMPLETED, 0.625, b"result"),
+            codec.encode_answer(8, codec.DENIED, None, b"", True, 250_000_000),
+            codec.encode_answer(9, codec.TERMINATED, 1.0),
+            codec.encode_answer(10, codec.GOOD, 0.5),
+            codec.encode_answer(11, codec.BAD, None),
             codec.LAST,
             codec.BROKEN,
         ]
@@ -367,7 +367,7 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        site = Site(
+        site = FakeSite(
             self.folder,
             HOSTS,
             1,
@@ -378,7 +378,7 @@
         )
         for host in HOSTS:
             shutil.copytree(DATA / "state" / host, os.path.join(self.folder, host))
-        self.rig = Rig(site)
+        self.rig = ProcessRig(site)
         self.addAsyncCleanup(self.rig.close)
         await self.rig.open()
         await self.rig.leader()
@@ -396,7 +396,7 @@
         )
         permits = {each.thing: each.order for each in (await self.rig.state_of()).out if each.order}
         self.assertEqual(permits, {thing: order for thing, order in expected["permits"].items() if order})
-        release = await self.rig.asker.ask_leader(messages.AskRelease())
+        release = await self.rig.asker.ask_leader(messages.ReleaseStatusRequest())
         self.assertEqual((release.ident, release.state), (expected["release"], "done"))
 
         async def started_again() -> bool:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,17 +16,17 @@
 from dataclasses import replace
 
 from oakkeel.dispatch import codec
-from oakkeel.dispatch.codec import ExchangeReader
+from oakkeel.dispatch.codec import RequestReader
 from oakkeel.dispatch.connection import Connection, Phase
 from oakkeel.dispatch.listener import BACKLOG, Listener
 from oakkeel.dispatch.resp import encode
-from oakkeel.log import Log
-from oakkeel.node.drain import Drain, Leaving
-from oakkeel.resource_limits import MS, SECOND, Bounds
+from oakkeel.log import EventLog
+from oakkeel.node.drain import Drain, DrainState
+from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool
 from tests.fake import WAIT, FakeHost
 
-BOUNDS = Bounds(
+BOUNDS = ResourceLimits(
     sockets=1024,
     memory=192 * 2**20,
     stop_after=3 * SECOND,
@@ -96,9 +96,9 @@
 
     async def asyncSetUp(self) -> None:
         self.arrived_here, self.gone_here = [], []
-        self.reader = ExchangeReader(FakeHost(groups=[{}]).limits, ["quote"], [], self.bounds)
+        self.reader = RequestReader(FakeHost(groups=[{}]).limits, ["quote"], [], self.bounds)
         pool = BufferPool(8192, self.bounds.buffers)
-        self.listener = Listener(("127.0.0.1", 0), pool, self.bounds, self, Log("test", 0))
+        self.listener = Listener(("127.0.0.1", 0), pool, self.bounds, self, EventLog("test", 0))
         self.listener.open()
         self.callers: list[Caller] = []
 
@@ -633,7 +633,7 @@
         self.assertIn(LAST, caller.words())
 
     async def test_nothing_is_listened_on_before_it_is_opened(self):
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), BOUNDS, self, Log("test", 0))
+        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), BOUNDS, self, EventLog("test", 0))
         self.addCleanup(listener.socket.close)
         self.assertRaises(ConnectionRefusedError, Caller, listener.address)
 
@@ -643,7 +643,7 @@
 
     reports = types.SimpleNamespace(set_taking=lambda taking: None)
     host = types.SimpleNamespace(begun=False)
-    log = Log("test", 0)
+    log = EventLog("test", 0)
 
     async def test_what_is_left_just_before_the_stop_is_closed(self):
         # The drain waited for them, and the kill found the node waiting.
@@ -653,7 +653,7 @@
         drain = Drain(self, grace=0, stop_after=300 * MS)
         drain.leave()
         await asyncio.wait_for(self.done.wait(), WAIT)
-        self.assertIs(drain.state, Leaving.ENDED)
+        self.assertIs(drain.state, DrainState.ENDED)
         self.assertEqual({resting.phase, held.phase}, {Phase.CLOSED})
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -3,15 +3,15 @@
 import unittest
 from unittest import mock
 
-from oakkeel.admission import Keel
-from oakkeel.emulator.clients import Manners, Way
+from oakkeel.admission import AdmissionController
+from oakkeel.emulator.clients import ClientBehavior, BalancingPolicy
 from oakkeel.emulator.clock import SECOND, Clock
-from oakkeel.emulator.invariants import Audit
+from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.machines import Machine
-from oakkeel.emulator.nodes import MS, Node
-from oakkeel.emulator.scenario import Day, Event, Played, Trouble, play
+from oakkeel.emulator.nodes import MS, SimulatedNode
+from oakkeel.emulator.scenario import Scenario, FaultEvent, ScenarioRun, FaultKind, play
 
-SHORT = Day(nodes=2, dispatchers=2, seconds=4.0)
+SHORT = Scenario(nodes=2, dispatchers=2, seconds=4.0)
 
 
 class ClockStories(unittest.TestCase):
@@ -62,24 +62,24 @@
     def test_the_same_seed_gives_the_same_bytes_and_another_does_not(self):
         first, again = play(SHORT), play(SHORT)
         self.assertEqual(first.record(), again.record())
-        other = play(Day(nodes=2, dispatchers=2, seconds=4.0, seed=2))
+        other = play(Scenario(nodes=2, dispatchers=2, seconds=4.0, seed=2))
         self.assertNotEqual(first.record(), other.record())
         self.assertEqual((first.breaches, other.breaches), ([], []))
         self.assertGreater(first.benefit / first.of, 0.9)
 
     def test_troubles_that_overlap_break_no_rule(self):
         result = play(
-            Day(
+            Scenario(
                 nodes=3,
                 dispatchers=2,
                 seconds=9.0,
-                manners=Manners(way=Way.LEAST),
+                manners=ClientBehavior(way=BalancingPolicy.LEAST),
                 events=(
-                    Event(Trouble.SLOW, 1, 3, 0.5),
-                    Event(Trouble.STILL, 2, 0.7, node=1),
-                    Event(Trouble.DIE, 3, node=2),
-                    Event(Trouble.FLOOD, 4, 2, 2.0),
-                    Event(Trouble.RELEASE, 5, 2, 1),
+                    FaultEvent(FaultKind.SLOW, 1, 3, 0.5),
+                    FaultEvent(FaultKind.STILL, 2, 0.7, node=1),
+                    FaultEvent(FaultKind.DIE, 3, node=2),
+                    FaultEvent(FaultKind.FLOOD, 4, 2, 2.0),
+                    FaultEvent(FaultKind.RELEASE, 5, 2, 1),
                 ),
             )
         )
@@ -88,21 +88,21 @@
 
     def test_a_hasty_dispatcher_gives_up_while_answers_travel_and_nothing_runs_twice(self):
         result = play(
-            Day(nodes=2, dispatchers=2, seconds=4.0, load=1.2, manners=Manners(hasty=60 * MS, delay=20 * MS))
+            Scenario(nodes=2, dispatchers=2, seconds=4.0, load=1.2, manners=ClientBehavior(hasty=60 * MS, delay=20 * MS))
         )
         self.assertEqual(result.breaches, [])
 
     def test_a_node_that_dies_as_a_run_ends_owes_nothing(self):
-        played = Played(SHORT)
+        played = ScenarioRun(SHORT)
         node = played.nodes[0]
-        done = Node._done
+        done = SimulatedNode._done
 
         def dies(self, opened):
             if self is node and played.clock.now > SECOND and self.alive:
                 self.die()
             done(self, opened)
 
-        with mock.patch.object(Node, "_done", dies):
+        with mock.patch.object(SimulatedNode, "_done", dies):
             result = played.play()
         self.assertFalse(node.alive)
         self.assertEqual(result.breaches, [])
@@ -111,12 +111,12 @@
 class PlantedStories(unittest.TestCase):
     """Faults put into a node, one for each rule; the auditor must tell of each."""
 
-    def told(self, name: str, planted, day: Day = SHORT) -> str:
-        with mock.patch.object(Node, name, planted):
+    def told(self, name: str, planted, day: Scenario = SHORT) -> str:
+        with mock.patch.object(SimulatedNode, name, planted):
             return "\n".join(play(day).breaches)
 
     def test_an_exchange_that_is_never_answered_is_told(self):
-        answer, count = Node._answer, iter(range(10**9))
+        answer, count = SimulatedNode._answer, iter(range(10**9))
 
         def silent(self, opened, word, retry_after):
             if next(count) % 50:
@@ -132,7 +132,7 @@
         self.assertIn("got 2 answers", self.told("_answer", twice))
 
     def test_a_late_answer_is_told(self):
-        answer = Node._answer
+        answer = SimulatedNode._answer
 
         def late(self, opened, word, retry_after):
             self.clock.after(10 * SECOND, answer, self, opened, word, retry_after)
@@ -145,12 +145,12 @@
             self.told(
                 "deny",
                 lambda self, ex, last, after: self._answer(self.open[ex], "completed", 0),
-                Day(nodes=1, dispatchers=1, seconds=3.0, load=2.0),
+                Scenario(nodes=1, dispatchers=1, seconds=3.0, load=2.0),
             ),
         )
 
     def test_a_second_run_is_told(self):
-        run = Node.run
+        run = SimulatedNode.run
 
         def twice(self, ex):
             run(self, ex)
@@ -159,7 +159,7 @@
         self.assertIn("ran 2 times", self.told("run", twice))
 
     def test_a_mutating_exchange_that_takes_effect_on_two_nodes_is_told(self):
-        audit = Audit()
+        audit = RuleAudit()
         for ident, node in ((1, "n1"), (2, "n2")):
             audit.sent(ident, 0, SECOND, True, "w1", node)
             audit.arrived_and_ran(ident, 0)
@@ -167,17 +167,17 @@
         self.assertIn("rule 2: w1 took effect 2 times", audit.breaches)
 
     def test_a_run_after_the_grace_is_told(self):
-        day = Day(nodes=2, dispatchers=2, seconds=8.0, events=(Event(Trouble.RELEASE, 1, 1, 1),))
+        day = Scenario(nodes=2, dispatchers=2, seconds=8.0, events=(FaultEvent(FaultKind.RELEASE, 1, 1, 1),))
 
         def never_listed(self):
             return None  # dispatchers go on sending to the node that leaves
 
         with (
-            mock.patch.object(Played, "_list", never_listed),
-            mock.patch.object(Keel, "leave", lambda self, now, left: None),
+            mock.patch.object(ScenarioRun, "_list", never_listed),
+            mock.patch.object(AdmissionController, "leave", lambda self, now, left: None),
         ):
             self.assertIn("after its grace and ran", "\n".join(play(day).breaches))
-        with mock.patch.object(Played, "_list", never_listed):
+        with mock.patch.object(ScenarioRun, "_list", never_listed):
             self.assertNotIn("after its grace", "\n".join(play(day).breaches))
 
     def test_a_node_that_runs_all_at_once_falls_over(self):
@@ -194,6 +194,6 @@
             ex.slo_end = ex.give_up_at = now + 100 * SECOND
             self._admit(ex)
 
-        with mock.patch.object(Keel, "settle", settle), mock.patch.object(Keel, "arrive", admit_all):
-            told = "\n".join(play(Day(nodes=1, dispatchers=1, seconds=6.0, load=4.0)).breaches)
+        with mock.patch.object(AdmissionController, "settle", settle), mock.patch.object(AdmissionController, "arrive", admit_all):
+            told = "\n".join(play(Scenario(nodes=1, dispatchers=1, seconds=6.0, load=4.0)).breaches)
         self.assertIn("rule 4: n1 fell over", told)
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 
 from oakkeel.admission import MS, SECOND
-from oakkeel.admission.types import FairRules, Place
+from oakkeel.admission.types import FairSharingRules, ShareStanding
 from oakkeel.fair_sharing import persistence
-from oakkeel.fair_sharing.heavy_hitters import HeavySenders
-from oakkeel.fair_sharing.keys import SECRET, SenderKeys
-from oakkeel.fair_sharing.max_min import Levels, fill
-from oakkeel.fair_sharing.reservations import EACH, Promises
-from oakkeel.fakes.simulated_node import Client, World, fair_share, jain
+from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
+from oakkeel.fair_sharing.keys import SECRET, FlowKeys
+from oakkeel.fair_sharing.max_min import MaxMinShares, fill
+from oakkeel.fair_sharing.reservations import EACH, Reservations
+from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode, fair_share, jain
 from oakkeel.store import snapshot_file
 from tests.fake import NodeStory
 
@@ -33,7 +33,7 @@
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_counts_are_never_under_and_certain_ones_never_over_the_truth(self, sent, most):
-        table, truth = HeavySenders(most, LONG), {}
+        table, truth = HeavyHitters(most, LONG), {}
         for key, weight in sent:
             table.add(0, key, weight)
             truth[key] = truth.get(key, 0) + weight
@@ -51,7 +51,7 @@
                 self.assertLessEqual(count, total / most)
 
     def test_what_was_sent_counts_half_each_half_life_and_rates_come_out(self):
-        table, now = HeavySenders(8, 2 * SECOND), 0
+        table, now = HeavyHitters(8, 2 * SECOND), 0
         for _ in range(4000):  # 100 a second for 40 s, over which the scale is brought back too
             now += 10 * MS
             sender = table.add(now, 1, 3.0)
@@ -62,7 +62,7 @@
         self.assertLess(table.rate(later, again), 3.0)
 
     def test_a_hundred_thousand_who_send_once_leave_the_heavy_one_found_and_none_accused(self):
-        table, chance = HeavySenders(256, 4 * SECOND), random.Random(7)
+        table, chance = HeavyHitters(256, 4 * SECOND), random.Random(7)
         for number in range(100_000):
             table.add(number * 40_000, chance.getrandbits(60), 1.0)
             if number % 50 == 0:
@@ -76,13 +76,13 @@
 
     def test_keys_cannot_be_aimed_without_the_secret(self):
         names = [f"client-{number}".encode() for number in range(300)]
-        first, second = (SenderKeys(bytes([number]) * SECRET, (b"client",)) for number in (1, 2))
+        first, second = (FlowKeys(bytes([number]) * SECRET, (b"client",)) for number in (1, 2))
         keys = [
             [maker.who(lambda field, name=name: name)[0][0] for name in names] for maker in (first, second)
         ]
         self.assertEqual(len(set(keys[0])), 300)
         self.assertFalse(set(keys[0]) & set(keys[1]))
-        both = SenderKeys(bytes(SECRET), (b"owner", b"client"))
+        both = FlowKeys(bytes(SECRET), (b"owner", b"client"))
         apart = {
             both.who({b"owner": owner, b"client": client}.__getitem__)[1][0]
             for owner, client in ((b"ab", b"c"), (b"a", b"bc"), (b"abc", b""))
@@ -102,7 +102,7 @@
         self.assertAlmostEqual(given_out, min(whole, sum(asked for asked, _ in rows)), delta=1e-6 * whole)
 
     def test_weights_count_and_identities_within_a_tenant_share_what_it_has(self):
-        levels = Levels(2, 64, 2 * SECOND, {b"big": 3.0})
+        levels = MaxMinShares(2, 64, 2 * SECOND, {b"big": 3.0})
         now = 0
         for _ in range(4000):
             now += 5 * MS
@@ -120,7 +120,7 @@
     @given(st.lists(st.tuples(st.integers(0, 6), st.floats(1, 30), st.integers(0, 3)), max_size=120))
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_what_is_booked_never_exceeds_the_room(self, wishes):
-        ledger, now = Promises(50 * MS, 20, 40), 0
+        ledger, now = Reservations(50 * MS, 20, 40), 0
         for key, work, pause in wishes:
             now += pause * 20 * MS
             ledger.book(now, now, key, work, 30.0)
@@ -130,7 +130,7 @@
             self.assertTrue(all(len(each) <= EACH for each in ledger.open.values()))
 
     def test_one_taken_back_frees_its_room_and_one_not_come_for_is_dropped(self):
-        ledger = Promises(50 * MS, 20, 2)
+        ledger = Reservations(50 * MS, 20, 2)
         first = ledger.book(0, 0, 1, 10.0, 10.0)
         self.assertEqual((first.at, ledger.book(0, 0, 2, 10.0, 10.0).at), (50 * MS, 100 * MS))
         self.assertIsNone(ledger.book(0, 0, 3, 10.0, 10.0))
@@ -140,13 +140,13 @@
         self.assertEqual(ledger.lapsed, 2)
 
 
-def world(fair=True, by=("caller",), weights=None, seed=7, **more) -> World:
-    rules = FairRules(tuple(by), weights if weights is not None else {}, places=more.pop("places", 256))
-    return World(rules if fair else None, seed, **more)
+def world(fair=True, by=("caller",), weights=None, seed=7, **more) -> SimulatedNode:
+    rules = FairSharingRules(tuple(by), weights if weights is not None else {}, places=more.pop("places", 256))
+    return SimulatedNode(rules if fair else None, seed, **more)
 
 
 def kept(
-    made: World, clients: list[Client], seconds: float = 8, warm: float = 4
+    made: SimulatedNode, clients: list[SimulatedClient], seconds: float = 8, warm: float = 4
 ) -> tuple[list[float], float]:
     """Of its fair share, what each kept after a while; and the share of returns as told that went ahead."""
     made.pass_time(warm)
@@ -170,13 +170,13 @@
 
 
 class ShareStories(unittest.TestCase):
-    def compliant(self, count: int = 12, rate: float = 15) -> list[Client]:
-        return [Client(b"good-%d" % number, rate) for number in range(count)]
+    def compliant(self, count: int = 12, rate: float = 15) -> list[SimulatedClient]:
+        return [SimulatedClient(b"good-%d" % number, rate) for number in range(count)]
 
     def test_a_crawler_takes_the_node_without_and_its_share_with(self):
         for fair in (False, True):
             made, good = world(fair), self.compliant()
-            made.add(*good, Client(b"crawler", 1000, heeds=False, tries=10))
+            made.add(*good, SimulatedClient(b"crawler", 1000, heeds=False, tries=10))
             shares, promises = kept(made, good)
             if not fair:
                 self.assertLess(sum(shares) / len(shares), 0.5)
@@ -188,8 +188,8 @@
 
     def test_identities_within_one_tenant_gain_it_nothing(self):
         made = world(by=("tenant", "caller"), places=128)
-        good = [Client(b"good-%d" % number, 20, tenant=b"t%d" % number) for number in range(8)]
-        crowd = [Client(b"id-%d" % number, 1.0, tenant=b"crowd", heeds=False) for number in range(1000)]
+        good = [SimulatedClient(b"good-%d" % number, 20, tenant=b"t%d" % number) for number in range(8)]
+        crowd = [SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", heeds=False) for number in range(1000)]
         made.add(*good, *crowd)
         made.pass_time(5)
         before = [each.counts["in time"] for each in good], sum(each.counts["in time"] for each in crowd)
@@ -202,7 +202,7 @@
     def test_a_weight_is_a_larger_share_and_changes_while_it_runs(self):
         weights = {b"heavy": 3.0}
         made = world(weights=weights)
-        first, second = Client(b"heavy", 300), Client(b"plain", 300)
+        first, second = SimulatedClient(b"heavy", 300), SimulatedClient(b"plain", 300)
         made.add(first, second)
         made.pass_time(4)
         before = first.counts["in time"], second.counts["in time"]
@@ -218,13 +218,13 @@
 
     def test_who_is_alone_has_all_and_a_tenant_that_comes_back_after_an_hour_has_its_share(self):
         made = world()
-        busy, back = Client(b"busy", 150), Client(b"back", 40)
+        busy, back = SimulatedClient(b"busy", 150), SimulatedClient(b"back", 40)
         made.add(busy)
         made.pass_time(6)
         self.assertGreater(busy.counts["in time"] / busy.sent, 0.97)
         made.clients.remove(busy)
         made.run_until(made.now + 3600 * SECOND)
-        made.add(back, more := Client(b"more", 400))
+        made.add(back, more := SimulatedClient(b"more", 400))
         shares, _ = kept(made, [back], warm=3)
         self.assertGreater(min(shares), 0.9)
         self.assertGreater(more.counts["in time"], 0)
@@ -242,7 +242,7 @@
 
     def test_a_cold_node_is_shared_as_well(self):
         made, good = world(cold=True, slow=4.0, slo=2 * SECOND), self.compliant(8, 4)
-        made.add(*good, Client(b"crawler", 400, heeds=False))
+        made.add(*good, SimulatedClient(b"crawler", 400, heeds=False))
         shares, _ = kept(made, good, warm=3, seconds=6)
         self.assertGreater(sum(shares) / len(shares), 0.85)
 
@@ -255,7 +255,7 @@
 
     def test_who_comes_early_gains_nothing_and_waits_longer(self):
         made = world()
-        made.add(Client(b"flood", 600), one := Client(b"one", 0.0, heeds=False, tries=1))
+        made.add(SimulatedClient(b"flood", 600), one := SimulatedClient(b"one", 0.0, heeds=False, tries=1))
         made.pass_time(5)
         fair = made.keel.fair
         while not fair.promises.ahead(key := hash((0, b"one")) & (1 << 62) - 1):
@@ -290,34 +290,34 @@
             levels.count(made.now + number * MS, ((1, b"tries"),), 1.0, number % 2 == 0)
         sender = levels.tables[0].senders[1]
         self.assertAlmostEqual(sender.retries / sender.count, 0.5, delta=0.01)
-        ex = mock.Mock(who=((1, b"tries"),), marked_retry=True, place=Place.FAIR)
+        ex = mock.Mock(who=((1, b"tries"),), marked_retry=True, place=ShareStanding.FAIR)
         made.keel.fair.arrive(made.now + 400 * MS, ex, 1.0, 1e9)
-        self.assertIs(ex.place, Place.OVER)
+        self.assertIs(ex.place, ShareStanding.OVER)
         ex.marked_retry = False
         made.keel.fair.arrive(made.now + 400 * MS, ex, 1.0, 1e9)
-        self.assertIs(ex.place, Place.FAIR)
+        self.assertIs(ex.place, ShareStanding.FAIR)
 
 
 class StateStories(unittest.TestCase):
     def setUp(self) -> None:
         self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "n1.shares")
 
-    def filled(self) -> World:
+    def filled(self) -> SimulatedNode:
         made = world()
-        made.add(Client(b"crawler", 500, heeds=False), *(Client(b"g%d" % n, 20) for n in range(10)))
+        made.add(SimulatedClient(b"crawler", 500, heeds=False), *(SimulatedClient(b"g%d" % n, 20) for n in range(10)))
         made.pass_time(5)
         return made
 
-    def content(self, made: World, unix: int = 10**18) -> bytes:
+    def content(self, made: SimulatedNode, unix: int = 10**18) -> bytes:
         fair = made.keel.fair
-        return persistence.kept(made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises)
+        return persistence.encode_snapshot(made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises)
 
     def test_a_restart_forgives_nobody_and_breaks_no_promise(self):
         made, again = self.filled(), world()
         content = self.content(made)
-        found = persistence.read(content, 10**18 + SECOND, ("caller",))
+        found = persistence.decode_snapshot(content, 10**18 + SECOND, ("caller",))
         fair, old = again.keel.fair, made.keel.fair
-        persistence.take_up(found, again.now, 10**18 + SECOND, fair.levels, fair.promises)
+        persistence.restore_snapshot(found, again.now, 10**18 + SECOND, fair.levels, fair.promises)
         key = max(old.levels.tables[0].senders.values(), key=lambda each: each.count).key
         before = old.levels.tables[0].rate(made.now, old.levels.tables[0].senders[key])
         after = fair.levels.tables[0].rate(again.now, fair.levels.tables[0].senders[key])
@@ -335,10 +335,10 @@
             (10**18 + 61 * SECOND, ("caller",)),
             (10**18, ("tenant",)),
         ):
-            with self.assertRaises(persistence.Unfit):
-                persistence.read(content, unix, by)
-        with self.assertRaises(persistence.Unfit):
-            persistence.read(content[:50], 10**18, ("caller",))
+            with self.assertRaises(persistence.SnapshotRejectedError):
+                persistence.decode_snapshot(content, unix, by)
+        with self.assertRaises(persistence.SnapshotRejectedError):
+            persistence.decode_snapshot(content[:50], 10**18, ("caller",))
 
     def test_a_file_cut_in_half_or_with_one_bit_changed_is_told_from_a_whole_one(self):
         snapshot_file.write(self.path, b"content" * 100)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,21 +11,21 @@
 from hypothesis import strategies as st
 
 from oakkeel.agent import messages
-from oakkeel.authentication.mac import NONCE, Key, Receiver, Refused, Role, Sender
-from oakkeel.fleet.fan_out import MS, Asked, Asking
-from oakkeel.fleet.order_tracking import Following, Result
-from oakkeel.fleet.selection import Choice, ChoiceError, by_host, taken_out
-from oakkeel.fleet.view import SECOND, View
-from oakkeel.settings.fleet import Asking as HowToAsk
+from oakkeel.authentication.mac import NONCE, Key, ServerAuthenticator, AuthenticationError, Role, ClientAuthenticator
+from oakkeel.fleet.fan_out import MS, TargetState, FanOut
+from oakkeel.fleet.order_tracking import OrderTracker, Result
+from oakkeel.fleet.selection import Selection, SelectionError, by_host, sites_over_share
+from oakkeel.fleet.view import SECOND, FleetView
+from oakkeel.settings.fleet import ClientSettings as HowToAsk
 from oakkeel.settings.fleet import Fleet, HostSettings, InstanceSettings, SettingsError, read_fleet, split
 from oakkeel.settings.keys import key_of, read_keys, write_key
-from oakkeel.store.database import Store, StoreError
+from oakkeel.store.database import Database, DatabaseError
 
 
 class AskingStories(unittest.TestCase):
-    def asking(self, count: int = 12, **more) -> Asking:
+    def asking(self, count: int = 12, **more) -> FanOut:
         given = dict(deadline=SECOND, hedge=100 * MS, tries=3, seed=7) | more
-        return Asking(0, [f"h{number}" for number in range(count)], **given)
+        return FanOut(0, [f"h{number}" for number in range(count)], **given)
 
     def test_each_is_asked_once_and_only_the_quiet_one_again(self):
         asking = self.asking()
@@ -47,7 +47,7 @@
         while not asking.over:
             sent += len(asking.tick(now))
             now = max(now + MS, asking.next_at())
-        self.assertEqual((sent, asking.targets["h0"].state), (2, Asked.LATE))
+        self.assertEqual((sent, asking.targets["h0"].state), (2, TargetState.LATE))
         self.assertLessEqual(now, SECOND + 2 * MS)
         self.assertFalse(asking.answered(now, "h0"))
 
@@ -61,12 +61,12 @@
         asking.tick(0)
         asking.failed(MS, "h0", "connection refused")
         asking.refused(MS, "h1", "wrong key")
-        self.assertEqual((asking.tick(2 * MS), asking.targets["h1"].state), ([], Asked.REFUSED))
+        self.assertEqual((asking.tick(2 * MS), asking.targets["h1"].state), ([], TargetState.REFUSED))
         self.assertEqual(asking.tick(asking.next_at()), ["h0"])
         asking.failed(asking.next_at(), "h0", "connection refused")
         self.assertEqual(asking.tick(asking.next_at()), ["h0"])
         asking.failed(asking.next_at(), "h0", "connection refused")
-        self.assertEqual(asking.targets["h0"].state, Asked.FAILED)
+        self.assertEqual(asking.targets["h0"].state, TargetState.FAILED)
 
     @given(
         st.lists(
@@ -120,8 +120,8 @@
     )
 
 
-def told(host: str, phase: str = "serving", names=(0, 1, 2), unix: int = 0) -> messages.HostTold:
-    return messages.HostTold(
+def told(host: str, phase: str = "serving", names=(0, 1, 2), unix: int = 0) -> messages.HostStatus:
+    return messages.HostStatus(
         host,
         "woodbrook",
         1,
@@ -130,7 +130,7 @@
         0,
         [],
         [
-            messages.InstanceTold(
+            messages.InstanceStatus(
                 f"n{host[1:]}{number}", phase, 5, "up", 4, 0, "", 77, 200 * MS, None, None, 0, False, 0, ""
             )
             for number in names
@@ -140,7 +140,7 @@
 
 class ViewStories(unittest.TestCase):
     def test_ages_count_from_the_question_and_what_is_old_is_called_old(self):
-        view = View(fleet_of())
+        view = FleetView(fleet_of())
         view.told("h0", 10 * SECOND, told("h0"))
         rows = view.rows(10 * SECOND + 400 * MS)
         self.assertEqual((rows[0].shown, rows[0].age, rows[0].report_age), ("serving", 400 * MS, 600 * MS))
@@ -151,61 +151,61 @@
         self.assertEqual(view.notes(), ["agent of h0: did not answer"])
 
     def test_an_answer_to_an_earlier_question_changes_nothing(self):
-        view = View(fleet_of())
+        view = FleetView(fleet_of())
         view.told("h0", 20 * SECOND, told("h0", "stopped"))
         view.told("h0", 10 * SECOND, told("h0", "serving"))
         self.assertEqual(view.rows(21 * SECOND)[0].state, "stopped")
 
     def test_an_agent_that_answers_for_another_host_is_not_believed(self):
-        view = View(fleet_of())
+        view = FleetView(fleet_of())
         view.told("h0", SECOND, told("h1"))
         self.assertEqual(view.rows(SECOND)[0].state, "unknown")
         self.assertIn("answers in its place", view.notes()[0])
 
     def test_an_instance_that_its_agent_does_not_know_is_unknown(self):
-        view = View(fleet_of())
+        view = FleetView(fleet_of())
         view.told("h0", SECOND, told("h0", names=(0,)))
         self.assertEqual([row.state for row in view.rows(SECOND)[:3]], ["serving", "unknown", "unknown"])
 
     def test_a_clock_that_is_off_is_told(self):
-        view = View(fleet_of())
+        view = FleetView(fleet_of())
         view.unix = 1000 * SECOND
         view.told("h0", 10 * SECOND, told("h0", unix=(1010 - 3600) * SECOND))
         self.assertIn("clock is -3600 s from ours", view.notes()[0])
 
     def test_choices_are_by_name_glob_site_host_and_state(self):
-        view = View(fleet_of())
+        view = FleetView(fleet_of())
         view.told("h0", SECOND, told("h0"))
         rows = view.rows(SECOND)
-        self.assertEqual([row.name for row in Choice(names=("n0*",)).among(rows)], ["n00", "n01", "n02"])
-        self.assertEqual([row.name for row in Choice(("n*1",), ("wood*",), ("h1",)).among(rows)], ["n11"])
-        self.assertEqual(len(Choice(states=("unknown",)).among(rows)), 3)
-        with self.assertRaisesRegex(ChoiceError, "no instance has the name 'x'"):
-            Choice(names=("n00", "x")).among(rows)
+        self.assertEqual([row.name for row in Selection(names=("n0*",)).among(rows)], ["n00", "n01", "n02"])
+        self.assertEqual([row.name for row in Selection(("n*1",), ("wood*",), ("h1",)).among(rows)], ["n11"])
+        self.assertEqual(len(Selection(states=("unknown",)).among(rows)), 3)
+        with self.assertRaisesRegex(SelectionError, "no instance has the name 'x'"):
+            Selection(names=("n00", "x")).among(rows)
         self.assertEqual(by_host(rows), {"h0": [("n00", 4), ("n01", 4), ("n02", 4)]})
 
     def test_an_order_that_takes_out_much_is_named_and_what_is_out_counts(self):
-        view = View(fleet_of())
+        view = FleetView(fleet_of())
         view.told("h0", SECOND, told("h0"))
         view.told("h1", SECOND, told("h1"))
         rows = view.rows(SECOND)
-        self.assertEqual(taken_out(rows, rows[:2], 0.34), [])
-        self.assertIn("3 of 6 would leave, 0 are out", taken_out(rows, rows[:3], 0.34)[0])
+        self.assertEqual(sites_over_share(rows, rows[:2], 0.34), [])
+        self.assertIn("3 of 6 would leave, 0 are out", sites_over_share(rows, rows[:3], 0.34)[0])
         view.told("h1", 2 * SECOND, told("h1", "failing"))
         rows = view.rows(2 * SECOND)
-        self.assertIn("1 of 6 would leave, 3 are out", taken_out(rows, rows[:1], 0.34)[0])
-        self.assertEqual(taken_out(rows, rows[3:], 0.34), [])
+        self.assertIn("1 of 6 would leave, 3 are out", sites_over_share(rows, rows[:1], 0.34)[0])
+        self.assertEqual(sites_over_share(rows, rows[3:], 0.34), [])
 
 
 class FollowingStories(unittest.TestCase):
-    def following(self) -> Following:
-        view = View(fleet_of(3, 1))
+    def following(self) -> OrderTracker:
+        view = FleetView(fleet_of(3, 1))
         view.told("h0", SECOND, told("h0", names=(0,)))
         view.told("h1", SECOND, told("h1", names=(0,)))
-        return Following("o1", "stop", view.rows(SECOND), 60 * SECOND, False)
+        return OrderTracker("o1", "stop", view.rows(SECOND), 60 * SECOND, False)
 
-    def order(self, name: str, state: str, ident: str = "o1") -> messages.OrderTold:
-        return messages.OrderTold(ident, "asha", "stop", 0, [messages.PartTold(name, state, 0, "")])
+    def order(self, name: str, state: str, ident: str = "o1") -> messages.OrderStatus:
+        return messages.OrderStatus(ident, "asha", "stop", 0, [messages.TaskStatus(name, state, 0, "")])
 
     def test_each_instance_has_one_end_and_what_nobody_told_of_is_not_ordered(self):
         following = self.following()
@@ -214,9 +214,9 @@
             {"h0": [("n00", 4)], "h1": [("n10", 4)]},
         )
         following.answered("h0", self.order("n00", "waiting"))
-        following.answered("h1", messages.Fault("not taken, as it can't be kept"))
+        following.answered("h1", messages.ErrorResponse("not taken, as it can't be kept"))
         self.assertEqual((following.over, following.to_ask()), (False, ["h0"]))
-        following.answered("h0", messages.OrdersTold([self.order("n00", "done")]))
+        following.answered("h0", messages.OrderList([self.order("n00", "done")]))
         self.assertEqual(
             {part.instance: part.state for part in following.parts.values()},
             {"n00": "done", "n10": "refused", "n20": "not ordered"},
@@ -239,7 +239,7 @@
             (following.parts["n10"].state, following.result(True)), ("not known", Result.SOME_SILENT)
         )
         self.assertEqual(following.to_ask(), ["h1"])
-        following.answered("h1", messages.OrdersTold([self.order("n10", "failed")]))
+        following.answered("h1", messages.OrderList([self.order("n10", "failed")]))
         del following.parts["n20"]
         self.assertIs(following.result(True), Result.SOME_FAILED)
 
@@ -258,11 +258,11 @@
         )
         self.keys = {key.ident: key for key in (self.old, self.new)}
 
-    def ends(self, key: Key, keys=None, made: int = 0) -> tuple[Sender, Receiver]:
+    def ends(self, key: Key, keys=None, made: int = 0) -> tuple[ClientAuthenticator, ServerAuthenticator]:
         challenge = secrets.token_bytes(NONCE)
         return (
-            Sender(key, challenge, lambda: secrets.token_bytes(NONCE), time.time_ns),
-            Receiver(keys or self.keys, challenge, made),
+            ClientAuthenticator(key, challenge, lambda: secrets.token_bytes(NONCE), time.time_ns),
+            ServerAuthenticator(keys or self.keys, challenge, made),
         )
 
     def test_both_keys_are_good_during_a_change_and_the_answer_is_proved(self):
@@ -273,8 +273,8 @@
                 self.assertEqual((found, content), (key, b"ask %d" % number))
                 self.assertEqual(sender.open(receiver.seal(0, b"so")), b"so")
 
-    def refused(self, receiver: Receiver, frame: bytes, now: int = 0, unix: int = 0) -> None:
-        with self.assertRaises(Refused):
+    def refused(self, receiver: ServerAuthenticator, frame: bytes, now: int = 0, unix: int = 0) -> None:
+        with self.assertRaises(AuthenticationError):
             receiver.open(now, unix, frame)
 
     def test_replayed_altered_foreign_late_and_ended_ones_are_refused(self):
@@ -306,7 +306,7 @@
         receiver.open(0, 0, sender.seal(b"one"))
         answer = receiver.seal(0, b"so")
         sender.seal(b"two")
-        with self.assertRaises(Refused):
+        with self.assertRaises(AuthenticationError):
             sender.open(answer)
 
     @given(st.binary(max_size=300))
@@ -323,7 +323,7 @@
         frame[place] ^= data.draw(st.integers(1, 255))
         try:
             _, content = receiver.open(0, 0, bytes(frame))
-        except Refused:
+        except AuthenticationError:
             return
         self.assertEqual(content, b"stop n1")  # another spelling of the same message
 
@@ -434,12 +434,12 @@
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         self.path = os.path.join(self.folder, "a.db")
 
-    def open(self, version: int = 1, **more) -> Store:
-        store = Store(self.path, self.SCHEMA, version, **more)
+    def open(self, version: int = 1, **more) -> Database:
+        store = Database(self.path, self.SCHEMA, version, **more)
         self.addCleanup(store.close)
         return store
 
-    def put(self, store: Store, word: str) -> None:
+    def put(self, store: Database, word: str) -> None:
         store.write([("INSERT INTO words VALUES (?)", (word,))])
 
     def test_what_was_written_is_there_again(self):
@@ -449,12 +449,12 @@
 
     def test_a_file_of_another_version_damaged_or_not_ours_is_set_aside_and_named(self):
         for spoil in (lambda: None, self._damage, self._foreign):
-            store = Store(self.path, self.SCHEMA, 1)
+            store = Database(self.path, self.SCHEMA, 1)
             for number in range(500):
                 self.put(store, "kept" * 50 + str(number)) if number < 40 else None
             store.close()
             spoil()
-            later = Store(self.path, self.SCHEMA, 2)
+            later = Database(self.path, self.SCHEMA, 2)
             self.assertTrue(later.set_aside)
             self.assertEqual(later.read("SELECT * FROM words"), [])
             aside = later.set_aside.partition(": ")[0]
@@ -476,11 +476,11 @@
 
     def test_a_full_disk_keeps_nothing_of_a_write_and_says_so(self):
         store = self.open(most_bytes=64 * 1024)
-        with self.assertRaisesRegex(StoreError, "full"):
+        with self.assertRaisesRegex(DatabaseError, "full"):
             store.write([("INSERT INTO words VALUES (?)", ("x" * 1000,))] * 200)
         self.assertEqual(store.read("SELECT count(*) FROM words"), [(0,)])
         self.put(store, "small")
 
     def test_a_folder_that_is_not_there_is_one_plain_error(self):
-        with self.assertRaisesRegex(StoreError, "nowhere"):
-            Store("/nowhere/a.db", self.SCHEMA, 1)
+        with self.assertRaisesRegex(DatabaseError, "nowhere"):
+            Database("/nowhere/a.db", self.SCHEMA, 1)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,29 +8,29 @@
 import unittest
 import unittest.mock
 
-from oakkeel.admission.types import Outcome, State
+from oakkeel.admission.types import Outcome, RequestState
 from oakkeel.catalogue.links import Catalogue
-from oakkeel.directory.reports import Reports
+from oakkeel.directory.reports import DirectoryReporter
 from oakkeel.dispatch.listener import Listener
 from oakkeel.dispatch.resp import arrays, encode
 from oakkeel.engine.link import EngineLink
 from oakkeel.line_protocol import LineParser
-from oakkeel.log import Log
-from oakkeel.node.metrics import Measures
-from oakkeel.node.request_handler import ExchangeHandler
-from oakkeel.node.response_cache import ResultCache
+from oakkeel.log import EventLog
+from oakkeel.node.metrics import Metrics
+from oakkeel.node.request_handler import RequestHandler
+from oakkeel.node.response_cache import ResponseCache
 from oakkeel.node_limits import Pairs, flatten, read_limits
-from oakkeel.request import Event, LiveExchange
-from oakkeel.resource_limits import MS, SECOND, Bounds
-from oakkeel.stream_buffers import BufferPool, Malformed, ReadBuffer
+from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.resource_limits import MS, SECOND, ResourceLimits
+from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer
 from tests.fake import GROUP, TOLD, WAIT, FakeHost, replace
 
-BOUNDS = Bounds(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
-LOG = Log("test", 0)
+BOUNDS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
+LOG = EventLog("test", 0)
 
 
-def exchange(ident: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", group=GROUP, **fields) -> LiveExchange:
-    return LiveExchange(
+def exchange(ident: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", group=GROUP, **fields) -> NodeRequest:
+    return NodeRequest(
         **{
             **dict(
                 group=group,
@@ -88,7 +88,7 @@
             b"*1\r\n$600\r\n",
             b"*1\r\n$-1\r\n",
         ):
-            with self.assertRaises(Malformed, msg=data):
+            with self.assertRaises(MalformedInputError, msg=data):
                 split(data, len(data), lambda read_buffer: list(arrays(read_buffer, 16)))
 
     def test_lines_are_the_same_in_pieces_of_any_size(self):
@@ -121,7 +121,7 @@
             b"DONE 1 x success 1 9999\r\n",
             b"DONE 1 x success 1 2\r\nabcd",
         ):
-            with self.assertRaises(Malformed, msg=data):
+            with self.assertRaises(MalformedInputError, msg=data):
                 split(
                     data,
                     len(data),
@@ -180,7 +180,7 @@
         self.catalogue.fetch(ex, time.monotonic_ns() + 50 * MS, b"first")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
-        self.assertEqual((await ex.hear())[:2], (Event.REPLY, Outcome.GIVEN_UP))
+        self.assertEqual((await ex.hear())[:2], (RequestEvent.REPLY, Outcome.GIVEN_UP))
         self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"second")
         again, writer_again = await asyncio.wait_for(self.peers.get(), WAIT)
         await again.readline()
@@ -188,7 +188,7 @@
         await writer.drain()
         self.assertEqual([await reader.readline() for _ in range(2)][1][:4], b"QUIT")
         writer_again.write(b"%s DATA 3\r\nnew\r\n" % ex.ident)
-        self.assertEqual((await ex.hear())[:3], (Event.REPLY, Outcome.COMPLETED, b"new"))
+        self.assertEqual((await ex.hear())[:3], (RequestEvent.REPLY, Outcome.COMPLETED, b"new"))
 
     async def test_each_reply_is_the_outcome_that_it_proves(self):
         for word, outcome in (
@@ -469,7 +469,7 @@
             directory.bind(("127.0.0.1", 0))
             directory.setblocking(False)
             loop = asyncio.get_running_loop()
-            reports = Reports(directory.getsockname(), "n3", replace(BOUNDS, pulse=600 * SECOND))
+            reports = DirectoryReporter(directory.getsockname(), "n3", replace(BOUNDS, pulse=600 * SECOND))
             reports.start()
             reports.set_taking(False)
             said = [await asyncio.wait_for(loop.sock_recv(directory, 99), WAIT) for _ in range(4)]
@@ -479,7 +479,7 @@
 
 class KeptStories(unittest.TestCase):
     def test_a_read_is_shared_while_fresh_and_not_after(self):
-        kept, first = ResultCache(BOUNDS, SECOND), exchange(mark=b"s")
+        kept, first = ResponseCache(BOUNDS, SECOND), exchange(mark=b"s")
         now = time.monotonic_ns()
         kept.remember(first, now, 5 * SECOND)
         self.assertTrue(kept.find(exchange(mark=b"s"), now))
@@ -489,18 +489,18 @@
         self.assertFalse(kept.find(exchange(mark=b"other"), now))
 
     def test_followers_of_one_that_is_dropped_unrun_are_told(self):
-        kept, first, follower = ResultCache(BOUNDS, SECOND), exchange(mark=b"s"), exchange(mark=b"s")
+        kept, first, follower = ResponseCache(BOUNDS, SECOND), exchange(mark=b"s"), exchange(mark=b"s")
         kept.remember(first, 0, SECOND)
         kept.find(follower, 0)
         kept.share(follower)
         kept.forget(first)
-        self.assertEqual(follower.events.popleft()[:2], (Event.SHARED, Outcome.DENIED))
+        self.assertEqual(follower.events.popleft()[:2], (RequestEvent.SHARED, Outcome.DENIED))
         self.assertFalse(kept.find(exchange(mark=b"s"), 0))
 
     def test_what_is_kept_is_bounded_and_a_key_that_must_not_run_twice_is_never_dropped(self):
         bounds = replace(BOUNDS, memory=4 * BOUNDS.result_size * 2)  # room for two
         once = replace(GROUP, effect=FakeHost(groups=[{}]).limits.groups[0].effect.__class__.DEDUPLICATED)
-        kept = ResultCache(bounds, SECOND)
+        kept = ResponseCache(bounds, SECOND)
         kept.remember(exchange(mark=b"a", group=once), 0, SECOND)
         kept.remember(exchange(mark=b"b"), 0, SECOND)
         kept.remember(exchange(mark=b"c", group=once), 0, SECOND)  # in place of the read
@@ -526,7 +526,7 @@
 
         parts = Parts()
         parts.keel = parts
-        handler = ExchangeHandler(parts, parts, parts, ResultCache(BOUNDS, 0), Measures(), LOG)
+        handler = RequestHandler(parts, parts, parts, ResponseCache(BOUNDS, 0), Metrics(), LOG)
         for _ in range(2):
             ex = exchange(connection=parts)
             await asyncio.wait_for(handler.handle(ex), 5)
@@ -534,14 +534,14 @@
 
     async def test_events_come_in_order(self):
         ex = exchange()
-        ex.tell(Event.RUN)
-        ex.tell(Event.STOP)
-        self.assertEqual([(await ex.hear())[0], (await ex.hear())[0]], [Event.RUN, Event.STOP])
+        ex.tell(RequestEvent.RUN)
+        ex.tell(RequestEvent.STOP)
+        self.assertEqual([(await ex.hear())[0], (await ex.hear())[0]], [RequestEvent.RUN, RequestEvent.STOP])
         waiting = asyncio.ensure_future(ex.hear())
         await asyncio.sleep(0)
-        ex.tell(Event.GONE)
-        self.assertEqual(await waiting, (Event.GONE,))
-        self.assertEqual(ex.state, State.READ)
+        ex.tell(RequestEvent.GONE)
+        self.assertEqual(await waiting, (RequestEvent.GONE,))
+        self.assertEqual(ex.state, RequestState.READ)
 
 
 if __name__ == "__main__":
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from oakkeel.disruption.allocator import Terms
+from oakkeel.disruption.allocator import PermitTimeouts
 from oakkeel.models import disruption, drains, elections
-from oakkeel.raft.timeouts import Pace
+from oakkeel.raft.timeouts import RaftTimeouts
 
 
 class VoteModels(unittest.TestCase):
@@ -26,14 +26,14 @@
 
 class PlaceModels(unittest.TestCase):
     def test_nobody_begins_after_a_place_has_lapsed(self):
-        terms = Terms()
+        terms = PermitTimeouts()
         good, lapse = terms.good / 1e9, terms.lapse / 1e9
         self.assertFalse(disruption.begun_after_lapse(good, lapse, terms.drift))
         self.assertTrue(disruption.begun_after_lapse(good, good, terms.drift))
         self.assertTrue(disruption.begun_after_lapse(good, lapse, terms.drift, "came"))
 
     def test_a_leader_is_never_sure_beyond_its_time(self):
-        pace = Pace()
+        pace = RaftTimeouts()
         self.assertFalse(disruption.two_hold_a_lease(pace.lease / 1e9, pace.least / 1e9, pace.drift))
         self.assertTrue(disruption.two_hold_a_lease(pace.least / 1e9, pace.least / 1e9, pace.drift))
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from oakkeel.admission.controller import CALLERS_MOST, MS, SECOND, Stage, climb
-from oakkeel.admission.types import AdviceKind, Below, Effect, Gauges, Outcome, State, StopKind
+from oakkeel.admission.controller import CALLERS_MOST, MS, SECOND, Stage, next_stage
+from oakkeel.admission.types import LoadReportKind, DownstreamKind, Effect, Gauges, Outcome, RequestState, StopKind
 from tests.fake import FakeHost
 
 
@@ -14,10 +14,10 @@
 
     def test_stages_climb_at_their_threshold_and_fall_only_below_the_slack(self):
         row = (0.7, 0.8, 0.85, 0.9, 0.95)
-        self.assertEqual(climb(Stage.NORMAL, 0.9, row, 0.05), Stage.BACKPRESSURE)
-        self.assertEqual(climb(Stage.BACKPRESSURE, 0.86, row, 0.05), Stage.BACKPRESSURE)
-        self.assertEqual(climb(Stage.BACKPRESSURE, 0.84, row, 0.05), Stage.REORDER)
-        self.assertEqual(climb(Stage.REJECT, 0.1, row, 0.05), Stage.NORMAL)
+        self.assertEqual(next_stage(Stage.NORMAL, 0.9, row, 0.05), Stage.BACKPRESSURE)
+        self.assertEqual(next_stage(Stage.BACKPRESSURE, 0.86, row, 0.05), Stage.BACKPRESSURE)
+        self.assertEqual(next_stage(Stage.BACKPRESSURE, 0.84, row, 0.05), Stage.REORDER)
+        self.assertEqual(next_stage(Stage.REJECT, 0.1, row, 0.05), Stage.NORMAL)
 
     def test_a_flood_is_denied_on_arrival_with_when_to_return_and_the_run_stays_bounded(self):
         host = FakeHost()
@@ -25,7 +25,7 @@
         denials = [wish for wish in host.said if wish[0] == "deny"]
         self.assertGreater(len(denials), 20)
         self.assertTrue(all(0 < wish[3] <= SECOND for wish in denials))
-        self.assertLessEqual(len(host.in_state(flood, State.RUNNING)), 2 * host.limits.cores)
+        self.assertLessEqual(len(host.in_state(flood, RequestState.RUNNING)), 2 * host.limits.cores)
 
     def test_a_busy_poll_alone_denies_nothing_while_the_cores_have_room(self):
         host = FakeHost()
@@ -38,7 +38,7 @@
         exchanges = []
         for _ in range(100):
             exchanges += [host.arrive(0), host.arrive(1)]
-            running = host.in_state(exchanges, State.RUNNING)
+            running = host.in_state(exchanges, RequestState.RUNNING)
             if len(running) > 3:
                 host.done(running[0])
             host.run_until(host.now + 100 * MS)
@@ -52,8 +52,8 @@
             exchanges = []
             for number in range(200):
                 exchanges.append(host.arrive(marked_retry=number % 10 < share))
-                while len(open_ones := host.in_state(exchanges, State.HELD, State.RUNNING)) > 8:
-                    host.done(host.in_state(open_ones, State.RUNNING)[0])
+                while len(open_ones := host.in_state(exchanges, RequestState.HELD, RequestState.RUNNING)) > 8:
+                    host.done(host.in_state(open_ones, RequestState.RUNNING)[0])
                 host.run_until(host.now + 20 * MS)
             wished = [wish[2] for wish in host.said if wish[0] == "deny" and not wish[1].marked_retry]
             self.assertGreater(len(wished), 10)
@@ -71,7 +71,7 @@
 
 class AnswerStories(unittest.TestCase):
     def test_held_running_and_calling_are_all_answered_before_they_are_due(self):
-        host = FakeHost(groups=[{}], below=Below.TIER)
+        host = FakeHost(groups=[{}], below=DownstreamKind.TIER)
         exchanges = [host.arrive(left=1500 * MS) for _ in range(9)]
         host.at_call(exchanges[0])
         host.run_until(host.now + 1490 * MS)
@@ -83,9 +83,9 @@
         # Low ranks started with too little time left: a fifth of the runs was given up.
         host = FakeHost()
         exchanges = [host.arrive() for _ in range(7)]
-        held = host.in_state(exchanges, State.HELD)
+        held = host.in_state(exchanges, RequestState.HELD)
         host.run_until(host.now + 1900 * MS)
-        host.done(host.in_state(exchanges, State.RUNNING)[0])
+        host.done(host.in_state(exchanges, RequestState.RUNNING)[0])
         self.assertEqual(len(held), 2)
         self.assertEqual([host.words(ex) for ex in held], [["deny"], ["deny"]])
 
@@ -98,7 +98,7 @@
         ex = host.arrive()
         host.keel.gone(host.now, ex)
         host.done(ex, Outcome.STOPPED)
-        self.assertEqual((host.words(ex), ex.state), (["run", "stop"], State.OVER))
+        self.assertEqual((host.words(ex), ex.state), (["run", "stop"], RequestState.OVER))
 
     def test_events_for_an_exchange_already_over_are_harmless(self):
         host = FakeHost()
@@ -127,7 +127,7 @@
 
     def test_a_call_of_a_mutating_exchange_is_resent_only_when_it_never_ran(self):
         for outcome, calls in ((Outcome.UNREACHED, 2), (Outcome.RESET, 1)):
-            host = FakeHost(groups=[{"effect": Effect.MUTATING}], below=Below.TIER)
+            host = FakeHost(groups=[{"effect": Effect.MUTATING}], below=DownstreamKind.TIER)
             ex = host.arrive()
             host.at_call(ex)
             host.call_done(ex, outcome)
@@ -140,7 +140,7 @@
             (Outcome.DENIED, "leave_out"),
             (Outcome.GIVEN_UP, "leave_out"),
         ):
-            host = FakeHost(groups=[{"skip_share": 0.5}], below=Below.TIER)
+            host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
             ex = host.arrive()
             host.at_call(ex)
             host.call_done(ex, outcome)
@@ -187,7 +187,7 @@
     def test_memory_bounds_what_is_held_and_what_runs(self):
         host = FakeHost(memory_kb=2000)
         exchanges = [host.arrive() for _ in range(30)]
-        self.assertLessEqual(len(host.in_state(exchanges, State.RUNNING)), 4)
+        self.assertLessEqual(len(host.in_state(exchanges, RequestState.RUNNING)), 4)
         self.assertLessEqual(host.keel.memory_kb, 2000)
 
     def test_repeats_of_a_hot_key_stay_within_the_memory(self):
@@ -198,12 +198,12 @@
         self.assertIn("deny", host.words(repeats[-1]))
 
     def test_the_calls_rule_holds_over_a_long_window(self):
-        host = FakeHost(groups=[{}], below=Below.SHARED, call_share=0.2, call_window=20 * SECOND)
+        host = FakeHost(groups=[{}], below=DownstreamKind.SHARED, call_share=0.2, call_window=20 * SECOND)
         spent = 0
         for _ in range(120):
             ex = host.arrive()
             host.at_call(ex)
-            if ex.state is State.CALLING:
+            if ex.state is RequestState.CALLING:
                 began = host.now
                 host.run_until(host.now + 300 * MS)
                 spent += host.now - began
@@ -213,32 +213,32 @@
         self.assertLess(spent, 0.2 * max(host.now - SECOND, host.limits.call_window))
 
     def test_a_cold_node_keeps_runs_and_calls_under_its_smaller_crowd(self):
-        host = FakeHost(groups=[{}], below=Below.TIER, cold=True, crowd_multiple=2)
+        host = FakeHost(groups=[{}], below=DownstreamKind.TIER, cold=True, crowd_multiple=2)
         exchanges = [host.arrive() for _ in range(40)]
         for ex in exchanges:
             host.at_call(ex)
         self.assertLess(
-            host.keel.count[State.CALLING] + host.keel.count[State.RUNNING], 1.25 * host.limits.cores
+            host.keel.count[RequestState.CALLING] + host.keel.count[RequestState.RUNNING], 1.25 * host.limits.cores
         )
 
     def test_calls_in_hand_stay_under_a_share_below_one(self):
-        host = FakeHost(groups=[{}], below=Below.SHARED, call_share=0.4, stop_kind=StopKind.SUSPEND)
+        host = FakeHost(groups=[{}], below=DownstreamKind.SHARED, call_share=0.4, stop_kind=StopKind.SUSPEND)
         spent = 0
         for _ in range(100):
             ex = host.arrive()
             host.at_call(ex)
             began = host.now
             host.run_until(host.now + 300 * MS)
-            if ex.state is State.CALLING:
+            if ex.state is RequestState.CALLING:
                 spent += host.now - began
                 host.call_done(ex, Outcome.COMPLETED)
                 host.done(ex)
-        self.assertLessEqual(host.keel.count[State.CALLING], 1)
+        self.assertLessEqual(host.keel.count[RequestState.CALLING], 1)
         self.assertGreater(spent, 0)
         self.assertLess(spent / (host.now - SECOND), 0.4)
 
     def test_failures_in_a_row_stop_calls_until_a_single_trial(self):
-        host = FakeHost(groups=[{"skip_share": 0.5}], below=Below.TIER)
+        host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
         for _ in range(8):
             ex = host.arrive()
             host.at_call(ex)
@@ -253,7 +253,7 @@
 
     def test_a_call_waits_for_room_before_it_is_left_out(self):
         # Leaving calls out at the first full moment gave up half the benefit for a wait of milliseconds.
-        host = FakeHost(groups=[{"skip_share": 0.5}], below=Below.SHARED, call_share=1)
+        host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.SHARED, call_share=1)
         first, second = host.arrive(), host.arrive()
         host.at_call(first)
         host.at_call(second)
@@ -263,7 +263,7 @@
 
     def test_a_call_ends_in_time_to_go_on_without_it(self):
         # Calls through a dead dispatcher hung until nothing could be done in time without them.
-        host = FakeHost(groups=[{"skip_share": 0.5}], below=Below.TIER)
+        host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
         ex = host.arrive()
         host.at_call(ex)
         until = next(wish[2] for wish in host.said if wish[0] == "call")
@@ -277,7 +277,7 @@
         host.gauges.run_queue = 4
         host.run_until(2 * SECOND)
         exchanges = [host.arrive() for _ in range(8)]
-        self.assertLess(len(host.in_state(exchanges, State.RUNNING)), host.limits.cores)
+        self.assertLess(len(host.in_state(exchanges, RequestState.RUNNING)), host.limits.cores)
 
     def test_reading_goes_first_while_what_is_read_is_old(self):
         # In a jam one run beside the reading made all that was read too old; no node came out of it.
@@ -301,7 +301,7 @@
         host = FakeHost()
         wave = [host.arrive() for _ in range(4)]
         host.run_until(host.now + 2 * SECOND)
-        for ex in host.in_state(wave, State.ORPHANED):
+        for ex in host.in_state(wave, RequestState.ORPHANED):
             host.done(ex, Outcome.STOPPED)
         host.run_until(host.now + SECOND)
         self.assertEqual(host.words(host.arrive(backlog=800 * MS)), ["deny"])
@@ -342,7 +342,7 @@
         self.assertGreater(self.idle_time(callers=100, reading=20), SECOND)
 
     def test_advice_falls_poll_by_poll_while_the_node_is_full(self):
-        host = FakeHost(advice=AdviceKind.SHARE)
+        host = FakeHost(advice=LoadReportKind.SHARE)
         host.gauges.run_queue = 12
         for _ in range(4):
             for _ in range(60):
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -17,26 +17,26 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from oakkeel.agent.instances import Instance, Phase
-from oakkeel.agent.leader_locator import Whom
-from oakkeel.agent.orders import Orders, PartState, Verb
-from oakkeel.agent.supervisor import Patience, Supervision
+from oakkeel.agent.leader_locator import LeaderLocator
+from oakkeel.agent.orders import OrderRegistry, TaskState, Verb
+from oakkeel.agent.supervisor import SupervisionTimeouts, Supervisor
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import Granting, Terms
-from oakkeel.disruption.holder import Holding
-from oakkeel.disruption.lease_holder import LeaseHeld
-from oakkeel.disruption.messages import Agreed, PlaceTold
-from oakkeel.disruption.state_machine import Ledger, Refusal
-from oakkeel.disruption.topology import Group, Layout, Out
+from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.disruption.lease_holder import LeaseHolder
+from oakkeel.disruption.messages import HeartbeatResponse, GrantedPermit
+from oakkeel.disruption.state_machine import PermitStateMachine, Rejection
+from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
 from oakkeel.emulator.consensus import play, smallest
-from oakkeel.emulator.faults import MS, SECOND, Schedule, Trouble, draw, read
-from oakkeel.invariants.consensus import AgreementAudit
+from oakkeel.emulator.faults import MS, SECOND, Schedule, Fault, draw, read
+from oakkeel.invariants.consensus import ConsensusAudit
 from oakkeel.raft import storage
-from oakkeel.raft.log import Log, Snapshot
-from oakkeel.raft.memory_storage import Disk
-from oakkeel.raft.messages import Append, Appended, Entry, Hello, Kind, Letter, Member, encode_members
-from oakkeel.raft.replica import Durable, Fate, Keep, Keeper, NotLeading, Role
-from oakkeel.raft.timeouts import Pace
-from oakkeel.store.database import APPLICATION, Store, StoreError
+from oakkeel.raft.log import ReplicatedLog, Snapshot
+from oakkeel.raft.memory_storage import InMemoryStorage
+from oakkeel.raft.messages import AppendEntriesRequest, AppendEntriesResponse, Entry, RecoveryRequest, EntryKind, Envelope, Member, encode_members
+from oakkeel.raft.replica import DurableState, ProposalStatus, StorageUpdate, Replica, NotLeaderError, Role
+from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.store.database import APPLICATION, Database, DatabaseError
 
 
 class Notes:
@@ -66,11 +66,11 @@
 class Net:
     """Keepers on one clock, whose letters take a millisecond unless a way is cut."""
 
-    def __init__(self, *names: str, founders: tuple[str, ...] = (), pace: Pace | None = None) -> None:
-        self.now, self.founders, self.pace = SECOND, founders or names, pace or Pace()
-        self.disks: dict[str, Disk] = {}
-        self.keepers: dict[str, Keeper] = {}
-        self.waiting: list[tuple[int, int, str, Letter]] = []
+    def __init__(self, *names: str, founders: tuple[str, ...] = (), pace: RaftTimeouts | None = None) -> None:
+        self.now, self.founders, self.pace = SECOND, founders or names, pace or RaftTimeouts()
+        self.disks: dict[str, InMemoryStorage] = {}
+        self.keepers: dict[str, Replica] = {}
+        self.waiting: list[tuple[int, int, str, Envelope]] = []
         self.cut: set[tuple[str, str]] = set()
         self.count = 0
         for name in names:
@@ -78,8 +78,8 @@
 
     def start(self, name: str) -> None:
         self.count += 1
-        disk = self.disks.setdefault(name, Disk(Durable(name, f"{name}.{self.count}")))
-        self.keepers[name] = Keeper(self.now, disk.load(), Notes(), self.count, self.pace, self.founders)
+        disk = self.disks.setdefault(name, InMemoryStorage(DurableState(name, f"{name}.{self.count}")))
+        self.keepers[name] = Replica(self.now, disk.load(), Notes(), self.count, self.pace, self.founders)
 
     def carry_out(self, name: str, steps) -> None:
         if steps.keep:
@@ -103,7 +103,7 @@
                 if keeper.next_at() <= self.now:
                     self.carry_out(name, keeper.tick(self.now))
 
-    def leader(self) -> Keeper:
+    def leader(self) -> Replica:
         self.run(5 * SECOND, lambda: any(each.leads(self.now) for each in self.keepers.values()))
         return next(each for each in self.keepers.values() if each.leads(self.now))
 
@@ -116,8 +116,8 @@
     def agree(self, *contents: bytes) -> None:
         for content in contents:
             proposal = self.propose(content)
-            self.run(2 * SECOND, lambda made=proposal: made.fate is not Fate.WAITING)
-            assert proposal.fate is Fate.AGREED, proposal.fate
+            self.run(2 * SECOND, lambda made=proposal: made.fate is not ProposalStatus.WAITING)
+            assert proposal.fate is ProposalStatus.AGREED, proposal.fate
 
     def lines(self) -> dict[str, list[bytes]]:
         self.run(500 * MS)
@@ -135,7 +135,7 @@
         net = Net("a", "b", founders=("a", "b", "c"))
         net.run(5 * SECOND)
         self.assertEqual({each.role for each in net.keepers.values()}, {Role.JOINING})
-        with self.assertRaises(NotLeading):
+        with self.assertRaises(NotLeaderError):
             net.keepers["a"].propose(net.now, b"one")
 
     def test_a_leader_that_dies_is_followed_within_two_seconds_by_one_that_has_all(self):
@@ -251,7 +251,7 @@
         self.assertGreater(net.leader().term, max(terms))
 
     def test_all_that_are_killed_at_once_go_on_from_their_files(self):
-        net = Net("a", "b", "c", pace=Pace(fold=4))
+        net = Net("a", "b", "c", pace=RaftTimeouts(fold=4))
         net.agree(*(b"%d" % number for number in range(10)))
         for name in list(net.keepers):
             net.start(name)
@@ -260,7 +260,7 @@
         self.assertTrue(all(each.log.snapshot.index > 4 for each in net.keepers.values()))
 
     def test_keepers_change_from_three_to_five_and_to_others_while_one_is_cut_off(self):
-        net = Net("a", "b", "c", "d", "e", founders=("a", "b", "c"), pace=Pace(fold=4))
+        net = Net("a", "b", "c", "d", "e", founders=("a", "b", "c"), pace=RaftTimeouts(fold=4))
         net.agree(*(b"%d" % number for number in range(6)))
         away = next(name for name in "abc" if name != net.leader().name)
         net.cut = {(away, name) for name in net.keepers} | {(name, away) for name in net.keepers}
@@ -300,7 +300,7 @@
         net.cut = {(leader.name, other) for other in others}
         leader._append(
             net.now,
-            Kind.MEMBERS,
+            EntryKind.MEMBERS,
             encode_members([each for each in leader.members if each.name != leader.name]),
         )
         net.carry_out(leader.name, leader._done(net.now))
@@ -320,7 +320,7 @@
         proposal, steps = leader.propose(net.now, b"never")
         net.carry_out(leader.name, steps)
         net.run(3 * SECOND)
-        self.assertEqual(proposal.fate, Fate.UNKNOWN)
+        self.assertEqual(proposal.fate, ProposalStatus.UNKNOWN)
         net.agree(b"other")
         net.cut.clear()
         net.agree(b"third")
@@ -332,13 +332,13 @@
         leader = net.leader()
         follower = next(each for each in net.keepers.values() if each is not leader)
         for letter in (
-            Letter("other", "x", "x.1", Append(99, 0, 0, [Entry(99, 2, b"bad")], 1, 0, [])),
-            Letter("other", "x", "x.1", Hello(1, False, 99, 99, 99)),
-            Letter(
+            Envelope("other", "x", "x.1", AppendEntriesRequest(99, 0, 0, [Entry(99, 2, b"bad")], 1, 0, [])),
+            Envelope("other", "x", "x.1", RecoveryRequest(1, False, 99, 99, 99)),
+            Envelope(
                 leader.durable.epoch,
                 leader.name,
                 leader.life,
-                Append(leader.term, 0, 0, list(leader.log.entries), 2, 0, []),
+                AppendEntriesRequest(leader.term, 0, 0, list(leader.log.entries), 2, 0, []),
             ),
         ):
             for _ in range(2):
@@ -352,24 +352,24 @@
         peer = next(iter(leader.leading.peers.values()))
         life = next(life for life, each in leader.leading.peers.items() if each is peer)
         peer.match, peer.next, peer.waiting = 0, 1, False  # one that never takes what it is sent
-        answers = [Appended(leader.term, False, 0, peer.sent_at)]
+        answers = [AppendEntriesResponse(leader.term, False, 0, peer.sent_at)]
         for _ in range(12):
             net.now += MS
             sent = []
             for answer in answers:
-                steps = leader.heard(net.now, Letter(leader.durable.epoch, peer.name, life, answer))
+                steps = leader.heard(net.now, Envelope(leader.durable.epoch, peer.name, life, answer))
                 sent += [letter.word for to, letter in steps.send if to == peer.name]
-            answers = [Appended(leader.term, False, 0, word.sent) for word in sent for _ in range(2)]
+            answers = [AppendEntriesResponse(leader.term, False, 0, word.sent) for word in sent for _ in range(2)]
         self.assertEqual(len(answers), 2)
 
     def test_a_full_table_of_proposals_refuses_more(self):
         net = Net("a", "b", "c")
         leader = net.leader()
         net.cut = {(leader.name, name) for name in net.keepers}
-        with self.assertRaisesRegex(NotLeading, "too much waits"):
+        with self.assertRaisesRegex(NotLeaderError, "too much waits"):
             for _ in range(2000):
                 leader.propose(net.now, b"x")
-        with self.assertRaisesRegex(NotLeading, "too long"):
+        with self.assertRaisesRegex(NotLeaderError, "too long"):
             Net("a").leader().propose(SECOND, bytes(5 << 20))
 
 
@@ -381,7 +381,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.net = Net("a", "b", "c", pace=Pace(fold=3))
+        self.net = Net("a", "b", "c", pace=RaftTimeouts(fold=3))
         self.net.run(3 * SECOND)
         self.proposals: list = []
         self.leaders: dict[int, str] = {}
@@ -411,7 +411,7 @@
         keeper = self.net.keepers[name]
         try:
             proposal, steps = keeper.propose(self.net.now, content)
-        except NotLeading:
+        except NotLeaderError:
             return
         self.proposals.append((content, proposal))
         self.net.carry_out(name, steps)
@@ -433,7 +433,7 @@
             if keeper.role is Role.LEADING:
                 assert self.leaders.setdefault(keeper.term, keeper.life) == keeper.life
         for content, proposal in self.proposals:
-            if proposal.fate is Fate.AGREED:
+            if proposal.fate is ProposalStatus.AGREED:
                 assert content in self.agreed
 
 
@@ -450,11 +450,11 @@
         for _ in range(30):
             if os.path.exists(self.path):
                 os.unlink(self.path)
-            store = Store(self.path, storage.SCHEMA, storage.VERSION)
+            store = Database(self.path, storage.SCHEMA, storage.VERSION)
             durable = storage.load(store, "a", "a.1")
-            disk, log = Disk(durable), Log(Snapshot(0, 0, (), b""), [])
+            disk, log = InMemoryStorage(durable), ReplicatedLog(Snapshot(0, 0, (), b""), [])
             for _ in range(40):
-                keep = Keep()
+                keep = StorageUpdate()
                 if random_.random() < 0.3:
                     durable.term, durable.voted, keep.head = durable.term + 1, "b.1", True
                     durable.marks = {"b.1": (durable.term, 3)}
@@ -462,41 +462,41 @@
                     keep.cut = random_.randint(log.snapshot.index + 1, log.last)
                     log.cut(keep.cut)
                 for _ in range(random_.randrange(3)):
-                    entry = Entry(durable.term, Kind.COMMAND, random_.randbytes(3))
+                    entry = Entry(durable.term, EntryKind.COMMAND, random_.randbytes(3))
                     keep.entries.append((log.append(entry), entry))
                 if log.entries and random_.random() < 0.2:
                     keep.snapshot = log.fold(random_.randint(log.snapshot.index + 1, log.last), b"all")
                 storage.write(store, durable, keep)
                 disk.write(durable, keep)
             store.close()
-            store = Store(self.path, storage.SCHEMA, storage.VERSION)
+            store = Database(self.path, storage.SCHEMA, storage.VERSION)
             self.assertEqual(storage.load(store, "a", "a.2"), disk.load())
             self.assertEqual(storage.check(disk.load()), "")
             store.close()
 
     def test_a_write_that_fails_leaves_nothing_of_it(self):
-        store = Store(self.path, storage.SCHEMA, storage.VERSION)
+        store = Database(self.path, storage.SCHEMA, storage.VERSION)
         durable = storage.load(store, "a", "a.1")
         pages = store._number("page_count")
         store.base.execute(f"PRAGMA max_page_count = {pages}")
-        with self.assertRaises(StoreError):
+        with self.assertRaises(DatabaseError):
             storage.write(
-                store, durable, Keep(entries=[(1, Entry(1, 2, b"small")), (2, Entry(1, 2, bytes(100_000)))])
+                store, durable, StorageUpdate(entries=[(1, Entry(1, 2, b"small")), (2, Entry(1, 2, bytes(100_000)))])
             )
         self.assertEqual(storage.load(store, "a", "a.2").entries, [])
 
     def test_a_copy_that_is_put_back_shows_by_how_often_it_was_written(self):
         """Drawn schedule 1008469: with its leader stopped nobody else could know."""
-        store = Store(self.path, storage.SCHEMA, storage.VERSION)
-        witness = storage.Witness(self.path + ".count", store)
+        store = Database(self.path, storage.SCHEMA, storage.VERSION)
+        witness = storage.WriteCounter(self.path + ".count", store)
         durable = storage.load(store, "a", "a.1")
-        storage.write(store, durable, Keep(head=True), witness)
+        storage.write(store, durable, StorageUpdate(head=True), witness)
         store.base.execute("VACUUM INTO ?", (self.path + ".backup",))
-        storage.write(store, durable, Keep(head=True), witness)
+        storage.write(store, durable, StorageUpdate(head=True), witness)
         witness.close()
         store.close()
-        again = Store(self.path, storage.SCHEMA, storage.VERSION)
-        self.assertEqual(storage.Witness(self.path + ".count", again).why(), "")
+        again = Database(self.path, storage.SCHEMA, storage.VERSION)
+        self.assertEqual(storage.WriteCounter(self.path + ".count", again).why(), "")
         again.close()
         os.replace(self.path + ".backup", self.path)
         for ending in ("-wal", "-shm"):
@@ -505,31 +505,31 @@
         back = sqlite3.connect(self.path)
         back.execute(f"PRAGMA application_id = {APPLICATION}")
         back.close()
-        old = Store(self.path, storage.SCHEMA, storage.VERSION)
-        self.assertIn("written 1 times, and 2", storage.Witness(self.path + ".count", old).why())
+        old = Database(self.path, storage.SCHEMA, storage.VERSION)
+        self.assertIn("written 1 times, and 2", storage.WriteCounter(self.path + ".count", old).why())
         old.close()
 
     def test_a_power_cut_may_leave_the_count_beside_the_file_behind_and_that_is_no_old_copy(self):
-        store = Store(self.path, storage.SCHEMA, storage.VERSION)
-        witness = storage.Witness(self.path + ".count", store)
-        storage.write(store, storage.load(store, "a", "a.1"), Keep(head=True), witness)
+        store = Database(self.path, storage.SCHEMA, storage.VERSION)
+        witness = storage.WriteCounter(self.path + ".count", store)
+        storage.write(store, storage.load(store, "a", "a.1"), StorageUpdate(head=True), witness)
         os.truncate(self.path + ".count", 0)
-        self.assertEqual(storage.Witness(self.path + ".count", store).why(), "")
+        self.assertEqual(storage.WriteCounter(self.path + ".count", store).why(), "")
         store.close()
 
     def test_terms_that_go_back_are_damage(self):
-        durable = Durable("a", "a.1", term=3, entries=[Entry(2, 2, b""), Entry(1, 2, b"")])
+        durable = DurableState("a", "a.1", term=3, entries=[Entry(2, 2, b""), Entry(1, 2, b"")])
         self.assertEqual(storage.check(durable), "terms that go back")
-        durable.entries = [Entry(1, int(Kind.MEMBERS), b"\xc1")]
+        durable.entries = [Entry(1, int(EntryKind.MEMBERS), b"\xc1")]
         self.assertRegex(storage.check(durable), "members")
 
 
-LAYOUT = Layout(
+LAYOUT = Topology(
     {"h1": ("a", "b", "cat1"), "h2": ("c", "d", "cat2")},
     (
-        Group("fleet", 2, ("a", "b", "c", "d")),
-        Group("site s", 1, ("a", "b")),
-        Group("kind cat", 1, ("cat1", "cat2")),
+        BudgetGroup("fleet", 2, ("a", "b", "c", "d")),
+        BudgetGroup("site s", 1, ("a", "b")),
+        BudgetGroup("kind cat", 1, ("cat1", "cat2")),
     ),
     {"cat1": ("a",), "cat2": ("c", "d")},
 )
@@ -539,12 +539,12 @@
     """A ledger with the leader's part, and agents that say what they are told to."""
 
     def setUp(self) -> None:
-        self.ledger = Ledger(lambda *told: self.granting.applied(self.now, *told) if self.granting else None)
-        self.granting: Granting | None = None
+        self.ledger = PermitStateMachine(lambda *told: self.granting.applied(self.now, *told) if self.granting else None)
+        self.granting: PermitAllocator | None = None
         self.now, self.index = SECOND, 0
-        self.holding = {name: Holding(name, things, 1) for name, things in LAYOUT.hosts.items()}
+        self.holding = {name: PermitHolder(name, things, 1) for name, things in LAYOUT.hosts.items()}
         self.up = dict.fromkeys("abcd", True) | {"cat1": True, "cat2": True}
-        self.put(commands.Lay(LAYOUT))
+        self.put(commands.SetTopology(LAYOUT))
         self.lead()
 
     def put(self, *wanted: commands.Command) -> object:
@@ -555,7 +555,7 @@
         return result
 
     def lead(self) -> None:
-        self.granting = Granting(self.now, self.ledger, Terms(), self.index + 1)
+        self.granting = PermitAllocator(self.now, self.ledger, PermitTimeouts(), self.index + 1)
 
     def turn(self, *hosts: str) -> None:
         """Agents say how they are, and the leader does what follows."""
@@ -568,7 +568,7 @@
 
     def order(self, ident: str, *things: str, verb: str = "drain", whole: bool = False) -> object:
         return self.put(
-            commands.Order(ident, "asha", verb, 0, 60 * SECOND, whole, [(thing, 1) for thing in things])
+            commands.SubmitOrder(ident, "asha", verb, 0, 60 * SECOND, whole, [(thing, 1) for thing in things])
         )
 
     def states(self, ident: str) -> dict[str, str]:
@@ -612,13 +612,13 @@
         self.assertEqual(self.states("o2"), {"c": "waiting", "d": "waiting"})
         self.begin("h1", "a", "o1")
         self.turn()
-        self.put(commands.Cancel("o1", "ravi"))
+        self.put(commands.CancelOrder("o1", "ravi"))
         self.up["a"] = True
         self.holding["h1"].is_back("a")
         self.turn()
         self.turn()
         self.assertEqual(self.states("o2"), {"c": "granted", "d": "granted"})
-        self.assertIsInstance(self.order("o3", "a", "b", "nobody"), Refusal)
+        self.assertIsInstance(self.order("o3", "a", "b", "nobody"), Rejection)
         self.assertEqual(self.ledger.held.orders["o2"].whole, True)
 
     def test_a_service_below_takes_out_what_hangs_on_it_and_counts_when_it_dies(self):
@@ -693,7 +693,7 @@
     def test_what_an_agent_said_before_it_was_started_anew_is_not_believed_any_more(self):
         self.turn()
         late = self.holding["h1"].poll(self.now, self.up, [], {})
-        self.holding["h1"] = Holding("h1", LAYOUT.hosts["h1"], 2)
+        self.holding["h1"] = PermitHolder("h1", LAYOUT.hosts["h1"], 2)
         self.up["a"] = False
         self.turn("h1")
         self.turn("h1")  # it has heard the leader: by that it is known to be the later one
@@ -705,7 +705,7 @@
         was then taken for the earlier life, and that agent was heard no more."""
         self.turn()
         late = self.holding["h1"].poll(self.now, self.up, [], {})
-        self.holding["h1"] = Holding("h1", LAYOUT.hosts["h1"], 2)
+        self.holding["h1"] = PermitHolder("h1", LAYOUT.hosts["h1"], 2)
         self.index += 1
         self.lead()
         self.up["a"] = False
@@ -725,11 +725,11 @@
         self.turn()
         self.begin("h1", "a", "o1")
         self.turn()
-        self.put(commands.Ended("o1", "a", "done", ""))
+        self.put(commands.FinishTask("o1", "a", "done", ""))
         self.order("o2", "a", verb="restart")
         self.turn()
         self.assertEqual(self.ledger.held.places["a"].ident, "o2")
-        self.put(commands.Halt("o2", "ravi"))
+        self.put(commands.HaltOrder("o2", "ravi"))
         self.turn()
         self.turn()
         place = self.ledger.held.places["a"]
@@ -760,8 +760,8 @@
             self.turn()
             holding = self.holding["h1"]
             instance = Instance("a", "s", phase=Phase.SERVING, generation=1, born=1, spawned=True, limit=9)
-            supervision = Supervision([instance], Patience(silent=SECOND * 60), {}, 1, lambda: 0)
-            orders = Orders(supervision, lambda: 0, holding=holding)
+            supervision = Supervisor([instance], SupervisionTimeouts(silent=SECOND * 60), {}, 1, lambda: 0)
+            orders = OrderRegistry(supervision, lambda: 0, holding=holding)
             orders.take(self.now, "o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND)
             orders.advance(self.now)
             [step] = supervision.tick(self.now)
@@ -772,7 +772,7 @@
             steps = orders.hold_back(self.now, supervision.tick(self.now))
             if late and state == "serving":
                 self.assertEqual((steps, instance.phase, instance.part), ([], Phase.SERVING, None))
-                self.assertEqual(orders.orders["o1"].parts[0].state, PartState.CANCELLED)
+                self.assertEqual(orders.orders["o1"].parts[0].state, TaskState.CANCELLED)
             else:
                 self.assertEqual((steps, instance.part.sent), ([step], True))
 
@@ -782,7 +782,7 @@
         self.turn()
         self.begin("h1", "a", "o1")
         self.turn()
-        self.put(commands.Halt("o1", "ravi"))
+        self.put(commands.HaltOrder("o1", "ravi"))
         self.turn()
         self.turn()
         self.assertEqual(self.states("o1"), {"a": "out", "c": "halted", "d": "halted"})
@@ -790,25 +790,25 @@
         self.assertEqual(set(self.ledger.held.places), {"a"})
 
     def test_an_answer_that_is_older_or_of_another_record_or_an_older_fence_is_not_obeyed(self):
-        holding = Holding("h1", ("a",), 1)
-        answer = Agreed("e", 7, [PlaceTold("a", "o1", 6, False, 3 * SECOND)], [], {})
+        holding = PermitHolder("h1", ("a",), 1)
+        answer = HeartbeatResponse("e", 7, [GrantedPermit("a", "o1", 6, False, 3 * SECOND)], [], {})
         self.assertTrue(holding.answered(SECOND, SECOND, answer))
-        self.assertFalse(holding.answered(SECOND, SECOND, Agreed("e", 5, [], [], {})))
-        self.assertFalse(holding.answered(SECOND, SECOND, Agreed("other", 9, [], [], {})))
+        self.assertFalse(holding.answered(SECOND, SECOND, HeartbeatResponse("e", 5, [], [], {})))
+        self.assertFalse(holding.answered(SECOND, SECOND, HeartbeatResponse("other", 9, [], [], {})))
         holding.begin(SECOND, "a")
-        again = Holding("h1", ("a",), 2)
+        again = PermitHolder("h1", ("a",), 2)
         again.restore("e", [("a", 6, "o1", True)], {})
         self.assertTrue(again.may_begin(9 * SECOND, "a", "o1"))  # begun is begun
-        again.answered(SECOND, SECOND, Agreed("e", 9, [PlaceTold("a", "o0", 4, False, SECOND)], [], {}))
+        again.answered(SECOND, SECOND, HeartbeatResponse("e", 9, [GrantedPermit("a", "o0", 4, False, SECOND)], [], {}))
         self.assertFalse(again.may_begin(SECOND, "a", "o0"))
 
     def test_generations_only_rise(self):
-        self.put(commands.Reserve("h1", {"a": 64}))
-        self.put(commands.Reserve("h1", {"a": 3}))
+        self.put(commands.ReserveGenerations("h1", {"a": 64}))
+        self.put(commands.ReserveGenerations("h1", {"a": 3}))
         self.assertEqual(self.ledger.held.generations["a"], 64)
 
     def test_a_lease_has_one_holder_at_a_time_and_the_next_a_higher_fence(self):
-        first, second = LeaseHeld("release", "h1", SECOND), LeaseHeld("release", "h2", SECOND)
+        first, second = LeaseHolder("release", "h1", SECOND), LeaseHolder("release", "h2", SECOND)
         asked = self.now
         self.assertTrue(first.answered(asked, self.put(first.asking())))
         fence = first.fence
@@ -825,11 +825,11 @@
         self.put(*self.granting.tick(self.now))
         self.assertTrue(second.answered(self.now, self.put(second.asking())))
         self.assertGreater(second.fence, fence)
-        self.assertIsInstance(self.put(commands.Release("release", fence)), Refusal)
-        self.assertFalse(first.answered(self.now, Refusal("h2 holds it")))
+        self.assertIsInstance(self.put(commands.ReleaseLease("release", fence)), Rejection)
+        self.assertFalse(first.answered(self.now, Rejection("h2 holds it")))
 
     def test_an_agent_asks_whom_it_was_told_leads_or_each_keeper_in_turn(self):
-        whom = Whom(["h1", "h2", "h3"], ["h1", "h2", "h3", "h4"])
+        whom = LeaderLocator(["h1", "h2", "h3"], ["h1", "h2", "h3", "h4"])
         asked = []
         for leader in ("", "", "h4", "h9", "h4"):
             whom.elsewhere(leader)
@@ -840,8 +840,8 @@
         self.assertIn(whom.name, ("h1", "h2", "h3"))
 
     def test_a_command_of_a_later_version_is_the_same_no_everywhere(self):
-        self.assertIsInstance(self.ledger.apply(99, b"\x91\xa5other"), Refusal)
-        again = Ledger()
+        self.assertIsInstance(self.ledger.apply(99, b"\x91\xa5other"), Rejection)
+        again = PermitStateMachine()
         again.restore(self.ledger.fold())
         self.assertEqual(again.fold(), self.ledger.fold())
 
@@ -851,8 +851,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.ledger, self.index, self.fences = Ledger(), 0, {}
-        self.put(commands.Lay(LAYOUT))
+        self.ledger, self.index, self.fences = PermitStateMachine(), 0, {}
+        self.put(commands.SetTopology(LAYOUT))
 
     def put(self, command) -> object:
         self.index += 1
@@ -868,26 +868,26 @@
         whole=st.booleans(),
     )
     def order(self, ident, named, verb, whole):
-        self.put(commands.Order(ident, "asha", verb, 0, SECOND, whole, [(each, 1) for each in sorted(named)]))
+        self.put(commands.SubmitOrder(ident, "asha", verb, 0, SECOND, whole, [(each, 1) for each in sorted(named)]))
 
     @rule(ident=idents, named=st.sets(things, min_size=1))
     def grant(self, ident, named):
-        result = self.put(commands.Grant(ident, sorted(named)))
+        result = self.put(commands.GrantPermits(ident, sorted(named)))
         for thing in named if isinstance(result, int) else ():
             assert result > self.fences.get(thing, 0)
             self.fences[thing] = result
 
-    @rule(thing=things, kind=st.sampled_from([commands.Began, commands.Over, commands.Lapse]))
+    @rule(thing=things, kind=st.sampled_from([commands.StartPermit, commands.ReleasePermit, commands.ExpirePermit]))
     def move(self, thing, kind):
         self.put(kind(thing, self.fences.get(thing, 0)))
 
     @rule(ident=idents, thing=things, how=st.sampled_from(["done", "failed", "refused"]))
     def ended(self, ident, thing, how):
-        self.put(commands.Ended(ident, thing, how, ""))
+        self.put(commands.FinishTask(ident, thing, how, ""))
 
-    @rule(ident=idents, kind=st.sampled_from([commands.Halt, commands.Cancel, commands.Expire]))
+    @rule(ident=idents, kind=st.sampled_from([commands.HaltOrder, commands.CancelOrder, commands.ExpireOrder]))
     def end(self, ident, kind):
-        self.put(kind(ident) if kind is commands.Expire else kind(ident, "ravi"))
+        self.put(kind(ident) if kind is commands.ExpireOrder else kind(ident, "ravi"))
 
     @rule()
     def fold(self):
@@ -935,7 +935,7 @@
         self.assertEqual(told, {f"{first.clock.happened}\n"})
 
     def test_a_planted_fault_is_caught_and_cut_down(self):
-        with mock.patch.object(Out, "against", lambda self, things: ""):
+        with mock.patch.object(UnavailableTargets, "against", lambda self, things: ""):
 
             def fails(schedule: Schedule) -> bool:
                 return bool(play(schedule)[1])
@@ -959,9 +959,9 @@
                 1,
                 1,
                 (
-                    Trouble(3 * SECOND, "stop in a step", 0, 0, 6 * SECOND),
-                    Trouble(4 * SECOND, "drain", 0, 0, 0, 0.0),
-                    Trouble(5 * SECOND, "halt"),
+                    Fault(3 * SECOND, "stop in a step", 0, 0, 6 * SECOND),
+                    Fault(4 * SECOND, "drain", 0, 0, 0, 0.0),
+                    Fault(5 * SECOND, "halt"),
                 ),
                 16 * SECOND,
             )
@@ -973,13 +973,13 @@
             held = self.places.get(thing)
             return held is not None and held.ident == ident and not held.given
 
-        with mock.patch.object(Holding, "may_begin", for_ever), mock.patch.object(Holding, "fresh", for_ever):
+        with mock.patch.object(PermitHolder, "may_begin", for_ever), mock.patch.object(PermitHolder, "fresh", for_ever):
             breaches = [breach for each in schedules for breach in play(each)[1]]
         self.assertRegex(breaches[0], "promise 7: ")
 
     def test_the_auditor_catches_each_breach_by_itself(self):
-        def judge() -> AgreementAudit:
-            audit = AgreementAudit({"s": (1, ["a", "b"])}, SECOND)
+        def judge() -> ConsensusAudit:
+            audit = ConsensusAudit({"s": (1, ["a", "b"])}, SECOND)
             audit.applied(0, "k", 5, b"\x93\xa5grant\xa1o\x92\xa1a\xa1b")
             return audit
 
@@ -1010,8 +1010,8 @@
 
 class MembersStories(unittest.TestCase):
     def test_members_count_from_the_entry_that_names_them_and_go_with_it(self):
-        log = Log(Snapshot(0, 0, (Member("a", "a.1"),), b""), [])
-        log.append(Entry(1, Kind.MEMBERS, encode_members([Member("a", "a.1"), Member("b", "b.1", False)])))
+        log = ReplicatedLog(Snapshot(0, 0, (Member("a", "a.1"),), b""), [])
+        log.append(Entry(1, EntryKind.MEMBERS, encode_members([Member("a", "a.1"), Member("b", "b.1", False)])))
         self.assertEqual(len(log.members), 2)
         log.cut(1)
         self.assertEqual((len(log.members), log.members_at), (1, 0))
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -5,9 +5,9 @@
 from types import SimpleNamespace
 
 from oakkeel.admission.types import Effect, Outcome
-from oakkeel.dispatch.codec import ExchangeReader
-from oakkeel.node.response_cache import ResultCache
-from oakkeel.request import Event
+from oakkeel.dispatch.codec import RequestReader
+from oakkeel.node.response_cache import ResponseCache
+from oakkeel.request import RequestEvent
 from oakkeel.resource_limits import MS, SECOND
 from tests.fake import GROUP, FakeHost, NodeStory
 from tests.test_links import BOUNDS, exchange
@@ -23,7 +23,7 @@
 
 class WindowStories(unittest.TestCase):
     def setUp(self) -> None:
-        self.results = ResultCache(BOUNDS, 0)
+        self.results = ResponseCache(BOUNDS, 0)
 
     def remembered(self, now: int = NOW, **fields):
         ex = one(**fields)
@@ -47,7 +47,7 @@
 
     def test_one_that_came_in_time_is_known_however_full_the_table_is_when_it_is_read(self):
         # A full table was swept of entries whose window was over, and the late one ran a second time.
-        results = self.results = ResultCache(replace(BOUNDS, memory=4 * BOUNDS.result_size), 0)
+        results = self.results = ResponseCache(replace(BOUNDS, memory=4 * BOUNDS.result_size), 0)
         self.remembered()
         later = NOW + SECOND + 400 * MS
         self.assertTrue(results.full(later))
@@ -62,7 +62,7 @@
         late = one(backlog=300 * MS)  # it came at 100.9 s, within the window of the first
         self.assertTrue(self.results.find(late, NOW + 1200 * MS))
         self.results.share(late)
-        self.assertEqual(late.events.popleft(), (Event.SHARED, Outcome.COMPLETED, b"first"))
+        self.assertEqual(late.events.popleft(), (RequestEvent.SHARED, Outcome.COMPLETED, b"first"))
 
     def test_a_follower_of_one_that_never_ran_takes_the_result_that_was_right_for_it(self):
         first = self.remembered()
@@ -73,10 +73,10 @@
             self.assertTrue(self.results.find(each, NOW + 1200 * MS))
             self.results.share(each)
         self.results.forget(second)
-        self.assertEqual(fresh.events.popleft()[:2], (Event.SHARED, Outcome.DENIED))
+        self.assertEqual(fresh.events.popleft()[:2], (RequestEvent.SHARED, Outcome.DENIED))
         self.assertFalse(late.events)
         self.results.ended(first, Outcome.COMPLETED, b"first")
-        self.assertEqual(late.events.popleft(), (Event.SHARED, Outcome.COMPLETED, b"first"))
+        self.assertEqual(late.events.popleft(), (RequestEvent.SHARED, Outcome.COMPLETED, b"first"))
 
     def test_an_unresolved_one_passes_its_place_back_past_two(self):
         first, second = self.remembered(), self.remembered(NOW + 1100 * MS)
@@ -91,7 +91,7 @@
 class IdentityStories(unittest.TestCase):
     def setUp(self) -> None:
         limits = FakeHost(groups=[{"effect": effect} for effect in Effect], tenants=[1.0]).limits
-        self.reader = ExchangeReader(limits, [effect.value for effect in Effect], ["hall"], BOUNDS)
+        self.reader = RequestReader(limits, [effect.value for effect in Effect], ["hall"], BOUNDS)
 
     def read(self, effect: Effect, fields: bytes, body: bytes = b"b"):
         words = [b"CALL", b"1", effect.value.encode(), b"req=9b1f03aa5c7e2d41,need=1," + fields, body]
@@ -116,7 +116,7 @@
         self.assertIsNone(self.read(Effect.REPEATABLE, b"opkey=k").key)
 
     def test_the_same_key_with_another_body_is_another_thing(self):
-        results = ResultCache(BOUNDS, 0)
+        results = ResponseCache(BOUNDS, 0)
         first = one()
         results.remember(first, NOW, SECOND)
         for body, differs in ((b"two seats", False), (b"nine seats", True), (b"", True)):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -17,19 +17,19 @@
 from oakkeel.agent import messages
 from oakkeel.authentication.framing import frame
 from oakkeel.authentication.mac import Key, Role
-from oakkeel.disruption.allocator import Terms
-from oakkeel.disruption.messages import Poll
-from oakkeel.fakes.rig import Rig
-from oakkeel.fakes.site import Site, free_port
-from oakkeel.fleet.agent_clients import NoLeader, ask_one
+from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.disruption.messages import Heartbeat
+from oakkeel.fakes.rig import ProcessRig
+from oakkeel.fakes.site import FakeSite, free_port
+from oakkeel.fleet.agent_clients import NoLeaderError, request_once
 from oakkeel.invariants.logs import audit
-from oakkeel.raft.messages import Hello, Letter
+from oakkeel.raft.messages import RecoveryRequest, Envelope
 from oakkeel.settings.keys import read_agent_keys
 
 HOSTS = {f"h{number}": [f"n{number}a", f"n{number}b"] for number in range(1, 6)}
 SITES = {"h1": "woodbrook", "h2": "woodbrook", "h3": "belmont", "h4": "belmont", "h5": "belmont"}
 SUPERVISION = '<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>'
-LATE = Terms().lapse + Terms().silent + 2_000_000_000
+LATE = PermitTimeouts().lapse + PermitTimeouts().silent + 2_000_000_000
 
 
 class RigStory(unittest.IsolatedAsyncioTestCase):
@@ -38,7 +38,7 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = Site(
+        self.site = FakeSite(
             self.folder,
             self.hosts,
             self.away,
@@ -49,7 +49,7 @@
             below=self.below,
             hanging=self.hanging,
         )
-        self.rig = Rig(self.site)
+        self.rig = ProcessRig(self.site)
         self.addAsyncCleanup(self.end)
         await self.rig.open()
         await self.rig.leader()
@@ -85,17 +85,17 @@
         leader = await self.rig.leader()
         return next(host for host in self.keepers if host != leader and host not in but)
 
-    async def order(self, *words, **more) -> messages.FleetTold:
+    async def order(self, *words, **more) -> messages.FleetOrderStatus:
         """Through changes of leader, with the same id."""
-        answer: messages.Answer | None = None
+        answer: messages.Response | None = None
 
         async def taken() -> bool:
             nonlocal answer
             answer = await self.rig.order(*words, **more)
-            return isinstance(answer, messages.FleetTold)
+            return isinstance(answer, messages.FleetOrderStatus)
 
         await self.rig.until("the order is taken", taken)
-        assert isinstance(answer, messages.FleetTold)
+        assert isinstance(answer, messages.FleetOrderStatus)
         return answer
 
 
@@ -122,15 +122,15 @@
         await self.order("o2", "drain", ["n4b", "n5a"], lasts=60)  # no room: they wait
         for host in self.keepers:
             await self.rig.kill(host)
-        with self.assertRaises(NoLeader):
-            await self.rig.asker.ask_leader(messages.AskFleet(), 500_000_000)
+        with self.assertRaises(NoLeaderError):
+            await self.rig.asker.ask_leader(messages.FleetStatusRequest(), 500_000_000)
         for host in self.keepers:
             await self.rig.start(host)
         await self.rig.leader()
         states = {part.thing: part.state for part in (await self.rig.state_of("o2")).orders[0].parts}
         self.assertEqual(states, {"n4b": "waiting", "n5a": "waiting"})
         answer = await self.rig.end_order("o1", True)
-        self.assertIsInstance(answer, messages.FleetTold, answer)
+        self.assertIsInstance(answer, messages.FleetOrderStatus, answer)
         await self.rig.all_serve(["n4a"])
         await self.all_granted("o2", "n4b")
         await self.rig.end_order("o2", True)
@@ -216,7 +216,7 @@
         self.assertGreater(told["n4a"].generation, before["n4a"])
         self.assertGreater(told["n4b"].generation, before["n4b"])
         answer = await self.rig.order("old", "drain", ["n4b"], generations=before)
-        self.assertIsInstance(answer, messages.FleetTold)
+        self.assertIsInstance(answer, messages.FleetOrderStatus)
         self.assertEqual(await self.rig.ended("old"), {"n4b": "refused"})
 
     async def test_a_disk_that_fills_in_the_middle_of_a_write_takes_nothing_and_loses_nothing(self):
@@ -295,7 +295,7 @@
         await self.rig.until("it drains", draining)
         await asyncio.sleep(0.5)
         answer = await self.rig.end_order("o1", True)
-        self.assertIsInstance(answer, messages.FleetTold)
+        self.assertIsInstance(answer, messages.FleetOrderStatus)
         await self.rig.all_serve(["n4a"])
         self.assertEqual(self.words("n4a"), ["start", "up", "leave", "stay", "up"])
         self.assertEqual(await self.rig.ended("o1"), {"n4a": "cancelled"})
@@ -333,7 +333,7 @@
         keys = [host for host in self.keepers if host != await self.rig.leader()]
         for host in keys:
             await self.rig.kill(host)
-        with self.assertRaises(NoLeader) as caught:
+        with self.assertRaises(NoLeaderError) as caught:
             await asyncio.sleep(1.5)
             await self.rig.order("o1", "drain", ["n4a"])
         self.assertGreaterEqual(len(caught.exception.why), 3)
@@ -460,18 +460,18 @@
                 await asyncio.wait_for(reader.read(), 5)
             writer.close()
         keys = read_agent_keys(self.rig.fleet)
-        letter = Letter("0" * 16, "h9", "h9.1", Hello(1, True, 9, 9, 9))
+        letter = Envelope("0" * 16, "h9", "h9.1", RecoveryRequest(1, True, 9, 9, 9))
         stranger = Key("agent:h1", "h1", Role.AGENT, os.urandom(32))
         with self.assertRaisesRegex(OSError, "refuses key"):
-            await ask_one(address, stranger, messages.Carry([letter]))
+            await request_once(address, stranger, messages.PeerEnvelopesRequest([letter]))
         other = next(host for host in self.hosts if host != leader)
-        answer = await ask_one(address, keys[other], messages.Carry([letter]))  # its key, another's name
-        self.assertIsInstance(answer, messages.Carried)
-        answer = await ask_one(address, keys[other], messages.Polled(Poll(leader, 1, 1, 0, [], [], {})))
+        answer = await request_once(address, keys[other], messages.PeerEnvelopesRequest([letter]))  # its key, another's name
+        self.assertIsInstance(answer, messages.PeerEnvelopesResponse)
+        answer = await request_once(address, keys[other], messages.HeartbeatRequest(Heartbeat(leader, 1, 1, 0, [], [], {})))
         self.assertRegex(answer.why, f"the key of {other} with a poll of {leader}")
-        answer = await ask_one(address, keys[other], messages.FleetOrder("x", "drain", [("n1a", 1)], 1))
+        answer = await request_once(address, keys[other], messages.FleetOrderRequest("x", "drain", [("n1a", 1)], 1))
         self.assertRegex(answer.why, "is not for that")
-        answer = await ask_one(address, self.rig.asker.key, messages.Carry([letter]))
+        answer = await request_once(address, self.rig.asker.key, messages.PeerEnvelopesRequest([letter]))
         self.assertRegex(answer.why, "is not for that")
         after = (await self.rig.records())[leader]
         self.assertEqual((after.term, after.leader, len(after.members)), (before.term, leader, 3))
@@ -566,7 +566,7 @@
 
 class RawStories(unittest.IsolatedAsyncioTestCase):
     async def test_a_faulty_link_loses_whole_messages_and_passes_the_others_whole(self):
-        from oakkeel.fakes.faulty_link import FaultyLink, Way
+        from oakkeel.fakes.faulty_link import FaultyLink, LinkDirection
 
         async def echo(reader, writer):
             with contextlib.suppress(asyncio.IncompleteReadError):
@@ -575,7 +575,7 @@
                     writer.write(head + await reader.readexactly(int.from_bytes(head, "big")))
 
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
-        there, back = Way(), Way()
+        there, back = LinkDirection(), LinkDirection()
         link = FaultyLink(server.sockets[0].getsockname(), there, back, 1)
         reader, writer = await asyncio.open_connection("127.0.0.1", await link.open())
         writer.write(frame(b"one"))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,31 +10,31 @@
 from hypothesis import strategies as st
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import Order, Refusal
-from oakkeel.disruption.topology import Group, Layout, Out
-from oakkeel.emulator.consensus import World, play
-from oakkeel.emulator.faults import Schedule, Trouble, draw
-from oakkeel.invariants.rollout import ReleaseAudit
+from oakkeel.disruption.state_machine import Order, Rejection
+from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
+from oakkeel.emulator.consensus import ConsensusSimulation, play
+from oakkeel.emulator.faults import Schedule, Fault, draw
+from oakkeel.invariants.rollout import RolloutAudit
 from oakkeel.models import releases as model
 from oakkeel.rollout import commands
-from oakkeel.rollout.assignments import Fitting
-from oakkeel.rollout.commands import Pace, What
-from oakkeel.rollout.controller import Driver
-from oakkeel.rollout.gates import Answer, Figures, Gate
-from oakkeel.rollout.messages import Heard, encode
-from oakkeel.rollout.plan import OLD, Planner, Seen
+from oakkeel.rollout.assignments import VersionAssignments
+from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
+from oakkeel.rollout.controller import RolloutController
+from oakkeel.rollout.gates import Decision, Samples, Gate
+from oakkeel.rollout.messages import AgentAssignments, encode
+from oakkeel.rollout.plan import OLD, BatchPlanner, TargetObservation
 from oakkeel.rollout.sequential import Difference, Events, Sums
-from oakkeel.rollout.state_machine import LEASE, NEXT, OVER, Book, Release
-from oakkeel.store.content_store import Content, ContentError, Contents, hash_folder, merged
+from oakkeel.rollout.state_machine import LEASE, TRANSITIONS, FINAL_STATES, RolloutStateMachine, Release
+from oakkeel.store.content_store import Content, ContentError, ContentStore, hash_folder, merged
 
 SECOND = 1_000_000_000
-LAYOUT = Layout(
+LAYOUT = Topology(
     {"h1": ("a", "b"), "h2": ("c", "d"), "h3": ("db1", "db2")},
     (
-        Group("site one", 1, ("a", "b")),
-        Group("site two", 1, ("c", "d")),
-        Group("fleet", 2, ("a", "b", "c", "d")),
-        Group("kind db", 1, ("db1", "db2")),
+        BudgetGroup("site one", 1, ("a", "b")),
+        BudgetGroup("site two", 1, ("c", "d")),
+        BudgetGroup("fleet", 2, ("a", "b", "c", "d")),
+        BudgetGroup("kind db", 1, ("db1", "db2")),
     ),
     {"db1": ("a", "c"), "db2": ("b", "d")},
 )
@@ -105,29 +105,29 @@
                 loss = bad if arm == "new" else 0.02
                 good = count * (1 - loss)
                 grown = leak * second if arm == "new" else 0.0
-                figures = Figures(Sums(count, good, good), 0, 0, 20000 + grown)
+                figures = Samples(Sums(count, good, good), 0, 0, 20000 + grown)
                 gate.heard(now, thing, arm, arm, 1, False, figures)
             if cold is not None:
                 for thing, arm, part in (("cold new", "new", cold), ("control", "old", 0.02)):
                     good = count * (1 - part)
-                    gate.heard(now, thing, arm, arm, 2, True, Figures(Sums(count, good, good)))
+                    gate.heard(now, thing, arm, arm, 2, True, Samples(Sums(count, good, good)))
             gate.look(now)
 
     def test_few_samples_are_no_answer_and_say_so(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 1)
         verdict = gate.verdict(gate.full())
-        self.assertIs(verdict.answer, Answer.TOO_FEW)
+        self.assertIs(verdict.answer, Decision.TOO_FEW)
         self.assertIn("0 exchanges", verdict.why)
 
     def test_good_passes_and_worse_halts_with_figures(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 60)
-        self.assertIs(gate.verdict(gate.full()).answer, Answer.GOOD)
+        self.assertIs(gate.verdict(gate.full()).answer, Decision.GOOD)
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 60, bad=0.10)
         verdict = gate.verdict(gate.full())
-        self.assertIs(verdict.answer, Answer.WORSE)
+        self.assertIs(verdict.answer, Decision.WORSE)
         self.assertIn("0.9", verdict.why)
 
     def test_one_that_denies_more_halts_though_it_brings_as_much(self):
@@ -135,11 +135,11 @@
         for second in range(60):
             count = 100.0 * second
             for thing, arm, part in (("new", "new", 0.1), ("old", "old", 0.01)):
-                figures = Figures(Sums(count, count * 0.9, count * 0.9), count * part)
+                figures = Samples(Sums(count, count * 0.9, count * 0.9), count * part)
                 gate.heard(second * SECOND, thing, arm, arm, 1, False, figures)
             gate.look(second * SECOND)
         verdict = gate.verdict(gate.full())
-        self.assertIs(verdict.answer, Answer.WORSE)
+        self.assertIs(verdict.answer, Decision.WORSE)
         self.assertIn("10.0 % are denied", verdict.why)
 
     def test_one_that_leaks_and_one_that_is_worse_while_cold_are_told_as_such(self):
@@ -154,26 +154,26 @@
         gate = Gate(0, b"", 0.02)
         for second in range(60):
             count = 100.0 * second
-            bad, good = Figures(Sums(count, count * 0.5, count * 0.5)), Figures(Sums(count, count, count))
+            bad, good = Samples(Sums(count, count * 0.5, count * 0.5)), Samples(Sums(count, count, count))
             gate.heard(second * SECOND, "new", "new", "new", 1, True, bad)
             gate.heard(second * SECOND, "old", "old", "old", 1, False, good)
             gate.look(second * SECOND)
-        self.assertIs(gate.verdict(gate.full()).answer, Answer.TOO_FEW)
+        self.assertIs(gate.verdict(gate.full()).answer, Decision.TOO_FEW)
 
     def test_the_next_driver_goes_on_with_what_was_seen_and_one_that_can_t_be_read_begins_anew(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 60, bad=0.10)
         again = Gate(0, gate.kept(), 0.02)
-        self.assertIs(again.verdict(again.full()).answer, Answer.WORSE)
+        self.assertIs(again.verdict(again.full()).answer, Decision.WORSE)
         self.assertEqual(Gate(0, b"\x93spoilt", 0.02).count(), 0)
         self.assertLess(len(gate.kept()), 2000)
 
 
 class PlanStories(unittest.TestCase):
     def setUp(self) -> None:
-        self.out, self.planner = Out(LAYOUT), Planner(LAYOUT)
+        self.out, self.planner = UnavailableTargets(LAYOUT), BatchPlanner(LAYOUT)
         self.seen = {
-            name: Seen(name, "serving", 1, "", 0) for names in LAYOUT.hosts.values() for name in names
+            name: TargetObservation(name, "serving", 1, "", 0) for names in LAYOUT.hosts.values() for name in names
         }
 
     def choose(self, wanted: str, most: int = 9, ceiling: float = 0.85, broken: bool = False, now: int = 0):
@@ -186,10 +186,10 @@
         self.out.put("a", "does not serve")
         self.seen["a"].phase = "failing"
         self.assertNotIn("b", self.choose("b").things)
-        wide = Layout(LAYOUT.hosts, tuple(Group(group.name, 9, group.things) for group in LAYOUT.groups))
-        out = Out(wide)
+        wide = Topology(LAYOUT.hosts, tuple(BudgetGroup(group.name, 9, group.things) for group in LAYOUT.groups))
+        out = UnavailableTargets(wide)
         out.put("a", "does not serve")
-        choice = Planner(wide).choose(0, ["b"], self.seen, out, 9, 0.85, False)
+        choice = BatchPlanner(wide).choose(0, ["b"], self.seen, out, 9, 0.85, False)
         self.assertIn("last that serves of site one", choice.why)
 
     def test_old_news_are_not_touched(self):
@@ -221,9 +221,9 @@
         self.assertEqual(self.choose("a").things, [])
 
     def test_a_site_of_one_can_be_released_though_nobody_there_carries_its_load(self):
-        layout = Layout({"h1": ("a",)}, (Group("site one", 1, ("a",)),))
+        layout = Topology({"h1": ("a",)}, (BudgetGroup("site one", 1, ("a",)),))
         self.seen["a"].load = 0.9
-        choice = Planner(layout).choose(0, ["a"], self.seen, Out(layout), 1, 0.5, False)
+        choice = BatchPlanner(layout).choose(0, ["a"], self.seen, UnavailableTargets(layout), 1, 0.5, False)
         self.assertEqual(choice.things, ["a"])
 
     def test_on_a_way_back_what_is_broken_comes_first_and_needs_no_room(self):
@@ -260,10 +260,10 @@
     """The record's part: steps hold once, under the fence of the lease that stands."""
 
     def setUp(self) -> None:
-        self.book, self.index = Book(), 0
-        self.do(places.Lay(LAYOUT))
-        self.fence = self.do(places.Hold(LEASE, "h1.1", SECOND))
-        self.do(commands.Begin("r", "asha", 0, What("v2", "/p"), Pace(), ["a", "b"]))
+        self.book, self.index = RolloutStateMachine(), 0
+        self.do(places.SetTopology(LAYOUT))
+        self.fence = self.do(places.AcquireLease(LEASE, "h1.1", SECOND))
+        self.do(commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["a", "b"]))
 
     def do(self, command):
         self.index += 1
@@ -275,88 +275,88 @@
 
     def refused(self, command, text: str) -> None:
         answer = self.do(command)
-        self.assertIsInstance(answer, Refusal)
+        self.assertIsInstance(answer, Rejection)
         self.assertIn(text, answer.why)
 
     def test_a_step_holds_once_and_an_old_driver_is_refused_by_its_fence(self):
-        self.do(commands.Go("r", self.fence, 0))
-        self.assertIsInstance(self.do(commands.Batch("r", self.fence, 1, 0, [("a", 1)])), Order)
-        self.refused(commands.Batch("r", self.fence, 1, 0, [("b", 1)]), "step 1 was taken")
-        self.do(places.Release(LEASE, self.fence))
-        fence = self.do(places.Hold(LEASE, "h2.1", SECOND))
-        self.refused(commands.Settle("r", self.fence, 2, ["a"]), "another drives")
+        self.do(commands.BeginRollout("r", self.fence, 0))
+        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)])), Order)
+        self.refused(commands.StartBatch("r", self.fence, 1, 0, [("b", 1)]), "step 1 was taken")
+        self.do(places.ReleaseLease(LEASE, self.fence))
+        fence = self.do(places.AcquireLease(LEASE, "h2.1", SECOND))
+        self.refused(commands.FinishBatch("r", self.fence, 2, ["a"]), "another drives")
         self.assertGreater(fence, self.fence)
-        self.assertIs(self.do(commands.Settle("r", fence, 2, ["a"])), self.release)
+        self.assertIs(self.do(commands.FinishBatch("r", fence, 2, ["a"])), self.release)
         self.assertEqual(self.book.held.versions, {"a": "v2"})
 
     def test_a_second_release_while_one_is_open_is_refused_and_the_same_twice_is_one(self):
-        self.refused(commands.Begin("r2", "ravi", 0, What("v3", "/p"), Pace(), ["c"]), "asha's release r")
-        same = self.do(commands.Begin("r", "asha", 0, What("v2", "/p"), Pace(), ["b", "a"]))
+        self.refused(commands.StartRelease("r2", "ravi", 0, VersionSpec("v3", "/p"), RolloutPolicy(), ["c"]), "asha's release r")
+        same = self.do(commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["b", "a"]))
         self.assertIs(same, self.release)
-        self.refused(commands.Begin("r", "asha", 0, What("v3", "/p"), Pace(), ["a", "b"]), "another release")
+        self.refused(commands.StartRelease("r", "asha", 0, VersionSpec("v3", "/p"), RolloutPolicy(), ["a", "b"]), "another release")
 
     def test_what_can_t_be_released_is_refused_with_a_reason(self):
-        self.do(commands.Turn("r", "asha", "abort"))
+        self.do(commands.ControlRelease("r", "asha", "abort"))
         self.assertEqual(self.release.state, "left")
         for things, what, text in (
-            (["zz"], What("v", "/p"), "no zz"),
-            (["db1"], What("v", "/p"), "one after the"),
-            (["a", "a"], What("v", "/p"), "twice"),
-            (["a"], What(""), "no version"),
-            (["a"], What("v", services=True), "one after the"),
+            (["zz"], VersionSpec("v", "/p"), "no zz"),
+            (["db1"], VersionSpec("v", "/p"), "one after the"),
+            (["a", "a"], VersionSpec("v", "/p"), "twice"),
+            (["a"], VersionSpec(""), "no version"),
+            (["a"], VersionSpec("v", services=True), "one after the"),
         ):
-            self.refused(commands.Begin("x", "asha", 0, what, Pace(), things), text)
+            self.refused(commands.StartRelease("x", "asha", 0, what, RolloutPolicy(), things), text)
 
     def test_a_release_of_a_patch_alone_does_not_take_a_released_program_away_unasked(self):
-        self.do(commands.Go("r", self.fence, 0))
-        self.do(commands.Batch("r", self.fence, 1, 0, [("a", 1)]))
-        self.do(commands.Settle("r", self.fence, 2, ["a"]))
-        self.do(commands.Turn("r", "asha", "abort"))
-        self.do(commands.Turn("r", "asha", "leave"))
-        alone = commands.Begin("p", "asha", 0, What("v3", "", "/patch"), Pace(), ["a"])
+        self.do(commands.BeginRollout("r", self.fence, 0))
+        self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
+        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))
+        self.do(commands.ControlRelease("r", "asha", "abort"))
+        self.do(commands.ControlRelease("r", "asha", "leave"))
+        alone = commands.StartRelease("p", "asha", 0, VersionSpec("v3", "", "/patch"), RolloutPolicy(), ["a"])
         self.refused(alone, "released program")
-        both = commands.Begin("p", "asha", 0, What("v3", "", "/patch", as_set=True), Pace(), ["a"])
+        both = commands.StartRelease("p", "asha", 0, VersionSpec("v3", "", "/patch", as_set=True), RolloutPolicy(), ["a"])
         self.assertIsInstance(self.do(both), Release)
 
     def test_undo_while_a_batch_comes_up_ends_it_and_brings_back_what_was(self):
-        self.do(commands.Ready("r", self.fence, "h1", "", {"a": "base a", "b": "base b"}))
-        self.do(commands.Go("r", self.fence, 0))
-        self.do(commands.Batch("r", self.fence, 1, 0, [("a", 1)]))
-        self.do(commands.Turn("r", "ravi", "undo"))
+        self.do(commands.ReportPrepared("r", self.fence, "h1", "", {"a": "base a", "b": "base b"}))
+        self.do(commands.BeginRollout("r", self.fence, 0))
+        self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
+        self.do(commands.ControlRelease("r", "ravi", "undo"))
         order = self.book.held.orders["r.1"]
         self.assertEqual((order.halted, order.parts["a"].state), ("asha", "halted"))
-        self.refused(commands.Batch("r", self.fence, 2, 0, [("a", 1)]), "under way")
-        self.do(commands.Settle("r", self.fence, 2, ["a"]))  # it had come up with the new all the same
-        self.assertIsInstance(self.do(commands.Batch("r", self.fence, 3, 0, [("a", 2)])), Order)
+        self.refused(commands.StartBatch("r", self.fence, 2, 0, [("a", 1)]), "under way")
+        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had come up with the new all the same
+        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), Order)
         self.assertEqual(self.book.held.versions["a"], "base a")
-        self.refused(commands.Finish("r", self.fence, 4), "not all")
-        self.do(commands.Settle("r", self.fence, 4, []))
-        self.assertEqual(self.do(commands.Finish("r", self.fence, 5)).state, "undone")
+        self.refused(commands.FinishRelease("r", self.fence, 4), "not all")
+        self.do(commands.FinishBatch("r", self.fence, 4, []))
+        self.assertEqual(self.do(commands.FinishRelease("r", self.fence, 5)).state, "undone")
         self.assertEqual(self.book.held.versions, {})
 
     def test_a_host_that_can_t_take_it_ends_it_before_anything_is_changed(self):
-        self.do(commands.Ready("r", self.fence, "h1", "no such folder", {}))
+        self.do(commands.ReportPrepared("r", self.fence, "h1", "no such folder", {}))
         self.assertEqual((self.release.state, self.release.why), ("left", "h1 can't take it: no such folder"))
 
     def test_an_undo_can_be_halted_too_and_goes_on_in_its_direction(self):
-        self.do(commands.Go("r", self.fence, 0))
-        self.do(commands.Batch("r", self.fence, 1, 0, [("a", 1)]))
-        self.do(commands.Settle("r", self.fence, 2, ["a"]))
-        self.do(commands.Turn("r", "asha", "undo"))
-        self.do(commands.Turn("r", "asha", "abort"))
+        self.do(commands.BeginRollout("r", self.fence, 0))
+        self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
+        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))
+        self.do(commands.ControlRelease("r", "asha", "undo"))
+        self.do(commands.ControlRelease("r", "asha", "abort"))
         self.assertEqual(self.release.state, "halted")
-        self.assertEqual(self.do(commands.Turn("r", "asha", "resume")).state, "undoing")
+        self.assertEqual(self.do(commands.ControlRelease("r", "asha", "resume")).state, "undoing")
 
     def test_a_snapshot_holds_all_of_it_and_one_of_before_has_no_releases(self):
-        self.do(commands.Go("r", self.fence, 0))
-        self.do(commands.Batch("r", self.fence, 1, 0, [("a", 1)]))
-        again = Book()
+        self.do(commands.BeginRollout("r", self.fence, 0))
+        self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
+        again = RolloutStateMachine()
         again.restore(self.book.fold())
         self.assertEqual(again.fold(), self.book.fold())
-        from oakkeel.disruption.state_machine import Ledger
+        from oakkeel.disruption.state_machine import PermitStateMachine
 
-        old = Ledger()
-        old.apply(1, places.encode(places.Lay(LAYOUT)))
+        old = PermitStateMachine()
+        old.apply(1, places.encode(places.SetTopology(LAYOUT)))
         again.restore(old.fold())
         self.assertEqual((again.held.releases, again.held.layout), ({}, LAYOUT))
 
@@ -384,19 +384,19 @@
             was, step, thing = self.release.state, self.release.step, "ab"[who]
             fence = self.fence - (act == "old fence")
             command = {
-                "go": commands.Go("r", fence, step),
-                "finish": commands.Finish("r", fence, step),
-                "batch": commands.Batch("r", fence, step, 0, [(thing, 1)]),
-                "settle": commands.Settle("r", fence, step, []),
-                "settle new": commands.Settle("r", fence, step, list(self.release.now)),
-                "worse": commands.Judge("r", fence, step, b"", "", "worse"),
-                "old fence": commands.Settle("r", fence, step, []),
-                "old step": commands.Finish("r", fence, step - 1),
-            }.get(act, commands.Turn("r", "asha", act))
+                "go": commands.BeginRollout("r", fence, step),
+                "finish": commands.FinishRelease("r", fence, step),
+                "batch": commands.StartBatch("r", fence, step, 0, [(thing, 1)]),
+                "settle": commands.FinishBatch("r", fence, step, []),
+                "settle new": commands.FinishBatch("r", fence, step, list(self.release.now)),
+                "worse": commands.RecordVerdict("r", fence, step, b"", "", "worse"),
+                "old fence": commands.FinishBatch("r", fence, step, []),
+                "old step": commands.FinishRelease("r", fence, step - 1),
+            }.get(act, commands.ControlRelease("r", "asha", act))
             answer = self.do(command)
             if act.startswith("old"):
-                self.assertIsInstance(answer, Refusal)
-            self.assertTrue(self.release.state == was or self.release.state in NEXT[was])
+                self.assertIsInstance(answer, Rejection)
+            self.assertTrue(self.release.state == was or self.release.state in TRANSITIONS[was])
             for name, part in self.release.parts.items():
                 if part.state == "new":
                     self.assertEqual(self.book.held.versions.get(name), "v2")
@@ -409,9 +409,9 @@
 
 class FittingStories(unittest.TestCase):
     def test_versions_come_from_the_record_and_outlive_the_agent(self):
-        fitting = Fitting()
-        what = What("v2", "/p")
-        heard = Heard({"a": "v2"}, {"v2": what}, "r", what, ["a"], True)
+        fitting = VersionAssignments()
+        what = VersionSpec("v2", "/p")
+        heard = AgentAssignments({"a": "v2"}, {"v2": what}, "r", what, ["a"], True)
         fitting.heard(encode(heard))
         self.assertEqual((fitting.version("a"), fitting.changed), ("v2", True))
         [copy] = fitting.to_prepare()
@@ -419,12 +419,12 @@
         fitting.prepared("r", "", {"a": "base"})
         fitting.heard(encode(heard))
         self.assertEqual(fitting.to_prepare(), [])
-        again = Fitting()
+        again = VersionAssignments()
         again.restore(fitting.versions, fitting.sources, fitting.bases)
         self.assertEqual(again.needed(), {"v2", "base"})
 
     def test_an_answer_of_a_leader_with_no_releases_or_a_spoilt_one_changes_nothing(self):
-        fitting = Fitting()
+        fitting = VersionAssignments()
         fitting.restore({"a": "v2"}, {}, {})
         for content in (b"", b"\x99"):
             fitting.heard(content)
@@ -438,7 +438,7 @@
         os.makedirs(os.path.join(self.program, "sub"))
         self.write("run", "#!/bin/sh\n")
         self.write("sub/data", "1")
-        self.contents = Contents(os.path.join(self.folder, "kept"))
+        self.contents = ContentStore(os.path.join(self.folder, "kept"))
 
     def write(self, name: str, text: str) -> None:
         with open(os.path.join(self.program, name), "w", encoding="ascii") as file:
@@ -482,16 +482,16 @@
         self.assertEqual(config["a"], 1)
 
 
-def schedule(troubles: list[Trouble], seed: int = 3, keepers: int = 3, lasts: int = 25) -> Schedule:
+def schedule(troubles: list[Fault], seed: int = 3, keepers: int = 3, lasts: int = 25) -> Schedule:
     return Schedule(seed, keepers, keepers, 2, 1, 1, tuple(troubles), lasts * SECOND)
 
 
-def release(to: int = 0, who: int = 1) -> Trouble:
+def release(to: int = 0, who: int = 1) -> Fault:
     """Of the kind `to % 4`: good, good, worse, crash; on all things."""
-    return Trouble(2 * SECOND, "release", who, to, 0, 1.0)
+    return Fault(2 * SECOND, "release", who, to, 0, 1.0)
 
 
-def state(world: World) -> tuple[str, str]:
+def state(world: ConsensusSimulation) -> tuple[str, str]:
     for host in world.hosts.values():
         if host.steward and host.steward.granting:
             [found] = host.steward.ledger.held.releases.values()
@@ -500,7 +500,7 @@
 
 
 class SimulatedStories(unittest.TestCase):
-    def play(self, *troubles: Trouble, **more) -> tuple[str, str]:
+    def play(self, *troubles: Fault, **more) -> tuple[str, str]:
         world, breaches = play(schedule(list(troubles), **more))
         self.assertEqual(breaches, [])
         return state(world)
@@ -516,14 +516,14 @@
         for at in range(0, 6000, 150):
             for kind in (0, 1):
                 kills = [
-                    Trouble((2 * SECOND) + at * 1_000_000, "kill in a step", host, kind, 0, 0.0)
+                    Fault((2 * SECOND) + at * 1_000_000, "kill in a step", host, kind, 0, 0.0)
                     for host in range(3)
                 ]
                 ended.add(self.play(release(1), *kills[: 1 + at // 150 % 3], seed=at, lasts=40)[0])
         self.assertEqual(ended, {"done"})
 
     def test_without_a_majority_nothing_moves_and_nothing_is_lost(self):
-        cut = [Trouble(2500_000_000, "stop", host, 0, 30 * SECOND, 0.0) for host in (0, 1)]
+        cut = [Fault(2500_000_000, "stop", host, 0, 30 * SECOND, 0.0) for host in (0, 1)]
         world, breaches = play(schedule([release(1), *cut], lasts=15))
         self.assertEqual(breaches, [])
         steps = max((step for _, step in world.of_releases.steps), default=0)
@@ -551,11 +551,11 @@
         return found[0] if found else ""
 
     def test_a_start_with_the_new_before_its_batch_and_an_end_that_is_not_true_are_noticed(self):
-        def early(world: World) -> None:
-            old = Fitting.version
+        def early(world: ConsensusSimulation) -> None:
+            old = VersionAssignments.version
             self.enterContext(
                 unittest.mock.patch.object(
-                    Fitting,
+                    VersionAssignments,
                     "version",
                     lambda fitting, thing: (
                         old(fitting, thing) or (world.of_releases.version.get(fitting.release, ""))
@@ -567,23 +567,23 @@
 
     def test_an_end_that_is_not_true_is_noticed(self):
         for owner, name, lie in (
-            (Driver, "_is_new", lambda driver, release, thing, parts: release.forward),
-            (Driver, "_came", lambda *words: True),
-            (Driver, "_strays", lambda *words: False),
-            (Fitting, "version", lambda *words: ""),
-            (Driver, "_gated", lambda driver, *words: setattr(driver, "why", "")),
+            (RolloutController, "_is_new", lambda driver, release, thing, parts: release.forward),
+            (RolloutController, "_came", lambda *words: True),
+            (RolloutController, "_strays", lambda *words: False),
+            (VersionAssignments, "version", lambda *words: ""),
+            (RolloutController, "_gated", lambda driver, *words: setattr(driver, "why", "")),
         ):
             self.enterContext(unittest.mock.patch.object(owner, name, lie))
         self.assertIn("promise 9", self.breaches(None))
 
     def test_two_drivers_steps_both_taken_are_noticed(self):
-        audit = ReleaseAudit()
-        audit.taken(0, "h1", places.encode(commands.Begin("r", "asha", 0, What("v"), Pace(), ["a"])))
-        audit.taken(1, "h1", places.encode(commands.Batch("r", 9, 1, 0, [("a", 1)])))
-        audit.taken(2, "h2", places.encode(commands.Batch("r", 9, 1, 0, [("a", 1)])))
+        audit = RolloutAudit()
+        audit.taken(0, "h1", places.encode(commands.StartRelease("r", "asha", 0, VersionSpec("v"), RolloutPolicy(), ["a"])))
+        audit.taken(1, "h1", places.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
+        audit.taken(2, "h2", places.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
         self.assertEqual(audit.breaches, [])
-        audit.taken(3, "h2", places.encode(commands.Batch("r", 8, 1, 0, [("b", 1)])))
-        audit.taken(4, "h2", places.encode(commands.Settle("r", 7, 2, [])))
+        audit.taken(3, "h2", places.encode(commands.StartBatch("r", 8, 1, 0, [("b", 1)])))
+        audit.taken(4, "h2", places.encode(commands.FinishBatch("r", 7, 2, [])))
         self.assertEqual(len(audit.breaches), 2)
 
 
@@ -602,10 +602,10 @@
         self.assertEqual(model.most_out(2, {"step"}), 3)
 
     def test_the_model_has_the_table_of_the_code(self):
-        self.assertEqual(set(NEXT), {each for pair in model.MOVES for each in pair})
+        self.assertEqual(set(TRANSITIONS), {each for pair in model.MOVES for each in pair})
         for was, to in model.MOVES:
-            self.assertIn(to, NEXT[was])
-        self.assertEqual({state for state, after in NEXT.items() if not after}, set(OVER))
+            self.assertIn(to, TRANSITIONS[was])
+        self.assertEqual({state for state, after in TRANSITIONS.items() if not after}, set(FINAL_STATES))
 
 
 if __name__ == "__main__":
--- a/tests/test_rollout_rig.py
+++ b/tests/test_rollout_rig.py
@@ -12,12 +12,12 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.artifacts import version_of
-from oakkeel.fakes.downstream_service import Stood
+from oakkeel.fakes.downstream_service import DownstreamService
 from oakkeel.fakes.site import free_port
-from oakkeel.fleet.agent_clients import NoLeader
+from oakkeel.fleet.agent_clients import NoLeaderError
 from oakkeel.invariants.rollout import runs_by_journals, steps_by_logs
-from oakkeel.rollout.commands import Pace, What
-from oakkeel.store.content_store import Contents
+from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
+from oakkeel.store.content_store import ContentStore
 from tests.test_rig import HOSTS, RigStory
 
 SECOND = 1_000_000_000
@@ -25,7 +25,7 @@
 ALL = [name for names in HOSTS.values() for name in names]
 
 
-def out(told: messages.ReleaseTold) -> bool:
+def out(told: messages.ReleaseStatus) -> bool:
     return any(part.state == "changing" for part in told.parts)
 
 
@@ -35,7 +35,7 @@
         await super().end()
         self.assertEqual(wrong, [])
 
-    def program(self, name: str, words: str = "") -> What:
+    def program(self, name: str, words: str = "") -> VersionSpec:
         """A new program of stand-in nodes that behave so."""
         folder = os.path.join(self.folder, name)
         os.makedirs(folder)
@@ -44,11 +44,11 @@
                 f'#!/bin/sh\n# {name}\nOAKKEEL_BEHAVE="{words}" exec {sys.executable} -m oakkeel.fakes.node\n'
             )
         os.chmod(os.path.join(folder, "run"), 0o755)
-        return What(version_of(folder, ""), folder)
+        return VersionSpec(version_of(folder, ""), folder)
 
-    async def leads(self, wish: messages.Wish) -> messages.Answer:
+    async def leads(self, wish: messages.Request) -> messages.Response:
         """What the leader says, through changes of leader."""
-        answer: messages.Answer | None = None
+        answer: messages.Response | None = None
 
         async def told() -> bool:
             nonlocal answer
@@ -59,24 +59,24 @@
         assert answer is not None
         return answer
 
-    async def begin(self, what: What, things=ALL, ident: str = "r", **pace) -> messages.Answer:
-        return await self.leads(messages.StartRelease(ident, what, Pace(**(QUICK | pace)), list(things)))
+    async def begin(self, what: VersionSpec, things=ALL, ident: str = "r", **pace) -> messages.Response:
+        return await self.leads(messages.StartReleaseRequest(ident, what, RolloutPolicy(**(QUICK | pace)), list(things)))
 
-    async def turn(self, to: str, ident: str = "r") -> messages.Answer:
-        return await self.leads(messages.TurnRelease(ident, to))
+    async def turn(self, to: str, ident: str = "r") -> messages.Response:
+        return await self.leads(messages.ControlReleaseRequest(ident, to))
 
-    async def told(self, ident: str = "r") -> messages.ReleaseTold:
-        answer = await self.leads(messages.AskRelease(ident))
-        assert isinstance(answer, messages.ReleaseTold), answer
+    async def told(self, ident: str = "r") -> messages.ReleaseStatus:
+        answer = await self.leads(messages.ReleaseStatusRequest(ident))
+        assert isinstance(answer, messages.ReleaseStatus), answer
         return answer
 
-    async def until_told(self, what: str, done, wait: float = 60.0, ident: str = "r") -> messages.ReleaseTold:
-        found: messages.ReleaseTold | None = None
+    async def until_told(self, what: str, done, wait: float = 60.0, ident: str = "r") -> messages.ReleaseStatus:
+        found: messages.ReleaseStatus | None = None
 
         async def so() -> bool:
             nonlocal found
-            answer = await self.rig.asker.ask_leader(messages.AskRelease(ident))
-            assert isinstance(answer, messages.ReleaseTold), answer
+            answer = await self.rig.asker.ask_leader(messages.ReleaseStatusRequest(ident))
+            assert isinstance(answer, messages.ReleaseStatus), answer
             found = answer
             return done(answer)
 
@@ -88,7 +88,7 @@
         assert found is not None
         return found
 
-    async def over(self, *states: str, wait: float = 60.0, ident: str = "r") -> messages.ReleaseTold:
+    async def over(self, *states: str, wait: float = 60.0, ident: str = "r") -> messages.ReleaseStatus:
         return await self.until_told(f"it is {states}", lambda told: told.state in states, wait, ident)
 
     async def all_run(self, version: str, things=ALL) -> None:
@@ -137,12 +137,12 @@
         what = self.program("v2")
         await self.begin(what, ["n4a"])
         answer = await self.begin(self.program("v3"), ["n5a"], ident="r2")
-        self.assertIsInstance(answer, messages.Fault)
+        self.assertIsInstance(answer, messages.ErrorResponse)
         self.assertIn("asha's release r", answer.why)
-        self.assertIsInstance(await self.begin(what, ["n4a"]), messages.ReleaseTold)
+        self.assertIsInstance(await self.begin(what, ["n4a"]), messages.ReleaseStatus)
         await self.over("done")
         answer = await self.begin(self.program("v4"), ["n5a", "n4a"], ident="r2")
-        self.assertIsInstance(answer, messages.ReleaseTold, answer)
+        self.assertIsInstance(answer, messages.ReleaseStatus, answer)
         await self.over("done", ident="r2")
 
 
@@ -196,9 +196,9 @@
         self.assertNotIn(runs, ("", what.version))  # the copy of what ran before
         [host] = [host for host, names in self.hosts.items() if "n4a" in names]
         folder = os.path.join(self.folder, host, "versions")
-        self.assertIsNotNone(Contents(folder).find(runs))
-        dropped = Contents(folder).drop_but({runs})
-        self.assertEqual((dropped, Contents(folder).find(runs) is None), ([what.version], False))
+        self.assertIsNotNone(ContentStore(folder).find(runs))
+        dropped = ContentStore(folder).drop_but({runs})
+        self.assertEqual((dropped, ContentStore(folder).find(runs) is None), ([what.version], False))
 
     async def test_the_copy_is_run_and_not_what_lies_at_the_path_by_then(self):
         what = self.program("v2")
@@ -207,8 +207,8 @@
         with open(os.path.join(what.program, "run"), "w", encoding="ascii") as file:
             file.write("#!/bin/sh\nexit 9\n")
         await self.over("done")
-        answer = await self.begin(What(what.version, what.program), ["n1a"], ident="r2")
-        self.assertIsInstance(answer, messages.ReleaseTold)
+        answer = await self.begin(VersionSpec(what.version, what.program), ["n1a"], ident="r2")
+        self.assertIsInstance(answer, messages.ReleaseStatus)
         told = await self.over("left", ident="r2")
         self.assertIn("not " + what.version, told.why)
 
@@ -258,7 +258,7 @@
         for host in names:
             self.rig.stop(host)  # their last word was that all serve
         steps = told.step
-        with contextlib.suppress(NoLeader):
+        with contextlib.suppress(NoLeaderError):
             steps = (await self.told()).step
         await asyncio.sleep(4.0)
         told = await self.told()
@@ -372,7 +372,7 @@
     hanging = {"n1a": "db1", "n2a": "db1", "n3a": "db1", "n1b": "db2", "n2b": "db2", "n3b": "db2"}
 
     async def asyncSetUp(self) -> None:
-        self.services = {name: Stood(free_port()) for name in ("db1", "db2")}
+        self.services = {name: DownstreamService(free_port()) for name in ("db1", "db2")}
         for each in self.services.values():
             await each.open()
         self.below = (
@@ -412,7 +412,7 @@
         return names[0]
 
     async def test_never_both_sides_at_once_and_one_that_comes_back_slower_halts_it(self):
-        await self.begin(What("db-9", services=True), ["db1", "db2"], lasts=20 * SECOND, soak=SECOND)
+        await self.begin(VersionSpec("db-9", services=True), ["db1", "db2"], lasts=20 * SECOND, soak=SECOND)
 
         def slower(service: str) -> None:
             for name, on in self.hanging.items():
@@ -428,10 +428,10 @@
         await self.over("undone")
 
     async def test_instances_wait_while_what_they_hang_on_is_out(self):
-        await self.begin(What("db-9", services=True), ["db1"], gated=False, lasts=20 * SECOND)
+        await self.begin(VersionSpec("db-9", services=True), ["db1"], gated=False, lasts=20 * SECOND)
         await self.until_told("it is out", out)
         answer = await self.begin(self.program("v2"), ["n1a"], ident="r2")
-        self.assertIsInstance(answer, messages.Fault)
+        self.assertIsInstance(answer, messages.ErrorResponse)
         await self.replace(lambda service: None)
         await self.over("done")
         await self.begin(self.program("v3"), ["n1a", "n1b"], ident="r2", gated=False)
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -8,8 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.orders import OrderRefused, Orders, PartState, Verb
-from oakkeel.agent.supervisor import MS, SECOND, Act, Patience, Supervision
+from oakkeel.agent.orders import OrderRejectedError, OrderRegistry, TaskState, Verb
+from oakkeel.agent.supervisor import MS, SECOND, Action, SupervisionTimeouts, Supervisor
 
 REPORT = object()
 
@@ -20,26 +20,26 @@
     def __init__(self, names: int = 4, away: int = 1, **patience) -> None:
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{number}", "woodbrook") for number in range(1, names + 1)]
-        self.supervision = Supervision(
+        self.supervision = Supervisor(
             self.instances,
-            Patience(**patience),
+            SupervisionTimeouts(**patience),
             {"woodbrook": away},
             7,
             lambda: 1_790_000_000 * SECOND + self.now,
         )
         self.orders = WatchedOrders(self.supervision, time.time_ns)
-        self.steps: list[tuple[Act, Instance]] = []
+        self.steps: list[tuple[Action, Instance]] = []
         self.quiet: set[Instance] = set()  # their processes say nothing
         self.deaf: set[Instance] = set()  # they don't leave when told to
 
-    def tick(self) -> list[tuple[Act, Instance]]:
+    def tick(self) -> list[tuple[Action, Instance]]:
         self.orders.advance(self.now)
         steps = [(step.act, step.instance) for step in self.supervision.tick(self.now)]
         self.steps += steps
         for act, instance in steps:
-            if act is Act.START:
+            if act is Action.START:
                 self.supervision.spawned(self.now, instance)
-            elif act is Act.KILL or instance not in self.deaf:
+            elif act is Action.KILL or instance not in self.deaf:
                 self.supervision.died(self.now, instance, "told to")
         self.orders.advance(self.now)
         return steps
@@ -72,7 +72,7 @@
         self.supervision.died(self.now, instance, "killed by SIGSEGV")
 
 
-class WatchedOrders(Orders):
+class WatchedOrders(OrderRegistry):
     """Checks at each beginning that the bound on what is out holds, or nothing more went out."""
 
     def _begin(self, now, part) -> None:
@@ -116,10 +116,10 @@
         host.run(20.5)
         self.assertEqual((stuck.phase, host.steps), (Phase.SILENT, []))
         host.run(3)
-        self.assertEqual(host.steps, [(Act.TERM, stuck)])
+        self.assertEqual(host.steps, [(Action.TERM, stuck)])
         host.quiet.clear()
         host.run(5)
-        self.assertEqual(host.steps, [(Act.TERM, stuck), (Act.KILL, stuck), (Act.START, stuck)])
+        self.assertEqual(host.steps, [(Action.TERM, stuck), (Action.KILL, stuck), (Action.START, stuck)])
 
     def test_one_that_is_stuck_stays_where_settings_say_so(self):
         host = self.serving(stuck=5 * SECOND, restart_stuck=False)
@@ -204,18 +204,18 @@
             host.run(0.1)
             worst = max(worst, host.supervision.out["woodbrook"])
         self.assertEqual(worst, 2)
-        self.assertEqual({part.state for part in order.parts}, {PartState.DONE})
-        self.assertEqual([act for act, _ in host.steps].count(Act.START), 4)
+        self.assertEqual({part.state for part in order.parts}, {TaskState.DONE})
+        self.assertEqual([act for act, _ in host.steps].count(Action.START), 4)
 
     def test_one_that_died_by_itself_takes_the_room(self):
         host = self.serving(away=1, backoff=20 * SECOND)
         host.died(host.instances[0])
         order = host.take(Verb.DRAIN, host.instances[1])
         host.run(5)
-        self.assertEqual(order.parts[0].state, PartState.WAITING)
+        self.assertEqual(order.parts[0].state, TaskState.WAITING)
         gone = host.take(Verb.DRAIN, host.instances[0], ident="o2")  # what is out already needs none
         host.run(0.2)
-        self.assertEqual((gone.parts[0].state, host.instances[0].phase), (PartState.DONE, Phase.STOPPED))
+        self.assertEqual((gone.parts[0].state, host.instances[0].phase), (TaskState.DONE, Phase.STOPPED))
 
     def test_of_two_opposite_orders_for_one_generation_the_first_holds(self):
         host = self.serving()
@@ -225,7 +225,7 @@
         host.now += MS // 2
         second = host.take(Verb.START, instance, ident="o2", operator="ravi", generation=seen, supersede=True)
         self.assertEqual(
-            (first.parts[0].state, second.parts[0].state), (PartState.WAITING, PartState.REFUSED)
+            (first.parts[0].state, second.parts[0].state), (TaskState.WAITING, TaskState.REFUSED)
         )
         self.assertIn("asha's drain stands since", second.parts[0].why)
         host.run(2)
@@ -241,11 +241,11 @@
         self.assertIn("asha's restart stands", refused.parts[0].why)
         second = host.take(Verb.DRAIN, instance, ident="o3", operator="ravi", supersede=True)
         self.assertEqual(
-            (first.parts[0].state, second.parts[0].state), (PartState.SUPERSEDED, PartState.WAITING)
+            (first.parts[0].state, second.parts[0].state), (TaskState.SUPERSEDED, TaskState.WAITING)
         )
         host.died(instance)
         host.run(1)
-        self.assertEqual((instance.phase, second.parts[0].state), (Phase.STOPPED, PartState.DONE))
+        self.assertEqual((instance.phase, second.parts[0].state), (Phase.STOPPED, TaskState.DONE))
 
     def test_the_same_order_twice_is_one_and_its_id_serves_no_other(self):
         host = self.serving(away=4)
@@ -255,10 +255,10 @@
         host.run(3)
         self.assertIs(host.take(Verb.RESTART, instance, generation=1), first)
         host.run(3)
-        self.assertEqual([act for act, _ in host.steps], [Act.TERM, Act.START])
-        with self.assertRaises(OrderRefused):
+        self.assertEqual([act for act, _ in host.steps], [Action.TERM, Action.START])
+        with self.assertRaises(OrderRejectedError):
             host.take(Verb.STOP, instance, generation=1)
-        with self.assertRaises(OrderRefused):
+        with self.assertRaises(OrderRejectedError):
             host.take(Verb.RESTART, instance, generation=1, operator="ravi")
 
     def test_an_order_made_for_a_process_that_has_been_replaced_since_is_refused(self):
@@ -278,7 +278,7 @@
         order = host.take(Verb.STOP, instance)
         host.run(60)
         self.assertEqual(
-            (order.parts[0].state, instance.phase, host.steps), (PartState.DONE, Phase.STOPPED, [])
+            (order.parts[0].state, instance.phase, host.steps), (TaskState.DONE, Phase.STOPPED, [])
         )
 
     def test_a_restart_while_a_drain_runs_waits_for_nothing_and_brings_it_back(self):
@@ -293,7 +293,7 @@
         host.died(instance)
         host.run(1)
         self.assertEqual(
-            (instance.phase, [act for act, _ in host.steps]), (Phase.SERVING, [Act.TERM, Act.START])
+            (instance.phase, [act for act, _ in host.steps]), (Phase.SERVING, [Action.TERM, Action.START])
         )
 
     def test_a_drain_never_kills_and_a_stop_does(self):
@@ -303,8 +303,8 @@
         slow = host.take(Verb.DRAIN, drained, lasts=30 * SECOND)
         host.take(Verb.STOP, stopped, ident="o2")
         host.run(40)
-        self.assertEqual(host.steps, [(Act.TERM, drained), (Act.TERM, stopped), (Act.KILL, stopped)])
-        self.assertEqual((slow.parts[0].state, drained.phase), (PartState.FAILED, Phase.DRAINING))
+        self.assertEqual(host.steps, [(Action.TERM, drained), (Action.TERM, stopped), (Action.KILL, stopped)])
+        self.assertEqual((slow.parts[0].state, drained.phase), (TaskState.FAILED, Phase.DRAINING))
 
     def test_cancel_ends_what_waits_and_says_what_has_begun(self):
         host = self.serving(away=1)
@@ -312,16 +312,16 @@
         order = host.take(Verb.STOP, *host.instances[:2])
         host.run(0.5)
         host.orders.cancel(host.now, "o1", "ravi")
-        self.assertEqual([part.state for part in order.parts], [PartState.ACTING, PartState.CANCELLED])
+        self.assertEqual([part.state for part in order.parts], [TaskState.ACTING, TaskState.CANCELLED])
         self.assertIn("before ravi cancelled", order.parts[0].why)
-        with self.assertRaises(OrderRefused):
+        with self.assertRaises(OrderRejectedError):
             host.orders.cancel(host.now, "o9", "ravi")
 
     def test_what_found_no_room_in_its_time_expires_and_never_begins(self):
         host = self.serving(away=0)
         order = host.take(Verb.STOP, host.instances[0], lasts=3 * SECOND)
         host.run(4)
-        self.assertEqual((order.parts[0].state, host.steps), (PartState.EXPIRED, []))
+        self.assertEqual((order.parts[0].state, host.steps), (TaskState.EXPIRED, []))
         self.assertIsNone(host.instances[0].part)
 
     def test_a_restart_that_keeps_dying_fails_and_says_why(self):
@@ -332,7 +332,7 @@
                 host.died(host.instances[0])
             host.now += 100 * MS
             host.tick()
-        self.assertEqual(order.parts[0].state, PartState.FAILED)
+        self.assertEqual(order.parts[0].state, TaskState.FAILED)
         self.assertIn("SIGSEGV", order.parts[0].why)
 
     def test_an_order_that_could_not_be_kept_never_was(self):
@@ -344,13 +344,13 @@
         self.assertEqual((instance.generation, instance.changed_by), before)
         self.assertIs(instance.part, standing.parts[0])
         host.run(1)
-        self.assertEqual((standing.parts[0].state, instance.phase), (PartState.DONE, Phase.STOPPED))
+        self.assertEqual((standing.parts[0].state, instance.phase), (TaskState.DONE, Phase.STOPPED))
 
     def test_what_can_be_no_order_is_refused_whole(self):
         host = self.serving()
         one = host.instances[0]
         for asked in ((), ((one.name, 1), (one.name, 1)), tuple((f"x{n}", 1) for n in range(9))):
-            with self.assertRaises(OrderRefused):
+            with self.assertRaises(OrderRejectedError):
                 host.orders.take(host.now, "o1", "asha", Verb.STOP, asked, SECOND)
         self.assertEqual(host.orders.take(host.now, "o1", "asha", Verb.STOP, (("x", 1),), SECOND).parts, [])
 
