--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -219,7 +219,7 @@
                         await rig.state_of(ident)
                     except AssertionError:
                         lost.append(ident)
-            elections = sum(kind == "leads the record" for _, kind, _ in events(folder, HOSTS))
+            elections = sum(kind == "leader_elected" for _, kind, _ in events(folder, HOSTS))
         finally:
             await rig.close()
         groups = {"fleet": (FLEET, [name for names in HOSTS.values() for name in names])}
@@ -254,7 +254,7 @@
     told: set[tuple[str, int]] = set()
     doubled = 0
     for _, kind, facts in events(folder, HOSTS):
-        key = facts.get("of", ""), facts.get("generation", 0)
+        key = facts.get("target", ""), facts.get("generation", 0)
         if kind == "node leave":
             doubled += key in told
             told.add(key)
--- a/measure/common.py
+++ b/measure/common.py
@@ -106,7 +106,9 @@
         for attempt in range(3):
             await self.agents.ask(
                 {
-                    host: messages.OrderRequest(f"end-{attempt}", "stop", instances, 30 * SECOND, supersede=True)
+                    host: messages.OrderRequest(
+                        f"end-{attempt}", "stop", instances, 30 * SECOND, supersede=True
+                    )
                     for host, instances in wanted.items()
                 }
             )
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -23,7 +23,9 @@
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{n}", f"site{n % SITES}") for n in range(size)]
         away = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
-        self.supervision = Supervisor(self.instances, SupervisionTimeouts(starting=size), away, seed, lambda: self.now)
+        self.supervision = Supervisor(
+            self.instances, SupervisionTimeouts(starting=size), away, seed, lambda: self.now
+        )
         self.orders = OrderRegistry(self.supervision, lambda: self.now)
         self.worst = 0
 
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -45,7 +45,12 @@
 
 
 async def one(
-    rig: ProcessRig, ident: str, name: str, cancel_after: float | None, figures: dict[str, Any], dispatcher: Watched
+    rig: ProcessRig,
+    ident: str,
+    name: str,
+    cancel_after: float | None,
+    figures: dict[str, Any],
+    dispatcher: Watched,
 ) -> None:
     answer = await rig.order(ident, "drain", [name], 60)
     assert isinstance(answer, messages.FleetOrderStatus), answer
@@ -159,10 +164,10 @@
     """Runs of what was sent more than the grace after the notice, while the drain stood."""
     stands: dict[str, list[list[float]]] = {}
     for at, kind, facts in events(folder, HOSTS):
-        if kind == "told to leave":
-            stands.setdefault(facts["of"], []).append([at / 1e9 + GRACE / 1e9, float("inf")])
-        elif kind in ("told to stay", "ended") and facts.get("of") in stands:
-            stands[facts["of"]][-1][1] = min(stands[facts["of"]][-1][1], at / 1e9)
+        if kind == "drain_requested":
+            stands.setdefault(facts["target"], []).append([at / 1e9 + GRACE / 1e9, float("inf")])
+        elif kind in ("drain_cancel_requested", "instance_exited") and facts.get("target") in stands:
+            stands[facts["target"]][-1][1] = min(stands[facts["target"]][-1][1], at / 1e9)
     sent = {ident: at for each in watched for ident, (_, at) in each.sent_at.items()}
     return sum(
         any(begin + SLACK < sent[ident] < end - SLACK for begin, end in stands.get(name, ()))
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -6,7 +6,7 @@
 import time
 
 from measure.common import keep, options, processor, say
-from oakkeel.emulator.clients import ClientBehavior, BalancingPolicy
+from oakkeel.emulator.clients import BalancingPolicy, ClientBehavior
 from oakkeel.emulator.scenario import Scenario, ScenarioRun
 
 EACH = 10.0  # exchanges a second and node
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -20,7 +20,7 @@
 
 from measure.common import keep, options, say
 from oakkeel.admission.fairness import FairSharing
-from oakkeel.admission.types import Effect, RequestClass, Request, FairSharingRules
+from oakkeel.admission.types import Effect, FairSharingRules, Request, RequestClass
 from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
 from oakkeel.fakes.load_clients import CrawlerClient, PoliteClient
 from oakkeel.fakes.simulated_node import fair_share, jain
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -20,7 +20,7 @@
 from scipy import stats
 
 from measure.common import SECOND, keep, options, processor, say
-from oakkeel.rollout.gates import Decision, Samples, Gate
+from oakkeel.rollout.gates import Decision, Gate, Samples
 from oakkeel.rollout.sequential import Sums
 
 NODES, RATE = 12, 60.0  # exchanges a second at each node
--- a/measure/places.py
+++ b/measure/places.py
@@ -37,7 +37,9 @@
             ]
             for number in range(20)
         }
-        groups = [BudgetGroup(f"site {site}", max(1, len(held) // 10), tuple(held)) for site, held in sites.items()]
+        groups = [
+            BudgetGroup(f"site {site}", max(1, len(held) // 10), tuple(held)) for site, held in sites.items()
+        ]
         every = tuple(thing for held in things.values() for thing in held)
         groups.append(BudgetGroup("fleet", hosts * each // 10, every))
         self.layout = Topology(things, tuple(groups))
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -15,8 +15,8 @@
 
 from measure.common import SECOND, keep, options, processor, say
 from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
-from oakkeel.emulator.consensus import SimulatedHost, ConsensusSimulation
-from oakkeel.emulator.faults import Schedule, Fault
+from oakkeel.emulator.consensus import ConsensusSimulation, SimulatedHost
+from oakkeel.emulator.faults import Fault, Schedule
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import VersionSpec
 from oakkeel.rollout.controller import RolloutController
@@ -32,7 +32,8 @@
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
     groups = [
-        BudgetGroup(f"site {number}", max(1, len(site) // 10), tuple(site)) for number, site in enumerate(sites)
+        BudgetGroup(f"site {number}", max(1, len(site) // 10), tuple(site))
+        for number, site in enumerate(sites)
     ]
     layout = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
     planner, random, found = BatchPlanner(layout), Random(1), {}
@@ -102,8 +103,12 @@
     watched = Watched(world)
     world.clock.run(3 * SECOND)
     began = world.clock.now
-    pace = commands.RolloutPolicy(soak=SECOND, patience=120 * SECOND, lasts=20 * SECOND, gated=gated, margin=0.05)
-    order(world, commands.StartRelease("r", "asha", 0, VersionSpec("good r", "here"), pace, list(world.every)))
+    pace = commands.RolloutPolicy(
+        soak=SECOND, patience=120 * SECOND, lasts=20 * SECOND, gated=gated, margin=0.05
+    )
+    order(
+        world, commands.StartRelease("r", "asha", 0, VersionSpec("good r", "here"), pace, list(world.every))
+    )
     state = ""
     while world.clock.now < began + 600 * SECOND:
         world.clock.run(world.clock.now + 200 * MS)
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -104,7 +104,9 @@
 
 
 class Play:
-    def __init__(self, rig: ProcessRig, services: dict[str, Catalogue], ports: dict[str, int], seed: int) -> None:
+    def __init__(
+        self, rig: ProcessRig, services: dict[str, Catalogue], ports: dict[str, int], seed: int
+    ) -> None:
         self.rig, self.services, self.ports, self.random = rig, services, ports, Random(seed)
         self.killed: set[str] = set()
         self.driver_kills = 0
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -16,14 +16,14 @@
 from random import Random
 
 from oakkeel.admission.types import (
-    LoadReportKind,
     DownstreamKind,
     Effect,
-    Request,
     Gauges,
     Host,
+    LoadReportKind,
     NodeLimits,
     Outcome,
+    Request,
     RequestState,
     StopKind,
 )
@@ -86,8 +86,18 @@
     RequestState.HELD: {RequestState.RUNNING, RequestState.OVER},
     RequestState.SHARING: {RequestState.OVER},
     RequestState.RUNNING: {RequestState.AT_CALL, RequestState.ORPHANED, RequestState.OVER},
-    RequestState.AT_CALL: {RequestState.CALLING, RequestState.RUNNING, RequestState.ENDING, RequestState.OVER},
-    RequestState.CALLING: {RequestState.AT_CALL, RequestState.RUNNING, RequestState.ENDING, RequestState.OVER},
+    RequestState.AT_CALL: {
+        RequestState.CALLING,
+        RequestState.RUNNING,
+        RequestState.ENDING,
+        RequestState.OVER,
+    },
+    RequestState.CALLING: {
+        RequestState.AT_CALL,
+        RequestState.RUNNING,
+        RequestState.ENDING,
+        RequestState.OVER,
+    },
     RequestState.ORPHANED: {RequestState.ENDING, RequestState.OVER},
     RequestState.ENDING: {RequestState.OVER},
     RequestState.OVER: set(),
@@ -147,14 +157,19 @@
         self.keys: list[int] = []  # when the memory of a kept key is free
         self.alarms: dict[int, list[Request]] = {}
         self.stop_at = self.grace_end = 0  # set by the notice to leave
-        self.latency, self.unread = SlidingWindow(), SlidingWindow()  # to completion, unread, over the SLO time
+        self.latency, self.unread = (
+            SlidingWindow(),
+            SlidingWindow(),
+        )  # to completion, unread, over the SLO time
         self.retries = SlidingWindow()  # marked later tries among what was read
         self.spans = [SlidingWindow() for _ in limits.groups]  # time on the cores of completed runs
         self.span = [group.slo_time / 6 for group in limits.groups]
         tenants = max(1, len(limits.tenants))
         self.asked = [[SlidingWindow() for _ in range(tenants)] for _ in limits.groups]
         self.ranks = [[(0.0, 1.0)] * tenants for _ in limits.groups]  # place among the asked, breadth
-        self.calls_time = SlidingWindow(limits.call_window // (WINDOW_BUCKETS - 1) + 1)  # call time spent below
+        self.calls_time = SlidingWindow(
+            limits.call_window // (WINDOW_BUCKETS - 1) + 1
+        )  # call time spent below
         self.calls_booked = self.calls_failed = self.trial_at = 0
         self.waiting: deque[Request] = deque()  # at calls that can't be placed yet
         self.advice, self.willing, self.fit = -1.0, 1.0, True
@@ -164,7 +179,9 @@
 
             self.fair = FairSharing(limits.fair, limits.marks_retries, self.chance)
         self.callers: dict[int, int] = {}  # when each was heard, the latest last
-        self.returns = [SlidingWindow(2 * SECOND) for _ in range(LINK_STEPS + 1)]  # times between, by doubled steps
+        self.returns = [
+            SlidingWindow(2 * SECOND) for _ in range(LINK_STEPS + 1)
+        ]  # times between, by doubled steps
         host.set_health(True, True)  # from store: a real check costs work
         self._advise()
         host.set_timer(POLL_TOKEN, now + int(POLL * (0.5 + self.chance() / 2)))
@@ -283,7 +300,11 @@
 
     def _on_cores(self) -> int:
         """Runs, and those whose call we have not placed: these wait on us, not on what lies below."""
-        return self.count[RequestState.RUNNING] + self.count[RequestState.ORPHANED] + self.count[RequestState.AT_CALL]
+        return (
+            self.count[RequestState.RUNNING]
+            + self.count[RequestState.ORPHANED]
+            + self.count[RequestState.AT_CALL]
+        )
 
     def _cut(self, depth: float) -> float:
         """The rank below which an exchange is low: it rises with the signals from REORDER to BACKPRESSURE."""
@@ -377,7 +398,11 @@
         if state is RequestState.OVER or outcome is Outcome.MOOT:
             return
         self._end_call(ex, 0)
-        if outcome is Outcome.STOPPED and state in (RequestState.RUNNING, RequestState.AT_CALL, RequestState.CALLING):
+        if outcome is Outcome.STOPPED and state in (
+            RequestState.RUNNING,
+            RequestState.AT_CALL,
+            RequestState.CALLING,
+        ):
             self.host.terminate(ex)  # stopped, but not by us: it must not stay without an answer
         self._move(ex, RequestState.OVER)
         if outcome is Outcome.COMPLETED and state is RequestState.RUNNING:
@@ -412,7 +437,9 @@
                 self._ring(ex)
             return
         self.cpu_stage = next_stage(self.cpu_stage, gauges.core_busy, CPU, CPU_SLACK)
-        self.latency_stage = next_stage(self.latency_stage, self.latency.mean(now, 0.0), LATENCY, LATENCY_SLACK)
+        self.latency_stage = next_stage(
+            self.latency_stage, self.latency.mean(now, 0.0), LATENCY, LATENCY_SLACK
+        )
         self.depth_stage = next_stage(self.depth_stage, self._depth(), DEPTH, DEPTH_SLACK)
         self.span = [ring.mean(now, self.span[index] * SPAN_FADE) for index, ring in enumerate(self.spans)]
         while self.keys and self.keys[0] <= now:
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from math import inf
 
-from oakkeel.admission.types import Request, FairSharingRules, ShareStanding, RequestState
+from oakkeel.admission.types import FairSharingRules, Request, RequestState, ShareStanding
 from oakkeel.fair_sharing.max_min import MaxMinShares
 from oakkeel.fair_sharing.reservations import Reservations
 from oakkeel.resource_limits import MS, SECOND
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -69,7 +69,7 @@
         agents = {key.ident: key for key in read_agent_keys(fleet).values()}
         agent.take_settings(fleet, read_keys(fleet) | agents)
     except SettingsError as error:
-        agent.log.say("the new settings are not taken", error=str(error))
+        agent.log.error("settings_rejected", error=str(error))
 
 
 if __name__ == "__main__":
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -27,11 +27,11 @@
     VERSION,
     assignment_statements,
     permit_statements,
-    statements,
     restore_assignments,
     restore_instances,
     restore_orders,
     restore_permits,
+    statements,
 )
 from oakkeel.agent.supervisor import MS, SECOND, SupervisionTimeouts, Supervisor
 from oakkeel.authentication.mac import Key
@@ -73,7 +73,7 @@
         instances = {each.name: Instance(each.name, host.site, since=self.started) for each in host.instances}
         if self.store.set_aside:
             self.notes.append(f"the state was set aside: {self.store.set_aside}")
-            log.say("the state was set aside", file=self.store.set_aside)
+            log.warning("agent_state_quarantined", file=self.store.set_aside)
         same_boot = self._same_boot()
         restore_instances(self.store, instances, same_boot)
         for each in instances.values():
@@ -102,7 +102,9 @@
                 services=tuple(each.name for each in self.services),
             )
             restore_assignments(self.store, self.deciding.fitting)
-            self.versions = self.acting.versions = ArtifactStore(host, self.deciding.fitting, log, self._ready)
+            self.versions = self.acting.versions = ArtifactStore(
+                host, self.deciding.fitting, log, self._ready
+            )
         self.done = asyncio.Event()
         self.keeping: RaftRuntime | None = None
         self.polling: StatusReporter | None = None
@@ -150,8 +152,8 @@
             self._open_record()
         self.door.open()
         address = f"{self.door.address[0]}:{self.door.address[1]}"
-        self.log.say(
-            "the agent listens",
+        self.log.info(
+            "agent_started",
             address=address,
             instances=len(self.supervision.instances),
             running=len(self.alive),
@@ -163,8 +165,8 @@
                 await asyncio.wait_for(self.done.wait(), TURN / SECOND)
             except TimeoutError:
                 continue
-        self.log.say(
-            "the agent leaves",
+        self.log.info(
+            "agent_stopped",
             running=len(self.alive),
             open_orders=sum(each.open for each in self.orders.orders.values()),
         )
@@ -188,7 +190,9 @@
         assert self.fleet and self.fleet.keepers and deciding
         if self.store.new:
             deciding.lost_file()
-        self.polling = StatusReporter(self.fleet, self.host.name, self.agent_keys, deciding, self.log, self._heard)
+        self.polling = StatusReporter(
+            self.fleet, self.host.name, self.agent_keys, deciding, self.log, self._heard
+        )
         if self.host.name in self.fleet.keepers.hosts or os.path.exists(
             os.path.join(self.host.state, "record.db")
         ):
@@ -207,7 +211,7 @@
             )
             self.keeping.open()
         except OSError as error:
-            self.log.say("the record can't be kept here", error=str(error))
+            self.log.error("raft_unavailable", error=str(error))
 
     def _heard(self, agreed: HeartbeatResponse) -> None:
         if self.keeping is None and self.host.name in agreed.keepers:
@@ -261,7 +265,7 @@
                 if self.polling:
                     self.polling.soon.set()
         except Exception as error:  # the agent lives on
-            self.log.say("a turn failed", error=fault(error))
+            self.log.error("reconcile_failed", error=fault(error))
 
     def keep(self) -> bool:
         """Write what changed. Watching goes on where that fails; orders wait."""
@@ -285,7 +289,7 @@
             self.store.write(rows)
         except DatabaseError as error:
             if str(error) != self.store_fault:
-                self.log.say("the state can't be kept", error=str(error))
+                self.log.error("agent_state_write_failed", error=str(error))
             self.store_fault = str(error)
             return False
         for each in changed:
@@ -297,7 +301,7 @@
         if fitting:
             fitting.changed = False
         if self.store_fault:
-            self.log.say("the state is kept again")
+            self.log.info("agent_state_write_recovered")
             self.store_fault = ""
         return True
 
@@ -305,7 +309,7 @@
         """Keys hold at once; what nodes are told they read again. All else waits for the next agent."""
         self.keys = keys
         self.acting.take_fairness(fleet.fairness)
-        self.log.say("the settings are taken", keys=len(keys))
+        self.log.info("settings_reloaded", keys=len(keys))
 
 
 def timeouts_of(told: dict[str, int | bool]) -> SupervisionTimeouts:
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -26,7 +26,9 @@
 
 
 class ArtifactStore:
-    def __init__(self, host: HostSettings, fitting: VersionAssignments, log: EventLog, moved: Callable[[], None]) -> None:
+    def __init__(
+        self, host: HostSettings, fitting: VersionAssignments, log: EventLog, moved: Callable[[], None]
+    ) -> None:
         """`moved` is called once copies are made, or can't be."""
         self.fitting, self.log, self.moved = fitting, log, moved
         self.told = {each.name: each for each in host.instances}
@@ -51,9 +53,10 @@
             why = str(error)
         except Exception as error:
             why = "an error of the agent"
-            self.log.say("copying failed", release=copy.release, error=fault(error))
-        self.log.say(
-            "ready for a release" if not why else "not ready for a release",
+            self.log.error("artifact_copy_failed", release=copy.release, error=fault(error))
+        report = self.log.warning if why else self.log.info
+        report(
+            "release_prepare_failed" if why else "release_prepared",
             release=copy.release,
             version=copy.what.version,
             error=why or None,
@@ -136,7 +139,7 @@
         if self.tasks or self.fitting.release:
             return
         if dropped := self.contents.drop_but(self.fitting.needed() | running):
-            self.log.say("versions are dropped", versions=",".join(dropped))
+            self.log.info("artifacts_pruned", versions=",".join(dropped))
 
     def close(self) -> None:
         for task in self.tasks:
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -53,7 +53,7 @@
     def carry_out(self, step: Step) -> None:
         instance, order = step.instance, step.instance.part and step.instance.part.order
         process = self.alive.get(instance)
-        facts: dict[str, object] = {"of": instance.name, "generation": instance.born}
+        facts: dict[str, object] = {"target": instance.name, "generation": instance.born}
         if order:
             facts |= {"order": order.ident, "operator": order.operator}
         if self.holding and (held := self.holding.places.get(instance.name)) and held.begun:
@@ -61,12 +61,12 @@
         if step.act is Action.START:
             self._start(instance, facts)
         elif process is None:
-            self.log.say("no process to signal", **facts)
+            self.log.warning("process_not_found", **facts)
         elif step.act in (Action.LEAVE, Action.STAY):
             self._say(instance, process, step.act, facts)
         else:
             number = signal.SIGTERM if step.act is Action.TERM else signal.SIGKILL
-            self.log.say("told to leave" if step.act is Action.TERM else "killed after its drain time", **facts)
+            self.log.info("drain_requested" if step.act is Action.TERM else "drain_timeout_killed", **facts)
             self.processes.signal(process, number)
 
     def put_off(self, step: Step) -> None:
@@ -100,9 +100,9 @@
                 variables |= more
             process = self.processes.spawn(told.name, instance.born, program, variables)
         except OSError as error:
-            self.log.say("it could not be started", error=str(error), **facts)
+            self.log.error("instance_start_failed", error=str(error), **facts)
             return self.supervision.not_spawned(now, instance, str(error))
-        self.log.say("started", pid=process.pid, version=variables.get("OAKKEEL_VERSION"), **facts)
+        self.log.info("instance_started", pid=process.pid, version=variables.get("OAKKEEL_VERSION"), **facts)
         instance.ran = variables.get("OAKKEEL_VERSION", "")
         self.supervision.spawned(now, instance)
         self._watch(instance, process)
@@ -136,7 +136,7 @@
         try:
             if act is Action.STAY:
                 answer = await client.stay(process.generation, ANSWER / SECOND)
-                self.log.say("told to stay", answer=answer.why or "it does", **facts)
+                self.log.info("drain_cancel_requested", answer=answer.why or "it does", **facts)
                 if answer.why:
                     instance.why = f"told to stay: {answer.why}"
                 return
@@ -144,15 +144,15 @@
             answer = await client.leave(
                 process.generation, ANSWER / SECOND, self.supervision.patience.drain * 9 // 10
             )
-            self.log.say("told to leave", answer=answer.why or None, **facts)
+            self.log.info("drain_requested", answer=answer.why or None, **facts)
             if answer.done:
                 return
         except ControlError as error:
-            self.log.say("it does not take a word", error=str(error), **facts)
+            self.log.warning("control_request_failed", error=str(error), **facts)
         finally:
             client.close()
         if act is Action.LEAVE and not instance.recalled:
-            self.log.say("told to leave", by="signal", **facts)
+            self.log.info("drain_requested", by="signal", **facts)
             self.processes.signal(process, signal.SIGTERM)
 
     def _write_told(self, name: str) -> None:
@@ -195,7 +195,9 @@
                 self.lost.discard(instance)
                 self.supervision.taken_up(now, instance, process.generation)
                 self._watch(instance, process)
-                self.log.say("taken up", of=instance.name, pid=process.pid, generation=process.generation)
+                self.log.info(
+                    "instance_adopted", target=instance.name, pid=process.pid, generation=process.generation
+                )
             elif not self.processes.holds(instance.name):
                 self.lost.discard(instance)
                 self._found_none(instance)
@@ -210,9 +212,9 @@
             return
         del self.alive[instance]
         self.asking.pop(instance).cancel()
-        self.log.say(
-            "ended",
-            of=instance.name,
+        self.log.info(
+            "instance_exited",
+            target=instance.name,
             pid=process.pid,
             generation=process.generation,
             how=why,
@@ -239,7 +241,7 @@
                     if instance.report is not None:
                         instance.why = f"asked how it is: {error}"
                 except Exception as error:
-                    self.log.say("asking failed", of=instance.name, error=fault(error))
+                    self.log.error("control_poll_failed", target=instance.name, error=fault(error))
                 await asyncio.sleep(pause / SECOND)
         finally:
             client.close()
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from oakkeel.control.messages import ClientsStatus, NodeStatus
-from oakkeel.disruption.messages import HeartbeatResponse, Heartbeat
+from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.raft.messages import Envelope
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -24,7 +24,7 @@
 from oakkeel.log import EventLog, fault
 from oakkeel.raft import storage
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import ProposalStatus, NotLeaderError, Proposal, Role, Output
+from oakkeel.raft.replica import NotLeaderError, Output, Proposal, ProposalStatus, Role
 from oakkeel.raft.timeouts import RaftTimeouts
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.controller import RolloutController
@@ -41,6 +41,18 @@
 AGREE = 5 * SECOND  # for something proposed to be agreed
 
 
+RELEASE_EVENTS: dict[type, str] = {
+    releases.StartRelease: "release_started",
+    releases.ControlRelease: "release_controlled",
+    releases.ReportPrepared: "release_host_prepared",
+    releases.BeginRollout: "release_rollout_begun",
+    releases.StartBatch: "release_batch_started",
+    releases.FinishBatch: "release_batch_finished",
+    releases.RecordVerdict: "release_halted",
+    releases.FinishRelease: "release_finished",
+}
+
+
 class CommitUnknownError(Exception):
     """Nobody can say yet whether it is agreed; the same id may be sent again."""
 
@@ -59,7 +71,7 @@
         self.path = os.path.join(host.state, "record.db")
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
         if self.store.set_aside:
-            log.say("the record was set aside", file=self.store.set_aside)
+            log.warning("raft_storage_quarantined", file=self.store.set_aside)
         self.witness = storage.WriteCounter(self.path + ".count", self.store)
         if self.store.new:
             self._count_anew()
@@ -111,18 +123,17 @@
             return None
         if isinstance(command, commands.GrantPermits):
             for thing in command.things:
-                self.log.say("a place is granted", of=thing, fence=index, order=command.ident)
+                self.log.info("permit_granted", target=thing, fence=index, order=command.ident)
         if self.steward is None or self.steward.granting is None:
             return None
         if isinstance(command, releases.Command):
             return self._of_release(command)
         if isinstance(command, commands.SetTopology):
-            self.log.say("what may be out is as this host's settings say", fence=index)
+            self.log.info("topology_committed", fence=index)
         elif isinstance(command, commands.ExpirePermit | commands.ReleasePermit):
             over = isinstance(command, commands.ReleasePermit)
-            self.log.say(
-                "a place is free" if over else "a place has lapsed", of=command.thing, fence=command.fence
-            )
+            report = self.log.info if over else self.log.warning
+            report("permit_released" if over else "permit_expired", target=command.thing, fence=command.fence)
 
     def _of_release(self, command: releases.Command) -> None:
         book = self.steward.ledger if self.steward else None
@@ -131,13 +142,11 @@
             return
         facts: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
         if isinstance(command, releases.StartBatch):
-            facts["of"] = ",".join(thing for thing, _ in command.things)
+            facts["targets"] = ",".join(thing for thing, _ in command.things)
             facts["fence"] = command.fence
         elif isinstance(command, releases.FinishBatch):
             facts["new"] = ",".join(command.new)
-        self.log.say(
-            f"release: {type(command).__struct_config__.tag}", step=release.step, why=release.why or None, **facts
-        )
+        self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **facts)
 
     def _set_aside(self, why: str) -> None:
         """Put the file away under a name that says when, and begin a new life."""
@@ -147,7 +156,7 @@
         for ending in ("", "-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
                 os.rename(self.path + ending, aside + ending)
-        self.log.say("the record's file is not gone by", file=aside, error=why)
+        self.log.warning("raft_storage_quarantined", file=aside, error=why)
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
         self.witness = storage.WriteCounter(self.path + ".count", self.store)
 
@@ -159,7 +168,7 @@
     def _failed(self, error: DatabaseError) -> None:
         """As if it had crashed: made again from what is there, once that can be written."""
         if str(error) != self.fault:
-            self.log.say("the record can't be kept", error=str(error))
+            self.log.error("raft_storage_write_failed", error=str(error))
         self.fault, self.steward, self.again_at = str(error), None, time.monotonic_ns() + AGAIN
         for future in self.futures.values():
             if not future.done():
@@ -211,7 +220,7 @@
             else:
                 self._carry_out(self.steward.tick(time.monotonic_ns()))
         except Exception as error:  # the agent lives on; what is on disk is whole
-            self.log.say("the record failed", error=fault(error))
+            self.log.error("raft_tick_failed", error=fault(error))
             self.steward, self.again_at = None, time.monotonic_ns() + AGAIN
         self._schedule()
 
@@ -248,10 +257,10 @@
             self._begin()
         elif (leads := steward.granting is not None) != self.leads:
             self.leads = leads
-            self.log.say(
-                "leads the record" if leads else "leads the record no more",
+            self.log.info(
+                "leader_elected" if leads else "leadership_lost",
                 term=steward.keeper.term,
-                agreed=steward.keeper.commit,
+                committed=steward.keeper.commit,
             )
 
     def _ended(self, proposal: Proposal) -> None:
@@ -288,7 +297,9 @@
 class PeerSender:
     """Another keeper: what waits for it, and the link on which it goes."""
 
-    def __init__(self, name: str, link: AuthenticatedClient, came: Callable[[str, list[Envelope]], None], log: EventLog) -> None:
+    def __init__(
+        self, name: str, link: AuthenticatedClient, came: Callable[[str, list[Envelope]], None], log: EventLog
+    ) -> None:
         self.name, self.link, self.came, self.log = name, link, came, log
         self.waiting: deque[Envelope] = deque(maxlen=MAX_QUEUED_ENVELOPES)  # the oldest is lost first
         self.some = asyncio.Event()
@@ -324,7 +335,7 @@
             except (LinkError, msgspec.MsgspecError):
                 await asyncio.sleep(AGAIN / SECOND)  # what was sent is lost: keepers say it again
             except Exception as error:  # else a fault in what one answer brings would end this link for good
-                self.log.say("an answer of a keeper failed", of=self.name, error=fault(error))
+                self.log.error("peer_response_failed", target=self.name, error=fault(error))
                 await asyncio.sleep(AGAIN / SECOND)
 
     async def _ask(self, letters: list[Envelope]) -> None:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -7,11 +7,11 @@
 
 from oakkeel.agent.downstream_services import DownstreamServices
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.orders import Order, OrderRejectedError, OrderRegistry, TaskState, Verb
+from oakkeel.agent.orders import Order, OrderRegistry, OrderRejectedError, TaskState, Verb
 from oakkeel.agent.supervisor import Supervisor
 from oakkeel.control.messages import NodeStatus
 from oakkeel.disruption.holder import PermitHolder
-from oakkeel.disruption.messages import HeartbeatResponse, AssignedOrder, TaskResult, Heartbeat
+from oakkeel.disruption.messages import AssignedOrder, Heartbeat, HeartbeatResponse, TaskResult
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.gates import Samples
 from oakkeel.rollout.messages import TargetStatus
@@ -69,7 +69,9 @@
 
     def _runs(self, now: int) -> list[TargetStatus]:
         """For whoever drives a release: what runs here, and how it does."""
-        runs = [TargetStatus(name, "", 0, "serving" if up else "stopped", 0) for name, up in self.below.up.items()]
+        runs = [
+            TargetStatus(name, "", 0, "serving" if up else "stopped", 0) for name, up in self.below.up.items()
+        ]
         for each in self.supervision.instances:
             report = each.report
             run = TargetStatus(
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -9,16 +9,16 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.executor import ANSWER, InstanceExecutor
-from oakkeel.agent.orders import Order, OrderRejectedError, OrderRegistry, Verb
-from oakkeel.agent.raft_runtime import RaftRuntime, CommitUnknownError
+from oakkeel.agent.orders import Order, OrderRegistry, OrderRejectedError, Verb
+from oakkeel.agent.raft_runtime import CommitUnknownError, RaftRuntime
 from oakkeel.agent.status_reporter import StatusReporter
 from oakkeel.agent.status_views import (
     fleet_order_status,
+    fleet_status,
     host_status,
     order_status,
     raft_status,
     release_status,
-    fleet_status,
 )
 from oakkeel.agent.supervisor import SECOND, Supervisor
 from oakkeel.authentication.mac import Key
@@ -99,7 +99,7 @@
         try:
             if isinstance(wish, messages.CancelOrderRequest):
                 order = agent.orders.cancel(now, wish.ident, key.operator)
-                agent.log.say("cancelled", order=order.ident, operator=key.operator)
+                agent.log.info("order_cancelled", order=order.ident, operator=key.operator)
                 agent.keep()
                 return order_status(now, order)
             return self._take(now, key, wish)
@@ -169,15 +169,25 @@
         if isinstance(result, Rejection):
             return messages.ErrorResponse(result.why)
         if isinstance(result, Release):
-            self.agent.log.say(
-                "agreed", release=result.ident, operator=key.operator, what=getattr(wish, "to", "start")
+            self.agent.log.info(
+                "release_command_committed",
+                release=result.ident,
+                operator=key.operator,
+                command=getattr(wish, "to", "start"),
             )
             return release_status(time.monotonic_ns(), keeping, result.ident)
         assert isinstance(result, Agreed)
-        self.agent.log.say("agreed", order=result.ident, operator=key.operator, what=type(wish).__name__)
+        self.agent.log.info(
+            "order_command_committed",
+            order=result.ident,
+            operator=key.operator,
+            command=wish.__struct_config__.tag,
+        )
         return fleet_order_status(keeping, result)
 
-    async def _set_keepers(self, key: Key, keeping: RaftRuntime, wish: messages.SetVotersRequest) -> messages.Response:
+    async def _set_keepers(
+        self, key: Key, keeping: RaftRuntime, wish: messages.SetVotersRequest
+    ) -> messages.Response:
         known = {host.name for host in keeping.fleet.hosts}
         if unknown := [name for name in wish.hosts if name not in known]:
             return messages.ErrorResponse(f"there is no host {unknown[0]!r}")
@@ -203,10 +213,10 @@
 
 
 def said_taken(log: EventLog, order: Order) -> None:
-    log.say(
-        "an order is taken",
+    log.info(
+        "order_accepted",
         order=order.ident,
         operator=order.operator,
         verb=order.verb.value,
-        of=",".join(part.instance.name for part in order.parts if part.open),
+        target=",".join(part.instance.name for part in order.parts if part.open),
     )
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -23,7 +23,7 @@
     frame,
     read_frame,
 )
-from oakkeel.authentication.mac import NONCE, SECOND, Key, ServerAuthenticator, AuthenticationError, Role
+from oakkeel.authentication.mac import NONCE, SECOND, AuthenticationError, Key, Role, ServerAuthenticator
 from oakkeel.log import EventLog, fault
 
 Handler = Callable[[Key, messages.Request], messages.Response | Awaitable[messages.Response]]
@@ -118,7 +118,7 @@
             with contextlib.suppress(StreamClosedError):
                 stream.write(frame(REFUSED))
         except Exception as error:  # one link must not end the agent
-            self.log.say("a link failed", error=fault(error))
+            self.log.error("agent_connection_failed", error=fault(error))
         finally:
             stream.close()
             self.links.pop(stream, None)
@@ -129,16 +129,16 @@
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return messages.ErrorResponse(f"no message of this version: {error}")
         if isinstance(wish, messages.PeerRequest) != (key.role is Role.AGENT):
-            self.log.say("a message was refused", key=key.ident, error="not for that key")
+            self.log.warning("message_rejected", key=key.ident, error="not for that key")
             return messages.ErrorResponse(f"key {key.ident} is not for that")
         if isinstance(wish, ACTS) and key.role < Role.ACT:
-            self.log.say("an order was refused", operator=key.operator, key=key.ident, error="it views only")
+            self.log.warning("order_rejected", operator=key.operator, key=key.ident, error="it views only")
             return messages.ErrorResponse(f"{key.operator} may view and not act")
         try:
             answer = self.handler(key, wish)
             return await answer if isinstance(answer, Awaitable) else answer
         except Exception as error:  # an error of ours answers it, and the agent lives on
-            self.log.say("a message failed", operator=key.operator, error=fault(error))
+            self.log.error("agent_request_failed", operator=key.operator, error=fault(error))
             return messages.ErrorResponse("an error of the agent")
 
     def _refuse(self, why: str) -> None:
@@ -146,5 +146,5 @@
         self.refused += 1
         now = time.monotonic_ns()
         if now - self.refused_at >= self.bounds.refusals or not self.refused_at:
-            self.log.say("a message was refused", error=why, refused=self.refused)
+            self.log.warning("message_rejected", error=why, refused=self.refused)
             self.refused_at, self.refused = now, 0
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -68,7 +68,7 @@
                 self.why = f"{self.leader}: {error}"
                 self.whom.elsewhere("")
             except Exception as error:  # the agent lives on
-                self.log.say("a poll failed", error=fault(error))
+                self.log.error("heartbeat_failed", error=fault(error))
             self.soon.clear()
             try:
                 await asyncio.wait_for(self.soon.wait(), self.pause / SECOND)
@@ -85,7 +85,9 @@
             if self.leader not in self.links:
                 self.links[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
             answer = messages.decode_response(
-                await self.links[self.leader].ask(messages.encode(messages.HeartbeatRequest(poll)), ANSWER / SECOND)
+                await self.links[self.leader].ask(
+                    messages.encode(messages.HeartbeatRequest(poll)), ANSWER / SECOND
+                )
             )
         if isinstance(answer, messages.HeartbeatAccepted):
             self._take(sent_at, answer.agreed)
@@ -96,7 +98,7 @@
         self.deciding.answered(time.monotonic_ns(), sent_at, agreed)
         if holding.why:
             if holding.why != self.why:
-                self.log.say("an answer of the record is not taken", error=holding.why)
+                self.log.warning("heartbeat_response_rejected", error=holding.why)
             self.why = holding.why
             return
         self.heard_at, self.why = time.monotonic_ns(), ""
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -81,7 +81,9 @@
 # The record.
 
 
-def raft_status(now: int, host: str, keeping: RaftRuntime | None, polling: StatusReporter | None) -> messages.RaftStatus:
+def raft_status(
+    now: int, host: str, keeping: RaftRuntime | None, polling: StatusReporter | None
+) -> messages.RaftStatus:
     heard = now - polling.heard_at if polling and polling.heard_at else -1
     if keeping is None or keeping.steward is None:
         why = keeping.fault if keeping else polling.why if polling else "this fleet has no keepers"
@@ -142,7 +144,9 @@
         place = places.get(thing)
         fence = place.fence if place and place.ident == order.ident else 0
         parts.append(
-            messages.FleetTaskStatus(thing, hosts.get(thing, ""), part.state, part.why, fence, owes.get(thing, ""))
+            messages.FleetTaskStatus(
+                thing, hosts.get(thing, ""), part.state, part.why, fence, owes.get(thing, "")
+            )
         )
     return messages.FleetOrderStatus(
         order.ident, order.operator, order.verb, order.unix, order.whole, order.halted, order.cancelled, parts
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -13,7 +13,7 @@
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.commands import VersionSpec
-from oakkeel.store.database import Statement, Database
+from oakkeel.store.database import Database, Statement
 
 VERSION = 1
 SCHEMA = """
@@ -196,5 +196,7 @@
 def restore_assignments(store: Database, fitting: VersionAssignments) -> None:
     for (content,) in store.read("SELECT content FROM fitting"):
         fitting.restore(
-            *msgspec.msgpack.decode(content, type=tuple[dict[str, str], dict[str, VersionSpec], dict[str, str]])
+            *msgspec.msgpack.decode(
+                content, type=tuple[dict[str, str], dict[str, VersionSpec], dict[str, str]]
+            )
         )
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.agent.instances import TRANSITIONS, REPORTED, Goal, Instance, Phase
+from oakkeel.agent.instances import REPORTED, TRANSITIONS, Goal, Instance, Phase
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/oakkeel/authentication/client.py
+++ b/oakkeel/authentication/client.py
@@ -10,7 +10,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from oakkeel.authentication.framing import HELLO, MAX_RESPONSE_BYTES, REFUSED, FrameError, frame, read_frame
-from oakkeel.authentication.mac import NONCE, Key, AuthenticationError, ClientAuthenticator
+from oakkeel.authentication.mac import NONCE, AuthenticationError, ClientAuthenticator, Key
 
 
 class LinkError(OSError):
--- a/oakkeel/authentication/mac.py
+++ b/oakkeel/authentication/mac.py
@@ -113,7 +113,9 @@
         place = self.place + 1
         mark = _mark(key.secret, b"ask", self.challenge, place, sealed.nonce, sealed.time, sealed.content)
         if not hmac.compare_digest(mark, sealed.mark):
-            raise AuthenticationError(f"a wrong mark for key {key.ident}: altered, replayed, or made with another key")
+            raise AuthenticationError(
+                f"a wrong mark for key {key.ident}: altered, replayed, or made with another key"
+            )
         if now - self.made > self.good_for:
             raise AuthenticationError(f"key {key.ident}: the challenge is too old")
         if key.until and unix >= key.until:
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -11,7 +11,7 @@
 from oakkeel.admission.types import Outcome
 from oakkeel.line_protocol import LineParser
 from oakkeel.log import EventLog
-from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.request import NodeRequest, RequestEvent
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, readable, send
 
@@ -57,7 +57,9 @@
 class CallLink:
     """One connection, with the calls that are on it."""
 
-    def __init__(self, address: tuple[str, int], pool: BufferPool, bounds: ResourceLimits, log: EventLog) -> None:
+    def __init__(
+        self, address: tuple[str, int], pool: BufferPool, bounds: ResourceLimits, log: EventLog
+    ) -> None:
         self.address, self.bounds, self.log = address, bounds, log
         self.calls: dict[bytes, Call] = {}
         self.connected = False
@@ -89,7 +91,7 @@
         except StreamClosedError:
             pass
         except MalformedInputError as error:
-            self.log.say("the catalogue's link can't be read", error=str(error))
+            self.log.warning("catalogue_stream_malformed", error=str(error))
         finally:
             self.stream.close()
             self.read_buffer.close()
@@ -140,7 +142,9 @@
 class Catalogue:
     """The links, opened as calls need them: one call each, so that what breaks on one costs no other."""
 
-    def __init__(self, address: tuple[str, int] | None, pool: BufferPool, bounds: ResourceLimits, log: EventLog) -> None:
+    def __init__(
+        self, address: tuple[str, int] | None, pool: BufferPool, bounds: ResourceLimits, log: EventLog
+    ) -> None:
         self.address, self.pool, self.bounds, self.log = address, pool, bounds, log
         self.links: list[CallLink] = []
 
@@ -187,7 +191,7 @@
                 self.links.append(CallLink(self.address, self.pool, self.bounds, self.log))
                 return self.links[-1]
             except (OSError, MemoryError) as error:  # no descriptor or buffer is left: a busy one takes it
-                self.log.say("a link to the catalogue can't be made", error=str(error))
+                self.log.warning("catalogue_connect_failed", error=str(error))
         return min(usable, key=lambda link: len(link.calls), default=None)
 
     def _trim(self) -> None:
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -16,7 +16,7 @@
 
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import STATES, Selection, SelectionError
-from oakkeel.fleet.view import Row, FleetView
+from oakkeel.fleet.view import FleetView, Row
 from oakkeel.settings.fleet import Fleet, SettingsError, read_fleet, time_of
 from oakkeel.settings.keys import key_of
 
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -28,7 +28,7 @@
 from oakkeel.cli.selection import choose
 from oakkeel.fleet.agent_clients import NoLeaderError
 from oakkeel.fleet.selection import Selection
-from oakkeel.rendering.control_plane import replicas_table, order_table, permits_table
+from oakkeel.rendering.control_plane import order_table, permits_table, replicas_table
 
 OPEN = ("waiting", "granted", "out")
 GOOD = ("done", *OPEN)
@@ -53,7 +53,14 @@
 
 
 async def agree(
-    asker: FleetClient, verb: str, choice: Selection, lasts: int, whole: bool, ident: str, no_wait: bool, as_json: bool
+    asker: FleetClient,
+    verb: str,
+    choice: Selection,
+    lasts: int,
+    whole: bool,
+    ident: str,
+    no_wait: bool,
+    as_json: bool,
 ) -> int:
     """Put an order to the record, follow it to its end, and tell what became of every part.
 
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -18,8 +18,8 @@
     DONE,
     SOME_FAILED,
     SOME_SILENT,
-    FleetClient,
     Duration,
+    FleetClient,
     choice_options,
     err,
     fail,
@@ -127,7 +127,9 @@
     hosts = [host.name for host in asker.fleet.hosts if any(each.name == name for each in host.instances)]
     if not hosts:
         fail(f"no instance has the name {name!r}")
-    answers, silent = await asker.agents.ask({hosts[0]: messages.InstanceClientsRequest(name)}, asker.deadline)
+    answers, silent = await asker.agents.ask(
+        {hosts[0]: messages.InstanceClientsRequest(name)}, asker.deadline
+    )
     answer = answers.get(hosts[0])
     if not isinstance(answer, messages.InstanceClients):
         why = answer.why if isinstance(answer, messages.ErrorResponse) else silent.get(hosts[0], "no answer")
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -19,8 +19,8 @@
     SOME_FAILED,
     SOME_SILENT,
     USAGE,
-    FleetClient,
     Duration,
+    FleetClient,
     choice_options,
     err,
     fail,
@@ -31,7 +31,7 @@
 )
 from oakkeel.cli.control_plane import agree, end
 from oakkeel.cli.selection import choose, sure
-from oakkeel.fleet.order_tracking import TrackedTask, OrderTracker, Result
+from oakkeel.fleet.order_tracking import OrderTracker, Result, TrackedTask
 from oakkeel.fleet.selection import Selection
 from oakkeel.rendering.times import span
 
@@ -138,7 +138,9 @@
         bar = progress.add_task(f"{following.verb} {following.ident}", total=len(following.parts))
         while not following.over and time.monotonic_ns() < until:
             await asyncio.sleep(LOOK_EVERY)
-            asked: dict[str, messages.Request] = {host: messages.ListOrdersRequest() for host in following.to_ask()}
+            asked: dict[str, messages.Request] = {
+                host: messages.ListOrdersRequest() for host in following.to_ask()
+            }
             answers, _ = await asker.agents.ask(asked, asker.deadline)
             for host, answer in answers.items():
                 following.answered(host, answer)
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -17,8 +17,8 @@
     DONE,
     SOME_FAILED,
     SOME_SILENT,
-    FleetClient,
     Duration,
+    FleetClient,
     choice_options,
     fail,
     fleet_options,
@@ -164,7 +164,9 @@
 
     async def work() -> int:
         things, what = await _what(asker, choice, *paths, label, as_set)
-        answer = await ask(asker, messages.StartReleaseRequest(ident or secrets.token_hex(4), what, pace, things))
+        answer = await ask(
+            asker, messages.StartReleaseRequest(ident or secrets.token_hex(4), what, pace, things)
+        )
         return await _follow(asker, answer, output == "json", no_wait)
 
     run(work())
--- a/oakkeel/control/client.py
+++ b/oakkeel/control/client.py
@@ -12,17 +12,17 @@
 
 from oakkeel.control.messages import (
     MAX_LINE_BYTES,
-    Response,
-    StatusRequest,
+    Acknowledgement,
+    CancelDrainRequest,
     ClientsRequest,
     ClientsStatus,
     DrainRequest,
     NodeStatus,
-    CancelDrainRequest,
-    Acknowledgement,
     Request,
-    encode,
+    Response,
+    StatusRequest,
     decode_response,
+    encode,
 )
 
 
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -14,15 +14,15 @@
 
 from oakkeel.control.messages import (
     MAX_LINE_BYTES,
-    Response,
-    StatusRequest,
+    Acknowledgement,
+    CancelDrainRequest,
     ClientsRequest,
     ClientsStatus,
     NodeStatus,
-    CancelDrainRequest,
-    Acknowledgement,
-    encode,
+    Response,
+    StatusRequest,
     decode_request,
+    encode,
 )
 from oakkeel.log import EventLog, fault
 from oakkeel.resource_limits import SECOND, ResourceLimits
@@ -120,9 +120,14 @@
                 self.listener.heard(self)
                 await asyncio.sleep(max(0, began + bounds.control_pause - time.monotonic_ns()) / SECOND)
         except MalformedInputError:
-            send(self.stream, encode(Acknowledgement(0, False, f"a line of more than {MAX_LINE_BYTES} bytes")))
+            send(
+                self.stream, encode(Acknowledgement(0, False, f"a line of more than {MAX_LINE_BYTES} bytes"))
+            )
         except TimeoutError:
-            send(self.stream, encode(Acknowledgement(0, False, "half a message, or an answer not taken, for too long")))
+            send(
+                self.stream,
+                encode(Acknowledgement(0, False, "half a message, or an answer not taken, for too long")),
+            )
         except StreamClosedError:
             pass
         finally:
@@ -148,5 +153,5 @@
             )
             return Acknowledgement(wish.tag, not why, why)
         except Exception as error:  # an error of ours answers it, and the node lives on
-            self.listener.log.say("a control message failed", error=fault(error))
+            self.listener.log.error("control_request_failed", error=fault(error))
             return Acknowledgement(wish.tag, False, "an error of the node")
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from oakkeel.admission.types import Effect, RequestClass, NodeLimits, Tenant
+from oakkeel.admission.types import Effect, NodeLimits, RequestClass, Tenant
 from oakkeel.dispatch.resp import encode
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import MS, ResourceLimits
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -18,7 +18,14 @@
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import SECOND, ResourceLimits
-from oakkeel.stream_buffers import BufferPool, HalfClosingStream, MalformedInputError, ReadBuffer, readable, send
+from oakkeel.stream_buffers import (
+    BufferPool,
+    HalfClosingStream,
+    MalformedInputError,
+    ReadBuffer,
+    readable,
+    send,
+)
 
 
 class ConnectionOwner(Protocol):
@@ -267,7 +274,7 @@
 
     def _unusable(self, error: MalformedInputError) -> None:
         """What it sends can't be read any further; what is open on it is answered all the same."""
-        self.log.say("a dispatcher's connection can't be read", error=str(error))
+        self.log.warning("dispatcher_stream_malformed", error=str(error))
         self.write(codec.BROKEN)
         self.read_buffer.drop()
         self._end()
@@ -284,7 +291,9 @@
                 self._drop(self.open[number])
         elif verb == codec.CHECK:
             self.write(
-                codec.encode_answer(number, codec.GOOD if self.front.healthy() else codec.BAD, self.front.signal())
+                codec.encode_answer(
+                    number, codec.GOOD if self.front.healthy() else codec.BAD, self.front.signal()
+                )
             )
         else:
             self._unreadable(number, f"an unknown verb {verb[:20]!r}")
@@ -293,7 +302,9 @@
         reader = self.front.reader
         if reader is None or self.refusing:
             return self.write(
-                codec.encode_answer(tag, codec.DENIED, self.front.signal(), retry_after=self.front.return_after())
+                codec.encode_answer(
+                    tag, codec.DENIED, self.front.signal(), retry_after=self.front.return_after()
+                )
             )
         if len(self.open) >= self.bounds.open_exchanges:
             self.write(codec.encode_answer(tag, codec.DENIED, self.front.signal()))
@@ -310,11 +321,11 @@
 
     def _unreadable(self, tag: int, why: str) -> None:
         self.write(codec.encode_answer(tag, codec.TERMINATED, self.front.signal()))
-        self.fault(f"an exchange can't be read: {why}")
+        self.fault("request_malformed", why)
 
-    def fault(self, why: str) -> None:
+    def fault(self, event: str, why: str = "") -> None:
         """One that goes on sending what nobody can use is read no further: each such exchange costs time."""
-        self.log.say(why)
+        self.log.warning(event, reason=why or None)
         self.faults += 1
 
     def _drop(self, ex: NodeRequest) -> None:
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -19,7 +19,12 @@
 
 class Listener:
     def __init__(
-        self, address: tuple[str, int], pool: BufferPool, bounds: ResourceLimits, front: ConnectionOwner, log: EventLog
+        self,
+        address: tuple[str, int],
+        pool: BufferPool,
+        bounds: ResourceLimits,
+        front: ConnectionOwner,
+        log: EventLog,
     ) -> None:
         self.pool, self.bounds, self.front, self.log = pool, bounds, front, log
         self.connections: set[Connection] = set()
@@ -80,7 +85,7 @@
             except OSError as error:
                 if error.errno not in NO_DESCRIPTOR:
                     continue  # this one was reset before it was accepted; those behind it were not
-                self.log.say("a connection was not accepted", error=str(error))
+                self.log.warning("accept_failed", error=str(error))
                 if not self._make_room():
                     return self._pause()
                 continue
@@ -121,7 +126,7 @@
     def _make_room(self) -> bool:
         """End the connection that said nothing for longest, or else the one idle for longest, or one that
         left half an array: none on which something is open, on its way or just comes."""
-        self.log.say("no descriptors left: a connection that is not at work makes room")
+        self.log.warning("descriptors_exhausted")
         young = time.monotonic_ns() - self.bounds.young
         old = [each for each, since in self.silent.items() if since <= young]
         for connection in (*old, *self.idle, *self.silent):
@@ -155,7 +160,7 @@
         try:
             await connection.serve()
         except Exception as error:  # one connection must not end the node
-            self.log.say("a connection failed", error=fault(error))
+            self.log.error("connection_failed", error=fault(error))
         finally:
             self._forget(connection)
 
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.messages import HeartbeatResponse, AssignedOrder, GrantedPermit, Heartbeat
-from oakkeel.disruption.state_machine import PERMIT_REASON, OPEN_STATES, PermitStateMachine, Order, Rejection
+from oakkeel.disruption.messages import AssignedOrder, GrantedPermit, Heartbeat, HeartbeatResponse
+from oakkeel.disruption.state_machine import OPEN_STATES, PERMIT_REASON, Order, PermitStateMachine, Rejection
 from oakkeel.disruption.topology import Topology, UnavailableTargets
 
 MS = 1_000_000
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -10,11 +10,11 @@
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
-from oakkeel.disruption.messages import HeartbeatResponse, Heartbeat
+from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import Topology
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import DurableState, ProposalStatus, Replica, NotLeaderError, Proposal, Output
+from oakkeel.raft.replica import DurableState, NotLeaderError, Output, Proposal, ProposalStatus, Replica
 from oakkeel.raft.timeouts import RaftTimeouts
 
 
@@ -96,7 +96,9 @@
                 self.ours.clear()
             return steps
         if self.granting is None:
-            self.granting = PermitAllocator(now, self.ledger, self.terms, self.keeper.random.getrandbits(50) + 1)
+            self.granting = PermitAllocator(
+                now, self.ledger, self.terms, self.keeper.random.getrandbits(50) + 1
+            )
             if self.ledger.held.layout != self.layout:
                 steps += self._propose(now, [commands.SetTopology(self.layout)])
             if self.make_above:
--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from oakkeel.disruption.messages import HeartbeatResponse, AssignedOrder, TaskResult, Heartbeat, TargetReport
+from oakkeel.disruption.messages import AssignedOrder, Heartbeat, HeartbeatResponse, TargetReport, TaskResult
 
 
 @dataclass(slots=True, eq=False)
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.admission.types import Request, NodeLimits
+from oakkeel.admission.types import NodeLimits, Request
 from oakkeel.emulator.clock import SECOND, Clock
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.nodes import MS, SimulatedNode
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -16,22 +16,22 @@
 from oakkeel.agent.leader_locator import LeaderLocator
 from oakkeel.agent.orders import OrderRegistry, Verb
 from oakkeel.agent.reconciler import Reconciler
-from oakkeel.agent.supervisor import Action, SupervisionTimeouts, Step, Supervisor
+from oakkeel.agent.supervisor import Action, Step, SupervisionTimeouts, Supervisor
 from oakkeel.control.messages import NodeStatus
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.holder import PermitHolder
-from oakkeel.disruption.messages import HeartbeatResponse, Heartbeat
+from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.disruption.state_machine import OPEN_STATES, Rejection
 from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.emulator.clock import Clock, ScheduledEvent
-from oakkeel.emulator.faults import MS, SECOND, Schedule, Fault
+from oakkeel.emulator.faults import MS, SECOND, Fault, Schedule
 from oakkeel.invariants.consensus import ConsensusAudit
 from oakkeel.invariants.rollout import RolloutAudit
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import DurableState, NotLeaderError, Proposal, Role, Output
+from oakkeel.raft.replica import DurableState, NotLeaderError, Output, Proposal, Role
 from oakkeel.raft.timeouts import RaftTimeouts
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.assignments import ArtifactRequest
@@ -70,7 +70,9 @@
 class SimulatedHost:
     """One host with all that runs on it. `now` gives its own clock, `world.clock` the true one."""
 
-    def __init__(self, world: ConsensusSimulation, name: str, things: tuple[str, ...], founders: tuple[str, ...]) -> None:
+    def __init__(
+        self, world: ConsensusSimulation, name: str, things: tuple[str, ...], founders: tuple[str, ...]
+    ) -> None:
         self.world, self.name, self.things, self.founders = world, name, things, founders
         self.random = Random(f"{world.schedule.seed} {name}")
         self.rate, self.offset = 1 + self.random.uniform(-0.015, 0.015), self.random.randrange(10 * SECOND)
@@ -108,7 +110,9 @@
             self.disk = None  # an older copy
         if self.disk is None:
             self.counted = 0
-            self.disk = InMemoryStorage(DurableState(self.name, f"{self.name}.{self.random.getrandbits(40):x}"))
+            self.disk = InMemoryStorage(
+                DurableState(self.name, f"{self.name}.{self.random.getrandbits(40):x}")
+            )
         self.steward = ControlPlaneReplica(
             now,
             self.disk.load(),
@@ -133,7 +137,8 @@
         if not isinstance(result, Rejection):
             self.world.of_releases.taken(self.world.clock.now, self.name, content)
         if self.steward and isinstance(
-            command, commands.HaltOrder | commands.CancelOrder | commands.ReleasePermit | commands.ExpirePermit
+            command,
+            commands.HaltOrder | commands.CancelOrder | commands.ReleasePermit | commands.ExpirePermit,
         ):
             for order in self.steward.ledger.held.orders.values():
                 if order.halted and all(
@@ -415,7 +420,9 @@
 
 
 class ConsensusSimulation:
-    def __init__(self, schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None) -> None:
+    def __init__(
+        self, schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None
+    ) -> None:
         self.schedule, self.clock = schedule, Clock()
         self.random = Random(schedule.seed)
         self.names = names = [f"h{number}" for number in range(schedule.hosts)]
@@ -570,7 +577,9 @@
             ]
             verb = {"restart": "restart", "stop it": "stop"}.get(trouble.kind, "drain")
             self.order(
-                commands.SubmitOrder(ident, "asha", verb, 0, 6 * SECOND, trouble.kind == "drain whole", things),
+                commands.SubmitOrder(
+                    ident, "asha", verb, 0, 6 * SECOND, trouble.kind == "drain whole", things
+                ),
                 ident,
             )
         elif trouble.kind in ("halt", "cancel") and self.orders:
@@ -592,7 +601,9 @@
             self.order(releases.StartRelease(ident, "asha", 0, what, pace, chosen), ident)
         elif trouble.kind in ("pause", "resume", "abort", "undo", "leave"):
             if self.releases:
-                self.order(releases.ControlRelease(self.releases[-1], "ravi", trouble.kind), self.releases[-1])
+                self.order(
+                    releases.ControlRelease(self.releases[-1], "ravi", trouble.kind), self.releases[-1]
+                )
         elif trouble.kind == "keepers":
             count = min(len(self.hosts), 3 + 2 * (trouble.to % 2))
             names = self.random.sample(sorted(self.hosts), count)
@@ -776,7 +787,9 @@
         return found
 
 
-def play(schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None) -> tuple[ConsensusSimulation, list[str]]:
+def play(
+    schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None
+) -> tuple[ConsensusSimulation, list[str]]:
     world = ConsensusSimulation(schedule, plant)
     return world, world.run()
 
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from oakkeel.admission import AdmissionController
-from oakkeel.admission.types import Request, Gauges, NodeLimits, Outcome
+from oakkeel.admission.types import Gauges, NodeLimits, Outcome, Request
 from oakkeel.emulator.clock import Clock
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.machines import Machine, Task
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -13,9 +13,9 @@
 from oakkeel.disruption.state_machine import Rejection
 from oakkeel.emulator.clock import Clock
 from oakkeel.invariants.policy_change import PolicyChangeAudit
-from oakkeel.policy_change.coordinator import PolicyCoordinator, PolicyAssignment, AgentReport
+from oakkeel.policy_change.coordinator import AgentReport, PolicyAssignment, PolicyCoordinator
 from oakkeel.policy_change.policy_lease import AgentPolicyLease, NodePolicyLease
-from oakkeel.policy_change.state_machine import ProposePolicy, PolicyStateMachine, WithdrawPolicy
+from oakkeel.policy_change.state_machine import PolicyStateMachine, ProposePolicy, WithdrawPolicy
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -9,8 +9,8 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.admission.types import LoadReportKind, DownstreamKind, Effect, RequestClass, NodeLimits, StopKind
-from oakkeel.emulator.clients import Dispatcher, ClientBehavior
+from oakkeel.admission.types import DownstreamKind, Effect, LoadReportKind, NodeLimits, RequestClass, StopKind
+from oakkeel.emulator.clients import ClientBehavior, Dispatcher
 from oakkeel.emulator.clock import SECOND, Clock
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.nodes import MS, SimulatedNode
@@ -140,7 +140,9 @@
 
     def _node(self, cold: bool) -> SimulatedNode:
         self.made += 1
-        node = SimulatedNode(f"n{self.made}", self.clock, self._limits(cold), self.random.getrandbits(60), self.audit)
+        node = SimulatedNode(
+            f"n{self.made}", self.clock, self._limits(cold), self.random.getrandbits(60), self.audit
+        )
         if cold:
             for step in range(8):  # warmer each second
                 self.clock.after(step * SECOND, self._warm, node, 0.3 + 0.7 * step / 8)
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -15,7 +15,7 @@
 from oakkeel.admission.types import Outcome
 from oakkeel.line_protocol import LineParser, milliseconds, number
 from oakkeel.log import EventLog, fault
-from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.request import NodeRequest, RequestEvent
 from oakkeel.resource_limits import SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, send
 
@@ -128,9 +128,9 @@
             except StreamClosedError:
                 pass
             except MalformedInputError as error:
-                self.log.say("the engine's link can't be read", error=str(error))
+                self.log.warning("engine_stream_malformed", error=str(error))
             except Exception as error:  # a node without its engine's notices would answer nothing more
-                self.log.say("the engine's link failed", error=fault(error))
+                self.log.error("engine_link_failed", error=fault(error))
             finally:
                 if self.patience:
                     self.patience.cancel()
@@ -140,7 +140,7 @@
                     read_buffer.close()
                 if self.stream and not self.swap:
                     self.losses += 1
-                    self.log.say("the engine's link is lost")
+                    self.log.warning("engine_link_lost")
                 self.stream, self.open, self.barrier, self.swap = None, False, b"", b""
                 self.trying = None
             wait = tried + self.bounds.engine_retry - time.monotonic_ns()
@@ -201,7 +201,7 @@
         oldest = next(iter(self.asked.values())).at if self.asked and self.open else now
         since = self.barrier_at if self.barrier else oldest
         if self.stream and now - since > self.bounds.engine_silent:
-            self.log.say("the engine's link is silent")
+            self.log.warning("engine_link_timed_out")
             self.stream.close()
         if not self.open:
             return None
@@ -259,7 +259,7 @@
 
     def _not_carried_out(self, verb: bytes, ident: bytes) -> None:
         """A run that the engine does not know is over; of the other commands nothing hangs on."""
-        self.log.say("the engine did not carry out a command", command=verb.decode(errors="replace"))
+        self.log.warning("engine_command_rejected", command=verb.decode(errors="replace"))
         if verb in (b"RUN", b"HALT"):
             ex = self.runs.get(ident)
             self._done(ident, Outcome.ERROR, 0, b"")
@@ -287,7 +287,7 @@
         """The engine began anew: it knows of nothing that was told to the one before, and numbers its notices
         from 1 again. What that one may have run is over with no result; what it was never told waits."""
         waiting = {each.ex for each in self.unconfirmed if each.verb == b"RUN" and not each.written}
-        self.log.say("the engine began anew", runs_lost=len(self.runs) - len(waiting))
+        self.log.warning("engine_restarted", runs_lost=len(self.runs) - len(waiting))
         self.unconfirmed = deque(command for command in self.unconfirmed if command.ex in waiting)
         self.doubtful.clear()
         self.heard = 0
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence
 from math import inf
 
-from oakkeel.fair_sharing.heavy_hitters import HeavyHitters, Flow
+from oakkeel.fair_sharing.heavy_hitters import Flow, HeavyHitters
 
 
 class MaxMinShares:
@@ -56,9 +56,7 @@
                 now, self.tables[1], senders, asked, min(parent.allowed, asked * unknown)
             )
 
-    def _share(
-        self, now: int, table: HeavyHitters, senders: list[Flow], asked: float, whole: float
-    ) -> float:
+    def _share(self, now: int, table: HeavyHitters, senders: list[Flow], asked: float, whole: float) -> float:
         """What each of them may have; returns the share that those not known keep."""
         for sender in senders:
             sender.allowed = inf
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -77,7 +77,9 @@
     return found
 
 
-def restore_snapshot(found: FairSharingSnapshot, now: int, unix: int, levels: MaxMinShares, promises: Reservations) -> None:
+def restore_snapshot(
+    found: FairSharingSnapshot, now: int, unix: int, levels: MaxMinShares, promises: Reservations
+) -> None:
     """Fill empty measures: who was heavy still is, as much as its age has left, and promises hold."""
     age = max(0, unix - found.written)
     outer: dict[int, object] = {}
--- a/oakkeel/fakes/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -17,7 +17,7 @@
 from oakkeel.agent.__main__ import serve
 from oakkeel.agent.agent import Agent
 from oakkeel.log import EventLog
-from oakkeel.store.database import Statement, Database
+from oakkeel.store.database import Database, Statement
 
 NODE = (sys.executable, "-m", "oakkeel.fakes.node")
 _write, _time_ns = Database.write, time.time_ns
@@ -41,8 +41,9 @@
 
 
 class TimedLog(EventLog):
-    def say(self, event: str, **facts: Any) -> None:
-        super().say(event, **facts, mono=time.monotonic_ns())
+    def write(self, level: str, event: str, fields: dict[str, Any]) -> None:
+        """Add the monotonic time, which all processes of a machine share."""
+        super().write(level, event, {**fields, "mono": time.monotonic_ns()})
 
 
 def make(host: Any, patience: Any, keys: Any, log: EventLog, seed: int, **more: Any) -> Agent:
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -30,7 +30,9 @@
 class FaultyLink:
     """Listens for one agent that asks another. `there` and `back` may be changed at any time."""
 
-    def __init__(self, address: tuple[str, int], there: LinkDirection, back: LinkDirection, seed: int) -> None:
+    def __init__(
+        self, address: tuple[str, int], there: LinkDirection, back: LinkDirection, seed: int
+    ) -> None:
         self.address, self.there, self.back = address, there, back
         self.random = Random(seed)
         self.tasks: set[asyncio.Task] = set()
@@ -71,7 +73,9 @@
                     self.writers.discard(each)
                     each.close()
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: LinkDirection) -> None:
+    async def _pass(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: LinkDirection
+    ) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
                 head = await reader.readexactly(4)
@@ -98,7 +102,9 @@
                         writer.write(message)
                         await writer.drain()
 
-    async def _later(self, wait: float, writer: asyncio.StreamWriter, message: bytes, way: LinkDirection) -> None:
+    async def _later(
+        self, wait: float, writer: asyncio.StreamWriter, message: bytes, way: LinkDirection
+    ) -> None:
         await asyncio.sleep(wait)
         if not way.cut and not writer.is_closing():
             writer.write(message)
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -209,7 +209,9 @@
         self.say("heal")
         for link in self.links.values():
             for way in (link.there, link.back):
-                for name, value in ((each, getattr(LinkDirection(), each)) for each in LinkDirection.__slots__):
+                for name, value in (
+                    (each, getattr(LinkDirection(), each)) for each in LinkDirection.__slots__
+                ):
                     setattr(way, name, value)
 
     # What is seen.
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -16,15 +16,15 @@
 
 from oakkeel.admission import MS, SECOND, AdmissionController
 from oakkeel.admission.types import (
-    LoadReportKind,
     DownstreamKind,
     Effect,
-    RequestClass,
-    Request,
     FairSharingRules,
     Gauges,
+    LoadReportKind,
     NodeLimits,
     Outcome,
+    Request,
+    RequestClass,
     StopKind,
     Tenant,
 )
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -62,7 +62,10 @@
         self.keepers, self.fleet_away, self.below, self.hanging = keepers, fleet_away, below, hanging or {}
         self.folder, self.hosts, self.away, self.seed, self.work = folder, hosts, away, seed, work
         self.supervision = supervision
-        self.told = {**NODE_SETTINGS, "ceilings": {"retry-after": True, "max-retry-after": most_return * SECOND}}
+        self.told = {
+            **NODE_SETTINGS,
+            "ceilings": {"retry-after": True, "max-retry-after": most_return * SECOND},
+        }
         self.sites = sites or dict.fromkeys(hosts, "woodbrook")
         self.catalogue, self.directory = Catalogue(), Directory()
         self.catalogues: dict[str, str] = {}  # addresses in place of the one, by instance
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from oakkeel.agent import messages
-from oakkeel.authentication.client import AuthenticatedClient, LinkError, AuthenticationRejectedError
+from oakkeel.authentication.client import AuthenticatedClient, AuthenticationRejectedError, LinkError
 from oakkeel.authentication.mac import SECOND, Key
-from oakkeel.fleet.fan_out import TargetState, FanOut
+from oakkeel.fleet.fan_out import FanOut, TargetState
 from oakkeel.fleet.leader_discovery import LeaderDiscovery, SearchState
 from oakkeel.fleet.view import FleetView
 from oakkeel.settings.fleet import Fleet
--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -28,8 +28,21 @@
 
 
 TRANSITIONS = {
-    TargetState.ASKED: {TargetState.AGAIN, TargetState.PAUSED, TargetState.ANSWERED, TargetState.REFUSED, TargetState.FAILED, TargetState.LATE},
-    TargetState.AGAIN: {TargetState.PAUSED, TargetState.ANSWERED, TargetState.REFUSED, TargetState.FAILED, TargetState.LATE},
+    TargetState.ASKED: {
+        TargetState.AGAIN,
+        TargetState.PAUSED,
+        TargetState.ANSWERED,
+        TargetState.REFUSED,
+        TargetState.FAILED,
+        TargetState.LATE,
+    },
+    TargetState.AGAIN: {
+        TargetState.PAUSED,
+        TargetState.ANSWERED,
+        TargetState.REFUSED,
+        TargetState.FAILED,
+        TargetState.LATE,
+    },
     TargetState.PAUSED: {TargetState.AGAIN, TargetState.FAILED, TargetState.LATE},
     TargetState.ANSWERED: set(),
     TargetState.REFUSED: set(),
--- a/oakkeel/fleet/order_tracking.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -36,7 +36,12 @@
     TaskStage.DONE: set(),
     TaskStage.ENDED: set(),
 }
-OF_PARTS = {"refused": TaskStage.REFUSED, "waiting": TaskStage.OPEN, "acting": TaskStage.OPEN, "done": TaskStage.DONE}
+OF_PARTS = {
+    "refused": TaskStage.REFUSED,
+    "waiting": TaskStage.OPEN,
+    "acting": TaskStage.OPEN,
+    "done": TaskStage.DONE,
+}
 
 
 class Result(Enum):
@@ -124,7 +129,8 @@
     def result(self, waited: bool) -> Result:
         """`waited`: the sender stayed for the end; else what is open by now counts as good."""
         if any(
-            part.stand in (TaskStage.NOT_ORDERED, TaskStage.NOT_KNOWN, TaskStage.SENT) for part in self.parts.values()
+            part.stand in (TaskStage.NOT_ORDERED, TaskStage.NOT_KNOWN, TaskStage.SENT)
+            for part in self.parts.values()
         ):
             return Result.SOME_SILENT
         good = {TaskStage.DONE} if waited else {TaskStage.DONE, TaskStage.OPEN}
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -30,7 +30,9 @@
                 with open(journal, encoding="ascii") as file:
                     for line in file:
                         word, generation, _, at = line.split()
-                        found.append((int(at), f"node {word}", {"of": name, "generation": int(generation)}))
+                        found.append(
+                            (int(at), f"node {word}", {"target": name, "generation": int(generation)})
+                        )
     return sorted(found, key=lambda each: each[0])
 
 
@@ -41,12 +43,12 @@
     judge = ConsensusAudit(groups, known_after)
     last: dict[str, int] = {}  # by thing: the fence under which its agent last told it to leave
     for at, kind, facts in events(folder, hosts):
-        thing = facts.get("of", "")
-        if kind == "leads the record":
+        thing = facts.get("target", "")
+        if kind == "leader_elected":
             judge.led(at, facts["term"], facts["host"])
-        elif kind == "a place is granted":
+        elif kind == "permit_granted":
             judge.granted.setdefault(thing, set()).add(facts["fence"])
-        elif kind == "told to leave" and "order" in facts:
+        elif kind == "drain_requested" and "order" in facts:
             last[thing] = facts.get("fence", -1)
             judge.left(at, thing, last[thing])
         elif kind == "node start":
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -17,6 +17,12 @@
 import msgspec
 
 SECOND = 1_000_000_000
+STEP_EVENTS = (
+    "release_batch_started",
+    "release_batch_finished",
+    "release_rollout_begun",
+    "release_finished",
+)
 
 
 class RolloutAudit:
@@ -114,9 +120,9 @@
                 except ValueError:
                     continue  # cut short by a kill
                 event = str(told.get("event", ""))
-                if event in ("release: batch", "release: settle", "release: go", "release: finish"):
+                if event in STEP_EVENTS:
                     key = str(told["release"]), int(told["step"])
-                    what = f"{event} {told.get('of', '')}{told.get('new', '')}"
+                    what = f"{event} {told.get('targets', '')}{told.get('new', '')}"
                     if seen.setdefault(key, what) != what:
                         wrong.append(f"step {key[1]} of {key[0]}: {seen[key]!r} and {what!r}")
     return wrong
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -51,12 +51,13 @@
 
 
 def console(name: str) -> Callable[[object, str, Event], str]:
-    """Lines as `oakkeel n3: the event fact=value ...`; a value with blanks stands in quotes."""
+    """Lines as `oakkeel n3: info event field=value ...`; a value with blanks stands in quotes."""
 
     def render(logger: object, method: str, event: Event) -> str:
-        said = event.pop("event")
-        return f"oakkeel {name}: " + " ".join(
-            [str(said), *(f"{key}={_word(value)}" for key, value in event.items() if value is not None)]
+        text = event.pop("event")
+        level = event.pop("level", "info")
+        return f"oakkeel {name}: {level} " + " ".join(
+            [str(text), *(f"{key}={_word(value)}" for key, value in event.items() if value is not None)]
         )
 
     return render
@@ -68,7 +69,7 @@
 
 
 class EventLog:
-    """What one process says, by `say`."""
+    """The log of one process: each line is an event with a level and fields."""
 
     def __init__(
         self, name: str, lines_per_s: int, form: str = "console", stream: TextIO | None = None
@@ -86,11 +87,28 @@
             processors.append(console(name))
         self.bound = structlog.BoundLogger(self, processors, {"instance": name} if form == "json" else {})
 
-    def say(self, event: str, **facts: Any) -> None:
-        if self.lines.admits(event, facts):
+    def debug(self, event: str, **fields: Any) -> None:
+        """Log what only a developer looks for."""
+        self.write("debug", event, fields)
+
+    def info(self, event: str, **fields: Any) -> None:
+        """Log what happens in ordinary operation."""
+        self.write("info", event, fields)
+
+    def warning(self, event: str, **fields: Any) -> None:
+        """Log what went wrong outside and was dealt with."""
+        self.write("warning", event, fields)
+
+    def error(self, event: str, **fields: Any) -> None:
+        """Log what failed in this process, or what an operator has to mend."""
+        self.write("error", event, fields)
+
+    def write(self, level: str, event: str, fields: dict[str, Any]) -> None:
+        """Write one event at a level, if the line limiter admits it."""
+        if self.lines.admits(event, fields):
             if self.lines.left_out:
-                facts["left_out"] = self.lines.left_out  # lines, before this one
-            self.bound.msg(event, **facts)
+                fields["left_out"] = self.lines.left_out  # lines, before this one
+            self.bound.msg(event, level=level, **fields)
 
     def msg(self, line: str) -> None:
         """Where the last processor leaves a line."""
@@ -100,7 +118,9 @@
     def take_others(self, loop: asyncio.AbstractEventLoop) -> None:
         """What the loop and Tornado would write for themselves comes here too, under the same bound."""
         loop.set_exception_handler(
-            lambda _, told: self.say(told["message"], error=repr(told.get("exception")))
+            lambda _, context: self.error(
+                "event_loop_error", message=context["message"], error=repr(context.get("exception"))
+            )
         )
         logging.getLogger().handlers[:] = [LibraryLogHandler(self)]
 
@@ -111,7 +131,7 @@
         self.log = log
 
     def emit(self, record: logging.LogRecord) -> None:
-        self.log.say(record.getMessage())
+        self.log.error("library_error", logger=record.name, message=record.getMessage())
 
 
 def fault(error: BaseException) -> str:
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -88,13 +88,13 @@
         self._tell(None)
         node.reports.set_taking(True)
         node.stay()
-        node.log.say("stays")
+        node.log.info("drain_cancelled")
         return ""
 
     async def _drain(self, left: int) -> None:
         """End once all that was read is answered and every dispatcher has closed its connections."""
         node = self.node
-        node.log.say("told to leave")
+        node.log.info("drain_started")
         node.reports.set_taking(False)
         if node.host.begun:
             self._tell(left)
@@ -118,7 +118,7 @@
         self.timer = asyncio.get_running_loop().call_later(wait, self._end)
 
     def _end(self) -> None:
-        self.node.log.say("the stop is near: what is left of the connections is closed")
+        self.node.log.warning("drain_deadline_reached")
         self.node.listener.end()
 
     def _tell(self, left: int | None) -> None:
@@ -126,7 +126,7 @@
             if self.node.host.begun:
                 self.node.host.tell(self.node.host.keel.leave, left)
         except Exception as error:  # the drain goes on
-            self.node.log.say("leaving failed", error=fault(error))
+            self.node.log.error("drain_failed", error=fault(error))
 
     def _move(self, state: DrainState) -> None:
         """The one place where the state changes."""
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -35,21 +35,27 @@
             return None
         try:
             content = snapshot_file.read(self.path)
-            return None if content is None else persistence.decode_snapshot(content, time.time_ns(), self.rules.by)
+            return (
+                None
+                if content is None
+                else persistence.decode_snapshot(content, time.time_ns(), self.rules.by)
+            )
         except persistence.SnapshotRejectedError as error:
-            self.node.log.say("the snapshot of shares is not taken", why=str(error))
+            self.node.log.warning("fair_sharing_snapshot_rejected", reason=str(error))
         except (snapshot_file.SnapshotError, OSError) as error:
             aside = snapshot_file.set_aside(self.path)
-            self.node.log.say("the snapshot of shares is set aside", why=str(error), file=aside)
+            self.node.log.warning("fair_sharing_snapshot_quarantined", reason=str(error), file=aside)
         return None
 
     def begin(self) -> None:
         """The decisions are there: they begin with what an earlier process knew."""
         fair = self.node.host.keel.fair
         if self.found and fair:
-            persistence.restore_snapshot(self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises)
-            self.node.log.say(
-                "the snapshot of shares is taken",
+            persistence.restore_snapshot(
+                self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises
+            )
+            self.node.log.info(
+                "fair_sharing_snapshot_restored",
                 senders=len(fair.levels.tables[-1].senders),
                 promises=fair.promises.count,
             )
@@ -79,7 +85,7 @@
                 ),
             )
         except OSError as error:
-            self.node.log.say("the snapshot of shares can't be written", error=str(error))
+            self.node.log.error("fair_sharing_snapshot_write_failed", error=str(error))
 
     def end(self) -> None:
         if self.timer:
@@ -89,10 +95,10 @@
     def reload(self, rules: FairSharingRules | None) -> None:
         """New weights hold at once; who counts as one sender stays as it was at the start."""
         if rules is None or rules.by != self.rules.by:
-            return self.node.log.say("who counts as one sender stays until the next start")
+            return self.node.log.warning("flow_key_change_ignored")
         self.rules.weights.clear()
         self.rules.weights.update(rules.weights)
-        self.node.log.say("the new weights are taken", weights=len(rules.weights))
+        self.node.log.info("flow_weights_reloaded", weights=len(rules.weights))
 
     def told(self, tag: int, most: int) -> ClientsStatus:
         """The heaviest senders by now, innermost level."""
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -15,7 +15,7 @@
 from oakkeel.node.configuration import NodeConfiguration
 from oakkeel.node.metrics import Metrics
 from oakkeel.node.response_cache import ResponseCache
-from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.request import NodeRequest, RequestEvent
 from oakkeel.resource_limits import SECOND
 
 
@@ -70,7 +70,7 @@
         try:
             self.keel.settle(time.monotonic_ns())
         except Exception as error:  # the node lives on
-            self.log.say("settling failed", error=fault(error))
+            self.log.error("settle_failed", error=fault(error))
 
     # Verdicts.
 
@@ -126,7 +126,7 @@
                 self.measures.gauges_missed += 1
             self.tell(self.keel.timer, token, self.gauges)
         except Exception as error:  # the node lives on, and so must its poll
-            self.log.say("a timer failed", error=fault(error))
+            self.log.error("timer_failed", error=fault(error))
             self.set_timer(token, time.monotonic_ns() + self.start.bounds.timer_retry)
 
     # The node as a whole.
@@ -143,4 +143,4 @@
         self.listener.close_idle(after)
 
     def note(self, text: str) -> None:
-        self.log.say(text)
+        self.log.info("decision_note", text=text)
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -21,7 +21,7 @@
 from oakkeel.node.request_handler import RequestHandler
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.node_limits import LimitsError
-from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.request import NodeRequest, RequestEvent
 from oakkeel.resource_limits import SECOND
 from oakkeel.stream_buffers import BufferPool
 
@@ -52,7 +52,9 @@
         self.draining = Drain(self, start.limits.drain_grace, bounds.stop_after)
         self.fairly = None
         if start.limits.fair:
-            from oakkeel.node.fair_sharing import NodeFairSharing  # it brings libraries that a plain node spares
+            from oakkeel.node.fair_sharing import (
+                NodeFairSharing,  # it brings libraries that a plain node spares
+            )
 
             self.fairly = NodeFairSharing(self, start.limits.fair, start.snapshot)
         self.control = None
@@ -82,7 +84,7 @@
         gc.collect()
         gc.freeze()  # what is loaded by now lives as long as the process
         host, port = self.listener.address
-        self.log.say("listening", address=f"{host}:{port}")
+        self.log.info("listening", address=f"{host}:{port}")
         await self.done.wait()
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # one that comes from now on must not end it badly
         serving.cancel()
@@ -91,8 +93,8 @@
             self.fairly.end()
         if self.control:
             self.control.close()
-        self.log.say("measures", **self._measured())
-        self.log.say("left")
+        self.log.info("metrics", **self._measured())
+        self.log.info("node_stopped")
 
     def _engine_up(self, cold: bool, age: int) -> None:
         if self.host.begun:
@@ -109,7 +111,7 @@
         self.reader = RequestReader(
             self.start.limits, self.start.groups, self.start.tenants, self.bounds, who=who
         )
-        self.log.say("the engine is up", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
+        self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
     def stay(self) -> None:
         """A drain was taken back: take exchanges, where the engine came up meanwhile."""
@@ -123,13 +125,13 @@
         try:
             start = read_configuration(os.environ)
         except (LimitsError, OSError) as error:
-            return self.log.say("the new configuration is not taken", error=str(error))
+            return self.log.error("configuration_rejected", error=str(error))
         self.engine.move(start.engine)
         self.catalogue.move(start.catalogue)
         self.reports.move(start.lookup)
         if self.fairly:
             self.fairly.reload(start.limits.fair)
-        self.log.say("the new configuration is taken")
+        self.log.info("configuration_reloaded")
 
     # The front of the connections.
 
@@ -165,7 +167,7 @@
     # Measures.
 
     def _measure(self) -> None:
-        self.log.say("measures", **self._measured())
+        self.log.info("metrics", **self._measured())
         asyncio.get_running_loop().call_later(self.bounds.measures / SECOND, self._measure)
 
     def _measured(self) -> dict[str, object]:
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -12,7 +12,7 @@
 from oakkeel.node.host import NodeHost
 from oakkeel.node.metrics import Metrics
 from oakkeel.node.response_cache import ResponseCache
-from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.request import NodeRequest, RequestEvent
 
 FINISHED = (None,)
 
@@ -36,7 +36,7 @@
         try:
             ex.repeats = self.results.find(ex, time.monotonic_ns())
             if ex.repeats and self.results.differs(ex):
-                ex.connection.fault("a deduplication key came with another body")
+                ex.connection.fault("idempotency_key_mismatch")
                 return self._answer(ex, codec.TERMINATED)
             if ex.key and ex.group.once and not ex.repeats and self.results.full(time.monotonic_ns()):
                 return self._deny(ex)  # its repeats could not be told from it
@@ -74,7 +74,7 @@
                 raise RuntimeError(f"{what} in state {ex.state.name}")
             self._run_over(ex, *words)
         except Exception as error:  # it is answered and the node lives on
-            self.log.say("an exchange failed", state=ex.state.name, error=fault(error))
+            self.log.error("request_failed", state=ex.state.name, error=fault(error))
             await self._wind_up(ex)
         finally:
             self.catalogue.quit(ex)
@@ -108,7 +108,7 @@
         told = Outcome.STOPPED if outcome is Outcome.MOOT else outcome
         self.host.tell(self.host.keel.run_done, ex, told, spent)
         if ex.unknown:
-            ex.connection.fault("the engine knows no such exchange")
+            ex.connection.fault("request_id_unknown")
         if ex.ran:
             self.results.ended(ex, told, result)
         self._answer_run(ex, outcome, result)
@@ -147,4 +147,4 @@
                 elif what is RequestEvent.DONE:
                     self._run_over(ex, *words)
         except Exception as error:
-            self.log.say("winding up failed", error=fault(error))
+            self.log.error("request_cleanup_failed", error=fault(error))
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 
 from oakkeel.admission.types import Outcome
-from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.request import NodeRequest, RequestEvent
 from oakkeel.resource_limits import ResourceLimits
 
 Key = tuple[int, bytes, bytes]  # endpoint group, tenant, key: nobody gets another tenant's result
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -7,7 +7,15 @@
 
 from typing import Any, NoReturn
 
-from oakkeel.admission.types import LoadReportKind, DownstreamKind, Effect, RequestClass, NodeLimits, StopKind, Tenant
+from oakkeel.admission.types import (
+    DownstreamKind,
+    Effect,
+    LoadReportKind,
+    NodeLimits,
+    RequestClass,
+    StopKind,
+    Tenant,
+)
 
 EFFECTS = {
     "read_like": Effect.REPEATABLE,
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -13,7 +13,13 @@
 import msgspec
 
 from oakkeel.disruption.allocator import PermitTimeouts
-from oakkeel.policy_change.state_machine import PolicyCommand, CommitPolicy, MarkInForce, RejectPolicy, PolicyStateMachine
+from oakkeel.policy_change.state_machine import (
+    CommitPolicy,
+    MarkInForce,
+    PolicyCommand,
+    PolicyStateMachine,
+    RejectPolicy,
+)
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -53,7 +59,9 @@
 class PolicyCoordinator:
     """Made when a leader begins, thrown away when it ends. Calls return commands to propose."""
 
-    def __init__(self, now: int, register: PolicyStateMachine, hosts: tuple[str, ...], terms: PermitTimeouts) -> None:
+    def __init__(
+        self, now: int, register: PolicyStateMachine, hosts: tuple[str, ...], terms: PermitTimeouts
+    ) -> None:
         self.register, self.hosts, self.terms, self.began = register, hosts, terms, now
         self.known: dict[str, HostProgress] = {}
         self.decided_at: dict[int, int] = {}  # since when we tell of no earlier one, by number
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -18,7 +18,7 @@
 from oakkeel.disruption import commands as places
 from oakkeel.disruption.state_machine import Rejection
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.state_machine import RolloutStateMachine, RolloutState
+from oakkeel.rollout.state_machine import RolloutState, RolloutStateMachine
 
 MAX_POLICY_BYTES = 64 * 1024  # of one version
 MAX_VERSIONS = 64  # versions
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -6,7 +6,16 @@
 from typing import Protocol
 
 from oakkeel.raft.log import ReplicatedLog
-from oakkeel.raft.messages import MAX_BATCH_BYTES, AppendEntriesRequest, AppendEntriesResponse, Member, SnapshotChunk, SnapshotChunkResponse, Message, encode_members
+from oakkeel.raft.messages import (
+    MAX_BATCH_BYTES,
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    Member,
+    Message,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+    encode_members,
+)
 from oakkeel.raft.timeouts import RaftTimeouts
 
 NEVER = 1 << 62
@@ -142,7 +151,10 @@
         entries = log.after(before)
         peer.waiting = bool(entries)
         keeper.send(
-            peer.name, AppendEntriesRequest(term, before, log.term_at(before), entries, keeper.commit, now, self.marks())
+            peer.name,
+            AppendEntriesRequest(
+                term, before, log.term_at(before), entries, keeper.commit, now, self.marks()
+            ),
         )
 
     def marks(self) -> list[tuple[str, int, int]]:
--- a/oakkeel/raft/log.py
+++ b/oakkeel/raft/log.py
@@ -57,7 +57,9 @@
         """The next ones that one letter can hold."""
         batch: list[Entry] = []
         size = 0
-        for entry in self.entries[index - self.snapshot.index : index - self.snapshot.index + MAX_BATCH_ENTRIES]:
+        for entry in self.entries[
+            index - self.snapshot.index : index - self.snapshot.index + MAX_BATCH_ENTRIES
+        ]:
             size += len(entry.content) + 16
             if batch and size > MAX_BATCH_BYTES:
                 break
--- a/oakkeel/raft/messages.py
+++ b/oakkeel/raft/messages.py
@@ -6,7 +6,9 @@
 
 import msgspec
 
-MAX_COMMAND_BYTES = 4 * 1024 * 1024  # bytes of one command: what there is in a fleet of 10,000 has some 300 KB
+MAX_COMMAND_BYTES = (
+    4 * 1024 * 1024
+)  # bytes of one command: what there is in a fleet of 10,000 has some 300 KB
 MAX_BATCH_BYTES = 64 * 1024  # bytes of entries, or of a snapshot's piece, in one letter
 MAX_BATCH_ENTRIES = 64  # in one letter
 
@@ -113,7 +115,17 @@
     sent: int
 
 
-Message = RecoveryRequest | RecoveryResponse | JoinCluster | VoteRequest | VoteResponse | AppendEntriesRequest | AppendEntriesResponse | SnapshotChunk | SnapshotChunkResponse
+Message = (
+    RecoveryRequest
+    | RecoveryResponse
+    | JoinCluster
+    | VoteRequest
+    | VoteResponse
+    | AppendEntriesRequest
+    | AppendEntriesResponse
+    | SnapshotChunk
+    | SnapshotChunkResponse
+)
 
 
 class Envelope(msgspec.Struct, array_like=True):
--- a/oakkeel/raft/replica.py
+++ b/oakkeel/raft/replica.py
@@ -27,18 +27,18 @@
     MAX_COMMAND_BYTES,
     AppendEntriesRequest,
     AppendEntriesResponse,
-    VoteRequest,
     Entry,
-    JoinCluster,
-    RecoveryRequest,
     EntryKind,
-    RecoveryResponse,
     Envelope,
+    JoinCluster,
     Member,
+    Message,
+    RecoveryRequest,
+    RecoveryResponse,
     SnapshotChunk,
     SnapshotChunkResponse,
+    VoteRequest,
     VoteResponse,
-    Message,
 )
 from oakkeel.raft.timeouts import RaftTimeouts
 
@@ -134,7 +134,13 @@
     """See the module. `tick`, `heard` and `propose` return what is to be done."""
 
     def __init__(
-        self, now: int, held: DurableState, machine: StateMachine, seed: int, pace: RaftTimeouts, founders: tuple[str, ...]
+        self,
+        now: int,
+        held: DurableState,
+        machine: StateMachine,
+        seed: int,
+        pace: RaftTimeouts,
+        founders: tuple[str, ...],
     ) -> None:
         """`founders` names those that the operators' settings make keepers of a new record."""
         self.durable, self.machine, self.pace, self.founders = held, machine, pace, founders
@@ -293,10 +299,15 @@
             return  # of another record
         self.hellos[letter.name] = letter.life, now, word.fresh
         mark_term, mark = self._mark(letter.life)
-        self.send(letter.name, RecoveryResponse(word.nonce, not self.durable.epoch, self.durable.term, mark_term, mark))
+        self.send(
+            letter.name,
+            RecoveryResponse(word.nonce, not self.durable.epoch, self.durable.term, mark_term, mark),
+        )
         # One that is named among us and has nothing was on its way when the record began, or is new.
         if word.fresh and self.durable.epoch and any(each.life == letter.life for each in self.members):
-            self.send(letter.name, JoinCluster(word.nonce, self.durable.epoch, list(self.log.snapshot.members)))
+            self.send(
+                letter.name, JoinCluster(word.nonce, self.durable.epoch, list(self.log.snapshot.members))
+            )
 
     def _mark(self, life: str) -> tuple[int, int]:
         known = self.durable.marks.get(life, (0, 0))
@@ -452,7 +463,8 @@
             while index > self.commit and log.term_at(index) == term and before <= log.last:
                 index -= 1
             return self.send(
-                letter.name, AppendEntriesResponse(self.durable.term, False, max(index, self.commit), word.sent)
+                letter.name,
+                AppendEntriesResponse(self.durable.term, False, max(index, self.commit), word.sent),
             )
         for place, entry in enumerate(entries):
             index = before + 1 + place
@@ -480,7 +492,9 @@
         if not self._led(now, letter, word.term) or word.total > MAX_SNAPSHOT_BYTES:
             return None
         if word.index <= self.commit:
-            return self.send(letter.name, SnapshotChunkResponse(self.durable.term, word.index, word.total, word.sent))
+            return self.send(
+                letter.name, SnapshotChunkResponse(self.durable.term, word.index, word.total, word.sent)
+            )
         if self.arriving is None or self.arriving[:2] != (word.index, word.index_term):
             self.arriving = word.index, word.index_term, bytearray()
         came = self.arriving[2]
@@ -496,7 +510,10 @@
                 self._adopt(snapshot)
             self.commit = self.applied = word.index
             self.machine.restore(snapshot.content)
-        self.send(letter.name, SnapshotChunkResponse(self.durable.term, word.index, min(len(came), word.total), word.sent))
+        self.send(
+            letter.name,
+            SnapshotChunkResponse(self.durable.term, word.index, min(len(came), word.total), word.sent),
+        )
 
     def _adopt(self, snapshot: Snapshot) -> None:
         """In place of all that it holds."""
@@ -545,9 +562,14 @@
         while self.applied < self.commit:
             self.applied += 1
             entry = self.log.entry(self.applied)
-            result = self.machine.apply(self.applied, entry.content) if entry.kind == EntryKind.COMMAND else None
+            result = (
+                self.machine.apply(self.applied, entry.content) if entry.kind == EntryKind.COMMAND else None
+            )
             if proposal := self.proposals.pop(self.applied, None):
-                proposal.fate, proposal.result = ProposalStatus.AGREED, result  # a leader drops nothing of its own
+                proposal.fate, proposal.result = (
+                    ProposalStatus.AGREED,
+                    result,
+                )  # a leader drops nothing of its own
                 self.steps.ended.append(proposal)
         if self.applied - self.log.snapshot.index >= self.pace.fold:
             self.keep.snapshot = self.log.fold(self.applied, self.machine.fold())
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from oakkeel.raft.log import Snapshot
-from oakkeel.raft.messages import Entry, encode_members, decode_members
+from oakkeel.raft.messages import Entry, decode_members, encode_members
 from oakkeel.raft.replica import DurableState, StorageUpdate
-from oakkeel.store.database import Statement, Database
+from oakkeel.store.database import Database, Statement
 
 VERSION = 1
 MAX_FILE_BYTES = 256 * 1024 * 1024
@@ -108,7 +108,9 @@
         os.close(self.descriptor)
 
 
-def write(store: Database, durable: DurableState, keep: StorageUpdate, witness: WriteCounter | None = None) -> None:
+def write(
+    store: Database, durable: DurableState, keep: StorageUpdate, witness: WriteCounter | None = None
+) -> None:
     """On disk once it returns. Raises StoreError: nothing of it is then."""
     rows = statements(durable, keep)
     if witness is None:
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -61,7 +61,9 @@
 
 
 def permits_table(
-    groups: list[messages.BudgetUsage], out: list[messages.UnavailableTarget], orders: list[messages.FleetOrderStatus]
+    groups: list[messages.BudgetUsage],
+    out: list[messages.UnavailableTarget],
+    orders: list[messages.FleetOrderStatus],
 ) -> list[Table]:
     first = Table(box=None, header_style="bold", pad_edge=False)
     for column in ("of", "out", "may be out"):
--- a/oakkeel/rollout/assignments.py
+++ b/oakkeel/rollout/assignments.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from oakkeel.rollout.commands import VersionSpec
-from oakkeel.rollout.messages import TargetStatus, AgentReport, encode, decode_assignments
+from oakkeel.rollout.messages import AgentReport, TargetStatus, decode_assignments, encode
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,7 +37,9 @@
         self.asked: set[str] = set()  # releases whose copies are made, or were
         self.missing: dict[str, ArtifactRequest] = {}
 
-    def restore(self, versions: dict[str, str], sources: dict[str, VersionSpec], bases: dict[str, str]) -> None:
+    def restore(
+        self, versions: dict[str, str], sources: dict[str, VersionSpec], bases: dict[str, str]
+    ) -> None:
         self.versions, self.sources, self.bases = versions, sources, bases
 
     def version(self, thing: str) -> str:
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -107,7 +107,16 @@
     step: int
 
 
-Command = StartRelease | ControlRelease | ReportPrepared | BeginRollout | StartBatch | FinishBatch | RecordVerdict | FinishRelease
+Command = (
+    StartRelease
+    | ControlRelease
+    | ReportPrepared
+    | BeginRollout
+    | StartBatch
+    | FinishBatch
+    | RecordVerdict
+    | FinishRelease
+)
 _command_decoder = msgspec.msgpack.Decoder(Command | places.Command)
 
 
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -16,9 +16,9 @@
 from oakkeel.disruption.state_machine import OPEN_STATES, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.gates import Decision, Gate
-from oakkeel.rollout.messages import AgentAssignments, encode, decode_report
+from oakkeel.rollout.messages import AgentAssignments, decode_report, encode
 from oakkeel.rollout.plan import BatchPlanner, TargetObservation
-from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine, Release
+from oakkeel.rollout.state_machine import LEASE, Release, RolloutStateMachine
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -157,7 +157,11 @@
     def applied(self, now: int, command: object, result: object) -> None:
         if isinstance(command, places.SetTopology):
             self.planner = BatchPlanner(self.granting.layout)
-        if isinstance(command, places.AcquireLease) and command.name == LEASE and command.holder == self.lease.holder:
+        if (
+            isinstance(command, places.AcquireLease)
+            and command.name == LEASE
+            and command.holder == self.lease.holder
+        ):
             if not self.lease.answered(self.asked_at, result):
                 self.ask_at = now + AGAIN
             self.asked_at = 0
@@ -243,7 +247,9 @@
             return commands.BeginRollout(release.ident, self.lease.fence, release.step)
         self.why = f"{', '.join(missing[:5])} not ready yet"
         if now - self.since > PREPARE:
-            return commands.ReportPrepared(release.ident, self.lease.fence, missing[0], "it did not say in time", {})
+            return commands.ReportPrepared(
+                release.ident, self.lease.fence, missing[0], "it did not say in time", {}
+            )
         return None
 
     # A batch that is under way.
@@ -360,7 +366,9 @@
         return part.why or part.state if part else "nothing was ordered"
 
     def _halt(self, release: Release, gate: Gate, why: str) -> commands.Command:
-        return commands.RecordVerdict(release.ident, self.lease.fence, release.step, gate.kept(), gate.figures(), why)
+        return commands.RecordVerdict(
+            release.ident, self.lease.fence, release.step, gate.kept(), gate.figures(), why
+        )
 
     # Between batches.
 
--- a/oakkeel/rollout/messages.py
+++ b/oakkeel/rollout/messages.py
@@ -39,7 +39,10 @@
     watch: bool = False  # figures are asked for
 
 
-_report_decoder, _assignments_decoder = msgspec.msgpack.Decoder(AgentReport), msgspec.msgpack.Decoder(AgentAssignments)
+_report_decoder, _assignments_decoder = (
+    msgspec.msgpack.Decoder(AgentReport),
+    msgspec.msgpack.Decoder(AgentAssignments),
+)
 
 
 def encode(word: AgentReport | AgentAssignments) -> bytes:
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -100,7 +100,9 @@
             else:
                 able.append(thing)
         if not free and not able:
-            return BatchChoice([], f"{old} of which nothing new is known" if old else "all that is left is out")
+            return BatchChoice(
+                [], f"{old} of which nothing new is known" if old else "all that is left is out"
+            )
         choice, why = BatchChoice(), ""
         count: dict[str, int] = {}  # chosen, by site
         if broken_first:
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import ControlPlaneState, PermitStateMachine, Order, Rejection
+from oakkeel.disruption.state_machine import ControlPlaneState, Order, PermitStateMachine, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import MAX_TARGETS, RolloutPolicy, VersionSpec
 
@@ -116,7 +116,9 @@
             )
             return known if same else Rejection(f"that id is of another release, by {known.operator}")
         if other := self.open:
-            return Rejection(f"{other.operator}'s release {other.ident} is {other.state}: it has to end first")
+            return Rejection(
+                f"{other.operator}'s release {other.ident} is {other.state}: it has to end first"
+            )
         things = command.things
         if (
             not command.ident
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oakkeel.admission import AdmissionController
-from oakkeel.admission.types import Effect, Request, Gauges, Outcome
+from oakkeel.admission.types import Effect, Gauges, Outcome, Request
 from oakkeel.node_limits import LimitsError, Pairs, read_limits
 from oakkeel.simulator_adapter import wire
 
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -18,14 +18,14 @@
 
 from oakkeel.admission import MS, SECOND, AdmissionController
 from oakkeel.admission.types import (
-    LoadReportKind,
     DownstreamKind,
     Effect,
-    RequestClass,
-    Request,
     Gauges,
+    LoadReportKind,
     NodeLimits,
     Outcome,
+    Request,
+    RequestClass,
     RequestState,
     StopKind,
     Tenant,
@@ -397,7 +397,7 @@
         self.port = int(self.log("listening").rsplit(":", 1)[1])
         if attach:
             self.engine.attach(state, age)
-            self.log("the engine is up")
+            self.log("engine_ready")
 
     def log(self, part: str) -> str:
         """Wait for a line of the log."""
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -24,7 +24,7 @@
 from oakkeel.control.messages import NodeStatus
 from oakkeel.fakes.crashing import PROGRAM
 from oakkeel.fakes.site import FakeSite
-from oakkeel.fleet.agent_clients import AgentError, AgentRejectedError, AgentClients, request_once
+from oakkeel.fleet.agent_clients import AgentClients, AgentError, AgentRejectedError, request_once
 from oakkeel.fleet.view import FleetView
 from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
@@ -32,7 +32,9 @@
 from oakkeel.store.database import Database, DatabaseError
 
 WAIT = 20.0
-FAST = SupervisionTimeouts(silent=400 * MS, start=3 * SECOND, stuck=60 * SECOND, drain=SECOND, backoff=50 * MS)
+FAST = SupervisionTimeouts(
+    silent=400 * MS, start=3 * SECOND, stuck=60 * SECOND, drain=SECOND, backoff=50 * MS
+)
 
 
 class AgentStory(unittest.IsolatedAsyncioTestCase):
@@ -304,7 +306,7 @@
         await self.order("restart", "n1", ident="o2", operator="ravi", supersede=True)
         self.assertEqual(await self.ended("o2"), {"n1": "done"})
         self.assertEqual(await self.ended("o1"), {"n1": "superseded"})
-        self.assertIn("killed after its drain time", self.said.getvalue())
+        self.assertIn("drain_timeout_killed", self.said.getvalue())
 
     async def test_sigterm_to_the_agent_leaves_open_orders_to_the_next(self):
         self.script("n1", "deaf")
@@ -326,7 +328,9 @@
         store.base.execute("PRAGMA max_page_count = 1")  # as full as it can be
         for number in range(200):  # until what is free in the pages that it has is used up
             generation = await self.generation("n2")
-            answer = await self.ask(messages.OrderRequest(f"f{number}", "start", [("n2", generation)], SECOND))
+            answer = await self.ask(
+                messages.OrderRequest(f"f{number}", "start", [("n2", generation)], SECOND)
+            )
             if isinstance(answer, messages.ErrorResponse):
                 break
         self.assertIn("can't be kept: database or disk is full", getattr(answer, "why", ""))
@@ -390,12 +394,16 @@
                         stderr=subprocess.DEVNULL,
                     )
                 with contextlib.suppress(AgentError, asyncio.TimeoutError):
-                    told = await asyncio.wait_for(request_once(host.agent, key, messages.HostStatusRequest()), 1)
+                    told = await asyncio.wait_for(
+                        request_once(host.agent, key, messages.HostStatusRequest()), 1
+                    )
                     if not taken and told.instances[0].phase == "serving":
                         # The same words again whenever no answer came: the sender can't know.
                         answer = await asyncio.wait_for(
                             request_once(
-                                host.agent, key, messages.OrderRequest("o1", "restart", [("n1", 1)], 30 * SECOND)
+                                host.agent,
+                                key,
+                                messages.OrderRequest("o1", "restart", [("n1", 1)], 30 * SECOND),
                             ),
                             1,
                         )
@@ -462,7 +470,7 @@
         with self.assertRaisesRegex(AgentRejectedError, "its log says why"):
             await request_once(self.host.agent, wrong, messages.HostStatusRequest())
         self.assertEqual(self.of(agent, "n1").generation, generation)
-        refusals = [line for line in self.said.getvalue().splitlines() if "a message was refused" in line]
+        refusals = [line for line in self.said.getvalue().splitlines() if "message_rejected" in line]
         self.assertLessEqual(len(refusals), 2)  # once a second at most
 
     async def test_one_who_views_may_not_act(self):
@@ -503,7 +511,8 @@
             for key, taken in zip((old, new), good, strict=True):
                 if taken:
                     self.assertIsInstance(
-                        await request_once(self.host.agent, key, messages.HostStatusRequest()), messages.HostStatus
+                        await request_once(self.host.agent, key, messages.HostStatusRequest()),
+                        messages.HostStatus,
                     )
                 else:
                     with self.assertRaises(AgentRejectedError):
@@ -539,7 +548,9 @@
                 for number in range(1000)
             ],
         )
-        door = AgentServer(self.host.agent, lambda: read_keys(self.fleet), lambda key, wish: whole, EventLog("door", 10))
+        door = AgentServer(
+            self.host.agent, lambda: read_keys(self.fleet), lambda key, wish: whole, EventLog("door", 10)
+        )
         door.open()
         told = await self.ask(messages.HostStatusRequest())
         self.assertEqual(len(told.instances), 1000)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -9,9 +9,17 @@
 from oakkeel.emulator.policy_change import PolicyHost, PolicySimulation
 from oakkeel.invariants.policy_change import PolicyChangeAudit
 from oakkeel.models import policy_change as model
-from oakkeel.policy_change.coordinator import LEASE, PolicyCoordinator, PolicyAssignment, AgentReport
-from oakkeel.policy_change.policy_lease import AgentPolicyLease, NodePolicyLease, LeaseStatus
-from oakkeel.policy_change.state_machine import CommitPolicy, MarkInForce, PolicyVersion, ProposePolicy, RejectPolicy, PolicyStateMachine, WithdrawPolicy
+from oakkeel.policy_change.coordinator import LEASE, AgentReport, PolicyAssignment, PolicyCoordinator
+from oakkeel.policy_change.policy_lease import AgentPolicyLease, LeaseStatus, NodePolicyLease
+from oakkeel.policy_change.state_machine import (
+    CommitPolicy,
+    MarkInForce,
+    PolicyStateMachine,
+    PolicyVersion,
+    ProposePolicy,
+    RejectPolicy,
+    WithdrawPolicy,
+)
 
 SECOND = 1_000_000_000
 DRIFT = PermitTimeouts().drift
@@ -92,7 +100,9 @@
         agent.heard(20, PolicyAssignment(1, 50))
         self.assertEqual(agent.hand_on(), (1, 150))
         self.assertFalse(agent.heard(300, PolicyAssignment(0, 50)))
-        agent.heard(200, PolicyAssignment(2, 50))  # with no content it can't go by that, and has no more time for this
+        agent.heard(
+            200, PolicyAssignment(2, 50)
+        )  # with no content it can't go by that, and has no more time for this
         self.assertEqual(agent.hand_on(), (1, 150))
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -195,7 +195,7 @@
         raise AssertionError(f"the agent ended without {part!r}")
 
     async def test_heavy_senders_are_shown_and_new_weights_reach_the_node(self):
-        await self.logged("started")
+        await self.logged("instance_started")
         while (await self.instances()) != {"n1": "serving"}:
             await asyncio.sleep(0.1)
         _, out, _ = await self.oakkeel("show", "n1", "--output", "json")
@@ -208,11 +208,11 @@
         self.site.supervision = '<fairness by="client"><weight of="steelpan" is="2.5"/></fairness>'
         self.site.write_settings()
         self.server.send_signal(signal.SIGHUP)
-        await self.logged("the settings are taken")
+        await self.logged("settings_reloaded")
         path = os.path.join(self.other, "wb1", "n1.log")
         for _ in range(200):
             with open(path) as file:
-                if "the new weights are taken weights=1" in file.read():
+                if "flow_weights_reloaded weights=1" in file.read():
                     break
             await asyncio.sleep(0.05)
         else:
@@ -235,7 +235,7 @@
             env={**os.environ, "PROXY_CONFIG": os.path.join(self.site.folder, "n1.json")},
         )
         address = "127.0.0.1", int((await self.said("listening")).rsplit(b":", 1)[1])
-        await self.said("the engine is up")
+        await self.said("engine_ready")
         self.dispatcher = Dispatcher(1, lambda: {"n1": address}, 100, 7)
         self.addAsyncCleanup(self.end)
 
@@ -276,7 +276,7 @@
     async def test_a_crashed_engine_is_attached_again(self):
         await self.send(5)
         self.engine.script(Fault.CRASH)
-        await self.said("the engine's link is lost")
+        await self.said("engine_link_lost")
         self.engine.script(Fault.NONE)
         await self.send(5)
         await self.all_answered()
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -285,7 +285,7 @@
 
         engine_next()
         link.sendall(b"HELLO steady 60000.0\r\n")
-        self.log("the engine is up")
+        self.log("engine_ready")
         dispatcher = socket.create_connection(("127.0.0.1", port), timeout=20)
         self.addCleanup(dispatcher.close)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -51,7 +51,7 @@
         link = self.link()
         self.assertEqual(self.say(link, type="ask", tag=1)["state"], "waiting")
         self.engine.attach()
-        self.log("the engine is up")
+        self.log("engine_ready")
         dispatcher = self.dispatcher()
         ident = dispatcher.call("card")
         self.engine.next()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -4,12 +4,12 @@
 from unittest import mock
 
 from oakkeel.admission import AdmissionController
-from oakkeel.emulator.clients import ClientBehavior, BalancingPolicy
+from oakkeel.emulator.clients import BalancingPolicy, ClientBehavior
 from oakkeel.emulator.clock import SECOND, Clock
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.machines import Machine
 from oakkeel.emulator.nodes import MS, SimulatedNode
-from oakkeel.emulator.scenario import Scenario, FaultEvent, ScenarioRun, FaultKind, play
+from oakkeel.emulator.scenario import FaultEvent, FaultKind, Scenario, ScenarioRun, play
 
 SHORT = Scenario(nodes=2, dispatchers=2, seconds=4.0)
 
@@ -88,7 +88,13 @@
 
     def test_a_hasty_dispatcher_gives_up_while_answers_travel_and_nothing_runs_twice(self):
         result = play(
-            Scenario(nodes=2, dispatchers=2, seconds=4.0, load=1.2, manners=ClientBehavior(hasty=60 * MS, delay=20 * MS))
+            Scenario(
+                nodes=2,
+                dispatchers=2,
+                seconds=4.0,
+                load=1.2,
+                manners=ClientBehavior(hasty=60 * MS, delay=20 * MS),
+            )
         )
         self.assertEqual(result.breaches, [])
 
@@ -194,6 +200,9 @@
             ex.slo_end = ex.give_up_at = now + 100 * SECOND
             self._admit(ex)
 
-        with mock.patch.object(AdmissionController, "settle", settle), mock.patch.object(AdmissionController, "arrive", admit_all):
+        with (
+            mock.patch.object(AdmissionController, "settle", settle),
+            mock.patch.object(AdmissionController, "arrive", admit_all),
+        ):
             told = "\n".join(play(Scenario(nodes=1, dispatchers=1, seconds=6.0, load=4.0)).breaches)
         self.assertIn("rule 4: n1 fell over", told)
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -141,7 +141,9 @@
 
 
 def world(fair=True, by=("caller",), weights=None, seed=7, **more) -> SimulatedNode:
-    rules = FairSharingRules(tuple(by), weights if weights is not None else {}, places=more.pop("places", 256))
+    rules = FairSharingRules(
+        tuple(by), weights if weights is not None else {}, places=more.pop("places", 256)
+    )
     return SimulatedNode(rules if fair else None, seed, **more)
 
 
@@ -189,7 +191,9 @@
     def test_identities_within_one_tenant_gain_it_nothing(self):
         made = world(by=("tenant", "caller"), places=128)
         good = [SimulatedClient(b"good-%d" % number, 20, tenant=b"t%d" % number) for number in range(8)]
-        crowd = [SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", heeds=False) for number in range(1000)]
+        crowd = [
+            SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", heeds=False) for number in range(1000)
+        ]
         made.add(*good, *crowd)
         made.pass_time(5)
         before = [each.counts["in time"] for each in good], sum(each.counts["in time"] for each in crowd)
@@ -304,13 +308,18 @@
 
     def filled(self) -> SimulatedNode:
         made = world()
-        made.add(SimulatedClient(b"crawler", 500, heeds=False), *(SimulatedClient(b"g%d" % n, 20) for n in range(10)))
+        made.add(
+            SimulatedClient(b"crawler", 500, heeds=False),
+            *(SimulatedClient(b"g%d" % n, 20) for n in range(10)),
+        )
         made.pass_time(5)
         return made
 
     def content(self, made: SimulatedNode, unix: int = 10**18) -> bytes:
         fair = made.keel.fair
-        return persistence.encode_snapshot(made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises)
+        return persistence.encode_snapshot(
+            made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises
+        )
 
     def test_a_restart_forgives_nobody_and_breaks_no_promise(self):
         made, again = self.filled(), world()
@@ -421,21 +430,21 @@
         with open(os.path.join(self.folder, "n3.shares"), "wb") as file:
             file.write(b"oakkeel snapshot 1\n" + b"x" * 60)
         self.launch(self.told())
-        self.assertIn("n3.shares.bad", self.log("set aside"))
+        self.assertIn("n3.shares.bad", self.log("fair_sharing_snapshot_quarantined"))
         self.port = int(self.log("listening").rsplit(":", 1)[1])
         self.engine.attach()
-        self.log("the engine is up")
+        self.log("engine_ready")
         self.served(self.dispatcher(), "a")
 
     def test_weights_change_by_sighup_and_who_counts_does_not(self):
         self.begin()
         self.write_told(a=4.0)
         self.reload(self.told())
-        self.assertIn("weights=1", self.log("the new weights are taken"))
+        self.assertIn("weights=1", self.log("flow_weights_reloaded"))
         self.write_told(by=("tenant",))
         time.sleep(1.1)  # the log says the same line once a second
         self.reload(self.told())
-        self.log("stays until the next start")
+        self.log("flow_key_change_ignored")
         self.served(self.dispatcher(), "a")
 
     def test_settings_that_cannot_be_used_are_one_line(self):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,8 +11,15 @@
 from hypothesis import strategies as st
 
 from oakkeel.agent import messages
-from oakkeel.authentication.mac import NONCE, Key, ServerAuthenticator, AuthenticationError, Role, ClientAuthenticator
-from oakkeel.fleet.fan_out import MS, TargetState, FanOut
+from oakkeel.authentication.mac import (
+    NONCE,
+    AuthenticationError,
+    ClientAuthenticator,
+    Key,
+    Role,
+    ServerAuthenticator,
+)
+from oakkeel.fleet.fan_out import MS, FanOut, TargetState
 from oakkeel.fleet.order_tracking import OrderTracker, Result
 from oakkeel.fleet.selection import Selection, SelectionError, by_host, sites_over_share
 from oakkeel.fleet.view import SECOND, FleetView
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -20,7 +20,7 @@
 from oakkeel.node.request_handler import RequestHandler
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.node_limits import Pairs, flatten, read_limits
-from oakkeel.request import RequestEvent, NodeRequest
+from oakkeel.request import NodeRequest, RequestEvent
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer
 from tests.fake import GROUP, TOLD, WAIT, FakeHost, replace
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -396,7 +396,7 @@
         self.begin()
         for told in ("{", "[]", self.told(engine="nowhere"), self.told(settings={**TOLD, "classes": []})):
             self.reload(told)
-            self.log("not taken")
+            self.log("configuration_rejected")
         self.engine.done(self.dispatcher().call() and self.engine.next()[1])
 
     def test_a_hangup_before_the_engine_is_up_and_in_a_drain_ends_nothing(self):
@@ -404,12 +404,12 @@
         self.replace_parties()
         self.reload(self.told())
         self.engine.attach()
-        self.log("the engine is up")
+        self.log("engine_ready")
         dispatcher = self.dispatcher()
         ident = dispatcher.call()
         self.assertEqual(self.engine.next()[:2], ("RUN", ident))
         self.process.send_signal(signal.SIGTERM)
-        self.log("told to leave")
+        self.log("drain_started")
         self.replace_parties()
         self.reload(self.told())
         self.engine.attach()
@@ -457,7 +457,7 @@
         self.engine.next()
         self.engine.next()
         self.engine.lose()
-        self.log("link is lost")
+        self.log("engine_link_lost")
         late = dispatcher.call()
         self.engine.attach()
         # The link broke before the gauges proved that RUN was read. A repeatable one is sent again, to no
@@ -488,7 +488,7 @@
     def test_gauges_that_cant_be_make_the_link_anew(self):
         self.begin()
         self.engine.gauges = "nan 0.0 0.1 -3"
-        self.log("can't be read error=\"gauges")
+        self.log('engine_stream_malformed error="gauges')
         self.engine.gauges = "0.1 0.0 0.1 1.0"
         self.engine.attach()
         dispatcher = self.dispatcher()
@@ -521,7 +521,7 @@
         self.engine.next()
         self.assertEqual(self.report(), "PULSE n3 open")
         self.process.send_signal(signal.SIGTERM)
-        self.log("told to leave")
+        self.log("drain_started")
         self.process.send_signal(signal.SIGTERM)
         while self.report() != "PULSE n3 closed":
             pass
@@ -538,7 +538,7 @@
         dispatcher.close()
         late.close()
         self.assertEqual(self.process.wait(WAIT), 0)
-        self.assertNotIn("told to leave", self.process.stderr.read())
+        self.assertNotIn("drain_started", self.process.stderr.read())
 
     def test_what_still_runs_is_answered_before_the_stop(self):
         self.begin(stop_ms=700)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -3,7 +3,15 @@
 import unittest
 
 from oakkeel.admission.controller import CALLERS_MOST, MS, SECOND, Stage, next_stage
-from oakkeel.admission.types import LoadReportKind, DownstreamKind, Effect, Gauges, Outcome, RequestState, StopKind
+from oakkeel.admission.types import (
+    DownstreamKind,
+    Effect,
+    Gauges,
+    LoadReportKind,
+    Outcome,
+    RequestState,
+    StopKind,
+)
 from tests.fake import FakeHost
 
 
@@ -218,7 +226,8 @@
         for ex in exchanges:
             host.at_call(ex)
         self.assertLess(
-            host.keel.count[RequestState.CALLING] + host.keel.count[RequestState.RUNNING], 1.25 * host.limits.cores
+            host.keel.count[RequestState.CALLING] + host.keel.count[RequestState.RUNNING],
+            1.25 * host.limits.cores,
         )
 
     def test_calls_in_hand_stay_under_a_share_below_one(self):
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -24,17 +24,26 @@
 from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.lease_holder import LeaseHolder
-from oakkeel.disruption.messages import HeartbeatResponse, GrantedPermit
+from oakkeel.disruption.messages import GrantedPermit, HeartbeatResponse
 from oakkeel.disruption.state_machine import PermitStateMachine, Rejection
 from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
 from oakkeel.emulator.consensus import play, smallest
-from oakkeel.emulator.faults import MS, SECOND, Schedule, Fault, draw, read
+from oakkeel.emulator.faults import MS, SECOND, Fault, Schedule, draw, read
 from oakkeel.invariants.consensus import ConsensusAudit
 from oakkeel.raft import storage
 from oakkeel.raft.log import ReplicatedLog, Snapshot
 from oakkeel.raft.memory_storage import InMemoryStorage
-from oakkeel.raft.messages import AppendEntriesRequest, AppendEntriesResponse, Entry, RecoveryRequest, EntryKind, Envelope, Member, encode_members
-from oakkeel.raft.replica import DurableState, ProposalStatus, StorageUpdate, Replica, NotLeaderError, Role
+from oakkeel.raft.messages import (
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    Entry,
+    EntryKind,
+    Envelope,
+    Member,
+    RecoveryRequest,
+    encode_members,
+)
+from oakkeel.raft.replica import DurableState, NotLeaderError, ProposalStatus, Replica, Role, StorageUpdate
 from oakkeel.raft.timeouts import RaftTimeouts
 from oakkeel.store.database import APPLICATION, Database, DatabaseError
 
@@ -359,7 +368,9 @@
             for answer in answers:
                 steps = leader.heard(net.now, Envelope(leader.durable.epoch, peer.name, life, answer))
                 sent += [letter.word for to, letter in steps.send if to == peer.name]
-            answers = [AppendEntriesResponse(leader.term, False, 0, word.sent) for word in sent for _ in range(2)]
+            answers = [
+                AppendEntriesResponse(leader.term, False, 0, word.sent) for word in sent for _ in range(2)
+            ]
         self.assertEqual(len(answers), 2)
 
     def test_a_full_table_of_proposals_refuses_more(self):
@@ -481,7 +492,9 @@
         store.base.execute(f"PRAGMA max_page_count = {pages}")
         with self.assertRaises(DatabaseError):
             storage.write(
-                store, durable, StorageUpdate(entries=[(1, Entry(1, 2, b"small")), (2, Entry(1, 2, bytes(100_000)))])
+                store,
+                durable,
+                StorageUpdate(entries=[(1, Entry(1, 2, b"small")), (2, Entry(1, 2, bytes(100_000)))]),
             )
         self.assertEqual(storage.load(store, "a", "a.2").entries, [])
 
@@ -539,7 +552,9 @@
     """A ledger with the leader's part, and agents that say what they are told to."""
 
     def setUp(self) -> None:
-        self.ledger = PermitStateMachine(lambda *told: self.granting.applied(self.now, *told) if self.granting else None)
+        self.ledger = PermitStateMachine(
+            lambda *told: self.granting.applied(self.now, *told) if self.granting else None
+        )
         self.granting: PermitAllocator | None = None
         self.now, self.index = SECOND, 0
         self.holding = {name: PermitHolder(name, things, 1) for name, things in LAYOUT.hosts.items()}
@@ -799,7 +814,9 @@
         again = PermitHolder("h1", ("a",), 2)
         again.restore("e", [("a", 6, "o1", True)], {})
         self.assertTrue(again.may_begin(9 * SECOND, "a", "o1"))  # begun is begun
-        again.answered(SECOND, SECOND, HeartbeatResponse("e", 9, [GrantedPermit("a", "o0", 4, False, SECOND)], [], {}))
+        again.answered(
+            SECOND, SECOND, HeartbeatResponse("e", 9, [GrantedPermit("a", "o0", 4, False, SECOND)], [], {})
+        )
         self.assertFalse(again.may_begin(SECOND, "a", "o0"))
 
     def test_generations_only_rise(self):
@@ -868,7 +885,9 @@
         whole=st.booleans(),
     )
     def order(self, ident, named, verb, whole):
-        self.put(commands.SubmitOrder(ident, "asha", verb, 0, SECOND, whole, [(each, 1) for each in sorted(named)]))
+        self.put(
+            commands.SubmitOrder(ident, "asha", verb, 0, SECOND, whole, [(each, 1) for each in sorted(named)])
+        )
 
     @rule(ident=idents, named=st.sets(things, min_size=1))
     def grant(self, ident, named):
@@ -877,7 +896,10 @@
             assert result > self.fences.get(thing, 0)
             self.fences[thing] = result
 
-    @rule(thing=things, kind=st.sampled_from([commands.StartPermit, commands.ReleasePermit, commands.ExpirePermit]))
+    @rule(
+        thing=things,
+        kind=st.sampled_from([commands.StartPermit, commands.ReleasePermit, commands.ExpirePermit]),
+    )
     def move(self, thing, kind):
         self.put(kind(thing, self.fences.get(thing, 0)))
 
@@ -885,7 +907,9 @@
     def ended(self, ident, thing, how):
         self.put(commands.FinishTask(ident, thing, how, ""))
 
-    @rule(ident=idents, kind=st.sampled_from([commands.HaltOrder, commands.CancelOrder, commands.ExpireOrder]))
+    @rule(
+        ident=idents, kind=st.sampled_from([commands.HaltOrder, commands.CancelOrder, commands.ExpireOrder])
+    )
     def end(self, ident, kind):
         self.put(kind(ident) if kind is commands.ExpireOrder else kind(ident, "ravi"))
 
@@ -973,7 +997,10 @@
             held = self.places.get(thing)
             return held is not None and held.ident == ident and not held.given
 
-        with mock.patch.object(PermitHolder, "may_begin", for_ever), mock.patch.object(PermitHolder, "fresh", for_ever):
+        with (
+            mock.patch.object(PermitHolder, "may_begin", for_ever),
+            mock.patch.object(PermitHolder, "fresh", for_ever),
+        ):
             breaches = [breach for each in schedules for breach in play(each)[1]]
         self.assertRegex(breaches[0], "promise 7: ")
 
@@ -1011,7 +1038,9 @@
 class MembersStories(unittest.TestCase):
     def test_members_count_from_the_entry_that_names_them_and_go_with_it(self):
         log = ReplicatedLog(Snapshot(0, 0, (Member("a", "a.1"),), b""), [])
-        log.append(Entry(1, EntryKind.MEMBERS, encode_members([Member("a", "a.1"), Member("b", "b.1", False)])))
+        log.append(
+            Entry(1, EntryKind.MEMBERS, encode_members([Member("a", "a.1"), Member("b", "b.1", False)]))
+        )
         self.assertEqual(len(log.members), 2)
         log.cut(1)
         self.assertEqual((len(log.members), log.members_at), (1, 0))
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -23,7 +23,7 @@
 from oakkeel.fakes.site import FakeSite, free_port
 from oakkeel.fleet.agent_clients import NoLeaderError, request_once
 from oakkeel.invariants.logs import audit
-from oakkeel.raft.messages import RecoveryRequest, Envelope
+from oakkeel.raft.messages import Envelope, RecoveryRequest
 from oakkeel.settings.keys import read_agent_keys
 
 HOSTS = {f"h{number}": [f"n{number}a", f"n{number}b"] for number in range(1, 6)}
@@ -465,11 +465,17 @@
         with self.assertRaisesRegex(OSError, "refuses key"):
             await request_once(address, stranger, messages.PeerEnvelopesRequest([letter]))
         other = next(host for host in self.hosts if host != leader)
-        answer = await request_once(address, keys[other], messages.PeerEnvelopesRequest([letter]))  # its key, another's name
+        answer = await request_once(
+            address, keys[other], messages.PeerEnvelopesRequest([letter])
+        )  # its key, another's name
         self.assertIsInstance(answer, messages.PeerEnvelopesResponse)
-        answer = await request_once(address, keys[other], messages.HeartbeatRequest(Heartbeat(leader, 1, 1, 0, [], [], {})))
+        answer = await request_once(
+            address, keys[other], messages.HeartbeatRequest(Heartbeat(leader, 1, 1, 0, [], [], {}))
+        )
         self.assertRegex(answer.why, f"the key of {other} with a poll of {leader}")
-        answer = await request_once(address, keys[other], messages.FleetOrderRequest("x", "drain", [("n1a", 1)], 1))
+        answer = await request_once(
+            address, keys[other], messages.FleetOrderRequest("x", "drain", [("n1a", 1)], 1)
+        )
         self.assertRegex(answer.why, "is not for that")
         answer = await request_once(address, self.rig.asker.key, messages.PeerEnvelopesRequest([letter]))
         self.assertRegex(answer.why, "is not for that")
@@ -523,8 +529,8 @@
     @staticmethod
     def left(at: int, name: str, fence: int) -> list[dict]:
         return [
-            {"mono": at, "event": "a place is granted", "of": name, "fence": fence},
-            {"mono": at + 1, "event": "told to leave", "of": name, "fence": fence, "order": "o"},
+            {"mono": at, "event": "permit_granted", "target": name, "fence": fence},
+            {"mono": at + 1, "event": "drain_requested", "target": name, "fence": fence, "order": "o"},
         ]
 
     def test_each_planted_fault_is_caught_and_a_good_run_is_not(self):
@@ -537,8 +543,8 @@
             (
                 "promise 1",
                 [
-                    {"mono": 1, "event": "leads the record", "term": 4},
-                    {"mono": 2, "event": "leads the record", "term": 4},
+                    {"mono": 1, "event": "leader_elected", "term": 4},
+                    {"mono": 2, "event": "leader_elected", "term": 4},
                 ],
                 up,
             ),
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -13,18 +13,18 @@
 from oakkeel.disruption.state_machine import Order, Rejection
 from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
 from oakkeel.emulator.consensus import ConsensusSimulation, play
-from oakkeel.emulator.faults import Schedule, Fault, draw
+from oakkeel.emulator.faults import Fault, Schedule, draw
 from oakkeel.invariants.rollout import RolloutAudit
 from oakkeel.models import releases as model
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.controller import RolloutController
-from oakkeel.rollout.gates import Decision, Samples, Gate
+from oakkeel.rollout.gates import Decision, Gate, Samples
 from oakkeel.rollout.messages import AgentAssignments, encode
 from oakkeel.rollout.plan import OLD, BatchPlanner, TargetObservation
 from oakkeel.rollout.sequential import Difference, Events, Sums
-from oakkeel.rollout.state_machine import LEASE, TRANSITIONS, FINAL_STATES, RolloutStateMachine, Release
+from oakkeel.rollout.state_machine import FINAL_STATES, LEASE, TRANSITIONS, Release, RolloutStateMachine
 from oakkeel.store.content_store import Content, ContentError, ContentStore, hash_folder, merged
 
 SECOND = 1_000_000_000
@@ -173,7 +173,9 @@
     def setUp(self) -> None:
         self.out, self.planner = UnavailableTargets(LAYOUT), BatchPlanner(LAYOUT)
         self.seen = {
-            name: TargetObservation(name, "serving", 1, "", 0) for names in LAYOUT.hosts.values() for name in names
+            name: TargetObservation(name, "serving", 1, "", 0)
+            for names in LAYOUT.hosts.values()
+            for name in names
         }
 
     def choose(self, wanted: str, most: int = 9, ceiling: float = 0.85, broken: bool = False, now: int = 0):
@@ -186,7 +188,9 @@
         self.out.put("a", "does not serve")
         self.seen["a"].phase = "failing"
         self.assertNotIn("b", self.choose("b").things)
-        wide = Topology(LAYOUT.hosts, tuple(BudgetGroup(group.name, 9, group.things) for group in LAYOUT.groups))
+        wide = Topology(
+            LAYOUT.hosts, tuple(BudgetGroup(group.name, 9, group.things) for group in LAYOUT.groups)
+        )
         out = UnavailableTargets(wide)
         out.put("a", "does not serve")
         choice = BatchPlanner(wide).choose(0, ["b"], self.seen, out, 9, 0.85, False)
@@ -290,10 +294,18 @@
         self.assertEqual(self.book.held.versions, {"a": "v2"})
 
     def test_a_second_release_while_one_is_open_is_refused_and_the_same_twice_is_one(self):
-        self.refused(commands.StartRelease("r2", "ravi", 0, VersionSpec("v3", "/p"), RolloutPolicy(), ["c"]), "asha's release r")
-        same = self.do(commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["b", "a"]))
+        self.refused(
+            commands.StartRelease("r2", "ravi", 0, VersionSpec("v3", "/p"), RolloutPolicy(), ["c"]),
+            "asha's release r",
+        )
+        same = self.do(
+            commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["b", "a"])
+        )
         self.assertIs(same, self.release)
-        self.refused(commands.StartRelease("r", "asha", 0, VersionSpec("v3", "/p"), RolloutPolicy(), ["a", "b"]), "another release")
+        self.refused(
+            commands.StartRelease("r", "asha", 0, VersionSpec("v3", "/p"), RolloutPolicy(), ["a", "b"]),
+            "another release",
+        )
 
     def test_what_can_t_be_released_is_refused_with_a_reason(self):
         self.do(commands.ControlRelease("r", "asha", "abort"))
@@ -315,7 +327,9 @@
         self.do(commands.ControlRelease("r", "asha", "leave"))
         alone = commands.StartRelease("p", "asha", 0, VersionSpec("v3", "", "/patch"), RolloutPolicy(), ["a"])
         self.refused(alone, "released program")
-        both = commands.StartRelease("p", "asha", 0, VersionSpec("v3", "", "/patch", as_set=True), RolloutPolicy(), ["a"])
+        both = commands.StartRelease(
+            "p", "asha", 0, VersionSpec("v3", "", "/patch", as_set=True), RolloutPolicy(), ["a"]
+        )
         self.assertIsInstance(self.do(both), Release)
 
     def test_undo_while_a_batch_comes_up_ends_it_and_brings_back_what_was(self):
@@ -578,7 +592,11 @@
 
     def test_two_drivers_steps_both_taken_are_noticed(self):
         audit = RolloutAudit()
-        audit.taken(0, "h1", places.encode(commands.StartRelease("r", "asha", 0, VersionSpec("v"), RolloutPolicy(), ["a"])))
+        audit.taken(
+            0,
+            "h1",
+            places.encode(commands.StartRelease("r", "asha", 0, VersionSpec("v"), RolloutPolicy(), ["a"])),
+        )
         audit.taken(1, "h1", places.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
         audit.taken(2, "h2", places.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
         self.assertEqual(audit.breaches, [])
--- a/tests/test_rollout_rig.py
+++ b/tests/test_rollout_rig.py
@@ -60,7 +60,9 @@
         return answer
 
     async def begin(self, what: VersionSpec, things=ALL, ident: str = "r", **pace) -> messages.Response:
-        return await self.leads(messages.StartReleaseRequest(ident, what, RolloutPolicy(**(QUICK | pace)), list(things)))
+        return await self.leads(
+            messages.StartReleaseRequest(ident, what, RolloutPolicy(**(QUICK | pace)), list(things))
+        )
 
     async def turn(self, to: str, ident: str = "r") -> messages.Response:
         return await self.leads(messages.ControlReleaseRequest(ident, to))
@@ -70,7 +72,9 @@
         assert isinstance(answer, messages.ReleaseStatus), answer
         return answer
 
-    async def until_told(self, what: str, done, wait: float = 60.0, ident: str = "r") -> messages.ReleaseStatus:
+    async def until_told(
+        self, what: str, done, wait: float = 60.0, ident: str = "r"
+    ) -> messages.ReleaseStatus:
         found: messages.ReleaseStatus | None = None
 
         async def so() -> bool:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -42,7 +42,7 @@
         self.process.send_signal(signal.SIGTERM)
         with file:
             json.dump(self.told(), file)
-        self.log("told to leave")
+        self.log("drain_started")
         self.assertEqual(self.process.wait(WAIT), 0)
 
     def test_a_hangup_before_anything_stands_reads_the_file_again_when_it_does(self):
@@ -53,7 +53,7 @@
         os.replace(path + ".new", path)
         with file:
             json.dump(self.told(), file)
-        self.log("the new configuration is taken")
+        self.log("configuration_reloaded")
         self.engine.attach()
         self.engine.done(self.dispatcher_of().call() and self.engine.next()[1])
 
@@ -77,7 +77,7 @@
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             self.begin()
             self.process.send_signal(signal.SIGTERM)
-            self.log("left")
+            self.log("node_stopped")
             with contextlib.suppress(ProcessLookupError):
                 for _ in range(50):
                     self.process.send_signal(number)
@@ -99,7 +99,7 @@
         self.assertEqual(link.next()[:2], ("FETCH", started[0]))
         self.process.send_signal(signal.SIGTERM)
         self.process.send_signal(signal.SIGTERM)
-        self.log("told to leave")
+        self.log("drain_started")
         link.say(f"{started[0]} DATA 5", b"reply")
         self.engine.done(started[1])
         seen = {started[0]: False}
@@ -145,9 +145,9 @@
         dispatcher, ident = self.running("card")
         self.replace_parties()
         self.reload(self.told())
-        self.log("the new configuration is taken")
+        self.log("configuration_reloaded")
         self.process.send_signal(signal.SIGTERM)
-        self.log("told to leave")
+        self.log("drain_started")
         self.engine.attach()
         self.engine.done(ident)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
@@ -168,16 +168,16 @@
             self.told(stop_ms=None),
         ):
             self.reload(text)
-            self.assertEqual(self.log("configuration").count("not taken"), 1)
+            self.assertEqual(self.log("configuration").count("configuration_rejected"), 1)
         os.rename(self.config, self.config + ".gone")
         self.process.send_signal(signal.SIGHUP)
-        self.log("not taken")
+        self.log("configuration_rejected")
         os.rename(self.config + ".gone", self.config)
         others = self.settings()
         others["classes"] = [{**others["classes"][0], "name": "of-others"}]
         others["tenants"] = [{"name": "hall", "allowance-per-s": 1.0}]
         self.reload(self.told(settings=others))
-        self.log("configuration is taken")
+        self.log("configuration_reloaded")
         dispatcher = self.dispatcher()
         dispatcher.call("of-others")
         self.assertEqual(dispatcher.answer()[:2], (1, b"fault"))
@@ -195,7 +195,7 @@
         self.assertEqual(resting.answer()[1], b"ok")
         stuck.send("CHECK", "1", "")
         self.process.send_signal(signal.SIGTERM)
-        self.log("the stop is near")
+        self.log("drain_deadline_reached")
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertEqual(resting.next(), [b"0", b"last"])
         self.assertEqual(resting.next(), [])  # a clean end
@@ -287,7 +287,7 @@
         reading.start()
         self.engine.answering = True
         self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])
-        self.log("the engine is up")
+        self.log("engine_ready")
         self.assertEqual(self.say(link, type="ask", tag=4)["state"], "cold")
         fresh = self.dispatcher()
         self.engine.done(fresh.call() and self.engine.next()[1])
@@ -322,7 +322,7 @@
     def test_a_halt_that_was_unread_at_a_break_is_sent_again(self):
         dispatcher, ident = self.running("card")
         self.engine.lose()
-        self.log("link is lost")
+        self.log("engine_link_lost")
         dispatcher.send("CANCEL", "1")
         dispatcher.send("CHECK", "9", "")
         self.assertEqual(dispatcher.answer()[0], 9)
@@ -339,7 +339,7 @@
         self.engine.done(done)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         self.engine.lose()
-        self.log("link is lost")
+        self.log("engine_link_lost")
         waiting = dispatcher.call("card")  # never sent: it belongs to the one that comes
         dispatcher.send("CHECK", "9", "")
         self.assertEqual(dispatcher.answer()[0], 9)
@@ -372,7 +372,7 @@
         self.catalogue = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(old.close)
         self.reload(self.told())
-        self.log("configuration is taken")
+        self.log("configuration_reloaded")
         second = dispatcher.call("card")
         self.assertEqual(self.engine.next()[:2], ("RUN", second))
         self.engine.need(second)
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.orders import OrderRejectedError, OrderRegistry, TaskState, Verb
+from oakkeel.agent.orders import OrderRegistry, OrderRejectedError, TaskState, Verb
 from oakkeel.agent.supervisor import MS, SECOND, Action, SupervisionTimeouts, Supervisor
 
 REPORT = object()
