--- a/measure/fair.py
+++ b/measure/fair.py
@@ -202,8 +202,8 @@
             for key in keys_of(clients, seed, 100_000)
         ]
         began = time.perf_counter_ns()
-        for number, ex in enumerate(exchanges):
-            fair.arrive(number * 1_000_000, ex, 20e6, 4.0)
+        for number, request in enumerate(exchanges):
+            fair.arrive(number * 1_000_000, request, 20e6, 4.0)
         rows.append({"clients": clients, "us": (time.perf_counter_ns() - began) / len(exchanges) / 1e3})
     return rows
 
--- a/measure/places.py
+++ b/measure/places.py
@@ -85,14 +85,14 @@
                 self.carry_out(steps)
 
     def poll(self, name: str) -> None:
-        holding = self.agents[name]
-        for thing in holding.things:
+        permit_holder = self.agents[name]
+        for thing in permit_holder.things:
             if self.back_at.get(thing, 0) and self.now >= self.back_at[thing]:
                 del self.back_at[thing]
-                holding.is_back(thing)
-        up = {thing: thing not in self.back_at for thing in holding.things}
-        poll = holding.poll(self.now, up, [], {})
-        leader = next(each for each in self.stewards.values() if each.granting)
+                permit_holder.is_back(thing)
+        up = {thing: thing not in self.back_at for thing in permit_holder.things}
+        poll = permit_holder.poll(self.now, up, [], {})
+        leader = next(each for each in self.stewards.values() if each.allocator)
         began = time.perf_counter_ns()
         answer, steps = leader.polled(self.now, poll)
         took = time.perf_counter_ns() - began
@@ -101,23 +101,23 @@
         self.count["polls"] += 1
         self.carry_out(steps)
         self.deliver()
-        holding.answered(self.now, self.now, answer)
+        permit_holder.answered(self.now, self.now, answer)
         for place in answer.places:
             if (
                 not place.out
-                and holding.may_begin(self.now, place.thing, place.ident)
+                and permit_holder.may_begin(self.now, place.thing, place.ident)
                 and place.thing not in self.back_at
-                and not holding.places[place.thing].begun
+                and not permit_holder.places[place.thing].begun
             ):
-                holding.begin(self.now, place.thing)
+                permit_holder.begin(self.now, place.thing)
                 self.back_at[place.thing] = self.now + OUT
 
     def turn(self, names: list[str]) -> None:
         """Ten milliseconds, and the agents whose time it is."""
         self.now += 10 * MS
-        for steward in self.stewards.values():
-            if steward.keeper.next_at() <= self.now:
-                self.carry_out(steward.tick(self.now))
+        for control_plane in self.stewards.values():
+            if control_plane.replica.next_at() <= self.now:
+                self.carry_out(control_plane.tick(self.now))
         self.deliver()
         for name in names:
             self.poll(name)
@@ -126,14 +126,14 @@
 
 def play(hosts: int, each: int, most: float) -> dict[str, Any]:
     fleet = Fleet(hosts, each)
-    while not any(steward.granting for steward in fleet.stewards.values()):
+    while not any(control_plane.allocator for control_plane in fleet.stewards.values()):
         fleet.turn([])
     names = list(fleet.agents)
     slices = [names[place::50] for place in range(50)]
     for place in range(100):
         fleet.turn(slices[place % 50])
     quiet = dict(fleet.count)
-    leader = next(each for each in fleet.stewards.values() if each.granting)
+    leader = next(each for each in fleet.stewards.values() if each.allocator)
     every = [thing for name in names for thing in fleet.layout.hosts[name]]
     for place in range(0, len(every), 1000):
         try:
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -113,9 +113,9 @@
     while world.clock.now < began + 600 * SECOND:
         world.clock.run(world.clock.now + 200 * MS)
         leader = leader_of(world)
-        if leader is None or leader.steward is None:
+        if leader is None or leader.control_plane is None:
             continue
-        found = leader.steward.ledger.held.releases.get("r")  # type: ignore[attr-defined]
+        found = leader.control_plane.ledger.held.releases.get("r")  # type: ignore[attr-defined]
         if found is None:
             continue
         state = found.state
@@ -142,9 +142,9 @@
 
 def order(world: ConsensusSimulation, command: commands.Command) -> None:
     """An operator's word, to whoever leads."""
-    while (leader := leader_of(world)) is None or leader.steward is None:
+    while (leader := leader_of(world)) is None or leader.control_plane is None:
         world.clock.run(world.clock.now + 100 * MS)
-    _, steps = leader.steward.propose(leader.now(), command)
+    _, steps = leader.control_plane.propose(leader.now(), command)
     leader.carry_out(steps)
 
 
@@ -154,9 +154,9 @@
             host
             for host in world.hosts.values()
             if host.running
-            and host.steward
-            and isinstance(host.steward.above, RolloutController)
-            and host.steward.keeper.leads(host.now())
+            and host.control_plane
+            and isinstance(host.control_plane.above, RolloutController)
+            and host.control_plane.replica.leads(host.now())
         ),
         None,
     )
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -188,68 +188,73 @@
 
     # The ordinary path.
 
-    def arrive(self, now: int, ex: Request) -> None:
+    def arrive(self, now: int, request: Request) -> None:
         """An exchange was read: share, deny, hold back or admit it."""
-        self.now = ex.arrived = ex.since = now
-        group, limits = ex.group, self.limits
-        tenant = ex.tenant.index if ex.tenant else 0
-        left = ex.left or max(0, group.async_timeout - ex.backlog)
-        ex.slo_end = now + group.slo_time - ex.backlog
+        self.now = request.arrived = request.since = now
+        group, limits = request.group, self.limits
+        tenant = request.tenant.index if request.tenant else 0
+        left = request.left or max(0, group.async_timeout - request.backlog)
+        request.slo_end = now + group.slo_time - request.backlog
         due = now + left - DUE_ROOM
-        ex.give_up_at = due if group.late_share else min(due, ex.slo_end)
+        request.give_up_at = due if group.late_share else min(due, request.slo_end)
         if self.stop_at:
-            ex.give_up_at = min(ex.give_up_at, self.stop_at - STOP_ROOM)
-        self.stale = ex.backlog / group.slo_time
+            request.give_up_at = min(request.give_up_at, self.stop_at - STOP_ROOM)
+        self.stale = request.backlog / group.slo_time
         self.unread.add(now, self.stale)
-        gap = now - self.callers.pop(ex.caller, -(LINK_STEP << LINK_STEPS))
-        self.callers[ex.caller] = now
+        gap = now - self.callers.pop(request.caller, -(LINK_STEP << LINK_STEPS))
+        self.callers[request.caller] = now
         self.returns[min(LINK_STEPS, (gap // LINK_STEP).bit_length())].add(now, gap)
         if len(self.callers) > CALLERS_MOST:
             del self.callers[next(iter(self.callers))]
-        self.retries.add(now, ex.marked_retry)
-        if not ex.marked_retry:
+        self.retries.add(now, request.marked_retry)
+        if not request.marked_retry:
             self.asked[group.index][tenant].add(now, 1)
         below, breadth = self.ranks[group.index][tenant]
-        ex.rank = below + breadth * self.chance()
+        request.rank = below + breadth * self.chance()
         if self.fair:
-            self.fair.arrive(now, ex, self.span[group.index], self.run)
-            ex.rank += ex.place
-        full = self.memory_kb + ex.memory_kb + limits.key_kb > limits.memory_kb * HOLD_ROOM
+            self.fair.arrive(now, request, self.span[group.index], self.run)
+            request.rank += request.place
+        full = self.memory_kb + request.memory_kb + limits.key_kb > limits.memory_kb * HOLD_ROOM
         # One that repeats another takes its result: no second effect, and a twentieth of the work.
-        if ex.repeats and (ex.group.once or (limits.fresh and not full)):
-            self._move(ex, RequestState.SHARING)
-            self.host.share(ex)
-            return self._alarm(ex, ex.give_up_at)
-        after_grace = self.grace_end and now - ex.backlog > self.grace_end - DUE_ROOM
-        if after_grace or full or ex.give_up_at <= now:
-            return self._deny(ex, ex.give_up_at <= now)
+        if request.repeats and (request.group.once or (limits.fresh and not full)):
+            self._move(request, RequestState.SHARING)
+            self.host.share(request)
+            return self._alarm(request, request.give_up_at)
+        after_grace = self.grace_end and now - request.backlog > self.grace_end - DUE_ROOM
+        if after_grace or full or request.give_up_at <= now:
+            return self._deny(request, request.give_up_at <= now)
         # The ladder.
         depth = self._depth()
         self.depth_stage = next_stage(self.depth_stage, depth, DEPTH, DEPTH_SLACK)
         stage = max(self.depth_stage, self.latency_stage)
         if depth > CPU_QUEUE[max(0, self.cpu_stage - 1)]:
             stage = max(stage, self.cpu_stage)
-        if ex.place and now + HOPE * self.span[group.index] <= min(ex.slo_end, ex.give_up_at):
-            if ex.place < 0 and self._on_cores():  # an idle node takes what comes
-                return self._deny(ex)
-            stage = Stage.NORMAL if ex.place > 0 else stage  # room was kept for it
-        elif stage == Stage.REJECT or now + self._needed(group.index) > min(ex.slo_end, ex.give_up_at):
-            return self._deny(ex, ex.marked_retry or self.readings.mean(now, 0.0) > READ_CROWD * limits.cores)
+        if request.place and now + HOPE * self.span[group.index] <= min(request.slo_end, request.give_up_at):
+            if request.place < 0 and self._on_cores():  # an idle node takes what comes
+                return self._deny(request)
+            stage = Stage.NORMAL if request.place > 0 else stage  # room was kept for it
+        elif stage == Stage.REJECT or now + self._needed(group.index) > min(
+            request.slo_end, request.give_up_at
+        ):
+            return self._deny(
+                request, request.marked_retry or self.readings.mean(now, 0.0) > READ_CROWD * limits.cores
+            )
         self.cut += min(1.0, CUT_PACE * limits.cores) * (self._cut(depth) - self.cut)
-        if stage >= Stage.REORDER and ex.rank < self.cut:
+        if stage >= Stage.REORDER and request.rank < self.cut:
             return self._deny(
-                ex, ex.marked_retry or not limits.marks_retries or self.retries.mean(now, 1.0) > RETRIES
+                request,
+                request.marked_retry or not limits.marks_retries or self.retries.mean(now, 1.0) > RETRIES,
             )
-        if ex.has_key and (limits.fresh or group.effect is Effect.DEDUPLICATED):
-            self._remember(ex)
-        self._alarm(ex, ex.give_up_at)
-        if ex.promise:
-            self.fair.promises.end(ex.promise, True)  # type: ignore[union-attr]
+        if request.has_key and (limits.fresh or group.effect is Effect.DEDUPLICATED):
+            self._remember(request)
+        self._alarm(request, request.give_up_at)
+        if request.promise:
+            self.fair.promises.end(request.promise, True)  # type: ignore[union-attr]
         if stage == Stage.BACKPRESSURE:
-            self._move(ex, RequestState.DELAYED)
-            self._alarm(ex, now + DELAY)
+            self._move(request, RequestState.DELAYED)
+            self._alarm(request, now + DELAY)
         else:
-            self._admit(ex)
+            self._admit(request)
 
     def settle(self, now: int) -> None:
         """After all that came in at one moment: place the calls that can be, start what may run."""
@@ -265,12 +270,12 @@
             run = 0  # in a jam one run beside the reading makes all that is read too old to be served
         crowd = (1 + (limits.crowd_multiple - 1) * self._warmth()) * limits.cores * CROWD_ROOM
         while self.hold:
-            ex = self.hold[0][2]
-            if ex.state is not RequestState.HELD:
+            request = self.hold[0][2]
+            if request.state is not RequestState.HELD:
                 heappop(self.hold)
                 continue
             on_cores = self._on_cores()
-            more = ex.memory_kb * (limits.run_factor - 1)
+            more = request.memory_kb * (limits.run_factor - 1)
             if (
                 on_cores + 0.5 > run
                 or on_cores + self.count[RequestState.CALLING] + 1 > crowd
@@ -278,15 +283,15 @@
             ):
                 break
             heappop(self.hold)
-            if now + HOPE * self.span[ex.group.index] > min(ex.slo_end, ex.give_up_at):
-                self._deny(ex)  # it waited too long behind higher ranks: no run in vain
+            if now + HOPE * self.span[request.group.index] > min(request.slo_end, request.give_up_at):
+                self._deny(request)  # it waited too long behind higher ranks: no run in vain
                 continue
-            self._move(ex, RequestState.RUNNING)
-            self.host.run(ex)
+            self._move(request, RequestState.RUNNING)
+            self.host.run(request)
 
-    def _admit(self, ex: Request) -> None:
-        self._move(ex, RequestState.HELD)
-        heappush(self.hold, (-ex.rank, next(self.order), ex))
+    def _admit(self, request: Request) -> None:
+        self._move(request, RequestState.HELD)
+        heappush(self.hold, (-request.rank, next(self.order), request))
 
     # What the ladder goes by.
 
@@ -328,40 +333,42 @@
 
     # Answers.
 
-    def _deny(self, ex: Request, last: bool = True) -> None:
+    def _deny(self, request: Request, last: bool = True) -> None:
         """Answer at once, with when to come back and whether a try elsewhere is worth its reading."""
         after = self.return_after()
         if self.fair and self.limits.max_retry_after and not self.stop_at:
-            after = self.fair.return_after(self.now, ex, self.limits.max_retry_after)
-        self.host.deny(ex, last, after)
-        if ex.remembered:
-            ex.remembered = False
-            self.host.forget(ex)
-        self._move(ex, RequestState.OVER)
-
-    def _give_up(self, ex: Request) -> None:
+            after = self.fair.return_after(self.now, request, self.limits.max_retry_after)
+        self.host.deny(request, last, after)
+        if request.remembered:
+            request.remembered = False
+            self.host.forget(request)
+        self._move(request, RequestState.OVER)
+
+    def _give_up(self, request: Request) -> None:
         """Answer at once what can no longer be in time, and stop its work where the host can."""
-        if ex.state in (RequestState.DELAYED, RequestState.HELD):
-            return self._deny(ex)
-        if ex.state < RequestState.ORPHANED:
-            if ex.group.once:
-                self.host.terminate(ex)
+        if request.state in (RequestState.DELAYED, RequestState.HELD):
+            return self._deny(request)
+        if request.state < RequestState.ORPHANED:
+            if request.group.once:
+                self.host.terminate(request)
             else:
-                self.host.deny(ex, True, self.return_after())
-            self._abandon(ex)
+                self.host.deny(request, True, self.return_after())
+            self._abandon(request)
 
-    def _abandon(self, ex: Request) -> None:
+    def _abandon(self, request: Request) -> None:
         """Nobody waits for it any more: stop its work where the host can, so that no core is held in vain."""
-        if ex.state is RequestState.RUNNING:
-            self._move(ex, RequestState.ORPHANED)
-            self.spans[ex.group.index].add(self.now, ex.on_cores)  # or a stuck node would not see it
+        if request.state is RequestState.RUNNING:
+            self._move(request, RequestState.ORPHANED)
+            self.spans[request.group.index].add(
+                self.now, request.on_cores
+            )  # or a stuck node would not see it
             if self.limits.stop_kind is not StopKind.NONE:
-                self.host.stop(ex)
-        elif ex.state in (RequestState.AT_CALL, RequestState.CALLING):
-            self._end_call(ex, self.limits.call_linger)
-            self._move(ex, RequestState.ENDING)
-        elif ex.state < RequestState.ORPHANED:
-            self._move(ex, RequestState.OVER)
+                self.host.stop(request)
+        elif request.state in (RequestState.AT_CALL, RequestState.CALLING):
+            self._end_call(request, self.limits.call_linger)
+            self._move(request, RequestState.ENDING)
+        elif request.state < RequestState.ORPHANED:
+            self._move(request, RequestState.OVER)
 
     def return_after(self) -> int:
         """When to return: soon where only low ranks are shed, as a caller stays away with all that it has."""
@@ -369,50 +376,54 @@
         crowd *= min(1.0, self.limits.peers / RETRY_PEERS)  # where few could take it, cores idle meanwhile
         return min(int(RETRY_LEAST + (RETRY_AFTER - RETRY_LEAST) * crowd), self.limits.max_retry_after)
 
-    def _move(self, ex: Request, state: RequestState) -> None:
+    def _move(self, request: Request, state: RequestState) -> None:
         """The one place where an exchange changes its state."""
-        old = ex.state
+        old = request.state
         if state not in TRANSITIONS[old]:
             raise RuntimeError(f"an exchange can't go from {old.name} to {state.name}")
         if old is RequestState.RUNNING:
-            ex.on_cores += self.now - ex.since
+            request.on_cores += self.now - request.since
         self.count[old] -= 1
         self.count[state] += 1
-        self.memory_kb += ex.memory_kb * (self.weight[state] - self.weight[old])
-        ex.state, ex.since = state, self.now
+        self.memory_kb += request.memory_kb * (self.weight[state] - self.weight[old])
+        request.state, request.since = state, self.now
 
-    def _remember(self, ex: Request) -> None:
+    def _remember(self, request: Request) -> None:
         """Keep its key: through its time and as long after as its answer may serve."""
-        duration = ex.group.window if ex.group.once else max(0, ex.give_up_at - self.now) + self.limits.fresh
-        self.host.remember(ex, duration)
-        ex.remembered = True
+        duration = (
+            request.group.window
+            if request.group.once
+            else max(0, request.give_up_at - self.now) + self.limits.fresh
+        )
+        self.host.remember(request, duration)
+        request.remembered = True
         self.memory_kb += self.limits.key_kb
         heappush(self.keys, self.now + duration)
 
     # What the host tells.
 
-    def run_done(self, now: int, ex: Request, outcome: Outcome, latency: int) -> None:
+    def run_done(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
         """A run or a share is over."""
         self.now = now
-        state = ex.state
+        state = request.state
         if state is RequestState.OVER or outcome is Outcome.MOOT:
             return
-        self._end_call(ex, 0)
+        self._end_call(request, 0)
         if outcome is Outcome.STOPPED and state in (
             RequestState.RUNNING,
             RequestState.AT_CALL,
             RequestState.CALLING,
         ):
-            self.host.terminate(ex)  # stopped, but not by us: it must not stay without an answer
-        self._move(ex, RequestState.OVER)
+            self.host.terminate(request)  # stopped, but not by us: it must not stay without an answer
+        self._move(request, RequestState.OVER)
         if outcome is Outcome.COMPLETED and state is RequestState.RUNNING:
-            self.spans[ex.group.index].add(now, ex.on_cores)
-            self.latency.add(now, (now - ex.arrived + ex.backlog) / ex.group.slo_time)
+            self.spans[request.group.index].add(now, request.on_cores)
+            self.latency.add(now, (now - request.arrived + request.backlog) / request.group.slo_time)
 
-    def gone(self, now: int, ex: Request) -> None:
+    def gone(self, now: int, request: Request) -> None:
         """The caller is known to have given up; no answer is owed."""
         self.now = now
-        self._abandon(ex)
+        self._abandon(request)
 
     def leave(self, now: int, left: int | None) -> None:
         """The notice to leave: finish what can be before the stop, answer the rest just before it; None takes
@@ -422,10 +433,12 @@
         self.stop_at = 0 if left is None else now + left
         self.host.set_health(left is None, True)
         self._advise()
-        for ex in [ex for step in sorted(self.alarms) for ex in self.alarms[step] if self.stop_at]:
-            if ex.give_up_at > self.stop_at - STOP_ROOM:
-                ex.give_up_at = self.stop_at - STOP_ROOM
-                self._alarm(ex, ex.give_up_at)
+        for request in [
+            request for step in sorted(self.alarms) for request in self.alarms[step] if self.stop_at
+        ]:
+            if request.give_up_at > self.stop_at - STOP_ROOM:
+                request.give_up_at = self.stop_at - STOP_ROOM
+                self._alarm(request, request.give_up_at)
 
     def timer(self, now: int, token: int, gauges: Gauges) -> None:
         """The poll of the ladder, or a step of alarms."""
@@ -433,8 +446,8 @@
         self.reading = max(0.0, gauges.run_queue - self._on_cores())
         self.readings.add(now, self.reading)
         if token != POLL_TOKEN:
-            for ex in self.alarms.pop(token, ()):
-                self._ring(ex)
+            for request in self.alarms.pop(token, ()):
+                self._ring(request)
             return
         self.cpu_stage = next_stage(self.cpu_stage, gauges.core_busy, CPU, CPU_SLACK)
         self.latency_stage = next_stage(
@@ -468,22 +481,22 @@
             keep = max(keep, int(links * SECOND / (LINK_RATE * self.limits.cores)))
         self.host.close_idle(min(self.limits.idle, keep))
 
-    def _alarm(self, ex: Request, at: int) -> None:
+    def _alarm(self, request: Request, at: int) -> None:
         """Look at the exchange again at a time: one timer serves all alarms of a step."""
         step = max(at // ALARM_STEP, self.now // ALARM_STEP + 1)
         if step not in self.alarms:
             self.alarms[step] = []
             self.host.set_timer(step, step * ALARM_STEP)
-        self.alarms[step].append(ex)
+        self.alarms[step].append(request)
 
-    def _ring(self, ex: Request) -> None:
-        if self.now + ALARM_STEP > ex.give_up_at:
-            self._give_up(ex)
-        elif ex.state is RequestState.AT_CALL:
-            if ex.group.skip_share and self.now >= ex.since + CALL_WAIT * ex.group.slo_time:
-                self._leave_out(ex)
-        elif ex.state is RequestState.DELAYED:
-            (self._deny if self.depth_stage == Stage.REJECT else self._admit)(ex)
+    def _ring(self, request: Request) -> None:
+        if self.now + ALARM_STEP > request.give_up_at:
+            self._give_up(request)
+        elif request.state is RequestState.AT_CALL:
+            if request.group.skip_share and self.now >= request.since + CALL_WAIT * request.group.slo_time:
+                self._leave_out(request)
+        elif request.state is RequestState.DELAYED:
+            (self._deny if self.depth_stage == Stage.REJECT else self._admit)(request)
 
     def _set_ranks(self) -> None:
         """Give each endpoint group and tenant its place, the least benefit for its time first."""
@@ -525,61 +538,65 @@
 
     # Calls below.
 
-    def at_call(self, now: int, ex: Request) -> None:
+    def at_call(self, now: int, request: Request) -> None:
         """A run can't go on without a call."""
         self.now = now
-        if ex.state is RequestState.ORPHANED:
-            return self._move(ex, RequestState.ENDING)
-        if ex.state is RequestState.RUNNING:
-            self._move(ex, RequestState.AT_CALL)
-            self._try_call(ex)
+        if request.state is RequestState.ORPHANED:
+            return self._move(request, RequestState.ENDING)
+        if request.state is RequestState.RUNNING:
+            self._move(request, RequestState.AT_CALL)
+            self._try_call(request)
 
-    def call_done(self, now: int, ex: Request, outcome: Outcome, latency: int) -> None:
+    def call_done(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
         """A call came back: go on, try again, leave it out, or give the exchange up."""
         self.now = now
-        if ex.state is not RequestState.CALLING:
+        if request.state is not RequestState.CALLING:
             return None
-        self._end_call(ex, self.limits.call_linger if outcome is Outcome.GIVEN_UP else 0)
+        self._end_call(request, self.limits.call_linger if outcome is Outcome.GIVEN_UP else 0)
         if outcome is Outcome.COMPLETED:
             self.calls_failed = 0
-            return self._move(ex, RequestState.RUNNING)
+            return self._move(request, RequestState.RUNNING)
         self.calls_failed += 1
-        ex.calls_failed += 1
-        self._move(ex, RequestState.AT_CALL)
+        request.calls_failed += 1
+        self._move(request, RequestState.AT_CALL)
         broke = outcome in (Outcome.UNREACHED, Outcome.RESET)  # its link did: what lies below is not full
-        may = not ex.group.once or outcome in (Outcome.DENIED, Outcome.UNREACHED, Outcome.MOOT)  # never ran
-        if ex.calls_failed < CALL_TRIES and may and (broke or not ex.group.skip_share):
-            self._try_call(ex)
-        elif ex.group.skip_share:
-            self._leave_out(ex)
+        may = not request.group.once or outcome in (
+            Outcome.DENIED,
+            Outcome.UNREACHED,
+            Outcome.MOOT,
+        )  # never ran
+        if request.calls_failed < CALL_TRIES and may and (broke or not request.group.skip_share):
+            self._try_call(request)
+        elif request.group.skip_share:
+            self._leave_out(request)
         else:
-            self._give_up(ex)
+            self._give_up(request)
 
-    def _try_call(self, ex: Request) -> None:
-        if not self._place_call(ex):
-            if ex.group.skip_share and self.calls_failed >= BREAK_AFTER:
-                return self._leave_out(ex)  # no use to wait for what is known to fail
-            self.waiting.append(ex)
-            if ex.group.skip_share:
-                self._alarm(ex, self.now + int(CALL_WAIT * ex.group.slo_time) + ALARM_STEP)
+    def _try_call(self, request: Request) -> None:
+        if not self._place_call(request):
+            if request.group.skip_share and self.calls_failed >= BREAK_AFTER:
+                return self._leave_out(request)  # no use to wait for what is known to fail
+            self.waiting.append(request)
+            if request.group.skip_share:
+                self._alarm(request, self.now + int(CALL_WAIT * request.group.slo_time) + ALARM_STEP)
 
-    def _leave_out(self, ex: Request) -> None:
-        self.host.leave_out(ex)
-        self._move(ex, RequestState.RUNNING)
+    def _leave_out(self, request: Request) -> None:
+        self.host.leave_out(request)
+        self._move(request, RequestState.RUNNING)
 
-    def _place_call(self, ex: Request) -> bool:
+    def _place_call(self, request: Request) -> bool:
         """Place its call if the breaker and the share of what lies below leave room."""
-        if ex.state is not RequestState.AT_CALL:
+        if request.state is not RequestState.AT_CALL:
             return True
         limits, now = self.limits, self.now
         if self.calls_failed >= BREAK_AFTER and now < self.trial_at:
             return False
-        until = ex.give_up_at
-        if ex.group.skip_share:  # leave time to end without the call
-            until = max(now + MS, until - int(self.span[ex.group.index]))
+        until = request.give_up_at
+        if request.group.skip_share:  # leave time to end without the call
+            until = max(now + MS, until - int(self.span[request.group.index]))
         if limits.below is DownstreamKind.SHARED and limits.call_share:
             budget = limits.call_share * limits.call_window * CALL_ROOM
-            until = min(until, now + int(min(ex.group.slo_time * CALL_TIME, budget / 2)))
+            until = min(until, now + int(min(request.group.slo_time * CALL_TIME, budget / 2)))
             commit = until - now + limits.call_linger
             crowd = max(1.0, limits.call_share * CALL_CROWD)
             if (
@@ -587,16 +604,16 @@
                 or self.calls_time.total(now)[0] + self.calls_booked + commit > budget
             ):
                 return False
-            ex.call_commit = commit
+            request.call_commit = commit
             self.calls_booked += commit
         self.trial_at = now + TRIAL_EVERY
-        self.host.call(ex, until)
-        self._move(ex, RequestState.CALLING)
+        self.host.call(request, until)
+        self._move(request, RequestState.CALLING)
         return True
 
-    def _end_call(self, ex: Request, linger: int) -> None:
+    def _end_call(self, request: Request, linger: int) -> None:
         """Book the time that a call was in the hands of what lies below."""
-        if ex.state is RequestState.CALLING:
-            self.calls_booked -= ex.call_commit
-            ex.call_commit = 0
-            self.calls_time.add(self.now, self.now - ex.since + linger)
+        if request.state is RequestState.CALLING:
+            self.calls_booked -= request.call_commit
+            request.call_commit = 0
+            self.calls_time.add(self.now, self.now - request.since + linger)
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -33,23 +33,25 @@
         self.promises = Reservations(STEP, STEPS, rules.promises)
         self.room, self.looked = 0.0, 0  # for promises in one step; when shares were set
 
-    def arrive(self, now: int, ex: Request, work: float, capacity: float) -> None:
+    def arrive(self, now: int, request: Request, work: float, capacity: float) -> None:
         """Count an exchange with its senders; say whether it is over its share, within it, or promised."""
         if now - self.looked >= EVERY:
             self.looked, self.room = now, capacity * PROMISED_ROOM * STEP
             self.levels.share_out(now, capacity * ROOM * SECOND)
-        key, again = ex.who[-1][0], ex.marked_retry or not self.marks_retries
-        ex.promise = self.promises.due(now, key, EARLY, LATE) if again else None  # it comes as it was told
-        ex.work, asked = work, 0.0 if ex.promise else work  # and asks for nothing new
-        sender = ex.sender = self.levels.count(now, ex.who, asked, ex.marked_retry)
-        if ex.promise and ex.promise.work:
-            ex.place = ShareStanding.PROMISED
+        key, again = request.who[-1][0], request.marked_retry or not self.marks_retries
+        request.promise = (
+            self.promises.due(now, key, EARLY, LATE) if again else None
+        )  # it comes as it was told
+        request.work, asked = work, 0.0 if request.promise else work  # and asks for nothing new
+        sender = request.sender = self.levels.count(now, request.who, asked, request.marked_retry)
+        if request.promise and request.promise.work:
+            request.place = ShareStanding.PROMISED
             return
-        if ex.promise:  # told a time, and no room: it is judged as any other
-            self.promises.end(ex.promise, None)
-            ex.promise = None
+        if request.promise:  # told a time, and no room: it is judged as any other
+            self.promises.end(request.promise, None)
+            request.promise = None
         elif again and (ahead := self.promises.ahead(key)):
-            ex.place = ShareStanding.OVER  # to try before its time gains nothing, and waits longer
+            request.place = ShareStanding.OVER  # to try before its time gains nothing, and waits longer
             if ahead.early < EARLY_MOST and self.promises.all_known(key):
                 own = min(SECOND, int(work / max(1.0, sender.allowed) * SECOND))
                 self.promises.put_off(now, ahead, ahead.at + max(STEP, own), self.room)
@@ -60,29 +62,31 @@
         else:
             rest = self.levels.kept_of_rest(sender)
             over = rest < 1 and not known and self.chance() > rest
-        tries = ex.marked_retry and known and sender.retries > RETRY_SHARE * sender.count
-        ex.place = ShareStanding.OVER if over or tries else ShareStanding.FAIR
-        if ex.place is ShareStanding.FAIR:  # of its share, though the ladder may still deny it
-            self._charge(now, ex)
+        tries = request.marked_retry and known and sender.retries > RETRY_SHARE * sender.count
+        request.place = ShareStanding.OVER if over or tries else ShareStanding.FAIR
+        if request.place is ShareStanding.FAIR:  # of its share, though the ladder may still deny it
+            self._charge(now, request)
 
-    def _charge(self, now: int, ex: Request) -> None:
-        if ex.sender.allowed < inf:
-            took = int(ex.work / max(1.0, ex.sender.allowed) * SECOND)
-            ex.sender.free_at = max(ex.sender.free_at, now) + took
+    def _charge(self, now: int, request: Request) -> None:
+        if request.sender.allowed < inf:
+            took = int(request.work / max(1.0, request.sender.allowed) * SECOND)
+            request.sender.free_at = max(request.sender.free_at, now) + took
 
-    def return_after(self, now: int, ex: Request, most: int) -> int:
+    def return_after(self, now: int, request: Request, most: int) -> int:
         """How long one that is denied should stay away: until room that is its own, if that can be told."""
-        sender, known = ex.sender, ex.sender.allowed < inf
-        if ex.promise and ex.state is RequestState.READ:
-            self.promises.end(ex.promise, False)  # the room was not enough
-        if ex.place is ShareStanding.OVER and not known:
+        sender, known = request.sender, request.sender.allowed < inf
+        if request.promise and request.state is RequestState.READ:
+            self.promises.end(request.promise, False)  # the room was not enough
+        if request.place is ShareStanding.OVER and not known:
             return most  # one of many who share too little to promise them any
         own = sender.free_at - BURST if known else now
         promise = None
-        if ex.place is not ShareStanding.OVER or not ex.marked_retry:  # nothing more for one that came early
-            promise = self.promises.book(now, max(now, own), sender.key, ex.work, self.room)
+        if (
+            request.place is not ShareStanding.OVER or not request.marked_retry
+        ):  # nothing more for one that came early
+            promise = self.promises.book(now, max(now, own), sender.key, request.work, self.room)
         if promise and promise.at - now <= most:
-            self._charge(now, ex)
+            self._charge(now, request)
             return promise.at - now
         if promise:  # longer than callers take: not made, so not broken
             self.promises.end(promise, None)
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -79,35 +79,35 @@
         for each in instances.values():
             each.since = self.started
         self.fleet = fleet if fleet and fleet.keepers else None
-        self.holding = self._holding(seed) if self.fleet else None
+        self.permit_holder = self._holding(seed) if self.fleet else None
         self.supervision = Supervisor(
             instances.values(), patience, {host.site: host.away}, seed, time.time_ns
         )
-        self.orders = OrderRegistry(self.supervision, time.time_ns, holding=self.holding)
+        self.orders = OrderRegistry(self.supervision, time.time_ns, permit_holder=self.permit_holder)
         restore_orders(self.store, self.orders)
         if not same_boot:
             self.orders.expire_all(self.started, "the host was started anew")
         self.store_fault = ""
         self.dropped_at = self.started
-        self.acting = InstanceExecutor(
-            host, self.supervision, log, processes, program, fairness, self.turn, self.holding
+        self.executor = InstanceExecutor(
+            host, self.supervision, log, processes, program, fairness, self.turn, self.permit_holder
         )
-        self.deciding: Reconciler | None = None
+        self.reconciler: Reconciler | None = None
         self.versions: ArtifactStore | None = None
-        if self.holding:
-            self.deciding = Reconciler(
+        if self.permit_holder:
+            self.reconciler = Reconciler(
                 self.supervision,
                 self.orders,
-                self.holding,
+                self.permit_holder,
                 services=tuple(each.name for each in self.services),
             )
-            restore_assignments(self.store, self.deciding.fitting)
-            self.versions = self.acting.versions = ArtifactStore(
-                host, self.deciding.fitting, log, self._ready
+            restore_assignments(self.store, self.reconciler.fitting)
+            self.versions = self.executor.versions = ArtifactStore(
+                host, self.reconciler.fitting, log, self._ready
             )
         self.done = asyncio.Event()
-        self.keeping: RaftRuntime | None = None
-        self.polling: StatusReporter | None = None
+        self.raft: RaftRuntime | None = None
+        self.status_reporter: StatusReporter | None = None
         self.tasks: list[asyncio.Task] = []
         self.agent_keys = agent_keys or {}
         links = ServerLimits(links=64 + 3 * len(fleet.hosts)) if self.fleet and fleet else None
@@ -118,10 +118,10 @@
         assert self.fleet and self.fleet.keepers
         self.services = tuple(each for each in self.fleet.keepers.services if each.host == self.host.name)
         things = (*(each.name for each in self.host.instances), *(each.name for each in self.services))
-        holding = PermitHolder(self.host.name, things, seed & (1 << 60) - 1)
+        permit_holder = PermitHolder(self.host.name, things, seed & (1 << 60) - 1)
         self.store.write(ADDED_TABLES)
-        restore_permits(self.store, holding)
-        return holding
+        restore_permits(self.store, permit_holder)
+        return permit_holder
 
     def _same_boot(self) -> bool:
         """Whether the host runs since the state was kept last; from now on it does."""
@@ -135,11 +135,11 @@
 
     @property
     def alive(self):
-        return self.acting.alive
+        return self.executor.alive
 
     @property
     def processes(self) -> Processes:
-        return self.acting.processes
+        return self.executor.processes
 
     async def run(self) -> None:
         """Until SIGTERM. The instances go on without it, and open orders are taken up by the next agent."""
@@ -147,7 +147,7 @@
         self.log.take_others(loop)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.done.set)
-        await self.acting.find_processes()
+        await self.executor.find_processes()
         if self.fleet:
             self._open_record()
         self.door.open()
@@ -173,48 +173,48 @@
         self.door.close()
         for task in self.tasks:
             task.cancel()
-        if self.polling:
-            self.polling.close()
-        if self.keeping:
-            self.keeping.close()
+        if self.status_reporter:
+            self.status_reporter.close()
+        if self.raft:
+            self.raft.close()
         if self.versions:
             self.versions.close()
         self.keep()
-        self.acting.close()
+        self.executor.close()
         self.store.close()
 
     # The record.
 
     def _open_record(self) -> None:
-        deciding = self.deciding
-        assert self.fleet and self.fleet.keepers and deciding
+        reconciler = self.reconciler
+        assert self.fleet and self.fleet.keepers and reconciler
         if self.store.new:
-            deciding.lost_file()
-        self.polling = StatusReporter(
-            self.fleet, self.host.name, self.agent_keys, deciding, self.log, self._heard
+            reconciler.lost_file()
+        self.status_reporter = StatusReporter(
+            self.fleet, self.host.name, self.agent_keys, reconciler, self.log, self._heard
         )
         if self.host.name in self.fleet.keepers.hosts or os.path.exists(
             os.path.join(self.host.state, "record.db")
         ):
             self._keep_record()
-        self.tasks.append(asyncio.ensure_future(self.polling.run()))
+        self.tasks.append(asyncio.ensure_future(self.status_reporter.run()))
         self.tasks += [
-            asyncio.ensure_future(probe(each, deciding.below, self.polling.soon.set))
+            asyncio.ensure_future(probe(each, reconciler.below, self.status_reporter.soon.set))
             for each in self.services
         ]
 
     def _keep_record(self) -> None:
-        assert self.fleet and self.polling
+        assert self.fleet and self.status_reporter
         try:
-            self.keeping = self.polling.keeping = RaftRuntime(
+            self.raft = self.status_reporter.raft = RaftRuntime(
                 self.fleet, self.host.name, self.agent_keys, self.log
             )
-            self.keeping.open()
+            self.raft.open()
         except OSError as error:
             self.log.error("raft_unavailable", error=str(error))
 
     def _heard(self, agreed: HeartbeatResponse) -> None:
-        if self.keeping is None and self.host.name in agreed.keepers:
+        if self.raft is None and self.host.name in agreed.keepers:
             self._keep_record()
         self.turn()
         if self.versions:
@@ -227,20 +227,20 @@
     def _ready(self) -> None:
         """Copies for a release are made, or can't be: told with the next poll."""
         self.turn()
-        if self.polling:
-            self.polling.soon.set()
+        if self.status_reporter:
+            self.status_reporter.soon.set()
 
     def said(self) -> Sequence[str]:
         """What its operator should know of."""
         notes = list(self.notes)
         if self.store_fault:
             notes.append(f"orders wait, as the state can't be kept: {self.store_fault}")
-        for instance in self.acting.lost:
+        for instance in self.executor.lost:
             notes.append(f"{instance.name}: a process that can't be identified holds its lock")
-        if self.polling and self.polling.why:
-            notes.append(f"the record is not heard, nothing new leaves here: {self.polling.why}")
-        if self.keeping and self.keeping.fault:
-            notes.append(f"the record can't be kept here: {self.keeping.fault}")
+        if self.status_reporter and self.status_reporter.why:
+            notes.append(f"the record is not heard, nothing new leaves here: {self.status_reporter.why}")
+        if self.raft and self.raft.fault:
+            notes.append(f"the record can't be kept here: {self.raft.fault}")
         return notes
 
     # Turns.
@@ -249,29 +249,29 @@
         """Decide, keep, act: the one place where steps are carried out."""
         try:
             now = time.monotonic_ns()
-            if self.acting.lost:
-                self.acting.find_lost(now)
+            if self.executor.lost:
+                self.executor.find_lost(now)
             if not self.store_fault:  # what orders change must be kept before it is done
                 self.orders.advance(now)
             steps = self.orders.hold_back(now, self.supervision.tick(now))
             kept = self.keep()
             for step in steps:
                 if kept or step.instance.part is None:
-                    self.acting.carry_out(step)
+                    self.executor.carry_out(step)
                 else:
-                    self.acting.put_off(step)
+                    self.executor.put_off(step)
             if steps:
                 self.keep()
-                if self.polling:
-                    self.polling.soon.set()
+                if self.status_reporter:
+                    self.status_reporter.soon.set()
         except Exception as error:  # the agent lives on
             self.log.error("reconcile_failed", error=fault(error))
 
     def keep(self) -> bool:
         """Write what changed. Watching goes on where that fails; orders wait."""
         changed = [each for each in self.supervision.instances if each.dirty]
-        fitting = self.deciding.fitting if self.deciding else None
-        places = bool(self.holding and self.holding.changed) or bool(fitting and fitting.changed)
+        fitting = self.reconciler.fitting if self.reconciler else None
+        places = bool(self.permit_holder and self.permit_holder.changed) or bool(fitting and fitting.changed)
         if (
             not changed
             and not self.orders.changed
@@ -281,8 +281,8 @@
         ):
             return True
         rows = statements(changed, self.orders.changed, self.orders.dropped)
-        if self.holding:
-            rows += permit_statements(self.holding)
+        if self.permit_holder:
+            rows += permit_statements(self.permit_holder)
         if fitting:
             rows += assignment_statements(fitting)
         try:
@@ -296,8 +296,8 @@
             each.dirty = False
         self.orders.changed.clear()
         self.orders.dropped.clear()
-        if self.holding:
-            self.holding.changed.clear()
+        if self.permit_holder:
+            self.permit_holder.changed.clear()
         if fitting:
             fitting.changed = False
         if self.store_fault:
@@ -308,7 +308,7 @@
     def take_settings(self, fleet: Fleet, keys: dict[str, Key]) -> None:
         """Keys hold at once; what nodes are told they read again. All else waits for the next agent."""
         self.keys = keys
-        self.acting.take_fairness(fleet.fairness)
+        self.executor.take_fairness(fleet.fairness)
         self.log.info("settings_reloaded", keys=len(keys))
 
 
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -13,8 +13,8 @@
 
 
 class DownstreamServices:
-    def __init__(self, holding: PermitHolder, names: tuple[str, ...]) -> None:
-        self.holding = holding
+    def __init__(self, permit_holder: PermitHolder, names: tuple[str, ...]) -> None:
+        self.permit_holder = permit_holder
         self.up = dict.fromkeys(names, False)  # until it is seen
         self.failed = dict.fromkeys(names, 0)
         self.was_down: dict[str, int] = {}  # fences under which a service was seen down
@@ -26,29 +26,29 @@
 
     def advance(self, now: int) -> None:
         for name, up in self.up.items():
-            held = self.holding.places.get(name)
+            held = self.permit_holder.places.get(name)
             if held is None:
                 continue
-            order = self.holding.orders.get(held.ident)
-            if not held.begun and self.holding.may_begin(now, name, held.ident, up):
-                self.holding.begin(now, name)
+            order = self.permit_holder.orders.get(held.ident)
+            if not held.begun and self.permit_holder.may_begin(now, name, held.ident, up):
+                self.permit_holder.begin(now, name)
             if held.begun and not up:
                 self.was_down[name] = held.fence
             over = self.was_down.get(name) == held.fence or order is None or bool(order.cancelled)
             if held.begun and up and over:
-                self.holding.is_back(name)
+                self.permit_holder.is_back(name)
             else:
-                self.holding.is_out(name)
+                self.permit_holder.is_out(name)
 
     def ended(self) -> list[TaskResult]:
         """Orders on services that are over: it is down."""
         return [
             TaskResult(order.ident, thing, "done", "")
-            for order in self.holding.orders.values()
+            for order in self.permit_holder.orders.values()
             for thing, _, state in order.parts
             if state == "out"
             and thing in self.up
             and not self.up[thing]
-            and (held := self.holding.places.get(thing))
+            and (held := self.permit_holder.places.get(thing))
             and held.ident == order.ident
         ]
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -35,10 +35,10 @@
         program: tuple[str, ...],
         fairness: FairSharingSettings | None,
         moved: Callable[[], None],
-        holding: PermitHolder | None = None,
+        permit_holder: PermitHolder | None = None,
     ) -> None:
         """`moved` is called when a process has ended."""
-        self.holding = holding
+        self.permit_holder = permit_holder
         self.versions: ArtifactStore | None = None  # where releases are made
         self.supervision, self.log, self.fairness, self.moved = supervision, log, fairness, moved
         self.processes, self.program = processes(host.state, self._ended), list(program)
@@ -56,7 +56,7 @@
         facts: dict[str, object] = {"target": instance.name, "generation": instance.born}
         if order:
             facts |= {"order": order.ident, "operator": order.operator}
-        if self.holding and (held := self.holding.places.get(instance.name)) and held.begun:
+        if self.permit_holder and (held := self.permit_holder.places.get(instance.name)) and held.begun:
             facts["fence"] = held.fence
         if step.act is Action.START:
             self._start(instance, facts)
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -98,14 +98,14 @@
         unix: Callable[[], int],
         most_open: int = 256,
         most: int = 2048,
-        holding: PermitHolder | None = None,
+        permit_holder: PermitHolder | None = None,
     ) -> None:
         """`holding`: the places of a fleet with keepers, without which nothing is taken out."""
         self.supervision, self.unix, self.most_open, self.most = supervision, unix, most_open, most
-        self.holding = holding
+        self.permit_holder = permit_holder
         self.named = {each.name: each for each in supervision.instances}
         self.orders: dict[str, Order] = {}  # the oldest first
-        self.acting: list[Task] = []  # open parts, in the order in which they were taken
+        self.executor: list[Task] = []  # open parts, in the order in which they were taken
         self.changed: set[Order] = set()  # since they were last kept
         self.dropped: list[str] = []  # ids of those that need no longer be kept
 
@@ -158,7 +158,7 @@
             instance.part, instance.dirty = part, True
             instance.generation += 1
             instance.changed, instance.changed_by = order.taken, f"{operator}: {verb.value}"
-            self.acting.append(part)
+            self.executor.append(part)
         if not order.open:
             return order  # nothing came of it: it need not be known again
         self.orders[ident] = order
@@ -181,7 +181,7 @@
             instance.part = standing
             if standing is not None:
                 standing.state, standing.since, standing.why = was
-            self.acting.remove(part)
+            self.executor.remove(part)
         self.orders.pop(order.ident, None)
         self.changed.discard(order)
 
@@ -224,7 +224,7 @@
 
     def advance(self, now: int) -> None:
         """Begin what has room, end what is over. The steps come from `Supervisor.tick`."""
-        for part in list(self.acting):
+        for part in list(self.executor):
             if part.state is TaskState.WAITING:
                 if now >= part.order.expires:
                     self._move(now, part, TaskState.EXPIRED, "no room in its time")
@@ -233,13 +233,13 @@
             if part.state is TaskState.ACTING:
                 self._look(now, part)
         # Those superseded leave here too, not when that is decided: it may have to be undone.
-        self.acting = [part for part in self.acting if part.open]
+        self.executor = [part for part in self.executor if part.open]
 
     def _room(self, now: int, part: Task) -> bool:
         """Whether it may be taken out: by the host's own part of its site, or by a place of the record."""
-        if self.holding is None:
+        if self.permit_holder is None:
             return self.supervision.room(part.instance)
-        return self.holding.may_begin(now, part.instance.name, part.order.ident, part.instance.alive)
+        return self.permit_holder.may_begin(now, part.instance.name, part.order.ident, part.instance.alive)
 
     def call_back(self, now: int, order: Order, operator: str) -> None:
         """Cancel it for good: what it has taken out comes back, also what has ended by then."""
@@ -257,8 +257,8 @@
 
     def _begin(self, now: int, part: Task) -> None:
         instance, supervision = part.instance, self.supervision
-        if self.holding and part.order.verb is not Verb.START:
-            self.holding.begin(now, instance.name)
+        if self.permit_holder and part.order.verb is not Verb.START:
+            self.permit_holder.begin(now, instance.name)
         part.replaces = instance.born
         self._move(now, part, TaskState.ACTING)
         if part.order.verb is Verb.START:
@@ -268,7 +268,7 @@
         elif part.order.verb is Verb.RESTART:
             supervision.want_anew(now, instance)
         else:
-            supervision.want_down(now, instance, part.order.verb is Verb.STOP, self.holding is not None)
+            supervision.want_down(now, instance, part.order.verb is Verb.STOP, self.permit_holder is not None)
 
     def hold_back(self, now: int, steps: list[Step]) -> list[Step]:
         """Of steps that are to be carried out, those that may be by now.
@@ -281,7 +281,7 @@
         for step in steps:
             part, instance = step.instance.part, step.instance
             if (
-                self.holding is None
+                self.permit_holder is None
                 or step.act not in (Action.LEAVE, Action.TERM)
                 or part is None
                 or part.sent
@@ -291,7 +291,7 @@
                 may.append(step)
                 continue
             told = getattr(instance.report, "state", "")
-            if told == "draining" or self.holding.fresh(now, instance.name, part.order.ident):
+            if told == "draining" or self.permit_holder.fresh(now, instance.name, part.order.ident):
                 part.sent = True
                 may.append(step)
             elif told:
@@ -320,9 +320,9 @@
 
     def expire_all(self, now: int, why: str) -> None:
         """The host was started anew: no order made for what ran on it before holds."""
-        for part in self.acting:
+        for part in self.executor:
             self._move(now, part, TaskState.FAILED, why)
-        self.acting.clear()
+        self.executor.clear()
 
     def restore(self, orders: list[Order]) -> None:
         """Take up what was kept, the oldest first."""
@@ -331,7 +331,7 @@
             for part in order.parts:
                 if part.open:
                     part.instance.part = part
-                    self.acting.append(part)
+                    self.executor.append(part)
 
     def _move(self, now: int, part: Task, state: TaskState, why: str = "") -> None:
         """The one place where the state of a part changes."""
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -84,7 +84,7 @@
         self.fault = ""  # the file can't be written
         self.leads = False
         self.again_at = 0  # when to make the keeper anew, where there is none
-        self.steward: ControlPlaneReplica | None = None
+        self.control_plane: ControlPlaneReplica | None = None
 
     def open(self) -> None:
         self._begin()
@@ -100,7 +100,7 @@
         except DatabaseError as error:
             return self._failed(error)
         self.fault, founders = "", self.fleet.keepers.hosts if self.fleet.keepers else ()
-        self.steward = ControlPlaneReplica(
+        self.control_plane = ControlPlaneReplica(
             time.monotonic_ns(),
             held,
             secrets.randbits(60),
@@ -110,11 +110,11 @@
             ledger=RolloutStateMachine,
             above=self._driver,
         )
-        self.steward.watched = self._agreed
+        self.control_plane.watched = self._agreed
 
-    def _driver(self, now: int, book: RolloutStateMachine, granting: PermitAllocator) -> RolloutController:
+    def _driver(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator) -> RolloutController:
         """What a leader does for releases, with a name that no other has."""
-        return RolloutController(now, book, granting, f"{self.name}.{secrets.token_hex(6)}")
+        return RolloutController(now, book, allocator, f"{self.name}.{secrets.token_hex(6)}")
 
     def _agreed(self, index: int, command: commands.Command, result: object) -> None:
         """Told for whoever looks for a cause: grants by each keeper, as their leader may be gone, the rest by
@@ -124,7 +124,7 @@
         if isinstance(command, commands.GrantPermits):
             for thing in command.things:
                 self.log.info("permit_granted", target=thing, fence=index, order=command.ident)
-        if self.steward is None or self.steward.granting is None:
+        if self.control_plane is None or self.control_plane.allocator is None:
             return None
         if isinstance(command, releases.Command):
             return self._of_release(command)
@@ -136,7 +136,7 @@
             report("permit_released" if over else "permit_expired", target=command.thing, fence=command.fence)
 
     def _of_release(self, command: releases.Command) -> None:
-        book = self.steward.ledger if self.steward else None
+        book = self.control_plane.ledger if self.control_plane else None
         release = book.held.releases.get(command.ident) if isinstance(book, RolloutStateMachine) else None
         if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
             return
@@ -169,7 +169,7 @@
         """As if it had crashed: made again from what is there, once that can be written."""
         if str(error) != self.fault:
             self.log.error("raft_storage_write_failed", error=str(error))
-        self.fault, self.steward, self.again_at = str(error), None, time.monotonic_ns() + AGAIN
+        self.fault, self.control_plane, self.again_at = str(error), None, time.monotonic_ns() + AGAIN
         for future in self.futures.values():
             if not future.done():
                 future.set_exception(CommitUnknownError("the record can't be kept here"))
@@ -180,16 +180,16 @@
     def carried(self, sender: str, letters: list[Envelope]) -> list[Envelope]:
         """Letters came from a host, as its key proves. Returns those that wait for it."""
         for letter in letters:
-            if letter.name == sender and self.steward:
-                self._carry_out(self.steward.heard(time.monotonic_ns(), letter))
+            if letter.name == sender and self.control_plane:
+                self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
         self._schedule()
         return self._peer(sender).take() if sender in self.keys else []
 
     def polled(self, poll: Heartbeat) -> messages.Response:
-        if self.steward is None:
+        if self.control_plane is None:
             return messages.NotLeaderResponse("", self.fault or "the record is not kept here")
         try:
-            agreed, steps = self.steward.polled(time.monotonic_ns(), poll)
+            agreed, steps = self.control_plane.polled(time.monotonic_ns(), poll)
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
         self._carry_out(steps)
@@ -198,9 +198,9 @@
 
     async def propose(self, command: commands.Command | releases.Command) -> object:
         """What came of it once it is agreed. Raises NotLeading, or Undecided."""
-        if self.steward is None:
+        if self.control_plane is None:
             raise NotLeaderError("", self.fault)
-        proposal, steps = self.steward.propose(time.monotonic_ns(), command)
+        proposal, steps = self.control_plane.propose(time.monotonic_ns(), command)
         future: asyncio.Future = asyncio.get_running_loop().create_future()
         self.futures[proposal] = future
         self._carry_out(steps)
@@ -215,13 +215,13 @@
     def _tick(self) -> None:
         self.timer = None
         try:
-            if self.steward is None:
+            if self.control_plane is None:
                 self._begin()
             else:
-                self._carry_out(self.steward.tick(time.monotonic_ns()))
+                self._carry_out(self.control_plane.tick(time.monotonic_ns()))
         except Exception as error:  # the agent lives on; what is on disk is whole
             self.log.error("raft_tick_failed", error=fault(error))
-            self.steward, self.again_at = None, time.monotonic_ns() + AGAIN
+            self.control_plane, self.again_at = None, time.monotonic_ns() + AGAIN
         self._schedule()
 
     def _schedule(self) -> None:
@@ -229,19 +229,22 @@
             self.timer.cancel()
         now = time.monotonic_ns()
         at = self.again_at  # not from now: letters that come all the time would put it off for ever
-        if self.steward:
-            at = min(self.steward.keeper.next_at(), now + (50 * MS if self.steward.granting else SECOND))
+        if self.control_plane:
+            at = min(
+                self.control_plane.replica.next_at(),
+                now + (50 * MS if self.control_plane.allocator else SECOND),
+            )
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(max(MS, at - now) / SECOND, self._tick)
 
     def _carry_out(self, all_steps: list[Output]) -> None:
         """Written before anything is sent or told, in the order in which it was decided."""
         for steps in all_steps:
-            if self.steward is None:
+            if self.control_plane is None:
                 return None
             if steps.keep:
                 try:
-                    storage.write(self.store, self.steward.keeper.durable, steps.keep, self.witness)
+                    storage.write(self.store, self.control_plane.replica.durable, steps.keep, self.witness)
                 except DatabaseError as error:
                     return self._failed(error)
             for name, letter in steps.send:
@@ -249,18 +252,18 @@
                     self._peer(name).put(letter)
             for proposal in steps.ended:
                 self._ended(proposal)
-        steward = self.steward
-        if steward is None:
+        control_plane = self.control_plane
+        if control_plane is None:
             return None
-        if steward.keeper.role is Role.OUTDATED:
-            self._set_aside(steward.keeper.why)
+        if control_plane.replica.role is Role.OUTDATED:
+            self._set_aside(control_plane.replica.why)
             self._begin()
-        elif (leads := steward.granting is not None) != self.leads:
+        elif (leads := control_plane.allocator is not None) != self.leads:
             self.leads = leads
             self.log.info(
                 "leader_elected" if leads else "leadership_lost",
-                term=steward.keeper.term,
-                committed=steward.keeper.commit,
+                term=control_plane.replica.term,
+                committed=control_plane.replica.commit,
             )
 
     def _ended(self, proposal: Proposal) -> None:
@@ -281,8 +284,8 @@
     def _came(self, name: str, letters: list[Envelope]) -> None:
         """With the answer to what we sent."""
         for letter in letters:
-            if letter.name == name and self.steward:
-                self._carry_out(self.steward.heard(time.monotonic_ns(), letter))
+            if letter.name == name and self.control_plane:
+                self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
         self._schedule()
 
     def close(self) -> None:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -33,16 +33,21 @@
         self,
         supervision: Supervisor,
         orders: OrderRegistry,
-        holding: PermitHolder,
+        permit_holder: PermitHolder,
         block: int = 64,
         services: tuple[str, ...] = (),
     ) -> None:
-        self.supervision, self.orders, self.holding, self.block = supervision, orders, holding, block
-        self.below = DownstreamServices(holding, services)
+        self.supervision, self.orders, self.permit_holder, self.block = (
+            supervision,
+            orders,
+            permit_holder,
+            block,
+        )
+        self.below = DownstreamServices(permit_holder, services)
         self.fitting = VersionAssignments(services)
         self.lost = False  # our own file was: nothing begins before the record was heard
         for instance in supervision.instances:
-            instance.limit = holding.generations.get(instance.name, 0)
+            instance.limit = permit_holder.generations.get(instance.name, 0)
         self.refused: dict[tuple[str, str], str] = {}  # by order and thing: why it was not taken here
 
     def lost_file(self) -> None:
@@ -57,12 +62,12 @@
         for instance in self.supervision.instances:
             up[instance.name] = instance.phase is Phase.SERVING
             self._look(instance)
-            if not self.lost and instance.generation + self.block // 2 > self.holding.generations.get(
+            if not self.lost and instance.generation + self.block // 2 > self.permit_holder.generations.get(
                 instance.name, 0
             ):
                 reserve[instance.name] = instance.generation + self.block
         owes = {each.name: told for each in self.supervision.instances if (told := _owes(each))}
-        poll = self.holding.poll(now, up, self._ended(), reserve, owes)
+        poll = self.permit_holder.poll(now, up, self._ended(), reserve, owes)
         if self.fitting.active:
             poll.above = self.fitting.told(self._runs(now))
         return poll
@@ -98,19 +103,19 @@
 
     def _look(self, instance: Instance) -> None:
         """Whether what was taken out under a place is over."""
-        held = self.holding.places.get(instance.name)
+        held = self.permit_holder.places.get(instance.name)
         if held is None or not held.begun:
             return
         acts = instance.part is not None and instance.part.state is TaskState.ACTING
         if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not acts:
-            self.holding.is_back(instance.name)
+            self.permit_holder.is_back(instance.name)
         else:
-            self.holding.is_out(instance.name)
+            self.permit_holder.is_out(instance.name)
 
     def _ended(self) -> list[TaskResult]:
         """What the record takes for open and is over here."""
         told = self.below.ended()
-        for order in self.holding.orders.values():
+        for order in self.permit_holder.orders.values():
             known = self.orders.orders.get(order.ident)
             here = {part.instance.name: part for part in known.parts} if known else {}
             for thing, _, state in order.parts:
@@ -130,7 +135,7 @@
 
     def _done_before(self, order: AssignedOrder, thing: str) -> bool:
         """It was carried out here, and our file with it was lost before that was told."""
-        held, instance = self.holding.places.get(thing), self.orders.named.get(thing)
+        held, instance = self.permit_holder.places.get(thing), self.orders.named.get(thing)
         return bool(
             held
             and held.begun
@@ -145,8 +150,8 @@
 
     def answered(self, now: int, sent_at: int, answer: HeartbeatResponse) -> list[Order]:
         """Take what the record says. Returns the orders that are new here, to be kept."""
-        first, reserved = not self.holding.told, dict(self.holding.generations)
-        if not self.holding.answered(now, sent_at, answer):
+        first, reserved = not self.permit_holder.told, dict(self.permit_holder.generations)
+        if not self.permit_holder.answered(now, sent_at, answer):
             return []
         self.fitting.heard(answer.above)
         if self.lost:
@@ -155,8 +160,8 @@
             self._go_beyond(reserved)
         self.below.advance(now)
         for instance in self.supervision.instances:
-            if instance.name in self.holding.generations:
-                instance.limit = self.holding.generations[instance.name]
+            if instance.name in self.permit_holder.generations:
+                instance.limit = self.permit_holder.generations[instance.name]
         taken = []
         for told in answer.orders:
             order = self.orders.orders.get(told.ident)
@@ -175,7 +180,7 @@
         current = {told.ident for told in answer.orders}
         for order in [
             part.order
-            for part in self.orders.acting
+            for part in self.orders.executor
             if part.state is TaskState.WAITING
             and part.order.verb is not Verb.START
             and part.order.ident not in current
@@ -188,8 +193,8 @@
         """Our own file is gone: go on after all that may have been used, and leave out what is out."""
         self._go_beyond({})
         for instance in self.supervision.instances:
-            held = self.holding.places.get(instance.name)
-            order = self.holding.orders.get(held.ident) if held else None
+            held = self.permit_holder.places.get(instance.name)
+            order = self.permit_holder.orders.get(held.ident) if held else None
             if held and held.begun and order and order.verb in ("drain", "stop") and not order.cancelled:
                 self.supervision.want_down(now, instance, order.verb == "stop", True)
         self.lost = False
@@ -197,7 +202,7 @@
     def _go_beyond(self, reserved: dict[str, int]) -> None:
         """Where the record has given out more generations than our file knows of, any of them may be used."""
         for instance in self.supervision.instances:
-            told = self.holding.generations.get(instance.name, 0)
+            told = self.permit_holder.generations.get(instance.name, 0)
             if told > reserved.get(instance.name, 0):
                 instance.generation, instance.dirty = max(instance.generation, told), True
 
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -51,9 +51,9 @@
     started: int
     supervision: Supervisor
     orders: OrderRegistry
-    acting: InstanceExecutor
-    keeping: RaftRuntime | None
-    polling: StatusReporter | None
+    executor: InstanceExecutor
+    raft: RaftRuntime | None
+    status_reporter: StatusReporter | None
     store_fault: str
 
     def keep(self) -> bool: ...
@@ -68,14 +68,14 @@
     def handle(self, key: Key, wish: messages.Request) -> messages.Response | Awaitable[messages.Response]:
         agent, now = self.agent, time.monotonic_ns()
         if isinstance(wish, messages.PeerEnvelopesRequest):
-            letters = agent.keeping.carried(key.operator, wish.letters) if agent.keeping else []
+            letters = agent.raft.carried(key.operator, wish.letters) if agent.raft else []
             return messages.PeerEnvelopesResponse(letters)
         if isinstance(wish, messages.HeartbeatRequest):
             if wish.poll.host != key.operator:
                 return messages.ErrorResponse(f"the key of {key.operator} with a poll of {wish.poll.host}")
             return (
-                agent.keeping.polled(wish.poll)
-                if agent.keeping
+                agent.raft.polled(wish.poll)
+                if agent.raft
                 else messages.NotLeaderResponse("", "no keeper runs here")
             )
         if isinstance(wish, messages.HostStatusRequest):
@@ -85,12 +85,12 @@
                 agent.supervision,
                 agent.started,
                 list(agent.said()),
-                {each: process.pid for each, process in agent.acting.alive.items()},
+                {each: process.pid for each, process in agent.executor.alive.items()},
             )
         if isinstance(wish, messages.InstanceClientsRequest):
             return self._clients(wish)
         if isinstance(wish, messages.RaftStatusRequest):
-            return raft_status(now, agent.host.name, agent.keeping, agent.polling)
+            return raft_status(now, agent.host.name, agent.raft, agent.status_reporter)
         if isinstance(wish, OF_THE_FLEET):
             return self._fleet(key, wish)
         if isinstance(wish, messages.ListOrdersRequest):
@@ -110,9 +110,9 @@
         """Ask a node who sends the most, on a link of its own."""
         agent = self.agent
         instance = agent.orders.named.get(wish.instance)
-        if instance is None or instance not in agent.acting.alive:
+        if instance is None or instance not in agent.executor.alive:
             return messages.ErrorResponse("no such instance here, or it does not run")
-        client = ControlClient(agent.acting.processes.path(instance.name, "sock"))
+        client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
         try:
             return messages.InstanceClients(instance.name, await client.clients(wish.most, ANSWER / SECOND))
         except ControlError as error:
@@ -124,7 +124,7 @@
         agent = self.agent
         if wish.verb not in {each.value for each in Verb}:
             return messages.ErrorResponse(f"no such order: {wish.verb[:20]!r}")
-        if agent.polling and wish.verb != Verb.START.value:
+        if agent.status_reporter and wish.verb != Verb.START.value:
             return messages.ErrorResponse("this fleet keeps a record: what leaves is agreed there")
         asked = tuple((name, generation) for name, generation in wish.instances)
         known = wish.ident in agent.orders.orders
@@ -143,25 +143,25 @@
     # The fleet's record.
 
     async def _fleet(self, key: Key, wish: messages.Request) -> messages.Response:
-        keeping = self.agent.keeping
-        if keeping is None or keeping.steward is None:
-            leader = self.agent.polling.leader if self.agent.polling else ""
+        raft = self.agent.raft
+        if raft is None or raft.control_plane is None:
+            leader = self.agent.status_reporter.leader if self.agent.status_reporter else ""
             return messages.NotLeaderResponse(
                 leader,
-                keeping.fault
-                if keeping and keeping.fault
+                raft.fault
+                if raft and raft.fault
                 else "this agent does not keep the record"
-                if self.agent.polling
+                if self.agent.status_reporter
                 else "this fleet has no keepers in its settings",
             )
         try:
             if isinstance(wish, messages.FleetStatusRequest):
-                return fleet_status(time.monotonic_ns(), keeping, wish.ident)
+                return fleet_status(time.monotonic_ns(), raft, wish.ident)
             if isinstance(wish, messages.ReleaseStatusRequest):
-                return release_status(time.monotonic_ns(), keeping, wish.ident)
+                return release_status(time.monotonic_ns(), raft, wish.ident)
             if isinstance(wish, messages.SetVotersRequest):
-                return await self._set_keepers(key, keeping, wish)
-            result = await keeping.propose(command_of(key, wish, time.time_ns()))
+                return await self._set_keepers(key, raft, wish)
+            result = await raft.propose(command_of(key, wish, time.time_ns()))
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
         except CommitUnknownError as error:
@@ -175,7 +175,7 @@
                 operator=key.operator,
                 command=getattr(wish, "to", "start"),
             )
-            return release_status(time.monotonic_ns(), keeping, result.ident)
+            return release_status(time.monotonic_ns(), raft, result.ident)
         assert isinstance(result, Agreed)
         self.agent.log.info(
             "order_command_committed",
@@ -183,20 +183,20 @@
             operator=key.operator,
             command=wish.__struct_config__.tag,
         )
-        return fleet_order_status(keeping, result)
+        return fleet_order_status(raft, result)
 
     async def _set_keepers(
-        self, key: Key, keeping: RaftRuntime, wish: messages.SetVotersRequest
+        self, key: Key, raft: RaftRuntime, wish: messages.SetVotersRequest
     ) -> messages.Response:
-        known = {host.name for host in keeping.fleet.hosts}
+        known = {host.name for host in raft.fleet.hosts}
         if unknown := [name for name in wish.hosts if name not in known]:
             return messages.ErrorResponse(f"there is no host {unknown[0]!r}")
         if len(wish.hosts) not in (1, 3, 5):
             return messages.ErrorResponse("three or five keepers are asked for, or one for a trial")
-        result = await keeping.propose(commands.SetVoters(wish.hosts, key.operator))
+        result = await raft.propose(commands.SetVoters(wish.hosts, key.operator))
         if isinstance(result, Rejection):
             return messages.ErrorResponse(result.why)
-        return raft_status(time.monotonic_ns(), self.agent.host.name, keeping, self.agent.polling)
+        return raft_status(time.monotonic_ns(), self.agent.host.name, raft, self.agent.status_reporter)
 
 
 def command_of(key: Key, wish: messages.Request, unix: int) -> commands.Command | releases.Command:
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -33,16 +33,16 @@
         fleet: Fleet,
         name: str,
         keys: dict[str, Key],
-        deciding: Reconciler,
+        reconciler: Reconciler,
         log: EventLog,
         heard: Callable[[HeartbeatResponse], None],
     ) -> None:
         """`heard` is called with each answer that was taken."""
         assert fleet.keepers is not None
-        self.fleet, self.name, self.key, self.deciding, self.log = fleet, name, keys[name], deciding, log
+        self.fleet, self.name, self.key, self.reconciler, self.log = fleet, name, keys[name], reconciler, log
         self.heard = heard
         self.whom = LeaderLocator(fleet.keepers.hosts, (host.name for host in fleet.hosts))
-        self.keeping: RaftRuntime | None = None
+        self.raft: RaftRuntime | None = None
         self.links: dict[str, AuthenticatedClient] = {}
         self.heard_at = 0  # monotonic; 0: never
         self.why = "not asked yet"
@@ -78,9 +78,9 @@
 
     async def _ask(self) -> messages.Response:
         sent_at = time.monotonic_ns()
-        poll = self.deciding.poll(sent_at)
-        if self.leader == self.name and self.keeping:
-            answer = self.keeping.polled(poll)
+        poll = self.reconciler.poll(sent_at)
+        if self.leader == self.name and self.raft:
+            answer = self.raft.polled(poll)
         else:
             if self.leader not in self.links:
                 self.links[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
@@ -94,12 +94,12 @@
         return answer
 
     def _take(self, sent_at: int, agreed: HeartbeatResponse) -> None:
-        holding = self.deciding.holding
-        self.deciding.answered(time.monotonic_ns(), sent_at, agreed)
-        if holding.why:
-            if holding.why != self.why:
-                self.log.warning("heartbeat_response_rejected", error=holding.why)
-            self.why = holding.why
+        permit_holder = self.reconciler.permit_holder
+        self.reconciler.answered(time.monotonic_ns(), sent_at, agreed)
+        if permit_holder.why:
+            if permit_holder.why != self.why:
+                self.log.warning("heartbeat_response_rejected", error=permit_holder.why)
+            self.why = permit_holder.why
             return
         self.heard_at, self.why = time.monotonic_ns(), ""
         if agreed.keepers:
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -82,18 +82,18 @@
 
 
 def raft_status(
-    now: int, host: str, keeping: RaftRuntime | None, polling: StatusReporter | None
+    now: int, host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None
 ) -> messages.RaftStatus:
-    heard = now - polling.heard_at if polling and polling.heard_at else -1
-    if keeping is None or keeping.steward is None:
-        why = keeping.fault if keeping else polling.why if polling else "this fleet has no keepers"
+    heard = now - status_reporter.heard_at if status_reporter and status_reporter.heard_at else -1
+    if raft is None or raft.control_plane is None:
+        why = raft.fault if raft else status_reporter.why if status_reporter else "this fleet has no keepers"
         return messages.RaftStatus(
             host,
             "none",
             0,
             "",
             0,
-            polling.leader if polling and heard >= 0 else "",
+            status_reporter.leader if status_reporter and heard >= 0 else "",
             False,
             0,
             0,
@@ -102,41 +102,41 @@
             [],
             why,
         )
-    keeper = keeping.steward.keeper
-    peers = keeper.leading.peers if keeper.leading else {}
+    replica = raft.control_plane.replica
+    peers = replica.leading.peers if replica.leading else {}
     members = []
-    for each in keeper.members:
+    for each in replica.members:
         peer = peers.get(each.life)
-        mine = each.life == keeper.life
-        behind = 0 if mine else keeper.log.last - peer.match if peer else -1
+        mine = each.life == replica.life
+        behind = 0 if mine else replica.log.last - peer.match if peer else -1
         age = 0 if mine else now - peer.heard if peer and peer.heard > -NEVER else -1
         members.append(messages.MemberStatus(each.name, each.life, each.votes, behind, age))
     return messages.RaftStatus(
         host,
-        keeper.role.value,
-        now - keeper.since,
-        keeper.durable.epoch,
-        keeper.term,
-        keeper.leader,
-        keeper.leads(now),
-        keeper.commit,
-        keeper.log.last,
-        keeper.elections,
+        replica.role.value,
+        now - replica.since,
+        replica.durable.epoch,
+        replica.term,
+        replica.leader,
+        replica.leads(now),
+        replica.commit,
+        replica.log.last,
+        replica.elections,
         heard,
         members,
-        keeper.why or (polling.why if polling else ""),
+        replica.why or (status_reporter.why if status_reporter else ""),
     )
 
 
-def fleet_order_status(keeping: RaftRuntime, order: Agreed) -> messages.FleetOrderStatus:
+def fleet_order_status(raft: RaftRuntime, order: Agreed) -> messages.FleetOrderStatus:
     places, hosts, owes = {}, {}, {}
-    if keeping.steward:
-        places = keeping.steward.ledger.held.places
-        hosts = {thing: host for host, things in keeping.layout.hosts.items() for thing in things}
-        if keeping.steward.granting:
+    if raft.control_plane:
+        places = raft.control_plane.ledger.held.places
+        hosts = {thing: host for host, things in raft.layout.hosts.items() for thing in things}
+        if raft.control_plane.allocator:
             owes = {
                 thing: told
-                for host in keeping.steward.granting.hosts.values()
+                for host in raft.control_plane.allocator.hosts.values()
                 for thing, told in host.owes.items()
             }
     parts = []
@@ -153,18 +153,20 @@
     )
 
 
-def fleet_status(now: int, keeping: RaftRuntime, ident: str) -> messages.Response:
+def fleet_status(now: int, raft: RaftRuntime, ident: str) -> messages.Response:
     """Raises NotLeading: only a leader whose lease holds knows what is so by now."""
-    steward = keeping.steward
-    if steward is None or steward.granting is None or not steward.keeper.leads(now):
-        raise NotLeaderError(steward.keeper.leader if steward and not steward.keeper.leading else "")
-    held, out = steward.ledger.held, steward.granting.out
+    control_plane = raft.control_plane
+    if control_plane is None or control_plane.allocator is None or not control_plane.replica.leads(now):
+        raise NotLeaderError(
+            control_plane.replica.leader if control_plane and not control_plane.replica.leading else ""
+        )
+    held, out = control_plane.ledger.held, control_plane.allocator.out
     if ident:
         if ident not in held.orders:
             return messages.ErrorResponse(f"there is no order {ident}")
-        told = fleet_order_status(keeping, held.orders[ident])
-        return messages.FleetStatus(steward.ledger.index, [], [], [told])
-    hosts = steward.granting.host_of
+        told = fleet_order_status(raft, held.orders[ident])
+        return messages.FleetStatus(control_plane.ledger.index, [], [], [told])
+    hosts = control_plane.allocator.host_of
     things = []
     for thing, reasons in sorted(out.reasons.items()):
         place = held.places.get(thing)
@@ -180,16 +182,21 @@
     groups = [messages.BudgetUsage(name, out.counts[name], group.bound) for name, group in out.groups.items()]
     latest = list(held.orders.values())[-50:]
     return messages.FleetStatus(
-        steward.ledger.index, groups, things, [fleet_order_status(keeping, each) for each in reversed(latest)]
+        control_plane.ledger.index,
+        groups,
+        things,
+        [fleet_order_status(raft, each) for each in reversed(latest)],
     )
 
 
-def release_status(now: int, keeping: RaftRuntime, ident: str) -> messages.Response:
+def release_status(now: int, raft: RaftRuntime, ident: str) -> messages.Response:
     """Raises NotLeading, as `state_told` does."""
-    steward = keeping.steward
-    if steward is None or steward.granting is None or not steward.keeper.leads(now):
-        raise NotLeaderError(steward.keeper.leader if steward and not steward.keeper.leading else "")
-    book, driver = steward.ledger, steward.above
+    control_plane = raft.control_plane
+    if control_plane is None or control_plane.allocator is None or not control_plane.replica.leads(now):
+        raise NotLeaderError(
+            control_plane.replica.leader if control_plane and not control_plane.replica.leading else ""
+        )
+    book, driver = control_plane.ledger, control_plane.above
     assert isinstance(book, RolloutStateMachine) and isinstance(driver, RolloutController)
     releases = book.held.releases
     release = releases.get(ident) if ident else book.open or next(reversed(releases.values()), None)
@@ -204,7 +211,7 @@
         parts.append(
             messages.ReleaseTargetStatus(
                 thing,
-                steward.granting.host_of.get(thing, ""),
+                control_plane.allocator.host_of.get(thing, ""),
                 part.state,
                 seen.version if seen else "",
                 seen.phase if seen else "unknown",
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -151,27 +151,34 @@
     orders.restore(list(found.values()))
 
 
-def permit_statements(holding: PermitHolder) -> list[Statement]:
+def permit_statements(permit_holder: PermitHolder) -> list[Statement]:
     """The fences and places that changed, and the record that they are of."""
     rows: list[Statement] = []
-    for thing in sorted(holding.changed):
-        held = holding.places.get(thing)
+    for thing in sorted(permit_holder.changed):
+        held = permit_holder.places.get(thing)
         rows.append(
             (
                 PUT_PERMIT,
-                (thing, holding.floors.get(thing, 0), held.ident if held else "", bool(held and held.begun)),
+                (
+                    thing,
+                    permit_holder.floors.get(thing, 0),
+                    held.ident if held else "",
+                    bool(held and held.begun),
+                ),
             )
         )
-        if thing in holding.generations:
-            rows.append(("INSERT OR REPLACE INTO reserved VALUES (?,?)", (thing, holding.generations[thing])))
+        if thing in permit_holder.generations:
+            rows.append(
+                ("INSERT OR REPLACE INTO reserved VALUES (?,?)", (thing, permit_holder.generations[thing]))
+            )
     if rows:
-        rows.append(("INSERT OR REPLACE INTO heard VALUES (1, ?)", (holding.epoch,)))
+        rows.append(("INSERT OR REPLACE INTO heard VALUES (1, ?)", (permit_holder.epoch,)))
     return rows
 
 
-def restore_permits(store: Database, holding: PermitHolder) -> None:
+def restore_permits(store: Database, permit_holder: PermitHolder) -> None:
     epochs = store.read("SELECT epoch FROM heard")
-    holding.restore(
+    permit_holder.restore(
         epochs[0][0] if epochs else "",
         [
             (thing, fence, ident, bool(begun))
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -28,27 +28,27 @@
 class Call:
     """One call in flight; it ends once, by a reply, a broken link, its time, or because nobody needs it."""
 
-    __slots__ = ("ex", "link", "placed", "timer")
+    __slots__ = ("request", "link", "placed", "timer")
 
-    def __init__(self, ex: NodeRequest, link: CallLink, until: int) -> None:
-        self.ex, self.link, self.placed = ex, link, time.monotonic_ns()
+    def __init__(self, request: NodeRequest, link: CallLink, until: int) -> None:
+        self.request, self.link, self.placed = request, link, time.monotonic_ns()
         wait = (until - self.placed + link.bounds.call_slack) / SECOND
         self.timer = asyncio.get_running_loop().call_later(wait, self.give_up)
 
     def end(self, outcome: Outcome | None, reply: bytes = b"") -> None:
         self.timer.cancel()
-        self.link.calls.pop(self.ex.ident, None)
+        self.link.calls.pop(self.request.ident, None)
         self.link.used = time.monotonic_ns()
-        self.ex.call = None
+        self.request.call = None
         if outcome is not None:
-            self.ex.tell(RequestEvent.REPLY, outcome, reply, self.link.used - self.placed)
+            self.request.tell(RequestEvent.REPLY, outcome, reply, self.link.used - self.placed)
         self.link.leave()
 
     def give_up(self, outcome: Outcome | None = Outcome.GIVEN_UP) -> None:
         """A link on which a call went unanswered may be of no use any more: it takes no other."""
-        if self.link.early.pop(self.ex.ident, None) is None:
+        if self.link.early.pop(self.request.ident, None) is None:
             self.link.spent = True
-            self.link.write(b"QUIT %s\r\n" % self.ex.ident)
+            self.link.write(b"QUIT %s\r\n" % self.request.ident)
         elif outcome is not None:
             outcome = Outcome.UNREACHED  # it never left
         self.end(outcome)
@@ -148,20 +148,20 @@
         self.address, self.pool, self.bounds, self.log = address, pool, bounds, log
         self.links: list[CallLink] = []
 
-    def fetch(self, ex: NodeRequest, until: int, body: bytes) -> None:
+    def fetch(self, request: NodeRequest, until: int, body: bytes) -> None:
         """Place the call that its run waits for; a REPLY tells how it ended."""
-        link = self._link(ex)
+        link = self._link(request)
         if link is None:
-            return ex.tell(RequestEvent.REPLY, Outcome.UNREACHED, b"", 0)
-        ex.call = link.calls[ex.ident] = Call(ex, link, until)
-        ex.call_links.append(link)
-        wait_ms = max(1, (until - ex.call.placed) // MS)
-        link.place(ex.ident, b"FETCH %s %d %d\r\n%s\r\n" % (ex.ident, wait_ms, len(body), body))
+            return request.tell(RequestEvent.REPLY, Outcome.UNREACHED, b"", 0)
+        request.call = link.calls[request.ident] = Call(request, link, until)
+        request.call_links.append(link)
+        wait_ms = max(1, (until - request.call.placed) // MS)
+        link.place(request.ident, b"FETCH %s %d %d\r\n%s\r\n" % (request.ident, wait_ms, len(body), body))
 
-    def quit(self, ex: NodeRequest) -> None:
+    def quit(self, request: NodeRequest) -> None:
         """Nobody needs its call any more."""
-        if ex.call:
-            ex.call.give_up(None)
+        if request.call:
+            request.call.give_up(None)
 
     def move(self, address: tuple[str, int] | None) -> None:
         """Place all further calls at another address; the links to the old one end with their last call."""
@@ -172,13 +172,13 @@
             link.spent = True
             link.leave()
 
-    def _link(self, ex: NodeRequest) -> CallLink | None:
+    def _link(self, request: NodeRequest) -> CallLink | None:
         """The link used last among those free, a new one, or the least busy; never one that had a call of
         this exchange: a second copy of its reply would be taken for that of the next."""
         self._trim()
         if self.address is None:
             return None
-        usable = [link for link in self.links if not link.spent and link not in ex.call_links]
+        usable = [link for link in self.links if not link.spent and link not in request.call_links]
         free = [link for link in usable if not link.calls and link.connected]
         for link in sorted(free, key=lambda link: link.used, reverse=True):
             if not readable(link.stream.socket):
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -33,8 +33,8 @@
 
     reader: codec.RequestReader | None  # None until the node may take exchanges
 
-    def arrived(self, ex: NodeRequest) -> None: ...
-    def gone(self, ex: NodeRequest) -> None: ...
+    def arrived(self, request: NodeRequest) -> None: ...
+    def gone(self, request: NodeRequest) -> None: ...
     def holds(self, ident: bytes) -> bool: ...
     def healthy(self) -> bool: ...
     def signal(self) -> float | None: ...
@@ -105,8 +105,8 @@
             self.close()
             self._move(Phase.CLOSED)
             self.read_buffer.close()
-            for ex in list(self.open.values()):
-                self._drop(ex)
+            for request in list(self.open.values()):
+                self._drop(request)
 
     async def _read(self) -> None:
         """Take what comes until the dispatcher's end of it. What comes when no more is taken is dropped: a
@@ -310,14 +310,14 @@
             self.write(codec.encode_answer(tag, codec.DENIED, self.front.signal()))
             raise MalformedInputError(f"more than {self.bounds.open_exchanges} exchanges open")
         try:
-            ex = reader.read(tag, words, self)
-            if self.front.holds(ex.ident):
+            request = reader.read(tag, words, self)
+            if self.front.holds(request.ident):
                 raise codec.UnreadableRequestError("an id that is open already")  # the first must not notice
         except codec.UnreadableRequestError as error:
             return self._unreadable(tag, str(error))
-        self.open[tag] = ex
+        self.open[tag] = request
         self.worked = True
-        self.front.arrived(ex)
+        self.front.arrived(request)
 
     def _unreadable(self, tag: int, why: str) -> None:
         self.write(codec.encode_answer(tag, codec.TERMINATED, self.front.signal()))
@@ -328,19 +328,21 @@
         self.log.warning(event, reason=why or None)
         self.faults += 1
 
-    def _drop(self, ex: NodeRequest) -> None:
+    def _drop(self, request: NodeRequest) -> None:
         """Its caller no longer waits."""
-        self._close_exchange(ex)
-        self.front.gone(ex)
+        self._close_exchange(request)
+        self.front.gone(request)
 
     def answer(
-        self, ex: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
     ) -> None:
-        self.write(codec.encode_answer(ex.tag, word, self.front.signal(), body, last, retry_after))
-        self._close_exchange(ex)  # behind the write: an ending connection is shut down with its last answer
+        self.write(codec.encode_answer(request.tag, word, self.front.signal(), body, last, retry_after))
+        self._close_exchange(
+            request
+        )  # behind the write: an ending connection is shut down with its last answer
 
-    def _close_exchange(self, ex: NodeRequest) -> None:
-        if self.open.pop(ex.tag, None) and not self.open:
+    def _close_exchange(self, request: NodeRequest) -> None:
+        if self.open.pop(request.tag, None) and not self.open:
             self.heard(self)
             self._settled()
 
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -47,40 +47,40 @@
         self.ledger = ledger(self._applied)
         self.make_above = above
         self.above: LeaderExtension | None = None
-        self.granting: PermitAllocator | None = None
+        self.allocator: PermitAllocator | None = None
         self.watched: Callable[[int, commands.Command, object], None] | None = None  # told of what is agreed
         self.ours: dict[Proposal, commands.Command] = {}  # proposed by `granting`
-        self.keeper = Replica(now, held, self.ledger, seed, pace, founders)
+        self.replica = Replica(now, held, self.ledger, seed, pace, founders)
 
     def tick(self, now: int) -> list[Output]:
-        return self._after(now, [self.keeper.tick(now)])
+        return self._after(now, [self.replica.tick(now)])
 
     def heard(self, now: int, letter: Envelope) -> list[Output]:
         self.now = now
-        return self._after(now, [self.keeper.heard(now, letter)])
+        return self._after(now, [self.replica.heard(now, letter)])
 
     def polled(self, now: int, poll: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
         """An agent's report and what it is told. Raises NotLeading."""
-        granting = self._leads(now)
+        allocator = self._leads(now)
         above = self.above
-        steps = self._propose(now, granting.heard(now, poll) + (above.heard(now, poll) if above else []))
-        answer = granting.answer(now, self.keeper.durable.epoch, poll.host)
+        steps = self._propose(now, allocator.heard(now, poll) + (above.heard(now, poll) if above else []))
+        answer = allocator.answer(now, self.replica.durable.epoch, poll.host)
         if above:
             answer.above = above.answer(now, poll.host)
-        answer.keepers = sorted({*self.ledger.keepers(), *(each.name for each in self.keeper.members)})
+        answer.keepers = sorted({*self.ledger.keepers(), *(each.name for each in self.replica.members)})
         return answer, self._after(now, steps)
 
     def propose(self, now: int, command: Any) -> tuple[Proposal, list[Output]]:
         """Raises NotLeading."""
         self.now = now
         self._leads(now)
-        proposal, steps = self.keeper.propose(now, commands.encode(command))
+        proposal, steps = self.replica.propose(now, commands.encode(command))
         return proposal, self._after(now, [steps])
 
     def _leads(self, now: int) -> PermitAllocator:
-        if self.granting is None or not self.keeper.leads(now):
-            raise NotLeaderError(self.keeper.leader if self.keeper.leader != self.keeper.name else "")
-        return self.granting
+        if self.allocator is None or not self.replica.leads(now):
+            raise NotLeaderError(self.replica.leader if self.replica.leader != self.replica.name else "")
+        return self.allocator
 
     def _after(self, now: int, steps: list[Output]) -> list[Output]:
         """Begin, go on with or end what a leader does."""
@@ -88,36 +88,36 @@
         for each in list(steps):
             for proposal in each.ended:
                 command = self.ours.pop(proposal, None)
-                if command and proposal.fate is not ProposalStatus.AGREED and self.granting:
+                if command and proposal.fate is not ProposalStatus.AGREED and self.allocator:
                     self._lost(command)
-        if not self.keeper.leads(now):
-            if self.keeper.leading is None:
-                self.granting = self.above = None
+        if not self.replica.leads(now):
+            if self.replica.leading is None:
+                self.allocator = self.above = None
                 self.ours.clear()
             return steps
-        if self.granting is None:
-            self.granting = PermitAllocator(
-                now, self.ledger, self.terms, self.keeper.random.getrandbits(50) + 1
+        if self.allocator is None:
+            self.allocator = PermitAllocator(
+                now, self.ledger, self.terms, self.replica.random.getrandbits(50) + 1
             )
             if self.ledger.held.layout != self.layout:
                 steps += self._propose(now, [commands.SetTopology(self.layout)])
             if self.make_above:
-                self.above = self.make_above(now, self.ledger, self.granting)
-        while self.granting and (wanted := self._wanted(now, self.granting)):
+                self.above = self.make_above(now, self.ledger, self.allocator)
+        while self.allocator and (wanted := self._wanted(now, self.allocator)):
             more = self._propose(now, wanted)
             if not more:
                 break
             steps += more
         return steps
 
-    def _wanted(self, now: int, granting: PermitAllocator) -> list[Any]:
-        return granting.tick(now) + (self.above.tick(now) if self.above else [])
+    def _wanted(self, now: int, allocator: PermitAllocator) -> list[Any]:
+        return allocator.tick(now) + (self.above.tick(now) if self.above else [])
 
     def _propose(self, now: int, wanted: list[commands.Command]) -> list[Output]:
         self.now, done = now, []
         for command in wanted:
             try:
-                proposal, steps = self.keeper.propose(now, commands.encode(command))
+                proposal, steps = self.replica.propose(now, commands.encode(command))
             except NotLeaderError:
                 self._lost(command)
                 continue
@@ -127,15 +127,15 @@
         return done
 
     def _lost(self, command: commands.Command) -> None:
-        if self.granting:
-            self.granting.lost(command)
+        if self.allocator:
+            self.allocator.lost(command)
         if self.above:
             self.above.lost(command)
 
     def _applied(self, index: int, command: commands.Command, result: object) -> None:
         if self.watched:
             self.watched(index, command, result)
-        if self.granting:
-            self.granting.applied(self.now, index, command, result)
+        if self.allocator:
+            self.allocator.applied(self.now, index, command, result)
         if self.above:
             self.above.applied(self.now, command, result)
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -132,7 +132,7 @@
         self.sent += 1
         ident = self.number * 100_000_000 + self.sent
         group = self.limits.groups[work.group]
-        ex = Request(group, None, self.number, 25.0, work.tries > 1, manners.patience, 0, False, False)
+        request = Request(group, None, self.number, 25.0, work.tries > 1, manners.patience, 0, False, False)
         due = now + min(manners.patience, group.async_timeout)
         self.audit.sent(ident, now, due + 2 * manners.delay * 8, group.once, work.name, link.node.name)
         link.open += 1
@@ -164,13 +164,13 @@
             link.open -= 1
             link.mean += 0.2 * (self.clock.now - now - link.mean)
             self.audit.excused(ident, self.clock.now)  # its caller is gone from here on
-            self.clock.after(self._delay(), link.node.gone, ex)
+            self.clock.after(self._delay(), link.node.gone, request)
             self._again(work, group.once)
 
         if self.random.random() < manners.loss or not link.node.alive:
             self.audit.excused(ident, now)
         else:
-            self.clock.after(self._delay(), link.node.receive, ident, ex, work.size, answered)
+            self.clock.after(self._delay(), link.node.receive, ident, request, work.size, answered)
         wait = manners.hasty or manners.patience + 2 * manners.delay * 8 + 100 * MS
         self.clock.after(wait, silent)
 
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -94,7 +94,7 @@
 
     def start(self) -> None:
         self.running, self.lives = True, self.lives + 1
-        self.steward: ControlPlaneReplica | None = None
+        self.control_plane: ControlPlaneReplica | None = None
         self.waiting: list[Callable[[], None]] = []  # while it is stopped
         self.whom = LeaderLocator(self.founders, self.world.names)
         self.polled_at = -SECOND
@@ -113,7 +113,7 @@
             self.disk = InMemoryStorage(
                 DurableState(self.name, f"{self.name}.{self.random.getrandbits(40):x}")
             )
-        self.steward = ControlPlaneReplica(
+        self.control_plane = ControlPlaneReplica(
             now,
             self.disk.load(),
             self.random.getrandbits(60),
@@ -124,11 +124,11 @@
             RolloutStateMachine,
             self._driver,
         )
-        self.steward.watched = self._applied
+        self.control_plane.watched = self._applied
         self.pending: dict[Proposal, Callable[[Proposal], None]] = {}
 
-    def _driver(self, now: int, book: RolloutStateMachine, granting: PermitAllocator) -> RolloutController:
-        return RolloutController(now, book, granting, f"{self.name}.{self.random.getrandbits(40):x}")
+    def _driver(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator) -> RolloutController:
+        return RolloutController(now, book, allocator, f"{self.name}.{self.random.getrandbits(40):x}")
 
     def _applied(self, index: int, command: commands.Command, result: object) -> None:
         audit = self.world.audit
@@ -136,11 +136,11 @@
         audit.applied(self.world.clock.now, self.name, index, content)
         if not isinstance(result, Rejection):
             self.world.of_releases.taken(self.world.clock.now, self.name, content)
-        if self.steward and isinstance(
+        if self.control_plane and isinstance(
             command,
             commands.HaltOrder | commands.CancelOrder | commands.ReleasePermit | commands.ExpirePermit,
         ):
-            for order in self.steward.ledger.held.orders.values():
+            for order in self.control_plane.ledger.held.orders.values():
                 if order.halted and all(
                     part.state not in ("waiting", "granted") for part in order.parts.values()
                 ):
@@ -149,21 +149,21 @@
     def _start_agent(self) -> None:
         now, saved = self.now(), self.saved
         fresh = not saved.orders
-        self.holding = PermitHolder(self.name, self.things, self.random.getrandbits(40))
-        self.holding.restore(saved.epoch, saved.places, saved.generations)
+        self.permit_holder = PermitHolder(self.name, self.things, self.random.getrandbits(40))
+        self.permit_holder.restore(saved.epoch, saved.places, saved.generations)
         if fresh:
             instances = [Instance(name, "site", since=now) for name in self.things]
             self.supervision = Supervisor(instances, PATIENCE, {}, self.random.getrandbits(40), self.now)
-            self.orders = OrderRegistry(self.supervision, self.now, holding=self.holding)
+            self.orders = OrderRegistry(self.supervision, self.now, permit_holder=self.permit_holder)
         else:
             self.orders = pickle.loads(saved.orders)
             self.supervision = self.orders.supervision
             self.supervision.unix = self.orders.unix = self.now
-            self.orders.holding = self.holding
-        self.deciding = Reconciler(self.supervision, self.orders, self.holding, block=8)
-        self.deciding.fitting.restore(dict(saved.versions), {}, {})
+            self.orders.permit_holder = self.permit_holder
+        self.reconciler = Reconciler(self.supervision, self.orders, self.permit_holder, block=8)
+        self.reconciler.fitting.restore(dict(saved.versions), {}, {})
         if fresh:
-            self.deciding.lost_file()
+            self.reconciler.lost_file()
         for each in self.supervision.instances:
             each.since = each.since if fresh else now
             process = self.processes.get(each.name)
@@ -185,8 +185,8 @@
             return None
         if self.stopped:
             return self.waiting.append(lambda: self._beat(lives))
-        if self.steward:
-            self.carry_out(self.steward.tick(self.now()))
+        if self.control_plane:
+            self.carry_out(self.control_plane.tick(self.now()))
         if lives == self.lives:
             self._schedule()
 
@@ -195,26 +195,26 @@
         if self.timer:
             self.timer.call_off()
         wait = 100 * MS
-        if self.steward:
-            wait = max(MS, int((self.steward.keeper.next_at() - self.now()) / self.rate))
-            wait = min(wait, 50 * MS if self.steward.granting else SECOND)
+        if self.control_plane:
+            wait = max(MS, int((self.control_plane.replica.next_at() - self.now()) / self.rate))
+            wait = min(wait, 50 * MS if self.control_plane.allocator else SECOND)
         self.timer = self.world.clock.after(wait, self._beat, self.lives)
 
     def carry_out(self, all_steps: list[Output]) -> None:
         """Write, send, tell: in this order, or crash between."""
         for steps in all_steps:
-            steward = self.steward
-            if steward is None or self.disk is None:
+            control_plane = self.control_plane
+            if control_plane is None or self.disk is None:
                 return None
             if steps.keep:
                 if self.crash_in == 1:
                     self.crash_in = 0
                     return self.world.kill(self, SECOND)
                 if self.full:  # as if it had crashed: made again from what is there
-                    self.steward = None
+                    self.control_plane = None
                     self.world.clock.after(300 * MS, self._again, self.lives)
                     return None
-                self.disk.write(steward.keeper.durable, steps.keep)
+                self.disk.write(control_plane.replica.durable, steps.keep)
                 self.counted = self.disk.writes
                 if self.crash_in == 2:
                     self.crash_in = 0
@@ -224,26 +224,26 @@
             for proposal in steps.ended:
                 if told := self.pending.pop(proposal, None):
                     told(proposal)
-        keeper = self.steward and self.steward.keeper
-        if keeper and keeper.role is Role.LEADING:
-            self.world.audit.led(self.world.clock.now, keeper.term, keeper.life)
-        if keeper and keeper.role is Role.OUTDATED:
+        replica = self.control_plane and self.control_plane.replica
+        if replica and replica.role is Role.LEADING:
+            self.world.audit.led(self.world.clock.now, replica.term, replica.life)
+        if replica and replica.role is Role.OUTDATED:
             self.disk = None
             self._start_keeper()
 
     def _again(self, lives: int) -> None:
-        if lives == self.lives and self.steward is None:
+        if lives == self.lives and self.control_plane is None:
             if self.full:
                 self.world.clock.after(300 * MS, self._again, lives)
             else:
                 self._start_keeper()
 
     def heard(self, letter: Envelope) -> None:
-        if self.running and self.steward:
+        if self.running and self.control_plane:
             if self.stopped:
                 return self.waiting.append(lambda: self.heard(letter))
             lives = self.lives
-            self.carry_out(self.steward.heard(self.now(), letter))
+            self.carry_out(self.control_plane.heard(self.now(), letter))
             if lives == self.lives:
                 self._schedule()
 
@@ -262,7 +262,7 @@
                 self.supervision.heard(now, each, state, process.generation, self._report(process, state))
         if now - self.polled_at >= POLL:
             self.polled_at = now
-            self.world.poll(self, self.deciding.poll(now), now)
+            self.world.poll(self, self.reconciler.poll(now), now)
         self.act(now)
         self.world.clock.after(TURN, self._turn, lives)
 
@@ -285,7 +285,7 @@
         )
 
     def act(self, now: int) -> None:
-        for copy in self.deciding.fitting.to_prepare():
+        for copy in self.reconciler.fitting.to_prepare():
             self.world.clock.after(self.random.randrange(50 * MS, 300 * MS), self._prepared, copy, self.lives)
         if not self.full:
             self.orders.advance(now)
@@ -308,41 +308,41 @@
         if lives == self.lives:
             why = "it can't be run here" if copy.what.program == "bad" and self.random.random() < 0.5 else ""
             bases = {thing: f"base {thing}" for thing in copy.things}
-            self.deciding.fitting.prepared(copy.release, why, bases)
+            self.reconciler.fitting.prepared(copy.release, why, bases)
 
     def _save(self) -> None:
-        holding, instances = self.holding, self.supervision.instances
+        permit_holder, instances = self.permit_holder, self.supervision.instances
         if not (
-            holding.changed
+            permit_holder.changed
             or self.orders.changed
             or self.orders.dropped
-            or self.deciding.fitting.changed
+            or self.reconciler.fitting.changed
             or any(each.dirty for each in instances)
         ):
             return
-        self.deciding.fitting.changed = False
-        self.saved.versions = dict(self.deciding.fitting.versions)
+        self.reconciler.fitting.changed = False
+        self.saved.versions = dict(self.reconciler.fitting.versions)
         for each in instances:
             each.dirty = False
         self.orders.dropped.clear()
-        self.saved.epoch, self.saved.generations = holding.epoch, dict(holding.generations)
+        self.saved.epoch, self.saved.generations = permit_holder.epoch, dict(permit_holder.generations)
         self.saved.places = [
             (
                 thing,
                 fence,
-                held.ident if (held := holding.places.get(thing)) else "",
+                held.ident if (held := permit_holder.places.get(thing)) else "",
                 bool(held and held.begun),
             )
-            for thing, fence in holding.floors.items()
+            for thing, fence in permit_holder.floors.items()
         ]
-        holding.changed.clear()
+        permit_holder.changed.clear()
         self.orders.changed.clear()
-        orders, self.orders.holding = self.orders, None
+        orders, self.orders.permit_holder = self.orders, None
         unix = orders.unix
         orders.unix = orders.supervision.unix = int  # type: ignore[assignment]  # set again when it is loaded
         self.saved.orders = pickle.dumps(orders)
         orders.unix = orders.supervision.unix = unix
-        orders.holding = holding
+        orders.permit_holder = permit_holder
 
     def _carry_out(self, step: Step) -> None:
         world, name, process = self.world, step.instance.name, self.processes.get(step.instance.name)
@@ -350,7 +350,7 @@
         if step.act is Action.START and process is None:
             generation = step.instance.born
             world.audit.started(true, name, generation)
-            version = self.deciding.fitting.version(name)
+            version = self.reconciler.fitting.version(name)
             world.of_releases.started(true, name, version)
             started = Process(generation, true + self.random.randrange(100 * MS, 600 * MS), version)
             self.processes[name], step.instance.ran = started, version
@@ -360,7 +360,7 @@
             else:
                 world.clock.at(started.up_at, self._up, name, started)
         elif process and step.act in (Action.TERM, Action.LEAVE) and not process.leaving:
-            held = self.holding.places.get(name)
+            held = self.permit_holder.places.get(name)
             if step.instance.goal is Goal.DOWN or step.instance.part is not None:
                 world.audit.left(
                     true, name, held.fence if held and held.begun else -1, held.ident if held else ""
@@ -404,7 +404,7 @@
             return self.waiting.append(lambda: self.answered(lives, sent_at, answer))
         now = self.now()
         if not self.full:
-            self.deciding.answered(now, sent_at, answer)
+            self.reconciler.answered(now, sent_at, answer)
             if self.stop_in and any(place.good_for and not place.out for place in answer.places):
                 self.stopped = True
                 self.world.clock.after(self.stop_in, self.wake)
@@ -496,10 +496,10 @@
             if leader.stopped:
                 leader.waiting.append(asked)
                 return
-            if leader.steward is None:
+            if leader.control_plane is None:
                 return
             try:
-                answer, steps = leader.steward.polled(leader.now(), poll)
+                answer, steps = leader.control_plane.polled(leader.now(), poll)
             except NotLeaderError as error:
                 self._deliver(leader.name, host.name, other, error.leader)
                 return
@@ -527,10 +527,10 @@
     def order(self, command: commands.Command | releases.Command, ident: str, tries: int = 40) -> None:
         """To whoever leads, again and again with the same id until it is answered."""
         host = self.random.choice([each for each in self.hosts.values() if each.running] or [None])
-        if (tries and host is None) or (host is not None and (host.stopped or host.steward is None)):
+        if (tries and host is None) or (host is not None and (host.stopped or host.control_plane is None)):
             self.clock.after(100 * MS, self.order, command, ident, tries - 1)
             return
-        if host is None or host.steward is None:
+        if host is None or host.control_plane is None:
             return
 
         told = False
@@ -548,7 +548,7 @@
                 self.clock.after(100 * MS, self.order, command, ident, tries - 1)
 
         try:
-            proposal, steps = host.steward.propose(host.now(), command)
+            proposal, steps = host.control_plane.propose(host.now(), command)
         except NotLeaderError:
             if tries:
                 self.clock.after(100 * MS, self.order, command, ident, tries - 1)
@@ -690,7 +690,9 @@
     def _may_lose(self, host: SimulatedHost) -> bool:
         """No promise holds once a majority of the keepers' files is gone: that takes a rite of its own."""
         leaders = [
-            each.steward.keeper for each in self.hosts.values() if each.steward and each.steward.granting
+            each.control_plane.replica
+            for each in self.hosts.values()
+            if each.control_plane and each.control_plane.allocator
         ]
         if not leaders:
             return False
@@ -732,11 +734,11 @@
             if (
                 host.running
                 and not host.stopped
-                and host.steward
-                and host.steward.granting
-                and host.steward.keeper.leads(host.now())
+                and host.control_plane
+                and host.control_plane.allocator
+                and host.control_plane.replica.leads(host.now())
             ):
-                for each in host.steward.ledger.held.releases.values():  # type: ignore[attr-defined]
+                for each in host.control_plane.ledger.held.releases.values():  # type: ignore[attr-defined]
                     if each.over and each.ident in self.of_releases.version:
                         self.of_releases.ended(self.clock.now, each.ident, each.state, self._serving())
         self.clock.after(50 * MS, self._look)
@@ -761,11 +763,13 @@
         leaders = [
             each
             for each in self.hosts.values()
-            if each.steward and each.steward.granting and each.steward.keeper.leads(each.now())
+            if each.control_plane
+            and each.control_plane.allocator
+            and each.control_plane.replica.leads(each.now())
         ]
         if len(leaders) != 1:
             return [f"{len(leaders)} leaders at the end"]
-        ledger = leaders[0].steward.ledger  # type: ignore[union-attr]
+        ledger = leaders[0].control_plane.ledger  # type: ignore[union-attr]
         found = [
             f"order {order.ident} is open: {order.parts}"
             for order in ledger.held.orders.values()
@@ -773,14 +777,14 @@
         ]
         release = ledger.open  # type: ignore[union-attr]
         if release and release.state in ("preparing", "running", "undoing"):
-            above = leaders[0].steward.above  # type: ignore[union-attr]
+            above = leaders[0].control_plane.above  # type: ignore[union-attr]
             why = above.why if isinstance(above, RolloutController) else "nobody drives"
             if not any(word in why for word in WAITS):  # for what operators have taken out for good
                 found.append(
                     f"release {release.ident} is {release.state}, batch {release.batch}, {release.now}: {why}"
                 )
         for host in self.hosts.values():
-            for part in host.orders.acting:
+            for part in host.orders.executor:
                 order = ledger.held.orders.get(part.order.ident)
                 if part.open and part.order.verb is not Verb.START and not (order and order.open):
                     found.append(f"{host.name}: a part of {part.order.ident} waits for nothing")
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -18,10 +18,10 @@
 class OpenRequest:
     """One exchange on a node, with what becomes of it on the machine."""
 
-    __slots__ = ("answer", "answered", "arrived", "ex", "ident", "task", "work")
+    __slots__ = ("answer", "answered", "arrived", "request", "ident", "task", "work")
 
-    def __init__(self, ident: int, ex: Request, work: float, answer: Answer, arrived: int) -> None:
-        self.ident, self.ex, self.work, self.answer, self.arrived = ident, ex, work, answer, arrived
+    def __init__(self, ident: int, request: Request, work: float, answer: Answer, arrived: int) -> None:
+        self.ident, self.request, self.work, self.answer, self.arrived = ident, request, work, answer, arrived
         self.answered = False
         self.task: Task | None = None
 
@@ -40,39 +40,41 @@
         self.alive, self.healthy, self.settling = True, True, False
         self.advice: float | None = None
         self.polled = (0.0, clock.now)
-        self.keel = AdmissionController(self, limits, seed, clock.now)  # type: ignore[arg-type]  # the rest is __getattr__
+        self.admission = AdmissionController(self, limits, seed, clock.now)  # type: ignore[arg-type]  # the rest is __getattr__
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         """What of `Host` has no meaning on a simulated machine: connections, remarks, repeats."""
-        if name.startswith("_") or name in ("keel", "alive"):
+        if name.startswith("_") or name in ("admission", "alive"):
             raise AttributeError(name)
         return lambda *words: None
 
     # What the network brings.
 
-    def receive(self, ident: int, ex: Request, work: float, answer: Answer) -> None:
+    def receive(self, ident: int, request: Request, work: float, answer: Answer) -> None:
         """An exchange reached the machine; it has to be read first."""
         if not self.alive:
             return
         arrived = self.clock.now
-        self.machine.start(self.reading, lambda: self._read(OpenRequest(ident, ex, work, answer, arrived)))
+        self.machine.start(
+            self.reading, lambda: self._read(OpenRequest(ident, request, work, answer, arrived))
+        )
 
     def _read(self, opened: OpenRequest) -> None:
-        opened.ex.backlog += self.clock.now - opened.arrived
-        self.open[opened.ex] = opened
-        self.keel.arrive(self.clock.now, opened.ex)
+        opened.request.backlog += self.clock.now - opened.arrived
+        self.open[opened.request] = opened
+        self.admission.arrive(self.clock.now, opened.request)
         self._settle_soon()
 
-    def gone(self, ex: Request) -> None:
+    def gone(self, request: Request) -> None:
         """Its caller gave up."""
-        if self.alive and (opened := self.open.get(ex)) and not opened.answered:
+        if self.alive and (opened := self.open.get(request)) and not opened.answered:
             opened.answered = True
-            self.keel.gone(self.clock.now, ex)
+            self.admission.gone(self.clock.now, request)
             self._settle_soon()
 
     def leave(self, left: int) -> None:
         self.audit.leaves_by(self.name, self.clock.now + self.limits.drain_grace)
-        self.keel.leave(self.clock.now, left)
+        self.admission.leave(self.clock.now, left)
 
     def die(self) -> None:
         """Without a word: what was open is lost with it."""
@@ -84,8 +86,8 @@
 
     # Host.
 
-    def run(self, ex: Request) -> None:
-        opened = self.open[ex]
+    def run(self, request: Request) -> None:
+        opened = self.open[request]
         self.audit.arrived_and_ran(opened.ident, opened.arrived)
         opened.task = self.machine.start(opened.work, lambda: self._done(opened))
         self.runs += 1
@@ -98,13 +100,13 @@
             return
         self.runs -= 1
         self.audit.effect(opened.ident)
-        self.keel.run_done(self.clock.now, opened.ex, Outcome.COMPLETED, 0)
+        self.admission.run_done(self.clock.now, opened.request, Outcome.COMPLETED, 0)
         self._answer(opened, "completed", 0)
         self._over(opened)
         self._settle_soon()
 
-    def stop(self, ex: Request) -> None:
-        opened = self.open[ex]
+    def stop(self, request: Request) -> None:
+        opened = self.open[request]
         if opened.task and opened.task.counted:
             self.machine.stop(opened.task)
             self.runs -= 1
@@ -112,18 +114,18 @@
 
     def _stopped(self, opened: OpenRequest) -> None:
         if self.alive:
-            self.keel.run_done(self.clock.now, opened.ex, Outcome.STOPPED, 0)
+            self.admission.run_done(self.clock.now, opened.request, Outcome.STOPPED, 0)
             self._over(opened)
             self._settle_soon()
 
-    def deny(self, ex: Request, last: bool, retry_after: int) -> None:
-        opened = self.open[ex]
+    def deny(self, request: Request, last: bool, retry_after: int) -> None:
+        opened = self.open[request]
         self._answer(opened, "denied", retry_after)
         if opened.task is None:
             self._over(opened)
 
-    def terminate(self, ex: Request) -> None:
-        self._answer(self.open[ex], "terminated", 0)
+    def terminate(self, request: Request) -> None:
+        self._answer(self.open[request], "terminated", 0)
 
     def _answer(self, opened: OpenRequest, word: str, retry_after: int) -> None:
         if not opened.answered:
@@ -131,7 +133,7 @@
             opened.answer(word, retry_after)
 
     def _over(self, opened: OpenRequest) -> None:
-        self.open.pop(opened.ex, None)
+        self.open.pop(opened.request, None)
 
     def set_timer(self, token: int, at: int) -> None:
         self.clock.at(at, self._timer, token)
@@ -143,7 +145,9 @@
         share = self.machine.busy_share(busy, self.clock.now - at)
         if token == 0:
             self.polled = self.machine.busy, self.clock.now
-        self.keel.timer(self.clock.now, token, Gauges(min(1.0, share), float(self.machine.tasks), 0.1, 1.0))
+        self.admission.timer(
+            self.clock.now, token, Gauges(min(1.0, share), float(self.machine.tasks), 0.1, 1.0)
+        )
         self._settle_soon()
 
     def _settle_soon(self) -> None:
@@ -154,7 +158,7 @@
     def _settle(self) -> None:
         self.settling = False
         if self.alive:
-            self.keel.settle(self.clock.now)
+            self.admission.settle(self.clock.now)
 
     def set_health(self, good: bool, stored: bool) -> None:
         self.healthy = good
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -33,7 +33,7 @@
     """A command whose effect may still be lost with the link."""
 
     line: bytes
-    ex: NodeRequest | None  # None for a mark: the gauges were asked for here
+    request: NodeRequest | None  # None for a mark: the gauges were asked for here
     verb: bytes
     heard: int = 0  # the number of the last notice for the exchange when it was given
     written: bool = False
@@ -44,23 +44,23 @@
         A later notice for the exchange tells that a RUN, FEED or SKIP was carried out. What may not take
         effect twice is not run again where the first command may have been read, only never written ones are.
         """
-        ex = self.ex
-        if ex is None or not ex.in_engine:
+        request = self.request
+        if request is None or not request.in_engine:
             return False
         if self.verb == b"HALT" or not self.written:
             return True
-        return self.heard == ex.heard and not self.doubtful()
+        return self.heard == request.heard and not self.doubtful()
 
     def doubtful(self) -> bool:
         """Nothing proves that this run was started, nor that it was not, and it may not be started twice."""
-        ex = self.ex
+        request = self.request
         return bool(
-            ex
-            and ex.in_engine
+            request
+            and request.in_engine
             and self.written
             and self.verb == b"RUN"
-            and ex.group.once
-            and self.heard == ex.heard
+            and request.group.once
+            and self.heard == request.heard
         )
 
 
@@ -164,29 +164,31 @@
 
     # Commands.
 
-    def run(self, ex: NodeRequest) -> None:
-        ex.in_engine = ex.ran = True
-        self.runs[ex.ident] = ex
-        self._command(ex, b"RUN", b"%s %d" % (ex.group_name, len(ex.body)), ex.body)
+    def run(self, request: NodeRequest) -> None:
+        request.in_engine = request.ran = True
+        self.runs[request.ident] = request
+        self._command(request, b"RUN", b"%s %d" % (request.group_name, len(request.body)), request.body)
 
-    def halt(self, ex: NodeRequest) -> None:
-        self._command(ex, b"HALT")
+    def halt(self, request: NodeRequest) -> None:
+        self._command(request, b"HALT")
 
-    def feed(self, ex: NodeRequest, reply: bytes) -> None:
-        self._command(ex, b"FEED", b"%d" % len(reply), reply)
+    def feed(self, request: NodeRequest, reply: bytes) -> None:
+        self._command(request, b"FEED", b"%d" % len(reply), reply)
 
-    def skip(self, ex: NodeRequest, notice: int) -> None:
-        self._command(ex, b"SKIP", b"%d" % notice)
+    def skip(self, request: NodeRequest, notice: int) -> None:
+        self._command(request, b"SKIP", b"%d" % notice)
 
-    def _command(self, ex: NodeRequest, verb: bytes, rest: bytes = b"", body: bytes | None = None) -> None:
-        line = b" ".join((verb, ex.ident, rest)).rstrip() + b"\r\n"
+    def _command(
+        self, request: NodeRequest, verb: bytes, rest: bytes = b"", body: bytes | None = None
+    ) -> None:
+        line = b" ".join((verb, request.ident, rest)).rstrip() + b"\r\n"
         if body is not None:
             line += body + b"\r\n"
-        self._send(Command(line, ex, verb, heard=ex.heard))
+        self._send(Command(line, request, verb, heard=request.heard))
 
     def _send(self, command: Command) -> None:
         if len(self.unconfirmed) >= self.bounds.commands:
-            self.unconfirmed = deque(old for old in self.unconfirmed if old.ex is None or old.owed())
+            self.unconfirmed = deque(old for old in self.unconfirmed if old.request is None or old.owed())
         self.unconfirmed.append(command)
         if self.open:
             self._write(command)
@@ -216,14 +218,14 @@
     def _settle_doubts(self, now: int) -> None:
         """Ask to run once more what was answered long since: a run that is over or was lost is told as
         `nothing`, one that is there goes on. Without it the decisions would count a lost run for ever."""
-        for ex, since in list(self.doubtful.items()):
-            if not ex.in_engine:
-                del self.doubtful[ex]
-            elif ex.answered and not since:
-                self.doubtful[ex] = now
+        for request, since in list(self.doubtful.items()):
+            if not request.in_engine:
+                del self.doubtful[request]
+            elif request.answered and not since:
+                self.doubtful[request] = now
             elif since and now - since > self.bounds.engine_silent:
-                del self.doubtful[ex]
-                self.run(ex)
+                del self.doubtful[request]
+                self.run(request)
 
     # Notices.
 
@@ -241,9 +243,9 @@
                 self.heard = numbered
                 if verb == b"DONE":
                     self._done(words[2], ENDS[words[3]], milliseconds(words[4]), body)
-                elif verb == b"NEED" and (ex := self.runs.get(words[2])):
-                    ex.heard = numbered
-                    ex.tell(RequestEvent.NEED, numbered, body)
+                elif verb == b"NEED" and (request := self.runs.get(words[2])):
+                    request.heard = numbered
+                    request.tell(RequestEvent.NEED, numbered, body)
             elif verb == b"NO":
                 self._not_carried_out(words[1], words[2])
             else:
@@ -252,19 +254,22 @@
             raise MalformedInputError(f"a notice {b' '.join(words)[:60]!r}") from error
 
     def _done(self, ident: bytes, outcome: Outcome, spent: int, result: bytes) -> None:
-        if ex := self.runs.pop(ident, None):
-            ex.in_engine = False
-            ex.ran = outcome is not Outcome.MOOT
-            ex.tell(RequestEvent.DONE, outcome, result, spent)
+        if request := self.runs.pop(ident, None):
+            request.in_engine = False
+            request.ran = outcome is not Outcome.MOOT
+            request.tell(RequestEvent.DONE, outcome, result, spent)
 
     def _not_carried_out(self, verb: bytes, ident: bytes) -> None:
         """A run that the engine does not know is over; of the other commands nothing hangs on."""
         self.log.warning("engine_command_rejected", command=verb.decode(errors="replace"))
         if verb in (b"RUN", b"HALT"):
-            ex = self.runs.get(ident)
+            request = self.runs.get(ident)
             self._done(ident, Outcome.ERROR, 0, b"")
-            if ex and verb == b"RUN":
-                ex.unknown, ex.ran = True, False  # its key stays free for the exchange that it belongs to
+            if request and verb == b"RUN":
+                request.unknown, request.ran = (
+                    True,
+                    False,
+                )  # its key stays free for the exchange that it belongs to
 
     def _hello(self, state: bytes, age: int) -> None:
         """Attached: what was missed follows, and the answer to a STAT sent now comes after all of it."""
@@ -286,13 +291,13 @@
     def _lose_runs(self) -> None:
         """The engine began anew: it knows of nothing that was told to the one before, and numbers its notices
         from 1 again. What that one may have run is over with no result; what it was never told waits."""
-        waiting = {each.ex for each in self.unconfirmed if each.verb == b"RUN" and not each.written}
+        waiting = {each.request for each in self.unconfirmed if each.verb == b"RUN" and not each.written}
         self.log.warning("engine_restarted", runs_lost=len(self.runs) - len(waiting))
-        self.unconfirmed = deque(command for command in self.unconfirmed if command.ex in waiting)
+        self.unconfirmed = deque(command for command in self.unconfirmed if command.request in waiting)
         self.doubtful.clear()
         self.heard = 0
-        for ident, ex in list(self.runs.items()):
-            if ex not in waiting:
+        for ident, request in list(self.runs.items()):
+            if request not in waiting:
                 self._done(ident, Outcome.ERROR, 0, b"")
         if self.stream:
             self.stream.close()  # that one was told of notices that this one never sent
@@ -323,7 +328,9 @@
         """Send again what is still owed, now that all that was missed is known."""
         self.asked.clear()  # who waits for gauges that were lost stops waiting by itself
         self.marks.clear()
-        self.doubtful |= {command.ex: 0 for command in self.unconfirmed if command.ex and command.doubtful()}
+        self.doubtful |= {
+            command.request: 0 for command in self.unconfirmed if command.request and command.doubtful()
+        }
         self.unconfirmed = deque(command for command in self.unconfirmed if command.owed())
         self.open = True
         for command in self.unconfirmed:
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -97,11 +97,11 @@
         self.clients: list[SimulatedClient] = []
         self.owners: dict[Request, tuple[SimulatedClient, int, bool]] = {}
         self.denying: tuple | None = None
-        self.keel = AdmissionController(self, self.limits, seed, self.now)  # type: ignore[arg-type]  # the rest is __getattr__
+        self.admission = AdmissionController(self, self.limits, seed, self.now)  # type: ignore[arg-type]  # the rest is __getattr__
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         """What of `Host` means nothing here: health, advice, connections."""
-        if name.startswith("_") or name == "keel":
+        if name.startswith("_") or name == "admission":
             raise AttributeError(name)
         return lambda *words: None
 
@@ -114,7 +114,7 @@
         while self.events and self.events[0][0] <= when:
             self.now, _, act, words = heappop(self.events)
             act(*words)
-            self.keel.settle(self.now)
+            self.admission.settle(self.now)
         self.now = when
 
     def pass_time(self, seconds: float) -> None:
@@ -140,37 +140,37 @@
     def send(self, client: SimulatedClient, number: int, as_told: bool = False) -> None:
         """One try of an exchange."""
         client.counts["tries"] += 1
-        ex = Request(self.limits.groups[0], None, 0, 10.0, number > 1, 0, 0, False, False)
+        request = Request(self.limits.groups[0], None, 0, 10.0, number > 1, 0, 0, False, False)
         if fair := self.limits.fair:
             labels = {"tenant": client.tenant, "caller": client.name}
             key, who = 0, []
             for level in fair.by:
                 key = hash((key, labels[level])) & (1 << 62) - 1
                 who.append((key, labels[level]))
-            ex.who = tuple(who)
-        self.owners[ex] = client, number, as_told
+            request.who = tuple(who)
+        self.owners[request] = client, number, as_told
         client.promised += as_told
-        self.keel.arrive(self.now, ex)
+        self.admission.arrive(self.now, request)
 
     # Host.
 
-    def run(self, ex: Request) -> None:
-        client, _, as_told = self.owners[ex]
+    def run(self, request: Request) -> None:
+        client, _, as_told = self.owners[request]
         client.taken += as_told
         self.running += 1
         crowd = max(1.0, self.running / self.limits.cores) * self.slow
         time = self.work * (0.5 + self.random.random()) * crowd
-        self.at(self.now + int(time), self._done, ex)
+        self.at(self.now + int(time), self._done, request)
 
-    def _done(self, ex: Request) -> None:
+    def _done(self, request: Request) -> None:
         self.running -= 1
-        self.keel.run_done(self.now, ex, Outcome.COMPLETED, 0)
-        if ex in self.owners:
-            client, _, _ = self.owners.pop(ex)
-            client.counts["in time" if self.now <= ex.slo_end else "late"] += 1
+        self.admission.run_done(self.now, request, Outcome.COMPLETED, 0)
+        if request in self.owners:
+            client, _, _ = self.owners.pop(request)
+            client.counts["in time" if self.now <= request.slo_end else "late"] += 1
 
-    def deny(self, ex: Request, last: bool, retry_after: int) -> None:
-        client, number, _ = self.owners.pop(ex)
+    def deny(self, request: Request, last: bool, retry_after: int) -> None:
+        client, number, _ = self.owners.pop(request)
         client.counts["denied"] += 1
         client.told.append(retry_after)
         if number >= client.tries:
@@ -181,16 +181,16 @@
         else:
             self.at(self.now + client.gap, self.send, client, number + 1)
 
-    def terminate(self, ex: Request) -> None:
-        if ex in self.owners:
-            self.owners.pop(ex)[0].counts["terminated"] += 1
+    def terminate(self, request: Request) -> None:
+        if request in self.owners:
+            self.owners.pop(request)[0].counts["terminated"] += 1
 
     def set_timer(self, token: int, at: int) -> None:
         self.at(at, self._timer, token)
 
     def _timer(self, token: int) -> None:
         busy = min(1.0, self.running / self.limits.cores)
-        self.keel.timer(self.now, token, Gauges(busy, float(self.running), 0.1, 1.0))
+        self.admission.timer(self.now, token, Gauges(busy, float(self.running), 0.1, 1.0))
 
 
 def fair_share(rates: list[float], capacity: float) -> list[float]:
--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -24,7 +24,7 @@
             return [z3.Int(f"{name}.{what}{number}") for number in range(count)]
 
         self.term, self.voted = ints("term", REPLICAS), ints("voted", REPLICAS)  # -1: nobody
-        self.log = [ints(f"log{keeper}.", LENGTH) for keeper in range(REPLICAS)]  # 0: no entry
+        self.log = [ints(f"log{replica}.", LENGTH) for replica in range(REPLICAS)]  # 0: no entry
         self.leads = ints("leads", REPLICAS)  # the term that it leads; 0: none
         self.agreed = ints("agreed", LENGTH)  # the term of the entry agreed there; 0: none
 
@@ -74,7 +74,7 @@
         *same(a.voted, b.voted, voters),
         *same(a.term, b.term, voters),
         *same(a.leads, b.leads, [who]),
-        *(each for keeper in range(REPLICAS) for each in same(a.log[keeper], b.log[keeper])),
+        *(each for replica in range(REPLICAS) for each in same(a.log[replica], b.log[replica])),
         *same(a.agreed, b.agreed),
     )
 
@@ -87,7 +87,7 @@
         *same(a.term, b.term),
         *same(a.leads, b.leads),
         *same(a.agreed, b.agreed),
-        *(each for keeper in range(REPLICAS) for each in same(a.log[keeper], b.log[keeper])),
+        *(each for replica in range(REPLICAS) for each in same(a.log[replica], b.log[replica])),
     )
 
 
@@ -99,7 +99,12 @@
         a.leads[who] == a.term[who],
         place < LENGTH,
         *[b.log[who][index] == log[index] for index in range(LENGTH)],
-        *(each for keeper in range(REPLICAS) if keeper != who for each in same(a.log[keeper], b.log[keeper])),
+        *(
+            each
+            for replica in range(REPLICAS)
+            if replica != who
+            for each in same(a.log[replica], b.log[replica])
+        ),
         *same(a.term, b.term),
         *same(a.voted, b.voted),
         *same(a.leads, b.leads),
@@ -114,7 +119,12 @@
         a.leads[who] == a.term[who],
         a.term[to] <= a.leads[who],
         *[b.log[to][index] == a.log[who][index] for index in range(LENGTH)],
-        *(each for keeper in range(REPLICAS) if keeper != to for each in same(a.log[keeper], b.log[keeper])),
+        *(
+            each
+            for replica in range(REPLICAS)
+            if replica != to
+            for each in same(a.log[replica], b.log[replica])
+        ),
         b.term[to] == a.leads[who],
         b.voted[to] == z3.If(a.term[to] == a.leads[who], a.voted[to], -1),
         b.leads[to] == 0,
@@ -127,7 +137,8 @@
 
 def agreed(a: State, b: State, who: int, index: int, quorum: set[int], rules: set[str]):
     kept = [
-        z3.And(a.log[keeper][index] == a.log[who][index], a.term[keeper] == a.leads[who]) for keeper in quorum
+        z3.And(a.log[replica][index] == a.log[who][index], a.term[replica] == a.leads[who])
+        for replica in quorum
     ]
     own = [a.log[who][index] == a.leads[who]] if "own term" in rules else [a.log[who][index] > 0]
     return z3.And(
@@ -147,7 +158,7 @@
         *same(a.term, b.term),
         *same(a.voted, b.voted),
         *same(a.leads, b.leads),
-        *(each for keeper in range(REPLICAS) for each in same(a.log[keeper], b.log[keeper])),
+        *(each for replica in range(REPLICAS) for each in same(a.log[replica], b.log[replica])),
     )
 
 
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -29,9 +29,12 @@
         self.version = os.environ.get("OAKKEEL_VERSION", "")
         node.measures.watch = self._answered
 
-    def _answered(self, ex: NodeRequest, word: bytes) -> None:
+    def _answered(self, request: NodeRequest, word: bytes) -> None:
         self.outcomes.answered(
-            time.monotonic_ns(), ex, ex.group_name.decode(errors="replace")[:64], word == codec.COMPLETED
+            time.monotonic_ns(),
+            request,
+            request.group_name.decode(errors="replace")[:64],
+            word == codec.COMPLETED,
         )
 
     def report(self, tag: int) -> NodeStatus:
@@ -61,18 +64,20 @@
         if node.host.gauges_at:
             report.gauges_age = now - node.host.gauges_at
         if node.host.begun:
-            keel = node.host.keel
-            report.stage = Stage(max(keel.cpu_stage, keel.depth_stage, keel.latency_stage)).name
-            report.cut, report.memory_kb = round(keel.cut, 4), round(keel.memory_kb, 1)
-            report.hold = keel.count[RequestState.DELAYED] + keel.count[RequestState.HELD]
-            report.runs = keel.count[RequestState.RUNNING] + keel.count[RequestState.ORPHANED]
-            report.calls = keel.count[RequestState.AT_CALL] + keel.count[RequestState.CALLING]
+            admission = node.host.admission
+            report.stage = Stage(
+                max(admission.cpu_stage, admission.depth_stage, admission.latency_stage)
+            ).name
+            report.cut, report.memory_kb = round(admission.cut, 4), round(admission.memory_kb, 1)
+            report.hold = admission.count[RequestState.DELAYED] + admission.count[RequestState.HELD]
+            report.runs = admission.count[RequestState.RUNNING] + admission.count[RequestState.ORPHANED]
+            report.calls = admission.count[RequestState.AT_CALL] + admission.count[RequestState.CALLING]
         if node.draining:
             report.owes_by = dict(
                 Counter(
-                    ex.group_name.decode(errors="replace")
+                    request.group_name.decode(errors="replace")
                     for each in node.listener.connections
-                    for ex in each.open.values()
+                    for request in each.open.values()
                 )
             )
         return report
@@ -88,7 +93,7 @@
         if not node.host.begun:
             return "waiting"
         limits = node.start.limits
-        return "cold" if limits.cold and now - node.host.keel.started < limits.cold_time else "serving"
+        return "cold" if limits.cold and now - node.host.admission.started < limits.cold_time else "serving"
 
     def ordered_to_leave(self, generation: int, within: int) -> str:
         if generation != self.node.start.generation:
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -40,7 +40,7 @@
         self.signal: float | None = None
         self.settling = False
         self.timers: set[asyncio.Task] = set()
-        self.keel: AdmissionController  # from `begin` on
+        self.admission: AdmissionController  # from `begin` on
         self.begun = False
 
     def begin(self, cold: bool, age: int) -> None:
@@ -50,13 +50,13 @@
         self.begun = True
         started = time.monotonic_ns() - (age if cold else 0)
         # Each exchange that it names is one that we gave it, a LiveExchange.
-        self.keel = AdmissionController(self, limits, self.start.seed, started)  # type: ignore[arg-type]
+        self.admission = AdmissionController(self, limits, self.start.seed, started)  # type: ignore[arg-type]
 
     def begin_anew(self, cold: bool, age: int) -> None:
         """Another engine is up in the place of the first: the node is as cold as that is."""
         if cold:
             self.start.limits.cold = True
-            self.keel.started = time.monotonic_ns() - age
+            self.admission.started = time.monotonic_ns() - age
 
     def tell(self, act: Callable[..., None], *words: object) -> None:
         """Tell the decisions what happened; they settle once for what one pass of the loop brought."""
@@ -68,38 +68,38 @@
     def _settle(self) -> None:
         self.settling = False
         try:
-            self.keel.settle(time.monotonic_ns())
+            self.admission.settle(time.monotonic_ns())
         except Exception as error:  # the node lives on
             self.log.error("settle_failed", error=fault(error))
 
     # Verdicts.
 
-    def run(self, ex: NodeRequest) -> None:
-        ex.tell(RequestEvent.RUN)
+    def run(self, request: NodeRequest) -> None:
+        request.tell(RequestEvent.RUN)
 
-    def deny(self, ex: NodeRequest, last: bool, retry_after: int) -> None:
-        ex.tell(RequestEvent.DENY, last, retry_after)
+    def deny(self, request: NodeRequest, last: bool, retry_after: int) -> None:
+        request.tell(RequestEvent.DENY, last, retry_after)
 
-    def terminate(self, ex: NodeRequest) -> None:
-        ex.tell(RequestEvent.TERMINATE)
+    def terminate(self, request: NodeRequest) -> None:
+        request.tell(RequestEvent.TERMINATE)
 
-    def stop(self, ex: NodeRequest) -> None:
-        ex.tell(RequestEvent.STOP)
+    def stop(self, request: NodeRequest) -> None:
+        request.tell(RequestEvent.STOP)
 
-    def call(self, ex: NodeRequest, until: int) -> None:
-        ex.tell(RequestEvent.CALL, until)
+    def call(self, request: NodeRequest, until: int) -> None:
+        request.tell(RequestEvent.CALL, until)
 
-    def leave_out(self, ex: NodeRequest) -> None:
-        ex.tell(RequestEvent.LEAVE_OUT)
+    def leave_out(self, request: NodeRequest) -> None:
+        request.tell(RequestEvent.LEAVE_OUT)
 
-    def share(self, ex: NodeRequest) -> None:
-        ex.tell(RequestEvent.SHARE)
+    def share(self, request: NodeRequest) -> None:
+        request.tell(RequestEvent.SHARE)
 
-    def remember(self, ex: NodeRequest, duration: int) -> None:
-        self.results.remember(ex, time.monotonic_ns(), duration)
+    def remember(self, request: NodeRequest, duration: int) -> None:
+        self.results.remember(request, time.monotonic_ns(), duration)
 
-    def forget(self, ex: NodeRequest) -> None:
-        self.results.forget(ex)
+    def forget(self, request: NodeRequest) -> None:
+        self.results.forget(request)
 
     # Timers.
 
@@ -124,7 +124,7 @@
                         setattr(self.gauges, name, value)
             else:
                 self.measures.gauges_missed += 1
-            self.tell(self.keel.timer, token, self.gauges)
+            self.tell(self.admission.timer, token, self.gauges)
         except Exception as error:  # the node lives on, and so must its poll
             self.log.error("timer_failed", error=fault(error))
             self.set_timer(token, time.monotonic_ns() + self.start.bounds.timer_retry)
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -135,20 +135,20 @@
 
     # The front of the connections.
 
-    def arrived(self, ex: NodeRequest) -> None:
+    def arrived(self, request: NodeRequest) -> None:
         self.measures.read += 1
-        task = asyncio.ensure_future(self.handler.handle(ex))
-        self.open[ex.ident] = task
-        task.add_done_callback(lambda _: self.open.pop(ex.ident))
+        task = asyncio.ensure_future(self.handler.handle(request))
+        self.open[request.ident] = task
+        task.add_done_callback(lambda _: self.open.pop(request.ident))
 
     def holds(self, ident: bytes) -> bool:
         """Whether an exchange of that id is open, or its run is."""
         return ident in self.open
 
-    def gone(self, ex: NodeRequest) -> None:
-        if not ex.answered:
-            ex.answered = True  # nothing is owed any more
-            ex.tell(RequestEvent.GONE)
+    def gone(self, request: NodeRequest) -> None:
+        if not request.answered:
+            request.answered = True  # nothing is owed any more
+            request.tell(RequestEvent.GONE)
 
     def healthy(self) -> bool:
         return self.host.good and self.host.begun and not self.draining
@@ -158,7 +158,7 @@
 
     def return_after(self) -> int:
         """When one that is denied at the door may come back, in nanoseconds; 0: it takes no such advice."""
-        return self.host.keel.return_after() if self.host.begun else 0
+        return self.host.admission.return_after() if self.host.begun else 0
 
     def leave(self) -> None:
         """The notice to leave for good; a second one changes nothing."""
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -22,15 +22,19 @@
         self.benefit = [0.0, 0.0, 0.0]
         self.times: dict[str, list[float]] = {}  # logarithms of seconds until completed
 
-    def answered(self, now: int, ex: Request, group: str, completed: bool) -> None:
+    def answered(self, now: int, request: Request, group: str, completed: bool) -> None:
         """One was answered; what is late brings the part that its group says."""
         brought = 0.0
         if completed:
-            brought = ex.group.benefit / self.most * (1.0 if now <= ex.slo_end else ex.group.late_share)
+            brought = (
+                request.group.benefit
+                / self.most
+                * (1.0 if now <= request.slo_end else request.group.late_share)
+            )
             if group in self.times or len(self.times) < MOST_GROUPS:
                 _add(
                     self.times.setdefault(group, [0.0, 0.0, 0.0]),
-                    math.log(max(1e-6, (now - ex.arrived) / SECOND)),
+                    math.log(max(1e-6, (now - request.arrived) / SECOND)),
                 )
         _add(self.benefit, brought)
 
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -29,34 +29,34 @@
     )
 
     def __init__(
-        self, key: Key, ex: NodeRequest, now: int, duration: int, before: CachedResponse | None
+        self, key: Key, request: NodeRequest, now: int, duration: int, before: CachedResponse | None
     ) -> None:
         """`duration` in nanoseconds: of what may run once from its arrival at the machine, of a read from
         now."""
-        self.key, self.once = key, ex.group.once
-        self.until = now + duration - (ex.backlog if self.once else 0)
+        self.key, self.once = key, request.group.once
+        self.until = now + duration - (request.backlog if self.once else 0)
         # One that came in time may be read as late as its caller waits, and must still find it.
-        self.dropped = self.until + (ex.group.async_timeout if self.once else 0)
-        self.body = blake2b(ex.body, digest_size=16).digest() if self.once else b""
+        self.dropped = self.until + (request.group.async_timeout if self.once else 0)
+        self.body = blake2b(request.body, digest_size=16).digest() if self.once else b""
         self.outcome: Outcome | None = None
         self.result, self.ended = b"", 0
         self.followers: list[NodeRequest] = []
         self.before = before  # whose place it has, while it may still turn out never to have run
 
-    def follow(self, ex: NodeRequest) -> None:
+    def follow(self, request: NodeRequest) -> None:
         """It takes the result, now or when there is one."""
         if self.outcome is not None:
-            ex.tell(RequestEvent.SHARED, self.outcome, self.result)
+            request.tell(RequestEvent.SHARED, self.outcome, self.result)
         else:
-            self.followers.append(ex)
+            self.followers.append(request)
 
     def end(self, outcome: Outcome, result: bytes) -> None:
         """Its run is over, or it never comes: all that wait for it are told."""
         if self.outcome is None:
             self.outcome, self.result, self.ended = outcome, result, time.monotonic_ns()
             self.before = None
-            for ex in self.followers:
-                ex.tell(RequestEvent.SHARED, outcome, result)
+            for request in self.followers:
+                request.tell(RequestEvent.SHARED, outcome, result)
             self.followers.clear()
 
 
@@ -68,10 +68,10 @@
         self.most, self.fresh = bounds.results, fresh
         self.results: dict[Key, CachedResponse] = {}
 
-    def find(self, ex: NodeRequest, now: int) -> bool:
+    def find(self, request: NodeRequest, now: int) -> bool:
         """Whether it repeats one that is here: it reached the machine while that one's time was not up."""
-        cached = self.results.get(ex.key) if ex.key else None
-        if cached is None or now - ex.backlog >= cached.until:
+        cached = self.results.get(request.key) if request.key else None
+        if cached is None or now - request.backlog >= cached.until:
             return False
         if (
             not cached.once
@@ -79,17 +79,17 @@
             and (cached.outcome is not Outcome.COMPLETED or now - cached.ended > self.fresh)
         ):
             return False
-        ex.earlier = cached
+        request.earlier = cached
         return True
 
-    def differs(self, ex: NodeRequest) -> bool:
+    def differs(self, request: NodeRequest) -> bool:
         """Whether it has the key of the one that it would repeat, but asks for something else. A result that
         was not made for it would be an answer to nothing it asked, and to run it might be a second effect."""
-        earlier = ex.earlier
-        return earlier.once and earlier.body != blake2b(ex.body, digest_size=16).digest()
+        earlier = request.earlier
+        return earlier.once and earlier.body != blake2b(request.body, digest_size=16).digest()
 
-    def share(self, ex: NodeRequest) -> None:
-        ex.earlier.follow(ex)
+    def share(self, request: NodeRequest) -> None:
+        request.earlier.follow(request)
 
     def full(self, now: int) -> bool:
         """No room for another key, not even in place of a read's or of one whose time is up."""
@@ -102,16 +102,18 @@
                 break
         return len(self.results) >= self.most
 
-    def remember(self, ex: NodeRequest, now: int, duration: int) -> None:
-        if ex.key is None:
+    def remember(self, request: NodeRequest, now: int, duration: int) -> None:
+        if request.key is None:
             return  # nothing that its repeats could be known by
         self.full(now)  # makes room
-        ex.cached = self.results[ex.key] = CachedResponse(ex.key, ex, now, duration, self.results.get(ex.key))
+        request.cached = self.results[request.key] = CachedResponse(
+            request.key, request, now, duration, self.results.get(request.key)
+        )
 
-    def forget(self, ex: NodeRequest) -> None:
+    def forget(self, request: NodeRequest) -> None:
         """It never ran, and never will. One whose place it had is there again: that one may have run, and
         repeats of it may still be unread, or have been taken for repeats of this one."""
-        cached: CachedResponse | None = ex.cached
+        cached: CachedResponse | None = request.cached
         if cached is None:
             return
         before = cached.before
@@ -124,9 +126,9 @@
                 before.follow(each)
         cached.end(Outcome.DENIED, b"")
 
-    def ended(self, ex: NodeRequest, outcome: Outcome, result: bytes) -> None:
-        if ex.cached is not None:
-            ex.cached.end(outcome, result)
+    def ended(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
+        if request.cached is not None:
+            request.cached.end(outcome, result)
 
     def _sweep(self, now: int) -> None:
         for key in [key for key, cached in self.results.items() if cached.dropped <= now]:
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -53,18 +53,18 @@
 
 
 class LeaderState:
-    def __init__(self, now: int, keeper: LeaderContext) -> None:
-        self.keeper, self.began = keeper, now
-        self.first = keeper.log.last + 1  # of its own term
+    def __init__(self, now: int, replica: LeaderContext) -> None:
+        self.replica, self.began = replica, now
+        self.first = replica.log.last + 1  # of its own term
         self.peers: dict[str, PeerProgress] = {}  # by life
         self._follow_members(now)
 
     def _follow_members(self, now: int) -> None:
-        keeper, known = self.keeper, self.peers
+        replica, known = self.replica, self.peers
         self.peers = {
-            each.life: known.get(each.life) or PeerProgress(each.name, keeper.log.last + 1, heard=now)
-            for each in keeper.members
-            if each.life != keeper.life
+            each.life: known.get(each.life) or PeerProgress(each.name, replica.log.last + 1, heard=now)
+            for each in replica.members
+            if each.life != replica.life
         }
 
     def ready(self, commit: int) -> bool:
@@ -76,65 +76,68 @@
         return sorted(values, reverse=True)[len(values) // 2]
 
     def agreed(self, commit: int) -> int:
-        keeper = self.keeper
-        voters = [each for each in keeper.members if each.votes]
+        replica = self.replica
+        voters = [each for each in replica.members if each.votes]
         if not voters:
             return commit
         index = self._quorum(
-            [keeper.log.last if each.life == keeper.life else self.peers[each.life].match for each in voters]
+            [
+                replica.log.last if each.life == replica.life else self.peers[each.life].match
+                for each in voters
+            ]
         )
-        return index if index > commit and keeper.log.term_at(index) == keeper.term else commit
+        return index if index > commit and replica.log.term_at(index) == replica.term else commit
 
     # Lease.
 
     def _reached(self, now: int) -> int:
         """The latest time at which a majority was still sent what it then answered."""
-        voters = [each for each in self.keeper.members if each.votes]
+        voters = [each for each in self.replica.members if each.votes]
         return (
             self._quorum(
-                [now if each.life == self.keeper.life else self.peers[each.life].heard for each in voters]
+                [now if each.life == self.replica.life else self.peers[each.life].heard for each in voters]
             )
             if voters
             else now
         )
 
     def lease_until(self, now: int) -> int:
-        return self._reached(now) + self.keeper.pace.lease
+        return self._reached(now) + self.replica.pace.lease
 
     def lost(self, now: int) -> bool:
         """A majority is silent for longer than anybody waits for a leader."""
-        return now - max(self.began, self._reached(now)) > self.keeper.pace.most
+        return now - max(self.began, self._reached(now)) > self.replica.pace.most
 
     # Sending.
 
     def next_at(self) -> int:
-        beat = self.keeper.pace.beat
+        beat = self.replica.pace.beat
         return min((peer.sent_at + beat for peer in self.peers.values()), default=NEVER)
 
     def appended(self, now: int) -> None:
-        if self.keeper.log.members_at == self.keeper.log.last:
+        if self.replica.log.members_at == self.replica.log.last:
             self._follow_members(now)
 
     def tick(self, now: int) -> None:
         for peer in self.peers.values():
-            if now - peer.sent_at >= self.keeper.pace.beat:
+            if now - peer.sent_at >= self.replica.pace.beat:
                 self._send(now, peer)
 
     def replicate(self, now: int) -> None:
         """Send at once what is new, to those from whom nothing is awaited."""
         for peer in self.peers.values():
-            if not peer.waiting and (peer.next <= self.keeper.log.last or peer.behind):
+            if not peer.waiting and (peer.next <= self.replica.log.last or peer.behind):
                 self._send(now, peer)
 
     def _send(self, now: int, peer: PeerProgress) -> None:
-        keeper, log = self.keeper, self.keeper.log
-        peer.sent_at, term = now, keeper.term
+        replica, log = self.replica, self.replica.log
+        peer.sent_at, term = now, replica.term
         if peer.next <= log.snapshot.index:
             snapshot = log.snapshot
             if not peer.behind:
                 peer.behind, peer.piece = True, 0
             peer.waiting = True
-            return keeper.send(
+            return replica.send(
                 peer.name,
                 SnapshotChunk(
                     term,
@@ -150,18 +153,18 @@
         before = peer.next - 1
         entries = log.after(before)
         peer.waiting = bool(entries)
-        keeper.send(
+        replica.send(
             peer.name,
             AppendEntriesRequest(
-                term, before, log.term_at(before), entries, keeper.commit, now, self.marks()
+                term, before, log.term_at(before), entries, replica.commit, now, self.marks()
             ),
         )
 
     def marks(self) -> list[tuple[str, int, int]]:
         """What each member is known to have kept."""
-        log = self.keeper.log
+        log = self.replica.log
         return [
-            (self.keeper.life, log.last_term, log.last),
+            (self.replica.life, log.last_term, log.last),
             *((life, log.term_at(each.match), each.match) for life, each in self.peers.items()),
         ]
 
@@ -173,11 +176,11 @@
             return
         self._heard(peer, word.sent)
         if word.good:
-            if word.index <= self.keeper.log.last:
+            if word.index <= self.replica.log.last:
                 peer.match = max(peer.match, word.index)
                 peer.next = peer.match + 1
         elif word.index >= peer.match:  # else it was sent before a later one that was good
-            peer.next = min(self.keeper.log.last, word.index) + 1
+            peer.next = min(self.replica.log.last, word.index) + 1
 
     def _heard(self, peer: PeerProgress, sent: int) -> bool:
         """Whether it answers what was sent last. Only that makes room for more at once: were a second copy to
@@ -192,7 +195,7 @@
         if peer is None or word.sent > now:
             return
         latest = self._heard(peer, word.sent)
-        snapshot = self.keeper.log.snapshot
+        snapshot = self.replica.log.snapshot
         if word.index != snapshot.index:
             peer.behind = False  # a later one has taken its place: from its beginning
         elif word.offset >= len(snapshot.content):
@@ -205,8 +208,8 @@
 
     def wanted_members(self, now: int) -> bytes:
         """The next change of members, one voter at a time, if there is one to make and it may be made."""
-        keeper = self.keeper
-        if not self.ready(keeper.commit) or keeper.log.members_at > keeper.commit:
+        replica = self.replica
+        if not self.ready(replica.commit) or replica.log.members_at > replica.commit:
             return b""
         change = self._next_change(now)
         if change is None:
@@ -216,22 +219,23 @@
         recent = [
             life
             for life in voters
-            if life == keeper.life or (life in self.peers and now - self.peers[life].heard < keeper.pace.most)
+            if life == replica.life
+            or (life in self.peers and now - self.peers[life].heard < replica.pace.most)
         ]
         return encode_members(change) if 2 * len(recent) > len(voters) else b""
 
     def _next_change(self, now: int) -> list[Member] | None:
-        keeper = self.keeper
-        members = list(keeper.members)
-        wanted = set(keeper.wanted()) or {each.name for each in members}
+        replica = self.replica
+        members = list(replica.members)
+        wanted = set(replica.wanted()) or {each.name for each in members}
         said = {
             name: (life, fresh)
-            for name, (life, at, fresh) in keeper.hellos.items()
-            if now - at < 5 * keeper.pace.hello
+            for name, (life, at, fresh) in replica.hellos.items()
+            if now - at < 5 * replica.pace.hello
         }
         for place, each in enumerate(members):
             life, fresh = said.get(each.name, (each.life, False))
-            if fresh and life != each.life and each.life != keeper.life:  # its file was lost
+            if fresh and life != each.life and each.life != replica.life:  # its file was lost
                 members[place] = Member(each.name, life, False)
                 return members
         for each in members:
@@ -240,8 +244,8 @@
                 peer
                 and not each.votes
                 and each.name in wanted
-                and peer.match >= keeper.commit
-                and now - peer.heard < keeper.pace.least
+                and peer.match >= replica.commit
+                and now - peer.heard < replica.pace.least
             ):
                 return [Member(m.name, m.life, m.votes or m is each) for m in members]
         here = {each.name for each in members}
@@ -249,7 +253,7 @@
             if name in said:
                 return [*members, Member(name, said[name][0], False)]
         if wanted <= {each.name for each in members if each.votes}:  # those who come are there first
-            for each in sorted(members, key=lambda each: each.life == keeper.life):
+            for each in sorted(members, key=lambda each: each.life == replica.life):
                 if each.name not in wanted:
                     return [other for other in members if other is not each]
         return None
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -36,15 +36,15 @@
 class RolloutController:
     """Times are nanoseconds of the leader's monotonic clock."""
 
-    def __init__(self, now: int, book: RolloutStateMachine, granting: PermitAllocator, holder: str) -> None:
+    def __init__(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator, holder: str) -> None:
         """`holder` is a name that no driver before had."""
-        self.book, self.granting = book, granting
+        self.book, self.allocator = book, allocator
         self.lease = LeaseHolder(LEASE, holder, LASTS)
         self.asked_at = 0  # when the lease was asked for, until that is answered
         self.ask_at = now
         self.seen: dict[str, TargetObservation] = {}
         self.died: dict[str, tuple[int, int]] = {}  # by thing: life of its agent, deaths told
-        self.planner = BatchPlanner(granting.layout)
+        self.planner = BatchPlanner(allocator.layout)
         self.gate: Gate | None = None
         self.gate_of = ""  # release and direction
         self.since = now  # when the last batch was up, or the release began, as far as we know
@@ -59,7 +59,7 @@
 
     def heard(self, now: int, poll: Heartbeat) -> list[commands.Command | places.Command]:
         """News of one host, no older than what its echo shows."""
-        host = self.granting.hosts.get(poll.host)
+        host = self.allocator.hosts.get(poll.host)
         if host is None or host.life != poll.life or host.count != poll.count or not host.echo:
             return []  # overtaken, or nobody knows how old it is
         try:
@@ -68,7 +68,7 @@
             return []  # of a version that says other things
         release = self.book.open
         for run in told.runs:
-            if self.granting.host_of.get(run.name) != poll.host:
+            if self.allocator.host_of.get(run.name) != poll.host:
                 continue
             known = self.seen.get(run.name)
             if known and known.at > host.echo:
@@ -95,7 +95,7 @@
                     {
                         thing: base
                         for thing, base in told.bases.items()
-                        if self.granting.host_of.get(thing) == poll.host
+                        if self.allocator.host_of.get(thing) == poll.host
                     },
                 )
                 for ident, why in told.ready.items()
@@ -141,7 +141,7 @@
     def answer(self, now: int, host: str) -> bytes:
         """What a host's agent hears with each answer."""
         held, release = self.book.held, self.book.open
-        here = self.granting.layout.hosts.get(host, ())
+        here = self.allocator.layout.hosts.get(host, ())
         versions = {thing: held.versions[thing] for thing in here if thing in held.versions}
         heard = AgentAssignments(
             versions,
@@ -156,7 +156,7 @@
 
     def applied(self, now: int, command: object, result: object) -> None:
         if isinstance(command, places.SetTopology):
-            self.planner = BatchPlanner(self.granting.layout)
+            self.planner = BatchPlanner(self.allocator.layout)
         if (
             isinstance(command, places.AcquireLease)
             and command.name == LEASE
@@ -241,7 +241,7 @@
         return self._next_batch(now, release, left)
 
     def _prepare(self, now: int, release: Release) -> commands.Command | None:
-        hosts = {self.granting.host_of[thing] for thing in release.parts if thing in self.granting.host_of}
+        hosts = {self.allocator.host_of[thing] for thing in release.parts if thing in self.allocator.host_of}
         missing = sorted(hosts - set(release.ready)) if not release.what.services else []
         if not missing:
             return commands.BeginRollout(release.ident, self.lease.fence, release.step)
@@ -325,7 +325,7 @@
     def _came(self, now: int, release: Release, thing: str) -> bool:
         each = self.seen.get(thing)
         if release.what.services:
-            return thing not in self.granting.out.reasons
+            return thing not in self.allocator.out.reasons
         return bool(
             each
             and each.fresh(now)
@@ -415,7 +415,7 @@
             now,
             free,
             self.seen,
-            self.granting.out,
+            self.allocator.out,
             max(1, min(most, MOST)),
             pace.ceiling,
             release.back,
@@ -441,7 +441,7 @@
         """Things on which an order is open, and whose: what is tried there would be refused."""
         return {
             thing: f"{order.operator}'s {order.verb} {order.ident}"
-            for ident in self.granting.orders_at
+            for ident in self.allocator.orders_at
             if (order := self.book.held.orders.get(ident))
             for thing, part in order.parts.items()
             if part.state in OPEN_STATES
@@ -456,9 +456,9 @@
             and (each := self.seen.get(thing))
             and each.serves
             and self._arm(release, thing, each.version) == "old"
-            and not self.granting.out.against([*chosen, thing])
+            and not self.allocator.out.against([*chosen, thing])
         ]
         found = self.planner.choose(
-            now, others, self.seen, self.granting.out, len(chosen), release.pace.ceiling, False
+            now, others, self.seen, self.allocator.out, len(chosen), release.pace.ceiling, False
         ).things
-        return [] if self.granting.out.against([*chosen, *found]) else found
+        return [] if self.allocator.out.against([*chosen, *found]) else found
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -34,7 +34,7 @@
         self.gauges = Gauges()
         self.exchanges: dict[int, Request] = {}
         self.ids: dict[Request, int] = {}
-        self.keel = AdmissionController(self, self.limits, seed, now)
+        self.admission = AdmissionController(self, self.limits, seed, now)
 
     # Events in.
 
@@ -47,7 +47,7 @@
         if group >= len(limits.groups) or ident in self.exchanges:
             wire.fail(f"exchange {ident} on instance {self.number}: id used before, or group {group} unknown")
         row = limits.groups[group]
-        ex = Request(
+        request = Request(
             group=row,
             tenant=limits.tenants[tenant] if tenant < len(limits.tenants) else None,
             caller=caller,
@@ -58,9 +58,9 @@
             has_key=bool(key) or row.effect is Effect.DEDUPLICATED,
             repeats=bool(earlier),
         )
-        self.exchanges[ident] = ex
-        self.ids[ex] = ident
-        self.keel.arrive(now, ex)
+        self.exchanges[ident] = request
+        self.ids[request] = ident
+        self.admission.arrive(now, request)
 
     def read_gauges(self, values: tuple) -> Gauges:
         for name, value in zip(self.gauge_names, values, strict=False):
@@ -70,37 +70,39 @@
 
     # Actions out.
 
-    def _named(self, code: int, ex: Request) -> None:
-        self.reply.records.append(wire.ACT_ID.pack(code, self.number, self.ids[ex]))
+    def _named(self, code: int, request: Request) -> None:
+        self.reply.records.append(wire.ACT_ID.pack(code, self.number, self.ids[request]))
 
-    def run(self, ex: Request) -> None:
-        self._named(wire.LAUNCH, ex)
+    def run(self, request: Request) -> None:
+        self._named(wire.LAUNCH, request)
 
-    def deny(self, ex: Request, last: bool, retry_after: int) -> None:
+    def deny(self, request: Request, last: bool, retry_after: int) -> None:
         self.reply.records.append(
-            wire.ACT_BOUNCE.pack(wire.BOUNCE, self.number, self.ids[ex], last, retry_after)
+            wire.ACT_BOUNCE.pack(wire.BOUNCE, self.number, self.ids[request], last, retry_after)
         )
 
-    def terminate(self, ex: Request) -> None:
-        self._named(wire.REPORT_FAILURE, ex)
+    def terminate(self, request: Request) -> None:
+        self._named(wire.REPORT_FAILURE, request)
 
-    def stop(self, ex: Request) -> None:
-        self._named(wire.INTERRUPT, ex)
+    def stop(self, request: Request) -> None:
+        self._named(wire.INTERRUPT, request)
 
-    def call(self, ex: Request, until: int) -> None:
-        self.reply.records.append(wire.ACT_ID_TIME.pack(wire.DIAL, self.number, self.ids[ex], until))
+    def call(self, request: Request, until: int) -> None:
+        self.reply.records.append(wire.ACT_ID_TIME.pack(wire.DIAL, self.number, self.ids[request], until))
 
-    def leave_out(self, ex: Request) -> None:
-        self._named(wire.GO_ON, ex)
+    def leave_out(self, request: Request) -> None:
+        self._named(wire.GO_ON, request)
 
-    def share(self, ex: Request) -> None:
-        self._named(wire.SHARE, ex)
+    def share(self, request: Request) -> None:
+        self._named(wire.SHARE, request)
 
-    def remember(self, ex: Request, duration: int) -> None:
-        self.reply.records.append(wire.ACT_ID_TIME.pack(wire.REMEMBER, self.number, self.ids[ex], duration))
+    def remember(self, request: Request, duration: int) -> None:
+        self.reply.records.append(
+            wire.ACT_ID_TIME.pack(wire.REMEMBER, self.number, self.ids[request], duration)
+        )
 
-    def forget(self, ex: Request) -> None:
-        self._named(wire.RELEASE_KEY, ex)
+    def forget(self, request: Request) -> None:
+        self._named(wire.RELEASE_KEY, request)
 
     def set_timer(self, token: int, at: int) -> None:
         self.reply.records.append(wire.ACT_ID_TIME.pack(wire.SET_TIMER, self.number, token, at))
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -81,7 +81,7 @@
         self.timers: list[tuple[int, int]] = []
         self.gauges = Gauges()
         self.now = SECOND
-        self.keel = AdmissionController(self, self.limits, 7, self.now)
+        self.admission = AdmissionController(self, self.limits, 7, self.now)
 
     def __getattr__(self, name: str):
         return lambda *words: self.said.append((name, *words))
@@ -102,38 +102,38 @@
             has_key=False,
             repeats=False,
         )
-        ex = Request(**(given | fields))
-        self.keel.arrive(self.now, ex)
+        request = Request(**(given | fields))
+        self.admission.arrive(self.now, request)
         if settle:
-            self.keel.settle(self.now)
-        return ex
+            self.admission.settle(self.now)
+        return request
 
-    def done(self, ex: Request, outcome: Outcome = Outcome.COMPLETED) -> None:
-        self.keel.run_done(self.now, ex, outcome, 0)
-        self.keel.settle(self.now)
+    def done(self, request: Request, outcome: Outcome = Outcome.COMPLETED) -> None:
+        self.admission.run_done(self.now, request, outcome, 0)
+        self.admission.settle(self.now)
 
-    def at_call(self, ex: Request) -> None:
-        self.keel.at_call(self.now, ex)
-        self.keel.settle(self.now)
+    def at_call(self, request: Request) -> None:
+        self.admission.at_call(self.now, request)
+        self.admission.settle(self.now)
 
-    def call_done(self, ex: Request, outcome: Outcome) -> None:
-        self.keel.call_done(self.now, ex, outcome, 0)
-        self.keel.settle(self.now)
+    def call_done(self, request: Request, outcome: Outcome) -> None:
+        self.admission.call_done(self.now, request, outcome, 0)
+        self.admission.settle(self.now)
 
     def run_until(self, time: int) -> None:
         while self.timers and min(self.timers)[0] <= time:
             self.timers.remove(first := min(self.timers))
             self.now = max(self.now, first[0])
-            self.keel.timer(self.now, first[1], self.gauges)
-            self.keel.settle(self.now)
+            self.admission.timer(self.now, first[1], self.gauges)
+            self.admission.settle(self.now)
         self.now = max(self.now, time)
 
-    def words(self, ex: Request) -> list[str]:
+    def words(self, request: Request) -> list[str]:
         """What was asked about an exchange, in order."""
-        return [wish[0] for wish in self.said if len(wish) > 1 and wish[1] is ex]
+        return [wish[0] for wish in self.said if len(wish) > 1 and wish[1] is request]
 
     def in_state(self, exchanges: list[Request], *states: RequestState) -> list[Request]:
-        return [ex for ex in exchanges if ex.state in states]
+        return [request for request in exchanges if request.state in states]
 
 
 # Stand-ins for what is round a node on sockets. They listen on ports that the kernel gives, and every wait
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -111,11 +111,11 @@
 
     # The node, as connections see it.
 
-    def arrived(self, ex) -> None:
-        self.arrived_here.append(ex)
+    def arrived(self, request) -> None:
+        self.arrived_here.append(request)
 
-    def gone(self, ex) -> None:
-        self.gone_here.append(ex)
+    def gone(self, request) -> None:
+        self.gone_here.append(request)
 
     def holds(self, ident: bytes) -> bool:
         return False
@@ -178,8 +178,8 @@
         return caller, connection
 
     def answer(self, body: bytes = b"result") -> None:
-        ex = self.arrived_here.pop(0)
-        ex.connection.answer(ex, codec.COMPLETED, body)
+        request = self.arrived_here.pop(0)
+        request.connection.answer(request, codec.COMPLETED, body)
 
 
 class CloseStories(DoorStory):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -150,7 +150,7 @@
             "never ran",
             self.told(
                 "deny",
-                lambda self, ex, last, after: self._answer(self.open[ex], "completed", 0),
+                lambda self, request, last, after: self._answer(self.open[request], "completed", 0),
                 Scenario(nodes=1, dispatchers=1, seconds=3.0, load=2.0),
             ),
         )
@@ -158,9 +158,9 @@
     def test_a_second_run_is_told(self):
         run = SimulatedNode.run
 
-        def twice(self, ex):
-            run(self, ex)
-            self.audit.arrived_and_ran(self.open[ex].ident, self.open[ex].arrived)
+        def twice(self, request):
+            run(self, request)
+            self.audit.arrived_and_ran(self.open[request].ident, self.open[request].arrived)
 
         self.assertIn("ran 2 times", self.told("run", twice))
 
@@ -195,10 +195,10 @@
                     self._move(row[2], type(row[2].state).RUNNING)
                     self.host.run(row[2])
 
-        def admit_all(self, now, ex):
-            self.now = ex.arrived = ex.since = now
-            ex.slo_end = ex.give_up_at = now + 100 * SECOND
-            self._admit(ex)
+        def admit_all(self, now, request):
+            self.now = request.arrived = request.since = now
+            request.slo_end = request.give_up_at = now + 100 * SECOND
+            self._admit(request)
 
         with (
             mock.patch.object(AdmissionController, "settle", settle),
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -239,9 +239,9 @@
             made = world(slow=slow, slo=SECOND)
             made.add(*self.compliant(10, 40))
             made.pass_time(10)
-            fair = made.keel.fair
+            fair = made.admission.fair
             allowed = [each.allowed for each in fair.levels.tables[0].senders.values()]
-            promised.append(sum(allowed) / made.keel.span[0])
+            promised.append(sum(allowed) / made.admission.span[0])
         self.assertAlmostEqual(promised[1] / promised[0], 0.5, delta=0.1)
 
     def test_a_cold_node_is_shared_as_well(self):
@@ -261,7 +261,7 @@
         made = world()
         made.add(SimulatedClient(b"flood", 600), one := SimulatedClient(b"one", 0.0, heeds=False, tries=1))
         made.pass_time(5)
-        fair = made.keel.fair
+        fair = made.admission.fair
         while not fair.promises.ahead(key := hash((0, b"one")) & (1 << 62) - 1):
             made.send(one, 1)
             made.pass_time(0.01)
@@ -274,8 +274,8 @@
         made, good = world(), self.compliant(30, 15)
         made.add(*good)
         made.pass_time(5)
-        fair, before = made.keel.fair, [sum(each.taken for each in good)]
-        made.keel.leave(made.now, 5 * SECOND)
+        fair, before = made.admission.fair, [sum(each.taken for each in good)]
+        made.admission.leave(made.now, 5 * SECOND)
         booked = fair.promises.made
         made.pass_time(1.5)
         self.assertEqual(fair.promises.made, booked)
@@ -285,21 +285,21 @@
         made, good = world(False), self.compliant(4, 10)
         made.add(*good)
         made.pass_time(2)
-        self.assertIsNone(made.keel.fair)
+        self.assertIsNone(made.admission.fair)
 
     def test_a_retry_budget_is_the_senders_own(self):
         made = world()
-        levels = made.keel.fair.levels
+        levels = made.admission.fair.levels
         for number in range(400):
             levels.count(made.now + number * MS, ((1, b"tries"),), 1.0, number % 2 == 0)
         sender = levels.tables[0].senders[1]
         self.assertAlmostEqual(sender.retries / sender.count, 0.5, delta=0.01)
-        ex = mock.Mock(who=((1, b"tries"),), marked_retry=True, place=ShareStanding.FAIR)
-        made.keel.fair.arrive(made.now + 400 * MS, ex, 1.0, 1e9)
-        self.assertIs(ex.place, ShareStanding.OVER)
-        ex.marked_retry = False
-        made.keel.fair.arrive(made.now + 400 * MS, ex, 1.0, 1e9)
-        self.assertIs(ex.place, ShareStanding.FAIR)
+        request = mock.Mock(who=((1, b"tries"),), marked_retry=True, place=ShareStanding.FAIR)
+        made.admission.fair.arrive(made.now + 400 * MS, request, 1.0, 1e9)
+        self.assertIs(request.place, ShareStanding.OVER)
+        request.marked_retry = False
+        made.admission.fair.arrive(made.now + 400 * MS, request, 1.0, 1e9)
+        self.assertIs(request.place, ShareStanding.FAIR)
 
 
 class StateStories(unittest.TestCase):
@@ -316,7 +316,7 @@
         return made
 
     def content(self, made: SimulatedNode, unix: int = 10**18) -> bytes:
-        fair = made.keel.fair
+        fair = made.admission.fair
         return persistence.encode_snapshot(
             made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises
         )
@@ -325,7 +325,7 @@
         made, again = self.filled(), world()
         content = self.content(made)
         found = persistence.decode_snapshot(content, 10**18 + SECOND, ("caller",))
-        fair, old = again.keel.fair, made.keel.fair
+        fair, old = again.admission.fair, made.admission.fair
         persistence.restore_snapshot(found, again.now, 10**18 + SECOND, fair.levels, fair.promises)
         key = max(old.levels.tables[0].senders.values(), key=lambda each: each.count).key
         before = old.levels.tables[0].rate(made.now, old.levels.tables[0].senders[key])
