--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -167,28 +167,28 @@
 
     async def _replied(self):
         """An exchange whose call came back, and the link that it was on."""
-        ex = exchange()
-        self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"")
+        request = exchange()
+        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-        writer.write(b"%s FAULT\r\n" % ex.ident)
-        await ex.hear()
-        return ex, self.catalogue.links[0]
+        writer.write(b"%s FAULT\r\n" % request.ident)
+        await request.hear()
+        return request, self.catalogue.links[0]
 
     async def test_a_late_reply_is_not_taken_for_that_of_the_next_call(self):
         # Replies name only the exchange: one that crosses the QUIT of its call looked like its successor's.
-        ex = exchange()
-        self.catalogue.fetch(ex, time.monotonic_ns() + 50 * MS, b"first")
+        request = exchange()
+        self.catalogue.fetch(request, time.monotonic_ns() + 50 * MS, b"first")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
-        self.assertEqual((await ex.hear())[:2], (RequestEvent.REPLY, Outcome.GIVEN_UP))
-        self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"second")
+        self.assertEqual((await request.hear())[:2], (RequestEvent.REPLY, Outcome.GIVEN_UP))
+        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         again, writer_again = await asyncio.wait_for(self.peers.get(), WAIT)
         await again.readline()
-        writer.write(b"%s DATA 3\r\nold\r\n" % ex.ident)
+        writer.write(b"%s DATA 3\r\nold\r\n" % request.ident)
         await writer.drain()
         self.assertEqual([await reader.readline() for _ in range(2)][1][:4], b"QUIT")
-        writer_again.write(b"%s DATA 3\r\nnew\r\n" % ex.ident)
-        self.assertEqual((await ex.hear())[:3], (RequestEvent.REPLY, Outcome.COMPLETED, b"new"))
+        writer_again.write(b"%s DATA 3\r\nnew\r\n" % request.ident)
+        self.assertEqual((await request.hear())[:3], (RequestEvent.REPLY, Outcome.COMPLETED, b"new"))
 
     async def test_each_reply_is_the_outcome_that_it_proves(self):
         for word, outcome in (
@@ -197,21 +197,21 @@
             (b"NOUSE", Outcome.MOOT),
             (b"TOOSLOW", Outcome.GIVEN_UP),
         ):
-            ex = exchange(b"%016x" % len(word))
-            self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"")
+            request = exchange(b"%016x" % len(word))
+            self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
             if not self.catalogue.links[0].connected:
                 _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-            writer.write(b"%s %s\r\n" % (ex.ident, word))
-            self.assertEqual((await ex.hear())[1], outcome)
+            writer.write(b"%s %s\r\n" % (request.ident, word))
+            self.assertEqual((await request.hear())[1], outcome)
         self.assertEqual(len(self.catalogue.links), 1)
 
     async def _placed(self, ident):
         """An exchange whose call is at the catalogue, with the two ends of its link there."""
-        ex = exchange(ident)
-        self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"")
+        request = exchange(ident)
+        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         await reader.readline()
-        return ex, writer
+        return request, writer
 
     async def test_a_reply_that_breaks_its_link_costs_no_other_call(self):
         # With four links for all, each spoilt, silent or reset one took the calls beside it along.
@@ -228,56 +228,56 @@
                 b"%s DA",
             )
         ):
-            ex, writer = await self._placed(b"%016x" % number)
-            writer.write(spoilt.replace(b"%s", ex.ident))
-            self.assertEqual((await asyncio.wait_for(ex.hear(), WAIT))[1], Outcome.RESET, spoilt)
+            request, writer = await self._placed(b"%016x" % number)
+            writer.write(spoilt.replace(b"%s", request.ident))
+            self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1], Outcome.RESET, spoilt)
         other_writer.write(b"%s DATA 2\r\nok\r\n" % other.ident)
         self.assertEqual((await other.hear())[1:3], (Outcome.COMPLETED, b"ok"))
 
     async def test_a_good_reply_counts_though_more_comes_with_it_and_its_link_takes_no_other_call(self):
         stray = b"feedfeedfeedfeed DATA 1\r\nx\r\n%s"
         for number, (ahead, behind) in enumerate(((b"%s", b"%s"), (stray, b""))):
-            ex, writer = await self._placed(b"%016x" % number)
-            reply = b"%s DATA 2\r\nok\r\n" % ex.ident
+            request, writer = await self._placed(b"%016x" % number)
+            reply = b"%s DATA 2\r\nok\r\n" % request.ident
             writer.write(ahead.replace(b"%s", reply) + behind.replace(b"%s", reply))
-            self.assertEqual((await asyncio.wait_for(ex.hear(), WAIT))[1:3], (Outcome.COMPLETED, b"ok"))
-            self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"next")
+            self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1:3], (Outcome.COMPLETED, b"ok"))
+            self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"next")
             await asyncio.wait_for(self.peers.get(), WAIT)  # a link of its own
-            ex.call.give_up(None)
+            request.call.give_up(None)
 
     async def test_a_link_on_which_a_call_went_unanswered_takes_no_other(self):
-        ex, writer = await self._placed(b"0123456789abcdef")
-        link = ex.call.link
-        ex.call.give_up()
+        request, writer = await self._placed(b"0123456789abcdef")
+        link = request.call.link
+        request.call.give_up()
         await self._placed(b"1123456789abcdef")
         self.assertTrue(link.stream.closed())
 
     async def test_an_idle_link_is_not_used_again_just_before_it_is_closed(self):
-        ex, first = await self._replied()
+        request, first = await self._replied()
         first.used -= BOUNDS.call_idle + SECOND
-        self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"")
+        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         self.assertTrue(first.stream.closed())
         self.assertIsNot(self.catalogue.links[0], first)
 
     async def test_a_link_that_has_just_broken_takes_no_call(self):
         # Its reader had not run yet: the call was placed on it and told as reset, though it never left.
-        ex, first = await self._replied()
+        request, first = await self._replied()
         first.stream.close()
-        self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"again")
+        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"again")
         reader, _ = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
 
     async def test_a_reply_that_is_cut_in_half_proves_nothing_and_ends_its_link(self):
-        ex = exchange()
-        self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"")
+        request = exchange()
+        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-        writer.write(b"%s DATA 10\r\nhalf" % ex.ident)
-        self.assertEqual((await asyncio.wait_for(ex.hear(), WAIT))[1], Outcome.RESET)
+        writer.write(b"%s DATA 10\r\nhalf" % request.ident)
+        self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1], Outcome.RESET)
         self.assertTrue(self.catalogue.links[0].stream.closed())
 
     async def test_a_link_that_the_catalogue_closed_unseen_takes_no_call(self):
         # Its end was in the kernel already: the call was told as reset, though nobody ever read it.
-        ex, first = await self._replied()
+        request, first = await self._replied()
         self.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         other = exchange()
         self.catalogue.fetch(other, time.monotonic_ns() + 20 * SECOND, b"again")
@@ -290,17 +290,17 @@
         def none(*words):
             raise OSError(errno.EMFILE, "forced")
 
-        ex = exchange()
+        request = exchange()
         with unittest.mock.patch("oakkeel.catalogue.links.socket.socket", none):
-            self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"")
-        self.assertEqual((await ex.hear())[1], Outcome.UNREACHED)
+            self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
+        self.assertEqual((await request.hear())[1], Outcome.UNREACHED)
 
     async def test_a_call_that_waits_for_its_connection_when_its_time_is_up_never_ran(self):
-        ex = exchange()
-        self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"first")
-        ex.call.give_up()
-        self.assertEqual((await ex.hear())[1], Outcome.UNREACHED)
-        self.catalogue.fetch(ex, time.monotonic_ns() + 20 * SECOND, b"second")
+        request = exchange()
+        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"first")
+        request.call.give_up()
+        self.assertEqual((await request.hear())[1], Outcome.UNREACHED)
+        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         readers = [(await asyncio.wait_for(self.peers.get(), WAIT))[0] for _ in range(2)]
         self.catalogue.links[0].stream.close()
         self.assertEqual(await asyncio.wait_for(readers[0].read(), WAIT), b"")
@@ -373,12 +373,12 @@
         )
         serving = asyncio.ensure_future(link.serve())
         await asyncio.wait_for(up.wait(), WAIT)
-        ex = exchange()
-        link.run(ex)
-        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), ex.ident)
+        request = exchange()
+        link.run(request)
+        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.ident)
         await asyncio.wait_for(link.ask_gauges(), WAIT)
         links[0].close()
-        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), ex.ident)
+        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.ident)
         serving.cancel()
         await asyncio.wait((serving,))
         server.close()
@@ -521,27 +521,29 @@
             def tell(self, act, *words):
                 act(0, *words)
 
-            def arrive(self, now, ex):
+            def arrive(self, now, request):
                 raise RuntimeError("a defect")
 
         parts = Parts()
-        parts.keel = parts
+        parts.admission = parts
         handler = RequestHandler(parts, parts, parts, ResponseCache(BOUNDS, 0), Metrics(), LOG)
         for _ in range(2):
-            ex = exchange(connection=parts)
-            await asyncio.wait_for(handler.handle(ex), 5)
-            self.assertIn(("answer", ex, b"fault", b"", False, 0), said)
+            request = exchange(connection=parts)
+            await asyncio.wait_for(handler.handle(request), 5)
+            self.assertIn(("answer", request, b"fault", b"", False, 0), said)
 
     async def test_events_come_in_order(self):
-        ex = exchange()
-        ex.tell(RequestEvent.RUN)
-        ex.tell(RequestEvent.STOP)
-        self.assertEqual([(await ex.hear())[0], (await ex.hear())[0]], [RequestEvent.RUN, RequestEvent.STOP])
-        waiting = asyncio.ensure_future(ex.hear())
+        request = exchange()
+        request.tell(RequestEvent.RUN)
+        request.tell(RequestEvent.STOP)
+        self.assertEqual(
+            [(await request.hear())[0], (await request.hear())[0]], [RequestEvent.RUN, RequestEvent.STOP]
+        )
+        waiting = asyncio.ensure_future(request.hear())
         await asyncio.sleep(0)
-        ex.tell(RequestEvent.GONE)
+        request.tell(RequestEvent.GONE)
         self.assertEqual(await waiting, (RequestEvent.GONE,))
-        self.assertEqual(ex.state, RequestState.READ)
+        self.assertEqual(request.state, RequestState.READ)
 
 
 if __name__ == "__main__":
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -50,7 +50,7 @@
             if len(running) > 3:
                 host.done(running[0])
             host.run_until(host.now + 100 * MS)
-        denied = [sum(host.words(ex) == ["deny"] for ex in exchanges[group::2]) for group in (0, 1)]
+        denied = [sum(host.words(request) == ["deny"] for request in exchanges[group::2]) for group in (0, 1)]
         self.assertGreater(denied[0], 2 * denied[1])
 
     def test_low_rank_may_try_elsewhere_until_many_later_tries_come(self):
@@ -73,7 +73,7 @@
             host.done(host.arrive(tenant=0))
             host.done(host.arrive(tenant=1))
             host.run_until(host.now + 20 * MS)
-        greedy, modest = host.keel.ranks[0]
+        greedy, modest = host.admission.ranks[0]
         self.assertLess(greedy[0], modest[0])
 
 
@@ -83,8 +83,8 @@
         exchanges = [host.arrive(left=1500 * MS) for _ in range(9)]
         host.at_call(exchanges[0])
         host.run_until(host.now + 1490 * MS)
-        for ex in exchanges:
-            self.assertEqual(sum(word in ("deny", "terminate") for word in host.words(ex)), 1)
+        for request in exchanges:
+            self.assertEqual(sum(word in ("deny", "terminate") for word in host.words(request)), 1)
         self.assertIn("stop", host.words(exchanges[1]))
 
     def test_what_waited_too_long_behind_higher_ranks_is_denied_not_started(self):
@@ -95,7 +95,7 @@
         host.run_until(host.now + 1900 * MS)
         host.done(host.in_state(exchanges, RequestState.RUNNING)[0])
         self.assertEqual(len(held), 2)
-        self.assertEqual([host.words(ex) for ex in held], [["deny"], ["deny"]])
+        self.assertEqual([host.words(request) for request in held], [["deny"], ["deny"]])
 
     def test_what_can_no_longer_be_in_time_is_denied_at_once(self):
         host = FakeHost()
@@ -103,20 +103,20 @@
 
     def test_a_caller_known_gone_gets_no_answer_and_its_work_is_stopped(self):
         host = FakeHost()
-        ex = host.arrive()
-        host.keel.gone(host.now, ex)
-        host.done(ex, Outcome.STOPPED)
-        self.assertEqual((host.words(ex), ex.state), (["run", "stop"], RequestState.OVER))
+        request = host.arrive()
+        host.admission.gone(host.now, request)
+        host.done(request, Outcome.STOPPED)
+        self.assertEqual((host.words(request), request.state), (["run", "stop"], RequestState.OVER))
 
     def test_events_for_an_exchange_already_over_are_harmless(self):
         host = FakeHost()
-        ex = host.arrive()
-        host.done(ex)
-        host.done(ex, Outcome.MOOT)
-        host.at_call(ex)
-        host.call_done(ex, Outcome.COMPLETED)
-        host.keel.gone(host.now, ex)
-        self.assertEqual(host.words(ex), ["run"])
+        request = host.arrive()
+        host.done(request)
+        host.done(request, Outcome.MOOT)
+        host.at_call(request)
+        host.call_done(request, Outcome.COMPLETED)
+        host.admission.gone(host.now, request)
+        self.assertEqual(host.words(request), ["run"])
 
 
 class EffectStories(unittest.TestCase):
@@ -128,18 +128,18 @@
 
     def test_what_ran_once_is_terminated_not_denied_and_never_rerun(self):
         host = FakeHost(groups=[{"effect": Effect.MUTATING}])
-        ex = host.arrive(left=SECOND)
+        request = host.arrive(left=SECOND)
         host.run_until(host.now + 2 * SECOND)
-        host.done(ex, Outcome.STOPPED)
-        self.assertEqual(host.words(ex), ["run", "terminate", "stop"])
+        host.done(request, Outcome.STOPPED)
+        self.assertEqual(host.words(request), ["run", "terminate", "stop"])
 
     def test_a_call_of_a_mutating_exchange_is_resent_only_when_it_never_ran(self):
         for outcome, calls in ((Outcome.UNREACHED, 2), (Outcome.RESET, 1)):
             host = FakeHost(groups=[{"effect": Effect.MUTATING}], below=DownstreamKind.TIER)
-            ex = host.arrive()
-            host.at_call(ex)
-            host.call_done(ex, outcome)
-            self.assertEqual(host.words(ex).count("call"), calls)
+            request = host.arrive()
+            host.at_call(request)
+            host.call_done(request, outcome)
+            self.assertEqual(host.words(request).count("call"), calls)
 
     def test_a_call_that_could_be_left_out_is_placed_again_where_only_its_link_broke(self):
         for outcome, word in (
@@ -149,10 +149,10 @@
             (Outcome.GIVEN_UP, "leave_out"),
         ):
             host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
-            ex = host.arrive()
-            host.at_call(ex)
-            host.call_done(ex, outcome)
-            self.assertEqual(host.words(ex)[2:], [word])
+            request = host.arrive()
+            host.at_call(request)
+            host.call_done(request, outcome)
+            self.assertEqual(host.words(request)[2:], [word])
 
     def test_fresh_reads_are_shared(self):
         host = FakeHost(fresh=SECOND)
@@ -179,14 +179,14 @@
 class DrainStories(unittest.TestCase):
     def test_nothing_that_arrives_after_the_grace_runs_and_all_is_answered_before_the_stop(self):
         host = FakeHost(groups=[{"slo_time": 4 * SECOND}])
-        ex = host.arrive()
+        request = host.arrive()
         stop = host.now + 3 * SECOND
-        host.keel.leave(host.now, 3 * SECOND)
+        host.admission.leave(host.now, 3 * SECOND)
         late_read = host.arrive(backlog=100 * MS)
         host.run_until(host.now + 2100 * MS)
         self.assertEqual(host.words(host.arrive()), ["deny"])
         host.run_until(stop - MS)
-        self.assertIn("deny", host.words(ex))
+        self.assertIn("deny", host.words(request))
         self.assertIn("deny", host.words(late_read))
         self.assertIn(("set_health", False, True), host.said)
 
@@ -196,37 +196,37 @@
         host = FakeHost(memory_kb=2000)
         exchanges = [host.arrive() for _ in range(30)]
         self.assertLessEqual(len(host.in_state(exchanges, RequestState.RUNNING)), 4)
-        self.assertLessEqual(host.keel.memory_kb, 2000)
+        self.assertLessEqual(host.admission.memory_kb, 2000)
 
     def test_repeats_of_a_hot_key_stay_within_the_memory(self):
         host = FakeHost(fresh=SECOND, memory_kb=2000)
         host.arrive(has_key=True)
         repeats = [host.arrive(has_key=True, repeats=True) for _ in range(60)]
-        self.assertLessEqual(host.keel.memory_kb, 2000)
+        self.assertLessEqual(host.admission.memory_kb, 2000)
         self.assertIn("deny", host.words(repeats[-1]))
 
     def test_the_calls_rule_holds_over_a_long_window(self):
         host = FakeHost(groups=[{}], below=DownstreamKind.SHARED, call_share=0.2, call_window=20 * SECOND)
         spent = 0
         for _ in range(120):
-            ex = host.arrive()
-            host.at_call(ex)
-            if ex.state is RequestState.CALLING:
+            request = host.arrive()
+            host.at_call(request)
+            if request.state is RequestState.CALLING:
                 began = host.now
                 host.run_until(host.now + 300 * MS)
                 spent += host.now - began
-                host.call_done(ex, Outcome.COMPLETED)
-                host.done(ex)
+                host.call_done(request, Outcome.COMPLETED)
+                host.done(request)
             host.run_until(host.now + 100 * MS)
         self.assertLess(spent, 0.2 * max(host.now - SECOND, host.limits.call_window))
 
     def test_a_cold_node_keeps_runs_and_calls_under_its_smaller_crowd(self):
         host = FakeHost(groups=[{}], below=DownstreamKind.TIER, cold=True, crowd_multiple=2)
         exchanges = [host.arrive() for _ in range(40)]
-        for ex in exchanges:
-            host.at_call(ex)
+        for request in exchanges:
+            host.at_call(request)
         self.assertLess(
-            host.keel.count[RequestState.CALLING] + host.keel.count[RequestState.RUNNING],
+            host.admission.count[RequestState.CALLING] + host.admission.count[RequestState.RUNNING],
             1.25 * host.limits.cores,
         )
 
@@ -234,30 +234,30 @@
         host = FakeHost(groups=[{}], below=DownstreamKind.SHARED, call_share=0.4, stop_kind=StopKind.SUSPEND)
         spent = 0
         for _ in range(100):
-            ex = host.arrive()
-            host.at_call(ex)
+            request = host.arrive()
+            host.at_call(request)
             began = host.now
             host.run_until(host.now + 300 * MS)
-            if ex.state is RequestState.CALLING:
+            if request.state is RequestState.CALLING:
                 spent += host.now - began
-                host.call_done(ex, Outcome.COMPLETED)
-                host.done(ex)
-        self.assertLessEqual(host.keel.count[RequestState.CALLING], 1)
+                host.call_done(request, Outcome.COMPLETED)
+                host.done(request)
+        self.assertLessEqual(host.admission.count[RequestState.CALLING], 1)
         self.assertGreater(spent, 0)
         self.assertLess(spent / (host.now - SECOND), 0.4)
 
     def test_failures_in_a_row_stop_calls_until_a_single_trial(self):
         host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
         for _ in range(8):
-            ex = host.arrive()
-            host.at_call(ex)
-            host.call_done(ex, Outcome.ERROR)
-            host.done(ex)
+            request = host.arrive()
+            host.at_call(request)
+            host.call_done(request, Outcome.ERROR)
+            host.done(request)
         self.assertEqual(sum(wish[0] == "call" for wish in host.said), 5)
         host.run_until(host.now + 1100 * MS)
         pair = [host.arrive(), host.arrive()]
-        for ex in pair:
-            host.at_call(ex)
+        for request in pair:
+            host.at_call(request)
         self.assertEqual(sum(wish[0] == "call" for wish in host.said), 6)
 
     def test_a_call_waits_for_room_before_it_is_left_out(self):
@@ -273,13 +273,13 @@
     def test_a_call_ends_in_time_to_go_on_without_it(self):
         # Calls through a dead dispatcher hung until nothing could be done in time without them.
         host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
-        ex = host.arrive()
-        host.at_call(ex)
+        request = host.arrive()
+        host.at_call(request)
         until = next(wish[2] for wish in host.said if wish[0] == "call")
-        self.assertLess(until, ex.slo_end - 200 * MS)
+        self.assertLess(until, request.slo_end - 200 * MS)
         host.run_until(until)
-        host.call_done(ex, Outcome.GIVEN_UP)
-        self.assertEqual(host.words(ex), ["run", "call", "leave_out"])
+        host.call_done(request, Outcome.GIVEN_UP)
+        self.assertEqual(host.words(request), ["run", "call", "leave_out"])
 
     def test_reading_takes_the_place_of_runs(self):
         host = FakeHost()
@@ -310,8 +310,8 @@
         host = FakeHost()
         wave = [host.arrive() for _ in range(4)]
         host.run_until(host.now + 2 * SECOND)
-        for ex in host.in_state(wave, RequestState.ORPHANED):
-            host.done(ex, Outcome.STOPPED)
+        for request in host.in_state(wave, RequestState.ORPHANED):
+            host.done(request, Outcome.STOPPED)
         host.run_until(host.now + SECOND)
         self.assertEqual(host.words(host.arrive(backlog=800 * MS)), ["deny"])
         host.run_until(host.now + 15 * SECOND)
@@ -344,7 +344,7 @@
         host = FakeHost()
         for number in range(CALLERS_MOST + 100):
             host.arrive(caller=number)
-        self.assertEqual(list(host.keel.callers), list(range(100, CALLERS_MOST + 100)))
+        self.assertEqual(list(host.admission.callers), list(range(100, CALLERS_MOST + 100)))
 
     def test_a_node_crowded_by_new_connections_lets_its_table_fill(self):
         # A hot key's node spent its cores on connections that it closed at once.
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -108,9 +108,9 @@
             for _, _, to, letter in due:
                 if to in self.keepers:
                     self.carry_out(to, self.keepers[to].heard(self.now, letter))
-            for name, keeper in list(self.keepers.items()):
-                if keeper.next_at() <= self.now:
-                    self.carry_out(name, keeper.tick(self.now))
+            for name, replica in list(self.keepers.items()):
+                if replica.next_at() <= self.now:
+                    self.carry_out(name, replica.tick(self.now))
 
     def leader(self) -> Replica:
         self.run(5 * SECOND, lambda: any(each.leads(self.now) for each in self.keepers.values()))
@@ -186,9 +186,9 @@
         old = net.disks.pop(lost).head.life
         net.start(lost)
         net.agree(b"two")
-        keeper = net.keepers[lost]
-        net.run(5 * SECOND, lambda: keeper.life in net.leader().voters)
-        self.assertIn(keeper.life, net.leader().voters)
+        replica = net.keepers[lost]
+        net.run(5 * SECOND, lambda: replica.life in net.leader().voters)
+        self.assertIn(replica.life, net.leader().voters)
         self.assertNotIn(old, net.leader().voters)
         self.assertEqual(net.lines()[lost], [b"one", b"two"])
 
@@ -241,13 +241,13 @@
         leader = net.leader()
         name = next(each for each in net.keepers if each != leader.name)
         net.start(name)
-        keeper = net.keepers[name]
+        replica = net.keepers[name]
         net.cut = {(name, other) for other in net.keepers}  # its hello is lost, the leader's words are not
         net.agree(b"two", b"three")
         net.run(300 * MS)
         net.cut.clear()
-        net.run(2 * SECOND, lambda: keeper.role is not Role.JOINING)
-        self.assertEqual(keeper.role, Role.FOLLOWING)
+        net.run(2 * SECOND, lambda: replica.role is not Role.JOINING)
+        self.assertEqual(replica.role, Role.FOLLOWING)
         self.assertEqual(net.lines()[name], [b"one", b"two", b"three"])
 
     def test_one_that_starts_votes_for_nobody_in_a_term_that_another_knows(self):
@@ -419,9 +419,9 @@
     @rule(name=names)
     def propose(self, name):
         content = b"%d" % len(self.proposals)
-        keeper = self.net.keepers[name]
+        replica = self.net.keepers[name]
         try:
-            proposal, steps = keeper.propose(self.net.now, content)
+            proposal, steps = replica.propose(self.net.now, content)
         except NotLeaderError:
             return
         self.proposals.append((content, proposal))
@@ -436,13 +436,13 @@
 
     @invariant()
     def what_is_agreed_stays(self):
-        for keeper in self.net.keepers.values():
-            lines = keeper.machine.lines
+        for replica in self.net.keepers.values():
+            lines = replica.machine.lines
             common = min(len(lines), len(self.agreed))
             assert lines[:common] == self.agreed[:common]
             self.agreed = max(self.agreed, list(lines), key=len)
-            if keeper.role is Role.LEADING:
-                assert self.leaders.setdefault(keeper.term, keeper.life) == keeper.life
+            if replica.role is Role.LEADING:
+                assert self.leaders.setdefault(replica.term, replica.life) == replica.life
         for content, proposal in self.proposals:
             if proposal.fate is ProposalStatus.AGREED:
                 assert content in self.agreed
@@ -553,11 +553,11 @@
 
     def setUp(self) -> None:
         self.ledger = PermitStateMachine(
-            lambda *told: self.granting.applied(self.now, *told) if self.granting else None
+            lambda *told: self.allocator.applied(self.now, *told) if self.allocator else None
         )
-        self.granting: PermitAllocator | None = None
+        self.allocator: PermitAllocator | None = None
         self.now, self.index = SECOND, 0
-        self.holding = {name: PermitHolder(name, things, 1) for name, things in LAYOUT.hosts.items()}
+        self.permit_holder = {name: PermitHolder(name, things, 1) for name, things in LAYOUT.hosts.items()}
         self.up = dict.fromkeys("abcd", True) | {"cat1": True, "cat2": True}
         self.put(commands.SetTopology(LAYOUT))
         self.lead()
@@ -570,16 +570,16 @@
         return result
 
     def lead(self) -> None:
-        self.granting = PermitAllocator(self.now, self.ledger, PermitTimeouts(), self.index + 1)
+        self.allocator = PermitAllocator(self.now, self.ledger, PermitTimeouts(), self.index + 1)
 
     def turn(self, *hosts: str) -> None:
         """Agents say how they are, and the leader does what follows."""
         for host in hosts or LAYOUT.hosts:
-            holding = self.holding[host]
-            self.put(*self.granting.heard(self.now, holding.poll(self.now, self.up, [], {})))
-            while wanted := self.granting.tick(self.now):
+            permit_holder = self.permit_holder[host]
+            self.put(*self.allocator.heard(self.now, permit_holder.poll(self.now, self.up, [], {})))
+            while wanted := self.allocator.tick(self.now):
                 self.put(*wanted)
-            holding.answered(self.now, self.now, self.granting.answer(self.now, "e", host))
+            permit_holder.answered(self.now, self.now, self.allocator.answer(self.now, "e", host))
 
     def order(self, ident: str, *things: str, verb: str = "drain", whole: bool = False) -> object:
         return self.put(
@@ -590,8 +590,8 @@
         return {thing: part.state for thing, part in self.ledger.held.orders[ident].parts.items()}
 
     def begin(self, host: str, thing: str, ident: str) -> bool:
-        if may := self.holding[host].may_begin(self.now, thing, ident):
-            self.holding[host].begin(self.now, thing)
+        if may := self.permit_holder[host].may_begin(self.now, thing, ident):
+            self.permit_holder[host].begin(self.now, thing)
             self.up[thing] = False
         return may
 
@@ -613,7 +613,7 @@
         self.turn()
         self.assertEqual(self.states("o1")["a"], "out")
         self.up["a"] = True
-        self.holding["h1"].is_back("a")
+        self.permit_holder["h1"].is_back("a")
         self.turn()
         self.turn()
         self.assertEqual(self.states("o1"), {"a": "done", "b": "granted", "c": "granted", "d": "waiting"})
@@ -629,7 +629,7 @@
         self.turn()
         self.put(commands.CancelOrder("o1", "ravi"))
         self.up["a"] = True
-        self.holding["h1"].is_back("a")
+        self.permit_holder["h1"].is_back("a")
         self.turn()
         self.turn()
         self.assertEqual(self.states("o2"), {"c": "granted", "d": "granted"})
@@ -648,28 +648,28 @@
         self.order("o3", "cat1")
         self.turn()
         self.assertEqual((self.states("o2"), self.states("o3")), ({"a": "waiting"}, {"cat1": "waiting"}))
-        self.assertIn("hangs on cat1", self.granting.out.reasons["a"])
+        self.assertIn("hangs on cat1", self.allocator.out.reasons["a"])
 
     def test_a_place_lapses_only_after_nobody_can_begin_and_counts_until_its_agent_was_heard(self):
         self.turn()
         self.order("o1", "a")
         self.order("o2", "c", "d")
         self.turn()
-        terms, granted = self.granting.terms, self.now
+        terms, granted = self.allocator.terms, self.now
         self.now = granted + terms.good - MS
-        self.assertTrue(self.holding["h1"].may_begin(self.now, "a", "o1"))
+        self.assertTrue(self.permit_holder["h1"].may_begin(self.now, "a", "o1"))
         self.now = granted + terms.good
-        self.assertFalse(self.holding["h1"].may_begin(self.now, "a", "o1"))
+        self.assertFalse(self.permit_holder["h1"].may_begin(self.now, "a", "o1"))
         self.now = granted + terms.lapse + MS
         for _ in range(3):
             self.turn("h2")
         fence = self.ledger.held.places["a"].fence
         self.assertTrue(self.ledger.held.places["a"].lapsed)
-        late = self.holding["h1"].poll(self.now, self.up, [], {})  # said before it knew of the lapse
-        self.put(*self.granting.heard(self.now, late))
+        late = self.permit_holder["h1"].poll(self.now, self.up, [], {})  # said before it knew of the lapse
+        self.put(*self.allocator.heard(self.now, late))
         self.assertEqual(self.ledger.held.places["a"].fence, fence)
         self.turn("h1")
-        self.assertFalse(self.holding["h1"].may_begin(self.now, "a", "o1"))
+        self.assertFalse(self.permit_holder["h1"].may_begin(self.now, "a", "o1"))
         self.turn("h1")
         self.assertGreater(self.ledger.held.places["a"].fence, fence)  # it is granted anew
 
@@ -678,7 +678,7 @@
         self.order("o1", "a")
         self.turn()
         self.begin("h1", "a", "o1")
-        self.now += self.granting.terms.lapse + MS
+        self.now += self.allocator.terms.lapse + MS
         self.turn("h2")
         self.order("o2", "b")
         self.up["b"] = False  # it is dead: room for it as such, and none for a second place
@@ -707,30 +707,30 @@
 
     def test_what_an_agent_said_before_it_was_started_anew_is_not_believed_any_more(self):
         self.turn()
-        late = self.holding["h1"].poll(self.now, self.up, [], {})
-        self.holding["h1"] = PermitHolder("h1", LAYOUT.hosts["h1"], 2)
+        late = self.permit_holder["h1"].poll(self.now, self.up, [], {})
+        self.permit_holder["h1"] = PermitHolder("h1", LAYOUT.hosts["h1"], 2)
         self.up["a"] = False
         self.turn("h1")
         self.turn("h1")  # it has heard the leader: by that it is known to be the later one
-        self.granting.heard(self.now, late)
-        self.assertIn("does not serve", self.granting.out.reasons["a"])
+        self.allocator.heard(self.now, late)
+        self.assertIn("does not serve", self.allocator.out.reasons["a"])
 
     def test_a_late_word_of_an_agent_that_was_killed_does_not_make_the_next_one_unheard(self):
         """Drawn schedule 1020500: after a change of leader it came behind the next one's first word, which
         was then taken for the earlier life, and that agent was heard no more."""
         self.turn()
-        late = self.holding["h1"].poll(self.now, self.up, [], {})
-        self.holding["h1"] = PermitHolder("h1", LAYOUT.hosts["h1"], 2)
+        late = self.permit_holder["h1"].poll(self.now, self.up, [], {})
+        self.permit_holder["h1"] = PermitHolder("h1", LAYOUT.hosts["h1"], 2)
         self.index += 1
         self.lead()
         self.up["a"] = False
         self.turn("h1")
-        self.granting.heard(self.now, late)
+        self.allocator.heard(self.now, late)
         self.turn("h1")
         self.now += SECOND
         self.turn("h1")
-        self.assertEqual(self.granting.hosts["h1"].life, 2)
-        self.assertEqual(self.granting.hosts["h1"].at, self.now)
+        self.assertEqual(self.allocator.hosts["h1"].life, 2)
+        self.assertEqual(self.allocator.hosts["h1"].at, self.now)
 
     def test_what_an_order_took_out_stays_out_where_the_next_one_on_it_is_not_used(self):
         """Drawn schedule 1016590: a restart of what was stopped was cancelled unused, and nothing knew of the
@@ -751,7 +751,7 @@
         self.assertEqual((place.ident, place.out), ("o1", True))
         self.up["a"] = True
         self.turn()
-        self.holding["h1"].is_back("a")
+        self.permit_holder["h1"].is_back("a")
         self.turn()
         self.assertNotIn("a", self.ledger.held.places)
 
@@ -760,10 +760,10 @@
         self.turn()
         self.order("o1", "a", verb="restart")
         self.turn()
-        holding = self.holding["h1"]
+        permit_holder = self.permit_holder["h1"]
         self.assertTrue(self.ledger.held.places["a"].down)
-        self.assertFalse(holding.may_begin(self.now, "a", "o1", True))
-        self.assertTrue(holding.may_begin(self.now, "a", "o1", False))
+        self.assertFalse(permit_holder.may_begin(self.now, "a", "o1", True))
+        self.assertTrue(permit_holder.may_begin(self.now, "a", "o1", False))
 
     def test_one_that_could_not_be_told_in_time_is_not_told_to_leave_at_all(self):
         """Drawn schedule 1047676: a place was begun, the disk was full for eight seconds, and what had died
@@ -773,14 +773,14 @@
             self.turn()
             self.order("o1", "a")
             self.turn()
-            holding = self.holding["h1"]
+            permit_holder = self.permit_holder["h1"]
             instance = Instance("a", "s", phase=Phase.SERVING, generation=1, born=1, spawned=True, limit=9)
             supervision = Supervisor([instance], SupervisionTimeouts(silent=SECOND * 60), {}, 1, lambda: 0)
-            orders = OrderRegistry(supervision, lambda: 0, holding=holding)
+            orders = OrderRegistry(supervision, lambda: 0, permit_holder=permit_holder)
             orders.take(self.now, "o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND)
             orders.advance(self.now)
             [step] = supervision.tick(self.now)
-            self.assertTrue(holding.places["a"].begun)
+            self.assertTrue(permit_holder.places["a"].begun)
             instance.left_at = 0  # it was put off, as it could not be kept
             instance.report = SimpleNamespace(state=state)
             self.now += 4 * SECOND * late
@@ -805,12 +805,12 @@
         self.assertEqual(set(self.ledger.held.places), {"a"})
 
     def test_an_answer_that_is_older_or_of_another_record_or_an_older_fence_is_not_obeyed(self):
-        holding = PermitHolder("h1", ("a",), 1)
+        permit_holder = PermitHolder("h1", ("a",), 1)
         answer = HeartbeatResponse("e", 7, [GrantedPermit("a", "o1", 6, False, 3 * SECOND)], [], {})
-        self.assertTrue(holding.answered(SECOND, SECOND, answer))
-        self.assertFalse(holding.answered(SECOND, SECOND, HeartbeatResponse("e", 5, [], [], {})))
-        self.assertFalse(holding.answered(SECOND, SECOND, HeartbeatResponse("other", 9, [], [], {})))
-        holding.begin(SECOND, "a")
+        self.assertTrue(permit_holder.answered(SECOND, SECOND, answer))
+        self.assertFalse(permit_holder.answered(SECOND, SECOND, HeartbeatResponse("e", 5, [], [], {})))
+        self.assertFalse(permit_holder.answered(SECOND, SECOND, HeartbeatResponse("other", 9, [], [], {})))
+        permit_holder.begin(SECOND, "a")
         again = PermitHolder("h1", ("a",), 2)
         again.restore("e", [("a", 6, "o1", True)], {})
         self.assertTrue(again.may_begin(9 * SECOND, "a", "o1"))  # begun is begun
@@ -836,10 +836,10 @@
         self.lead()  # a new leader does not know when that was
         self.now += SECOND
         self.assertFalse(first.holds(self.now))
-        self.put(*self.granting.tick(self.now))
+        self.put(*self.allocator.tick(self.now))
         self.assertFalse(second.answered(self.now, self.put(second.asking())))
-        self.now += self.granting.terms.beyond(SECOND) + MS
-        self.put(*self.granting.tick(self.now))
+        self.now += self.allocator.terms.beyond(SECOND) + MS
+        self.put(*self.allocator.tick(self.now))
         self.assertTrue(second.answered(self.now, self.put(second.asking())))
         self.assertGreater(second.fence, fence)
         self.assertIsInstance(self.put(commands.ReleaseLease("release", fence)), Rejection)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -26,9 +26,9 @@
         self.results = ResponseCache(BOUNDS, 0)
 
     def remembered(self, now: int = NOW, **fields):
-        ex = one(**fields)
-        self.results.remember(ex, now, SECOND)
-        return ex
+        request = one(**fields)
+        self.results.remember(request, now, SECOND)
+        return request
 
     def test_the_window_counts_from_arrival_to_arrival_not_from_reading(self):
         self.remembered(backlog=300 * MS)  # it came at 99.7 s
@@ -108,8 +108,8 @@
     def test_two_mutating_exchanges_about_one_subject_are_two(self):
         # With reads shared elsewhere the second took the result of the first, and never ran.
         for fields in (b"subject=s", b"opkey=k"):
-            ex = self.read(Effect.MUTATING, fields)
-            self.assertEqual((ex.key, ex.has_key), (None, False))
+            request = self.read(Effect.MUTATING, fields)
+            self.assertEqual((request.key, request.has_key), (None, False))
 
     def test_a_key_of_one_kind_is_none_of_the_other(self):
         self.assertIsNone(self.read(Effect.DEDUPLICATED, b"subject=s").key)
@@ -120,9 +120,9 @@
         first = one()
         results.remember(first, NOW, SECOND)
         for body, differs in ((b"two seats", False), (b"nine seats", True), (b"", True)):
-            ex = one(body=body)
-            self.assertTrue(results.find(ex, NOW))
-            self.assertEqual(results.differs(ex), differs)
+            request = one(body=body)
+            self.assertTrue(results.find(request, NOW))
+            self.assertEqual(results.differs(request), differs)
 
 
 class RepeatStories(NodeStory):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -507,8 +507,8 @@
 
 def state(world: ConsensusSimulation) -> tuple[str, str]:
     for host in world.hosts.values():
-        if host.steward and host.steward.granting:
-            [found] = host.steward.ledger.held.releases.values()
+        if host.control_plane and host.control_plane.allocator:
+            [found] = host.control_plane.ledger.held.releases.values()
             return found.state, found.why
     return "nobody leads", ""
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -78,7 +78,7 @@
     def test_what_the_decisions_raise_is_declared_on_the_wire(self):
         table = InstanceTable()
         table.batch(*wire.read_frame(io.BytesIO(batch(START, tail=SETTINGS))))
-        table.instances[3].keel.arrive = None
+        table.instances[3].admission.arrive = None
         frame = table.batch(*wire.read_frame(io.BytesIO(batch(ARRIVAL))))
         self.assertEqual(struct.unpack_from("<B", frame, 12)[0], wire.INTERNAL_ERROR)
 
