--- a/tests/test_policy.py
+++ b/tests/admission/test_controller.py
@@ -12,7 +12,7 @@
     RequestState,
     StopKind,
 )
-from tests.fake import FakeHost
+from tests.support.fake_host import FakeHost
 
 
 class LadderStories(unittest.TestCase):
--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -17,7 +17,7 @@
 from oakkeel.fakes.faults import Fault
 from oakkeel.fakes.load_clients import PoliteClient
 from oakkeel.fakes.site import FakeSite
-from tests.test_agent import WAIT, AgentStory
+from tests.agent.test_agent import WAIT, AgentStory
 
 
 def commands(group: Group, path: str = "oakkeel"):
--- a/tests/test_rollout_rig.py
+++ b/tests/cluster/test_rollout.py
@@ -18,7 +18,7 @@
 from oakkeel.invariants.rollout import runs_by_journals, steps_by_logs
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.store.content_store import ContentStore
-from tests.test_rig import HOSTS, RigStory
+from tests.cluster.test_rig import HOSTS, RigStory
 
 SECOND = 1_000_000_000
 QUICK = dict(soak=300_000_000, lasts=10 * SECOND, patience=20 * SECOND)
--- a/tests/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -44,11 +44,11 @@
 from oakkeel.simulator_adapter import wire
 from oakkeel.simulator_adapter.table import InstanceTable
 from oakkeel.store import snapshot_file
-from tests.fake import NodeStory, words_of
-from tests.test_agent import AgentStory
-from tests.test_rig import SUPERVISION
+from tests.agent.test_agent import AgentStory
+from tests.cluster.test_rig import SUPERVISION
+from tests.support.node_process import NodeStory, words_of
 
-DATA = Path(__file__).parent / "data" / "compatibility"
+DATA = Path(__file__).parent / "data"
 HOSTS = {"h1": ["n1a", "n1b"], "h2": ["n2a", "n2b"], "h3": ["n3a", "n3b"]}
 
 
--- a/tests/test_control.py
+++ b/tests/control/test_control.py
@@ -14,9 +14,10 @@
 import tempfile
 import time
 import tomllib
+from pathlib import Path
 from unittest import mock
 
-from tests.fake import WAIT, NodeStory, until_refused
+from tests.support.node_process import WAIT, NodeStory, until_refused
 
 
 class ControlStory(NodeStory):
@@ -223,7 +224,7 @@
 class RunStory(NodeStory):
     """`run` of the deploy file, as the platform starts it."""
 
-    root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+    root = str(Path(__file__).resolve().parents[2])
 
     def setUp(self) -> None:
         super().setUp()
@@ -275,7 +276,7 @@
 
 class LoadStory(NodeStory):
     def test_packages_import_downwards_only_and_sides_know_nothing_of_each_other(self):
-        root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+        root = str(Path(__file__).resolve().parents[2])
         knows: dict[str, set[str]] = {}
         for path in glob.glob(os.path.join(root, "oakkeel", "**", "*.py"), recursive=True):
             parts = os.path.relpath(path, root).removesuffix(".py").split(os.sep)
--- a/tests/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -24,7 +24,8 @@
 from oakkeel.node.drain import Drain, DrainState
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool
-from tests.fake import WAIT, FakeHost
+from tests.support.fake_host import FakeHost
+from tests.support.node_process import WAIT
 
 BOUNDS = ResourceLimits(
     sockets=1024,
--- a/tests/test_links.py
+++ b/tests/engine/test_links.py
@@ -7,6 +7,7 @@
 import time
 import unittest
 import unittest.mock
+from dataclasses import replace
 
 from oakkeel.admission.types import Outcome, RequestState
 from oakkeel.catalogue.links import Catalogue
@@ -23,7 +24,8 @@
 from oakkeel.request import NodeRequest, RequestEvent
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer
-from tests.fake import GROUP, TOLD, WAIT, FakeHost, replace
+from tests.support.fake_host import GROUP, FakeHost
+from tests.support.node_process import TOLD, WAIT
 
 BOUNDS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
 LOG = EventLog("test", 0)
--- a/tests/test_repeats.py
+++ b/tests/node/test_duplicates.py
@@ -9,8 +9,9 @@
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request import RequestEvent
 from oakkeel.resource_limits import MS, SECOND
-from tests.fake import GROUP, FakeHost, NodeStory
-from tests.test_links import BOUNDS, exchange
+from tests.engine.test_links import BOUNDS, exchange
+from tests.support.fake_host import GROUP, FakeHost
+from tests.support.node_process import NodeStory
 
 ONCE = replace(GROUP, effect=Effect.DEDUPLICATED, window=SECOND)
 KEY = (0, b"hall", b"k1")
--- a/tests/test_node.py
+++ b/tests/node/test_node.py
@@ -9,7 +9,7 @@
 import unittest
 
 from oakkeel.dispatch.resp import encode
-from tests.fake import TOLD, WAIT, NodeStory, until_refused
+from tests.support.node_process import TOLD, WAIT, NodeStory, until_refused
 
 ANY_BYTES = bytes(range(256)) * 4 + b"\r\n*3\r\n$1\r\n"
 
--- a/tests/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -16,9 +16,9 @@
 from oakkeel.engine.link import EngineLink
 from oakkeel.resource_limits import MS, SECOND
 from oakkeel.stream_buffers import BufferPool, connect
-from tests.fake import WAIT, NodeStory, until_refused
-from tests.test_control import ControlStory
-from tests.test_links import BOUNDS, LOG, exchange
+from tests.control.test_control import ControlStory
+from tests.engine.test_links import BOUNDS, LOG, exchange
+from tests.support.node_process import WAIT, NodeStory, until_refused
 
 
 class SignalStories(NodeStory):
