--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -11,7 +11,8 @@
 from oakkeel.admission.types import Outcome
 from oakkeel.line_protocol import LineParser
 from oakkeel.log import EventLog
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import CallFinished
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, readable, send
 
@@ -41,7 +42,7 @@
         self.link.used = time.monotonic_ns()
         self.request.call = None
         if outcome is not None:
-            self.request.tell(RequestEvent.REPLY, outcome, reply, self.link.used - self.placed)
+            self.request.post(CallFinished(outcome, reply, self.link.used - self.placed))
         self.link.leave()
 
     def give_up(self, outcome: Outcome | None = Outcome.GIVEN_UP) -> None:
@@ -149,10 +150,10 @@
         self.links: list[CallLink] = []
 
     def fetch(self, request: NodeRequest, until: int, body: bytes) -> None:
-        """Place the call that its run waits for; a REPLY tells how it ended."""
+        """Place the call that its run waits for; `CallFinished` tells how it ended."""
         link = self._link(request)
         if link is None:
-            return request.tell(RequestEvent.REPLY, Outcome.UNREACHED, b"", 0)
+            return request.post(CallFinished(Outcome.UNREACHED, b"", 0))
         request.call = link.calls[request.ident] = Call(request, link, until)
         request.call_links.append(link)
         wait_ms = max(1, (until - request.call.placed) // MS)
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -15,7 +15,8 @@
 from oakkeel.admission.types import Outcome
 from oakkeel.line_protocol import LineParser, milliseconds, number
 from oakkeel.log import EventLog, fault
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import CallNeeded, RunFinished
 from oakkeel.resource_limits import SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, send
 
@@ -245,7 +246,7 @@
                     self._done(words[2], ENDS[words[3]], milliseconds(words[4]), body)
                 elif verb == b"NEED" and (request := self.runs.get(words[2])):
                     request.heard = numbered
-                    request.tell(RequestEvent.NEED, numbered, body)
+                    request.post(CallNeeded(numbered, body))
             elif verb == b"NO":
                 self._not_carried_out(words[1], words[2])
             else:
@@ -257,7 +258,7 @@
         if request := self.runs.pop(ident, None):
             request.in_engine = False
             request.ran = outcome is not Outcome.MOOT
-            request.tell(RequestEvent.DONE, outcome, result, spent)
+            request.post(RunFinished(outcome, result, spent))
 
     def _not_carried_out(self, verb: bytes, ident: bytes) -> None:
         """A run that the engine does not know is over; of the other commands nothing hangs on."""
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -15,7 +15,16 @@
 from oakkeel.node.configuration import NodeConfiguration
 from oakkeel.node.metrics import Metrics
 from oakkeel.node.response_cache import ResponseCache
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import (
+    AwaitSharedResponse,
+    CancelRun,
+    FailRequest,
+    PlaceCall,
+    RejectRequest,
+    SkipCall,
+    StartRun,
+)
 from oakkeel.resource_limits import SECOND
 
 
@@ -75,25 +84,25 @@
     # Verdicts.
 
     def run(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.RUN)
+        request.post(StartRun())
 
     def deny(self, request: NodeRequest, last: bool, retry_after: int) -> None:
-        request.tell(RequestEvent.DENY, last, retry_after)
+        request.post(RejectRequest(last, retry_after))
 
     def terminate(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.TERMINATE)
+        request.post(FailRequest())
 
     def stop(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.STOP)
+        request.post(CancelRun())
 
     def call(self, request: NodeRequest, until: int) -> None:
-        request.tell(RequestEvent.CALL, until)
+        request.post(PlaceCall(until))
 
     def leave_out(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.LEAVE_OUT)
+        request.post(SkipCall())
 
     def share(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.SHARE)
+        request.post(AwaitSharedResponse())
 
     def remember(self, request: NodeRequest, duration: int) -> None:
         self.results.remember(request, time.monotonic_ns(), duration)
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -21,7 +21,8 @@
 from oakkeel.node.request_handler import RequestHandler
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.node_limits import LimitsError
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import ClientDisconnected
 from oakkeel.resource_limits import SECOND
 from oakkeel.stream_buffers import BufferPool
 
@@ -148,7 +149,7 @@
     def gone(self, request: NodeRequest) -> None:
         if not request.answered:
             request.answered = True  # nothing is owed any more
-            request.tell(RequestEvent.GONE)
+            request.post(ClientDisconnected())
 
     def healthy(self) -> bool:
         return self.host.good and self.host.begun and not self.draining
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -8,13 +8,38 @@
 from oakkeel.catalogue.links import Catalogue
 from oakkeel.dispatch import codec
 from oakkeel.engine.link import EngineLink
+from oakkeel.errors import OakkeelError
 from oakkeel.log import EventLog, fault
 from oakkeel.node.host import NodeHost
 from oakkeel.node.metrics import Metrics
 from oakkeel.node.response_cache import ResponseCache
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import (
+    AwaitSharedResponse,
+    CallFinished,
+    CallNeeded,
+    CancelRun,
+    ClientDisconnected,
+    FailRequest,
+    PlaceCall,
+    RejectRequest,
+    RequestEvent,
+    RequestReleased,
+    RunFinished,
+    SharedResponse,
+    SkipCall,
+    StartRun,
+)
 
-FINISHED = (None,)
+RELEASED = RequestReleased()
+
+
+class UnexpectedEventError(OakkeelError, RuntimeError):
+    """An event came that the request has no use for in its state: a defect of this program."""
+
+    def __init__(self, event: RequestEvent | RequestReleased, state: RequestState) -> None:
+        """Name both in the message."""
+        super().__init__(f"unexpected {type(event).__name__} in state {state.name}")
 
 
 class RequestHandler:
@@ -31,53 +56,11 @@
         self.measures, self.log = measures, log
 
     async def handle(self, request: NodeRequest) -> None:
-        """Read, decided, run, its calls made, answered once."""
-        admission, engine, tell = self.host.admission, self.engine, self.host.tell
+        """Decide on one request, run it, make its calls and answer it once."""
         try:
-            request.repeats = self.results.find(request, time.monotonic_ns())
-            if request.repeats and self.results.differs(request):
-                request.connection.fault("idempotency_key_mismatch")
-                return self._answer(request, codec.TERMINATED)
-            if (
-                request.key
-                and request.group.once
-                and not request.repeats
-                and self.results.full(time.monotonic_ns())
-            ):
-                return self._deny(request)  # its repeats could not be told from it
-            tell(admission.arrive, request)
-            what, *words = await self._next(request)
-            if what is RequestEvent.SHARE:
-                self.results.share(request)
-                what, *words = await self._next(request)
-            if what is RequestEvent.SHARED:
-                outcome, result = words
-                tell(admission.run_done, request, outcome, 0)
-                return self._answer_run(request, outcome, result)
-            if what is not RequestEvent.RUN:
-                return None  # denied, or its caller is gone
-            engine.run(request)
-            what, *words = await self._next(request)
-            while what is RequestEvent.NEED:
-                notice, call_body = words
-                tell(admission.at_call, request)
-                what, *words = await self._next(request)
-                while what is RequestEvent.CALL:
-                    self.catalogue.fetch(request, words[0], call_body)
-                    what, *words = await self._next(request)
-                    if what is RequestEvent.REPLY:
-                        outcome, reply, spent = words
-                        self.measures.count_call(outcome.value)
-                        tell(admission.call_done, request, outcome, spent)
-                        if outcome is Outcome.COMPLETED and request.state is RequestState.RUNNING:
-                            engine.feed(request, reply)
-                        what, *words = await self._next(request)
-                if what is RequestEvent.LEAVE_OUT:
-                    engine.skip(request, notice)
-                    what, *words = await self._next(request)
-            if what is not RequestEvent.DONE:
-                raise RuntimeError(f"{what} in state {request.state.name}")
-            self._run_over(request, *words)
+            if self._admissible(request):
+                self.host.tell(self.host.admission.arrive, request)
+                await self._follow(request)
         except Exception as error:  # it is answered and the node lives on
             self.log.error("request_failed", state=request.state.name, error=fault(error))
             await self._wind_up(request)
@@ -88,35 +71,89 @@
             else:
                 self.results.forget(request)  # a repeat of what went unrun may run
 
-    async def _next(self, request: NodeRequest) -> tuple:
+    def _admissible(self, request: NodeRequest) -> bool:
+        """Look up its idempotency key; what the key forbids is answered here."""
+        now = time.monotonic_ns()
+        request.repeats = self.results.find(request, now)
+        if request.repeats and self.results.differs(request):
+            request.connection.fault("idempotency_key_mismatch")
+            self._answer(request, codec.TERMINATED)
+            return False
+        if request.key and request.group.once and not request.repeats and self.results.full(now):
+            self._deny(request)  # its repeats could not be told from it
+            return False
+        return True
+
+    async def _follow(self, request: NodeRequest) -> None:
+        """Carry out the verdict on a request that has arrived."""
+        event = await self._next(request)
+        if isinstance(event, AwaitSharedResponse):
+            self.results.share(request)
+            event = await self._next(request)
+        if isinstance(event, SharedResponse):
+            self.host.tell(self.host.admission.run_done, request, event.outcome, 0)
+            self._answer_run(request, event.outcome, event.result)
+        elif isinstance(event, StartRun):
+            self.engine.run(request)
+            await self._follow_run(request)
+        # Otherwise it was rejected, or its client is gone.
+
+    async def _follow_run(self, request: NodeRequest) -> None:
+        """Make the calls that a run waits for, until the run is over."""
+        event = await self._next(request)
+        while isinstance(event, CallNeeded):
+            self.host.tell(self.host.admission.at_call, request)
+            event = await self._make_calls(request, event)
+        if not isinstance(event, RunFinished):
+            raise UnexpectedEventError(event, request.state)
+        self._run_over(request, event)
+
+    async def _make_calls(self, request: NodeRequest, needed: CallNeeded) -> RequestEvent | RequestReleased:
+        """Place the call, again where the verdict says so, or skip it. Returns the event after that."""
+        event = await self._next(request)
+        while isinstance(event, PlaceCall):
+            self.catalogue.fetch(request, event.deadline, needed.body)
+            event = await self._next(request)
+            if isinstance(event, CallFinished):
+                self.measures.count_call(event.outcome.value)
+                self.host.tell(self.host.admission.call_done, request, event.outcome, event.duration)
+                if event.outcome is Outcome.COMPLETED and request.state is RequestState.RUNNING:
+                    self.engine.feed(request, event.reply)
+                event = await self._next(request)
+        if isinstance(event, SkipCall):
+            self.engine.skip(request, needed.notice)
+            event = await self._next(request)
+        return event
+
+    async def _next(self, request: NodeRequest) -> RequestEvent | RequestReleased:
         """The next event, after an early answer is given, a stop passed on or the caller's end told."""
         while True:
             if request.state is RequestState.OVER and not request.in_engine and not request.events:
-                return FINISHED
-            what, *words = event = await request.hear()
-            if what is RequestEvent.DENY:
-                self._answer(request, codec.DENIED, b"", *words)
-            elif what is RequestEvent.TERMINATE:
+                return RELEASED
+            event = await request.next_event()
+            if isinstance(event, RejectRequest):
+                self._answer(request, codec.DENIED, last=event.final, retry_after=event.retry_after)
+            elif isinstance(event, FailRequest):
                 self._answer(request, codec.TERMINATED)
-            elif what is RequestEvent.STOP:
+            elif isinstance(event, CancelRun):
                 self.engine.halt(request)
-            elif what is RequestEvent.GONE:
+            elif isinstance(event, ClientDisconnected):
                 self.host.tell(self.host.admission.gone, request)
             else:
                 return event
             if request.answered:
                 self.catalogue.quit(request)  # nobody waits for what its call brings
 
-    def _run_over(self, request: NodeRequest, outcome: Outcome, result: bytes, spent: int) -> None:
+    def _run_over(self, request: NodeRequest, run: RunFinished) -> None:
         # Nothing was started where the dispatcher had given up before we heard of it. The decisions count
         # this one as running: told that it never was there, they would count it for ever.
-        told = Outcome.STOPPED if outcome is Outcome.MOOT else outcome
-        self.host.tell(self.host.admission.run_done, request, told, spent)
+        counted = Outcome.STOPPED if run.outcome is Outcome.MOOT else run.outcome
+        self.host.tell(self.host.admission.run_done, request, counted, run.duration)
         if request.unknown:
             request.connection.fault("request_id_unknown")
         if request.ran:
-            self.results.ended(request, told, result)
-        self._answer_run(request, outcome, result)
+            self.results.ended(request, counted, run.result)
+        self._answer_run(request, run.outcome, run.result)
 
     def _answer_run(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
         if outcome is Outcome.COMPLETED:
@@ -146,10 +183,10 @@
         try:
             self.host.tell(self.host.admission.gone, request)
             while request.in_engine or request.events:
-                what, *words = await request.hear()
-                if what is RequestEvent.STOP:
+                event = await request.next_event()
+                if isinstance(event, CancelRun):
                     self.engine.halt(request)
-                elif what is RequestEvent.DONE:
-                    self._run_over(request, *words)
+                elif isinstance(event, RunFinished):
+                    self._run_over(request, event)
         except Exception as error:
             self.log.error("request_cleanup_failed", error=fault(error))
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -6,7 +6,8 @@
 from hashlib import blake2b
 
 from oakkeel.admission.types import Outcome
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import SharedResponse
 from oakkeel.resource_limits import ResourceLimits
 
 Key = tuple[int, bytes, bytes]  # endpoint group, tenant, key: nobody gets another tenant's result
@@ -46,7 +47,7 @@
     def follow(self, request: NodeRequest) -> None:
         """It takes the result, now or when there is one."""
         if self.outcome is not None:
-            request.tell(RequestEvent.SHARED, self.outcome, self.result)
+            request.post(SharedResponse(self.outcome, self.result))
         else:
             self.followers.append(request)
 
@@ -56,7 +57,7 @@
             self.outcome, self.result, self.ended = outcome, result, time.monotonic_ns()
             self.before = None
             for request in self.followers:
-                request.tell(RequestEvent.SHARED, outcome, result)
+                request.post(SharedResponse(outcome, result))
             self.followers.clear()
 
 
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -5,29 +5,10 @@
 import asyncio
 from collections import deque
 from dataclasses import dataclass, field
-from enum import Enum, auto
 from typing import Any
 
 from oakkeel.admission.types import Request
-
-
-class RequestEvent(Enum):
-    """What the life of an exchange can wait for."""
-
-    # The verdicts of the decisions.
-    RUN = auto()
-    DENY = auto()  # whether to try nowhere else, time to stay away
-    TERMINATE = auto()
-    STOP = auto()
-    CALL = auto()  # until when
-    LEAVE_OUT = auto()
-    SHARE = auto()
-    # What the others tell.
-    GONE = auto()  # the caller gave up
-    NEED = auto()  # the number of the notice, the body of the call
-    REPLY = auto()  # the outcome of the call, the reply, how long it took
-    DONE = auto()  # the outcome, the result, how long it took
-    SHARED = auto()  # the outcome and the result of the one that it repeats
+from oakkeel.request_events import RequestEvent
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
@@ -50,15 +31,17 @@
     call_links: list = field(default_factory=list)  # on which calls of its were placed
     earlier: Any = None  # the cached result of the exchange that it repeats
     cached: Any = None  # its own cached result
-    events: deque = field(default_factory=deque)
+    events: deque[RequestEvent] = field(default_factory=deque)
     waiter: asyncio.Future | None = None
 
-    def tell(self, what: RequestEvent, *words: Any) -> None:
-        self.events.append((what, *words))
+    def post(self, event: RequestEvent) -> None:
+        """Add an event for the handler of this request."""
+        self.events.append(event)
         if self.waiter and not self.waiter.done():
             self.waiter.set_result(None)
 
-    async def hear(self) -> tuple:
+    async def next_event(self) -> RequestEvent:
+        """Wait for the oldest event that was not read yet, and remove it."""
         while not self.events:
             self.waiter = asyncio.get_running_loop().create_future()
             await self.waiter
--- /dev/null
+++ b/oakkeel/request_events.py
@@ -0,0 +1,101 @@
+"""Events of one request, in the order in which its handler reads them: one small type for each kind."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from oakkeel.admission.types import Outcome
+
+# Verdicts of the admission controller.
+
+
+@dataclass(slots=True)
+class StartRun:
+    """The request is admitted: give it to the engine."""
+
+
+@dataclass(slots=True)
+class RejectRequest:
+    """Answer that the request is not admitted."""
+
+    final: bool  # no other node should be tried
+    retry_after: int  # nanoseconds until it may come back, 0 where no time is advised
+
+
+@dataclass(slots=True)
+class FailRequest:
+    """Answer that the request failed."""
+
+
+@dataclass(slots=True)
+class CancelRun:
+    """Stop the run in the engine."""
+
+
+@dataclass(slots=True)
+class PlaceCall:
+    """Make the downstream call that the run waits for."""
+
+    deadline: int  # nanoseconds of the monotonic clock
+
+
+@dataclass(slots=True)
+class SkipCall:
+    """Let the run go on without the downstream call that it waits for."""
+
+
+@dataclass(slots=True)
+class AwaitSharedResponse:
+    """Take the response of the request that this one duplicates."""
+
+
+# Notices of connections, engine, catalogue and response cache.
+
+
+@dataclass(slots=True)
+class ClientDisconnected:
+    """The client no longer waits for an answer."""
+
+
+@dataclass(slots=True)
+class CallNeeded:
+    """The run waits for a downstream call."""
+
+    notice: int  # number of the engine's notice
+    body: bytes
+
+
+@dataclass(slots=True)
+class CallFinished:
+    """The downstream call is over."""
+
+    outcome: Outcome
+    reply: bytes
+    duration: int  # nanoseconds
+
+
+@dataclass(slots=True)
+class RunFinished:
+    """The run in the engine is over."""
+
+    outcome: Outcome
+    result: bytes
+    duration: int  # nanoseconds on the cores
+
+
+@dataclass(slots=True)
+class SharedResponse:
+    """The request that this one duplicates is over."""
+
+    outcome: Outcome
+    result: bytes
+
+
+@dataclass(slots=True)
+class RequestReleased:
+    """Nothing is left to wait for: the request is over and not in the engine."""
+
+
+Verdict = StartRun | RejectRequest | FailRequest | CancelRun | PlaceCall | SkipCall | AwaitSharedResponse
+Notice = ClientDisconnected | CallNeeded | CallFinished | RunFinished | SharedResponse
+RequestEvent = Verdict | Notice
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -21,7 +21,8 @@
 from oakkeel.node.request_handler import RequestHandler
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.node_limits import Pairs, flatten, read_limits
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import CallFinished, CancelRun, ClientDisconnected, SharedResponse, StartRun
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer
 from tests.support.fake_host import GROUP, FakeHost
@@ -56,6 +57,14 @@
     )
 
 
+async def finished_call(request: NodeRequest) -> CallFinished:
+    """The next event of a request, which must be the end of its call."""
+    event = await asyncio.wait_for(request.next_event(), WAIT)
+    if not isinstance(event, CallFinished):
+        raise AssertionError(f"not the end of a call: {event}")
+    return event
+
+
 def split(data: bytes, step: int, parse) -> list:
     """What a parser makes of bytes that come in pieces of one size."""
     read_buffer, found = ReadBuffer(BufferPool(512, 1)), []
@@ -173,7 +182,7 @@
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         writer.write(b"%s FAULT\r\n" % request.ident)
-        await request.hear()
+        await request.next_event()
         return request, self.catalogue.links[0]
 
     async def test_a_late_reply_is_not_taken_for_that_of_the_next_call(self):
@@ -182,7 +191,7 @@
         self.catalogue.fetch(request, time.monotonic_ns() + 50 * MS, b"first")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
-        self.assertEqual((await request.hear())[:2], (RequestEvent.REPLY, Outcome.GIVEN_UP))
+        self.assertEqual((await finished_call(request)).outcome, Outcome.GIVEN_UP)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         again, writer_again = await asyncio.wait_for(self.peers.get(), WAIT)
         await again.readline()
@@ -190,7 +199,8 @@
         await writer.drain()
         self.assertEqual([await reader.readline() for _ in range(2)][1][:4], b"QUIT")
         writer_again.write(b"%s DATA 3\r\nnew\r\n" % request.ident)
-        self.assertEqual((await request.hear())[:3], (RequestEvent.REPLY, Outcome.COMPLETED, b"new"))
+        finished = await finished_call(request)
+        self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"new"))
 
     async def test_each_reply_is_the_outcome_that_it_proves(self):
         for word, outcome in (
@@ -204,7 +214,7 @@
             if not self.catalogue.links[0].connected:
                 _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
             writer.write(b"%s %s\r\n" % (request.ident, word))
-            self.assertEqual((await request.hear())[1], outcome)
+            self.assertEqual((await finished_call(request)).outcome, outcome)
         self.assertEqual(len(self.catalogue.links), 1)
 
     async def _placed(self, ident):
@@ -232,9 +242,10 @@
         ):
             request, writer = await self._placed(b"%016x" % number)
             writer.write(spoilt.replace(b"%s", request.ident))
-            self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1], Outcome.RESET, spoilt)
+            self.assertEqual((await finished_call(request)).outcome, Outcome.RESET, spoilt)
         other_writer.write(b"%s DATA 2\r\nok\r\n" % other.ident)
-        self.assertEqual((await other.hear())[1:3], (Outcome.COMPLETED, b"ok"))
+        finished = await finished_call(other)
+        self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
 
     async def test_a_good_reply_counts_though_more_comes_with_it_and_its_link_takes_no_other_call(self):
         stray = b"feedfeedfeedfeed DATA 1\r\nx\r\n%s"
@@ -242,7 +253,8 @@
             request, writer = await self._placed(b"%016x" % number)
             reply = b"%s DATA 2\r\nok\r\n" % request.ident
             writer.write(ahead.replace(b"%s", reply) + behind.replace(b"%s", reply))
-            self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1:3], (Outcome.COMPLETED, b"ok"))
+            finished = await finished_call(request)
+            self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"next")
             await asyncio.wait_for(self.peers.get(), WAIT)  # a link of its own
             request.call.give_up(None)
@@ -274,7 +286,7 @@
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         writer.write(b"%s DATA 10\r\nhalf" % request.ident)
-        self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1], Outcome.RESET)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.RESET)
         self.assertTrue(self.catalogue.links[0].stream.closed())
 
     async def test_a_link_that_the_catalogue_closed_unseen_takes_no_call(self):
@@ -295,13 +307,13 @@
         request = exchange()
         with unittest.mock.patch("oakkeel.catalogue.links.socket.socket", none):
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
-        self.assertEqual((await request.hear())[1], Outcome.UNREACHED)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.UNREACHED)
 
     async def test_a_call_that_waits_for_its_connection_when_its_time_is_up_never_ran(self):
         request = exchange()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"first")
         request.call.give_up()
-        self.assertEqual((await request.hear())[1], Outcome.UNREACHED)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.UNREACHED)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         readers = [(await asyncio.wait_for(self.peers.get(), WAIT))[0] for _ in range(2)]
         self.catalogue.links[0].stream.close()
@@ -496,7 +508,7 @@
         kept.find(follower, 0)
         kept.share(follower)
         kept.forget(first)
-        self.assertEqual(follower.events.popleft()[:2], (RequestEvent.SHARED, Outcome.DENIED))
+        self.assertEqual(follower.events.popleft(), SharedResponse(Outcome.DENIED, b""))
         self.assertFalse(kept.find(exchange(mark=b"s"), 0))
 
     def test_what_is_kept_is_bounded_and_a_key_that_must_not_run_twice_is_never_dropped(self):
@@ -536,15 +548,13 @@
 
     async def test_events_come_in_order(self):
         request = exchange()
-        request.tell(RequestEvent.RUN)
-        request.tell(RequestEvent.STOP)
-        self.assertEqual(
-            [(await request.hear())[0], (await request.hear())[0]], [RequestEvent.RUN, RequestEvent.STOP]
-        )
-        waiting = asyncio.ensure_future(request.hear())
+        request.post(StartRun())
+        request.post(CancelRun())
+        self.assertEqual([await request.next_event(), await request.next_event()], [StartRun(), CancelRun()])
+        waiting = asyncio.ensure_future(request.next_event())
         await asyncio.sleep(0)
-        request.tell(RequestEvent.GONE)
-        self.assertEqual(await waiting, (RequestEvent.GONE,))
+        request.post(ClientDisconnected())
+        self.assertEqual(await waiting, ClientDisconnected())
         self.assertEqual(request.state, RequestState.READ)
 
 
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -7,7 +7,7 @@
 from oakkeel.admission.types import Effect, Outcome
 from oakkeel.dispatch.codec import RequestReader
 from oakkeel.node.response_cache import ResponseCache
-from oakkeel.request import RequestEvent
+from oakkeel.request_events import SharedResponse
 from oakkeel.resource_limits import MS, SECOND
 from tests.engine.test_links import BOUNDS, exchange
 from tests.support.fake_host import GROUP, FakeHost
@@ -63,7 +63,7 @@
         late = one(backlog=300 * MS)  # it came at 100.9 s, within the window of the first
         self.assertTrue(self.results.find(late, NOW + 1200 * MS))
         self.results.share(late)
-        self.assertEqual(late.events.popleft(), (RequestEvent.SHARED, Outcome.COMPLETED, b"first"))
+        self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
     def test_a_follower_of_one_that_never_ran_takes_the_result_that_was_right_for_it(self):
         first = self.remembered()
@@ -74,10 +74,10 @@
             self.assertTrue(self.results.find(each, NOW + 1200 * MS))
             self.results.share(each)
         self.results.forget(second)
-        self.assertEqual(fresh.events.popleft()[:2], (RequestEvent.SHARED, Outcome.DENIED))
+        self.assertEqual(fresh.events.popleft(), SharedResponse(Outcome.DENIED, b""))
         self.assertFalse(late.events)
         self.results.ended(first, Outcome.COMPLETED, b"first")
-        self.assertEqual(late.events.popleft(), (RequestEvent.SHARED, Outcome.COMPLETED, b"first"))
+        self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
     def test_an_unresolved_one_passes_its_place_back_past_two(self):
         first, second = self.remembered(), self.remembered(NOW + 1100 * MS)
