--- a/measure/places.py
+++ b/measure/places.py
@@ -71,8 +71,8 @@
 
     def carry_out(self, all_steps: list[Output]) -> None:
         for steps in all_steps:
-            self.count["entries"] += len(steps.keep.entries) if steps.keep else 0
-            self.letters += steps.send
+            self.count["entries"] += len(steps.storage_update.entries) if steps.storage_update else 0
+            self.letters += steps.envelopes
 
     def deliver(self) -> None:
         while self.letters:
@@ -116,7 +116,7 @@
         """Ten milliseconds, and the agents whose time it is."""
         self.now += 10 * MS
         for control_plane in self.stewards.values():
-            if control_plane.replica.next_at() <= self.now:
+            if control_plane.replica.next_tick_at() <= self.now:
                 self.carry_out(control_plane.tick(self.now))
         self.deliver()
         for name in names:
@@ -176,7 +176,7 @@
         "entries": spent["entries"],
         "most_out": fleet.count["most_out"],
         "bound": hosts * each // 10,
-        "snapshot_kb": len(leader.ledger.fold()) / 1024,
+        "snapshot_kb": len(leader.ledger.snapshot()) / 1024,
     }
 
 
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -156,7 +156,7 @@
             if host.running
             and host.control_plane
             and isinstance(host.control_plane.above, RolloutController)
-            and host.control_plane.replica.leads(host.now())
+            and host.control_plane.replica.holds_lease(host.now())
         ),
         None,
     )
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -180,7 +180,7 @@
     def carried(self, sender: str, letters: list[Envelope]) -> list[Envelope]:
         """Letters came from a host, as its key proves. Returns those that wait for it."""
         for letter in letters:
-            if letter.name == sender and self.control_plane:
+            if letter.sender == sender and self.control_plane:
                 self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
         self._schedule()
         return self._peer(sender).take() if sender in self.keys else []
@@ -231,7 +231,7 @@
         at = self.again_at  # not from now: letters that come all the time would put it off for ever
         if self.control_plane:
             at = min(
-                self.control_plane.replica.next_at(),
+                self.control_plane.replica.next_tick_at(),
                 now + (50 * MS if self.control_plane.allocator else SECOND),
             )
         loop = asyncio.get_running_loop()
@@ -242,35 +242,37 @@
         for steps in all_steps:
             if self.control_plane is None:
                 return None
-            if steps.keep:
+            if steps.storage_update:
                 try:
-                    storage.write(self.store, self.control_plane.replica.durable, steps.keep, self.witness)
+                    storage.write(
+                        self.store, self.control_plane.replica.durable, steps.storage_update, self.witness
+                    )
                 except DatabaseError as error:
                     return self._failed(error)
-            for name, letter in steps.send:
+            for name, letter in steps.envelopes:
                 if name in self.keys:
                     self._peer(name).put(letter)
-            for proposal in steps.ended:
+            for proposal in steps.completed:
                 self._ended(proposal)
         control_plane = self.control_plane
         if control_plane is None:
             return None
-        if control_plane.replica.role is Role.OUTDATED:
-            self._set_aside(control_plane.replica.why)
+        if control_plane.replica.role is Role.STALE:
+            self._set_aside(control_plane.replica.stale_reason)
             self._begin()
         elif (leads := control_plane.allocator is not None) != self.leads:
             self.leads = leads
             self.log.info(
                 "leader_elected" if leads else "leadership_lost",
                 term=control_plane.replica.term,
-                committed=control_plane.replica.commit,
+                committed=control_plane.replica.commit_index,
             )
 
     def _ended(self, proposal: Proposal) -> None:
         future = self.futures.pop(proposal, None)
         if future is None or future.done():
             return
-        if proposal.fate is ProposalStatus.AGREED:
+        if proposal.status is ProposalStatus.COMMITTED:
             future.set_result(proposal.result)
         else:
             future.set_exception(CommitUnknownError("its leader is leader no more"))
@@ -284,7 +286,7 @@
     def _came(self, name: str, letters: list[Envelope]) -> None:
         """With the answer to what we sent."""
         for letter in letters:
-            if letter.name == name and self.control_plane:
+            if letter.sender == name and self.control_plane:
                 self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
         self._schedule()
 
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -103,28 +103,34 @@
             why,
         )
     replica = raft.control_plane.replica
-    peers = replica.leading.peers if replica.leading else {}
+    peers = replica.leader_state.peers if replica.leader_state else {}
     members = []
     for each in replica.members:
-        peer = peers.get(each.life)
-        mine = each.life == replica.life
-        behind = 0 if mine else replica.log.last - peer.match if peer else -1
-        age = 0 if mine else now - peer.heard if peer and peer.heard > -NEVER else -1
-        members.append(messages.MemberStatus(each.name, each.life, each.votes, behind, age))
+        peer = peers.get(each.incarnation)
+        mine = each.incarnation == replica.incarnation
+        behind = 0 if mine else replica.log.last_index - peer.match_index if peer else -1
+        age = (
+            0
+            if mine
+            else now - peer.acknowledged_sent_at
+            if peer and peer.acknowledged_sent_at > -NEVER
+            else -1
+        )
+        members.append(messages.MemberStatus(each.name, each.incarnation, each.is_voter, behind, age))
     return messages.RaftStatus(
         host,
         replica.role.value,
-        now - replica.since,
+        now - replica.role_since,
         replica.durable.epoch,
         replica.term,
         replica.leader,
-        replica.leads(now),
-        replica.commit,
-        replica.log.last,
-        replica.elections,
+        replica.holds_lease(now),
+        replica.commit_index,
+        replica.log.last_index,
+        replica.elections_won,
         heard,
         members,
-        replica.why or (status_reporter.why if status_reporter else ""),
+        replica.stale_reason or (status_reporter.why if status_reporter else ""),
     )
 
 
@@ -156,9 +162,9 @@
 def fleet_status(now: int, raft: RaftRuntime, ident: str) -> messages.Response:
     """Raises NotLeading: only a leader whose lease holds knows what is so by now."""
     control_plane = raft.control_plane
-    if control_plane is None or control_plane.allocator is None or not control_plane.replica.leads(now):
+    if control_plane is None or control_plane.allocator is None or not control_plane.replica.holds_lease(now):
         raise NotLeaderError(
-            control_plane.replica.leader if control_plane and not control_plane.replica.leading else ""
+            control_plane.replica.leader if control_plane and not control_plane.replica.leader_state else ""
         )
     held, out = control_plane.ledger.held, control_plane.allocator.out
     if ident:
@@ -192,9 +198,9 @@
 def release_status(now: int, raft: RaftRuntime, ident: str) -> messages.Response:
     """Raises NotLeading, as `state_told` does."""
     control_plane = raft.control_plane
-    if control_plane is None or control_plane.allocator is None or not control_plane.replica.leads(now):
+    if control_plane is None or control_plane.allocator is None or not control_plane.replica.holds_lease(now):
         raise NotLeaderError(
-            control_plane.replica.leader if control_plane and not control_plane.replica.leading else ""
+            control_plane.replica.leader if control_plane and not control_plane.replica.leader_state else ""
         )
     book, driver = control_plane.ledger, control_plane.above
     assert isinstance(book, RolloutStateMachine) and isinstance(driver, RolloutController)
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -57,7 +57,7 @@
 
     def heard(self, now: int, letter: Envelope) -> list[Output]:
         self.now = now
-        return self._after(now, [self.replica.heard(now, letter)])
+        return self._after(now, [self.replica.receive(now, letter)])
 
     def polled(self, now: int, poll: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
         """An agent's report and what it is told. Raises NotLeading."""
@@ -67,7 +67,9 @@
         answer = allocator.answer(now, self.replica.durable.epoch, poll.host)
         if above:
             answer.above = above.answer(now, poll.host)
-        answer.keepers = sorted({*self.ledger.keepers(), *(each.name for each in self.replica.members)})
+        answer.keepers = sorted(
+            {*self.ledger.desired_voters(), *(each.name for each in self.replica.members)}
+        )
         return answer, self._after(now, steps)
 
     def propose(self, now: int, command: Any) -> tuple[Proposal, list[Output]]:
@@ -78,7 +80,7 @@
         return proposal, self._after(now, [steps])
 
     def _leads(self, now: int) -> PermitAllocator:
-        if self.allocator is None or not self.replica.leads(now):
+        if self.allocator is None or not self.replica.holds_lease(now):
             raise NotLeaderError(self.replica.leader if self.replica.leader != self.replica.name else "")
         return self.allocator
 
@@ -86,12 +88,12 @@
         """Begin, go on with or end what a leader does."""
         self.now = now
         for each in list(steps):
-            for proposal in each.ended:
+            for proposal in each.completed:
                 command = self.ours.pop(proposal, None)
-                if command and proposal.fate is not ProposalStatus.AGREED and self.allocator:
+                if command and proposal.status is not ProposalStatus.COMMITTED and self.allocator:
                     self._lost(command)
-        if not self.replica.leads(now):
-            if self.replica.leading is None:
+        if not self.replica.holds_lease(now):
+            if self.replica.leader_state is None:
                 self.allocator = self.above = None
                 self.ours.clear()
             return steps
@@ -121,7 +123,7 @@
             except NotLeaderError:
                 self._lost(command)
                 continue
-            if proposal.fate is ProposalStatus.WAITING:
+            if proposal.status is ProposalStatus.PENDING:
                 self.ours[proposal] = command
             done.append(steps)
         return done
--- a/oakkeel/disruption/state_machine.py
+++ b/oakkeel/disruption/state_machine.py
@@ -110,7 +110,7 @@
             self.applied(index, command, result)
         return result
 
-    def fold(self) -> bytes:
+    def snapshot(self) -> bytes:
         return msgspec.msgpack.encode(self.held)
 
     def restore(self, content: bytes) -> None:
@@ -118,7 +118,7 @@
         self.index = 0
         self._count()
 
-    def keepers(self) -> tuple[str, ...]:
+    def desired_voters(self) -> tuple[str, ...]:
         return tuple(self.held.keepers)
 
     # What a machine with more in it does in its own way.
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -31,7 +31,7 @@
 from oakkeel.invariants.rollout import RolloutAudit
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import DurableState, NotLeaderError, Output, Proposal, Role
+from oakkeel.raft.replica import DurableState, NotLeaderError, Output, Proposal, ProposalStatus, Role
 from oakkeel.raft.timeouts import RaftTimeouts
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.assignments import ArtifactRequest
@@ -41,7 +41,7 @@
 from oakkeel.rollout.state_machine import RolloutStateMachine
 
 TURN, POLL, ANSWER = 100 * MS, 150 * MS, 800 * MS
-PACE, TERMS = RaftTimeouts(fold=64), PermitTimeouts()
+PACE, TERMS = RaftTimeouts(snapshot_entries=64), PermitTimeouts()
 WAITS = ("would pass its bound", "the last that serves", "all that is left is out", "would carry")
 PATIENCE = SupervisionTimeouts(backoff=300 * MS, steady=2 * SECOND, drain=3 * SECOND)
 
@@ -196,7 +196,7 @@
             self.timer.call_off()
         wait = 100 * MS
         if self.control_plane:
-            wait = max(MS, int((self.control_plane.replica.next_at() - self.now()) / self.rate))
+            wait = max(MS, int((self.control_plane.replica.next_tick_at() - self.now()) / self.rate))
             wait = min(wait, 50 * MS if self.control_plane.allocator else SECOND)
         self.timer = self.world.clock.after(wait, self._beat, self.lives)
 
@@ -206,7 +206,7 @@
             control_plane = self.control_plane
             if control_plane is None or self.disk is None:
                 return None
-            if steps.keep:
+            if steps.storage_update:
                 if self.crash_in == 1:
                     self.crash_in = 0
                     return self.world.kill(self, SECOND)
@@ -214,20 +214,20 @@
                     self.control_plane = None
                     self.world.clock.after(300 * MS, self._again, self.lives)
                     return None
-                self.disk.write(control_plane.replica.durable, steps.keep)
+                self.disk.write(control_plane.replica.durable, steps.storage_update)
                 self.counted = self.disk.writes
                 if self.crash_in == 2:
                     self.crash_in = 0
                     return self.world.kill(self, SECOND)
-            for to, letter in steps.send:
+            for to, letter in steps.envelopes:
                 self.world.send(self.name, to, letter)
-            for proposal in steps.ended:
+            for proposal in steps.completed:
                 if told := self.pending.pop(proposal, None):
                     told(proposal)
         replica = self.control_plane and self.control_plane.replica
-        if replica and replica.role is Role.LEADING:
-            self.world.audit.led(self.world.clock.now, replica.term, replica.life)
-        if replica and replica.role is Role.OUTDATED:
+        if replica and replica.role is Role.LEADER:
+            self.world.audit.led(self.world.clock.now, replica.term, replica.incarnation)
+        if replica and replica.role is Role.STALE:
             self.disk = None
             self._start_keeper()
 
@@ -538,7 +538,7 @@
         def ended(proposal: Proposal) -> None:
             nonlocal told
             told = True
-            if proposal.fate.value == "agreed":
+            if proposal.status is ProposalStatus.COMMITTED:
                 result = proposal.result
                 if not isinstance(result, Rejection) and isinstance(command, releases.StartRelease):
                     self.releases.append(ident)
@@ -700,9 +700,9 @@
         members = [each for each in leaders[-1].members if each.name != host.name]
         return all(
             (disk := self.hosts[each.name].disk)
-            and disk.head.life == each.life
+            and disk.head.incarnation == each.incarnation
             and disk.head.epoch
-            and each.votes
+            and each.is_voter
             and self.hosts[each.name].running
             for each in members
         )
@@ -736,7 +736,7 @@
                 and not host.stopped
                 and host.control_plane
                 and host.control_plane.allocator
-                and host.control_plane.replica.leads(host.now())
+                and host.control_plane.replica.holds_lease(host.now())
             ):
                 for each in host.control_plane.ledger.held.releases.values():  # type: ignore[attr-defined]
                     if each.over and each.ident in self.of_releases.version:
@@ -765,7 +765,7 @@
             for each in self.hosts.values()
             if each.control_plane
             and each.control_plane.allocator
-            and each.control_plane.replica.leads(each.now())
+            and each.control_plane.replica.holds_lease(each.now())
         ]
         if len(leaders) != 1:
             return [f"{len(leaders)} leaders at the end"]
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -24,18 +24,18 @@
 class LeaderContext(Protocol):
     """What it needs of the keeper that leads."""
 
-    life: str
+    incarnation: str
     log: ReplicatedLog
-    pace: RaftTimeouts
-    commit: int
-    hellos: dict[str, tuple[str, int, bool]]
+    timeouts: RaftTimeouts
+    commit_index: int
+    recovery_requests: dict[str, tuple[str, int, bool]]
 
     @property
     def term(self) -> int: ...
     @property
     def members(self) -> tuple[Member, ...]: ...
-    def wanted(self) -> tuple[str, ...]: ...
-    def send(self, name: str, word: Message) -> None: ...
+    def desired_voters(self) -> tuple[str, ...]: ...
+    def send(self, name: str, message: Message) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -43,31 +43,32 @@
     """Another member, as far as its answers tell."""
 
     name: str
-    next: int  # index to send from
-    match: int = 0  # it is known to have kept all up to there
+    next_index: int  # index to send from
+    match_index: int = 0  # it is known to have kept all up to there
     sent_at: int = -NEVER
-    waiting: bool = False  # entries were sent, and no answer came
-    heard: int = -NEVER  # the latest of our sendings that it answered, by our clock
-    piece: int = 0  # of the snapshot that is being sent: offset
-    behind: bool = False  # beyond what the log holds: it gets the snapshot
+    in_flight: bool = False  # entries were sent, and no answer came
+    acknowledged_sent_at: int = -NEVER  # the latest of our sendings that it answered, by our clock
+    snapshot_offset: int = 0  # of the snapshot that is being sent: offset
+    needs_snapshot: bool = False  # beyond what the log holds: it gets the snapshot
 
 
 class LeaderState:
     def __init__(self, now: int, replica: LeaderContext) -> None:
-        self.replica, self.began = replica, now
-        self.first = replica.log.last + 1  # of its own term
-        self.peers: dict[str, PeerProgress] = {}  # by life
+        self.replica, self.elected_at = replica, now
+        self.first = replica.log.last_index + 1  # of its own term
+        self.peers: dict[str, PeerProgress] = {}  # by incarnation
         self._follow_members(now)
 
     def _follow_members(self, now: int) -> None:
         replica, known = self.replica, self.peers
         self.peers = {
-            each.life: known.get(each.life) or PeerProgress(each.name, replica.log.last + 1, heard=now)
+            each.incarnation: known.get(each.incarnation)
+            or PeerProgress(each.name, replica.log.last_index + 1, acknowledged_sent_at=now)
             for each in replica.members
-            if each.life != replica.life
+            if each.incarnation != replica.incarnation
         }
 
-    def ready(self, commit: int) -> bool:
+    def has_committed(self, commit: int) -> bool:
         """Whether something of its own term is agreed: before, it does not know all that is."""
         return commit >= self.first
 
@@ -75,14 +76,16 @@
         """What a majority of the voters has reached, given what each has."""
         return sorted(values, reverse=True)[len(values) // 2]
 
-    def agreed(self, commit: int) -> int:
+    def next_commit_index(self, commit: int) -> int:
         replica = self.replica
-        voters = [each for each in replica.members if each.votes]
+        voters = [each for each in replica.members if each.is_voter]
         if not voters:
             return commit
         index = self._quorum(
             [
-                replica.log.last if each.life == replica.life else self.peers[each.life].match
+                replica.log.last_index
+                if each.incarnation == replica.incarnation
+                else self.peers[each.incarnation].match_index
                 for each in voters
             ]
         )
@@ -90,53 +93,58 @@
 
     # Lease.
 
-    def _reached(self, now: int) -> int:
+    def _majority_contact(self, now: int) -> int:
         """The latest time at which a majority was still sent what it then answered."""
-        voters = [each for each in self.replica.members if each.votes]
+        voters = [each for each in self.replica.members if each.is_voter]
         return (
             self._quorum(
-                [now if each.life == self.replica.life else self.peers[each.life].heard for each in voters]
+                [
+                    now
+                    if each.incarnation == self.replica.incarnation
+                    else self.peers[each.incarnation].acknowledged_sent_at
+                    for each in voters
+                ]
             )
             if voters
             else now
         )
 
     def lease_until(self, now: int) -> int:
-        return self._reached(now) + self.replica.pace.lease
+        return self._majority_contact(now) + self.replica.timeouts.lease
 
-    def lost(self, now: int) -> bool:
+    def lost_majority(self, now: int) -> bool:
         """A majority is silent for longer than anybody waits for a leader."""
-        return now - max(self.began, self._reached(now)) > self.replica.pace.most
+        return now - max(self.elected_at, self._majority_contact(now)) > self.replica.timeouts.election_max
 
     # Sending.
 
-    def next_at(self) -> int:
-        beat = self.replica.pace.beat
+    def next_tick_at(self) -> int:
+        beat = self.replica.timeouts.heartbeat
         return min((peer.sent_at + beat for peer in self.peers.values()), default=NEVER)
 
-    def appended(self, now: int) -> None:
-        if self.replica.log.members_at == self.replica.log.last:
+    def entry_appended(self, now: int) -> None:
+        if self.replica.log.members_index == self.replica.log.last_index:
             self._follow_members(now)
 
     def tick(self, now: int) -> None:
         for peer in self.peers.values():
-            if now - peer.sent_at >= self.replica.pace.beat:
+            if now - peer.sent_at >= self.replica.timeouts.heartbeat:
                 self._send(now, peer)
 
     def replicate(self, now: int) -> None:
         """Send at once what is new, to those from whom nothing is awaited."""
         for peer in self.peers.values():
-            if not peer.waiting and (peer.next <= self.replica.log.last or peer.behind):
+            if not peer.in_flight and (peer.next_index <= self.replica.log.last_index or peer.needs_snapshot):
                 self._send(now, peer)
 
     def _send(self, now: int, peer: PeerProgress) -> None:
         replica, log = self.replica, self.replica.log
         peer.sent_at, term = now, replica.term
-        if peer.next <= log.snapshot.index:
+        if peer.next_index <= log.snapshot.index:
             snapshot = log.snapshot
-            if not peer.behind:
-                peer.behind, peer.piece = True, 0
-            peer.waiting = True
+            if not peer.needs_snapshot:
+                peer.needs_snapshot, peer.snapshot_offset = True, 0
+            peer.in_flight = True
             return replica.send(
                 peer.name,
                 SnapshotChunk(
@@ -144,116 +152,124 @@
                     snapshot.index,
                     snapshot.term,
                     list(snapshot.members),
-                    peer.piece,
+                    peer.snapshot_offset,
                     len(snapshot.content),
-                    snapshot.content[peer.piece : peer.piece + MAX_BATCH_BYTES],
+                    snapshot.content[peer.snapshot_offset : peer.snapshot_offset + MAX_BATCH_BYTES],
                     now,
                 ),
             )
-        before = peer.next - 1
-        entries = log.after(before)
-        peer.waiting = bool(entries)
+        before = peer.next_index - 1
+        entries = log.batch_after(before)
+        peer.in_flight = bool(entries)
         replica.send(
             peer.name,
             AppendEntriesRequest(
-                term, before, log.term_at(before), entries, replica.commit, now, self.marks()
+                term, before, log.term_at(before), entries, replica.commit_index, now, self.acknowledgements()
             ),
         )
 
-    def marks(self) -> list[tuple[str, int, int]]:
+    def acknowledgements(self) -> list[tuple[str, int, int]]:
         """What each member is known to have kept."""
         log = self.replica.log
         return [
-            (self.replica.life, log.last_term, log.last),
-            *((life, log.term_at(each.match), each.match) for life, each in self.peers.items()),
+            (self.replica.incarnation, log.last_term, log.last_index),
+            *(
+                (incarnation, log.term_at(each.match_index), each.match_index)
+                for incarnation, each in self.peers.items()
+            ),
         ]
 
     # Answers.
 
-    def answered(self, now: int, life: str, word: AppendEntriesResponse) -> None:
-        peer = self.peers.get(life)
-        if peer is None or word.sent > now:
+    def append_response_received(self, now: int, incarnation: str, message: AppendEntriesResponse) -> None:
+        peer = self.peers.get(incarnation)
+        if peer is None or message.sent_at > now:
             return
-        self._heard(peer, word.sent)
-        if word.good:
-            if word.index <= self.replica.log.last:
-                peer.match = max(peer.match, word.index)
-                peer.next = peer.match + 1
-        elif word.index >= peer.match:  # else it was sent before a later one that was good
-            peer.next = min(self.replica.log.last, word.index) + 1
-
-    def _heard(self, peer: PeerProgress, sent: int) -> bool:
+        self._record_response(peer, message.sent_at)
+        if message.success:
+            if message.index <= self.replica.log.last_index:
+                peer.match_index = max(peer.match_index, message.index)
+                peer.next_index = peer.match_index + 1
+        elif message.index >= peer.match_index:  # else it was sent before a later one that was good
+            peer.next_index = min(self.replica.log.last_index, message.index) + 1
+
+    def _record_response(self, peer: PeerProgress, sent: int) -> bool:
         """Whether it answers what was sent last. Only that makes room for more at once: were a second copy to
         do so too, a link that doubles messages would double them without end."""
-        peer.heard = max(peer.heard, sent)
+        peer.acknowledged_sent_at = max(peer.acknowledged_sent_at, sent)
         if sent == peer.sent_at:
-            peer.waiting = False
+            peer.in_flight = False
         return sent == peer.sent_at
 
-    def taken(self, now: int, life: str, word: SnapshotChunkResponse) -> None:
-        peer = self.peers.get(life)
-        if peer is None or word.sent > now:
+    def snapshot_response_received(self, now: int, incarnation: str, message: SnapshotChunkResponse) -> None:
+        peer = self.peers.get(incarnation)
+        if peer is None or message.sent_at > now:
             return
-        latest = self._heard(peer, word.sent)
+        latest = self._record_response(peer, message.sent_at)
         snapshot = self.replica.log.snapshot
-        if word.index != snapshot.index:
-            peer.behind = False  # a later one has taken its place: from its beginning
-        elif word.offset >= len(snapshot.content):
-            peer.behind, peer.match = False, max(peer.match, word.index)
-            peer.next = peer.match + 1
-        elif latest or word.offset > peer.piece:
-            peer.piece = word.offset
+        if message.last_included_index != snapshot.index:
+            peer.needs_snapshot = False  # a later one has taken its place: from its beginning
+        elif message.next_offset >= len(snapshot.content):
+            peer.needs_snapshot, peer.match_index = False, max(peer.match_index, message.last_included_index)
+            peer.next_index = peer.match_index + 1
+        elif latest or message.next_offset > peer.snapshot_offset:
+            peer.snapshot_offset = message.next_offset
 
     # Members.
 
-    def wanted_members(self, now: int) -> bytes:
+    def next_membership(self, now: int) -> bytes:
         """The next change of members, one voter at a time, if there is one to make and it may be made."""
         replica = self.replica
-        if not self.ready(replica.commit) or replica.log.members_at > replica.commit:
+        if not self.has_committed(replica.commit_index) or replica.log.members_index > replica.commit_index:
             return b""
         change = self._next_change(now)
         if change is None:
             return b""
         # None that a majority of the new ones could not carry by now.
-        voters = [each.life for each in change if each.votes]
+        voters = [each.incarnation for each in change if each.is_voter]
         recent = [
-            life
-            for life in voters
-            if life == replica.life
-            or (life in self.peers and now - self.peers[life].heard < replica.pace.most)
+            incarnation
+            for incarnation in voters
+            if incarnation == replica.incarnation
+            or (
+                incarnation in self.peers
+                and now - self.peers[incarnation].acknowledged_sent_at < replica.timeouts.election_max
+            )
         ]
         return encode_members(change) if 2 * len(recent) > len(voters) else b""
 
     def _next_change(self, now: int) -> list[Member] | None:
         replica = self.replica
         members = list(replica.members)
-        wanted = set(replica.wanted()) or {each.name for each in members}
+        wanted = set(replica.desired_voters()) or {each.name for each in members}
         said = {
-            name: (life, fresh)
-            for name, (life, at, fresh) in replica.hellos.items()
-            if now - at < 5 * replica.pace.hello
+            name: (incarnation, fresh)
+            for name, (incarnation, at, fresh) in replica.recovery_requests.items()
+            if now - at < 5 * replica.timeouts.recovery_interval
         }
         for place, each in enumerate(members):
-            life, fresh = said.get(each.name, (each.life, False))
-            if fresh and life != each.life and each.life != replica.life:  # its file was lost
-                members[place] = Member(each.name, life, False)
+            incarnation, fresh = said.get(each.name, (each.incarnation, False))
+            if (
+                fresh and incarnation != each.incarnation and each.incarnation != replica.incarnation
+            ):  # its file was lost
+                members[place] = Member(each.name, incarnation, False)
                 return members
         for each in members:
-            peer = self.peers.get(each.life)
+            peer = self.peers.get(each.incarnation)
             if (
                 peer
-                and not each.votes
+                and not each.is_voter
                 and each.name in wanted
-                and peer.match >= replica.commit
-                and now - peer.heard < replica.pace.least
+                and peer.match_index >= replica.commit_index
+                and now - peer.acknowledged_sent_at < replica.timeouts.election_min
             ):
-                return [Member(m.name, m.life, m.votes or m is each) for m in members]
+                return [Member(m.name, m.incarnation, m.is_voter or m is each) for m in members]
         here = {each.name for each in members}
         for name in sorted(wanted - here):
             if name in said:
                 return [*members, Member(name, said[name][0], False)]
-        if wanted <= {each.name for each in members if each.votes}:  # those who come are there first
-            for each in sorted(members, key=lambda each: each.life == replica.life):
+        if wanted <= {each.name for each in members if each.is_voter}:  # those who come are there first
+            for each in sorted(members, key=lambda each: each.incarnation == replica.incarnation):
                 if each.name not in wanted:
                     return [other for other in members if other is not each]
         return None
--- a/oakkeel/raft/log.py
+++ b/oakkeel/raft/log.py
@@ -22,12 +22,14 @@
 
     def __init__(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.snapshot, self.entries = snapshot, entries
-        self.changes = [(snapshot.index, snapshot.members)]  # of the members, the first by the snapshot
+        self.membership_changes = [
+            (snapshot.index, snapshot.members)
+        ]  # of the members, the first by the snapshot
         for place, entry in enumerate(entries):
-            self._note(snapshot.index + 1 + place, entry)
+            self._note_membership(snapshot.index + 1 + place, entry)
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         return self.snapshot.index + len(self.entries)
 
     @property
@@ -37,11 +39,11 @@
     @property
     def members(self) -> tuple[Member, ...]:
         """By the latest entry that names them, agreed or not: that is when they count."""
-        return self.changes[-1][1]
+        return self.membership_changes[-1][1]
 
     @property
-    def members_at(self) -> int:
-        return self.changes[-1][0]
+    def members_index(self) -> int:
+        return self.membership_changes[-1][0]
 
     def term_at(self, index: int) -> int:
         """0 where it holds no such entry, and for the beginning."""
@@ -53,7 +55,7 @@
     def entry(self, index: int) -> Entry:
         return self.entries[index - self.snapshot.index - 1]
 
-    def after(self, index: int) -> list[Entry]:
+    def batch_after(self, index: int) -> list[Entry]:
         """The next ones that one letter can hold."""
         batch: list[Entry] = []
         size = 0
@@ -68,24 +70,27 @@
 
     def append(self, entry: Entry) -> int:
         self.entries.append(entry)
-        self._note(self.last, entry)
-        return self.last
+        self._note_membership(self.last_index, entry)
+        return self.last_index
 
-    def cut(self, index: int) -> None:
+    def truncate_from(self, index: int) -> None:
         """Drop that one and all after it."""
         del self.entries[index - self.snapshot.index - 1 :]
-        while len(self.changes) > 1 and self.changes[-1][0] >= index:
-            self.changes.pop()
+        while len(self.membership_changes) > 1 and self.membership_changes[-1][0] >= index:
+            self.membership_changes.pop()
 
-    def fold(self, index: int, content: bytes) -> Snapshot:
+    def compact(self, index: int, content: bytes) -> Snapshot:
         """What is agreed up to an index becomes the snapshot."""
-        members = [each for at, each in self.changes if at <= index][-1]
+        members = [each for at, each in self.membership_changes if at <= index][-1]
         snapshot = Snapshot(index, self.term_at(index), members, content)
         del self.entries[: index - self.snapshot.index]
         self.snapshot = snapshot
-        self.changes = [(index, members), *((at, each) for at, each in self.changes if at > index)]
+        self.membership_changes = [
+            (index, members),
+            *((at, each) for at, each in self.membership_changes if at > index),
+        ]
         return snapshot
 
-    def _note(self, index: int, entry: Entry) -> None:
+    def _note_membership(self, index: int, entry: Entry) -> None:
         if entry.kind == EntryKind.MEMBERS:
-            self.changes.append((index, tuple(decode_members(entry.content))))
+            self.membership_changes.append((index, tuple(decode_members(entry.content))))
--- a/oakkeel/raft/messages.py
+++ b/oakkeel/raft/messages.py
@@ -14,7 +14,7 @@
 
 
 class EntryKind(IntEnum):
-    NOTHING = 0  # by which a new leader finds out what is agreed
+    NO_OP = 0  # by which a new leader finds out what is agreed
     MEMBERS = 1
     COMMAND = 2
 
@@ -23,8 +23,8 @@
     """A keeper under one life of its file: one whose file was lost is another member of the same name."""
 
     name: str
-    life: str
-    votes: bool = True
+    incarnation: str
+    is_voter: bool = True
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
@@ -37,20 +37,20 @@
     """From one that has just started: what may I have forgotten? `Known` comes back."""
 
     nonce: int  # of this start
-    fresh: bool  # with a new file, which holds nothing
+    empty: bool  # with a new file, which holds nothing
     term: int
     last_term: int
-    last: int
+    last_index: int
 
 
 class RecoveryResponse(msgspec.Struct, tag="known", array_like=True):
     """The latest entry that the asker is known to have kept, and the latest term that we know of."""
 
     nonce: int
-    fresh: bool
+    empty: bool
     term: int
-    mark_term: int
-    mark: int
+    acknowledged_term: int
+    acknowledged_index: int
 
 
 class JoinCluster(msgspec.Struct, tag="found", array_like=True):
@@ -65,14 +65,14 @@
     """Vote for me. `pre`: would you? Nothing changes by that."""
 
     term: int
-    pre: bool
+    pre_vote: bool
     last_term: int
-    last: int
+    last_index: int
 
 
 class VoteResponse(msgspec.Struct, tag="vote", array_like=True):
     term: int
-    pre: bool
+    pre_vote: bool
     granted: bool
 
 
@@ -80,39 +80,41 @@
     """Entries behind one that both should have; with none it is a sign of life."""
 
     term: int
-    before: int
-    before_term: int
+    previous_index: int
+    previous_term: int
     entries: list[Entry]
-    commit: int
-    sent: int  # by the leader's clock, told back to it
-    marks: list[tuple[str, int, int]]  # of each member's life: term and index of the last that it has kept
+    commit_index: int
+    sent_at: int  # by the leader's clock, told back to it
+    acknowledgements: list[
+        tuple[str, int, int]
+    ]  # of each member's life: term and index of the last that it has kept
 
 
 class AppendEntriesResponse(msgspec.Struct, tag="appended", array_like=True):
     term: int
-    good: bool
-    index: int  # good: kept up to there; else where to try next
-    sent: int
+    success: bool
+    index: int  # success: kept up to there; else where to try next
+    sent_at: int
 
 
 class SnapshotChunk(msgspec.Struct, tag="piece", array_like=True):
     """A part of a snapshot, for one who is behind all that the leader's log still holds."""
 
     term: int
-    index: int
-    index_term: int
+    last_included_index: int
+    last_included_term: int
     members: list[Member]
     offset: int
-    total: int
+    total_bytes: int
     content: bytes
-    sent: int
+    sent_at: int
 
 
 class SnapshotChunkResponse(msgspec.Struct, tag="taken", array_like=True):
     term: int
-    index: int
-    offset: int  # of the next piece; the total once the snapshot is kept
-    sent: int
+    last_included_index: int
+    next_offset: int  # of the next piece; the total once the snapshot is kept
+    sent_at: int
 
 
 Message = (
@@ -130,9 +132,9 @@
 
 class Envelope(msgspec.Struct, array_like=True):
     epoch: str  # of the record, empty while the sender has none
-    name: str
-    life: str
-    word: Message
+    sender: str
+    incarnation: str
+    message: Message
 
 
 _members_decoder = msgspec.msgpack.Decoder(list[Member])
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -27,29 +27,31 @@
 PUT_SNAPSHOT = "INSERT OR REPLACE INTO snapshot VALUES (1,?,?,?,?)"
 
 
-def statements(durable: DurableState, keep: StorageUpdate) -> list[Statement]:
+def statements(durable: DurableState, storage_update: StorageUpdate) -> list[Statement]:
     """In the order that `StorageUpdate` asks for."""
     rows: list[Statement] = []
-    if keep.head:
+    if storage_update.metadata:
         rows.append(
             (
                 PUT_HEAD,
                 (
                     durable.name,
-                    durable.life,
+                    durable.incarnation,
                     durable.epoch,
                     durable.term,
-                    durable.voted,
-                    json.dumps(durable.marks),
+                    durable.voted_for,
+                    json.dumps(durable.acknowledgements),
                 ),
             )
         )
-    if keep.snapshot and keep.whole:
+    if storage_update.snapshot and storage_update.replaces_log:
         rows.append(("DELETE FROM entries", ()))
-    if keep.cut:
-        rows.append(("DELETE FROM entries WHERE place >= ?", (keep.cut,)))
-    rows += [(PUT_ENTRY, (index, entry.term, entry.kind, entry.content)) for index, entry in keep.entries]
-    if snapshot := keep.snapshot:
+    if storage_update.truncate_from:
+        rows.append(("DELETE FROM entries WHERE place >= ?", (storage_update.truncate_from,)))
+    rows += [
+        (PUT_ENTRY, (index, entry.term, entry.kind, entry.content)) for index, entry in storage_update.entries
+    ]
+    if snapshot := storage_update.snapshot:
         rows.append(
             (
                 PUT_SNAPSHOT,
@@ -109,22 +111,22 @@
 
 
 def write(
-    store: Database, durable: DurableState, keep: StorageUpdate, witness: WriteCounter | None = None
+    store: Database, durable: DurableState, storage_update: StorageUpdate, witness: WriteCounter | None = None
 ) -> None:
     """On disk once it returns. Raises StoreError: nothing of it is then."""
-    rows = statements(durable, keep)
+    rows = statements(durable, storage_update)
     if witness is None:
         return store.write(rows)
     store.write([*rows, witness.counted()])
     witness.written()
 
 
-def load(store: Database, name: str, new_life: str) -> DurableState:
+def load(store: Database, name: str, new_incarnation: str) -> DurableState:
     """What a keeper finds when it starts; an empty file begins a new life. Raises StoreError."""
     rows = store.read("SELECT name, life, epoch, term, voted, marks FROM head")
     if not rows:
-        durable = DurableState(name, new_life)
-        write(store, durable, StorageUpdate(head=True))
+        durable = DurableState(name, new_incarnation)
+        write(store, durable, StorageUpdate(metadata=True))
         return durable
     held, life, epoch, term, voted, marks = rows[0]
     durable = DurableState(
@@ -133,7 +135,7 @@
         epoch,
         term,
         voted,
-        marks={key: (value[0], value[1]) for key, value in json.loads(marks).items()},
+        acknowledgements={key: (value[0], value[1]) for key, value in json.loads(marks).items()},
     )
     for place, of_term, members, content in store.read("SELECT place, term, members, content FROM snapshot"):
         durable.snapshot = Snapshot(place, of_term, tuple(decode_members(members)), content)
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -148,7 +148,7 @@
                 machine = machine_type()
                 for row in log["commands"]:
                     result = machine.apply(row["index"], base64.b64decode(row["command"]))
-                    folded = hashlib.sha256(machine.fold()).hexdigest()
+                    folded = hashlib.sha256(machine.snapshot()).hexdigest()
                     self.assertEqual(
                         (isinstance(result, Rejection), folded),
                         (row["refused"], row["snapshot"]),
@@ -161,7 +161,7 @@
                 machine = machine_type()
                 content = base64.b64decode(log["snapshot"])
                 machine.restore(content)
-                self.assertEqual(machine.fold(), content)
+                self.assertEqual(machine.snapshot(), content)
 
 
 class FileCompatibilityTest(unittest.TestCase):
--- a/tests/disruption/test_permits.py
+++ b/tests/disruption/test_permits.py
@@ -342,8 +342,8 @@
     def test_a_command_of_a_later_version_is_the_same_no_everywhere(self):
         self.assertIsInstance(self.ledger.apply(99, b"\x91\xa5other"), Rejection)
         again = PermitStateMachine()
-        again.restore(self.ledger.fold())
-        self.assertEqual(again.fold(), self.ledger.fold())
+        again.restore(self.ledger.snapshot())
+        self.assertEqual(again.snapshot(), self.ledger.snapshot())
 
 
 class PlacesMachine(RuleBasedStateMachine):
@@ -398,7 +398,7 @@
 
     @rule()
     def fold(self):
-        self.ledger.restore(self.ledger.fold())
+        self.ledger.restore(self.ledger.snapshot())
 
     @invariant()
     def bounds_hold(self):
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -27,14 +27,14 @@
             self.wanted = tuple(content.decode().split()[1:])
         return index
 
-    def fold(self) -> bytes:
+    def snapshot(self) -> bytes:
         return b"\n".join([" ".join(self.wanted).encode(), *self.lines])
 
     def restore(self, content: bytes) -> None:
         first, *self.lines = content.split(b"\n") if content else [b""]
         self.wanted = tuple(first.decode().split())
 
-    def keepers(self) -> tuple[str, ...]:
+    def desired_voters(self) -> tuple[str, ...]:
         return self.wanted
 
 
--- a/tests/models/test_models.py
+++ b/tests/models/test_models.py
@@ -33,9 +33,17 @@
         self.assertTrue(disruption.begun_after_lapse(good, lapse, terms.drift, "came"))
 
     def test_a_leader_is_never_sure_beyond_its_time(self):
-        pace = RaftTimeouts()
-        self.assertFalse(disruption.two_hold_a_lease(pace.lease / 1e9, pace.least / 1e9, pace.drift))
-        self.assertTrue(disruption.two_hold_a_lease(pace.least / 1e9, pace.least / 1e9, pace.drift))
+        timeouts = RaftTimeouts()
+        self.assertFalse(
+            disruption.two_hold_a_lease(
+                timeouts.lease / 1e9, timeouts.election_min / 1e9, timeouts.clock_drift
+            )
+        )
+        self.assertTrue(
+            disruption.two_hold_a_lease(
+                timeouts.election_min / 1e9, timeouts.election_min / 1e9, timeouts.clock_drift
+            )
+        )
 
 
 class DrainModels(unittest.TestCase):
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -18,5 +18,5 @@
             Entry(1, EntryKind.MEMBERS, encode_members([Member("a", "a.1"), Member("b", "b.1", False)]))
         )
         self.assertEqual(len(log.members), 2)
-        log.cut(1)
-        self.assertEqual((len(log.members), log.members_at), (1, 0))
+        log.truncate_from(1)
+        self.assertEqual((len(log.members), log.members_index), (1, 0))
--- a/tests/raft/test_replica.py
+++ b/tests/raft/test_replica.py
@@ -34,22 +34,28 @@
             self.wanted = tuple(content.decode().split()[1:])
         return index
 
-    def fold(self) -> bytes:
+    def snapshot(self) -> bytes:
         return b"\n".join([" ".join(self.wanted).encode(), *self.lines])
 
     def restore(self, content: bytes) -> None:
         first, *self.lines = content.split(b"\n") if content else [b""]
         self.wanted = tuple(first.decode().split())
 
-    def keepers(self) -> tuple[str, ...]:
+    def desired_voters(self) -> tuple[str, ...]:
         return self.wanted
 
 
 class Net:
     """Keepers on one clock, whose letters take a millisecond unless a way is cut."""
 
-    def __init__(self, *names: str, founders: tuple[str, ...] = (), pace: RaftTimeouts | None = None) -> None:
-        self.now, self.founders, self.pace = SECOND, founders or names, pace or RaftTimeouts()
+    def __init__(
+        self, *names: str, initial_voters: tuple[str, ...] = (), timeouts: RaftTimeouts | None = None
+    ) -> None:
+        self.now, self.initial_voters, self.timeouts = (
+            SECOND,
+            initial_voters or names,
+            timeouts or RaftTimeouts(),
+        )
         self.disks: dict[str, InMemoryStorage] = {}
         self.keepers: dict[str, Replica] = {}
         self.waiting: list[tuple[int, int, str, Envelope]] = []
@@ -61,49 +67,53 @@
     def start(self, name: str) -> None:
         self.count += 1
         disk = self.disks.setdefault(name, InMemoryStorage(DurableState(name, f"{name}.{self.count}")))
-        self.keepers[name] = Replica(self.now, disk.load(), Notes(), self.count, self.pace, self.founders)
+        self.keepers[name] = Replica(
+            self.now, disk.load(), Notes(), self.count, self.timeouts, self.initial_voters
+        )
 
-    def carry_out(self, name: str, steps) -> None:
-        if steps.keep:
-            self.disks[name].write(self.keepers[name].durable, steps.keep)
-        for to, letter in steps.send:
+    def carry_out(self, name: str, output) -> None:
+        if output.storage_update:
+            self.disks[name].write(self.keepers[name].durable, output.storage_update)
+        for to, envelope in output.envelopes:
             if (name, to) not in self.cut:
                 self.count += 1
-                self.waiting.append((self.now + MS, self.count, to, letter))
+                self.waiting.append((self.now + MS, self.count, to, envelope))
 
     def run(self, lasts: int, done=lambda: False) -> None:
         end = self.now + lasts
         while self.now < end and not done():
-            at = min([each.next_at() for each in self.keepers.values()] + [each[0] for each in self.waiting])
+            at = min(
+                [each.next_tick_at() for each in self.keepers.values()] + [each[0] for each in self.waiting]
+            )
             self.now = max(self.now, min(at, end))
             due = sorted(each for each in self.waiting if each[0] <= self.now)
             self.waiting = [each for each in self.waiting if each[0] > self.now]
-            for _, _, to, letter in due:
+            for _, _, to, envelope in due:
                 if to in self.keepers:
-                    self.carry_out(to, self.keepers[to].heard(self.now, letter))
+                    self.carry_out(to, self.keepers[to].receive(self.now, envelope))
             for name, replica in list(self.keepers.items()):
-                if replica.next_at() <= self.now:
+                if replica.next_tick_at() <= self.now:
                     self.carry_out(name, replica.tick(self.now))
 
     def leader(self) -> Replica:
-        self.run(5 * SECOND, lambda: any(each.leads(self.now) for each in self.keepers.values()))
-        return next(each for each in self.keepers.values() if each.leads(self.now))
+        self.run(5 * SECOND, lambda: any(each.holds_lease(self.now) for each in self.keepers.values()))
+        return next(each for each in self.keepers.values() if each.holds_lease(self.now))
 
     def propose(self, content: bytes):
         leader = self.leader()
-        proposal, steps = leader.propose(self.now, content)
-        self.carry_out(leader.name, steps)
+        proposal, output = leader.propose(self.now, content)
+        self.carry_out(leader.name, output)
         return proposal
 
     def agree(self, *contents: bytes) -> None:
         for content in contents:
             proposal = self.propose(content)
-            self.run(2 * SECOND, lambda made=proposal: made.fate is not ProposalStatus.WAITING)
-            assert proposal.fate is ProposalStatus.AGREED, proposal.fate
+            self.run(2 * SECOND, lambda made=proposal: made.status is not ProposalStatus.PENDING)
+            assert proposal.status is ProposalStatus.COMMITTED, proposal.status
 
     def lines(self) -> dict[str, list[bytes]]:
         self.run(500 * MS)
-        return {name: each.machine.lines for name, each in self.keepers.items()}
+        return {name: each.state_machine.lines for name, each in self.keepers.items()}
 
 
 class KeeperStories(unittest.TestCase):
@@ -113,10 +123,10 @@
         self.assertEqual(set(map(tuple, net.lines().values())), {(b"one", b"two")})
         self.assertEqual(len({each.durable.epoch for each in net.keepers.values()}), 1)
 
-    def test_no_record_is_founded_while_one_of_the_founders_is_not_there(self):
-        net = Net("a", "b", founders=("a", "b", "c"))
+    def test_no_record_is_founded_while_one_of_the_initial_voters_is_not_there(self):
+        net = Net("a", "b", initial_voters=("a", "b", "c"))
         net.run(5 * SECOND)
-        self.assertEqual({each.role for each in net.keepers.values()}, {Role.JOINING})
+        self.assertEqual({each.role for each in net.keepers.values()}, {Role.RECOVERING})
         with self.assertRaises(NotLeaderError):
             net.keepers["a"].propose(net.now, b"one")
 
@@ -138,30 +148,30 @@
         away = next(name for name in net.keepers if name != leader.name)
         net.cut = {(away, name) for name in net.keepers} | {(name, away) for name in net.keepers}
         net.run(10 * SECOND)
-        self.assertEqual(net.keepers[away].role, Role.ASKING)
+        self.assertEqual(net.keepers[away].role, Role.PRE_CANDIDATE)
         net.cut.clear()
         net.run(SECOND)
-        self.assertEqual((net.leader(), leader.term, leader.elections), (leader, 1, 1))
+        self.assertEqual((net.leader(), leader.term, leader.elections_won), (leader, 1, 1))
 
     def test_a_leader_that_hears_nobody_leads_no_more_before_another_does(self):
         net = Net("a", "b", "c")
         leader = net.leader()
         net.cut = {(name, leader.name) for name in net.keepers}  # its own words still go out
-        net.run(net.pace.most)
-        self.assertFalse(leader.leads(net.now))
-        net.run(2 * SECOND, lambda: any(each.leads(net.now) for each in net.keepers.values()))
+        net.run(net.timeouts.election_max)
+        self.assertFalse(leader.holds_lease(net.now))
+        net.run(2 * SECOND, lambda: any(each.holds_lease(net.now) for each in net.keepers.values()))
         self.assertIsNot(net.leader(), leader)
 
     def test_a_lost_file_does_not_vote_until_the_leader_has_put_its_new_life_in_place(self):
         net = Net("a", "b", "c")
         net.agree(b"one")
         lost = next(name for name in net.keepers if name != net.leader().name)
-        old = net.disks.pop(lost).head.life
+        old = net.disks.pop(lost).head.incarnation
         net.start(lost)
         net.agree(b"two")
         replica = net.keepers[lost]
-        net.run(5 * SECOND, lambda: replica.life in net.leader().voters)
-        self.assertIn(replica.life, net.leader().voters)
+        net.run(5 * SECOND, lambda: replica.incarnation in net.leader().voters)
+        self.assertIn(replica.incarnation, net.leader().voters)
         self.assertNotIn(old, net.leader().voters)
         self.assertEqual(net.lines()[lost], [b"one", b"two"])
 
@@ -173,12 +183,12 @@
         net.agree(b"two", b"three", b"four")  # what others keep of it goes along with later entries
         net.disks[victim] = backup
         net.start(victim)
-        net.run(SECOND, lambda: net.keepers[victim].role is not Role.JOINING)
-        self.assertEqual(net.keepers[victim].role, Role.OUTDATED)
-        self.assertRegex(net.keepers[victim].why, "knows it to have kept entry")
+        net.run(SECOND, lambda: net.keepers[victim].role is not Role.RECOVERING)
+        self.assertEqual(net.keepers[victim].role, Role.STALE)
+        self.assertRegex(net.keepers[victim].stale_reason, "knows it to have kept entry")
         del net.disks[victim]
         net.start(victim)
-        net.run(5 * SECOND, lambda: net.keepers[victim].life in net.leader().voters)
+        net.run(5 * SECOND, lambda: net.keepers[victim].incarnation in net.leader().voters)
         self.assertEqual(net.lines()[victim], [b"one", b"two", b"three", b"four"])
 
     def test_the_first_to_answer_may_know_less_so_all_that_are_there_are_asked(self):
@@ -192,8 +202,8 @@
         net.agree(b"two", b"three")
         net.disks[victim] = backup
         net.start(victim)
-        net.run(300 * MS, lambda: net.keepers[victim].role is not Role.JOINING)
-        self.assertEqual(net.keepers[victim].role, Role.OUTDATED)
+        net.run(300 * MS, lambda: net.keepers[victim].role is not Role.RECOVERING)
+        self.assertEqual(net.keepers[victim].role, Role.STALE)
 
     def test_a_leader_that_has_the_word_of_a_follower_for_more_than_it_holds_ends_its_old_file(self):
         net = Net("a", "b", "c")
@@ -204,9 +214,9 @@
         net.agree(b"two", b"three")
         net.disks[victim] = backup
         net.start(victim)
-        net.keepers[victim]._move(net.now, Role.FOLLOWING)  # as if nobody had known
-        net.run(SECOND, lambda: net.keepers[victim].role is Role.OUTDATED)
-        self.assertRegex(net.keepers[victim].why, "has its word for entry")
+        net.keepers[victim]._move(net.now, Role.FOLLOWER)  # as if nobody had known
+        net.run(SECOND, lambda: net.keepers[victim].role is Role.STALE)
+        self.assertRegex(net.keepers[victim].stale_reason, "has its word for entry")
 
     def test_one_that_hears_the_leader_before_it_may_know_what_it_forgot_is_not_taken_for_an_old_copy(self):
         net = Net("a", "b", "c")
@@ -219,8 +229,8 @@
         net.agree(b"two", b"three")
         net.run(300 * MS)
         net.cut.clear()
-        net.run(2 * SECOND, lambda: replica.role is not Role.JOINING)
-        self.assertEqual(replica.role, Role.FOLLOWING)
+        net.run(2 * SECOND, lambda: replica.role is not Role.RECOVERING)
+        self.assertEqual(replica.role, Role.FOLLOWER)
         self.assertEqual(net.lines()[name], [b"one", b"two", b"three"])
 
     def test_one_that_starts_votes_for_nobody_in_a_term_that_another_knows(self):
@@ -233,7 +243,7 @@
         self.assertGreater(net.leader().term, max(terms))
 
     def test_all_that_are_killed_at_once_go_on_from_their_files(self):
-        net = Net("a", "b", "c", pace=RaftTimeouts(fold=4))
+        net = Net("a", "b", "c", timeouts=RaftTimeouts(snapshot_entries=4))
         net.agree(*(b"%d" % number for number in range(10)))
         for name in list(net.keepers):
             net.start(name)
@@ -242,14 +252,16 @@
         self.assertTrue(all(each.log.snapshot.index > 4 for each in net.keepers.values()))
 
     def test_keepers_change_from_three_to_five_and_to_others_while_one_is_cut_off(self):
-        net = Net("a", "b", "c", "d", "e", founders=("a", "b", "c"), pace=RaftTimeouts(fold=4))
+        net = Net(
+            "a", "b", "c", "d", "e", initial_voters=("a", "b", "c"), timeouts=RaftTimeouts(snapshot_entries=4)
+        )
         net.agree(*(b"%d" % number for number in range(6)))
         away = next(name for name in "abc" if name != net.leader().name)
         net.cut = {(away, name) for name in net.keepers} | {(name, away) for name in net.keepers}
         net.agree(b"keepers a b c d e")
 
         def voters() -> set[str]:
-            return {each.name for each in net.leader().members if each.votes}
+            return {each.name for each in net.leader().members if each.is_voter}
 
         net.run(10 * SECOND, lambda: voters() == set("abcde"))
         self.assertEqual(voters(), set("abcde"))
@@ -268,7 +280,7 @@
         leader = net.leader()
         others = [name for name in net.keepers if name != leader.name]
         net.agree(b"keepers " + " ".join(others).encode())
-        net.run(5 * SECOND, lambda: leader.role is not Role.LEADING)
+        net.run(5 * SECOND, lambda: leader.role is not Role.LEADER)
         self.assertNotEqual(net.leader().name, leader.name)
         net.agree(b"after")
 
@@ -292,17 +304,17 @@
         net.cut.clear()
         net.agree(b"two")
         net.run(3 * SECOND)
-        self.assertNotIn(leader.life, net.leader().voters)
-        self.assertEqual(net.keepers[others[1]].machine.lines, [b"one", b"two"])
+        self.assertNotIn(leader.incarnation, net.leader().voters)
+        self.assertEqual(net.keepers[others[1]].state_machine.lines, [b"one", b"two"])
 
     def test_what_a_cut_off_leader_took_is_lost_or_agreed_and_never_half(self):
         net = Net("a", "b", "c")
         leader = net.leader()
         net.cut = {pair for name in net.keepers for pair in ((leader.name, name), (name, leader.name))}
-        proposal, steps = leader.propose(net.now, b"never")
-        net.carry_out(leader.name, steps)
+        proposal, output = leader.propose(net.now, b"never")
+        net.carry_out(leader.name, output)
         net.run(3 * SECOND)
-        self.assertEqual(proposal.fate, ProposalStatus.UNKNOWN)
+        self.assertEqual(proposal.status, ProposalStatus.UNKNOWN)
         net.agree(b"other")
         net.cut.clear()
         net.agree(b"third")
@@ -313,36 +325,46 @@
         net.agree(b"one")
         leader = net.leader()
         follower = next(each for each in net.keepers.values() if each is not leader)
-        for letter in (
+        for envelope in (
             Envelope("other", "x", "x.1", AppendEntriesRequest(99, 0, 0, [Entry(99, 2, b"bad")], 1, 0, [])),
             Envelope("other", "x", "x.1", RecoveryRequest(1, False, 99, 99, 99)),
             Envelope(
                 leader.durable.epoch,
                 leader.name,
-                leader.life,
+                leader.incarnation,
                 AppendEntriesRequest(leader.term, 0, 0, list(leader.log.entries), 2, 0, []),
             ),
         ):
             for _ in range(2):
-                follower.heard(net.now, letter)
-        self.assertEqual((follower.term, follower.machine.lines), (leader.term, [b"one"]))
+                follower.receive(net.now, envelope)
+        self.assertEqual((follower.term, follower.state_machine.lines), (leader.term, [b"one"]))
 
     def test_a_link_that_doubles_every_letter_does_not_make_more_and_more_of_them(self):
         net = Net("a", "b", "c")
         leader = net.leader()
         net.agree(b"one")
-        peer = next(iter(leader.leading.peers.values()))
-        life = next(life for life, each in leader.leading.peers.items() if each is peer)
-        peer.match, peer.next, peer.waiting = 0, 1, False  # one that never takes what it is sent
+        peer = next(iter(leader.leader_state.peers.values()))
+        incarnation = next(
+            incarnation for incarnation, each in leader.leader_state.peers.items() if each is peer
+        )
+        peer.match_index, peer.next_index, peer.in_flight = (
+            0,
+            1,
+            False,
+        )  # one that never takes what it is sent
         answers = [AppendEntriesResponse(leader.term, False, 0, peer.sent_at)]
         for _ in range(12):
             net.now += MS
             sent = []
             for answer in answers:
-                steps = leader.heard(net.now, Envelope(leader.durable.epoch, peer.name, life, answer))
-                sent += [letter.word for to, letter in steps.send if to == peer.name]
+                output = leader.receive(
+                    net.now, Envelope(leader.durable.epoch, peer.name, incarnation, answer)
+                )
+                sent += [envelope.message for to, envelope in output.envelopes if to == peer.name]
             answers = [
-                AppendEntriesResponse(leader.term, False, 0, word.sent) for word in sent for _ in range(2)
+                AppendEntriesResponse(leader.term, False, 0, message.sent_at)
+                for message in sent
+                for _ in range(2)
             ]
         self.assertEqual(len(answers), 2)
 
@@ -365,7 +387,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.net = Net("a", "b", "c", pace=RaftTimeouts(fold=3))
+        self.net = Net("a", "b", "c", timeouts=RaftTimeouts(snapshot_entries=3))
         self.net.run(3 * SECOND)
         self.proposals: list = []
         self.leaders: dict[int, str] = {}
@@ -387,37 +409,37 @@
     def crash(self, name, loses_letters):
         self.net.start(name)
         if loses_letters:
-            self.net.waiting = [each for each in self.net.waiting if each[3].name != name]
+            self.net.waiting = [each for each in self.net.waiting if each[3].sender != name]
 
     @rule(name=names)
     def propose(self, name):
         content = b"%d" % len(self.proposals)
         replica = self.net.keepers[name]
         try:
-            proposal, steps = replica.propose(self.net.now, content)
+            proposal, output = replica.propose(self.net.now, content)
         except NotLeaderError:
             return
         self.proposals.append((content, proposal))
-        self.net.carry_out(name, steps)
+        self.net.carry_out(name, output)
         self.net.run(5 * MS)
 
     @rule(name=names)
     def letters_come_twice(self, name):
         self.net.waiting += [
-            (at, -count, to, letter) for at, count, to, letter in self.net.waiting if to == name
+            (at, -count, to, envelope) for at, count, to, envelope in self.net.waiting if to == name
         ]
 
     @invariant()
     def what_is_agreed_stays(self):
         for replica in self.net.keepers.values():
-            lines = replica.machine.lines
+            lines = replica.state_machine.lines
             common = min(len(lines), len(self.agreed))
             assert lines[:common] == self.agreed[:common]
             self.agreed = max(self.agreed, list(lines), key=len)
-            if replica.role is Role.LEADING:
-                assert self.leaders.setdefault(replica.term, replica.life) == replica.life
+            if replica.role is Role.LEADER:
+                assert self.leaders.setdefault(replica.term, replica.incarnation) == replica.incarnation
         for content, proposal in self.proposals:
-            if proposal.fate is ProposalStatus.AGREED:
+            if proposal.status is ProposalStatus.COMMITTED:
                 assert content in self.agreed
 
 
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -31,20 +31,22 @@
             durable = storage.load(store, "a", "a.1")
             disk, log = InMemoryStorage(durable), ReplicatedLog(Snapshot(0, 0, (), b""), [])
             for _ in range(40):
-                keep = StorageUpdate()
+                update = StorageUpdate()
                 if random_.random() < 0.3:
-                    durable.term, durable.voted, keep.head = durable.term + 1, "b.1", True
-                    durable.marks = {"b.1": (durable.term, 3)}
+                    durable.term, durable.voted_for, update.metadata = durable.term + 1, "b.1", True
+                    durable.acknowledgements = {"b.1": (durable.term, 3)}
                 if log.entries and random_.random() < 0.2:
-                    keep.cut = random_.randint(log.snapshot.index + 1, log.last)
-                    log.cut(keep.cut)
+                    update.truncate_from = random_.randint(log.snapshot.index + 1, log.last_index)
+                    log.truncate_from(update.truncate_from)
                 for _ in range(random_.randrange(3)):
                     entry = Entry(durable.term, EntryKind.COMMAND, random_.randbytes(3))
-                    keep.entries.append((log.append(entry), entry))
+                    update.entries.append((log.append(entry), entry))
                 if log.entries and random_.random() < 0.2:
-                    keep.snapshot = log.fold(random_.randint(log.snapshot.index + 1, log.last), b"all")
-                storage.write(store, durable, keep)
-                disk.write(durable, keep)
+                    update.snapshot = log.compact(
+                        random_.randint(log.snapshot.index + 1, log.last_index), b"all"
+                    )
+                storage.write(store, durable, update)
+                disk.write(durable, update)
             store.close()
             store = Database(self.path, storage.SCHEMA, storage.VERSION)
             self.assertEqual(storage.load(store, "a", "a.2"), disk.load())
@@ -69,9 +71,9 @@
         store = Database(self.path, storage.SCHEMA, storage.VERSION)
         witness = storage.WriteCounter(self.path + ".count", store)
         durable = storage.load(store, "a", "a.1")
-        storage.write(store, durable, StorageUpdate(head=True), witness)
+        storage.write(store, durable, StorageUpdate(metadata=True), witness)
         store.base.execute("VACUUM INTO ?", (self.path + ".backup",))
-        storage.write(store, durable, StorageUpdate(head=True), witness)
+        storage.write(store, durable, StorageUpdate(metadata=True), witness)
         witness.close()
         store.close()
         again = Database(self.path, storage.SCHEMA, storage.VERSION)
@@ -91,7 +93,7 @@
     def test_a_power_cut_may_leave_the_count_beside_the_file_behind_and_that_is_no_old_copy(self):
         store = Database(self.path, storage.SCHEMA, storage.VERSION)
         witness = storage.WriteCounter(self.path + ".count", store)
-        storage.write(store, storage.load(store, "a", "a.1"), StorageUpdate(head=True), witness)
+        storage.write(store, storage.load(store, "a", "a.1"), StorageUpdate(metadata=True), witness)
         os.truncate(self.path + ".count", 0)
         self.assertEqual(storage.WriteCounter(self.path + ".count", store).why(), "")
         store.close()
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -135,13 +135,13 @@
         self.do(commands.BeginRollout("r", self.fence, 0))
         self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
         again = RolloutStateMachine()
-        again.restore(self.book.fold())
-        self.assertEqual(again.fold(), self.book.fold())
+        again.restore(self.book.snapshot())
+        self.assertEqual(again.snapshot(), self.book.snapshot())
         from oakkeel.disruption.state_machine import PermitStateMachine
 
         old = PermitStateMachine()
         old.apply(1, places.encode(places.SetTopology(LAYOUT)))
-        again.restore(old.fold())
+        again.restore(old.snapshot())
         self.assertEqual((again.held.releases, again.held.layout), ({}, LAYOUT))
 
     ACTS = (
