--- a/oakkeel/errors.py
+++ b/oakkeel/errors.py
@@ -5,3 +5,12 @@
 
 class OakkeelError(Exception):
     """An error of oakkeel itself; its message is one plain line that says what is wrong."""
+
+
+class InvalidTransitionError(OakkeelError, RuntimeError):
+    """A state machine was asked for a transition that its table does not allow: a defect of the caller."""
+
+    def __init__(self, subject: str, state: str, successor: str) -> None:
+        """Name what should change, its state, and the state that may not follow."""
+        super().__init__(f"{subject} can't go from {state} to {successor}")
+        self.subject, self.state, self.successor = subject, state, successor
