--- a/measure/fair.py
+++ b/measure/fair.py
@@ -20,7 +20,7 @@
 
 from measure.common import keep, options, say
 from oakkeel.admission.fairness import FairSharing
-from oakkeel.admission.types import Effect, FairSharingRules, Request, RequestClass
+from oakkeel.admission.types import FairSharingRules, Idempotency, Request, RequestClass
 from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
 from oakkeel.fakes.load_clients import CrawlerClient, PoliteClient
 from oakkeel.fakes.simulated_node import fair_share, jain
@@ -29,7 +29,7 @@
 SECOND = 1_000_000_000
 CORES, WORK = 2, 0.02  # the engine's, and seconds of a run: it can do a hundred in a second
 GOOD, EACH = 10, 10.0  # compliant clients, and what each asks for in a second
-GROUP = RequestClass(0, Effect.REPEATABLE, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
+GROUP = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
 SHARE = CORES / WORK / (GOOD + 1)
 
 
@@ -197,7 +197,7 @@
                 0,
                 False,
                 False,
-                who=((1 + key % 7, b"tenant"), (key, b"client")),
+                flow_keys=((1 + key % 7, b"tenant"), (key, b"client")),
             )
             for key in keys_of(clients, seed, 100_000)
         ]
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -17,9 +17,9 @@
 
 from oakkeel.admission.types import (
     DownstreamKind,
-    Effect,
     Gauges,
     Host,
+    Idempotency,
     LoadReportKind,
     NodeLimits,
     Outcome,
@@ -81,26 +81,31 @@
 
 # Which states may follow each.
 TRANSITIONS = {
-    RequestState.READ: {RequestState.DELAYED, RequestState.HELD, RequestState.SHARING, RequestState.OVER},
-    RequestState.DELAYED: {RequestState.HELD, RequestState.OVER},
-    RequestState.HELD: {RequestState.RUNNING, RequestState.OVER},
-    RequestState.SHARING: {RequestState.OVER},
-    RequestState.RUNNING: {RequestState.AT_CALL, RequestState.ORPHANED, RequestState.OVER},
-    RequestState.AT_CALL: {
+    RequestState.READ: {
+        RequestState.DELAYED,
+        RequestState.QUEUED,
+        RequestState.COALESCED,
+        RequestState.FINISHED,
+    },
+    RequestState.DELAYED: {RequestState.QUEUED, RequestState.FINISHED},
+    RequestState.QUEUED: {RequestState.RUNNING, RequestState.FINISHED},
+    RequestState.COALESCED: {RequestState.FINISHED},
+    RequestState.RUNNING: {RequestState.AWAITING_CALL, RequestState.ORPHANED, RequestState.FINISHED},
+    RequestState.AWAITING_CALL: {
         RequestState.CALLING,
         RequestState.RUNNING,
-        RequestState.ENDING,
-        RequestState.OVER,
+        RequestState.RELEASING,
+        RequestState.FINISHED,
     },
     RequestState.CALLING: {
-        RequestState.AT_CALL,
+        RequestState.AWAITING_CALL,
         RequestState.RUNNING,
-        RequestState.ENDING,
-        RequestState.OVER,
+        RequestState.RELEASING,
+        RequestState.FINISHED,
     },
-    RequestState.ORPHANED: {RequestState.ENDING, RequestState.OVER},
-    RequestState.ENDING: {RequestState.OVER},
-    RequestState.OVER: set(),
+    RequestState.ORPHANED: {RequestState.RELEASING, RequestState.FINISHED},
+    RequestState.RELEASING: {RequestState.FINISHED},
+    RequestState.FINISHED: set(),
 }
 
 
@@ -149,7 +154,7 @@
         self.reading, self.readings = 0.0, SlidingWindow()  # what else wanted a core when last seen
         self.cpu_stage = self.depth_stage = self.latency_stage = int(Stage.NORMAL)
         self.count = [0] * len(RequestState)
-        factor = limits.run_factor
+        factor = limits.running_memory_factor
         self.weight = [0, 1, 1, 1, factor, factor, factor, factor, factor, 0]  # memory by state
         self.memory_kb = self.cut = self.stale = 0.0
         self.hold: list[tuple[float, int, Request]] = []
@@ -162,22 +167,24 @@
             SlidingWindow(),
         )  # to completion, unread, over the SLO time
         self.retries = SlidingWindow()  # marked later tries among what was read
-        self.spans = [SlidingWindow() for _ in limits.groups]  # time on the cores of completed runs
-        self.span = [group.slo_time / 6 for group in limits.groups]
+        self.spans = [SlidingWindow() for _ in limits.request_classes]  # time on the cores of completed runs
+        self.span = [group.latency_objective / 6 for group in limits.request_classes]
         tenants = max(1, len(limits.tenants))
-        self.asked = [[SlidingWindow() for _ in range(tenants)] for _ in limits.groups]
-        self.ranks = [[(0.0, 1.0)] * tenants for _ in limits.groups]  # place among the asked, breadth
+        self.asked = [[SlidingWindow() for _ in range(tenants)] for _ in limits.request_classes]
+        self.ranks = [
+            [(0.0, 1.0)] * tenants for _ in limits.request_classes
+        ]  # place among the asked, breadth
         self.calls_time = SlidingWindow(
-            limits.call_window // (WINDOW_BUCKETS - 1) + 1
+            limits.downstream_window // (WINDOW_BUCKETS - 1) + 1
         )  # call time spent below
         self.calls_booked = self.calls_failed = self.trial_at = 0
         self.waiting: deque[Request] = deque()  # at calls that can't be placed yet
         self.advice, self.willing, self.fit = -1.0, 1.0, True
         self.fair, self.run = None, limits.cores * RUN[0]  # fair shares, and how many may run
-        if limits.fair:
+        if limits.fair_sharing:
             from oakkeel.admission.fairness import FairSharing  # loaded only where an operator asks for it
 
-            self.fair = FairSharing(limits.fair, limits.marks_retries, self.chance)
+            self.fair = FairSharing(limits.fair_sharing, limits.marks_retries, self.chance)
         self.callers: dict[int, int] = {}  # when each was heard, the latest last
         self.returns = [
             SlidingWindow(2 * SECOND) for _ in range(LINK_STEPS + 1)
@@ -190,73 +197,75 @@
 
     def arrive(self, now: int, request: Request) -> None:
         """An exchange was read: share, deny, hold back or admit it."""
-        self.now = request.arrived = request.since = now
-        group, limits = request.group, self.limits
+        self.now = request.arrived_at = request.state_since = now
+        group, limits = request.request_class, self.limits
         tenant = request.tenant.index if request.tenant else 0
-        left = request.left or max(0, group.async_timeout - request.backlog)
-        request.slo_end = now + group.slo_time - request.backlog
+        left = request.remaining_time or max(0, group.client_timeout - request.queueing_delay)
+        request.objective_end = now + group.latency_objective - request.queueing_delay
         due = now + left - DUE_ROOM
-        request.give_up_at = due if group.late_share else min(due, request.slo_end)
+        request.deadline = due if group.late_weight else min(due, request.objective_end)
         if self.stop_at:
-            request.give_up_at = min(request.give_up_at, self.stop_at - STOP_ROOM)
-        self.stale = request.backlog / group.slo_time
+            request.deadline = min(request.deadline, self.stop_at - STOP_ROOM)
+        self.stale = request.queueing_delay / group.latency_objective
         self.unread.add(now, self.stale)
-        gap = now - self.callers.pop(request.caller, -(LINK_STEP << LINK_STEPS))
-        self.callers[request.caller] = now
+        gap = now - self.callers.pop(request.client, -(LINK_STEP << LINK_STEPS))
+        self.callers[request.client] = now
         self.returns[min(LINK_STEPS, (gap // LINK_STEP).bit_length())].add(now, gap)
         if len(self.callers) > CALLERS_MOST:
             del self.callers[next(iter(self.callers))]
-        self.retries.add(now, request.marked_retry)
-        if not request.marked_retry:
+        self.retries.add(now, request.retry_attempt)
+        if not request.retry_attempt:
             self.asked[group.index][tenant].add(now, 1)
         below, breadth = self.ranks[group.index][tenant]
         request.rank = below + breadth * self.chance()
         if self.fair:
             self.fair.arrive(now, request, self.span[group.index], self.run)
-            request.rank += request.place
+            request.rank += request.share_standing
         full = self.memory_kb + request.memory_kb + limits.key_kb > limits.memory_kb * HOLD_ROOM
         # One that repeats another takes its result: no second effect, and a twentieth of the work.
-        if request.repeats and (request.group.once or (limits.fresh and not full)):
-            self._move(request, RequestState.SHARING)
-            self.host.share(request)
-            return self._alarm(request, request.give_up_at)
-        after_grace = self.grace_end and now - request.backlog > self.grace_end - DUE_ROOM
-        if after_grace or full or request.give_up_at <= now:
-            return self._deny(request, request.give_up_at <= now)
+        if request.is_duplicate and (request.request_class.at_most_once or (limits.cache_ttl and not full)):
+            self._move(request, RequestState.COALESCED)
+            self.host.coalesce(request)
+            return self._alarm(request, request.deadline)
+        after_grace = self.grace_end and now - request.queueing_delay > self.grace_end - DUE_ROOM
+        if after_grace or full or request.deadline <= now:
+            return self._deny(request, request.deadline <= now)
         # The ladder.
         depth = self._depth()
         self.depth_stage = next_stage(self.depth_stage, depth, DEPTH, DEPTH_SLACK)
         stage = max(self.depth_stage, self.latency_stage)
         if depth > CPU_QUEUE[max(0, self.cpu_stage - 1)]:
             stage = max(stage, self.cpu_stage)
-        if request.place and now + HOPE * self.span[group.index] <= min(request.slo_end, request.give_up_at):
-            if request.place < 0 and self._on_cores():  # an idle node takes what comes
+        if request.share_standing and now + HOPE * self.span[group.index] <= min(
+            request.objective_end, request.deadline
+        ):
+            if request.share_standing < 0 and self._on_cores():  # an idle node takes what comes
                 return self._deny(request)
-            stage = Stage.NORMAL if request.place > 0 else stage  # room was kept for it
+            stage = Stage.NORMAL if request.share_standing > 0 else stage  # room was kept for it
         elif stage == Stage.REJECT or now + self._needed(group.index) > min(
-            request.slo_end, request.give_up_at
+            request.objective_end, request.deadline
         ):
             return self._deny(
-                request, request.marked_retry or self.readings.mean(now, 0.0) > READ_CROWD * limits.cores
+                request, request.retry_attempt or self.readings.mean(now, 0.0) > READ_CROWD * limits.cores
             )
         self.cut += min(1.0, CUT_PACE * limits.cores) * (self._cut(depth) - self.cut)
         if stage >= Stage.REORDER and request.rank < self.cut:
             return self._deny(
                 request,
-                request.marked_retry or not limits.marks_retries or self.retries.mean(now, 1.0) > RETRIES,
+                request.retry_attempt or not limits.marks_retries or self.retries.mean(now, 1.0) > RETRIES,
             )
-        if request.has_key and (limits.fresh or group.effect is Effect.DEDUPLICATED):
+        if request.has_key and (limits.cache_ttl or group.idempotency is Idempotency.IDEMPOTENCY_KEY):
             self._remember(request)
-        self._alarm(request, request.give_up_at)
-        if request.promise:
-            self.fair.promises.end(request.promise, True)  # type: ignore[union-attr]
+        self._alarm(request, request.deadline)
+        if request.reservation:
+            self.fair.promises.end(request.reservation, True)  # type: ignore[union-attr]
         if stage == Stage.BACKPRESSURE:
             self._move(request, RequestState.DELAYED)
             self._alarm(request, now + DELAY)
         else:
             self._admit(request)
 
-    def settle(self, now: int) -> None:
+    def schedule(self, now: int) -> None:
         """After all that came in at one moment: place the calls that can be, start what may run."""
         self.now = now
         while self.waiting and self._place_call(self.waiting[0]):
@@ -268,14 +277,14 @@
         )
         if self.stale > STALE and reading > RUN_LEAST:
             run = 0  # in a jam one run beside the reading makes all that is read too old to be served
-        crowd = (1 + (limits.crowd_multiple - 1) * self._warmth()) * limits.cores * CROWD_ROOM
+        crowd = (1 + (limits.overload_multiple - 1) * self._warmth()) * limits.cores * CROWD_ROOM
         while self.hold:
             request = self.hold[0][2]
-            if request.state is not RequestState.HELD:
+            if request.state is not RequestState.QUEUED:
                 heappop(self.hold)
                 continue
             on_cores = self._on_cores()
-            more = request.memory_kb * (limits.run_factor - 1)
+            more = request.memory_kb * (limits.running_memory_factor - 1)
             if (
                 on_cores + 0.5 > run
                 or on_cores + self.count[RequestState.CALLING] + 1 > crowd
@@ -283,14 +292,16 @@
             ):
                 break
             heappop(self.hold)
-            if now + HOPE * self.span[request.group.index] > min(request.slo_end, request.give_up_at):
+            if now + HOPE * self.span[request.request_class.index] > min(
+                request.objective_end, request.deadline
+            ):
                 self._deny(request)  # it waited too long behind higher ranks: no run in vain
                 continue
             self._move(request, RequestState.RUNNING)
             self.host.run(request)
 
     def _admit(self, request: Request) -> None:
-        self._move(request, RequestState.HELD)
+        self._move(request, RequestState.QUEUED)
         heappush(self.hold, (-request.rank, next(self.order), request))
 
     # What the ladder goes by.
@@ -300,7 +311,7 @@
 
     def _depth(self) -> float:
         """In the hold and on the cores, for each core; those at calls have a bound of their own."""
-        held = self.count[RequestState.DELAYED] + self.count[RequestState.HELD]
+        held = self.count[RequestState.DELAYED] + self.count[RequestState.QUEUED]
         return max(0, held + self._on_cores() - DEPTH_SPARE) / self.limits.cores
 
     def _on_cores(self) -> int:
@@ -308,7 +319,7 @@
         return (
             self.count[RequestState.RUNNING]
             + self.count[RequestState.ORPHANED]
-            + self.count[RequestState.AT_CALL]
+            + self.count[RequestState.AWAITING_CALL]
         )
 
     def _cut(self, depth: float) -> float:
@@ -319,17 +330,17 @@
 
     def _needed(self, group: int) -> int:
         """The time that an exchange of the group must have left, behind what is held."""
-        held = self.count[RequestState.HELD] + self.count[RequestState.DELAYED]
+        held = self.count[RequestState.QUEUED] + self.count[RequestState.DELAYED]
         wait = sum(self.span) / len(self.span) * held / (RUN[1] * self.limits.cores)
         return int(HOPE * (self.span[group] + wait))
 
     def _warmth(self) -> float:
         """The least share of full speed that the node may have by now."""
         limits = self.limits
-        if not limits.cold or not limits.cold_time:
+        if not limits.starts_cold or not limits.slow_start_time:
             return 1.0
-        warmed = min(1.0, (self.now - self.started) / limits.cold_time)
-        return limits.cold_from + (1 - limits.cold_from) * warmed
+        warmed = min(1.0, (self.now - self.started) / limits.slow_start_time)
+        return limits.slow_start_share + (1 - limits.slow_start_share) * warmed
 
     # Answers.
 
@@ -338,37 +349,37 @@
         after = self.return_after()
         if self.fair and self.limits.max_retry_after and not self.stop_at:
             after = self.fair.return_after(self.now, request, self.limits.max_retry_after)
-        self.host.deny(request, last, after)
-        if request.remembered:
-            request.remembered = False
-            self.host.forget(request)
-        self._move(request, RequestState.OVER)
+        self.host.reject(request, last, after)
+        if request.key_retained:
+            request.key_retained = False
+            self.host.release_key(request)
+        self._move(request, RequestState.FINISHED)
 
     def _give_up(self, request: Request) -> None:
         """Answer at once what can no longer be in time, and stop its work where the host can."""
-        if request.state in (RequestState.DELAYED, RequestState.HELD):
+        if request.state in (RequestState.DELAYED, RequestState.QUEUED):
             return self._deny(request)
         if request.state < RequestState.ORPHANED:
-            if request.group.once:
-                self.host.terminate(request)
+            if request.request_class.at_most_once:
+                self.host.fail(request)
             else:
-                self.host.deny(request, True, self.return_after())
+                self.host.reject(request, True, self.return_after())
             self._abandon(request)
 
     def _abandon(self, request: Request) -> None:
         """Nobody waits for it any more: stop its work where the host can, so that no core is held in vain."""
         if request.state is RequestState.RUNNING:
             self._move(request, RequestState.ORPHANED)
-            self.spans[request.group.index].add(
-                self.now, request.on_cores
+            self.spans[request.request_class.index].add(
+                self.now, request.service_time
             )  # or a stuck node would not see it
             if self.limits.stop_kind is not StopKind.NONE:
-                self.host.stop(request)
-        elif request.state in (RequestState.AT_CALL, RequestState.CALLING):
+                self.host.cancel(request)
+        elif request.state in (RequestState.AWAITING_CALL, RequestState.CALLING):
             self._end_call(request, self.limits.call_linger)
-            self._move(request, RequestState.ENDING)
+            self._move(request, RequestState.RELEASING)
         elif request.state < RequestState.ORPHANED:
-            self._move(request, RequestState.OVER)
+            self._move(request, RequestState.FINISHED)
 
     def return_after(self) -> int:
         """When to return: soon where only low ranks are shed, as a caller stays away with all that it has."""
@@ -382,50 +393,53 @@
         if state not in TRANSITIONS[old]:
             raise RuntimeError(f"an exchange can't go from {old.name} to {state.name}")
         if old is RequestState.RUNNING:
-            request.on_cores += self.now - request.since
+            request.service_time += self.now - request.state_since
         self.count[old] -= 1
         self.count[state] += 1
         self.memory_kb += request.memory_kb * (self.weight[state] - self.weight[old])
-        request.state, request.since = state, self.now
+        request.state, request.state_since = state, self.now
 
     def _remember(self, request: Request) -> None:
         """Keep its key: through its time and as long after as its answer may serve."""
         duration = (
-            request.group.window
-            if request.group.once
-            else max(0, request.give_up_at - self.now) + self.limits.fresh
+            request.request_class.idempotency_window
+            if request.request_class.at_most_once
+            else max(0, request.deadline - self.now) + self.limits.cache_ttl
         )
-        self.host.remember(request, duration)
-        request.remembered = True
+        self.host.retain_key(request, duration)
+        request.key_retained = True
         self.memory_kb += self.limits.key_kb
         heappush(self.keys, self.now + duration)
 
     # What the host tells.
 
-    def run_done(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
+    def run_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
         """A run or a share is over."""
         self.now = now
         state = request.state
-        if state is RequestState.OVER or outcome is Outcome.MOOT:
+        if state is RequestState.FINISHED or outcome is Outcome.NEVER_STARTED:
             return
         self._end_call(request, 0)
-        if outcome is Outcome.STOPPED and state in (
+        if outcome is Outcome.CANCELLED and state in (
             RequestState.RUNNING,
-            RequestState.AT_CALL,
+            RequestState.AWAITING_CALL,
             RequestState.CALLING,
         ):
-            self.host.terminate(request)  # stopped, but not by us: it must not stay without an answer
-        self._move(request, RequestState.OVER)
+            self.host.fail(request)  # stopped, but not by us: it must not stay without an answer
+        self._move(request, RequestState.FINISHED)
         if outcome is Outcome.COMPLETED and state is RequestState.RUNNING:
-            self.spans[request.group.index].add(now, request.on_cores)
-            self.latency.add(now, (now - request.arrived + request.backlog) / request.group.slo_time)
+            self.spans[request.request_class.index].add(now, request.service_time)
+            self.latency.add(
+                now,
+                (now - request.arrived_at + request.queueing_delay) / request.request_class.latency_objective,
+            )
 
-    def gone(self, now: int, request: Request) -> None:
+    def client_disconnected(self, now: int, request: Request) -> None:
         """The caller is known to have given up; no answer is owed."""
         self.now = now
         self._abandon(request)
 
-    def leave(self, now: int, left: int | None) -> None:
+    def drain(self, now: int, left: int | None) -> None:
         """The notice to leave: finish what can be before the stop, answer the rest just before it; None takes
         it back. A further notice brings the stop forward or puts it off, and never the end of the grace."""
         self.now = now
@@ -436,11 +450,11 @@
         for request in [
             request for step in sorted(self.alarms) for request in self.alarms[step] if self.stop_at
         ]:
-            if request.give_up_at > self.stop_at - STOP_ROOM:
-                request.give_up_at = self.stop_at - STOP_ROOM
-                self._alarm(request, request.give_up_at)
+            if request.deadline > self.stop_at - STOP_ROOM:
+                request.deadline = self.stop_at - STOP_ROOM
+                self._alarm(request, request.deadline)
 
-    def timer(self, now: int, token: int, gauges: Gauges) -> None:
+    def timer_expired(self, now: int, token: int, gauges: Gauges) -> None:
         """The poll of the ladder, or a step of alarms."""
         self.now = now
         self.reading = max(0.0, gauges.run_queue - self._on_cores())
@@ -479,7 +493,7 @@
                 best, keep = net - (LINK_STEP << step) * others, LINK_STEP << step
         if self.readings.mean(self.now, 0.0) > LINK_CROWD * self.limits.cores:
             keep = max(keep, int(links * SECOND / (LINK_RATE * self.limits.cores)))
-        self.host.close_idle(min(self.limits.idle, keep))
+        self.host.close_idle(min(self.limits.idle_timeout, keep))
 
     def _alarm(self, request: Request, at: int) -> None:
         """Look at the exchange again at a time: one timer serves all alarms of a step."""
@@ -490,10 +504,13 @@
         self.alarms[step].append(request)
 
     def _ring(self, request: Request) -> None:
-        if self.now + ALARM_STEP > request.give_up_at:
+        if self.now + ALARM_STEP > request.deadline:
             self._give_up(request)
-        elif request.state is RequestState.AT_CALL:
-            if request.group.skip_share and self.now >= request.since + CALL_WAIT * request.group.slo_time:
+        elif request.state is RequestState.AWAITING_CALL:
+            if (
+                request.request_class.degraded_weight
+                and self.now >= request.state_since + CALL_WAIT * request.request_class.latency_objective
+            ):
                 self._leave_out(request)
         elif request.state is RequestState.DELAYED:
             (self._deny if self.depth_stage == Stage.REJECT else self._admit)(request)
@@ -506,9 +523,9 @@
             rate = sum(counts) * SECOND / min(WINDOW_BUCKETS * WINDOW_STEP, max(1, self.now - self.started))
             allowance = limits.tenants[tenant].allowance_per_s / limits.peers if limits.tenants else 0.0
             within = min(1.0, allowance / rate) if rate and allowance else 1.0
-            worth = within + (1 - within) * limits.over_share
-            for group in limits.groups:
-                density = group.benefit * worth / max(1, self.span[group.index])
+            worth = within + (1 - within) * limits.over_allowance_weight
+            for group in limits.request_classes:
+                density = group.priority_weight * worth / max(1, self.span[group.index])
                 rows.append((density, group.index, tenant, counts[group.index]))
         rows.sort()
         total = sum(row[3] for row in rows) or 1
@@ -519,8 +536,8 @@
 
     def _advise(self) -> None:
         """Tell callers how much to send, in the meaning that they give to the value."""
-        kind = self.limits.advice
-        if kind is LoadReportKind.SILENT:
+        kind = self.limits.load_report
+        if kind is LoadReportKind.NONE:
             return
         cut = 1.0 if self.stop_at else self.cut
         # A denial costs its reading, one sent elsewhere nothing: lower until what wants a core is bounded.
@@ -528,83 +545,92 @@
         step = ADVICE_DOWN if crowd > ADVICE_CROWD else ADVICE_UP
         self.willing = min(1.0, max(ADVICE_LEAST, self.willing * step))
         value = {
-            LoadReportKind.LEVEL: cut,
-            LoadReportKind.SHARE: ADVICE_LEAST if self.stop_at else min(self.willing, self._warmth()),
-            LoadReportKind.WINDOW: max(1.0, DEPTH[4] * self.limits.cores * (1 - cut)),
+            LoadReportKind.MINIMUM_RANK: cut,
+            LoadReportKind.ADVERTISED_SHARE: ADVICE_LEAST
+            if self.stop_at
+            else min(self.willing, self._warmth()),
+            LoadReportKind.CONCURRENCY_LIMIT: max(1.0, DEPTH[4] * self.limits.cores * (1 - cut)),
         }[kind]
         if value != self.advice:
             self.advice = value
-            self.host.advise(value)
+            self.host.report_load(value)
 
     # Calls below.
 
-    def at_call(self, now: int, request: Request) -> None:
+    def call_needed(self, now: int, request: Request) -> None:
         """A run can't go on without a call."""
         self.now = now
         if request.state is RequestState.ORPHANED:
-            return self._move(request, RequestState.ENDING)
+            return self._move(request, RequestState.RELEASING)
         if request.state is RequestState.RUNNING:
-            self._move(request, RequestState.AT_CALL)
+            self._move(request, RequestState.AWAITING_CALL)
             self._try_call(request)
 
-    def call_done(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
+    def call_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
         """A call came back: go on, try again, leave it out, or give the exchange up."""
         self.now = now
         if request.state is not RequestState.CALLING:
             return None
-        self._end_call(request, self.limits.call_linger if outcome is Outcome.GIVEN_UP else 0)
+        self._end_call(request, self.limits.call_linger if outcome is Outcome.TIMED_OUT else 0)
         if outcome is Outcome.COMPLETED:
             self.calls_failed = 0
             return self._move(request, RequestState.RUNNING)
         self.calls_failed += 1
-        request.calls_failed += 1
-        self._move(request, RequestState.AT_CALL)
-        broke = outcome in (Outcome.UNREACHED, Outcome.RESET)  # its link did: what lies below is not full
-        may = not request.group.once or outcome in (
-            Outcome.DENIED,
-            Outcome.UNREACHED,
-            Outcome.MOOT,
+        request.failed_calls += 1
+        self._move(request, RequestState.AWAITING_CALL)
+        broke = outcome in (
+            Outcome.CONNECT_FAILED,
+            Outcome.RESET,
+        )  # its link did: what lies below is not full
+        may = not request.request_class.at_most_once or outcome in (
+            Outcome.REJECTED,
+            Outcome.CONNECT_FAILED,
+            Outcome.NEVER_STARTED,
         )  # never ran
-        if request.calls_failed < CALL_TRIES and may and (broke or not request.group.skip_share):
+        if request.failed_calls < CALL_TRIES and may and (broke or not request.request_class.degraded_weight):
             self._try_call(request)
-        elif request.group.skip_share:
+        elif request.request_class.degraded_weight:
             self._leave_out(request)
         else:
             self._give_up(request)
 
     def _try_call(self, request: Request) -> None:
         if not self._place_call(request):
-            if request.group.skip_share and self.calls_failed >= BREAK_AFTER:
+            if request.request_class.degraded_weight and self.calls_failed >= BREAK_AFTER:
                 return self._leave_out(request)  # no use to wait for what is known to fail
             self.waiting.append(request)
-            if request.group.skip_share:
-                self._alarm(request, self.now + int(CALL_WAIT * request.group.slo_time) + ALARM_STEP)
+            if request.request_class.degraded_weight:
+                self._alarm(
+                    request, self.now + int(CALL_WAIT * request.request_class.latency_objective) + ALARM_STEP
+                )
 
     def _leave_out(self, request: Request) -> None:
-        self.host.leave_out(request)
+        self.host.skip_call(request)
         self._move(request, RequestState.RUNNING)
 
     def _place_call(self, request: Request) -> bool:
         """Place its call if the breaker and the share of what lies below leave room."""
-        if request.state is not RequestState.AT_CALL:
+        if request.state is not RequestState.AWAITING_CALL:
             return True
         limits, now = self.limits, self.now
         if self.calls_failed >= BREAK_AFTER and now < self.trial_at:
             return False
-        until = request.give_up_at
-        if request.group.skip_share:  # leave time to end without the call
-            until = max(now + MS, until - int(self.span[request.group.index]))
-        if limits.below is DownstreamKind.SHARED and limits.call_share:
-            budget = limits.call_share * limits.call_window * CALL_ROOM
-            until = min(until, now + int(min(request.group.slo_time * CALL_TIME, budget / 2)))
+        until = request.deadline
+        if request.request_class.degraded_weight:  # leave time to end without the call
+            until = max(now + MS, until - int(self.span[request.request_class.index]))
+        if limits.downstream is DownstreamKind.SHARED and limits.downstream_quota:
+            budget = limits.downstream_quota * limits.downstream_window * CALL_ROOM
+            until = min(
+                until, now + int(min(request.request_class.latency_objective * CALL_TIME, budget / 2))
+            )
             commit = until - now + limits.call_linger
-            crowd = max(1.0, limits.call_share * CALL_CROWD)
+            crowd = max(1.0, limits.downstream_quota * CALL_CROWD)
             if (
                 self.count[RequestState.CALLING] + 1 > crowd
                 or self.calls_time.total(now)[0] + self.calls_booked + commit > budget
             ):
                 return False
-            request.call_commit = commit
+            request.committed_call_time = commit
             self.calls_booked += commit
         self.trial_at = now + TRIAL_EVERY
         self.host.call(request, until)
@@ -614,6 +640,6 @@
     def _end_call(self, request: Request, linger: int) -> None:
         """Book the time that a call was in the hands of what lies below."""
         if request.state is RequestState.CALLING:
-            self.calls_booked -= request.call_commit
-            request.call_commit = 0
-            self.calls_time.add(self.now, self.now - request.since + linger)
+            self.calls_booked -= request.committed_call_time
+            request.committed_call_time = 0
+            self.calls_time.add(self.now, self.now - request.state_since + linger)
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -29,8 +29,8 @@
 class FairSharing:
     def __init__(self, rules: FairSharingRules, marks_retries: bool, chance: Callable[[], float]) -> None:
         self.marks_retries, self.chance = marks_retries, chance
-        self.levels = MaxMinShares(len(rules.by), rules.places, rules.half, rules.weights)
-        self.promises = Reservations(STEP, STEPS, rules.promises)
+        self.levels = MaxMinShares(len(rules.levels), rules.max_flows, rules.half_life, rules.weights)
+        self.promises = Reservations(STEP, STEPS, rules.max_reservations)
         self.room, self.looked = 0.0, 0  # for promises in one step; when shares were set
 
     def arrive(self, now: int, request: Request, work: float, capacity: float) -> None:
@@ -38,20 +38,22 @@
         if now - self.looked >= EVERY:
             self.looked, self.room = now, capacity * PROMISED_ROOM * STEP
             self.levels.share_out(now, capacity * ROOM * SECOND)
-        key, again = request.who[-1][0], request.marked_retry or not self.marks_retries
-        request.promise = (
+        key, again = request.flow_keys[-1][0], request.retry_attempt or not self.marks_retries
+        request.reservation = (
             self.promises.due(now, key, EARLY, LATE) if again else None
         )  # it comes as it was told
-        request.work, asked = work, 0.0 if request.promise else work  # and asks for nothing new
-        sender = request.sender = self.levels.count(now, request.who, asked, request.marked_retry)
-        if request.promise and request.promise.work:
-            request.place = ShareStanding.PROMISED
+        request.expected_work, asked = work, 0.0 if request.reservation else work  # and asks for nothing new
+        sender = request.flow = self.levels.count(now, request.flow_keys, asked, request.retry_attempt)
+        if request.reservation and request.reservation.work:
+            request.share_standing = ShareStanding.RESERVED
             return
-        if request.promise:  # told a time, and no room: it is judged as any other
-            self.promises.end(request.promise, None)
-            request.promise = None
+        if request.reservation:  # told a time, and no room: it is judged as any other
+            self.promises.end(request.reservation, None)
+            request.reservation = None
         elif again and (ahead := self.promises.ahead(key)):
-            request.place = ShareStanding.OVER  # to try before its time gains nothing, and waits longer
+            request.share_standing = (
+                ShareStanding.OVER_SHARE
+            )  # to try before its time gains nothing, and waits longer
             if ahead.early < EARLY_MOST and self.promises.all_known(key):
                 own = min(SECOND, int(work / max(1.0, sender.allowed) * SECOND))
                 self.promises.put_off(now, ahead, ahead.at + max(STEP, own), self.room)
@@ -62,29 +64,31 @@
         else:
             rest = self.levels.kept_of_rest(sender)
             over = rest < 1 and not known and self.chance() > rest
-        tries = request.marked_retry and known and sender.retries > RETRY_SHARE * sender.count
-        request.place = ShareStanding.OVER if over or tries else ShareStanding.FAIR
-        if request.place is ShareStanding.FAIR:  # of its share, though the ladder may still deny it
+        tries = request.retry_attempt and known and sender.retries > RETRY_SHARE * sender.count
+        request.share_standing = ShareStanding.OVER_SHARE if over or tries else ShareStanding.WITHIN_SHARE
+        if (
+            request.share_standing is ShareStanding.WITHIN_SHARE
+        ):  # of its share, though the ladder may still deny it
             self._charge(now, request)
 
     def _charge(self, now: int, request: Request) -> None:
-        if request.sender.allowed < inf:
-            took = int(request.work / max(1.0, request.sender.allowed) * SECOND)
-            request.sender.free_at = max(request.sender.free_at, now) + took
+        if request.flow.allowed < inf:
+            took = int(request.expected_work / max(1.0, request.flow.allowed) * SECOND)
+            request.flow.free_at = max(request.flow.free_at, now) + took
 
     def return_after(self, now: int, request: Request, most: int) -> int:
         """How long one that is denied should stay away: until room that is its own, if that can be told."""
-        sender, known = request.sender, request.sender.allowed < inf
-        if request.promise and request.state is RequestState.READ:
-            self.promises.end(request.promise, False)  # the room was not enough
-        if request.place is ShareStanding.OVER and not known:
+        sender, known = request.flow, request.flow.allowed < inf
+        if request.reservation and request.state is RequestState.READ:
+            self.promises.end(request.reservation, False)  # the room was not enough
+        if request.share_standing is ShareStanding.OVER_SHARE and not known:
             return most  # one of many who share too little to promise them any
         own = sender.free_at - BURST if known else now
         promise = None
         if (
-            request.place is not ShareStanding.OVER or not request.marked_retry
+            request.share_standing is not ShareStanding.OVER_SHARE or not request.retry_attempt
         ):  # nothing more for one that came early
-            promise = self.promises.book(now, max(now, own), sender.key, request.work, self.room)
+            promise = self.promises.book(now, max(now, own), sender.key, request.expected_work, self.room)
         if promise and promise.at - now <= most:
             self._charge(now, request)
             return promise.at - now
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -12,12 +12,12 @@
 from typing import Any, Protocol
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """Whether an exchange may take effect again."""
 
-    REPEATABLE = "repeatable"
-    DEDUPLICATED = "deduplicated"
-    MUTATING = "mutating"
+    IDEMPOTENT = "repeatable"
+    IDEMPOTENCY_KEY = "deduplicated"
+    NON_IDEMPOTENT = "mutating"
 
 
 class StopKind(Enum):
@@ -31,16 +31,16 @@
 class LoadReportKind(Enum):
     """How callers read the value given to `Host.advise`."""
 
-    SILENT = "silent"
-    LEVEL = "level"  # no exchange ranked below the value is sent here
-    WINDOW = "window"  # the most exchanges a caller may have out here
-    SHARE = "share"  # the chance that a caller does not skip this node
+    NONE = "silent"
+    MINIMUM_RANK = "level"  # no exchange ranked below the value is sent here
+    CONCURRENCY_LIMIT = "window"  # the most exchanges a caller may have out here
+    ADVERTISED_SHARE = "share"  # the chance that a caller does not skip this node
 
 
 class DownstreamKind(Enum):
     """What the exchanges of this node call."""
 
-    NOTHING = "nothing"
+    NONE = "nothing"
     SHARED = "shared"
     TIER = "tier"
 
@@ -50,12 +50,12 @@
 
     COMPLETED = "completed"
     ERROR = "error"
-    DENIED = "denied"  # never ran
-    GIVEN_UP = "given up"
-    UNREACHED = "unreached"  # never ran
+    REJECTED = "denied"  # never ran
+    TIMED_OUT = "given up"
+    CONNECT_FAILED = "unreached"  # never ran
     RESET = "reset"
-    STOPPED = "stopped"
-    MOOT = "moot"  # never ran
+    CANCELLED = "stopped"
+    NEVER_STARTED = "moot"  # never ran
 
 
 class RequestState(IntEnum):
@@ -63,14 +63,14 @@
 
     READ = 0  # read, not yet decided
     DELAYED = 1  # in the hold, under the Backpressure wait
-    HELD = 2  # in the hold, may start
-    SHARING = 3  # waits for the result of the one that it repeats
+    QUEUED = 2  # in the hold, may start
+    COALESCED = 3  # waits for the result of the one that it repeats
     RUNNING = 4  # on the cores
-    AT_CALL = 5  # off the cores, its call not placed
+    AWAITING_CALL = 5  # off the cores, its call not placed
     CALLING = 6  # off the cores, its call placed
     ORPHANED = 7  # answered, its run still on the cores
-    ENDING = 8  # answered at a call, its memory not yet free
-    OVER = 9
+    RELEASING = 8  # answered at a call, its memory not yet free
+    FINISHED = 9
 
 
 @dataclass(slots=True, eq=False)
@@ -78,18 +78,18 @@
     """A row of the table of endpoint groups."""
 
     index: int
-    effect: Effect
-    benefit: float
-    slo_time: int
-    async_timeout: int
-    window: int  # a deduplicated exchange may come again within this
-    late_share: float  # of the benefit, for an answer after the SLO time
-    skip_share: float  # of the benefit, where a call is left out
+    idempotency: Idempotency
+    priority_weight: float
+    latency_objective: int
+    client_timeout: int
+    idempotency_window: int  # a deduplicated exchange may come again within this
+    late_weight: float  # of the benefit, for an answer after the SLO time
+    degraded_weight: float  # of the benefit, where a call is left out
 
     @property
-    def once(self) -> bool:
+    def at_most_once(self) -> bool:
         """It may not take effect again."""
-        return self.effect is not Effect.REPEATABLE
+        return self.idempotency is not Idempotency.IDEMPOTENT
 
 
 @dataclass(slots=True, eq=False)
@@ -103,20 +103,22 @@
 class ShareStanding(IntEnum):
     """Where an exchange stands among those of all senders: below FAIR denied first, above it run first."""
 
-    OVER = -1  # its sender had its share
-    FAIR = 0
-    PROMISED = 1  # its sender came when it was told to
+    OVER_SHARE = -1  # its sender had its share
+    WITHIN_SHARE = 0
+    RESERVED = 1  # its sender came when it was told to
 
 
 @dataclass(slots=True, eq=False)
 class FairSharingRules:
     """Who counts as one sender, and what each may have; told by the operator."""
 
-    by: tuple[str, ...]  # one level or two, the outermost first: tenant, caller, subject or a field's name
+    levels: tuple[
+        str, ...
+    ]  # one level or two, the outermost first: tenant, caller, subject or a field's name
     weights: dict[bytes, float]  # by the value of the level's field; 1 where none is told
-    places: int = 256  # senders known at one time, at each level
-    promises: int = 1024  # open at one time
-    half: int = 4_000_000_000  # the age at which what was sent counts half
+    max_flows: int = 256  # senders known at one time, at each level
+    max_reservations: int = 1024  # open at one time
+    half_life: int = 4_000_000_000  # the age at which what was sent counts half
 
 
 @dataclass(slots=True, eq=False)
@@ -125,62 +127,62 @@
 
     cores: int
     memory_kb: float
-    run_factor: float  # memory of a running exchange over that of a held one
+    running_memory_factor: float  # memory of a running exchange over that of a held one
     key_kb: float
-    cold: bool
-    cold_from: float  # share of full speed that a cold node starts at
-    cold_time: int
-    crowd_multiple: float  # running exchanges a core that a warm node survives
+    starts_cold: bool
+    slow_start_share: float  # share of full speed that a cold node starts at
+    slow_start_time: int
+    overload_multiple: float  # running exchanges a core that a warm node survives
     drain_grace: int
     marks_retries: bool  # later tries come marked
     max_retry_after: int  # 0: callers take no such advice
     stop_kind: StopKind
     peers: int
-    below: DownstreamKind
-    call_share: float  # mean calls in the hands of what lies below; 0: no bound
-    call_window: int
+    downstream: DownstreamKind
+    downstream_quota: float  # mean calls in the hands of what lies below; 0: no bound
+    downstream_window: int
     call_linger: int
-    fresh: int  # how long an answer may serve other reads; 0: never
-    idle: int
-    advice: LoadReportKind
-    over_share: float  # benefit of an exchange above its tenant's share
-    groups: list[RequestClass]
+    cache_ttl: int  # how long an answer may serve other reads; 0: never
+    idle_timeout: int
+    load_report: LoadReportKind
+    over_allowance_weight: float  # benefit of an exchange above its tenant's share
+    request_classes: list[RequestClass]
     tenants: list[Tenant]
-    fair: FairSharingRules | None = None  # None: no sender is told from another
+    fair_sharing: FairSharingRules | None = None  # None: no sender is told from another
 
 
 @dataclass(slots=True, eq=False)
 class Request:
     """One exchange read by this node: the host fills in the first block, the decisions keep the second."""
 
-    group: RequestClass
+    request_class: RequestClass
     tenant: Tenant | None
-    caller: int
+    client: int
     memory_kb: float
-    marked_retry: bool
-    left: int  # until its caller gives up, 0 where not told
-    backlog: int  # since it reached the machine
+    retry_attempt: bool
+    remaining_time: int  # until its caller gives up, 0 where not told
+    queueing_delay: int  # since it reached the machine
     has_key: bool  # reads of its key may be shared
-    repeats: bool  # it repeats an exchange that the host remembers
+    is_duplicate: bool  # it repeats an exchange that the host remembers
 
     state: RequestState = RequestState.READ
-    slo_end: int = 0
-    give_up_at: int = 0
-    since: int = 0  # when it entered its state
-    arrived: int = 0
-    on_cores: int = 0  # time spent on the cores so far
+    objective_end: int = 0
+    deadline: int = 0
+    state_since: int = 0  # when it entered its state
+    arrived_at: int = 0
+    service_time: int = 0  # time spent on the cores so far
     rank: float = 0.0
-    calls_failed: int = 0
-    call_commit: int = 0  # call time booked for a call in flight
-    remembered: bool = False
+    failed_calls: int = 0
+    committed_call_time: int = 0  # call time booked for a call in flight
+    key_retained: bool = False
 
-    who: tuple[
+    flow_keys: tuple[
         tuple[int, bytes], ...
     ] = ()  # its senders by level, as keys and labels; told where shares are fair
-    sender: Any = None
-    promise: Any = None  # that it comes by
-    place: ShareStanding = ShareStanding.FAIR
-    work: float = 0.0  # time on the cores that it was counted with
+    flow: Any = None
+    reservation: Any = None  # that it comes by
+    share_standing: ShareStanding = ShareStanding.WITHIN_SHARE
+    expected_work: float = 0.0  # time on the cores that it was counted with
 
 
 @dataclass(slots=True)
@@ -197,16 +199,16 @@
     """What the decisions may ask of the node."""
 
     def run(self, request: Request) -> None: ...
-    def deny(self, request: Request, last: bool, retry_after: int) -> None: ...
-    def terminate(self, request: Request) -> None: ...
-    def stop(self, request: Request) -> None: ...
+    def reject(self, request: Request, last: bool, retry_after: int) -> None: ...
+    def fail(self, request: Request) -> None: ...
+    def cancel(self, request: Request) -> None: ...
     def call(self, request: Request, until: int) -> None: ...
-    def leave_out(self, request: Request) -> None: ...
-    def share(self, request: Request) -> None: ...
-    def remember(self, request: Request, duration: int) -> None: ...
-    def forget(self, request: Request) -> None: ...
+    def skip_call(self, request: Request) -> None: ...
+    def coalesce(self, request: Request) -> None: ...
+    def retain_key(self, request: Request, duration: int) -> None: ...
+    def release_key(self, request: Request) -> None: ...
     def set_timer(self, token: int, at: int) -> None: ...
     def set_health(self, good: bool, stored: bool) -> None: ...
-    def advise(self, value: float) -> None: ...
+    def report_load(self, value: float) -> None: ...
     def close_idle(self, after: int) -> None: ...
     def note(self, text: str) -> None: ...
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -19,10 +19,10 @@
 WITH_BODY = frozenset({(1, b"DATA")})
 REPLIES = {
     b"DATA": Outcome.COMPLETED,
-    b"LATER": Outcome.DENIED,
+    b"LATER": Outcome.REJECTED,
     b"FAULT": Outcome.ERROR,
-    b"TOOSLOW": Outcome.GIVEN_UP,
-    b"NOUSE": Outcome.MOOT,
+    b"TOOSLOW": Outcome.TIMED_OUT,
+    b"NOUSE": Outcome.NEVER_STARTED,
 }
 
 
@@ -45,13 +45,13 @@
             self.request.post(CallFinished(outcome, reply, self.link.used - self.placed))
         self.link.leave()
 
-    def give_up(self, outcome: Outcome | None = Outcome.GIVEN_UP) -> None:
+    def give_up(self, outcome: Outcome | None = Outcome.TIMED_OUT) -> None:
         """A link on which a call went unanswered may be of no use any more: it takes no other."""
         if self.link.early.pop(self.request.ident, None) is None:
             self.link.spent = True
             self.link.write(b"QUIT %s\r\n" % self.request.ident)
         elif outcome is not None:
-            outcome = Outcome.UNREACHED  # it never left
+            outcome = Outcome.CONNECT_FAILED  # it never left
         self.end(outcome)
 
 
@@ -99,7 +99,7 @@
             if self.partial:
                 self.partial.cancel()
             # One that was never connected carried nothing; one that broke proves nothing.
-            outcome = Outcome.RESET if self.connected else Outcome.UNREACHED
+            outcome = Outcome.RESET if self.connected else Outcome.CONNECT_FAILED
             for call in list(self.calls.values()):
                 call.end(outcome)
 
@@ -153,7 +153,7 @@
         """Place the call that its run waits for; `CallFinished` tells how it ended."""
         link = self._link(request)
         if link is None:
-            return request.post(CallFinished(Outcome.UNREACHED, b"", 0))
+            return request.post(CallFinished(Outcome.CONNECT_FAILED, b"", 0))
         request.call = link.calls[request.ident] = Call(request, link, until)
         request.call_links.append(link)
         wait_ms = max(1, (until - request.call.placed) // MS)
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from oakkeel.admission.types import Effect, NodeLimits, RequestClass, Tenant
+from oakkeel.admission.types import Idempotency, NodeLimits, RequestClass, Tenant
 from oakkeel.dispatch.resp import encode
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import MS, ResourceLimits
@@ -18,7 +18,10 @@
 LAST = encode(b"0", b"last")
 BROKEN = encode(b"0", TERMINATED)  # to one whose bytes can't be read: no tag of its own is known
 FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
-MARKS = {Effect.DEDUPLICATED: b"opkey", Effect.REPEATABLE: b"subject"}  # what repeats are known by
+MARKS = {
+    Idempotency.IDEMPOTENCY_KEY: b"opkey",
+    Idempotency.IDEMPOTENT: b"subject",
+}  # what repeats are known by
 IDENT = re.compile(rb"[0-9a-fA-F]{16}")
 
 
@@ -49,7 +52,7 @@
         """`who` makes the senders of an exchange from its fields, where shares are fair."""
         self.bounds, self.who = bounds, who
         self.groups: dict[bytes, RequestClass] = {
-            name.encode(): group for name, group in zip(groups, limits.groups, strict=False)
+            name.encode(): group for name, group in zip(groups, limits.request_classes, strict=False)
         }
         self.tenants: dict[bytes, Tenant] = {
             name.encode(): tenant for name, tenant in zip(tenants, limits.tenants, strict=False)
@@ -83,24 +86,24 @@
         if b"level" in fields:
             self._number(fields, b"level", 1.0)
         # A subject tells that two reads ask for the same; of two mutating exchanges it tells nothing.
-        mark = fields.get(MARKS[group.effect], b"") if group.effect in MARKS else b""
+        mark = fields.get(MARKS[group.idempotency], b"") if group.idempotency in MARKS else b""
         return NodeRequest(
-            group=group,
+            request_class=group,
             tenant=self.tenants.get(fields.get(b"owner", b"")),
-            caller=int(self._number(fields, b"via", 1e15)) if b"via" in fields else 0,
+            client=int(self._number(fields, b"via", 1e15)) if b"via" in fields else 0,
             memory_kb=self._number(fields, b"need", self.bounds.need),
-            marked_retry=fields.get(b"resent") == b"1",
-            left=max(1, min(waits, group.async_timeout) - age) if waits else 0,
-            backlog=age,
+            retry_attempt=fields.get(b"resent") == b"1",
+            remaining_time=max(1, min(waits, group.client_timeout) - age) if waits else 0,
+            queueing_delay=age,
             has_key=bool(mark),
-            repeats=False,
+            is_duplicate=False,
             ident=ident,
             tag=tag,
             group_name=words[2],
             body=body,
             key=(group.index, fields.get(b"owner", b""), mark) if mark else None,
             connection=connection,
-            who=self.who(lambda name: fields.get(name, b"")) if self.who else (),
+            flow_keys=self.who(lambda name: fields.get(name, b"")) if self.who else (),
         )
 
     @staticmethod
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -131,10 +131,12 @@
         work.tries += 1
         self.sent += 1
         ident = self.number * 100_000_000 + self.sent
-        group = self.limits.groups[work.group]
+        group = self.limits.request_classes[work.group]
         request = Request(group, None, self.number, 25.0, work.tries > 1, manners.patience, 0, False, False)
-        due = now + min(manners.patience, group.async_timeout)
-        self.audit.sent(ident, now, due + 2 * manners.delay * 8, group.once, work.name, link.node.name)
+        due = now + min(manners.patience, group.client_timeout)
+        self.audit.sent(
+            ident, now, due + 2 * manners.delay * 8, group.at_most_once, work.name, link.node.name
+        )
         link.open += 1
         state = {"over": False}
 
@@ -154,7 +156,7 @@
             self.counts[word] += 1
             if retry_after:
                 link.away_until = self.clock.now + retry_after
-            self._again(work, group.once and word != "denied")
+            self._again(work, group.at_most_once and word != "denied")
 
         def silent() -> None:
             """No answer in the time that a try has here."""
@@ -165,7 +167,7 @@
             link.mean += 0.2 * (self.clock.now - now - link.mean)
             self.audit.excused(ident, self.clock.now)  # its caller is gone from here on
             self.clock.after(self._delay(), link.node.gone, request)
-            self._again(work, group.once)
+            self._again(work, group.at_most_once)
 
         if self.random.random() < manners.loss or not link.node.alive:
             self.audit.excused(ident, now)
@@ -188,9 +190,13 @@
         work.over = True
         self.counts[how] += 1
         if how == "completed":
-            group, took = self.limits.groups[work.group], self.clock.now - work.begun
+            group, took = self.limits.request_classes[work.group], self.clock.now - work.begun
             self.latencies.append(took)
-            self.benefit += group.benefit if took <= group.slo_time else group.benefit * group.late_share
+            self.benefit += (
+                group.priority_weight
+                if took <= group.latency_objective
+                else group.priority_weight * group.late_weight
+            )
 
     def _delay(self) -> int:
         return int(self.random.expovariate(1.0) * self.manners.delay)
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -60,7 +60,7 @@
         )
 
     def _read(self, opened: OpenRequest) -> None:
-        opened.request.backlog += self.clock.now - opened.arrived
+        opened.request.queueing_delay += self.clock.now - opened.arrived
         self.open[opened.request] = opened
         self.admission.arrive(self.clock.now, opened.request)
         self._settle_soon()
@@ -69,12 +69,12 @@
         """Its caller gave up."""
         if self.alive and (opened := self.open.get(request)) and not opened.answered:
             opened.answered = True
-            self.admission.gone(self.clock.now, request)
+            self.admission.client_disconnected(self.clock.now, request)
             self._settle_soon()
 
     def leave(self, left: int) -> None:
         self.audit.leaves_by(self.name, self.clock.now + self.limits.drain_grace)
-        self.admission.leave(self.clock.now, left)
+        self.admission.drain(self.clock.now, left)
 
     def die(self) -> None:
         """Without a word: what was open is lost with it."""
@@ -91,8 +91,8 @@
         self.audit.arrived_and_ran(opened.ident, opened.arrived)
         opened.task = self.machine.start(opened.work, lambda: self._done(opened))
         self.runs += 1
-        warm = self.machine.factor if self.limits.cold else 1.0
-        if self.runs / self.limits.cores > 1 + (self.limits.crowd_multiple - 1) * warm:
+        warm = self.machine.factor if self.limits.starts_cold else 1.0
+        if self.runs / self.limits.cores > 1 + (self.limits.overload_multiple - 1) * warm:
             self.audit.fell(self.name, f"{self.runs / self.limits.cores:.1f} runs a core")
 
     def _done(self, opened: OpenRequest) -> None:
@@ -100,12 +100,12 @@
             return
         self.runs -= 1
         self.audit.effect(opened.ident)
-        self.admission.run_done(self.clock.now, opened.request, Outcome.COMPLETED, 0)
+        self.admission.run_finished(self.clock.now, opened.request, Outcome.COMPLETED, 0)
         self._answer(opened, "completed", 0)
         self._over(opened)
         self._settle_soon()
 
-    def stop(self, request: Request) -> None:
+    def cancel(self, request: Request) -> None:
         opened = self.open[request]
         if opened.task and opened.task.counted:
             self.machine.stop(opened.task)
@@ -114,17 +114,17 @@
 
     def _stopped(self, opened: OpenRequest) -> None:
         if self.alive:
-            self.admission.run_done(self.clock.now, opened.request, Outcome.STOPPED, 0)
+            self.admission.run_finished(self.clock.now, opened.request, Outcome.CANCELLED, 0)
             self._over(opened)
             self._settle_soon()
 
-    def deny(self, request: Request, last: bool, retry_after: int) -> None:
+    def reject(self, request: Request, last: bool, retry_after: int) -> None:
         opened = self.open[request]
         self._answer(opened, "denied", retry_after)
         if opened.task is None:
             self._over(opened)
 
-    def terminate(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         self._answer(self.open[request], "terminated", 0)
 
     def _answer(self, opened: OpenRequest, word: str, retry_after: int) -> None:
@@ -145,7 +145,7 @@
         share = self.machine.busy_share(busy, self.clock.now - at)
         if token == 0:
             self.polled = self.machine.busy, self.clock.now
-        self.admission.timer(
+        self.admission.timer_expired(
             self.clock.now, token, Gauges(min(1.0, share), float(self.machine.tasks), 0.1, 1.0)
         )
         self._settle_soon()
@@ -158,10 +158,10 @@
     def _settle(self) -> None:
         self.settling = False
         if self.alive:
-            self.admission.settle(self.clock.now)
+            self.admission.schedule(self.clock.now)
 
     def set_health(self, good: bool, stored: bool) -> None:
         self.healthy = good
 
-    def advise(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.advice = value
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -9,7 +9,14 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.admission.types import DownstreamKind, Effect, LoadReportKind, NodeLimits, RequestClass, StopKind
+from oakkeel.admission.types import (
+    DownstreamKind,
+    Idempotency,
+    LoadReportKind,
+    NodeLimits,
+    RequestClass,
+    StopKind,
+)
 from oakkeel.emulator.clients import ClientBehavior, Dispatcher
 from oakkeel.emulator.clock import SECOND, Clock
 from oakkeel.emulator.invariants import RuleAudit
@@ -42,13 +49,13 @@
     benefit: float
     work: int  # nanoseconds of a core
     slo: int
-    effect: Effect = Effect.REPEATABLE
+    effect: Idempotency = Idempotency.IDEMPOTENT
 
 
 REQUEST_CLASSES = (
     RequestClassSpec(5.0, 30 * MS, 800 * MS),
     RequestClassSpec(1.0, 8 * MS, 400 * MS),
-    RequestClassSpec(2.0, 15 * MS, 600 * MS, Effect.MUTATING),
+    RequestClassSpec(2.0, 15 * MS, 600 * MS, Idempotency.NON_IDEMPOTENT),
 )
 
 
@@ -115,26 +122,26 @@
         return NodeLimits(
             cores=self.day.cores,
             memory_kb=100_000.0,
-            run_factor=8.0,
+            running_memory_factor=8.0,
             key_kb=0.0,
-            cold=cold,
-            cold_from=0.3,
-            cold_time=8 * SECOND,
-            crowd_multiple=8.0,
+            starts_cold=cold,
+            slow_start_share=0.3,
+            slow_start_time=8 * SECOND,
+            overload_multiple=8.0,
             drain_grace=2 * SECOND,
             marks_retries=True,
             max_retry_after=SECOND,
             stop_kind=StopKind.ABORT,
             peers=self.day.nodes,
-            below=DownstreamKind.NOTHING,
-            call_share=0.0,
-            call_window=SECOND,
+            downstream=DownstreamKind.NONE,
+            downstream_quota=0.0,
+            downstream_window=SECOND,
             call_linger=0,
-            fresh=0,
-            idle=15 * SECOND,
-            advice=LoadReportKind.SILENT,
-            over_share=1.0,
-            groups=groups,
+            cache_ttl=0,
+            idle_timeout=15 * SECOND,
+            load_report=LoadReportKind.NONE,
+            over_allowance_weight=1.0,
+            request_classes=groups,
             tenants=[],
         )
 
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -24,8 +24,8 @@
 ENDS = {
     b"success": Outcome.COMPLETED,
     b"failure": Outcome.ERROR,
-    b"interrupted": Outcome.STOPPED,
-    b"nothing": Outcome.MOOT,
+    b"interrupted": Outcome.CANCELLED,
+    b"nothing": Outcome.NEVER_STARTED,
 }
 
 
@@ -60,7 +60,7 @@
             and request.in_engine
             and self.written
             and self.verb == b"RUN"
-            and request.group.once
+            and request.request_class.at_most_once
             and self.heard == request.heard
         )
 
@@ -257,7 +257,7 @@
     def _done(self, ident: bytes, outcome: Outcome, spent: int, result: bytes) -> None:
         if request := self.runs.pop(ident, None):
             request.in_engine = False
-            request.ran = outcome is not Outcome.MOOT
+            request.ran = outcome is not Outcome.NEVER_STARTED
             request.post(RunFinished(outcome, result, spent))
 
     def _not_carried_out(self, verb: bytes, ident: bytes) -> None:
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -17,9 +17,9 @@
 from oakkeel.admission import MS, SECOND, AdmissionController
 from oakkeel.admission.types import (
     DownstreamKind,
-    Effect,
     FairSharingRules,
     Gauges,
+    Idempotency,
     LoadReportKind,
     NodeLimits,
     Outcome,
@@ -62,32 +62,32 @@
         most_return: int = 5 * SECOND,
         **limits: Any,
     ) -> None:
-        group = RequestClass(0, Effect.REPEATABLE, 1.0, slo, 4 * slo, 0, 0.0, 0.0)
+        group = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, slo, 4 * slo, 0, 0.0, 0.0)
         given: dict[str, Any] = dict(
             cores=cores,
             memory_kb=200_000.0,
-            run_factor=8.0,
+            running_memory_factor=8.0,
             key_kb=0.0,
-            cold=cold,
-            cold_from=0.25,
-            cold_time=10 * SECOND,
-            crowd_multiple=8.0,
+            starts_cold=cold,
+            slow_start_share=0.25,
+            slow_start_time=10 * SECOND,
+            overload_multiple=8.0,
             drain_grace=2 * SECOND,
             marks_retries=True,
             max_retry_after=most_return,
             stop_kind=StopKind.ABORT,
             peers=1,
-            below=DownstreamKind.NOTHING,
-            call_share=0.0,
-            call_window=SECOND,
+            downstream=DownstreamKind.NONE,
+            downstream_quota=0.0,
+            downstream_window=SECOND,
             call_linger=0,
-            fresh=0,
-            idle=SECOND,
-            advice=LoadReportKind.SILENT,
-            over_share=1.0,
-            groups=[group],
+            cache_ttl=0,
+            idle_timeout=SECOND,
+            load_report=LoadReportKind.NONE,
+            over_allowance_weight=1.0,
+            request_classes=[group],
             tenants=[Tenant(0, 0.0)],
-            fair=fair,
+            fair_sharing=fair,
         )
         self.limits = NodeLimits(**(given | limits))
         self.random = Random(seed)
@@ -114,7 +114,7 @@
         while self.events and self.events[0][0] <= when:
             self.now, _, act, words = heappop(self.events)
             act(*words)
-            self.admission.settle(self.now)
+            self.admission.schedule(self.now)
         self.now = when
 
     def pass_time(self, seconds: float) -> None:
@@ -140,14 +140,14 @@
     def send(self, client: SimulatedClient, number: int, as_told: bool = False) -> None:
         """One try of an exchange."""
         client.counts["tries"] += 1
-        request = Request(self.limits.groups[0], None, 0, 10.0, number > 1, 0, 0, False, False)
-        if fair := self.limits.fair:
+        request = Request(self.limits.request_classes[0], None, 0, 10.0, number > 1, 0, 0, False, False)
+        if fair := self.limits.fair_sharing:
             labels = {"tenant": client.tenant, "caller": client.name}
             key, who = 0, []
-            for level in fair.by:
+            for level in fair.levels:
                 key = hash((key, labels[level])) & (1 << 62) - 1
                 who.append((key, labels[level]))
-            request.who = tuple(who)
+            request.flow_keys = tuple(who)
         self.owners[request] = client, number, as_told
         client.promised += as_told
         self.admission.arrive(self.now, request)
@@ -164,12 +164,12 @@
 
     def _done(self, request: Request) -> None:
         self.running -= 1
-        self.admission.run_done(self.now, request, Outcome.COMPLETED, 0)
+        self.admission.run_finished(self.now, request, Outcome.COMPLETED, 0)
         if request in self.owners:
             client, _, _ = self.owners.pop(request)
-            client.counts["in time" if self.now <= request.slo_end else "late"] += 1
+            client.counts["in time" if self.now <= request.objective_end else "late"] += 1
 
-    def deny(self, request: Request, last: bool, retry_after: int) -> None:
+    def reject(self, request: Request, last: bool, retry_after: int) -> None:
         client, number, _ = self.owners.pop(request)
         client.counts["denied"] += 1
         client.told.append(retry_after)
@@ -181,7 +181,7 @@
         else:
             self.at(self.now + client.gap, self.send, client, number + 1)
 
-    def terminate(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         if request in self.owners:
             self.owners.pop(request)[0].counts["terminated"] += 1
 
@@ -190,7 +190,7 @@
 
     def _timer(self, token: int) -> None:
         busy = min(1.0, self.running / self.limits.cores)
-        self.admission.timer(self.now, token, Gauges(busy, float(self.running), 0.1, 1.0))
+        self.admission.timer_expired(self.now, token, Gauges(busy, float(self.running), 0.1, 1.0))
 
 
 def fair_share(rates: list[float], capacity: float) -> list[float]:
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -49,7 +49,7 @@
     node = Pairs(flatten(told.get("settings") or {}))
     try:
         limits = read_limits(node)
-        limits.fair, snapshot = _fair(variables.get("OAKKEEL_TOLD", ""))
+        limits.fair_sharing, snapshot = _fair(variables.get("OAKKEEL_TOLD", ""))
         return NodeConfiguration(
             name=variables.get("PROXY_NAME") or pairs.need("name"),
             listen=_address(variables.get("PROXY_LISTEN") or pairs.need("listen")),
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -25,7 +25,9 @@
 class ControlEndpoint:
     def __init__(self, node: NodeContext) -> None:
         self.node, self.started = node, time.monotonic_ns()
-        self.outcomes = OutcomeCounters(max((each.benefit for each in node.start.limits.groups), default=1.0))
+        self.outcomes = OutcomeCounters(
+            max((each.priority_weight for each in node.start.limits.request_classes), default=1.0)
+        )
         self.version = os.environ.get("OAKKEEL_VERSION", "")
         node.measures.watch = self._answered
 
@@ -69,9 +71,9 @@
                 max(admission.cpu_stage, admission.depth_stage, admission.latency_stage)
             ).name
             report.cut, report.memory_kb = round(admission.cut, 4), round(admission.memory_kb, 1)
-            report.hold = admission.count[RequestState.DELAYED] + admission.count[RequestState.HELD]
+            report.hold = admission.count[RequestState.DELAYED] + admission.count[RequestState.QUEUED]
             report.runs = admission.count[RequestState.RUNNING] + admission.count[RequestState.ORPHANED]
-            report.calls = admission.count[RequestState.AT_CALL] + admission.count[RequestState.CALLING]
+            report.calls = admission.count[RequestState.AWAITING_CALL] + admission.count[RequestState.CALLING]
         if node.draining:
             report.owes_by = dict(
                 Counter(
@@ -93,7 +95,11 @@
         if not node.host.begun:
             return "waiting"
         limits = node.start.limits
-        return "cold" if limits.cold and now - node.host.admission.started < limits.cold_time else "serving"
+        return (
+            "cold"
+            if limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
+            else "serving"
+        )
 
     def ordered_to_leave(self, generation: int, within: int) -> str:
         if generation != self.node.start.generation:
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -124,7 +124,7 @@
     def _tell(self, left: int | None) -> None:
         try:
             if self.node.host.begun:
-                self.node.host.tell(self.node.host.admission.leave, left)
+                self.node.host.tell(self.node.host.admission.drain, left)
         except Exception as error:  # the drain goes on
             self.node.log.error("drain_failed", error=fault(error))
 
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -27,7 +27,7 @@
         self.node, self.rules, self.path = node, rules, path
         self.found = self._read()
         self.secret = self.found.secret if self.found else os.urandom(SECRET)
-        self.keys = FlowKeys(self.secret, flow_fields(rules.by))
+        self.keys = FlowKeys(self.secret, flow_fields(rules.levels))
         self.timer: asyncio.TimerHandle | None = None
 
     def _read(self) -> persistence.FairSharingSnapshot | None:
@@ -38,7 +38,7 @@
             return (
                 None
                 if content is None
-                else persistence.decode_snapshot(content, time.time_ns(), self.rules.by)
+                else persistence.decode_snapshot(content, time.time_ns(), self.rules.levels)
             )
         except persistence.SnapshotRejectedError as error:
             self.node.log.warning("fair_sharing_snapshot_rejected", reason=str(error))
@@ -78,7 +78,7 @@
                 persistence.encode_snapshot(
                     time.monotonic_ns(),
                     time.time_ns(),
-                    self.rules.by,
+                    self.rules.levels,
                     self.secret,
                     fair.levels,
                     fair.promises,
@@ -94,7 +94,7 @@
 
     def reload(self, rules: FairSharingRules | None) -> None:
         """New weights hold at once; who counts as one sender stays as it was at the start."""
-        if rules is None or rules.by != self.rules.by:
+        if rules is None or rules.levels != self.rules.levels:
             return self.node.log.warning("flow_key_change_ignored")
         self.rules.weights.clear()
         self.rules.weights.update(rules.weights)
@@ -104,13 +104,13 @@
         """The heaviest senders by now, innermost level."""
         fair, now = self.node.host.admission.fair, time.monotonic_ns()
         if fair is None:
-            return ClientsStatus(tag, list(self.rules.by))
+            return ClientsStatus(tag, list(self.rules.levels))
         table, promises = fair.levels.tables[-1], fair.promises
         total = table.total(now) or 1.0
         heaviest = sorted(table.senders.values(), key=lambda each: -table.rate(now, each))[:most]
         return ClientsStatus(
             tag,
-            list(self.rules.by),
+            list(self.rules.levels),
             len(table.senders),
             table.error(now) / total,
             promises.count,
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -55,7 +55,7 @@
     def begin(self, cold: bool, age: int) -> None:
         """The engine is up: where it has just booted, the node is cold since then."""
         limits = self.start.limits
-        limits.cold = limits.cold or cold
+        limits.starts_cold = limits.starts_cold or cold
         self.begun = True
         started = time.monotonic_ns() - (age if cold else 0)
         # Each exchange that it names is one that we gave it, a LiveExchange.
@@ -64,7 +64,7 @@
     def begin_anew(self, cold: bool, age: int) -> None:
         """Another engine is up in the place of the first: the node is as cold as that is."""
         if cold:
-            self.start.limits.cold = True
+            self.start.limits.starts_cold = True
             self.admission.started = time.monotonic_ns() - age
 
     def tell(self, act: Callable[..., None], *words: object) -> None:
@@ -77,7 +77,7 @@
     def _settle(self) -> None:
         self.settling = False
         try:
-            self.admission.settle(time.monotonic_ns())
+            self.admission.schedule(time.monotonic_ns())
         except Exception as error:  # the node lives on
             self.log.error("settle_failed", error=fault(error))
 
@@ -86,28 +86,28 @@
     def run(self, request: NodeRequest) -> None:
         request.post(StartRun())
 
-    def deny(self, request: NodeRequest, last: bool, retry_after: int) -> None:
+    def reject(self, request: NodeRequest, last: bool, retry_after: int) -> None:
         request.post(RejectRequest(last, retry_after))
 
-    def terminate(self, request: NodeRequest) -> None:
+    def fail(self, request: NodeRequest) -> None:
         request.post(FailRequest())
 
-    def stop(self, request: NodeRequest) -> None:
+    def cancel(self, request: NodeRequest) -> None:
         request.post(CancelRun())
 
     def call(self, request: NodeRequest, until: int) -> None:
         request.post(PlaceCall(until))
 
-    def leave_out(self, request: NodeRequest) -> None:
+    def skip_call(self, request: NodeRequest) -> None:
         request.post(SkipCall())
 
-    def share(self, request: NodeRequest) -> None:
+    def coalesce(self, request: NodeRequest) -> None:
         request.post(AwaitSharedResponse())
 
-    def remember(self, request: NodeRequest, duration: int) -> None:
+    def retain_key(self, request: NodeRequest, duration: int) -> None:
         self.results.remember(request, time.monotonic_ns(), duration)
 
-    def forget(self, request: NodeRequest) -> None:
+    def release_key(self, request: NodeRequest) -> None:
         self.results.forget(request)
 
     # Timers.
@@ -133,7 +133,7 @@
                         setattr(self.gauges, name, value)
             else:
                 self.measures.gauges_missed += 1
-            self.tell(self.admission.timer, token, self.gauges)
+            self.tell(self.admission.timer_expired, token, self.gauges)
         except Exception as error:  # the node lives on, and so must its poll
             self.log.error("timer_failed", error=fault(error))
             self.set_timer(token, time.monotonic_ns() + self.start.bounds.timer_retry)
@@ -145,7 +145,7 @@
         if self.start.readiness:
             self.reports.set_taking(good)
 
-    def advise(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.signal = value
 
     def close_idle(self, after: int) -> None:
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -46,18 +46,18 @@
         self.reports = DirectoryReporter(start.lookup, start.name, bounds)
         self.engine = EngineLink(start.engine, self.pool, bounds, self.log, self._engine_up)
         self.catalogue = Catalogue(start.catalogue, self.pool, bounds, self.log)
-        self.results = ResponseCache(bounds, start.limits.fresh)
+        self.results = ResponseCache(bounds, start.limits.cache_ttl)
         self.host = NodeHost(
             start, self.engine, self.listener, self.reports, self.results, self.measures, self.log
         )
         self.draining = Drain(self, start.limits.drain_grace, bounds.stop_after)
         self.fairly = None
-        if start.limits.fair:
+        if start.limits.fair_sharing:
             from oakkeel.node.fair_sharing import (
                 NodeFairSharing,  # it brings libraries that a plain node spares
             )
 
-            self.fairly = NodeFairSharing(self, start.limits.fair, start.snapshot)
+            self.fairly = NodeFairSharing(self, start.limits.fair_sharing, start.snapshot)
         self.control = None
         if start.control:
             from oakkeel.node.control_endpoint import (
@@ -131,7 +131,7 @@
         self.catalogue.move(start.catalogue)
         self.reports.move(start.lookup)
         if self.fairly:
-            self.fairly.reload(start.limits.fair)
+            self.fairly.reload(start.limits.fair_sharing)
         self.log.info("configuration_reloaded")
 
     # The front of the connections.
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -27,14 +27,14 @@
         brought = 0.0
         if completed:
             brought = (
-                request.group.benefit
+                request.request_class.priority_weight
                 / self.most
-                * (1.0 if now <= request.slo_end else request.group.late_share)
+                * (1.0 if now <= request.objective_end else request.request_class.late_weight)
             )
             if group in self.times or len(self.times) < MOST_GROUPS:
                 _add(
                     self.times.setdefault(group, [0.0, 0.0, 0.0]),
-                    math.log(max(1e-6, (now - request.arrived) / SECOND)),
+                    math.log(max(1e-6, (now - request.arrived_at) / SECOND)),
                 )
         _add(self.benefit, brought)
 
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -74,12 +74,17 @@
     def _admissible(self, request: NodeRequest) -> bool:
         """Look up its idempotency key; what the key forbids is answered here."""
         now = time.monotonic_ns()
-        request.repeats = self.results.find(request, now)
-        if request.repeats and self.results.differs(request):
+        request.is_duplicate = self.results.find(request, now)
+        if request.is_duplicate and self.results.differs(request):
             request.connection.fault("idempotency_key_mismatch")
             self._answer(request, codec.TERMINATED)
             return False
-        if request.key and request.group.once and not request.repeats and self.results.full(now):
+        if (
+            request.key
+            and request.request_class.at_most_once
+            and not request.is_duplicate
+            and self.results.full(now)
+        ):
             self._deny(request)  # its repeats could not be told from it
             return False
         return True
@@ -91,7 +96,7 @@
             self.results.share(request)
             event = await self._next(request)
         if isinstance(event, SharedResponse):
-            self.host.tell(self.host.admission.run_done, request, event.outcome, 0)
+            self.host.tell(self.host.admission.run_finished, request, event.outcome, 0)
             self._answer_run(request, event.outcome, event.result)
         elif isinstance(event, StartRun):
             self.engine.run(request)
@@ -102,7 +107,7 @@
         """Make the calls that a run waits for, until the run is over."""
         event = await self._next(request)
         while isinstance(event, CallNeeded):
-            self.host.tell(self.host.admission.at_call, request)
+            self.host.tell(self.host.admission.call_needed, request)
             event = await self._make_calls(request, event)
         if not isinstance(event, RunFinished):
             raise UnexpectedEventError(event, request.state)
@@ -116,7 +121,7 @@
             event = await self._next(request)
             if isinstance(event, CallFinished):
                 self.measures.count_call(event.outcome.value)
-                self.host.tell(self.host.admission.call_done, request, event.outcome, event.duration)
+                self.host.tell(self.host.admission.call_finished, request, event.outcome, event.duration)
                 if event.outcome is Outcome.COMPLETED and request.state is RequestState.RUNNING:
                     self.engine.feed(request, event.reply)
                 event = await self._next(request)
@@ -128,7 +133,7 @@
     async def _next(self, request: NodeRequest) -> RequestEvent | RequestReleased:
         """The next event, after an early answer is given, a stop passed on or the caller's end told."""
         while True:
-            if request.state is RequestState.OVER and not request.in_engine and not request.events:
+            if request.state is RequestState.FINISHED and not request.in_engine and not request.events:
                 return RELEASED
             event = await request.next_event()
             if isinstance(event, RejectRequest):
@@ -138,7 +143,7 @@
             elif isinstance(event, CancelRun):
                 self.engine.halt(request)
             elif isinstance(event, ClientDisconnected):
-                self.host.tell(self.host.admission.gone, request)
+                self.host.tell(self.host.admission.client_disconnected, request)
             else:
                 return event
             if request.answered:
@@ -147,8 +152,8 @@
     def _run_over(self, request: NodeRequest, run: RunFinished) -> None:
         # Nothing was started where the dispatcher had given up before we heard of it. The decisions count
         # this one as running: told that it never was there, they would count it for ever.
-        counted = Outcome.STOPPED if run.outcome is Outcome.MOOT else run.outcome
-        self.host.tell(self.host.admission.run_done, request, counted, run.duration)
+        counted = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
+        self.host.tell(self.host.admission.run_finished, request, counted, run.duration)
         if request.unknown:
             request.connection.fault("request_id_unknown")
         if request.ran:
@@ -158,7 +163,7 @@
     def _answer_run(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
         if outcome is Outcome.COMPLETED:
             self._answer(request, codec.COMPLETED, result)
-        elif outcome is Outcome.DENIED:
+        elif outcome is Outcome.REJECTED:
             self._deny(request)  # the one that it repeats never ran, and so neither did this
         else:
             self._answer(request, codec.TERMINATED)
@@ -181,7 +186,7 @@
         """After an error of ours: answer it, and follow its run to the end, so that its cores are counted."""
         self._answer(request, codec.TERMINATED)
         try:
-            self.host.tell(self.host.admission.gone, request)
+            self.host.tell(self.host.admission.client_disconnected, request)
             while request.in_engine or request.events:
                 event = await request.next_event()
                 if isinstance(event, CancelRun):
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -34,10 +34,10 @@
     ) -> None:
         """`duration` in nanoseconds: of what may run once from its arrival at the machine, of a read from
         now."""
-        self.key, self.once = key, request.group.once
-        self.until = now + duration - (request.backlog if self.once else 0)
+        self.key, self.once = key, request.request_class.at_most_once
+        self.until = now + duration - (request.queueing_delay if self.once else 0)
         # One that came in time may be read as late as its caller waits, and must still find it.
-        self.dropped = self.until + (request.group.async_timeout if self.once else 0)
+        self.dropped = self.until + (request.request_class.client_timeout if self.once else 0)
         self.body = blake2b(request.body, digest_size=16).digest() if self.once else b""
         self.outcome: Outcome | None = None
         self.result, self.ended = b"", 0
@@ -72,7 +72,7 @@
     def find(self, request: NodeRequest, now: int) -> bool:
         """Whether it repeats one that is here: it reached the machine while that one's time was not up."""
         cached = self.results.get(request.key) if request.key else None
-        if cached is None or now - request.backlog >= cached.until:
+        if cached is None or now - request.queueing_delay >= cached.until:
             return False
         if (
             not cached.once
@@ -122,10 +122,12 @@
             del self.results[cached.key]
         if before and before.once:
             self.results.setdefault(cached.key, before)
-            for each in [each for each in cached.followers if each.arrived - each.backlog < before.until]:
+            for each in [
+                each for each in cached.followers if each.arrived_at - each.queueing_delay < before.until
+            ]:
                 cached.followers.remove(each)
                 before.follow(each)
-        cached.end(Outcome.DENIED, b"")
+        cached.end(Outcome.REJECTED, b"")
 
     def ended(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
         if request.cached is not None:
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -9,7 +9,7 @@
 
 from oakkeel.admission.types import (
     DownstreamKind,
-    Effect,
+    Idempotency,
     LoadReportKind,
     NodeLimits,
     RequestClass,
@@ -18,18 +18,18 @@
 )
 
 EFFECTS = {
-    "read_like": Effect.REPEATABLE,
-    "idempotency_key": Effect.DEDUPLICATED,
-    "non_idempotent": Effect.MUTATING,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 STOPS = {"silent": StopKind.NONE, "abort": StopKind.ABORT, "suspend": StopKind.SUSPEND}
 ADVICE = {
-    "silent": LoadReportKind.SILENT,
-    "threshold": LoadReportKind.LEVEL,
-    "window": LoadReportKind.WINDOW,
-    "share_of": LoadReportKind.SHARE,
+    "silent": LoadReportKind.NONE,
+    "threshold": LoadReportKind.MINIMUM_RANK,
+    "window": LoadReportKind.CONCURRENCY_LIMIT,
+    "share_of": LoadReportKind.ADVERTISED_SHARE,
 }
-BELOW = {"silent": DownstreamKind.NOTHING, "shared": DownstreamKind.SHARED, "tier": DownstreamKind.TIER}
+BELOW = {"silent": DownstreamKind.NONE, "shared": DownstreamKind.SHARED, "tier": DownstreamKind.TIER}
 GAUGES = {
     "core_use": "core_busy",
     "on_cores": "run_queue",
@@ -120,26 +120,26 @@
     return NodeLimits(
         cores=int(pairs.needed_number("extra.cores")),
         memory_kb=pairs.needed_number("extra.heap-kb"),
-        run_factor=pairs.needed_number("extra.run-factor"),
+        running_memory_factor=pairs.needed_number("extra.run-factor"),
         key_kb=pairs.number("extra.key-kb"),
-        cold=pairs.flag("extra.cold"),
-        cold_from=pairs.number("obligations.cold-from", 1.0),
-        cold_time=pairs.time("obligations.cold"),
-        crowd_multiple=pairs.needed_number("obligations.fall-multiple"),
+        starts_cold=pairs.flag("extra.cold"),
+        slow_start_share=pairs.number("obligations.cold-from", 1.0),
+        slow_start_time=pairs.time("obligations.cold"),
+        overload_multiple=pairs.needed_number("obligations.fall-multiple"),
         drain_grace=pairs.time("obligations.drain-grace"),
         marks_retries=pairs.flag("clients.marks-retry"),
         max_retry_after=pairs.time("ceilings.max-retry-after") if pairs.flag("ceilings.retry-after") else 0,
         stop_kind=pairs.choice("extra.halt", STOPS, "silent"),
         peers=max(1, int(pairs.number("peers-total", 1))),
-        below=pairs.choice("extra.depends-on", BELOW, "silent"),
-        call_share=pairs.number("extra.call-share"),
-        call_window=pairs.time("extra.dep-window"),
+        downstream=pairs.choice("extra.depends-on", BELOW, "silent"),
+        downstream_quota=pairs.number("extra.call-share"),
+        downstream_window=pairs.time("extra.dep-window"),
         call_linger=pairs.time("extra.linger"),
-        fresh=pairs.time("extra.fresh"),
-        idle=pairs.time("extra.idle"),
-        advice=pairs.choice("extra.say", ADVICE, "silent"),
-        over_share=pairs.number("over-share-worth", 1.0),
-        groups=[_group(pairs, index) for index in range(int(pairs.needed_number("classes.count")))],
+        cache_ttl=pairs.time("extra.fresh"),
+        idle_timeout=pairs.time("extra.idle"),
+        load_report=pairs.choice("extra.say", ADVICE, "silent"),
+        over_allowance_weight=pairs.number("over-share-worth", 1.0),
+        request_classes=[_group(pairs, index) for index in range(int(pairs.needed_number("classes.count")))],
         tenants=[
             Tenant(index, pairs.number(f"tenants.{index}.allowance-per-s"))
             for index in range(int(pairs.number("tenants.count")))
@@ -152,11 +152,11 @@
     async_timeout = int(pairs.needed_number(path + "hard-limit"))
     return RequestClass(
         index=index,
-        effect=pairs.choice(path + "effect", EFFECTS, "non_idempotent"),
-        benefit=pairs.number(path + "worth", 1.0),
-        slo_time=pairs.time(path + "aim") or async_timeout,
-        async_timeout=async_timeout,
-        window=pairs.time(path + "window"),
-        late_share=pairs.number(path + "late-worth"),
-        skip_share=float(pairs.entry("extra.class-skip-worth", index, "0")),
+        idempotency=pairs.choice(path + "effect", EFFECTS, "non_idempotent"),
+        priority_weight=pairs.number(path + "worth", 1.0),
+        latency_objective=pairs.time(path + "aim") or async_timeout,
+        client_timeout=async_timeout,
+        idempotency_window=pairs.time(path + "window"),
+        late_weight=pairs.number(path + "late-worth"),
+        degraded_weight=float(pairs.entry("extra.class-skip-worth", index, "0")),
     )
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 from oakkeel.admission import AdmissionController
-from oakkeel.admission.types import Effect, Gauges, Outcome, Request
+from oakkeel.admission.types import Gauges, Idempotency, Outcome, Request
 from oakkeel.node_limits import LimitsError, Pairs, read_limits
 from oakkeel.simulator_adapter import wire
 
 OUTCOMES = {
     200: Outcome.COMPLETED,
     502: Outcome.ERROR,
-    429: Outcome.DENIED,
-    408: Outcome.GIVEN_UP,
-    521: Outcome.UNREACHED,
+    429: Outcome.REJECTED,
+    408: Outcome.TIMED_OUT,
+    521: Outcome.CONNECT_FAILED,
     520: Outcome.RESET,
-    444: Outcome.STOPPED,
-    409: Outcome.MOOT,
+    444: Outcome.CANCELLED,
+    409: Outcome.NEVER_STARTED,
 }
 
 
@@ -44,19 +44,19 @@
     def incoming(self, now: int, fields: tuple) -> None:
         _, _, ident, group, _, _, memory_kb, bits, caller, left, tenant, backlog, key, earlier = fields
         limits = self.limits
-        if group >= len(limits.groups) or ident in self.exchanges:
+        if group >= len(limits.request_classes) or ident in self.exchanges:
             wire.fail(f"exchange {ident} on instance {self.number}: id used before, or group {group} unknown")
-        row = limits.groups[group]
+        row = limits.request_classes[group]
         request = Request(
-            group=row,
+            request_class=row,
             tenant=limits.tenants[tenant] if tenant < len(limits.tenants) else None,
-            caller=caller,
+            client=caller,
             memory_kb=memory_kb,
-            marked_retry=bool(bits & wire.FLAG_RETRY),
-            left=left,
-            backlog=backlog,
-            has_key=bool(key) or row.effect is Effect.DEDUPLICATED,
-            repeats=bool(earlier),
+            retry_attempt=bool(bits & wire.FLAG_RETRY),
+            remaining_time=left,
+            queueing_delay=backlog,
+            has_key=bool(key) or row.idempotency is Idempotency.IDEMPOTENCY_KEY,
+            is_duplicate=bool(earlier),
         )
         self.exchanges[ident] = request
         self.ids[request] = ident
@@ -76,32 +76,32 @@
     def run(self, request: Request) -> None:
         self._named(wire.LAUNCH, request)
 
-    def deny(self, request: Request, last: bool, retry_after: int) -> None:
+    def reject(self, request: Request, last: bool, retry_after: int) -> None:
         self.reply.records.append(
             wire.ACT_BOUNCE.pack(wire.BOUNCE, self.number, self.ids[request], last, retry_after)
         )
 
-    def terminate(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         self._named(wire.REPORT_FAILURE, request)
 
-    def stop(self, request: Request) -> None:
+    def cancel(self, request: Request) -> None:
         self._named(wire.INTERRUPT, request)
 
     def call(self, request: Request, until: int) -> None:
         self.reply.records.append(wire.ACT_ID_TIME.pack(wire.DIAL, self.number, self.ids[request], until))
 
-    def leave_out(self, request: Request) -> None:
+    def skip_call(self, request: Request) -> None:
         self._named(wire.GO_ON, request)
 
-    def share(self, request: Request) -> None:
+    def coalesce(self, request: Request) -> None:
         self._named(wire.SHARE, request)
 
-    def remember(self, request: Request, duration: int) -> None:
+    def retain_key(self, request: Request, duration: int) -> None:
         self.reply.records.append(
             wire.ACT_ID_TIME.pack(wire.REMEMBER, self.number, self.ids[request], duration)
         )
 
-    def forget(self, request: Request) -> None:
+    def release_key(self, request: Request) -> None:
         self._named(wire.RELEASE_KEY, request)
 
     def set_timer(self, token: int, at: int) -> None:
@@ -110,7 +110,7 @@
     def set_health(self, good: bool, stored: bool) -> None:
         self.reply.records.append(wire.ACT_HEALTH.pack(wire.HEALTH, self.number, stored, good))
 
-    def advise(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.reply.records.append(wire.ACT_FLOAT.pack(wire.ANNOUNCE, self.number, value))
 
     def close_idle(self, after: int) -> None:
--- a/oakkeel/simulator_adapter/table.py
+++ b/oakkeel/simulator_adapter/table.py
@@ -43,7 +43,7 @@
             else:
                 touched.pop(who, None)
         for who, instance in touched.items():
-            self._guarded(who, instance.admission.settle, clock)
+            self._guarded(who, instance.admission.schedule, clock)
         return self.reply.frame(number)
 
     def _guarded(self, who: int, act: Callable[..., Instance | None], *words) -> Instance | None:
@@ -78,7 +78,9 @@
         code, who, ident, status, latency = wire.ENDED.unpack_from(body, offset)
         instance = self._instance(who)
         outcome = OUTCOMES.get(status) or wire.fail(f"unknown outcome {status} on instance {who}")
-        ended = instance.admission.run_done if code == wire.EV_WORK_DONE else instance.admission.call_done
+        ended = (
+            instance.admission.run_finished if code == wire.EV_WORK_DONE else instance.admission.call_finished
+        )
         ended(clock, instance.exchange(ident), outcome, latency)
         return instance
 
@@ -86,9 +88,13 @@
         code, who, value = wire.NAMED.unpack_from(body, offset)
         instance = self._instance(who)
         if code == wire.EV_LAME_DUCK:
-            instance.admission.leave(clock, value)
+            instance.admission.drain(clock, value)
         else:
-            act = instance.admission.at_call if code == wire.EV_AWAITING else instance.admission.gone
+            act = (
+                instance.admission.call_needed
+                if code == wire.EV_AWAITING
+                else instance.admission.client_disconnected
+            )
             act(clock, instance.exchange(value))
         return instance
 
@@ -98,7 +104,7 @@
         if number > wire.MOST_GAUGES:
             wire.fail(f"{number} gauges do not fit a record of instance {who}")
         values = struct.unpack_from(f"<{number}f", body, offset + wire.TIMER.size)
-        instance.admission.timer(clock, token, instance.read_gauges(values))
+        instance.admission.timer_expired(clock, token, instance.read_gauges(values))
         return instance
 
     def _killed(self, clock: int, body: bytes, offset: int) -> None:
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -5,8 +5,8 @@
 from oakkeel.admission.controller import CALLERS_MOST, MS, SECOND, Stage, next_stage
 from oakkeel.admission.types import (
     DownstreamKind,
-    Effect,
     Gauges,
+    Idempotency,
     LoadReportKind,
     Outcome,
     RequestState,
@@ -30,7 +30,7 @@
     def test_a_flood_is_denied_on_arrival_with_when_to_return_and_the_run_stays_bounded(self):
         host = FakeHost()
         flood = [host.arrive() for _ in range(60)]
-        denials = [wish for wish in host.said if wish[0] == "deny"]
+        denials = [wish for wish in host.said if wish[0] == "reject"]
         self.assertGreater(len(denials), 20)
         self.assertTrue(all(0 < wish[3] <= SECOND for wish in denials))
         self.assertLessEqual(len(host.in_state(flood, RequestState.RUNNING)), 2 * host.limits.cores)
@@ -42,7 +42,7 @@
         self.assertEqual(host.words(host.arrive()), ["run"])
 
     def test_low_benefit_is_shed_first(self):
-        host = FakeHost(groups=[{"benefit": 1}, {"benefit": 5}])
+        host = FakeHost(request_classes=[{"priority_weight": 1}, {"priority_weight": 5}])
         exchanges = []
         for _ in range(100):
             exchanges += [host.arrive(0), host.arrive(1)]
@@ -50,7 +50,7 @@
             if len(running) > 3:
                 host.done(running[0])
             host.run_until(host.now + 100 * MS)
-        denied = [sum(host.words(request) == ["deny"] for request in exchanges[group::2]) for group in (0, 1)]
+        denied = [sum(host.words(request) == ["reject"] for request in exchanges[group::2]) for group in (0, 1)]
         self.assertGreater(denied[0], 2 * denied[1])
 
     def test_low_rank_may_try_elsewhere_until_many_later_tries_come(self):
@@ -59,11 +59,13 @@
             host = FakeHost()
             exchanges = []
             for number in range(200):
-                exchanges.append(host.arrive(marked_retry=number % 10 < share))
-                while len(open_ones := host.in_state(exchanges, RequestState.HELD, RequestState.RUNNING)) > 8:
+                exchanges.append(host.arrive(retry_attempt=number % 10 < share))
+                while (
+                    len(open_ones := host.in_state(exchanges, RequestState.QUEUED, RequestState.RUNNING)) > 8
+                ):
                     host.done(host.in_state(open_ones, RequestState.RUNNING)[0])
                 host.run_until(host.now + 20 * MS)
-            wished = [wish[2] for wish in host.said if wish[0] == "deny" and not wish[1].marked_retry]
+            wished = [wish[2] for wish in host.said if wish[0] == "reject" and not wish[1].retry_attempt]
             self.assertGreater(len(wished), 10)
             self.assertEqual(sum(wished) < len(wished) / 4, elsewhere)
 
@@ -79,63 +81,63 @@
 
 class AnswerStories(unittest.TestCase):
     def test_held_running_and_calling_are_all_answered_before_they_are_due(self):
-        host = FakeHost(groups=[{}], below=DownstreamKind.TIER)
-        exchanges = [host.arrive(left=1500 * MS) for _ in range(9)]
+        host = FakeHost(request_classes=[{}], downstream=DownstreamKind.TIER)
+        exchanges = [host.arrive(remaining_time=1500 * MS) for _ in range(9)]
         host.at_call(exchanges[0])
         host.run_until(host.now + 1490 * MS)
         for request in exchanges:
-            self.assertEqual(sum(word in ("deny", "terminate") for word in host.words(request)), 1)
-        self.assertIn("stop", host.words(exchanges[1]))
+            self.assertEqual(sum(word in ("reject", "fail") for word in host.words(request)), 1)
+        self.assertIn("cancel", host.words(exchanges[1]))
 
     def test_what_waited_too_long_behind_higher_ranks_is_denied_not_started(self):
         # Low ranks started with too little time left: a fifth of the runs was given up.
         host = FakeHost()
         exchanges = [host.arrive() for _ in range(7)]
-        held = host.in_state(exchanges, RequestState.HELD)
+        held = host.in_state(exchanges, RequestState.QUEUED)
         host.run_until(host.now + 1900 * MS)
         host.done(host.in_state(exchanges, RequestState.RUNNING)[0])
         self.assertEqual(len(held), 2)
-        self.assertEqual([host.words(request) for request in held], [["deny"], ["deny"]])
+        self.assertEqual([host.words(request) for request in held], [["reject"], ["reject"]])
 
     def test_what_can_no_longer_be_in_time_is_denied_at_once(self):
         host = FakeHost()
-        self.assertEqual(host.words(host.arrive(backlog=3 * SECOND, left=2 * SECOND)), ["deny"])
+        self.assertEqual(host.words(host.arrive(queueing_delay=3 * SECOND, remaining_time=2 * SECOND)), ["reject"])
 
     def test_a_caller_known_gone_gets_no_answer_and_its_work_is_stopped(self):
         host = FakeHost()
         request = host.arrive()
-        host.admission.gone(host.now, request)
-        host.done(request, Outcome.STOPPED)
-        self.assertEqual((host.words(request), request.state), (["run", "stop"], RequestState.OVER))
+        host.admission.client_disconnected(host.now, request)
+        host.done(request, Outcome.CANCELLED)
+        self.assertEqual((host.words(request), request.state), (["run", "cancel"], RequestState.FINISHED))
 
     def test_events_for_an_exchange_already_over_are_harmless(self):
         host = FakeHost()
         request = host.arrive()
         host.done(request)
-        host.done(request, Outcome.MOOT)
+        host.done(request, Outcome.NEVER_STARTED)
         host.at_call(request)
         host.call_done(request, Outcome.COMPLETED)
-        host.admission.gone(host.now, request)
+        host.admission.client_disconnected(host.now, request)
         self.assertEqual(host.words(request), ["run"])
 
 
 class EffectStories(unittest.TestCase):
     def test_a_repeat_of_a_deduplicated_exchange_shares_its_one_run(self):
-        host = FakeHost(groups=[{"effect": Effect.DEDUPLICATED}])
+        host = FakeHost(request_classes=[{"idempotency": Idempotency.IDEMPOTENCY_KEY}])
         first = host.arrive(has_key=True)
-        again = host.arrive(has_key=True, repeats=True)
-        self.assertEqual((host.words(first), host.words(again)), (["remember", "run"], ["share"]))
+        again = host.arrive(has_key=True, is_duplicate=True)
+        self.assertEqual((host.words(first), host.words(again)), (["retain_key", "run"], ["coalesce"]))
 
     def test_what_ran_once_is_terminated_not_denied_and_never_rerun(self):
-        host = FakeHost(groups=[{"effect": Effect.MUTATING}])
-        request = host.arrive(left=SECOND)
+        host = FakeHost(request_classes=[{"idempotency": Idempotency.NON_IDEMPOTENT}])
+        request = host.arrive(remaining_time=SECOND)
         host.run_until(host.now + 2 * SECOND)
-        host.done(request, Outcome.STOPPED)
-        self.assertEqual(host.words(request), ["run", "terminate", "stop"])
+        host.done(request, Outcome.CANCELLED)
+        self.assertEqual(host.words(request), ["run", "fail", "cancel"])
 
     def test_a_call_of_a_mutating_exchange_is_resent_only_when_it_never_ran(self):
-        for outcome, calls in ((Outcome.UNREACHED, 2), (Outcome.RESET, 1)):
-            host = FakeHost(groups=[{"effect": Effect.MUTATING}], below=DownstreamKind.TIER)
+        for outcome, calls in ((Outcome.CONNECT_FAILED, 2), (Outcome.RESET, 1)):
+            host = FakeHost(request_classes=[{"idempotency": Idempotency.NON_IDEMPOTENT}], downstream=DownstreamKind.TIER)
             request = host.arrive()
             host.at_call(request)
             host.call_done(request, outcome)
@@ -144,20 +146,20 @@
     def test_a_call_that_could_be_left_out_is_placed_again_where_only_its_link_broke(self):
         for outcome, word in (
             (Outcome.RESET, "call"),
-            (Outcome.UNREACHED, "call"),
-            (Outcome.DENIED, "leave_out"),
-            (Outcome.GIVEN_UP, "leave_out"),
+            (Outcome.CONNECT_FAILED, "call"),
+            (Outcome.REJECTED, "skip_call"),
+            (Outcome.TIMED_OUT, "skip_call"),
         ):
-            host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
+            host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.TIER)
             request = host.arrive()
             host.at_call(request)
             host.call_done(request, outcome)
             self.assertEqual(host.words(request)[2:], [word])
 
     def test_fresh_reads_are_shared(self):
-        host = FakeHost(fresh=SECOND)
+        host = FakeHost(cache_ttl=SECOND)
         host.arrive(has_key=True)
-        self.assertEqual(host.words(host.arrive(has_key=True, repeats=True)), ["share"])
+        self.assertEqual(host.words(host.arrive(has_key=True, is_duplicate=True)), ["coalesce"])
 
 
 class ReturnStories(unittest.TestCase):
@@ -169,7 +171,7 @@
             host.gauges = Gauges(run_queue=50)  # its reading places are full
             host.run_until(host.now + SECOND)
             exchanges = [host.arrive() for _ in range(40)]
-            denied = [wish for wish in host.said if wish[0] == "deny"]
+            denied = [wish for wish in host.said if wish[0] == "reject"]
             self.assertTrue(denied and len(denied) < len(exchanges))
             told[peers] = denied[-1][3]
         self.assertEqual(told[20], 500 * MS)
@@ -178,16 +180,16 @@
 
 class DrainStories(unittest.TestCase):
     def test_nothing_that_arrives_after_the_grace_runs_and_all_is_answered_before_the_stop(self):
-        host = FakeHost(groups=[{"slo_time": 4 * SECOND}])
+        host = FakeHost(request_classes=[{"latency_objective": 4 * SECOND}])
         request = host.arrive()
         stop = host.now + 3 * SECOND
-        host.admission.leave(host.now, 3 * SECOND)
-        late_read = host.arrive(backlog=100 * MS)
+        host.admission.drain(host.now, 3 * SECOND)
+        late_read = host.arrive(queueing_delay=100 * MS)
         host.run_until(host.now + 2100 * MS)
-        self.assertEqual(host.words(host.arrive()), ["deny"])
+        self.assertEqual(host.words(host.arrive()), ["reject"])
         host.run_until(stop - MS)
-        self.assertIn("deny", host.words(request))
-        self.assertIn("deny", host.words(late_read))
+        self.assertIn("reject", host.words(request))
+        self.assertIn("reject", host.words(late_read))
         self.assertIn(("set_health", False, True), host.said)
 
 
@@ -199,14 +201,14 @@
         self.assertLessEqual(host.admission.memory_kb, 2000)
 
     def test_repeats_of_a_hot_key_stay_within_the_memory(self):
-        host = FakeHost(fresh=SECOND, memory_kb=2000)
+        host = FakeHost(cache_ttl=SECOND, memory_kb=2000)
         host.arrive(has_key=True)
-        repeats = [host.arrive(has_key=True, repeats=True) for _ in range(60)]
+        repeats = [host.arrive(has_key=True, is_duplicate=True) for _ in range(60)]
         self.assertLessEqual(host.admission.memory_kb, 2000)
-        self.assertIn("deny", host.words(repeats[-1]))
+        self.assertIn("reject", host.words(repeats[-1]))
 
     def test_the_calls_rule_holds_over_a_long_window(self):
-        host = FakeHost(groups=[{}], below=DownstreamKind.SHARED, call_share=0.2, call_window=20 * SECOND)
+        host = FakeHost(request_classes=[{}], downstream=DownstreamKind.SHARED, downstream_quota=0.2, downstream_window=20 * SECOND)
         spent = 0
         for _ in range(120):
             request = host.arrive()
@@ -218,10 +220,10 @@
                 host.call_done(request, Outcome.COMPLETED)
                 host.done(request)
             host.run_until(host.now + 100 * MS)
-        self.assertLess(spent, 0.2 * max(host.now - SECOND, host.limits.call_window))
+        self.assertLess(spent, 0.2 * max(host.now - SECOND, host.limits.downstream_window))
 
     def test_a_cold_node_keeps_runs_and_calls_under_its_smaller_crowd(self):
-        host = FakeHost(groups=[{}], below=DownstreamKind.TIER, cold=True, crowd_multiple=2)
+        host = FakeHost(request_classes=[{}], downstream=DownstreamKind.TIER, starts_cold=True, overload_multiple=2)
         exchanges = [host.arrive() for _ in range(40)]
         for request in exchanges:
             host.at_call(request)
@@ -231,7 +233,7 @@
         )
 
     def test_calls_in_hand_stay_under_a_share_below_one(self):
-        host = FakeHost(groups=[{}], below=DownstreamKind.SHARED, call_share=0.4, stop_kind=StopKind.SUSPEND)
+        host = FakeHost(request_classes=[{}], downstream=DownstreamKind.SHARED, downstream_quota=0.4, stop_kind=StopKind.SUSPEND)
         spent = 0
         for _ in range(100):
             request = host.arrive()
@@ -247,7 +249,7 @@
         self.assertLess(spent / (host.now - SECOND), 0.4)
 
     def test_failures_in_a_row_stop_calls_until_a_single_trial(self):
-        host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
+        host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.TIER)
         for _ in range(8):
             request = host.arrive()
             host.at_call(request)
@@ -262,24 +264,24 @@
 
     def test_a_call_waits_for_room_before_it_is_left_out(self):
         # Leaving calls out at the first full moment gave up half the benefit for a wait of milliseconds.
-        host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.SHARED, call_share=1)
+        host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.SHARED, downstream_quota=1)
         first, second = host.arrive(), host.arrive()
         host.at_call(first)
         host.at_call(second)
         self.assertEqual(host.words(second), ["run"])
         host.run_until(host.now + 400 * MS)
-        self.assertEqual(host.words(second), ["run", "leave_out"])
+        self.assertEqual(host.words(second), ["run", "skip_call"])
 
     def test_a_call_ends_in_time_to_go_on_without_it(self):
         # Calls through a dead dispatcher hung until nothing could be done in time without them.
-        host = FakeHost(groups=[{"skip_share": 0.5}], below=DownstreamKind.TIER)
+        host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.TIER)
         request = host.arrive()
         host.at_call(request)
         until = next(wish[2] for wish in host.said if wish[0] == "call")
-        self.assertLess(until, request.slo_end - 200 * MS)
+        self.assertLess(until, request.objective_end - 200 * MS)
         host.run_until(until)
-        host.call_done(request, Outcome.GIVEN_UP)
-        self.assertEqual(host.words(request), ["run", "call", "leave_out"])
+        host.call_done(request, Outcome.TIMED_OUT)
+        self.assertEqual(host.words(request), ["run", "call", "skip_call"])
 
     def test_reading_takes_the_place_of_runs(self):
         host = FakeHost()
@@ -293,7 +295,7 @@
         host = FakeHost()
         host.gauges.run_queue = 4
         host.run_until(2 * SECOND)
-        old = host.arrive(backlog=800 * MS)
+        old = host.arrive(queueing_delay=800 * MS)
         self.assertEqual(host.words(old), [])
         host.arrive()
         self.assertEqual(host.words(old), ["run"])
@@ -302,8 +304,8 @@
         host = FakeHost()
         host.gauges.run_queue = 8
         host.run_until(3 * SECOND)
-        host.arrive(left=100 * MS)
-        self.assertEqual([wish[2] for wish in host.said if wish[0] == "deny"], [True])
+        host.arrive(remaining_time=100 * MS)
+        self.assertEqual([wish[2] for wish in host.said if wish[0] == "reject"], [True])
 
     def test_a_stuck_node_denies_early_and_takes_trials_again(self):
         # On a node slowed many times nothing completed, so it went on to take work that it gave up.
@@ -311,17 +313,17 @@
         wave = [host.arrive() for _ in range(4)]
         host.run_until(host.now + 2 * SECOND)
         for request in host.in_state(wave, RequestState.ORPHANED):
-            host.done(request, Outcome.STOPPED)
+            host.done(request, Outcome.CANCELLED)
         host.run_until(host.now + SECOND)
-        self.assertEqual(host.words(host.arrive(backlog=800 * MS)), ["deny"])
+        self.assertEqual(host.words(host.arrive(queueing_delay=800 * MS)), ["reject"])
         host.run_until(host.now + 15 * SECOND)
-        self.assertEqual(host.words(host.arrive(backlog=800 * MS)), ["run"])
+        self.assertEqual(host.words(host.arrive(queueing_delay=800 * MS)), ["run"])
 
     def test_a_node_that_reads_too_late_leaves_the_list_and_comes_back(self):
         # Slowed nodes went on getting exchanges that waited unread until their callers gave up.
         host = FakeHost()
         for _ in range(10):
-            host.arrive(backlog=1900 * MS)
+            host.arrive(queueing_delay=1900 * MS)
         host.run_until(host.now + SECOND)
         self.assertEqual([wish[1:] for wish in host.said if wish[0] == "set_health"][-1], (False, True))
         host.run_until(host.now + 8 * SECOND)
@@ -331,7 +333,7 @@
         host = FakeHost()
         host.gauges.connections, host.gauges.run_queue = 60, reading
         for number in range(100):
-            host.done(host.arrive(caller=number % callers))
+            host.done(host.arrive(client=number % callers))
             host.run_until(host.now + 100 * MS)
         return [wish[1] for wish in host.said if wish[0] == "close_idle"][-1]
 
@@ -343,7 +345,7 @@
     def test_of_many_callers_those_heard_last_are_remembered(self):
         host = FakeHost()
         for number in range(CALLERS_MOST + 100):
-            host.arrive(caller=number)
+            host.arrive(client=number)
         self.assertEqual(list(host.admission.callers), list(range(100, CALLERS_MOST + 100)))
 
     def test_a_node_crowded_by_new_connections_lets_its_table_fill(self):
@@ -351,13 +353,13 @@
         self.assertGreater(self.idle_time(callers=100, reading=20), SECOND)
 
     def test_advice_falls_poll_by_poll_while_the_node_is_full(self):
-        host = FakeHost(advice=LoadReportKind.SHARE)
+        host = FakeHost(load_report=LoadReportKind.ADVERTISED_SHARE)
         host.gauges.run_queue = 12
         for _ in range(4):
             for _ in range(60):
                 host.arrive()
             host.run_until(host.now + SECOND)
-        advised = [wish[1] for wish in host.said if wish[0] == "advise"]
+        advised = [wish[1] for wish in host.said if wish[0] == "report_load"]
         self.assertEqual(advised, sorted(advised, reverse=True))
         self.assertLess(advised[-1], 0.6)
 
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -58,6 +58,13 @@
     return json.loads((DATA / name).read_text(encoding="utf-8"))
 
 
+RENAMED = {  # members of enums, as the old version called them
+    "<Idempotency.IDEMPOTENT: 'repeatable'>": "<Effect.REPEATABLE: 'repeatable'>",
+    "<Idempotency.IDEMPOTENCY_KEY: 'deduplicated'>": "<Effect.DEDUPLICATED: 'deduplicated'>",
+    "<Idempotency.NON_IDEMPOTENT: 'mutating'>": "<Effect.MUTATING: 'mutating'>",
+}
+
+
 def leaves(value: object) -> list[str]:
     """All plain values in a structure, as sorted texts: what they are called does not count."""
     if isinstance(value, dict):
@@ -67,7 +74,7 @@
     elif hasattr(value, "__dataclass_fields__"):
         found = [leaf for name in value.__dataclass_fields__ for leaf in leaves(getattr(value, name))]
     else:
-        found = [repr(value)]
+        found = [RENAMED.get(repr(value), repr(value))]
     return sorted(found)
 
 
@@ -205,23 +212,23 @@
                 leaves(
                     [
                         "group",
-                        found.group,
+                        found.request_class,
                         "tenant",
                         found.tenant,
                         "caller",
-                        found.caller,
+                        found.client,
                         "memory_kb",
                         found.memory_kb,
                         "marked_retry",
-                        found.marked_retry,
+                        found.retry_attempt,
                         "left",
-                        found.left,
+                        found.remaining_time,
                         "backlog",
-                        found.backlog,
+                        found.queueing_delay,
                         "has_key",
                         found.has_key,
                         "repeats",
-                        found.repeats,
+                        found.is_duplicate,
                         "ident",
                         found.ident,
                         "tag",
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -97,7 +97,7 @@
 
     async def asyncSetUp(self) -> None:
         self.arrived_here, self.gone_here = [], []
-        self.reader = RequestReader(FakeHost(groups=[{}]).limits, ["quote"], [], self.bounds)
+        self.reader = RequestReader(FakeHost(request_classes=[{}]).limits, ["quote"], [], self.bounds)
         pool = BufferPool(8192, self.bounds.buffers)
         self.listener = Listener(("127.0.0.1", 0), pool, self.bounds, self, EventLog("test", 0))
         self.listener.open()
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -149,7 +149,7 @@
         self.assertIn(
             "never ran",
             self.told(
-                "deny",
+                "reject",
                 lambda self, request, last, after: self._answer(self.open[request], "completed", 0),
                 Scenario(nodes=1, dispatchers=1, seconds=3.0, load=2.0),
             ),
@@ -180,28 +180,28 @@
 
         with (
             mock.patch.object(ScenarioRun, "_list", never_listed),
-            mock.patch.object(AdmissionController, "leave", lambda self, now, left: None),
+            mock.patch.object(AdmissionController, "drain", lambda self, now, left: None),
         ):
             self.assertIn("after its grace and ran", "\n".join(play(day).breaches))
         with mock.patch.object(ScenarioRun, "_list", never_listed):
             self.assertNotIn("after its grace", "\n".join(play(day).breaches))
 
     def test_a_node_that_runs_all_at_once_falls_over(self):
-        def settle(self, now):
+        def schedule(self, now):
             self.now = now
             for row in list(self.hold):
                 self.hold.remove(row)
-                if row[2].state.name == "HELD":
+                if row[2].state.name == "QUEUED":
                     self._move(row[2], type(row[2].state).RUNNING)
                     self.host.run(row[2])
 
         def admit_all(self, now, request):
-            self.now = request.arrived = request.since = now
-            request.slo_end = request.give_up_at = now + 100 * SECOND
+            self.now = request.arrived_at = request.state_since = now
+            request.objective_end = request.deadline = now + 100 * SECOND
             self._admit(request)
 
         with (
-            mock.patch.object(AdmissionController, "settle", settle),
+            mock.patch.object(AdmissionController, "schedule", schedule),
             mock.patch.object(AdmissionController, "arrive", admit_all),
         ):
             told = "\n".join(play(Scenario(nodes=1, dispatchers=1, seconds=6.0, load=4.0)).breaches)
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -32,24 +32,24 @@
 LOG = EventLog("test", 0)
 
 
-def exchange(ident: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", group=GROUP, **fields) -> NodeRequest:
+def exchange(ident: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", request_class=GROUP, **fields) -> NodeRequest:
     return NodeRequest(
         **{
             **dict(
-                group=group,
+                request_class=request_class,
                 tenant=None,
-                caller=0,
+                client=0,
                 memory_kb=50,
-                marked_retry=False,
-                left=5 * SECOND,
-                backlog=0,
+                retry_attempt=False,
+                remaining_time=5 * SECOND,
+                queueing_delay=0,
                 has_key=bool(mark),
-                repeats=False,
+                is_duplicate=False,
                 ident=ident,
                 tag=1,
                 group_name=b"quote",
                 body=b"",
-                key=(group.index, mark) if mark else None,
+                key=(request_class.index, mark) if mark else None,
                 connection=None,
             ),
             **fields,
@@ -150,7 +150,7 @@
         values = flatten(TOLD)
         text = "\n".join(f"{path}={value}" for path, value in values.items())
         self.assertEqual(values["classes.count"], "4")
-        self.assertEqual(str(read_limits(Pairs(values)).groups[0].slo_time), "8000000000")
+        self.assertEqual(str(read_limits(Pairs(values)).request_classes[0].latency_objective), "8000000000")
         self.assertEqual(Pairs.from_text(text).values, values)
 
 
@@ -191,7 +191,7 @@
         self.catalogue.fetch(request, time.monotonic_ns() + 50 * MS, b"first")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
-        self.assertEqual((await finished_call(request)).outcome, Outcome.GIVEN_UP)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.TIMED_OUT)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         again, writer_again = await asyncio.wait_for(self.peers.get(), WAIT)
         await again.readline()
@@ -204,10 +204,10 @@
 
     async def test_each_reply_is_the_outcome_that_it_proves(self):
         for word, outcome in (
-            (b"LATER", Outcome.DENIED),
+            (b"LATER", Outcome.REJECTED),
             (b"FAULT", Outcome.ERROR),
-            (b"NOUSE", Outcome.MOOT),
-            (b"TOOSLOW", Outcome.GIVEN_UP),
+            (b"NOUSE", Outcome.NEVER_STARTED),
+            (b"TOOSLOW", Outcome.TIMED_OUT),
         ):
             request = exchange(b"%016x" % len(word))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
@@ -307,13 +307,13 @@
         request = exchange()
         with unittest.mock.patch("oakkeel.catalogue.links.socket.socket", none):
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
-        self.assertEqual((await finished_call(request)).outcome, Outcome.UNREACHED)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_call_that_waits_for_its_connection_when_its_time_is_up_never_ran(self):
         request = exchange()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"first")
         request.call.give_up()
-        self.assertEqual((await finished_call(request)).outcome, Outcome.UNREACHED)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.CONNECT_FAILED)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         readers = [(await asyncio.wait_for(self.peers.get(), WAIT))[0] for _ in range(2)]
         self.catalogue.links[0].stream.close()
@@ -508,20 +508,23 @@
         kept.find(follower, 0)
         kept.share(follower)
         kept.forget(first)
-        self.assertEqual(follower.events.popleft(), SharedResponse(Outcome.DENIED, b""))
+        self.assertEqual(follower.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
         self.assertFalse(kept.find(exchange(mark=b"s"), 0))
 
     def test_what_is_kept_is_bounded_and_a_key_that_must_not_run_twice_is_never_dropped(self):
         bounds = replace(BOUNDS, memory=4 * BOUNDS.result_size * 2)  # room for two
-        once = replace(GROUP, effect=FakeHost(groups=[{}]).limits.groups[0].effect.__class__.DEDUPLICATED)
+        once = replace(
+            GROUP,
+            idempotency=FakeHost(request_classes=[{}]).limits.request_classes[0].idempotency.__class__.IDEMPOTENCY_KEY,
+        )
         kept = ResponseCache(bounds, SECOND)
-        kept.remember(exchange(mark=b"a", group=once), 0, SECOND)
+        kept.remember(exchange(mark=b"a", request_class=once), 0, SECOND)
         kept.remember(exchange(mark=b"b"), 0, SECOND)
-        kept.remember(exchange(mark=b"c", group=once), 0, SECOND)  # in place of the read
+        kept.remember(exchange(mark=b"c", request_class=once), 0, SECOND)  # in place of the read
         self.assertEqual([key for _, key in kept.results], [b"a", b"c"])
         self.assertTrue(kept.full(SECOND // 2))
         self.assertTrue(kept.full(SECOND))  # one that came before may be read as late as its caller waits
-        self.assertFalse(kept.full(SECOND + GROUP.async_timeout))
+        self.assertFalse(kept.full(SECOND + GROUP.client_timeout))
 
 
 class LifeStories(unittest.IsolatedAsyncioTestCase):
--- a/tests/fair_sharing/test_fair_sharing.py
+++ b/tests/fair_sharing/test_fair_sharing.py
@@ -142,7 +142,7 @@
 
 def world(fair=True, by=("caller",), weights=None, seed=7, **more) -> SimulatedNode:
     rules = FairSharingRules(
-        tuple(by), weights if weights is not None else {}, places=more.pop("places", 256)
+        tuple(by), weights if weights is not None else {}, max_flows=more.pop("places", 256)
     )
     return SimulatedNode(rules if fair else None, seed, **more)
 
@@ -275,7 +275,7 @@
         made.add(*good)
         made.pass_time(5)
         fair, before = made.admission.fair, [sum(each.taken for each in good)]
-        made.admission.leave(made.now, 5 * SECOND)
+        made.admission.drain(made.now, 5 * SECOND)
         booked = fair.promises.made
         made.pass_time(1.5)
         self.assertEqual(fair.promises.made, booked)
@@ -294,12 +294,12 @@
             levels.count(made.now + number * MS, ((1, b"tries"),), 1.0, number % 2 == 0)
         sender = levels.tables[0].senders[1]
         self.assertAlmostEqual(sender.retries / sender.count, 0.5, delta=0.01)
-        request = mock.Mock(who=((1, b"tries"),), marked_retry=True, place=ShareStanding.FAIR)
+        request = mock.Mock(flow_keys=((1, b"tries"),), retry_attempt=True, share_standing=ShareStanding.WITHIN_SHARE)
         made.admission.fair.arrive(made.now + 400 * MS, request, 1.0, 1e9)
-        self.assertIs(request.place, ShareStanding.OVER)
-        request.marked_retry = False
+        self.assertIs(request.share_standing, ShareStanding.OVER_SHARE)
+        request.retry_attempt = False
         made.admission.fair.arrive(made.now + 400 * MS, request, 1.0, 1e9)
-        self.assertIs(request.place, ShareStanding.FAIR)
+        self.assertIs(request.share_standing, ShareStanding.WITHIN_SHARE)
 
 
 class StateStories(unittest.TestCase):
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from types import SimpleNamespace
 
-from oakkeel.admission.types import Effect, Outcome
+from oakkeel.admission.types import Idempotency, Outcome
 from oakkeel.dispatch.codec import RequestReader
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request_events import SharedResponse
@@ -13,13 +13,13 @@
 from tests.support.fake_host import GROUP, FakeHost
 from tests.support.node_process import NodeStory
 
-ONCE = replace(GROUP, effect=Effect.DEDUPLICATED, window=SECOND)
+ONCE = replace(GROUP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window=SECOND)
 KEY = (0, b"hall", b"k1")
 NOW = 100 * SECOND
 
 
 def one(**fields):
-    return exchange(**{**dict(group=ONCE, key=KEY, body=b"two seats"), **fields})
+    return exchange(**{**dict(request_class=ONCE, key=KEY, body=b"two seats"), **fields})
 
 
 class WindowStories(unittest.TestCase):
@@ -32,10 +32,10 @@
         return request
 
     def test_the_window_counts_from_arrival_to_arrival_not_from_reading(self):
-        self.remembered(backlog=300 * MS)  # it came at 99.7 s
+        self.remembered(queueing_delay=300 * MS)  # it came at 99.7 s
         self.assertTrue(self.results.find(one(), NOW + 699 * MS))
         self.assertFalse(self.results.find(one(), NOW + 700 * MS))  # it would have had a result of before
-        self.assertTrue(self.results.find(one(backlog=5 * MS), NOW + 704 * MS))
+        self.assertTrue(self.results.find(one(queueing_delay=5 * MS), NOW + 704 * MS))
 
     def test_a_window_shorter_than_the_run_ends_with_the_run_going_on(self):
         self.remembered()
@@ -43,8 +43,8 @@
         self.assertFalse(self.results.find(one(), NOW + SECOND))
 
     def test_one_read_first_though_it_came_later_is_the_one_that_runs(self):
-        self.remembered(backlog=0)
-        self.assertTrue(self.results.find(one(backlog=500 * MS), NOW + MS))
+        self.remembered(queueing_delay=0)
+        self.assertTrue(self.results.find(one(queueing_delay=500 * MS), NOW + MS))
 
     def test_one_that_came_in_time_is_known_however_full_the_table_is_when_it_is_read(self):
         # A full table was swept of entries whose window was over, and the late one ran a second time.
@@ -52,15 +52,15 @@
         self.remembered()
         later = NOW + SECOND + 400 * MS
         self.assertTrue(results.full(later))
-        self.assertTrue(results.find(one(backlog=500 * MS), later))
-        self.assertFalse(results.full(NOW + SECOND + ONCE.async_timeout))
+        self.assertTrue(results.find(one(queueing_delay=500 * MS), later))
+        self.assertFalse(results.full(NOW + SECOND + ONCE.client_timeout))
 
     def test_one_that_never_ran_gives_its_place_back_to_the_one_that_did(self):
         first = self.remembered()
         self.results.ended(first, Outcome.COMPLETED, b"first")
         second = self.remembered(NOW + 1100 * MS)
         self.results.forget(second)
-        late = one(backlog=300 * MS)  # it came at 100.9 s, within the window of the first
+        late = one(queueing_delay=300 * MS)  # it came at 100.9 s, within the window of the first
         self.assertTrue(self.results.find(late, NOW + 1200 * MS))
         self.results.share(late)
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
@@ -68,13 +68,13 @@
     def test_a_follower_of_one_that_never_ran_takes_the_result_that_was_right_for_it(self):
         first = self.remembered()
         second = self.remembered(NOW + 1100 * MS)
-        late, fresh = one(backlog=300 * MS), one()
-        late.arrived = fresh.arrived = NOW + 1200 * MS
+        late, fresh = one(queueing_delay=300 * MS), one()
+        late.arrived_at = fresh.arrived_at = NOW + 1200 * MS
         for each in (late, fresh):
             self.assertTrue(self.results.find(each, NOW + 1200 * MS))
             self.results.share(each)
         self.results.forget(second)
-        self.assertEqual(fresh.events.popleft(), SharedResponse(Outcome.DENIED, b""))
+        self.assertEqual(fresh.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
         self.assertFalse(late.events)
         self.results.ended(first, Outcome.COMPLETED, b"first")
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
@@ -84,22 +84,22 @@
         third = self.remembered(NOW + 2200 * MS)
         self.results.forget(second)  # in the middle: nothing changes
         self.assertIs(self.results.results[KEY], third.cached)
-        self.results.ended(first, Outcome.STOPPED, b"")
+        self.results.ended(first, Outcome.CANCELLED, b"")
         self.results.ended(third, Outcome.COMPLETED, b"third")
         self.assertTrue(self.results.find(one(), NOW + 2300 * MS))
 
 
 class IdentityStories(unittest.TestCase):
     def setUp(self) -> None:
-        limits = FakeHost(groups=[{"effect": effect} for effect in Effect], tenants=[1.0]).limits
-        self.reader = RequestReader(limits, [effect.value for effect in Effect], ["hall"], BOUNDS)
+        limits = FakeHost(request_classes=[{"idempotency": effect} for effect in Idempotency], tenants=[1.0]).limits
+        self.reader = RequestReader(limits, [effect.value for effect in Idempotency], ["hall"], BOUNDS)
 
-    def read(self, effect: Effect, fields: bytes, body: bytes = b"b"):
+    def read(self, effect: Idempotency, fields: bytes, body: bytes = b"b"):
         words = [b"CALL", b"1", effect.value.encode(), b"req=9b1f03aa5c7e2d41,need=1," + fields, body]
         return self.reader.read(1, words, None)
 
     def test_two_tenants_never_share_a_key_or_a_subject(self):
-        for effect, name in ((Effect.DEDUPLICATED, b"opkey"), (Effect.REPEATABLE, b"subject")):
+        for effect, name in ((Idempotency.IDEMPOTENCY_KEY, b"opkey"), (Idempotency.IDEMPOTENT, b"subject")):
             keys = {
                 self.read(effect, owner + name + b"=k1").key
                 for owner in (b"owner=hall,", b"owner=fete,", b"owner=,", b"owner=unheard-of,")
@@ -109,12 +109,12 @@
     def test_two_mutating_exchanges_about_one_subject_are_two(self):
         # With reads shared elsewhere the second took the result of the first, and never ran.
         for fields in (b"subject=s", b"opkey=k"):
-            request = self.read(Effect.MUTATING, fields)
+            request = self.read(Idempotency.NON_IDEMPOTENT, fields)
             self.assertEqual((request.key, request.has_key), (None, False))
 
     def test_a_key_of_one_kind_is_none_of_the_other(self):
-        self.assertIsNone(self.read(Effect.DEDUPLICATED, b"subject=s").key)
-        self.assertIsNone(self.read(Effect.REPEATABLE, b"opkey=k").key)
+        self.assertIsNone(self.read(Idempotency.IDEMPOTENCY_KEY, b"subject=s").key)
+        self.assertIsNone(self.read(Idempotency.IDEMPOTENT, b"opkey=k").key)
 
     def test_the_same_key_with_another_body_is_another_thing(self):
         results = ResponseCache(BOUNDS, 0)
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -7,8 +7,8 @@
 from oakkeel.admission import MS, SECOND, AdmissionController
 from oakkeel.admission.types import (
     DownstreamKind,
-    Effect,
     Gauges,
+    Idempotency,
     LoadReportKind,
     NodeLimits,
     Outcome,
@@ -22,49 +22,49 @@
 LIMITS = NodeLimits(
     cores=4,
     memory_kb=100_000,
-    run_factor=8,
+    running_memory_factor=8,
     key_kb=100,
-    cold=False,
-    cold_from=0.25,
-    cold_time=10 * SECOND,
-    crowd_multiple=5,
+    starts_cold=False,
+    slow_start_share=0.25,
+    slow_start_time=10 * SECOND,
+    overload_multiple=5,
     drain_grace=2 * SECOND,
     marks_retries=True,
     max_retry_after=SECOND,
     stop_kind=StopKind.ABORT,
     peers=1,
-    below=DownstreamKind.NOTHING,
-    call_share=0,
-    call_window=5 * SECOND,
+    downstream=DownstreamKind.NONE,
+    downstream_quota=0,
+    downstream_window=5 * SECOND,
     call_linger=200 * MS,
-    fresh=0,
-    idle=30 * SECOND,
-    advice=LoadReportKind.SILENT,
-    over_share=0.1,
-    groups=[],
+    cache_ttl=0,
+    idle_timeout=30 * SECOND,
+    load_report=LoadReportKind.NONE,
+    over_allowance_weight=0.1,
+    request_classes=[],
     tenants=[],
 )
 
 
 GROUP = RequestClass(
     index=0,
-    effect=Effect.REPEATABLE,
-    benefit=1,
-    slo_time=2 * SECOND,
-    async_timeout=5 * SECOND,
-    window=5 * SECOND,
-    late_share=0,
-    skip_share=0,
+    idempotency=Idempotency.IDEMPOTENT,
+    priority_weight=1,
+    latency_objective=2 * SECOND,
+    client_timeout=5 * SECOND,
+    idempotency_window=5 * SECOND,
+    late_weight=0,
+    degraded_weight=0,
 )
 
 
 class FakeHost:
     """Carries nothing out: every wish lands in `said`, timers wait for `run_until`."""
 
-    def __init__(self, groups: list[dict] | None = None, tenants: list[float] = (), **limits) -> None:
-        rows = [replace(GROUP, index=index, **row) for index, row in enumerate(groups or [{}])]
+    def __init__(self, request_classes: list[dict] | None = None, tenants: list[float] = (), **limits) -> None:
+        rows = [replace(GROUP, index=index, **row) for index, row in enumerate(request_classes or [{}])]
         self.limits = replace(
-            LIMITS, groups=rows, tenants=[Tenant(*pair) for pair in enumerate(tenants)], **limits
+            LIMITS, request_classes=rows, tenants=[Tenant(*pair) for pair in enumerate(tenants)], **limits
         )
         self.said: list[tuple] = []
         self.timers: list[tuple[int, int]] = []
@@ -79,42 +79,42 @@
         self.timers.append((at, token))
 
     def arrive(self, group: int = 0, settle: bool = True, tenant: int | None = None, **fields) -> Request:
-        row = self.limits.groups[group]
+        row = self.limits.request_classes[group]
         given = dict(
-            group=row,
+            request_class=row,
             tenant=None if tenant is None else self.limits.tenants[tenant],
-            caller=0,
+            client=0,
             memory_kb=50,
-            marked_retry=False,
-            left=row.async_timeout,
-            backlog=0,
+            retry_attempt=False,
+            remaining_time=row.client_timeout,
+            queueing_delay=0,
             has_key=False,
-            repeats=False,
+            is_duplicate=False,
         )
         request = Request(**(given | fields))
         self.admission.arrive(self.now, request)
         if settle:
-            self.admission.settle(self.now)
+            self.admission.schedule(self.now)
         return request
 
     def done(self, request: Request, outcome: Outcome = Outcome.COMPLETED) -> None:
-        self.admission.run_done(self.now, request, outcome, 0)
-        self.admission.settle(self.now)
+        self.admission.run_finished(self.now, request, outcome, 0)
+        self.admission.schedule(self.now)
 
     def at_call(self, request: Request) -> None:
-        self.admission.at_call(self.now, request)
-        self.admission.settle(self.now)
+        self.admission.call_needed(self.now, request)
+        self.admission.schedule(self.now)
 
     def call_done(self, request: Request, outcome: Outcome) -> None:
-        self.admission.call_done(self.now, request, outcome, 0)
-        self.admission.settle(self.now)
+        self.admission.call_finished(self.now, request, outcome, 0)
+        self.admission.schedule(self.now)
 
     def run_until(self, time: int) -> None:
         while self.timers and min(self.timers)[0] <= time:
             self.timers.remove(first := min(self.timers))
             self.now = max(self.now, first[0])
-            self.admission.timer(self.now, first[1], self.gauges)
-            self.admission.settle(self.now)
+            self.admission.timer_expired(self.now, first[1], self.gauges)
+            self.admission.schedule(self.now)
         self.now = max(self.now, time)
 
     def words(self, request: Request) -> list[str]:
