--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -118,16 +118,16 @@
 
         async def votes() -> bool:
             told = await self.rig.records()
-            leads = next((each for each in told.values() if each.leads), None)
+            leads = next((each for each in told.values() if each.is_leader), None)
             return bool(
                 leads
                 and host in told
                 and told[host].epoch == leads.epoch
                 and any(
                     each.name == host
-                    and each.votes
-                    and each.behind < 3
-                    and each.life == self.life(told, host)
+                    and each.is_voter
+                    and each.lag < 3
+                    and each.incarnation == self.life(told, host)
                     for each in leads.members
                 )
             )
@@ -136,7 +136,7 @@
 
     @staticmethod
     def life(told: dict[str, messages.RaftStatus], host: str) -> str:
-        return next((each.life for each in told[host].members if each.name == host), "")
+        return next((each.incarnation for each in told[host].members if each.name == host), "")
 
     # Looking on.
 
@@ -147,7 +147,7 @@
                 {host: messages.RaftStatusRequest() for host in KEEPERS}, 200_000_000
             )
             now = time.monotonic()
-            if any(isinstance(each, messages.RaftStatus) and each.leads for each in answers.values()):
+            if any(isinstance(each, messages.RaftStatus) and each.is_leader for each in answers.values()):
                 if began:
                     self.gaps.append((began, now - began))
                 began = 0.0
@@ -174,7 +174,7 @@
                     sent = time.monotonic()
                     answer = await self.rig.order(ident, "restart", chosen, 15, generations=generations)
                     if isinstance(answer, messages.FleetOrderStatus) and any(
-                        part.state != "refused" for part in answer.parts
+                        part.state != "refused" for part in answer.tasks
                     ):
                         self.taken[ident] = time.monotonic() - began
                         if quiet and not self.wrong:
@@ -212,7 +212,7 @@
             await rig.leader()
             await rig.all_serve(wait=60)
             lost = []
-            known = {order.ident for order in (await rig.state_of()).orders}
+            known = {order.order_id for order in (await rig.state_of()).orders}
             for ident in play.taken:
                 if ident not in known:
                     try:
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -73,7 +73,7 @@
     figures[kind].append(took)
 
     async def free() -> bool:
-        return not any(each.order == ident for each in (await rig.state_of()).out)
+        return not any(each.order_id == ident for each in (await rig.state_of()).unavailable)
 
     await rig.until(f"the place on {name} is free", free)
 
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -91,19 +91,19 @@
             if isinstance(answer, messages.OrderStatus):
                 break
             self.resent += answer is None
-        if answer.parts[0].state == "refused":
-            raise AssertionError(f"{ident}: {answer.parts[0].why}")
+        if answer.tasks[0].state == "refused":
+            raise AssertionError(f"{ident}: {answer.tasks[0].why}")
         self.orders += 1
         self.expected_starts += verb in ("restart", "start")
         while True:  # from here on it was told as taken: no crash may lose it
             answer = await self.ask(messages.ListOrdersRequest(200))
             if isinstance(answer, messages.OrderList):
-                mine = [order for order in answer.orders if order.ident == ident]
-                if not mine or mine[0].parts[0].state not in ("waiting", "acting", "done"):
+                mine = [order for order in answer.orders if order.order_id == ident]
+                if not mine or mine[0].tasks[0].state not in ("waiting", "acting", "done"):
                     self.unkept += 1
                     say(f"  lost: {ident} {verb} {mine}")
                     return
-                if mine[0].parts[0].state == "done":
+                if mine[0].tasks[0].state == "done":
                     return
             await asyncio.sleep(0.01)
 
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -124,11 +124,11 @@
         """What is out, as whoever leads knows it; with a place on it, taken out by us."""
         while not self.over:
             try:
-                out = (await self.rig.state_of()).out
-                placed = {each.thing for each in out if each.fence}
+                out = (await self.rig.state_of()).unavailable
+                placed = {each.target for each in out if each.fence}
                 hanging = {name for name, on in HANGING.items() if on in placed}
                 self.most_placed = max(self.most_placed, len(placed & set(NAMES) | hanging))
-                known = [each for each in out if each.thing in NAMES and each.reasons != ["not known"]]
+                known = [each for each in out if each.target in NAMES and each.reasons != ["not known"]]
                 self.most_out = max(self.most_out, len(known))
             except (NoLeaderError, AssertionError):
                 pass
@@ -167,20 +167,20 @@
 
     async def replace(self, told: messages.ReleaseStatus) -> None:
         """As an operator would: what has a place is taken down, and another comes up."""
-        for part in told.parts:
-            if part.state != "changing" or part.thing not in self.services:
+        for part in told.targets:
+            if part.state != "changing" or part.target not in self.services:
                 continue
             try:
-                out = (await self.rig.state_of()).out
+                out = (await self.rig.state_of()).unavailable
             except (NoLeaderError, AssertionError):
                 return
-            if not any(each.thing == part.thing and each.fence for each in out):
+            if not any(each.target == part.target and each.fence for each in out):
                 continue
-            old = self.services.pop(part.thing)
+            old = self.services.pop(part.target)
             await old.close()
             await asyncio.sleep(1.5)
-            self.services[part.thing + " new"] = new = Catalogue()
-            await new.open(self.ports[part.thing])
+            self.services[part.target + " new"] = new = Catalogue()
+            await new.open(self.ports[part.target])
 
 
 def program(folder: str, name: str) -> VersionSpec:
@@ -279,7 +279,7 @@
         "driver_kills": play.driver_kills,
         "killed": sorted(play.killed),
         "batches": [first.batch, second.batch],
-        "new": sum(version == first.what.version for version in runs.values()),
+        "new": sum(version == first.version.version for version in runs.values()),
     }
 
 
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -17,59 +17,59 @@
 class OrderRequest(msgspec.Struct, tag="order", forbid_unknown_fields=True):
     """An order for instances, each with the generation that it is made for. `OrderTold` comes back."""
 
-    ident: str
+    order_id: str = msgspec.field(name="ident")
     verb: str
     instances: list[tuple[str, int]]
-    lasts: int  # nanoseconds, from when it is taken
+    lifetime: int = msgspec.field(name="lasts")  # nanoseconds, from when it is taken
     supersede: bool = False
 
 
 class CancelOrderRequest(msgspec.Struct, tag="cancel", forbid_unknown_fields=True):
     """End what an order has not begun. `OrderTold` comes back."""
 
-    ident: str
+    order_id: str = msgspec.field(name="ident")
 
 
 class ListOrdersRequest(msgspec.Struct, tag="orders", forbid_unknown_fields=True):
     """The last orders. `OrderList` comes back."""
 
-    most: int = 50
+    limit: int = msgspec.field(default=50, name="most")
 
 
 class InstanceClientsRequest(msgspec.Struct, tag="clients", forbid_unknown_fields=True):
     """Who sends the most to an instance? `InstanceClients` comes back."""
 
     instance: str
-    most: int = 20
+    limit: int = msgspec.field(default=20, name="most")
 
 
 class PeerEnvelopesRequest(msgspec.Struct, tag="carry", forbid_unknown_fields=True):
     """Letters from one keeper to another. `PeerEnvelopesResponse` comes back."""
 
-    letters: list[Envelope]
+    envelopes: list[Envelope] = msgspec.field(name="letters")
 
 
 class HeartbeatRequest(msgspec.Struct, tag="polled", forbid_unknown_fields=True):
     """An agent to whom it takes for the leader. `HeartbeatAccepted` comes back, or `NotLeaderResponse`."""
 
-    poll: Heartbeat
+    heartbeat: Heartbeat = msgspec.field(name="poll")
 
 
 class FleetOrderRequest(msgspec.Struct, tag="fleet", forbid_unknown_fields=True):
     """An order for things of any host, to be agreed. `FleetOrderStatus` comes back, or `NotLeaderResponse`."""
 
-    ident: str
+    order_id: str = msgspec.field(name="ident")
     verb: str
-    things: list[tuple[str, int]]
-    lasts: int  # nanoseconds
-    whole: bool = False
+    targets: list[tuple[str, int]] = msgspec.field(name="things")
+    lifetime: int = msgspec.field(name="lasts")  # nanoseconds
+    atomic: bool = msgspec.field(default=False, name="whole")
 
 
 class EndFleetOrderRequest(msgspec.Struct, tag="end", forbid_unknown_fields=True):
     """Halt an order of the fleet, or cancel it: what it took out comes back. `FleetOrderStatus` comes back."""
 
-    ident: str
-    back: bool
+    order_id: str = msgspec.field(name="ident")
+    cancel: bool = msgspec.field(name="back")
 
 
 class SetVotersRequest(msgspec.Struct, tag="set keepers", forbid_unknown_fields=True):
@@ -81,23 +81,23 @@
 class StartReleaseRequest(msgspec.Struct, tag="start release", forbid_unknown_fields=True):
     """Bring that to those things, step by step. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
 
-    ident: str
-    what: VersionSpec
-    pace: RolloutPolicy
-    things: list[str]
+    release_id: str = msgspec.field(name="ident")
+    version: VersionSpec = msgspec.field(name="what")
+    policy: RolloutPolicy = msgspec.field(name="pace")
+    targets: list[str] = msgspec.field(name="things")
 
 
 class ControlReleaseRequest(msgspec.Struct, tag="turn release", forbid_unknown_fields=True):
     """pause, resume, abort, undo, leave. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
 
-    ident: str
-    to: str
+    release_id: str = msgspec.field(name="ident")
+    action: str = msgspec.field(name="to")
 
 
 class ReleaseStatusRequest(msgspec.Struct, tag="ask release", forbid_unknown_fields=True):
     """How far is it? Without an id the open one, or the last. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
 
-    ident: str = ""
+    release_id: str = msgspec.field(default="", name="ident")
 
 
 class RaftStatusRequest(msgspec.Struct, tag="record", forbid_unknown_fields=True):
@@ -107,13 +107,13 @@
 class FleetStatusRequest(msgspec.Struct, tag="fleet state", forbid_unknown_fields=True):
     """Places and orders of the fleet. `FleetStatus` comes back, or `NotLeaderResponse`."""
 
-    ident: str = ""  # of one order; else the latest
+    order_id: str = msgspec.field(default="", name="ident")  # of one order; else the latest
 
 
 class OpenOrder(msgspec.Struct):
     """The order that is open on an instance."""
 
-    ident: str
+    order_id: str = msgspec.field(name="ident")
     operator: str
     verb: str
     state: str
@@ -128,14 +128,14 @@
     phase_age: int
     goal: str
     generation: int
-    changed: int  # Unix nanoseconds
+    changed_at: int = msgspec.field(name="changed")  # Unix nanoseconds
     changed_by: str
     pid: int
-    heard_age: int  # of `report`
+    report_age: int = msgspec.field(name="heard_age")  # of `report`
     report: NodeStatus | None
     order: OpenOrder | None
-    deaths: int  # within the window of the budget
-    resting: bool
+    recent_crashes: int = msgspec.field(name="deaths")  # within the window of the budget
+    restarts_exhausted: bool = msgspec.field(name="resting")
     starts_in: int  # nanoseconds until it may be started; 0: now or not to be
     why: str  # the last thing that went wrong
 
@@ -144,9 +144,9 @@
     host: str
     site: str
     uptime: int  # of the agent
-    unix: int  # its clock
-    away: int  # how many of its instances may be out at one time
-    out: int  # how many are
+    unix_time: int = msgspec.field(name="unix")  # its clock
+    max_unavailable: int = msgspec.field(name="away")  # how many of its instances may be out at one time
+    unavailable: int = msgspec.field(name="out")  # how many are
     notes: list[str]  # what its operator should know of
     instances: list[InstanceStatus]
 
@@ -159,11 +159,11 @@
 
 
 class OrderStatus(msgspec.Struct, tag="order"):
-    ident: str
+    order_id: str = msgspec.field(name="ident")
     operator: str
     verb: str
-    taken: int  # Unix nanoseconds
-    parts: list[TaskStatus]
+    accepted_at: int = msgspec.field(name="taken")  # Unix nanoseconds
+    tasks: list[TaskStatus] = msgspec.field(name="parts")
 
 
 class OrderList(msgspec.Struct, tag="orders"):
@@ -172,15 +172,15 @@
 
 class InstanceClients(msgspec.Struct, tag="clients"):
     instance: str
-    told: ClientsStatus
+    status: ClientsStatus = msgspec.field(name="told")
 
 
 class PeerEnvelopesResponse(msgspec.Struct, tag="carried"):
-    letters: list[Envelope]
+    envelopes: list[Envelope] = msgspec.field(name="letters")
 
 
 class HeartbeatAccepted(msgspec.Struct, tag="agreed"):
-    agreed: HeartbeatResponse
+    response: HeartbeatResponse = msgspec.field(name="agreed")
 
 
 class NotLeaderResponse(msgspec.Struct, tag="elsewhere"):
@@ -191,47 +191,47 @@
 
 
 class FleetTaskStatus(msgspec.Struct):
-    thing: str
+    target: str = msgspec.field(name="thing")
     host: str
     state: str
     why: str
-    place: int  # the fence of its place; 0: none
-    owes: str = ""  # what it has yet to answer while it leaves
+    fence: int = msgspec.field(name="place")  # the fence of its place; 0: none
+    in_flight: str = msgspec.field(default="", name="owes")  # what it has yet to answer while it leaves
 
 
 class FleetOrderStatus(msgspec.Struct, tag="fleet"):
     """An order of the fleet as it is agreed."""
 
-    ident: str
+    order_id: str = msgspec.field(name="ident")
     operator: str
     verb: str
-    unix: int
-    whole: bool
+    unix_time: int = msgspec.field(name="unix")
+    atomic: bool = msgspec.field(name="whole")
     halted: str
     cancelled: str
-    parts: list[FleetTaskStatus]
+    tasks: list[FleetTaskStatus] = msgspec.field(name="parts")
 
 
 class UnavailableTarget(msgspec.Struct):
     """A thing that is out, and why."""
 
-    thing: str
+    target: str = msgspec.field(name="thing")
     host: str
     reasons: list[str]
     fence: int = 0
-    order: str = ""
+    order_id: str = msgspec.field(default="", name="order")
 
 
 class BudgetUsage(msgspec.Struct):
     name: str
-    out: int
-    bound: int
+    unavailable: int = msgspec.field(name="out")
+    limit: int = msgspec.field(name="bound")
 
 
 class FleetStatus(msgspec.Struct, tag="fleet state"):
     index: int
-    groups: list[BudgetUsage]
-    out: list[UnavailableTarget]
+    budgets: list[BudgetUsage] = msgspec.field(name="groups")
+    unavailable: list[UnavailableTarget] = msgspec.field(name="out")
     orders: list[FleetOrderStatus]  # the latest first
 
 
@@ -239,10 +239,10 @@
     """A member of the record, as its leader or one who follows knows it. -1: not known here."""
 
     name: str
-    life: str
-    votes: bool
-    behind: int  # entries
-    heard_age: int
+    incarnation: str = msgspec.field(name="life")
+    is_voter: bool = msgspec.field(name="votes")
+    lag: int = msgspec.field(name="behind")  # entries
+    contact_age: int = msgspec.field(name="heard_age")
 
 
 class RaftStatus(msgspec.Struct, tag="record"):
@@ -252,41 +252,43 @@
     epoch: str
     term: int
     leader: str
-    leads: bool  # and its lease holds
-    agreed: int  # index
-    last: int
+    is_leader: bool = msgspec.field(name="leads")  # and its lease holds
+    committed: int = msgspec.field(name="agreed")  # index
+    last_index: int = msgspec.field(name="last")
     elections: int
-    heard_age: int  # since this agent heard the record's answer last
+    contact_age: int = msgspec.field(name="heard_age")  # since this agent heard the record's answer last
     members: list[MemberStatus]
     why: str
 
 
 class ReleaseTargetStatus(msgspec.Struct):
-    thing: str
+    target: str = msgspec.field(name="thing")
     host: str
     state: str  # old, changing, new
-    runs: str  # the version that its process told
+    running_version: str = msgspec.field(name="runs")  # the version that its process told
     phase: str
-    age: int  # of that, -1: nothing is known
+    report_age: int = msgspec.field(name="age")  # of that, -1: nothing is known
     why: str = ""
 
 
 class ReleaseStatus(msgspec.Struct, tag="release"):
     """A release as it is agreed, and what whoever drives it waits for."""
 
-    ident: str
+    release_id: str = msgspec.field(name="ident")
     operator: str
-    unix: int
+    unix_time: int = msgspec.field(name="unix")
     state: str
-    what: VersionSpec
+    version: VersionSpec = msgspec.field(name="what")
     step: int
     batch: int
     why: str
-    said: str  # the gates' figures
-    waits: str  # what for, as the driver knows it
-    driver: str
-    parts: list[ReleaseTargetStatus]
-    others: list[tuple[str, str]]  # releases that are over: id and state
+    gate_summary: str = msgspec.field(name="said")  # the gates' figures
+    waiting_for: str = msgspec.field(name="waits")  # what for, as the driver knows it
+    controller: str = msgspec.field(name="driver")
+    targets: list[ReleaseTargetStatus] = msgspec.field(name="parts")
+    other_releases: list[tuple[str, str]] = msgspec.field(
+        name="others"
+    )  # releases that are over: id and state
 
 
 class ErrorResponse(msgspec.Struct, tag="fault"):
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -346,7 +346,7 @@
             await self.link.ask(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
         )
         if isinstance(answer, messages.PeerEnvelopesResponse):
-            self.came(self.name, answer.letters)
+            self.came(self.name, answer.envelopes)
 
     def close(self) -> None:
         self.task.cancel()
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -68,13 +68,15 @@
     def handle(self, key: Key, wish: messages.Request) -> messages.Response | Awaitable[messages.Response]:
         agent, now = self.agent, time.monotonic_ns()
         if isinstance(wish, messages.PeerEnvelopesRequest):
-            letters = agent.raft.carried(key.operator, wish.letters) if agent.raft else []
+            letters = agent.raft.carried(key.operator, wish.envelopes) if agent.raft else []
             return messages.PeerEnvelopesResponse(letters)
         if isinstance(wish, messages.HeartbeatRequest):
-            if wish.poll.host != key.operator:
-                return messages.ErrorResponse(f"the key of {key.operator} with a poll of {wish.poll.host}")
+            if wish.heartbeat.host != key.operator:
+                return messages.ErrorResponse(
+                    f"the key of {key.operator} with a poll of {wish.heartbeat.host}"
+                )
             return (
-                agent.raft.polled(wish.poll)
+                agent.raft.polled(wish.heartbeat)
                 if agent.raft
                 else messages.NotLeaderResponse("", "no keeper runs here")
             )
@@ -94,11 +96,11 @@
         if isinstance(wish, OF_THE_FLEET):
             return self._fleet(key, wish)
         if isinstance(wish, messages.ListOrdersRequest):
-            latest = list(agent.orders.orders.values())[-max(1, min(wish.most, 200)) :]
+            latest = list(agent.orders.orders.values())[-max(1, min(wish.limit, 200)) :]
             return messages.OrderList([order_status(now, each) for each in reversed(latest)])
         try:
             if isinstance(wish, messages.CancelOrderRequest):
-                order = agent.orders.cancel(now, wish.ident, key.operator)
+                order = agent.orders.cancel(now, wish.order_id, key.operator)
                 agent.log.info("order_cancelled", order=order.ident, operator=key.operator)
                 agent.keep()
                 return order_status(now, order)
@@ -114,7 +116,7 @@
             return messages.ErrorResponse("no such instance here, or it does not run")
         client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
         try:
-            return messages.InstanceClients(instance.name, await client.clients(wish.most, ANSWER / SECOND))
+            return messages.InstanceClients(instance.name, await client.clients(wish.limit, ANSWER / SECOND))
         except ControlError as error:
             return messages.ErrorResponse(str(error))
         finally:
@@ -127,9 +129,9 @@
         if agent.status_reporter and wish.verb != Verb.START.value:
             return messages.ErrorResponse("this fleet keeps a record: what leaves is agreed there")
         asked = tuple((name, generation) for name, generation in wish.instances)
-        known = wish.ident in agent.orders.orders
+        known = wish.order_id in agent.orders.orders
         order = agent.orders.take(
-            now, wish.ident, key.operator, Verb(wish.verb), asked, wish.lasts, wish.supersede
+            now, wish.order_id, key.operator, Verb(wish.verb), asked, wish.lifetime, wish.supersede
         )
         if order.open and not known:
             if not agent.keep():
@@ -156,9 +158,9 @@
             )
         try:
             if isinstance(wish, messages.FleetStatusRequest):
-                return fleet_status(time.monotonic_ns(), raft, wish.ident)
+                return fleet_status(time.monotonic_ns(), raft, wish.order_id)
             if isinstance(wish, messages.ReleaseStatusRequest):
-                return release_status(time.monotonic_ns(), raft, wish.ident)
+                return release_status(time.monotonic_ns(), raft, wish.release_id)
             if isinstance(wish, messages.SetVotersRequest):
                 return await self._set_keepers(key, raft, wish)
             result = await raft.propose(command_of(key, wish, time.time_ns()))
@@ -173,7 +175,7 @@
                 "release_command_committed",
                 release=result.ident,
                 operator=key.operator,
-                command=getattr(wish, "to", "start"),
+                command=getattr(wish, "action", "start"),
             )
             return release_status(time.monotonic_ns(), raft, result.ident)
         assert isinstance(result, Agreed)
@@ -202,14 +204,16 @@
 def command_of(key: Key, wish: messages.Request, unix: int) -> commands.Command | releases.Command:
     if isinstance(wish, messages.FleetOrderRequest):
         return commands.SubmitOrder(
-            wish.ident, key.operator, wish.verb, unix, wish.lasts, wish.whole, list(wish.things)
+            wish.order_id, key.operator, wish.verb, unix, wish.lifetime, wish.atomic, list(wish.targets)
         )
     if isinstance(wish, messages.StartReleaseRequest):
-        return releases.StartRelease(wish.ident, key.operator, unix, wish.what, wish.pace, wish.things)
+        return releases.StartRelease(
+            wish.release_id, key.operator, unix, wish.version, wish.policy, wish.targets
+        )
     if isinstance(wish, messages.ControlReleaseRequest):
-        return releases.ControlRelease(wish.ident, key.operator, wish.to)
+        return releases.ControlRelease(wish.release_id, key.operator, wish.action)
     assert isinstance(wish, messages.EndFleetOrderRequest)
-    return (commands.CancelOrder if wish.back else commands.HaltOrder)(wish.ident, key.operator)
+    return (commands.CancelOrder if wish.cancel else commands.HaltOrder)(wish.order_id, key.operator)
 
 
 def said_taken(log: EventLog, order: Order) -> None:
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -90,7 +90,7 @@
                 )
             )
         if isinstance(answer, messages.HeartbeatAccepted):
-            self._take(sent_at, answer.agreed)
+            self._take(sent_at, answer.response)
         return answer
 
     def _take(self, sent_at: int, agreed: HeartbeatResponse) -> None:
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -86,7 +86,7 @@
         not no_wait
         and isinstance(answer, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
-        and any(part.state in OPEN for part in answer.parts)
+        and any(part.state in OPEN for part in answer.tasks)
     ):
         await asyncio.sleep(LOOK_EVERY)
         answer = await look_at(asker, ident)
@@ -106,8 +106,8 @@
         isinstance(answer, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
         and any(
-            part.state in (OPEN if back else ("waiting", "granted")) or (back and part.place)
-            for part in answer.parts
+            part.state in (OPEN if back else ("waiting", "granted")) or (back and part.fence)
+            for part in answer.tasks
         )
     ):
         await asyncio.sleep(LOOK_EVERY)
@@ -123,7 +123,7 @@
     else:
         out.print(order_table(answer))
     good = ("done", *also_good)
-    return DONE if all(part.state in good for part in answer.parts) else SOME_FAILED
+    return DONE if all(part.state in good for part in answer.tasks) else SOME_FAILED
 
 
 @click.group(epilog=CODES, invoke_without_command=True)
@@ -149,7 +149,7 @@
             {name: messages.RaftStatusRequest() for name in hosts}, asker.deadline
         )
         told = {name: answer for name, answer in answers.items() if isinstance(answer, messages.RaftStatus)}
-        leads = any(each.leads for each in told.values())
+        leads = any(each.is_leader for each in told.values())
         if output == "json":
             print_json(
                 {
@@ -192,7 +192,7 @@
         until = time.monotonic_ns() + 30 * asker.deadline
         while time.monotonic_ns() < until:
             answer = await ask_leader_record(asker)
-            names = {each.name for each in answer.members if each.votes} if answer else set()
+            names = {each.name for each in answer.members if each.is_voter} if answer else set()
             if answer and names == set(hosts) and len(answer.members) == len(names):
                 if output == "json":
                     print_json(msgspec.to_builtins(answer))
@@ -216,7 +216,7 @@
         {host.name: messages.RaftStatusRequest() for host in asker.fleet.hosts}, asker.deadline
     )
     return next(
-        (each for each in answers.values() if isinstance(each, messages.RaftStatus) and each.leads), None
+        (each for each in answers.values() if isinstance(each, messages.RaftStatus) and each.is_leader), None
     )
 
 
@@ -247,20 +247,20 @@
             fail("an answer to another question", SOME_SILENT)
         wanted = [
             each
-            for each in answer.out
-            if (not names or each.thing in names) and (not hosts or each.host in hosts)
+            for each in answer.unavailable
+            if (not names or each.target in names) and (not hosts or each.host in hosts)
         ]
         if output == "json":
             print_json(
                 {
                     "index": answer.index,
-                    "groups": msgspec.to_builtins(answer.groups),
+                    "groups": msgspec.to_builtins(answer.budgets),
                     "out": msgspec.to_builtins(wanted),
                     "orders": msgspec.to_builtins(answer.orders),
                 }
             )
         else:
-            for table in permits_table(answer.groups, wanted, answer.orders):
+            for table in permits_table(answer.budgets, wanted, answer.orders):
                 out.print(table)
         return DONE
 
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -135,10 +135,10 @@
         why = answer.why if isinstance(answer, messages.ErrorResponse) else silent.get(hosts[0], "no answer")
         fail(f"{name}: {why}", SOME_SILENT if silent else SOME_FAILED)
     if as_json:
-        print_json(msgspec.to_builtins(answer.told))
+        print_json(msgspec.to_builtins(answer.status))
     else:
-        out.print(clients_table(answer.told))
-        err.print(clients_line(answer.told), style="dim")
+        out.print(clients_table(answer.status))
+        err.print(clients_line(answer.status), style="dim")
     return DONE
 
 
@@ -214,26 +214,26 @@
         for host, answer in answers.items():
             if isinstance(answer, messages.OrderList):
                 for order in answer.orders:
-                    told.setdefault(order.ident, []).append((host, order))
-        found = sorted(told.values(), key=lambda each: -each[0][1].taken)
+                    told.setdefault(order.order_id, []).append((host, order))
+        found = sorted(told.values(), key=lambda each: -each[0][1].accepted_at)
         if only_open:
             found = [
                 each
                 for each in found
-                if any(part.state in ("waiting", "acting") for _, order in each for part in order.parts)
+                if any(part.state in ("waiting", "acting") for _, order in each for part in order.tasks)
             ]
         if output == "json":
             print_json(
                 [
                     {
-                        "order": each[0][1].ident,
+                        "order": each[0][1].order_id,
                         "operator": each[0][1].operator,
                         "verb": each[0][1].verb,
-                        "taken": each[0][1].taken,
+                        "taken": each[0][1].accepted_at,
                         "parts": [
                             {"host": host, **msgspec.to_builtins(part)}
                             for host, order in each
-                            for part in order.parts
+                            for part in order.tasks
                         ],
                     }
                     for each in found
@@ -245,12 +245,12 @@
                 table.add_column(column)
             for each in found:
                 first = each[0][1]
-                states = Counter(part.state for _, order in each for part in order.parts)
+                states = Counter(part.state for _, order in each for part in order.tasks)
                 table.add_row(
-                    first.ident,
+                    first.order_id,
                     first.operator,
                     first.verb,
-                    f"{span(time.time_ns() - first.taken)} ago",
+                    f"{span(time.time_ns() - first.accepted_at)} ago",
                     ", ".join(f"{count} {state}" for state, count in states.items()),
                 )
             out.print(table)
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -194,7 +194,7 @@
             part.instance: part
             for answer in answers.values()
             if isinstance(answer, messages.OrderStatus)
-            for part in answer.parts
+            for part in answer.tasks
         }
         if not parts:
             fail(f"no agent knows an order {ident}", SOME_SILENT if silent else SOME_FAILED)
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -200,7 +200,7 @@
         with Live(release_table(told), console=out, auto_refresh=False, transient=True) as live:
             while told.state not in ENDS:
                 await asyncio.sleep(LOOK_EVERY)
-                told = _told(await ask(asker, messages.ReleaseStatusRequest(told.ident)))
+                told = _told(await ask(asker, messages.ReleaseStatusRequest(told.release_id)))
                 if out.is_terminal and not as_json:
                     live.update(release_table(told), refresh=True)
     return tell(told, as_json, DONE)
@@ -244,7 +244,7 @@
         asker = with_record(settings, operator, deadline)
 
         async def work() -> int:
-            which = ident or _told(await ask(asker, messages.ReleaseStatusRequest())).ident
+            which = ident or _told(await ask(asker, messages.ReleaseStatusRequest())).release_id
             told = _told(await ask(asker, messages.ControlReleaseRequest(which, name)))
             tell(told, output == "json", DONE)
             return DONE
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -225,7 +225,7 @@
         end, but = time.monotonic() + wait, set(but)
         while time.monotonic() < end:
             for host, told in (await self.records()).items():
-                if told.leads and host not in but:
+                if told.is_leader and host not in but:
                     return host
             await asyncio.sleep(0.02)
         raise TimeoutError(f"nobody leads within {wait:g} s: {await self.records()}")
@@ -294,8 +294,8 @@
         found: dict[str, str] = {}
 
         async def over() -> bool:
-            parts = (await self.state_of(ident)).orders[0].parts
-            found.update({part.thing: part.state for part in parts})
+            parts = (await self.state_of(ident)).orders[0].tasks
+            found.update({part.target: part.state for part in parts})
             return all(part.state not in ("waiting", "granted", "out") for part in parts)
 
         await self.until(f"order {ident} is over", over, wait)
--- a/oakkeel/fleet/order_tracking.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -89,12 +89,12 @@
     def answered(self, host: str, answer: messages.Response) -> None:
         """What an agent said to the order itself, or to being asked about orders later."""
         if isinstance(answer, messages.OrderStatus):
-            if answer.ident == self.ident:
-                self._told(host, answer.parts)
+            if answer.order_id == self.ident:
+                self._told(host, answer.tasks)
         elif isinstance(answer, messages.OrderList):
             for order in answer.orders:
-                if order.ident == self.ident:
-                    self._told(host, order.parts)
+                if order.order_id == self.ident:
+                    self._told(host, order.tasks)
         elif isinstance(answer, messages.ErrorResponse):
             for part in self._of(host):
                 if part.stand in (TaskStage.SENT, TaskStage.NOT_KNOWN):
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -90,7 +90,7 @@
                 None,
             )
         age = now - fact.asked_at
-        report_age = age + found.heard_age if found.heard_age >= 0 else -1
+        report_age = age + found.report_age if found.report_age >= 0 else -1
         return Row(
             instance.name,
             host.site,
@@ -108,7 +108,7 @@
         lines = [f"agent of {host}: {why}" for host, why in sorted(self.silent.items())]
         for host, fact in sorted(self.facts.items()):
             lines += [f"agent of {host}: {note}" for note in fact.told.notes]
-            ahead = fact.told.unix - self.unix_at(fact)
+            ahead = fact.told.unix_time - self.unix_at(fact)
             if self.unix and abs(ahead) > 2 * SECOND:
                 lines.append(f"agent of {host}: its clock is {ahead / SECOND:+.0f} s from ours")
         return lines
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -24,22 +24,22 @@
     table = Table(box=None, header_style="bold", pad_edge=False)
     for column in ("host", "role", "for", "votes", "term", "agreed", "behind", "heard", "remarks"):
         table.add_column(column)
-    leader = next((each for each in told if each.leads), None)
+    leader = next((each for each in told if each.is_leader), None)
     members = {each.name: each for each in leader.members} if leader else {}
     for each in sorted(told, key=lambda each: (each.role == "none", each.host)):
         if each.role == "none" and each.host not in members:
             continue
         member = members.get(each.host)
-        role = f"[green]{each.role}[/]" if each.leads else each.role
-        behind = "-" if member is None or member.behind < 0 else str(member.behind)
-        heard = "-" if member is None or member.heard_age < 0 else f"{span(member.heard_age)} ago"
+        role = f"[green]{each.role}[/]" if each.is_leader else each.role
+        behind = "-" if member is None or member.lag < 0 else str(member.lag)
+        heard = "-" if member is None or member.contact_age < 0 else f"{span(member.contact_age)} ago"
         table.add_row(
             each.host,
             role,
             span(each.role_age),
-            "-" if member is None else "yes" if member.votes else "not yet",
+            "-" if member is None else "yes" if member.is_voter else "not yet",
             str(each.term),
-            str(each.agreed),
+            str(each.committed),
             behind,
             heard,
             each.why,
@@ -50,11 +50,11 @@
                 name,
                 "[magenta]unknown[/]",
                 "-",
-                "yes" if member.votes else "not yet",
+                "yes" if member.is_voter else "not yet",
                 "-",
                 "-",
-                str(member.behind),
-                f"{span(member.heard_age)} ago",
+                str(member.lag),
+                f"{span(member.contact_age)} ago",
                 "its agent did not answer us",
             )
     return table
@@ -69,18 +69,22 @@
     for column in ("of", "out", "may be out"):
         first.add_column(column)
     for group in groups:
-        full = "yellow" if group.out >= group.bound else ""
-        first.add_row(group.name, f"[{full}]{group.out}[/]" if full else str(group.out), str(group.bound))
+        full = "yellow" if group.unavailable >= group.limit else ""
+        first.add_row(
+            group.name,
+            f"[{full}]{group.unavailable}[/]" if full else str(group.unavailable),
+            str(group.limit),
+        )
     second = Table(box=None, header_style="bold", pad_edge=False)
     for column in ("out", "host", "because", "place", "order"):
         second.add_column(column)
     for each in out:
-        second.add_row(each.thing, each.host, ", ".join(each.reasons), str(each.fence or "-"), each.order)
+        second.add_row(each.target, each.host, ", ".join(each.reasons), str(each.fence or "-"), each.order_id)
     third = Table(box=None, header_style="bold", pad_edge=False)
     for column in ("order", "operator", "verb", "made", "things", "remarks"):
         third.add_column(column)
     for order in orders[:10]:
-        states = Counter(part.state for part in order.parts)
+        states = Counter(part.state for part in order.tasks)
         remark = (
             f"cancelled by {order.cancelled}"
             if order.cancelled
@@ -89,10 +93,10 @@
             else ""
         )
         third.add_row(
-            order.ident,
+            order.order_id,
             order.operator,
             order.verb,
-            f"{span(time.time_ns() - order.unix)} ago",
+            f"{span(time.time_ns() - order.unix_time)} ago",
             ", ".join(f"{count} {state}" for state, count in states.items()),
             remark,
         )
@@ -100,7 +104,7 @@
 
 
 def order_table(order: messages.FleetOrderStatus) -> Table:
-    title = f"{order.verb}, order {order.ident}" + (", all or nothing" if order.whole else "")
+    title = f"{order.verb}, order {order.order_id}" + (", all or nothing" if order.atomic else "")
     if order.cancelled or order.halted:
         title += (
             f", cancelled by {order.cancelled}"
@@ -112,9 +116,14 @@
     table = Table(box=None, header_style="bold", pad_edge=False, title=title, title_justify="left")
     for column in ("thing", "host", "state", "place", "owes", "remarks"):
         table.add_column(column)
-    for part in sorted(order.parts, key=lambda each: each.thing):
+    for part in sorted(order.tasks, key=lambda each: each.target):
         colour = COLOURS.get(part.state, "red")
         table.add_row(
-            part.thing, part.host, f"[{colour}]{part.state}[/]", str(part.place or "-"), part.owes, part.why
+            part.target,
+            part.host,
+            f"[{colour}]{part.state}[/]",
+            str(part.fence or "-"),
+            part.in_flight,
+            part.why,
         )
     return table
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -69,8 +69,8 @@
     if told.order:
         order = told.order
         words.append(f"{order.operator}'s {order.verb} {order.state} for {span(order.age)}")
-    if told.resting:
-        words.append(f"rests after {told.deaths} deaths, starts in {span(told.starts_in)}")
+    if told.restarts_exhausted:
+        words.append(f"rests after {told.recent_crashes} deaths, starts in {span(told.starts_in)}")
     elif told.starts_in:
         words.append(f"starts in {span(told.starts_in)}")
     if told.phase in ("silent", "stuck"):
@@ -94,12 +94,15 @@
         ("wanted", told.goal),
         ("process", str(told.pid or "none")),
         ("generation", f"{told.generation}, by {told.changed_by or 'nobody'}"),
-        ("deaths lately", str(told.deaths)),
+        ("deaths lately", str(told.recent_crashes)),
         ("remarks", remarks(row) or "none"),
     ]
     if told.order:
         facts.append(
-            ("order", f"{told.order.ident}: {told.order.verb} by {told.order.operator}, {told.order.state}")
+            (
+                "order",
+                f"{told.order.order_id}: {told.order.verb} by {told.order.operator}, {told.order.state}",
+            )
         )
     if report := told.report:
         facts.append(("its own report", f"{span(row.report_age)} ago"))
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -125,7 +125,7 @@
         asked = [(name, generation or await self.generation(name)) for name in names]
         told = await self.ask(messages.OrderRequest(ident, verb, asked, 30 * SECOND, supersede), operator)
         self.assertIsInstance(told, messages.OrderStatus, told)
-        return {part.instance: part for part in told.parts}
+        return {part.instance: part for part in told.tasks}
 
     async def generation(self, name: str) -> int:
         told = await self.ask(messages.HostStatusRequest())
@@ -137,10 +137,10 @@
         while time.monotonic() < end:
             told = await self.ask(messages.ListOrdersRequest())
             for order in told.orders:
-                if order.ident == ident and not any(
-                    part.state in ("waiting", "acting") for part in order.parts
+                if order.order_id == ident and not any(
+                    part.state in ("waiting", "acting") for part in order.tasks
                 ):
-                    return {part.instance: part.state for part in order.parts}
+                    return {part.instance: part.state for part in order.tasks}
             await asyncio.sleep(0.02)
         raise AssertionError(f"order {ident} did not end: {told}\n{self.said.getvalue()}")
 
@@ -199,7 +199,7 @@
         await self.until(lambda: self.of(agent, "n2").phase is Phase.SERVING)
         self.assertEqual((count, len(self.starts("n1"))), (4, 4))
         told = await self.ask(messages.HostStatusRequest())
-        self.assertEqual((told.instances[0].resting, told.instances[0].why), (True, "exit code 3"))
+        self.assertEqual((told.instances[0].restarts_exhausted, told.instances[0].why), (True, "exit code 3"))
         self.script("n1", "")
         await self.order("start", "n1")
         self.assertEqual(await self.ended(), {"n1": "done"})
@@ -280,11 +280,11 @@
             (messages.OrderRequest("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi"),
         ]
         first, second = await asyncio.gather(*(self.ask(*wish) for wish in wishes))
-        states = sorted(answer.parts[0].state for answer in (first, second))
+        states = sorted(answer.tasks[0].state for answer in (first, second))
         self.assertEqual(states[0], "refused")
-        refused, stands = (first, second) if first.parts[0].state == "refused" else (second, first)
-        self.assertIn(f"{stands.operator}'s {stands.verb} stands since", refused.parts[0].why)
-        self.assertEqual(await self.ended(stands.ident), {"n1": "done"})
+        refused, stands = (first, second) if first.tasks[0].state == "refused" else (second, first)
+        self.assertIn(f"{stands.operator}'s {stands.verb} stands since", refused.tasks[0].why)
+        self.assertEqual(await self.ended(stands.order_id), {"n1": "done"})
 
     async def test_a_rolling_restart_keeps_the_bound_and_starts_each_once(self):
         agent = await self.agent()
@@ -407,7 +407,7 @@
                             ),
                             1,
                         )
-                        taken = answer.parts[0].state != "refused"
+                        taken = answer.tasks[0].state != "refused"
                         self.assertTrue(taken, answer)
                     elif taken and told.instances[0].order is None and told.instances[0].phase == "serving":
                         break
@@ -415,7 +415,7 @@
             else:
                 self.fail(f"step {step}: no end")
             orders = await request_once(host.agent, key, messages.ListOrdersRequest())
-            self.assertEqual([part.state for part in orders.orders[0].parts], ["done"], f"step {step}")
+            self.assertEqual([part.state for part in orders.orders[0].tasks], ["done"], f"step {step}")
             with open(os.path.join(host.state, "n1.journal")) as file:
                 words = [line.split()[:2] for line in file if line.startswith(("start ", "end "))]
             self.assertEqual([word for word, _ in words], ["start", "end", "start"], f"step {step}: {words}")
--- a/tests/cluster/test_rig.py
+++ b/tests/cluster/test_rig.py
@@ -76,8 +76,8 @@
 
     async def all_granted(self, ident: str, *things: str) -> None:
         async def granted() -> bool:
-            parts = (await self.rig.state_of(ident)).orders[0].parts
-            return all(part.state != "waiting" for part in parts if part.thing in things)
+            parts = (await self.rig.state_of(ident)).orders[0].tasks
+            return all(part.state != "waiting" for part in parts if part.target in things)
 
         await self.rig.until(f"{things} have places", granted)
 
@@ -111,7 +111,7 @@
         self.rig.go_on(leader)
         self.assertEqual(set((await self.rig.ended("o1")).values()), {"done"})
         self.assertEqual(set((await self.rig.ended("o2")).values()), {"done"})
-        self.assertEqual((await self.rig.records())[leader].leads, leader == await self.rig.leader())
+        self.assertEqual((await self.rig.records())[leader].is_leader, leader == await self.rig.leader())
         self.assertIsNotNone(other)
         await self.rig.all_serve()
         self.assertEqual([self.words(name).count("start") for name in ("n1a", "n3a", "n4a", "n5b")], [2] * 4)
@@ -127,7 +127,7 @@
         for host in self.keepers:
             await self.rig.start(host)
         await self.rig.leader()
-        states = {part.thing: part.state for part in (await self.rig.state_of("o2")).orders[0].parts}
+        states = {part.target: part.state for part in (await self.rig.state_of("o2")).orders[0].tasks}
         self.assertEqual(states, {"n4b": "waiting", "n5a": "waiting"})
         answer = await self.rig.end_order("o1", True)
         self.assertIsInstance(answer, messages.FleetOrderStatus, answer)
@@ -178,7 +178,10 @@
         for number in range(4):
             await self.order(f"o{number}", "restart", ["n4a"])
             await self.rig.ended(f"o{number}")
-        lives = {each.name: each.life for each in (await self.rig.records())[await self.rig.leader()].members}
+        lives = {
+            each.name: each.incarnation
+            for each in (await self.rig.records())[await self.rig.leader()].members
+        }
         await self.rig.kill(victim)
         self.rig.restore(victim, backup)
         await self.rig.start(victim)
@@ -186,7 +189,7 @@
         async def anew() -> bool:
             told = (await self.rig.records())[await self.rig.leader()]
             return any(
-                each.name == victim and each.votes and each.life != lives[victim] and not each.behind
+                each.name == victim and each.is_voter and each.incarnation != lives[victim] and not each.lag
                 for each in told.members
             )
 
@@ -230,7 +233,7 @@
 
         async def keeps() -> bool:
             told = (await self.rig.records())[leader]
-            return told.role in ("following", "leading") and told.agreed >= 3
+            return told.role in ("following", "leading") and told.committed >= 3
 
         await self.rig.until("it keeps the record again", keeps)
 
@@ -251,7 +254,7 @@
                 for ident in ("o1", "o2")
             )
         )
-        refused = [sum(part.state == "refused" for part in each.parts) for each in (first, second)]
+        refused = [sum(part.state == "refused" for part in each.tasks) for each in (first, second)]
         self.assertEqual(sorted(refused), [0, len(everything)])
         await self.all_granted("o1" if not refused[0] else "o2")
         states = await self.rig.ended("o1" if not refused[0] else "o2")
@@ -265,7 +268,7 @@
             self.rig.kill_node(name)
 
         async def known() -> bool:
-            out = {each.thing: each.reasons for each in (await self.rig.state_of()).out}
+            out = {each.target: each.reasons for each in (await self.rig.state_of()).unavailable}
             return all("does not serve" in out.get(name, ()) for name in ("n4a", "n4b", "n5a"))
 
         await self.rig.until("the dead are known", known)
@@ -316,7 +319,7 @@
         await self.rig.end_order("o1", False)
 
         async def none_granted() -> bool:
-            parts = (await self.rig.state_of("o1")).orders[0].parts
+            parts = (await self.rig.state_of("o1")).orders[0].tasks
             return all(part.state not in ("granted", "waiting") for part in parts)
 
         await self.rig.until("the halt is in force", none_granted)
@@ -390,7 +393,7 @@
 
     async def test_a_service_dies_while_one_of_its_kind_is_out(self):
         async def all_up() -> bool:
-            return not (await self.rig.state_of()).out
+            return not (await self.rig.state_of()).unavailable
 
         await self.rig.until("the services are seen", all_up)
         await self.order("o1", "drain", ["cat1"])
@@ -403,9 +406,9 @@
 
         async def counted() -> bool:
             state = await self.rig.state_of()
-            out = {each.thing: each.reasons for each in state.out}
-            group = next(each for each in state.groups if each.name == "kind catalogue")
-            return group.out == 2 and out.get("n4a") == ["hangs on cat2"]
+            out = {each.target: each.reasons for each in state.unavailable}
+            group = next(each for each in state.budgets if each.name == "kind catalogue")
+            return group.unavailable == 2 and out.get("n4a") == ["hangs on cat2"]
 
         await self.rig.until("the dead one counts, and what hangs on it", counted)
         for name in self.ports:
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -26,7 +26,7 @@
 
 
 def out(told: messages.ReleaseStatus) -> bool:
-    return any(part.state == "changing" for part in told.parts)
+    return any(part.state == "changing" for part in told.targets)
 
 
 class RolloutStory(RigStory):
@@ -87,7 +87,7 @@
         try:
             await self.rig.until(what, so, wait)
         except TimeoutError as error:
-            seen = found and (found.state, found.step, found.why, found.waits)
+            seen = found and (found.state, found.step, found.why, found.waiting_for)
             raise AssertionError(f"{error}: {seen}") from None
         assert found is not None
         return found
@@ -131,8 +131,8 @@
         leader = await self.rig.leader()
         self.rig.stop(leader)
         other = await self.rig.leader(but=[leader])
-        told = await self.until_told("another drives", lambda told: told.driver not in ("", leader))
-        self.assertEqual(told.driver, other)
+        told = await self.until_told("another drives", lambda told: told.controller not in ("", leader))
+        self.assertEqual(told.controller, other)
         self.rig.go_on(leader)
         await self.over("done")
         await self.all_run(what.version)
@@ -156,7 +156,7 @@
         await self.begin(self.program("bad", "worse"))
         told = await self.over("halted")
         self.assertRegex(told.why, r"worse than the old: benefit 0\.\d+ an exchange, the old's 0\.9\d+")
-        changed = [part.thing for part in told.parts if part.state == "new"]
+        changed = [part.target for part in told.targets if part.state == "new"]
         self.assertLessEqual(len(changed), 2)
         await asyncio.sleep(1.0)
         self.assertEqual((await self.told()).step, told.step)
@@ -164,7 +164,7 @@
         await self.over("undone")
         await self.rig.all_serve()
         for name, runs in runs_by_journals(self.folder, self.hosts).items():
-            self.assertNotEqual(runs, told.what.version, name)
+            self.assertNotEqual(runs, told.version.version, name)
         self.assertEqual(set(before.values()), {""})
 
     async def test_one_that_does_not_start_and_one_that_says_nothing_go_back_by_themselves(self):
@@ -222,7 +222,7 @@
         what = self.program("slow", "slow")
         await self.begin(what, ["n4a", "n4b", "n5a"], gated=False, lasts=3 * SECOND, most=1)
         told = await self.until_told("one is out", out)
-        [host] = [part.host for part in told.parts if part.state == "changing"]
+        [host] = [part.host for part in told.targets if part.state == "changing"]
         await self.rig.kill(host)
         told = await self.over("halted", wait=40)
         self.assertRegex(told.why, "not heard of in the time of its batch")
@@ -256,7 +256,7 @@
         what = self.program("v2")
         await self.begin(what, ["n4a", "n4b", "n5a"], gated=False, most=1)
         told = await self.until_told(
-            "one is there", lambda told: any(part.state == "new" for part in told.parts)
+            "one is there", lambda told: any(part.state == "new" for part in told.targets)
         )
         names = {"h4", "h5"} - {await self.rig.leader()}
         for host in names:
@@ -398,15 +398,15 @@
         """As an operator would: wait for the leave, take it down, bring up another."""
         told = await self.until_told(
             "one may be taken down",
-            lambda told: told.state == "halted" or any(part.state == "changing" for part in told.parts),
+            lambda told: told.state == "halted" or any(part.state == "changing" for part in told.targets),
         )
-        names = [part.thing for part in told.parts if part.state == "changing"]
+        names = [part.target for part in told.targets if part.state == "changing"]
         if not names:
             return ""
 
         async def leave() -> bool:
-            out = (await self.rig.state_of()).out
-            return any(each.thing == names[0] and each.fence for each in out)
+            out = (await self.rig.state_of()).unavailable
+            return any(each.target == names[0] and each.fence for each in out)
 
         await self.rig.until("its place is there", leave)
         await self.services[names[0]].close()
@@ -426,7 +426,7 @@
         first = await self.replace(slower)
         told = await self.over("halted", wait=40)
         self.assertRegex(told.why, "quote takes .* % longer")
-        self.assertEqual({part.thing: part.state for part in told.parts}[first], "new")
+        self.assertEqual({part.target: part.state for part in told.targets}[first], "new")
         await self.turn("undo")
         self.assertEqual(await self.replace(lambda service: None), first)
         await self.over("undone")
@@ -442,7 +442,7 @@
         await self.services["db1"].close()
         await self.until_told(
             "it waits",
-            lambda told: "db1 is out" in told.waits or "hangs" in told.waits or told.batch >= 1,
+            lambda told: "db1 is out" in told.waiting_for or "hangs" in told.waiting_for or told.batch >= 1,
             ident="r2",
         )
         await self.services["db1"].open()
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -388,16 +388,18 @@
         found = (await self.rig.records())[await self.rig.leader()]
         self.assertEqual(found.epoch, expected["epoch"])
         self.assertGreater(found.term, expected["term"])
-        self.assertGreaterEqual(found.agreed, expected["committed"])
+        self.assertGreaterEqual(found.committed, expected["committed"])
         orders = (await self.rig.state_of()).orders
         self.assertEqual(
-            {order.ident: {part.thing: part.state for part in order.parts} for order in orders},
+            {order.order_id: {part.target: part.state for part in order.tasks} for order in orders},
             expected["orders"],
         )
-        permits = {each.thing: each.order for each in (await self.rig.state_of()).out if each.order}
+        permits = {
+            each.target: each.order_id for each in (await self.rig.state_of()).unavailable if each.order_id
+        }
         self.assertEqual(permits, {thing: order for thing, order in expected["permits"].items() if order})
         release = await self.rig.asker.ask_leader(messages.ReleaseStatusRequest())
-        self.assertEqual((release.ident, release.state), (expected["release"], "done"))
+        self.assertEqual((release.release_id, release.state), (expected["release"], "done"))
 
         async def started_again() -> bool:
             generations = await self.rig.generations()
