--- a/oakkeel/__main__.py
+++ b/oakkeel/__main__.py
@@ -24,7 +24,7 @@
     except ImportError as error:
         print(f"oakkeel: commands need the group 'fleet' of this package: {error}", file=sys.stderr)
         return 2
-    return commands(prog_name="oakkeel")
+    return int(commands(prog_name="oakkeel"))
 
 
 def _node() -> int:
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -38,7 +38,7 @@
 
     def end(self, outcome: Outcome | None, reply: bytes = b"") -> None:
         self.timer.cancel()
-        self.link.calls.pop(self.request.ident, None)
+        self.link.calls.pop(self.request.request_id, None)
         self.link.used = time.monotonic_ns()
         self.request.call = None
         if outcome is not None:
@@ -47,9 +47,9 @@
 
     def give_up(self, outcome: Outcome | None = Outcome.GIVEN_UP) -> None:
         """A link on which a call went unanswered may be of no use any more: it takes no other."""
-        if self.link.early.pop(self.request.ident, None) is None:
+        if self.link.early.pop(self.request.request_id, None) is None:
             self.link.spent = True
-            self.link.write(b"QUIT %s\r\n" % self.request.ident)
+            self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
             outcome = Outcome.UNREACHED  # it never left
         self.end(outcome)
@@ -125,11 +125,11 @@
             wait = self.bounds.call_partial / SECOND
             self.partial = asyncio.get_running_loop().call_later(wait, self.stream.close)
 
-    def place(self, ident: bytes, line: bytes) -> None:
+    def place(self, request_id: bytes, line: bytes) -> None:
         if self.connected:
             self.write(line)
         else:
-            self.early[ident] = line
+            self.early[request_id] = line
 
     def write(self, line: bytes) -> None:
         send(self.stream, line)
@@ -154,10 +154,12 @@
         link = self._link(request)
         if link is None:
             return request.post(CallFinished(Outcome.UNREACHED, b"", 0))
-        request.call = link.calls[request.ident] = Call(request, link, until)
-        request.call_links.append(link)
+        request.call = link.calls[request.request_id] = Call(request, link, until)
+        request.used_links.append(link)
         wait_ms = max(1, (until - request.call.placed) // MS)
-        link.place(request.ident, b"FETCH %s %d %d\r\n%s\r\n" % (request.ident, wait_ms, len(body), body))
+        link.place(
+            request.request_id, b"FETCH %s %d %d\r\n%s\r\n" % (request.request_id, wait_ms, len(body), body)
+        )
 
     def quit(self, request: NodeRequest) -> None:
         """Nobody needs its call any more."""
@@ -179,7 +181,7 @@
         self._trim()
         if self.address is None:
             return None
-        usable = [link for link in self.links if not link.spent and link not in request.call_links]
+        usable = [link for link in self.links if not link.spent and link not in request.used_links]
         free = [link for link in usable if not link.calls and link.connected]
         for link in sorted(free, key=lambda link: link.used, reverse=True):
             if not readable(link.stream.socket):
--- a/oakkeel/control/client.py
+++ b/oakkeel/control/client.py
@@ -78,7 +78,7 @@
     async def _try(self, wish: Request) -> Response:
         if self.stream is None:
             self.stream = IOStream(socket.socket(socket.AF_UNIX), max_buffer_size=MAX_LINE_BYTES)
-            await self.stream.connect(self.path)  # type: ignore[arg-type]  # a path is an address as well
+            await self.stream.connect(self.path)  # a path is an address as well
             peer = self.stream.socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
             self.pid = struct.unpack("3i", peer)[0]
         self.stream.write(encode(wish))
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -45,7 +45,7 @@
 
     def __init__(self, path: str, node: ControlTarget, bounds: ResourceLimits, log: EventLog) -> None:
         self.path, self.node, self.bounds, self.log = path, node, bounds, log
-        self.links: dict[ControlLink, asyncio.Task] = {}  # the one heard longest ago first
+        self.links: dict[ControlLink, asyncio.Task[None]] = {}  # the one heard longest ago first
         self.pool = BufferPool(MAX_LINE_BYTES, 2 * bounds.control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by one that was killed
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -64,8 +64,8 @@
         group = self.groups[words[2]]
         body = words[4] if len(words) == 5 else b""
         fields = dict(item.partition(b"=")[::2] for item in words[3].split(b",") if item)
-        ident = fields.get(b"req", b"")
-        if not IDENT.fullmatch(ident):  # it goes into lines to the engine and the catalogue as it is
+        request_id = fields.get(b"req", b"")
+        if not IDENT.fullmatch(request_id):  # it goes into lines to the engine and the catalogue as it is
             raise UnreadableRequestError("no id")
         if len(body) > self.bounds.body:
             raise UnreadableRequestError("a body that is too long")
@@ -94,11 +94,11 @@
             backlog=age,
             has_key=bool(mark),
             repeats=False,
-            ident=ident,
+            request_id=request_id,
             tag=tag,
-            group_name=words[2],
+            class_name=words[2],
             body=body,
-            key=(group.index, fields.get(b"owner", b""), mark) if mark else None,
+            cache_key=(group.index, fields.get(b"owner", b""), mark) if mark else None,
             connection=connection,
             who=self.who(lambda name: fields.get(name, b"")) if self.who else (),
         )
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -50,7 +50,7 @@
             return False
         if self.verb == b"HALT" or not self.written:
             return True
-        return self.heard == request.heard and not self.doubtful()
+        return self.heard == request.last_notice and not self.doubtful()
 
     def doubtful(self) -> bool:
         """Nothing proves that this run was started, nor that it was not, and it may not be started twice."""
@@ -61,7 +61,7 @@
             and self.written
             and self.verb == b"RUN"
             and request.group.once
-            and self.heard == request.heard
+            and self.heard == request.last_notice
         )
 
 
@@ -166,9 +166,9 @@
     # Commands.
 
     def run(self, request: NodeRequest) -> None:
-        request.in_engine = request.ran = True
-        self.runs[request.ident] = request
-        self._command(request, b"RUN", b"%s %d" % (request.group_name, len(request.body)), request.body)
+        request.in_engine = request.may_have_run = True
+        self.runs[request.request_id] = request
+        self._command(request, b"RUN", b"%s %d" % (request.class_name, len(request.body)), request.body)
 
     def halt(self, request: NodeRequest) -> None:
         self._command(request, b"HALT")
@@ -182,10 +182,10 @@
     def _command(
         self, request: NodeRequest, verb: bytes, rest: bytes = b"", body: bytes | None = None
     ) -> None:
-        line = b" ".join((verb, request.ident, rest)).rstrip() + b"\r\n"
+        line = b" ".join((verb, request.request_id, rest)).rstrip() + b"\r\n"
         if body is not None:
             line += body + b"\r\n"
-        self._send(Command(line, request, verb, heard=request.heard))
+        self._send(Command(line, request, verb, heard=request.last_notice))
 
     def _send(self, command: Command) -> None:
         if len(self.unconfirmed) >= self.bounds.commands:
@@ -245,7 +245,7 @@
                 if verb == b"DONE":
                     self._done(words[2], ENDS[words[3]], milliseconds(words[4]), body)
                 elif verb == b"NEED" and (request := self.runs.get(words[2])):
-                    request.heard = numbered
+                    request.last_notice = numbered
                     request.post(CallNeeded(numbered, body))
             elif verb == b"NO":
                 self._not_carried_out(words[1], words[2])
@@ -254,20 +254,20 @@
         except (IndexError, KeyError, ValueError) as error:
             raise MalformedInputError(f"a notice {b' '.join(words)[:60]!r}") from error
 
-    def _done(self, ident: bytes, outcome: Outcome, spent: int, result: bytes) -> None:
-        if request := self.runs.pop(ident, None):
+    def _done(self, request_id: bytes, outcome: Outcome, spent: int, result: bytes) -> None:
+        if request := self.runs.pop(request_id, None):
             request.in_engine = False
-            request.ran = outcome is not Outcome.MOOT
+            request.may_have_run = outcome is not Outcome.MOOT
             request.post(RunFinished(outcome, result, spent))
 
-    def _not_carried_out(self, verb: bytes, ident: bytes) -> None:
+    def _not_carried_out(self, verb: bytes, request_id: bytes) -> None:
         """A run that the engine does not know is over; of the other commands nothing hangs on."""
         self.log.warning("engine_command_rejected", command=verb.decode(errors="replace"))
         if verb in (b"RUN", b"HALT"):
-            request = self.runs.get(ident)
-            self._done(ident, Outcome.ERROR, 0, b"")
+            request = self.runs.get(request_id)
+            self._done(request_id, Outcome.ERROR, 0, b"")
             if request and verb == b"RUN":
-                request.unknown, request.ran = (
+                request.unknown_to_engine, request.may_have_run = (
                     True,
                     False,
                 )  # its key stays free for the exchange that it belongs to
@@ -297,9 +297,9 @@
         self.unconfirmed = deque(command for command in self.unconfirmed if command.request in waiting)
         self.doubtful.clear()
         self.heard = 0
-        for ident, request in list(self.runs.items()):
+        for request_id, request in list(self.runs.items()):
             if request not in waiting:
-                self._done(ident, Outcome.ERROR, 0, b"")
+                self._done(request_id, Outcome.ERROR, 0, b"")
         if self.stream:
             self.stream.close()  # that one was told of notices that this one never sent
 
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -21,7 +21,7 @@
     log: EventLog
     listener: Listener
     host: NodeHost
-    open: dict[bytes, Task]
+    open: dict[bytes, Task[None]]
     measures: Metrics
     draining: Drain
     reader: RequestReader | None
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -33,7 +33,7 @@
         self.outcomes.answered(
             time.monotonic_ns(),
             request,
-            request.group_name.decode(errors="replace")[:64],
+            request.class_name.decode(errors="replace")[:64],
             word == codec.COMPLETED,
         )
 
@@ -75,7 +75,7 @@
         if node.draining:
             report.owes_by = dict(
                 Counter(
-                    request.group_name.decode(errors="replace")
+                    request.class_name.decode(errors="replace")
                     for each in node.listener.connections
                     for request in each.open.values()
                 )
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -50,7 +50,7 @@
         self.node, self.grace, self.stop_after = node, grace, stop_after
         self.state = DrainState.NOT
         self.final = False  # told by SIGTERM, which nothing takes back
-        self.task: asyncio.Task | None = None
+        self.task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
 
     def __bool__(self) -> bool:
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -48,7 +48,7 @@
         self.good = True
         self.signal: float | None = None
         self.settling = False
-        self.timers: set[asyncio.Task] = set()
+        self.timers: set[asyncio.Task[None]] = set()
         self.admission: AdmissionController  # from `begin` on
         self.begun = False
 
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -39,7 +39,7 @@
         self.measures = Metrics()
         self.pool = BufferPool(bounds.buffer_size, bounds.buffers)
         self.reader: RequestReader | None = None
-        self.open: dict[bytes, asyncio.Task] = {}  # by the ids of their exchanges
+        self.open: dict[bytes, asyncio.Task[None]] = {}  # by the ids of their exchanges
         self.came_up: tuple[bool, int, int] | None = None  # the engine, while the node was leaving
         self.done = asyncio.Event()
         self.listener = Listener(start.listen, self.pool, bounds, self, self.log)
@@ -139,12 +139,12 @@
     def arrived(self, request: NodeRequest) -> None:
         self.measures.read += 1
         task = asyncio.ensure_future(self.handler.handle(request))
-        self.open[request.ident] = task
-        task.add_done_callback(lambda _: self.open.pop(request.ident))
+        self.open[request.request_id] = task
+        task.add_done_callback(lambda _: self.open.pop(request.request_id))
 
-    def holds(self, ident: bytes) -> bool:
+    def holds(self, request_id: bytes) -> bool:
         """Whether an exchange of that id is open, or its run is."""
-        return ident in self.open
+        return request_id in self.open
 
     def gone(self, request: NodeRequest) -> None:
         if not request.answered:
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -66,7 +66,7 @@
             await self._wind_up(request)
         finally:
             self.catalogue.quit(request)
-            if request.ran:
+            if request.may_have_run:
                 self.results.ended(request, Outcome.ERROR, b"")
             else:
                 self.results.forget(request)  # a repeat of what went unrun may run
@@ -79,7 +79,7 @@
             request.connection.fault("idempotency_key_mismatch")
             self._answer(request, codec.TERMINATED)
             return False
-        if request.key and request.group.once and not request.repeats and self.results.full(now):
+        if request.cache_key and request.group.once and not request.repeats and self.results.full(now):
             self._deny(request)  # its repeats could not be told from it
             return False
         return True
@@ -149,9 +149,9 @@
         # this one as running: told that it never was there, they would count it for ever.
         counted = Outcome.STOPPED if run.outcome is Outcome.MOOT else run.outcome
         self.host.tell(self.host.admission.run_done, request, counted, run.duration)
-        if request.unknown:
+        if request.unknown_to_engine:
             request.connection.fault("request_id_unknown")
-        if request.ran:
+        if request.may_have_run:
             self.results.ended(request, counted, run.result)
         self._answer_run(request, run.outcome, run.result)
 
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -6,11 +6,14 @@
 from hashlib import blake2b
 
 from oakkeel.admission.types import Outcome
-from oakkeel.request import NodeRequest
+from oakkeel.errors import OakkeelError
+from oakkeel.request import CacheKey, NodeRequest
 from oakkeel.request_events import SharedResponse
 from oakkeel.resource_limits import ResourceLimits
 
-Key = tuple[int, bytes, bytes]  # endpoint group, tenant, key: nobody gets another tenant's result
+
+class NotADuplicateError(OakkeelError, RuntimeError):
+    """A response was asked for a request that no other was found for: a defect of this program."""
 
 
 class CachedResponse:
@@ -30,7 +33,7 @@
     )
 
     def __init__(
-        self, key: Key, request: NodeRequest, now: int, duration: int, before: CachedResponse | None
+        self, key: CacheKey, request: NodeRequest, now: int, duration: int, before: CachedResponse | None
     ) -> None:
         """`duration` in nanoseconds: of what may run once from its arrival at the machine, of a read from
         now."""
@@ -67,11 +70,11 @@
     def __init__(self, bounds: ResourceLimits, fresh: int) -> None:
         """`fresh`: nanoseconds for which the result of a read may serve others."""
         self.most, self.fresh = bounds.results, fresh
-        self.results: dict[Key, CachedResponse] = {}
+        self.results: dict[CacheKey, CachedResponse] = {}
 
     def find(self, request: NodeRequest, now: int) -> bool:
         """Whether it repeats one that is here: it reached the machine while that one's time was not up."""
-        cached = self.results.get(request.key) if request.key else None
+        cached = self.results.get(request.cache_key) if request.cache_key else None
         if cached is None or now - request.backlog >= cached.until:
             return False
         if (
@@ -80,17 +83,25 @@
             and (cached.outcome is not Outcome.COMPLETED or now - cached.ended > self.fresh)
         ):
             return False
-        request.earlier = cached
+        request.duplicate_of = cached
         return True
 
     def differs(self, request: NodeRequest) -> bool:
         """Whether it has the key of the one that it would repeat, but asks for something else. A result that
         was not made for it would be an answer to nothing it asked, and to run it might be a second effect."""
-        earlier = request.earlier
-        return earlier.once and earlier.body != blake2b(request.body, digest_size=16).digest()
+        earlier = request.duplicate_of
+        return (
+            earlier is not None
+            and earlier.once
+            and earlier.body != blake2b(request.body, digest_size=16).digest()
+        )
 
     def share(self, request: NodeRequest) -> None:
-        request.earlier.follow(request)
+        """Give it the response of the one that `find` has named, now or when there is one."""
+        earlier: CachedResponse | None = request.duplicate_of
+        if earlier is None:
+            raise NotADuplicateError("the request duplicates none")
+        earlier.follow(request)
 
     def full(self, now: int) -> bool:
         """No room for another key, not even in place of a read's or of one whose time is up."""
@@ -104,17 +115,17 @@
         return len(self.results) >= self.most
 
     def remember(self, request: NodeRequest, now: int, duration: int) -> None:
-        if request.key is None:
+        if request.cache_key is None:
             return  # nothing that its repeats could be known by
         self.full(now)  # makes room
-        request.cached = self.results[request.key] = CachedResponse(
-            request.key, request, now, duration, self.results.get(request.key)
+        request.cache_entry = self.results[request.cache_key] = CachedResponse(
+            request.cache_key, request, now, duration, self.results.get(request.cache_key)
         )
 
     def forget(self, request: NodeRequest) -> None:
         """It never ran, and never will. One whose place it had is there again: that one may have run, and
         repeats of it may still be unread, or have been taken for repeats of this one."""
-        cached: CachedResponse | None = request.cached
+        cached: CachedResponse | None = request.cache_entry
         if cached is None:
             return
         before = cached.before
@@ -128,8 +139,8 @@
         cached.end(Outcome.DENIED, b"")
 
     def ended(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
-        if request.cached is not None:
-            request.cached.end(outcome, result)
+        if request.cache_entry is not None:
+            request.cache_entry.end(outcome, result)
 
     def _sweep(self, now: int) -> None:
         for key in [key for key, cached in self.results.items() if cached.dropped <= now]:
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -1,38 +1,52 @@
-"""An exchange as a node on sockets holds it: what the decisions keep, where it came from, and its events."""
+"""A request as a node on sockets holds it: its decision state, where it came from, and its events."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import deque
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, Protocol
 
 from oakkeel.admission.types import Request
 from oakkeel.request_events import RequestEvent
 
+CacheKey = tuple[int, bytes, bytes]  # request class, tenant, key: nobody gets another tenant's response
+
+
+class ResponseChannel(Protocol):
+    """The connection that a request came on, as its handler sees it."""
+
+    def answer(
+        self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+    ) -> None:
+        """Write the one answer of the request; `retry_after` in nanoseconds."""
+
+    def fault(self, event: str, why: str = "") -> None:
+        """Log a request that can't be used, and count it against the connection."""
+
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class NodeRequest(Request):
-    """One exchange with its place at the door; its handler reads the events in the order in which it came."""
+    """A request with its connection; its handler reads the events in the order in which they came."""
 
-    ident: bytes
+    request_id: bytes
     tag: int
-    group_name: bytes
+    class_name: bytes
     body: bytes
-    key: tuple[int, bytes, bytes] | None  # endpoint group, tenant and key, where repeats can be known
-    connection: Any  # what it came on and is answered on
+    cache_key: CacheKey | None  # None where duplicates can't be known
+    connection: ResponseChannel
 
     answered: bool = False  # or no answer is owed any more
-    ran: bool = False  # a command to run it was given, and nothing proves that it had no effect
+    may_have_run: bool = False  # given to the engine, and nothing proves that it had no effect
     in_engine: bool = False  # from the command to run until the notice that the run is over
-    heard: int = 0  # the number of the last notice for it
-    call: Any = None  # the call in flight
-    unknown: bool = False  # the engine knows no such exchange
-    call_links: list = field(default_factory=list)  # on which calls of its were placed
-    earlier: Any = None  # the cached result of the exchange that it repeats
-    cached: Any = None  # its own cached result
+    last_notice: int = 0  # number of the engine's last notice for it
+    call: Any = None  # the `catalogue.links.Call` in flight
+    unknown_to_engine: bool = False
+    used_links: list[object] = field(default_factory=list)  # that carried a call of this request
+    duplicate_of: Any = None  # the `CachedResponse` of the request that it repeats
+    cache_entry: Any = None  # its own `CachedResponse`
     events: deque[RequestEvent] = field(default_factory=deque)
-    waiter: asyncio.Future | None = None
+    waiter: asyncio.Future[None] | None = None
 
     def post(self, event: RequestEvent) -> None:
         """Add an event for the handler of this request."""
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -118,7 +118,7 @@
     def gone(self, request) -> None:
         self.gone_here.append(request)
 
-    def holds(self, ident: bytes) -> bool:
+    def holds(self, request_id: bytes) -> bool:
         return False
 
     def healthy(self) -> bool:
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -32,7 +32,9 @@
 LOG = EventLog("test", 0)
 
 
-def exchange(ident: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", group=GROUP, **fields) -> NodeRequest:
+def exchange(
+    request_id: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", group=GROUP, **fields
+) -> NodeRequest:
     return NodeRequest(
         **{
             **dict(
@@ -45,11 +47,11 @@
                 backlog=0,
                 has_key=bool(mark),
                 repeats=False,
-                ident=ident,
+                request_id=request_id,
                 tag=1,
-                group_name=b"quote",
+                class_name=b"quote",
                 body=b"",
-                key=(group.index, mark) if mark else None,
+                cache_key=(group.index, mark) if mark else None,
                 connection=None,
             ),
             **fields,
@@ -181,7 +183,7 @@
         request = exchange()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-        writer.write(b"%s FAULT\r\n" % request.ident)
+        writer.write(b"%s FAULT\r\n" % request.request_id)
         await request.next_event()
         return request, self.catalogue.links[0]
 
@@ -195,10 +197,10 @@
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         again, writer_again = await asyncio.wait_for(self.peers.get(), WAIT)
         await again.readline()
-        writer.write(b"%s DATA 3\r\nold\r\n" % request.ident)
+        writer.write(b"%s DATA 3\r\nold\r\n" % request.request_id)
         await writer.drain()
         self.assertEqual([await reader.readline() for _ in range(2)][1][:4], b"QUIT")
-        writer_again.write(b"%s DATA 3\r\nnew\r\n" % request.ident)
+        writer_again.write(b"%s DATA 3\r\nnew\r\n" % request.request_id)
         finished = await finished_call(request)
         self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"new"))
 
@@ -213,13 +215,13 @@
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
             if not self.catalogue.links[0].connected:
                 _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-            writer.write(b"%s %s\r\n" % (request.ident, word))
+            writer.write(b"%s %s\r\n" % (request.request_id, word))
             self.assertEqual((await finished_call(request)).outcome, outcome)
         self.assertEqual(len(self.catalogue.links), 1)
 
-    async def _placed(self, ident):
+    async def _placed(self, request_id):
         """An exchange whose call is at the catalogue, with the two ends of its link there."""
-        request = exchange(ident)
+        request = exchange(request_id)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         await reader.readline()
@@ -241,9 +243,9 @@
             )
         ):
             request, writer = await self._placed(b"%016x" % number)
-            writer.write(spoilt.replace(b"%s", request.ident))
+            writer.write(spoilt.replace(b"%s", request.request_id))
             self.assertEqual((await finished_call(request)).outcome, Outcome.RESET, spoilt)
-        other_writer.write(b"%s DATA 2\r\nok\r\n" % other.ident)
+        other_writer.write(b"%s DATA 2\r\nok\r\n" % other.request_id)
         finished = await finished_call(other)
         self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
 
@@ -251,7 +253,7 @@
         stray = b"feedfeedfeedfeed DATA 1\r\nx\r\n%s"
         for number, (ahead, behind) in enumerate(((b"%s", b"%s"), (stray, b""))):
             request, writer = await self._placed(b"%016x" % number)
-            reply = b"%s DATA 2\r\nok\r\n" % request.ident
+            reply = b"%s DATA 2\r\nok\r\n" % request.request_id
             writer.write(ahead.replace(b"%s", reply) + behind.replace(b"%s", reply))
             finished = await finished_call(request)
             self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
@@ -285,7 +287,7 @@
         request = exchange()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-        writer.write(b"%s DATA 10\r\nhalf" % request.ident)
+        writer.write(b"%s DATA 10\r\nhalf" % request.request_id)
         self.assertEqual((await finished_call(request)).outcome, Outcome.RESET)
         self.assertTrue(self.catalogue.links[0].stream.closed())
 
@@ -389,10 +391,10 @@
         await asyncio.wait_for(up.wait(), WAIT)
         request = exchange()
         link.run(request)
-        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.ident)
+        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.request_id)
         await asyncio.wait_for(link.ask_gauges(), WAIT)
         links[0].close()
-        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.ident)
+        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.request_id)
         serving.cancel()
         await asyncio.wait((serving,))
         server.close()
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -19,7 +19,7 @@
 
 
 def one(**fields):
-    return exchange(**{**dict(group=ONCE, key=KEY, body=b"two seats"), **fields})
+    return exchange(**{**dict(group=ONCE, cache_key=KEY, body=b"two seats"), **fields})
 
 
 class WindowStories(unittest.TestCase):
@@ -83,7 +83,7 @@
         first, second = self.remembered(), self.remembered(NOW + 1100 * MS)
         third = self.remembered(NOW + 2200 * MS)
         self.results.forget(second)  # in the middle: nothing changes
-        self.assertIs(self.results.results[KEY], third.cached)
+        self.assertIs(self.results.results[KEY], third.cache_entry)
         self.results.ended(first, Outcome.STOPPED, b"")
         self.results.ended(third, Outcome.COMPLETED, b"third")
         self.assertTrue(self.results.find(one(), NOW + 2300 * MS))
@@ -101,7 +101,7 @@
     def test_two_tenants_never_share_a_key_or_a_subject(self):
         for effect, name in ((Effect.DEDUPLICATED, b"opkey"), (Effect.REPEATABLE, b"subject")):
             keys = {
-                self.read(effect, owner + name + b"=k1").key
+                self.read(effect, owner + name + b"=k1").cache_key
                 for owner in (b"owner=hall,", b"owner=fete,", b"owner=,", b"owner=unheard-of,")
             }
             self.assertEqual(len(keys), 4)
@@ -110,11 +110,11 @@
         # With reads shared elsewhere the second took the result of the first, and never ran.
         for fields in (b"subject=s", b"opkey=k"):
             request = self.read(Effect.MUTATING, fields)
-            self.assertEqual((request.key, request.has_key), (None, False))
+            self.assertEqual((request.cache_key, request.has_key), (None, False))
 
     def test_a_key_of_one_kind_is_none_of_the_other(self):
-        self.assertIsNone(self.read(Effect.DEDUPLICATED, b"subject=s").key)
-        self.assertIsNone(self.read(Effect.REPEATABLE, b"opkey=k").key)
+        self.assertIsNone(self.read(Effect.DEDUPLICATED, b"subject=s").cache_key)
+        self.assertIsNone(self.read(Effect.REPEATABLE, b"opkey=k").cache_key)
 
     def test_the_same_key_with_another_body_is_another_thing(self):
         results = ResponseCache(BOUNDS, 0)
@@ -132,8 +132,8 @@
     def order(self, dispatcher, key: str = "k1", body: bytes = b"two seats", **more) -> str:
         return dispatcher.call("order", body, fields=f",opkey={key}" + more.pop("fields", ""), **more)
 
-    def runs(self, ident: str) -> None:
-        self.assertEqual(self.engine.next()[:2], ("RUN", ident))
+    def runs(self, request_id: str) -> None:
+        self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
 
     def seen(self, dispatcher) -> None:
         """All that it sent so far is read."""
