--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -66,7 +66,7 @@
             await self._wind_up(request)
         finally:
             self.catalogue.quit(request)
-            if request.ran:
+            if request.may_have_run:
                 self.results.ended(request, Outcome.ERROR, b"")
             else:
                 self.results.forget(request)  # a repeat of what went unrun may run
@@ -80,7 +80,7 @@
             self._answer(request, codec.TERMINATED)
             return False
         if (
-            request.key
+            request.cache_key
             and request.request_class.at_most_once
             and not request.is_duplicate
             and self.results.full(now)
@@ -154,9 +154,9 @@
         # this one as running: told that it never was there, they would count it for ever.
         counted = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
         self.host.tell(self.host.admission.run_finished, request, counted, run.duration)
-        if request.unknown:
+        if request.unknown_to_engine:
             request.connection.fault("request_id_unknown")
-        if request.ran:
+        if request.may_have_run:
             self.results.ended(request, counted, run.result)
         self._answer_run(request, run.outcome, run.result)
 
