--- a/oakkeel/admission/__init__.py
+++ b/oakkeel/admission/__init__.py
@@ -1,5 +1,8 @@
-"""Every decision of an oakkeel node: the ladder, and fair shares within it."""
+"""Every decision of an oakkeel node: admission, and fair shares within it."""
 
-from oakkeel.admission.controller import MS, POLL_TOKEN, SECOND, AdmissionController, SlidingWindow, Stage
+from oakkeel.admission.controller import POLL_TOKEN, AdmissionController
+from oakkeel.admission.overload import Stage
+from oakkeel.admission.sliding_window import SlidingWindow
+from oakkeel.resource_limits import MS, SECOND
 
 __all__ = ["MS", "POLL_TOKEN", "SECOND", "AdmissionController", "SlidingWindow", "Stage"]
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -1,9 +1,7 @@
-"""Whose exchange is over its fair share, and when those who were denied may come back.
+"""Fair sharing: whose request is over its fair share, and when a rejected client may come back.
 
-Shares are weighted max-min: nobody gets more than it asks for, and what some leave is the others'. Work is
-time on the cores; what a node can do is the number of runs that the ladder lets run at one time. So a node
-half as fast finds each exchange twice as dear, and allows and promises half as many. The measures are in
-`oakkeel.fair_sharing`.
+Weighted max-min shares of service time, of which there is as much as may run: a slower node allows less.
+The measures are in `oakkeel.fair_sharing`.
 """
 
 from __future__ import annotations
@@ -27,7 +25,10 @@
 
 
 class FairSharing:
+    """Decides the standing of requests and the times of retries by the shares of their flows."""
+
     def __init__(self, rules: FairSharingRules, marks_retries: bool, chance: Callable[[], float]) -> None:
+        """Start with no flow known."""
         self.marks_retries, self.chance = marks_retries, chance
         self.levels = MaxMinShares(len(rules.levels), rules.max_flows, rules.half_life, rules.weights)
         self.promises = Reservations(STEP, STEPS, rules.max_reservations)
@@ -39,9 +40,7 @@
             self.looked, self.room = now, capacity * PROMISED_ROOM * STEP
             self.levels.share_out(now, capacity * ROOM * SECOND)
         key, again = request.flow_keys[-1][0], request.retry_attempt or not self.marks_retries
-        request.reservation = (
-            self.promises.due(now, key, EARLY, LATE) if again else None
-        )  # it comes as it was told
+        request.reservation = self.promises.due(now, key, EARLY, LATE) if again else None  # as it was told
         request.expected_work, asked = work, 0.0 if request.reservation else work  # and asks for nothing new
         sender = request.flow = self.levels.count(now, request.flow_keys, asked, request.retry_attempt)
         if request.reservation and request.reservation.work:
@@ -51,9 +50,7 @@
             self.promises.end(request.reservation, None)
             request.reservation = None
         elif again and (ahead := self.promises.ahead(key)):
-            request.share_standing = (
-                ShareStanding.OVER_SHARE
-            )  # to try before its time gains nothing, and waits longer
+            request.share_standing = ShareStanding.OVER_SHARE  # to try early gains nothing, and waits longer
             if ahead.early < EARLY_MOST and self.promises.all_known(key):
                 own = min(SECOND, int(work / max(1.0, sender.allowed) * SECOND))
                 self.promises.put_off(now, ahead, ahead.at + max(STEP, own), self.room)
@@ -66,9 +63,7 @@
             over = rest < 1 and not known and self.chance() > rest
         tries = request.retry_attempt and known and sender.retries > RETRY_SHARE * sender.count
         request.share_standing = ShareStanding.OVER_SHARE if over or tries else ShareStanding.WITHIN_SHARE
-        if (
-            request.share_standing is ShareStanding.WITHIN_SHARE
-        ):  # of its share, though the ladder may still deny it
+        if request.share_standing is ShareStanding.WITHIN_SHARE:  # though its overload may still reject it
             self._charge(now, request)
 
     def _charge(self, now: int, request: Request) -> None:
@@ -85,9 +80,8 @@
             return most  # one of many who share too little to promise them any
         own = sender.free_at - BURST if known else now
         promise = None
-        if (
-            request.share_standing is not ShareStanding.OVER_SHARE or not request.retry_attempt
-        ):  # nothing more for one that came early
+        # Nothing more for one that came early.
+        if request.share_standing is not ShareStanding.OVER_SHARE or not request.retry_attempt:
             promise = self.promises.book(now, max(now, own), sender.key, request.expected_work, self.room)
         if promise and promise.at - now <= most:
             self._charge(now, request)
--- /dev/null
+++ b/oakkeel/admission/occupancy.py
@@ -0,0 +1,65 @@
+"""Requests by state: which state may follow each, how many there are, and the memory that they take."""
+
+from __future__ import annotations
+
+from heapq import heappop, heappush
+
+from oakkeel.admission.types import NodeLimits, Request
+from oakkeel.admission.types import RequestState as State
+from oakkeel.errors import InvalidTransitionError
+
+TRANSITIONS = {
+    State.READ: {State.DELAYED, State.QUEUED, State.COALESCED, State.FINISHED},
+    State.DELAYED: {State.QUEUED, State.FINISHED},
+    State.QUEUED: {State.RUNNING, State.FINISHED},
+    State.COALESCED: {State.FINISHED},
+    State.RUNNING: {State.AWAITING_CALL, State.ORPHANED, State.FINISHED},
+    State.AWAITING_CALL: {State.CALLING, State.RUNNING, State.RELEASING, State.FINISHED},
+    State.CALLING: {State.AWAITING_CALL, State.RUNNING, State.RELEASING, State.FINISHED},
+    State.ORPHANED: {State.RELEASING, State.FINISHED},
+    State.RELEASING: {State.FINISHED},
+    State.FINISHED: set(),
+}
+
+
+class Occupancy:
+    """Counts requests by state, with the memory that they and the retained keys take."""
+
+    def __init__(self, limits: NodeLimits) -> None:
+        """Start with no request and no key."""
+        self.count = [0] * len(State)
+        factor = limits.running_memory_factor
+        self.memory_factors = [0, 1, 1, 1, factor, factor, factor, factor, factor, 0]  # by state
+        self.memory_kb, self.key_kb = 0.0, limits.key_kb
+        self.key_expiries: list[int] = []
+
+    def move(self, now: int, request: Request, state: State) -> None:
+        """Change the state of a request; nothing else does."""
+        old = request.state
+        if state not in TRANSITIONS[old]:
+            raise InvalidTransitionError("a request", old.name, state.name)
+        if old is State.RUNNING:
+            request.service_time += now - request.state_since
+        self.count[old] -= 1
+        self.count[state] += 1
+        self.memory_kb += request.memory_kb * (self.memory_factors[state] - self.memory_factors[old])
+        request.state, request.state_since = state, now
+
+    def retain_key(self, until: int) -> None:
+        """Count the memory of an idempotency key until it expires."""
+        self.memory_kb += self.key_kb
+        heappush(self.key_expiries, until)
+
+    def expire_keys(self, now: int) -> None:
+        """Free the memory of the keys that have expired."""
+        while self.key_expiries and self.key_expiries[0] <= now:
+            heappop(self.key_expiries)
+            self.memory_kb -= self.key_kb
+
+    def waiting(self) -> int:
+        """Count the requests that wait for a core."""
+        return self.count[State.DELAYED] + self.count[State.QUEUED]
+
+    def on_cores(self) -> int:
+        """Count runs, and those whose call is not placed: they wait for this node, not for a downstream."""
+        return self.count[State.RUNNING] + self.count[State.ORPHANED] + self.count[State.AWAITING_CALL]
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -148,7 +148,14 @@
     over_allowance_weight: float  # benefit of an exchange above its tenant's share
     request_classes: list[RequestClass]
     tenants: list[Tenant]
-    fair_sharing: FairSharingRules | None = None  # None: no sender is told from another
+    fair_sharing: FairSharingRules | None = None  # None: no flow is told from another
+
+    def warmth(self, age: int) -> float:
+        """Return the least share of full speed of a node that started so long ago (slow start)."""
+        if not self.starts_cold or not self.slow_start_time:
+            return 1.0
+        warmed = min(1.0, age / self.slow_start_time)
+        return self.slow_start_share + (1 - self.slow_start_share) * warmed
 
 
 @dataclass(slots=True, eq=False)
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -67,13 +67,20 @@
             report.gauges_age = now - node.host.gauges_at
         if node.host.begun:
             admission = node.host.admission
-            report.stage = Stage(
-                max(admission.cpu_stage, admission.depth_stage, admission.latency_stage)
-            ).name
-            report.cut, report.memory_kb = round(admission.cut, 4), round(admission.memory_kb, 1)
-            report.hold = admission.count[RequestState.DELAYED] + admission.count[RequestState.QUEUED]
-            report.runs = admission.count[RequestState.RUNNING] + admission.count[RequestState.ORPHANED]
-            report.calls = admission.count[RequestState.AWAITING_CALL] + admission.count[RequestState.CALLING]
+            report.stage = Stage(admission.overload.highest()).name
+            report.cut, report.memory_kb = (
+                round(admission.overload.threshold, 4),
+                round(admission.occupancy.memory_kb, 1),
+            )
+            report.hold = admission.occupancy.waiting()
+            report.runs = (
+                admission.occupancy.count[RequestState.RUNNING]
+                + admission.occupancy.count[RequestState.ORPHANED]
+            )
+            report.calls = (
+                admission.occupancy.count[RequestState.AWAITING_CALL]
+                + admission.occupancy.count[RequestState.CALLING]
+            )
         if node.draining:
             report.owes_by = dict(
                 Counter(
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -49,7 +49,7 @@
 
     def begin(self) -> None:
         """The decisions are there: they begin with what an earlier process knew."""
-        fair = self.node.host.admission.fair
+        fair = self.node.host.admission.fair_sharing
         if self.found and fair:
             persistence.restore_snapshot(
                 self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises
@@ -69,7 +69,7 @@
 
     def keep(self) -> None:
         """Write the snapshot, where there is a place for it."""
-        fair = self.node.host.admission.fair if self.node.host.begun else None
+        fair = self.node.host.admission.fair_sharing if self.node.host.begun else None
         if not self.path or fair is None:
             return
         try:
@@ -102,7 +102,7 @@
 
     def told(self, tag: int, most: int) -> ClientsStatus:
         """The heaviest senders by now, innermost level."""
-        fair, now = self.node.host.admission.fair, time.monotonic_ns()
+        fair, now = self.node.host.admission.fair_sharing, time.monotonic_ns()
         if fair is None:
             return ClientsStatus(tag, list(self.rules.levels))
         table, promises = fair.levels.tables[-1], fair.promises
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -159,7 +159,7 @@
 
     def return_after(self) -> int:
         """When one that is denied at the door may come back, in nanoseconds; 0: it takes no such advice."""
-        return self.host.admission.return_after() if self.host.begun else 0
+        return self.host.admission.retry_after() if self.host.begun else 0
 
     def leave(self) -> None:
         """The notice to leave for good; a second one changes nothing."""
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -169,7 +169,7 @@
             self._answer(request, codec.TERMINATED)
 
     def _deny(self, request: NodeRequest) -> None:
-        self._answer(request, codec.DENIED, retry_after=self.host.admission.return_after())
+        self._answer(request, codec.DENIED, retry_after=self.host.admission.retry_after())
 
     def _answer(
         self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -2,7 +2,9 @@
 
 import unittest
 
-from oakkeel.admission.controller import CALLERS_MOST, MS, SECOND, Stage, next_stage
+from oakkeel.admission import MS, SECOND
+from oakkeel.admission.client_returns import CLIENTS_MOST
+from oakkeel.admission.overload import Stage, next_stage
 from oakkeel.admission.types import (
     DownstreamKind,
     Gauges,
@@ -50,7 +52,9 @@
             if len(running) > 3:
                 host.done(running[0])
             host.run_until(host.now + 100 * MS)
-        denied = [sum(host.words(request) == ["reject"] for request in exchanges[group::2]) for group in (0, 1)]
+        denied = [
+            sum(host.words(request) == ["reject"] for request in exchanges[group::2]) for group in (0, 1)
+        ]
         self.assertGreater(denied[0], 2 * denied[1])
 
     def test_low_rank_may_try_elsewhere_until_many_later_tries_come(self):
@@ -75,7 +79,7 @@
             host.done(host.arrive(tenant=0))
             host.done(host.arrive(tenant=1))
             host.run_until(host.now + 20 * MS)
-        greedy, modest = host.admission.ranks[0]
+        greedy, modest = host.admission.ranking.ranks[0]
         self.assertLess(greedy[0], modest[0])
 
 
@@ -101,7 +105,9 @@
 
     def test_what_can_no_longer_be_in_time_is_denied_at_once(self):
         host = FakeHost()
-        self.assertEqual(host.words(host.arrive(queueing_delay=3 * SECOND, remaining_time=2 * SECOND)), ["reject"])
+        self.assertEqual(
+            host.words(host.arrive(queueing_delay=3 * SECOND, remaining_time=2 * SECOND)), ["reject"]
+        )
 
     def test_a_caller_known_gone_gets_no_answer_and_its_work_is_stopped(self):
         host = FakeHost()
@@ -137,7 +143,9 @@
 
     def test_a_call_of_a_mutating_exchange_is_resent_only_when_it_never_ran(self):
         for outcome, calls in ((Outcome.CONNECT_FAILED, 2), (Outcome.RESET, 1)):
-            host = FakeHost(request_classes=[{"idempotency": Idempotency.NON_IDEMPOTENT}], downstream=DownstreamKind.TIER)
+            host = FakeHost(
+                request_classes=[{"idempotency": Idempotency.NON_IDEMPOTENT}], downstream=DownstreamKind.TIER
+            )
             request = host.arrive()
             host.at_call(request)
             host.call_done(request, outcome)
@@ -198,17 +206,22 @@
         host = FakeHost(memory_kb=2000)
         exchanges = [host.arrive() for _ in range(30)]
         self.assertLessEqual(len(host.in_state(exchanges, RequestState.RUNNING)), 4)
-        self.assertLessEqual(host.admission.memory_kb, 2000)
+        self.assertLessEqual(host.admission.occupancy.memory_kb, 2000)
 
     def test_repeats_of_a_hot_key_stay_within_the_memory(self):
         host = FakeHost(cache_ttl=SECOND, memory_kb=2000)
         host.arrive(has_key=True)
         repeats = [host.arrive(has_key=True, is_duplicate=True) for _ in range(60)]
-        self.assertLessEqual(host.admission.memory_kb, 2000)
+        self.assertLessEqual(host.admission.occupancy.memory_kb, 2000)
         self.assertIn("reject", host.words(repeats[-1]))
 
     def test_the_calls_rule_holds_over_a_long_window(self):
-        host = FakeHost(request_classes=[{}], downstream=DownstreamKind.SHARED, downstream_quota=0.2, downstream_window=20 * SECOND)
+        host = FakeHost(
+            request_classes=[{}],
+            downstream=DownstreamKind.SHARED,
+            downstream_quota=0.2,
+            downstream_window=20 * SECOND,
+        )
         spent = 0
         for _ in range(120):
             request = host.arrive()
@@ -223,17 +236,25 @@
         self.assertLess(spent, 0.2 * max(host.now - SECOND, host.limits.downstream_window))
 
     def test_a_cold_node_keeps_runs_and_calls_under_its_smaller_crowd(self):
-        host = FakeHost(request_classes=[{}], downstream=DownstreamKind.TIER, starts_cold=True, overload_multiple=2)
+        host = FakeHost(
+            request_classes=[{}], downstream=DownstreamKind.TIER, starts_cold=True, overload_multiple=2
+        )
         exchanges = [host.arrive() for _ in range(40)]
         for request in exchanges:
             host.at_call(request)
         self.assertLess(
-            host.admission.count[RequestState.CALLING] + host.admission.count[RequestState.RUNNING],
+            host.admission.occupancy.count[RequestState.CALLING]
+            + host.admission.occupancy.count[RequestState.RUNNING],
             1.25 * host.limits.cores,
         )
 
     def test_calls_in_hand_stay_under_a_share_below_one(self):
-        host = FakeHost(request_classes=[{}], downstream=DownstreamKind.SHARED, downstream_quota=0.4, stop_kind=StopKind.SUSPEND)
+        host = FakeHost(
+            request_classes=[{}],
+            downstream=DownstreamKind.SHARED,
+            downstream_quota=0.4,
+            stop_kind=StopKind.SUSPEND,
+        )
         spent = 0
         for _ in range(100):
             request = host.arrive()
@@ -244,7 +265,7 @@
                 spent += host.now - began
                 host.call_done(request, Outcome.COMPLETED)
                 host.done(request)
-        self.assertLessEqual(host.admission.count[RequestState.CALLING], 1)
+        self.assertLessEqual(host.admission.occupancy.count[RequestState.CALLING], 1)
         self.assertGreater(spent, 0)
         self.assertLess(spent / (host.now - SECOND), 0.4)
 
@@ -264,7 +285,9 @@
 
     def test_a_call_waits_for_room_before_it_is_left_out(self):
         # Leaving calls out at the first full moment gave up half the benefit for a wait of milliseconds.
-        host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.SHARED, downstream_quota=1)
+        host = FakeHost(
+            request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.SHARED, downstream_quota=1
+        )
         first, second = host.arrive(), host.arrive()
         host.at_call(first)
         host.at_call(second)
@@ -344,9 +367,9 @@
 
     def test_of_many_callers_those_heard_last_are_remembered(self):
         host = FakeHost()
-        for number in range(CALLERS_MOST + 100):
+        for number in range(CLIENTS_MOST + 100):
             host.arrive(client=number)
-        self.assertEqual(list(host.admission.callers), list(range(100, CALLERS_MOST + 100)))
+        self.assertEqual(list(host.admission.returns.last_seen), list(range(100, CLIENTS_MOST + 100)))
 
     def test_a_node_crowded_by_new_connections_lets_its_table_fill(self):
         # A hot key's node spent its cores on connections that it closed at once.
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -189,16 +189,16 @@
     def test_a_node_that_runs_all_at_once_falls_over(self):
         def schedule(self, now):
             self.now = now
-            for row in list(self.hold):
-                self.hold.remove(row)
+            for row in list(self.queue):
+                self.queue.remove(row)
                 if row[2].state.name == "QUEUED":
-                    self._move(row[2], type(row[2].state).RUNNING)
+                    self.occupancy.move(now, row[2], type(row[2].state).RUNNING)
                     self.host.run(row[2])
 
         def admit_all(self, now, request):
             self.now = request.arrived_at = request.state_since = now
             request.objective_end = request.deadline = now + 100 * SECOND
-            self._admit(request)
+            self._enqueue(request)
 
         with (
             mock.patch.object(AdmissionController, "schedule", schedule),
--- a/tests/fair_sharing/test_fair_sharing.py
+++ b/tests/fair_sharing/test_fair_sharing.py
@@ -239,9 +239,9 @@
             made = world(slow=slow, slo=SECOND)
             made.add(*self.compliant(10, 40))
             made.pass_time(10)
-            fair = made.admission.fair
+            fair = made.admission.fair_sharing
             allowed = [each.allowed for each in fair.levels.tables[0].senders.values()]
-            promised.append(sum(allowed) / made.admission.span[0])
+            promised.append(sum(allowed) / made.admission.ranking.service_times[0])
         self.assertAlmostEqual(promised[1] / promised[0], 0.5, delta=0.1)
 
     def test_a_cold_node_is_shared_as_well(self):
@@ -261,7 +261,7 @@
         made = world()
         made.add(SimulatedClient(b"flood", 600), one := SimulatedClient(b"one", 0.0, heeds=False, tries=1))
         made.pass_time(5)
-        fair = made.admission.fair
+        fair = made.admission.fair_sharing
         while not fair.promises.ahead(key := hash((0, b"one")) & (1 << 62) - 1):
             made.send(one, 1)
             made.pass_time(0.01)
@@ -274,7 +274,7 @@
         made, good = world(), self.compliant(30, 15)
         made.add(*good)
         made.pass_time(5)
-        fair, before = made.admission.fair, [sum(each.taken for each in good)]
+        fair, before = made.admission.fair_sharing, [sum(each.taken for each in good)]
         made.admission.drain(made.now, 5 * SECOND)
         booked = fair.promises.made
         made.pass_time(1.5)
@@ -285,20 +285,22 @@
         made, good = world(False), self.compliant(4, 10)
         made.add(*good)
         made.pass_time(2)
-        self.assertIsNone(made.admission.fair)
+        self.assertIsNone(made.admission.fair_sharing)
 
     def test_a_retry_budget_is_the_senders_own(self):
         made = world()
-        levels = made.admission.fair.levels
+        levels = made.admission.fair_sharing.levels
         for number in range(400):
             levels.count(made.now + number * MS, ((1, b"tries"),), 1.0, number % 2 == 0)
         sender = levels.tables[0].senders[1]
         self.assertAlmostEqual(sender.retries / sender.count, 0.5, delta=0.01)
-        request = mock.Mock(flow_keys=((1, b"tries"),), retry_attempt=True, share_standing=ShareStanding.WITHIN_SHARE)
-        made.admission.fair.arrive(made.now + 400 * MS, request, 1.0, 1e9)
+        request = mock.Mock(
+            flow_keys=((1, b"tries"),), retry_attempt=True, share_standing=ShareStanding.WITHIN_SHARE
+        )
+        made.admission.fair_sharing.arrive(made.now + 400 * MS, request, 1.0, 1e9)
         self.assertIs(request.share_standing, ShareStanding.OVER_SHARE)
         request.retry_attempt = False
-        made.admission.fair.arrive(made.now + 400 * MS, request, 1.0, 1e9)
+        made.admission.fair_sharing.arrive(made.now + 400 * MS, request, 1.0, 1e9)
         self.assertIs(request.share_standing, ShareStanding.WITHIN_SHARE)
 
 
@@ -316,7 +318,7 @@
         return made
 
     def content(self, made: SimulatedNode, unix: int = 10**18) -> bytes:
-        fair = made.admission.fair
+        fair = made.admission.fair_sharing
         return persistence.encode_snapshot(
             made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises
         )
@@ -325,7 +327,7 @@
         made, again = self.filled(), world()
         content = self.content(made)
         found = persistence.decode_snapshot(content, 10**18 + SECOND, ("caller",))
-        fair, old = again.admission.fair, made.admission.fair
+        fair, old = again.admission.fair_sharing, made.admission.fair_sharing
         persistence.restore_snapshot(found, again.now, 10**18 + SECOND, fair.levels, fair.promises)
         key = max(old.levels.tables[0].senders.values(), key=lambda each: each.count).key
         before = old.levels.tables[0].rate(made.now, old.levels.tables[0].senders[key])
