--- a/measure/places.py
+++ b/measure/places.py
@@ -17,9 +17,11 @@
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.topology import BudgetGroup, Topology
+from oakkeel.raft.durable_state import DurableState
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import DurableState, NotLeaderError, Output
+from oakkeel.raft.proposals import NotLeaderError
+from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
 
 MS = 1_000_000
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -24,8 +24,11 @@
 from oakkeel.log import EventLog, fault
 from oakkeel.raft import storage
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import NotLeaderError, Output, Proposal, ProposalStatus, Role
+from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
+from oakkeel.raft.roles import Role
+from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.raft.write_counter import WriteCounter
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import RolloutStateMachine
@@ -72,10 +75,10 @@
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
         if self.store.set_aside:
             log.warning("raft_storage_quarantined", file=self.store.set_aside)
-        self.witness = storage.WriteCounter(self.path + ".count", self.store)
+        self.witness = WriteCounter(self.path + ".count", self.store)
         if self.store.new:
             self._count_anew()
-        elif why := self.witness.why():
+        elif why := self.witness.stale_reason():
             self._set_aside(f"an older copy: {why}")
         self.layout = topology_of(fleet)
         self.peers: dict[str, PeerSender] = {}
@@ -94,8 +97,10 @@
         """Make the keeper from what is on disk."""
         try:
             held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
-            if why := storage.check(held):
-                self._set_aside(why)
+            try:
+                storage.check(held)
+            except storage.CorruptStateError as error:
+                self._set_aside(str(error))
                 held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
         except DatabaseError as error:
             return self._failed(error)
@@ -151,19 +156,19 @@
     def _set_aside(self, why: str) -> None:
         """Put the file away under a name that says when, and begin a new life."""
         self.store.close()
-        self.witness.begin_anew()
+        self.witness.reset()
         aside = f"{self.path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
         for ending in ("", "-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
                 os.rename(self.path + ending, aside + ending)
         self.log.warning("raft_storage_quarantined", file=aside, error=why)
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
-        self.witness = storage.WriteCounter(self.path + ".count", self.store)
+        self.witness = WriteCounter(self.path + ".count", self.store)
 
     def _count_anew(self) -> None:
         """The file is a new one, whatever was counted of the one before."""
-        self.witness.begin_anew()
-        self.witness = storage.WriteCounter(self.path + ".count", self.store)
+        self.witness.reset()
+        self.witness = WriteCounter(self.path + ".count", self.store)
 
     def _failed(self, error: DatabaseError) -> None:
         """As if it had crashed: made again from what is there, once that can be written."""
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -27,7 +27,7 @@
 from oakkeel.disruption.state_machine import Order as Agreed
 from oakkeel.disruption.state_machine import Rejection
 from oakkeel.log import EventLog
-from oakkeel.raft.replica import NotLeaderError
+from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.state_machine import Release
 from oakkeel.settings.fleet import HostSettings
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -12,7 +12,7 @@
 from oakkeel.agent.supervisor import Supervisor
 from oakkeel.disruption.state_machine import Order as Agreed
 from oakkeel.raft.leader import NEVER
-from oakkeel.raft.replica import NotLeaderError
+from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
 from oakkeel.settings.fleet import HostSettings
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -13,8 +13,11 @@
 from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import Topology
+from oakkeel.raft.durable_state import DurableState
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import DurableState, NotLeaderError, Output, Proposal, ProposalStatus, Replica
+from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
+from oakkeel.raft.replica import Replica
+from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
 
 
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -29,9 +29,12 @@
 from oakkeel.emulator.faults import MS, SECOND, Fault, Schedule
 from oakkeel.invariants.consensus import ConsensusAudit
 from oakkeel.invariants.rollout import RolloutAudit
+from oakkeel.raft.durable_state import DurableState
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import DurableState, NotLeaderError, Output, Proposal, ProposalStatus, Role
+from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
+from oakkeel.raft.roles import Role
+from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.assignments import ArtifactRequest
@@ -700,8 +703,8 @@
         members = [each for each in leaders[-1].members if each.name != host.name]
         return all(
             (disk := self.hosts[each.name].disk)
-            and disk.head.incarnation == each.incarnation
-            and disk.head.epoch
+            and disk.metadata.incarnation == each.incarnation
+            and disk.metadata.epoch
             and each.is_voter
             and self.hosts[each.name].running
             for each in members
--- a/oakkeel/raft/__init__.py
+++ b/oakkeel/raft/__init__.py
@@ -1,1 +1,1 @@
-"""What the agents agree on: a replicated log among a few keepers. Free of I/O but for `kept`."""
+"""Raft: a replicated log among a few replicas. Free of I/O except for `storage` and `write_counter`."""
--- /dev/null
+++ b/oakkeel/raft/durable_state.py
@@ -0,0 +1,40 @@
+"""What a replica has on disk, and what changes of it. Free of I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from oakkeel.raft.log import LogPosition, Snapshot
+from oakkeel.raft.messages import Entry
+
+EMPTY_SNAPSHOT = Snapshot(0, 0, (), b"")
+
+
+@dataclass(slots=True)
+class DurableState:
+    """All that a replica has on disk."""
+
+    name: str
+    incarnation: str
+    epoch: str = ""
+    term: int = 0
+    voted_for: str = ""  # the incarnation that it voted for in that term
+    snapshot: Snapshot = EMPTY_SNAPSHOT
+    entries: list[Entry] = field(default_factory=list)
+    acknowledgements: dict[str, LogPosition] = field(default_factory=dict)  # last known entry, by incarnation
+
+
+@dataclass(slots=True)
+class StorageUpdate:
+    """A change of the durable state. Storages apply it in the order of the fields, all or nothing."""
+
+    snapshot: Snapshot | None = None
+    replaces_log: bool = False  # the snapshot replaces all entries, and not only those up to its index
+    truncate_from: int = 0  # drop the entries from this index on; 0: none
+    entries: list[tuple[int, Entry]] = field(default_factory=list)
+    metadata: bool = False  # incarnation, epoch, term, vote or acknowledgements changed
+
+    @property
+    def is_empty(self) -> bool:
+        """Whether nothing changed."""
+        return not (self.metadata or self.truncate_from or self.entries or self.snapshot)
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -1,275 +1,206 @@
-"""What a leader does for its term: who has kept what, what is agreed, its lease, who should be a member."""
+"""The state of a leader for its term: progress of each member, commit index, lease and heartbeats."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Protocol
 
-from oakkeel.raft.log import ReplicatedLog
 from oakkeel.raft.messages import (
-    MAX_BATCH_BYTES,
+    Acknowledgement,
     AppendEntriesRequest,
     AppendEntriesResponse,
     Member,
-    Message,
-    SnapshotChunk,
     SnapshotChunkResponse,
-    encode_members,
 )
-from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.raft.snapshot_transfer import snapshot_chunk
+from oakkeel.raft.state import ReplicaState
 
 NEVER = 1 << 62
 
 
-class LeaderContext(Protocol):
-    """What it needs of the keeper that leads."""
-
-    incarnation: str
-    log: ReplicatedLog
-    timeouts: RaftTimeouts
-    commit_index: int
-    recovery_requests: dict[str, tuple[str, int, bool]]
-
-    @property
-    def term(self) -> int: ...
-    @property
-    def members(self) -> tuple[Member, ...]: ...
-    def desired_voters(self) -> tuple[str, ...]: ...
-    def send(self, name: str, message: Message) -> None: ...
-
-
 @dataclass(slots=True, eq=False)
 class PeerProgress:
-    """Another member, as far as its answers tell."""
+    """Another member, as far as its responses tell."""
 
     name: str
-    next_index: int  # index to send from
-    match_index: int = 0  # it is known to have kept all up to there
+    next_index: int  # to send from
+    match_index: int = 0  # it is known to have stored all entries up to there
     sent_at: int = -NEVER
-    in_flight: bool = False  # entries were sent, and no answer came
-    acknowledged_sent_at: int = -NEVER  # the latest of our sendings that it answered, by our clock
-    snapshot_offset: int = 0  # of the snapshot that is being sent: offset
-    needs_snapshot: bool = False  # beyond what the log holds: it gets the snapshot
+    in_flight: bool = False  # entries were sent, and no response came
+    acknowledged_sent_at: int = -NEVER  # the latest `sent_at` that it responded to, by our clock
+    snapshot_offset: int = 0  # of the next chunk
+    needs_snapshot: bool = False  # it lacks entries that the log does not hold any more
 
 
 class LeaderState:
-    def __init__(self, now: int, replica: LeaderContext) -> None:
+    """What a replica keeps only while it leads. Thrown away when it leads no more."""
+
+    def __init__(self, now: int, replica: ReplicaState) -> None:
+        """`replica` has just become the leader of its term."""
         self.replica, self.elected_at = replica, now
-        self.first = replica.log.last_index + 1  # of its own term
+        self.first_index = replica.log.last_index + 1  # of its own term
         self.peers: dict[str, PeerProgress] = {}  # by incarnation
         self._follow_members(now)
 
     def _follow_members(self, now: int) -> None:
         replica, known = self.replica, self.peers
         self.peers = {
-            each.incarnation: known.get(each.incarnation)
-            or PeerProgress(each.name, replica.log.last_index + 1, acknowledged_sent_at=now)
-            for each in replica.members
-            if each.incarnation != replica.incarnation
+            member.incarnation: known.get(member.incarnation)
+            or PeerProgress(member.name, replica.log.last_index + 1, acknowledged_sent_at=now)
+            for member in replica.members
+            if member.incarnation != replica.incarnation
         }
 
-    def has_committed(self, commit: int) -> bool:
-        """Whether something of its own term is agreed: before, it does not know all that is."""
-        return commit >= self.first
+    def has_committed(self, commit_index: int) -> bool:
+        """Whether an entry of its own term is committed: before, it does not know all that is."""
+        return commit_index >= self.first_index
+
+    def _voters(self) -> list[Member]:
+        return [member for member in self.replica.members if member.is_voter]
 
-    def _quorum(self, values: list[int]) -> int:
-        """What a majority of the voters has reached, given what each has."""
+    def _majority_value(self, values: list[int]) -> int:
+        """Return what a majority of the voters has reached, given what each has."""
         return sorted(values, reverse=True)[len(values) // 2]
 
-    def next_commit_index(self, commit: int) -> int:
+    def next_commit_index(self, commit_index: int) -> int:
+        """Return how far a majority has stored the log; only entries of its own term are counted."""
         replica = self.replica
-        voters = [each for each in replica.members if each.is_voter]
+        voters = self._voters()
         if not voters:
-            return commit
-        index = self._quorum(
-            [
-                replica.log.last_index
-                if each.incarnation == replica.incarnation
-                else self.peers[each.incarnation].match_index
-                for each in voters
-            ]
-        )
-        return index if index > commit and replica.log.term_at(index) == replica.term else commit
-
-    # Lease.
+            return commit_index
+        stored = [
+            replica.log.last_index
+            if voter.incarnation == replica.incarnation
+            else self.peers[voter.incarnation].match_index
+            for voter in voters
+        ]
+        index = self._majority_value(stored)
+        if index > commit_index and replica.log.term_at(index) == replica.term:
+            return index
+        return commit_index
 
     def _majority_contact(self, now: int) -> int:
-        """The latest time at which a majority was still sent what it then answered."""
-        voters = [each for each in self.replica.members if each.is_voter]
-        return (
-            self._quorum(
-                [
-                    now
-                    if each.incarnation == self.replica.incarnation
-                    else self.peers[each.incarnation].acknowledged_sent_at
-                    for each in voters
-                ]
-            )
-            if voters
-            else now
-        )
+        """Return the latest time at which a majority had yet to be sent what it then responded to."""
+        voters = self._voters()
+        if not voters:
+            return now
+        contacts = [
+            now
+            if voter.incarnation == self.replica.incarnation
+            else self.peers[voter.incarnation].acknowledged_sent_at
+            for voter in voters
+        ]
+        return self._majority_value(contacts)
 
     def lease_until(self, now: int) -> int:
+        """Return until when nobody else can have been elected."""
         return self._majority_contact(now) + self.replica.timeouts.lease
 
     def lost_majority(self, now: int) -> bool:
-        """A majority is silent for longer than anybody waits for a leader."""
-        return now - max(self.elected_at, self._majority_contact(now)) > self.replica.timeouts.election_max
-
-    # Sending.
+        """Whether a majority has been silent for longer than any election timeout."""
+        silent_since = max(self.elected_at, self._majority_contact(now))
+        return now - silent_since > self.replica.timeouts.election_max
 
     def next_tick_at(self) -> int:
-        beat = self.replica.timeouts.heartbeat
-        return min((peer.sent_at + beat for peer in self.peers.values()), default=NEVER)
+        """Return when the next heartbeat is due."""
+        heartbeat = self.replica.timeouts.heartbeat
+        return min((peer.sent_at + heartbeat for peer in self.peers.values()), default=NEVER)
 
     def entry_appended(self, now: int) -> None:
+        """Follow the members that the entry just appended may name."""
         if self.replica.log.members_index == self.replica.log.last_index:
             self._follow_members(now)
 
     def tick(self, now: int) -> None:
+        """Send the heartbeats that are due."""
         for peer in self.peers.values():
             if now - peer.sent_at >= self.replica.timeouts.heartbeat:
                 self._send(now, peer)
 
     def replicate(self, now: int) -> None:
-        """Send at once what is new, to those from whom nothing is awaited."""
+        """Send new entries at once to the members from which no response is awaited."""
         for peer in self.peers.values():
-            if not peer.in_flight and (peer.next_index <= self.replica.log.last_index or peer.needs_snapshot):
+            has_more = peer.next_index <= self.replica.log.last_index or peer.needs_snapshot
+            if not peer.in_flight and has_more:
                 self._send(now, peer)
 
     def _send(self, now: int, peer: PeerProgress) -> None:
+        peer.sent_at = now
+        if peer.next_index <= self.replica.log.snapshot.index:
+            self._send_snapshot_chunk(now, peer)
+        else:
+            self._send_entries(now, peer)
+
+    def _send_snapshot_chunk(self, now: int, peer: PeerProgress) -> None:
+        if not peer.needs_snapshot:
+            peer.needs_snapshot, peer.snapshot_offset = True, 0
+        peer.in_flight = True
+        snapshot = self.replica.log.snapshot
+        chunk = snapshot_chunk(snapshot, self.replica.term, peer.snapshot_offset, now)
+        self.replica.send(peer.name, chunk)
+
+    def _send_entries(self, now: int, peer: PeerProgress) -> None:
         replica, log = self.replica, self.replica.log
-        peer.sent_at, term = now, replica.term
-        if peer.next_index <= log.snapshot.index:
-            snapshot = log.snapshot
-            if not peer.needs_snapshot:
-                peer.needs_snapshot, peer.snapshot_offset = True, 0
-            peer.in_flight = True
-            return replica.send(
-                peer.name,
-                SnapshotChunk(
-                    term,
-                    snapshot.index,
-                    snapshot.term,
-                    list(snapshot.members),
-                    peer.snapshot_offset,
-                    len(snapshot.content),
-                    snapshot.content[peer.snapshot_offset : peer.snapshot_offset + MAX_BATCH_BYTES],
-                    now,
-                ),
-            )
-        before = peer.next_index - 1
-        entries = log.batch_after(before)
+        previous_index = peer.next_index - 1
+        entries = log.batch_after(previous_index)
         peer.in_flight = bool(entries)
-        replica.send(
-            peer.name,
-            AppendEntriesRequest(
-                term, before, log.term_at(before), entries, replica.commit_index, now, self.acknowledgements()
-            ),
+        request = AppendEntriesRequest(
+            replica.term,
+            previous_index,
+            log.term_at(previous_index),
+            entries,
+            replica.commit_index,
+            now,
+            self.acknowledgements(),
         )
+        replica.send(peer.name, request)
 
-    def acknowledgements(self) -> list[tuple[str, int, int]]:
-        """What each member is known to have kept."""
-        log = self.replica.log
+    def acknowledgements(self) -> list[Acknowledgement]:
+        """Return what each member is known to have stored."""
+        replica, log = self.replica, self.replica.log
         return [
-            (self.replica.incarnation, log.last_term, log.last_index),
+            Acknowledgement(replica.incarnation, log.last_term, log.last_index),
             *(
-                (incarnation, log.term_at(each.match_index), each.match_index)
-                for incarnation, each in self.peers.items()
+                Acknowledgement(incarnation, log.term_at(peer.match_index), peer.match_index)
+                for incarnation, peer in self.peers.items()
             ),
         ]
 
-    # Answers.
-
-    def append_response_received(self, now: int, incarnation: str, message: AppendEntriesResponse) -> None:
+    def append_response_received(self, now: int, incarnation: str, response: AppendEntriesResponse) -> None:
+        """Take a member's response to an append entries request of this term."""
         peer = self.peers.get(incarnation)
-        if peer is None or message.sent_at > now:
+        if peer is None or response.sent_at > now:
             return
-        self._record_response(peer, message.sent_at)
-        if message.success:
-            if message.index <= self.replica.log.last_index:
-                peer.match_index = max(peer.match_index, message.index)
+        self._record_response(peer, response.sent_at)
+        if response.success:
+            if response.index <= self.replica.log.last_index:
+                peer.match_index = max(peer.match_index, response.index)
                 peer.next_index = peer.match_index + 1
-        elif message.index >= peer.match_index:  # else it was sent before a later one that was good
-            peer.next_index = min(self.replica.log.last_index, message.index) + 1
+        elif response.index >= peer.match_index:  # else it was sent before a later one that succeeded
+            peer.next_index = min(self.replica.log.last_index, response.index) + 1
+
+    def _record_response(self, peer: PeerProgress, sent_at: int) -> bool:
+        """Return whether it responds to the latest message to the member.
 
-    def _record_response(self, peer: PeerProgress, sent: int) -> bool:
-        """Whether it answers what was sent last. Only that makes room for more at once: were a second copy to
-        do so too, a link that doubles messages would double them without end."""
-        peer.acknowledged_sent_at = max(peer.acknowledged_sent_at, sent)
-        if sent == peer.sent_at:
+        Only that one makes room for more at once: were a duplicate of it to do so too, a link that duplicates
+        messages would multiply them without end.
+        """
+        peer.acknowledged_sent_at = max(peer.acknowledged_sent_at, sent_at)
+        if sent_at == peer.sent_at:
             peer.in_flight = False
-        return sent == peer.sent_at
+        return sent_at == peer.sent_at
 
-    def snapshot_response_received(self, now: int, incarnation: str, message: SnapshotChunkResponse) -> None:
+    def snapshot_response_received(self, now: int, incarnation: str, response: SnapshotChunkResponse) -> None:
+        """Take a member's response to a snapshot chunk of this term."""
         peer = self.peers.get(incarnation)
-        if peer is None or message.sent_at > now:
+        if peer is None or response.sent_at > now:
             return
-        latest = self._record_response(peer, message.sent_at)
+        is_latest = self._record_response(peer, response.sent_at)
         snapshot = self.replica.log.snapshot
-        if message.last_included_index != snapshot.index:
-            peer.needs_snapshot = False  # a later one has taken its place: from its beginning
-        elif message.next_offset >= len(snapshot.content):
-            peer.needs_snapshot, peer.match_index = False, max(peer.match_index, message.last_included_index)
+        if response.last_included_index != snapshot.index:
+            peer.needs_snapshot = False  # a later snapshot has replaced it: begin anew with that one
+        elif response.next_offset >= len(snapshot.content):
+            peer.needs_snapshot = False
+            peer.match_index = max(peer.match_index, response.last_included_index)
             peer.next_index = peer.match_index + 1
-        elif latest or message.next_offset > peer.snapshot_offset:
-            peer.snapshot_offset = message.next_offset
-
-    # Members.
-
-    def next_membership(self, now: int) -> bytes:
-        """The next change of members, one voter at a time, if there is one to make and it may be made."""
-        replica = self.replica
-        if not self.has_committed(replica.commit_index) or replica.log.members_index > replica.commit_index:
-            return b""
-        change = self._next_change(now)
-        if change is None:
-            return b""
-        # None that a majority of the new ones could not carry by now.
-        voters = [each.incarnation for each in change if each.is_voter]
-        recent = [
-            incarnation
-            for incarnation in voters
-            if incarnation == replica.incarnation
-            or (
-                incarnation in self.peers
-                and now - self.peers[incarnation].acknowledged_sent_at < replica.timeouts.election_max
-            )
-        ]
-        return encode_members(change) if 2 * len(recent) > len(voters) else b""
-
-    def _next_change(self, now: int) -> list[Member] | None:
-        replica = self.replica
-        members = list(replica.members)
-        wanted = set(replica.desired_voters()) or {each.name for each in members}
-        said = {
-            name: (incarnation, fresh)
-            for name, (incarnation, at, fresh) in replica.recovery_requests.items()
-            if now - at < 5 * replica.timeouts.recovery_interval
-        }
-        for place, each in enumerate(members):
-            incarnation, fresh = said.get(each.name, (each.incarnation, False))
-            if (
-                fresh and incarnation != each.incarnation and each.incarnation != replica.incarnation
-            ):  # its file was lost
-                members[place] = Member(each.name, incarnation, False)
-                return members
-        for each in members:
-            peer = self.peers.get(each.incarnation)
-            if (
-                peer
-                and not each.is_voter
-                and each.name in wanted
-                and peer.match_index >= replica.commit_index
-                and now - peer.acknowledged_sent_at < replica.timeouts.election_min
-            ):
-                return [Member(m.name, m.incarnation, m.is_voter or m is each) for m in members]
-        here = {each.name for each in members}
-        for name in sorted(wanted - here):
-            if name in said:
-                return [*members, Member(name, said[name][0], False)]
-        if wanted <= {each.name for each in members if each.is_voter}:  # those who come are there first
-            for each in sorted(members, key=lambda each: each.incarnation == replica.incarnation):
-                if each.name not in wanted:
-                    return [other for other in members if other is not each]
-        return None
+        elif is_latest or response.next_offset > peer.snapshot_offset:
+            peer.snapshot_offset = response.next_offset
--- a/oakkeel/raft/memory_storage.py
+++ b/oakkeel/raft/memory_storage.py
@@ -1,52 +1,52 @@
-"""What `StorageUpdate` does to what is on disk, as plain values: the meaning that any store of it has. Free of I/O."""
+"""Storage of a replica's durable state in memory: the meaning that each storage must have. Free of I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
 
+from oakkeel.raft.durable_state import EMPTY_SNAPSHOT, DurableState, StorageUpdate
 from oakkeel.raft.log import Snapshot
 from oakkeel.raft.messages import Entry
-from oakkeel.raft.replica import DurableState, StorageUpdate
 
 
 @dataclass(slots=True)
 class InMemoryStorage:
-    """One replica's file. `load` gives what a replica that starts finds in it."""
+    """One replica's file."""
 
-    head: DurableState
-    snapshot: Snapshot = Snapshot(0, 0, (), b"")
+    metadata: DurableState
+    snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: dict[int, Entry] = field(default_factory=dict)
     writes: int = 0
 
-    def write(self, durable: DurableState, storage_update: StorageUpdate) -> None:
+    def write(self, durable: DurableState, update: StorageUpdate) -> None:
+        """Store an update."""
         self.writes += 1
-        if storage_update.metadata:
-            self.head = replace(durable, entries=[], acknowledgements=dict(durable.acknowledgements))
-        if storage_update.snapshot and storage_update.replaces_log:
+        if update.metadata:
+            self.metadata = replace(durable, entries=[], acknowledgements=dict(durable.acknowledgements))
+        if update.snapshot and update.replaces_log:
             self.entries.clear()
-        if storage_update.truncate_from:
-            for index in [each for each in self.entries if each >= storage_update.truncate_from]:
-                del self.entries[index]
-        self.entries.update(storage_update.entries)
-        if storage_update.snapshot:
-            self.snapshot = storage_update.snapshot
-            for index in [each for each in self.entries if each <= storage_update.snapshot.index]:
-                del self.entries[index]
+        if update.truncate_from:
+            self._drop([index for index in self.entries if index >= update.truncate_from])
+        self.entries.update(update.entries)
+        if update.snapshot:
+            self.snapshot = update.snapshot
+            self._drop([index for index in self.entries if index <= self.snapshot.index])
+
+    def _drop(self, indexes: list[int]) -> None:
+        for index in indexes:
+            del self.entries[index]
 
     def load(self) -> DurableState:
-        entries = [self.entries[index] for index in sorted(self.entries)]
+        """Return what a replica that starts finds."""
         return replace(
-            self.head,
+            self._metadata_copy(),
             snapshot=self.snapshot,
-            entries=entries,
-            acknowledgements=dict(self.head.acknowledgements),
+            entries=[self.entries[index] for index in sorted(self.entries)],
         )
 
     def copy(self) -> InMemoryStorage:
-        """As a backup takes it."""
-        return InMemoryStorage(
-            replace(self.head, acknowledgements=dict(self.head.acknowledgements)),
-            self.snapshot,
-            dict(self.entries),
-            self.writes,
-        )
+        """Return a backup of the file."""
+        return InMemoryStorage(self._metadata_copy(), self.snapshot, dict(self.entries), self.writes)
+
+    def _metadata_copy(self) -> DurableState:
+        return replace(self.metadata, acknowledgements=dict(self.metadata.acknowledgements))
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -1,16 +1,17 @@
-"""A keeper's file: what `StorageUpdate` says, in one SQLite transaction."""
+"""Storage of a replica's durable state in a SQLite file: each update is one transaction."""
 
 from __future__ import annotations
 
-import contextlib
 import json
-import os
+from itertools import pairwise
 
 import msgspec
 
-from oakkeel.raft.log import Snapshot
-from oakkeel.raft.messages import Entry, decode_members, encode_members
-from oakkeel.raft.replica import DurableState, StorageUpdate
+from oakkeel.errors import OakkeelError
+from oakkeel.raft.durable_state import DurableState, StorageUpdate
+from oakkeel.raft.log import LogPosition, Snapshot
+from oakkeel.raft.messages import Entry, EntryKind, decode_members, encode_members
+from oakkeel.raft.write_counter import WriteCounter
 from oakkeel.store.database import Database, Statement
 
 VERSION = 1
@@ -22,138 +23,88 @@
 CREATE TABLE snapshot (one INTEGER PRIMARY KEY CHECK (one = 1), place INTEGER, term INTEGER, members BLOB,
     content BLOB)
 """
-PUT_HEAD = "INSERT OR REPLACE INTO head VALUES (1,?,?,?,?,?,?)"
+PUT_METADATA = "INSERT OR REPLACE INTO head VALUES (1,?,?,?,?,?,?)"
 PUT_ENTRY = "INSERT OR REPLACE INTO entries VALUES (?,?,?,?)"
 PUT_SNAPSHOT = "INSERT OR REPLACE INTO snapshot VALUES (1,?,?,?,?)"
 
 
-def statements(durable: DurableState, storage_update: StorageUpdate) -> list[Statement]:
-    """In the order that `StorageUpdate` asks for."""
-    rows: list[Statement] = []
-    if storage_update.metadata:
-        rows.append(
-            (
-                PUT_HEAD,
-                (
-                    durable.name,
-                    durable.incarnation,
-                    durable.epoch,
-                    durable.term,
-                    durable.voted_for,
-                    json.dumps(durable.acknowledgements),
-                ),
-            )
-        )
-    if storage_update.snapshot and storage_update.replaces_log:
-        rows.append(("DELETE FROM entries", ()))
-    if storage_update.truncate_from:
-        rows.append(("DELETE FROM entries WHERE place >= ?", (storage_update.truncate_from,)))
-    rows += [
-        (PUT_ENTRY, (index, entry.term, entry.kind, entry.content)) for index, entry in storage_update.entries
-    ]
-    if snapshot := storage_update.snapshot:
-        rows.append(
-            (
-                PUT_SNAPSHOT,
-                (snapshot.index, snapshot.term, encode_members(list(snapshot.members)), snapshot.content),
-            )
-        )
-        rows.append(("DELETE FROM entries WHERE place <= ?", (snapshot.index,)))
-    return rows
-
-
-WRITE_COUNTER_SCHEMA: list[Statement] = [
-    ("CREATE TABLE IF NOT EXISTS writes (one INTEGER PRIMARY KEY, count INTEGER)", ())
-]
-
-
-class WriteCounter:
-    """How often the record was written, beside the file and in it: a copy that is put back has fewer.
-
-    Beside it the count is written after the file, and not forced to the disk: a process that is killed leaves
-    it right, a power cut may leave it behind, and it is never ahead of the file that it belongs to.
-    """
-
-    def __init__(self, path: str, store: Database) -> None:
-        """Raises StoreError, or OSError."""
-        self.path, self.store = path, store
-        store.write(WRITE_COUNTER_SCHEMA)
-        rows = store.read("SELECT count FROM writes")
-        self.count = rows[0][0] if rows else 0
-        self.descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        told = os.pread(self.descriptor, 20, 0)
-        self.beside = int(told) if told.strip().isdigit() else 0
+class CorruptStateError(OakkeelError, ValueError):
+    """The stored state can't be what one replica wrote: damage that no checksum shows."""
 
-    def why(self) -> str:
-        """What shows that the file is an older copy; empty where nothing does."""
-        if self.beside <= self.count:
-            return ""
-        return f"it was written {self.count} times, and {self.beside} times are known here"
 
-    def counted(self) -> Statement:
-        """Goes into the same transaction as what is kept."""
-        return "INSERT OR REPLACE INTO writes VALUES (1, ?)", (self.count + 1,)
-
-    def written(self) -> None:
-        """That transaction is on disk."""
-        self.count += 1
-        with contextlib.suppress(OSError):
-            os.pwrite(self.descriptor, b"%020d" % self.count, 0)
+def write(
+    database: Database, durable: DurableState, update: StorageUpdate, counter: WriteCounter | None = None
+) -> None:
+    """Store an update; it is on disk on return. Raises DatabaseError: nothing of it is stored then."""
+    rows = _statements(durable, update)
+    if counter is None:
+        database.write(rows)
+        return
+    database.write([*rows, counter.increment()])
+    counter.confirm()
 
-    def begin_anew(self) -> None:
-        """The file that it counted for was put away."""
-        with contextlib.suppress(OSError):
-            os.pwrite(self.descriptor, b"%020d" % 0, 0)
-        os.close(self.descriptor)
 
-    def close(self) -> None:
-        os.close(self.descriptor)
+def _statements(durable: DurableState, update: StorageUpdate) -> list[Statement]:
+    """Return the statements in the order that `StorageUpdate` asks for."""
+    rows: list[Statement] = []
+    if update.metadata:
+        rows.append((PUT_METADATA, _metadata_row(durable)))
+    if update.snapshot and update.replaces_log:
+        rows.append(("DELETE FROM entries", ()))
+    if update.truncate_from:
+        rows.append(("DELETE FROM entries WHERE place >= ?", (update.truncate_from,)))
+    for index, entry in update.entries:
+        rows.append((PUT_ENTRY, (index, entry.term, entry.kind, entry.content)))
+    if snapshot := update.snapshot:
+        members = encode_members(list(snapshot.members))
+        rows.append((PUT_SNAPSHOT, (snapshot.index, snapshot.term, members, snapshot.content)))
+        rows.append(("DELETE FROM entries WHERE place <= ?", (snapshot.index,)))
+    return rows
 
 
-def write(
-    store: Database, durable: DurableState, storage_update: StorageUpdate, witness: WriteCounter | None = None
-) -> None:
-    """On disk once it returns. Raises StoreError: nothing of it is then."""
-    rows = statements(durable, storage_update)
-    if witness is None:
-        return store.write(rows)
-    store.write([*rows, witness.counted()])
-    witness.written()
+def _metadata_row(durable: DurableState) -> tuple[object, ...]:
+    acknowledgements = {
+        incarnation: (position.term, position.index)
+        for incarnation, position in durable.acknowledgements.items()
+    }
+    return (
+        durable.name,
+        durable.incarnation,
+        durable.epoch,
+        durable.term,
+        durable.voted_for,
+        json.dumps(acknowledgements),
+    )
 
 
-def load(store: Database, name: str, new_incarnation: str) -> DurableState:
-    """What a keeper finds when it starts; an empty file begins a new life. Raises StoreError."""
-    rows = store.read("SELECT name, life, epoch, term, voted, marks FROM head")
+def load(database: Database, name: str, new_incarnation: str) -> DurableState:
+    """Return the stored state; an empty file begins the new incarnation. Raises DatabaseError."""
+    rows = database.read("SELECT name, life, epoch, term, voted, marks FROM head")
     if not rows:
         durable = DurableState(name, new_incarnation)
-        write(store, durable, StorageUpdate(metadata=True))
+        write(database, durable, StorageUpdate(metadata=True))
         return durable
-    held, life, epoch, term, voted, marks = rows[0]
-    durable = DurableState(
-        held,
-        life,
-        epoch,
-        term,
-        voted,
-        acknowledgements={key: (value[0], value[1]) for key, value in json.loads(marks).items()},
-    )
-    for place, of_term, members, content in store.read("SELECT place, term, members, content FROM snapshot"):
-        durable.snapshot = Snapshot(place, of_term, tuple(decode_members(members)), content)
+    *fields, acknowledgements = rows[0]
+    durable = DurableState(*fields)
+    durable.acknowledgements = {
+        incarnation: LogPosition(*position) for incarnation, position in json.loads(acknowledgements).items()
+    }
+    for index, term, members, content in database.read("SELECT place, term, members, content FROM snapshot"):
+        durable.snapshot = Snapshot(index, term, tuple(decode_members(members)), content)
     durable.entries = [
-        Entry(*row) for row in store.read("SELECT term, kind, content FROM entries ORDER BY place")
+        Entry(*row) for row in database.read("SELECT term, kind, content FROM entries ORDER BY place")
     ]
     return durable
 
 
-def check(durable: DurableState) -> str:
-    """Why what is held can't be one file's content; empty where it can. Damage that no page sum shows."""
-    terms = [durable.snapshot.term, *(entry.term for entry in durable.entries)]
-    if terms != sorted(terms) or terms[-1] > durable.term:
-        return "terms that go back"
+def check(durable: DurableState) -> None:
+    """Raise CorruptStateError where the state can't be the content of one replica's file."""
+    terms = [durable.snapshot.term, *(entry.term for entry in durable.entries), durable.term]
+    if any(earlier > later for earlier, later in pairwise(terms)):
+        raise CorruptStateError("terms that go back")
     try:
         for entry in durable.entries:
-            if entry.kind == 1:
+            if entry.kind == EntryKind.MEMBERS:
                 decode_members(entry.content)
     except msgspec.MsgspecError as error:
-        return f"members that can't be read: {error}"
-    return ""
+        raise CorruptStateError(f"members that can't be read: {error}") from error
--- a/tests/raft/test_replica.py
+++ b/tests/raft/test_replica.py
@@ -7,6 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.raft.durable_state import DurableState
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import (
     AppendEntriesRequest,
@@ -17,7 +18,9 @@
     RecoveryRequest,
     encode_members,
 )
-from oakkeel.raft.replica import DurableState, NotLeaderError, ProposalStatus, Replica, Role
+from oakkeel.raft.proposals import NotLeaderError, ProposalStatus
+from oakkeel.raft.replica import Replica
+from oakkeel.raft.roles import Role
 from oakkeel.raft.timeouts import RaftTimeouts
 
 
@@ -166,7 +169,7 @@
         net = Net("a", "b", "c")
         net.agree(b"one")
         lost = next(name for name in net.keepers if name != net.leader().name)
-        old = net.disks.pop(lost).head.incarnation
+        old = net.disks.pop(lost).metadata.incarnation
         net.start(lost)
         net.agree(b"two")
         replica = net.keepers[lost]
@@ -214,7 +217,7 @@
         net.agree(b"two", b"three")
         net.disks[victim] = backup
         net.start(victim)
-        net.keepers[victim]._move(net.now, Role.FOLLOWER)  # as if nobody had known
+        net.keepers[victim].change_role(net.now, Role.FOLLOWER)  # as if nobody had known
         net.run(SECOND, lambda: net.keepers[victim].role is Role.STALE)
         self.assertRegex(net.keepers[victim].stale_reason, "has its word for entry")
 
@@ -292,12 +295,12 @@
         leader = net.leader()
         others = [name for name in net.keepers if name != leader.name]
         net.cut = {(leader.name, other) for other in others}
-        leader._append(
+        leader.append(
             net.now,
             EntryKind.MEMBERS,
             encode_members([each for each in leader.members if each.name != leader.name]),
         )
-        net.carry_out(leader.name, leader._done(net.now))
+        net.carry_out(leader.name, leader._finish(net.now))
         del net.disks[others[0]]
         net.start(others[0])
         net.run(3 * SECOND)
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -8,13 +8,14 @@
 import unittest
 
 from oakkeel.raft import storage
-from oakkeel.raft.log import ReplicatedLog, Snapshot
+from oakkeel.raft.durable_state import DurableState, StorageUpdate
+from oakkeel.raft.log import LogPosition, ReplicatedLog, Snapshot
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import (
     Entry,
     EntryKind,
 )
-from oakkeel.raft.replica import DurableState, StorageUpdate
+from oakkeel.raft.write_counter import WriteCounter
 from oakkeel.store.database import APPLICATION, Database, DatabaseError
 
 
@@ -34,7 +35,7 @@
                 update = StorageUpdate()
                 if random_.random() < 0.3:
                     durable.term, durable.voted_for, update.metadata = durable.term + 1, "b.1", True
-                    durable.acknowledgements = {"b.1": (durable.term, 3)}
+                    durable.acknowledgements = {"b.1": LogPosition(durable.term, 3)}
                 if log.entries and random_.random() < 0.2:
                     update.truncate_from = random_.randint(log.snapshot.index + 1, log.last_index)
                     log.truncate_from(update.truncate_from)
@@ -50,7 +51,7 @@
             store.close()
             store = Database(self.path, storage.SCHEMA, storage.VERSION)
             self.assertEqual(storage.load(store, "a", "a.2"), disk.load())
-            self.assertEqual(storage.check(disk.load()), "")
+            storage.check(disk.load())
             store.close()
 
     def test_a_write_that_fails_leaves_nothing_of_it(self):
@@ -69,7 +70,7 @@
     def test_a_copy_that_is_put_back_shows_by_how_often_it_was_written(self):
         """Drawn schedule 1008469: with its leader stopped nobody else could know."""
         store = Database(self.path, storage.SCHEMA, storage.VERSION)
-        witness = storage.WriteCounter(self.path + ".count", store)
+        witness = WriteCounter(self.path + ".count", store)
         durable = storage.load(store, "a", "a.1")
         storage.write(store, durable, StorageUpdate(metadata=True), witness)
         store.base.execute("VACUUM INTO ?", (self.path + ".backup",))
@@ -77,7 +78,7 @@
         witness.close()
         store.close()
         again = Database(self.path, storage.SCHEMA, storage.VERSION)
-        self.assertEqual(storage.WriteCounter(self.path + ".count", again).why(), "")
+        self.assertEqual(WriteCounter(self.path + ".count", again).stale_reason(), "")
         again.close()
         os.replace(self.path + ".backup", self.path)
         for ending in ("-wal", "-shm"):
@@ -87,19 +88,21 @@
         back.execute(f"PRAGMA application_id = {APPLICATION}")
         back.close()
         old = Database(self.path, storage.SCHEMA, storage.VERSION)
-        self.assertIn("written 1 times, and 2", storage.WriteCounter(self.path + ".count", old).why())
+        self.assertIn("written 1 times, and 2", WriteCounter(self.path + ".count", old).stale_reason())
         old.close()
 
     def test_a_power_cut_may_leave_the_count_beside_the_file_behind_and_that_is_no_old_copy(self):
         store = Database(self.path, storage.SCHEMA, storage.VERSION)
-        witness = storage.WriteCounter(self.path + ".count", store)
+        witness = WriteCounter(self.path + ".count", store)
         storage.write(store, storage.load(store, "a", "a.1"), StorageUpdate(metadata=True), witness)
         os.truncate(self.path + ".count", 0)
-        self.assertEqual(storage.WriteCounter(self.path + ".count", store).why(), "")
+        self.assertEqual(WriteCounter(self.path + ".count", store).stale_reason(), "")
         store.close()
 
     def test_terms_that_go_back_are_damage(self):
         durable = DurableState("a", "a.1", term=3, entries=[Entry(2, 2, b""), Entry(1, 2, b"")])
-        self.assertEqual(storage.check(durable), "terms that go back")
+        with self.assertRaisesRegex(storage.CorruptStateError, "^terms that go back$"):
+            storage.check(durable)
         durable.entries = [Entry(1, int(EntryKind.MEMBERS), b"\xc1")]
-        self.assertRegex(storage.check(durable), "members")
+        with self.assertRaisesRegex(storage.CorruptStateError, "members"):
+            storage.check(durable)
