--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -11,7 +11,8 @@
 from oakkeel.admission.types import Outcome
 from oakkeel.line_protocol import LineParser
 from oakkeel.log import EventLog
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import CallFinished
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, readable, send
 
@@ -37,18 +38,18 @@
 
     def end(self, outcome: Outcome | None, reply: bytes = b"") -> None:
         self.timer.cancel()
-        self.link.calls.pop(self.request.ident, None)
+        self.link.calls.pop(self.request.request_id, None)
         self.link.used = time.monotonic_ns()
         self.request.call = None
         if outcome is not None:
-            self.request.tell(RequestEvent.REPLY, outcome, reply, self.link.used - self.placed)
+            self.request.post(CallFinished(outcome, reply, self.link.used - self.placed))
         self.link.leave()
 
     def give_up(self, outcome: Outcome | None = Outcome.GIVEN_UP) -> None:
         """A link on which a call went unanswered may be of no use any more: it takes no other."""
-        if self.link.early.pop(self.request.ident, None) is None:
+        if self.link.early.pop(self.request.request_id, None) is None:
             self.link.spent = True
-            self.link.write(b"QUIT %s\r\n" % self.request.ident)
+            self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
             outcome = Outcome.UNREACHED  # it never left
         self.end(outcome)
@@ -124,11 +125,11 @@
             wait = self.bounds.call_partial / SECOND
             self.partial = asyncio.get_running_loop().call_later(wait, self.stream.close)
 
-    def place(self, ident: bytes, line: bytes) -> None:
+    def place(self, request_id: bytes, line: bytes) -> None:
         if self.connected:
             self.write(line)
         else:
-            self.early[ident] = line
+            self.early[request_id] = line
 
     def write(self, line: bytes) -> None:
         send(self.stream, line)
@@ -149,14 +150,16 @@
         self.links: list[CallLink] = []
 
     def fetch(self, request: NodeRequest, until: int, body: bytes) -> None:
-        """Place the call that its run waits for; a REPLY tells how it ended."""
+        """Place the call that its run waits for; `CallFinished` tells how it ended."""
         link = self._link(request)
         if link is None:
-            return request.tell(RequestEvent.REPLY, Outcome.UNREACHED, b"", 0)
-        request.call = link.calls[request.ident] = Call(request, link, until)
-        request.call_links.append(link)
+            return request.post(CallFinished(Outcome.UNREACHED, b"", 0))
+        request.call = link.calls[request.request_id] = Call(request, link, until)
+        request.used_links.append(link)
         wait_ms = max(1, (until - request.call.placed) // MS)
-        link.place(request.ident, b"FETCH %s %d %d\r\n%s\r\n" % (request.ident, wait_ms, len(body), body))
+        link.place(
+            request.request_id, b"FETCH %s %d %d\r\n%s\r\n" % (request.request_id, wait_ms, len(body), body)
+        )
 
     def quit(self, request: NodeRequest) -> None:
         """Nobody needs its call any more."""
@@ -178,7 +181,7 @@
         self._trim()
         if self.address is None:
             return None
-        usable = [link for link in self.links if not link.spent and link not in request.call_links]
+        usable = [link for link in self.links if not link.spent and link not in request.used_links]
         free = [link for link in usable if not link.calls and link.connected]
         for link in sorted(free, key=lambda link: link.used, reverse=True):
             if not readable(link.stream.socket):
