--- a/oakkeel/raft/write_counter.py
+++ b/oakkeel/raft/write_counter.py
@@ -17,7 +17,7 @@
     """Counts the writes of a database, in it and beside it: a copy that is put back has fewer.
 
     Beside it the count is written after the database, and not forced to the disk: a process that is killed
-    leaves it right, a power cut may leave it behind, and it is never ahead of the database that it belongs to.
+    leaves it right, a power cut may leave it behind, and it is never ahead of the database it belongs to.
     """
 
     def __init__(self, path: str, database: Database) -> None:
