--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -50,10 +50,10 @@
 class FleetOrder:
     """An order to be committed by the control plane."""
 
-    ident: str
+    order_id: str
     verb: str
-    lasts: int  # nanoseconds
-    whole: bool  # all targets or none
+    lifetime: int  # nanoseconds
+    atomic: bool  # all targets or none
 
 
 def _fail_without_leader(error: NoLeaderError) -> NoReturn:
@@ -79,17 +79,17 @@
     """
     targets = await _order_targets(client, selection)
     response = await request_leader(
-        client, messages.FleetOrderRequest(order.ident, order.verb, targets, order.lasts, order.whole)
+        client, messages.FleetOrderRequest(order.order_id, order.verb, targets, order.lifetime, order.atomic)
     )
-    until = time.monotonic_ns() + order.lasts + FOLLOW_DEADLINES * client.deadline
+    until = time.monotonic_ns() + order.lifetime + FOLLOW_DEADLINES * client.deadline
     while (
         wait
         and isinstance(response, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
-        and any(task.state in OPEN_STATES for task in response.parts)
+        and any(task.state in OPEN_STATES for task in response.tasks)
     ):
         await asyncio.sleep(POLL_SECONDS)
-        response = await _order_status(client, order.ident)
+        response = await _order_status(client, order.order_id)
     return _print_order(client, response, () if wait else OPEN_STATES)
 
 
@@ -116,7 +116,7 @@
     while (
         isinstance(response, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
-        and any(_may_still_leave(task, cancel) for task in response.parts)
+        and any(_may_still_leave(task, cancel) for task in response.tasks)
     ):
         await asyncio.sleep(POLL_SECONDS)
         response = await _order_status(client, ident)
@@ -125,7 +125,7 @@
 
 def _may_still_leave(task: messages.FleetTaskStatus, cancel: bool) -> bool:
     if cancel:
-        return task.state in OPEN_STATES or bool(task.place)
+        return task.state in OPEN_STATES or bool(task.fence)
     return task.state in WAITING_STATES
 
 
@@ -137,7 +137,7 @@
     else:
         stdout_console.print(order_table(response))
     good = ("done", *good_states)
-    return DONE if all(task.state in good for task in response.parts) else SOME_FAILED
+    return DONE if all(task.state in good for task in response.tasks) else SOME_FAILED
 
 
 @click.group("keepers", epilog=EXIT_CODES_HELP, invoke_without_command=True)
@@ -158,7 +158,7 @@
 async def _show_replicas(client: FleetClient) -> int:
     responses, silent = await client.request_hosts(messages.RaftStatusRequest())
     statuses = [status for status in responses.values() if isinstance(status, messages.RaftStatus)]
-    has_leader = any(status.leads for status in statuses)
+    has_leader = any(status.is_leader for status in statuses)
     if client.as_json:
         keepers = [msgspec.to_builtins(status) for status in statuses]
         print_json({"keepers": keepers, "silent": silent, "led": has_leader})
@@ -208,7 +208,7 @@
 
 
 def _has_voters(status: messages.RaftStatus, hosts: Sequence[str]) -> bool:
-    voters = {member.name for member in status.members if member.votes}
+    voters = {member.name for member in status.members if member.is_voter}
     return voters == set(hosts) and len(status.members) == len(voters)
 
 
@@ -216,7 +216,7 @@
     """Return how the leader sees the members."""
     responses, _ = await client.request_hosts(messages.RaftStatusRequest())
     statuses = [status for status in responses.values() if isinstance(status, messages.RaftStatus)]
-    return next((status for status in statuses if status.leads), None)
+    return next((status for status in statuses if status.is_leader), None)
 
 
 @click.command("places", epilog=EXIT_CODES_HELP)
@@ -238,21 +238,21 @@
         fail(UNEXPECTED_RESPONSE, SOME_SILENT)
     unavailable = [
         target
-        for target in status.out
-        if (not selection.names or target.thing in selection.names)
+        for target in status.unavailable
+        if (not selection.names or target.target in selection.names)
         and (not selection.hosts or target.host in selection.hosts)
     ]
     if client.as_json:
         print_json(
             {
                 "index": status.index,
-                "groups": msgspec.to_builtins(status.groups),
+                "groups": msgspec.to_builtins(status.budgets),
                 "out": msgspec.to_builtins(unavailable),
                 "orders": msgspec.to_builtins(status.orders),
             }
         )
     else:
-        for table in permit_tables(status.groups, unavailable, status.orders):
+        for table in permit_tables(status.budgets, unavailable, status.orders):
             stdout_console.print(table)
     return DONE
 
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -132,10 +132,10 @@
             reason = response.why
         fail(f"{name}: {reason}", SOME_SILENT if silent else SOME_FAILED)
     if client.as_json:
-        print_json(msgspec.to_builtins(response.told))
+        print_json(msgspec.to_builtins(response.status))
     else:
-        stdout_console.print(clients_table(response.told))
-        stderr_console.print(clients_summary(response.told), style="dim")
+        stdout_console.print(clients_table(response.status))
+        stderr_console.print(clients_summary(response.status), style="dim")
     return DONE
 
 
@@ -211,25 +211,25 @@
     for host, response in responses.items():
         if isinstance(response, messages.OrderList):
             for status in response.orders:
-                by_ident.setdefault(status.ident, []).append(HostOrder(host, status))
-    return sorted(by_ident.values(), key=lambda order: -order[0].status.taken)
+                by_ident.setdefault(status.order_id, []).append(HostOrder(host, status))
+    return sorted(by_ident.values(), key=lambda order: -order[0].status.accepted_at)
 
 
 def _is_open(order: list[HostOrder]) -> bool:
-    return any(task.state in OPEN_STATES for on_host in order for task in on_host.status.parts)
+    return any(task.state in OPEN_STATES for on_host in order for task in on_host.status.tasks)
 
 
 def _order_json(order: list[HostOrder]) -> dict[str, Any]:
     first = order[0].status
     return {
-        "order": first.ident,
+        "order": first.order_id,
         "operator": first.operator,
         "verb": first.verb,
-        "taken": first.taken,
+        "taken": first.accepted_at,
         "parts": [
             {"host": on_host.host, **msgspec.to_builtins(task)}
             for on_host in order
-            for task in on_host.status.parts
+            for task in on_host.status.tasks
         ],
     }
 
@@ -238,12 +238,12 @@
     table = plain_table("order", "operator", "verb", "taken", "instances")
     for order in found:
         first = order[0].status
-        states = Counter(task.state for on_host in order for task in on_host.status.parts)
+        states = Counter(task.state for on_host in order for task in on_host.status.tasks)
         table.add_row(
-            first.ident,
+            first.order_id,
             first.operator,
             first.verb,
-            f"{format_duration(time.time_ns() - first.taken)} ago",
+            f"{format_duration(time.time_ns() - first.accepted_at)} ago",
             ", ".join(f"{count} {state}" for state, count in states.items()),
         )
     return table
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -123,18 +123,18 @@
         tracker.no_response(host, reason)
     if wait:
         await follow_order(client, tracker)
-    print_tasks(client, order.ident, order.verb, list(tracker.tasks.values()))
+    print_tasks(client, order.order_id, order.verb, list(tracker.tasks.values()))
     return EXIT_CODE_BY_RESULT[tracker.result(wait)]
 
 
 async def follow_order(client: FleetClient, tracker: OrderTracker) -> None:
     """Poll the agents until nothing is open any more, or the time of the order is over."""
     order = tracker.order
-    until = time.monotonic_ns() + order.lasts + 2 * client.deadline
+    until = time.monotonic_ns() + order.lifetime + 2 * client.deadline
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
     hidden = not stderr_console.is_terminal
     with Progress(*columns, console=stderr_console, transient=True, disable=hidden) as progress:
-        bar = progress.add_task(f"{order.verb} {order.ident}", total=len(tracker.tasks))
+        bar = progress.add_task(f"{order.verb} {order.order_id}", total=len(tracker.tasks))
         while not tracker.finished and time.monotonic_ns() < until:
             await asyncio.sleep(POLL_SECONDS)
             responses, _ = await client.request_hosts(messages.ListOrdersRequest(), tracker.hosts_to_poll())
@@ -181,7 +181,7 @@
         task.instance: task
         for response in responses.values()
         if isinstance(response, messages.OrderStatus)
-        for task in response.parts
+        for task in response.tasks
     }
     if not tasks:
         fail(f"no agent knows an order {ident}", SOME_SILENT if silent else SOME_FAILED)
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -203,7 +203,7 @@
         with Live(release_table(status), console=stdout_console, auto_refresh=False, transient=True) as live:
             while status.state not in EXIT_CODE_BY_STATE:
                 await asyncio.sleep(POLL_SECONDS)
-                status = await _release_status(client, status.ident)
+                status = await _release_status(client, status.release_id)
                 if stdout_console.is_terminal and not client.as_json:
                     live.update(release_table(status), refresh=True)
     _print_release(client, status)
@@ -254,7 +254,7 @@
         require_control_plane(client)
 
         async def control() -> int:
-            target = ident or (await _release_status(client)).ident
+            target = ident or (await _release_status(client)).release_id
             response = await request_leader(client, messages.ControlReleaseRequest(target, name))
             _print_release(client, _expect_release(response))
             return DONE
--- a/oakkeel/fleet/order_tracking.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -64,9 +64,9 @@
 class OrderSpec:
     """What an operator orders."""
 
-    ident: str
+    order_id: str
     verb: str
-    lasts: int  # nanoseconds; what has not ended by then has failed
+    lifetime: int  # nanoseconds; what has not ended by then has failed
     supersede: bool = False  # end another operator's open order on the same instances
 
 
@@ -103,7 +103,7 @@
         """Return the order to send to each host."""
         order = self.order
         return {
-            host: messages.OrderRequest(order.ident, order.verb, targets, order.lasts, order.supersede)
+            host: messages.OrderRequest(order.order_id, order.verb, targets, order.lifetime, order.supersede)
             for host, targets in self.targets_by_host.items()
         }
 
@@ -158,9 +158,9 @@
         return [task for task in self.tasks.values() if task.host == host]
 
     def _apply_order(self, host: str, order: messages.OrderStatus) -> None:
-        if order.ident != self.order.ident:
+        if order.order_id != self.order.order_id:
             return
-        for status in order.parts:
+        for status in order.tasks:
             task = self.tasks.get(status.instance)
             if task is None or task.host != host:
                 continue  # another host's agent knows nothing of it
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -90,7 +90,7 @@
         if status is None:
             return Row(instance.name, host.site, host.name, "unknown", source=source)
         age = now - report.requested_at
-        report_age = age + status.heard_age if status.heard_age >= 0 else -1
+        report_age = age + status.report_age if status.report_age >= 0 else -1
         old = age > STALE_AFTER
         return Row(instance.name, host.site, host.name, status.phase, old, age, report_age, source, status)
 
@@ -99,7 +99,7 @@
         lines = [f"agent of {host}: {why}" for host, why in sorted(self.silent.items())]
         for host, report in sorted(self.reports.items()):
             lines += [f"agent of {host}: {note}" for note in report.status.notes]
-            skew = report.status.unix - (self.clock_offset + report.requested_at)
+            skew = report.status.unix_time - (self.clock_offset + report.requested_at)
             if self.clock_offset and abs(skew) > MAX_CLOCK_SKEW:
                 lines.append(f"agent of {host}: its clock is {skew / SECOND:+.0f} s from ours")
         return lines
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -29,7 +29,7 @@
 def replicas_table(statuses: Sequence[messages.RaftStatus]) -> Table:
     """Return a line for each replica, as its own agent and the leader report it."""
     table = plain_table("host", "role", "for", "votes", "term", "agreed", "behind", "heard", "remarks")
-    leader = next((status for status in statuses if status.leads), None)
+    leader = next((status for status in statuses if status.is_leader), None)
     members = {member.name: member for member in leader.members} if leader else {}
     for status in sorted(statuses, key=lambda status: (status.role == NO_REPLICA, status.host)):
         if status.role != NO_REPLICA or status.host in members:
@@ -44,13 +44,13 @@
 def _replica_texts(status: messages.RaftStatus, member: messages.MemberStatus | None) -> tuple[str, ...]:
     return (
         status.host,
-        f"[green]{status.role}[/]" if status.leads else status.role,
+        f"[green]{status.role}[/]" if status.is_leader else status.role,
         format_duration(status.role_age),
         "-" if member is None else _votes(member),
         str(status.term),
-        str(status.agreed),
-        "-" if member is None or member.behind < 0 else str(member.behind),
-        "-" if member is None or member.heard_age < 0 else format_age(member.heard_age),
+        str(status.committed),
+        "-" if member is None or member.lag < 0 else str(member.lag),
+        "-" if member is None or member.contact_age < 0 else format_age(member.contact_age),
         status.why,
     )
 
@@ -63,14 +63,14 @@
         _votes(member),
         "-",
         "-",
-        str(member.behind),
-        format_age(member.heard_age),
+        str(member.lag),
+        format_age(member.contact_age),
         "its agent did not answer us",
     )
 
 
 def _votes(member: messages.MemberStatus) -> str:
-    return "yes" if member.votes else "not yet"
+    return "yes" if member.is_voter else "not yet"
 
 
 def permit_tables(
@@ -90,8 +90,10 @@
 def _budgets_table(groups: Sequence[messages.BudgetUsage]) -> Table:
     table = plain_table("of", "out", "may be out")
     for group in groups:
-        used = f"[yellow]{group.out}[/]" if group.out >= group.bound else str(group.out)
-        table.add_row(group.name, used, str(group.bound))
+        used = (
+            f"[yellow]{group.unavailable}[/]" if group.unavailable >= group.limit else str(group.unavailable)
+        )
+        table.add_row(group.name, used, str(group.limit))
     return table
 
 
@@ -99,19 +101,19 @@
     table = plain_table("out", "host", "because", "place", "order")
     for target in unavailable:
         reasons = ", ".join(target.reasons)
-        table.add_row(target.thing, target.host, reasons, str(target.fence or "-"), target.order)
+        table.add_row(target.target, target.host, reasons, str(target.fence or "-"), target.order_id)
     return table
 
 
 def _orders_table(orders: Sequence[messages.FleetOrderStatus]) -> Table:
     table = plain_table("order", "operator", "verb", "made", "things", "remarks")
     for order in orders:
-        states = Counter(task.state for task in order.parts)
+        states = Counter(task.state for task in order.tasks)
         table.add_row(
-            order.ident,
+            order.order_id,
             order.operator,
             order.verb,
-            format_age(time.time_ns() - order.unix),
+            format_age(time.time_ns() - order.unix_time),
             ", ".join(f"{count} {state}" for state, count in states.items()),
             _order_remark(order),
         )
@@ -127,16 +129,16 @@
 def order_table(order: messages.FleetOrderStatus) -> Table:
     """Return a line for each target of an order, under a title that says what became of it."""
     table = plain_table("thing", "host", "state", "place", "owes", "remarks", title=_order_title(order))
-    for task in sorted(order.parts, key=lambda task: task.thing):
+    for task in sorted(order.tasks, key=lambda task: task.target):
         style = TASK_STYLES.get(task.state, OTHER_TASK_STYLE)
         state = f"[{style}]{task.state}[/]"
-        table.add_row(task.thing, task.host, state, str(task.place or "-"), task.owes, task.why)
+        table.add_row(task.target, task.host, state, str(task.fence or "-"), task.in_flight, task.why)
     return table
 
 
 def _order_title(order: messages.FleetOrderStatus) -> str:
-    title = f"{order.verb}, order {order.ident}"
-    if order.whole:
+    title = f"{order.verb}, order {order.order_id}"
+    if order.atomic:
         title += ", all or nothing"
     if order.cancelled:
         return f"{title}, cancelled by {order.cancelled}"
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -92,8 +92,10 @@
     if status.order:
         order = status.order
         texts.append(f"{order.operator}'s {order.verb} {order.state} for {format_duration(order.age)}")
-    if status.resting:
-        texts.append(f"rests after {status.deaths} deaths, starts in {format_duration(status.starts_in)}")
+    if status.restarts_exhausted:
+        texts.append(
+            f"rests after {status.recent_crashes} deaths, starts in {format_duration(status.starts_in)}"
+        )
     elif status.starts_in:
         texts.append(f"starts in {format_duration(status.starts_in)}")
     if status.phase in SILENT_PHASES:
@@ -119,11 +121,11 @@
         ("wanted", status.goal),
         ("process", str(status.pid or "none")),
         ("generation", f"{status.generation}, by {status.changed_by or 'nobody'}"),
-        ("deaths lately", str(status.deaths)),
+        ("deaths lately", str(status.recent_crashes)),
         ("remarks", remarks(row) or "none"),
     ]
     if order := status.order:
-        facts.append(("order", f"{order.ident}: {order.verb} by {order.operator}, {order.state}"))
+        facts.append(("order", f"{order.order_id}: {order.verb} by {order.operator}, {order.state}"))
     if status.report:
         facts.append(("its own report", format_age(row.report_age)))
         for field, value in msgspec.to_builtins(status.report).items():
--- a/oakkeel/rendering/rollout.py
+++ b/oakkeel/rendering/rollout.py
@@ -28,35 +28,35 @@
 
 
 def _heading(release: messages.ReleaseStatus) -> list[str]:
-    states = Counter(target.state for target in release.parts)
+    states = Counter(target.state for target in release.targets)
     style = RELEASE_STYLES.get(release.state, OTHER_RELEASE_STYLE)
     counts = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
     lines = [
-        f"release {release.ident} of {release.what.version[:VERSION_LENGTH]} by {release.operator},"
-        f" {format_age(time.time_ns() - release.unix)}: [{style}]{release.state}[/], {counts}"
+        f"release {release.release_id} of {release.version.version[:VERSION_LENGTH]} by {release.operator},"
+        f" {format_age(time.time_ns() - release.unix_time)}: [{style}]{release.state}[/], {counts}"
     ]
     if release.why:
         lines.append(f"because: {escape(release.why)}")
-    if release.waits:
-        lines.append(f"waits: {escape(release.waits)}")
-    if release.said:
-        lines.append(f"gates: {release.said}")
-    if release.driver:
-        lines.append(f"driven by {release.driver}, step {release.step}, batch {release.batch}")
+    if release.waiting_for:
+        lines.append(f"waits: {escape(release.waiting_for)}")
+    if release.gate_summary:
+        lines.append(f"gates: {release.gate_summary}")
+    if release.controller:
+        lines.append(f"driven by {release.controller}, step {release.step}, batch {release.batch}")
     return lines
 
 
 def _targets_table(release: messages.ReleaseStatus) -> Table:
     table = plain_table("thing", "host", "version", "runs", "phase", "known", "remarks")
-    for target in sorted(release.parts, key=lambda target: target.thing):
+    for target in sorted(release.targets, key=lambda target: target.target):
         style = TARGET_STYLES.get(target.state, "")
         table.add_row(
-            target.thing,
+            target.target,
             target.host,
             f"[{style}]{target.state}[/]" if style else target.state,
-            target.runs[:RUNNING_LENGTH] or "as set",
+            target.running_version[:RUNNING_LENGTH] or "as set",
             target.phase,
-            format_age(target.age) if target.age >= 0 else "-",
+            format_age(target.report_age) if target.report_age >= 0 else "-",
             target.why,
         )
     return table
