--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -32,7 +32,7 @@
 
     def __init__(self, request: NodeRequest, link: CallLink, until: int) -> None:
         self.request, self.link, self.placed = request, link, time.monotonic_ns()
-        wait = (until - self.placed + link.bounds.call_slack) / SECOND
+        wait = (until - self.placed + link.resource_limits.call_timeout_slack) / SECOND
         self.timer = asyncio.get_running_loop().call_later(wait, self.give_up)
 
     def end(self, outcome: Outcome | None, reply: bytes = b"") -> None:
@@ -58,15 +58,15 @@
     """One connection, with the calls that are on it."""
 
     def __init__(
-        self, address: tuple[str, int], pool: BufferPool, bounds: ResourceLimits, log: EventLog
+        self, address: tuple[str, int], pool: BufferPool, resource_limits: ResourceLimits, log: EventLog
     ) -> None:
-        self.address, self.bounds, self.log = address, bounds, log
+        self.address, self.resource_limits, self.log = address, resource_limits, log
         self.calls: dict[bytes, Call] = {}
         self.connected = False
         self.spent = False  # it takes no more calls, and ends with its last one
         self.surplus = 0  # replies that nobody waited for
         self.used = time.monotonic_ns()
-        self.stream = IOStream(socket.socket(), max_write_buffer_size=bounds.backlog)
+        self.stream = IOStream(socket.socket(), max_write_buffer_size=resource_limits.max_write_backlog)
         self.read_buffer = ReadBuffer(pool)
         self.early: dict[bytes, bytes] = {}  # calls placed while it connects, by exchange
         self.partial: asyncio.TimerHandle | None = None  # ends a link whose reply does not
@@ -79,7 +79,7 @@
             for line in self.early.values():
                 self.write(line)
             self.early.clear()
-            parser = LineParser(self.read_buffer, WITH_BODY, self.bounds.words)
+            parser = LineParser(self.read_buffer, WITH_BODY, self.resource_limits.max_tokens)
             while True:
                 await self.read_buffer.fill(self.stream)
                 taken = False
@@ -110,7 +110,7 @@
         # A second copy, or one to nobody: the others still get theirs here, but no new call does.
         self.spent = True
         self.surplus += 1
-        if self.surplus > self.bounds.call_surplus:
+        if self.surplus > self.resource_limits.max_surplus_replies:
             raise MalformedInputError("replies that nobody waits for")
         self.leave()
 
@@ -121,7 +121,7 @@
             self.partial.cancel()
             self.partial = None
         if not whole and not self.partial:
-            wait = self.bounds.call_partial / SECOND
+            wait = self.resource_limits.call_reply_timeout / SECOND
             self.partial = asyncio.get_running_loop().call_later(wait, self.stream.close)
 
     def place(self, ident: bytes, line: bytes) -> None:
@@ -143,9 +143,13 @@
     """The links, opened as calls need them: one call each, so that what breaks on one costs no other."""
 
     def __init__(
-        self, address: tuple[str, int] | None, pool: BufferPool, bounds: ResourceLimits, log: EventLog
+        self,
+        address: tuple[str, int] | None,
+        pool: BufferPool,
+        resource_limits: ResourceLimits,
+        log: EventLog,
     ) -> None:
-        self.address, self.pool, self.bounds, self.log = address, pool, bounds, log
+        self.address, self.pool, self.resource_limits, self.log = address, pool, resource_limits, log
         self.links: list[CallLink] = []
 
     def fetch(self, request: NodeRequest, until: int, body: bytes) -> None:
@@ -186,9 +190,9 @@
             link.spent = True  # its end, or bytes that no call is owed, came since the loop last looked
             link.leave()
             usable.remove(link)
-        if len(self.links) < self.bounds.call_links:
+        if len(self.links) < self.resource_limits.max_call_links:
             try:
-                self.links.append(CallLink(self.address, self.pool, self.bounds, self.log))
+                self.links.append(CallLink(self.address, self.pool, self.resource_limits, self.log))
                 return self.links[-1]
             except (OSError, MemoryError) as error:  # no descriptor or buffer is left: a busy one takes it
                 self.log.warning("catalogue_connect_failed", error=str(error))
@@ -199,7 +203,7 @@
         forgotten it: no call meets that."""
         now = time.monotonic_ns()
         for link in list(self.links):
-            if not link.calls and now - link.used > self.bounds.call_idle:
+            if not link.calls and now - link.used > self.resource_limits.call_idle_timeout:
                 link.stream.close()
             if link.stream.closed():
                 self.links.remove(link)
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -43,10 +43,12 @@
 class ControlListener:
     """The Unix socket and the links that came through it."""
 
-    def __init__(self, path: str, node: ControlTarget, bounds: ResourceLimits, log: EventLog) -> None:
-        self.path, self.node, self.bounds, self.log = path, node, bounds, log
+    def __init__(
+        self, path: str, node: ControlTarget, resource_limits: ResourceLimits, log: EventLog
+    ) -> None:
+        self.path, self.node, self.resource_limits, self.log = path, node, resource_limits, log
         self.links: dict[ControlLink, asyncio.Task] = {}  # the one heard longest ago first
-        self.pool = BufferPool(MAX_LINE_BYTES, 2 * bounds.control_links)
+        self.pool = BufferPool(MAX_LINE_BYTES, 2 * resource_limits.control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by one that was killed
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -65,7 +67,7 @@
         with contextlib.suppress(BlockingIOError, OSError):
             accepted, _ = self.socket.accept()
             accepted.setblocking(False)
-            if len(self.links) >= self.bounds.control_links:  # the one silent for longest makes room
+            if len(self.links) >= self.resource_limits.control_links:  # the one silent for longest makes room
                 oldest = next(iter(self.links))
                 oldest.stream.close()
                 del self.links[oldest]
@@ -96,14 +98,16 @@
         self.read_buffer = ReadBuffer(listener.pool)
 
     async def serve(self) -> None:
-        bounds, read_buffer = self.listener.bounds, self.read_buffer
+        resource_limits, read_buffer = self.listener.resource_limits, self.read_buffer
         try:
             while True:
                 began = time.monotonic_ns()
                 if read_buffer.start == read_buffer.end:
                     await read_buffer.fill(self.stream)  # one with nothing to say may stay
                 else:
-                    await asyncio.wait_for(read_buffer.fill(self.stream), bounds.control_half / SECOND)
+                    await asyncio.wait_for(
+                        read_buffer.fill(self.stream), resource_limits.control_timeout / SECOND
+                    )
                 spent = -time.thread_time_ns()
                 while (at := read_buffer.buffer.find(b"\n", read_buffer.start, read_buffer.end)) >= 0:
                     line = bytes(read_buffer.buffer[read_buffer.start : at])
@@ -111,14 +115,16 @@
                     written = send(self.stream, encode(self._answer(line)))
                     if written is None:
                         return
-                    await asyncio.wait_for(asyncio.shield(written), bounds.control_half / SECOND)
+                    await asyncio.wait_for(asyncio.shield(written), resource_limits.control_timeout / SECOND)
                     spent += time.thread_time_ns()
                     # Its share of the loop is fixed, however fast it asks.
-                    pause = max(bounds.control_pause, spent * bounds.control_share)
+                    pause = max(resource_limits.control_pause, spent * resource_limits.control_cpu_factor)
                     await asyncio.sleep(pause / SECOND)
                     spent = -time.thread_time_ns()
                 self.listener.heard(self)
-                await asyncio.sleep(max(0, began + bounds.control_pause - time.monotonic_ns()) / SECOND)
+                await asyncio.sleep(
+                    max(0, began + resource_limits.control_pause - time.monotonic_ns()) / SECOND
+                )
         except MalformedInputError:
             send(
                 self.stream, encode(Acknowledgement(0, False, f"a line of more than {MAX_LINE_BYTES} bytes"))
--- a/oakkeel/directory/reports.py
+++ b/oakkeel/directory/reports.py
@@ -10,8 +10,8 @@
 
 
 class DirectoryReporter:
-    def __init__(self, address: tuple[str, int], name: str, bounds: ResourceLimits) -> None:
-        self.name, self.bounds = name, bounds
+    def __init__(self, address: tuple[str, int], name: str, resource_limits: ResourceLimits) -> None:
+        self.name, self.resource_limits = name, resource_limits
         self.taking = True
         self.again = 0  # reports that still follow at once, as one that is lost would leave the old state
         self.timer: asyncio.TimerHandle | None = None
@@ -36,14 +36,18 @@
     def _tell_change(self) -> None:
         if self.timer:
             self.timer.cancel()
-            self.again = self.bounds.pulse_times
+            self.again = self.resource_limits.report_repeats
             self._report()
 
     def _report(self) -> None:
         word = "open" if self.taking else "closed"
         with contextlib.suppress(OSError):  # one that is down lets no entry lapse; the next report follows
             self.socket.sendto(f"PULSE {self.name} {word}".encode(), self.address)
-        wait = self.bounds.pulse_again if self.again else self.bounds.pulse
+        wait = (
+            self.resource_limits.report_repeat_interval
+            if self.again
+            else self.resource_limits.report_interval
+        )
         self.again = max(0, self.again - 1)
         self.timer = asyncio.get_running_loop().call_later(wait / SECOND, self._report)
 
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -42,12 +42,12 @@
         limits: NodeLimits,
         groups: list[str],
         tenants: list[str],
-        bounds: ResourceLimits,
+        resource_limits: ResourceLimits,
         unix_ns: Callable[[], int] = time.time_ns,
         who: FlowKeyReader | None = None,
     ) -> None:
         """`who` makes the senders of an exchange from its fields, where shares are fair."""
-        self.bounds, self.who = bounds, who
+        self.resource_limits, self.who = resource_limits, who
         self.groups: dict[bytes, RequestClass] = {
             name.encode(): group for name, group in zip(groups, limits.groups, strict=False)
         }
@@ -67,7 +67,7 @@
         ident = fields.get(b"req", b"")
         if not IDENT.fullmatch(ident):  # it goes into lines to the engine and the catalogue as it is
             raise UnreadableRequestError("no id")
-        if len(body) > self.bounds.body:
+        if len(body) > self.resource_limits.max_body_size:
             raise UnreadableRequestError("a body that is too long")
         # How old it is, and how long its caller still waits, as of now: both count from its stamp. A figure
         # out of range would live on in what the decisions measure: one stamp of long ago took a node off the
@@ -75,11 +75,11 @@
         age, waits = 0, 0
         if b"ts" in fields:
             age = self.unix_ns() - int(self._number(fields, b"ts", 1e15) * MS)
-            if abs(age) > self.bounds.stamp:
+            if abs(age) > self.resource_limits.max_clock_skew:
                 raise UnreadableRequestError("a stamp far from now")
             age = max(0, age)
         if b"timeout" in fields:
-            waits = int(self._number(fields, b"timeout", self.bounds.patience / MS) * MS)
+            waits = int(self._number(fields, b"timeout", self.resource_limits.max_client_timeout / MS) * MS)
         if b"level" in fields:
             self._number(fields, b"level", 1.0)
         # A subject tells that two reads ask for the same; of two mutating exchanges it tells nothing.
@@ -88,7 +88,7 @@
             group=group,
             tenant=self.tenants.get(fields.get(b"owner", b"")),
             caller=int(self._number(fields, b"via", 1e15)) if b"via" in fields else 0,
-            memory_kb=self._number(fields, b"need", self.bounds.need),
+            memory_kb=self._number(fields, b"need", self.resource_limits.max_memory_kb),
             marked_retry=fields.get(b"resent") == b"1",
             left=max(1, min(waits, group.async_timeout) - age) if waits else 0,
             backlog=age,
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -67,12 +67,12 @@
         self,
         stream: HalfClosingStream,
         pool: BufferPool,
-        bounds: ResourceLimits,
+        resource_limits: ResourceLimits,
         front: ConnectionOwner,
         log: EventLog,
         heard: Callable[[Connection], None],
     ) -> None:
-        self.stream, self.bounds, self.front, self.log = stream, bounds, front, log
+        self.stream, self.resource_limits, self.front, self.log = stream, resource_limits, front, log
         self.heard = heard  # called with the connection after each array, and whenever it gets idle
         self.read_buffer = ReadBuffer(pool)
         self.phase = Phase.OPEN
@@ -96,7 +96,7 @@
             if self.open:
                 self.write(codec.LAST)
             while self.open or self.unread:
-                await self._moved(self.bounds.half_closed)
+                await self._moved(self.resource_limits.half_closed_poll)
                 if _hung_up(self.stream.socket):
                     break
         except StreamClosedError:
@@ -125,11 +125,12 @@
             self._parse()
             spent += time.thread_time_ns()
             # One that leaves its answers unread gets no more of them until it has taken some.
-            while self.unread > self.bounds.unread:
+            while self.unread > self.resource_limits.max_unsent:
                 await self._moved()
             # One that always has more to say must not keep the loop: a done future does not yield.
             pause = max(
-                read_at + self.bounds.read_pause - time.monotonic_ns(), spent * self.bounds.read_share
+                read_at + self.resource_limits.read_pause - time.monotonic_ns(),
+                spent * self.resource_limits.read_cpu_factor,
             )
             await asyncio.sleep(max(0, pause) / SECOND)
 
@@ -161,7 +162,7 @@
         if self.phase is Phase.OPEN:
             self._move(Phase.LEAVING)
             self.write(codec.LAST)
-            self._rest(rest or self.bounds.last_wait)
+            self._rest(rest or self.resource_limits.drain_notice_timeout)
 
     def _rest(self, rest: int) -> None:
         self.timer = asyncio.get_running_loop().call_later(rest / SECOND, self._rested, rest)
@@ -210,7 +211,9 @@
         self._move(Phase.LINGERING)
         with contextlib.suppress(OSError):  # reset by now
             self.stream.socket.shutdown(socket.SHUT_WR)
-        self.timer = asyncio.get_running_loop().call_later(self.bounds.linger / SECOND, self.close)
+        self.timer = asyncio.get_running_loop().call_later(
+            self.resource_limits.linger_timeout / SECOND, self.close
+        )
 
     def turn_away(self) -> None:
         """There is no room for it: deny what came with it and what comes within a moment, and end it."""
@@ -218,7 +221,7 @@
         with contextlib.suppress(BlockingIOError, OSError):  # nothing came yet; or its reader will see it
             self.read_buffer.take(self.stream.socket)
         self._parse()
-        self.leave(self.bounds.young)
+        self.leave(self.resource_limits.new_connection_grace)
 
     def make_room(self) -> bool:
         """End it, as its descriptor is needed; whether it still has one for a moment."""
@@ -242,12 +245,14 @@
     def overdue(self, now: int) -> None:
         """End it where nothing whole came from it for too long, or it takes nothing: its place is for those
         that work. One that left half an array may still wait for answers to others."""
-        if self.taken and now - self.taken > self.bounds.untaken:
+        if self.taken and now - self.taken > self.resource_limits.write_timeout:
             self.close()
         elif (
             self.awaited
-            and (late := now - self.awaited - self.bounds.silent) > 0
-            and (not self.comes() or (self.read_buffer.waiting and late > self.bounds.sweep))
+            and (late := now - self.awaited - self.resource_limits.array_timeout) > 0
+            and (
+                not self.comes() or (self.read_buffer.waiting and late > self.resource_limits.sweep_interval)
+            )
         ):
             self._end()  # what just comes is read first, but at the second look it is a trickle
 
@@ -258,10 +263,10 @@
             return self.read_buffer.drop()
         taken = False
         try:
-            for words in arrays(self.read_buffer, self.bounds.words):
+            for words in arrays(self.read_buffer, self.resource_limits.max_tokens):
                 self._take(words)
                 taken = True
-                if self.faults >= self.bounds.faults:
+                if self.faults >= self.resource_limits.max_violations:
                     raise MalformedInputError("too many exchanges that can't be used")
         except MalformedInputError as error:
             return self._unusable(error)
@@ -306,9 +311,9 @@
                     tag, codec.DENIED, self.front.signal(), retry_after=self.front.return_after()
                 )
             )
-        if len(self.open) >= self.bounds.open_exchanges:
+        if len(self.open) >= self.resource_limits.max_open_requests:
             self.write(codec.encode_answer(tag, codec.DENIED, self.front.signal()))
-            raise MalformedInputError(f"more than {self.bounds.open_exchanges} exchanges open")
+            raise MalformedInputError(f"more than {self.resource_limits.max_open_requests} exchanges open")
         try:
             request = reader.read(tag, words, self)
             if self.front.holds(request.ident):
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -22,11 +22,11 @@
         self,
         address: tuple[str, int],
         pool: BufferPool,
-        bounds: ResourceLimits,
+        resource_limits: ResourceLimits,
         front: ConnectionOwner,
         log: EventLog,
     ) -> None:
-        self.pool, self.bounds, self.front, self.log = pool, bounds, front, log
+        self.pool, self.resource_limits, self.front, self.log = pool, resource_limits, front, log
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task] = set()
         self.silent: dict[Connection, int] = {}  # when those with no exchange were heard, the longest first
@@ -53,11 +53,11 @@
         be accepted may carry an exchange that was read by the machine, and is owed its answer: all that wait
         are accepted, a few at a time as ever, and the socket is closed right behind the last, as what comes
         between is reset. They are no more than the kernel lets wait: a flood would keep us here for good."""
-        for _ in range(BACKLOG // self.bounds.accepts + 1):
+        for _ in range(BACKLOG // self.resource_limits.accepts_per_pass + 1):
             if self.accepting and not self.resume and not self._accept_some() and not self.resume:
                 break
             # Connections that made room end in the next pass, and give back what the next ones need.
-            await asyncio.sleep(self.bounds.accept_again / SECOND if self.resume else 0)
+            await asyncio.sleep(self.resource_limits.accept_retry / SECOND if self.resume else 0)
         if self.accepting:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.accepting = False
@@ -75,8 +75,10 @@
     def _accept_some(self) -> bool:
         """Accept a few: in a flood of connections the rest waits for the next pass of the loop, behind all
         that the connections at work have brought by then. Returns whether more may wait."""
-        for _ in range(self.bounds.accepts):
-            if self.pool.spare <= 2 * self.bounds.links:  # those of the links are not for dispatchers
+        for _ in range(self.resource_limits.accepts_per_pass):
+            if (
+                self.pool.spare <= 2 * self.resource_limits.max_links
+            ):  # those of the links are not for dispatchers
                 return self._pause()
             try:
                 accepted, _ = self.socket.accept()
@@ -97,7 +99,7 @@
         More may wait."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
-        self.resume = loop.call_later(self.bounds.accept_again / SECOND, self._resume)
+        self.resume = loop.call_later(self.resource_limits.accept_retry / SECOND, self._resume)
         return True
 
     def _resume(self) -> None:
@@ -106,13 +108,15 @@
 
     def _accept(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
-        room = len(self.connections) < self.bounds.connections or self._make_room()
+        room = len(self.connections) < self.resource_limits.max_connections or self._make_room()
         with contextlib.suppress(OSError):  # reset by now: its stream finds out
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = HalfClosingStream(
-            accepted, max_buffer_size=self.bounds.buffer_size, read_chunk_size=self.bounds.buffer_size
+            accepted,
+            max_buffer_size=self.resource_limits.buffer_size,
+            read_chunk_size=self.resource_limits.buffer_size,
         )
-        connection = Connection(stream, self.pool, self.bounds, self.front, self.log, self._heard)
+        connection = Connection(stream, self.pool, self.resource_limits, self.front, self.log, self._heard)
         if room:
             self.connections.add(connection)
             self.silent[connection] = time.monotonic_ns()
@@ -127,7 +131,7 @@
         """End the connection that said nothing for longest, or else the one idle for longest, or one that
         left half an array: none on which something is open, on its way or just comes."""
         self.log.warning("descriptors_exhausted")
-        young = time.monotonic_ns() - self.bounds.young
+        young = time.monotonic_ns() - self.resource_limits.new_connection_grace
         old = [each for each, since in self.silent.items() if since <= young]
         for connection in (*old, *self.idle, *self.silent):
             if connection.at_rest():
@@ -144,7 +148,7 @@
 
     def _end_soon(self, connection: Connection) -> None:
         """It has a descriptor for a moment longer, of those kept back for such."""
-        while len(self.ending) >= self.bounds.ending:
+        while len(self.ending) >= self.resource_limits.evicted_connections:
             next(iter(self.ending)).close()
             self.ending.pop(next(iter(self.ending)))
         self.ending[connection] = None
@@ -166,7 +170,9 @@
 
     def _sweep(self) -> None:
         """End what is overdue, again and again."""
-        self.sweeper = asyncio.get_running_loop().call_later(self.bounds.sweep / SECOND, self._sweep)
+        self.sweeper = asyncio.get_running_loop().call_later(
+            self.resource_limits.sweep_interval / SECOND, self._sweep
+        )
         now = time.monotonic_ns()
         for connection in list(self.connections):
             connection.overdue(now)
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -80,11 +80,17 @@
         self,
         address: tuple[str, int],
         pool: BufferPool,
-        bounds: ResourceLimits,
+        resource_limits: ResourceLimits,
         log: EventLog,
         started: Callable[[bool, int], None],
     ) -> None:
-        self.address, self.pool, self.bounds, self.log, self.started = address, pool, bounds, log, started
+        self.address, self.pool, self.resource_limits, self.log, self.started = (
+            address,
+            pool,
+            resource_limits,
+            log,
+            started,
+        )
         self.runs: dict[bytes, NodeRequest] = {}
         self.unconfirmed: deque[Command] = deque()
         self.marks: deque[tuple[int, Command]] = deque()  # with the time when the engine had read so far
@@ -111,15 +117,17 @@
             # An address may take the connection and say nothing, or not even take it, for as long as TCP has
             # patience. An engine that was never up may hold its HELLO back for as long as it likes.
             try:
-                stream = self.trying = IOStream(socket.socket(), max_write_buffer_size=self.bounds.backlog)
+                stream = self.trying = IOStream(
+                    socket.socket(), max_write_buffer_size=self.resource_limits.max_write_backlog
+                )
                 read_buffer = ReadBuffer(self.pool)
-                self.patience = loop.call_later(self.bounds.engine_silent / SECOND, stream.close)
+                self.patience = loop.call_later(self.resource_limits.engine_timeout / SECOND, stream.close)
                 await connect(stream, self.address)
                 if not self.up and self.patience:
                     self.patience.cancel()
                 self.stream, self.attached_at = stream, time.monotonic_ns()
                 send(stream, b"ATTACH %d\r\n" % self.heard)
-                parser = LineParser(read_buffer, WITH_BODY, self.bounds.words)
+                parser = LineParser(read_buffer, WITH_BODY, self.resource_limits.max_tokens)
                 while True:
                     await read_buffer.fill(stream)
                     for words, body in parser.messages():
@@ -143,7 +151,7 @@
                     self.log.warning("engine_link_lost")
                 self.stream, self.open, self.barrier, self.swap = None, False, b"", b""
                 self.trying = None
-            wait = tried + self.bounds.engine_retry - time.monotonic_ns()
+            wait = tried + self.resource_limits.engine_retry - time.monotonic_ns()
             await asyncio.sleep(max(0, wait) / SECOND)
 
     def move(self, address: tuple[str, int]) -> None:
@@ -160,7 +168,9 @@
         self.open = False  # commands wait for the new link
         self.swap = b"w%d" % next(self.tags)
         send(stream, b"STAT %s\r\n" % self.swap)
-        asyncio.get_running_loop().call_later(self.bounds.engine_swap / SECOND, stream.close)
+        asyncio.get_running_loop().call_later(
+            self.resource_limits.engine_handover_timeout / SECOND, stream.close
+        )
 
     # Commands.
 
@@ -187,7 +197,7 @@
         self._send(Command(line, request, verb, heard=request.heard))
 
     def _send(self, command: Command) -> None:
-        if len(self.unconfirmed) >= self.bounds.commands:
+        if len(self.unconfirmed) >= self.resource_limits.max_unconfirmed_commands:
             self.unconfirmed = deque(old for old in self.unconfirmed if old.request is None or old.owed())
         self.unconfirmed.append(command)
         if self.open:
@@ -202,7 +212,7 @@
         now = time.monotonic_ns()
         oldest = next(iter(self.asked.values())).at if self.asked and self.open else now
         since = self.barrier_at if self.barrier else oldest
-        if self.stream and now - since > self.bounds.engine_silent:
+        if self.stream and now - since > self.resource_limits.engine_timeout:
             self.log.warning("engine_link_timed_out")
             self.stream.close()
         if not self.open:
@@ -223,7 +233,7 @@
                 del self.doubtful[request]
             elif request.answered and not since:
                 self.doubtful[request] = now
-            elif since and now - since > self.bounds.engine_silent:
+            elif since and now - since > self.resource_limits.engine_timeout:
                 del self.doubtful[request]
                 self.run(request)
 
@@ -279,7 +289,7 @@
         if not self.up:
             self.up, self.began = True, latest
             self.started(state == b"booting", age)
-        elif self.attached_at - age > self.began + self.bounds.engine_anew:
+        elif self.attached_at - age > self.began + self.resource_limits.engine_restart_margin:
             self.began = latest
             self.started(state == b"booting", age)
             return self._lose_runs()
@@ -319,7 +329,7 @@
             # The engine read all that was written before the question, but a break may still take the
             # youngest with it.
             self.marks.append((now, asked.mark))
-            while self.marks and self.marks[0][0] <= now - self.bounds.engine_loss:
+            while self.marks and self.marks[0][0] <= now - self.resource_limits.engine_loss_window:
                 _, mark = self.marks.popleft()
                 while self.unconfirmed and self.unconfirmed.popleft() is not mark:
                     pass
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -24,7 +24,7 @@
     lookup: Address
     catalogue: Address | None  # nodes of the last tier have none
     seed: int
-    bounds: ResourceLimits
+    resource_limits: ResourceLimits
     limits: NodeLimits
     gauges: list[str | None]
     groups: list[str]
@@ -57,7 +57,7 @@
             lookup=_address(pairs.need("lookup")),
             catalogue=_address(pairs.get("catalog", "")) if pairs.get("catalog", "") else None,
             seed=_seed(told.get("seed", 0)),
-            bounds=ResourceLimits(
+            resource_limits=ResourceLimits(
                 sockets=int(pairs.needed_number("limits.sockets")),
                 memory=int(pairs.needed_number("limits.memory_mb") * 1024 * 1024),
                 stop_after=int(pairs.needed_number("stop_ms") * MS),
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -17,7 +17,7 @@
 
 class NodeContext(Protocol):
     start: NodeConfiguration
-    bounds: ResourceLimits
+    resource_limits: ResourceLimits
     log: EventLog
     listener: Listener
     host: NodeHost
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -19,7 +19,7 @@
 
 def open_control(node: NodeContext) -> ControlListener:
     """Raises OSError where its socket can't be made."""
-    return ControlListener(node.start.control, ControlEndpoint(node), node.bounds, node.log)
+    return ControlListener(node.start.control, ControlEndpoint(node), node.resource_limits, node.log)
 
 
 class ControlEndpoint:
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -37,7 +37,7 @@
     reports: DirectoryReporter
     host: NodeHost
     log: EventLog
-    bounds: ResourceLimits
+    resource_limits: ResourceLimits
     done: asyncio.Event
 
     def stay(self) -> None: ...
@@ -114,7 +114,7 @@
         the stop, or that would find the node waiting for them."""
         if self.timer:
             self.timer.cancel()
-        wait = max(0, left - self.node.bounds.stop_room) / SECOND
+        wait = max(0, left - self.node.resource_limits.stop_margin) / SECOND
         self.timer = asyncio.get_running_loop().call_later(wait, self._end)
 
     def _end(self) -> None:
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -116,7 +116,7 @@
         """The decisions compare the gauges with what they run now: gauges of a second ago mislead them."""
         try:
             if asked := self.engine.ask_gauges():
-                await asyncio.wait((asked,), timeout=self.start.bounds.gauges_wait / SECOND)
+                await asyncio.wait((asked,), timeout=self.start.resource_limits.gauges_timeout / SECOND)
             if asked and asked.done():
                 self.gauges_at = time.monotonic_ns()
                 for name, value in zip(self.start.gauges, asked.result(), strict=False):
@@ -127,7 +127,7 @@
             self.tell(self.admission.timer, token, self.gauges)
         except Exception as error:  # the node lives on, and so must its poll
             self.log.error("timer_failed", error=fault(error))
-            self.set_timer(token, time.monotonic_ns() + self.start.bounds.timer_retry)
+            self.set_timer(token, time.monotonic_ns() + self.start.resource_limits.timer_retry)
 
     # The node as a whole.
 
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -32,24 +32,24 @@
     """The front of all connections, and the order in which the parts start and end."""
 
     def __init__(self, start: NodeConfiguration) -> None:
-        bounds = start.bounds
-        self.start, self.bounds = start, bounds
-        self.log = EventLog(start.name, bounds.log_lines, start.log_form)
+        resource_limits = start.resource_limits
+        self.start, self.resource_limits = start, resource_limits
+        self.log = EventLog(start.name, resource_limits.log_lines_per_second, start.log_form)
         self.measures = Metrics()
-        self.pool = BufferPool(bounds.buffer_size, bounds.buffers)
+        self.pool = BufferPool(resource_limits.buffer_size, resource_limits.max_buffers)
         self.reader: RequestReader | None = None
         self.open: dict[bytes, asyncio.Task] = {}  # by the ids of their exchanges
         self.came_up: tuple[bool, int, int] | None = None  # the engine, while the node was leaving
         self.done = asyncio.Event()
-        self.listener = Listener(start.listen, self.pool, bounds, self, self.log)
-        self.reports = DirectoryReporter(start.lookup, start.name, bounds)
-        self.engine = EngineLink(start.engine, self.pool, bounds, self.log, self._engine_up)
-        self.catalogue = Catalogue(start.catalogue, self.pool, bounds, self.log)
-        self.results = ResponseCache(bounds, start.limits.fresh)
+        self.listener = Listener(start.listen, self.pool, resource_limits, self, self.log)
+        self.reports = DirectoryReporter(start.lookup, start.name, resource_limits)
+        self.engine = EngineLink(start.engine, self.pool, resource_limits, self.log, self._engine_up)
+        self.catalogue = Catalogue(start.catalogue, self.pool, resource_limits, self.log)
+        self.results = ResponseCache(resource_limits, start.limits.fresh)
         self.host = NodeHost(
             start, self.engine, self.listener, self.reports, self.results, self.measures, self.log
         )
-        self.draining = Drain(self, start.limits.drain_grace, bounds.stop_after)
+        self.draining = Drain(self, start.limits.drain_grace, resource_limits.stop_after)
         self.fairly = None
         if start.limits.fair:
             from oakkeel.node.fair_sharing import (
@@ -80,7 +80,7 @@
         if self.control:
             self.control.open()
         serving = asyncio.ensure_future(self.engine.serve())
-        loop.call_later(self.bounds.measures / SECOND, self._measure)
+        loop.call_later(self.resource_limits.metrics_interval / SECOND, self._measure)
         gc.collect()
         gc.freeze()  # what is loaded by now lives as long as the process
         host, port = self.listener.address
@@ -109,7 +109,7 @@
             self.fairly.begin()
             who = self.fairly.keys.who
         self.reader = RequestReader(
-            self.start.limits, self.start.groups, self.start.tenants, self.bounds, who=who
+            self.start.limits, self.start.groups, self.start.tenants, self.resource_limits, who=who
         )
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
@@ -168,7 +168,7 @@
 
     def _measure(self) -> None:
         self.log.info("metrics", **self._measured())
-        asyncio.get_running_loop().call_later(self.bounds.measures / SECOND, self._measure)
+        asyncio.get_running_loop().call_later(self.resource_limits.metrics_interval / SECOND, self._measure)
 
     def _measured(self) -> dict[str, object]:
         return self.measures.facts(len(self.listener.connections), len(self.open), self.engine.losses)
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -63,9 +63,9 @@
 class ResponseCache:
     """By endpoint group, tenant and key. A later exchange takes the place of one whose time is up."""
 
-    def __init__(self, bounds: ResourceLimits, fresh: int) -> None:
+    def __init__(self, resource_limits: ResourceLimits, fresh: int) -> None:
         """`fresh`: nanoseconds for which the result of a read may serve others."""
-        self.most, self.fresh = bounds.results, fresh
+        self.most, self.fresh = resource_limits.max_results, fresh
         self.results: dict[Key, CachedResponse] = {}
 
     def find(self, request: NodeRequest, now: int) -> bool:
--- a/oakkeel/resource_limits.py
+++ b/oakkeel/resource_limits.py
@@ -1,4 +1,4 @@
-"""Every size, count and time of the network code, in one type that is filled at start and handed down."""
+"""Every size, count and time of the network code, in one type that is filled at start and passed down."""
 
 from __future__ import annotations
 
@@ -10,100 +10,105 @@
 
 @dataclass(slots=True, frozen=True)
 class ResourceLimits:
-    """Times are nanoseconds, sizes bytes. None of these decides what becomes of an exchange."""
+    """Sizes, counts and times of the network code: times in nanoseconds, sizes in bytes.
 
-    # Told at the start.
+    None of these decides whether a request is admitted; that is the admission controller's part.
+    """
+
+    # Given at start.
     sockets: int  # descriptors that the process may hold
-    memory: int  # that the process may take
-    stop_after: int  # SIGKILL comes so long after SIGTERM
+    memory: int  # that the process may use
+    stop_after: int  # from SIGTERM to SIGKILL
 
-    # Buffers: one size, for whatever is read; no array, line with its body or field may be longer.
+    # Buffers: all of one size; no array, line with its body, or field may be longer.
     buffer_size: int = 8192
-    words: int = 16  # in one array; of a line, what follows is one word
+    max_tokens: int = 16  # in one array; of a line, the rest is one token
 
     # Dispatchers.
-    spare_sockets: int = 32  # descriptors kept back for all but calls and dispatchers
-    open_exchanges: int = 32  # on one connection
-    body: int = 2048
-    need: float = 2000.0  # KB that an exchange may ask for
-    stamp: int = 60 * SECOND  # that a stamp may lie from our clock
-    patience: int = 3600 * SECOND  # that a caller may wait
-    faults: int = 8  # exchanges on one connection that can't be read or that the engine does not know
-    unread_share: float = 0.2  # of the memory, for answers that dispatchers leave unread
+    reserved_sockets: int = 32  # descriptors kept back for all but calls and dispatchers
+    max_open_requests: int = 32  # on one connection
+    max_body_size: int = 2048
+    max_memory_kb: float = 2000.0  # that a request may declare
+    max_clock_skew: int = 60 * SECOND  # between a request's timestamp and our clock
+    max_client_timeout: int = 3600 * SECOND
+    max_violations: int = 8  # requests on one connection that are malformed or that the engine does not know
+    unsent_memory_share: float = 0.2  # of the memory, for answers that dispatchers leave unread
     read_pause: int = 5 * MS  # from one read of a connection to its next
-    read_share: int = 20  # times the CPU that parsing took, before it is read again: its share of the loop
-    accepts: int = 16  # new connections in one pass of the loop
-    young: int = 50 * MS  # since its accept: what it sent may not be read yet
-    sweep: int = 250 * MS  # between looks at what connections leave undone
-    silent: int = 2 * SECOND  # from the accept to the first whole array, and from an array's start to its end
-    half_closed: int = 20 * MS  # between looks at whether one that sends no more has closed both ways
-    linger: int = SECOND  # from the end of our side of a connection until we close it
-    ending: int = 16  # connections that had to make room, or had none, and end
-    accept_again: int = 50 * MS  # where no descriptor was left
-    untaken: int = 10 * SECOND  # that a write to a dispatcher may take
-    last_wait: int = SECOND  # from `0 last` until we close a connection with nothing open ourselves
-
-    stop_room: int = 30 * MS  # from the end of what is left in a drain to the stop
+    read_cpu_factor: int = 20  # times the CPU that parsing took, before the next read: bounds its share
+    accepts_per_pass: int = 16  # new connections in one pass of the event loop
+    new_connection_grace: int = 50 * MS  # since its accept: what it sent may not be read yet
+    sweep_interval: int = 250 * MS  # between checks for overdue connections
+    array_timeout: int = (
+        2 * SECOND
+    )  # from the accept to the first whole array, from an array's start to its end
+    half_closed_poll: int = 20 * MS  # between checks whether a half-closed connection has closed both ways
+    linger_timeout: int = SECOND  # from the shutdown of our side of a connection until we close it
+    evicted_connections: int = 16  # that are closing because there is no room for them
+    accept_retry: int = 50 * MS  # when no descriptor was left
+    write_timeout: int = 10 * SECOND  # of one write to a dispatcher
+    drain_notice_timeout: int = SECOND  # from `0 last` until we close an idle connection ourselves
+
+    stop_margin: int = 30 * MS  # from the close of the last connections in a drain to the stop
 
     # The engine.
-    engine_retry: int = 50 * MS  # from one try to connect to the next
-    engine_loss: int = 150 * MS  # a break may take commands with it that are younger
-    engine_silent: int = 2 * SECOND  # without gauges that were asked for, until the link is made anew
-    engine_anew: int = SECOND  # later than it can have begun by what it said before: it began anew
-    engine_swap: int = 200 * MS  # for an old link to tell that it has read all
-    gauges_wait: int = 10 * MS  # for fresh gauges before a timer of the decisions is told
-    commands: int = 8192  # unconfirmed, before those that need not be sent again are looked for
-    backlog: int = 8 * 1024 * 1024  # bytes that a link may leave unread
+    engine_retry: int = 50 * MS  # from one connection attempt to the next
+    engine_loss_window: int = 150 * MS  # a broken link may lose commands that are younger
+    engine_timeout: int = 2 * SECOND  # without requested gauges, until the link is reconnected
+    engine_restart_margin: int = SECOND  # start later than its earlier age allows by this: it has restarted
+    engine_handover_timeout: int = 200 * MS  # for an old link to confirm that it has read everything
+    gauges_timeout: int = 10 * MS  # for fresh gauges before an admission timer fires
+    max_unconfirmed_commands: int = 8192  # before those that need no resend are pruned
+    max_write_backlog: int = 8 * 1024 * 1024  # bytes that a link may leave unread
 
-    timer_retry: int = SECOND  # after an error of ours in a timer of the decisions
+    timer_retry: int = SECOND  # after an error of ours in an admission timer
 
     # The catalogue.
-    call_links: int = 64  # one call each, as far as they go
-    call_idle: int = 500 * MS  # a link may be closed early or forgotten: one idle for longer takes no call
-    call_partial: int = 200 * MS  # from a reply's first byte to its last
-    call_surplus: int = 4  # replies that nobody waits for, while others are
-    call_slack: int = 15 * MS  # beyond the time of a call, before we give it up ourselves
+    max_call_links: int = 64  # one call each, as far as they go
+    call_idle_timeout: int = 500 * MS  # a peer may drop an idle link: one idle for longer is not used again
+    call_reply_timeout: int = 200 * MS  # from a reply's first byte to its last
+    max_surplus_replies: int = 4  # replies that no call waits for, while other calls do
+    call_timeout_slack: int = 15 * MS  # beyond the deadline of a call, before we give it up ourselves
 
     # The directory.
-    pulse: int = 250 * MS  # one in four may be lost, and an entry lapses after 3 s
-    pulse_again: int = 60 * MS  # after a change, which is told
-    pulse_times: int = 3  # so often at this pace
+    report_interval: int = 250 * MS  # one in four may be lost, and an entry expires after 3 s
+    report_repeat_interval: int = 60 * MS  # after a change
+    report_repeats: int = 3  # at that interval
 
-    # The result cache, for repeats.
-    result_size: int = 16 * 1024  # a key and its result, at the most
-    results_share: float = 0.25  # of the process's memory
+    # The response cache, for duplicates.
+    result_size: int = 16 * 1024  # a key and its result, at most
+    results_memory_share: float = 0.25  # of the process's memory
 
     # Control links, where there are any.
     control_links: int = 4
     control_pause: int = 20 * MS  # from one message on a link to its next
-    control_share: int = 50  # times the CPU that a message took, before the next is read
-    control_half: int = 2 * SECOND  # for the rest of a message, and for an answer to be taken
+    control_cpu_factor: int = 50  # times the CPU that a message took, before the next is read
+    control_timeout: int = 2 * SECOND  # for the rest of a message, and for the write of an answer
 
     # The log.
-    log_lines: int = 20  # a second
-    measures: int = 10 * SECOND  # between lines of measures
+    log_lines_per_second: int = 20
+    metrics_interval: int = 10 * SECOND
 
     @property
-    def connections(self) -> int:
-        """Of dispatchers, at one time."""
-        return max(1, self.sockets - self.spare_sockets - self.call_links - self.ending)
+    def max_connections(self) -> int:
+        """Most connections of dispatchers at one time."""
+        return max(1, self.sockets - self.reserved_sockets - self.max_call_links - self.evicted_connections)
 
     @property
-    def links(self) -> int:
-        """To the engine and the catalogue, at one time."""
-        return 2 + self.call_links
+    def max_links(self) -> int:
+        """Most links to the engine and the catalogue at one time."""
+        return 2 + self.max_call_links
 
     @property
-    def buffers(self) -> int:
-        """To read into: some connections and links end while others begin."""
-        return 2 * (self.connections + self.ending + self.links)
+    def max_buffers(self) -> int:
+        """Most read buffers: some connections and links are closing while others open."""
+        return 2 * (self.max_connections + self.evicted_connections + self.max_links)
 
     @property
-    def unread(self) -> int:
-        """Bytes of answers that a dispatcher leaves unread: from there on we read no more from it."""
-        return int(self.memory * self.unread_share) // self.connections
+    def max_unsent(self) -> int:
+        """Bytes of answers that a dispatcher leaves unread: beyond this, nothing more is read from it."""
+        return int(self.memory * self.unsent_memory_share) // self.max_connections
 
     @property
-    def results(self) -> int:
-        """Keys remembered at one time."""
-        return max(1, int(self.memory * self.results_share) // self.result_size)
+    def max_results(self) -> int:
+        """Most idempotency keys retained at one time."""
+        return max(1, int(self.memory * self.results_memory_share) // self.result_size)
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -27,13 +27,13 @@
 from tests.support.fake_host import FakeHost
 from tests.support.node_process import WAIT
 
-BOUNDS = ResourceLimits(
+RESOURCE_LIMITS = ResourceLimits(
     sockets=1024,
     memory=192 * 2**20,
     stop_after=3 * SECOND,
-    last_wait=600 * SECOND,
-    linger=600 * SECOND,
-    sweep=600 * SECOND,
+    drain_notice_timeout=600 * SECOND,
+    linger_timeout=600 * SECOND,
+    sweep_interval=600 * SECOND,
 )
 LAST = [b"0", b"last"]
 
@@ -93,13 +93,13 @@
 class DoorStory(unittest.IsolatedAsyncioTestCase):
     """A listener in front of a node that writes down what it hears."""
 
-    bounds = BOUNDS
+    resource_limits = RESOURCE_LIMITS
 
     async def asyncSetUp(self) -> None:
         self.arrived_here, self.gone_here = [], []
-        self.reader = RequestReader(FakeHost(groups=[{}]).limits, ["quote"], [], self.bounds)
-        pool = BufferPool(8192, self.bounds.buffers)
-        self.listener = Listener(("127.0.0.1", 0), pool, self.bounds, self, EventLog("test", 0))
+        self.reader = RequestReader(FakeHost(groups=[{}]).limits, ["quote"], [], self.resource_limits)
+        pool = BufferPool(8192, self.resource_limits.max_buffers)
+        self.listener = Listener(("127.0.0.1", 0), pool, self.resource_limits, self, EventLog("test", 0))
         self.listener.open()
         self.callers: list[Caller] = []
 
@@ -384,7 +384,7 @@
         caller.send(call(1)[:25])
         await self.until(lambda: connection.read_buffer.waiting and connection.stream.reading())
         caller.send(call(1)[25:])
-        connection.overdue(connection.awaited + self.bounds.silent + 1)
+        connection.overdue(connection.awaited + self.resource_limits.array_timeout + 1)
         self.assertIs(connection.phase, Phase.OPEN)
         await self.until(lambda: self.arrived_here)
         self.answer()
@@ -394,9 +394,9 @@
         caller, connection = await self.connected()
         caller.send(call(1)[:25])
         await self.until(lambda: connection.read_buffer.waiting and connection.stream.reading())
-        for look, phase in ((1, Phase.OPEN), (self.bounds.sweep, Phase.LINGERING)):
+        for look, phase in ((1, Phase.OPEN), (self.resource_limits.sweep_interval, Phase.LINGERING)):
             caller.send(b"?")
-            connection.overdue(connection.awaited + self.bounds.silent + look + 1)
+            connection.overdue(connection.awaited + self.resource_limits.array_timeout + look + 1)
             self.assertIs(connection.phase, phase)
 
     async def test_one_that_said_nothing_for_too_long_is_not_ended_over_what_it_just_sends(self):
@@ -426,8 +426,13 @@
 
 
 class RoomStories(DoorStory):
-    bounds = replace(
-        BOUNDS, sockets=BOUNDS.spare_sockets + BOUNDS.call_links + BOUNDS.ending + 2, young=600 * SECOND
+    resource_limits = replace(
+        RESOURCE_LIMITS,
+        sockets=RESOURCE_LIMITS.reserved_sockets
+        + RESOURCE_LIMITS.max_call_links
+        + RESOURCE_LIMITS.evicted_connections
+        + 2,
+        new_connection_grace=600 * SECOND,
     )
 
     async def test_room_is_not_made_of_one_that_just_sends(self):
@@ -506,7 +511,7 @@
             flood[-1].send(call(tag))
         for tag, each in enumerate(flood, 10):
             self.assertEqual((await each.until(tag))[1], b"full")
-            self.assertLessEqual(len(self.listener.ending), self.bounds.ending)
+            self.assertLessEqual(len(self.listener.ending), self.resource_limits.evicted_connections)
         self.answer()
         self.answer()
         self.assertEqual((await caller.until(1))[1], b"ok")
@@ -561,7 +566,7 @@
         self.assertRaises(ConnectionRefusedError, self.caller)
 
     async def test_one_that_comes_between_two_steps_of_the_end_of_listening_is_served(self):
-        waiting = [self.caller() for _ in range(5 * self.bounds.accepts)]
+        waiting = [self.caller() for _ in range(5 * self.resource_limits.accepts_per_pass)]
         closing = asyncio.ensure_future(self.listener.close())
         await asyncio.sleep(0)  # the first step is done
         self.assertLess(len(self.listener.connections), len(waiting))
@@ -600,11 +605,14 @@
 
         flood = Flood(self.listener.socket)
         asyncio.get_running_loop().remove_reader(self.listener.socket)
-        self.listener.accepting, self.listener.bounds = True, replace(self.bounds, sockets=140)
+        self.listener.accepting, self.listener.resource_limits = (
+            True,
+            replace(self.resource_limits, sockets=140),
+        )
         self.listener.socket = flood
         asyncio.get_running_loop().add_reader(flood, lambda: None)
         await asyncio.wait_for(self.listener.close(), WAIT)
-        self.assertLessEqual(flood.asked, BACKLOG + self.bounds.accepts)
+        self.assertLessEqual(flood.asked, BACKLOG + self.resource_limits.accepts_per_pass)
 
     async def test_with_no_descriptor_left_accepting_rests_and_goes_on(self):
         # The socket stays readable: the loop woke for it again and again.
@@ -634,7 +642,7 @@
         self.assertIn(LAST, caller.words())
 
     async def test_nothing_is_listened_on_before_it_is_opened(self):
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), BOUNDS, self, EventLog("test", 0))
+        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, self, EventLog("test", 0))
         self.addCleanup(listener.socket.close)
         self.assertRaises(ConnectionRefusedError, Caller, listener.address)
 
@@ -661,27 +669,31 @@
 class CrowdedStories(DoorStory):
     """Room for two connections, and the buffers that a node of that size has."""
 
-    bounds = RoomStories.bounds
+    resource_limits = RoomStories.resource_limits
 
     async def test_more_wait_than_there_are_buffers_for_when_listening_ends(self):
         # All were taken in one step, the buffers ran out halfway, and the drain ended there for good.
-        waiting = [self.caller() for _ in range(2 * self.bounds.buffers)]
+        waiting = [self.caller() for _ in range(2 * self.resource_limits.max_buffers)]
         for tag, each in enumerate(waiting, 1):
             each.send(call(tag))
         await asyncio.wait_for(self.listener.close(), WAIT)
         self.assertRaises(ConnectionRefusedError, self.caller)
-        for tag, each in enumerate(waiting[self.bounds.connections :], self.bounds.connections + 1):
+        for tag, each in enumerate(
+            waiting[self.resource_limits.max_connections :], self.resource_limits.max_connections + 1
+        ):
             self.assertEqual((await each.until(tag))[1], b"full")
-        await self.until(lambda: len(self.arrived_here) == self.bounds.connections)
+        await self.until(lambda: len(self.arrived_here) == self.resource_limits.max_connections)
 
     async def test_with_no_buffer_left_accepting_rests_and_leaves_the_links_theirs(self):
         # A flood took the last one, and the engine's link found none: it was never connected again.
         pool = self.listener.pool
-        taken = [pool.lease() for _ in range(self.bounds.buffers - 2 * self.bounds.links)]
+        taken = [
+            pool.lease() for _ in range(self.resource_limits.max_buffers - 2 * self.resource_limits.max_links)
+        ]
         caller = self.caller()
         caller.send(call(1))
         await self.until(lambda: self.listener.resume)
-        self.assertEqual(pool.spare, 2 * self.bounds.links)
+        self.assertEqual(pool.spare, 2 * self.resource_limits.max_links)
         for each in taken:
             pool.give_back(each)
         await self.until(lambda: self.arrived_here)
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -27,7 +27,7 @@
 from tests.support.fake_host import GROUP, FakeHost
 from tests.support.node_process import TOLD, WAIT
 
-BOUNDS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
+RESOURCE_LIMITS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
 LOG = EventLog("test", 0)
 
 
@@ -151,7 +151,7 @@
         self.writers = []
         self.server = await asyncio.start_server(self._accepted, "127.0.0.1", 0)
         address = self.server.sockets[0].getsockname()
-        self.catalogue = Catalogue(address, BufferPool(8192, 99), BOUNDS, LOG)
+        self.catalogue = Catalogue(address, BufferPool(8192, 99), RESOURCE_LIMITS, LOG)
 
     async def _accepted(self, reader, writer):
         self.writers.append(writer)
@@ -256,7 +256,7 @@
 
     async def test_an_idle_link_is_not_used_again_just_before_it_is_closed(self):
         request, first = await self._replied()
-        first.used -= BOUNDS.call_idle + SECOND
+        first.used -= RESOURCE_LIMITS.call_idle_timeout + SECOND
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         self.assertTrue(first.stream.closed())
         self.assertIsNot(self.catalogue.links[0], first)
@@ -325,7 +325,7 @@
             raise RuntimeError("a defect")
 
         server = await asyncio.start_server(accepted, "127.0.0.1", 0)
-        link = EngineLink(server.sockets[0].getsockname(), BufferPool(8192, 9), BOUNDS, LOG, started)
+        link = EngineLink(server.sockets[0].getsockname(), BufferPool(8192, 9), RESOURCE_LIMITS, LOG, started)
         serving = asyncio.ensure_future(link.serve())
         for _ in range(2):
             self.assertEqual(await asyncio.wait_for(attached.get(), WAIT), b"ATTACH 0\r\n")
@@ -343,7 +343,7 @@
 
         server = await asyncio.start_server(accepted, "127.0.0.1", 0)
         pool = BufferPool(8192, 0)
-        link = EngineLink(server.sockets[0].getsockname(), pool, BOUNDS, LOG, lambda cold, age: None)
+        link = EngineLink(server.sockets[0].getsockname(), pool, RESOURCE_LIMITS, LOG, lambda cold, age: None)
         serving = asyncio.ensure_future(link.serve())
         for _ in range(9):
             await asyncio.sleep(0)
@@ -371,7 +371,11 @@
 
         server = await asyncio.start_server(accepted, "127.0.0.1", 0)
         link = EngineLink(
-            server.sockets[0].getsockname(), BufferPool(8192, 9), BOUNDS, LOG, lambda cold, age: up.set()
+            server.sockets[0].getsockname(),
+            BufferPool(8192, 9),
+            RESOURCE_LIMITS,
+            LOG,
+            lambda cold, age: up.set(),
         )
         serving = asyncio.ensure_future(link.serve())
         await asyncio.wait_for(up.wait(), WAIT)
@@ -396,7 +400,7 @@
 
         old, new = [await asyncio.start_server(accepted, "127.0.0.1", 0) for _ in range(2)]
         addresses = [server.sockets[0].getsockname() for server in (old, new)]
-        link = EngineLink(addresses[0], BufferPool(8192, 9), BOUNDS, LOG, lambda cold, age: None)
+        link = EngineLink(addresses[0], BufferPool(8192, 9), RESOURCE_LIMITS, LOG, lambda cold, age: None)
         serving = asyncio.ensure_future(link.serve())
         await asyncio.sleep(0)
         link.move(addresses[1])
@@ -423,7 +427,7 @@
                 self.closed = True
                 return False  # it needs no descriptor any more
 
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), BOUNDS, None, LOG)
+        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
         self.addCleanup(listener.socket.close)
         old, new, held = Stand(), Stand(), Stand()
         listener.silent = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
@@ -437,7 +441,9 @@
 class FloodStories(unittest.IsolatedAsyncioTestCase):
     async def test_what_waits_to_be_accepted_when_listening_ends_is_still_served(self):
         # Its exchange was written to a connection that the machine had taken, and got no answer.
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, BOUNDS.buffers), BOUNDS, None, LOG)
+        listener = Listener(
+            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
+        )
         listener.socket.listen(40)
         callers = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
         listener.open()
@@ -449,7 +455,9 @@
 
     async def test_a_flood_of_connections_is_accepted_a_few_at_a_time(self):
         # All that waited were accepted in one pass: 180 ms in which nothing else was read or answered.
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, BOUNDS.buffers), BOUNDS, None, LOG)
+        listener = Listener(
+            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
+        )
         listener.socket.listen(40)
         callers = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
         listener.open()
@@ -458,7 +466,7 @@
             await asyncio.sleep(0)
             seen.append(len(listener.connections))
         steps = [after - before for before, after in zip([0, *seen], seen, strict=False)]
-        self.assertLessEqual(max(steps), BOUNDS.accepts)
+        self.assertLessEqual(max(steps), RESOURCE_LIMITS.accepts_per_pass)
         await listener.close()
         for opened in (*listener.connections, *callers):
             opened.close()
@@ -471,7 +479,9 @@
             directory.bind(("127.0.0.1", 0))
             directory.setblocking(False)
             loop = asyncio.get_running_loop()
-            reports = DirectoryReporter(directory.getsockname(), "n3", replace(BOUNDS, pulse=600 * SECOND))
+            reports = DirectoryReporter(
+                directory.getsockname(), "n3", replace(RESOURCE_LIMITS, report_interval=600 * SECOND)
+            )
             reports.start()
             reports.set_taking(False)
             said = [await asyncio.wait_for(loop.sock_recv(directory, 99), WAIT) for _ in range(4)]
@@ -481,7 +491,7 @@
 
 class KeptStories(unittest.TestCase):
     def test_a_read_is_shared_while_fresh_and_not_after(self):
-        kept, first = ResponseCache(BOUNDS, SECOND), exchange(mark=b"s")
+        kept, first = ResponseCache(RESOURCE_LIMITS, SECOND), exchange(mark=b"s")
         now = time.monotonic_ns()
         kept.remember(first, now, 5 * SECOND)
         self.assertTrue(kept.find(exchange(mark=b"s"), now))
@@ -491,7 +501,11 @@
         self.assertFalse(kept.find(exchange(mark=b"other"), now))
 
     def test_followers_of_one_that_is_dropped_unrun_are_told(self):
-        kept, first, follower = ResponseCache(BOUNDS, SECOND), exchange(mark=b"s"), exchange(mark=b"s")
+        kept, first, follower = (
+            ResponseCache(RESOURCE_LIMITS, SECOND),
+            exchange(mark=b"s"),
+            exchange(mark=b"s"),
+        )
         kept.remember(first, 0, SECOND)
         kept.find(follower, 0)
         kept.share(follower)
@@ -500,9 +514,9 @@
         self.assertFalse(kept.find(exchange(mark=b"s"), 0))
 
     def test_what_is_kept_is_bounded_and_a_key_that_must_not_run_twice_is_never_dropped(self):
-        bounds = replace(BOUNDS, memory=4 * BOUNDS.result_size * 2)  # room for two
+        resource_limits = replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size * 2)  # room for two
         once = replace(GROUP, effect=FakeHost(groups=[{}]).limits.groups[0].effect.__class__.DEDUPLICATED)
-        kept = ResponseCache(bounds, SECOND)
+        kept = ResponseCache(resource_limits, SECOND)
         kept.remember(exchange(mark=b"a", group=once), 0, SECOND)
         kept.remember(exchange(mark=b"b"), 0, SECOND)
         kept.remember(exchange(mark=b"c", group=once), 0, SECOND)  # in place of the read
@@ -528,7 +542,7 @@
 
         parts = Parts()
         parts.admission = parts
-        handler = RequestHandler(parts, parts, parts, ResponseCache(BOUNDS, 0), Metrics(), LOG)
+        handler = RequestHandler(parts, parts, parts, ResponseCache(RESOURCE_LIMITS, 0), Metrics(), LOG)
         for _ in range(2):
             request = exchange(connection=parts)
             await asyncio.wait_for(handler.handle(request), 5)
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -9,7 +9,7 @@
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request import RequestEvent
 from oakkeel.resource_limits import MS, SECOND
-from tests.engine.test_links import BOUNDS, exchange
+from tests.engine.test_links import RESOURCE_LIMITS, exchange
 from tests.support.fake_host import GROUP, FakeHost
 from tests.support.node_process import NodeStory
 
@@ -24,7 +24,7 @@
 
 class WindowStories(unittest.TestCase):
     def setUp(self) -> None:
-        self.results = ResponseCache(BOUNDS, 0)
+        self.results = ResponseCache(RESOURCE_LIMITS, 0)
 
     def remembered(self, now: int = NOW, **fields):
         request = one(**fields)
@@ -48,7 +48,9 @@
 
     def test_one_that_came_in_time_is_known_however_full_the_table_is_when_it_is_read(self):
         # A full table was swept of entries whose window was over, and the late one ran a second time.
-        results = self.results = ResponseCache(replace(BOUNDS, memory=4 * BOUNDS.result_size), 0)
+        results = self.results = ResponseCache(
+            replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size), 0
+        )
         self.remembered()
         later = NOW + SECOND + 400 * MS
         self.assertTrue(results.full(later))
@@ -92,7 +94,7 @@
 class IdentityStories(unittest.TestCase):
     def setUp(self) -> None:
         limits = FakeHost(groups=[{"effect": effect} for effect in Effect], tenants=[1.0]).limits
-        self.reader = RequestReader(limits, [effect.value for effect in Effect], ["hall"], BOUNDS)
+        self.reader = RequestReader(limits, [effect.value for effect in Effect], ["hall"], RESOURCE_LIMITS)
 
     def read(self, effect: Effect, fields: bytes, body: bytes = b"b"):
         words = [b"CALL", b"1", effect.value.encode(), b"req=9b1f03aa5c7e2d41,need=1," + fields, body]
@@ -117,7 +119,7 @@
         self.assertIsNone(self.read(Effect.REPEATABLE, b"opkey=k").key)
 
     def test_the_same_key_with_another_body_is_another_thing(self):
-        results = ResponseCache(BOUNDS, 0)
+        results = ResponseCache(RESOURCE_LIMITS, 0)
         first = one()
         results.remember(first, NOW, SECOND)
         for body, differs in ((b"two seats", False), (b"nine seats", True), (b"", True)):
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -17,7 +17,7 @@
 from oakkeel.resource_limits import MS, SECOND
 from oakkeel.stream_buffers import BufferPool, connect
 from tests.control.test_control import ControlStory
-from tests.engine.test_links import BOUNDS, LOG, exchange
+from tests.engine.test_links import RESOURCE_LIMITS, LOG, exchange
 from tests.support.node_process import WAIT, NodeStory, until_refused
 
 
@@ -409,12 +409,16 @@
 class EngineSilenceStories(unittest.IsolatedAsyncioTestCase):
     """Of the link alone, with a patience of a fifth of a second."""
 
-    bounds = replace(BOUNDS, engine_silent=200 * MS, engine_swap=600 * SECOND)
+    resource_limits = replace(RESOURCE_LIMITS, engine_timeout=200 * MS, engine_handover_timeout=600 * SECOND)
 
     async def asyncSetUp(self) -> None:
         self.ups, self.age = [], 60_000
         self.link = EngineLink(
-            ("127.0.0.1", 1), BufferPool(8192, 9), self.bounds, LOG, lambda cold, age: self.ups.append(cold)
+            ("127.0.0.1", 1),
+            BufferPool(8192, 9),
+            self.resource_limits,
+            LOG,
+            lambda cold, age: self.ups.append(cold),
         )
         self.servers = []
 
@@ -464,13 +468,13 @@
         self.serve(server)
         reader, writer = await self.attached(server, greet=False)
         with self.assertRaises(TimeoutError):
-            await asyncio.wait_for(reader.read(1), 3 * self.bounds.engine_silent / SECOND)
+            await asyncio.wait_for(reader.read(1), 3 * self.resource_limits.engine_timeout / SECOND)
         writer.write(b"HELLO booting 10\r\n")
         self.assertEqual((await asyncio.wait_for(reader.readline(), WAIT)).split()[0], b"STAT")
         self.assertEqual(self.ups, [True])
 
     async def test_a_connect_that_nobody_takes_is_left_for_the_address_that_it_is_moved_to(self):
-        self.link.bounds = replace(self.bounds, engine_silent=600 * SECOND)
+        self.link.resource_limits = replace(self.resource_limits, engine_timeout=600 * SECOND)
         deaf = socket.socket()
         self.servers.append(deaf)
         deaf.bind(("127.0.0.1", 0))
