--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -47,7 +47,7 @@
         self, path: str, node: ControlTarget, resource_limits: ResourceLimits, log: EventLog
     ) -> None:
         self.path, self.node, self.resource_limits, self.log = path, node, resource_limits, log
-        self.links: dict[ControlLink, asyncio.Task] = {}  # the one heard longest ago first
+        self.links: dict[ControlLink, asyncio.Task[None]] = {}  # the one heard longest ago first
         self.pool = BufferPool(MAX_LINE_BYTES, 2 * resource_limits.control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by one that was killed
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -50,7 +50,7 @@
         self.node, self.grace, self.stop_after = node, grace, stop_after
         self.state = DrainState.NOT
         self.final = False  # told by SIGTERM, which nothing takes back
-        self.task: asyncio.Task | None = None
+        self.task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
 
     def __bool__(self) -> bool:
@@ -124,7 +124,7 @@
     def _tell(self, left: int | None) -> None:
         try:
             if self.node.host.begun:
-                self.node.host.tell(self.node.host.admission.leave, left)
+                self.node.host.tell(self.node.host.admission.drain, left)
         except Exception as error:  # the drain goes on
             self.node.log.error("drain_failed", error=fault(error))
 
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -97,7 +97,9 @@
 
     async def asyncSetUp(self) -> None:
         self.arrived_here, self.gone_here = [], []
-        self.reader = RequestReader(FakeHost(groups=[{}]).limits, ["quote"], [], self.resource_limits)
+        self.reader = RequestReader(
+            FakeHost(request_classes=[{}]).limits, ["quote"], [], self.resource_limits
+        )
         pool = BufferPool(8192, self.resource_limits.max_buffers)
         self.listener = Listener(("127.0.0.1", 0), pool, self.resource_limits, self, EventLog("test", 0))
         self.listener.open()
@@ -118,7 +120,7 @@
     def gone(self, request) -> None:
         self.gone_here.append(request)
 
-    def holds(self, ident: bytes) -> bool:
+    def holds(self, request_id: bytes) -> bool:
         return False
 
     def healthy(self) -> bool:
