--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 
 PYTHON ?= python3
 
-.PHONY: build all test lint run demo clean measure-fleet measure-orders measure-decisions measure-listing \
+.PHONY: build all test lint format run demo clean measure-fleet measure-orders measure-decisions measure-listing \
 	measure-node measure-fair measure-emulator measure-agreement measure-drain measure-schedules \
 	measure-places measure-rollout measure-gates measure-plan
 
@@ -26,11 +26,18 @@
 test: all
 	.venv/bin/python -m tests
 
-lint: all
-	.venv/bin/pip -q install ruff==0.17.6 mypy==2.4.1
+.venv/lint: requirements-lint.txt .venv/all
+	.venv/bin/pip -q install -r requirements-lint.txt
+	touch $@
+
+lint: all .venv/lint
+	.venv/bin/ruff format --check oakkeel tests measure
 	.venv/bin/ruff check oakkeel tests measure
 	.venv/bin/mypy oakkeel measure
 
+format: all .venv/lint
+	.venv/bin/ruff format oakkeel tests measure
+
 # One node; PROXY_CONFIG names its configuration (see README.md).
 run: build
 	.venv/bin/python -m oakkeel
