--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -37,11 +37,16 @@
         engine: EngineLink,
         listener: Listener,
         reports: DirectoryReporter,
-        results: ResponseCache,
+        response_cache: ResponseCache,
         measures: Metrics,
         log: EventLog,
     ) -> None:
-        self.engine, self.listener, self.reports, self.results = engine, listener, reports, results
+        self.engine, self.listener, self.reports, self.response_cache = (
+            engine,
+            listener,
+            reports,
+            response_cache,
+        )
         self.start, self.measures, self.log = start, measures, log
         self.loop = asyncio.get_running_loop()
         self.gauges, self.gauges_at = Gauges(), 0
@@ -105,10 +110,10 @@
         request.post(AwaitSharedResponse())
 
     def remember(self, request: NodeRequest, duration: int) -> None:
-        self.results.remember(request, time.monotonic_ns(), duration)
+        self.response_cache.retain(request, time.monotonic_ns(), duration)
 
     def forget(self, request: NodeRequest) -> None:
-        self.results.forget(request)
+        self.response_cache.release(request)
 
     # Timers.
 
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -46,9 +46,9 @@
         self.reports = DirectoryReporter(start.lookup, start.name, bounds)
         self.engine = EngineLink(start.engine, self.pool, bounds, self.log, self._engine_up)
         self.catalogue = Catalogue(start.catalogue, self.pool, bounds, self.log)
-        self.results = ResponseCache(bounds, start.limits.fresh)
+        self.response_cache = ResponseCache(bounds, start.limits.fresh)
         self.host = NodeHost(
-            start, self.engine, self.listener, self.reports, self.results, self.measures, self.log
+            start, self.engine, self.listener, self.reports, self.response_cache, self.measures, self.log
         )
         self.draining = Drain(self, start.limits.drain_grace, bounds.stop_after)
         self.fairly = None
@@ -66,7 +66,7 @@
 
             self.control = open_control(self)
         self.handler = RequestHandler(
-            self.host, self.engine, self.catalogue, self.results, self.measures, self.log
+            self.host, self.engine, self.catalogue, self.response_cache, self.measures, self.log
         )
 
     async def run(self) -> None:
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -48,11 +48,11 @@
         host: NodeHost,
         engine: EngineLink,
         catalogue: Catalogue,
-        results: ResponseCache,
+        response_cache: ResponseCache,
         measures: Metrics,
         log: EventLog,
     ) -> None:
-        self.host, self.engine, self.catalogue, self.results = host, engine, catalogue, results
+        self.host, self.engine, self.catalogue, self.response_cache = host, engine, catalogue, response_cache
         self.measures, self.log = measures, log
 
     async def handle(self, request: NodeRequest) -> None:
@@ -67,19 +67,19 @@
         finally:
             self.catalogue.quit(request)
             if request.may_have_run:
-                self.results.ended(request, Outcome.ERROR, b"")
+                self.response_cache.finish(request, Outcome.ERROR, b"")
             else:
-                self.results.forget(request)  # a repeat of what went unrun may run
+                self.response_cache.release(request)  # a repeat of what went unrun may run
 
     def _admissible(self, request: NodeRequest) -> bool:
         """Look up its idempotency key; what the key forbids is answered here."""
         now = time.monotonic_ns()
-        request.repeats = self.results.find(request, now)
-        if request.repeats and self.results.differs(request):
+        request.repeats = self.response_cache.find(request, now)
+        if request.repeats and self.response_cache.key_mismatch(request):
             request.connection.fault("idempotency_key_mismatch")
             self._answer(request, codec.TERMINATED)
             return False
-        if request.cache_key and request.group.once and not request.repeats and self.results.full(now):
+        if request.cache_key and request.group.once and not request.repeats and self.response_cache.full(now):
             self._deny(request)  # its repeats could not be told from it
             return False
         return True
@@ -88,7 +88,7 @@
         """Carry out the verdict on a request that has arrived."""
         event = await self._next(request)
         if isinstance(event, AwaitSharedResponse):
-            self.results.share(request)
+            self.response_cache.share(request)
             event = await self._next(request)
         if isinstance(event, SharedResponse):
             self.host.tell(self.host.admission.run_done, request, event.outcome, 0)
@@ -152,7 +152,7 @@
         if request.unknown_to_engine:
             request.connection.fault("request_id_unknown")
         if request.may_have_run:
-            self.results.ended(request, counted, run.result)
+            self.response_cache.finish(request, counted, run.result)
         self._answer_run(request, run.outcome, run.result)
 
     def _answer_run(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -1,4 +1,4 @@
-"""Results of exchanges for their repeats, within a bound on memory: deduplication, and shared reads."""
+"""Responses of requests for their duplicates, in bounded memory: idempotency keys and shared reads."""
 
 from __future__ import annotations
 
@@ -16,132 +16,151 @@
     """A response was asked for a request that no other was found for: a defect of this program."""
 
 
+def body_digest(request: NodeRequest) -> bytes:
+    """The digest that tells two requests with one idempotency key apart."""
+    return blake2b(request.body, digest_size=16).digest()
+
+
 class CachedResponse:
-    """One exchange that may be repeated: under way, or over with its outcome and result."""
+    """One request that may have duplicates: still running, or finished with its outcome and result."""
 
     __slots__ = (
-        "before",
-        "body",
-        "dropped",
-        "ended",
+        "at_most_once",
+        "digest",
+        "evict_at",
+        "expires_at",
+        "finished_at",
         "followers",
         "key",
-        "once",
         "outcome",
+        "previous",
         "result",
-        "until",
     )
 
     def __init__(
-        self, key: CacheKey, request: NodeRequest, now: int, duration: int, before: CachedResponse | None
+        self, key: CacheKey, request: NodeRequest, now: int, duration: int, previous: CachedResponse | None
     ) -> None:
-        """`duration` in nanoseconds: of what may run once from its arrival at the machine, of a read from
-        now."""
-        self.key, self.once = key, request.group.once
-        self.until = now + duration - (request.backlog if self.once else 0)
-        # One that came in time may be read as late as its caller waits, and must still find it.
-        self.dropped = self.until + (request.group.async_timeout if self.once else 0)
-        self.body = blake2b(request.body, digest_size=16).digest() if self.once else b""
+        """Make an entry that holds for `duration` nanoseconds.
+
+        They count from the arrival at the machine for what may run once, and from now for a read. `previous`
+        is the entry that it replaces, kept while this one may still turn out never to have run.
+        """
+        self.key, self.at_most_once = key, request.group.once
+        self.expires_at = now + duration - (request.backlog if self.at_most_once else 0)
+        # A duplicate that came in time may be read as late as its client waits, and must still find it.
+        self.evict_at = self.expires_at + (request.group.async_timeout if self.at_most_once else 0)
+        self.digest = body_digest(request) if self.at_most_once else b""
         self.outcome: Outcome | None = None
-        self.result, self.ended = b"", 0
+        self.result, self.finished_at = b"", 0
         self.followers: list[NodeRequest] = []
-        self.before = before  # whose place it has, while it may still turn out never to have run
+        self.previous = previous
 
-    def follow(self, request: NodeRequest) -> None:
-        """It takes the result, now or when there is one."""
+    def add_follower(self, request: NodeRequest) -> None:
+        """Give the request this response, now or when there is one."""
         if self.outcome is not None:
             request.post(SharedResponse(self.outcome, self.result))
         else:
             self.followers.append(request)
 
-    def end(self, outcome: Outcome, result: bytes) -> None:
-        """Its run is over, or it never comes: all that wait for it are told."""
-        if self.outcome is None:
-            self.outcome, self.result, self.ended = outcome, result, time.monotonic_ns()
-            self.before = None
-            for request in self.followers:
-                request.post(SharedResponse(outcome, result))
-            self.followers.clear()
+    def finish(self, outcome: Outcome, result: bytes) -> None:
+        """Take the outcome, and pass it to all that wait for it. Only the first one counts."""
+        if self.outcome is not None:
+            return
+        self.outcome, self.result, self.finished_at = outcome, result, time.monotonic_ns()
+        self.previous = None
+        for request in self.followers:
+            request.post(SharedResponse(outcome, result))
+        self.followers.clear()
 
 
 class ResponseCache:
-    """By endpoint group, tenant and key. A later exchange takes the place of one whose time is up."""
+    """Entries by request class, tenant and key. A later request replaces one whose time is up."""
 
-    def __init__(self, bounds: ResourceLimits, fresh: int) -> None:
-        """`fresh`: nanoseconds for which the result of a read may serve others."""
-        self.most, self.fresh = bounds.results, fresh
-        self.results: dict[CacheKey, CachedResponse] = {}
+    def __init__(self, limits: ResourceLimits, read_ttl: int) -> None:
+        """Make an empty cache; the result of a read may serve others for `read_ttl` nanoseconds."""
+        self.capacity, self.read_ttl = limits.results, read_ttl
+        self.entries: dict[CacheKey, CachedResponse] = {}
 
     def find(self, request: NodeRequest, now: int) -> bool:
-        """Whether it repeats one that is here: it reached the machine while that one's time was not up."""
-        cached = self.results.get(request.cache_key) if request.cache_key else None
-        if cached is None or now - request.backlog >= cached.until:
+        """Whether the request is a duplicate: it reached the machine before the time of an entry was up."""
+        entry = self.entries.get(request.cache_key) if request.cache_key else None
+        if entry is None or now - request.backlog >= entry.expires_at:
             return False
         if (
-            not cached.once
-            and cached.outcome is not None
-            and (cached.outcome is not Outcome.COMPLETED or now - cached.ended > self.fresh)
+            not entry.at_most_once
+            and entry.outcome is not None
+            and (entry.outcome is not Outcome.COMPLETED or now - entry.finished_at > self.read_ttl)
         ):
             return False
-        request.duplicate_of = cached
+        request.duplicate_of = entry
         return True
 
-    def differs(self, request: NodeRequest) -> bool:
-        """Whether it has the key of the one that it would repeat, but asks for something else. A result that
-        was not made for it would be an answer to nothing it asked, and to run it might be a second effect."""
-        earlier = request.duplicate_of
-        return (
-            earlier is not None
-            and earlier.once
-            and earlier.body != blake2b(request.body, digest_size=16).digest()
-        )
+    def key_mismatch(self, request: NodeRequest) -> bool:
+        """Whether a duplicate has the key of another request, but a different body.
+
+        A result that was not made for it would be an answer to nothing it asked, and to run it might be a
+        second effect.
+        """
+        original: CachedResponse | None = request.duplicate_of
+        return original is not None and original.at_most_once and original.digest != body_digest(request)
 
     def share(self, request: NodeRequest) -> None:
-        """Give it the response of the one that `find` has named, now or when there is one."""
-        earlier: CachedResponse | None = request.duplicate_of
-        if earlier is None:
+        """Give a duplicate the response of the request that `find` found, now or when there is one."""
+        original: CachedResponse | None = request.duplicate_of
+        if original is None:
             raise NotADuplicateError("the request duplicates none")
-        earlier.follow(request)
+        original.add_follower(request)
 
     def full(self, now: int) -> bool:
-        """No room for another key, not even in place of a read's or of one whose time is up."""
-        if len(self.results) < self.most:
+        """Whether there is no room for another key, not even in place of a read's or of an expired one."""
+        if len(self.entries) < self.capacity:
             return False
-        self._sweep(now)
-        for key, cached in self.results.items():
-            if len(self.results) >= self.most and not cached.once:
-                del self.results[key]
+        self._evict_expired(now)
+        for key, entry in self.entries.items():
+            if len(self.entries) >= self.capacity and not entry.at_most_once:
+                del self.entries[key]
                 break
-        return len(self.results) >= self.most
+        return len(self.entries) >= self.capacity
 
-    def remember(self, request: NodeRequest, now: int, duration: int) -> None:
+    def retain(self, request: NodeRequest, now: int, duration: int) -> None:
+        """Make an entry for a request with a key; `duration` in nanoseconds."""
         if request.cache_key is None:
-            return  # nothing that its repeats could be known by
+            return  # nothing that its duplicates could be known by
         self.full(now)  # makes room
-        request.cache_entry = self.results[request.cache_key] = CachedResponse(
-            request.cache_key, request, now, duration, self.results.get(request.cache_key)
+        request.cache_entry = self.entries[request.cache_key] = CachedResponse(
+            request.cache_key, request, now, duration, self.entries.get(request.cache_key)
         )
 
-    def forget(self, request: NodeRequest) -> None:
-        """It never ran, and never will. One whose place it had is there again: that one may have run, and
-        repeats of it may still be unread, or have been taken for repeats of this one."""
-        cached: CachedResponse | None = request.cache_entry
-        if cached is None:
+    def release(self, request: NodeRequest) -> None:
+        """Drop the entry of a request that never ran and never will.
+
+        The entry that it replaced is there again: that request may have run, and duplicates of it may still
+        be unread, or have been taken for duplicates of this one.
+        """
+        entry: CachedResponse | None = request.cache_entry
+        if entry is None:
             return
-        before = cached.before
-        if self.results.get(cached.key) is cached:
-            del self.results[cached.key]
-        if before and before.once:
-            self.results.setdefault(cached.key, before)
-            for each in [each for each in cached.followers if each.arrived - each.backlog < before.until]:
-                cached.followers.remove(each)
-                before.follow(each)
-        cached.end(Outcome.DENIED, b"")
-
-    def ended(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
+        previous = entry.previous
+        if self.entries.get(entry.key) is entry:
+            del self.entries[entry.key]
+        if previous and previous.at_most_once:
+            self.entries.setdefault(entry.key, previous)
+            self._move_followers(entry, previous)
+        entry.finish(Outcome.DENIED, b"")
+
+    @staticmethod
+    def _move_followers(entry: CachedResponse, previous: CachedResponse) -> None:
+        """Followers that arrived while the previous entry held are duplicates of that one."""
+        for follower in entry.followers[:]:
+            if follower.arrived - follower.backlog < previous.expires_at:
+                entry.followers.remove(follower)
+                previous.add_follower(follower)
+
+    def finish(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
+        """Take the outcome of a request that has an entry."""
         if request.cache_entry is not None:
-            request.cache_entry.end(outcome, result)
+            request.cache_entry.finish(outcome, result)
 
-    def _sweep(self, now: int) -> None:
-        for key in [key for key, cached in self.results.items() if cached.dropped <= now]:
-            del self.results[key]
+    def _evict_expired(self, now: int) -> None:
+        for key in [key for key, entry in self.entries.items() if entry.evict_at <= now]:
+            del self.entries[key]
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -497,19 +497,19 @@
     def test_a_read_is_shared_while_fresh_and_not_after(self):
         kept, first = ResponseCache(BOUNDS, SECOND), exchange(mark=b"s")
         now = time.monotonic_ns()
-        kept.remember(first, now, 5 * SECOND)
+        kept.retain(first, now, 5 * SECOND)
         self.assertTrue(kept.find(exchange(mark=b"s"), now))
-        kept.ended(first, Outcome.COMPLETED, b"r")
+        kept.finish(first, Outcome.COMPLETED, b"r")
         self.assertTrue(kept.find(exchange(mark=b"s"), now + SECOND // 2))
         self.assertFalse(kept.find(exchange(mark=b"s"), now + 2 * SECOND))
         self.assertFalse(kept.find(exchange(mark=b"other"), now))
 
     def test_followers_of_one_that_is_dropped_unrun_are_told(self):
         kept, first, follower = ResponseCache(BOUNDS, SECOND), exchange(mark=b"s"), exchange(mark=b"s")
-        kept.remember(first, 0, SECOND)
+        kept.retain(first, 0, SECOND)
         kept.find(follower, 0)
         kept.share(follower)
-        kept.forget(first)
+        kept.release(first)
         self.assertEqual(follower.events.popleft(), SharedResponse(Outcome.DENIED, b""))
         self.assertFalse(kept.find(exchange(mark=b"s"), 0))
 
@@ -517,10 +517,10 @@
         bounds = replace(BOUNDS, memory=4 * BOUNDS.result_size * 2)  # room for two
         once = replace(GROUP, effect=FakeHost(groups=[{}]).limits.groups[0].effect.__class__.DEDUPLICATED)
         kept = ResponseCache(bounds, SECOND)
-        kept.remember(exchange(mark=b"a", group=once), 0, SECOND)
-        kept.remember(exchange(mark=b"b"), 0, SECOND)
-        kept.remember(exchange(mark=b"c", group=once), 0, SECOND)  # in place of the read
-        self.assertEqual([key for _, key in kept.results], [b"a", b"c"])
+        kept.retain(exchange(mark=b"a", group=once), 0, SECOND)
+        kept.retain(exchange(mark=b"b"), 0, SECOND)
+        kept.retain(exchange(mark=b"c", group=once), 0, SECOND)  # in place of the read
+        self.assertEqual([key for _, key in kept.entries], [b"a", b"c"])
         self.assertTrue(kept.full(SECOND // 2))
         self.assertTrue(kept.full(SECOND))  # one that came before may be read as late as its caller waits
         self.assertFalse(kept.full(SECOND + GROUP.async_timeout))
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -24,45 +24,47 @@
 
 class WindowStories(unittest.TestCase):
     def setUp(self) -> None:
-        self.results = ResponseCache(BOUNDS, 0)
+        self.response_cache = ResponseCache(BOUNDS, 0)
 
     def remembered(self, now: int = NOW, **fields):
         request = one(**fields)
-        self.results.remember(request, now, SECOND)
+        self.response_cache.retain(request, now, SECOND)
         return request
 
     def test_the_window_counts_from_arrival_to_arrival_not_from_reading(self):
         self.remembered(backlog=300 * MS)  # it came at 99.7 s
-        self.assertTrue(self.results.find(one(), NOW + 699 * MS))
-        self.assertFalse(self.results.find(one(), NOW + 700 * MS))  # it would have had a result of before
-        self.assertTrue(self.results.find(one(backlog=5 * MS), NOW + 704 * MS))
+        self.assertTrue(self.response_cache.find(one(), NOW + 699 * MS))
+        self.assertFalse(
+            self.response_cache.find(one(), NOW + 700 * MS)
+        )  # it would have had a result of before
+        self.assertTrue(self.response_cache.find(one(backlog=5 * MS), NOW + 704 * MS))
 
     def test_a_window_shorter_than_the_run_ends_with_the_run_going_on(self):
         self.remembered()
-        self.assertTrue(self.results.find(one(), NOW + 999 * MS))
-        self.assertFalse(self.results.find(one(), NOW + SECOND))
+        self.assertTrue(self.response_cache.find(one(), NOW + 999 * MS))
+        self.assertFalse(self.response_cache.find(one(), NOW + SECOND))
 
     def test_one_read_first_though_it_came_later_is_the_one_that_runs(self):
         self.remembered(backlog=0)
-        self.assertTrue(self.results.find(one(backlog=500 * MS), NOW + MS))
+        self.assertTrue(self.response_cache.find(one(backlog=500 * MS), NOW + MS))
 
     def test_one_that_came_in_time_is_known_however_full_the_table_is_when_it_is_read(self):
         # A full table was swept of entries whose window was over, and the late one ran a second time.
-        results = self.results = ResponseCache(replace(BOUNDS, memory=4 * BOUNDS.result_size), 0)
+        cache = self.response_cache = ResponseCache(replace(BOUNDS, memory=4 * BOUNDS.result_size), 0)
         self.remembered()
         later = NOW + SECOND + 400 * MS
-        self.assertTrue(results.full(later))
-        self.assertTrue(results.find(one(backlog=500 * MS), later))
-        self.assertFalse(results.full(NOW + SECOND + ONCE.async_timeout))
+        self.assertTrue(cache.full(later))
+        self.assertTrue(cache.find(one(backlog=500 * MS), later))
+        self.assertFalse(cache.full(NOW + SECOND + ONCE.async_timeout))
 
     def test_one_that_never_ran_gives_its_place_back_to_the_one_that_did(self):
         first = self.remembered()
-        self.results.ended(first, Outcome.COMPLETED, b"first")
+        self.response_cache.finish(first, Outcome.COMPLETED, b"first")
         second = self.remembered(NOW + 1100 * MS)
-        self.results.forget(second)
+        self.response_cache.release(second)
         late = one(backlog=300 * MS)  # it came at 100.9 s, within the window of the first
-        self.assertTrue(self.results.find(late, NOW + 1200 * MS))
-        self.results.share(late)
+        self.assertTrue(self.response_cache.find(late, NOW + 1200 * MS))
+        self.response_cache.share(late)
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
     def test_a_follower_of_one_that_never_ran_takes_the_result_that_was_right_for_it(self):
@@ -71,22 +73,22 @@
         late, fresh = one(backlog=300 * MS), one()
         late.arrived = fresh.arrived = NOW + 1200 * MS
         for each in (late, fresh):
-            self.assertTrue(self.results.find(each, NOW + 1200 * MS))
-            self.results.share(each)
-        self.results.forget(second)
+            self.assertTrue(self.response_cache.find(each, NOW + 1200 * MS))
+            self.response_cache.share(each)
+        self.response_cache.release(second)
         self.assertEqual(fresh.events.popleft(), SharedResponse(Outcome.DENIED, b""))
         self.assertFalse(late.events)
-        self.results.ended(first, Outcome.COMPLETED, b"first")
+        self.response_cache.finish(first, Outcome.COMPLETED, b"first")
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
     def test_an_unresolved_one_passes_its_place_back_past_two(self):
         first, second = self.remembered(), self.remembered(NOW + 1100 * MS)
         third = self.remembered(NOW + 2200 * MS)
-        self.results.forget(second)  # in the middle: nothing changes
-        self.assertIs(self.results.results[KEY], third.cache_entry)
-        self.results.ended(first, Outcome.STOPPED, b"")
-        self.results.ended(third, Outcome.COMPLETED, b"third")
-        self.assertTrue(self.results.find(one(), NOW + 2300 * MS))
+        self.response_cache.release(second)  # in the middle: nothing changes
+        self.assertIs(self.response_cache.entries[KEY], third.cache_entry)
+        self.response_cache.finish(first, Outcome.STOPPED, b"")
+        self.response_cache.finish(third, Outcome.COMPLETED, b"third")
+        self.assertTrue(self.response_cache.find(one(), NOW + 2300 * MS))
 
 
 class IdentityStories(unittest.TestCase):
@@ -117,13 +119,13 @@
         self.assertIsNone(self.read(Effect.REPEATABLE, b"opkey=k").cache_key)
 
     def test_the_same_key_with_another_body_is_another_thing(self):
-        results = ResponseCache(BOUNDS, 0)
+        cache = ResponseCache(BOUNDS, 0)
         first = one()
-        results.remember(first, NOW, SECOND)
+        cache.retain(first, NOW, SECOND)
         for body, differs in ((b"two seats", False), (b"nine seats", True), (b"", True)):
             request = one(body=body)
-            self.assertTrue(results.find(request, NOW))
-            self.assertEqual(results.differs(request), differs)
+            self.assertTrue(cache.find(request, NOW))
+            self.assertEqual(response_cache.key_mismatch(request), differs)
 
 
 class RepeatStories(NodeStory):
