--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -122,10 +122,10 @@
         cache = ResponseCache(BOUNDS, 0)
         first = one()
         cache.retain(first, NOW, SECOND)
-        for body, differs in ((b"two seats", False), (b"nine seats", True), (b"", True)):
+        for body, mismatch in ((b"two seats", False), (b"nine seats", True), (b"", True)):
             request = one(body=body)
             self.assertTrue(cache.find(request, NOW))
-            self.assertEqual(response_cache.key_mismatch(request), differs)
+            self.assertEqual(cache.key_mismatch(request), mismatch)
 
 
 class RepeatStories(NodeStory):
