--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -45,10 +45,10 @@
         They count from the arrival at the machine for what may run once, and from now for a read. `previous`
         is the entry that it replaces, kept while this one may still turn out never to have run.
         """
-        self.key, self.at_most_once = key, request.group.once
-        self.expires_at = now + duration - (request.backlog if self.at_most_once else 0)
+        self.key, self.at_most_once = key, request.request_class.at_most_once
+        self.expires_at = now + duration - (request.queueing_delay if self.at_most_once else 0)
         # A duplicate that came in time may be read as late as its client waits, and must still find it.
-        self.evict_at = self.expires_at + (request.group.async_timeout if self.at_most_once else 0)
+        self.evict_at = self.expires_at + (request.request_class.client_timeout if self.at_most_once else 0)
         self.digest = body_digest(request) if self.at_most_once else b""
         self.outcome: Outcome | None = None
         self.result, self.finished_at = b"", 0
@@ -84,7 +84,7 @@
     def find(self, request: NodeRequest, now: int) -> bool:
         """Whether the request is a duplicate: it reached the machine before the time of an entry was up."""
         entry = self.entries.get(request.cache_key) if request.cache_key else None
-        if entry is None or now - request.backlog >= entry.expires_at:
+        if entry is None or now - request.queueing_delay >= entry.expires_at:
             return False
         if (
             not entry.at_most_once
@@ -146,13 +146,13 @@
         if previous and previous.at_most_once:
             self.entries.setdefault(entry.key, previous)
             self._move_followers(entry, previous)
-        entry.finish(Outcome.DENIED, b"")
+        entry.finish(Outcome.REJECTED, b"")
 
     @staticmethod
     def _move_followers(entry: CachedResponse, previous: CachedResponse) -> None:
         """Followers that arrived while the previous entry held are duplicates of that one."""
         for follower in entry.followers[:]:
-            if follower.arrived - follower.backlog < previous.expires_at:
+            if follower.arrived_at - follower.queueing_delay < previous.expires_at:
                 entry.followers.remove(follower)
                 previous.add_follower(follower)
 
