--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -76,9 +76,9 @@
 class ResponseCache:
     """Entries by request class, tenant and key. A later request replaces one whose time is up."""
 
-    def __init__(self, limits: ResourceLimits, read_ttl: int) -> None:
+    def __init__(self, resource_limits: ResourceLimits, read_ttl: int) -> None:
         """Make an empty cache; the result of a read may serve others for `read_ttl` nanoseconds."""
-        self.capacity, self.read_ttl = limits.results, read_ttl
+        self.capacity, self.read_ttl = resource_limits.max_results, read_ttl
         self.entries: dict[CacheKey, CachedResponse] = {}
 
     def find(self, request: NodeRequest, now: int) -> bool:
