--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -46,9 +46,9 @@
         self.reports = DirectoryReporter(start.lookup, start.name, resource_limits)
         self.engine = EngineLink(start.engine, self.pool, resource_limits, self.log, self._engine_up)
         self.catalogue = Catalogue(start.catalogue, self.pool, resource_limits, self.log)
-        self.results = ResponseCache(resource_limits, start.limits.cache_ttl)
+        self.response_cache = ResponseCache(resource_limits, start.limits.cache_ttl)
         self.host = NodeHost(
-            start, self.engine, self.listener, self.reports, self.results, self.measures, self.log
+            start, self.engine, self.listener, self.reports, self.response_cache, self.measures, self.log
         )
         self.draining = Drain(self, start.limits.drain_grace, resource_limits.stop_after)
         self.fairly = None
@@ -66,7 +66,7 @@
 
             self.control = open_control(self)
         self.handler = RequestHandler(
-            self.host, self.engine, self.catalogue, self.results, self.measures, self.log
+            self.host, self.engine, self.catalogue, self.response_cache, self.measures, self.log
         )
 
     async def run(self) -> None:
