--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -117,7 +117,7 @@
             self.occupancy.retain_key(self.now + duration)
         self.timers.set(self.now, request, request.deadline)
         if request.reservation:
-            self.fair_sharing.promises.end(request.reservation, True)  # type: ignore[union-attr]
+            self.fair_sharing.reservations.end(request.reservation, True)  # type: ignore[union-attr]
         if stage == Stage.BACKPRESSURE:
             self.occupancy.move(self.now, request, State.DELAYED)
             self.timers.set(self.now, request, self.now + DELAY)
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -9,19 +9,20 @@
 from collections.abc import Callable
 from math import inf
 
-from oakkeel.admission.types import FairSharingRules, Request, RequestState, ShareStanding
+from oakkeel.admission.types import FairSharingRules, Request, RequestState
+from oakkeel.admission.types import ShareStanding as Standing
 from oakkeel.fair_sharing.max_min import MaxMinShares
 from oakkeel.fair_sharing.reservations import Reservations
 from oakkeel.resource_limits import MS, SECOND
 
 EVERY = 200 * MS  # between looks at the shares
 ROOM = 0.95  # of what the node can do, for all together
-BURST = 500 * MS  # of its share, that a sender may have at once
-PROMISED_ROOM = 0.5  # of what the node can do, for promises
-STEP, STEPS = 50 * MS, 200  # of time ahead that can be promised
-EARLY, LATE = 25 * MS, SECOND  # from a promise's time, and still as told
-EARLY_MOST = 8  # times that coming early puts a promise off
-RETRY_SHARE = 0.2  # of a sender's work, for its further tries
+BURST = 500 * MS  # of its share, that a flow may have at once
+RESERVED_ROOM = 0.5  # of what the node can do, for reservations
+STEP, STEPS = 50 * MS, 200  # of time ahead that can be booked
+EARLY, LATE = 25 * MS, SECOND  # from the time of a reservation, and still as told
+EARLY_MOST = 8  # times that coming early postpones a reservation
+RETRY_SHARE = 0.2  # of the work of a flow, for its retries
 
 
 class FairSharing:
@@ -29,64 +30,63 @@
 
     def __init__(self, rules: FairSharingRules, marks_retries: bool, chance: Callable[[], float]) -> None:
         """Start with no flow known."""
-        self.marks_retries, self.chance = marks_retries, chance
-        self.levels = MaxMinShares(len(rules.levels), rules.max_flows, rules.half_life, rules.weights)
-        self.promises = Reservations(STEP, STEPS, rules.max_reservations)
-        self.room, self.looked = 0.0, 0  # for promises in one step; when shares were set
+        self.marks_retries, self.random = marks_retries, chance
+        self.shares = MaxMinShares(len(rules.levels), rules.max_flows, rules.half_life, rules.weights)
+        self.reservations = Reservations(STEP, STEPS, rules.max_reservations)
+        self.room, self.allocated_at = 0.0, 0  # for reservations in one step; when shares were set
 
     def arrive(self, now: int, request: Request, work: float, capacity: float) -> None:
-        """Count an exchange with its senders; say whether it is over its share, within it, or promised."""
-        if now - self.looked >= EVERY:
-            self.looked, self.room = now, capacity * PROMISED_ROOM * STEP
-            self.levels.share_out(now, capacity * ROOM * SECOND)
-        key, again = request.flow_keys[-1][0], request.retry_attempt or not self.marks_retries
-        request.reservation = self.promises.due(now, key, EARLY, LATE) if again else None  # as it was told
-        request.expected_work, asked = work, 0.0 if request.reservation else work  # and asks for nothing new
-        sender = request.flow = self.levels.count(now, request.flow_keys, asked, request.retry_attempt)
-        if request.reservation and request.reservation.work:
-            request.share_standing = ShareStanding.RESERVED
+        """Count a request with its flows, and set whether it is over its share, within it, or reserved."""
+        if now - self.allocated_at >= EVERY:
+            self.allocated_at, self.room = now, capacity * RESERVED_ROOM * STEP
+            self.shares.allocate(now, capacity * ROOM * SECOND)
+        key, is_retry = request.flow_keys[-1][0], request.retry_attempt or not self.marks_retries
+        booked = request.reservation = self.reservations.due(now, key, EARLY, LATE) if is_retry else None
+        request.expected_work, asked = work, 0.0 if booked else work  # it comes as told: nothing new
+        flow = request.flow = self.shares.count(now, request.flow_keys, asked, request.retry_attempt)
+        if booked and booked.work:
+            request.share_standing = Standing.RESERVED
             return
-        if request.reservation:  # told a time, and no room: it is judged as any other
-            self.promises.end(request.reservation, None)
+        if booked:  # told a time, and no room: it is judged as any other
+            self.reservations.end(booked, None)
             request.reservation = None
-        elif again and (ahead := self.promises.ahead(key)):
-            request.share_standing = ShareStanding.OVER_SHARE  # to try early gains nothing, and waits longer
-            if ahead.early < EARLY_MOST and self.promises.all_known(key):
-                own = min(SECOND, int(work / max(1.0, sender.allowed) * SECOND))
-                self.promises.put_off(now, ahead, ahead.at + max(STEP, own), self.room)
+        elif is_retry and (ahead := self.reservations.last_booked(key)):
+            request.share_standing = Standing.OVER_SHARE  # to try early gains nothing, and waits longer
+            if ahead.early_attempts < EARLY_MOST and self.reservations.remembers_all(key):
+                own_time = min(SECOND, int(work / max(1.0, flow.allowed_rate) * SECOND))
+                self.reservations.postpone(now, ahead, ahead.due_at + max(STEP, own_time), self.room)
             return
-        known = self.levels.known(now, sender)
-        if sender.allowed < inf:
-            over = sender.free_at > now + BURST
+        known = self.shares.is_known(now, flow)
+        if flow.allowed_rate < inf:
+            over = flow.free_at > now + BURST
         else:
-            rest = self.levels.kept_of_rest(sender)
-            over = rest < 1 and not known and self.chance() > rest
-        tries = request.retry_attempt and known and sender.retries > RETRY_SHARE * sender.count
-        request.share_standing = ShareStanding.OVER_SHARE if over or tries else ShareStanding.WITHIN_SHARE
-        if request.share_standing is ShareStanding.WITHIN_SHARE:  # though its overload may still reject it
+            unknown_share = self.shares.share_of_unknown(flow)
+            over = unknown_share < 1 and not known and self.random() > unknown_share
+        over_budget = request.retry_attempt and known and flow.retries > RETRY_SHARE * flow.count
+        request.share_standing = Standing.OVER_SHARE if over or over_budget else Standing.WITHIN_SHARE
+        if request.share_standing is Standing.WITHIN_SHARE:  # though its overload stage may still reject it
             self._charge(now, request)
 
     def _charge(self, now: int, request: Request) -> None:
-        if request.flow.allowed < inf:
-            took = int(request.expected_work / max(1.0, request.flow.allowed) * SECOND)
+        if request.flow.allowed_rate < inf:
+            took = int(request.expected_work / max(1.0, request.flow.allowed_rate) * SECOND)
             request.flow.free_at = max(request.flow.free_at, now) + took
 
-    def return_after(self, now: int, request: Request, most: int) -> int:
-        """How long one that is denied should stay away: until room that is its own, if that can be told."""
-        sender, known = request.flow, request.flow.allowed < inf
+    def retry_after(self, now: int, request: Request, max_retry_after: int) -> int:
+        """Return how long a rejected client should stay away: until room of its own, if that is known."""
+        flow, known = request.flow, request.flow.allowed_rate < inf
         if request.reservation and request.state is RequestState.READ:
-            self.promises.end(request.reservation, False)  # the room was not enough
-        if request.share_standing is ShareStanding.OVER_SHARE and not known:
-            return most  # one of many who share too little to promise them any
-        own = sender.free_at - BURST if known else now
-        promise = None
-        # Nothing more for one that came early.
-        if request.share_standing is not ShareStanding.OVER_SHARE or not request.retry_attempt:
-            promise = self.promises.book(now, max(now, own), sender.key, request.expected_work, self.room)
-        if promise and promise.at - now <= most:
+            self.reservations.end(request.reservation, False)  # the room was not enough
+        if request.share_standing is Standing.OVER_SHARE and not known:
+            return max_retry_after  # one of many who share too little to promise them any
+        own_time = flow.free_at - BURST if known else now
+        booked, first = None, max(now, own_time)
+        if request.share_standing is not Standing.OVER_SHARE or not request.retry_attempt:  # it was not early
+            booked = self.reservations.book(now, first, flow.key, request.expected_work, self.room)
+        if booked and booked.due_at - now <= max_retry_after:
             self._charge(now, request)
-            return promise.at - now
-        if promise:  # longer than callers take: not made, so not broken
-            self.promises.end(promise, None)
-        self.promises.note(now + most, sender.key)
-        return most
+            return booked.due_at - now
+        if booked:  # longer than clients take: not made, so not broken
+            self.reservations.end(booked, None)
+        self.reservations.record_unbacked(now + max_retry_after, flow.key)
+        return max_retry_after
--- a/oakkeel/admission/lifecycle.py
+++ b/oakkeel/admission/lifecycle.py
@@ -43,7 +43,7 @@
         """Answer at once, with when to come back and whether a try elsewhere is worth its reading."""
         retry_after = self.retry_after()
         if self.fair_sharing and self.limits.max_retry_after and not self.stop_at:
-            retry_after = self.fair_sharing.return_after(self.now, request, self.limits.max_retry_after)
+            retry_after = self.fair_sharing.retry_after(self.now, request, self.limits.max_retry_after)
         self.host.reject(request, final, retry_after)
         if request.key_retained:
             request.key_retained = False
--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -22,23 +22,33 @@
 class Flow:
     """One that has a place. Its sums are in the scale of their table: ask `HeavyHitters` for rates."""
 
-    __slots__ = ("allowed", "count", "error", "free_at", "key", "label", "parent", "rest", "retries")
+    __slots__ = (
+        "allowed_rate",
+        "count",
+        "error",
+        "free_at",
+        "key",
+        "label",
+        "parent",
+        "retries",
+        "unknown_share",
+    )
 
     def __init__(self, key: int, label: bytes, parent: Any) -> None:
         self.key, self.label, self.parent = key, label, parent
         self.count = self.error = self.retries = 0.0
         # What is made of it: what it may have a second, infinite where it may have all; when that lets it
         # have more; and the share that those within it keep who have no place of their own.
-        self.allowed, self.free_at, self.rest = math.inf, 0, 1.0
+        self.allowed_rate, self.free_at, self.unknown_share = math.inf, 0, 1.0
 
 
 class HeavyHitters:
     """Keys are whole numbers that nobody can choose: a keyed hash of whatever names a sender."""
 
-    def __init__(self, most: int, half: int) -> None:
+    def __init__(self, max_flows: int, half_life: int) -> None:
         """`half` in nanoseconds: the age at which what was sent counts half."""
-        self.most, self.half = most, half
-        self.senders: dict[int, Flow] = {}
+        self.max_flows, self.half_life = max_flows, half_life
+        self.flows: dict[int, Flow] = {}
         self.heap: list[tuple[float, int]] = []  # a count that is not over the sender's, and its key
         self.landmark, self.sum = 0, 0.0
 
@@ -48,46 +58,46 @@
         """Count what a sender sent; returns its place. `parent` is kept as it was when it got the place."""
         scaled = weight * self.scale(now)
         self.sum += scaled
-        sender = self.senders.get(key)
-        if sender is None:
-            sender = Flow(key, label, parent)
-            if len(self.senders) < self.most:
+        flow = self.flows.get(key)
+        if flow is None:
+            flow = Flow(key, label, parent)
+            if len(self.flows) < self.max_flows:
                 heappush(self.heap, (scaled, key))
             else:
-                least = self._least()
-                del self.senders[least.key]
-                sender.count = sender.error = least.count
-                heapreplace(self.heap, (sender.count + scaled, key))
-            self.senders[key] = sender
-        sender.count += scaled
+                least = self._lightest()
+                del self.flows[least.key]
+                flow.count = flow.error = least.count
+                heapreplace(self.heap, (flow.count + scaled, key))
+            self.flows[key] = flow
+        flow.count += scaled
         if retry:
-            sender.retries += scaled
-        return sender
+            flow.retries += scaled
+        return flow
 
-    def rate(self, now: int, sender: Flow) -> float:
+    def rate(self, now: int, flow: Flow) -> float:
         """At least what it sends a second, of late: never more than it did."""
-        return (sender.count - sender.error) * self._a_second(now)
+        return (flow.count - flow.error) * self._rate_factor(now)
 
-    def retry_rate(self, now: int, sender: Flow) -> float:
+    def retry_rate(self, now: int, flow: Flow) -> float:
         """The part of it that was further tries."""
-        return sender.retries * self._a_second(now)
+        return flow.retries * self._rate_factor(now)
 
-    def total(self, now: int) -> float:
+    def total_rate(self, now: int) -> float:
         """What all together send a second, of late; exact."""
-        return self.sum * self._a_second(now)
+        return self.sum * self._rate_factor(now)
 
-    def error(self, now: int) -> float:
+    def error_rate(self, now: int) -> float:
         """What a sender with no place may send a second, at the most: never over total / most, often less."""
-        if len(self.senders) < self.most:
+        if len(self.flows) < self.max_flows:
             return 0.0  # all have a place
-        return self._least().count * self._a_second(now)
+        return self._lightest().count * self._rate_factor(now)
 
-    def _a_second(self, now: int) -> float:
-        return math.log(2) * 1e9 / self.half / self.scale(now)
+    def _rate_factor(self, now: int) -> float:
+        return math.log(2) * 1e9 / self.half_life / self.scale(now)
 
     def scale(self, now: int) -> float:
         """What a weight of one counts by now."""
-        exponent = (now - self.landmark) / self.half
+        exponent = (now - self.landmark) / self.half_life
         if exponent > REBASE:
             self._rebase(now, 2.0 ** -min(exponent, 1000.0))
             return 1.0
@@ -96,18 +106,18 @@
     def _rebase(self, now: int, factor: float) -> None:
         self.landmark = now
         self.sum *= factor
-        for sender in self.senders.values():
-            sender.count *= factor
-            sender.error *= factor
-            sender.retries *= factor
-        self.heap = [(sender.count, sender.key) for sender in self.senders.values()]
+        for flow in self.flows.values():
+            flow.count *= factor
+            flow.error *= factor
+            flow.retries *= factor
+        self.heap = [(flow.count, flow.key) for flow in self.flows.values()]
         heapify(self.heap)
 
-    def _least(self) -> Flow:
+    def _lightest(self) -> Flow:
         """The one with the least count. Counts only grow, so one that is behind in the heap goes back in."""
         while True:
             count, key = self.heap[0]
-            sender = self.senders[key]
-            if sender.count == count:
-                return sender
-            heapreplace(self.heap, (sender.count, key))
+            flow = self.flows[key]
+            if flow.count == count:
+                return flow
+            heapreplace(self.heap, (flow.count, key))
--- a/oakkeel/fair_sharing/keys.py
+++ b/oakkeel/fair_sharing/keys.py
@@ -16,7 +16,7 @@
         """`fields` by level, the outermost first; the same name within another outer sender is another."""
         self.secret, self.fields = secret, fields
 
-    def who(self, values: Callable[[bytes], bytes]) -> tuple[tuple[int, bytes], ...]:
+    def flow_keys(self, values: Callable[[bytes], bytes]) -> tuple[tuple[int, bytes], ...]:
         found, path = [], b""
         for field in self.fields:
             value = values(field)
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -20,57 +20,57 @@
     def __init__(self, levels: int, places: int, half: int, weights: Mapping[bytes, float]) -> None:
         self.tables = [HeavyHitters(places, half) for _ in range(levels)]
         self.weights = weights
-        self.rest = 1.0  # the share that those keep who have no place at the outermost level
+        self.unknown_share = 1.0  # the share that those keep who have no place at the outermost level
 
     def count(self, now: int, who: Sequence[tuple[int, bytes]], work: float, retry: bool) -> Flow:
         """Count work with its sender at each level; returns the innermost. `who` holds keys and labels."""
-        sender: Flow | None = None
+        flow: Flow | None = None
         for table, (key, label) in zip(self.tables, who, strict=True):
-            sender = table.add(now, key, work, retry, label, sender)
-        if sender is None:
+            flow = table.add(now, key, work, retry, label, flow)
+        if flow is None:
             raise ValueError("an exchange of nobody")
-        return sender
+        return flow
 
-    def known(self, now: int, sender: Flow) -> bool:
+    def is_known(self, now: int, flow: Flow) -> bool:
         """Whether it certainly sends more than one without a place could."""
         table = self.tables[-1]
-        return table.rate(now, sender) >= table.error(now)
+        return table.rate(now, flow) >= table.error_rate(now)
 
-    def kept_of_rest(self, sender: Flow) -> float:
+    def share_of_unknown(self, flow: Flow) -> float:
         """The share of what it sends that one not known keeps."""
-        return sender.parent.rest if sender.parent else self.rest
+        return flow.parent.unknown_share if flow.parent else self.unknown_share
 
-    def share_out(self, now: int, whole: float) -> None:
+    def allocate(self, now: int, whole: float) -> None:
         """Set what each sender may have of `whole` a second, at the outermost level and then within each."""
         outer = self.tables[0]
-        self.rest = self._share(now, outer, list(outer.senders.values()), outer.total(now), whole)
+        self.unknown_share = self._share(now, outer, list(outer.flows.values()), outer.total_rate(now), whole)
         if len(self.tables) == 1:
             return
-        within: dict[Flow, list[Flow]] = {sender: [] for sender in outer.senders.values()}
-        for sender in self.tables[1].senders.values():
-            within.setdefault(sender.parent, []).append(sender)
-        for parent, senders in within.items():
+        within: dict[Flow, list[Flow]] = {flow: [] for flow in outer.flows.values()}
+        for flow in self.tables[1].flows.values():
+            within.setdefault(flow.parent, []).append(flow)
+        for parent, flows in within.items():
             asked = outer.rate(now, parent)
-            unknown = 1.0 if asked >= outer.error(now) else self.rest
-            parent.rest = self._share(
-                now, self.tables[1], senders, asked, min(parent.allowed, asked * unknown)
+            unknown = 1.0 if asked >= outer.error_rate(now) else self.unknown_share
+            parent.unknown_share = self._share(
+                now, self.tables[1], flows, asked, min(parent.allowed_rate, asked * unknown)
             )
 
-    def _share(self, now: int, table: HeavyHitters, senders: list[Flow], asked: float, whole: float) -> float:
+    def _share(self, now: int, table: HeavyHitters, flows: list[Flow], asked: float, whole: float) -> float:
         """What each of them may have; returns the share that those not known keep."""
-        for sender in senders:
-            sender.allowed = inf
+        for flow in flows:
+            flow.allowed_rate = inf
         if asked <= whole * (1 + 1e-9):
             return 1.0
-        error = table.error(now)
-        rates = {sender: rate for sender in senders if (rate := table.rate(now, sender)) >= error}
+        error = table.error_rate(now)
+        rates = {flow: rate for flow in flows if (rate := table.rate(now, flow)) >= error}
         rest = max(0.0, asked - sum(rates.values())) if error else 0.0
-        rows = [(rate, self.weights.get(sender.label, 1.0)) for sender, rate in rates.items()]
+        rows = [(rate, self.weights.get(flow.label, 1.0)) for flow, rate in rates.items()]
         level = fill([*rows, *_lump(rest, error)], whole)
-        for sender, rate in rates.items():
-            share = level * self.weights.get(sender.label, 1.0)
+        for flow, rate in rates.items():
+            share = level * self.weights.get(flow.label, 1.0)
             if rate > share:
-                sender.allowed = share
+                flow.allowed_rate = share
         return min(1.0, level / error) if error else 1.0
 
 
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -49,15 +49,15 @@
                 table.rate(now, each),
                 table.retry_rate(now, each),
             )
-            for each in table.senders.values()
+            for each in table.flows.values()
         ]
         for table in levels.tables
     ]
     ahead = [
-        ReservationRecord(each.key, each.at - now, each.work)
+        ReservationRecord(each.key, each.due_at - now, each.work)
         for found in promises.open.values()
         for each in found
-        if each.at > now
+        if each.due_at > now
     ]
     return msgspec.msgpack.encode(FairSharingSnapshot(unix, list(by), secret, tables, ahead))
 
@@ -85,16 +85,18 @@
     outer: dict[int, object] = {}
     for table, rows in zip(levels.tables, found.levels, strict=False):
         inner: dict[int, object] = {}
-        for row in sorted(rows, key=lambda each: -each.rate)[: table.most]:
+        for row in sorted(rows, key=lambda each: -each.rate)[: table.max_flows]:
             inner[row.key] = _restore(table, row, now, age, outer.get(row.parent))
         outer = inner
     for each in found.promises:
-        if (at := now + each.after - age) > now and promises.count < promises.most:
+        if (at := now + each.after - age) > now and promises.open_count < promises.max_open:
             promises.restore(Reservation(each.key, at, each.work))
 
 
 def _restore(table: HeavyHitters, row: FlowRecord, now: int, age: int, parent: object) -> object:
-    weight = 0.5 ** (age / table.half) * table.half / (0.6931471805599453 * 1e9)  # of a rate: its fading sum
-    sender = table.add(now, row.key, row.rate * weight, False, row.label, parent)
-    sender.retries = row.retries * weight * table.scale(now)
-    return sender
+    weight = (
+        0.5 ** (age / table.half_life) * table.half_life / (0.6931471805599453 * 1e9)
+    )  # of a rate: its fading sum
+    flow = table.add(now, row.key, row.rate * weight, False, row.label, parent)
+    flow.retries = row.retries * weight * table.scale(now)
+    return flow
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -17,18 +17,20 @@
     """One sender may come at `at` and go ahead. Nanoseconds."""
 
     key: int
-    at: int
+    due_at: int
     work: float  # 0: no room is kept
-    early: int = 0  # how often it came before its time
+    early_attempts: int = 0  # how often it came before its time
 
 
 class Reservations:
-    def __init__(self, step: int, steps: int, most: int) -> None:
+    def __init__(self, step: int, steps: int, max_open: int) -> None:
         """`steps` of `step` nanoseconds ahead can be booked, with `most` promises open at one time."""
-        self.step, self.steps, self.most = step, steps, most
-        self.marks, self.booked = [-1] * steps, [0.0] * steps
+        self.step, self.steps, self.max_open = step, steps, max_open
+        self.step_numbers, self.booked = [-1] * steps, [0.0] * steps
         self.open: dict[int, list[Reservation]] = {}  # by sender, each list with the soonest first
-        self.notes = self.count = self.made = self.kept = self.broken = self.lapsed = 0
+        self.unbacked = self.open_count = self.booked_count = self.kept_count = self.broken_count = (
+            self.expired_count
+        ) = 0
 
     def due(self, now: int, key: int, early: int, late: int) -> Reservation | None:
         """The sender's promise whose time it is, give or take; those whose time is over are dropped.
@@ -36,90 +38,92 @@
         The nearest, as others of the sender may never be come for: their exchange was given up.
         """
         found = None
-        for promise in list(self.open.get(key, ())):
-            if now > promise.at + late:
-                self.lapsed += promise.work > 0
-                self.end(promise, None)
-            elif now < promise.at - early:
+        for reservation in list(self.open.get(key, ())):
+            if now > reservation.due_at + late:
+                self.expired_count += reservation.work > 0
+                self.end(reservation, None)
+            elif now < reservation.due_at - early:
                 break
-            elif found is None or abs(promise.at - now) <= abs(found.at - now):
-                found = promise
+            elif found is None or abs(reservation.due_at - now) <= abs(found.due_at - now):
+                found = reservation
         return found
 
-    def ahead(self, key: int) -> Reservation | None:
+    def last_booked(self, key: int) -> Reservation | None:
         """The sender's last promise that has room behind it."""
         return next((each for each in reversed(self.open.get(key, ())) if each.work), None)
 
     def book(self, now: int, not_before: int, key: int, work: float, room: float) -> Reservation | None:
         """The first step with room for that work from then on; None where there is none, or no place."""
-        if self.count >= self.most:
-            self._drop_lapsed(now)
-        if self.count >= self.most or sum(each.work > 0 for each in self.open.get(key, ())) >= EACH:
+        if self.open_count >= self.max_open:
+            self._drop_expired(now)
+        if self.open_count >= self.max_open or sum(each.work > 0 for each in self.open.get(key, ())) >= EACH:
             return None
         first = max(now // self.step + 1, -(-not_before // self.step))
-        for mark in range(first, now // self.step + self.steps):
-            place = mark % self.steps
-            if self.marks[place] != mark:
-                self.marks[place], self.booked[place] = mark, 0.0
+        for step_number in range(first, now // self.step + self.steps):
+            slot = step_number % self.steps
+            if self.step_numbers[slot] != step_number:
+                self.step_numbers[slot], self.booked[slot] = step_number, 0.0
             # One that is larger than a whole step gets a step of its own.
-            if self.booked[place] + work <= room or not self.booked[place]:
-                self.made += 1
-                promise = Reservation(key, mark * self.step, work)
-                self.restore(promise)
-                return promise
+            if self.booked[slot] + work <= room or not self.booked[slot]:
+                self.booked_count += 1
+                reservation = Reservation(key, step_number * self.step, work)
+                self.restore(reservation)
+                return reservation
         return None
 
-    def note(self, at: int, key: int) -> None:
+    def record_unbacked(self, at: int, key: int) -> None:
         """A time told with no room behind it, so that coming then is not taken for coming early."""
-        if self.notes < MORE_NOTES * self.most and len(self.open.get(key, ())) < NOTES:
+        if self.unbacked < MORE_NOTES * self.max_open and len(self.open.get(key, ())) < NOTES:
             self.restore(Reservation(key, at, 0.0))
 
-    def all_known(self, key: int) -> bool:
+    def remembers_all(self, key: int) -> bool:
         """Whether every time told to the sender is still here: else one that comes early can't be told."""
         return len(self.open.get(key, ())) < NOTES
 
-    def put_off(self, now: int, promise: Reservation, not_before: int, room: float) -> None:
+    def postpone(self, now: int, reservation: Reservation, not_before: int, room: float) -> None:
         """Move a promise to a later step, if one has room; else it stays."""
-        self.end(promise, None)
-        later = self.book(now, not_before, promise.key, promise.work, room)
+        self.end(reservation, None)
+        later = self.book(now, not_before, reservation.key, reservation.work, room)
         if later is None:
-            return self.restore(promise)
-        later.early = promise.early + 1
-        self.made -= 1  # it is the same one
+            return self.restore(reservation)
+        later.early_attempts = reservation.early_attempts + 1
+        self.booked_count -= 1  # it is the same one
 
-    def restore(self, promise: Reservation) -> None:
+    def restore(self, reservation: Reservation) -> None:
         """Take its room, whatever else is booked there: it was told."""
-        mark = promise.at // self.step
-        place = mark % self.steps
-        if self.marks[place] != mark:
-            self.marks[place], self.booked[place] = mark, 0.0
-        self.booked[place] += promise.work
-        promises = self.open.setdefault(promise.key, [])
-        promises.append(promise)
-        promises.sort(key=lambda each: each.at)
-        self.count += promise.work > 0
-        self.notes += not promise.work
-
-    def end(self, promise: Reservation, kept: bool | None) -> None:
+        step_number = reservation.due_at // self.step
+        slot = step_number % self.steps
+        if self.step_numbers[slot] != step_number:
+            self.step_numbers[slot], self.booked[slot] = step_number, 0.0
+        self.booked[slot] += reservation.work
+        reservations = self.open.setdefault(reservation.key, [])
+        reservations.append(reservation)
+        reservations.sort(key=lambda each: each.due_at)
+        self.open_count += reservation.work > 0
+        self.unbacked += not reservation.work
+
+    def end(self, reservation: Reservation, kept: bool | None) -> None:
         """Its sender came in time, and went ahead or not; None: it is given up, and its room free again."""
-        promises = self.open[promise.key]
-        promises.remove(promise)
-        self.count -= promise.work > 0
-        self.notes -= not promise.work
-        if not promises:
-            del self.open[promise.key]
+        reservations = self.open[reservation.key]
+        reservations.remove(reservation)
+        self.open_count -= reservation.work > 0
+        self.unbacked -= not reservation.work
+        if not reservations:
+            del self.open[reservation.key]
         if kept is None:
-            mark = promise.at // self.step
-            if self.marks[mark % self.steps] == mark:
-                self.booked[mark % self.steps] = max(0.0, self.booked[mark % self.steps] - promise.work)
+            step_number = reservation.due_at // self.step
+            if self.step_numbers[step_number % self.steps] == step_number:
+                self.booked[step_number % self.steps] = max(
+                    0.0, self.booked[step_number % self.steps] - reservation.work
+                )
             return
-        self.kept += kept
-        self.broken += not kept
+        self.kept_count += kept
+        self.broken_count += not kept
 
-    def _drop_lapsed(self, now: int) -> None:
+    def _drop_expired(self, now: int) -> None:
         """Those whose sender did not come, long after their time."""
-        for promises in list(self.open.values()):
-            for promise in list(promises):
-                if promise.at < now - self.steps * self.step:
-                    self.lapsed += promise.work > 0
-                    self.end(promise, None)
+        for reservations in list(self.open.values()):
+            for reservation in list(reservations):
+                if reservation.due_at < now - self.steps * self.step:
+                    self.expired_count += reservation.work > 0
+                    self.end(reservation, None)
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -37,14 +37,14 @@
     name: bytes
     rate: float  # first tries a second
     tenant: bytes = b""
-    heeds: bool = True
-    tries: int = 4  # of one exchange, at the most
-    gap: int = 20 * MS  # until the next try of one that does not heed
-    sent: int = 0  # first tries
+    honours_retry_after: bool = True
+    max_attempts: int = 4  # of one exchange, at the most
+    retry_gap: int = 20 * MS  # until the next try of one that does not heed
+    first_attempts: int = 0  # first tries
     counts: Counter[str] = field(default_factory=Counter)
-    told: list[int] = field(default_factory=list)  # return times, nanoseconds
-    promised: int = 0  # returns exactly as told
-    taken: int = 0  # of those, went ahead
+    retry_delays: list[int] = field(default_factory=list)  # return times, nanoseconds
+    scheduled_returns: int = 0  # returns exactly as told
+    admitted_returns: int = 0  # of those, went ahead
 
 
 class SimulatedNode:
@@ -133,7 +133,7 @@
 
     def _first(self, client: SimulatedClient) -> None:
         if client in self.clients:
-            client.sent += 1
+            client.first_attempts += 1
             self.send(client, 1)
             self._later(client)
 
@@ -149,14 +149,14 @@
                 who.append((key, labels[level]))
             request.flow_keys = tuple(who)
         self.owners[request] = client, number, as_told
-        client.promised += as_told
+        client.scheduled_returns += as_told
         self.admission.arrive(self.now, request)
 
     # Host.
 
     def run(self, request: Request) -> None:
         client, _, as_told = self.owners[request]
-        client.taken += as_told
+        client.admitted_returns += as_told
         self.running += 1
         crowd = max(1.0, self.running / self.limits.cores) * self.slow
         time = self.work * (0.5 + self.random.random()) * crowd
@@ -172,14 +172,14 @@
     def reject(self, request: Request, last: bool, retry_after: int) -> None:
         client, number, _ = self.owners.pop(request)
         client.counts["denied"] += 1
-        client.told.append(retry_after)
-        if number >= client.tries:
+        client.retry_delays.append(retry_after)
+        if number >= client.max_attempts:
             client.counts["given up"] += 1
-        elif client.heeds:
+        elif client.honours_retry_after:
             told = retry_after < self.limits.max_retry_after
             self.at(self.now + retry_after, self.send, client, number + 1, told)
         else:
-            self.at(self.now + client.gap, self.send, client, number + 1)
+            self.at(self.now + client.retry_gap, self.send, client, number + 1)
 
     def fail(self, request: Request) -> None:
         if request in self.owners:
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -52,12 +52,12 @@
         fair = self.node.host.admission.fair_sharing
         if self.found and fair:
             persistence.restore_snapshot(
-                self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises
+                self.found, time.monotonic_ns(), time.time_ns(), fair.shares, fair.reservations
             )
             self.node.log.info(
                 "fair_sharing_snapshot_restored",
-                senders=len(fair.levels.tables[-1].senders),
-                promises=fair.promises.count,
+                senders=len(fair.shares.tables[-1].flows),
+                promises=fair.reservations.open_count,
             )
         self.found = None
         if self.path:
@@ -80,8 +80,8 @@
                     time.time_ns(),
                     self.rules.levels,
                     self.secret,
-                    fair.levels,
-                    fair.promises,
+                    fair.shares,
+                    fair.reservations,
                 ),
             )
         except OSError as error:
@@ -105,25 +105,25 @@
         fair, now = self.node.host.admission.fair_sharing, time.monotonic_ns()
         if fair is None:
             return ClientsStatus(tag, list(self.rules.levels))
-        table, promises = fair.levels.tables[-1], fair.promises
-        total = table.total(now) or 1.0
-        heaviest = sorted(table.senders.values(), key=lambda each: -table.rate(now, each))[:most]
+        table, promises = fair.shares.tables[-1], fair.reservations
+        total = table.total_rate(now) or 1.0
+        heaviest = sorted(table.flows.values(), key=lambda each: -table.rate(now, each))[:most]
         return ClientsStatus(
             tag,
             list(self.rules.levels),
-            len(table.senders),
-            table.error(now) / total,
-            promises.count,
-            promises.made,
-            promises.kept,
-            promises.broken,
-            promises.lapsed,
+            len(table.flows),
+            table.error_rate(now) / total,
+            promises.open_count,
+            promises.booked_count,
+            promises.kept_count,
+            promises.broken_count,
+            promises.expired_count,
             [
                 ClientUsage(
                     _path(each),
                     table.rate(now, each) / total,
                     table.retry_rate(now, each) / total,
-                    min(1.0, each.allowed / max(1e-9, table.rate(now, each))),
+                    min(1.0, each.allowed_rate / max(1e-9, table.rate(now, each))),
                 )
                 for each in heaviest
             ],
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -108,7 +108,7 @@
         who = None
         if self.fairly:
             self.fairly.begin()
-            who = self.fairly.keys.who
+            who = self.fairly.keys.flow_keys
         self.reader = RequestReader(
             self.start.limits, self.start.groups, self.start.tenants, self.resource_limits, who=who
         )
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -32,20 +32,24 @@
             wire.fail(str(error))
         self.gauge_names = pairs.gauges()
         self.gauges = Gauges()
-        self.exchanges: dict[int, Request] = {}
+        self.requests: dict[int, Request] = {}
         self.ids: dict[Request, int] = {}
         self.admission = AdmissionController(self, self.limits, seed, now)
 
     # Events in.
 
-    def exchange(self, ident: int) -> Request:
-        return self.exchanges.get(ident) or wire.fail(f"unknown exchange {ident} on instance {self.number}")
+    def request_of(self, request_id: int) -> Request:
+        return self.requests.get(request_id) or wire.fail(
+            f"unknown exchange {request_id} on instance {self.number}"
+        )
 
     def incoming(self, now: int, fields: tuple) -> None:
-        _, _, ident, group, _, _, memory_kb, bits, caller, left, tenant, backlog, key, earlier = fields
+        _, _, request_id, group, _, _, memory_kb, bits, caller, left, tenant, backlog, key, earlier = fields
         limits = self.limits
-        if group >= len(limits.request_classes) or ident in self.exchanges:
-            wire.fail(f"exchange {ident} on instance {self.number}: id used before, or group {group} unknown")
+        if group >= len(limits.request_classes) or request_id in self.requests:
+            wire.fail(
+                f"exchange {request_id} on instance {self.number}: id used before, or group {group} unknown"
+            )
         row = limits.request_classes[group]
         request = Request(
             request_class=row,
@@ -58,8 +62,8 @@
             has_key=bool(key) or row.idempotency is Idempotency.IDEMPOTENCY_KEY,
             is_duplicate=bool(earlier),
         )
-        self.exchanges[ident] = request
-        self.ids[request] = ident
+        self.requests[request_id] = request
+        self.ids[request] = request_id
         self.admission.arrive(now, request)
 
     def read_gauges(self, values: tuple) -> Gauges:
--- a/oakkeel/simulator_adapter/table.py
+++ b/oakkeel/simulator_adapter/table.py
@@ -36,36 +36,38 @@
             handler = self.handlers.get(body[offset]) or wire.fail(
                 f"batch {number}: unknown event code {body[offset]}"
             )
-            who = wire.KILLED.unpack_from(body, offset)[1]
-            instance = self._guarded(who, handler, clock, body, offset)
+            instance_id = wire.KILLED.unpack_from(body, offset)[1]
+            instance = self._guarded(instance_id, handler, clock, body, offset)
             if instance is not None:
-                touched[who] = instance
+                touched[instance_id] = instance
             else:
-                touched.pop(who, None)
-        for who, instance in touched.items():
-            self._guarded(who, instance.admission.schedule, clock)
+                touched.pop(instance_id, None)
+        for instance_id, instance in touched.items():
+            self._guarded(instance_id, instance.admission.schedule, clock)
         return self.reply.frame(number)
 
-    def _guarded(self, who: int, act: Callable[..., Instance | None], *words) -> Instance | None:
+    def _guarded(
+        self, instance_id: int, handler: Callable[..., Instance | None], *arguments
+    ) -> Instance | None:
         """Declare what the decisions raise on the wire; a frame that can't be read goes on up."""
         try:
-            return act(*words)
+            return handler(*arguments)
         except (wire.WireError, UnicodeDecodeError):
             raise
         except Exception as error:  # whatever the module raises ends the day with its text
-            self.reply.add_text(wire.INTERNAL_ERROR, who, f"{type(error).__name__}: {error}")
+            self.reply.add_text(wire.INTERNAL_ERROR, instance_id, f"{type(error).__name__}: {error}")
             return None
 
-    def _instance(self, who: int) -> Instance:
-        return self.instances.get(who) or wire.fail(f"event for unknown instance {who}")
+    def _instance(self, instance_id: int) -> Instance:
+        return self.instances.get(instance_id) or wire.fail(f"event for unknown instance {instance_id}")
 
     def _provision(self, clock: int, body: bytes, offset: int) -> Instance:
-        _, who, seed, start, length = wire.PROVISION.unpack_from(body, offset)
+        _, instance_id, seed, start, length = wire.PROVISION.unpack_from(body, offset)
         start += self.tail
         if start + length > len(body):
-            wire.fail(f"settings of instance {who} reach past the end of the batch")
+            wire.fail(f"settings of instance {instance_id} reach past the end of the batch")
         text = body[start : start + length].decode()
-        instance = self.instances[who] = Instance(who, seed, text, clock, self.reply)
+        instance = self.instances[instance_id] = Instance(instance_id, seed, text, clock, self.reply)
         return instance
 
     def _incoming(self, clock: int, body: bytes, offset: int) -> Instance:
@@ -75,38 +77,38 @@
         return instance
 
     def _ended(self, clock: int, body: bytes, offset: int) -> Instance:
-        code, who, ident, status, latency = wire.ENDED.unpack_from(body, offset)
-        instance = self._instance(who)
-        outcome = OUTCOMES.get(status) or wire.fail(f"unknown outcome {status} on instance {who}")
+        code, instance_id, request_id, status, latency = wire.ENDED.unpack_from(body, offset)
+        instance = self._instance(instance_id)
+        outcome = OUTCOMES.get(status) or wire.fail(f"unknown outcome {status} on instance {instance_id}")
         ended = (
             instance.admission.run_finished if code == wire.EV_WORK_DONE else instance.admission.call_finished
         )
-        ended(clock, instance.exchange(ident), outcome, latency)
+        ended(clock, instance.request_of(request_id), outcome, latency)
         return instance
 
     def _named(self, clock: int, body: bytes, offset: int) -> Instance:
-        code, who, value = wire.NAMED.unpack_from(body, offset)
-        instance = self._instance(who)
+        code, instance_id, value = wire.NAMED.unpack_from(body, offset)
+        instance = self._instance(instance_id)
         if code == wire.EV_LAME_DUCK:
             instance.admission.drain(clock, value)
         else:
-            act = (
+            handler = (
                 instance.admission.call_needed
                 if code == wire.EV_AWAITING
                 else instance.admission.client_disconnected
             )
-            act(clock, instance.exchange(value))
+            handler(clock, instance.request_of(value))
         return instance
 
     def _timer(self, clock: int, body: bytes, offset: int) -> Instance:
-        _, who, token, number = wire.TIMER.unpack_from(body, offset)
-        instance = self._instance(who)
+        _, instance_id, token, number = wire.TIMER.unpack_from(body, offset)
+        instance = self._instance(instance_id)
         if number > wire.MOST_GAUGES:
-            wire.fail(f"{number} gauges do not fit a record of instance {who}")
+            wire.fail(f"{number} gauges do not fit a record of instance {instance_id}")
         values = struct.unpack_from(f"<{number}f", body, offset + wire.TIMER.size)
         instance.admission.timer_expired(clock, token, instance.read_gauges(values))
         return instance
 
     def _killed(self, clock: int, body: bytes, offset: int) -> None:
-        who = self._instance(wire.KILLED.unpack_from(body, offset)[1]).number
-        del self.instances[who]
+        instance_id = self._instance(wire.KILLED.unpack_from(body, offset)[1]).number
+        del self.instances[instance_id]
--- a/tests/fair_sharing/test_fair_sharing.py
+++ b/tests/fair_sharing/test_fair_sharing.py
@@ -38,16 +38,16 @@
             table.add(0, key, weight)
             truth[key] = truth.get(key, 0) + weight
         total = sum(truth.values())
-        self.assertLessEqual(len(table.senders), most)
-        self.assertEqual(len(table.heap), len(table.senders))
-        for key, sender in table.senders.items():
+        self.assertLessEqual(len(table.flows), most)
+        self.assertEqual(len(table.heap), len(table.flows))
+        for key, sender in table.flows.items():
             self.assertGreaterEqual(sender.count, truth[key])
             self.assertLessEqual(sender.count - sender.error, truth[key])
             self.assertLessEqual(sender.error, total / most)
-        scale = table.total(0) / total
+        scale = table.total_rate(0) / total
         for key, count in truth.items():
-            if key not in table.senders:
-                self.assertLessEqual(count * scale, table.error(0) * 1.000001)
+            if key not in table.flows:
+                self.assertLessEqual(count * scale, table.error_rate(0) * 1.000001)
                 self.assertLessEqual(count, total / most)
 
     def test_what_was_sent_counts_half_each_half_life_and_rates_come_out(self):
@@ -68,23 +68,24 @@
             if number % 50 == 0:
                 heavy = table.add(number * 40_000, 1, 1.0)
         now = 100_000 * 40_000
-        self.assertIs(table.senders.get(1), heavy)
-        self.assertGreaterEqual(table.rate(now, heavy), table.error(now))
-        accused = [each for each in table.senders.values() if table.rate(now, each) >= table.error(now)]
+        self.assertIs(table.flows.get(1), heavy)
+        self.assertGreaterEqual(table.rate(now, heavy), table.error_rate(now))
+        accused = [each for each in table.flows.values() if table.rate(now, each) >= table.error_rate(now)]
         self.assertEqual(accused, [heavy])
-        self.assertEqual((len(table.senders), len(table.heap)), (256, 256))
+        self.assertEqual((len(table.flows), len(table.heap)), (256, 256))
 
     def test_keys_cannot_be_aimed_without_the_secret(self):
         names = [f"client-{number}".encode() for number in range(300)]
         first, second = (FlowKeys(bytes([number]) * SECRET, (b"client",)) for number in (1, 2))
         keys = [
-            [maker.who(lambda field, name=name: name)[0][0] for name in names] for maker in (first, second)
+            [maker.flow_keys(lambda field, name=name: name)[0][0] for name in names]
+            for maker in (first, second)
         ]
         self.assertEqual(len(set(keys[0])), 300)
         self.assertFalse(set(keys[0]) & set(keys[1]))
         both = FlowKeys(bytes(SECRET), (b"owner", b"client"))
         apart = {
-            both.who({b"owner": owner, b"client": client}.__getitem__)[1][0]
+            both.flow_keys({b"owner": owner, b"client": client}.__getitem__)[1][0]
             for owner, client in ((b"ab", b"c"), (b"a", b"bc"), (b"abc", b""))
         }
         self.assertEqual(len(apart), 3)
@@ -108,12 +109,14 @@
             now += 5 * MS
             for outer, name, inner in ((1, b"big", 10), (2, b"small", 20 + now // (5 * MS) % 1000)):
                 levels.count(now, ((outer, name), (inner, b"")), 1.0, False)
-        levels.share_out(now, 200.0)  # of the 400 a second that are asked
-        big, small = levels.tables[0].senders[1], levels.tables[0].senders[2]
-        self.assertAlmostEqual(big.allowed, 150, delta=3)
-        self.assertAlmostEqual(small.allowed, 50, delta=3)
-        self.assertAlmostEqual(levels.tables[1].senders[10].allowed, 150, delta=3)
-        self.assertAlmostEqual(small.rest, 0.25, delta=0.1)  # none of the thousand is heavy, all are cut
+        levels.allocate(now, 200.0)  # of the 400 a second that are asked
+        big, small = levels.tables[0].flows[1], levels.tables[0].flows[2]
+        self.assertAlmostEqual(big.allowed_rate, 150, delta=3)
+        self.assertAlmostEqual(small.allowed_rate, 50, delta=3)
+        self.assertAlmostEqual(levels.tables[1].flows[10].allowed_rate, 150, delta=3)
+        self.assertAlmostEqual(
+            small.unknown_share, 0.25, delta=0.1
+        )  # none of the thousand is heavy, all are cut
 
 
 class PromiseStories(unittest.TestCase):
@@ -125,19 +128,19 @@
             now += pause * 20 * MS
             ledger.book(now, now, key, work, 30.0)
             self.assertLessEqual(max(ledger.booked), 30.0)
-            self.assertLessEqual(ledger.count, 40)
-            self.assertEqual(ledger.count, sum(len(each) for each in ledger.open.values()))
+            self.assertLessEqual(ledger.open_count, 40)
+            self.assertEqual(ledger.open_count, sum(len(each) for each in ledger.open.values()))
             self.assertTrue(all(len(each) <= EACH for each in ledger.open.values()))
 
     def test_one_taken_back_frees_its_room_and_one_not_come_for_is_dropped(self):
         ledger = Reservations(50 * MS, 20, 2)
         first = ledger.book(0, 0, 1, 10.0, 10.0)
-        self.assertEqual((first.at, ledger.book(0, 0, 2, 10.0, 10.0).at), (50 * MS, 100 * MS))
+        self.assertEqual((first.due_at, ledger.book(0, 0, 2, 10.0, 10.0).due_at), (50 * MS, 100 * MS))
         self.assertIsNone(ledger.book(0, 0, 3, 10.0, 10.0))
         ledger.end(first, None)
-        self.assertEqual(ledger.book(0, 0, 3, 10.0, 10.0).at, 50 * MS)
+        self.assertEqual(ledger.book(0, 0, 3, 10.0, 10.0).due_at, 50 * MS)
         self.assertIsNotNone(ledger.book(5 * SECOND, 0, 4, 10.0, 10.0))
-        self.assertEqual(ledger.lapsed, 2)
+        self.assertEqual(ledger.expired_count, 2)
 
 
 def world(fair=True, by=("caller",), weights=None, seed=7, **more) -> SimulatedNode:
@@ -152,15 +155,18 @@
 ) -> tuple[list[float], float]:
     """Of its fair share, what each kept after a while; and the share of returns as told that went ahead."""
     made.pass_time(warm)
-    before = [(each.counts["in time"], each.sent, each.promised, each.taken) for each in made.clients]
+    before = [
+        (each.counts["in time"], each.first_attempts, each.scheduled_returns, each.admitted_returns)
+        for each in made.clients
+    ]
     made.pass_time(seconds)
     done = [
         (each.counts["in time"] - was[0]) / seconds for each, was in zip(made.clients, before, strict=True)
     ]
-    sent = [(each.sent - was[1]) / seconds for each, was in zip(made.clients, before, strict=True)]
+    sent = [(each.first_attempts - was[1]) / seconds for each, was in zip(made.clients, before, strict=True)]
     shares = fair_share(sent, max(150.0, sum(done)))
-    told = sum(each.promised - was[2] for each, was in zip(made.clients, before, strict=True))
-    taken = sum(each.taken - was[3] for each, was in zip(made.clients, before, strict=True))
+    told = sum(each.scheduled_returns - was[2] for each, was in zip(made.clients, before, strict=True))
+    taken = sum(each.admitted_returns - was[3] for each, was in zip(made.clients, before, strict=True))
     return (
         [
             min(1.0, one / share)
@@ -178,7 +184,7 @@
     def test_a_crawler_takes_the_node_without_and_its_share_with(self):
         for fair in (False, True):
             made, good = world(fair), self.compliant()
-            made.add(*good, SimulatedClient(b"crawler", 1000, heeds=False, tries=10))
+            made.add(*good, SimulatedClient(b"crawler", 1000, honours_retry_after=False, max_attempts=10))
             shares, promises = kept(made, good)
             if not fair:
                 self.assertLess(sum(shares) / len(shares), 0.5)
@@ -192,7 +198,8 @@
         made = world(by=("tenant", "caller"), places=128)
         good = [SimulatedClient(b"good-%d" % number, 20, tenant=b"t%d" % number) for number in range(8)]
         crowd = [
-            SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", heeds=False) for number in range(1000)
+            SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", honours_retry_after=False)
+            for number in range(1000)
         ]
         made.add(*good, *crowd)
         made.pass_time(5)
@@ -225,7 +232,7 @@
         busy, back = SimulatedClient(b"busy", 150), SimulatedClient(b"back", 40)
         made.add(busy)
         made.pass_time(6)
-        self.assertGreater(busy.counts["in time"] / busy.sent, 0.97)
+        self.assertGreater(busy.counts["in time"] / busy.first_attempts, 0.97)
         made.clients.remove(busy)
         made.run_until(made.now + 3600 * SECOND)
         made.add(back, more := SimulatedClient(b"more", 400))
@@ -240,13 +247,13 @@
             made.add(*self.compliant(10, 40))
             made.pass_time(10)
             fair = made.admission.fair_sharing
-            allowed = [each.allowed for each in fair.levels.tables[0].senders.values()]
+            allowed = [each.allowed_rate for each in fair.shares.tables[0].flows.values()]
             promised.append(sum(allowed) / made.admission.ranking.service_times[0])
         self.assertAlmostEqual(promised[1] / promised[0], 0.5, delta=0.1)
 
     def test_a_cold_node_is_shared_as_well(self):
         made, good = world(cold=True, slow=4.0, slo=2 * SECOND), self.compliant(8, 4)
-        made.add(*good, SimulatedClient(b"crawler", 400, heeds=False))
+        made.add(*good, SimulatedClient(b"crawler", 400, honours_retry_after=False))
         shares, _ = kept(made, good, warm=3, seconds=6)
         self.assertGreater(sum(shares) / len(shares), 0.85)
 
@@ -255,31 +262,34 @@
         made.add(*good)
         _, promises = kept(made, good)
         self.assertGreater(promises, 0.95)
-        self.assertGreater(sum(each.promised for each in good), 200)
+        self.assertGreater(sum(each.scheduled_returns for each in good), 200)
 
     def test_who_comes_early_gains_nothing_and_waits_longer(self):
         made = world()
-        made.add(SimulatedClient(b"flood", 600), one := SimulatedClient(b"one", 0.0, heeds=False, tries=1))
+        made.add(
+            SimulatedClient(b"flood", 600),
+            one := SimulatedClient(b"one", 0.0, honours_retry_after=False, max_attempts=1),
+        )
         made.pass_time(5)
         fair = made.admission.fair_sharing
-        while not fair.promises.ahead(key := hash((0, b"one")) & (1 << 62) - 1):
+        while not fair.reservations.last_booked(key := hash((0, b"one")) & (1 << 62) - 1):
             made.send(one, 1)
             made.pass_time(0.01)
-        told = fair.promises.ahead(key).at
+        told = fair.reservations.last_booked(key).due_at
         made.send(one, 2)  # a further try, long before
-        self.assertGreater(fair.promises.ahead(key).at, told)
+        self.assertGreater(fair.reservations.last_booked(key).due_at, told)
         self.assertEqual(one.counts["in time"], 0)
 
     def test_in_a_drain_those_within_the_grace_go_on_and_no_promise_is_made(self):
         made, good = world(), self.compliant(30, 15)
         made.add(*good)
         made.pass_time(5)
-        fair, before = made.admission.fair_sharing, [sum(each.taken for each in good)]
+        fair, before = made.admission.fair_sharing, [sum(each.admitted_returns for each in good)]
         made.admission.drain(made.now, 5 * SECOND)
-        booked = fair.promises.made
+        booked = fair.reservations.booked_count
         made.pass_time(1.5)
-        self.assertEqual(fair.promises.made, booked)
-        self.assertGreater(sum(each.taken for each in good), before[0])
+        self.assertEqual(fair.reservations.booked_count, booked)
+        self.assertGreater(sum(each.admitted_returns for each in good), before[0])
 
     def test_without_rules_nothing_of_it_is_there(self):
         made, good = world(False), self.compliant(4, 10)
@@ -289,10 +299,10 @@
 
     def test_a_retry_budget_is_the_senders_own(self):
         made = world()
-        levels = made.admission.fair_sharing.levels
+        levels = made.admission.fair_sharing.shares
         for number in range(400):
             levels.count(made.now + number * MS, ((1, b"tries"),), 1.0, number % 2 == 0)
-        sender = levels.tables[0].senders[1]
+        sender = levels.tables[0].flows[1]
         self.assertAlmostEqual(sender.retries / sender.count, 0.5, delta=0.01)
         request = mock.Mock(
             flow_keys=((1, b"tries"),), retry_attempt=True, share_standing=ShareStanding.WITHIN_SHARE
@@ -311,7 +321,7 @@
     def filled(self) -> SimulatedNode:
         made = world()
         made.add(
-            SimulatedClient(b"crawler", 500, heeds=False),
+            SimulatedClient(b"crawler", 500, honours_retry_after=False),
             *(SimulatedClient(b"g%d" % n, 20) for n in range(10)),
         )
         made.pass_time(5)
@@ -320,7 +330,7 @@
     def content(self, made: SimulatedNode, unix: int = 10**18) -> bytes:
         fair = made.admission.fair_sharing
         return persistence.encode_snapshot(
-            made.now, unix, ("caller",), bytes(SECRET), fair.levels, fair.promises
+            made.now, unix, ("caller",), bytes(SECRET), fair.shares, fair.reservations
         )
 
     def test_a_restart_forgives_nobody_and_breaks_no_promise(self):
@@ -328,14 +338,14 @@
         content = self.content(made)
         found = persistence.decode_snapshot(content, 10**18 + SECOND, ("caller",))
         fair, old = again.admission.fair_sharing, made.admission.fair_sharing
-        persistence.restore_snapshot(found, again.now, 10**18 + SECOND, fair.levels, fair.promises)
-        key = max(old.levels.tables[0].senders.values(), key=lambda each: each.count).key
-        before = old.levels.tables[0].rate(made.now, old.levels.tables[0].senders[key])
-        after = fair.levels.tables[0].rate(again.now, fair.levels.tables[0].senders[key])
+        persistence.restore_snapshot(found, again.now, 10**18 + SECOND, fair.shares, fair.reservations)
+        key = max(old.shares.tables[0].flows.values(), key=lambda each: each.count).key
+        before = old.shares.tables[0].rate(made.now, old.shares.tables[0].flows[key])
+        after = fair.shares.tables[0].rate(again.now, fair.shares.tables[0].flows[key])
         self.assertAlmostEqual(after / before, 0.5**0.25, delta=0.01)  # a second of the four that halve it
         ahead = [
-            sorted(each.at - made_at for rows in ledger.open.values() for each in rows)
-            for ledger, made_at in ((old.promises, made.now + SECOND), (fair.promises, again.now))
+            sorted(each.due_at - made_at for rows in ledger.open.values() for each in rows)
+            for ledger, made_at in ((old.reservations, made.now + SECOND), (fair.reservations, again.now))
         ]
         self.assertEqual(ahead[1], [after for after in ahead[0] if after > 0])
 
