--- a/measure/plan.py
+++ b/measure/plan.py
@@ -15,8 +15,9 @@
 
 from measure.common import SECOND, keep, options, processor, say
 from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
-from oakkeel.emulator.consensus import ConsensusSimulation, SimulatedHost
+from oakkeel.emulator.consensus import ConsensusSimulation
 from oakkeel.emulator.faults import Fault, Schedule
+from oakkeel.emulator.simulated_host import SimulatedHost
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import VersionSpec
 from oakkeel.rollout.controller import RolloutController
@@ -107,7 +108,8 @@
         soak=SECOND, patience=120 * SECOND, lasts=20 * SECOND, gated=gated, margin=0.05
     )
     order(
-        world, commands.StartRelease("r", "asha", 0, VersionSpec("good r", "here"), pace, list(world.every))
+        world,
+        commands.StartRelease("r", "asha", 0, VersionSpec("good r", "here"), pace, list(world.instances)),
     )
     state = ""
     while world.clock.now < began + 600 * SECOND:
@@ -135,7 +137,7 @@
         "nodes": len(out),
         "out_s": statistics.median(out) if out else 0.0,
         "most": watched.most,
-        "breaches": world.audit.breaches + world.of_releases.breaches,
+        "breaches": world.audit.breaches + world.rollout_audit.breaches,
         "events": world.clock.happened,
     }
 
@@ -145,7 +147,7 @@
     while (leader := leader_of(world)) is None or leader.control_plane is None:
         world.clock.run(world.clock.now + 100 * MS)
     _, steps = leader.control_plane.propose(leader.now(), command)
-    leader.carry_out(steps)
+    leader.replica.carry_out(steps)
 
 
 def leader_of(world: ConsensusSimulation) -> SimulatedHost | None:
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -14,8 +14,9 @@
 from functools import partial
 
 from measure.common import SECOND, keep, options, processor, say
-from oakkeel.emulator.consensus import play, smallest
+from oakkeel.emulator.consensus import play
 from oakkeel.emulator.faults import Schedule, draw, read
+from oakkeel.emulator.schedule_shrinking import shrink
 
 
 def drawn(seed: int, releases: bool) -> Schedule:
@@ -45,7 +46,7 @@
     if told.play:
         with open(told.play, encoding="utf-8") as file:
             world, breaches = play(read(json.load(file)))
-        for line in [*world.said, *breaches]:
+        for line in [*world.event_log, *breaches]:
             say(line)
         return 1 if breaches else 0
     began, broken, stuck, happened = time.monotonic(), [], [], 0
@@ -65,7 +66,7 @@
                 say(f"{done} played, {len(broken)} broken, {done / (time.monotonic() - began):.1f} a second")
     took = time.monotonic() - began
     if broken:
-        less = smallest(drawn(broken[0][0], bool(told.releases)), fails)
+        less = shrink(drawn(broken[0][0], bool(told.releases)), fails)
         with open(told.out, "w", encoding="utf-8") as file:
             json.dump(less.told(), file, indent=1)
         say(f"the first, cut down to {len(less.troubles)} troubles, is in {told.out}:")
--- /dev/null
+++ b/oakkeel/emulator/convergence.py
@@ -0,0 +1,99 @@
+"""Whether a simulation comes to a good end: one leader, no open order, nothing out without a permit."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from oakkeel.agent.orders import Verb
+from oakkeel.disruption.control_plane import ControlPlaneReplica
+from oakkeel.disruption.state_machine import OPEN_STATES
+from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.rollout.controller import RolloutController
+
+if TYPE_CHECKING:
+    from oakkeel.emulator.consensus import ConsensusSimulation
+    from oakkeel.emulator.simulated_host import SimulatedHost
+
+LOOK_INTERVAL = 50 * MS
+MORE_TIME = 12 * SECOND  # for what was begun late: one more order
+GOOD_REASONS = (  # of a release that waits for what operators have taken out for good
+    "would pass its bound",
+    "the last that serves",
+    "all that is left is out",
+    "would carry",
+)
+
+
+class ConvergenceCheck:
+    """Looks at releases all the time, and at the end for what is stuck."""
+
+    def __init__(self, simulation: ConsensusSimulation) -> None:
+        """It looks at the hosts of that simulation."""
+        self.simulation = simulation
+
+    def look(self) -> None:
+        """Tell the audit what operators are told of releases by whoever leads, again and again."""
+        simulation = self.simulation
+        for host in simulation.hosts.values():
+            leader = host.leader
+            if not leader or not host.running or host.stopped or not leader.replica.holds_lease(host.now()):
+                continue
+            for release in leader.ledger.held.releases.values():  # type: ignore[attr-defined]
+                if release.over and release.ident in simulation.rollout_audit.version:
+                    simulation.rollout_audit.ended(
+                        simulation.clock.now, release.ident, release.state, self._serving()
+                    )
+        simulation.clock.after(LOOK_INTERVAL, self.look)
+
+    def _serving(self) -> set[str]:
+        now = self.simulation.clock.now
+        return {
+            name
+            for host in self.simulation.hosts.values()
+            for name, process in host.processes.running.items()
+            if not process.exits_at and now >= process.serves_at
+        }
+
+    def stuck(self) -> list[str]:
+        """Return what has not come to an end, also with some more time."""
+        if found := self._stuck():
+            clock = self.simulation.clock
+            clock.run(clock.now + MORE_TIME)
+            found = self._stuck()
+        return found
+
+    def _stuck(self) -> list[str]:
+        hosts = self.simulation.hosts.values()
+        leaders = [
+            leader for host in hosts if (leader := host.leader) and leader.replica.holds_lease(host.now())
+        ]
+        if len(leaders) != 1:
+            return [f"{len(leaders)} leaders at the end"]
+        leader = leaders[0]
+        found = [
+            f"order {order.ident} is open: {order.parts}"
+            for order in leader.ledger.held.orders.values()
+            if any(part.state in OPEN_STATES for part in order.parts.values())
+        ]
+        found += self._stuck_release(leader)
+        for host in hosts:
+            found += self._stuck_tasks(leader, host)
+        return found
+
+    def _stuck_release(self, leader: ControlPlaneReplica) -> list[str]:
+        release = leader.ledger.open  # type: ignore[attr-defined]
+        if not release or release.state not in ("preparing", "running", "undoing"):
+            return []
+        controller = leader.above
+        reason = controller.why if isinstance(controller, RolloutController) else "nobody drives"
+        if any(good_reason in reason for good_reason in GOOD_REASONS):
+            return []
+        return [f"release {release.ident} is {release.state}, batch {release.batch}, {release.now}: {reason}"]
+
+    def _stuck_tasks(self, leader: ControlPlaneReplica, host: SimulatedHost) -> list[str]:
+        found = []
+        for part in host.agent.orders.executor:
+            order = leader.ledger.held.orders.get(part.order.ident)
+            if part.open and part.order.verb is not Verb.START and not (order and order.open):
+                found.append(f"{host.name}: a part of {part.order.ident} waits for nothing")
+        return found
--- /dev/null
+++ b/oakkeel/emulator/fault_injection.py
@@ -0,0 +1,149 @@
+"""Injection of a schedule's faults into simulated hosts and their network."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from oakkeel.emulator.faults import MS, Fault
+from oakkeel.raft.memory_storage import InMemoryStorage
+
+if TYPE_CHECKING:
+    from oakkeel.emulator.consensus import ConsensusSimulation
+    from oakkeel.emulator.simulated_host import SimulatedHost
+
+LINK_FAULTS = ("cut", "cut one way", "part", "slow links", "loss", "double")
+CLOCK_ERROR = 0.03  # the widest difference of two rates
+WHOLE_FOLDER_SHARE = 0.3  # of the restored copies; the others restore the file alone
+
+
+class FaultInjector:
+    """Injects faults; what is no fault is an operators' action."""
+
+    def __init__(self, simulation: ConsensusSimulation) -> None:
+        """It acts on the hosts of that simulation."""
+        self.simulation = simulation
+
+    def inject(self, fault: Fault) -> None:
+        """Inject one fault, or have the operators act."""
+        simulation = self.simulation
+        simulation.log_event(f"{fault.kind} {fault.who} {fault.to} for {fault.lasts // MS} ms")
+        names = sorted(simulation.hosts)
+        host = simulation.hosts[names[fault.who % len(names)]]
+        other = names[fault.to % len(names)]
+        if fault.kind in LINK_FAULTS:
+            for source, recipient in self._links(fault, host.name, other):
+                simulation.network.add_fault(source, recipient, fault)
+        elif not (self._process_fault(fault, host) or self._disk_fault(fault, host)):
+            simulation.operators.act(fault)
+
+    def _process_fault(self, fault: Fault, host: SimulatedHost) -> bool:
+        """Kill, stop or slow down processes; returns False for faults of other kinds."""
+        simulation = self.simulation
+        if fault.kind == "kill":
+            simulation.kill(host, fault.lasts)
+        elif fault.kind == "kill all":
+            for each_host in simulation.hosts.values():
+                simulation.kill(each_host, 200 * MS + int(simulation.random.random() * fault.lasts))
+        elif fault.kind == "kill in a step":
+            host.replica.crash_at_write = 1 + fault.to % 2
+        elif fault.kind == "power":
+            host.end_processes("power")
+            simulation.kill(host, fault.lasts)
+        elif fault.kind == "stop in a step":
+            host.agent.pause_on_permit = fault.lasts
+        elif fault.kind == "stop" and host.running and not host.stopped:
+            host.stop(fault.lasts)
+        elif fault.kind == "clock":
+            host.rate = 1 + (fault.size - 0.5) * CLOCK_ERROR
+        elif fault.kind in ("die", "die all of a site"):
+            self._end_instances(fault, host)
+        else:
+            return False
+        return True
+
+    def _end_instances(self, fault: Fault, host: SimulatedHost) -> None:
+        names = host.instances if fault.kind != "die" else (host.instances[fault.to % len(host.instances)],)
+        for name in names:
+            if process := host.processes.running.get(name):
+                host.processes.end(name, process, "died", True)
+
+    def _disk_fault(self, fault: Fault, host: SimulatedHost) -> bool:
+        """Lose, restore or fill a disk; returns False for faults of other kinds."""
+        clock = self.simulation.clock
+        if fault.kind == "lose the file" and host.running and self._may_lose_storage(host):
+            if fault.size < 0.5:
+                host.end_processes("power")
+            self.simulation.kill(host, fault.lasts)
+            host.lose_files()
+        elif fault.kind == "old file" and host.replica.storage is not None:
+            whole_folder = fault.size < WHOLE_FOLDER_SHARE
+            known_writes = host.replica.known_writes if whole_folder else -1
+            backup = host.replica.storage.copy()
+            clock.after(fault.lasts, self._restore_backup, host, backup, known_writes, fault.lasts)
+        elif fault.kind == "full disk":
+            host.disk_full = True
+            clock.after(fault.lasts, setattr, host, "disk_full", False)
+        else:
+            return False
+        return True
+
+    def _restore_backup(
+        self, host: SimulatedHost, backup: InMemoryStorage, known_writes: int, wait: int
+    ) -> None:
+        """Put a copy of the replica's file back, with the count beside it unless that is negative."""
+        simulation = self.simulation
+        if not host.running or not self._may_lose_storage(host):
+            return
+        if known_writes >= 0:
+            # With the whole folder nothing on the host shows it: only others can, and they must be there.
+            others = [other for other in simulation.hosts.values() if other is not host]
+            if any(not other.running or other.stopped or other.disk_full for other in others):
+                return
+            if simulation.network.has_faults():
+                return
+            wait = MS
+            host.replica.known_writes = known_writes
+        folder = "" if known_writes < 0 else " with its whole folder"
+        simulation.log_event(f"the old file of {host.name} is put back{folder}")
+        simulation.kill(host, wait)
+        host.replica.storage = backup
+
+    def _may_lose_storage(self, host: SimulatedHost) -> bool:
+        """Whether all other members have their storage.
+
+        No promise holds once a majority of the replicas' files is gone: that takes a manual recovery. One at
+        a time: a learner may be a voter the moment after, and one that was replaced is none yet.
+        """
+        hosts = self.simulation.hosts
+        leaders = [leader for other in hosts.values() if (leader := other.leader)]
+        if not leaders:
+            return False
+        members = [member for member in leaders[-1].replica.members if member.name != host.name]
+        return all(
+            (storage := hosts[member.name].replica.storage)
+            and storage.metadata.incarnation == member.incarnation
+            and storage.metadata.epoch
+            and member.is_voter
+            and hosts[member.name].running
+            for member in members
+        )
+
+    def _links(self, fault: Fault, name: str, other: str) -> list[tuple[str, str]]:
+        """Return the links that a fault disturbs, by source and recipient."""
+        names = sorted(self.simulation.hosts)
+        if fault.kind == "cut one way":
+            outgoing = [(name, recipient) for recipient in names]
+            return outgoing if fault.size < 0.5 else [(recipient, source) for source, recipient in outgoing]
+        if fault.kind == "part":
+            side = {host for host in names if self.simulation.random.random() < 0.5}
+            return [
+                (source, recipient)
+                for source in names
+                for recipient in names
+                if (source in side) != (recipient in side)
+            ]
+        if fault.kind == "cut" and fault.size < 0.5:
+            return [(name, other), (other, name)]
+        if fault.kind in ("loss", "double", "slow links"):
+            return [(source, recipient) for source in names for recipient in names]
+        return [link for recipient in names for link in ((name, recipient), (recipient, name))]
--- /dev/null
+++ b/oakkeel/emulator/operators.py
@@ -0,0 +1,153 @@
+"""Simulated operators: orders, releases and changes of the voters, sent again until they are answered."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from oakkeel.agent.instances import Phase
+from oakkeel.disruption import commands
+from oakkeel.disruption.state_machine import Rejection
+from oakkeel.emulator.faults import MS, SECOND, Fault
+from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
+from oakkeel.rollout import commands as releases
+from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
+
+if TYPE_CHECKING:
+    from oakkeel.emulator.consensus import ConsensusSimulation
+
+MAX_ATTEMPTS = 40
+RETRY_DELAY = 100 * MS
+RESPONSE_TIMEOUT = 2 * SECOND
+VERBS = {"restart": "restart", "stop it": "stop"}  # by kind; all others drain
+
+
+class Operators:
+    """Does what the schedule asks of operators."""
+
+    def __init__(self, simulation: ConsensusSimulation) -> None:
+        """Nothing has been ordered yet."""
+        self.simulation = simulation
+        self.orders: list[str] = []
+        self.releases: list[str] = []  # that were accepted
+
+    def submit(
+        self, command: commands.Command | releases.Command, ident: str, attempts: int = MAX_ATTEMPTS
+    ) -> None:
+        """Propose a command on some host, again and again with the same ID until it is answered."""
+        simulation = self.simulation
+        running = [host for host in simulation.hosts.values() if host.running]
+        host = simulation.random.choice(running or [None])
+        if host is None and not attempts:
+            return
+        if host is None or host.stopped or host.control_plane is None:
+            self._retry(command, ident, attempts)
+            return
+        answered = False
+
+        def complete(proposal: Proposal) -> None:
+            nonlocal answered
+            answered = True
+            if proposal.status is ProposalStatus.COMMITTED:
+                self._committed(command, ident, proposal)
+            else:
+                self._retry(command, ident, attempts)
+
+        try:
+            proposal, outputs = host.control_plane.propose(host.now(), command)
+        except NotLeaderError:
+            if attempts:
+                self._retry(command, ident, attempts)
+            return
+        host.replica.completions[proposal] = complete
+        host.replica.carry_out(outputs)
+
+        def timed_out() -> None:  # the host that was asked may be gone
+            if not answered and attempts:
+                self.submit(command, ident, attempts - 1)
+
+        simulation.clock.after(RESPONSE_TIMEOUT, timed_out)
+
+    def _retry(self, command: commands.Command | releases.Command, ident: str, attempts: int) -> None:
+        self.simulation.clock.after(RETRY_DELAY, self.submit, command, ident, attempts - 1)
+
+    def _committed(
+        self, command: commands.Command | releases.Command, ident: str, proposal: Proposal
+    ) -> None:
+        result = proposal.result
+        if isinstance(result, Rejection):
+            return
+        if isinstance(command, releases.StartRelease):
+            self.releases.append(ident)
+        if isinstance(command, commands.SubmitOrder):
+            self.simulation.audit.answered(ident, getattr(result, "index", proposal.index))
+
+    def act(self, action: Fault) -> None:
+        """Carry out an action of the schedule."""
+        if action.kind in ("drain", "drain whole", "restart", "stop it"):
+            self._submit_order(action)
+        elif action.kind in ("halt", "cancel") and self.orders:
+            ident = self.orders[action.who % len(self.orders)]
+            kind = commands.HaltOrder if action.kind == "halt" else commands.CancelOrder
+            self.submit(kind(ident, "ravi"), ident)
+        elif action.kind == "release":
+            self._start_release(action)
+        elif action.kind in ("pause", "resume", "abort", "undo", "leave"):
+            if self.releases:
+                ident = self.releases[-1]
+                self.submit(releases.ControlRelease(ident, "ravi", action.kind), ident)
+        elif action.kind == "keepers":
+            self._change_voters(action)
+        elif action.kind == "start":
+            self._start_instance(action)
+
+    def _instance(self, action: Fault) -> str:
+        instances = self.simulation.instances
+        return instances[action.who % len(instances)]
+
+    def _submit_order(self, action: Fault) -> None:
+        simulation = self.simulation
+        ident = f"o{len(self.orders)}"
+        self.orders.append(ident)
+        others = [name for name in simulation.instances if simulation.random.random() < action.size]
+        wanted = {self._instance(action), *others}
+        targets = [
+            (instance.name, instance.generation)
+            for host in simulation.hosts.values()
+            for instance in host.agent.supervisor.instances
+            if instance.name in wanted
+        ]
+        verb, atomic = VERBS.get(action.kind, "drain"), action.kind == "drain whole"
+        command = commands.SubmitOrder(ident, "asha", verb, 0, 6 * SECOND, atomic, targets)
+        self.submit(command, ident)
+
+    def _start_release(self, action: Fault) -> None:
+        simulation = self.simulation
+        ident = f"r{action.at}"
+        version = ("good", "good", "worse", "crash")[action.to % 4]
+        chosen = [name for name in simulation.instances if simulation.random.random() < 0.3 + action.size]
+        policy = RolloutPolicy(
+            soak=200 * MS,
+            patience=10 * SECOND,
+            lasts=4 * SECOND,
+            control=action.who % 2 == 0,
+            back=action.to % 3 == 0,
+        )
+        specification = VersionSpec(f"{version} {ident}", "bad" if action.to % 16 == 0 else "here")
+        targets = chosen or [self._instance(action)]
+        self.submit(releases.StartRelease(ident, "asha", 0, specification, policy, targets), ident)
+
+    def _change_voters(self, action: Fault) -> None:
+        simulation = self.simulation
+        count = min(len(simulation.hosts), 3 + 2 * (action.to % 2))
+        names = simulation.random.sample(sorted(simulation.hosts), count)
+        self.submit(commands.SetVoters(names, "asha"), "keepers")
+
+    def _start_instance(self, action: Fault) -> None:
+        name = self._instance(action)
+        host = next(host for host in self.simulation.hosts.values() if name in host.instances)
+        if not host.running or host.disk_full:
+            return
+        supervisor = host.agent.supervisor
+        instance = next(instance for instance in supervisor.instances if instance.name == name)
+        if instance.part is None and instance.phase in (Phase.STOPPED, Phase.FAILING):
+            supervisor.want_up(host.now(), instance)
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -9,8 +9,9 @@
 
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.topology import UnavailableTargets
-from oakkeel.emulator.consensus import play, smallest
+from oakkeel.emulator.consensus import play
 from oakkeel.emulator.faults import SECOND, Fault, Schedule, draw, read
+from oakkeel.emulator.schedule_shrinking import shrink
 from oakkeel.invariants.consensus import ConsensusAudit
 
 
@@ -50,7 +51,7 @@
     def test_the_same_schedule_plays_the_same_again_also_from_a_file_and_in_another_process(self):
         schedule = draw(3)
         first, second = play(schedule)[0], play(read(schedule.told()))[0]
-        self.assertEqual((first.clock.happened, first.said), (second.clock.happened, second.said))
+        self.assertEqual((first.clock.happened, first.event_log), (second.clock.happened, second.event_log))
         code = (
             "from oakkeel.emulator.consensus import play; from oakkeel.emulator.faults import draw\n"
             "print(play(draw(3))[0].clock.happened)"
@@ -74,7 +75,7 @@
                 return bool(play(schedule)[1])
 
             schedule = next(each for each in map(draw, range(20)) if fails(each))
-            less = smallest(schedule, fails)
+            less = shrink(schedule, fails)
             self.assertTrue(fails(less))
             self.assertLess(len(less.troubles), len(schedule.troubles))
             for index in range(len(less.troubles)):  # nothing of it can be left out
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -42,7 +42,7 @@
                     VersionAssignments,
                     "version",
                     lambda fitting, thing: (
-                        old(fitting, thing) or (world.of_releases.version.get(fitting.release, ""))
+                        old(fitting, thing) or (world.rollout_audit.version.get(fitting.release, ""))
                     ),
                 )
             )
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -53,9 +53,9 @@
         cut = [Fault(2500_000_000, "stop", host, 0, 30 * SECOND, 0.0) for host in (0, 1)]
         world, breaches = play(schedule([release(1), *cut], lasts=15))
         self.assertEqual(breaches, [])
-        steps = max((step for _, step in world.of_releases.steps), default=0)
+        steps = max((step for _, step in world.rollout_audit.steps), default=0)
         later, _ = play(schedule([release(1), *cut], lasts=25))
-        self.assertEqual(max((step for _, step in later.of_releases.steps), default=0), steps)
+        self.assertEqual(max((step for _, step in later.rollout_audit.steps), default=0), steps)
 
     def test_drawn_schedules_break_no_promise_and_come_to_an_end(self):
         for seed in range(2000, 2040):
