--- /dev/null
+++ b/tests/compatibility/test_command_line.py
@@ -0,0 +1,14 @@
+"""The JSON output of the command line has the keys of an earlier version."""
+
+import os
+
+from tests.agent.test_agent import AgentStory
+from tests.compatibility.fixtures import assert_same_keys, load
+
+
+class CommandLineCompatibilityTest(AgentStory):
+    async def test_json_output_of_one_host_has_the_same_keys(self):
+        agent = await self.agent()
+        await self.serving(agent)
+        for row in load("command-line.json")["one host"]:
+            await assert_same_keys(self, os.path.dirname(self.site.settings), row)
--- /dev/null
+++ b/tests/compatibility/test_network.py
@@ -0,0 +1,85 @@
+"""Requests, responses and simulator conversations that an earlier version recorded."""
+
+import base64
+import gzip
+import io
+import struct
+import unittest
+
+from oakkeel.dispatch import codec, resp
+from oakkeel.node_limits import Pairs, read_limits
+from oakkeel.resource_limits import ResourceLimits
+from oakkeel.simulator_adapter import wire
+from oakkeel.simulator_adapter.table import InstanceTable
+from tests.compatibility.fixtures import DATA, leaves, load
+from tests.support.node_process import words_of
+
+FIELDS = {  # of a request, by the names of the earlier version
+    "group": "request_class",
+    "tenant": "tenant",
+    "caller": "client",
+    "memory_kb": "memory_kb",
+    "marked_retry": "retry_attempt",
+    "left": "remaining_time",
+    "backlog": "queueing_delay",
+    "has_key": "has_key",
+    "repeats": "is_duplicate",
+    "ident": "request_id",
+    "tag": "tag",
+    "group_name": "class_name",
+    "body": "body",
+    "key": "cache_key",
+}
+NOW = 1_700_000_000_000_000_000
+
+
+class DispatcherCompatibilityTest(unittest.TestCase):
+    def setUp(self) -> None:
+        self.expected = load("network.json")
+
+    def test_requests_are_read_to_the_same_values(self):
+        limits = read_limits(Pairs(load("simulator-settings.json")))
+        bounds = ResourceLimits(1024, 192 * 2**20, 3_000_000_000)
+        classes, tenants = ["quote", "pay", "card"], ["guild", "south"]
+        reader = codec.RequestReader(limits, classes, tenants, bounds, lambda: NOW)
+        for encoded, values in zip(self.expected["calls"], self.expected["read"], strict=True):
+            content = base64.b64decode(encoded)
+            call = words_of(io.BytesIO(content))
+            self.assertEqual(resp.encode(*call), content)
+            request = reader.read(int(call[1]), call, None)
+            self.assertEqual(leaves({old: getattr(request, new) for old, new in FIELDS.items()}), values)
+
+    def test_answers_are_written_with_the_same_bytes(self):
+        written = [
+            codec.encode_answer(7, codec.COMPLETED, 0.625, b"result"),
+            codec.encode_answer(8, codec.DENIED, None, b"", True, 250_000_000),
+            codec.encode_answer(9, codec.TERMINATED, 1.0),
+            codec.encode_answer(10, codec.GOOD, 0.5),
+            codec.encode_answer(11, codec.BAD, None),
+            codec.LAST,
+            codec.BROKEN,
+        ]
+        self.assertEqual(written, [base64.b64decode(answer) for answer in self.expected["answers"]])
+
+
+class SimulatorCompatibilityTest(unittest.TestCase):
+    def test_the_simulator_is_answered_with_the_same_bytes(self):
+        for name in ("simulator-1.bin.gz", "simulator-2.bin.gz", "simulator-3.bin.gz"):
+            table, batches = InstanceTable(), 0
+            for frame, reply in self.exchanged(name):
+                batches += 1
+                answered = table.batch(*wire.read_frame(io.BytesIO(frame)))
+                self.assertEqual(answered.hex(), reply.hex(), (name, batches))
+            self.assertGreater(batches, 3000)
+
+    @staticmethod
+    def exchanged(name: str):
+        """Each batch of a recorded conversation, with the reply to it."""
+        content = gzip.decompress((DATA / name).read_bytes())
+        position = 0
+        while position < len(content):
+            frame_size, reply_size = struct.unpack_from("<II", content, position)
+            frame_at = position + 8
+            reply_at = frame_at + frame_size
+            position = reply_at + reply_size
+            yield content[frame_at:reply_at], content[reply_at:position]
--- /dev/null
+++ b/tests/compatibility/test_state_folder.py
@@ -0,0 +1,67 @@
+"""Agents that start on the state folders of an earlier version."""
+
+import os
+import shutil
+import tempfile
+import unittest
+
+from oakkeel.agent import messages
+from oakkeel.fakes.rig import ProcessRig
+from oakkeel.fakes.site import FakeSite
+from tests.cluster.test_rig import SUPERVISION
+from tests.compatibility.fixtures import DATA, HOSTS, assert_same_keys, load
+
+
+class StateFolderCompatibilityTest(unittest.IsolatedAsyncioTestCase):
+    """Agents that are started on the state folders of ea5a81e go on where that version stopped."""
+
+    async def asyncSetUp(self) -> None:
+        self.folder = self.enterContext(tempfile.TemporaryDirectory())
+        site = FakeSite(
+            self.folder,
+            HOSTS,
+            1,
+            supervision=SUPERVISION,
+            sites=dict.fromkeys(HOSTS, "woodbrook"),
+            keepers=("h1", "h2", "h3"),
+            fleet_away=1,
+        )
+        for host in HOSTS:
+            shutil.copytree(DATA / "state" / host, os.path.join(self.folder, host))
+        self.rig = ProcessRig(site)
+        self.addAsyncCleanup(self.rig.close)
+        await self.rig.open()
+        await self.rig.leader()
+
+    async def test_orders_generations_permits_and_the_log_are_there(self):
+        expected = load("state/expected.json")
+        found = (await self.rig.records())[await self.rig.leader()]
+        self.assertEqual(found.epoch, expected["epoch"])
+        self.assertGreater(found.term, expected["term"])
+        self.assertGreaterEqual(found.committed, expected["committed"])
+        orders = (await self.rig.state_of()).orders
+        self.assertEqual(
+            {order.order_id: {part.target: part.state for part in order.tasks} for order in orders},
+            expected["orders"],
+        )
+        permits = {
+            each.target: each.order_id for each in (await self.rig.state_of()).unavailable if each.order_id
+        }
+        self.assertEqual(permits, {thing: order for thing, order in expected["permits"].items() if order})
+        release = await self.rig.asker.request_leader(messages.ReleaseStatusRequest())
+        self.assertEqual((release.release_id, release.state), (expected["release"], "done"))
+
+        async def started_again() -> bool:
+            generations = await self.rig.generations()
+            return all(
+                generations[name] > generation
+                for name, generation in expected["generations"].items()
+                if name not in expected["permits"]
+            )
+
+        await self.rig.until("all that serves has a later generation", started_again)
+        for row in load("command-line.json")["cluster"]:
+            arguments = [
+                "cli-2" if word == "cli-1" else word for word in row["arguments"]
+            ]  # that id is known
+            await assert_same_keys(self, self.folder, {**row, "arguments": arguments})
