--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -71,9 +71,9 @@
         self.store = store or Database(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
         self.notes: list[str] = []
         instances = {each.name: Instance(each.name, host.site, since=self.started) for each in host.instances}
-        if self.store.set_aside:
-            self.notes.append(f"the state was set aside: {self.store.set_aside}")
-            log.warning("agent_state_quarantined", file=self.store.set_aside)
+        if self.store.quarantined:
+            self.notes.append(f"the state was set aside: {self.store.quarantined}")
+            log.warning("agent_state_quarantined", file=self.store.quarantined)
         same_boot = self._same_boot()
         restore_instances(self.store, instances, same_boot)
         for each in instances.values():
@@ -188,7 +188,7 @@
     def _open_record(self) -> None:
         reconciler = self.reconciler
         assert self.fleet and self.fleet.keepers and reconciler
-        if self.store.new:
+        if self.store.created:
             reconciler.lost_file()
         self.status_reporter = StatusReporter(
             self.fleet, self.host.name, self.agent_keys, reconciler, self.log, self._heard
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -16,9 +16,9 @@
     Content,
     ContentError,
     ContentStore,
+    apply_merge_patch,
     hash_file,
     hash_folder,
-    merged,
     read_json,
 )
 
@@ -74,22 +74,24 @@
             self._merged(told, self.contents.find(copy.what.version))  # can it be? Before it has to be
             if self.fitting.version(thing):
                 continue
-            program = program or self.contents.keep_folder(PACKAGE, "oakkeel")  # that the agent itself is of
-            bases[thing] = self.contents.keep(Content(program, "", self.contents.keep_file(told.config)))
+            program = program or self.contents.add_folder(PACKAGE, "oakkeel")  # that the agent itself is of
+            bases[thing] = self.contents.add_version(
+                Content(program, "", self.contents.add_file(told.config))
+            )
         return bases
 
     def _keep(self, what: VersionSpec) -> None:
         if self.contents.find(what.version):
             return
-        program = self.contents.keep_folder(what.program) if what.program else ""
+        program = self.contents.add_folder(what.program) if what.program else ""
         if program and not self._runs(program):
             raise ContentError(
                 f"{what.program}: neither a file `run` that can be executed, nor oakkeel/__main__.py"
             )
-        patch = self.contents.keep_file(what.patch) if what.patch else ""
+        patch = self.contents.add_file(what.patch) if what.patch else ""
         if patch:
             read_json(self.contents.path(patch))
-        if (found := self.contents.keep(Content(program, patch))) != what.version:
+        if (found := self.contents.add_version(Content(program, patch))) != what.version:
             raise ContentError(f"what is found here is version {found}, not {what.version}")
 
     def _runs(self, program: str) -> bool:
@@ -131,14 +133,14 @@
         config = read_json(self.contents.path(content.config) if content and content.config else told.config)
         if content is None or not content.patch:
             return config
-        return merged(config, read_json(self.contents.path(content.patch)))
+        return apply_merge_patch(config, read_json(self.contents.path(content.patch)))
 
     def drop(self, running: set[str]) -> None:
         """Forget what no release and no instance needs; `running`: what processes were started from. One that
         goes on from a copy may still read from it."""
         if self.tasks or self.fitting.release:
             return
-        if dropped := self.contents.drop_but(self.fitting.needed() | running):
+        if dropped := self.contents.prune(self.fitting.needed() | running):
             self.log.info("artifacts_pruned", versions=",".join(dropped))
 
     def close(self) -> None:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -70,10 +70,10 @@
         host = fleet.host(name)
         self.path = os.path.join(host.state, "record.db")
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
-        if self.store.set_aside:
-            log.warning("raft_storage_quarantined", file=self.store.set_aside)
+        if self.store.quarantined:
+            log.warning("raft_storage_quarantined", file=self.store.quarantined)
         self.witness = storage.WriteCounter(self.path + ".count", self.store)
-        if self.store.new:
+        if self.store.created:
             self._count_anew()
         elif why := self.witness.why():
             self._set_aside(f"an older copy: {why}")
--- a/oakkeel/fakes/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -26,8 +26,8 @@
 def write(self: Database, statements: Sequence[Statement]) -> None:
     """With as many pages as it has by now, while the disk is said to be full."""
     full = os.path.exists(os.path.join(os.path.dirname(self.path), "full"))
-    pages = self._number("page_count") if full else 65536
-    self.base.execute(f"PRAGMA max_page_count = {pages}")
+    pages = self.read_pragma("page_count") if full else 65536
+    self.connection.execute(f"PRAGMA max_page_count = {pages}")
     if full:  # more than the free pages of the file can hold
         statements = [*statements, ("CREATE TABLE padding AS SELECT zeroblob(4000000) AS zeros", ())]
     _write(self, statements)
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -43,7 +43,7 @@
         except persistence.SnapshotRejectedError as error:
             self.node.log.warning("fair_sharing_snapshot_rejected", reason=str(error))
         except (snapshot_file.SnapshotError, OSError) as error:
-            aside = snapshot_file.set_aside(self.path)
+            aside = snapshot_file.quarantine(self.path)
             self.node.log.warning("fair_sharing_snapshot_quarantined", reason=str(error), file=aside)
         return None
 
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -325,7 +325,7 @@
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
-        store.base.execute("PRAGMA max_page_count = 1")  # as full as it can be
+        store.connection.execute("PRAGMA max_page_count = 1")  # as full as it can be
         for number in range(200):  # until what is free in the pages that it has is used up
             generation = await self.generation("n2")
             answer = await self.ask(
@@ -340,7 +340,7 @@
             agent.processes.signal(agent.alive[n1], signal.SIGKILL)
             await self.until(lambda: n1.born == 2 and n1.phase is Phase.SERVING)
             self.assertIn("orders wait", (await self.ask(messages.HostStatusRequest())).notes[0])
-        store.base.execute("PRAGMA max_page_count = 10000")
+        store.connection.execute("PRAGMA max_page_count = 10000")
         await self.until(lambda: not agent.store_fault)
         await self.order("restart", "n2", ident="later")
         self.assertEqual(await self.ended("later"), {"n2": "done"})
@@ -350,7 +350,7 @@
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
-        store.base.execute("PRAGMA query_only = 1")
+        store.connection.execute("PRAGMA query_only = 1")
         answer = await self.ask(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
         self.assertIn("readonly", getattr(answer, "why", ""))
         self.assertEqual((self.of(agent, "n1").generation, self.of(agent, "n1").phase), (1, Phase.SERVING))
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -201,7 +201,7 @@
         [host] = [host for host, names in self.hosts.items() if "n4a" in names]
         folder = os.path.join(self.folder, host, "versions")
         self.assertIsNotNone(ContentStore(folder).find(runs))
-        dropped = ContentStore(folder).drop_but({runs})
+        dropped = ContentStore(folder).prune({runs})
         self.assertEqual((dropped, ContentStore(folder).find(runs) is None), ([what.version], False))
 
     async def test_the_copy_is_run_and_not_what_lies_at_the_path_by_then(self):
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -15,7 +15,7 @@
     EntryKind,
 )
 from oakkeel.raft.replica import DurableState, StorageUpdate
-from oakkeel.store.database import APPLICATION, Database, DatabaseError
+from oakkeel.store.database import APPLICATION_ID, Database, DatabaseError
 
 
 class FileStories(unittest.TestCase):
@@ -54,8 +54,8 @@
     def test_a_write_that_fails_leaves_nothing_of_it(self):
         store = Database(self.path, storage.SCHEMA, storage.VERSION)
         durable = storage.load(store, "a", "a.1")
-        pages = store._number("page_count")
-        store.base.execute(f"PRAGMA max_page_count = {pages}")
+        pages = store.read_pragma("page_count")
+        store.connection.execute(f"PRAGMA max_page_count = {pages}")
         with self.assertRaises(DatabaseError):
             storage.write(
                 store,
@@ -70,7 +70,7 @@
         witness = storage.WriteCounter(self.path + ".count", store)
         durable = storage.load(store, "a", "a.1")
         storage.write(store, durable, StorageUpdate(head=True), witness)
-        store.base.execute("VACUUM INTO ?", (self.path + ".backup",))
+        store.connection.execute("VACUUM INTO ?", (self.path + ".backup",))
         storage.write(store, durable, StorageUpdate(head=True), witness)
         witness.close()
         store.close()
@@ -82,7 +82,7 @@
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self.path + ending)
         back = sqlite3.connect(self.path)
-        back.execute(f"PRAGMA application_id = {APPLICATION}")
+        back.execute(f"PRAGMA application_id = {APPLICATION_ID}")
         back.close()
         old = Database(self.path, storage.SCHEMA, storage.VERSION)
         self.assertIn("written 1 times, and 2", storage.WriteCounter(self.path + ".count", old).why())
--- a/tests/store/test_database.py
+++ b/tests/store/test_database.py
@@ -1,4 +1,4 @@
-"""The database file: what survives a crash, and what is put aside."""
+"""The database file: what survives reopening, and what is quarantined."""
 
 import os
 import sqlite3
@@ -8,7 +8,7 @@
 from oakkeel.store.database import Database, DatabaseError
 
 
-class StoreStories(unittest.TestCase):
+class DatabaseTest(unittest.TestCase):
     SCHEMA = "CREATE TABLE words (word TEXT)"
 
     def setUp(self) -> None:
@@ -16,32 +16,32 @@
         self.path = os.path.join(self.folder, "a.db")
 
     def open(self, version: int = 1, **more) -> Database:
-        store = Database(self.path, self.SCHEMA, version, **more)
-        self.addCleanup(store.close)
-        return store
+        database = Database(self.path, self.SCHEMA, version, **more)
+        self.addCleanup(database.close)
+        return database
 
-    def put(self, store: Database, word: str) -> None:
-        store.write([("INSERT INTO words VALUES (?)", (word,))])
+    def put(self, database: Database, word: str) -> None:
+        database.write([("INSERT INTO words VALUES (?)", (word,))])
 
-    def test_what_was_written_is_there_again(self):
+    def test_written_rows_are_there_after_reopening(self):
         self.put(self.open(), "kept")
-        again = self.open()
-        self.assertEqual((again.read("SELECT * FROM words"), again.set_aside), ([("kept",)], ""))
+        reopened = self.open()
+        self.assertEqual((reopened.read("SELECT * FROM words"), reopened.quarantined), ([("kept",)], ""))
 
-    def test_a_file_of_another_version_damaged_or_not_ours_is_set_aside_and_named(self):
-        for spoil in (lambda: None, self._damage, self._foreign):
-            store = Database(self.path, self.SCHEMA, 1)
+    def test_quarantines_and_names_file_of_other_version_damaged_or_foreign(self):
+        for damage in (lambda: None, self._damage, self._replace_by_foreign_file):
+            database = Database(self.path, self.SCHEMA, 1)
             for number in range(500):
-                self.put(store, "kept" * 50 + str(number)) if number < 40 else None
-            store.close()
-            spoil()
-            later = Database(self.path, self.SCHEMA, 2)
-            self.assertTrue(later.set_aside)
-            self.assertEqual(later.read("SELECT * FROM words"), [])
-            aside = later.set_aside.partition(": ")[0]
-            self.assertGreater(os.path.getsize(aside), 0)
-            later.close()
-            os.rename(aside, aside + str(id(spoil)))
+                self.put(database, "kept" * 50 + str(number)) if number < 40 else None
+            database.close()
+            damage()
+            reopened = Database(self.path, self.SCHEMA, 2)
+            self.assertTrue(reopened.quarantined)
+            self.assertEqual(reopened.read("SELECT * FROM words"), [])
+            quarantined_file = reopened.quarantined.partition(": ")[0]
+            self.assertGreater(os.path.getsize(quarantined_file), 0)
+            reopened.close()
+            os.rename(quarantined_file, quarantined_file + str(id(damage)))
             os.remove(self.path)
 
     def _damage(self) -> None:
@@ -49,19 +49,19 @@
             file.seek(4096)
             file.write(b"\xff" * 4096)
 
-    def _foreign(self) -> None:
+    def _replace_by_foreign_file(self) -> None:
         os.remove(self.path)
-        base = sqlite3.connect(self.path)
-        base.execute("CREATE TABLE words (word TEXT)")
-        base.close()
+        connection = sqlite3.connect(self.path)
+        connection.execute("CREATE TABLE words (word TEXT)")
+        connection.close()
 
-    def test_a_full_disk_keeps_nothing_of_a_write_and_says_so(self):
-        store = self.open(most_bytes=64 * 1024)
+    def test_full_database_rejects_whole_write_and_says_so(self):
+        database = self.open(max_bytes=64 * 1024)
         with self.assertRaisesRegex(DatabaseError, "full"):
-            store.write([("INSERT INTO words VALUES (?)", ("x" * 1000,))] * 200)
-        self.assertEqual(store.read("SELECT count(*) FROM words"), [(0,)])
-        self.put(store, "small")
+            database.write([("INSERT INTO words VALUES (?)", ("x" * 1000,))] * 200)
+        self.assertEqual(database.read("SELECT count(*) FROM words"), [(0,)])
+        self.put(database, "small")
 
-    def test_a_folder_that_is_not_there_is_one_plain_error(self):
+    def test_missing_folder_is_one_plain_error(self):
         with self.assertRaisesRegex(DatabaseError, "nowhere"):
             Database("/nowhere/a.db", self.SCHEMA, 1)
