--- a/measure/common.py
+++ b/measure/common.py
@@ -20,8 +20,9 @@
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import by_host
 from oakkeel.fleet.view import FleetView
-from oakkeel.settings.fleet import Fleet, read_fleet
-from oakkeel.settings.keys import key_of
+from oakkeel.settings.fleet import read_fleet
+from oakkeel.settings.keys import read_operator_key
+from oakkeel.settings.types import Fleet
 
 SECOND = 1_000_000_000
 
@@ -57,7 +58,7 @@
 
     def __init__(self, site: FakeSite, fleet: Fleet) -> None:
         self.site, self.fleet = site, fleet
-        self.agents, self.view = AgentClients(fleet, key_of(fleet, "asha")), FleetView(fleet)
+        self.agents, self.view = AgentClients(fleet, read_operator_key(fleet, "asha")), FleetView(fleet)
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start_agent(self, host: str, *command: str) -> None:
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -16,7 +16,7 @@
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of, write_key
+from oakkeel.settings.keys import read_operator_key, write_key
 
 VERBS = ("restart", "stop", "start")  # in turn: each must be carried out for the next to mean anything
 MOST_STEPS = 14  # an agent kills itself at one of its first so many steps
@@ -33,7 +33,7 @@
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         self.fleet = read_fleet(site.settings)
-        self.host, self.key = self.fleet.hosts[0], key_of(self.fleet, "asha")
+        self.host, self.key = self.fleet.hosts[0], read_operator_key(self.fleet, "asha")
         self.agent: asyncio.subprocess.Process | None = None
         self.crashed = self.orders = self.resent = self.unkept = 0
         self.expected_starts = 1
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -11,8 +11,9 @@
 
 from oakkeel.agent.agent import LOG_LINES, Agent, new_seed, timeouts_of
 from oakkeel.log import EventLog
-from oakkeel.settings.fleet import SettingsError, read_fleet
+from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_agent_keys, read_keys
+from oakkeel.settings.types import SettingsError
 
 SOCKET_PATH = 107  # bytes that the path of a Unix socket may have
 
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -38,7 +38,7 @@
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.messages import HeartbeatResponse
 from oakkeel.log import EventLog, fault
-from oakkeel.settings.fleet import FairSharingSettings, Fleet, HostSettings
+from oakkeel.settings.types import FairSharingSettings, Fleet, HostSettings
 from oakkeel.store.database import Database, DatabaseError
 
 TURN = 100 * MS  # between looks at everything
@@ -78,10 +78,10 @@
         restore_instances(self.store, instances, same_boot)
         for each in instances.values():
             each.since = self.started
-        self.fleet = fleet if fleet and fleet.keepers else None
+        self.fleet = fleet if fleet and fleet.control_plane else None
         self.permit_holder = self._holding(seed) if self.fleet else None
         self.supervision = Supervisor(
-            instances.values(), patience, {host.site: host.away}, seed, time.time_ns
+            instances.values(), patience, {host.site: host.max_unavailable}, seed, time.time_ns
         )
         self.orders = OrderRegistry(self.supervision, time.time_ns, permit_holder=self.permit_holder)
         restore_orders(self.store, self.orders)
@@ -115,8 +115,10 @@
         self.door = AgentServer(host.agent, lambda: self.keys, self.answering.handle, log, links)
 
     def _holding(self, seed: int) -> PermitHolder:
-        assert self.fleet and self.fleet.keepers
-        self.services = tuple(each for each in self.fleet.keepers.services if each.host == self.host.name)
+        assert self.fleet and self.fleet.control_plane
+        self.services = tuple(
+            each for each in self.fleet.control_plane.services if each.host == self.host.name
+        )
         things = (*(each.name for each in self.host.instances), *(each.name for each in self.services))
         permit_holder = PermitHolder(self.host.name, things, seed & (1 << 60) - 1)
         self.store.write(ADDED_TABLES)
@@ -187,13 +189,13 @@
 
     def _open_record(self) -> None:
         reconciler = self.reconciler
-        assert self.fleet and self.fleet.keepers and reconciler
+        assert self.fleet and self.fleet.control_plane and reconciler
         if self.store.created:
             reconciler.lost_file()
         self.status_reporter = StatusReporter(
             self.fleet, self.host.name, self.agent_keys, reconciler, self.log, self._heard
         )
-        if self.host.name in self.fleet.keepers.hosts or os.path.exists(
+        if self.host.name in self.fleet.control_plane.hosts or os.path.exists(
             os.path.join(self.host.state, "record.db")
         ):
             self._keep_record()
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -11,7 +11,7 @@
 from oakkeel.log import EventLog, fault
 from oakkeel.rollout.assignments import ArtifactRequest, VersionAssignments
 from oakkeel.rollout.commands import VersionSpec
-from oakkeel.settings.fleet import HostSettings, InstanceSettings
+from oakkeel.settings.types import HostSettings, InstanceSettings
 from oakkeel.store.content_store import (
     Content,
     ContentError,
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -17,7 +17,7 @@
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.log import EventLog, fault
-from oakkeel.settings.fleet import FairSharingSettings, HostSettings, InstanceSettings
+from oakkeel.settings.types import FairSharingSettings, HostSettings, InstanceSettings
 
 ASK = 200 * MS  # between questions to one instance, or more where there are many
 ASK_EACH = 4 * MS  # of this times the instances
@@ -160,7 +160,7 @@
         if self.fairness:
             path = self.processes.path(name, "told")
             with open(path + ".new", "w", encoding="utf-8") as file:
-                json.dump({"fair": self.fairness.told(self.processes.path(name, "shares"))}, file)
+                json.dump({"fair": self.fairness.node_settings(self.processes.path(name, "shares"))}, file)
             os.replace(path + ".new", path)
 
     def take_fairness(self, fairness: FairSharingSettings | None) -> None:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -29,7 +29,7 @@
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import RolloutStateMachine
-from oakkeel.settings.fleet import Fleet
+from oakkeel.settings.types import Fleet
 from oakkeel.store.database import Database, DatabaseError
 
 MS = 1_000_000
@@ -64,7 +64,7 @@
         self, fleet: Fleet, name: str, keys: dict[str, Key], log: EventLog, pace: RaftTimeouts | None = None
     ) -> None:
         """Raises StoreError where its file can't be used."""
-        assert fleet.keepers is not None
+        assert fleet.control_plane is not None
         self.fleet, self.name, self.keys, self.log = fleet, name, keys, log
         self.pace = pace or RaftTimeouts()
         host = fleet.host(name)
@@ -99,7 +99,7 @@
                 held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
         except DatabaseError as error:
             return self._failed(error)
-        self.fault, founders = "", self.fleet.keepers.hosts if self.fleet.keepers else ()
+        self.fault, founders = "", self.fleet.control_plane.hosts if self.fleet.control_plane else ()
         self.control_plane = ControlPlaneReplica(
             time.monotonic_ns(),
             held,
@@ -343,7 +343,7 @@
 
     async def _ask(self, letters: list[Envelope]) -> None:
         answer = messages.decode_response(
-            await self.link.ask(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
+            await self.link.request(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
         )
         if isinstance(answer, messages.PeerEnvelopesResponse):
             self.came(self.name, answer.letters)
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -30,7 +30,7 @@
 from oakkeel.raft.replica import NotLeaderError
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.state_machine import Release
-from oakkeel.settings.fleet import HostSettings
+from oakkeel.settings.types import HostSettings
 
 OF_THE_FLEET = (
     messages.FleetOrderRequest,
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -23,7 +23,14 @@
     frame,
     read_frame,
 )
-from oakkeel.authentication.mac import NONCE, SECOND, AuthenticationError, Key, Role, ServerAuthenticator
+from oakkeel.authentication.mac import (
+    NONCE_BYTES,
+    SECOND,
+    AuthenticationError,
+    Key,
+    Role,
+    ServerAuthenticator,
+)
 from oakkeel.log import EventLog, fault
 
 Handler = Callable[[Key, messages.Request], messages.Response | Awaitable[messages.Response]]
@@ -92,14 +99,14 @@
     async def _serve(self, stream: IOStream) -> None:
         wait = self.bounds.wait / SECOND
         try:
-            challenge = secrets.token_bytes(NONCE)
-            receiver = ServerAuthenticator(self.keys(), challenge, time.monotonic_ns(), self.bounds.wait)
+            challenge = secrets.token_bytes(NONCE_BYTES)
+            authenticator = ServerAuthenticator(self.keys(), challenge, time.monotonic_ns(), self.bounds.wait)
             stream.write(frame(HELLO + challenge))
             most = MAX_FRAME_BYTES
             while True:
                 content = await asyncio.wait_for(read_frame(stream, most), wait)
                 try:
-                    key, wish = receiver.open(time.monotonic_ns(), time.time_ns(), content)
+                    key, wish = authenticator.verify(time.monotonic_ns(), time.time_ns(), content)
                 except AuthenticationError as error:
                     self._refuse(str(error))
                     await stream.write(frame(REFUSED))  # and no reason: a stranger learns nothing
@@ -109,7 +116,7 @@
                 answer = messages.encode(await self._answer(key, wish))
                 if len(answer) > MAX_RESPONSE_BYTES - 256:
                     answer = messages.encode(messages.ErrorResponse("the answer is too long; ask for less"))
-                written = stream.write(frame(receiver.seal(time.time_ns(), answer)))
+                written = stream.write(frame(authenticator.sign(time.time_ns(), answer)))
                 await asyncio.wait_for(asyncio.shield(written), wait)
         except (TimeoutError, StreamClosedError):
             pass
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -17,7 +17,7 @@
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption.messages import HeartbeatResponse
 from oakkeel.log import EventLog, fault
-from oakkeel.settings.fleet import Fleet, Service
+from oakkeel.settings.types import Fleet, Service
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -38,10 +38,10 @@
         heard: Callable[[HeartbeatResponse], None],
     ) -> None:
         """`heard` is called with each answer that was taken."""
-        assert fleet.keepers is not None
+        assert fleet.control_plane is not None
         self.fleet, self.name, self.key, self.reconciler, self.log = fleet, name, keys[name], reconciler, log
         self.heard = heard
-        self.whom = LeaderLocator(fleet.keepers.hosts, (host.name for host in fleet.hosts))
+        self.whom = LeaderLocator(fleet.control_plane.hosts, (host.name for host in fleet.hosts))
         self.raft: RaftRuntime | None = None
         self.links: dict[str, AuthenticatedClient] = {}
         self.heard_at = 0  # monotonic; 0: never
@@ -85,7 +85,7 @@
             if self.leader not in self.links:
                 self.links[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
             answer = messages.decode_response(
-                await self.links[self.leader].ask(
+                await self.links[self.leader].request(
                     messages.encode(messages.HeartbeatRequest(poll)), ANSWER / SECOND
                 )
             )
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -15,7 +15,7 @@
 from oakkeel.raft.replica import NotLeaderError
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
-from oakkeel.settings.fleet import HostSettings
+from oakkeel.settings.types import HostSettings
 
 
 def host_status(
@@ -31,7 +31,7 @@
         host.site,
         now - started,
         time.time_ns(),
-        host.away,
+        host.max_unavailable,
         supervision.out[host.site],
         notes,
         [_instance_status(now, each, pids.get(each, 0)) for each in supervision.instances],
--- a/oakkeel/agent/topology.py
+++ b/oakkeel/agent/topology.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from oakkeel.disruption.topology import BudgetGroup, Topology
-from oakkeel.settings.fleet import Fleet
+from oakkeel.settings.types import Fleet
 
 
 def topology_of(fleet: Fleet) -> Topology:
     """Groups for the fleet, each site and each kind of service below."""
-    keepers = fleet.keepers
+    keepers = fleet.control_plane
     services = keepers.services if keepers else ()
     hosts: dict[str, tuple[str, ...]] = {}
     sites: dict[str, list[str]] = {site: [] for site in fleet.sites}
@@ -18,12 +18,12 @@
         sites[host.site] += names
         hosts[host.name] = (*names, *(each.name for each in services if each.host == host.name))
         for instance in host.instances:
-            for name in instance.below:
+            for name in instance.downstream:
                 hanging[name].append(instance.name)
     groups = [BudgetGroup(f"site {site}", fleet.sites[site], tuple(names)) for site, names in sites.items()]
     if keepers:
         every = tuple(name for names in sites.values() for name in names)
-        groups.append(BudgetGroup("fleet", keepers.away, every))
+        groups.append(BudgetGroup("fleet", keepers.max_unavailable, every))
         groups += [
             BudgetGroup(f"kind {kind}", away, tuple(each.name for each in services if each.kind == kind))
             for kind, away in keepers.kinds.items()
--- a/oakkeel/authentication/__init__.py
+++ b/oakkeel/authentication/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between command line and agent: framed, and marked with a key that both hold."""
+"""Messages between command line and agent: framed, and authenticated with a shared key."""
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -17,8 +17,9 @@
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import STATES, Selection, SelectionError
 from oakkeel.fleet.view import FleetView, Row
-from oakkeel.settings.fleet import Fleet, SettingsError, read_fleet, time_of
-from oakkeel.settings.keys import key_of
+from oakkeel.settings.fleet import parse_duration, read_fleet
+from oakkeel.settings.keys import read_operator_key
+from oakkeel.settings.types import Fleet, SettingsError
 
 DONE, SOME_FAILED, USAGE, SOME_SILENT = range(4)
 CODES = "Exit codes: 0 done, 1 some instance failed, 2 usage, 3 some agent did not answer."
@@ -33,7 +34,7 @@
         if isinstance(value, int):
             return value
         try:
-            return time_of(value)
+            return parse_duration(value)
         except ValueError as error:
             self.fail(str(error), param, ctx)
 
@@ -99,11 +100,11 @@
     def __init__(self, settings: str, operator: str | None, deadline: int | None) -> None:
         try:
             self.fleet: Fleet = read_fleet(settings)
-            self.key = key_of(self.fleet, operator or getpass.getuser())
+            self.key = read_operator_key(self.fleet, operator or getpass.getuser())
         except SettingsError as error:
             fail(str(error))
         self.agents, self.view = AgentClients(self.fleet, self.key), FleetView(self.fleet)
-        self.deadline = deadline or self.fleet.asking.deadline
+        self.deadline = deadline or self.fleet.client.deadline
 
     async def look(self, hosts: list[str] | None = None) -> list[Row]:
         await self.agents.look(self.view, hosts, self.deadline)
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -66,8 +66,8 @@
 
     The operator is not asked whether he is sure: no more go out at once than was agreed.
     """
-    assert asker.fleet.keepers is not None
-    services = {each.name for each in asker.fleet.keepers.services}
+    assert asker.fleet.control_plane is not None
+    services = {each.name for each in asker.fleet.control_plane.services}
     if named := [name for name in choice.names if name in services]:
         if len(named) < len(choice.names):
             fail("name either instances or services below")
@@ -269,6 +269,6 @@
 
 def with_record(settings: str, operator: str | None, deadline: int | None) -> FleetClient:
     asker = FleetClient(settings, operator, deadline)
-    if asker.fleet.keepers is None:
+    if asker.fleet.control_plane is None:
         fail(f"{settings}: this fleet has no keepers: each agent is on its own")
     return asker
--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -12,8 +12,9 @@
 from oakkeel.cli.inspect import ls, orders, show, watch
 from oakkeel.cli.operate import COMMANDS
 from oakkeel.cli.rollout import rollout
-from oakkeel.settings.fleet import SettingsError, read_fleet
+from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_agent_keys, read_keys, write_key
+from oakkeel.settings.types import SettingsError
 
 
 @click.group(epilog=CODES, context_settings={"help_option_names": ["-h", "--help"]})
@@ -111,12 +112,12 @@
         out.print(
             f"  {host.site}/{host.name} at {host.agent[0]}:{host.agent[1]}:"
             f" {len(host.instances)} instances"
-            + ("" if fleet.keepers else f", at most {host.away} out at once"),
+            + ("" if fleet.control_plane else f", at most {host.max_unavailable} out at once"),
             highlight=False,
         )
-    if fleet.keepers:
+    if fleet.control_plane:
         out.print(
-            f"  keepers of a new record: {', '.join(fleet.keepers.hosts)}; at most {fleet.keepers.away}"
+            f"  keepers of a new record: {', '.join(fleet.control_plane.hosts)}; at most {fleet.control_plane.max_unavailable}"
             f" out at once, and by site {fleet.sites}",
             highlight=False,
         )
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -88,7 +88,7 @@
         if choice.all != everything:
             fail("say which instances: names, --site, --host or --state, or else --all")
         ident = ident or secrets.token_hex(6)
-        if asker.fleet.keepers and takes_out:
+        if asker.fleet.control_plane and takes_out:
             if supersede:
                 fail("a record knows no --supersede: halt or cancel the order that stands")
             run(agree(asker, verb, choice, lasts, whole, ident, no_wait, output == "json"))
@@ -182,7 +182,7 @@
     Example: oakkeel cancel 3f9a01c2d4e5
     """
     asker = FleetClient(settings, operator, deadline)
-    if asker.fleet.keepers:
+    if asker.fleet.control_plane:
         run(end(asker, ident, True, output == "json"))
 
     async def work() -> int:
@@ -221,7 +221,7 @@
 
 
 def run_halt(asker: FleetClient, ident: str, as_json: bool) -> NoReturn:
-    if not asker.fleet.keepers:
+    if not asker.fleet.control_plane:
         fail("halt needs keepers in the settings; cancel ends what an order has not begun")
     run(end(asker, ident, False, as_json))
 
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -175,8 +175,8 @@
 async def _what(
     asker: FleetClient, choice: Selection, program: str, patch: str, label: str, as_set: bool
 ) -> tuple[list[str], VersionSpec]:
-    assert asker.fleet.keepers is not None
-    services = {each.name for each in asker.fleet.keepers.services}
+    assert asker.fleet.control_plane is not None
+    services = {each.name for each in asker.fleet.control_plane.services}
     if named := [name for name in choice.names if name in services]:
         if len(named) < len(choice.names):
             fail("name either instances or services below")
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -22,7 +22,7 @@
 from oakkeel.fleet.view import FleetView
 from oakkeel.rendering.instances import instances_table
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of
+from oakkeel.settings.keys import read_operator_key
 
 SECOND = 1_000_000_000
 NODES = ("n1", "n2", "n3")
@@ -56,7 +56,7 @@
         sys.executable, "-m", "oakkeel.agent", site.settings, "wb1", stderr=log, start_new_session=True
     )
     fleet = read_fleet(site.settings)
-    agents, view = AgentClients(fleet, key_of(fleet, "asha")), FleetView(fleet)
+    agents, view = AgentClients(fleet, read_operator_key(fleet, "asha")), FleetView(fleet)
     dispatcher = Dispatcher(1, lambda: addresses_of(view), rate, seed=1)
     console.print(
         f"Three nodes at {rate:g} exchanges a second. From another terminal, as long as it lasts:\n"
--- a/oakkeel/fakes/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -17,7 +17,7 @@
 from oakkeel.agent.agent import Agent
 from oakkeel.agent.processes import Process, Processes
 from oakkeel.agent.storage import SCHEMA, VERSION
-from oakkeel.settings.fleet import HostSettings
+from oakkeel.settings.types import HostSettings
 from oakkeel.store.database import Database, Statement
 
 PROGRAM = (sys.executable, "-m", "oakkeel.fakes.node")
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -22,7 +22,7 @@
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentClients, NoLeaderError
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of
+from oakkeel.settings.keys import read_operator_key
 
 WAIT = 30.0  # seconds, for what must come
 
@@ -54,7 +54,7 @@
         site = self.site
         await site.open()
         self.fleet = read_fleet(site.settings)
-        self.asker = AgentClients(self.fleet, key_of(self.fleet, "asha"))
+        self.asker = AgentClients(self.fleet, read_operator_key(self.fleet, "asha"))
         for source in site.hosts:
             ports = {}
             for to in site.hosts:
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -16,7 +16,7 @@
 from oakkeel.fleet.fan_out import FanOut, TargetState
 from oakkeel.fleet.leader_discovery import LeaderDiscovery, SearchState
 from oakkeel.fleet.view import FleetView
-from oakkeel.settings.fleet import Fleet
+from oakkeel.settings.types import Fleet
 
 AgentError, AgentRejectedError = LinkError, AuthenticationRejectedError
 
@@ -33,7 +33,7 @@
     """One question on a link of its own. Raises AgentError; waits as long as the other side does."""
     link = AuthenticatedClient(address, key)
     try:
-        return messages.decode_response(await link.ask(messages.encode(wish)))
+        return messages.decode_response(await link.request(messages.encode(wish)))
     except msgspec.MsgspecError as error:
         raise AgentError(str(error)) from None
     finally:
@@ -58,7 +58,7 @@
         `deadline` in nanoseconds, 0 for that of the settings; `heard` is called with each answer and when its
         question was sent.
         """
-        how = self.fleet.asking
+        how = self.fleet.client
         asking = FanOut(
             time.monotonic_ns(), wishes, deadline or how.deadline, how.hedge, how.tries, self.chance(63)
         )
@@ -100,12 +100,12 @@
 
     async def ask_leader(self, wish: messages.Request, deadline: int = 0) -> messages.Response:
         """What the agent that leads the record answers. Raises NoLeader; `deadline` in nanoseconds."""
-        assert self.fleet.keepers is not None
-        others = [host.name for host in self.fleet.hosts if host.name not in self.fleet.keepers.hosts]
+        assert self.fleet.control_plane is not None
+        others = [host.name for host in self.fleet.hosts if host.name not in self.fleet.control_plane.hosts]
         search = LeaderDiscovery(
             time.monotonic_ns(),
-            [*self.fleet.keepers.hosts, *others],
-            deadline or 3 * self.fleet.asking.deadline,
+            [*self.fleet.control_plane.hosts, *others],
+            deadline or 3 * self.fleet.client.deadline,
         )
         while search.state is SearchState.ASKING:
             now = time.monotonic_ns()
@@ -113,7 +113,7 @@
                 await asyncio.sleep(max(0, min(search.not_before, search.deadline) - now) / SECOND)
                 continue
             try:
-                left = min(self.fleet.asking.deadline, max(1, search.deadline - now))
+                left = min(self.fleet.client.deadline, max(1, search.deadline - now))
                 answer = await asyncio.wait_for(
                     request_once(self.fleet.host(name).agent, self.key, wish), left / SECOND
                 )
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from oakkeel.agent.messages import HostStatus, InstanceStatus
-from oakkeel.settings.fleet import Fleet, HostSettings, InstanceSettings
+from oakkeel.settings.types import Fleet, HostSettings, InstanceSettings
 
 SECOND = 1_000_000_000
 OLD = 3 * SECOND
--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -1,6 +1,6 @@
-"""Operators' settings of a fleet as frozen types, read from XML that `fleet.xsd` allows.
+"""Reads the settings of a fleet from XML, validated by `fleet.xsd`.
 
-Each fault is one line with file, line, element and what is allowed there.
+Each error is one line with file, line, element and what is allowed there.
 """
 
 from __future__ import annotations
@@ -9,136 +9,30 @@
 import importlib.resources
 import os
 import re
-from dataclasses import dataclass
+from collections.abc import Iterator
 from typing import Any
 
 from lxml import etree
 
+from oakkeel.settings.types import (
+    ClientSettings,
+    ControlPlaneSettings,
+    FairSharingSettings,
+    Fleet,
+    HostSettings,
+    InstanceSettings,
+    KeyFile,
+    Operator,
+    Service,
+    SettingsError,
+)
+
 MAX_FILE_BYTES = 1024 * 1024
-SPACE = "{urn:oakkeel:fleet:1}"
+NAMESPACE = "{urn:oakkeel:fleet:1}"
 UNITS = {"ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3600_000_000_000}
 
 
-class SettingsError(ValueError):
-    """The settings can't be used; the text is one line a fault."""
-
-
-@dataclass(slots=True, frozen=True)
-class KeyFile:
-    ident: str
-    path: str
-    until: int  # Unix nanoseconds; 0: no end
-
-
-@dataclass(slots=True, frozen=True)
-class Operator:
-    name: str
-    acts: bool  # or views only
-    keys: tuple[KeyFile, ...]
-
-
-@dataclass(slots=True, frozen=True)
-class InstanceSettings:
-    name: str
-    config: str  # the platform's JSON
-    listen: str  # in place of what that says; empty: as it says
-    log: str
-    below: tuple[str, ...] = ()  # services that it can't do without
-
-
-@dataclass(slots=True, frozen=True)
-class HostSettings:
-    """One agent and its instances."""
-
-    name: str
-    site: str
-    agent: tuple[str, int]
-    state: str  # folder
-    away: int  # of its instances that may be out at one time: its part of what its site allows
-    instances: tuple[InstanceSettings, ...]
-    key: str = ""  # path of the key that its agent marks with
-
-
-@dataclass(slots=True, frozen=True)
-class Service:
-    """One that instances hang on; it is not ours to start or stop."""
-
-    name: str
-    kind: str
-    address: tuple[str, int]
-    host: str  # whose agent watches it
-
-
-@dataclass(slots=True, frozen=True)
-class ControlPlaneSettings:
-    """What a fleet that keeps a record has beside the rest."""
-
-    hosts: tuple[str, ...]  # that begin a new record
-    away: int  # of all instances, that may be out at one time
-    kinds: dict[str, int]  # the same of services, by kind
-    services: tuple[Service, ...]
-
-
-@dataclass(slots=True, frozen=True)
-class ClientSettings:
-    """How the command line asks agents. Nanoseconds."""
-
-    deadline: int = 1000 * UNITS["ms"]
-    hedge: int = 250 * UNITS["ms"]  # without an answer, until the same is asked once more
-    tries: int = 3
-
-
-@dataclass(slots=True, frozen=True)
-class FairSharingSettings:
-    """Who counts as one sender at the door of a node, and what each may have."""
-
-    by: tuple[str, ...]  # the outer level first
-    weights: tuple[tuple[str, float], ...]
-    places: int = 256
-    promises: int = 1024
-    half: int = 4 * UNITS["s"]
-    snapshot: bool = True
-
-    def told(self, snapshot: str) -> dict[str, Any]:
-        """As a node reads it."""
-        return {
-            "by": list(self.by),
-            "weights": dict(self.weights),
-            "places": self.places,
-            "promises": self.promises,
-            "half": self.half,
-            "snapshot": snapshot if self.snapshot else "",
-        }
-
-
-@dataclass(slots=True, frozen=True)
-class Fleet:
-    name: str
-    path: str
-    operators: tuple[Operator, ...]
-    supervision: dict[str, Any]  # what is set of `SupervisionTimeouts`, by its fields
-    asking: ClientSettings
-    sites: dict[str, int]  # how many of each may be out at one time
-    hosts: tuple[HostSettings, ...]
-    fairness: FairSharingSettings | None = None
-    keepers: ControlPlaneSettings | None = None  # None: each agent is on its own
-
-    def host(self, name: str) -> HostSettings:
-        for host in self.hosts:
-            if host.name == name:
-                return host
-        names = ", ".join(each.name for each in self.hosts)
-        raise SettingsError(f"{self.path}: no host {name!r}; there are {names}")
-
-    def operator(self, name: str) -> Operator:
-        for operator in self.operators:
-            if operator.name == name:
-                return operator
-        names = ", ".join(each.name for each in self.operators)
-        raise SettingsError(f"{self.path}: no operator {name!r}; there are {names}")
-
-
-SUPERVISION = {
+SUPERVISION_FIELDS = {
     "silent": "silent",
     "start": "start",
     "stuck": "stuck",
@@ -154,12 +48,12 @@
 
 
 def read_fleet(path: str) -> Fleet:
-    """Raises SettingsError."""
+    """Read and check the settings of a fleet. Raises SettingsError."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from error
     if len(data) > MAX_FILE_BYTES:
         raise SettingsError(f"{path}: more than {MAX_FILE_BYTES} bytes")
     parser = etree.XMLParser(
@@ -173,13 +67,13 @@
     try:
         root = etree.fromstring(data, parser)
     except etree.XMLSyntaxError as error:
-        raise SettingsError(f"{path}:{error.lineno or 1}: no XML: {error.msg}") from None
+        raise SettingsError(f"{path}:{error.lineno or 1}: no XML: {error.msg}") from error
     if root.getroottree().docinfo.doctype:
         raise SettingsError(f"{path}:1: a document type is not allowed")
     schema = _schema()
     if not schema.validate(root):
-        raise SettingsError("\n".join(_fault(path, root, each) for each in schema.error_log))
-    return _Reader(path, root).fleet()
+        raise SettingsError("\n".join(_describe_violation(path, error) for error in schema.error_log))
+    return _FleetReader(path, root).read()
 
 
 def _schema() -> etree.XMLSchema:
@@ -187,8 +81,8 @@
         return etree.XMLSchema(etree.parse(file))
 
 
-def _fault(path: str, root: Any, error: Any) -> str:
-    text = error.message.replace(SPACE, "")
+def _describe_violation(path: str, error: Any) -> str:
+    text = error.message.replace(NAMESPACE, "")
     text = re.sub(
         r"^Element '(\w+)'(, attribute '([\w-]+)')?: ",
         lambda found: "<" + found[1] + ">" + (f" {found[3]}" if found[3] else "") + ": ",
@@ -197,109 +91,144 @@
     return f"{path}:{error.line}: {text}"
 
 
-class _Reader:
+class _FleetReader:
     """Turns what the schema allowed into types, and checks what a schema can't."""
 
     def __init__(self, path: str, root: Any) -> None:
         self.path, self.root = path, root
         self.folder = os.path.dirname(os.path.abspath(path))
-        self.faults: list[str] = []
+        self.errors: list[str] = []
 
-    def fleet(self) -> Fleet:
+    def read(self) -> Fleet:
+        """Return the fleet. Raises SettingsError with a line for each error found."""
         root = self.root
-        operators = tuple(self._operator(each) for each in root.iter(SPACE + "operator"))
-        self._unique(root.iter(SPACE + "operator"), "name")
-        self._unique(root.iter(SPACE + "key"), "id")
-        self._unique(root.iter(SPACE + "host"), "name")
-        self._unique(root.iter(SPACE + "host"), "agent")
-        self._unique(root.iter(SPACE + "host"), "state")
-        self._unique(root.iter(SPACE + "instance"), "name")
-        supervision: dict[str, Any] = {}
-        for found in root.iter(SPACE + "supervision"):
-            for attribute, value in found.attrib.items():
-                supervision[SUPERVISION[attribute]] = (
-                    value in ("true", "1")
-                    if attribute == "restart-stuck"
-                    else int(value)
-                    if value.isdigit()
-                    else time_of(value)
-                )
-        asking = {}
-        for found in root.iter(SPACE + "asking"):
-            asking = {
-                name: int(value) if value.isdigit() else time_of(value)
-                for name, value in found.attrib.items()
-            }
+        operators = tuple(self._operator(element) for element in self._elements("operator"))
+        self._check_unique_names()
+        supervision = self._supervision()
+        client = self._client()
         fairness = None
-        for found in root.iter(SPACE + "fairness"):
-            fairness = self._fairness(found)
+        for element in self._elements("fairness"):
+            fairness = self._fair_sharing(element)
         hosts: list[HostSettings] = []
         sites = {}
-        for site in root.iter(SPACE + "site"):
+        for site in self._elements("site"):
             sites[site.get("name")] = int(site.get("away"))
             hosts += self._hosts(site)
-        keepers = self._keepers(root, hosts, sum(sites.values()))
-        if self.faults:
-            raise SettingsError("\n".join(self.faults))
+        control_plane = self._control_plane(hosts, sum(sites.values()))
+        if self.errors:
+            raise SettingsError("\n".join(self.errors))
         return Fleet(
             root.get("name"),
             self.path,
             operators,
             supervision,
-            ClientSettings(**asking),
+            client,
             sites,
             tuple(hosts),
             fairness,
-            keepers,
+            control_plane,
         )
 
-    def _fault(self, element: Any, text: str) -> None:
-        self.faults.append(f"{self.path}:{element.sourceline}: <{etree.QName(element).localname}> {text}")
+    def _elements(self, name: str) -> Iterator[Any]:
+        found: Iterator[Any] = self.root.iter(NAMESPACE + name)
+        return found
+
+    def _check_unique_names(self) -> None:
+        for name, attribute in (
+            ("operator", "name"),
+            ("key", "id"),
+            ("host", "name"),
+            ("host", "agent"),
+            ("host", "state"),
+            ("instance", "name"),
+        ):
+            self._check_unique(self._elements(name), attribute)
+
+    def _supervision(self) -> dict[str, Any]:
+        supervision: dict[str, Any] = {}
+        for element in self._elements("supervision"):
+            for attribute, value in element.attrib.items():
+                supervision[SUPERVISION_FIELDS[attribute]] = (
+                    value in ("true", "1")
+                    if attribute == "restart-stuck"
+                    else _parse_number_or_duration(value)
+                )
+        return supervision
+
+    def _client(self) -> ClientSettings:
+        values: dict[str, int] = {}
+        for element in self._elements("asking"):
+            values = {name: _parse_number_or_duration(value) for name, value in element.attrib.items()}
+        return ClientSettings(**values)
+
+    def _add_error(self, element: Any, text: str) -> None:
+        self.errors.append(f"{self.path}:{element.sourceline}: <{etree.QName(element).localname}> {text}")
 
-    def _unique(self, elements: Any, attribute: str) -> None:
+    def _check_unique(self, elements: Any, attribute: str) -> None:
         seen: dict[str, int] = {}
         for element in elements:
             value = element.get(attribute)
             if value in seen:
-                self._fault(element, f"{attribute}: {value!r} stands in line {seen[value]} already")
+                self._add_error(element, f"{attribute}: {value!r} stands in line {seen[value]} already")
             seen.setdefault(value, element.sourceline)
 
     def _operator(self, element: Any) -> Operator:
         keys = []
-        for key in element.iter(SPACE + "key"):
-            until = 0
+        for key in element.iter(NAMESPACE + "key"):
+            expires = 0
             if text := key.get("until"):
                 moment = datetime.datetime.fromisoformat(text)
                 if moment.tzinfo is None:
                     moment = moment.replace(tzinfo=datetime.UTC)
-                until = int(moment.timestamp()) * UNITS["s"]
-            keys.append(KeyFile(key.get("id"), self._path(key.get("file")), until))
+                expires = int(moment.timestamp()) * UNITS["s"]
+            keys.append(KeyFile(key.get("id"), self._path(key.get("file")), expires))
         return Operator(element.get("name"), element.get("role") == "act", tuple(keys))
 
-    def _fairness(self, element: Any) -> FairSharingSettings:
-        self._unique(element.iter(SPACE + "weight"), "of")
-        weights = tuple((each.get("of"), float(each.get("is"))) for each in element.iter(SPACE + "weight"))
-        numbers: dict[str, Any] = {
-            name: int(element.get(name)) for name in ("places", "promises") if element.get(name)
+    def _fair_sharing(self, element: Any) -> FairSharingSettings:
+        self._check_unique(element.iter(NAMESPACE + "weight"), "of")
+        weights = tuple(
+            (weight.get("of"), float(weight.get("is"))) for weight in element.iter(NAMESPACE + "weight")
+        )
+        values: dict[str, Any] = {
+            field: int(element.get(name))
+            for name, field in (("places", "tracked_flows"), ("promises", "max_reservations"))
+            if element.get(name)
         }
-        if any(not 1 <= value <= 65536 for value in numbers.values()):
-            self._fault(element, "places and promises: 1 to 65536 are allowed")
+        if any(not 1 <= value <= 65536 for value in values.values()):
+            self._add_error(element, "places and promises: 1 to 65536 are allowed")
         if element.get("half"):
-            numbers["half"] = max(1, time_of(element.get("half")))
+            values["half_life"] = max(1, parse_duration(element.get("half")))
         if element.get("snapshot"):
-            numbers["snapshot"] = element.get("snapshot") in ("true", "1")
-        return FairSharingSettings(tuple(element.get("by").split()), weights, **numbers)
+            values["snapshot"] = element.get("snapshot") in ("true", "1")
+        return FairSharingSettings(tuple(element.get("by").split()), weights, **values)
 
-    def _keepers(self, root: Any, hosts: list[HostSettings], all_sites: int) -> ControlPlaneSettings | None:
-        """What the record needs to be told; None where the fleet has none."""
-        services = []
-        kinds = {kind.get("name"): int(kind.get("away")) for kind in root.iter(SPACE + "kind")}
+    def _control_plane(self, hosts: list[HostSettings], all_sites: int) -> ControlPlaneSettings | None:
+        """Return what the control plane has to know; None where the fleet has none."""
         names = {host.name for host in hosts}
-        self._unique(root.iter(SPACE + "kind"), "name")
-        self._unique([*root.iter(SPACE + "instance"), *root.iter(SPACE + "service")], "name")
-        for element in root.iter(SPACE + "service"):
-            if element.get("host") not in names:
-                self._fault(element, f"host: there is no host {element.get('host')!r}")
+        services = self._services(names)
+        found = self.root.find(NAMESPACE + "keepers")
+        if found is None:
+            return None
+        voters = tuple(found.get("hosts").split())
+        if len(voters) not in (1, 3, 5) or len(set(voters)) != len(voters):
+            self._add_error(found, "hosts: three or five are asked for, or one for a trial, each once")
+        for name in voters:
+            if name not in names:
+                self._add_error(found, f"hosts: there is no host {name!r}")
+        for element in self._elements("host"):
+            if not element.get("key"):
+                self._add_error(element, "key: agents that agree need one each")
+        kinds = {kind.get("name"): int(kind.get("away")) for kind in self._elements("kind")}
+        return ControlPlaneSettings(voters, int(self.root.get("away") or all_sites), kinds, services)
+
+    def _services(self, hosts: set[str]) -> tuple[Service, ...]:
+        """Return the downstream services, after checking them and all references to them."""
+        services = []
+        self._check_unique(self._elements("kind"), "name")
+        self._check_unique([*self._elements("instance"), *self._elements("service")], "name")
+        for element in self._elements("service"):
+            if element.get("host") not in hosts:
+                self._add_error(element, f"host: there is no host {element.get('host')!r}")
             services.append(
                 Service(
                     element.get("name"),
@@ -309,94 +238,94 @@
                 )
             )
         known = {service.name for service in services}
-        for element in root.iter(SPACE + "instance"):
+        for element in self._elements("instance"):
             for name in element.get("below", "").split():
                 if name not in known:
-                    self._fault(element, f"below: there is no service {name!r}")
-        found = root.find(SPACE + "keepers")
-        if found is None:
-            return None
-        told = tuple(found.get("hosts").split())
-        if len(told) not in (1, 3, 5) or len(set(told)) != len(told):
-            self._fault(found, "hosts: three or five are asked for, or one for a trial, each once")
-        for name in told:
-            if name not in names:
-                self._fault(found, f"hosts: there is no host {name!r}")
-        for element in root.iter(SPACE + "host"):
-            if not element.get("key"):
-                self._fault(element, "key: agents that agree need one each")
-        return ControlPlaneSettings(told, int(root.get("away") or all_sites), kinds, tuple(services))
+                    self._add_error(element, f"below: there is no service {name!r}")
+        return tuple(services)
 
     def _path(self, text: str) -> str:
-        """Relative to the settings."""
+        """Resolve a path that is relative to the settings file."""
         return os.path.normpath(os.path.join(self.folder, text))
 
     def _hosts(self, site: Any) -> list[HostSettings]:
-        """The hosts of a site, each with its part of what may be out: as told, or by its instances."""
-        elements = list(site.iter(SPACE + "host"))
-        allowed = int(site.get("away"))
-        sizes = [len(list(each.iter(SPACE + "instance"))) for each in elements]
-        told = [each.get("away") for each in elements]
-        left = allowed - sum(int(each) for each in told if each is not None)
-        if left < 0:
-            self._fault(site, f"away: its hosts are told {allowed - left} in all, more than {allowed}")
-        free = [index for index, each in enumerate(told) if each is None]
-        shares = split(max(0, left), [sizes[index] for index in free])
-        parts = [int(each) if each is not None else 0 for each in told]
-        for index, share in zip(free, shares, strict=True):
-            parts[index] = share
-            if not share and site.getparent().find(SPACE + "keepers") is None:  # else places are lent
-                self._fault(
-                    elements[index],
-                    f"away: nothing is left for it of the {allowed} of its site, so no"
-                    " order could take an instance out; allow the site more, or tell it 0",
-                )
+        """Return the hosts of a site, each with its part of the site's disruption budget."""
+        elements = list(site.iter(NAMESPACE + "host"))
+        budgets = self._host_budgets(site, elements)
         return [
             HostSettings(
                 element.get("name"),
                 site.get("name"),
                 self._address(element),
                 self._path(element.get("state")),
-                part,
-                tuple(
-                    InstanceSettings(
-                        each.get("name"),
-                        self._path(each.get("config")),
-                        each.get("listen", ""),
-                        each.get("log", "console"),
-                        tuple(each.get("below", "").split()),
-                    )
-                    for each in element.iter(SPACE + "instance")
-                ),
+                budget,
+                tuple(self._instance(instance) for instance in element.iter(NAMESPACE + "instance")),
                 self._path(element.get("key")) if element.get("key") else "",
             )
-            for element, part in zip(elements, parts, strict=True)
+            for element, budget in zip(elements, budgets, strict=True)
         ]
 
+    def _host_budgets(self, site: Any, elements: list[Any]) -> list[int]:
+        """Return how many instances of each host may be unavailable: as given, or by its size."""
+        allowed = int(site.get("away"))
+        sizes = [len(list(element.iter(NAMESPACE + "instance"))) for element in elements]
+        given = [element.get("away") for element in elements]
+        remaining = allowed - sum(int(value) for value in given if value is not None)
+        if remaining < 0:
+            self._add_error(
+                site, f"away: its hosts are told {allowed - remaining} in all, more than {allowed}"
+            )
+        open_indexes = [index for index, value in enumerate(given) if value is None]
+        shares = split_budget(max(0, remaining), [sizes[index] for index in open_indexes])
+        budgets = [int(value) if value is not None else 0 for value in given]
+        for index, share in zip(open_indexes, shares, strict=True):
+            budgets[index] = share
+            # With a control plane its leader lends permits, so that a host needs no part of its own.
+            if not share and site.getparent().find(NAMESPACE + "keepers") is None:
+                self._add_error(
+                    elements[index],
+                    f"away: nothing is left for it of the {allowed} of its site, so no"
+                    " order could take an instance out; allow the site more, or tell it 0",
+                )
+        return budgets
+
+    def _instance(self, element: Any) -> InstanceSettings:
+        return InstanceSettings(
+            element.get("name"),
+            self._path(element.get("config")),
+            element.get("listen", ""),
+            element.get("log", "console"),
+            tuple(element.get("below", "").split()),
+        )
+
     def _address(self, element: Any, attribute: str = "agent") -> tuple[str, int]:
         host, _, port = element.get(attribute).rpartition(":")
         if not 0 < int(port) < 65536:
-            self._fault(element, f"{attribute}: {port} is no port; 1 to 65535 are")
+            self._add_error(element, f"{attribute}: {port} is no port; 1 to 65535 are")
         return host, int(port)
 
 
-def split(whole: int, sizes: list[int]) -> list[int]:
-    """Whole numbers that add up to `whole`, each by its size, the largest rests rounded up first."""
-    total = sum(sizes) or 1
-    shares = [whole * size // total for size in sizes]
-    order = sorted(range(len(sizes)), key=lambda index: (-(whole * sizes[index] % total), index))
-    for index in order[: whole - sum(shares)]:
+def split_budget(total: int, sizes: list[int]) -> list[int]:
+    """Split an integer in proportion to sizes, the largest remainders rounded up first."""
+    size_sum = sum(sizes) or 1
+    shares = [total * size // size_sum for size in sizes]
+    order = sorted(range(len(sizes)), key=lambda index: (-(total * sizes[index] % size_sum), index))
+    for index in order[: total - sum(shares)]:
         shares[index] += 1
-    # None may be left with nothing while another has two: it could never be worked on.
-    for poor in [index for index, share in enumerate(shares) if not share]:
-        rich = max(range(len(shares)), key=lambda index: shares[index])
-        if shares[rich] > 1:
-            shares[rich], shares[poor] = shares[rich] - 1, 1
+    # None may get nothing while another has two: no order could ever take one of its instances.
+    for empty in [index for index, share in enumerate(shares) if not share]:
+        largest = max(range(len(shares)), key=lambda index: shares[index])
+        if shares[largest] > 1:
+            shares[largest], shares[empty] = shares[largest] - 1, 1
     return shares
 
 
-def time_of(text: str) -> int:
-    """Nanoseconds of a text like 250ms, 2s, 5m or 1h. Raises ValueError."""
+def _parse_number_or_duration(text: str) -> int:
+    return int(text) if text.isdigit() else parse_duration(text)
+
+
+def parse_duration(text: str) -> int:
+    """Parse a duration like 250ms, 2s, 5m or 1h into nanoseconds. Raises ValueError."""
     if not (found := re.fullmatch(r"(\d{1,6})(ms|s|m|h)", text)):
         raise ValueError(f"no time like 250ms, 2s, 5m or 1h: {text!r}")
     return int(found[1]) * UNITS[found[2]]
--- /dev/null
+++ b/oakkeel/settings/types.py
@@ -0,0 +1,140 @@
+"""Typed settings of a fleet, as its operators wrote them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from oakkeel.errors import OakkeelError
+
+MS = 1_000_000
+SECOND = 1000 * MS
+
+
+class SettingsError(OakkeelError, ValueError):
+    """The settings can't be used; the message has one line for each error."""
+
+
+@dataclass(slots=True, frozen=True)
+class KeyFile:
+    """Where a key of an operator is stored."""
+
+    ident: str
+    path: str
+    expires: int  # Unix nanoseconds; 0: never
+
+
+@dataclass(slots=True, frozen=True)
+class Operator:
+    """A person or program that uses the command line."""
+
+    name: str
+    may_act: bool  # or view only
+    keys: tuple[KeyFile, ...]
+
+
+@dataclass(slots=True, frozen=True)
+class InstanceSettings:
+    """One node that an agent supervises."""
+
+    name: str
+    config: str  # path of the platform's JSON
+    listen: str  # overrides the address in that; empty: no override
+    log: str
+    downstream: tuple[str, ...] = ()  # services that it requires
+
+
+@dataclass(slots=True, frozen=True)
+class HostSettings:
+    """One agent and its instances."""
+
+    name: str
+    site: str
+    agent: tuple[str, int]
+    state: str  # folder
+    max_unavailable: int  # of its instances at one time: its part of its site's budget
+    instances: tuple[InstanceSettings, ...]
+    key: str = ""  # path of the key that its agent authenticates with
+
+
+@dataclass(slots=True, frozen=True)
+class Service:
+    """A downstream service that instances depend on; agents watch it, and never start or stop it."""
+
+    name: str
+    kind: str
+    address: tuple[str, int]
+    host: str  # whose agent watches it
+
+
+@dataclass(slots=True, frozen=True)
+class ControlPlaneSettings:
+    """What a fleet with a replicated control plane has in addition."""
+
+    hosts: tuple[str, ...]  # the initial voters
+    max_unavailable: int  # of all instances, at one time
+    kinds: dict[str, int]  # the same for services, by kind
+    services: tuple[Service, ...]
+
+
+@dataclass(slots=True, frozen=True)
+class ClientSettings:
+    """How the command line sends requests to agents. Times in nanoseconds."""
+
+    deadline: int = 1000 * MS
+    hedge: int = 250 * MS  # without a response, until the request is sent once more
+    tries: int = 3
+
+
+@dataclass(slots=True, frozen=True)
+class FairSharingSettings:
+    """What identifies a flow at a node, and the shares of flows."""
+
+    by: tuple[str, ...]  # fields of the flow key, the outer level first
+    weights: tuple[tuple[str, float], ...]
+    tracked_flows: int = 256
+    max_reservations: int = 1024
+    half_life: int = 4 * SECOND
+    snapshot: bool = True
+
+    def node_settings(self, snapshot: str) -> dict[str, Any]:
+        """Return the JSON object that a node reads; `snapshot` is the path of its snapshot file."""
+        return {
+            "by": list(self.by),
+            "weights": dict(self.weights),
+            "places": self.tracked_flows,
+            "promises": self.max_reservations,
+            "half": self.half_life,
+            "snapshot": snapshot if self.snapshot else "",
+        }
+
+
+@dataclass(slots=True, frozen=True)
+class Fleet:
+    """All settings of a fleet."""
+
+    name: str
+    path: str
+    operators: tuple[Operator, ...]
+    supervision: dict[str, Any]  # the given fields of `SupervisionTimeouts`
+    client: ClientSettings
+    sites: dict[str, int]  # how many instances of each may be unavailable at one time
+    hosts: tuple[HostSettings, ...]
+    fairness: FairSharingSettings | None = None
+    control_plane: ControlPlaneSettings | None = None  # None: each agent works on its own
+
+    def host(self, name: str) -> HostSettings:
+        """Return the host of that name. Raises SettingsError."""
+        for host in self.hosts:
+            if host.name == name:
+                return host
+        names = ", ".join(host.name for host in self.hosts)
+        raise SettingsError(f"{self.path}: no host {name!r}; there are {names}")
+
+    def operator(self, name: str) -> Operator:
+        """Return the operator of that name. Raises SettingsError."""
+        for operator in self.operators:
+            if operator.name == name:
+                return operator
+        names = ", ".join(operator.name for operator in self.operators)
+        raise SettingsError(f"{self.path}: no operator {name!r}; there are {names}")
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -28,7 +28,7 @@
 from oakkeel.fleet.view import FleetView
 from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of, read_keys, write_key
+from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.store.database import Database, DatabaseError
 
 WAIT = 20.0
@@ -49,7 +49,10 @@
         self.fleet = read_fleet(self.site.settings)
         self.host = self.fleet.hosts[0]
         self.said = io.StringIO()
-        self.agents, self.view = AgentClients(self.fleet, key_of(self.fleet, "asha")), FleetView(self.fleet)
+        self.agents, self.view = (
+            AgentClients(self.fleet, read_operator_key(self.fleet, "asha")),
+            FleetView(self.fleet),
+        )
         self.addAsyncCleanup(self.end_all)
 
     async def end_all(self) -> None:
@@ -111,7 +114,9 @@
         return agent.orders.named[name]
 
     async def ask(self, wish: messages.Request, operator: str = "asha") -> messages.Response:
-        return await asyncio.wait_for(request_once(self.host.agent, key_of(self.fleet, operator), wish), WAIT)
+        return await asyncio.wait_for(
+            request_once(self.host.agent, read_operator_key(self.fleet, operator), wish), WAIT
+        )
 
     async def order(
         self,
@@ -377,7 +382,7 @@
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         fleet = read_fleet(site.settings)
-        host, key = fleet.hosts[0], key_of(fleet, "asha")
+        host, key = fleet.hosts[0], read_operator_key(fleet, "asha")
         crash, died, agent = step, False, None
         try:
             end, taken = time.monotonic() + 2 * WAIT, False
@@ -495,7 +500,7 @@
 
     async def test_keys_change_while_it_serves_and_the_old_one_goes_with_the_settings(self):
         agent = await self.agent()
-        old = key_of(self.fleet, "asha")
+        old = read_operator_key(self.fleet, "asha")
         write_key(os.path.join(self.folder, "asha-2.key"), os.urandom(32))
         two = (
             '<operator name="asha" role="act"><key id="asha-1" file="asha.key"/>'
--- a/tests/authentication/test_mac.py
+++ b/tests/authentication/test_mac.py
@@ -1,4 +1,4 @@
-"""Authenticated messages: what is accepted and what is refused."""
+"""Authenticated messages: what is accepted and what is rejected."""
 
 import secrets
 import time
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from oakkeel.authentication.mac import (
-    NONCE,
+    NONCE_BYTES,
     AuthenticationError,
     ClientAuthenticator,
     Key,
@@ -18,78 +18,80 @@
 from oakkeel.fleet.view import SECOND
 
 
-class MarkStories(unittest.TestCase):
+class MessageAuthenticationTest(unittest.TestCase):
     def setUp(self) -> None:
         self.old, self.new, self.foreign = (
             Key(ident, "asha", Role.ACT, secrets.token_bytes(32)) for ident in ("a-1", "a-2", "a-1")
         )
         self.keys = {key.ident: key for key in (self.old, self.new)}
 
-    def ends(self, key: Key, keys=None, made: int = 0) -> tuple[ClientAuthenticator, ServerAuthenticator]:
-        challenge = secrets.token_bytes(NONCE)
+    def make_pair(
+        self, key: Key, keys=None, issued_at: int = 0
+    ) -> tuple[ClientAuthenticator, ServerAuthenticator]:
+        challenge = secrets.token_bytes(NONCE_BYTES)
         return (
-            ClientAuthenticator(key, challenge, lambda: secrets.token_bytes(NONCE), time.time_ns),
-            ServerAuthenticator(keys or self.keys, challenge, made),
+            ClientAuthenticator(key, challenge, lambda: secrets.token_bytes(NONCE_BYTES), time.time_ns),
+            ServerAuthenticator(keys or self.keys, challenge, issued_at),
         )
 
-    def test_both_keys_are_good_during_a_change_and_the_answer_is_proved(self):
+    def test_accepts_both_keys_during_rotation_and_authenticates_responses(self):
         for key in (self.old, self.new):
-            sender, receiver = self.ends(key)
+            client, server = self.make_pair(key)
             for number in range(3):
-                found, content = receiver.open(0, 0, sender.seal(b"ask %d" % number))
-                self.assertEqual((found, content), (key, b"ask %d" % number))
-                self.assertEqual(sender.open(receiver.seal(0, b"so")), b"so")
+                found_key, content = server.verify(0, 0, client.sign(b"ask %d" % number))
+                self.assertEqual((found_key, content), (key, b"ask %d" % number))
+                self.assertEqual(client.verify(server.sign(0, b"so")), b"so")
 
-    def refused(self, receiver: ServerAuthenticator, frame: bytes, now: int = 0, unix: int = 0) -> None:
+    def assert_rejected(self, server: ServerAuthenticator, frame: bytes, now: int = 0, unix: int = 0) -> None:
         with self.assertRaises(AuthenticationError):
-            receiver.open(now, unix, frame)
+            server.verify(now, unix, frame)
 
-    def test_replayed_altered_foreign_late_and_ended_ones_are_refused(self):
-        sender, receiver = self.ends(self.old)
-        frame = sender.seal(b"stop n1")
-        receiver.open(0, 0, frame)
-        self.refused(receiver, frame)  # on the same link
-        self.refused(self.ends(self.old)[1], frame)  # on another
-        sender, receiver = self.ends(self.old)
-        good = sender.seal(b"stop n1")
-        self.refused(receiver, good.replace(b"n1", b"n2"))
-        receiver.open(0, 0, good)
-        sender, receiver = self.ends(self.foreign)
-        self.refused(receiver, sender.seal(b"stop n1"))
-        sender, receiver = self.ends(self.old)
-        self.refused(receiver, sender.seal(b"stop n1"), now=11 * SECOND)
-        ended = Key("a-1", "asha", Role.ACT, self.old.secret, until=5 * SECOND)
-        sender, receiver = self.ends(ended, {"a-1": ended})
-        self.refused(receiver, sender.seal(b"stop n1"), unix=5 * SECOND)
+    def test_rejects_replayed_altered_foreign_late_and_expired_messages(self):
+        client, server = self.make_pair(self.old)
+        frame = client.sign(b"stop n1")
+        server.verify(0, 0, frame)
+        self.assert_rejected(server, frame)  # on the same connection
+        self.assert_rejected(self.make_pair(self.old)[1], frame)  # on another
+        client, server = self.make_pair(self.old)
+        good = client.sign(b"stop n1")
+        self.assert_rejected(server, good.replace(b"n1", b"n2"))
+        server.verify(0, 0, good)
+        client, server = self.make_pair(self.foreign)
+        self.assert_rejected(server, client.sign(b"stop n1"))
+        client, server = self.make_pair(self.old)
+        self.assert_rejected(server, client.sign(b"stop n1"), now=11 * SECOND)
+        expired = Key("a-1", "asha", Role.ACT, self.old.secret, expires=5 * SECOND)
+        client, server = self.make_pair(expired, {"a-1": expired})
+        self.assert_rejected(server, client.sign(b"stop n1"), unix=5 * SECOND)
 
-    def test_a_clock_that_was_set_back_lets_no_old_message_in(self):
-        sender, receiver = self.ends(self.old)
-        frame = sender.seal(b"stop n1")
-        receiver.open(0, 3600 * SECOND, frame)
-        self.refused(self.ends(self.old)[1], frame, unix=0)
+    def test_clock_set_back_admits_no_old_message(self):
+        client, server = self.make_pair(self.old)
+        frame = client.sign(b"stop n1")
+        server.verify(0, 3600 * SECOND, frame)
+        self.assert_rejected(self.make_pair(self.old)[1], frame, unix=0)
 
-    def test_an_answer_to_another_question_is_not_believed(self):
-        sender, receiver = self.ends(self.old)
-        receiver.open(0, 0, sender.seal(b"one"))
-        answer = receiver.seal(0, b"so")
-        sender.seal(b"two")
+    def test_rejects_response_to_another_request(self):
+        client, server = self.make_pair(self.old)
+        server.verify(0, 0, client.sign(b"one"))
+        answer = server.sign(0, b"so")
+        client.sign(b"two")
         with self.assertRaises(AuthenticationError):
-            sender.open(answer)
+            client.verify(answer)
 
     @given(st.binary(max_size=300))
     @settings(max_examples=300, deadline=None, derandomize=True)
-    def test_any_bytes_are_a_refusal_and_nothing_else(self, frame):
-        self.refused(self.ends(self.old)[1], frame)
+    def test_arbitrary_bytes_are_rejected_without_other_errors(self, frame):
+        self.assert_rejected(self.make_pair(self.old)[1], frame)
 
     @given(st.data())
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_one_changed_byte_anywhere_is_refused(self, data):
-        sender, receiver = self.ends(self.old)
-        frame = bytearray(sender.seal(b"stop n1"))
-        place = data.draw(st.integers(0, len(frame) - 1))
-        frame[place] ^= data.draw(st.integers(1, 255))
+    def test_rejects_message_with_any_byte_changed(self, data):
+        client, server = self.make_pair(self.old)
+        frame = bytearray(client.sign(b"stop n1"))
+        index = data.draw(st.integers(0, len(frame) - 1))
+        frame[index] ^= data.draw(st.integers(1, 255))
         try:
-            _, content = receiver.open(0, 0, bytes(frame))
+            _, content = server.verify(0, 0, bytes(frame))
         except AuthenticationError:
             return
         self.assertEqual(content, b"stop n1")  # another spelling of the same message
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -6,8 +6,8 @@
 from oakkeel.fleet.fan_out import MS
 from oakkeel.fleet.selection import Selection, SelectionError, by_host, sites_over_share
 from oakkeel.fleet.view import SECOND, FleetView
-from oakkeel.settings.fleet import ClientSettings as HowToAsk
-from oakkeel.settings.fleet import Fleet, HostSettings, InstanceSettings
+from oakkeel.settings.types import ClientSettings as HowToAsk
+from oakkeel.settings.types import Fleet, HostSettings, InstanceSettings
 
 
 def fleet_of(hosts: int = 2, each: int = 3) -> Fleet:
--- a/tests/settings/test_fleet.py
+++ b/tests/settings/test_fleet.py
@@ -10,8 +10,9 @@
 
 from oakkeel.fleet.fan_out import MS
 from oakkeel.fleet.view import SECOND
-from oakkeel.settings.fleet import Fleet, SettingsError, read_fleet, split
-from oakkeel.settings.keys import key_of, read_keys, write_key
+from oakkeel.settings.fleet import read_fleet, split_budget
+from oakkeel.settings.keys import read_keys, read_operator_key, write_key
+from oakkeel.settings.types import Fleet, SettingsError
 
 GOOD = """<fleet xmlns="urn:oakkeel:fleet:1" name="guild">
   <operators><operator name="asha" role="act"><key id="asha-1" file="asha.key"/></operator></operators>
@@ -28,7 +29,7 @@
 """
 
 
-class SettingsStories(unittest.TestCase):
+class FleetSettingsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         self.path = os.path.join(self.folder, "fleet.xml")
@@ -38,14 +39,16 @@
             file.write(text)
         return read_fleet(self.path)
 
-    def test_what_is_set_comes_out_and_the_rest_is_built_in(self):
+    def test_reads_given_values_and_built_in_defaults(self):
         fleet = self.read(GOOD)
         self.assertEqual(fleet.supervision, {"silent": 1500 * MS, "budget": 3, "restart_stuck": False})
-        self.assertEqual([(host.name, host.away) for host in fleet.hosts], [("wb1", 2), ("wb2", 1)])
+        self.assertEqual(
+            [(host.name, host.max_unavailable) for host in fleet.hosts], [("wb1", 2), ("wb2", 1)]
+        )
         self.assertEqual(fleet.hosts[0].instances[1].config, os.path.join(self.folder, "n2.json"))
 
-    def test_each_fault_is_a_line_with_place_and_what_is_allowed(self):
-        for old, new, line, words in (
+    def test_names_line_and_allowed_values_of_each_error(self):
+        for old, new, line, message in (
             ('away="3"', 'away="many"', 4, "'many'"),
             ('role="act"', 'role="admin"', 2, "'view', 'act'"),
             ('silent="1500ms"', 'silent="soon"', 3, "pattern"),
@@ -58,27 +61,27 @@
         ):
             with self.subTest(new), self.assertRaises(SettingsError) as caught:
                 self.read(GOOD.replace(old, new, 1))
-            self.assertRegex(str(caught.exception).replace("\n", " "), rf"fleet\.xml:{line}: .*{words}")
+            self.assertRegex(str(caught.exception).replace("\n", " "), rf"fleet\.xml:{line}: .*{message}")
 
-    def test_fair_shares_are_read_and_what_cannot_be_is_named(self):
+    def test_reads_fair_sharing_and_names_its_errors(self):
         fairness = '  <fairness by="tenant client" half="2s"><weight of="a" is="2.5"/></fairness>'
         plain = GOOD.replace("  <site name", fairness + "\n  <site name", 1)
         fair = self.read(plain).fairness
         self.assertEqual(
-            (fair.by, fair.weights, fair.half, fair.places),
+            (fair.by, fair.weights, fair.half_life, fair.tracked_flows),
             (("tenant", "client"), (("a", 2.5),), 2 * SECOND, 256),
         )
         self.assertIsNone(self.read(GOOD).fairness)
-        for old, new, words in (
+        for old, new, message in (
             ('"tenant client"', '"a b c"', "pattern"),
             ('is="2.5"', 'is="0"', "0.001"),
             ('half="2s"', 'places="0"', "1 to 65536"),
             ('is="2.5"/>', 'is="2.5"/><weight of="a" is="1"/>', "stands in line 4"),
         ):
-            with self.subTest(new), self.assertRaisesRegex(SettingsError, words):
+            with self.subTest(new), self.assertRaisesRegex(SettingsError, message):
                 self.read(plain.replace(old, new))
 
-    def test_entities_document_types_and_huge_files_are_refused(self):
+    def test_rejects_entities_document_types_and_huge_files(self):
         bomb = '<!DOCTYPE fleet [<!ENTITY a "aaaa">]>\n' + GOOD.replace('name="guild"', 'name="&a;"')
         for text in (bomb, '<!DOCTYPE fleet SYSTEM "file:///etc/passwd">' + GOOD, " " * (1 << 20) + GOOD, ""):
             with self.assertRaises(SettingsError):
@@ -86,11 +89,11 @@
         with self.assertRaisesRegex(SettingsError, "No such file"):
             read_fleet(self.path + "x")
 
-    def test_a_key_that_others_may_read_or_that_is_none_is_refused(self):
+    def test_rejects_key_files_with_wrong_mode_or_content(self):
         fleet = self.read(GOOD)
         path = os.path.join(self.folder, "asha.key")
         with self.assertRaisesRegex(SettingsError, "no key of asha here"):
-            key_of(fleet, "asha")
+            read_operator_key(fleet, "asha")
         write_key(path, secret := secrets.token_bytes(32))
         self.assertEqual(read_keys(fleet)["asha-1"].secret, secret)
         self.assertRaises(OSError, write_key, path, secret)
@@ -99,14 +102,14 @@
         os.chmod(path, 0o600)
         with open(path, "w") as file:
             file.write("not hexadecimal")
-        self.assertRaisesRegex(SettingsError, "64 hexadecimal digits", key_of, fleet, "asha")
-        self.assertRaisesRegex(SettingsError, "no operator 'ravi'", key_of, fleet, "ravi")
+        self.assertRaisesRegex(SettingsError, "64 hexadecimal digits", read_operator_key, fleet, "asha")
+        self.assertRaisesRegex(SettingsError, "no operator 'ravi'", read_operator_key, fleet, "ravi")
 
     @given(st.integers(0, 50), st.lists(st.integers(1, 9), min_size=1, max_size=9))
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_a_bound_is_split_without_rest_and_none_is_left_out_if_it_need_not(self, whole, sizes):
-        shares = split(whole, sizes)
-        self.assertEqual(sum(shares), whole)
+    def test_budget_is_split_whole_and_leaves_no_host_out_without_need(self, total, sizes):
+        shares = split_budget(total, sizes)
+        self.assertEqual(sum(shares), total)
         self.assertGreaterEqual(min(shares), 0)
-        if whole >= len(sizes):
+        if total >= len(sizes):
             self.assertGreaterEqual(min(shares), 1)
