--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -13,8 +13,11 @@
 from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import Topology
+from oakkeel.raft.durable_state import DurableState
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import DurableState, NotLeaderError, Output, Proposal, ProposalStatus, Replica
+from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
+from oakkeel.raft.replica import Replica
+from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
 
 
@@ -57,7 +60,7 @@
 
     def heard(self, now: int, letter: Envelope) -> list[Output]:
         self.now = now
-        return self._after(now, [self.replica.heard(now, letter)])
+        return self._after(now, [self.replica.receive(now, letter)])
 
     def polled(self, now: int, poll: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
         """An agent's report and what it is told. Raises NotLeading."""
@@ -67,7 +70,9 @@
         answer = allocator.answer(now, self.replica.durable.epoch, poll.host)
         if above:
             answer.above = above.answer(now, poll.host)
-        answer.keepers = sorted({*self.ledger.keepers(), *(each.name for each in self.replica.members)})
+        answer.keepers = sorted(
+            {*self.ledger.desired_voters(), *(each.name for each in self.replica.members)}
+        )
         return answer, self._after(now, steps)
 
     def propose(self, now: int, command: Any) -> tuple[Proposal, list[Output]]:
@@ -78,7 +83,7 @@
         return proposal, self._after(now, [steps])
 
     def _leads(self, now: int) -> PermitAllocator:
-        if self.allocator is None or not self.replica.leads(now):
+        if self.allocator is None or not self.replica.holds_lease(now):
             raise NotLeaderError(self.replica.leader if self.replica.leader != self.replica.name else "")
         return self.allocator
 
@@ -86,12 +91,12 @@
         """Begin, go on with or end what a leader does."""
         self.now = now
         for each in list(steps):
-            for proposal in each.ended:
+            for proposal in each.completed:
                 command = self.ours.pop(proposal, None)
-                if command and proposal.fate is not ProposalStatus.AGREED and self.allocator:
+                if command and proposal.status is not ProposalStatus.COMMITTED and self.allocator:
                     self._lost(command)
-        if not self.replica.leads(now):
-            if self.replica.leading is None:
+        if not self.replica.holds_lease(now):
+            if self.replica.leader_state is None:
                 self.allocator = self.above = None
                 self.ours.clear()
             return steps
@@ -121,7 +126,7 @@
             except NotLeaderError:
                 self._lost(command)
                 continue
-            if proposal.fate is ProposalStatus.WAITING:
+            if proposal.status is ProposalStatus.PENDING:
                 self.ours[proposal] = command
             done.append(steps)
         return done
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -17,11 +17,11 @@
 
 class NodeContext(Protocol):
     start: NodeConfiguration
-    bounds: ResourceLimits
+    resource_limits: ResourceLimits
     log: EventLog
     listener: Listener
     host: NodeHost
-    open: dict[bytes, Task]
+    open: dict[bytes, Task[None]]
     measures: Metrics
     draining: Drain
     reader: RequestReader | None
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -58,6 +58,13 @@
     return json.loads((DATA / name).read_text(encoding="utf-8"))
 
 
+RENAMED = {  # members of enums, as the old version called them
+    "<Idempotency.IDEMPOTENT: 'repeatable'>": "<Effect.REPEATABLE: 'repeatable'>",
+    "<Idempotency.IDEMPOTENCY_KEY: 'deduplicated'>": "<Effect.DEDUPLICATED: 'deduplicated'>",
+    "<Idempotency.NON_IDEMPOTENT: 'mutating'>": "<Effect.MUTATING: 'mutating'>",
+}
+
+
 def leaves(value: object) -> list[str]:
     """All plain values in a structure, as sorted texts: what they are called does not count."""
     if isinstance(value, dict):
@@ -67,7 +74,7 @@
     elif hasattr(value, "__dataclass_fields__"):
         found = [leaf for name in value.__dataclass_fields__ for leaf in leaves(getattr(value, name))]
     else:
-        found = [repr(value)]
+        found = [RENAMED.get(repr(value), repr(value))]
     return sorted(found)
 
 
@@ -148,7 +155,7 @@
                 machine = machine_type()
                 for row in log["commands"]:
                     result = machine.apply(row["index"], base64.b64decode(row["command"]))
-                    folded = hashlib.sha256(machine.fold()).hexdigest()
+                    folded = hashlib.sha256(machine.snapshot()).hexdigest()
                     self.assertEqual(
                         (isinstance(result, Rejection), folded),
                         (row["refused"], row["snapshot"]),
@@ -161,7 +168,7 @@
                 machine = machine_type()
                 content = base64.b64decode(log["snapshot"])
                 machine.restore(content)
-                self.assertEqual(machine.fold(), content)
+                self.assertEqual(machine.snapshot(), content)
 
 
 class FileCompatibilityTest(unittest.TestCase):
@@ -205,33 +212,33 @@
                 leaves(
                     [
                         "group",
-                        found.group,
+                        found.request_class,
                         "tenant",
                         found.tenant,
                         "caller",
-                        found.caller,
+                        found.client,
                         "memory_kb",
                         found.memory_kb,
                         "marked_retry",
-                        found.marked_retry,
+                        found.retry_attempt,
                         "left",
-                        found.left,
+                        found.remaining_time,
                         "backlog",
-                        found.backlog,
+                        found.queueing_delay,
                         "has_key",
                         found.has_key,
                         "repeats",
-                        found.repeats,
+                        found.is_duplicate,
                         "ident",
-                        found.ident,
+                        found.request_id,
                         "tag",
                         found.tag,
                         "group_name",
-                        found.group_name,
+                        found.class_name,
                         "body",
                         found.body,
                         "key",
-                        found.key,
+                        found.cache_key,
                     ]
                 ),
                 values,
@@ -388,16 +395,18 @@
         found = (await self.rig.records())[await self.rig.leader()]
         self.assertEqual(found.epoch, expected["epoch"])
         self.assertGreater(found.term, expected["term"])
-        self.assertGreaterEqual(found.agreed, expected["committed"])
+        self.assertGreaterEqual(found.committed, expected["committed"])
         orders = (await self.rig.state_of()).orders
         self.assertEqual(
-            {order.ident: {part.thing: part.state for part in order.parts} for order in orders},
+            {order.order_id: {part.target: part.state for part in order.tasks} for order in orders},
             expected["orders"],
         )
-        permits = {each.thing: each.order for each in (await self.rig.state_of()).out if each.order}
+        permits = {
+            each.target: each.order_id for each in (await self.rig.state_of()).unavailable if each.order_id
+        }
         self.assertEqual(permits, {thing: order for thing, order in expected["permits"].items() if order})
         release = await self.rig.asker.ask_leader(messages.ReleaseStatusRequest())
-        self.assertEqual((release.ident, release.state), (expected["release"], "done"))
+        self.assertEqual((release.release_id, release.state), (expected["release"], "done"))
 
         async def started_again() -> bool:
             generations = await self.rig.generations()
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -21,34 +21,37 @@
 from oakkeel.node.request_handler import RequestHandler
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.node_limits import Pairs, flatten, read_limits
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import CallFinished, CancelRun, ClientDisconnected, SharedResponse, StartRun
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer
 from tests.support.fake_host import GROUP, FakeHost
 from tests.support.node_process import TOLD, WAIT
 
-BOUNDS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
+RESOURCE_LIMITS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
 LOG = EventLog("test", 0)
 
 
-def exchange(ident: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", group=GROUP, **fields) -> NodeRequest:
+def exchange(
+    request_id: bytes = b"9b1f03aa5c7e2d41", mark: bytes = b"", request_class=GROUP, **fields
+) -> NodeRequest:
     return NodeRequest(
         **{
             **dict(
-                group=group,
+                request_class=request_class,
                 tenant=None,
-                caller=0,
+                client=0,
                 memory_kb=50,
-                marked_retry=False,
-                left=5 * SECOND,
-                backlog=0,
+                retry_attempt=False,
+                remaining_time=5 * SECOND,
+                queueing_delay=0,
                 has_key=bool(mark),
-                repeats=False,
-                ident=ident,
+                is_duplicate=False,
+                request_id=request_id,
                 tag=1,
-                group_name=b"quote",
+                class_name=b"quote",
                 body=b"",
-                key=(group.index, mark) if mark else None,
+                cache_key=(request_class.index, mark) if mark else None,
                 connection=None,
             ),
             **fields,
@@ -56,6 +59,14 @@
     )
 
 
+async def finished_call(request: NodeRequest) -> CallFinished:
+    """The next event of a request, which must be the end of its call."""
+    event = await asyncio.wait_for(request.next_event(), WAIT)
+    if not isinstance(event, CallFinished):
+        raise AssertionError(f"not the end of a call: {event}")
+    return event
+
+
 def split(data: bytes, step: int, parse) -> list:
     """What a parser makes of bytes that come in pieces of one size."""
     read_buffer, found = ReadBuffer(BufferPool(512, 1)), []
@@ -141,7 +152,7 @@
         values = flatten(TOLD)
         text = "\n".join(f"{path}={value}" for path, value in values.items())
         self.assertEqual(values["classes.count"], "4")
-        self.assertEqual(str(read_limits(Pairs(values)).groups[0].slo_time), "8000000000")
+        self.assertEqual(str(read_limits(Pairs(values)).request_classes[0].latency_objective), "8000000000")
         self.assertEqual(Pairs.from_text(text).values, values)
 
 
@@ -151,7 +162,7 @@
         self.writers = []
         self.server = await asyncio.start_server(self._accepted, "127.0.0.1", 0)
         address = self.server.sockets[0].getsockname()
-        self.catalogue = Catalogue(address, BufferPool(8192, 99), BOUNDS, LOG)
+        self.catalogue = Catalogue(address, BufferPool(8192, 99), RESOURCE_LIMITS, LOG)
 
     async def _accepted(self, reader, writer):
         self.writers.append(writer)
@@ -172,8 +183,8 @@
         request = exchange()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-        writer.write(b"%s FAULT\r\n" % request.ident)
-        await request.hear()
+        writer.write(b"%s FAULT\r\n" % request.request_id)
+        await request.next_event()
         return request, self.catalogue.links[0]
 
     async def test_a_late_reply_is_not_taken_for_that_of_the_next_call(self):
@@ -182,34 +193,35 @@
         self.catalogue.fetch(request, time.monotonic_ns() + 50 * MS, b"first")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
-        self.assertEqual((await request.hear())[:2], (RequestEvent.REPLY, Outcome.GIVEN_UP))
+        self.assertEqual((await finished_call(request)).outcome, Outcome.TIMED_OUT)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         again, writer_again = await asyncio.wait_for(self.peers.get(), WAIT)
         await again.readline()
-        writer.write(b"%s DATA 3\r\nold\r\n" % request.ident)
+        writer.write(b"%s DATA 3\r\nold\r\n" % request.request_id)
         await writer.drain()
         self.assertEqual([await reader.readline() for _ in range(2)][1][:4], b"QUIT")
-        writer_again.write(b"%s DATA 3\r\nnew\r\n" % request.ident)
-        self.assertEqual((await request.hear())[:3], (RequestEvent.REPLY, Outcome.COMPLETED, b"new"))
+        writer_again.write(b"%s DATA 3\r\nnew\r\n" % request.request_id)
+        finished = await finished_call(request)
+        self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"new"))
 
     async def test_each_reply_is_the_outcome_that_it_proves(self):
         for word, outcome in (
-            (b"LATER", Outcome.DENIED),
+            (b"LATER", Outcome.REJECTED),
             (b"FAULT", Outcome.ERROR),
-            (b"NOUSE", Outcome.MOOT),
-            (b"TOOSLOW", Outcome.GIVEN_UP),
+            (b"NOUSE", Outcome.NEVER_STARTED),
+            (b"TOOSLOW", Outcome.TIMED_OUT),
         ):
             request = exchange(b"%016x" % len(word))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
             if not self.catalogue.links[0].connected:
                 _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-            writer.write(b"%s %s\r\n" % (request.ident, word))
-            self.assertEqual((await request.hear())[1], outcome)
+            writer.write(b"%s %s\r\n" % (request.request_id, word))
+            self.assertEqual((await finished_call(request)).outcome, outcome)
         self.assertEqual(len(self.catalogue.links), 1)
 
-    async def _placed(self, ident):
+    async def _placed(self, request_id):
         """An exchange whose call is at the catalogue, with the two ends of its link there."""
-        request = exchange(ident)
+        request = exchange(request_id)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         await reader.readline()
@@ -231,18 +243,20 @@
             )
         ):
             request, writer = await self._placed(b"%016x" % number)
-            writer.write(spoilt.replace(b"%s", request.ident))
-            self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1], Outcome.RESET, spoilt)
-        other_writer.write(b"%s DATA 2\r\nok\r\n" % other.ident)
-        self.assertEqual((await other.hear())[1:3], (Outcome.COMPLETED, b"ok"))
+            writer.write(spoilt.replace(b"%s", request.request_id))
+            self.assertEqual((await finished_call(request)).outcome, Outcome.RESET, spoilt)
+        other_writer.write(b"%s DATA 2\r\nok\r\n" % other.request_id)
+        finished = await finished_call(other)
+        self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
 
     async def test_a_good_reply_counts_though_more_comes_with_it_and_its_link_takes_no_other_call(self):
         stray = b"feedfeedfeedfeed DATA 1\r\nx\r\n%s"
         for number, (ahead, behind) in enumerate(((b"%s", b"%s"), (stray, b""))):
             request, writer = await self._placed(b"%016x" % number)
-            reply = b"%s DATA 2\r\nok\r\n" % request.ident
+            reply = b"%s DATA 2\r\nok\r\n" % request.request_id
             writer.write(ahead.replace(b"%s", reply) + behind.replace(b"%s", reply))
-            self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1:3], (Outcome.COMPLETED, b"ok"))
+            finished = await finished_call(request)
+            self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"next")
             await asyncio.wait_for(self.peers.get(), WAIT)  # a link of its own
             request.call.give_up(None)
@@ -256,7 +270,7 @@
 
     async def test_an_idle_link_is_not_used_again_just_before_it_is_closed(self):
         request, first = await self._replied()
-        first.used -= BOUNDS.call_idle + SECOND
+        first.used -= RESOURCE_LIMITS.call_idle_timeout + SECOND
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         self.assertTrue(first.stream.closed())
         self.assertIsNot(self.catalogue.links[0], first)
@@ -273,8 +287,8 @@
         request = exchange()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-        writer.write(b"%s DATA 10\r\nhalf" % request.ident)
-        self.assertEqual((await asyncio.wait_for(request.hear(), WAIT))[1], Outcome.RESET)
+        writer.write(b"%s DATA 10\r\nhalf" % request.request_id)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.RESET)
         self.assertTrue(self.catalogue.links[0].stream.closed())
 
     async def test_a_link_that_the_catalogue_closed_unseen_takes_no_call(self):
@@ -295,13 +309,13 @@
         request = exchange()
         with unittest.mock.patch("oakkeel.catalogue.links.socket.socket", none):
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
-        self.assertEqual((await request.hear())[1], Outcome.UNREACHED)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_call_that_waits_for_its_connection_when_its_time_is_up_never_ran(self):
         request = exchange()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"first")
         request.call.give_up()
-        self.assertEqual((await request.hear())[1], Outcome.UNREACHED)
+        self.assertEqual((await finished_call(request)).outcome, Outcome.CONNECT_FAILED)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
         readers = [(await asyncio.wait_for(self.peers.get(), WAIT))[0] for _ in range(2)]
         self.catalogue.links[0].stream.close()
@@ -325,7 +339,7 @@
             raise RuntimeError("a defect")
 
         server = await asyncio.start_server(accepted, "127.0.0.1", 0)
-        link = EngineLink(server.sockets[0].getsockname(), BufferPool(8192, 9), BOUNDS, LOG, started)
+        link = EngineLink(server.sockets[0].getsockname(), BufferPool(8192, 9), RESOURCE_LIMITS, LOG, started)
         serving = asyncio.ensure_future(link.serve())
         for _ in range(2):
             self.assertEqual(await asyncio.wait_for(attached.get(), WAIT), b"ATTACH 0\r\n")
@@ -343,7 +357,7 @@
 
         server = await asyncio.start_server(accepted, "127.0.0.1", 0)
         pool = BufferPool(8192, 0)
-        link = EngineLink(server.sockets[0].getsockname(), pool, BOUNDS, LOG, lambda cold, age: None)
+        link = EngineLink(server.sockets[0].getsockname(), pool, RESOURCE_LIMITS, LOG, lambda cold, age: None)
         serving = asyncio.ensure_future(link.serve())
         for _ in range(9):
             await asyncio.sleep(0)
@@ -371,16 +385,20 @@
 
         server = await asyncio.start_server(accepted, "127.0.0.1", 0)
         link = EngineLink(
-            server.sockets[0].getsockname(), BufferPool(8192, 9), BOUNDS, LOG, lambda cold, age: up.set()
+            server.sockets[0].getsockname(),
+            BufferPool(8192, 9),
+            RESOURCE_LIMITS,
+            LOG,
+            lambda cold, age: up.set(),
         )
         serving = asyncio.ensure_future(link.serve())
         await asyncio.wait_for(up.wait(), WAIT)
         request = exchange()
         link.run(request)
-        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.ident)
+        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.request_id)
         await asyncio.wait_for(link.ask_gauges(), WAIT)
         links[0].close()
-        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.ident)
+        self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.request_id)
         serving.cancel()
         await asyncio.wait((serving,))
         server.close()
@@ -396,7 +414,7 @@
 
         old, new = [await asyncio.start_server(accepted, "127.0.0.1", 0) for _ in range(2)]
         addresses = [server.sockets[0].getsockname() for server in (old, new)]
-        link = EngineLink(addresses[0], BufferPool(8192, 9), BOUNDS, LOG, lambda cold, age: None)
+        link = EngineLink(addresses[0], BufferPool(8192, 9), RESOURCE_LIMITS, LOG, lambda cold, age: None)
         serving = asyncio.ensure_future(link.serve())
         await asyncio.sleep(0)
         link.move(addresses[1])
@@ -423,7 +441,7 @@
                 self.closed = True
                 return False  # it needs no descriptor any more
 
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), BOUNDS, None, LOG)
+        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
         self.addCleanup(listener.socket.close)
         old, new, held = Stand(), Stand(), Stand()
         listener.silent = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
@@ -437,7 +455,9 @@
 class FloodStories(unittest.IsolatedAsyncioTestCase):
     async def test_what_waits_to_be_accepted_when_listening_ends_is_still_served(self):
         # Its exchange was written to a connection that the machine had taken, and got no answer.
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, BOUNDS.buffers), BOUNDS, None, LOG)
+        listener = Listener(
+            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
+        )
         listener.socket.listen(40)
         callers = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
         listener.open()
@@ -449,7 +469,9 @@
 
     async def test_a_flood_of_connections_is_accepted_a_few_at_a_time(self):
         # All that waited were accepted in one pass: 180 ms in which nothing else was read or answered.
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, BOUNDS.buffers), BOUNDS, None, LOG)
+        listener = Listener(
+            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
+        )
         listener.socket.listen(40)
         callers = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
         listener.open()
@@ -458,7 +480,7 @@
             await asyncio.sleep(0)
             seen.append(len(listener.connections))
         steps = [after - before for before, after in zip([0, *seen], seen, strict=False)]
-        self.assertLessEqual(max(steps), BOUNDS.accepts)
+        self.assertLessEqual(max(steps), RESOURCE_LIMITS.accepts_per_pass)
         await listener.close()
         for opened in (*listener.connections, *callers):
             opened.close()
@@ -471,7 +493,9 @@
             directory.bind(("127.0.0.1", 0))
             directory.setblocking(False)
             loop = asyncio.get_running_loop()
-            reports = DirectoryReporter(directory.getsockname(), "n3", replace(BOUNDS, pulse=600 * SECOND))
+            reports = DirectoryReporter(
+                directory.getsockname(), "n3", replace(RESOURCE_LIMITS, report_interval=600 * SECOND)
+            )
             reports.start()
             reports.set_taking(False)
             said = [await asyncio.wait_for(loop.sock_recv(directory, 99), WAIT) for _ in range(4)]
@@ -481,7 +505,7 @@
 
 class KeptStories(unittest.TestCase):
     def test_a_read_is_shared_while_fresh_and_not_after(self):
-        kept, first = ResponseCache(BOUNDS, SECOND), exchange(mark=b"s")
+        kept, first = ResponseCache(RESOURCE_LIMITS, SECOND), exchange(mark=b"s")
         now = time.monotonic_ns()
         kept.remember(first, now, 5 * SECOND)
         self.assertTrue(kept.find(exchange(mark=b"s"), now))
@@ -491,25 +515,34 @@
         self.assertFalse(kept.find(exchange(mark=b"other"), now))
 
     def test_followers_of_one_that_is_dropped_unrun_are_told(self):
-        kept, first, follower = ResponseCache(BOUNDS, SECOND), exchange(mark=b"s"), exchange(mark=b"s")
+        kept, first, follower = (
+            ResponseCache(RESOURCE_LIMITS, SECOND),
+            exchange(mark=b"s"),
+            exchange(mark=b"s"),
+        )
         kept.remember(first, 0, SECOND)
         kept.find(follower, 0)
         kept.share(follower)
         kept.forget(first)
-        self.assertEqual(follower.events.popleft()[:2], (RequestEvent.SHARED, Outcome.DENIED))
+        self.assertEqual(follower.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
         self.assertFalse(kept.find(exchange(mark=b"s"), 0))
 
     def test_what_is_kept_is_bounded_and_a_key_that_must_not_run_twice_is_never_dropped(self):
-        bounds = replace(BOUNDS, memory=4 * BOUNDS.result_size * 2)  # room for two
-        once = replace(GROUP, effect=FakeHost(groups=[{}]).limits.groups[0].effect.__class__.DEDUPLICATED)
-        kept = ResponseCache(bounds, SECOND)
-        kept.remember(exchange(mark=b"a", group=once), 0, SECOND)
+        resource_limits = replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size * 2)  # room for two
+        once = replace(
+            GROUP,
+            idempotency=FakeHost(request_classes=[{}])
+            .limits.request_classes[0]
+            .idempotency.__class__.IDEMPOTENCY_KEY,
+        )
+        kept = ResponseCache(resource_limits, SECOND)
+        kept.remember(exchange(mark=b"a", request_class=once), 0, SECOND)
         kept.remember(exchange(mark=b"b"), 0, SECOND)
-        kept.remember(exchange(mark=b"c", group=once), 0, SECOND)  # in place of the read
+        kept.remember(exchange(mark=b"c", request_class=once), 0, SECOND)  # in place of the read
         self.assertEqual([key for _, key in kept.results], [b"a", b"c"])
         self.assertTrue(kept.full(SECOND // 2))
         self.assertTrue(kept.full(SECOND))  # one that came before may be read as late as its caller waits
-        self.assertFalse(kept.full(SECOND + GROUP.async_timeout))
+        self.assertFalse(kept.full(SECOND + GROUP.client_timeout))
 
 
 class LifeStories(unittest.IsolatedAsyncioTestCase):
@@ -528,7 +561,7 @@
 
         parts = Parts()
         parts.admission = parts
-        handler = RequestHandler(parts, parts, parts, ResponseCache(BOUNDS, 0), Metrics(), LOG)
+        handler = RequestHandler(parts, parts, parts, ResponseCache(RESOURCE_LIMITS, 0), Metrics(), LOG)
         for _ in range(2):
             request = exchange(connection=parts)
             await asyncio.wait_for(handler.handle(request), 5)
@@ -536,15 +569,13 @@
 
     async def test_events_come_in_order(self):
         request = exchange()
-        request.tell(RequestEvent.RUN)
-        request.tell(RequestEvent.STOP)
-        self.assertEqual(
-            [(await request.hear())[0], (await request.hear())[0]], [RequestEvent.RUN, RequestEvent.STOP]
-        )
-        waiting = asyncio.ensure_future(request.hear())
+        request.post(StartRun())
+        request.post(CancelRun())
+        self.assertEqual([await request.next_event(), await request.next_event()], [StartRun(), CancelRun()])
+        waiting = asyncio.ensure_future(request.next_event())
         await asyncio.sleep(0)
-        request.tell(RequestEvent.GONE)
-        self.assertEqual(await waiting, (RequestEvent.GONE,))
+        request.post(ClientDisconnected())
+        self.assertEqual(await waiting, ClientDisconnected())
         self.assertEqual(request.state, RequestState.READ)
 
 
