--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -405,7 +405,7 @@
             each.target: each.order_id for each in (await self.rig.state_of()).unavailable if each.order_id
         }
         self.assertEqual(permits, {thing: order for thing, order in expected["permits"].items() if order})
-        release = await self.rig.asker.ask_leader(messages.ReleaseStatusRequest())
+        release = await self.rig.asker.request_leader(messages.ReleaseStatusRequest())
         self.assertEqual((release.release_id, release.state), (expected["release"], "done"))
 
         async def started_again() -> bool:
