--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -259,6 +259,6 @@
 
 def require_control_plane(client: FleetClient) -> FleetClient:
     """Return the client of a fleet with replicas; any other fleet ends the command."""
-    if client.fleet.keepers is None:
+    if client.fleet.control_plane is None:
         fail(f"{client.fleet.path}: this fleet has no keepers: each agent is on its own")
     return client
--- a/oakkeel/cli/selection.py
+++ b/oakkeel/cli/selection.py
@@ -28,9 +28,9 @@
 
 def selected_services(client: FleetClient, selection: Selection) -> list[str]:
     """Return the downstream services that are named; both services and instances end the command."""
-    if client.fleet.keepers is None:
+    if client.fleet.control_plane is None:
         return []
-    services = {service.name for service in client.fleet.keepers.services}
+    services = {service.name for service in client.fleet.control_plane.services}
     named = [name for name in selection.names if name in services]
     if named and len(named) < len(selection.names):
         fail("name either instances or services below")
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -23,7 +23,7 @@
 from oakkeel.fleet.view import FleetView
 from oakkeel.rendering.instances import instances_table
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of
+from oakkeel.settings.keys import read_operator_key
 
 SECOND = 1_000_000_000
 HOST = "wb1"
@@ -55,7 +55,7 @@
         loop.add_signal_handler(number, done.set)
     async with _agent_over_fakes(folder) as site:
         fleet = read_fleet(site.settings)
-        agents, view = AgentClients(fleet, key_of(fleet, "asha")), FleetView(fleet)
+        agents, view = AgentClients(fleet, read_operator_key(fleet, "asha")), FleetView(fleet)
         dispatcher = Dispatcher(1, lambda: addresses_of(view), rate, seed=1)
         console.print(
             f"Three nodes at {rate:g} requests a second. From another terminal, as long as it lasts:\n"
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -17,7 +17,7 @@
 from oakkeel.fleet.fan_out import FanOut, FanOutPolicy, Target, TargetState
 from oakkeel.fleet.leader_discovery import LeaderDiscovery, SearchState
 from oakkeel.fleet.view import FleetView
-from oakkeel.settings.fleet import Fleet, SettingsError
+from oakkeel.settings.types import Fleet, SettingsError
 
 AgentError, AgentRejectedError = LinkError, AuthenticationRejectedError
 OnResponse = Callable[[str, int, messages.Response], None]
@@ -37,7 +37,7 @@
     """Send one request on a connection of its own, with no deadline. Raises AgentError."""
     client = AuthenticatedClient(address, key)
     try:
-        return messages.decode_response(await client.ask(messages.encode(request)))
+        return messages.decode_response(await client.request(messages.encode(request)))
     except msgspec.MsgspecError as error:
         raise AgentError(str(error)) from error
     finally:
@@ -112,7 +112,7 @@
         `deadline` in nanoseconds, 0 for that of the settings; `on_response` is called with the host, when its
         request was sent, and the response.
         """
-        settings = self.fleet.asking
+        settings = self.fleet.client
         policy = FanOutPolicy(deadline or settings.deadline, settings.hedge, settings.tries)
         fan_out = FanOut(time.monotonic_ns(), requests, policy, secrets.randbits(63))
         in_progress = FanOutRequest(self, requests, fan_out)
@@ -130,11 +130,11 @@
 
         `deadline` in nanoseconds, 0 for some deadlines of the settings.
         """
-        if self.fleet.keepers is None:
+        if self.fleet.control_plane is None:
             raise SettingsError(f"{self.fleet.path}: the fleet has no keepers, so nobody leads")
-        voters = self.fleet.keepers.hosts
+        voters = self.fleet.control_plane.hosts
         others = [host.name for host in self.fleet.hosts if host.name not in voters]
-        per_request = self.fleet.asking.deadline
+        per_request = self.fleet.client.deadline
         search = LeaderDiscovery(
             time.monotonic_ns(), [*voters, *others], deadline or LEADER_DEADLINES * per_request
         )
