--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -37,11 +37,16 @@
         engine: EngineLink,
         listener: Listener,
         reports: DirectoryReporter,
-        results: ResponseCache,
+        response_cache: ResponseCache,
         measures: Metrics,
         log: EventLog,
     ) -> None:
-        self.engine, self.listener, self.reports, self.results = engine, listener, reports, results
+        self.engine, self.listener, self.reports, self.response_cache = (
+            engine,
+            listener,
+            reports,
+            response_cache,
+        )
         self.start, self.measures, self.log = start, measures, log
         self.loop = asyncio.get_running_loop()
         self.gauges, self.gauges_at = Gauges(), 0
@@ -105,10 +110,10 @@
         request.post(AwaitSharedResponse())
 
     def retain_key(self, request: NodeRequest, duration: int) -> None:
-        self.results.remember(request, time.monotonic_ns(), duration)
+        self.response_cache.retain(request, time.monotonic_ns(), duration)
 
     def release_key(self, request: NodeRequest) -> None:
-        self.results.forget(request)
+        self.response_cache.release(request)
 
     # Timers.
 
@@ -125,7 +130,7 @@
         """The decisions compare the gauges with what they run now: gauges of a second ago mislead them."""
         try:
             if asked := self.engine.ask_gauges():
-                await asyncio.wait((asked,), timeout=self.start.bounds.gauges_wait / SECOND)
+                await asyncio.wait((asked,), timeout=self.start.resource_limits.gauges_timeout / SECOND)
             if asked and asked.done():
                 self.gauges_at = time.monotonic_ns()
                 for name, value in zip(self.start.gauges, asked.result(), strict=False):
@@ -136,7 +141,7 @@
             self.tell(self.admission.timer_expired, token, self.gauges)
         except Exception as error:  # the node lives on, and so must its poll
             self.log.error("timer_failed", error=fault(error))
-            self.set_timer(token, time.monotonic_ns() + self.start.bounds.timer_retry)
+            self.set_timer(token, time.monotonic_ns() + self.start.resource_limits.timer_retry)
 
     # The node as a whole.
 
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -48,11 +48,11 @@
         host: NodeHost,
         engine: EngineLink,
         catalogue: Catalogue,
-        results: ResponseCache,
+        response_cache: ResponseCache,
         measures: Metrics,
         log: EventLog,
     ) -> None:
-        self.host, self.engine, self.catalogue, self.results = host, engine, catalogue, results
+        self.host, self.engine, self.catalogue, self.response_cache = host, engine, catalogue, response_cache
         self.measures, self.log = measures, log
 
     async def handle(self, request: NodeRequest) -> None:
@@ -67,15 +67,15 @@
         finally:
             self.catalogue.quit(request)
             if request.may_have_run:
-                self.results.ended(request, Outcome.ERROR, b"")
+                self.response_cache.finish(request, Outcome.ERROR, b"")
             else:
-                self.results.forget(request)  # a repeat of what went unrun may run
+                self.response_cache.release(request)  # a repeat of what went unrun may run
 
     def _admissible(self, request: NodeRequest) -> bool:
         """Look up its idempotency key; what the key forbids is answered here."""
         now = time.monotonic_ns()
-        request.is_duplicate = self.results.find(request, now)
-        if request.is_duplicate and self.results.differs(request):
+        request.is_duplicate = self.response_cache.find(request, now)
+        if request.is_duplicate and self.response_cache.key_mismatch(request):
             request.connection.fault("idempotency_key_mismatch")
             self._answer(request, codec.TERMINATED)
             return False
@@ -83,7 +83,7 @@
             request.cache_key
             and request.request_class.at_most_once
             and not request.is_duplicate
-            and self.results.full(now)
+            and self.response_cache.full(now)
         ):
             self._deny(request)  # its repeats could not be told from it
             return False
@@ -93,7 +93,7 @@
         """Carry out the verdict on a request that has arrived."""
         event = await self._next(request)
         if isinstance(event, AwaitSharedResponse):
-            self.results.share(request)
+            self.response_cache.share(request)
             event = await self._next(request)
         if isinstance(event, SharedResponse):
             self.host.tell(self.host.admission.run_finished, request, event.outcome, 0)
@@ -157,7 +157,7 @@
         if request.unknown_to_engine:
             request.connection.fault("request_id_unknown")
         if request.may_have_run:
-            self.results.ended(request, counted, run.result)
+            self.response_cache.finish(request, counted, run.result)
         self._answer_run(request, run.outcome, run.result)
 
     def _answer_run(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
@@ -169,7 +169,7 @@
             self._answer(request, codec.TERMINATED)
 
     def _deny(self, request: NodeRequest) -> None:
-        self._answer(request, codec.DENIED, retry_after=self.host.admission.return_after())
+        self._answer(request, codec.DENIED, retry_after=self.host.admission.retry_after())
 
     def _answer(
         self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -52,7 +52,7 @@
 
         async def told() -> bool:
             nonlocal answer
-            answer = await self.rig.asker.ask_leader(wish)
+            answer = await self.rig.asker.request_leader(wish)
             return True
 
         await self.rig.until("the leader answers", told)
@@ -79,7 +79,7 @@
 
         async def so() -> bool:
             nonlocal found
-            answer = await self.rig.asker.ask_leader(messages.ReleaseStatusRequest(ident))
+            answer = await self.rig.asker.request_leader(messages.ReleaseStatusRequest(ident))
             assert isinstance(answer, messages.ReleaseStatus), answer
             found = answer
             return done(answer)
@@ -201,7 +201,7 @@
         [host] = [host for host, names in self.hosts.items() if "n4a" in names]
         folder = os.path.join(self.folder, host, "versions")
         self.assertIsNotNone(ContentStore(folder).find(runs))
-        dropped = ContentStore(folder).drop_but({runs})
+        dropped = ContentStore(folder).prune({runs})
         self.assertEqual((dropped, ContentStore(folder).find(runs) is None), ([what.version], False))
 
     async def test_the_copy_is_run_and_not_what_lies_at_the_path_by_then(self):
