--- a/measure/node.py
+++ b/measure/node.py
@@ -92,7 +92,7 @@
     client = ControlClient(path)
     while True:
         with contextlib.suppress(ControlError):
-            await client.ask(1.0)
+            await client.status(1.0)
         await asyncio.sleep(0.2)
 
 
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -135,17 +135,17 @@
         client = ControlClient(self.processes.path(instance.name, "sock"))
         try:
             if act is Action.STAY:
-                answer = await client.stay(process.generation, ANSWER / SECOND)
-                self.log.info("drain_cancel_requested", answer=answer.why or "it does", **facts)
-                if answer.why:
-                    instance.why = f"told to stay: {answer.why}"
+                answer = await client.cancel_drain(process.generation, ANSWER / SECOND)
+                self.log.info("drain_cancel_requested", answer=answer.reason or "it does", **facts)
+                if answer.reason:
+                    instance.why = f"told to stay: {answer.reason}"
                 return
             # All is answered before it could be killed.
-            answer = await client.leave(
+            answer = await client.drain(
                 process.generation, ANSWER / SECOND, self.supervision.patience.drain * 9 // 10
             )
-            self.log.info("drain_requested", answer=answer.why or None, **facts)
-            if answer.done:
+            self.log.info("drain_requested", answer=answer.reason or None, **facts)
+            if answer.accepted:
                 return
         except ControlError as error:
             self.log.warning("control_request_failed", error=str(error), **facts)
@@ -230,7 +230,7 @@
         try:
             while True:
                 try:
-                    report = await client.ask(ANSWER / SECOND)
+                    report = await client.status(ANSWER / SECOND)
                     if client.pid != process.pid:
                         client.close()
                         raise ControlError(f"process {client.pid} answers in place of {process.pid}")
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -90,13 +90,13 @@
             )
             if isinstance(report, NodeStatus):
                 run.load = report.load
-                if self.fitting.watch and len(report.benefit) == 3:
+                if self.fitting.watch and len(report.earned_weight) == 3:
                     run.figures = Samples(
-                        Sums(*report.benefit),
-                        report.denied,
-                        report.terminated,
+                        Sums(*report.earned_weight),
+                        report.rejected,
+                        report.failed,
                         report.resident_kb,
-                        {group: Sums(*sums) for group, sums in report.times.items() if len(sums) == 3},
+                        {group: Sums(*sums) for group, sums in report.latencies.items() if len(sums) == 3},
                     )
             runs.append(run)
         return runs
--- a/oakkeel/control/client.py
+++ b/oakkeel/control/client.py
@@ -27,68 +27,74 @@
 
 
 class ControlError(OSError):
-    """The node did not answer, or not what was asked; the text says how."""
+    """The node did not response, or not what was asked; the text says how."""
 
 
 class ControlClient:
-    """One link to one node, made anew where it broke. One question at a time."""
+    """One link to one node, connected again after it broke. One request at a time."""
 
     def __init__(self, path: str) -> None:
+        """Name the socket of the node; it is connected with the first request."""
         self.path = path
         self.tags = itertools.count(1)
         self.stream: IOStream | None = None
         self.pid = 0  # of the process at the other end, as the kernel says
 
-    async def ask(self, timeout: float) -> NodeStatus:
-        """Raises ControlError; `timeout` in seconds."""
-        answer = await self._exchange(StatusRequest(next(self.tags)), timeout)
-        if not isinstance(answer, NodeStatus):
-            raise ControlError(f"no report: {getattr(answer, 'why', '')}")
-        return answer
-
-    async def leave(self, generation: int, timeout: float, within: int = 0) -> Acknowledgement:
-        """`within`: nanoseconds until it ends, 0 as after a SIGTERM."""
-        return await self._order(DrainRequest(next(self.tags), generation, within), timeout)
-
-    async def stay(self, generation: int, timeout: float) -> Acknowledgement:
-        return await self._order(CancelDrainRequest(next(self.tags), generation), timeout)
-
-    async def _order(self, wish: DrainRequest | CancelDrainRequest, timeout: float) -> Acknowledgement:
-        answer = await self._exchange(wish, timeout)
-        if not isinstance(answer, Acknowledgement):
+    async def status(self, timeout: float) -> NodeStatus:
+        """Fetch the state of the node, within `timeout` seconds; raises ControlError, as all requests do."""
+        response = await self._request(StatusRequest(next(self.tags)), timeout)
+        if not isinstance(response, NodeStatus):
+            raise ControlError(f"no report: {getattr(response, 'reason', '')}")
+        return response
+
+    async def drain(self, generation: int, timeout: float, drain_timeout: int = 0) -> Acknowledgement:
+        """Order a drain that ends within `drain_timeout` nanoseconds, 0 as after a SIGTERM."""
+        return await self._send_order(DrainRequest(next(self.tags), generation, drain_timeout), timeout)
+
+    async def cancel_drain(self, generation: int, timeout: float) -> Acknowledgement:
+        """Order the end of a drain, so that the node takes requests again."""
+        return await self._send_order(CancelDrainRequest(next(self.tags), generation), timeout)
+
+    async def _send_order(
+        self, request: DrainRequest | CancelDrainRequest, timeout: float
+    ) -> Acknowledgement:
+        response = await self._request(request, timeout)
+        if not isinstance(response, Acknowledgement):
             raise ControlError("a report in place of an answer to an order")
-        return answer
+        return response
 
-    async def clients(self, most: int, timeout: float) -> ClientsStatus:
-        answer = await self._exchange(ClientsRequest(next(self.tags), most), timeout)
-        if not isinstance(answer, ClientsStatus):
+    async def clients_status(self, limit: int, timeout: float) -> ClientsStatus:
+        """Fetch the heaviest clients, `limit` of them at the most."""
+        response = await self._request(ClientsRequest(next(self.tags), limit), timeout)
+        if not isinstance(response, ClientsStatus):
             raise ControlError("no list of clients")
-        return answer
+        return response
 
-    async def _exchange(self, wish: Request, timeout: float) -> Response:
+    async def _request(self, request: Request, timeout: float) -> Response:
         try:
-            return await asyncio.wait_for(self._try(wish), timeout)
+            return await asyncio.wait_for(self._send(request), timeout)
         except ControlError:
             self.close()
             raise
         except (TimeoutError, OSError, ValueError, msgspec.MsgspecError) as error:
-            self.close()  # an answer that comes late must not be taken for that of the next question
+            self.close()  # a late response must not be taken for that of the next request
             raise ControlError(f"{type(error).__name__}: {error}".rstrip(": ")) from None
 
-    async def _try(self, wish: Request) -> Response:
+    async def _send(self, request: Request) -> Response:
         if self.stream is None:
             self.stream = IOStream(socket.socket(socket.AF_UNIX), max_buffer_size=MAX_LINE_BYTES)
             await self.stream.connect(self.path)  # a path is an address as well
             peer = self.stream.socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
             self.pid = struct.unpack("3i", peer)[0]
-        self.stream.write(encode(wish))
+        self.stream.write(encode(request))
         line = await self.stream.read_until(b"\n", max_bytes=MAX_LINE_BYTES)
-        answer = decode_response(line)
-        if answer.tag != wish.tag:
-            raise ControlError(f"an answer to another question: {getattr(answer, 'why', '')}")
-        return answer
+        response = decode_response(line)
+        if response.tag != request.tag:
+            raise ControlError(f"an answer to another question: {getattr(response, 'reason', '')}")
+        return response
 
     def close(self) -> None:
+        """Close the link; the next request opens another."""
         if self.stream:
             self.stream.close()
         self.stream = None
--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -1,4 +1,7 @@
-"""What passes on a control link: one JSON object a line, typed and bounded."""
+"""Messages of the control link: one JSON object a line, typed and bounded.
+
+Tags and keys are an outside form: a field that has another name here says its key.
+"""
 
 from __future__ import annotations
 
@@ -8,94 +11,101 @@
 
 
 class StatusRequest(msgspec.Struct, tag="ask", forbid_unknown_fields=True):
-    """How is the node? A `NodeStatus` comes back."""
+    """Ask for the state of the node; the response is a `NodeStatus`."""
 
     tag: int
 
 
 class DrainRequest(msgspec.Struct, tag="leave", forbid_unknown_fields=True):
-    """Drain and end, if the node is of that generation; `CancelDrainRequest` takes it back. `Told` comes back."""
+    """Drain and stop, if the node is of that generation; the response is an `Acknowledgement`."""
 
     tag: int
     generation: int
-    within: int = 0  # nanoseconds, until the rest is answered and it ends; 0: as after a SIGTERM
+    timeout: int = msgspec.field(default=0, name="within")  # nanoseconds to the end; 0: as after a SIGTERM
 
 
 class CancelDrainRequest(msgspec.Struct, tag="stay", forbid_unknown_fields=True):
-    """Take work again, if the node is of that generation and has not ended. `Told` comes back."""
+    """Cancel the drain, if the node is of that generation and has not stopped.
+
+    The response is an `Acknowledgement`.
+    """
 
     tag: int
     generation: int
 
 
 class ClientsRequest(msgspec.Struct, tag="clients", forbid_unknown_fields=True):
-    """Who sends the most, where shares are fair? `ClientsStatus` comes back."""
+    """Ask for the heaviest clients, where fair sharing is on; the response is a `ClientsStatus`."""
 
     tag: int
-    most: int = 20
+    limit: int = msgspec.field(default=20, name="most")
 
 
 class NodeStatus(msgspec.Struct, tag="report"):
-    """A node as it is now. Sizes in KB unless named otherwise, times in nanoseconds."""
+    """The state of a node. Sizes in KB unless named otherwise, times in nanoseconds."""
 
     tag: int
     name: str
     pid: int
-    generation: int  # told to it when it was started
+    generation: int  # given to it when it was started
     state: str  # waiting (its engine is not up), cold, serving, draining
     address: str
     uptime: int
-    stage: str = "NORMAL"  # of the ladder
-    cut: float = 0.0  # the rank below which exchanges are denied as low
-    hold: int = 0
-    runs: int = 0
-    calls: int = 0
-    memory_kb: float = 0.0  # booked by exchanges, as the decisions count
+    stage: str = "NORMAL"  # of overload
+    shedding_threshold: float = msgspec.field(
+        default=0.0, name="cut"
+    )  # requests of a lower rank are rejected
+    queued: int = msgspec.field(default=0, name="hold")
+    running: int = msgspec.field(default=0, name="runs")
+    calling: int = msgspec.field(default=0, name="calls")
+    memory_kb: float = 0.0  # booked by requests, as the admission controller counts
     resident_kb: int = 0
     descriptors: int = 0
     connections: int = 0
     gauges_age: int = -1  # -1: none were ever read
-    owes: int = 0  # exchanges read and not over
-    owes_by: dict[str, int] = {}  # the same by endpoint group, while it drains
+    open_requests: int = msgspec.field(default=0, name="owes")  # read and not over
+    open_by_class: dict[str, int] = msgspec.field(default_factory=dict, name="owes_by")  # while it drains
     completed: int = 0  # since its start, as the next two
-    denied: int = 0
-    terminated: int = 0
+    rejected: int = msgspec.field(default=0, name="denied")
+    failed: int = msgspec.field(default=0, name="terminated")
     cpu: int = 0  # nanoseconds of a core since its start
-    version: str = ""  # that it runs, as whoever started it said
+    version: str = ""  # that it runs, as whoever started it gave it
     load: float = 0.0  # of its cores, as it last read it
-    benefit: list[float] = []  # count, sum, sum of squares over exchanges since its start
-    times: dict[str, list[float]] = {}  # the same by endpoint group, of logarithms of seconds
+    # Count, sum and sum of squares over requests since the start: of the weight that each earned, and, by
+    # request class, of the logarithms of the seconds until it was completed.
+    earned_weight: list[float] = msgspec.field(default_factory=list, name="benefit")
+    latencies: dict[str, list[float]] = msgspec.field(default_factory=dict, name="times")
 
 
 class Acknowledgement(msgspec.Struct, tag="told"):
-    """What became of an order, or why a message was refused (tag 0: it could not be read)."""
+    """The result of an order, or why a message was refused (tag 0: it could not be read)."""
 
     tag: int
-    done: bool
-    why: str = ""
+    accepted: bool = msgspec.field(name="done")
+    reason: str = msgspec.field(default="", name="why")
 
 
 class ClientUsage(msgspec.Struct):
-    """One sender, as shares of what all ask for."""
+    """One client, as shares of what all ask for."""
 
     name: str
-    asks: float
+    demand: float = msgspec.field(name="asks")
     retries: float
-    keeps: float  # of what it asks, under its fair share
+    fair_fraction: float = msgspec.field(name="keeps")  # of its demand, under its fair share
 
 
 class ClientsStatus(msgspec.Struct, tag="clients"):
-    """The heaviest senders. Promises are counted since the start."""
+    """The heaviest clients. Reservations are counted since the start."""
 
     tag: int
-    by: list[str]  # who counts as one; empty: no sender is told from another
+    flow_key: list[str] = msgspec.field(name="by")  # fields that tell clients apart; empty: none are
     known: int = 0
-    error: float = 0.0  # the most that one not known may ask for
-    open: int = 0
-    made: int = 0
-    kept: int = 0
-    broken: int = 0
-    lapsed: int = 0
+    error: float = 0.0  # the highest share that one not known may have
+    reservations_open: int = msgspec.field(default=0, name="open")
+    reservations_made: int = msgspec.field(default=0, name="made")
+    reservations_honored: int = msgspec.field(default=0, name="kept")
+    reservations_broken: int = msgspec.field(default=0, name="broken")
+    reservations_expired: int = msgspec.field(default=0, name="lapsed")
     clients: list[ClientUsage] = []
 
 
@@ -107,14 +117,15 @@
 
 
 def encode(message: Request | Response) -> bytes:
+    """Write one message as a line."""
     return _encoder.encode(message) + b"\n"
 
 
 def decode_request(line: bytes) -> Request:
-    """Raises `msgspec.MsgspecError` with one plain line."""
+    """Read a request; raises `msgspec.MsgspecError` with one plain line."""
     return _request_decoder.decode(line)
 
 
 def decode_response(line: bytes) -> Response:
-    """Raises `msgspec.MsgspecError` with one plain line."""
+    """Read a response; raises `msgspec.MsgspecError` with one plain line."""
     return _response_decoder.decode(line)
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -284,7 +284,7 @@
             0,
             version=process.version,
             load=0.2,
-            benefit=[count, good, good],
+            earned_weight=[count, good, good],
         )
 
     def act(self, now: int) -> None:
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -1,9 +1,9 @@
-"""What the parts that come only where they are asked for see of the node that they belong to."""
+"""The view of a node that its optional parts get: control endpoint and fair sharing."""
 
 from __future__ import annotations
 
 from asyncio import Task
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from oakkeel.dispatch.codec import RequestReader
 from oakkeel.dispatch.listener import Listener
@@ -14,8 +14,13 @@
 from oakkeel.node.metrics import Metrics
 from oakkeel.resource_limits import ResourceLimits
 
+if TYPE_CHECKING:
+    from oakkeel.node.fair_sharing import NodeFairSharing
+
 
 class NodeContext(Protocol):
+    """The node, as its optional parts see it."""
+
     start: NodeConfiguration
     resource_limits: ResourceLimits
     log: EventLog
@@ -25,4 +30,4 @@
     measures: Metrics
     draining: Drain
     reader: RequestReader | None
-    fairly: Any  # measures of senders, or None
+    fairly: NodeFairSharing | None
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -1,4 +1,4 @@
-"""What a node tells of itself on its control links, and what it takes there. Loaded only where it has any."""
+"""What a node reports and accepts on its control links. Loaded only where it has any."""
 
 from __future__ import annotations
 
@@ -18,31 +18,34 @@
 
 
 def open_control(node: NodeContext) -> ControlListener:
-    """Raises OSError where its socket can't be made."""
+    """Bind the control socket of a node; raises OSError where it can't be made."""
     return ControlListener(node.start.control, ControlEndpoint(node), node.resource_limits, node.log)
 
 
 class ControlEndpoint:
+    """The `ControlTarget` of one node."""
+
     def __init__(self, node: NodeContext) -> None:
+        """Count the outcomes of the node's requests from now on."""
         self.node, self.started = node, time.monotonic_ns()
-        self.outcomes = OutcomeCounters(
-            max((each.priority_weight for each in node.start.limits.request_classes), default=1.0)
-        )
+        weights = (request_class.priority_weight for request_class in node.start.limits.request_classes)
+        self.outcomes = OutcomeCounters(max(weights, default=1.0))
         self.version = os.environ.get("OAKKEEL_VERSION", "")
-        node.measures.watch = self._answered
+        node.measures.watch = self._count_answer
 
-    def _answered(self, request: NodeRequest, word: bytes) -> None:
-        self.outcomes.answered(
+    def _count_answer(self, request: NodeRequest, word: bytes) -> None:
+        self.outcomes.count(
             time.monotonic_ns(),
             request,
             request.class_name.decode(errors="replace")[:64],
             word == codec.COMPLETED,
         )
 
-    def report(self, tag: int) -> NodeStatus:
+    def status(self, tag: int) -> NodeStatus:
+        """The state of the node by now."""
         node, now = self.node, time.monotonic_ns()
         host, port = node.listener.address
-        report = NodeStatus(
+        status = NodeStatus(
             tag=tag,
             name=node.start.name,
             pid=os.getpid(),
@@ -53,40 +56,50 @@
             resident_kb=resident_bytes() // 1024,
             descriptors=open_descriptors(),
             connections=len(node.listener.connections),
-            owes=len(node.open),
+            open_requests=len(node.open),
             cpu=time.process_time_ns(),
             completed=node.measures.total.get(codec.COMPLETED, 0),
-            denied=node.measures.total.get(codec.DENIED, 0),
-            terminated=node.measures.total.get(codec.TERMINATED, 0),
+            rejected=node.measures.total.get(codec.DENIED, 0),
+            failed=node.measures.total.get(codec.TERMINATED, 0),
             version=self.version,
             load=round(node.host.gauges.core_busy, 4),
-            benefit=self.outcomes.benefit,
-            times=self.outcomes.times,
+            earned_weight=self.outcomes.earned_weight,
+            latencies=self.outcomes.latencies,
         )
         if node.host.gauges_at:
-            report.gauges_age = now - node.host.gauges_at
+            status.gauges_age = now - node.host.gauges_at
         if node.host.begun:
-            admission = node.host.admission
-            report.stage = Stage(
-                max(admission.cpu_stage, admission.depth_stage, admission.latency_stage)
-            ).name
-            report.cut, report.memory_kb = round(admission.cut, 4), round(admission.memory_kb, 1)
-            report.hold = admission.count[RequestState.DELAYED] + admission.count[RequestState.QUEUED]
-            report.runs = admission.count[RequestState.RUNNING] + admission.count[RequestState.ORPHANED]
-            report.calls = admission.count[RequestState.AWAITING_CALL] + admission.count[RequestState.CALLING]
+            self._add_admission(status)
         if node.draining:
-            report.owes_by = dict(
-                Counter(
-                    request.class_name.decode(errors="replace")
-                    for each in node.listener.connections
-                    for request in each.open.values()
-                )
+            status.open_by_class = self._open_by_class()
+        return status
+
+    def _add_admission(self, status: NodeStatus) -> None:
+        """Fill in what the admission controller counts."""
+        admission = self.node.host.admission
+        status.stage = Stage(max(admission.cpu_stage, admission.depth_stage, admission.latency_stage)).name
+        status.shedding_threshold = round(admission.cut, 4)
+        status.memory_kb = round(admission.memory_kb, 1)
+        count = admission.count
+        status.queued = count[RequestState.DELAYED] + count[RequestState.QUEUED]
+        status.running = count[RequestState.RUNNING] + count[RequestState.ORPHANED]
+        status.calling = count[RequestState.AWAITING_CALL] + count[RequestState.CALLING]
+
+    def _open_by_class(self) -> dict[str, int]:
+        return dict(
+            Counter(
+                request.class_name.decode(errors="replace")
+                for connection in self.node.listener.connections
+                for request in connection.open.values()
             )
-        return report
+        )
 
-    def clients(self, tag: int, most: int) -> ClientsStatus:
+    def clients_status(self, tag: int, limit: int) -> ClientsStatus:
+        """The heaviest clients, none where fair sharing is off or has not started."""
         fairly = self.node.fairly
-        return fairly.told(tag, most) if fairly and self.node.host.begun else ClientsStatus(tag, [])
+        if fairly and self.node.host.begun:
+            return fairly.clients_status(tag, limit)
+        return ClientsStatus(tag, [])
 
     def _state(self, now: int) -> str:
         node = self.node
@@ -95,19 +108,21 @@
         if not node.host.begun:
             return "waiting"
         limits = node.start.limits
-        return (
-            "cold"
-            if limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
-            else "serving"
-        )
+        in_slow_start = limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
+        return "cold" if in_slow_start else "serving"
+
+    def _refusal(self, generation: int) -> str:
+        """Why an order for that generation is refused; empty where it is this one."""
+        own = self.node.start.generation
+        return "" if generation == own else f"this is generation {own}"
 
-    def ordered_to_leave(self, generation: int, within: int) -> str:
-        if generation != self.node.start.generation:
-            return f"this is generation {self.node.start.generation}"
-        self.node.draining.leave(within, final=False)
-        return ""
+    def request_drain(self, generation: int, timeout: int) -> str:
+        """Start a drain; returns why not, empty where it starts."""
+        refusal = self._refusal(generation)
+        if not refusal:
+            self.node.draining.leave(timeout, final=False)
+        return refusal
 
-    def ordered_to_stay(self, generation: int) -> str:
-        if generation != self.node.start.generation:
-            return f"this is generation {self.node.start.generation}"
-        return self.node.draining.stay()
+    def cancel_drain(self, generation: int) -> str:
+        """Cancel the drain; returns why not, empty where it does."""
+        return self._refusal(generation) or self.node.draining.stay()
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -100,14 +100,14 @@
         self.rules.weights.update(rules.weights)
         self.node.log.info("flow_weights_reloaded", weights=len(rules.weights))
 
-    def told(self, tag: int, most: int) -> ClientsStatus:
+    def clients_status(self, tag: int, limit: int) -> ClientsStatus:
         """The heaviest senders by now, innermost level."""
         fair, now = self.node.host.admission.fair, time.monotonic_ns()
         if fair is None:
             return ClientsStatus(tag, list(self.rules.levels))
         table, promises = fair.levels.tables[-1], fair.promises
         total = table.total(now) or 1.0
-        heaviest = sorted(table.senders.values(), key=lambda each: -table.rate(now, each))[:most]
+        heaviest = sorted(table.senders.values(), key=lambda each: -table.rate(now, each))[:limit]
         return ClientsStatus(
             tag,
             list(self.rules.levels),
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -1,4 +1,4 @@
-"""What came of the exchanges of one node since its start, by endpoint group: sums that can be subtracted.
+"""Outcomes of the requests of one node since its start, by request class: sums that can be subtracted.
 
 Free of I/O. Loaded only where a node has a control link.
 """
@@ -10,33 +10,29 @@
 from oakkeel.admission.types import Request
 
 SECOND = 1_000_000_000
-MOST_GROUPS = 16  # the first ones seen; a report has room for no more
+MAX_CLASSES = 16  # the first ones seen; a status message has room for no more
 
 
 class OutcomeCounters:
-    """Each sum is a list of count, sum and sum of squares."""
+    """Sums over answered requests; each is a list of count, sum and sum of squares."""
 
-    def __init__(self, most_benefit: float) -> None:
-        """`most_benefit`: of any endpoint group, which benefits are told as parts of."""
-        self.most = most_benefit or 1.0
-        self.benefit = [0.0, 0.0, 0.0]
-        self.times: dict[str, list[float]] = {}  # logarithms of seconds until completed
+    def __init__(self, highest_weight: float) -> None:
+        """Start at zero; `highest_weight` is that of any request class, and the unit of earned weights."""
+        self.highest_weight = highest_weight or 1.0
+        self.earned_weight = [0.0, 0.0, 0.0]
+        self.latencies: dict[str, list[float]] = {}  # logarithms of seconds until completed
 
-    def answered(self, now: int, request: Request, group: str, completed: bool) -> None:
-        """One was answered; what is late brings the part that its group says."""
-        brought = 0.0
+    def count(self, now: int, request: Request, class_name: str, completed: bool) -> None:
+        """Count one answer; a late one earns the part of its weight that its class gives."""
+        earned = 0.0
         if completed:
-            brought = (
-                request.request_class.priority_weight
-                / self.most
-                * (1.0 if now <= request.objective_end else request.request_class.late_weight)
-            )
-            if group in self.times or len(self.times) < MOST_GROUPS:
-                _add(
-                    self.times.setdefault(group, [0.0, 0.0, 0.0]),
-                    math.log(max(1e-6, (now - request.arrived_at) / SECOND)),
-                )
-        _add(self.benefit, brought)
+            request_class = request.request_class
+            timeliness = 1.0 if now <= request.objective_end else request_class.late_weight
+            earned = request_class.priority_weight / self.highest_weight * timeliness
+            if class_name in self.latencies or len(self.latencies) < MAX_CLASSES:
+                sums = self.latencies.setdefault(class_name, [0.0, 0.0, 0.0])
+                _add(sums, math.log(max(1e-6, (now - request.arrived_at) / SECOND)))
+        _add(self.earned_weight, earned)
 
 
 def _add(sums: list[float], value: float) -> None:
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -73,12 +73,12 @@
         return {}
     return {
         "stage": report.stage.lower(),
-        "hold": str(report.hold),
-        "runs": str(report.runs),
-        "calls": str(report.calls),
-        "owes": str(report.owes),
+        "hold": str(report.queued),
+        "runs": str(report.running),
+        "calls": str(report.calling),
+        "owes": str(report.open_requests),
         "ok": str(report.completed),
-        "denied": str(report.denied),
+        "denied": str(report.rejected),
         "MB": str(report.resident_kb // 1024),
     }
 
@@ -138,23 +138,26 @@
 
 def clients_table(status: ClientsStatus) -> Table:
     """Return the heaviest clients of a node, with their shares of all that is asked."""
-    flows = " / ".join(status.by)
+    flows = " / ".join(status.flow_key)
     table = plain_table()
     table.add_column(flows or "sender", justify="left" if flows else "right")
     for column in ("asks for", "of it retries", "keeps"):
         table.add_column(column, justify="right")
     for client in status.clients:
         table.add_row(
-            client.name or "(none told)", f"{client.asks:.1%}", f"{client.retries:.1%}", f"{client.keeps:.0%}"
+            client.name or "(none told)",
+            f"{client.demand:.1%}",
+            f"{client.retries:.1%}",
+            f"{client.fair_fraction:.0%}",
         )
     return table
 
 
 def clients_summary(status: ClientsStatus) -> str:
     """Return one line on what is known of all clients."""
-    if not status.by:
+    if not status.flow_key:
         return "no sender is told from another: the settings name none"
     return (
-        f"{status.known} known, others ask for at most {status.error:.2%} each; promises: {status.open} open,"
-        f" {status.kept} kept, {status.broken} broken, {status.lapsed} not come for, of {status.made}"
+        f"{status.known} known, others ask for at most {status.error:.2%} each; promises: {status.reservations_open} open,"
+        f" {status.reservations_honored} kept, {status.reservations_broken} broken, {status.reservations_expired} not come for, of {status.reservations_made}"
     )
