--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tests` from the root: every story."""
+"""`python -m tests` from the root: every test."""
 
 import sys
 from pathlib import Path
--- a/tests/compatibility/test_node_bytes.py
+++ b/tests/compatibility/test_node_bytes.py
@@ -9,7 +9,7 @@
 
 
 class NodeBytesTest(NodeStory):
-    """The bytes that a node sends to its engine, catalogue, directory and dispatcher, for one way of each kind."""
+    """What a node sends to its engine, catalogue, directory and dispatcher, for one way of each kind."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -61,7 +61,9 @@
 class FakeHost:
     """Carries nothing out: every wish lands in `said`, timers wait for `run_until`."""
 
-    def __init__(self, request_classes: list[dict] | None = None, tenants: list[float] = (), **limits) -> None:
+    def __init__(
+        self, request_classes: list[dict] | None = None, tenants: list[float] = (), **limits
+    ) -> None:
         rows = [replace(GROUP, index=index, **row) for index, row in enumerate(request_classes or [{}])]
         self.limits = replace(
             LIMITS, request_classes=rows, tenants=[Tenant(*pair) for pair in enumerate(tenants)], **limits
