--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -77,11 +77,10 @@
     def _add_admission(self, status: NodeStatus) -> None:
         """Fill in what the admission controller counts."""
         admission = self.node.host.admission
-        status.stage = Stage(max(admission.cpu_stage, admission.depth_stage, admission.latency_stage)).name
-        status.shedding_threshold = round(admission.cut, 4)
-        status.memory_kb = round(admission.memory_kb, 1)
-        count = admission.count
-        status.queued = count[RequestState.DELAYED] + count[RequestState.QUEUED]
+        status.stage = Stage(admission.overload.highest()).name
+        status.shedding_threshold = round(admission.overload.threshold, 4)
+        status.memory_kb = round(admission.occupancy.memory_kb, 1)
+        status.queued, count = admission.occupancy.waiting(), admission.occupancy.count
         status.running = count[RequestState.RUNNING] + count[RequestState.ORPHANED]
         status.calling = count[RequestState.AWAITING_CALL] + count[RequestState.CALLING]
 
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -7,6 +7,7 @@
 import os
 import signal
 import time
+from typing import TYPE_CHECKING
 
 from oakkeel.catalogue.links import Catalogue
 from oakkeel.directory.reports import DirectoryReporter
@@ -26,6 +27,9 @@
 from oakkeel.resource_limits import SECOND
 from oakkeel.stream_buffers import BufferPool
 
+if TYPE_CHECKING:
+    from oakkeel.node.fair_sharing import NodeFairSharing
+
 SIGNALS = (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
 
 
@@ -51,7 +55,7 @@
             start, self.engine, self.listener, self.reports, self.response_cache, self.measures, self.log
         )
         self.draining = Drain(self, start.limits.drain_grace, resource_limits.stop_after)
-        self.fairly = None
+        self.fairly: NodeFairSharing | None = None
         if start.limits.fair_sharing:
             from oakkeel.node.fair_sharing import (
                 NodeFairSharing,  # it brings libraries that a plain node spares
@@ -159,7 +163,7 @@
 
     def return_after(self) -> int:
         """When one that is denied at the door may come back, in nanoseconds; 0: it takes no such advice."""
-        return self.host.admission.return_after() if self.host.begun else 0
+        return self.host.admission.retry_after() if self.host.begun else 0
 
     def leave(self) -> None:
         """The notice to leave for good; a second one changes nothing."""
