--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -57,7 +57,7 @@
             0,
             version=process.version,
             load=0.2,
-            benefit=[count, good, good],
+            earned_weight=[count, good, good],
         )
 
     def execute(self, step: Step) -> None:
