--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -30,7 +30,7 @@
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.state_machine import Release
-from oakkeel.settings.fleet import HostSettings
+from oakkeel.settings.types import HostSettings
 
 OF_THE_FLEET = (
     messages.FleetOrderRequest,
@@ -116,7 +116,7 @@
             return messages.ErrorResponse("no such instance here, or it does not run")
         client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
         try:
-            return messages.InstanceClients(instance.name, await client.clients(wish.limit, ANSWER / SECOND))
+            return messages.InstanceClients(instance.name, await client.clients_status(wish.limit, ANSWER / SECOND))
         except ControlError as error:
             return messages.ErrorResponse(str(error))
         finally:
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -19,8 +19,9 @@
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import STATES, Selection, SelectionError
 from oakkeel.fleet.view import FleetView, Row
-from oakkeel.settings.fleet import Fleet, SettingsError, read_fleet, time_of
-from oakkeel.settings.keys import key_of
+from oakkeel.settings.fleet import parse_duration, read_fleet
+from oakkeel.settings.keys import read_operator_key
+from oakkeel.settings.types import Fleet, SettingsError
 
 DONE, SOME_FAILED, USAGE, SOME_SILENT = range(4)
 INTERRUPTED = 130
@@ -43,7 +44,7 @@
         if isinstance(value, int):
             return value
         try:
-            return time_of(value)
+            return parse_duration(value)
         except ValueError as error:
             self.fail(str(error), param, ctx)
 
@@ -62,12 +63,12 @@
         """Read the settings and the operator's key; faults end the command. `deadline` in nanoseconds."""
         try:
             self.fleet: Fleet = read_fleet(settings)
-            self.key = key_of(self.fleet, operator or getpass.getuser())
+            self.key = read_operator_key(self.fleet, operator or getpass.getuser())
         except SettingsError as error:
             fail(str(error))
         self.agents = AgentClients(self.fleet, self.key)
         self.view = FleetView(self.fleet)
-        self.deadline = deadline or self.fleet.asking.deadline
+        self.deadline = deadline or self.fleet.client.deadline
         self.as_json = output == "json"
 
     async def refresh(self, hosts: list[str] | None = None) -> list[Row]:
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -96,7 +96,7 @@
         run_halt(client, options.halted)
     require_selection(selection, options.everything)
     ident = options.ident or secrets.token_hex(6)
-    if client.fleet.keepers and takes_out:
+    if client.fleet.control_plane and takes_out:
         if options.supersede:
             fail("a record knows no --supersede: halt or cancel the order that stands")
         order = FleetOrder(ident, verb, options.lasts, options.whole)
@@ -170,7 +170,7 @@
     \b
     Example: oakkeel cancel 3f9a01c2d4e5
     """
-    if client.fleet.keepers:
+    if client.fleet.control_plane:
         run_command(end_order(client, ident, cancel=True))
     run_command(_cancel_on_hosts(client, ident))
 
@@ -206,7 +206,7 @@
 
 def run_halt(client: FleetClient, ident: str) -> NoReturn:
     """Halt an order of the fleet and exit."""
-    if not client.fleet.keepers:
+    if not client.fleet.control_plane:
         fail("halt needs keepers in the settings; cancel ends what an order has not begun")
     run_command(end_order(client, ident, cancel=False))
 
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -43,7 +43,7 @@
         except persistence.SnapshotRejectedError as error:
             self.node.log.warning("fair_sharing_snapshot_rejected", reason=str(error))
         except (snapshot_file.SnapshotError, OSError) as error:
-            aside = snapshot_file.set_aside(self.path)
+            aside = snapshot_file.quarantine(self.path)
             self.node.log.warning("fair_sharing_snapshot_quarantined", reason=str(error), file=aside)
         return None
 
@@ -100,14 +100,14 @@
         self.rules.weights.update(rules.weights)
         self.node.log.info("flow_weights_reloaded", weights=len(rules.weights))
 
-    def told(self, tag: int, most: int) -> ClientsStatus:
+    def clients_status(self, tag: int, limit: int) -> ClientsStatus:
         """The heaviest senders by now, innermost level."""
         fair, now = self.node.host.admission.fair_sharing, time.monotonic_ns()
         if fair is None:
             return ClientsStatus(tag, list(self.rules.levels))
         table, promises = fair.shares.tables[-1], fair.reservations
         total = table.total_rate(now) or 1.0
-        heaviest = sorted(table.flows.values(), key=lambda each: -table.rate(now, each))[:most]
+        heaviest = sorted(table.flows.values(), key=lambda each: -table.rate(now, each))[:limit]
         return ClientsStatus(
             tag,
             list(self.rules.levels),
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -17,7 +17,7 @@
 from oakkeel.resource_limits import MS, SECOND
 from oakkeel.stream_buffers import BufferPool, connect
 from tests.control.test_control import ControlStory
-from tests.engine.test_links import RESOURCE_LIMITS, LOG, exchange
+from tests.engine.test_links import LOG, RESOURCE_LIMITS, exchange
 from tests.support.node_process import WAIT, NodeStory, until_refused
 
 
