--- /dev/null
+++ b/tests/raft/cluster.py
@@ -0,0 +1,142 @@
+"""A cluster of Raft replicas on one clock, for tests."""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.raft.durable_state import DurableState
+from oakkeel.raft.memory_storage import InMemoryStorage
+from oakkeel.raft.messages import Envelope
+from oakkeel.raft.proposals import Proposal, ProposalStatus
+from oakkeel.raft.replica import Replica
+from oakkeel.raft.state import Output
+from oakkeel.raft.timeouts import RaftTimeouts
+
+
+class RecordingStateMachine:
+    """Records the commands that were committed; `voters a b c` names the desired voters."""
+
+    def __init__(self) -> None:
+        """Nothing has been committed yet."""
+        self.commands: list[bytes] = []
+        self.voters: tuple[str, ...] = ()
+
+    def apply(self, index: int, content: bytes) -> object:
+        """Record a command."""
+        self.commands.append(content)
+        if content.startswith(b"voters "):
+            self.voters = tuple(content.decode().split()[1:])
+        return index
+
+    def snapshot(self) -> bytes:
+        """Return the voters and all commands, one a line."""
+        return b"\n".join([" ".join(self.voters).encode(), *self.commands])
+
+    def restore(self, content: bytes) -> None:
+        """Take the content of a snapshot."""
+        first, *self.commands = content.split(b"\n") if content else [b""]
+        self.voters = tuple(first.decode().split())
+
+    def desired_voters(self) -> tuple[str, ...]:
+        """Return the voters that the last such command named."""
+        return self.voters
+
+
+class Delivery(NamedTuple):
+    """A message in transit."""
+
+    at: int
+    number: int
+    recipient: str
+    envelope: Envelope
+
+
+class Cluster:
+    """Replicas on one clock, whose messages take a millisecond unless a link is cut."""
+
+    def __init__(
+        self, *names: str, initial_voters: tuple[str, ...] = (), timeouts: RaftTimeouts | None = None
+    ) -> None:
+        """Start a replica for each name."""
+        self.now = SECOND
+        self.initial_voters = initial_voters or names
+        self.timeouts = timeouts or RaftTimeouts()
+        self.storages: dict[str, InMemoryStorage] = {}
+        self.replicas: dict[str, Replica] = {}
+        self.in_transit: list[Delivery] = []
+        self.cut_links: set[tuple[str, str]] = set()  # by sender and recipient
+        self.count = 0
+        for name in names:
+            self.start(name)
+
+    def start(self, name: str) -> None:
+        """Start a replica, again if it runs, from its storage."""
+        self.count += 1
+        storage = self.storages.setdefault(name, InMemoryStorage(DurableState(name, f"{name}.{self.count}")))
+        self.replicas[name] = Replica(
+            self.now, storage.load(), RecordingStateMachine(), self.count, self.timeouts, self.initial_voters
+        )
+
+    def isolate(self, name: str) -> None:
+        """Cut all links of one replica, and no others."""
+        self.cut_links = {link for other in self.replicas for link in ((name, other), (other, name))}
+
+    def carry_out(self, name: str, output: Output) -> None:
+        """Store the output of a replica's call and send its messages."""
+        if output.storage_update:
+            self.storages[name].write(self.replicas[name].durable, output.storage_update)
+        for recipient, envelope in output.envelopes:
+            if (name, recipient) not in self.cut_links:
+                self.count += 1
+                self.in_transit.append(Delivery(self.now + MS, self.count, recipient, envelope))
+
+    def run(self, duration: int, done: Callable[[], bool] = lambda: False) -> None:
+        """Let time go on until something is done, or for the whole duration."""
+        end = self.now + duration
+        while self.now < end and not done():
+            ticks = [replica.next_tick_at() for replica in self.replicas.values()]
+            at = min(ticks + [delivery.at for delivery in self.in_transit])
+            self.now = max(self.now, min(at, end))
+            self._deliver()
+            for name, replica in list(self.replicas.items()):
+                if replica.next_tick_at() <= self.now:
+                    self.carry_out(name, replica.tick(self.now))
+
+    def _deliver(self) -> None:
+        due = sorted(delivery for delivery in self.in_transit if delivery.at <= self.now)
+        self.in_transit = [delivery for delivery in self.in_transit if delivery.at > self.now]
+        for delivery in due:
+            if delivery.recipient in self.replicas:
+                replica = self.replicas[delivery.recipient]
+                self.carry_out(delivery.recipient, replica.receive(self.now, delivery.envelope))
+
+    def _leaders(self) -> list[Replica]:
+        return [replica for replica in self.replicas.values() if replica.holds_lease(self.now)]
+
+    def has_leader(self) -> bool:
+        """Whether a replica holds the lease."""
+        return bool(self._leaders())
+
+    def leader(self) -> Replica:
+        """Return the leader, once there is one."""
+        self.run(5 * SECOND, self.has_leader)
+        return self._leaders()[0]
+
+    def propose(self, content: bytes) -> Proposal:
+        """Propose a command to the leader."""
+        leader = self.leader()
+        proposal, output = leader.propose(self.now, content)
+        self.carry_out(leader.name, output)
+        return proposal
+
+    def commit(self, *contents: bytes) -> None:
+        """Propose commands one after the other, and wait until each is committed."""
+        for content in contents:
+            proposal = self.propose(content)
+            self.run(2 * SECOND, lambda made=proposal: made.status is not ProposalStatus.PENDING)
+            assert proposal.status is ProposalStatus.COMMITTED, proposal.status
+
+    def applied_commands(self) -> dict[str, list[bytes]]:
+        """Return the commands that each replica has applied, a while later."""
+        self.run(500 * MS)
+        return {name: replica.state_machine.commands for name, replica in self.replicas.items()}
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -2,17 +2,39 @@
 
 import unittest
 
+from oakkeel.emulator.faults import SECOND
 from oakkeel.raft.log import ReplicatedLog, Snapshot
-from oakkeel.raft.messages import (
-    Entry,
-    EntryKind,
-    Member,
-    encode_members,
-)
+from oakkeel.raft.messages import Entry, EntryKind, Member, encode_members
+from oakkeel.raft.timeouts import RaftTimeouts
+from tests.raft.cluster import Cluster
 
 
-class MembersStories(unittest.TestCase):
-    def test_members_count_from_the_entry_that_names_them_and_go_with_it(self):
+class MembershipTest(unittest.TestCase):
+    def test_voters_change_from_three_to_five_and_to_others_while_one_is_cut_off(self):
+        cluster = Cluster(
+            "a", "b", "c", "d", "e", initial_voters=("a", "b", "c"), timeouts=RaftTimeouts(snapshot_entries=4)
+        )
+        cluster.commit(*(b"%d" % number for number in range(6)))
+        partitioned = next(name for name in "abc" if name != cluster.leader().name)
+        cluster.isolate(partitioned)
+        cluster.commit(b"voters a b c d e")
+
+        def voters() -> set[str]:
+            return {each.name for each in cluster.leader().members if each.is_voter}
+
+        cluster.run(10 * SECOND, lambda: voters() == set("abcde"))
+        self.assertEqual(voters(), set("abcde"))
+        cluster.cut_links.clear()
+        cluster.commit(b"voters c d e")
+        cluster.run(10 * SECOND, lambda: voters() == set("cde"))
+        self.assertEqual(voters(), set("cde"))
+        cluster.commit(b"after")
+        self.assertEqual(
+            {name: lines[-1] for name, lines in cluster.applied_commands().items() if name in "cde"},
+            dict.fromkeys("cde", b"after"),
+        )
+
+    def test_members_change_with_the_entry_that_names_them_and_with_its_truncation(self):
         log = ReplicatedLog(Snapshot(0, 0, (Member("a", "a.1"),), b""), [])
         log.append(
             Entry(1, EntryKind.MEMBERS, encode_members([Member("a", "a.1"), Member("b", "b.1", False)]))
--- /dev/null
+++ b/tests/raft/test_properties.py
@@ -0,0 +1,95 @@
+"""Properties of Raft under drawn crashes, cuts and proposals."""
+
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
+
+from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
+from oakkeel.raft.roles import Role
+from oakkeel.raft.timeouts import RaftTimeouts
+from tests.raft.cluster import Cluster
+
+
+class RaftMachine(RuleBasedStateMachine):
+    """Three replicas against a list, under cuts, crashes and proposals in whatever order.
+
+    What was answered as committed stays, in one order, and no term has two leaders.
+    """
+
+    names = st.sampled_from("abc")
+
+    def __init__(self) -> None:
+        """Begin with a cluster that has had the time to elect a leader."""
+        super().__init__()
+        self.cluster = Cluster("a", "b", "c", timeouts=RaftTimeouts(snapshot_entries=3))
+        self.cluster.run(3 * SECOND)
+        self.proposals: list[tuple[bytes, Proposal]] = []
+        self.leaders: dict[int, str] = {}
+        self.committed: list[bytes] = []
+
+    @rule(wait=st.integers(1, 2000))
+    def advance_time(self, wait):
+        """Let some milliseconds pass."""
+        self.cluster.run(wait * MS)
+
+    @rule(name=names, other=names, both=st.booleans())
+    def cut(self, name, other, both):
+        """Cut a link in one direction or in both."""
+        self.cluster.cut_links |= {(name, other), (other, name)} if both else {(name, other)}
+
+    @rule()
+    def heal(self):
+        """Restore all links."""
+        self.cluster.cut_links.clear()
+
+    @rule(name=names, loses_messages=st.booleans())
+    def crash(self, name, loses_messages):
+        """Restart a replica; messages that it sent may be lost with it."""
+        self.cluster.start(name)
+        if loses_messages:
+            self.cluster.in_transit = [
+                delivery for delivery in self.cluster.in_transit if delivery.envelope.sender != name
+            ]
+
+    @rule(name=names)
+    def propose(self, name):
+        """Propose a command, if the replica leads."""
+        content = b"%d" % len(self.proposals)
+        replica = self.cluster.replicas[name]
+        try:
+            proposal, output = replica.propose(self.cluster.now, content)
+        except NotLeaderError:
+            return
+        self.proposals.append((content, proposal))
+        self.cluster.carry_out(name, output)
+        self.cluster.run(5 * MS)
+
+    @rule(name=names)
+    def duplicate_messages(self, name):
+        """Deliver what is in transit to a replica twice."""
+        self.cluster.in_transit += [
+            delivery._replace(number=-delivery.number)
+            for delivery in self.cluster.in_transit
+            if delivery.recipient == name
+        ]
+
+    @invariant()
+    def committed_commands_stay(self):
+        """Compare what each replica has applied with what any has."""
+        for replica in self.cluster.replicas.values():
+            commands = replica.state_machine.commands
+            common = min(len(commands), len(self.committed))
+            assert commands[:common] == self.committed[:common]
+            self.committed = max(self.committed, list(commands), key=len)
+            if replica.role is Role.LEADER:
+                assert self.leaders.setdefault(replica.term, replica.incarnation) == replica.incarnation
+        for content, proposal in self.proposals:
+            if proposal.status is ProposalStatus.COMMITTED:
+                assert content in self.committed
+
+
+RaftMachine.TestCase.settings = settings(max_examples=40, stateful_step_count=25, deadline=None)
+
+
+RaftPropertiesTest = RaftMachine.TestCase
--- /dev/null
+++ b/tests/raft/test_recovery.py
@@ -0,0 +1,115 @@
+"""Recovery of Raft replicas that start: bootstrap, lost files and older copies."""
+
+import unittest
+
+from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.raft.proposals import NotLeaderError
+from oakkeel.raft.roles import Role
+from oakkeel.raft.timeouts import RaftTimeouts
+from tests.raft.cluster import Cluster
+
+
+class RecoveryTest(unittest.TestCase):
+    def test_three_empty_replicas_bootstrap_a_cluster(self):
+        cluster = Cluster("a", "b", "c")
+        cluster.commit(b"one", b"two")
+        self.assertEqual(set(map(tuple, cluster.applied_commands().values())), {(b"one", b"two")})
+        self.assertEqual(len({replica.durable.epoch for replica in cluster.replicas.values()}), 1)
+
+    def test_does_not_bootstrap_while_an_initial_voter_is_missing(self):
+        cluster = Cluster("a", "b", initial_voters=("a", "b", "c"))
+        cluster.run(5 * SECOND)
+        self.assertEqual({replica.role for replica in cluster.replicas.values()}, {Role.RECOVERING})
+        with self.assertRaises(NotLeaderError):
+            cluster.replicas["a"].propose(cluster.now, b"one")
+
+    def test_replica_with_a_lost_file_votes_only_as_a_new_member(self):
+        cluster = Cluster("a", "b", "c")
+        cluster.commit(b"one")
+        lost = next(name for name in cluster.replicas if name != cluster.leader().name)
+        old = cluster.storages.pop(lost).metadata.incarnation
+        cluster.start(lost)
+        cluster.commit(b"two")
+        replica = cluster.replicas[lost]
+        cluster.run(5 * SECOND, lambda: replica.incarnation in cluster.leader().voters)
+        self.assertIn(replica.incarnation, cluster.leader().voters)
+        self.assertNotIn(old, cluster.leader().voters)
+        self.assertEqual(cluster.applied_commands()[lost], [b"one", b"two"])
+
+    def test_replica_with_an_older_file_is_stale(self):
+        cluster = Cluster("a", "b", "c")
+        cluster.commit(b"one")
+        victim = next(name for name in cluster.replicas if name != cluster.leader().name)
+        backup = cluster.storages[victim].copy()
+        cluster.commit(b"two", b"three", b"four")  # what others keep of it goes along with later entries
+        cluster.storages[victim] = backup
+        cluster.start(victim)
+        cluster.run(SECOND, lambda: cluster.replicas[victim].role is not Role.RECOVERING)
+        self.assertEqual(cluster.replicas[victim].role, Role.STALE)
+        self.assertRegex(cluster.replicas[victim].stale_reason, "knows it to have kept entry")
+        del cluster.storages[victim]
+        cluster.start(victim)
+        cluster.run(5 * SECOND, lambda: cluster.replicas[victim].incarnation in cluster.leader().voters)
+        self.assertEqual(cluster.applied_commands()[victim], [b"one", b"two", b"three", b"four"])
+
+    def test_recovery_waits_for_all_replicas_that_are_there(self):
+        """Drawn schedule 1018860: one with an old file heard first from a keeper that did not know."""
+        cluster = Cluster("a", "b", "c")
+        cluster.commit(b"one")
+        leader = cluster.leader().name
+        victim, other = (name for name in cluster.replicas if name != leader)
+        backup = cluster.storages[victim].copy()
+        cluster.cut_links = {(leader, other), (other, leader)}
+        cluster.commit(b"two", b"three")
+        cluster.storages[victim] = backup
+        cluster.start(victim)
+        cluster.run(300 * MS, lambda: cluster.replicas[victim].role is not Role.RECOVERING)
+        self.assertEqual(cluster.replicas[victim].role, Role.STALE)
+
+    def test_follower_behind_its_own_acknowledgement_is_stale(self):
+        cluster = Cluster("a", "b", "c")
+        cluster.commit(b"one")
+        leader = cluster.leader().name
+        victim = next(name for name in cluster.replicas if name != leader)
+        backup = cluster.storages[victim].copy()
+        cluster.commit(b"two", b"three")
+        cluster.storages[victim] = backup
+        cluster.start(victim)
+        cluster.replicas[victim].change_role(cluster.now, Role.FOLLOWER)  # as if nobody had known
+        cluster.run(SECOND, lambda: cluster.replicas[victim].role is Role.STALE)
+        self.assertRegex(cluster.replicas[victim].stale_reason, "has its word for entry")
+
+    def test_recovering_replica_that_hears_the_leader_is_not_stale(self):
+        cluster = Cluster("a", "b", "c")
+        cluster.commit(b"one")
+        leader = cluster.leader()
+        name = next(each for each in cluster.replicas if each != leader.name)
+        cluster.start(name)
+        replica = cluster.replicas[name]
+        cluster.cut_links = {
+            (name, other) for other in cluster.replicas
+        }  # its hello is lost, the leader's words are not
+        cluster.commit(b"two", b"three")
+        cluster.run(300 * MS)
+        cluster.cut_links.clear()
+        cluster.run(2 * SECOND, lambda: replica.role is not Role.RECOVERING)
+        self.assertEqual(replica.role, Role.FOLLOWER)
+        self.assertEqual(cluster.applied_commands()[name], [b"one", b"two", b"three"])
+
+    def test_restarted_replicas_do_not_vote_in_a_known_term(self):
+        cluster = Cluster("a", "b", "c")
+        cluster.commit(b"one")
+        for name in list(cluster.replicas):
+            cluster.start(name)
+        terms = {replica.durable.term for replica in cluster.replicas.values()}
+        cluster.commit(b"two")
+        self.assertGreater(cluster.leader().term, max(terms))
+
+    def test_cluster_continues_after_all_replicas_are_killed(self):
+        cluster = Cluster("a", "b", "c", timeouts=RaftTimeouts(snapshot_entries=4))
+        cluster.commit(*(b"%d" % number for number in range(10)))
+        for name in list(cluster.replicas):
+            cluster.start(name)
+        cluster.commit(b"last")
+        self.assertEqual({len(each) for each in cluster.applied_commands().values()}, {11})
+        self.assertTrue(all(replica.log.snapshot.index > 4 for replica in cluster.replicas.values()))
--- /dev/null
+++ b/tests/raft/test_replication.py
@@ -0,0 +1,87 @@
+"""Replication of the log: proposals, duplicates and foreign messages."""
+
+import unittest
+
+from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.raft.messages import (
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    Entry,
+    Envelope,
+    RecoveryRequest,
+)
+from oakkeel.raft.proposals import NotLeaderError, ProposalStatus
+from tests.raft.cluster import Cluster
+
+
+class ReplicationTest(unittest.TestCase):
+    def test_proposal_to_a_partitioned_leader_has_an_unknown_status(self):
+        cluster = Cluster("a", "b", "c")
+        leader = cluster.leader()
+        cluster.isolate(leader.name)
+        proposal, output = leader.propose(cluster.now, b"never")
+        cluster.carry_out(leader.name, output)
+        cluster.run(3 * SECOND)
+        self.assertEqual(proposal.status, ProposalStatus.UNKNOWN)
+        cluster.commit(b"other")
+        cluster.cut_links.clear()
+        cluster.commit(b"third")
+        self.assertEqual(set(map(tuple, cluster.applied_commands().values())), {(b"other", b"third")})
+
+    def test_ignores_messages_of_another_cluster_and_duplicates(self):
+        cluster = Cluster("a", "b", "c")
+        cluster.commit(b"one")
+        leader = cluster.leader()
+        follower = next(replica for replica in cluster.replicas.values() if replica is not leader)
+        for envelope in (
+            Envelope("other", "x", "x.1", AppendEntriesRequest(99, 0, 0, [Entry(99, 2, b"bad")], 1, 0, [])),
+            Envelope("other", "x", "x.1", RecoveryRequest(1, False, 99, 99, 99)),
+            Envelope(
+                leader.durable.epoch,
+                leader.name,
+                leader.incarnation,
+                AppendEntriesRequest(leader.term, 0, 0, list(leader.log.entries), 2, 0, []),
+            ),
+        ):
+            for _ in range(2):
+                follower.receive(cluster.now, envelope)
+        self.assertEqual((follower.term, follower.state_machine.commands), (leader.term, [b"one"]))
+
+    def test_duplicated_messages_do_not_multiply(self):
+        cluster = Cluster("a", "b", "c")
+        leader = cluster.leader()
+        cluster.commit(b"one")
+        peer = next(iter(leader.leader_state.peers.values()))
+        incarnation = next(
+            incarnation for incarnation, each in leader.leader_state.peers.items() if each is peer
+        )
+        peer.match_index, peer.next_index, peer.in_flight = (
+            0,
+            1,
+            False,
+        )  # one that never takes what it is sent
+        answers = [AppendEntriesResponse(leader.term, False, 0, peer.sent_at)]
+        for _ in range(12):
+            cluster.now += MS
+            sent = []
+            for answer in answers:
+                output = leader.receive(
+                    cluster.now, Envelope(leader.durable.epoch, peer.name, incarnation, answer)
+                )
+                sent += [envelope.message for to, envelope in output.envelopes if to == peer.name]
+            answers = [
+                AppendEntriesResponse(leader.term, False, 0, message.sent_at)
+                for message in sent
+                for _ in range(2)
+            ]
+        self.assertEqual(len(answers), 2)
+
+    def test_rejects_proposals_beyond_its_limits(self):
+        cluster = Cluster("a", "b", "c")
+        leader = cluster.leader()
+        cluster.cut_links = {(leader.name, name) for name in cluster.replicas}
+        with self.assertRaisesRegex(NotLeaderError, "too much waits"):
+            for _ in range(2000):
+                leader.propose(cluster.now, b"x")
+        with self.assertRaisesRegex(NotLeaderError, "too long"):
+            Cluster("a").leader().propose(SECOND, bytes(5 << 20))
