--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -1,8 +1,10 @@
 """The types between the decisions (`oakkeel.admission`) and whatever hosts them.
 
-A front (today `oakkeel.simulator_adapter`) fills in `NodeLimits`, `RequestClass` rows and `Request` objects, calls
-the methods of `policy.Keel`, and carries out what comes back through `Host`. Times are whole nanoseconds,
-memory is in kilobytes. Nothing here decides or tunes.
+A host (`oakkeel.node`, `oakkeel.simulator_adapter`) makes one `AdmissionController` for each node, from
+`NodeLimits`, a seed and the time. It calls `arrive`, `run_finished`, `call_needed`, `call_finished`,
+`client_disconnected`, `drain` and `timer_expired` for what happens, and `schedule` once after all that
+happened at one moment; it carries out what comes back through `Host`. Times are whole nanoseconds, memory is
+in kilobytes. Nothing here decides or tunes.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 
 
 class Idempotency(Enum):
-    """Whether an exchange may take effect again."""
+    """Whether a request may take effect again; the values are the old names."""
 
     IDEMPOTENT = "repeatable"
     IDEMPOTENCY_KEY = "deduplicated"
@@ -29,16 +31,16 @@
 
 
 class LoadReportKind(Enum):
-    """How callers read the value given to `Host.advise`."""
+    """How clients read the value given to `Host.report_load`."""
 
     NONE = "silent"
-    MINIMUM_RANK = "level"  # no exchange ranked below the value is sent here
-    CONCURRENCY_LIMIT = "window"  # the most exchanges a caller may have out here
-    ADVERTISED_SHARE = "share"  # the chance that a caller does not skip this node
+    MINIMUM_RANK = "level"  # no request ranked below the value is sent here
+    CONCURRENCY_LIMIT = "window"  # the most requests a client may have open here
+    ADVERTISED_SHARE = "share"  # the chance that a client does not skip this node
 
 
 class DownstreamKind(Enum):
-    """What the exchanges of this node call."""
+    """What the requests of this node call."""
 
     NONE = "nothing"
     SHARED = "shared"
@@ -59,12 +61,12 @@
 
 
 class RequestState(IntEnum):
-    """The states of an exchange; `policy.Keel` alone moves one on."""
+    """The states of a request; `Occupancy.move` alone changes one."""
 
     READ = 0  # read, not yet decided
-    DELAYED = 1  # in the hold, under the Backpressure wait
-    QUEUED = 2  # in the hold, may start
-    COALESCED = 3  # waits for the result of the one that it repeats
+    DELAYED = 1  # queued, under the delay of the backpressure stage
+    QUEUED = 2  # may start
+    COALESCED = 3  # waits for the result of the one that it duplicates
     RUNNING = 4  # on the cores
     AWAITING_CALL = 5  # off the cores, its call not placed
     CALLING = 6  # off the cores, its call placed
@@ -75,20 +77,20 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """A row of the table of endpoint groups."""
+    """A class of requests, with what an answer is worth and until when."""
 
     index: int
     idempotency: Idempotency
     priority_weight: float
     latency_objective: int
     client_timeout: int
-    idempotency_window: int  # a deduplicated exchange may come again within this
-    late_weight: float  # of the benefit, for an answer after the SLO time
-    degraded_weight: float  # of the benefit, where a call is left out
+    idempotency_window: int  # one with an idempotency key may come again within this
+    late_weight: float  # of the priority weight, for an answer after the latency objective
+    degraded_weight: float  # of the priority weight, where the optional call is skipped
 
     @property
     def at_most_once(self) -> bool:
-        """It may not take effect again."""
+        """Tell whether it may not take effect again."""
         return self.idempotency is not Idempotency.IDEMPOTENT
 
 
@@ -101,51 +103,49 @@
 
 
 class ShareStanding(IntEnum):
-    """Where an exchange stands among those of all senders: below FAIR denied first, above it run first."""
+    """How a request stands to the fair share of its flow: rejected first below 0, run first above it."""
 
-    OVER_SHARE = -1  # its sender had its share
+    OVER_SHARE = -1  # its flow had its share
     WITHIN_SHARE = 0
-    RESERVED = 1  # its sender came when it was told to
+    RESERVED = 1  # its flow came at its reserved time
 
 
 @dataclass(slots=True, eq=False)
 class FairSharingRules:
-    """Who counts as one sender, and what each may have; told by the operator."""
+    """What counts as one flow, and what each may have, as the operator sets it."""
 
-    levels: tuple[
-        str, ...
-    ]  # one level or two, the outermost first: tenant, caller, subject or a field's name
-    weights: dict[bytes, float]  # by the value of the level's field; 1 where none is told
-    max_flows: int = 256  # senders known at one time, at each level
+    levels: tuple[str, ...]  # one or two, the outermost first: tenant, client, subject or a field's name
+    weights: dict[bytes, float]  # by the value of the level's field; 1 where none is set
+    max_flows: int = 256  # known at one time, at each level
     max_reservations: int = 1024  # open at one time
-    half_life: int = 4_000_000_000  # the age at which what was sent counts half
+    half_life: int = 4_000_000_000  # the age at which service time counts half
 
 
 @dataclass(slots=True, eq=False)
 class NodeLimits:
-    """What a node is told of itself and its rules when it starts."""
+    """What a node knows of itself and its rules from its start."""
 
     cores: int
     memory_kb: float
-    running_memory_factor: float  # memory of a running exchange over that of a held one
+    running_memory_factor: float  # memory of a running request over that of a queued one
     key_kb: float
     starts_cold: bool
     slow_start_share: float  # share of full speed that a cold node starts at
     slow_start_time: int
-    overload_multiple: float  # running exchanges a core that a warm node survives
+    overload_multiple: float  # running requests a core that a warm node survives
     drain_grace: int
-    marks_retries: bool  # later tries come marked
-    max_retry_after: int  # 0: callers take no such advice
+    marks_retries: bool  # retries come marked
+    max_retry_after: int  # 0: clients heed none
     stop_kind: StopKind
     peers: int
     downstream: DownstreamKind
-    downstream_quota: float  # mean calls in the hands of what lies below; 0: no bound
+    downstream_quota: float  # mean calls in flight downstream; 0: no bound
     downstream_window: int
     call_linger: int
     cache_ttl: int  # how long an answer may serve other reads; 0: never
     idle_timeout: int
     load_report: LoadReportKind
-    over_allowance_weight: float  # benefit of an exchange above its tenant's share
+    over_allowance_weight: float  # of the priority weight, above the allowance of its tenant
     request_classes: list[RequestClass]
     tenants: list[Tenant]
     fair_sharing: FairSharingRules | None = None  # None: no flow is told from another
@@ -160,41 +160,40 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One exchange read by this node: the host fills in the first block, the decisions keep the second."""
+    """One request read by this node: the host fills in the first block, the decisions keep the rest."""
 
     request_class: RequestClass
     tenant: Tenant | None
     client: int
     memory_kb: float
     retry_attempt: bool
-    remaining_time: int  # until its caller gives up, 0 where not told
+    remaining_time: int  # until its client gives up; 0 where unknown
     queueing_delay: int  # since it reached the machine
     has_key: bool  # reads of its key may be shared
-    is_duplicate: bool  # it repeats an exchange that the host remembers
+    is_duplicate: bool  # it repeats a request whose key the host retains
 
     state: RequestState = RequestState.READ
     objective_end: int = 0
     deadline: int = 0
     state_since: int = 0  # when it entered its state
     arrived_at: int = 0
-    service_time: int = 0  # time spent on the cores so far
+    service_time: int = 0  # on the cores so far
     rank: float = 0.0
     failed_calls: int = 0
-    committed_call_time: int = 0  # call time booked for a call in flight
+    committed_call_time: int = 0  # booked for a call in flight
     key_retained: bool = False
 
-    flow_keys: tuple[
-        tuple[int, bytes], ...
-    ] = ()  # its senders by level, as keys and labels; told where shares are fair
+    # By level, a key and a label; set where shares are fair.
+    flow_keys: tuple[tuple[int, bytes], ...] = ()
     flow: Any = None
-    reservation: Any = None  # that it comes by
+    reservation: Any = None  # by which it comes
     share_standing: ShareStanding = ShareStanding.WITHIN_SHARE
-    expected_work: float = 0.0  # time on the cores that it was counted with
+    expected_work: float = 0.0  # that it was counted with
 
 
 @dataclass(slots=True)
 class Gauges:
-    """A node's own gauges, as last read."""
+    """The gauges of a node, as last read."""
 
     core_busy: float = 0.0
     run_queue: float = 0.0
@@ -205,17 +204,44 @@
 class Host(Protocol):
     """What the decisions may ask of the node."""
 
-    def run(self, request: Request) -> None: ...
-    def reject(self, request: Request, last: bool, retry_after: int) -> None: ...
-    def fail(self, request: Request) -> None: ...
-    def cancel(self, request: Request) -> None: ...
-    def call(self, request: Request, until: int) -> None: ...
-    def skip_call(self, request: Request) -> None: ...
-    def coalesce(self, request: Request) -> None: ...
-    def retain_key(self, request: Request, duration: int) -> None: ...
-    def release_key(self, request: Request) -> None: ...
-    def set_timer(self, token: int, at: int) -> None: ...
-    def set_health(self, good: bool, stored: bool) -> None: ...
-    def report_load(self, value: float) -> None: ...
-    def close_idle(self, after: int) -> None: ...
-    def note(self, text: str) -> None: ...
+    def run(self, request: Request) -> None:
+        """Start the request on the cores."""
+
+    def reject(self, request: Request, final: bool, retry_after: int) -> None:
+        """Answer that it never ran; `final` where a try elsewhere is not worth its reading."""
+
+    def fail(self, request: Request) -> None:
+        """Answer that it failed: it may have taken effect."""
+
+    def cancel(self, request: Request) -> None:
+        """Stop its run."""
+
+    def call(self, request: Request, until: int) -> None:
+        """Place its downstream call, which ends by then."""
+
+    def skip_call(self, request: Request) -> None:
+        """Let its run go on without the call."""
+
+    def coalesce(self, request: Request) -> None:
+        """Let it wait for the result of the request that it repeats."""
+
+    def retain_key(self, request: Request, duration: int) -> None:
+        """Know later requests with its key as duplicates for this long."""
+
+    def release_key(self, request: Request) -> None:
+        """Forget its key: it never ran."""
+
+    def set_timer(self, token: int, at: int) -> None:
+        """Call `timer_expired` with the token at this time."""
+
+    def set_health(self, good: bool, stored: bool) -> None:
+        """Answer health checks so; `stored` without any work."""
+
+    def report_load(self, value: float) -> None:
+        """Give clients the value, in the meaning of `NodeLimits.load_report`."""
+
+    def close_idle(self, after: int) -> None:
+        """Close connections that have been idle for longer."""
+
+    def note(self, text: str) -> None:
+        """Log a remark."""
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -116,7 +116,9 @@
             return messages.ErrorResponse("no such instance here, or it does not run")
         client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
         try:
-            return messages.InstanceClients(instance.name, await client.clients_status(wish.limit, ANSWER / SECOND))
+            return messages.InstanceClients(
+                instance.name, await client.clients_status(wish.limit, ANSWER / SECOND)
+            )
         except ControlError as error:
             return messages.ErrorResponse(str(error))
         finally:
--- a/oakkeel/fair_sharing/__init__.py
+++ b/oakkeel/fair_sharing/__init__.py
@@ -1,1 +1,1 @@
-"""Measures of who asks for how much, in fixed memory however many there are. Free of I/O."""
+"""Fair sharing: heavy hitters, weighted max-min shares and reservations, in fixed memory and without I/O."""
--- a/oakkeel/fair_sharing/keys.py
+++ b/oakkeel/fair_sharing/keys.py
@@ -1,4 +1,4 @@
-"""Keys for senders: a keyed hash, so that nobody who knows the code can aim at another's place."""
+"""Keys for flows: a keyed hash, so that nobody who knows the code can collide with another flow."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 
 import blake3
 
-SECRET, LABEL = 32, 40  # bytes; what is kept of a name, for people
+SECRET, LABEL = 32, 40  # bytes; the part of a name that is shown
 
 
 class FlowKeys:
-    """Makes the keys and labels of an exchange's senders from the values of its fields."""
+    """Makes the keys and labels of the flows of a request from the values of its fields."""
 
     def __init__(self, secret: bytes, fields: tuple[bytes, ...]) -> None:
-        """`fields` by level, the outermost first; the same name within another outer sender is another."""
+        """Take `fields` by level, the outermost first; the same name within another outer flow is another."""
         self.secret, self.fields = secret, fields
 
     def flow_keys(self, values: Callable[[bytes], bytes]) -> tuple[tuple[int, bytes], ...]:
+        """Return a key and a label for each level."""
         found, path = [], b""
         for field in self.fields:
             value = values(field)
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -1,41 +1,42 @@
-"""Room promised to those who were denied, in fixed memory: so much work in each step of the time ahead.
+"""Capacity reservations for flows that were rejected, in fixed memory: so much work in each step ahead.
 
-What is booked in a step never exceeds the room that it had when it was booked; a promise that is over or
-taken back frees its place. How much room a step has, and who gets which, is decided elsewhere.
+What is booked in a step never exceeds the room that it had when it was booked; a reservation that expires or
+is given up frees its room. How much room a step has, and who gets which, is decided elsewhere.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-EACH, NOTES = 4, 64  # open promises of one sender; with times told that have no room behind them
-MORE_NOTES = 4  # times as many of these as there may be promises
+EACH, ALL_TIMES = 4, 64  # reservations of one flow; with retry times that have no room behind them
+UNBACKED_FACTOR = 4  # times as many of these as there may be reservations
 
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """One sender may come at `at` and go ahead. Nanoseconds."""
+    """One flow may come at `due_at` (nanoseconds) and go ahead."""
 
     key: int
     due_at: int
-    work: float  # 0: no room is kept
+    work: float  # 0: no room is reserved
     early_attempts: int = 0  # how often it came before its time
 
 
 class Reservations:
+    """The reservations of all flows, and the room that they take in each step of the time ahead."""
+
     def __init__(self, step: int, steps: int, max_open: int) -> None:
-        """`steps` of `step` nanoseconds ahead can be booked, with `most` promises open at one time."""
+        """Let `steps` of `step` nanoseconds ahead be booked, with `max_open` reservations at one time."""
         self.step, self.steps, self.max_open = step, steps, max_open
         self.step_numbers, self.booked = [-1] * steps, [0.0] * steps
-        self.open: dict[int, list[Reservation]] = {}  # by sender, each list with the soonest first
-        self.unbacked = self.open_count = self.booked_count = self.kept_count = self.broken_count = (
-            self.expired_count
-        ) = 0
+        self.open: dict[int, list[Reservation]] = {}  # by flow, each list with the soonest first
+        self.open_count = self.unbacked = 0
+        self.booked_count = self.kept_count = self.broken_count = self.expired_count = 0  # since the start
 
     def due(self, now: int, key: int, early: int, late: int) -> Reservation | None:
-        """The sender's promise whose time it is, give or take; those whose time is over are dropped.
+        """Return the reservation of the flow whose time it is, give or take; drop those whose time is over.
 
-        The nearest, as others of the sender may never be come for: their exchange was given up.
+        The nearest, as others of the flow may never be used: their client gave up.
         """
         found = None
         for reservation in list(self.open.get(key, ())):
@@ -49,11 +50,11 @@
         return found
 
     def last_booked(self, key: int) -> Reservation | None:
-        """The sender's last promise that has room behind it."""
+        """Return the last reservation of the flow that has room behind it."""
         return next((each for each in reversed(self.open.get(key, ())) if each.work), None)
 
     def book(self, now: int, not_before: int, key: int, work: float, room: float) -> Reservation | None:
-        """The first step with room for that work from then on; None where there is none, or no place."""
+        """Book the first step from then on with room for that work; None where there is none."""
         if self.open_count >= self.max_open:
             self._drop_expired(now)
         if self.open_count >= self.max_open or sum(each.work > 0 for each in self.open.get(key, ())) >= EACH:
@@ -72,25 +73,26 @@
         return None
 
     def record_unbacked(self, at: int, key: int) -> None:
-        """A time told with no room behind it, so that coming then is not taken for coming early."""
-        if self.unbacked < MORE_NOTES * self.max_open and len(self.open.get(key, ())) < NOTES:
+        """Record a retry time with no room behind it, so that coming then is not taken for coming early."""
+        if self.unbacked < UNBACKED_FACTOR * self.max_open and len(self.open.get(key, ())) < ALL_TIMES:
             self.restore(Reservation(key, at, 0.0))
 
     def remembers_all(self, key: int) -> bool:
-        """Whether every time told to the sender is still here: else one that comes early can't be told."""
-        return len(self.open.get(key, ())) < NOTES
+        """Tell whether every retry time of the flow is still here: else coming early can't be known."""
+        return len(self.open.get(key, ())) < ALL_TIMES
 
     def postpone(self, now: int, reservation: Reservation, not_before: int, room: float) -> None:
-        """Move a promise to a later step, if one has room; else it stays."""
+        """Move a reservation to a later step, if one has room; else it stays."""
         self.end(reservation, None)
         later = self.book(now, not_before, reservation.key, reservation.work, room)
         if later is None:
-            return self.restore(reservation)
+            self.restore(reservation)
+            return
         later.early_attempts = reservation.early_attempts + 1
         self.booked_count -= 1  # it is the same one
 
     def restore(self, reservation: Reservation) -> None:
-        """Take its room, whatever else is booked there: it was told."""
+        """Take its room, whatever else is booked there: a client was told its time."""
         step_number = reservation.due_at // self.step
         slot = step_number % self.steps
         if self.step_numbers[slot] != step_number:
@@ -103,7 +105,7 @@
         self.unbacked += not reservation.work
 
     def end(self, reservation: Reservation, kept: bool | None) -> None:
-        """Its sender came in time, and went ahead or not; None: it is given up, and its room free again."""
+        """End one whose flow came in time and went ahead or not; None gives it up and frees its room."""
         reservations = self.open[reservation.key]
         reservations.remove(reservation)
         self.open_count -= reservation.work > 0
@@ -121,7 +123,7 @@
         self.broken_count += not kept
 
     def _drop_expired(self, now: int) -> None:
-        """Those whose sender did not come, long after their time."""
+        """Drop those whose flow did not come, long after their time."""
         for reservations in list(self.open.values()):
             for reservation in list(reservations):
                 if reservation.due_at < now - self.steps * self.step:
--- a/oakkeel/simulator_adapter/__main__.py
+++ b/oakkeel/simulator_adapter/__main__.py
@@ -10,6 +10,7 @@
 
 
 def main() -> int:
+    """Answer batches until the input ends; 2 for a frame that can't be read, 1 for a closed output."""
     gc.freeze()  # the modules live as long as the process: don't scan them again
     gc.set_threshold(50_000, 20, 50)
     source, sink = sys.stdin.buffer, sys.stdout.buffer
--- a/oakkeel/simulator_adapter/table.py
+++ b/oakkeel/simulator_adapter/table.py
@@ -4,6 +4,7 @@
 
 import struct
 from collections.abc import Callable
+from typing import Any
 
 from oakkeel.simulator_adapter import wire
 from oakkeel.simulator_adapter.instance import OUTCOMES, Instance
@@ -13,9 +14,10 @@
     """Many instances that share nothing but the frames."""
 
     def __init__(self) -> None:
+        """Start with no instance."""
         self.instances: dict[int, Instance] = {}
         self.reply = wire.Reply()
-        self.tail = 0  # where the tail of the batch in hand begins
+        self.tail = 0  # where the tail of the current batch begins
         self.handlers: dict[int, Callable[[int, bytes, int], Instance | None]] = {
             wire.EV_PROVISION: self._provision,
             wire.EV_INCOMING: self._incoming,
@@ -29,7 +31,7 @@
         }
 
     def batch(self, number: int, clock: int, count: int, body: bytes) -> bytes:
-        """Hand out the records of a batch, settle each instance that had one, and return the reply."""
+        """Hand out the records of a batch, schedule each instance that had one, and return the reply."""
         touched: dict[int, Instance] = {}
         self.tail = count * wire.EVENT_SIZE
         for offset in range(0, self.tail, wire.EVENT_SIZE):
@@ -47,14 +49,14 @@
         return self.reply.frame(number)
 
     def _guarded(
-        self, instance_id: int, handler: Callable[..., Instance | None], *arguments
+        self, instance_id: int, handler: Callable[..., Instance | None], *arguments: Any
     ) -> Instance | None:
-        """Declare what the decisions raise on the wire; a frame that can't be read goes on up."""
+        """Report what the decisions raise as a record; a frame that can't be read is raised."""
         try:
             return handler(*arguments)
         except (wire.WireError, UnicodeDecodeError):
             raise
-        except Exception as error:  # whatever the module raises ends the day with its text
+        except Exception as error:  # the boundary of the decisions: the simulator stops with the text
             self.reply.add_text(wire.INTERNAL_ERROR, instance_id, f"{type(error).__name__}: {error}")
             return None
 
@@ -80,10 +82,9 @@
         code, instance_id, request_id, status, latency = wire.ENDED.unpack_from(body, offset)
         instance = self._instance(instance_id)
         outcome = OUTCOMES.get(status) or wire.fail(f"unknown outcome {status} on instance {instance_id}")
-        ended = (
-            instance.admission.run_finished if code == wire.EV_WORK_DONE else instance.admission.call_finished
-        )
-        ended(clock, instance.request_of(request_id), outcome, latency)
+        admission, request = instance.admission, instance.request_of(request_id)
+        finish = admission.run_finished if code == wire.EV_WORK_DONE else admission.call_finished
+        finish(clock, request, outcome, latency)
         return instance
 
     def _named(self, clock: int, body: bytes, offset: int) -> Instance:
@@ -92,12 +93,9 @@
         if code == wire.EV_LAME_DUCK:
             instance.admission.drain(clock, value)
         else:
-            handler = (
-                instance.admission.call_needed
-                if code == wire.EV_AWAITING
-                else instance.admission.client_disconnected
-            )
-            handler(clock, instance.request_of(value))
+            admission, request = instance.admission, instance.request_of(value)
+            handle = admission.call_needed if code == wire.EV_AWAITING else admission.client_disconnected
+            handle(clock, request)
         return instance
 
     def _timer(self, clock: int, body: bytes, offset: int) -> Instance:
--- a/oakkeel/simulator_adapter/wire.py
+++ b/oakkeel/simulator_adapter/wire.py
@@ -5,6 +5,8 @@
 from struct import Struct
 from typing import BinaryIO, NoReturn
 
+from oakkeel.errors import OakkeelError
+
 EVENT_SIZE = 72
 HEADER = Struct("<IIQI")  # number, bytes that follow the second field, clock, records
 REPLY_HEADER = Struct("<III")
@@ -60,16 +62,17 @@
 FLAG_RETRY = 2
 
 
-class WireError(Exception):
+class WireError(OakkeelError):
     """A frame that can't be read; the text is one plain line for whoever started the adapter."""
 
 
 def fail(text: str) -> NoReturn:
+    """Raise a `WireError`."""
     raise WireError(text)
 
 
 def read_frame(source: BinaryIO) -> tuple[int, int, int, bytes] | None:
-    """The next batch as number, clock, record count and body, or None at the end of input."""
+    """Read the next batch as number, clock, record count and body; None at the end of input."""
     head = source.read(HEADER.size)
     if not head:
         return None
@@ -91,18 +94,20 @@
     __slots__ = ("records", "text_size", "texts")
 
     def __init__(self) -> None:
+        """Start empty."""
         self.records: list[bytes] = []
         self.texts: list[bytes] = []
         self.text_size = 0
 
     def add_text(self, code: int, instance: int, text: str) -> None:
+        """Add an action that carries a text, such as a remark or an error."""
         data = text.encode()
         self.records.append(ACT_TEXT.pack(code, instance, self.text_size, len(data)))
         self.texts.append(data)
         self.text_size += len(data)
 
     def frame(self, number: int) -> bytes:
-        """The frame of all that was added; the reply is empty again after it."""
+        """Return the frame of all that was added; the reply is empty again after it."""
         body = b"".join(self.records) + b"".join(self.texts)
         frame = REPLY_HEADER.pack(number, REPLY_REST + len(body), len(self.records)) + body
         self.records.clear()
--- a/tests/fair_sharing/test_fair_sharing.py
+++ b/tests/fair_sharing/test_fair_sharing.py
@@ -243,7 +243,7 @@
     def test_a_node_half_as_fast_allows_and_promises_half_as_much(self):
         promised = []
         for slow in (1.0, 2.0):
-            made = world(slow=slow, slo=SECOND)
+            made = world(slow=slow, objective=SECOND)
             made.add(*self.compliant(10, 40))
             made.pass_time(10)
             fair = made.admission.fair_sharing
@@ -252,7 +252,7 @@
         self.assertAlmostEqual(promised[1] / promised[0], 0.5, delta=0.1)
 
     def test_a_cold_node_is_shared_as_well(self):
-        made, good = world(cold=True, slow=4.0, slo=2 * SECOND), self.compliant(8, 4)
+        made, good = world(starts_cold=True, slow=4.0, objective=2 * SECOND), self.compliant(8, 4)
         made.add(*good, SimulatedClient(b"crawler", 400, honours_retry_after=False))
         shares, _ = kept(made, good, warm=3, seconds=6)
         self.assertGreater(sum(shares) / len(shares), 0.85)
