--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -1,4 +1,4 @@
-"""What a node is told when it starts: its variables and the file that they name."""
+"""Configuration of a node: its environment variables and the file that they name."""
 
 from __future__ import annotations
 
@@ -16,47 +16,48 @@
 
 @dataclass(slots=True)
 class NodeConfiguration:
-    """Everything that a node goes by."""
+    """Everything that a node is configured with."""
 
     name: str
     listen: Address
     engine: Address
     lookup: Address
-    catalogue: Address | None  # nodes of the last tier have none
+    catalogue: Address | None  # the last tier has none
     seed: int
     resource_limits: ResourceLimits
     limits: NodeLimits
     gauges: list[str | None]
     groups: list[str]
     tenants: list[str]
-    readiness: bool  # the directory follows the node's health
+    readiness: bool  # the directory follows its health
     log_form: str  # console or json
-    control: str  # where its control link listens; empty: it has none
-    snapshot: str  # where the shares of senders outlive a process; empty: nowhere
-    generation: int  # told by whoever started it, and told back on its control link
+    control: str  # path of its control socket; empty: none
+    snapshot: str  # file that keeps fair shares across restarts; empty: none
+    generation: int  # set by whoever started it, reported on the control link
 
 
 def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
+    """Read variables and file; raises LimitsError with one line that names what is wrong."""
     path = variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            document = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
         raise LimitsError(f"the configuration can't be read: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         fail("the configuration is no JSON object")
-    pairs = Pairs(flatten({name: value for name, value in told.items() if name != "settings"}))
-    node = Pairs(flatten(told.get("settings") or {}))
+    pairs = Pairs(flatten({name: value for name, value in document.items() if name != "settings"}))
+    node = Pairs(flatten(document.get("settings") or {}))
     try:
         limits = read_limits(node)
-        limits.fair_sharing, snapshot = _fair(variables.get("OAKKEEL_TOLD", ""))
+        limits.fair_sharing, snapshot = _read_fair_sharing(variables.get("OAKKEEL_TOLD", ""))
         return NodeConfiguration(
             name=variables.get("PROXY_NAME") or pairs.need("name"),
             listen=_address(variables.get("PROXY_LISTEN") or pairs.need("listen")),
             engine=_address(pairs.need("engine")),
             lookup=_address(pairs.need("lookup")),
             catalogue=_address(pairs.get("catalog", "")) if pairs.get("catalog", "") else None,
-            seed=_seed(told.get("seed", 0)),
+            seed=_seed(document.get("seed", 0)),
             resource_limits=ResourceLimits(
                 sockets=int(pairs.needed_number("limits.sockets")),
                 memory=int(pairs.needed_number("limits.memory_mb") * 1024 * 1024),
@@ -78,21 +79,25 @@
         raise LimitsError(f"the configuration holds what can't be used: {error}") from None
 
 
-def _fair(path: str) -> tuple[FairSharingRules | None, str]:
-    """What the operator says of fair shares, in the file that an agent made of his settings."""
+def _read_fair_sharing(path: str) -> tuple[FairSharingRules | None, str]:
+    """Read the fair-sharing rules from the file that an agent made of the operator's settings."""
     if not path:
         return None, ""
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file).get("fair")
-        if told is None:
+            document = json.load(file).get("fair")
+        if document is None:
             return None, ""
-        weights = {str(name).encode(): float(value) for name, value in told["weights"].items()}
-        if not 1 <= len(told["by"]) <= 2 or not all(0 < value < 1e6 for value in weights.values()):
+        weights = {str(name).encode(): float(value) for name, value in document["weights"].items()}
+        if not 1 <= len(document["by"]) <= 2 or not all(0 < value < 1e6 for value in weights.values()):
             fail("the operator's settings name no senders, or a weight that can't be")
         return FairSharingRules(
-            tuple(told["by"]), weights, int(told["places"]), int(told["promises"]), int(told["half"])
-        ), str(told["snapshot"])
+            tuple(document["by"]),
+            weights,
+            int(document["places"]),
+            int(document["promises"]),
+            int(document["half"]),
+        ), str(document["snapshot"])
     except (OSError, KeyError, TypeError, ValueError) as error:
         raise LimitsError(f"the operator's settings can't be used: {error}") from None
 
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -21,13 +21,13 @@
 class NodeContext(Protocol):
     """The node, as its optional parts see it."""
 
-    start: NodeConfiguration
+    configuration: NodeConfiguration
     resource_limits: ResourceLimits
     log: EventLog
     listener: Listener
     host: NodeHost
-    open: dict[bytes, Task[None]]
-    measures: Metrics
-    draining: Drain
+    open_requests: dict[bytes, Task[None]]
+    metrics: Metrics
+    drain: Drain
     reader: RequestReader | None
-    fairly: NodeFairSharing | None
+    fair_sharing: NodeFairSharing | None
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -19,7 +19,7 @@
 
 def open_control(node: NodeContext) -> ControlListener:
     """Bind the control socket of a node; raises OSError where it can't be made."""
-    return ControlListener(node.start.control, ControlEndpoint(node), node.resource_limits, node.log)
+    return ControlListener(node.configuration.control, ControlEndpoint(node), node.resource_limits, node.log)
 
 
 class ControlEndpoint:
@@ -28,10 +28,12 @@
     def __init__(self, node: NodeContext) -> None:
         """Count the outcomes of the node's requests from now on."""
         self.node, self.started = node, time.monotonic_ns()
-        weights = (request_class.priority_weight for request_class in node.start.limits.request_classes)
+        weights = (
+            request_class.priority_weight for request_class in node.configuration.limits.request_classes
+        )
         self.outcomes = OutcomeCounters(max(weights, default=1.0))
         self.version = os.environ.get("OAKKEEL_VERSION", "")
-        node.measures.watch = self._count_answer
+        node.metrics.answer_observer = self._count_answer
 
     def _count_answer(self, request: NodeRequest, word: bytes) -> None:
         self.outcomes.count(
@@ -47,30 +49,30 @@
         host, port = node.listener.address
         status = NodeStatus(
             tag=tag,
-            name=node.start.name,
+            name=node.configuration.name,
             pid=os.getpid(),
-            generation=node.start.generation,
+            generation=node.configuration.generation,
             state=self._state(now),
             address=f"{host}:{port}",
             uptime=now - self.started,
             resident_kb=resident_bytes() // 1024,
             descriptors=open_descriptors(),
             connections=len(node.listener.connections),
-            open_requests=len(node.open),
+            open_requests=len(node.open_requests),
             cpu=time.process_time_ns(),
-            completed=node.measures.total.get(codec.COMPLETED, 0),
-            rejected=node.measures.total.get(codec.DENIED, 0),
-            failed=node.measures.total.get(codec.TERMINATED, 0),
+            completed=node.metrics.answers_total.get(codec.COMPLETED, 0),
+            rejected=node.metrics.answers_total.get(codec.DENIED, 0),
+            failed=node.metrics.answers_total.get(codec.TERMINATED, 0),
             version=self.version,
             load=round(node.host.gauges.core_busy, 4),
             earned_weight=self.outcomes.earned_weight,
             latencies=self.outcomes.latencies,
         )
-        if node.host.gauges_at:
-            status.gauges_age = now - node.host.gauges_at
-        if node.host.begun:
+        if node.host.gauges_read_at:
+            status.gauges_age = now - node.host.gauges_read_at
+        if node.host.started:
             self._add_admission(status)
-        if node.draining:
+        if node.drain:
             status.open_by_class = self._open_by_class()
         return status
 
@@ -95,33 +97,33 @@
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
         """The heaviest clients, none where fair sharing is off or has not started."""
-        fairly = self.node.fairly
-        if fairly and self.node.host.begun:
-            return fairly.clients_status(tag, limit)
+        fair_sharing = self.node.fair_sharing
+        if fair_sharing and self.node.host.started:
+            return fair_sharing.clients_status(tag, limit)
         return ClientsStatus(tag, [])
 
     def _state(self, now: int) -> str:
         node = self.node
-        if node.draining:
+        if node.drain:
             return "draining"
-        if not node.host.begun:
+        if not node.host.started:
             return "waiting"
-        limits = node.start.limits
+        limits = node.configuration.limits
         in_slow_start = limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
         return "cold" if in_slow_start else "serving"
 
     def _refusal(self, generation: int) -> str:
         """Why an order for that generation is refused; empty where it is this one."""
-        own = self.node.start.generation
+        own = self.node.configuration.generation
         return "" if generation == own else f"this is generation {own}"
 
     def request_drain(self, generation: int, timeout: int) -> str:
         """Start a drain; returns why not, empty where it starts."""
         refusal = self._refusal(generation)
         if not refusal:
-            self.node.draining.leave(timeout, final=False)
+            self.node.drain.start(timeout, final=False)
         return refusal
 
     def cancel_drain(self, generation: int) -> str:
         """Cancel the drain; returns why not, empty where it does."""
-        return self._refusal(generation) or self.node.draining.stay()
+        return self._refusal(generation) or self.node.drain.cancel()
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -1,4 +1,4 @@
-"""The drain of a node: from the notice to leave to its end, or back."""
+"""The drain of a node: from its notice to the end, or to its cancellation."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 from oakkeel.directory.reports import DirectoryReporter
 from oakkeel.dispatch.listener import Listener
+from oakkeel.errors import InvalidTransitionError
 from oakkeel.log import EventLog, fault
 from oakkeel.node.host import NodeHost
 from oakkeel.resource_limits import SECOND, ResourceLimits
 
 
 class DrainState(Enum):
-    """`Drain._move` alone changes it."""
+    """States of a drain; only `Drain._set_state` changes it."""
 
     NOT = "not"
     GRACE = "grace"  # new connections are still served
@@ -22,7 +23,7 @@
     ENDED = "ended"
 
 
-TRANSITIONS = {
+TRANSITIONS: dict[DrainState, set[DrainState]] = {
     DrainState.NOT: {DrainState.GRACE},
     DrainState.GRACE: {DrainState.EMPTYING, DrainState.NOT},
     DrainState.EMPTYING: {DrainState.ENDED, DrainState.NOT},
@@ -31,46 +32,53 @@
 
 
 class DrainContext(Protocol):
-    """What it needs of the node."""
+    """The node, as its drain sees it."""
 
     listener: Listener
-    reports: DirectoryReporter
+    directory_reporter: DirectoryReporter
     host: NodeHost
     log: EventLog
     resource_limits: ResourceLimits
     done: asyncio.Event
 
-    def stay(self) -> None: ...
+    def drain_cancelled(self) -> None:
+        """Serve again."""
 
 
 class Drain:
+    """The drain of one node; true while it goes on and once it is over."""
+
     def __init__(self, node: DrainContext, grace: int, stop_after: int) -> None:
-        """`grace` and `stop_after` in nanoseconds from the notice: what comes later does not run, and what is
-        not answered by then may be killed."""
+        """Prepare a drain that has not started.
+
+        Both times count in nanoseconds from the notice: what comes after `grace` does not run,
+        and what is not answered by `stop_after` may be killed.
+        """
         self.node, self.grace, self.stop_after = node, grace, stop_after
         self.state = DrainState.NOT
-        self.final = False  # told by SIGTERM, which nothing takes back
+        self.final = False  # started by SIGTERM, which nothing cancels
         self.task: asyncio.Task[None] | None = None
-        self.timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
+        self.deadline_timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
 
     def __bool__(self) -> bool:
-        """Whether it goes on, or is over."""
+        """Whether the drain goes on, or is over."""
         return self.state is not DrainState.NOT
 
-    def leave(self, within: int = 0, final: bool = True) -> None:
-        """The notice. `within` nanoseconds until all is answered, 0 as the platform says."""
+    def start(self, timeout: int = 0, final: bool = True) -> None:
+        """Drain within `timeout` nanoseconds, 0 as the platform says; a final one can't be cancelled."""
         if self.final or (self and not final):
-            return None  # a second one changes nothing
+            return  # a second notice changes nothing
         self.final = final
-        if self:  # it may have been given longer
-            self._end_by(self.stop_after)
-            return self._tell(self.stop_after)
-        self._move(DrainState.GRACE)
-        self._end_by(within or self.stop_after)
-        self.task = asyncio.ensure_future(self._drain(within or self.stop_after))
-
-    def stay(self) -> str:
-        """Take work again. Returns why it can't; empty where it does."""
+        if self:  # the order may have given it longer
+            self._set_deadline(self.stop_after)
+            self._notify_admission(self.stop_after)
+            return
+        self._set_state(DrainState.GRACE)
+        self._set_deadline(timeout or self.stop_after)
+        self.task = asyncio.ensure_future(self._drain(timeout or self.stop_after))
+
+    def cancel(self) -> str:
+        """Take requests again. Returns why that can't be; empty where it does."""
         if not self:
             return ""
         if self.final or self.state is DrainState.ENDED:
@@ -82,54 +90,56 @@
             return f"it can't listen again: {error}"
         if self.task:
             self.task.cancel()
-        if self.timer:
-            self.timer.cancel()
-        self._move(DrainState.NOT)
-        self._tell(None)
-        node.reports.set_taking(True)
-        node.stay()
+        if self.deadline_timer:
+            self.deadline_timer.cancel()
+        self._set_state(DrainState.NOT)
+        self._notify_admission(None)
+        node.directory_reporter.set_taking(True)
+        node.drain_cancelled()
         node.log.info("drain_cancelled")
         return ""
 
     async def _drain(self, left: int) -> None:
-        """End once all that was read is answered and every dispatcher has closed its connections."""
+        """End once each request that was read is answered and every dispatcher has closed its connections."""
         node = self.node
         node.log.info("drain_started")
-        node.reports.set_taking(False)
-        if node.host.begun:
-            self._tell(left)
+        node.directory_reporter.set_taking(False)
+        if node.host.started:
+            self._notify_admission(left)
             node.listener.last()
             await asyncio.sleep(self.grace / SECOND)
-        self._move(DrainState.EMPTYING)
+        self._set_state(DrainState.EMPTYING)
         await node.listener.close()
         node.listener.last()
-        await node.listener.gone()  # each ends only when all on it is answered and on its way
-        self._move(DrainState.ENDED)
-        if self.timer:
-            self.timer.cancel()
+        await node.listener.gone()  # each ends only when its answers are sent
+        self._set_state(DrainState.ENDED)
+        if self.deadline_timer:
+            self.deadline_timer.cancel()
         node.done.set()
 
-    def _end_by(self, left: int) -> None:
-        """Some dispatchers neither close a connection nor read from it: what is left is closed just before
-        the stop, or that would find the node waiting for them."""
-        if self.timer:
-            self.timer.cancel()
+    def _set_deadline(self, left: int) -> None:
+        """Close what is left just before the stop.
+
+        Some dispatchers neither close a connection nor read from it: SIGKILL would find the node waiting.
+        """
+        if self.deadline_timer:
+            self.deadline_timer.cancel()
         wait = max(0, left - self.node.resource_limits.stop_margin) / SECOND
-        self.timer = asyncio.get_running_loop().call_later(wait, self._end)
+        self.deadline_timer = asyncio.get_running_loop().call_later(wait, self._close_rest)
 
-    def _end(self) -> None:
+    def _close_rest(self) -> None:
         self.node.log.warning("drain_deadline_reached")
         self.node.listener.end()
 
-    def _tell(self, left: int | None) -> None:
+    def _notify_admission(self, left: int | None) -> None:
         try:
-            if self.node.host.begun:
-                self.node.host.tell(self.node.host.admission.drain, left)
+            if self.node.host.started:
+                self.node.host.notify(self.node.host.admission.drain, left)
         except Exception as error:  # the drain goes on
             self.node.log.error("drain_failed", error=fault(error))
 
-    def _move(self, state: DrainState) -> None:
+    def _set_state(self, state: DrainState) -> None:
         """The one place where the state changes."""
         if state not in TRANSITIONS[self.state]:
-            raise RuntimeError(f"{self.state.value} to {state.value}")
+            raise InvalidTransitionError("a drain", self.state.value, state.value)
         self.state = state
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -1,4 +1,4 @@
-"""Fair shares on a node: who sends, what of it outlives the process, what is told. Loaded where asked for."""
+"""Fair sharing on a node: flow keys, the snapshot, and its report. Loaded only where it is configured."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from oakkeel.resource_limits import SECOND
 from oakkeel.store import snapshot_file
 
-KEEP_EVERY = 5 * SECOND
+SNAPSHOT_INTERVAL = 5 * SECOND
 
 
 class NodeFairSharing:
-    """The measures of one node, taken up from its snapshot and kept there."""
+    """The fair-sharing state of one node, restored from its snapshot and written there."""
 
     def __init__(self, node: NodeContext, rules: FairSharingRules, path: str) -> None:
-        """`path` of the snapshot; empty: none is kept."""
+        """Read the snapshot at `path`; where that is empty, none is read or written."""
         self.node, self.rules, self.path = node, rules, path
-        self.found = self._read()
-        self.secret = self.found.secret if self.found else os.urandom(SECRET)
+        self.restored = self._read()
+        self.secret = self.restored.secret if self.restored else os.urandom(SECRET)
         self.keys = FlowKeys(self.secret, flow_fields(rules.levels))
         self.timer: asyncio.TimerHandle | None = None
 
@@ -48,28 +48,30 @@
         return None
 
     def begin(self) -> None:
-        """The decisions are there: they begin with what an earlier process knew."""
+        """Restore the snapshot: the admission controller has just started."""
         fair = self.node.host.admission.fair_sharing
-        if self.found and fair:
+        if self.restored and fair:
             persistence.restore_snapshot(
-                self.found, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises
+                self.restored, time.monotonic_ns(), time.time_ns(), fair.levels, fair.promises
             )
             self.node.log.info(
                 "fair_sharing_snapshot_restored",
                 senders=len(fair.levels.tables[-1].senders),
                 promises=fair.promises.count,
             )
-        self.found = None
+        self.restored = None
         if self.path:
-            self._keep_again()
+            self._write_periodically()
 
-    def _keep_again(self) -> None:
-        self.keep()
-        self.timer = asyncio.get_running_loop().call_later(KEEP_EVERY / SECOND, self._keep_again)
+    def _write_periodically(self) -> None:
+        self.write_snapshot()
+        self.timer = asyncio.get_running_loop().call_later(
+            SNAPSHOT_INTERVAL / SECOND, self._write_periodically
+        )
 
-    def keep(self) -> None:
-        """Write the snapshot, where there is a place for it."""
-        fair = self.node.host.admission.fair_sharing if self.node.host.begun else None
+    def write_snapshot(self) -> None:
+        """Write the snapshot, where it has a path."""
+        fair = self.node.host.admission.fair_sharing if self.node.host.started else None
         if not self.path or fair is None:
             return
         try:
@@ -88,20 +90,22 @@
             self.node.log.error("fair_sharing_snapshot_write_failed", error=str(error))
 
     def end(self) -> None:
+        """Write the snapshot for the last time."""
         if self.timer:
             self.timer.cancel()
-        self.keep()
+        self.write_snapshot()
 
     def reload(self, rules: FairSharingRules | None) -> None:
-        """New weights hold at once; who counts as one sender stays as it was at the start."""
+        """Use new weights at once; the flow key stays as it was at the start."""
         if rules is None or rules.levels != self.rules.levels:
-            return self.node.log.warning("flow_key_change_ignored")
+            self.node.log.warning("flow_key_change_ignored")
+            return
         self.rules.weights.clear()
         self.rules.weights.update(rules.weights)
         self.node.log.info("flow_weights_reloaded", weights=len(rules.weights))
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
-        """The heaviest senders by now, innermost level."""
+        """The heaviest clients by now, of the innermost level."""
         fair, now = self.node.host.admission.fair_sharing, time.monotonic_ns()
         if fair is None:
             return ClientsStatus(tag, list(self.rules.levels))
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -1,4 +1,4 @@
-"""What a node measures of itself, written to the log now and then."""
+"""Metrics of a node about itself, written to the log at intervals."""
 
 from __future__ import annotations
 
@@ -11,66 +11,72 @@
 
 
 class Metrics:
-    """Counts since the last line; how late timers came is counted by doubled steps of milliseconds."""
+    """Counts since the last log line; timer lags fall into buckets of doubled milliseconds."""
 
-    STEPS = 12
+    BUCKETS = 12
 
     def __init__(self) -> None:
-        self.total: dict[bytes, int] = {}  # answers since the start
-        self.watch: Callable[[Any, bytes], None] | None = None  # told of each answer, where somebody asks
-        self._restart()
-
-    def _restart(self) -> None:
-        self.read = 0
-        self.answered: dict[bytes, int] = {}
-        self.calls: dict[str, int] = {}  # by how they ended
-        self.late = [0] * (self.STEPS + 1)
-        self.latest = self.gauges_missed = 0
-        self.cpu, self.since = time.process_time_ns(), time.monotonic_ns()
-
-    def timer_late(self, by: int) -> None:
-        self.late[min(self.STEPS, max(0, by // MS).bit_length())] += 1
-        self.latest = max(self.latest, by)
-
-    def count(self, word: bytes) -> None:
-        self.answered[word] = self.answered.get(word, 0) + 1
-        self.total[word] = self.total.get(word, 0) + 1
+        """Start at zero, with nobody that observes answers."""
+        self.answers_total: dict[bytes, int] = {}  # answers since the start
+        self.answer_observer: Callable[[Any, bytes], None] | None = None  # called with each answer
+        self._reset()
+
+    def _reset(self) -> None:
+        self.requests_read = 0
+        self.answers: dict[bytes, int] = {}
+        self.calls_by_outcome: dict[str, int] = {}
+        self.timer_lags = [0] * (self.BUCKETS + 1)
+        self.highest_lag = self.gauges_missed = 0
+        self.cpu_at_reset, self.reset_at = time.process_time_ns(), time.monotonic_ns()
+
+    def count_timer(self, lag: int) -> None:
+        """Count a timer that came `lag` nanoseconds late."""
+        self.timer_lags[min(self.BUCKETS, max(0, lag // MS).bit_length())] += 1
+        self.highest_lag = max(self.highest_lag, lag)
+
+    def count_answer(self, word: bytes) -> None:
+        """Count an answer by its word on the wire."""
+        self.answers[word] = self.answers.get(word, 0) + 1
+        self.answers_total[word] = self.answers_total.get(word, 0) + 1
 
     def count_call(self, outcome: str) -> None:
-        self.calls[outcome] = self.calls.get(outcome, 0) + 1
-
-    def _late_share(self, share: float) -> int:
-        """The milliseconds under which that share of the timers stayed."""
-        wanted = share * sum(self.late)
-        for step, count in enumerate(self.late):
-            wanted -= count
-            if wanted <= 0:
-                return 1 << step
-        return 1 << self.STEPS
-
-    def facts(self, connections: int, open_exchanges: int, losses: int) -> dict[str, object]:
-        """What was measured since the last time, which it begins anew; sizes in MB, shares of a core."""
+        """Count a downstream call by its outcome."""
+        self.calls_by_outcome[outcome] = self.calls_by_outcome.get(outcome, 0) + 1
+
+    def _lag_quantile(self, quantile: float) -> int:
+        """Milliseconds under which that share of the timers stayed."""
+        remaining = quantile * sum(self.timer_lags)
+        for bucket, count in enumerate(self.timer_lags):
+            remaining -= count
+            if remaining <= 0:
+                return 1 << bucket
+        return 1 << self.BUCKETS
+
+    def collect(self, connections: int, open_requests: int, link_losses: int) -> dict[str, object]:
+        """Return the fields of a log line and reset the counts; sizes in MB, CPU as a share of a core."""
         now, cpu = time.monotonic_ns(), time.process_time_ns()
-        calls = ",".join(f"{how.replace(' ', '_')}:{count}" for how, count in sorted(self.calls.items()))
-        facts: dict[str, object] = {
-            "read": self.read,
-            **{word.decode(): count for word, count in sorted(self.answered.items())},
+        calls = ",".join(
+            f"{outcome.replace(' ', '_')}:{count}" for outcome, count in sorted(self.calls_by_outcome.items())
+        )
+        fields: dict[str, object] = {
+            "read": self.requests_read,
+            **{word.decode(): count for word, count in sorted(self.answers.items())},
             "calls": calls or 0,
-            "open": open_exchanges,
+            "open": open_requests,
             "connections": connections,
             "descriptors": open_descriptors(),
             "resident_mb": round(resident_bytes() / 2**20, 1),
-            "cpu": round((cpu - self.cpu) / max(1, now - self.since), 3),
-            "timers": sum(self.late),
-            "late_ms_half": self._late_share(0.5),  # half of them came less late
-            "late_ms_99": self._late_share(0.99),
-            "latest_ms": round(self.latest / MS, 1),
+            "cpu": round((cpu - self.cpu_at_reset) / max(1, now - self.reset_at), 3),
+            "timers": sum(self.timer_lags),
+            "late_ms_half": self._lag_quantile(0.5),  # half of them came less late
+            "late_ms_99": self._lag_quantile(0.99),
+            "latest_ms": round(self.highest_lag / MS, 1),
             "gauges_missed": self.gauges_missed,
-            "link_losses": losses,
-            "over_s": round((now - self.since) / SECOND, 1),
+            "link_losses": link_losses,
+            "over_s": round((now - self.reset_at) / SECOND, 1),
         }
-        self._restart()
-        return facts
+        self._reset()
+        return fields
 
 
 def resident_bytes() -> int:
@@ -80,4 +86,5 @@
 
 
 def open_descriptors() -> int:
+    """Descriptors that the process has open."""
     return len(os.listdir("/proc/self/fd"))
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -1,4 +1,4 @@
-"""One node put together: its start, its drain, its end."""
+"""A node with all of its parts: start, reload, drain and end."""
 
 from __future__ import annotations
 
@@ -34,58 +34,69 @@
 
 
 class Node:
-    """The front of all connections, and the order in which the parts start and end."""
-
-    def __init__(self, start: NodeConfiguration) -> None:
-        resource_limits = start.resource_limits
-        self.start, self.resource_limits = start, resource_limits
-        self.log = EventLog(start.name, resource_limits.log_lines_per_second, start.log_form)
-        self.measures = Metrics()
+    """The `ConnectionOwner` of all connections; starts and stops the parts in their order."""
+
+    def __init__(self, configuration: NodeConfiguration) -> None:
+        """Make the parts of a node; `run` starts them."""
+        resource_limits = configuration.resource_limits
+        self.configuration, self.resource_limits = configuration, resource_limits
+        self.log = EventLog(configuration.name, resource_limits.log_lines_per_second, configuration.log_form)
+        self.metrics = Metrics()
         self.pool = BufferPool(resource_limits.buffer_size, resource_limits.max_buffers)
         self.reader: RequestReader | None = None
-        self.open: dict[bytes, asyncio.Task[None]] = {}  # by the ids of their exchanges
-        self.came_up: tuple[bool, int, int] | None = None  # the engine, while the node was leaving
+        self.open_requests: dict[bytes, asyncio.Task[None]] = {}  # handlers by request ID
+        self.pending_engine: tuple[bool, int, int] | None = (
+            None  # that came up during a drain: cold, age, when
+        )
         self.done = asyncio.Event()
-        self.listener = Listener(start.listen, self.pool, resource_limits, self, self.log)
-        self.reports = DirectoryReporter(start.lookup, start.name, resource_limits)
-        self.engine = EngineLink(start.engine, self.pool, resource_limits, self.log, self._engine_up)
-        self.catalogue = Catalogue(start.catalogue, self.pool, resource_limits, self.log)
-        self.response_cache = ResponseCache(resource_limits, start.limits.cache_ttl)
+        self.listener = Listener(configuration.listen, self.pool, resource_limits, self, self.log)
+        self.directory_reporter = DirectoryReporter(configuration.lookup, configuration.name, resource_limits)
+        self.engine = EngineLink(configuration.engine, self.pool, resource_limits, self.log, self._engine_up)
+        self.catalogue = Catalogue(configuration.catalogue, self.pool, resource_limits, self.log)
+        self.response_cache = ResponseCache(resource_limits, configuration.limits.cache_ttl)
         self.host = NodeHost(
-            start, self.engine, self.listener, self.reports, self.response_cache, self.measures, self.log
+            configuration,
+            self.engine,
+            self.listener,
+            self.directory_reporter,
+            self.response_cache,
+            self.metrics,
+            self.log,
         )
-        self.draining = Drain(self, start.limits.drain_grace, resource_limits.stop_after)
-        self.fairly: NodeFairSharing | None = None
-        if start.limits.fair_sharing:
+        self.drain = Drain(self, configuration.limits.drain_grace, resource_limits.stop_after)
+        self.fair_sharing: NodeFairSharing | None = None
+        if configuration.limits.fair_sharing:
             from oakkeel.node.fair_sharing import (
-                NodeFairSharing,  # it brings libraries that a plain node spares
+                NodeFairSharing,  # loads libraries that a plain node does without
             )
 
-            self.fairly = NodeFairSharing(self, start.limits.fair_sharing, start.snapshot)
+            self.fair_sharing = NodeFairSharing(
+                self, configuration.limits.fair_sharing, configuration.snapshot
+            )
         self.control = None
-        if start.control:
+        if configuration.control:
             from oakkeel.node.control_endpoint import (
-                open_control,  # it brings libraries that a plain node spares
+                open_control,  # loads libraries that a plain node does without
             )
 
             self.control = open_control(self)
         self.handler = RequestHandler(
-            self.host, self.engine, self.catalogue, self.response_cache, self.measures, self.log
+            self.host, self.engine, self.catalogue, self.response_cache, self.metrics, self.log
         )
 
     async def run(self) -> None:
-        """From the start to the end of the drain."""
+        """Serve from the start to the end of the drain."""
         loop = asyncio.get_running_loop()
         self.log.take_others(loop)
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.leave)
+            loop.add_signal_handler(number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # one that came before there was a loop comes now
         self.listener.open()
         if self.control:
             self.control.open()
         serving = asyncio.ensure_future(self.engine.serve())
-        loop.call_later(self.resource_limits.metrics_interval / SECOND, self._measure)
+        loop.call_later(self.resource_limits.metrics_interval / SECOND, self._log_metrics)
         gc.collect()
         gc.freeze()  # what is loaded by now lives as long as the process
         host, port = self.listener.address
@@ -93,87 +104,101 @@
         await self.done.wait()
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # one that comes from now on must not end it badly
         serving.cancel()
-        self.reports.close()
-        if self.fairly:
-            self.fairly.end()
+        self.directory_reporter.close()
+        if self.fair_sharing:
+            self.fair_sharing.end()
         if self.control:
             self.control.close()
-        self.log.info("metrics", **self._measured())
+        self.log.info("metrics", **self._metric_fields())
         self.log.info("node_stopped")
 
     def _engine_up(self, cold: bool, age: int) -> None:
-        if self.host.begun:
-            return self.host.begin_anew(cold, age)
-        if self.draining:  # it leaves without having taken anything, or is told to stay after all
-            self.came_up = (cold, age, time.monotonic_ns())
-            return None
-        self.host.begin(cold, age)
-        self.reports.start()
-        who = None
-        if self.fairly:
-            self.fairly.begin()
-            who = self.fairly.keys.who
+        if self.host.started:
+            self.host.engine_restarted(cold, age)
+            return
+        if self.drain:  # nothing is taken, unless the drain is cancelled
+            self.pending_engine = (cold, age, time.monotonic_ns())
+            return
+        self.host.start_admission(cold, age)
+        self.directory_reporter.start()
+        flow_key = None
+        if self.fair_sharing:
+            self.fair_sharing.begin()
+            flow_key = self.fair_sharing.keys.who
         self.reader = RequestReader(
-            self.start.limits, self.start.groups, self.start.tenants, self.resource_limits, who=who
+            self.configuration.limits,
+            self.configuration.groups,
+            self.configuration.tenants,
+            self.resource_limits,
+            who=flow_key,
         )
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
-    def stay(self) -> None:
-        """A drain was taken back: take exchanges, where the engine came up meanwhile."""
-        if self.came_up:
-            cold, age, at = self.came_up
-            self.came_up = None
+    def drain_cancelled(self) -> None:
+        """Serve again after a cancelled drain, with the engine that came up meanwhile."""
+        if self.pending_engine:
+            cold, age, at = self.pending_engine
+            self.pending_engine = None
             self._engine_up(cold, age + time.monotonic_ns() - at)
 
     def reload(self) -> None:
-        """Go over to the engine, catalogue and directory that the file names by now, or stay as it is."""
+        """Use the engine, catalogue and directory that the file names by now, if it can be read."""
         try:
-            start = read_configuration(os.environ)
+            configuration = read_configuration(os.environ)
         except (LimitsError, OSError) as error:
-            return self.log.error("configuration_rejected", error=str(error))
-        self.engine.move(start.engine)
-        self.catalogue.move(start.catalogue)
-        self.reports.move(start.lookup)
-        if self.fairly:
-            self.fairly.reload(start.limits.fair_sharing)
+            self.log.error("configuration_rejected", error=str(error))
+            return
+        self.engine.move(configuration.engine)
+        self.catalogue.move(configuration.catalogue)
+        self.directory_reporter.move(configuration.lookup)
+        if self.fair_sharing:
+            self.fair_sharing.reload(configuration.limits.fair_sharing)
         self.log.info("configuration_reloaded")
 
-    # The front of the connections.
+    # What connections ask and tell.
 
     def arrived(self, request: NodeRequest) -> None:
-        self.measures.read += 1
+        """Start the handler of a request that was read."""
+        self.metrics.requests_read += 1
         task = asyncio.ensure_future(self.handler.handle(request))
-        self.open[request.request_id] = task
-        task.add_done_callback(lambda _: self.open.pop(request.request_id))
+        self.open_requests[request.request_id] = task
+        task.add_done_callback(lambda _: self.open_requests.pop(request.request_id))
 
     def holds(self, request_id: bytes) -> bool:
-        """Whether an exchange of that id is open, or its run is."""
-        return request_id in self.open
+        """Whether a request with this ID is open, or its run is."""
+        return request_id in self.open_requests
 
     def gone(self, request: NodeRequest) -> None:
+        """Tell the handler that the client no longer waits."""
         if not request.answered:
-            request.answered = True  # nothing is owed any more
+            request.answered = True  # no answer is due any more
             request.post(ClientDisconnected())
 
     def healthy(self) -> bool:
-        return self.host.good and self.host.begun and not self.draining
+        """Whether health checks get `yes`."""
+        return self.host.healthy and self.host.started and not self.drain
 
     def signal(self) -> float | None:
-        return self.host.signal
+        """The share of traffic that the node advertises, None before it has one."""
+        return self.host.advertised_share
 
     def return_after(self) -> int:
-        """When one that is denied at the door may come back, in nanoseconds; 0: it takes no such advice."""
-        return self.host.admission.retry_after() if self.host.begun else 0
+        """Nanoseconds after which a request refused on arrival may be retried; 0 where none are advised."""
+        return self.host.admission.retry_after() if self.host.started else 0
 
-    def leave(self) -> None:
-        """The notice to leave for good; a second one changes nothing."""
-        self.draining.leave()
+    def stop(self) -> None:
+        """Drain and stop for good; a second call changes nothing."""
+        self.drain.start()
 
-    # Measures.
+    # Metrics.
 
-    def _measure(self) -> None:
-        self.log.info("metrics", **self._measured())
-        asyncio.get_running_loop().call_later(self.resource_limits.metrics_interval / SECOND, self._measure)
+    def _log_metrics(self) -> None:
+        self.log.info("metrics", **self._metric_fields())
+        asyncio.get_running_loop().call_later(
+            self.resource_limits.metrics_interval / SECOND, self._log_metrics
+        )
 
-    def _measured(self) -> dict[str, object]:
-        return self.measures.facts(len(self.listener.connections), len(self.open), self.engine.losses)
+    def _metric_fields(self) -> dict[str, object]:
+        return self.metrics.collect(
+            len(self.listener.connections), len(self.open_requests), self.engine.losses
+        )
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -1,4 +1,4 @@
-"""The life of one exchange, from its last byte to its one answer and the end of its run."""
+"""The way of one request, from its last byte to its one answer and the end of its run."""
 
 from __future__ import annotations
 
@@ -43,33 +43,36 @@
 
 
 class RequestHandler:
+    """Follows each request of a node from its last byte to its answer and the end of its run."""
+
     def __init__(
         self,
         host: NodeHost,
         engine: EngineLink,
         catalogue: Catalogue,
         response_cache: ResponseCache,
-        measures: Metrics,
+        metrics: Metrics,
         log: EventLog,
     ) -> None:
+        """Take the parts that requests pass through."""
         self.host, self.engine, self.catalogue, self.response_cache = host, engine, catalogue, response_cache
-        self.measures, self.log = measures, log
+        self.metrics, self.log = metrics, log
 
     async def handle(self, request: NodeRequest) -> None:
         """Decide on one request, run it, make its calls and answer it once."""
         try:
             if self._admissible(request):
-                self.host.tell(self.host.admission.arrive, request)
+                self.host.notify(self.host.admission.arrive, request)
                 await self._follow(request)
-        except Exception as error:  # it is answered and the node lives on
+        except Exception as error:  # the request is answered and the node goes on
             self.log.error("request_failed", state=request.state.name, error=fault(error))
-            await self._wind_up(request)
+            await self._clean_up(request)
         finally:
             self.catalogue.quit(request)
             if request.may_have_run:
                 self.response_cache.finish(request, Outcome.ERROR, b"")
             else:
-                self.response_cache.release(request)  # a repeat of what went unrun may run
+                self.response_cache.release(request)  # a duplicate of what never ran may run
 
     def _admissible(self, request: NodeRequest) -> bool:
         """Look up its idempotency key; what the key forbids is answered here."""
@@ -85,18 +88,18 @@
             and not request.is_duplicate
             and self.response_cache.full(now)
         ):
-            self._deny(request)  # its repeats could not be told from it
+            self._reject(request)  # its duplicates could not be recognized
             return False
         return True
 
     async def _follow(self, request: NodeRequest) -> None:
         """Carry out the verdict on a request that has arrived."""
-        event = await self._next(request)
+        event = await self._next_event(request)
         if isinstance(event, AwaitSharedResponse):
             self.response_cache.share(request)
-            event = await self._next(request)
+            event = await self._next_event(request)
         if isinstance(event, SharedResponse):
-            self.host.tell(self.host.admission.run_finished, request, event.outcome, 0)
+            self.host.notify(self.host.admission.run_finished, request, event.outcome, 0)
             self._answer_run(request, event.outcome, event.result)
         elif isinstance(event, StartRun):
             self.engine.run(request)
@@ -105,33 +108,36 @@
 
     async def _follow_run(self, request: NodeRequest) -> None:
         """Make the calls that a run waits for, until the run is over."""
-        event = await self._next(request)
+        event = await self._next_event(request)
         while isinstance(event, CallNeeded):
-            self.host.tell(self.host.admission.call_needed, request)
+            self.host.notify(self.host.admission.call_needed, request)
             event = await self._make_calls(request, event)
         if not isinstance(event, RunFinished):
             raise UnexpectedEventError(event, request.state)
-        self._run_over(request, event)
+        self._finish_run(request, event)
 
     async def _make_calls(self, request: NodeRequest, needed: CallNeeded) -> RequestEvent | RequestReleased:
         """Place the call, again where the verdict says so, or skip it. Returns the event after that."""
-        event = await self._next(request)
+        event = await self._next_event(request)
         while isinstance(event, PlaceCall):
             self.catalogue.fetch(request, event.deadline, needed.body)
-            event = await self._next(request)
+            event = await self._next_event(request)
             if isinstance(event, CallFinished):
-                self.measures.count_call(event.outcome.value)
-                self.host.tell(self.host.admission.call_finished, request, event.outcome, event.duration)
+                self.metrics.count_call(event.outcome.value)
+                self.host.notify(self.host.admission.call_finished, request, event.outcome, event.duration)
                 if event.outcome is Outcome.COMPLETED and request.state is RequestState.RUNNING:
                     self.engine.feed(request, event.reply)
-                event = await self._next(request)
+                event = await self._next_event(request)
         if isinstance(event, SkipCall):
             self.engine.skip(request, needed.notice)
-            event = await self._next(request)
+            event = await self._next_event(request)
         return event
 
-    async def _next(self, request: NodeRequest) -> RequestEvent | RequestReleased:
-        """The next event, after an early answer is given, a stop passed on or the caller's end told."""
+    async def _next_event(self, request: NodeRequest) -> RequestEvent | RequestReleased:
+        """Wait for the next event that the caller has to act on.
+
+        Early answers, cancelled runs and disconnected clients are dealt with here.
+        """
         while True:
             if request.state is RequestState.FINISHED and not request.in_engine and not request.events:
                 return RELEASED
@@ -143,17 +149,17 @@
             elif isinstance(event, CancelRun):
                 self.engine.halt(request)
             elif isinstance(event, ClientDisconnected):
-                self.host.tell(self.host.admission.client_disconnected, request)
+                self.host.notify(self.host.admission.client_disconnected, request)
             else:
                 return event
             if request.answered:
-                self.catalogue.quit(request)  # nobody waits for what its call brings
+                self.catalogue.quit(request)  # nobody waits for the reply of its call
 
-    def _run_over(self, request: NodeRequest, run: RunFinished) -> None:
-        # Nothing was started where the dispatcher had given up before we heard of it. The decisions count
-        # this one as running: told that it never was there, they would count it for ever.
+    def _finish_run(self, request: NodeRequest, run: RunFinished) -> None:
+        # Nothing was started where the dispatcher had given up before this node knew. The controller counts
+        # the request as running: an outcome that means "never started" would leave it counted for ever.
         counted = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
-        self.host.tell(self.host.admission.run_finished, request, counted, run.duration)
+        self.host.notify(self.host.admission.run_finished, request, counted, run.duration)
         if request.unknown_to_engine:
             request.connection.fault("request_id_unknown")
         if request.may_have_run:
@@ -164,34 +170,34 @@
         if outcome is Outcome.COMPLETED:
             self._answer(request, codec.COMPLETED, result)
         elif outcome is Outcome.REJECTED:
-            self._deny(request)  # the one that it repeats never ran, and so neither did this
+            self._reject(request)  # the original never ran, so neither did this one
         else:
             self._answer(request, codec.TERMINATED)
 
-    def _deny(self, request: NodeRequest) -> None:
+    def _reject(self, request: NodeRequest) -> None:
         self._answer(request, codec.DENIED, retry_after=self.host.admission.retry_after())
 
     def _answer(
         self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
     ) -> None:
-        """The one place that answers; what was answered, or whose caller is gone, is not answered again."""
+        """Answer a request, unless it was answered or its client is gone. Nothing else answers."""
         if not request.answered:
             request.answered = True
-            self.measures.count(word)
-            if self.measures.watch:
-                self.measures.watch(request, word)
+            self.metrics.count_answer(word)
+            if self.metrics.answer_observer:
+                self.metrics.answer_observer(request, word)
             request.connection.answer(request, word, body, last, retry_after)
 
-    async def _wind_up(self, request: NodeRequest) -> None:
-        """After an error of ours: answer it, and follow its run to the end, so that its cores are counted."""
+    async def _clean_up(self, request: NodeRequest) -> None:
+        """After a defect, answer the request and follow its run to the end, so that its cores are counted."""
         self._answer(request, codec.TERMINATED)
         try:
-            self.host.tell(self.host.admission.client_disconnected, request)
+            self.host.notify(self.host.admission.client_disconnected, request)
             while request.in_engine or request.events:
                 event = await request.next_event()
                 if isinstance(event, CancelRun):
                     self.engine.halt(request)
                 elif isinstance(event, RunFinished):
-                    self._run_over(request, event)
+                    self._finish_run(request, event)
         except Exception as error:
             self.log.error("request_cleanup_failed", error=fault(error))
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -652,8 +652,8 @@
 class DrainStories(DoorStory):
     """The drain in front of dispatchers that do nothing for it; its node has no engine yet, so no grace."""
 
-    reports = types.SimpleNamespace(set_taking=lambda taking: None)
-    host = types.SimpleNamespace(begun=False)
+    directory_reporter = types.SimpleNamespace(set_taking=lambda taking: None)
+    host = types.SimpleNamespace(started=False)
     log = EventLog("test", 0)
 
     async def test_what_is_left_just_before_the_stop_is_closed(self):
@@ -662,7 +662,7 @@
         _, resting = await self.rested()
         _, held = await self.stuck()
         drain = Drain(self, grace=0, stop_after=300 * MS)
-        drain.leave()
+        drain.start()
         await asyncio.wait_for(self.done.wait(), WAIT)
         self.assertIs(drain.state, DrainState.ENDED)
         self.assertEqual({resting.phase, held.phase}, {Phase.CLOSED})
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -553,7 +553,7 @@
             def __getattr__(self, name):
                 return lambda *words: said.append((name, *words))
 
-            def tell(self, act, *words):
+            def notify(self, act, *words):
                 act(0, *words)
 
             def arrive(self, now, request):
