--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -121,16 +121,16 @@
             return
         self.host.start_admission(cold, age)
         self.directory_reporter.start()
-        flow_key = None
+        flow_keys = None
         if self.fair_sharing:
             self.fair_sharing.begin()
-            flow_key = self.fair_sharing.keys.who
+            flow_keys = self.fair_sharing.keys.flow_keys
         self.reader = RequestReader(
             self.configuration.limits,
             self.configuration.groups,
             self.configuration.tenants,
             self.resource_limits,
-            who=flow_key,
+            who=flow_keys,
         )
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
