--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -24,7 +24,7 @@
 from oakkeel.authentication.mac import Key
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption import commands
-from oakkeel.disruption.state_machine import Order as Agreed
+from oakkeel.disruption.state_machine import DisruptionOrder as Agreed
 from oakkeel.disruption.state_machine import Rejection
 from oakkeel.log import EventLog
 from oakkeel.raft.replica import NotLeaderError
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -14,7 +14,7 @@
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.messages import AssignedOrder, GrantedPermit, Heartbeat, HeartbeatResponse
-from oakkeel.disruption.state_machine import OPEN_STATES, PERMIT_REASON, Order, PermitStateMachine, Rejection
+from oakkeel.disruption.state_machine import OPEN_STATES, PERMIT_REASON, DisruptionOrder, PermitStateMachine, Rejection
 from oakkeel.disruption.topology import Topology, UnavailableTargets
 
 MS = 1_000_000
@@ -86,7 +86,7 @@
         for order in held.orders.values():
             self._know(now, order)
 
-    def _know(self, now: int, order: Order) -> None:
+    def _know(self, now: int, order: DisruptionOrder) -> None:
         """An order that may want places, or has some."""
         placed = {place.thing for place in self.ledger.held.places.values() if place.ident == order.ident}
         if order.open:
@@ -169,7 +169,7 @@
             return self._lay(now)
         if isinstance(command, commands.AcquireLease):
             self.leases_at[command.name] = now
-        if isinstance(result, Order) and result.index == index and result.ident in held.orders:
+        if isinstance(result, DisruptionOrder) and result.index == index and result.ident in held.orders:
             self._know(now, result)
         for thing in _targets_of(command):
             place = held.places.get(thing)
@@ -271,7 +271,7 @@
         reasons = self.out.reasons.get(thing, ())
         return UNHEARD not in reasons and ASKED not in reasons and not self.ledger.taken(thing, ident)
 
-    def _grant(self, order: Order, things: list[str]) -> list[commands.Command]:
+    def _grant(self, order: DisruptionOrder, things: list[str]) -> list[commands.Command]:
         # What is out by itself takes no room. Where there is none, it must not have come up when it is used.
         down = any(
             self.out.counts[name] > self.out.groups[name].bound
--- a/oakkeel/disruption/state_machine.py
+++ b/oakkeel/disruption/state_machine.py
@@ -18,7 +18,7 @@
 PERMIT_REASON = "a place"  # why it is out
 
 
-class Task(msgspec.Struct, array_like=True):
+class DisruptionTask(msgspec.Struct, array_like=True):
     """What an order means for one thing. `PermitStateMachine._move` alone changes its state."""
 
     generation: int
@@ -37,7 +37,7 @@
 }
 
 
-class Order(msgspec.Struct, array_like=True):
+class DisruptionOrder(msgspec.Struct, array_like=True):
     ident: str
     operator: str
     verb: str
@@ -45,7 +45,7 @@
     lasts: int
     whole: bool
     index: int
-    parts: dict[str, Task]
+    parts: dict[str, DisruptionTask]
     halted: str = ""  # by whom
     cancelled: str = ""
 
@@ -74,7 +74,7 @@
     """All of it, as a snapshot holds it."""
 
     layout: Topology = Topology()
-    orders: dict[str, Order] = {}
+    orders: dict[str, DisruptionOrder] = {}
     places: dict[str, Permit] = {}
     generations: dict[str, int] = {}
     leases: dict[str, Lease] = {}
@@ -166,7 +166,7 @@
             return Rejection(f"{MAX_OPEN_ORDERS} orders are open already")
         parts = {}
         for thing, generation in things.items():
-            parts[thing] = part = Task(generation)
+            parts[thing] = part = DisruptionTask(generation)
             other = next(
                 (
                     each
@@ -185,7 +185,7 @@
             for part in parts.values():
                 if part.state != "refused":
                     part.state, part.why = "refused", "not all of it can be taken"
-        order = Order(
+        order = DisruptionOrder(
             command.ident,
             command.operator,
             command.verb,
@@ -226,7 +226,7 @@
         self._end_waiting(order, "cancelled", f"by {command.operator}")
         return order
 
-    def _end_waiting(self, order: Order, state: str, why: str) -> None:
+    def _end_waiting(self, order: DisruptionOrder, state: str, why: str) -> None:
         for part in order.parts.values():
             if part.state == "waiting":
                 self._move(part, state, why)
@@ -382,7 +382,7 @@
         if order and order.parts[place.thing].state in OPEN_STATES:
             self._move(order.parts[place.thing], state, why)
 
-    def _move(self, part: Task, state: str, why: str) -> None:
+    def _move(self, part: DisruptionTask, state: str, why: str) -> None:
         """The one place where the state of a part changes."""
         if state == part.state:
             return
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -13,7 +13,7 @@
 from oakkeel.disruption.state_machine import Rejection
 from oakkeel.emulator.clock import Clock
 from oakkeel.invariants.policy_change import PolicyChangeAudit
-from oakkeel.policy_change.coordinator import AgentReport, PolicyAssignment, PolicyCoordinator
+from oakkeel.policy_change.coordinator import PolicyReport, PolicyAssignment, PolicyCoordinator
 from oakkeel.policy_change.policy_lease import AgentPolicyLease, NodePolicyLease
 from oakkeel.policy_change.state_machine import PolicyStateMachine, ProposePolicy, WithdrawPolicy
 
@@ -174,7 +174,7 @@
             delay += self.random.randrange(1800 * MS)
         self.clock.after(delay, act, *words)
 
-    def asked(self, host: PolicyHost, life: int, sent_at: int, true: int, told: AgentReport) -> None:
+    def asked(self, host: PolicyHost, life: int, sent_at: int, true: int, told: PolicyReport) -> None:
         """`true`: when it was said; an echo of the leader's stamp shows no later time."""
         if self.leader is None:
             return
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -27,7 +27,7 @@
 LOST = 5 * SECOND  # a host that is not heard for so long is not waited for: it has no lease by then
 
 
-class AgentReport(msgspec.Struct, array_like=True):
+class PolicyReport(msgspec.Struct, array_like=True):
     """What an agent says with its poll."""
 
     number: int  # under which every node of it decides by now, and no other
@@ -68,7 +68,7 @@
         self.offered_at: dict[int, int] = {}
         self.asked: set[bytes] = set()
 
-    def heard(self, now: int, host: str, told: AgentReport, alive_at: int) -> list[PolicyCommand]:
+    def heard(self, now: int, host: str, told: PolicyReport, alive_at: int) -> list[PolicyCommand]:
         """`alive_at`: by our clock it is known to have said that after then."""
         if host not in self.hosts:
             return []
@@ -80,7 +80,7 @@
             return self._once([RejectPolicy(proposed.number, host, told.why)])
         return []
 
-    def answer(self, now: int, host: str, told: AgentReport) -> PolicyAssignment:
+    def answer(self, now: int, host: str, told: PolicyReport) -> PolicyAssignment:
         """To be given only while the leader's lease holds."""
         held, proposed = self.register.held, self.register.proposed
         current = held.policies.get(held.decided)
--- a/oakkeel/policy_change/policy_lease.py
+++ b/oakkeel/policy_change/policy_lease.py
@@ -8,7 +8,7 @@
 
 from enum import Enum
 
-from oakkeel.policy_change.coordinator import AgentReport, PolicyAssignment
+from oakkeel.policy_change.coordinator import PolicyReport, PolicyAssignment
 
 
 class LeaseStatus(Enum):
@@ -50,10 +50,10 @@
         self.offered = b""
         self.nodes: dict[str, int] = {}  # by node that is there: the number that it said it goes by
 
-    def told(self) -> AgentReport:
+    def told(self) -> PolicyReport:
         """With the next poll. The least of its nodes counts, and one that has not said yet goes by none."""
         number = min(self.nodes.values(), default=self.number)
-        return AgentReport(number, self.number, self.ready, self.refused, self.why)
+        return PolicyReport(number, self.number, self.ready, self.refused, self.why)
 
     def heard(self, sent_at: int, heard: PolicyAssignment) -> bool:
         """Whether nodes are to be told. Later answers count from when their polls were sent."""
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import ControlPlaneState, Order, PermitStateMachine, Rejection
+from oakkeel.disruption.state_machine import ControlPlaneState, DisruptionOrder, PermitStateMachine, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import MAX_TARGETS, RolloutPolicy, VersionSpec
 
@@ -250,7 +250,7 @@
             self._shall_run(thing, release.to(thing))
         release.forward = not release.back
         release.now, release.controls = names, [thing for thing, _ in command.controls]
-        assert isinstance(order, Order)
+        assert isinstance(order, DisruptionOrder)
         if not order.open:  # all of it was refused: to be settled all the same
             held.orders.setdefault(order.ident, order)
         return order
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -101,7 +101,7 @@
     "release status": lambda content: release_words.encode(release_words.decode_report(content)),
     "release assignment": lambda content: release_words.encode(release_words.decode_assignments(content)),
     "gate progress": of_type(GateState),
-    "policy lease status": of_type(coordinator.AgentReport),
+    "policy lease status": of_type(coordinator.PolicyReport),
     "policy lease": of_type(coordinator.PolicyAssignment),
     "members": lambda content: raft_messages.encode_members(raft_messages.decode_members(content)),
     "authenticated frame": of_type(AuthenticatedMessage),
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -9,7 +9,7 @@
 from oakkeel.emulator.policy_change import PolicyHost, PolicySimulation
 from oakkeel.invariants.policy_change import PolicyChangeAudit
 from oakkeel.models import policy_change as model
-from oakkeel.policy_change.coordinator import LEASE, AgentReport, PolicyAssignment, PolicyCoordinator
+from oakkeel.policy_change.coordinator import LEASE, PolicyReport, PolicyAssignment, PolicyCoordinator
 from oakkeel.policy_change.policy_lease import AgentPolicyLease, LeaseStatus, NodePolicyLease
 from oakkeel.policy_change.state_machine import (
     CommitPolicy,
@@ -121,7 +121,7 @@
         return self.register.held.policies[1].state
 
     def say(self, now: int, host: str, **told) -> None:
-        self.do(*self.leader.heard(now, host, AgentReport(**({"number": 0} | told)), now))
+        self.do(*self.leader.heard(now, host, PolicyReport(**({"number": 0} | told)), now))
         self.do(*self.leader.tick(now))
 
     def test_it_is_decided_once_all_are_ready_and_in_force_once_all_go_by_it(self):
@@ -129,7 +129,7 @@
         self.assertEqual(self.state(), "proposed")
         self.say(SECOND, "h2", ready=1)
         self.assertEqual(self.state(), "decided")
-        self.assertEqual(self.leader.answer(SECOND, "h1", AgentReport(0)).content, b"one")
+        self.assertEqual(self.leader.answer(SECOND, "h1", PolicyReport(0)).content, b"one")
         self.do(*self.leader.tick(SECOND))
         self.say(2 * SECOND, "h1", number=1, has=1)
         self.assertEqual(self.state(), "decided")
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import Order, Rejection
+from oakkeel.disruption.state_machine import DisruptionOrder, Rejection
 from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
@@ -54,7 +54,7 @@
 
     def test_a_step_holds_once_and_an_old_driver_is_refused_by_its_fence(self):
         self.do(commands.BeginRollout("r", self.fence, 0))
-        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)])), Order)
+        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)])), DisruptionOrder)
         self.refused(commands.StartBatch("r", self.fence, 1, 0, [("b", 1)]), "step 1 was taken")
         self.do(places.ReleaseLease(LEASE, self.fence))
         fence = self.do(places.AcquireLease(LEASE, "h2.1", SECOND))
@@ -111,7 +111,7 @@
         self.assertEqual((order.halted, order.parts["a"].state), ("asha", "halted"))
         self.refused(commands.StartBatch("r", self.fence, 2, 0, [("a", 1)]), "under way")
         self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had come up with the new all the same
-        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), Order)
+        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), DisruptionOrder)
         self.assertEqual(self.book.held.versions["a"], "base a")
         self.refused(commands.FinishRelease("r", self.fence, 4), "not all")
         self.do(commands.FinishBatch("r", self.fence, 4, []))
