--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -27,7 +27,7 @@
 SITES = {host: ("woodbrook", "st-james", "belmont")[number % 3] for number, host in enumerate(HOSTS)}
 KEEPERS = ("h1", "h2", "h3", "h4", "h5")
 AWAY, FLEET = 1, 3
-LATE = PermitTimeouts().lapse + PermitTimeouts().silent + 2_000_000_000
+LATE = PermitTimeouts().expiry + PermitTimeouts().agent_silence + 2_000_000_000
 
 
 class Play:
--- a/measure/places.py
+++ b/measure/places.py
@@ -79,38 +79,38 @@
             to, letter = self.letters.popleft()
             if to in self.stewards:
                 began = time.perf_counter_ns()
-                steps = self.stewards[to].heard(self.now, letter)
+                steps = self.stewards[to].receive(self.now, letter)
                 self.count["letter_ns"] += time.perf_counter_ns() - began
                 self.count["letters"] += 1
                 self.carry_out(steps)
 
     def poll(self, name: str) -> None:
         permit_holder = self.agents[name]
-        for thing in permit_holder.things:
+        for thing in permit_holder.targets:
             if self.back_at.get(thing, 0) and self.now >= self.back_at[thing]:
                 del self.back_at[thing]
-                permit_holder.is_back(thing)
-        up = {thing: thing not in self.back_at for thing in permit_holder.things}
-        poll = permit_holder.poll(self.now, up, [], {})
+                permit_holder.mark_restored(thing)
+        up = {thing: thing not in self.back_at for thing in permit_holder.targets}
+        poll = permit_holder.heartbeat(self.now, up, [], {})
         leader = next(each for each in self.stewards.values() if each.allocator)
         began = time.perf_counter_ns()
-        answer, steps = leader.polled(self.now, poll)
+        answer, steps = leader.receive_heartbeat(self.now, poll)
         took = time.perf_counter_ns() - began
         self.count["poll_ns"] += took
         self.count["worst_ns"] = max(self.count["worst_ns"], took)
         self.count["polls"] += 1
         self.carry_out(steps)
         self.deliver()
-        permit_holder.answered(self.now, self.now, answer)
-        for place in answer.places:
+        permit_holder.receive_response(self.now, self.now, answer)
+        for place in answer.permits:
             if (
-                not place.out
-                and permit_holder.may_begin(self.now, place.thing, place.ident)
-                and place.thing not in self.back_at
-                and not permit_holder.places[place.thing].begun
+                not place.started
+                and permit_holder.may_start(self.now, place.target, place.order_id)
+                and place.target not in self.back_at
+                and not permit_holder.permits[place.target].started
             ):
-                permit_holder.begin(self.now, place.thing)
-                self.back_at[place.thing] = self.now + OUT
+                permit_holder.start(self.now, place.target)
+                self.back_at[place.target] = self.now + OUT
 
     def turn(self, names: list[str]) -> None:
         """Ten milliseconds, and the agents whose time it is."""
@@ -155,7 +155,10 @@
         fleet.deliver()
     began, real, turns = fleet.now, time.monotonic(), 0
     before = dict(fleet.count)
-    while any(order.open for order in leader.ledger.held.orders.values()) and time.monotonic() - real < most:
+    while (
+        any(order.open for order in leader.state_machine.state.orders.values())
+        and time.monotonic() - real < most
+    ):
         fleet.turn(slices[turns % 50])
         turns += 1
     took = (fleet.now - began) / SECOND
@@ -163,7 +166,7 @@
     return {
         "hosts": hosts,
         "instances": hosts * each,
-        "ended": not any(order.open for order in leader.ledger.held.orders.values()),
+        "ended": not any(order.open for order in leader.state_machine.state.orders.values()),
         "simulated_s": took,
         "real_s": time.monotonic() - real,
         "poll_us": spent["poll_ns"] / max(1, spent["polls"]) / 1000,
@@ -176,7 +179,7 @@
         "entries": spent["entries"],
         "most_out": fleet.count["most_out"],
         "bound": hosts * each // 10,
-        "snapshot_kb": len(leader.ledger.fold()) / 1024,
+        "snapshot_kb": len(leader.state_machine.fold()) / 1024,
     }
 
 
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -45,7 +45,7 @@
         out = UnavailableTargets(layout)
         seen = {name: TargetObservation(name, "serving", 1, "", 0, 0.3) for name in names}
         for name in random.sample(names, int(count * out_share)):
-            out.put(name, "does not serve")
+            out.add(name, "does not serve")
             seen[name].phase = "failing"
         took = []
         for _ in range(5):
@@ -115,7 +115,7 @@
         leader = leader_of(world)
         if leader is None or leader.control_plane is None:
             continue
-        found = leader.control_plane.ledger.held.releases.get("r")  # type: ignore[attr-defined]
+        found = leader.control_plane.state_machine.state.releases.get("r")  # type: ignore[attr-defined]
         if found is None:
             continue
         state = found.state
@@ -155,7 +155,7 @@
             for host in world.hosts.values()
             if host.running
             and host.control_plane
-            and isinstance(host.control_plane.above, RolloutController)
+            and isinstance(host.control_plane.extension, RolloutController)
             and host.control_plane.replica.leads(host.now())
         ),
         None,
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -214,7 +214,7 @@
             self.log.error("raft_unavailable", error=str(error))
 
     def _heard(self, agreed: HeartbeatResponse) -> None:
-        if self.raft is None and self.host.name in agreed.keepers:
+        if self.raft is None and self.host.name in agreed.voters:
             self._keep_record()
         self.turn()
         if self.versions:
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -26,29 +26,29 @@
 
     def advance(self, now: int) -> None:
         for name, up in self.up.items():
-            held = self.permit_holder.places.get(name)
+            held = self.permit_holder.permits.get(name)
             if held is None:
                 continue
-            order = self.permit_holder.orders.get(held.ident)
-            if not held.begun and self.permit_holder.may_begin(now, name, held.ident, up):
-                self.permit_holder.begin(now, name)
-            if held.begun and not up:
-                self.was_down[name] = held.fence
-            over = self.was_down.get(name) == held.fence or order is None or bool(order.cancelled)
-            if held.begun and up and over:
-                self.permit_holder.is_back(name)
+            order = self.permit_holder.orders.get(held.order_id)
+            if not held.started and self.permit_holder.may_start(now, name, held.order_id, up):
+                self.permit_holder.start(now, name)
+            if held.started and not up:
+                self.was_down[name] = held.fencing_token
+            over = self.was_down.get(name) == held.fencing_token or order is None or bool(order.cancelled_by)
+            if held.started and up and over:
+                self.permit_holder.mark_restored(name)
             else:
-                self.permit_holder.is_out(name)
+                self.permit_holder.mark_unavailable(name)
 
     def ended(self) -> list[TaskResult]:
         """Orders on services that are over: it is down."""
         return [
-            TaskResult(order.ident, thing, "done", "")
+            TaskResult(order.id, thing, "done", "")
             for order in self.permit_holder.orders.values()
-            for thing, _, state in order.parts
+            for thing, _, state in order.tasks
             if state == "out"
             and thing in self.up
             and not self.up[thing]
-            and (held := self.permit_holder.places.get(thing))
-            and held.ident == order.ident
+            and (held := self.permit_holder.permits.get(thing))
+            and held.order_id == order.id
         ]
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -56,8 +56,8 @@
         facts: dict[str, object] = {"target": instance.name, "generation": instance.born}
         if order:
             facts |= {"order": order.ident, "operator": order.operator}
-        if self.permit_holder and (held := self.permit_holder.places.get(instance.name)) and held.begun:
-            facts["fence"] = held.fence
+        if self.permit_holder and (held := self.permit_holder.permits.get(instance.name)) and held.started:
+            facts["fence"] = held.fencing_token
         if step.act is Action.START:
             self._start(instance, facts)
         elif process is None:
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -239,7 +239,7 @@
         """Whether it may be taken out: by the host's own part of its site, or by a place of the record."""
         if self.permit_holder is None:
             return self.supervision.room(part.instance)
-        return self.permit_holder.may_begin(now, part.instance.name, part.order.ident, part.instance.alive)
+        return self.permit_holder.may_start(now, part.instance.name, part.order.ident, part.instance.alive)
 
     def call_back(self, now: int, order: Order, operator: str) -> None:
         """Cancel it for good: what it has taken out comes back, also what has ended by then."""
@@ -258,7 +258,7 @@
     def _begin(self, now: int, part: Task) -> None:
         instance, supervision = part.instance, self.supervision
         if self.permit_holder and part.order.verb is not Verb.START:
-            self.permit_holder.begin(now, instance.name)
+            self.permit_holder.start(now, instance.name)
         part.replaces = instance.born
         self._move(now, part, TaskState.ACTING)
         if part.order.verb is Verb.START:
@@ -291,7 +291,7 @@
                 may.append(step)
                 continue
             told = getattr(instance.report, "state", "")
-            if told == "draining" or self.permit_holder.fresh(now, instance.name, part.order.ident):
+            if told == "draining" or self.permit_holder.may_notify(now, instance.name, part.order.ident):
                 part.sent = True
                 may.append(step)
             elif told:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -110,7 +110,7 @@
             ledger=RolloutStateMachine,
             above=self._driver,
         )
-        self.control_plane.watched = self._agreed
+        self.control_plane.on_committed = self._agreed
 
     def _driver(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator) -> RolloutController:
         """What a leader does for releases, with a name that no other has."""
@@ -122,8 +122,8 @@
         if isinstance(result, Rejection):
             return None
         if isinstance(command, commands.GrantPermits):
-            for thing in command.things:
-                self.log.info("permit_granted", target=thing, fence=index, order=command.ident)
+            for thing in command.targets:
+                self.log.info("permit_granted", target=thing, fence=index, order=command.order_id)
         if self.control_plane is None or self.control_plane.allocator is None:
             return None
         if isinstance(command, releases.Command):
@@ -133,11 +133,15 @@
         elif isinstance(command, commands.ExpirePermit | commands.ReleasePermit):
             over = isinstance(command, commands.ReleasePermit)
             report = self.log.info if over else self.log.warning
-            report("permit_released" if over else "permit_expired", target=command.thing, fence=command.fence)
+            report(
+                "permit_released" if over else "permit_expired",
+                target=command.target,
+                fence=command.fencing_token,
+            )
 
     def _of_release(self, command: releases.Command) -> None:
-        book = self.control_plane.ledger if self.control_plane else None
-        release = book.held.releases.get(command.ident) if isinstance(book, RolloutStateMachine) else None
+        book = self.control_plane.state_machine if self.control_plane else None
+        release = book.state.releases.get(command.ident) if isinstance(book, RolloutStateMachine) else None
         if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
             return
         facts: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
@@ -181,7 +185,7 @@
         """Letters came from a host, as its key proves. Returns those that wait for it."""
         for letter in letters:
             if letter.name == sender and self.control_plane:
-                self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
+                self._carry_out(self.control_plane.receive(time.monotonic_ns(), letter))
         self._schedule()
         return self._peer(sender).take() if sender in self.keys else []
 
@@ -189,7 +193,7 @@
         if self.control_plane is None:
             return messages.NotLeaderResponse("", self.fault or "the record is not kept here")
         try:
-            agreed, steps = self.control_plane.polled(time.monotonic_ns(), poll)
+            agreed, steps = self.control_plane.receive_heartbeat(time.monotonic_ns(), poll)
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
         self._carry_out(steps)
@@ -285,7 +289,7 @@
         """With the answer to what we sent."""
         for letter in letters:
             if letter.name == name and self.control_plane:
-                self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
+                self._carry_out(self.control_plane.receive(time.monotonic_ns(), letter))
         self._schedule()
 
     def close(self) -> None:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -67,9 +67,9 @@
             ):
                 reserve[instance.name] = instance.generation + self.block
         owes = {each.name: told for each in self.supervision.instances if (told := _owes(each))}
-        poll = self.permit_holder.poll(now, up, self._ended(), reserve, owes)
+        poll = self.permit_holder.heartbeat(now, up, self._ended(), reserve, owes)
         if self.fitting.active:
-            poll.above = self.fitting.told(self._runs(now))
+            poll.extension = self.fitting.told(self._runs(now))
         return poll
 
     def _runs(self, now: int) -> list[TargetStatus]:
@@ -103,43 +103,43 @@
 
     def _look(self, instance: Instance) -> None:
         """Whether what was taken out under a place is over."""
-        held = self.permit_holder.places.get(instance.name)
-        if held is None or not held.begun:
+        held = self.permit_holder.permits.get(instance.name)
+        if held is None or not held.started:
             return
         acts = instance.part is not None and instance.part.state is TaskState.ACTING
         if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not acts:
-            self.permit_holder.is_back(instance.name)
+            self.permit_holder.mark_restored(instance.name)
         else:
-            self.permit_holder.is_out(instance.name)
+            self.permit_holder.mark_unavailable(instance.name)
 
     def _ended(self) -> list[TaskResult]:
         """What the record takes for open and is over here."""
         told = self.below.ended()
         for order in self.permit_holder.orders.values():
-            known = self.orders.orders.get(order.ident)
+            known = self.orders.orders.get(order.id)
             here = {part.instance.name: part for part in known.parts} if known else {}
-            for thing, _, state in order.parts:
+            for thing, _, state in order.tasks:
                 part = here.get(thing)
                 if state not in OPEN or thing in self.below.up:
                     continue
                 if part is not None and not part.open:
-                    told.append(TaskResult(order.ident, thing, HOW[part.state], part.why))
-                elif why := self.refused.get((order.ident, thing)):
-                    told.append(TaskResult(order.ident, thing, "refused", why))
+                    told.append(TaskResult(order.id, thing, HOW[part.state], part.why))
+                elif why := self.refused.get((order.id, thing)):
+                    told.append(TaskResult(order.id, thing, "refused", why))
                 elif self._done_before(order, thing):
-                    told.append(TaskResult(order.ident, thing, "done", ""))
-                elif part is None and state == "out" and (order.halted or order.left <= 0):
+                    told.append(TaskResult(order.id, thing, "done", ""))
+                elif part is None and state == "out" and (order.halted_by or order.remaining <= 0):
                     # Else it would stand for ever: nobody here knows that it was ever begun.
-                    told.append(TaskResult(order.ident, thing, "failed", "its agent lost its file meanwhile"))
+                    told.append(TaskResult(order.id, thing, "failed", "its agent lost its file meanwhile"))
         return told
 
     def _done_before(self, order: AssignedOrder, thing: str) -> bool:
         """It was carried out here, and our file with it was lost before that was told."""
-        held, instance = self.permit_holder.places.get(thing), self.orders.named.get(thing)
+        held, instance = self.permit_holder.permits.get(thing), self.orders.named.get(thing)
         return bool(
             held
-            and held.begun
-            and held.ident == order.ident
+            and held.started
+            and held.order_id == order.id
             and order.verb in ("drain", "stop")
             and instance
             and instance.phase is Phase.STOPPED
@@ -150,10 +150,10 @@
 
     def answered(self, now: int, sent_at: int, answer: HeartbeatResponse) -> list[Order]:
         """Take what the record says. Returns the orders that are new here, to be kept."""
-        first, reserved = not self.permit_holder.told, dict(self.permit_holder.generations)
-        if not self.permit_holder.answered(now, sent_at, answer):
+        first, reserved = not self.permit_holder.synchronized, dict(self.permit_holder.generations)
+        if not self.permit_holder.receive_response(now, sent_at, answer):
             return []
-        self.fitting.heard(answer.above)
+        self.fitting.heard(answer.extension)
         if self.lost:
             self._learn(now)
         elif first:
@@ -164,20 +164,20 @@
                 instance.limit = self.permit_holder.generations[instance.name]
         taken = []
         for told in answer.orders:
-            order = self.orders.orders.get(told.ident)
-            if order is None and not told.halted:
+            order = self.orders.orders.get(told.id)
+            if order is None and not told.halted_by:
                 order = self._take(now, told)
                 if order is not None:
                     taken.append(order)
-            if order is not None and told.cancelled:
-                self.orders.call_back(now, order, told.cancelled)
+            if order is not None and told.cancelled_by:
+                self.orders.call_back(now, order, told.cancelled_by)
             elif (
                 order is not None
-                and told.halted
+                and told.halted_by
                 and any(part.state is TaskState.WAITING for part in order.parts)
             ):
-                self.orders.cancel(now, order.ident, told.halted)
-        current = {told.ident for told in answer.orders}
+                self.orders.cancel(now, order.ident, told.halted_by)
+        current = {told.id for told in answer.orders}
         for order in [
             part.order
             for part in self.orders.executor
@@ -193,9 +193,9 @@
         """Our own file is gone: go on after all that may have been used, and leave out what is out."""
         self._go_beyond({})
         for instance in self.supervision.instances:
-            held = self.permit_holder.places.get(instance.name)
-            order = self.permit_holder.orders.get(held.ident) if held else None
-            if held and held.begun and order and order.verb in ("drain", "stop") and not order.cancelled:
+            held = self.permit_holder.permits.get(instance.name)
+            order = self.permit_holder.orders.get(held.order_id) if held else None
+            if held and held.started and order and order.verb in ("drain", "stop") and not order.cancelled_by:
                 self.supervision.want_down(now, instance, order.verb == "stop", True)
         self.lost = False
 
@@ -209,22 +209,22 @@
     def _take(self, now: int, told: AssignedOrder) -> Order | None:
         asked = tuple(
             (thing, generation)
-            for thing, generation, state in told.parts
-            if state in OPEN and (told.ident, thing) not in self.refused and thing in self.orders.named
+            for thing, generation, state in told.tasks
+            if state in OPEN and (told.id, thing) not in self.refused and thing in self.orders.named
         )
         if not asked or any(
             self.orders.named[thing].generation >= self.orders.named[thing].limit for thing, _ in asked
         ):
             return None  # until it may number what it does
         try:
-            order = self.orders.take(now, told.ident, told.operator, Verb(told.verb), asked, told.left)
+            order = self.orders.take(now, told.id, told.operator, Verb(told.verb), asked, told.remaining)
         except (OrderRejectedError, ValueError) as error:
             for thing, _ in asked:
-                self.refused[told.ident, thing] = str(error)
+                self.refused[told.id, thing] = str(error)
             return None
         if not order.open:
             for part in order.parts:
-                self.refused[told.ident, part.instance.name] = part.why
+                self.refused[told.id, part.instance.name] = part.why
             return None
         return order
 
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -167,7 +167,7 @@
         except CommitUnknownError as error:
             return messages.NotLeaderResponse("", f"not decided: {error}; send it again with the same id")
         if isinstance(result, Rejection):
-            return messages.ErrorResponse(result.why)
+            return messages.ErrorResponse(result.reason)
         if isinstance(result, Release):
             self.agent.log.info(
                 "release_command_committed",
@@ -179,7 +179,7 @@
         assert isinstance(result, Agreed)
         self.agent.log.info(
             "order_command_committed",
-            order=result.ident,
+            order=result.id,
             operator=key.operator,
             command=wish.__struct_config__.tag,
         )
@@ -195,7 +195,7 @@
             return messages.ErrorResponse("three or five keepers are asked for, or one for a trial")
         result = await raft.propose(commands.SetVoters(wish.hosts, key.operator))
         if isinstance(result, Rejection):
-            return messages.ErrorResponse(result.why)
+            return messages.ErrorResponse(result.reason)
         return raft_status(time.monotonic_ns(), self.agent.host.name, raft, self.agent.status_reporter)
 
 
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -96,14 +96,14 @@
     def _take(self, sent_at: int, agreed: HeartbeatResponse) -> None:
         permit_holder = self.reconciler.permit_holder
         self.reconciler.answered(time.monotonic_ns(), sent_at, agreed)
-        if permit_holder.why:
-            if permit_holder.why != self.why:
-                self.log.warning("heartbeat_response_rejected", error=permit_holder.why)
-            self.why = permit_holder.why
+        if permit_holder.rejection_reason:
+            if permit_holder.rejection_reason != self.why:
+                self.log.warning("heartbeat_response_rejected", error=permit_holder.rejection_reason)
+            self.why = permit_holder.rejection_reason
             return
         self.heard_at, self.why = time.monotonic_ns(), ""
-        if agreed.keepers:
-            self.whom.told(agreed.keepers)
+        if agreed.voters:
+            self.whom.told(agreed.voters)
         self.heard(agreed)
 
     def close(self) -> None:
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -131,25 +131,32 @@
 def fleet_order_status(raft: RaftRuntime, order: Agreed) -> messages.FleetOrderStatus:
     places, hosts, owes = {}, {}, {}
     if raft.control_plane:
-        places = raft.control_plane.ledger.held.places
+        places = raft.control_plane.state_machine.state.permits
         hosts = {thing: host for host, things in raft.layout.hosts.items() for thing in things}
         if raft.control_plane.allocator:
             owes = {
                 thing: told
-                for host in raft.control_plane.allocator.hosts.values()
-                for thing, told in host.owes.items()
+                for host in raft.control_plane.allocator.sessions.values()
+                for thing, told in host.in_flight.items()
             }
     parts = []
-    for thing, part in order.parts.items():
+    for thing, part in order.tasks.items():
         place = places.get(thing)
-        fence = place.fence if place and place.ident == order.ident else 0
+        fence = place.fencing_token if place and place.order_id == order.id else 0
         parts.append(
             messages.FleetTaskStatus(
-                thing, hosts.get(thing, ""), part.state, part.why, fence, owes.get(thing, "")
+                thing, hosts.get(thing, ""), part.state, part.reason, fence, owes.get(thing, "")
             )
         )
     return messages.FleetOrderStatus(
-        order.ident, order.operator, order.verb, order.unix, order.whole, order.halted, order.cancelled, parts
+        order.id,
+        order.operator,
+        order.verb,
+        order.created_at,
+        order.atomic,
+        order.halted_by,
+        order.cancelled_by,
+        parts,
     )
 
 
@@ -160,29 +167,32 @@
         raise NotLeaderError(
             control_plane.replica.leader if control_plane and not control_plane.replica.leading else ""
         )
-    held, out = control_plane.ledger.held, control_plane.allocator.out
+    held, out = control_plane.state_machine.state, control_plane.allocator.unavailable
     if ident:
         if ident not in held.orders:
             return messages.ErrorResponse(f"there is no order {ident}")
         told = fleet_order_status(raft, held.orders[ident])
-        return messages.FleetStatus(control_plane.ledger.index, [], [], [told])
+        return messages.FleetStatus(control_plane.state_machine.index, [], [], [told])
     hosts = control_plane.allocator.host_of
     things = []
     for thing, reasons in sorted(out.reasons.items()):
-        place = held.places.get(thing)
+        place = held.permits.get(thing)
         things.append(
             messages.UnavailableTarget(
                 thing,
                 hosts.get(thing, ""),
                 sorted(reasons),
-                place.fence if place else 0,
-                place.ident if place else "",
+                place.fencing_token if place else 0,
+                place.order_id if place else "",
             )
         )
-    groups = [messages.BudgetUsage(name, out.counts[name], group.bound) for name, group in out.groups.items()]
+    groups = [
+        messages.BudgetUsage(name, out.counts[name], group.max_unavailable)
+        for name, group in out.groups.items()
+    ]
     latest = list(held.orders.values())[-50:]
     return messages.FleetStatus(
-        control_plane.ledger.index,
+        control_plane.state_machine.index,
         groups,
         things,
         [fleet_order_status(raft, each) for each in reversed(latest)],
@@ -196,18 +206,18 @@
         raise NotLeaderError(
             control_plane.replica.leader if control_plane and not control_plane.replica.leading else ""
         )
-    book, driver = control_plane.ledger, control_plane.above
+    book, driver = control_plane.state_machine, control_plane.extension
     assert isinstance(book, RolloutStateMachine) and isinstance(driver, RolloutController)
-    releases = book.held.releases
+    releases = book.state.releases
     release = releases.get(ident) if ident else book.open or next(reversed(releases.values()), None)
     if release is None:
         return messages.ErrorResponse(f"there is no release {ident}" if ident else "there was no release yet")
-    order = book.held.orders.get(release.order)
-    lease = book.held.leases.get(LEASE)
+    order = book.state.orders.get(release.order)
+    lease = book.state.leases.get(LEASE)
     parts = []
     for thing, part in release.parts.items():
         seen = driver.seen.get(thing)
-        why = order.parts[thing].why if order and thing in order.parts and thing in release.now else ""
+        why = order.tasks[thing].reason if order and thing in order.tasks and thing in release.now else ""
         parts.append(
             messages.ReleaseTargetStatus(
                 thing,
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -155,15 +155,15 @@
     """The fences and places that changed, and the record that they are of."""
     rows: list[Statement] = []
     for thing in sorted(permit_holder.changed):
-        held = permit_holder.places.get(thing)
+        held = permit_holder.permits.get(thing)
         rows.append(
             (
                 PUT_PERMIT,
                 (
                     thing,
-                    permit_holder.floors.get(thing, 0),
-                    held.ident if held else "",
-                    bool(held and held.begun),
+                    permit_holder.highest_tokens.get(thing, 0),
+                    held.order_id if held else "",
+                    bool(held and held.started),
                 ),
             )
         )
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -21,8 +21,8 @@
 class LeaderExtension(Protocol):
     """What a leader does beyond places: made when it begins, thrown away when it ends, as `PermitAllocator` is."""
 
-    def heard(self, now: int, poll: Heartbeat) -> list[Any]: ...
-    def answer(self, now: int, host: str) -> bytes: ...
+    def receive_heartbeat(self, now: int, poll: Heartbeat) -> list[Any]: ...
+    def respond(self, now: int, host: str) -> bytes: ...
     def applied(self, now: int, command: object, result: object) -> None: ...
     def lost(self, command: object) -> None: ...
     def tick(self, now: int) -> list[Any]: ...
@@ -43,31 +43,36 @@
     ) -> None:
         """`layout` is by this host's settings: it holds once a leader of the same settings has agreed it.
         `ledger` and `above` bring in what is built on places."""
-        self.now, self.layout, self.terms = now, layout, terms or PermitTimeouts()
-        self.ledger = ledger(self._applied)
-        self.make_above = above
-        self.above: LeaderExtension | None = None
+        self.now, self.topology, self.timeouts = now, layout, terms or PermitTimeouts()
+        self.state_machine = ledger(self._applied)
+        self.make_extension = above
+        self.extension: LeaderExtension | None = None
         self.allocator: PermitAllocator | None = None
-        self.watched: Callable[[int, commands.Command, object], None] | None = None  # told of what is agreed
-        self.ours: dict[Proposal, commands.Command] = {}  # proposed by `granting`
-        self.replica = Replica(now, held, self.ledger, seed, pace, founders)
+        self.on_committed: Callable[[int, commands.Command, object], None] | None = (
+            None  # told of what is agreed
+        )
+        self.proposals: dict[Proposal, commands.Command] = {}  # proposed by `granting`
+        self.replica = Replica(now, held, self.state_machine, seed, pace, founders)
 
     def tick(self, now: int) -> list[Output]:
         return self._after(now, [self.replica.tick(now)])
 
-    def heard(self, now: int, letter: Envelope) -> list[Output]:
+    def receive(self, now: int, letter: Envelope) -> list[Output]:
         self.now = now
         return self._after(now, [self.replica.heard(now, letter)])
 
-    def polled(self, now: int, poll: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
+    def receive_heartbeat(self, now: int, poll: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
         """An agent's report and what it is told. Raises NotLeading."""
         allocator = self._leads(now)
-        above = self.above
-        steps = self._propose(now, allocator.heard(now, poll) + (above.heard(now, poll) if above else []))
-        answer = allocator.answer(now, self.replica.durable.epoch, poll.host)
+        above = self.extension
+        steps = self._propose(
+            now,
+            allocator.receive_heartbeat(now, poll) + (above.receive_heartbeat(now, poll) if above else []),
+        )
+        answer = allocator.respond(now, self.replica.durable.epoch, poll.host)
         if above:
-            answer.above = above.answer(now, poll.host)
-        answer.keepers = sorted({*self.ledger.keepers(), *(each.name for each in self.replica.members)})
+            answer.extension = above.respond(now, poll.host)
+        answer.voters = sorted({*self.state_machine.keepers(), *(each.name for each in self.replica.members)})
         return answer, self._after(now, steps)
 
     def propose(self, now: int, command: Any) -> tuple[Proposal, list[Output]]:
@@ -87,22 +92,22 @@
         self.now = now
         for each in list(steps):
             for proposal in each.ended:
-                command = self.ours.pop(proposal, None)
+                command = self.proposals.pop(proposal, None)
                 if command and proposal.fate is not ProposalStatus.AGREED and self.allocator:
                     self._lost(command)
         if not self.replica.leads(now):
             if self.replica.leading is None:
-                self.allocator = self.above = None
-                self.ours.clear()
+                self.allocator = self.extension = None
+                self.proposals.clear()
             return steps
         if self.allocator is None:
             self.allocator = PermitAllocator(
-                now, self.ledger, self.terms, self.replica.random.getrandbits(50) + 1
+                now, self.state_machine, self.timeouts, self.replica.random.getrandbits(50) + 1
             )
-            if self.ledger.held.layout != self.layout:
-                steps += self._propose(now, [commands.SetTopology(self.layout)])
-            if self.make_above:
-                self.above = self.make_above(now, self.ledger, self.allocator)
+            if self.state_machine.state.topology != self.topology:
+                steps += self._propose(now, [commands.SetTopology(self.topology)])
+            if self.make_extension:
+                self.extension = self.make_extension(now, self.state_machine, self.allocator)
         while self.allocator and (wanted := self._wanted(now, self.allocator)):
             more = self._propose(now, wanted)
             if not more:
@@ -111,7 +116,7 @@
         return steps
 
     def _wanted(self, now: int, allocator: PermitAllocator) -> list[Any]:
-        return allocator.tick(now) + (self.above.tick(now) if self.above else [])
+        return allocator.tick(now) + (self.extension.tick(now) if self.extension else [])
 
     def _propose(self, now: int, wanted: list[commands.Command]) -> list[Output]:
         self.now, done = now, []
@@ -122,20 +127,20 @@
                 self._lost(command)
                 continue
             if proposal.fate is ProposalStatus.WAITING:
-                self.ours[proposal] = command
+                self.proposals[proposal] = command
             done.append(steps)
         return done
 
     def _lost(self, command: commands.Command) -> None:
         if self.allocator:
             self.allocator.lost(command)
-        if self.above:
-            self.above.lost(command)
+        if self.extension:
+            self.extension.lost(command)
 
     def _applied(self, index: int, command: commands.Command, result: object) -> None:
-        if self.watched:
-            self.watched(index, command, result)
+        if self.on_committed:
+            self.on_committed(index, command, result)
         if self.allocator:
             self.allocator.applied(self.now, index, command, result)
-        if self.above:
-            self.above.applied(self.now, command, result)
+        if self.extension:
+            self.extension.applied(self.now, command, result)
--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -15,32 +15,32 @@
 class HeldPermit:
     """A place that this agent knows of."""
 
-    thing: str
-    ident: str
-    fence: int
-    until: int  # it may be begun before then, by the agent's monotonic clock
-    begun: bool = False
-    back: bool = False  # what was taken out serves again
-    given: bool = False  # it will not be begun
-    fresh_until: int = 0  # nobody is told to leave by it for the first time after that
-    down: bool = False  # it may be begun only while no process of it is there
+    target: str
+    order_id: str
+    fencing_token: int
+    start_before: int  # it may be begun before then, by the agent's monotonic clock
+    started: bool = False
+    restored: bool = False  # what was taken out serves again
+    unused: bool = False  # it will not be begun
+    notify_before: int = 0  # nobody is told to leave by it for the first time after that
+    only_while_down: bool = False  # it may be begun only while no process of it is there
 
 
 class PermitHolder:
     """`changed` names the things whose fence or place is to be kept on disk before anything is done by it."""
 
     def __init__(self, host: str, things: tuple[str, ...], life: int) -> None:
-        self.host, self.things, self.life = host, things, life
+        self.host, self.targets, self.incarnation = host, things, life
         self.epoch = ""
-        self.count = self.heard = 0
-        self.stamp = (0, 0)
-        self.told = False  # an answer was taken since the start
-        self.places: dict[str, HeldPermit] = {}
-        self.floors: dict[str, int] = {}  # by thing: the highest fence that was seen
+        self.sequence = self.last_index = 0
+        self.timestamp = (0, 0)
+        self.synchronized = False  # an answer was taken since the start
+        self.permits: dict[str, HeldPermit] = {}
+        self.highest_tokens: dict[str, int] = {}  # by thing: the highest fence that was seen
         self.generations: dict[str, int] = {}  # may be used up to there
         self.orders: dict[str, AssignedOrder] = {}  # that concern this host and are open, or hold a place
         self.changed: set[str] = set()
-        self.why = ""  # the last answer was not taken
+        self.rejection_reason = ""  # the last answer was not taken
 
     def restore(
         self, epoch: str, rows: list[tuple[str, int, str, bool]], generations: dict[str, int]
@@ -48,11 +48,11 @@
         """What was kept: thing, fence, order, and whether it was begun; generations that may be used."""
         self.epoch, self.generations = epoch, dict(generations)
         for thing, fence, ident, begun in rows:
-            self.floors[thing] = fence
+            self.highest_tokens[thing] = fence
             if begun:
-                self.places[thing] = HeldPermit(thing, ident, fence, 0, True)
+                self.permits[thing] = HeldPermit(thing, ident, fence, 0, True)
 
-    def poll(
+    def heartbeat(
         self,
         now: int,
         up: dict[str, bool],
@@ -60,89 +60,106 @@
         reserve: dict[str, int],
         owes: dict[str, str] | None = None,
     ) -> Heartbeat:
-        self.count += 1
+        self.sequence += 1
         things = []
-        for thing in self.things:
-            held = self.places.get(thing)
-            told = TargetReport(thing, up.get(thing, False), owes=(owes or {}).get(thing, ""))
+        for thing in self.targets:
+            held = self.permits.get(thing)
+            told = TargetReport(thing, up.get(thing, False), in_flight=(owes or {}).get(thing, ""))
             if held:
-                told.begun = held.fence if held.begun else 0
-                told.back, told.given = held.back, held.fence if held.given else 0
+                told.started_token = held.fencing_token if held.started else 0
+                told.restored, told.unused_token = held.restored, held.fencing_token if held.unused else 0
             things.append(told)
         wanted = {
             thing: number for thing, number in reserve.items() if number > self.generations.get(thing, 0)
         }
-        return Heartbeat(self.host, self.life, self.count, self.heard, things, ended, wanted, b"", self.stamp)
+        return Heartbeat(
+            self.host,
+            self.incarnation,
+            self.sequence,
+            self.last_index,
+            things,
+            ended,
+            wanted,
+            b"",
+            self.timestamp,
+        )
 
-    def answered(self, now: int, sent_at: int, answer: HeartbeatResponse) -> bool:
+    def receive_response(self, now: int, sent_at: int, answer: HeartbeatResponse) -> bool:
         """Whether it holds: one of another record, or older than one that was taken, does not."""
-        self.stamp = answer.stamp  # whatever comes of it: by that the leader knows that we are alive
+        self.timestamp = answer.timestamp  # whatever comes of it: by that the leader knows that we are alive
         if self.epoch and answer.epoch != self.epoch:
-            self.why = f"record {answer.epoch} answers in place of {self.epoch}"
+            self.rejection_reason = f"record {answer.epoch} answers in place of {self.epoch}"
             return False
-        if answer.index < self.heard:
-            self.why = "an older state than was told before"
+        if answer.index < self.last_index:
+            self.rejection_reason = "an older state than was told before"
             return False
-        self.epoch, self.heard, self.told, self.why = answer.epoch, answer.index, True, ""
+        self.epoch, self.last_index, self.synchronized, self.rejection_reason = (
+            answer.epoch,
+            answer.index,
+            True,
+            "",
+        )
         self.changed |= {
             thing for thing, upto in answer.generations.items() if self.generations.get(thing) != upto
         }
         self.generations.update(answer.generations)
-        self.orders = {order.ident: order for order in answer.orders}
-        told = {place.thing: place for place in answer.places if place.thing in self.things}
+        self.orders = {order.id: order for order in answer.orders}
+        told = {place.target: place for place in answer.permits if place.target in self.targets}
         for thing in [
             thing
-            for thing, held in self.places.items()
-            if thing not in told or told[thing].fence > held.fence
+            for thing, held in self.permits.items()
+            if thing not in told or told[thing].fencing_token > held.fencing_token
         ]:
-            del self.places[thing]  # it is over, or lapsed: nothing may be begun by it
+            del self.permits[thing]  # it is over, or lapsed: nothing may be begun by it
             self.changed.add(thing)
         for thing, place in told.items():
-            if place.fence < self.floors.get(thing, 0):
+            if place.fencing_token < self.highest_tokens.get(thing, 0):
                 continue  # an older one than was seen
-            held = self.places.get(thing)
+            held = self.permits.get(thing)
             if held is None:
-                held = self.places[thing] = HeldPermit(thing, place.ident, place.fence, 0, place.out)
-                self.floors[thing] = place.fence
+                held = self.permits[thing] = HeldPermit(
+                    thing, place.order_id, place.fencing_token, 0, place.started
+                )
+                self.highest_tokens[thing] = place.fencing_token
                 self.changed.add(thing)
-            order = self.orders.get(place.ident)
-            held.down = place.down
-            held.until = 0 if place.out else sent_at + place.good_for
-            held.fresh_until = max(held.fresh_until, held.until)
-            if order is None or order.halted:
-                held.until = 0
-                held.given = not held.begun
+            order = self.orders.get(place.order_id)
+            held.only_while_down = place.only_while_down
+            held.start_before = 0 if place.started else sent_at + place.valid_for
+            held.notify_before = max(held.notify_before, held.start_before)
+            if order is None or order.halted_by:
+                held.start_before = 0
+                held.unused = not held.started
         return True
 
-    def may_begin(self, now: int, thing: str, ident: str, runs: bool = True) -> bool:
+    def may_start(self, now: int, thing: str, ident: str, runs: bool = True) -> bool:
         """`runs`: a process of it is there, for all that is known."""
-        held = self.places.get(thing)
+        held = self.permits.get(thing)
         return bool(
             held
-            and held.ident == ident
-            and not held.given
-            and (held.begun or (now < held.until and not (held.down and runs)))
+            and held.order_id == ident
+            and not held.unused
+            and (held.started or (now < held.start_before and not (held.only_while_down and runs)))
         )
 
-    def fresh(self, now: int, thing: str, ident: str) -> bool:
+    def may_notify(self, now: int, thing: str, ident: str) -> bool:
         """It was begun, and there is still time to tell the thing so."""
-        held = self.places.get(thing)
-        return bool(held and held.begun and held.ident == ident and now < held.fresh_until)
+        held = self.permits.get(thing)
+        return bool(held and held.started and held.order_id == ident and now < held.notify_before)
 
-    def begin(self, now: int, thing: str) -> None:
+    def start(self, now: int, thing: str) -> None:
         """From now on it counts as begun, whatever becomes of it: to be kept before it is done."""
-        held = self.places[thing]
-        if not held.begun:
-            held.begun = True
+        held = self.permits[thing]
+        if not held.started:
+            held.started = True
             self.changed.add(thing)
 
-    def is_back(self, thing: str) -> None:
+    def mark_restored(self, thing: str) -> None:
         """What was taken out under it serves, and no order means it any more."""
-        held = self.places.get(thing)
-        if held and held.begun:
-            held.back = True
+        held = self.permits.get(thing)
+        if held and held.started:
+            held.restored = True
 
-    def is_out(self, thing: str) -> None:
+    def mark_unavailable(self, thing: str) -> None:
         """It left again before the record knew that it was back."""
-        if held := self.places.get(thing):
-            held.back = False
+        if held := self.permits.get(thing):
+            held.restored = False
--- a/oakkeel/disruption/lease_holder.py
+++ b/oakkeel/disruption/lease_holder.py
@@ -12,21 +12,24 @@
 class LeaseHolder:
     def __init__(self, name: str, holder: str, lasts: int) -> None:
         """`lasts` in nanoseconds."""
-        self.name, self.holder, self.lasts = name, holder, lasts
-        self.fence = self.until = 0
+        self.name, self.holder, self.duration = name, holder, lasts
+        self.fencing_token = self.expires_at = 0
 
-    def asking(self) -> commands.AcquireLease:
+    def acquire_command(self) -> commands.AcquireLease:
         """To take it, and to renew it: the fence stays as long as it does not end between."""
-        return commands.AcquireLease(self.name, self.holder, self.lasts)
+        return commands.AcquireLease(self.name, self.holder, self.duration)
 
-    def answered(self, sent_at: int, result: object) -> bool:
+    def receive_result(self, sent_at: int, result: object) -> bool:
         """Whether it is ours; `sent_at` is when that was asked, by our monotonic clock."""
         if not isinstance(result, int):
             return False
-        if result < self.fence:
+        if result < self.fencing_token:
             return False  # an answer from before it ended once
-        self.fence, self.until = result, max(self.until if result == self.fence else 0, sent_at + self.lasts)
+        self.fencing_token, self.expires_at = (
+            result,
+            max(self.expires_at if result == self.fencing_token else 0, sent_at + self.duration),
+        )
         return True
 
-    def holds(self, now: int) -> bool:
-        return now < self.until
+    def is_held(self, now: int) -> bool:
+        return now < self.expires_at
--- a/oakkeel/disruption/messages.py
+++ b/oakkeel/disruption/messages.py
@@ -7,54 +7,54 @@
 
 class TargetReport(msgspec.Struct, array_like=True):
     name: str
-    up: bool  # it serves
-    begun: int = 0  # fence of the place under which it was taken out
-    back: bool = False  # and that is over
-    given: int = 0  # fence of a place that will not be used
-    owes: str = ""  # what it has yet to answer while it leaves, for people
+    serving: bool  # it serves
+    started_token: int = 0  # fence of the place under which it was taken out
+    restored: bool = False  # and that is over
+    unused_token: int = 0  # fence of a place that will not be used
+    in_flight: str = ""  # what it has yet to answer while it leaves, for people
 
 
 class TaskResult(msgspec.Struct, array_like=True):
     """How a part of an order ended on its host."""
 
-    ident: str
-    thing: str
-    how: str
-    why: str
+    order_id: str
+    target: str
+    state: str
+    reason: str
 
 
 class Heartbeat(msgspec.Struct, array_like=True):
     host: str
-    life: int  # of the agent's process
-    count: int  # of its polls
-    heard: int  # index of the latest answer that it took
-    things: list[TargetReport]
-    ended: list[TaskResult]
-    reserve: dict[str, int]  # generations that it wants to be free to use
-    above: bytes = b""  # for what is built on places
-    echo: tuple[int, int] = (0, 0)  # the stamp of the latest answer that it took
+    incarnation: int  # of the agent's process
+    sequence: int  # of its polls
+    last_index: int  # index of the latest answer that it took
+    targets: list[TargetReport]
+    task_results: list[TaskResult]
+    generation_limits: dict[str, int]  # generations that it wants to be free to use
+    extension: bytes = b""  # for what is built on places
+    echoed_timestamp: tuple[int, int] = (0, 0)  # the stamp of the latest answer that it took
 
 
 class GrantedPermit(msgspec.Struct, array_like=True):
-    thing: str
-    ident: str
-    fence: int
-    out: bool
-    good_for: int  # nanoseconds in which it may be begun, from when the poll was sent
-    down: bool = False  # only while no process of it is there
+    target: str
+    order_id: str
+    fencing_token: int
+    started: bool
+    valid_for: int  # nanoseconds in which it may be begun, from when the poll was sent
+    only_while_down: bool = False  # only while no process of it is there
 
 
 class AssignedOrder(msgspec.Struct, array_like=True):
     """An order as far as it concerns the host. Times in nanoseconds."""
 
-    ident: str
+    id: str
     operator: str
     verb: str
-    unix: int
-    left: int
-    halted: str
-    cancelled: str
-    parts: list[tuple[str, int, str]]  # thing, generation, state
+    created_at: int
+    remaining: int
+    halted_by: str
+    cancelled_by: str
+    tasks: list[tuple[str, int, str]]  # thing, generation, state
 
 
 class HeartbeatResponse(msgspec.Struct, array_like=True):
@@ -62,9 +62,9 @@
 
     epoch: str
     index: int
-    places: list[GrantedPermit]
+    permits: list[GrantedPermit]
     orders: list[AssignedOrder]
     generations: dict[str, int]
-    keepers: list[str] = []  # hosts whose agents keep the record, or shall
-    above: bytes = b""  # of what is built on places
-    stamp: tuple[int, int] = (0, 0)  # whose clock, and what it shows: who echoes it was alive after that
+    voters: list[str] = []  # hosts whose agents keep the record, or shall
+    extension: bytes = b""  # of what is built on places
+    timestamp: tuple[int, int] = (0, 0)  # whose clock, and what it shows: who echoes it was alive after that
--- a/oakkeel/disruption/state_machine.py
+++ b/oakkeel/disruption/state_machine.py
@@ -23,7 +23,7 @@
 
     generation: int
     state: str = "waiting"
-    why: str = ""
+    reason: str = ""
 
 
 # Of a part. waiting: for a place; out: begun.
@@ -38,53 +38,57 @@
 
 
 class DisruptionOrder(msgspec.Struct, array_like=True):
-    ident: str
+    id: str
     operator: str
     verb: str
-    unix: int
-    lasts: int
-    whole: bool
+    created_at: int
+    timeout: int
+    atomic: bool
     index: int
-    parts: dict[str, DisruptionTask]
-    halted: str = ""  # by whom
-    cancelled: str = ""
+    tasks: dict[str, DisruptionTask]
+    halted_by: str = ""  # by whom
+    cancelled_by: str = ""
 
     @property
     def open(self) -> bool:
-        return any(part.state in OPEN_STATES for part in self.parts.values())
+        return any(part.state in OPEN_STATES for part in self.tasks.values())
 
 
 class Permit(msgspec.Struct, array_like=True):
-    thing: str
-    ident: str  # of the order that it was granted to
-    fence: int
-    out: bool = False  # begun, as far as was told
-    lapsed: int = 0  # index from which nobody may begin under it; it counts until its agent has said whether
-    down: bool = False  # it may be begun only while no process of the thing is there
-    was: str = ""  # the order whose place had taken it out before: it stays out if this one is not used
+    target: str
+    order_id: str  # of the order that it was granted to
+    fencing_token: int
+    started: bool = False  # begun, as far as was told
+    expired_index: int = (
+        0  # index from which nobody may begin under it; it counts until its agent has said whether
+    )
+    only_while_down: bool = False  # it may be begun only while no process of the thing is there
+    previous_order_id: str = (
+        ""  # the order whose place had taken it out before: it stays out if this one is not used
+    )
 
 
 class Lease(msgspec.Struct, array_like=True):
     holder: str
-    fence: int
-    lasts: int
+    fencing_token: int
+    duration: int
 
 
 class ControlPlaneState(msgspec.Struct, array_like=True):
     """All of it, as a snapshot holds it."""
 
-    layout: Topology = Topology()
+    topology: Topology = Topology()
     orders: dict[str, DisruptionOrder] = {}
-    places: dict[str, Permit] = {}
+    permits: dict[str, Permit] = {}
     generations: dict[str, int] = {}
     leases: dict[str, Lease] = {}
-    keepers: list[str] = []
+    voters: list[str] = []
 
 
 class Rejection(msgspec.Struct):
     """Nothing came of the command."""
 
-    why: str
+    reason: str
 
 
 _snapshot_decoder = msgspec.msgpack.Decoder(ControlPlaneState)
@@ -94,69 +98,74 @@
     """A machine for `record.keeper`. `applied` is told of each command with its index and result."""
 
     def __init__(self, applied: Callable[[int, commands.Command, object], None] | None = None) -> None:
-        self.applied = applied
+        self.on_applied = applied
         self.restore(b"")
 
     # As the keeper needs it.
 
     def apply(self, index: int, content: bytes) -> object:
         try:
-            command = self.read(content)
+            command = self.decode_command(content)
         except msgspec.MsgspecError as error:  # by a version that knows more: the same no everywhere
             return Rejection(f"no command of this version: {error}")
-        result = self.ACTS[type(command)](self, index, command)
+        result = self.HANDLERS[type(command)](self, index, command)
         self.index = index
-        if self.applied:
-            self.applied(index, command, result)
+        if self.on_applied:
+            self.on_applied(index, command, result)
         return result
 
     def fold(self) -> bytes:
-        return msgspec.msgpack.encode(self.held)
+        return msgspec.msgpack.encode(self.state)
 
     def restore(self, content: bytes) -> None:
-        self.held = self.taken_up(content)
+        self.state = self.decode_snapshot(content)
         self.index = 0
         self._count()
 
     def keepers(self) -> tuple[str, ...]:
-        return tuple(self.held.keepers)
+        return tuple(self.state.voters)
 
     # What a machine with more in it does in its own way.
 
-    def read(self, content: bytes) -> Any:
+    def decode_command(self, content: bytes) -> Any:
         return commands.decode(content)
 
-    def taken_up(self, content: bytes) -> ControlPlaneState:
+    def decode_snapshot(self, content: bytes) -> ControlPlaneState:
         return _snapshot_decoder.decode(content) if content else ControlPlaneState()
 
     # Reckoning.
 
     def _count(self) -> None:
         """What is out by places alone: no grant may pass a bound even if nothing else were known."""
-        self.out = UnavailableTargets(self.held.layout)
-        for thing in self.held.places:
-            self.out.put(thing, PERMIT_REASON)
+        self.unavailable = UnavailableTargets(self.state.topology)
+        for thing in self.state.permits:
+            self.unavailable.add(thing, PERMIT_REASON)
 
     # Commands.
 
     def _lay(self, index: int, command: commands.SetTopology) -> object:
-        self.held.layout = command.layout
+        self.state.topology = command.topology
         self._count()
         return None
 
     def _order(self, index: int, command: commands.SubmitOrder) -> object:
-        held = self.held
-        if known := held.orders.get(command.ident):
-            asked = {name: part.generation for name, part in known.parts.items()}
+        held = self.state
+        if known := held.orders.get(command.order_id):
+            asked = {name: part.generation for name, part in known.tasks.items()}
             same = (known.operator, known.verb, asked) == (
                 command.operator,
                 command.verb,
-                dict(command.things),
+                dict(command.targets),
             )
             return known if same else Rejection(f"that id is of another order, by {known.operator}")
-        things = dict(command.things)
-        known_things = {thing for here in held.layout.hosts.values() for thing in here}
-        if not command.ident or len(command.ident) > 64 or not things or len(things) != len(command.things):
+        things = dict(command.targets)
+        known_things = {thing for here in held.topology.hosts.values() for thing in here}
+        if (
+            not command.order_id
+            or len(command.order_id) > 64
+            or not things
+            or len(things) != len(command.targets)
+        ):
             return Rejection("no id, nothing named, or something twice")
         if command.verb not in VERBS or len(things) > commands.MAX_TARGETS:
             return Rejection("no such order, or too much at once")
@@ -171,38 +180,38 @@
                 (
                     each
                     for each in held.orders.values()
-                    if thing in each.parts and each.parts[thing].state in OPEN_STATES
+                    if thing in each.tasks and each.tasks[thing].state in OPEN_STATES
                 ),
                 None,
             )
             if other:
-                part.state, part.why = "refused", f"{other.operator}'s {other.verb} {other.ident} stands"
-            elif (place := held.places.get(thing)) and not (
+                part.state, part.reason = "refused", f"{other.operator}'s {other.verb} {other.id} stands"
+            elif (place := held.permits.get(thing)) and not (
                 command.verb == "restart" or self._comes_back(place)
             ):
-                part.state, part.why = "refused", f"it is out already, by {place.ident}"
-        if command.whole and any(part.state == "refused" for part in parts.values()):
+                part.state, part.reason = "refused", f"it is out already, by {place.order_id}"
+        if command.atomic and any(part.state == "refused" for part in parts.values()):
             for part in parts.values():
                 if part.state != "refused":
-                    part.state, part.why = "refused", "not all of it can be taken"
+                    part.state, part.reason = "refused", "not all of it can be taken"
         order = DisruptionOrder(
-            command.ident,
+            command.order_id,
             command.operator,
             command.verb,
-            command.unix,
-            command.lasts,
-            command.whole,
+            command.created_at,
+            command.timeout,
+            command.atomic,
             index,
             parts,
         )
         if order.open:
-            held.orders[order.ident] = order
+            held.orders[order.id] = order
             self._forget()
         return order
 
     def _forget(self) -> None:
-        orders = self.held.orders
-        placed = {place.ident for place in self.held.places.values()}
+        orders = self.state.orders
+        placed = {place.order_id for place in self.state.permits.values()}
         for ident, order in list(orders.items()):
             if len(orders) <= MAX_ORDERS:
                 break
@@ -210,177 +219,184 @@
                 del orders[ident]
 
     def _halt(self, index: int, command: commands.HaltOrder) -> object:
-        order = self.held.orders.get(command.ident)
+        order = self.state.orders.get(command.order_id)
         if order is None:
             return Rejection("no such order")
-        order.halted = order.halted or command.operator
+        order.halted_by = order.halted_by or command.operator
         self._end_waiting(order, "halted", f"by {command.operator}")
         return order
 
     def _cancel(self, index: int, command: commands.CancelOrder) -> object:
-        order = self.held.orders.get(command.ident)
+        order = self.state.orders.get(command.order_id)
         if order is None:
             return Rejection("no such order")
-        order.cancelled = order.cancelled or command.operator
-        order.halted = order.halted or command.operator
+        order.cancelled_by = order.cancelled_by or command.operator
+        order.halted_by = order.halted_by or command.operator
         self._end_waiting(order, "cancelled", f"by {command.operator}")
         return order
 
     def _end_waiting(self, order: DisruptionOrder, state: str, why: str) -> None:
-        for part in order.parts.values():
+        for part in order.tasks.values():
             if part.state == "waiting":
                 self._move(part, state, why)
 
     def _grant(self, index: int, command: commands.GrantPermits) -> object:
-        held, order = self.held, self.held.orders.get(command.ident)
-        if order is None or order.halted:
+        held, order = self.state, self.state.orders.get(command.order_id)
+        if order is None or order.halted_by:
             return Rejection("no such order, or it is halted")
-        for thing in command.things:
-            part = order.parts.get(thing)
+        for thing in command.targets:
+            part = order.tasks.get(thing)
             if part is None or part.state != "waiting":
                 return Rejection(f"{thing} does not wait for a place")
-            if why := self.taken(thing, order.ident):
+            if why := self.permit_conflict(thing, order.id):
                 return Rejection(why)
-        if why := self.out.against(command.things):
+        if why := self.unavailable.find_violation(command.targets):
             return Rejection(why)
-        for thing in command.things:
-            before = held.places.get(thing)
-            held.places[thing] = Permit(
+        for thing in command.targets:
+            before = held.permits.get(thing)
+            held.permits[thing] = Permit(
                 thing,
-                order.ident,
+                order.id,
                 index,
-                down=command.down,
-                was=before.ident if before and before.out else "",
+                only_while_down=command.only_while_down,
+                previous_order_id=before.order_id if before and before.started else "",
             )
-            self.out.put(thing, PERMIT_REASON)
-            self._move(order.parts[thing], "granted", "")
+            self.unavailable.add(thing, PERMIT_REASON)
+            self._move(order.tasks[thing], "granted", "")
         return index
 
-    def taken(self, thing: str, ident: str) -> str:
+    def permit_conflict(self, thing: str, ident: str) -> str:
         """Why an order can't have a place on it by now; empty where it can, as one on what is out already."""
-        place = self.held.places.get(thing)
-        if place and (place.ident == ident or not place.out or self._comes_back(place)):
-            return f"{thing} has a place by {place.ident}"
+        place = self.state.permits.get(thing)
+        if place and (place.order_id == ident or not place.started or self._comes_back(place)):
+            return f"{thing} has a place by {place.order_id}"
         return ""
 
     def _comes_back(self, place: Permit) -> bool:
         """What a cancelled drain took out. A restart has no other way back than to come up."""
-        order = self.held.orders.get(place.ident)
-        return bool(order and order.cancelled and order.verb != "restart")
+        order = self.state.orders.get(place.order_id)
+        return bool(order and order.cancelled_by and order.verb != "restart")
 
     def _place(self, thing: str, fence: int) -> Permit | None:
-        place = self.held.places.get(thing)
-        return place if place and place.fence == fence else None
+        place = self.state.permits.get(thing)
+        return place if place and place.fencing_token == fence else None
 
     def _began(self, index: int, command: commands.StartPermit) -> object:
-        if place := self._place(command.thing, command.fence):
-            place.out, place.lapsed = True, 0
+        if place := self._place(command.target, command.fencing_token):
+            place.started, place.expired_index = True, 0
             self._move_placed(place, "out", "")
             return index
         return Rejection("no such place")
 
     def _over(self, index: int, command: commands.ReleasePermit) -> object:
-        place = self._place(command.thing, command.fence)
+        place = self._place(command.target, command.fencing_token)
         if place is None:
             return Rejection("no such place")
-        order = self.held.orders.get(place.ident)
-        part = order.parts[place.thing] if order else None
+        order = self.state.orders.get(place.order_id)
+        part = order.tasks[place.target] if order else None
         if order and part and part.state in OPEN_STATES:
-            if place.out:
-                back = order.cancelled and order.verb != "restart"
+            if place.started:
+                back = order.cancelled_by and order.verb != "restart"
                 self._move(
                     part,
                     "cancelled" if back else "done" if order.verb == "restart" else "failed",
-                    f"by {order.cancelled}"
+                    f"by {order.cancelled_by}"
                     if back
                     else ""
                     if order.verb == "restart"
                     else "it was started again",
                 )
-            elif order.halted:
-                self._move(part, "cancelled" if order.cancelled else "halted", f"by {order.halted}")
+            elif order.halted_by:
+                self._move(part, "cancelled" if order.cancelled_by else "halted", f"by {order.halted_by}")
             else:
                 self._move(part, "waiting", "its place was given back")
-        if place.was and not place.out:  # what an earlier order took out is out as before
-            self.held.places[place.thing] = Permit(place.thing, place.was, index, True)
+        if place.previous_order_id and not place.started:  # what an earlier order took out is out as before
+            self.state.permits[place.target] = Permit(place.target, place.previous_order_id, index, True)
         else:
             self._free(place)
         return index
 
     def _lapse(self, index: int, command: commands.ExpirePermit) -> object:
-        place = self._place(command.thing, command.fence)
-        if place is None or place.out or place.lapsed:
+        place = self._place(command.target, command.fencing_token)
+        if place is None or place.started or place.expired_index:
             return Rejection("no such place, or it was begun")
-        order = self.held.orders.get(place.ident)
-        halted = order and order.halted
+        order = self.state.orders.get(place.order_id)
+        halted = order and order.halted_by
         self._move_placed(place, "halted" if halted else "waiting", "its agent was not heard in time")
-        place.lapsed = index
+        place.expired_index = index
         return index
 
     def _free(self, place: Permit) -> None:
-        del self.held.places[place.thing]
-        self.out.take(place.thing, PERMIT_REASON)
+        del self.state.permits[place.target]
+        self.unavailable.remove(place.target, PERMIT_REASON)
 
     def _ended(self, index: int, command: commands.FinishTask) -> object:
-        order = self.held.orders.get(command.ident)
-        part = order.parts.get(command.thing) if order else None
-        if order is None or part is None or part.state not in OPEN_STATES or command.how not in FINAL_STATES:
+        order = self.state.orders.get(command.order_id)
+        part = order.tasks.get(command.target) if order else None
+        if (
+            order is None
+            or part is None
+            or part.state not in OPEN_STATES
+            or command.state not in FINAL_STATES
+        ):
             return Rejection("nothing of that is open")
-        self._move(part, command.how, command.why)
+        self._move(part, command.state, command.reason)
         if (
-            command.how == "refused"
-            and order.whole
-            and not any(each.state in ("out", "done") for each in order.parts.values())
+            command.state == "refused"
+            and order.atomic
+            and not any(each.state in ("out", "done") for each in order.tasks.values())
         ):
-            order.halted = order.halted or order.operator
-            self._end_waiting(order, "refused", f"not all of it can be taken: {command.thing} {command.why}")
+            order.halted_by = order.halted_by or order.operator
+            self._end_waiting(
+                order, "refused", f"not all of it can be taken: {command.target} {command.reason}"
+            )
         return index
 
     def _expire(self, index: int, command: commands.ExpireOrder) -> object:
-        if order := self.held.orders.get(command.ident):
-            order.halted = order.halted or "its time"
+        if order := self.state.orders.get(command.order_id):
+            order.halted_by = order.halted_by or "its time"
             self._end_waiting(order, "expired", "no room in its time")
             return index
         return Rejection("no such order")
 
     def _reserve(self, index: int, command: commands.ReserveGenerations) -> object:
         """Only up: what was once reserved may have been used."""
-        generations = self.held.generations
-        for thing, upto in command.upto.items():
+        generations = self.state.generations
+        for thing, upto in command.limits.items():
             generations[thing] = max(upto, generations.get(thing, 0))
         return index
 
     def _keepers(self, index: int, command: commands.SetVoters) -> object:
-        if not command.names or len(set(command.names)) != len(command.names) or len(command.names) > 9:
+        if not command.voters or len(set(command.voters)) != len(command.voters) or len(command.voters) > 9:
             return Rejection("one to nine keepers, each once")
-        self.held.keepers = list(command.names)
+        self.state.voters = list(command.voters)
         return index
 
     def _hold(self, index: int, command: commands.AcquireLease) -> object:
-        lease = self.held.leases.get(command.name)
+        lease = self.state.leases.get(command.name)
         if lease and lease.holder != command.holder:
             return Rejection(f"{lease.holder} holds it")
         if lease:  # renewed: what was done under its fence goes on
-            lease.lasts = command.lasts
-            return lease.fence
-        if len(self.held.leases) >= MAX_OPEN_ORDERS:
+            lease.duration = command.duration
+            return lease.fencing_token
+        if len(self.state.leases) >= MAX_OPEN_ORDERS:
             return Rejection("too many leases")
-        self.held.leases[command.name] = Lease(command.holder, index, command.lasts)
+        self.state.leases[command.name] = Lease(command.holder, index, command.duration)
         return index
 
     def _release(self, index: int, command: commands.ReleaseLease) -> object:
-        lease = self.held.leases.get(command.name)
-        if lease is None or lease.fence != command.fence:
+        lease = self.state.leases.get(command.name)
+        if lease is None or lease.fencing_token != command.fencing_token:
             return Rejection("no such lease")
-        del self.held.leases[command.name]
+        del self.state.leases[command.name]
         return index
 
     # States.
 
     def _move_placed(self, place: Permit, state: str, why: str) -> None:
-        order = self.held.orders.get(place.ident)
-        if order and order.parts[place.thing].state in OPEN_STATES:
-            self._move(order.parts[place.thing], state, why)
+        order = self.state.orders.get(place.order_id)
+        if order and order.tasks[place.target].state in OPEN_STATES:
+            self._move(order.tasks[place.target], state, why)
 
     def _move(self, part: DisruptionTask, state: str, why: str) -> None:
         """The one place where the state of a part changes."""
@@ -388,9 +404,9 @@
             return
         if state not in TRANSITIONS[part.state]:
             raise RuntimeError(f"{part.state} to {state}")
-        part.state, part.why = state, why
+        part.state, part.reason = state, why
 
-    ACTS: ClassVar[dict[type, Callable[[Any, int, Any], object]]] = {
+    HANDLERS: ClassVar[dict[type, Callable[[Any, int, Any], object]]] = {
         commands.SetTopology: _lay,
         commands.SubmitOrder: _order,
         commands.HaltOrder: _halt,
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -124,7 +124,7 @@
             RolloutStateMachine,
             self._driver,
         )
-        self.control_plane.watched = self._applied
+        self.control_plane.on_committed = self._applied
         self.pending: dict[Proposal, Callable[[Proposal], None]] = {}
 
     def _driver(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator) -> RolloutController:
@@ -140,11 +140,11 @@
             command,
             commands.HaltOrder | commands.CancelOrder | commands.ReleasePermit | commands.ExpirePermit,
         ):
-            for order in self.control_plane.ledger.held.orders.values():
-                if order.halted and all(
-                    part.state not in ("waiting", "granted") for part in order.parts.values()
+            for order in self.control_plane.state_machine.state.orders.values():
+                if order.halted_by and all(
+                    part.state not in ("waiting", "granted") for part in order.tasks.values()
                 ):
-                    audit.halt_holds(order.ident)
+                    audit.halt_holds(order.id)
 
     def _start_agent(self) -> None:
         now, saved = self.now(), self.saved
@@ -243,7 +243,7 @@
             if self.stopped:
                 return self.waiting.append(lambda: self.heard(letter))
             lives = self.lives
-            self.carry_out(self.control_plane.heard(self.now(), letter))
+            self.carry_out(self.control_plane.receive(self.now(), letter))
             if lives == self.lives:
                 self._schedule()
 
@@ -330,10 +330,10 @@
             (
                 thing,
                 fence,
-                held.ident if (held := permit_holder.places.get(thing)) else "",
-                bool(held and held.begun),
+                held.order_id if (held := permit_holder.permits.get(thing)) else "",
+                bool(held and held.started),
             )
-            for thing, fence in permit_holder.floors.items()
+            for thing, fence in permit_holder.highest_tokens.items()
         ]
         permit_holder.changed.clear()
         self.orders.changed.clear()
@@ -360,10 +360,13 @@
             else:
                 world.clock.at(started.up_at, self._up, name, started)
         elif process and step.act in (Action.TERM, Action.LEAVE) and not process.leaving:
-            held = self.permit_holder.places.get(name)
+            held = self.permit_holder.permits.get(name)
             if step.instance.goal is Goal.DOWN or step.instance.part is not None:
                 world.audit.left(
-                    true, name, held.fence if held and held.begun else -1, held.ident if held else ""
+                    true,
+                    name,
+                    held.fencing_token if held and held.started else -1,
+                    held.order_id if held else "",
                 )
             else:
                 world.audit.gone(true, name)
@@ -405,7 +408,7 @@
         now = self.now()
         if not self.full:
             self.reconciler.answered(now, sent_at, answer)
-            if self.stop_in and any(place.good_for and not place.out for place in answer.places):
+            if self.stop_in and any(place.valid_for and not place.started for place in answer.permits):
                 self.stopped = True
                 self.world.clock.after(self.stop_in, self.wake)
                 self.stop_in = 0
@@ -440,8 +443,8 @@
         groups.append(BudgetGroup("fleet", schedule.bound * schedule.sites, every))
         self.layout = Topology({name: things[name] for name in names}, tuple(groups))
         self.audit = ConsensusAudit(
-            {group.name: (group.bound, list(group.things)) for group in groups},
-            TERMS.lapse + TERMS.silent + 2 * SECOND,
+            {group.name: (group.max_unavailable, list(group.targets)) for group in groups},
+            TERMS.expiry + TERMS.agent_silence + 2 * SECOND,
         )
         self.troubled: dict[tuple[str, str], list[Fault]] = {}
         self.said: list[str] = []
@@ -499,7 +502,7 @@
             if leader.control_plane is None:
                 return
             try:
-                answer, steps = leader.control_plane.polled(leader.now(), poll)
+                answer, steps = leader.control_plane.receive_heartbeat(leader.now(), poll)
             except NotLeaderError as error:
                 self._deliver(leader.name, host.name, other, error.leader)
                 return
@@ -509,8 +512,8 @@
         def came(answer: HeartbeatResponse) -> None:
             nonlocal waits
             waits = False
-            if host.lives == lives and answer.keepers:
-                host.whom.told(answer.keepers)
+            if host.lives == lives and answer.voters:
+                host.whom.told(answer.voters)
             host.answered(lives, sent_at, answer)
 
         def other(name: str) -> None:
@@ -738,7 +741,7 @@
                 and host.control_plane.allocator
                 and host.control_plane.replica.leads(host.now())
             ):
-                for each in host.control_plane.ledger.held.releases.values():  # type: ignore[attr-defined]
+                for each in host.control_plane.state_machine.state.releases.values():  # type: ignore[attr-defined]
                     if each.over and each.ident in self.of_releases.version:
                         self.of_releases.ended(self.clock.now, each.ident, each.state, self._serving())
         self.clock.after(50 * MS, self._look)
@@ -769,15 +772,15 @@
         ]
         if len(leaders) != 1:
             return [f"{len(leaders)} leaders at the end"]
-        ledger = leaders[0].control_plane.ledger  # type: ignore[union-attr]
+        ledger = leaders[0].control_plane.state_machine  # type: ignore[union-attr]
         found = [
-            f"order {order.ident} is open: {order.parts}"
-            for order in ledger.held.orders.values()
-            if any(part.state in OPEN_STATES for part in order.parts.values())
+            f"order {order.id} is open: {order.tasks}"
+            for order in ledger.state.orders.values()
+            if any(part.state in OPEN_STATES for part in order.tasks.values())
         ]
         release = ledger.open  # type: ignore[union-attr]
         if release and release.state in ("preparing", "running", "undoing"):
-            above = leaders[0].control_plane.above  # type: ignore[union-attr]
+            above = leaders[0].control_plane.extension  # type: ignore[union-attr]
             why = above.why if isinstance(above, RolloutController) else "nobody drives"
             if not any(word in why for word in WAITS):  # for what operators have taken out for good
                 found.append(
@@ -785,7 +788,7 @@
                 )
         for host in self.hosts.values():
             for part in host.orders.executor:
-                order = ledger.held.orders.get(part.order.ident)
+                order = ledger.state.orders.get(part.order.ident)
                 if part.open and part.order.verb is not Verb.START and not (order and order.open):
                     found.append(f"{host.name}: a part of {part.order.ident} waits for nothing")
         return found
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -147,7 +147,7 @@
         """It is agreed at once: whoever asked is told what came of it."""
         self.index += 1
         result = self.register.apply(self.index, commands.encode(command))
-        for policy in self.register.held.policies.values():
+        for policy in self.register.state.policies.values():
             if policy.state in ("withdrawn", "refused"):
                 self.audit.told_not_made(self.clock.now, policy.number)
             elif policy.state == "in force":
@@ -206,12 +206,12 @@
         elif kind == "agent dies":
             host.start()
         elif kind == "propose":
-            held = self.register.held
+            held = self.register.state
             self.apply(ProposePolicy(f"c{now}", "asha", 0, "", held.decided, b"%d" % now))
         elif kind == "withdraw" and self.register.proposed:
             self.apply(WithdrawPolicy(self.register.proposed.number, "ravi"))
         elif kind == "bad":
-            result = self.apply(ProposePolicy(f"b{now}", "ravi", 0, "", self.register.held.decided, b"bad"))
+            result = self.apply(ProposePolicy(f"b{now}", "ravi", 0, "", self.register.state.decided, b"bad"))
             if not isinstance(result, Rejection):
                 host.bad = result.number  # type: ignore[attr-defined]
 
@@ -223,11 +223,13 @@
         """With all well for three leases, what was proposed has an end, and nodes decide under the last."""
         found = [
             f"version {each.number} is {each.state}"
-            for each in self.register.held.policies.values()
+            for each in self.register.state.policies.values()
             if each.state in ("proposed", "decided")
         ]
         for host in self.hosts.values():
             for node in host.nodes:
-                if node.policy.number != self.register.held.decided or not node.policy.may_decide(host.now()):
+                if node.policy.number != self.register.state.decided or not node.policy.may_decide(
+                    host.now()
+                ):
                     found.append(f"{node.name} goes by {node.policy.number}, {node.policy.standing.value}")
         return found
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -82,7 +82,7 @@
 
     def answer(self, now: int, host: str, told: PolicyReport) -> PolicyAssignment:
         """To be given only while the leader's lease holds."""
-        held, proposed = self.register.held, self.register.proposed
+        held, proposed = self.register.state, self.register.proposed
         current = held.policies.get(held.decided)
         content = current.content if current and told.has != held.decided else b""
         heard = PolicyAssignment(held.decided, LEASE, content)
@@ -93,7 +93,7 @@
         return heard
 
     def tick(self, now: int) -> list[PolicyCommand]:
-        held, proposed = self.register.held, self.register.proposed
+        held, proposed = self.register.state, self.register.proposed
         wanted: list[PolicyCommand] = []
         if proposed:
             began = self.offered_at.setdefault(proposed.number, now)
@@ -103,7 +103,7 @@
         current = held.policies.get(held.decided)
         if current and current.state == "decided":
             since = self.decided_at.setdefault(current.number, now)
-            if now - since > self.terms.beyond(LEASE) or all(
+            if now - since > self.terms.upper_bound(LEASE) or all(
                 (known := self.known.get(host)) and known.number >= current.number and known.at >= since
                 for host in self.hosts
             ):
@@ -116,7 +116,7 @@
         if known and known.ready == number:
             return True
         heard_at = max(self.began, began, known.at if known else 0)
-        return now - heard_at > self.terms.beyond(LOST)
+        return now - heard_at > self.terms.upper_bound(LOST)
 
     def _once(self, wanted: list[PolicyCommand]) -> list[PolicyCommand]:
         news = [each for each in wanted if msgspec.msgpack.encode(each) not in self.asked]
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -95,21 +95,21 @@
 
 
 class PolicyStateMachine(RolloutStateMachine):
-    held: PolicyState
+    state: PolicyState
 
-    def read(self, content: bytes) -> Any:
+    def decode_command(self, content: bytes) -> Any:
         return _command_decoder.decode(content)
 
-    def taken_up(self, content: bytes) -> PolicyState:
+    def decode_snapshot(self, content: bytes) -> PolicyState:
         return _snapshot_decoder.decode(content) if content else PolicyState()
 
     @property
     def proposed(self) -> PolicyVersion | None:
         """There is one at most."""
-        return next((each for each in self.held.policies.values() if each.state == "proposed"), None)
+        return next((each for each in self.state.policies.values() if each.state == "proposed"), None)
 
     def _propose(self, index: int, command: ProposePolicy) -> object:
-        held = self.held
+        held = self.state
         digest = blake3.blake3(command.content).hexdigest()[:32]
         for known in held.policies.values():
             if known.ident == command.ident:
@@ -146,7 +146,7 @@
     def _decide(self, index: int, command: CommitPolicy) -> object:
         result = self._turn_version(command.number, "decided", "")
         if isinstance(result, PolicyVersion):
-            before, self.held.decided = self.held.decided, command.number
+            before, self.state.decided = self.state.decided, command.number
             if before:
                 self._turn_version(before, "overtaken", f"by version {command.number}")
         return result
@@ -156,7 +156,7 @@
 
     def _turn_version(self, number: int, state: str, why: str) -> PolicyVersion | Rejection:
         """The one place where the state of a version changes."""
-        policy = self.held.policies.get(number)
+        policy = self.state.policies.get(number)
         if policy is None:
             return Rejection(f"there is no version {number}")
         if state not in TRANSITIONS[policy.state]:
@@ -164,8 +164,8 @@
         policy.state, policy.why = state, why
         return policy
 
-    ACTS: ClassVar[dict[type, Any]] = {
-        **RolloutStateMachine.ACTS,
+    HANDLERS: ClassVar[dict[type, Any]] = {
+        **RolloutStateMachine.HANDLERS,
         ProposePolicy: _propose,
         WithdrawPolicy: _withdraw,
         RejectPolicy: _refuse,
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -44,7 +44,7 @@
         self.ask_at = now
         self.seen: dict[str, TargetObservation] = {}
         self.died: dict[str, tuple[int, int]] = {}  # by thing: life of its agent, deaths told
-        self.planner = BatchPlanner(allocator.layout)
+        self.planner = BatchPlanner(allocator.topology)
         self.gate: Gate | None = None
         self.gate_of = ""  # release and direction
         self.since = now  # when the last batch was up, or the release began, as far as we know
@@ -57,13 +57,18 @@
 
     # What agents tell.
 
-    def heard(self, now: int, poll: Heartbeat) -> list[commands.Command | places.Command]:
+    def receive_heartbeat(self, now: int, poll: Heartbeat) -> list[commands.Command | places.Command]:
         """News of one host, no older than what its echo shows."""
-        host = self.allocator.hosts.get(poll.host)
-        if host is None or host.life != poll.life or host.count != poll.count or not host.echo:
+        host = self.allocator.sessions.get(poll.host)
+        if (
+            host is None
+            or host.incarnation != poll.incarnation
+            or host.sequence != poll.sequence
+            or not host.echoed_at
+        ):
             return []  # overtaken, or nobody knows how old it is
         try:
-            told = decode_report(poll.above)
+            told = decode_report(poll.extension)
         except msgspec.MsgspecError:
             return []  # of a version that says other things
         release = self.book.open
@@ -71,7 +76,7 @@
             if self.allocator.host_of.get(run.name) != poll.host:
                 continue
             known = self.seen.get(run.name)
-            if known and known.at > host.echo:
+            if known and known.at > host.echoed_at:
                 continue
             before = known.version if known else run.version
             self.seen[run.name] = TargetObservation(
@@ -79,17 +84,17 @@
                 run.phase,
                 run.generation,
                 run.version or (before if run.age < 0 else ""),
-                host.echo,
+                host.echoed_at,
                 run.load,
                 run.resting,
             )
             if release:
-                self._measure(now, release, poll.life, run, before)
-        if release and release.state == "preparing" and self.lease.holds(now):
+                self._measure(now, release, poll.incarnation, run, before)
+        if release and release.state == "preparing" and self.lease.is_held(now):
             return [
                 commands.ReportPrepared(
                     release.ident,
-                    self.lease.fence,
+                    self.lease.fencing_token,
                     poll.host,
                     why,
                     {
@@ -138,10 +143,10 @@
             self.since = now
         return self.gate
 
-    def answer(self, now: int, host: str) -> bytes:
+    def respond(self, now: int, host: str) -> bytes:
         """What a host's agent hears with each answer."""
-        held, release = self.book.held, self.book.open
-        here = self.allocator.layout.hosts.get(host, ())
+        held, release = self.book.state, self.book.open
+        here = self.allocator.topology.hosts.get(host, ())
         versions = {thing: held.versions[thing] for thing in here if thing in held.versions}
         heard = AgentAssignments(
             versions,
@@ -156,19 +161,19 @@
 
     def applied(self, now: int, command: object, result: object) -> None:
         if isinstance(command, places.SetTopology):
-            self.planner = BatchPlanner(self.allocator.layout)
+            self.planner = BatchPlanner(self.allocator.topology)
         if (
             isinstance(command, places.AcquireLease)
             and command.name == LEASE
             and command.holder == self.lease.holder
         ):
-            if not self.lease.answered(self.asked_at, result):
+            if not self.lease.receive_result(self.asked_at, result):
                 self.ask_at = now + AGAIN
             self.asked_at = 0
         if self.waiting and places.encode(command) == self.waiting:  # type: ignore[arg-type]
             self.waiting = b""
             if isinstance(result, Rejection):
-                self.why, self.act_at = result.why, now + AGAIN
+                self.why, self.act_at = result.reason, now + AGAIN
             elif isinstance(command, commands.FinishBatch):
                 self.since = now
 
@@ -189,11 +194,11 @@
         if (
             not self.asked_at
             and now >= self.ask_at
-            and (not self.lease.holds(now) or now > self.lease.until - LASTS * 3 // 4)
+            and (not self.lease.is_held(now) or now > self.lease.expires_at - LASTS * 3 // 4)
         ):
             self.asked_at, self.ask_at = now, now + AGAIN
-            wanted.append(self.lease.asking())
-        if not self.lease.holds(now) or self.waiting or now < self.act_at:
+            wanted.append(self.lease.acquire_command())
+        if not self.lease.is_held(now) or self.waiting or now < self.act_at:
             return wanted
         gate = self._gate(now, release)
         gate.look(now)
@@ -204,7 +209,7 @@
 
     def _step(self, now: int, release: Release, gate: Gate) -> commands.Command | None:
         """The next thing to do, if there is one: the ordinary path from its beginning to its end."""
-        head = release.ident, self.lease.fence, release.step
+        head = release.ident, self.lease.fencing_token, release.step
         if release.state == "preparing":
             return self._prepare(now, release)
         if release.now:
@@ -244,11 +249,11 @@
         hosts = {self.allocator.host_of[thing] for thing in release.parts if thing in self.allocator.host_of}
         missing = sorted(hosts - set(release.ready)) if not release.what.services else []
         if not missing:
-            return commands.BeginRollout(release.ident, self.lease.fence, release.step)
+            return commands.BeginRollout(release.ident, self.lease.fencing_token, release.step)
         self.why = f"{', '.join(missing[:5])} not ready yet"
         if now - self.since > PREPARE:
             return commands.ReportPrepared(
-                release.ident, self.lease.fence, missing[0], "it did not say in time", {}
+                release.ident, self.lease.fencing_token, missing[0], "it did not say in time", {}
             )
         return None
 
@@ -259,14 +264,14 @@
         batch = release.batch, release.ident, release.turns  # told to go on, it has its time anew
         if self.batch_of != batch:
             self.batch_of, self.batch_at = batch, now
-        held, order = self.book.held, self.book.held.orders.get(release.order)
-        parts = order.parts if order else {}
+        held, order = self.book.state, self.book.state.orders.get(release.order)
+        parts = order.tasks if order else {}
         open_ones = [
             thing
             for thing in (*release.now, *release.controls)
             if thing in parts and parts[thing].state in OPEN_STATES
         ]
-        halted = bool(order and order.halted not in ("", EXPIRED))
+        halted = bool(order and order.halted_by not in ("", EXPIRED))
         stopped = release.state in ("paused", "halted") or halted or release.forward is release.back
         failed = [thing for thing in release.now if thing in parts and parts[thing].state == "failed"]
         if not stopped:
@@ -288,7 +293,7 @@
         out = [
             thing
             for thing in release.now
-            if thing in held.places and held.places[thing].ident == release.order
+            if thing in held.permits and held.permits[thing].order_id == release.order
         ]
         came = [thing for thing in release.now if self._came(now, release, thing)]
         if open_ones or out:
@@ -309,7 +314,7 @@
         self.why = ""
         return commands.FinishBatch(
             release.ident,
-            self.lease.fence,
+            self.lease.fencing_token,
             release.step,
             [thing for thing in release.now if self._is_new(release, thing, parts)],
         )
@@ -325,7 +330,7 @@
     def _came(self, now: int, release: Release, thing: str) -> bool:
         each = self.seen.get(thing)
         if release.what.services:
-            return thing not in self.allocator.out.reasons
+            return thing not in self.allocator.unavailable.reasons
         return bool(
             each
             and each.fresh(now)
@@ -361,13 +366,13 @@
         return not stays or (each is not None and each.version == release.what.version)
 
     def _story(self, release: Release, thing: str) -> str:
-        order = self.book.held.orders.get(release.order)
-        part = order.parts.get(thing) if order else None
-        return part.why or part.state if part else "nothing was ordered"
+        order = self.book.state.orders.get(release.order)
+        part = order.tasks.get(thing) if order else None
+        return part.reason or part.state if part else "nothing was ordered"
 
     def _halt(self, release: Release, gate: Gate, why: str) -> commands.Command:
         return commands.RecordVerdict(
-            release.ident, self.lease.fence, release.step, gate.kept(), gate.figures(), why
+            release.ident, self.lease.fencing_token, release.step, gate.kept(), gate.figures(), why
         )
 
     # Between batches.
@@ -392,7 +397,7 @@
             if now - self.kept_at >= KEEP_EVERY:
                 self.kept_at = now
                 return commands.RecordVerdict(
-                    release.ident, self.lease.fence, release.step, gate.kept(), verdict.figures
+                    release.ident, self.lease.fencing_token, release.step, gate.kept(), verdict.figures
                 )
         return None
 
@@ -415,7 +420,7 @@
             now,
             free,
             self.seen,
-            self.allocator.out,
+            self.allocator.unavailable,
             max(1, min(most, MOST)),
             pace.ceiling,
             release.back,
@@ -430,7 +435,7 @@
             controls = self._controls(now, release, choice.things)
         return commands.StartBatch(
             release.ident,
-            self.lease.fence,
+            self.lease.fencing_token,
             release.step,
             release.unix,
             [(thing, generations.get(thing, 0)) for thing in choice.things],
@@ -440,10 +445,10 @@
     def _standing(self) -> dict[str, str]:
         """Things on which an order is open, and whose: what is tried there would be refused."""
         return {
-            thing: f"{order.operator}'s {order.verb} {order.ident}"
-            for ident in self.allocator.orders_at
-            if (order := self.book.held.orders.get(ident))
-            for thing, part in order.parts.items()
+            thing: f"{order.operator}'s {order.verb} {order.id}"
+            for ident in self.allocator.order_submitted_at
+            if (order := self.book.state.orders.get(ident))
+            for thing, part in order.tasks.items()
             if part.state in OPEN_STATES
         }
 
@@ -456,9 +461,9 @@
             and (each := self.seen.get(thing))
             and each.serves
             and self._arm(release, thing, each.version) == "old"
-            and not self.allocator.out.against([*chosen, thing])
+            and not self.allocator.unavailable.find_violation([*chosen, thing])
         ]
         found = self.planner.choose(
-            now, others, self.seen, self.allocator.out, len(chosen), release.pace.ceiling, False
+            now, others, self.seen, self.allocator.unavailable, len(chosen), release.pace.ceiling, False
         ).things
-        return [] if self.allocator.out.against([*chosen, *found]) else found
+        return [] if self.allocator.unavailable.find_violation([*chosen, *found]) else found
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -60,14 +60,14 @@
         self.site: dict[str, str] = {}
         self.of: dict[str, list[str]] = {}
         for group in layout.groups:
-            for thing in group.things:
+            for thing in group.targets:
                 self.of.setdefault(thing, []).append(group.name)
                 if group.name.startswith("site "):
                     self.site[thing] = group.name
         # Those of one host apart from each other: a host starts few at a time, and may be lost whole.
         self.rank = {thing: place for things in layout.hosts.values() for place, thing in enumerate(things)}
         self.below: dict[str, list[str]] = {}  # by instance: services that it hangs on
-        for service, instances in layout.hanging.items():
+        for service, instances in layout.dependents.items():
             for each in instances:
                 self.below.setdefault(each, []).append(service)
 
@@ -173,23 +173,23 @@
         for service in self.below.get(thing, ()):
             if service in out.reasons or service in chosen:
                 return f"{service} is out, on which {thing} hangs"
-        hanging = self.layout.hanging.get(thing, ())
+        hanging = self.layout.dependents.get(thing, ())
         for each in hanging:
             if each in out.reasons or each in chosen:
                 return f"{each} is out, which hangs on {thing}"
         for name in self.of.get(thing, ()):
-            if keep_last and left.get(name, 0) <= 1 and len(self.groups[name].things) > 1:
+            if keep_last and left.get(name, 0) <= 1 and len(self.groups[name].targets) > 1:
                 return f"{thing} is the last that serves of {name}"
         for name in {name for each in hanging for name in self.of.get(each, ())}:
-            group = self.groups[name].things
+            group = self.groups[name].targets
             if keep_last and left.get(name, 0) <= sum(each in group for each in hanging):
                 return f"what hangs on {thing} is the last that serves of {name}"
-        if why := out.against([*chosen, thing]):
+        if why := out.find_violation([*chosen, thing]):
             return why
         site = self.site.get(thing, "")
         for place in {site, *(self.site.get(each, "") for each in hanging)}:
             lost = sum(self.site.get(each, "") == place for each in (thing, *hanging)) if place else 0
-            if not lost or lost >= len(self.groups[place].things):
+            if not lost or lost >= len(self.groups[place].targets):
                 continue  # it is all of the site, which nobody there could carry
             can = capacity.get(place, 0.0) - lost
             if load.get(place, 0.0) > 0.05 and load[place] > ceiling * max(can, 1e-9):
@@ -202,7 +202,7 @@
     def _take(
         self, thing: str, left: dict[str, int], capacity: dict[str, float], count: dict[str, int]
     ) -> None:
-        for each in (thing, *self.layout.hanging.get(thing, ())):
+        for each in (thing, *self.layout.dependents.get(thing, ())):
             for name in self.of.get(each, ()):
                 left[name] = left.get(name, 0) - 1
             site = self.site.get(each, "")
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -91,23 +91,23 @@
 
 
 class RolloutStateMachine(PermitStateMachine):
-    held: RolloutState
+    state: RolloutState
 
-    def read(self, content: bytes) -> Any:
+    def decode_command(self, content: bytes) -> Any:
         return commands.decode(content)
 
-    def taken_up(self, content: bytes) -> RolloutState:
+    def decode_snapshot(self, content: bytes) -> RolloutState:
         return _snapshot_decoder.decode(content) if content else RolloutState()
 
     @property
     def open(self) -> Release | None:
         """There is one at most."""
-        return next((each for each in self.held.releases.values() if not each.over), None)
+        return next((each for each in self.state.releases.values() if not each.over), None)
 
     # An operator's.
 
     def _begin(self, index: int, command: commands.StartRelease) -> object:
-        held, what = self.held, command.what
+        held, what = self.state, command.what
         if known := held.releases.get(command.ident):
             same = (known.operator, known.what, sorted(known.parts)) == (
                 command.operator,
@@ -129,9 +129,12 @@
             or len(things) > MAX_TARGETS
         ):
             return Rejection("no id without a dot, nothing named, something twice, or too much at once")
-        known_things = {thing for here in held.layout.hosts.values() for thing in here}
+        known_things = {thing for here in held.topology.hosts.values() for thing in here}
         services = {
-            thing for group in held.layout.groups if group.name.startswith("kind ") for thing in group.things
+            thing
+            for group in held.topology.groups
+            if group.name.startswith("kind ")
+            for thing in group.targets
         }
         if unknown := sorted(set(things) - known_things):
             return Rejection(f"there is no {unknown[0]}")
@@ -160,7 +163,7 @@
         return release
 
     def _turn(self, index: int, command: commands.ControlRelease) -> object:
-        release = self.held.releases.get(command.ident)
+        release = self.state.releases.get(command.ident)
         if release is None:
             return Rejection("no such release")
         to, by = command.to, f"by {command.operator}"
@@ -190,8 +193,8 @@
 
     def _of(self, command: Any, *states: str) -> Release | Rejection:
         """The release that a driver's step is for, if the step holds."""
-        release, lease = self.held.releases.get(command.ident), self.held.leases.get(LEASE)
-        if lease is None or lease.fence != command.fence:
+        release, lease = self.state.releases.get(command.ident), self.state.leases.get(LEASE)
+        if lease is None or lease.fencing_token != command.fence:
             return Rejection("another drives by now, or none")
         if release is None or release.state not in states:
             return Rejection("no such release, or it is not at that")
@@ -200,8 +203,13 @@
         return release
 
     def _ready(self, index: int, command: commands.ReportPrepared) -> object:
-        release, lease = self.held.releases.get(command.ident), self.held.leases.get(LEASE)
-        if lease is None or lease.fence != command.fence or release is None or release.state != "preparing":
+        release, lease = self.state.releases.get(command.ident), self.state.leases.get(LEASE)
+        if (
+            lease is None
+            or lease.fencing_token != command.fence
+            or release is None
+            or release.state != "preparing"
+        ):
             return Rejection("nothing is prepared, or another drives")
         if command.why:
             return self._shift(release, "left", f"{command.host} can't take it: {command.why}")
@@ -226,7 +234,7 @@
         names = [thing for thing, _ in command.things]
         if release.now or not names or any(thing not in release.parts for thing in names):
             return Rejection("a batch is under way, or something of this one can't be changed now")
-        held = self.held
+        held = self.state
         verb = "drain" if release.what.services else "restart"
         order = self._order(
             index,
@@ -252,7 +260,7 @@
         release.now, release.controls = names, [thing for thing, _ in command.controls]
         assert isinstance(order, DisruptionOrder)
         if not order.open:  # all of it was refused: to be settled all the same
-            held.orders.setdefault(order.ident, order)
+            held.orders.setdefault(order.id, order)
         return order
 
     def _settle(self, index: int, command: commands.FinishBatch) -> object:
@@ -297,9 +305,9 @@
 
     def _shall_run(self, thing: str, version: str) -> None:
         if version:
-            self.held.versions[thing] = version
+            self.state.versions[thing] = version
         else:
-            self.held.versions.pop(thing, None)
+            self.state.versions.pop(thing, None)
 
     def _put(self, part: ReleaseTarget, state: str) -> None:
         """The one place where the state of a part changes."""
@@ -313,12 +321,12 @@
             raise RuntimeError(f"{release.state} to {state}")
         was, release.state = release.state, state
         release.why = why or release.why
-        order = self.held.orders.get(release.order)
+        order = self.state.orders.get(release.order)
         if state in ("paused", "halted", "undoing") and order and order.open:
-            order.halted = order.halted or release.operator
+            order.halted_by = order.halted_by or release.operator
             self._end_waiting(order, "halted", f"release {release.ident} {state}")
             if state == "undoing":  # what does not come up is not waited for
-                order.cancelled = order.cancelled or release.operator
+                order.cancelled_by = order.cancelled_by or release.operator
         if state == "undoing":
             if not release.back:
                 release.seen = b""
@@ -329,16 +337,16 @@
             for thing, part in release.parts.items():
                 if part.state == "old":
                     self._shall_run(thing, part.was)
-            wanted = {*self.held.versions.values()}
-            self.held.sources = {
-                version: what for version, what in self.held.sources.items() if version in wanted
+            wanted = {*self.state.versions.values()}
+            self.state.sources = {
+                version: what for version, what in self.state.sources.items() if version in wanted
             }
         if was == "preparing" or state == "running":
             release.why = why
         return release
 
-    ACTS: ClassVar[dict[type, Any]] = {
-        **PermitStateMachine.ACTS,
+    HANDLERS: ClassVar[dict[type, Any]] = {
+        **PermitStateMachine.HANDLERS,
         commands.StartRelease: _begin,
         commands.ControlRelease: _turn,
         commands.ReportPrepared: _ready,
--- a/tests/cluster/test_rig.py
+++ b/tests/cluster/test_rig.py
@@ -29,7 +29,7 @@
 HOSTS = {f"h{number}": [f"n{number}a", f"n{number}b"] for number in range(1, 6)}
 SITES = {"h1": "woodbrook", "h2": "woodbrook", "h3": "belmont", "h4": "belmont", "h5": "belmont"}
 SUPERVISION = '<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>'
-LATE = PermitTimeouts().lapse + PermitTimeouts().silent + 2_000_000_000
+LATE = PermitTimeouts().expiry + PermitTimeouts().agent_silence + 2_000_000_000
 
 
 class RigStory(unittest.IsolatedAsyncioTestCase):
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -84,7 +84,7 @@
 def apply_and_encode(machine_type: type):
     """A replicated command is read by the state machine that applies it."""
     machine = machine_type()
-    return lambda content: msgspec.msgpack.encode(machine.read(content))
+    return lambda content: msgspec.msgpack.encode(machine.decode_command(content))
 
 
 def of_type(kind: type):
--- a/tests/disruption/test_permits.py
+++ b/tests/disruption/test_permits.py
@@ -59,10 +59,14 @@
         """Agents say how they are, and the leader does what follows."""
         for host in hosts or LAYOUT.hosts:
             permit_holder = self.permit_holder[host]
-            self.put(*self.allocator.heard(self.now, permit_holder.poll(self.now, self.up, [], {})))
+            self.put(
+                *self.allocator.receive_heartbeat(
+                    self.now, permit_holder.heartbeat(self.now, self.up, [], {})
+                )
+            )
             while wanted := self.allocator.tick(self.now):
                 self.put(*wanted)
-            permit_holder.answered(self.now, self.now, self.allocator.answer(self.now, "e", host))
+            permit_holder.receive_response(self.now, self.now, self.allocator.respond(self.now, "e", host))
 
     def order(self, ident: str, *things: str, verb: str = "drain", whole: bool = False) -> object:
         return self.put(
@@ -70,11 +74,11 @@
         )
 
     def states(self, ident: str) -> dict[str, str]:
-        return {thing: part.state for thing, part in self.ledger.held.orders[ident].parts.items()}
+        return {thing: part.state for thing, part in self.ledger.state.orders[ident].tasks.items()}
 
     def begin(self, host: str, thing: str, ident: str) -> bool:
-        if may := self.permit_holder[host].may_begin(self.now, thing, ident):
-            self.permit_holder[host].begin(self.now, thing)
+        if may := self.permit_holder[host].may_start(self.now, thing, ident):
+            self.permit_holder[host].start(self.now, thing)
             self.up[thing] = False
         return may
 
@@ -96,7 +100,7 @@
         self.turn()
         self.assertEqual(self.states("o1")["a"], "out")
         self.up["a"] = True
-        self.permit_holder["h1"].is_back("a")
+        self.permit_holder["h1"].mark_restored("a")
         self.turn()
         self.turn()
         self.assertEqual(self.states("o1"), {"a": "done", "b": "granted", "c": "granted", "d": "waiting"})
@@ -112,12 +116,12 @@
         self.turn()
         self.put(commands.CancelOrder("o1", "ravi"))
         self.up["a"] = True
-        self.permit_holder["h1"].is_back("a")
+        self.permit_holder["h1"].mark_restored("a")
         self.turn()
         self.turn()
         self.assertEqual(self.states("o2"), {"c": "granted", "d": "granted"})
         self.assertIsInstance(self.order("o3", "a", "b", "nobody"), Rejection)
-        self.assertEqual(self.ledger.held.orders["o2"].whole, True)
+        self.assertEqual(self.ledger.state.orders["o2"].atomic, True)
 
     def test_a_service_below_takes_out_what_hangs_on_it_and_counts_when_it_dies(self):
         self.turn()
@@ -131,37 +135,39 @@
         self.order("o3", "cat1")
         self.turn()
         self.assertEqual((self.states("o2"), self.states("o3")), ({"a": "waiting"}, {"cat1": "waiting"}))
-        self.assertIn("hangs on cat1", self.allocator.out.reasons["a"])
+        self.assertIn("hangs on cat1", self.allocator.unavailable.reasons["a"])
 
     def test_a_place_lapses_only_after_nobody_can_begin_and_counts_until_its_agent_was_heard(self):
         self.turn()
         self.order("o1", "a")
         self.order("o2", "c", "d")
         self.turn()
-        terms, granted = self.allocator.terms, self.now
-        self.now = granted + terms.good - MS
-        self.assertTrue(self.permit_holder["h1"].may_begin(self.now, "a", "o1"))
-        self.now = granted + terms.good
-        self.assertFalse(self.permit_holder["h1"].may_begin(self.now, "a", "o1"))
-        self.now = granted + terms.lapse + MS
+        terms, granted = self.allocator.timeouts, self.now
+        self.now = granted + terms.validity - MS
+        self.assertTrue(self.permit_holder["h1"].may_start(self.now, "a", "o1"))
+        self.now = granted + terms.validity
+        self.assertFalse(self.permit_holder["h1"].may_start(self.now, "a", "o1"))
+        self.now = granted + terms.expiry + MS
         for _ in range(3):
             self.turn("h2")
-        fence = self.ledger.held.places["a"].fence
-        self.assertTrue(self.ledger.held.places["a"].lapsed)
-        late = self.permit_holder["h1"].poll(self.now, self.up, [], {})  # said before it knew of the lapse
-        self.put(*self.allocator.heard(self.now, late))
-        self.assertEqual(self.ledger.held.places["a"].fence, fence)
+        fence = self.ledger.state.permits["a"].fencing_token
+        self.assertTrue(self.ledger.state.permits["a"].expired_index)
+        late = self.permit_holder["h1"].heartbeat(
+            self.now, self.up, [], {}
+        )  # said before it knew of the lapse
+        self.put(*self.allocator.receive_heartbeat(self.now, late))
+        self.assertEqual(self.ledger.state.permits["a"].fencing_token, fence)
         self.turn("h1")
-        self.assertFalse(self.permit_holder["h1"].may_begin(self.now, "a", "o1"))
+        self.assertFalse(self.permit_holder["h1"].may_start(self.now, "a", "o1"))
         self.turn("h1")
-        self.assertGreater(self.ledger.held.places["a"].fence, fence)  # it is granted anew
+        self.assertGreater(self.ledger.state.permits["a"].fencing_token, fence)  # it is granted anew
 
     def test_one_who_began_and_vanished_keeps_the_place_that_lapsed_meanwhile(self):
         self.turn()
         self.order("o1", "a")
         self.turn()
         self.begin("h1", "a", "o1")
-        self.now += self.allocator.terms.lapse + MS
+        self.now += self.allocator.timeouts.expiry + MS
         self.turn("h2")
         self.order("o2", "b")
         self.up["b"] = False  # it is dead: room for it as such, and none for a second place
@@ -177,7 +183,7 @@
         self.lead()
         self.now += 2 * SECOND
         self.turn("h2")
-        self.assertIn("a", self.ledger.held.places)
+        self.assertIn("a", self.ledger.state.permits)
 
     def test_a_host_that_falls_silent_counts_whole(self):
         self.turn()
@@ -190,30 +196,30 @@
 
     def test_what_an_agent_said_before_it_was_started_anew_is_not_believed_any_more(self):
         self.turn()
-        late = self.permit_holder["h1"].poll(self.now, self.up, [], {})
+        late = self.permit_holder["h1"].heartbeat(self.now, self.up, [], {})
         self.permit_holder["h1"] = PermitHolder("h1", LAYOUT.hosts["h1"], 2)
         self.up["a"] = False
         self.turn("h1")
         self.turn("h1")  # it has heard the leader: by that it is known to be the later one
-        self.allocator.heard(self.now, late)
-        self.assertIn("does not serve", self.allocator.out.reasons["a"])
+        self.allocator.receive_heartbeat(self.now, late)
+        self.assertIn("does not serve", self.allocator.unavailable.reasons["a"])
 
     def test_a_late_word_of_an_agent_that_was_killed_does_not_make_the_next_one_unheard(self):
         """Drawn schedule 1020500: after a change of leader it came behind the next one's first word, which
         was then taken for the earlier life, and that agent was heard no more."""
         self.turn()
-        late = self.permit_holder["h1"].poll(self.now, self.up, [], {})
+        late = self.permit_holder["h1"].heartbeat(self.now, self.up, [], {})
         self.permit_holder["h1"] = PermitHolder("h1", LAYOUT.hosts["h1"], 2)
         self.index += 1
         self.lead()
         self.up["a"] = False
         self.turn("h1")
-        self.allocator.heard(self.now, late)
+        self.allocator.receive_heartbeat(self.now, late)
         self.turn("h1")
         self.now += SECOND
         self.turn("h1")
-        self.assertEqual(self.allocator.hosts["h1"].life, 2)
-        self.assertEqual(self.allocator.hosts["h1"].at, self.now)
+        self.assertEqual(self.allocator.sessions["h1"].incarnation, 2)
+        self.assertEqual(self.allocator.sessions["h1"].last_heartbeat_at, self.now)
 
     def test_what_an_order_took_out_stays_out_where_the_next_one_on_it_is_not_used(self):
         """Drawn schedule 1016590: a restart of what was stopped was cancelled unused, and nothing knew of the
@@ -226,17 +232,17 @@
         self.put(commands.FinishTask("o1", "a", "done", ""))
         self.order("o2", "a", verb="restart")
         self.turn()
-        self.assertEqual(self.ledger.held.places["a"].ident, "o2")
+        self.assertEqual(self.ledger.state.permits["a"].order_id, "o2")
         self.put(commands.HaltOrder("o2", "ravi"))
         self.turn()
         self.turn()
-        place = self.ledger.held.places["a"]
-        self.assertEqual((place.ident, place.out), ("o1", True))
+        place = self.ledger.state.permits["a"]
+        self.assertEqual((place.order_id, place.started), ("o1", True))
         self.up["a"] = True
         self.turn()
-        self.permit_holder["h1"].is_back("a")
+        self.permit_holder["h1"].mark_restored("a")
         self.turn()
-        self.assertNotIn("a", self.ledger.held.places)
+        self.assertNotIn("a", self.ledger.state.permits)
 
     def test_with_more_out_than_may_be_a_place_on_one_of_them_holds_only_while_it_is_down(self):
         self.up["a"] = self.up["b"] = False  # the bound of their site is 1
@@ -244,9 +250,9 @@
         self.order("o1", "a", verb="restart")
         self.turn()
         permit_holder = self.permit_holder["h1"]
-        self.assertTrue(self.ledger.held.places["a"].down)
-        self.assertFalse(permit_holder.may_begin(self.now, "a", "o1", True))
-        self.assertTrue(permit_holder.may_begin(self.now, "a", "o1", False))
+        self.assertTrue(self.ledger.state.permits["a"].only_while_down)
+        self.assertFalse(permit_holder.may_start(self.now, "a", "o1", True))
+        self.assertTrue(permit_holder.may_start(self.now, "a", "o1", False))
 
     def test_one_that_could_not_be_told_in_time_is_not_told_to_leave_at_all(self):
         """Drawn schedule 1047676: a place was begun, the disk was full for eight seconds, and what had died
@@ -263,7 +269,7 @@
             orders.take(self.now, "o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND)
             orders.advance(self.now)
             [step] = supervision.tick(self.now)
-            self.assertTrue(permit_holder.places["a"].begun)
+            self.assertTrue(permit_holder.permits["a"].started)
             instance.left_at = 0  # it was put off, as it could not be kept
             instance.report = SimpleNamespace(state=state)
             self.now += 4 * SECOND * late
@@ -285,48 +291,54 @@
         self.turn()
         self.assertEqual(self.states("o1"), {"a": "out", "c": "halted", "d": "halted"})
         self.assertFalse(self.begin("h2", "c", "o1"))
-        self.assertEqual(set(self.ledger.held.places), {"a"})
+        self.assertEqual(set(self.ledger.state.permits), {"a"})
 
     def test_an_answer_that_is_older_or_of_another_record_or_an_older_fence_is_not_obeyed(self):
         permit_holder = PermitHolder("h1", ("a",), 1)
         answer = HeartbeatResponse("e", 7, [GrantedPermit("a", "o1", 6, False, 3 * SECOND)], [], {})
-        self.assertTrue(permit_holder.answered(SECOND, SECOND, answer))
-        self.assertFalse(permit_holder.answered(SECOND, SECOND, HeartbeatResponse("e", 5, [], [], {})))
-        self.assertFalse(permit_holder.answered(SECOND, SECOND, HeartbeatResponse("other", 9, [], [], {})))
-        permit_holder.begin(SECOND, "a")
+        self.assertTrue(permit_holder.receive_response(SECOND, SECOND, answer))
+        self.assertFalse(
+            permit_holder.receive_response(SECOND, SECOND, HeartbeatResponse("e", 5, [], [], {}))
+        )
+        self.assertFalse(
+            permit_holder.receive_response(SECOND, SECOND, HeartbeatResponse("other", 9, [], [], {}))
+        )
+        permit_holder.start(SECOND, "a")
         again = PermitHolder("h1", ("a",), 2)
         again.restore("e", [("a", 6, "o1", True)], {})
-        self.assertTrue(again.may_begin(9 * SECOND, "a", "o1"))  # begun is begun
-        again.answered(
+        self.assertTrue(again.may_start(9 * SECOND, "a", "o1"))  # begun is begun
+        again.receive_response(
             SECOND, SECOND, HeartbeatResponse("e", 9, [GrantedPermit("a", "o0", 4, False, SECOND)], [], {})
         )
-        self.assertFalse(again.may_begin(SECOND, "a", "o0"))
+        self.assertFalse(again.may_start(SECOND, "a", "o0"))
 
     def test_generations_only_rise(self):
         self.put(commands.ReserveGenerations("h1", {"a": 64}))
         self.put(commands.ReserveGenerations("h1", {"a": 3}))
-        self.assertEqual(self.ledger.held.generations["a"], 64)
+        self.assertEqual(self.ledger.state.generations["a"], 64)
 
     def test_a_lease_has_one_holder_at_a_time_and_the_next_a_higher_fence(self):
         first, second = LeaseHolder("release", "h1", SECOND), LeaseHolder("release", "h2", SECOND)
         asked = self.now
-        self.assertTrue(first.answered(asked, self.put(first.asking())))
-        fence = first.fence
-        self.assertFalse(second.answered(self.now, self.put(second.asking())))
+        self.assertTrue(first.receive_result(asked, self.put(first.acquire_command())))
+        fence = first.fencing_token
+        self.assertFalse(second.receive_result(self.now, self.put(second.acquire_command())))
         self.now += SECOND // 2
-        self.assertTrue(first.answered(self.now, self.put(first.asking())))  # renewed: the fence stays
-        self.assertEqual((first.fence, first.until), (fence, asked + SECOND // 2 + SECOND))
+        self.assertTrue(
+            first.receive_result(self.now, self.put(first.acquire_command()))
+        )  # renewed: the fence stays
+        self.assertEqual((first.fencing_token, first.expires_at), (fence, asked + SECOND // 2 + SECOND))
         self.lead()  # a new leader does not know when that was
         self.now += SECOND
-        self.assertFalse(first.holds(self.now))
+        self.assertFalse(first.is_held(self.now))
         self.put(*self.allocator.tick(self.now))
-        self.assertFalse(second.answered(self.now, self.put(second.asking())))
-        self.now += self.allocator.terms.beyond(SECOND) + MS
+        self.assertFalse(second.receive_result(self.now, self.put(second.acquire_command())))
+        self.now += self.allocator.timeouts.upper_bound(SECOND) + MS
         self.put(*self.allocator.tick(self.now))
-        self.assertTrue(second.answered(self.now, self.put(second.asking())))
-        self.assertGreater(second.fence, fence)
+        self.assertTrue(second.receive_result(self.now, self.put(second.acquire_command())))
+        self.assertGreater(second.fencing_token, fence)
         self.assertIsInstance(self.put(commands.ReleaseLease("release", fence)), Rejection)
-        self.assertFalse(first.answered(self.now, Rejection("h2 holds it")))
+        self.assertFalse(first.receive_result(self.now, Rejection("h2 holds it")))
 
     def test_an_agent_asks_whom_it_was_told_leads_or_each_keeper_in_turn(self):
         whom = LeaderLocator(["h1", "h2", "h3"], ["h1", "h2", "h3", "h4"])
@@ -402,10 +414,10 @@
 
     @invariant()
     def bounds_hold(self):
-        out = set(self.ledger.held.places)
-        out |= {each for thing in out for each in LAYOUT.hanging.get(thing, ())}
+        out = set(self.ledger.state.permits)
+        out |= {each for thing in out for each in LAYOUT.dependents.get(thing, ())}
         for group in LAYOUT.groups:
-            assert len(out & set(group.things)) <= group.bound, (group, out)
+            assert len(out & set(group.targets)) <= group.max_unavailable, (group, out)
 
 
 PlacesMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -68,7 +68,7 @@
         self.assertEqual(told, {f"{first.clock.happened}\n"})
 
     def test_a_planted_fault_is_caught_and_cut_down(self):
-        with mock.patch.object(UnavailableTargets, "against", lambda self, things: ""):
+        with mock.patch.object(UnavailableTargets, "find_violation", lambda self, things: ""):
 
             def fails(schedule: Schedule) -> bool:
                 return bool(play(schedule)[1])
@@ -103,12 +103,12 @@
         self.assertEqual([breach for each in schedules for breach in play(each)[1]], [])
 
         def for_ever(self, now, thing, ident, runs=True):
-            held = self.places.get(thing)
-            return held is not None and held.ident == ident and not held.given
+            held = self.permits.get(thing)
+            return held is not None and held.order_id == ident and not held.unused
 
         with (
-            mock.patch.object(PermitHolder, "may_begin", for_ever),
-            mock.patch.object(PermitHolder, "fresh", for_ever),
+            mock.patch.object(PermitHolder, "may_start", for_ever),
+            mock.patch.object(PermitHolder, "may_notify", for_ever),
         ):
             breaches = [breach for each in schedules for breach in play(each)[1]]
         self.assertRegex(breaches[0], "promise 7: ")
--- a/tests/models/test_models.py
+++ b/tests/models/test_models.py
@@ -27,7 +27,7 @@
 class PlaceModels(unittest.TestCase):
     def test_nobody_begins_after_a_place_has_lapsed(self):
         terms = PermitTimeouts()
-        good, lapse = terms.good / 1e9, terms.lapse / 1e9
+        good, lapse = terms.validity / 1e9, terms.expiry / 1e9
         self.assertFalse(disruption.begun_after_lapse(good, lapse, terms.drift))
         self.assertTrue(disruption.begun_after_lapse(good, good, terms.drift))
         self.assertTrue(disruption.begun_after_lapse(good, lapse, terms.drift, "came"))
--- a/tests/models/test_releases.py
+++ b/tests/models/test_releases.py
@@ -11,7 +11,7 @@
 def state(world: ConsensusSimulation) -> tuple[str, str]:
     for host in world.hosts.values():
         if host.control_plane and host.control_plane.allocator:
-            [found] = host.control_plane.ledger.held.releases.values()
+            [found] = host.control_plane.state_machine.state.releases.values()
             return found.state, found.why
     return "nobody leads", ""
 
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -40,10 +40,10 @@
         first = self.propose()
         self.assertEqual((first.number, first.state), (1, "proposed"))
         self.assertIs(self.propose(), first)
-        self.assertIn("another change", self.propose(content=b"<other/>").why)
-        self.assertIn("asha's change 1", self.propose("c2").why)
+        self.assertIn("another change", self.propose(content=b"<other/>").reason)
+        self.assertIn("asha's change 1", self.propose("c2").reason)
         self.do(CommitPolicy(1))
-        self.assertIn("made of 0", self.propose("c2").why)
+        self.assertIn("made of 0", self.propose("c2").reason)
         self.assertEqual(self.propose("c2", 1).number, 2)
 
     def test_of_a_decision_and_a_withdrawal_that_cross_the_first_holds(self):
@@ -53,14 +53,14 @@
         self.propose("c2", 1)
         self.assertIsInstance(self.do(WithdrawPolicy(2, "ravi")), PolicyVersion)
         self.assertIsInstance(self.do(CommitPolicy(2)), Rejection)
-        self.assertEqual(self.register.held.decided, 1)
+        self.assertEqual(self.register.state.decided, 1)
 
     def test_a_snapshot_holds_all_versions_with_who_when_and_why(self):
         self.propose()
         self.do(RejectPolicy(1, "h3", "no such group"))
         again = PolicyStateMachine()
         again.restore(self.register.fold())
-        found = again.held.policies[1]
+        found = again.state.policies[1]
         self.assertEqual(
             (found.operator, found.reason, found.state, found.why),
             ("asha", "for Carnival", "refused", "h3: no such group"),
@@ -118,7 +118,7 @@
             self.register.apply(self.index, commands.encode(command))
 
     def state(self) -> str:
-        return self.register.held.policies[1].state
+        return self.register.state.policies[1].state
 
     def say(self, now: int, host: str, **told) -> None:
         self.do(*self.leader.heard(now, host, PolicyReport(**({"number": 0} | told)), now))
@@ -143,7 +143,7 @@
         self.say(2 * SECOND, "h1", number=1, has=1)
         self.do(*self.leader.tick(SECOND + LEASE))
         self.assertEqual(self.state(), "decided")
-        self.do(*self.leader.tick(SECOND + PermitTimeouts().beyond(LEASE) + 2))
+        self.do(*self.leader.tick(SECOND + PermitTimeouts().upper_bound(LEASE) + 2))
         self.assertEqual(self.state(), "in force")
 
     def test_a_new_leader_waits_a_whole_lease_anew(self):
@@ -156,11 +156,11 @@
 
     def test_any_no_ends_it_by_name_and_one_down_does_not_keep_it_from_being_made(self):
         self.say(SECOND, "h2", refused=1, why="n3 has no group 'quote'")
-        self.assertEqual(self.register.held.policies[1].why, "h2: n3 has no group 'quote'")
+        self.assertEqual(self.register.state.policies[1].why, "h2: n3 has no group 'quote'")
         self.do(ProposePolicy("c2", "asha", 0, "", 0, b"two"))
         self.say(2 * SECOND, "h1", ready=2)
         self.say(12 * SECOND, "h1", ready=2)
-        self.assertEqual(self.register.held.policies[2].state, "decided")
+        self.assertEqual(self.register.state.policies[2].state, "decided")
 
 
 class ChangeStories(unittest.TestCase):
@@ -187,7 +187,7 @@
             self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
 
     def test_one_told_as_in_force_before_the_longest_lease_is_over_is_caught(self):
-        with mock.patch.object(PermitTimeouts, "beyond", lambda terms, time: time // 4):
+        with mock.patch.object(PermitTimeouts, "upper_bound", lambda terms, time: time // 4):
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
     def test_a_version_that_is_used_before_it_is_decided_is_caught(self):
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -38,14 +38,14 @@
         self.assertEqual(self.choose("a b c d").things, ["a", "c"])
 
     def test_the_last_that_serves_of_a_site_stays(self):
-        self.out.put("a", "does not serve")
+        self.out.add("a", "does not serve")
         self.seen["a"].phase = "failing"
         self.assertNotIn("b", self.choose("b").things)
         wide = Topology(
-            LAYOUT.hosts, tuple(BudgetGroup(group.name, 9, group.things) for group in LAYOUT.groups)
+            LAYOUT.hosts, tuple(BudgetGroup(group.name, 9, group.targets) for group in LAYOUT.groups)
         )
         out = UnavailableTargets(wide)
-        out.put("a", "does not serve")
+        out.add("a", "does not serve")
         choice = BatchPlanner(wide).choose(0, ["b"], self.seen, out, 9, 0.85, False)
         self.assertIn("last that serves of site one", choice.why)
 
@@ -56,12 +56,12 @@
         self.assertIn("nothing new is known", self.choose("a", now=OLD + 1).why)
 
     def test_never_both_sides_of_a_dependency(self):
-        self.out.put("db1", "a place")
+        self.out.add("db1", "a place")
         choice = self.choose("a b c d")
         self.assertNotIn("a", choice.things)
         self.assertNotIn("c", choice.things)
         self.setUp()
-        self.out.put("a", "a place")
+        self.out.add("a", "a place")
         self.assertNotIn("db1", self.choose("db1").things)
         self.assertIn("hangs on", self.choose("db1").why)
 
@@ -74,7 +74,7 @@
             self.seen[name].load = 0.4
         self.assertEqual(self.choose("a b").things, ["a"])
         self.seen["b"].phase = "cold"
-        self.out.put("b", "does not serve")
+        self.out.add("b", "does not serve")
         self.assertEqual(self.choose("a").things, [])
 
     def test_a_site_of_one_can_be_released_though_nobody_there_carries_its_load(self):
@@ -84,7 +84,7 @@
         self.assertEqual(choice.things, ["a"])
 
     def test_on_a_way_back_what_is_broken_comes_first_and_needs_no_room(self):
-        self.out.put("a", "does not serve")
+        self.out.add("a", "does not serve")
         self.seen["a"].phase = "failing"
         self.assertEqual(self.choose("a b", broken=True).things, ["a"])
         self.assertEqual(self.choose("a", broken=False).things, ["a"])  # nothing else is left
@@ -96,7 +96,7 @@
         self.setUp()
         for name in self.seen:
             if random.random() < 0.3:
-                self.out.put(name, "does not serve")
+                self.out.add(name, "does not serve")
                 self.seen[name].phase = random.choice(("failing", "cold", "draining", "stopped"))
             if random.random() < 0.2:
                 self.seen[name].at = -2 * OLD
@@ -105,9 +105,9 @@
         self.assertEqual(len(set(chosen)), len(chosen))
         news = [thing for thing in chosen if thing not in before]
         for thing in news:
-            self.out.put(thing, "a place")
+            self.out.add(thing, "a place")
         for group in LAYOUT.groups:
-            fresh = [thing for thing in news if thing in group.things]
+            fresh = [thing for thing in news if thing in group.targets]
             if fresh:
-                self.assertLessEqual(self.out.counts[group.name], group.bound)
-                self.assertTrue(set(group.things) - set(self.out.reasons))
+                self.assertLessEqual(self.out.counts[group.name], group.max_unavailable)
+                self.assertTrue(set(group.targets) - set(self.out.reasons))
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -45,23 +45,25 @@
 
     @property
     def release(self) -> Release:
-        return self.book.held.releases["r"]
+        return self.book.state.releases["r"]
 
     def refused(self, command, text: str) -> None:
         answer = self.do(command)
         self.assertIsInstance(answer, Rejection)
-        self.assertIn(text, answer.why)
+        self.assertIn(text, answer.reason)
 
     def test_a_step_holds_once_and_an_old_driver_is_refused_by_its_fence(self):
         self.do(commands.BeginRollout("r", self.fence, 0))
-        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)])), DisruptionOrder)
+        self.assertIsInstance(
+            self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)])), DisruptionOrder
+        )
         self.refused(commands.StartBatch("r", self.fence, 1, 0, [("b", 1)]), "step 1 was taken")
         self.do(places.ReleaseLease(LEASE, self.fence))
         fence = self.do(places.AcquireLease(LEASE, "h2.1", SECOND))
         self.refused(commands.FinishBatch("r", self.fence, 2, ["a"]), "another drives")
         self.assertGreater(fence, self.fence)
         self.assertIs(self.do(commands.FinishBatch("r", fence, 2, ["a"])), self.release)
-        self.assertEqual(self.book.held.versions, {"a": "v2"})
+        self.assertEqual(self.book.state.versions, {"a": "v2"})
 
     def test_a_second_release_while_one_is_open_is_refused_and_the_same_twice_is_one(self):
         self.refused(
@@ -107,16 +109,18 @@
         self.do(commands.BeginRollout("r", self.fence, 0))
         self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
         self.do(commands.ControlRelease("r", "ravi", "undo"))
-        order = self.book.held.orders["r.1"]
-        self.assertEqual((order.halted, order.parts["a"].state), ("asha", "halted"))
+        order = self.book.state.orders["r.1"]
+        self.assertEqual((order.halted_by, order.tasks["a"].state), ("asha", "halted"))
         self.refused(commands.StartBatch("r", self.fence, 2, 0, [("a", 1)]), "under way")
         self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had come up with the new all the same
-        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), DisruptionOrder)
-        self.assertEqual(self.book.held.versions["a"], "base a")
+        self.assertIsInstance(
+            self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), DisruptionOrder
+        )
+        self.assertEqual(self.book.state.versions["a"], "base a")
         self.refused(commands.FinishRelease("r", self.fence, 4), "not all")
         self.do(commands.FinishBatch("r", self.fence, 4, []))
         self.assertEqual(self.do(commands.FinishRelease("r", self.fence, 5)).state, "undone")
-        self.assertEqual(self.book.held.versions, {})
+        self.assertEqual(self.book.state.versions, {})
 
     def test_a_host_that_can_t_take_it_ends_it_before_anything_is_changed(self):
         self.do(commands.ReportPrepared("r", self.fence, "h1", "no such folder", {}))
@@ -142,7 +146,7 @@
         old = PermitStateMachine()
         old.apply(1, places.encode(places.SetTopology(LAYOUT)))
         again.restore(old.fold())
-        self.assertEqual((again.held.releases, again.held.layout), ({}, LAYOUT))
+        self.assertEqual((again.state.releases, again.state.topology), ({}, LAYOUT))
 
     ACTS = (
         "go",
@@ -183,9 +187,9 @@
             self.assertTrue(self.release.state == was or self.release.state in TRANSITIONS[was])
             for name, part in self.release.parts.items():
                 if part.state == "new":
-                    self.assertEqual(self.book.held.versions.get(name), "v2")
+                    self.assertEqual(self.book.state.versions.get(name), "v2")
                 if part.state == "old":
-                    self.assertNotEqual(self.book.held.versions.get(name), "v2")
+                    self.assertNotEqual(self.book.state.versions.get(name), "v2")
             if self.release.state in ("done", "undone"):
                 wanted = "new" if self.release.state == "done" else "old"
                 self.assertEqual({part.state for part in self.release.parts.values()}, {wanted})
