--- a/measure/orders.py
+++ b/measure/orders.py
@@ -16,7 +16,7 @@
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of, write_key
+from oakkeel.settings.keys import read_operator_key, write_key
 
 VERBS = ("restart", "stop", "start")  # in turn: each must be carried out for the next to mean anything
 MOST_STEPS = 14  # an agent kills itself at one of its first so many steps
@@ -33,7 +33,7 @@
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         self.fleet = read_fleet(site.settings)
-        self.host, self.key = self.fleet.hosts[0], key_of(self.fleet, "asha")
+        self.host, self.key = self.fleet.hosts[0], read_operator_key(self.fleet, "asha")
         self.agent: asyncio.subprocess.Process | None = None
         self.crashed = self.orders = self.resent = self.unkept = 0
         self.expected_starts = 1
@@ -91,19 +91,19 @@
             if isinstance(answer, messages.OrderStatus):
                 break
             self.resent += answer is None
-        if answer.parts[0].state == "refused":
-            raise AssertionError(f"{ident}: {answer.parts[0].why}")
+        if answer.tasks[0].state == "refused":
+            raise AssertionError(f"{ident}: {answer.tasks[0].why}")
         self.orders += 1
         self.expected_starts += verb in ("restart", "start")
         while True:  # from here on it was told as taken: no crash may lose it
             answer = await self.ask(messages.ListOrdersRequest(200))
             if isinstance(answer, messages.OrderList):
-                mine = [order for order in answer.orders if order.ident == ident]
-                if not mine or mine[0].parts[0].state not in ("waiting", "acting", "done"):
+                mine = [order for order in answer.orders if order.order_id == ident]
+                if not mine or mine[0].tasks[0].state not in ("waiting", "acting", "done"):
                     self.unkept += 1
                     say(f"  lost: {ident} {verb} {mine}")
                     return
-                if mine[0].parts[0].state == "done":
+                if mine[0].tasks[0].state == "done":
                     return
             await asyncio.sleep(0.01)
 
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from oakkeel.admission.types import Effect, NodeLimits, RequestClass, Tenant
+from oakkeel.admission.types import Idempotency, NodeLimits, RequestClass, Tenant
 from oakkeel.dispatch.resp import encode
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import MS, ResourceLimits
@@ -18,7 +18,10 @@
 LAST = encode(b"0", b"last")
 BROKEN = encode(b"0", TERMINATED)  # to one whose bytes can't be read: no tag of its own is known
 FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
-MARKS = {Effect.DEDUPLICATED: b"opkey", Effect.REPEATABLE: b"subject"}  # what repeats are known by
+MARKS = {
+    Idempotency.IDEMPOTENCY_KEY: b"opkey",
+    Idempotency.IDEMPOTENT: b"subject",
+}  # what repeats are known by
 IDENT = re.compile(rb"[0-9a-fA-F]{16}")
 
 
@@ -42,14 +45,14 @@
         limits: NodeLimits,
         groups: list[str],
         tenants: list[str],
-        bounds: ResourceLimits,
+        resource_limits: ResourceLimits,
         unix_ns: Callable[[], int] = time.time_ns,
         who: FlowKeyReader | None = None,
     ) -> None:
         """`who` makes the senders of an exchange from its fields, where shares are fair."""
-        self.bounds, self.who = bounds, who
+        self.resource_limits, self.who = resource_limits, who
         self.groups: dict[bytes, RequestClass] = {
-            name.encode(): group for name, group in zip(groups, limits.groups, strict=False)
+            name.encode(): group for name, group in zip(groups, limits.request_classes, strict=False)
         }
         self.tenants: dict[bytes, Tenant] = {
             name.encode(): tenant for name, tenant in zip(tenants, limits.tenants, strict=False)
@@ -64,10 +67,10 @@
         group = self.groups[words[2]]
         body = words[4] if len(words) == 5 else b""
         fields = dict(item.partition(b"=")[::2] for item in words[3].split(b",") if item)
-        ident = fields.get(b"req", b"")
-        if not IDENT.fullmatch(ident):  # it goes into lines to the engine and the catalogue as it is
+        request_id = fields.get(b"req", b"")
+        if not IDENT.fullmatch(request_id):  # it goes into lines to the engine and the catalogue as it is
             raise UnreadableRequestError("no id")
-        if len(body) > self.bounds.body:
+        if len(body) > self.resource_limits.max_body_size:
             raise UnreadableRequestError("a body that is too long")
         # How old it is, and how long its caller still waits, as of now: both count from its stamp. A figure
         # out of range would live on in what the decisions measure: one stamp of long ago took a node off the
@@ -75,32 +78,32 @@
         age, waits = 0, 0
         if b"ts" in fields:
             age = self.unix_ns() - int(self._number(fields, b"ts", 1e15) * MS)
-            if abs(age) > self.bounds.stamp:
+            if abs(age) > self.resource_limits.max_clock_skew:
                 raise UnreadableRequestError("a stamp far from now")
             age = max(0, age)
         if b"timeout" in fields:
-            waits = int(self._number(fields, b"timeout", self.bounds.patience / MS) * MS)
+            waits = int(self._number(fields, b"timeout", self.resource_limits.max_client_timeout / MS) * MS)
         if b"level" in fields:
             self._number(fields, b"level", 1.0)
         # A subject tells that two reads ask for the same; of two mutating exchanges it tells nothing.
-        mark = fields.get(MARKS[group.effect], b"") if group.effect in MARKS else b""
+        mark = fields.get(MARKS[group.idempotency], b"") if group.idempotency in MARKS else b""
         return NodeRequest(
-            group=group,
+            request_class=group,
             tenant=self.tenants.get(fields.get(b"owner", b"")),
-            caller=int(self._number(fields, b"via", 1e15)) if b"via" in fields else 0,
-            memory_kb=self._number(fields, b"need", self.bounds.need),
-            marked_retry=fields.get(b"resent") == b"1",
-            left=max(1, min(waits, group.async_timeout) - age) if waits else 0,
-            backlog=age,
+            client=int(self._number(fields, b"via", 1e15)) if b"via" in fields else 0,
+            memory_kb=self._number(fields, b"need", self.resource_limits.max_memory_kb),
+            retry_attempt=fields.get(b"resent") == b"1",
+            remaining_time=max(1, min(waits, group.client_timeout) - age) if waits else 0,
+            queueing_delay=age,
             has_key=bool(mark),
-            repeats=False,
-            ident=ident,
+            is_duplicate=False,
+            request_id=request_id,
             tag=tag,
-            group_name=words[2],
+            class_name=words[2],
             body=body,
-            key=(group.index, fields.get(b"owner", b""), mark) if mark else None,
+            cache_key=(group.index, fields.get(b"owner", b""), mark) if mark else None,
             connection=connection,
-            who=self.who(lambda name: fields.get(name, b"")) if self.who else (),
+            flow_keys=self.who(lambda name: fields.get(name, b"")) if self.who else (),
         )
 
     @staticmethod
--- a/oakkeel/disruption/state_machine.py
+++ b/oakkeel/disruption/state_machine.py
@@ -114,7 +114,7 @@
             self.on_applied(index, command, result)
         return result
 
-    def fold(self) -> bytes:
+    def snapshot(self) -> bytes:
         return msgspec.msgpack.encode(self.state)
 
     def restore(self, content: bytes) -> None:
@@ -122,7 +122,7 @@
         self.index = 0
         self._count()
 
-    def keepers(self) -> tuple[str, ...]:
+    def desired_voters(self) -> tuple[str, ...]:
         return tuple(self.state.voters)
 
     # What a machine with more in it does in its own way.
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -7,6 +7,7 @@
 import os
 import signal
 import time
+from typing import TYPE_CHECKING
 
 from oakkeel.catalogue.links import Catalogue
 from oakkeel.directory.reports import DirectoryReporter
@@ -21,10 +22,14 @@
 from oakkeel.node.request_handler import RequestHandler
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.node_limits import LimitsError
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import ClientDisconnected
 from oakkeel.resource_limits import SECOND
 from oakkeel.stream_buffers import BufferPool
 
+if TYPE_CHECKING:
+    from oakkeel.node.fair_sharing import NodeFairSharing
+
 SIGNALS = (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
 
 
@@ -32,31 +37,31 @@
     """The front of all connections, and the order in which the parts start and end."""
 
     def __init__(self, start: NodeConfiguration) -> None:
-        bounds = start.bounds
-        self.start, self.bounds = start, bounds
-        self.log = EventLog(start.name, bounds.log_lines, start.log_form)
+        resource_limits = start.resource_limits
+        self.start, self.resource_limits = start, resource_limits
+        self.log = EventLog(start.name, resource_limits.log_lines_per_second, start.log_form)
         self.measures = Metrics()
-        self.pool = BufferPool(bounds.buffer_size, bounds.buffers)
+        self.pool = BufferPool(resource_limits.buffer_size, resource_limits.max_buffers)
         self.reader: RequestReader | None = None
-        self.open: dict[bytes, asyncio.Task] = {}  # by the ids of their exchanges
+        self.open: dict[bytes, asyncio.Task[None]] = {}  # by the ids of their exchanges
         self.came_up: tuple[bool, int, int] | None = None  # the engine, while the node was leaving
         self.done = asyncio.Event()
-        self.listener = Listener(start.listen, self.pool, bounds, self, self.log)
-        self.reports = DirectoryReporter(start.lookup, start.name, bounds)
-        self.engine = EngineLink(start.engine, self.pool, bounds, self.log, self._engine_up)
-        self.catalogue = Catalogue(start.catalogue, self.pool, bounds, self.log)
-        self.results = ResponseCache(bounds, start.limits.fresh)
+        self.listener = Listener(start.listen, self.pool, resource_limits, self, self.log)
+        self.reports = DirectoryReporter(start.lookup, start.name, resource_limits)
+        self.engine = EngineLink(start.engine, self.pool, resource_limits, self.log, self._engine_up)
+        self.catalogue = Catalogue(start.catalogue, self.pool, resource_limits, self.log)
+        self.response_cache = ResponseCache(resource_limits, start.limits.cache_ttl)
         self.host = NodeHost(
-            start, self.engine, self.listener, self.reports, self.results, self.measures, self.log
+            start, self.engine, self.listener, self.reports, self.response_cache, self.measures, self.log
         )
-        self.draining = Drain(self, start.limits.drain_grace, bounds.stop_after)
-        self.fairly = None
-        if start.limits.fair:
+        self.draining = Drain(self, start.limits.drain_grace, resource_limits.stop_after)
+        self.fairly: NodeFairSharing | None = None
+        if start.limits.fair_sharing:
             from oakkeel.node.fair_sharing import (
                 NodeFairSharing,  # it brings libraries that a plain node spares
             )
 
-            self.fairly = NodeFairSharing(self, start.limits.fair, start.snapshot)
+            self.fairly = NodeFairSharing(self, start.limits.fair_sharing, start.snapshot)
         self.control = None
         if start.control:
             from oakkeel.node.control_endpoint import (
@@ -65,7 +70,7 @@
 
             self.control = open_control(self)
         self.handler = RequestHandler(
-            self.host, self.engine, self.catalogue, self.results, self.measures, self.log
+            self.host, self.engine, self.catalogue, self.response_cache, self.measures, self.log
         )
 
     async def run(self) -> None:
@@ -80,7 +85,7 @@
         if self.control:
             self.control.open()
         serving = asyncio.ensure_future(self.engine.serve())
-        loop.call_later(self.bounds.measures / SECOND, self._measure)
+        loop.call_later(self.resource_limits.metrics_interval / SECOND, self._measure)
         gc.collect()
         gc.freeze()  # what is loaded by now lives as long as the process
         host, port = self.listener.address
@@ -109,7 +114,7 @@
             self.fairly.begin()
             who = self.fairly.keys.who
         self.reader = RequestReader(
-            self.start.limits, self.start.groups, self.start.tenants, self.bounds, who=who
+            self.start.limits, self.start.groups, self.start.tenants, self.resource_limits, who=who
         )
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
@@ -130,7 +135,7 @@
         self.catalogue.move(start.catalogue)
         self.reports.move(start.lookup)
         if self.fairly:
-            self.fairly.reload(start.limits.fair)
+            self.fairly.reload(start.limits.fair_sharing)
         self.log.info("configuration_reloaded")
 
     # The front of the connections.
@@ -138,17 +143,17 @@
     def arrived(self, request: NodeRequest) -> None:
         self.measures.read += 1
         task = asyncio.ensure_future(self.handler.handle(request))
-        self.open[request.ident] = task
-        task.add_done_callback(lambda _: self.open.pop(request.ident))
+        self.open[request.request_id] = task
+        task.add_done_callback(lambda _: self.open.pop(request.request_id))
 
-    def holds(self, ident: bytes) -> bool:
+    def holds(self, request_id: bytes) -> bool:
         """Whether an exchange of that id is open, or its run is."""
-        return ident in self.open
+        return request_id in self.open
 
     def gone(self, request: NodeRequest) -> None:
         if not request.answered:
             request.answered = True  # nothing is owed any more
-            request.tell(RequestEvent.GONE)
+            request.post(ClientDisconnected())
 
     def healthy(self) -> bool:
         return self.host.good and self.host.begun and not self.draining
@@ -158,7 +163,7 @@
 
     def return_after(self) -> int:
         """When one that is denied at the door may come back, in nanoseconds; 0: it takes no such advice."""
-        return self.host.admission.return_after() if self.host.begun else 0
+        return self.host.admission.retry_after() if self.host.begun else 0
 
     def leave(self) -> None:
         """The notice to leave for good; a second one changes nothing."""
@@ -168,7 +173,7 @@
 
     def _measure(self) -> None:
         self.log.info("metrics", **self._measured())
-        asyncio.get_running_loop().call_later(self.bounds.measures / SECOND, self._measure)
+        asyncio.get_running_loop().call_later(self.resource_limits.metrics_interval / SECOND, self._measure)
 
     def _measured(self) -> dict[str, object]:
         return self.measures.facts(len(self.listener.connections), len(self.open), self.engine.losses)
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -28,7 +28,7 @@
 from oakkeel.fleet.view import FleetView
 from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of, read_keys, write_key
+from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.store.database import Database, DatabaseError
 
 WAIT = 20.0
@@ -49,7 +49,10 @@
         self.fleet = read_fleet(self.site.settings)
         self.host = self.fleet.hosts[0]
         self.said = io.StringIO()
-        self.agents, self.view = AgentClients(self.fleet, key_of(self.fleet, "asha")), FleetView(self.fleet)
+        self.agents, self.view = (
+            AgentClients(self.fleet, read_operator_key(self.fleet, "asha")),
+            FleetView(self.fleet),
+        )
         self.addAsyncCleanup(self.end_all)
 
     async def end_all(self) -> None:
@@ -111,7 +114,9 @@
         return agent.orders.named[name]
 
     async def ask(self, wish: messages.Request, operator: str = "asha") -> messages.Response:
-        return await asyncio.wait_for(request_once(self.host.agent, key_of(self.fleet, operator), wish), WAIT)
+        return await asyncio.wait_for(
+            request_once(self.host.agent, read_operator_key(self.fleet, operator), wish), WAIT
+        )
 
     async def order(
         self,
@@ -125,7 +130,7 @@
         asked = [(name, generation or await self.generation(name)) for name in names]
         told = await self.ask(messages.OrderRequest(ident, verb, asked, 30 * SECOND, supersede), operator)
         self.assertIsInstance(told, messages.OrderStatus, told)
-        return {part.instance: part for part in told.parts}
+        return {part.instance: part for part in told.tasks}
 
     async def generation(self, name: str) -> int:
         told = await self.ask(messages.HostStatusRequest())
@@ -137,10 +142,10 @@
         while time.monotonic() < end:
             told = await self.ask(messages.ListOrdersRequest())
             for order in told.orders:
-                if order.ident == ident and not any(
-                    part.state in ("waiting", "acting") for part in order.parts
+                if order.order_id == ident and not any(
+                    part.state in ("waiting", "acting") for part in order.tasks
                 ):
-                    return {part.instance: part.state for part in order.parts}
+                    return {part.instance: part.state for part in order.tasks}
             await asyncio.sleep(0.02)
         raise AssertionError(f"order {ident} did not end: {told}\n{self.said.getvalue()}")
 
@@ -149,7 +154,7 @@
     async def test_instances_are_started_watched_and_told_with_their_ages(self):
         agent = await self.agent()
         await self.serving(agent)
-        await self.agents.look(self.view)
+        await self.agents.refresh(self.view)
         rows = self.view.rows(time.monotonic_ns())
         self.assertEqual(
             [(row.name, row.shown) for row in rows], [("n1", "serving"), ("n2", "serving"), ("n3", "serving")]
@@ -199,7 +204,7 @@
         await self.until(lambda: self.of(agent, "n2").phase is Phase.SERVING)
         self.assertEqual((count, len(self.starts("n1"))), (4, 4))
         told = await self.ask(messages.HostStatusRequest())
-        self.assertEqual((told.instances[0].resting, told.instances[0].why), (True, "exit code 3"))
+        self.assertEqual((told.instances[0].restarts_exhausted, told.instances[0].why), (True, "exit code 3"))
         self.script("n1", "")
         await self.order("start", "n1")
         self.assertEqual(await self.ended(), {"n1": "done"})
@@ -280,11 +285,11 @@
             (messages.OrderRequest("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi"),
         ]
         first, second = await asyncio.gather(*(self.ask(*wish) for wish in wishes))
-        states = sorted(answer.parts[0].state for answer in (first, second))
+        states = sorted(answer.tasks[0].state for answer in (first, second))
         self.assertEqual(states[0], "refused")
-        refused, stands = (first, second) if first.parts[0].state == "refused" else (second, first)
-        self.assertIn(f"{stands.operator}'s {stands.verb} stands since", refused.parts[0].why)
-        self.assertEqual(await self.ended(stands.ident), {"n1": "done"})
+        refused, stands = (first, second) if first.tasks[0].state == "refused" else (second, first)
+        self.assertIn(f"{stands.operator}'s {stands.verb} stands since", refused.tasks[0].why)
+        self.assertEqual(await self.ended(stands.order_id), {"n1": "done"})
 
     async def test_a_rolling_restart_keeps_the_bound_and_starts_each_once(self):
         agent = await self.agent()
@@ -325,7 +330,7 @@
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
-        store.base.execute("PRAGMA max_page_count = 1")  # as full as it can be
+        store.connection.execute("PRAGMA max_page_count = 1")  # as full as it can be
         for number in range(200):  # until what is free in the pages that it has is used up
             generation = await self.generation("n2")
             answer = await self.ask(
@@ -340,7 +345,7 @@
             agent.processes.signal(agent.alive[n1], signal.SIGKILL)
             await self.until(lambda: n1.born == 2 and n1.phase is Phase.SERVING)
             self.assertIn("orders wait", (await self.ask(messages.HostStatusRequest())).notes[0])
-        store.base.execute("PRAGMA max_page_count = 10000")
+        store.connection.execute("PRAGMA max_page_count = 10000")
         await self.until(lambda: not agent.store_fault)
         await self.order("restart", "n2", ident="later")
         self.assertEqual(await self.ended("later"), {"n2": "done"})
@@ -350,7 +355,7 @@
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
-        store.base.execute("PRAGMA query_only = 1")
+        store.connection.execute("PRAGMA query_only = 1")
         answer = await self.ask(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
         self.assertIn("readonly", getattr(answer, "why", ""))
         self.assertEqual((self.of(agent, "n1").generation, self.of(agent, "n1").phase), (1, Phase.SERVING))
@@ -377,7 +382,7 @@
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         fleet = read_fleet(site.settings)
-        host, key = fleet.hosts[0], key_of(fleet, "asha")
+        host, key = fleet.hosts[0], read_operator_key(fleet, "asha")
         crash, died, agent = step, False, None
         try:
             end, taken = time.monotonic() + 2 * WAIT, False
@@ -407,7 +412,7 @@
                             ),
                             1,
                         )
-                        taken = answer.parts[0].state != "refused"
+                        taken = answer.tasks[0].state != "refused"
                         self.assertTrue(taken, answer)
                     elif taken and told.instances[0].order is None and told.instances[0].phase == "serving":
                         break
@@ -415,7 +420,7 @@
             else:
                 self.fail(f"step {step}: no end")
             orders = await request_once(host.agent, key, messages.ListOrdersRequest())
-            self.assertEqual([part.state for part in orders.orders[0].parts], ["done"], f"step {step}")
+            self.assertEqual([part.state for part in orders.orders[0].tasks], ["done"], f"step {step}")
             with open(os.path.join(host.state, "n1.journal")) as file:
                 words = [line.split()[:2] for line in file if line.startswith(("start ", "end "))]
             self.assertEqual([word for word, _ in words], ["start", "end", "start"], f"step {step}: {words}")
@@ -495,7 +500,7 @@
 
     async def test_keys_change_while_it_serves_and_the_old_one_goes_with_the_settings(self):
         agent = await self.agent()
-        old = key_of(self.fleet, "asha")
+        old = read_operator_key(self.fleet, "asha")
         write_key(os.path.join(self.folder, "asha-2.key"), os.urandom(32))
         two = (
             '<operator name="asha" role="act"><key id="asha-1" file="asha.key"/>'
@@ -569,7 +574,7 @@
 
         server = await asyncio.start_server(late, *self.host.agent)
         began = time.monotonic()
-        await self.agents.look(self.view, deadline=300 * MS)
+        await self.agents.refresh(self.view, deadline=300 * MS)
         self.assertLess(time.monotonic() - began, 0.5)
         self.assertEqual(self.view.rows(0)[0].shown, "unknown")
         self.assertIn("did not answer", self.view.notes()[0])
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -59,7 +59,7 @@
         self.propose()
         self.do(RejectPolicy(1, "h3", "no such group"))
         again = PolicyStateMachine()
-        again.restore(self.register.fold())
+        again.restore(self.register.snapshot())
         found = again.state.policies[1]
         self.assertEqual(
             (found.operator, found.reason, found.state, found.why),
