--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -40,8 +40,8 @@
         groups = self._budget_groups(instances)
         self.topology = Topology(dict(instances), tuple(groups))
         self.audit = ConsensusAudit(
-            {group.name: (group.bound, list(group.things)) for group in groups},
-            PERMIT_TIMEOUTS.lapse + PERMIT_TIMEOUTS.silent + 2 * SECOND,
+            {group.name: (group.max_unavailable, list(group.targets)) for group in groups},
+            PERMIT_TIMEOUTS.expiry + PERMIT_TIMEOUTS.agent_silence + 2 * SECOND,
         )
         self.rollout_audit = RolloutAudit()
         self.event_log: list[str] = []
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -38,7 +38,7 @@
             leader = host.leader
             if not leader or not host.running or host.stopped or not leader.replica.holds_lease(host.now()):
                 continue
-            for release in leader.ledger.held.releases.values():  # type: ignore[attr-defined]
+            for release in leader.state_machine.state.releases.values():  # type: ignore[attr-defined]
                 if release.over and release.ident in simulation.rollout_audit.version:
                     simulation.rollout_audit.ended(
                         simulation.clock.now, release.ident, release.state, self._serving()
@@ -71,9 +71,9 @@
             return [f"{len(leaders)} leaders at the end"]
         leader = leaders[0]
         found = [
-            f"order {order.ident} is open: {order.parts}"
-            for order in leader.ledger.held.orders.values()
-            if any(part.state in OPEN_STATES for part in order.parts.values())
+            f"order {order.id} is open: {order.tasks}"
+            for order in leader.state_machine.state.orders.values()
+            if any(part.state in OPEN_STATES for part in order.tasks.values())
         ]
         found += self._stuck_release(leader)
         for host in hosts:
@@ -81,10 +81,10 @@
         return found
 
     def _stuck_release(self, leader: ControlPlaneReplica) -> list[str]:
-        release = leader.ledger.open  # type: ignore[attr-defined]
+        release = leader.state_machine.open  # type: ignore[attr-defined]
         if not release or release.state not in ("preparing", "running", "undoing"):
             return []
-        controller = leader.above
+        controller = leader.extension
         reason = controller.why if isinstance(controller, RolloutController) else "nobody drives"
         if any(good_reason in reason for good_reason in GOOD_REASONS):
             return []
@@ -93,7 +93,7 @@
     def _stuck_tasks(self, leader: ControlPlaneReplica, host: SimulatedHost) -> list[str]:
         found = []
         for part in host.agent.orders.executor:
-            order = leader.ledger.held.orders.get(part.order.ident)
+            order = leader.state_machine.state.orders.get(part.order.ident)
             if part.open and part.order.verb is not Verb.START and not (order and order.open):
                 found.append(f"{host.name}: a part of {part.order.ident} waits for nothing")
         return found
