--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -142,10 +142,10 @@
         self.orders.dropped.clear()
         disk.epoch, disk.generations = permit_holder.epoch, dict(permit_holder.generations)
         disk.permits = []
-        for target, fence in permit_holder.floors.items():
-            permit = permit_holder.places.get(target)
-            begun = bool(permit and permit.begun)
-            disk.permits.append((target, fence, permit.ident if permit else "", begun))
+        for target, fence in permit_holder.highest_tokens.items():
+            permit = permit_holder.permits.get(target)
+            begun = bool(permit and permit.started)
+            disk.permits.append((target, fence, permit.order_id if permit else "", begun))
         permit_holder.changed.clear()
         self.orders.changed.clear()
         self._save_orders()
@@ -179,7 +179,9 @@
             return
         now = host.now()
         self.reconciler.answered(now, sent_at, response)
-        if self.pause_on_permit and any(permit.good_for and not permit.out for permit in response.places):
+        if self.pause_on_permit and any(
+            permit.valid_for and not permit.started for permit in response.permits
+        ):
             host.stop(self.pause_on_permit)
             self.pause_on_permit = 0
             host.deferred.append(lambda: self.act(host.now()))
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -20,7 +20,7 @@
 def apply_and_encode(machine_type: type):
     """A replicated command is read by the state machine that applies it."""
     machine = machine_type()
-    return lambda content: msgspec.msgpack.encode(machine.read(content))
+    return lambda content: msgspec.msgpack.encode(machine.decode_command(content))
 
 
 def of_type(kind: type):
@@ -37,7 +37,7 @@
     "release status": lambda content: release_words.encode(release_words.decode_report(content)),
     "release assignment": lambda content: release_words.encode(release_words.decode_assignments(content)),
     "gate progress": of_type(GateState),
-    "policy lease status": of_type(coordinator.AgentReport),
+    "policy lease status": of_type(coordinator.PolicyReport),
     "policy lease": of_type(coordinator.PolicyAssignment),
     "members": lambda content: raft_messages.encode_members(raft_messages.decode_members(content)),
     "authenticated frame": of_type(AuthenticatedMessage),
