--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -109,6 +109,7 @@
     ) -> None:
         self.rig, self.services, self.ports, self.random = rig, services, ports, Random(seed)
         self.killed: set[str] = set()
+        self.stopped_services: list[Catalogue] = []  # replaced, with connections open until the end
         self.driver_kills = 0
         self.most_out, self.most_placed = 0, 0
         self.over = False
@@ -177,7 +178,8 @@
             if not any(each.thing == part.thing and each.fence for each in out):
                 continue
             old = self.services.pop(part.thing)
-            await old.close()
+            old.stop_listening()
+            self.stopped_services.append(old)
             await asyncio.sleep(1.5)
             self.services[part.thing + " new"] = new = Catalogue()
             await new.open(self.ports[part.thing])
@@ -264,7 +266,7 @@
             runs = {name: each.report.version if each.report else "" for name, each in told.items()}
         finally:
             await rig.close()
-            for each in play.services.values():
+            for each in (*play.services.values(), *play.stopped_services):
                 await each.close()
     asked += counts["unsent"] * sum(BENEFIT.values()) / len(BENEFIT)
     return {
--- a/oakkeel/fakes/catalogue.py
+++ b/oakkeel/fakes/catalogue.py
@@ -6,6 +6,7 @@
 import contextlib
 
 from oakkeel.fakes.faults import Fault, Faulty
+from oakkeel.fakes.stream_server import StreamServer
 
 
 class Catalogue(Faulty):
@@ -13,21 +14,22 @@
         super().__init__()
         self.work, self.full = work, full
         self.calls = 0
-        self.server: asyncio.Server | None = None
+        self.server = StreamServer(self._serve)
 
     async def open(self, port: int = 0) -> int:
         """Listen on loopback; returns the port."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
-        return self.server.sockets[0].getsockname()[1]
+        return await self.server.open(port)
+
+    def stop_listening(self) -> None:
+        """Take no more connections; those that are open stay until `close`."""
+        self.server.stop_listening()
 
     async def close(self) -> None:
-        if self.server:
-            self.server.close()
+        """End the listener and the connections, and wait for their tasks."""
+        await self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(
-            OSError, ValueError, IndexError, asyncio.IncompleteReadError, asyncio.CancelledError
-        ):  # by the end of the loop
+        with contextlib.suppress(OSError, ValueError, IndexError, asyncio.IncompleteReadError):
             while line := (await reader.readline()).split():
                 if self.fault is Fault.CRASH:
                     break
@@ -43,4 +45,3 @@
                 writer.write(data)
                 if ends:
                     break
-        writer.close()
--- a/oakkeel/fakes/downstream_service.py
+++ b/oakkeel/fakes/downstream_service.py
@@ -4,19 +4,21 @@
 
 import asyncio
 
+from oakkeel.fakes.stream_server import StreamServer
+
 
 class DownstreamService:
     def __init__(self, port: int) -> None:
         self.port = port
-        self.server: asyncio.Server | None = None
+        self.server = StreamServer(self._serve)
 
     async def open(self) -> None:
-        self.server = await asyncio.start_server(
-            lambda reader, writer: writer.close(), "127.0.0.1", self.port
-        )
+        """Listen at the port that was given."""
+        await self.server.open(self.port)
 
     async def close(self) -> None:
-        if self.server:
-            self.server.close()
-            await self.server.wait_closed()
-        self.server = None
+        """Go down; `open` brings it up again."""
+        await self.server.close()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """End the connection at once: that it was taken is all that is asked for."""
--- a/oakkeel/fakes/engine.py
+++ b/oakkeel/fakes/engine.py
@@ -9,6 +9,7 @@
 from random import Random
 
 from oakkeel.fakes.faults import Fault, Faulty
+from oakkeel.fakes.stream_server import StreamServer
 
 NOTICES = 4000  # kept for a link that is made anew
 NEW_NODE = 0.3  # seconds without a link, after which one that heard nothing is a node that has just started
@@ -32,20 +33,19 @@
         self.started: dict[bytes, int] = {}  # how often each run was begun: more than once is a double effect
         self.begun: dict[bytes, float] = {}  # when each run was begun, monotonic seconds
         self.link: asyncio.StreamWriter | None = None
-        self.server: asyncio.Server | None = None
+        self.server = StreamServer(self._serve)
 
     async def open(self) -> int:
         """Listen on loopback; returns the port."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        return self.server.sockets[0].getsockname()[1]
+        return await self.server.open()
 
     async def close(self) -> None:
-        if self.server:
-            self.server.close()
-        if self.link:
-            self.link.close()
-        for task in self.runs.values():
+        """End the listener, the link and the runs, and wait for their tasks."""
+        await self.server.close()
+        runs = list(self.runs.values())
+        for task in runs:
             task.cancel()
+        await asyncio.gather(*runs, return_exceptions=True)
 
     def script(self, fault: Fault, slowness: float = 10.0) -> None:
         super().script(fault, slowness)
@@ -54,17 +54,18 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, ValueError, IndexError, asyncio.IncompleteReadError):
-            while line := (await reader.readline()).split():
-                if self.fault is Fault.CRASH:
-                    break
-                body = b""
-                if line[0] in (b"RUN", b"FEED"):
-                    body = (await reader.readexactly(int(line[-1]) + 2))[:-2]
-                if self.fault is not Fault.HANG:
-                    self._command(writer, line, body)
-        writer.close()
-        if self.link is writer:
-            self.link, self.lost_at = None, time.monotonic()
+            try:
+                while line := (await reader.readline()).split():
+                    if self.fault is Fault.CRASH:
+                        break
+                    body = b""
+                    if line[0] in (b"RUN", b"FEED"):
+                        body = (await reader.readexactly(int(line[-1]) + 2))[:-2]
+                    if self.fault is not Fault.HANG:
+                        self._command(writer, line, body)
+            finally:
+                if self.link is writer:
+                    self.link, self.lost_at = None, time.monotonic()
 
     def _command(self, writer: asyncio.StreamWriter, line: list[bytes], body: bytes) -> None:
         verb = line[0]
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -11,6 +11,8 @@
 from dataclasses import dataclass
 from random import Random
 
+from oakkeel.fakes.stream_server import StreamServer
+
 LONGEST = 16 * 1024 * 1024
 
 
@@ -37,18 +39,18 @@
         self.random = Random(seed)
         self.tasks: set[asyncio.Task] = set()
         self.writers: set[asyncio.StreamWriter] = set()
-        self.server: asyncio.Server | None = None
+        self.server = StreamServer(self._accepted)
         self.port = 0
         self.lost = 0
 
     async def open(self) -> int:
-        self.server = await asyncio.start_server(self._accepted, "127.0.0.1", 0)
-        self.port = self.server.sockets[0].getsockname()[1]
+        self.port = await self.server.open()
         return self.port
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         other: asyncio.StreamWriter | None = None
+        ways: list[asyncio.Task[None]] = []
         try:
             if self.there.cut or self.back.cut:
                 await asyncio.sleep(5)  # a lost SYN: whoever connects sees nothing until it gives up
@@ -60,14 +62,14 @@
                 asyncio.ensure_future(self._pass(reader, near, self.there)),
                 asyncio.ensure_future(self._pass(far, writer, self.back)),
             ]
-            self.tasks.update(ways)
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
             for way in ways:
-                way.cancel()
-                self.tasks.discard(way)
+                self._own(way)
+            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
         except (TimeoutError, OSError):
             pass
         finally:
+            for way in ways:
+                way.cancel()
             for each in (writer, other):
                 if each is not None:
                     self.writers.discard(each)
@@ -96,12 +98,16 @@
                     wait = way.delay + way.mixed * self.random.random()
                     if wait:
                         task = asyncio.ensure_future(self._later(wait, writer, message, way))
-                        self.tasks.add(task)
-                        task.add_done_callback(self.tasks.discard)
+                        self._own(task)
                     else:
                         writer.write(message)
                         await writer.drain()
 
+    def _own(self, task: asyncio.Task[None]) -> None:
+        """Keep a task until it is over: `close` ends and awaits those that are not."""
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
     async def _later(
         self, wait: float, writer: asyncio.StreamWriter, message: bytes, way: LinkDirection
     ) -> None:
@@ -115,9 +121,9 @@
             writer.close()
 
     async def close(self) -> None:
-        if self.server:
-            self.server.close()
-        self.end()
-        for task in list(self.tasks):
+        """End the listener, the connections and what is held back, and wait for their tasks."""
+        await self.server.close()
+        tasks = list(self.tasks)
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*self.tasks, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
--- /dev/null
+++ b/oakkeel/fakes/stream_server.py
@@ -0,0 +1,54 @@
+"""A loopback TCP server that owns the task of each of its connections, and ends them all when it closes."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+class StreamServer:
+    """Serves each connection in a task of its own.
+
+    `asyncio.start_server` with a coroutine function leaves its connection tasks to the loop. One that is
+    still open when the loop ends is cancelled there, and Python 3.11 then prints the `CancelledError` through
+    the exception handler of the loop. Here `close` cancels the tasks and waits for them.
+    """
+
+    def __init__(self, serve: Serve) -> None:
+        """`serve` runs for each connection; the connection is closed when it returns."""
+        self._serve = serve
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._server: asyncio.Server | None = None
+
+    async def open(self, port: int = 0) -> int:
+        """Listen on loopback; returns the port."""
+        # Not a coroutine function: the stream protocol would make the task itself.
+        self._server = await asyncio.start_server(self._accept, "127.0.0.1", port)
+        return int(self._server.sockets[0].getsockname()[1])
+
+    def stop_listening(self) -> None:
+        """Take no more connections; those that are open stay."""
+        if self._server:
+            self._server.close()
+            self._server = None
+
+    async def close(self) -> None:
+        """Take no more connections, end those that are open and wait for their tasks."""
+        self.stop_listening()
+        tasks = list(self._tasks)
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+    def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        task = asyncio.ensure_future(self._run(reader, writer))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _run(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            await self._serve(reader, writer)
+        finally:
+            writer.close()
