--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -24,12 +24,15 @@
 from oakkeel.log import EventLog, fault
 from oakkeel.raft import storage
 from oakkeel.raft.messages import Envelope
-from oakkeel.raft.replica import NotLeaderError, Output, Proposal, ProposalStatus, Role
+from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
+from oakkeel.raft.roles import Role
+from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.raft.write_counter import WriteCounter
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import RolloutStateMachine
-from oakkeel.settings.fleet import Fleet
+from oakkeel.settings.types import Fleet
 from oakkeel.store.database import Database, DatabaseError
 
 MS = 1_000_000
@@ -64,18 +67,18 @@
         self, fleet: Fleet, name: str, keys: dict[str, Key], log: EventLog, pace: RaftTimeouts | None = None
     ) -> None:
         """Raises StoreError where its file can't be used."""
-        assert fleet.keepers is not None
+        assert fleet.control_plane is not None
         self.fleet, self.name, self.keys, self.log = fleet, name, keys, log
         self.pace = pace or RaftTimeouts()
         host = fleet.host(name)
         self.path = os.path.join(host.state, "record.db")
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
-        if self.store.set_aside:
-            log.warning("raft_storage_quarantined", file=self.store.set_aside)
-        self.witness = storage.WriteCounter(self.path + ".count", self.store)
-        if self.store.new:
+        if self.store.quarantined:
+            log.warning("raft_storage_quarantined", file=self.store.quarantined)
+        self.witness = WriteCounter(self.path + ".count", self.store)
+        if self.store.created:
             self._count_anew()
-        elif why := self.witness.why():
+        elif why := self.witness.stale_reason():
             self._set_aside(f"an older copy: {why}")
         self.layout = topology_of(fleet)
         self.peers: dict[str, PeerSender] = {}
@@ -94,12 +97,14 @@
         """Make the keeper from what is on disk."""
         try:
             held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
-            if why := storage.check(held):
-                self._set_aside(why)
+            try:
+                storage.check(held)
+            except storage.CorruptStateError as error:
+                self._set_aside(str(error))
                 held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
         except DatabaseError as error:
             return self._failed(error)
-        self.fault, founders = "", self.fleet.keepers.hosts if self.fleet.keepers else ()
+        self.fault, founders = "", self.fleet.control_plane.hosts if self.fleet.control_plane else ()
         self.control_plane = ControlPlaneReplica(
             time.monotonic_ns(),
             held,
@@ -151,19 +156,19 @@
     def _set_aside(self, why: str) -> None:
         """Put the file away under a name that says when, and begin a new life."""
         self.store.close()
-        self.witness.begin_anew()
+        self.witness.reset()
         aside = f"{self.path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
         for ending in ("", "-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
                 os.rename(self.path + ending, aside + ending)
         self.log.warning("raft_storage_quarantined", file=aside, error=why)
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
-        self.witness = storage.WriteCounter(self.path + ".count", self.store)
+        self.witness = WriteCounter(self.path + ".count", self.store)
 
     def _count_anew(self) -> None:
         """The file is a new one, whatever was counted of the one before."""
-        self.witness.begin_anew()
-        self.witness = storage.WriteCounter(self.path + ".count", self.store)
+        self.witness.reset()
+        self.witness = WriteCounter(self.path + ".count", self.store)
 
     def _failed(self, error: DatabaseError) -> None:
         """As if it had crashed: made again from what is there, once that can be written."""
@@ -180,7 +185,7 @@
     def carried(self, sender: str, letters: list[Envelope]) -> list[Envelope]:
         """Letters came from a host, as its key proves. Returns those that wait for it."""
         for letter in letters:
-            if letter.name == sender and self.control_plane:
+            if letter.sender == sender and self.control_plane:
                 self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
         self._schedule()
         return self._peer(sender).take() if sender in self.keys else []
@@ -231,7 +236,7 @@
         at = self.again_at  # not from now: letters that come all the time would put it off for ever
         if self.control_plane:
             at = min(
-                self.control_plane.replica.next_at(),
+                self.control_plane.replica.next_tick_at(),
                 now + (50 * MS if self.control_plane.allocator else SECOND),
             )
         loop = asyncio.get_running_loop()
@@ -242,35 +247,37 @@
         for steps in all_steps:
             if self.control_plane is None:
                 return None
-            if steps.keep:
+            if steps.storage_update:
                 try:
-                    storage.write(self.store, self.control_plane.replica.durable, steps.keep, self.witness)
+                    storage.write(
+                        self.store, self.control_plane.replica.durable, steps.storage_update, self.witness
+                    )
                 except DatabaseError as error:
                     return self._failed(error)
-            for name, letter in steps.send:
+            for name, letter in steps.envelopes:
                 if name in self.keys:
                     self._peer(name).put(letter)
-            for proposal in steps.ended:
+            for proposal in steps.completed:
                 self._ended(proposal)
         control_plane = self.control_plane
         if control_plane is None:
             return None
-        if control_plane.replica.role is Role.OUTDATED:
-            self._set_aside(control_plane.replica.why)
+        if control_plane.replica.role is Role.STALE:
+            self._set_aside(control_plane.replica.stale_reason)
             self._begin()
         elif (leads := control_plane.allocator is not None) != self.leads:
             self.leads = leads
             self.log.info(
                 "leader_elected" if leads else "leadership_lost",
                 term=control_plane.replica.term,
-                committed=control_plane.replica.commit,
+                committed=control_plane.replica.commit_index,
             )
 
     def _ended(self, proposal: Proposal) -> None:
         future = self.futures.pop(proposal, None)
         if future is None or future.done():
             return
-        if proposal.fate is ProposalStatus.AGREED:
+        if proposal.status is ProposalStatus.COMMITTED:
             future.set_result(proposal.result)
         else:
             future.set_exception(CommitUnknownError("its leader is leader no more"))
@@ -284,7 +291,7 @@
     def _came(self, name: str, letters: list[Envelope]) -> None:
         """With the answer to what we sent."""
         for letter in letters:
-            if letter.name == name and self.control_plane:
+            if letter.sender == name and self.control_plane:
                 self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
         self._schedule()
 
@@ -343,10 +350,10 @@
 
     async def _ask(self, letters: list[Envelope]) -> None:
         answer = messages.decode_response(
-            await self.link.ask(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
+            await self.link.request(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
         )
         if isinstance(answer, messages.PeerEnvelopesResponse):
-            self.came(self.name, answer.letters)
+            self.came(self.name, answer.envelopes)
 
     def close(self) -> None:
         self.task.cancel()
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -11,17 +11,18 @@
 from oakkeel.admission.types import Outcome
 from oakkeel.line_protocol import LineParser
 from oakkeel.log import EventLog
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import CallFinished
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, readable, send
 
 WITH_BODY = frozenset({(1, b"DATA")})
 REPLIES = {
     b"DATA": Outcome.COMPLETED,
-    b"LATER": Outcome.DENIED,
+    b"LATER": Outcome.REJECTED,
     b"FAULT": Outcome.ERROR,
-    b"TOOSLOW": Outcome.GIVEN_UP,
-    b"NOUSE": Outcome.MOOT,
+    b"TOOSLOW": Outcome.TIMED_OUT,
+    b"NOUSE": Outcome.NEVER_STARTED,
 }
 
 
@@ -32,25 +33,25 @@
 
     def __init__(self, request: NodeRequest, link: CallLink, until: int) -> None:
         self.request, self.link, self.placed = request, link, time.monotonic_ns()
-        wait = (until - self.placed + link.bounds.call_slack) / SECOND
+        wait = (until - self.placed + link.resource_limits.call_timeout_slack) / SECOND
         self.timer = asyncio.get_running_loop().call_later(wait, self.give_up)
 
     def end(self, outcome: Outcome | None, reply: bytes = b"") -> None:
         self.timer.cancel()
-        self.link.calls.pop(self.request.ident, None)
+        self.link.calls.pop(self.request.request_id, None)
         self.link.used = time.monotonic_ns()
         self.request.call = None
         if outcome is not None:
-            self.request.tell(RequestEvent.REPLY, outcome, reply, self.link.used - self.placed)
+            self.request.post(CallFinished(outcome, reply, self.link.used - self.placed))
         self.link.leave()
 
-    def give_up(self, outcome: Outcome | None = Outcome.GIVEN_UP) -> None:
+    def give_up(self, outcome: Outcome | None = Outcome.TIMED_OUT) -> None:
         """A link on which a call went unanswered may be of no use any more: it takes no other."""
-        if self.link.early.pop(self.request.ident, None) is None:
+        if self.link.early.pop(self.request.request_id, None) is None:
             self.link.spent = True
-            self.link.write(b"QUIT %s\r\n" % self.request.ident)
+            self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
-            outcome = Outcome.UNREACHED  # it never left
+            outcome = Outcome.CONNECT_FAILED  # it never left
         self.end(outcome)
 
 
@@ -58,15 +59,15 @@
     """One connection, with the calls that are on it."""
 
     def __init__(
-        self, address: tuple[str, int], pool: BufferPool, bounds: ResourceLimits, log: EventLog
+        self, address: tuple[str, int], pool: BufferPool, resource_limits: ResourceLimits, log: EventLog
     ) -> None:
-        self.address, self.bounds, self.log = address, bounds, log
+        self.address, self.resource_limits, self.log = address, resource_limits, log
         self.calls: dict[bytes, Call] = {}
         self.connected = False
         self.spent = False  # it takes no more calls, and ends with its last one
         self.surplus = 0  # replies that nobody waited for
         self.used = time.monotonic_ns()
-        self.stream = IOStream(socket.socket(), max_write_buffer_size=bounds.backlog)
+        self.stream = IOStream(socket.socket(), max_write_buffer_size=resource_limits.max_write_backlog)
         self.read_buffer = ReadBuffer(pool)
         self.early: dict[bytes, bytes] = {}  # calls placed while it connects, by exchange
         self.partial: asyncio.TimerHandle | None = None  # ends a link whose reply does not
@@ -79,7 +80,7 @@
             for line in self.early.values():
                 self.write(line)
             self.early.clear()
-            parser = LineParser(self.read_buffer, WITH_BODY, self.bounds.words)
+            parser = LineParser(self.read_buffer, WITH_BODY, self.resource_limits.max_tokens)
             while True:
                 await self.read_buffer.fill(self.stream)
                 taken = False
@@ -98,7 +99,7 @@
             if self.partial:
                 self.partial.cancel()
             # One that was never connected carried nothing; one that broke proves nothing.
-            outcome = Outcome.RESET if self.connected else Outcome.UNREACHED
+            outcome = Outcome.RESET if self.connected else Outcome.CONNECT_FAILED
             for call in list(self.calls.values()):
                 call.end(outcome)
 
@@ -110,7 +111,7 @@
         # A second copy, or one to nobody: the others still get theirs here, but no new call does.
         self.spent = True
         self.surplus += 1
-        if self.surplus > self.bounds.call_surplus:
+        if self.surplus > self.resource_limits.max_surplus_replies:
             raise MalformedInputError("replies that nobody waits for")
         self.leave()
 
@@ -121,14 +122,14 @@
             self.partial.cancel()
             self.partial = None
         if not whole and not self.partial:
-            wait = self.bounds.call_partial / SECOND
+            wait = self.resource_limits.call_reply_timeout / SECOND
             self.partial = asyncio.get_running_loop().call_later(wait, self.stream.close)
 
-    def place(self, ident: bytes, line: bytes) -> None:
+    def place(self, request_id: bytes, line: bytes) -> None:
         if self.connected:
             self.write(line)
         else:
-            self.early[ident] = line
+            self.early[request_id] = line
 
     def write(self, line: bytes) -> None:
         send(self.stream, line)
@@ -143,20 +144,26 @@
     """The links, opened as calls need them: one call each, so that what breaks on one costs no other."""
 
     def __init__(
-        self, address: tuple[str, int] | None, pool: BufferPool, bounds: ResourceLimits, log: EventLog
+        self,
+        address: tuple[str, int] | None,
+        pool: BufferPool,
+        resource_limits: ResourceLimits,
+        log: EventLog,
     ) -> None:
-        self.address, self.pool, self.bounds, self.log = address, pool, bounds, log
+        self.address, self.pool, self.resource_limits, self.log = address, pool, resource_limits, log
         self.links: list[CallLink] = []
 
     def fetch(self, request: NodeRequest, until: int, body: bytes) -> None:
-        """Place the call that its run waits for; a REPLY tells how it ended."""
+        """Place the call that its run waits for; `CallFinished` tells how it ended."""
         link = self._link(request)
         if link is None:
-            return request.tell(RequestEvent.REPLY, Outcome.UNREACHED, b"", 0)
-        request.call = link.calls[request.ident] = Call(request, link, until)
-        request.call_links.append(link)
+            return request.post(CallFinished(Outcome.CONNECT_FAILED, b"", 0))
+        request.call = link.calls[request.request_id] = Call(request, link, until)
+        request.used_links.append(link)
         wait_ms = max(1, (until - request.call.placed) // MS)
-        link.place(request.ident, b"FETCH %s %d %d\r\n%s\r\n" % (request.ident, wait_ms, len(body), body))
+        link.place(
+            request.request_id, b"FETCH %s %d %d\r\n%s\r\n" % (request.request_id, wait_ms, len(body), body)
+        )
 
     def quit(self, request: NodeRequest) -> None:
         """Nobody needs its call any more."""
@@ -178,7 +185,7 @@
         self._trim()
         if self.address is None:
             return None
-        usable = [link for link in self.links if not link.spent and link not in request.call_links]
+        usable = [link for link in self.links if not link.spent and link not in request.used_links]
         free = [link for link in usable if not link.calls and link.connected]
         for link in sorted(free, key=lambda link: link.used, reverse=True):
             if not readable(link.stream.socket):
@@ -186,9 +193,9 @@
             link.spent = True  # its end, or bytes that no call is owed, came since the loop last looked
             link.leave()
             usable.remove(link)
-        if len(self.links) < self.bounds.call_links:
+        if len(self.links) < self.resource_limits.max_call_links:
             try:
-                self.links.append(CallLink(self.address, self.pool, self.bounds, self.log))
+                self.links.append(CallLink(self.address, self.pool, self.resource_limits, self.log))
                 return self.links[-1]
             except (OSError, MemoryError) as error:  # no descriptor or buffer is left: a busy one takes it
                 self.log.warning("catalogue_connect_failed", error=str(error))
@@ -199,7 +206,7 @@
         forgotten it: no call meets that."""
         now = time.monotonic_ns()
         for link in list(self.links):
-            if not link.calls and now - link.used > self.bounds.call_idle:
+            if not link.calls and now - link.used > self.resource_limits.call_idle_timeout:
                 link.stream.close()
             if link.stream.closed():
                 self.links.remove(link)
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -37,7 +37,7 @@
     reports: DirectoryReporter
     host: NodeHost
     log: EventLog
-    bounds: ResourceLimits
+    resource_limits: ResourceLimits
     done: asyncio.Event
 
     def stay(self) -> None: ...
@@ -50,7 +50,7 @@
         self.node, self.grace, self.stop_after = node, grace, stop_after
         self.state = DrainState.NOT
         self.final = False  # told by SIGTERM, which nothing takes back
-        self.task: asyncio.Task | None = None
+        self.task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
 
     def __bool__(self) -> bool:
@@ -114,7 +114,7 @@
         the stop, or that would find the node waiting for them."""
         if self.timer:
             self.timer.cancel()
-        wait = max(0, left - self.node.bounds.stop_room) / SECOND
+        wait = max(0, left - self.node.resource_limits.stop_margin) / SECOND
         self.timer = asyncio.get_running_loop().call_later(wait, self._end)
 
     def _end(self) -> None:
@@ -124,7 +124,7 @@
     def _tell(self, left: int | None) -> None:
         try:
             if self.node.host.begun:
-                self.node.host.tell(self.node.host.admission.leave, left)
+                self.node.host.tell(self.node.host.admission.drain, left)
         except Exception as error:  # the drain goes on
             self.node.log.error("drain_failed", error=fault(error))
 
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -15,7 +15,16 @@
 from oakkeel.node.configuration import NodeConfiguration
 from oakkeel.node.metrics import Metrics
 from oakkeel.node.response_cache import ResponseCache
-from oakkeel.request import NodeRequest, RequestEvent
+from oakkeel.request import NodeRequest
+from oakkeel.request_events import (
+    AwaitSharedResponse,
+    CancelRun,
+    FailRequest,
+    PlaceCall,
+    RejectRequest,
+    SkipCall,
+    StartRun,
+)
 from oakkeel.resource_limits import SECOND
 
 
@@ -28,25 +37,30 @@
         engine: EngineLink,
         listener: Listener,
         reports: DirectoryReporter,
-        results: ResponseCache,
+        response_cache: ResponseCache,
         measures: Metrics,
         log: EventLog,
     ) -> None:
-        self.engine, self.listener, self.reports, self.results = engine, listener, reports, results
+        self.engine, self.listener, self.reports, self.response_cache = (
+            engine,
+            listener,
+            reports,
+            response_cache,
+        )
         self.start, self.measures, self.log = start, measures, log
         self.loop = asyncio.get_running_loop()
         self.gauges, self.gauges_at = Gauges(), 0
         self.good = True
         self.signal: float | None = None
         self.settling = False
-        self.timers: set[asyncio.Task] = set()
+        self.timers: set[asyncio.Task[None]] = set()
         self.admission: AdmissionController  # from `begin` on
         self.begun = False
 
     def begin(self, cold: bool, age: int) -> None:
         """The engine is up: where it has just booted, the node is cold since then."""
         limits = self.start.limits
-        limits.cold = limits.cold or cold
+        limits.starts_cold = limits.starts_cold or cold
         self.begun = True
         started = time.monotonic_ns() - (age if cold else 0)
         # Each exchange that it names is one that we gave it, a LiveExchange.
@@ -55,7 +69,7 @@
     def begin_anew(self, cold: bool, age: int) -> None:
         """Another engine is up in the place of the first: the node is as cold as that is."""
         if cold:
-            self.start.limits.cold = True
+            self.start.limits.starts_cold = True
             self.admission.started = time.monotonic_ns() - age
 
     def tell(self, act: Callable[..., None], *words: object) -> None:
@@ -68,38 +82,38 @@
     def _settle(self) -> None:
         self.settling = False
         try:
-            self.admission.settle(time.monotonic_ns())
+            self.admission.schedule(time.monotonic_ns())
         except Exception as error:  # the node lives on
             self.log.error("settle_failed", error=fault(error))
 
     # Verdicts.
 
     def run(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.RUN)
+        request.post(StartRun())
 
-    def deny(self, request: NodeRequest, last: bool, retry_after: int) -> None:
-        request.tell(RequestEvent.DENY, last, retry_after)
+    def reject(self, request: NodeRequest, last: bool, retry_after: int) -> None:
+        request.post(RejectRequest(last, retry_after))
 
-    def terminate(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.TERMINATE)
+    def fail(self, request: NodeRequest) -> None:
+        request.post(FailRequest())
 
-    def stop(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.STOP)
+    def cancel(self, request: NodeRequest) -> None:
+        request.post(CancelRun())
 
     def call(self, request: NodeRequest, until: int) -> None:
-        request.tell(RequestEvent.CALL, until)
+        request.post(PlaceCall(until))
 
-    def leave_out(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.LEAVE_OUT)
+    def skip_call(self, request: NodeRequest) -> None:
+        request.post(SkipCall())
 
-    def share(self, request: NodeRequest) -> None:
-        request.tell(RequestEvent.SHARE)
+    def coalesce(self, request: NodeRequest) -> None:
+        request.post(AwaitSharedResponse())
 
-    def remember(self, request: NodeRequest, duration: int) -> None:
-        self.results.remember(request, time.monotonic_ns(), duration)
+    def retain_key(self, request: NodeRequest, duration: int) -> None:
+        self.response_cache.retain(request, time.monotonic_ns(), duration)
 
-    def forget(self, request: NodeRequest) -> None:
-        self.results.forget(request)
+    def release_key(self, request: NodeRequest) -> None:
+        self.response_cache.release(request)
 
     # Timers.
 
@@ -116,7 +130,7 @@
         """The decisions compare the gauges with what they run now: gauges of a second ago mislead them."""
         try:
             if asked := self.engine.ask_gauges():
-                await asyncio.wait((asked,), timeout=self.start.bounds.gauges_wait / SECOND)
+                await asyncio.wait((asked,), timeout=self.start.resource_limits.gauges_timeout / SECOND)
             if asked and asked.done():
                 self.gauges_at = time.monotonic_ns()
                 for name, value in zip(self.start.gauges, asked.result(), strict=False):
@@ -124,10 +138,10 @@
                         setattr(self.gauges, name, value)
             else:
                 self.measures.gauges_missed += 1
-            self.tell(self.admission.timer, token, self.gauges)
+            self.tell(self.admission.timer_expired, token, self.gauges)
         except Exception as error:  # the node lives on, and so must its poll
             self.log.error("timer_failed", error=fault(error))
-            self.set_timer(token, time.monotonic_ns() + self.start.bounds.timer_retry)
+            self.set_timer(token, time.monotonic_ns() + self.start.resource_limits.timer_retry)
 
     # The node as a whole.
 
@@ -136,7 +150,7 @@
         if self.start.readiness:
             self.reports.set_taking(good)
 
-    def advise(self, value: float) -> None:
+    def report_load(self, value: float) -> None:
         self.signal = value
 
     def close_idle(self, after: int) -> None:
