--- a/oakkeel/__main__.py
+++ b/oakkeel/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m oakkeel`: one node, told what it needs by its variables and the file that they name.
+"""`python -m oakkeel`: one node, configured by its environment variables and the file that they name.
 
-With words after it, one of the commands in `oakkeel.cli`.
+With arguments, one of the commands in `oakkeel.cli`.
 """
 
 from __future__ import annotations
@@ -10,21 +10,22 @@
 
 
 def main() -> int:
+    """Run a node, or the command line; returns the exit code."""
     if sys.argv[1:]:
         return _command()
-    # Nobody hears a signal yet: it waits until the node does, and must not end one that is just starting.
+    # Signals wait until the node handles them: one that is just starting must not be ended by them.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGINT, signal.SIGTERM))
     return _node()
 
 
 def _command() -> int:
-    """Words make it a command line, with libraries that a node does not need."""
+    """Run the command line, with libraries that a node does without."""
     try:
-        from oakkeel.cli.main import main as commands
+        from oakkeel.cli.main import main as command_line
     except ImportError as error:
         print(f"oakkeel: commands need the group 'fleet' of this package: {error}", file=sys.stderr)
         return 2
-    return int(commands(prog_name="oakkeel"))
+    return int(command_line(prog_name="oakkeel"))
 
 
 def _node() -> int:
@@ -34,10 +35,10 @@
     from oakkeel.node.configuration import NodeConfiguration, read_configuration
     from oakkeel.node_limits import LimitsError
 
-    async def run(start: NodeConfiguration) -> None:
-        from oakkeel.node.node import Node  # a bad start fails before anything else is loaded
+    async def run(configuration: NodeConfiguration) -> None:
+        from oakkeel.node.node import Node  # a bad configuration fails before this is loaded
 
-        await Node(start).run()
+        await Node(configuration).run()
 
     try:
         asyncio.run(run(read_configuration(os.environ)))
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -146,7 +146,7 @@
     async def run(self) -> None:
         """Until SIGTERM. The instances go on without it, and open orders are taken up by the next agent."""
         loop = asyncio.get_running_loop()
-        self.log.take_others(loop)
+        self.log.capture_library_logs(loop)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.done.set)
         await self.executor.find_processes()
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -1,4 +1,4 @@
-"""The structured log: events with facts on standard error, as console lines or JSON, few enough a second."""
+"""The structured log: events with fields on standard error, as console lines or JSON, limited in rate."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from collections.abc import Callable, MutableMapping
 from typing import Any, TextIO
 
-if "rich" not in sys.modules:  # structlog takes rich along where it is: 8 MB that no node has room for
+if "rich" not in sys.modules:  # structlog imports rich where it is installed: 8 MB that no node has room for
     sys.modules["rich"] = None  # type: ignore[assignment]
     import structlog
 
@@ -24,27 +24,28 @@
 
 
 class LineLimiter:
-    """Which lines may be said: so many a second, and each only once in it.
+    """Admits so many lines a second, and each only once in it.
 
     Asked before a line is made: in a flood of bad input, all but a few lines must cost next to nothing.
     """
 
-    def __init__(self, most: int, clock: Callable[[], int] = time.monotonic_ns) -> None:
-        self.most, self.clock = most, clock
+    def __init__(self, lines_per_s: int, clock: Callable[[], int] = time.monotonic_ns) -> None:
+        """Limit to `lines_per_s`, by a clock in nanoseconds."""
+        self.lines_per_s, self.clock = lines_per_s, clock
         self.second = self.lines = self.dropped = self.left_out = 0
-        self.said: set[str] = set()  # in this second: a flood of one line must not drown the others
+        self.written: set[str] = set()  # in this second: a flood of one line must not hide the others
 
-    def admits(self, event: str, facts: Event) -> bool:
-        """Whether it may be said; `left_out` then holds how many were not before it."""
+    def admits(self, event: str, fields: Event) -> bool:
+        """Whether the line may be written; `left_out` is then how many before it were not."""
         second = self.clock() // SECOND
         self.left_out = 0
         if second != self.second:
             self.left_out = self.dropped
             self.second, self.lines, self.dropped = second, 0, 0
-            self.said.clear()
-        if self.lines < self.most and (text := f"{event}{facts}") not in self.said:
+            self.written.clear()
+        if self.lines < self.lines_per_s and (text := f"{event}{fields}") not in self.written:
             self.lines += 1
-            self.said.add(text)
+            self.written.add(text)
             return True
         self.dropped += 1
         return False
@@ -57,13 +58,16 @@
         text = event.pop("event")
         level = event.pop("level", "info")
         return f"oakkeel {name}: {level} " + " ".join(
-            [str(text), *(f"{key}={_word(value)}" for key, value in event.items() if value is not None)]
+            [
+                str(text),
+                *(f"{key}={_format_value(value)}" for key, value in event.items() if value is not None),
+            ]
         )
 
     return render
 
 
-def _word(value: object) -> str:
+def _format_value(value: object) -> str:
     text = f"{value:g}" if isinstance(value, float) else str(value)
     return text if text and text.isprintable() and not set(' "=') & set(text) else json.dumps(text)
 
@@ -111,12 +115,12 @@
             self.bound.msg(event, level=level, **fields)
 
     def msg(self, line: str) -> None:
-        """Where the last processor leaves a line."""
-        with contextlib.suppress(OSError):  # a log that nobody takes any more must not end the process
+        """Write a finished line; the last processor of structlog calls this."""
+        with contextlib.suppress(OSError):  # a log that nobody reads any more must not end the process
             print(line, file=self.stream, flush=True)
 
-    def take_others(self, loop: asyncio.AbstractEventLoop) -> None:
-        """What the loop and Tornado would write for themselves comes here too, under the same bound."""
+    def capture_library_logs(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Log here what the event loop and libraries report, under the same limit."""
         loop.set_exception_handler(
             lambda _, context: self.error(
                 "event_loop_error", message=context["message"], error=repr(context.get("exception"))
@@ -126,13 +130,18 @@
 
 
 class LibraryLogHandler(logging.Handler):
+    """Passes errors that libraries log on to an `EventLog`."""
+
     def __init__(self, log: EventLog) -> None:
-        super().__init__(logging.ERROR)  # a refused or reset connection is told by its link
+        """Take errors only; the rest of what libraries log is dropped."""
+        super().__init__(logging.ERROR)  # a refused or reset connection is logged by its link
         self.log = log
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Log one record of a library."""
         self.log.error("library_error", logger=record.name, message=record.getMessage())
 
 
 def fault(error: BaseException) -> str:
+    """Type and text of an error, for the field `error`."""
     return f"{type(error).__name__}: {error}"
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -87,7 +87,7 @@
     async def run(self) -> None:
         """Serve from the start to the end of the drain."""
         loop = asyncio.get_running_loop()
-        self.log.take_others(loop)
+        self.log.capture_library_logs(loop)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
