--- /dev/null
+++ b/tests/fair_sharing/test_max_min.py
@@ -0,0 +1,37 @@
+"""Weighted max-min shares."""
+
+import unittest
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from oakkeel.admission import MS, SECOND
+from oakkeel.fair_sharing.max_min import MaxMinShares, fill
+
+
+class MaxMinSharesTest(unittest.TestCase):
+    @given(
+        st.lists(st.tuples(st.floats(0.1, 100), st.floats(0.1, 10)), min_size=1, max_size=20),
+        st.floats(0.1, 500),
+    )
+    @settings(max_examples=200, deadline=None, derandomize=True)
+    def test_fills_all_of_the_capacity_and_gives_nobody_more_than_its_demand(self, rows, whole):
+        level = fill(rows, whole)
+        given_out = sum(min(asked, level * weight) for asked, weight in rows)
+        self.assertAlmostEqual(given_out, min(whole, sum(asked for asked, _ in rows)), delta=1e-6 * whole)
+
+    def test_shares_by_weight_and_divides_the_share_of_a_tenant_among_its_clients(self):
+        levels = MaxMinShares(2, 64, 2 * SECOND, {b"big": 3.0})
+        now = 0
+        for _ in range(4000):
+            now += 5 * MS
+            for outer, name, inner in ((1, b"big", 10), (2, b"small", 20 + now // (5 * MS) % 1000)):
+                levels.count(now, ((outer, name), (inner, b"")), 1.0, False)
+        levels.allocate(now, 200.0)  # of the 400 a second that are asked
+        big, small = levels.tables[0].flows[1], levels.tables[0].flows[2]
+        self.assertAlmostEqual(big.allowed_rate, 150, delta=3)
+        self.assertAlmostEqual(small.allowed_rate, 50, delta=3)
+        self.assertAlmostEqual(levels.tables[1].flows[10].allowed_rate, 150, delta=3)
+        self.assertAlmostEqual(
+            small.unknown_share, 0.25, delta=0.1
+        )  # none of the thousand is heavy, all are cut
--- /dev/null
+++ b/tests/fair_sharing/test_node.py
@@ -0,0 +1,104 @@
+"""Fair sharing of a node on sockets."""
+
+import json
+import os
+import signal
+import socket
+import tempfile
+import time
+from unittest import mock
+
+from oakkeel.admission import SECOND
+from tests.support.node_process import NodeStory
+
+
+class FairSharingNodeTest(NodeStory):
+    def setUp(self) -> None:
+        super().setUp()
+        self.folder = self.enterContext(tempfile.TemporaryDirectory())
+        self.settings_path = os.path.join(self.folder, "n3.told")
+        self.write_settings()
+        self.enterContext(
+            mock.patch.dict(
+                os.environ,
+                OAKKEEL_TOLD=self.settings_path,
+                OAKKEEL_GENERATION="1",
+                OAKKEEL_CONTROL=os.path.join(self.folder, "n3.sock"),
+            )
+        )
+
+    def write_settings(self, by=("client",), **weights: float) -> None:
+        with open(self.settings_path, "w") as file:
+            json.dump(
+                {
+                    "fair": {
+                        "by": list(by),
+                        "weights": weights,
+                        "places": 64,
+                        "promises": 64,
+                        "half": 4 * SECOND,
+                        "snapshot": os.path.join(self.folder, "n3.shares"),
+                    }
+                },
+                file,
+            )
+
+    def clients(self) -> dict:
+        with socket.socket(socket.AF_UNIX) as link:
+            link.connect(os.path.join(self.folder, "n3.sock"))
+            link.settimeout(20)
+            link.sendall(b'{"type":"clients","tag":1}\n')
+            with link.makefile("rb") as stream:
+                return json.loads(stream.readline())
+
+    def served(self, dispatcher, client: str) -> None:
+        dispatcher.call("card", fields=f",client={client}")
+        self.engine.done(self.engine.next()[1])
+        self.assertEqual(dispatcher.answer()[1], b"ok")
+
+    def test_reports_flows_over_the_control_link_and_keeps_them_over_a_restart(self):
+        self.begin()
+        dispatcher = self.dispatcher()
+        for client in ("a", "a", "a", "b"):
+            self.served(dispatcher, client)
+        told = self.clients()
+        self.assertEqual(
+            [(each["name"], round(each["asks"], 1)) for each in told["clients"]],
+            [("a", 0.8), ("b", 0.2)] if told["clients"][0]["asks"] > 0.76 else [("a", 0.7), ("b", 0.3)],
+        )
+        self.process.send_signal(signal.SIGTERM)
+        dispatcher.close()
+        self.assertEqual(self.process.wait(20), 0)
+        self.process.stderr.close()
+        self.engine.number = 0
+        self.begin()
+        self.assertEqual([each["name"] for each in self.clients()["clients"]], ["a", "b"])
+
+    def test_quarantines_a_damaged_snapshot_and_serves(self):
+        with open(os.path.join(self.folder, "n3.shares"), "wb") as file:
+            file.write(b"oakkeel snapshot 1\n" + b"x" * 60)
+        self.launch(self.told())
+        self.assertIn("n3.shares.bad", self.log("fair_sharing_snapshot_quarantined"))
+        self.port = int(self.log("listening").rsplit(":", 1)[1])
+        self.engine.attach()
+        self.log("engine_ready")
+        self.served(self.dispatcher(), "a")
+
+    def test_reloads_weights_on_sighup_but_not_flow_fields(self):
+        self.begin()
+        self.write_settings(a=4.0)
+        self.reload(self.told())
+        self.assertIn("weights=1", self.log("flow_weights_reloaded"))
+        self.write_settings(by=("tenant",))
+        time.sleep(1.1)  # the log says the same line once a second
+        self.reload(self.told())
+        self.log("flow_key_change_ignored")
+        self.served(self.dispatcher(), "a")
+
+    def test_reports_unusable_settings_in_one_line(self):
+        for text in ("", "{}x", '{"fair": {"by": []}}', '{"fair": {"by": ["a"], "weights": {"b": -1}}}'):
+            with open(self.settings_path, "w") as file:
+                file.write(text)
+            process = self.launch(self.told())
+            _, error = process.communicate(timeout=20)
+            self.assertEqual((process.returncode, error.count("\n")), (2, 1), error)
--- /dev/null
+++ b/tests/fair_sharing/test_persistence.py
@@ -0,0 +1,75 @@
+"""The snapshot of fair sharing and its file."""
+
+import os
+import tempfile
+import unittest
+
+from oakkeel.admission import SECOND
+from oakkeel.fair_sharing import persistence
+from oakkeel.fair_sharing.keys import SECRET
+from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode
+from oakkeel.store import snapshot_file
+from tests.support.fair_sharing import simulated_node
+
+
+class SnapshotTest(unittest.TestCase):
+    def setUp(self) -> None:
+        self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "n1.shares")
+
+    def filled(self) -> SimulatedNode:
+        node = simulated_node()
+        node.add(
+            SimulatedClient(b"crawler", 500, honours_retry_after=False),
+            *(SimulatedClient(b"g%d" % n, 20) for n in range(10)),
+        )
+        node.pass_time(5)
+        return node
+
+    def content(self, node: SimulatedNode, unix: int = 10**18) -> bytes:
+        fair = node.admission.fair_sharing
+        return persistence.encode_snapshot(
+            node.now, unix, ("caller",), bytes(SECRET), fair.shares, fair.reservations
+        )
+
+    def test_restores_flows_and_reservations_after_a_restart(self):
+        node, again = self.filled(), simulated_node()
+        content = self.content(node)
+        found = persistence.decode_snapshot(content, 10**18 + SECOND, ("caller",))
+        fair, old = again.admission.fair_sharing, node.admission.fair_sharing
+        persistence.restore_snapshot(found, again.now, 10**18 + SECOND, fair.shares, fair.reservations)
+        key = max(old.shares.tables[0].flows.values(), key=lambda each: each.count).key
+        before = old.shares.tables[0].rate(node.now, old.shares.tables[0].flows[key])
+        after = fair.shares.tables[0].rate(again.now, fair.shares.tables[0].flows[key])
+        self.assertAlmostEqual(after / before, 0.5**0.25, delta=0.01)  # a second of the four that halve it
+        ahead = [
+            sorted(each.due_at - from_time for rows in reservations.open.values() for each in rows)
+            for reservations, from_time in (
+                (old.reservations, node.now + SECOND),
+                (fair.reservations, again.now),
+            )
+        ]
+        self.assertEqual(ahead[1], [after for after in ahead[0] if after > 0])
+
+    def test_rejects_a_snapshot_from_the_future_too_old_or_of_other_flows(self):
+        content = self.content(self.filled())
+        for unix, by in (
+            (10**18 - 5 * SECOND, ("caller",)),
+            (10**18 + 61 * SECOND, ("caller",)),
+            (10**18, ("tenant",)),
+        ):
+            with self.assertRaises(persistence.SnapshotRejectedError):
+                persistence.decode_snapshot(content, unix, by)
+        with self.assertRaises(persistence.SnapshotRejectedError):
+            persistence.decode_snapshot(content[:50], 10**18, ("caller",))
+
+    def test_detects_a_truncated_or_changed_file(self):
+        snapshot_file.write(self.path, b"content" * 100)
+        self.assertEqual(snapshot_file.read(self.path), b"content" * 100)
+        with open(self.path, "rb") as file:
+            whole = file.read()
+        for spoilt in (whole[: len(whole) // 2], whole[:-1] + bytes([whole[-1] ^ 1]), b"", b"x" * 100):
+            with open(self.path, "wb") as file:
+                file.write(spoilt)
+            with self.assertRaises(snapshot_file.SnapshotError):
+                snapshot_file.read(self.path)
+        self.assertIsNone(snapshot_file.read(self.path + "x"))
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Sequence
 from dataclasses import replace
+from typing import Any
 
 from oakkeel.admission import MS, SECOND, AdmissionController
 from oakkeel.admission.types import (
@@ -59,55 +61,61 @@
 
 
 class FakeHost:
-    """Carries nothing out: every wish lands in `said`, timers wait for `run_until`."""
+    """Records every action in `actions` and carries none out; timers wait for `run_until`."""
 
     def __init__(
-        self, request_classes: list[dict] | None = None, tenants: list[float] = (), **limits
+        self,
+        request_classes: list[dict[str, Any]] | None = None,
+        tenants: Sequence[float] = (),
+        **limits: Any,
     ) -> None:
         rows = [replace(GROUP, index=index, **row) for index, row in enumerate(request_classes or [{}])]
         self.limits = replace(
             LIMITS, request_classes=rows, tenants=[Tenant(*pair) for pair in enumerate(tenants)], **limits
         )
-        self.said: list[tuple] = []
+        self.actions: list[tuple[Any, ...]] = []
         self.timers: list[tuple[int, int]] = []
         self.gauges = Gauges()
         self.now = SECOND
         self.admission = AdmissionController(self, self.limits, 7, self.now)
 
-    def __getattr__(self, name: str):
-        return lambda *words: self.said.append((name, *words))
+    def __getattr__(self, name: str) -> Callable[..., None]:
+        return lambda *arguments: self.actions.append((name, *arguments))
 
     def set_timer(self, token: int, at: int) -> None:
         self.timers.append((at, token))
 
-    def arrive(self, group: int = 0, settle: bool = True, tenant: int | None = None, **fields) -> Request:
-        row = self.limits.request_classes[group]
-        given = dict(
-            request_class=row,
-            tenant=None if tenant is None else self.limits.tenants[tenant],
-            client=0,
-            memory_kb=50,
-            retry_attempt=False,
-            remaining_time=row.client_timeout,
-            queueing_delay=0,
-            has_key=False,
-            is_duplicate=False,
-        )
+    def arrive(
+        self, class_index: int = 0, schedule: bool = True, tenant: int | None = None, **fields: Any
+    ) -> Request:
+        """Let a request arrive; `fields` replace those of an ordinary one."""
+        row = self.limits.request_classes[class_index]
+        given = {
+            "request_class": row,
+            "tenant": None if tenant is None else self.limits.tenants[tenant],
+            "client": 0,
+            "memory_kb": 50,
+            "retry_attempt": False,
+            "remaining_time": row.client_timeout,
+            "queueing_delay": 0,
+            "has_key": False,
+            "is_duplicate": False,
+        }
         request = Request(**(given | fields))
         self.admission.arrive(self.now, request)
-        if settle:
+        if schedule:
             self.admission.schedule(self.now)
         return request
 
-    def done(self, request: Request, outcome: Outcome = Outcome.COMPLETED) -> None:
+    def finish(self, request: Request, outcome: Outcome = Outcome.COMPLETED) -> None:
         self.admission.run_finished(self.now, request, outcome, 0)
         self.admission.schedule(self.now)
 
-    def at_call(self, request: Request) -> None:
+    def need_call(self, request: Request) -> None:
         self.admission.call_needed(self.now, request)
         self.admission.schedule(self.now)
 
-    def call_done(self, request: Request, outcome: Outcome) -> None:
+    def finish_call(self, request: Request, outcome: Outcome) -> None:
         self.admission.call_finished(self.now, request, outcome, 0)
         self.admission.schedule(self.now)
 
@@ -119,9 +127,9 @@
             self.admission.schedule(self.now)
         self.now = max(self.now, time)
 
-    def words(self, request: Request) -> list[str]:
-        """What was asked about an exchange, in order."""
-        return [wish[0] for wish in self.said if len(wish) > 1 and wish[1] is request]
+    def actions_on(self, request: Request) -> list[str]:
+        """Return the names of the actions on a request, in order."""
+        return [action[0] for action in self.actions if len(action) > 1 and action[1] is request]
 
-    def in_state(self, exchanges: list[Request], *states: RequestState) -> list[Request]:
-        return [request for request in exchanges if request.state in states]
+    def in_state(self, requests: list[Request], *states: RequestState) -> list[Request]:
+        return [request for request in requests if request.state in states]
