--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -1,7 +1,7 @@
-"""Keepers and agents in simulated time under drawn schedules of troubles: does any promise break?
+"""Replicas and agents in simulated time under drawn schedules of faults: does any promise break?
 
 `--count` schedules from `--seed` on, spread over the cores; with `--releases 1` each has one or two releases
-under way. A failing one is cut down, kept in a file and can be played again with `--play FILE`.
+under way. A failing one is shrunk, kept in a file and can be played again with `--play FILE`.
 """
 
 from __future__ import annotations
@@ -11,81 +11,127 @@
 import os
 import sys
 import time
+from dataclasses import dataclass, field
 from functools import partial
 
 from measure.common import SECOND, keep, options, processor, say
 from oakkeel.emulator.consensus import play
-from oakkeel.emulator.faults import Schedule, draw, read
+from oakkeel.emulator.faults import Schedule, draw, schedule_from_json
 from oakkeel.emulator.schedule_shrinking import shrink
 
+RELEASE_DURATION = 40 * SECOND
+
+
+@dataclass(slots=True)
+class PlayedSchedule:
+    """What came of one drawn schedule."""
+
+    seed: int
+    breaches: list[str] = field(default_factory=list)
+    stuck: list[str] = field(default_factory=list)  # what did not come to an end
+    events: int = 0
+
+
+@dataclass(slots=True)
+class Totals:
+    """What came of all schedules that were played so far."""
+
+    played: int = 0
+    events: int = 0
+    broken: list[tuple[int, list[str]]] = field(default_factory=list)  # by seed
+    stuck: list[int] = field(default_factory=list)  # seeds
+
+    def add(self, result: PlayedSchedule) -> None:
+        """Count and print the result of one schedule."""
+        self.played += 1
+        self.events += result.events
+        if result.breaches:
+            self.broken.append((result.seed, result.breaches))
+            say(f"schedule {result.seed}: {result.breaches[0]}")
+        if result.stuck:
+            self.stuck.append(result.seed)
+            say(f"schedule {result.seed} did not come to an end: {result.stuck[0][:160]}")
+
 
 def drawn(seed: int, releases: bool) -> Schedule:
-    return draw(seed, releases=True, lasts=40 * SECOND) if releases else draw(seed)
+    """Return the schedule of a seed."""
+    return draw(seed, releases=True, duration=RELEASE_DURATION) if releases else draw(seed)
 
 
-def look(seed: int, releases: bool = False) -> tuple[int, list[str], list[str], int]:
-    """The seed, what broke, what did not come to an end, and how much happened."""
+def play_seed(seed: int, releases: bool = False) -> PlayedSchedule:
+    """Play the schedule of a seed."""
     try:
-        world, breaches = play(drawn(seed, releases))
+        simulation, breaches = play(drawn(seed, releases))
     except Exception as error:  # a decision that failed is a breach as well
-        return seed, [f"{type(error).__name__}: {error}"], [], 0
-    return seed, breaches, world.stuck(), world.clock.happened
+        return PlayedSchedule(seed, [f"{type(error).__name__}: {error}"])
+    return PlayedSchedule(seed, breaches, simulation.stuck(), simulation.clock.happened)
 
 
 def fails(schedule: Schedule) -> bool:
+    """Whether a schedule breaks a promise."""
     try:
         return bool(play(schedule)[1])
     except Exception:
         return True
 
 
+def replay(path: str) -> int:
+    """Play a schedule file and print what happens; returns the exit code."""
+    with open(path, encoding="utf-8") as file:
+        simulation, breaches = play(schedule_from_json(json.load(file)))
+    for line in [*simulation.event_log, *breaches]:
+        say(line)
+    return 1 if breaches else 0
+
+
+def play_all(seeds: range, releases: bool) -> Totals:
+    """Play the schedules of some seeds on all cores."""
+    totals, started = Totals(), time.monotonic()
+    with multiprocessing.Pool(os.cpu_count()) as pool:
+        for result in pool.imap_unordered(partial(play_seed, releases=releases), seeds, chunksize=8):
+            totals.add(result)
+            if totals.played % max(1, len(seeds) // 10) == 0:
+                rate = totals.played / (time.monotonic() - started)
+                say(f"{totals.played} played, {len(totals.broken)} broken, {rate:.1f} a second")
+    return totals
+
+
+def keep_shrunk(schedule: Schedule, path: str) -> None:
+    """Shrink a failing schedule and keep it in a file."""
+    shrunk = shrink(schedule, fails)
+    with open(path, "w", encoding="utf-8") as file:
+        json.dump(shrunk.to_json(), file, indent=1)
+    say(f"the first, cut down to {len(shrunk.faults)} troubles, is in {path}:")
+    for fault in shrunk.faults:
+        say(f"  {fault}")
+
+
 def main() -> int:
-    told = options(
+    """Play schedules as the command line says; the exit code is 1 where a promise broke."""
+    arguments = options(
         "Drawn schedules in simulated time.", count=600, seed=1, play="", out="schedule.json", releases=0
     )
-    if told.play:
-        with open(told.play, encoding="utf-8") as file:
-            world, breaches = play(read(json.load(file)))
-        for line in [*world.event_log, *breaches]:
-            say(line)
-        return 1 if breaches else 0
-    began, broken, stuck, happened = time.monotonic(), [], [], 0
-    with multiprocessing.Pool(os.cpu_count()) as pool:
-        played = pool.imap_unordered(
-            partial(look, releases=bool(told.releases)), range(told.seed, told.seed + told.count), chunksize=8
-        )
-        for done, (seed, breaches, left, count) in enumerate(played, 1):
-            happened += count
-            if breaches:
-                broken.append((seed, breaches))
-                say(f"schedule {seed}: {breaches[0]}")
-            if left:
-                stuck.append(seed)
-                say(f"schedule {seed} did not come to an end: {left[0][:160]}")
-            if done % max(1, told.count // 10) == 0:
-                say(f"{done} played, {len(broken)} broken, {done / (time.monotonic() - began):.1f} a second")
-    took = time.monotonic() - began
-    if broken:
-        less = shrink(drawn(broken[0][0], bool(told.releases)), fails)
-        with open(told.out, "w", encoding="utf-8") as file:
-            json.dump(less.told(), file, indent=1)
-        say(f"the first, cut down to {len(less.troubles)} troubles, is in {told.out}:")
-        for trouble in less.troubles:
-            say(f"  {trouble}")
-    keep(
-        told,
-        {
-            "machine": processor(),
-            "played": told.count,
-            "broken": broken,
-            "not_ended": stuck,
-            "seconds": took,
-            "events": happened,
-        },
-    )
-    say(f"{processor()}; {happened / told.count:.0f} events each; {len(stuck)} did not come to an end")
-    say(f"schedules: {told.count} played, {len(broken)} broken, {told.count / took:.1f} a second")
-    return 1 if broken else 0
+    if arguments.play:
+        return replay(arguments.play)
+    started, releases = time.monotonic(), bool(arguments.releases)
+    totals = play_all(range(arguments.seed, arguments.seed + arguments.count), releases)
+    seconds = time.monotonic() - started
+    if totals.broken:
+        keep_shrunk(drawn(totals.broken[0][0], releases), arguments.out)
+    figures = {
+        "machine": processor(),
+        "played": arguments.count,
+        "broken": totals.broken,
+        "not_ended": totals.stuck,
+        "seconds": seconds,
+        "events": totals.events,
+    }
+    keep(arguments, figures)
+    events = totals.events / arguments.count
+    say(f"{processor()}; {events:.0f} events each; {len(totals.stuck)} did not come to an end")
+    rate = arguments.count / seconds
+    say(f"schedules: {arguments.count} played, {len(totals.broken)} broken, {rate:.1f} a second")
+    return 1 if totals.broken else 0
 
 
 if __name__ == "__main__":
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -51,11 +51,11 @@
         self.convergence = ConvergenceCheck(self)
         if plant:
             plant(self)
-        voters = tuple(self.names[: schedule.keepers])
+        voters = tuple(self.names[: schedule.voters])
         self.hosts: dict[str, SimulatedHost] = {}
         for name in self.names:
             self.hosts[name] = SimulatedHost(self, name, instances[name], voters)
-        for fault in schedule.troubles:
+        for fault in schedule.faults:
             self.clock.at(fault.at, self.faults.inject, fault)
 
     def _budget_groups(self, instances: dict[str, tuple[str, ...]]) -> list[BudgetGroup]:
@@ -63,8 +63,8 @@
         sites: dict[str, list[str]] = {}
         for number, name in enumerate(self.names):
             sites.setdefault(f"site s{number % schedule.sites}", []).extend(instances[name])
-        groups = [BudgetGroup(site, schedule.bound, tuple(members)) for site, members in sites.items()]
-        groups.append(BudgetGroup("fleet", schedule.bound * schedule.sites, self.instances))
+        groups = [BudgetGroup(site, schedule.budget, tuple(members)) for site, members in sites.items()]
+        groups.append(BudgetGroup("fleet", schedule.budget * schedule.sites, self.instances))
         return groups
 
     def log_event(self, text: str) -> None:
@@ -84,7 +84,7 @@
     def run(self) -> list[str]:
         """Play the schedule and return the breaches."""
         self.clock.at(SECOND, self.convergence.look)
-        self.clock.run(self.schedule.lasts)
+        self.clock.run(self.schedule.duration)
         return self.audit.end(self.clock.now) + self.rollout_audit.breaches
 
     def stuck(self) -> list[str]:
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -26,10 +26,10 @@
     def inject(self, fault: Fault) -> None:
         """Inject one fault, or have the operators act."""
         simulation = self.simulation
-        simulation.log_event(f"{fault.kind} {fault.who} {fault.to} for {fault.lasts // MS} ms")
+        simulation.log_event(f"{fault.kind} {fault.subject} {fault.other} for {fault.duration // MS} ms")
         names = sorted(simulation.hosts)
-        host = simulation.hosts[names[fault.who % len(names)]]
-        other = names[fault.to % len(names)]
+        host = simulation.hosts[names[fault.subject % len(names)]]
+        other = names[fault.other % len(names)]
         if fault.kind in LINK_FAULTS:
             for source, recipient in self._links(fault, host.name, other):
                 simulation.network.add_fault(source, recipient, fault)
@@ -40,21 +40,21 @@
         """Kill, stop or slow down processes; returns False for faults of other kinds."""
         simulation = self.simulation
         if fault.kind == "kill":
-            simulation.kill(host, fault.lasts)
+            simulation.kill(host, fault.duration)
         elif fault.kind == "kill all":
             for each_host in simulation.hosts.values():
-                simulation.kill(each_host, 200 * MS + int(simulation.random.random() * fault.lasts))
+                simulation.kill(each_host, 200 * MS + int(simulation.random.random() * fault.duration))
         elif fault.kind == "kill in a step":
-            host.replica.crash_at_write = 1 + fault.to % 2
+            host.replica.crash_at_write = 1 + fault.other % 2
         elif fault.kind == "power":
             host.end_processes("power")
-            simulation.kill(host, fault.lasts)
+            simulation.kill(host, fault.duration)
         elif fault.kind == "stop in a step":
-            host.agent.pause_on_permit = fault.lasts
+            host.agent.pause_on_permit = fault.duration
         elif fault.kind == "stop" and host.running and not host.stopped:
-            host.stop(fault.lasts)
+            host.stop(fault.duration)
         elif fault.kind == "clock":
-            host.rate = 1 + (fault.size - 0.5) * CLOCK_ERROR
+            host.rate = 1 + (fault.intensity - 0.5) * CLOCK_ERROR
         elif fault.kind in ("die", "die all of a site"):
             self._end_instances(fault, host)
         else:
@@ -62,7 +62,9 @@
         return True
 
     def _end_instances(self, fault: Fault, host: SimulatedHost) -> None:
-        names = host.instances if fault.kind != "die" else (host.instances[fault.to % len(host.instances)],)
+        names = (
+            host.instances if fault.kind != "die" else (host.instances[fault.other % len(host.instances)],)
+        )
         for name in names:
             if process := host.processes.running.get(name):
                 host.processes.end(name, process, "died", True)
@@ -71,18 +73,18 @@
         """Lose, restore or fill a disk; returns False for faults of other kinds."""
         clock = self.simulation.clock
         if fault.kind == "lose the file" and host.running and self._may_lose_storage(host):
-            if fault.size < 0.5:
+            if fault.intensity < 0.5:
                 host.end_processes("power")
-            self.simulation.kill(host, fault.lasts)
+            self.simulation.kill(host, fault.duration)
             host.lose_files()
         elif fault.kind == "old file" and host.replica.storage is not None:
-            whole_folder = fault.size < WHOLE_FOLDER_SHARE
+            whole_folder = fault.intensity < WHOLE_FOLDER_SHARE
             known_writes = host.replica.known_writes if whole_folder else -1
             backup = host.replica.storage.copy()
-            clock.after(fault.lasts, self._restore_backup, host, backup, known_writes, fault.lasts)
+            clock.after(fault.duration, self._restore_backup, host, backup, known_writes, fault.duration)
         elif fault.kind == "full disk":
             host.disk_full = True
-            clock.after(fault.lasts, setattr, host, "disk_full", False)
+            clock.after(fault.duration, setattr, host, "disk_full", False)
         else:
             return False
         return True
@@ -133,7 +135,9 @@
         names = sorted(self.simulation.hosts)
         if fault.kind == "cut one way":
             outgoing = [(name, recipient) for recipient in names]
-            return outgoing if fault.size < 0.5 else [(recipient, source) for source, recipient in outgoing]
+            return (
+                outgoing if fault.intensity < 0.5 else [(recipient, source) for source, recipient in outgoing]
+            )
         if fault.kind == "part":
             side = {host for host in names if self.simulation.random.random() < 0.5}
             return [
@@ -142,7 +146,7 @@
                 for recipient in names
                 if (source in side) != (recipient in side)
             ]
-        if fault.kind == "cut" and fault.size < 0.5:
+        if fault.kind == "cut" and fault.intensity < 0.5:
             return [(name, other), (other, name)]
         if fault.kind in ("loss", "double", "slow links"):
             return [(source, recipient) for source in names for recipient in names]
--- a/oakkeel/emulator/faults.py
+++ b/oakkeel/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Troubles among keepers and agents as plain data: drawn by a seed, kept in a file, played again."""
+"""Schedules of faults and operators' actions as plain data: drawn by a seed, kept in a file, played again."""
 
 from __future__ import annotations
 
@@ -37,108 +37,113 @@
     ("full disk", "kill in a step", "power"),
     ("die", "die all of a site", "kill all", "part"),
 )
-RELEASE_ACTS = ("pause", "resume", "abort", "undo", "leave", "restart", "drain", "cancel")
-ACTS = ("drain", "drain whole", "restart", "stop it", "start", "start", "halt", "cancel", "cancel", "keepers")
+RELEASE_ACTIONS = ("pause", "resume", "abort", "undo", "leave", "restart", "drain", "cancel")
+ACTIONS = (
+    "drain",
+    "drain whole",
+    "restart",
+    "stop it",
+    "start",
+    "start",
+    "halt",
+    "cancel",
+    "cancel",
+    "keepers",
+)
+DURATIONS = ((40 * MS, 150 * MS, 700 * MS), (150 * MS, 700 * MS, 1500 * MS, 4 * SECOND))
+DEFAULT_DURATION = 22 * SECOND
+# The names of fields in schedule files, where they differ.
+FAULT_KEYS = {"subject": "who", "other": "to", "duration": "lasts", "intensity": "size"}
+SCHEDULE_KEYS = {"voters": "keepers", "budget": "bound", "faults": "troubles", "duration": "lasts"}
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """`who` and `to` are numbers of hosts or things, taken modulo how many there are."""
+    """A fault or an operators' action.
+
+    `subject` and `other` are numbers of hosts or instances, taken modulo how many there are.
+    """
 
-    at: int
+    at: int  # nanoseconds, as all times
     kind: str
-    who: int = 0
-    to: int = 0
-    lasts: int = 0  # nanoseconds
-    size: float = 0.0
+    subject: int = 0
+    other: int = 0
+    duration: int = 0
+    intensity: float = 0.0  # from 0 to 1
 
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """All that is drawn of one play."""
+    """All that is drawn of one simulation."""
 
     seed: int
-    keepers: int
+    voters: int
     hosts: int
     instances: int  # a host
     sites: int
-    bound: int  # a site
-    troubles: tuple[Fault, ...]
-    lasts: int = 22 * SECOND
+    budget: int  # the most that may be out of a site
+    faults: tuple[Fault, ...]
+    duration: int = DEFAULT_DURATION
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the content of a schedule file."""
+        content = _renamed(asdict(self), SCHEDULE_KEYS)
+        content["troubles"] = tuple(_renamed(fault, FAULT_KEYS) for fault in content["troubles"])
+        return content
+
 
-    def told(self) -> dict[str, Any]:
-        return asdict(self)
+def schedule_from_json(content: dict[str, Any]) -> Schedule:
+    """Return the schedule that a file holds."""
+    fields = _renamed(content, {key: name for name, key in SCHEDULE_KEYS.items()})
+    fault_names = {key: name for name, key in FAULT_KEYS.items()}
+    fields["faults"] = tuple(Fault(**_renamed(fault, fault_names)) for fault in fields["faults"])
+    return Schedule(**fields)
 
 
-def read(told: dict[str, Any]) -> Schedule:
-    """The other way of `Schedule.told`."""
-    return Schedule(**{**told, "troubles": tuple(Fault(**each) for each in told["troubles"])})
+def _renamed(values: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
+    return {names.get(name, name): value for name, value in values.items()}
 
 
 def draw(
-    seed: int, faults: int = 9, acts: int = 8, lasts: int = 22 * SECOND, releases: bool = False
+    seed: int,
+    max_faults: int = 9,
+    max_actions: int = 8,
+    duration: int = DEFAULT_DURATION,
+    releases: bool = False,
 ) -> Schedule:
-    """A schedule of so many troubles and orders; the second half of the time is free of them. `releases`: of
-    one or two of them under way."""
+    """Draw a schedule of faults and actions; the second half of the time is free of them.
+
+    With `releases` one or two releases are started as well.
+    """
     random = Random(seed)
-    keepers = random.choice((3, 3, 5))
-    hosts = keepers + random.randrange(2)
-    found = []
+    voters = random.choice((3, 3, 5))
+    hosts = voters + random.randrange(2)
+    faults: list[Fault] = []
     kinds = random.choice(THEMES) if random.random() < 0.5 else KINDS
-    waits = random.choice(((40 * MS, 150 * MS, 700 * MS), (150 * MS, 700 * MS, 1500 * MS, 4 * SECOND)))
-    for _ in range(random.randint(1, faults)):
-        found.append(
-            Fault(
-                random.randrange(2 * SECOND, lasts // 2),
-                random.choice(kinds),
-                random.randrange(100),
-                random.randrange(100),
-                random.choice(waits),
-                random.random(),
-            )
-        )
-    for _ in range(random.randint(2, acts)):
-        found.append(
-            Fault(
-                random.randrange(2 * SECOND, lasts // 2),
-                random.choice(ACTS),
-                random.randrange(100),
-                random.randrange(100),
-                0,
-                random.random(),
-            )
-        )
+    durations = random.choice(DURATIONS)
+    for _ in range(random.randint(1, max_faults)):
+        faults.append(_draw_fault(random, (2 * SECOND, duration // 2), kinds, durations))
+    for _ in range(random.randint(2, max_actions)):
+        faults.append(_draw_fault(random, (2 * SECOND, duration // 2), ACTIONS))
     if releases:
         for _ in range(random.randint(1, 2)):
-            found.append(
-                Fault(
-                    random.randrange(SECOND, lasts // 3),
-                    "release",
-                    random.randrange(100),
-                    random.randrange(100),
-                    0,
-                    random.random(),
-                )
-            )
+            faults.append(_draw_fault(random, (SECOND, duration // 3), "release"))
         for _ in range(random.randint(0, 3)):
-            found.append(
-                Fault(
-                    random.randrange(2 * SECOND, lasts // 2),
-                    random.choice(RELEASE_ACTS),
-                    random.randrange(100),
-                    random.randrange(100),
-                    0,
-                    random.random(),
-                )
-            )
-    found.sort(key=lambda each: each.at)
-    return Schedule(
-        seed,
-        keepers,
-        hosts,
-        random.randint(1, 2),
-        random.randint(1, 2),
-        random.randint(1, 2),
-        tuple(found),
-        lasts,
+            faults.append(_draw_fault(random, (2 * SECOND, duration // 2), RELEASE_ACTIONS))
+    faults.sort(key=lambda fault: fault.at)
+    instances, sites, budget = random.randint(1, 2), random.randint(1, 2), random.randint(1, 2)
+    return Schedule(seed, voters, hosts, instances, sites, budget, tuple(faults), duration)
+
+
+def _draw_fault(
+    random: Random, period: tuple[int, int], kinds: tuple[str, ...] | str, durations: tuple[int, ...] = ()
+) -> Fault:
+    """Draw one fault; the order of the draws is part of what a seed means."""
+    return Fault(
+        random.randrange(*period),
+        kinds if isinstance(kinds, str) else random.choice(kinds),
+        random.randrange(100),
+        random.randrange(100),
+        random.choice(durations) if durations else 0,
+        random.random(),
     )
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -86,7 +86,7 @@
         if action.kind in ("drain", "drain whole", "restart", "stop it"):
             self._submit_order(action)
         elif action.kind in ("halt", "cancel") and self.orders:
-            ident = self.orders[action.who % len(self.orders)]
+            ident = self.orders[action.subject % len(self.orders)]
             kind = commands.HaltOrder if action.kind == "halt" else commands.CancelOrder
             self.submit(kind(ident, "ravi"), ident)
         elif action.kind == "release":
@@ -102,13 +102,13 @@
 
     def _instance(self, action: Fault) -> str:
         instances = self.simulation.instances
-        return instances[action.who % len(instances)]
+        return instances[action.subject % len(instances)]
 
     def _submit_order(self, action: Fault) -> None:
         simulation = self.simulation
         ident = f"o{len(self.orders)}"
         self.orders.append(ident)
-        others = [name for name in simulation.instances if simulation.random.random() < action.size]
+        others = [name for name in simulation.instances if simulation.random.random() < action.intensity]
         wanted = {self._instance(action), *others}
         targets = [
             (instance.name, instance.generation)
@@ -123,22 +123,24 @@
     def _start_release(self, action: Fault) -> None:
         simulation = self.simulation
         ident = f"r{action.at}"
-        version = ("good", "good", "worse", "crash")[action.to % 4]
-        chosen = [name for name in simulation.instances if simulation.random.random() < 0.3 + action.size]
+        version = ("good", "good", "worse", "crash")[action.other % 4]
+        chosen = [
+            name for name in simulation.instances if simulation.random.random() < 0.3 + action.intensity
+        ]
         policy = RolloutPolicy(
             soak=200 * MS,
             patience=10 * SECOND,
             lasts=4 * SECOND,
-            control=action.who % 2 == 0,
-            back=action.to % 3 == 0,
+            control=action.subject % 2 == 0,
+            back=action.other % 3 == 0,
         )
-        specification = VersionSpec(f"{version} {ident}", "bad" if action.to % 16 == 0 else "here")
+        specification = VersionSpec(f"{version} {ident}", "bad" if action.other % 16 == 0 else "here")
         targets = chosen or [self._instance(action)]
         self.submit(releases.StartRelease(ident, "asha", 0, specification, policy, targets), ident)
 
     def _change_voters(self, action: Fault) -> None:
         simulation = self.simulation
-        count = min(len(simulation.hosts), 3 + 2 * (action.to % 2))
+        count = min(len(simulation.hosts), 3 + 2 * (action.other % 2))
         names = simulation.random.sample(sorted(simulation.hosts), count)
         self.submit(commands.SetVoters(names, "asha"), "keepers")
 
--- a/oakkeel/emulator/schedule_shrinking.py
+++ b/oakkeel/emulator/schedule_shrinking.py
@@ -11,9 +11,9 @@
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
     """Leave out faults without which it still fails, one after the other, until none can be left out."""
     while True:
-        for index in range(len(schedule.troubles)):
-            rest = schedule.troubles[:index] + schedule.troubles[index + 1 :]
-            shorter = replace(schedule, troubles=rest)
+        for index in range(len(schedule.faults)):
+            rest = schedule.faults[:index] + schedule.faults[index + 1 :]
+            shorter = replace(schedule, faults=rest)
             if fails(shorter):
                 schedule = shorter
                 break
--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -36,7 +36,9 @@
 
     def _active_faults(self, source: str, recipient: str) -> list[Fault]:
         now = self.simulation.clock.now
-        return [fault for fault in self.faults.get((source, recipient), ()) if now < fault.at + fault.lasts]
+        return [
+            fault for fault in self.faults.get((source, recipient), ()) if now < fault.at + fault.duration
+        ]
 
     def _deliver(self, source: str, recipient: str, action: Callable[..., None], *arguments: object) -> None:
         clock, random = self.simulation.clock, self.simulation.random
@@ -47,10 +49,10 @@
         for fault in self._active_faults(source, recipient):
             if fault.kind in ("cut", "cut one way", "part"):
                 return
-            if fault.kind == "loss" and random.random() < 0.2 + 0.6 * fault.size:
+            if fault.kind == "loss" and random.random() < 0.2 + 0.6 * fault.intensity:
                 return
             if fault.kind == "slow links":
-                delay += int(random.random() * fault.size * 2 * SECOND)
+                delay += int(random.random() * fault.intensity * 2 * SECOND)
             if fault.kind == "double":
                 copies = 2
         for _ in range(copies):
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -10,35 +10,11 @@
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.topology import UnavailableTargets
 from oakkeel.emulator.consensus import play
-from oakkeel.emulator.faults import SECOND, Fault, Schedule, draw, read
+from oakkeel.emulator.faults import SECOND, Fault, Schedule, draw, schedule_from_json
 from oakkeel.emulator.schedule_shrinking import shrink
 from oakkeel.invariants.consensus import ConsensusAudit
 
 
-class Notes:
-    """A machine that writes down what was agreed."""
-
-    def __init__(self) -> None:
-        self.lines: list[bytes] = []
-        self.wanted: tuple[str, ...] = ()
-
-    def apply(self, index: int, content: bytes) -> object:
-        self.lines.append(content)
-        if content.startswith(b"keepers "):
-            self.wanted = tuple(content.decode().split()[1:])
-        return index
-
-    def snapshot(self) -> bytes:
-        return b"\n".join([" ".join(self.wanted).encode(), *self.lines])
-
-    def restore(self, content: bytes) -> None:
-        first, *self.lines = content.split(b"\n") if content else [b""]
-        self.wanted = tuple(first.decode().split())
-
-    def desired_voters(self) -> tuple[str, ...]:
-        return self.wanted
-
-
 class ScheduleStories(unittest.TestCase):
     """Whole fleets in simulated time. `make measure-schedules` plays many more."""
 
@@ -50,7 +26,7 @@
 
     def test_the_same_schedule_plays_the_same_again_also_from_a_file_and_in_another_process(self):
         schedule = draw(3)
-        first, second = play(schedule)[0], play(read(schedule.told()))[0]
+        first, second = play(schedule)[0], play(schedule_from_json(schedule.to_json()))[0]
         self.assertEqual((first.clock.happened, first.event_log), (second.clock.happened, second.event_log))
         code = (
             "from oakkeel.emulator.consensus import play; from oakkeel.emulator.faults import draw\n"
@@ -77,10 +53,10 @@
             schedule = next(each for each in map(draw, range(20)) if fails(each))
             less = shrink(schedule, fails)
             self.assertTrue(fails(less))
-            self.assertLess(len(less.troubles), len(schedule.troubles))
-            for index in range(len(less.troubles)):  # nothing of it can be left out
-                rest = less.troubles[:index] + less.troubles[index + 1 :]
-                self.assertFalse(fails(dataclasses.replace(less, troubles=rest)))
+            self.assertLess(len(less.faults), len(schedule.faults))
+            for index in range(len(less.faults)):  # nothing of it can be left out
+                rest = less.faults[:index] + less.faults[index + 1 :]
+                self.assertFalse(fails(dataclasses.replace(less, faults=rest)))
         self.assertEqual(play(less)[1], [])
 
     def test_an_agent_that_would_go_by_a_place_whose_time_is_over_is_caught(self):
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -27,7 +27,7 @@
         found: list[str] = []
         for seed in range(2000, 2030):
             try:
-                found += play(draw(seed, releases=True, lasts=30 * SECOND), plant)[1]
+                found += play(draw(seed, releases=True, duration=30 * SECOND), plant)[1]
             except RuntimeError as error:
                 found.append(str(error))
             if found:
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -59,5 +59,5 @@
 
     def test_drawn_schedules_break_no_promise_and_come_to_an_end(self):
         for seed in range(2000, 2040):
-            world, breaches = play(draw(seed, releases=True, lasts=40 * SECOND))
+            world, breaches = play(draw(seed, releases=True, duration=40 * SECOND))
             self.assertEqual((breaches, world.stuck()), ([], []), seed)
