--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -24,7 +24,7 @@
 from oakkeel.authentication.mac import Key
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption import commands
-from oakkeel.disruption.state_machine import Order as Agreed
+from oakkeel.disruption.state_machine import DisruptionOrder as Agreed
 from oakkeel.disruption.state_machine import Rejection
 from oakkeel.log import EventLog
 from oakkeel.raft.proposals import NotLeaderError
@@ -116,7 +116,9 @@
             return messages.ErrorResponse("no such instance here, or it does not run")
         client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
         try:
-            return messages.InstanceClients(instance.name, await client.clients_status(wish.limit, ANSWER / SECOND))
+            return messages.InstanceClients(
+                instance.name, await client.clients_status(wish.limit, ANSWER / SECOND)
+            )
         except ControlError as error:
             return messages.ErrorResponse(str(error))
         finally:
@@ -169,7 +171,7 @@
         except CommitUnknownError as error:
             return messages.NotLeaderResponse("", f"not decided: {error}; send it again with the same id")
         if isinstance(result, Rejection):
-            return messages.ErrorResponse(result.why)
+            return messages.ErrorResponse(result.reason)
         if isinstance(result, Release):
             self.agent.log.info(
                 "release_command_committed",
@@ -181,7 +183,7 @@
         assert isinstance(result, Agreed)
         self.agent.log.info(
             "order_command_committed",
-            order=result.ident,
+            order=result.id,
             operator=key.operator,
             command=wish.__struct_config__.tag,
         )
@@ -197,7 +199,7 @@
             return messages.ErrorResponse("three or five keepers are asked for, or one for a trial")
         result = await raft.propose(commands.SetVoters(wish.hosts, key.operator))
         if isinstance(result, Rejection):
-            return messages.ErrorResponse(result.why)
+            return messages.ErrorResponse(result.reason)
         return raft_status(time.monotonic_ns(), self.agent.host.name, raft, self.agent.status_reporter)
 
 
