--- a/oakkeel/admission/client_returns.py
+++ b/oakkeel/admission/client_returns.py
@@ -3,28 +3,28 @@
 from __future__ import annotations
 
 from oakkeel.admission.sliding_window import SlidingWindow
-from oakkeel.resource_limits import MS, SECOND
+from oakkeel.resource_limits import SECOND
 
-GAP_STEP, GAP_STEPS = 64 * MS, 9  # times between, by doubled steps
-CLIENTS_MOST = 512  # remembered, those last seen
+WINDOW_STEP = 2 * SECOND
 
 
 class ClientReturns:
     """Times between two requests of one client, over the last seconds."""
 
-    __slots__ = ("gaps", "last_seen")
+    __slots__ = ("gap_step", "gap_steps", "gaps", "last_seen", "max_clients")
 
-    def __init__(self) -> None:
-        """Start with no client seen."""
+    def __init__(self, gap_step: int, gap_steps: int, max_clients: int) -> None:
+        """Start with no client seen; gaps are told apart by doubled steps, from `gap_step` nanoseconds on."""
+        self.gap_step, self.gap_steps, self.max_clients = gap_step, gap_steps, max_clients
         self.last_seen: dict[int, int] = {}  # the latest last
-        self.gaps = [SlidingWindow(2 * SECOND) for _ in range(GAP_STEPS + 1)]
+        self.gaps = [SlidingWindow(WINDOW_STEP) for _ in range(gap_steps + 1)]
 
     def seen(self, now: int, client: int) -> None:
         """Count the time since a client was last seen."""
-        gap = now - self.last_seen.pop(client, -(GAP_STEP << GAP_STEPS))
+        gap = now - self.last_seen.pop(client, -(self.gap_step << self.gap_steps))
         self.last_seen[client] = now
-        self.gaps[min(GAP_STEPS, (gap // GAP_STEP).bit_length())].add(now, gap)
-        if len(self.last_seen) > CLIENTS_MOST:
+        self.gaps[min(self.gap_steps, (gap // self.gap_step).bit_length())].add(now, gap)
+        if len(self.last_seen) > self.max_clients:
             del self.last_seen[next(iter(self.last_seen))]
 
     def totals(self, now: int) -> list[tuple[float, int]]:
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -8,11 +8,10 @@
 from heapq import heappop, heappush
 from itertools import count
 
+from oakkeel.admission import load_report
 from oakkeel.admission.client_returns import ClientReturns
-from oakkeel.admission.lifecycle import CALL_WAIT, RequestLifecycle
-from oakkeel.admission.load_report import SAVED, LoadReport, crowded_idle_time, idle_time
+from oakkeel.admission.lifecycle import CALL_WAIT, TIMER_STEP, RequestLifecycle
 from oakkeel.admission.overload import RUN, Stage
-from oakkeel.admission.request_timers import TIMER_STEP
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.admission.types import Gauges, Host, Idempotency, NodeLimits, Outcome, Request
 from oakkeel.admission.types import RequestState as State
@@ -35,7 +34,8 @@
     def __init__(self, host: Host, limits: NodeLimits, seed: int, now: int) -> None:
         """Report the node as healthy and start the poll."""
         super().__init__(host, limits, seed, now)
-        self.load_report, self.returns = LoadReport(limits), ClientReturns()
+        self.load_report = load_report.LoadReport(limits)
+        self.returns = ClientReturns(load_report.GAP_STEP, load_report.GAP_STEPS, load_report.CLIENTS_MOST)
         self.queue: list[tuple[float, int, Request]] = []
         self.order = count()
         self.unread, self.retries = SlidingWindow(), SlidingWindow()  # over the objective; of arrivals
@@ -143,11 +143,8 @@
                 continue
             on_cores = occupancy.on_cores()
             more = request.memory_kb * (limits.running_memory_factor - 1)
-            if (
-                on_cores + 0.5 > runs
-                or on_cores + occupancy.count[State.CALLING] + 1 > most
-                or occupancy.memory_kb + more > limits.memory_kb * MEMORY_ROOM
-            ):
+            busy = on_cores + 0.5 > runs or on_cores + occupancy.count[State.CALLING] + 1 > most
+            if busy or occupancy.memory_kb + more > limits.memory_kb * MEMORY_ROOM:
                 break
             heappop(self.queue)
             service_time = self.ranking.service_times[request.request_class.index]
@@ -219,9 +216,10 @@
         # One that reads too late can't even reject in time: only clients that leave it out help.
         self.fit = not self.stop_at and self.unread.mean(now, 0.0) < (UNFIT if self.fit else UNFIT / 2)
         self.host.set_health(self.fit, True)
-        keep = idle_time(self.returns.totals(now), SAVED[self.overload.highest() >= Stage.REAP])
+        reap = self.overload.highest() >= Stage.REAP
+        keep = load_report.idle_time(self.returns.totals(now), load_report.SAVED[reap])
         reading = self.capacity.readings.mean(now, 0.0)
-        crowded = crowded_idle_time(gauges.connections, reading, self.limits.cores)
+        crowded = load_report.crowded_idle_time(gauges.connections, reading, self.limits.cores)
         self.host.close_idle(min(self.limits.idle_timeout, max(keep, crowded)))
         self.host.set_timer(POLL_TOKEN, now + POLL)
 
--- a/oakkeel/admission/lifecycle.py
+++ b/oakkeel/admission/lifecycle.py
@@ -9,7 +9,7 @@
 from oakkeel.admission.occupancy import Occupancy
 from oakkeel.admission.overload import Capacity, OverloadStages, Stage
 from oakkeel.admission.ranking import Ranking
-from oakkeel.admission.request_timers import TIMER_STEP, RequestTimers
+from oakkeel.admission.request_timers import RequestTimers
 from oakkeel.admission.types import Host, NodeLimits, Outcome, Request, StopKind
 from oakkeel.admission.types import RequestState as State
 from oakkeel.resource_limits import MS
@@ -18,6 +18,7 @@
 RETRY_PEERS = 8  # nodes of a fleet from which on all of it is told
 CALL_WAIT = 0.15  # of the latency objective: room for a call that may be skipped
 CALL_TRIES = 3  # tries of one call
+TIMER_STEP = 16 * MS  # timers are gathered in steps of this
 
 
 class RequestLifecycle:
@@ -31,7 +32,7 @@
         self.overload, self.ranking = OverloadStages(limits.cores), Ranking(limits)
         self.calls = DownstreamCalls(limits)
         self.awaiting_calls: deque[Request] = deque()  # whose call can't be placed yet
-        self.timers = RequestTimers(host)
+        self.timers = RequestTimers(host, TIMER_STEP)
         self.stop_at = self.grace_end = 0  # set by the notice to drain
         self.fair_sharing = None
         if limits.fair_sharing:
--- a/oakkeel/admission/load_report.py
+++ b/oakkeel/admission/load_report.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from oakkeel.admission.client_returns import GAP_STEP, GAP_STEPS
 from oakkeel.admission.overload import DEPTH
 from oakkeel.admission.types import LoadReportKind, NodeLimits
 from oakkeel.resource_limits import MS, SECOND
@@ -12,6 +11,8 @@
 NEW_CROWD, NEW_RATE = 1.5, 8  # new connections a second and core, while more are read
 SAVED = (20 * SECOND, 4 * SECOND)  # idle time that saves a new connection, below REAP and from it on
 IDLE_LEAST = 10 * MS
+GAP_STEP, GAP_STEPS = 64 * MS, 9  # times between two requests of a client, by doubled steps
+CLIENTS_MOST = 512  # whose times between are measured, those last seen
 
 
 class LoadReport:
--- a/oakkeel/admission/request_timers.py
+++ b/oakkeel/admission/request_timers.py
@@ -3,28 +3,25 @@
 from __future__ import annotations
 
 from oakkeel.admission.types import Host, Request
-from oakkeel.resource_limits import MS
-
-TIMER_STEP = 16 * MS
 
 
 class RequestTimers:
     """Wakes requests at a time; one timer of the host serves all requests of a step."""
 
-    __slots__ = ("host", "steps")
+    __slots__ = ("host", "step", "steps")
 
-    def __init__(self, host: Host) -> None:
-        """Start with no timer."""
-        self.host = host
+    def __init__(self, host: Host, step: int) -> None:
+        """Start with no timer; timers are gathered in steps of so many nanoseconds."""
+        self.host, self.step = host, step
         self.steps: dict[int, list[Request]] = {}
 
     def set(self, now: int, request: Request, at: int) -> None:
         """Look at the request again at a time, or as soon after it as the next step is."""
-        step = max(at // TIMER_STEP, now // TIMER_STEP + 1)
-        if step not in self.steps:
-            self.steps[step] = []
-            self.host.set_timer(step, step * TIMER_STEP)
-        self.steps[step].append(request)
+        number = max(at // self.step, now // self.step + 1)
+        if number not in self.steps:
+            self.steps[number] = []
+            self.host.set_timer(number, number * self.step)
+        self.steps[number].append(request)
 
     def expired(self, token: int) -> list[Request]:
         """Take the requests whose timer this is."""
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -3,7 +3,7 @@
 import unittest
 
 from oakkeel.admission import MS, SECOND
-from oakkeel.admission.client_returns import CLIENTS_MOST
+from oakkeel.admission.load_report import CLIENTS_MOST
 from oakkeel.admission.overload import Stage, next_stage
 from oakkeel.admission.types import (
     DownstreamKind,
