--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -238,7 +238,7 @@
         "taken": len(play.taken),
         "lost": lost,
         "doubled": doubled,
-        "breaches": judge.end(0),
+        "breaches": judge.finish(0),
         "most_out": judge.most_out["fleet"],
         "bound": FLEET,
         "worst_gap_s": max((lasts for _, lasts in play.gaps), default=0.0),
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -64,19 +64,19 @@
         self.left_at: dict[str, int] = {}
         self.lasted: dict[str, int] = {}
         self.out = self.most = 0
-        left, serves = world.audit.left, world.audit.serves
+        left, serves = world.audit.drain_started, world.audit.serving
 
-        def on_left(now: int, thing: str, fence: int, ident: str = "") -> None:
-            left(now, thing, fence, ident)
-            self.left_at.setdefault(thing, now)
+        def on_left(now: int, target: str, fence: int, ident: str = "") -> None:
+            left(now, target, fence, ident)
+            self.left_at.setdefault(target, now)
             self.most = max(self.most, len(self.left_at) - len(self.lasted))
 
-        def on_serves(now: int, thing: str) -> None:
-            serves(now, thing)
-            if thing in self.left_at:
-                self.lasted.setdefault(thing, now - self.left_at[thing])
+        def on_serves(now: int, target: str) -> None:
+            serves(now, target)
+            if target in self.left_at:
+                self.lasted.setdefault(target, now - self.left_at[target])
 
-        world.audit.left, world.audit.serves = on_left, on_serves  # type: ignore[method-assign]
+        world.audit.drain_started, world.audit.serving = on_left, on_serves  # type: ignore[method-assign]
 
 
 def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -85,7 +85,7 @@
         """Play the schedule and return the breaches."""
         self.clock.at(SECOND, self.convergence.look)
         self.clock.run(self.schedule.duration)
-        return self.audit.end(self.clock.now) + self.rollout_audit.breaches
+        return self.audit.finish(self.clock.now) + self.rollout_audit.breaches
 
     def stuck(self) -> list[str]:
         """Return what has not come to an end."""
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -79,7 +79,7 @@
         if isinstance(command, releases.StartRelease):
             self.releases.append(ident)
         if isinstance(command, commands.SubmitOrder):
-            self.simulation.audit.answered(ident, getattr(result, "index", proposal.index))
+            self.simulation.audit.order_acknowledged(ident, getattr(result, "index", proposal.index))
 
     def act(self, action: Fault) -> None:
         """Carry out an action of the schedule."""
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -77,7 +77,7 @@
     def _start(self, step: Step) -> None:
         host, simulation = self.host, self.host.simulation
         name, now, generation = step.instance.name, simulation.clock.now, step.instance.born
-        simulation.audit.started(now, name, generation)
+        simulation.audit.generation_started(now, name, generation)
         version = host.agent.reconciler.fitting.version(name)
         simulation.rollout_audit.started(now, name, version)
         process = Process(generation, now + host.random.randrange(100 * MS, 600 * MS), version)
@@ -94,16 +94,16 @@
         permit = host.agent.permit_holder.permits.get(name)
         if step.instance.goal is Goal.DOWN or step.instance.part is not None:
             fence = permit.fencing_token if permit and permit.started else -1
-            simulation.audit.left(now, name, fence, permit.order_id if permit else "")
+            simulation.audit.drain_started(now, name, fence, permit.order_id if permit else "")
         else:
-            simulation.audit.gone(now, name)
+            simulation.audit.out_by_itself(now, name)
         process.exits_at = now + host.random.randrange(100 * MS, 1500 * MS)
         simulation.clock.at(process.exits_at, self.end, name, process, "left")
 
     def _serves(self, name: str, process: Process) -> None:
         if self.running.get(name) is process and not process.exits_at:
             simulation = self.host.simulation
-            simulation.audit.serves(simulation.clock.now, name)
+            simulation.audit.serving(simulation.clock.now, name)
 
     def end(self, name: str, process: Process, reason: str, certain: bool = False) -> None:
         """End a process. One that is not certain to end goes on where its drain was cancelled."""
@@ -113,7 +113,7 @@
         if not certain and not (process.exits_at and simulation.clock.now >= process.exits_at):
             return
         del self.running[name]
-        simulation.audit.gone(simulation.clock.now, name)
+        simulation.audit.out_by_itself(simulation.clock.now, name)
         self._exited(name, reason, self.host.restarts)
 
     def _exited(self, name: str, reason: str, restarts: int) -> None:
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -77,7 +77,7 @@
         simulation = self.host.simulation
         audit, now = simulation.audit, simulation.clock.now
         content = commands.encode(command)
-        audit.applied(now, self.host.name, index, content)
+        audit.command_applied(now, self.host.name, index, content)
         if not isinstance(result, Rejection):
             simulation.rollout_audit.taken(now, self.host.name, content)
         if self.control_plane and isinstance(
@@ -88,7 +88,7 @@
                 if order.halted_by and all(
                     part.state not in ("waiting", "granted") for part in order.tasks.values()
                 ):
-                    audit.halt_holds(order.id)
+                    audit.order_halted(order.id)
 
     def start_timer(self, restarts: int) -> None:
         """Tick for the first time."""
@@ -130,7 +130,7 @@
                     complete(proposal)
         replica = self.control_plane and self.control_plane.replica
         if replica and replica.role is Role.LEADER:
-            simulation.audit.led(simulation.clock.now, replica.term, replica.incarnation)
+            simulation.audit.leader_observed(simulation.clock.now, replica.term, replica.incarnation)
         if replica and replica.role is Role.STALE:
             self.storage = None
             self.start()
--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -1,18 +1,19 @@
-"""Whether the promises of the record and of places hold, by what was seen of keepers, agents and processes.
+"""Audit of the promises of consensus and of disruption permits, by what replicas, agents and processes do.
 
 The promises, each in a sentence:
 
-1. No two keepers ever lead in one term.
-2. What one keeper takes for agreed at an index, every other takes for agreed there, and it never changes.
-3. An order that was answered as taken is in the record at the index that was told.
-4. No more things of a group are taken out at one time than its bound, and one that serves is taken out only
-   while those that had been away by themselves for long enough to be known count as well.
-5. Nothing is taken out without a place that the record granted, and no process is told to leave under an
-   older fence than one before it.
+1. No two replicas ever lead in one term.
+2. What one replica takes for committed at an index, every other takes for committed there, and it never
+   changes.
+3. An order that was acknowledged is in the log at the index that was named.
+4. No more targets of a group are taken out at one time than its bound, and one that serves is taken out only
+   while those that had been out by themselves for long enough to be known count as well.
+5. Nothing is taken out without a permit that was granted by a committed command, and no process is drained
+   under an older fence than one before it.
 6. No generation of an instance is ever used twice.
-7. Once nothing of a halted order waits for a place or has one that is not used, nothing leaves by it.
+7. Once nothing of a halted order waits for a permit or has one that is not used, nothing is drained by it.
 
-It is told what happened with the true time, and knows nothing of why.
+The audit is given what happened with the true time, and knows nothing of why.
 """
 
 from __future__ import annotations
@@ -25,96 +26,116 @@
 
 
 class ConsensusAudit:
-    def __init__(self, groups: dict[str, tuple[int, list[str]]], known_after: int, most: int = 100) -> None:
-        """`groups`: bound and things by name; `known_after`: nanoseconds after which one that is away by
-        itself must be counted by whoever uses a place."""
-        self.groups, self.known_after, self.most = groups, known_after, most
+    """Checks the promises as things happen. All times are nanoseconds of one clock."""
+
+    def __init__(
+        self, groups: dict[str, tuple[int, list[str]]], known_after: int, max_breaches: int = 100
+    ) -> None:
+        """`groups` gives the bound and targets by name.
+
+        `known_after` is the time after which a target that is out by itself must be counted by whoever uses a
+        permit.
+        """
+        self.groups, self.known_after, self.max_breaches = groups, known_after, max_breaches
         self.breaches: list[str] = []
-        self.leaders: dict[int, str] = {}
-        self.agreed: dict[int, bytes] = {}
-        self.promised: list[tuple[str, int]] = []
-        self.taken: dict[str, int] = {}  # by thing that an order has taken out: fence
-        self.away: dict[str, int] = {}  # by thing that is away by itself: since when
-        self.fences: dict[str, int] = {}
+        self.leaders: dict[int, str] = {}  # by term
+        self.committed: dict[int, bytes] = {}  # by index
+        self.acknowledged_orders: list[tuple[str, int]] = []
+        self.taken_out: dict[str, int] = {}  # by target that an order has taken out: fence
+        self.out_since: dict[str, int] = {}  # by target that is out by itself
+        self.fences: dict[str, int] = {}  # the latest by target
         self.generations: dict[str, int] = {}
-        self.halted: set[str] = set()
-        self.granted: dict[str, set[int]] = {}  # fences by thing, as the record has them
+        self.halted_orders: set[str] = set()
+        self.granted: dict[str, set[int]] = {}  # fences by target, as committed
         self.most_out: dict[str, int] = dict.fromkeys(groups, 0)
 
-    def led(self, now: int, term: int, who: str) -> None:
-        other = self.leaders.setdefault(term, who)
-        if other != who:
-            self._breach(now, f"1: {other} and {who} both lead in term {term}")
+    def leader_observed(self, now: int, term: int, replica: str) -> None:
+        """Take note that a replica leads in a term."""
+        other = self.leaders.setdefault(term, replica)
+        if other != replica:
+            self._breach(now, f"1: {other} and {replica} both lead in term {term}")
 
-    def applied(self, now: int, who: str, index: int, content: bytes) -> None:
-        known = self.agreed.setdefault(index, content)
+    def command_applied(self, now: int, replica: str, index: int, content: bytes) -> None:
+        """Take note that a replica has applied a committed command."""
+        known = self.committed.setdefault(index, content)
         if known != content:
-            self._breach(now, f"2: {who} takes another command for agreed at {index}")
-        told: Any = msgspec.msgpack.decode(content)
-        if told[0] == "grant":
-            for thing in told[2]:
-                self.granted.setdefault(thing, set()).add(index)
-
-    def answered(self, ident: str, index: int) -> None:
-        self.promised.append((ident, index))
-
-    def halt_holds(self, ident: str) -> None:
-        """By what is agreed, nothing can leave by that order any more."""
-        self.halted.add(ident)
-
-    def left(self, now: int, thing: str, fence: int, ident: str = "") -> None:
-        """A process is told to leave by an order."""
-        if ident in self.halted and self.fences.get(thing) != fence:
-            self._breach(now, f"7: {thing} leaves by {ident}, which is halted")
-        if fence not in self.granted.get(thing, ()):
-            self._breach(now, f"5: {thing} leaves under {fence}, which the record never granted to it")
-        if fence < self.fences.get(thing, 0):
-            self._breach(now, f"5: {thing} leaves under {fence} after {self.fences[thing]}")
-        first = thing not in self.taken
-        self.fences[thing] = self.taken[thing] = fence
-        served = self.away.pop(thing, None) is None
-        if not first:
-            return
-        for name, (bound, things) in self.groups.items():
-            if thing not in things:
-                continue
-            taken = [each for each in things if each in self.taken]
-            known = [
-                each
-                for each in things
-                if each not in self.taken and now - self.away.get(each, now) > self.known_after
-            ]
-            self.most_out[name] = max(self.most_out[name], len(taken))
-            if len(taken) > bound:
-                self._breach(now, f"4: {name}: {', '.join(taken)} are taken out, bound {bound}")
-            elif served and len(taken) + len(known) > bound:
-                self._breach(
-                    now,
-                    f"4: {name}: {', '.join(taken)} are taken out while {', '.join(known)} are"
-                    f" known to be away, bound {bound}",
-                )
-
-    def serves(self, now: int, thing: str) -> None:
-        self.taken.pop(thing, None)
-        self.away.pop(thing, None)
-
-    def gone(self, now: int, thing: str) -> None:
-        """It does not serve, by itself."""
-        if thing not in self.taken:
-            self.away.setdefault(thing, now)
-
-    def started(self, now: int, thing: str, generation: int) -> None:
-        if generation <= self.generations.get(thing, 0):
-            self._breach(now, f"6: {thing} starts as generation {generation} after {self.generations[thing]}")
-        self.generations[thing] = max(generation, self.generations.get(thing, 0))
-
-    def end(self, now: int) -> list[str]:
-        for ident, index in self.promised:
-            content = self.agreed.get(index)
+            self._breach(now, f"2: {replica} takes another command for agreed at {index}")
+        command: Any = msgspec.msgpack.decode(content)
+        if command[0] == "grant":
+            for target in command[2]:
+                self.permit_granted(target, index)
+
+    def permit_granted(self, target: str, fence: int) -> None:
+        """Take note that a permit for a target was committed."""
+        self.granted.setdefault(target, set()).add(fence)
+
+    def order_acknowledged(self, ident: str, index: int) -> None:
+        """Take note that an operator was told of an order's index."""
+        self.acknowledged_orders.append((ident, index))
+
+    def order_halted(self, ident: str) -> None:
+        """Take note that by what is committed nothing can be drained by an order any more."""
+        self.halted_orders.add(ident)
+
+    def drain_started(self, now: int, target: str, fence: int, ident: str = "") -> None:
+        """Take note that a process is drained by an order."""
+        if ident in self.halted_orders and self.fences.get(target) != fence:
+            self._breach(now, f"7: {target} leaves by {ident}, which is halted")
+        if fence not in self.granted.get(target, ()):
+            self._breach(now, f"5: {target} leaves under {fence}, which the record never granted to it")
+        if fence < self.fences.get(target, 0):
+            self._breach(now, f"5: {target} leaves under {fence} after {self.fences[target]}")
+        first = target not in self.taken_out
+        self.fences[target] = self.taken_out[target] = fence
+        served = self.out_since.pop(target, None) is None
+        if first:
+            for name, (_, targets) in self.groups.items():
+                if target in targets:
+                    self._check_bound(now, name, served)
+
+    def _check_bound(self, now: int, name: str, served: bool) -> None:
+        bound, targets = self.groups[name]
+        taken_out = [target for target in targets if target in self.taken_out]
+        known_out = [
+            target
+            for target in targets
+            if target not in self.taken_out and now - self.out_since.get(target, now) > self.known_after
+        ]
+        self.most_out[name] = max(self.most_out[name], len(taken_out))
+        if len(taken_out) > bound:
+            self._breach(now, f"4: {name}: {', '.join(taken_out)} are taken out, bound {bound}")
+        elif served and len(taken_out) + len(known_out) > bound:
+            self._breach(
+                now,
+                f"4: {name}: {', '.join(taken_out)} are taken out while {', '.join(known_out)} are"
+                f" known to be away, bound {bound}",
+            )
+
+    def serving(self, now: int, target: str) -> None:
+        """Take note that a target serves."""
+        self.taken_out.pop(target, None)
+        self.out_since.pop(target, None)
+
+    def out_by_itself(self, now: int, target: str) -> None:
+        """Take note that a target does not serve, which no order asked for."""
+        if target not in self.taken_out:
+            self.out_since.setdefault(target, now)
+
+    def generation_started(self, now: int, target: str, generation: int) -> None:
+        """Take note that a process of a generation starts."""
+        latest = self.generations.get(target, 0)
+        if generation <= latest:
+            self._breach(now, f"6: {target} starts as generation {generation} after {latest}")
+        self.generations[target] = max(generation, latest)
+
+    def finish(self, now: int) -> list[str]:
+        """Check what can be checked only at the end, and return all breaches."""
+        for ident, index in self.acknowledged_orders:
+            content = self.committed.get(index)
             if content is None or msgspec.msgpack.decode(content)[1] != ident:
                 self._breach(now, f"3: order {ident} was answered at {index} and is not there")
         return self.breaches
 
     def _breach(self, now: int, text: str) -> None:
-        if len(self.breaches) < self.most:
+        if len(self.breaches) < self.max_breaches:
             self.breaches.append(f"{now / SECOND:.3f} s: promise {text}")
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -45,17 +45,17 @@
     for at, kind, facts in events(folder, hosts):
         thing = facts.get("target", "")
         if kind == "leader_elected":
-            judge.led(at, facts["term"], facts["host"])
+            judge.leader_observed(at, facts["term"], facts["host"])
         elif kind == "permit_granted":
-            judge.granted.setdefault(thing, set()).add(facts["fence"])
+            judge.permit_granted(thing, facts["fence"])
         elif kind == "drain_requested" and "order" in facts:
             last[thing] = facts.get("fence", -1)
-            judge.left(at, thing, last[thing])
+            judge.drain_started(at, thing, last[thing])
         elif kind == "node start":
-            judge.started(at, thing, facts["generation"])
-            judge.gone(at, thing)
+            judge.generation_started(at, thing, facts["generation"])
+            judge.out_by_itself(at, thing)
         elif kind in ("node up", "node stay"):
-            judge.serves(at, thing)
+            judge.serving(at, thing)
         elif kind in ("node end", "node killed"):
-            judge.gone(at, thing)
+            judge.out_by_itself(at, thing)
     return judge
--- a/tests/cluster/test_rig.py
+++ b/tests/cluster/test_rig.py
@@ -63,7 +63,7 @@
                 self.away,
                 [name for host, names in self.hosts.items() if self.sites[host] == site for name in names],
             )
-        self.assertEqual(audit(self.folder, self.hosts, groups, LATE).end(0), [])
+        self.assertEqual(audit(self.folder, self.hosts, groups, LATE).finish(0), [])
 
     def said(self, host: str) -> str:
         with open(os.path.join(self.folder, f"{host}.agent.log"), encoding="utf-8") as file:
@@ -527,7 +527,7 @@
         for name, text in journals.items():
             with open(os.path.join(self.folder, "h1", f"{name}.journal"), "w", encoding="ascii") as file:
                 file.write(text)
-        return audit(self.folder, self.hosts, {"site": (1, ["n1", "n2"])}, LATE).end(0)
+        return audit(self.folder, self.hosts, {"site": (1, ["n1", "n2"])}, LATE).finish(0)
 
     @staticmethod
     def left(at: int, name: str, fence: int) -> list[dict]:
