--- a/measure/gates.py
+++ b/measure/gates.py
@@ -88,19 +88,19 @@
             name = f"n{number}"
             times = {"quote": Sums(*_of(node.times))}
             figures = Samples(Sums(*_of(node.benefit)), 0, 0, node.memory, times)
-            gate.heard(now, name, node.version, node.version, node.generation, cold, figures)
+            gate.record(now, name, node.version, node.version, node.generation, cold, figures)
             if not cold:
                 (new if node.version == "new" else old).add(Sums(count, good, good))
             dies = kind == "dies after a minute" and node.version == "new" and age > 60
             if dies and chance.random() < 0.05:
                 arms = [each.version for each in nodes]
-                gate.died(name, "new", arms.count("new"), arms.count("old"))
+                gate.record_death(name, "new", arms.count("new"), arms.count("old"))
                 deaths += 1
                 nodes[number] = Node("new", second, node.loss, node.generation + 1)
-        gate.look(now)
-        verdict = gate.verdict(gate.full())
+        gate.evaluate(now)
+        verdict = gate.verdict(gate.reference_goodput())
         _others(others, old, new, second, limits, look_every)
-        if verdict.answer is Decision.WORSE:
+        if verdict.decision is Decision.WORSE:
             return {
                 "kind": kind,
                 "end": "halted",
@@ -110,7 +110,7 @@
                 "there": there,
                 "others": others,
             }
-        if verdict.answer is Decision.GOOD and second - changed_at >= SOAK:
+        if verdict.decision is Decision.GOOD and second - changed_at >= SOAK:
             if there >= NODES:
                 return {
                     "kind": kind,
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -20,7 +20,7 @@
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import VersionSpec
 from oakkeel.rollout.controller import RolloutController
-from oakkeel.rollout.plan import BatchPlanner, TargetObservation
+from oakkeel.rollout.plan import BatchLimits, BatchPlanner, TargetObservation
 
 MS = 1_000_000
 HOSTS, EACH, SITES, BOUND = 100, 10, 5, 20
@@ -50,7 +50,7 @@
         took = []
         for _ in range(5):
             began = time.perf_counter()
-            planner.choose(0, names, seen, out, most, 0.85, False)
+            planner.choose(0, names, seen, out, BatchLimits(most, 0.85))
             took.append(1000 * (time.perf_counter() - began))
         found[label] = statistics.median(took)
     return found
@@ -104,7 +104,7 @@
     world.clock.run(3 * SECOND)
     began = world.clock.now
     pace = commands.RolloutPolicy(
-        soak=SECOND, patience=120 * SECOND, lasts=20 * SECOND, gated=gated, margin=0.05
+        soak=SECOND, verdict_timeout=120 * SECOND, batch_timeout=20 * SECOND, gated=gated, margin=0.05
     )
     order(
         world, commands.StartRelease("r", "asha", 0, VersionSpec("good r", "here"), pace, list(world.every))
@@ -122,7 +122,7 @@
         if state == "halted":
             say(f"  halted: {found.why}; told to go on")
             order(world, commands.ControlRelease("r", "asha", "resume"))
-        if found.over:
+        if found.is_finished:
             break
     took = (world.clock.now - began) / SECOND
     out = [lasted / SECOND for lasted in watched.lasted.values()]
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -237,18 +237,18 @@
             began = time.monotonic()
             pace = RolloutPolicy(
                 soak=2 * SECOND,
-                lasts=30 * SECOND,
-                patience=40 * SECOND,
+                batch_timeout=30 * SECOND,
+                verdict_timeout=40 * SECOND,
                 margin=0.10,
                 gated=gated,
-                ceiling=0.95,
+                max_load=0.95,
             )
             first = await play.release("nodes", program(folder, "v2"), NAMES, pace, 3, 3)
             second = await play.release(
                 "below",
                 VersionSpec("db-2", services=True),
                 ["db1", "db2"],
-                RolloutPolicy(soak=SECOND, lasts=30 * SECOND, gated=False),
+                RolloutPolicy(soak=SECOND, batch_timeout=30 * SECOND, gated=False),
                 2,
                 0,
             )
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -40,7 +40,7 @@
 
     def prepare(self) -> None:
         """Make the copies that are asked for, beside all else."""
-        for copy in self.fitting.to_prepare():
+        for copy in self.fitting.take_requests():
             task = asyncio.ensure_future(self._prepare(copy))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -58,20 +58,20 @@
         report(
             "release_prepare_failed" if why else "release_prepared",
             release=copy.release,
-            version=copy.what.version,
+            version=copy.spec.version,
             error=why or None,
         )
-        self.fitting.prepared(copy.release, why[:300], bases)
+        self.fitting.record_prepared(copy.release, why[:300], bases)
         self.moved()
 
     def _copy(self, copy: ArtifactRequest) -> dict[str, str]:
         """Raises OSError. Returns the versions of what the things run by their settings."""
         os.makedirs(os.path.join(self.contents.folder, "content"), mode=0o700, exist_ok=True)
-        self._keep(copy.what)
+        self._keep(copy.spec)
         bases, program = {}, ""
-        for thing in copy.things:
+        for thing in copy.targets:
             told = self.told[thing]
-            self._merged(told, self.contents.find(copy.what.version))  # can it be? Before it has to be
+            self._merged(told, self.contents.find(copy.spec.version))  # can it be? Before it has to be
             if self.fitting.version(thing):
                 continue
             program = program or self.contents.add_folder(PACKAGE, "oakkeel")  # that the agent itself is of
@@ -140,7 +140,7 @@
         goes on from a copy may still read from it."""
         if self.tasks or self.fitting.release:
             return
-        if dropped := self.contents.prune(self.fitting.needed() | running):
+        if dropped := self.contents.prune(self.fitting.needed_versions() | running):
             self.log.info("artifacts_pruned", versions=",".join(dropped))
 
     def close(self) -> None:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -147,10 +147,10 @@
             return
         facts: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
         if isinstance(command, releases.StartBatch):
-            facts["targets"] = ",".join(thing for thing, _ in command.things)
+            facts["targets"] = ",".join(thing for thing, _ in command.targets)
             facts["fence"] = command.fence
         elif isinstance(command, releases.FinishBatch):
-            facts["new"] = ",".join(command.new)
+            facts["new"] = ",".join(command.updated)
         self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **facts)
 
     def _set_aside(self, why: str) -> None:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -69,7 +69,7 @@
         owes = {each.name: told for each in self.supervision.instances if (told := _owes(each))}
         poll = self.permit_holder.poll(now, up, self._ended(), reserve, owes)
         if self.fitting.active:
-            poll.above = self.fitting.told(self._runs(now))
+            poll.above = self.fitting.encode_report(self._runs(now))
         return poll
 
     def _runs(self, now: int) -> list[TargetStatus]:
@@ -90,8 +90,8 @@
             )
             if isinstance(report, NodeStatus):
                 run.load = report.load
-                if self.fitting.watch and len(report.benefit) == 3:
-                    run.figures = Samples(
+                if self.fitting.collect_samples and len(report.benefit) == 3:
+                    run.samples = Samples(
                         Sums(*report.benefit),
                         report.denied,
                         report.terminated,
@@ -153,7 +153,7 @@
         first, reserved = not self.permit_holder.told, dict(self.permit_holder.generations)
         if not self.permit_holder.answered(now, sent_at, answer):
             return []
-        self.fitting.heard(answer.above)
+        self.fitting.handle_response(answer.above)
         if self.lost:
             self._learn(now)
         elif first:
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -205,15 +205,15 @@
     book, driver = control_plane.ledger, control_plane.above
     assert isinstance(book, RolloutStateMachine) and isinstance(driver, RolloutController)
     releases = book.held.releases
-    release = releases.get(ident) if ident else book.open or next(reversed(releases.values()), None)
+    release = releases.get(ident) if ident else book.open_release or next(reversed(releases.values()), None)
     if release is None:
         return messages.ErrorResponse(f"there is no release {ident}" if ident else "there was no release yet")
-    order = book.held.orders.get(release.order)
+    order = book.held.orders.get(release.order_id)
     lease = book.held.leases.get(LEASE)
     parts = []
-    for thing, part in release.parts.items():
-        seen = driver.seen.get(thing)
-        why = order.parts[thing].why if order and thing in order.parts and thing in release.now else ""
+    for thing, part in release.targets.items():
+        seen = driver.observations.targets.get(thing)
+        why = order.parts[thing].why if order and thing in order.parts and thing in release.in_progress else ""
         parts.append(
             messages.ReleaseTargetStatus(
                 thing,
@@ -221,7 +221,7 @@
                 part.state,
                 seen.version if seen else "",
                 seen.phase if seen else "unknown",
-                now - seen.at if seen else -1,
+                now - seen.observed_at if seen else -1,
                 why,
             )
         )
@@ -231,12 +231,12 @@
         release.operator,
         release.unix,
         release.state,
-        release.what,
+        release.spec,
         release.step,
         release.batch,
         release.why,
-        release.said,
-        "" if release.over else driver.why,
+        release.summary,
+        "" if release.is_finished else driver.why,
         lease.holder.partition(".")[0] if lease else "",
         parts,
         others,
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -189,7 +189,7 @@
     program = os.path.abspath(new.program) if new.program else ""
     patch = os.path.abspath(new.patch) if new.patch else ""
     try:
-        version = VersionSpec(version_of(program, patch), program, patch, as_set=new.as_set)
+        version = VersionSpec(version_of(program, patch), program, patch, from_settings=new.as_set)
     except ContentError as error:
         fail(str(error))
     _, chosen = await select_rows(client, selection)
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -288,7 +288,7 @@
         )
 
     def act(self, now: int) -> None:
-        for copy in self.reconciler.fitting.to_prepare():
+        for copy in self.reconciler.fitting.take_requests():
             self.world.clock.after(self.random.randrange(50 * MS, 300 * MS), self._prepared, copy, self.lives)
         if not self.full:
             self.orders.advance(now)
@@ -309,9 +309,9 @@
 
     def _prepared(self, copy: ArtifactRequest, lives: int) -> None:
         if lives == self.lives:
-            why = "it can't be run here" if copy.what.program == "bad" and self.random.random() < 0.5 else ""
-            bases = {thing: f"base {thing}" for thing in copy.things}
-            self.reconciler.fitting.prepared(copy.release, why, bases)
+            why = "it can't be run here" if copy.spec.program == "bad" and self.random.random() < 0.5 else ""
+            bases = {thing: f"base {thing}" for thing in copy.targets}
+            self.reconciler.fitting.record_prepared(copy.release, why, bases)
 
     def _save(self) -> None:
         permit_holder, instances = self.permit_holder, self.supervision.instances
@@ -595,10 +595,10 @@
             chosen = [each for each in self.every if self.random.random() < 0.3 + trouble.size] or [thing]
             pace = ReleasePace(
                 soak=200 * MS,
-                patience=10 * SECOND,
-                lasts=4 * SECOND,
+                verdict_timeout=10 * SECOND,
+                batch_timeout=4 * SECOND,
                 control=trouble.who % 2 == 0,
-                back=trouble.to % 3 == 0,
+                auto_roll_back=trouble.to % 3 == 0,
             )
             what = VersionSpec(f"{new} {ident}", "bad" if trouble.to % 16 == 0 else "here")
             self.order(releases.StartRelease(ident, "asha", 0, what, pace, chosen), ident)
@@ -742,7 +742,7 @@
                 and host.control_plane.replica.holds_lease(host.now())
             ):
                 for each in host.control_plane.ledger.held.releases.values():  # type: ignore[attr-defined]
-                    if each.over and each.ident in self.of_releases.version:
+                    if each.is_finished and each.ident in self.of_releases.version:
                         self.of_releases.ended(self.clock.now, each.ident, each.state, self._serving())
         self.clock.after(50 * MS, self._look)
 
@@ -778,13 +778,13 @@
             for order in ledger.held.orders.values()
             if any(part.state in OPEN_STATES for part in order.parts.values())
         ]
-        release = ledger.open  # type: ignore[union-attr]
+        release = ledger.open_release  # type: ignore[union-attr]
         if release and release.state in ("preparing", "running", "undoing"):
             above = leaders[0].control_plane.above  # type: ignore[union-attr]
             why = above.why if isinstance(above, RolloutController) else "nobody drives"
             if not any(word in why for word in WAITS):  # for what operators have taken out for good
                 found.append(
-                    f"release {release.ident} is {release.state}, batch {release.batch}, {release.now}: {why}"
+                    f"release {release.ident} is {release.state}, batch {release.batch}, {release.in_progress}: {why}"
                 )
         for host in self.hosts.values():
             for part in host.orders.executor:
--- a/oakkeel/rollout/assignments.py
+++ b/oakkeel/rollout/assignments.py
@@ -1,7 +1,7 @@
-"""An agent's part in releases: what its things run from their next start on, and what it has to make ready.
+"""An agent's part in releases: what its targets run from their next start on, and what it has to prepare.
 
-Free of I/O: whoever acts keeps `changed` on disk before anything is started by it, makes the copies that
-`to_prepare` names, and tells `prepared` how that ended.
+Free of I/O: the agent stores a change (`changed`) before it starts anything by it, makes the copies that
+`take_requests` names, and reports the result to `record_prepared`.
 """
 
 from __future__ import annotations
@@ -16,90 +16,95 @@
 
 @dataclass(slots=True, frozen=True)
 class ArtifactRequest:
-    """One copy to make: of what a version is, and of what the things here run without one."""
+    """Copies to make: of a version's content, and of what the targets here run without a version."""
 
     release: str
-    what: VersionSpec
-    things: tuple[str, ...]
+    spec: VersionSpec
+    targets: tuple[str, ...]
 
 
 class VersionAssignments:
+    """The versions assigned to an agent's targets, as it last received from the leader."""
+
     def __init__(self, services: tuple[str, ...] = ()) -> None:
+        """`services` are downstream services watched here, for which nothing is prepared."""
         self.services = frozenset(services)
-        self.versions: dict[str, str] = {}  # by thing
+        self.versions: dict[str, str] = {}  # by target
         self.sources: dict[str, VersionSpec] = {}  # by version
-        self.bases: dict[str, str] = {}  # by thing: its copy of what it runs without a version
+        self.bases: dict[str, str] = {}  # by target: its copy of what it runs without a version
         self.changed = False
-        self.active = False  # whoever leads knows of releases
-        self.watch = False
+        self.active = False  # the leader knows of releases
+        self.collect_samples = False
         self.release = ""
-        self.ready: dict[str, str] = {}
-        self.asked: set[str] = set()  # releases whose copies are made, or were
-        self.missing: dict[str, ArtifactRequest] = {}
+        self.prepared: dict[str, str] = {}  # by release: why it can't be installed, empty where it can
+        self.requested: set[str] = set()  # releases whose copies are being made, or were
+        self.pending: dict[str, ArtifactRequest] = {}
 
     def restore(
         self, versions: dict[str, str], sources: dict[str, VersionSpec], bases: dict[str, str]
     ) -> None:
+        """Take over what was stored by an earlier process of the agent."""
         self.versions, self.sources, self.bases = versions, sources, bases
 
-    def version(self, thing: str) -> str:
-        """What its next process shall run; empty as its settings say."""
-        return self.versions.get(thing, "")
+    def version(self, target: str) -> str:
+        """Return the version of a target's next process; empty: as its settings say."""
+        return self.versions.get(target, "")
 
-    def told(self, runs: list[TargetStatus]) -> bytes:
-        if not self.watch:
-            runs = [
+    def encode_report(self, statuses: list[TargetStatus]) -> bytes:
+        """Return the report to send; samples are left out while no release needs them."""
+        if not self.collect_samples:
+            statuses = [
                 TargetStatus(
-                    each.name,
-                    each.version,
-                    each.generation,
-                    each.phase,
-                    each.age,
-                    each.resting,
-                    each.died,
-                    each.load,
+                    status.name,
+                    status.version,
+                    status.generation,
+                    status.phase,
+                    status.age,
+                    status.backing_off,
+                    status.deaths,
+                    status.load,
                 )
-                for each in runs
+                for status in statuses
             ]
-        return encode(AgentReport(runs, self.ready, self.bases if self.release else {}))
+        return encode(AgentReport(statuses, self.prepared, self.bases if self.release else {}))
 
-    def heard(self, content: bytes) -> None:
-        """What the leader's answer says of our things. One that can't be read changes nothing."""
+    def handle_response(self, content: bytes) -> None:
+        """Take over the leader's assignments. Content that can't be decoded changes nothing."""
         if not content:
-            return  # whoever leads knows of no releases
+            return  # the leader knows of no releases
         try:
-            heard = decode_assignments(content)
+            received = decode_assignments(content)
         except msgspec.MsgspecError:
             return
-        self.active, self.watch = True, heard.watch
-        if (self.versions, self.sources) != (heard.versions, heard.sources):
-            self.versions, self.sources, self.changed = heard.versions, heard.sources, True
-        if heard.release != self.release:
-            self.release = heard.release
-            self.ready = {ident: why for ident, why in self.ready.items() if ident == heard.release}
-            self.asked &= {heard.release}
-            if not heard.release and self.bases:
-                self.bases, self.changed = {}, True  # it is over: what was there before is not needed
-        things = tuple(thing for thing in heard.things if thing not in self.services)
-        if heard.release and things and heard.release not in self.asked:
-            self.asked.add(heard.release)
-            self.missing[heard.release] = ArtifactRequest(heard.release, heard.what, things)
-
-    def to_prepare(self) -> list[ArtifactRequest]:
-        """Copies to be made now; each is asked for once, and again by an agent that starts anew."""
-        found, self.missing = list(self.missing.values()), {}
-        return found
-
-    def prepared(self, release: str, why: str, bases: dict[str, str]) -> None:
-        """`why` the new can't be run here, empty where it can; `bases` of the copies of what runs now."""
+        self.active, self.collect_samples = True, received.collect_samples
+        if (self.versions, self.sources) != (received.versions, received.sources):
+            self.versions, self.sources, self.changed = received.versions, received.sources, True
+        if received.release != self.release:
+            self.release = received.release
+            self.prepared = {ident: why for ident, why in self.prepared.items() if ident == received.release}
+            self.requested &= {received.release}
+            if not received.release and self.bases:
+                self.bases, self.changed = {}, True  # it has ended: what ran before is not needed
+        targets = tuple(target for target in received.targets if target not in self.services)
+        if received.release and targets and received.release not in self.requested:
+            self.requested.add(received.release)
+            self.pending[received.release] = ArtifactRequest(received.release, received.spec, targets)
+
+    def take_requests(self) -> list[ArtifactRequest]:
+        """Return the copies to make now; status is requested once, and again after a restart of the agent."""
+        requests, self.pending = list(self.pending.values()), {}
+        return requests
+
+    def record_prepared(self, release: str, why: str, bases: dict[str, str]) -> None:
+        """Record why the new version can't run here, empty where it can, and the copies of what runs now."""
         if release != self.release:
             return
-        self.ready[release] = why
-        news = {thing: base for thing, base in bases.items() if thing not in self.bases}
-        if news:
-            self.bases |= news
+        self.prepared[release] = why
+        added = {target: base for target, base in bases.items() if target not in self.bases}
+        if added:
+            self.bases |= added
             self.changed = True
 
-    def needed(self) -> set[str]:
-        """Versions whose copies are to stay."""
+    def needed_versions(self) -> set[str]:
+        """Return the versions whose copies have to stay."""
         return {*self.versions.values(), *self.sources, *self.bases.values()}
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -1,106 +1,110 @@
-"""What is put to the record for releases. Those with a fence are a driver's, under its lease alone."""
+"""Replicated commands of releases. Those with a fence are the controller's, valid under its lease only."""
 
 from __future__ import annotations
 
 import msgspec
 
-from oakkeel.disruption import commands as places
+from oakkeel.disruption import commands as permit_commands
 
-MAX_TARGETS = places.MAX_TARGETS
+MAX_TARGETS = permit_commands.MAX_TARGETS
 
 
 class VersionSpec(msgspec.Struct, array_like=True):
-    """What is released: a content, and where hosts find it until they have a copy of their own."""
+    """What is released: a version, and where hosts find its content until they have their own copy."""
 
-    version: str  # hash of the content; of services any text
+    version: str  # hash of the content; for services any text
     program: str = ""  # folder
     patch: str = ""  # file, merged into each instance's configuration
-    services: bool = False  # it is of services below, which are replaced by hand
-    as_set: bool = False  # what is not named of it is as the operators' settings say, whatever ran before
+    services: bool = False  # it is for downstream services, which are replaced by hand
+    from_settings: bool = False  # parts not named are as the operators' settings say, whatever ran before
 
 
 class RolloutPolicy(msgspec.Struct, array_like=True):
-    """How a release goes on. Times in nanoseconds."""
+    """How a release proceeds. Times in nanoseconds."""
 
-    canary: int = 1
-    growth: float = 2.0  # as many again, times this less one, as have the new by now
-    most: int = 0  # in one batch; 0: as the bounds allow
-    control: bool = True  # restart as many of the old beside the first ones, to compare cold with cold
+    canary: int = 1  # targets of the first batch
+    growth: float = 2.0  # a batch multiplies the number of updated targets by this
+    max_batch: int = 0  # targets of one batch; 0: as the disruption budgets allow
+    control: bool = True  # restart as many old targets beside the canaries, to compare cold with cold
     gated: bool = True
-    back: bool = False  # what was halted by its gates goes back by itself
-    soak: int = 60_000_000_000  # at least so long after each batch
-    patience: int = 600_000_000_000  # with no answer from the gates for so long it halts
-    lasts: int = 120_000_000_000  # for one batch
-    margin: float = 0.02  # of the benefit: a loss of that must be told from none
-    ceiling: float = 0.85  # load of those left at a site
+    auto_roll_back: bool = False  # roll back by itself what its gates halted
+    soak: int = 60_000_000_000  # minimum time after each batch
+    verdict_timeout: int = 600_000_000_000  # halt after so long without a verdict of the gates
+    batch_timeout: int = 120_000_000_000
+    margin: float = 0.02  # part of the goodput: a loss of that must be told apart from none
+    max_load: float = 0.85  # of the targets that keep serving at a site
 
 
 class StartRelease(msgspec.Struct, tag="begin", array_like=True):
+    """An operator starts a release."""
+
     ident: str
     operator: str
     unix: int
-    what: VersionSpec
-    pace: RolloutPolicy
-    things: list[str]
+    spec: VersionSpec
+    policy: RolloutPolicy
+    targets: list[str]
 
 
 class ControlRelease(msgspec.Struct, tag="turn", array_like=True):
-    """An operator's word: pause, resume, abort, undo, leave."""
+    """An operator's control: pause, resume, abort, undo (roll back) or leave (abandon)."""
 
     ident: str
     operator: str
-    to: str
+    action: str
 
 
 class ReportPrepared(msgspec.Struct, tag="ready", array_like=True):
-    """A host has its copy of the new and of what runs there, or says why not."""
+    """A host has copies of the new version and of what runs there, or says why not."""
 
     ident: str
     fence: int
     host: str
     why: str
-    bases: dict[str, str]  # by thing: the version of what it runs now
+    bases: dict[str, str]  # by target: the version of the copy of what it runs now
 
 
 class BeginRollout(msgspec.Struct, tag="go", array_like=True):
+    """All hosts are prepared: the first batch may start."""
+
     ident: str
     fence: int
     step: int
 
 
 class StartBatch(msgspec.Struct, tag="batch", array_like=True):
-    """Change these now, each of the generation that was seen; `controls` begin anew as they are."""
+    """Change these targets now, given with the observed generation; `controls` restart unchanged."""
 
     ident: str
     fence: int
     step: int
     unix: int
-    things: list[tuple[str, int]]
+    targets: list[tuple[str, int]]
     controls: list[tuple[str, int]] = []
 
 
 class FinishBatch(msgspec.Struct, tag="settle", array_like=True):
-    """The batch is over: these run the new, the rest the old."""
+    """The batch is over: these targets run the new version, the rest the old one."""
 
     ident: str
     fence: int
     step: int
-    new: list[str]
+    updated: list[str]
 
 
 class RecordVerdict(msgspec.Struct, tag="judge", array_like=True):
-    """What the gates have seen so far, for whoever drives next; with a reason it halts."""
+    """The state of the gates, for the next controller; with a reason the release halts."""
 
     ident: str
     fence: int
     step: int
-    seen: bytes
-    said: str  # for people
-    why: str = ""  # it halts; empty: it goes on
+    gate_state: bytes
+    summary: str  # for people
+    why: str = ""  # why it halts; empty: it goes on
 
 
 class FinishRelease(msgspec.Struct, tag="finish", array_like=True):
-    """All of it is where it shall be."""
+    """All targets are in the state that the release wants."""
 
     ident: str
     fence: int
@@ -117,8 +121,10 @@
     | RecordVerdict
     | FinishRelease
 )
-_command_decoder = msgspec.msgpack.Decoder(Command | places.Command)
+_command_decoder = msgspec.msgpack.Decoder(Command | permit_commands.Command)
 
 
-def decode(content: bytes) -> Command | places.Command:
-    return _command_decoder.decode(content)
+def decode(content: bytes) -> Command | permit_commands.Command:
+    """Decode a command of releases or of the disruption state. Raises `msgspec.MsgspecError`."""
+    command: Command | permit_commands.Command = _command_decoder.decode(content)
+    return command
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -1,464 +1,261 @@
-"""Whoever drives the open release: what it may do, when, and why not yet. Free of I/O.
+"""The rollout controller: what the open release may do next, when, and why not yet. Free of I/O.
 
-Made when a keeper begins to lead, thrown away when it leads no more. It acts while it holds the lease, by
-commands that carry the lease's fence and the step that they follow; all else that it knows, it can lose: the
-next driver goes on from the record, and from what agents tell within a moment.
+Made when a replica becomes the leader, dropped when it is no longer. It acts while it holds the lease, by
+commands that carry the lease's fencing token and the step that they follow. It may lose all other state: the
+next controller goes on from the replicated state, and from what agents report within a moment.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from oakkeel.disruption import commands as places
+from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.lease_holder import LeaseHolder
 from oakkeel.disruption.messages import Heartbeat
 from oakkeel.disruption.state_machine import OPEN_STATES, Rejection
 from oakkeel.rollout import commands
+from oakkeel.rollout.batches import BatchView, Step, finish_batch, start_batch
 from oakkeel.rollout.gates import Decision, Gate
-from oakkeel.rollout.messages import AgentAssignments, decode_report, encode
-from oakkeel.rollout.plan import BatchPlanner, TargetObservation
+from oakkeel.rollout.messages import AgentAssignments, AgentReport, decode_report, encode
+from oakkeel.rollout.observations import Observations
 from oakkeel.rollout.state_machine import LEASE, Release, RolloutStateMachine
 
 MS = 1_000_000
 SECOND = 1000 * MS
-LASTS = 2 * SECOND  # the lease; renewed after a quarter of it
-AGAIN = 200 * MS  # after somebody else was found to hold it, or a step was refused
-KEEP_EVERY = 2 * SECOND  # what the gates have seen is put to the record
-MOST = 500  # things of one batch
-LOOK_AGAIN = 250 * MS  # for things to change, where there was none
-TRIES = 4  # of one thing, before the release halts
-PREPARE = 120 * SECOND
-EXPIRED = "its time"  # by which an order is halted that has run out of it
-LATE = 8 * SECOND  # past the time of a batch, before it counts as lost
+LEASE_DURATION = 2 * SECOND  # renewed after a quarter of it
+RETRY_AFTER = 200 * MS  # after somebody else was found to hold the lease, or a step was rejected
+PLAN_AGAIN_AFTER = 250 * MS  # where no target could be chosen
+STORE_GATE_EVERY = 2 * SECOND
+MAX_ATTEMPTS = 4  # for one target, before the release halts
+PREPARE_TIMEOUT = 120 * SECOND
 
 
 class RolloutController:
-    """Times are nanoseconds of the leader's monotonic clock."""
+    """Drives the open release. Times are nanoseconds of the leader's monotonic clock."""
 
     def __init__(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator, holder: str) -> None:
-        """`holder` is a name that no driver before had."""
-        self.book, self.allocator = book, allocator
-        self.lease = LeaseHolder(LEASE, holder, LASTS)
-        self.asked_at = 0  # when the lease was asked for, until that is answered
-        self.ask_at = now
-        self.seen: dict[str, TargetObservation] = {}
-        self.died: dict[str, tuple[int, int]] = {}  # by thing: life of its agent, deaths told
-        self.planner = BatchPlanner(allocator.layout)
+        """`holder` is a name that no earlier controller had."""
+        self.state_machine, self.allocator = book, allocator
+        self.lease = LeaseHolder(LEASE, holder, LEASE_DURATION)
+        self.lease_requested_at = 0  # until that is answered
+        self.next_lease_request = now
+        self.observations = Observations(allocator)
         self.gate: Gate | None = None
-        self.gate_of = ""  # release and direction
-        self.since = now  # when the last batch was up, or the release began, as far as we know
-        self.batch_at = now  # when we first saw the batch that is under way
-        self.batch_of = (0, "", 0)
-        self.kept_at = now
-        self.act_at = now  # not before
-        self.waiting: bytes = b""  # a step that was proposed and is not agreed yet
+        self.gate_key = ""  # release and direction of the gate
+        self.since = now  # when the last batch was finished, or the release began, as far as known here
+        self.batch_started_at = now  # when the open batch was first seen here
+        self.batch_key = (0, "", 0)
+        self.gate_stored_at = now
+        self.next_step = now
+        self.proposed: bytes = b""  # a step that is not committed yet
         self.why = ""  # nothing is done just now
 
-    # What agents tell.
+    # Heartbeats of agents.
 
-    def heard(self, now: int, poll: Heartbeat) -> list[commands.Command | places.Command]:
-        """News of one host, no older than what its echo shows."""
+    def heard(self, now: int, poll: Heartbeat) -> list[commands.Command | permit_commands.Command]:
+        """Take over a host's report, no older than what its echo shows."""
         host = self.allocator.hosts.get(poll.host)
         if host is None or host.life != poll.life or host.count != poll.count or not host.echo:
-            return []  # overtaken, or nobody knows how old it is
+            return []  # overtaken by a later one, or of unknown age
         try:
-            told = decode_report(poll.above)
+            report = decode_report(poll.above)
         except msgspec.MsgspecError:
-            return []  # of a version that says other things
-        release = self.book.open
-        for run in told.runs:
-            if self.allocator.host_of.get(run.name) != poll.host:
+            return []  # of a version with another form
+        release = self.state_machine.open_release
+        for status in report.statuses:
+            if self.allocator.host_of.get(status.name) != poll.host:
                 continue
-            known = self.seen.get(run.name)
-            if known and known.at > host.echo:
-                continue
-            before = known.version if known else run.version
-            self.seen[run.name] = TargetObservation(
-                run.name,
-                run.phase,
-                run.generation,
-                run.version or (before if run.age < 0 else ""),
-                host.echo,
-                run.load,
-                run.resting,
-            )
-            if release:
-                self._measure(now, release, poll.life, run, before)
+            before = self.observations.record(status, host.echo)
+            if before is not None and release:
+                gate = self._current_gate(now, release)
+                self.observations.feed(now, gate, release, poll.life, status, before)
         if release and release.state == "preparing" and self.lease.holds(now):
-            return [
-                commands.ReportPrepared(
-                    release.ident,
-                    self.lease.fence,
-                    poll.host,
-                    why,
-                    {
-                        thing: base
-                        for thing, base in told.bases.items()
-                        if self.allocator.host_of.get(thing) == poll.host
-                    },
-                )
-                for ident, why in told.ready.items()
-                if ident == release.ident and (why or poll.host not in release.ready)
-            ]
+            return self._report_prepared(release, poll.host, report)
         return []
 
-    def _measure(self, now: int, release: Release, life: int, run, before: str) -> None:
-        gate = self._gate(now, release)
-        arm = self._arm(release, run.name, run.version)
-        was = self.died.get(run.name)
-        self.died[run.name] = life, run.died
-        if was and was[0] == life and run.died > was[1]:
-            arms = [
-                self._arm(release, name, each.version)
-                for name, each in self.seen.items()
-                if each.serves or name == run.name
-            ]
-            gate.died(run.name, self._arm(release, run.name, before), arms.count("new"), arms.count("old"))
-        if run.figures is not None and run.phase in ("serving", "cold"):
-            gate.heard(now, run.name, arm, run.version, run.generation, run.phase == "cold", run.figures)
-
-    def _arm(self, release: Release, thing: str, version: str) -> str:
-        """New, old, or neither. Of services it is what an instance hangs on that counts."""
-        if not release.what.services:
-            if thing not in release.parts:
-                return "old" if version != release.what.version else "new"
-            return "new" if version == release.what.version else "old"
-        on = {
-            release.parts[service].state
-            for service in self.planner.below.get(thing, ())
-            if service in release.parts
-        }
-        return {"old": "old", "new": "new"}.get(on.pop(), "") if len(on) == 1 else ""
-
-    def _gate(self, now: int, release: Release) -> Gate:
-        name = f"{release.ident} {release.back} {release.turns}"
-        if self.gate is None or self.gate_of != name:
-            self.gate, self.gate_of = Gate(now, release.seen, release.pace.margin), name
+    def _report_prepared(
+        self, release: Release, host: str, report: AgentReport
+    ) -> list[commands.Command | permit_commands.Command]:
+        why = report.prepared.get(release.ident)
+        if why is None or (not why and host in release.prepared_hosts):
+            return []
+        host_of = self.allocator.host_of
+        bases = {target: base for target, base in report.bases.items() if host_of.get(target) == host}
+        return [commands.ReportPrepared(release.ident, self.lease.fence, host, why, bases)]
+
+    def _current_gate(self, now: int, release: Release) -> Gate:
+        key = f"{release.ident} {release.rolling_back} {release.controlled}"
+        if self.gate is None or self.gate_key != key:
+            self.gate, self.gate_key = Gate(now, release.gate_state, release.policy.margin), key
             self.since = now
         return self.gate
 
     def answer(self, now: int, host: str) -> bytes:
-        """What a host's agent hears with each answer."""
-        held, release = self.book.held, self.book.open
-        here = self.allocator.layout.hosts.get(host, ())
-        versions = {thing: held.versions[thing] for thing in here if thing in held.versions}
-        heard = AgentAssignments(
-            versions,
-            {version: held.sources[version] for version in {*versions.values()} if version in held.sources},
-        )
+        """Return what a host's agent learns with each response."""
+        state, release = self.state_machine.held, self.state_machine.open_release
+        targets = self.allocator.layout.hosts.get(host, ())
+        versions = {target: state.versions[target] for target in targets if target in state.versions}
+        sources = {
+            version: state.sources[version] for version in {*versions.values()} if version in state.sources
+        }
+        assignments = AgentAssignments(versions, sources)
         if release:
-            heard.watch, heard.release, heard.what = True, release.ident, release.what
-            heard.things = [thing for thing in here if thing in release.parts]
-        return encode(heard)
+            assignments.collect_samples = True
+            assignments.release, assignments.spec = release.ident, release.spec
+            assignments.targets = [target for target in targets if target in release.targets]
+        return encode(assignments)
 
-    # What is agreed.
+    # Results of commands.
 
     def applied(self, now: int, command: object, result: object) -> None:
-        if isinstance(command, places.SetTopology):
-            self.planner = BatchPlanner(self.allocator.layout)
+        """Take note of a command that was applied, and of its result."""
+        if isinstance(command, permit_commands.SetTopology):
+            self.observations.update_topology()
         if (
-            isinstance(command, places.AcquireLease)
+            isinstance(command, permit_commands.AcquireLease)
             and command.name == LEASE
             and command.holder == self.lease.holder
         ):
-            if not self.lease.answered(self.asked_at, result):
-                self.ask_at = now + AGAIN
-            self.asked_at = 0
-        if self.waiting and places.encode(command) == self.waiting:  # type: ignore[arg-type]
-            self.waiting = b""
+            if not self.lease.answered(self.lease_requested_at, result):
+                self.next_lease_request = now + RETRY_AFTER
+            self.lease_requested_at = 0
+        if self._is_proposed(command):
+            self.proposed = b""
             if isinstance(result, Rejection):
-                self.why, self.act_at = result.why, now + AGAIN
+                self.why, self.next_step = result.why, now + RETRY_AFTER
             elif isinstance(command, commands.FinishBatch):
                 self.since = now
 
     def lost(self, command: object) -> None:
-        if isinstance(command, places.AcquireLease):
-            self.asked_at = 0
-        if self.waiting and places.encode(command) == self.waiting:  # type: ignore[arg-type]
-            self.waiting = b""
+        """Take note of a command that was not committed."""
+        if isinstance(command, permit_commands.AcquireLease):
+            self.lease_requested_at = 0
+        if self._is_proposed(command):
+            self.proposed = b""
+
+    def _is_proposed(self, command: object) -> bool:
+        return bool(self.proposed) and permit_commands.encode(command) == self.proposed  # type: ignore[arg-type]
 
-    # What to do.
+    # The next step.
 
-    def tick(self, now: int) -> list[commands.Command | places.Command]:
-        wanted: list[commands.Command | places.Command] = []
-        release = self.book.open
+    def tick(self, now: int) -> list[commands.Command | permit_commands.Command]:
+        """Return the commands to propose now: the lease, and the next step under it."""
+        wanted: list[commands.Command | permit_commands.Command] = []
+        release = self.state_machine.open_release
         if release is None:
-            self.gate, self.gate_of = None, ""
+            self.gate, self.gate_key = None, ""
             return wanted
-        if (
-            not self.asked_at
-            and now >= self.ask_at
-            and (not self.lease.holds(now) or now > self.lease.until - LASTS * 3 // 4)
-        ):
-            self.asked_at, self.ask_at = now, now + AGAIN
+        if self._needs_lease(now):
+            self.lease_requested_at, self.next_lease_request = now, now + RETRY_AFTER
             wanted.append(self.lease.asking())
-        if not self.lease.holds(now) or self.waiting or now < self.act_at:
+        if not self.lease.holds(now) or self.proposed or now < self.next_step:
             return wanted
-        gate = self._gate(now, release)
-        gate.look(now)
-        if (step := self._step(now, release, gate)) is not None:
-            self.waiting = places.encode(step)  # type: ignore[arg-type]
-            wanted.append(step)
+        gate = self._current_gate(now, release)
+        gate.evaluate(now)
+        step = self._next(now, release, gate)
+        if step.why is not None:
+            self.why = step.why
+        if step.retry:
+            self.next_step = now + PLAN_AGAIN_AFTER
+        if step.command is not None:
+            self.proposed = permit_commands.encode(step.command)  # type: ignore[arg-type]
+            wanted.append(step.command)
         return wanted
 
-    def _step(self, now: int, release: Release, gate: Gate) -> commands.Command | None:
-        """The next thing to do, if there is one: the ordinary path from its beginning to its end."""
-        head = release.ident, self.lease.fence, release.step
+    def _needs_lease(self, now: int) -> bool:
+        if self.lease_requested_at or now < self.next_lease_request:
+            return False
+        return not self.lease.holds(now) or now > self.lease.until - LEASE_DURATION * 3 // 4
+
+    def _next(self, now: int, release: Release, gate: Gate) -> Step:
+        """Return the next step: the ordinary way of a release from its beginning to its end."""
+        view = BatchView(now, self.state_machine.held, release, gate, self.observations, self.lease.fence)
         if release.state == "preparing":
             return self._prepare(now, release)
-        if release.now:
-            return self._finish_batch(now, release, gate)
+        if release.in_progress:
+            # An operator's control starts the time of a batch anew.
+            key = release.batch, release.ident, release.controlled
+            if self.batch_key != key:
+                self.batch_key, self.batch_started_at = key, now
+            return finish_batch(view, self.batch_started_at)
         if release.state not in ("running", "undoing"):
-            self.why = ""
-            return None
-        end = "old" if release.back else "new"
-        left = [
-            thing
-            for thing, part in release.parts.items()
-            if part.state != end or self._strays(now, release, thing)
-        ]
-        if gated := self._gated(now, release, gate):
+            return Step(None, "")
+        gated = self._check_gate(view)
+        if gated.command or gated.why:
             return gated
-        if self.why:
-            return None
-        if not left:
-            if unheard := [
-                thing
-                for thing in release.parts
-                if not release.what.services
-                and ((each := self.seen.get(thing)) is None or not each.fresh(now))
-            ]:
-                self.why = f"waits to hear what {', '.join(unheard[:5])} run"
-                return None
-            return commands.FinishRelease(*head)
-        if worn := [thing for thing in left if release.parts[thing].tries >= TRIES]:
-            return self._halt(
-                release,
-                gate,
-                f"{worn[0]} was changed {TRIES} times, and is not there: {self._story(release, worn[0])}",
-            )
-        return self._next_batch(now, release, left)
+        step = self._continue(view)
+        return Step(step.command, step.why or "", step.retry)
 
-    def _prepare(self, now: int, release: Release) -> commands.Command | None:
-        hosts = {self.allocator.host_of[thing] for thing in release.parts if thing in self.allocator.host_of}
-        missing = sorted(hosts - set(release.ready)) if not release.what.services else []
+    def _prepare(self, now: int, release: Release) -> Step:
+        host_of = self.allocator.host_of
+        hosts = {host_of[target] for target in release.targets if target in host_of}
+        missing = sorted(hosts - set(release.prepared_hosts)) if not release.spec.services else []
         if not missing:
-            return commands.BeginRollout(release.ident, self.lease.fence, release.step)
-        self.why = f"{', '.join(missing[:5])} not ready yet"
-        if now - self.since > PREPARE:
-            return commands.ReportPrepared(
+            return Step(commands.BeginRollout(release.ident, self.lease.fence, release.step))
+        why = f"{', '.join(missing[:5])} not ready yet"
+        if now - self.since > PREPARE_TIMEOUT:
+            command = commands.ReportPrepared(
                 release.ident, self.lease.fence, missing[0], "it did not say in time", {}
             )
-        return None
-
-    # A batch that is under way.
-
-    def _finish_batch(self, now: int, release: Release, gate: Gate) -> commands.Command | None:
-        """Settle it once all of it has come to an end, or halt where it does not."""
-        batch = release.batch, release.ident, release.turns  # told to go on, it has its time anew
-        if self.batch_of != batch:
-            self.batch_of, self.batch_at = batch, now
-        held, order = self.book.held, self.book.held.orders.get(release.order)
-        parts = order.parts if order else {}
-        open_ones = [
-            thing
-            for thing in (*release.now, *release.controls)
-            if thing in parts and parts[thing].state in OPEN_STATES
+            return Step(command, why)
+        return Step(None, why)
+
+    def _check_gate(self, view: BatchView) -> Step:
+        """Halt, or wait for a verdict and the soak time; an empty step where the next batch may start."""
+        release, policy = view.release, view.release.policy
+        if release.rolling_back or not policy.gated:
+            return Step(None, "")
+        verdict = view.gate.verdict(view.gate.reference_goodput())
+        if verdict.decision is Decision.WORSE:
+            return Step(view.record_verdict(verdict.why), "")
+        if not release.batch:
+            return Step(None, "")
+        waited, undecided = view.now - self.since, verdict.decision is Decision.TOO_FEW
+        if undecided and waited > policy.verdict_timeout:
+            return Step(view.record_verdict(f"no answer from the gates: {verdict.why}"), "")
+        if not undecided and waited >= policy.soak:
+            return Step(None, "")
+        why = verdict.why or f"watched for {policy.soak / SECOND:.0f} s, {waited / SECOND:.0f} by now"
+        if view.now - self.gate_stored_at >= STORE_GATE_EVERY:
+            self.gate_stored_at = view.now
+            return Step(view.record_verdict(), why)
+        return Step(None, why)
+
+    def _continue(self, view: BatchView) -> Step:
+        """Start the next batch, or finish the release where no target remains."""
+        release, observations = view.release, self.observations
+        remaining = [
+            name
+            for name, target in release.targets.items()
+            if target.state != release.end_state or observations.deviates(view.now, release, name)
         ]
-        halted = bool(order and order.halted not in ("", EXPIRED))
-        stopped = release.state in ("paused", "halted") or halted or release.forward is release.back
-        failed = [thing for thing in release.now if thing in parts and parts[thing].state == "failed"]
-        if not stopped:
-            if failed:
-                return self._halt(
-                    release,
-                    gate,
-                    f"{failed[0]} did not come up with the"
-                    f" {'old' if release.back else 'new'}:"
-                    f" {self._story(release, failed[0])}",
+        if not remaining:
+            return self._finish(view)
+        for name in remaining:
+            if release.targets[name].attempts >= MAX_ATTEMPTS:
+                return view.halt(
+                    f"{name} was changed {MAX_ATTEMPTS} times, and is not there: {view.last_event(name)}"
                 )
-            if release.pace.gated and not release.back:
-                verdict = gate.verdict(gate.full())
-                if verdict.answer is Decision.WORSE:
-                    return self._halt(release, gate, verdict.why)
-        if release.state in ("running", "undoing") and now - self.batch_at > release.pace.lasts + LATE:
-            late = next((thing for thing in open_ones or release.now), "")
-            return self._halt(release, gate, f"{late} was not heard of in the time of its batch")
-        out = [
-            thing
-            for thing in release.now
-            if thing in held.places and held.places[thing].ident == release.order
-        ]
-        came = [thing for thing in release.now if self._came(now, release, thing)]
-        if open_ones or out:
-            # What is broken will not come back by itself: a halted release says so and lets it be.
-            missing = {*open_ones, *out} & set(release.now)
-            if not stopped or any(not self._broken(now, thing) for thing in missing):
-                self.why = f"batch {release.batch}: {', '.join((open_ones or out)[:5])} not back yet"
-                return None
-        elif not stopped and len(came) < len(release.now) and not self._refused(parts, release):
-            self.why = f"batch {release.batch}: waits to hear what it runs"
-            return None
-        if (
-            any(not (each := self.seen.get(thing)) or not each.fresh(now) for thing in release.now)
-            and not release.what.services
+        return start_batch(view, remaining, self._busy_targets())
+
+    def _finish(self, view: BatchView) -> Step:
+        """Finish the release once all its targets have reported lately."""
+        release = view.release
+        if not release.spec.services and (
+            stale := [
+                target for target in release.targets if self.observations.fresh(view.now, target) is None
+            ]
         ):
-            self.why = "waits to hear of all in the batch"
-            return None
-        self.why = ""
-        return commands.FinishBatch(
-            release.ident,
-            self.lease.fence,
-            release.step,
-            [thing for thing in release.now if self._is_new(release, thing, parts)],
-        )
-
-    def _refused(self, parts: dict, release: Release) -> bool:
-        """Nothing of what has not come was begun: it can be tried again."""
-        return all(
-            parts[thing].state in ("refused", "expired", "halted", "cancelled", "done")
-            for thing in release.now
-            if thing in parts
-        )
-
-    def _came(self, now: int, release: Release, thing: str) -> bool:
-        each = self.seen.get(thing)
-        if release.what.services:
-            return thing not in self.allocator.out.reasons
-        return bool(
-            each
-            and each.fresh(now)
-            and each.phase in ("cold", "serving")
-            and (each.version == release.what.version) is release.forward
-        )
-
-    def _strays(self, now: int, release: Release, thing: str) -> bool:
-        """It runs something else than it was settled with: it died before its agent had heard of that."""
-        each = self.seen.get(thing)
-        if release.what.services or each is None or not each.fresh(now):
-            return False
-        new = each.version == release.what.version
-        return each.phase in ("cold", "serving") and new is release.back
-
-    def _broken(self, now: int, thing: str) -> bool:
-        each = self.seen.get(thing)
-        return bool(
-            each
-            and each.fresh(now)
-            and (each.resting or each.phase in ("failing", "stopped", "silent", "stuck"))
-        )
-
-    def _is_new(self, release: Release, thing: str, parts: dict) -> bool:
-        """What it runs by now, or will run: one with no process, or whose process leaves, may be started
-        with what the batch brings at any moment, and has to be changed again. Of a service: whether the
-        operator has replaced it."""
-        if release.what.services:
-            replaced = thing in parts and parts[thing].state == "done"
-            return replaced is release.forward
-        each = self.seen.get(thing)
-        stays = each is not None and each.phase in ("starting", "cold", "serving", "silent", "stuck")
-        return not stays or (each is not None and each.version == release.what.version)
-
-    def _story(self, release: Release, thing: str) -> str:
-        order = self.book.held.orders.get(release.order)
-        part = order.parts.get(thing) if order else None
-        return part.why or part.state if part else "nothing was ordered"
+            return Step(None, f"waits to hear what {', '.join(stale[:5])} run")
+        return Step(commands.FinishRelease(release.ident, self.lease.fence, release.step))
 
-    def _halt(self, release: Release, gate: Gate, why: str) -> commands.Command:
-        return commands.RecordVerdict(
-            release.ident, self.lease.fence, release.step, gate.kept(), gate.figures(), why
-        )
-
-    # Between batches.
-
-    def _gated(self, now: int, release: Release, gate: Gate) -> commands.Command | None:
-        """A halt, or what was seen put to the record; `why` says what is waited for."""
-        self.why = ""
-        if release.back or not release.pace.gated:
-            return None
-        verdict = gate.verdict(gate.full())
-        if verdict.answer is Decision.WORSE:
-            return self._halt(release, gate, verdict.why)
-        if not release.batch:
-            return None
-        waited = now - self.since
-        if verdict.answer is Decision.TOO_FEW and waited > release.pace.patience:
-            return self._halt(release, gate, f"no answer from the gates: {verdict.why}")
-        if verdict.answer is Decision.TOO_FEW or waited < release.pace.soak:
-            self.why = verdict.why or (
-                f"watched for {release.pace.soak / SECOND:.0f} s, {waited / SECOND:.0f} by now"
-            )
-            if now - self.kept_at >= KEEP_EVERY:
-                self.kept_at = now
-                return commands.RecordVerdict(
-                    release.ident, self.lease.fence, release.step, gate.kept(), verdict.figures
-                )
-        return None
-
-    def _next_batch(self, now: int, release: Release, left: list[str]) -> commands.Command | None:
-        pace = release.pace
-        if release.back:
-            most = pace.most or len(left)
-        elif not release.batch:
-            most = pace.canary
-        else:
-            there = sum(part.state == "new" for part in release.parts.values())
-            most = max(pace.canary, int(there * (pace.growth - 1)) if pace.gated else len(left))
-            most = min(most, pace.most or most)
-        standing = self._standing()
-        free = [thing for thing in left if thing not in standing]
-        if not free:
-            self.why = f"{standing[left[0]]} stands on {left[0]}"
-            return None
-        choice = self.planner.choose(
-            now,
-            free,
-            self.seen,
-            self.allocator.out,
-            max(1, min(most, MOST)),
-            pace.ceiling,
-            release.back,
-            len(release.parts) > 1,
-        )
-        if not choice.things:
-            self.why, self.act_at = choice.why, now + LOOK_AGAIN
-            return None
-        generations = {name: each.generation for name, each in self.seen.items()}
-        controls: list[str] = []
-        if pace.control and pace.gated and not release.batch and not release.what.services:
-            controls = self._controls(now, release, choice.things)
-        return commands.StartBatch(
-            release.ident,
-            self.lease.fence,
-            release.step,
-            release.unix,
-            [(thing, generations.get(thing, 0)) for thing in choice.things],
-            [(thing, generations.get(thing, 0)) for thing in controls],
-        )
-
-    def _standing(self) -> dict[str, str]:
-        """Things on which an order is open, and whose: what is tried there would be refused."""
+    def _busy_targets(self) -> dict[str, str]:
+        """Return the targets with an open order, and whose: another one there would be rejected."""
         return {
-            thing: f"{order.operator}'s {order.verb} {order.ident}"
+            target: f"{order.operator}'s {order.verb} {order.ident}"
             for ident in self.allocator.orders_at
-            if (order := self.book.held.orders.get(ident))
-            for thing, part in order.parts.items()
-            if part.state in OPEN_STATES
+            if (order := self.state_machine.held.orders.get(ident))
+            for target, task in order.parts.items()
+            if task.state in OPEN_STATES
         }
-
-    def _controls(self, now: int, release: Release, chosen: list[str]) -> list[str]:
-        """As many of the old, to begin anew beside the first of the new, where there is room for both."""
-        others = [
-            thing
-            for thing in self.planner.site
-            if thing not in chosen
-            and (each := self.seen.get(thing))
-            and each.serves
-            and self._arm(release, thing, each.version) == "old"
-            and not self.allocator.out.against([*chosen, thing])
-        ]
-        found = self.planner.choose(
-            now, others, self.seen, self.allocator.out, len(chosen), release.pace.ceiling, False
-        ).things
-        return [] if self.allocator.out.against([*chosen, *found]) else found
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -1,8 +1,8 @@
-"""Whether a release may go on: the new against the old at the same time, by what nodes tell. Free of I/O.
+"""Gates of a release: compares the new version with the old at the same time, by the nodes' reports.
 
-Each process counts from its start on; what it added between two reports goes to its arm, new or old, and to
-the class of its age: cold ones are compared with cold ones only, which the controls of the first batch
-are. All measures share one bound on the chance to halt what is as good as the old.
+Free of I/O. Each process counts from its start; what it added between two reports goes to its arm, new or
+old, and to its age class: cold processes are compared with cold ones only, such as the controls of the first
+batch. All metrics share one bound on the probability to halt a version that is as good as the old.
 """
 
 from __future__ import annotations
@@ -16,26 +16,29 @@
 from oakkeel.rollout.sequential import Difference, Events, Sums, log_mean
 
 SECOND = 1_000_000_000
-FALSE_HALTS = 0.01
-FALSE_PASSES = 0.05
-STRETCH = SECOND  # of time that is compared as one
-MOST_GROUPS = 16
-GROWTH_BORNE = 64.0  # KB a second more than the old
-DEATHS_MOST, DEATHS_PART = 3, 0.1  # of the new, by themselves: enough whatever the old do
-LEAST = 50  # exchanges of each arm before anything is said
+FALSE_HALT_RATE = 0.01
+FALSE_PASS_RATE = 0.05
+WINDOW = SECOND  # nanoseconds of samples that are compared at once
+MEMORY_WINDOW = 5 * SECOND  # nanoseconds over which memory growth is measured
+MAX_REQUEST_CLASSES = 16
+TOLERATED_MEMORY_GROWTH = 64.0  # KB a second more than the old
+MAX_DEATHS, MAX_DEATH_RATIO = 3, 0.1  # of the new version: enough to halt whatever the old does
+MIN_SAMPLES = 50  # requests of each arm before a metric counts
 
 
 class Samples(msgspec.Struct, array_like=True):
     """What one process has counted since its start."""
 
-    benefit: Sums = msgspec.field(default_factory=Sums)  # in time, of each exchange as a part of the most
-    denied: float = 0.0
-    terminated: float = 0.0
+    goodput: Sums = msgspec.field(default_factory=Sums)  # of each request: achieved part of its full weight
+    rejected: float = 0.0
+    failed: float = 0.0
     memory_kb: float = 0.0
-    times: dict[str, Sums] = {}  # by endpoint group: logarithms of seconds until completed
+    latencies: dict[str, Sums] = {}  # by request class: logs of seconds until completed
 
 
 class Decision(Enum):
+    """What a gate concludes from its samples."""
+
     WORSE = "worse"
     GOOD = "good"
     TOO_FEW = "too few samples"
@@ -43,194 +46,213 @@
 
 @dataclass(slots=True)
 class Verdict:
-    answer: Decision
+    """A decision of a gate, with its reason and a summary of the samples for people."""
+
+    decision: Decision
     why: str
-    figures: str
+    summary: str
 
 
 class GateState(msgspec.Struct, array_like=True):
-    """All that a gate has seen, for whoever drives next."""
+    """All that a gate has learnt, for the next controller."""
 
     warm: Difference = msgspec.field(default_factory=Difference)
     cold: Difference = msgspec.field(default_factory=Difference)
-    denied: Difference = msgspec.field(default_factory=Difference)  # parts of the warm ones' exchanges
-    slower: dict[str, Difference] = {}
-    growth: Difference = msgspec.field(default_factory=Difference)
+    rejected: Difference = msgspec.field(default_factory=Difference)  # parts of the warm ones' requests
+    latency: dict[str, Difference] = {}  # by request class
+    memory_growth: Difference = msgspec.field(default_factory=Difference)
     deaths: Events = msgspec.field(default_factory=Events)
-    there: int = 0  # of the new, when one died last
+    population: int = 0  # most processes of the new version when one died
 
 
 @dataclass(slots=True, eq=False)
 class ProcessBaseline:
-    """The last of one process."""
+    """The last report of one process, from which the next one is counted."""
 
-    born: tuple[str, int, str]  # version, generation, class of age
-    at: int
-    figures: Samples
+    identity: tuple[str, int, str]  # version, generation, age class
+    samples: Samples
     arm: str = ""
-    memory: list[tuple[int, float]] = field(default_factory=list)
+    memory: list[tuple[int, float]] = field(default_factory=list)  # time, KB
 
 
 @dataclass(slots=True, eq=False)
 class Window:
-    """What came since the last comparison, by arm and class of age."""
+    """The samples since the last comparison, by arm and age class or request class."""
 
-    benefit: dict[tuple[str, str], Sums] = field(default_factory=dict)
-    denied: dict[str, Sums] = field(default_factory=dict)
-    times: dict[tuple[str, str], Sums] = field(default_factory=dict)
-    growth: dict[str, Sums] = field(default_factory=dict)
+    goodput: dict[tuple[str, str], Sums] = field(default_factory=dict)
+    rejected: dict[str, Sums] = field(default_factory=dict)
+    latencies: dict[tuple[str, str], Sums] = field(default_factory=dict)
+    memory_growth: dict[str, Sums] = field(default_factory=dict)
 
 
 class Gate:
-    """Made with what an earlier driver had seen, if any."""
+    """The sequential tests of one release in one direction."""
+
+    def __init__(self, now: int, state: bytes, margin: float) -> None:
+        """Go on from an earlier controller's state; one that can't be decoded is dropped.
 
-    def __init__(self, now: int, seen: bytes, margin: float) -> None:
-        """`margin`: a part of the benefit that is too much to lose."""
+        `margin` is the part of the goodput that is too much to lose.
+        """
         self.margin = margin
         try:
-            self.state = msgspec.msgpack.decode(seen, type=GateState) if seen else GateState()
+            self.state = msgspec.msgpack.decode(state, type=GateState) if state else GateState()
         except msgspec.MsgspecError:
             self.state = GateState()
-        self.known: dict[str, ProcessBaseline] = {}
-        self.stretch, self.stretch_at = Window(), now
+        self.baselines: dict[str, ProcessBaseline] = {}
+        self.window, self.window_start = Window(), now
 
-    def kept(self) -> bytes:
+    def encode_state(self) -> bytes:
+        """Return the state for the next controller."""
         return msgspec.msgpack.encode(self.state)
 
-    def count(self) -> float:
+    def sample_count(self) -> float:
+        """Return the requests of warm processes of the new version."""
         return self.state.warm.new.count
 
-    # What is told.
-
-    def heard(
-        self, now: int, thing: str, arm: str, version: str, generation: int, cold: bool, figures: Samples
+    def record(
+        self, now: int, target: str, arm: str, version: str, generation: int, cold: bool, samples: Samples
     ) -> None:
-        """A report. `arm` is new or old, or empty where the thing is in neither."""
+        """Add a report of a process. `arm` is `new` or `old`, or empty where the target is in neither."""
         age = "cold" if cold else "warm"
-        known, born = self.known.get(thing), (version, generation, age)
-        if known is None or known.born[:2] != born[:2]:
-            self.known[thing] = ProcessBaseline(born, now, figures, arm)
+        baseline, identity = self.baselines.get(target), (version, generation, age)
+        if baseline is None or baseline.identity[:2] != identity[:2]:
+            self.baselines[target] = ProcessBaseline(identity, samples, arm)
             return
-        if figures.benefit.count < known.figures.benefit.count:
+        if samples.goodput.count < baseline.samples.goodput.count:
             return  # an older report
-        if known.born == born and known.arm == arm and arm:
-            more = figures.benefit.less(known.figures.benefit)
-            self.stretch.benefit.setdefault((arm, age), Sums()).add(more)
-            if not cold:
-                denied = max(0.0, figures.denied - known.figures.denied)
-                self.stretch.denied.setdefault(arm, Sums()).add(Sums(more.count, denied, denied))
-                for group, sums in list(figures.times.items())[:MOST_GROUPS]:
-                    was = known.figures.times.get(group, Sums())
-                    self.stretch.times.setdefault((arm, group), Sums()).add(sums.less(was))
-                self._memory(now, known, arm, figures.memory_kb)
+        if baseline.identity == identity and baseline.arm == arm and arm:
+            self._add_to_window(now, baseline, samples)
         else:
-            known.memory.clear()
-        known.born, known.at, known.figures, known.arm = born, now, figures, arm
-
-    def _memory(self, now: int, known: ProcessBaseline, arm: str, memory: float) -> None:
-        """Growth by the second, over stretches long enough for noise to drop out."""
-        known.memory.append((now, memory))
-        since, first = known.memory[0]
-        if now - since >= 5 * SECOND:
+            baseline.memory.clear()
+        baseline.identity, baseline.samples, baseline.arm = identity, samples, arm
+
+    def _add_to_window(self, now: int, baseline: ProcessBaseline, samples: Samples) -> None:
+        """Add what a process counted since its last report."""
+        window, before, (_, _, age) = self.window, baseline.samples, baseline.identity
+        goodput = samples.goodput.minus(before.goodput)
+        window.goodput.setdefault((baseline.arm, age), Sums()).add(goodput)
+        if age == "cold":
+            return
+        rejected = max(0.0, samples.rejected - before.rejected)
+        window.rejected.setdefault(baseline.arm, Sums()).add(Sums(goodput.count, rejected, rejected))
+        for request_class, latencies in list(samples.latencies.items())[:MAX_REQUEST_CLASSES]:
+            earlier = before.latencies.get(request_class, Sums())
+            window.latencies.setdefault((baseline.arm, request_class), Sums()).add(latencies.minus(earlier))
+        self._add_memory(now, baseline, samples.memory_kb)
+
+    def _add_memory(self, now: int, baseline: ProcessBaseline, memory: float) -> None:
+        """Add the growth by the second, over times long enough for noise to average out."""
+        baseline.memory.append((now, memory))
+        since, first = baseline.memory[0]
+        if now - since >= MEMORY_WINDOW:
             rate = (memory - first) / ((now - since) / SECOND)
-            self.stretch.growth.setdefault(arm, Sums()).add(Sums(1, rate, rate * rate))
-            known.memory = [(now, memory)]
+            self.window.memory_growth.setdefault(baseline.arm, Sums()).add(Sums(1, rate, rate * rate))
+            baseline.memory = [(now, memory)]
 
-    def died(self, thing: str, arm: str, new: int, old: int) -> None:
-        """One died by itself, of so many new and old ones that were there."""
-        self.state.there = max(self.state.there, new)
+    def record_death(self, target: str, arm: str, new: int, old: int) -> None:
+        """Add a process that ended by itself while so many new and old ones were running."""
+        self.state.population = max(self.state.population, new)
         if arm and new and old:
-            self.state.deaths.happened(arm == "new", new / (new + old))
+            self.state.deaths.record(arm == "new", new / (new + old))
         elif arm == "new":
             self.state.deaths.new += 1
 
-    # What is said.
-
-    def look(self, now: int) -> None:
-        """Compare what both arms brought, now and then."""
-        if now - self.stretch_at < STRETCH:
+    def evaluate(self, now: int) -> None:
+        """Compare both arms over the current window, once it is long enough, and begin the next."""
+        if now - self.window_start < WINDOW:
             return
-        found, state = self.stretch, self.state
-        none = Sums()
+        window, state = self.window, self.state
+        empty = Sums()
         # Too small a first guess of the variance halts good ones in their first second: cold ones vary.
         for age, test, guess in (("warm", state.warm, 0.1), ("cold", state.cold, 0.25)):
-            old, new = found.benefit.get(("old", age), none), found.benefit.get(("new", age), none)
-            test.look(old, new, guess)
-        denied_old, denied_new = found.denied.get("old", none), found.denied.get("new", none)
-        state.denied.look(_turned(denied_old), _turned(denied_new), 0.1)
-        for group in {group for _, group in found.times}:
-            old, new = found.times.get(("old", group), none), found.times.get(("new", group), none)
+            test.observe(
+                window.goodput.get(("old", age), empty), window.goodput.get(("new", age), empty), guess
+            )
+        rejected_old, rejected_new = window.rejected.get("old", empty), window.rejected.get("new", empty)
+        state.rejected.observe(_negated(rejected_old), _negated(rejected_new), 0.1)
+        for request_class in {request_class for _, request_class in window.latencies}:
+            old = window.latencies.get(("old", request_class), empty)
+            new = window.latencies.get(("new", request_class), empty)
             if old.count and new.count:
-                if group not in state.slower:
-                    state.slower[group] = Difference()
-                # Logarithms of times: the new is worse where they are higher.
-                state.slower[group].look(_turned(old), _turned(new), 0.25)
-        growth_old, growth_new = found.growth.get("old"), found.growth.get("new")
+                if request_class not in state.latency:
+                    state.latency[request_class] = Difference()
+                # Logs of times: the new is worse where they are higher.
+                state.latency[request_class].observe(_negated(old), _negated(new), 0.25)
+        growth_old, growth_new = window.memory_growth.get("old"), window.memory_growth.get("new")
         if growth_old and growth_new:
-            state.growth.look(_turned(growth_old), _turned(growth_new), 100.0**2)
-            found.growth.clear()
-        self.stretch, self.stretch_at = Window(growth=found.growth), now
+            state.memory_growth.observe(_negated(growth_old), _negated(growth_new), 100.0**2)
+            window.memory_growth.clear()
+        self.window, self.window_start = Window(memory_growth=window.memory_growth), now
 
-    def verdict(self, full: float) -> Verdict:
-        """`full`: the benefit of an exchange as the old have it, by which losses are measured."""
+    def verdict(self, reference: float) -> Verdict:
+        """Judge all samples so far; losses are measured by the old version's goodput, `reference`."""
         state = self.state
-        scale = self.margin * max(full, 1e-6)
-        logs = {
-            "benefit": state.warm.worse(0.25 * scale, scale) if _some(state.warm) else 0.0,
-            "benefit while cold": state.cold.worse(0.5 * scale, 4 * scale) if _some(state.cold) else 0.0,
-            "denials": state.denied.worse(0.25 * self.margin, self.margin) if _some(state.denied) else 0.0,
-            "deaths": state.deaths.worse(),
-            "memory": state.growth.worse(GROWTH_BORNE, 4 * GROWTH_BORNE),
-        }
-        slower = [test.worse(0.05, 0.2) for test in state.slower.values() if _some(test)]
-        logs["time"] = log_mean(slower)
-        figures = self.figures()
-        most = max(DEATHS_MOST, DEATHS_PART * state.there)
-        if state.deaths.new >= most and state.deaths.new > state.deaths.old:
-            return Verdict(Decision.WORSE, f"{state.deaths.new} of the new died by themselves", figures)
-        if log_mean(list(logs.values())) >= math.log(1 / FALSE_HALTS):
-            worst = max(logs, key=lambda name: logs[name])
-            return Verdict(Decision.WORSE, f"worse than the old: {self._said(worst)}", figures)
-        if not _some(state.warm):
+        scale = self.margin * max(reference, 1e-6)
+        summary = self.summary()
+        max_deaths = max(MAX_DEATHS, MAX_DEATH_RATIO * state.population)
+        if state.deaths.new >= max_deaths and state.deaths.new > state.deaths.old:
+            return Verdict(Decision.WORSE, f"{state.deaths.new} of the new died by themselves", summary)
+        evidence = self._evidence(scale)
+        if log_mean(list(evidence.values())) >= math.log(1 / FALSE_HALT_RATE):
+            worst = max(evidence, key=lambda name: evidence[name])
+            return Verdict(Decision.WORSE, f"worse than the old: {self._describe(worst)}", summary)
+        if not _has_samples(state.warm):
             return Verdict(
                 Decision.TOO_FEW,
                 f"{state.warm.new.count:.0f} exchanges of the new and"
                 f" {state.warm.old.count:.0f} of the old at the same time",
-                figures,
+                summary,
             )
-        if state.warm.not_worse(scale, scale) < math.log(1 / FALSE_PASSES):
+        if state.warm.not_worse(scale, scale) < math.log(1 / FALSE_PASS_RATE):
             return Verdict(
-                Decision.TOO_FEW, f"a loss of {100 * self.margin:.1f} % can't be told from none yet", figures
+                Decision.TOO_FEW, f"a loss of {100 * self.margin:.1f} % can't be told from none yet", summary
             )
-        return Verdict(Decision.GOOD, "", figures)
+        return Verdict(Decision.GOOD, "", summary)
+
+    def _evidence(self, scale: float) -> dict[str, float]:
+        """Return the log evidence by metric that the new version is worse than tolerated."""
+        state, margin = self.state, self.margin
+        slower = [test.worse(0.05, 0.2) for test in state.latency.values() if _has_samples(test)]
+        return {
+            "benefit": state.warm.worse(0.25 * scale, scale) if _has_samples(state.warm) else 0.0,
+            "benefit while cold": (
+                state.cold.worse(0.5 * scale, 4 * scale) if _has_samples(state.cold) else 0.0
+            ),
+            "denials": state.rejected.worse(0.25 * margin, margin) if _has_samples(state.rejected) else 0.0,
+            "deaths": state.deaths.worse(),
+            "memory": state.memory_growth.worse(TOLERATED_MEMORY_GROWTH, 4 * TOLERATED_MEMORY_GROWTH),
+            "time": log_mean(slower),
+        }
 
-    def full(self) -> float:
+    def reference_goodput(self) -> float:
+        """Return the mean goodput of warm processes of the old version, 1 while it is not known."""
         return self.state.warm.old.mean or 1.0
 
-    def _said(self, worst: str) -> str:
+    def _describe(self, worst: str) -> str:
         state = self.state
         if worst == "deaths":
             return f"{state.deaths.new} deaths of the new, {state.deaths.old} of the old"
         if worst == "memory":
             return (
-                f"memory grows {-state.growth.new.mean:.0f} KB a second, the old's"
-                f" {-state.growth.old.mean:.0f}"
+                f"memory grows {-state.memory_growth.new.mean:.0f} KB a second, the old's"
+                f" {-state.memory_growth.old.mean:.0f}"
             )
         if worst == "denials":
             return (
-                f"{100 * -state.denied.new.mean:.1f} % are denied, of the old's"
-                f" {100 * -state.denied.old.mean:.1f} %"
+                f"{100 * -state.rejected.new.mean:.1f} % are denied, of the old's"
+                f" {100 * -state.rejected.old.mean:.1f} %"
             )
         if worst == "time":
-            group = max(state.slower, key=lambda name: state.slower[name].loss)
-            return f"{group} takes {100 * math.expm1(state.slower[group].loss):.1f} % longer"
+            slowest = max(state.latency, key=lambda name: state.latency[name].loss)
+            return f"{slowest} takes {100 * math.expm1(state.latency[slowest].loss):.1f} % longer"
         test = state.cold if worst.endswith("cold") else state.warm
         return (
             f"{worst} {test.new.mean:.4f} an exchange, the old's {test.old.mean:.4f},"
             f" {100 * test.loss / max(1e-9, test.old.mean):.1f} % less"
         )
 
-    def figures(self) -> str:
+    def summary(self) -> str:
+        """Return the main figures in one line, for people."""
         warm = self.state.warm
         return (
             f"benefit {warm.new.mean:.4f} of {warm.new.count:.0f} new, {warm.old.mean:.4f} of"
@@ -239,9 +261,9 @@
         )
 
 
-def _some(test: Difference) -> bool:
-    return min(test.new.count, test.old.count) >= LEAST
+def _has_samples(test: Difference) -> bool:
+    return min(test.new.count, test.old.count) >= MIN_SAMPLES
 
 
-def _turned(sums: Sums) -> Sums:
+def _negated(sums: Sums) -> Sums:
     return Sums(sums.count, -sums.total, sums.squares)
--- a/oakkeel/rollout/messages.py
+++ b/oakkeel/rollout/messages.py
@@ -1,4 +1,4 @@
-"""What an agent tells whoever drives a release, and what it hears. It goes along with its polls."""
+"""What an agent reports to the rollout controller, and the response. Both travel with heartbeats."""
 
 from __future__ import annotations
 
@@ -9,34 +9,36 @@
 
 
 class TargetStatus(msgspec.Struct, array_like=True):
-    """One thing as its agent knows it."""
+    """One target as its agent knows it."""
 
     name: str
-    version: str  # that its process says it runs
+    version: str  # that its process reports
     generation: int
     phase: str
-    age: int  # nanoseconds of the report, -1: none
-    resting: bool = False  # it keeps ending, and is let alone for a time
-    died: int = 0  # by itself, since its agent started
+    age: int  # of the last report in nanoseconds; -1: none
+    backing_off: bool = False  # it keeps failing, and is not restarted for a time
+    deaths: int = 0  # by itself, since its agent started
     load: float = 0.0  # of its cores
-    figures: Samples | None = None
+    samples: Samples | None = None
 
 
 class AgentReport(msgspec.Struct, array_like=True):
-    runs: list[TargetStatus] = []
-    ready: dict[str, str] = {}  # by release: why it can't be taken, empty where it can
-    bases: dict[str, str] = {}  # by thing: the copy of what it runs now
+    """What an agent reports."""
+
+    statuses: list[TargetStatus] = []
+    prepared: dict[str, str] = {}  # by release: why it can't be installed, empty where it can
+    bases: dict[str, str] = {}  # by target: the version of the copy of what it runs now
 
 
 class AgentAssignments(msgspec.Struct, array_like=True):
-    """The answer: what its things run from their next start on."""
+    """The response: what the agent's targets run from their next start on."""
 
     versions: dict[str, str] = {}
     sources: dict[str, VersionSpec] = {}  # of these
-    release: str = ""  # that is open and has something here
-    what: VersionSpec = msgspec.field(default_factory=lambda: VersionSpec(""))
-    things: list[str] = []  # of it, here
-    watch: bool = False  # figures are asked for
+    release: str = ""  # the open one, if it has targets here
+    spec: VersionSpec = msgspec.field(default_factory=lambda: VersionSpec(""))
+    targets: list[str] = []  # of it, here
+    collect_samples: bool = False
 
 
 _report_decoder, _assignments_decoder = (
@@ -45,15 +47,16 @@
 )
 
 
-def encode(word: AgentReport | AgentAssignments) -> bytes:
-    return msgspec.msgpack.encode(word)
+def encode(message: AgentReport | AgentAssignments) -> bytes:
+    """Encode a report or its response."""
+    return msgspec.msgpack.encode(message)
 
 
 def decode_report(content: bytes) -> AgentReport:
-    """Raises `msgspec.MsgspecError`."""
+    """Decode a report; no content is an empty one. Raises `msgspec.MsgspecError`."""
     return _report_decoder.decode(content) if content else AgentReport()
 
 
 def decode_assignments(content: bytes) -> AgentAssignments:
-    """Raises `msgspec.MsgspecError`."""
+    """Decode a response; no content is an empty one. Raises `msgspec.MsgspecError`."""
     return _assignments_decoder.decode(content) if content else AgentAssignments()
--- a/oakkeel/rollout/sequential.py
+++ b/oakkeel/rollout/sequential.py
@@ -1,11 +1,11 @@
-"""Tests that may be looked at after every sample without losing their error rate. Free of I/O.
+"""Sequential tests: they may be evaluated after every sample and keep their error rate. Free of I/O.
 
-Each keeps a value that no policy of looking can make large by chance: under what it doubts, the value's mean
-never passes 1, so that it passes 1 / a with a chance of a at most (J. Ville, 1939; for mixtures H. Robbins,
-"Statistical methods related to the law of the iterated logarithm", 1970). Such values of several tests may be
-averaged, and the mean is one again.
+Each holds a value that no policy of evaluation can make large by chance, so that its error rate holds however
+often it is evaluated. Under the null hypothesis its mean never exceeds 1, so that it exceeds 1 / a with a
+probability of a at most (J. Ville, 1939; for mixtures H. Robbins, "Statistical methods related to the
+law of the iterated logarithm", 1970). Such values of several tests may be averaged: the mean is one again.
 
-The differences are those of means, taken as normal: with variances learnt from what came before.
+Differences are those of means, taken as normal, with variances learnt from earlier samples.
 """
 
 from __future__ import annotations
@@ -25,79 +25,86 @@
     squares: float = 0.0
 
     def add(self, other: Sums) -> None:
+        """Add the samples of another."""
         self.count += other.count
         self.total += other.total
         self.squares += other.squares
 
-    def less(self, other: Sums) -> Sums:
+    def minus(self, other: Sums) -> Sums:
+        """Return what was added since `other`, an earlier state of the same sums."""
         return Sums(self.count - other.count, self.total - other.total, self.squares - other.squares)
 
     @property
     def mean(self) -> float:
+        """Return the mean, 0 without samples."""
         return self.total / self.count if self.count else 0.0
 
 
-class Pooled(msgspec.Struct, array_like=True):
-    """The variance within arms, learnt from all that came before, with a first guess that fades."""
+class PooledVariance(msgspec.Struct, array_like=True):
+    """The variance within arms, learnt from all earlier samples, with a prior guess that fades."""
 
     degrees: float = 0.0
     squares: float = 0.0
 
     def add(self, arm: Sums) -> None:
+        """Learn from the samples of one arm in one window."""
         if arm.count > 1:
             self.degrees += arm.count - 1
             self.squares += max(0.0, arm.squares - arm.total * arm.total / arm.count)
 
     def variance(self, guess: float, weight: float = 30.0) -> float:
+        """Return the estimate; the guess counts as much as `weight` samples."""
         return max(LEAST_VARIANCE, (self.squares + weight * guess) / (self.degrees + weight))
 
 
 class Difference(msgspec.Struct, array_like=True):
-    """Is one mean below another by more than is borne? And: is it surely not below by a margin?
+    """Tests whether the new mean is below the old by more than tolerated, and whether surely not by a margin.
 
-    Both arms are looked at over the same times, so that what changes for both drops out.
+    Both arms are compared over the same windows, so that changes common to both cancel out.
     """
 
     score: float = 0.0  # sum of differences over their variances
     weight: float = 0.0  # sum of one over their variances
-    pooled: Pooled = msgspec.field(default_factory=Pooled)
+    pooled: PooledVariance = msgspec.field(default_factory=PooledVariance)
     old: Sums = msgspec.field(default_factory=Sums)
     new: Sums = msgspec.field(default_factory=Sums)
 
-    def look(self, old: Sums, new: Sums, guess: float) -> bool:
-        """What both arms brought in one stretch of time; without a part of either it says nothing."""
+    def observe(self, old: Sums, new: Sums, guess: float) -> bool:
+        """Add one window's samples of both arms; returns False, unchanged, without samples of either."""
         if old.count < 1 or new.count < 1:
             return False
         variance = self.pooled.variance(guess) * (1 / old.count + 1 / new.count)
         self.score += (old.mean - new.mean) / variance
         self.weight += 1 / variance
-        for arm, more in ((self.old, old), (self.new, new)):
-            arm.add(more)
-            self.pooled.add(more)
+        for arm, samples in ((self.old, old), (self.new, new)):
+            arm.add(samples)
+            self.pooled.add(samples)
         return True
 
     @property
     def loss(self) -> float:
-        """How much lower the new is, by all stretches together."""
+        """Return how much lower the new mean is, over all windows."""
         return self.score / self.weight if self.weight else 0.0
 
     @property
     def spread(self) -> float:
-        """Standard error of that."""
+        """Return the standard error of the loss."""
         return 1 / math.sqrt(self.weight) if self.weight else math.inf
 
-    def worse(self, borne: float, scale: float) -> float:
-        """Logarithm of the value against: the new is lower by `borne` at most. `scale`: of losses that
-        matter beyond it."""
-        return half_normal(self.score - borne * self.weight, self.weight, scale)
+    def worse(self, tolerated: float, scale: float) -> float:
+        """Return the log evidence against: the new is lower by `tolerated` at most.
+
+        `scale` is that of the losses beyond it that matter.
+        """
+        return half_normal(self.score - tolerated * self.weight, self.weight, scale)
 
     def not_worse(self, margin: float, scale: float) -> float:
-        """The same against: the new is lower by `margin` or more."""
+        """Return the log evidence against: the new is lower by `margin` or more."""
         return half_normal(margin * self.weight - self.score, self.weight, scale)
 
 
 def half_normal(score: float, weight: float, scale: float) -> float:
-    """Logarithm of the mixture of likelihood ratios over means drawn from the upper half of a normal.
+    """Return the log of the mixture of likelihood ratios over means drawn from the upper half of a normal.
 
     `score` is a sum of values over their variances, `weight` the sum of one over the variances.
     """
@@ -107,39 +114,40 @@
 
 
 def log_normal(point: float) -> float:
-    """Logarithm of the normal distribution function, also where that is too small for a float."""
+    """Return the log of the normal distribution function, also where that is too small for a float."""
     if point > -30:
         return math.log(0.5 * math.erfc(-point / math.sqrt(2)))
     return -0.5 * point * point - math.log(-point * math.sqrt(2 * math.pi))
 
 
 class Events(msgspec.Struct, array_like=True):
-    """Do rare things happen to the new more often than its part of the time would have it?
+    """Tests whether rare events happen to the new arm more often than by its part of the exposure.
 
-    Given that one happens, it falls on the new with the chance that it has of the exposure just then. The
-    value bets on a higher chance: the mean over odds that are 3, 10 and 30 times what they should be.
+    Under the null hypothesis an event falls on the new arm with a probability equal to its part of the
+    exposure at that moment. The value bets on a higher one: the mean over odds 3, 10 and 30 times as high.
     """
 
     logs: list[float] = msgspec.field(default_factory=lambda: [0.0, 0.0, 0.0])
     old: int = 0
     new: int = 0
 
-    def happened(self, on_new: bool, part: float) -> None:
-        """`part`: of the exposure that is the new's, strictly between 0 and 1."""
-        part = min(0.999, max(0.001, part))
-        for place, odds in enumerate((3.0, 10.0, 30.0)):
-            bet = odds * part / (odds * part + 1 - part)
-            self.logs[place] += math.log(bet / part if on_new else (1 - bet) / (1 - part))
+    def record(self, on_new: bool, exposure: float) -> None:
+        """Add an event; `exposure` is the new arm's part of the exposure, strictly between 0 and 1."""
+        exposure = min(0.999, max(0.001, exposure))
+        for index, odds in enumerate((3.0, 10.0, 30.0)):
+            bet = odds * exposure / (odds * exposure + 1 - exposure)
+            self.logs[index] += math.log(bet / exposure if on_new else (1 - bet) / (1 - exposure))
         self.new += on_new
         self.old += not on_new
 
     def worse(self) -> float:
+        """Return the log evidence against: events fall on the new by its part of the exposure."""
         return log_mean(self.logs)
 
 
 def log_mean(logs: list[float]) -> float:
-    """Logarithm of the mean of values that are told by their logarithms."""
+    """Return the log of the mean of values that are given by their logs."""
     if not logs:
         return 0.0
-    top = max(logs)
-    return top + math.log(sum(math.exp(each - top) for each in logs) / len(logs))
+    highest = max(logs)
+    return highest + math.log(sum(math.exp(log - highest) for log in logs) / len(logs))
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -1,7 +1,8 @@
-"""The ledger with releases in it: what each thing shall run, and how far the open release has come.
+"""The replicated state of releases: what version each target shall run, and the progress of the open release.
 
-Every command of a driver carries the fence of its lease and the number of the step that it saw last: an old
-driver that wakes, and a step that was taken already, are refused alike on every keeper. Free of I/O and time.
+Every command of a controller carries the fencing token of its lease and the step that it saw last: an old
+controller that wakes up, and a step that was taken already, are rejected on every replica alike. Free of I/O
+and time.
 """
 
 from __future__ import annotations
@@ -10,17 +11,19 @@
 
 import msgspec
 
-from oakkeel.disruption import commands as places
+from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.state_machine import ControlPlaneState, Order, PermitStateMachine, Rejection
 from oakkeel.rollout import commands
-from oakkeel.rollout.commands import MAX_TARGETS, RolloutPolicy, VersionSpec
+from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
+from oakkeel.rollout.validation import find_fault
 
-LEASE = "release"  # whoever holds it drives
-MAX_RELEASES = 32  # releases that are over
-MAX_GATE_STATE_BYTES = 16 * 1024  # bytes of what the gates have seen
+LEASE = "release"  # its holder is the controller
+MAX_FINISHED_RELEASES = 32
+MAX_GATE_STATE_BYTES = 16 * 1024
+MAX_TEXT = 500  # characters of a reason or summary
 
-# Of a release. preparing: hosts make their copies; running, undoing: forth and back; halted: nothing further
-# leaves until an operator says how it goes on.
+# Of a release. preparing: hosts make their copies; running: forward; undoing, undone: rolling back, rolled
+# back; halted: nothing further is taken out until an operator decides; left: abandoned.
 TRANSITIONS = {
     "preparing": {"running", "left"},
     "running": {"paused", "halted", "undoing", "done"},
@@ -32,164 +35,144 @@
     "left": set(),
 }
 FINAL_STATES = ("done", "undone", "left")
-# Of a part.
+# Of a target.
 TARGET_TRANSITIONS = {"old": {"changing"}, "changing": {"old", "new"}, "new": {"changing"}}
 
 
 class ReleaseTarget(msgspec.Struct, array_like=True):
-    """One thing of a release. `RolloutStateMachine._put` alone changes its state."""
+    """One target of a release. Only `RolloutStateMachine._move_target` changes its state."""
 
-    was: str  # the version before
+    previous: str  # the version before
     state: str = "old"
-    base: str = ""  # the copy of what it ran, should its settings be other ones by then
-    tries: int = 0
+    base: str = ""  # version of the copy of what it ran, should its settings change meanwhile
+    attempts: int = 0
 
 
 class Release(msgspec.Struct, array_like=True):
+    """One release and its progress."""
+
     ident: str
     operator: str
     unix: int
     index: int
-    what: VersionSpec
-    pace: RolloutPolicy
-    parts: dict[str, ReleaseTarget]
+    spec: VersionSpec
+    policy: RolloutPolicy
+    targets: dict[str, ReleaseTarget]
     state: str = "preparing"
-    step: int = 0  # changed by everything that a driver does
-    batch: int = 0  # of the last one
-    now: list[str] = []  # the things of the batch that is under way
-    controls: list[str] = []  # and those that begin anew beside them
-    ready: list[str] = []  # hosts
-    back: bool = False  # what is halted was on its way back
+    step: int = 0  # increased by everything that a controller does
+    batch: int = 0  # number of the last one
+    in_progress: list[str] = []  # targets of the open batch
+    controls: list[str] = []  # targets that restart unchanged beside them
+    prepared_hosts: list[str] = []
+    rolling_back: bool = False  # also while the rollback is halted
     why: str = ""
-    seen: bytes = b""
-    said: str = ""
-    turns: int = 0  # words of operators
-    forward: bool = True  # the batch under way brings the new
+    gate_state: bytes = b""
+    summary: str = ""  # of the gates, for people
+    controlled: int = 0  # number of accepted controls by operators
+    batch_forward: bool = True  # the open batch brings the new version
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
+        """Tell whether it has ended."""
         return self.state in FINAL_STATES
 
     @property
-    def order(self) -> str:
-        """The id of its last batch's order."""
+    def order_id(self) -> str:
+        """Return the ID of its last batch's order."""
         return f"{self.ident}.{self.batch}"
 
-    def to(self, thing: str) -> str:
-        """The version that it shall have in the direction in which it goes."""
-        part = self.parts[thing]
-        return part.base or part.was if self.back else self.what.version
+    @property
+    def end_state(self) -> str:
+        """Return the state that all targets reach in its direction."""
+        return "old" if self.rolling_back else "new"
+
+    def wanted_version(self, name: str) -> str:
+        """Return the version that a target shall run in the direction of the release."""
+        target = self.targets[name]
+        return target.base or target.previous if self.rolling_back else self.spec.version
 
 
 class RolloutState(ControlPlaneState, array_like=True):
-    releases: dict[str, Release] = {}
-    versions: dict[str, str] = {}  # that a thing runs from its next start on; none: as its settings say
-    sources: dict[str, VersionSpec] = {}  # of versions that some thing may have
+    """The state of the control plane with its releases."""
+
+    releases: dict[str, Release] = msgspec.field(default_factory=dict)
+    versions: dict[str, str] = msgspec.field(default_factory=dict)  # by target, from its next start on
+    sources: dict[str, VersionSpec] = msgspec.field(default_factory=dict)  # by version, of all in use
 
 
 _snapshot_decoder = msgspec.msgpack.Decoder(RolloutState)
 
 
 class RolloutStateMachine(PermitStateMachine):
+    """Applies commands of releases, and all others as its base does."""
+
     held: RolloutState
 
     def read(self, content: bytes) -> Any:
+        """Decode a command."""
         return commands.decode(content)
 
     def taken_up(self, content: bytes) -> RolloutState:
+        """Decode a snapshot; no content is an empty state."""
         return _snapshot_decoder.decode(content) if content else RolloutState()
 
     @property
-    def open(self) -> Release | None:
-        """There is one at most."""
-        return next((each for each in self.held.releases.values() if not each.over), None)
-
-    # An operator's.
+    def open_release(self) -> Release | None:
+        """Return the release that has not ended; there is one at most."""
+        return next((release for release in self.held.releases.values() if not release.is_finished), None)
 
-    def _begin(self, index: int, command: commands.StartRelease) -> object:
-        held, what = self.held, command.what
+    def _start_release(self, index: int, command: commands.StartRelease) -> object:
+        held, spec = self.held, command.spec
         if known := held.releases.get(command.ident):
-            same = (known.operator, known.what, sorted(known.parts)) == (
+            same = (known.operator, known.spec, sorted(known.targets)) == (
                 command.operator,
-                what,
-                sorted(command.things),
+                spec,
+                sorted(command.targets),
             )
             return known if same else Rejection(f"that id is of another release, by {known.operator}")
-        if other := self.open:
+        if other := self.open_release:
             return Rejection(
                 f"{other.operator}'s release {other.ident} is {other.state}: it has to end first"
             )
-        things = command.things
-        if (
-            not command.ident
-            or len(command.ident) > 48
-            or "." in command.ident
-            or not things
-            or len(set(things)) != len(things)
-            or len(things) > MAX_TARGETS
-        ):
-            return Rejection("no id without a dot, nothing named, something twice, or too much at once")
-        known_things = {thing for here in held.layout.hosts.values() for thing in here}
-        services = {
-            thing for group in held.layout.groups if group.name.startswith("kind ") for thing in group.things
-        }
-        if unknown := sorted(set(things) - known_things):
-            return Rejection(f"there is no {unknown[0]}")
-        if wrong := [thing for thing in things if (thing in services) != what.services]:
-            return Rejection(f"{wrong[0]}: instances and services below are released one after the other")
-        if not what.version:
-            return Rejection("no version is named")
-        parts = {thing: ReleaseTarget(held.versions.get(thing, "")) for thing in things}
-        if same_now := [thing for thing, part in parts.items() if part.was == what.version]:
-            return Rejection(f"{same_now[0]} has that version already")
-        if not what.services and not what.as_set:
-            for thing, part in parts.items():
-                ran = held.sources.get(part.was, VersionSpec(""))
-                for name in ("program", "patch"):
-                    if getattr(ran, name) and not getattr(what, name):
-                        return Rejection(
-                            f"{thing} runs a released {name}: name one here too, or say that it"
-                            " shall be as the settings say"
-                        )
-        release = Release(command.ident, command.operator, command.unix, index, what, command.pace, parts)
+        if fault := find_fault(command, held.layout, held.versions, held.sources):
+            return Rejection(fault)
+        targets = {name: ReleaseTarget(held.versions.get(name, "")) for name in command.targets}
+        release = Release(command.ident, command.operator, command.unix, index, spec, command.policy, targets)
         held.releases[release.ident] = release
-        if not what.services:
-            held.sources[what.version] = what
-        for ident in [each.ident for each in held.releases.values() if each.over][:-MAX_RELEASES]:
+        if not spec.services:
+            held.sources[spec.version] = spec
+        finished = [release.ident for release in held.releases.values() if release.is_finished]
+        for ident in finished[:-MAX_FINISHED_RELEASES]:
             del held.releases[ident]
         return release
 
-    def _turn(self, index: int, command: commands.ControlRelease) -> object:
+    def _control_release(self, index: int, command: commands.ControlRelease) -> object:
         release = self.held.releases.get(command.ident)
         if release is None:
             return Rejection("no such release")
-        to, by = command.to, f"by {command.operator}"
-        if to == "abort" and release.state == "preparing":
-            to = "leave"
-        if to == "undo" and release.state == "preparing":
+        action = command.action
+        if action == "abort" and release.state == "preparing":
+            action = "leave"
+        if action == "undo" and release.state == "preparing":
             return Rejection("nothing of it was changed yet: abort it")
         state = {
             "pause": "paused",
             "abort": "halted",
             "undo": "undoing",
             "leave": "left",
-            "resume": "undoing" if release.back else "running",
-        }.get(to, "")
+            "resume": "undoing" if release.rolling_back else "running",
+        }.get(action, "")
         if state == release.state:
             return release
         if state not in TRANSITIONS[release.state]:
-            return Rejection(f"it is {release.state}, and can't be told to {to}")
-        release.turns += 1
-        if to == "resume" and release.state == "halted":  # an operator knows better than the gates
-            release.seen = b""
-            for part in release.parts.values():
-                part.tries = 0
-        return self._shift(release, state, by)
-
-    # A driver's.
-
-    def _of(self, command: Any, *states: str) -> Release | Rejection:
-        """The release that a driver's step is for, if the step holds."""
+            return Rejection(f"it is {release.state}, and can't be told to {action}")
+        release.controlled += 1
+        if action == "resume" and release.state == "halted":  # an operator overrules the gates
+            self._reset_progress(release)
+        return self._move_release(release, state, f"by {command.operator}")
+
+    def _find_release(self, command: Any, *states: str) -> Release | Rejection:
+        """Return the release of a controller's command, if fence, state and step are right."""
         release, lease = self.held.releases.get(command.ident), self.held.leases.get(LEASE)
         if lease is None or lease.fence != command.fence:
             return Rejection("another drives by now, or none")
@@ -199,152 +182,156 @@
             return Rejection(f"step {command.step} was taken: it is at {release.step}")
         return release
 
-    def _ready(self, index: int, command: commands.ReportPrepared) -> object:
+    def _report_prepared(self, index: int, command: commands.ReportPrepared) -> object:
         release, lease = self.held.releases.get(command.ident), self.held.leases.get(LEASE)
         if lease is None or lease.fence != command.fence or release is None or release.state != "preparing":
             return Rejection("nothing is prepared, or another drives")
         if command.why:
-            return self._shift(release, "left", f"{command.host} can't take it: {command.why}")
-        if command.host not in release.ready:
-            release.ready.append(command.host)
-            for thing, base in command.bases.items():
-                if thing in release.parts:
-                    release.parts[thing].base = base
+            return self._move_release(release, "left", f"{command.host} can't take it: {command.why}")
+        if command.host not in release.prepared_hosts:
+            release.prepared_hosts.append(command.host)
+            for name, base in command.bases.items():
+                if name in release.targets:
+                    release.targets[name].base = base
         return release
 
-    def _go(self, index: int, command: commands.BeginRollout) -> object:
-        release = self._of(command, "preparing")
+    def _begin_rollout(self, index: int, command: commands.BeginRollout) -> object:
+        release = self._find_release(command, "preparing")
         if isinstance(release, Rejection):
             return release
         release.step += 1
-        return self._shift(release, "running", "")
+        return self._move_release(release, "running", "")
 
-    def _batch(self, index: int, command: commands.StartBatch) -> object:
-        release = self._of(command, "running", "undoing")
+    def _start_batch(self, index: int, command: commands.StartBatch) -> object:
+        release = self._find_release(command, "running", "undoing")
         if isinstance(release, Rejection):
             return release
-        names = [thing for thing, _ in command.things]
-        if release.now or not names or any(thing not in release.parts for thing in names):
+        names = [name for name, _ in command.targets]
+        if release.in_progress or not names or any(name not in release.targets for name in names):
             return Rejection("a batch is under way, or something of this one can't be changed now")
-        held = self.held
-        verb = "drain" if release.what.services else "restart"
+        verb = "drain" if release.spec.services else "restart"
         order = self._order(
             index,
-            places.SubmitOrder(
+            permit_commands.SubmitOrder(
                 f"{release.ident}.{release.batch + 1}",
                 release.operator,
                 verb,
                 command.unix,
-                release.pace.lasts,
+                release.policy.batch_timeout,
                 False,
-                [*command.things, *command.controls],
+                [*command.targets, *command.controls],
             ),
         )
         if isinstance(order, Rejection):
             return order
         release.step, release.batch = release.step + 1, release.batch + 1
-        for thing in names:
-            part = release.parts[thing]
-            part.tries += 1
-            self._put(part, "changing")
-            self._shall_run(thing, release.to(thing))
-        release.forward = not release.back
-        release.now, release.controls = names, [thing for thing, _ in command.controls]
+        for name in names:
+            target = release.targets[name]
+            target.attempts += 1
+            self._move_target(target, "changing")
+            self._assign_version(name, release.wanted_version(name))
+        release.batch_forward = not release.rolling_back
+        release.in_progress, release.controls = names, [name for name, _ in command.controls]
         assert isinstance(order, Order)
-        if not order.open:  # all of it was refused: to be settled all the same
-            held.orders.setdefault(order.ident, order)
+        if not order.open:  # all of it was rejected: the batch is to be finished all the same
+            self.held.orders.setdefault(order.ident, order)
         return order
 
-    def _settle(self, index: int, command: commands.FinishBatch) -> object:
-        release = self._of(command, "running", "paused", "halted", "undoing")
+    def _finish_batch(self, index: int, command: commands.FinishBatch) -> object:
+        release = self._find_release(command, "running", "paused", "halted", "undoing")
         if isinstance(release, Rejection):
             return release
         release.step += 1
-        for thing in release.now:
-            part = release.parts[thing]
-            new = thing in command.new
-            self._put(part, "new" if new else "old")
-            self._shall_run(thing, release.what.version if new else part.base or part.was)
-        release.now = []
+        for name in release.in_progress:
+            target = release.targets[name]
+            updated = name in command.updated
+            self._move_target(target, "new" if updated else "old")
+            self._assign_version(name, release.spec.version if updated else target.base or target.previous)
+        release.in_progress = []
         return release
 
-    def _judge(self, index: int, command: commands.RecordVerdict) -> object:
-        release = self._of(command, "running", "paused", "undoing")
+    def _record_verdict(self, index: int, command: commands.RecordVerdict) -> object:
+        release = self._find_release(command, "running", "paused", "undoing")
         if isinstance(release, Rejection):
             return release
         release.step += 1
-        if len(command.seen) <= MAX_GATE_STATE_BYTES:
-            release.seen = command.seen
-        release.said = command.said[:500]
+        if len(command.gate_state) <= MAX_GATE_STATE_BYTES:
+            release.gate_state = command.gate_state
+        release.summary = command.summary[:MAX_TEXT]
         if command.why:
-            going_back = release.state == "undoing"
-            self._shift(release, "halted", command.why[:500])
-            if release.pace.back and not going_back:
-                self._shift(release, "undoing", command.why[:500])
+            was_rolling_back = release.state == "undoing"
+            self._move_release(release, "halted", command.why[:MAX_TEXT])
+            if release.policy.auto_roll_back and not was_rolling_back:
+                self._move_release(release, "undoing", command.why[:MAX_TEXT])
         return release
 
-    def _finish(self, index: int, command: commands.FinishRelease) -> object:
-        release = self._of(command, "running", "undoing")
+    def _finish_release(self, index: int, command: commands.FinishRelease) -> object:
+        release = self._find_release(command, "running", "undoing")
         if isinstance(release, Rejection):
             return release
-        end = "old" if release.back else "new"
-        if release.now or any(part.state != end for part in release.parts.values()):
+        if release.in_progress or any(
+            target.state != release.end_state for target in release.targets.values()
+        ):
             return Rejection("not all of it is there")
         release.step += 1
-        return self._shift(release, "undone" if release.back else "done", "")
-
-    # Changes.
+        return self._move_release(release, "undone" if release.rolling_back else "done", "")
 
-    def _shall_run(self, thing: str, version: str) -> None:
+    def _assign_version(self, target: str, version: str) -> None:
         if version:
-            self.held.versions[thing] = version
+            self.held.versions[target] = version
         else:
-            self.held.versions.pop(thing, None)
+            self.held.versions.pop(target, None)
 
-    def _put(self, part: ReleaseTarget, state: str) -> None:
-        """The one place where the state of a part changes."""
-        if state not in TARGET_TRANSITIONS[part.state] and state != part.state:
-            raise RuntimeError(f"{part.state} to {state}")
-        part.state = state
+    def _move_target(self, target: ReleaseTarget, state: str) -> None:
+        """Change the state of a target; nothing else does."""
+        if state not in TARGET_TRANSITIONS[target.state] and state != target.state:
+            raise RuntimeError(f"{target.state} to {state}")
+        target.state = state
 
-    def _shift(self, release: Release, state: str, why: str) -> Release:
-        """The one place where the state of a release changes."""
+    def _move_release(self, release: Release, state: str, why: str) -> Release:
+        """Change the state of a release; nothing else does."""
         if state not in TRANSITIONS[release.state]:
             raise RuntimeError(f"{release.state} to {state}")
         was, release.state = release.state, state
         release.why = why or release.why
-        order = self.held.orders.get(release.order)
+        order = self.held.orders.get(release.order_id)
         if state in ("paused", "halted", "undoing") and order and order.open:
             order.halted = order.halted or release.operator
             self._end_waiting(order, "halted", f"release {release.ident} {state}")
             if state == "undoing":  # what does not come up is not waited for
                 order.cancelled = order.cancelled or release.operator
         if state == "undoing":
-            if not release.back:
-                release.seen = b""
-                for part in release.parts.values():
-                    part.tries = 0
-            release.back = True
+            if not release.rolling_back:
+                self._reset_progress(release)
+            release.rolling_back = True
         if state in FINAL_STATES:
-            for thing, part in release.parts.items():
-                if part.state == "old":
-                    self._shall_run(thing, part.was)
-            wanted = {*self.held.versions.values()}
-            self.held.sources = {
-                version: what for version, what in self.held.sources.items() if version in wanted
-            }
+            self._clean_up(release)
         if was == "preparing" or state == "running":
             release.why = why
         return release
 
+    def _reset_progress(self, release: Release) -> None:
+        """Forget what the gates have learnt, and how often each target was tried."""
+        release.gate_state = b""
+        for target in release.targets.values():
+            target.attempts = 0
+
+    def _clean_up(self, release: Release) -> None:
+        """Give unchanged targets their earlier versions again, and drop the sources of unused versions."""
+        for name, target in release.targets.items():
+            if target.state == "old":
+                self._assign_version(name, target.previous)
+        used = {*self.held.versions.values()}
+        self.held.sources = {version: spec for version, spec in self.held.sources.items() if version in used}
+
     ACTS: ClassVar[dict[type, Any]] = {
         **PermitStateMachine.ACTS,
-        commands.StartRelease: _begin,
-        commands.ControlRelease: _turn,
-        commands.ReportPrepared: _ready,
-        commands.BeginRollout: _go,
-        commands.StartBatch: _batch,
-        commands.FinishBatch: _settle,
-        commands.RecordVerdict: _judge,
-        commands.FinishRelease: _finish,
+        commands.StartRelease: _start_release,
+        commands.ControlRelease: _control_release,
+        commands.ReportPrepared: _report_prepared,
+        commands.BeginRollout: _begin_rollout,
+        commands.StartBatch: _start_batch,
+        commands.FinishBatch: _finish_batch,
+        commands.RecordVerdict: _record_verdict,
+        commands.FinishRelease: _finish_release,
     }
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -21,7 +21,7 @@
 from tests.cluster.test_rig import HOSTS, RigStory
 
 SECOND = 1_000_000_000
-QUICK = dict(soak=300_000_000, lasts=10 * SECOND, patience=20 * SECOND)
+QUICK = dict(soak=300_000_000, batch_timeout=10 * SECOND, verdict_timeout=20 * SECOND)
 ALL = [name for names in HOSTS.values() for name in names]
 
 
@@ -105,7 +105,7 @@
 class DriverStories(RolloutStory):
     async def test_the_driver_killed_again_and_again_is_followed_at_exactly_its_step(self):
         what = self.program("v2")
-        await self.begin(what, ["n1a", "n2a", "n3a", "n4a", "n5a"], gated=False, most=1)
+        await self.begin(what, ["n1a", "n2a", "n3a", "n4a", "n5a"], gated=False, max_batch=1)
         step, kills = 0, 0
         while kills < 5:
             told = await self.until_told(
@@ -168,18 +168,20 @@
         self.assertEqual(set(before.values()), {""})
 
     async def test_one_that_does_not_start_and_one_that_says_nothing_go_back_by_themselves(self):
-        await self.begin(self.program("crash", "crash"), ["n3a", "n4a", "n5a"], back=True)
+        await self.begin(self.program("crash", "crash"), ["n3a", "n4a", "n5a"], auto_roll_back=True)
         told = await self.over("undone")
         self.assertIn("died by themselves", told.why)
         await self.rig.all_serve()
-        await self.begin(self.program("mute", "mute"), ["n4a"], ident="r2", back=True, lasts=4 * SECOND)
+        await self.begin(
+            self.program("mute", "mute"), ["n4a"], ident="r2", auto_roll_back=True, batch_timeout=4 * SECOND
+        )
         told = await self.over("undone", ident="r2")
         self.assertIn("n4a", told.why)
         await self.rig.all_serve()
 
     async def test_undo_while_a_batch_comes_up_and_an_undo_that_is_halted_and_goes_on(self):
         what = self.program("slow", "slow")
-        await self.begin(what, gated=False, most=2)
+        await self.begin(what, gated=False, max_batch=2)
         await self.until_told("the second batch is out", lambda told: told.batch >= 2)
         await self.turn("undo")
         await self.until_told("it goes back", lambda told: told.state == "undoing" and told.batch >= 3)
@@ -193,7 +195,7 @@
 
     async def test_what_a_process_was_started_from_is_kept_though_no_release_needs_it(self):
         what = self.program("bad", "worse")
-        await self.begin(what, ["n4a"], back=True, control=False)
+        await self.begin(what, ["n4a"], auto_roll_back=True, control=False)
         await self.over("undone")
         await self.rig.all_serve()
         runs = runs_by_journals(self.folder, self.hosts)["n4a"]
@@ -220,7 +222,7 @@
 class LossStories(RolloutStory):
     async def test_an_agent_that_vanishes_with_one_of_the_batch_halts_it_and_it_goes_on_after(self):
         what = self.program("slow", "slow")
-        await self.begin(what, ["n4a", "n4b", "n5a"], gated=False, lasts=3 * SECOND, most=1)
+        await self.begin(what, ["n4a", "n4b", "n5a"], gated=False, batch_timeout=3 * SECOND, max_batch=1)
         told = await self.until_told("one is out", out)
         [host] = [part.host for part in told.targets if part.state == "changing"]
         await self.rig.kill(host)
@@ -235,7 +237,7 @@
         what = self.program("v2")
         for name in ("n4a", "n5a", "n5b"):
             self.rig.script(name, "slow")
-        await self.begin(what, gated=False, most=1)
+        await self.begin(what, gated=False, max_batch=1)
         await self.until_told("it is on its way", lambda told: told.batch >= 1)
         far = ["h3", "h4", "h5"]
         self.rig.cut(far, ["h1", "h2"])
@@ -254,7 +256,7 @@
 
     async def test_reports_that_look_good_and_are_old_are_not_gone_by(self):
         what = self.program("v2")
-        await self.begin(what, ["n4a", "n4b", "n5a"], gated=False, most=1)
+        await self.begin(what, ["n4a", "n4b", "n5a"], gated=False, max_batch=1)
         told = await self.until_told(
             "one is there", lambda told: any(part.state == "new" for part in told.targets)
         )
@@ -276,7 +278,7 @@
 
     async def test_without_a_majority_nothing_moves_and_what_serves_goes_on(self):
         what = self.program("v2")
-        await self.begin(what, gated=False, most=1)
+        await self.begin(what, gated=False, max_batch=1)
         await self.until_told("it is on its way", lambda told: told.batch >= 1)
         for host in ("h1", "h2"):
             await self.rig.kill(host)
@@ -416,7 +418,9 @@
         return names[0]
 
     async def test_never_both_sides_at_once_and_one_that_comes_back_slower_halts_it(self):
-        await self.begin(VersionSpec("db-9", services=True), ["db1", "db2"], lasts=20 * SECOND, soak=SECOND)
+        await self.begin(
+            VersionSpec("db-9", services=True), ["db1", "db2"], batch_timeout=20 * SECOND, soak=SECOND
+        )
 
         def slower(service: str) -> None:
             for name, on in self.hanging.items():
@@ -432,7 +436,7 @@
         await self.over("undone")
 
     async def test_instances_wait_while_what_they_hang_on_is_out(self):
-        await self.begin(VersionSpec("db-9", services=True), ["db1"], gated=False, lasts=20 * SECOND)
+        await self.begin(VersionSpec("db-9", services=True), ["db1"], gated=False, batch_timeout=20 * SECOND)
         await self.until_told("it is out", out)
         answer = await self.begin(self.program("v2"), ["n1a"], ident="r2")
         self.assertIsInstance(answer, messages.ErrorResponse)
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -3,14 +3,16 @@
 import unittest
 import unittest.mock
 
-from oakkeel.disruption import commands as places
+from oakkeel.disruption import commands as permit_commands
 from oakkeel.emulator.consensus import ConsensusSimulation, play
 from oakkeel.emulator.faults import Fault, draw
 from oakkeel.invariants.rollout import RolloutAudit
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
+from oakkeel.rollout.batches import Step
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.controller import RolloutController
+from oakkeel.rollout.observations import Observations
 
 SECOND = 1_000_000_000
 
@@ -20,8 +22,8 @@
     return Fault(2 * SECOND, "release", who, to, 0, 1.0)
 
 
-class AuditStories(unittest.TestCase):
-    """Each promise is broken on purpose, and that is noticed."""
+class RolloutAuditTest(unittest.TestCase):
+    """Each invariant is broken on purpose, and the check detects it."""
 
     def breaches(self, plant) -> str:
         found: list[str] = []
@@ -34,42 +36,45 @@
                 break
         return found[0] if found else ""
 
-    def test_a_start_with_the_new_before_its_batch_and_an_end_that_is_not_true_are_noticed(self):
+    def test_detects_start_with_new_version_before_its_batch(self):
         def early(world: ConsensusSimulation) -> None:
-            old = VersionAssignments.version
+            original = VersionAssignments.version
             self.enterContext(
                 unittest.mock.patch.object(
                     VersionAssignments,
                     "version",
-                    lambda fitting, thing: (
-                        old(fitting, thing) or (world.of_releases.version.get(fitting.release, ""))
+                    lambda assignments, target: (
+                        original(assignments, target)
+                        or (world.of_releases.version.get(assignments.release, ""))
                     ),
                 )
             )
 
         self.assertIn("promise 8", self.breaches(early))
 
-    def test_an_end_that_is_not_true_is_noticed(self):
-        for owner, name, lie in (
-            (RolloutController, "_is_new", lambda driver, release, thing, parts: release.forward),
-            (RolloutController, "_came", lambda *words: True),
-            (RolloutController, "_strays", lambda *words: False),
-            (VersionAssignments, "version", lambda *words: ""),
-            (RolloutController, "_gated", lambda driver, *words: setattr(driver, "why", "")),
+    def test_detects_release_reported_done_too_early(self):
+        for owner, name, fake in (
+            (Observations, "is_updated", lambda observations, release, target, tasks: release.batch_forward),
+            (Observations, "has_arrived", lambda *arguments: True),
+            (Observations, "deviates", lambda *arguments: False),
+            (VersionAssignments, "version", lambda *arguments: ""),
+            (RolloutController, "_check_gate", lambda *arguments: Step(None, "")),
         ):
-            self.enterContext(unittest.mock.patch.object(owner, name, lie))
+            self.enterContext(unittest.mock.patch.object(owner, name, fake))
         self.assertIn("promise 9", self.breaches(None))
 
-    def test_two_drivers_steps_both_taken_are_noticed(self):
+    def test_detects_steps_of_two_controllers_both_applied(self):
         audit = RolloutAudit()
         audit.taken(
             0,
             "h1",
-            places.encode(commands.StartRelease("r", "asha", 0, VersionSpec("v"), RolloutPolicy(), ["a"])),
+            permit_commands.encode(
+                commands.StartRelease("r", "asha", 0, VersionSpec("v"), RolloutPolicy(), ["a"])
+            ),
         )
-        audit.taken(1, "h1", places.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
-        audit.taken(2, "h2", places.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
+        audit.taken(1, "h1", permit_commands.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
+        audit.taken(2, "h2", permit_commands.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
         self.assertEqual(audit.breaches, [])
-        audit.taken(3, "h2", places.encode(commands.StartBatch("r", 8, 1, 0, [("b", 1)])))
-        audit.taken(4, "h2", places.encode(commands.FinishBatch("r", 7, 2, [])))
+        audit.taken(3, "h2", permit_commands.encode(commands.StartBatch("r", 8, 1, 0, [("b", 1)])))
+        audit.taken(4, "h2", permit_commands.encode(commands.FinishBatch("r", 7, 2, [])))
         self.assertEqual(len(audit.breaches), 2)
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
-from oakkeel.rollout.plan import OLD, BatchPlanner, TargetObservation
+from oakkeel.rollout.plan import STALE_AFTER, BatchChoice, BatchLimits, BatchPlanner, TargetObservation
 
-LAYOUT = Topology(
+TOPOLOGY = Topology(
     {"h1": ("a", "b"), "h2": ("c", "d"), "h3": ("db1", "db2")},
     (
         BudgetGroup("site one", 1, ("a", "b")),
@@ -22,92 +22,102 @@
 )
 
 
-class PlanStories(unittest.TestCase):
+class BatchPlannerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.out, self.planner = UnavailableTargets(LAYOUT), BatchPlanner(LAYOUT)
-        self.seen = {
+        self.unavailable, self.planner = UnavailableTargets(TOPOLOGY), BatchPlanner(TOPOLOGY)
+        self.observations = {
             name: TargetObservation(name, "serving", 1, "", 0)
-            for names in LAYOUT.hosts.values()
+            for names in TOPOLOGY.hosts.values()
             for name in names
         }
 
-    def choose(self, wanted: str, most: int = 9, ceiling: float = 0.85, broken: bool = False, now: int = 0):
-        return self.planner.choose(now, wanted.split(), self.seen, self.out, most, ceiling, broken)
+    def choose(
+        self,
+        candidates: str,
+        max_targets: int = 9,
+        max_load: float = 0.85,
+        broken: bool = False,
+        now: int = 0,
+    ) -> BatchChoice:
+        limits = BatchLimits(max_targets, max_load, broken)
+        return self.planner.choose(now, candidates.split(), self.observations, self.unavailable, limits)
 
-    def test_sites_take_turns_and_the_bounds_hold(self):
-        self.assertEqual(self.choose("a b c d").things, ["a", "c"])
+    def test_sites_take_turns_within_their_budgets(self):
+        self.assertEqual(self.choose("a b c d").targets, ["a", "c"])
 
-    def test_the_last_that_serves_of_a_site_stays(self):
-        self.out.put("a", "does not serve")
-        self.seen["a"].phase = "failing"
-        self.assertNotIn("b", self.choose("b").things)
+    def test_last_serving_target_of_site_stays(self):
+        self.unavailable.put("a", "does not serve")
+        self.observations["a"].phase = "failing"
+        self.assertNotIn("b", self.choose("b").targets)
         wide = Topology(
-            LAYOUT.hosts, tuple(BudgetGroup(group.name, 9, group.things) for group in LAYOUT.groups)
+            TOPOLOGY.hosts, tuple(BudgetGroup(group.name, 9, group.things) for group in TOPOLOGY.groups)
         )
         out = UnavailableTargets(wide)
         out.put("a", "does not serve")
-        choice = BatchPlanner(wide).choose(0, ["b"], self.seen, out, 9, 0.85, False)
+        choice = BatchPlanner(wide).choose(0, ["b"], self.observations, out, BatchLimits(9, 0.85))
         self.assertIn("last that serves of site one", choice.why)
 
-    def test_old_news_are_not_touched(self):
-        for each in self.seen.values():
-            each.at = 0
-        self.assertEqual(self.choose("a b c d", now=OLD + 1).things, [])
-        self.assertIn("nothing new is known", self.choose("a", now=OLD + 1).why)
+    def test_stale_targets_are_not_touched(self):
+        for each in self.observations.values():
+            each.observed_at = 0
+        self.assertEqual(self.choose("a b c d", now=STALE_AFTER + 1).targets, [])
+        self.assertIn("nothing new is known", self.choose("a", now=STALE_AFTER + 1).why)
 
-    def test_never_both_sides_of_a_dependency(self):
-        self.out.put("db1", "a place")
+    def test_never_takes_both_sides_of_dependency(self):
+        self.unavailable.put("db1", "a place")
         choice = self.choose("a b c d")
-        self.assertNotIn("a", choice.things)
-        self.assertNotIn("c", choice.things)
+        self.assertNotIn("a", choice.targets)
+        self.assertNotIn("c", choice.targets)
         self.setUp()
-        self.out.put("a", "a place")
-        self.assertNotIn("db1", self.choose("db1").things)
+        self.unavailable.put("a", "a place")
+        self.assertNotIn("db1", self.choose("db1").targets)
         self.assertIn("hangs on", self.choose("db1").why)
 
-    def test_a_site_near_its_limit_waits_and_cold_ones_carry_their_part(self):
+    def test_site_near_its_load_limit_waits_and_cold_targets_carry_a_part(self):
         for name in "ab":
-            self.seen[name].load = 0.6
-        self.assertEqual(self.choose("a b").things, [])
+            self.observations[name].load = 0.6
+        self.assertEqual(self.choose("a b").targets, [])
         self.assertIn("would carry 1.20", self.choose("a").why)
         for name in "ab":
-            self.seen[name].load = 0.4
-        self.assertEqual(self.choose("a b").things, ["a"])
-        self.seen["b"].phase = "cold"
-        self.out.put("b", "does not serve")
-        self.assertEqual(self.choose("a").things, [])
+            self.observations[name].load = 0.4
+        self.assertEqual(self.choose("a b").targets, ["a"])
+        self.observations["b"].phase = "cold"
+        self.unavailable.put("b", "does not serve")
+        self.assertEqual(self.choose("a").targets, [])
 
-    def test_a_site_of_one_can_be_released_though_nobody_there_carries_its_load(self):
-        layout = Topology({"h1": ("a",)}, (BudgetGroup("site one", 1, ("a",)),))
-        self.seen["a"].load = 0.9
-        choice = BatchPlanner(layout).choose(0, ["a"], self.seen, UnavailableTargets(layout), 1, 0.5, False)
-        self.assertEqual(choice.things, ["a"])
+    def test_site_of_one_target_can_be_released(self):
+        topology = Topology({"h1": ("a",)}, (BudgetGroup("site one", 1, ("a",)),))
+        self.observations["a"].load = 0.9
+        choice = BatchPlanner(topology).choose(
+            0, ["a"], self.observations, UnavailableTargets(topology), BatchLimits(1, 0.5)
+        )
+        self.assertEqual(choice.targets, ["a"])
 
-    def test_on_a_way_back_what_is_broken_comes_first_and_needs_no_room(self):
-        self.out.put("a", "does not serve")
-        self.seen["a"].phase = "failing"
-        self.assertEqual(self.choose("a b", broken=True).things, ["a"])
-        self.assertEqual(self.choose("a", broken=False).things, ["a"])  # nothing else is left
+    def test_rollback_takes_broken_targets_first(self):
+        self.unavailable.put("a", "does not serve")
+        self.observations["a"].phase = "failing"
+        self.assertEqual(self.choose("a b", broken=True).targets, ["a"])
+        self.assertEqual(self.choose("a", broken=False).targets, ["a"])  # nothing else is left
 
     @given(st.integers(0, 1 << 30))
     @settings(max_examples=60, deadline=None)
-    def test_whatever_is_out_no_choice_passes_a_bound_or_leaves_a_site_without(self, seed):
+    def test_no_choice_exceeds_budget_or_empties_site(self, seed):
         random = Random(seed)
         self.setUp()
-        for name in self.seen:
+        for name in self.observations:
             if random.random() < 0.3:
-                self.out.put(name, "does not serve")
-                self.seen[name].phase = random.choice(("failing", "cold", "draining", "stopped"))
+                self.unavailable.put(name, "does not serve")
+                self.observations[name].phase = random.choice(("failing", "cold", "draining", "stopped"))
             if random.random() < 0.2:
-                self.seen[name].at = -2 * OLD
-        before = set(self.out.reasons)
-        chosen = self.choose("a b c d", random.randint(1, 4), broken=random.random() < 0.5).things
+                self.observations[name].observed_at = -2 * STALE_AFTER
+        before = set(self.unavailable.reasons)
+        chosen = self.choose("a b c d", random.randint(1, 4), broken=random.random() < 0.5).targets
         self.assertEqual(len(set(chosen)), len(chosen))
-        news = [thing for thing in chosen if thing not in before]
-        for thing in news:
-            self.out.put(thing, "a place")
-        for group in LAYOUT.groups:
-            fresh = [thing for thing in news if thing in group.things]
+        available_before = [thing for thing in chosen if thing not in before]
+        for thing in available_before:
+            self.unavailable.put(thing, "a place")
+        for group in TOPOLOGY.groups:
+            fresh = [thing for thing in available_before if thing in group.things]
             if fresh:
-                self.assertLessEqual(self.out.counts[group.name], group.bound)
-                self.assertTrue(set(group.things) - set(self.out.reasons))
+                self.assertLessEqual(self.unavailable.counts[group.name], group.bound)
+                self.assertTrue(set(group.things) - set(self.unavailable.reasons))
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -9,8 +9,8 @@
 SECOND = 1_000_000_000
 
 
-def schedule(troubles: list[Fault], seed: int = 3, keepers: int = 3, lasts: int = 25) -> Schedule:
-    return Schedule(seed, keepers, keepers, 2, 1, 1, tuple(troubles), lasts * SECOND)
+def schedule(faults: list[Fault], seed: int = 3, voters: int = 3, lasts: int = 25) -> Schedule:
+    return Schedule(seed, voters, voters, 2, 1, 1, tuple(faults), lasts * SECOND)
 
 
 def release(to: int = 0, who: int = 1) -> Fault:
@@ -26,19 +26,19 @@
     return "nobody leads", ""
 
 
-class SimulatedStories(unittest.TestCase):
-    def play(self, *troubles: Fault, **more) -> tuple[str, str]:
-        world, breaches = play(schedule(list(troubles), **more))
+class SimulatedRolloutTest(unittest.TestCase):
+    def play(self, *faults: Fault, **more) -> tuple[str, str]:
+        world, breaches = play(schedule(list(faults), **more))
         self.assertEqual(breaches, [])
         return state(world)
 
-    def test_good_ones_end_done_worse_and_broken_ones_halt_by_themselves(self):
+    def test_good_releases_finish_and_worse_or_broken_ones_halt(self):
         self.assertEqual(self.play(release(1))[0], "done")
         self.assertIn("worse than the old", self.play(release(2))[1])
         self.assertIn("died by themselves", self.play(release(7))[1])
         self.assertEqual(self.play(release(6))[0], "undone")  # by itself, as it was told
 
-    def test_the_driver_killed_at_every_step_is_followed_by_one_that_goes_on_there(self):
+    def test_controller_killed_at_any_step_is_succeeded_where_it_was(self):
         ended = set()
         for at in range(0, 6000, 150):
             for kind in (0, 1):
@@ -49,7 +49,7 @@
                 ended.add(self.play(release(1), *kills[: 1 + at // 150 % 3], seed=at, lasts=40)[0])
         self.assertEqual(ended, {"done"})
 
-    def test_without_a_majority_nothing_moves_and_nothing_is_lost(self):
+    def test_without_majority_nothing_moves_and_nothing_is_lost(self):
         cut = [Fault(2500_000_000, "stop", host, 0, 30 * SECOND, 0.0) for host in (0, 1)]
         world, breaches = play(schedule([release(1), *cut], lasts=15))
         self.assertEqual(breaches, [])
@@ -57,7 +57,7 @@
         later, _ = play(schedule([release(1), *cut], lasts=25))
         self.assertEqual(max((step for _, step in later.of_releases.steps), default=0), steps)
 
-    def test_drawn_schedules_break_no_promise_and_come_to_an_end(self):
+    def test_random_schedules_break_no_invariant_and_end(self):
         for seed in range(2000, 2040):
             world, breaches = play(draw(seed, releases=True, lasts=40 * SECOND))
             self.assertEqual((breaches, world.stuck()), ([], []), seed)
