--- a/measure/gates.py
+++ b/measure/gates.py
@@ -98,7 +98,7 @@
                 deaths += 1
                 nodes[number] = Node("new", second, node.loss, node.generation + 1)
         gate.evaluate(now)
-        verdict = gate.verdict(gate.reference_goodput())
+        verdict = gate.verdict(gate.reference_weight())
         _others(others, old, new, second, limits, look_every)
         if verdict.decision is Decision.WORSE:
             return {
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -7,6 +7,7 @@
 import os
 import signal
 import time
+from typing import TYPE_CHECKING
 
 from oakkeel.catalogue.links import Catalogue
 from oakkeel.directory.reports import DirectoryReporter
@@ -26,6 +27,9 @@
 from oakkeel.resource_limits import SECOND
 from oakkeel.stream_buffers import BufferPool
 
+if TYPE_CHECKING:
+    from oakkeel.node.fair_sharing import NodeFairSharing
+
 SIGNALS = (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
 
 
@@ -51,7 +55,7 @@
             start, self.engine, self.listener, self.reports, self.response_cache, self.measures, self.log
         )
         self.draining = Drain(self, start.limits.drain_grace, resource_limits.stop_after)
-        self.fairly = None
+        self.fairly: NodeFairSharing | None = None
         if start.limits.fair_sharing:
             from oakkeel.node.fair_sharing import (
                 NodeFairSharing,  # it brings libraries that a plain node spares
@@ -108,7 +112,7 @@
         who = None
         if self.fairly:
             self.fairly.begin()
-            who = self.fairly.keys.who
+            who = self.fairly.keys.flow_keys
         self.reader = RequestReader(
             self.start.limits, self.start.groups, self.start.tenants, self.resource_limits, who=who
         )
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -113,7 +113,7 @@
             version = "old" if release.rolling_back else "new"
             return view.halt(f"{target} did not come up with the {version}: {view.last_event(target)}")
     if release.policy.gated and not release.rolling_back:
-        verdict = view.gate.verdict(view.gate.reference_goodput())
+        verdict = view.gate.verdict(view.gate.reference_weight())
         if verdict.decision is Decision.WORSE:
             return view.halt(verdict.why)
     return None
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -31,7 +31,7 @@
     soak: int = 60_000_000_000  # minimum time after each batch
     verdict_timeout: int = 600_000_000_000  # halt after so long without a verdict of the gates
     batch_timeout: int = 120_000_000_000
-    margin: float = 0.02  # part of the goodput: a loss of that must be told apart from none
+    margin: float = 0.02  # part of the earned weight: a loss of that must be told apart from none
     max_load: float = 0.85  # of the targets that keep serving at a site
 
 
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -206,7 +206,7 @@
         release, policy = view.release, view.release.policy
         if release.rolling_back or not policy.gated:
             return Step(None, "")
-        verdict = view.gate.verdict(view.gate.reference_goodput())
+        verdict = view.gate.verdict(view.gate.reference_weight())
         if verdict.decision is Decision.WORSE:
             return Step(view.record_verdict(verdict.why), "")
         if not release.batch:
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -29,7 +29,9 @@
 class Samples(msgspec.Struct, array_like=True):
     """What one process has counted since its start."""
 
-    goodput: Sums = msgspec.field(default_factory=Sums)  # of each request: achieved part of its full weight
+    earned_weight: Sums = msgspec.field(
+        default_factory=Sums
+    )  # of each request: achieved part of its full weight
     rejected: float = 0.0
     failed: float = 0.0
     memory_kb: float = 0.0
@@ -79,7 +81,7 @@
 class Window:
     """The samples since the last comparison, by arm and age class or request class."""
 
-    goodput: dict[tuple[str, str], Sums] = field(default_factory=dict)
+    earned_weight: dict[tuple[str, str], Sums] = field(default_factory=dict)
     rejected: dict[str, Sums] = field(default_factory=dict)
     latencies: dict[tuple[str, str], Sums] = field(default_factory=dict)
     memory_growth: dict[str, Sums] = field(default_factory=dict)
@@ -91,7 +93,7 @@
     def __init__(self, now: int, state: bytes, margin: float) -> None:
         """Go on from an earlier controller's state; one that can't be decoded is dropped.
 
-        `margin` is the part of the goodput that is too much to lose.
+        `margin` is the part of the earned_weight that is too much to lose.
         """
         self.margin = margin
         try:
@@ -118,7 +120,7 @@
         if baseline is None or baseline.identity[:2] != identity[:2]:
             self.baselines[target] = ProcessBaseline(identity, samples, arm)
             return
-        if samples.goodput.count < baseline.samples.goodput.count:
+        if samples.earned_weight.count < baseline.samples.earned_weight.count:
             return  # an older report
         if baseline.identity == identity and baseline.arm == arm and arm:
             self._add_to_window(now, baseline, samples)
@@ -129,12 +131,12 @@
     def _add_to_window(self, now: int, baseline: ProcessBaseline, samples: Samples) -> None:
         """Add what a process counted since its last report."""
         window, before, (_, _, age) = self.window, baseline.samples, baseline.identity
-        goodput = samples.goodput.minus(before.goodput)
-        window.goodput.setdefault((baseline.arm, age), Sums()).add(goodput)
+        earned_weight = samples.earned_weight.minus(before.earned_weight)
+        window.earned_weight.setdefault((baseline.arm, age), Sums()).add(earned_weight)
         if age == "cold":
             return
         rejected = max(0.0, samples.rejected - before.rejected)
-        window.rejected.setdefault(baseline.arm, Sums()).add(Sums(goodput.count, rejected, rejected))
+        window.rejected.setdefault(baseline.arm, Sums()).add(Sums(earned_weight.count, rejected, rejected))
         for request_class, latencies in list(samples.latencies.items())[:MAX_REQUEST_CLASSES]:
             earlier = before.latencies.get(request_class, Sums())
             window.latencies.setdefault((baseline.arm, request_class), Sums()).add(latencies.minus(earlier))
@@ -166,7 +168,9 @@
         # Too small a first guess of the variance halts good ones in their first second: cold ones vary.
         for age, test, guess in (("warm", state.warm, 0.1), ("cold", state.cold, 0.25)):
             test.observe(
-                window.goodput.get(("old", age), empty), window.goodput.get(("new", age), empty), guess
+                window.earned_weight.get(("old", age), empty),
+                window.earned_weight.get(("new", age), empty),
+                guess,
             )
         rejected_old, rejected_new = window.rejected.get("old", empty), window.rejected.get("new", empty)
         state.rejected.observe(_negated(rejected_old), _negated(rejected_new), 0.1)
@@ -185,7 +189,7 @@
         self.window, self.window_start = Window(memory_growth=window.memory_growth), now
 
     def verdict(self, reference: float) -> Verdict:
-        """Judge all samples so far; losses are measured by the old version's goodput, `reference`."""
+        """Judge all samples so far; losses are measured by the old version's earned_weight, `reference`."""
         state = self.state
         scale = self.margin * max(reference, 1e-6)
         summary = self.summary()
@@ -224,8 +228,8 @@
             "time": log_mean(slower),
         }
 
-    def reference_goodput(self) -> float:
-        """Return the mean goodput of warm processes of the old version, 1 while it is not known."""
+    def reference_weight(self) -> float:
+        """Return the mean earned_weight of warm processes of the old version, 1 while it is not known."""
         return self.state.warm.old.mean or 1.0
 
     def _describe(self, worst: str) -> str:
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -45,7 +45,7 @@
                     "version",
                     lambda assignments, target: (
                         original(assignments, target)
-                        or (world.of_releases.version.get(assignments.release, ""))
+                        or (world.rollout_audit.version.get(assignments.release, ""))
                     ),
                 )
             )
--- a/tests/rollout/test_gates.py
+++ b/tests/rollout/test_gates.py
@@ -86,21 +86,21 @@
     def test_too_few_samples_are_named(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 1)
-        verdict = gate.verdict(gate.reference_goodput())
+        verdict = gate.verdict(gate.reference_weight())
         self.assertIs(verdict.decision, Decision.TOO_FEW)
         self.assertIn("0 exchanges", verdict.why)
 
     def test_good_version_passes_and_worse_halts_with_figures(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 60)
-        self.assertIs(gate.verdict(gate.reference_goodput()).decision, Decision.GOOD)
+        self.assertIs(gate.verdict(gate.reference_weight()).decision, Decision.GOOD)
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 60, bad=0.10)
-        verdict = gate.verdict(gate.reference_goodput())
+        verdict = gate.verdict(gate.reference_weight())
         self.assertIs(verdict.decision, Decision.WORSE)
         self.assertIn("0.9", verdict.why)
 
-    def test_more_rejections_halt_at_equal_goodput(self):
+    def test_more_rejections_halt_at_equal_earned_weight(self):
         gate = Gate(0, b"", 0.02)
         for second in range(60):
             count = 100.0 * second
@@ -108,17 +108,17 @@
                 samples = Samples(Sums(count, count * 0.9, count * 0.9), count * part)
                 gate.record(second * SECOND, target, arm, arm, 1, False, samples)
             gate.evaluate(second * SECOND)
-        verdict = gate.verdict(gate.reference_goodput())
+        verdict = gate.verdict(gate.reference_weight())
         self.assertIs(verdict.decision, Decision.WORSE)
         self.assertIn("10.0 % are denied", verdict.why)
 
     def test_names_memory_leak_and_loss_while_cold(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 120, leak=2000.0)
-        self.assertIn("memory", gate.verdict(gate.reference_goodput()).why)
+        self.assertIn("memory", gate.verdict(gate.reference_weight()).why)
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 60, cold=0.25)
-        self.assertIn("while cold", gate.verdict(gate.reference_goodput()).why)
+        self.assertIn("while cold", gate.verdict(gate.reference_weight()).why)
 
     def test_cold_new_process_is_not_compared_with_warm_old_ones(self):
         gate = Gate(0, b"", 0.02)
@@ -128,12 +128,12 @@
             gate.record(second * SECOND, "new", "new", "new", 1, True, bad)
             gate.record(second * SECOND, "old", "old", "old", 1, False, good)
             gate.evaluate(second * SECOND)
-        self.assertIs(gate.verdict(gate.reference_goodput()).decision, Decision.TOO_FEW)
+        self.assertIs(gate.verdict(gate.reference_weight()).decision, Decision.TOO_FEW)
 
     def test_next_controller_restores_state_and_drops_damaged_one(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 60, bad=0.10)
         restored = Gate(0, gate.encode_state(), 0.02)
-        self.assertIs(restored.verdict(restored.reference_goodput()).decision, Decision.WORSE)
+        self.assertIs(restored.verdict(restored.reference_weight()).decision, Decision.WORSE)
         self.assertEqual(Gate(0, b"\x93spoilt", 0.02).sample_count(), 0)
         self.assertLess(len(gate.encode_state()), 2000)
