--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -77,7 +77,7 @@
             if leader.control_plane is None:
                 return
             try:
-                response, outputs = leader.control_plane.polled(leader.now(), heartbeat)
+                response, outputs = leader.control_plane.receive_heartbeat(leader.now(), heartbeat)
             except NotLeaderError as error:
                 self._deliver(leader.name, host.name, redirected, error.leader)
                 return
@@ -87,8 +87,8 @@
         def answered(response: HeartbeatResponse) -> None:
             nonlocal awaits_response
             awaits_response = False
-            if host.restarts == restarts and response.keepers:
-                host.agent.leader_locator.told(response.keepers)
+            if host.restarts == restarts and response.voters:
+                host.agent.leader_locator.told(response.voters)
             host.agent.heartbeat_answered(restarts, sent_at, response)
 
         def redirected(name: str) -> None:
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -91,10 +91,10 @@
     def _drain(self, step: Step, process: Process) -> None:
         host, simulation = self.host, self.host.simulation
         name, now = step.instance.name, simulation.clock.now
-        permit = host.agent.permit_holder.places.get(name)
+        permit = host.agent.permit_holder.permits.get(name)
         if step.instance.goal is Goal.DOWN or step.instance.part is not None:
-            fence = permit.fence if permit and permit.begun else -1
-            simulation.audit.left(now, name, fence, permit.ident if permit else "")
+            fence = permit.fencing_token if permit and permit.started else -1
+            simulation.audit.left(now, name, fence, permit.order_id if permit else "")
         else:
             simulation.audit.gone(now, name)
         process.exits_at = now + host.random.randrange(100 * MS, 1500 * MS)
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -64,7 +64,7 @@
             RolloutStateMachine,
             self._rollout_controller,
         )
-        self.control_plane.watched = self._applied
+        self.control_plane.on_committed = self._applied
         self.completions = {}
 
     def _rollout_controller(
@@ -84,11 +84,11 @@
             command,
             commands.HaltOrder | commands.CancelOrder | commands.ReleasePermit | commands.ExpirePermit,
         ):
-            for order in self.control_plane.ledger.held.orders.values():
-                if order.halted and all(
-                    part.state not in ("waiting", "granted") for part in order.parts.values()
+            for order in self.control_plane.state_machine.state.orders.values():
+                if order.halted_by and all(
+                    part.state not in ("waiting", "granted") for part in order.tasks.values()
                 ):
-                    audit.halt_holds(order.ident)
+                    audit.halt_holds(order.id)
 
     def start_timer(self, restarts: int) -> None:
         """Tick for the first time."""
@@ -174,6 +174,6 @@
             host.deferred.append(lambda: self.receive(envelope))
             return
         restarts = host.restarts
-        self.carry_out(self.control_plane.heard(host.now(), envelope))
+        self.carry_out(self.control_plane.receive(host.now(), envelope))
         if restarts == host.restarts:
             self._schedule()
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from oakkeel.disruption.state_machine import OPEN_STATES, Order, Task
+from oakkeel.disruption.state_machine import OPEN_STATES, DisruptionOrder, DisruptionTask
 from oakkeel.rollout import commands
 from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.observations import Observations
@@ -43,13 +43,13 @@
     fence: int
 
     @property
-    def tasks(self) -> dict[str, Task]:
+    def tasks(self) -> dict[str, DisruptionTask]:
         """Return the tasks of the last batch's order, by target."""
         order = self.order
-        return order.parts if order else {}
+        return order.tasks if order else {}
 
     @property
-    def order(self) -> Order | None:
+    def order(self) -> DisruptionOrder | None:
         """Return the order of the last batch."""
         return self.state.orders.get(self.release.order_id)
 
@@ -67,7 +67,7 @@
     def last_event(self, target: str) -> str:
         """Return what happened to a target in the last batch, for people."""
         task = self.tasks.get(target)
-        return task.why or task.state if task else "nothing was ordered"
+        return task.reason or task.state if task else "nothing was ordered"
 
 
 def finish_batch(view: BatchView, started_at: int) -> Step:
@@ -100,7 +100,7 @@
 def _is_stopped(view: BatchView) -> bool:
     """Tell whether the batch no longer has to reach its end."""
     release, order = view.release, view.order
-    order_halted = bool(order and order.halted not in ("", EXPIRED))
+    order_halted = bool(order and order.halted_by not in ("", EXPIRED))
     reversed_since = release.batch_forward is release.rolling_back
     return release.state in ("paused", "halted") or order_halted or reversed_since
 
@@ -121,11 +121,11 @@
 
 def _wait_for_batch(view: BatchView, stopped: bool, open_targets: list[str]) -> str:
     """Say what of the batch is waited for; empty: nothing."""
-    release, tasks, permits = view.release, view.tasks, view.state.places
+    release, tasks, permits = view.release, view.tasks, view.state.permits
     taken_out = [
         target
         for target in release.in_progress
-        if target in permits and permits[target].ident == release.order_id
+        if target in permits and permits[target].order_id == release.order_id
     ]
     if open_targets or taken_out:
         # What is broken will not come back by itself: a halted release says so and lets it be.
@@ -156,7 +156,7 @@
         view.now,
         free,
         observations.targets,
-        observations.allocator.out,
+        observations.allocator.unavailable,
         BatchLimits(max_targets, policy.max_load, release.rolling_back, len(release.targets) > 1),
     )
     if not choice.targets:
@@ -196,7 +196,7 @@
 def _choose_controls(view: BatchView, chosen: list[str]) -> list[str]:
     """Choose as many old targets, to restart beside the canaries, where the budgets allow both."""
     observations, release = view.observations, view.release
-    unavailable = observations.allocator.out
+    unavailable = observations.allocator.unavailable
     others = [
         target
         for target in observations.planner.site
@@ -204,8 +204,8 @@
         and (observation := observations.targets.get(target))
         and observation.is_serving
         and observations.arm(release, target, observation.version) == "old"
-        and not unavailable.against([*chosen, target])
+        and not unavailable.find_violation([*chosen, target])
     ]
     limits = BatchLimits(len(chosen), release.policy.max_load)
     found = observations.planner.choose(view.now, others, observations.targets, unavailable, limits).targets
-    return [] if unavailable.against([*chosen, *found]) else found
+    return [] if unavailable.find_violation([*chosen, *found]) else found
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -53,24 +53,31 @@
 
     # Heartbeats of agents.
 
-    def heard(self, now: int, poll: Heartbeat) -> list[commands.Command | permit_commands.Command]:
+    def receive_heartbeat(
+        self, now: int, poll: Heartbeat
+    ) -> list[commands.Command | permit_commands.Command]:
         """Take over a host's report, no older than what its echo shows."""
-        host = self.allocator.hosts.get(poll.host)
-        if host is None or host.life != poll.life or host.count != poll.count or not host.echo:
+        host = self.allocator.sessions.get(poll.host)
+        if (
+            host is None
+            or host.incarnation != poll.incarnation
+            or host.sequence != poll.sequence
+            or not host.echoed_at
+        ):
             return []  # overtaken by a later one, or of unknown age
         try:
-            report = decode_report(poll.above)
+            report = decode_report(poll.extension)
         except msgspec.MsgspecError:
             return []  # of a version with another form
         release = self.state_machine.open_release
         for status in report.statuses:
             if self.allocator.host_of.get(status.name) != poll.host:
                 continue
-            before = self.observations.record(status, host.echo)
+            before = self.observations.record(status, host.echoed_at)
             if before is not None and release:
                 gate = self._current_gate(now, release)
-                self.observations.feed(now, gate, release, poll.life, status, before)
-        if release and release.state == "preparing" and self.lease.holds(now):
+                self.observations.feed(now, gate, release, poll.incarnation, status, before)
+        if release and release.state == "preparing" and self.lease.is_held(now):
             return self._report_prepared(release, poll.host, report)
         return []
 
@@ -82,7 +89,7 @@
             return []
         host_of = self.allocator.host_of
         bases = {target: base for target, base in report.bases.items() if host_of.get(target) == host}
-        return [commands.ReportPrepared(release.ident, self.lease.fence, host, why, bases)]
+        return [commands.ReportPrepared(release.ident, self.lease.fencing_token, host, why, bases)]
 
     def _current_gate(self, now: int, release: Release) -> Gate:
         key = f"{release.ident} {release.rolling_back} {release.controlled}"
@@ -91,10 +98,10 @@
             self.since = now
         return self.gate
 
-    def answer(self, now: int, host: str) -> bytes:
+    def respond(self, now: int, host: str) -> bytes:
         """Return what a host's agent learns with each response."""
-        state, release = self.state_machine.held, self.state_machine.open_release
-        targets = self.allocator.layout.hosts.get(host, ())
+        state, release = self.state_machine.state, self.state_machine.open_release
+        targets = self.allocator.topology.hosts.get(host, ())
         versions = {target: state.versions[target] for target in targets if target in state.versions}
         sources = {
             version: state.sources[version] for version in {*versions.values()} if version in state.sources
@@ -117,13 +124,13 @@
             and command.name == LEASE
             and command.holder == self.lease.holder
         ):
-            if not self.lease.answered(self.lease_requested_at, result):
+            if not self.lease.receive_result(self.lease_requested_at, result):
                 self.next_lease_request = now + RETRY_AFTER
             self.lease_requested_at = 0
         if self._is_proposed(command):
             self.proposed = b""
             if isinstance(result, Rejection):
-                self.why, self.next_step = result.why, now + RETRY_AFTER
+                self.why, self.next_step = result.reason, now + RETRY_AFTER
             elif isinstance(command, commands.FinishBatch):
                 self.since = now
 
@@ -148,8 +155,8 @@
             return wanted
         if self._needs_lease(now):
             self.lease_requested_at, self.next_lease_request = now, now + RETRY_AFTER
-            wanted.append(self.lease.asking())
-        if not self.lease.holds(now) or self.proposed or now < self.next_step:
+            wanted.append(self.lease.acquire_command())
+        if not self.lease.is_held(now) or self.proposed or now < self.next_step:
             return wanted
         gate = self._current_gate(now, release)
         gate.evaluate(now)
@@ -166,11 +173,13 @@
     def _needs_lease(self, now: int) -> bool:
         if self.lease_requested_at or now < self.next_lease_request:
             return False
-        return not self.lease.holds(now) or now > self.lease.until - LEASE_DURATION * 3 // 4
+        return not self.lease.is_held(now) or now > self.lease.expires_at - LEASE_DURATION * 3 // 4
 
     def _next(self, now: int, release: Release, gate: Gate) -> Step:
         """Return the next step: the ordinary way of a release from its beginning to its end."""
-        view = BatchView(now, self.state_machine.held, release, gate, self.observations, self.lease.fence)
+        view = BatchView(
+            now, self.state_machine.state, release, gate, self.observations, self.lease.fencing_token
+        )
         if release.state == "preparing":
             return self._prepare(now, release)
         if release.in_progress:
@@ -192,11 +201,11 @@
         hosts = {host_of[target] for target in release.targets if target in host_of}
         missing = sorted(hosts - set(release.prepared_hosts)) if not release.spec.services else []
         if not missing:
-            return Step(commands.BeginRollout(release.ident, self.lease.fence, release.step))
+            return Step(commands.BeginRollout(release.ident, self.lease.fencing_token, release.step))
         why = f"{', '.join(missing[:5])} not ready yet"
         if now - self.since > PREPARE_TIMEOUT:
             command = commands.ReportPrepared(
-                release.ident, self.lease.fence, missing[0], "it did not say in time", {}
+                release.ident, self.lease.fencing_token, missing[0], "it did not say in time", {}
             )
             return Step(command, why)
         return Step(None, why)
@@ -248,14 +257,14 @@
             ]
         ):
             return Step(None, f"waits to hear what {', '.join(stale[:5])} run")
-        return Step(commands.FinishRelease(release.ident, self.lease.fence, release.step))
+        return Step(commands.FinishRelease(release.ident, self.lease.fencing_token, release.step))
 
     def _busy_targets(self) -> dict[str, str]:
         """Return the targets with an open order, and whose: another one there would be rejected."""
         return {
-            target: f"{order.operator}'s {order.verb} {order.ident}"
-            for ident in self.allocator.orders_at
-            if (order := self.state_machine.held.orders.get(ident))
-            for target, task in order.parts.items()
+            target: f"{order.operator}'s {order.verb} {order.id}"
+            for ident in self.allocator.order_submitted_at
+            if (order := self.state_machine.state.orders.get(ident))
+            for target, task in order.tasks.items()
             if task.state in OPEN_STATES
         }
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from oakkeel.disruption.allocator import PermitAllocator
-from oakkeel.disruption.state_machine import Task
+from oakkeel.disruption.state_machine import DisruptionTask
 from oakkeel.rollout.gates import Gate
 from oakkeel.rollout.messages import TargetStatus
 from oakkeel.rollout.plan import BatchPlanner, TargetObservation
@@ -30,13 +30,13 @@
     def __init__(self, allocator: PermitAllocator) -> None:
         """Begin without any report."""
         self.allocator = allocator
-        self.planner = BatchPlanner(allocator.layout)
+        self.planner = BatchPlanner(allocator.topology)
         self.targets: dict[str, TargetObservation] = {}
         self.death_counts: dict[str, DeathCount] = {}
 
     def update_topology(self) -> None:
         """Take over a changed topology."""
-        self.planner = BatchPlanner(self.allocator.layout)
+        self.planner = BatchPlanner(self.allocator.topology)
 
     def record(self, status: TargetStatus, observed_at: int) -> str | None:
         """Store a report no older than `observed_at`.
@@ -108,7 +108,7 @@
     def has_arrived(self, now: int, release: Release, target: str) -> bool:
         """Tell whether a target of the open batch runs what the batch brings."""
         if release.spec.services:
-            return target not in self.allocator.out.reasons
+            return target not in self.allocator.unavailable.reasons
         observation = self.fresh(now, target)
         return bool(
             observation
@@ -132,7 +132,7 @@
         observation = self.fresh(now, target)
         return bool(observation and (observation.backing_off or observation.phase in BROKEN_PHASES))
 
-    def is_updated(self, release: Release, target: str, tasks: dict[str, Task]) -> bool:
+    def is_updated(self, release: Release, target: str, tasks: dict[str, DisruptionTask]) -> bool:
         """Tell whether a target runs the new version by now, or will run it.
 
         One with no process, or whose process drains, may be started with what the batch brings at any moment,
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -74,14 +74,14 @@
         self.site: dict[str, str] = {}
         self.groups_of: dict[str, list[str]] = {}
         for group in topology.groups:
-            for target in group.things:
+            for target in group.targets:
                 self.groups_of.setdefault(target, []).append(group.name)
                 if group.name.startswith("site "):
                     self.site[target] = group.name
         # Those of one host apart from each other: a host starts few at a time, and may be lost as a whole.
         self.rank = {target: rank for names in topology.hosts.values() for rank, target in enumerate(names)}
         self.services_of: dict[str, list[str]] = {}  # by instance: services that it depends on
-        for service, instances in topology.hanging.items():
+        for service, instances in topology.dependents.items():
             for instance in instances:
                 self.services_of.setdefault(instance, []).append(service)
 
@@ -194,7 +194,7 @@
         return (
             self._dependency_objection(target)
             or self._last_serving_objection(target)
-            or self.unavailable.against([*self.targets, target])
+            or self.unavailable.find_violation([*self.targets, target])
             or self._load_objection(target)
         )
 
@@ -202,7 +202,7 @@
         for service in self.planner.services_of.get(target, ()):
             if service in self.unavailable.reasons or service in self.targets:
                 return f"{service} is out, on which {target} hangs"
-        for dependent in self.planner.topology.hanging.get(target, ()):
+        for dependent in self.planner.topology.dependents.get(target, ()):
             if dependent in self.unavailable.reasons or dependent in self.targets:
                 return f"{dependent} is out, which hangs on {target}"
         return ""
@@ -212,21 +212,21 @@
             return ""
         groups_of, groups = self.planner.groups_of, self.planner.groups
         for name in groups_of.get(target, ()):
-            if self.serving.get(name, 0) <= 1 and len(groups[name].things) > 1:
+            if self.serving.get(name, 0) <= 1 and len(groups[name].targets) > 1:
                 return f"{target} is the last that serves of {name}"
-        dependents = self.planner.topology.hanging.get(target, ())
+        dependents = self.planner.topology.dependents.get(target, ())
         for name in {name for dependent in dependents for name in groups_of.get(dependent, ())}:
-            members = groups[name].things
+            members = groups[name].targets
             if self.serving.get(name, 0) <= sum(dependent in members for dependent in dependents):
                 return f"what hangs on {target} is the last that serves of {name}"
         return ""
 
     def _load_objection(self, target: str) -> str:
-        dependents = self.planner.topology.hanging.get(target, ())
+        dependents = self.planner.topology.dependents.get(target, ())
         site_of, max_load = self.planner.site, self.limits.max_load
         for site in {site_of.get(target, ""), *(site_of.get(dependent, "") for dependent in dependents)}:
             lost = sum(site_of.get(name, "") == site for name in (target, *dependents)) if site else 0
-            if not lost or lost >= len(self.planner.groups[site].things):
+            if not lost or lost >= len(self.planner.groups[site].targets):
                 continue  # it is all of the site: nothing else there could carry its load
             capacity = self.capacity.get(site, 0.0) - lost
             if self.load.get(site, 0.0) > MIN_LOAD and self.load[site] > max_load * max(capacity, 1e-9):
@@ -238,7 +238,7 @@
 
     def _take(self, target: str) -> None:
         """Add a target to the batch; what depends on it stops serving with it."""
-        for name in (target, *self.planner.topology.hanging.get(target, ())):
+        for name in (target, *self.planner.topology.dependents.get(target, ())):
             self._add_serving(name, -1)
             site = self.planner.site.get(name, "")
             self.capacity[site] = self.capacity.get(site, 0.0) - 1.0
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from oakkeel.disruption import commands as permit_commands
-from oakkeel.disruption.state_machine import ControlPlaneState, Order, PermitStateMachine, Rejection
+from oakkeel.disruption.state_machine import ControlPlaneState, DisruptionOrder, PermitStateMachine, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.validation import find_fault
@@ -106,24 +106,24 @@
 class RolloutStateMachine(PermitStateMachine):
     """Applies commands of releases, and all others as its base does."""
 
-    held: RolloutState
+    state: RolloutState
 
-    def read(self, content: bytes) -> Any:
+    def decode_command(self, content: bytes) -> Any:
         """Decode a command."""
         return commands.decode(content)
 
-    def taken_up(self, content: bytes) -> RolloutState:
+    def decode_snapshot(self, content: bytes) -> RolloutState:
         """Decode a snapshot; no content is an empty state."""
         return _snapshot_decoder.decode(content) if content else RolloutState()
 
     @property
     def open_release(self) -> Release | None:
         """Return the release that has not ended; there is one at most."""
-        return next((release for release in self.held.releases.values() if not release.is_finished), None)
+        return next((release for release in self.state.releases.values() if not release.is_finished), None)
 
     def _start_release(self, index: int, command: commands.StartRelease) -> object:
-        held, spec = self.held, command.spec
-        if known := held.releases.get(command.ident):
+        state, spec = self.state, command.spec
+        if known := state.releases.get(command.ident):
             same = (known.operator, known.spec, sorted(known.targets)) == (
                 command.operator,
                 spec,
@@ -134,20 +134,20 @@
             return Rejection(
                 f"{other.operator}'s release {other.ident} is {other.state}: it has to end first"
             )
-        if fault := find_fault(command, held.layout, held.versions, held.sources):
+        if fault := find_fault(command, state.topology, state.versions, state.sources):
             return Rejection(fault)
-        targets = {name: ReleaseTarget(held.versions.get(name, "")) for name in command.targets}
+        targets = {name: ReleaseTarget(state.versions.get(name, "")) for name in command.targets}
         release = Release(command.ident, command.operator, command.unix, index, spec, command.policy, targets)
-        held.releases[release.ident] = release
+        state.releases[release.ident] = release
         if not spec.services:
-            held.sources[spec.version] = spec
-        finished = [release.ident for release in held.releases.values() if release.is_finished]
+            state.sources[spec.version] = spec
+        finished = [release.ident for release in state.releases.values() if release.is_finished]
         for ident in finished[:-MAX_FINISHED_RELEASES]:
-            del held.releases[ident]
+            del state.releases[ident]
         return release
 
     def _control_release(self, index: int, command: commands.ControlRelease) -> object:
-        release = self.held.releases.get(command.ident)
+        release = self.state.releases.get(command.ident)
         if release is None:
             return Rejection("no such release")
         action = command.action
@@ -173,8 +173,8 @@
 
     def _find_release(self, command: Any, *states: str) -> Release | Rejection:
         """Return the release of a controller's command, if fence, state and step are right."""
-        release, lease = self.held.releases.get(command.ident), self.held.leases.get(LEASE)
-        if lease is None or lease.fence != command.fence:
+        release, lease = self.state.releases.get(command.ident), self.state.leases.get(LEASE)
+        if lease is None or lease.fencing_token != command.fence:
             return Rejection("another drives by now, or none")
         if release is None or release.state not in states:
             return Rejection("no such release, or it is not at that")
@@ -183,8 +183,13 @@
         return release
 
     def _report_prepared(self, index: int, command: commands.ReportPrepared) -> object:
-        release, lease = self.held.releases.get(command.ident), self.held.leases.get(LEASE)
-        if lease is None or lease.fence != command.fence or release is None or release.state != "preparing":
+        release, lease = self.state.releases.get(command.ident), self.state.leases.get(LEASE)
+        if (
+            lease is None
+            or lease.fencing_token != command.fence
+            or release is None
+            or release.state != "preparing"
+        ):
             return Rejection("nothing is prepared, or another drives")
         if command.why:
             return self._move_release(release, "left", f"{command.host} can't take it: {command.why}")
@@ -232,9 +237,9 @@
             self._assign_version(name, release.wanted_version(name))
         release.batch_forward = not release.rolling_back
         release.in_progress, release.controls = names, [name for name, _ in command.controls]
-        assert isinstance(order, Order)
+        assert isinstance(order, DisruptionOrder)
         if not order.open:  # all of it was rejected: the batch is to be finished all the same
-            self.held.orders.setdefault(order.ident, order)
+            self.state.orders.setdefault(order.id, order)
         return order
 
     def _finish_batch(self, index: int, command: commands.FinishBatch) -> object:
@@ -278,9 +283,9 @@
 
     def _assign_version(self, target: str, version: str) -> None:
         if version:
-            self.held.versions[target] = version
+            self.state.versions[target] = version
         else:
-            self.held.versions.pop(target, None)
+            self.state.versions.pop(target, None)
 
     def _move_target(self, target: ReleaseTarget, state: str) -> None:
         """Change the state of a target; nothing else does."""
@@ -294,12 +299,12 @@
             raise RuntimeError(f"{release.state} to {state}")
         was, release.state = release.state, state
         release.why = why or release.why
-        order = self.held.orders.get(release.order_id)
+        order = self.state.orders.get(release.order_id)
         if state in ("paused", "halted", "undoing") and order and order.open:
-            order.halted = order.halted or release.operator
+            order.halted_by = order.halted_by or release.operator
             self._end_waiting(order, "halted", f"release {release.ident} {state}")
             if state == "undoing":  # what does not come up is not waited for
-                order.cancelled = order.cancelled or release.operator
+                order.cancelled_by = order.cancelled_by or release.operator
         if state == "undoing":
             if not release.rolling_back:
                 self._reset_progress(release)
@@ -321,11 +326,13 @@
         for name, target in release.targets.items():
             if target.state == "old":
                 self._assign_version(name, target.previous)
-        used = {*self.held.versions.values()}
-        self.held.sources = {version: spec for version, spec in self.held.sources.items() if version in used}
+        used = {*self.state.versions.values()}
+        self.state.sources = {
+            version: spec for version, spec in self.state.sources.items() if version in used
+        }
 
-    ACTS: ClassVar[dict[type, Any]] = {
-        **PermitStateMachine.ACTS,
+    HANDLERS: ClassVar[dict[type, Any]] = {
+        **PermitStateMachine.HANDLERS,
         commands.StartRelease: _start_release,
         commands.ControlRelease: _control_release,
         commands.ReportPrepared: _report_prepared,
--- a/oakkeel/rollout/validation.py
+++ b/oakkeel/rollout/validation.py
@@ -20,7 +20,7 @@
         return "no id without a dot, nothing named, something twice, or too much at once"
     known = {target for names in topology.hosts.values() for target in names}
     services = {
-        target for group in topology.groups if group.name.startswith("kind ") for target in group.things
+        target for group in topology.groups if group.name.startswith("kind ") for target in group.targets
     }
     if unknown := sorted(set(targets) - known):
         return f"there is no {unknown[0]}"
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -46,14 +46,14 @@
         self.assertEqual(self.choose("a b c d").targets, ["a", "c"])
 
     def test_last_serving_target_of_site_stays(self):
-        self.unavailable.put("a", "does not serve")
+        self.unavailable.add("a", "does not serve")
         self.observations["a"].phase = "failing"
         self.assertNotIn("b", self.choose("b").targets)
         wide = Topology(
-            TOPOLOGY.hosts, tuple(BudgetGroup(group.name, 9, group.things) for group in TOPOLOGY.groups)
+            TOPOLOGY.hosts, tuple(BudgetGroup(group.name, 9, group.targets) for group in TOPOLOGY.groups)
         )
         out = UnavailableTargets(wide)
-        out.put("a", "does not serve")
+        out.add("a", "does not serve")
         choice = BatchPlanner(wide).choose(0, ["b"], self.observations, out, BatchLimits(9, 0.85))
         self.assertIn("last that serves of site one", choice.why)
 
@@ -64,12 +64,12 @@
         self.assertIn("nothing new is known", self.choose("a", now=STALE_AFTER + 1).why)
 
     def test_never_takes_both_sides_of_dependency(self):
-        self.unavailable.put("db1", "a place")
+        self.unavailable.add("db1", "a place")
         choice = self.choose("a b c d")
         self.assertNotIn("a", choice.targets)
         self.assertNotIn("c", choice.targets)
         self.setUp()
-        self.unavailable.put("a", "a place")
+        self.unavailable.add("a", "a place")
         self.assertNotIn("db1", self.choose("db1").targets)
         self.assertIn("hangs on", self.choose("db1").why)
 
@@ -82,7 +82,7 @@
             self.observations[name].load = 0.4
         self.assertEqual(self.choose("a b").targets, ["a"])
         self.observations["b"].phase = "cold"
-        self.unavailable.put("b", "does not serve")
+        self.unavailable.add("b", "does not serve")
         self.assertEqual(self.choose("a").targets, [])
 
     def test_site_of_one_target_can_be_released(self):
@@ -94,7 +94,7 @@
         self.assertEqual(choice.targets, ["a"])
 
     def test_rollback_takes_broken_targets_first(self):
-        self.unavailable.put("a", "does not serve")
+        self.unavailable.add("a", "does not serve")
         self.observations["a"].phase = "failing"
         self.assertEqual(self.choose("a b", broken=True).targets, ["a"])
         self.assertEqual(self.choose("a", broken=False).targets, ["a"])  # nothing else is left
@@ -106,7 +106,7 @@
         self.setUp()
         for name in self.observations:
             if random.random() < 0.3:
-                self.unavailable.put(name, "does not serve")
+                self.unavailable.add(name, "does not serve")
                 self.observations[name].phase = random.choice(("failing", "cold", "draining", "stopped"))
             if random.random() < 0.2:
                 self.observations[name].observed_at = -2 * STALE_AFTER
@@ -115,9 +115,9 @@
         self.assertEqual(len(set(chosen)), len(chosen))
         available_before = [thing for thing in chosen if thing not in before]
         for thing in available_before:
-            self.unavailable.put(thing, "a place")
+            self.unavailable.add(thing, "a place")
         for group in TOPOLOGY.groups:
-            fresh = [thing for thing in available_before if thing in group.things]
+            fresh = [thing for thing in available_before if thing in group.targets]
             if fresh:
-                self.assertLessEqual(self.unavailable.counts[group.name], group.bound)
-                self.assertTrue(set(group.things) - set(self.unavailable.reasons))
+                self.assertLessEqual(self.unavailable.counts[group.name], group.max_unavailable)
+                self.assertTrue(set(group.targets) - set(self.unavailable.reasons))
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from oakkeel.disruption import commands as permit_commands
-from oakkeel.disruption.state_machine import Order, PermitStateMachine, Rejection
+from oakkeel.disruption.state_machine import DisruptionOrder, PermitStateMachine, Rejection
 from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
@@ -45,23 +45,25 @@
 
     @property
     def release(self) -> Release:
-        return self.state_machine.held.releases["r"]
+        return self.state_machine.state.releases["r"]
 
     def assert_rejected(self, command, text: str) -> None:
         answer = self.do(command)
         self.assertIsInstance(answer, Rejection)
-        self.assertIn(text, answer.why)
+        self.assertIn(text, answer.reason)
 
     def test_accepts_step_once_and_rejects_old_controller_by_its_fence(self):
         self.do(commands.BeginRollout("r", self.fence, 0))
-        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)])), Order)
+        self.assertIsInstance(
+            self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)])), DisruptionOrder
+        )
         self.assert_rejected(commands.StartBatch("r", self.fence, 1, 0, [("b", 1)]), "step 1 was taken")
         self.do(permit_commands.ReleaseLease(LEASE, self.fence))
         fence = self.do(permit_commands.AcquireLease(LEASE, "h2.1", SECOND))
         self.assert_rejected(commands.FinishBatch("r", self.fence, 2, ["a"]), "another drives")
         self.assertGreater(fence, self.fence)
         self.assertIs(self.do(commands.FinishBatch("r", fence, 2, ["a"])), self.release)
-        self.assertEqual(self.state_machine.held.versions, {"a": "v2"})
+        self.assertEqual(self.state_machine.state.versions, {"a": "v2"})
 
     def test_rejects_second_open_release_and_accepts_same_command_twice(self):
         self.assert_rejected(
@@ -107,16 +109,18 @@
         self.do(commands.BeginRollout("r", self.fence, 0))
         self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
         self.do(commands.ControlRelease("r", "ravi", "undo"))
-        order = self.state_machine.held.orders["r.1"]
-        self.assertEqual((order.halted, order.parts["a"].state), ("asha", "halted"))
+        order = self.state_machine.state.orders["r.1"]
+        self.assertEqual((order.halted_by, order.tasks["a"].state), ("asha", "halted"))
         self.assert_rejected(commands.StartBatch("r", self.fence, 2, 0, [("a", 1)]), "under way")
         self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had come up with the new all the same
-        self.assertIsInstance(self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), Order)
-        self.assertEqual(self.state_machine.held.versions["a"], "base a")
+        self.assertIsInstance(
+            self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), DisruptionOrder
+        )
+        self.assertEqual(self.state_machine.state.versions["a"], "base a")
         self.assert_rejected(commands.FinishRelease("r", self.fence, 4), "not all")
         self.do(commands.FinishBatch("r", self.fence, 4, []))
         self.assertEqual(self.do(commands.FinishRelease("r", self.fence, 5)).state, "undone")
-        self.assertEqual(self.state_machine.held.versions, {})
+        self.assertEqual(self.state_machine.state.versions, {})
 
     def test_host_that_cannot_prepare_ends_release_before_any_change(self):
         self.do(commands.ReportPrepared("r", self.fence, "h1", "no such folder", {}))
@@ -140,7 +144,7 @@
         without_releases = PermitStateMachine()
         without_releases.apply(1, permit_commands.encode(permit_commands.SetTopology(TOPOLOGY)))
         restored.restore(without_releases.snapshot())
-        self.assertEqual((restored.held.releases, restored.held.layout), ({}, TOPOLOGY))
+        self.assertEqual((restored.state.releases, restored.state.topology), ({}, TOPOLOGY))
 
     ACTIONS = (
         "go",
@@ -181,9 +185,9 @@
             self.assertTrue(self.release.state == was or self.release.state in TRANSITIONS[was])
             for name, target in self.release.targets.items():
                 if target.state == "new":
-                    self.assertEqual(self.state_machine.held.versions.get(name), "v2")
+                    self.assertEqual(self.state_machine.state.versions.get(name), "v2")
                 if target.state == "old":
-                    self.assertNotEqual(self.state_machine.held.versions.get(name), "v2")
+                    self.assertNotEqual(self.state_machine.state.versions.get(name), "v2")
             if self.release.state in ("done", "undone"):
                 wanted = "new" if self.release.state == "done" else "old"
                 self.assertEqual({target.state for target in self.release.targets.values()}, {wanted})
