--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -129,10 +129,10 @@
         ]
         policy = RolloutPolicy(
             soak=200 * MS,
-            patience=10 * SECOND,
-            lasts=4 * SECOND,
+            verdict_timeout=10 * SECOND,
+            batch_timeout=4 * SECOND,
             control=action.subject % 2 == 0,
-            back=action.other % 3 == 0,
+            auto_roll_back=action.other % 3 == 0,
         )
         specification = VersionSpec(f"{version} {ident}", "bad" if action.other % 16 == 0 else "here")
         targets = chosen or [self._instance(action)]
