--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -10,35 +10,11 @@
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.topology import UnavailableTargets
 from oakkeel.emulator.consensus import play
-from oakkeel.emulator.faults import SECOND, Fault, Schedule, draw, read
+from oakkeel.emulator.faults import SECOND, Fault, Schedule, draw, schedule_from_json
 from oakkeel.emulator.schedule_shrinking import shrink
 from oakkeel.invariants.consensus import ConsensusAudit
 
 
-class Notes:
-    """A machine that writes down what was agreed."""
-
-    def __init__(self) -> None:
-        self.lines: list[bytes] = []
-        self.wanted: tuple[str, ...] = ()
-
-    def apply(self, index: int, content: bytes) -> object:
-        self.lines.append(content)
-        if content.startswith(b"keepers "):
-            self.wanted = tuple(content.decode().split()[1:])
-        return index
-
-    def snapshot(self) -> bytes:
-        return b"\n".join([" ".join(self.wanted).encode(), *self.lines])
-
-    def restore(self, content: bytes) -> None:
-        first, *self.lines = content.split(b"\n") if content else [b""]
-        self.wanted = tuple(first.decode().split())
-
-    def desired_voters(self) -> tuple[str, ...]:
-        return self.wanted
-
-
 class ScheduleStories(unittest.TestCase):
     """Whole fleets in simulated time. `make measure-schedules` plays many more."""
 
@@ -50,7 +26,7 @@
 
     def test_the_same_schedule_plays_the_same_again_also_from_a_file_and_in_another_process(self):
         schedule = draw(3)
-        first, second = play(schedule)[0], play(read(schedule.told()))[0]
+        first, second = play(schedule)[0], play(schedule_from_json(schedule.to_json()))[0]
         self.assertEqual((first.clock.happened, first.event_log), (second.clock.happened, second.event_log))
         code = (
             "from oakkeel.emulator.consensus import play; from oakkeel.emulator.faults import draw\n"
@@ -77,10 +53,10 @@
             schedule = next(each for each in map(draw, range(20)) if fails(each))
             less = shrink(schedule, fails)
             self.assertTrue(fails(less))
-            self.assertLess(len(less.troubles), len(schedule.troubles))
-            for index in range(len(less.troubles)):  # nothing of it can be left out
-                rest = less.troubles[:index] + less.troubles[index + 1 :]
-                self.assertFalse(fails(dataclasses.replace(less, troubles=rest)))
+            self.assertLess(len(less.faults), len(schedule.faults))
+            for index in range(len(less.faults)):  # nothing of it can be left out
+                rest = less.faults[:index] + less.faults[index + 1 :]
+                self.assertFalse(fails(dataclasses.replace(less, faults=rest)))
         self.assertEqual(play(less)[1], [])
 
     def test_an_agent_that_would_go_by_a_place_whose_time_is_over_is_caught(self):
@@ -117,29 +93,29 @@
     def test_the_auditor_catches_each_breach_by_itself(self):
         def judge() -> ConsensusAudit:
             audit = ConsensusAudit({"s": (1, ["a", "b"])}, SECOND)
-            audit.applied(0, "k", 5, b"\x93\xa5grant\xa1o\x92\xa1a\xa1b")
+            audit.command_applied(0, "k", 5, b"\x93\xa5grant\xa1o\x92\xa1a\xa1b")
             return audit
 
         audit = judge()
-        audit.led(0, 1, "x")
-        audit.led(1, 1, "y")
-        audit.applied(1, "y", 5, b"\x93\xa5grant\xa1o\x91\xa1a")
-        audit.answered("o9", 5)
-        audit.started(2, "a", 3)
-        audit.started(3, "a", 3)
-        audit.left(3, "a", 4)
-        audit.left(4, "b", 5)
-        audit.left(5, "b", 3)
-        audit.halt_holds("o")
-        audit.left(6, "b", 6, "o")
-        told = "\n".join(audit.end(9))
+        audit.leader_observed(0, 1, "x")
+        audit.leader_observed(1, 1, "y")
+        audit.command_applied(1, "y", 5, b"\x93\xa5grant\xa1o\x91\xa1a")
+        audit.order_acknowledged("o9", 5)
+        audit.generation_started(2, "a", 3)
+        audit.generation_started(3, "a", 3)
+        audit.drain_started(3, "a", 4)
+        audit.drain_started(4, "b", 5)
+        audit.drain_started(5, "b", 3)
+        audit.order_halted("o")
+        audit.drain_started(6, "b", 6, "o")
+        told = "\n".join(audit.finish(9))
         for number in range(1, 8):
             self.assertIn(f"promise {number}: ", told)
         good = judge()
-        good.gone(0, "a")
-        good.left(SECOND // 2, "b", 5)  # too soon to be known
-        self.assertEqual(good.end(9), [])
+        good.out_by_itself(0, "a")
+        good.drain_started(SECOND // 2, "b", 5)  # too soon to be known
+        self.assertEqual(good.finish(9), [])
         late = judge()
-        late.gone(0, "a")
-        late.left(2 * SECOND, "b", 5)
-        self.assertRegex(late.end(9)[0], "known to be away")
+        late.out_by_itself(0, "a")
+        late.drain_started(2 * SECOND, "b", 5)
+        self.assertRegex(late.finish(9)[0], "known to be away")
