--- /dev/null
+++ b/tests/admission/test_capacity.py
@@ -0,0 +1,71 @@
+"""Bounds of one node: memory, slow start, and what reading leaves."""
+
+import unittest
+
+from oakkeel.admission import MS, SECOND
+from oakkeel.admission.types import DownstreamKind, Outcome, RequestState
+from tests.support.fake_host import FakeHost
+
+
+class CapacityTest(unittest.TestCase):
+    def test_bounds_queue_and_runs_by_memory(self):
+        host = FakeHost(memory_kb=2000)
+        requests = [host.arrive() for _ in range(30)]
+        self.assertLessEqual(len(host.in_state(requests, RequestState.RUNNING)), 4)
+        self.assertLessEqual(host.admission.occupancy.memory_kb, 2000)
+
+    def test_bounds_duplicates_of_a_hot_key_by_memory(self):
+        host = FakeHost(cache_ttl=SECOND, memory_kb=2000)
+        host.arrive(has_key=True)
+        repeats = [host.arrive(has_key=True, is_duplicate=True) for _ in range(60)]
+        self.assertLessEqual(host.admission.occupancy.memory_kb, 2000)
+        self.assertIn("reject", host.actions_on(repeats[-1]))
+
+    def test_bounds_runs_and_calls_of_a_cold_node_by_its_slow_start(self):
+        host = FakeHost(
+            request_classes=[{}], downstream=DownstreamKind.TIER, starts_cold=True, overload_multiple=2
+        )
+        requests = [host.arrive() for _ in range(40)]
+        for request in requests:
+            host.need_call(request)
+        self.assertLess(
+            host.admission.occupancy.count[RequestState.CALLING]
+            + host.admission.occupancy.count[RequestState.RUNNING],
+            1.25 * host.limits.cores,
+        )
+
+    def test_runs_fewer_while_it_reads(self):
+        host = FakeHost()
+        host.gauges.run_queue = 4
+        host.run_until(2 * SECOND)
+        requests = [host.arrive() for _ in range(8)]
+        self.assertLess(len(host.in_state(requests, RequestState.RUNNING)), host.limits.cores)
+
+    def test_reads_first_while_arrivals_are_stale(self):
+        # In a jam one run beside the reading made all that was read too old; no node came out of it.
+        host = FakeHost()
+        host.gauges.run_queue = 4
+        host.run_until(2 * SECOND)
+        old = host.arrive(queueing_delay=800 * MS)
+        self.assertEqual(host.actions_on(old), [])
+        host.arrive()
+        self.assertEqual(host.actions_on(old), ["run"])
+
+    def test_rejects_finally_while_crowded_by_reading(self):
+        host = FakeHost()
+        host.gauges.run_queue = 8
+        host.run_until(3 * SECOND)
+        host.arrive(remaining_time=100 * MS)
+        self.assertEqual([action[2] for action in host.actions if action[0] == "reject"], [True])
+
+    def test_rejects_early_when_stuck_and_probes_again(self):
+        # On a node slowed many times nothing completed, so it went on to take work that it gave up.
+        host = FakeHost()
+        wave = [host.arrive() for _ in range(4)]
+        host.run_until(host.now + 2 * SECOND)
+        for request in host.in_state(wave, RequestState.ORPHANED):
+            host.finish(request, Outcome.CANCELLED)
+        host.run_until(host.now + SECOND)
+        self.assertEqual(host.actions_on(host.arrive(queueing_delay=800 * MS)), ["reject"])
+        host.run_until(host.now + 15 * SECOND)
+        self.assertEqual(host.actions_on(host.arrive(queueing_delay=800 * MS)), ["run"])
--- /dev/null
+++ b/tests/admission/test_load_report.py
@@ -0,0 +1,58 @@
+"""Health, load report and idle connections."""
+
+import unittest
+
+from oakkeel.admission import MS, SECOND
+from oakkeel.admission.load_report import CLIENTS_MOST
+from oakkeel.admission.types import LoadReportKind
+from tests.support.fake_host import FakeHost
+
+
+class LoadReportTest(unittest.TestCase):
+    def test_reports_unhealthy_while_it_reads_too_late(self):
+        # Slowed nodes went on getting requests that waited unread until their clients gave up.
+        host = FakeHost()
+        for _ in range(10):
+            host.arrive(queueing_delay=1900 * MS)
+        host.run_until(host.now + SECOND)
+        self.assertEqual(
+            [action[1:] for action in host.actions if action[0] == "set_health"][-1], (False, True)
+        )
+        host.run_until(host.now + 8 * SECOND)
+        self.assertEqual(
+            [action[1:] for action in host.actions if action[0] == "set_health"][-1], (True, True)
+        )
+
+    def idle_time(self, clients: int, reading: float = 0) -> int:
+        host = FakeHost()
+        host.gauges.connections, host.gauges.run_queue = 60, reading
+        for number in range(100):
+            host.finish(host.arrive(client=number % clients))
+            host.run_until(host.now + 100 * MS)
+        return [action[1] for action in host.actions if action[0] == "close_idle"][-1]
+
+    def test_keeps_idle_connections_for_clients_that_return(self):
+        # Hundreds of clients that seldom return filled the tables; the others got no connection.
+        self.assertGreater(self.idle_time(clients=5), 400 * MS)
+        self.assertLess(self.idle_time(clients=100), 100 * MS)
+
+    def test_remembers_the_clients_last_seen(self):
+        host = FakeHost()
+        for number in range(CLIENTS_MOST + 100):
+            host.arrive(client=number)
+        self.assertEqual(list(host.admission.returns.last_seen), list(range(100, CLIENTS_MOST + 100)))
+
+    def test_keeps_idle_connections_while_new_ones_crowd_the_cores(self):
+        # A hot key's node spent its cores on connections that it closed at once.
+        self.assertGreater(self.idle_time(clients=100, reading=20), SECOND)
+
+    def test_lowers_the_advertised_share_poll_by_poll_while_full(self):
+        host = FakeHost(load_report=LoadReportKind.ADVERTISED_SHARE)
+        host.gauges.run_queue = 12
+        for _ in range(4):
+            for _ in range(60):
+                host.arrive()
+            host.run_until(host.now + SECOND)
+        reported = [action[1] for action in host.actions if action[0] == "report_load"]
+        self.assertEqual(reported, sorted(reported, reverse=True))
+        self.assertLess(reported[-1], 0.6)
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire's own examples, and frames that can't be read."""
+"""The simulator wire: its own examples, and frames that can't be read."""
 
 import io
 import struct
@@ -40,8 +40,8 @@
     )
 
 
-class WireStories(unittest.TestCase):
-    def test_the_examples_of_the_wire(self):
+class SimulatorWireTest(unittest.TestCase):
+    def test_reads_and_writes_the_examples_of_the_wire(self):
         empty = bytes.fromhex("010000000c00000090bf68f50100000000000000")
         self.assertEqual(wire.read_frame(io.BytesIO(empty)), (1, 8_412_249_999 + 1, 0, b""))
         self.assertEqual(wire.Reply().frame(1).hex(), "010000000400000000000000")
@@ -67,7 +67,7 @@
         bounce = wire.ACT_BOUNCE.pack(wire.BOUNCE, 3, 0x000CB2900E6F2B19, True, 250_000_000)
         self.assertEqual(bounce.hex(), "0903000000192b6f0e90b20c000180b2e60e000000000000")
 
-    def test_an_arrival_is_launched_and_a_second_life_forgets_the_first(self):
+    def test_runs_an_arrival_and_a_restarted_instance_forgets_it(self):
         table = InstanceTable()
         frame = table.batch(*wire.read_frame(io.BytesIO(batch(START, ARRIVAL, tail=SETTINGS))))
         self.assertIn(wire.ACT_ID.pack(wire.LAUNCH, 3, 77), frame)
@@ -75,25 +75,25 @@
         frame = table.batch(*wire.read_frame(io.BytesIO(batch(killed, START, ARRIVAL, tail=SETTINGS))))
         self.assertIn(wire.ACT_ID.pack(wire.LAUNCH, 3, 77), frame)
 
-    def test_what_the_decisions_raise_is_declared_on_the_wire(self):
+    def test_reports_an_error_of_the_decisions_as_a_record(self):
         table = InstanceTable()
         table.batch(*wire.read_frame(io.BytesIO(batch(START, tail=SETTINGS))))
         table.instances[3].admission.arrive = None
         frame = table.batch(*wire.read_frame(io.BytesIO(batch(ARRIVAL))))
         self.assertEqual(struct.unpack_from("<B", frame, 12)[0], wire.INTERNAL_ERROR)
 
-    def test_the_end_of_input_ends_the_adapter_cleanly(self):
+    def test_exits_cleanly_at_the_end_of_input(self):
         self.assertEqual(run_adapter(b"").returncode, 0)
 
-    def test_what_is_malformed_ends_the_adapter_with_one_plain_line(self):
+    def test_exits_with_one_line_on_malformed_input(self):
         unknown_code = batch(b"\x63".ljust(wire.EVENT_SIZE, b"\0"))
-        stranger = wire.ENDED.pack(3, 3, 55, 200, 0).ljust(wire.EVENT_SIZE, b"\0")
+        unknown_request = wire.ENDED.pack(3, 3, 55, 200, 0).ljust(wire.EVENT_SIZE, b"\0")
         for data in (
             b"abc",
             batch(START, tail=SETTINGS)[:-4],
             unknown_code,
             batch(ARRIVAL),
-            batch(START, stranger, tail=SETTINGS),
+            batch(START, unknown_request, tail=SETTINGS),
             batch(START.replace(SETTINGS, b""), tail=b""),
         ):
             ended = run_adapter(data)
@@ -101,7 +101,7 @@
             self.assertEqual(ended.stderr.count(b"\n"), 1)
             self.assertNotIn(b"Traceback", ended.stderr)
 
-    def test_missing_settings_are_named(self):
+    def test_names_missing_settings(self):
         start = wire.PROVISION.pack(1, 3, 99, 0, 0).ljust(wire.EVENT_SIZE, b"\0")
         self.assertIn(b"extra.cores", run_adapter(batch(start)).stderr)
 
