--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -1,233 +1,247 @@
-"""Can two keepers lead in one term, or an agreed entry be lost? Every run of a few steps, by z3.
+"""Can two replicas lead in one term, or a committed entry be lost? Every run of a few steps, by z3.
 
-Three keepers, each with a log of entries known by their terms. A step is an election with the votes of some,
-a leader's entry, its copy to one other, or its being agreed. The variants leave out one rule each and must be
-found wanting, or the model would prove nothing.
+Three replicas, each with a log of entries known by their terms. A step is an election with the votes of some,
+a leader's entry, its copy to one other, or its commit. The variants leave out one rule each and must be found
+wanting, or the model would prove nothing.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from itertools import combinations
+from itertools import combinations, pairwise
 
 import z3
 
-REPLICAS, LENGTH = 3, 2
-QUORUMS = [set(each) for size in (2, 3) for each in combinations(range(REPLICAS), size)]
+REPLICAS, LENGTH, MAX_TERM = 3, 2, 4
+QUORUMS = [set(quorum) for size in (2, 3) for quorum in combinations(range(REPLICAS), size)]
+RULES = {"one vote", "current log", "own term"}
+
+Terms = list[z3.ArithRef]
 
 
 class State:
-    """One moment: terms, who was voted for, logs, who leads, what was ever agreed."""
+    """One moment: terms, votes, logs, leaders, and what was ever committed."""
 
     def __init__(self, name: str) -> None:
-        def ints(what: str, count: int) -> list:
-            return [z3.Int(f"{name}.{what}{number}") for number in range(count)]
+        """`name` is the prefix of the variables."""
+
+        def integers(field: str, count: int) -> Terms:
+            return [z3.Int(f"{name}.{field}{number}") for number in range(count)]
 
-        self.term, self.voted = ints("term", REPLICAS), ints("voted", REPLICAS)  # -1: nobody
-        self.log = [ints(f"log{replica}.", LENGTH) for replica in range(REPLICAS)]  # 0: no entry
-        self.leads = ints("leads", REPLICAS)  # the term that it leads; 0: none
-        self.agreed = ints("agreed", LENGTH)  # the term of the entry agreed there; 0: none
+        self.term = integers("term", REPLICAS)
+        self.voted_for = integers("voted", REPLICAS)  # -1: nobody
+        self.log = [integers(f"log{replica}.", LENGTH) for replica in range(REPLICAS)]  # 0: no entry
+        self.leads = integers("leads", REPLICAS)  # the term that it leads; 0: none
+        self.committed = integers("committed", LENGTH)  # the term of the entry committed there; 0: none
 
-    def all(self) -> list:
-        return [
-            *self.term,
-            *self.voted,
-            *(each for log in self.log for each in log),
-            *self.leads,
-            *self.agreed,
-        ]
+    def is_leader(self, replica: int) -> z3.BoolRef:
+        """Whether a replica leads in its present term."""
+        return z3.And(self.leads[replica] > 0, self.leads[replica] == self.term[replica])
 
 
-def same(before: list, after: list, but: Iterable[int] = ()) -> list:
-    return [after[place] == before[place] for place in range(len(before)) if place not in set(but)]
+def same(before: Terms, after: Terms, but: Iterable[int] = ()) -> list[z3.BoolRef]:
+    """Return that all but some values stay."""
+    changed = set(but)
+    return [after[index] == before[index] for index in range(len(before)) if index not in changed]
+
+
+def same_logs(before: State, after: State, but: Iterable[int] = ()) -> list[z3.BoolRef]:
+    """Return that the logs of all but some replicas stay."""
+    changed = set(but)
+    return [
+        condition
+        for replica in range(REPLICAS)
+        if replica not in changed
+        for condition in same(before.log[replica], after.log[replica])
+    ]
 
 
-def last_term(log: list):
+def last_term(log: Terms) -> z3.ArithRef:
+    """Return the term of a log's last entry."""
     return z3.If(log[1] > 0, log[1], log[0])
 
 
-def length(log: list):
+def length(log: Terms) -> z3.ArithRef:
+    """Return how many entries a log has."""
     return z3.If(log[1] > 0, 2, z3.If(log[0] > 0, 1, 0))
 
 
-def elected(a: State, b: State, who: int, voters: set[int], rules: set[str]):
-    """One election: some vote for one in a later term than any of them is in."""
-    term = b.leads[who]
-    wants = [term > a.term[who], term <= 4]
+def elected(before: State, after: State, candidate: int, voters: set[int], rules: set[str]) -> z3.BoolRef:
+    """Return that some vote for one in a later term than any of them is in."""
+    term = after.leads[candidate]
+    conditions = [term > before.term[candidate], term <= MAX_TERM]
     for voter in voters:
-        current = z3.Or(
-            last_term(a.log[who]) > last_term(a.log[voter]),
-            z3.And(
-                last_term(a.log[who]) == last_term(a.log[voter]), length(a.log[who]) >= length(a.log[voter])
-            ),
-        )
-        free = z3.Or(term > a.term[voter], z3.And(term == a.term[voter], a.voted[voter] == -1))
         if "one vote" in rules:
-            wants.append(free)
+            is_free = z3.And(term == before.term[voter], before.voted_for[voter] == -1)
+            conditions.append(z3.Or(term > before.term[voter], is_free))
         else:
-            wants.append(term >= a.term[voter])
+            conditions.append(term >= before.term[voter])
         if "current log" in rules:
-            wants.append(current)
-        wants += [b.term[voter] == term, b.voted[voter] == who]
+            conditions.append(is_current(before.log[candidate], before.log[voter]))
+        conditions += [after.term[voter] == term, after.voted_for[voter] == candidate]
     return z3.And(
-        *wants,
-        *same(a.voted, b.voted, voters),
-        *same(a.term, b.term, voters),
-        *same(a.leads, b.leads, [who]),
-        *(each for replica in range(REPLICAS) for each in same(a.log[replica], b.log[replica])),
-        *same(a.agreed, b.agreed),
+        *conditions,
+        *same(before.voted_for, after.voted_for, voters),
+        *same(before.term, after.term, voters),
+        *same(before.leads, after.leads, [candidate]),
+        *same_logs(before, after),
+        *same(before.committed, after.committed),
     )
 
 
-def forgot(a: State, b: State, who: int):
-    """One loses the file with its vote, and stays the same to all others."""
-    return z3.And(
-        b.voted[who] == -1,
-        *same(a.voted, b.voted, [who]),
-        *same(a.term, b.term),
-        *same(a.leads, b.leads),
-        *same(a.agreed, b.agreed),
-        *(each for replica in range(REPLICAS) for each in same(a.log[replica], b.log[replica])),
+def is_current(candidate: Terms, voter: Terms) -> z3.BoolRef:
+    """Return that the candidate's log is at least as current as the voter's."""
+    same_term = last_term(candidate) == last_term(voter)
+    return z3.Or(
+        last_term(candidate) > last_term(voter), z3.And(same_term, length(candidate) >= length(voter))
     )
 
 
-def appended(a: State, b: State, who: int):
-    place = length(a.log[who])
-    log = [z3.If(place == index, a.leads[who], a.log[who][index]) for index in range(LENGTH)]
+def vote_forgotten(before: State, after: State, replica: int) -> z3.BoolRef:
+    """Return that one loses the file with its vote, and stays the same to all others."""
     return z3.And(
-        a.leads[who] > 0,
-        a.leads[who] == a.term[who],
-        place < LENGTH,
-        *[b.log[who][index] == log[index] for index in range(LENGTH)],
-        *(
-            each
-            for replica in range(REPLICAS)
-            if replica != who
-            for each in same(a.log[replica], b.log[replica])
-        ),
-        *same(a.term, b.term),
-        *same(a.voted, b.voted),
-        *same(a.leads, b.leads),
-        *same(a.agreed, b.agreed),
+        after.voted_for[replica] == -1,
+        *same(before.voted_for, after.voted_for, [replica]),
+        *same(before.term, after.term),
+        *same(before.leads, after.leads),
+        *same(before.committed, after.committed),
+        *same_logs(before, after),
     )
 
 
-def copied(a: State, b: State, who: int, to: int):
-    """A follower takes the leader's whole log, which is what appends come to in the end."""
+def entry_appended(before: State, after: State, leader: int) -> z3.BoolRef:
+    """Return that a leader appends an entry of its term."""
+    log = before.log[leader]
+    end = length(log)
     return z3.And(
-        a.leads[who] > 0,
-        a.leads[who] == a.term[who],
-        a.term[to] <= a.leads[who],
-        *[b.log[to][index] == a.log[who][index] for index in range(LENGTH)],
-        *(
-            each
-            for replica in range(REPLICAS)
-            if replica != to
-            for each in same(a.log[replica], b.log[replica])
-        ),
-        b.term[to] == a.leads[who],
-        b.voted[to] == z3.If(a.term[to] == a.leads[who], a.voted[to], -1),
-        b.leads[to] == 0,
-        *same(a.term, b.term, [to]),
-        *same(a.voted, b.voted, [to]),
-        *same(a.leads, b.leads, [to]),
-        *same(a.agreed, b.agreed),
+        before.is_leader(leader),
+        end < LENGTH,
+        *[
+            after.log[leader][index] == z3.If(end == index, before.leads[leader], log[index])
+            for index in range(LENGTH)
+        ],
+        *same_logs(before, after, [leader]),
+        *same(before.term, after.term),
+        *same(before.voted_for, after.voted_for),
+        *same(before.leads, after.leads),
+        *same(before.committed, after.committed),
     )
 
 
-def agreed(a: State, b: State, who: int, index: int, quorum: set[int], rules: set[str]):
-    kept = [
-        z3.And(a.log[replica][index] == a.log[who][index], a.term[replica] == a.leads[who])
-        for replica in quorum
-    ]
-    own = [a.log[who][index] == a.leads[who]] if "own term" in rules else [a.log[who][index] > 0]
+def log_copied(before: State, after: State, leader: int, follower: int) -> z3.BoolRef:
+    """Return that a follower takes the leader's whole log, which is what appends come to in the end."""
+    term = before.leads[leader]
+    vote = z3.If(before.term[follower] == term, before.voted_for[follower], -1)
     return z3.And(
-        a.leads[who] > 0,
-        a.leads[who] == a.term[who],
-        *kept,
-        *own,
-        *[
-            b.agreed[place]
-            == (
-                z3.If(a.agreed[place] == 0, a.log[who][place], a.agreed[place])
-                if place <= index
-                else a.agreed[place]
-            )
-            for place in range(LENGTH)
-        ],
-        *same(a.term, b.term),
-        *same(a.voted, b.voted),
-        *same(a.leads, b.leads),
-        *(each for replica in range(REPLICAS) for each in same(a.log[replica], b.log[replica])),
+        before.is_leader(leader),
+        before.term[follower] <= term,
+        *[after.log[follower][index] == before.log[leader][index] for index in range(LENGTH)],
+        *same_logs(before, after, [follower]),
+        after.term[follower] == term,
+        after.voted_for[follower] == vote,
+        after.leads[follower] == 0,
+        *same(before.term, after.term, [follower]),
+        *same(before.voted_for, after.voted_for, [follower]),
+        *same(before.leads, after.leads, [follower]),
+        *same(before.committed, after.committed),
     )
 
 
-RULES = {"one vote", "current log", "own term"}
+def entry_committed(
+    before: State, after: State, leader: int, index: int, quorum: set[int], rules: set[str]
+) -> z3.BoolRef:
+    """Return that a leader commits the entries up to one that a quorum has stored."""
+    log, term = before.log[leader], before.leads[leader]
+    stored = [
+        z3.And(before.log[replica][index] == log[index], before.term[replica] == term) for replica in quorum
+    ]
+    own_term = log[index] == term if "own term" in rules else log[index] > 0
+    committed = [
+        z3.If(before.committed[earlier] == 0, log[earlier], before.committed[earlier])
+        for earlier in range(index + 1)
+    ]
+    return z3.And(
+        before.is_leader(leader),
+        *stored,
+        own_term,
+        *[after.committed[earlier] == committed[earlier] for earlier in range(index + 1)],
+        *same(before.committed, after.committed, range(index + 1)),
+        *same(before.term, after.term),
+        *same(before.voted_for, after.voted_for),
+        *same(before.leads, after.leads),
+        *same_logs(before, after),
+    )
 
 
-def steps_of(a: State, b: State, rules: set[str]):
-    everyone = range(REPLICAS)
+def any_step(before: State, after: State, rules: set[str]) -> z3.BoolRef:
+    """Return that one step leads from one state to the next."""
+    replicas = range(REPLICAS)
     return z3.Or(
-        *[elected(a, b, who, voters, rules) for who in everyone for voters in QUORUMS if who in voters],
-        *([forgot(a, b, who) for who in everyone] if "forgets" in rules else []),
-        *[appended(a, b, who) for who in everyone],
-        *[copied(a, b, who, to) for who in everyone for to in everyone if to != who],
         *[
-            agreed(a, b, who, index, quorum, rules)
-            for who in everyone
+            elected(before, after, one, voters, rules)
+            for one in replicas
+            for voters in QUORUMS
+            if one in voters
+        ],
+        *([vote_forgotten(before, after, one) for one in replicas] if "forgets" in rules else []),
+        *[entry_appended(before, after, one) for one in replicas],
+        *[log_copied(before, after, one, other) for one in replicas for other in replicas if other != one],
+        *[
+            entry_committed(before, after, one, index, quorum, rules)
+            for one in replicas
             for index in range(LENGTH)
             for quorum in QUORUMS
-            if who in quorum
+            if one in quorum
         ],
     )
 
 
-def runs(count: int, rules: set[str]) -> tuple[z3.Solver, list[State]]:
+def all_runs(steps: int, rules: set[str]) -> tuple[z3.Solver, list[State]]:
+    """Return a solver for the runs of so many steps, and their states."""
     solver = z3.Solver()
-    states = [State(f"s{number}") for number in range(count + 1)]
+    states = [State(f"s{number}") for number in range(steps + 1)]
     first = states[0]
     solver.add(
-        *[each == 0 for each in (*first.term, *first.leads, *first.agreed)],
-        *[each == -1 for each in first.voted],
-        *[each == 0 for log in first.log for each in log],
+        *[value == 0 for value in (*first.term, *first.leads, *first.committed)],
+        *[vote == -1 for vote in first.voted_for],
+        *[entry == 0 for log in first.log for entry in log],
     )
-    for a, b in zip(states, states[1:], strict=False):
-        solver.add(steps_of(a, b, rules))
+    for before, after in pairwise(states):
+        solver.add(any_step(before, after, rules))
     return solver, states
 
 
-def two_leaders(count: int, rules: set[str]) -> bool:
+def two_leaders(steps: int, rules: set[str]) -> bool:
     """Whether some run of so many steps has two leaders in one term."""
-    solver, states = runs(count, rules)
+    solver, states = all_runs(steps, rules)
     solver.add(
         z3.Or(
             *[
-                z3.And(a.leads[one] > 0, a.leads[one] == b.leads[other])
-                for number, a in enumerate(states)
-                for b in states[number:]
+                z3.And(earlier.leads[one] > 0, earlier.leads[one] == later.leads[other])
+                for number, earlier in enumerate(states)
+                for later in states[number:]
                 for one in range(REPLICAS)
                 for other in range(REPLICAS)
                 if one != other
             ]
         )
     )
-    return solver.check() == z3.sat
+    return bool(solver.check() == z3.sat)
 
 
-def agreed_is_lost(count: int, rules: set[str]) -> bool:
-    """Whether some run ends with a leader that lacks what was agreed before its term, or has it otherwise."""
-    solver, states = runs(count, rules)
+def committed_entry_is_lost(steps: int, rules: set[str]) -> bool:
+    """Whether some run ends with a leader that lacks or contradicts what was committed before its term."""
+    solver, states = all_runs(steps, rules)
     end = states[-1]
     lacks = [
         z3.And(
-            end.leads[who] > 0,
-            end.leads[who] == end.term[who],
-            end.agreed[index] > 0,
-            end.log[who][index] != end.agreed[index],
-            end.leads[who] > end.agreed[index],
+            end.is_leader(replica),
+            end.committed[index] > 0,
+            end.log[replica][index] != end.committed[index],
+            end.leads[replica] > end.committed[index],
         )
-        for who in range(REPLICAS)
+        for replica in range(REPLICAS)
         for index in range(LENGTH)
     ]
     solver.add(z3.Or(*lacks))
-    return solver.check() == z3.sat
+    return bool(solver.check() == z3.sat)
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -15,7 +15,7 @@
 from oakkeel.invariants.consensus import ConsensusAudit
 
 
-class ScheduleStories(unittest.TestCase):
+class ConsensusSimulationTest(unittest.TestCase):
     """Whole fleets in simulated time. `make measure-schedules` plays many more."""
 
     def test_drawn_schedules_break_no_promise_and_come_to_an_end(self):
@@ -24,7 +24,7 @@
                 world, breaches = play(draw(seed))
                 self.assertEqual((breaches, world.stuck()), ([], []))
 
-    def test_the_same_schedule_plays_the_same_again_also_from_a_file_and_in_another_process(self):
+    def test_replays_a_schedule_exactly_from_a_file_and_in_another_process(self):
         schedule = draw(3)
         first, second = play(schedule)[0], play(schedule_from_json(schedule.to_json()))[0]
         self.assertEqual((first.clock.happened, first.event_log), (second.clock.happened, second.event_log))
@@ -32,7 +32,7 @@
             "from oakkeel.emulator.consensus import play; from oakkeel.emulator.faults import draw\n"
             "print(play(draw(3))[0].clock.happened)"
         )
-        told = {
+        outputs = {
             subprocess.run(
                 [sys.executable, "-c", code],
                 env={**os.environ, "PYTHONHASHSEED": seed},
@@ -42,24 +42,24 @@
             ).stdout
             for seed in ("1", "2")
         }
-        self.assertEqual(told, {f"{first.clock.happened}\n"})
+        self.assertEqual(outputs, {f"{first.clock.happened}\n"})
 
-    def test_a_planted_fault_is_caught_and_cut_down(self):
+    def test_planted_defect_is_caught_and_its_schedule_shrunk(self):
         with mock.patch.object(UnavailableTargets, "find_violation", lambda self, things: ""):
 
             def fails(schedule: Schedule) -> bool:
                 return bool(play(schedule)[1])
 
             schedule = next(each for each in map(draw, range(20)) if fails(each))
-            less = shrink(schedule, fails)
-            self.assertTrue(fails(less))
-            self.assertLess(len(less.faults), len(schedule.faults))
-            for index in range(len(less.faults)):  # nothing of it can be left out
-                rest = less.faults[:index] + less.faults[index + 1 :]
-                self.assertFalse(fails(dataclasses.replace(less, faults=rest)))
-        self.assertEqual(play(less)[1], [])
+            shrunk = shrink(schedule, fails)
+            self.assertTrue(fails(shrunk))
+            self.assertLess(len(shrunk.faults), len(schedule.faults))
+            for index in range(len(shrunk.faults)):  # nothing of it can be left out
+                rest = shrunk.faults[:index] + shrunk.faults[index + 1 :]
+                self.assertFalse(fails(dataclasses.replace(shrunk, faults=rest)))
+        self.assertEqual(play(shrunk)[1], [])
 
-    def test_an_agent_that_would_go_by_a_place_whose_time_is_over_is_caught(self):
+    def test_catches_an_agent_that_uses_an_expired_permit(self):
         schedules = [
             Schedule(
                 seed,
@@ -90,13 +90,13 @@
             breaches = [breach for each in schedules for breach in play(each)[1]]
         self.assertRegex(breaches[0], "promise 7: ")
 
-    def test_the_auditor_catches_each_breach_by_itself(self):
-        def judge() -> ConsensusAudit:
+    def test_audit_catches_each_breach_by_itself(self):
+        def granted_audit() -> ConsensusAudit:
             audit = ConsensusAudit({"s": (1, ["a", "b"])}, SECOND)
             audit.command_applied(0, "k", 5, b"\x93\xa5grant\xa1o\x92\xa1a\xa1b")
             return audit
 
-        audit = judge()
+        audit = granted_audit()
         audit.leader_observed(0, 1, "x")
         audit.leader_observed(1, 1, "y")
         audit.command_applied(1, "y", 5, b"\x93\xa5grant\xa1o\x91\xa1a")
@@ -108,14 +108,14 @@
         audit.drain_started(5, "b", 3)
         audit.order_halted("o")
         audit.drain_started(6, "b", 6, "o")
-        told = "\n".join(audit.finish(9))
+        found = "\n".join(audit.finish(9))
         for number in range(1, 8):
-            self.assertIn(f"promise {number}: ", told)
-        good = judge()
+            self.assertIn(f"promise {number}: ", found)
+        good = granted_audit()
         good.out_by_itself(0, "a")
         good.drain_started(SECOND // 2, "b", 5)  # too soon to be known
         self.assertEqual(good.finish(9), [])
-        late = judge()
+        late = granted_audit()
         late.out_by_itself(0, "a")
         late.drain_started(2 * SECOND, "b", 5)
         self.assertRegex(late.finish(9)[0], "known to be away")
--- a/tests/models/test_models.py
+++ b/tests/models/test_models.py
@@ -18,10 +18,10 @@
         )  # why a lost file is a new member
 
     def test_no_run_loses_what_was_agreed(self):
-        self.assertFalse(elections.agreed_is_lost(5, elections.RULES))
+        self.assertFalse(elections.committed_entry_is_lost(5, elections.RULES))
 
     def test_with_votes_for_any_log_it_is_lost(self):
-        self.assertTrue(elections.agreed_is_lost(5, elections.RULES - {"current log"}))
+        self.assertTrue(elections.committed_entry_is_lost(5, elections.RULES - {"current log"}))
 
 
 class PlaceModels(unittest.TestCase):
