--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -40,7 +40,7 @@
                 continue
             for release in leader.state_machine.state.releases.values():  # type: ignore[attr-defined]
                 if release.is_finished and release.ident in simulation.rollout_audit.version:
-                    simulation.rollout_audit.ended(
+                    simulation.rollout_audit.record_end(
                         simulation.clock.now, release.ident, release.state, self._serving()
                     )
         simulation.clock.after(LOOK_INTERVAL, self.look)
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -79,7 +79,7 @@
         name, now, generation = step.instance.name, simulation.clock.now, step.instance.born
         simulation.audit.started(now, name, generation)
         version = host.agent.reconciler.fitting.version(name)
-        simulation.rollout_audit.started(now, name, version)
+        simulation.rollout_audit.record_start(now, name, version)
         process = Process(generation, now + host.random.randrange(100 * MS, 600 * MS), version)
         self.running[name], step.instance.ran = process, version
         host.agent.supervisor.spawned(host.now(), step.instance)
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -79,7 +79,7 @@
         content = commands.encode(command)
         audit.applied(now, self.host.name, index, content)
         if not isinstance(result, Rejection):
-            simulation.rollout_audit.taken(now, self.host.name, content)
+            simulation.rollout_audit.record_command(now, self.host.name, content)
         if self.control_plane and isinstance(
             command,
             commands.HaltOrder | commands.CancelOrder | commands.ReleasePermit | commands.ExpirePermit,
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -1,11 +1,12 @@
-"""Whether the promises of releases hold, by what was agreed, what processes started, and what was told.
+"""Checks whether the invariants of releases hold, by what was committed, started and reported.
 
-8. Nothing starts with the version of a release before a batch of it that is in the record names that thing,
-   nor once the release is told as undone.
-9. When a release is told as done, each thing of it that serves runs the new; as undone, what it ran before.
-10. Each step of a release is taken once, the same on every keeper, under fences that only rise.
+8. Nothing starts with the version of a release before a committed batch of it names that target, nor once the
+   release is reported as undone.
+9. When a release is reported as done, each target of it that serves runs the new version; as undone, what it
+   ran before.
+10. Each step of a release is applied once, the same on every replica, under fencing tokens that only rise.
 
-It is told what happened with the true time, and knows nothing of why.
+The checks get what happened with the true time, and know nothing of the reasons.
 """
 
 from __future__ import annotations
@@ -17,6 +18,7 @@
 import msgspec
 
 SECOND = 1_000_000_000
+STEP_TAGS = ("go", "batch", "settle", "judge", "finish")  # of the controller's commands
 STEP_EVENTS = (
     "release_batch_started",
     "release_batch_finished",
@@ -26,69 +28,80 @@
 
 
 class RolloutAudit:
-    def __init__(self, most: int = 100) -> None:
-        self.most = most
+    """Collects breaches of the invariants, each a line of text with its time."""
+
+    def __init__(self, max_breaches: int = 100) -> None:
+        """Keep at most so many breaches."""
+        self.max_breaches = max_breaches
         self.breaches: list[str] = []
         self.version: dict[str, str] = {}  # by release
-        self.things: dict[str, set[str]] = {}
-        self.named: dict[str, set[str]] = {}  # by release: things that its batches have named
+        self.targets: dict[str, set[str]] = {}  # by release
+        self.batched: dict[str, set[str]] = {}  # by release: targets that its batches have named
         self.steps: dict[tuple[str, int], bytes] = {}
-        self.fences: dict[str, tuple[int, int]] = {}  # by release: the latest step and its fence
-        self.runs: dict[str, str] = {}  # by thing
-        self.over: dict[str, str] = {}
-        self.told: list[tuple[int, str, str]] = []
-
-    def taken(self, now: int, who: str, content: bytes) -> None:
-        """A command that a keeper took, and did not refuse."""
-        told: Any = msgspec.msgpack.decode(content)
-        if told[0] == "begin":
-            self.version[told[1]], self.things[told[1]] = told[4][0], set(told[6])
-        elif told[0] in ("go", "batch", "settle", "judge", "finish"):
-            ident, fence, step = told[1:4]
-            known = self.steps.setdefault((ident, step), content)
-            if known != content:
-                self._breach(now, f"10: step {step} of {ident} is taken twice, by {who} as {told[0]}")
-            last, under = self.fences.get(ident, (-1, 0))
-            if step > last:
-                if fence < under:
-                    self._breach(now, f"10: step {step} of {ident} under {fence} after {under}")
-                self.fences[ident] = step, max(fence, under)
-            if told[0] == "batch":
-                self.named.setdefault(ident, set()).update(thing for thing, _ in told[5])
-
-    def started(self, now: int, thing: str, version: str) -> None:
-        self.runs[thing] = version
-        for ident, new in self.version.items():
-            if version != new or thing not in self.things[ident]:
+        self.latest_steps: dict[
+            str, tuple[int, int]
+        ] = {}  # by release: the latest step and its fencing token
+        self.running: dict[str, str] = {}  # version by target
+        self.finished: dict[str, str] = {}  # state by release
+
+    def record_command(self, now: int, replica: str, content: bytes) -> None:
+        """Take note of a command that a replica applied and did not reject."""
+        command: Any = msgspec.msgpack.decode(content)
+        tag = command[0]
+        if tag == "begin":
+            self.version[command[1]], self.targets[command[1]] = command[4][0], set(command[6])
+        elif tag in STEP_TAGS:
+            self._record_step(now, replica, command, content)
+            if tag == "batch":
+                self.batched.setdefault(command[1], set()).update(target for target, _ in command[5])
+
+    def _record_step(self, now: int, replica: str, command: Any, content: bytes) -> None:
+        tag, (release_id, fence, step) = command[0], command[1:4]
+        known = self.steps.setdefault((release_id, step), content)
+        if known != content:
+            self._add_breach(now, f"10: step {step} of {release_id} is taken twice, by {replica} as {tag}")
+        last, last_fence = self.latest_steps.get(release_id, (-1, 0))
+        if step > last:
+            if fence < last_fence:
+                self._add_breach(now, f"10: step {step} of {release_id} under {fence} after {last_fence}")
+            self.latest_steps[release_id] = step, max(fence, last_fence)
+
+    def record_start(self, now: int, target: str, version: str) -> None:
+        """Take note of a process that started with a version."""
+        self.running[target] = version
+        for release_id, new in self.version.items():
+            if version != new or target not in self.targets[release_id]:
                 continue
             others = [
                 other
                 for other, same in self.version.items()
-                if same == new and other != ident and self.over.get(other) in ("done", "left")
+                if same == new and other != release_id and self.finished.get(other) in ("done", "left")
             ]
-            if thing not in self.named.get(ident, ()) and not others:
-                self._breach(now, f"8: {thing} starts with {version[:8]} before {ident} names it")
-            if self.over.get(ident) == "undone" and not others:
-                self._breach(now, f"8: {thing} starts with {version[:8]} after {ident} is undone")
-
-    def ended(self, now: int, ident: str, state: str, serving: set[str]) -> None:
-        """A release is told as over; `serving` are the things that serve just then."""
-        if ident in self.over:
+            if target not in self.batched.get(release_id, ()) and not others:
+                self._add_breach(now, f"8: {target} starts with {version[:8]} before {release_id} names it")
+            if self.finished.get(release_id) == "undone" and not others:
+                self._add_breach(now, f"8: {target} starts with {version[:8]} after {release_id} is undone")
+
+    def record_end(self, now: int, release_id: str, state: str, serving: set[str]) -> None:
+        """Take note of a release reported as ended; `serving` are the targets that serve at that moment."""
+        if release_id in self.finished:
             return
-        self.over[ident] = state
-        new = self.version[ident]
-        for thing in sorted(self.things[ident] & serving):
-            runs = self.runs.get(thing, "")
-            if (state == "done" and runs != new) or (state == "undone" and runs == new):
-                self._breach(now, f"9: {ident} is told as {state}, and {thing} runs {runs[:8] or 'as set'}")
-
-    def _breach(self, now: int, text: str) -> None:
-        if len(self.breaches) < self.most:
+        self.finished[release_id] = state
+        new = self.version[release_id]
+        for target in sorted(self.targets[release_id] & serving):
+            running = self.running.get(target, "")
+            if (state == "done" and running != new) or (state == "undone" and running == new):
+                self._add_breach(
+                    now, f"9: {release_id} is told as {state}, and {target} runs {running[:8] or 'as set'}"
+                )
+
+    def _add_breach(self, now: int, text: str) -> None:
+        if len(self.breaches) < self.max_breaches:
             self.breaches.append(f"{now / SECOND:.3f} s: promise {text}")
 
 
-def runs_by_journals(folder: str, hosts: dict[str, list[str]]) -> dict[str, str]:
-    """What the last process of each stand-in node wrote down that it runs."""
+def read_running_versions(folder: str, hosts: dict[str, list[str]]) -> dict[str, str]:
+    """Return the version that the last process of each fake node wrote to its journal, by name."""
     found = {}
     for host, names in hosts.items():
         for name in names:
@@ -97,32 +110,38 @@
                 continue
             with open(path, encoding="ascii") as file:
                 for line in file:
-                    word = line.split()[0]
-                    if word == "start":
+                    entry = line.split()[0]
+                    if entry == "start":
                         found[name] = ""
-                    elif word.startswith("runs-"):
-                        found[name] = word.removeprefix("runs-")
+                    elif entry.startswith("runs-"):
+                        found[name] = entry.removeprefix("runs-")
     return found
 
 
-def steps_by_logs(folder: str, hosts: dict[str, list[str]]) -> list[str]:
-    """Steps of releases that two agents logged differently, by what each keeper agreed."""
-    seen: dict[tuple[str, int], str] = {}
-    wrong = []
+def find_diverging_steps(folder: str, hosts: dict[str, list[str]]) -> list[str]:
+    """Return the steps of releases that two agents logged differently, by what each replica committed."""
+    steps: dict[tuple[str, int], str] = {}
+    diverging = []
     for host in hosts:
-        path = os.path.join(folder, f"{host}.agent.log")
-        if not os.path.exists(path):
-            continue
-        with open(path, encoding="utf-8", errors="replace") as file:
-            for line in file:
-                try:
-                    told = json.loads(line)
-                except ValueError:
-                    continue  # cut short by a kill
-                event = str(told.get("event", ""))
-                if event in STEP_EVENTS:
-                    key = str(told["release"]), int(told["step"])
-                    what = f"{event} {told.get('targets', '')}{told.get('new', '')}"
-                    if seen.setdefault(key, what) != what:
-                        wrong.append(f"step {key[1]} of {key[0]}: {seen[key]!r} and {what!r}")
-    return wrong
+        for event in _read_events(os.path.join(folder, f"{host}.agent.log")):
+            name = str(event.get("event", ""))
+            if name not in STEP_EVENTS:
+                continue
+            key = str(event["release"]), int(event["step"])
+            step = f"{name} {event.get('targets', '')}{event.get('new', '')}"
+            if steps.setdefault(key, step) != step:
+                diverging.append(f"step {key[1]} of {key[0]}: {steps[key]!r} and {step!r}")
+    return diverging
+
+
+def _read_events(path: str) -> list[dict[str, Any]]:
+    events: list[dict[str, Any]] = []
+    if not os.path.exists(path):
+        return events
+    with open(path, encoding="utf-8", errors="replace") as file:
+        for line in file:
+            try:
+                events.append(json.loads(line))
+            except ValueError:
+                continue  # cut short by a kill
+    return events
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -15,7 +15,7 @@
 from oakkeel.fakes.downstream_service import DownstreamService
 from oakkeel.fakes.site import free_port
 from oakkeel.fleet.agent_clients import NoLeaderError
-from oakkeel.invariants.rollout import runs_by_journals, steps_by_logs
+from oakkeel.invariants.rollout import find_diverging_steps, read_running_versions
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.store.content_store import ContentStore
 from tests.cluster.test_rig import HOSTS, RigStory
@@ -31,7 +31,7 @@
 
 class RolloutStory(RigStory):
     async def end(self) -> None:
-        wrong = steps_by_logs(self.folder, self.hosts)
+        wrong = find_diverging_steps(self.folder, self.hosts)
         await super().end()
         self.assertEqual(wrong, [])
 
@@ -98,7 +98,7 @@
     async def all_run(self, version: str, things=ALL) -> None:
         """By what the processes wrote down themselves."""
         await self.rig.all_serve(things)
-        runs = runs_by_journals(self.folder, self.hosts)
+        runs = read_running_versions(self.folder, self.hosts)
         self.assertEqual({name: runs[name] for name in things}, dict.fromkeys(things, version))
 
 
@@ -152,7 +152,7 @@
 
 class BadProgramStories(RolloutStory):
     async def test_one_that_answers_wrong_halts_with_figures_and_stands_until_it_is_undone(self):
-        before = runs_by_journals(self.folder, self.hosts)
+        before = read_running_versions(self.folder, self.hosts)
         await self.begin(self.program("bad", "worse"))
         told = await self.over("halted")
         self.assertRegex(told.why, r"worse than the old: benefit 0\.\d+ an exchange, the old's 0\.9\d+")
@@ -163,7 +163,7 @@
         await self.turn("undo")
         await self.over("undone")
         await self.rig.all_serve()
-        for name, runs in runs_by_journals(self.folder, self.hosts).items():
+        for name, runs in read_running_versions(self.folder, self.hosts).items():
             self.assertNotEqual(runs, told.version.version, name)
         self.assertEqual(set(before.values()), {""})
 
@@ -191,14 +191,14 @@
         await self.turn("resume")
         await self.over("undone")
         await self.rig.all_serve()
-        self.assertNotIn(what.version, runs_by_journals(self.folder, self.hosts).values())
+        self.assertNotIn(what.version, read_running_versions(self.folder, self.hosts).values())
 
     async def test_what_a_process_was_started_from_is_kept_though_no_release_needs_it(self):
         what = self.program("bad", "worse")
         await self.begin(what, ["n4a"], auto_roll_back=True, control=False)
         await self.over("undone")
         await self.rig.all_serve()
-        runs = runs_by_journals(self.folder, self.hosts)["n4a"]
+        runs = read_running_versions(self.folder, self.hosts)["n4a"]
         self.assertNotIn(runs, ("", what.version))  # the copy of what ran before
         [host] = [host for host, names in self.hosts.items() if "n4a" in names]
         folder = os.path.join(self.folder, host, "versions")
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -65,16 +65,16 @@
 
     def test_detects_steps_of_two_controllers_both_applied(self):
         audit = RolloutAudit()
-        audit.taken(
+        audit.record_command(
             0,
             "h1",
             permit_commands.encode(
                 commands.StartRelease("r", "asha", 0, VersionSpec("v"), RolloutPolicy(), ["a"])
             ),
         )
-        audit.taken(1, "h1", permit_commands.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
-        audit.taken(2, "h2", permit_commands.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
+        audit.record_command(1, "h1", permit_commands.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
+        audit.record_command(2, "h2", permit_commands.encode(commands.StartBatch("r", 9, 1, 0, [("a", 1)])))
         self.assertEqual(audit.breaches, [])
-        audit.taken(3, "h2", permit_commands.encode(commands.StartBatch("r", 8, 1, 0, [("b", 1)])))
-        audit.taken(4, "h2", permit_commands.encode(commands.FinishBatch("r", 7, 2, [])))
+        audit.record_command(3, "h2", permit_commands.encode(commands.StartBatch("r", 8, 1, 0, [("b", 1)])))
+        audit.record_command(4, "h2", permit_commands.encode(commands.FinishBatch("r", 7, 2, [])))
         self.assertEqual(len(audit.breaches), 2)
