--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -203,8 +203,8 @@
     """Return how many of three targets can be out at one time, at every interleaving of two controllers.
 
     Each controller knows the step that it saw last and may propose a batch of any target that is in; a
-    command may be applied at once or later. `rules`: step, a batch is accepted once; permits, none without one within
-    the bound; one batch, the next only after the last is finished.
+    command may be applied at once or later. `rules`: step, a batch is accepted once; permits, none without
+    one within the bound; one batch, the next only after the last is finished.
     """
     most = 0
     seen: set[Interleaving] = set()
