--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -21,10 +21,10 @@
 DEPTH_SPARE = 2  # the first requests that no depth counts: on few cores counts for each are coarse
 SERVICE_ROOM = 0.7  # of the expected service time must fit, for sizes vary
 DELAY = 50 * MS  # the wait at BACKPRESSURE
-READ_CROWD = 0.75  # being read, for each core: from there on retries fill it
+READING_MOST = 0.75  # being read, for each core: from there on retries fill it
 RETRIES = 0.1  # of what is read: from there on the other nodes are full as well
 MEMORY_ROOM, QUEUE_ROOM = 0.85, 0.95  # of the memory, for what runs; with what is queued and retained
-UNFIT = 0.6  # of the latency objective spent unread: off the list until below half
+UNREAD = 0.6  # of the latency objective spent unread: off the list until below half
 DEADLINE_ROOM, STOP_ROOM = 20 * MS, 64 * MS  # an answer leaves this long before its deadline; before the stop
 
 
@@ -39,7 +39,7 @@
         self.queue: list[tuple[float, int, Request]] = []
         self.order = count()
         self.unread, self.retries = SlidingWindow(), SlidingWindow()  # over the objective; of arrivals
-        self.fit = True
+        self.healthy = True
         host.set_health(True, True)  # from store: a real check costs work
         self._report_load()
         host.set_timer(POLL_TOKEN, now + int(POLL * (0.5 + self.random() / 2)))
@@ -68,13 +68,13 @@
         stage = self.overload.arrival_stage(depth)
         latest_end = min(request.objective_end, request.deadline)
         service_time = self.ranking.service_times[request.request_class.index]
-        if request.share_standing and now + SERVICE_ROOM * service_time <= latest_end:
-            if request.share_standing < 0 and self.occupancy.on_cores():  # an idle node takes what comes
+        if request.share_status and now + SERVICE_ROOM * service_time <= latest_end:
+            if request.share_status < 0 and self.occupancy.on_cores():  # an idle node takes what comes
                 self._reject(request)
                 return
-            stage = Stage.NORMAL if request.share_standing > 0 else stage  # room was kept for it
+            stage = Stage.NORMAL if request.share_status > 0 else stage  # room was kept for it
         elif stage == Stage.REJECT or now + self._time_needed(service_time) > latest_end:
-            crowded = self.capacity.readings.mean(now, 0.0) > READ_CROWD * limits.cores
+            crowded = self.capacity.readings.mean(now, 0.0) > READING_MOST * limits.cores
             self._reject(request, request.retry_attempt or crowded)
             return
         self.overload.follow_threshold(now, depth)
@@ -104,7 +104,7 @@
         request.rank = self.ranking.rank(now, request, self.random())
         if self.fair_sharing:
             self.fair_sharing.arrive(now, request, self.ranking.service_times[row.index], self.capacity.run)
-            request.rank += request.share_standing
+            request.rank += request.share_status
 
     def _accept(self, request: Request, stage: int) -> None:
         """Retain its key, and queue it: at BACKPRESSURE after a delay."""
@@ -131,7 +131,7 @@
     def schedule(self, now: int) -> None:
         """Place the calls that can be, and start what may run, after all that came in at one moment."""
         self.now = now
-        while self.awaiting_calls and self._place_call(self.awaiting_calls[0]):
+        while self.awaiting_calls and self._start_call(self.awaiting_calls[0]):
             self.awaiting_calls.popleft()
         occupancy, limits = self.occupancy, self.limits
         runs = self.capacity.runs(self.overload.highest() >= Stage.EXPAND)
@@ -214,8 +214,9 @@
         self.ranking.poll(now, self.started)
         self._report_load()
         # One that reads too late can't even reject in time: only clients that leave it out help.
-        self.fit = not self.stop_at and self.unread.mean(now, 0.0) < (UNFIT if self.fit else UNFIT / 2)
-        self.host.set_health(self.fit, True)
+        most = UNREAD if self.healthy else UNREAD / 2
+        self.healthy = not self.stop_at and self.unread.mean(now, 0.0) < most
+        self.host.set_health(self.healthy, True)
         reap = self.overload.highest() >= Stage.REAP
         keep = load_report.idle_time(self.returns.totals(now), load_report.SAVED[reap])
         reading = self.capacity.readings.mean(now, 0.0)
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -10,7 +10,7 @@
 from math import inf
 
 from oakkeel.admission.types import FairSharingRules, Request, RequestState
-from oakkeel.admission.types import ShareStanding as Standing
+from oakkeel.admission.types import ShareStatus as Status
 from oakkeel.fair_sharing.max_min import MaxMinShares
 from oakkeel.fair_sharing.reservations import Reservations
 from oakkeel.resource_limits import MS, SECOND
@@ -45,26 +45,26 @@
         request.expected_work, asked = work, 0.0 if booked else work  # it comes as told: nothing new
         flow = request.flow = self.shares.count(now, request.flow_keys, asked, request.retry_attempt)
         if booked and booked.work:
-            request.share_standing = Standing.RESERVED
+            request.share_status = Status.RESERVED
             return
         if booked:  # told a time, and no room: it is judged as any other
             self.reservations.end(booked, None)
             request.reservation = None
         elif is_retry and (ahead := self.reservations.last_booked(key)):
-            request.share_standing = Standing.OVER_SHARE  # to try early gains nothing, and waits longer
+            request.share_status = Status.EXCEEDED  # to try early gains nothing, and waits longer
             if ahead.early_attempts < EARLY_MOST and self.reservations.remembers_all(key):
                 own_time = min(SECOND, int(work / max(1.0, flow.allowed_rate) * SECOND))
                 self.reservations.postpone(now, ahead, ahead.due_at + max(STEP, own_time), self.room)
             return
         known = self.shares.is_known(now, flow)
         if flow.allowed_rate < inf:
-            over = flow.free_at > now + BURST
+            exceeded = flow.free_at > now + BURST
         else:
             unknown_share = self.shares.share_of_unknown(flow)
-            over = unknown_share < 1 and not known and self.random() > unknown_share
-        over_budget = request.retry_attempt and known and flow.retries > RETRY_SHARE * flow.count
-        request.share_standing = Standing.OVER_SHARE if over or over_budget else Standing.WITHIN_SHARE
-        if request.share_standing is Standing.WITHIN_SHARE:  # though its overload stage may still reject it
+            exceeded = unknown_share < 1 and not known and self.random() > unknown_share
+        retries_exceeded = request.retry_attempt and known and flow.retries > RETRY_SHARE * flow.count
+        request.share_status = Status.EXCEEDED if exceeded or retries_exceeded else Status.WITHIN_SHARE
+        if request.share_status is Status.WITHIN_SHARE:  # though its overload stage may still reject it
             self._charge(now, request)
 
     def _charge(self, now: int, request: Request) -> None:
@@ -77,11 +77,11 @@
         flow, known = request.flow, request.flow.allowed_rate < inf
         if request.reservation and request.state is RequestState.READ:
             self.reservations.end(request.reservation, False)  # the room was not enough
-        if request.share_standing is Standing.OVER_SHARE and not known:
+        if request.share_status is Status.EXCEEDED and not known:
             return max_retry_after  # one of many who share too little to promise them any
         own_time = flow.free_at - BURST if known else now
         booked, first = None, max(now, own_time)
-        if request.share_standing is not Standing.OVER_SHARE or not request.retry_attempt:  # it was not early
+        if request.share_status is not Status.EXCEEDED or not request.retry_attempt:  # it was not early
             booked = self.reservations.book(now, first, flow.key, request.expected_work, self.room)
         if booked and booked.due_at - now <= max_retry_after:
             self._charge(now, request)
--- a/oakkeel/admission/lifecycle.py
+++ b/oakkeel/admission/lifecycle.py
@@ -79,9 +79,9 @@
     def retry_after(self) -> int:
         """Return when to retry: soon where low ranks are shed, as a client stays away with all it has."""
         reading = min(1.0, self.capacity.reading / self.limits.cores) ** 3
-        crowd = 1.0 if self.overload.depth == Stage.REJECT else reading
-        crowd *= min(1.0, self.limits.peers / RETRY_PEERS)  # where few could take it, cores idle meanwhile
-        return min(int(RETRY_LEAST + (RETRY_AFTER - RETRY_LEAST) * crowd), self.limits.max_retry_after)
+        fullness = 1.0 if self.overload.depth == Stage.REJECT else reading
+        fullness *= min(1.0, self.limits.peers / RETRY_PEERS)  # where few could take it, cores idle meanwhile
+        return min(int(RETRY_LEAST + (RETRY_AFTER - RETRY_LEAST) * fullness), self.limits.max_retry_after)
 
     def call_needed(self, now: int, request: Request) -> None:
         """Place the call without which a run can't go on."""
@@ -117,7 +117,7 @@
             self._time_out(request)
 
     def _try_call(self, request: Request) -> None:
-        if self._place_call(request):
+        if self._start_call(request):
             return
         optional = request.request_class.degraded_weight
         if optional and self.calls.failed_in_row >= BREAK_AFTER:
@@ -128,7 +128,7 @@
             wait = int(CALL_WAIT * request.request_class.latency_objective)
             self.timers.set(self.now, request, self.now + wait + TIMER_STEP)
 
-    def _place_call(self, request: Request) -> bool:
+    def _start_call(self, request: Request) -> bool:
         """Place its call if the breaker and the quota leave room; false if it still waits."""
         if request.state is not State.AWAITING_CALL:
             return True
--- a/oakkeel/admission/load_report.py
+++ b/oakkeel/admission/load_report.py
@@ -8,7 +8,7 @@
 
 # Advertised share: moved each poll by what wants a core, for each core.
 BUSY, STEP_DOWN, STEP_UP, SHARE_LEAST = 2.0, 0.8, 1.15, 0.05
-NEW_CROWD, NEW_RATE = 1.5, 8  # new connections a second and core, while more are read
+NEW_MOST, NEW_RATE = 1.5, 8  # new connections a second and core, while more are read
 SAVED = (20 * SECOND, 4 * SECOND)  # idle time that saves a new connection, below REAP and from it on
 IDLE_LEAST = 10 * MS
 GAP_STEP, GAP_STEPS = 64 * MS, 9  # times between two requests of a client, by doubled steps
@@ -56,4 +56,4 @@
 
 def crowded_idle_time(connections: float, reading: float, cores: int) -> int:
     """Return the idle time that bounds new connections, where these crowd the cores."""
-    return int(connections * SECOND / (NEW_RATE * cores)) if reading > NEW_CROWD * cores else 0
+    return int(connections * SECOND / (NEW_RATE * cores)) if reading > NEW_MOST * cores else 0
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -22,7 +22,7 @@
 DEPTH_SLACK = 0.25
 LATENCY = (0.5, 0.6, 0.75, 0.9, 1.1)  # mean time to completion over the latency objective
 LATENCY_SLACK = 0.1
-SHED_MOST, SHED_PACE = 0.9, 0.08  # of arrivals, rejected as low; its pace by arrival and core
+SHED_MOST, SHED_STEP = 0.9, 0.08  # of arrivals, rejected as low; its step by arrival and core
 # Concurrency.
 RUN = (1.0, 1.24)  # runs for each core, below EXPAND and from it on
 STALE = 0.2  # of the latency objective unread: reading goes first until it is below
@@ -47,7 +47,7 @@
         """Start at NORMAL, with nothing shed."""
         self.cpu = self.depth = self.latency = int(Stage.NORMAL)
         self.latencies = SlidingWindow()  # to completion, over the latency objective
-        self.threshold, self.pace = 0.0, min(1.0, SHED_PACE * cores)
+        self.threshold, self.step = 0.0, min(1.0, SHED_STEP * cores)
 
     def highest(self) -> int:
         """Return the highest stage of all signals."""
@@ -69,7 +69,7 @@
         """Move the shedding threshold: it rises with the signals from REORDER to BACKPRESSURE."""
         signals = ((depth, DEPTH), (self.latencies.mean(now, 0.0), LATENCY))
         position = max((value - row[2]) / (row[3] - row[2]) for value, row in signals)
-        self.threshold += self.pace * (SHED_MOST * min(1.0, max(0.0, position)) - self.threshold)
+        self.threshold += self.step * (SHED_MOST * min(1.0, max(0.0, position)) - self.threshold)
 
 
 class Capacity:
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -102,10 +102,10 @@
     allowance_per_s: float
 
 
-class ShareStanding(IntEnum):
+class ShareStatus(IntEnum):
     """How a request stands to the fair share of its flow: rejected first below 0, run first above it."""
 
-    OVER_SHARE = -1  # its flow had its share
+    EXCEEDED = -1  # its flow had its share
     WITHIN_SHARE = 0
     RESERVED = 1  # its flow came at its reserved time
 
@@ -187,7 +187,7 @@
     flow_keys: tuple[tuple[int, bytes], ...] = ()
     flow: Any = None
     reservation: Any = None  # by which it comes
-    share_standing: ShareStanding = ShareStanding.WITHIN_SHARE
+    share_status: ShareStatus = ShareStatus.WITHIN_SHARE
     expected_work: float = 0.0  # that it was counted with
 
 
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from oakkeel.admission import MS, SECOND
-from oakkeel.admission.types import ShareStanding
+from oakkeel.admission.types import ShareStatus
 from oakkeel.fakes.simulated_node import SimulatedClient, jain
 from tests.support.fair_sharing import shares_obtained, simulated_node
 
@@ -137,10 +137,10 @@
         sender = levels.tables[0].flows[1]
         self.assertAlmostEqual(sender.retries / sender.count, 0.5, delta=0.01)
         request = mock.Mock(
-            flow_keys=((1, b"tries"),), retry_attempt=True, share_standing=ShareStanding.WITHIN_SHARE
+            flow_keys=((1, b"tries"),), retry_attempt=True, share_status=ShareStatus.WITHIN_SHARE
         )
         node.admission.fair_sharing.arrive(node.now + 400 * MS, request, 1.0, 1e9)
-        self.assertIs(request.share_standing, ShareStanding.OVER_SHARE)
+        self.assertIs(request.share_status, ShareStatus.EXCEEDED)
         request.retry_attempt = False
         node.admission.fair_sharing.arrive(node.now + 400 * MS, request, 1.0, 1e9)
-        self.assertIs(request.share_standing, ShareStanding.WITHIN_SHARE)
+        self.assertIs(request.share_status, ShareStatus.WITHIN_SHARE)
