--- /dev/null
+++ b/tests/cluster/test_rollout_programs.py
@@ -0,0 +1,161 @@
+"""Releases of programs and configurations, good and bad ones, with many processes."""
+
+import asyncio
+import json
+import os
+import sys
+import time
+from typing import ClassVar
+
+from oakkeel.agent import messages
+from oakkeel.invariants.rollout import read_running_versions
+from oakkeel.rollout.commands import VersionSpec
+from oakkeel.store.content_store import ContentStore
+from tests.cluster.rollout_case import SECOND, RolloutCase
+
+
+class RejectedProgramTest(RolloutCase):
+    async def test_worse_program_halts_with_figures_until_rolled_back(self):
+        before = read_running_versions(self.folder, self.hosts)
+        await self.start_release(self.program("bad", "worse"))
+        status = await self.wait_for_end("halted")
+        self.assertRegex(status.why, r"worse than the old: benefit 0\.\d+ an exchange, the old's 0\.9\d+")
+        changed = [entry.target for entry in status.targets if entry.state == "new"]
+        self.assertLessEqual(len(changed), 2)
+        await asyncio.sleep(1.0)
+        self.assertEqual((await self.status()).step, status.step)
+        await self.control("undo")
+        await self.wait_for_end("undone")
+        await self.rig.all_serve()
+        for name, runs in read_running_versions(self.folder, self.hosts).items():
+            self.assertNotEqual(runs, status.version.version, name)
+        self.assertEqual(set(before.values()), {""})
+
+    async def test_crashing_and_silent_programs_roll_back_automatically(self):
+        await self.start_release(self.program("crash", "crash"), ["n3a", "n4a", "n5a"], auto_roll_back=True)
+        status = await self.wait_for_end("undone")
+        self.assertIn("died by themselves", status.why)
+        await self.rig.all_serve()
+        await self.start_release(
+            self.program("mute", "mute"), ["n4a"], ident="r2", auto_roll_back=True, batch_timeout=4 * SECOND
+        )
+        status = await self.wait_for_end("undone", ident="r2")
+        self.assertIn("n4a", status.why)
+        await self.rig.all_serve()
+
+    async def test_rollback_during_batch_can_be_halted_and_resumed(self):
+        spec = self.program("slow", "slow")
+        await self.start_release(spec, gated=False, max_batch=2)
+        await self.wait_for_status("the second batch is out", lambda status: status.batch >= 2)
+        await self.control("undo")
+        await self.wait_for_status(
+            "it goes back", lambda status: status.state == "undoing" and status.batch >= 3
+        )
+        await self.control("abort")
+        status = await self.status()
+        self.assertEqual(status.state, "halted")
+        await self.control("resume")
+        await self.wait_for_end("undone")
+        await self.rig.all_serve()
+        self.assertNotIn(spec.version, read_running_versions(self.folder, self.hosts).values())
+
+    async def test_retains_version_that_a_process_was_started_from(self):
+        spec = self.program("bad", "worse")
+        await self.start_release(spec, ["n4a"], auto_roll_back=True, control=False)
+        await self.wait_for_end("undone")
+        await self.rig.all_serve()
+        runs = read_running_versions(self.folder, self.hosts)["n4a"]
+        self.assertNotIn(runs, ("", spec.version))  # the copy of what ran before
+        [host] = [host for host, names in self.hosts.items() if "n4a" in names]
+        folder = os.path.join(self.folder, host, "versions")
+        self.assertIsNotNone(ContentStore(folder).find(runs))
+        dropped = ContentStore(folder).prune({runs})
+        self.assertEqual((dropped, ContentStore(folder).find(runs) is None), ([spec.version], False))
+
+    async def test_runs_copy_although_its_source_has_changed(self):
+        spec = self.program("v2")
+        await self.start_release(spec, ["n4a", "n5a"], control=False)
+        await self.wait_for_status("all are ready", lambda status: status.state != "preparing")
+        with open(os.path.join(spec.program, "run"), "w", encoding="ascii") as file:
+            file.write("#!/bin/sh\nexit 9\n")
+        await self.wait_for_end("done")
+        answer = await self.start_release(VersionSpec(spec.version, spec.program), ["n1a"], ident="r2")
+        self.assertIsInstance(answer, messages.ReleaseStatus)
+        status = await self.wait_for_end("left", ident="r2")
+        self.assertIn("not " + spec.version, status.why)
+
+
+class RolloutCommandTest(RolloutCase):
+    hosts: ClassVar = {"h1": ["n1a"], "h2": ["n2a"], "h3": ["n3a"]}
+    sites: ClassVar = dict.fromkeys(hosts, "woodbrook")
+
+    async def oakkeel(self, *words: str) -> tuple[int, str, str]:
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "oakkeel",
+            "rollout",
+            *words,
+            "--settings",
+            self.site.settings,
+            "--as",
+            "asha",
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
+        out, err = await process.communicate()
+        return process.returncode or 0, out.decode(), err.decode()
+
+    async def test_rejects_bad_options_and_applies_patch_to_configuration(self):
+        program = self.program("v2").program
+        for words, text in (
+            (["--program", program], "say which instances"),
+            (["--all"], "say what is new"),
+            (["--all", "--program", program, "--version", "x"], "say what is new"),
+            (["--all", "--config", self.site.settings], "Expecting value"),
+        ):
+            code, _, err = await self.oakkeel("start", *words)
+            self.assertEqual((code, text in err), (2, True), err)
+        self.assertEqual((await self.oakkeel("status"))[0], 1)
+        patch = os.path.join(self.folder, "patch.json")
+        with open(patch, "w", encoding="ascii") as file:
+            file.write('{"settings": {"ceilings": {"max-retry-after": 1234567}}, "stop_ms": null}')
+        code, out, err = await self.oakkeel(
+            "start", "--config", patch, "n1a", "--no-gates", "--output", "json"
+        )
+        self.assertEqual((code, json.loads(out)["state"]), (0, "done"), err)
+        with open(os.path.join(self.folder, "h1", "n1a.config.json"), encoding="ascii") as file:
+            configuration = json.load(file)
+        self.assertEqual(
+            configuration["settings"]["ceilings"], {"retry-after": True, "max-retry-after": 1234567}
+        )
+        self.assertNotIn("stop_ms", configuration)
+        code, _, err = await self.oakkeel("start", "--program", program, "n1a", "--no-wait")
+        self.assertEqual((code, "released patch" in err), (1, True), err)
+        code, out, _ = await self.oakkeel(
+            "start", "--program", program, "n1a", "n2a", "--as-set", "--no-gates"
+        )
+        self.assertEqual((code, "2 new" in out), (0, True), out)
+
+
+class SmallSiteRolloutTest(RolloutCase):
+    hosts: ClassVar = {"h1": ["n1a"], "h2": ["n2a"], "h3": ["n3a"]}
+    sites: ClassVar = dict.fromkeys(hosts, "woodbrook")
+
+    async def test_releases_overlapping_targets_and_cold_ones(self):
+        one = self.program("one")
+        await self.start_release(one, ["n1a"], gated=False)
+        await self.wait_for_end("done")
+        two = self.program("two")
+        await self.start_release(two, ["n1a", "n2a"], ident="r2", gated=False)
+        await self.wait_for_end("done", ident="r2")
+        await self.assert_all_run(two.version, ["n1a", "n2a"])
+        cold = self.program("cold", "slow")
+        for name in ("n1a", "n2a", "n3a"):
+            self.rig.script(name, "slow")
+            self.rig.kill_node(name)
+        began = time.monotonic()
+        await self.start_release(cold, ["n1a", "n2a", "n3a"], ident="r3", gated=False)
+        await self.wait_for_end("done", ident="r3")
+        self.assertGreater(time.monotonic() - began, 1.0)
+        await self.assert_all_run(cold.version, ["n1a", "n2a", "n3a"])
