--- a/measure/gates.py
+++ b/measure/gates.py
@@ -13,7 +13,7 @@
 import os
 import statistics
 import sys
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Any
 
 import numpy
@@ -29,6 +29,7 @@
 SOAK, MOST = 60, 1200  # seconds
 KINDS = ("good", "worse by 2 %", "dies after a minute", "leaks", "worse while cold")
 LOOKS = 10  # of the group-sequential test
+LOOK_EVERY = 120  # seconds, of the same
 METHODS = ("each second, as if looked at once", "group-sequential, ten looks", "Bayesian, each second")
 
 
@@ -40,99 +41,108 @@
     since: int
     loss: float
     generation: int = 1
-    benefit: Sums = None  # type: ignore[assignment]
-    times: Sums = None  # type: ignore[assignment]
+    earned_weight: Sums = field(default_factory=Sums)
+    latencies: Sums = field(default_factory=Sums)
     memory: float = 25_000.0
-    control: bool = False
-
-    def __post_init__(self) -> None:
-        self.benefit, self.times = Sums(), Sums()
-
-
-def play(words: tuple[int, str]) -> dict[str, Any]:
-    """One release, until it halts, is done, or its time is over."""
-    seed, kind = words
-    chance = numpy.random.default_rng([seed, KINDS.index(kind)])
-    nodes = [Node("old", -1000, float(chance.normal(0, 0.0005))) for _ in range(NODES)]
-    gate = Gate(0, b"", 0.02)
-    others = {"once": 0, "looks": 0, "bayes": 0}  # second at which each of the other tests would have halted
-    old, new = Sums(), Sums()
-    deaths = 0
-    changed_at, there = 0, 0
-    limits = pocock()
-    look_every = 120
-    for second in range(MOST):
-        now = second * SECOND
-        if there == 0:
-            there, changed_at = 1, second
-            nodes[0] = Node("new", second, nodes[0].loss, 2)
-            nodes[1] = Node("old", second, nodes[1].loss, 2, control=True)
-        trouble = 0.02 * max(0.0, math.sin(second / 90)) + float(chance.exponential(0.004))
-        for number, node in enumerate(nodes):
-            age = second - node.since
-            cold = node.since >= 0 and age < COLD
-            loss = 1 - GOOD + trouble + node.loss + (COLD_LOSS * (1 - age / COLD) if cold else 0.0)
-            if node.version == "new":
-                loss += 0.02 * GOOD if kind == "worse by 2 %" else 0.0
-                loss += 0.10 if kind == "worse while cold" and cold else 0.0
-            count = int(chance.poisson(RATE))
-            good = int(chance.binomial(count, min(1.0, max(0.0, 1 - loss))))
-            node.benefit.add(Sums(count, good, good))
-            logs = chance.normal(-2.5, 0.6, good)
-            node.times.add(Sums(good, float(logs.sum()), float((logs * logs).sum())))
-            node.memory = (
-                25_000
-                + float(chance.normal(0, 150))
-                + (200.0 * age if kind == "leaks" and node.version == "new" else 0.0)
-            )
-            name = f"n{number}"
-            times = {"quote": Sums(*_of(node.times))}
-            figures = Samples(Sums(*_of(node.benefit)), 0, 0, node.memory, times)
-            gate.record(now, name, node.version, node.version, node.generation, cold, figures)
-            if not cold:
-                (new if node.version == "new" else old).add(Sums(count, good, good))
-            dies = kind == "dies after a minute" and node.version == "new" and age > 60
-            if dies and chance.random() < 0.05:
-                arms = [each.version for each in nodes]
-                gate.record_death(name, "new", arms.count("new"), arms.count("old"))
-                deaths += 1
-                nodes[number] = Node("new", second, node.loss, node.generation + 1)
-        gate.evaluate(now)
-        verdict = gate.verdict(gate.reference_weight())
-        _others(others, old, new, second, limits, look_every)
-        if verdict.decision is Decision.WORSE:
-            return {
-                "kind": kind,
-                "end": "halted",
-                "second": second,
-                "samples": new.count,
-                "why": verdict.why,
-                "there": there,
-                "others": others,
-            }
-        if verdict.decision is Decision.GOOD and second - changed_at >= SOAK:
-            if there >= NODES:
-                return {
-                    "kind": kind,
-                    "end": "done",
-                    "second": second,
-                    "samples": new.count,
-                    "why": "",
-                    "there": there,
-                    "others": others,
-                }
-            for number in range(there, min(NODES, 2 * there)):
-                nodes[number] = Node("new", second, nodes[number].loss, nodes[number].generation + 1)
-            there, changed_at = min(NODES, 2 * there), second
-    return {
-        "kind": kind,
-        "end": "no answer",
-        "second": MOST,
-        "samples": new.count,
-        "why": "",
-        "there": there,
-        "others": others,
-    }
+
+
+class SimulatedRelease:
+    """One release of a kind, second by second, before the gates and the other tests."""
+
+    def __init__(self, seed: int, kind: str) -> None:
+        """Begin with old nodes only."""
+        self.kind = kind
+        self.random = numpy.random.default_rng([seed, KINDS.index(kind)])
+        self.nodes = [Node("old", -1000, float(self.random.normal(0, 0.0005))) for _ in range(NODES)]
+        self.gate = Gate(0, b"", 0.02)
+        self.others = {"once": 0, "looks": 0, "bayes": 0}  # second at which each other test would have halted
+        self.old, self.new = Sums(), Sums()
+        self.changed_at, self.updated = 0, 0
+        self.limit = pocock()
+
+    def play(self) -> dict[str, Any]:
+        """Go on until it halts, is done, or its time is over."""
+        for second in range(MOST):
+            if self.updated == 0:
+                self._start_canary(second)
+            trouble = 0.02 * max(0.0, math.sin(second / 90)) + float(self.random.exponential(0.004))
+            for number in range(NODES):
+                self._run_node(second, number, trouble)
+            self.gate.evaluate(second * SECOND)
+            verdict = self.gate.verdict(self.gate.reference_weight())
+            _others(self.others, self.old, self.new, second, self.limit, LOOK_EVERY)
+            if verdict.decision is Decision.WORSE:
+                return self._result("halted", second, verdict.why)
+            if verdict.decision is Decision.GOOD and second - self.changed_at >= SOAK:
+                if self.updated >= NODES:
+                    return self._result("done", second)
+                self._start_batch(second)
+        return self._result("no answer", MOST)
+
+    def _result(self, end: str, second: int, why: str = "") -> dict[str, Any]:
+        return {
+            "kind": self.kind,
+            "end": end,
+            "second": second,
+            "samples": self.new.count,
+            "why": why,
+            "there": self.updated,
+            "others": self.others,
+        }
+
+    def _start_canary(self, second: int) -> None:
+        """Update the first node, and restart the second as its control."""
+        self.updated, self.changed_at = 1, second
+        self.nodes[0] = Node("new", second, self.nodes[0].loss, 2)
+        self.nodes[1] = Node("old", second, self.nodes[1].loss, 2)
+
+    def _start_batch(self, second: int) -> None:
+        """Double the number of updated nodes."""
+        updated = min(NODES, 2 * self.updated)
+        for number in range(self.updated, updated):
+            node = self.nodes[number]
+            self.nodes[number] = Node("new", second, node.loss, node.generation + 1)
+        self.updated, self.changed_at = updated, second
+
+    def _run_node(self, second: int, number: int, trouble: float) -> None:
+        """Draw the requests of one node in one second, and report them."""
+        node, random = self.nodes[number], self.random
+        age = second - node.since
+        cold = node.since >= 0 and age < COLD
+        count = int(random.poisson(RATE))
+        good = int(random.binomial(count, min(1.0, max(0.0, 1 - self._loss(node, age, cold, trouble)))))
+        node.earned_weight.add(Sums(count, good, good))
+        logs = random.normal(-2.5, 0.6, good)
+        node.latencies.add(Sums(good, float(logs.sum()), float((logs * logs).sum())))
+        node.memory = (
+            25_000
+            + float(random.normal(0, 150))
+            + (200.0 * age if self.kind == "leaks" and node.version == "new" else 0.0)
+        )
+        latencies = {"quote": Sums(*_of(node.latencies))}
+        samples = Samples(Sums(*_of(node.earned_weight)), 0, 0, node.memory, latencies)
+        name, now = f"n{number}", second * SECOND
+        self.gate.record(now, name, node.version, node.version, node.generation, cold, samples)
+        if not cold:
+            (self.new if node.version == "new" else self.old).add(Sums(count, good, good))
+        dies = self.kind == "dies after a minute" and node.version == "new" and age > 60
+        if dies and random.random() < 0.05:
+            arms = [other.version for other in self.nodes]
+            self.gate.record_death(name, "new", arms.count("new"), arms.count("old"))
+            self.nodes[number] = Node("new", second, node.loss, node.generation + 1)
+
+    def _loss(self, node: Node, age: int, cold: bool, trouble: float) -> float:
+        """Return the part of the requests that the node does not complete in time."""
+        loss = 1 - GOOD + trouble + node.loss + (COLD_LOSS * (1 - age / COLD) if cold else 0.0)
+        if node.version == "new":
+            loss += 0.02 * GOOD if self.kind == "worse by 2 %" else 0.0
+            loss += 0.10 if self.kind == "worse while cold" and cold else 0.0
+        return loss
+
+
+def play(arguments: tuple[int, str]) -> dict[str, Any]:
+    """Play one release, given by seed and kind."""
+    return SimulatedRelease(*arguments).play()
 
 
 def _of(sums: Sums) -> tuple[float, float, float]:
@@ -169,6 +179,7 @@
 
 
 def main() -> int:
+    """Play releases of each kind, and compare the tests."""
     told = options("Releases of each planted kind before the gates.", count=1000, seed=1)
     found: dict[str, list[dict[str, Any]]] = {kind: [] for kind in KINDS}
     with multiprocessing.Pool(os.cpu_count()) as pool:
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -28,7 +28,7 @@
 
 
 def turns(count: int) -> dict[str, float]:
-    """Milliseconds that one choice takes among so many instances on 10 to a host, at 20 sites."""
+    """Return the milliseconds of one choice among so many instances, 10 to a host, at 20 sites."""
     names = [f"n{number}" for number in range(count)]
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
@@ -36,14 +36,14 @@
         BudgetGroup(f"site {number}", max(1, len(site) // 10), tuple(site))
         for number, site in enumerate(sites)
     ]
-    layout = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
-    planner, random, found = BatchPlanner(layout), Random(1), {}
+    topology = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
+    planner, random, found = BatchPlanner(topology), Random(1), {}
     for label, most, out_share in (
         ("one", 1, 0.0),
         ("as many as may be", 500, 0.0),
         ("a tenth out", 500, 0.1),
     ):
-        out = UnavailableTargets(layout)
+        out = UnavailableTargets(topology)
         seen = {name: TargetObservation(name, "serving", 1, "", 0, 0.3) for name in names}
         for name in random.sample(names, int(count * out_share)):
             out.add(name, "does not serve")
@@ -61,6 +61,7 @@
     """When each thing left by an order and when it served again."""
 
     def __init__(self, world: ConsensusSimulation) -> None:
+        """Watch what the invariant checks are told."""
         self.left_at: dict[str, int] = {}
         self.lasted: dict[str, int] = {}
         self.out = self.most = 0
@@ -79,8 +80,8 @@
         world.audit.drain_started, world.audit.serving = on_left, on_serves  # type: ignore[method-assign]
 
 
-def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
-    """1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
+def _draw_schedule(seed: int, deaths: int, kills: int) -> Schedule:
+    """Draw when nodes die and agents are killed; two leaders are killed at fixed times."""
     random = Random(seed)
     troubles = [
         Fault(
@@ -99,18 +100,40 @@
         for _ in range(kills)
     ]
     troubles += [Fault(20 * SECOND, "kill", 0, 0, SECOND), Fault(35 * SECOND, "kill", 1, 0, SECOND)]
-    schedule = Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(troubles, key=lambda each: each.at)))
-    world = ConsensusSimulation(schedule)
+    return Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(troubles, key=lambda each: each.at)))
+
+
+def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
+    """1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
+    world = ConsensusSimulation(_draw_schedule(seed, deaths, kills))
     watched = Watched(world)
     world.clock.run(3 * SECOND)
     began = world.clock.now
-    pace = commands.RolloutPolicy(
+    state = _follow_release(world, gated)
+    took = (world.clock.now - began) / SECOND
+    out = [lasted / SECOND for lasted in watched.lasted.values()]
+    best = max(sum(out) / (BOUND * SITES), max(out, default=0.0))
+    return {
+        "gated": gated,
+        "state": state,
+        "seconds": took,
+        "best": best,
+        "nodes": len(out),
+        "out_s": statistics.median(out) if out else 0.0,
+        "most": watched.most,
+        "breaches": world.audit.breaches + world.rollout_audit.breaches,
+        "events": world.clock.happened,
+    }
+
+
+def _follow_release(world: ConsensusSimulation, gated: bool) -> str:
+    """Start a release of all nodes, resume it wherever it halts, and return its last state."""
+    began = world.clock.now
+    policy = commands.RolloutPolicy(
         soak=SECOND, verdict_timeout=120 * SECOND, batch_timeout=20 * SECOND, gated=gated, margin=0.05
     )
-    order(
-        world,
-        commands.StartRelease("r", "asha", 0, VersionSpec("good r", "here"), pace, list(world.instances)),
-    )
+    spec = VersionSpec("good r", "here")
+    order(world, commands.StartRelease("r", "asha", 0, spec, policy, list(world.instances)))
     state = ""
     while world.clock.now < began + 600 * SECOND:
         world.clock.run(world.clock.now + 200 * MS)
@@ -126,24 +149,11 @@
             order(world, commands.ControlRelease("r", "asha", "resume"))
         if found.is_finished:
             break
-    took = (world.clock.now - began) / SECOND
-    out = [lasted / SECOND for lasted in watched.lasted.values()]
-    best = max(sum(out) / (BOUND * SITES), max(out, default=0.0))
-    return {
-        "gated": gated,
-        "state": state,
-        "seconds": took,
-        "best": best,
-        "nodes": len(out),
-        "out_s": statistics.median(out) if out else 0.0,
-        "most": watched.most,
-        "breaches": world.audit.breaches + world.rollout_audit.breaches,
-        "events": world.clock.happened,
-    }
+    return str(state)
 
 
 def order(world: ConsensusSimulation, command: commands.Command) -> None:
-    """An operator's word, to whoever leads."""
+    """Propose an operator's command to the leader."""
     while (leader := leader_of(world)) is None or leader.control_plane is None:
         world.clock.run(world.clock.now + 100 * MS)
     _, steps = leader.control_plane.propose(leader.now(), command)
@@ -151,6 +161,7 @@
 
 
 def leader_of(world: ConsensusSimulation) -> SimulatedHost | None:
+    """Return the host whose replica leads and holds its lease."""
     return next(
         (
             host
@@ -165,6 +176,7 @@
 
 
 def main() -> int:
+    """Measure the planner, and releases with gates and without."""
     told = options(
         "The planner at 10,000 instances; a release of 1,000 nodes in simulated time.",
         seed=26,
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -1,7 +1,7 @@
-"""Twelve real nodes and two services below replaced under load, with nodes and the driver killed on the way.
+"""Twelve real nodes and two downstream services replaced under load, with nodes and controllers killed.
 
-Three hosts at two sites with six agents, three of them keepers; what drives the release is killed five times
-and three nodes once each. Beside it: the same by batches with no gate, as fast as the bounds allow.
+Six hosts at two sites with an agent each, three of them replicas; the rollout controller is killed five times
+and three nodes once each. Beside it: the same by batches with no gates, as fast as the budgets allow.
 """
 
 from __future__ import annotations
@@ -29,46 +29,53 @@
 
 HOSTS = {f"h{number}": [f"n{2 * number - 1}", f"n{2 * number}"] for number in range(1, 7)}
 SITES = {host: ("woodbrook", "belmont")[number % 2] for number, host in enumerate(HOSTS)}
-KEEPERS = ("h1", "h2", "h3")
+VOTERS = ("h1", "h2", "h3")
 NAMES = [name for names in HOSTS.values() for name in names]
 AWAY, FLEET = 4, 7  # a service takes six nodes with it
 GROUPS: list[dict[str, Any]] = NODE_SETTINGS["classes"]  # type: ignore[assignment]
-BENEFIT = {str(group["name"]): float(group.get("worth", 1.0)) for group in GROUPS}
-HANGING = {name: ("db1", "db2")[number % 2] for number, name in enumerate(NAMES)}
+WEIGHTS = {str(group["name"]): float(group.get("worth", 1.0)) for group in GROUPS}
+SERVICE_OF = {name: ("db1", "db2")[number % 2] for number, name in enumerate(NAMES)}
 
 
-class Weighed(Dispatcher):
-    """Counts the benefit that was asked for and that came, by endpoint group."""
+class WeighingDispatcher(Dispatcher):
+    """Counts the priority weight of all requests, and of those completed in time."""
 
-    asked = came = 0.0
+    offered = earned = 0.0
 
     def going(self, ident: str, sent: SentRequest) -> None:
-        self.asked += BENEFIT[sent.group]
+        """Add a request that is sent."""
+        self.offered += WEIGHTS[sent.group]
 
     def ended(self, sent: SentRequest, word: str, fields: bytes) -> None:
+        """Add the end of a request."""
         super().ended(sent, word, fields)
         if word == "ok":
-            self.came += BENEFIT[sent.group]
+            self.earned += WEIGHTS[sent.group]
 
 
 class Load:
-    """Dispatchers, and what came of what they sent, second by second."""
+    """Dispatchers that send requests, and what became of these."""
 
     def __init__(self, rig: ProcessRig, rate: float, seed: int) -> None:
+        """Send `rate` requests a second in all."""
         self.rig = rig
         self.addresses: dict[str, Address] = {}
-        self.dispatchers = [Weighed(number, self.open_ones, rate / 2, seed + number) for number in (1, 2)]
-        self.following: asyncio.Task | None = None
+        self.dispatchers = [
+            WeighingDispatcher(number, self.open_nodes, rate / 2, seed + number) for number in (1, 2)
+        ]
+        self.following: asyncio.Task[None] | None = None
 
-    def open_ones(self) -> dict[str, Address]:
+    def open_nodes(self) -> dict[str, Address]:
+        """Return the addresses of the nodes that the directory lists."""
         listed = self.rig.site.directory.open_nodes()
         return {name: self.addresses[name] for name in listed if name in self.addresses}
 
     async def start(self) -> None:
+        """Begin to send."""
         self.following = asyncio.ensure_future(self._follow())
         await asyncio.sleep(0.5)
-        for each in self.dispatchers:
-            each.start()
+        for dispatcher in self.dispatchers:
+            dispatcher.start()
 
     async def _follow(self) -> None:
         while True:
@@ -80,14 +87,19 @@
 
     @property
     def counts(self) -> Counter[str]:
-        return sum((each.counts for each in self.dispatchers), Counter())
+        """Return the number of requests by their end."""
+        return sum((dispatcher.counts for dispatcher in self.dispatchers), Counter())
 
     @property
-    def benefit(self) -> tuple[float, float]:
-        return sum(each.asked for each in self.dispatchers), sum(each.came for each in self.dispatchers)
+    def weights(self) -> tuple[float, float]:
+        """Return the priority weight that was offered, and that was earned."""
+        return (
+            sum(dispatcher.offered for dispatcher in self.dispatchers),
+            sum(dispatcher.earned for dispatcher in self.dispatchers),
+        )
 
-    def lost_but(self, killed: set[str]) -> int:
-        """Without an answer, at nodes that nobody killed."""
+    def lost_except(self, killed: set[str]) -> int:
+        """Return the requests without a response at nodes that were not killed."""
         return sum(
             each.by_node[name][word]
             for each in self.dispatchers
@@ -97,37 +109,42 @@
         )
 
     async def stop(self) -> None:
+        """Stop sending."""
         if self.following:
             self.following.cancel()
-        for each in self.dispatchers:
-            await each.stop()
+        for dispatcher in self.dispatchers:
+            await dispatcher.stop()
+
 
+class RolloutRun:
+    """Releases on a rig, with faults on the way, and what was out at most."""
 
-class Play:
     def __init__(
         self, rig: ProcessRig, services: dict[str, Catalogue], ports: dict[str, int], seed: int
     ) -> None:
+        """Use a rig with services by name, and their ports."""
         self.rig, self.services, self.ports, self.random = rig, services, ports, Random(seed)
         self.killed: set[str] = set()
         self.stopped_services: list[Catalogue] = []  # replaced, with connections open until the end
-        self.driver_kills = 0
+        self.controller_kills = 0
         self.most_out, self.most_placed = 0, 0
-        self.over = False
+        self.finished = False
 
-    async def ask(self, wish: messages.Request) -> messages.Response:
+    async def ask(self, request: messages.Request) -> messages.Response:
+        """Return the leader's response, however often the leader changes."""
         while True:
             try:
-                return await self.rig.asker.request_leader(wish)
+                return await self.rig.asker.request_leader(request)
             except NoLeaderError:
                 await asyncio.sleep(0.05)
 
-    async def look(self) -> None:
-        """What is out, as whoever leads knows it; with a place on it, taken out by us."""
-        while not self.over:
+    async def watch(self) -> None:
+        """Watch what is out as the leader knows it, and of that what holds a permit."""
+        while not self.finished:
             try:
                 out = (await self.rig.state_of()).unavailable
                 placed = {each.target for each in out if each.fence}
-                hanging = {name for name, on in HANGING.items() if on in placed}
+                hanging = {name for name, on in SERVICE_OF.items() if on in placed}
                 self.most_placed = max(self.most_placed, len(placed & set(NAMES) | hanging))
                 known = [each for each in out if each.target in NAMES and each.reasons != ["not known"]]
                 self.most_out = max(self.most_out, len(known))
@@ -153,7 +170,11 @@
             if told.step > last and told.step >= due and step_kills < kills:
                 leader = await self.rig.leader()
                 await self.rig.kill(leader)
-                step_kills, self.driver_kills, due = step_kills + 1, self.driver_kills + 1, told.step + 1
+                step_kills, self.controller_kills, due = (
+                    step_kills + 1,
+                    self.controller_kills + 1,
+                    told.step + 1,
+                )
                 await asyncio.sleep(self.random.uniform(0.1, 0.5))
                 await self.rig.start(leader)
             if told.batch >= 2 and nodes and self.random.random() < 0.2:
@@ -198,96 +219,103 @@
     return VersionSpec(version_of(path, ""), path)
 
 
-async def one(rate: float, seed: int, gated: bool) -> dict[str, Any]:
+def _make_site(folder: str, seed: int, ports: dict[str, int]) -> FakeSite:
+    services = "".join(
+        f'<service name="{name}" address="127.0.0.1:{port}" host="h{number}"/>'
+        for number, (name, port) in enumerate(ports.items(), 5)
+    )
+    site = FakeSite(
+        folder,
+        HOSTS,
+        AWAY,
+        seed,
+        sites=SITES,
+        keepers=VOTERS,
+        fleet_away=FLEET,
+        below=f'<below><kind name="db" away="1">{services}</kind></below>',
+        hanging=SERVICE_OF,
+        supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
+    )
+    site.catalogues = {name: f"127.0.0.1:{ports[service]}" for name, service in SERVICE_OF.items()}
+    return site
+
+
+async def measure(rate: float, seed: int, gated: bool) -> dict[str, Any]:
+    """Release all nodes and services once under load."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         ports = {"db1": free_port(), "db2": free_port()}
         services = {name: Catalogue() for name in ports}
-        for name, each in services.items():
-            await each.open(ports[name])
-        below = (
-            '<below><kind name="db" away="1">'
-            + "".join(
-                f'<service name="{name}" address="127.0.0.1:{port}" host="h{number}"/>'
-                for number, (name, port) in enumerate(ports.items(), 5)
-            )
-            + "</kind></below>"
-        )
-        site = FakeSite(
-            folder,
-            HOSTS,
-            AWAY,
-            seed,
-            sites=SITES,
-            keepers=KEEPERS,
-            fleet_away=FLEET,
-            below=below,
-            hanging=HANGING,
-            supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
-        )
-        site.catalogues = {name: f"127.0.0.1:{ports[on]}" for name, on in HANGING.items()}
-        rig = ProcessRig(site, seed, real=True)
-        play = Play(rig, dict(services), ports, seed)
+        for name, service in services.items():
+            await service.open(ports[name])
+        rig = ProcessRig(_make_site(folder, seed, ports), seed, real=True)
+        run = RolloutRun(rig, dict(services), ports, seed)
         try:
             await rig.open()
             await rig.leader()
             await rig.all_serve()
-            load = Load(rig, rate, seed)
-            await load.start()
-            looking = asyncio.ensure_future(play.look())
-            await asyncio.sleep(3.0)
-            before, benefit = load.counts, load.benefit
-            began = time.monotonic()
-            pace = RolloutPolicy(
-                soak=2 * SECOND,
-                batch_timeout=30 * SECOND,
-                verdict_timeout=40 * SECOND,
-                margin=0.10,
-                gated=gated,
-                max_load=0.95,
-            )
-            first = await play.release("nodes", program(folder, "v2"), NAMES, pace, 3, 3)
-            second = await play.release(
-                "below",
-                VersionSpec("db-2", services=True),
-                ["db1", "db2"],
-                RolloutPolicy(soak=SECOND, batch_timeout=30 * SECOND, gated=False),
-                2,
-                0,
-            )
-            took = time.monotonic() - began
-            counts = load.counts - before
-            asked, came = (now - then for now, then in zip(load.benefit, benefit, strict=True))
-            lost = load.lost_but(play.killed)
-            await rig.all_serve(wait=60)
-            play.over = True
-            await looking
-            await load.stop()
-            told = await rig.look()
-            runs = {name: each.report.version if each.report else "" for name, each in told.items()}
+            return await _release_all(run, Load(rig, rate, seed), folder, gated)
         finally:
             await rig.close()
-            for each in (*play.services.values(), *play.stopped_services):
-                await each.close()
-    asked += counts["unsent"] * sum(BENEFIT.values()) / len(BENEFIT)
+            for service in (*run.services.values(), *run.stopped_services):
+                await service.close()
+
+
+async def _release_in_turn(
+    run: RolloutRun, folder: str, gated: bool
+) -> tuple[messages.ReleaseStatus, messages.ReleaseStatus]:
+    policy = RolloutPolicy(
+        soak=2 * SECOND,
+        batch_timeout=30 * SECOND,
+        verdict_timeout=40 * SECOND,
+        margin=0.10,
+        gated=gated,
+        max_load=0.95,
+    )
+    nodes = await run.release("nodes", program(folder, "v2"), NAMES, policy, 3, 3)
+    policy = RolloutPolicy(soak=SECOND, batch_timeout=30 * SECOND, gated=False)
+    services = await run.release("below", VersionSpec("db-2", services=True), ["db1", "db2"], policy, 2, 0)
+    return nodes, services
+
+
+async def _release_all(run: RolloutRun, load: Load, folder: str, gated: bool) -> dict[str, Any]:
+    """Release the nodes, then the services, and return what was measured."""
+    await load.start()
+    watching = asyncio.ensure_future(run.watch())
+    await asyncio.sleep(3.0)
+    before, weights = load.counts, load.weights
+    began = time.monotonic()
+    first, second = await _release_in_turn(run, folder, gated)
+    took = time.monotonic() - began
+    counts = load.counts - before
+    offered, earned = (now - then for now, then in zip(load.weights, weights, strict=True))
+    lost = load.lost_except(run.killed)
+    await run.rig.all_serve(wait=60)
+    run.finished = True
+    await watching
+    await load.stop()
+    rows = await run.rig.look()
+    versions = [row.report.version if row.report else "" for row in rows.values()]
+    offered += counts["unsent"] * sum(WEIGHTS.values()) / len(WEIGHTS)
     return {
         "gated": gated,
         "seconds": took,
         "ends": [first.state, second.state],
         "counts": dict(counts),
         "lost": lost,
-        "kept": came / max(1.0, asked),
-        "most_placed": play.most_placed,
-        "most_out": play.most_out,
-        "driver_kills": play.driver_kills,
-        "killed": sorted(play.killed),
+        "kept": earned / max(1.0, offered),
+        "most_placed": run.most_placed,
+        "most_out": run.most_out,
+        "driver_kills": run.controller_kills,
+        "killed": sorted(run.killed),
         "batches": [first.batch, second.batch],
-        "new": sum(version == first.version.version for version in runs.values()),
+        "new": sum(version == first.version.version for version in versions),
     }
 
 
 def main() -> int:
+    """Measure releases with gates and without."""
     told = options(__doc__ or "", rate=120.0, seed=26)
-    figures = [asyncio.run(one(told.rate, told.seed, gated)) for gated in (True, False)]
+    figures = [asyncio.run(measure(told.rate, told.seed, gated)) for gated in (True, False)]
     keep(told, {"machine": processor(), "runs": figures})
     for each in figures:
         how = "with gates" if each["gated"] else "batches alone"
