--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -20,7 +20,7 @@
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.messages import Heartbeat
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import Rejection
 from oakkeel.log import EventLog, fault
 from oakkeel.raft import storage
 from oakkeel.raft.messages import Envelope
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -24,8 +24,8 @@
 from oakkeel.authentication.mac import Key
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption import commands
-from oakkeel.disruption.state_machine import DisruptionOrder as Agreed
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import DisruptionOrder as Agreed
+from oakkeel.disruption.state import Rejection
 from oakkeel.log import EventLog
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout import commands as releases
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -10,7 +10,7 @@
 from oakkeel.agent.raft_runtime import RaftRuntime
 from oakkeel.agent.status_reporter import StatusReporter
 from oakkeel.agent.supervisor import Supervisor
-from oakkeel.disruption.state_machine import DisruptionOrder as Agreed
+from oakkeel.disruption.state import DisruptionOrder as Agreed
 from oakkeel.raft.leader import NEVER
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout.controller import RolloutController
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -14,13 +14,9 @@
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.messages import AssignedOrder, GrantedPermit, Heartbeat, HeartbeatResponse
-from oakkeel.disruption.state_machine import (
-    OPEN_STATES,
-    PERMIT_REASON,
-    DisruptionOrder,
-    PermitStateMachine,
-    Rejection,
-)
+from oakkeel.disruption.queries import PERMIT_REASON
+from oakkeel.disruption.state import OPEN_STATES, DisruptionOrder, Rejection
+from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import Topology, UnavailableTargets
 
 MS = 1_000_000
@@ -341,7 +337,7 @@
         known = self.orders_by_host.get(host, [])
         for ident in list(known):
             order = held.orders.get(ident)
-            parts = (
+            parts: list[tuple[str, int, str]] = (
                 [
                     (thing, order.tasks[thing].generation, order.tasks[thing].state)
                     for thing in here
--- a/oakkeel/disruption/commands.py
+++ b/oakkeel/disruption/commands.py
@@ -130,12 +130,7 @@
     | AcquireLease
     | ReleaseLease
 )
-_commands = msgspec.msgpack.Decoder(Command)
 
 
 def encode(command: Command) -> bytes:
     return msgspec.msgpack.encode(command)
-
-
-def decode(content: bytes) -> Command:
-    return _commands.decode(content)
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -6,7 +6,7 @@
 
 from oakkeel.agent.orders import Verb
 from oakkeel.disruption.control_plane import ControlPlaneReplica
-from oakkeel.disruption.state_machine import OPEN_STATES
+from oakkeel.disruption.state import OPEN_STATES
 from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.rollout.controller import RolloutController
 
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -6,7 +6,7 @@
 
 from oakkeel.agent.instances import Phase
 from oakkeel.disruption import commands
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.faults import MS, SECOND, Fault
 from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
 from oakkeel.rollout import commands as releases
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -10,10 +10,10 @@
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitTimeouts
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import Clock
 from oakkeel.invariants.policy_change import PolicyChangeAudit
-from oakkeel.policy_change.coordinator import PolicyReport, PolicyAssignment, PolicyCoordinator
+from oakkeel.policy_change.coordinator import PolicyAssignment, PolicyCoordinator, PolicyReport
 from oakkeel.policy_change.policy_lease import AgentPolicyLease, NodePolicyLease
 from oakkeel.policy_change.state_machine import PolicyStateMachine, ProposePolicy, WithdrawPolicy
 
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -8,7 +8,7 @@
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
 from oakkeel.disruption.control_plane import ControlPlaneReplica
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import ScheduledEvent
 from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.raft.durable_state import DurableState
--- a/oakkeel/policy_change/policy_lease.py
+++ b/oakkeel/policy_change/policy_lease.py
@@ -8,7 +8,7 @@
 
 from enum import Enum
 
-from oakkeel.policy_change.coordinator import PolicyReport, PolicyAssignment
+from oakkeel.policy_change.coordinator import PolicyAssignment, PolicyReport
 
 
 class LeaseStatus(Enum):
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -10,14 +10,11 @@
 
 from __future__ import annotations
 
-from typing import Any, ClassVar
-
 import blake3
 import msgspec
 
-from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import Rejection
-from oakkeel.rollout import commands as releases
+from oakkeel.disruption.command_registry import CommandRegistry
+from oakkeel.disruption.state import Rejection
 from oakkeel.rollout.state_machine import RolloutState, RolloutStateMachine
 
 MAX_POLICY_BYTES = 64 * 1024  # of one version
@@ -69,7 +66,6 @@
 
 
 PolicyCommand = ProposePolicy | WithdrawPolicy | RejectPolicy | CommitPolicy | MarkInForce
-_command_decoder = msgspec.msgpack.Decoder(PolicyCommand | releases.Command | places.Command)
 
 
 class PolicyVersion(msgspec.Struct, array_like=True):
@@ -91,17 +87,9 @@
     decided: int = 0  # number of the latest that was; 0: none, as the settings of each host say
 
 
-_snapshot_decoder = msgspec.msgpack.Decoder(PolicyState)
-
-
 class PolicyStateMachine(RolloutStateMachine):
     state: PolicyState
-
-    def decode_command(self, content: bytes) -> Any:
-        return _command_decoder.decode(content)
-
-    def decode_snapshot(self, content: bytes) -> PolicyState:
-        return _snapshot_decoder.decode(content) if content else PolicyState()
+    STATE = PolicyState
 
     @property
     def proposed(self) -> PolicyVersion | None:
@@ -164,11 +152,13 @@
         policy.state, policy.why = state, why
         return policy
 
-    HANDLERS: ClassVar[dict[type, Any]] = {
-        **RolloutStateMachine.HANDLERS,
-        ProposePolicy: _propose,
-        WithdrawPolicy: _withdraw,
-        RejectPolicy: _refuse,
-        CommitPolicy: _decide,
-        MarkInForce: _in_force,
-    }
+    COMMANDS = CommandRegistry(
+        {
+            ProposePolicy: _propose,
+            WithdrawPolicy: _withdraw,
+            RejectPolicy: _refuse,
+            CommitPolicy: _decide,
+            MarkInForce: _in_force,
+        },
+        RolloutStateMachine.COMMANDS,
+    )
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -117,8 +117,3 @@
     | RecordVerdict
     | FinishRelease
 )
-_command_decoder = msgspec.msgpack.Decoder(Command | places.Command)
-
-
-def decode(content: bytes) -> Command | places.Command:
-    return _command_decoder.decode(content)
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -13,7 +13,7 @@
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.lease_holder import LeaseHolder
 from oakkeel.disruption.messages import Heartbeat
-from oakkeel.disruption.state_machine import OPEN_STATES, Rejection
+from oakkeel.disruption.state import OPEN_STATES, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.messages import AgentAssignments, decode_report, encode
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -6,12 +6,15 @@
 
 from __future__ import annotations
 
-from typing import Any, ClassVar
+from typing import Any
 
 import msgspec
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import ControlPlaneState, DisruptionOrder, PermitStateMachine, Rejection
+from oakkeel.disruption.command_registry import CommandRegistry
+from oakkeel.disruption.order_handlers import submit_order
+from oakkeel.disruption.state import ControlPlaneState, DisruptionOrder, Rejection, TaskState
+from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import MAX_TARGETS, RolloutPolicy, VersionSpec
 
@@ -87,17 +90,9 @@
     sources: dict[str, VersionSpec] = {}  # of versions that some thing may have
 
 
-_snapshot_decoder = msgspec.msgpack.Decoder(RolloutState)
-
-
 class RolloutStateMachine(PermitStateMachine):
     state: RolloutState
-
-    def decode_command(self, content: bytes) -> Any:
-        return commands.decode(content)
-
-    def decode_snapshot(self, content: bytes) -> RolloutState:
-        return _snapshot_decoder.decode(content) if content else RolloutState()
+    STATE = RolloutState
 
     @property
     def open(self) -> Release | None:
@@ -236,7 +231,8 @@
             return Rejection("a batch is under way, or something of this one can't be changed now")
         held = self.state
         verb = "drain" if release.what.services else "restart"
-        order = self._order(
+        order = submit_order(
+            self,
             index,
             places.SubmitOrder(
                 f"{release.ident}.{release.batch + 1}",
@@ -324,7 +320,7 @@
         order = self.state.orders.get(release.order)
         if state in ("paused", "halted", "undoing") and order and order.open:
             order.halted_by = order.halted_by or release.operator
-            self._end_waiting(order, "halted", f"release {release.ident} {state}")
+            order.end_waiting(TaskState.HALTED, f"release {release.ident} {state}")
             if state == "undoing":  # what does not come up is not waited for
                 order.cancelled_by = order.cancelled_by or release.operator
         if state == "undoing":
@@ -345,14 +341,16 @@
             release.why = why
         return release
 
-    HANDLERS: ClassVar[dict[type, Any]] = {
-        **PermitStateMachine.HANDLERS,
-        commands.StartRelease: _begin,
-        commands.ControlRelease: _turn,
-        commands.ReportPrepared: _ready,
-        commands.BeginRollout: _go,
-        commands.StartBatch: _batch,
-        commands.FinishBatch: _settle,
-        commands.RecordVerdict: _judge,
-        commands.FinishRelease: _finish,
-    }
+    COMMANDS = CommandRegistry(
+        {
+            commands.StartRelease: _begin,
+            commands.ControlRelease: _turn,
+            commands.ReportPrepared: _ready,
+            commands.BeginRollout: _go,
+            commands.StartBatch: _batch,
+            commands.FinishBatch: _settle,
+            commands.RecordVerdict: _judge,
+            commands.FinishRelease: _finish,
+        },
+        PermitStateMachine.COMMANDS,
+    )
--- a/tests/compatibility/test_replicated_state.py
+++ b/tests/compatibility/test_replicated_state.py
@@ -4,7 +4,7 @@
 import hashlib
 import unittest
 
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import Rejection
 from oakkeel.policy_change.state_machine import PolicyStateMachine
 from oakkeel.rollout.state_machine import RolloutStateMachine
 from tests.compatibility.fixtures import load
--- a/tests/disruption/test_permits.py
+++ b/tests/disruption/test_permits.py
@@ -16,7 +16,8 @@
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.lease_holder import LeaseHolder
 from oakkeel.disruption.messages import GrantedPermit, HeartbeatResponse
-from oakkeel.disruption.state_machine import PermitStateMachine, Rejection
+from oakkeel.disruption.state import Rejection
+from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.emulator.faults import MS, SECOND
 
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -5,11 +5,11 @@
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitTimeouts
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.policy_change import PolicyHost, PolicySimulation
 from oakkeel.invariants.policy_change import PolicyChangeAudit
 from oakkeel.models import policy_change as model
-from oakkeel.policy_change.coordinator import LEASE, PolicyReport, PolicyAssignment, PolicyCoordinator
+from oakkeel.policy_change.coordinator import LEASE, PolicyAssignment, PolicyCoordinator, PolicyReport
 from oakkeel.policy_change.policy_lease import AgentPolicyLease, LeaseStatus, NodePolicyLease
 from oakkeel.policy_change.state_machine import (
     CommitPolicy,
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from oakkeel.disruption import commands as places
-from oakkeel.disruption.state_machine import DisruptionOrder, Rejection
+from oakkeel.disruption.state import DisruptionOrder, Rejection
 from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
