--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -99,7 +99,7 @@
     def act(self, now: int) -> None:
         """Carry out what is decided by now; with a full disk nothing that would have to be stored."""
         host = self.host
-        for request in self.reconciler.fitting.to_prepare():
+        for request in self.reconciler.fitting.take_requests():
             wait = host.random.randrange(50 * MS, 300 * MS)
             host.simulation.clock.after(wait, self._prepared, request, host.restarts)
         if not host.disk_full:
@@ -126,10 +126,10 @@
     def _prepared(self, request: ArtifactRequest, restarts: int) -> None:
         if restarts != self.host.restarts:
             return
-        failed = request.what.program == "bad" and self.host.random.random() < 0.5
-        bases = {instance: f"base {instance}" for instance in request.things}
+        failed = request.spec.program == "bad" and self.host.random.random() < 0.5
+        bases = {instance: f"base {instance}" for instance in request.targets}
         reason = "it can't be run here" if failed else ""
-        self.reconciler.fitting.prepared(request.release, reason, bases)
+        self.reconciler.fitting.record_prepared(request.release, reason, bases)
 
     def _save(self) -> None:
         disk, permit_holder, assignments = self.disk, self.permit_holder, self.reconciler.fitting
