--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -13,7 +13,7 @@
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.lease_holder import LeaseHolder
 from oakkeel.disruption.messages import Heartbeat
-from oakkeel.disruption.state_machine import OPEN_STATES, Rejection
+from oakkeel.disruption.state import OPEN_STATES, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.batches import BatchView, Step, finish_batch, start_batch
 from oakkeel.rollout.gates import Decision, Gate
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -7,12 +7,15 @@
 
 from __future__ import annotations
 
-from typing import Any, ClassVar
+from typing import Any
 
 import msgspec
 
 from oakkeel.disruption import commands as permit_commands
-from oakkeel.disruption.state_machine import ControlPlaneState, DisruptionOrder, PermitStateMachine, Rejection
+from oakkeel.disruption.command_registry import CommandRegistry
+from oakkeel.disruption.order_handlers import submit_order
+from oakkeel.disruption.state import ControlPlaneState, DisruptionOrder, Rejection, TaskState
+from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.validation import find_fault
@@ -100,21 +103,11 @@
     sources: dict[str, VersionSpec] = msgspec.field(default_factory=dict)  # by version, of all in use
 
 
-_snapshot_decoder = msgspec.msgpack.Decoder(RolloutState)
-
-
 class RolloutStateMachine(PermitStateMachine):
     """Applies commands of releases, and all others as its base does."""
 
     state: RolloutState
-
-    def decode_command(self, content: bytes) -> Any:
-        """Decode a command."""
-        return commands.decode(content)
-
-    def decode_snapshot(self, content: bytes) -> RolloutState:
-        """Decode a snapshot; no content is an empty state."""
-        return _snapshot_decoder.decode(content) if content else RolloutState()
+    STATE = RolloutState
 
     @property
     def open_release(self) -> Release | None:
@@ -215,7 +208,8 @@
         if release.in_progress or not names or any(name not in release.targets for name in names):
             return Rejection("a batch is under way, or something of this one can't be changed now")
         verb = "drain" if release.spec.services else "restart"
-        order = self._order(
+        order = submit_order(
+            self,
             index,
             permit_commands.SubmitOrder(
                 f"{release.ident}.{release.batch + 1}",
@@ -302,7 +296,7 @@
         order = self.state.orders.get(release.order_id)
         if state in ("paused", "halted", "undoing") and order and order.open:
             order.halted_by = order.halted_by or release.operator
-            self._end_waiting(order, "halted", f"release {release.ident} {state}")
+            order.end_waiting(TaskState.HALTED, f"release {release.ident} {state}")
             if state == "undoing":  # what does not come up is not waited for
                 order.cancelled_by = order.cancelled_by or release.operator
         if state == "undoing":
@@ -331,14 +325,16 @@
             version: spec for version, spec in self.state.sources.items() if version in used
         }
 
-    HANDLERS: ClassVar[dict[type, Any]] = {
-        **PermitStateMachine.HANDLERS,
-        commands.StartRelease: _start_release,
-        commands.ControlRelease: _control_release,
-        commands.ReportPrepared: _report_prepared,
-        commands.BeginRollout: _begin_rollout,
-        commands.StartBatch: _start_batch,
-        commands.FinishBatch: _finish_batch,
-        commands.RecordVerdict: _record_verdict,
-        commands.FinishRelease: _finish_release,
-    }
+    COMMANDS = CommandRegistry(
+        {
+            commands.StartRelease: _start_release,
+            commands.ControlRelease: _control_release,
+            commands.ReportPrepared: _report_prepared,
+            commands.BeginRollout: _begin_rollout,
+            commands.StartBatch: _start_batch,
+            commands.FinishBatch: _finish_batch,
+            commands.RecordVerdict: _record_verdict,
+            commands.FinishRelease: _finish_release,
+        },
+        PermitStateMachine.COMMANDS,
+    )
