--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -34,9 +34,11 @@
 class RolloutController:
     """Drives the open release. Times are nanoseconds of the leader's monotonic clock."""
 
-    def __init__(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator, holder: str) -> None:
+    def __init__(
+        self, now: int, state_machine: RolloutStateMachine, allocator: PermitAllocator, holder: str
+    ) -> None:
         """`holder` is a name that no earlier controller had."""
-        self.state_machine, self.allocator = book, allocator
+        self.state_machine, self.allocator = state_machine, allocator
         self.lease = LeaseHolder(LEASE, holder, LEASE_DURATION)
         self.lease_requested_at = 0  # until that is answered
         self.next_lease_request = now
@@ -220,10 +222,10 @@
             return Step(view.record_verdict(verdict.why), "")
         if not release.batch:
             return Step(None, "")
-        waited, undecided = view.now - self.since, verdict.decision is Decision.TOO_FEW
-        if undecided and waited > policy.verdict_timeout:
+        waited, inconclusive = view.now - self.since, verdict.decision is Decision.TOO_FEW
+        if inconclusive and waited > policy.verdict_timeout:
             return Step(view.record_verdict(f"no answer from the gates: {verdict.why}"), "")
-        if not undecided and waited >= policy.soak:
+        if not inconclusive and waited >= policy.soak:
             return Step(None, "")
         why = verdict.why or f"watched for {policy.soak / SECOND:.0f} s, {waited / SECOND:.0f} by now"
         if view.now - self.gate_stored_at >= STORE_GATE_EVERY:
