--- a/tests/rollout/test_gates.py
+++ b/tests/rollout/test_gates.py
@@ -15,7 +15,7 @@
     return Sums(count, good, good)
 
 
-class SequentialTestsTest(unittest.TestCase):
+class SequentialStatisticsTest(unittest.TestCase):
     def halted(self, seed: int, old: float, new: float, windows: int = 300) -> bool:
         random, test = Random(seed), Difference()
         for _ in range(windows):
@@ -41,7 +41,7 @@
                     break
         self.assertGreater(false_halts, 4)
 
-    def test_deaths_count_restoredst_the_part_of_the_time_that_the_new_had(self):
+    def test_deaths_are_judged_by_exposure_of_new_version(self):
         excess, proportional = Events(), Events()
         excess.record(True, 1 / 12)
         self.assertLess(excess.worse(), 4.605)
