--- a/measure/gates.py
+++ b/measure/gates.py
@@ -180,19 +180,21 @@
 
 def main() -> int:
     """Play releases of each kind, and compare the tests."""
-    told = options("Releases of each planted kind before the gates.", count=1000, seed=1)
+    arguments = options("Releases of each planted kind before the gates.", count=1000, seed=1)
     found: dict[str, list[dict[str, Any]]] = {kind: [] for kind in KINDS}
     with multiprocessing.Pool(os.cpu_count()) as pool:
-        work = [(told.seed + number, kind) for kind in KINDS for number in range(told.count)]
-        for each in pool.imap_unordered(play, work, chunksize=4):
-            found[each["kind"]].append(each)
+        work = [(arguments.seed + number, kind) for kind in KINDS for number in range(arguments.count)]
+        for result in pool.imap_unordered(play, work, chunksize=4):
+            found[result["kind"]].append(result)
     for kind, played in found.items():
-        halted = [each for each in played if each["end"] == "halted"]
-        ends = {end: sum(each["end"] == end for each in played) for end in ("halted", "done", "no answer")}
+        halted = [result for result in played if result["end"] == "halted"]
+        ends = {
+            end: sum(result["end"] == end for result in played) for end in ("halted", "done", "no answer")
+        }
         line = f"{kind}: {ends}"
         if halted:
             middle = {
-                name: statistics.median(each[name] for each in halted)
+                name: statistics.median(result[name] for result in halted)
                 for name in ("samples", "second", "there")
             }
             line += (
@@ -202,14 +204,14 @@
         say(line)
         if kind in KINDS[:2]:
             for name, label in zip(("once", "looks", "bayes"), METHODS, strict=True):
-                share = sum(bool(each["others"][name]) for each in played) / len(played)
+                share = sum(bool(result["others"][name]) for result in played) / len(played)
                 say(f"  {label}: {100 * share:.1f} % halted")
-    worse = [each for kind in KINDS[1:] for each in found[kind]]
-    halted = [each for each in worse if each["end"] == "halted"]
+    worse = [result for kind in KINDS[1:] for result in found[kind]]
+    halted = [result for result in worse if result["end"] == "halted"]
     share = 100 * len(halted) / max(1, len(worse))
-    false = 100 * sum(each["end"] == "halted" for each in found["good"]) / max(1, len(found["good"]))
-    samples = statistics.median(each["samples"] for each in halted) if halted else 0
-    keep(told, {"machine": processor(), "played": found})
+    false = 100 * sum(result["end"] == "halted" for result in found["good"]) / max(1, len(found["good"]))
+    samples = statistics.median(result["samples"] for result in halted) if halted else 0
+    keep(arguments, {"machine": processor(), "played": found})
     say(
         f"gates: {share:.1f} % of worse ones halted after {samples:.0f} samples in the median, {false:.1f} %"
         " of good ones halted"
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -83,13 +83,13 @@
 def _draw_schedule(seed: int, deaths: int, kills: int) -> Schedule:
     """Draw when nodes die and agents are killed; two leaders are killed at fixed times."""
     random = Random(seed)
-    troubles = [
+    faults = [
         Fault(
             random.randrange(4 * SECOND, 60 * SECOND), "die", random.randrange(HOSTS), random.randrange(EACH)
         )
         for _ in range(deaths)
     ]
-    troubles += [
+    faults += [
         Fault(
             random.randrange(4 * SECOND, 60 * SECOND),
             "kill",
@@ -99,8 +99,8 @@
         )
         for _ in range(kills)
     ]
-    troubles += [Fault(20 * SECOND, "kill", 0, 0, SECOND), Fault(35 * SECOND, "kill", 1, 0, SECOND)]
-    return Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(troubles, key=lambda each: each.at)))
+    faults += [Fault(20 * SECOND, "kill", 0, 0, SECOND), Fault(35 * SECOND, "kill", 1, 0, SECOND)]
+    return Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(faults, key=lambda fault: fault.at)))
 
 
 def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
@@ -177,19 +177,19 @@
 
 def main() -> int:
     """Measure the planner, and releases with gates and without."""
-    told = options(
+    arguments = options(
         "The planner at 10,000 instances; a release of 1,000 nodes in simulated time.",
         seed=26,
         deaths=40,
         kills=8,
     )
     found = {count: turns(count) for count in (1000, 10_000)}
-    for count, each in found.items():
-        say(f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in each.items()))
+    for count, times in found.items():
+        say(f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in times.items()))
     runs = []
     for gated in (False, True):
         began = time.monotonic()
-        run = release(told.seed, told.deaths, told.kills, gated)
+        run = release(arguments.seed, arguments.deaths, arguments.kills, gated)
         runs.append(run)
         say(
             f"{'with gates' if gated else 'batches alone'}: {run['state']} after {run['seconds']:.1f} s"
@@ -199,7 +199,7 @@
         )
         for breach in run["breaches"]:
             say(breach)
-    keep(told, {"machine": processor(), "turns": found, "runs": runs})
+    keep(arguments, {"machine": processor(), "turns": found, "runs": runs})
     first = runs[0]
     turn = found[10_000]["as many as may be"]
     say(
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -79,9 +79,9 @@
 
     async def _follow(self) -> None:
         while True:
-            for name, told in (await self.rig.look()).items():
-                if told.report:
-                    host, _, port = told.report.address.rpartition(":")
+            for name, row in (await self.rig.look()).items():
+                if row.report:
+                    host, _, port = row.report.address.rpartition(":")
                     self.addresses[name] = host, int(port)
             await asyncio.sleep(0.1)
 
@@ -101,10 +101,10 @@
     def lost_except(self, killed: set[str]) -> int:
         """Return the requests without a response at nodes that were not killed."""
         return sum(
-            each.by_node[name][word]
-            for each in self.dispatchers
+            dispatcher.by_node[name][word]
+            for dispatcher in self.dispatchers
             for name in NAMES
-            if name not in killed and name in each.by_node
+            if name not in killed and name in dispatcher.by_node
             for word in ("lost", "late")
         )
 
@@ -143,67 +143,67 @@
         while not self.finished:
             try:
                 out = (await self.rig.state_of()).unavailable
-                placed = {each.target for each in out if each.fence}
+                placed = {entry.target for entry in out if entry.fence}
                 hanging = {name for name, on in SERVICE_OF.items() if on in placed}
                 self.most_placed = max(self.most_placed, len(placed & set(NAMES) | hanging))
-                known = [each for each in out if each.target in NAMES and each.reasons != ["not known"]]
+                known = [entry for entry in out if entry.target in NAMES and entry.reasons != ["not known"]]
                 self.most_out = max(self.most_out, len(known))
             except (NoLeaderError, AssertionError):
                 pass
             await asyncio.sleep(0.03)
 
     async def release(
-        self, ident: str, what: VersionSpec, things: list[str], pace: RolloutPolicy, kills: int, nodes: int
+        self, ident: str, spec: VersionSpec, targets: list[str], policy: RolloutPolicy, kills: int, nodes: int
     ) -> messages.ReleaseStatus:
-        """Begin it, break things on the way, and follow it to its end."""
-        answer = await self.ask(messages.StartReleaseRequest(ident, what, pace, things))
+        """Start a release, inject faults on the way, and follow it to its end."""
+        answer = await self.ask(messages.StartReleaseRequest(ident, spec, policy, targets))
         assert isinstance(answer, messages.ReleaseStatus), answer
         last, due, step_kills = -1, 2, 0
         while True:
-            told = await self.ask(messages.ReleaseStatusRequest(ident))
-            assert isinstance(told, messages.ReleaseStatus), told
-            if told.state in ("done", "undone", "left"):
-                return told
-            if told.state == "halted":
-                say(f"  {ident} is halted: {told.why}; told to go on")
+            status = await self.ask(messages.ReleaseStatusRequest(ident))
+            assert isinstance(status, messages.ReleaseStatus), status
+            if status.state in ("done", "undone", "left"):
+                return status
+            if status.state == "halted":
+                say(f"  {ident} is halted: {status.why}; resumed")
                 await self.ask(messages.ControlReleaseRequest(ident, "resume"))
-            if told.step > last and told.step >= due and step_kills < kills:
+            if status.step > last and status.step >= due and step_kills < kills:
                 leader = await self.rig.leader()
                 await self.rig.kill(leader)
                 step_kills, self.controller_kills, due = (
                     step_kills + 1,
                     self.controller_kills + 1,
-                    told.step + 1,
+                    status.step + 1,
                 )
                 await asyncio.sleep(self.random.uniform(0.1, 0.5))
                 await self.rig.start(leader)
-            if told.batch >= 2 and nodes and self.random.random() < 0.2:
-                name = self.random.choice([each for each in NAMES if each not in self.killed])
+            if status.batch >= 2 and nodes and self.random.random() < 0.2:
+                name = self.random.choice([entry for entry in NAMES if entry not in self.killed])
                 self.killed.add(name)
                 self.rig.kill_node(name)
                 nodes -= 1
-            last = told.step
-            if what.services:
-                await self.replace(told)
+            last = status.step
+            if spec.services:
+                await self.replace(status)
             await asyncio.sleep(0.05)
 
-    async def replace(self, told: messages.ReleaseStatus) -> None:
-        """As an operator would: what has a place is taken down, and another comes up."""
-        for part in told.targets:
-            if part.state != "changing" or part.target not in self.services:
+    async def replace(self, status: messages.ReleaseStatus) -> None:
+        """Replace each service that holds a permit, as an operator would."""
+        for target in status.targets:
+            if target.state != "changing" or target.target not in self.services:
                 continue
             try:
                 out = (await self.rig.state_of()).unavailable
             except (NoLeaderError, AssertionError):
                 return
-            if not any(each.target == part.target and each.fence for each in out):
+            if not any(entry.target == target.target and entry.fence for entry in out):
                 continue
-            old = self.services.pop(part.target)
+            old = self.services.pop(target.target)
             old.stop_listening()
             self.stopped_services.append(old)
             await asyncio.sleep(1.5)
-            self.services[part.target + " new"] = new = Catalogue()
-            await new.open(self.ports[part.target])
+            self.services[target.target + " new"] = new = Catalogue()
+            await new.open(self.ports[target.target])
 
 
 def program(folder: str, name: str) -> VersionSpec:
@@ -314,17 +314,17 @@
 
 def main() -> int:
     """Measure releases with gates and without."""
-    told = options(__doc__ or "", rate=120.0, seed=26)
-    figures = [asyncio.run(measure(told.rate, told.seed, gated)) for gated in (True, False)]
-    keep(told, {"machine": processor(), "runs": figures})
-    for each in figures:
-        how = "with gates" if each["gated"] else "batches alone"
+    arguments = options(__doc__ or "", rate=120.0, seed=26)
+    figures = [asyncio.run(measure(arguments.rate, arguments.seed, gated)) for gated in (True, False)]
+    keep(arguments, {"machine": processor(), "runs": figures})
+    for run in figures:
+        label = "with gates" if run["gated"] else "batches alone"
         say(
-            f"{how}: {each['ends']} in {each['seconds']:.1f} s,"
-            f" batches {each['batches']}, {each['new']} of 12 run the new, driver killed"
-            f" {each['driver_kills']} times, {', '.join(each['killed'])} killed, out with places"
-            f" {each['most_placed']}, out in all {each['most_out']}, {each['counts']}, benefit kept"
-            f" {100 * each['kept']:.1f} %"
+            f"{label}: {run['ends']} in {run['seconds']:.1f} s,"
+            f" batches {run['batches']}, {run['new']} of 12 run the new, driver killed"
+            f" {run['driver_kills']} times, {', '.join(run['killed'])} killed, out with places"
+            f" {run['most_placed']}, out in all {run['most_out']}, {run['counts']}, benefit kept"
+            f" {100 * run['kept']:.1f} %"
         )
     first = figures[0]
     good = first["lost"] == 0 and first["new"] == 12 and first["ends"] == ["done", "done"]
