--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -83,7 +83,7 @@
 
     def run(self) -> list[str]:
         """Play the schedule and return the breaches."""
-        self.clock.at(SECOND, self.convergence.look)
+        self.clock.at(SECOND, self.convergence.check_releases)
         self.clock.run(self.schedule.duration)
         return self.audit.finish(self.clock.now) + self.rollout_audit.breaches
 
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -14,7 +14,7 @@
     from oakkeel.emulator.consensus import ConsensusSimulation
     from oakkeel.emulator.simulated_host import SimulatedHost
 
-LOOK_INTERVAL = 50 * MS
+CHECK_INTERVAL = 50 * MS
 MORE_TIME = 12 * SECOND  # for what was begun late: one more order
 GOOD_REASONS = (  # of a release that waits for what operators have taken out for good
     "would pass its bound",
@@ -31,7 +31,7 @@
         """It looks at the hosts of that simulation."""
         self.simulation = simulation
 
-    def look(self) -> None:
+    def check_releases(self) -> None:
         """Tell the audit what operators are told of releases by whoever leads, again and again."""
         simulation = self.simulation
         for host in simulation.hosts.values():
@@ -43,7 +43,7 @@
                     simulation.rollout_audit.record_end(
                         simulation.clock.now, release.ident, release.state, self._serving()
                     )
-        simulation.clock.after(LOOK_INTERVAL, self.look)
+        simulation.clock.after(CHECK_INTERVAL, self.check_releases)
 
     def _serving(self) -> set[str]:
         now = self.simulation.clock.now
@@ -88,9 +88,8 @@
         reason = controller.why if isinstance(controller, RolloutController) else "nobody drives"
         if any(good_reason in reason for good_reason in GOOD_REASONS):
             return []
-        return [
-            f"release {release.ident} is {release.state}, batch {release.batch}, {release.in_progress}: {reason}"
-        ]
+        state = f"{release.state}, batch {release.batch}, {release.in_progress}"
+        return [f"release {release.ident} is {state}: {reason}"]
 
     def _stuck_tasks(self, leader: ControlPlaneReplica, host: SimulatedHost) -> list[str]:
         found = []
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -13,7 +13,7 @@
 
 LINK_FAULTS = ("cut", "cut one way", "part", "slow links", "loss", "double")
 CLOCK_ERROR = 0.03  # the widest difference of two rates
-WHOLE_FOLDER_SHARE = 0.3  # of the restored copies; the others restore the file alone
+FOLDER_SHARE = 0.3  # of the restored copies; the others restore the file alone
 
 
 class FaultInjector:
@@ -78,8 +78,8 @@
             self.simulation.kill(host, fault.duration)
             host.lose_files()
         elif fault.kind == "old file" and host.replica.storage is not None:
-            whole_folder = fault.intensity < WHOLE_FOLDER_SHARE
-            known_writes = host.replica.known_writes if whole_folder else -1
+            with_folder = fault.intensity < FOLDER_SHARE
+            known_writes = host.replica.known_writes if with_folder else -1
             backup = host.replica.storage.copy()
             clock.after(fault.duration, self._restore_backup, host, backup, known_writes, fault.duration)
         elif fault.kind == "full disk":
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -79,10 +79,7 @@
     def tick(self, restarts: int) -> None:
         """Look at the processes, send a heartbeat if it is time, and act."""
         host = self.host
-        if restarts != host.restarts:
-            return
-        if host.stopped:
-            host.deferred.append(lambda: self.tick(restarts))
+        if not host.may_act(restarts, lambda: self.tick(restarts)):
             return
         now = host.now()
         for instance in self.supervisor.instances:
@@ -170,10 +167,7 @@
     def heartbeat_answered(self, restarts: int, sent_at: int, response: HeartbeatResponse) -> None:
         """Take the leader's response to a heartbeat."""
         host = self.host
-        if restarts != host.restarts:
-            return
-        if host.stopped:
-            host.deferred.append(lambda: self.heartbeat_answered(restarts, sent_at, response))
+        if not host.may_act(restarts, lambda: self.heartbeat_answered(restarts, sent_at, response)):
             return
         if host.disk_full:
             return
--- a/oakkeel/emulator/simulated_host.py
+++ b/oakkeel/emulator/simulated_host.py
@@ -73,6 +73,15 @@
         self.running = self.stopped = False
         self.restarts += 1
 
+    def may_act(self, restarts: int, action: Callable[[], None]) -> bool:
+        """Whether the process of that start may act now; while it is stopped the action is deferred."""
+        if restarts != self.restarts:
+            return False
+        if self.stopped:
+            self.deferred.append(action)
+            return False
+        return True
+
     def stop(self, duration: int) -> None:
         """Stop the agent and the replica by SIGSTOP for some time."""
         self.stopped = True
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -118,10 +118,7 @@
 
     def _exited(self, name: str, reason: str, restarts: int) -> None:
         host = self.host
-        if restarts != host.restarts or not host.running:
-            return
-        if host.stopped:
-            host.deferred.append(lambda: self._exited(name, reason, restarts))
+        if not host.running or not host.may_act(restarts, lambda: self._exited(name, reason, restarts)):
             return
         supervisor = host.agent.supervisor
         instance = next(instance for instance in supervisor.instances if instance.name == name)
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -96,10 +96,7 @@
 
     def _tick(self, restarts: int) -> None:
         host = self.host
-        if restarts != host.restarts:
-            return
-        if host.stopped:
-            host.deferred.append(lambda: self._tick(restarts))
+        if not host.may_act(restarts, lambda: self._tick(restarts)):
             return
         if self.control_plane:
             self.carry_out(self.control_plane.tick(host.now()))
