--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -160,8 +160,8 @@
     statuses = [status for status in responses.values() if isinstance(status, messages.RaftStatus)]
     has_leader = any(status.is_leader for status in statuses)
     if client.as_json:
-        keepers = [msgspec.to_builtins(status) for status in statuses]
-        print_json({"keepers": keepers, "silent": silent, "led": has_leader})
+        documents = [msgspec.to_builtins(status) for status in statuses]
+        print_json({"keepers": documents, "silent": silent, "led": has_leader})
     else:
         stdout_console.print(replicas_table(statuses))
         print_silent(dict(sorted(silent.items())))
--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -125,10 +125,10 @@
             + ("" if fleet.control_plane else f", at most {host.max_unavailable} out at once"),
             highlight=False,
         )
-    if fleet.control_plane:
+    if control_plane := fleet.control_plane:
+        hosts, limit = ", ".join(control_plane.hosts), control_plane.max_unavailable
         stdout_console.print(
-            f"  keepers of a new record: {', '.join(fleet.control_plane.hosts)}; at most {fleet.control_plane.max_unavailable}"
-            f" out at once, and by site {fleet.sites}",
+            f"  keepers of a new record: {hosts}; at most {limit} out at once, and by site {fleet.sites}",
             highlight=False,
         )
 
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -55,7 +55,7 @@
     no_wait: bool
     lasts: int  # nanoseconds
     supersede: bool
-    whole: bool
+    atomic: bool
     halted: str | None
     ident: str | None
 
@@ -79,7 +79,7 @@
     @click.option(
         "--supersede", is_flag=True, help="End another operator's open order on the same instances."
     )
-    @click.option("--whole", is_flag=True, help="All or nothing, in a fleet with keepers.")
+    @click.option("--whole", "atomic", is_flag=True, help="All or nothing, in a fleet with keepers.")
     @click.option("--halt", "halted", metavar="ORDER", help="Halt that order in place of a new one.")
     @click.option("--id", "ident", metavar="ID", help="Of the order: the same once more is carried out once.")
     @fleet_options
@@ -99,16 +99,16 @@
     if client.fleet.control_plane and takes_out:
         if options.supersede:
             fail("a record knows no --supersede: halt or cancel the order that stands")
-        order = FleetOrder(ident, verb, options.lasts, options.whole)
+        order = FleetOrder(ident, verb, options.lasts, options.atomic)
         run_command(submit_order(client, selection, order, wait=not options.no_wait))
-    if options.whole:
+    if options.atomic:
         fail("--whole needs keepers in the settings: each agent of this fleet is on its own")
     spec = OrderSpec(ident, verb, options.lasts, options.supersede)
     confirm = takes_out and not options.yes
-    run_command(place_order(client, selection, spec, confirm=confirm, wait=not options.no_wait))
+    run_command(submit_to_hosts(client, selection, spec, confirm=confirm, wait=not options.no_wait))
 
 
-async def place_order(
+async def submit_to_hosts(
     client: FleetClient, selection: Selection, order: OrderSpec, confirm: bool, wait: bool
 ) -> int:
     """Order each agent its tasks, follow them to their end, and print what became of every instance."""
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -158,6 +158,8 @@
     if not status.flow_key:
         return "no sender is told from another: the settings name none"
     return (
-        f"{status.known} known, others ask for at most {status.error:.2%} each; promises: {status.reservations_open} open,"
-        f" {status.reservations_honored} kept, {status.reservations_broken} broken, {status.reservations_expired} not come for, of {status.reservations_made}"
+        f"{status.known} known, others ask for at most {status.error:.2%} each;"
+        f" promises: {status.reservations_open} open, {status.reservations_honored} kept,"
+        f" {status.reservations_broken} broken, {status.reservations_expired} not come for,"
+        f" of {status.reservations_made}"
     )
