--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -1,6 +1,6 @@
-"""A keeper of the record with the ledger in it, and what it does for places while it leads. Free of I/O.
+"""A Raft replica with the permit state machine, and what it does for permits while it leads. Free of I/O.
 
-Whoever carries out its steps writes each one's `keep` before anything else of it, in their order.
+Whoever carries out its outputs writes the storage update of each before anything else of it, in their order.
 """
 
 from __future__ import annotations
@@ -22,16 +22,32 @@
 
 
 class LeaderExtension(Protocol):
-    """What a leader does beyond places: made when it begins, thrown away when it ends, as `PermitAllocator` is."""
+    """What a leader does beyond permits. It lives as long as the leader's `PermitAllocator`."""
 
-    def receive_heartbeat(self, now: int, poll: Heartbeat) -> list[Any]: ...
-    def respond(self, now: int, host: str) -> bytes: ...
-    def applied(self, now: int, command: object, result: object) -> None: ...
-    def lost(self, command: object) -> None: ...
-    def tick(self, now: int) -> list[Any]: ...
+    def receive_heartbeat(self, now: int, heartbeat: Heartbeat, /) -> list[Any]:
+        """Take in an agent's report. Returns commands to propose."""
+        ...
+
+    def respond(self, now: int, host: str, /) -> bytes:
+        """Return what the response to a host's heartbeat carries for it."""
+        ...
+
+    def applied(self, now: int, command: object, result: object, /) -> None:
+        """Follow a command that was applied."""
+        ...
+
+    def lost(self, command: object, /) -> None:
+        """Forget a command that will never be committed."""
+        ...
+
+    def tick(self, now: int, /) -> list[Any]:
+        """Return commands to propose."""
+        ...
 
 
 class ControlPlaneReplica:
+    """A replica of the control plane. Calls return outputs to carry out."""
+
     def __init__(
         self,
         now: int,
@@ -44,59 +60,63 @@
         ledger: type[PermitStateMachine] = PermitStateMachine,
         above: Callable[[int, Any, PermitAllocator], LeaderExtension] | None = None,
     ) -> None:
-        """`layout` is by this host's settings: it holds once a leader of the same settings has agreed it.
-        `ledger` and `above` bring in what is built on places."""
+        """`layout` is by this host's settings: it holds once a leader with the same settings commits it.
+
+        `ledger` and `above` bring in what is built on permits.
+        """
         self.now, self.topology, self.timeouts = now, layout, terms or PermitTimeouts()
         self.state_machine = ledger(self._applied)
         self.make_extension = above
         self.extension: LeaderExtension | None = None
         self.allocator: PermitAllocator | None = None
         self.on_committed: Callable[[int, commands.Command, object], None] | None = (
-            None  # told of what is agreed
+            None  # called with what is applied
         )
-        self.proposals: dict[Proposal, commands.Command] = {}  # proposed by `granting`
+        self.proposals: dict[Proposal, commands.Command] = {}  # of the allocator and the extension
         self.replica = Replica(now, held, self.state_machine, seed, pace, founders)
 
     def tick(self, now: int) -> list[Output]:
+        """Do what is due by time."""
         return self._after(now, [self.replica.tick(now)])
 
-    def receive(self, now: int, letter: Envelope) -> list[Output]:
+    def receive(self, now: int, envelope: Envelope) -> list[Output]:
+        """Take in a message of another replica."""
         self.now = now
-        return self._after(now, [self.replica.receive(now, letter)])
-
-    def receive_heartbeat(self, now: int, poll: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
-        """An agent's report and what it is told. Raises NotLeading."""
-        allocator = self._leads(now)
-        above = self.extension
-        steps = self._propose(
-            now,
-            allocator.receive_heartbeat(now, poll) + (above.receive_heartbeat(now, poll) if above else []),
-        )
-        answer = allocator.respond(now, self.replica.durable.epoch, poll.host)
-        if above:
-            answer.extension = above.respond(now, poll.host)
-        answer.voters = sorted(
-            {*self.state_machine.desired_voters(), *(each.name for each in self.replica.members)}
+        return self._after(now, [self.replica.receive(now, envelope)])
+
+    def receive_heartbeat(self, now: int, heartbeat: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
+        """Take in an agent's report and return the response. Raises NotLeaderError."""
+        allocator = self._require_leader(now)
+        extension = self.extension
+        wanted: list[Any] = allocator.receive_heartbeat(now, heartbeat)
+        if extension:
+            wanted = wanted + extension.receive_heartbeat(now, heartbeat)
+        outputs = self._propose(now, wanted)
+        response = allocator.respond(now, self.replica.durable.epoch, heartbeat.host)
+        if extension:
+            response.extension = extension.respond(now, heartbeat.host)
+        response.voters = sorted(
+            {*self.state_machine.desired_voters(), *(member.name for member in self.replica.members)}
         )
-        return answer, self._after(now, steps)
+        return response, self._after(now, outputs)
 
     def propose(self, now: int, command: Any) -> tuple[Proposal, list[Output]]:
-        """Raises NotLeading."""
+        """Propose a command. Raises NotLeaderError."""
         self.now = now
-        self._leads(now)
-        proposal, steps = self.replica.propose(now, commands.encode(command))
-        return proposal, self._after(now, [steps])
+        self._require_leader(now)
+        proposal, output = self.replica.propose(now, commands.encode(command))
+        return proposal, self._after(now, [output])
 
-    def _leads(self, now: int) -> PermitAllocator:
+    def _require_leader(self, now: int) -> PermitAllocator:
         if self.allocator is None or not self.replica.holds_lease(now):
             raise NotLeaderError(self.replica.leader if self.replica.leader != self.replica.name else "")
         return self.allocator
 
-    def _after(self, now: int, steps: list[Output]) -> list[Output]:
-        """Begin, go on with or end what a leader does."""
+    def _after(self, now: int, outputs: list[Output]) -> list[Output]:
+        """Start, go on with or end what a leader does."""
         self.now = now
-        for each in list(steps):
-            for proposal in each.completed:
+        for output in list(outputs):
+            for proposal in output.completed:
                 command = self.proposals.pop(proposal, None)
                 if command and proposal.status is not ProposalStatus.COMMITTED and self.allocator:
                     self._lost(command)
@@ -104,37 +124,37 @@
             if self.replica.leader_state is None:
                 self.allocator = self.extension = None
                 self.proposals.clear()
-            return steps
+            return outputs
         if self.allocator is None:
             self.allocator = PermitAllocator(
                 now, self.state_machine, self.timeouts, self.replica.random.getrandbits(50) + 1
             )
             if self.state_machine.state.topology != self.topology:
-                steps += self._propose(now, [commands.SetTopology(self.topology)])
+                outputs += self._propose(now, [commands.SetTopology(self.topology)])
             if self.make_extension:
                 self.extension = self.make_extension(now, self.state_machine, self.allocator)
         while self.allocator and (wanted := self._wanted(now, self.allocator)):
             more = self._propose(now, wanted)
             if not more:
                 break
-            steps += more
-        return steps
+            outputs += more
+        return outputs
 
     def _wanted(self, now: int, allocator: PermitAllocator) -> list[Any]:
         return allocator.tick(now) + (self.extension.tick(now) if self.extension else [])
 
     def _propose(self, now: int, wanted: list[commands.Command]) -> list[Output]:
-        self.now, done = now, []
+        self.now, outputs = now, []
         for command in wanted:
             try:
-                proposal, steps = self.replica.propose(now, commands.encode(command))
+                proposal, output = self.replica.propose(now, commands.encode(command))
             except NotLeaderError:
                 self._lost(command)
                 continue
             if proposal.status is ProposalStatus.PENDING:
                 self.proposals[proposal] = command
-            done.append(steps)
-        return done
+            outputs.append(output)
+        return outputs
 
     def _lost(self, command: commands.Command) -> None:
         if self.allocator:
--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -1,7 +1,7 @@
-"""The part of an agent: what it may begin, under which place, and what it tells of it. Free of I/O.
+"""The permit holder, part of an agent: what it may start, under which permit, and what it reports. Free of I/O.
 
-A place is good from when it was asked about, by the agent's own clock: whatever delayed the answer is taken
-off. A fence that is lower than one that was seen is never obeyed.
+A permit is valid from when it was asked for, by the agent's own clock: whatever delayed the response is taken
+off. A fencing token that is lower than one that was seen is never obeyed.
 """
 
 from __future__ import annotations
@@ -13,39 +13,43 @@
 
 @dataclass(slots=True, eq=False)
 class HeldPermit:
-    """A place that this agent knows of."""
+    """A permit that this agent knows."""
 
     target: str
     order_id: str
     fencing_token: int
-    start_before: int  # it may be begun before then, by the agent's monotonic clock
+    start_before: int  # by the agent's monotonic clock
     started: bool = False
     restored: bool = False  # what was taken out serves again
-    unused: bool = False  # it will not be begun
-    notify_before: int = 0  # nobody is told to leave by it for the first time after that
-    only_while_down: bool = False  # it may be begun only while no process of it is there
+    unused: bool = False  # it will not be started
+    notify_before: int = 0  # no process is told to drain for the first time after that
+    only_while_down: bool = False  # it may be started only while no process of the target is there
 
 
 class PermitHolder:
-    """`changed` names the things whose fence or place is to be kept on disk before anything is done by it."""
+    """The permits of one host's agent.
 
-    def __init__(self, host: str, things: tuple[str, ...], life: int) -> None:
-        self.host, self.targets, self.incarnation = host, things, life
+    `changed` names the targets whose token or permit is to be stored before anything is done by it.
+    """
+
+    def __init__(self, host: str, targets: tuple[str, ...], incarnation: int) -> None:
+        """`incarnation` tells this process of the agent from others."""
+        self.host, self.targets, self.incarnation = host, targets, incarnation
         self.epoch = ""
         self.sequence = self.last_index = 0
         self.timestamp = (0, 0)
-        self.synchronized = False  # an answer was taken since the start
+        self.synchronized = False  # a response was accepted since the start
         self.permits: dict[str, HeldPermit] = {}
-        self.highest_tokens: dict[str, int] = {}  # by thing: the highest fence that was seen
-        self.generations: dict[str, int] = {}  # may be used up to there
-        self.orders: dict[str, AssignedOrder] = {}  # that concern this host and are open, or hold a place
+        self.highest_tokens: dict[str, int] = {}  # by target: the highest token that was seen
+        self.generations: dict[str, int] = {}  # by target: may be used up to there
+        self.orders: dict[str, AssignedOrder] = {}  # that concern this host and are open, or have a permit
         self.changed: set[str] = set()
-        self.rejection_reason = ""  # the last answer was not taken
+        self.rejection_reason = ""  # of the last response, if it was not accepted
 
     def restore(
         self, epoch: str, rows: list[tuple[str, int, str, bool]], generations: dict[str, int]
     ) -> None:
-        """What was kept: thing, fence, order, and whether it was begun; generations that may be used."""
+        """Take up what was stored: target, token, order, and whether it was started; limits of generations."""
         self.epoch, self.generations = epoch, dict(generations)
         for thing, fence, ident, begun in rows:
             self.highest_tokens[thing] = fence
@@ -60,6 +64,7 @@
         reserve: dict[str, int],
         owes: dict[str, str] | None = None,
     ) -> Heartbeat:
+        """Return the next heartbeat. `up` tells which targets serve."""
         self.sequence += 1
         things = []
         for thing in self.targets:
@@ -85,8 +90,8 @@
         )
 
     def receive_response(self, now: int, sent_at: int, answer: HeartbeatResponse) -> bool:
-        """Whether it holds: one of another record, or older than one that was taken, does not."""
-        self.timestamp = answer.timestamp  # whatever comes of it: by that the leader knows that we are alive
+        """Return whether the response is accepted; one of another cluster, or an older one, is not."""
+        self.timestamp = answer.timestamp  # in any case: by that the leader knows that we are alive
         if self.epoch and answer.epoch != self.epoch:
             self.rejection_reason = f"record {answer.epoch} answers in place of {self.epoch}"
             return False
@@ -110,7 +115,7 @@
             for thing, held in self.permits.items()
             if thing not in told or told[thing].fencing_token > held.fencing_token
         ]:
-            del self.permits[thing]  # it is over, or lapsed: nothing may be begun by it
+            del self.permits[thing]  # released or expired: nothing may be started by it
             self.changed.add(thing)
         for thing, place in told.items():
             if place.fencing_token < self.highest_tokens.get(thing, 0):
@@ -132,7 +137,7 @@
         return True
 
     def may_start(self, now: int, thing: str, ident: str, runs: bool = True) -> bool:
-        """`runs`: a process of it is there, for all that is known."""
+        """Return whether a target may be taken out for an order; `runs`: for all we know, a process is there."""
         held = self.permits.get(thing)
         return bool(
             held
@@ -142,24 +147,24 @@
         )
 
     def may_notify(self, now: int, thing: str, ident: str) -> bool:
-        """It was begun, and there is still time to tell the thing so."""
+        """Return whether the permit was started, and there is still time to tell the target to drain."""
         held = self.permits.get(thing)
         return bool(held and held.started and held.order_id == ident and now < held.notify_before)
 
     def start(self, now: int, thing: str) -> None:
-        """From now on it counts as begun, whatever becomes of it: to be kept before it is done."""
+        """Start a permit: from now on it counts as started, and must be stored before anything is done."""
         held = self.permits[thing]
         if not held.started:
             held.started = True
             self.changed.add(thing)
 
     def mark_restored(self, thing: str) -> None:
-        """What was taken out under it serves, and no order means it any more."""
+        """Note that what was taken out serves again, and no open order is for it."""
         held = self.permits.get(thing)
         if held and held.started:
             held.restored = True
 
     def mark_unavailable(self, thing: str) -> None:
-        """It left again before the record knew that it was back."""
+        """Note that it was taken out again before the leader knew that it was back."""
         if held := self.permits.get(thing):
             held.restored = False
--- a/oakkeel/disruption/messages.py
+++ b/oakkeel/disruption/messages.py
@@ -1,4 +1,7 @@
-"""What an agent tells the leader again and again, and what it hears of its own things."""
+"""The heartbeat of an agent and the leader's response.
+
+Written as arrays: fields may be renamed, never reordered. Times are in nanoseconds.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +9,18 @@
 
 
 class TargetReport(msgspec.Struct, array_like=True):
+    """How one target is."""
+
     name: str
-    serving: bool  # it serves
-    started_token: int = 0  # fence of the place under which it was taken out
-    restored: bool = False  # and that is over
-    unused_token: int = 0  # fence of a place that will not be used
-    in_flight: str = ""  # what it has yet to answer while it leaves, for people
+    serving: bool
+    started_token: int = 0  # fencing token of the permit under which it was taken out
+    restored: bool = False  # it is back in service
+    unused_token: int = 0  # fencing token of a permit that will not be used
+    in_flight: str = ""  # requests while it drains, for people
 
 
 class TaskResult(msgspec.Struct, array_like=True):
-    """How a part of an order ended on its host."""
+    """How a task of an order ended on its host."""
 
     order_id: str
     target: str
@@ -24,28 +29,32 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True):
+    """What an agent reports again and again."""
+
     host: str
     incarnation: int  # of the agent's process
-    sequence: int  # of its polls
-    last_index: int  # index of the latest answer that it took
+    sequence: int  # number of the heartbeat
+    last_index: int  # of the latest response that it accepted
     targets: list[TargetReport]
     task_results: list[TaskResult]
-    generation_limits: dict[str, int]  # generations that it wants to be free to use
-    extension: bytes = b""  # for what is built on places
-    echoed_timestamp: tuple[int, int] = (0, 0)  # the stamp of the latest answer that it took
+    generation_limits: dict[str, int]  # up to where it wants to use generations
+    extension: bytes = b""  # for the LeaderExtension
+    echoed_timestamp: tuple[int, int] = (0, 0)  # timestamp of the latest response that it received
 
 
 class GrantedPermit(msgspec.Struct, array_like=True):
+    """A permit for a target of the host."""
+
     target: str
     order_id: str
     fencing_token: int
     started: bool
-    valid_for: int  # nanoseconds in which it may be begun, from when the poll was sent
-    only_while_down: bool = False  # only while no process of it is there
+    valid_for: int  # in which it may be started, from when the heartbeat was sent
+    only_while_down: bool = False  # to be started only while no process of it is there
 
 
 class AssignedOrder(msgspec.Struct, array_like=True):
-    """An order as far as it concerns the host. Times in nanoseconds."""
+    """An order as far as it concerns the host."""
 
     id: str
     operator: str
@@ -54,17 +63,17 @@
     remaining: int
     halted_by: str
     cancelled_by: str
-    tasks: list[tuple[str, int, str]]  # thing, generation, state
+    tasks: list[tuple[str, int, str]]  # target, generation, state
 
 
 class HeartbeatResponse(msgspec.Struct, array_like=True):
-    """The answer to a poll."""
+    """The response to a heartbeat."""
 
     epoch: str
     index: int
     permits: list[GrantedPermit]
     orders: list[AssignedOrder]
     generations: dict[str, int]
-    voters: list[str] = []  # hosts whose agents keep the record, or shall
-    extension: bytes = b""  # of what is built on places
-    timestamp: tuple[int, int] = (0, 0)  # whose clock, and what it shows: who echoes it was alive after that
+    voters: list[str] = []  # hosts that are members of the Raft group, or shall be
+    extension: bytes = b""  # from the LeaderExtension
+    timestamp: tuple[int, int] = (0, 0)  # nonce of the leader, its clock: who echoes it was alive after that
--- a/oakkeel/disruption/topology.py
+++ b/oakkeel/disruption/topology.py
@@ -1,6 +1,6 @@
-"""What there is to take out, what hangs on what, and how many of each group may be out. Free of I/O.
+"""The targets, what depends on what, and the budget of unavailable targets of each group. Free of I/O.
 
-A thing is an instance or a service below. Taking out a service takes out what hangs on it.
+A target is an instance or a downstream service. Taking out a service takes out what depends on it.
 """
 
 from __future__ import annotations
@@ -9,69 +9,75 @@
 
 
 class BudgetGroup(msgspec.Struct, array_like=True, frozen=True):
+    """Targets of which at most some may be unavailable at a time."""
+
     name: str  # as fleet, site woodbrook, kind catalogue
     max_unavailable: int
     targets: tuple[str, ...]
 
 
 class Topology(msgspec.Struct, array_like=True, frozen=True):
-    """As the operators' settings say; part of what is agreed, so that all reckon alike."""
+    """The topology of the operators' settings; replicated, so that all decide alike."""
 
-    hosts: dict[str, tuple[str, ...]] = {}  # the things that each host's agent looks after
+    hosts: dict[str, tuple[str, ...]] = {}  # the targets of each host's agent
     groups: tuple[BudgetGroup, ...] = ()
-    dependents: dict[str, tuple[str, ...]] = {}  # by service: the instances that can't do without it
+    dependents: dict[str, tuple[str, ...]] = {}  # by service: the instances that depend on it
 
 
 class UnavailableTargets:
-    """What is out and why, with a count for each group that is brought along by every change."""
-
-    def __init__(self, layout: Topology) -> None:
-        self.topology = layout
-        self.groups = {group.name: group for group in layout.groups}
-        self.groups_of: dict[str, list[str]] = {}  # by thing: its groups
-        for group in layout.groups:
-            for thing in group.targets:
-                self.groups_of.setdefault(thing, []).append(group.name)
-        self.reasons: dict[str, set[str]] = {}  # by thing that is out
+    """The unavailable targets with the reasons, and an up-to-date count for each budget group."""
+
+    def __init__(self, topology: Topology) -> None:
+        """All targets of the topology are available at first."""
+        self.topology = topology
+        self.groups = {group.name: group for group in topology.groups}
+        self.groups_of: dict[str, list[str]] = {}  # by target
+        for group in topology.groups:
+            for target in group.targets:
+                self.groups_of.setdefault(target, []).append(group.name)
+        self.reasons: dict[str, set[str]] = {}  # by unavailable target
         self.counts = dict.fromkeys(self.groups, 0)
 
-    def add(self, thing: str, reason: str) -> None:
-        reasons = self.reasons.setdefault(thing, set())
+    def add(self, target: str, reason: str) -> None:
+        """Add a reason why a target is unavailable, and so all that depends on it."""
+        reasons = self.reasons.setdefault(target, set())
         if reason in reasons:
             return
         reasons.add(reason)
         if len(reasons) == 1:
-            for name in self.groups_of.get(thing, ()):
+            for name in self.groups_of.get(target, ()):
                 self.counts[name] += 1
-            for instance in self.topology.dependents.get(thing, ()):
-                self.add(instance, f"hangs on {thing}")
+            for instance in self.topology.dependents.get(target, ()):
+                self.add(instance, f"hangs on {target}")
 
-    def remove(self, thing: str, reason: str) -> None:
-        reasons = self.reasons.get(thing)
+    def remove(self, target: str, reason: str) -> None:
+        """Remove a reason; without any the target is available."""
+        reasons = self.reasons.get(target)
         if not reasons or reason not in reasons:
             return
         reasons.discard(reason)
         if not reasons:
-            del self.reasons[thing]
-            for name in self.groups_of.get(thing, ()):
+            del self.reasons[target]
+            for name in self.groups_of.get(target, ()):
                 self.counts[name] -= 1
-            for instance in self.topology.dependents.get(thing, ()):
-                self.remove(instance, f"hangs on {thing}")
+            for instance in self.topology.dependents.get(target, ()):
+                self.remove(instance, f"hangs on {target}")
 
-    def set(self, thing: str, reason: str, is_so: bool) -> None:
-        (self.add if is_so else self.remove)(thing, reason)
+    def set(self, target: str, reason: str, applies: bool) -> None:
+        """Add or remove a reason."""
+        (self.add if applies else self.remove)(target, reason)
 
-    def find_violation(self, things: list[str]) -> str:
-        """What keeps these from being taken out as well; empty where nothing does."""
+    def find_violation(self, targets: list[str]) -> str:
+        """Return which budget forbids taking these out as well; empty where none does."""
         more: dict[str, int] = {}
-        news = {
-            each
-            for thing in things
-            for each in (thing, *self.topology.dependents.get(thing, ()))
-            if each not in self.reasons
+        added = {
+            dependent
+            for target in targets
+            for dependent in (target, *self.topology.dependents.get(target, ()))
+            if dependent not in self.reasons
         }
-        for thing in news:
-            for name in self.groups_of.get(thing, ()):
+        for target in added:
+            for name in self.groups_of.get(target, ()):
                 more[name] = more.get(name, 0) + 1
         for name, count in more.items():
             if self.counts[name] + count > self.groups[name].max_unavailable:
