--- a/oakkeel/disruption/lease_holder.py
+++ b/oakkeel/disruption/lease_holder.py
@@ -1,7 +1,7 @@
 """The holder's part of a replicated lease: its fencing token and its end. Free of I/O.
 
-It counts from when the command was sent, by its own clock; the leader lets it end later than that by any
-clock within the drift, and the next holder's token is higher. Whatever is done under a lease carries its token.
+It counts from when the command was sent, by its own clock; the leader lets it end later by any
+clock within the drift, and the next token is higher. Whatever is done under a lease carries its token.
 """
 
 from __future__ import annotations
