--- a/tests/support/fair_sharing.py
+++ b/tests/support/fair_sharing.py
@@ -16,7 +16,7 @@
 def shares_obtained(
     node: SimulatedNode, clients: list[SimulatedClient], seconds: float = 8, warm: float = 4
 ) -> tuple[list[float], float]:
-    """Return the parts of its fair share that each client got, and of scheduled retries that were admitted."""
+    """Return what part of its fair share each client got, and of scheduled retries what part was admitted."""
     node.pass_time(warm)
     before = [
         (client.counts["in time"], client.first_attempts, client.scheduled_returns, client.admitted_returns)
