--- a/tests/compatibility/test_node_bytes.py
+++ b/tests/compatibility/test_node_bytes.py
@@ -5,10 +5,10 @@
 
 from oakkeel.dispatch import resp
 from tests.compatibility.fixtures import load
-from tests.support.node_process import NodeStory, words_of
+from tests.support.node_process import NodeProcessTest, words_of
 
 
-class NodeBytesTest(NodeStory):
+class NodeBytesTest(NodeProcessTest):
     """What a node sends to its engine, catalogue, directory and dispatcher, for one way of each kind."""
 
     def setUp(self) -> None:
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -1,4 +1,4 @@
-"""Stories of a node's control link, spoken to as an agent would, or as nobody should."""
+"""The control link of the program, and what the program loads."""
 
 import ast
 import contextlib
@@ -11,43 +11,17 @@
 import socket
 import subprocess
 import sys
-import tempfile
 import time
 import tomllib
 from pathlib import Path
 from unittest import mock
 
-from tests.support.node_process import WAIT, NodeStory, until_refused
+from tests.support.control_process import ControlledNodeTest
+from tests.support.node_process import WAIT, NodeProcessTest, until_refused
 
 
-class ControlStory(NodeStory):
-    def setUp(self) -> None:
-        super().setUp()
-        self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "n3.sock")
-        self.enterContext(mock.patch.dict(os.environ, OAKKEEL_CONTROL=self.path, OAKKEEL_GENERATION="7"))
-
-    def link(self):
-        link = socket.socket(socket.AF_UNIX)
-        link.settimeout(WAIT)
-        link.connect(self.path)
-        self.addCleanup(link.close)
-        stream = link.makefile("rwb", buffering=0)
-        self.addCleanup(stream.close)
-        return stream
-
-    def say(self, stream, **message) -> dict:
-        stream.write(json.dumps(message).encode() + b"\n")
-        return json.loads(stream.readline())
-
-    def ended(self, stream) -> bool:
-        try:
-            return stream.readline() == b""
-        except ConnectionResetError:  # it had more to say than was read
-            return True
-
-
-class ControlStories(ControlStory):
-    def test_a_report_tells_what_the_node_does_and_owes(self):
+class ControlLinkTest(ControlledNodeTest):
+    def test_a_status_has_what_the_node_does_and_its_open_requests(self):
         self.begin(attach=False)
         link = self.link()
         self.assertEqual(self.say(link, type="ask", tag=1)["state"], "waiting")
@@ -80,7 +54,7 @@
         self.assertEqual((told["done"], told["why"]), (False, "this is generation 7"))
         self.assertEqual(self.say(link, type="ask", tag=2)["state"], "serving")
 
-    def test_an_order_to_leave_drains_like_the_signal(self):
+    def test_a_drain_order_drains_like_the_signal(self):
         dispatcher, ident = self.running("card")
         link = self.link()
         self.assertTrue(self.say(link, type="leave", tag=1, generation=7)["done"])
@@ -107,7 +81,7 @@
         self.assertTrue(self.ended(half))
         self.assertEqual(self.say(good, type="ask", tag=1)["state"], "serving")
 
-    def test_a_flood_takes_a_bounded_share_and_exchanges_go_on(self):
+    def test_a_flood_takes_a_bounded_share_and_requests_go_on(self):
         self.begin()
         flood, good = self.link(), self.link()
         flood._sock.setblocking(False)
@@ -127,7 +101,7 @@
         self.assertLess(used / (time.monotonic_ns() - begun), 0.2)
         self.assertTrue(ident)
 
-    def test_more_clients_than_there_is_room_for_make_the_silent_one_go(self):
+    def test_more_clients_than_there_is_room_for_make_the_least_active_one_go(self):
         self.begin()
         links = [self.link() for _ in range(9)]
         self.assertEqual(self.say(links[-1], type="ask", tag=1)["tag"], 1)
@@ -140,7 +114,7 @@
         self.assertEqual((process.returncode, error.count("\n")), (2, 1))
 
 
-class StayStories(ControlStory):
+class CancelDrainTest(ControlledNodeTest):
     """A drain that is taken back."""
 
     def leave(self, link) -> None:
@@ -192,7 +166,7 @@
         self.engine.done(ident if self.engine.next() else "")
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
-    def test_a_signal_to_leave_is_final_also_after_a_word_that_was_not(self):
+    def test_sigterm_is_final_also_after_an_order_that_was_not(self):
         dispatcher, ident = self.running("card")
         link = self.link()
         self.leave(link)
@@ -221,7 +195,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
 
 
-class RunStory(NodeStory):
+class RunCommandTest(NodeProcessTest):
     """`run` of the deploy file, as the platform starts it."""
 
     root = str(Path(__file__).resolve().parents[2])
@@ -274,7 +248,7 @@
         self.assertEqual([name for name in loaded if name.startswith(unwanted)], [])
 
 
-class LoadStory(NodeStory):
+class ImportTest(NodeProcessTest):
     def test_packages_import_downwards_only_and_sides_know_nothing_of_each_other(self):
         root = str(Path(__file__).resolve().parents[2])
         knows: dict[str, set[str]] = {}
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -26,7 +26,7 @@
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer
 from tests.support.fake_host import GROUP, FakeHost
-from tests.support.node_process import TOLD, WAIT
+from tests.support.node_process import NODE_SETTINGS, WAIT
 
 RESOURCE_LIMITS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
 LOG = EventLog("test", 0)
@@ -149,7 +149,7 @@
         self.assertIs(pool.lease(), first)
 
     def test_nested_json_and_text_give_a_node_the_same_limits(self):
-        values = flatten(TOLD)
+        values = flatten(NODE_SETTINGS)
         text = "\n".join(f"{path}={value}" for path, value in values.items())
         self.assertEqual(values["classes.count"], "4")
         self.assertEqual(str(read_limits(Pairs(values)).request_classes[0].latency_objective), "8000000000")
--- a/tests/fair_sharing/test_fair_sharing.py
+++ b/tests/fair_sharing/test_fair_sharing.py
@@ -21,7 +21,7 @@
 from oakkeel.fair_sharing.reservations import EACH, Reservations
 from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode, fair_share, jain
 from oakkeel.store import snapshot_file
-from tests.support.node_process import NodeStory
+from tests.support.node_process import NodeProcessTest
 
 LONG = 10**9 * SECOND  # a half-life in which nothing fades
 
@@ -374,7 +374,7 @@
         self.assertIsNone(snapshot_file.read(self.path + "x"))
 
 
-class FairNodeStories(NodeStory):
+class FairNodeStories(NodeProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
--- /dev/null
+++ b/tests/node/test_dispatcher_connections.py
@@ -0,0 +1,216 @@
+"""How the program treats the connections of dispatchers."""
+
+import contextlib
+import socket
+import threading
+import time
+import unittest
+
+from oakkeel.dispatch.resp import encode
+from tests.support.node_process import NodeProcessTest
+
+ANY_BYTES = bytes(range(256)) * 4 + b"\r\n*3\r\n$1\r\n"
+
+
+class DispatcherConnectionTest(NodeProcessTest):
+    def test_a_health_check_reports_the_advertised_share(self):
+        self.begin()
+        dispatcher = self.dispatcher()
+        dispatcher.send("CHECK", "8", "")
+        self.assertEqual(dispatcher.answer()[:3], (8, b"yes", b"signal=1.0000"))
+
+    def test_before_its_engine_is_up_a_node_is_unhealthy_and_runs_nothing(self):
+        self.begin(attach=False)
+        dispatcher = self.dispatcher()
+        dispatcher.send("CHECK", "8", "")
+        self.assertEqual(dispatcher.answer()[:2], (8, b"no"))
+        dispatcher.call(tag=9)
+        self.assertEqual(dispatcher.answer()[:2], (9, b"full"))
+
+    def test_a_node_whose_engine_has_just_booted_is_cold_since_then(self):
+        self.begin(state="booting", age="2500.0")
+        dispatcher, share = self.dispatcher(), 0.25
+        while share == 0.25:  # until the first poll has read the clock
+            dispatcher.tag += 1
+            dispatcher.send("CHECK", str(dispatcher.tag), "")
+            share = float(dispatcher.answer()[2].removeprefix(b"signal="))
+        self.assertTrue(0.25 + 0.75 * 0.25 <= share < 0.9, share)
+
+    def test_what_cant_be_read_is_answered_and_its_connection_lives(self):
+        self.begin()
+        dispatcher = self.dispatcher()
+        dispatcher.call("unheard-of")
+        dispatcher.call(fields=",need=much")
+        dispatcher.send("CALL", "3", "quote", "ts=1", b"")
+        dispatcher.send("WHAT", "4")
+        self.assertEqual(
+            [dispatcher.answer()[:2] for _ in range(4)],
+            [(1, b"fault"), (2, b"fault"), (3, b"fault"), (4, b"fault")],
+        )
+        self.engine.done(dispatcher.call(tag=5) and self.engine.next()[1])
+        self.assertEqual(dispatcher.answer()[:2], (5, b"ok"))
+
+    def test_bytes_that_are_no_array_end_a_connection_once_all_on_it_is_answered(self):
+        self.begin()
+        for garbage in (
+            b"GET / HTTP/1.1\r\n\r\n",
+            b"*2\r\n$9999999\r\n",
+            b"*2\r\n$-1\r\n",
+            b"*3\r\n$4\r\nCALL\r\n$1\r\n0\r\n$0\r\n\r\n",
+            b"*1\r\n$8000\r\n" + b"x" * 9000,
+        ):
+            dispatcher = self.dispatcher()
+            ident = dispatcher.call()
+            self.engine.next()
+            dispatcher.socket.sendall(garbage)
+            self.assertEqual(dispatcher.answer()[:2], (0, b"fault"))
+            self.engine.done(ident)
+            self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
+            with contextlib.suppress(ConnectionResetError):
+                self.assertEqual(dispatcher.next(), [])
+
+    def test_dispatchers_that_read_no_answers_hold_up_nobody_and_take_little_memory(self):
+        # A write of its own for each answer took 0.4 MB a stuck dispatcher, and 229 MB with 512 of them.
+        self.begin()
+        checks = [encode(b"CHECK", b"%d" % number, b"") for number in range(1, 30_000)]
+        for _ in range(60):
+            stuck = self.dispatcher()
+            stuck.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            stuck.socket.setblocking(False)
+            with contextlib.suppress(BlockingIOError):
+                for at in range(0, len(checks), 500):
+                    part = b"".join(checks[at : at + 500])
+                    if stuck.socket.send(part) < len(part):
+                        break
+        other = self.dispatcher()
+        self.engine.done(other.call() and self.engine.next()[1])
+        self.assertEqual(other.answer()[1], b"ok")
+        with open(f"/proc/{self.process.pid}/statm") as file:
+            self.assertLess(int(file.read().split()[1]) * 4096, 36 * 2**20)
+
+    def test_an_idle_connection_is_told_that_no_more_shall_come_before_it_ends(self):
+        dispatcher, ident = self.running()
+        self.engine.done(ident)
+        self.assertEqual(dispatcher.next()[:2], [b"1", b"ok"])
+        self.assertEqual(dispatcher.next(), [b"0", b"last"])
+        ident = dispatcher.call()  # one that crossed the word is still served
+        self.engine.done(self.engine.next()[1])
+        self.assertEqual(dispatcher.next()[:2], [b"2", b"ok"])
+        self.assertEqual(dispatcher.next(), [])
+
+    def test_connections_that_send_nothing_or_half_are_closed_and_make_room(self):
+        # They were never idle, filled the table, and no dispatcher was accepted any more.
+        self.begin(limits={"cores": 1.0, "memory_mb": 192, "sockets": 140})
+        quiet = [self.dispatcher() for _ in range(70)]
+        quiet[-1].socket.sendall(b"*5\r\n$4\r\nCA")
+        self.engine.done(self.dispatcher().call() and self.engine.next()[1])  # the table is full
+        start = time.monotonic()
+        for each in quiet:
+            with contextlib.suppress(ConnectionResetError):
+                self.assertEqual(each.next(), [])
+        self.assertLess(time.monotonic() - start, 3)
+
+    def test_connections_queued_for_good_make_room_for_those_that_work(self):
+        self.begin(
+            limits={"cores": 1.0, "memory_mb": 192, "sockets": 140}, settings=self.settings(idle=600 * 10**9)
+        )
+        for _ in range(60):
+            held = self.dispatcher()
+            self.engine.done(held.call() and self.engine.next()[1])
+            self.assertEqual(held.answer()[1], b"ok")
+
+    def test_an_id_that_is_open_is_not_taken_again_and_the_first_does_not_notice(self):
+        # The second took the first one's place, and was answered with its result.
+        dispatcher, ident = self.running()
+        other = self.dispatcher()
+        other.send("CALL", "1", "quote", f"req={ident},need=1", b"another body")
+        self.assertEqual(other.answer()[:2], (1, b"fault"))
+        self.engine.done(ident)
+        self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
+        self.assertTrue(self.engine.commands.empty())
+
+    def test_ids_and_numbers_that_cant_be_are_rejected_and_change_nothing(self):
+        self.begin()
+        now = time.time_ns() // 10**6
+        for fields in (
+            "req=12345678 9abcdef,need=1",
+            "req=1234567\r\nabcdef,need=1",
+            "req=0123456789abcdeg,need=1",
+            "need=1",
+            "req={},need=0x10",
+            "req={},need=nan",
+            "req={},need=1e9",
+            "req={},need=-1",
+            "req={},need=1,ts=5",
+            "req={},need=1,ts=inf",
+            f"req={{}},need=1,ts={now * 2}",
+            "req={},need=1,timeout=1e12",
+            "req={},need=1,level=1.5",
+            "req={},need=1,via=nan",
+        ):
+            dispatcher = self.dispatcher()
+            dispatcher.send("CALL", "1", "quote", fields.format("0123456789abcdef"), b"")
+            self.assertEqual(dispatcher.answer()[:2], (1, b"fault"), fields)
+        dispatcher.send("CALL", "2", "quote", "req=0123456789abcdef,need=1", bytes(3000))
+        self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))
+        dispatcher.send("CHECK", "3", "")
+        self.assertEqual(dispatcher.answer()[:2], (3, b"yes"))
+        self.assertTrue(self.engine.commands.empty())
+
+    def test_one_that_goes_on_with_what_nobody_can_use_is_read_no_further(self):
+        self.begin()
+        for useless in ("unheard-of", "quote"):
+            dispatcher = self.dispatcher()
+            for tag in range(1, 9):
+                ident = dispatcher.call(useless, tag=tag)
+                if useless == "quote":
+                    self.assertEqual(self.engine.next()[:2], ("RUN", ident))
+                    self.engine.say(f"NO RUN {ident}")
+                self.assertEqual(dispatcher.answer()[:2], (tag, b"fault"))
+            with contextlib.suppress(ConnectionResetError, BrokenPipeError):
+                dispatcher.call(tag=9)
+                while dispatcher.next():
+                    pass
+
+    def test_more_open_requests_than_may_be_are_rejected_and_the_rest_is_not_read(self):
+        self.begin()
+        dispatcher = self.dispatcher()
+        for tag in range(1, 200):
+            dispatcher.call(tag=tag)
+        said = []
+        with contextlib.suppress(ConnectionResetError):
+            while words := dispatcher.next():
+                said.append(words)
+        self.assertIn([b"0", b"fault"], [words[:2] for words in said])
+        self.assertNotIn(b"199", [words[0] for words in said])
+
+    def test_one_that_always_has_more_to_send_does_not_hold_up_the_others(self):
+        self.begin()
+        flood, stop = self.dispatcher(), threading.Event()
+
+        def pour():
+            with contextlib.suppress(OSError):
+                for first in range(1, 10**9, 500):
+                    if stop.is_set():
+                        return
+                    flood.socket.sendall(
+                        b"".join(encode(b"CANCEL", b"%d" % tag) for tag in range(first, first + 500))
+                    )
+
+        pouring = threading.Thread(target=pour)
+        pouring.start()
+        try:
+            other = self.dispatcher()
+            start = time.monotonic()
+            for _ in range(20):
+                self.engine.done(other.call() and self.engine.next()[1])
+                self.assertEqual(other.answer()[1], b"ok")
+            self.assertLess(time.monotonic() - start, 5)
+        finally:
+            stop.set()
+            flood.socket.shutdown(socket.SHUT_RDWR)
+            pouring.join()
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -1,4 +1,4 @@
-"""Stories of repeats: what is known of an exchange before, for how long, and who may have its result."""
+"""Duplicate requests: the response cache, and the same over sockets."""
 
 import unittest
 from dataclasses import replace
@@ -11,7 +11,7 @@
 from oakkeel.resource_limits import MS, SECOND
 from tests.engine.test_links import RESOURCE_LIMITS, exchange
 from tests.support.fake_host import GROUP, FakeHost
-from tests.support.node_process import NodeStory
+from tests.support.node_process import NodeProcessTest
 
 ONCE = replace(GROUP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window=SECOND)
 KEY = (0, b"hall", b"k1")
@@ -19,10 +19,10 @@
 
 
 def one(**fields):
-    return exchange(**{**dict(request_class=ONCE, cache_key=KEY, body=b"two seats"), **fields})
+    return exchange(**{**{"request_class": ONCE, "cache_key": KEY, "body": b"two seats"}, **fields})
 
 
-class WindowStories(unittest.TestCase):
+class ResponseCacheWindowTest(unittest.TestCase):
     def setUp(self) -> None:
         self.response_cache = ResponseCache(RESOURCE_LIMITS, 0)
 
@@ -93,7 +93,7 @@
         self.assertTrue(self.response_cache.find(one(), NOW + 2300 * MS))
 
 
-class IdentityStories(unittest.TestCase):
+class CacheKeyTest(unittest.TestCase):
     def setUp(self) -> None:
         limits = FakeHost(
             request_classes=[{"idempotency": effect} for effect in Idempotency], tenants=[1.0]
@@ -114,7 +114,7 @@
             }
             self.assertEqual(len(keys), 4)
 
-    def test_two_mutating_exchanges_about_one_subject_are_two(self):
+    def test_two_non_idempotent_requests_about_one_subject_are_two(self):
         # With reads shared elsewhere the second took the result of the first, and never ran.
         for fields in (b"subject=s", b"opkey=k"):
             request = self.read(Idempotency.NON_IDEMPOTENT, fields)
@@ -134,7 +134,7 @@
             self.assertEqual(cache.key_mismatch(request), mismatch)
 
 
-class RepeatStories(NodeStory):
+class DuplicateRequestTest(NodeProcessTest):
     """The same on sockets: `order` may run once in a window of 5 s."""
 
     def order(self, dispatcher, key: str = "k1", body: bytes = b"two seats", **more) -> str:
@@ -196,7 +196,7 @@
         self.engine.done(first)
         self.assertEqual(one.answer()[1], b"ok")
 
-    def test_repeats_while_it_is_held_run_and_just_done_on_two_connections_take_one_run(self):
+    def test_duplicates_while_it_is_queued_run_and_just_done_on_two_connections_take_one_run(self):
         one, two, busy = self.filled()
         first = self.order(one, tag=9)
         self.seen(one)
@@ -223,7 +223,7 @@
         self.assertEqual([one.answer()[::3] for _ in range(2)], [(1, b"once"), (2, b"once")])
         self.assertTrue(self.engine.commands.empty())
 
-    def test_followers_of_one_whose_caller_goes_while_it_is_held_are_denied_with_when_to_return(self):
+    def test_followers_of_one_whose_client_goes_while_it_is_queued_are_rejected_with_a_retry_time(self):
         # They were told that it failed, as if it might have run.
         one, two, busy = self.filled()
         self.order(one, tag=9)
@@ -238,7 +238,7 @@
         self.engine.done(busy[0])
         self.runs(again)
 
-    def test_followers_of_one_whose_caller_goes_while_it_runs_get_the_end_of_the_run(self):
+    def test_followers_of_one_whose_client_goes_while_it_runs_get_the_end_of_the_run(self):
         one, two = self.begun()
         first = self.order(one)
         self.runs(first)
@@ -252,7 +252,7 @@
         self.assertEqual(two.answer()[:2], (2, b"fault"))
         self.assertTrue(self.engine.commands.empty())
 
-    def test_a_repeat_of_one_that_was_terminated_is_terminated_and_not_run(self):
+    def test_a_duplicate_of_one_that_was_failed_fails_and_is_not_run(self):
         one, two = self.begun()
         first = self.order(one, timeout=1500)
         self.runs(first)
@@ -282,7 +282,7 @@
         told["classes"] = [{**each, "window": 1 * MS} for each in told["classes"]]
         return told
 
-    def test_a_new_life_knows_nothing_and_runs_it(self):
+    def test_a_new_process_knows_nothing_and_runs_it(self):
         one, _ = self.begun()
         self.runs(self.order(one))
         self.process.kill()
@@ -296,13 +296,13 @@
         self.engine.done(again)
         self.assertEqual(two.answer()[1], b"ok")
 
-    def test_a_full_table_denies_new_keys_and_knows_the_old_ones(self):
+    def test_a_full_table_rejects_new_keys_and_knows_the_old_ones(self):
         self.begin(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # room for one key
         one, two = self.dispatcher(), self.dispatcher()
         first = self.order(one)
         self.runs(first)
         self.order(two, "k2")
-        tag, word, fields, _ = two.answer()
+        _tag, word, fields, _ = two.answer()
         self.assertEqual(word, b"full")
         self.assertIn(b"holdoff=", fields)
         self.engine.done(first)
--- /dev/null
+++ b/tests/support/control_process.py
@@ -0,0 +1,35 @@
+"""A node as a process, with its control link open to a test."""
+
+import json
+import os
+import socket
+import tempfile
+from unittest import mock
+
+from tests.support.node_process import WAIT, NodeProcessTest
+
+
+class ControlledNodeTest(NodeProcessTest):
+    def setUp(self) -> None:
+        super().setUp()
+        self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "n3.sock")
+        self.enterContext(mock.patch.dict(os.environ, OAKKEEL_CONTROL=self.path, OAKKEEL_GENERATION="7"))
+
+    def link(self):
+        link = socket.socket(socket.AF_UNIX)
+        link.settimeout(WAIT)
+        link.connect(self.path)
+        self.addCleanup(link.close)
+        stream = link.makefile("rwb", buffering=0)
+        self.addCleanup(stream.close)
+        return stream
+
+    def say(self, stream, **message) -> dict:
+        stream.write(json.dumps(message).encode() + b"\n")
+        return json.loads(stream.readline())
+
+    def ended(self, stream) -> bool:
+        try:
+            return stream.readline() == b""
+        except ConnectionResetError:  # it had more to say than was read
+            return True
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -14,6 +14,7 @@
 import threading
 import time
 import unittest
+from typing import ClassVar
 
 from oakkeel.admission import MS, SECOND
 from oakkeel.dispatch.resp import encode
@@ -21,7 +22,7 @@
 WAIT = 20
 
 
-TOLD = {
+NODE_SETTINGS = {
     "extra": {
         "cores": 4,
         "heap-kb": 30000.0,
@@ -203,11 +204,11 @@
         self.socket.close()
 
 
-class NodeStory(unittest.TestCase):
-    """A story about the program, started as `run` in deploy/balancer.toml does."""
+class NodeProcessTest(unittest.TestCase):
+    """A test of the program, started as `run` in deploy/balancer.toml does."""
 
-    command: list[str] = [sys.executable, "-m", "oakkeel"]
-    variables: dict[str, str] = {}
+    command: ClassVar[list[str]] = [sys.executable, "-m", "oakkeel"]
+    variables: ClassVar[dict[str, str]] = {}
 
     def setUp(self) -> None:
         self.engine, self.catalogue = Engine(), socket.create_server(("127.0.0.1", 0))
@@ -236,7 +237,7 @@
             "seed": "8c1f30d27a5be964",
             "stop_ms": 3200,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": TOLD,
+            "settings": NODE_SETTINGS,
             **changes,
         }
 
@@ -249,7 +250,7 @@
         self.process = subprocess.Popen(
             self.command, env={**os.environ, **self.variables, **given}, stderr=subprocess.PIPE, text=True
         )
-        watch = threading.Timer(4 * WAIT, self.process.kill)  # a story that hangs ends, and fails
+        watch = threading.Timer(4 * WAIT, self.process.kill)  # a test that hangs ends, and fails
         watch.start()
         self.addCleanup(watch.cancel)
         return self.process
@@ -317,4 +318,4 @@
         return self.directory.recv(100).decode()
 
     def settings(self, **extra) -> dict:
-        return {**TOLD, "extra": {**TOLD["extra"], **extra}}
+        return {**NODE_SETTINGS, "extra": {**NODE_SETTINGS["extra"], **extra}}
