--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -69,7 +69,7 @@
         owes = {each.name: told for each in self.supervision.instances if (told := _owes(each))}
         poll = self.permit_holder.heartbeat(now, up, self._ended(), reserve, owes)
         if self.fitting.active:
-            poll.extension = self.fitting.told(self._runs(now))
+            poll.extension = self.fitting.encode_report(self._runs(now))
         return poll
 
     def _runs(self, now: int) -> list[TargetStatus]:
@@ -90,8 +90,8 @@
             )
             if isinstance(report, NodeStatus):
                 run.load = report.load
-                if self.fitting.watch and len(report.earned_weight) == 3:
-                    run.figures = Samples(
+                if self.fitting.collect_samples and len(report.earned_weight) == 3:
+                    run.samples = Samples(
                         Sums(*report.earned_weight),
                         report.rejected,
                         report.failed,
@@ -153,7 +153,7 @@
         first, reserved = not self.permit_holder.synchronized, dict(self.permit_holder.generations)
         if not self.permit_holder.receive_response(now, sent_at, answer):
             return []
-        self.fitting.heard(answer.extension)
+        self.fitting.handle_response(answer.extension)
         if self.lost:
             self._learn(now)
         elif first:
