--- a/measure/node.py
+++ b/measure/node.py
@@ -18,6 +18,7 @@
 
 from measure.common import keep, options, say
 from oakkeel.control.client import ControlClient, ControlError
+from oakkeel.errors import OakkeelError
 from oakkeel.fakes.dispatcher import Dispatcher
 from oakkeel.fakes.site import FakeSite
 
@@ -33,62 +34,85 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-def cpu_of(pid: int) -> float:
+class NodeOutputError(OakkeelError):
+    """A node was started whose log can't be read."""
+
+
+def cpu_seconds(pid: int) -> float:
+    """CPU that a process has used."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
-        words = file.read().rpartition(")")[2].split()
-    return (int(words[11]) + int(words[12])) / TICKS
+        fields = file.read().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / TICKS
 
 
-def resident_of(pid: int) -> float:
+def resident_mb(pid: int) -> float:
+    """Memory that a process holds, in MB."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * PAGE / 2**20
 
 
-async def one(tree: str, kind: str, rate: float, seconds: float, seed: int) -> dict[str, float]:
+def node_variables(tree: str, kind: str, folder: str) -> dict[str, str]:
+    """The environment of a node of that kind, whose files lie in the folder."""
+    variables = {**os.environ, "PROXY_CONFIG": os.path.join(folder, "n1.json"), "PYTHONPATH": tree}
+    if kind == "fair":
+        variables["OAKKEEL_TOLD"] = os.path.join(folder, "n1.told")
+        with open(variables["OAKKEEL_TOLD"], "w", encoding="utf-8") as file:
+            json.dump({"fair": FAIR}, file)
+    if kind == "linked":
+        variables |= {"OAKKEEL_CONTROL": control_path(folder), "OAKKEEL_GENERATION": "1"}
+    return variables
+
+
+def control_path(folder: str) -> str:
+    """The socket of the node's control link."""
+    return os.path.join(folder, "n1.sock")
+
+
+async def load_node(pid: int, dispatcher: Dispatcher, seconds: float) -> dict[str, float]:
+    """Measure a node for some seconds, from a second after its load begins."""
+    await asyncio.sleep(0.5)
+    dispatcher.start()
+    await asyncio.sleep(1.0)
+    cpu, answered, started = cpu_seconds(pid), dispatcher.answered, time.monotonic()
+    await asyncio.sleep(seconds)
+    cpu, answered = cpu_seconds(pid) - cpu, dispatcher.answered - answered
+    resident, took = resident_mb(pid), time.monotonic() - started
+    await dispatcher.stop()
+    return {
+        "resident_mb": resident,
+        "ms_an_exchange": 1000 * cpu / answered,
+        "rate": answered / took,
+        "lost": dispatcher.counts["lost"] + dispatcher.counts["late"],
+    }
+
+
+async def measure_node(tree: str, kind: str, rate: float, seconds: float, seed: int) -> dict[str, float]:
+    """Start a node of that kind from a tree, and measure it under load."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(folder, {"wb1": ["n1"]}, away=1, seed=seed, work=0.002)
         await site.open()
-        variables = {**os.environ, "PROXY_CONFIG": os.path.join(folder, "n1.json"), "PYTHONPATH": tree}
-        path = os.path.join(folder, "n1.sock")
-        linked = kind == "linked"
-        if kind == "fair":
-            variables["OAKKEEL_TOLD"] = os.path.join(folder, "n1.told")
-            with open(variables["OAKKEEL_TOLD"], "w", encoding="utf-8") as file:
-                json.dump({"fair": FAIR}, file)
-        if linked:
-            variables |= {"OAKKEEL_CONTROL": path, "OAKKEEL_GENERATION": "1"}
+        variables = node_variables(tree, kind, folder)
         node = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "oakkeel", env=variables, cwd=tree, stderr=asyncio.subprocess.PIPE
         )
-        assert node.stderr is not None
+        if node.stderr is None:
+            raise NodeOutputError("the node was started without a pipe for its log")
         line = await asyncio.wait_for(node.stderr.readline(), 20)
         address = "127.0.0.1", int(line.rsplit(b":", 1)[1])
-        reading = asyncio.ensure_future(node.stderr.read())
-        asking = asyncio.ensure_future(ask(path)) if linked else None
-        dispatcher = Dispatcher(1, lambda: {"n1": address}, rate, seed)
-        await asyncio.sleep(0.5)
-        dispatcher.start()
-        await asyncio.sleep(1.0)
-        cpu, answered, began = cpu_of(node.pid), dispatcher.answered, time.monotonic()
-        await asyncio.sleep(seconds)
-        cpu, answered = cpu_of(node.pid) - cpu, dispatcher.answered - answered
-        resident, took = resident_of(node.pid), time.monotonic() - began
-        await dispatcher.stop()
-        if asking:
-            asking.cancel()
+        log_reader = asyncio.ensure_future(node.stderr.read())
+        polling = asyncio.ensure_future(poll_status(control_path(folder))) if kind == "linked" else None
+        found = await load_node(node.pid, Dispatcher(1, lambda: {"n1": address}, rate, seed), seconds)
+        if polling:
+            polling.cancel()
         node.terminate()
         await asyncio.wait_for(node.wait(), 20)
-        await reading
+        await log_reader
         await site.close()
-        return {
-            "resident_mb": resident,
-            "ms_an_exchange": 1000 * cpu / answered,
-            "rate": answered / took,
-            "lost": dispatcher.counts["lost"] + dispatcher.counts["late"],
-        }
+        return found
 
 
-async def ask(path: str) -> None:
+async def poll_status(path: str) -> None:
+    """Ask for the status of a node as an agent does."""
     client = ControlClient(path)
     while True:
         with contextlib.suppress(ControlError):
@@ -96,13 +120,14 @@
         await asyncio.sleep(0.2)
 
 
-async def measure(before: str, rounds: int, rate: float, seconds: float) -> dict[str, list[dict]]:
+async def measure(before: str, rounds: int, rate: float, seconds: float) -> dict[str, list[dict[str, float]]]:
+    """Measure each kind in turn, round after round."""
     here = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
     kinds = {"before": before, "after": here, "linked": here, "fair": here}
-    found: dict[str, list[dict]] = {name: [] for name, tree in kinds.items() if tree}
+    found: dict[str, list[dict[str, float]]] = {name: [] for name, tree in kinds.items() if tree}
     for number in range(rounds):
         for name in found:
-            found[name].append(await one(kinds[name], name, rate, seconds, number + 1))
+            found[name].append(await measure_node(kinds[name], name, rate, seconds, number + 1))
             last = found[name][-1]
             say(
                 f"  {name}: {last['resident_mb']:.1f} MB, {last['ms_an_exchange']:.3f} ms an exchange at"
@@ -112,16 +137,17 @@
 
 
 def main() -> int:
-    told = options(__doc__ or "", before="", rounds=5, rate=150.0, seconds=8.0)
-    found = asyncio.run(measure(told.before, told.rounds, told.rate, told.seconds))
-    keep(told, found)
-    words = []
+    """Run the measurement; 1 if requests were lost."""
+    arguments = options(__doc__ or "", before="", rounds=5, rate=150.0, seconds=8.0)
+    found = asyncio.run(measure(arguments.before, arguments.rounds, arguments.rate, arguments.seconds))
+    keep(arguments, found)
+    parts = []
     for name, rows in found.items():
         resident = statistics.median(row["resident_mb"] for row in rows)
         cpu = statistics.median(row["ms_an_exchange"] for row in rows)
-        words.append(f"{name} {resident:.1f} MB {cpu:.3f} ms")
+        parts.append(f"{name} {resident:.1f} MB {cpu:.3f} ms")
     lost = sum(row["lost"] for rows in found.values() for row in rows)
-    say(f"node: {', '.join(words)} an exchange, {lost} lost")
+    say(f"node: {', '.join(parts)} an exchange, {lost} lost")
     return 1 if lost else 0
 
 
