--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -38,14 +38,7 @@
 
 def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
     """Read variables and file; raises LimitsError with one line that names what is wrong."""
-    path = variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set")
-    try:
-        with open(path, encoding="utf-8") as file:
-            document = json.load(file)
-    except (OSError, ValueError, RecursionError) as error:
-        raise LimitsError(f"the configuration can't be read: {error}") from None
-    if not isinstance(document, dict):
-        fail("the configuration is no JSON object")
+    document = _read_document(variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set"))
     pairs = Pairs(flatten({name: value for name, value in document.items() if name != "settings"}))
     node = Pairs(flatten(document.get("settings") or {}))
     try:
@@ -79,6 +72,16 @@
         raise LimitsError(f"the configuration holds what can't be used: {error}") from None
 
 
+def _read_document(path: str) -> dict[str, Any]:
+    """Read the JSON object of a file."""
+    try:
+        with open(path, encoding="utf-8") as file:
+            document = json.load(file)
+    except (OSError, ValueError, RecursionError) as error:
+        raise LimitsError(f"the configuration can't be read: {error}") from None
+    return document if isinstance(document, dict) else fail("the configuration is no JSON object")
+
+
 def _read_fair_sharing(path: str) -> tuple[FairSharingRules | None, str]:
     """Read the fair-sharing rules from the file that an agent made of the operator's settings."""
     if not path:
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -28,6 +28,7 @@
 from oakkeel.stream_buffers import BufferPool
 
 if TYPE_CHECKING:
+    from oakkeel.control.listener import ControlListener
     from oakkeel.node.fair_sharing import NodeFairSharing
 
 SIGNALS = (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
@@ -64,26 +65,29 @@
             self.log,
         )
         self.drain = Drain(self, configuration.limits.drain_grace, resource_limits.stop_after)
-        self.fair_sharing: NodeFairSharing | None = None
-        if configuration.limits.fair_sharing:
-            from oakkeel.node.fair_sharing import (
-                NodeFairSharing,  # loads libraries that a plain node does without
-            )
-
-            self.fair_sharing = NodeFairSharing(
-                self, configuration.limits.fair_sharing, configuration.snapshot
-            )
-        self.control = None
-        if configuration.control:
-            from oakkeel.node.control_endpoint import (
-                open_control,  # loads libraries that a plain node does without
-            )
-
-            self.control = open_control(self)
+        self.fair_sharing = self._make_fair_sharing()
+        self.control = self._open_control()
         self.handler = RequestHandler(
             self.host, self.engine, self.catalogue, self.response_cache, self.metrics, self.log
         )
 
+    def _make_fair_sharing(self) -> NodeFairSharing | None:
+        rules = self.configuration.limits.fair_sharing
+        if not rules:
+            return None
+        # It loads libraries that a plain node does without.
+        from oakkeel.node.fair_sharing import NodeFairSharing
+
+        return NodeFairSharing(self, rules, self.configuration.snapshot)
+
+    def _open_control(self) -> ControlListener | None:
+        if not self.configuration.control:
+            return None
+        # It loads libraries that a plain node does without.
+        from oakkeel.node.control_endpoint import open_control
+
+        return open_control(self)
+
     async def run(self) -> None:
         """Serve from the start to the end of the drain."""
         loop = asyncio.get_running_loop()
