--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -56,8 +56,8 @@
             )
             self.node.log.info(
                 "fair_sharing_snapshot_restored",
-                senders=len(fair.shares.tables[-1].flows),
-                promises=fair.reservations.open_count,
+                flows=len(fair.shares.tables[-1].flows),
+                reservations=fair.reservations.open_count,
             )
         self.restored = None
         if self.path:
