--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -121,10 +121,3 @@
     | RecordVerdict
     | FinishRelease
 )
-_command_decoder = msgspec.msgpack.Decoder(Command | permit_commands.Command)
-
-
-def decode(content: bytes) -> Command | permit_commands.Command:
-    """Decode a command of releases or of the disruption state. Raises `msgspec.MsgspecError`."""
-    command: Command | permit_commands.Command = _command_decoder.decode(content)
-    return command
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from oakkeel.disruption.allocator import PermitAllocator
-from oakkeel.disruption.state_machine import DisruptionTask
+from oakkeel.disruption.state import DisruptionTask
 from oakkeel.rollout.gates import Gate
 from oakkeel.rollout.messages import TargetStatus
 from oakkeel.rollout.plan import BatchPlanner, TargetObservation
