--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -109,31 +109,31 @@
         fair, now = self.node.host.admission.fair_sharing, time.monotonic_ns()
         if fair is None:
             return ClientsStatus(tag, list(self.rules.levels))
-        table, promises = fair.shares.tables[-1], fair.reservations
+        table, reservations = fair.shares.tables[-1], fair.reservations
         total = table.total_rate(now) or 1.0
-        heaviest = sorted(table.flows.values(), key=lambda each: -table.rate(now, each))[:limit]
+        heaviest = sorted(table.flows.values(), key=lambda flow: -table.rate(now, flow))[:limit]
         return ClientsStatus(
             tag,
-            list(self.rules.levels),
-            len(table.flows),
-            table.error_rate(now) / total,
-            promises.open_count,
-            promises.booked_count,
-            promises.kept_count,
-            promises.broken_count,
-            promises.expired_count,
-            [
+            flow_key=list(self.rules.levels),
+            known=len(table.flows),
+            error=table.error_rate(now) / total,
+            reservations_open=reservations.open_count,
+            reservations_made=reservations.booked_count,
+            reservations_honored=reservations.kept_count,
+            reservations_broken=reservations.broken_count,
+            reservations_expired=reservations.expired_count,
+            clients=[
                 ClientUsage(
-                    _path(each),
-                    table.rate(now, each) / total,
-                    table.retry_rate(now, each) / total,
-                    min(1.0, each.allowed_rate / max(1e-9, table.rate(now, each))),
+                    name=_path(flow),
+                    demand=table.rate(now, flow) / total,
+                    retries=table.retry_rate(now, flow) / total,
+                    fair_fraction=min(1.0, flow.allowed_rate / max(1e-9, table.rate(now, flow))),
                 )
-                for each in heaviest
+                for flow in heaviest
             ],
         )
 
 
-def _path(sender: Flow) -> str:
-    outer = _path(sender.parent) + "/" if sender.parent else ""
-    return outer + sender.label.decode(errors="replace")
+def _path(flow: Flow) -> str:
+    outer = _path(flow.parent) + "/" if flow.parent else ""
+    return outer + flow.label.decode(errors="replace")
