--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -40,11 +40,11 @@
         """Return the share of what it sends that an unknown flow keeps."""
         return flow.parent.unknown_share if flow.parent else self.unknown_share
 
-    def allocate(self, now: int, whole: float) -> None:
-        """Set what each flow may have of `whole` a second, at the outermost level and then within each."""
+    def allocate(self, now: int, capacity: float) -> None:
+        """Set what each flow may have of `capacity` a second, at the outermost level and then within each."""
         outer = self.tables[0]
         self.unknown_share = self._allocate_table(
-            now, outer, list(outer.flows.values()), outer.total_rate(now), whole
+            now, outer, list(outer.flows.values()), outer.total_rate(now), capacity
         )
         if len(self.tables) == 1:
             return
@@ -59,18 +59,18 @@
             )
 
     def _allocate_table(
-        self, now: int, table: HeavyHitters, flows: list[Flow], asked: float, whole: float
+        self, now: int, table: HeavyHitters, flows: list[Flow], asked: float, capacity: float
     ) -> float:
         """Set what each of them may have; return the share that unknown flows keep."""
         for flow in flows:
             flow.allowed_rate = inf
-        if asked <= whole * (1 + 1e-9):
+        if asked <= capacity * (1 + 1e-9):
             return 1.0
         error = table.error_rate(now)
         rates = {flow: rate for flow in flows if (rate := table.rate(now, flow)) >= error}
         rest = max(0.0, asked - sum(rates.values())) if error else 0.0
         rows = [(rate, self.weights.get(flow.label, 1.0)) for flow, rate in rates.items()]
-        level = fill([*rows, *_lump(rest, error)], whole)
+        level = fill([*rows, *_lump(rest, error)], capacity)
         for flow, rate in rates.items():
             share = level * self.weights.get(flow.label, 1.0)
             if rate > share:
@@ -83,11 +83,11 @@
     return [(rest, rest / error)] if rest > 0 else []
 
 
-def fill(rows: list[tuple[float, float]], whole: float) -> float:
-    """Return the level that shares `whole` out among rows of demand and weight; infinite if all get all."""
+def fill(rows: list[tuple[float, float]], capacity: float) -> float:
+    """Return the level that shares `capacity` out among rows of demand and weight; infinite if all get all."""
     weight = sum(row[1] for row in rows)
     for asked, row_weight in sorted(rows, key=lambda row: row[0] / row[1]):
-        if asked / row_weight * weight > whole:
-            return max(0.0, whole / weight)
-        whole, weight = whole - asked, weight - row_weight
+        if asked / row_weight * weight > capacity:
+            return max(0.0, capacity / weight)
+        capacity, weight = capacity - asked, weight - row_weight
     return inf
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -104,7 +104,7 @@
         self.open_count += reservation.work > 0
         self.unbacked += not reservation.work
 
-    def end(self, reservation: Reservation, kept: bool | None) -> None:
+    def end(self, reservation: Reservation, admitted: bool | None) -> None:
         """End one whose flow came in time and went ahead or not; None gives it up and frees its room."""
         reservations = self.open[reservation.key]
         reservations.remove(reservation)
@@ -112,15 +112,15 @@
         self.unbacked -= not reservation.work
         if not reservations:
             del self.open[reservation.key]
-        if kept is None:
+        if admitted is None:
             step_number = reservation.due_at // self.step
             if self.step_numbers[step_number % self.steps] == step_number:
                 self.booked[step_number % self.steps] = max(
                     0.0, self.booked[step_number % self.steps] - reservation.work
                 )
             return
-        self.kept_count += kept
-        self.broken_count += not kept
+        self.kept_count += admitted
+        self.broken_count += not admitted
 
     def _drop_expired(self, now: int) -> None:
         """Drop those whose flow did not come, long after their time."""
