--- a/oakkeel/invariants/policy_change.py
+++ b/oakkeel/invariants/policy_change.py
@@ -13,13 +13,13 @@
     """Told with the true time; what is decided after the end of something is found when either comes."""
 
     def __init__(self, most: int = 50) -> None:
-        self.most, self.breaches = most, []  # type: int, list[str]
+        self.max_breaches, self.breaches = most, []  # type: int, list[str]
         self.in_force = 0
         self.not_made: set[int] = set()
         self.used: dict[int, str] = {}  # by version: who was first
         self.decided: dict[int, int] = {}  # how many exchanges, by version
 
-    def decide(self, now: int, who: str, number: int) -> None:
+    def record_decision(self, now: int, who: str, number: int) -> None:
         self.used.setdefault(number, who)
         self.decided[number] = self.decided.get(number, 0) + 1
         if number < self.in_force:
@@ -27,14 +27,14 @@
         if number in self.not_made:
             self._breach(now, f"12: {who} decides under {number}, which was told as not made")
 
-    def told_in_force(self, now: int, number: int) -> None:
+    def record_in_force(self, now: int, number: int) -> None:
         self.in_force = max(self.in_force, number)
 
-    def told_not_made(self, now: int, number: int) -> None:
+    def record_not_made(self, now: int, number: int) -> None:
         self.not_made.add(number)
         if number in self.used:
             self._breach(now, f"12: {self.used[number]} had decided under {number}, told as not made")
 
     def _breach(self, now: int, text: str) -> None:
-        if len(self.breaches) < self.most:
+        if len(self.breaches) < self.max_breaches:
             self.breaches.append(f"{now / SECOND:.3f} s: promise {text}")
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -31,29 +31,29 @@
     """What an agent says with its poll."""
 
     number: int  # under which every node of it decides by now, and no other
-    has: int = 0  # the version whose content it has
-    ready: int = 0  # of a proposed version that all its nodes could take
-    refused: int = 0
-    why: str = ""
+    held_version: int = 0  # the version whose content it has
+    ready_version: int = 0  # of a proposed version that all its nodes could take
+    refused_version: int = 0
+    reason: str = ""
 
 
 class PolicyAssignment(msgspec.Struct, array_like=True):
     """What it hears."""
 
     number: int
-    good_for: int  # nanoseconds, from when the poll was sent
+    valid_for: int  # nanoseconds, from when the poll was sent
     content: bytes = b""  # where it does not go by that yet
-    proposed: int = 0
-    offered: bytes = b""  # content of that, where it is not ready yet
+    proposed_number: int = 0
+    proposed_content: bytes = b""  # content of that, where it is not ready yet
 
 
 @dataclass(slots=True)
 class HostProgress:
     """The last of one host."""
 
-    at: int
+    reported_at: int
     number: int
-    ready: int
+    ready_version: int
 
 
 class PolicyCoordinator:
@@ -62,49 +62,51 @@
     def __init__(
         self, now: int, register: PolicyStateMachine, hosts: tuple[str, ...], terms: PermitTimeouts
     ) -> None:
-        self.register, self.hosts, self.terms, self.began = register, hosts, terms, now
-        self.known: dict[str, HostProgress] = {}
-        self.decided_at: dict[int, int] = {}  # since when we tell of no earlier one, by number
-        self.offered_at: dict[int, int] = {}
-        self.asked: set[bytes] = set()
+        self.state_machine, self.hosts, self.timeouts, self.started_at = register, hosts, terms, now
+        self.progress: dict[str, HostProgress] = {}
+        self.decided_since: dict[int, int] = {}  # since when we tell of no earlier one, by number
+        self.offered_since: dict[int, int] = {}
+        self.pending: set[bytes] = set()
 
-    def heard(self, now: int, host: str, told: PolicyReport, alive_at: int) -> list[PolicyCommand]:
+    def receive_report(self, now: int, host: str, told: PolicyReport, alive_at: int) -> list[PolicyCommand]:
         """`alive_at`: by our clock it is known to have said that after then."""
         if host not in self.hosts:
             return []
-        known = self.known.get(host)
-        if known is None or alive_at >= known.at:
-            self.known[host] = HostProgress(alive_at, told.number, told.ready)
-        proposed = self.register.proposed
-        if proposed and told.refused == proposed.number:
-            return self._once([RejectPolicy(proposed.number, host, told.why)])
+        known = self.progress.get(host)
+        if known is None or alive_at >= known.reported_at:
+            self.progress[host] = HostProgress(alive_at, told.number, told.ready_version)
+        proposed = self.state_machine.proposed
+        if proposed and told.refused_version == proposed.number:
+            return self._once([RejectPolicy(proposed.number, host, told.reason)])
         return []
 
-    def answer(self, now: int, host: str, told: PolicyReport) -> PolicyAssignment:
+    def assign(self, now: int, host: str, told: PolicyReport) -> PolicyAssignment:
         """To be given only while the leader's lease holds."""
-        held, proposed = self.register.state, self.register.proposed
+        held, proposed = self.state_machine.state, self.state_machine.proposed
         current = held.policies.get(held.decided)
-        content = current.content if current and told.has != held.decided else b""
+        content = current.content if current and told.held_version != held.decided else b""
         heard = PolicyAssignment(held.decided, LEASE, content)
         if proposed:
-            heard.proposed = proposed.number
-            if told.ready != proposed.number:
-                heard.offered = proposed.content
+            heard.proposed_number = proposed.number
+            if told.ready_version != proposed.number:
+                heard.proposed_content = proposed.content
         return heard
 
     def tick(self, now: int) -> list[PolicyCommand]:
-        held, proposed = self.register.state, self.register.proposed
+        held, proposed = self.state_machine.state, self.state_machine.proposed
         wanted: list[PolicyCommand] = []
         if proposed:
-            began = self.offered_at.setdefault(proposed.number, now)
+            began = self.offered_since.setdefault(proposed.number, now)
             waits = [host for host in self.hosts if not self._ready(now, host, proposed.number, began)]
             if not waits:
                 wanted.append(CommitPolicy(proposed.number))
         current = held.policies.get(held.decided)
         if current and current.state == "decided":
-            since = self.decided_at.setdefault(current.number, now)
-            if now - since > self.terms.upper_bound(LEASE) or all(
-                (known := self.known.get(host)) and known.number >= current.number and known.at >= since
+            since = self.decided_since.setdefault(current.number, now)
+            if now - since > self.timeouts.upper_bound(LEASE) or all(
+                (known := self.progress.get(host))
+                and known.number >= current.number
+                and known.reported_at >= since
                 for host in self.hosts
             ):
                 wanted.append(MarkInForce(current.number))
@@ -112,16 +114,16 @@
 
     def _ready(self, now: int, host: str, number: int, began: int) -> bool:
         """It has it, or it is not there: then it has no lease, and learns the version before it serves."""
-        known = self.known.get(host)
-        if known and known.ready == number:
+        known = self.progress.get(host)
+        if known and known.ready_version == number:
             return True
-        heard_at = max(self.began, began, known.at if known else 0)
-        return now - heard_at > self.terms.upper_bound(LOST)
+        heard_at = max(self.started_at, began, known.reported_at if known else 0)
+        return now - heard_at > self.timeouts.upper_bound(LOST)
 
     def _once(self, wanted: list[PolicyCommand]) -> list[PolicyCommand]:
-        news = [each for each in wanted if msgspec.msgpack.encode(each) not in self.asked]
-        self.asked |= {msgspec.msgpack.encode(each) for each in news}
+        news = [each for each in wanted if msgspec.msgpack.encode(each) not in self.pending]
+        self.pending |= {msgspec.msgpack.encode(each) for each in news}
         return news
 
     def lost(self, command: PolicyCommand) -> None:
-        self.asked.discard(msgspec.msgpack.encode(command))
+        self.pending.discard(msgspec.msgpack.encode(command))
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -32,10 +32,10 @@
 class ProposePolicy(msgspec.Struct, tag="propose", array_like=True):
     """A new version, made of the one that its maker saw."""
 
-    ident: str
+    change_id: str
     operator: str
-    unix: int
-    why: str
+    created_at: int
+    reason: str
     based_on: int  # number
     content: bytes
 
@@ -50,7 +50,7 @@
 
     number: int
     host: str
-    why: str
+    reason: str
 
 
 class CommitPolicy(msgspec.Struct, tag="decide", array_like=True):
@@ -72,14 +72,14 @@
     """One version. `PolicyStateMachine._turn_version` alone changes its state."""
 
     number: int
-    ident: str
+    change_id: str
     operator: str
-    unix: int
+    created_at: int
     reason: str
     digest: str
     content: bytes
     state: str = "proposed"
-    why: str = ""
+    state_reason: str = ""
 
 
 class PolicyState(RolloutState, array_like=True):
@@ -100,7 +100,7 @@
         held = self.state
         digest = blake3.blake3(command.content).hexdigest()[:32]
         for known in held.policies.values():
-            if known.ident == command.ident:
+            if known.change_id == command.change_id:
                 same = (known.operator, known.digest) == (command.operator, digest)
                 return known if same else Rejection(f"that id is of another change, by {known.operator}")
         if other := self.proposed:
@@ -108,14 +108,14 @@
         latest = max(held.policies, default=0)
         if command.based_on != held.decided:
             return Rejection(f"version {held.decided} is decided, and this was made of {command.based_on}")
-        if not command.ident or not 0 < len(command.content) <= MAX_POLICY_BYTES:
+        if not command.change_id or not 0 < len(command.content) <= MAX_POLICY_BYTES:
             return Rejection(f"no id, or not 1 to {MAX_POLICY_BYTES} bytes")
         policy = PolicyVersion(
             latest + 1,
-            command.ident,
+            command.change_id,
             command.operator,
-            command.unix,
-            command.why[:500],
+            command.created_at,
+            command.reason[:500],
             digest,
             command.content,
         )
@@ -129,7 +129,7 @@
         return self._turn_version(command.number, "withdrawn", f"by {command.operator}")
 
     def _refuse(self, index: int, command: RejectPolicy) -> object:
-        return self._turn_version(command.number, "refused", f"{command.host}: {command.why[:300]}")
+        return self._turn_version(command.number, "refused", f"{command.host}: {command.reason[:300]}")
 
     def _decide(self, index: int, command: CommitPolicy) -> object:
         result = self._turn_version(command.number, "decided", "")
@@ -149,7 +149,7 @@
             return Rejection(f"there is no version {number}")
         if state not in TRANSITIONS[policy.state]:
             return Rejection(f"version {number} is {policy.state}")
-        policy.state, policy.why = state, why
+        policy.state, policy.state_reason = state, why
         return policy
 
     COMMANDS = CommandRegistry(
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -62,7 +62,7 @@
         again.restore(self.register.snapshot())
         found = again.state.policies[1]
         self.assertEqual(
-            (found.operator, found.reason, found.state, found.why),
+            (found.operator, found.reason, found.state, found.state_reason),
             ("asha", "for Carnival", "refused", "h3: no such group"),
         )
         self.assertIsInstance(self.do(MarkInForce(7)), Rejection)
@@ -73,37 +73,37 @@
     def test_a_node_decides_nothing_before_it_was_told_nor_after_its_time_and_never_goes_back(self):
         node = NodePolicyLease()
         self.assertFalse(node.may_decide(0))
-        self.assertTrue(node.told(0, 3, 100))
+        self.assertTrue(node.renew(0, 3, 100))
         self.assertTrue(node.may_decide(99))
         self.assertFalse(node.may_decide(100))
-        self.assertIs(node.standing, LeaseStatus.LAPSED)
-        self.assertFalse(node.told(101, 2, 900))
+        self.assertIs(node.status, LeaseStatus.LAPSED)
+        self.assertFalse(node.renew(101, 2, 900))
         self.assertFalse(node.may_decide(102))
-        node.told(103, 3, 200)
+        node.renew(103, 3, 200)
         self.assertTrue(node.may_decide(104))
 
     def test_an_agent_says_the_least_of_its_nodes_and_one_that_was_not_heard_counts_as_none(self):
         agent = AgentPolicyLease()
-        agent.heard(0, PolicyAssignment(2, SECOND, b"two"))
-        agent.node_there("a")
-        agent.node_there("b")
-        agent.node_said("a", 2)
-        self.assertEqual((agent.told().number, agent.told().has), (-1, 2))
-        agent.node_said("b", 1)
-        self.assertEqual(agent.told().number, 1)
-        agent.node_gone("b")
-        self.assertEqual(agent.told().number, 2)
+        agent.receive_assignment(0, PolicyAssignment(2, SECOND, b"two"))
+        agent.node_started("a")
+        agent.node_started("b")
+        agent.node_reported("a", 2)
+        self.assertEqual((agent.report().number, agent.report().held_version), (-1, 2))
+        agent.node_reported("b", 1)
+        self.assertEqual(agent.report().number, 1)
+        agent.node_stopped("b")
+        self.assertEqual(agent.report().number, 2)
 
     def test_a_lease_counts_from_when_was_asked_and_an_overtaken_answer_shortens_nothing(self):
         agent = AgentPolicyLease()
-        agent.heard(100, PolicyAssignment(1, 50, b"one"))
-        agent.heard(20, PolicyAssignment(1, 50))
-        self.assertEqual(agent.hand_on(), (1, 150))
-        self.assertFalse(agent.heard(300, PolicyAssignment(0, 50)))
-        agent.heard(
+        agent.receive_assignment(100, PolicyAssignment(1, 50, b"one"))
+        agent.receive_assignment(20, PolicyAssignment(1, 50))
+        self.assertEqual(agent.node_lease(), (1, 150))
+        self.assertFalse(agent.receive_assignment(300, PolicyAssignment(0, 50)))
+        agent.receive_assignment(
             200, PolicyAssignment(2, 50)
         )  # with no content it can't go by that, and has no more time for this
-        self.assertEqual(agent.hand_on(), (1, 150))
+        self.assertEqual(agent.node_lease(), (1, 150))
 
 
 class LeadingStories(unittest.TestCase):
@@ -121,45 +121,45 @@
         return self.register.state.policies[1].state
 
     def say(self, now: int, host: str, **told) -> None:
-        self.do(*self.leader.heard(now, host, PolicyReport(**({"number": 0} | told)), now))
+        self.do(*self.leader.receive_report(now, host, PolicyReport(**({"number": 0} | told)), now))
         self.do(*self.leader.tick(now))
 
     def test_it_is_decided_once_all_are_ready_and_in_force_once_all_go_by_it(self):
-        self.say(SECOND, "h1", ready=1)
+        self.say(SECOND, "h1", ready_version=1)
         self.assertEqual(self.state(), "proposed")
-        self.say(SECOND, "h2", ready=1)
+        self.say(SECOND, "h2", ready_version=1)
         self.assertEqual(self.state(), "decided")
-        self.assertEqual(self.leader.answer(SECOND, "h1", PolicyReport(0)).content, b"one")
+        self.assertEqual(self.leader.assign(SECOND, "h1", PolicyReport(0)).content, b"one")
         self.do(*self.leader.tick(SECOND))
-        self.say(2 * SECOND, "h1", number=1, has=1)
+        self.say(2 * SECOND, "h1", number=1, held_version=1)
         self.assertEqual(self.state(), "decided")
-        self.say(2 * SECOND, "h2", number=1, has=1)
+        self.say(2 * SECOND, "h2", number=1, held_version=1)
         self.assertEqual(self.state(), "in force")
 
     def test_one_that_is_not_heard_is_waited_for_as_long_as_it_may_go_by_the_old_and_no_longer(self):
-        self.say(SECOND, "h1", ready=1)
-        self.say(SECOND, "h2", ready=1)
+        self.say(SECOND, "h1", ready_version=1)
+        self.say(SECOND, "h2", ready_version=1)
         self.do(*self.leader.tick(SECOND))
-        self.say(2 * SECOND, "h1", number=1, has=1)
+        self.say(2 * SECOND, "h1", number=1, held_version=1)
         self.do(*self.leader.tick(SECOND + LEASE))
         self.assertEqual(self.state(), "decided")
         self.do(*self.leader.tick(SECOND + PermitTimeouts().upper_bound(LEASE) + 2))
         self.assertEqual(self.state(), "in force")
 
     def test_a_new_leader_waits_a_whole_lease_anew(self):
-        self.say(SECOND, "h1", ready=1)
-        self.say(SECOND, "h2", ready=1)
+        self.say(SECOND, "h1", ready_version=1)
+        self.say(SECOND, "h2", ready_version=1)
         self.leader = PolicyCoordinator(3 * SECOND, self.register, ("h1", "h2"), PermitTimeouts())
         self.do(*self.leader.tick(3 * SECOND))
         self.do(*self.leader.tick(3 * SECOND + LEASE))
         self.assertEqual(self.state(), "decided")
 
     def test_any_no_ends_it_by_name_and_one_down_does_not_keep_it_from_being_made(self):
-        self.say(SECOND, "h2", refused=1, why="n3 has no group 'quote'")
-        self.assertEqual(self.register.state.policies[1].why, "h2: n3 has no group 'quote'")
+        self.say(SECOND, "h2", refused_version=1, reason="n3 has no group 'quote'")
+        self.assertEqual(self.register.state.policies[1].state_reason, "h2: n3 has no group 'quote'")
         self.do(ProposePolicy("c2", "asha", 0, "", 0, b"two"))
-        self.say(2 * SECOND, "h1", ready=2)
-        self.say(12 * SECOND, "h1", ready=2)
+        self.say(2 * SECOND, "h1", ready_version=2)
+        self.say(12 * SECOND, "h1", ready_version=2)
         self.assertEqual(self.register.state.policies[2].state, "decided")
 
 
@@ -176,13 +176,15 @@
         self.assertGreater(made, 100)
 
     def test_nodes_that_go_on_without_a_lease_are_caught(self):
-        with mock.patch.object(NodePolicyLease, "may_decide", lambda policy, now: policy.until > 0):
+        with mock.patch.object(NodePolicyLease, "may_decide", lambda policy, now: policy.expires_at > 0):
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
     def test_a_lease_that_counts_from_the_answer_is_caught(self):
-        old = PolicyHost.answered
+        old = PolicyHost.receive_assignment
         with mock.patch.object(
-            PolicyHost, "answered", lambda host, life, sent_at, heard: old(host, life, host.now(), heard)
+            PolicyHost,
+            "receive_assignment",
+            lambda host, life, sent_at, heard: old(host, life, host.now(), heard),
         ):
             self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
 
@@ -191,23 +193,23 @@
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
     def test_a_version_that_is_used_before_it_is_decided_is_caught(self):
-        old = PolicyCoordinator.answer
+        old = PolicyCoordinator.assign
 
         def early(leader, now, host, told):
             heard = old(leader, now, host, told)
-            if heard.proposed and heard.offered:
-                heard.number, heard.content = heard.proposed, heard.offered
+            if heard.proposed_number and heard.proposed_content:
+                heard.number, heard.content = heard.proposed_number, heard.proposed_content
             return heard
 
-        with mock.patch.object(PolicyCoordinator, "answer", early):
+        with mock.patch.object(PolicyCoordinator, "assign", early):
             self.assertRegex(self.breaches()[0], "promise 12: ")
 
     def test_the_auditor_finds_what_comes_before_and_after_it_is_told(self):
         audit = PolicyChangeAudit()
-        audit.decide(0, "n1", 2)
-        audit.told_not_made(1, 2)
-        audit.told_in_force(2, 3)
-        audit.decide(3, "n2", 1)
+        audit.record_decision(0, "n1", 2)
+        audit.record_not_made(1, 2)
+        audit.record_in_force(2, 3)
+        audit.record_decision(3, "n2", 1)
         self.assertEqual(len(audit.breaches), 2)
 
 
