--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -16,6 +16,7 @@
 from oakkeel.disruption.order_handlers import submit_order
 from oakkeel.disruption.state import ControlPlaneState, DisruptionOrder, Rejection, TaskState
 from oakkeel.disruption.state_machine import PermitStateMachine
+from oakkeel.errors import InvalidTransitionError
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.validation import find_fault
@@ -282,15 +283,15 @@
             self.state.versions.pop(target, None)
 
     def _move_target(self, target: ReleaseTarget, state: str) -> None:
-        """Change the state of a target; nothing else does."""
+        """Change the state of a target; nothing else does. Raises InvalidTransitionError."""
         if state not in TARGET_TRANSITIONS[target.state] and state != target.state:
-            raise RuntimeError(f"{target.state} to {state}")
+            raise InvalidTransitionError("a target of a release", target.state, state)
         target.state = state
 
     def _move_release(self, release: Release, state: str, why: str) -> Release:
-        """Change the state of a release; nothing else does."""
+        """Change the state of a release; nothing else does. Raises InvalidTransitionError."""
         if state not in TRANSITIONS[release.state]:
-            raise RuntimeError(f"{release.state} to {state}")
+            raise InvalidTransitionError(f"release {release.ident}", release.state, state)
         was, release.state = release.state, state
         release.why = why or release.why
         order = self.state.orders.get(release.order_id)
