--- a/tests/fair_sharing/test_node.py
+++ b/tests/fair_sharing/test_node.py
@@ -9,10 +9,10 @@
 from unittest import mock
 
 from oakkeel.admission import SECOND
-from tests.support.node_process import NodeStory
+from tests.support.node_process import NodeProcessTest
 
 
-class FairSharingNodeTest(NodeStory):
+class FairSharingNodeTest(NodeProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
