--- a/measure/plan.py
+++ b/measure/plan.py
@@ -122,7 +122,7 @@
         "out_s": statistics.median(out) if out else 0.0,
         "most": watched.most,
         "breaches": world.audit.breaches + world.rollout_audit.breaches,
-        "events": world.clock.happened,
+        "events": world.clock.events_processed,
     }
 
 
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -64,7 +64,7 @@
         simulation, breaches = play(drawn(seed, releases))
     except Exception as error:  # a decision that failed is a breach as well
         return PlayedSchedule(seed, [f"{type(error).__name__}: {error}"])
-    return PlayedSchedule(seed, breaches, simulation.stuck(), simulation.clock.happened)
+    return PlayedSchedule(seed, breaches, simulation.stuck(), simulation.clock.events_processed)
 
 
 def fails(schedule: Schedule) -> bool:
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Dispatchers: exchanges come by chance, whatever becomes of them; each is tried on some node or more."""
+"""Simulated dispatchers: requests arrive at random, open loop, and each is attempted on one node or more."""
 
 from __future__ import annotations
 
@@ -7,196 +7,293 @@
 from enum import Enum
 from random import Random
 
-from oakkeel.admission.types import NodeLimits, Request
+from oakkeel.admission.types import NodeLimits, Request, RequestClass
 from oakkeel.emulator.clock import SECOND, Clock
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.nodes import MS, SimulatedNode
 
+EXPECTED_KB = 25.0  # memory that a dispatcher announces for a request
+LATENCY_SMOOTHING = 0.2  # weight of the newest latency in a node's moving average
+MAX_DELAY_FACTOR = 8  # a network delay this many times the mean is still within the deadline
+TIMEOUT_MARGIN = 100 * MS  # past timeout and network, before an unanswered attempt is abandoned
+REQUEST_ID_RANGE = 100_000_000  # attempt IDs of one dispatcher
+HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash
+
 
 class BalancingPolicy(Enum):
-    """How a dispatcher chooses among the nodes that it believes to be good."""
+    """How a dispatcher chooses among the nodes that it believes to be available."""
 
-    ROUND = "round"
-    LEAST = "least"  # fewest of its own open
-    SUBJECT = "subject"  # by what the exchange is about
-    FASTEST = "fastest"  # the shortest mean answer of late
+    ROUND_ROBIN = "round"
+    LEAST_REQUESTS = "least"  # fewest open requests of this dispatcher
+    HASH = "subject"  # by the request's routing key
+    LEAST_LATENCY = "fastest"  # by the moving average of latencies
 
 
 @dataclass(slots=True, frozen=True)
 class ClientBehavior:
-    """How a dispatcher treats its callers and nodes. Times in nanoseconds."""
+    """How a dispatcher treats its requests and nodes; times in nanoseconds."""
+
+    policy: BalancingPolicy = BalancingPolicy.ROUND_ROBIN
+    max_attempts: int = 3
+    timeout: int = 2 * SECOND  # of an attempt, and of all attempts together
+    abandon_after: int = 0  # without a response; the node sees the client disconnect; 0: only at the timeout
+    honors_retry_after: bool = True  # avoids a node for as long as its rejection asks
+    delay: int = MS  # mean one-way network delay
+    loss: float = 0.0  # share of attempts that never reach their node
 
-    way: BalancingPolicy = BalancingPolicy.ROUND
-    tries: int = 3
-    patience: int = 2 * SECOND  # of a try, in all
-    hasty: int = 0  # without an answer for so long, another node is tried and the first told so; 0: never
-    heeds: bool = True  # stays away from a node that says so
-    delay: int = MS  # one way, in the mean
-    loss: float = 0.0  # of exchanges that never arrive
+    @property
+    def delay_allowance(self) -> int:
+        """Nanoseconds allowed for a round trip of the network, far above its mean."""
+        return 2 * self.delay * MAX_DELAY_FACTOR
 
 
 class NodeView:
     """What a dispatcher knows of one node."""
 
-    __slots__ = ("away_until", "mean", "node", "open")
+    __slots__ = ("avoid_until", "mean_latency", "node", "open_requests")
 
     def __init__(self, node: SimulatedNode) -> None:
-        self.node, self.open, self.away_until, self.mean = node, 0, 0, 0.0
+        """Start with a node that has been sent nothing."""
+        self.node = node
+        self.open_requests = 0
+        self.avoid_until = 0
+        self.mean_latency = 0.0
+
+    def record_latency(self, latency: int) -> None:
+        """Count a request as closed and take its latency, in nanoseconds, into the moving average."""
+        self.open_requests -= 1
+        self.mean_latency += LATENCY_SMOOTHING * (latency - self.mean_latency)
 
 
 class ClientRequest:
-    """One exchange with all its tries."""
+    """One request with all its attempts."""
+
+    __slots__ = ("attempts", "cost", "finished", "name", "request_class", "routing_key", "started_at")
+
+    def __init__(
+        self, name: str, request_class: RequestClass, started_at: int, routing_key: int, cost: float
+    ) -> None:
+        """`cost`: nanoseconds of a core at full speed."""
+        self.name = name
+        self.request_class = request_class
+        self.started_at = started_at
+        self.routing_key = routing_key
+        self.cost = cost
+        self.attempts = 0
+        self.finished = False
+
 
-    __slots__ = ("begun", "group", "name", "over", "size", "subject", "tries")
+class ClientAttempt:
+    """One attempt of a request on one node, from the dispatcher's side."""
 
-    def __init__(self, name: str, group: int, begun: int, subject: int, size: float) -> None:
-        self.name, self.group, self.begun, self.subject, self.size = name, group, begun, subject, size
-        self.tries, self.over = 0, False
+    __slots__ = ("closed", "dispatcher", "request_id", "sent_at", "view", "wire_request", "work")
+
+    def __init__(
+        self,
+        dispatcher: Dispatcher,
+        work: ClientRequest,
+        view: NodeView,
+        request_id: int,
+        wire_request: Request,
+    ) -> None:
+        """Open an attempt; `send` transmits it."""
+        self.dispatcher = dispatcher
+        self.work = work
+        self.view = view
+        self.request_id = request_id
+        self.wire_request = wire_request
+        self.sent_at = dispatcher.clock.now
+        self.closed = False
+
+    def send(self) -> None:
+        """Transmit the request, unless it gets lost, and set the timer that abandons the attempt."""
+        dispatcher, node = self.dispatcher, self.view.node
+        behavior = dispatcher.behavior
+        due = self.sent_at + min(behavior.timeout, self.work.request_class.client_timeout)
+        dispatcher.audit.sent(
+            self.request_id,
+            self.sent_at,
+            due + behavior.delay_allowance,
+            self.work.request_class.at_most_once,
+            self.work.name,
+            node.name,
+        )
+        self.view.open_requests += 1
+        if dispatcher.random.random() < behavior.loss or not node.alive:
+            dispatcher.audit.excused(self.request_id, self.sent_at)
+        else:
+            dispatcher.clock.after(
+                dispatcher.network_delay(),
+                node.receive,
+                self.request_id,
+                self.wire_request,
+                self.work.cost,
+                self._on_response_sent,
+            )
+        wait = behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN
+        dispatcher.clock.after(wait, self._on_timeout)
+
+    def _on_response_sent(self, status: str, retry_after: int) -> None:
+        """The node responded; the response is on its way."""
+        dispatcher = self.dispatcher
+        dispatcher.audit.answered(self.request_id, dispatcher.clock.now, status)
+        dispatcher.clock.after(dispatcher.network_delay(), self._on_response, status, retry_after)
+
+    def _on_response(self, status: str, retry_after: int) -> None:
+        if self.closed:
+            return
+        dispatcher = self.dispatcher
+        self._close()
+        if status == "completed":
+            dispatcher.finish(self.work, "completed")
+            return
+        dispatcher.counts[status] += 1
+        if retry_after:
+            self.view.avoid_until = dispatcher.clock.now + retry_after
+        dispatcher.retry(self.work, self.work.request_class.at_most_once and status != "denied")
+
+    def _on_timeout(self) -> None:
+        """Abandon the attempt: its node sees the client disconnect."""
+        if self.closed:
+            return
+        dispatcher = self.dispatcher
+        self._close()
+        dispatcher.audit.excused(self.request_id, dispatcher.clock.now)  # no response is owed from here on
+        dispatcher.clock.after(
+            dispatcher.network_delay(), self.view.node.client_disconnected, self.wire_request
+        )
+        dispatcher.retry(self.work, self.work.request_class.at_most_once)
+
+    def _close(self) -> None:
+        self.closed = True
+        self.view.record_latency(self.dispatcher.clock.now - self.sent_at)
 
 
 class Dispatcher:
+    """An open-loop load generator with its own view of the nodes and its own balancing policy."""
+
     def __init__(
         self,
         number: int,
         clock: Clock,
         limits: NodeLimits,
-        sizes: list[float],
-        manners: ClientBehavior,
+        mean_costs: list[float],
+        behavior: ClientBehavior,
         audit: RuleAudit,
         seed: int,
     ) -> None:
-        """`sizes`: nanoseconds of a core that an exchange of each group takes, in the mean."""
-        self.number, self.clock, self.limits, self.sizes = number, clock, limits, sizes
-        self.manners, self.audit, self.random = manners, audit, Random(seed)
-        self.links: list[NodeView] = []
-        self.rate, self.turn, self.made, self.sent = 0.0, 0, 0, 0
+        """`mean_costs`: nanoseconds of a core that a request of each request class takes in the mean."""
+        self.number, self.clock, self.limits, self.mean_costs = number, clock, limits, mean_costs
+        self.behavior, self.audit, self.random = behavior, audit, Random(seed)
+        self.views: list[NodeView] = []
+        self.rate = 0.0
+        self.next_index = 0  # of the round robin
+        self.requests_created = 0
+        self.attempts_sent = 0
         self.counts: Counter[str] = Counter()
-        self.benefit = 0.0
+        self.goodput = 0.0
         self.latencies: list[int] = []
 
-    def list(self, nodes: list[SimulatedNode]) -> None:
-        """Those that the directory names by now."""
-        known = {link.node: link for link in self.links}
-        self.links = [known.get(node) or NodeView(node) for node in nodes]
+    def set_nodes(self, nodes: list[SimulatedNode]) -> None:
+        """Take the nodes that the directory lists now; what is known of those that stay is retained."""
+        known = {view.node: view for view in self.views}
+        self.views = [known.get(node) or NodeView(node) for node in nodes]
 
-    def start(self, rate: float) -> None:
-        """Exchanges a second, from now on."""
-        idle, self.rate = self.rate <= 0, rate
-        if idle and rate > 0:
-            self._later()
+    def set_rate(self, rate: float) -> None:
+        """Create so many requests a second from now on."""
+        was_idle, self.rate = self.rate <= 0, rate
+        if was_idle and rate > 0:
+            self._schedule_next()
 
-    def _later(self) -> None:
+    def _schedule_next(self) -> None:
         if self.rate > 0:
-            self.clock.after(int(self.random.expovariate(self.rate) * SECOND), self._first)
+            self.clock.after(int(self.random.expovariate(self.rate) * SECOND), self._create_request)
 
-    def _first(self) -> None:
-        self._later()
-        self.made += 1
-        group = self.random.randrange(len(self.sizes))
-        size = self.sizes[group] * (0.5 + self.random.random())
+    def _create_request(self) -> None:
+        self._schedule_next()
+        self.requests_created += 1
+        class_index = self.random.randrange(len(self.mean_costs))
+        cost = self.mean_costs[class_index] * (0.5 + self.random.random())
         work = ClientRequest(
-            f"{self.number}.{self.made}", group, self.clock.now, int(self.random.paretovariate(1.1)), size
+            f"{self.number}.{self.requests_created}",
+            self.limits.request_classes[class_index],
+            self.clock.now,
+            int(self.random.paretovariate(1.1)),
+            cost,
         )
         self.counts["asked"] += 1
-        self._try(work)
+        self._attempt(work)
 
     def _choose(self, work: ClientRequest) -> NodeView | None:
-        way = self.manners.way
-        if way is BalancingPolicy.ROUND:  # no look at all of a large fleet
-            for _ in self.links:
-                self.turn += 1
-                link = self.links[self.turn % len(self.links)]
-                if self._good(link):
-                    return link
-            return None
-        links = [link for link in self.links if self._good(link)]
-        if not links:
+        policy = self.behavior.policy
+        if policy is BalancingPolicy.ROUND_ROBIN:
+            return self._choose_in_turn()
+        views = [view for view in self.views if self._is_available(view)]
+        if not views:
             return None
-        if way is BalancingPolicy.SUBJECT:
-            return links[(work.subject * 2654435761 + work.tries) % len(links)]
-        if way is BalancingPolicy.LEAST:
-            return min(links, key=lambda link: (link.open, self.random.random()))
-        if way is BalancingPolicy.FASTEST:
-            return min(links, key=lambda link: (link.mean, self.random.random()))
-        raise ValueError(f"no way of choosing: {way}")
-
-    def _good(self, link: NodeView) -> bool:
-        return link.node.healthy and not (self.manners.heeds and link.away_until > self.clock.now)
-
-    def _try(self, work: ClientRequest) -> None:
-        link = self._choose(work)
-        if link is None:
-            return self._end(work, "unsent")
-        manners, now = self.manners, self.clock.now
-        work.tries += 1
-        self.sent += 1
-        ident = self.number * 100_000_000 + self.sent
-        group = self.limits.request_classes[work.group]
-        request = Request(group, None, self.number, 25.0, work.tries > 1, manners.patience, 0, False, False)
-        due = now + min(manners.patience, group.client_timeout)
-        self.audit.sent(
-            ident, now, due + 2 * manners.delay * 8, group.at_most_once, work.name, link.node.name
+        if policy is BalancingPolicy.HASH:
+            return views[(work.routing_key * HASH_MULTIPLIER + work.attempts) % len(views)]
+        if policy is BalancingPolicy.LEAST_REQUESTS:
+            return min(views, key=lambda view: (view.open_requests, self.random.random()))
+        if policy is BalancingPolicy.LEAST_LATENCY:
+            return min(views, key=lambda view: (view.mean_latency, self.random.random()))
+        raise ValueError(f"unknown balancing policy: {policy}")
+
+    def _choose_in_turn(self) -> NodeView | None:
+        """Return the next available node without looking at the whole of a large fleet."""
+        for _ in self.views:
+            self.next_index += 1
+            view = self.views[self.next_index % len(self.views)]
+            if self._is_available(view):
+                return view
+        return None
+
+    def _is_available(self, view: NodeView) -> bool:
+        avoided = self.behavior.honors_retry_after and view.avoid_until > self.clock.now
+        return view.node.healthy and not avoided
+
+    def _attempt(self, work: ClientRequest) -> None:
+        view = self._choose(work)
+        if view is None:
+            self.finish(work, "unsent")
+            return
+        work.attempts += 1
+        self.attempts_sent += 1
+        request_id = self.number * REQUEST_ID_RANGE + self.attempts_sent
+        is_retry = work.attempts > 1
+        wire_request = Request(
+            work.request_class,
+            None,
+            self.number,
+            EXPECTED_KB,
+            is_retry,
+            self.behavior.timeout,
+            0,
+            False,
+            False,
         )
-        link.open += 1
-        state = {"over": False}
-
-        def answered(word: str, retry_after: int) -> None:
-            self.audit.answered(ident, self.clock.now, word)
-            self.clock.after(self._delay(), heard, word, retry_after)
-
-        def heard(word: str, retry_after: int) -> None:
-            if state["over"]:
-                return None
-            state["over"] = True
-            link.open -= 1
-            took = self.clock.now - now
-            link.mean += 0.2 * (took - link.mean)
-            if word == "completed":
-                return self._end(work, "completed")
-            self.counts[word] += 1
-            if retry_after:
-                link.away_until = self.clock.now + retry_after
-            self._again(work, group.at_most_once and word != "denied")
-
-        def silent() -> None:
-            """No answer in the time that a try has here."""
-            if state["over"]:
-                return
-            state["over"] = True
-            link.open -= 1
-            link.mean += 0.2 * (self.clock.now - now - link.mean)
-            self.audit.excused(ident, self.clock.now)  # its caller is gone from here on
-            self.clock.after(self._delay(), link.node.gone, request)
-            self._again(work, group.at_most_once)
-
-        if self.random.random() < manners.loss or not link.node.alive:
-            self.audit.excused(ident, now)
-        else:
-            self.clock.after(self._delay(), link.node.receive, ident, request, work.size, answered)
-        wait = manners.hasty or manners.patience + 2 * manners.delay * 8 + 100 * MS
-        self.clock.after(wait, silent)
-
-    def _again(self, work: ClientRequest, may_have_run: bool) -> None:
-        """Another try, where it does no harm and is in time."""
-        if may_have_run or work.tries >= self.manners.tries:
-            return self._end(work, "given up")
-        if self.clock.now - work.begun >= self.manners.patience:
-            return self._end(work, "given up")
-        self._try(work)
-
-    def _end(self, work: ClientRequest, how: str) -> None:
-        if work.over:
+        ClientAttempt(self, work, view, request_id, wire_request).send()
+
+    def retry(self, work: ClientRequest, may_have_run: bool) -> None:
+        """Attempt the request again where that is safe and its timeout and attempts allow it."""
+        timed_out = self.clock.now - work.started_at >= self.behavior.timeout
+        if may_have_run or work.attempts >= self.behavior.max_attempts or timed_out:
+            self.finish(work, "given up")
             return
-        work.over = True
-        self.counts[how] += 1
-        if how == "completed":
-            group, took = self.limits.request_classes[work.group], self.clock.now - work.begun
-            self.latencies.append(took)
-            self.benefit += (
-                group.priority_weight
-                if took <= group.latency_objective
-                else group.priority_weight * group.late_weight
-            )
+        self._attempt(work)
 
-    def _delay(self) -> int:
-        return int(self.random.expovariate(1.0) * self.manners.delay)
+    def finish(self, work: ClientRequest, result: str) -> None:
+        """Count the request's result, once."""
+        if work.finished:
+            return
+        work.finished = True
+        self.counts[result] += 1
+        if result == "completed":
+            request_class, latency = work.request_class, self.clock.now - work.started_at
+            self.latencies.append(latency)
+            in_time = latency <= request_class.latency_objective
+            self.goodput += request_class.priority_weight * (1.0 if in_time else request_class.late_weight)
+
+    def network_delay(self) -> int:
+        """Draw a one-way delay in nanoseconds."""
+        return int(self.random.expovariate(1.0) * self.behavior.delay)
--- a/oakkeel/emulator/clock.py
+++ b/oakkeel/emulator/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: what is to happen, in the order of its time and then of its making."""
+"""Simulated time: scheduled events run by time, and those of the same time in the order of their scheduling."""
 
 from __future__ import annotations
 
@@ -10,41 +10,48 @@
 
 
 class ScheduledEvent:
-    """One thing that is to happen; it can be called off."""
+    """A callback with its arguments, due at some time; it can be cancelled."""
 
-    __slots__ = ("act", "words")
+    __slots__ = ("arguments", "callback")
 
-    def __init__(self, act: Callable[..., None], words: tuple[Any, ...]) -> None:
-        self.words = words
-        self.act: Callable[..., None] | None = act
+    def __init__(self, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        """Hold `callback` until the clock calls it with `arguments`."""
+        self.arguments = arguments
+        self.callback: Callable[..., None] | None = callback
 
-    def call_off(self) -> None:
-        self.act = None
+    def cancel(self) -> None:
+        """Never run the callback; no effect once it has run."""
+        self.callback = None
 
 
 class Clock:
-    """Nanoseconds from the start of the day."""
+    """Nanoseconds from the start of the simulation, and the events scheduled in it."""
 
     def __init__(self) -> None:
-        self.now = self.order = self.happened = 0
-        self.ahead: list[tuple[int, int, ScheduledEvent]] = []
-
-    def at(self, when: int, act: Callable[..., None], *words: Any) -> ScheduledEvent:
-        self.order += 1
-        happening = ScheduledEvent(act, words)
-        heappush(self.ahead, (max(when, self.now), self.order, happening))
-        return happening
-
-    def after(self, wait: int, act: Callable[..., None], *words: Any) -> ScheduledEvent:
-        return self.at(self.now + wait, act, *words)
+        """Start at 0 with nothing scheduled."""
+        self.now = 0
+        self.sequence = 0
+        self.events_processed = 0
+        self.scheduled: list[tuple[int, int, ScheduledEvent]] = []
+
+    def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> ScheduledEvent:
+        """Schedule a call at a time, at the earliest now."""
+        self.sequence += 1
+        event = ScheduledEvent(callback, arguments)
+        heappush(self.scheduled, (max(when, self.now), self.sequence, event))
+        return event
+
+    def after(self, delay: int, callback: Callable[..., None], *arguments: Any) -> ScheduledEvent:
+        """Schedule a call `delay` nanoseconds from now."""
+        return self.at(self.now + delay, callback, *arguments)
 
     def run(self, until: int) -> None:
-        """All that happens up to a time, that time included."""
-        ahead = self.ahead
-        while ahead and ahead[0][0] <= until:
-            when, _, happening = heappop(ahead)
-            if happening.act is not None:
+        """Run all events up to a time, that time included."""
+        scheduled = self.scheduled
+        while scheduled and scheduled[0][0] <= until:
+            when, _, event = heappop(scheduled)
+            if event.callback is not None:
                 self.now = when
-                self.happened += 1
-                happening.act(*happening.words)
+                self.events_processed += 1
+                event.callback(*event.arguments)
         self.now = until
--- a/oakkeel/emulator/invariants.py
+++ b/oakkeel/emulator/invariants.py
@@ -1,6 +1,6 @@
-"""Whether the four rules hold, by what is seen from outside. Shares no code with the node or its decisions.
+"""Checks the four rules by what is seen from outside; shares no code with the node or its decisions.
 
-It is told what callers sent and got, and what machines did, and knows nothing of why.
+The audit is given what clients sent and received and what machines did, and no reasons for it.
 """
 
 from __future__ import annotations
@@ -8,86 +8,107 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLACK = 50_000_000  # nanoseconds that an answer may come after its due time
+TOLERANCE = 50_000_000  # nanoseconds that a response may come after its deadline
+MILLISECOND = 1_000_000
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One try of one exchange."""
+    """One attempt of one request; times in nanoseconds."""
 
-    sent: int
-    due: int
-    once: bool  # it may not take effect twice
-    work: str  # names what it would do; a further try of it has the same name
+    sent_at: int
+    deadline: int
+    at_most_once: bool  # it may not take effect twice
+    work: str  # names the effect; a further attempt of the same request has the same name
     node: str
-    answers: list[tuple[int, str]] = field(default_factory=list)
+    responses: list[tuple[int, str]] = field(default_factory=list)  # time and status
     runs: int = 0
-    excused: bool = False  # its caller was gone, or its node died under it
+    excused: bool = False  # its client was gone, or its node died under it
+
+    def breaches(self, attempt_id: int, now: int) -> list[str]:
+        """Return what shows at the end of the scenario to have broken rule 1."""
+        found = []
+        if len(self.responses) > 1:
+            found.append(f"rule 1: try {attempt_id} got {len(self.responses)} answers")
+        if self.excused:
+            return found
+        latest = self.deadline + TOLERANCE
+        if not self.responses:
+            if now > latest:
+                found.append(f"rule 1: try {attempt_id} got no answer")
+            return found
+        responded_at, status = self.responses[0]
+        if responded_at > latest:
+            late = (responded_at - self.deadline) // MILLISECOND
+            found.append(f"rule 1: the answer to try {attempt_id} was {late} ms late")
+        if status == "completed" and not self.runs:
+            found.append(f"rule 1: try {attempt_id} was answered as completed and never ran")
+        return found
 
 
 class RuleAudit:
-    def __init__(self, most_breaches: int = 1000) -> None:
-        self.tries: dict[int, Attempt] = {}
-        self.effects: Counter[str] = Counter()  # runs that were finished, by the work they did
+    """Collects breaches of the four rules during a scenario."""
+
+    def __init__(self, max_breaches: int = 1000) -> None:
+        """List `max_breaches` at most; further ones are dropped."""
+        self.attempts: dict[int, Attempt] = {}
+        self.effects: Counter[str] = Counter()  # completed runs by the work that they did
         self.breaches: list[str] = []
-        self.most = most_breaches
-        self.leaves: dict[str, int] = {}  # by node: when its grace was over
-
-    def sent(self, ident: int, now: int, due: int, once: bool, work: str, node: str) -> None:
-        self.tries[ident] = Attempt(now, due, once, work, node)
-
-    def answered(self, ident: int, now: int, word: str) -> None:
-        self.tries[ident].answers.append((now, word))
-
-    def excused(self, ident: int, now: int) -> None:
-        """Its caller is gone, or its node: no answer is owed, unless it was due by then."""
-        seen = self.tries[ident]
-        seen.excused = seen.excused or now <= seen.due
-
-    def leaves_by(self, node: str, grace_end: int) -> None:
-        self.leaves[node] = grace_end
-
-    def arrived_and_ran(self, ident: int, arrived: int) -> None:
-        """A run was begun for what reached the machine at that time."""
-        seen = self.tries[ident]
-        seen.runs += 1
-        if seen.runs > 1:
-            self._breach(f"rule 2: try {ident} ran {seen.runs} times")
-        if arrived > self.leaves.get(seen.node, arrived):
-            self._breach(f"rule 3: try {ident} reached {seen.node} after its grace and ran")
-
-    def effect(self, ident: int) -> None:
-        """A run was finished, and did what it does."""
-        seen = self.tries[ident]
-        self.effects[seen.work] += 1
-        if seen.once and self.effects[seen.work] > 1:
-            self._breach(f"rule 2: {seen.work} took effect {self.effects[seen.work]} times")
-
-    def stood_still(self, node: str, since: int, until: int) -> None:
-        """A machine that stands still can answer nothing: the time is not counted against its node."""
-        for seen in self.tries.values():
-            if seen.node == node and seen.sent < until and seen.due > since:
-                seen.due += until - since
-
-    def fell(self, node: str, why: str) -> None:
-        self._breach(f"rule 4: {node} fell over: {why}")
+        self.max_breaches = max_breaches
+        self.grace_ends: dict[str, int] = {}  # by node
+
+    def sent(
+        self, attempt_id: int, now: int, deadline: int, at_most_once: bool, work: str, node: str
+    ) -> None:
+        """Record an attempt that a client sent to a node."""
+        self.attempts[attempt_id] = Attempt(now, deadline, at_most_once, work, node)
+
+    def answered(self, attempt_id: int, now: int, status: str) -> None:
+        """Record a response of the node."""
+        self.attempts[attempt_id].responses.append((now, status))
+
+    def excused(self, attempt_id: int, now: int) -> None:
+        """Record that the client or the node is gone: no response is owed unless it was due before."""
+        attempt = self.attempts[attempt_id]
+        attempt.excused = attempt.excused or now <= attempt.deadline
+
+    def drain_started(self, node: str, grace_end: int) -> None:
+        """Record that the node drains and may run nothing that arrives after its grace period."""
+        self.grace_ends[node] = grace_end
+
+    def run_started(self, attempt_id: int, arrived_at: int) -> None:
+        """Record the start of a run for a request that reached the machine at `arrived_at`."""
+        attempt = self.attempts[attempt_id]
+        attempt.runs += 1
+        if attempt.runs > 1:
+            self._add(f"rule 2: try {attempt_id} ran {attempt.runs} times")
+        if arrived_at > self.grace_ends.get(attempt.node, arrived_at):
+            self._add(f"rule 3: try {attempt_id} reached {attempt.node} after its grace and ran")
+
+    def took_effect(self, attempt_id: int) -> None:
+        """Record that a run completed and had its effect."""
+        attempt = self.attempts[attempt_id]
+        self.effects[attempt.work] += 1
+        if attempt.at_most_once and self.effects[attempt.work] > 1:
+            self._add(f"rule 2: {attempt.work} took effect {self.effects[attempt.work]} times")
+
+    def node_stalled(self, node: str, since: int, until: int) -> None:
+        """Extend deadlines by a stall: a stalled machine can't respond, which isn't its node's fault."""
+        for attempt in self.attempts.values():
+            if attempt.node == node and attempt.sent_at < until and attempt.deadline > since:
+                attempt.deadline += until - since
+
+    def node_overloaded(self, node: str, reason: str) -> None:
+        """Record a node that ran more at once than its machine bears."""
+        self._add(f"rule 4: {node} fell over: {reason}")
 
     def end(self, now: int) -> list[str]:
-        """All breaches, with those that only the end of the day shows."""
-        for ident, seen in self.tries.items():
-            if len(seen.answers) > 1:
-                self._breach(f"rule 1: try {ident} got {len(seen.answers)} answers")
-            if seen.excused:
-                continue
-            if not seen.answers and now > seen.due + SLACK:
-                self._breach(f"rule 1: try {ident} got no answer")
-            elif seen.answers and seen.answers[0][0] > seen.due + SLACK:
-                late = (seen.answers[0][0] - seen.due) // 1_000_000
-                self._breach(f"rule 1: the answer to try {ident} was {late} ms late")
-            if seen.answers and seen.answers[0][1] == "completed" and not seen.runs:
-                self._breach(f"rule 1: try {ident} was answered as completed and never ran")
+        """Return all breaches, with those that only the end of the scenario shows."""
+        for attempt_id, attempt in self.attempts.items():
+            for breach in attempt.breaches(attempt_id, now):
+                self._add(breach)
         return self.breaches
 
-    def _breach(self, text: str) -> None:
-        if len(self.breaches) < self.most:
-            self.breaches.append(text)
+    def _add(self, breach: str) -> None:
+        if len(self.breaches) < self.max_breaches:
+            self.breaches.append(breach)
--- a/oakkeel/emulator/machines.py
+++ b/oakkeel/emulator/machines.py
@@ -1,8 +1,8 @@
-"""A machine whose cores are shared by all that runs on it.
+"""A machine whose cores are shared by all tasks that run on it.
 
-Processor sharing, exactly: every task on the cores has the same speed, so a task ends when the service that
-each has had since its start reaches its work. Past a number of tasks a core that nobody is told, contention
-makes all slower still. Source of the sharing: L. Kleinrock, "Queueing Systems" II, 1976, section 4.4.
+Processor sharing, exactly: every task on the cores runs at the same speed, so a task ends when the service
+that each task has had since its start reaches its cost. Past a number of tasks a core, which the node is not
+given, contention slows all of them further. Source: L. Kleinrock, "Queueing Systems" II, 1976, section 4.4.
 """
 
 from __future__ import annotations
@@ -14,88 +14,96 @@
 
 
 class Task:
-    """Work on the cores: nanoseconds of a core at full speed."""
+    """Work on the cores."""
 
-    __slots__ = ("counted", "done", "ends")
+    __slots__ = ("active", "end_service", "on_done")
 
-    def __init__(self, ends: float, done: Callable[[], None]) -> None:
-        self.ends, self.done, self.counted = ends, done, True
+    def __init__(self, end_service: float, on_done: Callable[[], None]) -> None:
+        """End when the machine's `service` reaches `end_service`; nanoseconds of a core at full speed."""
+        self.end_service = end_service
+        self.on_done = on_done
+        self.active = True
 
 
 class Machine:
+    """Cores under processor sharing, with a speed that can change."""
+
     def __init__(self, clock: Clock, cores: int, knee: float = 3.0, slope: float = 0.15) -> None:
         """From `knee` tasks a core on, each further one a core costs `slope` of the speed."""
         self.clock, self.cores, self.knee, self.slope = clock, cores, knee, slope
-        self.factor = 1.0  # of full speed: cold, slowed, 0 while it stands still
-        self.tasks = 0
-        self.served = self.busy = 0.0  # service that each task had; nanoseconds of busy cores
-        self.at, self.order = clock.now, 0
+        self.speed_factor = 1.0  # of full speed: cold, slowed down, 0 while it is stalled
+        self.task_count = 0
+        self.service = 0.0  # nanoseconds that each task present from the start would have had
+        self.busy_time = 0.0  # nanoseconds of busy cores
+        self.advanced_to = clock.now
+        self.sequence = 0
         self.heap: list[tuple[float, int, Task]] = []
-        self.next: ScheduledEvent | None = None
+        self.next_end: ScheduledEvent | None = None
 
-    def speed(self) -> float:
-        """Of one task, by now."""
-        crowd = self.tasks / self.cores
-        shared = min(1.0, 1 / crowd) if crowd else 1.0
-        return self.factor * shared / (1 + self.slope * max(0.0, crowd - self.knee))
+    def task_speed(self) -> float:
+        """Return the present speed of one task, as a share of a whole core."""
+        concurrency = self.task_count / self.cores
+        core_share = min(1.0, 1 / concurrency) if concurrency else 1.0
+        return self.speed_factor * core_share / (1 + self.slope * max(0.0, concurrency - self.knee))
 
-    def start(self, work: float, done: Callable[[], None]) -> Task:
+    def start(self, cost: float, on_done: Callable[[], None]) -> Task:
+        """Run a task that takes `cost` nanoseconds of a core, then call `on_done`."""
         self._advance()
-        self.order += 1
-        task = Task(self.served + work, done)
-        heappush(self.heap, (task.ends, self.order, task))
-        self.tasks += 1
-        self._plan()
+        self.sequence += 1
+        task = Task(self.service + cost, on_done)
+        heappush(self.heap, (task.end_service, self.sequence, task))
+        self.task_count += 1
+        self._schedule_next_end()
         return task
 
     def stop(self, task: Task) -> None:
-        """Take it off the cores; its `done` is not called."""
-        if task.counted:
+        """Take a task off the cores; its `on_done` is not called."""
+        if task.active:
             self._advance()
-            task.counted = False
-            self.tasks -= 1
-            self._plan()
+            task.active = False
+            self.task_count -= 1
+            self._schedule_next_end()
 
-    def change(self, factor: float) -> None:
-        """From now on so much of full speed."""
+    def set_speed(self, factor: float) -> None:
+        """Run at this share of full speed from now on."""
         self._advance()
-        self.factor = factor
-        self._plan()
+        self.speed_factor = factor
+        self._schedule_next_end()
 
-    def busy_share(self, since: float, over: int) -> float:
-        """Of the cores, from what `busy` was then."""
+    def utilization(self, busy_time_before: float, elapsed: int) -> float:
+        """Return the busy share of the cores in the last `elapsed` nanoseconds, from `busy_time` before."""
         self._advance()
-        return (self.busy - since) / max(1, over) / self.cores
+        return (self.busy_time - busy_time_before) / max(1, elapsed) / self.cores
 
     def _advance(self) -> None:
-        passed = self.clock.now - self.at
-        if passed:
-            self.served += passed * self.speed()
-            self.busy += passed * min(self.tasks, self.cores)
-            self.at = self.clock.now
-
-    def _plan(self) -> None:
-        """When the next task ends, as things stand."""
-        if self.next:
-            self.next.call_off()
-            self.next = None
-        while self.heap and not self.heap[0][2].counted:
+        elapsed = self.clock.now - self.advanced_to
+        if elapsed:
+            self.service += elapsed * self.task_speed()
+            self.busy_time += elapsed * min(self.task_count, self.cores)
+            self.advanced_to = self.clock.now
+
+    def _schedule_next_end(self) -> None:
+        """Set the timer to the end of the next task at the present speed."""
+        if self.next_end:
+            self.next_end.cancel()
+            self.next_end = None
+        while self.heap and not self.heap[0][2].active:
             heappop(self.heap)
-        speed = self.speed()
+        speed = self.task_speed()
         if self.heap and speed > 0:
-            wait = max(0.0, self.heap[0][0] - self.served) / speed
-            self.next = self.clock.after(int(wait) + 1, self._ended)
+            delay = max(0.0, self.heap[0][0] - self.service) / speed
+            self.next_end = self.clock.after(int(delay) + 1, self._end_tasks)
 
-    def _ended(self) -> None:
+    def _end_tasks(self) -> None:
         self._advance()
-        self.next = None
-        over = []
-        while self.heap and (not self.heap[0][2].counted or self.heap[0][0] <= self.served):
+        self.next_end = None
+        ended = []
+        while self.heap and (not self.heap[0][2].active or self.heap[0][0] <= self.service):
             task = heappop(self.heap)[2]
-            if task.counted:
-                task.counted = False
-                self.tasks -= 1
-                over.append(task)
-        self._plan()
-        for task in over:
-            task.done()
+            if task.active:
+                task.active = False
+                self.task_count -= 1
+                ended.append(task)
+        self._schedule_next_end()
+        for task in ended:
+            task.on_done()
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -1,4 +1,4 @@
-"""A simulated node: the real decisions on a simulated machine."""
+"""A simulated node: the real admission controller on a simulated machine."""
 
 from __future__ import annotations
 
@@ -12,156 +12,177 @@
 from oakkeel.emulator.machines import Machine, Task
 
 MS = 1_000_000
-Answer = Callable[[str, int], None]  # a word, and the time to stay away
+ResponseCallback = Callable[[str, int], None]  # status, and nanoseconds to stay away (retry after)
 
 
 class OpenRequest:
-    """One exchange on a node, with what becomes of it on the machine."""
+    """One request on a node, with its task on the machine."""
 
-    __slots__ = ("answer", "answered", "arrived", "request", "ident", "task", "work")
+    __slots__ = ("arrived_at", "cost", "request", "request_id", "respond", "responded", "task")
 
-    def __init__(self, ident: int, request: Request, work: float, answer: Answer, arrived: int) -> None:
-        self.ident, self.request, self.work, self.answer, self.arrived = ident, request, work, answer, arrived
-        self.answered = False
+    def __init__(
+        self, request_id: int, request: Request, cost: float, respond: ResponseCallback, arrived_at: int
+    ) -> None:
+        """`cost`: nanoseconds of a core; `arrived_at`: when it reached the machine, before it was read."""
+        self.request_id = request_id
+        self.request = request
+        self.cost = cost
+        self.respond = respond
+        self.arrived_at = arrived_at
+        self.responded = False
         self.task: Task | None = None
 
 
 class SimulatedNode:
-    """`Host` for its `AdmissionController`. Reading costs `reading` nanoseconds of a core for each exchange."""
+    """The `Host` of an `AdmissionController` in simulated time."""
 
     def __init__(
-        self, name: str, clock: Clock, limits: NodeLimits, seed: int, audit: RuleAudit, reading: int = 200_000
+        self,
+        name: str,
+        clock: Clock,
+        limits: NodeLimits,
+        seed: int,
+        audit: RuleAudit,
+        read_cost: int = 200_000,
     ) -> None:
-        self.name, self.clock, self.audit, self.reading = name, clock, audit, reading
+        """`read_cost`: nanoseconds of a core to read one request."""
+        self.name, self.clock, self.audit, self.read_cost = name, clock, audit, read_cost
         self.limits, self.chance = limits, Random(seed)
         self.machine = Machine(clock, limits.cores)
-        self.open: dict[Request, OpenRequest] = {}
-        self.runs = 0  # on the cores
-        self.alive, self.healthy, self.settling = True, True, False
-        self.advice: float | None = None
-        self.polled = (0.0, clock.now)
-        self.admission = AdmissionController(self, limits, seed, clock.now)  # type: ignore[arg-type]  # the rest is __getattr__
+        self.open_requests: dict[Request, OpenRequest] = {}
+        self.running = 0
+        self.alive, self.healthy, self.scheduling_due = True, True, False
+        self.load_report: float | None = None
+        self.last_gauges = (0.0, clock.now)  # busy time of the machine, and when it was read
+        self.admission = AdmissionController(self, limits, seed, clock.now)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        """What of `Host` has no meaning on a simulated machine: connections, remarks, repeats."""
+        """Ignore the calls of `Host` that mean nothing here: connections, log events, duplicates."""
         if name.startswith("_") or name in ("admission", "alive"):
             raise AttributeError(name)
-        return lambda *words: None
+        return lambda *arguments: None
 
     # What the network brings.
 
-    def receive(self, ident: int, request: Request, work: float, answer: Answer) -> None:
-        """An exchange reached the machine; it has to be read first."""
+    def receive(self, request_id: int, request: Request, cost: float, respond: ResponseCallback) -> None:
+        """Take a request that reached the machine; it has to be read before it is admitted."""
         if not self.alive:
             return
-        arrived = self.clock.now
-        self.machine.start(
-            self.reading, lambda: self._read(OpenRequest(ident, request, work, answer, arrived))
-        )
-
-    def _read(self, opened: OpenRequest) -> None:
-        opened.request.queueing_delay += self.clock.now - opened.arrived
-        self.open[opened.request] = opened
+        opened = OpenRequest(request_id, request, cost, respond, self.clock.now)
+        self.machine.start(self.read_cost, lambda: self._admit(opened))
+
+    def _admit(self, opened: OpenRequest) -> None:
+        opened.request.queueing_delay += self.clock.now - opened.arrived_at
+        self.open_requests[opened.request] = opened
         self.admission.arrive(self.clock.now, opened.request)
-        self._settle_soon()
+        self._schedule_soon()
 
-    def gone(self, request: Request) -> None:
-        """Its caller gave up."""
-        if self.alive and (opened := self.open.get(request)) and not opened.answered:
-            opened.answered = True
+    def client_disconnected(self, request: Request) -> None:
+        """Take notice that the client of a request is gone."""
+        if self.alive and (opened := self.open_requests.get(request)) and not opened.responded:
+            opened.responded = True
             self.admission.client_disconnected(self.clock.now, request)
-            self._settle_soon()
+            self._schedule_soon()
 
-    def leave(self, left: int) -> None:
-        self.audit.leaves_by(self.name, self.clock.now + self.limits.drain_grace)
-        self.admission.drain(self.clock.now, left)
+    def drain(self, remaining: int) -> None:
+        """Start to drain; the node ends in `remaining` nanoseconds."""
+        self.audit.drain_started(self.name, self.clock.now + self.limits.drain_grace)
+        self.admission.drain(self.clock.now, remaining)
 
-    def die(self) -> None:
-        """Without a word: what was open is lost with it."""
+    def crash(self) -> None:
+        """End at once: open requests are lost and get no response."""
         self.alive = False
-        for opened in self.open.values():
-            self.audit.excused(opened.ident, self.clock.now)
+        for opened in self.open_requests.values():
+            self.audit.excused(opened.request_id, self.clock.now)
             if opened.task:
                 self.machine.stop(opened.task)
 
     # Host.
 
     def run(self, request: Request) -> None:
-        opened = self.open[request]
-        self.audit.arrived_and_ran(opened.ident, opened.arrived)
-        opened.task = self.machine.start(opened.work, lambda: self._done(opened))
-        self.runs += 1
-        warm = self.machine.factor if self.limits.starts_cold else 1.0
-        if self.runs / self.limits.cores > 1 + (self.limits.overload_multiple - 1) * warm:
-            self.audit.fell(self.name, f"{self.runs / self.limits.cores:.1f} runs a core")
-
-    def _done(self, opened: OpenRequest) -> None:
+        """Start a request on the cores."""
+        opened = self.open_requests[request]
+        self.audit.run_started(opened.request_id, opened.arrived_at)
+        opened.task = self.machine.start(opened.cost, lambda: self._complete(opened))
+        self.running += 1
+        warm_share = self.machine.speed_factor if self.limits.starts_cold else 1.0
+        concurrency = self.running / self.limits.cores
+        if concurrency > 1 + (self.limits.overload_multiple - 1) * warm_share:
+            self.audit.node_overloaded(self.name, f"{concurrency:.1f} runs a core")
+
+    def _complete(self, opened: OpenRequest) -> None:
         if not self.alive:
             return
-        self.runs -= 1
-        self.audit.effect(opened.ident)
+        self.running -= 1
+        self.audit.took_effect(opened.request_id)
         self.admission.run_finished(self.clock.now, opened.request, Outcome.COMPLETED, 0)
-        self._answer(opened, "completed", 0)
-        self._over(opened)
-        self._settle_soon()
+        self._respond(opened, "completed", 0)
+        self._close(opened)
+        self._schedule_soon()
 
     def cancel(self, request: Request) -> None:
-        opened = self.open[request]
-        if opened.task and opened.task.counted:
+        """Stop a running request; the controller hears of its end in an event of its own."""
+        opened = self.open_requests[request]
+        if opened.task and opened.task.active:
             self.machine.stop(opened.task)
-            self.runs -= 1
-            self.clock.after(0, self._stopped, opened)
+            self.running -= 1
+            self.clock.after(0, self._report_cancelled, opened)
 
-    def _stopped(self, opened: OpenRequest) -> None:
+    def _report_cancelled(self, opened: OpenRequest) -> None:
         if self.alive:
             self.admission.run_finished(self.clock.now, opened.request, Outcome.CANCELLED, 0)
-            self._over(opened)
-            self._settle_soon()
+            self._close(opened)
+            self._schedule_soon()
 
     def reject(self, request: Request, last: bool, retry_after: int) -> None:
-        opened = self.open[request]
-        self._answer(opened, "denied", retry_after)
+        """Respond that the request is rejected."""
+        opened = self.open_requests[request]
+        self._respond(opened, "denied", retry_after)
         if opened.task is None:
-            self._over(opened)
+            self._close(opened)
 
     def fail(self, request: Request) -> None:
-        self._answer(self.open[request], "terminated", 0)
+        """Respond that the request failed after it had begun."""
+        self._respond(self.open_requests[request], "terminated", 0)
 
-    def _answer(self, opened: OpenRequest, word: str, retry_after: int) -> None:
-        if not opened.answered:
-            opened.answered = True
-            opened.answer(word, retry_after)
+    def _respond(self, opened: OpenRequest, status: str, retry_after: int) -> None:
+        if not opened.responded:
+            opened.responded = True
+            opened.respond(status, retry_after)
 
-    def _over(self, opened: OpenRequest) -> None:
-        self.open.pop(opened.request, None)
+    def _close(self, opened: OpenRequest) -> None:
+        self.open_requests.pop(opened.request, None)
 
     def set_timer(self, token: int, at: int) -> None:
-        self.clock.at(at, self._timer, token)
+        """Call the controller's `timer_expired` with the token at a time."""
+        self.clock.at(at, self._on_timer, token)
 
-    def _timer(self, token: int) -> None:
+    def _on_timer(self, token: int) -> None:
         if not self.alive:
             return
-        busy, at = self.polled
-        share = self.machine.busy_share(busy, self.clock.now - at)
+        busy_time, read_at = self.last_gauges
+        utilization = self.machine.utilization(busy_time, self.clock.now - read_at)
         if token == 0:
-            self.polled = self.machine.busy, self.clock.now
-        self.admission.timer_expired(
-            self.clock.now, token, Gauges(min(1.0, share), float(self.machine.tasks), 0.1, 1.0)
-        )
-        self._settle_soon()
-
-    def _settle_soon(self) -> None:
-        if not self.settling:
-            self.settling = True
-            self.clock.after(0, self._settle)
-
-    def _settle(self) -> None:
-        self.settling = False
+            self.last_gauges = self.machine.busy_time, self.clock.now
+        gauges = Gauges(min(1.0, utilization), float(self.machine.task_count), 0.1, 1.0)
+        self.admission.timer_expired(self.clock.now, token, gauges)
+        self._schedule_soon()
+
+    def _schedule_soon(self) -> None:
+        """Run the scheduler once after all that happens at this time."""
+        if not self.scheduling_due:
+            self.scheduling_due = True
+            self.clock.after(0, self._schedule)
+
+    def _schedule(self) -> None:
+        self.scheduling_due = False
         if self.alive:
             self.admission.schedule(self.clock.now)
 
     def set_health(self, good: bool, stored: bool) -> None:
+        """Publish whether dispatchers may send requests here."""
         self.healthy = good
 
     def report_load(self, value: float) -> None:
-        self.advice = value
+        """Publish the share that the node advertises."""
+        self.load_report = value
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""One day in simulated time: a fleet, its callers, what goes wrong, and what came of it."""
+"""One scenario in simulated time: a fleet, its clients, injected faults, and the result."""
 
 from __future__ import annotations
 
@@ -22,34 +22,43 @@
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.nodes import MS, SimulatedNode
 
-LISTED = SECOND  # until dispatchers see a change of the fleet
+DISCOVERY_DELAY = SECOND  # until dispatchers see a change of the fleet
+RESPONSE_TIME = 10 * SECOND  # after the load ends, for the responses that are still owed
+DRAIN_TIME = 5 * SECOND  # that a node of a release has
+WARM_UP_STEPS = 8  # a second each
+COLD_SPEED = 0.3  # of full speed
+PERCENTILES = (0.5, 0.9, 0.99)
 
 
 class FaultKind(Enum):
+    """What goes wrong."""
+
     SLOW = "slow"  # a node at `size` of its speed
-    STILL = "still"  # a node stands still
-    DIE = "die"  # a node ends without a word, and a cold one takes its place
-    RELEASE = "release"  # nodes leave one after the other, `size` of them, each followed by a cold one
-    FLOOD = "flood"  # `size` times the rate
+    STALL = "still"  # a node stalls
+    CRASH = "die"  # a node ends at once, and a cold one takes its place
+    RELEASE = "release"  # `size` nodes drain one after the other, each replaced by a cold one
+    LOAD_SPIKE = "flood"  # `size` times the rate
 
 
 @dataclass(slots=True, frozen=True)
 class FaultEvent:
-    """A trouble from a second on, for so many; troubles may overlap."""
+    """A fault from a second on, for so many seconds; faults may overlap."""
 
     kind: FaultKind
     at: float
-    lasts: float = 5.0
+    duration: float = 5.0
     size: float = 0.5
     node: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClassSpec:
-    benefit: float
-    work: int  # nanoseconds of a core
-    slo: int
-    effect: Idempotency = Idempotency.IDEMPOTENT
+    """A request class of a scenario."""
+
+    priority_weight: float
+    cost: int  # nanoseconds of a core
+    latency_objective: int  # nanoseconds
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
 
 
 REQUEST_CLASSES = (
@@ -61,78 +70,90 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
+    """A fleet, its load and its faults; the seed makes it repeatable."""
+
     nodes: int = 4
     cores: int = 4
     load: float = 0.8  # of what all cores can do, in the mean
     seconds: float = 20.0
     dispatchers: int = 4
-    groups: tuple[RequestClassSpec, ...] = REQUEST_CLASSES
-    manners: ClientBehavior = ClientBehavior()
+    request_classes: tuple[RequestClassSpec, ...] = REQUEST_CLASSES
+    client_behavior: ClientBehavior = field(default_factory=ClientBehavior)
     events: tuple[FaultEvent, ...] = ()
     seed: int = 1
 
 
 @dataclass(slots=True)
 class ScenarioResult:
-    """What came of a day; the same day gives the same bytes of `record`."""
+    """The result of a scenario; the same scenario gives the same bytes of `record`."""
 
-    asked: int
-    benefit: float
-    of: float  # benefit, had all been in time
+    requests: int
+    goodput: float  # priority weights of the requests completed, less where late
+    max_goodput: float  # had all been in time
     counts: dict[str, int]
     latency_ms: dict[str, float]
-    breaches: list[str] = field(default_factory=list)
-    happened: int = 0  # in the simulation
+    breaches: list[str]
+    events_processed: int
 
     def record(self) -> bytes:
-        return json.dumps({name: getattr(self, name) for name in self.__slots__}, sort_keys=True).encode()
+        """Return the result as JSON, with the keys of earlier records so that digests stay comparable."""
+        values = {
+            "asked": self.requests,
+            "benefit": self.goodput,
+            "of": self.max_goodput,
+            "counts": self.counts,
+            "latency_ms": self.latency_ms,
+            "breaches": self.breaches,
+            "happened": self.events_processed,
+        }
+        return json.dumps(values, sort_keys=True).encode()
 
     def digest(self) -> str:
+        """Return the first 16 hexadecimal digits of the record's SHA-256."""
         return hashlib.sha256(self.record()).hexdigest()[:16]
 
 
 class ScenarioRun:
-    """A day being played."""
-
-    def __init__(self, day: Scenario) -> None:
-        self.day, self.clock, self.audit = day, Clock(), RuleAudit()
-        self.random = Random(day.seed)
-        self.made = 0
-        self.nodes = [self._node(cold=False) for _ in range(day.nodes)]
-        self.callers = [
+    """One run of a scenario."""
+
+    def __init__(self, scenario: Scenario) -> None:
+        """Build the fleet and its dispatchers; `run` plays the scenario."""
+        self.scenario, self.clock, self.audit = scenario, Clock(), RuleAudit()
+        self.random = Random(scenario.seed)
+        self.nodes_created = 0
+        self.nodes = [self._create_node(starts_cold=False) for _ in range(scenario.nodes)]
+        costs: list[float] = [spec.cost for spec in scenario.request_classes]
+        self.dispatchers = [
             Dispatcher(
                 number + 1,
                 self.clock,
-                self._limits(False),
-                [each.work for each in day.groups],
-                day.manners,
+                self._limits(starts_cold=False),
+                costs,
+                scenario.client_behavior,
                 self.audit,
                 self.random.getrandbits(60),
             )
-            for number in range(day.dispatchers)
+            for number in range(scenario.dispatchers)
         ]
-        mean = sum(each.work for each in day.groups) / len(day.groups)
-        self.rate = day.load * day.nodes * day.cores * SECOND / mean / day.dispatchers
+        mean_cost = sum(costs) / len(costs)
+        total_cores = scenario.load * scenario.nodes * scenario.cores
+        self.dispatcher_rate = total_cores * SECOND / mean_cost / scenario.dispatchers
 
-    def _limits(self, cold: bool) -> NodeLimits:
-        groups = [
-            RequestClass(number, each.effect, each.benefit, each.slo, 3 * each.slo, 0, 0.0, 0.0)
-            for number, each in enumerate(self.day.groups)
-        ]
+    def _limits(self, starts_cold: bool) -> NodeLimits:
         return NodeLimits(
-            cores=self.day.cores,
+            cores=self.scenario.cores,
             memory_kb=100_000.0,
             running_memory_factor=8.0,
             key_kb=0.0,
-            starts_cold=cold,
-            slow_start_share=0.3,
-            slow_start_time=8 * SECOND,
+            starts_cold=starts_cold,
+            slow_start_share=COLD_SPEED,
+            slow_start_time=WARM_UP_STEPS * SECOND,
             overload_multiple=8.0,
             drain_grace=2 * SECOND,
             marks_retries=True,
             max_retry_after=SECOND,
             stop_kind=StopKind.ABORT,
-            peers=self.day.nodes,
+            peers=self.scenario.nodes,
             downstream=DownstreamKind.NONE,
             downstream_quota=0.0,
             downstream_window=SECOND,
@@ -141,88 +162,121 @@
             idle_timeout=15 * SECOND,
             load_report=LoadReportKind.NONE,
             over_allowance_weight=1.0,
-            request_classes=groups,
+            request_classes=self._request_classes(),
             tenants=[],
         )
 
-    def _node(self, cold: bool) -> SimulatedNode:
-        self.made += 1
+    def _request_classes(self) -> list[RequestClass]:
+        return [
+            RequestClass(
+                number,
+                spec.idempotency,
+                spec.priority_weight,
+                spec.latency_objective,
+                3 * spec.latency_objective,
+                0,
+                0.0,
+                0.0,
+            )
+            for number, spec in enumerate(self.scenario.request_classes)
+        ]
+
+    def _create_node(self, starts_cold: bool) -> SimulatedNode:
+        self.nodes_created += 1
         node = SimulatedNode(
-            f"n{self.made}", self.clock, self._limits(cold), self.random.getrandbits(60), self.audit
+            f"n{self.nodes_created}",
+            self.clock,
+            self._limits(starts_cold),
+            self.random.getrandbits(60),
+            self.audit,
         )
-        if cold:
-            for step in range(8):  # warmer each second
-                self.clock.after(step * SECOND, self._warm, node, 0.3 + 0.7 * step / 8)
-            self.clock.after(8 * SECOND, self._warm, node, 1.0)
+        if starts_cold:
+            for step in range(WARM_UP_STEPS):
+                speed = COLD_SPEED + 0.7 * step / WARM_UP_STEPS
+                self.clock.after(step * SECOND, node.machine.set_speed, speed)
+            self.clock.after(WARM_UP_STEPS * SECOND, node.machine.set_speed, 1.0)
         return node
 
-    def _warm(self, node: SimulatedNode, factor: float) -> None:
-        node.machine.change(factor)
-
-    def play(self) -> ScenarioResult:
-        for caller in self.callers:
-            caller.list(self.nodes)
-            caller.start(self.rate)
-        for event in self.day.events:
-            self.clock.at(int(event.at * SECOND), self._begin, event)
-        self.clock.run(int(self.day.seconds * SECOND))
-        for caller in self.callers:
-            caller.start(0.0)
-        self.clock.run(self.clock.now + 10 * SECOND)  # what was sent is owed its answer
+    def run(self) -> ScenarioResult:
+        """Play the scenario to its end; callable once."""
+        for dispatcher in self.dispatchers:
+            dispatcher.set_nodes(self.nodes)
+            dispatcher.set_rate(self.dispatcher_rate)
+        for event in self.scenario.events:
+            self.clock.at(int(event.at * SECOND), self._inject, event)
+        self.clock.run(int(self.scenario.seconds * SECOND))
+        for dispatcher in self.dispatchers:
+            dispatcher.set_rate(0.0)
+        self.clock.run(self.clock.now + RESPONSE_TIME)
         return self._result()
 
-    def _begin(self, event: FaultEvent) -> None:
+    def _inject(self, event: FaultEvent) -> None:
         node = self.nodes[event.node % len(self.nodes)]
-        until = self.clock.now + int(event.lasts * SECOND)
-        if event.kind is FaultKind.FLOOD:
-            for caller in self.callers:
-                caller.start(self.rate * event.size)
-                self.clock.at(until, caller.start, self.rate)
-        elif event.kind in (FaultKind.SLOW, FaultKind.STILL):
-            node.machine.change(event.size if event.kind is FaultKind.SLOW else 0.0)
-            self.clock.at(until, node.machine.change, 1.0)
-            if event.kind is FaultKind.STILL:
-                self.clock.at(until, self.audit.stood_still, node.name, self.clock.now, until)
-        elif event.kind is FaultKind.DIE:
-            node.die()
-            self._replace(node)
-        else:
-            for number in range(int(event.size)):
-                wait = int(number * event.lasts * SECOND / max(1.0, event.size))
-                self.clock.after(wait, self._release, self.nodes[number % len(self.nodes)])
-
-    def _release(self, node: SimulatedNode) -> None:
-        node.leave(5 * SECOND)
+        until = self.clock.now + int(event.duration * SECOND)
+        match event.kind:
+            case FaultKind.LOAD_SPIKE:
+                self._spike_load(event.size, until)
+            case FaultKind.SLOW:
+                self._slow_down(node, event.size, until)
+            case FaultKind.STALL:
+                self._slow_down(node, 0.0, until)
+                self.clock.at(until, self.audit.node_stalled, node.name, self.clock.now, until)
+            case FaultKind.CRASH:
+                node.crash()
+                self._replace(node)
+            case FaultKind.RELEASE:
+                self._start_release(event)
+
+    def _spike_load(self, multiple: float, until: int) -> None:
+        for dispatcher in self.dispatchers:
+            dispatcher.set_rate(self.dispatcher_rate * multiple)
+            self.clock.at(until, dispatcher.set_rate, self.dispatcher_rate)
+
+    def _slow_down(self, node: SimulatedNode, speed: float, until: int) -> None:
+        node.machine.set_speed(speed)
+        self.clock.at(until, node.machine.set_speed, 1.0)
+
+    def _start_release(self, event: FaultEvent) -> None:
+        for number in range(int(event.size)):
+            delay = int(number * event.duration * SECOND / max(1.0, event.size))
+            self.clock.after(delay, self._drain, self.nodes[number % len(self.nodes)])
+
+    def _drain(self, node: SimulatedNode) -> None:
+        node.drain(DRAIN_TIME)
         self._replace(node)
 
     def _replace(self, node: SimulatedNode) -> None:
-        self.nodes[self.nodes.index(node)] = self._node(cold=True)
-        self.clock.after(LISTED, self._list)
+        self.nodes[self.nodes.index(node)] = self._create_node(starts_cold=True)
+        self.clock.after(DISCOVERY_DELAY, self._publish_nodes)
 
-    def _list(self) -> None:
-        for caller in self.callers:
-            caller.list(self.nodes)
+    def _publish_nodes(self) -> None:
+        for dispatcher in self.dispatchers:
+            dispatcher.set_nodes(self.nodes)
 
     def _result(self) -> ScenarioResult:
         counts: Counter[str] = Counter()
-        for caller in self.callers:
-            counts.update(caller.counts)
-        latencies = sorted(each for caller in self.callers for each in caller.latencies)
-        shares = {
-            f"{share:g}": latencies[int(share * (len(latencies) - 1))] / MS if latencies else 0.0
-            for share in (0.5, 0.9, 0.99)
-        }
-        mean = sum(each.benefit for each in self.day.groups) / len(self.day.groups)
+        for dispatcher in self.dispatchers:
+            counts.update(dispatcher.counts)
+        weights = [spec.priority_weight for spec in self.scenario.request_classes]
+        mean_weight = sum(weights) / len(weights)
         return ScenarioResult(
-            counts["asked"],
-            round(sum(each.benefit for each in self.callers), 6),
-            round(counts["asked"] * mean, 6),
-            dict(sorted(counts.items())),
-            shares,
-            self.audit.end(self.clock.now),
-            self.clock.happened,
+            requests=counts["asked"],
+            goodput=round(sum(dispatcher.goodput for dispatcher in self.dispatchers), 6),
+            max_goodput=round(counts["asked"] * mean_weight, 6),
+            counts=dict(sorted(counts.items())),
+            latency_ms=self._latency_percentiles(),
+            breaches=self.audit.end(self.clock.now),
+            events_processed=self.clock.events_processed,
         )
 
+    def _latency_percentiles(self) -> dict[str, float]:
+        latencies = sorted(latency for dispatcher in self.dispatchers for latency in dispatcher.latencies)
+        return {
+            f"{share:g}": latencies[int(share * (len(latencies) - 1))] / MS if latencies else 0.0
+            for share in PERCENTILES
+        }
+
 
-def play(day: Scenario) -> ScenarioResult:
-    return ScenarioRun(day).play()
+def run_scenario(scenario: Scenario) -> ScenarioResult:
+    """Run a scenario from its start to its end."""
+    return ScenarioRun(scenario).run()
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -107,7 +107,7 @@
         """Set the timer to when the replica has something to do next; anew after whatever happens to it."""
         host = self.host
         if self.timer:
-            self.timer.call_off()
+            self.timer.cancel()
         wait = 100 * MS
         if self.control_plane:
             wait = max(MS, int((self.control_plane.replica.next_tick_at() - host.now()) / host.rate))
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -27,10 +27,12 @@
     def test_replays_a_schedule_exactly_from_a_file_and_in_another_process(self):
         schedule = draw(3)
         first, second = play(schedule)[0], play(schedule_from_json(schedule.to_json()))[0]
-        self.assertEqual((first.clock.happened, first.event_log), (second.clock.happened, second.event_log))
+        self.assertEqual(
+            (first.clock.events_processed, first.event_log), (second.clock.events_processed, second.event_log)
+        )
         code = (
             "from oakkeel.emulator.consensus import play; from oakkeel.emulator.faults import draw\n"
-            "print(play(draw(3))[0].clock.happened)"
+            "print(play(draw(3))[0].clock.events_processed)"
         )
         outputs = {
             subprocess.run(
@@ -42,7 +44,7 @@
             ).stdout
             for seed in ("1", "2")
         }
-        self.assertEqual(outputs, {f"{first.clock.happened}\n"})
+        self.assertEqual(outputs, {f"{first.clock.events_processed}\n"})
 
     def test_planted_defect_is_caught_and_its_schedule_shrunk(self):
         with mock.patch.object(UnavailableTargets, "find_violation", lambda self, things: ""):
