--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -73,43 +73,43 @@
         rig, lasts = self.rig, self.random.uniform(0.2, 2.5)
         host = self.random.choice(KEEPERS if self.random.random() < 0.7 else list(HOSTS))
         if kind.endswith("the leader"):
-            host = await rig.leader()
+            host = await rig.wait_for_leader()
         if kind.startswith("kill a"):
             rig.kill_node(self.random.choice([name for names in HOSTS.values() for name in names]))
         elif kind.startswith("kill"):
             if kind.endswith("leader"):
                 self.deaths.append(time.monotonic())
-            await rig.kill(host)
+            await rig.kill_agent(host)
             await asyncio.sleep(lasts)
-            await rig.start(host)
+            await rig.start_agent(host)
         elif kind.startswith("stop"):
-            rig.stop(host)
+            rig.suspend_agent(host)
             await asyncio.sleep(lasts)
-            rig.go_on(host)
+            rig.resume_agent(host)
         elif kind in ("cut", "one way"):
             others = [each for each in HOSTS if each != host]
             if self.random.random() < 0.5:
-                rig.cut([host], others, kind == "cut")
+                rig.links.cut([host], others, kind == "cut")
             else:
-                rig.cut(others, [host], kind == "cut")
+                rig.links.cut(others, [host], kind == "cut")
             await asyncio.sleep(lasts)
-            rig.heal()
+            rig.links.clear_faults()
         elif kind in ("loss", "delay", "double"):
             amount = {"loss": 0.3, "delay": 0.15, "double": 0.5}[kind]
-            rig.spoil(**{kind: self.random.uniform(0.05, amount)})
+            rig.links.set_faults(**{kind: self.random.uniform(0.05, amount)})
             await asyncio.sleep(lasts)
-            rig.heal()
+            rig.links.clear_faults()
         elif kind == "full disk":
-            rig.mark(host, "full")
+            rig.enable_fault(host, "full")
             await asyncio.sleep(lasts)
-            rig.unmark(host, "full")
+            rig.disable_fault(host, "full")
         elif kind == "lose the file":
-            await rig.kill(host)
-            rig.lose(host, "record.db", *(["agent.db"] if self.random.random() < 0.5 else []))
-            await rig.start(host)
+            await rig.kill_agent(host)
+            rig.delete_databases(host, "record.db", *(["agent.db"] if self.random.random() < 0.5 else []))
+            await rig.start_agent(host)
             await self.whole_again(host)
         elif kind == "clock":
-            rig.mark(host, "clock", str(self.random.uniform(-7200, 7200)))
+            rig.enable_fault(host, "clock", str(self.random.uniform(-7200, 7200)))
 
     async def whole_again(self, host: str) -> None:
         """Until it votes again: a majority whose files are gone has no record."""
@@ -117,7 +117,7 @@
             return
 
         async def votes() -> bool:
-            told = await self.rig.records()
+            told = await self.rig.raft_statuses()
             leads = next((each for each in told.values() if each.is_leader), None)
             return bool(
                 leads
@@ -132,7 +132,7 @@
                 )
             )
 
-        await self.rig.until(f"{host} votes again", votes)
+        await self.rig.wait_until(f"{host} votes again", votes)
 
     @staticmethod
     def life(told: dict[str, messages.RaftStatus], host: str) -> str:
@@ -143,7 +143,7 @@
     async def look(self) -> None:
         began = 0.0
         while not self.over:
-            answers, _ = await self.rig.asker.request_each(
+            answers, _ = await self.rig.clients.request_each(
                 {host: messages.RaftStatusRequest() for host in KEEPERS}, 200_000_000
             )
             now = time.monotonic()
@@ -172,7 +172,9 @@
                         await asyncio.sleep(0.1)
                         continue
                     sent = time.monotonic()
-                    answer = await self.rig.order(ident, "restart", chosen, 15, generations=generations)
+                    answer = await self.rig.submit_order(
+                        ident, "restart", chosen, 15, generations=generations
+                    )
                     if isinstance(answer, messages.FleetOrderStatus) and any(
                         part.state != "refused" for part in answer.tasks
                     ):
@@ -193,30 +195,30 @@
             AWAY,
             seed,
             sites=SITES,
-            keepers=KEEPERS,
-            fleet_away=FLEET,
+            replicas=KEEPERS,
+            fleet_max_unavailable=FLEET,
             supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>',
         )
         rig = ProcessRig(site, seed)
         try:
             await rig.open()
-            await rig.leader()
-            took = await rig.all_serve()
+            await rig.wait_for_leader()
+            took = await rig.wait_until_serving()
             say(f"twelve agents, five of them keepers; all serve {took:.1f} s after there was a leader")
             play = Play(rig, seed)
             tasks = [asyncio.ensure_future(play.look()), asyncio.ensure_future(play.operate())]
             await play.faults_come(time.monotonic() + seconds)
             play.over = True
             await asyncio.gather(*tasks)
-            rig.heal()
-            await rig.leader()
-            await rig.all_serve(wait=60)
+            rig.links.clear_faults()
+            await rig.wait_for_leader()
+            await rig.wait_until_serving(timeout=60)
             lost = []
-            known = {order.order_id for order in (await rig.state_of()).orders}
+            known = {order.order_id for order in (await rig.fleet_status()).orders}
             for ident in play.taken:
                 if ident not in known:
                     try:
-                        await rig.state_of(ident)
+                        await rig.fleet_status(ident)
                     except AssertionError:
                         lost.append(ident)
             elections = sum(kind == "leader_elected" for _, kind, _ in events(folder, HOSTS))
--- a/measure/common.py
+++ b/measure/common.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from oakkeel.agent import messages
-from oakkeel.fakes.dispatcher import Address
+from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import targets_by_host
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -16,9 +16,9 @@
 
 from measure.common import keep, options, processor, say, spread
 from oakkeel.agent import messages
-from oakkeel.fakes.dispatcher import Address
 from oakkeel.fakes.load_generator import LoadSummary, RequestReport
 from oakkeel.fakes.load_process import LoadProcess
+from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import NODE_SETTINGS, FakeSite
 from oakkeel.invariants.logs import events
@@ -68,7 +68,7 @@
     async def _follow_agents(self) -> None:
         """Keep the addresses that the nodes report."""
         while True:
-            for name, status in (await self.rig.look()).items():
+            for name, status in (await self.rig.instance_statuses()).items():
                 if status.report:
                     host, _, port = status.report.address.rpartition(":")
                     self.addresses[name] = host, int(port)
@@ -99,13 +99,13 @@
 
     async def _drain_and_cancel(self, ident: str, name: str, cancel_after: float | None) -> None:
         """Cancel after some seconds, or (None) when the drain is over; returns when the permit is free."""
-        answer = await self.rig.order(ident, "drain", [name], 60)
+        answer = await self.rig.submit_order(ident, "drain", [name], 60)
         assert isinstance(answer, messages.FleetOrderStatus), answer
         if cancel_after is None:
-            await self.rig.ended(ident)
+            await self.rig.wait_until_ended(ident)
         else:
             await asyncio.sleep(cancel_after)
-        before = (await self.rig.look())[name]
+        before = (await self.rig.instance_statuses())[name]
         cancelled = time.monotonic()
         answer = await self.rig.end_order(ident, True)
         assert isinstance(answer, messages.FleetOrderStatus), answer
@@ -115,14 +115,14 @@
         async def works() -> bool:
             return self.load.last_success.get(name, 0.0) > cancelled
 
-        took = await self.rig.until(f"{name} works again", works)
+        took = await self.rig.wait_until(f"{name} works again", works)
         times = {"draining": self.cancels.back, "serving": self.cancels.never_left}
         times.get(before.phase, self.cancels.restarted).append(took)
 
         async def free() -> bool:
-            return not any(entry.order_id == ident for entry in (await self.rig.state_of()).unavailable)
+            return not any(entry.order_id == ident for entry in (await self.rig.fleet_status()).unavailable)
 
-        await self.rig.until(f"the permit of {name} is free", free)
+        await self.rig.wait_until(f"the permit of {name} is free", free)
 
 
 async def measure(drains: int, rate: float, seed: int) -> dict[str, Any]:
@@ -133,8 +133,8 @@
             HOSTS,
             2,
             seed,
-            keepers=("h1",),
-            fleet_away=2,
+            replicas=("h1",),
+            fleet_max_unavailable=2,
             sites={"h1": "woodbrook", "h2": "belmont"},
             supervision='<supervision silent="2s" start="10s" drain="10s" backoff="200ms"/>',
         )
@@ -142,8 +142,8 @@
         scenario = DrainScenario(rig, load, rate, seed)
         try:
             await rig.open()
-            await rig.leader()
-            await rig.all_serve()
+            await rig.wait_for_leader()
+            await rig.wait_until_serving()
             summary = await scenario.play(drains)
         finally:
             await load.close()
@@ -158,7 +158,7 @@
 def figures_of(cancels: Cancels, summary: LoadSummary, reported: int, site: FakeSite) -> dict[str, Any]:
     """The figures under the names that their file has."""
     counts = Counter(summary.counts)
-    runs = [count for engine in site.engines.values() for count in engine.started.values()]
+    runs = [count for engine in site.engines.values() for count in engine.start_counts.values()]
     return {
         "cancels": cancels.count,
         "while draining": cancels.while_draining,
@@ -186,7 +186,7 @@
     return sum(
         any(begin + SLACK < sent[ident] < end - SLACK for begin, end in drains.get(name, ()))
         for name, engine in site.engines.items()
-        for ident in engine.begun
+        for ident in engine.first_started
         if ident in sent
     )
 
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -35,7 +35,7 @@
 
 async def one(fair: bool, times: int, seconds: float, seed: int) -> dict:
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, {"wb1": ["n1"]}, away=1, seed=seed, work=WORK, most_return=5)
+        site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, seed=seed, work=WORK, max_retry_after=5)
         await site.open()
         engine = site.engines["n1"]
         engine.calls = 0
@@ -71,7 +71,7 @@
             await each.start()
         await asyncio.sleep(4.0)
         for each in (*good, crawler):
-            each.begin()
+            each.reset_counts()
         cpu, began = cpu_of(node.pid), time.monotonic()
         await asyncio.sleep(seconds)
         took, cpu = time.monotonic() - began, cpu_of(node.pid) - cpu
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -60,7 +60,7 @@
 async def measure(rounds: int, rate: float, seed: int) -> dict:
     random = Random(seed)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, HOSTS, away=4, seed=seed, sites=SITES)
+        site = FakeSite(folder, HOSTS, max_unavailable=4, seed=seed, sites=SITES)
         async with running(site) as fleet:
             took = await fleet.look_until(lambda: fleet.all_in("serving"), 30)
             say(f"twelve instances on three hosts serve after {took:.1f} s")
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -41,7 +41,7 @@
 async def measure(times: int) -> dict:
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         hosts = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
-        async with running(FakeSite(folder, hosts, away=12), "oakkeel.fakes.crashing") as fleet:
+        async with running(FakeSite(folder, hosts, max_unavailable=12), "oakkeel.fakes.crashing") as fleet:
             await fleet.look_until(lambda: fleet.all_in("serving"), 30)
             whole = [await listed(fleet.site.settings) for _ in range(times)]
             os.kill(fleet.processes["h7"].pid, signal.SIGSTOP)
--- a/measure/node.py
+++ b/measure/node.py
@@ -46,7 +46,7 @@
 
 async def one(tree: str, kind: str, rate: float, seconds: float, seed: int) -> dict[str, float]:
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, {"wb1": ["n1"]}, away=1, seed=seed, work=0.002)
+        site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, seed=seed, work=0.002)
         await site.open()
         variables = {**os.environ, "PROXY_CONFIG": os.path.join(folder, "n1.json"), "PYTHONPATH": tree}
         path = os.path.join(folder, "n1.sock")
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -28,7 +28,7 @@
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
         self.folder, self.random, self.crashes = folder, Random(seed), crashes
         site = FakeSite(
-            folder, {"wb1": ["n1"]}, away=1, supervision='<supervision backoff="20ms" restarts="1000"/>'
+            folder, {"wb1": ["n1"]}, max_unavailable=1, supervision='<supervision backoff="20ms" restarts="1000"/>'
         )
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -21,7 +21,8 @@
 from oakkeel.agent import messages
 from oakkeel.agent.artifacts import version_of
 from oakkeel.fakes.catalogue import Catalogue
-from oakkeel.fakes.dispatcher import Address, Dispatcher, SentRequest
+from oakkeel.fakes.dispatcher import Dispatcher, SentRequest
+from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import NODE_SETTINGS, FakeSite, free_port
 from oakkeel.fleet.agent_clients import NoLeaderError
@@ -42,13 +43,13 @@
 
     asked = came = 0.0
 
-    def going(self, ident: str, sent: SentRequest) -> None:
+    def request_sent(self, request_id: str, sent: SentRequest) -> None:
         self.asked += BENEFIT[sent.group]
 
-    def ended(self, sent: SentRequest, word: str, fields: bytes) -> str:
-        if word == "ok":
+    def request_ended(self, sent: SentRequest, outcome: str) -> str:
+        if outcome == "ok":
             self.came += BENEFIT[sent.group]
-        return super().ended(sent, word, fields)
+        return super().request_ended(sent, outcome)
 
 
 class Load:
@@ -72,7 +73,7 @@
 
     async def _follow(self) -> None:
         while True:
-            for name, told in (await self.rig.look()).items():
+            for name, told in (await self.rig.instance_statuses()).items():
                 if told.report:
                     host, _, port = told.report.address.rpartition(":")
                     self.addresses[name] = host, int(port)
@@ -117,7 +118,7 @@
     async def ask(self, wish: messages.Request) -> messages.Response:
         while True:
             try:
-                return await self.rig.asker.request_leader(wish)
+                return await self.rig.clients.request_leader(wish)
             except NoLeaderError:
                 await asyncio.sleep(0.05)
 
@@ -125,7 +126,7 @@
         """What is out, as whoever leads knows it; with a place on it, taken out by us."""
         while not self.over:
             try:
-                out = (await self.rig.state_of()).unavailable
+                out = (await self.rig.fleet_status()).unavailable
                 placed = {each.target for each in out if each.fence}
                 hanging = {name for name, on in HANGING.items() if on in placed}
                 self.most_placed = max(self.most_placed, len(placed & set(NAMES) | hanging))
@@ -151,11 +152,11 @@
                 say(f"  {ident} is halted: {told.why}; told to go on")
                 await self.ask(messages.ControlReleaseRequest(ident, "resume"))
             if told.step > last and told.step >= due and step_kills < kills:
-                leader = await self.rig.leader()
-                await self.rig.kill(leader)
+                leader = await self.rig.wait_for_leader()
+                await self.rig.kill_agent(leader)
                 step_kills, self.driver_kills, due = step_kills + 1, self.driver_kills + 1, told.step + 1
                 await asyncio.sleep(self.random.uniform(0.1, 0.5))
-                await self.rig.start(leader)
+                await self.rig.start_agent(leader)
             if told.batch >= 2 and nodes and self.random.random() < 0.2:
                 name = self.random.choice([each for each in NAMES if each not in self.killed])
                 self.killed.add(name)
@@ -172,7 +173,7 @@
             if part.state != "changing" or part.target not in self.services:
                 continue
             try:
-                out = (await self.rig.state_of()).unavailable
+                out = (await self.rig.fleet_status()).unavailable
             except (NoLeaderError, AssertionError):
                 return
             if not any(each.target == part.target and each.fence for each in out):
@@ -218,10 +219,10 @@
             AWAY,
             seed,
             sites=SITES,
-            keepers=KEEPERS,
-            fleet_away=FLEET,
-            below=below,
-            hanging=HANGING,
+            replicas=KEEPERS,
+            fleet_max_unavailable=FLEET,
+            downstream=below,
+            dependencies=HANGING,
             supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
         )
         site.catalogues = {name: f"127.0.0.1:{ports[on]}" for name, on in HANGING.items()}
@@ -229,8 +230,8 @@
         play = Play(rig, dict(services), ports, seed)
         try:
             await rig.open()
-            await rig.leader()
-            await rig.all_serve()
+            await rig.wait_for_leader()
+            await rig.wait_until_serving()
             load = Load(rig, rate, seed)
             await load.start()
             looking = asyncio.ensure_future(play.look())
@@ -258,11 +259,11 @@
             counts = load.counts - before
             asked, came = (now - then for now, then in zip(load.benefit, benefit, strict=True))
             lost = load.lost_but(play.killed)
-            await rig.all_serve(wait=60)
+            await rig.wait_until_serving(timeout=60)
             play.over = True
             await looking
             await load.stop()
-            told = await rig.look()
+            told = await rig.instance_statuses()
             runs = {name: each.report.version if each.report else "" for name, each in told.items()}
         finally:
             await rig.close()
--- a/oakkeel/fakes/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -1,8 +1,8 @@
-"""An agent over stand-in nodes, with faults that files in its state folder switch on: `... SETTINGS HOST`.
+"""An agent over fake nodes, with faults that files in its state folder enable: `... SETTINGS HOST`.
 
 `full`: its disk is full, by SQLite's own bound, so that a write fails in its middle. `clock`: seconds by
-which its clock for people is off. `real`: its nodes are real ones. It logs in JSON, each line with the
-monotonic time, which all processes of a machine share.
+which its wall clock is off. `real`: its nodes are real ones. It logs in JSON, each line with the monotonic
+time, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from oakkeel.log import EventLog
 from oakkeel.store.database import Database, Statement
 
-NODE = (sys.executable, "-m", "oakkeel.fakes.node")
+PROGRAM = (sys.executable, "-m", "oakkeel.fakes.node")
 _write, _time_ns = Database.write, time.time_ns
 
 
 def write(self: Database, statements: Sequence[Statement]) -> None:
-    """With as many pages as it has by now, while the disk is said to be full."""
+    """Write with as many pages as the file has by now, while the fault `full` is enabled."""
     full = os.path.exists(os.path.join(os.path.dirname(self.path), "full"))
     pages = self.read_pragma("page_count") if full else 65536
     self.connection.execute(f"PRAGMA max_page_count = {pages}")
@@ -33,7 +33,8 @@
     _write(self, statements)
 
 
-def shifted(folder: str) -> int:
+def shifted_time_ns(folder: str) -> int:
+    """The wall clock, with what the fault `clock` adds to it."""
     path = os.path.join(folder, "clock")
     with contextlib.suppress(OSError, ValueError), open(path, encoding="ascii") as file:
         return _time_ns() + int(float(file.read()) * 1_000_000_000)
@@ -41,18 +42,21 @@
 
 
 class TimedLog(EventLog):
+    """A log with the monotonic time in each line."""
+
     def write(self, level: str, event: str, fields: dict[str, Any]) -> None:
-        """Add the monotonic time, which all processes of a machine share."""
+        """Write an event with the field `mono`, in monotonic nanoseconds."""
         super().write(level, event, {**fields, "mono": time.monotonic_ns()})
 
 
-def make(host: Any, patience: Any, keys: Any, log: EventLog, seed: int, **more: Any) -> Agent:
+def make_agent(host: Any, timeouts: Any, keys: Any, log: EventLog, seed: int, **more: Any) -> Agent:
+    """Make an agent with the faults of its state folder."""
     Database.write = write  # type: ignore[method-assign]
-    time.time_ns = lambda: shifted(host.state)  # type: ignore[assignment]
+    time.time_ns = lambda: shifted_time_ns(host.state)
     if not os.path.exists(os.path.join(host.state, "real")):
-        more["program"] = NODE
-    return Agent(host, patience, keys, TimedLog(host.name, 1000, "json"), seed, **more)
+        more["program"] = PROGRAM
+    return Agent(host, timeouts, keys, TimedLog(host.name, 1000, "json"), seed, **more)
 
 
 if __name__ == "__main__":
-    sys.exit(serve(sys.argv[1], sys.argv[2], "json", make))
+    sys.exit(serve(sys.argv[1], sys.argv[2], "json", make_agent))
--- a/oakkeel/fakes/catalogue.py
+++ b/oakkeel/fakes/catalogue.py
@@ -1,4 +1,4 @@
-"""A catalogue: answers calls, or turns them away."""
+"""A fake catalogue: answers calls, or rejects them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class Catalogue(Faulty):
+    """Answers each call with its body, or rejects all of them while it is `full`."""
+
     def __init__(self, work: float = 0.005, full: bool = False) -> None:
+        """`work` in seconds for each call."""
         super().__init__()
         self.work, self.full = work, full
         self.calls = 0
@@ -41,7 +44,7 @@
                 if self.fault is Fault.HANG:
                     continue
                 reply = b"LATER\r\n" if self.full else b"DATA %d\r\n%s\r\n" % (len(body) + 4, b"for " + body)
-                data, ends = self.cut(line[1] + b" " + reply)
+                data, ends = self.truncate(line[1] + b" " + reply)
                 writer.write(data)
                 if ends:
                     break
--- /dev/null
+++ b/oakkeel/fakes/control_plane.py
@@ -0,0 +1,128 @@
+"""An operator's client for tests: orders and statuses, and waits for what must come."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Awaitable, Callable, Iterable
+
+from oakkeel.agent import messages
+from oakkeel.errors import OakkeelError
+from oakkeel.fakes.site import FakeSite
+from oakkeel.fleet.agent_clients import AgentClients, NoLeaderError
+
+TIMEOUT = 30.0  # seconds, for what must come
+ACTIVE_STATES = ("waiting", "granted", "out")  # of a task of an order
+
+
+class UnexpectedResponseError(OakkeelError, AssertionError):
+    """An agent answered with another response than the request has."""
+
+
+class ControlPlane:
+    """The agents of a site as an operator asks them. `clients` are there once the site is open."""
+
+    clients: AgentClients
+
+    def __init__(self, site: FakeSite) -> None:
+        """`site` may still be closed."""
+        self.site = site
+
+    async def raft_statuses(self) -> dict[str, messages.RaftStatus]:
+        """The status of each replica that answers, by host."""
+        answers, _ = await self.clients.request_each(
+            {host: messages.RaftStatusRequest() for host in self.site.hosts}
+        )
+        return {host: status for host, status in answers.items() if isinstance(status, messages.RaftStatus)}
+
+    async def wait_for_leader(self, excluding: Iterable[str] = (), timeout: float = TIMEOUT) -> str:
+        """Wait until a host leads, other than some; raises TimeoutError."""
+        end, excluded = time.monotonic() + timeout, set(excluding)
+        while time.monotonic() < end:
+            for host, status in (await self.raft_statuses()).items():
+                if status.is_leader and host not in excluded:
+                    return host
+            await asyncio.sleep(0.02)
+        raise TimeoutError(f"nobody leads within {timeout:g} s: {await self.raft_statuses()}")
+
+    async def submit_order(
+        self,
+        order_id: str,
+        verb: str,
+        names: Iterable[str],
+        duration: float = 20.0,
+        atomic: bool = False,
+        generations: dict[str, int] | None = None,
+    ) -> messages.Response:
+        """Submit an order for `duration` seconds; raises NoLeaderError.
+
+        Where no generations are given, they are those reported now, 0 for services and what nobody reports.
+        """
+        known = generations or await self.generations()
+        targets = [(name, known.get(name, 0)) for name in names]
+        order = messages.FleetOrderRequest(order_id, verb, targets, int(duration * 1e9), atomic)
+        return await self.clients.request_leader(order)
+
+    async def end_order(self, order_id: str, back: bool) -> messages.Response:
+        """Cancel an order (`back`: and bring back what is out) or halt it; raises NoLeaderError."""
+        return await self.clients.request_leader(messages.EndFleetOrderRequest(order_id, back))
+
+    async def instance_statuses(self) -> dict[str, messages.InstanceStatus]:
+        """The status of each instance whose agent answers, by name."""
+        answers, _ = await self.clients.request_each(
+            {host: messages.HostStatusRequest() for host in self.site.hosts}
+        )
+        return {
+            instance.name: instance
+            for answer in answers.values()
+            if isinstance(answer, messages.HostStatus)
+            for instance in answer.instances
+        }
+
+    async def generations(self) -> dict[str, int]:
+        """The generation of each instance whose agent answers, by name."""
+        return {name: status.generation for name, status in (await self.instance_statuses()).items()}
+
+    async def fleet_status(self, order_id: str = "") -> messages.FleetStatus:
+        """The leader's view of the fleet; raises NoLeaderError and UnexpectedResponseError."""
+        answer = await self.clients.request_leader(messages.FleetStatusRequest(order_id))
+        if not isinstance(answer, messages.FleetStatus):
+            raise UnexpectedResponseError(str(answer))
+        return answer
+
+    async def wait_until(
+        self, what: str, condition: Callable[[], Awaitable[bool]], timeout: float = TIMEOUT
+    ) -> float:
+        """Wait for a condition; returns the seconds that it took, raises TimeoutError."""
+        began = time.monotonic()
+        while True:
+            try:
+                if await condition():
+                    return time.monotonic() - began
+            except (NoLeaderError, AssertionError):
+                pass
+            if time.monotonic() - began > timeout:
+                raise TimeoutError(f"not within {timeout:g} s: {what}")
+            await asyncio.sleep(0.03)
+
+    async def wait_until_serving(self, names: Iterable[str] = (), timeout: float = TIMEOUT) -> float:
+        """Wait until some instances serve, or all; returns the seconds that it took."""
+        wanted = set(names) or {name for names in self.site.hosts.values() for name in names}
+
+        async def serve() -> bool:
+            statuses = await self.instance_statuses()
+            return all(name in statuses and statuses[name].phase == "serving" for name in wanted)
+
+        return await self.wait_until("all serve", serve, timeout)
+
+    async def wait_until_ended(self, order_id: str, timeout: float = TIMEOUT) -> dict[str, str]:
+        """Wait until an order has ended; returns the states of its targets."""
+        found: dict[str, str] = {}
+
+        async def ended() -> bool:
+            tasks = (await self.fleet_status(order_id)).orders[0].tasks
+            found.update({task.target: task.state for task in tasks})
+            return all(task.state not in ACTIVE_STATES for task in tasks)
+
+        await self.wait_until(f"order {order_id} has ended", ended, timeout)
+        return found
--- a/oakkeel/fakes/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -1,4 +1,4 @@
-"""An agent over stand-in nodes that kills itself at a given durable step: `... SETTINGS HOST [STEP]`.
+"""An agent over fake nodes that kills itself at a given durable step: `... SETTINGS HOST [STEP]`.
 
 Steps are counted before and after each write to the state, each process made and each signal: after a
 SIGKILL at any of them, the next agent must find the order exactly once.
@@ -24,29 +24,37 @@
 
 
 class CrashPoint:
-    """Counts, and ends the process at the one that was asked for; 0: never."""
+    """Counts steps, and kills the process at a given one; 0: never."""
 
     def __init__(self, last: int) -> None:
+        """`last` is the step that is not survived."""
         self.last, self.count = last, 0
 
     def step(self) -> None:
+        """Count a step, or die."""
         self.count += 1
         if self.count == self.last:
             os.kill(os.getpid(), signal.SIGKILL)
 
 
 class CrashingDatabase(Database):
+    """A database with a step before and after each write."""
+
     def __init__(self, path: str, steps: CrashPoint) -> None:
+        """Open the database of an agent."""
         self.steps = steps
         super().__init__(path, SCHEMA, VERSION)
 
     def write(self, statements: Sequence[Statement]) -> None:
+        """Write all statements in one transaction, between two steps."""
         self.steps.step()
         super().write(statements)
         self.steps.step()
 
 
 def crashing_processes(steps: CrashPoint) -> type[Processes]:
+    """Processes with a step before and after each start and each signal."""
+
     class CrashingProcesses(Processes):
         def spawn(self, name: str, generation: int, argv: list[str], variables: dict[str, str]) -> Process:
             steps.step()
@@ -56,20 +64,22 @@
 
         def signal(self, process: Process, number: signal.Signals) -> bool:
             steps.step()
-            done = super().signal(process, number)
+            sent = super().signal(process, number)
             steps.step()
-            return done
+            return sent
 
     return CrashingProcesses
 
 
 def make_agent(last: int, host: HostSettings, *rest: Any, **more: Any) -> Agent:
+    """Make an agent that kills itself at step `last`."""
     os.makedirs(host.state, mode=0o700, exist_ok=True)
     steps = CrashPoint(last)
     store = CrashingDatabase(os.path.join(host.state, "agent.db"), steps)
-    patience, keys, log, seed = rest
-    return Agent(host, patience, keys, log, seed, store, crashing_processes(steps), PROGRAM, **more)
+    timeouts, keys, log, seed = rest
+    return Agent(host, timeouts, keys, log, seed, store, crashing_processes(steps), PROGRAM, **more)
 
 
 if __name__ == "__main__":
-    sys.exit(serve(sys.argv[1], sys.argv[2], make=functools.partial(make_agent, int((sys.argv + ["0"])[3]))))
+    crash_at = int([*sys.argv, "0"][3])
+    sys.exit(serve(sys.argv[1], sys.argv[2], make=functools.partial(make_agent, crash_at)))
--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher: sends exchanges at a rate whatever comes back, and counts what became of every one."""
+"""A dispatcher: sends requests at a rate whatever comes back, and counts what became of every one."""
 
 from __future__ import annotations
 
@@ -9,60 +9,55 @@
 from collections.abc import Callable
 from random import Random
 
-Address = tuple[str, int]
-MOST_OPEN = 32  # exchanges on one connection
+from oakkeel.fakes.node_connection import Address, NodeConnection
+
+CONNECT_TIMEOUT = 0.25  # seconds
+LATE_MARGIN = 0.05  # seconds past the timeout, for the way of the response
+ANSWERS = ("ok", "full", "fault")  # a node's own outcomes
 
 
 class SentRequest:
-    """One exchange on its way."""
+    """One request on its way."""
 
     __slots__ = ("at", "group", "node")
 
     def __init__(self, node: str, at: float, group: str) -> None:
+        """`at` in monotonic seconds; `group` is the request class."""
         self.node, self.at, self.group = node, at, group
 
 
-class NodeConnection:
-    """One connection to one node."""
+class DispatcherConnection(NodeConnection):
+    """One of a dispatcher's connections to one node."""
+
+    max_open = 32
 
     def __init__(
         self, owner: Dispatcher, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.owner, self.node, self.reader, self.writer = owner, node, reader, writer
+        """`owner` counts what becomes of the requests."""
+        self.owner, self.node = owner, node
         self.open: dict[int, SentRequest] = {}
-        self.tag = 0
-        self.last = False  # the node takes no more on it
-        self.task = asyncio.ensure_future(self._read())
+        super().__init__(reader, writer)
 
     @property
-    def usable(self) -> bool:
-        return not self.last and not self.writer.is_closing() and len(self.open) < MOST_OPEN
+    def open_count(self) -> int:
+        """How many requests have no response yet."""
+        return len(self.open)
 
     def call(self, sent: SentRequest, fields: str, body: bytes) -> None:
-        self.tag += 1
-        self.open[self.tag] = sent
-        words = [b"CALL", b"%d" % self.tag, sent.group.encode(), fields.encode(), body]
-        self.writer.write(
-            b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
-        )
-
-    async def _read(self) -> None:
-        with contextlib.suppress(OSError, ValueError, IndexError, asyncio.IncompleteReadError):
-            while True:
-                words = []
-                for _ in range(int((await self.reader.readline())[1:])):
-                    length = int((await self.reader.readline())[1:])
-                    words.append((await self.reader.readexactly(length + 2))[:-2])
-                if words[0] == b"0":
-                    self.last = True
-                elif sent := self.open.pop(int(words[0]), None):
-                    self.owner.ended(sent, words[1].decode(), words[2] if len(words) > 2 else b"")
-                if self.last and not self.open:
-                    break
-        self.writer.close()
+        """Send a request."""
+        self.last_tag += 1
+        self.open[self.last_tag] = sent
+        self._write_call(sent.group.encode(), fields.encode(), body)
+
+    def _answered(self, tag: int, outcome: bytes, fields: bytes) -> None:
+        if sent := self.open.pop(tag, None):
+            self.owner.request_ended(sent, outcome.decode())
+
+    def _ended(self) -> None:
         for sent in self.open.values():
-            self.owner.ended(sent, "lost", b"")
-        self.owner.gone(self)
+            self.owner.request_ended(sent, "lost")
+        self.owner.connection_ended(self)
 
 
 class Dispatcher:
@@ -75,96 +70,96 @@
         rate: float,
         seed: int,
         groups: tuple[str, ...] = ("quote", "card"),
-        patience: float = 4.0,
+        timeout: float = 4.0,
     ) -> None:
-        """`rate` in exchanges a second; `patience` in seconds, told to the node and waited for."""
+        """`rate` in requests a second; `timeout` in seconds, sent to the node and waited for."""
         self.number, self.addresses, self.rate, self.groups = number, addresses, rate, groups
-        self.patience, self.random = patience, Random(seed)
-        self.links: dict[str, list[NodeConnection]] = {}
-        self.counts: Counter[str] = Counter()  # by word; lost and late beside the node's own
+        self.timeout, self.random = timeout, Random(seed)
+        self.connections: dict[str, list[DispatcherConnection]] = {}
+        self.counts: Counter[str] = Counter()  # by outcome; lost and late beside the node's own
         self.by_node: dict[str, Counter[str]] = {}
-        self.times: list[float] = []  # seconds, of what was completed
-        self.sending: asyncio.Task | None = None
-        self.turn = 0
-        self.latest = 0.0  # seconds after it was due that an exchange was sent, at most
+        self.sending: asyncio.Task[None] | None = None
+        self.max_send_delay = 0.0  # seconds after its time that a request was sent, at most
+        self._next = 0  # the node whose turn it is
 
     def start(self) -> None:
+        """Send from now on."""
         self.sending = asyncio.ensure_future(self._send())
 
-    async def _send(self) -> None:
-        due = time.monotonic()
-        while True:
-            due += self.random.expovariate(self.rate)
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
-            self.latest = max(self.latest, time.monotonic() - due)
-            await self.send_one()
+    async def stop(self) -> None:
+        """Send no more, wait for the responses that are due, and close: the rest is lost."""
+        if self.sending:
+            self.sending.cancel()
+            await asyncio.gather(self.sending, return_exceptions=True)
+        until = time.monotonic() + self.timeout + 0.5
+        while time.monotonic() < until and self.open:
+            await asyncio.sleep(0.01)
+        for connections in list(self.connections.values()):
+            for connection in list(connections):
+                connection.writer.close()
+                await asyncio.wait((connection.task,), timeout=1.0)
 
     async def send_one(self) -> None:
+        """Send one request to the next node that takes a connection."""
         nodes = sorted(self.addresses().items())
         for _ in nodes:
-            self.turn += 1
-            name, address = nodes[self.turn % len(nodes)]
-            if link := await self._link(name, address):
-                ident = f"{self.random.getrandbits(64):016x}"
+            self._next += 1
+            name, address = nodes[self._next % len(nodes)]
+            if connection := await self._connection(name, address):
+                request_id = f"{self.random.getrandbits(64):016x}"
                 fields = (
-                    f"req={ident},ts={time.time_ns() // 1_000_000},via={self.number},"
-                    f"timeout={int(self.patience * 1000)},need=24.5,level=0.5"
+                    f"req={request_id},ts={time.time_ns() // 1_000_000},via={self.number},"
+                    f"timeout={int(self.timeout * 1000)},need=24.5,level=0.5"
                 )
                 sent = SentRequest(name, time.monotonic(), self.random.choice(self.groups))
-                self.going(ident, sent)
-                link.call(sent, fields, ident.encode())
+                self.request_sent(request_id, sent)
+                connection.call(sent, fields, request_id.encode())
                 self.counts["sent"] += 1
                 return
         self.counts["unsent"] += 1  # no node took a connection
 
-    def going(self, ident: str, sent: SentRequest) -> None:
-        """For those who want to know of each exchange that is sent."""
-
-    async def _link(self, name: str, address: Address) -> NodeConnection | None:
-        for link in self.links.get(name, ()):
-            if link.usable:
-                return link
-        try:
-            reader, writer = await asyncio.wait_for(asyncio.open_connection(*address), 0.25)
-        except (TimeoutError, OSError):
-            return None
-        link = NodeConnection(self, name, reader, writer)
-        self.links.setdefault(name, []).append(link)
-        return link
+    def request_sent(self, request_id: str, sent: SentRequest) -> None:
+        """For subclasses that follow each request."""
 
-    def ended(self, sent: SentRequest, word: str, fields: bytes) -> str:
+    def request_ended(self, sent: SentRequest, outcome: str) -> str:
         """Count what became of a request; returns the outcome that it was counted under."""
-        took = time.monotonic() - sent.at
-        if word == "ok":
-            self.times.append(took)
-        if word != "lost" and took > self.patience + 0.05:
-            word = "late"
-        self.counts[word] += 1
-        self.by_node.setdefault(sent.node, Counter())[word] += 1
-        return word
-
-    def gone(self, link: NodeConnection) -> None:
+        if outcome != "lost" and time.monotonic() - sent.at > self.timeout + LATE_MARGIN:
+            outcome = "late"
+        self.counts[outcome] += 1
+        self.by_node.setdefault(sent.node, Counter())[outcome] += 1
+        return outcome
+
+    def connection_ended(self, connection: DispatcherConnection) -> None:
+        """Use a connection no more."""
         with contextlib.suppress(ValueError, KeyError):
-            self.links[link.node].remove(link)
+            self.connections[connection.node].remove(connection)
 
     @property
     def open(self) -> int:
-        return sum(len(link.open) for links in self.links.values() for link in links)
+        """How many requests have no response yet."""
+        return sum(len(item.open) for items in self.connections.values() for item in items)
 
     @property
     def answered(self) -> int:
-        return sum(self.counts[word] for word in ("ok", "full", "fault"))
+        """How many requests a node answered in time, whatever the answer."""
+        return sum(self.counts[outcome] for outcome in ANSWERS)
 
-    async def stop(self, unanswered: Callable[[str], bool] = lambda node: False) -> None:
-        """Send no more, wait for what is owed but by those `unanswered`, and close: the rest is lost."""
-        if self.sending:
-            self.sending.cancel()
-        until = time.monotonic() + self.patience + 0.5
-        while time.monotonic() < until and any(
-            link.open for node, links in self.links.items() if not unanswered(node) for link in links
-        ):
-            await asyncio.sleep(0.01)
-        for links in list(self.links.values()):
-            for link in list(links):
-                link.writer.close()
-                await asyncio.wait((link.task,), timeout=1.0)
+    async def _send(self) -> None:
+        due = time.monotonic()
+        while True:
+            due += self.random.expovariate(self.rate)
+            await asyncio.sleep(max(0.0, due - time.monotonic()))
+            self.max_send_delay = max(self.max_send_delay, time.monotonic() - due)
+            await self.send_one()
+
+    async def _connection(self, name: str, address: Address) -> DispatcherConnection | None:
+        for connection in self.connections.get(name, ()):
+            if connection.usable:
+                return connection
+        try:
+            reader, writer = await asyncio.wait_for(asyncio.open_connection(*address), CONNECT_TIMEOUT)
+        except (TimeoutError, OSError):
+            return None
+        connection = DispatcherConnection(self, name, reader, writer)
+        self.connections.setdefault(name, []).append(connection)
+        return connection
--- a/oakkeel/fakes/downstream_service.py
+++ b/oakkeel/fakes/downstream_service.py
@@ -1,4 +1,4 @@
-"""A service below that takes connections, goes down and comes up again at the same address."""
+"""A fake downstream service that goes down and comes up again at the same address."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class DownstreamService:
+    """Takes connections while it is open, and ends each at once."""
+
     def __init__(self, port: int) -> None:
+        """Listens on loopback at `port`, once it is opened."""
         self.port = port
         self.server = StreamServer(self._serve)
 
--- a/oakkeel/fakes/engine.py
+++ b/oakkeel/fakes/engine.py
@@ -1,4 +1,4 @@
-"""An engine: a few cores that run what a node orders, and tell it when a run is over or needs a call."""
+"""A fake engine: a few cores that run what a node orders, with notices when a run ends or needs a call."""
 
 from __future__ import annotations
 
@@ -11,27 +11,30 @@
 from oakkeel.fakes.faults import Fault, Faulty
 from oakkeel.fakes.stream_server import StreamServer
 
-NOTICES = 4000  # kept for a link that is made anew
-NEW_NODE = 0.3  # seconds without a link, after which one that heard nothing is a node that has just started
+MAX_NOTICES = 4000  # retained for the next link
+NEW_NODE_DELAY = 0.3  # seconds without a link, after which one that knows no notice is a new node's
 
 
 class Engine(Faulty):
     """Runs share its cores in turn; each takes about `work` seconds, and one in `calls` needs a call."""
 
     def __init__(self, seed: int = 1, cores: int = 2, work: float = 0.01, calls: int = 0) -> None:
+        """`work` in seconds; no run needs a call where `calls` is 0."""
         super().__init__()
         self.cores, self.work, self.calls = cores, work, calls
         self.chance = Random(seed).random
         self.free = asyncio.Semaphore(cores)
-        self.runs: dict[bytes, asyncio.Task] = {}
-        self.replies: dict[bytes, asyncio.Future] = {}
-        self.notices: deque[tuple[int, bytes]] = deque(maxlen=NOTICES)
+        self.runs: dict[bytes, asyncio.Task[None]] = {}
+        self.replies: dict[bytes, asyncio.Future[None]] = {}
+        self.notices: deque[tuple[int, bytes]] = deque(maxlen=MAX_NOTICES)
         self.number = 0
-        self.started_at = time.monotonic() - 60  # it says that it is an old one
-        self.on_cores = 0
-        self.lost_at = 0.0  # when a link ended last
-        self.started: dict[bytes, int] = {}  # how often each run was begun: more than once is a double effect
-        self.begun: dict[bytes, float] = {}  # when each run was begun, monotonic seconds
+        self.started_at = time.monotonic() - 60  # it reports that it has run for a while
+        self.running = 0
+        self.link_ended_at = 0.0  # when a link ended last
+        self.start_counts: dict[
+            bytes, int
+        ] = {}  # how often each run was started: more than once is a double effect
+        self.first_started: dict[bytes, float] = {}  # when each run was first started, monotonic seconds
         self.link: asyncio.StreamWriter | None = None
         self.server = StreamServer(self._serve)
 
@@ -48,6 +51,7 @@
         await asyncio.gather(*runs, return_exceptions=True)
 
     def script(self, fault: Fault, slowness: float = 10.0) -> None:
+        """Set the fault from now on; a crash ends the link at once."""
         super().script(fault, slowness)
         if fault is Fault.CRASH and self.link:
             self.link.close()
@@ -65,24 +69,26 @@
                         self._command(writer, line, body)
             finally:
                 if self.link is writer:
-                    self.link, self.lost_at = None, time.monotonic()
+                    self.link, self.link_ended_at = None, time.monotonic()
 
     def _command(self, writer: asyncio.StreamWriter, line: list[bytes], body: bytes) -> None:
         verb = line[0]
         if verb == b"ATTACH":
-            if int(line[1]) == 0 and time.monotonic() - self.lost_at > NEW_NODE:  # it knows no earlier notice
+            if (
+                int(line[1]) == 0 and time.monotonic() - self.link_ended_at > NEW_NODE_DELAY
+            ):  # a new node knows no notice
                 self.number = 0
                 self.notices.clear()
             if self.link:
                 self.link.close()
             self.link = writer
-            self._say(b"HELLO steady %d\r\n" % ((time.monotonic() - self.started_at) * 1000))
+            self._write(b"HELLO steady %d\r\n" % ((time.monotonic() - self.started_at) * 1000))
             for number, notice in list(self.notices):
                 if number > int(line[1]):
-                    self._say(notice)
+                    self._write(notice)
         elif verb == b"STAT":
-            busy = min(1.0, self.on_cores / self.cores)
-            self._say(b"STATS %s %.3f %.3f 0.1 1\r\n" % (line[1], busy, self.on_cores))
+            busy = min(1.0, self.running / self.cores)
+            self._write(b"STATS %s %.3f %.3f 0.1 1\r\n" % (line[1], busy, self.running))
         elif verb == b"RUN":
             if line[1] not in self.runs:
                 self.runs[line[1]] = asyncio.ensure_future(self._run(line[1], body))
@@ -92,45 +98,45 @@
         elif verb in (b"FEED", b"SKIP") and (reply := self.replies.pop(line[1], None)) and not reply.done():
             reply.set_result(None)
 
-    async def _run(self, ident: bytes, body: bytes) -> None:
-        self.started[ident] = self.started.get(ident, 0) + 1
-        self.begun.setdefault(ident, time.monotonic())
+    async def _run(self, run_id: bytes, body: bytes) -> None:
+        self.start_counts[run_id] = self.start_counts.get(run_id, 0) + 1
+        self.first_started.setdefault(run_id, time.monotonic())
         end = b"failure"
         try:
             work = self.work * (0.5 + self.chance()) * self.factor
             await self._compute(work)
             if self.calls and int(self.chance() * self.calls) == 0:
-                self.replies[ident] = asyncio.get_running_loop().create_future()
-                self._notice(b"NEED %%d %s 4" % ident, b"call")
-                await self.replies[ident]
+                self.replies[run_id] = asyncio.get_running_loop().create_future()
+                self._notice(b"NEED %%d %s 4" % run_id, b"call")
+                await self.replies[run_id]
                 await self._compute(work / 2)
             end = b"success"
         except asyncio.CancelledError:
             end = b"interrupted"
         finally:
-            del self.runs[ident]
+            del self.runs[run_id]
             result = b"made of " + body if end == b"success" else b""
-            self._notice(b"DONE %%d %s %s 1.0 %d" % (ident, end, len(result)), result)
+            self._notice(b"DONE %%d %s %s 1.0 %d" % (run_id, end, len(result)), result)
 
     async def _compute(self, seconds: float) -> None:
-        self.on_cores += 1
+        self.running += 1
         try:
             async with self.free:
                 await asyncio.sleep(seconds)
         finally:
-            self.on_cores -= 1
+            self.running -= 1
 
     def _notice(self, line: bytes, body: bytes) -> None:
         self.number += 1
         notice = line % self.number + b"\r\n" + body + b"\r\n"
         self.notices.append((self.number, notice))
-        self._say(notice)
+        self._write(notice)
 
-    def _say(self, data: bytes) -> None:
+    def _write(self, data: bytes) -> None:
         if self.link is None or self.fault is Fault.HANG:
             return
-        data, ends = self.cut(data)
+        data, ends = self.truncate(data)
         self.link.write(data)
         if ends:
             self.link.close()
-            self.link, self.lost_at = None, time.monotonic()
+            self.link, self.link_ended_at = None, time.monotonic()
--- a/oakkeel/fakes/faults.py
+++ b/oakkeel/fakes/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to have, one at a time, until told otherwise."""
+"""Faults that a fake can be set to have, one at a time, until it is set to another."""
 
 from __future__ import annotations
 
@@ -6,27 +6,32 @@
 
 
 class Fault(Enum):
+    """What goes wrong with a fake."""
+
     NONE = "none"
-    HANG = "hang"  # it takes what is sent and says nothing
+    HANG = "hang"  # it takes what is sent and answers nothing
     CRASH = "crash"  # it ends its connections, and each new one at once
     SLOW = "slow"  # all takes `slowness` times as long
     BREAK = "break"  # the next message ends in the middle, with the connection
 
 
 class Faulty:
-    """A stand-in with a switch."""
+    """A fake with a fault that can be set."""
 
     def __init__(self) -> None:
+        """Nothing is wrong at first."""
         self.fault, self.slowness = Fault.NONE, 10.0
 
     def script(self, fault: Fault, slowness: float = 10.0) -> None:
+        """Set the fault from now on; `slowness` is the factor of `Fault.SLOW`."""
         self.fault, self.slowness = fault, slowness
 
     @property
     def factor(self) -> float:
+        """How many times as long everything takes."""
         return self.slowness if self.fault is Fault.SLOW else 1.0
 
-    def cut(self, data: bytes) -> tuple[bytes, bool]:
+    def truncate(self, data: bytes) -> tuple[bytes, bool]:
         """What of a message is sent, and whether its connection ends then."""
         if self.fault is Fault.BREAK:
             self.fault = Fault.NONE
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -1,19 +1,24 @@
-"""A link between two agents that goes wrong as it is told: messages are lost, late, doubled or mixed up.
+"""A link between two agents with faults: messages are lost, delayed, doubled, altered or out of order.
 
-It stands between the one who asks and the one who answers and reads frames as both do. Each way has its own
-faults: what goes there, and what comes back.
+It stands between the agent that asks and the one that answers and reads frames as both do. Each direction has
+its own faults: what goes there, and what comes back.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+from collections.abc import Coroutine
 from dataclasses import dataclass
 from random import Random
+from typing import Any
 
 from oakkeel.fakes.stream_server import StreamServer
 
-LONGEST = 16 * 1024 * 1024
+HEAD = 4  # bytes of the length before each message
+MAX_LENGTH = 16 * 1024 * 1024
+CONNECT_TIMEOUT = 2.0  # seconds
+UNANSWERED_CONNECT = 5.0  # seconds; a lost SYN: whoever connects sees nothing until it gives up
 
 
 @dataclass(slots=True)
@@ -35,95 +40,103 @@
     def __init__(
         self, address: tuple[str, int], there: LinkDirection, back: LinkDirection, seed: int
     ) -> None:
+        """`address` is that of the agent which answers."""
         self.address, self.there, self.back = address, there, back
         self.random = Random(seed)
-        self.tasks: set[asyncio.Task] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
         self.writers: set[asyncio.StreamWriter] = set()
-        self.server = StreamServer(self._accepted)
-        self.port = 0
+        self.server = StreamServer(self._serve)
         self.lost = 0
 
     async def open(self) -> int:
-        self.port = await self.server.open()
-        return self.port
+        """Listen on loopback; returns the port."""
+        return await self.server.open()
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def break_connections(self) -> None:
+        """Close every connection that is open now."""
+        for writer in list(self.writers):
+            writer.close()
+
+    async def close(self) -> None:
+        """End the listener, the connections and what is held back, and wait for their tasks."""
+        await self.server.close()
+        tasks = list(self.tasks)
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
-        other: asyncio.StreamWriter | None = None
-        ways: list[asyncio.Task[None]] = []
         try:
             if self.there.cut or self.back.cut:
-                await asyncio.sleep(5)  # a lost SYN: whoever connects sees nothing until it gives up
-                return
-            far, near = await asyncio.wait_for(asyncio.open_connection(*self.address), 2)
-            other = near
-            self.writers.add(near)
-            ways = [
-                asyncio.ensure_future(self._pass(reader, near, self.there)),
-                asyncio.ensure_future(self._pass(far, writer, self.back)),
-            ]
-            for way in ways:
-                self._own(way)
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.sleep(UNANSWERED_CONNECT)
+            else:
+                await self._connect(reader, writer)
+        finally:
+            self.writers.discard(writer)
+
+    async def _connect(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forward in both directions until one of them ends."""
+        try:
+            far_reader, far_writer = await asyncio.wait_for(
+                asyncio.open_connection(*self.address), CONNECT_TIMEOUT
+            )
         except (TimeoutError, OSError):
-            pass
+            return
+        self.writers.add(far_writer)
+        directions = [
+            self._start(self._forward(reader, far_writer, self.there)),
+            self._start(self._forward(far_reader, writer, self.back)),
+        ]
+        try:
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
-            for each in (writer, other):
-                if each is not None:
-                    self.writers.discard(each)
-                    each.close()
-
-    async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: LinkDirection
+            for task in directions:
+                task.cancel()
+            self.writers.discard(far_writer)
+            far_writer.close()
+
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: LinkDirection
     ) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                head = await reader.readexactly(4)
+                head = await reader.readexactly(HEAD)
                 length = int.from_bytes(head, "big")
-                if length > LONGEST:
+                if length > MAX_LENGTH:
                     return
                 message = head + await reader.readexactly(length)
-                while way.stall:
+                while direction.stall:
                     await asyncio.sleep(0.02)
-                if way.cut or self.random.random() < way.loss:
+                if direction.cut or self.random.random() < direction.loss:
                     self.lost += 1
                     continue
-                if self.random.random() < way.altered:
-                    place = 4 + self.random.randrange(length)
-                    message = message[:place] + bytes([message[place] ^ 1]) + message[place + 1 :]
-                copies = 1 + (self.random.random() < way.double)
+                if self.random.random() < direction.altered:
+                    message = self._altered(message)
+                copies = 1 + (self.random.random() < direction.double)
                 for _ in range(copies):
-                    wait = way.delay + way.mixed * self.random.random()
-                    if wait:
-                        task = asyncio.ensure_future(self._later(wait, writer, message, way))
-                        self._own(task)
+                    delay = direction.delay + direction.mixed * self.random.random()
+                    if delay:
+                        self._start(self._send_later(delay, writer, message, direction))
                     else:
                         writer.write(message)
                         await writer.drain()
 
-    def _own(self, task: asyncio.Task[None]) -> None:
-        """Keep a task until it is over: `close` ends and awaits those that are not."""
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+    def _altered(self, message: bytes) -> bytes:
+        """Change one bit of a message after its head."""
+        position = HEAD + self.random.randrange(len(message) - HEAD)
+        return message[:position] + bytes([message[position] ^ 1]) + message[position + 1 :]
 
-    async def _later(
-        self, wait: float, writer: asyncio.StreamWriter, message: bytes, way: LinkDirection
+    async def _send_later(
+        self, delay: float, writer: asyncio.StreamWriter, message: bytes, direction: LinkDirection
     ) -> None:
-        await asyncio.sleep(wait)
-        if not way.cut and not writer.is_closing():
+        await asyncio.sleep(delay)
+        if not direction.cut and not writer.is_closing():
             writer.write(message)
 
-    def end(self) -> None:
-        """Close what is open now: a broken connection."""
-        for writer in list(self.writers):
-            writer.close()
-
-    async def close(self) -> None:
-        """End the listener, the connections and what is held back, and wait for their tasks."""
-        await self.server.close()
-        tasks = list(self.tasks)
-        for task in tasks:
-            task.cancel()
-        await asyncio.gather(*tasks, return_exceptions=True)
+    def _start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Start a task that `close` ends and awaits."""
+        task = asyncio.ensure_future(work)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+        return task
--- /dev/null
+++ b/oakkeel/fakes/link_mesh.py
@@ -0,0 +1,74 @@
+"""The faulty links from each agent to each other, and what may go wrong on all or some of them."""
+
+from __future__ import annotations
+
+import dataclasses
+from collections.abc import Iterable, Iterator
+from random import Random
+
+from oakkeel.fakes.faulty_link import FaultyLink, LinkDirection
+
+
+class LinkMesh:
+    """One faulty link for each pair of hosts: the first asks, the second answers."""
+
+    def __init__(self, ports: dict[str, int], random: Random) -> None:
+        """`ports` are those that the agents listen on, by host."""
+        self._ports, self._random = ports, random
+        self.links: dict[tuple[str, str], FaultyLink] = {}
+
+    async def open(self, source: str) -> dict[str, int]:
+        """Open the links of one host; returns the port to use in place of each other host's."""
+        found = {}
+        for host, port in self._ports.items():
+            if host == source:
+                continue
+            seed = self._random.getrandbits(32)
+            link = FaultyLink(("127.0.0.1", port), LinkDirection(), LinkDirection(), seed)
+            self.links[source, host] = link
+            found[host] = await link.open()
+        return found
+
+    async def close(self) -> None:
+        """Close all links and wait for their tasks."""
+        for link in self.links.values():
+            await link.close()
+
+    def cut(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
+        """Lose all that goes from some hosts to others, and (`both`) all that comes back."""
+        sources, destinations = list(sources), list(destinations)
+        directions = self._between(sources, destinations)
+        if both:
+            directions += self._between(destinations, sources)
+        for direction in directions:
+            direction.cut = True
+
+    def set_faults(self, **faults: float | bool) -> None:
+        """Set fields of `LinkDirection` on all links, in both directions."""
+        for direction in self._directions():
+            for name, value in faults.items():
+                setattr(direction, name, value)
+
+    def clear_faults(self) -> None:
+        """Let all links pass everything as it comes."""
+        self.set_faults(**dataclasses.asdict(LinkDirection()))
+
+    def break_connections(self) -> None:
+        """Close every connection that is open now."""
+        for link in self.links.values():
+            link.break_connections()
+
+    def _directions(self) -> Iterator[LinkDirection]:
+        for link in self.links.values():
+            yield link.there
+            yield link.back
+
+    def _between(self, sources: list[str], destinations: list[str]) -> list[LinkDirection]:
+        """The directions from some hosts to others, in whichever link they are."""
+        return [
+            direction
+            for source in sources
+            for destination in destinations
+            if source != destination
+            for direction in (self.links[source, destination].there, self.links[destination, source].back)
+        ]
--- a/oakkeel/fakes/load_clients.py
+++ b/oakkeel/fakes/load_clients.py
@@ -1,44 +1,92 @@
-"""Clients at a node's door: some come back when they are told to, some again and again."""
+"""Load clients of a node: some come back when they are told to, some again and again."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import time
+from collections.abc import Coroutine
 from random import Random
+from typing import Any
 
-Address = tuple[str, int]
-TRIES = 4  # of one exchange
-MOST_OPEN = 30  # on one connection
+from oakkeel.fakes.node_connection import Address, NodeConnection
+
+MAX_TRIES = 4  # of one request
+MAX_RETRY_AFTER = 5000  # milliseconds; the most that a node tells, which promises nothing
+DEFAULT_RETRY_AFTER = b"1000"  # milliseconds
+CONNECTION_LOST = b""
+
+
+class ClientConnection(NodeConnection):
+    """One connection to a node, whose calls are awaited."""
+
+    max_open = 30
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Start to read at once."""
+        self.open_calls: dict[int, asyncio.Future[tuple[bytes, bytes]]] = {}
+        self.ended = False
+        super().__init__(reader, writer)
+
+    @classmethod
+    async def open(cls, address: Address) -> ClientConnection:
+        """Connect to a node."""
+        return cls(*await asyncio.open_connection(*address))
+
+    @property
+    def open_count(self) -> int:
+        """How many calls have no response yet."""
+        return len(self.open_calls)
+
+    async def call(self, request_class: bytes, fields: bytes) -> tuple[bytes, bytes]:
+        """Outcome and fields of the response; empty ones where the connection ends."""
+        self.last_tag += 1
+        response: asyncio.Future[tuple[bytes, bytes]] = asyncio.get_running_loop().create_future()
+        self.open_calls[self.last_tag] = response
+        self._write_call(request_class, fields, b"what")
+        return await response
+
+    def _answered(self, tag: int, outcome: bytes, fields: bytes) -> None:
+        if (response := self.open_calls.pop(tag, None)) and not response.done():
+            response.set_result((outcome, fields))
+
+    def _ended(self) -> None:
+        self.ended = True
+        for response in self.open_calls.values():
+            if not response.done():
+                response.set_result((CONNECTION_LOST, b""))
 
 
 class PoliteClient:
-    """Sends first tries at a rate by chance; what is denied comes again when it was told to."""
+    """Sends first tries at a random rate; what is rejected comes again when the node said it might."""
 
-    gap: float | None = None  # seconds until a next try, in place of what was told
+    retry_delay: float | None = None  # seconds until a next try, in place of what the node tells
 
-    def __init__(self, name: str, address: Address, rate: float, seed: int, patience: float = 2.0) -> None:
-        self.name, self.address, self.rate, self.patience = name, address, rate, patience
+    def __init__(self, name: str, address: Address, rate: float, seed: int, timeout: float = 2.0) -> None:
+        """`rate` in requests a second; `timeout` in seconds, sent to the node."""
+        self.name, self.address, self.rate, self.timeout = name, address, rate, timeout
         self.random = Random(seed)
-        self.links: list[NodeConnection] = []
-        self.tasks: set[asyncio.Task] = set()
-        self.begin()
+        self.connections: list[ClientConnection] = []
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.reset_counts()
 
-    def begin(self) -> None:
+    def reset_counts(self) -> None:
         """Count from now on."""
         self.sent = self.tries = self.completed = self.returned = self.went_ahead = self.lost = 0
 
     async def start(self) -> None:
-        self._task(self._send())
+        """Send from now on."""
+        self._start_task(self._send())
 
     async def stop(self) -> None:
+        """Give up what is on its way, and close."""
         for task in list(self.tasks):
             task.cancel()
-        for link in self.links:
-            link.writer.close()
-        await asyncio.gather(*self.tasks, *(link.task for link in self.links), return_exceptions=True)
+        for connection in self.connections:
+            connection.writer.close()
+        reading = (connection.task for connection in self.connections)
+        await asyncio.gather(*self.tasks, *reading, return_exceptions=True)
 
-    def _task(self, work) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -49,90 +97,42 @@
             due += self.random.expovariate(self.rate)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             self.sent += 1
-            self._task(self._exchange())
+            self._start_task(self.send_one())
 
-    async def _exchange(self) -> None:
-        """One exchange with all its tries."""
-        told = False
-        for number in range(TRIES):
+    async def send_one(self) -> None:
+        """Send one request with all its tries."""
+        invited = False  # the node said when to come again
+        for number in range(MAX_TRIES):
             self.tries += 1
-            self.returned += told
-            word, fields = await self._try(number > 0)
-            if word == b"ok":
+            self.returned += invited
+            outcome, fields = await self._try(number > 0)
+            if outcome == b"ok":
                 self.completed += 1
-                self.went_ahead += told
+                self.went_ahead += invited
                 return
-            if word != b"full":
-                self.lost += word == b""
+            if outcome != b"full":
+                self.lost += outcome == CONNECTION_LOST
                 return
-            after = float(
-                dict(item.partition(b"=")[::2] for item in fields.split(b",")).get(b"holdoff", b"1000")
-            )
-            told = self.gap is None and after < 5000  # the most that the node tells stands for no promise
-            await asyncio.sleep(after / 1000 if self.gap is None else self.gap)
-
-    async def _try(self, again: bool) -> tuple[bytes, bytes]:
-        link = next((each for each in self.links if each.usable), None)
-        if link is None:
-            link = await NodeConnection.open(self.address)
-            self.links = [each for each in self.links if not each.ended] + [link]
+            values = dict(item.partition(b"=")[::2] for item in fields.split(b","))
+            retry_after = float(values.get(b"holdoff", DEFAULT_RETRY_AFTER))
+            invited = self.retry_delay is None and retry_after < MAX_RETRY_AFTER
+            await asyncio.sleep(retry_after / 1000 if self.retry_delay is None else self.retry_delay)
+
+    async def _try(self, retry: bool) -> tuple[bytes, bytes]:
+        connection = next((item for item in self.connections if item.usable), None)
+        if connection is None:
+            connection = await ClientConnection.open(self.address)
+            self.connections = [item for item in self.connections if not item.ended] + [connection]
         fields = (
             f"req={self.random.getrandbits(64):016x},ts={time.time_ns() // 1_000_000},via=1,"
-            f"timeout={int(self.patience * 1000)},need=24.5,level=0.5,client={self.name}"
-            + ",resent=1"
-            * again
+            f"timeout={int(self.timeout * 1000)},need=24.5,level=0.5,client={self.name}"
         )
-        return await link.call(b"quote", fields.encode())
+        if retry:
+            fields += ",resent=1"
+        return await connection.call(b"quote", fields.encode())
 
 
 class CrawlerClient(PoliteClient):
-    """Takes no advice: what is denied comes again at once."""
+    """Takes no advice: what is rejected comes again at once."""
 
-    gap = 0.02
-
-
-class NodeConnection:
-    """One connection to a node."""
-
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
-        self.open_calls: dict[int, asyncio.Future] = {}
-        self.tag, self.last, self.ended = 0, False, False
-        self.task = asyncio.ensure_future(self._read())
-
-    @classmethod
-    async def open(cls, address: Address) -> NodeConnection:
-        return cls(*await asyncio.open_connection(*address))
-
-    @property
-    def usable(self) -> bool:
-        return not self.last and not self.ended and len(self.open_calls) < MOST_OPEN
-
-    async def call(self, group: bytes, fields: bytes) -> tuple[bytes, bytes]:
-        """The word of the answer and its fields; empty ones where the connection ends."""
-        self.tag += 1
-        words = [b"CALL", b"%d" % self.tag, group, fields, b"what"]
-        answer = self.open_calls[self.tag] = asyncio.get_running_loop().create_future()
-        self.writer.write(
-            b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
-        )
-        return await answer
-
-    async def _read(self) -> None:
-        with contextlib.suppress(OSError, ValueError, IndexError, asyncio.IncompleteReadError):
-            while True:
-                words = []
-                for _ in range(int((await self.reader.readline())[1:])):
-                    length = int((await self.reader.readline())[1:])
-                    words.append((await self.reader.readexactly(length + 2))[:-2])
-                if words[0] == b"0":
-                    self.last = True
-                elif (answer := self.open_calls.pop(int(words[0]), None)) and not answer.done():
-                    answer.set_result((words[1], words[2] if len(words) > 2 else b""))
-                if self.last and not self.open_calls:
-                    break
-        self.ended = True
-        self.writer.close()
-        for answer in self.open_calls.values():
-            if not answer.done():
-                answer.set_result((b"", b""))
+    retry_delay = 0.02
--- a/oakkeel/fakes/load_generator.py
+++ b/oakkeel/fakes/load_generator.py
@@ -14,7 +14,8 @@
 
 import msgspec
 
-from oakkeel.fakes.dispatcher import Address, Dispatcher, SentRequest
+from oakkeel.fakes.dispatcher import Dispatcher, SentRequest
+from oakkeel.fakes.node_connection import Address
 
 DISPATCHERS = 2
 
@@ -60,13 +61,13 @@
         self._report = report
         self._ids: dict[SentRequest, str] = {}
 
-    def going(self, ident: str, sent: SentRequest) -> None:
+    def request_sent(self, request_id: str, sent: SentRequest) -> None:
         """Remember the ID until the request ends."""
-        self._ids[sent] = ident
+        self._ids[sent] = request_id
 
-    def ended(self, sent: SentRequest, word: str, fields: bytes) -> str:
+    def request_ended(self, sent: SentRequest, outcome: str) -> str:
         """Count the request, and report it as it was counted."""
-        outcome = super().ended(sent, word, fields)
+        outcome = super().request_ended(sent, outcome)
         now = asyncio.get_running_loop().time()  # the monotonic clock
         self._report(RequestReport(self._ids.pop(sent), sent.node, sent.at, now, outcome))
         return outcome
@@ -100,7 +101,7 @@
         for dispatcher in self._dispatchers:
             await dispatcher.stop()
         counts: Counter[str] = sum((dispatcher.counts for dispatcher in self._dispatchers), Counter())
-        return LoadSummary(dict(counts), max(dispatcher.latest for dispatcher in self._dispatchers))
+        return LoadSummary(dict(counts), max(dispatcher.max_send_delay for dispatcher in self._dispatchers))
 
 
 async def run(rate: float, seed: int) -> None:
--- a/oakkeel/fakes/load_process.py
+++ b/oakkeel/fakes/load_process.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from oakkeel.fakes.dispatcher import Address
 from oakkeel.fakes.load_generator import LoadCommand, LoadSummary, RequestReport
+from oakkeel.fakes.node_connection import Address
 
 STOP_TIMEOUT = 30.0  # seconds
 
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -1,4 +1,4 @@
-"""A small site in one folder: engines, catalogue and directory, settings and keys for agents and nodes."""
+"""A small site in one folder: fake engines, catalogue and directory; settings and keys for its processes."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
+OPERATORS = {"asha": "act", "ravi": "act", "lena": "view"}
 NODE_SETTINGS = {
     "extra": {
         "cores": 2,
@@ -46,25 +47,29 @@
         self,
         folder: str,
         hosts: dict[str, list[str]],
-        away: int,
+        max_unavailable: int,
         seed: int = 1,
         work: float = 0.005,
         supervision: str = "",
         sites: dict[str, str] | None = None,
-        most_return: int = 1,
-        keepers: tuple[str, ...] = (),
-        fleet_away: int = 0,
-        below: str = "",
-        hanging: dict[str, str] | None = None,
+        max_retry_after: int = 1,
+        replicas: tuple[str, ...] = (),
+        fleet_max_unavailable: int = 0,
+        downstream: str = "",
+        dependencies: dict[str, str] | None = None,
     ) -> None:
-        """`hosts` names the instances of each; `sites` the site of each host, where there are several;
-        `below` is the element of that name, and `hanging` names the services of some instances."""
-        self.keepers, self.fleet_away, self.below, self.hanging = keepers, fleet_away, below, hanging or {}
-        self.folder, self.hosts, self.away, self.seed, self.work = folder, hosts, away, seed, work
-        self.supervision = supervision
-        self.told = {
+        """`hosts` names the instances of each, `sites` the site of each host, where there are several.
+
+        `supervision` and `downstream` are elements of the settings; `dependencies` names the downstream
+        service of some instances. `work` is in seconds for each run and call, `max_retry_after` in seconds.
+        """
+        self.replicas, self.fleet_max_unavailable = replicas, fleet_max_unavailable
+        self.downstream, self.dependencies = downstream, dependencies or {}
+        self.folder, self.hosts, self.seed, self.work = folder, hosts, seed, work
+        self.max_unavailable, self.supervision = max_unavailable, supervision
+        self.node_settings = {
             **NODE_SETTINGS,
-            "ceilings": {"retry-after": True, "max-retry-after": most_return * SECOND},
+            "ceilings": {"retry-after": True, "max-retry-after": max_retry_after * SECOND},
         }
         self.sites = sites or dict.fromkeys(hosts, "woodbrook")
         self.catalogue, self.directory = Catalogue(), Directory()
@@ -74,79 +79,84 @@
         self.settings = os.path.join(folder, "fleet.xml")
 
     async def open(self) -> None:
-        catalogue, lookup = await self.catalogue.open(), await self.directory.open()
+        """Start the fakes, and write configurations, keys and settings."""
+        catalogue, directory = await self.catalogue.open(), await self.directory.open()
         for name in (name for names in self.hosts.values() for name in names):
             self.engines[name] = Engine(self.seed + len(self.engines), work=self.work, calls=4)
             port = await self.engines[name].open()
-            told = {
-                "name": name,
-                "listen": "127.0.0.1:0",
-                "engine": f"127.0.0.1:{port}",
-                "lookup": f"127.0.0.1:{lookup}",
-                "catalog": self.catalogues.get(name, f"127.0.0.1:{catalogue}"),
-                "seed": f"{self.seed + len(self.engines):016x}",
-                "stop_ms": 3200,
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "settings": self.told,
-            }
-            with open(os.path.join(self.folder, f"{name}.json"), "w", encoding="utf-8") as file:
-                json.dump(told, file)
-        for key in ("asha", "lena", "ravi"):
+            self._write_node(name, port, directory, self.catalogues.get(name, f"127.0.0.1:{catalogue}"))
+        agents = self.hosts if self.replicas else ()
+        for key in (*OPERATORS, *agents):
             write_key(os.path.join(self.folder, f"{key}.key"), secrets.token_bytes(32))
-        for host in self.hosts if self.keepers else ():
-            write_key(os.path.join(self.folder, f"{host}.key"), secrets.token_bytes(32))
         self.write_settings()
 
+    async def close(self) -> None:
+        """End the fakes and wait for their tasks; what was written stays."""
+        for engine in self.engines.values():
+            await engine.close()
+        await self.catalogue.close()
+        await self.directory.close()
+
     def write_settings(self, **operators: str) -> None:
         """`operators`: the whole elements of those that are not as they were at first."""
         self.write_to(self.settings, {}, **operators)
 
     def write_to(self, path: str, ports: dict[str, int], **operators: str) -> None:
-        """With other ports of agents, as far as told: what stands between hosts."""
+        """Write settings with other ports of some agents: those of the links between hosts."""
         element = '<operator name="{0}" role="{1}"><key id="{0}-1" file="{0}.key"/></operator>'
-        first = {
-            name: element.format(name, role)
-            for name, role in (("asha", "act"), ("ravi", "act"), ("lena", "view"))
-        }
-        told = first | operators
-        away = f' away="{self.fleet_away}"' if self.fleet_away else ""
+        elements = {name: element.format(name, role) for name, role in OPERATORS.items()} | operators
+        limit = f' away="{self.fleet_max_unavailable}"' if self.fleet_max_unavailable else ""
         lines = [
-            f'<fleet xmlns="urn:oakkeel:fleet:1" name="guild"{away}>',
+            f'<fleet xmlns="urn:oakkeel:fleet:1" name="guild"{limit}>',
             "  <operators>",
-            *(f"    {each}" for each in told.values()),
+            *(f"    {operator}" for operator in elements.values()),
             "  </operators>",
             f"  {self.supervision}",
         ]
-        if self.keepers:
-            lines += [f'  <keepers hosts="{" ".join(self.keepers)}"/>', f"  {self.below}"]
+        if self.replicas:
+            lines += [f'  <keepers hosts="{" ".join(self.replicas)}"/>', f"  {self.downstream}"]
         for site in dict.fromkeys(self.sites.values()):
-            lines.append(f'  <site name={quoteattr(site)} away="{self.away}">')
-            for host, names in self.hosts.items():
-                if self.sites[host] != site:
-                    continue
-                key = f' key="{host}.key"' if self.keepers else ""
-                port = ports.get(host, self.ports[host])
-                lines.append(f'    <host name="{host}" agent="127.0.0.1:{port}" state="{host}"{key}>')
-                for name in names:
-                    below = f' below="{self.hanging[name]}"' if name in self.hanging else ""
-                    lines.append(f'      <instance name="{name}" config="{name}.json"{below}/>')
-                lines.append("    </host>")
+            lines.append(f'  <site name={quoteattr(site)} away="{self.max_unavailable}">')
+            for host in self.hosts:
+                if self.sites[host] == site:
+                    lines += self._host_lines(host, ports.get(host, self.ports[host]))
             lines.append("  </site>")
         with open(path, "w", encoding="utf-8") as file:
             file.write("\n".join([*lines, "</fleet>", ""]))
 
-    async def close(self) -> None:
-        for engine in self.engines.values():
-            await engine.close()
-        await self.catalogue.close()
-        await self.directory.close()
+    def _host_lines(self, host: str, port: int) -> list[str]:
+        key = f' key="{host}.key"' if self.replicas else ""
+        lines = [f'    <host name="{host}" agent="127.0.0.1:{port}" state="{host}"{key}>']
+        for name in self.hosts[host]:
+            below = f' below="{self.dependencies[name]}"' if name in self.dependencies else ""
+            lines.append(f'      <instance name="{name}" config="{name}.json"{below}/>')
+        return [*lines, "    </host>"]
+
+    def _write_node(self, name: str, engine: int, directory: int, catalogue: str) -> None:
+        """Write the configuration of one instance."""
+        configuration = {
+            "name": name,
+            "listen": "127.0.0.1:0",
+            "engine": f"127.0.0.1:{engine}",
+            "lookup": f"127.0.0.1:{directory}",
+            "catalog": catalogue,
+            "seed": f"{self.seed + len(self.engines):016x}",
+            "stop_ms": 3200,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": self.node_settings,
+        }
+        with open(os.path.join(self.folder, f"{name}.json"), "w", encoding="utf-8") as file:
+            json.dump(configuration, file)
 
 
 def free_port() -> int:
-    """One that nobody listens on, for loopback and tests only. Below those that the kernel gives out itself:
-    else a link that is opened meanwhile may have it by the time that it is listened on."""
+    """Find a port that nobody listens on, for loopback and tests only.
+
+    It is below those that the kernel gives out itself: otherwise a connection that is opened meanwhile may
+    have it by the time that it is listened on.
+    """
     while True:
         port = 10_000 + secrets.randbelow(20_000)
-        with socket.socket() as found, contextlib.suppress(OSError):
-            found.bind(("127.0.0.1", port))
+        with socket.socket() as probe, contextlib.suppress(OSError):
+            probe.bind(("127.0.0.1", port))
             return port
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -42,7 +42,7 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, away=1)
+        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, max_unavailable=1)
         for key in ("asha", "ravi", "lena"):
             write_key(os.path.join(self.folder, f"{key}.key"), os.urandom(32))
         self.site.write_settings()
@@ -378,7 +378,7 @@
         """Whether the agent never came to that step. In any case the restart was carried out once."""
         folder = os.path.join(self.folder, f"at{step}")
         os.mkdir(folder)
-        site = FakeSite(folder, {"wb1": ["n1"]}, away=1, supervision='<supervision backoff="50ms"/>')
+        site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, supervision='<supervision backoff="50ms"/>')
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         fleet = read_fleet(site.settings)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -175,7 +175,9 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.other = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = FakeSite(self.other, {"wb1": ["n1"]}, away=1, supervision='<fairness by="client"/>')
+        self.site = FakeSite(
+            self.other, {"wb1": ["n1"]}, max_unavailable=1, supervision='<fairness by="client"/>'
+        )
         await self.site.open()
         self.addAsyncCleanup(self.site.close)
         self.server = await asyncio.create_subprocess_exec(
@@ -201,7 +203,7 @@
         _, out, _ = await self.oakkeel("show", "n1", "--output", "json")
         host, _, port = json.loads(out)["instances"][0]["told"]["report"]["address"].rpartition(":")
         client = PoliteClient("steelpan", (host, int(port)), 1.0, 7)
-        await client._exchange()
+        await client.send_one()
         await client.stop()
         code, out, err = await self.oakkeel("show", "n1", "--clients")
         self.assertEqual((code, "steelpan" in out, "1 known" in err), (0, True, True), out + err)
@@ -223,7 +225,9 @@
     """A real node between stand-ins that have a fault each."""
 
     async def asyncSetUp(self) -> None:
-        self.site = FakeSite(self.enterContext(tempfile.TemporaryDirectory()), {"wb1": ["n1"]}, away=1)
+        self.site = FakeSite(
+            self.enterContext(tempfile.TemporaryDirectory()), {"wb1": ["n1"]}, max_unavailable=1
+        )
         await self.site.open()
         self.addAsyncCleanup(self.site.close)
         self.engine = self.site.engines["n1"]
@@ -256,7 +260,7 @@
     async def all_answered(self) -> None:
         await self.dispatcher.stop()
         self.assertEqual(self.dispatcher.answered, self.dispatcher.counts["sent"], self.dispatcher.counts)
-        self.assertEqual(max(self.engine.started.values()), 1)
+        self.assertEqual(max(self.engine.start_counts.values()), 1)
 
     async def test_each_is_answered_with_what_its_run_made(self):
         self.engine.calls = 1  # each run needs one
--- a/tests/cluster/test_rig.py
+++ b/tests/cluster/test_rig.py
@@ -44,16 +44,16 @@
             self.away,
             supervision=SUPERVISION,
             sites=self.sites,
-            keepers=self.keepers,
-            fleet_away=self.fleet_away,
-            below=self.below,
-            hanging=self.hanging,
+            replicas=self.keepers,
+            fleet_max_unavailable=self.fleet_away,
+            downstream=self.below,
+            dependencies=self.hanging,
         )
         self.rig = ProcessRig(self.site)
         self.addAsyncCleanup(self.end)
         await self.rig.open()
-        await self.rig.leader()
-        await self.rig.all_serve()
+        await self.rig.wait_for_leader()
+        await self.rig.wait_until_serving()
 
     async def end(self) -> None:
         await self.rig.close()
@@ -76,13 +76,13 @@
 
     async def all_granted(self, ident: str, *things: str) -> None:
         async def granted() -> bool:
-            parts = (await self.rig.state_of(ident)).orders[0].tasks
+            parts = (await self.rig.fleet_status(ident)).orders[0].tasks
             return all(part.state != "waiting" for part in parts if part.target in things)
 
-        await self.rig.until(f"{things} have places", granted)
+        await self.rig.wait_until(f"{things} have places", granted)
 
     async def follower(self, *but: str) -> str:
-        leader = await self.rig.leader()
+        leader = await self.rig.wait_for_leader()
         return next(host for host in self.keepers if host != leader and host not in but)
 
     async def order(self, *words, **more) -> messages.FleetOrderStatus:
@@ -91,157 +91,161 @@
 
         async def taken() -> bool:
             nonlocal answer
-            answer = await self.rig.order(*words, **more)
+            answer = await self.rig.submit_order(*words, **more)
             return isinstance(answer, messages.FleetOrderStatus)
 
-        await self.rig.until("the order is taken", taken)
+        await self.rig.wait_until("the order is taken", taken)
         assert isinstance(answer, messages.FleetOrderStatus)
         return answer
 
 
 class LeaderStories(RigStory):
     async def test_a_leader_stopped_through_an_election_and_woken_in_a_step_changes_nothing_twice(self):
-        leader = await self.rig.leader()
+        leader = await self.rig.wait_for_leader()
         await self.order("o1", "restart", ["n1a", "n3a", "n4a"])
-        self.rig.stop(leader)
+        self.rig.suspend_agent(leader)
         began = time.monotonic()
-        other = await self.rig.leader(but=[leader])
+        other = await self.rig.wait_for_leader(excluding=[leader])
         self.assertLess(time.monotonic() - began, 3.0)
         await self.order("o2", "restart", ["n5b"])
-        self.rig.go_on(leader)
-        self.assertEqual(set((await self.rig.ended("o1")).values()), {"done"})
-        self.assertEqual(set((await self.rig.ended("o2")).values()), {"done"})
-        self.assertEqual((await self.rig.records())[leader].is_leader, leader == await self.rig.leader())
+        self.rig.resume_agent(leader)
+        self.assertEqual(set((await self.rig.wait_until_ended("o1")).values()), {"done"})
+        self.assertEqual(set((await self.rig.wait_until_ended("o2")).values()), {"done"})
+        self.assertEqual(
+            (await self.rig.raft_statuses())[leader].is_leader, leader == await self.rig.wait_for_leader()
+        )
         self.assertIsNotNone(other)
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         self.assertEqual([self.words(name).count("start") for name in ("n1a", "n3a", "n4a", "n5b")], [2] * 4)
 
     async def test_all_keepers_killed_at_once_go_on_with_what_was_agreed(self):
         await self.order("o1", "drain", ["n4a"])
-        await self.rig.ended("o1")
-        await self.order("o2", "drain", ["n4b", "n5a"], lasts=60)  # no room: they wait
+        await self.rig.wait_until_ended("o1")
+        await self.order("o2", "drain", ["n4b", "n5a"], duration=60)  # no room: they wait
         for host in self.keepers:
-            await self.rig.kill(host)
+            await self.rig.kill_agent(host)
         with self.assertRaises(NoLeaderError):
-            await self.rig.asker.request_leader(messages.FleetStatusRequest(), 500_000_000)
+            await self.rig.clients.request_leader(messages.FleetStatusRequest(), 500_000_000)
         for host in self.keepers:
-            await self.rig.start(host)
-        await self.rig.leader()
-        states = {part.target: part.state for part in (await self.rig.state_of("o2")).orders[0].tasks}
+            await self.rig.start_agent(host)
+        await self.rig.wait_for_leader()
+        states = {part.target: part.state for part in (await self.rig.fleet_status("o2")).orders[0].tasks}
         self.assertEqual(states, {"n4b": "waiting", "n5a": "waiting"})
         answer = await self.rig.end_order("o1", True)
         self.assertIsInstance(answer, messages.FleetOrderStatus, answer)
-        await self.rig.all_serve(["n4a"])
+        await self.rig.wait_until_serving(["n4a"])
         await self.all_granted("o2", "n4b")
         await self.rig.end_order("o2", True)
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
 
     async def test_keepers_cut_two_ways_one_way_and_in_a_ring_agree_with_a_majority_alone(self):
-        leader = await self.rig.leader()
+        leader = await self.rig.wait_for_leader()
         others = [host for host in self.hosts if host != leader]
-        self.rig.cut([leader], others)
-        second = await self.rig.leader(but=[leader])
+        self.rig.links.cut([leader], others)
+        second = await self.rig.wait_for_leader(excluding=[leader])
         await self.order("two", "restart", ["n4a"])
-        self.rig.heal()
+        self.rig.links.clear_faults()
         others = [host for host in self.hosts if host != second]
-        self.rig.cut(others, [second], both=False)  # it is heard, and hears nobody
-        third = await self.rig.leader(but=[second])
+        self.rig.links.cut(others, [second], both=False)  # it is heard, and hears nobody
+        third = await self.rig.wait_for_leader(excluding=[second])
         await self.order("one", "restart", ["n5a"])
-        self.rig.heal()
+        self.rig.links.clear_faults()
         ring = list(self.keepers)
         for place, host in enumerate(ring):  # each hears only the one before
-            self.rig.cut([ring[(place + 1) % 3]], [host], both=False)
+            self.rig.links.cut([ring[(place + 1) % 3]], [host], both=False)
         await asyncio.sleep(1.5)
-        self.rig.heal()
-        await self.rig.leader()
+        self.rig.links.clear_faults()
+        await self.rig.wait_for_leader()
         await self.order("ring", "restart", ["n3a"])
         for ident in ("two", "one", "ring"):
-            self.assertEqual(set((await self.rig.ended(ident)).values()), {"done"})
+            self.assertEqual(set((await self.rig.wait_until_ended(ident)).values()), {"done"})
         self.assertIsNotNone(third)
 
     async def test_links_that_lose_double_delay_and_alter_cost_time_and_no_promise(self):
-        self.rig.spoil(loss=0.1, double=0.1, altered=0.05, mixed=0.02)
-        await self.order("o1", "restart", ["n1a", "n2a", "n3a", "n4a"], lasts=60)
-        self.rig.heal()
-        self.rig.break_links()
-        self.rig.spoil(delay=1.5)  # longer than any lease
+        self.rig.links.set_faults(loss=0.1, double=0.1, altered=0.05, mixed=0.02)
+        await self.order("o1", "restart", ["n1a", "n2a", "n3a", "n4a"], duration=60)
+        self.rig.links.clear_faults()
+        self.rig.links.break_connections()
+        self.rig.links.set_faults(delay=1.5)  # longer than any lease
         await asyncio.sleep(2)
-        self.rig.heal()
-        self.assertEqual(set((await self.rig.ended("o1", 60)).values()), {"done"})
-        await self.rig.all_serve()
+        self.rig.links.clear_faults()
+        self.assertEqual(set((await self.rig.wait_until_ended("o1", 60)).values()), {"done"})
+        await self.rig.wait_until_serving()
 
 
 class FileStories(RigStory):
     async def test_a_keeper_with_its_file_lost_and_one_with_an_old_file_vote_only_as_new_ones(self):
         victim = await self.follower()
-        backup = self.rig.back_up(victim)
+        backup = self.rig.back_up_replica(victim)
         for number in range(4):
             await self.order(f"o{number}", "restart", ["n4a"])
-            await self.rig.ended(f"o{number}")
+            await self.rig.wait_until_ended(f"o{number}")
         lives = {
             each.name: each.incarnation
-            for each in (await self.rig.records())[await self.rig.leader()].members
+            for each in (await self.rig.raft_statuses())[await self.rig.wait_for_leader()].members
         }
-        await self.rig.kill(victim)
-        self.rig.restore(victim, backup)
-        await self.rig.start(victim)
+        await self.rig.kill_agent(victim)
+        self.rig.restore_replica(victim, backup)
+        await self.rig.start_agent(victim)
 
         async def anew() -> bool:
-            told = (await self.rig.records())[await self.rig.leader()]
+            told = (await self.rig.raft_statuses())[await self.rig.wait_for_leader()]
             return any(
                 each.name == victim and each.is_voter and each.incarnation != lives[victim] and not each.lag
                 for each in told.members
             )
 
-        await self.rig.until("it votes under a new life", anew)
+        await self.rig.wait_until("it votes under a new life", anew)
         self.assertIn("knows it to have kept entry", self.said(victim))
         lives[victim] = ""
-        await self.rig.kill(victim)
-        self.rig.lose(victim, "record.db")
-        await self.rig.start(victim)
-        await self.rig.until("it votes under a third life", anew)
+        await self.rig.kill_agent(victim)
+        self.rig.delete_databases(victim, "record.db")
+        await self.rig.start_agent(victim)
+        await self.rig.wait_until("it votes under a third life", anew)
 
     async def test_an_agent_without_its_file_repeats_no_generation_and_leaves_out_what_is_out(self):
         await self.order("o1", "drain", ["n4a"])
-        await self.rig.ended("o1")
+        await self.rig.wait_until_ended("o1")
         before = await self.rig.generations()
-        await self.rig.kill("h4")
+        await self.rig.kill_agent("h4")
         self.rig.kill_node("n4b")
-        self.rig.lose("h4", "agent.db")
-        self.rig.cut(["h4"], [host for host in self.hosts if host != "h4"])
-        await self.rig.start("h4")
+        self.rig.delete_databases("h4", "agent.db")
+        self.rig.links.cut(["h4"], [host for host in self.hosts if host != "h4"])
+        await self.rig.start_agent("h4")
         await asyncio.sleep(1.5)
-        self.assertEqual((await self.rig.look())["n4b"].phase, "stopped")  # it may not start anything yet
-        self.rig.heal()
-        await self.rig.all_serve(["n4b"])
-        told = await self.rig.look()
+        self.assertEqual(
+            (await self.rig.instance_statuses())["n4b"].phase, "stopped"
+        )  # it may not start anything yet
+        self.rig.links.clear_faults()
+        await self.rig.wait_until_serving(["n4b"])
+        told = await self.rig.instance_statuses()
         self.assertEqual((told["n4a"].phase, told["n4a"].goal), ("stopped", "down"))
         self.assertGreater(told["n4a"].generation, before["n4a"])
         self.assertGreater(told["n4b"].generation, before["n4b"])
-        answer = await self.rig.order("old", "drain", ["n4b"], generations=before)
+        answer = await self.rig.submit_order("old", "drain", ["n4b"], generations=before)
         self.assertIsInstance(answer, messages.FleetOrderStatus)
-        self.assertEqual(await self.rig.ended("old"), {"n4b": "refused"})
+        self.assertEqual(await self.rig.wait_until_ended("old"), {"n4b": "refused"})
 
     async def test_a_disk_that_fills_in_the_middle_of_a_write_takes_nothing_and_loses_nothing(self):
-        leader = await self.rig.leader()
-        self.rig.mark(leader, "full")
-        await self.order("o1", "restart", ["n4a"], lasts=30)  # by another leader
-        self.assertNotEqual(await self.rig.leader(), leader)
+        leader = await self.rig.wait_for_leader()
+        self.rig.enable_fault(leader, "full")
+        await self.order("o1", "restart", ["n4a"], duration=30)  # by another leader
+        self.assertNotEqual(await self.rig.wait_for_leader(), leader)
         self.assertIn('"error": "database or disk is full"', self.said(leader))
-        self.rig.unmark(leader, "full")
-        self.assertEqual(await self.rig.ended("o1"), {"n4a": "done"})
+        self.rig.disable_fault(leader, "full")
+        self.assertEqual(await self.rig.wait_until_ended("o1"), {"n4a": "done"})
 
         async def keeps() -> bool:
-            told = (await self.rig.records())[leader]
+            told = (await self.rig.raft_statuses())[leader]
             return told.role in ("following", "leading") and told.committed >= 3
 
-        await self.rig.until("it keeps the record again", keeps)
+        await self.rig.wait_until("it keeps the record again", keeps)
 
     async def test_clocks_that_are_set_forward_and_back_change_nothing(self):
         for host, seconds in (("h1", "3600"), ("h2", "-3600"), ("h4", "86400")):
-            self.rig.mark(host, "clock", seconds)
+            self.rig.enable_fault(host, "clock", seconds)
         await self.order("o1", "restart", ["n4a", "n1a"])
-        self.assertEqual(set((await self.rig.ended("o1")).values()), {"done"})
+        self.assertEqual(set((await self.rig.wait_until_ended("o1")).values()), {"done"})
 
 
 class DrainStories(RigStory):
@@ -250,95 +254,95 @@
         generations = await self.rig.generations()
         first, second = await asyncio.gather(
             *(
-                self.rig.order(ident, "drain", everything, 4, generations=generations)
+                self.rig.submit_order(ident, "drain", everything, 4, generations=generations)
                 for ident in ("o1", "o2")
             )
         )
         refused = [sum(part.state == "refused" for part in each.tasks) for each in (first, second)]
         self.assertEqual(sorted(refused), [0, len(everything)])
         await self.all_granted("o1" if not refused[0] else "o2")
-        states = await self.rig.ended("o1" if not refused[0] else "o2")
+        states = await self.rig.wait_until_ended("o1" if not refused[0] else "o2")
         self.assertEqual(sorted(states.values()), ["done"] * 2 + ["expired"] * 8)
 
     async def test_half_of_a_site_dies_while_a_drain_is_out(self):
         await self.order("o1", "drain", ["n3a"])
-        await self.rig.ended("o1")
+        await self.rig.wait_until_ended("o1")
         for name in ("n4a", "n4b", "n5a"):
-            self.rig.script(name, "crash")
+            self.rig.set_node_script(name, "crash")
             self.rig.kill_node(name)
 
         async def known() -> bool:
-            out = {each.target: each.reasons for each in (await self.rig.state_of()).unavailable}
+            out = {each.target: each.reasons for each in (await self.rig.fleet_status()).unavailable}
             return all("does not serve" in out.get(name, ()) for name in ("n4a", "n4b", "n5a"))
 
-        await self.rig.until("the dead are known", known)
-        await self.order("o2", "drain", ["n3b", "n5b", "n1a"], lasts=3)
-        states = await self.rig.ended("o2")
+        await self.rig.wait_until("the dead are known", known)
+        await self.order("o2", "drain", ["n3b", "n5b", "n1a"], duration=3)
+        states = await self.rig.wait_until_ended("o2")
         self.assertEqual((states["n3b"], states["n5b"]), ("expired", "expired"))
         self.assertEqual(states["n1a"], "expired")  # the fleet's own bound is used up by the dead
 
     async def test_an_agent_that_vanishes_with_places_keeps_them_counted(self):
-        self.rig.script("n4a", "linger")
+        self.rig.set_node_script("n4a", "linger")
         await self.order("o1", "drain", ["n4a"])
         await self.all_granted("o1", "n4a")
-        await self.rig.kill("h4")
-        await self.order("o2", "drain", ["n3a"], lasts=8)
-        self.assertEqual(await self.rig.ended("o2"), {"n3a": "expired"})
-        await self.rig.start("h4")
-        await self.rig.ended("o1")
-        self.assertEqual((await self.rig.look())["n4a"].phase, "stopped")
+        await self.rig.kill_agent("h4")
+        await self.order("o2", "drain", ["n3a"], duration=8)
+        self.assertEqual(await self.rig.wait_until_ended("o2"), {"n3a": "expired"})
+        await self.rig.start_agent("h4")
+        await self.rig.wait_until_ended("o1")
+        self.assertEqual((await self.rig.instance_statuses())["n4a"].phase, "stopped")
 
     async def test_a_cancel_in_the_last_moment_brings_back_and_one_that_crosses_the_stop_starts_anew(self):
-        self.rig.script("n4a", "linger")
+        self.rig.set_node_script("n4a", "linger")
         await self.order("o1", "drain", ["n4a"])
 
         async def draining() -> bool:
-            return (await self.rig.look())["n4a"].phase == "draining"
+            return (await self.rig.instance_statuses())["n4a"].phase == "draining"
 
-        await self.rig.until("it drains", draining)
+        await self.rig.wait_until("it drains", draining)
         await asyncio.sleep(0.5)
         answer = await self.rig.end_order("o1", True)
         self.assertIsInstance(answer, messages.FleetOrderStatus)
-        await self.rig.all_serve(["n4a"])
+        await self.rig.wait_until_serving(["n4a"])
         self.assertEqual(self.words("n4a"), ["start", "up", "leave", "stay", "up"])
-        self.assertEqual(await self.rig.ended("o1"), {"n4a": "cancelled"})
+        self.assertEqual(await self.rig.wait_until_ended("o1"), {"n4a": "cancelled"})
         await self.order("o2", "drain", ["n3a"])
-        await self.rig.ended("o2")
+        await self.rig.wait_until_ended("o2")
         await self.rig.end_order("o2", True)
-        await self.rig.all_serve(["n3a"])
+        await self.rig.wait_until_serving(["n3a"])
         self.assertEqual(self.words("n3a"), ["start", "up", "leave", "end", "start", "up"])
         await self.order("o3", "drain", ["n3a"])  # the places are free again
-        self.assertEqual(await self.rig.ended("o3"), {"n3a": "done"})
+        self.assertEqual(await self.rig.wait_until_ended("o3"), {"n3a": "done"})
 
     async def test_after_a_halt_nothing_further_leaves(self):
         everything = [name for names in self.hosts.values() for name in names]
         for name in everything:
-            self.rig.script(name, "linger")
-        await self.order("o1", "restart", everything, lasts=60)
+            self.rig.set_node_script(name, "linger")
+        await self.order("o1", "restart", everything, duration=60)
         await asyncio.sleep(0.7)
         await self.rig.end_order("o1", False)
 
         async def none_granted() -> bool:
-            parts = (await self.rig.state_of("o1")).orders[0].tasks
+            parts = (await self.rig.fleet_status("o1")).orders[0].tasks
             return all(part.state not in ("granted", "waiting") for part in parts)
 
-        await self.rig.until("the halt is in force", none_granted)
+        await self.rig.wait_until("the halt is in force", none_granted)
         left = sum(self.words(name).count("leave") for name in everything)
-        await self.rig.ended("o1")
+        await self.rig.wait_until_ended("o1")
         self.assertEqual(sum(self.words(name).count("leave") for name in everything), left)
         self.assertLess(left, 6)
-        told = await self.rig.look()  # and nothing of it stands in the way of what comes next
+        told = await self.rig.instance_statuses()  # and nothing of it stands in the way of what comes next
         self.assertEqual([name for name in everything if told[name].order], [])
         await self.order("o2", "restart", everything[:2])
-        self.assertEqual(set((await self.rig.ended("o2")).values()), {"done"})
+        self.assertEqual(set((await self.rig.wait_until_ended("o2")).values()), {"done"})
 
     async def test_with_no_majority_nothing_new_leaves_and_what_serves_goes_on(self):
-        keys = [host for host in self.keepers if host != await self.rig.leader()]
+        keys = [host for host in self.keepers if host != await self.rig.wait_for_leader()]
         for host in keys:
-            await self.rig.kill(host)
+            await self.rig.kill_agent(host)
         with self.assertRaises(NoLeaderError) as caught:
             await asyncio.sleep(1.5)
-            await self.rig.order("o1", "drain", ["n4a"])
+            await self.rig.submit_order("o1", "drain", ["n4a"])
         self.assertGreaterEqual(len(caught.exception.why), 3)
         command = [
             sys.executable,
@@ -355,7 +359,7 @@
         ended = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
         self.assertEqual(ended.returncode, 3, ended)
         self.assertIn("nothing new is agreed, what serves goes on", ended.stderr)
-        told = await self.rig.look()
+        told = await self.rig.instance_statuses()
         self.assertEqual({told[name].phase for name in ("n4a", "n4b", "n5a", "n5b")}, {"serving"})
 
 
@@ -393,33 +397,33 @@
 
     async def test_a_service_dies_while_one_of_its_kind_is_out(self):
         async def all_up() -> bool:
-            return not (await self.rig.state_of()).unavailable
+            return not (await self.rig.fleet_status()).unavailable
 
-        await self.rig.until("the services are seen", all_up)
+        await self.rig.wait_until("the services are seen", all_up)
         await self.order("o1", "drain", ["cat1"])
         await self.all_granted("o1", "cat1")
         await self.down("cat1")
-        self.assertEqual(await self.rig.ended("o1"), {"cat1": "done"})
-        await self.order("o2", "drain", ["cat2"], lasts=2)
-        self.assertEqual(await self.rig.ended("o2"), {"cat2": "expired"})
+        self.assertEqual(await self.rig.wait_until_ended("o1"), {"cat1": "done"})
+        await self.order("o2", "drain", ["cat2"], duration=2)
+        self.assertEqual(await self.rig.wait_until_ended("o2"), {"cat2": "expired"})
         await self.down("cat2")
 
         async def counted() -> bool:
-            state = await self.rig.state_of()
+            state = await self.rig.fleet_status()
             out = {each.target: each.reasons for each in state.unavailable}
             group = next(each for each in state.budgets if each.name == "kind catalogue")
             return group.unavailable == 2 and out.get("n4a") == ["hangs on cat2"]
 
-        await self.rig.until("the dead one counts, and what hangs on it", counted)
+        await self.rig.wait_until("the dead one counts, and what hangs on it", counted)
         for name in self.ports:
             await self.serve(name)
-        await self.rig.until("both are back, and the place is free", all_up)
+        await self.rig.wait_until("both are back, and the place is free", all_up)
 
 
 class KeeperStories(RigStory):
     async def test_keepers_change_from_three_to_five_while_one_is_cut_off(self):
         away = await self.follower()
-        self.rig.cut([away], [host for host in self.hosts if host != away])
+        self.rig.links.cut([away], [host for host in self.hosts if host != away])
         command = [
             sys.executable,
             "-m",
@@ -442,19 +446,19 @@
         self.assertEqual(ended.returncode, 0, ended)
         members = json.loads(ended.stdout)["members"]
         self.assertEqual(sorted(each["name"] for each in members if each["votes"]), sorted(self.hosts))
-        self.rig.heal()
+        self.rig.links.clear_faults()
         for host in list(self.keepers)[:2]:
-            await self.rig.kill(host)
-        await self.rig.leader()
+            await self.rig.kill_agent(host)
+        await self.rig.wait_for_leader()
         await self.order("o1", "restart", ["n5a"])
         for host in list(self.keepers)[:2]:  # until then their instances count as out
-            await self.rig.start(host)
-        self.assertEqual(await self.rig.ended("o1"), {"n5a": "done"})
+            await self.rig.start_agent(host)
+        self.assertEqual(await self.rig.wait_until_ended("o1"), {"n5a": "done"})
 
     async def test_messages_of_strangers_other_fleets_and_sizes_change_nothing(self):
-        leader = await self.rig.leader()
+        leader = await self.rig.wait_for_leader()
         address = ("127.0.0.1", self.site.ports[leader])
-        before = (await self.rig.records())[leader]
+        before = (await self.rig.raft_statuses())[leader]
         for data in (frame(b"what"), (0).to_bytes(4, "big"), (100 << 20).to_bytes(4, "big") + bytes(1 << 20)):
             reader, writer = await asyncio.open_connection(*address)
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -480,13 +484,13 @@
             address, keys[other], messages.FleetOrderRequest("x", "drain", [("n1a", 1)], 1)
         )
         self.assertRegex(answer.why, "is not for that")
-        answer = await request_once(address, self.rig.asker.key, messages.PeerEnvelopesRequest([letter]))
+        answer = await request_once(address, self.rig.clients.key, messages.PeerEnvelopesRequest([letter]))
         self.assertRegex(answer.why, "is not for that")
-        after = (await self.rig.records())[leader]
+        after = (await self.rig.raft_statuses())[leader]
         self.assertEqual((after.term, after.leader, len(after.members)), (before.term, leader, 3))
 
     async def test_what_a_new_user_sees(self):
-        leader = await self.rig.leader()
+        leader = await self.rig.wait_for_leader()
 
         def run(*words: str) -> subprocess.CompletedProcess:
             return subprocess.run(
@@ -507,7 +511,7 @@
         self.assertEqual(halted.returncode, 0, halted)
         back = await asyncio.to_thread(run, "cancel", "d1")
         self.assertEqual(back.returncode, 0, back)
-        await self.rig.all_serve(["n4a"])
+        await self.rig.wait_until_serving(["n4a"])
         again = await asyncio.to_thread(run, "cancel", "d9")
         self.assertEqual((again.returncode, again.stderr), (1, "oakkeel: no such order\n"))
 
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -52,10 +52,10 @@
 
         async def told() -> bool:
             nonlocal answer
-            answer = await self.rig.asker.request_leader(wish)
+            answer = await self.rig.clients.request_leader(wish)
             return True
 
-        await self.rig.until("the leader answers", told)
+        await self.rig.wait_until("the leader answers", told)
         assert answer is not None
         return answer
 
@@ -79,13 +79,13 @@
 
         async def so() -> bool:
             nonlocal found
-            answer = await self.rig.asker.request_leader(messages.ReleaseStatusRequest(ident))
+            answer = await self.rig.clients.request_leader(messages.ReleaseStatusRequest(ident))
             assert isinstance(answer, messages.ReleaseStatus), answer
             found = answer
             return done(answer)
 
         try:
-            await self.rig.until(what, so, wait)
+            await self.rig.wait_until(what, so, wait)
         except TimeoutError as error:
             seen = found and (found.state, found.step, found.why, found.waiting_for)
             raise AssertionError(f"{error}: {seen}") from None
@@ -97,7 +97,7 @@
 
     async def all_run(self, version: str, things=ALL) -> None:
         """By what the processes wrote down themselves."""
-        await self.rig.all_serve(things)
+        await self.rig.wait_until_serving(things)
         runs = runs_by_journals(self.folder, self.hosts)
         self.assertEqual({name: runs[name] for name in things}, dict.fromkeys(things, version))
 
@@ -113,10 +113,10 @@
             )
             if told.state == "done":
                 break
-            leader = await self.rig.leader()
-            await self.rig.kill(leader)
+            leader = await self.rig.wait_for_leader()
+            await self.rig.kill_agent(leader)
             step, kills = told.step, kills + 1
-            await self.rig.start(leader)
+            await self.rig.start_agent(leader)
         self.assertGreaterEqual(kills, 3)
         await self.over("done")
         await self.all_run(what.version, ["n1a", "n2a", "n3a", "n4a", "n5a"])
@@ -125,15 +125,15 @@
     async def test_an_old_driver_that_wakes_takes_no_step_and_clocks_that_jump_mean_nothing(self):
         what = self.program("v2")
         for number, host in enumerate(self.hosts):
-            self.rig.mark(host, "clock", str((number - 2) * 3600))
+            self.rig.enable_fault(host, "clock", str((number - 2) * 3600))
         await self.begin(what)
         await self.until_told("a batch is out", lambda told: told.batch >= 1)
-        leader = await self.rig.leader()
-        self.rig.stop(leader)
-        other = await self.rig.leader(but=[leader])
+        leader = await self.rig.wait_for_leader()
+        self.rig.suspend_agent(leader)
+        other = await self.rig.wait_for_leader(excluding=[leader])
         told = await self.until_told("another drives", lambda told: told.controller not in ("", leader))
         self.assertEqual(told.controller, other)
-        self.rig.go_on(leader)
+        self.rig.resume_agent(leader)
         await self.over("done")
         await self.all_run(what.version)
 
@@ -162,7 +162,7 @@
         self.assertEqual((await self.told()).step, told.step)
         await self.turn("undo")
         await self.over("undone")
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         for name, runs in runs_by_journals(self.folder, self.hosts).items():
             self.assertNotEqual(runs, told.version.version, name)
         self.assertEqual(set(before.values()), {""})
@@ -171,11 +171,11 @@
         await self.begin(self.program("crash", "crash"), ["n3a", "n4a", "n5a"], back=True)
         told = await self.over("undone")
         self.assertIn("died by themselves", told.why)
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         await self.begin(self.program("mute", "mute"), ["n4a"], ident="r2", back=True, lasts=4 * SECOND)
         told = await self.over("undone", ident="r2")
         self.assertIn("n4a", told.why)
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
 
     async def test_undo_while_a_batch_comes_up_and_an_undo_that_is_halted_and_goes_on(self):
         what = self.program("slow", "slow")
@@ -188,14 +188,14 @@
         self.assertEqual(told.state, "halted")
         await self.turn("resume")
         await self.over("undone")
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         self.assertNotIn(what.version, runs_by_journals(self.folder, self.hosts).values())
 
     async def test_what_a_process_was_started_from_is_kept_though_no_release_needs_it(self):
         what = self.program("bad", "worse")
         await self.begin(what, ["n4a"], back=True, control=False)
         await self.over("undone")
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         runs = runs_by_journals(self.folder, self.hosts)["n4a"]
         self.assertNotIn(runs, ("", what.version))  # the copy of what ran before
         [host] = [host for host, names in self.hosts.items() if "n4a" in names]
@@ -223,10 +223,10 @@
         await self.begin(what, ["n4a", "n4b", "n5a"], gated=False, lasts=3 * SECOND, most=1)
         told = await self.until_told("one is out", out)
         [host] = [part.host for part in told.targets if part.state == "changing"]
-        await self.rig.kill(host)
+        await self.rig.kill_agent(host)
         told = await self.over("halted", wait=40)
         self.assertRegex(told.why, "not heard of in the time of its batch")
-        await self.rig.start(host)
+        await self.rig.start_agent(host)
         await self.turn("resume")
         await self.over("done")
         await self.all_run(what.version, ["n4a", "n4b", "n5a"])
@@ -234,18 +234,18 @@
     async def test_a_site_cut_off_in_the_middle_is_not_touched_and_half_a_site_that_dies_counts(self):
         what = self.program("v2")
         for name in ("n4a", "n5a", "n5b"):
-            self.rig.script(name, "slow")
+            self.rig.set_node_script(name, "slow")
         await self.begin(what, gated=False, most=1)
         await self.until_told("it is on its way", lambda told: told.batch >= 1)
         far = ["h3", "h4", "h5"]
-        self.rig.cut(far, ["h1", "h2"])
+        self.rig.links.cut(far, ["h1", "h2"])
         self.rig.kill_node("n5a")
         self.rig.kill_node("n5b")
         await asyncio.sleep(4.0)
         before = {name: self.words(name).count("start") for name in ("n4a", "n4b")}
         await asyncio.sleep(2.0)
         self.assertEqual({name: self.words(name).count("start") for name in before}, before)
-        self.rig.heal()
+        self.rig.links.clear_faults()
         told = await self.over("done", "halted")
         if told.state == "halted":
             await self.turn("resume")
@@ -258,9 +258,9 @@
         told = await self.until_told(
             "one is there", lambda told: any(part.state == "new" for part in told.targets)
         )
-        names = {"h4", "h5"} - {await self.rig.leader()}
+        names = {"h4", "h5"} - {await self.rig.wait_for_leader()}
         for host in names:
-            self.rig.stop(host)  # their last word was that all serve
+            self.rig.suspend_agent(host)  # their last word was that all serve
         steps = told.step
         with contextlib.suppress(NoLeaderError):
             steps = (await self.told()).step
@@ -269,7 +269,7 @@
         self.assertLessEqual(told.step, steps + 2)
         self.assertNotEqual(told.state, "done")
         for host in names:
-            self.rig.go_on(host)
+            self.rig.resume_agent(host)
         if (await self.told()).state == "halted":
             await self.turn("resume")
         await self.over("done")
@@ -279,13 +279,13 @@
         await self.begin(what, gated=False, most=1)
         await self.until_told("it is on its way", lambda told: told.batch >= 1)
         for host in ("h1", "h2"):
-            await self.rig.kill(host)
+            await self.rig.kill_agent(host)
         await asyncio.sleep(1.5)
         starts = {name: self.words(name).count("start") for name in ALL}
         await asyncio.sleep(2.0)
         self.assertEqual({name: self.words(name).count("start") for name in ALL}, starts)
         for host in ("h1", "h2"):
-            await self.rig.start(host)
+            await self.rig.start_agent(host)
         told = await self.over("done", "halted")
         if told.state == "halted":
             await self.turn("resume")
@@ -358,7 +358,7 @@
         await self.all_run(two.version, ["n1a", "n2a"])
         cold = self.program("cold", "slow")
         for name in ("n1a", "n2a", "n3a"):
-            self.rig.script(name, "slow")
+            self.rig.set_node_script(name, "slow")
             self.rig.kill_node(name)
         began = time.monotonic()
         await self.begin(cold, ["n1a", "n2a", "n3a"], ident="r3", gated=False)
@@ -405,10 +405,10 @@
             return ""
 
         async def leave() -> bool:
-            out = (await self.rig.state_of()).unavailable
+            out = (await self.rig.fleet_status()).unavailable
             return any(each.target == names[0] and each.fence for each in out)
 
-        await self.rig.until("its place is there", leave)
+        await self.rig.wait_until("its place is there", leave)
         await self.services[names[0]].close()
         await asyncio.sleep(1.5)
         after(names[0])
@@ -421,7 +421,7 @@
         def slower(service: str) -> None:
             for name, on in self.hanging.items():
                 if on == service:
-                    self.rig.script(name, "slower")
+                    self.rig.set_node_script(name, "slower")
 
         first = await self.replace(slower)
         told = await self.over("halted", wait=40)
--- a/tests/compatibility/test_state_folder.py
+++ b/tests/compatibility/test_state_folder.py
@@ -23,32 +23,34 @@
             1,
             supervision=SUPERVISION,
             sites=dict.fromkeys(HOSTS, "woodbrook"),
-            keepers=("h1", "h2", "h3"),
-            fleet_away=1,
+            replicas=("h1", "h2", "h3"),
+            fleet_max_unavailable=1,
         )
         for host in HOSTS:
             shutil.copytree(DATA / "state" / host, os.path.join(self.folder, host))
         self.rig = ProcessRig(site)
         self.addAsyncCleanup(self.rig.close)
         await self.rig.open()
-        await self.rig.leader()
+        await self.rig.wait_for_leader()
 
     async def test_orders_generations_permits_and_the_log_are_there(self):
         expected = load("state/expected.json")
-        found = (await self.rig.records())[await self.rig.leader()]
+        found = (await self.rig.raft_statuses())[await self.rig.wait_for_leader()]
         self.assertEqual(found.epoch, expected["epoch"])
         self.assertGreater(found.term, expected["term"])
         self.assertGreaterEqual(found.committed, expected["committed"])
-        orders = (await self.rig.state_of()).orders
+        orders = (await self.rig.fleet_status()).orders
         self.assertEqual(
             {order.order_id: {part.target: part.state for part in order.tasks} for order in orders},
             expected["orders"],
         )
         permits = {
-            each.target: each.order_id for each in (await self.rig.state_of()).unavailable if each.order_id
+            each.target: each.order_id
+            for each in (await self.rig.fleet_status()).unavailable
+            if each.order_id
         }
         self.assertEqual(permits, {thing: order for thing, order in expected["permits"].items() if order})
-        release = await self.rig.asker.request_leader(messages.ReleaseStatusRequest())
+        release = await self.rig.clients.request_leader(messages.ReleaseStatusRequest())
         self.assertEqual((release.release_id, release.state), (expected["release"], "done"))
 
         async def started_again() -> bool:
@@ -59,7 +61,7 @@
                 if name not in expected["permits"]
             )
 
-        await self.rig.until("all that serves has a later generation", started_again)
+        await self.rig.wait_until("all that serves has a later generation", started_again)
         for row in load("command-line.json")["cluster"]:
             arguments = [
                 "cli-2" if word == "cli-1" else word for word in row["arguments"]
