--- a/measure/plan.py
+++ b/measure/plan.py
@@ -21,7 +21,7 @@
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import VersionSpec
 from oakkeel.rollout.controller import RolloutController
-from oakkeel.rollout.plan import BatchPlanner, TargetObservation
+from oakkeel.rollout.plan import BatchLimits, BatchPlanner, TargetObservation
 
 MS = 1_000_000
 HOSTS, EACH, SITES, BOUND = 100, 10, 5, 20
@@ -51,7 +51,7 @@
         took = []
         for _ in range(5):
             began = time.perf_counter()
-            planner.choose(0, names, seen, out, most, 0.85, False)
+            planner.choose(0, names, seen, out, BatchLimits(most, 0.85))
             took.append(1000 * (time.perf_counter() - began))
         found[label] = statistics.median(took)
     return found
@@ -64,19 +64,19 @@
         self.left_at: dict[str, int] = {}
         self.lasted: dict[str, int] = {}
         self.out = self.most = 0
-        left, serves = world.audit.left, world.audit.serves
+        left, serves = world.audit.drain_started, world.audit.serving
 
-        def on_left(now: int, thing: str, fence: int, ident: str = "") -> None:
-            left(now, thing, fence, ident)
-            self.left_at.setdefault(thing, now)
+        def on_left(now: int, target: str, fence: int, ident: str = "") -> None:
+            left(now, target, fence, ident)
+            self.left_at.setdefault(target, now)
             self.most = max(self.most, len(self.left_at) - len(self.lasted))
 
-        def on_serves(now: int, thing: str) -> None:
-            serves(now, thing)
-            if thing in self.left_at:
-                self.lasted.setdefault(thing, now - self.left_at[thing])
+        def on_serves(now: int, target: str) -> None:
+            serves(now, target)
+            if target in self.left_at:
+                self.lasted.setdefault(target, now - self.left_at[target])
 
-        world.audit.left, world.audit.serves = on_left, on_serves  # type: ignore[method-assign]
+        world.audit.drain_started, world.audit.serving = on_left, on_serves  # type: ignore[method-assign]
 
 
 def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
@@ -105,7 +105,7 @@
     world.clock.run(3 * SECOND)
     began = world.clock.now
     pace = commands.RolloutPolicy(
-        soak=SECOND, patience=120 * SECOND, lasts=20 * SECOND, gated=gated, margin=0.05
+        soak=SECOND, verdict_timeout=120 * SECOND, batch_timeout=20 * SECOND, gated=gated, margin=0.05
     )
     order(
         world,
@@ -124,7 +124,7 @@
         if state == "halted":
             say(f"  halted: {found.why}; told to go on")
             order(world, commands.ControlRelease("r", "asha", "resume"))
-        if found.over:
+        if found.is_finished:
             break
     took = (world.clock.now - began) / SECOND
     out = [lasted / SECOND for lasted in watched.lasted.values()]
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -39,7 +39,7 @@
             if not leader or not host.running or host.stopped or not leader.replica.holds_lease(host.now()):
                 continue
             for release in leader.state_machine.state.releases.values():  # type: ignore[attr-defined]
-                if release.over and release.ident in simulation.rollout_audit.version:
+                if release.is_finished and release.ident in simulation.rollout_audit.version:
                     simulation.rollout_audit.ended(
                         simulation.clock.now, release.ident, release.state, self._serving()
                     )
@@ -81,14 +81,16 @@
         return found
 
     def _stuck_release(self, leader: ControlPlaneReplica) -> list[str]:
-        release = leader.state_machine.open  # type: ignore[attr-defined]
+        release = leader.state_machine.open_release  # type: ignore[attr-defined]
         if not release or release.state not in ("preparing", "running", "undoing"):
             return []
         controller = leader.extension
         reason = controller.why if isinstance(controller, RolloutController) else "nobody drives"
         if any(good_reason in reason for good_reason in GOOD_REASONS):
             return []
-        return [f"release {release.ident} is {release.state}, batch {release.batch}, {release.now}: {reason}"]
+        return [
+            f"release {release.ident} is {release.state}, batch {release.batch}, {release.in_progress}: {reason}"
+        ]
 
     def _stuck_tasks(self, leader: ControlPlaneReplica, host: SimulatedHost) -> list[str]:
         found = []
