--- /dev/null
+++ b/tests/cluster/test_membership.py
@@ -0,0 +1,116 @@
+import asyncio
+import contextlib
+import json
+import os
+import subprocess
+import sys
+import unittest
+
+from oakkeel.agent import messages
+from oakkeel.authentication.framing import frame
+from oakkeel.authentication.mac import Key, Role
+from oakkeel.disruption.messages import Heartbeat
+from oakkeel.fleet.agent_clients import request_once
+from oakkeel.raft.messages import Envelope, RecoveryRequest
+from oakkeel.settings.keys import read_agent_keys
+from tests.support.rig_case import RigTestCase
+
+
+class MembershipTest(RigTestCase):
+    async def test_membership_grows_from_three_to_five_while_one_replica_is_partitioned(self):
+        partitioned = await self.follower()
+        self.rig.links.cut([partitioned], [host for host in self.hosts if host != partitioned])
+        command = [
+            sys.executable,
+            "-m",
+            "oakkeel",
+            "keepers",
+            "--settings",
+            self.site.settings,
+            "--as",
+            "asha",
+            "--output",
+            "json",
+            "set",
+            "h1",
+            "h2",
+            "h3",
+            "h4",
+            "h5",
+        ]
+        ended = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
+        self.assertEqual(ended.returncode, 0, ended)
+        members = json.loads(ended.stdout)["members"]
+        self.assertEqual(sorted(each["name"] for each in members if each["votes"]), sorted(self.hosts))
+        self.rig.links.clear_faults()
+        for host in list(self.replicas)[:2]:
+            await self.rig.kill_agent(host)
+        await self.rig.wait_for_leader()
+        await self.order("o1", "restart", ["n5a"])
+        for host in list(self.replicas)[:2]:  # until then their instances count as out
+            await self.rig.start_agent(host)
+        self.assertEqual(await self.rig.wait_until_ended("o1"), {"n5a": "done"})
+
+    async def test_messages_of_strangers_other_fleets_and_sizes_change_nothing(self):
+        leader = await self.rig.wait_for_leader()
+        address = ("127.0.0.1", self.site.ports[leader])
+        before = (await self.rig.raft_statuses())[leader]
+        for data in (frame(b"what"), (0).to_bytes(4, "big"), (100 << 20).to_bytes(4, "big") + bytes(1 << 20)):
+            reader, writer = await asyncio.open_connection(*address)
+            with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+                await reader.readexactly(4)
+                writer.write(data)
+                await asyncio.wait_for(reader.read(), 5)
+            writer.close()
+        keys = read_agent_keys(self.rig.fleet)
+        letter = Envelope("0" * 16, "h9", "h9.1", RecoveryRequest(1, True, 9, 9, 9))
+        stranger = Key("agent:h1", "h1", Role.AGENT, os.urandom(32))
+        with self.assertRaisesRegex(OSError, "refuses key"):
+            await request_once(address, stranger, messages.PeerEnvelopesRequest([letter]))
+        other = next(host for host in self.hosts if host != leader)
+        answer = await request_once(
+            address, keys[other], messages.PeerEnvelopesRequest([letter])
+        )  # its key, another's name
+        self.assertIsInstance(answer, messages.PeerEnvelopesResponse)
+        answer = await request_once(
+            address, keys[other], messages.HeartbeatRequest(Heartbeat(leader, 1, 1, 0, [], [], {}))
+        )
+        self.assertRegex(answer.why, f"the key of {other} with a poll of {leader}")
+        answer = await request_once(
+            address, keys[other], messages.FleetOrderRequest("x", "drain", [("n1a", 1)], 1)
+        )
+        self.assertRegex(answer.why, "is not for that")
+        answer = await request_once(address, self.rig.clients.key, messages.PeerEnvelopesRequest([letter]))
+        self.assertRegex(answer.why, "is not for that")
+        after = (await self.rig.raft_statuses())[leader]
+        self.assertEqual((after.term, after.leader, len(after.members)), (before.term, leader, 3))
+
+    async def test_commands_of_a_new_user_work_on_a_running_fleet(self):
+        leader = await self.rig.wait_for_leader()
+
+        def run(*words: str) -> subprocess.CompletedProcess:
+            return subprocess.run(
+                [sys.executable, "-m", "oakkeel", *words, "--settings", self.site.settings, "--as", "asha"],
+                capture_output=True,
+                text=True,
+            )
+
+        shown = await asyncio.to_thread(run, "keepers")
+        self.assertEqual(shown.returncode, 0, shown)
+        self.assertIn("leading", next(line for line in shown.stdout.splitlines() if line.startswith(leader)))
+        drained = await asyncio.to_thread(run, "drain", "n4a", "--id", "d1", "--whole")
+        self.assertEqual(drained.returncode, 0, drained)
+        shown = await asyncio.to_thread(run, "places", "--output", "json")
+        told = json.loads(shown.stdout)
+        self.assertEqual([each["thing"] for each in told["out"]], ["n4a"])
+        halted = await asyncio.to_thread(run, "drain", "--halt", "d1")
+        self.assertEqual(halted.returncode, 0, halted)
+        back = await asyncio.to_thread(run, "cancel", "d1")
+        self.assertEqual(back.returncode, 0, back)
+        await self.rig.wait_until_serving(["n4a"])
+        again = await asyncio.to_thread(run, "cancel", "d9")
+        self.assertEqual((again.returncode, again.stderr), (1, "oakkeel: no such order\n"))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -18,7 +18,7 @@
 from oakkeel.invariants.rollout import runs_by_journals, steps_by_logs
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.store.content_store import ContentStore
-from tests.cluster.test_rig import HOSTS, RigStory
+from tests.support.rig_case import HOSTS, RigTestCase
 
 SECOND = 1_000_000_000
 QUICK = dict(soak=300_000_000, batch_timeout=10 * SECOND, verdict_timeout=20 * SECOND)
@@ -29,7 +29,7 @@
     return any(part.state == "changing" for part in told.targets)
 
 
-class RolloutStory(RigStory):
+class RolloutStory(RigTestCase):
     async def end(self) -> None:
         wrong = steps_by_logs(self.folder, self.hosts)
         await super().end()
@@ -120,7 +120,7 @@
         self.assertGreaterEqual(kills, 3)
         await self.over("done")
         await self.all_run(what.version, ["n1a", "n2a", "n3a", "n4a", "n5a"])
-        self.assertEqual([self.words(name).count("start") for name in ("n1a", "n2a", "n3a")], [2] * 3)
+        self.assertEqual([self.journal_of(name).count("start") for name in ("n1a", "n2a", "n3a")], [2] * 3)
 
     async def test_an_old_driver_that_wakes_takes_no_step_and_clocks_that_jump_mean_nothing(self):
         what = self.program("v2")
@@ -244,9 +244,9 @@
         self.rig.kill_node("n5a")
         self.rig.kill_node("n5b")
         await asyncio.sleep(4.0)
-        before = {name: self.words(name).count("start") for name in ("n4a", "n4b")}
+        before = {name: self.journal_of(name).count("start") for name in ("n4a", "n4b")}
         await asyncio.sleep(2.0)
-        self.assertEqual({name: self.words(name).count("start") for name in before}, before)
+        self.assertEqual({name: self.journal_of(name).count("start") for name in before}, before)
         self.rig.links.clear_faults()
         told = await self.over("done", "halted")
         if told.state == "halted":
@@ -283,9 +283,9 @@
         for host in ("h1", "h2"):
             await self.rig.kill_agent(host)
         await asyncio.sleep(1.5)
-        starts = {name: self.words(name).count("start") for name in ALL}
+        starts = {name: self.journal_of(name).count("start") for name in ALL}
         await asyncio.sleep(2.0)
-        self.assertEqual({name: self.words(name).count("start") for name in ALL}, starts)
+        self.assertEqual({name: self.journal_of(name).count("start") for name in ALL}, starts)
         for host in ("h1", "h2"):
             await self.rig.start_agent(host)
         told = await self.over("done", "halted")
@@ -374,14 +374,21 @@
 
     hosts = {"h1": ["n1a", "n1b"], "h2": ["n2a", "n2b"], "h3": ["n3a", "n3b"]}
     sites = {"h1": "woodbrook", "h2": "belmont", "h3": "st-james"}
-    away, fleet_away = 2, 3
-    hanging = {"n1a": "db1", "n2a": "db1", "n3a": "db1", "n1b": "db2", "n2b": "db2", "n3b": "db2"}
+    max_unavailable, fleet_max_unavailable = 2, 3
+    dependencies: ClassVar[dict[str, str]] = {
+        "n1a": "db1",
+        "n2a": "db1",
+        "n3a": "db1",
+        "n1b": "db2",
+        "n2b": "db2",
+        "n3b": "db2",
+    }
 
     async def asyncSetUp(self) -> None:
         self.services = {name: DownstreamService(free_port()) for name in ("db1", "db2")}
         for each in self.services.values():
             await each.open()
-        self.below = (
+        self.downstream = (
             '<below><kind name="db" away="1">'
             + "".join(
                 f'<service name="{name}" address="127.0.0.1:{each.port}" host="h{number}"/>'
@@ -423,7 +430,7 @@
         )
 
         def slower(service: str) -> None:
-            for name, on in self.hanging.items():
+            for name, on in self.dependencies.items():
                 if on == service:
                     self.rig.set_node_script(name, "slower")
 
--- a/tests/compatibility/test_state_folder.py
+++ b/tests/compatibility/test_state_folder.py
@@ -8,8 +8,8 @@
 from oakkeel.agent import messages
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import FakeSite
-from tests.cluster.test_rig import SUPERVISION
 from tests.compatibility.fixtures import DATA, HOSTS, assert_same_keys, load
+from tests.support.rig_case import SUPERVISION
 
 
 class StateFolderCompatibilityTest(unittest.IsolatedAsyncioTestCase):
--- /dev/null
+++ b/tests/fakes/test_faulty_link.py
@@ -0,0 +1,37 @@
+import asyncio
+import contextlib
+import unittest
+
+from oakkeel.authentication.framing import frame
+
+
+class FaultyLinkTest(unittest.IsolatedAsyncioTestCase):
+    async def test_loses_whole_messages_and_passes_the_others_unchanged(self):
+        from oakkeel.fakes.faulty_link import FaultyLink, LinkDirection
+
+        async def echo(reader, writer):
+            with contextlib.suppress(asyncio.IncompleteReadError):
+                while True:
+                    head = await reader.readexactly(4)
+                    writer.write(head + await reader.readexactly(int.from_bytes(head, "big")))
+
+        server = await asyncio.start_server(echo, "127.0.0.1", 0)
+        there, back = LinkDirection(), LinkDirection()
+        link = FaultyLink(server.sockets[0].getsockname(), there, back, 1)
+        reader, writer = await asyncio.open_connection("127.0.0.1", await link.open())
+        writer.write(frame(b"one"))
+        self.assertEqual(await reader.readexactly(7), frame(b"one"))
+        there.cut = True
+        writer.write(frame(b"lost"))
+        await asyncio.sleep(0.1)
+        there.cut, there.double = False, 1.0
+        writer.write(frame(b"two"))
+        self.assertEqual(await asyncio.wait_for(reader.readexactly(14), 5), frame(b"two") * 2)
+        self.assertEqual(link.lost, 1)
+        writer.close()
+        await link.close()
+        server.close()
+
+
+if __name__ == "__main__":
+    unittest.main()
