--- a/tests/cluster/test_drain_orders.py
+++ b/tests/cluster/test_drain_orders.py
@@ -103,7 +103,7 @@
         with self.assertRaises(NoLeaderError) as caught:
             await asyncio.sleep(1.5)
             await self.rig.submit_order("o1", "drain", ["n4a"])
-        self.assertGreaterEqual(len(caught.exception.why), 3)
+        self.assertGreaterEqual(len(caught.exception.reasons), 3)
         command = [
             sys.executable,
             "-m",
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -9,6 +9,7 @@
 import os
 import sys
 import time
+from typing import ClassVar
 
 from oakkeel.agent import messages
 from oakkeel.agent.artifacts import version_of
--- a/tests/support/rig_case.py
+++ b/tests/support/rig_case.py
@@ -1,4 +1,4 @@
-"""A test case over many processes: agents that agree while faults happen; it ends with an audit of their logs."""
+"""A test case over many processes: agents that agree while faults happen, then an audit of their logs."""
 
 import os
 import tempfile
