--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -16,7 +16,7 @@
 from oakkeel.fakes.downstream_service import DownstreamService
 from oakkeel.fakes.site import free_port
 from oakkeel.fleet.agent_clients import NoLeaderError
-from oakkeel.invariants.rollout import runs_by_journals, steps_by_logs
+from oakkeel.invariants.rollout import read_running_versions, find_diverging_steps
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.store.content_store import ContentStore
 from tests.support.rig_case import HOSTS, RigTestCase
@@ -32,7 +32,7 @@
 
 class RolloutStory(RigTestCase):
     async def end(self) -> None:
-        wrong = steps_by_logs(self.folder, self.hosts)
+        wrong = find_diverging_steps(self.folder, self.hosts)
         await super().end()
         self.assertEqual(wrong, [])
 
@@ -99,7 +99,7 @@
     async def all_run(self, version: str, things=ALL) -> None:
         """By what the processes wrote down themselves."""
         await self.rig.wait_until_serving(things)
-        runs = runs_by_journals(self.folder, self.hosts)
+        runs = read_running_versions(self.folder, self.hosts)
         self.assertEqual({name: runs[name] for name in things}, dict.fromkeys(things, version))
 
 
@@ -153,7 +153,7 @@
 
 class BadProgramStories(RolloutStory):
     async def test_one_that_answers_wrong_halts_with_figures_and_stands_until_it_is_undone(self):
-        before = runs_by_journals(self.folder, self.hosts)
+        before = read_running_versions(self.folder, self.hosts)
         await self.begin(self.program("bad", "worse"))
         told = await self.over("halted")
         self.assertRegex(told.why, r"worse than the old: benefit 0\.\d+ an exchange, the old's 0\.9\d+")
@@ -164,7 +164,7 @@
         await self.turn("undo")
         await self.over("undone")
         await self.rig.wait_until_serving()
-        for name, runs in runs_by_journals(self.folder, self.hosts).items():
+        for name, runs in read_running_versions(self.folder, self.hosts).items():
             self.assertNotEqual(runs, told.version.version, name)
         self.assertEqual(set(before.values()), {""})
 
@@ -192,14 +192,14 @@
         await self.turn("resume")
         await self.over("undone")
         await self.rig.wait_until_serving()
-        self.assertNotIn(what.version, runs_by_journals(self.folder, self.hosts).values())
+        self.assertNotIn(what.version, read_running_versions(self.folder, self.hosts).values())
 
     async def test_what_a_process_was_started_from_is_kept_though_no_release_needs_it(self):
         what = self.program("bad", "worse")
         await self.begin(what, ["n4a"], auto_roll_back=True, control=False)
         await self.over("undone")
         await self.rig.wait_until_serving()
-        runs = runs_by_journals(self.folder, self.hosts)["n4a"]
+        runs = read_running_versions(self.folder, self.hosts)["n4a"]
         self.assertNotIn(runs, ("", what.version))  # the copy of what ran before
         [host] = [host for host, names in self.hosts.items() if "n4a" in names]
         folder = os.path.join(self.folder, host, "versions")
