--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -16,7 +16,7 @@
 from oakkeel.fakes.downstream_service import DownstreamService
 from oakkeel.fakes.site import free_port
 from oakkeel.fleet.agent_clients import NoLeaderError
-from oakkeel.invariants.rollout import read_running_versions, find_diverging_steps
+from oakkeel.invariants.rollout import find_diverging_steps, read_running_versions
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.store.content_store import ContentStore
 from tests.support.rig_case import HOSTS, RigTestCase
