--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -157,7 +157,9 @@
             if connection.usable:
                 return connection
         try:
-            reader, writer = await asyncio.wait_for(asyncio.open_connection(*address), CONNECT_TIMEOUT)
+            # Not `wait_for`: Python 3.11's swallows a cancellation that meets the end of what it waits for.
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                reader, writer = await asyncio.open_connection(*address)
         except (TimeoutError, OSError):
             return None
         connection = DispatcherConnection(self, name, reader, writer)
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -78,9 +78,9 @@
     async def _connect(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Forward in both directions until one of them ends."""
         try:
-            far_reader, far_writer = await asyncio.wait_for(
-                asyncio.open_connection(*self.address), CONNECT_TIMEOUT
-            )
+            # Not `wait_for`: Python 3.11's swallows a cancellation that meets the end of what it waits for.
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                far_reader, far_writer = await asyncio.open_connection(*self.address)
         except (TimeoutError, OSError):
             return
         self.writers.add(far_writer)
