--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from oakkeel.disruption.state_machine import OPEN_STATES, DisruptionOrder, DisruptionTask
+from oakkeel.disruption.state import OPEN_STATES, DisruptionOrder, DisruptionTask
 from oakkeel.rollout import commands
 from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.observations import Observations
