--- a/tests/cluster/rollout_case.py
+++ b/tests/cluster/rollout_case.py
@@ -10,7 +10,7 @@
 from oakkeel.agent.artifacts import version_of
 from oakkeel.invariants.rollout import find_diverging_steps, read_running_versions
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
-from tests.cluster.test_rig import HOSTS, RigStory
+from tests.support.rig_case import HOSTS, RigTestCase
 
 SECOND = 1_000_000_000
 QUICK = {"soak": 300_000_000, "batch_timeout": 10 * SECOND, "verdict_timeout": 20 * SECOND}
@@ -21,7 +21,7 @@
     return any(entry.state == "changing" for entry in status.targets)
 
 
-class RolloutCase(RigStory):
+class RolloutCase(RigTestCase):
     async def end(self) -> None:
         diverging = find_diverging_steps(self.folder, self.hosts)
         await super().end()
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -26,7 +26,7 @@
         self.assertGreaterEqual(kills, 3)
         await self.wait_for_end("done")
         await self.assert_all_run(spec.version, ["n1a", "n2a", "n3a", "n4a", "n5a"])
-        self.assertEqual([self.words(name).count("start") for name in ("n1a", "n2a", "n3a")], [2] * 3)
+        self.assertEqual([self.journal_of(name).count("start") for name in ("n1a", "n2a", "n3a")], [2] * 3)
 
     async def test_old_controller_takes_no_step_and_wall_clocks_do_not_matter(self):
         spec = self.program("v2")
@@ -36,7 +36,7 @@
         await self.wait_for_status("a batch is out", lambda status: status.batch >= 1)
         leader = await self.rig.wait_for_leader()
         self.rig.suspend_agent(leader)
-        other = await self.rig.wait_for_leader(but=[leader])
+        other = await self.rig.wait_for_leader(excluding=[leader])
         status = await self.wait_for_status(
             "another drives", lambda status: status.controller not in ("", leader)
         )
@@ -81,14 +81,14 @@
         await self.start_release(spec, gated=False, max_batch=1)
         await self.wait_for_status("it is on its way", lambda status: status.batch >= 1)
         far = ["h3", "h4", "h5"]
-        self.rig.cut_links(far, ["h1", "h2"])
+        self.rig.links.cut(far, ["h1", "h2"])
         self.rig.kill_node("n5a")
         self.rig.kill_node("n5b")
         await asyncio.sleep(4.0)
-        before = {name: self.words(name).count("start") for name in ("n4a", "n4b")}
+        before = {name: self.journal_of(name).count("start") for name in ("n4a", "n4b")}
         await asyncio.sleep(2.0)
-        self.assertEqual({name: self.words(name).count("start") for name in before}, before)
-        self.rig.clear_link_faults()
+        self.assertEqual({name: self.journal_of(name).count("start") for name in before}, before)
+        self.rig.links.clear_faults()
         status = await self.wait_for_end("done", "halted")
         if status.state == "halted":
             await self.control("resume")
@@ -124,9 +124,9 @@
         for host in ("h1", "h2"):
             await self.rig.kill_agent(host)
         await asyncio.sleep(1.5)
-        starts = {name: self.words(name).count("start") for name in ALL}
+        starts = {name: self.journal_of(name).count("start") for name in ALL}
         await asyncio.sleep(2.0)
-        self.assertEqual({name: self.words(name).count("start") for name in ALL}, starts)
+        self.assertEqual({name: self.journal_of(name).count("start") for name in ALL}, starts)
         for host in ("h1", "h2"):
             await self.rig.start_agent(host)
         status = await self.wait_for_end("done", "halted")
--- a/tests/cluster/test_rollout_services.py
+++ b/tests/cluster/test_rollout_services.py
@@ -15,14 +15,21 @@
 
     hosts: ClassVar = {"h1": ["n1a", "n1b"], "h2": ["n2a", "n2b"], "h3": ["n3a", "n3b"]}
     sites: ClassVar = {"h1": "woodbrook", "h2": "belmont", "h3": "st-james"}
-    away, fleet_away = 2, 3
-    hanging: ClassVar = {"n1a": "db1", "n2a": "db1", "n3a": "db1", "n1b": "db2", "n2b": "db2", "n3b": "db2"}
+    max_unavailable, fleet_max_unavailable = 2, 3
+    dependencies: ClassVar = {
+        "n1a": "db1",
+        "n2a": "db1",
+        "n3a": "db1",
+        "n1b": "db2",
+        "n2b": "db2",
+        "n3b": "db2",
+    }
 
     async def asyncSetUp(self) -> None:
         self.services = {name: DownstreamService(free_port()) for name in ("db1", "db2")}
         for service in self.services.values():
             await service.open()
-        self.below = (
+        self.downstream = (
             '<below><kind name="db" away="1">'
             + "".join(
                 f'<service name="{name}" address="127.0.0.1:{service.port}" host="h{number}"/>'
@@ -66,7 +73,7 @@
         )
 
         def slower(service: str) -> None:
-            for name, on in self.hanging.items():
+            for name, on in self.dependencies.items():
                 if on == service:
                     self.rig.set_node_script(name, "slower")
 
