--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -1,6 +1,6 @@
-"""Five keepers of twelve agents as processes under drawn faults: what is lost, doubled, out, and unled.
+"""Five voters of twelve agents as processes under random faults: what is lost, doubled, unavailable, unled.
 
-A prober looks who leads; an operator puts orders to the record; a fault comes every one to three seconds,
+A prober looks who leads; an operator submits orders; a fault comes every one to three seconds,
 one at a time.
 """
 
@@ -12,142 +12,171 @@
 import tempfile
 import time
 from collections import Counter
+from collections.abc import Awaitable, Callable
 from random import Random
 from typing import Any
 
 from measure.common import keep, options, processor, say
 from oakkeel.agent import messages
 from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.fakes.control_plane import UnexpectedResponseError
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import NoLeaderError
-from oakkeel.invariants.logs import audit, events
+from oakkeel.invariants.logs import audit_groups, audit_logs, read_events
 
 HOSTS = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
 SITES = {host: ("woodbrook", "st-james", "belmont")[number % 3] for number, host in enumerate(HOSTS)}
-KEEPERS = ("h1", "h2", "h3", "h4", "h5")
-AWAY, FLEET = 1, 3
-LATE = PermitTimeouts().expiry + PermitTimeouts().agent_silence + 2_000_000_000
+VOTERS = ("h1", "h2", "h3", "h4", "h5")
+MAX_UNAVAILABLE, FLEET_MAX_UNAVAILABLE = 1, 3
+KNOWN_AFTER = PermitTimeouts().expiry + PermitTimeouts().agent_silence + 2_000_000_000
 
 
-class Play:
+class AgreementRun:
+    """Faults, a prober and an operator on one rig, and what they saw. Times in seconds."""
+
     def __init__(self, rig: ProcessRig, seed: int) -> None:
+        """Nothing has happened yet."""
         self.rig, self.random = rig, Random(seed)
         self.faults: Counter[str] = Counter()
-        self.taken: dict[str, float] = {}  # seconds until it was agreed, by order
-        self.quiet: list[float] = []  # the same with nothing wrong
+        self.accepted: dict[str, float] = {}  # until it was committed, by order
+        self.accepted_undisturbed: list[float] = []  # the same with no fault at the time
         self.gaps: list[tuple[float, float]] = []  # when nobody led, and for how long
-        self.wrong = 0  # faults that go on by now
-        self.deaths: list[float] = []
-        self.over = False
-
-    # Faults.
-
-    async def faults_come(self, until: float) -> None:
-        kinds = (
-            "kill",
-            "kill the leader",
-            "stop",
-            "stop the leader",
-            "cut",
-            "one way",
-            "loss",
-            "delay",
-            "double",
-            "full disk",
-            "lose the file",
-            "kill a node",
-            "clock",
-        )
+        self.active_faults = 0
+        self.leader_deaths: list[float] = []
+        self.finished = False
+
+    async def inject_faults(self, until: float) -> None:
+        """Inject one fault at a time until a monotonic time."""
+        faults: dict[str, Callable[[], Awaitable[None]]] = {
+            "kill": self._kill,
+            "kill the leader": self._kill_leader,
+            "stop": self._suspend,
+            "stop the leader": self._suspend_leader,
+            "cut": self._partition_both_ways,
+            "one way": self._partition_one_way,
+            "loss": lambda: self._disturb_links("loss", 0.3),
+            "delay": lambda: self._disturb_links("delay", 0.15),
+            "double": lambda: self._disturb_links("double", 0.5),
+            "full disk": self._fill_disk,
+            "lose the file": self._delete_databases,
+            "kill a node": self._kill_node,
+            "clock": self._shift_clock,
+        }
         while time.monotonic() < until:
-            kind = self.random.choice(kinds)
+            kind = self.random.choice(list(faults))
             self.faults[kind] += 1
-            self.wrong += 1
+            self.active_faults += 1
             try:
-                await self.fault(kind)
+                await faults[kind]()
             finally:
-                self.wrong -= 1
+                self.active_faults -= 1
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
 
-    async def fault(self, kind: str) -> None:
-        rig, lasts = self.rig, self.random.uniform(0.2, 2.5)
-        host = self.random.choice(KEEPERS if self.random.random() < 0.7 else list(HOSTS))
-        if kind.endswith("the leader"):
-            host = await rig.wait_for_leader()
-        if kind.startswith("kill a"):
-            rig.kill_node(self.random.choice([name for names in HOSTS.values() for name in names]))
-        elif kind.startswith("kill"):
-            if kind.endswith("leader"):
-                self.deaths.append(time.monotonic())
-            await rig.kill_agent(host)
-            await asyncio.sleep(lasts)
-            await rig.start_agent(host)
-        elif kind.startswith("stop"):
-            rig.suspend_agent(host)
-            await asyncio.sleep(lasts)
-            rig.resume_agent(host)
-        elif kind in ("cut", "one way"):
-            others = [each for each in HOSTS if each != host]
-            if self.random.random() < 0.5:
-                rig.links.cut([host], others, kind == "cut")
-            else:
-                rig.links.cut(others, [host], kind == "cut")
-            await asyncio.sleep(lasts)
-            rig.links.clear_faults()
-        elif kind in ("loss", "delay", "double"):
-            amount = {"loss": 0.3, "delay": 0.15, "double": 0.5}[kind]
-            rig.links.set_faults(**{kind: self.random.uniform(0.05, amount)})
-            await asyncio.sleep(lasts)
-            rig.links.clear_faults()
-        elif kind == "full disk":
-            rig.enable_fault(host, "full")
-            await asyncio.sleep(lasts)
-            rig.disable_fault(host, "full")
-        elif kind == "lose the file":
-            await rig.kill_agent(host)
-            rig.delete_databases(host, "record.db", *(["agent.db"] if self.random.random() < 0.5 else []))
-            await rig.start_agent(host)
-            await self.whole_again(host)
-        elif kind == "clock":
-            rig.enable_fault(host, "clock", str(self.random.uniform(-7200, 7200)))
-
-    async def whole_again(self, host: str) -> None:
-        """Until it votes again: a majority whose files are gone has no record."""
-        if host not in KEEPERS:
+    def _duration(self) -> float:
+        return self.random.uniform(0.2, 2.5)
+
+    def _host(self) -> str:
+        return self.random.choice(VOTERS if self.random.random() < 0.7 else list(HOSTS))
+
+    async def _kill(self) -> None:
+        await self._kill_agent(self._host())
+
+    async def _kill_leader(self) -> None:
+        leader = await self.rig.wait_for_leader()
+        self.leader_deaths.append(time.monotonic())
+        await self._kill_agent(leader)
+
+    async def _kill_agent(self, host: str) -> None:
+        await self.rig.kill_agent(host)
+        await asyncio.sleep(self._duration())
+        await self.rig.start_agent(host)
+
+    async def _suspend(self) -> None:
+        await self._suspend_agent(self._host())
+
+    async def _suspend_leader(self) -> None:
+        await self._suspend_agent(await self.rig.wait_for_leader())
+
+    async def _suspend_agent(self, host: str) -> None:
+        self.rig.suspend_agent(host)
+        await asyncio.sleep(self._duration())
+        self.rig.resume_agent(host)
+
+    async def _partition_both_ways(self) -> None:
+        await self._partition(both=True)
+
+    async def _partition_one_way(self) -> None:
+        await self._partition(both=False)
+
+    async def _partition(self, both: bool) -> None:
+        host = self._host()
+        others = [other for other in HOSTS if other != host]
+        if self.random.random() < 0.5:
+            self.rig.links.cut([host], others, both)
+        else:
+            self.rig.links.cut(others, [host], both)
+        await asyncio.sleep(self._duration())
+        self.rig.links.clear_faults()
+
+    async def _disturb_links(self, fault: str, most: float) -> None:
+        self.rig.links.set_faults(**{fault: self.random.uniform(0.05, most)})
+        await asyncio.sleep(self._duration())
+        self.rig.links.clear_faults()
+
+    async def _fill_disk(self) -> None:
+        host = self._host()
+        self.rig.enable_fault(host, "full")
+        await asyncio.sleep(self._duration())
+        self.rig.disable_fault(host, "full")
+
+    async def _delete_databases(self) -> None:
+        host = self._host()
+        await self.rig.kill_agent(host)
+        agent_too = ["agent.db"] if self.random.random() < 0.5 else []
+        self.rig.delete_databases(host, "record.db", *agent_too)
+        await self.rig.start_agent(host)
+        await self._wait_until_voting(host)
+
+    async def _kill_node(self) -> None:
+        self.rig.kill_node(self.random.choice([name for names in HOSTS.values() for name in names]))
+
+    async def _shift_clock(self) -> None:
+        self.rig.enable_fault(self._host(), "clock", str(self.random.uniform(-7200, 7200)))
+
+    async def _wait_until_voting(self, host: str) -> None:
+        """Wait until a replica votes again: a majority whose databases are gone has lost the log."""
+        if host not in VOTERS:
             return
 
         async def votes() -> bool:
-            told = await self.rig.raft_statuses()
-            leads = next((each for each in told.values() if each.is_leader), None)
-            return bool(
-                leads
-                and host in told
-                and told[host].epoch == leads.epoch
-                and any(
-                    each.name == host
-                    and each.is_voter
-                    and each.lag < 3
-                    and each.incarnation == self.life(told, host)
-                    for each in leads.members
-                )
+            statuses = await self.rig.raft_statuses()
+            leader = next((status for status in statuses.values() if status.is_leader), None)
+            if leader is None or host not in statuses or statuses[host].epoch != leader.epoch:
+                return False
+            incarnation = next(
+                (member.incarnation for member in statuses[host].members if member.name == host), ""
+            )
+            return any(
+                member.name == host
+                and member.is_voter
+                and member.lag < 3
+                and member.incarnation == incarnation
+                for member in leader.members
             )
 
         await self.rig.wait_until(f"{host} votes again", votes)
 
-    @staticmethod
-    def life(told: dict[str, messages.RaftStatus], host: str) -> str:
-        return next((each.incarnation for each in told[host].members if each.name == host), "")
-
-    # Looking on.
-
-    async def look(self) -> None:
+    async def probe_leader(self) -> None:
+        """Note for how long nobody leads, until the run is finished."""
         began = 0.0
-        while not self.over:
+        while not self.finished:
             answers, _ = await self.rig.clients.request_each(
-                {host: messages.RaftStatusRequest() for host in KEEPERS}, 200_000_000
+                {host: messages.RaftStatusRequest() for host in VOTERS}, 200_000_000
             )
             now = time.monotonic()
-            if any(isinstance(each, messages.RaftStatus) and each.is_leader for each in answers.values()):
+            statuses = [answer for answer in answers.values() if isinstance(answer, messages.RaftStatus)]
+            if any(status.is_leader for status in statuses):
                 if began:
                     self.gaps.append((began, now - began))
                 began = 0.0
@@ -156,119 +185,125 @@
             await asyncio.sleep(0.03)
 
     async def operate(self) -> None:
-        names = [name for each in HOSTS.values() for name in each]
+        """Submit one order after the other, until the run is finished."""
+        names = [name for names in HOSTS.values() for name in names]
         count = 0
-        while not self.over:
+        while not self.finished:
             count += 1
-            ident, quiet = f"o{count}", not self.wrong
-            began = time.monotonic()
             chosen = self.random.sample(names, self.random.randint(1, 3))
-            generations: dict[str, int] = {}
-            while not self.over:
-                try:
-                    generations = generations or await self.rig.generations()
-                    if any(name not in generations for name in chosen):
-                        generations = {}
-                        await asyncio.sleep(0.1)
-                        continue
-                    sent = time.monotonic()
-                    answer = await self.rig.submit_order(
-                        ident, "restart", chosen, 15, generations=generations
-                    )
-                    if isinstance(answer, messages.FleetOrderStatus) and any(
-                        part.state != "refused" for part in answer.tasks
-                    ):
-                        self.taken[ident] = time.monotonic() - began
-                        if quiet and not self.wrong:
-                            self.quiet.append(time.monotonic() - sent)
-                    break
-                except NoLeaderError:
-                    continue
+            await self._submit(f"o{count}", chosen)
             await asyncio.sleep(self.random.uniform(0.2, 0.8))
 
+    async def _submit(self, order_id: str, names: list[str]) -> None:
+        """Submit an order through changes of leader, with the same ID."""
+        undisturbed, began = not self.active_faults, time.monotonic()
+        generations: dict[str, int] = {}
+        while not self.finished:
+            try:
+                generations = generations or await self.rig.generations()
+                if any(name not in generations for name in names):
+                    generations = {}
+                    await asyncio.sleep(0.1)
+                    continue
+                sent = time.monotonic()
+                answer = await self.rig.submit_order(order_id, "restart", names, 15, generations=generations)
+            except NoLeaderError:
+                continue
+            if isinstance(answer, messages.FleetOrderStatus) and any(
+                task.state != "refused" for task in answer.tasks
+            ):
+                self.accepted[order_id] = time.monotonic() - began
+                if undisturbed and not self.active_faults:
+                    self.accepted_undisturbed.append(time.monotonic() - sent)
+            return
+
+    async def lost_orders(self) -> list[str]:
+        """The accepted orders that the control plane doesn't know any more."""
+        known = {order.order_id for order in (await self.rig.fleet_status()).orders}
+        lost = []
+        for order_id in self.accepted:
+            if order_id not in known:
+                try:
+                    await self.rig.fleet_status(order_id)
+                except UnexpectedResponseError:
+                    lost.append(order_id)
+        return lost
+
 
 async def measure(seconds: float, seed: int) -> dict[str, Any]:
+    """Inject faults for some seconds, then count and audit what happened."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(
             folder,
             HOSTS,
-            AWAY,
+            MAX_UNAVAILABLE,
             seed,
             sites=SITES,
-            replicas=KEEPERS,
-            fleet_max_unavailable=FLEET,
+            replicas=VOTERS,
+            fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
             supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>',
         )
         rig = ProcessRig(site, seed)
+        run = AgreementRun(rig, seed)
         try:
             await rig.open()
             await rig.wait_for_leader()
             took = await rig.wait_until_serving()
             say(f"twelve agents, five of them keepers; all serve {took:.1f} s after there was a leader")
-            play = Play(rig, seed)
-            tasks = [asyncio.ensure_future(play.look()), asyncio.ensure_future(play.operate())]
-            await play.faults_come(time.monotonic() + seconds)
-            play.over = True
+            tasks = [asyncio.ensure_future(run.probe_leader()), asyncio.ensure_future(run.operate())]
+            await run.inject_faults(time.monotonic() + seconds)
+            run.finished = True
             await asyncio.gather(*tasks)
             rig.links.clear_faults()
             await rig.wait_for_leader()
             await rig.wait_until_serving(timeout=60)
-            lost = []
-            known = {order.order_id for order in (await rig.fleet_status()).orders}
-            for ident in play.taken:
-                if ident not in known:
-                    try:
-                        await rig.fleet_status(ident)
-                    except AssertionError:
-                        lost.append(ident)
-            elections = sum(kind == "leader_elected" for _, kind, _ in events(folder, HOSTS))
+            lost = await run.lost_orders()
         finally:
             await rig.close()
-        groups = {"fleet": (FLEET, [name for names in HOSTS.values() for name in names])}
-        for name in set(SITES.values()):
-            groups[name] = (
-                AWAY,
-                [each for host, names in HOSTS.items() if SITES[host] == name for each in names],
-            )
-        judge = audit(folder, HOSTS, groups, LATE)
-        doubled = doubled_leaves(folder)
+        return {"seconds": seconds, "lost": lost} | figures_of(run, folder)
+
+
+def figures_of(run: AgreementRun, folder: str) -> dict[str, Any]:
+    """The figures under the names that their file has."""
+    groups = audit_groups(HOSTS, SITES, MAX_UNAVAILABLE, FLEET_MAX_UNAVAILABLE)
+    audit = audit_logs(folder, HOSTS, groups, KNOWN_AFTER)
+    after_death = [
+        duration for at, duration in run.gaps if any(0 <= at - death < 0.6 for death in run.leader_deaths)
+    ]
     return {
         "machine": processor(),
-        "seconds": seconds,
-        "faults": dict(play.faults),
-        "elections": elections,
-        "taken": len(play.taken),
-        "lost": lost,
-        "doubled": doubled,
-        "breaches": judge.finish(0),
-        "most_out": judge.most_out["fleet"],
-        "bound": FLEET,
-        "worst_gap_s": max((lasts for _, lasts in play.gaps), default=0.0),
-        "after_death_s": [
-            lasts for at, lasts in play.gaps if any(0 <= at - death < 0.6 for death in play.deaths)
-        ],
-        "agreed_s": play.quiet,
+        "faults": dict(run.faults),
+        "elections": sum(kind == "leader_elected" for _, kind, _ in read_events(folder, HOSTS)),
+        "taken": len(run.accepted),
+        "doubled": doubled_drains(folder),
+        "breaches": audit.finish(0),
+        "most_out": audit.most_out["fleet"],
+        "bound": FLEET_MAX_UNAVAILABLE,
+        "worst_gap_s": max((duration for _, duration in run.gaps), default=0.0),
+        "after_death_s": after_death,
+        "agreed_s": run.accepted_undisturbed,
     }
 
 
-def doubled_leaves(folder: str) -> int:
-    """Processes that were told twice to leave with no word to stay between."""
-    told: set[tuple[str, int]] = set()
+def doubled_drains(folder: str) -> int:
+    """How many processes were drained twice with no cancel between."""
+    drained: set[tuple[str, int]] = set()
     doubled = 0
-    for _, kind, facts in events(folder, HOSTS):
-        key = facts.get("target", ""), facts.get("generation", 0)
+    for _, kind, fields in read_events(folder, HOSTS):
+        process = fields.get("target", ""), fields.get("generation", 0)
         if kind == "node leave":
-            doubled += key in told
-            told.add(key)
+            doubled += process in drained
+            drained.add(process)
         elif kind == "node stay":
-            told.discard(key)
+            drained.discard(process)
     return doubled
 
 
 def main() -> int:
-    told = options(__doc__ or "", seconds=150.0, seed=25)
-    figures = asyncio.run(measure(told.seconds, told.seed))
-    keep(told, figures)
+    """Run the measurement; returns the exit code."""
+    arguments = options(__doc__ or "", seconds=150.0, seed=25)
+    figures = asyncio.run(measure(arguments.seconds, arguments.seed))
+    keep(arguments, figures)
     for breach in figures["breaches"]:
         say(breach)
     say(f"{figures['taken']} orders taken; faults {figures['faults']}")
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -21,7 +21,7 @@
 from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import NODE_SETTINGS, FakeSite
-from oakkeel.invariants.logs import events
+from oakkeel.invariants.logs import read_events
 
 HOSTS = {"h1": ["n1", "n2", "n3"], "h2": ["n4", "n5", "n6"]}
 NAMES = [name for names in HOSTS.values() for name in names]
@@ -177,7 +177,7 @@
 def after_grace(folder: str, site: FakeSite, reports: list[RequestReport]) -> int:
     """Runs of what was sent more than the grace after the notice, while the drain stood."""
     drains: dict[str, list[list[float]]] = {}  # by instance: when the grace ended, and the drain
-    for at, kind, fields in events(folder, HOSTS):
+    for at, kind, fields in read_events(folder, HOSTS):
         if kind == "drain_requested":
             drains.setdefault(fields["target"], []).append([at / 1e9 + GRACE / 1e9, float("inf")])
         elif kind in ("drain_cancel_requested", "instance_exited") and fields.get("target") in drains:
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -7,55 +7,82 @@
 
 import json
 import os
+from collections.abc import Iterator
+from typing import Any, NamedTuple
 
 from oakkeel.invariants.consensus import ConsensusAudit
 
 
-def events(folder: str, hosts: dict[str, list[str]]) -> list[tuple[int, str, dict]]:
-    """Time, kind, facts, the earliest first."""
-    found: list[tuple[int, str, dict]] = []
+class LogEvent(NamedTuple):
+    """One line of an agent's log, or of a node's journal (`node` and its word)."""
+
+    at: int  # monotonic nanoseconds
+    kind: str
+    fields: dict[str, Any]
+
+
+def read_events(folder: str, hosts: dict[str, list[str]]) -> list[LogEvent]:
+    """All events of a site's folder, the earliest first."""
+    found: list[LogEvent] = []
     for host, names in hosts.items():
-        path = os.path.join(folder, f"{host}.agent.log")
-        if os.path.exists(path):
-            with open(path, encoding="utf-8", errors="replace") as file:
-                for line in file:
-                    try:
-                        told = json.loads(line)
-                        found.append((told["mono"], told["event"], {"host": host, **told}))
-                    except (ValueError, KeyError, TypeError):
-                        continue  # a line cut short by a kill
+        found += _agent_events(folder, host)
         for name in names:
-            journal = os.path.join(folder, host, f"{name}.journal")
-            if os.path.exists(journal):
-                with open(journal, encoding="ascii") as file:
-                    for line in file:
-                        word, generation, _, at = line.split()
-                        found.append(
-                            (int(at), f"node {word}", {"target": name, "generation": int(generation)})
-                        )
-    return sorted(found, key=lambda each: each[0])
-
-
-def audit(
+            found += _node_events(folder, host, name)
+    return sorted(found, key=lambda event: event.at)
+
+
+def _agent_events(folder: str, host: str) -> Iterator[LogEvent]:
+    path = os.path.join(folder, f"{host}.agent.log")
+    if not os.path.exists(path):
+        return
+    with open(path, encoding="utf-8", errors="replace") as file:
+        for line in file:
+            try:
+                fields = json.loads(line)
+                yield LogEvent(fields["mono"], fields["event"], {"host": host, **fields})
+            except (ValueError, KeyError, TypeError):
+                continue  # a line cut short by a kill
+
+
+def _node_events(folder: str, host: str, name: str) -> Iterator[LogEvent]:
+    path = os.path.join(folder, host, f"{name}.journal")
+    if not os.path.exists(path):
+        return
+    with open(path, encoding="ascii") as file:
+        for line in file:
+            word, generation, _, at = line.split()
+            yield LogEvent(int(at), f"node {word}", {"target": name, "generation": int(generation)})
+
+
+def audit_groups(
+    hosts: dict[str, list[str]], sites: dict[str, str], max_unavailable: int, fleet_max_unavailable: int
+) -> dict[str, tuple[int, list[str]]]:
+    """The disruption budgets of the fleet and of each site, with their instances."""
+    groups = {"fleet": (fleet_max_unavailable, [name for names in hosts.values() for name in names])}
+    for site in set(sites.values()):
+        names = [name for host, names in hosts.items() if sites[host] == site for name in names]
+        groups[site] = (max_unavailable, names)
+    return groups
+
+
+def audit_logs(
     folder: str, hosts: dict[str, list[str]], groups: dict[str, tuple[int, list[str]]], known_after: int
 ) -> ConsensusAudit:
-    """The breaches of one run, with what was out at most."""
-    judge = ConsensusAudit(groups, known_after)
-    last: dict[str, int] = {}  # by thing: the fence under which its agent last told it to leave
-    for at, kind, facts in events(folder, hosts):
-        thing = facts.get("target", "")
+    """Audit one run: its breaches, and what was unavailable at most."""
+    audit = ConsensusAudit(groups, known_after)
+    for at, kind, fields in read_events(folder, hosts):
+        target = fields.get("target", "")
         if kind == "leader_elected":
-            judge.leader_observed(at, facts["term"], facts["host"])
+            audit.leader_observed(at, fields["term"], fields["host"])
         elif kind == "permit_granted":
-            judge.permit_granted(thing, facts["fence"])
-        elif kind == "drain_requested" and "order" in facts:
-            last[thing] = facts.get("fence", -1)
-            judge.drain_started(at, thing, last[thing])
+            audit.permit_granted(target, fields["fence"])
+        elif kind == "drain_requested" and "order" in fields:
+            audit.drain_started(at, target, fields.get("fence", -1))
         elif kind == "node start":
-            judge.generation_started(at, thing, facts["generation"])
-            judge.out_by_itself(at, thing)
+            audit.generation_started(at, target, fields["generation"])
+            audit.out_by_itself(at, target)
         elif kind in ("node up", "node stay"):
-            judge.serving(at, thing)
+            audit.serving(at, target)
         elif kind in ("node end", "node killed"):
-            judge.out_by_itself(at, thing)
-    return judge
+            audit.out_by_itself(at, target)
+    return audit
--- a/tests/invariants/test_logs.py
+++ b/tests/invariants/test_logs.py
@@ -3,7 +3,7 @@
 import tempfile
 import unittest
 
-from oakkeel.invariants.logs import audit
+from oakkeel.invariants.logs import audit_logs
 from tests.support.rig_case import KNOWN_AFTER
 
 
@@ -22,7 +22,7 @@
         for name, text in journals.items():
             with open(os.path.join(self.folder, "h1", f"{name}.journal"), "w", encoding="ascii") as file:
                 file.write(text)
-        return audit(self.folder, self.hosts, {"site": (1, ["n1", "n2"])}, KNOWN_AFTER).finish(0)
+        return audit_logs(self.folder, self.hosts, {"site": (1, ["n1", "n2"])}, KNOWN_AFTER).finish(0)
 
     @staticmethod
     def left(at: int, name: str, fence: int) -> list[dict]:
--- a/tests/support/rig_case.py
+++ b/tests/support/rig_case.py
@@ -9,7 +9,7 @@
 from oakkeel.disruption.allocator import PermitTimeouts
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import FakeSite
-from oakkeel.invariants.logs import audit
+from oakkeel.invariants.logs import audit_groups, audit_logs
 
 HOSTS = {f"h{number}": [f"n{number}a", f"n{number}b"] for number in range(1, 6)}
 SITES = {"h1": "woodbrook", "h2": "woodbrook", "h3": "belmont", "h4": "belmont", "h5": "belmont"}
@@ -44,15 +44,9 @@
 
     async def end(self) -> None:
         await self.rig.close()
-        groups = {
-            "fleet": (self.fleet_max_unavailable, [name for names in self.hosts.values() for name in names])
-        }
-        for site in set(self.sites.values()):
-            groups[site] = (
-                self.max_unavailable,
-                [name for host, names in self.hosts.items() if self.sites[host] == site for name in names],
-            )
-        self.assertEqual(audit(self.folder, self.hosts, groups, KNOWN_AFTER).finish(0), [])
+        groups = audit_groups(self.hosts, self.sites, self.max_unavailable, self.fleet_max_unavailable)
+        audit = audit_logs(self.folder, self.hosts, groups, KNOWN_AFTER)
+        self.assertEqual(audit.finish(0), [])
 
     def log_of(self, host: str) -> str:
         with open(os.path.join(self.folder, f"{host}.agent.log"), encoding="utf-8") as file:
