--- a/measure/common.py
+++ b/measure/common.py
@@ -19,7 +19,7 @@
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import targets_by_host
-from oakkeel.fleet.view import FleetView
+from oakkeel.fleet.view import FleetView, Row
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key
 from oakkeel.settings.types import Fleet
@@ -28,6 +28,7 @@
 
 
 def options(text: str, **defaults: Any) -> argparse.Namespace:
+    """Parse the command line: an option for each default, of its type, and `--json`."""
     parser = argparse.ArgumentParser(description=text)
     parser.add_argument("--json", metavar="FILE", help="keep the figures there")
     for name, value in defaults.items():
@@ -35,18 +36,20 @@
     return parser.parse_args()
 
 
-def keep(told: argparse.Namespace, figures: dict[str, Any]) -> None:
-    if told.json:
-        with open(told.json, "w", encoding="utf-8") as file:
+def keep(arguments: argparse.Namespace, figures: dict[str, Any]) -> None:
+    """Write the figures to the file that `--json` names, if any."""
+    if arguments.json:
+        with open(arguments.json, "w", encoding="utf-8") as file:
             json.dump(figures, file, indent=1)
 
 
 def say(text: str) -> None:
+    """Print a line at once."""
     print(text, flush=True)
 
 
 def spread(values: list[float], digits: int = 2) -> str:
-    """Median, and the least and most."""
+    """Format the median, the least and the most."""
     return (
         f"{statistics.median(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f},"
         f" {len(values)} times)"
@@ -57,11 +60,13 @@
     """A site with its agents as processes, and a view of it."""
 
     def __init__(self, site: FakeSite, fleet: Fleet) -> None:
+        """`site` is open; no agent runs yet."""
         self.site, self.fleet = site, fleet
         self.agents, self.view = AgentClients(fleet, read_operator_key(fleet, "asha")), FleetView(fleet)
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start_agent(self, host: str, *command: str) -> None:
+        """Start the agent of a host: `command` is the module in place of the agent's, and its arguments."""
         with open(os.path.join(self.site.folder, f"{host}.agent.log"), "ab") as log:
             self.processes[host] = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -84,10 +89,12 @@
                 raise TimeoutError(f"not within {wait:g} s: {[row.shown for row in self.rows()]}")
             await asyncio.sleep(pause)
 
-    def rows(self):
+    def rows(self) -> list[Row]:
+        """The rows of the view as they are now."""
         return self.view.rows(time.monotonic_ns())
 
     def all_in(self, *states: str) -> bool:
+        """Whether all instances are shown in one of some states."""
         return all(row.shown in states for row in self.rows())
 
     def addresses(self) -> dict[str, Address]:
@@ -138,8 +145,10 @@
 
 
 def processor() -> str:
+    """Describe the machine."""
     return f"{os.cpu_count()} cores, Python {sys.version.split()[0]}"
 
 
-def python(*words: str, **more: Any) -> subprocess.Popen:
-    return subprocess.Popen([sys.executable, *words], **more)
+def python(*arguments: str, **more: Any) -> subprocess.Popen[bytes]:
+    """Start a Python process."""
+    return subprocess.Popen([sys.executable, *arguments], **more)
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -10,6 +10,7 @@
 import time
 from collections import Counter
 from random import Random
+from typing import Any
 
 from measure.common import Running, keep, options, running, say, spread
 from oakkeel.fakes.dispatcher import Dispatcher
@@ -57,7 +58,8 @@
     return took, set(chosen)
 
 
-async def measure(rounds: int, rate: float, seed: int) -> dict:
+async def measure(rounds: int, rate: float, seed: int) -> dict[str, Any]:
+    """Play some rounds of kills under load, and count what was lost."""
     random = Random(seed)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(folder, HOSTS, max_unavailable=4, seed=seed, sites=SITES)
@@ -90,10 +92,11 @@
 
 
 def main() -> int:
-    told = options(__doc__ or "", rounds=3, rate=120.0, seed=16)
+    """Run the measurement; returns the exit code."""
+    arguments = options(__doc__ or "", rounds=3, rate=120.0, seed=16)
     began = time.monotonic()
-    figures = asyncio.run(measure(told.rounds, told.rate, told.seed))
-    keep(told, figures)
+    figures = asyncio.run(measure(arguments.rounds, arguments.rate, arguments.seed))
+    keep(arguments, figures)
     say(
         f"{figures['answered']} exchanges answered; lost on the others: {figures['lost_on_others']}; on those"
         f" killed and stopped: {figures['lost_on_killed_and_stopped']};"
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -9,6 +9,7 @@
 import sys
 import tempfile
 import time
+from typing import Any
 
 from measure.common import keep, options, running, say, spread
 from oakkeel.fakes.site import FakeSite
@@ -16,7 +17,8 @@
 DEADLINE = 1.0
 
 
-async def listed(settings: str, *words: str) -> tuple[float, int, dict]:
+async def listed(settings: str, *words: str) -> tuple[float, int, dict[str, Any]]:
+    """Run `oakkeel ls`; returns the seconds that it took, its exit code and its output."""
     began = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -38,7 +40,8 @@
     return time.monotonic() - began, process.returncode or 0, json.loads(out)
 
 
-async def measure(times: int) -> dict:
+async def measure(times: int) -> dict[str, Any]:
+    """List some times with all agents, and with one of them silent."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         hosts = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
         async with running(FakeSite(folder, hosts, max_unavailable=12), "oakkeel.fakes.crashing") as fleet:
@@ -61,9 +64,10 @@
 
 
 def main() -> int:
-    told = options(__doc__ or "", times=7)
-    figures = asyncio.run(measure(told.times))
-    keep(told, figures)
+    """Run the measurement; returns the exit code."""
+    arguments = options(__doc__ or "", times=7)
+    figures = asyncio.run(measure(arguments.times))
+    keep(arguments, figures)
     say(f"all answer: {spread(figures['all_answer_s'])} s; one silent: {spread(figures['one_silent_s'])} s")
     say(
         f"listing: 12 agents, 1 silent, told after {max(figures['one_silent_s']):.2f} s with a deadline of"
