--- a/measure/fair.py
+++ b/measure/fair.py
@@ -23,7 +23,8 @@
 from oakkeel.admission.fairness import FairSharing
 from oakkeel.admission.types import FairSharingRules, Idempotency, Request, RequestClass
 from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
-from oakkeel.fakes.load_clients import Address, CrawlerClient, PoliteClient
+from oakkeel.fakes.load_clients import CrawlerClient, PoliteClient
+from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.simulated_node import fair_share, jain
 from oakkeel.fakes.site import FakeSite
 
