--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -1,7 +1,7 @@
-"""What the leader does for a change: has it made ready on all, decides it, and knows when it is in force.
+"""The leader's part of a policy change: it is made ready on all hosts, decided, and known to be in force.
 
-An agent is told the decided version with a time for which it may go by that, counted by its own clock from
-when it asked. From the decision on no earlier one is told. So no node goes by an earlier one after the
+An agent is given the decided version with a time for which it may use it, counted by its own clock from
+when it asked. From the decision on no earlier version is given. So no node goes by an earlier one after the
 longest such time, by any clock within the drift, whoever gave it and whatever became of it since: that is
 when the change is in force at the latest. It is sooner where every host has shown to go by it. Free of I/O.
 """
@@ -28,7 +28,7 @@
 
 
 class PolicyReport(msgspec.Struct, array_like=True):
-    """What an agent says with its poll."""
+    """What an agent reports with its heartbeat."""
 
     number: int  # under which every node of it decides by now, and no other
     held_version: int = 0  # the version whose content it has
@@ -38,7 +38,7 @@
 
 
 class PolicyAssignment(msgspec.Struct, array_like=True):
-    """What it hears."""
+    """What an agent is assigned in response."""
 
     number: int
     valid_for: int  # nanoseconds, from when the poll was sent
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class HostProgress:
-    """The last of one host."""
+    """What one host reported last."""
 
     reported_at: int
     number: int
@@ -57,50 +57,53 @@
 
 
 class PolicyCoordinator:
-    """Made when a leader begins, thrown away when it ends. Calls return commands to propose."""
+    """Made when a leader begins, dropped when it ends. Calls return commands to propose."""
 
     def __init__(
-        self, now: int, register: PolicyStateMachine, hosts: tuple[str, ...], terms: PermitTimeouts
+        self, now: int, state_machine: PolicyStateMachine, hosts: tuple[str, ...], timeouts: PermitTimeouts
     ) -> None:
-        self.state_machine, self.hosts, self.timeouts, self.started_at = register, hosts, terms, now
+        """It waits for all of `hosts`."""
+        self.state_machine, self.hosts, self.timeouts = state_machine, hosts, timeouts
+        self.started_at = now
         self.progress: dict[str, HostProgress] = {}
         self.decided_since: dict[int, int] = {}  # since when we tell of no earlier one, by number
         self.offered_since: dict[int, int] = {}
         self.pending: set[bytes] = set()
 
-    def receive_report(self, now: int, host: str, told: PolicyReport, alive_at: int) -> list[PolicyCommand]:
-        """`alive_at`: by our clock it is known to have said that after then."""
+    def receive_report(self, now: int, host: str, report: PolicyReport, alive_at: int) -> list[PolicyCommand]:
+        """Take in a report, known to have been made after `alive_at` by our clock."""
         if host not in self.hosts:
             return []
         known = self.progress.get(host)
         if known is None or alive_at >= known.reported_at:
-            self.progress[host] = HostProgress(alive_at, told.number, told.ready_version)
+            self.progress[host] = HostProgress(alive_at, report.number, report.ready_version)
         proposed = self.state_machine.proposed
-        if proposed and told.refused_version == proposed.number:
-            return self._once([RejectPolicy(proposed.number, host, told.reason)])
+        if proposed and report.refused_version == proposed.number:
+            return self._deduplicate([RejectPolicy(proposed.number, host, report.reason)])
         return []
 
-    def assign(self, now: int, host: str, told: PolicyReport) -> PolicyAssignment:
-        """To be given only while the leader's lease holds."""
-        held, proposed = self.state_machine.state, self.state_machine.proposed
-        current = held.policies.get(held.decided)
-        content = current.content if current and told.held_version != held.decided else b""
-        heard = PolicyAssignment(held.decided, LEASE, content)
+    def assign(self, now: int, host: str, report: PolicyReport) -> PolicyAssignment:
+        """Return the assignment of a host. To be given only while the leader's lease holds."""
+        state, proposed = self.state_machine.state, self.state_machine.proposed
+        current = state.policies.get(state.decided)
+        content = current.content if current and report.held_version != state.decided else b""
+        assignment = PolicyAssignment(state.decided, LEASE, content)
         if proposed:
-            heard.proposed_number = proposed.number
-            if told.ready_version != proposed.number:
-                heard.proposed_content = proposed.content
-        return heard
+            assignment.proposed_number = proposed.number
+            if report.ready_version != proposed.number:
+                assignment.proposed_content = proposed.content
+        return assignment
 
     def tick(self, now: int) -> list[PolicyCommand]:
-        held, proposed = self.state_machine.state, self.state_machine.proposed
+        """Return what to commit, and what to mark as in force."""
+        state, proposed = self.state_machine.state, self.state_machine.proposed
         wanted: list[PolicyCommand] = []
         if proposed:
-            began = self.offered_since.setdefault(proposed.number, now)
-            waits = [host for host in self.hosts if not self._ready(now, host, proposed.number, began)]
-            if not waits:
+            offered_at = self.offered_since.setdefault(proposed.number, now)
+            missing = [host for host in self.hosts if not self._ready(now, host, proposed.number, offered_at)]
+            if not missing:
                 wanted.append(CommitPolicy(proposed.number))
-        current = held.policies.get(held.decided)
+        current = state.policies.get(state.decided)
         if current and current.state == "decided":
             since = self.decided_since.setdefault(current.number, now)
             if now - since > self.timeouts.upper_bound(LEASE) or all(
@@ -110,20 +113,24 @@
                 for host in self.hosts
             ):
                 wanted.append(MarkInForce(current.number))
-        return self._once(wanted)
+        return self._deduplicate(wanted)
 
-    def _ready(self, now: int, host: str, number: int, began: int) -> bool:
-        """It has it, or it is not there: then it has no lease, and learns the version before it serves."""
+    def _ready(self, now: int, host: str, number: int, offered_at: int) -> bool:
+        """Return whether a host has it, or is not there.
+
+        One that is not there has no lease, and learns the version before it serves.
+        """
         known = self.progress.get(host)
         if known and known.ready_version == number:
             return True
-        heard_at = max(self.started_at, began, known.reported_at if known else 0)
-        return now - heard_at > self.timeouts.upper_bound(LOST)
+        last_seen_at = max(self.started_at, offered_at, known.reported_at if known else 0)
+        return now - last_seen_at > self.timeouts.upper_bound(LOST)
 
-    def _once(self, wanted: list[PolicyCommand]) -> list[PolicyCommand]:
-        news = [each for each in wanted if msgspec.msgpack.encode(each) not in self.pending]
-        self.pending |= {msgspec.msgpack.encode(each) for each in news}
-        return news
+    def _deduplicate(self, wanted: list[PolicyCommand]) -> list[PolicyCommand]:
+        new = [command for command in wanted if msgspec.msgpack.encode(command) not in self.pending]
+        self.pending |= {msgspec.msgpack.encode(command) for command in new}
+        return new
 
     def lost(self, command: PolicyCommand) -> None:
+        """Forget a command that will never be committed."""
         self.pending.discard(msgspec.msgpack.encode(command))
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -76,7 +76,7 @@
         self.assertTrue(node.renew(0, 3, 100))
         self.assertTrue(node.may_decide(99))
         self.assertFalse(node.may_decide(100))
-        self.assertIs(node.status, LeaseStatus.LAPSED)
+        self.assertIs(node.status, LeaseStatus.EXPIRED)
         self.assertFalse(node.renew(101, 2, 900))
         self.assertFalse(node.may_decide(102))
         node.renew(103, 3, 200)
