--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -6,16 +6,23 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from random import Random
 
-from oakkeel.disruption import commands
+import msgspec
+
 from oakkeel.disruption.allocator import PermitTimeouts
 from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import Clock
 from oakkeel.invariants.policy_change import PolicyChangeAudit
 from oakkeel.policy_change.coordinator import PolicyAssignment, PolicyCoordinator, PolicyReport
 from oakkeel.policy_change.policy_lease import AgentPolicyLease, NodePolicyLease
-from oakkeel.policy_change.state_machine import PolicyStateMachine, ProposePolicy, WithdrawPolicy
+from oakkeel.policy_change.state_machine import (
+    PolicyCommand,
+    PolicyStateMachine,
+    ProposePolicy,
+    WithdrawPolicy,
+)
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -24,7 +31,10 @@
 
 
 class PolicyNode:
+    """A node that decides requests all the time, while its lease holds."""
+
     def __init__(self, host: PolicyHost, name: str) -> None:
+        """Start it on a host."""
         self.host, self.name = host, name
         self.lease, self.stopped, self.incarnation = NodePolicyLease(), False, 0
         self.inbox: list[tuple[int, int]] = []
@@ -32,45 +42,49 @@
         host.simulation.clock.after(host.random.randrange(DECIDE), self.decide, 0)
 
     def start(self) -> None:
-        """Another process: it knows nothing."""
+        """Start another process of it, which knows nothing."""
         self.incarnation += 1
         self.lease, self.inbox, self.stopped = NodePolicyLease(), [], False
         self.host.agent.node_stopped(self.name)
         self.host.agent.node_started(self.name)
         self.host.simulation.clock.after(DECIDE, self.decide, self.incarnation)
 
-    def decide(self, life: int) -> None:
-        """An exchange comes; what it was told while it stood still is read behind it."""
-        if life != self.incarnation:
+    def decide(self, incarnation: int) -> None:
+        """Decide a request; what came while it stood still is read after that."""
+        if incarnation != self.incarnation:
             return
-        world, now = self.host.simulation, self.host.now()
+        simulation, now = self.host.simulation, self.host.now()
         if not self.stopped:
             if self.lease.may_decide(now):
-                world.audit.record_decision(world.clock.now, self.name, self.lease.number)
-            came, self.inbox = self.inbox, []
-            for number, until in came:
+                simulation.audit.record_decision(simulation.clock.now, self.name, self.lease.number)
+            received, self.inbox = self.inbox, []
+            for number, until in received:
                 self.lease.renew(now, number, until)
-            if came:
+            if received:
                 self.host.agent.node_reported(self.name, self.lease.number)
-        world.clock.after(self.host.random.randrange(DECIDE // 4, DECIDE), self.decide, life)
+        simulation.clock.after(self.host.random.randrange(DECIDE // 4, DECIDE), self.decide, incarnation)
 
 
 class PolicyHost:
-    def __init__(self, world: PolicySimulation, name: str) -> None:
-        self.simulation, self.name = world, name
-        self.random = Random(f"{world.seed} {name}")
+    """A host with an agent, two nodes and a clock of its own."""
+
+    def __init__(self, simulation: PolicySimulation, name: str) -> None:
+        """Start all of it."""
+        self.simulation, self.name = simulation, name
+        self.random = Random(f"{simulation.seed} {name}")
         self.rate, self.offset = 1 + self.random.uniform(-0.018, 0.018), self.random.randrange(10 * SECOND)
         self.agent, self.stopped, self.incarnation = AgentPolicyLease(), False, 0
         self.nodes = [PolicyNode(self, f"{name}n{number}") for number in range(2)]
         self.unusable_version = 0  # a proposed version that one of its nodes can't take
-        world.clock.after(self.random.randrange(POLL), self.send_report, 0)
-        world.clock.after(self.random.randrange(TELL), self.renew_nodes, 0)
+        simulation.clock.after(self.random.randrange(POLL), self.send_report, 0)
+        simulation.clock.after(self.random.randrange(TELL), self.renew_nodes, 0)
 
     def now(self) -> int:
+        """Return the time by the clock of the host."""
         return self.offset + int(self.simulation.clock.now * self.rate)
 
     def start(self) -> None:
-        """Its agent anew; the nodes go on as they were told."""
+        """Start another process of its agent; the nodes go on with their leases."""
         self.incarnation += 1
         self.agent, self.stopped = AgentPolicyLease(), False
         for node in self.nodes:
@@ -78,8 +92,9 @@
         self.simulation.clock.after(POLL, self.send_report, self.incarnation)
         self.simulation.clock.after(TELL, self.renew_nodes, self.incarnation)
 
-    def send_report(self, life: int) -> None:
-        if life != self.incarnation:
+    def send_report(self, incarnation: int) -> None:
+        """Report to the leader, again and again."""
+        if incarnation != self.incarnation:
             return
         if not self.stopped:
             agent = self.agent
@@ -94,33 +109,38 @@
                 )
             sent_at, true = self.now(), self.simulation.clock.now
             self.simulation.send(
-                self.name, self.simulation.receive_report, self, life, sent_at, true, agent.report()
+                self.name, self.simulation.receive_report, self, incarnation, sent_at, true, agent.report()
             )
-        self.simulation.clock.after(POLL, self.send_report, life)
+        self.simulation.clock.after(POLL, self.send_report, incarnation)
 
-    def receive_assignment(self, life: int, sent_at: int, heard: PolicyAssignment) -> None:
-        if life != self.incarnation:
+    def receive_assignment(self, incarnation: int, sent_at: int, assignment: PolicyAssignment) -> None:
+        """Take in the leader's response to this process of the agent."""
+        if incarnation != self.incarnation:
             return
         if self.stopped:
-            self.simulation.clock.after(20 * MS, self.receive_assignment, life, sent_at, heard)
+            self.simulation.clock.after(20 * MS, self.receive_assignment, incarnation, sent_at, assignment)
             return
-        self.agent.receive_assignment(sent_at, heard)
+        self.agent.receive_assignment(sent_at, assignment)
 
-    def renew_nodes(self, life: int) -> None:
-        if life != self.incarnation:
+    def renew_nodes(self, incarnation: int) -> None:
+        """Give the nodes their lease, again and again."""
+        if incarnation != self.incarnation:
             return
         if not self.stopped:
             number, until = self.agent.node_lease()
             for node in self.nodes:
                 if until:
                     node.inbox = [*node.inbox, (number, until)][-16:]
-        self.simulation.clock.after(TELL, self.renew_nodes, life)
+        self.simulation.clock.after(TELL, self.renew_nodes, incarnation)
 
 
 class PolicySimulation:
-    def __init__(self, seed: int, hosts: int = 4, troubles: int = 10, lasts: int = 40 * SECOND) -> None:
+    """Hosts, a leader that changes, and drawn faults."""
+
+    def __init__(self, seed: int, hosts: int = 4, faults: int = 10, duration: int = 40 * SECOND) -> None:
+        """Draw the faults of a seed; `duration` in nanoseconds."""
         self.seed, self.clock, self.audit = seed, Clock(), PolicyChangeAudit()
-        self.random, self.duration = Random(seed), lasts
+        self.random, self.duration = Random(seed), duration
         self.index, self.state_machine = 0, PolicyStateMachine()
         self.names = tuple(f"h{number}" for number in range(hosts))
         self.cut_until: dict[str, int] = {}
@@ -147,17 +167,17 @@
             "withdraw",
             "bad",
         )
-        for _ in range(troubles + 8):
+        for _ in range(faults + 8):
             self.clock.at(
-                self.random.randrange(SECOND, lasts - 12 * SECOND),
+                self.random.randrange(SECOND, duration - 12 * SECOND),
                 self.inject_fault,
                 self.random.choice(kinds),
             )
 
-    def apply(self, command) -> object:
-        """It is agreed at once: whoever asked is told what came of it."""
+    def apply(self, command: PolicyCommand) -> object:
+        """Commit a command at once and return its result."""
         self.index += 1
-        result = self.state_machine.apply(self.index, commands.encode(command))
+        result = self.state_machine.apply(self.index, msgspec.msgpack.encode(command))
         for policy in self.state_machine.state.policies.values():
             if policy.state in ("withdrawn", "refused"):
                 self.audit.record_not_made(self.clock.now, policy.number)
@@ -168,25 +188,28 @@
     # Who leads, and the network.
 
     def elect(self) -> None:
+        """Let a new leader start."""
         self.leader_count += 1
         self.coordinator = PolicyCoordinator(self.clock.now, self.state_machine, self.names, TERMS)
 
     def tick(self) -> None:
+        """Carry out what the leader wants by time."""
         if self.coordinator:
             for command in self.coordinator.tick(self.clock.now):
                 self.apply(command)
         self.clock.after(50 * MS, self.tick)
 
-    def send(self, host: str, act, *words) -> None:
+    def send(self, host: str, act: Callable[..., None], *arguments: object) -> None:
+        """Call `act` after the delay of the network, unless the host is cut off."""
         if self.clock.now < self.cut_until.get(host, 0):
             return
         delay = self.random.randrange(MS, 5 * MS)
         if self.clock.now < self.slow_until:
             delay += self.random.randrange(1800 * MS)
-        self.clock.after(delay, act, *words)
+        self.clock.after(delay, act, *arguments)
 
     def receive_report(
-        self, host: PolicyHost, life: int, sent_at: int, true: int, told: PolicyReport
+        self, host: PolicyHost, incarnation: int, sent_at: int, true: int, told: PolicyReport
     ) -> None:
         """`true`: when it was said; an echo of the leader's stamp shows no later time."""
         if self.coordinator is None:
@@ -194,11 +217,12 @@
         for command in self.coordinator.receive_report(self.clock.now, host.name, told, true):
             self.apply(command)
         answer = self.coordinator.assign(self.clock.now, host.name, told)
-        self.send(host.name, host.receive_assignment, life, sent_at, answer)
+        self.send(host.name, host.receive_assignment, incarnation, sent_at, answer)
 
-    # Troubles.
+    # Faults.
 
     def inject_fault(self, kind: str) -> None:
+        """Let a fault of a kind happen to a drawn host or node."""
         random, now = self.random, self.clock.now
         host = self.hosts[random.choice(self.names)]
         node = random.choice(host.nodes)
@@ -231,6 +255,7 @@
                 host.bad = result.number  # type: ignore[attr-defined]
 
     def run(self) -> list[str]:
+        """Run all of it and return the breaches."""
         self.clock.run(self.duration)
         return self.audit.breaches
 
--- a/oakkeel/models/disruption.py
+++ b/oakkeel/models/disruption.py
@@ -26,7 +26,7 @@
         granted <= lapsed,
     )
 
-    def passed(name: str, since, until):
+    def passed(name: str, since: z3.ArithRef, until: z3.ArithRef) -> z3.ArithRef:
         """What a clock may show between two moments."""
         shown = z3.Real(name)
         solver.add(shown >= (until - since) * (1 - drift), shown <= (until - since) * (1 + drift))
@@ -40,7 +40,7 @@
     rest = passed("rest", answered, lapsed)
     solver.add(lapsed >= answered, gone + rest >= lapse)
     solver.add(begun >= lapsed)
-    return solver.check() == z3.sat
+    return bool(solver.check() == z3.sat)
 
 
 def two_hold_a_lease(lease: float, least: float, drift: float) -> bool:
@@ -56,4 +56,4 @@
         by_follower <= (elected - heard) * (1 + drift),
     )
     solver.add(by_leader < lease, by_follower >= least)
-    return solver.check() == z3.sat
+    return bool(solver.check() == z3.sat)
--- a/oakkeel/models/drains.py
+++ b/oakkeel/models/drains.py
@@ -69,4 +69,4 @@
     solver.add(*[each >= 0 for each in rank.values()])
     for state in states - ENDS:
         solver.add(*[rank[after] < rank[state] for after in steps(state, rules)])
-    return solver.check() == z3.sat
+    return bool(solver.check() == z3.sat)
--- a/oakkeel/models/policy_change.py
+++ b/oakkeel/models/policy_change.py
@@ -25,7 +25,7 @@
         exchange >= told,
     )
 
-    def shown(name: str, since, until):
+    def shown(name: str, since: z3.ArithRef, until: z3.ArithRef) -> z3.ArithRef:
         """What a clock may show to have passed between two moments."""
         passed = z3.Real(name)
         solver.add(passed >= (until - since) * (1 - drift), passed <= (until - since) * (1 + drift))
@@ -38,7 +38,7 @@
     elif rule == "wall":
         back = z3.Real("back")
         solver.add(back >= 0, shown("counted", since, exchange) - back < lease)
-    return solver.check() == z3.sat
+    return bool(solver.check() == z3.sat)
 
 
 def not_made_and_used(order_rules: set[str]) -> bool:
--- a/tests/models/test_models.py
+++ b/tests/models/test_models.py
@@ -1,4 +1,4 @@
-"""Models of agreement, places and drains: z3 finds no bad case, and finds one where a rule is left out."""
+"""Models of consensus, permits and drains: z3 finds no bad case, and finds one where a rule is left out."""
 
 import unittest
 
@@ -7,32 +7,32 @@
 from oakkeel.raft.timeouts import RaftTimeouts
 
 
-class VoteModels(unittest.TestCase):
+class ElectionModelTest(unittest.TestCase):
     def test_no_run_has_two_leaders_of_one_term(self):
         self.assertFalse(elections.two_leaders(4, elections.RULES))
 
-    def test_with_two_votes_a_term_or_a_forgotten_one_there_are_two(self):
+    def test_two_votes_a_term_or_a_forgotten_vote_make_two_leaders(self):
         self.assertTrue(elections.two_leaders(2, elections.RULES - {"one vote"}))
         self.assertTrue(
             elections.two_leaders(3, elections.RULES | {"forgets"})
         )  # why a lost file is a new member
 
-    def test_no_run_loses_what_was_agreed(self):
+    def test_no_run_loses_committed_entries(self):
         self.assertFalse(elections.committed_entry_is_lost(5, elections.RULES))
 
-    def test_with_votes_for_any_log_it_is_lost(self):
+    def test_entries_are_lost_with_votes_for_any_log(self):
         self.assertTrue(elections.committed_entry_is_lost(5, elections.RULES - {"current log"}))
 
 
-class PlaceModels(unittest.TestCase):
-    def test_nobody_begins_after_a_place_has_lapsed(self):
+class PermitModelTest(unittest.TestCase):
+    def test_nobody_starts_a_permit_after_it_has_expired(self):
         terms = PermitTimeouts()
         good, lapse = terms.validity / 1e9, terms.expiry / 1e9
         self.assertFalse(disruption.begun_after_lapse(good, lapse, terms.drift))
         self.assertTrue(disruption.begun_after_lapse(good, good, terms.drift))
         self.assertTrue(disruption.begun_after_lapse(good, lapse, terms.drift, "came"))
 
-    def test_a_leader_is_never_sure_beyond_its_time(self):
+    def test_leader_is_never_sure_beyond_its_lease(self):
         timeouts = RaftTimeouts()
         self.assertFalse(
             disruption.two_hold_a_lease(
@@ -46,12 +46,12 @@
         )
 
 
-class DrainModels(unittest.TestCase):
+class DrainModelTest(unittest.TestCase):
     def test_every_drain_ends_stopped_or_serving(self):
         self.assertEqual(drains.stuck(), [])
         self.assertTrue(drains.always_ends())
 
-    def test_without_a_start_anew_a_cancel_that_crosses_the_stop_is_stuck(self):
+    def test_cancel_that_crosses_the_stop_is_stuck_without_another_start(self):
         self.assertEqual(drains.stuck({"start anew"}), [("stopped", "gone", "stands")])
 
 
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -1,4 +1,4 @@
-"""Stories of changes of policy, free of I/O: everywhere or nowhere, whoever leads, stops or is cut off."""
+"""Policy changes take hold everywhere or nowhere, whoever leads, stops or is cut off."""
 
 import unittest
 from unittest import mock
@@ -25,52 +25,52 @@
 DRIFT = PermitTimeouts().drift
 
 
-class RegisterStories(unittest.TestCase):
+class PolicyStateMachineTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.register, self.index = PolicyStateMachine(), 0
+        self.state_machine, self.index = PolicyStateMachine(), 0
 
-    def do(self, command):
+    def apply(self, command):
         self.index += 1
-        return self.register.apply(self.index, commands.encode(command))
+        return self.state_machine.apply(self.index, commands.encode(command))
 
     def propose(self, ident: str = "c1", based_on: int = 0, content: bytes = b"<policy/>"):
-        return self.do(ProposePolicy(ident, "asha", 0, "for Carnival", based_on, content))
+        return self.apply(ProposePolicy(ident, "asha", 0, "for Carnival", based_on, content))
 
-    def test_one_at_a_time_each_made_of_the_one_that_holds_and_the_same_twice_is_one(self):
+    def test_takes_one_proposal_at_a_time_based_on_the_decided_version(self):
         first = self.propose()
         self.assertEqual((first.number, first.state), (1, "proposed"))
         self.assertIs(self.propose(), first)
         self.assertIn("another change", self.propose(content=b"<other/>").reason)
         self.assertIn("asha's change 1", self.propose("c2").reason)
-        self.do(CommitPolicy(1))
+        self.apply(CommitPolicy(1))
         self.assertIn("made of 0", self.propose("c2").reason)
         self.assertEqual(self.propose("c2", 1).number, 2)
 
-    def test_of_a_decision_and_a_withdrawal_that_cross_the_first_holds(self):
+    def test_of_a_commit_and_a_withdrawal_that_cross_the_first_holds(self):
         self.propose()
-        self.do(CommitPolicy(1))
-        self.assertIsInstance(self.do(WithdrawPolicy(1, "ravi")), Rejection)
+        self.apply(CommitPolicy(1))
+        self.assertIsInstance(self.apply(WithdrawPolicy(1, "ravi")), Rejection)
         self.propose("c2", 1)
-        self.assertIsInstance(self.do(WithdrawPolicy(2, "ravi")), PolicyVersion)
-        self.assertIsInstance(self.do(CommitPolicy(2)), Rejection)
-        self.assertEqual(self.register.state.decided, 1)
+        self.assertIsInstance(self.apply(WithdrawPolicy(2, "ravi")), PolicyVersion)
+        self.assertIsInstance(self.apply(CommitPolicy(2)), Rejection)
+        self.assertEqual(self.state_machine.state.decided, 1)
 
-    def test_a_snapshot_holds_all_versions_with_who_when_and_why(self):
+    def test_snapshot_holds_all_versions_with_operator_and_reasons(self):
         self.propose()
-        self.do(RejectPolicy(1, "h3", "no such group"))
+        self.apply(RejectPolicy(1, "h3", "no such group"))
         again = PolicyStateMachine()
-        again.restore(self.register.snapshot())
+        again.restore(self.state_machine.snapshot())
         found = again.state.policies[1]
         self.assertEqual(
             (found.operator, found.reason, found.state, found.state_reason),
             ("asha", "for Carnival", "refused", "h3: no such group"),
         )
-        self.assertIsInstance(self.do(MarkInForce(7)), Rejection)
+        self.assertIsInstance(self.apply(MarkInForce(7)), Rejection)
         self.assertIsInstance(self.propose("big", content=bytes(70_000)), Rejection)
 
 
-class HoldingStories(unittest.TestCase):
-    def test_a_node_decides_nothing_before_it_was_told_nor_after_its_time_and_never_goes_back(self):
+class PolicyLeaseTest(unittest.TestCase):
+    def test_node_decides_only_while_its_lease_holds_and_never_goes_back(self):
         node = NodePolicyLease()
         self.assertFalse(node.may_decide(0))
         self.assertTrue(node.renew(0, 3, 100))
@@ -82,7 +82,7 @@
         node.renew(103, 3, 200)
         self.assertTrue(node.may_decide(104))
 
-    def test_an_agent_says_the_least_of_its_nodes_and_one_that_was_not_heard_counts_as_none(self):
+    def test_agent_reports_the_lowest_version_of_its_nodes_and_none_for_a_silent_one(self):
         agent = AgentPolicyLease()
         agent.receive_assignment(0, PolicyAssignment(2, SECOND, b"two"))
         agent.node_started("a")
@@ -94,7 +94,7 @@
         agent.node_stopped("b")
         self.assertEqual(agent.report().number, 2)
 
-    def test_a_lease_counts_from_when_was_asked_and_an_overtaken_answer_shortens_nothing(self):
+    def test_lease_counts_from_the_request_and_an_overtaken_response_shortens_nothing(self):
         agent = AgentPolicyLease()
         agent.receive_assignment(100, PolicyAssignment(1, 50, b"one"))
         agent.receive_assignment(20, PolicyAssignment(1, 50))
@@ -106,80 +106,80 @@
         self.assertEqual(agent.node_lease(), (1, 150))
 
 
-class LeadingStories(unittest.TestCase):
+class PolicyCoordinatorTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.register, self.index = PolicyStateMachine(), 0
-        self.leader = PolicyCoordinator(0, self.register, ("h1", "h2"), PermitTimeouts())
-        self.do(ProposePolicy("c1", "asha", 0, "", 0, b"one"))
+        self.state_machine, self.index = PolicyStateMachine(), 0
+        self.leader = PolicyCoordinator(0, self.state_machine, ("h1", "h2"), PermitTimeouts())
+        self.apply(ProposePolicy("c1", "asha", 0, "", 0, b"one"))
 
-    def do(self, *wanted):
+    def apply(self, *wanted):
         for command in wanted:
             self.index += 1
-            self.register.apply(self.index, commands.encode(command))
+            self.state_machine.apply(self.index, commands.encode(command))
 
     def state(self) -> str:
-        return self.register.state.policies[1].state
+        return self.state_machine.state.policies[1].state
 
-    def say(self, now: int, host: str, **told) -> None:
-        self.do(*self.leader.receive_report(now, host, PolicyReport(**({"number": 0} | told)), now))
-        self.do(*self.leader.tick(now))
+    def report(self, now: int, host: str, **fields) -> None:
+        self.apply(*self.leader.receive_report(now, host, PolicyReport(**({"number": 0} | fields)), now))
+        self.apply(*self.leader.tick(now))
 
-    def test_it_is_decided_once_all_are_ready_and_in_force_once_all_go_by_it(self):
-        self.say(SECOND, "h1", ready_version=1)
+    def test_version_is_decided_once_all_are_ready_and_in_force_once_all_use_it(self):
+        self.report(SECOND, "h1", ready_version=1)
         self.assertEqual(self.state(), "proposed")
-        self.say(SECOND, "h2", ready_version=1)
+        self.report(SECOND, "h2", ready_version=1)
         self.assertEqual(self.state(), "decided")
         self.assertEqual(self.leader.assign(SECOND, "h1", PolicyReport(0)).content, b"one")
-        self.do(*self.leader.tick(SECOND))
-        self.say(2 * SECOND, "h1", number=1, held_version=1)
+        self.apply(*self.leader.tick(SECOND))
+        self.report(2 * SECOND, "h1", number=1, held_version=1)
         self.assertEqual(self.state(), "decided")
-        self.say(2 * SECOND, "h2", number=1, held_version=1)
+        self.report(2 * SECOND, "h2", number=1, held_version=1)
         self.assertEqual(self.state(), "in force")
 
-    def test_one_that_is_not_heard_is_waited_for_as_long_as_it_may_go_by_the_old_and_no_longer(self):
-        self.say(SECOND, "h1", ready_version=1)
-        self.say(SECOND, "h2", ready_version=1)
-        self.do(*self.leader.tick(SECOND))
-        self.say(2 * SECOND, "h1", number=1, held_version=1)
-        self.do(*self.leader.tick(SECOND + LEASE))
+    def test_waits_for_a_silent_host_only_as_long_as_it_may_use_the_old_version(self):
+        self.report(SECOND, "h1", ready_version=1)
+        self.report(SECOND, "h2", ready_version=1)
+        self.apply(*self.leader.tick(SECOND))
+        self.report(2 * SECOND, "h1", number=1, held_version=1)
+        self.apply(*self.leader.tick(SECOND + LEASE))
         self.assertEqual(self.state(), "decided")
-        self.do(*self.leader.tick(SECOND + PermitTimeouts().upper_bound(LEASE) + 2))
+        self.apply(*self.leader.tick(SECOND + PermitTimeouts().upper_bound(LEASE) + 2))
         self.assertEqual(self.state(), "in force")
 
-    def test_a_new_leader_waits_a_whole_lease_anew(self):
-        self.say(SECOND, "h1", ready_version=1)
-        self.say(SECOND, "h2", ready_version=1)
-        self.leader = PolicyCoordinator(3 * SECOND, self.register, ("h1", "h2"), PermitTimeouts())
-        self.do(*self.leader.tick(3 * SECOND))
-        self.do(*self.leader.tick(3 * SECOND + LEASE))
+    def test_new_leader_waits_a_whole_lease_again(self):
+        self.report(SECOND, "h1", ready_version=1)
+        self.report(SECOND, "h2", ready_version=1)
+        self.leader = PolicyCoordinator(3 * SECOND, self.state_machine, ("h1", "h2"), PermitTimeouts())
+        self.apply(*self.leader.tick(3 * SECOND))
+        self.apply(*self.leader.tick(3 * SECOND + LEASE))
         self.assertEqual(self.state(), "decided")
 
-    def test_any_no_ends_it_by_name_and_one_down_does_not_keep_it_from_being_made(self):
-        self.say(SECOND, "h2", refused_version=1, reason="n3 has no group 'quote'")
-        self.assertEqual(self.register.state.policies[1].state_reason, "h2: n3 has no group 'quote'")
-        self.do(ProposePolicy("c2", "asha", 0, "", 0, b"two"))
-        self.say(2 * SECOND, "h1", ready_version=2)
-        self.say(12 * SECOND, "h1", ready_version=2)
-        self.assertEqual(self.register.state.policies[2].state, "decided")
+    def test_any_refusal_ends_a_version_by_name_and_a_host_that_is_down_does_not_block_it(self):
+        self.report(SECOND, "h2", refused_version=1, reason="n3 has no group 'quote'")
+        self.assertEqual(self.state_machine.state.policies[1].state_reason, "h2: n3 has no group 'quote'")
+        self.apply(ProposePolicy("c2", "asha", 0, "", 0, b"two"))
+        self.report(2 * SECOND, "h1", ready_version=2)
+        self.report(12 * SECOND, "h1", ready_version=2)
+        self.assertEqual(self.state_machine.state.policies[2].state, "decided")
 
 
-class ChangeStories(unittest.TestCase):
+class PolicySimulationTest(unittest.TestCase):
     def breaches(self, seeds=range(40)) -> list[str]:
         return [breach for seed in seeds for breach in PolicySimulation(seed).run()]
 
-    def test_drawn_schedules_break_no_promise_and_come_to_an_end(self):
+    def test_drawn_schedules_break_no_invariant_and_come_to_an_end(self):
         made = 0
         for seed in range(100):
-            world = PolicySimulation(seed)
-            self.assertEqual((world.run(), world.stuck()), ([], []), seed)
-            made += len(world.audit.decided)
+            simulation = PolicySimulation(seed)
+            self.assertEqual((simulation.run(), simulation.stuck()), ([], []), seed)
+            made += len(simulation.audit.decided)
         self.assertGreater(made, 100)
 
-    def test_nodes_that_go_on_without_a_lease_are_caught(self):
+    def test_catches_nodes_that_go_on_without_a_lease(self):
         with mock.patch.object(NodePolicyLease, "may_decide", lambda policy, now: policy.expires_at > 0):
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
-    def test_a_lease_that_counts_from_the_answer_is_caught(self):
+    def test_catches_a_lease_that_counts_from_the_response(self):
         old = PolicyHost.receive_assignment
         with mock.patch.object(
             PolicyHost,
@@ -188,11 +188,11 @@
         ):
             self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
 
-    def test_one_told_as_in_force_before_the_longest_lease_is_over_is_caught(self):
+    def test_catches_a_version_in_force_before_the_longest_lease_is_over(self):
         with mock.patch.object(PermitTimeouts, "upper_bound", lambda terms, time: time // 4):
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
-    def test_a_version_that_is_used_before_it_is_decided_is_caught(self):
+    def test_catches_a_version_used_before_it_is_decided(self):
         old = PolicyCoordinator.assign
 
         def early(leader, now, host, told):
@@ -204,7 +204,7 @@
         with mock.patch.object(PolicyCoordinator, "assign", early):
             self.assertRegex(self.breaches()[0], "promise 12: ")
 
-    def test_the_auditor_finds_what_comes_before_and_after_it_is_told(self):
+    def test_audit_finds_decisions_before_and_after_a_report(self):
         audit = PolicyChangeAudit()
         audit.record_decision(0, "n1", 2)
         audit.record_not_made(1, 2)
@@ -213,7 +213,7 @@
         self.assertEqual(len(audit.breaches), 2)
 
 
-class ModelStories(unittest.TestCase):
+class PolicyModelTest(unittest.TestCase):
     def test_no_clock_within_the_drift_lets_an_old_version_be_used_and_each_rule_is_needed(self):
         lease, wait = 3.0, 3.0 * (1 + DRIFT) / (1 - DRIFT)
         self.assertFalse(model.old_after_in_force(lease, wait, DRIFT))
@@ -221,7 +221,7 @@
             self.assertTrue(model.old_after_in_force(lease, wait, DRIFT, rule), rule)
         self.assertTrue(model.old_after_in_force(lease, lease, DRIFT))
 
-    def test_what_is_told_as_not_made_was_never_used_by_two_rules_that_are_both_needed(self):
+    def test_withdrawn_version_was_never_used_by_two_rules_that_are_both_needed(self):
         self.assertFalse(model.not_made_and_used({"decided first", "decided stays"}))
         self.assertTrue(model.not_made_and_used({"decided first"}))
         self.assertTrue(model.not_made_and_used({"decided stays"}))
