--- a/measure/places.py
+++ b/measure/places.py
@@ -30,7 +30,10 @@
 
 
 class Fleet:
+    """Three replicas of the control plane and the permit holders of all hosts, in simulated time."""
+
     def __init__(self, hosts: int, each: int) -> None:
+        """`each` instances on each host."""
         names = [f"h{number}" for number in range(hosts)]
         things = {name: tuple(f"{name}i{number}" for number in range(each)) for name in names}
         sites = {
@@ -44,23 +47,23 @@
         ]
         every = tuple(thing for held in things.values() for thing in held)
         groups.append(BudgetGroup("fleet", hosts * each // 10, every))
-        self.layout = Topology(things, tuple(groups))
+        self.topology = Topology(things, tuple(groups))
         self.now = SECOND
-        self.stewards = {
+        self.control_planes = {
             name: ControlPlaneReplica(
                 self.now,
                 InMemoryStorage(DurableState(name, f"{name}.1")).load(),
                 place,
                 RaftTimeouts(),
                 tuple(names[:3]),
-                self.layout,
+                self.topology,
                 PermitTimeouts(),
             )
             for place, name in enumerate(names[:3])
         }
         self.agents = {name: PermitHolder(name, held, 1) for name, held in things.items()}
         self.back_at: dict[str, int] = {}
-        self.letters: deque[tuple[str, Envelope]] = deque()
+        self.envelopes: deque[tuple[str, Envelope]] = deque()
         self.count = {
             "polls": 0,
             "letters": 0,
@@ -71,22 +74,25 @@
             "most_out": 0,
         }
 
-    def carry_out(self, all_steps: list[Output]) -> None:
-        for steps in all_steps:
-            self.count["entries"] += len(steps.storage_update.entries) if steps.storage_update else 0
-            self.letters += steps.envelopes
+    def carry_out(self, outputs: list[Output]) -> None:
+        """Count what is stored, and put what is sent on its way."""
+        for output in outputs:
+            self.count["entries"] += len(output.storage_update.entries) if output.storage_update else 0
+            self.envelopes += output.envelopes
 
     def deliver(self) -> None:
-        while self.letters:
-            to, letter = self.letters.popleft()
-            if to in self.stewards:
+        """Deliver messages until none is on its way."""
+        while self.envelopes:
+            to, envelope = self.envelopes.popleft()
+            if to in self.control_planes:
                 began = time.perf_counter_ns()
-                steps = self.stewards[to].receive(self.now, letter)
+                steps = self.control_planes[to].receive(self.now, envelope)
                 self.count["letter_ns"] += time.perf_counter_ns() - began
                 self.count["letters"] += 1
                 self.carry_out(steps)
 
     def poll(self, name: str) -> None:
+        """Exchange a heartbeat of one agent, which starts what was granted."""
         permit_holder = self.agents[name]
         for thing in permit_holder.targets:
             if self.back_at.get(thing, 0) and self.now >= self.back_at[thing]:
@@ -94,7 +100,7 @@
                 permit_holder.mark_restored(thing)
         up = {thing: thing not in self.back_at for thing in permit_holder.targets}
         poll = permit_holder.heartbeat(self.now, up, [], {})
-        leader = next(each for each in self.stewards.values() if each.allocator)
+        leader = next(each for each in self.control_planes.values() if each.allocator)
         began = time.perf_counter_ns()
         answer, steps = leader.receive_heartbeat(self.now, poll)
         took = time.perf_counter_ns() - began
@@ -117,7 +123,7 @@
     def turn(self, names: list[str]) -> None:
         """Ten milliseconds, and the agents whose time it is."""
         self.now += 10 * MS
-        for control_plane in self.stewards.values():
+        for control_plane in self.control_planes.values():
             if control_plane.replica.next_tick_at() <= self.now:
                 self.carry_out(control_plane.tick(self.now))
         self.deliver()
@@ -126,17 +132,9 @@
         self.count["most_out"] = max(self.count["most_out"], len(self.back_at))
 
 
-def play(hosts: int, each: int, most: float) -> dict[str, Any]:
-    fleet = Fleet(hosts, each)
-    while not any(control_plane.allocator for control_plane in fleet.stewards.values()):
-        fleet.turn([])
-    names = list(fleet.agents)
-    slices = [names[place::50] for place in range(50)]
-    for place in range(100):
-        fleet.turn(slices[place % 50])
-    quiet = dict(fleet.count)
-    leader = next(each for each in fleet.stewards.values() if each.allocator)
-    every = [thing for name in names for thing in fleet.layout.hosts[name]]
+def submit_restarts(fleet: Fleet, leader: ControlPlaneReplica) -> None:
+    """Order a restart of all instances."""
+    every = [thing for name in fleet.agents for thing in fleet.topology.hosts[name]]
     for place in range(0, len(every), 1000):
         try:
             _, steps = leader.propose(
@@ -155,6 +153,20 @@
             raise RuntimeError(f"no leader in a calm simulation: {error}") from None
         fleet.carry_out(steps)
         fleet.deliver()
+
+
+def play(hosts: int, each: int, most: float) -> dict[str, Any]:
+    """Restart a whole fleet in simulated time, for `most` seconds at most, and return the figures."""
+    fleet = Fleet(hosts, each)
+    while not any(control_plane.allocator for control_plane in fleet.control_planes.values()):
+        fleet.turn([])
+    names = list(fleet.agents)
+    slices = [names[place::50] for place in range(50)]
+    for place in range(100):
+        fleet.turn(slices[place % 50])
+    quiet = dict(fleet.count)
+    leader = next(each for each in fleet.control_planes.values() if each.allocator)
+    submit_restarts(fleet, leader)
     began, real, turns = fleet.now, time.monotonic(), 0
     before = dict(fleet.count)
     while (
@@ -186,6 +198,7 @@
 
 
 def main() -> int:
+    """Play a small and a large fleet."""
     told = options(__doc__ or "", hosts=1000, each=10, most=240.0)
     figures = []
     for hosts in (told.hosts // 10, told.hosts):
