--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -84,7 +84,7 @@
 
 
 def fill(rows: list[tuple[float, float]], capacity: float) -> float:
-    """Return the level that shares `capacity` out among rows of demand and weight; infinite if all get all."""
+    """Return the level that shares the capacity among rows of demand and weight; infinite if all get all."""
     weight = sum(row[1] for row in rows)
     for asked, row_weight in sorted(rows, key=lambda row: row[0] / row[1]):
         if asked / row_weight * weight > capacity:
