--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -112,8 +112,8 @@
             self.pace,
             founders,
             self.layout,
-            ledger=RolloutStateMachine,
-            above=self._driver,
+            state_machine=RolloutStateMachine,
+            extension=self._driver,
         )
         self.control_plane.on_committed = self._agreed
 
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -51,29 +51,29 @@
     def __init__(
         self,
         now: int,
-        held: DurableState,
+        durable: DurableState,
         seed: int,
-        pace: RaftTimeouts,
-        founders: tuple[str, ...],
-        layout: Topology,
-        terms: PermitTimeouts | None = None,
-        ledger: type[PermitStateMachine] = PermitStateMachine,
-        above: Callable[[int, Any, PermitAllocator], LeaderExtension] | None = None,
+        raft_timeouts: RaftTimeouts,
+        initial_voters: tuple[str, ...],
+        topology: Topology,
+        timeouts: PermitTimeouts | None = None,
+        state_machine: type[PermitStateMachine] = PermitStateMachine,
+        extension: Callable[[int, Any, PermitAllocator], LeaderExtension] | None = None,
     ) -> None:
-        """`layout` is by this host's settings: it holds once a leader with the same settings commits it.
+        """`topology` is by this host's settings: it holds once a leader with the same settings commits it.
 
-        `ledger` and `above` bring in what is built on permits.
+        `state_machine` and `extension` bring in what is built on permits.
         """
-        self.now, self.topology, self.timeouts = now, layout, terms or PermitTimeouts()
-        self.state_machine = ledger(self._applied)
-        self.make_extension = above
+        self.now, self.topology, self.timeouts = now, topology, timeouts or PermitTimeouts()
+        self.state_machine = state_machine(self._applied)
+        self.make_extension = extension
         self.extension: LeaderExtension | None = None
         self.allocator: PermitAllocator | None = None
         self.on_committed: Callable[[int, commands.Command, object], None] | None = (
             None  # called with what is applied
         )
         self.proposals: dict[Proposal, commands.Command] = {}  # of the allocator and the extension
-        self.replica = Replica(now, held, self.state_machine, seed, pace, founders)
+        self.replica = Replica(now, durable, self.state_machine, seed, raft_timeouts, initial_voters)
 
     def tick(self, now: int) -> list[Output]:
         """Do what is due by time."""
