--- a/measure/fair.py
+++ b/measure/fair.py
@@ -23,7 +23,8 @@
 from oakkeel.admission.fairness import FairSharing
 from oakkeel.admission.types import FairSharingRules, Idempotency, Request, RequestClass
 from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
-from oakkeel.fakes.load_clients import Address, CrawlerClient, PoliteClient
+from oakkeel.fakes.load_clients import CrawlerClient, PoliteClient
+from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.simulated_node import fair_share, jain
 from oakkeel.fakes.site import FakeSite
 
@@ -37,7 +38,7 @@
 async def play(fair: bool, times: int, seconds: float, seed: int) -> dict[str, Any]:
     """Play compliant clients beside a crawler at so many times its share; return what each got."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, {"wb1": ["n1"]}, away=1, seed=seed, work=WORK, most_return=5)
+        site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, seed=seed, work=WORK, max_retry_after=5)
         await site.open()
         site.engines["n1"].calls = 0
         node, address = await start_node(folder, fair)
@@ -50,7 +51,7 @@
             await client.start()
         await asyncio.sleep(4.0)
         for client in clients:
-            client.begin()
+            client.reset_counts()
         cpu, started = cpu_of(node.pid), time.monotonic()
         await asyncio.sleep(seconds)
         took, cpu = time.monotonic() - started, cpu_of(node.pid) - cpu
--- a/measure/node.py
+++ b/measure/node.py
@@ -89,7 +89,7 @@
 async def measure_node(tree: str, kind: str, rate: float, seconds: float, seed: int) -> dict[str, float]:
     """Start a node of that kind from a tree, and measure it under load."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, {"wb1": ["n1"]}, away=1, seed=seed, work=0.002)
+        site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, seed=seed, work=0.002)
         await site.open()
         variables = node_variables(tree, kind, folder)
         node = await asyncio.create_subprocess_exec(
--- a/tests/cluster/rollout_case.py
+++ b/tests/cluster/rollout_case.py
@@ -10,7 +10,7 @@
 from oakkeel.agent.artifacts import version_of
 from oakkeel.invariants.rollout import find_diverging_steps, read_running_versions
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
-from tests.cluster.test_rig import HOSTS, RigStory
+from tests.support.rig_case import HOSTS, RigTestCase
 
 SECOND = 1_000_000_000
 QUICK = {"soak": 300_000_000, "batch_timeout": 10 * SECOND, "verdict_timeout": 20 * SECOND}
@@ -21,7 +21,7 @@
     return any(entry.state == "changing" for entry in status.targets)
 
 
-class RolloutCase(RigStory):
+class RolloutCase(RigTestCase):
     async def end(self) -> None:
         diverging = find_diverging_steps(self.folder, self.hosts)
         await super().end()
@@ -43,10 +43,10 @@
 
         async def answered() -> bool:
             nonlocal answer
-            answer = await self.rig.asker.request_leader(request)
+            answer = await self.rig.clients.request_leader(request)
             return True
 
-        await self.rig.until("the leader answers", answered)
+        await self.rig.wait_until("the leader answers", answered)
         assert answer is not None
         return answer
 
@@ -72,13 +72,13 @@
 
         async def is_reached() -> bool:
             nonlocal found
-            answer = await self.rig.asker.request_leader(messages.ReleaseStatusRequest(ident))
+            answer = await self.rig.clients.request_leader(messages.ReleaseStatusRequest(ident))
             assert isinstance(answer, messages.ReleaseStatus), answer
             found = answer
             return done(answer)
 
         try:
-            await self.rig.until(condition, is_reached, wait)
+            await self.rig.wait_until(condition, is_reached, wait)
         except TimeoutError as error:
             seen = found and (found.state, found.step, found.why, found.waiting_for)
             raise AssertionError(f"{error}: {seen}") from None
@@ -94,6 +94,6 @@
 
     async def assert_all_run(self, version: str, targets=ALL) -> None:
         """Check the versions that the processes wrote to their journals."""
-        await self.rig.all_serve(targets)
+        await self.rig.wait_until_serving(targets)
         runs = read_running_versions(self.folder, self.hosts)
         self.assertEqual({name: runs[name] for name in targets}, dict.fromkeys(targets, version))
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -19,29 +19,29 @@
             )
             if status.state == "done":
                 break
-            leader = await self.rig.leader()
-            await self.rig.kill(leader)
+            leader = await self.rig.wait_for_leader()
+            await self.rig.kill_agent(leader)
             step, kills = status.step, kills + 1
-            await self.rig.start(leader)
+            await self.rig.start_agent(leader)
         self.assertGreaterEqual(kills, 3)
         await self.wait_for_end("done")
         await self.assert_all_run(spec.version, ["n1a", "n2a", "n3a", "n4a", "n5a"])
-        self.assertEqual([self.words(name).count("start") for name in ("n1a", "n2a", "n3a")], [2] * 3)
+        self.assertEqual([self.journal_of(name).count("start") for name in ("n1a", "n2a", "n3a")], [2] * 3)
 
     async def test_old_controller_takes_no_step_and_wall_clocks_do_not_matter(self):
         spec = self.program("v2")
         for number, host in enumerate(self.hosts):
-            self.rig.mark(host, "clock", str((number - 2) * 3600))
+            self.rig.enable_fault(host, "clock", str((number - 2) * 3600))
         await self.start_release(spec)
         await self.wait_for_status("a batch is out", lambda status: status.batch >= 1)
-        leader = await self.rig.leader()
-        self.rig.stop(leader)
-        other = await self.rig.leader(but=[leader])
+        leader = await self.rig.wait_for_leader()
+        self.rig.suspend_agent(leader)
+        other = await self.rig.wait_for_leader(excluding=[leader])
         status = await self.wait_for_status(
             "another drives", lambda status: status.controller not in ("", leader)
         )
         self.assertEqual(status.controller, other)
-        self.rig.go_on(leader)
+        self.rig.resume_agent(leader)
         await self.wait_for_end("done")
         await self.assert_all_run(spec.version)
 
@@ -66,10 +66,10 @@
         )
         status = await self.wait_for_status("one is out", is_out)
         [host] = [entry.host for entry in status.targets if entry.state == "changing"]
-        await self.rig.kill(host)
+        await self.rig.kill_agent(host)
         status = await self.wait_for_end("halted", wait=40)
         self.assertRegex(status.why, "not heard of in the time of its batch")
-        await self.rig.start(host)
+        await self.rig.start_agent(host)
         await self.control("resume")
         await self.wait_for_end("done")
         await self.assert_all_run(spec.version, ["n4a", "n4b", "n5a"])
@@ -77,18 +77,18 @@
     async def test_partitioned_site_is_not_touched(self):
         spec = self.program("v2")
         for name in ("n4a", "n5a", "n5b"):
-            self.rig.script(name, "slow")
+            self.rig.set_node_script(name, "slow")
         await self.start_release(spec, gated=False, max_batch=1)
         await self.wait_for_status("it is on its way", lambda status: status.batch >= 1)
         far = ["h3", "h4", "h5"]
-        self.rig.cut(far, ["h1", "h2"])
+        self.rig.links.cut(far, ["h1", "h2"])
         self.rig.kill_node("n5a")
         self.rig.kill_node("n5b")
         await asyncio.sleep(4.0)
-        before = {name: self.words(name).count("start") for name in ("n4a", "n4b")}
+        before = {name: self.journal_of(name).count("start") for name in ("n4a", "n4b")}
         await asyncio.sleep(2.0)
-        self.assertEqual({name: self.words(name).count("start") for name in before}, before)
-        self.rig.heal()
+        self.assertEqual({name: self.journal_of(name).count("start") for name in before}, before)
+        self.rig.links.clear_faults()
         status = await self.wait_for_end("done", "halted")
         if status.state == "halted":
             await self.control("resume")
@@ -101,9 +101,9 @@
         status = await self.wait_for_status(
             "one is there", lambda status: any(entry.state == "new" for entry in status.targets)
         )
-        names = {"h4", "h5"} - {await self.rig.leader()}
+        names = {"h4", "h5"} - {await self.rig.wait_for_leader()}
         for host in names:
-            self.rig.stop(host)  # their last word was that all serve
+            self.rig.suspend_agent(host)  # their last word was that all serve
         steps = status.step
         with contextlib.suppress(NoLeaderError):
             steps = (await self.status()).step
@@ -112,7 +112,7 @@
         self.assertLessEqual(status.step, steps + 2)
         self.assertNotEqual(status.state, "done")
         for host in names:
-            self.rig.go_on(host)
+            self.rig.resume_agent(host)
         if (await self.status()).state == "halted":
             await self.control("resume")
         await self.wait_for_end("done")
@@ -122,13 +122,13 @@
         await self.start_release(spec, gated=False, max_batch=1)
         await self.wait_for_status("it is on its way", lambda status: status.batch >= 1)
         for host in ("h1", "h2"):
-            await self.rig.kill(host)
+            await self.rig.kill_agent(host)
         await asyncio.sleep(1.5)
-        starts = {name: self.words(name).count("start") for name in ALL}
+        starts = {name: self.journal_of(name).count("start") for name in ALL}
         await asyncio.sleep(2.0)
-        self.assertEqual({name: self.words(name).count("start") for name in ALL}, starts)
+        self.assertEqual({name: self.journal_of(name).count("start") for name in ALL}, starts)
         for host in ("h1", "h2"):
-            await self.rig.start(host)
+            await self.rig.start_agent(host)
         status = await self.wait_for_end("done", "halted")
         if status.state == "halted":
             await self.control("resume")
--- a/tests/cluster/test_rollout_programs.py
+++ b/tests/cluster/test_rollout_programs.py
@@ -26,7 +26,7 @@
         self.assertEqual((await self.status()).step, status.step)
         await self.control("undo")
         await self.wait_for_end("undone")
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         for name, runs in read_running_versions(self.folder, self.hosts).items():
             self.assertNotEqual(runs, status.version.version, name)
         self.assertEqual(set(before.values()), {""})
@@ -35,13 +35,13 @@
         await self.start_release(self.program("crash", "crash"), ["n3a", "n4a", "n5a"], auto_roll_back=True)
         status = await self.wait_for_end("undone")
         self.assertIn("died by themselves", status.why)
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         await self.start_release(
             self.program("mute", "mute"), ["n4a"], ident="r2", auto_roll_back=True, batch_timeout=4 * SECOND
         )
         status = await self.wait_for_end("undone", ident="r2")
         self.assertIn("n4a", status.why)
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
 
     async def test_rollback_during_batch_can_be_halted_and_resumed(self):
         spec = self.program("slow", "slow")
@@ -56,14 +56,14 @@
         self.assertEqual(status.state, "halted")
         await self.control("resume")
         await self.wait_for_end("undone")
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         self.assertNotIn(spec.version, read_running_versions(self.folder, self.hosts).values())
 
     async def test_retains_version_that_a_process_was_started_from(self):
         spec = self.program("bad", "worse")
         await self.start_release(spec, ["n4a"], auto_roll_back=True, control=False)
         await self.wait_for_end("undone")
-        await self.rig.all_serve()
+        await self.rig.wait_until_serving()
         runs = read_running_versions(self.folder, self.hosts)["n4a"]
         self.assertNotIn(runs, ("", spec.version))  # the copy of what ran before
         [host] = [host for host, names in self.hosts.items() if "n4a" in names]
@@ -152,7 +152,7 @@
         await self.assert_all_run(two.version, ["n1a", "n2a"])
         cold = self.program("cold", "slow")
         for name in ("n1a", "n2a", "n3a"):
-            self.rig.script(name, "slow")
+            self.rig.set_node_script(name, "slow")
             self.rig.kill_node(name)
         began = time.monotonic()
         await self.start_release(cold, ["n1a", "n2a", "n3a"], ident="r3", gated=False)
