--- a/oakkeel/emulator/clock.py
+++ b/oakkeel/emulator/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: scheduled events run by time, and those of the same time in the order of their scheduling."""
+"""Simulated time: scheduled events run by time, and equal times in the order of scheduling."""
 
 from __future__ import annotations
 
