--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -4,13 +4,13 @@
 
 from collections import Counter
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, StrEnum
 from random import Random
 
 from oakkeel.admission.types import NodeLimits, Request, RequestClass
 from oakkeel.emulator.clock import SECOND, Clock
 from oakkeel.emulator.invariants import RuleAudit
-from oakkeel.emulator.nodes import MS, SimulatedNode
+from oakkeel.emulator.nodes import MS, ResponseStatus, SimulatedNode
 
 EXPECTED_KB = 25.0  # memory that a dispatcher announces for a request
 LATENCY_SMOOTHING = 0.2  # weight of the newest latency in a node's moving average
@@ -29,6 +29,14 @@
     LEAST_LATENCY = "fastest"  # by the moving average of latencies
 
 
+class RequestResult(StrEnum):
+    """How a request ends at its dispatcher; the values are the keys of the record."""
+
+    COMPLETED = "completed"
+    GAVE_UP = "given up"  # no further attempt is safe, allowed or in time
+    UNSENT = "unsent"  # no node was available
+
+
 @dataclass(slots=True, frozen=True)
 class ClientBehavior:
     """How a dispatcher treats its requests and nodes; times in nanoseconds."""
@@ -133,24 +141,26 @@
         wait = behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN
         dispatcher.clock.after(wait, self._on_timeout)
 
-    def _on_response_sent(self, status: str, retry_after: int) -> None:
+    def _on_response_sent(self, status: ResponseStatus, retry_after: int) -> None:
         """The node responded; the response is on its way."""
         dispatcher = self.dispatcher
         dispatcher.audit.answered(self.request_id, dispatcher.clock.now, status)
         dispatcher.clock.after(dispatcher.network_delay(), self._on_response, status, retry_after)
 
-    def _on_response(self, status: str, retry_after: int) -> None:
+    def _on_response(self, status: ResponseStatus, retry_after: int) -> None:
         if self.closed:
             return
         dispatcher = self.dispatcher
         self._close()
-        if status == "completed":
-            dispatcher.finish(self.work, "completed")
+        if status is ResponseStatus.COMPLETED:
+            dispatcher.finish(self.work, RequestResult.COMPLETED)
             return
         dispatcher.counts[status] += 1
         if retry_after:
             self.view.avoid_until = dispatcher.clock.now + retry_after
-        dispatcher.retry(self.work, self.work.request_class.at_most_once and status != "denied")
+        dispatcher.retry(
+            self.work, self.work.request_class.at_most_once and status is not ResponseStatus.REJECTED
+        )
 
     def _on_timeout(self) -> None:
         """Abandon the attempt: its node sees the client disconnect."""
@@ -227,7 +237,7 @@
     def _choose(self, work: ClientRequest) -> NodeView | None:
         policy = self.behavior.policy
         if policy is BalancingPolicy.ROUND_ROBIN:
-            return self._choose_in_turn()
+            return self._choose_round_robin()
         views = [view for view in self.views if self._is_available(view)]
         if not views:
             return None
@@ -239,7 +249,7 @@
             return min(views, key=lambda view: (view.mean_latency, self.random.random()))
         raise ValueError(f"unknown balancing policy: {policy}")
 
-    def _choose_in_turn(self) -> NodeView | None:
+    def _choose_round_robin(self) -> NodeView | None:
         """Return the next available node without looking at the whole of a large fleet."""
         for _ in self.views:
             self.next_index += 1
@@ -255,7 +265,7 @@
     def _attempt(self, work: ClientRequest) -> None:
         view = self._choose(work)
         if view is None:
-            self.finish(work, "unsent")
+            self.finish(work, RequestResult.UNSENT)
             return
         work.attempts += 1
         self.attempts_sent += 1
@@ -278,17 +288,17 @@
         """Attempt the request again where that is safe and its timeout and attempts allow it."""
         timed_out = self.clock.now - work.started_at >= self.behavior.timeout
         if may_have_run or work.attempts >= self.behavior.max_attempts or timed_out:
-            self.finish(work, "given up")
+            self.finish(work, RequestResult.GAVE_UP)
             return
         self._attempt(work)
 
-    def finish(self, work: ClientRequest, result: str) -> None:
+    def finish(self, work: ClientRequest, result: RequestResult) -> None:
         """Count the request's result, once."""
         if work.finished:
             return
         work.finished = True
         self.counts[result] += 1
-        if result == "completed":
+        if result is RequestResult.COMPLETED:
             request_class, latency = work.request_class, self.clock.now - work.started_at
             self.latencies.append(latency)
             in_time = latency <= request_class.latency_objective
--- a/oakkeel/emulator/invariants.py
+++ b/oakkeel/emulator/invariants.py
@@ -7,11 +7,19 @@
 
 from collections import Counter
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 TOLERANCE = 50_000_000  # nanoseconds that a response may come after its deadline
 MILLISECOND = 1_000_000
 
 
+class Response(NamedTuple):
+    """What a node responded, and when."""
+
+    at: int  # nanoseconds
+    status: str
+
+
 @dataclass(slots=True)
 class Attempt:
     """One attempt of one request; times in nanoseconds."""
@@ -21,7 +29,7 @@
     at_most_once: bool  # it may not take effect twice
     work: str  # names the effect; a further attempt of the same request has the same name
     node: str
-    responses: list[tuple[int, str]] = field(default_factory=list)  # time and status
+    responses: list[Response] = field(default_factory=list)
     runs: int = 0
     excused: bool = False  # its client was gone, or its node died under it
 
@@ -37,11 +45,11 @@
             if now > latest:
                 found.append(f"rule 1: try {attempt_id} got no answer")
             return found
-        responded_at, status = self.responses[0]
-        if responded_at > latest:
-            late = (responded_at - self.deadline) // MILLISECOND
+        first = self.responses[0]
+        if first.at > latest:
+            late = (first.at - self.deadline) // MILLISECOND
             found.append(f"rule 1: the answer to try {attempt_id} was {late} ms late")
-        if status == "completed" and not self.runs:
+        if first.status == "completed" and not self.runs:
             found.append(f"rule 1: try {attempt_id} was answered as completed and never ran")
         return found
 
@@ -65,7 +73,7 @@
 
     def answered(self, attempt_id: int, now: int, status: str) -> None:
         """Record a response of the node."""
-        self.attempts[attempt_id].responses.append((now, status))
+        self.attempts[attempt_id].responses.append(Response(now, status))
 
     def excused(self, attempt_id: int, now: int) -> None:
         """Record that the client or the node is gone: no response is owed unless it was due before."""
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import StrEnum
 from random import Random
 
 from oakkeel.admission import AdmissionController
@@ -12,7 +13,17 @@
 from oakkeel.emulator.machines import Machine, Task
 
 MS = 1_000_000
-ResponseCallback = Callable[[str, int], None]  # status, and nanoseconds to stay away (retry after)
+
+
+class ResponseStatus(StrEnum):
+    """How a node responds; the values are the keys of the record."""
+
+    COMPLETED = "completed"
+    REJECTED = "denied"  # it never ran
+    FAILED = "terminated"  # it may have run
+
+
+ResponseCallback = Callable[[ResponseStatus, int], None]  # and nanoseconds to stay away (retry after)
 
 
 class OpenRequest:
@@ -116,7 +127,7 @@
         self.running -= 1
         self.audit.took_effect(opened.request_id)
         self.admission.run_finished(self.clock.now, opened.request, Outcome.COMPLETED, 0)
-        self._respond(opened, "completed", 0)
+        self._respond(opened, ResponseStatus.COMPLETED, 0)
         self._close(opened)
         self._schedule_soon()
 
@@ -137,15 +148,15 @@
     def reject(self, request: Request, last: bool, retry_after: int) -> None:
         """Respond that the request is rejected."""
         opened = self.open_requests[request]
-        self._respond(opened, "denied", retry_after)
+        self._respond(opened, ResponseStatus.REJECTED, retry_after)
         if opened.task is None:
             self._close(opened)
 
     def fail(self, request: Request) -> None:
         """Respond that the request failed after it had begun."""
-        self._respond(self.open_requests[request], "terminated", 0)
+        self._respond(self.open_requests[request], ResponseStatus.FAILED, 0)
 
-    def _respond(self, opened: OpenRequest, status: str, retry_after: int) -> None:
+    def _respond(self, opened: OpenRequest, status: ResponseStatus, retry_after: int) -> None:
         if not opened.responded:
             opened.responded = True
             opened.respond(status, retry_after)
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -263,7 +263,7 @@
             requests=counts["asked"],
             goodput=round(sum(dispatcher.goodput for dispatcher in self.dispatchers), 6),
             max_goodput=round(counts["asked"] * mean_weight, 6),
-            counts=dict(sorted(counts.items())),
+            counts={str(name): count for name, count in sorted(counts.items())},
             latency_ms=self._latency_percentiles(),
             breaches=self.audit.end(self.clock.now),
             events_processed=self.clock.events_processed,
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -8,7 +8,7 @@
 from oakkeel.emulator.clock import SECOND, Clock
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.machines import Machine
-from oakkeel.emulator.nodes import MS, SimulatedNode
+from oakkeel.emulator.nodes import MS, ResponseStatus, SimulatedNode
 from oakkeel.emulator.scenario import FaultEvent, FaultKind, Scenario, ScenarioRun, run_scenario
 
 SHORT = Scenario(nodes=2, dispatchers=2, seconds=4.0)
@@ -147,7 +147,7 @@
 
     def test_reports_completion_of_request_that_never_ran(self):
         def complete_instead(self, request, last, retry_after):
-            self._respond(self.open_requests[request], "completed", 0)
+            self._respond(self.open_requests[request], ResponseStatus.COMPLETED, 0)
 
         overload = Scenario(nodes=1, dispatchers=1, seconds=3.0, load=2.0)
         self.assertIn("never ran", self.breaches_with("reject", complete_instead, overload))
