--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 from enum import StrEnum
-from random import Random
 
 from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import Gauges, NodeLimits, Outcome, Request
@@ -58,17 +57,16 @@
     ) -> None:
         """`read_cost`: nanoseconds of a core to read one request."""
         self.name, self.clock, self.audit, self.read_cost = name, clock, audit, read_cost
-        self.limits, self.chance = limits, Random(seed)
+        self.limits = limits
         self.machine = Machine(clock, limits.cores)
         self.open_requests: dict[Request, OpenRequest] = {}
         self.running = 0
         self.alive, self.healthy, self.scheduling_due = True, True, False
-        self.load_report: float | None = None
         self.last_gauges = (0.0, clock.now)  # busy time of the machine, and when it was read
         self.admission = AdmissionController(self, limits, seed, clock.now)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        """Ignore the calls of `Host` that mean nothing here: connections, log events, duplicates."""
+        """Ignore the calls of `Host` that mean nothing here: connections, duplicates, load reports."""
         if name.startswith("_") or name in ("admission", "alive"):
             raise AttributeError(name)
         return lambda *arguments: None
@@ -193,7 +191,3 @@
     def set_health(self, good: bool, stored: bool) -> None:
         """Publish whether dispatchers may send requests here."""
         self.healthy = good
-
-    def report_load(self, value: float) -> None:
-        """Publish the share that the node advertises."""
-        self.load_report = value
