--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import Any
 
-from measure.common import keep, options, processor, say
+from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
 from oakkeel.disruption.allocator import PermitTimeouts
 from oakkeel.fakes.control_plane import UnexpectedResponseError
@@ -169,7 +169,7 @@
 
     async def probe_leader(self) -> None:
         """Note for how long nobody leads, until the run is finished."""
-        began = 0.0
+        started = 0.0
         while not self.finished:
             answers, _ = await self.rig.clients.request_each(
                 {host: messages.RaftStatusRequest() for host in VOTERS}, 200_000_000
@@ -177,11 +177,11 @@
             now = time.monotonic()
             statuses = [answer for answer in answers.values() if isinstance(answer, messages.RaftStatus)]
             if any(status.is_leader for status in statuses):
-                if began:
-                    self.gaps.append((began, now - began))
-                began = 0.0
+                if started:
+                    self.gaps.append((started, now - started))
+                started = 0.0
             else:
-                began = began or now
+                started = started or now
             await asyncio.sleep(0.03)
 
     async def operate(self) -> None:
@@ -196,7 +196,7 @@
 
     async def _submit(self, order_id: str, names: list[str]) -> None:
         """Submit an order through changes of leader, with the same ID."""
-        undisturbed, began = not self.active_faults, time.monotonic()
+        undisturbed, started = not self.active_faults, time.monotonic()
         generations: dict[str, int] = {}
         while not self.finished:
             try:
@@ -212,7 +212,7 @@
             if isinstance(answer, messages.FleetOrderStatus) and any(
                 task.state != "refused" for task in answer.tasks
             ):
-                self.accepted[order_id] = time.monotonic() - began
+                self.accepted[order_id] = time.monotonic() - started
                 if undisturbed and not self.active_faults:
                     self.accepted_undisturbed.append(time.monotonic() - sent)
             return
@@ -249,7 +249,9 @@
             await rig.open()
             await rig.wait_for_leader()
             took = await rig.wait_until_serving()
-            say(f"twelve agents, five of them keepers; all serve {took:.1f} s after there was a leader")
+            print_line(
+                f"twelve agents, five of them keepers; all serve {took:.1f} s after there was a leader"
+            )
             tasks = [asyncio.ensure_future(run.probe_leader()), asyncio.ensure_future(run.operate())]
             await run.inject_faults(time.monotonic() + seconds)
             run.finished = True
@@ -271,7 +273,7 @@
         duration for at, duration in run.gaps if any(0 <= at - death < 0.6 for death in run.leader_deaths)
     ]
     return {
-        "machine": processor(),
+        "machine": describe_machine(),
         "faults": dict(run.faults),
         "elections": sum(kind == "leader_elected" for _, kind, _ in read_events(folder, HOSTS)),
         "taken": len(run.accepted),
@@ -301,23 +303,23 @@
 
 def main() -> int:
     """Run the measurement; returns the exit code."""
-    arguments = options(__doc__ or "", seconds=150.0, seed=25)
+    arguments = parse_arguments(__doc__ or "", seconds=150.0, seed=25)
     figures = asyncio.run(measure(arguments.seconds, arguments.seed))
-    keep(arguments, figures)
+    write_figures(arguments, figures)
     for breach in figures["breaches"]:
-        say(breach)
-    say(f"{figures['taken']} orders taken; faults {figures['faults']}")
+        print_line(breach)
+    print_line(f"{figures['taken']} orders taken; faults {figures['faults']}")
     if figures["agreed_s"]:
-        say(
+        print_line(
             f"agreed with nothing wrong after {1000 * statistics.median(figures['agreed_s']):.0f} ms in the"
             f" median of {len(figures['agreed_s'])}"
         )
     if figures["after_death_s"]:
-        say(
+        print_line(
             f"a new leader after a death within {max(figures['after_death_s']):.2f} s at worst of"
             f" {len(figures['after_death_s'])}"
         )
-    say(
+    print_line(
         f"agreement: {sum(figures['faults'].values())} faults, {figures['elections']} elections,"
         f" {len(figures['lost'])} lost, {figures['doubled']} doubled, at most {figures['most_out']} of"
         f" {figures['bound']} out, no leader for {figures['worst_gap_s']:.2f} s at worst"
--- a/measure/common.py
+++ b/measure/common.py
@@ -1,4 +1,4 @@
-"""What the measurements share."""
+"""Helpers of the measurements: command line, output, and a site with running agents."""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 import json
 import os
 import statistics
-import subprocess
 import sys
 import time
 from collections.abc import AsyncIterator, Callable
@@ -27,28 +26,28 @@
 SECOND = 1_000_000_000
 
 
-def options(text: str, **defaults: Any) -> argparse.Namespace:
+def parse_arguments(text: str, **defaults: Any) -> argparse.Namespace:
     """Parse the command line: an option for each default, of its type, and `--json`."""
     parser = argparse.ArgumentParser(description=text)
-    parser.add_argument("--json", metavar="FILE", help="keep the figures there")
+    parser.add_argument("--json", metavar="FILE", help="write the figures to this file")
     for name, value in defaults.items():
         parser.add_argument(f"--{name}", type=type(value), default=value)
     return parser.parse_args()
 
 
-def keep(arguments: argparse.Namespace, figures: dict[str, Any]) -> None:
+def write_figures(arguments: argparse.Namespace, figures: dict[str, Any]) -> None:
     """Write the figures to the file that `--json` names, if any."""
     if arguments.json:
         with open(arguments.json, "w", encoding="utf-8") as file:
             json.dump(figures, file, indent=1)
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Print a line at once."""
     print(text, flush=True)
 
 
-def spread(values: list[float], digits: int = 2) -> str:
+def format_spread(values: list[float], digits: int = 2) -> str:
     """Format the median, the least and the most."""
     return (
         f"{statistics.median(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f},"
@@ -56,8 +55,8 @@
     )
 
 
-class Running:
-    """A site with its agents as processes, and a view of it."""
+class RunningSite:
+    """A site with its agents as processes, and a view of their status."""
 
     def __init__(self, site: FakeSite, fleet: Fleet) -> None:
         """`site` is open; no agent runs yet."""
@@ -78,27 +77,27 @@
                 start_new_session=True,
             )
 
-    async def look_until(self, done: Callable[[], bool], wait: float, pause: float = 0.05) -> float:
-        """Ask all agents until something is so; returns the seconds that it took."""
-        began = time.monotonic()
+    async def wait_until(self, done: Callable[[], bool], wait: float, pause: float = 0.05) -> float:
+        """Poll all agents until `done` is true; returns the seconds that it took."""
+        started = time.monotonic()
         while True:
             await self.agents.refresh(self.view)
             if done():
-                return time.monotonic() - began
-            if time.monotonic() - began > wait:
+                return time.monotonic() - started
+            if time.monotonic() - started > wait:
                 raise TimeoutError(f"not within {wait:g} s: {[row.shown for row in self.rows()]}")
             await asyncio.sleep(pause)
 
     def rows(self) -> list[Row]:
-        """The rows of the view as they are now."""
+        """Return the present rows of the view."""
         return self.view.rows(time.monotonic_ns())
 
     def all_in(self, *states: str) -> bool:
-        """Whether all instances are shown in one of some states."""
+        """Return whether every instance is shown in one of these states."""
         return all(row.shown in states for row in self.rows())
 
     def addresses(self) -> dict[str, Address]:
-        """Of those that the directory lists, by the nodes' own reports."""
+        """Return the addresses of the nodes that the directory lists, from the nodes' reports."""
         found = {}
         listed = set(self.site.directory.open_nodes())
         for row in self.rows():
@@ -108,7 +107,7 @@
         return found
 
     async def stop_all(self) -> None:
-        """Leave no process behind: what an agent has is stopped by an order, then the agent ends."""
+        """Stop all instances by an order, so that no process is left when the agents end."""
         await self.agents.refresh(self.view)
         wanted = targets_by_host(self.rows())
         for attempt in range(3):
@@ -121,16 +120,16 @@
                 }
             )
             with contextlib.suppress(TimeoutError):
-                await self.look_until(lambda: self.all_in("stopped"), 15)
+                await self.wait_until(lambda: self.all_in("stopped"), 15)
                 break
             wanted = targets_by_host(self.rows())
 
 
 @contextlib.asynccontextmanager
-async def running(site: FakeSite, *command: str) -> AsyncIterator[Running]:
-    """A site with an agent for each host, all ended at the end."""
+async def running_site(site: FakeSite, *command: str) -> AsyncIterator[RunningSite]:
+    """Open a site with an agent for each host, and stop them all on leaving."""
     await site.open()
-    fleet = Running(site, read_fleet(site.settings))
+    fleet = RunningSite(site, read_fleet(site.settings))
     try:
         for host in site.hosts:
             await fleet.start_agent(host, *command)
@@ -144,11 +143,6 @@
         await site.close()
 
 
-def processor() -> str:
+def describe_machine() -> str:
     """Describe the machine."""
     return f"{os.cpu_count()} cores, Python {sys.version.split()[0]}"
-
-
-def python(*arguments: str, **more: Any) -> subprocess.Popen[bytes]:
-    """Start a Python process."""
-    return subprocess.Popen([sys.executable, *arguments], **more)
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -9,7 +9,7 @@
 import sys
 import time
 
-from measure.common import keep, options, processor, say
+from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.agent.instances import Instance, Phase
 from oakkeel.agent.orders import OrderRegistry, Verb
 from oakkeel.agent.supervisor import MS, SECOND, Action, SupervisionTimeouts, Supervisor
@@ -89,19 +89,19 @@
 
 
 def main() -> int:
-    told = options(__doc__ or "", seed=16)
-    rows = [measure(size, told.seed) for size in (100, 1000, 10_000)]
-    say(f"{processor()}; simulated time")
+    arguments = parse_arguments(__doc__ or "", seed=16)
+    rows = [measure(size, arguments.seed) for size in (100, 1000, 10_000)]
+    print_line(f"{describe_machine()}; simulated time")
     for row in rows:
-        say(
+        print_line(
             f"  {row['size']:6} instances: quiet turn {row['quiet_ms']:.3f} ms, turn of a restart of all"
             f" {row['busy_ms']:.3f} ms (worst {row['busy_worst_ms']:.2f}),"
             f" a report {row['report_us']:.2f} us, {row['turns']} turns,"
             f" beyond the bound {row['beyond_bound']}"
         )
-    keep(told, {"rows": rows})
+    write_figures(arguments, {"rows": rows})
     growth = rows[-1]["busy_ms"] / rows[0]["busy_ms"] / (rows[-1]["size"] / rows[0]["size"])
-    say(
+    print_line(
         f"decisions: {rows[-1]['busy_ms']:.2f} ms a turn at 10,000 instances, {growth:.2f} times as much an"
         " instance as at 100 (simulated)"
     )
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from measure.common import keep, options, processor, say, spread
+from measure.common import describe_machine, format_spread, parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
 from oakkeel.fakes.load_generator import LoadSummary, RequestReport
 from oakkeel.fakes.load_process import LoadProcess
@@ -95,7 +95,7 @@
             cancel_after = None if self.random.random() < 0.2 else self.random.uniform(0.05, 1.2)
             await self._drain_and_cancel(f"d{drain}", self.random.choice(names), cancel_after)
             if drain % 20 < 2:
-                say(f"  {drain} drains, {self.cancels.while_draining} cancelled while draining")
+                print_line(f"  {drain} drains, {self.cancels.while_draining} cancelled while draining")
 
     async def _drain_and_cancel(self, ident: str, name: str, cancel_after: float | None) -> None:
         """Cancel after some seconds, or (None) when the drain is over; returns when the permit is free."""
@@ -166,7 +166,7 @@
         "anew_s": cancels.restarted,
         "not_left_s": cancels.never_left,
         "sent_late": summary.max_send_delay,
-        "machine": processor(),
+        "machine": describe_machine(),
         "counts": dict(counts),
         "reported": reported,
         "lost": counts["lost"] + counts["late"],
@@ -193,16 +193,16 @@
 
 def main() -> int:
     """Run the measurement; returns the exit code."""
-    told = options(__doc__ or "", drains=200, rate=120.0, seed=25)
-    figures = asyncio.run(measure(told.drains, told.rate, told.seed))
-    keep(told, figures)
-    say(f"{figures['counts']}; {figures['doubled']} ran twice")
+    arguments = parse_arguments(__doc__ or "", drains=200, rate=120.0, seed=25)
+    figures = asyncio.run(measure(arguments.drains, arguments.rate, arguments.seed))
+    write_figures(arguments, figures)
+    print_line(f"{figures['counts']}; {figures['doubled']} ran twice")
     if figures["anew_s"]:
-        say(f"started anew after the stop: works after {spread(figures['anew_s'])} s")
+        print_line(f"started anew after the stop: works after {format_spread(figures['anew_s'])} s")
     back = 1000 * max(figures["back_s"], default=0.0)
     if figures["back_s"]:
-        say(f"taken back while draining: works after {spread(figures['back_s'])} s")
-    say(
+        print_line(f"taken back while draining: works after {format_spread(figures['back_s'])} s")
+    print_line(
         f"drain: {figures['drains']} drains, {figures['cancels']} cancels, {figures['lost']} lost,"
         f" {figures['after_grace']} run after the grace, back in service after {back:.0f} ms"
     )
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from measure.common import keep, options, processor, say
+from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.emulator.clients import BalancingPolicy, ClientBehavior
 from oakkeel.emulator.clock import SECOND
 from oakkeel.emulator.scenario import RESPONSE_TIME, Scenario, ScenarioRun
@@ -70,7 +70,7 @@
 def print_row(row: Measurement) -> None:
     """Print the cost of one fleet size."""
     cost = 1e6 * row.seconds_taken / row.requests
-    say(
+    print_line(
         f"  {row.nodes:5} nodes, 10 s: {row.seconds_taken:.1f} s, {cost:.0f} us an"
         f" exchange, {row.events} events, {row.breaches} breaches"
     )
@@ -78,20 +78,20 @@
 
 def main() -> int:
     """Measure three fleet sizes, then the one asked for; exit code 1 where a rule is broken."""
-    arguments = options(__doc__ or "", seconds=60.0, nodes=200, seed=18)
-    say(f"{processor()}; simulated time")
+    arguments = parse_arguments(__doc__ or "", seconds=60.0, nodes=200, seed=18)
+    print_line(f"{describe_machine()}; simulated time")
     rows = []
     for nodes in FLEET_SIZES:
         row = measure_fleet(nodes, 10.0, arguments.seed)
         rows.append(row)
         print_row(row)
     final = measure_fleet(arguments.nodes, arguments.seconds, arguments.seed)
-    keep(arguments, {"rows": [row.figures() for row in rows], "whole": final.figures()})
-    say(
+    write_figures(arguments, {"rows": [row.figures() for row in rows], "whole": final.figures()})
+    print_line(
         f"  {final.nodes} nodes, {arguments.seconds:g} s: {final.requests} exchanges,"
         f" {final.seconds_taken:.1f} s, record {final.digest}"
     )
-    say(
+    print_line(
         f"emulator: {final.events / final.seconds_taken:.0f} events/s, {final.times_real:.1f} times real time"
     )
     return 1 if any(row.breaches for row in (*rows, final)) else 0
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from measure.common import keep, options, say
+from measure.common import parse_arguments, print_line, write_figures
 from oakkeel.admission.fairness import FairSharing
 from oakkeel.admission.types import FairSharingRules, Idempotency, Request, RequestClass
 from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
@@ -225,36 +225,38 @@
 
 def main() -> int:
     """Measure, print and record; 1 where compliant clients or reservations come off too badly."""
-    arguments = options(__doc__ or "", seconds=10.0, rounds=2, seed=17)
+    arguments = parse_arguments(__doc__ or "", seconds=10.0, rounds=2, seed=17)
     sizes = measures(arguments.seed)
     for row in sizes:
-        say(
+        print_line(
             f"  {row['clients']:9,} clients, {row['measure']}: {row['kb']:.0f} KB,"
             f" {row['us']:.2f} us an exchange"
         )
     decided = decisions(arguments.seed)
     for row in decided:
-        say(f"  {row['clients']:9,} clients: {row['us']:.1f} us to decide of an exchange, at 1,000 a second")
+        print_line(
+            f"  {row['clients']:9,} clients: {row['us']:.1f} us to decide of an exchange, at 1,000 a second"
+        )
     days = []
     for number in range(arguments.rounds):
         for times in (1, 10, 100):
             for fair in (False, True):
                 days.append(asyncio.run(play(fair, times, arguments.seconds, arguments.seed + number)))
                 day = days[-1]
-                say(
+                print_line(
                     f"  crawler at {times} times its share, {'fair' if fair else 'before'}: kept"
                     f" {day['kept_mean']:.3f} (least {day['kept_least']:.3f}), Jain {day['jain']:.3f},"
                     f" crawler {day['crawler_a_second']:.1f} of {day['completed_a_second']:.0f} a second,"
                     f" as told {day['went_ahead']} of {day['returned']}, {day['cpu_ms_a_try']:.2f} ms a try"
                 )
-    keep(arguments, {"measures": sizes, "decisions": decided, "days": days})
+    write_figures(arguments, {"measures": sizes, "decisions": decided, "days": days})
     fair_days = [day for day in days if day["fair"]]
     kept = min(day["kept_mean"] for day in fair_days)
     returned = sum(day["returned"] for day in fair_days)
     ahead = sum(day["went_ahead"] for day in fair_days) / max(1, returned)
     before = min(day["kept_mean"] for day in days if not day["fair"])
-    say(f"before: compliant clients keep {100 * before:.1f} % of it on the worst day")
-    say(
+    print_line(f"before: compliant clients keep {100 * before:.1f} % of it on the worst day")
+    print_line(
         f"fair: compliant clients keep {100 * kept:.1f} % of their fair share,"
         f" promises kept {100 * ahead:.1f} %"
     )
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -12,7 +12,14 @@
 from random import Random
 from typing import Any
 
-from measure.common import Running, keep, options, running, say, spread
+from measure.common import (
+    RunningSite,
+    format_spread,
+    parse_arguments,
+    print_line,
+    running_site,
+    write_figures,
+)
 from oakkeel.fakes.dispatcher import Dispatcher
 from oakkeel.fakes.site import FakeSite
 
@@ -24,7 +31,7 @@
 SITES = {"wb1": "woodbrook", "sj1": "st-james", "be1": "belmont"}
 
 
-async def one_round(fleet: Running, dispatcher: Dispatcher, random: Random) -> tuple[float, set[str]]:
+async def one_round(fleet: RunningSite, dispatcher: Dispatcher, random: Random) -> tuple[float, set[str]]:
     """Kill three and stop one; returns when all reports were true, and the four."""
     rows = {row.name: row.status.pid for row in fleet.rows() if row.status}
     chosen = random.sample(sorted(rows), 4)
@@ -47,11 +54,11 @@
                 return False
         return True
 
-    took = await fleet.look_until(true, 10)
+    took = await fleet.wait_until(true, 10)
     await asyncio.sleep(1.5)  # under load: those left alone must go on losing nothing
     os.kill(rows[quiet], signal.SIGCONT)
-    back = await fleet.look_until(lambda: fleet.all_in("serving"), 20)
-    say(
+    back = await fleet.wait_until(lambda: fleet.all_in("serving"), 20)
+    print_line(
         f"  killed {', '.join(killed)}, stopped {quiet}: reports true after {took:.2f} s,"
         f" all serving {back:.1f} s after it went on"
     )
@@ -63,9 +70,9 @@
     random = Random(seed)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(folder, HOSTS, max_unavailable=4, seed=seed, sites=SITES)
-        async with running(site) as fleet:
-            took = await fleet.look_until(lambda: fleet.all_in("serving"), 30)
-            say(f"twelve instances on three hosts serve after {took:.1f} s")
+        async with running_site(site) as fleet:
+            took = await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
+            print_line(f"twelve instances on three hosts serve after {took:.1f} s")
             times, lost, answered = [], Counter[str](), 0
             for number in range(rounds):
                 dispatchers = [
@@ -93,18 +100,18 @@
 
 def main() -> int:
     """Run the measurement; returns the exit code."""
-    arguments = options(__doc__ or "", rounds=3, rate=120.0, seed=16)
-    began = time.monotonic()
+    arguments = parse_arguments(__doc__ or "", rounds=3, rate=120.0, seed=16)
+    started = time.monotonic()
     figures = asyncio.run(measure(arguments.rounds, arguments.rate, arguments.seed))
-    keep(arguments, figures)
-    say(
+    write_figures(arguments, figures)
+    print_line(
         f"{figures['answered']} exchanges answered; lost on the others: {figures['lost_on_others']}; on those"
         f" killed and stopped: {figures['lost_on_killed_and_stopped']};"
-        f" took {time.monotonic() - began:.0f} s"
+        f" took {time.monotonic() - started:.0f} s"
     )
-    say(f"reports true after {spread(figures['times_s'])} s")
+    print_line(f"reports true after {format_spread(figures['times_s'])} s")
     worst = max(figures["times_s"])
-    say(f"fleet: 12 instances, 3 killed, 1 silent, reports true after {worst:.2f} s")
+    print_line(f"fleet: 12 instances, 3 killed, 1 silent, reports true after {worst:.2f} s")
     return 1 if figures["lost_on_others"] or worst > 5 or not figures["answered"] else 0
 
 
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -19,7 +19,7 @@
 import numpy
 from scipy import stats
 
-from measure.common import SECOND, keep, options, processor, say
+from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.rollout.gates import Decision, Gate, Samples
 from oakkeel.rollout.sequential import Sums
 
@@ -180,7 +180,7 @@
 
 def main() -> int:
     """Play releases of each kind, and compare the tests."""
-    arguments = options("Releases of each planted kind before the gates.", count=1000, seed=1)
+    arguments = parse_arguments("Releases of each planted kind before the gates.", count=1000, seed=1)
     found: dict[str, list[dict[str, Any]]] = {kind: [] for kind in KINDS}
     with multiprocessing.Pool(os.cpu_count()) as pool:
         work = [(arguments.seed + number, kind) for kind in KINDS for number in range(arguments.count)]
@@ -201,18 +201,18 @@
                 f"; halted after {middle['samples']:.0f} exchanges of the new and"
                 f" {middle['second']:.0f} s in the median, {middle['there']:.0f} of {NODES} changed"
             )
-        say(line)
+        print_line(line)
         if kind in KINDS[:2]:
             for name, label in zip(("once", "looks", "bayes"), METHODS, strict=True):
                 share = sum(bool(result["others"][name]) for result in played) / len(played)
-                say(f"  {label}: {100 * share:.1f} % halted")
+                print_line(f"  {label}: {100 * share:.1f} % halted")
     worse = [result for kind in KINDS[1:] for result in found[kind]]
     halted = [result for result in worse if result["end"] == "halted"]
     share = 100 * len(halted) / max(1, len(worse))
     false = 100 * sum(result["end"] == "halted" for result in found["good"]) / max(1, len(found["good"]))
     samples = statistics.median(result["samples"] for result in halted) if halted else 0
-    keep(arguments, {"machine": processor(), "played": found})
-    say(
+    write_figures(arguments, {"machine": describe_machine(), "played": found})
+    print_line(
         f"gates: {share:.1f} % of worse ones halted after {samples:.0f} samples in the median, {false:.1f} %"
         " of good ones halted"
     )
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -11,7 +11,7 @@
 import time
 from typing import Any
 
-from measure.common import keep, options, running, say, spread
+from measure.common import format_spread, parse_arguments, print_line, running_site, write_figures
 from oakkeel.fakes.site import FakeSite
 
 DEADLINE = 1.0
@@ -19,7 +19,7 @@
 
 async def listed(settings: str, *words: str) -> tuple[float, int, dict[str, Any]]:
     """Run `oakkeel ls`; returns the seconds that it took, its exit code and its output."""
-    began = time.monotonic()
+    started = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -37,15 +37,17 @@
         stdout=asyncio.subprocess.PIPE,
     )
     out, _ = await process.communicate()
-    return time.monotonic() - began, process.returncode or 0, json.loads(out)
+    return time.monotonic() - started, process.returncode or 0, json.loads(out)
 
 
 async def measure(times: int) -> dict[str, Any]:
     """List some times with all agents, and with one of them silent."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         hosts = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
-        async with running(FakeSite(folder, hosts, max_unavailable=12), "oakkeel.fakes.crashing") as fleet:
-            await fleet.look_until(lambda: fleet.all_in("serving"), 30)
+        async with running_site(
+            FakeSite(folder, hosts, max_unavailable=12), "oakkeel.fakes.crashing"
+        ) as fleet:
+            await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
             whole = [await listed(fleet.site.settings) for _ in range(times)]
             os.kill(fleet.processes["h7"].pid, signal.SIGSTOP)
             try:
@@ -65,11 +67,14 @@
 
 def main() -> int:
     """Run the measurement; returns the exit code."""
-    arguments = options(__doc__ or "", times=7)
+    arguments = parse_arguments(__doc__ or "", times=7)
     figures = asyncio.run(measure(arguments.times))
-    keep(arguments, figures)
-    say(f"all answer: {spread(figures['all_answer_s'])} s; one silent: {spread(figures['one_silent_s'])} s")
-    say(
+    write_figures(arguments, figures)
+    print_line(
+        f"all answer: {format_spread(figures['all_answer_s'])} s;"
+        f" one silent: {format_spread(figures['one_silent_s'])} s"
+    )
+    print_line(
         f"listing: 12 agents, 1 silent, told after {max(figures['one_silent_s']):.2f} s with a deadline of"
         f" {DEADLINE:g} s, {'right' if figures['right'] else 'WRONG'} each time"
     )
--- a/measure/node.py
+++ b/measure/node.py
@@ -16,7 +16,7 @@
 import tempfile
 import time
 
-from measure.common import keep, options, say
+from measure.common import parse_arguments, print_line, write_figures
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.errors import OakkeelError
 from oakkeel.fakes.dispatcher import Dispatcher
@@ -129,7 +129,7 @@
         for name in found:
             found[name].append(await measure_node(kinds[name], name, rate, seconds, number + 1))
             last = found[name][-1]
-            say(
+            print_line(
                 f"  {name}: {last['resident_mb']:.1f} MB, {last['ms_an_exchange']:.3f} ms an exchange at"
                 f" {last['rate']:.0f} a second"
             )
@@ -138,16 +138,16 @@
 
 def main() -> int:
     """Run the measurement; 1 if requests were lost."""
-    arguments = options(__doc__ or "", before="", rounds=5, rate=150.0, seconds=8.0)
+    arguments = parse_arguments(__doc__ or "", before="", rounds=5, rate=150.0, seconds=8.0)
     found = asyncio.run(measure(arguments.before, arguments.rounds, arguments.rate, arguments.seconds))
-    keep(arguments, found)
+    write_figures(arguments, found)
     parts = []
     for name, rows in found.items():
         resident = statistics.median(row["resident_mb"] for row in rows)
         cpu = statistics.median(row["ms_an_exchange"] for row in rows)
         parts.append(f"{name} {resident:.1f} MB {cpu:.3f} ms")
     lost = sum(row["lost"] for rows in found.values() for row in rows)
-    say(f"node: {', '.join(parts)} an exchange, {lost} lost")
+    print_line(f"node: {', '.join(parts)} an exchange, {lost} lost")
     return 1 if lost else 0
 
 
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -10,7 +10,7 @@
 import time
 from random import Random
 
-from measure.common import SECOND, keep, options, say
+from measure.common import SECOND, parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
 from oakkeel.fakes.site import FakeSite
@@ -28,7 +28,10 @@
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
         self.folder, self.random, self.crashes = folder, Random(seed), crashes
         site = FakeSite(
-            folder, {"wb1": ["n1"]}, max_unavailable=1, supervision='<supervision backoff="20ms" restarts="1000"/>'
+            folder,
+            {"wb1": ["n1"]},
+            max_unavailable=1,
+            supervision='<supervision backoff="20ms" restarts="1000"/>',
         )
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
@@ -101,7 +104,7 @@
                 mine = [order for order in answer.orders if order.order_id == ident]
                 if not mine or mine[0].tasks[0].state not in ("waiting", "acting", "done"):
                     self.unkept += 1
-                    say(f"  lost: {ident} {verb} {mine}")
+                    print_line(f"  lost: {ident} {verb} {mine}")
                     return
                 if mine[0].tasks[0].state == "done":
                     return
@@ -133,7 +136,7 @@
             while not runs.done():
                 await asyncio.wait((runs,), timeout=10)
                 crashed, orders = sum(lane.crashed for lane in made), sum(lane.orders for lane in made)
-                say(f"  {crashed} crashes, {orders} orders")
+                print_line(f"  {crashed} crashes, {orders} orders")
             await runs
             return {
                 "crashes": sum(lane.crashed for lane in made),
@@ -149,18 +152,20 @@
 
 
 def main() -> int:
-    told = options(__doc__ or "", crashes=300, lanes=6, seed=16)
-    began = time.monotonic()
-    figures = asyncio.run(measure(told.crashes, told.lanes, told.seed))
-    keep(told, figures)
+    arguments = parse_arguments(__doc__ or "", crashes=300, lanes=6, seed=16)
+    started = time.monotonic()
+    figures = asyncio.run(measure(arguments.crashes, arguments.lanes, arguments.seed))
+    write_figures(arguments, figures)
     twice = max(0, figures["starts"] - figures["expected_starts"])
     missing = max(0, figures["expected_starts"] - figures["starts"])
-    say(
+    print_line(
         f"{figures['orders']} orders, sent again {figures['resent']} times; {figures['starts']} processes"
-        f" made, {figures['expected_starts']} ordered; took {time.monotonic() - began:.0f} s"
+        f" made, {figures['expected_starts']} ordered; took {time.monotonic() - started:.0f} s"
     )
-    say(f"orders: {figures['crashes']} crashes, {figures['lost'] + missing} lost, {twice} carried out twice")
-    return 1 if figures["lost"] or twice or missing or figures["crashes"] < told.crashes else 0
+    print_line(
+        f"orders: {figures['crashes']} crashes, {figures['lost'] + missing} lost, {twice} carried out twice"
+    )
+    return 1 if figures["lost"] or twice or missing or figures["crashes"] < arguments.crashes else 0
 
 
 if __name__ == "__main__":
--- a/measure/places.py
+++ b/measure/places.py
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import Any
 
-from measure.common import keep, options, processor, say
+from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitTimeouts
 from oakkeel.disruption.control_plane import ControlPlaneReplica
@@ -85,9 +85,9 @@
         while self.envelopes:
             to, envelope = self.envelopes.popleft()
             if to in self.control_planes:
-                began = time.perf_counter_ns()
+                started = time.perf_counter_ns()
                 steps = self.control_planes[to].receive(self.now, envelope)
-                self.count["letter_ns"] += time.perf_counter_ns() - began
+                self.count["letter_ns"] += time.perf_counter_ns() - started
                 self.count["letters"] += 1
                 self.carry_out(steps)
 
@@ -101,9 +101,9 @@
         up = {thing: thing not in self.back_at for thing in permit_holder.targets}
         poll = permit_holder.heartbeat(self.now, up, [], {})
         leader = next(each for each in self.control_planes.values() if each.allocator)
-        began = time.perf_counter_ns()
+        started = time.perf_counter_ns()
         answer, steps = leader.receive_heartbeat(self.now, poll)
-        took = time.perf_counter_ns() - began
+        took = time.perf_counter_ns() - started
         self.count["poll_ns"] += took
         self.count["worst_ns"] = max(self.count["worst_ns"], took)
         self.count["polls"] += 1
@@ -167,7 +167,7 @@
     quiet = dict(fleet.count)
     leader = next(each for each in fleet.control_planes.values() if each.allocator)
     submit_restarts(fleet, leader)
-    began, real, turns = fleet.now, time.monotonic(), 0
+    started, real, turns = fleet.now, time.monotonic(), 0
     before = dict(fleet.count)
     while (
         any(order.open for order in leader.state_machine.state.orders.values())
@@ -175,7 +175,7 @@
     ):
         fleet.turn(slices[turns % 50])
         turns += 1
-    took = (fleet.now - began) / SECOND
+    took = (fleet.now - started) / SECOND
     spent = {name: value - before[name] for name, value in fleet.count.items()}
     return {
         "hosts": hosts,
@@ -199,22 +199,22 @@
 
 def main() -> int:
     """Play a small and a large fleet."""
-    told = options(__doc__ or "", hosts=1000, each=10, most=240.0)
+    arguments = parse_arguments(__doc__ or "", hosts=1000, each=10, most=240.0)
     figures = []
-    for hosts in (told.hosts // 10, told.hosts):
-        found = play(hosts, told.each, told.most)
+    for hosts in (arguments.hosts // 10, arguments.hosts):
+        found = play(hosts, arguments.each, arguments.most)
         figures.append(found)
-        say(
+        print_line(
             f"{found['instances']} instances on {hosts} hosts restarted in {found['simulated_s']:.0f} s"
             f" simulated ({found['real_s']:.0f} s real), at most {found['most_out']} of {found['bound']} out;"
             f" {found['polls_a_second']:.0f} polls and {found['letters_a_second']:.0f} letters a second,"
             f" {found['poll_us']:.0f} us a poll ({found['quiet_poll_us']:.0f} with no order, worst"
             f" {found['worst_poll_ms']:.0f} ms), {found['letter_us']:.0f} us a letter"
         )
-    keep(told, {"machine": processor(), "plays": figures})
+    write_figures(arguments, {"machine": describe_machine(), "plays": figures})
     small, large = figures
     messages = large["polls_a_second"] + large["letters_a_second"]
-    say(
+    print_line(
         f"places: {large['instances']} instances, {large['hosts']} agents, simulated:"
         f" {large['poll_us']:.0f} us a poll, {messages:.0f} messages a second, the leader busy"
         f" {large['leader_busy']:.2f} of a core, {large['snapshot_kb']:.0f} KB a snapshot,"
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from measure.common import SECOND, keep, options, processor, say
+from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
 from oakkeel.emulator.consensus import ConsensusSimulation
 from oakkeel.emulator.faults import Fault, Schedule
@@ -50,9 +50,9 @@
             seen[name].phase = "failing"
         took = []
         for _ in range(5):
-            began = time.perf_counter()
+            started = time.perf_counter()
             planner.choose(0, names, seen, out, BatchLimits(most, 0.85))
-            took.append(1000 * (time.perf_counter() - began))
+            took.append(1000 * (time.perf_counter() - started))
         found[label] = statistics.median(took)
     return found
 
@@ -108,9 +108,9 @@
     world = ConsensusSimulation(_draw_schedule(seed, deaths, kills))
     watched = Watched(world)
     world.clock.run(3 * SECOND)
-    began = world.clock.now
+    started = world.clock.now
     state = _follow_release(world, gated)
-    took = (world.clock.now - began) / SECOND
+    took = (world.clock.now - started) / SECOND
     out = [lasted / SECOND for lasted in watched.lasted.values()]
     best = max(sum(out) / (BOUND * SITES), max(out, default=0.0))
     return {
@@ -128,14 +128,14 @@
 
 def _follow_release(world: ConsensusSimulation, gated: bool) -> str:
     """Start a release of all nodes, resume it wherever it halts, and return its last state."""
-    began = world.clock.now
+    started = world.clock.now
     policy = commands.RolloutPolicy(
         soak=SECOND, verdict_timeout=120 * SECOND, batch_timeout=20 * SECOND, gated=gated, margin=0.05
     )
     spec = VersionSpec("good r", "here")
     order(world, commands.StartRelease("r", "asha", 0, spec, policy, list(world.instances)))
     state = ""
-    while world.clock.now < began + 600 * SECOND:
+    while world.clock.now < started + 600 * SECOND:
         world.clock.run(world.clock.now + 200 * MS)
         leader = leader_of(world)
         if leader is None or leader.control_plane is None:
@@ -145,7 +145,7 @@
             continue
         state = found.state
         if state == "halted":
-            say(f"  halted: {found.why}; told to go on")
+            print_line(f"  halted: {found.why}; told to go on")
             order(world, commands.ControlRelease("r", "asha", "resume"))
         if found.is_finished:
             break
@@ -177,7 +177,7 @@
 
 def main() -> int:
     """Measure the planner, and releases with gates and without."""
-    arguments = options(
+    arguments = parse_arguments(
         "The planner at 10,000 instances; a release of 1,000 nodes in simulated time.",
         seed=26,
         deaths=40,
@@ -185,24 +185,26 @@
     )
     found = {count: turns(count) for count in (1000, 10_000)}
     for count, times in found.items():
-        say(f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in times.items()))
+        print_line(
+            f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in times.items())
+        )
     runs = []
     for gated in (False, True):
-        began = time.monotonic()
+        started = time.monotonic()
         run = release(arguments.seed, arguments.deaths, arguments.kills, gated)
         runs.append(run)
-        say(
+        print_line(
             f"{'with gates' if gated else 'batches alone'}: {run['state']} after {run['seconds']:.1f} s"
             f" simulated, {run['nodes']} changed, each out {run['out_s']:.2f} s in the median, at most"
             f" {run['most']} of {BOUND * SITES} out; who knows all needs {run['best']:.1f} s;"
-            f" {run['events']} events in {time.monotonic() - began:.0f} s"
+            f" {run['events']} events in {time.monotonic() - started:.0f} s"
         )
         for breach in run["breaches"]:
-            say(breach)
-    keep(arguments, {"machine": processor(), "turns": found, "runs": runs})
+            print_line(breach)
+    write_figures(arguments, {"machine": describe_machine(), "turns": found, "runs": runs})
     first = runs[0]
     turn = found[10_000]["as many as may be"]
-    say(
+    print_line(
         f"plan: {turn:.1f} ms a turn at 10,000 instances; 1,000 nodes released in {first['seconds']:.1f} s,"
         f" {first['best'] / first['seconds']:.2f} of the best"
     )
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import oakkeel
-from measure.common import SECOND, keep, options, processor, say
+from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
 from oakkeel.agent.artifacts import version_of
 from oakkeel.fakes.catalogue import Catalogue
@@ -166,7 +166,7 @@
             if status.state in ("done", "undone", "left"):
                 return status
             if status.state == "halted":
-                say(f"  {ident} is halted: {status.why}; resumed")
+                print_line(f"  {ident} is halted: {status.why}; resumed")
                 await self.ask(messages.ControlReleaseRequest(ident, "resume"))
             if status.step > last and status.step >= due and step_kills < kills:
                 leader = await self.rig.wait_for_leader()
@@ -284,9 +284,9 @@
     watching = asyncio.ensure_future(run.watch())
     await asyncio.sleep(3.0)
     before, weights = load.counts, load.weights
-    began = time.monotonic()
+    started = time.monotonic()
     first, second = await _release_in_turn(run, folder, gated)
-    took = time.monotonic() - began
+    took = time.monotonic() - started
     counts = load.counts - before
     offered, earned = (now - then for now, then in zip(load.weights, weights, strict=True))
     lost = load.lost_except(run.killed)
@@ -315,12 +315,12 @@
 
 def main() -> int:
     """Measure releases with gates and without."""
-    arguments = options(__doc__ or "", rate=120.0, seed=26)
+    arguments = parse_arguments(__doc__ or "", rate=120.0, seed=26)
     figures = [asyncio.run(measure(arguments.rate, arguments.seed, gated)) for gated in (True, False)]
-    keep(arguments, {"machine": processor(), "runs": figures})
+    write_figures(arguments, {"machine": describe_machine(), "runs": figures})
     for run in figures:
         label = "with gates" if run["gated"] else "batches alone"
-        say(
+        print_line(
             f"{label}: {run['ends']} in {run['seconds']:.1f} s,"
             f" batches {run['batches']}, {run['new']} of 12 run the new, driver killed"
             f" {run['driver_kills']} times, {', '.join(run['killed'])} killed, out with places"
@@ -329,7 +329,7 @@
         )
     first = figures[0]
     good = first["lost"] == 0 and first["new"] == 12 and first["ends"] == ["done", "done"]
-    say(
+    print_line(
         f"rollout: done in {first['seconds']:.1f} s, at most {first['most_placed']} of {FLEET} out,"
         f" {first['lost']} lost, benefit kept {100 * first['kept']:.1f} %"
     )
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from measure.common import SECOND, keep, options, processor, say
+from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.emulator.consensus import play
 from oakkeel.emulator.faults import Schedule, draw, schedule_from_json
 from oakkeel.emulator.schedule_shrinking import shrink
@@ -47,10 +47,10 @@
         self.events += result.events
         if result.breaches:
             self.broken.append((result.seed, result.breaches))
-            say(f"schedule {result.seed}: {result.breaches[0]}")
+            print_line(f"schedule {result.seed}: {result.breaches[0]}")
         if result.stuck:
             self.stuck.append(result.seed)
-            say(f"schedule {result.seed} did not come to an end: {result.stuck[0][:160]}")
+            print_line(f"schedule {result.seed} did not come to an end: {result.stuck[0][:160]}")
 
 
 def drawn(seed: int, releases: bool) -> Schedule:
@@ -80,7 +80,7 @@
     with open(path, encoding="utf-8") as file:
         simulation, breaches = play(schedule_from_json(json.load(file)))
     for line in [*simulation.event_log, *breaches]:
-        say(line)
+        print_line(line)
     return 1 if breaches else 0
 
 
@@ -92,7 +92,7 @@
             totals.add(result)
             if totals.played % max(1, len(seeds) // 10) == 0:
                 rate = totals.played / (time.monotonic() - started)
-                say(f"{totals.played} played, {len(totals.broken)} broken, {rate:.1f} a second")
+                print_line(f"{totals.played} played, {len(totals.broken)} broken, {rate:.1f} a second")
     return totals
 
 
@@ -101,14 +101,14 @@
     shrunk = shrink(schedule, fails)
     with open(path, "w", encoding="utf-8") as file:
         json.dump(shrunk.to_json(), file, indent=1)
-    say(f"the first, cut down to {len(shrunk.faults)} troubles, is in {path}:")
+    print_line(f"the first, cut down to {len(shrunk.faults)} troubles, is in {path}:")
     for fault in shrunk.faults:
-        say(f"  {fault}")
+        print_line(f"  {fault}")
 
 
 def main() -> int:
     """Play schedules as the command line says; the exit code is 1 where a promise broke."""
-    arguments = options(
+    arguments = parse_arguments(
         "Drawn schedules in simulated time.", count=600, seed=1, play="", out="schedule.json", releases=0
     )
     if arguments.play:
@@ -119,18 +119,18 @@
     if totals.broken:
         keep_shrunk(drawn(totals.broken[0][0], releases), arguments.out)
     figures = {
-        "machine": processor(),
+        "machine": describe_machine(),
         "played": arguments.count,
         "broken": totals.broken,
         "not_ended": totals.stuck,
         "seconds": seconds,
         "events": totals.events,
     }
-    keep(arguments, figures)
+    write_figures(arguments, figures)
     events = totals.events / arguments.count
-    say(f"{processor()}; {events:.0f} events each; {len(totals.stuck)} did not come to an end")
+    print_line(f"{describe_machine()}; {events:.0f} events each; {len(totals.stuck)} did not come to an end")
     rate = arguments.count / seconds
-    say(f"schedules: {arguments.count} played, {len(totals.broken)} broken, {rate:.1f} a second")
+    print_line(f"schedules: {arguments.count} played, {len(totals.broken)} broken, {rate:.1f} a second")
     return 1 if totals.broken else 0
 
 
