--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -1,4 +1,4 @@
-"""The decisions of the agent alone, in simulated time: what a turn costs with 100 to 10,000 instances.
+"""The decisions of the agent alone, in simulated time: cost of a tick with 100 to 10,000 instances.
 
 No process, socket or file: `Supervisor` and `OrderRegistry` only, with steps carried out in memory.
 """
@@ -19,7 +19,10 @@
 
 
 class Fleet:
+    """A supervisor and its orders, with steps carried out at once."""
+
     def __init__(self, size: int, seed: int) -> None:
+        """Supervise `size` instances at ten sites."""
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{n}", f"site{n % SITES}") for n in range(size)]
         away = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
@@ -27,10 +30,9 @@
             self.instances, SupervisionTimeouts(starting=size), away, seed, lambda: self.now
         )
         self.orders = OrderRegistry(self.supervision, lambda: self.now)
-        self.worst = 0
 
-    def turn(self) -> int:
-        """One turn as the agent takes it; returns nanoseconds spent deciding."""
+    def tick(self) -> int:
+        """Decide and carry out what is due, as the agent does; returns the nanoseconds spent deciding."""
         spent = -time.perf_counter_ns()
         self.orders.advance(self.now)
         steps = self.supervision.tick(self.now)
@@ -43,60 +45,61 @@
         return spent
 
     def pass_time(self, by: int, state: str = "serving") -> int:
-        """Everyone reports, then time goes on; returns nanoseconds spent on the reports."""
+        """Advance the time and report all instances; returns the nanoseconds spent on the reports."""
         self.now += by
         spent = -time.perf_counter_ns()
-        for each in self.instances:
-            if each.alive and each.phase is not Phase.DRAINING:
-                self.supervision.heard(self.now, each, state, each.born, REPORT)
+        for instance in self.instances:
+            if instance.alive and instance.phase is not Phase.DRAINING:
+                self.supervision.heard(self.now, instance, state, instance.born, REPORT)
         return spent + time.perf_counter_ns()
 
 
 def measure(size: int, seed: int) -> dict[str, float]:
+    """Measure ticks with nothing to do, then those of a restart of all instances."""
     fleet = Fleet(size, seed)
-    fleet.turn()
+    fleet.tick()
     fleet.pass_time(100 * MS)
     quiet, reports = [], []
     for _ in range(30):
         reports.append(fleet.pass_time(100 * MS))
-        quiet.append(fleet.turn())
+        quiet.append(fleet.tick())
     order = fleet.orders.take(
         fleet.now,
         "all",
         "asha",
         Verb.RESTART,
-        tuple((each.name, each.generation) for each in fleet.instances),
+        tuple((instance.name, instance.generation) for instance in fleet.instances),
         3600 * SECOND,
     )
-    busy, worst, turns = [], 0, 0
+    busy, worst = [], 0
     while order.open:
         fleet.pass_time(100 * MS)
-        busy.append(fleet.turn())
+        busy.append(fleet.tick())
         worst = max(
             worst,
             *(fleet.supervision.out[site] - fleet.supervision.away[site] for site in fleet.supervision.out),
         )
-        turns += 1
     return {
         "size": size,
         "quiet_ms": statistics.median(quiet) / 1e6,
         "busy_ms": statistics.median(busy) / 1e6,
         "busy_worst_ms": max(busy) / 1e6,
         "report_us": statistics.median(reports) / 1e3 / size,
-        "turns": turns,
+        "turns": len(busy),
         "beyond_bound": worst,
     }
 
 
 def main() -> int:
+    """Run the measurement; 1 where more instances were out than the budgets allow."""
     arguments = parse_arguments(__doc__ or "", seed=16)
     rows = [measure(size, arguments.seed) for size in (100, 1000, 10_000)]
     print_line(f"{describe_machine()}; simulated time")
     for row in rows:
         print_line(
-            f"  {row['size']:6} instances: quiet turn {row['quiet_ms']:.3f} ms, turn of a restart of all"
+            f"  {row['size']:6} instances: quiet tick {row['quiet_ms']:.3f} ms, tick of a restart of all"
             f" {row['busy_ms']:.3f} ms (worst {row['busy_worst_ms']:.2f}),"
-            f" a report {row['report_us']:.2f} us, {row['turns']} turns,"
+            f" a report {row['report_us']:.2f} us, {row['turns']} ticks,"
             f" beyond the bound {row['beyond_bound']}"
         )
     write_figures(arguments, {"rows": rows})
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -1,6 +1,6 @@
 """Drains and cancels at random times under load on real nodes: what is lost, what runs after the grace.
 
-Two hosts with three nodes each, one keeper; dispatchers send all the time, faster now and then.
+Two hosts with three nodes each, one replica; dispatchers send all the time, at a changing rate.
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
 
 from measure.common import describe_machine, format_spread, parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
+from oakkeel.fakes.control_plane import UnexpectedResponseError
 from oakkeel.fakes.load_generator import LoadSummary, RequestReport
 from oakkeel.fakes.load_process import LoadProcess
 from oakkeel.fakes.node_connection import Address
@@ -35,9 +36,9 @@
 
     count: int = 0
     while_draining: int = 0
-    back: list[float] = field(default_factory=list)  # taken back while it was draining
-    restarted: list[float] = field(default_factory=list)  # started anew after its stop
-    never_left: list[float] = field(default_factory=list)
+    cancelled: list[float] = field(default_factory=list)  # cancelled while it was draining
+    restarted: list[float] = field(default_factory=list)  # started again after its stop
+    never_drained: list[float] = field(default_factory=list)
 
 
 class DrainScenario:
@@ -97,30 +98,34 @@
             if drain % 20 < 2:
                 print_line(f"  {drain} drains, {self.cancels.while_draining} cancelled while draining")
 
-    async def _drain_and_cancel(self, ident: str, name: str, cancel_after: float | None) -> None:
+    async def _drain_and_cancel(self, order_id: str, name: str, cancel_after: float | None) -> None:
         """Cancel after some seconds, or (None) when the drain is over; returns when the permit is free."""
-        answer = await self.rig.submit_order(ident, "drain", [name], 60)
-        assert isinstance(answer, messages.FleetOrderStatus), answer
+        answer = await self.rig.submit_order(order_id, "drain", [name], 60)
+        if not isinstance(answer, messages.FleetOrderStatus):
+            raise UnexpectedResponseError(f"{order_id} was not submitted: {answer}")
         if cancel_after is None:
-            await self.rig.wait_until_ended(ident)
+            await self.rig.wait_until_ended(order_id)
         else:
             await asyncio.sleep(cancel_after)
         before = (await self.rig.instance_statuses())[name]
         cancelled = time.monotonic()
-        answer = await self.rig.end_order(ident, True)
-        assert isinstance(answer, messages.FleetOrderStatus), answer
+        answer = await self.rig.end_order(order_id, True)
+        if not isinstance(answer, messages.FleetOrderStatus):
+            raise UnexpectedResponseError(f"{order_id} was not cancelled: {answer}")
         self.cancels.count += 1
         self.cancels.while_draining += before.phase == "draining"
 
-        async def works() -> bool:
+        async def succeeds() -> bool:
             return self.load.last_success.get(name, 0.0) > cancelled
 
-        took = await self.rig.wait_until(f"{name} works again", works)
-        times = {"draining": self.cancels.back, "serving": self.cancels.never_left}
+        took = await self.rig.wait_until(f"{name} works again", succeeds)
+        times = {"draining": self.cancels.cancelled, "serving": self.cancels.never_drained}
         times.get(before.phase, self.cancels.restarted).append(took)
 
         async def free() -> bool:
-            return not any(entry.order_id == ident for entry in (await self.rig.fleet_status()).unavailable)
+            return not any(
+                entry.order_id == order_id for entry in (await self.rig.fleet_status()).unavailable
+            )
 
         await self.rig.wait_until(f"the permit of {name} is free", free)
 
@@ -156,15 +161,15 @@
 
 
 def figures_of(cancels: Cancels, summary: LoadSummary, reported: int, site: FakeSite) -> dict[str, Any]:
-    """The figures under the names that their file has."""
+    """Return the figures with the keys of the journal."""
     counts = Counter(summary.counts)
     runs = [count for engine in site.engines.values() for count in engine.start_counts.values()]
     return {
         "cancels": cancels.count,
         "while draining": cancels.while_draining,
-        "back_s": cancels.back,
+        "back_s": cancels.cancelled,
         "anew_s": cancels.restarted,
-        "not_left_s": cancels.never_left,
+        "not_left_s": cancels.never_drained,
         "sent_late": summary.max_send_delay,
         "machine": describe_machine(),
         "counts": dict(counts),
@@ -175,7 +180,7 @@
 
 
 def after_grace(folder: str, site: FakeSite, reports: list[RequestReport]) -> int:
-    """Runs of what was sent more than the grace after the notice, while the drain stood."""
+    """Count the runs of requests sent after the grace of a drain, before it was cancelled or ended."""
     drains: dict[str, list[list[float]]] = {}  # by instance: when the grace ended, and the drain
     for at, kind, fields in read_events(folder, HOSTS):
         if kind == "drain_requested":
@@ -198,10 +203,10 @@
     write_figures(arguments, figures)
     print_line(f"{figures['counts']}; {figures['doubled']} ran twice")
     if figures["anew_s"]:
-        print_line(f"started anew after the stop: works after {format_spread(figures['anew_s'])} s")
+        print_line(f"started again after the stop: works after {format_spread(figures['anew_s'])} s")
     back = 1000 * max(figures["back_s"], default=0.0)
     if figures["back_s"]:
-        print_line(f"taken back while draining: works after {format_spread(figures['back_s'])} s")
+        print_line(f"cancelled while draining: works after {format_spread(figures['back_s'])} s")
     print_line(
         f"drain: {figures['drains']} drains, {figures['cancels']} cancels, {figures['lost']} lost,"
         f" {figures['after_grace']} run after the grace, back in service after {back:.0f} ms"
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -1,4 +1,4 @@
-"""Two hundred simulated nodes at 2,000 requests a second: events a second, and cost by nodes."""
+"""Two hundred simulated nodes at 2,000 requests a second: events a second, and cost by number of nodes."""
 
 from __future__ import annotations
 
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -1,4 +1,4 @@
-"""Twelve instances on one machine, three killed, one stopped, under load: when is what is shown true?"""
+"""Twelve instances on one machine, three killed, one stopped, under load: how soon the status is true."""
 
 from __future__ import annotations
 
@@ -31,42 +31,42 @@
 SITES = {"wb1": "woodbrook", "sj1": "st-james", "be1": "belmont"}
 
 
-async def one_round(fleet: RunningSite, dispatcher: Dispatcher, random: Random) -> tuple[float, set[str]]:
-    """Kill three and stop one; returns when all reports were true, and the four."""
+async def kill_and_suspend(fleet: RunningSite, random: Random) -> tuple[float, set[str]]:
+    """Kill three instances and stop one; returns the seconds until all reports are true, and the names."""
     rows = {row.name: row.status.pid for row in fleet.rows() if row.status}
     chosen = random.sample(sorted(rows), 4)
-    killed, quiet = {name: rows[name] for name in chosen[:3]}, chosen[3]
+    killed, suspended = {name: rows[name] for name in chosen[:3]}, chosen[3]
     for pid in killed.values():
         os.kill(pid, signal.SIGKILL)
-    os.kill(rows[quiet], signal.SIGSTOP)
+    os.kill(rows[suspended], signal.SIGSTOP)
 
-    def true() -> bool:
+    def reports_are_true() -> bool:
         for row in fleet.rows():
             if row.old or row.status is None:
                 return False
             if row.name in killed:
                 if row.status.pid == killed[row.name]:
                     return False
-            elif row.name == quiet:
+            elif row.name == suspended:
                 if row.state not in ("silent", "stuck"):
                     return False
             elif row.state != "serving":
                 return False
         return True
 
-    took = await fleet.wait_until(true, 10)
+    took = await fleet.wait_until(reports_are_true, 10)
     await asyncio.sleep(1.5)  # under load: those left alone must go on losing nothing
-    os.kill(rows[quiet], signal.SIGCONT)
+    os.kill(rows[suspended], signal.SIGCONT)
     back = await fleet.wait_until(lambda: fleet.all_in("serving"), 20)
     print_line(
-        f"  killed {', '.join(killed)}, stopped {quiet}: reports true after {took:.2f} s,"
+        f"  killed {', '.join(killed)}, stopped {suspended}: reports true after {took:.2f} s,"
         f" all serving {back:.1f} s after it went on"
     )
     return took, set(chosen)
 
 
 async def measure(rounds: int, rate: float, seed: int) -> dict[str, Any]:
-    """Play some rounds of kills under load, and count what was lost."""
+    """Kill and suspend instances under load for some rounds, and count what was lost."""
     random = Random(seed)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(folder, HOSTS, max_unavailable=4, seed=seed, sites=SITES)
@@ -76,19 +76,20 @@
             times, lost, answered = [], Counter[str](), 0
             for number in range(rounds):
                 dispatchers = [
-                    Dispatcher(each, fleet.addresses, rate / 2, seed + 10 * number + each) for each in (1, 2)
+                    Dispatcher(index, fleet.addresses, rate / 2, seed + 10 * number + index)
+                    for index in (1, 2)
                 ]
-                for each in dispatchers:
-                    each.start()
+                for dispatcher in dispatchers:
+                    dispatcher.start()
                 await asyncio.sleep(1.0)
-                time_true, touched = await one_round(fleet, dispatchers[0], random)
+                time_true, touched = await kill_and_suspend(fleet, random)
                 times.append(time_true)
-                for each in dispatchers:
-                    await each.stop()
-                    answered += each.answered
-                    for node, counts in each.by_node.items():
-                        place = "touched" if node in touched else "others"
-                        lost[place] += counts["lost"] + counts["late"]
+                for dispatcher in dispatchers:
+                    await dispatcher.stop()
+                    answered += dispatcher.answered
+                    for node, counts in dispatcher.by_node.items():
+                        kind = "touched" if node in touched else "others"
+                        lost[kind] += counts["lost"] + counts["late"]
                 await asyncio.sleep(0.5)
     return {
         "times_s": times,
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -17,7 +17,7 @@
 DEADLINE = 1.0
 
 
-async def listed(settings: str, *words: str) -> tuple[float, int, dict[str, Any]]:
+async def run_listing(settings: str) -> tuple[float, int, dict[str, Any]]:
     """Run `oakkeel ls`; returns the seconds that it took, its exit code and its output."""
     started = time.monotonic()
     process = await asyncio.create_subprocess_exec(
@@ -33,7 +33,6 @@
         "1s",
         "--output",
         "json",
-        *words,
         stdout=asyncio.subprocess.PIPE,
     )
     out, _ = await process.communicate()
@@ -41,27 +40,27 @@
 
 
 async def measure(times: int) -> dict[str, Any]:
-    """List some times with all agents, and with one of them silent."""
+    """List `times` times with all agents, and as often with one of them silent."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         hosts = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
         async with running_site(
             FakeSite(folder, hosts, max_unavailable=12), "oakkeel.fakes.crashing"
         ) as fleet:
             await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
-            whole = [await listed(fleet.site.settings) for _ in range(times)]
+            complete = [await run_listing(fleet.site.settings) for _ in range(times)]
             os.kill(fleet.processes["h7"].pid, signal.SIGSTOP)
             try:
-                silent = [await listed(fleet.site.settings) for _ in range(times)]
+                silent = [await run_listing(fleet.site.settings) for _ in range(times)]
             finally:
                 os.kill(fleet.processes["h7"].pid, signal.SIGCONT)
-    right = all(code == 0 and len(out["instances"]) == 12 for _, code, out in whole) and all(
+    correct = all(code == 0 and len(out["instances"]) == 12 for _, code, out in complete) and all(
         code == 3 and [row["instance"] for row in out["instances"] if row["state"] == "unknown"] == ["n7"]
         for _, code, out in silent
     )
     return {
-        "all_answer_s": [took for took, _, _ in whole],
+        "all_answer_s": [took for took, _, _ in complete],
         "one_silent_s": [took for took, _, _ in silent],
-        "right": right,
+        "right": correct,
     }
 
 
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -1,4 +1,4 @@
-"""Agents killed at random durable steps while orders come: none may be lost, none carried out twice."""
+"""Agents killed at random durable steps while orders arrive: none may be lost, none carried out twice."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
 import tempfile
 import time
 from random import Random
+from typing import Any
 
 from measure.common import SECOND, parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
+from oakkeel.fakes.control_plane import UnexpectedResponseError
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key, write_key
 
-VERBS = ("restart", "stop", "start")  # in turn: each must be carried out for the next to mean anything
+VERBS = ("restart", "stop", "start")  # one after the other: each needs the state that the last one left
 MOST_STEPS = 14  # an agent kills itself at one of its first so many steps
 
 
 class Lane:
-    """One host with one instance, its agent killed again and again, and one operator who sends orders."""
+    """One host with one instance, its agent killed repeatedly, and one operator who sends orders."""
 
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
+        """Use the crashes that are left in `crashes`, which all lanes share."""
         self.folder, self.random, self.crashes = folder, Random(seed), crashes
         site = FakeSite(
             folder,
@@ -38,17 +41,18 @@
         self.fleet = read_fleet(site.settings)
         self.host, self.key = self.fleet.hosts[0], read_operator_key(self.fleet, "asha")
         self.agent: asyncio.subprocess.Process | None = None
-        self.crashed = self.orders = self.resent = self.unkept = 0
+        self.crashed = self.orders = self.resent = self.lost = 0
         self.expected_starts = 1
-        self.doomed = False  # the agent there is will kill itself
+        self.doomed = False  # the present agent will kill itself
 
     async def run(self) -> None:
+        """Send orders until no crash is left, then wait until the last one has ended."""
         while not self.crashes.locked() or self.doomed:
-            await self.one_order(VERBS[self.orders % len(VERBS)])
-        await self.generation()
+            await self._carry_out_order(VERBS[self.orders % len(VERBS)])
+        await self._settled_generation()
 
-    async def keep_agent(self) -> None:
-        """Start an agent where there is none; it kills itself as long as crashes are left to make."""
+    async def _ensure_agent(self) -> None:
+        """Start an agent where none runs; it kills itself as long as crashes are left."""
         if self.agent is None or self.agent.returncode is not None:
             if self.agent is not None:
                 self.crashed += 1
@@ -67,54 +71,63 @@
                 start_new_session=True,
             )
 
-    async def ask(self, wish: messages.Request) -> messages.Response | None:
-        await self.keep_agent()
+    async def _request(self, request: messages.Request) -> messages.Response | None:
+        """Return the agent's response, or None where it gave none within a second."""
+        await self._ensure_agent()
         with contextlib.suppress(AgentError, asyncio.TimeoutError):
-            return await asyncio.wait_for(request_once(self.host.agent, self.key, wish), 1.0)
+            return await asyncio.wait_for(request_once(self.host.agent, self.key, request), 1.0)
         await asyncio.sleep(0.02)
         return None
 
-    async def generation(self) -> int:
-        """Once the instance is where the last order left it and no order is open."""
+    async def _settled_generation(self) -> int:
+        """Return the generation once the instance serves or is stopped and no order is open."""
         while True:
-            answer = await self.ask(messages.HostStatusRequest())
+            answer = await self._request(messages.HostStatusRequest())
             if isinstance(answer, messages.HostStatus):
-                each = answer.instances[0]
-                if each.order is None and each.phase in ("serving", "stopped"):
-                    return each.generation
+                instance = answer.instances[0]
+                if instance.order is None and instance.phase in ("serving", "stopped"):
+                    return instance.generation
             await asyncio.sleep(0.01)
 
-    async def one_order(self, verb: str) -> None:
-        """Send an order until it is told as taken, whatever dies; then wait until it has ended."""
-        generation = await self.generation()
-        ident = f"o{self.orders}"
-        wish = messages.OrderRequest(ident, verb, [("n1", generation)], 120 * SECOND)
+    async def _carry_out_order(self, verb: str) -> None:
+        """Send an order until it is acknowledged, whatever dies; then wait until it has ended."""
+        order_id = await self._acknowledged_order(verb)
+        while True:  # it was acknowledged: no crash may lose it
+            answer = await self._request(messages.ListOrdersRequest(200))
+            if isinstance(answer, messages.OrderList):
+                found = [order for order in answer.orders if order.order_id == order_id]
+                state = found[0].tasks[0].state if found else ""
+                if state not in ("waiting", "acting", "done"):
+                    self.lost += 1
+                    print_line(f"  lost: {order_id} {verb} {found}")
+                    return
+                if state == "done":
+                    return
+            await asyncio.sleep(0.01)
+
+    async def _acknowledged_order(self, verb: str) -> str:
+        """Send an order, with the same ID until it is acknowledged, and return the ID."""
+        generation = await self._settled_generation()
+        order_id = f"o{self.orders}"
+        request = messages.OrderRequest(order_id, verb, [("n1", generation)], 120 * SECOND)
         while True:
-            answer = await self.ask(wish)
+            answer = await self._request(request)
             if isinstance(answer, messages.OrderStatus):
                 break
             self.resent += answer is None
         if answer.tasks[0].state == "refused":
-            raise AssertionError(f"{ident}: {answer.tasks[0].why}")
+            raise UnexpectedResponseError(f"{order_id}: {answer.tasks[0].why}")
         self.orders += 1
         self.expected_starts += verb in ("restart", "start")
-        while True:  # from here on it was told as taken: no crash may lose it
-            answer = await self.ask(messages.ListOrdersRequest(200))
-            if isinstance(answer, messages.OrderList):
-                mine = [order for order in answer.orders if order.order_id == ident]
-                if not mine or mine[0].tasks[0].state not in ("waiting", "acting", "done"):
-                    self.unkept += 1
-                    print_line(f"  lost: {ident} {verb} {mine}")
-                    return
-                if mine[0].tasks[0].state == "done":
-                    return
-            await asyncio.sleep(0.01)
+        return order_id
 
     def starts(self) -> int:
+        """Return how many processes of the instance were started, by its journal."""
         with open(os.path.join(self.host.state, "n1.journal"), encoding="ascii") as file:
             return sum(line.startswith("start") for line in file)
 
-    async def end(self) -> None:
+    async def close(self) -> None:
+        """End the agent and the instance."""
         if self.agent and self.agent.returncode is None:
             self.agent.terminate()
             await self.agent.wait()
@@ -124,34 +137,36 @@
         processes.close()
 
 
-async def measure(crashes: int, lanes: int, seed: int) -> dict:
-    left = asyncio.Semaphore(crashes)
+async def measure(crashes: int, lane_count: int, seed: int) -> dict[str, Any]:
+    """Kill agents so many times, spread over some lanes, and count what was lost or started twice."""
+    crashes_left = asyncio.Semaphore(crashes)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        made = []
-        for number in range(lanes):
+        lanes: list[Lane] = []
+        for number in range(lane_count):
             os.mkdir(os.path.join(folder, str(number)))
-            made.append(Lane(os.path.join(folder, str(number)), seed + number, left))
+            lanes.append(Lane(os.path.join(folder, str(number)), seed + number, crashes_left))
         try:
-            runs = asyncio.gather(*(lane.run() for lane in made))
+            runs = asyncio.gather(*(lane.run() for lane in lanes))
             while not runs.done():
                 await asyncio.wait((runs,), timeout=10)
-                crashed, orders = sum(lane.crashed for lane in made), sum(lane.orders for lane in made)
+                crashed, orders = sum(lane.crashed for lane in lanes), sum(lane.orders for lane in lanes)
                 print_line(f"  {crashed} crashes, {orders} orders")
             await runs
             return {
-                "crashes": sum(lane.crashed for lane in made),
-                "orders": sum(lane.orders for lane in made),
-                "resent": sum(lane.resent for lane in made),
-                "lost": sum(lane.unkept for lane in made),
-                "starts": sum(lane.starts() for lane in made),
-                "expected_starts": sum(lane.expected_starts for lane in made),
+                "crashes": sum(lane.crashed for lane in lanes),
+                "orders": sum(lane.orders for lane in lanes),
+                "resent": sum(lane.resent for lane in lanes),
+                "lost": sum(lane.lost for lane in lanes),
+                "starts": sum(lane.starts() for lane in lanes),
+                "expected_starts": sum(lane.expected_starts for lane in lanes),
             }
         finally:
-            for lane in made:
-                await lane.end()
+            for lane in lanes:
+                await lane.close()
 
 
 def main() -> int:
+    """Run the measurement; returns the exit code."""
     arguments = parse_arguments(__doc__ or "", crashes=300, lanes=6, seed=16)
     started = time.monotonic()
     figures = asyncio.run(measure(arguments.crashes, arguments.lanes, arguments.seed))
--- a/measure/places.py
+++ b/measure/places.py
@@ -1,7 +1,7 @@
-"""The record and places at scale, in simulated time: three keepers, a thousand agents, all restarted.
+"""Consensus and permits at scale, in simulated time: three replicas, a thousand agents, all restarted.
 
-The decisions are those of the program; no socket, file or process is there. An agent asks every half second,
-as it would in a fleet of a thousand; an instance is out for three seconds.
+The decisions are those of the program, with no socket, file or process. An agent sends a heartbeat every half
+second, as in a fleet of a thousand; an instance is out for three seconds.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 import sys
 import time
 from collections import deque
+from dataclasses import dataclass, replace
 from typing import Any
 
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
@@ -27,189 +28,210 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 OUT = 3 * SECOND
+SITES = 20
+
+
+def make_topology(hosts: int, instances_per_host: int) -> Topology:
+    """Return hosts at twenty sites, a tenth of which may be out at each site and in all."""
+    names = [f"h{number}" for number in range(hosts)]
+    targets = {name: tuple(f"{name}i{number}" for number in range(instances_per_host)) for name in names}
+    groups = []
+    for site in range(SITES):
+        members = tuple(target for name in names[site::SITES] for target in targets[name])
+        groups.append(BudgetGroup(f"site s{site}", max(1, len(members) // 10), members))
+    everything = tuple(target for members in targets.values() for target in members)
+    groups.append(BudgetGroup("fleet", hosts * instances_per_host // 10, everything))
+    return Topology(targets, tuple(groups))
+
+
+@dataclass(slots=True)
+class Counts:
+    """What was exchanged, and the nanoseconds that it took."""
+
+    heartbeats: int = 0
+    heartbeat_ns: int = 0
+    worst_heartbeat_ns: int = 0
+    envelopes: int = 0
+    envelope_ns: int = 0
+    entries: int = 0
+    most_out: int = 0
 
 
 class Fleet:
     """Three replicas of the control plane and the permit holders of all hosts, in simulated time."""
 
-    def __init__(self, hosts: int, each: int) -> None:
-        """`each` instances on each host."""
-        names = [f"h{number}" for number in range(hosts)]
-        things = {name: tuple(f"{name}i{number}" for number in range(each)) for name in names}
-        sites = {
-            f"s{number}": [
-                thing for place, name in enumerate(names) if place % 20 == number for thing in things[name]
-            ]
-            for number in range(20)
-        }
-        groups = [
-            BudgetGroup(f"site {site}", max(1, len(held) // 10), tuple(held)) for site, held in sites.items()
-        ]
-        every = tuple(thing for held in things.values() for thing in held)
-        groups.append(BudgetGroup("fleet", hosts * each // 10, every))
-        self.topology = Topology(things, tuple(groups))
+    def __init__(self, topology: Topology) -> None:
+        """Run the replicas on the first three hosts."""
+        self.topology = topology
         self.now = SECOND
+        voters = tuple(topology.hosts)[:3]
         self.control_planes = {
             name: ControlPlaneReplica(
                 self.now,
                 InMemoryStorage(DurableState(name, f"{name}.1")).load(),
-                place,
+                seed,
                 RaftTimeouts(),
-                tuple(names[:3]),
-                self.topology,
+                voters,
+                topology,
                 PermitTimeouts(),
             )
-            for place, name in enumerate(names[:3])
+            for seed, name in enumerate(voters)
         }
-        self.agents = {name: PermitHolder(name, held, 1) for name, held in things.items()}
+        self.agents = {name: PermitHolder(name, targets, 1) for name, targets in topology.hosts.items()}
         self.back_at: dict[str, int] = {}
         self.envelopes: deque[tuple[str, Envelope]] = deque()
-        self.count = {
-            "polls": 0,
-            "letters": 0,
-            "poll_ns": 0,
-            "letter_ns": 0,
-            "worst_ns": 0,
-            "entries": 0,
-            "most_out": 0,
-        }
+        self.counts = Counts()
+
+    @property
+    def leader(self) -> ControlPlaneReplica | None:
+        """Return the replica that allocates permits, if any."""
+        return next((plane for plane in self.control_planes.values() if plane.allocator), None)
 
     def carry_out(self, outputs: list[Output]) -> None:
-        """Count what is stored, and put what is sent on its way."""
+        """Count what is stored, and queue what is sent."""
         for output in outputs:
-            self.count["entries"] += len(output.storage_update.entries) if output.storage_update else 0
+            self.counts.entries += len(output.storage_update.entries) if output.storage_update else 0
             self.envelopes += output.envelopes
 
     def deliver(self) -> None:
-        """Deliver messages until none is on its way."""
+        """Deliver messages until none is in flight."""
         while self.envelopes:
-            to, envelope = self.envelopes.popleft()
-            if to in self.control_planes:
+            recipient, envelope = self.envelopes.popleft()
+            if recipient in self.control_planes:
                 started = time.perf_counter_ns()
-                steps = self.control_planes[to].receive(self.now, envelope)
-                self.count["letter_ns"] += time.perf_counter_ns() - started
-                self.count["letters"] += 1
-                self.carry_out(steps)
+                outputs = self.control_planes[recipient].receive(self.now, envelope)
+                self.counts.envelope_ns += time.perf_counter_ns() - started
+                self.counts.envelopes += 1
+                self.carry_out(outputs)
 
-    def poll(self, name: str) -> None:
+    def exchange_heartbeat(self, name: str) -> None:
         """Exchange a heartbeat of one agent, which starts what was granted."""
-        permit_holder = self.agents[name]
-        for thing in permit_holder.targets:
-            if self.back_at.get(thing, 0) and self.now >= self.back_at[thing]:
-                del self.back_at[thing]
-                permit_holder.mark_restored(thing)
-        up = {thing: thing not in self.back_at for thing in permit_holder.targets}
-        poll = permit_holder.heartbeat(self.now, up, [], {})
-        leader = next(each for each in self.control_planes.values() if each.allocator)
+        holder = self.agents[name]
+        self._mark_restored(holder)
+        up = {target: target not in self.back_at for target in holder.targets}
+        heartbeat = holder.heartbeat(self.now, up, [], {})
+        leader = required_leader(self)
         started = time.perf_counter_ns()
-        answer, steps = leader.receive_heartbeat(self.now, poll)
-        took = time.perf_counter_ns() - started
-        self.count["poll_ns"] += took
-        self.count["worst_ns"] = max(self.count["worst_ns"], took)
-        self.count["polls"] += 1
-        self.carry_out(steps)
+        response, outputs = leader.receive_heartbeat(self.now, heartbeat)
+        elapsed = time.perf_counter_ns() - started
+        self.counts.heartbeat_ns += elapsed
+        self.counts.worst_heartbeat_ns = max(self.counts.worst_heartbeat_ns, elapsed)
+        self.counts.heartbeats += 1
+        self.carry_out(outputs)
         self.deliver()
-        permit_holder.receive_response(self.now, self.now, answer)
-        for place in answer.permits:
+        holder.receive_response(self.now, self.now, response)
+        for permit in response.permits:
             if (
-                not place.started
-                and permit_holder.may_start(self.now, place.target, place.order_id)
-                and place.target not in self.back_at
-                and not permit_holder.permits[place.target].started
+                not permit.started
+                and holder.may_start(self.now, permit.target, permit.order_id)
+                and permit.target not in self.back_at
+                and not holder.permits[permit.target].started
             ):
-                permit_holder.start(self.now, place.target)
-                self.back_at[place.target] = self.now + OUT
+                holder.start(self.now, permit.target)
+                self.back_at[permit.target] = self.now + OUT
+
+    def _mark_restored(self, holder: PermitHolder) -> None:
+        for target in holder.targets:
+            if self.back_at.get(target, 0) and self.now >= self.back_at[target]:
+                del self.back_at[target]
+                holder.mark_restored(target)
 
-    def turn(self, names: list[str]) -> None:
-        """Ten milliseconds, and the agents whose time it is."""
+    def advance(self, names: list[str]) -> None:
+        """Advance the time by ten milliseconds, in which some agents send a heartbeat."""
         self.now += 10 * MS
         for control_plane in self.control_planes.values():
             if control_plane.replica.next_tick_at() <= self.now:
                 self.carry_out(control_plane.tick(self.now))
         self.deliver()
         for name in names:
-            self.poll(name)
-        self.count["most_out"] = max(self.count["most_out"], len(self.back_at))
+            self.exchange_heartbeat(name)
+        self.counts.most_out = max(self.counts.most_out, len(self.back_at))
+
+
+def required_leader(fleet: Fleet) -> ControlPlaneReplica:
+    """Return the leader of a fleet, which a simulation without faults always has."""
+    if (leader := fleet.leader) is None:
+        raise NotLeaderError("", "no leader in a simulation without faults")
+    return leader
 
 
 def submit_restarts(fleet: Fleet, leader: ControlPlaneReplica) -> None:
-    """Order a restart of all instances."""
-    every = [thing for name in fleet.agents for thing in fleet.topology.hosts[name]]
-    for place in range(0, len(every), 1000):
-        try:
-            _, steps = leader.propose(
-                fleet.now,
-                commands.SubmitOrder(
-                    f"o{place}",
-                    "asha",
-                    "restart",
-                    0,
-                    3600 * SECOND,
-                    False,
-                    [(thing, 1) for thing in every[place : place + 1000]],
-                ),
-            )
-        except NotLeaderError as error:
-            raise RuntimeError(f"no leader in a calm simulation: {error}") from None
-        fleet.carry_out(steps)
+    """Order a restart of all instances, a thousand an order."""
+    targets = [target for name in fleet.agents for target in fleet.topology.hosts[name]]
+    for first in range(0, len(targets), 1000):
+        chosen = [(target, 1) for target in targets[first : first + 1000]]
+        order = commands.SubmitOrder(f"o{first}", "asha", "restart", 0, 3600 * SECOND, False, chosen)
+        _, outputs = leader.propose(fleet.now, order)
+        fleet.carry_out(outputs)
         fleet.deliver()
 
 
-def play(hosts: int, each: int, most: float) -> dict[str, Any]:
-    """Restart a whole fleet in simulated time, for `most` seconds at most, and return the figures."""
-    fleet = Fleet(hosts, each)
-    while not any(control_plane.allocator for control_plane in fleet.control_planes.values()):
-        fleet.turn([])
+def has_open_orders(leader: ControlPlaneReplica) -> bool:
+    """Return whether an order has not ended."""
+    return any(order.open for order in leader.state_machine.state.orders.values())
+
+
+def play(hosts: int, instances_per_host: int, real_limit: float) -> dict[str, Any]:
+    """Restart a fleet in simulated time, for `real_limit` real seconds at most, and return the figures."""
+    fleet = Fleet(make_topology(hosts, instances_per_host))
+    while fleet.leader is None:
+        fleet.advance([])
     names = list(fleet.agents)
-    slices = [names[place::50] for place in range(50)]
-    for place in range(100):
-        fleet.turn(slices[place % 50])
-    quiet = dict(fleet.count)
-    leader = next(each for each in fleet.control_planes.values() if each.allocator)
+    slices = [names[index::50] for index in range(50)]
+    for index in range(100):
+        fleet.advance(slices[index % 50])
+    idle = replace(fleet.counts)
+    leader = required_leader(fleet)
     submit_restarts(fleet, leader)
-    started, real, turns = fleet.now, time.monotonic(), 0
-    before = dict(fleet.count)
-    while (
-        any(order.open for order in leader.state_machine.state.orders.values())
-        and time.monotonic() - real < most
-    ):
-        fleet.turn(slices[turns % 50])
-        turns += 1
-    took = (fleet.now - started) / SECOND
-    spent = {name: value - before[name] for name, value in fleet.count.items()}
+    before = replace(fleet.counts)
+    started, real_start, ticks = fleet.now, time.monotonic(), 0
+    while has_open_orders(leader) and time.monotonic() - real_start < real_limit:
+        fleet.advance(slices[ticks % 50])
+        ticks += 1
     return {
         "hosts": hosts,
-        "instances": hosts * each,
-        "ended": not any(order.open for order in leader.state_machine.state.orders.values()),
-        "simulated_s": took,
-        "real_s": time.monotonic() - real,
-        "poll_us": spent["poll_ns"] / max(1, spent["polls"]) / 1000,
-        "quiet_poll_us": quiet["poll_ns"] / max(1, quiet["polls"]) / 1000,
-        "worst_poll_ms": fleet.count["worst_ns"] / 1e6,
-        "letter_us": spent["letter_ns"] / max(1, spent["letters"]) / 1000,
-        "polls_a_second": spent["polls"] / took,
-        "letters_a_second": spent["letters"] / took,
-        "leader_busy": (spent["poll_ns"] + spent["letter_ns"] / 2) / 1e9 / took,
-        "entries": spent["entries"],
-        "most_out": fleet.count["most_out"],
-        "bound": hosts * each // 10,
+        "instances": hosts * instances_per_host,
+        "ended": not has_open_orders(leader),
+        "real_s": time.monotonic() - real_start,
+        **figures_of(fleet.counts, before, idle, (fleet.now - started) / SECOND),
+        "bound": hosts * instances_per_host // 10,
         "snapshot_kb": len(leader.state_machine.snapshot()) / 1024,
     }
 
 
+def figures_of(counts: Counts, before: Counts, idle: Counts, seconds: float) -> dict[str, Any]:
+    """Return the figures of a restart that took some simulated seconds, with the keys of the journal."""
+    heartbeats = counts.heartbeats - before.heartbeats
+    heartbeat_ns = counts.heartbeat_ns - before.heartbeat_ns
+    envelopes = counts.envelopes - before.envelopes
+    envelope_ns = counts.envelope_ns - before.envelope_ns
+    return {
+        "simulated_s": seconds,
+        "poll_us": heartbeat_ns / max(1, heartbeats) / 1000,
+        "quiet_poll_us": idle.heartbeat_ns / max(1, idle.heartbeats) / 1000,
+        "worst_poll_ms": counts.worst_heartbeat_ns / 1e6,
+        "letter_us": envelope_ns / max(1, envelopes) / 1000,
+        "polls_a_second": heartbeats / seconds,
+        "letters_a_second": envelopes / seconds,
+        "leader_busy": (heartbeat_ns + envelope_ns / 2) / 1e9 / seconds,
+        "entries": counts.entries - before.entries,
+        "most_out": counts.most_out,
+    }
+
+
 def main() -> int:
     """Play a small and a large fleet."""
     arguments = parse_arguments(__doc__ or "", hosts=1000, each=10, most=240.0)
     figures = []
     for hosts in (arguments.hosts // 10, arguments.hosts):
-        found = play(hosts, arguments.each, arguments.most)
-        figures.append(found)
+        row = play(hosts, arguments.each, arguments.most)
+        figures.append(row)
         print_line(
-            f"{found['instances']} instances on {hosts} hosts restarted in {found['simulated_s']:.0f} s"
-            f" simulated ({found['real_s']:.0f} s real), at most {found['most_out']} of {found['bound']} out;"
-            f" {found['polls_a_second']:.0f} polls and {found['letters_a_second']:.0f} letters a second,"
-            f" {found['poll_us']:.0f} us a poll ({found['quiet_poll_us']:.0f} with no order, worst"
-            f" {found['worst_poll_ms']:.0f} ms), {found['letter_us']:.0f} us a letter"
+            f"{row['instances']} instances on {hosts} hosts restarted in {row['simulated_s']:.0f} s"
+            f" simulated ({row['real_s']:.0f} s real), at most {row['most_out']} of {row['bound']} out;"
+            f" {row['polls_a_second']:.0f} polls and {row['letters_a_second']:.0f} letters a second,"
+            f" {row['poll_us']:.0f} us a poll ({row['quiet_poll_us']:.0f} with no order, worst"
+            f" {row['worst_poll_ms']:.0f} ms), {row['letter_us']:.0f} us a letter"
         )
     write_figures(arguments, {"machine": describe_machine(), "plays": figures})
     small, large = figures
@@ -220,7 +242,7 @@
         f" {large['leader_busy']:.2f} of a core, {large['snapshot_kb']:.0f} KB a snapshot,"
         f" {large['poll_us'] / small['poll_us']:.2f} times as much a poll as with {small['hosts']}"
     )
-    return 0 if all(each["ended"] and each["most_out"] <= each["bound"] for each in figures) else 1
+    return 0 if all(row["ended"] and row["most_out"] <= row["bound"] for row in figures) else 1
 
 
 if __name__ == "__main__":
