--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -208,7 +208,10 @@
         self.seen(two)
         self.engine.done(first, body=b"once")
         self.order(two, tag=3, fields=",resent=1")  # just done
-        self.assertEqual([two.answer()[::3] for _ in range(3)], [(1, b"once"), (2, b"once"), (3, b"once")])
+        answers = [two.answer()[::3] for _ in range(3)]
+        # The third may be read between the end of the run and the wake-up of the two that wait for it.
+        self.assertIn([tag for tag, _ in answers], ([1, 2, 3], [1, 3, 2], [3, 1, 2]))
+        self.assertEqual([body for _, body in answers], [b"once"] * 3)
         self.assertTrue(self.engine.commands.empty())
 
     def test_two_at_once_in_one_write_take_one_run(self):
