--- a/tests/node/test_request_handling.py
+++ b/tests/node/test_request_handling.py
@@ -9,7 +9,7 @@
 
 
 class RequestHandlingTest(NodeProcessTest):
-    def test_an_request_is_run_and_its_result_comes_back_unchanged(self):
+    def test_a_request_is_run_and_its_result_comes_back_unchanged(self):
         self.begin()
         dispatcher = self.dispatcher()
         ident = dispatcher.call("quote", ANY_BYTES)
@@ -81,7 +81,7 @@
         self.assertIn(b"holdoff=", fields)
         self.assertIn(b"signal=", fields)
 
-    def test_an_request_read_late_counts_its_age_from_its_stamp(self):
+    def test_a_request_read_late_counts_its_age_from_its_stamp(self):
         self.begin()
         dispatcher = self.dispatcher()
         dispatcher.call("card", age=7990)
