--- a/measure/plan.py
+++ b/measure/plan.py
@@ -1,8 +1,8 @@
 """The planner at 10,000 instances, and a release of 1,000 nodes in simulated time under drawn failures.
 
-The second plays agents, keepers and the driver as they are, on the emulator's clock. Beside it stands what a
-planner that knows all could do: the time that each node is out is known afterwards, and no order of them with
-as many out at a time as the bounds allow could be through sooner.
+The second runs agents, replicas and the rollout controller as they are, on the emulator's clock. Beside it
+stands a lower bound: the time that each node is out is known afterwards, and no sequence of them with as many
+out at a time as the budgets allow could end sooner.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from oakkeel.rollout.plan import BatchLimits, BatchPlanner, TargetObservation
 
 MS = 1_000_000
-HOSTS, EACH, SITES, BOUND = 100, 10, 5, 20
+HOSTS, NODES_PER_HOST, SITES, MAX_UNAVAILABLE = 100, 10, 5, 20
 
 
-def turns(count: int) -> dict[str, float]:
-    """Return the milliseconds of one choice among so many instances, 10 to a host, at 20 sites."""
+def plan_durations(count: int) -> dict[str, float]:
+    """Return the milliseconds that one batch takes to choose among so many instances, 10 a host, 20 sites."""
     names = [f"n{number}" for number in range(count)]
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
@@ -57,27 +57,27 @@
     return found
 
 
-class Watched:
-    """When each thing left by an order and when it served again."""
+class DrainTimes:
+    """When each target was drained by an order, and how long until it served again."""
 
-    def __init__(self, world: ConsensusSimulation) -> None:
-        """Watch what the invariant checks are told."""
-        self.left_at: dict[str, int] = {}
-        self.lasted: dict[str, int] = {}
-        self.out = self.most = 0
-        left, serves = world.audit.drain_started, world.audit.serving
+    def __init__(self, simulation: ConsensusSimulation) -> None:
+        """Observe the events that the invariant checks receive."""
+        self.drained_at: dict[str, int] = {}
+        self.durations: dict[str, int] = {}
+        self.most = 0
+        drain_started, serving = simulation.audit.drain_started, simulation.audit.serving
 
-        def on_left(now: int, target: str, fence: int, ident: str = "") -> None:
-            left(now, target, fence, ident)
-            self.left_at.setdefault(target, now)
-            self.most = max(self.most, len(self.left_at) - len(self.lasted))
+        def on_drain(now: int, target: str, fence: int, ident: str = "") -> None:
+            drain_started(now, target, fence, ident)
+            self.drained_at.setdefault(target, now)
+            self.most = max(self.most, len(self.drained_at) - len(self.durations))
 
-        def on_serves(now: int, target: str) -> None:
-            serves(now, target)
-            if target in self.left_at:
-                self.lasted.setdefault(target, now - self.left_at[target])
+        def on_serving(now: int, target: str) -> None:
+            serving(now, target)
+            if target in self.drained_at:
+                self.durations.setdefault(target, now - self.drained_at[target])
 
-        world.audit.drain_started, world.audit.serving = on_left, on_serves  # type: ignore[method-assign]
+        simulation.audit.drain_started, simulation.audit.serving = on_drain, on_serving  # type: ignore[method-assign]
 
 
 def _draw_schedule(seed: int, deaths: int, kills: int) -> Schedule:
@@ -85,7 +85,10 @@
     random = Random(seed)
     faults = [
         Fault(
-            random.randrange(4 * SECOND, 60 * SECOND), "die", random.randrange(HOSTS), random.randrange(EACH)
+            random.randrange(4 * SECOND, 60 * SECOND),
+            "die",
+            random.randrange(HOSTS),
+            random.randrange(NODES_PER_HOST),
         )
         for _ in range(deaths)
     ]
@@ -100,19 +103,27 @@
         for _ in range(kills)
     ]
     faults += [Fault(20 * SECOND, "kill", 0, 0, SECOND), Fault(35 * SECOND, "kill", 1, 0, SECOND)]
-    return Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(faults, key=lambda fault: fault.at)))
+    return Schedule(
+        seed,
+        3,
+        HOSTS,
+        NODES_PER_HOST,
+        SITES,
+        MAX_UNAVAILABLE,
+        tuple(sorted(faults, key=lambda fault: fault.at)),
+    )
 
 
 def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
-    """1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
-    world = ConsensusSimulation(_draw_schedule(seed, deaths, kills))
-    watched = Watched(world)
-    world.clock.run(3 * SECOND)
-    started = world.clock.now
-    state = _follow_release(world, gated)
-    took = (world.clock.now - started) / SECOND
-    out = [lasted / SECOND for lasted in watched.lasted.values()]
-    best = max(sum(out) / (BOUND * SITES), max(out, default=0.0))
+    """Release 1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
+    simulation = ConsensusSimulation(_draw_schedule(seed, deaths, kills))
+    drain_times = DrainTimes(simulation)
+    simulation.clock.run(3 * SECOND)
+    started = simulation.clock.now
+    state = _follow_release(simulation, gated)
+    took = (simulation.clock.now - started) / SECOND
+    out = [duration / SECOND for duration in drain_times.durations.values()]
+    best = max(sum(out) / (MAX_UNAVAILABLE * SITES), max(out, default=0.0))
     return {
         "gated": gated,
         "state": state,
@@ -120,24 +131,24 @@
         "best": best,
         "nodes": len(out),
         "out_s": statistics.median(out) if out else 0.0,
-        "most": watched.most,
-        "breaches": world.audit.breaches + world.rollout_audit.breaches,
-        "events": world.clock.events_processed,
+        "most": drain_times.most,
+        "breaches": simulation.audit.breaches + simulation.rollout_audit.breaches,
+        "events": simulation.clock.events_processed,
     }
 
 
-def _follow_release(world: ConsensusSimulation, gated: bool) -> str:
+def _follow_release(simulation: ConsensusSimulation, gated: bool) -> str:
     """Start a release of all nodes, resume it wherever it halts, and return its last state."""
-    started = world.clock.now
+    started = simulation.clock.now
     policy = commands.RolloutPolicy(
         soak=SECOND, verdict_timeout=120 * SECOND, batch_timeout=20 * SECOND, gated=gated, margin=0.05
     )
     spec = VersionSpec("good r", "here")
-    order(world, commands.StartRelease("r", "asha", 0, spec, policy, list(world.instances)))
+    propose(simulation, commands.StartRelease("r", "asha", 0, spec, policy, list(simulation.instances)))
     state = ""
-    while world.clock.now < started + 600 * SECOND:
-        world.clock.run(world.clock.now + 200 * MS)
-        leader = leader_of(world)
+    while simulation.clock.now < started + 600 * SECOND:
+        simulation.clock.run(simulation.clock.now + 200 * MS)
+        leader = leader_of(simulation)
         if leader is None or leader.control_plane is None:
             continue
         found = leader.control_plane.state_machine.state.releases.get("r")  # type: ignore[attr-defined]
@@ -145,27 +156,27 @@
             continue
         state = found.state
         if state == "halted":
-            print_line(f"  halted: {found.why}; told to go on")
-            order(world, commands.ControlRelease("r", "asha", "resume"))
+            print_line(f"  halted: {found.why}; resumed")
+            propose(simulation, commands.ControlRelease("r", "asha", "resume"))
         if found.is_finished:
             break
     return str(state)
 
 
-def order(world: ConsensusSimulation, command: commands.Command) -> None:
+def propose(simulation: ConsensusSimulation, command: commands.Command) -> None:
     """Propose an operator's command to the leader."""
-    while (leader := leader_of(world)) is None or leader.control_plane is None:
-        world.clock.run(world.clock.now + 100 * MS)
-    _, steps = leader.control_plane.propose(leader.now(), command)
-    leader.replica.carry_out(steps)
+    while (leader := leader_of(simulation)) is None or leader.control_plane is None:
+        simulation.clock.run(simulation.clock.now + 100 * MS)
+    _, outputs = leader.control_plane.propose(leader.now(), command)
+    leader.replica.carry_out(outputs)
 
 
-def leader_of(world: ConsensusSimulation) -> SimulatedHost | None:
+def leader_of(simulation: ConsensusSimulation) -> SimulatedHost | None:
     """Return the host whose replica leads and holds its lease."""
     return next(
         (
             host
-            for host in world.hosts.values()
+            for host in simulation.hosts.values()
             if host.running
             and host.control_plane
             and isinstance(host.control_plane.extension, RolloutController)
@@ -183,7 +194,7 @@
         deaths=40,
         kills=8,
     )
-    found = {count: turns(count) for count in (1000, 10_000)}
+    found = {count: plan_durations(count) for count in (1000, 10_000)}
     for count, times in found.items():
         print_line(
             f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in times.items())
@@ -196,16 +207,16 @@
         print_line(
             f"{'with gates' if gated else 'batches alone'}: {run['state']} after {run['seconds']:.1f} s"
             f" simulated, {run['nodes']} changed, each out {run['out_s']:.2f} s in the median, at most"
-            f" {run['most']} of {BOUND * SITES} out; who knows all needs {run['best']:.1f} s;"
+            f" {run['most']} of {MAX_UNAVAILABLE * SITES} out; at best {run['best']:.1f} s;"
             f" {run['events']} events in {time.monotonic() - started:.0f} s"
         )
         for breach in run["breaches"]:
             print_line(breach)
     write_figures(arguments, {"machine": describe_machine(), "turns": found, "runs": runs})
     first = runs[0]
-    turn = found[10_000]["as many as may be"]
+    chosen = found[10_000]["as many as may be"]
     print_line(
-        f"plan: {turn:.1f} ms a turn at 10,000 instances; 1,000 nodes released in {first['seconds']:.1f} s,"
+        f"plan: {chosen:.1f} ms a turn at 10,000 instances; 1,000 nodes released in {first['seconds']:.1f} s,"
         f" {first['best'] / first['seconds']:.2f} of the best"
     )
     return 1 if any(run["breaches"] or run["state"] != "done" for run in runs) else 0
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -1,7 +1,7 @@
-"""Replicas and agents in simulated time under drawn schedules of faults: does any promise break?
+"""Replicas and agents in simulated time under drawn schedules of faults: is an invariant ever broken?
 
 `--count` schedules from `--seed` on, spread over the cores; with `--releases 1` each has one or two releases
-under way. A failing one is shrunk, kept in a file and can be played again with `--play FILE`.
+in progress. A failing one is shrunk, written to a file and can be replayed with `--play FILE`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class PlayedSchedule:
-    """What came of one drawn schedule."""
+    """Result of one drawn schedule."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Totals:
-    """What came of all schedules that were played so far."""
+    """Results of all schedules that were played so far."""
 
     played: int = 0
     events: int = 0
@@ -68,7 +68,7 @@
 
 
 def fails(schedule: Schedule) -> bool:
-    """Whether a schedule breaks a promise."""
+    """Return whether a schedule breaks an invariant."""
     try:
         return bool(play(schedule)[1])
     except Exception:
@@ -96,18 +96,18 @@
     return totals
 
 
-def keep_shrunk(schedule: Schedule, path: str) -> None:
-    """Shrink a failing schedule and keep it in a file."""
+def write_shrunk(schedule: Schedule, path: str) -> None:
+    """Shrink a failing schedule and write it to a file."""
     shrunk = shrink(schedule, fails)
     with open(path, "w", encoding="utf-8") as file:
         json.dump(shrunk.to_json(), file, indent=1)
-    print_line(f"the first, cut down to {len(shrunk.faults)} troubles, is in {path}:")
+    print_line(f"the first, cut down to {len(shrunk.faults)} faults, is in {path}:")
     for fault in shrunk.faults:
         print_line(f"  {fault}")
 
 
 def main() -> int:
-    """Play schedules as the command line says; the exit code is 1 where a promise broke."""
+    """Play schedules as the command line says; the exit code is 1 where an invariant broke."""
     arguments = parse_arguments(
         "Drawn schedules in simulated time.", count=600, seed=1, play="", out="schedule.json", releases=0
     )
@@ -117,7 +117,7 @@
     totals = play_all(range(arguments.seed, arguments.seed + arguments.count), releases)
     seconds = time.monotonic() - started
     if totals.broken:
-        keep_shrunk(drawn(totals.broken[0][0], releases), arguments.out)
+        write_shrunk(drawn(totals.broken[0][0], releases), arguments.out)
     figures = {
         "machine": describe_machine(),
         "played": arguments.count,
