--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -152,25 +152,25 @@
         self.permit_holder = PermitHolder(self.name, self.things, self.random.getrandbits(40))
         self.permit_holder.restore(saved.epoch, saved.places, saved.generations)
         if fresh:
-            instances = [Instance(name, "site", since=now) for name in self.things]
+            instances = [Instance(name, "site", phase_since=now) for name in self.things]
             self.supervision = Supervisor(instances, PATIENCE, {}, self.random.getrandbits(40), self.now)
             self.orders = OrderRegistry(self.supervision, self.now, permit_holder=self.permit_holder)
         else:
             self.orders = pickle.loads(saved.orders)
-            self.supervision = self.orders.supervision
-            self.supervision.unix = self.orders.unix = self.now
+            self.supervision = self.orders.supervisor
+            self.supervision.unix_time = self.orders.unix_time = self.now
             self.orders.permit_holder = self.permit_holder
-        self.reconciler = Reconciler(self.supervision, self.orders, self.permit_holder, block=8)
-        self.reconciler.fitting.restore(dict(saved.versions), {}, {})
+        self.reconciler = Reconciler(self.supervision, self.orders, self.permit_holder, generation_block=8)
+        self.reconciler.assignments.restore(dict(saved.versions), {}, {})
         if fresh:
-            self.reconciler.lost_file()
+            self.reconciler.state_file_lost()
         for each in self.supervision.instances:
-            each.since = each.since if fresh else now
+            each.phase_since = each.phase_since if fresh else now
             process = self.processes.get(each.name)
             if process:
-                self.supervision.taken_up(now, each, process.generation)
+                self.supervision.process_adopted(now, each, process.generation)
             else:
-                self.supervision.found_none(now, each, each.born)
+                self.supervision.process_not_found(now, each, each.process_generation)
 
     def kill(self) -> None:
         """Its agent and keeper, by SIGKILL; its instances go on."""
@@ -259,10 +259,12 @@
             if process:
                 up = self.world.clock.now >= process.up_at
                 state = "draining" if process.leaving else "serving" if up else "cold"
-                self.supervision.heard(now, each, state, process.generation, self._report(process, state))
+                self.supervision.report_received(
+                    now, each, state, process.generation, self._report(process, state)
+                )
         if now - self.polled_at >= POLL:
             self.polled_at = now
-            self.world.poll(self, self.reconciler.poll(now), now)
+            self.world.poll(self, self.reconciler.build_heartbeat(now), now)
         self.act(now)
         self.world.clock.after(TURN, self._turn, lives)
 
@@ -285,18 +287,18 @@
         )
 
     def act(self, now: int) -> None:
-        for copy in self.reconciler.fitting.to_prepare():
+        for copy in self.reconciler.assignments.to_prepare():
             self.world.clock.after(self.random.randrange(50 * MS, 300 * MS), self._prepared, copy, self.lives)
         if not self.full:
             self.orders.advance(now)
-        steps = self.orders.hold_back(now, self.supervision.tick(now))
+        steps = self.orders.permitted_steps(now, self.supervision.tick(now))
         if self.full:  # what is not kept is not done
             for step in steps:
-                if step.act is Action.START and step.instance.part is not None:
-                    self.supervision.never_there(now, step.instance)
-                elif step.act in (Action.TERM, Action.LEAVE) and step.instance.part is not None:
-                    step.instance.left_at, step.instance.part.sent = 0, False
-            steps = [step for step in steps if step.instance.part is None and step.act is not Action.START]
+                if step.action is Action.START and step.instance.task is not None:
+                    self.supervision.start_abandoned(now, step.instance)
+                elif step.action in (Action.TERM, Action.DRAIN) and step.instance.task is not None:
+                    step.instance.drain_sent_at, step.instance.task.drain_sent = 0, False
+            steps = [step for step in steps if step.instance.task is None and step.action is not Action.START]
         else:
             self._save()
         for step in steps:
@@ -308,23 +310,23 @@
         if lives == self.lives:
             why = "it can't be run here" if copy.what.program == "bad" and self.random.random() < 0.5 else ""
             bases = {thing: f"base {thing}" for thing in copy.things}
-            self.reconciler.fitting.prepared(copy.release, why, bases)
+            self.reconciler.assignments.prepared(copy.release, why, bases)
 
     def _save(self) -> None:
         permit_holder, instances = self.permit_holder, self.supervision.instances
         if not (
             permit_holder.changed
             or self.orders.changed
-            or self.orders.dropped
-            or self.reconciler.fitting.changed
+            or self.orders.deleted
+            or self.reconciler.assignments.changed
             or any(each.dirty for each in instances)
         ):
             return
-        self.reconciler.fitting.changed = False
-        self.saved.versions = dict(self.reconciler.fitting.versions)
+        self.reconciler.assignments.changed = False
+        self.saved.versions = dict(self.reconciler.assignments.versions)
         for each in instances:
             each.dirty = False
-        self.orders.dropped.clear()
+        self.orders.deleted.clear()
         self.saved.epoch, self.saved.generations = permit_holder.epoch, dict(permit_holder.generations)
         self.saved.places = [
             (
@@ -338,30 +340,30 @@
         permit_holder.changed.clear()
         self.orders.changed.clear()
         orders, self.orders.permit_holder = self.orders, None
-        unix = orders.unix
-        orders.unix = orders.supervision.unix = int  # type: ignore[assignment]  # set again when it is loaded
+        unix = orders.unix_time
+        orders.unix_time = orders.supervisor.unix_time = int  # type: ignore[assignment]  # set again when it is loaded
         self.saved.orders = pickle.dumps(orders)
-        orders.unix = orders.supervision.unix = unix
+        orders.unix_time = orders.supervisor.unix_time = unix
         orders.permit_holder = permit_holder
 
     def _carry_out(self, step: Step) -> None:
         world, name, process = self.world, step.instance.name, self.processes.get(step.instance.name)
         true = world.clock.now
-        if step.act is Action.START and process is None:
-            generation = step.instance.born
+        if step.action is Action.START and process is None:
+            generation = step.instance.process_generation
             world.audit.started(true, name, generation)
-            version = self.reconciler.fitting.version(name)
+            version = self.reconciler.assignments.version(name)
             world.of_releases.started(true, name, version)
             started = Process(generation, true + self.random.randrange(100 * MS, 600 * MS), version)
-            self.processes[name], step.instance.ran = started, version
-            self.supervision.spawned(self.now(), step.instance)
+            self.processes[name], step.instance.running_version = started, version
+            self.supervision.process_started(self.now(), step.instance)
             if version.startswith("crash"):
                 world.clock.at(true + 50 * MS, self._ended, name, started, "exit code 3", True)
             else:
                 world.clock.at(started.up_at, self._up, name, started)
-        elif process and step.act in (Action.TERM, Action.LEAVE) and not process.leaving:
+        elif process and step.action in (Action.TERM, Action.DRAIN) and not process.leaving:
             held = self.permit_holder.places.get(name)
-            if step.instance.goal is Goal.DOWN or step.instance.part is not None:
+            if step.instance.goal is Goal.DOWN or step.instance.task is not None:
                 world.audit.left(
                     true, name, held.fence if held and held.begun else -1, held.ident if held else ""
                 )
@@ -369,10 +371,10 @@
                 world.audit.gone(true, name)
             process.leaving = true + self.random.randrange(100 * MS, 1500 * MS)
             world.clock.at(process.leaving, self._ended, name, process, "left")
-        elif process and step.act is Action.STAY and process.leaving:
+        elif process and step.action is Action.CANCEL_DRAIN and process.leaving:
             process.leaving = 0
             self._up(name, process)
-        elif process and step.act is Action.KILL:
+        elif process and step.action is Action.KILL:
             self._ended(name, process, "killed", True)
 
     def _up(self, name: str, process: Process) -> None:
@@ -395,7 +397,7 @@
             return self.waiting.append(lambda: self._died(name, how, lives))
         instance = next(each for each in self.supervision.instances if each.name == name)
         if name not in self.processes:
-            self.supervision.died(self.now(), instance, how)
+            self.supervision.process_exited(self.now(), instance, how)
 
     def answered(self, lives: int, sent_at: int, answer: HeartbeatResponse) -> None:
         if lives != self.lives:
@@ -404,7 +406,7 @@
             return self.waiting.append(lambda: self.answered(lives, sent_at, answer))
         now = self.now()
         if not self.full:
-            self.reconciler.answered(now, sent_at, answer)
+            self.reconciler.apply_response(now, sent_at, answer)
             if self.stop_in and any(place.good_for and not place.out for place in answer.places):
                 self.stopped = True
                 self.world.clock.after(self.stop_in, self.wake)
@@ -488,7 +490,7 @@
             self._deliver(source, to, self.hosts[to].heard, letter)
 
     def poll(self, host: SimulatedHost, poll: Heartbeat, sent_at: int) -> None:
-        leader, lives, waits = self.hosts[host.whom.name], host.lives, True
+        leader, lives, waits = self.hosts[host.whom.current], host.lives, True
 
         def asked() -> None:
             if not leader.running:
@@ -510,14 +512,14 @@
             nonlocal waits
             waits = False
             if host.lives == lives and answer.keepers:
-                host.whom.told(answer.keepers)
+                host.whom.set_voters(answer.keepers)
             host.answered(lives, sent_at, answer)
 
         def other(name: str) -> None:
             nonlocal waits
             if host.lives == lives and waits:
                 waits = False
-                host.whom.elsewhere(name)
+                host.whom.redirect(name)
 
         self._deliver(host.name, leader.name, asked)
         self.clock.after(ANSWER, other, "")
@@ -610,8 +612,8 @@
             self.order(commands.SetVoters(names, "asha"), "keepers")
         elif trouble.kind == "start" and host.running and not host.full:
             instance = next(each for each in host.supervision.instances if each.name == thing)
-            if instance.part is None and instance.phase in (Phase.STOPPED, Phase.FAILING):
-                host.supervision.want_up(host.now(), instance)
+            if instance.task is None and instance.phase in (Phase.STOPPED, Phase.FAILING):
+                host.supervision.order_start(host.now(), instance)
 
     # Troubles.
 
@@ -784,10 +786,10 @@
                     f"release {release.ident} is {release.state}, batch {release.batch}, {release.now}: {why}"
                 )
         for host in self.hosts.values():
-            for part in host.orders.executor:
-                order = ledger.held.orders.get(part.order.ident)
-                if part.open and part.order.verb is not Verb.START and not (order and order.open):
-                    found.append(f"{host.name}: a part of {part.order.ident} waits for nothing")
+            for part in host.orders.open_tasks:
+                order = ledger.held.orders.get(part.order.order_id)
+                if part.is_open and part.order.verb is not Verb.START and not (order and order.open):
+                    found.append(f"{host.name}: a part of {part.order.order_id} waits for nothing")
         return found
 
 
