--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -36,10 +36,10 @@
         steps = self.supervision.tick(self.now)
         spent += time.perf_counter_ns()
         for step in steps:
-            if step.action is Action.START:
-                self.supervision.process_started(self.now, step.instance)
+            if step.act is Action.START:
+                self.supervision.spawned(self.now, step.instance)
             else:
-                self.supervision.process_exited(self.now, step.instance, "told to")
+                self.supervision.died(self.now, step.instance, "told to")
         return spent
 
     def pass_time(self, by: int, state: str = "serving") -> int:
@@ -48,7 +48,7 @@
         spent = -time.perf_counter_ns()
         for each in self.instances:
             if each.alive and each.phase is not Phase.DRAINING:
-                self.supervision.report_received(self.now, each, state, each.process_generation, REPORT)
+                self.supervision.heard(self.now, each, state, each.born, REPORT)
         return spent + time.perf_counter_ns()
 
 
@@ -60,7 +60,7 @@
     for _ in range(30):
         reports.append(fleet.pass_time(100 * MS))
         quiet.append(fleet.turn())
-    order = fleet.orders.submit(
+    order = fleet.orders.take(
         fleet.now,
         "all",
         "asha",
@@ -69,15 +69,12 @@
         3600 * SECOND,
     )
     busy, worst, turns = [], 0, 0
-    while order.is_open:
+    while order.open:
         fleet.pass_time(100 * MS)
         busy.append(fleet.turn())
         worst = max(
             worst,
-            *(
-                fleet.supervision.unavailable[site] - fleet.supervision.max_unavailable[site]
-                for site in fleet.supervision.unavailable
-            ),
+            *(fleet.supervision.out[site] - fleet.supervision.away[site] for site in fleet.supervision.out),
         )
         turns += 1
     return {
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -11,8 +11,9 @@
 
 from oakkeel.agent.agent import LOG_LINES, Agent, new_seed, timeouts_of
 from oakkeel.log import EventLog
-from oakkeel.settings.fleet import SettingsError, read_fleet
+from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_agent_keys, read_keys
+from oakkeel.settings.types import SettingsError
 
 SOCKET_PATH = 107  # bytes that the path of a Unix socket may have
 
@@ -48,7 +49,7 @@
                 keys,
                 log,
                 new_seed(),
-                fair_sharing=fleet.fairness,
+                fairness=fleet.fairness,
                 fleet=fleet,
                 agent_keys=agent_keys,
             )
@@ -67,7 +68,7 @@
     try:
         fleet = read_fleet(settings)
         agents = {key.ident: key for key in read_agent_keys(fleet).values()}
-        agent.apply_settings(fleet, read_keys(fleet) | agents)
+        agent.take_settings(fleet, read_keys(fleet) | agents)
     except SettingsError as error:
         agent.log.error("settings_rejected", error=str(error))
 
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -23,7 +23,14 @@
     frame,
     read_frame,
 )
-from oakkeel.authentication.mac import NONCE, SECOND, AuthenticationError, Key, Role, ServerAuthenticator
+from oakkeel.authentication.mac import (
+    NONCE_BYTES,
+    SECOND,
+    AuthenticationError,
+    Key,
+    Role,
+    ServerAuthenticator,
+)
 from oakkeel.log import EventLog, fault
 
 Handler = Callable[[Key, messages.Request], messages.Response | Awaitable[messages.Response]]
@@ -42,10 +49,10 @@
 class ServerLimits:
     """Times in nanoseconds."""
 
-    connections: int = 64
-    timeout: int = 10 * SECOND  # for a whole message, and for an answer to be taken
+    links: int = 64
+    wait: int = 10 * SECOND  # for a whole message, and for an answer to be taken
     accepts: int = 16  # new links in one pass of the loop
-    rejection_log_interval: int = SECOND  # one line of the log in that time
+    refusals: int = SECOND  # one line of the log in that time
 
 
 class AgentServer:
@@ -55,12 +62,12 @@
         keys: Callable[[], dict[str, Key]],
         handler: Handler,
         log: EventLog,
-        limits: ServerLimits | None = None,
+        bounds: ServerLimits | None = None,
     ) -> None:
         """Raises OSError where the address can't be listened on. `keys` gives those that hold by now."""
-        self.keys, self.handler, self.log, self.limits = keys, handler, log, limits or ServerLimits()
-        self.connections: dict[IOStream, asyncio.Task] = {}  # the oldest first
-        self.rejection_logged_at = self.rejected = 0
+        self.keys, self.handler, self.log, self.bounds = keys, handler, log, bounds or ServerLimits()
+        self.links: dict[IOStream, asyncio.Task] = {}  # the oldest first
+        self.refused_at = self.refused = 0
         self.socket = socket.socket()
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.setblocking(False)
@@ -74,34 +81,34 @@
     def close(self) -> None:
         asyncio.get_running_loop().remove_reader(self.socket)
         self.socket.close()
-        for stream in list(self.connections):
+        for stream in list(self.links):
             stream.close()
 
     def _accept_some(self) -> None:
         with contextlib.suppress(OSError):
-            for _ in range(self.limits.accepts):
+            for _ in range(self.bounds.accepts):
                 accepted, _ = self.socket.accept()
                 accepted.setblocking(False)
-                if len(self.connections) >= self.limits.connections:  # the oldest had its time
-                    oldest = next(iter(self.connections))
-                    del self.connections[oldest]
+                if len(self.links) >= self.bounds.links:  # the oldest had its time
+                    oldest = next(iter(self.links))
+                    del self.links[oldest]
                     oldest.close()
                 stream = IOStream(accepted, max_buffer_size=MAX_FRAME_BYTES + 4)
-                self.connections[stream] = asyncio.ensure_future(self._serve(stream))
+                self.links[stream] = asyncio.ensure_future(self._serve(stream))
 
     async def _serve(self, stream: IOStream) -> None:
-        wait = self.limits.timeout / SECOND
+        wait = self.bounds.wait / SECOND
         try:
-            challenge = secrets.token_bytes(NONCE)
-            receiver = ServerAuthenticator(self.keys(), challenge, time.monotonic_ns(), self.limits.timeout)
+            challenge = secrets.token_bytes(NONCE_BYTES)
+            authenticator = ServerAuthenticator(self.keys(), challenge, time.monotonic_ns(), self.bounds.wait)
             stream.write(frame(HELLO + challenge))
             most = MAX_FRAME_BYTES
             while True:
                 content = await asyncio.wait_for(read_frame(stream, most), wait)
                 try:
-                    key, wish = receiver.open(time.monotonic_ns(), time.time_ns(), content)
+                    key, wish = authenticator.verify(time.monotonic_ns(), time.time_ns(), content)
                 except AuthenticationError as error:
-                    self._log_rejection(str(error))
+                    self._refuse(str(error))
                     await stream.write(frame(REFUSED))  # and no reason: a stranger learns nothing
                     return
                 if key.role is Role.AGENT:  # it has shown whose it is: keepers send each other more
@@ -109,19 +116,19 @@
                 answer = messages.encode(await self._answer(key, wish))
                 if len(answer) > MAX_RESPONSE_BYTES - 256:
                     answer = messages.encode(messages.ErrorResponse("the answer is too long; ask for less"))
-                written = stream.write(frame(receiver.seal(time.time_ns(), answer)))
+                written = stream.write(frame(authenticator.sign(time.time_ns(), answer)))
                 await asyncio.wait_for(asyncio.shield(written), wait)
         except (TimeoutError, StreamClosedError):
             pass
         except FrameError as error:
-            self._log_rejection(str(error))
+            self._refuse(str(error))
             with contextlib.suppress(StreamClosedError):
                 stream.write(frame(REFUSED))
         except Exception as error:  # one link must not end the agent
             self.log.error("agent_connection_failed", error=fault(error))
         finally:
             stream.close()
-            self.connections.pop(stream, None)
+            self.links.pop(stream, None)
 
     async def _answer(self, key: Key, content: bytes) -> messages.Response:
         try:
@@ -141,13 +148,10 @@
             self.log.error("agent_request_failed", operator=key.operator, error=fault(error))
             return messages.ErrorResponse("an error of the agent")
 
-    def _log_rejection(self, why: str) -> None:
+    def _refuse(self, why: str) -> None:
         """Told once a second at most, with how many there were."""
-        self.rejected += 1
+        self.refused += 1
         now = time.monotonic_ns()
-        if (
-            now - self.rejection_logged_at >= self.limits.rejection_log_interval
-            or not self.rejection_logged_at
-        ):
-            self.log.warning("message_rejected", error=why, refused=self.rejected)
-            self.rejection_logged_at, self.rejected = now, 0
+        if now - self.refused_at >= self.bounds.refusals or not self.refused_at:
+            self.log.warning("message_rejected", error=why, refused=self.refused)
+            self.refused_at, self.refused = now, 0
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -17,7 +17,7 @@
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption.messages import HeartbeatResponse
 from oakkeel.log import EventLog, fault
-from oakkeel.settings.fleet import Fleet, Service
+from oakkeel.settings.types import Fleet, Service
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -35,79 +35,79 @@
         keys: dict[str, Key],
         reconciler: Reconciler,
         log: EventLog,
-        on_response: Callable[[HeartbeatResponse], None],
+        heard: Callable[[HeartbeatResponse], None],
     ) -> None:
         """`heard` is called with each answer that was taken."""
-        assert fleet.keepers is not None
+        assert fleet.control_plane is not None
         self.fleet, self.name, self.key, self.reconciler, self.log = fleet, name, keys[name], reconciler, log
-        self.on_response = on_response
-        self.locator = LeaderLocator(fleet.keepers.hosts, (host.name for host in fleet.hosts))
+        self.heard = heard
+        self.whom = LeaderLocator(fleet.control_plane.hosts, (host.name for host in fleet.hosts))
         self.raft: RaftRuntime | None = None
-        self.clients: dict[str, AuthenticatedClient] = {}
-        self.last_response_at = 0  # monotonic; 0: never
+        self.links: dict[str, AuthenticatedClient] = {}
+        self.heard_at = 0  # monotonic; 0: never
         self.why = "not asked yet"
-        self.wake = asyncio.Event()
-        self.interval = max(POLL, POLL_EACH * len(fleet.hosts))
+        self.soon = asyncio.Event()
+        self.pause = max(POLL, POLL_EACH * len(fleet.hosts))
 
     @property
     def leader(self) -> str:
         """Whom it asks."""
-        return self.locator.current
+        return self.whom.name
 
     async def run(self) -> None:
         while True:
             try:
-                answer = await self._send_heartbeat()
+                answer = await self._ask()
                 if isinstance(answer, messages.NotLeaderResponse):
                     self.why = answer.why
-                    self.locator.redirect(answer.leader)
+                    self.whom.elsewhere(answer.leader)
                 elif not isinstance(answer, messages.HeartbeatAccepted):
                     self.why = getattr(answer, "why", "an answer to another question")
-                    self.locator.redirect("")
+                    self.whom.elsewhere("")
             except (LinkError, msgspec.MsgspecError) as error:
                 self.why = f"{self.leader}: {error}"
-                self.locator.redirect("")
+                self.whom.elsewhere("")
             except Exception as error:  # the agent lives on
                 self.log.error("heartbeat_failed", error=fault(error))
-            self.wake.clear()
+            self.soon.clear()
             try:
-                await asyncio.wait_for(self.wake.wait(), self.interval / SECOND)
+                await asyncio.wait_for(self.soon.wait(), self.pause / SECOND)
             except TimeoutError:
                 continue
             await asyncio.sleep(0.005)  # what changes at the same time goes along
 
-    async def _send_heartbeat(self) -> messages.Response:
+    async def _ask(self) -> messages.Response:
         sent_at = time.monotonic_ns()
-        poll = self.reconciler.build_heartbeat(sent_at)
+        poll = self.reconciler.poll(sent_at)
         if self.leader == self.name and self.raft:
-            answer = self.raft.receive_heartbeat(poll)
+            answer = self.raft.polled(poll)
         else:
-            if self.leader not in self.clients:
-                self.clients[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
+            if self.leader not in self.links:
+                self.links[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
             answer = messages.decode_response(
-                await self.clients[self.leader].ask(
+                await self.links[self.leader].request(
                     messages.encode(messages.HeartbeatRequest(poll)), ANSWER / SECOND
                 )
             )
         if isinstance(answer, messages.HeartbeatAccepted):
-            self._apply_response(sent_at, answer.response)
+            self._take(sent_at, answer.response)
         return answer
 
-    def _apply_response(self, sent_at: int, agreed: HeartbeatResponse) -> None:
+    def _take(self, sent_at: int, agreed: HeartbeatResponse) -> None:
         permit_holder = self.reconciler.permit_holder
-        self.reconciler.apply_response(time.monotonic_ns(), sent_at, agreed)
-        if permit_holder.why:
-            if permit_holder.why != self.why:
-                self.log.warning("heartbeat_response_rejected", error=permit_holder.why)
-            self.why = permit_holder.why
+        self.reconciler.answered(time.monotonic_ns(), sent_at, agreed)
+        if permit_holder.rejection_reason:
+            if permit_holder.rejection_reason != self.why:
+                self.log.warning("heartbeat_response_rejected", error=permit_holder.rejection_reason)
+            self.why = permit_holder.rejection_reason
             return
-        self.last_response_at, self.why = time.monotonic_ns(), ""
-        if agreed.keepers:
-            self.locator.set_voters(agreed.keepers)
-        self.on_response(agreed)
+        self.heard_at, self.why = time.monotonic_ns(), ""
+        if agreed.voters:
+            self.whom.told(agreed.voters)
+        self.heard(agreed)
 
     def close(self) -> None:
-        for link in self.clients.values():
+        for link in self.links.values():
             link.close()
 
 
@@ -122,7 +122,7 @@
         except (TimeoutError, OSError):
             pass
         was = below.up[service.name]
-        below.observe(service.name, up)
+        below.seen(service.name, up)
         if below.up[service.name] is not was:
             moved()
         await asyncio.sleep(PROBE / SECOND)
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -10,12 +10,12 @@
 from oakkeel.agent.raft_runtime import RaftRuntime
 from oakkeel.agent.status_reporter import StatusReporter
 from oakkeel.agent.supervisor import Supervisor
-from oakkeel.disruption.state_machine import Order as Agreed
+from oakkeel.disruption.state_machine import DisruptionOrder as Agreed
 from oakkeel.raft.leader import NEVER
-from oakkeel.raft.replica import NotLeaderError
+from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
-from oakkeel.settings.fleet import HostSettings
+from oakkeel.settings.types import HostSettings
 
 
 def host_status(
@@ -31,55 +31,51 @@
         host.site,
         now - started,
         time.time_ns(),
-        host.away,
-        supervision.unavailable[host.site],
+        host.max_unavailable,
+        supervision.out[host.site],
         notes,
         [_instance_status(now, each, pids.get(each, 0)) for each in supervision.instances],
     )
 
 
 def _instance_status(now: int, instance: Instance, pid: int) -> messages.InstanceStatus:
-    part, on = instance.task, None
+    part, on = instance.part, None
     if part is not None:
         on = messages.OpenOrder(
-            part.order.order_id,
-            part.order.operator,
-            part.order.verb.value,
-            part.state.value,
-            now - part.state_since,
+            part.order.ident, part.order.operator, part.order.verb.value, part.state.value, now - part.since
         )
     waits = instance.phase in (Phase.STOPPED, Phase.FAILING) and instance.goal is Goal.UP
     return messages.InstanceStatus(
         instance.name,
         instance.phase.value,
-        now - instance.phase_since,
+        now - instance.since,
         instance.goal.value,
         instance.generation,
-        instance.changed_at,
+        instance.changed,
         instance.changed_by,
         pid,
-        now - instance.last_report_at if instance.report else -1,
+        now - instance.heard if instance.report else -1,
         instance.report,
         on,
-        len(instance.crashes),
-        instance.restarts_exhausted,
-        max(0, instance.start_not_before - now) if waits else 0,
+        len(instance.deaths),
+        instance.resting,
+        max(0, instance.start_at - now) if waits else 0,
         instance.why,
     )
 
 
 def order_status(now: int, order: Order) -> messages.OrderStatus:
     parts = [
-        messages.TaskStatus(part.instance.name, part.state.value, max(0, now - part.state_since), part.why)
-        for part in order.tasks
+        messages.TaskStatus(part.instance.name, part.state.value, max(0, now - part.since), part.why)
+        for part in order.parts
     ]
     here = {part.instance for part in parts}
     parts += [
         messages.TaskStatus(name, "refused", 0, "no such instance here")
-        for name, _ in order.requested
+        for name, _ in order.asked
         if name not in here
     ]
-    return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, parts)
+    return messages.OrderStatus(order.ident, order.operator, order.verb.value, order.taken, parts)
 
 
 # The record.
@@ -88,17 +84,9 @@
 def raft_status(
     now: int, host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None
 ) -> messages.RaftStatus:
-    heard = (
-        now - status_reporter.last_response_at if status_reporter and status_reporter.last_response_at else -1
-    )
+    heard = now - status_reporter.heard_at if status_reporter and status_reporter.heard_at else -1
     if raft is None or raft.control_plane is None:
-        why = (
-            raft.storage_error
-            if raft
-            else status_reporter.why
-            if status_reporter
-            else "this fleet has no keepers"
-        )
+        why = raft.fault if raft else status_reporter.why if status_reporter else "this fleet has no keepers"
         return messages.RaftStatus(
             host,
             "none",
@@ -149,25 +137,32 @@
 def fleet_order_status(raft: RaftRuntime, order: Agreed) -> messages.FleetOrderStatus:
     places, hosts, owes = {}, {}, {}
     if raft.control_plane:
-        places = raft.control_plane.ledger.held.places
-        hosts = {thing: host for host, things in raft.topology.hosts.items() for thing in things}
+        places = raft.control_plane.state_machine.state.permits
+        hosts = {thing: host for host, things in raft.layout.hosts.items() for thing in things}
         if raft.control_plane.allocator:
             owes = {
                 thing: told
-                for host in raft.control_plane.allocator.hosts.values()
-                for thing, told in host.owes.items()
+                for host in raft.control_plane.allocator.sessions.values()
+                for thing, told in host.in_flight.items()
             }
     parts = []
-    for thing, part in order.parts.items():
+    for thing, part in order.tasks.items():
         place = places.get(thing)
-        fence = place.fence if place and place.ident == order.ident else 0
+        fence = place.fencing_token if place and place.order_id == order.id else 0
         parts.append(
             messages.FleetTaskStatus(
-                thing, hosts.get(thing, ""), part.state, part.why, fence, owes.get(thing, "")
+                thing, hosts.get(thing, ""), part.state, part.reason, fence, owes.get(thing, "")
             )
         )
     return messages.FleetOrderStatus(
-        order.ident, order.operator, order.verb, order.unix, order.whole, order.halted, order.cancelled, parts
+        order.id,
+        order.operator,
+        order.verb,
+        order.created_at,
+        order.atomic,
+        order.halted_by,
+        order.cancelled_by,
+        parts,
     )
 
 
@@ -178,29 +173,32 @@
         raise NotLeaderError(
             control_plane.replica.leader if control_plane and not control_plane.replica.leader_state else ""
         )
-    held, out = control_plane.ledger.held, control_plane.allocator.out
+    held, out = control_plane.state_machine.state, control_plane.allocator.unavailable
     if ident:
         if ident not in held.orders:
             return messages.ErrorResponse(f"there is no order {ident}")
         told = fleet_order_status(raft, held.orders[ident])
-        return messages.FleetStatus(control_plane.ledger.index, [], [], [told])
+        return messages.FleetStatus(control_plane.state_machine.index, [], [], [told])
     hosts = control_plane.allocator.host_of
     things = []
     for thing, reasons in sorted(out.reasons.items()):
-        place = held.places.get(thing)
+        place = held.permits.get(thing)
         things.append(
             messages.UnavailableTarget(
                 thing,
                 hosts.get(thing, ""),
                 sorted(reasons),
-                place.fence if place else 0,
-                place.ident if place else "",
+                place.fencing_token if place else 0,
+                place.order_id if place else "",
             )
         )
-    groups = [messages.BudgetUsage(name, out.counts[name], group.bound) for name, group in out.groups.items()]
+    groups = [
+        messages.BudgetUsage(name, out.counts[name], group.max_unavailable)
+        for name, group in out.groups.items()
+    ]
     latest = list(held.orders.values())[-50:]
     return messages.FleetStatus(
-        control_plane.ledger.index,
+        control_plane.state_machine.index,
         groups,
         things,
         [fleet_order_status(raft, each) for each in reversed(latest)],
@@ -214,18 +212,18 @@
         raise NotLeaderError(
             control_plane.replica.leader if control_plane and not control_plane.replica.leader_state else ""
         )
-    book, driver = control_plane.ledger, control_plane.above
+    book, driver = control_plane.state_machine, control_plane.extension
     assert isinstance(book, RolloutStateMachine) and isinstance(driver, RolloutController)
-    releases = book.held.releases
+    releases = book.state.releases
     release = releases.get(ident) if ident else book.open or next(reversed(releases.values()), None)
     if release is None:
         return messages.ErrorResponse(f"there is no release {ident}" if ident else "there was no release yet")
-    order = book.held.orders.get(release.order)
-    lease = book.held.leases.get(LEASE)
+    order = book.state.orders.get(release.order)
+    lease = book.state.leases.get(LEASE)
     parts = []
     for thing, part in release.parts.items():
         seen = driver.seen.get(thing)
-        why = order.parts[thing].why if order and thing in order.parts and thing in release.now else ""
+        why = order.tasks[thing].reason if order and thing in order.tasks and thing in release.now else ""
         parts.append(
             messages.ReleaseTargetStatus(
                 thing,
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -55,17 +55,17 @@
                 (
                     each.name,
                     each.generation,
-                    each.changed_at,
+                    each.changed,
                     each.changed_by,
-                    each.process_generation,
+                    each.born,
                     each.spawned,
                     each.goal.value,
                     each.phase.value,
-                    each.kill_after_drain,
-                    each.start_not_before,
+                    each.kill,
+                    each.start_at,
                     each.failures,
-                    json.dumps(list(each.crashes)),
-                    each.restarts_exhausted,
+                    json.dumps(list(each.deaths)),
+                    each.resting,
                     each.why,
                 ),
             )
@@ -75,27 +75,27 @@
             (
                 PUT_ORDER,
                 (
-                    order.order_id,
+                    order.ident,
                     order.operator,
                     order.verb.value,
-                    order.accepted_at,
-                    order.expires_at,
-                    json.dumps(order.requested),
+                    order.taken,
+                    order.expires,
+                    json.dumps(order.asked),
                 ),
             )
         )
-        for part in order.tasks:
+        for part in order.parts:
             rows.append(
                 (
                     PUT_PART,
                     (
-                        order.order_id,
+                        order.ident,
                         part.instance.name,
                         part.generation,
                         part.state.value,
-                        part.state_since,
+                        part.since,
                         part.why,
-                        part.replaces_generation,
+                        part.replaces,
                     ),
                 )
             )
@@ -114,28 +114,24 @@
         (
             _,
             each.generation,
-            each.changed_at,
+            each.changed,
             each.changed_by,
-            each.process_generation,
+            each.born,
             spawned,
             goal,
             phase,
             kill,
-            each.start_not_before,
+            each.start_at,
             each.failures,
             deaths,
             resting,
             each.why,
         ) = row
-        each.spawned, each.kill_after_drain, each.restarts_exhausted = (
-            bool(spawned),
-            bool(kill),
-            bool(resting),
-        )
-        each.goal, each.phase, each.crashes = Goal(goal), Phase(phase), deque(json.loads(deaths))
+        each.spawned, each.kill, each.resting = bool(spawned), bool(kill), bool(resting)
+        each.goal, each.phase, each.deaths = Goal(goal), Phase(phase), deque(json.loads(deaths))
         if not same_boot:
-            each.start_not_before, each.failures, each.restarts_exhausted = 0, 0, False
-            each.crashes.clear()
+            each.start_at, each.failures, each.resting = 0, 0, False
+            each.deaths.clear()
 
 
 def restore_orders(store: Database, orders: OrderRegistry) -> None:
@@ -147,9 +143,9 @@
         pairs = tuple((name, generation) for name, generation in json.loads(asked))
         found[ident] = Order(ident, operator, Verb(verb), taken, expires, pairs)
     for ident, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
-        instance = orders.instances.get(name)
+        instance = orders.named.get(name)
         if instance is not None and ident in found:
-            found[ident].tasks.append(
+            found[ident].parts.append(
                 Task(found[ident], instance, generation, TaskState(state), since, why, replaces)
             )
     orders.restore(list(found.values()))
@@ -159,15 +155,15 @@
     """The fences and places that changed, and the record that they are of."""
     rows: list[Statement] = []
     for thing in sorted(permit_holder.changed):
-        held = permit_holder.places.get(thing)
+        held = permit_holder.permits.get(thing)
         rows.append(
             (
                 PUT_PERMIT,
                 (
                     thing,
-                    permit_holder.floors.get(thing, 0),
-                    held.ident if held else "",
-                    bool(held and held.begun),
+                    permit_holder.highest_tokens.get(thing, 0),
+                    held.order_id if held else "",
+                    bool(held and held.started),
                 ),
             )
         )
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -19,10 +19,10 @@
 WITH_BODY = frozenset({(1, b"DATA")})
 REPLIES = {
     b"DATA": Outcome.COMPLETED,
-    b"LATER": Outcome.DENIED,
+    b"LATER": Outcome.REJECTED,
     b"FAULT": Outcome.ERROR,
-    b"TOOSLOW": Outcome.GIVEN_UP,
-    b"NOUSE": Outcome.MOOT,
+    b"TOOSLOW": Outcome.TIMED_OUT,
+    b"NOUSE": Outcome.NEVER_STARTED,
 }
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, request: NodeRequest, link: CallLink, until: int) -> None:
         self.request, self.link, self.placed = request, link, time.monotonic_ns()
-        wait = (until - self.placed + link.bounds.call_slack) / SECOND
+        wait = (until - self.placed + link.resource_limits.call_timeout_slack) / SECOND
         self.timer = asyncio.get_running_loop().call_later(wait, self.give_up)
 
     def end(self, outcome: Outcome | None, reply: bytes = b"") -> None:
@@ -45,13 +45,13 @@
             self.request.post(CallFinished(outcome, reply, self.link.used - self.placed))
         self.link.leave()
 
-    def give_up(self, outcome: Outcome | None = Outcome.GIVEN_UP) -> None:
+    def give_up(self, outcome: Outcome | None = Outcome.TIMED_OUT) -> None:
         """A link on which a call went unanswered may be of no use any more: it takes no other."""
         if self.link.early.pop(self.request.request_id, None) is None:
             self.link.spent = True
             self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
-            outcome = Outcome.UNREACHED  # it never left
+            outcome = Outcome.CONNECT_FAILED  # it never left
         self.end(outcome)
 
 
@@ -59,15 +59,15 @@
     """One connection, with the calls that are on it."""
 
     def __init__(
-        self, address: tuple[str, int], pool: BufferPool, bounds: ResourceLimits, log: EventLog
+        self, address: tuple[str, int], pool: BufferPool, resource_limits: ResourceLimits, log: EventLog
     ) -> None:
-        self.address, self.bounds, self.log = address, bounds, log
+        self.address, self.resource_limits, self.log = address, resource_limits, log
         self.calls: dict[bytes, Call] = {}
         self.connected = False
         self.spent = False  # it takes no more calls, and ends with its last one
         self.surplus = 0  # replies that nobody waited for
         self.used = time.monotonic_ns()
-        self.stream = IOStream(socket.socket(), max_write_buffer_size=bounds.backlog)
+        self.stream = IOStream(socket.socket(), max_write_buffer_size=resource_limits.max_write_backlog)
         self.read_buffer = ReadBuffer(pool)
         self.early: dict[bytes, bytes] = {}  # calls placed while it connects, by exchange
         self.partial: asyncio.TimerHandle | None = None  # ends a link whose reply does not
@@ -80,7 +80,7 @@
             for line in self.early.values():
                 self.write(line)
             self.early.clear()
-            parser = LineParser(self.read_buffer, WITH_BODY, self.bounds.words)
+            parser = LineParser(self.read_buffer, WITH_BODY, self.resource_limits.max_tokens)
             while True:
                 await self.read_buffer.fill(self.stream)
                 taken = False
@@ -99,7 +99,7 @@
             if self.partial:
                 self.partial.cancel()
             # One that was never connected carried nothing; one that broke proves nothing.
-            outcome = Outcome.RESET if self.connected else Outcome.UNREACHED
+            outcome = Outcome.RESET if self.connected else Outcome.CONNECT_FAILED
             for call in list(self.calls.values()):
                 call.end(outcome)
 
@@ -111,7 +111,7 @@
         # A second copy, or one to nobody: the others still get theirs here, but no new call does.
         self.spent = True
         self.surplus += 1
-        if self.surplus > self.bounds.call_surplus:
+        if self.surplus > self.resource_limits.max_surplus_replies:
             raise MalformedInputError("replies that nobody waits for")
         self.leave()
 
@@ -122,7 +122,7 @@
             self.partial.cancel()
             self.partial = None
         if not whole and not self.partial:
-            wait = self.bounds.call_partial / SECOND
+            wait = self.resource_limits.call_reply_timeout / SECOND
             self.partial = asyncio.get_running_loop().call_later(wait, self.stream.close)
 
     def place(self, request_id: bytes, line: bytes) -> None:
@@ -144,16 +144,20 @@
     """The links, opened as calls need them: one call each, so that what breaks on one costs no other."""
 
     def __init__(
-        self, address: tuple[str, int] | None, pool: BufferPool, bounds: ResourceLimits, log: EventLog
+        self,
+        address: tuple[str, int] | None,
+        pool: BufferPool,
+        resource_limits: ResourceLimits,
+        log: EventLog,
     ) -> None:
-        self.address, self.pool, self.bounds, self.log = address, pool, bounds, log
+        self.address, self.pool, self.resource_limits, self.log = address, pool, resource_limits, log
         self.links: list[CallLink] = []
 
     def fetch(self, request: NodeRequest, until: int, body: bytes) -> None:
         """Place the call that its run waits for; `CallFinished` tells how it ended."""
         link = self._link(request)
         if link is None:
-            return request.post(CallFinished(Outcome.UNREACHED, b"", 0))
+            return request.post(CallFinished(Outcome.CONNECT_FAILED, b"", 0))
         request.call = link.calls[request.request_id] = Call(request, link, until)
         request.used_links.append(link)
         wait_ms = max(1, (until - request.call.placed) // MS)
@@ -189,9 +193,9 @@
             link.spent = True  # its end, or bytes that no call is owed, came since the loop last looked
             link.leave()
             usable.remove(link)
-        if len(self.links) < self.bounds.call_links:
+        if len(self.links) < self.resource_limits.max_call_links:
             try:
-                self.links.append(CallLink(self.address, self.pool, self.bounds, self.log))
+                self.links.append(CallLink(self.address, self.pool, self.resource_limits, self.log))
                 return self.links[-1]
             except (OSError, MemoryError) as error:  # no descriptor or buffer is left: a busy one takes it
                 self.log.warning("catalogue_connect_failed", error=str(error))
@@ -202,7 +206,7 @@
         forgotten it: no call meets that."""
         now = time.monotonic_ns()
         for link in list(self.links):
-            if not link.calls and now - link.used > self.bounds.call_idle:
+            if not link.calls and now - link.used > self.resource_limits.call_idle_timeout:
                 link.stream.close()
             if link.stream.closed():
                 self.links.remove(link)
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -22,7 +22,7 @@
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentClients, NoLeaderError
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of
+from oakkeel.settings.keys import read_operator_key
 
 WAIT = 30.0  # seconds, for what must come
 
@@ -54,7 +54,7 @@
         site = self.site
         await site.open()
         self.fleet = read_fleet(site.settings)
-        self.asker = AgentClients(self.fleet, key_of(self.fleet, "asha"))
+        self.asker = AgentClients(self.fleet, read_operator_key(self.fleet, "asha"))
         for source in site.hosts:
             ports = {}
             for to in site.hosts:
@@ -95,7 +95,7 @@
         for host, names in self.site.hosts.items():
             processes = Processes(self.state(host), lambda process, why: None)
             for name in names:
-                if processes.is_running(name) and (process := processes.adopt(name)):
+                if processes.holds(name) and (process := processes.take_up(name)):
                     processes.signal(process, signal.SIGCONT)
                     processes.signal(process, signal.SIGKILL)
             processes.close()
@@ -127,7 +127,7 @@
     def kill_node(self, name: str) -> None:
         host = next(host for host, names in self.site.hosts.items() if name in names)
         processes = Processes(self.state(host), lambda process, why: None)
-        if processes.is_running(name) and (process := processes.adopt(name)):
+        if processes.holds(name) and (process := processes.take_up(name)):
             self.say(f"kill {name}")
             with open(os.path.join(self.state(host), f"{name}.journal"), "a", encoding="ascii") as file:
                 file.write(f"killed {process.generation} {process.pid} {time.monotonic_ns()}\n")
@@ -217,7 +217,9 @@
     # What is seen.
 
     async def records(self) -> dict[str, messages.RaftStatus]:
-        answers, _ = await self.asker.ask({host: messages.RaftStatusRequest() for host in self.site.hosts})
+        answers, _ = await self.asker.request_each(
+            {host: messages.RaftStatusRequest() for host in self.site.hosts}
+        )
         return {host: each for host, each in answers.items() if isinstance(each, messages.RaftStatus)}
 
     async def leader(self, but: Iterable[str] = (), wait: float = WAIT) -> str:
@@ -241,17 +243,19 @@
     ) -> messages.Response:
         """For the generations told by now; 0 for services and what nobody tells of. Raises NoLeader."""
         known = generations or await self.generations()
-        return await self.asker.ask_leader(
+        return await self.asker.request_leader(
             messages.FleetOrderRequest(
                 ident, verb, [(name, known.get(name, 0)) for name in names], int(lasts * 1e9), whole
             )
         )
 
     async def end_order(self, ident: str, back: bool) -> messages.Response:
-        return await self.asker.ask_leader(messages.EndFleetOrderRequest(ident, back))
+        return await self.asker.request_leader(messages.EndFleetOrderRequest(ident, back))
 
     async def look(self) -> dict[str, messages.InstanceStatus]:
-        answers, _ = await self.asker.ask({host: messages.HostStatusRequest() for host in self.site.hosts})
+        answers, _ = await self.asker.request_each(
+            {host: messages.HostStatusRequest() for host in self.site.hosts}
+        )
         return {
             each.name: each
             for answer in answers.values()
@@ -263,7 +267,7 @@
         return {name: told.generation for name, told in (await self.look()).items()}
 
     async def state_of(self, ident: str = "") -> messages.FleetStatus:
-        answer = await self.asker.ask_leader(messages.FleetStatusRequest(ident))
+        answer = await self.asker.request_leader(messages.FleetStatusRequest(ident))
         assert isinstance(answer, messages.FleetStatus), answer
         return answer
 
--- a/oakkeel/rendering/rollout.py
+++ b/oakkeel/rendering/rollout.py
@@ -11,40 +11,52 @@
 from rich.text import Text
 
 from oakkeel.agent import messages
-from oakkeel.rendering.times import span
+from oakkeel.rendering.tables import plain_table
+from oakkeel.rendering.times import format_age
 
-COLOURS = {"old": "", "changing": "yellow", "new": "green"}
-OF_STATES = {"done": "green", "undone": "cyan", "halted": "red", "left": "yellow", "paused": "yellow"}
+TARGET_STYLES = {"old": "", "changing": "yellow", "new": "green"}
+RELEASE_STYLES = {"done": "green", "undone": "cyan", "halted": "red", "left": "yellow", "paused": "yellow"}
+OTHER_RELEASE_STYLE = "cyan"
+VERSION_LENGTH = 12  # characters of a hash, in the heading
+RUNNING_LENGTH = 8  # in the table
 
 
-def release_table(told: messages.ReleaseStatus) -> Group:
-    states = Counter(part.state for part in told.targets)
-    colour = OF_STATES.get(told.state, "cyan")
+def release_table(release: messages.ReleaseStatus) -> Group:
+    """Return some lines on a release, and a table with a line for each of its targets."""
+    lines = (Text.from_markup(line) for line in _heading(release))
+    return Group(*lines, _targets_table(release))
+
+
+def _heading(release: messages.ReleaseStatus) -> list[str]:
+    states = Counter(target.state for target in release.targets)
+    style = RELEASE_STYLES.get(release.state, OTHER_RELEASE_STYLE)
+    counts = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
     lines = [
-        f"release {told.release_id} of {told.version.version[:12]} by {told.operator},"
-        f" {span(time.time_ns() - told.unix_time)} ago: [{colour}]{told.state}[/], "
-        + ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
+        f"release {release.release_id} of {release.version.version[:VERSION_LENGTH]} by {release.operator},"
+        f" {format_age(time.time_ns() - release.unix_time)}: [{style}]{release.state}[/], {counts}"
     ]
-    if told.why:
-        lines.append(f"because: {escape(told.why)}")
-    if told.waiting_for:
-        lines.append(f"waits: {escape(told.waiting_for)}")
-    if told.gate_summary:
-        lines.append(f"gates: {told.gate_summary}")
-    if told.controller:
-        lines.append(f"driven by {told.controller}, step {told.step}, batch {told.batch}")
-    table = Table(box=None, header_style="bold", pad_edge=False)
-    for column in ("thing", "host", "version", "runs", "phase", "known", "remarks"):
-        table.add_column(column)
-    for part in sorted(told.targets, key=lambda each: each.target):
-        colour = COLOURS.get(part.state, "")
+    if release.why:
+        lines.append(f"because: {escape(release.why)}")
+    if release.waiting_for:
+        lines.append(f"waits: {escape(release.waiting_for)}")
+    if release.gate_summary:
+        lines.append(f"gates: {release.gate_summary}")
+    if release.controller:
+        lines.append(f"driven by {release.controller}, step {release.step}, batch {release.batch}")
+    return lines
+
+
+def _targets_table(release: messages.ReleaseStatus) -> Table:
+    table = plain_table("thing", "host", "version", "runs", "phase", "known", "remarks")
+    for target in sorted(release.targets, key=lambda target: target.target):
+        style = TARGET_STYLES.get(target.state, "")
         table.add_row(
-            part.target,
-            part.host,
-            f"[{colour}]{part.state}[/]" if colour else part.state,
-            part.running_version[:8] or "as set",
-            part.phase,
-            f"{span(part.report_age)} ago" if part.report_age >= 0 else "-",
-            part.why,
+            target.target,
+            target.host,
+            f"[{style}]{target.state}[/]" if style else target.state,
+            target.running_version[:RUNNING_LENGTH] or "as set",
+            target.phase,
+            format_age(target.report_age) if target.report_age >= 0 else "-",
+            target.why,
         )
-    return Group(*(Text.from_markup(line) for line in lines), table)
+    return table
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -28,7 +28,7 @@
 from oakkeel.fleet.view import FleetView
 from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
-from oakkeel.settings.keys import key_of, read_keys, write_key
+from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.store.database import Database, DatabaseError
 
 WAIT = 20.0
@@ -49,7 +49,10 @@
         self.fleet = read_fleet(self.site.settings)
         self.host = self.fleet.hosts[0]
         self.said = io.StringIO()
-        self.agents, self.view = AgentClients(self.fleet, key_of(self.fleet, "asha")), FleetView(self.fleet)
+        self.agents, self.view = (
+            AgentClients(self.fleet, read_operator_key(self.fleet, "asha")),
+            FleetView(self.fleet),
+        )
         self.addAsyncCleanup(self.end_all)
 
     async def end_all(self) -> None:
@@ -57,7 +60,7 @@
         os.makedirs(self.host.state, exist_ok=True)
         processes = Processes(self.host.state, lambda process, why: None)
         for name in ("n1", "n2", "n3"):
-            if processes.is_running(name) and (process := processes.adopt(name)):
+            if processes.holds(name) and (process := processes.take_up(name)):
                 processes.signal(process, signal.SIGCONT)
                 processes.signal(process, signal.SIGKILL)
         processes.close()
@@ -94,7 +97,7 @@
         return agent
 
     async def leave(self, agent: Agent, task: asyncio.Task | None = None) -> None:
-        agent.stop_requested.set()
+        agent.done.set()
         await asyncio.wait((task or agent.task,))
 
     async def until(self, done, what: str = "") -> None:
@@ -105,13 +108,15 @@
             await asyncio.sleep(0.01)
 
     async def serving(self, agent: Agent) -> None:
-        await self.until(lambda: all(each.phase is Phase.SERVING for each in agent.supervisor.instances))
+        await self.until(lambda: all(each.phase is Phase.SERVING for each in agent.supervision.instances))
 
     def of(self, agent: Agent, name: str):
-        return agent.orders.instances[name]
+        return agent.orders.named[name]
 
     async def ask(self, wish: messages.Request, operator: str = "asha") -> messages.Response:
-        return await asyncio.wait_for(request_once(self.host.agent, key_of(self.fleet, operator), wish), WAIT)
+        return await asyncio.wait_for(
+            request_once(self.host.agent, read_operator_key(self.fleet, operator), wish), WAIT
+        )
 
     async def order(
         self,
@@ -149,7 +154,7 @@
     async def test_instances_are_started_watched_and_told_with_their_ages(self):
         agent = await self.agent()
         await self.serving(agent)
-        await self.agents.look(self.view)
+        await self.agents.refresh(self.view)
         rows = self.view.rows(time.monotonic_ns())
         self.assertEqual(
             [(row.name, row.shown) for row in rows], [("n1", "serving"), ("n2", "serving"), ("n3", "serving")]
@@ -187,14 +192,14 @@
         await self.serving(agent)
         n1 = self.of(agent, "n1")
         agent.processes.signal(agent.alive[n1], signal.SIGKILL)
-        await self.until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
+        await self.until(lambda: n1.born == 2 and n1.phase is Phase.SERVING)
         self.assertIn('how="killed by SIGKILL"', self.said.getvalue())
 
     async def test_a_crash_loop_rests_and_the_others_serve(self):
         self.script("n1", "crash")
         agent = await self.agent(SupervisionTimeouts(backoff=10 * MS, budget=3, silent=400 * MS))
         n1 = self.of(agent, "n1")
-        await self.until(lambda: n1.restarts_exhausted)
+        await self.until(lambda: n1.resting)
         count = len(self.starts("n1"))
         await self.until(lambda: self.of(agent, "n2").phase is Phase.SERVING)
         self.assertEqual((count, len(self.starts("n1"))), (4, 4))
@@ -210,7 +215,7 @@
         with subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) as stranger:
             with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
                 file.write(f"{stranger.pid} 1\n")
-            self.assertIsNone(agent.processes.adopt("n1"))  # it does not hold the lock
+            self.assertIsNone(agent.processes.take_up("n1"))  # it does not hold the lock
             pidfd = os.pidfd_open(stranger.pid)
             again = Process("n1", stranger.pid, started(stranger.pid) - 1, 1, pidfd)
             agent.processes.watched[pidfd] = again
@@ -251,7 +256,7 @@
         await self.leave(agent)
         os.kill(pids["n3"], signal.SIGKILL)
         again = await self.agent()
-        await self.until(lambda: self.of(again, "n3").process_generation == 2)
+        await self.until(lambda: self.of(again, "n3").born == 2)
         await self.serving(again)
         self.assertEqual(
             [again.alive[self.of(again, name)].pid for name in ("n1", "n2")], [pids["n1"], pids["n2"]]
@@ -291,8 +296,8 @@
         await self.serving(agent)
         await self.order("restart", "n1", "n2", "n3")
         worst = 0
-        while agent.orders.orders["o1"].is_open:
-            worst = max(worst, agent.supervisor.unavailable["woodbrook"])
+        while agent.orders.orders["o1"].open:
+            worst = max(worst, agent.supervision.out["woodbrook"])
             await asyncio.sleep(0.005)
         self.assertEqual(worst, 1)
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1, 3]])
@@ -325,7 +330,7 @@
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
-        store.base.execute("PRAGMA max_page_count = 1")  # as full as it can be
+        store.connection.execute("PRAGMA max_page_count = 1")  # as full as it can be
         for number in range(200):  # until what is free in the pages that it has is used up
             generation = await self.generation("n2")
             answer = await self.ask(
@@ -338,10 +343,10 @@
         with mock.patch.object(store, "write", side_effect=DatabaseError("database or disk is full")):
             n1 = self.of(agent, "n1")
             agent.processes.signal(agent.alive[n1], signal.SIGKILL)
-            await self.until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
+            await self.until(lambda: n1.born == 2 and n1.phase is Phase.SERVING)
             self.assertIn("orders wait", (await self.ask(messages.HostStatusRequest())).notes[0])
-        store.base.execute("PRAGMA max_page_count = 10000")
-        await self.until(lambda: not agent.storage_error)
+        store.connection.execute("PRAGMA max_page_count = 10000")
+        await self.until(lambda: not agent.store_fault)
         await self.order("restart", "n2", ident="later")
         self.assertEqual(await self.ended("later"), {"n2": "done"})
 
@@ -350,7 +355,7 @@
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
-        store.base.execute("PRAGMA query_only = 1")
+        store.connection.execute("PRAGMA query_only = 1")
         answer = await self.ask(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
         self.assertIn("readonly", getattr(answer, "why", ""))
         self.assertEqual((self.of(agent, "n1").generation, self.of(agent, "n1").phase), (1, Phase.SERVING))
@@ -377,7 +382,7 @@
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         fleet = read_fleet(site.settings)
-        host, key = fleet.hosts[0], key_of(fleet, "asha")
+        host, key = fleet.hosts[0], read_operator_key(fleet, "asha")
         crash, died, agent = step, False, None
         try:
             end, taken = time.monotonic() + 2 * WAIT, False
@@ -425,7 +430,7 @@
                 agent.kill()
                 await agent.wait()
             processes = Processes(host.state, lambda process, why: None)
-            if process := processes.adopt("n1"):
+            if process := processes.take_up("n1"):
                 processes.signal(process, signal.SIGKILL)
             processes.close()
 
@@ -489,13 +494,13 @@
             writer.write(b"\x00\x00")
         for _ in range(10):
             self.assertIsInstance(await self.ask(messages.HostStatusRequest()), messages.HostStatus)
-        self.assertLessEqual(len(agent.server.connections), agent.server.limits.connections)
+        self.assertLessEqual(len(agent.door.links), agent.door.bounds.links)
         for _, writer in half:
             writer.close()
 
     async def test_keys_change_while_it_serves_and_the_old_one_goes_with_the_settings(self):
         agent = await self.agent()
-        old = key_of(self.fleet, "asha")
+        old = read_operator_key(self.fleet, "asha")
         write_key(os.path.join(self.folder, "asha-2.key"), os.urandom(32))
         two = (
             '<operator name="asha" role="act"><key id="asha-1" file="asha.key"/>'
@@ -569,7 +574,7 @@
 
         server = await asyncio.start_server(late, *self.host.agent)
         began = time.monotonic()
-        await self.agents.look(self.view, deadline=300 * MS)
+        await self.agents.refresh(self.view, deadline=300 * MS)
         self.assertLess(time.monotonic() - began, 0.5)
         self.assertEqual(self.view.rows(0)[0].shown, "unknown")
         self.assertIn("did not answer", self.view.notes()[0])
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -9,8 +9,9 @@
 
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.topology import UnavailableTargets
-from oakkeel.emulator.consensus import play, smallest
+from oakkeel.emulator.consensus import play
 from oakkeel.emulator.faults import SECOND, Fault, Schedule, draw, read
+from oakkeel.emulator.schedule_shrinking import shrink
 from oakkeel.invariants.consensus import ConsensusAudit
 
 
@@ -50,7 +51,7 @@
     def test_the_same_schedule_plays_the_same_again_also_from_a_file_and_in_another_process(self):
         schedule = draw(3)
         first, second = play(schedule)[0], play(read(schedule.told()))[0]
-        self.assertEqual((first.clock.happened, first.said), (second.clock.happened, second.said))
+        self.assertEqual((first.clock.happened, first.event_log), (second.clock.happened, second.event_log))
         code = (
             "from oakkeel.emulator.consensus import play; from oakkeel.emulator.faults import draw\n"
             "print(play(draw(3))[0].clock.happened)"
@@ -68,13 +69,13 @@
         self.assertEqual(told, {f"{first.clock.happened}\n"})
 
     def test_a_planted_fault_is_caught_and_cut_down(self):
-        with mock.patch.object(UnavailableTargets, "against", lambda self, things: ""):
+        with mock.patch.object(UnavailableTargets, "find_violation", lambda self, things: ""):
 
             def fails(schedule: Schedule) -> bool:
                 return bool(play(schedule)[1])
 
             schedule = next(each for each in map(draw, range(20)) if fails(each))
-            less = smallest(schedule, fails)
+            less = shrink(schedule, fails)
             self.assertTrue(fails(less))
             self.assertLess(len(less.troubles), len(schedule.troubles))
             for index in range(len(less.troubles)):  # nothing of it can be left out
@@ -103,12 +104,12 @@
         self.assertEqual([breach for each in schedules for breach in play(each)[1]], [])
 
         def for_ever(self, now, thing, ident, runs=True):
-            held = self.places.get(thing)
-            return held is not None and held.ident == ident and not held.given
+            held = self.permits.get(thing)
+            return held is not None and held.order_id == ident and not held.unused
 
         with (
-            mock.patch.object(PermitHolder, "may_begin", for_ever),
-            mock.patch.object(PermitHolder, "fresh", for_ever),
+            mock.patch.object(PermitHolder, "may_start", for_ever),
+            mock.patch.object(PermitHolder, "may_notify", for_ever),
         ):
             breaches = [breach for each in schedules for breach in play(each)[1]]
         self.assertRegex(breaches[0], "promise 7: ")
