--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -36,10 +36,10 @@
         steps = self.supervision.tick(self.now)
         spent += time.perf_counter_ns()
         for step in steps:
-            if step.act is Action.START:
-                self.supervision.spawned(self.now, step.instance)
+            if step.action is Action.START:
+                self.supervision.process_started(self.now, step.instance)
             else:
-                self.supervision.died(self.now, step.instance, "told to")
+                self.supervision.process_exited(self.now, step.instance, "told to")
         return spent
 
     def pass_time(self, by: int, state: str = "serving") -> int:
@@ -48,7 +48,7 @@
         spent = -time.perf_counter_ns()
         for each in self.instances:
             if each.alive and each.phase is not Phase.DRAINING:
-                self.supervision.heard(self.now, each, state, each.born, REPORT)
+                self.supervision.report_received(self.now, each, state, each.process_generation, REPORT)
         return spent + time.perf_counter_ns()
 
 
@@ -60,7 +60,7 @@
     for _ in range(30):
         reports.append(fleet.pass_time(100 * MS))
         quiet.append(fleet.turn())
-    order = fleet.orders.take(
+    order = fleet.orders.submit(
         fleet.now,
         "all",
         "asha",
@@ -69,12 +69,15 @@
         3600 * SECOND,
     )
     busy, worst, turns = [], 0, 0
-    while order.open:
+    while order.is_open:
         fleet.pass_time(100 * MS)
         busy.append(fleet.turn())
         worst = max(
             worst,
-            *(fleet.supervision.out[site] - fleet.supervision.away[site] for site in fleet.supervision.out),
+            *(
+                fleet.supervision.unavailable[site] - fleet.supervision.max_unavailable[site]
+                for site in fleet.supervision.unavailable
+            ),
         )
         turns += 1
     return {
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -116,7 +116,7 @@
             self.agent.terminate()
             await self.agent.wait()
         processes = Processes(self.host.state, lambda process, why: None)
-        if process := processes.take_up("n1"):
+        if process := processes.adopt("n1"):
             processes.signal(process, 9)  # type: ignore[arg-type]
         processes.close()
 
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -49,7 +49,7 @@
                 keys,
                 log,
                 new_seed(),
-                fairness=fleet.fairness,
+                fair_sharing=fleet.fairness,
                 fleet=fleet,
                 agent_keys=agent_keys,
             )
@@ -68,7 +68,7 @@
     try:
         fleet = read_fleet(settings)
         agents = {key.ident: key for key in read_agent_keys(fleet).values()}
-        agent.take_settings(fleet, read_keys(fleet) | agents)
+        agent.apply_settings(fleet, read_keys(fleet) | agents)
     except SettingsError as error:
         agent.log.error("settings_rejected", error=str(error))
 
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -15,7 +15,7 @@
 from oakkeel.agent.executor import InstanceExecutor
 from oakkeel.agent.instances import Instance
 from oakkeel.agent.orders import OrderRegistry
-from oakkeel.agent.processes import Processes, boot
+from oakkeel.agent.processes import Process, Processes, boot
 from oakkeel.agent.raft_runtime import RaftRuntime
 from oakkeel.agent.reconciler import Reconciler
 from oakkeel.agent.request_handlers import RequestHandlers
@@ -52,14 +52,14 @@
     def __init__(
         self,
         host: HostSettings,
-        patience: SupervisionTimeouts,
+        timeouts: SupervisionTimeouts,
         keys: dict[str, Key],
         log: EventLog,
         seed: int,
         store: Database | None = None,
         processes: type[Processes] = Processes,
         program: tuple[str, ...] = (sys.executable, "-m", "oakkeel"),
-        fairness: FairSharingSettings | None = None,
+        fair_sharing: FairSharingSettings | None = None,
         fleet: Fleet | None = None,
         agent_keys: dict[str, Key] | None = None,
     ) -> None:
@@ -67,54 +67,56 @@
         address is taken."""
         os.makedirs(host.state, mode=0o700, exist_ok=True)
         self.host, self.keys, self.log = host, keys, log
-        self.started = time.monotonic_ns()
+        self.started_at = time.monotonic_ns()
         self.store = store or Database(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
         self.notes: list[str] = []
-        instances = {each.name: Instance(each.name, host.site, since=self.started) for each in host.instances}
+        instances = {
+            each.name: Instance(each.name, host.site, phase_since=self.started_at) for each in host.instances
+        }
         if self.store.quarantined:
             self.notes.append(f"the state was set aside: {self.store.quarantined}")
             log.warning("agent_state_quarantined", file=self.store.quarantined)
-        same_boot = self._same_boot()
+        same_boot = self._is_same_boot()
         restore_instances(self.store, instances, same_boot)
         for each in instances.values():
-            each.since = self.started
+            each.phase_since = self.started_at
         self.fleet = fleet if fleet and fleet.control_plane else None
-        self.permit_holder = self._holding(seed) if self.fleet else None
-        self.supervision = Supervisor(
-            instances.values(), patience, {host.site: host.max_unavailable}, seed, time.time_ns
+        self.permit_holder = self._make_permit_holder(seed) if self.fleet else None
+        self.supervisor = Supervisor(
+            instances.values(), timeouts, {host.site: host.max_unavailable}, seed, time.time_ns
         )
-        self.orders = OrderRegistry(self.supervision, time.time_ns, permit_holder=self.permit_holder)
+        self.orders = OrderRegistry(self.supervisor, time.time_ns, permit_holder=self.permit_holder)
         restore_orders(self.store, self.orders)
         if not same_boot:
-            self.orders.expire_all(self.started, "the host was started anew")
-        self.store_fault = ""
-        self.dropped_at = self.started
+            self.orders.fail_all(self.started_at, "the host was started anew")
+        self.storage_error = ""
+        self.pruned_at = self.started_at
         self.executor = InstanceExecutor(
-            host, self.supervision, log, processes, program, fairness, self.turn, self.permit_holder
+            host, self.supervisor, log, processes, program, fair_sharing, self.reconcile, self.permit_holder
         )
         self.reconciler: Reconciler | None = None
-        self.versions: ArtifactStore | None = None
+        self.artifacts: ArtifactStore | None = None
         if self.permit_holder:
             self.reconciler = Reconciler(
-                self.supervision,
+                self.supervisor,
                 self.orders,
                 self.permit_holder,
                 services=tuple(each.name for each in self.services),
             )
-            restore_assignments(self.store, self.reconciler.fitting)
-            self.versions = self.executor.versions = ArtifactStore(
-                host, self.reconciler.fitting, log, self._ready
+            restore_assignments(self.store, self.reconciler.assignments)
+            self.artifacts = self.executor.artifacts = ArtifactStore(
+                host, self.reconciler.assignments, log, self._artifacts_ready
             )
-        self.done = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self.raft: RaftRuntime | None = None
         self.status_reporter: StatusReporter | None = None
         self.tasks: list[asyncio.Task] = []
         self.agent_keys = agent_keys or {}
-        links = ServerLimits(links=64 + 3 * len(fleet.hosts)) if self.fleet and fleet else None
-        self.answering = RequestHandlers(self)
-        self.door = AgentServer(host.agent, lambda: self.keys, self.answering.handle, log, links)
+        links = ServerLimits(connections=64 + 3 * len(fleet.hosts)) if self.fleet and fleet else None
+        self.handlers = RequestHandlers(self)
+        self.server = AgentServer(host.agent, lambda: self.keys, self.handlers.handle, log, links)
 
-    def _holding(self, seed: int) -> PermitHolder:
+    def _make_permit_holder(self, seed: int) -> PermitHolder:
         assert self.fleet and self.fleet.control_plane
         self.services = tuple(
             each for each in self.fleet.control_plane.services if each.host == self.host.name
@@ -125,7 +127,7 @@
         restore_permits(self.store, permit_holder)
         return permit_holder
 
-    def _same_boot(self) -> bool:
+    def _is_same_boot(self) -> bool:
         """Whether the host runs since the state was kept last; from now on it does."""
         this, kept = boot(), self.store.read("SELECT id FROM boot")
         if kept == [(this,)]:
@@ -136,7 +138,7 @@
     # As stories and stand-ins know it.
 
     @property
-    def alive(self):
+    def alive(self) -> dict[Instance, Process]:
         return self.executor.alive
 
     @property
@@ -148,64 +150,64 @@
         loop = asyncio.get_running_loop()
         self.log.take_others(loop)
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.done.set)
+            loop.add_signal_handler(number, self.stop_requested.set)
         await self.executor.find_processes()
         if self.fleet:
-            self._open_record()
-        self.door.open()
-        address = f"{self.door.address[0]}:{self.door.address[1]}"
+            self._join_control_plane()
+        self.server.open()
+        address = f"{self.server.address[0]}:{self.server.address[1]}"
         self.log.info(
             "agent_started",
             address=address,
-            instances=len(self.supervision.instances),
+            instances=len(self.supervisor.instances),
             running=len(self.alive),
-            open_orders=sum(each.open for each in self.orders.orders.values()),
+            open_orders=sum(each.is_open for each in self.orders.orders.values()),
         )
-        while not self.done.is_set():
-            self.turn()
+        while not self.stop_requested.is_set():
+            self.reconcile()
             try:
-                await asyncio.wait_for(self.done.wait(), TURN / SECOND)
+                await asyncio.wait_for(self.stop_requested.wait(), TURN / SECOND)
             except TimeoutError:
                 continue
         self.log.info(
             "agent_stopped",
             running=len(self.alive),
-            open_orders=sum(each.open for each in self.orders.orders.values()),
+            open_orders=sum(each.is_open for each in self.orders.orders.values()),
         )
-        self.door.close()
+        self.server.close()
         for task in self.tasks:
             task.cancel()
         if self.status_reporter:
             self.status_reporter.close()
         if self.raft:
             self.raft.close()
-        if self.versions:
-            self.versions.close()
-        self.keep()
+        if self.artifacts:
+            self.artifacts.close()
+        self.save()
         self.executor.close()
         self.store.close()
 
     # The record.
 
-    def _open_record(self) -> None:
+    def _join_control_plane(self) -> None:
         reconciler = self.reconciler
         assert self.fleet and self.fleet.control_plane and reconciler
         if self.store.created:
-            reconciler.lost_file()
+            reconciler.state_file_lost()
         self.status_reporter = StatusReporter(
-            self.fleet, self.host.name, self.agent_keys, reconciler, self.log, self._heard
+            self.fleet, self.host.name, self.agent_keys, reconciler, self.log, self._response_received
         )
         if self.host.name in self.fleet.control_plane.hosts or os.path.exists(
             os.path.join(self.host.state, "record.db")
         ):
-            self._keep_record()
+            self._start_raft()
         self.tasks.append(asyncio.ensure_future(self.status_reporter.run()))
         self.tasks += [
-            asyncio.ensure_future(probe(each, reconciler.below, self.status_reporter.soon.set))
+            asyncio.ensure_future(probe(each, reconciler.services, self.status_reporter.wake.set))
             for each in self.services
         ]
 
-    def _keep_record(self) -> None:
+    def _start_raft(self) -> None:
         assert self.fleet and self.status_reporter
         try:
             self.raft = self.status_reporter.raft = RaftRuntime(
@@ -215,74 +217,74 @@
         except OSError as error:
             self.log.error("raft_unavailable", error=str(error))
 
-    def _heard(self, agreed: HeartbeatResponse) -> None:
+    def _response_received(self, agreed: HeartbeatResponse) -> None:
         if self.raft is None and self.host.name in agreed.voters:
-            self._keep_record()
-        self.turn()
-        if self.versions:
-            self.versions.prepare()
+            self._start_raft()
+        self.reconcile()
+        if self.artifacts:
+            self.artifacts.prepare()
             alive = list(self.alive)
-            if time.monotonic_ns() - self.dropped_at > DROP and all(each.report for each in alive):
-                self.dropped_at = time.monotonic_ns()
-                self.versions.drop({each.ran for each in alive})
+            if time.monotonic_ns() - self.pruned_at > DROP and all(each.report for each in alive):
+                self.pruned_at = time.monotonic_ns()
+                self.artifacts.prune({each.running_version for each in alive})
 
-    def _ready(self) -> None:
+    def _artifacts_ready(self) -> None:
         """Copies for a release are made, or can't be: told with the next poll."""
-        self.turn()
+        self.reconcile()
         if self.status_reporter:
-            self.status_reporter.soon.set()
+            self.status_reporter.wake.set()
 
-    def said(self) -> Sequence[str]:
+    def operator_notes(self) -> Sequence[str]:
         """What its operator should know of."""
         notes = list(self.notes)
-        if self.store_fault:
-            notes.append(f"orders wait, as the state can't be kept: {self.store_fault}")
-        for instance in self.executor.lost:
+        if self.storage_error:
+            notes.append(f"orders wait, as the state can't be kept: {self.storage_error}")
+        for instance in self.executor.unidentified:
             notes.append(f"{instance.name}: a process that can't be identified holds its lock")
         if self.status_reporter and self.status_reporter.why:
             notes.append(f"the record is not heard, nothing new leaves here: {self.status_reporter.why}")
-        if self.raft and self.raft.fault:
-            notes.append(f"the record can't be kept here: {self.raft.fault}")
+        if self.raft and self.raft.storage_error:
+            notes.append(f"the record can't be kept here: {self.raft.storage_error}")
         return notes
 
     # Turns.
 
-    def turn(self) -> None:
+    def reconcile(self) -> None:
         """Decide, keep, act: the one place where steps are carried out."""
         try:
             now = time.monotonic_ns()
-            if self.executor.lost:
-                self.executor.find_lost(now)
-            if not self.store_fault:  # what orders change must be kept before it is done
+            if self.executor.unidentified:
+                self.executor.identify_processes(now)
+            if not self.storage_error:  # what orders change must be kept before it is done
                 self.orders.advance(now)
-            steps = self.orders.hold_back(now, self.supervision.tick(now))
-            kept = self.keep()
+            steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
+            kept = self.save()
             for step in steps:
-                if kept or step.instance.part is None:
-                    self.executor.carry_out(step)
+                if kept or step.instance.task is None:
+                    self.executor.execute(step)
                 else:
-                    self.executor.put_off(step)
+                    self.executor.postpone(step)
             if steps:
-                self.keep()
+                self.save()
                 if self.status_reporter:
-                    self.status_reporter.soon.set()
+                    self.status_reporter.wake.set()
         except Exception as error:  # the agent lives on
             self.log.error("reconcile_failed", error=fault(error))
 
-    def keep(self) -> bool:
+    def save(self) -> bool:
         """Write what changed. Watching goes on where that fails; orders wait."""
-        changed = [each for each in self.supervision.instances if each.dirty]
-        fitting = self.reconciler.fitting if self.reconciler else None
+        changed = [each for each in self.supervisor.instances if each.dirty]
+        fitting = self.reconciler.assignments if self.reconciler else None
         places = bool(self.permit_holder and self.permit_holder.changed) or bool(fitting and fitting.changed)
         if (
             not changed
             and not self.orders.changed
-            and not self.orders.dropped
+            and not self.orders.deleted
             and not places
-            and not self.store_fault
+            and not self.storage_error
         ):
             return True
-        rows = statements(changed, self.orders.changed, self.orders.dropped)
+        rows = statements(changed, self.orders.changed, self.orders.deleted)
         if self.permit_holder:
             rows += permit_statements(self.permit_holder)
         if fitting:
@@ -290,27 +292,27 @@
         try:
             self.store.write(rows)
         except DatabaseError as error:
-            if str(error) != self.store_fault:
+            if str(error) != self.storage_error:
                 self.log.error("agent_state_write_failed", error=str(error))
-            self.store_fault = str(error)
+            self.storage_error = str(error)
             return False
         for each in changed:
             each.dirty = False
         self.orders.changed.clear()
-        self.orders.dropped.clear()
+        self.orders.deleted.clear()
         if self.permit_holder:
             self.permit_holder.changed.clear()
         if fitting:
             fitting.changed = False
-        if self.store_fault:
+        if self.storage_error:
             self.log.info("agent_state_write_recovered")
-            self.store_fault = ""
+            self.storage_error = ""
         return True
 
-    def take_settings(self, fleet: Fleet, keys: dict[str, Key]) -> None:
+    def apply_settings(self, fleet: Fleet, keys: dict[str, Key]) -> None:
         """Keys hold at once; what nodes are told they read again. All else waits for the next agent."""
         self.keys = keys
-        self.executor.take_fairness(fleet.fairness)
+        self.executor.update_fair_sharing(fleet.fairness)
         self.log.info("settings_reloaded", keys=len(keys))
 
 
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -27,11 +27,11 @@
 
 class ArtifactStore:
     def __init__(
-        self, host: HostSettings, fitting: VersionAssignments, log: EventLog, moved: Callable[[], None]
+        self, host: HostSettings, assignments: VersionAssignments, log: EventLog, on_ready: Callable[[], None]
     ) -> None:
         """`moved` is called once copies are made, or can't be."""
-        self.fitting, self.log, self.moved = fitting, log, moved
-        self.told = {each.name: each for each in host.instances}
+        self.assignments, self.log, self.on_ready = assignments, log, on_ready
+        self.settings = {each.name: each for each in host.instances}
         self.state = host.state
         self.contents = ContentStore(os.path.join(host.state, "versions"))
         self.tasks: set[asyncio.Task] = set()
@@ -40,7 +40,7 @@
 
     def prepare(self) -> None:
         """Make the copies that are asked for, beside all else."""
-        for copy in self.fitting.to_prepare():
+        for copy in self.assignments.to_prepare():
             task = asyncio.ensure_future(self._prepare(copy))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -61,18 +61,18 @@
             version=copy.what.version,
             error=why or None,
         )
-        self.fitting.prepared(copy.release, why[:300], bases)
-        self.moved()
+        self.assignments.prepared(copy.release, why[:300], bases)
+        self.on_ready()
 
     def _copy(self, copy: ArtifactRequest) -> dict[str, str]:
         """Raises OSError. Returns the versions of what the things run by their settings."""
         os.makedirs(os.path.join(self.contents.folder, "content"), mode=0o700, exist_ok=True)
-        self._keep(copy.what)
+        self._import(copy.what)
         bases, program = {}, ""
         for thing in copy.things:
-            told = self.told[thing]
-            self._merged(told, self.contents.find(copy.what.version))  # can it be? Before it has to be
-            if self.fitting.version(thing):
+            told = self.settings[thing]
+            self._merged_config(told, self.contents.find(copy.what.version))  # can it be? Before it has to be
+            if self.assignments.version(thing):
                 continue
             program = program or self.contents.add_folder(PACKAGE, "oakkeel")  # that the agent itself is of
             bases[thing] = self.contents.add_version(
@@ -80,11 +80,11 @@
             )
         return bases
 
-    def _keep(self, what: VersionSpec) -> None:
+    def _import(self, what: VersionSpec) -> None:
         if self.contents.find(what.version):
             return
         program = self.contents.add_folder(what.program) if what.program else ""
-        if program and not self._runs(program):
+        if program and not self._is_runnable(program):
             raise ContentError(
                 f"{what.program}: neither a file `run` that can be executed, nor oakkeel/__main__.py"
             )
@@ -94,7 +94,7 @@
         if (found := self.contents.add_version(Content(program, patch))) != what.version:
             raise ContentError(f"what is found here is version {found}, not {what.version}")
 
-    def _runs(self, program: str) -> bool:
+    def _is_runnable(self, program: str) -> bool:
         folder = self.contents.path(program)
         return os.access(os.path.join(folder, "run"), os.X_OK) or os.path.exists(
             os.path.join(folder, "oakkeel", "__main__.py")
@@ -102,15 +102,15 @@
 
     # Running.
 
-    def of(self, name: str, program: list[str]) -> tuple[list[str], dict[str, str]]:
+    def launch_command(self, name: str, program: list[str]) -> tuple[list[str], dict[str, str]]:
         """How the next process of an instance is started: words, and variables beside the rest. Raises
         ContentError where its version is not here."""
-        version, told = self.fitting.version(name), self.told[name]
+        version, told = self.assignments.version(name), self.settings[name]
         if not version:
             return program, {}
         content = self.contents.find(version)
-        if content is None and (what := self.fitting.sources.get(version)):
-            self._keep(what)  # our copy is lost: made again where it came from
+        if content is None and (what := self.assignments.sources.get(version)):
+            self._import(what)  # our copy is lost: made again where it came from
             content = self.contents.find(version)
         if content is None:
             raise ContentError(f"version {version} is not here")
@@ -124,23 +124,23 @@
         if content.patch or content.config:
             path = os.path.join(self.state, f"{name}.config.json")
             with open(path + ".new", "w", encoding="utf-8") as file:
-                json.dump(self._merged(told, content), file)
+                json.dump(self._merged_config(told, content), file)
             os.replace(path + ".new", path)
             variables["PROXY_CONFIG"] = path
         return program, variables
 
-    def _merged(self, told: InstanceSettings, content: Content | None) -> object:
+    def _merged_config(self, told: InstanceSettings, content: Content | None) -> object:
         config = read_json(self.contents.path(content.config) if content and content.config else told.config)
         if content is None or not content.patch:
             return config
         return apply_merge_patch(config, read_json(self.contents.path(content.patch)))
 
-    def drop(self, running: set[str]) -> None:
+    def prune(self, running: set[str]) -> None:
         """Forget what no release and no instance needs; `running`: what processes were started from. One that
         goes on from a copy may still read from it."""
-        if self.tasks or self.fitting.release:
+        if self.tasks or self.assignments.release:
             return
-        if dropped := self.contents.prune(self.fitting.needed() | running):
+        if dropped := self.contents.prune(self.assignments.needed() | running):
             self.log.info("artifacts_pruned", versions=",".join(dropped))
 
     def close(self) -> None:
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -16,12 +16,12 @@
     def __init__(self, permit_holder: PermitHolder, names: tuple[str, ...]) -> None:
         self.permit_holder = permit_holder
         self.up = dict.fromkeys(names, False)  # until it is seen
-        self.failed = dict.fromkeys(names, 0)
-        self.was_down: dict[str, int] = {}  # fences under which a service was seen down
+        self.failed_probes = dict.fromkeys(names, 0)
+        self.seen_down: dict[str, int] = {}  # fences under which a service was seen down
 
-    def seen(self, name: str, up: bool) -> None:
-        self.failed[name] = 0 if up else self.failed[name] + 1
-        if up or self.failed[name] >= LOST:
+    def observe(self, name: str, up: bool) -> None:
+        self.failed_probes[name] = 0 if up else self.failed_probes[name] + 1
+        if up or self.failed_probes[name] >= LOST:
             self.up[name] = up
 
     def advance(self, now: int) -> None:
@@ -33,14 +33,14 @@
             if not held.started and self.permit_holder.may_start(now, name, held.order_id, up):
                 self.permit_holder.start(now, name)
             if held.started and not up:
-                self.was_down[name] = held.fencing_token
-            over = self.was_down.get(name) == held.fencing_token or order is None or bool(order.cancelled_by)
+                self.seen_down[name] = held.fencing_token
+            over = self.seen_down.get(name) == held.fencing_token or order is None or bool(order.cancelled_by)
             if held.started and up and over:
                 self.permit_holder.mark_restored(name)
             else:
                 self.permit_holder.mark_unavailable(name)
 
-    def ended(self) -> list[TaskResult]:
+    def results(self) -> list[TaskResult]:
         """Orders on services that are over: it is down."""
         return [
             TaskResult(order.id, thing, "done", "")
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -29,57 +29,59 @@
     def __init__(
         self,
         host: HostSettings,
-        supervision: Supervisor,
+        supervisor: Supervisor,
         log: EventLog,
         processes: type[Processes],
         program: tuple[str, ...],
-        fairness: FairSharingSettings | None,
-        moved: Callable[[], None],
+        fair_sharing: FairSharingSettings | None,
+        on_exit: Callable[[], None],
         permit_holder: PermitHolder | None = None,
     ) -> None:
         """`moved` is called when a process has ended."""
         self.permit_holder = permit_holder
-        self.versions: ArtifactStore | None = None  # where releases are made
-        self.supervision, self.log, self.fairness, self.moved = supervision, log, fairness, moved
-        self.processes, self.program = processes(host.state, self._ended), list(program)
-        self.told: dict[str, InstanceSettings] = {each.name: each for each in host.instances}
+        self.artifacts: ArtifactStore | None = None  # where releases are made
+        self.supervisor, self.log, self.fair_sharing, self.on_exit = supervisor, log, fair_sharing, on_exit
+        self.processes, self.program = processes(host.state, self._process_exited), list(program)
+        self.settings: dict[str, InstanceSettings] = {each.name: each for each in host.instances}
         self.alive: dict[Instance, Process] = {}
-        self.asking: dict[Instance, asyncio.Task] = {}
-        self.words: dict[Instance, asyncio.Task] = {}  # told to leave or stay, one after the other
-        self.lost: set[Instance] = set()  # a process of it is there, and is not known yet
+        self.pollers: dict[Instance, asyncio.Task] = {}
+        self.control_tasks: dict[Instance, asyncio.Task] = {}  # told to leave or stay, one after the other
+        self.unidentified: set[Instance] = set()  # a process of it is there, and is not known yet
 
     # Steps.
 
-    def carry_out(self, step: Step) -> None:
-        instance, order = step.instance, step.instance.part and step.instance.part.order
+    def execute(self, step: Step) -> None:
+        instance, order = step.instance, step.instance.task and step.instance.task.order
         process = self.alive.get(instance)
-        facts: dict[str, object] = {"target": instance.name, "generation": instance.born}
+        facts: dict[str, object] = {"target": instance.name, "generation": instance.process_generation}
         if order:
-            facts |= {"order": order.ident, "operator": order.operator}
+            facts |= {"order": order.order_id, "operator": order.operator}
         if self.permit_holder and (held := self.permit_holder.permits.get(instance.name)) and held.started:
             facts["fence"] = held.fencing_token
-        if step.act is Action.START:
+        if step.action is Action.START:
             self._start(instance, facts)
         elif process is None:
             self.log.warning("process_not_found", **facts)
-        elif step.act in (Action.LEAVE, Action.STAY):
-            self._say(instance, process, step.act, facts)
+        elif step.action in (Action.DRAIN, Action.CANCEL_DRAIN):
+            self._send_control_request(instance, process, step.action, facts)
         else:
-            number = signal.SIGTERM if step.act is Action.TERM else signal.SIGKILL
-            self.log.info("drain_requested" if step.act is Action.TERM else "drain_timeout_killed", **facts)
+            number = signal.SIGTERM if step.action is Action.TERM else signal.SIGKILL
+            self.log.info(
+                "drain_requested" if step.action is Action.TERM else "drain_timeout_killed", **facts
+            )
             self.processes.signal(process, number)
 
-    def put_off(self, step: Step) -> None:
+    def postpone(self, step: Step) -> None:
         """An order's step that could not be kept is not carried out: it comes again."""
-        if step.act is Action.START:
-            self.supervision.never_there(time.monotonic_ns(), step.instance)
-        elif step.act in (Action.TERM, Action.LEAVE, Action.STAY):
-            step.instance.left_at = 0
-            if step.instance.part:
-                step.instance.part.sent = False
+        if step.action is Action.START:
+            self.supervisor.start_abandoned(time.monotonic_ns(), step.instance)
+        elif step.action in (Action.TERM, Action.DRAIN, Action.CANCEL_DRAIN):
+            step.instance.drain_sent_at = 0
+            if step.instance.task:
+                step.instance.task.drain_sent = False
 
     def _start(self, instance: Instance, facts: dict[str, object]) -> None:
-        told = self.told[instance.name]
+        told = self.settings[instance.name]
         variables = {
             **os.environ,
             "PROXY_CONFIG": told.config,
@@ -89,38 +91,40 @@
         }
         if told.listen:
             variables["PROXY_LISTEN"] = told.listen
-        if self.fairness:
+        if self.fair_sharing:
             variables["OAKKEEL_TOLD"] = self.processes.path(told.name, "told")
         now = time.monotonic_ns()
         try:
-            self._write_told(told.name)
+            self._write_node_settings(told.name)
             program = self.program
-            if self.versions:
-                program, more = self.versions.of(told.name, program)
+            if self.artifacts:
+                program, more = self.artifacts.launch_command(told.name, program)
                 variables |= more
-            process = self.processes.spawn(told.name, instance.born, program, variables)
+            process = self.processes.spawn(told.name, instance.process_generation, program, variables)
         except OSError as error:
             self.log.error("instance_start_failed", error=str(error), **facts)
-            return self.supervision.not_spawned(now, instance, str(error))
+            return self.supervisor.start_failed(now, instance, str(error))
         self.log.info("instance_started", pid=process.pid, version=variables.get("OAKKEEL_VERSION"), **facts)
-        instance.ran = variables.get("OAKKEEL_VERSION", "")
-        self.supervision.spawned(now, instance)
+        instance.running_version = variables.get("OAKKEEL_VERSION", "")
+        self.supervisor.process_started(now, instance)
         self._watch(instance, process)
 
-    def _say(self, instance: Instance, process: Process, act: Action, facts: dict[str, object]) -> None:
+    def _send_control_request(
+        self, instance: Instance, process: Process, act: Action, facts: dict[str, object]
+    ) -> None:
         """By the control link, behind what it was told before: a word to stay must not overtake one to
         leave."""
-        before = self.words.get(instance)
-        self.words[instance] = task = asyncio.ensure_future(
-            self._say_after(before, instance, process, act, facts)
+        before = self.control_tasks.get(instance)
+        self.control_tasks[instance] = task = asyncio.ensure_future(
+            self._control_request(before, instance, process, act, facts)
         )
-        task.add_done_callback(partial(self._said, instance))
+        task.add_done_callback(partial(self._control_request_done, instance))
 
-    def _said(self, instance: Instance, task: asyncio.Task) -> None:
-        if self.words.get(instance) is task:
-            del self.words[instance]
+    def _control_request_done(self, instance: Instance, task: asyncio.Task) -> None:
+        if self.control_tasks.get(instance) is task:
+            del self.control_tasks[instance]
 
-    async def _say_after(
+    async def _control_request(
         self,
         before: asyncio.Task | None,
         instance: Instance,
@@ -134,7 +138,7 @@
             return
         client = ControlClient(self.processes.path(instance.name, "sock"))
         try:
-            if act is Action.STAY:
+            if act is Action.CANCEL_DRAIN:
                 answer = await client.cancel_drain(process.generation, ANSWER / SECOND)
                 self.log.info("drain_cancel_requested", answer=answer.reason or "it does", **facts)
                 if answer.reason:
@@ -142,7 +146,7 @@
                 return
             # All is answered before it could be killed.
             answer = await client.drain(
-                process.generation, ANSWER / SECOND, self.supervision.patience.drain * 9 // 10
+                process.generation, ANSWER / SECOND, self.supervisor.timeouts.drain * 9 // 10
             )
             self.log.info("drain_requested", answer=answer.reason or None, **facts)
             if answer.accepted:
@@ -151,67 +155,71 @@
             self.log.warning("control_request_failed", error=str(error), **facts)
         finally:
             client.close()
-        if act is Action.LEAVE and not instance.recalled:
+        if act is Action.DRAIN and not instance.drain_cancelled:
             self.log.info("drain_requested", by="signal", **facts)
             self.processes.signal(process, signal.SIGTERM)
 
-    def _write_told(self, name: str) -> None:
+    def _write_node_settings(self, name: str) -> None:
         """What of the operators' settings a node goes by; it reads no XML."""
-        if self.fairness:
+        if self.fair_sharing:
             path = self.processes.path(name, "told")
             with open(path + ".new", "w", encoding="utf-8") as file:
-                json.dump({"fair": self.fairness.node_settings(self.processes.path(name, "shares"))}, file)
+                json.dump(
+                    {"fair": self.fair_sharing.node_settings(self.processes.path(name, "shares"))}, file
+                )
             os.replace(path + ".new", path)
 
-    def take_fairness(self, fairness: FairSharingSettings | None) -> None:
+    def update_fair_sharing(self, fairness: FairSharingSettings | None) -> None:
         """New shares: what nodes are told they read again."""
-        if self.fairness and fairness and self.fairness != fairness:
-            self.fairness = fairness
+        if self.fair_sharing and fairness and self.fair_sharing != fairness:
+            self.fair_sharing = fairness
             for instance, process in self.alive.items():
-                self._write_told(instance.name)
+                self._write_node_settings(instance.name)
                 self.processes.signal(process, signal.SIGHUP)
 
     # Processes.
 
     async def find_processes(self) -> None:
         """Take up what an earlier agent left running, and find out what ended meanwhile."""
-        self.lost = {each for each in self.supervision.instances if self.processes.holds(each.name)}
-        for instance in self.supervision.instances:
-            if instance not in self.lost:
-                self._found_none(instance)
+        self.unidentified = {
+            each for each in self.supervisor.instances if self.processes.is_running(each.name)
+        }
+        for instance in self.supervisor.instances:
+            if instance not in self.unidentified:
+                self._process_not_found(instance)
         until = time.monotonic_ns() + FIND
-        while self.lost and time.monotonic_ns() < until:
-            self.find_lost(time.monotonic_ns())
-            if self.lost:
+        while self.unidentified and time.monotonic_ns() < until:
+            self.identify_processes(time.monotonic_ns())
+            if self.unidentified:
                 await asyncio.sleep(0.01)  # it is about to write down its pid
 
-    def _found_none(self, instance: Instance) -> None:
-        written = self.processes.written(instance.name)[1]
-        self.supervision.found_none(time.monotonic_ns(), instance, written)
+    def _process_not_found(self, instance: Instance) -> None:
+        written = self.processes.read_pid_file(instance.name)[1]
+        self.supervisor.process_not_found(time.monotonic_ns(), instance, written)
 
-    def find_lost(self, now: int) -> None:
-        for instance in list(self.lost):
-            if process := self.processes.take_up(instance.name):
-                self.lost.discard(instance)
-                self.supervision.taken_up(now, instance, process.generation)
+    def identify_processes(self, now: int) -> None:
+        for instance in list(self.unidentified):
+            if process := self.processes.adopt(instance.name):
+                self.unidentified.discard(instance)
+                self.supervisor.process_adopted(now, instance, process.generation)
                 self._watch(instance, process)
                 self.log.info(
                     "instance_adopted", target=instance.name, pid=process.pid, generation=process.generation
                 )
-            elif not self.processes.holds(instance.name):
-                self.lost.discard(instance)
-                self._found_none(instance)
+            elif not self.processes.is_running(instance.name):
+                self.unidentified.discard(instance)
+                self._process_not_found(instance)
 
     def _watch(self, instance: Instance, process: Process) -> None:
         self.alive[instance] = process
-        self.asking[instance] = asyncio.ensure_future(self._ask(instance, process))
+        self.pollers[instance] = asyncio.ensure_future(self._poll(instance, process))
 
-    def _ended(self, process: Process, why: str) -> None:
+    def _process_exited(self, process: Process, why: str) -> None:
         instance = next((each for each, known in self.alive.items() if known is process), None)
         if instance is None:
             return
         del self.alive[instance]
-        self.asking.pop(instance).cancel()
+        self.pollers.pop(instance).cancel()
         self.log.info(
             "instance_exited",
             target=instance.name,
@@ -220,13 +228,13 @@
             how=why,
             phase=instance.phase.value,
         )
-        self.supervision.died(time.monotonic_ns(), instance, why)
-        self.moved()
+        self.supervisor.process_exited(time.monotonic_ns(), instance, why)
+        self.on_exit()
 
-    async def _ask(self, instance: Instance, process: Process) -> None:
+    async def _poll(self, instance: Instance, process: Process) -> None:
         """Ask it how it is, again and again, as long as its process lives."""
         client = ControlClient(self.processes.path(instance.name, "sock"))
-        pause = max(ASK, ASK_EACH * len(self.supervision.instances))
+        pause = max(ASK, ASK_EACH * len(self.supervisor.instances))
         try:
             while True:
                 try:
@@ -234,7 +242,7 @@
                     if client.pid != process.pid:
                         client.close()
                         raise ControlError(f"process {client.pid} answers in place of {process.pid}")
-                    self.supervision.heard(
+                    self.supervisor.report_received(
                         time.monotonic_ns(), instance, report.state, report.generation, report
                     )
                 except ControlError as error:
@@ -248,6 +256,6 @@
 
     def close(self) -> None:
         """The processes go on."""
-        for task in (*self.asking.values(), *self.words.values()):
+        for task in (*self.pollers.values(), *self.control_tasks.values()):
             task.cancel()
         self.processes.close()
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -8,7 +8,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from oakkeel.agent.orders import Task
 
 
 class Phase(Enum):
@@ -65,27 +68,27 @@
     site: str
     goal: Goal = Goal.UP
     phase: Phase = Phase.STOPPED
-    since: int = 0  # when it entered its phase
+    phase_since: int = 0  # when it entered its phase
     generation: int = 0  # of the last change: a start, or an order taken
-    changed: int = 0  # when that was, in Unix nanoseconds, for people
+    changed_at: int = 0  # when that was, in Unix nanoseconds, for people
     changed_by: str = ""  # who made it: an operator, or the agent
-    born: int = 0  # generation of the process that is there, or that was there last
+    process_generation: int = 0  # generation of the process that is there, or that was there last
     spawned: bool = False  # that process was there for certain
-    heard: int = 0  # when its last report came
+    last_report_at: int = 0  # when its last report came
     report: Any = None  # that report, as it came
-    left_at: int = 0  # when its process was told to leave; 0: not yet
-    kill: bool = False  # it may be killed its drain time after that
-    start_at: int = 0  # not before
+    drain_sent_at: int = 0  # when its process was told to leave; 0: not yet
+    kill_after_drain: bool = False  # it may be killed its drain time after that
+    start_not_before: int = 0  # not before
     failures: int = 0  # deaths in a row, before it served steadily
-    deaths: deque[int] = field(default_factory=deque)  # when it died by itself, as far as the window goes
-    resting: bool = False  # its budget of starts is spent
+    crashes: deque[int] = field(default_factory=deque)  # when it died by itself, as far as the window goes
+    restarts_exhausted: bool = False  # its budget of starts is spent
     why: str = ""  # the last thing that went wrong
-    died: int = 0  # by itself, since the agent started
-    ran: str = ""  # the version that its last report told
-    soft: bool = False  # told to leave in a way that can be taken back
-    recalled: bool = False  # it is to come back from its drain
-    limit: int = 1 << 62  # generations that may be used, where the record gives them out
-    part: Any = None  # of the order that is open on it
+    crash_count: int = 0  # by itself, since the agent started
+    running_version: str = ""  # the version that its last report told
+    drain_cancellable: bool = False  # told to leave in a way that can be taken back
+    drain_cancelled: bool = False  # it is to come back from its drain
+    generation_limit: int = 1 << 62  # generations that may be used, where the record gives them out
+    task: Task | None = None  # of the order that is open on it
     dirty: bool = False  # changed since it was last kept
 
     @property
--- a/oakkeel/agent/leader_locator.py
+++ b/oakkeel/agent/leader_locator.py
@@ -6,20 +6,20 @@
 
 
 class LeaderLocator:
-    def __init__(self, keepers: Sequence[str], known: Iterable[str]) -> None:
+    def __init__(self, voters: Sequence[str], hosts: Iterable[str]) -> None:
         """`known`: hosts that there are; a name that is none of them is not gone by."""
-        self.keepers, self.known = keepers, frozenset(known)
-        self.name = keepers[0]
-        self.turn = 0
+        self.voters, self.hosts = voters, frozenset(hosts)
+        self.current = voters[0]
+        self.position = 0
 
-    def told(self, keepers: Sequence[str]) -> None:
+    def set_voters(self, keepers: Sequence[str]) -> None:
         """Who keeps the record by now."""
-        self.keepers = [name for name in keepers if name in self.known] or self.keepers
+        self.voters = [name for name in keepers if name in self.hosts] or self.voters
 
-    def elsewhere(self, leader: str) -> None:
+    def redirect(self, leader: str) -> None:
         """The one that was asked does not lead, or did not answer; `leader` is whom it named, if any."""
-        if leader in self.known and leader != self.name:
-            self.name = leader
+        if leader in self.hosts and leader != self.current:
+            self.current = leader
             return
-        self.turn += 1
-        self.name = self.keepers[self.turn % len(self.keepers)]
+        self.position += 1
+        self.current = self.voters[self.position % len(self.voters)]
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -57,14 +57,14 @@
     instance: Instance
     generation: int  # that it was made for
     state: TaskState = TaskState.WAITING
-    since: int = 0
+    state_since: int = 0
     why: str = ""
-    sent: bool = False  # its process was told to leave
-    replaces: int = 0  # the generation of the process that a restart is to end
-    before: tuple | None = None  # what it changed when it was taken, until that is kept
+    drain_sent: bool = False  # its process was told to leave
+    replaces_generation: int = 0  # the generation of the process that a restart is to end
+    previous: tuple | None = None  # what it changed when it was taken, until that is kept
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.state in OPEN_STATES
 
 
@@ -72,17 +72,17 @@
 class Order:
     """One order of one operator. Times are monotonic nanoseconds, `taken` Unix ones, for people."""
 
-    ident: str
+    order_id: str
     operator: str
     verb: Verb
-    taken: int
-    expires: int
-    asked: tuple[tuple[str, int], ...]  # instance and generation, as they came
-    parts: list[Task] = field(default_factory=list)
+    accepted_at: int
+    expires_at: int
+    requested: tuple[tuple[str, int], ...]  # instance and generation, as they came
+    tasks: list[Task] = field(default_factory=list)
 
     @property
-    def open(self) -> bool:
-        return any(part.open for part in self.parts)
+    def is_open(self) -> bool:
+        return any(part.is_open for part in self.tasks)
 
 
 class OrderRejectedError(ValueError):
@@ -94,24 +94,29 @@
 
     def __init__(
         self,
-        supervision: Supervisor,
-        unix: Callable[[], int],
-        most_open: int = 256,
-        most: int = 2048,
+        supervisor: Supervisor,
+        unix_time: Callable[[], int],
+        max_open: int = 256,
+        max_orders: int = 2048,
         permit_holder: PermitHolder | None = None,
     ) -> None:
         """`holding`: the places of a fleet with keepers, without which nothing is taken out."""
-        self.supervision, self.unix, self.most_open, self.most = supervision, unix, most_open, most
+        self.supervisor, self.unix_time, self.max_open, self.max_orders = (
+            supervisor,
+            unix_time,
+            max_open,
+            max_orders,
+        )
         self.permit_holder = permit_holder
-        self.named = {each.name: each for each in supervision.instances}
+        self.instances = {each.name: each for each in supervisor.instances}
         self.orders: dict[str, Order] = {}  # the oldest first
-        self.executor: list[Task] = []  # open parts, in the order in which they were taken
+        self.open_tasks: list[Task] = []  # open parts, in the order in which they were taken
         self.changed: set[Order] = set()  # since they were last kept
-        self.dropped: list[str] = []  # ids of those that need no longer be kept
+        self.deleted: list[str] = []  # ids of those that need no longer be kept
 
     # What operators do.
 
-    def take(
+    def submit(
         self,
         now: int,
         ident: str,
@@ -126,68 +131,68 @@
         Raises OrderRefused where it can't be read as one. The same order again is the same object again.
         """
         if known := self.orders.get(ident):
-            if (known.operator, known.verb, known.asked) != (operator, verb, asked):
+            if (known.operator, known.verb, known.requested) != (operator, verb, asked):
                 raise OrderRejectedError(f"that id is of another order, by {known.operator}")
             return known
-        if not ident or len(ident) > 64 or not asked or len(asked) > len(self.named):
+        if not ident or len(ident) > 64 or not asked or len(asked) > len(self.instances):
             raise OrderRejectedError("no id, no instances, or more than there are")
         if len({name for name, _ in asked}) < len(asked):
             raise OrderRejectedError("an instance is named twice")
-        if sum(order.open for order in self.orders.values()) >= self.most_open:
-            raise OrderRejectedError(f"{self.most_open} orders are open already")
-        order = Order(ident, operator, verb, self.unix(), now + max(SECOND, lasts), asked)
+        if sum(order.is_open for order in self.orders.values()) >= self.max_open:
+            raise OrderRejectedError(f"{self.max_open} orders are open already")
+        order = Order(ident, operator, verb, self.unix_time(), now + max(SECOND, lasts), asked)
         for name, generation in asked:
-            instance = self.named.get(name)
+            instance = self.instances.get(name)
             if instance is None:
                 continue  # the answer names what was taken, and so what was not
-            part = Task(order, instance, generation, since=now)
-            order.parts.append(part)
-            if why := self._against(part, supersede):
+            part = Task(order, instance, generation, state_since=now)
+            order.tasks.append(part)
+            if why := self._rejection_reason(part, supersede):
                 part.state, part.why = TaskState.REFUSED, why
                 continue
-            standing = instance.part
-            part.before = (
+            standing = instance.task
+            part.previous = (
                 instance.generation,
-                instance.changed,
+                instance.changed_at,
                 instance.changed_by,
                 standing,
-                standing and (standing.state, standing.since, standing.why),
+                standing and (standing.state, standing.state_since, standing.why),
             )
             if standing is not None:
-                self._move(now, standing, TaskState.SUPERSEDED, f"by {operator}, {verb.value}")
-            instance.part, instance.dirty = part, True
+                self._transition(now, standing, TaskState.SUPERSEDED, f"by {operator}, {verb.value}")
+            instance.task, instance.dirty = part, True
             instance.generation += 1
-            instance.changed, instance.changed_by = order.taken, f"{operator}: {verb.value}"
-            self.executor.append(part)
-        if not order.open:
+            instance.changed_at, instance.changed_by = order.accepted_at, f"{operator}: {verb.value}"
+            self.open_tasks.append(part)
+        if not order.is_open:
             return order  # nothing came of it: it need not be known again
         self.orders[ident] = order
         self.changed.add(order)
-        self._forget()
+        self._delete_oldest()
         return order
 
-    def kept(self, order: Order) -> None:
+    def confirm(self, order: Order) -> None:
         """It is on disk: from now on it holds."""
-        for part in order.parts:
-            part.before = None
+        for part in order.tasks:
+            part.previous = None
 
     def undo(self, order: Order) -> None:
         """It could not be kept: nothing of it ever was."""
-        for part in order.parts:
-            if part.before is None:
+        for part in order.tasks:
+            if part.previous is None:
                 continue
             instance = part.instance
-            instance.generation, instance.changed, instance.changed_by, standing, was = part.before
-            instance.part = standing
+            instance.generation, instance.changed_at, instance.changed_by, standing, was = part.previous
+            instance.task = standing
             if standing is not None:
-                standing.state, standing.since, standing.why = was
-            self.executor.remove(part)
-        self.orders.pop(order.ident, None)
+                standing.state, standing.state_since, standing.why = was
+            self.open_tasks.remove(part)
+        self.orders.pop(order.order_id, None)
         self.changed.discard(order)
 
-    def _against(self, part: Task, supersede: bool) -> str:
+    def _rejection_reason(self, part: Task, supersede: bool) -> str:
         """Why an order does not hold for an instance; empty where it does."""
-        instance, standing = part.instance, part.instance.part
+        instance, standing = part.instance, part.instance.task
         if part.generation != instance.generation:
             whose = (
                 f"{standing.order.operator}'s {standing.order.verb.value} stands"
@@ -195,15 +200,15 @@
                 else (f"changed by {instance.changed_by or 'nobody'}")
             )
             return (
-                f"{whose} since {_clock(instance.changed)}; it is generation {instance.generation},"
+                f"{whose} since {_clock(instance.changed_at)}; it is generation {instance.generation},"
                 f" not {part.generation}"
             )
-        if instance.generation >= instance.limit:
+        if instance.generation >= instance.generation_limit:
             return "no generation is left for it until the record is heard"
         if standing is not None and not supersede:
             return (
                 f"{standing.order.operator}'s {standing.order.verb.value} stands since"
-                f" {_clock(standing.order.taken)}"
+                f" {_clock(standing.order.accepted_at)}"
             )
         return ""
 
@@ -212,9 +217,9 @@
         order = self.orders.get(ident)
         if order is None:
             raise OrderRejectedError("no such order")
-        for part in order.parts:
+        for part in order.tasks:
             if part.state is TaskState.WAITING:
-                self._move(now, part, TaskState.CANCELLED, f"by {operator}")
+                self._transition(now, part, TaskState.CANCELLED, f"by {operator}")
             elif part.state is TaskState.ACTING:
                 part.why = f"begun before {operator} cancelled it"
                 self.changed.add(order)
@@ -224,53 +229,55 @@
 
     def advance(self, now: int) -> None:
         """Begin what has room, end what is over. The steps come from `Supervisor.tick`."""
-        for part in list(self.executor):
+        for part in list(self.open_tasks):
             if part.state is TaskState.WAITING:
-                if now >= part.order.expires:
-                    self._move(now, part, TaskState.EXPIRED, "no room in its time")
-                elif part.order.verb is Verb.START or self._room(now, part):
-                    self._begin(now, part)
+                if now >= part.order.expires_at:
+                    self._transition(now, part, TaskState.EXPIRED, "no room in its time")
+                elif part.order.verb is Verb.START or self._may_take_out(now, part):
+                    self._start_task(now, part)
             if part.state is TaskState.ACTING:
-                self._look(now, part)
+                self._check_completion(now, part)
         # Those superseded leave here too, not when that is decided: it may have to be undone.
-        self.executor = [part for part in self.executor if part.open]
+        self.open_tasks = [part for part in self.open_tasks if part.is_open]
 
-    def _room(self, now: int, part: Task) -> bool:
+    def _may_take_out(self, now: int, part: Task) -> bool:
         """Whether it may be taken out: by the host's own part of its site, or by a place of the record."""
         if self.permit_holder is None:
-            return self.supervision.room(part.instance)
-        return self.permit_holder.may_start(now, part.instance.name, part.order.ident, part.instance.alive)
+            return self.supervisor.has_capacity(part.instance)
+        return self.permit_holder.may_start(now, part.instance.name, part.order.order_id, part.instance.alive)
 
-    def call_back(self, now: int, order: Order, operator: str) -> None:
+    def revert(self, now: int, order: Order, operator: str) -> None:
         """Cancel it for good: what it has taken out comes back, also what has ended by then."""
-        for part in order.parts:
+        for part in order.tasks:
             took = part.state in (TaskState.ACTING, TaskState.DONE)
             if part.state in OPEN_STATES:
-                self._move(now, part, TaskState.CANCELLED, f"by {operator}")
+                self._transition(now, part, TaskState.CANCELLED, f"by {operator}")
             if (
                 took
                 and order.verb in (Verb.DRAIN, Verb.STOP)
                 and part.instance.goal is Goal.DOWN
-                and part.instance.part is None
+                and part.instance.task is None
             ):
-                self.supervision.want_back(now, part.instance)
+                self.supervisor.cancel_stop(now, part.instance)
 
-    def _begin(self, now: int, part: Task) -> None:
-        instance, supervision = part.instance, self.supervision
+    def _start_task(self, now: int, part: Task) -> None:
+        instance, supervision = part.instance, self.supervisor
         if self.permit_holder and part.order.verb is not Verb.START:
             self.permit_holder.start(now, instance.name)
-        part.replaces = instance.born
-        self._move(now, part, TaskState.ACTING)
+        part.replaces_generation = instance.process_generation
+        self._transition(now, part, TaskState.ACTING)
         if part.order.verb is Verb.START:
             if not instance.alive or instance.phase is Phase.DRAINING:
-                supervision.want_up(now, instance)
+                supervision.order_start(now, instance)
             instance.goal = Goal.UP
         elif part.order.verb is Verb.RESTART:
-            supervision.want_anew(now, instance)
+            supervision.order_restart(now, instance)
         else:
-            supervision.want_down(now, instance, part.order.verb is Verb.STOP, self.permit_holder is not None)
+            supervision.order_stop(
+                now, instance, part.order.verb is Verb.STOP, self.permit_holder is not None
+            )
 
-    def hold_back(self, now: int, steps: list[Step]) -> list[Step]:
+    def permitted_steps(self, now: int, steps: list[Step]) -> list[Step]:
         """Of steps that are to be carried out, those that may be by now.
 
         A place is begun in time and kept on disk, and then its process is told. Where the disk was full or
@@ -279,29 +286,29 @@
         """
         may = []
         for step in steps:
-            part, instance = step.instance.part, step.instance
+            part, instance = step.instance.task, step.instance
             if (
                 self.permit_holder is None
-                or step.act not in (Action.LEAVE, Action.TERM)
+                or step.action not in (Action.DRAIN, Action.TERM)
                 or part is None
-                or part.sent
+                or part.drain_sent
                 or part.state is not TaskState.ACTING
                 or part.order.verb is Verb.START
             ):
                 may.append(step)
                 continue
             told = getattr(instance.report, "state", "")
-            if told == "draining" or self.permit_holder.may_notify(now, instance.name, part.order.ident):
-                part.sent = True
+            if told == "draining" or self.permit_holder.may_notify(now, instance.name, part.order.order_id):
+                part.drain_sent = True
                 may.append(step)
             elif told:
-                self._move(now, part, TaskState.CANCELLED, "its place was over before it was used")
-                self.supervision.stays(now, instance, told)
+                self._transition(now, part, TaskState.CANCELLED, "its place was over before it was used")
+                self.supervisor.revert_unsent_drain(now, instance, told)
             else:
-                instance.left_at = 0  # until it has said whether it was told before
+                instance.drain_sent_at = 0  # until it has said whether it was told before
         return may
 
-    def _look(self, now: int, part: Task) -> None:
+    def _check_completion(self, now: int, part: Task) -> None:
         """Whether it is over with its instance."""
         instance, verb = part.instance, part.order.verb
         up = instance.phase in (Phase.COLD, Phase.SERVING)
@@ -310,47 +317,49 @@
         elif verb is Verb.START:
             over = up
         else:
-            over = up and instance.born != part.replaces
+            over = up and instance.process_generation != part.replaces_generation
         if over:
-            self._move(now, part, TaskState.DONE)
-        elif instance.resting:
-            self._move(now, part, TaskState.FAILED, f"it keeps ending: {instance.why}")
-        elif now >= part.order.expires:
-            self._move(now, part, TaskState.FAILED, f"still {instance.phase.value} when its time was over")
+            self._transition(now, part, TaskState.DONE)
+        elif instance.restarts_exhausted:
+            self._transition(now, part, TaskState.FAILED, f"it keeps ending: {instance.why}")
+        elif now >= part.order.expires_at:
+            self._transition(
+                now, part, TaskState.FAILED, f"still {instance.phase.value} when its time was over"
+            )
 
-    def expire_all(self, now: int, why: str) -> None:
+    def fail_all(self, now: int, why: str) -> None:
         """The host was started anew: no order made for what ran on it before holds."""
-        for part in self.executor:
-            self._move(now, part, TaskState.FAILED, why)
-        self.executor.clear()
+        for part in self.open_tasks:
+            self._transition(now, part, TaskState.FAILED, why)
+        self.open_tasks.clear()
 
     def restore(self, orders: list[Order]) -> None:
         """Take up what was kept, the oldest first."""
         for order in orders:
-            self.orders[order.ident] = order
-            for part in order.parts:
-                if part.open:
-                    part.instance.part = part
-                    self.executor.append(part)
+            self.orders[order.order_id] = order
+            for part in order.tasks:
+                if part.is_open:
+                    part.instance.task = part
+                    self.open_tasks.append(part)
 
-    def _move(self, now: int, part: Task, state: TaskState, why: str = "") -> None:
+    def _transition(self, now: int, part: Task, state: TaskState, why: str = "") -> None:
         """The one place where the state of a part changes."""
         if state not in TRANSITIONS[part.state]:
-            raise RuntimeError(f"order {part.order.ident}: {part.state.value} to {state.value}")
-        part.state, part.since, part.why = state, now, why or part.why
+            raise RuntimeError(f"order {part.order.order_id}: {part.state.value} to {state.value}")
+        part.state, part.state_since, part.why = state, now, why or part.why
         self.changed.add(part.order)
-        if not part.open and part.instance.part is part:
-            part.instance.part, part.instance.dirty = None, True
+        if not part.is_open and part.instance.task is part:
+            part.instance.task, part.instance.dirty = None, True
 
-    def _forget(self) -> None:
+    def _delete_oldest(self) -> None:
         """The oldest that ended make room: their ids come with a generation that is long over."""
         for ident, order in list(self.orders.items()):
-            if len(self.orders) <= self.most:
+            if len(self.orders) <= self.max_orders:
                 break
-            if not order.open:
+            if not order.is_open:
                 del self.orders[ident]
                 self.changed.discard(order)
-                self.dropped.append(ident)
+                self.deleted.append(ident)
 
 
 def _clock(unix: int) -> str:
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -28,7 +28,7 @@
 
     name: str
     pid: int
-    ticks: int  # when it began, in ticks of the clock since the boot
+    start_ticks: int  # when it began, in ticks of the clock since the boot
     generation: int
     pidfd: int
 
@@ -40,9 +40,9 @@
 class Processes:
     """In one folder of the host: `NAME.lock`, `NAME.pid`, `NAME.sock` and `NAME.log` for each instance."""
 
-    def __init__(self, folder: str, ended: Callable[[Process, str], None]) -> None:
+    def __init__(self, folder: str, on_exit: Callable[[Process, str], None]) -> None:
         """`ended` is told once of each process, with how it ended."""
-        self.folder, self.ended = folder, ended
+        self.folder, self.on_exit = folder, on_exit
         self.watched: dict[int, Process] = {}  # by pidfd
 
     def path(self, name: str, ending: str) -> str:
@@ -81,14 +81,14 @@
         pidfd = os.pidfd_open(child.pid)
         return self._watch(Process(name, child.pid, started(child.pid), generation, pidfd))
 
-    def holds(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         """Whether some process of the instance is there."""
         lock = self._lock(name)
         if lock >= 0:
             os.close(lock)
         return lock < 0
 
-    def written(self, name: str) -> tuple[int, int]:
+    def read_pid_file(self, name: str) -> tuple[int, int]:
         """The pid and generation of the last process that began; zeros where none is known."""
         try:
             with open(self.path(name, "pid"), encoding="ascii") as file:
@@ -97,9 +97,9 @@
         except (OSError, ValueError):
             return 0, 0
 
-    def take_up(self, name: str) -> Process | None:
+    def adopt(self, name: str) -> Process | None:
         """The process that an earlier agent made, once it is certain which one it is."""
-        pid, generation = self.written(name)
+        pid, generation = self.read_pid_file(name)
         if not pid:
             return None
         try:
@@ -113,7 +113,7 @@
 
     def signal(self, process: Process, number: signal.Signals) -> bool:
         """Whether it could be signalled: False where it has ended."""
-        if process.pidfd not in self.watched or started(process.pid) != process.ticks:
+        if process.pidfd not in self.watched or started(process.pid) != process.start_ticks:
             return False
         try:
             signal.pidfd_send_signal(process.pidfd, number)
@@ -145,17 +145,17 @@
 
     def _watch(self, process: Process) -> Process:
         self.watched[process.pidfd] = process
-        asyncio.get_running_loop().add_reader(process.pidfd, self._over, process)
+        asyncio.get_running_loop().add_reader(process.pidfd, self._exited, process)
         return process
 
-    def _over(self, process: Process) -> None:
+    def _exited(self, process: Process) -> None:
         self._unwatch(process)
         why = "ended while another was its parent"
         with contextlib.suppress(ChildProcessError):
             _, status = os.waitpid(process.pid, os.WNOHANG)
             code = os.waitstatus_to_exitcode(status)
             why = f"exit code {code}" if code >= 0 else f"killed by {signal.Signals(-code).name}"
-        self.ended(process, why)
+        self.on_exit(process, why)
 
     def _unwatch(self, process: Process) -> None:
         asyncio.get_running_loop().remove_reader(process.pidfd)
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -64,64 +64,71 @@
     """One keeper. Every write, link and timer of it is here."""
 
     def __init__(
-        self, fleet: Fleet, name: str, keys: dict[str, Key], log: EventLog, pace: RaftTimeouts | None = None
+        self,
+        fleet: Fleet,
+        name: str,
+        keys: dict[str, Key],
+        log: EventLog,
+        timeouts: RaftTimeouts | None = None,
     ) -> None:
         """Raises StoreError where its file can't be used."""
         assert fleet.control_plane is not None
         self.fleet, self.name, self.keys, self.log = fleet, name, keys, log
-        self.pace = pace or RaftTimeouts()
+        self.timeouts = timeouts or RaftTimeouts()
         host = fleet.host(name)
         self.path = os.path.join(host.state, "record.db")
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
         if self.store.quarantined:
             log.warning("raft_storage_quarantined", file=self.store.quarantined)
-        self.witness = WriteCounter(self.path + ".count", self.store)
+        self.write_counter = WriteCounter(self.path + ".count", self.store)
         if self.store.created:
-            self._count_anew()
-        elif why := self.witness.stale_reason():
-            self._set_aside(f"an older copy: {why}")
-        self.layout = topology_of(fleet)
+            self._reset_write_counter()
+        elif why := self.write_counter.stale_reason():
+            self._quarantine(f"an older copy: {why}")
+        self.topology = topology_of(fleet)
         self.peers: dict[str, PeerSender] = {}
         self.futures: dict[Proposal, asyncio.Future] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.fault = ""  # the file can't be written
-        self.leads = False
-        self.again_at = 0  # when to make the keeper anew, where there is none
+        self.storage_error = ""  # the file can't be written
+        self.is_leader = False
+        self.retry_at = 0  # when to make the keeper anew, where there is none
         self.control_plane: ControlPlaneReplica | None = None
 
     def open(self) -> None:
-        self._begin()
+        self._start_replica()
         self._schedule()
 
-    def _begin(self) -> None:
+    def _start_replica(self) -> None:
         """Make the keeper from what is on disk."""
         try:
             held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
             try:
                 storage.check(held)
             except storage.CorruptStateError as error:
-                self._set_aside(str(error))
+                self._quarantine(str(error))
                 held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
         except DatabaseError as error:
-            return self._failed(error)
-        self.fault, founders = "", self.fleet.control_plane.hosts if self.fleet.control_plane else ()
+            return self._storage_failed(error)
+        self.storage_error, founders = "", self.fleet.control_plane.hosts if self.fleet.control_plane else ()
         self.control_plane = ControlPlaneReplica(
             time.monotonic_ns(),
             held,
             secrets.randbits(60),
-            self.pace,
+            self.timeouts,
             founders,
-            self.layout,
+            self.topology,
             ledger=RolloutStateMachine,
-            above=self._driver,
+            above=self._make_controller,
         )
-        self.control_plane.on_committed = self._agreed
+        self.control_plane.on_committed = self._command_committed
 
-    def _driver(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator) -> RolloutController:
+    def _make_controller(
+        self, now: int, book: RolloutStateMachine, allocator: PermitAllocator
+    ) -> RolloutController:
         """What a leader does for releases, with a name that no other has."""
         return RolloutController(now, book, allocator, f"{self.name}.{secrets.token_hex(6)}")
 
-    def _agreed(self, index: int, command: commands.Command, result: object) -> None:
+    def _command_committed(self, index: int, command: commands.Command, result: object) -> None:
         """Told for whoever looks for a cause: grants by each keeper, as their leader may be gone, the rest by
         the leader."""
         if isinstance(result, Rejection):
@@ -132,7 +139,7 @@
         if self.control_plane is None or self.control_plane.allocator is None:
             return None
         if isinstance(command, releases.Command):
-            return self._of_release(command)
+            return self._log_release_command(command)
         if isinstance(command, commands.SetTopology):
             self.log.info("topology_committed", fence=index)
         elif isinstance(command, commands.ExpirePermit | commands.ReleasePermit):
@@ -144,7 +151,7 @@
                 fence=command.fencing_token,
             )
 
-    def _of_release(self, command: releases.Command) -> None:
+    def _log_release_command(self, command: releases.Command) -> None:
         book = self.control_plane.state_machine if self.control_plane else None
         release = book.state.releases.get(command.ident) if isinstance(book, RolloutStateMachine) else None
         if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
@@ -157,28 +164,28 @@
             facts["new"] = ",".join(command.new)
         self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **facts)
 
-    def _set_aside(self, why: str) -> None:
+    def _quarantine(self, why: str) -> None:
         """Put the file away under a name that says when, and begin a new life."""
         self.store.close()
-        self.witness.reset()
+        self.write_counter.reset()
         aside = f"{self.path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
         for ending in ("", "-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
                 os.rename(self.path + ending, aside + ending)
         self.log.warning("raft_storage_quarantined", file=aside, error=why)
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
-        self.witness = WriteCounter(self.path + ".count", self.store)
+        self.write_counter = WriteCounter(self.path + ".count", self.store)
 
-    def _count_anew(self) -> None:
+    def _reset_write_counter(self) -> None:
         """The file is a new one, whatever was counted of the one before."""
-        self.witness.reset()
-        self.witness = WriteCounter(self.path + ".count", self.store)
+        self.write_counter.reset()
+        self.write_counter = WriteCounter(self.path + ".count", self.store)
 
-    def _failed(self, error: DatabaseError) -> None:
+    def _storage_failed(self, error: DatabaseError) -> None:
         """As if it had crashed: made again from what is there, once that can be written."""
-        if str(error) != self.fault:
+        if str(error) != self.storage_error:
             self.log.error("raft_storage_write_failed", error=str(error))
-        self.fault, self.control_plane, self.again_at = str(error), None, time.monotonic_ns() + AGAIN
+        self.storage_error, self.control_plane, self.retry_at = str(error), None, time.monotonic_ns() + AGAIN
         for future in self.futures.values():
             if not future.done():
                 future.set_exception(CommitUnknownError("the record can't be kept here"))
@@ -186,33 +193,33 @@
 
     # What happens.
 
-    def carried(self, sender: str, letters: list[Envelope]) -> list[Envelope]:
+    def receive_envelopes(self, sender: str, letters: list[Envelope]) -> list[Envelope]:
         """Letters came from a host, as its key proves. Returns those that wait for it."""
         for letter in letters:
             if letter.sender == sender and self.control_plane:
-                self._carry_out(self.control_plane.receive(time.monotonic_ns(), letter))
+                self._execute(self.control_plane.receive(time.monotonic_ns(), letter))
         self._schedule()
         return self._peer(sender).take() if sender in self.keys else []
 
-    def polled(self, poll: Heartbeat) -> messages.Response:
+    def receive_heartbeat(self, poll: Heartbeat) -> messages.Response:
         if self.control_plane is None:
-            return messages.NotLeaderResponse("", self.fault or "the record is not kept here")
+            return messages.NotLeaderResponse("", self.storage_error or "the record is not kept here")
         try:
             agreed, steps = self.control_plane.receive_heartbeat(time.monotonic_ns(), poll)
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
-        self._carry_out(steps)
+        self._execute(steps)
         self._schedule()
         return messages.HeartbeatAccepted(agreed)
 
     async def propose(self, command: commands.Command | releases.Command) -> object:
         """What came of it once it is agreed. Raises NotLeading, or Undecided."""
         if self.control_plane is None:
-            raise NotLeaderError("", self.fault)
+            raise NotLeaderError("", self.storage_error)
         proposal, steps = self.control_plane.propose(time.monotonic_ns(), command)
         future: asyncio.Future = asyncio.get_running_loop().create_future()
         self.futures[proposal] = future
-        self._carry_out(steps)
+        self._execute(steps)
         self._schedule()
         try:
             return await asyncio.wait_for(future, AGREE / SECOND)
@@ -225,19 +232,19 @@
         self.timer = None
         try:
             if self.control_plane is None:
-                self._begin()
+                self._start_replica()
             else:
-                self._carry_out(self.control_plane.tick(time.monotonic_ns()))
+                self._execute(self.control_plane.tick(time.monotonic_ns()))
         except Exception as error:  # the agent lives on; what is on disk is whole
             self.log.error("raft_tick_failed", error=fault(error))
-            self.control_plane, self.again_at = None, time.monotonic_ns() + AGAIN
+            self.control_plane, self.retry_at = None, time.monotonic_ns() + AGAIN
         self._schedule()
 
     def _schedule(self) -> None:
         if self.timer:
             self.timer.cancel()
         now = time.monotonic_ns()
-        at = self.again_at  # not from now: letters that come all the time would put it off for ever
+        at = self.retry_at  # not from now: letters that come all the time would put it off for ever
         if self.control_plane:
             at = min(
                 self.control_plane.replica.next_tick_at(),
@@ -246,7 +253,7 @@
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(max(MS, at - now) / SECOND, self._tick)
 
-    def _carry_out(self, all_steps: list[Output]) -> None:
+    def _execute(self, all_steps: list[Output]) -> None:
         """Written before anything is sent or told, in the order in which it was decided."""
         for steps in all_steps:
             if self.control_plane is None:
@@ -254,30 +261,33 @@
             if steps.storage_update:
                 try:
                     storage.write(
-                        self.store, self.control_plane.replica.durable, steps.storage_update, self.witness
+                        self.store,
+                        self.control_plane.replica.durable,
+                        steps.storage_update,
+                        self.write_counter,
                     )
                 except DatabaseError as error:
-                    return self._failed(error)
+                    return self._storage_failed(error)
             for name, letter in steps.envelopes:
                 if name in self.keys:
                     self._peer(name).put(letter)
             for proposal in steps.completed:
-                self._ended(proposal)
+                self._proposal_decided(proposal)
         control_plane = self.control_plane
         if control_plane is None:
             return None
         if control_plane.replica.role is Role.STALE:
-            self._set_aside(control_plane.replica.stale_reason)
-            self._begin()
-        elif (leads := control_plane.allocator is not None) != self.leads:
-            self.leads = leads
+            self._quarantine(control_plane.replica.stale_reason)
+            self._start_replica()
+        elif (leads := control_plane.allocator is not None) != self.is_leader:
+            self.is_leader = leads
             self.log.info(
                 "leader_elected" if leads else "leadership_lost",
                 term=control_plane.replica.term,
                 committed=control_plane.replica.commit_index,
             )
 
-    def _ended(self, proposal: Proposal) -> None:
+    def _proposal_decided(self, proposal: Proposal) -> None:
         future = self.futures.pop(proposal, None)
         if future is None or future.done():
             return
@@ -289,14 +299,14 @@
     def _peer(self, name: str) -> PeerSender:
         if name not in self.peers:
             link = AuthenticatedClient(self.fleet.host(name).agent, self.keys[self.name])
-            self.peers[name] = PeerSender(name, link, self._came, self.log)
+            self.peers[name] = PeerSender(name, link, self._envelopes_received, self.log)
         return self.peers[name]
 
-    def _came(self, name: str, letters: list[Envelope]) -> None:
+    def _envelopes_received(self, name: str, letters: list[Envelope]) -> None:
         """With the answer to what we sent."""
         for letter in letters:
             if letter.sender == name and self.control_plane:
-                self._carry_out(self.control_plane.receive(time.monotonic_ns(), letter))
+                self._execute(self.control_plane.receive(time.monotonic_ns(), letter))
         self._schedule()
 
     def close(self) -> None:
@@ -304,7 +314,7 @@
             self.timer.cancel()
         for peer in self.peers.values():
             peer.close()
-        self.witness.close()
+        self.write_counter.close()
         self.store.close()
 
 
@@ -312,33 +322,37 @@
     """Another keeper: what waits for it, and the link on which it goes."""
 
     def __init__(
-        self, name: str, link: AuthenticatedClient, came: Callable[[str, list[Envelope]], None], log: EventLog
+        self,
+        name: str,
+        link: AuthenticatedClient,
+        on_response: Callable[[str, list[Envelope]], None],
+        log: EventLog,
     ) -> None:
-        self.name, self.link, self.came, self.log = name, link, came, log
-        self.waiting: deque[Envelope] = deque(maxlen=MAX_QUEUED_ENVELOPES)  # the oldest is lost first
-        self.some = asyncio.Event()
+        self.name, self.link, self.on_response, self.log = name, link, on_response, log
+        self.queue: deque[Envelope] = deque(maxlen=MAX_QUEUED_ENVELOPES)  # the oldest is lost first
+        self.not_empty = asyncio.Event()
         self.task = asyncio.ensure_future(self._send())
 
     def put(self, letter: Envelope) -> None:
-        self.waiting.append(letter)
-        self.some.set()
+        self.queue.append(letter)
+        self.not_empty.set()
 
     def take(self) -> list[Envelope]:
         """As many as one message holds."""
         letters: list[Envelope] = []
         size = 0
-        while self.waiting:
-            size += len(msgspec.msgpack.encode(self.waiting[0]))
+        while self.queue:
+            size += len(msgspec.msgpack.encode(self.queue[0]))
             if letters and size > MAX_REQUEST_BYTES:
                 break
-            letters.append(self.waiting.popleft())
-        if not self.waiting:
-            self.some.clear()
+            letters.append(self.queue.popleft())
+        if not self.queue:
+            self.not_empty.clear()
         return letters
 
     async def _send(self) -> None:
         while True:
-            await self.some.wait()
+            await self.not_empty.wait()
             letters = self.take()
             if not letters:
                 continue
@@ -357,7 +371,7 @@
             await self.link.request(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
         )
         if isinstance(answer, messages.PeerEnvelopesResponse):
-            self.came(self.name, answer.envelopes)
+            self.on_response(self.name, answer.envelopes)
 
     def close(self) -> None:
         self.task.cancel()
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -48,17 +48,17 @@
 
     host: HostSettings
     log: EventLog
-    started: int
-    supervision: Supervisor
+    started_at: int
+    supervisor: Supervisor
     orders: OrderRegistry
     executor: InstanceExecutor
     raft: RaftRuntime | None
     status_reporter: StatusReporter | None
-    store_fault: str
+    storage_error: str
 
-    def keep(self) -> bool: ...
-    def turn(self) -> None: ...
-    def said(self) -> Sequence[str]: ...
+    def save(self) -> bool: ...
+    def reconcile(self) -> None: ...
+    def operator_notes(self) -> Sequence[str]: ...
 
 
 class RequestHandlers:
@@ -68,7 +68,7 @@
     def handle(self, key: Key, wish: messages.Request) -> messages.Response | Awaitable[messages.Response]:
         agent, now = self.agent, time.monotonic_ns()
         if isinstance(wish, messages.PeerEnvelopesRequest):
-            letters = agent.raft.carried(key.operator, wish.envelopes) if agent.raft else []
+            letters = agent.raft.receive_envelopes(key.operator, wish.envelopes) if agent.raft else []
             return messages.PeerEnvelopesResponse(letters)
         if isinstance(wish, messages.HeartbeatRequest):
             if wish.heartbeat.host != key.operator:
@@ -76,7 +76,7 @@
                     f"the key of {key.operator} with a poll of {wish.heartbeat.host}"
                 )
             return (
-                agent.raft.polled(wish.heartbeat)
+                agent.raft.receive_heartbeat(wish.heartbeat)
                 if agent.raft
                 else messages.NotLeaderResponse("", "no keeper runs here")
             )
@@ -84,9 +84,9 @@
             return host_status(
                 now,
                 agent.host,
-                agent.supervision,
-                agent.started,
-                list(agent.said()),
+                agent.supervisor,
+                agent.started_at,
+                list(agent.operator_notes()),
                 {each: process.pid for each, process in agent.executor.alive.items()},
             )
         if isinstance(wish, messages.InstanceClientsRequest):
@@ -94,24 +94,24 @@
         if isinstance(wish, messages.RaftStatusRequest):
             return raft_status(now, agent.host.name, agent.raft, agent.status_reporter)
         if isinstance(wish, OF_THE_FLEET):
-            return self._fleet(key, wish)
+            return self._control_plane(key, wish)
         if isinstance(wish, messages.ListOrdersRequest):
             latest = list(agent.orders.orders.values())[-max(1, min(wish.limit, 200)) :]
             return messages.OrderList([order_status(now, each) for each in reversed(latest)])
         try:
             if isinstance(wish, messages.CancelOrderRequest):
                 order = agent.orders.cancel(now, wish.order_id, key.operator)
-                agent.log.info("order_cancelled", order=order.ident, operator=key.operator)
-                agent.keep()
+                agent.log.info("order_cancelled", order=order.order_id, operator=key.operator)
+                agent.save()
                 return order_status(now, order)
-            return self._take(now, key, wish)
+            return self._submit_order(now, key, wish)
         except OrderRejectedError as error:
             return messages.ErrorResponse(str(error))
 
     async def _clients(self, wish: messages.InstanceClientsRequest) -> messages.Response:
         """Ask a node who sends the most, on a link of its own."""
         agent = self.agent
-        instance = agent.orders.named.get(wish.instance)
+        instance = agent.orders.instances.get(wish.instance)
         if instance is None or instance not in agent.executor.alive:
             return messages.ErrorResponse("no such instance here, or it does not run")
         client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
@@ -124,7 +124,7 @@
         finally:
             client.close()
 
-    def _take(self, now: int, key: Key, wish: messages.OrderRequest) -> messages.Response:
+    def _submit_order(self, now: int, key: Key, wish: messages.OrderRequest) -> messages.Response:
         agent = self.agent
         if wish.verb not in {each.value for each in Verb}:
             return messages.ErrorResponse(f"no such order: {wish.verb[:20]!r}")
@@ -132,28 +132,28 @@
             return messages.ErrorResponse("this fleet keeps a record: what leaves is agreed there")
         asked = tuple((name, generation) for name, generation in wish.instances)
         known = wish.order_id in agent.orders.orders
-        order = agent.orders.take(
+        order = agent.orders.submit(
             now, wish.order_id, key.operator, Verb(wish.verb), asked, wish.lifetime, wish.supersede
         )
-        if order.open and not known:
-            if not agent.keep():
+        if order.is_open and not known:
+            if not agent.save():
                 agent.orders.undo(order)
-                return messages.ErrorResponse(f"not taken, as it can't be kept: {agent.store_fault}")
-            agent.orders.kept(order)
+                return messages.ErrorResponse(f"not taken, as it can't be kept: {agent.storage_error}")
+            agent.orders.confirm(order)
             said_taken(agent.log, order)
-            asyncio.get_running_loop().call_soon(agent.turn)
+            asyncio.get_running_loop().call_soon(agent.reconcile)
         return order_status(now, order)
 
     # The fleet's record.
 
-    async def _fleet(self, key: Key, wish: messages.Request) -> messages.Response:
+    async def _control_plane(self, key: Key, wish: messages.Request) -> messages.Response:
         raft = self.agent.raft
         if raft is None or raft.control_plane is None:
             leader = self.agent.status_reporter.leader if self.agent.status_reporter else ""
             return messages.NotLeaderResponse(
                 leader,
-                raft.fault
-                if raft and raft.fault
+                raft.storage_error
+                if raft and raft.storage_error
                 else "this agent does not keep the record"
                 if self.agent.status_reporter
                 else "this fleet has no keepers in its settings",
@@ -164,7 +164,7 @@
             if isinstance(wish, messages.ReleaseStatusRequest):
                 return release_status(time.monotonic_ns(), raft, wish.release_id)
             if isinstance(wish, messages.SetVotersRequest):
-                return await self._set_keepers(key, raft, wish)
+                return await self._set_voters(key, raft, wish)
             result = await raft.propose(command_of(key, wish, time.time_ns()))
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
@@ -189,7 +189,7 @@
         )
         return fleet_order_status(raft, result)
 
-    async def _set_keepers(
+    async def _set_voters(
         self, key: Key, raft: RaftRuntime, wish: messages.SetVotersRequest
     ) -> messages.Response:
         known = {host.name for host in raft.fleet.hosts}
@@ -221,8 +221,8 @@
 def said_taken(log: EventLog, order: Order) -> None:
     log.info(
         "order_accepted",
-        order=order.ident,
+        order=order.order_id,
         operator=order.operator,
         verb=order.verb.value,
-        target=",".join(part.instance.name for part in order.parts if part.open),
+        target=",".join(part.instance.name for part in order.tasks if part.is_open),
     )
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -49,10 +49,10 @@
 class ServerLimits:
     """Times in nanoseconds."""
 
-    links: int = 64
-    wait: int = 10 * SECOND  # for a whole message, and for an answer to be taken
+    connections: int = 64
+    timeout: int = 10 * SECOND  # for a whole message, and for an answer to be taken
     accepts: int = 16  # new links in one pass of the loop
-    refusals: int = SECOND  # one line of the log in that time
+    rejection_log_interval: int = SECOND  # one line of the log in that time
 
 
 class AgentServer:
@@ -62,12 +62,12 @@
         keys: Callable[[], dict[str, Key]],
         handler: Handler,
         log: EventLog,
-        bounds: ServerLimits | None = None,
+        limits: ServerLimits | None = None,
     ) -> None:
         """Raises OSError where the address can't be listened on. `keys` gives those that hold by now."""
-        self.keys, self.handler, self.log, self.bounds = keys, handler, log, bounds or ServerLimits()
-        self.links: dict[IOStream, asyncio.Task] = {}  # the oldest first
-        self.refused_at = self.refused = 0
+        self.keys, self.handler, self.log, self.limits = keys, handler, log, limits or ServerLimits()
+        self.connections: dict[IOStream, asyncio.Task] = {}  # the oldest first
+        self.rejection_logged_at = self.rejected = 0
         self.socket = socket.socket()
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.setblocking(False)
@@ -81,26 +81,28 @@
     def close(self) -> None:
         asyncio.get_running_loop().remove_reader(self.socket)
         self.socket.close()
-        for stream in list(self.links):
+        for stream in list(self.connections):
             stream.close()
 
     def _accept_some(self) -> None:
         with contextlib.suppress(OSError):
-            for _ in range(self.bounds.accepts):
+            for _ in range(self.limits.accepts):
                 accepted, _ = self.socket.accept()
                 accepted.setblocking(False)
-                if len(self.links) >= self.bounds.links:  # the oldest had its time
-                    oldest = next(iter(self.links))
-                    del self.links[oldest]
+                if len(self.connections) >= self.limits.connections:  # the oldest had its time
+                    oldest = next(iter(self.connections))
+                    del self.connections[oldest]
                     oldest.close()
                 stream = IOStream(accepted, max_buffer_size=MAX_FRAME_BYTES + 4)
-                self.links[stream] = asyncio.ensure_future(self._serve(stream))
+                self.connections[stream] = asyncio.ensure_future(self._serve(stream))
 
     async def _serve(self, stream: IOStream) -> None:
-        wait = self.bounds.wait / SECOND
+        wait = self.limits.timeout / SECOND
         try:
             challenge = secrets.token_bytes(NONCE_BYTES)
-            authenticator = ServerAuthenticator(self.keys(), challenge, time.monotonic_ns(), self.bounds.wait)
+            authenticator = ServerAuthenticator(
+                self.keys(), challenge, time.monotonic_ns(), self.limits.timeout
+            )
             stream.write(frame(HELLO + challenge))
             most = MAX_FRAME_BYTES
             while True:
@@ -108,7 +110,7 @@
                 try:
                     key, wish = authenticator.verify(time.monotonic_ns(), time.time_ns(), content)
                 except AuthenticationError as error:
-                    self._refuse(str(error))
+                    self._log_rejection(str(error))
                     await stream.write(frame(REFUSED))  # and no reason: a stranger learns nothing
                     return
                 if key.role is Role.AGENT:  # it has shown whose it is: keepers send each other more
@@ -121,14 +123,14 @@
         except (TimeoutError, StreamClosedError):
             pass
         except FrameError as error:
-            self._refuse(str(error))
+            self._log_rejection(str(error))
             with contextlib.suppress(StreamClosedError):
                 stream.write(frame(REFUSED))
         except Exception as error:  # one link must not end the agent
             self.log.error("agent_connection_failed", error=fault(error))
         finally:
             stream.close()
-            self.links.pop(stream, None)
+            self.connections.pop(stream, None)
 
     async def _answer(self, key: Key, content: bytes) -> messages.Response:
         try:
@@ -148,10 +150,13 @@
             self.log.error("agent_request_failed", operator=key.operator, error=fault(error))
             return messages.ErrorResponse("an error of the agent")
 
-    def _refuse(self, why: str) -> None:
+    def _log_rejection(self, why: str) -> None:
         """Told once a second at most, with how many there were."""
-        self.refused += 1
+        self.rejected += 1
         now = time.monotonic_ns()
-        if now - self.refused_at >= self.bounds.refusals or not self.refused_at:
-            self.log.warning("message_rejected", error=why, refused=self.refused)
-            self.refused_at, self.refused = now, 0
+        if (
+            now - self.rejection_logged_at >= self.limits.rejection_log_interval
+            or not self.rejection_logged_at
+        ):
+            self.log.warning("message_rejected", error=why, refused=self.rejected)
+            self.rejection_logged_at, self.rejected = now, 0
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -35,79 +35,79 @@
         keys: dict[str, Key],
         reconciler: Reconciler,
         log: EventLog,
-        heard: Callable[[HeartbeatResponse], None],
+        on_response: Callable[[HeartbeatResponse], None],
     ) -> None:
         """`heard` is called with each answer that was taken."""
         assert fleet.control_plane is not None
         self.fleet, self.name, self.key, self.reconciler, self.log = fleet, name, keys[name], reconciler, log
-        self.heard = heard
-        self.whom = LeaderLocator(fleet.control_plane.hosts, (host.name for host in fleet.hosts))
+        self.on_response = on_response
+        self.locator = LeaderLocator(fleet.control_plane.hosts, (host.name for host in fleet.hosts))
         self.raft: RaftRuntime | None = None
-        self.links: dict[str, AuthenticatedClient] = {}
-        self.heard_at = 0  # monotonic; 0: never
+        self.clients: dict[str, AuthenticatedClient] = {}
+        self.last_response_at = 0  # monotonic; 0: never
         self.why = "not asked yet"
-        self.soon = asyncio.Event()
-        self.pause = max(POLL, POLL_EACH * len(fleet.hosts))
+        self.wake = asyncio.Event()
+        self.interval = max(POLL, POLL_EACH * len(fleet.hosts))
 
     @property
     def leader(self) -> str:
         """Whom it asks."""
-        return self.whom.name
+        return self.locator.current
 
     async def run(self) -> None:
         while True:
             try:
-                answer = await self._ask()
+                answer = await self._send_heartbeat()
                 if isinstance(answer, messages.NotLeaderResponse):
                     self.why = answer.why
-                    self.whom.elsewhere(answer.leader)
+                    self.locator.redirect(answer.leader)
                 elif not isinstance(answer, messages.HeartbeatAccepted):
                     self.why = getattr(answer, "why", "an answer to another question")
-                    self.whom.elsewhere("")
+                    self.locator.redirect("")
             except (LinkError, msgspec.MsgspecError) as error:
                 self.why = f"{self.leader}: {error}"
-                self.whom.elsewhere("")
+                self.locator.redirect("")
             except Exception as error:  # the agent lives on
                 self.log.error("heartbeat_failed", error=fault(error))
-            self.soon.clear()
+            self.wake.clear()
             try:
-                await asyncio.wait_for(self.soon.wait(), self.pause / SECOND)
+                await asyncio.wait_for(self.wake.wait(), self.interval / SECOND)
             except TimeoutError:
                 continue
             await asyncio.sleep(0.005)  # what changes at the same time goes along
 
-    async def _ask(self) -> messages.Response:
+    async def _send_heartbeat(self) -> messages.Response:
         sent_at = time.monotonic_ns()
-        poll = self.reconciler.poll(sent_at)
+        poll = self.reconciler.build_heartbeat(sent_at)
         if self.leader == self.name and self.raft:
-            answer = self.raft.polled(poll)
+            answer = self.raft.receive_heartbeat(poll)
         else:
-            if self.leader not in self.links:
-                self.links[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
+            if self.leader not in self.clients:
+                self.clients[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
             answer = messages.decode_response(
-                await self.links[self.leader].request(
+                await self.clients[self.leader].request(
                     messages.encode(messages.HeartbeatRequest(poll)), ANSWER / SECOND
                 )
             )
         if isinstance(answer, messages.HeartbeatAccepted):
-            self._take(sent_at, answer.response)
+            self._apply_response(sent_at, answer.response)
         return answer
 
-    def _take(self, sent_at: int, agreed: HeartbeatResponse) -> None:
+    def _apply_response(self, sent_at: int, agreed: HeartbeatResponse) -> None:
         permit_holder = self.reconciler.permit_holder
-        self.reconciler.answered(time.monotonic_ns(), sent_at, agreed)
+        self.reconciler.apply_response(time.monotonic_ns(), sent_at, agreed)
         if permit_holder.rejection_reason:
             if permit_holder.rejection_reason != self.why:
                 self.log.warning("heartbeat_response_rejected", error=permit_holder.rejection_reason)
             self.why = permit_holder.rejection_reason
             return
-        self.heard_at, self.why = time.monotonic_ns(), ""
+        self.last_response_at, self.why = time.monotonic_ns(), ""
         if agreed.voters:
-            self.whom.told(agreed.voters)
-        self.heard(agreed)
+            self.locator.set_voters(agreed.voters)
+        self.on_response(agreed)
 
     def close(self) -> None:
-        for link in self.links.values():
+        for link in self.clients.values():
             link.close()
 
 
@@ -122,7 +122,7 @@
         except (TimeoutError, OSError):
             pass
         was = below.up[service.name]
-        below.seen(service.name, up)
+        below.observe(service.name, up)
         if below.up[service.name] is not was:
             moved()
         await asyncio.sleep(PROBE / SECOND)
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -32,50 +32,54 @@
         now - started,
         time.time_ns(),
         host.max_unavailable,
-        supervision.out[host.site],
+        supervision.unavailable[host.site],
         notes,
         [_instance_status(now, each, pids.get(each, 0)) for each in supervision.instances],
     )
 
 
 def _instance_status(now: int, instance: Instance, pid: int) -> messages.InstanceStatus:
-    part, on = instance.part, None
+    part, on = instance.task, None
     if part is not None:
         on = messages.OpenOrder(
-            part.order.ident, part.order.operator, part.order.verb.value, part.state.value, now - part.since
+            part.order.order_id,
+            part.order.operator,
+            part.order.verb.value,
+            part.state.value,
+            now - part.state_since,
         )
     waits = instance.phase in (Phase.STOPPED, Phase.FAILING) and instance.goal is Goal.UP
     return messages.InstanceStatus(
         instance.name,
         instance.phase.value,
-        now - instance.since,
+        now - instance.phase_since,
         instance.goal.value,
         instance.generation,
-        instance.changed,
+        instance.changed_at,
         instance.changed_by,
         pid,
-        now - instance.heard if instance.report else -1,
+        now - instance.last_report_at if instance.report else -1,
         instance.report,
         on,
-        len(instance.deaths),
-        instance.resting,
-        max(0, instance.start_at - now) if waits else 0,
+        len(instance.crashes),
+        instance.restarts_exhausted,
+        max(0, instance.start_not_before - now) if waits else 0,
         instance.why,
     )
 
 
 def order_status(now: int, order: Order) -> messages.OrderStatus:
     parts = [
-        messages.TaskStatus(part.instance.name, part.state.value, max(0, now - part.since), part.why)
-        for part in order.parts
+        messages.TaskStatus(part.instance.name, part.state.value, max(0, now - part.state_since), part.why)
+        for part in order.tasks
     ]
     here = {part.instance for part in parts}
     parts += [
         messages.TaskStatus(name, "refused", 0, "no such instance here")
-        for name, _ in order.asked
+        for name, _ in order.requested
         if name not in here
     ]
-    return messages.OrderStatus(order.ident, order.operator, order.verb.value, order.taken, parts)
+    return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, parts)
 
 
 # The record.
@@ -84,9 +88,17 @@
 def raft_status(
     now: int, host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None
 ) -> messages.RaftStatus:
-    heard = now - status_reporter.heard_at if status_reporter and status_reporter.heard_at else -1
+    heard = (
+        now - status_reporter.last_response_at if status_reporter and status_reporter.last_response_at else -1
+    )
     if raft is None or raft.control_plane is None:
-        why = raft.fault if raft else status_reporter.why if status_reporter else "this fleet has no keepers"
+        why = (
+            raft.storage_error
+            if raft
+            else status_reporter.why
+            if status_reporter
+            else "this fleet has no keepers"
+        )
         return messages.RaftStatus(
             host,
             "none",
@@ -138,7 +150,7 @@
     places, hosts, owes = {}, {}, {}
     if raft.control_plane:
         places = raft.control_plane.state_machine.state.permits
-        hosts = {thing: host for host, things in raft.layout.hosts.items() for thing in things}
+        hosts = {thing: host for host, things in raft.topology.hosts.items() for thing in things}
         if raft.control_plane.allocator:
             owes = {
                 thing: told
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -55,17 +55,17 @@
                 (
                     each.name,
                     each.generation,
-                    each.changed,
+                    each.changed_at,
                     each.changed_by,
-                    each.born,
+                    each.process_generation,
                     each.spawned,
                     each.goal.value,
                     each.phase.value,
-                    each.kill,
-                    each.start_at,
+                    each.kill_after_drain,
+                    each.start_not_before,
                     each.failures,
-                    json.dumps(list(each.deaths)),
-                    each.resting,
+                    json.dumps(list(each.crashes)),
+                    each.restarts_exhausted,
                     each.why,
                 ),
             )
@@ -75,27 +75,27 @@
             (
                 PUT_ORDER,
                 (
-                    order.ident,
+                    order.order_id,
                     order.operator,
                     order.verb.value,
-                    order.taken,
-                    order.expires,
-                    json.dumps(order.asked),
+                    order.accepted_at,
+                    order.expires_at,
+                    json.dumps(order.requested),
                 ),
             )
         )
-        for part in order.parts:
+        for part in order.tasks:
             rows.append(
                 (
                     PUT_PART,
                     (
-                        order.ident,
+                        order.order_id,
                         part.instance.name,
                         part.generation,
                         part.state.value,
-                        part.since,
+                        part.state_since,
                         part.why,
-                        part.replaces,
+                        part.replaces_generation,
                     ),
                 )
             )
@@ -114,24 +114,28 @@
         (
             _,
             each.generation,
-            each.changed,
+            each.changed_at,
             each.changed_by,
-            each.born,
+            each.process_generation,
             spawned,
             goal,
             phase,
             kill,
-            each.start_at,
+            each.start_not_before,
             each.failures,
             deaths,
             resting,
             each.why,
         ) = row
-        each.spawned, each.kill, each.resting = bool(spawned), bool(kill), bool(resting)
-        each.goal, each.phase, each.deaths = Goal(goal), Phase(phase), deque(json.loads(deaths))
+        each.spawned, each.kill_after_drain, each.restarts_exhausted = (
+            bool(spawned),
+            bool(kill),
+            bool(resting),
+        )
+        each.goal, each.phase, each.crashes = Goal(goal), Phase(phase), deque(json.loads(deaths))
         if not same_boot:
-            each.start_at, each.failures, each.resting = 0, 0, False
-            each.deaths.clear()
+            each.start_not_before, each.failures, each.restarts_exhausted = 0, 0, False
+            each.crashes.clear()
 
 
 def restore_orders(store: Database, orders: OrderRegistry) -> None:
@@ -143,9 +147,9 @@
         pairs = tuple((name, generation) for name, generation in json.loads(asked))
         found[ident] = Order(ident, operator, Verb(verb), taken, expires, pairs)
     for ident, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
-        instance = orders.named.get(name)
+        instance = orders.instances.get(name)
         if instance is not None and ident in found:
-            found[ident].parts.append(
+            found[ident].tasks.append(
                 Task(found[ident], instance, generation, TaskState(state), since, why, replaces)
             )
     orders.restore(list(found.values()))
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -39,8 +39,8 @@
 class Action(Enum):
     START = "start"  # a process of the instance's new generation
     TERM = "term"  # tell it to leave, for good
-    LEAVE = "leave"  # tell it to leave in a way that can be taken back
-    STAY = "stay"  # take that back
+    DRAIN = "leave"  # tell it to leave in a way that can be taken back
+    CANCEL_DRAIN = "stay"  # take that back
     KILL = "kill"
 
 
@@ -48,7 +48,7 @@
 class Step:
     """Something for the acting half to do."""
 
-    act: Action
+    action: Action
     instance: Instance
 
 
@@ -58,140 +58,144 @@
     def __init__(
         self,
         instances: Iterable[Instance],
-        patience: SupervisionTimeouts,
-        away: dict[str, int],
+        timeouts: SupervisionTimeouts,
+        max_unavailable: dict[str, int],
         seed: int,
-        unix: Callable[[], int],
+        unix_time: Callable[[], int],
     ) -> None:
         """`unix` gives the time for people; no decision hangs on it."""
         self.instances = list(instances)
-        self.patience, self.away, self.unix = patience, away, unix
-        self.chance = Random(seed).random
-        self.out = dict.fromkeys({each.site for each in self.instances}, 0)  # by site
-        self.booting = 0
+        self.timeouts, self.max_unavailable, self.unix_time = timeouts, max_unavailable, unix_time
+        self.random = Random(seed).random
+        self.unavailable = dict.fromkeys({each.site for each in self.instances}, 0)  # by site
+        self.starting_count = 0
         for each in self.instances:
-            self.out[each.site] += _out(each)
-            self.booting += each.phase is Phase.STARTING
+            self.unavailable[each.site] += _out(each)
+            self.starting_count += each.phase is Phase.STARTING
 
     # What happened.
 
-    def heard(self, now: int, instance: Instance, state: str, generation: int, report: object) -> None:
+    def report_received(
+        self, now: int, instance: Instance, state: str, generation: int, report: object
+    ) -> None:
         """A report came. One of another generation is by a process that is not ours to believe."""
         if not instance.alive:
             return  # on its way since before it ended
-        if generation != instance.born:
-            instance.why = f"generation {generation} answers in place of {instance.born}"
+        if generation != instance.process_generation:
+            instance.why = f"generation {generation} answers in place of {instance.process_generation}"
             return
-        instance.heard, instance.report = now, report
-        instance.ran = getattr(report, "version", "")
+        instance.last_report_at, instance.report = now, report
+        instance.running_version = getattr(report, "version", "")
         told = REPORTED[state]
         if (instance.phase is not Phase.DRAINING and told is not instance.phase) or (
-            instance.recalled and told in (Phase.COLD, Phase.SERVING)
+            instance.drain_cancelled and told in (Phase.COLD, Phase.SERVING)
         ):
-            instance.recalled = instance.soft = instance.kill = False
-            self._move(now, instance, told)
-        if instance.phase is Phase.SERVING and now - instance.since > self.patience.steady:
+            instance.drain_cancelled = instance.drain_cancellable = instance.kill_after_drain = False
+            self._transition(now, instance, told)
+        if instance.phase is Phase.SERVING and now - instance.phase_since > self.timeouts.steady:
             instance.failures = 0
 
-    def spawned(self, now: int, instance: Instance) -> None:
+    def process_started(self, now: int, instance: Instance) -> None:
         """Its process is there."""
         instance.spawned, instance.dirty = True, True
 
-    def not_spawned(self, now: int, instance: Instance, why: str) -> None:
+    def start_failed(self, now: int, instance: Instance, why: str) -> None:
         """No process came of it: as bad as one that dies at once."""
-        self.died(now, instance, why)
+        self.process_exited(now, instance, why)
 
-    def taken_up(self, now: int, instance: Instance, generation: int) -> None:
+    def process_adopted(self, now: int, instance: Instance, generation: int) -> None:
         """Its process was found running when the agent started."""
-        instance.born, instance.spawned = generation, True
+        instance.process_generation, instance.spawned = generation, True
         instance.generation = max(instance.generation, generation)
-        instance.heard = now  # it has its time to answer from now on
+        instance.last_report_at = now  # it has its time to answer from now on
         instance.report = None
         if not instance.alive:
-            self._move(now, instance, Phase.STARTING)
-        instance.left_at = 0  # it is told again: it may not have heard, and a second time changes nothing
+            self._transition(now, instance, Phase.STARTING)
+        instance.drain_sent_at = (
+            0  # it is told again: it may not have heard, and a second time changes nothing
+        )
 
-    def found_none(self, now: int, instance: Instance, written: int) -> None:
+    def process_not_found(self, now: int, instance: Instance, written: int) -> None:
         """No process of it is there when an agent starts. `written` is the generation that the last one told
         before its program began: by that it is known whether one was ever made."""
         if not instance.alive:
             return
-        if instance.spawned or written == instance.born:
-            self.died(now, instance, "ended while no agent watched")
+        if instance.spawned or written == instance.process_generation:
+            self.process_exited(now, instance, "ended while no agent watched")
         else:
-            self.never_there(now, instance)
+            self.start_abandoned(now, instance)
 
-    def never_there(self, now: int, instance: Instance) -> None:
+    def start_abandoned(self, now: int, instance: Instance) -> None:
         """The agent ended between deciding on a process and making it."""
-        instance.start_at = now
-        self._move(now, instance, Phase.STOPPED)
+        instance.start_not_before = now
+        self._transition(now, instance, Phase.STOPPED)
 
-    def died(self, now: int, instance: Instance, why: str) -> None:
+    def process_exited(self, now: int, instance: Instance, why: str) -> None:
         """Its process has ended: proved, not guessed."""
         if not instance.alive:
             return None
         asked = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
-        instance.left_at, instance.kill, instance.report = 0, False, None
-        instance.soft = instance.recalled = False
+        instance.drain_sent_at, instance.kill_after_drain, instance.report = 0, False, None
+        instance.drain_cancellable = instance.drain_cancelled = False
         if asked:
-            instance.start_at = now
-            return self._move(now, instance, Phase.STOPPED)
-        patience = self.patience
-        instance.why, instance.died = why, instance.died + 1
-        instance.deaths.append(now)
-        while instance.deaths and instance.deaths[0] <= now - patience.window:
-            instance.deaths.popleft()
-        while len(instance.deaths) > patience.budget + 1:
-            instance.deaths.popleft()
+            instance.start_not_before = now
+            return self._transition(now, instance, Phase.STOPPED)
+        patience = self.timeouts
+        instance.why, instance.crash_count = why, instance.crash_count + 1
+        instance.crashes.append(now)
+        while instance.crashes and instance.crashes[0] <= now - patience.window:
+            instance.crashes.popleft()
+        while len(instance.crashes) > patience.budget + 1:
+            instance.crashes.popleft()
         wait = min(patience.backoff_most, patience.backoff << min(instance.failures, 16))
         instance.failures += 1
-        instance.start_at = now + int(wait * (0.5 + self.chance()))
-        if len(instance.deaths) > patience.budget:
-            instance.resting = True
-            instance.start_at = max(instance.start_at, instance.deaths[0] + patience.window)
-        self._move(now, instance, Phase.FAILING)
+        instance.start_not_before = now + int(wait * (0.5 + self.random()))
+        if len(instance.crashes) > patience.budget:
+            instance.restarts_exhausted = True
+            instance.start_not_before = max(instance.start_not_before, instance.crashes[0] + patience.window)
+        self._transition(now, instance, Phase.FAILING)
 
     # What is wanted.
 
-    def want_up(self, now: int, instance: Instance) -> None:
+    def order_start(self, now: int, instance: Instance) -> None:
         """By an order: at once, whatever it did before."""
         instance.goal, instance.dirty = Goal.UP, True
-        instance.start_at, instance.failures, instance.resting = now, 0, False
-        instance.deaths.clear()
+        instance.start_not_before, instance.failures, instance.restarts_exhausted = now, 0, False
+        instance.crashes.clear()
 
-    def want_down(self, now: int, instance: Instance, kill: bool, soft: bool = False) -> None:
+    def order_stop(self, now: int, instance: Instance, kill: bool, soft: bool = False) -> None:
         """By an order: drained, and killed after its drain time if `kill`. One that leaves softly can be
         called back."""
         instance.goal, instance.dirty = Goal.DOWN, True
         if instance.phase is Phase.FAILING:
-            self._move(now, instance, Phase.STOPPED)
+            self._transition(now, instance, Phase.STOPPED)
         elif instance.alive:
-            instance.soft = soft
-            self._leave(now, instance, kill)
+            instance.drain_cancellable = soft
+            self._drain(now, instance, kill)
 
-    def want_back(self, now: int, instance: Instance) -> None:
+    def cancel_stop(self, now: int, instance: Instance) -> None:
         """By a cancel: it takes work again, or is started anew where it has ended by then."""
-        self.want_up(now, instance)
-        if instance.phase is Phase.DRAINING and instance.soft:
-            instance.recalled, instance.left_at = True, 0
+        self.order_start(now, instance)
+        if instance.phase is Phase.DRAINING and instance.drain_cancellable:
+            instance.drain_cancelled, instance.drain_sent_at = True, 0
 
-    def stays(self, now: int, instance: Instance, state: str) -> None:
+    def revert_unsent_drain(self, now: int, instance: Instance, state: str) -> None:
         """It was to leave and was never told; `state` is what it reported last."""
         instance.goal, instance.dirty = Goal.UP, True
-        instance.soft = instance.kill = instance.recalled = False
-        instance.left_at = 0
+        instance.drain_cancellable = instance.kill_after_drain = instance.drain_cancelled = False
+        instance.drain_sent_at = 0
         if instance.phase is Phase.DRAINING:
-            self._move(now, instance, Phase.SERVING if state == "serving" else Phase.COLD)
+            self._transition(now, instance, Phase.SERVING if state == "serving" else Phase.COLD)
 
-    def want_anew(self, now: int, instance: Instance) -> None:
+    def order_restart(self, now: int, instance: Instance) -> None:
         """By an order: drained, and started again."""
-        self.want_up(now, instance)
+        self.order_start(now, instance)
         if instance.alive:
-            self._leave(now, instance, True)
+            self._drain(now, instance, True)
 
-    def room(self, instance: Instance) -> bool:
+    def has_capacity(self, instance: Instance) -> bool:
         """Whether it may be taken out: what is out counts whoever took it, or if it died."""
-        return _out(instance) or self.out[instance.site] < self.away[instance.site]
+        return _out(instance) or self.unavailable[instance.site] < self.max_unavailable[instance.site]
 
     def tick(self, now: int) -> list[Step]:
         """What is to be done by now. Called often; each step comes once."""
@@ -201,82 +205,84 @@
             if phase in (Phase.STOPPED, Phase.FAILING):
                 if (
                     instance.goal is Goal.UP
-                    and now >= instance.start_at
-                    and self._numbered(instance)
-                    and self.booting < self.patience.starting
+                    and now >= instance.start_not_before
+                    and self._has_generation_left(instance)
+                    and self.starting_count < self.timeouts.starting
                 ):
-                    self._begin(now, instance)
+                    self._start(now, instance)
                     steps.append(Step(Action.START, instance))
             elif phase is Phase.DRAINING:
-                if instance.recalled:
-                    if now - instance.left_at >= RECALL:
-                        instance.left_at = now
-                        steps.append(Step(Action.STAY, instance))
-                elif not instance.left_at:
-                    instance.left_at = now
-                    steps.append(Step(Action.LEAVE if instance.soft else Action.TERM, instance))
-                elif instance.kill and now - instance.left_at >= self.patience.drain:
-                    instance.left_at = now  # should even that not be enough
+                if instance.drain_cancelled:
+                    if now - instance.drain_sent_at >= RECALL:
+                        instance.drain_sent_at = now
+                        steps.append(Step(Action.CANCEL_DRAIN, instance))
+                elif not instance.drain_sent_at:
+                    instance.drain_sent_at = now
+                    steps.append(Step(Action.DRAIN if instance.drain_cancellable else Action.TERM, instance))
+                elif instance.kill_after_drain and now - instance.drain_sent_at >= self.timeouts.drain:
+                    instance.drain_sent_at = now  # should even that not be enough
                     steps.append(Step(Action.KILL, instance))
             else:
-                self._watch(now, instance)
+                self._check_silence(now, instance)
         return steps
 
-    def _numbered(self, instance: Instance) -> bool:
+    def _has_generation_left(self, instance: Instance) -> bool:
         """Whether it may have a generation more: a number that was used before must never come again."""
-        if instance.generation < instance.limit or (not instance.spawned and instance.born):
+        if instance.generation < instance.generation_limit or (
+            not instance.spawned and instance.process_generation
+        ):
             return True
         instance.why = "no generation is left for it until the record is heard"
         return False
 
-    def _watch(self, now: int, instance: Instance) -> None:
-        patience, quiet = self.patience, now - max(instance.heard, instance.since)
+    def _check_silence(self, now: int, instance: Instance) -> None:
+        patience, quiet = self.timeouts, now - max(instance.last_report_at, instance.phase_since)
         if instance.phase is Phase.SILENT:
-            if now - instance.since > patience.stuck:
-                self._move(now, instance, Phase.STUCK)
+            if now - instance.phase_since > patience.stuck:
+                self._transition(now, instance, Phase.STUCK)
         elif instance.phase is Phase.STUCK:
-            if patience.restart_stuck and self._spend(now, instance):
+            if patience.restart_stuck and self._spend_restart(now, instance):
                 instance.why = "stuck"
-                self._leave(now, instance, True)
+                self._drain(now, instance, True)
         elif quiet > (patience.start if not instance.report else patience.silent):
-            self._move(now, instance, Phase.SILENT)
+            self._transition(now, instance, Phase.SILENT)
 
-    def _spend(self, now: int, instance: Instance) -> bool:
+    def _spend_restart(self, now: int, instance: Instance) -> bool:
         """Book a restart on the budget, if it has room."""
-        while instance.deaths and instance.deaths[0] <= now - self.patience.window:
-            instance.deaths.popleft()
-        if len(instance.deaths) >= self.patience.budget:
+        while instance.crashes and instance.crashes[0] <= now - self.timeouts.window:
+            instance.crashes.popleft()
+        if len(instance.crashes) >= self.timeouts.budget:
             return False
-        instance.deaths.append(now)
+        instance.crashes.append(now)
         return True
 
-    def _begin(self, now: int, instance: Instance) -> None:
+    def _start(self, now: int, instance: Instance) -> None:
         """A new generation, unless the last one is known never to have been there."""
-        if instance.spawned or not instance.born:
+        if instance.spawned or not instance.process_generation:
             instance.generation += 1
-            instance.born, instance.spawned = instance.generation, False
-            instance.changed = self.unix()
-            if instance.part is None:
+            instance.process_generation, instance.spawned = instance.generation, False
+            instance.changed_at = self.unix_time()
+            if instance.task is None:
                 instance.changed_by = "the agent"
-        instance.resting = False
-        instance.heard = now
-        self._move(now, instance, Phase.STARTING)
+        instance.restarts_exhausted = False
+        instance.last_report_at = now
+        self._transition(now, instance, Phase.STARTING)
 
-    def _leave(self, now: int, instance: Instance, kill: bool) -> None:
-        instance.kill = kill or instance.kill
+    def _drain(self, now: int, instance: Instance, kill: bool) -> None:
+        instance.kill_after_drain = kill or instance.kill_after_drain
         if instance.phase is not Phase.DRAINING:
-            instance.left_at = 0
-            self._move(now, instance, Phase.DRAINING)
+            instance.drain_sent_at = 0
+            self._transition(now, instance, Phase.DRAINING)
 
-    def _move(self, now: int, instance: Instance, phase: Phase) -> None:
+    def _transition(self, now: int, instance: Instance, phase: Phase) -> None:
         """The one place where a phase changes."""
         if phase not in TRANSITIONS[instance.phase]:
             raise RuntimeError(f"{instance.name}: {instance.phase.value} to {phase.value}")
-        self.out[instance.site] -= _out(instance)
-        self.booting -= instance.phase is Phase.STARTING
-        instance.phase, instance.since, instance.dirty = phase, now, True
-        self.out[instance.site] += _out(instance)
-        self.booting += phase is Phase.STARTING
+        self.unavailable[instance.site] -= _out(instance)
+        self.starting_count -= instance.phase is Phase.STARTING
+        instance.phase, instance.phase_since, instance.dirty = phase, now, True
+        self.unavailable[instance.site] += _out(instance)
+        self.starting_count += phase is Phase.STARTING
 
 
 def _out(instance: Instance) -> bool:
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -92,8 +92,8 @@
 
     def _stuck_tasks(self, leader: ControlPlaneReplica, host: SimulatedHost) -> list[str]:
         found = []
-        for part in host.agent.orders.executor:
-            order = leader.state_machine.state.orders.get(part.order.ident)
-            if part.open and part.order.verb is not Verb.START and not (order and order.open):
-                found.append(f"{host.name}: a part of {part.order.ident} waits for nothing")
+        for part in host.agent.orders.open_tasks:
+            order = leader.state_machine.state.orders.get(part.order.order_id)
+            if part.is_open and part.order.verb is not Verb.START and not (order and order.open):
+                found.append(f"{host.name}: a part of {part.order.order_id} waits for nothing")
         return found
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -149,5 +149,5 @@
             return
         supervisor = host.agent.supervisor
         instance = next(instance for instance in supervisor.instances if instance.name == name)
-        if instance.part is None and instance.phase in (Phase.STOPPED, Phase.FAILING):
-            supervisor.want_up(host.now(), instance)
+        if instance.task is None and instance.phase in (Phase.STOPPED, Phase.FAILING):
+            supervisor.order_start(host.now(), instance)
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -53,27 +53,27 @@
         self.permit_holder = PermitHolder(host.name, host.instances, host.random.getrandbits(40))
         self.permit_holder.restore(disk.epoch, disk.permits, disk.generations)
         if fresh:
-            instances = [Instance(name, "site", since=now) for name in host.instances]
+            instances = [Instance(name, "site", phase_since=now) for name in host.instances]
             seed = host.random.getrandbits(40)
             self.supervisor = Supervisor(instances, SUPERVISION_TIMEOUTS, {}, seed, host.now)
             self.orders = OrderRegistry(self.supervisor, host.now, permit_holder=self.permit_holder)
         else:
             self._restore_orders()
-        self.reconciler = Reconciler(self.supervisor, self.orders, self.permit_holder, block=8)
-        self.reconciler.fitting.restore(dict(disk.versions), {}, {})
+        self.reconciler = Reconciler(self.supervisor, self.orders, self.permit_holder, generation_block=8)
+        self.reconciler.assignments.restore(dict(disk.versions), {}, {})
         if fresh:
-            self.reconciler.lost_file()
+            self.reconciler.state_file_lost()
         for instance in self.supervisor.instances:
-            instance.since = instance.since if fresh else now
+            instance.phase_since = instance.phase_since if fresh else now
             if process := host.processes.running.get(instance.name):
-                self.supervisor.taken_up(now, instance, process.generation)
+                self.supervisor.process_adopted(now, instance, process.generation)
             else:
-                self.supervisor.found_none(now, instance, instance.born)
+                self.supervisor.process_not_found(now, instance, instance.process_generation)
 
     def _restore_orders(self) -> None:
         self.orders = pickle.loads(self.disk.orders)
-        self.supervisor = self.orders.supervision
-        self.supervisor.unix = self.orders.unix = self.host.now
+        self.supervisor = self.orders.supervisor
+        self.supervisor.unix_time = self.orders.unix_time = self.host.now
         self.orders.permit_holder = self.permit_holder
 
     def tick(self, restarts: int) -> None:
@@ -89,22 +89,22 @@
             if process := host.processes.running.get(instance.name):
                 state = host.processes.state(process)
                 report = host.processes.report(process, state)
-                self.supervisor.heard(now, instance, state, process.generation, report)
+                self.supervisor.report_received(now, instance, state, process.generation, report)
         if now - self.heartbeat_at >= HEARTBEAT_INTERVAL:
             self.heartbeat_at = now
-            host.simulation.network.send_heartbeat(host, self.reconciler.poll(now), now)
+            host.simulation.network.send_heartbeat(host, self.reconciler.build_heartbeat(now), now)
         self.act(now)
         host.simulation.clock.after(TICK_INTERVAL, self.tick, restarts)
 
     def act(self, now: int) -> None:
         """Carry out what is decided by now; with a full disk nothing that would have to be stored."""
         host = self.host
-        for request in self.reconciler.fitting.to_prepare():
+        for request in self.reconciler.assignments.to_prepare():
             wait = host.random.randrange(50 * MS, 300 * MS)
             host.simulation.clock.after(wait, self._prepared, request, host.restarts)
         if not host.disk_full:
             self.orders.advance(now)
-        steps = self.orders.hold_back(now, self.supervisor.tick(now))
+        steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
         if host.disk_full:
             steps = self._drop_unstored(now, steps)
         else:
@@ -117,11 +117,11 @@
     def _drop_unstored(self, now: int, steps: list[Step]) -> list[Step]:
         """Return the steps that need no storage: what is not stored is not done."""
         for step in steps:
-            if step.act is Action.START and step.instance.part is not None:
-                self.supervisor.never_there(now, step.instance)
-            elif step.act in (Action.TERM, Action.LEAVE) and step.instance.part is not None:
-                step.instance.left_at, step.instance.part.sent = 0, False
-        return [step for step in steps if step.instance.part is None and step.act is not Action.START]
+            if step.action is Action.START and step.instance.task is not None:
+                self.supervisor.start_abandoned(now, step.instance)
+            elif step.action in (Action.TERM, Action.DRAIN) and step.instance.task is not None:
+                step.instance.drain_sent_at, step.instance.task.drain_sent = 0, False
+        return [step for step in steps if step.instance.task is None and step.action is not Action.START]
 
     def _prepared(self, request: ArtifactRequest, restarts: int) -> None:
         if restarts != self.host.restarts:
@@ -129,17 +129,17 @@
         failed = request.what.program == "bad" and self.host.random.random() < 0.5
         bases = {instance: f"base {instance}" for instance in request.things}
         reason = "it can't be run here" if failed else ""
-        self.reconciler.fitting.prepared(request.release, reason, bases)
+        self.reconciler.assignments.prepared(request.release, reason, bases)
 
     def _save(self) -> None:
-        disk, permit_holder, assignments = self.disk, self.permit_holder, self.reconciler.fitting
+        disk, permit_holder, assignments = self.disk, self.permit_holder, self.reconciler.assignments
         if not self._has_changes():
             return
         assignments.changed = False
         disk.versions = dict(assignments.versions)
         for instance in self.supervisor.instances:
             instance.dirty = False
-        self.orders.dropped.clear()
+        self.orders.deleted.clear()
         disk.epoch, disk.generations = permit_holder.epoch, dict(permit_holder.generations)
         disk.permits = []
         for target, fence in permit_holder.highest_tokens.items():
@@ -154,17 +154,17 @@
         return bool(
             self.permit_holder.changed
             or self.orders.changed
-            or self.orders.dropped
-            or self.reconciler.fitting.changed
+            or self.orders.deleted
+            or self.reconciler.assignments.changed
             or any(instance.dirty for instance in self.supervisor.instances)
         )
 
     def _save_orders(self) -> None:
         orders, self.orders.permit_holder = self.orders, None
-        unix = orders.unix
-        orders.unix = orders.supervision.unix = int  # set again on restore
+        unix = orders.unix_time
+        orders.unix_time = orders.supervisor.unix_time = int  # set again on restore
         self.disk.orders = pickle.dumps(orders)
-        orders.unix = orders.supervision.unix = unix
+        orders.unix_time = orders.supervisor.unix_time = unix
         orders.permit_holder = self.permit_holder
 
     def heartbeat_answered(self, restarts: int, sent_at: int, response: HeartbeatResponse) -> None:
@@ -178,7 +178,7 @@
         if host.disk_full:
             return
         now = host.now()
-        self.reconciler.answered(now, sent_at, response)
+        self.reconciler.apply_response(now, sent_at, response)
         if self.pause_on_permit and any(
             permit.valid_for and not permit.started for permit in response.permits
         ):
--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -65,7 +65,7 @@
 
     def send_heartbeat(self, host: SimulatedHost, heartbeat: Heartbeat, sent_at: int) -> None:
         """Send an agent's heartbeat to the host that it takes for the leader's."""
-        leader = self.simulation.hosts[host.agent.leader_locator.name]
+        leader = self.simulation.hosts[host.agent.leader_locator.current]
         restarts, awaits_response = host.restarts, True
 
         def arrived() -> None:
@@ -88,14 +88,14 @@
             nonlocal awaits_response
             awaits_response = False
             if host.restarts == restarts and response.voters:
-                host.agent.leader_locator.told(response.voters)
+                host.agent.leader_locator.set_voters(response.voters)
             host.agent.heartbeat_answered(restarts, sent_at, response)
 
         def redirected(name: str) -> None:
             nonlocal awaits_response
             if host.restarts == restarts and awaits_response:
                 awaits_response = False
-                host.agent.leader_locator.elsewhere(name)
+                host.agent.leader_locator.redirect(name)
 
         self._deliver(host.name, leader.name, arrived)
         self.simulation.clock.after(HEARTBEAT_TIMEOUT, redirected, "")
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -64,25 +64,25 @@
         """Carry out one step of the supervisor."""
         name = step.instance.name
         process = self.running.get(name)
-        if step.act is Action.START and process is None:
+        if step.action is Action.START and process is None:
             self._start(step)
-        elif process and step.act in (Action.TERM, Action.LEAVE) and not process.exits_at:
+        elif process and step.action in (Action.TERM, Action.DRAIN) and not process.exits_at:
             self._drain(step, process)
-        elif process and step.act is Action.STAY and process.exits_at:
+        elif process and step.action is Action.CANCEL_DRAIN and process.exits_at:
             process.exits_at = 0
             self._serves(name, process)
-        elif process and step.act is Action.KILL:
+        elif process and step.action is Action.KILL:
             self.end(name, process, "killed", True)
 
     def _start(self, step: Step) -> None:
         host, simulation = self.host, self.host.simulation
-        name, now, generation = step.instance.name, simulation.clock.now, step.instance.born
+        name, now, generation = step.instance.name, simulation.clock.now, step.instance.process_generation
         simulation.audit.started(now, name, generation)
-        version = host.agent.reconciler.fitting.version(name)
+        version = host.agent.reconciler.assignments.version(name)
         simulation.rollout_audit.started(now, name, version)
         process = Process(generation, now + host.random.randrange(100 * MS, 600 * MS), version)
-        self.running[name], step.instance.ran = process, version
-        host.agent.supervisor.spawned(host.now(), step.instance)
+        self.running[name], step.instance.running_version = process, version
+        host.agent.supervisor.process_started(host.now(), step.instance)
         if version.startswith("crash"):
             simulation.clock.at(now + 50 * MS, self.end, name, process, "exit code 3", True)
         else:
@@ -92,7 +92,7 @@
         host, simulation = self.host, self.host.simulation
         name, now = step.instance.name, simulation.clock.now
         permit = host.agent.permit_holder.permits.get(name)
-        if step.instance.goal is Goal.DOWN or step.instance.part is not None:
+        if step.instance.goal is Goal.DOWN or step.instance.task is not None:
             fence = permit.fencing_token if permit and permit.started else -1
             simulation.audit.left(now, name, fence, permit.order_id if permit else "")
         else:
@@ -126,4 +126,4 @@
         supervisor = host.agent.supervisor
         instance = next(instance for instance in supervisor.instances if instance.name == name)
         if name not in self.running:
-            supervisor.died(host.now(), instance, reason)
+            supervisor.process_exited(host.now(), instance, reason)
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -95,7 +95,7 @@
         for host, names in self.site.hosts.items():
             processes = Processes(self.state(host), lambda process, why: None)
             for name in names:
-                if processes.holds(name) and (process := processes.take_up(name)):
+                if processes.is_running(name) and (process := processes.adopt(name)):
                     processes.signal(process, signal.SIGCONT)
                     processes.signal(process, signal.SIGKILL)
             processes.close()
@@ -127,7 +127,7 @@
     def kill_node(self, name: str) -> None:
         host = next(host for host, names in self.site.hosts.items() if name in names)
         processes = Processes(self.state(host), lambda process, why: None)
-        if processes.holds(name) and (process := processes.take_up(name)):
+        if processes.is_running(name) and (process := processes.adopt(name)):
             self.say(f"kill {name}")
             with open(os.path.join(self.state(host), f"{name}.journal"), "a", encoding="ascii") as file:
                 file.write(f"killed {process.generation} {process.pid} {time.monotonic_ns()}\n")
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -60,7 +60,7 @@
         os.makedirs(self.host.state, exist_ok=True)
         processes = Processes(self.host.state, lambda process, why: None)
         for name in ("n1", "n2", "n3"):
-            if processes.holds(name) and (process := processes.take_up(name)):
+            if processes.is_running(name) and (process := processes.adopt(name)):
                 processes.signal(process, signal.SIGCONT)
                 processes.signal(process, signal.SIGKILL)
         processes.close()
@@ -97,7 +97,7 @@
         return agent
 
     async def leave(self, agent: Agent, task: asyncio.Task | None = None) -> None:
-        agent.done.set()
+        agent.stop_requested.set()
         await asyncio.wait((task or agent.task,))
 
     async def until(self, done, what: str = "") -> None:
@@ -108,10 +108,10 @@
             await asyncio.sleep(0.01)
 
     async def serving(self, agent: Agent) -> None:
-        await self.until(lambda: all(each.phase is Phase.SERVING for each in agent.supervision.instances))
+        await self.until(lambda: all(each.phase is Phase.SERVING for each in agent.supervisor.instances))
 
     def of(self, agent: Agent, name: str):
-        return agent.orders.named[name]
+        return agent.orders.instances[name]
 
     async def ask(self, wish: messages.Request, operator: str = "asha") -> messages.Response:
         return await asyncio.wait_for(
@@ -192,14 +192,14 @@
         await self.serving(agent)
         n1 = self.of(agent, "n1")
         agent.processes.signal(agent.alive[n1], signal.SIGKILL)
-        await self.until(lambda: n1.born == 2 and n1.phase is Phase.SERVING)
+        await self.until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
         self.assertIn('how="killed by SIGKILL"', self.said.getvalue())
 
     async def test_a_crash_loop_rests_and_the_others_serve(self):
         self.script("n1", "crash")
         agent = await self.agent(SupervisionTimeouts(backoff=10 * MS, budget=3, silent=400 * MS))
         n1 = self.of(agent, "n1")
-        await self.until(lambda: n1.resting)
+        await self.until(lambda: n1.restarts_exhausted)
         count = len(self.starts("n1"))
         await self.until(lambda: self.of(agent, "n2").phase is Phase.SERVING)
         self.assertEqual((count, len(self.starts("n1"))), (4, 4))
@@ -215,7 +215,7 @@
         with subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) as stranger:
             with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
                 file.write(f"{stranger.pid} 1\n")
-            self.assertIsNone(agent.processes.take_up("n1"))  # it does not hold the lock
+            self.assertIsNone(agent.processes.adopt("n1"))  # it does not hold the lock
             pidfd = os.pidfd_open(stranger.pid)
             again = Process("n1", stranger.pid, started(stranger.pid) - 1, 1, pidfd)
             agent.processes.watched[pidfd] = again
@@ -256,7 +256,7 @@
         await self.leave(agent)
         os.kill(pids["n3"], signal.SIGKILL)
         again = await self.agent()
-        await self.until(lambda: self.of(again, "n3").born == 2)
+        await self.until(lambda: self.of(again, "n3").process_generation == 2)
         await self.serving(again)
         self.assertEqual(
             [again.alive[self.of(again, name)].pid for name in ("n1", "n2")], [pids["n1"], pids["n2"]]
@@ -296,8 +296,8 @@
         await self.serving(agent)
         await self.order("restart", "n1", "n2", "n3")
         worst = 0
-        while agent.orders.orders["o1"].open:
-            worst = max(worst, agent.supervision.out["woodbrook"])
+        while agent.orders.orders["o1"].is_open:
+            worst = max(worst, agent.supervisor.unavailable["woodbrook"])
             await asyncio.sleep(0.005)
         self.assertEqual(worst, 1)
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1, 3]])
@@ -343,10 +343,10 @@
         with mock.patch.object(store, "write", side_effect=DatabaseError("database or disk is full")):
             n1 = self.of(agent, "n1")
             agent.processes.signal(agent.alive[n1], signal.SIGKILL)
-            await self.until(lambda: n1.born == 2 and n1.phase is Phase.SERVING)
+            await self.until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
             self.assertIn("orders wait", (await self.ask(messages.HostStatusRequest())).notes[0])
         store.connection.execute("PRAGMA max_page_count = 10000")
-        await self.until(lambda: not agent.store_fault)
+        await self.until(lambda: not agent.storage_error)
         await self.order("restart", "n2", ident="later")
         self.assertEqual(await self.ended("later"), {"n2": "done"})
 
@@ -430,7 +430,7 @@
                 agent.kill()
                 await agent.wait()
             processes = Processes(host.state, lambda process, why: None)
-            if process := processes.take_up("n1"):
+            if process := processes.adopt("n1"):
                 processes.signal(process, signal.SIGKILL)
             processes.close()
 
@@ -494,7 +494,7 @@
             writer.write(b"\x00\x00")
         for _ in range(10):
             self.assertIsInstance(await self.ask(messages.HostStatusRequest()), messages.HostStatus)
-        self.assertLessEqual(len(agent.door.links), agent.door.bounds.links)
+        self.assertLessEqual(len(agent.server.connections), agent.server.limits.connections)
         for _, writer in half:
             writer.close()
 
--- a/tests/agent/test_supervision.py
+++ b/tests/agent/test_supervision.py
@@ -20,27 +20,27 @@
     def __init__(self, names: int = 4, away: int = 1, **patience) -> None:
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{number}", "woodbrook") for number in range(1, names + 1)]
-        self.supervision = Supervisor(
+        self.supervisor = Supervisor(
             self.instances,
             SupervisionTimeouts(**patience),
             {"woodbrook": away},
             7,
             lambda: 1_790_000_000 * SECOND + self.now,
         )
-        self.orders = WatchedOrders(self.supervision, time.time_ns)
+        self.orders = WatchedOrders(self.supervisor, time.time_ns)
         self.steps: list[tuple[Action, Instance]] = []
         self.quiet: set[Instance] = set()  # their processes say nothing
         self.deaf: set[Instance] = set()  # they don't leave when told to
 
     def tick(self) -> list[tuple[Action, Instance]]:
         self.orders.advance(self.now)
-        steps = [(step.act, step.instance) for step in self.supervision.tick(self.now)]
+        steps = [(step.action, step.instance) for step in self.supervisor.tick(self.now)]
         self.steps += steps
         for act, instance in steps:
             if act is Action.START:
-                self.supervision.spawned(self.now, instance)
+                self.supervisor.process_started(self.now, instance)
             elif act is Action.KILL or instance not in self.deaf:
-                self.supervision.died(self.now, instance, "told to")
+                self.supervisor.process_exited(self.now, instance, "told to")
         self.orders.advance(self.now)
         return steps
 
@@ -50,7 +50,9 @@
             self.now += step
             for instance in self.instances:
                 if instance.alive and instance.phase is not Phase.DRAINING and instance not in self.quiet:
-                    self.supervision.heard(self.now, instance, state, instance.born, REPORT)
+                    self.supervisor.report_received(
+                        self.now, instance, state, instance.process_generation, REPORT
+                    )
             self.tick()
 
     def take(
@@ -66,20 +68,20 @@
         asked = tuple(
             (each.name, each.generation if generation is None else generation) for each in instances
         )
-        return self.orders.take(self.now, ident, operator, verb, asked, lasts, supersede)
+        return self.orders.submit(self.now, ident, operator, verb, asked, lasts, supersede)
 
     def died(self, instance: Instance) -> None:
-        self.supervision.died(self.now, instance, "killed by SIGSEGV")
+        self.supervisor.process_exited(self.now, instance, "killed by SIGSEGV")
 
 
 class WatchedOrders(OrderRegistry):
     """Checks at each beginning that the bound on what is out holds, or nothing more went out."""
 
-    def _begin(self, now, part) -> None:
-        before = self.supervision.out["woodbrook"]
-        super()._begin(now, part)
-        after = self.supervision.out["woodbrook"]
-        assert after <= max(before, self.supervision.away["woodbrook"]), (before, after)
+    def _start_task(self, now, task) -> None:
+        before = self.supervisor.unavailable["woodbrook"]
+        super()._start_task(now, task)
+        after = self.supervisor.unavailable["woodbrook"]
+        assert after <= max(before, self.supervisor.max_unavailable["woodbrook"]), (before, after)
 
 
 class HostStory(unittest.TestCase):
@@ -141,7 +143,7 @@
         for row, wait in enumerate(waits[:4]):  # half at the least, chance has the rest
             self.assertGreaterEqual(wait, SECOND << row >> 1)
         self.assertLessEqual(len(starts), 4)
-        self.assertTrue(looping.resting)
+        self.assertTrue(looping.restarts_exhausted)
         host.take(Verb.START, looping)
         host.tick()
         self.assertEqual(looping.phase, Phase.STARTING)  # an operator's word ends the rest
@@ -150,7 +152,7 @@
         host = self.serving(names=8, starting=8)
         for each in host.instances:
             host.died(each)
-        self.assertGreater(len({each.start_at for each in host.instances}), 6)
+        self.assertGreater(len({each.start_not_before for each in host.instances}), 6)
 
     def test_steady_service_ends_a_row_of_deaths(self):
         host = self.serving(steady=10 * SECOND)
@@ -163,16 +165,20 @@
     def test_an_answer_of_another_generation_is_not_believed(self):
         host = self.serving()
         instance = host.instances[0]
-        heard = instance.heard
+        heard = instance.last_report_at
         host.now += SECOND // 2
-        host.supervision.heard(host.now, instance, "draining", instance.born - 1, REPORT)
-        self.assertEqual((instance.phase, instance.heard), (Phase.SERVING, heard))
+        host.supervisor.report_received(
+            host.now, instance, "draining", instance.process_generation - 1, REPORT
+        )
+        self.assertEqual((instance.phase, instance.last_report_at), (Phase.SERVING, heard))
         self.assertIn("answers in place of", instance.why)
 
     def test_a_report_that_crossed_its_death_changes_nothing(self):
         host = self.serving()
         host.died(host.instances[0])
-        host.supervision.heard(host.now, host.instances[0], "serving", host.instances[0].born, REPORT)
+        host.supervisor.report_received(
+            host.now, host.instances[0], "serving", host.instances[0].process_generation, REPORT
+        )
         self.assertEqual(host.instances[0].phase, Phase.FAILING)
 
     def test_one_whose_process_wrote_its_generation_was_there_and_counts_as_dead(self):
@@ -180,19 +186,19 @@
         host.tick()
         made = host.instances[0]
         made.spawned = False  # the agent ended before it could keep that
-        host.supervision.found_none(host.now, made, written=made.born)
-        self.assertEqual((made.phase, len(made.deaths)), (Phase.FAILING, 1))
+        host.supervisor.process_not_found(host.now, made, written=made.process_generation)
+        self.assertEqual((made.phase, len(made.crashes)), (Phase.FAILING, 1))
 
     def test_one_found_running_is_watched_and_one_never_made_keeps_its_generation(self):
         host = Host()
         found, never = host.instances[:2]
-        host.supervision.taken_up(host.now, found, 5)
+        host.supervisor.process_adopted(host.now, found, 5)
         self.assertEqual((found.phase, found.generation), (Phase.STARTING, 5))
-        steps = [step.instance for step in host.supervision.tick(host.now)]
+        steps = [step.instance for step in host.supervisor.tick(host.now)]
         self.assertNotIn(found, steps)
-        host.supervision.found_none(host.now, never, written=0)
-        host.supervision.tick(host.now)
-        self.assertEqual((never.phase, never.born), (Phase.STARTING, 1))
+        host.supervisor.process_not_found(host.now, never, written=0)
+        host.supervisor.tick(host.now)
+        self.assertEqual((never.phase, never.process_generation), (Phase.STARTING, 1))
 
 
 class OrderStories(HostStory):
@@ -200,11 +206,11 @@
         host = self.serving(away=2)
         order = host.take(Verb.RESTART, *host.instances)
         worst = 0
-        while order.open:
+        while order.is_open:
             host.run(0.1)
-            worst = max(worst, host.supervision.out["woodbrook"])
+            worst = max(worst, host.supervisor.unavailable["woodbrook"])
         self.assertEqual(worst, 2)
-        self.assertEqual({part.state for part in order.parts}, {TaskState.DONE})
+        self.assertEqual({part.state for part in order.tasks}, {TaskState.DONE})
         self.assertEqual([act for act, _ in host.steps].count(Action.START), 4)
 
     def test_one_that_died_by_itself_takes_the_room(self):
@@ -212,10 +218,10 @@
         host.died(host.instances[0])
         order = host.take(Verb.DRAIN, host.instances[1])
         host.run(5)
-        self.assertEqual(order.parts[0].state, TaskState.WAITING)
+        self.assertEqual(order.tasks[0].state, TaskState.WAITING)
         gone = host.take(Verb.DRAIN, host.instances[0], ident="o2")  # what is out already needs none
         host.run(0.2)
-        self.assertEqual((gone.parts[0].state, host.instances[0].phase), (TaskState.DONE, Phase.STOPPED))
+        self.assertEqual((gone.tasks[0].state, host.instances[0].phase), (TaskState.DONE, Phase.STOPPED))
 
     def test_of_two_opposite_orders_for_one_generation_the_first_holds(self):
         host = self.serving()
@@ -225,9 +231,9 @@
         host.now += MS // 2
         second = host.take(Verb.START, instance, ident="o2", operator="ravi", generation=seen, supersede=True)
         self.assertEqual(
-            (first.parts[0].state, second.parts[0].state), (TaskState.WAITING, TaskState.REFUSED)
+            (first.tasks[0].state, second.tasks[0].state), (TaskState.WAITING, TaskState.REFUSED)
         )
-        self.assertIn("asha's drain stands since", second.parts[0].why)
+        self.assertIn("asha's drain stands since", second.tasks[0].why)
         host.run(2)
         self.assertEqual((instance.phase, instance.goal), (Phase.STOPPED, Goal.DOWN))
 
@@ -238,14 +244,14 @@
         host.deaf.add(instance)
         host.run(0.5)
         refused = host.take(Verb.DRAIN, instance, ident="o2", operator="ravi")
-        self.assertIn("asha's restart stands", refused.parts[0].why)
+        self.assertIn("asha's restart stands", refused.tasks[0].why)
         second = host.take(Verb.DRAIN, instance, ident="o3", operator="ravi", supersede=True)
         self.assertEqual(
-            (first.parts[0].state, second.parts[0].state), (TaskState.SUPERSEDED, TaskState.WAITING)
+            (first.tasks[0].state, second.tasks[0].state), (TaskState.SUPERSEDED, TaskState.WAITING)
         )
         host.died(instance)
         host.run(1)
-        self.assertEqual((instance.phase, second.parts[0].state), (Phase.STOPPED, TaskState.DONE))
+        self.assertEqual((instance.phase, second.tasks[0].state), (Phase.STOPPED, TaskState.DONE))
 
     def test_the_same_order_twice_is_one_and_its_id_serves_no_other(self):
         host = self.serving(away=4)
@@ -268,7 +274,7 @@
         host.died(instance)
         host.run(5)
         order = host.take(Verb.DRAIN, instance, generation=seen)
-        self.assertIn("changed by the agent", order.parts[0].why)
+        self.assertIn("changed by the agent", order.tasks[0].why)
         self.assertEqual(instance.phase, Phase.SERVING)
 
     def test_an_order_to_one_that_has_just_died_ends_it_without_another_start(self):
@@ -278,7 +284,7 @@
         order = host.take(Verb.STOP, instance)
         host.run(60)
         self.assertEqual(
-            (order.parts[0].state, instance.phase, host.steps), (TaskState.DONE, Phase.STOPPED, [])
+            (order.tasks[0].state, instance.phase, host.steps), (TaskState.DONE, Phase.STOPPED, [])
         )
 
     def test_a_restart_while_a_drain_runs_waits_for_nothing_and_brings_it_back(self):
@@ -304,7 +310,7 @@
         host.take(Verb.STOP, stopped, ident="o2")
         host.run(40)
         self.assertEqual(host.steps, [(Action.TERM, drained), (Action.TERM, stopped), (Action.KILL, stopped)])
-        self.assertEqual((slow.parts[0].state, drained.phase), (TaskState.FAILED, Phase.DRAINING))
+        self.assertEqual((slow.tasks[0].state, drained.phase), (TaskState.FAILED, Phase.DRAINING))
 
     def test_cancel_ends_what_waits_and_says_what_has_begun(self):
         host = self.serving(away=1)
@@ -312,8 +318,8 @@
         order = host.take(Verb.STOP, *host.instances[:2])
         host.run(0.5)
         host.orders.cancel(host.now, "o1", "ravi")
-        self.assertEqual([part.state for part in order.parts], [TaskState.ACTING, TaskState.CANCELLED])
-        self.assertIn("before ravi cancelled", order.parts[0].why)
+        self.assertEqual([part.state for part in order.tasks], [TaskState.ACTING, TaskState.CANCELLED])
+        self.assertIn("before ravi cancelled", order.tasks[0].why)
         with self.assertRaises(OrderRejectedError):
             host.orders.cancel(host.now, "o9", "ravi")
 
@@ -321,8 +327,8 @@
         host = self.serving(away=0)
         order = host.take(Verb.STOP, host.instances[0], lasts=3 * SECOND)
         host.run(4)
-        self.assertEqual((order.parts[0].state, host.steps), (TaskState.EXPIRED, []))
-        self.assertIsNone(host.instances[0].part)
+        self.assertEqual((order.tasks[0].state, host.steps), (TaskState.EXPIRED, []))
+        self.assertIsNone(host.instances[0].task)
 
     def test_a_restart_that_keeps_dying_fails_and_says_why(self):
         host = self.serving(budget=3, away=4)
@@ -332,8 +338,8 @@
                 host.died(host.instances[0])
             host.now += 100 * MS
             host.tick()
-        self.assertEqual(order.parts[0].state, TaskState.FAILED)
-        self.assertIn("SIGSEGV", order.parts[0].why)
+        self.assertEqual(order.tasks[0].state, TaskState.FAILED)
+        self.assertIn("SIGSEGV", order.tasks[0].why)
 
     def test_an_order_that_could_not_be_kept_never_was(self):
         host = self.serving(away=4)
@@ -342,26 +348,26 @@
         before = instance.generation, instance.changed_by
         host.orders.undo(host.take(Verb.START, instance, ident="o2", supersede=True))
         self.assertEqual((instance.generation, instance.changed_by), before)
-        self.assertIs(instance.part, standing.parts[0])
+        self.assertIs(instance.task, standing.tasks[0])
         host.run(1)
-        self.assertEqual((standing.parts[0].state, instance.phase), (TaskState.DONE, Phase.STOPPED))
+        self.assertEqual((standing.tasks[0].state, instance.phase), (TaskState.DONE, Phase.STOPPED))
 
     def test_what_can_be_no_order_is_refused_whole(self):
         host = self.serving()
         one = host.instances[0]
         for asked in ((), ((one.name, 1), (one.name, 1)), tuple((f"x{n}", 1) for n in range(9))):
             with self.assertRaises(OrderRejectedError):
-                host.orders.take(host.now, "o1", "asha", Verb.STOP, asked, SECOND)
-        self.assertEqual(host.orders.take(host.now, "o1", "asha", Verb.STOP, (("x", 1),), SECOND).parts, [])
+                host.orders.submit(host.now, "o1", "asha", Verb.STOP, asked, SECOND)
+        self.assertEqual(host.orders.submit(host.now, "o1", "asha", Verb.STOP, (("x", 1),), SECOND).tasks, [])
 
     def test_the_table_of_orders_is_bounded_and_forgets_the_oldest_that_ended(self):
         host = self.serving(away=4)
-        host.orders.most = 5
+        host.orders.max_orders = 5
         for number in range(9):
             host.take(Verb.START, host.instances[0], ident=f"o{number}")
             host.run(0.2)
         self.assertEqual(list(host.orders.orders), ["o4", "o5", "o6", "o7", "o8"])
-        self.assertEqual(host.orders.dropped, ["o0", "o1", "o2", "o3"])
+        self.assertEqual(host.orders.deleted, ["o0", "o1", "o2", "o3"])
 
 
 class AnyOrders(RuleBasedStateMachine):
@@ -415,17 +421,20 @@
 
     @invariant()
     def what_is_out_is_counted_right(self):
-        assert self.host.supervision.out["woodbrook"] == sum(
+        assert self.host.supervisor.unavailable["woodbrook"] == sum(
             each.phase is not Phase.SERVING for each in self.host.instances
         )
 
     @invariant()
     def one_open_order_each(self):
         open_parts = [
-            part.instance for order in self.host.orders.orders.values() for part in order.parts if part.open
+            part.instance
+            for order in self.host.orders.orders.values()
+            for part in order.tasks
+            if part.is_open
         ]
         assert len(open_parts) == len(set(open_parts))
-        assert all(each.part is not None for each in open_parts)
+        assert all(each.task is not None for each in open_parts)
 
 
 class AnyOrdersStory(AnyOrders.TestCase):
--- a/tests/disruption/test_permits.py
+++ b/tests/disruption/test_permits.py
@@ -263,22 +263,30 @@
             self.order("o1", "a")
             self.turn()
             permit_holder = self.permit_holder["h1"]
-            instance = Instance("a", "s", phase=Phase.SERVING, generation=1, born=1, spawned=True, limit=9)
+            instance = Instance(
+                "a",
+                "s",
+                phase=Phase.SERVING,
+                generation=1,
+                process_generation=1,
+                spawned=True,
+                generation_limit=9,
+            )
             supervision = Supervisor([instance], SupervisionTimeouts(silent=SECOND * 60), {}, 1, lambda: 0)
             orders = OrderRegistry(supervision, lambda: 0, permit_holder=permit_holder)
-            orders.take(self.now, "o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND)
+            orders.submit(self.now, "o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND)
             orders.advance(self.now)
             [step] = supervision.tick(self.now)
             self.assertTrue(permit_holder.permits["a"].started)
-            instance.left_at = 0  # it was put off, as it could not be kept
+            instance.drain_sent_at = 0  # it was put off, as it could not be kept
             instance.report = SimpleNamespace(state=state)
             self.now += 4 * SECOND * late
-            steps = orders.hold_back(self.now, supervision.tick(self.now))
+            steps = orders.permitted_steps(self.now, supervision.tick(self.now))
             if late and state == "serving":
-                self.assertEqual((steps, instance.phase, instance.part), ([], Phase.SERVING, None))
-                self.assertEqual(orders.orders["o1"].parts[0].state, TaskState.CANCELLED)
+                self.assertEqual((steps, instance.phase, instance.task), ([], Phase.SERVING, None))
+                self.assertEqual(orders.orders["o1"].tasks[0].state, TaskState.CANCELLED)
             else:
-                self.assertEqual((steps, instance.part.sent), ([step], True))
+                self.assertEqual((steps, instance.task.drain_sent), ([step], True))
 
     def test_after_a_halt_a_granted_place_is_given_back_and_what_began_goes_on(self):
         self.turn()
@@ -344,12 +352,12 @@
         whom = LeaderLocator(["h1", "h2", "h3"], ["h1", "h2", "h3", "h4"])
         asked = []
         for leader in ("", "", "h4", "h9", "h4"):
-            whom.elsewhere(leader)
-            asked.append(whom.name)
+            whom.redirect(leader)
+            asked.append(whom.current)
         self.assertEqual(asked, ["h2", "h3", "h4", "h1", "h4"])
-        whom.told(["h9"])
-        whom.elsewhere("")
-        self.assertIn(whom.name, ("h1", "h2", "h3"))
+        whom.set_voters(["h9"])
+        whom.redirect("")
+        self.assertIn(whom.current, ("h1", "h2", "h3"))
 
     def test_a_command_of_a_later_version_is_the_same_no_everywhere(self):
         self.assertIsInstance(self.ledger.apply(99, b"\x91\xa5other"), Rejection)
