--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -71,7 +71,7 @@
         owes = {each.name: told for each in self.supervisor.instances if (told := _owes(each))}
         poll = self.permit_holder.heartbeat(now, up, self._task_results(), reserve, owes)
         if self.assignments.active:
-            poll.extension = self.assignments.told(self._target_statuses(now))
+            poll.extension = self.assignments.encode_report(self._target_statuses(now))
         return poll
 
     def _target_statuses(self, now: int) -> list[TargetStatus]:
@@ -93,8 +93,8 @@
             )
             if isinstance(report, NodeStatus):
                 run.load = report.load
-                if self.assignments.watch and len(report.earned_weight) == 3:
-                    run.figures = Samples(
+                if self.assignments.collect_samples and len(report.earned_weight) == 3:
+                    run.samples = Samples(
                         Sums(*report.earned_weight),
                         report.rejected,
                         report.failed,
@@ -156,7 +156,7 @@
         first, reserved = not self.permit_holder.synchronized, dict(self.permit_holder.generations)
         if not self.permit_holder.receive_response(now, sent_at, answer):
             return []
-        self.assignments.heard(answer.extension)
+        self.assignments.handle_response(answer.extension)
         if self.state_lost:
             self._recover_state(now)
         elif first:
