--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -19,7 +19,10 @@
 
 
 class Fleet:
+    """The instances of many sites under one supervisor, in simulated time."""
+
     def __init__(self, size: int, seed: int) -> None:
+        """Make `size` instances, a tenth of each site's may be unavailable at one time."""
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{n}", f"site{n % SITES}") for n in range(size)]
         away = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
@@ -53,6 +56,7 @@
 
 
 def measure(size: int, seed: int) -> dict[str, float]:
+    """Time quiet turns, reports and a restart of all instances; keys say their units."""
     fleet = Fleet(size, seed)
     fleet.turn()
     fleet.pass_time(100 * MS)
@@ -92,6 +96,7 @@
 
 
 def main() -> int:
+    """Measure all sizes; returns 1 where the bound on unavailable instances was passed."""
     told = options(__doc__ or "", seed=16)
     rows = [measure(size, told.seed) for size in (100, 1000, 10_000)]
     say(f"{processor()}; simulated time")
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -26,6 +26,7 @@
     """One host with one instance, its agent killed again and again, and one operator who sends orders."""
 
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
+        """Write settings and keys below `folder`; no process is started yet."""
         self.folder, self.random, self.crashes = folder, Random(seed), crashes
         site = FakeSite(
             folder, {"wb1": ["n1"]}, away=1, supervision='<supervision backoff="20ms" restarts="1000"/>'
@@ -40,6 +41,7 @@
         self.doomed = False  # the agent there is will kill itself
 
     async def run(self) -> None:
+        """Send orders until the agents have crashed as often as asked for."""
         while not self.crashes.locked() or self.doomed:
             await self.one_order(VERBS[self.orders % len(VERBS)])
         await self.generation()
@@ -65,6 +67,7 @@
             )
 
     async def ask(self, wish: messages.Request) -> messages.Response | None:
+        """Send one request to the agent; None where it did not answer within a second."""
         await self.keep_agent()
         with contextlib.suppress(AgentError, asyncio.TimeoutError):
             return await asyncio.wait_for(request_once(self.host.agent, self.key, wish), 1.0)
@@ -108,10 +111,12 @@
             await asyncio.sleep(0.01)
 
     def starts(self) -> int:
+        """Count the processes that were started for the instance."""
         with open(os.path.join(self.host.state, "n1.journal"), encoding="ascii") as file:
             return sum(line.startswith("start") for line in file)
 
     async def end(self) -> None:
+        """Stop the agent and kill the instance's process."""
         if self.agent and self.agent.returncode is None:
             self.agent.terminate()
             await self.agent.wait()
@@ -121,7 +126,8 @@
         processes.close()
 
 
-async def measure(crashes: int, lanes: int, seed: int) -> dict:
+async def measure(crashes: int, lanes: int, seed: int) -> dict[str, int]:
+    """Run all lanes until enough agents have crashed; returns the counts."""
     left = asyncio.Semaphore(crashes)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         made = []
@@ -149,6 +155,7 @@
 
 
 def main() -> int:
+    """Measure and print; returns 1 where an order was lost or carried out twice."""
     told = options(__doc__ or "", crashes=300, lanes=6, seed=16)
     began = time.monotonic()
     figures = asyncio.run(measure(told.crashes, told.lanes, told.seed))
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -110,7 +110,7 @@
         self.stop_requested = asyncio.Event()
         self.raft: RaftRuntime | None = None
         self.status_reporter: StatusReporter | None = None
-        self.tasks: list[asyncio.Task] = []
+        self.tasks: list[asyncio.Task[None]] = []
         self.agent_keys = agent_keys or {}
         links = ServerLimits(connections=64 + 3 * len(fleet.hosts)) if self.fleet and fleet else None
         self.handlers = RequestHandlers(self)
@@ -139,10 +139,12 @@
 
     @property
     def alive(self) -> dict[Instance, Process]:
+        """The processes that run, by instance."""
         return self.executor.alive
 
     @property
     def processes(self) -> Processes:
+        """The processes of the host's instances."""
         return self.executor.processes
 
     async def run(self) -> None:
@@ -322,4 +324,5 @@
 
 
 def new_seed() -> int:
+    """A seed from the system's entropy."""
     return random.SystemRandom().getrandbits(63)
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -26,6 +26,8 @@
 
 
 class ArtifactStore:
+    """Copies of the programs and configurations that the instances of one host run."""
+
     def __init__(
         self, host: HostSettings, assignments: VersionAssignments, log: EventLog, on_ready: Callable[[], None]
     ) -> None:
@@ -34,7 +36,7 @@
         self.settings = {each.name: each for each in host.instances}
         self.state = host.state
         self.contents = ContentStore(os.path.join(host.state, "versions"))
-        self.tasks: set[asyncio.Task] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
 
     # Making ready.
 
@@ -144,6 +146,7 @@
             self.log.info("artifacts_pruned", versions=",".join(dropped))
 
     def close(self) -> None:
+        """Cancel copies that are being made."""
         for task in self.tasks:
             task.cancel()
 
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -13,18 +13,23 @@
 
 
 class DownstreamServices:
+    """The downstream services on one host, by their probes and their permits."""
+
     def __init__(self, permit_holder: PermitHolder, names: tuple[str, ...]) -> None:
+        """Take each service for down until a probe has reached it."""
         self.permit_holder = permit_holder
         self.up = dict.fromkeys(names, False)  # until it is seen
         self.failed_probes = dict.fromkeys(names, 0)
         self.seen_down: dict[str, int] = {}  # fences under which a service was seen down
 
     def observe(self, name: str, up: bool) -> None:
+        """Record the result of a probe; a service is down after `LOST` failures in a row."""
         self.failed_probes[name] = 0 if up else self.failed_probes[name] + 1
         if up or self.failed_probes[name] >= LOST:
             self.up[name] = up
 
     def advance(self, now: int) -> None:
+        """Start permits that may be started and report which of them are over."""
         for name, up in self.up.items():
             held = self.permit_holder.permits.get(name)
             if held is None:
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -26,6 +26,8 @@
 
 
 class InstanceExecutor:
+    """The processes of a host's instances and the tasks that poll them."""
+
     def __init__(
         self,
         host: HostSettings,
@@ -44,13 +46,16 @@
         self.processes, self.program = processes(host.state, self._process_exited), list(program)
         self.settings: dict[str, InstanceSettings] = {each.name: each for each in host.instances}
         self.alive: dict[Instance, Process] = {}
-        self.pollers: dict[Instance, asyncio.Task] = {}
-        self.control_tasks: dict[Instance, asyncio.Task] = {}  # told to leave or stay, one after the other
+        self.pollers: dict[Instance, asyncio.Task[None]] = {}
+        self.control_tasks: dict[
+            Instance, asyncio.Task[None]
+        ] = {}  # told to leave or stay, one after the other
         self.unidentified: set[Instance] = set()  # a process of it is there, and is not known yet
 
     # Steps.
 
     def execute(self, step: Step) -> None:
+        """Carry out one step of the supervisor."""
         instance, order = step.instance, step.instance.task and step.instance.task.order
         process = self.alive.get(instance)
         facts: dict[str, object] = {"target": instance.name, "generation": instance.process_generation}
@@ -103,7 +108,8 @@
             process = self.processes.spawn(told.name, instance.process_generation, program, variables)
         except OSError as error:
             self.log.error("instance_start_failed", error=str(error), **facts)
-            return self.supervisor.start_failed(now, instance, str(error))
+            self.supervisor.start_failed(now, instance, str(error))
+            return
         self.log.info("instance_started", pid=process.pid, version=variables.get("OAKKEEL_VERSION"), **facts)
         instance.running_version = variables.get("OAKKEEL_VERSION", "")
         self.supervisor.process_started(now, instance)
@@ -120,13 +126,13 @@
         )
         task.add_done_callback(partial(self._control_request_done, instance))
 
-    def _control_request_done(self, instance: Instance, task: asyncio.Task) -> None:
+    def _control_request_done(self, instance: Instance, task: asyncio.Task[None]) -> None:
         if self.control_tasks.get(instance) is task:
             del self.control_tasks[instance]
 
     async def _control_request(
         self,
-        before: asyncio.Task | None,
+        before: asyncio.Task[None] | None,
         instance: Instance,
         process: Process,
         act: Action,
@@ -198,6 +204,7 @@
         self.supervisor.process_not_found(time.monotonic_ns(), instance, written)
 
     def identify_processes(self, now: int) -> None:
+        """Adopt processes whose pid file can be read by now."""
         for instance in list(self.unidentified):
             if process := self.processes.adopt(instance.name):
                 self.unidentified.discard(instance)
--- a/oakkeel/agent/leader_locator.py
+++ b/oakkeel/agent/leader_locator.py
@@ -6,6 +6,8 @@
 
 
 class LeaderLocator:
+    """The voter that an agent sends its requests to."""
+
     def __init__(self, voters: Sequence[str], hosts: Iterable[str]) -> None:
         """`known`: hosts that there are; a name that is none of them is not gone by."""
         self.voters, self.hosts = voters, frozenset(hosts)
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -56,7 +56,7 @@
 
 
 class FleetOrderRequest(msgspec.Struct, tag="fleet", forbid_unknown_fields=True):
-    """An order for things of any host, to be agreed. `FleetOrderStatus` comes back, or `NotLeaderResponse`."""
+    """An order for targets of any host. Answered by `FleetOrderStatus` or `NotLeaderResponse`."""
 
     order_id: str = msgspec.field(name="ident")
     verb: str
@@ -66,7 +66,7 @@
 
 
 class EndFleetOrderRequest(msgspec.Struct, tag="end", forbid_unknown_fields=True):
-    """Halt an order of the fleet, or cancel it: what it took out comes back. `FleetOrderStatus` comes back."""
+    """Halt a fleet order, or cancel it, which restores its targets. Answered by `FleetOrderStatus`."""
 
     order_id: str = msgspec.field(name="ident")
     cancel: bool = msgspec.field(name="back")
@@ -95,7 +95,7 @@
 
 
 class ReleaseStatusRequest(msgspec.Struct, tag="ask release", forbid_unknown_fields=True):
-    """How far is it? Without an id the open one, or the last. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
+    """Without an ID the open release, or the last. Answered by `ReleaseStatus` or `NotLeaderResponse`."""
 
     release_id: str = msgspec.field(default="", name="ident")
 
@@ -141,6 +141,8 @@
 
 
 class HostStatus(msgspec.Struct, tag="host"):
+    """The state of one host and its instances."""
+
     host: str
     site: str
     uptime: int  # of the agent
@@ -152,6 +154,8 @@
 
 
 class TaskStatus(msgspec.Struct):
+    """The state of an order on one instance."""
+
     instance: str
     state: str
     age: int
@@ -159,6 +163,8 @@
 
 
 class OrderStatus(msgspec.Struct, tag="order"):
+    """An order on one host, with its tasks."""
+
     order_id: str = msgspec.field(name="ident")
     operator: str
     verb: str
@@ -167,19 +173,27 @@
 
 
 class OrderList(msgspec.Struct, tag="orders"):
+    """The latest orders of a host."""
+
     orders: list[OrderStatus]  # the latest first
 
 
 class InstanceClients(msgspec.Struct, tag="clients"):
+    """The clients that send the most to an instance."""
+
     instance: str
     status: ClientsStatus = msgspec.field(name="told")
 
 
 class PeerEnvelopesResponse(msgspec.Struct, tag="carried"):
+    """Envelopes that waited for the host that asked."""
+
     envelopes: list[Envelope] = msgspec.field(name="letters")
 
 
 class HeartbeatAccepted(msgspec.Struct, tag="agreed"):
+    """The leader's response to a heartbeat."""
+
     response: HeartbeatResponse = msgspec.field(name="agreed")
 
 
@@ -191,6 +205,8 @@
 
 
 class FleetTaskStatus(msgspec.Struct):
+    """The state of a fleet order on one target."""
+
     target: str = msgspec.field(name="thing")
     host: str
     state: str
@@ -223,12 +239,16 @@
 
 
 class BudgetUsage(msgspec.Struct):
+    """How much of a disruption budget is in use."""
+
     name: str
     unavailable: int = msgspec.field(name="out")
     limit: int = msgspec.field(name="bound")
 
 
 class FleetStatus(msgspec.Struct, tag="fleet state"):
+    """Budgets, unavailable targets and orders of the fleet."""
+
     index: int
     budgets: list[BudgetUsage] = msgspec.field(name="groups")
     unavailable: list[UnavailableTarget] = msgspec.field(name="out")
@@ -246,6 +266,8 @@
 
 
 class RaftStatus(msgspec.Struct, tag="record"):
+    """The state of an agent's replica, or of none."""
+
     host: str
     role: str  # none: it keeps nothing
     role_age: int
@@ -262,6 +284,8 @@
 
 
 class ReleaseTargetStatus(msgspec.Struct):
+    """The state of a release on one target."""
+
     target: str = msgspec.field(name="thing")
     host: str
     state: str  # old, changing, new
@@ -334,6 +358,7 @@
 
 
 def encode(message: Request | Response) -> bytes:
+    """Encode a request or response as msgpack."""
     return _encoder.encode(message)
 
 
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import Any
 
 from oakkeel.agent.instances import Goal, Instance, Phase
 from oakkeel.agent.supervisor import Action, Step, Supervisor
@@ -20,6 +21,8 @@
 
 
 class Verb(Enum):
+    """What an order asks for; the values are wire and stored forms."""
+
     START = "start"
     STOP = "stop"  # drained, and killed where its drain time is not enough
     DRAIN = "drain"  # the same, but never killed
@@ -61,10 +64,11 @@
     why: str = ""
     drain_sent: bool = False  # its process was told to leave
     replaces_generation: int = 0  # the generation of the process that a restart is to end
-    previous: tuple | None = None  # what it changed when it was taken, until that is kept
+    previous: tuple[Any, ...] | None = None  # what it changed when it was taken, until that is kept
 
     @property
     def is_open(self) -> bool:
+        """Whether it is waiting or acting."""
         return self.state in OPEN_STATES
 
 
@@ -82,6 +86,7 @@
 
     @property
     def is_open(self) -> bool:
+        """Whether any of its tasks is open."""
         return any(part.is_open for part in self.tasks)
 
 
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -46,6 +46,7 @@
         self.watched: dict[int, Process] = {}  # by pidfd
 
     def path(self, name: str, ending: str) -> str:
+        """The path of an instance's file with that ending."""
         return os.path.join(self.folder, f"{name}.{ending}")
 
     def spawn(self, name: str, generation: int, argv: list[str], variables: dict[str, str]) -> Process:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -87,7 +87,7 @@
             self._quarantine(f"an older copy: {why}")
         self.topology = topology_of(fleet)
         self.peers: dict[str, PeerSender] = {}
-        self.futures: dict[Proposal, asyncio.Future] = {}
+        self.futures: dict[Proposal, asyncio.Future[object]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.storage_error = ""  # the file can't be written
         self.is_leader = False
@@ -95,6 +95,7 @@
         self.control_plane: ControlPlaneReplica | None = None
 
     def open(self) -> None:
+        """Start the replica and its timer."""
         self._start_replica()
         self._schedule()
 
@@ -108,7 +109,8 @@
                 self._quarantine(str(error))
                 held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
         except DatabaseError as error:
-            return self._storage_failed(error)
+            self._storage_failed(error)
+            return
         self.storage_error, founders = "", self.fleet.control_plane.hosts if self.fleet.control_plane else ()
         self.control_plane = ControlPlaneReplica(
             time.monotonic_ns(),
@@ -132,14 +134,15 @@
         """Told for whoever looks for a cause: grants by each keeper, as their leader may be gone, the rest by
         the leader."""
         if isinstance(result, Rejection):
-            return None
+            return
         if isinstance(command, commands.GrantPermits):
             for thing in command.targets:
                 self.log.info("permit_granted", target=thing, fence=index, order=command.order_id)
         if self.control_plane is None or self.control_plane.allocator is None:
-            return None
+            return
         if isinstance(command, releases.Command):
-            return self._log_release_command(command)
+            self._log_release_command(command)
+            return
         if isinstance(command, commands.SetTopology):
             self.log.info("topology_committed", fence=index)
         elif isinstance(command, commands.ExpirePermit | commands.ReleasePermit):
@@ -202,6 +205,7 @@
         return self._peer(sender).take() if sender in self.keys else []
 
     def receive_heartbeat(self, poll: Heartbeat) -> messages.Response:
+        """Answer an agent's heartbeat, or name the leader."""
         if self.control_plane is None:
             return messages.NotLeaderResponse("", self.storage_error or "the record is not kept here")
         try:
@@ -217,7 +221,7 @@
         if self.control_plane is None:
             raise NotLeaderError("", self.storage_error)
         proposal, steps = self.control_plane.propose(time.monotonic_ns(), command)
-        future: asyncio.Future = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self.futures[proposal] = future
         self._execute(steps)
         self._schedule()
@@ -257,7 +261,7 @@
         """Written before anything is sent or told, in the order in which it was decided."""
         for steps in all_steps:
             if self.control_plane is None:
-                return None
+                return
             if steps.storage_update:
                 try:
                     storage.write(
@@ -267,7 +271,8 @@
                         self.write_counter,
                     )
                 except DatabaseError as error:
-                    return self._storage_failed(error)
+                    self._storage_failed(error)
+                    return
             for name, letter in steps.envelopes:
                 if name in self.keys:
                     self._peer(name).put(letter)
@@ -275,7 +280,7 @@
                 self._proposal_decided(proposal)
         control_plane = self.control_plane
         if control_plane is None:
-            return None
+            return
         if control_plane.replica.role is Role.STALE:
             self._quarantine(control_plane.replica.stale_reason)
             self._start_replica()
@@ -310,6 +315,7 @@
         self._schedule()
 
     def close(self) -> None:
+        """Cancel the timer and close connections and files."""
         if self.timer:
             self.timer.cancel()
         for peer in self.peers.values():
@@ -328,12 +334,14 @@
         on_response: Callable[[str, list[Envelope]], None],
         log: EventLog,
     ) -> None:
+        """Start the task that sends; `came` gets the envelopes of each response."""
         self.name, self.link, self.on_response, self.log = name, link, on_response, log
         self.queue: deque[Envelope] = deque(maxlen=MAX_QUEUED_ENVELOPES)  # the oldest is lost first
         self.not_empty = asyncio.Event()
         self.task = asyncio.ensure_future(self._send())
 
     def put(self, letter: Envelope) -> None:
+        """Queue an envelope; the oldest is dropped where the queue is full."""
         self.queue.append(letter)
         self.not_empty.set()
 
@@ -374,5 +382,6 @@
             self.on_response(self.name, answer.envelopes)
 
     def close(self) -> None:
+        """Cancel the task and close the connection."""
         self.task.cancel()
         self.link.close()
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -1,6 +1,7 @@
-"""What an agent does with what the record says: orders taken up, places used, what is told back. Free of I/O.
+"""Applies the leader's responses on one host and builds its heartbeats. Free of I/O.
 
-It stands between `PermitHolder`, which knows places, and `OrderRegistry` and `Supervisor`, which know instances.
+It stands between `PermitHolder`, which knows permits, and `OrderRegistry` and `Supervisor`, which know
+instances.
 """
 
 from __future__ import annotations
@@ -29,6 +30,8 @@
 
 
 class Reconciler:
+    """Applies the leader's responses to orders and instances, and reports results."""
+
     def __init__(
         self,
         supervisor: Supervisor,
@@ -37,6 +40,7 @@
         generation_block: int = 64,
         services: tuple[str, ...] = (),
     ) -> None:
+        """Limit each instance to the generations that were reserved for it before."""
         self.supervisor, self.orders, self.permit_holder, self.generation_block = (
             supervisor,
             orders,
@@ -57,6 +61,7 @@
     # What is told.
 
     def build_heartbeat(self, now: int) -> Heartbeat:
+        """The next heartbeat: states, results and generations to reserve."""
         self.services.advance(now)
         up, reserve = dict(self.services.up), {}
         for instance in self.supervisor.instances:
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -56,16 +56,25 @@
     status_reporter: StatusReporter | None
     storage_error: str
 
-    def save(self) -> bool: ...
-    def reconcile(self) -> None: ...
-    def operator_notes(self) -> Sequence[str]: ...
+    def save(self) -> bool:
+        """Write what changed; False where that fails."""
+
+    def reconcile(self) -> None:
+        """Decide, write and act once."""
+
+    def operator_notes(self) -> Sequence[str]:
+        """What the host's operator should know of."""
 
 
 class RequestHandlers:
+    """Handlers for all requests that an agent receives."""
+
     def __init__(self, agent: HandlerContext) -> None:
+        """Serve requests on that agent."""
         self.agent = agent
 
     def handle(self, key: Key, wish: messages.Request) -> messages.Response | Awaitable[messages.Response]:
+        """Respond to one request that `key` has authenticated and may send."""
         agent, now = self.agent, time.monotonic_ns()
         if isinstance(wish, messages.PeerEnvelopesRequest):
             letters = agent.raft.receive_envelopes(key.operator, wish.envelopes) if agent.raft else []
@@ -204,6 +213,7 @@
 
 
 def command_of(key: Key, wish: messages.Request, unix: int) -> commands.Command | releases.Command:
+    """The replicated command for a request."""
     if isinstance(wish, messages.FleetOrderRequest):
         return commands.SubmitOrder(
             wish.order_id, key.operator, wish.verb, unix, wish.lifetime, wish.atomic, list(wish.targets)
@@ -219,6 +229,7 @@
 
 
 def said_taken(log: EventLog, order: Order) -> None:
+    """Log an order that was accepted."""
     log.info(
         "order_accepted",
         order=order.order_id,
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -56,6 +56,8 @@
 
 
 class AgentServer:
+    """The agent's listening socket and its connections."""
+
     def __init__(
         self,
         address: tuple[str, int],
@@ -66,7 +68,7 @@
     ) -> None:
         """Raises OSError where the address can't be listened on. `keys` gives those that hold by now."""
         self.keys, self.handler, self.log, self.limits = keys, handler, log, limits or ServerLimits()
-        self.connections: dict[IOStream, asyncio.Task] = {}  # the oldest first
+        self.connections: dict[IOStream, asyncio.Task[None]] = {}  # the oldest first
         self.rejection_logged_at = self.rejected = 0
         self.socket = socket.socket()
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -76,9 +78,11 @@
         self.address: tuple[str, int] = self.socket.getsockname()
 
     def open(self) -> None:
+        """Accept connections from now on."""
         asyncio.get_running_loop().add_reader(self.socket, self._accept_some)
 
     def close(self) -> None:
+        """Close the socket and all connections."""
         asyncio.get_running_loop().remove_reader(self.socket)
         self.socket.close()
         for stream in list(self.connections):
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -28,6 +28,8 @@
 
 
 class StatusReporter:
+    """Sends a host's heartbeats to the leader and applies its responses."""
+
     def __init__(
         self,
         fleet: Fleet,
@@ -55,6 +57,7 @@
         return self.locator.current
 
     async def run(self) -> None:
+        """Send heartbeats until cancelled."""
         while True:
             try:
                 answer = await self._send_heartbeat()
@@ -107,6 +110,7 @@
         self.on_response(agreed)
 
     def close(self) -> None:
+        """Close all connections."""
         for link in self.clients.values():
             link.close()
 
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -26,6 +26,7 @@
     notes: list[str],
     pids: dict[Instance, int],
 ) -> messages.HostStatus:
+    """The state of a host and its instances."""
     return messages.HostStatus(
         host.name,
         host.site,
@@ -69,6 +70,7 @@
 
 
 def order_status(now: int, order: Order) -> messages.OrderStatus:
+    """An order with its tasks, also those of instances that are not here."""
     parts = [
         messages.TaskStatus(part.instance.name, part.state.value, max(0, now - part.state_since), part.why)
         for part in order.tasks
@@ -88,6 +90,7 @@
 def raft_status(
     now: int, host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None
 ) -> messages.RaftStatus:
+    """The state of the replica here, or of none."""
     heard = (
         now - status_reporter.last_response_at if status_reporter and status_reporter.last_response_at else -1
     )
@@ -147,6 +150,7 @@
 
 
 def fleet_order_status(raft: RaftRuntime, order: Agreed) -> messages.FleetOrderStatus:
+    """A fleet order with the permits of its targets."""
     places, hosts, owes = {}, {}, {}
     if raft.control_plane:
         places = raft.control_plane.state_machine.state.permits
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -181,6 +181,7 @@
 
 
 def restore_permits(store: Database, permit_holder: PermitHolder) -> None:
+    """Restore fences, started permits and reserved generations."""
     epochs = store.read("SELECT epoch FROM heard")
     permit_holder.restore(
         epochs[0][0] if epochs else "",
@@ -205,6 +206,7 @@
 
 
 def restore_assignments(store: Database, fitting: VersionAssignments) -> None:
+    """Restore which versions the targets run."""
     for (content,) in store.read("SELECT content FROM fitting"):
         fitting.restore(
             *msgspec.msgpack.decode(
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -37,6 +37,8 @@
 
 
 class Action(Enum):
+    """What a step asks the executor to do."""
+
     START = "start"  # a process of the instance's new generation
     TERM = "term"  # tell it to leave, for good
     DRAIN = "leave"  # tell it to leave in a way that can be taken back
@@ -133,13 +135,14 @@
     def process_exited(self, now: int, instance: Instance, why: str) -> None:
         """Its process has ended: proved, not guessed."""
         if not instance.alive:
-            return None
+            return
         asked = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
         instance.drain_sent_at, instance.kill_after_drain, instance.report = 0, False, None
         instance.drain_cancellable = instance.drain_cancelled = False
         if asked:
             instance.start_not_before = now
-            return self._transition(now, instance, Phase.STOPPED)
+            self._transition(now, instance, Phase.STOPPED)
+            return
         patience = self.timeouts
         instance.why, instance.crash_count = why, instance.crash_count + 1
         instance.crashes.append(now)
--- a/tests/agent/test_supervision.py
+++ b/tests/agent/test_supervision.py
@@ -2,6 +2,7 @@
 
 import time
 import unittest
+from itertools import pairwise
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -139,7 +140,7 @@
                 host.died(looping)
             host.now += 100 * MS
             host.tick()
-        waits = [after - before for before, after in zip(starts, starts[1:], strict=False)]
+        waits = [after - before for before, after in pairwise(starts)]
         for row, wait in enumerate(waits[:4]):  # half at the least, chance has the rest
             self.assertGreaterEqual(wait, SECOND << row >> 1)
         self.assertLessEqual(len(starts), 4)
