--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -112,28 +112,28 @@
         self.status_reporter: StatusReporter | None = None
         self.tasks: list[asyncio.Task[None]] = []
         self.agent_keys = agent_keys or {}
-        links = ServerLimits(connections=64 + 3 * len(fleet.hosts)) if self.fleet and fleet else None
+        limits = ServerLimits(connections=64 + 3 * len(fleet.hosts)) if self.fleet and fleet else None
         self.handlers = RequestHandlers(self)
-        self.server = AgentServer(host.agent, lambda: self.keys, self.handlers.handle, log, links)
+        self.server = AgentServer(host.agent, lambda: self.keys, self.handlers.handle, log, limits)
 
     def _make_permit_holder(self, seed: int) -> PermitHolder:
         assert self.fleet and self.fleet.control_plane
         self.services = tuple(
             each for each in self.fleet.control_plane.services if each.host == self.host.name
         )
-        things = (*(each.name for each in self.host.instances), *(each.name for each in self.services))
-        permit_holder = PermitHolder(self.host.name, things, seed & (1 << 60) - 1)
+        targets = (*(each.name for each in self.host.instances), *(each.name for each in self.services))
+        permit_holder = PermitHolder(self.host.name, targets, seed & (1 << 60) - 1)
         self.store.write(ADDED_TABLES)
         restore_permits(self.store, permit_holder)
         return permit_holder
 
     def _is_same_boot(self) -> bool:
         """Whether the host runs since the state was kept last; from now on it does."""
-        this, kept = boot(), self.store.read("SELECT id FROM boot")
-        if kept == [(this,)]:
+        this, saved = boot(), self.store.read("SELECT id FROM boot")
+        if saved == [(this,)]:
             return True
         self.store.write([("DELETE FROM boot", ()), ("INSERT INTO boot VALUES (?)", (this,))])
-        return not kept
+        return not saved
 
     # As stories and stand-ins know it.
 
@@ -260,9 +260,9 @@
             if not self.storage_error:  # what orders change must be kept before it is done
                 self.orders.advance(now)
             steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
-            kept = self.save()
+            saved = self.save()
             for step in steps:
-                if kept or step.instance.task is None:
+                if saved or step.instance.task is None:
                     self.executor.execute(step)
                 else:
                     self.executor.postpone(step)
@@ -276,8 +276,10 @@
     def save(self) -> bool:
         """Write what changed. Watching goes on where that fails; orders wait."""
         changed = [each for each in self.supervisor.instances if each.dirty]
-        fitting = self.reconciler.assignments if self.reconciler else None
-        places = bool(self.permit_holder and self.permit_holder.changed) or bool(fitting and fitting.changed)
+        assignments = self.reconciler.assignments if self.reconciler else None
+        places = bool(self.permit_holder and self.permit_holder.changed) or bool(
+            assignments and assignments.changed
+        )
         if (
             not changed
             and not self.orders.changed
@@ -289,8 +291,8 @@
         rows = statements(changed, self.orders.changed, self.orders.deleted)
         if self.permit_holder:
             rows += permit_statements(self.permit_holder)
-        if fitting:
-            rows += assignment_statements(fitting)
+        if assignments:
+            rows += assignment_statements(assignments)
         try:
             self.store.write(rows)
         except DatabaseError as error:
@@ -304,8 +306,8 @@
         self.orders.deleted.clear()
         if self.permit_holder:
             self.permit_holder.changed.clear()
-        if fitting:
-            fitting.changed = False
+        if assignments:
+            assignments.changed = False
         if self.storage_error:
             self.log.info("agent_state_write_recovered")
             self.storage_error = ""
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -71,14 +71,16 @@
         os.makedirs(os.path.join(self.contents.folder, "content"), mode=0o700, exist_ok=True)
         self._import(copy.spec)
         bases, program = {}, ""
-        for thing in copy.targets:
-            told = self.settings[thing]
-            self._merged_config(told, self.contents.find(copy.spec.version))  # can it be? Before it has to be
-            if self.assignments.version(thing):
+        for target in copy.targets:
+            settings = self.settings[target]
+            self._merged_config(
+                settings, self.contents.find(copy.spec.version)
+            )  # can it be? Before it has to be
+            if self.assignments.version(target):
                 continue
             program = program or self.contents.add_folder(PACKAGE, "oakkeel")  # that the agent itself is of
-            bases[thing] = self.contents.add_version(
-                Content(program, "", self.contents.add_file(told.config))
+            bases[target] = self.contents.add_version(
+                Content(program, "", self.contents.add_file(settings.config))
             )
         return bases
 
@@ -107,7 +109,7 @@
     def launch_command(self, name: str, program: list[str]) -> tuple[list[str], dict[str, str]]:
         """How the next process of an instance is started: words, and variables beside the rest. Raises
         ContentError where its version is not here."""
-        version, told = self.assignments.version(name), self.settings[name]
+        version, settings = self.assignments.version(name), self.settings[name]
         if not version:
             return program, {}
         content = self.contents.find(version)
@@ -126,13 +128,15 @@
         if content.patch or content.config:
             path = os.path.join(self.state, f"{name}.config.json")
             with open(path + ".new", "w", encoding="utf-8") as file:
-                json.dump(self._merged_config(told, content), file)
+                json.dump(self._merged_config(settings, content), file)
             os.replace(path + ".new", path)
             variables["PROXY_CONFIG"] = path
         return program, variables
 
-    def _merged_config(self, told: InstanceSettings, content: Content | None) -> object:
-        config = read_json(self.contents.path(content.config) if content and content.config else told.config)
+    def _merged_config(self, settings: InstanceSettings, content: Content | None) -> object:
+        config = read_json(
+            self.contents.path(content.config) if content and content.config else settings.config
+        )
         if content is None or not content.patch:
             return config
         return apply_merge_patch(config, read_json(self.contents.path(content.patch)))
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -31,16 +31,18 @@
     def advance(self, now: int) -> None:
         """Start permits that may be started and report which of them are over."""
         for name, up in self.up.items():
-            held = self.permit_holder.permits.get(name)
-            if held is None:
+            permit = self.permit_holder.permits.get(name)
+            if permit is None:
                 continue
-            order = self.permit_holder.orders.get(held.order_id)
-            if not held.started and self.permit_holder.may_start(now, name, held.order_id, up):
+            order = self.permit_holder.orders.get(permit.order_id)
+            if not permit.started and self.permit_holder.may_start(now, name, permit.order_id, up):
                 self.permit_holder.start(now, name)
-            if held.started and not up:
-                self.seen_down[name] = held.fencing_token
-            over = self.seen_down.get(name) == held.fencing_token or order is None or bool(order.cancelled_by)
-            if held.started and up and over:
+            if permit.started and not up:
+                self.seen_down[name] = permit.fencing_token
+            over = (
+                self.seen_down.get(name) == permit.fencing_token or order is None or bool(order.cancelled_by)
+            )
+            if permit.started and up and over:
                 self.permit_holder.mark_restored(name)
             else:
                 self.permit_holder.mark_unavailable(name)
@@ -48,12 +50,12 @@
     def results(self) -> list[TaskResult]:
         """Orders on services that are over: it is down."""
         return [
-            TaskResult(order.id, thing, "done", "")
+            TaskResult(order.id, target, "done", "")
             for order in self.permit_holder.orders.values()
-            for thing, _, state in order.tasks
+            for target, _, state in order.tasks
             if state == "out"
-            and thing in self.up
-            and not self.up[thing]
-            and (held := self.permit_holder.permits.get(thing))
-            and held.order_id == order.id
+            and target in self.up
+            and not self.up[target]
+            and (permit := self.permit_holder.permits.get(target))
+            and permit.order_id == order.id
         ]
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -58,21 +58,25 @@
         """Carry out one step of the supervisor."""
         instance, order = step.instance, step.instance.task and step.instance.task.order
         process = self.alive.get(instance)
-        facts: dict[str, object] = {"target": instance.name, "generation": instance.process_generation}
+        fields: dict[str, object] = {"target": instance.name, "generation": instance.process_generation}
         if order:
-            facts |= {"order": order.order_id, "operator": order.operator}
-        if self.permit_holder and (held := self.permit_holder.permits.get(instance.name)) and held.started:
-            facts["fence"] = held.fencing_token
+            fields |= {"order": order.order_id, "operator": order.operator}
+        if (
+            self.permit_holder
+            and (permit := self.permit_holder.permits.get(instance.name))
+            and permit.started
+        ):
+            fields["fence"] = permit.fencing_token
         if step.action is Action.START:
-            self._start(instance, facts)
+            self._start(instance, fields)
         elif process is None:
-            self.log.warning("process_not_found", **facts)
+            self.log.warning("process_not_found", **fields)
         elif step.action in (Action.DRAIN, Action.CANCEL_DRAIN):
-            self._send_control_request(instance, process, step.action, facts)
+            self._send_control_request(instance, process, step.action, fields)
         else:
             number = signal.SIGTERM if step.action is Action.TERM else signal.SIGKILL
             self.log.info(
-                "drain_requested" if step.action is Action.TERM else "drain_timeout_killed", **facts
+                "drain_requested" if step.action is Action.TERM else "drain_timeout_killed", **fields
             )
             self.processes.signal(process, number)
 
@@ -85,44 +89,44 @@
             if step.instance.task:
                 step.instance.task.drain_sent = False
 
-    def _start(self, instance: Instance, facts: dict[str, object]) -> None:
-        told = self.settings[instance.name]
+    def _start(self, instance: Instance, fields: dict[str, object]) -> None:
+        settings = self.settings[instance.name]
         variables = {
             **os.environ,
-            "PROXY_CONFIG": told.config,
-            "PROXY_NAME": told.name,
-            "OAKKEEL_CONTROL": self.processes.path(told.name, "sock"),
-            "OAKKEEL_LOG": told.log,
+            "PROXY_CONFIG": settings.config,
+            "PROXY_NAME": settings.name,
+            "OAKKEEL_CONTROL": self.processes.path(settings.name, "sock"),
+            "OAKKEEL_LOG": settings.log,
         }
-        if told.listen:
-            variables["PROXY_LISTEN"] = told.listen
+        if settings.listen:
+            variables["PROXY_LISTEN"] = settings.listen
         if self.fair_sharing:
-            variables["OAKKEEL_TOLD"] = self.processes.path(told.name, "told")
+            variables["OAKKEEL_TOLD"] = self.processes.path(settings.name, "told")
         now = time.monotonic_ns()
         try:
-            self._write_node_settings(told.name)
+            self._write_node_settings(settings.name)
             program = self.program
             if self.artifacts:
-                program, more = self.artifacts.launch_command(told.name, program)
+                program, more = self.artifacts.launch_command(settings.name, program)
                 variables |= more
-            process = self.processes.spawn(told.name, instance.process_generation, program, variables)
+            process = self.processes.spawn(settings.name, instance.process_generation, program, variables)
         except OSError as error:
-            self.log.error("instance_start_failed", error=str(error), **facts)
+            self.log.error("instance_start_failed", error=str(error), **fields)
             self.supervisor.start_failed(now, instance, str(error))
             return
-        self.log.info("instance_started", pid=process.pid, version=variables.get("OAKKEEL_VERSION"), **facts)
+        self.log.info("instance_started", pid=process.pid, version=variables.get("OAKKEEL_VERSION"), **fields)
         instance.running_version = variables.get("OAKKEEL_VERSION", "")
         self.supervisor.process_started(now, instance)
         self._watch(instance, process)
 
     def _send_control_request(
-        self, instance: Instance, process: Process, act: Action, facts: dict[str, object]
+        self, instance: Instance, process: Process, action: Action, fields: dict[str, object]
     ) -> None:
         """By the control link, behind what it was told before: a word to stay must not overtake one to
         leave."""
         before = self.control_tasks.get(instance)
         self.control_tasks[instance] = task = asyncio.ensure_future(
-            self._control_request(before, instance, process, act, facts)
+            self._control_request(before, instance, process, action, fields)
         )
         task.add_done_callback(partial(self._control_request_done, instance))
 
@@ -135,8 +139,8 @@
         before: asyncio.Task[None] | None,
         instance: Instance,
         process: Process,
-        act: Action,
-        facts: dict[str, object],
+        action: Action,
+        fields: dict[str, object],
     ) -> None:
         if before is not None:
             await asyncio.wait((before,))
@@ -144,9 +148,9 @@
             return
         client = ControlClient(self.processes.path(instance.name, "sock"))
         try:
-            if act is Action.CANCEL_DRAIN:
+            if action is Action.CANCEL_DRAIN:
                 answer = await client.cancel_drain(process.generation, ANSWER / SECOND)
-                self.log.info("drain_cancel_requested", answer=answer.reason or "it does", **facts)
+                self.log.info("drain_cancel_requested", answer=answer.reason or "it does", **fields)
                 if answer.reason:
                     instance.why = f"told to stay: {answer.reason}"
                 return
@@ -154,15 +158,15 @@
             answer = await client.drain(
                 process.generation, ANSWER / SECOND, self.supervisor.timeouts.drain * 9 // 10
             )
-            self.log.info("drain_requested", answer=answer.reason or None, **facts)
+            self.log.info("drain_requested", answer=answer.reason or None, **fields)
             if answer.accepted:
                 return
         except ControlError as error:
-            self.log.warning("control_request_failed", error=str(error), **facts)
+            self.log.warning("control_request_failed", error=str(error), **fields)
         finally:
             client.close()
-        if act is Action.DRAIN and not instance.drain_cancelled:
-            self.log.info("drain_requested", by="signal", **facts)
+        if action is Action.DRAIN and not instance.drain_cancelled:
+            self.log.info("drain_requested", by="signal", **fields)
             self.processes.signal(process, signal.SIGTERM)
 
     def _write_node_settings(self, name: str) -> None:
@@ -175,10 +179,10 @@
                 )
             os.replace(path + ".new", path)
 
-    def update_fair_sharing(self, fairness: FairSharingSettings | None) -> None:
+    def update_fair_sharing(self, fair_sharing: FairSharingSettings | None) -> None:
         """New shares: what nodes are told they read again."""
-        if self.fair_sharing and fairness and self.fair_sharing != fairness:
-            self.fair_sharing = fairness
+        if self.fair_sharing and fair_sharing and self.fair_sharing != fair_sharing:
+            self.fair_sharing = fair_sharing
             for instance, process in self.alive.items():
                 self._write_node_settings(instance.name)
                 self.processes.signal(process, signal.SIGHUP)
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -87,7 +87,7 @@
     @property
     def is_open(self) -> bool:
         """Whether any of its tasks is open."""
-        return any(part.is_open for part in self.tasks)
+        return any(task.is_open for task in self.tasks)
 
 
 class OrderRejectedError(ValueError):
@@ -150,25 +150,25 @@
             instance = self.instances.get(name)
             if instance is None:
                 continue  # the answer names what was taken, and so what was not
-            part = Task(order, instance, generation, state_since=now)
-            order.tasks.append(part)
-            if why := self._rejection_reason(part, supersede):
-                part.state, part.why = TaskState.REFUSED, why
+            task = Task(order, instance, generation, state_since=now)
+            order.tasks.append(task)
+            if why := self._rejection_reason(task, supersede):
+                task.state, task.why = TaskState.REFUSED, why
                 continue
-            standing = instance.task
-            part.previous = (
+            current_task = instance.task
+            task.previous = (
                 instance.generation,
                 instance.changed_at,
                 instance.changed_by,
-                standing,
-                standing and (standing.state, standing.state_since, standing.why),
+                current_task,
+                current_task and (current_task.state, current_task.state_since, current_task.why),
             )
-            if standing is not None:
-                self._transition(now, standing, TaskState.SUPERSEDED, f"by {operator}, {verb.value}")
-            instance.task, instance.dirty = part, True
+            if current_task is not None:
+                self._transition(now, current_task, TaskState.SUPERSEDED, f"by {operator}, {verb.value}")
+            instance.task, instance.dirty = task, True
             instance.generation += 1
             instance.changed_at, instance.changed_by = order.accepted_at, f"{operator}: {verb.value}"
-            self.open_tasks.append(part)
+            self.open_tasks.append(task)
         if not order.is_open:
             return order  # nothing came of it: it need not be known again
         self.orders[ident] = order
@@ -178,42 +178,42 @@
 
     def confirm(self, order: Order) -> None:
         """It is on disk: from now on it holds."""
-        for part in order.tasks:
-            part.previous = None
+        for task in order.tasks:
+            task.previous = None
 
     def undo(self, order: Order) -> None:
         """It could not be kept: nothing of it ever was."""
-        for part in order.tasks:
-            if part.previous is None:
+        for task in order.tasks:
+            if task.previous is None:
                 continue
-            instance = part.instance
-            instance.generation, instance.changed_at, instance.changed_by, standing, was = part.previous
-            instance.task = standing
-            if standing is not None:
-                standing.state, standing.state_since, standing.why = was
-            self.open_tasks.remove(part)
+            instance = task.instance
+            instance.generation, instance.changed_at, instance.changed_by, current_task, was = task.previous
+            instance.task = current_task
+            if current_task is not None:
+                current_task.state, current_task.state_since, current_task.why = was
+            self.open_tasks.remove(task)
         self.orders.pop(order.order_id, None)
         self.changed.discard(order)
 
-    def _rejection_reason(self, part: Task, supersede: bool) -> str:
+    def _rejection_reason(self, task: Task, supersede: bool) -> str:
         """Why an order does not hold for an instance; empty where it does."""
-        instance, standing = part.instance, part.instance.task
-        if part.generation != instance.generation:
+        instance, current_task = task.instance, task.instance.task
+        if task.generation != instance.generation:
             whose = (
-                f"{standing.order.operator}'s {standing.order.verb.value} stands"
-                if standing
+                f"{current_task.order.operator}'s {current_task.order.verb.value} stands"
+                if current_task
                 else (f"changed by {instance.changed_by or 'nobody'}")
             )
             return (
                 f"{whose} since {_clock(instance.changed_at)}; it is generation {instance.generation},"
-                f" not {part.generation}"
+                f" not {task.generation}"
             )
         if instance.generation >= instance.generation_limit:
             return "no generation is left for it until the record is heard"
-        if standing is not None and not supersede:
+        if current_task is not None and not supersede:
             return (
-                f"{standing.order.operator}'s {standing.order.verb.value} stands since"
-                f" {_clock(standing.order.accepted_at)}"
+                f"{current_task.order.operator}'s {current_task.order.verb.value} stands since"
+                f" {_clock(current_task.order.accepted_at)}"
             )
         return ""
 
@@ -222,11 +222,11 @@
         order = self.orders.get(ident)
         if order is None:
             raise OrderRejectedError("no such order")
-        for part in order.tasks:
-            if part.state is TaskState.WAITING:
-                self._transition(now, part, TaskState.CANCELLED, f"by {operator}")
-            elif part.state is TaskState.ACTING:
-                part.why = f"begun before {operator} cancelled it"
+        for task in order.tasks:
+            if task.state is TaskState.WAITING:
+                self._transition(now, task, TaskState.CANCELLED, f"by {operator}")
+            elif task.state is TaskState.ACTING:
+                task.why = f"begun before {operator} cancelled it"
                 self.changed.add(order)
         return order
 
@@ -234,52 +234,52 @@
 
     def advance(self, now: int) -> None:
         """Begin what has room, end what is over. The steps come from `Supervisor.tick`."""
-        for part in list(self.open_tasks):
-            if part.state is TaskState.WAITING:
-                if now >= part.order.expires_at:
-                    self._transition(now, part, TaskState.EXPIRED, "no room in its time")
-                elif part.order.verb is Verb.START or self._may_take_out(now, part):
-                    self._start_task(now, part)
-            if part.state is TaskState.ACTING:
-                self._check_completion(now, part)
+        for task in list(self.open_tasks):
+            if task.state is TaskState.WAITING:
+                if now >= task.order.expires_at:
+                    self._transition(now, task, TaskState.EXPIRED, "no room in its time")
+                elif task.order.verb is Verb.START or self._may_take_out(now, task):
+                    self._start_task(now, task)
+            if task.state is TaskState.ACTING:
+                self._check_completion(now, task)
         # Those superseded leave here too, not when that is decided: it may have to be undone.
-        self.open_tasks = [part for part in self.open_tasks if part.is_open]
+        self.open_tasks = [task for task in self.open_tasks if task.is_open]
 
-    def _may_take_out(self, now: int, part: Task) -> bool:
+    def _may_take_out(self, now: int, task: Task) -> bool:
         """Whether it may be taken out: by the host's own part of its site, or by a place of the record."""
         if self.permit_holder is None:
-            return self.supervisor.has_capacity(part.instance)
-        return self.permit_holder.may_start(now, part.instance.name, part.order.order_id, part.instance.alive)
+            return self.supervisor.has_capacity(task.instance)
+        return self.permit_holder.may_start(now, task.instance.name, task.order.order_id, task.instance.alive)
 
     def revert(self, now: int, order: Order, operator: str) -> None:
         """Cancel it for good: what it has taken out comes back, also what has ended by then."""
-        for part in order.tasks:
-            took = part.state in (TaskState.ACTING, TaskState.DONE)
-            if part.state in OPEN_STATES:
-                self._transition(now, part, TaskState.CANCELLED, f"by {operator}")
+        for task in order.tasks:
+            took = task.state in (TaskState.ACTING, TaskState.DONE)
+            if task.state in OPEN_STATES:
+                self._transition(now, task, TaskState.CANCELLED, f"by {operator}")
             if (
                 took
                 and order.verb in (Verb.DRAIN, Verb.STOP)
-                and part.instance.goal is Goal.DOWN
-                and part.instance.task is None
+                and task.instance.goal is Goal.DOWN
+                and task.instance.task is None
             ):
-                self.supervisor.cancel_stop(now, part.instance)
+                self.supervisor.cancel_stop(now, task.instance)
 
-    def _start_task(self, now: int, part: Task) -> None:
-        instance, supervision = part.instance, self.supervisor
-        if self.permit_holder and part.order.verb is not Verb.START:
+    def _start_task(self, now: int, task: Task) -> None:
+        instance, supervision = task.instance, self.supervisor
+        if self.permit_holder and task.order.verb is not Verb.START:
             self.permit_holder.start(now, instance.name)
-        part.replaces_generation = instance.process_generation
-        self._transition(now, part, TaskState.ACTING)
-        if part.order.verb is Verb.START:
+        task.replaces_generation = instance.process_generation
+        self._transition(now, task, TaskState.ACTING)
+        if task.order.verb is Verb.START:
             if not instance.alive or instance.phase is Phase.DRAINING:
                 supervision.order_start(now, instance)
             instance.goal = Goal.UP
-        elif part.order.verb is Verb.RESTART:
+        elif task.order.verb is Verb.RESTART:
             supervision.order_restart(now, instance)
         else:
             supervision.order_stop(
-                now, instance, part.order.verb is Verb.STOP, self.permit_holder is not None
+                now, instance, task.order.verb is Verb.STOP, self.permit_holder is not None
             )
 
     def permitted_steps(self, now: int, steps: list[Step]) -> list[Step]:
@@ -291,70 +291,70 @@
         """
         may = []
         for step in steps:
-            part, instance = step.instance.task, step.instance
+            task, instance = step.instance.task, step.instance
             if (
                 self.permit_holder is None
                 or step.action not in (Action.DRAIN, Action.TERM)
-                or part is None
-                or part.drain_sent
-                or part.state is not TaskState.ACTING
-                or part.order.verb is Verb.START
+                or task is None
+                or task.drain_sent
+                or task.state is not TaskState.ACTING
+                or task.order.verb is Verb.START
             ):
                 may.append(step)
                 continue
             told = getattr(instance.report, "state", "")
-            if told == "draining" or self.permit_holder.may_notify(now, instance.name, part.order.order_id):
-                part.drain_sent = True
+            if told == "draining" or self.permit_holder.may_notify(now, instance.name, task.order.order_id):
+                task.drain_sent = True
                 may.append(step)
             elif told:
-                self._transition(now, part, TaskState.CANCELLED, "its place was over before it was used")
+                self._transition(now, task, TaskState.CANCELLED, "its place was over before it was used")
                 self.supervisor.revert_unsent_drain(now, instance, told)
             else:
                 instance.drain_sent_at = 0  # until it has said whether it was told before
         return may
 
-    def _check_completion(self, now: int, part: Task) -> None:
+    def _check_completion(self, now: int, task: Task) -> None:
         """Whether it is over with its instance."""
-        instance, verb = part.instance, part.order.verb
+        instance, verb = task.instance, task.order.verb
         up = instance.phase in (Phase.COLD, Phase.SERVING)
         if verb in (Verb.STOP, Verb.DRAIN):
             over = instance.phase is Phase.STOPPED
         elif verb is Verb.START:
             over = up
         else:
-            over = up and instance.process_generation != part.replaces_generation
+            over = up and instance.process_generation != task.replaces_generation
         if over:
-            self._transition(now, part, TaskState.DONE)
+            self._transition(now, task, TaskState.DONE)
         elif instance.restarts_exhausted:
-            self._transition(now, part, TaskState.FAILED, f"it keeps ending: {instance.why}")
-        elif now >= part.order.expires_at:
+            self._transition(now, task, TaskState.FAILED, f"it keeps ending: {instance.why}")
+        elif now >= task.order.expires_at:
             self._transition(
-                now, part, TaskState.FAILED, f"still {instance.phase.value} when its time was over"
+                now, task, TaskState.FAILED, f"still {instance.phase.value} when its time was over"
             )
 
     def fail_all(self, now: int, why: str) -> None:
         """The host was started anew: no order made for what ran on it before holds."""
-        for part in self.open_tasks:
-            self._transition(now, part, TaskState.FAILED, why)
+        for task in self.open_tasks:
+            self._transition(now, task, TaskState.FAILED, why)
         self.open_tasks.clear()
 
     def restore(self, orders: list[Order]) -> None:
         """Take up what was kept, the oldest first."""
         for order in orders:
             self.orders[order.order_id] = order
-            for part in order.tasks:
-                if part.is_open:
-                    part.instance.task = part
-                    self.open_tasks.append(part)
+            for task in order.tasks:
+                if task.is_open:
+                    task.instance.task = task
+                    self.open_tasks.append(task)
 
-    def _transition(self, now: int, part: Task, state: TaskState, why: str = "") -> None:
+    def _transition(self, now: int, task: Task, state: TaskState, why: str = "") -> None:
         """The one place where the state of a part changes."""
-        if state not in TRANSITIONS[part.state]:
-            raise RuntimeError(f"order {part.order.order_id}: {part.state.value} to {state.value}")
-        part.state, part.state_since, part.why = state, now, why or part.why
-        self.changed.add(part.order)
-        if not part.is_open and part.instance.task is part:
-            part.instance.task, part.instance.dirty = None, True
+        if state not in TRANSITIONS[task.state]:
+            raise RuntimeError(f"order {task.order.order_id}: {task.state.value} to {state.value}")
+        task.state, task.state_since, task.why = state, now, why or task.why
+        self.changed.add(task.order)
+        if not task.is_open and task.instance.task is task:
+            task.instance.task, task.instance.dirty = None, True
 
     def _delete_oldest(self) -> None:
         """The oldest that ended make room: their ids come with a generation that is long over."""
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -102,19 +102,19 @@
     def _start_replica(self) -> None:
         """Make the keeper from what is on disk."""
         try:
-            held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
+            stored = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
             try:
-                storage.check(held)
+                storage.check(stored)
             except storage.CorruptStateError as error:
                 self._quarantine(str(error))
-                held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
+                stored = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
         except DatabaseError as error:
             self._storage_failed(error)
             return
         self.storage_error, founders = "", self.fleet.control_plane.hosts if self.fleet.control_plane else ()
         self.control_plane = ControlPlaneReplica(
             time.monotonic_ns(),
-            held,
+            stored,
             secrets.randbits(60),
             self.timeouts,
             founders,
@@ -125,10 +125,10 @@
         self.control_plane.on_committed = self._command_committed
 
     def _make_controller(
-        self, now: int, book: RolloutStateMachine, allocator: PermitAllocator
+        self, now: int, state_machine: RolloutStateMachine, allocator: PermitAllocator
     ) -> RolloutController:
         """What a leader does for releases, with a name that no other has."""
-        return RolloutController(now, book, allocator, f"{self.name}.{secrets.token_hex(6)}")
+        return RolloutController(now, state_machine, allocator, f"{self.name}.{secrets.token_hex(6)}")
 
     def _command_committed(self, index: int, command: commands.Command, result: object) -> None:
         """Told for whoever looks for a cause: grants by each keeper, as their leader may be gone, the rest by
@@ -136,8 +136,8 @@
         if isinstance(result, Rejection):
             return
         if isinstance(command, commands.GrantPermits):
-            for thing in command.targets:
-                self.log.info("permit_granted", target=thing, fence=index, order=command.order_id)
+            for target in command.targets:
+                self.log.info("permit_granted", target=target, fence=index, order=command.order_id)
         if self.control_plane is None or self.control_plane.allocator is None:
             return
         if isinstance(command, releases.Command):
@@ -146,26 +146,30 @@
         if isinstance(command, commands.SetTopology):
             self.log.info("topology_committed", fence=index)
         elif isinstance(command, commands.ExpirePermit | commands.ReleasePermit):
-            over = isinstance(command, commands.ReleasePermit)
-            report = self.log.info if over else self.log.warning
+            released = isinstance(command, commands.ReleasePermit)
+            report = self.log.info if released else self.log.warning
             report(
-                "permit_released" if over else "permit_expired",
+                "permit_released" if released else "permit_expired",
                 target=command.target,
                 fence=command.fencing_token,
             )
 
     def _log_release_command(self, command: releases.Command) -> None:
-        book = self.control_plane.state_machine if self.control_plane else None
-        release = book.state.releases.get(command.ident) if isinstance(book, RolloutStateMachine) else None
+        state_machine = self.control_plane.state_machine if self.control_plane else None
+        release = (
+            state_machine.state.releases.get(command.ident)
+            if isinstance(state_machine, RolloutStateMachine)
+            else None
+        )
         if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
             return
-        facts: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
+        fields: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
         if isinstance(command, releases.StartBatch):
-            facts["targets"] = ",".join(thing for thing, _ in command.targets)
-            facts["fence"] = command.fence
+            fields["targets"] = ",".join(target for target, _ in command.targets)
+            fields["fence"] = command.fence
         elif isinstance(command, releases.FinishBatch):
-            facts["new"] = ",".join(command.updated)
-        self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **facts)
+            fields["new"] = ",".join(command.updated)
+        self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **fields)
 
     def _quarantine(self, why: str) -> None:
         """Put the file away under a name that says when, and begin a new life."""
@@ -196,20 +200,20 @@
 
     # What happens.
 
-    def receive_envelopes(self, sender: str, letters: list[Envelope]) -> list[Envelope]:
+    def receive_envelopes(self, sender: str, envelopes: list[Envelope]) -> list[Envelope]:
         """Letters came from a host, as its key proves. Returns those that wait for it."""
-        for letter in letters:
-            if letter.sender == sender and self.control_plane:
-                self._execute(self.control_plane.receive(time.monotonic_ns(), letter))
+        for envelope in envelopes:
+            if envelope.sender == sender and self.control_plane:
+                self._execute(self.control_plane.receive(time.monotonic_ns(), envelope))
         self._schedule()
         return self._peer(sender).take() if sender in self.keys else []
 
-    def receive_heartbeat(self, poll: Heartbeat) -> messages.Response:
+    def receive_heartbeat(self, heartbeat: Heartbeat) -> messages.Response:
         """Answer an agent's heartbeat, or name the leader."""
         if self.control_plane is None:
             return messages.NotLeaderResponse("", self.storage_error or "the record is not kept here")
         try:
-            agreed, steps = self.control_plane.receive_heartbeat(time.monotonic_ns(), poll)
+            agreed, steps = self.control_plane.receive_heartbeat(time.monotonic_ns(), heartbeat)
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
         self._execute(steps)
@@ -273,9 +277,9 @@
                 except DatabaseError as error:
                     self._storage_failed(error)
                     return
-            for name, letter in steps.envelopes:
+            for name, envelope in steps.envelopes:
                 if name in self.keys:
-                    self._peer(name).put(letter)
+                    self._peer(name).put(envelope)
             for proposal in steps.completed:
                 self._proposal_decided(proposal)
         control_plane = self.control_plane
@@ -307,11 +311,11 @@
             self.peers[name] = PeerSender(name, link, self._envelopes_received, self.log)
         return self.peers[name]
 
-    def _envelopes_received(self, name: str, letters: list[Envelope]) -> None:
+    def _envelopes_received(self, name: str, envelopes: list[Envelope]) -> None:
         """With the answer to what we sent."""
-        for letter in letters:
-            if letter.sender == name and self.control_plane:
-                self._execute(self.control_plane.receive(time.monotonic_ns(), letter))
+        for envelope in envelopes:
+            if envelope.sender == name and self.control_plane:
+                self._execute(self.control_plane.receive(time.monotonic_ns(), envelope))
         self._schedule()
 
     def close(self) -> None:
@@ -340,43 +344,43 @@
         self.not_empty = asyncio.Event()
         self.task = asyncio.ensure_future(self._send())
 
-    def put(self, letter: Envelope) -> None:
+    def put(self, envelope: Envelope) -> None:
         """Queue an envelope; the oldest is dropped where the queue is full."""
-        self.queue.append(letter)
+        self.queue.append(envelope)
         self.not_empty.set()
 
     def take(self) -> list[Envelope]:
         """As many as one message holds."""
-        letters: list[Envelope] = []
+        envelopes: list[Envelope] = []
         size = 0
         while self.queue:
             size += len(msgspec.msgpack.encode(self.queue[0]))
-            if letters and size > MAX_REQUEST_BYTES:
+            if envelopes and size > MAX_REQUEST_BYTES:
                 break
-            letters.append(self.queue.popleft())
+            envelopes.append(self.queue.popleft())
         if not self.queue:
             self.not_empty.clear()
-        return letters
+        return envelopes
 
     async def _send(self) -> None:
         while True:
             await self.not_empty.wait()
-            letters = self.take()
-            if not letters:
+            envelopes = self.take()
+            if not envelopes:
                 continue
             try:
                 if self.link.stream is None:
                     await self._ask([])  # shows whose link it is, so that a long message is taken
-                await self._ask(letters)
+                await self._ask(envelopes)
             except (LinkError, msgspec.MsgspecError):
                 await asyncio.sleep(AGAIN / SECOND)  # what was sent is lost: keepers say it again
             except Exception as error:  # else a fault in what one answer brings would end this link for good
                 self.log.error("peer_response_failed", target=self.name, error=fault(error))
                 await asyncio.sleep(AGAIN / SECOND)
 
-    async def _ask(self, letters: list[Envelope]) -> None:
+    async def _ask(self, envelopes: list[Envelope]) -> None:
         answer = messages.decode_response(
-            await self.link.request(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
+            await self.link.request(messages.encode(messages.PeerEnvelopesRequest(envelopes)), CARRY / SECOND)
         )
         if isinstance(answer, messages.PeerEnvelopesResponse):
             self.on_response(self.name, answer.envelopes)
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -73,11 +73,13 @@
                 > self.permit_holder.generations.get(instance.name, 0)
             ):
                 reserve[instance.name] = instance.generation + self.generation_block
-        owes = {each.name: told for each in self.supervisor.instances if (told := _owes(each))}
-        poll = self.permit_holder.heartbeat(now, up, self._task_results(), reserve, owes)
+        in_flight = {
+            each.name: told for each in self.supervisor.instances if (told := _in_flight_summary(each))
+        }
+        heartbeat = self.permit_holder.heartbeat(now, up, self._task_results(), reserve, in_flight)
         if self.assignments.active:
-            poll.extension = self.assignments.encode_report(self._target_statuses(now))
-        return poll
+            heartbeat.extension = self.assignments.encode_report(self._target_statuses(now))
+        return heartbeat
 
     def _target_statuses(self, now: int) -> list[TargetStatus]:
         """For whoever drives a release: what runs here, and how it does."""
@@ -111,8 +113,8 @@
 
     def _update_permit(self, instance: Instance) -> None:
         """Whether what was taken out under a place is over."""
-        held = self.permit_holder.permits.get(instance.name)
-        if held is None or not held.started:
+        permit = self.permit_holder.permits.get(instance.name)
+        if permit is None or not permit.started:
             return
         acts = instance.task is not None and instance.task.state is TaskState.ACTING
         if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not acts:
@@ -125,29 +127,29 @@
         told = self.services.results()
         for order in self.permit_holder.orders.values():
             known = self.orders.orders.get(order.id)
-            here = {part.instance.name: part for part in known.tasks} if known else {}
-            for thing, _, state in order.tasks:
-                part = here.get(thing)
-                if state not in OPEN or thing in self.services.up:
+            here = {task.instance.name: task for task in known.tasks} if known else {}
+            for target, _, state in order.tasks:
+                task = here.get(target)
+                if state not in OPEN or target in self.services.up:
                     continue
-                if part is not None and not part.is_open:
-                    told.append(TaskResult(order.id, thing, HOW[part.state], part.why))
-                elif why := self.rejections.get((order.id, thing)):
-                    told.append(TaskResult(order.id, thing, "refused", why))
-                elif self._completed_before_loss(order, thing):
-                    told.append(TaskResult(order.id, thing, "done", ""))
-                elif part is None and state == "out" and (order.halted_by or order.remaining <= 0):
+                if task is not None and not task.is_open:
+                    told.append(TaskResult(order.id, target, HOW[task.state], task.why))
+                elif why := self.rejections.get((order.id, target)):
+                    told.append(TaskResult(order.id, target, "refused", why))
+                elif self._completed_before_loss(order, target):
+                    told.append(TaskResult(order.id, target, "done", ""))
+                elif task is None and state == "out" and (order.halted_by or order.remaining <= 0):
                     # Else it would stand for ever: nobody here knows that it was ever begun.
-                    told.append(TaskResult(order.id, thing, "failed", "its agent lost its file meanwhile"))
+                    told.append(TaskResult(order.id, target, "failed", "its agent lost its file meanwhile"))
         return told
 
-    def _completed_before_loss(self, order: AssignedOrder, thing: str) -> bool:
+    def _completed_before_loss(self, order: AssignedOrder, target: str) -> bool:
         """It was carried out here, and our file with it was lost before that was told."""
-        held, instance = self.permit_holder.permits.get(thing), self.orders.instances.get(thing)
+        permit, instance = self.permit_holder.permits.get(target), self.orders.instances.get(target)
         return bool(
-            held
-            and held.started
-            and held.order_id == order.id
+            permit
+            and permit.started
+            and permit.order_id == order.id
             and order.verb in ("drain", "stop")
             and instance
             and instance.phase is Phase.STOPPED
@@ -182,16 +184,16 @@
             elif (
                 order is not None
                 and told.halted_by
-                and any(part.state is TaskState.WAITING for part in order.tasks)
+                and any(task.state is TaskState.WAITING for task in order.tasks)
             ):
                 self.orders.cancel(now, order.order_id, told.halted_by)
         current = {told.id for told in answer.orders}
         for order in [
-            part.order
-            for part in self.orders.open_tasks
-            if part.state is TaskState.WAITING
-            and part.order.verb is not Verb.START
-            and part.order.order_id not in current
+            task.order
+            for task in self.orders.open_tasks
+            if task.state is TaskState.WAITING
+            and task.order.verb is not Verb.START
+            and task.order.order_id not in current
         ]:
             self.orders.cancel(now, order.order_id, "the record")  # it is over there, and must not stand here
         self.rejections = {key: why for key, why in self.rejections.items() if key[0] in current}
@@ -201,9 +203,15 @@
         """Our own file is gone: go on after all that may have been used, and leave out what is out."""
         self._skip_used_generations({})
         for instance in self.supervisor.instances:
-            held = self.permit_holder.permits.get(instance.name)
-            order = self.permit_holder.orders.get(held.order_id) if held else None
-            if held and held.started and order and order.verb in ("drain", "stop") and not order.cancelled_by:
+            permit = self.permit_holder.permits.get(instance.name)
+            order = self.permit_holder.orders.get(permit.order_id) if permit else None
+            if (
+                permit
+                and permit.started
+                and order
+                and order.verb in ("drain", "stop")
+                and not order.cancelled_by
+            ):
                 self.supervisor.order_stop(now, instance, order.verb == "stop", True)
         self.state_lost = False
 
@@ -216,29 +224,29 @@
 
     def _submit_order(self, now: int, told: AssignedOrder) -> Order | None:
         asked = tuple(
-            (thing, generation)
-            for thing, generation, state in told.tasks
-            if state in OPEN and (told.id, thing) not in self.rejections and thing in self.orders.instances
+            (target, generation)
+            for target, generation, state in told.tasks
+            if state in OPEN and (told.id, target) not in self.rejections and target in self.orders.instances
         )
         if not asked or any(
-            self.orders.instances[thing].generation >= self.orders.instances[thing].generation_limit
-            for thing, _ in asked
+            self.orders.instances[target].generation >= self.orders.instances[target].generation_limit
+            for target, _ in asked
         ):
             return None  # until it may number what it does
         try:
             order = self.orders.submit(now, told.id, told.operator, Verb(told.verb), asked, told.remaining)
         except (OrderRejectedError, ValueError) as error:
-            for thing, _ in asked:
-                self.rejections[told.id, thing] = str(error)
+            for target, _ in asked:
+                self.rejections[told.id, target] = str(error)
             return None
         if not order.is_open:
-            for part in order.tasks:
-                self.rejections[told.id, part.instance.name] = part.why
+            for task in order.tasks:
+                self.rejections[told.id, task.instance.name] = task.why
             return None
         return order
 
 
-def _owes(instance: Instance) -> str:
+def _in_flight_summary(instance: Instance) -> str:
     """What a node that leaves has yet to answer, by its own last report."""
     report = instance.report
     if instance.phase is not Phase.DRAINING or not getattr(report, "owes", 0):
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -73,23 +73,23 @@
         """Serve requests on that agent."""
         self.agent = agent
 
-    def handle(self, key: Key, wish: messages.Request) -> messages.Response | Awaitable[messages.Response]:
+    def handle(self, key: Key, request: messages.Request) -> messages.Response | Awaitable[messages.Response]:
         """Respond to one request that `key` has authenticated and may send."""
         agent, now = self.agent, time.monotonic_ns()
-        if isinstance(wish, messages.PeerEnvelopesRequest):
-            letters = agent.raft.receive_envelopes(key.operator, wish.envelopes) if agent.raft else []
-            return messages.PeerEnvelopesResponse(letters)
-        if isinstance(wish, messages.HeartbeatRequest):
-            if wish.heartbeat.host != key.operator:
+        if isinstance(request, messages.PeerEnvelopesRequest):
+            envelopes = agent.raft.receive_envelopes(key.operator, request.envelopes) if agent.raft else []
+            return messages.PeerEnvelopesResponse(envelopes)
+        if isinstance(request, messages.HeartbeatRequest):
+            if request.heartbeat.host != key.operator:
                 return messages.ErrorResponse(
-                    f"the key of {key.operator} with a poll of {wish.heartbeat.host}"
+                    f"the key of {key.operator} with a poll of {request.heartbeat.host}"
                 )
             return (
-                agent.raft.receive_heartbeat(wish.heartbeat)
+                agent.raft.receive_heartbeat(request.heartbeat)
                 if agent.raft
                 else messages.NotLeaderResponse("", "no keeper runs here")
             )
-        if isinstance(wish, messages.HostStatusRequest):
+        if isinstance(request, messages.HostStatusRequest):
             return host_status(
                 now,
                 agent.host,
@@ -98,51 +98,57 @@
                 list(agent.operator_notes()),
                 {each: process.pid for each, process in agent.executor.alive.items()},
             )
-        if isinstance(wish, messages.InstanceClientsRequest):
-            return self._clients(wish)
-        if isinstance(wish, messages.RaftStatusRequest):
+        if isinstance(request, messages.InstanceClientsRequest):
+            return self._clients(request)
+        if isinstance(request, messages.RaftStatusRequest):
             return raft_status(now, agent.host.name, agent.raft, agent.status_reporter)
-        if isinstance(wish, OF_THE_FLEET):
-            return self._control_plane(key, wish)
-        if isinstance(wish, messages.ListOrdersRequest):
-            latest = list(agent.orders.orders.values())[-max(1, min(wish.limit, 200)) :]
+        if isinstance(request, OF_THE_FLEET):
+            return self._control_plane(key, request)
+        if isinstance(request, messages.ListOrdersRequest):
+            latest = list(agent.orders.orders.values())[-max(1, min(request.limit, 200)) :]
             return messages.OrderList([order_status(now, each) for each in reversed(latest)])
         try:
-            if isinstance(wish, messages.CancelOrderRequest):
-                order = agent.orders.cancel(now, wish.order_id, key.operator)
+            if isinstance(request, messages.CancelOrderRequest):
+                order = agent.orders.cancel(now, request.order_id, key.operator)
                 agent.log.info("order_cancelled", order=order.order_id, operator=key.operator)
                 agent.save()
                 return order_status(now, order)
-            return self._submit_order(now, key, wish)
+            return self._submit_order(now, key, request)
         except OrderRejectedError as error:
             return messages.ErrorResponse(str(error))
 
-    async def _clients(self, wish: messages.InstanceClientsRequest) -> messages.Response:
+    async def _clients(self, request: messages.InstanceClientsRequest) -> messages.Response:
         """Ask a node who sends the most, on a link of its own."""
         agent = self.agent
-        instance = agent.orders.instances.get(wish.instance)
+        instance = agent.orders.instances.get(request.instance)
         if instance is None or instance not in agent.executor.alive:
             return messages.ErrorResponse("no such instance here, or it does not run")
         client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
         try:
             return messages.InstanceClients(
-                instance.name, await client.clients_status(wish.limit, ANSWER / SECOND)
+                instance.name, await client.clients_status(request.limit, ANSWER / SECOND)
             )
         except ControlError as error:
             return messages.ErrorResponse(str(error))
         finally:
             client.close()
 
-    def _submit_order(self, now: int, key: Key, wish: messages.OrderRequest) -> messages.Response:
+    def _submit_order(self, now: int, key: Key, request: messages.OrderRequest) -> messages.Response:
         agent = self.agent
-        if wish.verb not in {each.value for each in Verb}:
-            return messages.ErrorResponse(f"no such order: {wish.verb[:20]!r}")
-        if agent.status_reporter and wish.verb != Verb.START.value:
+        if request.verb not in {each.value for each in Verb}:
+            return messages.ErrorResponse(f"no such order: {request.verb[:20]!r}")
+        if agent.status_reporter and request.verb != Verb.START.value:
             return messages.ErrorResponse("this fleet keeps a record: what leaves is agreed there")
-        asked = tuple((name, generation) for name, generation in wish.instances)
-        known = wish.order_id in agent.orders.orders
+        asked = tuple((name, generation) for name, generation in request.instances)
+        known = request.order_id in agent.orders.orders
         order = agent.orders.submit(
-            now, wish.order_id, key.operator, Verb(wish.verb), asked, wish.lifetime, wish.supersede
+            now,
+            request.order_id,
+            key.operator,
+            Verb(request.verb),
+            asked,
+            request.lifetime,
+            request.supersede,
         )
         if order.is_open and not known:
             if not agent.save():
@@ -155,7 +161,7 @@
 
     # The fleet's record.
 
-    async def _control_plane(self, key: Key, wish: messages.Request) -> messages.Response:
+    async def _control_plane(self, key: Key, request: messages.Request) -> messages.Response:
         raft = self.agent.raft
         if raft is None or raft.control_plane is None:
             leader = self.agent.status_reporter.leader if self.agent.status_reporter else ""
@@ -168,13 +174,13 @@
                 else "this fleet has no keepers in its settings",
             )
         try:
-            if isinstance(wish, messages.FleetStatusRequest):
-                return fleet_status(time.monotonic_ns(), raft, wish.order_id)
-            if isinstance(wish, messages.ReleaseStatusRequest):
-                return release_status(time.monotonic_ns(), raft, wish.release_id)
-            if isinstance(wish, messages.SetVotersRequest):
-                return await self._set_voters(key, raft, wish)
-            result = await raft.propose(command_of(key, wish, time.time_ns()))
+            if isinstance(request, messages.FleetStatusRequest):
+                return fleet_status(time.monotonic_ns(), raft, request.order_id)
+            if isinstance(request, messages.ReleaseStatusRequest):
+                return release_status(time.monotonic_ns(), raft, request.release_id)
+            if isinstance(request, messages.SetVotersRequest):
+                return await self._set_voters(key, raft, request)
+            result = await raft.propose(command_of(key, request, time.time_ns()))
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
         except CommitUnknownError as error:
@@ -186,7 +192,7 @@
                 "release_command_committed",
                 release=result.ident,
                 operator=key.operator,
-                command=getattr(wish, "action", "start"),
+                command=getattr(request, "action", "start"),
             )
             return release_status(time.monotonic_ns(), raft, result.ident)
         assert isinstance(result, Agreed)
@@ -194,38 +200,44 @@
             "order_command_committed",
             order=result.id,
             operator=key.operator,
-            command=wish.__struct_config__.tag,
+            command=request.__struct_config__.tag,
         )
         return fleet_order_status(raft, result)
 
     async def _set_voters(
-        self, key: Key, raft: RaftRuntime, wish: messages.SetVotersRequest
+        self, key: Key, raft: RaftRuntime, request: messages.SetVotersRequest
     ) -> messages.Response:
         known = {host.name for host in raft.fleet.hosts}
-        if unknown := [name for name in wish.hosts if name not in known]:
+        if unknown := [name for name in request.hosts if name not in known]:
             return messages.ErrorResponse(f"there is no host {unknown[0]!r}")
-        if len(wish.hosts) not in (1, 3, 5):
+        if len(request.hosts) not in (1, 3, 5):
             return messages.ErrorResponse("three or five keepers are asked for, or one for a trial")
-        result = await raft.propose(commands.SetVoters(wish.hosts, key.operator))
+        result = await raft.propose(commands.SetVoters(request.hosts, key.operator))
         if isinstance(result, Rejection):
             return messages.ErrorResponse(result.reason)
         return raft_status(time.monotonic_ns(), self.agent.host.name, raft, self.agent.status_reporter)
 
 
-def command_of(key: Key, wish: messages.Request, unix: int) -> commands.Command | releases.Command:
+def command_of(key: Key, request: messages.Request, unix: int) -> commands.Command | releases.Command:
     """The replicated command for a request."""
-    if isinstance(wish, messages.FleetOrderRequest):
+    if isinstance(request, messages.FleetOrderRequest):
         return commands.SubmitOrder(
-            wish.order_id, key.operator, wish.verb, unix, wish.lifetime, wish.atomic, list(wish.targets)
+            request.order_id,
+            key.operator,
+            request.verb,
+            unix,
+            request.lifetime,
+            request.atomic,
+            list(request.targets),
         )
-    if isinstance(wish, messages.StartReleaseRequest):
+    if isinstance(request, messages.StartReleaseRequest):
         return releases.StartRelease(
-            wish.release_id, key.operator, unix, wish.version, wish.policy, wish.targets
+            request.release_id, key.operator, unix, request.version, request.policy, request.targets
         )
-    if isinstance(wish, messages.ControlReleaseRequest):
-        return releases.ControlRelease(wish.release_id, key.operator, wish.action)
-    assert isinstance(wish, messages.EndFleetOrderRequest)
-    return (commands.CancelOrder if wish.cancel else commands.HaltOrder)(wish.order_id, key.operator)
+    if isinstance(request, messages.ControlReleaseRequest):
+        return releases.ControlRelease(request.release_id, key.operator, request.action)
+    assert isinstance(request, messages.EndFleetOrderRequest)
+    return (commands.CancelOrder if request.cancel else commands.HaltOrder)(request.order_id, key.operator)
 
 
 def said_taken(log: EventLog, order: Order) -> None:
@@ -235,5 +247,5 @@
         order=order.order_id,
         operator=order.operator,
         verb=order.verb.value,
-        target=",".join(part.instance.name for part in order.tasks if part.is_open),
+        target=",".join(task.instance.name for task in order.tasks if task.is_open),
     )
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -112,14 +112,14 @@
             while True:
                 content = await asyncio.wait_for(read_frame(stream, most), wait)
                 try:
-                    key, wish = authenticator.verify(time.monotonic_ns(), time.time_ns(), content)
+                    key, request = authenticator.verify(time.monotonic_ns(), time.time_ns(), content)
                 except AuthenticationError as error:
                     self._log_rejection(str(error))
                     await stream.write(frame(REFUSED))  # and no reason: a stranger learns nothing
                     return
                 if key.role is Role.AGENT:  # it has shown whose it is: keepers send each other more
                     most, stream.max_buffer_size = MAX_RESPONSE_BYTES, MAX_RESPONSE_BYTES + 4
-                answer = messages.encode(await self._answer(key, wish))
+                answer = messages.encode(await self._answer(key, request))
                 if len(answer) > MAX_RESPONSE_BYTES - 256:
                     answer = messages.encode(messages.ErrorResponse("the answer is too long; ask for less"))
                 written = stream.write(frame(authenticator.sign(time.time_ns(), answer)))
@@ -138,17 +138,17 @@
 
     async def _answer(self, key: Key, content: bytes) -> messages.Response:
         try:
-            wish = messages.decode_request(content)
+            request = messages.decode_request(content)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return messages.ErrorResponse(f"no message of this version: {error}")
-        if isinstance(wish, messages.PeerRequest) != (key.role is Role.AGENT):
+        if isinstance(request, messages.PeerRequest) != (key.role is Role.AGENT):
             self.log.warning("message_rejected", key=key.ident, error="not for that key")
             return messages.ErrorResponse(f"key {key.ident} is not for that")
-        if isinstance(wish, ACTS) and key.role < Role.ACT:
+        if isinstance(request, ACTS) and key.role < Role.ACT:
             self.log.warning("order_rejected", operator=key.operator, key=key.ident, error="it views only")
             return messages.ErrorResponse(f"{key.operator} may view and not act")
         try:
-            answer = self.handler(key, wish)
+            answer = self.handler(key, request)
             return await answer if isinstance(answer, Awaitable) else answer
         except Exception as error:  # an error of ours answers it, and the agent lives on
             self.log.error("agent_request_failed", operator=key.operator, error=fault(error))
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -81,15 +81,15 @@
 
     async def _send_heartbeat(self) -> messages.Response:
         sent_at = time.monotonic_ns()
-        poll = self.reconciler.build_heartbeat(sent_at)
+        heartbeat = self.reconciler.build_heartbeat(sent_at)
         if self.leader == self.name and self.raft:
-            answer = self.raft.receive_heartbeat(poll)
+            answer = self.raft.receive_heartbeat(heartbeat)
         else:
             if self.leader not in self.clients:
                 self.clients[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
             answer = messages.decode_response(
                 await self.clients[self.leader].request(
-                    messages.encode(messages.HeartbeatRequest(poll)), ANSWER / SECOND
+                    messages.encode(messages.HeartbeatRequest(heartbeat)), ANSWER / SECOND
                 )
             )
         if isinstance(answer, messages.HeartbeatAccepted):
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -40,14 +40,14 @@
 
 
 def _instance_status(now: int, instance: Instance, pid: int) -> messages.InstanceStatus:
-    part, on = instance.task, None
-    if part is not None:
+    task, on = instance.task, None
+    if task is not None:
         on = messages.OpenOrder(
-            part.order.order_id,
-            part.order.operator,
-            part.order.verb.value,
-            part.state.value,
-            now - part.state_since,
+            task.order.order_id,
+            task.order.operator,
+            task.order.verb.value,
+            task.state.value,
+            now - task.state_since,
         )
     waits = instance.phase in (Phase.STOPPED, Phase.FAILING) and instance.goal is Goal.UP
     return messages.InstanceStatus(
@@ -71,17 +71,17 @@
 
 def order_status(now: int, order: Order) -> messages.OrderStatus:
     """An order with its tasks, also those of instances that are not here."""
-    parts = [
-        messages.TaskStatus(part.instance.name, part.state.value, max(0, now - part.state_since), part.why)
-        for part in order.tasks
+    tasks = [
+        messages.TaskStatus(task.instance.name, task.state.value, max(0, now - task.state_since), task.why)
+        for task in order.tasks
     ]
-    here = {part.instance for part in parts}
-    parts += [
+    here = {task.instance for task in tasks}
+    tasks += [
         messages.TaskStatus(name, "refused", 0, "no such instance here")
         for name, _ in order.requested
         if name not in here
     ]
-    return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, parts)
+    return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, tasks)
 
 
 # The record.
@@ -151,23 +151,23 @@
 
 def fleet_order_status(raft: RaftRuntime, order: Agreed) -> messages.FleetOrderStatus:
     """A fleet order with the permits of its targets."""
-    places, hosts, owes = {}, {}, {}
+    permits, hosts, in_flight = {}, {}, {}
     if raft.control_plane:
-        places = raft.control_plane.state_machine.state.permits
-        hosts = {thing: host for host, things in raft.topology.hosts.items() for thing in things}
+        permits = raft.control_plane.state_machine.state.permits
+        hosts = {target: host for host, targets in raft.topology.hosts.items() for target in targets}
         if raft.control_plane.allocator:
-            owes = {
-                thing: told
+            in_flight = {
+                target: order_status_message
                 for host in raft.control_plane.allocator.sessions.values()
-                for thing, told in host.in_flight.items()
+                for target, order_status_message in host.in_flight.items()
             }
-    parts = []
-    for thing, part in order.tasks.items():
-        place = places.get(thing)
-        fence = place.fencing_token if place and place.order_id == order.id else 0
-        parts.append(
+    tasks = []
+    for target, task in order.tasks.items():
+        permit = permits.get(target)
+        fence = permit.fencing_token if permit and permit.order_id == order.id else 0
+        tasks.append(
             messages.FleetTaskStatus(
-                thing, hosts.get(thing, ""), part.state, part.reason, fence, owes.get(thing, "")
+                target, hosts.get(target, ""), task.state, task.reason, fence, in_flight.get(target, "")
             )
         )
     return messages.FleetOrderStatus(
@@ -178,7 +178,7 @@
         order.atomic,
         order.halted_by,
         order.cancelled_by,
-        parts,
+        tasks,
     )
 
 
@@ -193,19 +193,19 @@
     if ident:
         if ident not in held.orders:
             return messages.ErrorResponse(f"there is no order {ident}")
-        told = fleet_order_status(raft, held.orders[ident])
-        return messages.FleetStatus(control_plane.state_machine.index, [], [], [told])
+        order_status_message = fleet_order_status(raft, held.orders[ident])
+        return messages.FleetStatus(control_plane.state_machine.index, [], [], [order_status_message])
     hosts = control_plane.allocator.host_of
-    things = []
-    for thing, reasons in sorted(out.reasons.items()):
-        place = held.permits.get(thing)
-        things.append(
+    targets = []
+    for target, reasons in sorted(out.reasons.items()):
+        permit = held.permits.get(target)
+        targets.append(
             messages.UnavailableTarget(
-                thing,
-                hosts.get(thing, ""),
+                target,
+                hosts.get(target, ""),
                 sorted(reasons),
-                place.fencing_token if place else 0,
-                place.order_id if place else "",
+                permit.fencing_token if permit else 0,
+                permit.order_id if permit else "",
             )
         )
     groups = [
@@ -216,7 +216,7 @@
     return messages.FleetStatus(
         control_plane.state_machine.index,
         groups,
-        things,
+        targets,
         [fleet_order_status(raft, each) for each in reversed(latest)],
     )
 
@@ -228,27 +228,31 @@
         raise NotLeaderError(
             control_plane.replica.leader if control_plane and not control_plane.replica.leader_state else ""
         )
-    book, driver = control_plane.state_machine, control_plane.extension
-    assert isinstance(book, RolloutStateMachine) and isinstance(driver, RolloutController)
-    releases = book.state.releases
-    release = releases.get(ident) if ident else book.open_release or next(reversed(releases.values()), None)
+    state_machine, controller = control_plane.state_machine, control_plane.extension
+    assert isinstance(state_machine, RolloutStateMachine) and isinstance(controller, RolloutController)
+    releases = state_machine.state.releases
+    release = (
+        releases.get(ident)
+        if ident
+        else state_machine.open_release or next(reversed(releases.values()), None)
+    )
     if release is None:
         return messages.ErrorResponse(f"there is no release {ident}" if ident else "there was no release yet")
-    order = book.state.orders.get(release.order_id)
-    lease = book.state.leases.get(LEASE)
-    parts = []
-    for thing, part in release.targets.items():
-        seen = driver.observations.targets.get(thing)
+    order = state_machine.state.orders.get(release.order_id)
+    lease = state_machine.state.leases.get(LEASE)
+    tasks = []
+    for target, task in release.targets.items():
+        seen = controller.observations.targets.get(target)
         why = (
-            order.tasks[thing].reason
-            if order and thing in order.tasks and thing in release.in_progress
+            order.tasks[target].reason
+            if order and target in order.tasks and target in release.in_progress
             else ""
         )
-        parts.append(
+        tasks.append(
             messages.ReleaseTargetStatus(
-                thing,
-                control_plane.allocator.host_of.get(thing, ""),
-                part.state,
+                target,
+                control_plane.allocator.host_of.get(target, ""),
+                task.state,
                 seen.version if seen else "",
                 seen.phase if seen else "unknown",
                 now - seen.observed_at if seen else -1,
@@ -266,8 +270,8 @@
         release.batch,
         release.why,
         release.summary,
-        "" if release.is_finished else driver.why,
+        "" if release.is_finished else controller.why,
         lease.holder.partition(".")[0] if lease else "",
-        parts,
+        tasks,
         others,
     )
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -84,18 +84,18 @@
                 ),
             )
         )
-        for part in order.tasks:
+        for task in order.tasks:
             rows.append(
                 (
                     PUT_PART,
                     (
                         order.order_id,
-                        part.instance.name,
-                        part.generation,
-                        part.state.value,
-                        part.state_since,
-                        part.why,
-                        part.replaces_generation,
+                        task.instance.name,
+                        task.generation,
+                        task.state.value,
+                        task.state_since,
+                        task.why,
+                        task.replaces_generation,
                     ),
                 )
             )
@@ -158,22 +158,22 @@
 def permit_statements(permit_holder: PermitHolder) -> list[Statement]:
     """The fences and places that changed, and the record that they are of."""
     rows: list[Statement] = []
-    for thing in sorted(permit_holder.changed):
-        held = permit_holder.permits.get(thing)
+    for target in sorted(permit_holder.changed):
+        permit = permit_holder.permits.get(target)
         rows.append(
             (
                 PUT_PERMIT,
                 (
-                    thing,
-                    permit_holder.highest_tokens.get(thing, 0),
-                    held.order_id if held else "",
-                    bool(held and held.started),
+                    target,
+                    permit_holder.highest_tokens.get(target, 0),
+                    permit.order_id if permit else "",
+                    bool(permit and permit.started),
                 ),
             )
         )
-        if thing in permit_holder.generations:
+        if target in permit_holder.generations:
             rows.append(
-                ("INSERT OR REPLACE INTO reserved VALUES (?,?)", (thing, permit_holder.generations[thing]))
+                ("INSERT OR REPLACE INTO reserved VALUES (?,?)", (target, permit_holder.generations[target]))
             )
     if rows:
         rows.append(("INSERT OR REPLACE INTO heard VALUES (1, ?)", (permit_holder.epoch,)))
@@ -186,29 +186,29 @@
     permit_holder.restore(
         epochs[0][0] if epochs else "",
         [
-            (thing, fence, ident, bool(begun))
-            for thing, fence, ident, begun in store.read("SELECT thing, fence, ident, begun FROM places")
+            (target, fence, ident, bool(begun))
+            for target, fence, ident, begun in store.read("SELECT thing, fence, ident, begun FROM places")
         ],
         dict(store.read("SELECT thing, upto FROM reserved")),
     )
 
 
-def assignment_statements(fitting: VersionAssignments) -> list[Statement]:
+def assignment_statements(assignments: VersionAssignments) -> list[Statement]:
     """What things shall run, where the versions come from, and what they ran before."""
-    if not fitting.changed:
+    if not assignments.changed:
         return []
     return [
         (
             "INSERT OR REPLACE INTO fitting VALUES (1, ?)",
-            (msgspec.msgpack.encode((fitting.versions, fitting.sources, fitting.bases)),),
+            (msgspec.msgpack.encode((assignments.versions, assignments.sources, assignments.bases)),),
         )
     ]
 
 
-def restore_assignments(store: Database, fitting: VersionAssignments) -> None:
+def restore_assignments(store: Database, assignments: VersionAssignments) -> None:
     """Restore which versions the targets run."""
     for (content,) in store.read("SELECT content FROM fitting"):
-        fitting.restore(
+        assignments.restore(
             *msgspec.msgpack.decode(
                 content, type=tuple[dict[str, str], dict[str, VersionSpec], dict[str, str]]
             )
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -88,12 +88,12 @@
             return
         instance.last_report_at, instance.report = now, report
         instance.running_version = getattr(report, "version", "")
-        told = REPORTED[state]
-        if (instance.phase is not Phase.DRAINING and told is not instance.phase) or (
-            instance.drain_cancelled and told in (Phase.COLD, Phase.SERVING)
+        reported_phase = REPORTED[state]
+        if (instance.phase is not Phase.DRAINING and reported_phase is not instance.phase) or (
+            instance.drain_cancelled and reported_phase in (Phase.COLD, Phase.SERVING)
         ):
             instance.drain_cancelled = instance.drain_cancellable = instance.kill_after_drain = False
-            self._transition(now, instance, told)
+            self._transition(now, instance, reported_phase)
         if instance.phase is Phase.SERVING and now - instance.phase_since > self.timeouts.steady:
             instance.failures = 0
 
@@ -136,26 +136,26 @@
         """Its process has ended: proved, not guessed."""
         if not instance.alive:
             return
-        asked = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
+        expected = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
         instance.drain_sent_at, instance.kill_after_drain, instance.report = 0, False, None
         instance.drain_cancellable = instance.drain_cancelled = False
-        if asked:
+        if expected:
             instance.start_not_before = now
             self._transition(now, instance, Phase.STOPPED)
             return
-        patience = self.timeouts
+        timeouts = self.timeouts
         instance.why, instance.crash_count = why, instance.crash_count + 1
         instance.crashes.append(now)
-        while instance.crashes and instance.crashes[0] <= now - patience.window:
+        while instance.crashes and instance.crashes[0] <= now - timeouts.window:
             instance.crashes.popleft()
-        while len(instance.crashes) > patience.budget + 1:
+        while len(instance.crashes) > timeouts.budget + 1:
             instance.crashes.popleft()
-        wait = min(patience.backoff_most, patience.backoff << min(instance.failures, 16))
+        wait = min(timeouts.backoff_most, timeouts.backoff << min(instance.failures, 16))
         instance.failures += 1
         instance.start_not_before = now + int(wait * (0.5 + self.random()))
-        if len(instance.crashes) > patience.budget:
+        if len(instance.crashes) > timeouts.budget:
             instance.restarts_exhausted = True
-            instance.start_not_before = max(instance.start_not_before, instance.crashes[0] + patience.window)
+            instance.start_not_before = max(instance.start_not_before, instance.crashes[0] + timeouts.window)
         self._transition(now, instance, Phase.FAILING)
 
     # What is wanted.
@@ -239,15 +239,15 @@
         return False
 
     def _check_silence(self, now: int, instance: Instance) -> None:
-        patience, quiet = self.timeouts, now - max(instance.last_report_at, instance.phase_since)
+        timeouts, silence = self.timeouts, now - max(instance.last_report_at, instance.phase_since)
         if instance.phase is Phase.SILENT:
-            if now - instance.phase_since > patience.stuck:
+            if now - instance.phase_since > timeouts.stuck:
                 self._transition(now, instance, Phase.STUCK)
         elif instance.phase is Phase.STUCK:
-            if patience.restart_stuck and self._spend_restart(now, instance):
+            if timeouts.restart_stuck and self._spend_restart(now, instance):
                 instance.why = "stuck"
                 self._drain(now, instance, True)
-        elif quiet > (patience.start if not instance.report else patience.silent):
+        elif silence > (timeouts.start if not instance.report else timeouts.silent):
             self._transition(now, instance, Phase.SILENT)
 
     def _spend_restart(self, now: int, instance: Instance) -> bool:
