--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -8,7 +8,7 @@
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
 from oakkeel.disruption.control_plane import ControlPlaneReplica
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import ScheduledEvent
 from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.raft.durable_state import DurableState
@@ -96,10 +96,7 @@
 
     def _tick(self, restarts: int) -> None:
         host = self.host
-        if restarts != host.restarts:
-            return
-        if host.stopped:
-            host.deferred.append(lambda: self._tick(restarts))
+        if not host.may_act(restarts, lambda: self._tick(restarts)):
             return
         if self.control_plane:
             self.carry_out(self.control_plane.tick(host.now()))
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 
 from oakkeel.disruption import commands as permit_commands
-from oakkeel.disruption.state_machine import DisruptionOrder, PermitStateMachine, Rejection
+from oakkeel.disruption.state import DisruptionOrder, Rejection
+from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
