--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -16,6 +16,7 @@
 from oakkeel.agent.instances import Goal, Instance, Phase
 from oakkeel.agent.supervisor import Action, Step, Supervisor
 from oakkeel.disruption.holder import PermitHolder
+from oakkeel.errors import OakkeelError
 
 SECOND = 1_000_000_000
 
@@ -90,8 +91,8 @@
         return any(task.is_open for task in self.tasks)
 
 
-class OrderRejectedError(ValueError):
-    """The order as a whole is not taken; the text says why."""
+class OrderRejectedError(OakkeelError, ValueError):
+    """The order as a whole is not accepted; the text says why."""
 
 
 class OrderRegistry:
@@ -133,42 +134,17 @@
     ) -> Order:
         """Take an order, as far as it can be: each part is open or says why it is refused.
 
-        Raises OrderRefused where it can't be read as one. The same order again is the same object again.
+        Raises OrderRejectedError where it is malformed. The same order again is the same object again.
         """
         if known := self.orders.get(ident):
             if (known.operator, known.verb, known.requested) != (operator, verb, asked):
                 raise OrderRejectedError(f"that id is of another order, by {known.operator}")
             return known
-        if not ident or len(ident) > 64 or not asked or len(asked) > len(self.instances):
-            raise OrderRejectedError("no id, no instances, or more than there are")
-        if len({name for name, _ in asked}) < len(asked):
-            raise OrderRejectedError("an instance is named twice")
-        if sum(order.is_open for order in self.orders.values()) >= self.max_open:
-            raise OrderRejectedError(f"{self.max_open} orders are open already")
+        self._check_submission(ident, asked)
         order = Order(ident, operator, verb, self.unix_time(), now + max(SECOND, lasts), asked)
         for name, generation in asked:
-            instance = self.instances.get(name)
-            if instance is None:
-                continue  # the answer names what was taken, and so what was not
-            task = Task(order, instance, generation, state_since=now)
-            order.tasks.append(task)
-            if why := self._rejection_reason(task, supersede):
-                task.state, task.why = TaskState.REFUSED, why
-                continue
-            current_task = instance.task
-            task.previous = (
-                instance.generation,
-                instance.changed_at,
-                instance.changed_by,
-                current_task,
-                current_task and (current_task.state, current_task.state_since, current_task.why),
-            )
-            if current_task is not None:
-                self._transition(now, current_task, TaskState.SUPERSEDED, f"by {operator}, {verb.value}")
-            instance.task, instance.dirty = task, True
-            instance.generation += 1
-            instance.changed_at, instance.changed_by = order.accepted_at, f"{operator}: {verb.value}"
-            self.open_tasks.append(task)
+            if instance := self.instances.get(name):  # the response names the tasks, and so what has none
+                self._add_task(now, order, instance, generation, supersede)
         if not order.is_open:
             return order  # nothing came of it: it need not be known again
         self.orders[ident] = order
@@ -176,6 +152,39 @@
         self._delete_oldest()
         return order
 
+    def _check_submission(self, ident: str, asked: tuple[tuple[str, int], ...]) -> None:
+        """Raise OrderRejectedError where a new order is malformed or too many are open."""
+        if not ident or len(ident) > 64 or not asked or len(asked) > len(self.instances):
+            raise OrderRejectedError("no id, no instances, or more than there are")
+        if len({name for name, _ in asked}) < len(asked):
+            raise OrderRejectedError("an instance is named twice")
+        if sum(order.is_open for order in self.orders.values()) >= self.max_open:
+            raise OrderRejectedError(f"{self.max_open} orders are open already")
+
+    def _add_task(self, now: int, order: Order, instance: Instance, generation: int, supersede: bool) -> None:
+        """Add a new order's task for an instance: open, or refused with the reason."""
+        task = Task(order, instance, generation, state_since=now)
+        order.tasks.append(task)
+        if why := self._rejection_reason(task, supersede):
+            task.state, task.why = TaskState.REFUSED, why
+            return
+        current_task = instance.task
+        task.previous = (
+            instance.generation,
+            instance.changed_at,
+            instance.changed_by,
+            current_task,
+            current_task and (current_task.state, current_task.state_since, current_task.why),
+        )
+        changed_by = f"{order.operator}: {order.verb.value}"
+        if current_task is not None:
+            why = f"by {order.operator}, {order.verb.value}"
+            self._transition(now, current_task, TaskState.SUPERSEDED, why)
+        instance.task, instance.dirty = task, True
+        instance.generation += 1
+        instance.changed_at, instance.changed_by = order.accepted_at, changed_by
+        self.open_tasks.append(task)
+
     def confirm(self, order: Order) -> None:
         """It is on disk: from now on it holds."""
         for task in order.tasks:
@@ -218,7 +227,7 @@
         return ""
 
     def cancel(self, now: int, ident: str, operator: str) -> Order:
-        """End what has not begun; what has goes on, and says so. Raises OrderRefused for an unknown id."""
+        """Cancel tasks that wait; started ones go on. Raises OrderRejectedError for an unknown ID."""
         order = self.orders.get(ident)
         if order is None:
             raise OrderRejectedError("no such order")
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -21,6 +21,7 @@
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.messages import Heartbeat
 from oakkeel.disruption.state import Rejection
+from oakkeel.errors import OakkeelError
 from oakkeel.log import EventLog, fault
 from oakkeel.raft import storage
 from oakkeel.raft.messages import Envelope
@@ -56,7 +57,7 @@
 }
 
 
-class CommitUnknownError(Exception):
+class CommitUnknownError(OakkeelError):
     """Nobody can say yet whether it is agreed; the same id may be sent again."""
 
 
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -40,71 +40,68 @@
 PUT_PERMIT = "INSERT OR REPLACE INTO places VALUES (?,?,?,?)"
 PUT_INSTANCE = "INSERT OR REPLACE INTO instances VALUES (?,?,?,?,?,?,?,?,?,?,?,?,?,?)"
 PUT_ORDER = "INSERT OR IGNORE INTO orders VALUES (NULL,?,?,?,?,?,?)"
-PUT_PART = "INSERT OR REPLACE INTO parts VALUES (?,?,?,?,?,?,?)"
+PUT_TASK = "INSERT OR REPLACE INTO parts VALUES (?,?,?,?,?,?,?)"
 
 
 def statements(
-    instances: Iterable[Instance], orders: Iterable[Order], dropped: Iterable[str]
+    instances: Iterable[Instance], orders: Iterable[Order], deleted: Iterable[str]
 ) -> list[Statement]:
-    """What to write for all that changed."""
-    rows: list[Statement] = []
-    for each in instances:
-        rows.append(
-            (
-                PUT_INSTANCE,
-                (
-                    each.name,
-                    each.generation,
-                    each.changed_at,
-                    each.changed_by,
-                    each.process_generation,
-                    each.spawned,
-                    each.goal.value,
-                    each.phase.value,
-                    each.kill_after_drain,
-                    each.start_not_before,
-                    each.failures,
-                    json.dumps(list(each.crashes)),
-                    each.restarts_exhausted,
-                    each.why,
-                ),
-            )
-        )
+    """The statements that write changed instances and orders; `deleted` holds IDs of orders."""
+    rows = [_instance_statement(instance) for instance in instances]
     for order in orders:
-        rows.append(
-            (
-                PUT_ORDER,
-                (
-                    order.order_id,
-                    order.operator,
-                    order.verb.value,
-                    order.accepted_at,
-                    order.expires_at,
-                    json.dumps(order.requested),
-                ),
-            )
-        )
-        for task in order.tasks:
-            rows.append(
-                (
-                    PUT_PART,
-                    (
-                        order.order_id,
-                        task.instance.name,
-                        task.generation,
-                        task.state.value,
-                        task.state_since,
-                        task.why,
-                        task.replaces_generation,
-                    ),
-                )
-            )
-    for ident in dropped:
-        rows.append(("DELETE FROM orders WHERE ident = ?", (ident,)))
-        rows.append(("DELETE FROM parts WHERE ident = ?", (ident,)))
+        rows.append(_order_statement(order))
+        rows += [_task_statement(order, task) for task in order.tasks]
+    for order_id in deleted:
+        rows.append(("DELETE FROM orders WHERE ident = ?", (order_id,)))
+        rows.append(("DELETE FROM parts WHERE ident = ?", (order_id,)))
     return rows
 
 
+def _instance_statement(instance: Instance) -> Statement:
+    values = (
+        instance.name,
+        instance.generation,
+        instance.changed_at,
+        instance.changed_by,
+        instance.process_generation,
+        instance.spawned,
+        instance.goal.value,
+        instance.phase.value,
+        instance.kill_after_drain,
+        instance.start_not_before,
+        instance.failures,
+        json.dumps(list(instance.crashes)),
+        instance.restarts_exhausted,
+        instance.why,
+    )
+    return (PUT_INSTANCE, values)
+
+
+def _order_statement(order: Order) -> Statement:
+    values = (
+        order.order_id,
+        order.operator,
+        order.verb.value,
+        order.accepted_at,
+        order.expires_at,
+        json.dumps(order.requested),
+    )
+    return (PUT_ORDER, values)
+
+
+def _task_statement(order: Order, task: Task) -> Statement:
+    values = (
+        order.order_id,
+        task.instance.name,
+        task.generation,
+        task.state.value,
+        task.state_since,
+        task.why,
+        task.replaces_generation,
+    )
+    return (PUT_TASK, values)
+
+
 def restore_instances(store: Database, instances: dict[str, Instance], same_boot: bool) -> None:
     """Fill in what was kept. After another boot no time on the monotonic clock means anything any more."""
     for row in store.read("SELECT * FROM instances"):
