--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -21,7 +21,8 @@
 from oakkeel.agent import messages
 from oakkeel.agent.artifacts import version_of
 from oakkeel.fakes.catalogue import Catalogue
-from oakkeel.fakes.dispatcher import Address, Dispatcher, SentRequest
+from oakkeel.fakes.dispatcher import Dispatcher, SentRequest
+from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import NODE_SETTINGS, FakeSite, free_port
 from oakkeel.fleet.agent_clients import NoLeaderError
@@ -42,15 +43,15 @@
 
     offered = earned = 0.0
 
-    def going(self, ident: str, sent: SentRequest) -> None:
+    def request_sent(self, request_id: str, sent: SentRequest) -> None:
         """Add a request that is sent."""
         self.offered += WEIGHTS[sent.group]
 
-    def ended(self, sent: SentRequest, word: str, fields: bytes) -> None:
+    def request_ended(self, sent: SentRequest, outcome: str) -> str:
         """Add the end of a request."""
-        super().ended(sent, word, fields)
-        if word == "ok":
+        if outcome == "ok":
             self.earned += WEIGHTS[sent.group]
+        return super().request_ended(sent, outcome)
 
 
 class Load:
@@ -79,7 +80,7 @@
 
     async def _follow(self) -> None:
         while True:
-            for name, row in (await self.rig.look()).items():
+            for name, row in (await self.rig.instance_statuses()).items():
                 if row.report:
                     host, _, port = row.report.address.rpartition(":")
                     self.addresses[name] = host, int(port)
@@ -134,7 +135,7 @@
         """Return the leader's response, however often the leader changes."""
         while True:
             try:
-                return await self.rig.asker.request_leader(request)
+                return await self.rig.clients.request_leader(request)
             except NoLeaderError:
                 await asyncio.sleep(0.05)
 
@@ -142,7 +143,7 @@
         """Watch what is out as the leader knows it, and of that what holds a permit."""
         while not self.finished:
             try:
-                out = (await self.rig.state_of()).unavailable
+                out = (await self.rig.fleet_status()).unavailable
                 placed = {entry.target for entry in out if entry.fence}
                 hanging = {name for name, on in SERVICE_OF.items() if on in placed}
                 self.most_placed = max(self.most_placed, len(placed & set(NAMES) | hanging))
@@ -168,15 +169,15 @@
                 say(f"  {ident} is halted: {status.why}; resumed")
                 await self.ask(messages.ControlReleaseRequest(ident, "resume"))
             if status.step > last and status.step >= due and step_kills < kills:
-                leader = await self.rig.leader()
-                await self.rig.kill(leader)
+                leader = await self.rig.wait_for_leader()
+                await self.rig.kill_agent(leader)
                 step_kills, self.controller_kills, due = (
                     step_kills + 1,
                     self.controller_kills + 1,
                     status.step + 1,
                 )
                 await asyncio.sleep(self.random.uniform(0.1, 0.5))
-                await self.rig.start(leader)
+                await self.rig.start_agent(leader)
             if status.batch >= 2 and nodes and self.random.random() < 0.2:
                 name = self.random.choice([entry for entry in NAMES if entry not in self.killed])
                 self.killed.add(name)
@@ -193,7 +194,7 @@
             if target.state != "changing" or target.target not in self.services:
                 continue
             try:
-                out = (await self.rig.state_of()).unavailable
+                out = (await self.rig.fleet_status()).unavailable
             except (NoLeaderError, AssertionError):
                 return
             if not any(entry.target == target.target and entry.fence for entry in out):
@@ -230,10 +231,10 @@
         AWAY,
         seed,
         sites=SITES,
-        keepers=VOTERS,
-        fleet_away=FLEET,
-        below=f'<below><kind name="db" away="1">{services}</kind></below>',
-        hanging=SERVICE_OF,
+        replicas=VOTERS,
+        fleet_max_unavailable=FLEET,
+        downstream=f'<below><kind name="db" away="1">{services}</kind></below>',
+        dependencies=SERVICE_OF,
         supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
     )
     site.catalogues = {name: f"127.0.0.1:{ports[service]}" for name, service in SERVICE_OF.items()}
@@ -251,8 +252,8 @@
         run = RolloutRun(rig, dict(services), ports, seed)
         try:
             await rig.open()
-            await rig.leader()
-            await rig.all_serve()
+            await rig.wait_for_leader()
+            await rig.wait_until_serving()
             return await _release_all(run, Load(rig, rate, seed), folder, gated)
         finally:
             await rig.close()
@@ -289,11 +290,11 @@
     counts = load.counts - before
     offered, earned = (now - then for now, then in zip(load.weights, weights, strict=True))
     lost = load.lost_except(run.killed)
-    await run.rig.all_serve(wait=60)
+    await run.rig.wait_until_serving(timeout=60)
     run.finished = True
     await watching
     await load.stop()
-    rows = await run.rig.look()
+    rows = await run.rig.instance_statuses()
     versions = [row.report.version if row.report else "" for row in rows.values()]
     offered += counts["unsent"] * sum(WEIGHTS.values()) / len(WEIGHTS)
     return {
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -120,8 +120,8 @@
             self.timeouts,
             founders,
             self.topology,
-            ledger=RolloutStateMachine,
-            above=self._make_controller,
+            state_machine=RolloutStateMachine,
+            extension=self._make_controller,
         )
         self.control_plane.on_committed = self._command_committed
 
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -34,7 +34,7 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, away=1)
+        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, max_unavailable=1)
         for key in ("asha", "ravi", "lena"):
             write_key(os.path.join(self.folder, f"{key}.key"), os.urandom(32))
         self.site.write_settings()
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -124,7 +124,9 @@
         """Whether the agent never came to that step. In any case the restart was carried out once."""
         folder = os.path.join(self.folder, f"at{step}")
         os.mkdir(folder)
-        site = FakeSite(folder, {"wb1": ["n1"]}, away=1, supervision='<supervision backoff="50ms"/>')
+        site = FakeSite(
+            folder, {"wb1": ["n1"]}, max_unavailable=1, supervision='<supervision backoff="50ms"/>'
+        )
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         fleet = read_fleet(site.settings)
--- a/tests/cluster/test_rollout_services.py
+++ b/tests/cluster/test_rollout_services.py
@@ -15,14 +15,21 @@
 
     hosts: ClassVar = {"h1": ["n1a", "n1b"], "h2": ["n2a", "n2b"], "h3": ["n3a", "n3b"]}
     sites: ClassVar = {"h1": "woodbrook", "h2": "belmont", "h3": "st-james"}
-    away, fleet_away = 2, 3
-    hanging: ClassVar = {"n1a": "db1", "n2a": "db1", "n3a": "db1", "n1b": "db2", "n2b": "db2", "n3b": "db2"}
+    max_unavailable, fleet_max_unavailable = 2, 3
+    dependencies: ClassVar = {
+        "n1a": "db1",
+        "n2a": "db1",
+        "n3a": "db1",
+        "n1b": "db2",
+        "n2b": "db2",
+        "n3b": "db2",
+    }
 
     async def asyncSetUp(self) -> None:
         self.services = {name: DownstreamService(free_port()) for name in ("db1", "db2")}
         for service in self.services.values():
             await service.open()
-        self.below = (
+        self.downstream = (
             '<below><kind name="db" away="1">'
             + "".join(
                 f'<service name="{name}" address="127.0.0.1:{service.port}" host="h{number}"/>'
@@ -50,10 +57,10 @@
             return ""
 
         async def leave() -> bool:
-            unavailable = (await self.rig.state_of()).unavailable
+            unavailable = (await self.rig.fleet_status()).unavailable
             return any(target.target == names[0] and target.fence for target in unavailable)
 
-        await self.rig.until("its place is there", leave)
+        await self.rig.wait_until("its place is there", leave)
         await self.services[names[0]].close()
         await asyncio.sleep(1.5)
         after(names[0])
@@ -66,9 +73,9 @@
         )
 
         def slower(service: str) -> None:
-            for name, on in self.hanging.items():
+            for name, on in self.dependencies.items():
                 if on == service:
-                    self.rig.script(name, "slower")
+                    self.rig.set_node_script(name, "slower")
 
         first = await self.replace(slower)
         status = await self.wait_for_end("halted", wait=40)
