--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -146,8 +146,19 @@
     for ident, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
         instance = orders.instances.get(name)
         if instance is not None and ident in found:
+            # Whether a process was told to drain is not stored: a started task counts as told, as one whose
+            # process does not answer would otherwise wait for a report until its order expires.
             found[ident].tasks.append(
-                Task(found[ident], instance, generation, TaskState(state), since, why, replaces)
+                Task(
+                    found[ident],
+                    instance,
+                    generation,
+                    TaskState(state),
+                    since,
+                    why,
+                    drain_sent=bool(replaces),
+                    replaces_generation=replaces,
+                )
             )
     orders.restore(list(found.values()))
 
--- /dev/null
+++ b/tests/agent/test_storage.py
@@ -0,0 +1,37 @@
+"""Tests of what the agent stores of orders and restores."""
+
+import os
+import tempfile
+import unittest
+
+from oakkeel.agent.instances import Instance, Phase
+from oakkeel.agent.orders import OrderRegistry, TaskState, Verb
+from oakkeel.agent.storage import SCHEMA, VERSION, restore_orders, statements
+from oakkeel.agent.supervisor import SECOND, SupervisionTimeouts, Supervisor
+from oakkeel.store.database import Database
+
+
+def registry() -> OrderRegistry:
+    """An order registry with one serving instance of generation 3."""
+    instance = Instance(
+        "n1", "woodbrook", phase=Phase.SERVING, generation=3, process_generation=3, spawned=True
+    )
+    supervisor = Supervisor([instance], SupervisionTimeouts(), {"woodbrook": 1}, 7, lambda: 0)
+    return OrderRegistry(supervisor, lambda: 0)
+
+
+class OrderStorageTest(unittest.TestCase):
+    def test_restores_the_generation_that_a_started_restart_replaces(self):
+        folder = self.enterContext(tempfile.TemporaryDirectory())
+        store = Database(os.path.join(folder, "agent.db"), SCHEMA, VERSION)
+        self.addCleanup(store.close)
+        before, after = registry(), registry()
+        order = before.submit(SECOND, "o1", "asha", Verb.RESTART, (("n1", 3),), 60 * SECOND)
+        before.advance(SECOND)
+        store.write(statements([], [order], []))
+
+        restore_orders(store, after)
+
+        [task] = after.open_tasks
+        self.assertEqual((task.state, task.replaces_generation), (TaskState.ACTING, 3))
+        self.assertIs(task.drain_sent, True)
