--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -4,8 +4,8 @@
 
 import asyncio
 import time
-from collections.abc import Awaitable, Sequence
-from typing import Protocol
+from collections.abc import Awaitable, Callable, Sequence
+from typing import Any, Protocol
 
 from oakkeel.agent import messages
 from oakkeel.agent.executor import ANSWER, InstanceExecutor
@@ -24,15 +24,14 @@
 from oakkeel.authentication.mac import Key
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption import commands
-from oakkeel.disruption.state import DisruptionOrder as Agreed
-from oakkeel.disruption.state import Rejection
+from oakkeel.disruption.state import DisruptionOrder, Rejection
 from oakkeel.log import EventLog
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.state_machine import Release
 from oakkeel.settings.types import HostSettings
 
-OF_THE_FLEET = (
+CONTROL_PLANE_REQUESTS = (
     messages.FleetOrderRequest,
     messages.EndFleetOrderRequest,
     messages.SetVotersRequest,
@@ -41,6 +40,8 @@
     messages.ControlReleaseRequest,
     messages.ReleaseStatusRequest,
 )
+# The request is of the type that the handler is registered for.
+Handler = Callable[[Key, Any], messages.Response | Awaitable[messages.Response]]
 
 
 class HandlerContext(Protocol):
@@ -72,52 +73,58 @@
     def __init__(self, agent: HandlerContext) -> None:
         """Serve requests on that agent."""
         self.agent = agent
+        self._handlers: dict[type[messages.Request], Handler] = {
+            messages.PeerEnvelopesRequest: self._receive_envelopes,
+            messages.HeartbeatRequest: self._receive_heartbeat,
+            messages.HostStatusRequest: self._host_status,
+            messages.InstanceClientsRequest: self._clients,
+            messages.RaftStatusRequest: self._raft_status,
+            messages.ListOrdersRequest: self._list_orders,
+            messages.OrderRequest: self._submit_order,
+            messages.CancelOrderRequest: self._cancel_order,
+            **dict.fromkeys(CONTROL_PLANE_REQUESTS, self._control_plane),
+        }
 
     def handle(self, key: Key, request: messages.Request) -> messages.Response | Awaitable[messages.Response]:
         """Respond to one request that `key` has authenticated and may send."""
-        agent, now = self.agent, time.monotonic_ns()
-        if isinstance(request, messages.PeerEnvelopesRequest):
-            envelopes = agent.raft.receive_envelopes(key.operator, request.envelopes) if agent.raft else []
-            return messages.PeerEnvelopesResponse(envelopes)
-        if isinstance(request, messages.HeartbeatRequest):
-            if request.heartbeat.host != key.operator:
-                return messages.ErrorResponse(
-                    f"the key of {key.operator} with a poll of {request.heartbeat.host}"
-                )
-            return (
-                agent.raft.receive_heartbeat(request.heartbeat)
-                if agent.raft
-                else messages.NotLeaderResponse("", "no keeper runs here")
-            )
-        if isinstance(request, messages.HostStatusRequest):
-            return host_status(
-                now,
-                agent.host,
-                agent.supervisor,
-                agent.started_at,
-                list(agent.operator_notes()),
-                {each: process.pid for each, process in agent.executor.alive.items()},
-            )
-        if isinstance(request, messages.InstanceClientsRequest):
-            return self._clients(request)
-        if isinstance(request, messages.RaftStatusRequest):
-            return raft_status(now, agent.host.name, agent.raft, agent.status_reporter)
-        if isinstance(request, OF_THE_FLEET):
-            return self._control_plane(key, request)
-        if isinstance(request, messages.ListOrdersRequest):
-            latest = list(agent.orders.orders.values())[-max(1, min(request.limit, 200)) :]
-            return messages.OrderList([order_status(now, each) for each in reversed(latest)])
-        try:
-            if isinstance(request, messages.CancelOrderRequest):
-                order = agent.orders.cancel(now, request.order_id, key.operator)
-                agent.log.info("order_cancelled", order=order.order_id, operator=key.operator)
-                agent.save()
-                return order_status(now, order)
-            return self._submit_order(now, key, request)
-        except OrderRejectedError as error:
-            return messages.ErrorResponse(str(error))
+        return self._handlers[type(request)](key, request)
+
+    # Requests of other agents.
+
+    def _receive_envelopes(self, key: Key, request: messages.PeerEnvelopesRequest) -> messages.Response:
+        raft = self.agent.raft
+        return messages.PeerEnvelopesResponse(
+            raft.receive_envelopes(key.operator, request.envelopes) if raft else []
+        )
 
-    async def _clients(self, request: messages.InstanceClientsRequest) -> messages.Response:
+    def _receive_heartbeat(
+        self, key: Key, request: messages.HeartbeatRequest
+    ) -> messages.Response | Awaitable[messages.Response]:
+        heartbeat, raft = request.heartbeat, self.agent.raft
+        if heartbeat.host != key.operator:
+            return messages.ErrorResponse(f"the key of {key.operator} with a poll of {heartbeat.host}")
+        if raft is None:
+            return messages.NotLeaderResponse("", "no keeper runs here")
+        return raft.receive_heartbeat(heartbeat)
+
+    # What runs on this host.
+
+    def _host_status(self, key: Key, request: messages.HostStatusRequest) -> messages.Response:
+        agent = self.agent
+        return host_status(
+            time.monotonic_ns(),
+            agent.host,
+            agent.supervisor,
+            agent.started_at,
+            list(agent.operator_notes()),
+            {instance: process.pid for instance, process in agent.executor.alive.items()},
+        )
+
+    def _raft_status(self, key: Key, request: messages.RaftStatusRequest) -> messages.Response:
+        agent = self.agent
+        return raft_status(time.monotonic_ns(), agent.host.name, agent.raft, agent.status_reporter)
+
+    async def _clients(self, key: Key, request: messages.InstanceClientsRequest) -> messages.Response:
         """Ask a node who sends the most, on a link of its own."""
         agent = self.agent
         instance = agent.orders.instances.get(request.instance)
@@ -133,46 +140,57 @@
         finally:
             client.close()
 
-    def _submit_order(self, now: int, key: Key, request: messages.OrderRequest) -> messages.Response:
-        agent = self.agent
-        if request.verb not in {each.value for each in Verb}:
+    # Orders on the instances of this host.
+
+    def _list_orders(self, key: Key, request: messages.ListOrdersRequest) -> messages.Response:
+        now = time.monotonic_ns()
+        latest = list(self.agent.orders.orders.values())[-max(1, min(request.limit, 200)) :]
+        return messages.OrderList([order_status(now, order) for order in reversed(latest)])
+
+    def _cancel_order(self, key: Key, request: messages.CancelOrderRequest) -> messages.Response:
+        agent, now = self.agent, time.monotonic_ns()
+        try:
+            order = agent.orders.cancel(now, request.order_id, key.operator)
+        except OrderRejectedError as error:
+            return messages.ErrorResponse(str(error))
+        agent.log.info("order_cancelled", order=order.order_id, operator=key.operator)
+        agent.save()
+        return order_status(now, order)
+
+    def _submit_order(self, key: Key, request: messages.OrderRequest) -> messages.Response:
+        agent, now = self.agent, time.monotonic_ns()
+        if request.verb not in {verb.value for verb in Verb}:
             return messages.ErrorResponse(f"no such order: {request.verb[:20]!r}")
         if agent.status_reporter and request.verb != Verb.START.value:
             return messages.ErrorResponse("this fleet keeps a record: what leaves is agreed there")
-        asked = tuple((name, generation) for name, generation in request.instances)
         known = request.order_id in agent.orders.orders
-        order = agent.orders.submit(
-            now,
-            request.order_id,
-            key.operator,
-            Verb(request.verb),
-            asked,
-            request.lifetime,
-            request.supersede,
-        )
+        try:
+            order = agent.orders.submit(
+                now,
+                request.order_id,
+                key.operator,
+                Verb(request.verb),
+                tuple((name, generation) for name, generation in request.instances),
+                request.lifetime,
+                request.supersede,
+            )
+        except OrderRejectedError as error:
+            return messages.ErrorResponse(str(error))
         if order.is_open and not known:
             if not agent.save():
                 agent.orders.undo(order)
                 return messages.ErrorResponse(f"not taken, as it can't be kept: {agent.storage_error}")
             agent.orders.confirm(order)
-            said_taken(agent.log, order)
+            log_accepted(agent.log, order)
             asyncio.get_running_loop().call_soon(agent.reconcile)
         return order_status(now, order)
 
-    # The fleet's record.
+    # Requests to the control plane.
 
     async def _control_plane(self, key: Key, request: messages.Request) -> messages.Response:
         raft = self.agent.raft
         if raft is None or raft.control_plane is None:
-            leader = self.agent.status_reporter.leader if self.agent.status_reporter else ""
-            return messages.NotLeaderResponse(
-                leader,
-                raft.storage_error
-                if raft and raft.storage_error
-                else "this agent does not keep the record"
-                if self.agent.status_reporter
-                else "this fleet has no keepers in its settings",
-            )
+            return self._no_replica_here(raft)
         try:
             if isinstance(request, messages.FleetStatusRequest):
                 return fleet_status(time.monotonic_ns(), raft, request.order_id)
@@ -185,6 +203,23 @@
             return messages.NotLeaderResponse(error.leader, str(error))
         except CommitUnknownError as error:
             return messages.NotLeaderResponse("", f"not decided: {error}; send it again with the same id")
+        return self._committed(key, request, raft, result)
+
+    def _no_replica_here(self, raft: RaftRuntime | None) -> messages.Response:
+        """Respond where no replica of the control plane runs, with the leader if it is known."""
+        reporter = self.agent.status_reporter
+        if raft and raft.storage_error:
+            reason = raft.storage_error
+        elif reporter:
+            reason = "this agent does not keep the record"
+        else:
+            reason = "this fleet has no keepers in its settings"
+        return messages.NotLeaderResponse(reporter.leader if reporter else "", reason)
+
+    def _committed(
+        self, key: Key, request: messages.Request, raft: RaftRuntime, result: object
+    ) -> messages.Response:
+        """Respond with the result of a committed command."""
         if isinstance(result, Rejection):
             return messages.ErrorResponse(result.reason)
         if isinstance(result, Release):
@@ -195,7 +230,7 @@
                 command=getattr(request, "action", "start"),
             )
             return release_status(time.monotonic_ns(), raft, result.ident)
-        assert isinstance(result, Agreed)
+        assert isinstance(result, DisruptionOrder)
         self.agent.log.info(
             "order_command_committed",
             order=result.id,
@@ -240,7 +275,7 @@
     return (commands.CancelOrder if request.cancel else commands.HaltOrder)(request.order_id, key.operator)
 
 
-def said_taken(log: EventLog, order: Order) -> None:
+def log_accepted(log: EventLog, order: Order) -> None:
     """Log an order that was accepted."""
     log.info(
         "order_accepted",
