--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -1,4 +1,4 @@
-"""Calls to the catalogue: many on few connections, each reply told as the outcome that it proves."""
+"""Calls to the catalogue: connections, calls in flight, and the outcome that each reply proves."""
 
 from __future__ import annotations
 
@@ -27,28 +27,32 @@
 
 
 class Call:
-    """One call in flight; it ends once, by a reply, a broken link, its time, or because nobody needs it."""
+    """One call in flight; it ends once: by a reply, a lost connection, its timeout, or when abandoned."""
 
-    __slots__ = ("request", "link", "placed", "timer")
+    __slots__ = ("link", "request", "sent_at", "timer")
 
-    def __init__(self, request: NodeRequest, link: CallLink, until: int) -> None:
-        self.request, self.link, self.placed = request, link, time.monotonic_ns()
-        wait = (until - self.placed + link.resource_limits.call_timeout_slack) / SECOND
+    def __init__(self, request: NodeRequest, link: CallLink, deadline: int) -> None:
+        """Start the timeout of a call on a link; the deadline is in ns of the monotonic clock."""
+        self.request = request
+        self.link = link
+        self.sent_at = time.monotonic_ns()
+        wait = (deadline - self.sent_at + link.resource_limits.call_timeout_slack) / SECOND
         self.timer = asyncio.get_running_loop().call_later(wait, self.give_up)
 
     def end(self, outcome: Outcome | None, reply: bytes = b"") -> None:
+        """End the call; `CallFinished` is posted unless the outcome is None."""
         self.timer.cancel()
         self.link.calls.pop(self.request.request_id, None)
-        self.link.used = time.monotonic_ns()
+        self.link.last_used = time.monotonic_ns()
         self.request.call = None
         if outcome is not None:
-            self.request.post(CallFinished(outcome, reply, self.link.used - self.placed))
-        self.link.leave()
+            self.request.post(CallFinished(outcome, reply, self.link.last_used - self.sent_at))
+        self.link.close_if_unused()
 
     def give_up(self, outcome: Outcome | None = Outcome.TIMED_OUT) -> None:
-        """A link on which a call went unanswered may be of no use any more: it takes no other."""
-        if self.link.early.pop(self.request.request_id, None) is None:
-            self.link.spent = True
+        """End the call without a reply; its link takes no other call, as it may be broken."""
+        if self.link.unsent.pop(self.request.request_id, None) is None:
+            self.link.retired = True
             self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
             outcome = Outcome.CONNECT_FAILED  # it never left
@@ -56,39 +60,42 @@
 
 
 class CallLink:
-    """One connection, with the calls that are on it."""
+    """One connection to the catalogue, with the calls in flight on it."""
 
     def __init__(
         self, address: tuple[str, int], pool: BufferPool, resource_limits: ResourceLimits, log: EventLog
     ) -> None:
-        self.address, self.resource_limits, self.log = address, resource_limits, log
+        """Start to connect; raise `OSError` or `MemoryError` without a descriptor or buffer."""
+        self.address = address
+        self.resource_limits = resource_limits
+        self.log = log
         self.calls: dict[bytes, Call] = {}
         self.connected = False
-        self.spent = False  # it takes no more calls, and ends with its last one
-        self.surplus = 0  # replies that nobody waited for
-        self.used = time.monotonic_ns()
+        self.retired = False  # takes no more calls, and closes after its last one
+        self.surplus_replies = 0  # that no call waited for
+        self.last_used = time.monotonic_ns()
         self.stream = IOStream(socket.socket(), max_write_buffer_size=resource_limits.max_write_backlog)
         self.read_buffer = ReadBuffer(pool)
-        self.early: dict[bytes, bytes] = {}  # calls placed while it connects, by exchange
-        self.partial: asyncio.TimerHandle | None = None  # ends a link whose reply does not
+        self.unsent: dict[bytes, bytes] = {}  # calls made while it connects, by request ID
+        self.reply_timer: asyncio.TimerHandle | None = None  # closes a link whose reply stays incomplete
         self.task = asyncio.ensure_future(self._serve())
 
     async def _serve(self) -> None:
         try:
             await connect(self.stream, self.address)
             self.connected = True
-            for line in self.early.values():
+            for line in self.unsent.values():
                 self.write(line)
-            self.early.clear()
+            self.unsent.clear()
             parser = LineParser(self.read_buffer, WITH_BODY, self.resource_limits.max_tokens)
             while True:
                 await self.read_buffer.fill(self.stream)
-                taken = False
-                for words, body in parser.messages():
-                    self._reply(words, body)
-                    taken = True
-                self._watch_partial(taken)
-                await asyncio.sleep(0)  # one that always has more to say must not keep the loop
+                progressed = False
+                for tokens, body in parser.messages():
+                    self._reply(tokens, body)
+                    progressed = True
+                self._limit_partial_reply(progressed)
+                await asyncio.sleep(0)  # a peer that always has more to send must not block the loop
         except StreamClosedError:
             pass
         except MalformedInputError as error:
@@ -96,52 +103,55 @@
         finally:
             self.stream.close()
             self.read_buffer.close()
-            if self.partial:
-                self.partial.cancel()
-            # One that was never connected carried nothing; one that broke proves nothing.
+            if self.reply_timer:
+                self.reply_timer.cancel()
+            # Without a connection no call was sent; a lost connection proves nothing.
             outcome = Outcome.RESET if self.connected else Outcome.CONNECT_FAILED
             for call in list(self.calls.values()):
                 call.end(outcome)
 
-    def _reply(self, words: list[bytes], body: bytes) -> None:
-        if len(words) != (3 if words[1:2] == [b"DATA"] else 2) or words[1] not in REPLIES:
-            raise MalformedInputError(f"a reply {b' '.join(words)[:60]!r}")
-        if call := self.calls.get(words[0]):
-            return call.end(REPLIES[words[1]], body)
-        # A second copy, or one to nobody: the others still get theirs here, but no new call does.
-        self.spent = True
-        self.surplus += 1
-        if self.surplus > self.resource_limits.max_surplus_replies:
+    def _reply(self, tokens: list[bytes], body: bytes) -> None:
+        if len(tokens) != (3 if tokens[1:2] == [b"DATA"] else 2) or tokens[1] not in REPLIES:
+            raise MalformedInputError(f"a reply {b' '.join(tokens)[:60]!r}")
+        if call := self.calls.get(tokens[0]):
+            call.end(REPLIES[tokens[1]], body)
+            return
+        # A duplicate, or a reply to no call: the other calls here still get theirs, but no new one is made.
+        self.retired = True
+        self.surplus_replies += 1
+        if self.surplus_replies > self.resource_limits.max_surplus_replies:
             raise MalformedInputError("replies that nobody waits for")
-        self.leave()
-
-    def _watch_partial(self, taken: bool) -> None:
-        """A reply that began must end soon, or its length was wrong and no other can follow it."""
-        whole = self.read_buffer.start == self.read_buffer.end
-        if self.partial and (whole or taken):
-            self.partial.cancel()
-            self.partial = None
-        if not whole and not self.partial:
+        self.close_if_unused()
+
+    def _limit_partial_reply(self, progressed: bool) -> None:
+        """Close the link if a reply stays incomplete: its length was wrong and no other can follow it."""
+        complete = self.read_buffer.start == self.read_buffer.end
+        if self.reply_timer and (complete or progressed):
+            self.reply_timer.cancel()
+            self.reply_timer = None
+        if not complete and not self.reply_timer:
             wait = self.resource_limits.call_reply_timeout / SECOND
-            self.partial = asyncio.get_running_loop().call_later(wait, self.stream.close)
+            self.reply_timer = asyncio.get_running_loop().call_later(wait, self.stream.close)
 
-    def place(self, request_id: bytes, line: bytes) -> None:
+    def send_call(self, request_id: bytes, line: bytes) -> None:
+        """Send the line of a call, or keep it until the connection is made."""
         if self.connected:
             self.write(line)
         else:
-            self.early[request_id] = line
+            self.unsent[request_id] = line
 
     def write(self, line: bytes) -> None:
+        """Write one line, if the stream is still open."""
         send(self.stream, line)
 
-    def leave(self) -> None:
-        """Close it once it is of no more use."""
-        if self.spent and not self.calls:
+    def close_if_unused(self) -> None:
+        """Close a retired link once it has no call in flight."""
+        if self.retired and not self.calls:
             self.stream.close()
 
 
 class Catalogue:
-    """The links, opened as calls need them: one call each, so that what breaks on one costs no other."""
+    """Links, opened as calls need them: one call each, so that a fault on one link costs no other call."""
 
     def __init__(
         self,
@@ -150,63 +160,70 @@
         resource_limits: ResourceLimits,
         log: EventLog,
     ) -> None:
-        self.address, self.pool, self.resource_limits, self.log = address, pool, resource_limits, log
+        """Connect when the first call is made; without an address every call fails to connect."""
+        self.address = address
+        self.pool = pool
+        self.resource_limits = resource_limits
+        self.log = log
         self.links: list[CallLink] = []
 
-    def fetch(self, request: NodeRequest, until: int, body: bytes) -> None:
-        """Place the call that its run waits for; `CallFinished` tells how it ended."""
+    def fetch(self, request: NodeRequest, deadline: int, body: bytes) -> None:
+        """Make the call that the run of a request waits for; `CallFinished` is posted with its outcome."""
         link = self._link(request)
         if link is None:
-            return request.post(CallFinished(Outcome.CONNECT_FAILED, b"", 0))
-        request.call = link.calls[request.request_id] = Call(request, link, until)
+            request.post(CallFinished(Outcome.CONNECT_FAILED, b"", 0))
+            return
+        request.call = link.calls[request.request_id] = Call(request, link, deadline)
         request.used_links.append(link)
-        wait_ms = max(1, (until - request.call.placed) // MS)
-        link.place(
+        wait_ms = max(1, (deadline - request.call.sent_at) // MS)
+        link.send_call(
             request.request_id, b"FETCH %s %d %d\r\n%s\r\n" % (request.request_id, wait_ms, len(body), body)
         )
 
     def quit(self, request: NodeRequest) -> None:
-        """Nobody needs its call any more."""
+        """Abandon the call of a request, if there is one, without an event."""
         if request.call:
             request.call.give_up(None)
 
     def move(self, address: tuple[str, int] | None) -> None:
-        """Place all further calls at another address; the links to the old one end with their last call."""
+        """Make all further calls to another address; links to the old one close after their last call."""
         if address == self.address:
             return
         self.address = address
         for link in self.links:
-            link.spent = True
-            link.leave()
+            link.retired = True
+            link.close_if_unused()
 
     def _link(self, request: NodeRequest) -> CallLink | None:
-        """The link used last among those free, a new one, or the least busy; never one that had a call of
-        this exchange: a second copy of its reply would be taken for that of the next."""
-        self._trim()
+        """Return the free link used last, a new one, or the least busy; None if there is none.
+
+        A link that had a call of this request is never used again for it: a duplicate of that reply would
+        be taken for the reply to the next call.
+        """
+        self._close_idle()
         if self.address is None:
             return None
-        usable = [link for link in self.links if not link.spent and link not in request.used_links]
+        usable = [link for link in self.links if not link.retired and link not in request.used_links]
         free = [link for link in usable if not link.calls and link.connected]
-        for link in sorted(free, key=lambda link: link.used, reverse=True):
+        for link in sorted(free, key=lambda link: link.last_used, reverse=True):
             if not readable(link.stream.socket):
                 return link
-            link.spent = True  # its end, or bytes that no call is owed, came since the loop last looked
-            link.leave()
+            link.retired = True  # closed by the peer, or sent bytes to no call, not read yet
+            link.close_if_unused()
             usable.remove(link)
         if len(self.links) < self.resource_limits.max_call_links:
             try:
                 self.links.append(CallLink(self.address, self.pool, self.resource_limits, self.log))
                 return self.links[-1]
-            except (OSError, MemoryError) as error:  # no descriptor or buffer is left: a busy one takes it
+            except (OSError, MemoryError) as error:  # no descriptor or buffer is left: use a busy link
                 self.log.warning("catalogue_connect_failed", error=str(error))
         return min(usable, key=lambda link: len(link.calls), default=None)
 
-    def _trim(self) -> None:
-        """Drop what has ended, and close what was idle for so long that the catalogue may have closed it or
-        forgotten it: no call meets that."""
+    def _close_idle(self) -> None:
+        """Drop closed links, and close those idle for so long that the catalogue may have dropped them."""
         now = time.monotonic_ns()
         for link in list(self.links):
-            if not link.calls and now - link.used > self.resource_limits.call_idle_timeout:
+            if not link.calls and now - link.last_used > self.resource_limits.call_idle_timeout:
                 link.stream.close()
             if link.stream.closed():
                 self.links.remove(link)
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -270,7 +270,7 @@
 
     async def test_an_idle_link_is_not_used_again_just_before_it_is_closed(self):
         request, first = await self._replied()
-        first.used -= RESOURCE_LIMITS.call_idle_timeout + SECOND
+        first.last_used -= RESOURCE_LIMITS.call_idle_timeout + SECOND
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         self.assertTrue(first.stream.closed())
         self.assertIsNot(self.catalogue.links[0], first)
@@ -497,7 +497,7 @@
                 directory.getsockname(), "n3", replace(RESOURCE_LIMITS, report_interval=600 * SECOND)
             )
             reports.start()
-            reports.set_taking(False)
+            reports.set_accepting(False)
             said = [await asyncio.wait_for(loop.sock_recv(directory, 99), WAIT) for _ in range(4)]
             reports.close()
             self.assertEqual(said, [b"PULSE n3 open"] + [b"PULSE n3 closed"] * 3)
