--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -94,7 +94,7 @@
             self.deadline_timer.cancel()
         self._set_state(DrainState.NOT)
         self._notify_admission(None)
-        node.directory_reporter.set_taking(True)
+        node.directory_reporter.set_accepting(True)
         node.drain_cancelled()
         node.log.info("drain_cancelled")
         return ""
@@ -103,7 +103,7 @@
         """End once each request that was read is answered and every dispatcher has closed its connections."""
         node = self.node
         node.log.info("drain_started")
-        node.directory_reporter.set_taking(False)
+        node.directory_reporter.set_accepting(False)
         if node.host.started:
             self._notify_admission(left)
             node.listener.last()
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -161,7 +161,7 @@
         """Tell whether the node is healthy, to health checks and the directory."""
         self.healthy = good
         if self.configuration.readiness:
-            self.directory_reporter.set_taking(good)
+            self.directory_reporter.set_accepting(good)
 
     def report_load(self, value: float) -> None:
         """Advertise the share of traffic that the node wants."""
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -652,7 +652,7 @@
 class DrainStories(DoorStory):
     """The drain in front of dispatchers that do nothing for it; its node has no engine yet, so no grace."""
 
-    directory_reporter = types.SimpleNamespace(set_taking=lambda taking: None)
+    directory_reporter = types.SimpleNamespace(set_accepting=lambda taking: None)
     host = types.SimpleNamespace(started=False)
     log = EventLog("test", 0)
 
