--- /dev/null
+++ b/oakkeel/engine/commands.py
@@ -0,0 +1,125 @@
+"""Commands to the engine that a lost connection may take with it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from dataclasses import dataclass
+
+from oakkeel.request import NodeRequest
+from oakkeel.resource_limits import ResourceLimits
+
+
+@dataclass(slots=True, eq=False)
+class Command:
+    """A command whose effect may still be lost with the connection."""
+
+    line: bytes
+    request: NodeRequest | None  # None for a request for gauges, which marks how far the engine has read
+    verb: bytes
+    last_notice: int = 0  # number of the last notice for the request when the command was given
+    written: bool = False
+
+    def must_resend(self) -> bool:
+        """Return whether the command has to be sent again on a new connection.
+
+        A later notice for the request proves that a RUN, FEED or SKIP was carried out. A run that may not
+        take effect twice is sent again only if it was never written: the engine may have read the first one.
+        """
+        request = self.request
+        if request is None or not request.in_engine:
+            return False
+        if self.verb == b"HALT" or not self.written:
+            return True
+        return self.last_notice == request.last_notice and not self.is_uncertain()
+
+    def is_uncertain(self) -> bool:
+        """Return whether nothing proves that this at-most-once run was started, nor that it was not."""
+        request = self.request
+        return bool(
+            request
+            and request.in_engine
+            and self.written
+            and self.verb == b"RUN"
+            and request.request_class.at_most_once
+            and self.last_notice == request.last_notice
+        )
+
+
+@dataclass(slots=True, eq=False)
+class GaugeRequest:
+    """A request for the engine's gauges that was not answered yet."""
+
+    future: asyncio.Future[list[float]]
+    command: Command
+    sent_at: int
+
+
+class UnconfirmedCommands:
+    """Commands in the order they were given, until gauges confirm that the engine has read them."""
+
+    def __init__(self, resource_limits: ResourceLimits) -> None:
+        """Start with no command."""
+        self.resource_limits = resource_limits
+        self.commands: deque[Command] = deque()
+        # Requests for gauges that were answered, with the time in ns of the answer, the oldest first.
+        self.confirmations: deque[tuple[int, Command]] = deque()
+        # Requests whose run may be lost, with the time in ns at which they were seen answered, or 0.
+        self.uncertain_runs: dict[NodeRequest, int] = {}
+
+    def add(self, command: Command) -> None:
+        """Append a command; at the limit, drop those that would not be sent again."""
+        if len(self.commands) >= self.resource_limits.max_unconfirmed_commands:
+            self.commands = deque(old for old in self.commands if old.request is None or old.must_resend())
+        self.commands.append(command)
+
+    def confirm(self, marker: Command, now: int) -> None:
+        """Drop what stands before an answered request for gauges, once the loss window has passed.
+
+        The engine read all that was written before the request, but a lost connection may still take the
+        youngest commands with it.
+        """
+        self.confirmations.append((now, marker))
+        while (
+            self.confirmations and self.confirmations[0][0] <= now - self.resource_limits.engine_loss_window
+        ):
+            _, confirmed = self.confirmations.popleft()
+            while self.commands and self.commands.popleft() is not confirmed:
+                pass
+
+    def drop_written(self) -> None:
+        """Drop the commands that were written, since the engine has read them all."""
+        self.commands = deque(command for command in self.commands if not command.written)
+
+    def keep_unwritten_runs(self) -> set[NodeRequest]:
+        """Drop all but the commands of runs that were never written; return the requests of these runs."""
+        unwritten = {
+            command.request
+            for command in self.commands
+            if command.request and command.verb == b"RUN" and not command.written
+        }
+        self.commands = deque(command for command in self.commands if command.request in unwritten)
+        self.uncertain_runs.clear()
+        return unwritten
+
+    def reattach(self) -> deque[Command]:
+        """Return the commands to send on a new connection, after all missed notices were read."""
+        self.confirmations.clear()
+        self.uncertain_runs |= {
+            command.request: 0 for command in self.commands if command.request and command.is_uncertain()
+        }
+        self.commands = deque(command for command in self.commands if command.must_resend())
+        return self.commands
+
+    def take_overdue_runs(self, now: int) -> list[NodeRequest]:
+        """Remove and return the uncertain runs whose requests were answered longer than the timeout ago."""
+        overdue = []
+        for request, answered_at in list(self.uncertain_runs.items()):
+            if not request.in_engine:
+                del self.uncertain_runs[request]
+            elif request.answered and not answered_at:
+                self.uncertain_runs[request] = now
+            elif answered_at and now - answered_at > self.resource_limits.engine_timeout:
+                del self.uncertain_runs[request]
+                overdue.append(request)
+        return overdue
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -197,7 +197,7 @@
             each.setblocking(False)
             each.connect_ex(deaf.getsockname())
         self.serve(deaf)
-        while not (self.link.trying and self.link.trying.socket.fileno() > 0):
+        while not (self.link.connecting and self.link.connecting.socket.fileno() > 0):
             await asyncio.sleep(0)
         for _ in range(9):
             await asyncio.sleep(0)
@@ -221,8 +221,8 @@
         self.assertEqual(swap[0], b"STAT")
         writer.write(b"STATS %s 0 0 0 0\r\n" % swap[1])
         await self.attached(third)
-        self.assertEqual(self.link.doubtful, {})
-        self.assertEqual(list(self.link.unconfirmed), [])
+        self.assertEqual(self.link.unconfirmed.uncertain_runs, {})
+        self.assertEqual(list(self.link.unconfirmed.commands), [])
 
     async def test_a_stream_that_is_closed_as_its_connection_stands_ends_its_link_and_no_more(self):
         from tornado.iostream import StreamClosedError
