--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -19,7 +19,10 @@
 
 
 class Fleet:
+    """The instances of many sites under one supervisor, in simulated time."""
+
     def __init__(self, size: int, seed: int) -> None:
+        """Make `size` instances, a tenth of each site's may be unavailable at one time."""
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{n}", f"site{n % SITES}") for n in range(size)]
         away = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
@@ -36,10 +39,10 @@
         steps = self.supervision.tick(self.now)
         spent += time.perf_counter_ns()
         for step in steps:
-            if step.act is Action.START:
-                self.supervision.spawned(self.now, step.instance)
+            if step.action is Action.START:
+                self.supervision.process_started(self.now, step.instance)
             else:
-                self.supervision.died(self.now, step.instance, "told to")
+                self.supervision.process_exited(self.now, step.instance, "told to")
         return spent
 
     def pass_time(self, by: int, state: str = "serving") -> int:
@@ -48,11 +51,12 @@
         spent = -time.perf_counter_ns()
         for each in self.instances:
             if each.alive and each.phase is not Phase.DRAINING:
-                self.supervision.heard(self.now, each, state, each.born, REPORT)
+                self.supervision.report_received(self.now, each, state, each.process_generation, REPORT)
         return spent + time.perf_counter_ns()
 
 
 def measure(size: int, seed: int) -> dict[str, float]:
+    """Time quiet turns, reports and a restart of all instances; keys say their units."""
     fleet = Fleet(size, seed)
     fleet.turn()
     fleet.pass_time(100 * MS)
@@ -60,7 +64,7 @@
     for _ in range(30):
         reports.append(fleet.pass_time(100 * MS))
         quiet.append(fleet.turn())
-    order = fleet.orders.take(
+    order = fleet.orders.submit(
         fleet.now,
         "all",
         "asha",
@@ -69,12 +73,15 @@
         3600 * SECOND,
     )
     busy, worst, turns = [], 0, 0
-    while order.open:
+    while order.is_open:
         fleet.pass_time(100 * MS)
         busy.append(fleet.turn())
         worst = max(
             worst,
-            *(fleet.supervision.out[site] - fleet.supervision.away[site] for site in fleet.supervision.out),
+            *(
+                fleet.supervision.unavailable[site] - fleet.supervision.max_unavailable[site]
+                for site in fleet.supervision.unavailable
+            ),
         )
         turns += 1
     return {
@@ -89,6 +96,7 @@
 
 
 def main() -> int:
+    """Measure all sizes; returns 1 where the bound on unavailable instances was passed."""
     told = options(__doc__ or "", seed=16)
     rows = [measure(size, told.seed) for size in (100, 1000, 10_000)]
     say(f"{processor()}; simulated time")
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -40,71 +40,68 @@
 PUT_PERMIT = "INSERT OR REPLACE INTO places VALUES (?,?,?,?)"
 PUT_INSTANCE = "INSERT OR REPLACE INTO instances VALUES (?,?,?,?,?,?,?,?,?,?,?,?,?,?)"
 PUT_ORDER = "INSERT OR IGNORE INTO orders VALUES (NULL,?,?,?,?,?,?)"
-PUT_PART = "INSERT OR REPLACE INTO parts VALUES (?,?,?,?,?,?,?)"
+PUT_TASK = "INSERT OR REPLACE INTO parts VALUES (?,?,?,?,?,?,?)"
 
 
 def statements(
-    instances: Iterable[Instance], orders: Iterable[Order], dropped: Iterable[str]
+    instances: Iterable[Instance], orders: Iterable[Order], deleted: Iterable[str]
 ) -> list[Statement]:
-    """What to write for all that changed."""
-    rows: list[Statement] = []
-    for each in instances:
-        rows.append(
-            (
-                PUT_INSTANCE,
-                (
-                    each.name,
-                    each.generation,
-                    each.changed,
-                    each.changed_by,
-                    each.born,
-                    each.spawned,
-                    each.goal.value,
-                    each.phase.value,
-                    each.kill,
-                    each.start_at,
-                    each.failures,
-                    json.dumps(list(each.deaths)),
-                    each.resting,
-                    each.why,
-                ),
-            )
-        )
+    """The statements that write changed instances and orders; `deleted` holds IDs of orders."""
+    rows = [_instance_statement(instance) for instance in instances]
     for order in orders:
-        rows.append(
-            (
-                PUT_ORDER,
-                (
-                    order.ident,
-                    order.operator,
-                    order.verb.value,
-                    order.taken,
-                    order.expires,
-                    json.dumps(order.asked),
-                ),
-            )
-        )
-        for part in order.parts:
-            rows.append(
-                (
-                    PUT_PART,
-                    (
-                        order.ident,
-                        part.instance.name,
-                        part.generation,
-                        part.state.value,
-                        part.since,
-                        part.why,
-                        part.replaces,
-                    ),
-                )
-            )
-    for ident in dropped:
-        rows.append(("DELETE FROM orders WHERE ident = ?", (ident,)))
-        rows.append(("DELETE FROM parts WHERE ident = ?", (ident,)))
+        rows.append(_order_statement(order))
+        rows += [_task_statement(order, task) for task in order.tasks]
+    for order_id in deleted:
+        rows.append(("DELETE FROM orders WHERE ident = ?", (order_id,)))
+        rows.append(("DELETE FROM parts WHERE ident = ?", (order_id,)))
     return rows
 
 
+def _instance_statement(instance: Instance) -> Statement:
+    values = (
+        instance.name,
+        instance.generation,
+        instance.changed_at,
+        instance.changed_by,
+        instance.process_generation,
+        instance.spawned,
+        instance.goal.value,
+        instance.phase.value,
+        instance.kill_after_drain,
+        instance.start_not_before,
+        instance.failures,
+        json.dumps(list(instance.crashes)),
+        instance.restarts_exhausted,
+        instance.why,
+    )
+    return (PUT_INSTANCE, values)
+
+
+def _order_statement(order: Order) -> Statement:
+    values = (
+        order.order_id,
+        order.operator,
+        order.verb.value,
+        order.accepted_at,
+        order.expires_at,
+        json.dumps(order.requested),
+    )
+    return (PUT_ORDER, values)
+
+
+def _task_statement(order: Order, task: Task) -> Statement:
+    values = (
+        order.order_id,
+        task.instance.name,
+        task.generation,
+        task.state.value,
+        task.state_since,
+        task.why,
+        task.replaces_generation,
+    )
+    return (PUT_TASK, values)
+
+
 def restore_instances(store: Database, instances: dict[str, Instance], same_boot: bool) -> None:
     """Fill in what was kept. After another boot no time on the monotonic clock means anything any more."""
     for row in store.read("SELECT * FROM instances"):
@@ -114,24 +111,28 @@
         (
             _,
             each.generation,
-            each.changed,
+            each.changed_at,
             each.changed_by,
-            each.born,
+            each.process_generation,
             spawned,
             goal,
             phase,
             kill,
-            each.start_at,
+            each.start_not_before,
             each.failures,
             deaths,
             resting,
             each.why,
         ) = row
-        each.spawned, each.kill, each.resting = bool(spawned), bool(kill), bool(resting)
-        each.goal, each.phase, each.deaths = Goal(goal), Phase(phase), deque(json.loads(deaths))
+        each.spawned, each.kill_after_drain, each.restarts_exhausted = (
+            bool(spawned),
+            bool(kill),
+            bool(resting),
+        )
+        each.goal, each.phase, each.crashes = Goal(goal), Phase(phase), deque(json.loads(deaths))
         if not same_boot:
-            each.start_at, each.failures, each.resting = 0, 0, False
-            each.deaths.clear()
+            each.start_not_before, each.failures, each.restarts_exhausted = 0, 0, False
+            each.crashes.clear()
 
 
 def restore_orders(store: Database, orders: OrderRegistry) -> None:
@@ -143,10 +144,21 @@
         pairs = tuple((name, generation) for name, generation in json.loads(asked))
         found[ident] = Order(ident, operator, Verb(verb), taken, expires, pairs)
     for ident, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
-        instance = orders.named.get(name)
+        instance = orders.instances.get(name)
         if instance is not None and ident in found:
-            found[ident].parts.append(
-                Task(found[ident], instance, generation, TaskState(state), since, why, replaces)
+            # Whether a process was told to drain is not stored: a started task counts as told, as one whose
+            # process does not answer would otherwise wait for a report until its order expires.
+            found[ident].tasks.append(
+                Task(
+                    found[ident],
+                    instance,
+                    generation,
+                    TaskState(state),
+                    since,
+                    why,
+                    drain_sent=bool(replaces),
+                    replaces_generation=replaces,
+                )
             )
     orders.restore(list(found.values()))
 
@@ -154,22 +166,22 @@
 def permit_statements(permit_holder: PermitHolder) -> list[Statement]:
     """The fences and places that changed, and the record that they are of."""
     rows: list[Statement] = []
-    for thing in sorted(permit_holder.changed):
-        held = permit_holder.permits.get(thing)
+    for target in sorted(permit_holder.changed):
+        permit = permit_holder.permits.get(target)
         rows.append(
             (
                 PUT_PERMIT,
                 (
-                    thing,
-                    permit_holder.highest_tokens.get(thing, 0),
-                    held.order_id if held else "",
-                    bool(held and held.started),
+                    target,
+                    permit_holder.highest_tokens.get(target, 0),
+                    permit.order_id if permit else "",
+                    bool(permit and permit.started),
                 ),
             )
         )
-        if thing in permit_holder.generations:
+        if target in permit_holder.generations:
             rows.append(
-                ("INSERT OR REPLACE INTO reserved VALUES (?,?)", (thing, permit_holder.generations[thing]))
+                ("INSERT OR REPLACE INTO reserved VALUES (?,?)", (target, permit_holder.generations[target]))
             )
     if rows:
         rows.append(("INSERT OR REPLACE INTO heard VALUES (1, ?)", (permit_holder.epoch,)))
@@ -177,32 +189,34 @@
 
 
 def restore_permits(store: Database, permit_holder: PermitHolder) -> None:
+    """Restore fences, started permits and reserved generations."""
     epochs = store.read("SELECT epoch FROM heard")
     permit_holder.restore(
         epochs[0][0] if epochs else "",
         [
-            (thing, fence, ident, bool(begun))
-            for thing, fence, ident, begun in store.read("SELECT thing, fence, ident, begun FROM places")
+            (target, fence, ident, bool(begun))
+            for target, fence, ident, begun in store.read("SELECT thing, fence, ident, begun FROM places")
         ],
         dict(store.read("SELECT thing, upto FROM reserved")),
     )
 
 
-def assignment_statements(fitting: VersionAssignments) -> list[Statement]:
+def assignment_statements(assignments: VersionAssignments) -> list[Statement]:
     """What things shall run, where the versions come from, and what they ran before."""
-    if not fitting.changed:
+    if not assignments.changed:
         return []
     return [
         (
             "INSERT OR REPLACE INTO fitting VALUES (1, ?)",
-            (msgspec.msgpack.encode((fitting.versions, fitting.sources, fitting.bases)),),
+            (msgspec.msgpack.encode((assignments.versions, assignments.sources, assignments.bases)),),
         )
     ]
 
 
-def restore_assignments(store: Database, fitting: VersionAssignments) -> None:
+def restore_assignments(store: Database, assignments: VersionAssignments) -> None:
+    """Restore which versions the targets run."""
     for (content,) in store.read("SELECT content FROM fitting"):
-        fitting.restore(
+        assignments.restore(
             *msgspec.msgpack.decode(
                 content, type=tuple[dict[str, str], dict[str, VersionSpec], dict[str, str]]
             )
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -26,22 +26,30 @@
             self.submit("o1", "a")
             self.exchange_heartbeats()
             holder = self.holders["h1"]
-            instance = Instance("a", "s", phase=Phase.SERVING, generation=1, born=1, spawned=True, limit=9)
+            instance = Instance(
+                "a",
+                "s",
+                phase=Phase.SERVING,
+                generation=1,
+                process_generation=1,
+                spawned=True,
+                generation_limit=9,
+            )
             supervision = Supervisor([instance], SupervisionTimeouts(silent=SECOND * 60), {}, 1, lambda: 0)
             orders = OrderRegistry(supervision, lambda: 0, permit_holder=holder)
-            orders.take(self.now, "o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND)
+            orders.submit(self.now, "o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND)
             orders.advance(self.now)
             [step] = supervision.tick(self.now)
             self.assertTrue(holder.permits["a"].started)
-            instance.left_at = 0  # it was put off, as it could not be kept
+            instance.drain_sent_at = 0  # it was put off, as it could not be kept
             instance.report = SimpleNamespace(state=state)
             self.now += 4 * SECOND * late
-            steps = orders.hold_back(self.now, supervision.tick(self.now))
+            steps = orders.permitted_steps(self.now, supervision.tick(self.now))
             if late and state == "serving":
-                self.assertEqual((steps, instance.phase, instance.part), ([], Phase.SERVING, None))
-                self.assertEqual(orders.orders["o1"].parts[0].state, TaskState.CANCELLED)
+                self.assertEqual((steps, instance.phase, instance.task), ([], Phase.SERVING, None))
+                self.assertEqual(orders.orders["o1"].tasks[0].state, TaskState.CANCELLED)
             else:
-                self.assertEqual((steps, instance.part.sent), ([step], True))
+                self.assertEqual((steps, instance.task.drain_sent), ([step], True))
 
     def test_rejects_older_responses_other_clusters_and_older_tokens(self):
         holder = PermitHolder("h1", ("a",), 1)
@@ -89,9 +97,9 @@
         locator = LeaderLocator(["h1", "h2", "h3"], ["h1", "h2", "h3", "h4"])
         asked = []
         for leader in ("", "", "h4", "h9", "h4"):
-            locator.elsewhere(leader)
-            asked.append(locator.name)
+            locator.redirect(leader)
+            asked.append(locator.current)
         self.assertEqual(asked, ["h2", "h3", "h4", "h1", "h4"])
-        locator.told(["h9"])
-        locator.elsewhere("")
-        self.assertIn(locator.name, ("h1", "h2", "h3"))
+        locator.set_voters(["h9"])
+        locator.redirect("")
+        self.assertIn(locator.current, ("h1", "h2", "h3"))
