--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -2,7 +2,7 @@
 
 Three replicas, each with a log of entries known by their terms. A step is an election with the votes of some,
 a leader's entry, its copy to one other, or its commit. The variants leave out one rule each and must be found
-wanting, or the model would prove nothing.
+unsafe, or the model would prove nothing.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
         self.committed = integers("committed", LENGTH)  # the term of the entry committed there; 0: none
 
     def is_leader(self, replica: int) -> z3.BoolRef:
-        """Whether a replica leads in its present term."""
+        """Return whether a replica leads in its present term."""
         return z3.And(self.leads[replica] > 0, self.leads[replica] == self.term[replica])
 
 
@@ -97,7 +97,7 @@
     )
 
 
-def vote_forgotten(before: State, after: State, replica: int) -> z3.BoolRef:
+def vote_lost(before: State, after: State, replica: int) -> z3.BoolRef:
     """Return that one loses the file with its vote, and stays the same to all others."""
     return z3.And(
         after.voted_for[replica] == -1,
@@ -183,7 +183,7 @@
             for voters in QUORUMS
             if one in voters
         ],
-        *([vote_forgotten(before, after, one) for one in replicas] if "forgets" in rules else []),
+        *([vote_lost(before, after, one) for one in replicas] if "forgets" in rules else []),
         *[entry_appended(before, after, one) for one in replicas],
         *[log_copied(before, after, one, other) for one in replicas for other in replicas if other != one],
         *[
@@ -212,7 +212,7 @@
 
 
 def two_leaders(steps: int, rules: set[str]) -> bool:
-    """Whether some run of so many steps has two leaders in one term."""
+    """Return whether some run of so many steps has two leaders in one term."""
     solver, states = all_runs(steps, rules)
     solver.add(
         z3.Or(
@@ -230,7 +230,7 @@
 
 
 def committed_entry_is_lost(steps: int, rules: set[str]) -> bool:
-    """Whether some run ends with a leader that lacks or contradicts what was committed before its term."""
+    """Return whether some run ends with a leader that lacks or contradicts an earlier committed entry."""
     solver, states = all_runs(steps, rules)
     end = states[-1]
     lacks = [
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -49,12 +49,12 @@
     if name not in ("running", "undoing"):
         return []
     end = "old" if back else "new"
-    wrong = [place for place, version in ((1, one), (2, two)) if version != end]
+    wrong = [target for target, version in ((1, one), (2, two)) if version != end]
     if not wrong:
         found.append(("undone" if back else "done", back, 0, one, two, attempts))
     elif attempts < MAX_ATTEMPTS * 2 or "attempts" in omitted:
         more = 0 if "attempts" in omitted else 1
-        found += [(name, back, place, one, two, attempts + more) for place in wrong]
+        found += [(name, back, target, one, two, attempts + more) for target in wrong]
     else:
         found.append(("halted", back, 0, one, two, attempts))
     if name == "running":
@@ -99,7 +99,7 @@
 
 
 def always_ends(omitted: Iterable[str] = ()) -> bool:
-    """Tell whether there is a rank that every step makes smaller."""
+    """Return whether there is a rank that every step makes smaller."""
     states = reached(omitted)
     rank = {state: z3.Int("/".join(map(str, state))) for state in states}
     solver = z3.Solver()
@@ -114,7 +114,7 @@
 
 
 def both_applied(count: int, rules: set[str]) -> bool:
-    """Tell whether within so many moves a step is applied twice, or applied for an expired lease.
+    """Return whether within so many moves a step is applied twice, or applied for an expired lease.
 
     A controller knows a fencing token and a step; what it proposes may be in flight for any time, and be
     proposed once more. `rules`: fence, step; what the state machine checks.
@@ -132,7 +132,7 @@
             move
             for controller in "01"
             for move in (
-                _lease_moves_over(before, after, controller, bad[number], bad[number + 1]),
+                _lease_transferred(before, after, controller, bad[number], bad[number + 1]),
                 _next_step_proposed(before, after, controller, bad[number], bad[number + 1]),
                 _step_applied(before, after, controller, rules, bad[number], bad[number + 1]),
             )
@@ -146,7 +146,7 @@
     return [after[name] == before[name] for name in VARIABLES if name not in changed]
 
 
-def _lease_moves_over(
+def _lease_transferred(
     before: Variables, after: Variables, controller: str, bad: z3.BoolRef, bad_after: z3.BoolRef
 ) -> z3.BoolRef:
     return z3.And(
--- a/tests/models/test_models.py
+++ b/tests/models/test_models.py
@@ -28,9 +28,9 @@
     def test_nobody_starts_a_permit_after_it_has_expired(self):
         terms = PermitTimeouts()
         good, lapse = terms.validity / 1e9, terms.expiry / 1e9
-        self.assertFalse(disruption.begun_after_lapse(good, lapse, terms.drift))
-        self.assertTrue(disruption.begun_after_lapse(good, good, terms.drift))
-        self.assertTrue(disruption.begun_after_lapse(good, lapse, terms.drift, "came"))
+        self.assertFalse(disruption.started_after_expiry(good, lapse, terms.drift))
+        self.assertTrue(disruption.started_after_expiry(good, good, terms.drift))
+        self.assertTrue(disruption.started_after_expiry(good, lapse, terms.drift, "came"))
 
     def test_leader_is_never_sure_beyond_its_lease(self):
         timeouts = RaftTimeouts()
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -222,9 +222,9 @@
         self.assertTrue(model.old_after_in_force(lease, lease, DRIFT))
 
     def test_withdrawn_version_was_never_used_by_two_rules_that_are_both_needed(self):
-        self.assertFalse(model.not_made_and_used({"decided first", "decided stays"}))
-        self.assertTrue(model.not_made_and_used({"decided first"}))
-        self.assertTrue(model.not_made_and_used({"decided stays"}))
+        self.assertFalse(model.withdrawn_and_used({"decided first", "decided stays"}))
+        self.assertTrue(model.withdrawn_and_used({"decided first"}))
+        self.assertTrue(model.withdrawn_and_used({"decided stays"}))
 
 
 if __name__ == "__main__":
