--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -1,7 +1,7 @@
-"""Five voters of twelve agents as processes under random faults: what is lost, doubled, unavailable, unled.
+"""Five voters of twelve agents as processes under random faults: orders lost or doubled, leaderless time.
 
-A prober looks who leads; an operator submits orders; a fault comes every one to three seconds,
-one at a time.
+A prober polls who leads; an operator submits orders; a fault is injected every one to three seconds, one at
+a time.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 class AgreementRun:
-    """Faults, a prober and an operator on one rig, and what they saw. Times in seconds."""
+    """Faults, a prober and an operator on one rig, and what they observed. Times in seconds."""
 
     def __init__(self, rig: ProcessRig, seed: int) -> None:
-        """Nothing has happened yet."""
+        """Use an open rig; nothing is injected yet."""
         self.rig, self.random = rig, Random(seed)
         self.faults: Counter[str] = Counter()
         self.accepted: dict[str, float] = {}  # until it was committed, by order
@@ -168,7 +168,7 @@
         await self.rig.wait_until(f"{host} votes again", votes)
 
     async def probe_leader(self) -> None:
-        """Note for how long nobody leads, until the run is finished."""
+        """Record how long there is no leader, until the run is finished."""
         started = 0.0
         while not self.finished:
             answers, _ = await self.rig.clients.request_each(
@@ -218,7 +218,7 @@
             return
 
     async def lost_orders(self) -> list[str]:
-        """The accepted orders that the control plane doesn't know any more."""
+        """Return the accepted orders that the control plane has lost."""
         known = {order.order_id for order in (await self.rig.fleet_status()).orders}
         lost = []
         for order_id in self.accepted:
@@ -249,9 +249,7 @@
             await rig.open()
             await rig.wait_for_leader()
             took = await rig.wait_until_serving()
-            print_line(
-                f"twelve agents, five of them keepers; all serve {took:.1f} s after there was a leader"
-            )
+            print_line(f"twelve agents, five of them voters; all serve {took:.1f} s after there was a leader")
             tasks = [asyncio.ensure_future(run.probe_leader()), asyncio.ensure_future(run.operate())]
             await run.inject_faults(time.monotonic() + seconds)
             run.finished = True
@@ -266,7 +264,7 @@
 
 
 def figures_of(run: AgreementRun, folder: str) -> dict[str, Any]:
-    """The figures under the names that their file has."""
+    """Return the figures with the keys of the journal."""
     groups = audit_groups(HOSTS, SITES, MAX_UNAVAILABLE, FLEET_MAX_UNAVAILABLE)
     audit = audit_logs(folder, HOSTS, groups, KNOWN_AFTER)
     after_death = [
@@ -288,7 +286,7 @@
 
 
 def doubled_drains(folder: str) -> int:
-    """How many processes were drained twice with no cancel between."""
+    """Return how many processes were drained twice with no cancel between."""
     drained: set[tuple[str, int]] = set()
     doubled = 0
     for _, kind, fields in read_events(folder, HOSTS):
@@ -311,7 +309,7 @@
     print_line(f"{figures['taken']} orders taken; faults {figures['faults']}")
     if figures["agreed_s"]:
         print_line(
-            f"agreed with nothing wrong after {1000 * statistics.median(figures['agreed_s']):.0f} ms in the"
+            f"committed without a fault after {1000 * statistics.median(figures['agreed_s']):.0f} ms in the"
             f" median of {len(figures['agreed_s'])}"
         )
     if figures["after_death_s"]:
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -1,8 +1,8 @@
 """Compliant clients beside a crawler at 1, 10 and 100 times its share, on a real node, fairness off and on.
 
 The node is real, on loopback; its engine has the cores named, so that what it can do in a second is known.
-Before that, in simulated time: memory and time of the measures with 10 to 1,000,000 clients, and what other
-measures would cost.
+Before that, in simulated time: memory and time of the heavy hitters with 10 to 1,000,000 clients, and the
+cost of other sketches.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from oakkeel.fakes.site import FakeSite
 
 SECOND = 1_000_000_000
-CORES, WORK = 2, 0.02  # the engine's, and seconds of a run: it can do a hundred in a second
-GOOD, EACH = 10, 10.0  # compliant clients, and what each asks for in a second
-GROUP = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
-SHARE = CORES / WORK / (GOOD + 1)
+CORES, WORK = 2, 0.02  # the engine's, and seconds of a run: capacity of a hundred a second
+COMPLIANT, RATE = 10, 10.0  # compliant clients, and requests a second of each
+REQUEST_CLASS = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
+SHARE = CORES / WORK / (COMPLIANT + 1)
 
 
-async def play(fair: bool, times: int, seconds: float, seed: int) -> dict[str, Any]:
-    """Play compliant clients beside a crawler at so many times its share; return what each got."""
+async def measure_crawler(fair: bool, times: int, seconds: float, seed: int) -> dict[str, Any]:
+    """Run compliant clients beside a crawler at so many times its share; return what each obtained."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, seed=seed, work=WORK, max_retry_after=5)
         await site.open()
@@ -44,9 +44,11 @@
         node, address = await start_node(folder, fair)
         stderr = asyncio.ensure_future(required(node.stderr).read())
         await asyncio.sleep(0.5)
-        good = [PoliteClient(f"good-{number}", address, EACH, seed + number) for number in range(GOOD)]
+        compliant = [
+            PoliteClient(f"good-{number}", address, RATE, seed + number) for number in range(COMPLIANT)
+        ]
         crawler = CrawlerClient("crawler", address, SHARE * times, seed + 99)
-        clients = [*good, crawler]
+        clients = [*compliant, crawler]
         for client in clients:
             await client.start()
         await asyncio.sleep(4.0)
@@ -54,8 +56,8 @@
             client.reset_counts()
         cpu, started = cpu_of(node.pid), time.monotonic()
         await asyncio.sleep(seconds)
-        took, cpu = time.monotonic() - started, cpu_of(node.pid) - cpu
-        figures = obtained(good, crawler, took)
+        elapsed, cpu = time.monotonic() - started, cpu_of(node.pid) - cpu
+        figures = obtained(compliant, crawler, elapsed)
         attempts = sum(client.tries for client in clients)
         for client in clients:
             await client.stop()
@@ -89,32 +91,32 @@
     return node, ("127.0.0.1", int(line.rsplit(b":", 1)[1]))
 
 
-def obtained(good: list[PoliteClient], crawler: CrawlerClient, took: float) -> dict[str, Any]:
+def obtained(compliant: list[PoliteClient], crawler: CrawlerClient, elapsed: float) -> dict[str, Any]:
     """Return what each client got of its fair share in so many seconds."""
-    done = [client.completed / took for client in (*good, crawler)]
-    sent = [client.sent / took for client in (*good, crawler)]
+    done = [client.completed / elapsed for client in (*compliant, crawler)]
+    sent = [client.sent / elapsed for client in (*compliant, crawler)]
     shares = fair_share(sent, max(sum(done), 1.0))
-    kept = [min(1.0, got / share) for got, share in zip(done[:-1], shares[:-1], strict=True)]
+    obtained_shares = [min(1.0, rate / share) for rate, share in zip(done[:-1], shares[:-1], strict=True)]
     return {
-        "kept_mean": statistics.mean(kept),
-        "kept_least": min(kept),
+        "kept_mean": statistics.mean(obtained_shares),
+        "kept_least": min(obtained_shares),
         "jain": jain(done[:-1]),
         "crawler_a_second": done[-1],
         "completed_a_second": sum(done),
-        "returned": sum(client.returned for client in good),
-        "went_ahead": sum(client.went_ahead for client in good),
+        "returned": sum(client.returned for client in compliant),
+        "went_ahead": sum(client.went_ahead for client in compliant),
     }
 
 
 def cpu_of(pid: int) -> float:
     """Return the seconds of CPU time that a process has taken."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
-        words = file.read().rpartition(")")[2].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+        fields = file.read().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-class Exact:
-    """A counter for each flow: what a bound on memory is measured against."""
+class ExactCounts:
+    """A counter for each flow: the baseline that bounded memory is compared with."""
 
     def __init__(self) -> None:
         """Start with nothing counted."""
@@ -128,8 +130,8 @@
 class CountMin:
     """Count-min with conservative update: four rows of 512.
 
-    G. Cormode, S. Muthukrishnan 2005; C. Estan, G. Varghese 2002. It tells how much, but not who: it needs a
-    table of the heavy ones beside it.
+    G. Cormode, S. Muthukrishnan 2005; C. Estan, G. Varghese 2002. It estimates
+    counts but does not list flows: it needs a table of heavy hitters beside it.
     """
 
     def __init__(self, rows: int = 4, columns: int = 512) -> None:
@@ -148,7 +150,8 @@
 class HashedFlows:
     """Deficit round robin over 512 hashed queues, reduced to its counting.
 
-    P. McKenney 1990; M. Shreedhar, G. Varghese 1995. Whoever shares a queue with a heavy one is served alike.
+    P. McKenney 1990; M. Shreedhar, G. Varghese 1995. Flows in the queue of a heavy hitter are
+    served like it.
     """
 
     def __init__(self, queues: int = 512) -> None:
@@ -161,17 +164,17 @@
 
 
 def keys_of(clients: int, seed: int, count: int = 200_000) -> list[int]:
-    """Return the keys that arrive: one in ten of one heavy flow, the others of any."""
-    chance = random.Random(seed)
-    names = [chance.getrandbits(60) for _ in range(clients)]
-    return [names[0 if chance.random() < 0.1 else int(chance.random() * clients)] for _ in range(count)]
+    """Return the keys that arrive: one in ten of one heavy flow, the others of random flows."""
+    generator = random.Random(seed)
+    names = [generator.getrandbits(60) for _ in range(clients)]
+    return [names[0 if generator.random() < 0.1 else int(generator.random() * clients)] for _ in range(count)]
 
 
-def measures(seed: int) -> list[dict[str, Any]]:
+def measure_sketches(seed: int) -> list[dict[str, Any]]:
     """Measure memory and time of each kind of table."""
     kinds: dict[str, Callable[[], Any]] = {
         "space-saving, 256": lambda: HeavyHitters(256, 4 * SECOND),
-        "exact": Exact,
+        "exact": ExactCounts,
         "count-min, 4 x 512": CountMin,
         "hashed flows, 512": HashedFlows,
     }
@@ -185,9 +188,9 @@
                 table.add(number * 100_000, key, 1.0)
             spent = time.perf_counter_ns() - started
             tracemalloc.start()
-            again = make()
+            traced = make()
             for number, key in enumerate(keys):
-                again.add(number * 100_000, key, 1.0)
+                traced.add(number * 100_000, key, 1.0)
             memory = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             rows.append(
@@ -196,14 +199,14 @@
     return rows
 
 
-def decisions(seed: int) -> list[dict[str, Any]]:
+def measure_decisions(seed: int) -> list[dict[str, Any]]:
     """Measure `FairSharing.arrive` in all, with the shares allocated five times a second."""
     rows = []
     for clients in (10, 1_000_000):
         fair = FairSharing(FairSharingRules(("tenant", "client"), {}), True, random.Random(seed).random)
         requests = [
             Request(
-                GROUP,
+                REQUEST_CLASS,
                 None,
                 0,
                 10.0,
@@ -223,44 +226,55 @@
     return rows
 
 
-def main() -> int:
-    """Measure, print and record; 1 where compliant clients or reservations come off too badly."""
-    arguments = parse_arguments(__doc__ or "", seconds=10.0, rounds=2, seed=17)
-    sizes = measures(arguments.seed)
+def print_costs(sizes: list[dict[str, Any]], decisions: list[dict[str, Any]]) -> None:
+    """Print memory and time of the sketches, and time of the decisions."""
     for row in sizes:
         print_line(
             f"  {row['clients']:9,} clients, {row['measure']}: {row['kb']:.0f} KB,"
-            f" {row['us']:.2f} us an exchange"
+            f" {row['us']:.2f} us a request"
         )
-    decided = decisions(arguments.seed)
-    for row in decided:
+    for row in decisions:
         print_line(
-            f"  {row['clients']:9,} clients: {row['us']:.1f} us to decide of an exchange, at 1,000 a second"
+            f"  {row['clients']:9,} clients: {row['us']:.1f} us to decide a request, at 1,000 a second"
         )
-    days = []
-    for number in range(arguments.rounds):
+
+
+def measure_crawlers(rounds: int, seconds: float, seed: int) -> list[dict[str, Any]]:
+    """Measure crawlers of three rates, without and with fair sharing, for some rounds."""
+    runs = []
+    for number in range(rounds):
         for times in (1, 10, 100):
             for fair in (False, True):
-                days.append(asyncio.run(play(fair, times, arguments.seconds, arguments.seed + number)))
-                day = days[-1]
+                run = asyncio.run(measure_crawler(fair, times, seconds, seed + number))
+                runs.append(run)
                 print_line(
                     f"  crawler at {times} times its share, {'fair' if fair else 'before'}: kept"
-                    f" {day['kept_mean']:.3f} (least {day['kept_least']:.3f}), Jain {day['jain']:.3f},"
-                    f" crawler {day['crawler_a_second']:.1f} of {day['completed_a_second']:.0f} a second,"
-                    f" as told {day['went_ahead']} of {day['returned']}, {day['cpu_ms_a_try']:.2f} ms a try"
+                    f" {run['kept_mean']:.3f} (least {run['kept_least']:.3f}), Jain {run['jain']:.3f},"
+                    f" crawler {run['crawler_a_second']:.1f} of {run['completed_a_second']:.0f} a second,"
+                    f" as promised {run['went_ahead']} of {run['returned']},"
+                    f" {run['cpu_ms_a_try']:.2f} ms a try"
                 )
-    write_figures(arguments, {"measures": sizes, "decisions": decided, "days": days})
-    fair_days = [day for day in days if day["fair"]]
-    kept = min(day["kept_mean"] for day in fair_days)
-    returned = sum(day["returned"] for day in fair_days)
-    ahead = sum(day["went_ahead"] for day in fair_days) / max(1, returned)
-    before = min(day["kept_mean"] for day in days if not day["fair"])
-    print_line(f"before: compliant clients keep {100 * before:.1f} % of it on the worst day")
+    return runs
+
+
+def main() -> int:
+    """Measure, print and record; 1 where compliant clients or reservations are served too badly."""
+    arguments = parse_arguments(__doc__ or "", seconds=10.0, rounds=2, seed=17)
+    sizes, decisions = measure_sketches(arguments.seed), measure_decisions(arguments.seed)
+    print_costs(sizes, decisions)
+    runs = measure_crawlers(arguments.rounds, arguments.seconds, arguments.seed)
+    write_figures(arguments, {"measures": sizes, "decisions": decisions, "days": runs})
+    fair_runs = [run for run in runs if run["fair"]]
+    obtained_share = min(run["kept_mean"] for run in fair_runs)
+    returned = sum(run["returned"] for run in fair_runs)
+    ahead = sum(run["went_ahead"] for run in fair_runs) / max(1, returned)
+    before = min(run["kept_mean"] for run in runs if not run["fair"])
+    print_line(f"before: compliant clients keep {100 * before:.1f} % of it in the worst run")
     print_line(
-        f"fair: compliant clients keep {100 * kept:.1f} % of their fair share,"
+        f"fair: compliant clients keep {100 * obtained_share:.1f} % of their fair share,"
         f" promises kept {100 * ahead:.1f} %"
     )
-    return 1 if kept < 0.9 or ahead < 0.95 or not returned else 0
+    return 1 if obtained_share < 0.9 or ahead < 0.95 or not returned else 0
 
 
 if __name__ == "__main__":
--- a/measure/node.py
+++ b/measure/node.py
@@ -1,7 +1,7 @@
-"""One node, before and after, in turn: resident memory and CPU an exchange at a steady rate.
+"""One node, before and after, alternately: resident memory and CPU a request at a steady rate.
 
 `--before FOLDER` is a checkout of the version to compare with (`git worktree add`); it runs with the same
-interpreter and libraries. `after` is this tree, `linked` the same with its control link open and asked as
+interpreter and libraries. `after` is this tree, `linked` the same with its control link open and polled as
 by an agent.
 """
 
@@ -39,20 +39,20 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """CPU that a process has used."""
+    """Return the seconds of CPU time that a process has used."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def resident_mb(pid: int) -> float:
-    """Memory that a process holds, in MB."""
+    """Return the resident memory of a process, in MB."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * PAGE / 2**20
 
 
 def node_variables(tree: str, kind: str, folder: str) -> dict[str, str]:
-    """The environment of a node of that kind, whose files lie in the folder."""
+    """Return the environment of a node of that kind, whose files are in the folder."""
     variables = {**os.environ, "PROXY_CONFIG": os.path.join(folder, "n1.json"), "PYTHONPATH": tree}
     if kind == "fair":
         variables["OAKKEEL_TOLD"] = os.path.join(folder, "n1.told")
@@ -64,7 +64,7 @@
 
 
 def control_path(folder: str) -> str:
-    """The socket of the node's control link."""
+    """Return the path of the socket of the node's control link."""
     return os.path.join(folder, "n1.sock")
 
 
@@ -76,12 +76,12 @@
     cpu, answered, started = cpu_seconds(pid), dispatcher.answered, time.monotonic()
     await asyncio.sleep(seconds)
     cpu, answered = cpu_seconds(pid) - cpu, dispatcher.answered - answered
-    resident, took = resident_mb(pid), time.monotonic() - started
+    resident, elapsed = resident_mb(pid), time.monotonic() - started
     await dispatcher.stop()
     return {
         "resident_mb": resident,
         "ms_an_exchange": 1000 * cpu / answered,
-        "rate": answered / took,
+        "rate": answered / elapsed,
         "lost": dispatcher.counts["lost"] + dispatcher.counts["late"],
     }
 
@@ -121,7 +121,7 @@
 
 
 async def measure(before: str, rounds: int, rate: float, seconds: float) -> dict[str, list[dict[str, float]]]:
-    """Measure each kind in turn, round after round."""
+    """Measure each kind once a round."""
     here = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
     kinds = {"before": before, "after": here, "linked": here, "fair": here}
     found: dict[str, list[dict[str, float]]] = {name: [] for name, tree in kinds.items() if tree}
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -21,6 +21,7 @@
 from oakkeel.agent import messages
 from oakkeel.agent.artifacts import version_of
 from oakkeel.fakes.catalogue import Catalogue
+from oakkeel.fakes.control_plane import UnexpectedResponseError
 from oakkeel.fakes.dispatcher import Dispatcher, SentRequest
 from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.rig import ProcessRig
@@ -32,7 +33,7 @@
 SITES = {host: ("woodbrook", "belmont")[number % 2] for number, host in enumerate(HOSTS)}
 VOTERS = ("h1", "h2", "h3")
 NAMES = [name for names in HOSTS.values() for name in names]
-AWAY, FLEET = 4, 7  # a service takes six nodes with it
+MAX_UNAVAILABLE, FLEET_MAX_UNAVAILABLE = 4, 7  # a service makes six nodes unavailable
 GROUPS: list[dict[str, Any]] = NODE_SETTINGS["classes"]  # type: ignore[assignment]
 WEIGHTS = {str(group["name"]): float(group.get("worth", 1.0)) for group in GROUPS}
 SERVICE_OF = {name: ("db1", "db2")[number % 2] for number, name in enumerate(NAMES)}
@@ -64,7 +65,7 @@
         self.dispatchers = [
             WeighingDispatcher(number, self.open_nodes, rate / 2, seed + number) for number in (1, 2)
         ]
-        self.following: asyncio.Task[None] | None = None
+        self.follower: asyncio.Task[None] | None = None
 
     def open_nodes(self) -> dict[str, Address]:
         """Return the addresses of the nodes that the directory lists."""
@@ -73,7 +74,7 @@
 
     async def start(self) -> None:
         """Begin to send."""
-        self.following = asyncio.ensure_future(self._follow())
+        self.follower = asyncio.ensure_future(self._follow())
         await asyncio.sleep(0.5)
         for dispatcher in self.dispatchers:
             dispatcher.start()
@@ -111,8 +112,8 @@
 
     async def stop(self) -> None:
         """Stop sending."""
-        if self.following:
-            self.following.cancel()
+        if self.follower:
+            self.follower.cancel()
         for dispatcher in self.dispatchers:
             await dispatcher.stop()
 
@@ -128,10 +129,10 @@
         self.killed: set[str] = set()
         self.stopped_services: list[Catalogue] = []  # replaced, with connections open until the end
         self.controller_kills = 0
-        self.most_out, self.most_placed = 0, 0
+        self.most_out, self.most_with_permit = 0, 0
         self.finished = False
 
-    async def ask(self, request: messages.Request) -> messages.Response:
+    async def request_leader(self, request: messages.Request) -> messages.Response:
         """Return the leader's response, however often the leader changes."""
         while True:
             try:
@@ -140,54 +141,64 @@
                 await asyncio.sleep(0.05)
 
     async def watch(self) -> None:
-        """Watch what is out as the leader knows it, and of that what holds a permit."""
+        """Record how many nodes the leader knows as unavailable, and how many of these by a permit."""
         while not self.finished:
             try:
                 out = (await self.rig.fleet_status()).unavailable
-                placed = {entry.target for entry in out if entry.fence}
-                hanging = {name for name, on in SERVICE_OF.items() if on in placed}
-                self.most_placed = max(self.most_placed, len(placed & set(NAMES) | hanging))
+                with_permit = {entry.target for entry in out if entry.fence}
+                dependent = {name for name, on in SERVICE_OF.items() if on in with_permit}
+                self.most_with_permit = max(self.most_with_permit, len(with_permit & set(NAMES) | dependent))
                 known = [entry for entry in out if entry.target in NAMES and entry.reasons != ["not known"]]
                 self.most_out = max(self.most_out, len(known))
-            except (NoLeaderError, AssertionError):
+            except (NoLeaderError, UnexpectedResponseError):
                 pass
             await asyncio.sleep(0.03)
 
     async def release(
-        self, ident: str, spec: VersionSpec, targets: list[str], policy: RolloutPolicy, kills: int, nodes: int
+        self,
+        release_id: str,
+        spec: VersionSpec,
+        targets: list[str],
+        policy: RolloutPolicy,
+        kills: int,
+        nodes: int,
     ) -> messages.ReleaseStatus:
-        """Start a release, inject faults on the way, and follow it to its end."""
-        answer = await self.ask(messages.StartReleaseRequest(ident, spec, policy, targets))
-        assert isinstance(answer, messages.ReleaseStatus), answer
-        last, due, step_kills = -1, 2, 0
+        """Start a release, kill controllers and nodes on the way, and follow it to its end."""
+        answer = await self.request_leader(messages.StartReleaseRequest(release_id, spec, policy, targets))
+        _required_status(answer)
+        last_step, next_kill, step_kills = -1, 2, 0
         while True:
-            status = await self.ask(messages.ReleaseStatusRequest(ident))
-            assert isinstance(status, messages.ReleaseStatus), status
+            answer = await self.request_leader(messages.ReleaseStatusRequest(release_id))
+            status = _required_status(answer)
             if status.state in ("done", "undone", "left"):
                 return status
             if status.state == "halted":
-                print_line(f"  {ident} is halted: {status.why}; resumed")
-                await self.ask(messages.ControlReleaseRequest(ident, "resume"))
-            if status.step > last and status.step >= due and step_kills < kills:
-                leader = await self.rig.wait_for_leader()
-                await self.rig.kill_agent(leader)
-                step_kills, self.controller_kills, due = (
-                    step_kills + 1,
-                    self.controller_kills + 1,
-                    status.step + 1,
-                )
-                await asyncio.sleep(self.random.uniform(0.1, 0.5))
-                await self.rig.start_agent(leader)
+                print_line(f"  {release_id} is halted: {status.why}; resumed")
+                await self.request_leader(messages.ControlReleaseRequest(release_id, "resume"))
+            if status.step > last_step and status.step >= next_kill and step_kills < kills:
+                await self._kill_controller()
+                step_kills += 1
+                next_kill = status.step + 1
             if status.batch >= 2 and nodes and self.random.random() < 0.2:
-                name = self.random.choice([entry for entry in NAMES if entry not in self.killed])
-                self.killed.add(name)
-                self.rig.kill_node(name)
+                self._kill_node()
                 nodes -= 1
-            last = status.step
+            last_step = status.step
             if spec.services:
                 await self.replace(status)
             await asyncio.sleep(0.05)
 
+    async def _kill_controller(self) -> None:
+        leader = await self.rig.wait_for_leader()
+        await self.rig.kill_agent(leader)
+        self.controller_kills += 1
+        await asyncio.sleep(self.random.uniform(0.1, 0.5))
+        await self.rig.start_agent(leader)
+
+    def _kill_node(self) -> None:
+        name = self.random.choice([entry for entry in NAMES if entry not in self.killed])
+        self.killed.add(name)
+        self.rig.kill_node(name)
+
     async def replace(self, status: messages.ReleaseStatus) -> None:
         """Replace each service that holds a permit, as an operator would."""
         for target in status.targets:
@@ -195,7 +206,7 @@
                 continue
             try:
                 out = (await self.rig.fleet_status()).unavailable
-            except (NoLeaderError, AssertionError):
+            except (NoLeaderError, UnexpectedResponseError):
                 return
             if not any(entry.target == target.target and entry.fence for entry in out):
                 continue
@@ -207,8 +218,14 @@
             await new.open(self.ports[target.target])
 
 
+def _required_status(answer: messages.Response) -> messages.ReleaseStatus:
+    if not isinstance(answer, messages.ReleaseStatus):
+        raise UnexpectedResponseError(f"no status of the release: {answer}")
+    return answer
+
+
 def program(folder: str, name: str) -> VersionSpec:
-    """The program as it is, with one line more: another content, which behaves the same."""
+    """Return a version of the present program with one more file: other content, the same behaviour."""
     path = os.path.join(folder, name)
     shutil.copytree(
         os.path.dirname(oakkeel.__file__),
@@ -228,11 +245,11 @@
     site = FakeSite(
         folder,
         HOSTS,
-        AWAY,
+        MAX_UNAVAILABLE,
         seed,
         sites=SITES,
         replicas=VOTERS,
-        fleet_max_unavailable=FLEET,
+        fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
         downstream=f'<below><kind name="db" away="1">{services}</kind></below>',
         dependencies=SERVICE_OF,
         supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
@@ -261,7 +278,7 @@
                 await service.close()
 
 
-async def _release_in_turn(
+async def _release_both(
     run: RolloutRun, folder: str, gated: bool
 ) -> tuple[messages.ReleaseStatus, messages.ReleaseStatus]:
     policy = RolloutPolicy(
@@ -281,18 +298,18 @@
 async def _release_all(run: RolloutRun, load: Load, folder: str, gated: bool) -> dict[str, Any]:
     """Release the nodes, then the services, and return what was measured."""
     await load.start()
-    watching = asyncio.ensure_future(run.watch())
+    observer = asyncio.ensure_future(run.watch())
     await asyncio.sleep(3.0)
     before, weights = load.counts, load.weights
     started = time.monotonic()
-    first, second = await _release_in_turn(run, folder, gated)
+    first, second = await _release_both(run, folder, gated)
     took = time.monotonic() - started
     counts = load.counts - before
     offered, earned = (now - then for now, then in zip(load.weights, weights, strict=True))
     lost = load.lost_except(run.killed)
     await run.rig.wait_until_serving(timeout=60)
     run.finished = True
-    await watching
+    await observer
     await load.stop()
     rows = await run.rig.instance_statuses()
     versions = [row.report.version if row.report else "" for row in rows.values()]
@@ -304,7 +321,7 @@
         "counts": dict(counts),
         "lost": lost,
         "kept": earned / max(1.0, offered),
-        "most_placed": run.most_placed,
+        "most_placed": run.most_with_permit,
         "most_out": run.most_out,
         "driver_kills": run.controller_kills,
         "killed": sorted(run.killed),
@@ -323,17 +340,17 @@
         print_line(
             f"{label}: {run['ends']} in {run['seconds']:.1f} s,"
             f" batches {run['batches']}, {run['new']} of 12 run the new, driver killed"
-            f" {run['driver_kills']} times, {', '.join(run['killed'])} killed, out with places"
+            f" {run['driver_kills']} times, {', '.join(run['killed'])} killed, out with permits"
             f" {run['most_placed']}, out in all {run['most_out']}, {run['counts']}, benefit kept"
             f" {100 * run['kept']:.1f} %"
         )
     first = figures[0]
     good = first["lost"] == 0 and first["new"] == 12 and first["ends"] == ["done", "done"]
     print_line(
-        f"rollout: done in {first['seconds']:.1f} s, at most {first['most_placed']} of {FLEET} out,"
-        f" {first['lost']} lost, benefit kept {100 * first['kept']:.1f} %"
+        f"rollout: done in {first['seconds']:.1f} s, at most {first['most_placed']} of"
+        f" {FLEET_MAX_UNAVAILABLE} out, {first['lost']} lost, benefit kept {100 * first['kept']:.1f} %"
     )
-    return 0 if good and first["most_placed"] <= FLEET else 1
+    return 0 if good and first["most_placed"] <= FLEET_MAX_UNAVAILABLE else 1
 
 
 if __name__ == "__main__":
