--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -1,4 +1,4 @@
-"""What the agent tells of its instances, its orders and the record, each fact with its age."""
+"""Status of the instances, orders and control plane of an agent, with the age of what was observed."""
 
 from __future__ import annotations
 
@@ -10,11 +10,15 @@
 from oakkeel.agent.raft_runtime import RaftRuntime
 from oakkeel.agent.status_reporter import StatusReporter
 from oakkeel.agent.supervisor import Supervisor
-from oakkeel.disruption.state import DisruptionOrder as Agreed
+from oakkeel.disruption.allocator import PermitAllocator
+from oakkeel.disruption.control_plane import ControlPlaneReplica
+from oakkeel.disruption.state import DisruptionOrder
 from oakkeel.raft.leader import NEVER
+from oakkeel.raft.messages import Member
 from oakkeel.raft.proposals import NotLeaderError
+from oakkeel.raft.replica import Replica
 from oakkeel.rollout.controller import RolloutController
-from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
+from oakkeel.rollout.state_machine import LEASE, Release, RolloutStateMachine
 from oakkeel.settings.types import HostSettings
 
 
@@ -35,7 +39,7 @@
         host.max_unavailable,
         supervision.unavailable[host.site],
         notes,
-        [_instance_status(now, each, pids.get(each, 0)) for each in supervision.instances],
+        [_instance_status(now, instance, pids.get(instance, 0)) for instance in supervision.instances],
     )
 
 
@@ -84,54 +88,19 @@
     return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, tasks)
 
 
-# The record.
+# The control plane.
 
 
 def raft_status(
     now: int, host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None
 ) -> messages.RaftStatus:
     """The state of the replica here, or of none."""
-    heard = (
-        now - status_reporter.last_response_at if status_reporter and status_reporter.last_response_at else -1
-    )
+    contact_age = -1
+    if status_reporter and status_reporter.last_response_at:
+        contact_age = now - status_reporter.last_response_at
     if raft is None or raft.control_plane is None:
-        why = (
-            raft.storage_error
-            if raft
-            else status_reporter.why
-            if status_reporter
-            else "this fleet has no keepers"
-        )
-        return messages.RaftStatus(
-            host,
-            "none",
-            0,
-            "",
-            0,
-            status_reporter.leader if status_reporter and heard >= 0 else "",
-            False,
-            0,
-            0,
-            0,
-            heard,
-            [],
-            why,
-        )
+        return _status_without_replica(host, raft, status_reporter, contact_age)
     replica = raft.control_plane.replica
-    peers = replica.leader_state.peers if replica.leader_state else {}
-    members = []
-    for each in replica.members:
-        peer = peers.get(each.incarnation)
-        mine = each.incarnation == replica.incarnation
-        behind = 0 if mine else replica.log.last_index - peer.match_index if peer else -1
-        age = (
-            0
-            if mine
-            else now - peer.acknowledged_sent_at
-            if peer and peer.acknowledged_sent_at > -NEVER
-            else -1
-        )
-        members.append(messages.MemberStatus(each.name, each.incarnation, each.is_voter, behind, age))
     return messages.RaftStatus(
         host,
         replica.role.value,
@@ -143,13 +112,38 @@
         replica.commit_index,
         replica.log.last_index,
         replica.elections_won,
-        heard,
-        members,
+        contact_age,
+        [_member_status(now, replica, member) for member in replica.members],
         replica.stale_reason or (status_reporter.why if status_reporter else ""),
     )
 
 
-def fleet_order_status(raft: RaftRuntime, order: Agreed) -> messages.FleetOrderStatus:
+def _status_without_replica(
+    host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None, contact_age: int
+) -> messages.RaftStatus:
+    """Where no replica runs: the leader that was heard last, and why there is none here."""
+    if raft:
+        why = raft.storage_error
+    else:
+        why = status_reporter.why if status_reporter else "this fleet has no keepers"
+    leader = status_reporter.leader if status_reporter and contact_age >= 0 else ""
+    return messages.RaftStatus(host, "none", 0, "", 0, leader, False, 0, 0, 0, contact_age, [], why)
+
+
+def _member_status(now: int, replica: Replica, member: Member) -> messages.MemberStatus:
+    """How far a member is behind, and how old its last acknowledgement is; -1: not known here."""
+    peer = replica.leader_state.peers.get(member.incarnation) if replica.leader_state else None
+    behind = age = -1
+    if member.incarnation == replica.incarnation:
+        behind = age = 0
+    elif peer:
+        behind = replica.log.last_index - peer.match_index
+        if peer.acknowledged_sent_at > -NEVER:
+            age = now - peer.acknowledged_sent_at
+    return messages.MemberStatus(member.name, member.incarnation, member.is_voter, behind, age)
+
+
+def fleet_order_status(raft: RaftRuntime, order: DisruptionOrder) -> messages.FleetOrderStatus:
     """A fleet order with the permits of its targets."""
     permits, hosts, in_flight = {}, {}, {}
     if raft.control_plane:
@@ -182,84 +176,62 @@
     )
 
 
-def fleet_status(now: int, raft: RaftRuntime, ident: str) -> messages.Response:
-    """Raises NotLeading: only a leader whose lease holds knows what is so by now."""
+def _leading(now: int, raft: RaftRuntime) -> tuple[ControlPlaneReplica, PermitAllocator]:
+    """Raises NotLeaderError: only a leader whose lease holds knows the present state."""
     control_plane = raft.control_plane
     if control_plane is None or control_plane.allocator is None or not control_plane.replica.holds_lease(now):
         raise NotLeaderError(
             control_plane.replica.leader if control_plane and not control_plane.replica.leader_state else ""
         )
-    held, out = control_plane.state_machine.state, control_plane.allocator.unavailable
-    if ident:
-        if ident not in held.orders:
-            return messages.ErrorResponse(f"there is no order {ident}")
-        order_status_message = fleet_order_status(raft, held.orders[ident])
-        return messages.FleetStatus(control_plane.state_machine.index, [], [], [order_status_message])
-    hosts = control_plane.allocator.host_of
+    return control_plane, control_plane.allocator
+
+
+def fleet_status(now: int, raft: RaftRuntime, order_id: str) -> messages.Response:
+    """What is unavailable, with budgets and the latest orders; or one order. Raises NotLeaderError."""
+    control_plane, allocator = _leading(now, raft)
+    index, state = control_plane.state_machine.index, control_plane.state_machine.state
+    if order_id:
+        if order_id not in state.orders:
+            return messages.ErrorResponse(f"there is no order {order_id}")
+        return messages.FleetStatus(index, [], [], [fleet_order_status(raft, state.orders[order_id])])
     targets = []
-    for target, reasons in sorted(out.reasons.items()):
-        permit = held.permits.get(target)
+    for target, reasons in sorted(allocator.unavailable.reasons.items()):
+        permit = state.permits.get(target)
         targets.append(
             messages.UnavailableTarget(
                 target,
-                hosts.get(target, ""),
+                allocator.host_of.get(target, ""),
                 sorted(reasons),
                 permit.fencing_token if permit else 0,
                 permit.order_id if permit else "",
             )
         )
     groups = [
-        messages.BudgetUsage(name, out.counts[name], group.max_unavailable)
-        for name, group in out.groups.items()
+        messages.BudgetUsage(name, allocator.unavailable.counts[name], group.max_unavailable)
+        for name, group in allocator.unavailable.groups.items()
     ]
-    latest = list(held.orders.values())[-50:]
+    latest = list(state.orders.values())[-50:]
     return messages.FleetStatus(
-        control_plane.state_machine.index,
-        groups,
-        targets,
-        [fleet_order_status(raft, each) for each in reversed(latest)],
+        index, groups, targets, [fleet_order_status(raft, order) for order in reversed(latest)]
     )
 
 
-def release_status(now: int, raft: RaftRuntime, ident: str) -> messages.Response:
-    """Raises NotLeading, as `state_told` does."""
-    control_plane = raft.control_plane
-    if control_plane is None or control_plane.allocator is None or not control_plane.replica.holds_lease(now):
-        raise NotLeaderError(
-            control_plane.replica.leader if control_plane and not control_plane.replica.leader_state else ""
-        )
+def release_status(now: int, raft: RaftRuntime, release_id: str) -> messages.Response:
+    """One release, or the open or latest one. Raises NotLeaderError, as `fleet_status` does."""
+    control_plane, allocator = _leading(now, raft)
     state_machine, controller = control_plane.state_machine, control_plane.extension
     assert isinstance(state_machine, RolloutStateMachine) and isinstance(controller, RolloutController)
     releases = state_machine.state.releases
-    release = (
-        releases.get(ident)
-        if ident
-        else state_machine.open_release or next(reversed(releases.values()), None)
-    )
+    if release_id:
+        release = releases.get(release_id)
+    else:
+        release = state_machine.open_release or next(reversed(releases.values()), None)
     if release is None:
-        return messages.ErrorResponse(f"there is no release {ident}" if ident else "there was no release yet")
-    order = state_machine.state.orders.get(release.order_id)
-    lease = state_machine.state.leases.get(LEASE)
-    tasks = []
-    for target, task in release.targets.items():
-        seen = controller.observations.targets.get(target)
-        why = (
-            order.tasks[target].reason
-            if order and target in order.tasks and target in release.in_progress
-            else ""
+        return messages.ErrorResponse(
+            f"there is no release {release_id}" if release_id else "there was no release yet"
         )
-        tasks.append(
-            messages.ReleaseTargetStatus(
-                target,
-                control_plane.allocator.host_of.get(target, ""),
-                task.state,
-                seen.version if seen else "",
-                seen.phase if seen else "unknown",
-                now - seen.observed_at if seen else -1,
-                why,
-            )
-        )
-    others = [(each.ident, each.state) for each in releases.values() if each is not release][-5:]
+    lease = state_machine.state.leases.get(LEASE)
+    others = [(other.ident, other.state) for other in releases.values() if other is not release]
     return messages.ReleaseStatus(
         release.ident,
         release.operator,
@@ -272,6 +244,33 @@
         release.summary,
         "" if release.is_finished else controller.why,
         lease.holder.partition(".")[0] if lease else "",
-        tasks,
-        others,
+        _release_targets(now, release, state_machine.state.orders, controller, allocator),
+        others[-5:],
     )
+
+
+def _release_targets(
+    now: int,
+    release: Release,
+    orders: dict[str, DisruptionOrder],
+    controller: RolloutController,
+    allocator: PermitAllocator,
+) -> list[messages.ReleaseTargetStatus]:
+    """The targets of a release with what was observed of them last."""
+    order = orders.get(release.order_id)
+    targets = []
+    for target, task in release.targets.items():
+        observed = controller.observations.targets.get(target)
+        waits = order and target in order.tasks and target in release.in_progress
+        targets.append(
+            messages.ReleaseTargetStatus(
+                target,
+                allocator.host_of.get(target, ""),
+                task.state,
+                observed.version if observed else "",
+                observed.phase if observed else "unknown",
+                now - observed.observed_at if observed else -1,
+                order.tasks[target].reason if order and waits else "",
+            )
+        )
+    return targets
