--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -13,7 +13,7 @@
 from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_agent_keys, read_keys
-from oakkeel.settings.types import SettingsError
+from oakkeel.settings.types import HostSettings, SettingsError
 
 SOCKET_PATH = 107  # bytes that the path of a Unix socket may have
 
@@ -25,21 +25,7 @@
         host = fleet.host(name)
         keys, agent_keys = read_keys(fleet), read_agent_keys(fleet)
         keys |= {key.ident: key for key in agent_keys.values()}
-        longest = max(len(os.path.join(host.state, each.name + ".sock").encode()) for each in host.instances)
-        if longest > SOCKET_PATH:
-            raise SettingsError(
-                f"{settings}: the state folder of {name} is {longest - SOCKET_PATH} bytes too long"
-            )
-        os.makedirs(host.state, mode=0o700, exist_ok=True)
-        lock = os.open(os.path.join(host.state, "agent.lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        try:
-            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError:
-            raise SettingsError(
-                f"another agent looks after {name} already: process {os.read(lock, 20).decode().strip()}"
-            ) from None
-        os.ftruncate(lock, 0)
-        os.write(lock, f"{os.getpid()}\n".encode())
+        _lock_state_folder(settings, host)
         log = EventLog(f"agent {name}" if form == "console" else name, LOG_LINES, form)
 
         async def run() -> None:
@@ -63,6 +49,25 @@
     return 0
 
 
+def _lock_state_folder(settings: str, host: HostSettings) -> None:
+    """Make the state folder and lock it until this process ends. Raises SettingsError or OSError."""
+    longest = max(len(os.path.join(host.state, f"{each.name}.sock").encode()) for each in host.instances)
+    if longest > SOCKET_PATH:
+        raise SettingsError(
+            f"{settings}: the state folder of {host.name} is {longest - SOCKET_PATH} bytes too long"
+        )
+    os.makedirs(host.state, mode=0o700, exist_ok=True)
+    lock = os.open(os.path.join(host.state, "agent.lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    try:
+        fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except BlockingIOError:
+        raise SettingsError(
+            f"another agent looks after {host.name} already: process {os.read(lock, 20).decode().strip()}"
+        ) from None
+    os.ftruncate(lock, 0)
+    os.write(lock, f"{os.getpid()}\n".encode())
+
+
 def _take_settings(agent: Agent, settings: str) -> None:
     """Keys change while the agent serves: the old and the new one are good until the old is taken out."""
     try:
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -20,18 +20,16 @@
 from oakkeel.agent.reconciler import Reconciler
 from oakkeel.agent.request_handlers import RequestHandlers
 from oakkeel.agent.server import AgentServer, ServerLimits
+from oakkeel.agent.state_writer import StateWriter
 from oakkeel.agent.status_reporter import StatusReporter, probe
 from oakkeel.agent.storage import (
     ADDED_TABLES,
     SCHEMA,
     VERSION,
-    assignment_statements,
-    permit_statements,
     restore_assignments,
     restore_instances,
     restore_orders,
     restore_permits,
-    statements,
 )
 from oakkeel.agent.supervisor import MS, SECOND, SupervisionTimeouts, Supervisor
 from oakkeel.authentication.mac import Key
@@ -39,7 +37,7 @@
 from oakkeel.disruption.messages import HeartbeatResponse
 from oakkeel.log import EventLog, fault
 from oakkeel.settings.types import FairSharingSettings, Fleet, HostSettings
-from oakkeel.store.database import Database, DatabaseError
+from oakkeel.store.database import Database
 
 TURN = 100 * MS  # between looks at everything
 LOG_LINES = 50  # a second
@@ -70,26 +68,8 @@
         self.started_at = time.monotonic_ns()
         self.store = store or Database(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
         self.notes: list[str] = []
-        instances = {
-            each.name: Instance(each.name, host.site, phase_since=self.started_at) for each in host.instances
-        }
-        if self.store.quarantined:
-            self.notes.append(f"the state was set aside: {self.store.quarantined}")
-            log.warning("agent_state_quarantined", file=self.store.quarantined)
-        same_boot = self._is_same_boot()
-        restore_instances(self.store, instances, same_boot)
-        for each in instances.values():
-            each.phase_since = self.started_at
         self.fleet = fleet if fleet and fleet.control_plane else None
-        self.permit_holder = self._make_permit_holder(seed) if self.fleet else None
-        self.supervisor = Supervisor(
-            instances.values(), timeouts, {host.site: host.max_unavailable}, seed, time.time_ns
-        )
-        self.orders = OrderRegistry(self.supervisor, time.time_ns, permit_holder=self.permit_holder)
-        restore_orders(self.store, self.orders)
-        if not same_boot:
-            self.orders.fail_all(self.started_at, "the host was started anew")
-        self.storage_error = ""
+        self._restore_state(timeouts, seed)
         self.pruned_at = self.started_at
         self.executor = InstanceExecutor(
             host, self.supervisor, log, processes, program, fair_sharing, self.reconcile, self.permit_holder
@@ -97,16 +77,8 @@
         self.reconciler: Reconciler | None = None
         self.artifacts: ArtifactStore | None = None
         if self.permit_holder:
-            self.reconciler = Reconciler(
-                self.supervisor,
-                self.orders,
-                self.permit_holder,
-                services=tuple(each.name for each in self.services),
-            )
-            restore_assignments(self.store, self.reconciler.assignments)
-            self.artifacts = self.executor.artifacts = ArtifactStore(
-                host, self.reconciler.assignments, log, self._artifacts_ready
-            )
+            self._make_reconciler(self.permit_holder)
+        self.state_writer = StateWriter(self.store, self.orders, self.reconciler, log)
         self.stop_requested = asyncio.Event()
         self.raft: RaftRuntime | None = None
         self.status_reporter: StatusReporter | None = None
@@ -116,6 +88,41 @@
         self.handlers = RequestHandlers(self)
         self.server = AgentServer(host.agent, lambda: self.keys, self.handlers.handle, log, limits)
 
+    def _restore_state(self, timeouts: SupervisionTimeouts, seed: int) -> None:
+        """Make the supervisor, the permit holder and the order registry from what is stored."""
+        host = self.host
+        if self.store.quarantined:
+            self.notes.append(f"the state was set aside: {self.store.quarantined}")
+            self.log.warning("agent_state_quarantined", file=self.store.quarantined)
+        instances = {
+            settings.name: Instance(settings.name, host.site, phase_since=self.started_at)
+            for settings in host.instances
+        }
+        same_boot = self._is_same_boot()
+        restore_instances(self.store, instances, same_boot)
+        for instance in instances.values():
+            instance.phase_since = self.started_at
+        self.permit_holder = self._make_permit_holder(seed) if self.fleet else None
+        self.supervisor = Supervisor(
+            instances.values(), timeouts, {host.site: host.max_unavailable}, seed, time.time_ns
+        )
+        self.orders = OrderRegistry(self.supervisor, time.time_ns, permit_holder=self.permit_holder)
+        restore_orders(self.store, self.orders)
+        if not same_boot:
+            self.orders.fail_all(self.started_at, "the host was started anew")
+
+    def _make_reconciler(self, permit_holder: PermitHolder) -> None:
+        self.reconciler = Reconciler(
+            self.supervisor,
+            self.orders,
+            permit_holder,
+            services=tuple(service.name for service in self.services),
+        )
+        restore_assignments(self.store, self.reconciler.assignments)
+        self.artifacts = self.executor.artifacts = ArtifactStore(
+            self.host, self.reconciler.assignments, self.log, self._artifacts_ready
+        )
+
     def _make_permit_holder(self, seed: int) -> PermitHolder:
         assert self.fleet and self.fleet.control_plane
         self.services = tuple(
@@ -163,7 +170,7 @@
             address=address,
             instances=len(self.supervisor.instances),
             running=len(self.alive),
-            open_orders=sum(each.is_open for each in self.orders.orders.values()),
+            open_orders=self._open_orders(),
         )
         while not self.stop_requested.is_set():
             self.reconcile()
@@ -171,10 +178,16 @@
                 await asyncio.wait_for(self.stop_requested.wait(), TURN / SECOND)
             except TimeoutError:
                 continue
+        self._close()
+
+    def _open_orders(self) -> int:
+        return sum(order.is_open for order in self.orders.orders.values())
+
+    def _close(self) -> None:
         self.log.info(
             "agent_stopped",
             running=len(self.alive),
-            open_orders=sum(each.is_open for each in self.orders.orders.values()),
+            open_orders=self._open_orders(),
         )
         self.server.close()
         for task in self.tasks:
@@ -273,45 +286,14 @@
         except Exception as error:  # the agent lives on
             self.log.error("reconcile_failed", error=fault(error))
 
+    @property
+    def storage_error(self) -> str:
+        """Why the state can't be written; empty where it can."""
+        return self.state_writer.storage_error
+
     def save(self) -> bool:
-        """Write what changed. Watching goes on where that fails; orders wait."""
-        changed = [each for each in self.supervisor.instances if each.dirty]
-        assignments = self.reconciler.assignments if self.reconciler else None
-        places = bool(self.permit_holder and self.permit_holder.changed) or bool(
-            assignments and assignments.changed
-        )
-        if (
-            not changed
-            and not self.orders.changed
-            and not self.orders.deleted
-            and not places
-            and not self.storage_error
-        ):
-            return True
-        rows = statements(changed, self.orders.changed, self.orders.deleted)
-        if self.permit_holder:
-            rows += permit_statements(self.permit_holder)
-        if assignments:
-            rows += assignment_statements(assignments)
-        try:
-            self.store.write(rows)
-        except DatabaseError as error:
-            if str(error) != self.storage_error:
-                self.log.error("agent_state_write_failed", error=str(error))
-            self.storage_error = str(error)
-            return False
-        for each in changed:
-            each.dirty = False
-        self.orders.changed.clear()
-        self.orders.deleted.clear()
-        if self.permit_holder:
-            self.permit_holder.changed.clear()
-        if assignments:
-            assignments.changed = False
-        if self.storage_error:
-            self.log.info("agent_state_write_recovered")
-            self.storage_error = ""
-        return True
+        """Write what changed. Supervision goes on where that fails; orders wait."""
+        return self.state_writer.save()
 
     def apply_settings(self, fleet: Fleet, keys: dict[str, Key]) -> None:
         """Keys hold at once; what nodes are told they read again. All else waits for the next agent."""
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -55,7 +55,10 @@
     executor: InstanceExecutor
     raft: RaftRuntime | None
     status_reporter: StatusReporter | None
-    storage_error: str
+
+    @property
+    def storage_error(self) -> str:
+        """Why the state can't be written; empty where it can."""
 
     def save(self) -> bool:
         """Write what changed; False where that fails."""
--- /dev/null
+++ b/oakkeel/agent/state_writer.py
@@ -0,0 +1,65 @@
+"""Writing of an agent's changed state, in one transaction for each turn."""
+
+from __future__ import annotations
+
+from oakkeel.agent.orders import OrderRegistry
+from oakkeel.agent.reconciler import Reconciler
+from oakkeel.agent.storage import assignment_statements, permit_statements, statements
+from oakkeel.log import EventLog
+from oakkeel.store.database import Database, DatabaseError
+
+
+class StateWriter:
+    """Writes changed instances, orders, permits and version assignments."""
+
+    def __init__(
+        self, store: Database, orders: OrderRegistry, reconciler: Reconciler | None, log: EventLog
+    ) -> None:
+        """`reconciler`: that of an agent whose fleet has a control plane."""
+        self.store, self.orders, self.log = store, orders, log
+        self.instances = orders.supervisor.instances
+        self.permit_holder = orders.permit_holder
+        self.assignments = reconciler.assignments if reconciler else None
+        self.storage_error = ""
+
+    def save(self) -> bool:
+        """Write what changed; False where that fails, and it is tried again at the next call."""
+        changed = [instance for instance in self.instances if instance.dirty]
+        if not changed and not self._has_other_changes() and not self.storage_error:
+            return True
+        rows = statements(changed, self.orders.changed, self.orders.deleted)
+        if self.permit_holder:
+            rows += permit_statements(self.permit_holder)
+        if self.assignments:
+            rows += assignment_statements(self.assignments)
+        try:
+            self.store.write(rows)
+        except DatabaseError as error:
+            if str(error) != self.storage_error:
+                self.log.error("agent_state_write_failed", error=str(error))
+            self.storage_error = str(error)
+            return False
+        for instance in changed:
+            instance.dirty = False
+        self._clear_other_changes()
+        if self.storage_error:
+            self.log.info("agent_state_write_recovered")
+            self.storage_error = ""
+        return True
+
+    def _has_other_changes(self) -> bool:
+        """Whether orders, permits or version assignments changed."""
+        return bool(
+            self.orders.changed
+            or self.orders.deleted
+            or (self.permit_holder and self.permit_holder.changed)
+            or (self.assignments and self.assignments.changed)
+        )
+
+    def _clear_other_changes(self) -> None:
+        self.orders.changed.clear()
+        self.orders.deleted.clear()
+        if self.permit_holder:
+            self.permit_holder.changed.clear()
+        if self.assignments:
+            self.assignments.changed = False
