--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -142,8 +142,6 @@
         self.store.write([("DELETE FROM boot", ()), ("INSERT INTO boot VALUES (?)", (this,))])
         return not saved
 
-    # As stories and stand-ins know it.
-
     @property
     def alive(self) -> dict[Instance, Process]:
         """The processes that run, by instance."""
@@ -184,11 +182,7 @@
         return sum(order.is_open for order in self.orders.orders.values())
 
     def _close(self) -> None:
-        self.log.info(
-            "agent_stopped",
-            running=len(self.alive),
-            open_orders=self._open_orders(),
-        )
+        self.log.info("agent_stopped", running=len(self.alive), open_orders=self._open_orders())
         self.server.close()
         for task in self.tasks:
             task.cancel()
