--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -14,10 +14,12 @@
 from oakkeel.agent.processes import Processes
 from oakkeel.agent.storage import SCHEMA, VERSION
 from oakkeel.agent.supervisor import SECOND
+from oakkeel.authentication.mac import Key
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key, write_key
+from oakkeel.settings.types import HostSettings
 from oakkeel.store.database import Database, DatabaseError
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
@@ -131,53 +133,54 @@
         site.write_settings(ravi="", lena="")
         fleet = read_fleet(site.settings)
         host, key = fleet.hosts[0], read_operator_key(fleet, "asha")
-        crash, died, agent = step, False, None
+        agents: list[asyncio.subprocess.Process] = []
         try:
-            end, taken = time.monotonic() + 2 * WAIT, False
-            while time.monotonic() < end:
-                if agent is None or agent.returncode is not None:
-                    died = died or agent is not None
-                    agent = await asyncio.create_subprocess_exec(
-                        sys.executable,
-                        "-m",
-                        "oakkeel.fakes.crashing",
-                        site.settings,
-                        "wb1",
-                        *([str(crash)] if agent is None else []),
-                        stderr=subprocess.DEVNULL,
-                    )
-                with contextlib.suppress(AgentError, asyncio.TimeoutError):
-                    told = await asyncio.wait_for(
-                        request_once(host.agent, key, messages.HostStatusRequest()), 1
-                    )
-                    if not taken and told.instances[0].phase == "serving":
-                        # The same words again whenever no answer came: the sender can't know.
-                        answer = await asyncio.wait_for(
-                            request_once(
-                                host.agent,
-                                key,
-                                messages.OrderRequest("o1", "restart", [("n1", 1)], 30 * SECOND),
-                            ),
-                            1,
-                        )
-                        taken = answer.tasks[0].state != "refused"
-                        self.assertTrue(taken, answer)
-                    elif taken and told.instances[0].order is None and told.instances[0].phase == "serving":
-                        break
-                await asyncio.sleep(0.02)
-            else:
-                self.fail(f"step {step}: no end")
-            orders = await request_once(host.agent, key, messages.ListOrdersRequest())
-            self.assertEqual([part.state for part in orders.orders[0].tasks], ["done"], f"step {step}")
-            with open(os.path.join(host.state, "n1.journal")) as file:
-                words = [line.split()[:2] for line in file if line.startswith(("start ", "end "))]
-            self.assertEqual([word for word, _ in words], ["start", "end", "start"], f"step {step}: {words}")
-            return not died
+            await self.restart_through_a_crash(site.settings, host.agent, key, step, agents)
+            await self.assert_restarted_once(host, key, step)
+            return len(agents) == 1
         finally:
-            if agent and agent.returncode is None:
-                agent.kill()
-                await agent.wait()
+            if agents and agents[-1].returncode is None:
+                agents[-1].kill()
+                await agents[-1].wait()
             processes = Processes(host.state, lambda process, why: None)
             if process := processes.adopt("n1"):
                 processes.signal(process, signal.SIGKILL)
             processes.close()
+
+    async def restart_through_a_crash(
+        self,
+        settings: str,
+        address: tuple[str, int],
+        key: Key,
+        step: int,
+        agents: list[asyncio.subprocess.Process],
+    ) -> None:
+        """Order a restart and wait for its end; the first agent dies at `step`, those after it do not."""
+        end, accepted = time.monotonic() + 2 * WAIT, False
+        while time.monotonic() < end:
+            if not agents or agents[-1].returncode is not None:
+                agents.append(await self.start_crashing_agent(settings, [] if agents else [str(step)]))
+            with contextlib.suppress(AgentError, asyncio.TimeoutError):
+                status = await asyncio.wait_for(request_once(address, key, messages.HostStatusRequest()), 1)
+                instance = status.instances[0]
+                if not accepted and instance.phase == "serving":
+                    # The same order again whenever no response came: the sender can't know.
+                    order = messages.OrderRequest("o1", "restart", [("n1", 1)], 30 * SECOND)
+                    response = await asyncio.wait_for(request_once(address, key, order), 1)
+                    accepted = response.tasks[0].state != "refused"
+                    self.assertTrue(accepted, response)
+                elif accepted and instance.order is None and instance.phase == "serving":
+                    return
+            await asyncio.sleep(0.02)
+        self.fail(f"step {step}: no end")
+
+    async def start_crashing_agent(self, settings: str, step: list[str]) -> asyncio.subprocess.Process:
+        command = (sys.executable, "-m", "oakkeel.fakes.crashing", settings, "wb1", *step)
+        return await asyncio.create_subprocess_exec(*command, stderr=subprocess.DEVNULL)
+
+    async def assert_restarted_once(self, host: HostSettings, key: Key, step: int) -> None:
+        orders = await request_once(host.agent, key, messages.ListOrdersRequest())
+        self.assertEqual([task.state for task in orders.orders[0].tasks], ["done"], f"step {step}")
+        with open(os.path.join(host.state, "n1.journal")) as file:
+            words = [line.split()[:2] for line in file if line.startswith(("start ", "end "))]
+        self.assertEqual([word for word, _ in words], ["start", "end", "start"], f"step {step}: {words}")
