--- /dev/null
+++ b/tests/directory/test_reports.py
@@ -0,0 +1,27 @@
+"""Reports to the directory."""
+
+import asyncio
+import socket
+import unittest
+from dataclasses import replace
+
+from oakkeel.directory.reports import DirectoryReporter
+from oakkeel.resource_limits import SECOND
+from tests.support.node_process import WAIT
+from tests.support.node_request import RESOURCE_LIMITS
+
+
+class DirectoryReporterTest(unittest.IsolatedAsyncioTestCase):
+    async def test_repeats_the_report_of_a_change(self):
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as directory:
+            directory.bind(("127.0.0.1", 0))
+            directory.setblocking(False)
+            loop = asyncio.get_running_loop()
+            reports = DirectoryReporter(
+                directory.getsockname(), "n3", replace(RESOURCE_LIMITS, report_interval=600 * SECOND)
+            )
+            reports.start()
+            reports.set_accepting(False)
+            received = [await asyncio.wait_for(loop.sock_recv(directory, 99), WAIT) for _ in range(4)]
+            reports.close()
+            self.assertEqual(received, [b"PULSE n3 open"] + [b"PULSE n3 closed"] * 3)
--- /dev/null
+++ b/tests/dispatch/test_listener.py
@@ -0,0 +1,70 @@
+"""Accepting of connections, and room for new ones."""
+
+import asyncio
+import socket
+import time
+import unittest
+
+from oakkeel.dispatch.listener import Listener
+from oakkeel.resource_limits import SECOND
+from oakkeel.stream_buffers import BufferPool
+from tests.support.node_request import LOG, RESOURCE_LIMITS
+
+
+class MakeRoomTest(unittest.TestCase):
+    def test_closes_recent_connections_last(self):
+        # In a flood of silent connections what a dispatcher has just sent is not read yet.
+        class FakeConnection:
+            closed = False
+
+            def at_rest(self):
+                return not self.closed
+
+            def make_room(self):
+                self.closed = True
+                return False  # it needs no descriptor any more
+
+        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
+        self.addCleanup(listener.socket.close)
+        old, new, held = FakeConnection(), FakeConnection(), FakeConnection()
+        listener.silent = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
+        listener.idle = {held: 0}
+        for closed in (old, held, new):
+            self.assertTrue(listener._make_room())
+            self.assertTrue(closed.closed)
+        self.assertFalse(listener._make_room())
+
+
+class ListenerTest(unittest.IsolatedAsyncioTestCase):
+    async def test_accepts_the_waiting_connections_when_it_closes(self):
+        # Its request was written to a connection that the machine had taken, and got no answer.
+        listener = Listener(
+            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
+        )
+        listener.socket.listen(40)
+        callers = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
+        listener.open()
+        await listener.close()
+        self.assertEqual(len(listener.connections), len(callers))
+        for opened in (*listener.connections, *callers):
+            opened.close()
+        await listener.gone()
+
+    async def test_accepts_a_flood_of_connections_a_few_at_a_time(self):
+        # All that waited were accepted in one pass: 180 ms in which nothing else was read or answered.
+        listener = Listener(
+            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
+        )
+        listener.socket.listen(40)
+        callers = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
+        listener.open()
+        seen = []
+        while len(listener.connections) < len(callers):
+            await asyncio.sleep(0)
+            seen.append(len(listener.connections))
+        steps = [after - before for before, after in zip([0, *seen], seen, strict=False)]
+        self.assertLessEqual(max(steps), RESOURCE_LIMITS.accepts_per_pass)
+        await listener.close()
+        for opened in (*listener.connections, *callers):
+            opened.close()
+        await listener.gone()
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -9,9 +9,9 @@
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request_events import SharedResponse
 from oakkeel.resource_limits import MS, SECOND
-from tests.engine.test_links import RESOURCE_LIMITS, exchange
 from tests.support.fake_host import GROUP, FakeHost
 from tests.support.node_process import NodeProcessTest
+from tests.support.node_request import RESOURCE_LIMITS, node_request
 
 ONCE = replace(GROUP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window=SECOND)
 KEY = (0, b"hall", b"k1")
@@ -19,7 +19,7 @@
 
 
 def one(**fields):
-    return exchange(**{**{"request_class": ONCE, "cache_key": KEY, "body": b"two seats"}, **fields})
+    return node_request(**{**{"request_class": ONCE, "cache_key": KEY, "body": b"two seats"}, **fields})
 
 
 class ResponseCacheWindowTest(unittest.TestCase):
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -10,8 +10,8 @@
 from oakkeel.engine.link import EngineLink
 from oakkeel.resource_limits import MS, SECOND
 from oakkeel.stream_buffers import BufferPool, connect
-from tests.engine.test_links import LOG, RESOURCE_LIMITS, exchange
 from tests.support.node_process import WAIT, NodeProcessTest
+from tests.support.node_request import LOG, RESOURCE_LIMITS, node_request
 
 
 class HandoverTest(NodeProcessTest):
@@ -211,7 +211,7 @@
         first, second, third = self.engine(), self.engine(), self.engine()
         self.serve(first)
         reader, writer = await self.attached(first)
-        request = exchange()
+        request = node_request()
         self.link.run(request)
         self.link.move(second.getsockname())
         self.link.move(third.getsockname())
--- /dev/null
+++ b/tests/node/test_request_handler.py
@@ -0,0 +1,45 @@
+"""One request in the handler, without a network."""
+
+import asyncio
+import unittest
+
+from oakkeel.admission.types import RequestState
+from oakkeel.node.metrics import Metrics
+from oakkeel.node.request_handler import RequestHandler
+from oakkeel.node.response_cache import ResponseCache
+from oakkeel.request_events import CancelRun, ClientDisconnected, StartRun
+from tests.support.node_request import LOG, RESOURCE_LIMITS, node_request
+
+
+class RequestHandlerTest(unittest.IsolatedAsyncioTestCase):
+    async def test_answers_a_request_after_an_internal_error_and_handles_the_next(self):
+        received = []
+
+        class Parts:  # the host, the decisions, the engine, the catalogue and a connection in one
+            def __getattr__(self, name):
+                return lambda *words: received.append((name, *words))
+
+            def notify(self, act, *words):
+                act(0, *words)
+
+            def arrive(self, now, request):
+                raise RuntimeError("a defect")
+
+        parts = Parts()
+        parts.admission = parts
+        handler = RequestHandler(parts, parts, parts, ResponseCache(RESOURCE_LIMITS, 0), Metrics(), LOG)
+        for _ in range(2):
+            request = node_request(connection=parts)
+            await asyncio.wait_for(handler.handle(request), 5)
+            self.assertIn(("answer", request, b"fault", b"", False, 0), received)
+
+    async def test_delivers_events_in_order(self):
+        request = node_request()
+        request.post(StartRun())
+        request.post(CancelRun())
+        self.assertEqual([await request.next_event(), await request.next_event()], [StartRun(), CancelRun()])
+        waiting = asyncio.ensure_future(request.next_event())
+        await asyncio.sleep(0)
+        request.post(ClientDisconnected())
+        self.assertEqual(await waiting, ClientDisconnected())
+        self.assertEqual(request.state, RequestState.READ)
--- /dev/null
+++ b/tests/node/test_response_cache.py
@@ -0,0 +1,54 @@
+"""Sharing and bounds of the response cache."""
+
+import time
+import unittest
+from dataclasses import replace
+
+from oakkeel.admission.types import Outcome
+from oakkeel.node.response_cache import ResponseCache
+from oakkeel.request_events import SharedResponse
+from oakkeel.resource_limits import SECOND
+from tests.support.fake_host import GROUP, FakeHost
+from tests.support.node_request import RESOURCE_LIMITS, node_request
+
+
+class ResponseCacheTest(unittest.TestCase):
+    def test_shares_a_response_until_its_ttl_ends(self):
+        cache, first = ResponseCache(RESOURCE_LIMITS, SECOND), node_request(key=b"s")
+        now = time.monotonic_ns()
+        cache.retain(first, now, 5 * SECOND)
+        self.assertTrue(cache.find(node_request(key=b"s"), now))
+        cache.finish(first, Outcome.COMPLETED, b"r")
+        self.assertTrue(cache.find(node_request(key=b"s"), now + SECOND // 2))
+        self.assertFalse(cache.find(node_request(key=b"s"), now + 2 * SECOND))
+        self.assertFalse(cache.find(node_request(key=b"other"), now))
+
+    def test_rejects_followers_of_a_request_that_is_dropped_unrun(self):
+        cache, first, follower = (
+            ResponseCache(RESOURCE_LIMITS, SECOND),
+            node_request(key=b"s"),
+            node_request(key=b"s"),
+        )
+        cache.retain(first, 0, SECOND)
+        cache.find(follower, 0)
+        cache.share(follower)
+        cache.release(first)
+        self.assertEqual(follower.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
+        self.assertFalse(cache.find(node_request(key=b"s"), 0))
+
+    def test_is_bounded_and_never_drops_an_idempotency_key(self):
+        resource_limits = replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size * 2)  # room for two
+        once = replace(
+            GROUP,
+            idempotency=FakeHost(request_classes=[{}])
+            .limits.request_classes[0]
+            .idempotency.__class__.IDEMPOTENCY_KEY,
+        )
+        cache = ResponseCache(resource_limits, SECOND)
+        cache.retain(node_request(key=b"a", request_class=once), 0, SECOND)
+        cache.retain(node_request(key=b"b"), 0, SECOND)
+        cache.retain(node_request(key=b"c", request_class=once), 0, SECOND)  # in place of the read
+        self.assertEqual([key for _, key in cache.entries], [b"a", b"c"])
+        self.assertTrue(cache.full(SECOND // 2))
+        self.assertTrue(cache.full(SECOND))  # one that came before may be read as late as its caller waits
+        self.assertFalse(cache.full(SECOND + GROUP.client_timeout))
