--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -1,7 +1,7 @@
-"""Replicas and agents in simulated time under drawn schedules of faults: does any promise break?
+"""Replicas and agents in simulated time under drawn schedules of faults: is an invariant ever broken?
 
 `--count` schedules from `--seed` on, spread over the cores; with `--releases 1` each has one or two releases
-under way. A failing one is shrunk, kept in a file and can be played again with `--play FILE`.
+in progress. A failing one is shrunk, written to a file and can be replayed with `--play FILE`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from measure.common import SECOND, keep, options, processor, say
+from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.emulator.consensus import play
 from oakkeel.emulator.faults import Schedule, draw, schedule_from_json
 from oakkeel.emulator.schedule_shrinking import shrink
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class PlayedSchedule:
-    """What came of one drawn schedule."""
+    """Result of one drawn schedule."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Totals:
-    """What came of all schedules that were played so far."""
+    """Results of all schedules that were played so far."""
 
     played: int = 0
     events: int = 0
@@ -47,10 +47,10 @@
         self.events += result.events
         if result.breaches:
             self.broken.append((result.seed, result.breaches))
-            say(f"schedule {result.seed}: {result.breaches[0]}")
+            print_line(f"schedule {result.seed}: {result.breaches[0]}")
         if result.stuck:
             self.stuck.append(result.seed)
-            say(f"schedule {result.seed} did not come to an end: {result.stuck[0][:160]}")
+            print_line(f"schedule {result.seed} did not come to an end: {result.stuck[0][:160]}")
 
 
 def drawn(seed: int, releases: bool) -> Schedule:
@@ -68,7 +68,7 @@
 
 
 def fails(schedule: Schedule) -> bool:
-    """Whether a schedule breaks a promise."""
+    """Return whether a schedule breaks an invariant."""
     try:
         return bool(play(schedule)[1])
     except Exception:
@@ -80,7 +80,7 @@
     with open(path, encoding="utf-8") as file:
         simulation, breaches = play(schedule_from_json(json.load(file)))
     for line in [*simulation.event_log, *breaches]:
-        say(line)
+        print_line(line)
     return 1 if breaches else 0
 
 
@@ -92,23 +92,23 @@
             totals.add(result)
             if totals.played % max(1, len(seeds) // 10) == 0:
                 rate = totals.played / (time.monotonic() - started)
-                say(f"{totals.played} played, {len(totals.broken)} broken, {rate:.1f} a second")
+                print_line(f"{totals.played} played, {len(totals.broken)} broken, {rate:.1f} a second")
     return totals
 
 
-def keep_shrunk(schedule: Schedule, path: str) -> None:
-    """Shrink a failing schedule and keep it in a file."""
+def write_shrunk(schedule: Schedule, path: str) -> None:
+    """Shrink a failing schedule and write it to a file."""
     shrunk = shrink(schedule, fails)
     with open(path, "w", encoding="utf-8") as file:
         json.dump(shrunk.to_json(), file, indent=1)
-    say(f"the first, cut down to {len(shrunk.faults)} troubles, is in {path}:")
+    print_line(f"the first, cut down to {len(shrunk.faults)} faults, is in {path}:")
     for fault in shrunk.faults:
-        say(f"  {fault}")
+        print_line(f"  {fault}")
 
 
 def main() -> int:
-    """Play schedules as the command line says; the exit code is 1 where a promise broke."""
-    arguments = options(
+    """Play schedules as the command line says; the exit code is 1 where an invariant broke."""
+    arguments = parse_arguments(
         "Drawn schedules in simulated time.", count=600, seed=1, play="", out="schedule.json", releases=0
     )
     if arguments.play:
@@ -117,20 +117,20 @@
     totals = play_all(range(arguments.seed, arguments.seed + arguments.count), releases)
     seconds = time.monotonic() - started
     if totals.broken:
-        keep_shrunk(drawn(totals.broken[0][0], releases), arguments.out)
+        write_shrunk(drawn(totals.broken[0][0], releases), arguments.out)
     figures = {
-        "machine": processor(),
+        "machine": describe_machine(),
         "played": arguments.count,
         "broken": totals.broken,
         "not_ended": totals.stuck,
         "seconds": seconds,
         "events": totals.events,
     }
-    keep(arguments, figures)
+    write_figures(arguments, figures)
     events = totals.events / arguments.count
-    say(f"{processor()}; {events:.0f} events each; {len(totals.stuck)} did not come to an end")
+    print_line(f"{describe_machine()}; {events:.0f} events each; {len(totals.stuck)} did not come to an end")
     rate = arguments.count / seconds
-    say(f"schedules: {arguments.count} played, {len(totals.broken)} broken, {rate:.1f} a second")
+    print_line(f"schedules: {arguments.count} played, {len(totals.broken)} broken, {rate:.1f} a second")
     return 1 if totals.broken else 0
 
 
