--- /dev/null
+++ b/oakkeel/agent/command_log.py
@@ -0,0 +1,64 @@
+"""Log events of committed commands, for whoever looks for a cause."""
+
+from __future__ import annotations
+
+from oakkeel.disruption import commands
+from oakkeel.disruption.control_plane import ControlPlaneReplica
+from oakkeel.disruption.state import Rejection
+from oakkeel.log import EventLog
+from oakkeel.rollout import commands as releases
+from oakkeel.rollout.state_machine import RolloutStateMachine
+
+RELEASE_EVENTS: dict[type, str] = {
+    releases.StartRelease: "release_started",
+    releases.ControlRelease: "release_controlled",
+    releases.ReportPrepared: "release_host_prepared",
+    releases.BeginRollout: "release_rollout_begun",
+    releases.StartBatch: "release_batch_started",
+    releases.FinishBatch: "release_batch_finished",
+    releases.RecordVerdict: "release_halted",
+    releases.FinishRelease: "release_finished",
+}
+
+
+class CommandLog:
+    """Logs granted permits at each replica, as their leader may be gone, and all else at the leader."""
+
+    def __init__(self, log: EventLog) -> None:
+        """Write to that log."""
+        self.log = log
+
+    def committed(
+        self, control_plane: ControlPlaneReplica | None, index: int, command: commands.Command, result: object
+    ) -> None:
+        """Log a command that was committed at `index` and was not rejected."""
+        if isinstance(result, Rejection):
+            return
+        if isinstance(command, commands.GrantPermits):
+            for target in command.targets:
+                self.log.info("permit_granted", target=target, fence=index, order=command.order_id)
+        if control_plane is None or control_plane.allocator is None:
+            return
+        if isinstance(command, releases.Command):
+            self._log_release_command(control_plane, command)
+        elif isinstance(command, commands.SetTopology):
+            self.log.info("topology_committed", fence=index)
+        elif isinstance(command, commands.ReleasePermit):
+            self.log.info("permit_released", target=command.target, fence=command.fencing_token)
+        elif isinstance(command, commands.ExpirePermit):
+            self.log.warning("permit_expired", target=command.target, fence=command.fencing_token)
+
+    def _log_release_command(self, control_plane: ControlPlaneReplica, command: releases.Command) -> None:
+        state_machine = control_plane.state_machine
+        if not isinstance(state_machine, RolloutStateMachine):
+            return
+        release = state_machine.state.releases.get(command.ident)
+        if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
+            return
+        fields: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
+        if isinstance(command, releases.StartBatch):
+            fields["targets"] = ",".join(target for target, _ in command.targets)
+            fields["fence"] = command.fence
+        elif isinstance(command, releases.FinishBatch):
+            fields["new"] = ",".join(command.updated)
+        self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **fields)
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -13,6 +13,7 @@
 import msgspec
 
 from oakkeel.agent import messages
+from oakkeel.agent.command_log import CommandLog
 from oakkeel.agent.topology import topology_of
 from oakkeel.authentication.client import AuthenticatedClient, LinkError
 from oakkeel.authentication.mac import Key
@@ -20,7 +21,6 @@
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.messages import Heartbeat
-from oakkeel.disruption.state import Rejection
 from oakkeel.errors import OakkeelError
 from oakkeel.log import EventLog, fault
 from oakkeel.raft import storage
@@ -45,18 +45,6 @@
 AGREE = 5 * SECOND  # for something proposed to be agreed
 
 
-RELEASE_EVENTS: dict[type, str] = {
-    releases.StartRelease: "release_started",
-    releases.ControlRelease: "release_controlled",
-    releases.ReportPrepared: "release_host_prepared",
-    releases.BeginRollout: "release_rollout_begun",
-    releases.StartBatch: "release_batch_started",
-    releases.FinishBatch: "release_batch_finished",
-    releases.RecordVerdict: "release_halted",
-    releases.FinishRelease: "release_finished",
-}
-
-
 class CommitUnknownError(OakkeelError):
     """Nobody can say yet whether it is agreed; the same id may be sent again."""
 
@@ -86,6 +74,7 @@
             self._reset_write_counter()
         elif why := self.write_counter.stale_reason():
             self._quarantine(f"an older copy: {why}")
+        self.command_log = CommandLog(log)
         self.topology = topology_of(fleet)
         self.peers: dict[str, PeerSender] = {}
         self.futures: dict[Proposal, asyncio.Future[object]] = {}
@@ -132,45 +121,7 @@
         return RolloutController(now, state_machine, allocator, f"{self.name}.{secrets.token_hex(6)}")
 
     def _command_committed(self, index: int, command: commands.Command, result: object) -> None:
-        """Told for whoever looks for a cause: grants by each keeper, as their leader may be gone, the rest by
-        the leader."""
-        if isinstance(result, Rejection):
-            return
-        if isinstance(command, commands.GrantPermits):
-            for target in command.targets:
-                self.log.info("permit_granted", target=target, fence=index, order=command.order_id)
-        if self.control_plane is None or self.control_plane.allocator is None:
-            return
-        if isinstance(command, releases.Command):
-            self._log_release_command(command)
-            return
-        if isinstance(command, commands.SetTopology):
-            self.log.info("topology_committed", fence=index)
-        elif isinstance(command, commands.ExpirePermit | commands.ReleasePermit):
-            released = isinstance(command, commands.ReleasePermit)
-            report = self.log.info if released else self.log.warning
-            report(
-                "permit_released" if released else "permit_expired",
-                target=command.target,
-                fence=command.fencing_token,
-            )
-
-    def _log_release_command(self, command: releases.Command) -> None:
-        state_machine = self.control_plane.state_machine if self.control_plane else None
-        release = (
-            state_machine.state.releases.get(command.ident)
-            if isinstance(state_machine, RolloutStateMachine)
-            else None
-        )
-        if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
-            return
-        fields: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
-        if isinstance(command, releases.StartBatch):
-            fields["targets"] = ",".join(target for target, _ in command.targets)
-            fields["fence"] = command.fence
-        elif isinstance(command, releases.FinishBatch):
-            fields["new"] = ",".join(command.updated)
-        self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **fields)
+        self.command_log.committed(self.control_plane, index, command, result)
 
     def _quarantine(self, why: str) -> None:
         """Put the file away under a name that says when, and begin a new life."""
