--- a/tests/compatibility/test_state_folder.py
+++ b/tests/compatibility/test_state_folder.py
@@ -1,16 +1,34 @@
 """Agents that start on the state folders of an earlier version."""
 
+import contextlib
 import os
 import shutil
+import sqlite3
 import tempfile
+import time
 import unittest
 
 from oakkeel.agent import messages
+from oakkeel.agent.processes import boot
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import FakeSite
 from tests.compatibility.fixtures import DATA, HOSTS, assert_same_keys, load
 from tests.support.rig_case import SUPERVISION
 
+HOUR = 3600 * 1_000_000_000
+
+
+def move_to_this_boot(path: str) -> None:
+    """Let a copied database be of this boot, with its orders still open.
+
+    Its times are monotonic ones of the machine that wrote it: as they are, its orders would be open or
+    expired, and its instances startable or not, by how long the machine of the test has been up.
+    """
+    with contextlib.closing(sqlite3.connect(path)) as database, database:
+        database.execute("UPDATE boot SET id = ?", (boot(),))
+        database.execute("UPDATE orders SET expires = ?", (time.monotonic_ns() + HOUR,))
+        database.execute("UPDATE instances SET start_at = 0")
+
 
 class StateFolderCompatibilityTest(unittest.IsolatedAsyncioTestCase):
     """Agents that are started on the state folders of ea5a81e go on where that version stopped."""
@@ -27,7 +45,9 @@
             fleet_max_unavailable=1,
         )
         for host in HOSTS:
-            shutil.copytree(DATA / "state" / host, os.path.join(self.folder, host))
+            folder = os.path.join(self.folder, host)
+            shutil.copytree(DATA / "state" / host, folder)
+            move_to_this_boot(os.path.join(folder, "agent.db"))
         self.rig = ProcessRig(site)
         self.addAsyncCleanup(self.rig.close)
         await self.rig.open()
