--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -1,131 +1,149 @@
-"""The words and fields that dispatchers use, and the exchanges made of them."""
+"""Tokens and fields that dispatchers use, and the requests made of them."""
 
 from __future__ import annotations
 
 import re
 import time
 from collections.abc import Callable
-from typing import Any
 
 from oakkeel.admission.types import Idempotency, NodeLimits, RequestClass, Tenant
 from oakkeel.dispatch.resp import encode
-from oakkeel.request import NodeRequest
+from oakkeel.errors import OakkeelError
+from oakkeel.request import NodeRequest, ResponseChannel
 from oakkeel.resource_limits import MS, ResourceLimits
 
 CALL, CANCEL, CHECK = b"CALL", b"CANCEL", b"CHECK"
-COMPLETED, DENIED, TERMINATED = b"ok", b"full", b"fault"
-GOOD, BAD = b"yes", b"no"
+COMPLETED, REJECTED, FAILED = b"ok", b"full", b"fault"
+HEALTHY, UNHEALTHY = b"yes", b"no"
 LAST = encode(b"0", b"last")
-BROKEN = encode(b"0", TERMINATED)  # to one whose bytes can't be read: no tag of its own is known
+MALFORMED_STREAM = encode(b"0", FAILED)  # to one whose bytes can't be read: no tag of its own is known
 FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
-MARKS = {
-    Idempotency.IDEMPOTENCY_KEY: b"opkey",
-    Idempotency.IDEMPOTENT: b"subject",
-}  # what repeats are known by
-IDENT = re.compile(rb"[0-9a-fA-F]{16}")
+# The field by which duplicates are known. A subject says that two reads ask for the same; of two
+# non-idempotent requests it says nothing.
+KEY_FIELDS = {Idempotency.IDEMPOTENCY_KEY: b"opkey", Idempotency.IDEMPOTENT: b"subject"}
+REQUEST_ID = re.compile(rb"[0-9a-fA-F]{16}")
 
-
-# Who may count as one sender, in the words of operators' settings; any other word is the name of a field.
+# What may identify a flow, as operators' settings name it; any other name is that of a field.
 FLOW_FIELDS = {"tenant": b"owner", "caller": b"via", "subject": b"subject"}
 
 
-def flow_fields(by: tuple[str, ...]) -> tuple[bytes, ...]:
-    return tuple(FLOW_FIELDS.get(word, word.encode()) for word in by)
+def flow_fields(names: tuple[str, ...]) -> tuple[bytes, ...]:
+    """Return the request fields that operators' settings name."""
+    return tuple(FLOW_FIELDS.get(name, name.encode()) for name in names)
 
 
-class UnreadableRequestError(ValueError):
-    """An array whose tag is good but whose group or fields are not."""
+class MalformedRequestError(OakkeelError, ValueError):
+    """An array whose tag is valid but whose request class or fields are not."""
 
 
 class RequestReader:
-    """Makes exchanges of the words of a CALL, by the endpoint groups and tenants of this node."""
+    """Makes requests of the tokens of a CALL, by the request classes and tenants of this node."""
 
     def __init__(
         self,
         limits: NodeLimits,
-        groups: list[str],
-        tenants: list[str],
+        class_names: list[str],
+        tenant_names: list[str],
         resource_limits: ResourceLimits,
         unix_ns: Callable[[], int] = time.time_ns,
-        who: FlowKeyReader | None = None,
+        flow_keys: FlowKeyReader | None = None,
     ) -> None:
-        """`who` makes the senders of an exchange from its fields, where shares are fair."""
-        self.resource_limits, self.who = resource_limits, who
-        self.groups: dict[bytes, RequestClass] = {
-            name.encode(): group for name, group in zip(groups, limits.request_classes, strict=False)
+        """`flow_keys` makes the flow keys of a request from its fields, where sharing is fair."""
+        self._resource_limits, self._flow_keys, self._unix_ns = resource_limits, flow_keys, unix_ns
+        self._classes: dict[bytes, RequestClass] = {
+            name.encode(): request_class
+            for name, request_class in zip(class_names, limits.request_classes, strict=False)
         }
-        self.tenants: dict[bytes, Tenant] = {
-            name.encode(): tenant for name, tenant in zip(tenants, limits.tenants, strict=False)
+        self._tenants: dict[bytes, Tenant] = {
+            name.encode(): tenant for name, tenant in zip(tenant_names, limits.tenants, strict=False)
         }
-        self.unix_ns = unix_ns
-
-    def read(self, tag: int, words: list[bytes], connection: Any) -> NodeRequest:
-        if len(words) not in (4, 5):
-            raise UnreadableRequestError("too few or many words")
-        if words[2] not in self.groups:
-            raise UnreadableRequestError("an unknown endpoint group")
-        group = self.groups[words[2]]
-        body = words[4] if len(words) == 5 else b""
-        fields = dict(item.partition(b"=")[::2] for item in words[3].split(b",") if item)
+
+    def read(self, tag: int, tokens: list[bytes], connection: ResponseChannel) -> NodeRequest:
+        """Make a request of the tokens of a CALL. Raises MalformedRequestError."""
+        if len(tokens) not in (4, 5):
+            raise MalformedRequestError("too few or many words")
+        request_class = self._classes.get(tokens[2])
+        if request_class is None:
+            raise MalformedRequestError("an unknown endpoint group")
+        body = tokens[4] if len(tokens) == 5 else b""
+        fields = dict(item.partition(b"=")[::2] for item in tokens[3].split(b",") if item)
         request_id = fields.get(b"req", b"")
-        if not IDENT.fullmatch(request_id):  # it goes into lines to the engine and the catalogue as it is
-            raise UnreadableRequestError("no id")
-        if len(body) > self.resource_limits.max_body_size:
-            raise UnreadableRequestError("a body that is too long")
-        # How old it is, and how long its caller still waits, as of now: both count from its stamp. A figure
-        # out of range would live on in what the decisions measure: one stamp of long ago took a node off the
-        # list for seconds.
-        age, waits = 0, 0
-        if b"ts" in fields:
-            age = self.unix_ns() - int(self._number(fields, b"ts", 1e15) * MS)
-            if abs(age) > self.resource_limits.max_clock_skew:
-                raise UnreadableRequestError("a stamp far from now")
-            age = max(0, age)
-        if b"timeout" in fields:
-            waits = int(self._number(fields, b"timeout", self.resource_limits.max_client_timeout / MS) * MS)
+        if not REQUEST_ID.fullmatch(
+            request_id
+        ):  # it goes into lines to the engine and the catalogue as it is
+            raise MalformedRequestError("no id")
+        if len(body) > self._resource_limits.max_body_size:
+            raise MalformedRequestError("a body that is too long")
+        age = self._age(fields)
+        timeout = self._client_timeout(fields)
         if b"level" in fields:
             self._number(fields, b"level", 1.0)
-        # A subject tells that two reads ask for the same; of two mutating exchanges it tells nothing.
-        mark = fields.get(MARKS[group.idempotency], b"") if group.idempotency in MARKS else b""
+        key_field = KEY_FIELDS.get(request_class.idempotency)
+        key = fields.get(key_field, b"") if key_field else b""
         return NodeRequest(
-            request_class=group,
-            tenant=self.tenants.get(fields.get(b"owner", b"")),
+            request_class=request_class,
+            tenant=self._tenants.get(fields.get(b"owner", b"")),
             client=int(self._number(fields, b"via", 1e15)) if b"via" in fields else 0,
-            memory_kb=self._number(fields, b"need", self.resource_limits.max_memory_kb),
+            memory_kb=self._number(fields, b"need", self._resource_limits.max_memory_kb),
             retry_attempt=fields.get(b"resent") == b"1",
-            remaining_time=max(1, min(waits, group.client_timeout) - age) if waits else 0,
+            remaining_time=max(1, min(timeout, request_class.client_timeout) - age) if timeout else 0,
             queueing_delay=age,
-            has_key=bool(mark),
+            has_key=bool(key),
             is_duplicate=False,
             request_id=request_id,
             tag=tag,
-            class_name=words[2],
+            class_name=tokens[2],
             body=body,
-            cache_key=(group.index, fields.get(b"owner", b""), mark) if mark else None,
+            cache_key=(request_class.index, fields.get(b"owner", b""), key) if key else None,
             connection=connection,
-            flow_keys=self.who(lambda name: fields.get(name, b"")) if self.who else (),
+            flow_keys=self._flow_keys(lambda name: fields.get(name, b"")) if self._flow_keys else (),
         )
 
+    def _age(self, fields: dict[bytes, bytes]) -> int:
+        """Nanoseconds since the request was stamped.
+
+        A figure out of range would live on in the measurements of the admission controller: one timestamp of
+        long ago took a node out of rotation for seconds.
+        """
+        if b"ts" not in fields:
+            return 0
+        age = self._unix_ns() - int(self._number(fields, b"ts", 1e15) * MS)
+        if abs(age) > self._resource_limits.max_clock_skew:
+            raise MalformedRequestError("a stamp far from now")
+        return max(0, age)
+
+    def _client_timeout(self, fields: dict[bytes, bytes]) -> int:
+        """Nanoseconds from its timestamp that the client waits; 0 where it does not say."""
+        if b"timeout" not in fields:
+            return 0
+        return int(self._number(fields, b"timeout", self._resource_limits.max_client_timeout / MS) * MS)
+
     @staticmethod
-    def _number(fields: dict[bytes, bytes], name: bytes, below: float) -> float:
+    def _number(fields: dict[bytes, bytes], name: bytes, limit: float) -> float:
+        """The value of a field as a number from 0 to below a limit."""
         try:
             value = float(fields.get(name, b"none"))
         except ValueError:
             value = -1.0
-        if not 0 <= value < below:
-            raise UnreadableRequestError(f"no number in range in {name.decode()}")
+        if not 0 <= value < limit:
+            raise MalformedRequestError(f"no number in range in {name.decode()}")
         return value
 
 
 def encode_answer(
-    tag: int, word: bytes, signal: float | None, body: bytes = b"", last: bool = False, retry_after: int = 0
+    tag: int,
+    status: bytes,
+    load_report: float | None,
+    body: bytes = b"",
+    last: bool = False,
+    retry_after: int = 0,
 ) -> bytes:
-    """An answer, or the answer to a check, with the advice as it stands now."""
+    """Encode an answer, or the answer to a check, with the load report; `retry_after` in nanoseconds."""
     fields = []
-    if signal is not None:
-        fields.append(b"signal=%.4f" % signal)
+    if load_report is not None:
+        fields.append(b"signal=%.4f" % load_report)
     if retry_after:
         fields.append(b"holdoff=%d" % max(1, round(retry_after / MS)))
     if last:
         fields.append(b"nomore=1")
-    return encode(b"%d" % tag, word, b",".join(fields), body)
+    return encode(b"%d" % tag, status, b",".join(fields), body)
--- /dev/null
+++ b/oakkeel/dispatch/command_handler.py
@@ -0,0 +1,139 @@
+"""Commands of a dispatcher on one connection: calls, cancellations and health checks."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from oakkeel.dispatch import codec
+from oakkeel.log import EventLog
+from oakkeel.request import NodeRequest, ResponseChannel
+from oakkeel.resource_limits import ResourceLimits
+from oakkeel.stream_buffers import MalformedInputError
+
+
+class ConnectionOwner(Protocol):
+    """What connections report to the node, and ask it."""
+
+    reader: codec.RequestReader | None  # None until the node may take requests
+
+    def request_received(self, request: NodeRequest) -> None:
+        """Handle a request that was read."""
+
+    def client_disconnected(self, request: NodeRequest) -> None:
+        """Note that nobody waits for the answer any more."""
+
+    def has_request(self, request_id: bytes) -> bool:
+        """Whether a request with this ID is open, or its run is."""
+
+    def healthy(self) -> bool:
+        """Whether the node takes new requests, for health checks."""
+
+    def load_report(self) -> float | None:
+        """Return the load report for answers; None where there is none."""
+
+    def retry_after(self) -> int:
+        """Nanoseconds after which a rejected request may come back; 0: no advice."""
+
+
+class CommandHandler:
+    """Carries out the commands of one connection and holds its open requests."""
+
+    __slots__ = (
+        "_channel",
+        "_log",
+        "_on_idle",
+        "_owner",
+        "_resource_limits",
+        "_write",
+        "open_requests",
+        "received_request",
+        "rejects_all",
+        "violations",
+    )
+
+    def __init__(
+        self,
+        channel: ResponseChannel,
+        write: Callable[[bytes], None],
+        resource_limits: ResourceLimits,
+        owner: ConnectionOwner,
+        log: EventLog,
+        on_idle: Callable[[], None],
+    ) -> None:
+        """`channel` is what requests are answered on; `on_idle` is called after the last open request."""
+        self._channel, self._write = channel, write
+        self._resource_limits, self._owner, self._log, self._on_idle = resource_limits, owner, log, on_idle
+        self.open_requests: dict[int, NodeRequest] = {}  # by tag
+        self.received_request = False
+        self.rejects_all = False  # there was no room for the connection: each of its calls is rejected
+        self.violations = 0
+
+    def handle(self, tokens: list[bytes]) -> None:
+        """Carry out one command. Raises MalformedInputError where the stream is of no more use."""
+        verb, tag_token = tokens[0], tokens[1] if len(tokens) > 1 else b""
+        tag = int(tag_token) if tag_token.isdigit() and len(tag_token) <= 18 else 0
+        if not tag or (tag in self.open_requests and verb != codec.CANCEL):
+            raise MalformedInputError(f"{verb[:20]!r} with no new tag")
+        if verb == codec.CALL:
+            self._call(tag, tokens)
+        elif verb == codec.CANCEL:
+            if tag in self.open_requests:
+                self.disconnect(self.open_requests[tag])
+        elif verb == codec.CHECK:
+            health = codec.HEALTHY if self._owner.healthy() else codec.UNHEALTHY
+            self._write(codec.encode_answer(tag, health, self._owner.load_report()))
+        else:
+            self._reject_malformed(tag, f"an unknown verb {verb[:20]!r}")
+        if self.violations >= self._resource_limits.max_violations:
+            raise MalformedInputError("too many requests that can't be used")
+
+    def answer(
+        self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+    ) -> None:
+        """Write the one answer of a request; `retry_after` in nanoseconds."""
+        self._write(
+            codec.encode_answer(request.tag, word, self._owner.load_report(), body, last, retry_after)
+        )
+        self._close_request(
+            request
+        )  # after the write: an ending connection is shut down with its last answer
+
+    def report_violation(self, event: str, why: str = "") -> None:
+        """Log and count a request that can't be used: each costs time, and too many end the connection."""
+        self._log.warning(event, reason=why or None)
+        self.violations += 1
+
+    def disconnect(self, request: NodeRequest) -> None:
+        """Drop a request whose client no longer waits."""
+        self._close_request(request)
+        self._owner.client_disconnected(request)
+
+    def _call(self, tag: int, tokens: list[bytes]) -> None:
+        owner, reader = self._owner, self._owner.reader
+        if reader is None or self.rejects_all:
+            self._write(
+                codec.encode_answer(tag, codec.REJECTED, owner.load_report(), retry_after=owner.retry_after())
+            )
+            return
+        if len(self.open_requests) >= self._resource_limits.max_open_requests:
+            self._write(codec.encode_answer(tag, codec.REJECTED, owner.load_report()))
+            raise MalformedInputError(f"more than {self._resource_limits.max_open_requests} requests open")
+        try:
+            request = reader.read(tag, tokens, self._channel)
+            if owner.has_request(request.request_id):  # the first must not notice
+                raise codec.MalformedRequestError("an id that is open already")
+        except codec.MalformedRequestError as error:
+            self._reject_malformed(tag, str(error))
+            return
+        self.open_requests[tag] = request
+        self.received_request = True
+        owner.request_received(request)
+
+    def _reject_malformed(self, tag: int, why: str) -> None:
+        self._write(codec.encode_answer(tag, codec.FAILED, self._owner.load_report()))
+        self.report_violation("request_malformed", why)
+
+    def _close_request(self, request: NodeRequest) -> None:
+        if self.open_requests.pop(request.tag, None) and not self.open_requests:
+            self._on_idle()
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket, and the connections that came through it."""
+"""The listening socket, and the connections that it accepted."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 import socket
 import time
 
-from oakkeel.dispatch.connection import Connection, ConnectionOwner
+from oakkeel.dispatch.command_handler import ConnectionOwner
+from oakkeel.dispatch.connection import Connection
 from oakkeel.log import EventLog, fault
 from oakkeel.resource_limits import SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
@@ -18,30 +19,35 @@
 
 
 class Listener:
+    """Accepts connections of dispatchers, a few at a time, and bounds how many there are."""
+
     def __init__(
         self,
         address: tuple[str, int],
         pool: BufferPool,
         resource_limits: ResourceLimits,
-        front: ConnectionOwner,
+        owner: ConnectionOwner,
         log: EventLog,
     ) -> None:
-        self.pool, self.resource_limits, self.front, self.log = pool, resource_limits, front, log
+        """Bind the address; raises OSError. Nothing is listened on before `open`."""
+        self.pool, self.resource_limits, self.owner, self.log = pool, resource_limits, owner, log
         self.connections: set[Connection] = set()
-        self.tasks: set[asyncio.Task] = set()
-        self.silent: dict[Connection, int] = {}  # when those with no exchange were heard, the longest first
-        self.ending: dict[Connection, None] = {}  # had no room, or made it; the oldest first
-        self.idle: dict[Connection, int] = {}  # since when nothing is open on it, the longest first
-        self.idle_after = 0  # 0: idle connections stay
+        self.tasks: set[asyncio.Task[None]] = set()
+        # Monotonic times of the last activity of those that brought no request yet, the oldest first.
+        self.without_requests: dict[Connection, int] = {}
+        self.evicted: dict[Connection, None] = {}  # closing, as there is no room for them; the oldest first
+        self.idle: dict[Connection, int] = {}  # since when no request is open on it, the oldest first
+        self.idle_timeout = 0  # nanoseconds; 0: idle connections stay
         self.idle_timer: asyncio.TimerHandle | None = None
         self.sweeper: asyncio.TimerHandle | None = None
-        self.emptied = asyncio.Event()  # set whenever a connection ends
+        self.connection_closed = asyncio.Event()
         self.accepting = False
-        self.resume: asyncio.TimerHandle | None = None  # accepts again, where there was no descriptor
+        self.resume_timer: asyncio.TimerHandle | None = None  # accepts again after no descriptor was left
         self.socket = _bind(address)
         self.address: tuple[str, int] = self.socket.getsockname()
 
     def open(self) -> None:
+        """Listen and accept."""
         self.socket.listen(BACKLOG)
         asyncio.get_running_loop().add_reader(self.socket, self._accept_some)
         self.accepting = True
@@ -49,36 +55,40 @@
             self._sweep()
 
     async def close(self) -> None:
-        """Take no new connection: a refused one proves to its dispatcher that nothing ran. One that waits to
-        be accepted may carry an exchange that was read by the machine, and is owed its answer: all that wait
-        are accepted, a few at a time as ever, and the socket is closed right behind the last, as what comes
-        between is reset. They are no more than the kernel lets wait: a flood would keep us here for good."""
+        """Take no new connection: a refused one proves to its dispatcher that nothing ran.
+
+        One that waits to be accepted may carry a request that the kernel has received, and gets its answer:
+        all that wait are accepted, a few at a time as always, and the socket is closed right after the last,
+        as what comes between is reset. At most as many are accepted as the kernel lets wait: a flood of
+        connections would keep the listener open for good.
+        """
         for _ in range(BACKLOG // self.resource_limits.accepts_per_pass + 1):
-            if self.accepting and not self.resume and not self._accept_some() and not self.resume:
+            if self.accepting and not self.resume_timer and not self._accept_some() and not self.resume_timer:
                 break
-            # Connections that made room end in the next pass, and give back what the next ones need.
-            await asyncio.sleep(self.resource_limits.accept_retry / SECOND if self.resume else 0)
+            # Evicted connections end in the next pass, and release what the next ones need.
+            await asyncio.sleep(self.resource_limits.accept_retry / SECOND if self.resume_timer else 0)
         if self.accepting:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.accepting = False
-        if self.resume:
-            self.resume.cancel()
-            self.resume = None
+        if self.resume_timer:
+            self.resume_timer.cancel()
+            self.resume_timer = None
         self.socket.close()
 
     def reopen(self) -> None:
-        """Take new connections again at the same address. Raises OSError where it is another's by now."""
+        """Accept again at the same address. Raises OSError where another process uses it by now."""
         if not self.accepting:
             self.socket = _bind(self.address)
             self.open()
 
     def _accept_some(self) -> bool:
-        """Accept a few: in a flood of connections the rest waits for the next pass of the loop, behind all
-        that the connections at work have brought by then. Returns whether more may wait."""
+        """Accept a few connections; return whether more may wait.
+
+        In a flood of connections the rest waits for the next pass of the event loop, behind all that the
+        connections at work have brought by then.
+        """
         for _ in range(self.resource_limits.accepts_per_pass):
-            if (
-                self.pool.spare <= 2 * self.resource_limits.max_links
-            ):  # those of the links are not for dispatchers
+            if self.pool.available <= 2 * self.resource_limits.max_links:  # those of the links are reserved
                 return self._pause()
             try:
                 accepted, _ = self.socket.accept()
@@ -88,27 +98,29 @@
                 if error.errno not in NO_DESCRIPTOR:
                     continue  # this one was reset before it was accepted; those behind it were not
                 self.log.warning("accept_failed", error=str(error))
-                if not self._make_room():
+                if not self._evict_one():
                     return self._pause()
                 continue
             self._accept(accepted)
         return True
 
     def _pause(self) -> bool:
-        """No descriptor or buffer is to be had: the socket would wake the loop for nothing, again and again.
-        More may wait."""
+        """Stop accepting for a moment; more connections may wait.
+
+        No descriptor or buffer is left: the socket would wake the event loop for nothing, again and again.
+        """
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
-        self.resume = loop.call_later(self.resource_limits.accept_retry / SECOND, self._resume)
+        self.resume_timer = loop.call_later(self.resource_limits.accept_retry / SECOND, self._resume)
         return True
 
     def _resume(self) -> None:
-        self.resume = None
+        self.resume_timer = None
         asyncio.get_running_loop().add_reader(self.socket, self._accept_some)
 
     def _accept(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
-        room = len(self.connections) < self.resource_limits.max_connections or self._make_room()
+        has_room = len(self.connections) < self.resource_limits.max_connections or self._evict_one()
         with contextlib.suppress(OSError):  # reset by now: its stream finds out
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = HalfClosingStream(
@@ -116,49 +128,54 @@
             max_buffer_size=self.resource_limits.buffer_size,
             read_chunk_size=self.resource_limits.buffer_size,
         )
-        connection = Connection(stream, self.pool, self.resource_limits, self.front, self.log, self._heard)
-        if room:
+        connection = Connection(
+            stream, self.pool, self.resource_limits, self.owner, self.log, self._note_activity
+        )
+        if has_room:
             self.connections.add(connection)
-            self.silent[connection] = time.monotonic_ns()
+            self.without_requests[connection] = time.monotonic_ns()
         else:
-            self._end_soon(connection)
-            connection.turn_away()
+            self._add_evicted(connection)
+            connection.reject_all()
         task = asyncio.ensure_future(self._serve(connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _make_room(self) -> bool:
-        """End the connection that said nothing for longest, or else the one idle for longest, or one that
-        left half an array: none on which something is open, on its way or just comes."""
+    def _evict_one(self) -> bool:
+        """Close one connection to make room for another; return whether there was one.
+
+        It is the one that sent nothing for longest, else the one idle for longest, else one that left half an
+        array: never one with a request open, an answer unsent or bytes unread.
+        """
         self.log.warning("descriptors_exhausted")
-        young = time.monotonic_ns() - self.resource_limits.new_connection_grace
-        old = [each for each, since in self.silent.items() if since <= young]
-        for connection in (*old, *self.idle, *self.silent):
-            if connection.at_rest():
+        grace_start = time.monotonic_ns() - self.resource_limits.new_connection_grace
+        old = [connection for connection, since in self.without_requests.items() if since <= grace_start]
+        for connection in (*old, *self.idle, *self.without_requests):
+            if connection.is_idle():
                 break
         else:
-            half = [each for each in old if not (each.open or each.unread or each.comes())]
-            if not half:
+            stalled = [each for each in old if not (each.open_requests or each.unsent or each.has_incoming())]
+            if not stalled:
                 return False
-            connection = half[0]
-        self._forget(connection)
-        if connection.make_room():
-            self._end_soon(connection)
+            connection = stalled[0]
+        self._remove(connection)
+        if connection.evict():
+            self._add_evicted(connection)
         return True
 
-    def _end_soon(self, connection: Connection) -> None:
-        """It has a descriptor for a moment longer, of those kept back for such."""
-        while len(self.ending) >= self.resource_limits.evicted_connections:
-            next(iter(self.ending)).close()
-            self.ending.pop(next(iter(self.ending)))
-        self.ending[connection] = None
+    def _add_evicted(self, connection: Connection) -> None:
+        """Let it keep its descriptor for a moment, of those reserved for evicted connections."""
+        while len(self.evicted) >= self.resource_limits.evicted_connections:
+            next(iter(self.evicted)).close()
+            self.evicted.pop(next(iter(self.evicted)))
+        self.evicted[connection] = None
 
-    def _forget(self, connection: Connection) -> None:
+    def _remove(self, connection: Connection) -> None:
         self.connections.discard(connection)
-        self.silent.pop(connection, None)
+        self.without_requests.pop(connection, None)
         self.idle.pop(connection, None)
-        self.ending.pop(connection, None)
-        self.emptied.set()
+        self.evicted.pop(connection, None)
+        self.connection_closed.set()
 
     async def _serve(self, connection: Connection) -> None:
         try:
@@ -166,66 +183,68 @@
         except Exception as error:  # one connection must not end the node
             self.log.error("connection_failed", error=fault(error))
         finally:
-            self._forget(connection)
+            self._remove(connection)
 
     def _sweep(self) -> None:
-        """End what is overdue, again and again."""
+        """Check all connections for timeouts, and again after an interval."""
         self.sweeper = asyncio.get_running_loop().call_later(
             self.resource_limits.sweep_interval / SECOND, self._sweep
         )
         now = time.monotonic_ns()
         for connection in list(self.connections):
-            connection.overdue(now)
+            connection.check_timeouts(now)
 
-    def last(self) -> None:
+    def drain_connections(self) -> None:
+        """Tell all dispatchers to send no more on their connections."""
         for connection in list(self.connections):
-            connection.leave()
+            connection.drain()
 
-    def end(self) -> None:
-        """Close all that is left: its time is over."""
-        for connection in (*self.connections, *self.ending):
+    def close_connections(self) -> None:
+        """Close all that is left, as the time to drain is over."""
+        for connection in (*self.connections, *self.evicted):
             connection.close()
 
-    async def gone(self) -> None:
-        """Wait until every connection has ended."""
-        while self.connections or self.ending:
-            self.emptied.clear()
-            await self.emptied.wait()
+    async def wait_closed(self) -> None:
+        """Wait until every connection is closed."""
+        while self.connections or self.evicted:
+            self.connection_closed.clear()
+            await self.connection_closed.wait()
         if self.sweeper:
             self.sweeper.cancel()
             self.sweeper = None
 
     # Idle connections.
 
-    def close_idle(self, after: int) -> None:
-        self.idle_after = after
-        self._trim()
+    def close_idle(self, timeout: int) -> None:
+        """Drain connections that are idle for `timeout` nanoseconds; 0: none."""
+        self.idle_timeout = timeout
+        self._drain_idle()
 
-    def _heard(self, connection: Connection) -> None:
+    def _note_activity(self, connection: Connection) -> None:
         if connection not in self.connections:
-            return  # it has made room, and winds up what was open on it
-        self.silent.pop(connection, None)
+            return  # it was evicted, and finishes what was open on it
+        self.without_requests.pop(connection, None)
         self.idle.pop(connection, None)
-        if not connection.worked:
-            self.silent[connection] = time.monotonic_ns()  # it is checked only
-        elif not connection.open:
+        if not connection.received_request:
+            self.without_requests[connection] = time.monotonic_ns()  # it only brought health checks
+        elif not connection.open_requests:
             self.idle[connection] = time.monotonic_ns()
             if self.idle_timer is None:
-                self._trim()
+                self._drain_idle()
 
-    def _trim(self) -> None:
-        """Ask those to close that were idle for long enough, and come back when the next may have been."""
+    def _drain_idle(self) -> None:
+        """Drain those that were idle for long enough, and return when the next may have been."""
         if self.idle_timer:
             self.idle_timer.cancel()
             self.idle_timer = None
         now = time.monotonic_ns()
-        while self.idle and self.idle_after:
+        while self.idle and self.idle_timeout:
             connection, since = next(iter(self.idle.items()))
-            if (wait := since + self.idle_after - now) > 0:
-                self.idle_timer = asyncio.get_running_loop().call_later(wait / SECOND, self._trim)
+            if (wait := since + self.idle_timeout - now) > 0:
+                self.idle_timer = asyncio.get_running_loop().call_later(wait / SECOND, self._drain_idle)
                 return
             del self.idle[connection]
-            connection.leave()
+            connection.drain()
 
 
 def _bind(address: tuple[str, int]) -> socket.socket:
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -13,7 +13,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from oakkeel.admission.types import Outcome
-from oakkeel.line_protocol import LineParser, milliseconds, number
+from oakkeel.line_protocol import LineParser, parse_integer, parse_milliseconds
 from oakkeel.log import EventLog, fault
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import CallNeeded, RunFinished
@@ -244,16 +244,16 @@
         verb = words[0]
         try:
             if verb == b"HELLO":
-                self._hello(words[1], milliseconds(words[2]))
+                self._hello(words[1], parse_milliseconds(words[2]))
             elif verb == b"STATS":
                 self._stats(words[1], [float(word) for word in words[2:]])
             elif verb in (b"DONE", b"NEED", b"NOTE"):
-                numbered = number(words[1])
+                numbered = parse_integer(words[1])
                 if numbered <= self.heard:
                     return  # told once already, before the link was lost
                 self.heard = numbered
                 if verb == b"DONE":
-                    self._done(words[2], ENDS[words[3]], milliseconds(words[4]), body)
+                    self._done(words[2], ENDS[words[3]], parse_milliseconds(words[4]), body)
                 elif verb == b"NEED" and (request := self.runs.get(words[2])):
                     request.last_notice = numbered
                     request.post(CallNeeded(numbered, body))
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -56,8 +56,8 @@
             owes=len(node.open),
             cpu=time.process_time_ns(),
             completed=node.measures.total.get(codec.COMPLETED, 0),
-            denied=node.measures.total.get(codec.DENIED, 0),
-            terminated=node.measures.total.get(codec.TERMINATED, 0),
+            denied=node.measures.total.get(codec.REJECTED, 0),
+            terminated=node.measures.total.get(codec.FAILED, 0),
             version=self.version,
             load=round(node.host.gauges.core_busy, 4),
             benefit=self.outcomes.benefit,
@@ -79,7 +79,7 @@
                 Counter(
                     request.class_name.decode(errors="replace")
                     for each in node.listener.connections
-                    for request in each.open.values()
+                    for request in each.open_requests.values()
                 )
             )
         return report
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -98,12 +98,12 @@
         node.reports.set_taking(False)
         if node.host.begun:
             self._tell(left)
-            node.listener.last()
+            node.listener.drain_connections()
             await asyncio.sleep(self.grace / SECOND)
         self._move(DrainState.EMPTYING)
         await node.listener.close()
-        node.listener.last()
-        await node.listener.gone()  # each ends only when all on it is answered and on its way
+        node.listener.drain_connections()
+        await node.listener.wait_closed()  # each ends only when all on it is answered and on its way
         self._move(DrainState.ENDED)
         if self.timer:
             self.timer.cancel()
@@ -119,7 +119,7 @@
 
     def _end(self) -> None:
         self.node.log.warning("drain_deadline_reached")
-        self.node.listener.end()
+        self.node.listener.close_connections()
 
     def _tell(self, left: int | None) -> None:
         try:
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -110,7 +110,7 @@
             self.fairly.begin()
             who = self.fairly.keys.who
         self.reader = RequestReader(
-            self.start.limits, self.start.groups, self.start.tenants, self.resource_limits, who=who
+            self.start.limits, self.start.groups, self.start.tenants, self.resource_limits, flow_keys=who
         )
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
@@ -136,17 +136,17 @@
 
     # The front of the connections.
 
-    def arrived(self, request: NodeRequest) -> None:
+    def request_received(self, request: NodeRequest) -> None:
         self.measures.read += 1
         task = asyncio.ensure_future(self.handler.handle(request))
         self.open[request.request_id] = task
         task.add_done_callback(lambda _: self.open.pop(request.request_id))
 
-    def holds(self, request_id: bytes) -> bool:
+    def has_request(self, request_id: bytes) -> bool:
         """Whether an exchange of that id is open, or its run is."""
         return request_id in self.open
 
-    def gone(self, request: NodeRequest) -> None:
+    def client_disconnected(self, request: NodeRequest) -> None:
         if not request.answered:
             request.answered = True  # nothing is owed any more
             request.post(ClientDisconnected())
@@ -154,10 +154,10 @@
     def healthy(self) -> bool:
         return self.host.good and self.host.begun and not self.draining
 
-    def signal(self) -> float | None:
+    def load_report(self) -> float | None:
         return self.host.signal
 
-    def return_after(self) -> int:
+    def retry_after(self) -> int:
         """When one that is denied at the door may come back, in nanoseconds; 0: it takes no such advice."""
         return self.host.admission.return_after() if self.host.begun else 0
 
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -76,8 +76,8 @@
         now = time.monotonic_ns()
         request.is_duplicate = self.results.find(request, now)
         if request.is_duplicate and self.results.differs(request):
-            request.connection.fault("idempotency_key_mismatch")
-            self._answer(request, codec.TERMINATED)
+            request.connection.report_violation("idempotency_key_mismatch")
+            self._answer(request, codec.FAILED)
             return False
         if (
             request.cache_key
@@ -137,9 +137,9 @@
                 return RELEASED
             event = await request.next_event()
             if isinstance(event, RejectRequest):
-                self._answer(request, codec.DENIED, last=event.final, retry_after=event.retry_after)
+                self._answer(request, codec.REJECTED, last=event.final, retry_after=event.retry_after)
             elif isinstance(event, FailRequest):
-                self._answer(request, codec.TERMINATED)
+                self._answer(request, codec.FAILED)
             elif isinstance(event, CancelRun):
                 self.engine.halt(request)
             elif isinstance(event, ClientDisconnected):
@@ -155,7 +155,7 @@
         counted = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
         self.host.tell(self.host.admission.run_finished, request, counted, run.duration)
         if request.unknown_to_engine:
-            request.connection.fault("request_id_unknown")
+            request.connection.report_violation("request_id_unknown")
         if request.may_have_run:
             self.results.ended(request, counted, run.result)
         self._answer_run(request, run.outcome, run.result)
@@ -166,10 +166,10 @@
         elif outcome is Outcome.REJECTED:
             self._deny(request)  # the one that it repeats never ran, and so neither did this
         else:
-            self._answer(request, codec.TERMINATED)
+            self._answer(request, codec.FAILED)
 
     def _deny(self, request: NodeRequest) -> None:
-        self._answer(request, codec.DENIED, retry_after=self.host.admission.return_after())
+        self._answer(request, codec.REJECTED, retry_after=self.host.admission.return_after())
 
     def _answer(
         self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
@@ -184,7 +184,7 @@
 
     async def _wind_up(self, request: NodeRequest) -> None:
         """After an error of ours: answer it, and follow its run to the end, so that its cores are counted."""
-        self._answer(request, codec.TERMINATED)
+        self._answer(request, codec.FAILED)
         try:
             self.host.tell(self.host.admission.client_disconnected, request)
             while request.in_engine or request.events:
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -21,7 +21,7 @@
     ) -> None:
         """Write the one answer of the request; `retry_after` in nanoseconds."""
 
-    def fault(self, event: str, why: str = "") -> None:
+    def report_violation(self, event: str, why: str = "") -> None:
         """Log a request that can't be used, and count it against the connection."""
 
 
--- a/oakkeel/stream_buffers.py
+++ b/oakkeel/stream_buffers.py
@@ -1,4 +1,4 @@
-"""Buffers of one size, used again, and how streams are read into them and written to."""
+"""Reused buffers of one size, and how streams are read into them and written to."""
 
 from __future__ import annotations
 
@@ -9,120 +9,134 @@
 
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
+from oakkeel.errors import OakkeelError
 
-class MalformedInputError(Exception):
-    """Bytes that can't be what the other side should send; the text says why in a few words."""
+
+class MalformedInputError(OakkeelError):
+    """Bytes that the other side should not send; the message says why in a few words."""
 
 
 class BufferPool:
-    """Buffers of one size. It makes them as they are asked for and keeps those given back."""
+    """A bounded pool of buffers of one size, allocated on demand and reused."""
 
-    def __init__(self, size: int, most: int) -> None:
-        self.size, self.left = size, most
+    def __init__(self, buffer_size: int, max_buffers: int) -> None:
+        """Allocate nothing yet; the size is in bytes."""
+        self.buffer_size, self.unallocated = buffer_size, max_buffers
         self.free: list[bytearray] = []
 
     @property
-    def spare(self) -> int:
+    def available(self) -> int:
         """How many may still be leased."""
-        return self.left + len(self.free)
+        return self.unallocated + len(self.free)
 
     def lease(self) -> bytearray:
+        """Take a buffer. Raises MemoryError where none is left."""
         if self.free:
             return self.free.pop()
-        if not self.left:
+        if not self.unallocated:
             raise MemoryError("no buffer is left")
-        self.left -= 1
-        return bytearray(self.size)
+        self.unallocated -= 1
+        return bytearray(self.buffer_size)
 
-    def give_back(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
+        """Return a leased buffer."""
         self.free.append(buffer)
 
 
 class ReadBuffer:
-    """What was read from one stream and is not yet parsed: a leased buffer, filled behind, emptied before."""
+    """Bytes of one stream that are not parsed yet, in a leased buffer: filled at `end`, consumed at `start`."""
 
-    __slots__ = ("buffer", "end", "pool", "start")
+    __slots__ = ("_pool", "buffer", "end", "start")
 
     def __init__(self, pool: BufferPool) -> None:
-        self.pool, self.buffer = pool, pool.lease()
+        """Lease a buffer. Raises MemoryError where none is left."""
+        self._pool, self.buffer = pool, pool.lease()
         self.start = self.end = 0
 
     @property
-    def waiting(self) -> bool:
-        """Whether it holds bytes that no parser has taken."""
+    def has_data(self) -> bool:
+        """Whether it holds bytes that no parser has consumed."""
         return self.start != self.end
 
-    def drop(self) -> None:
+    def clear(self) -> None:
+        """Drop all bytes."""
         self.start = self.end = 0
 
-    def take(self, opened: socket.socket) -> None:
-        """What is there at once, of a socket that no stream reads yet. Raises OSError."""
-        self.end += opened.recv_into(memoryview(self.buffer)[self.end :])
+    def receive(self, connected: socket.socket) -> None:
+        """Receive what is there at once, of a socket that no stream reads yet. Raises OSError."""
+        self.end += connected.recv_into(memoryview(self.buffer)[self.end :])
 
     async def fill(self, stream: IOStream) -> None:
-        """Wait for more. What a parser left is moved to the front; a full buffer holds no whole message."""
+        """Wait for more bytes. What a parser left is moved to the front.
+
+        Raises StreamClosedError, and MalformedInputError where a full buffer holds no whole message.
+        """
         if self.start:
             self.buffer[: self.end - self.start] = self.buffer[self.start : self.end]
             self.start, self.end = 0, self.end - self.start
         if self.end == len(self.buffer):
             raise MalformedInputError(f"longer than {self.end} bytes")
-        room = memoryview(self.buffer)[self.end :]
-        count = await stream.read_into(room, partial=True)  # type: ignore[arg-type]  # any buffer will do
-        self.end += stream.delivered(count) if isinstance(stream, HalfClosingStream) else count
+        free = memoryview(self.buffer)[self.end :]
+        count = await stream.read_into(free, partial=True)  # type: ignore[arg-type]  # any buffer will do
+        self.end += stream.count_delivered(count) if isinstance(stream, HalfClosingStream) else count
 
     def close(self) -> None:
-        self.pool.give_back(self.buffer)
+        """Return the buffer to the pool."""
+        self._pool.release(self.buffer)
 
 
 class HalfClosingStream(IOStream):
-    """A stream on which the other side may end its half and go on to read ours.
+    """A stream whose other side may shut down its half and still read ours.
 
-    An IOStream closes both ways at the end of what comes, and what is still owed is lost. Here that end comes
-    as one byte more than was received, which `delivered` takes off; nothing may be read after it.
+    An IOStream closes both ways at the end of its input, and loses what is still to be written. Here that end
+    is read as one byte more than was received, which `count_delivered` subtracts; nothing may be read after it.
     """
 
-    received = 0  # and not delivered yet
-    ended = False  # the other side sends no more, and all that it sent is delivered
+    undelivered = 0  # bytes received and not delivered yet
+    at_eof = False  # the other side sends no more, and all that it sent is delivered
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
+        """Read into a buffer; the end of the input counts as one byte."""
         count = super().read_from_fd(buf)
         if count == 0:
             return 1
-        self.received += count or 0
+        self.undelivered += count or 0
         return count
 
     def close(self, exc_info: Any = False) -> None:
-        """`error` tells what it broke of, without the frames: these hold the stream and what it read into,
-        and such a circle lay in memory until the collector came by."""
+        """Close both ways; `error` keeps no traceback.
+
+        Its frames hold the stream and the buffer, and such a cycle stayed in memory until the collector ran.
+        """
         super().close(exc_info)
         if self.error is not None:
             self.error.__traceback__ = None
 
-    def delivered(self, count: int) -> int:
-        """How many of the bytes that a read brought were received."""
-        real = min(count, self.received)
-        self.received -= real
-        self.ended = real < count
+    def count_delivered(self, count: int) -> int:
+        """Return how many of the bytes of a read were received."""
+        real = min(count, self.undelivered)
+        self.undelivered -= real
+        self.at_eof = real < count
         return real
 
 
-def readable(opened: socket.socket) -> bool:
-    """Whether bytes or an end wait in the kernel: they may have come since the loop last looked."""
+def readable(connected: socket.socket) -> bool:
+    """Whether bytes or an end wait in the kernel: they may have come since the event loop last polled."""
     poll = select.poll()
-    poll.register(opened, select.POLLIN)
+    poll.register(connected, select.POLLIN)
     return bool(poll.poll(0))
 
 
 async def connect(stream: IOStream, address: tuple[str, int]) -> None:
-    """Raises StreamClosedError where it can't be reached, or was closed meanwhile."""
+    """Connect a stream. Raises StreamClosedError where it can't, or the stream was closed meanwhile."""
     await stream.connect(address)
-    if stream.closed():  # between the connection and our turn
+    if stream.closed():  # since it was connected
         raise StreamClosedError
     stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def send(stream: IOStream, data: bytes) -> asyncio.Future[None] | None:
-    """Write at once what can be; None where the stream has ended. Its reader sees the end, and tells it."""
+    """Write at once what can be; return None where the stream is closed, which its reader reports."""
     try:
         written = stream.write(data)
     except StreamBufferFullError:
@@ -130,10 +144,10 @@
         return None
     except StreamClosedError:
         return None
-    written.add_done_callback(_look)
+    written.add_done_callback(_retrieve_exception)
     return written
 
 
-def _look(written: asyncio.Future[None]) -> None:
+def _retrieve_exception(written: asyncio.Future[None]) -> None:
     if not written.cancelled():
-        written.exception()  # or asyncio would report it as never looked at
+        written.exception()  # or asyncio would report that it was never retrieved
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -245,12 +245,12 @@
             )
         written = [
             codec.encode_answer(7, codec.COMPLETED, 0.625, b"result"),
-            codec.encode_answer(8, codec.DENIED, None, b"", True, 250_000_000),
-            codec.encode_answer(9, codec.TERMINATED, 1.0),
-            codec.encode_answer(10, codec.GOOD, 0.5),
-            codec.encode_answer(11, codec.BAD, None),
+            codec.encode_answer(8, codec.REJECTED, None, b"", True, 250_000_000),
+            codec.encode_answer(9, codec.FAILED, 1.0),
+            codec.encode_answer(10, codec.HEALTHY, 0.5),
+            codec.encode_answer(11, codec.UNHEALTHY, None),
             codec.LAST,
-            codec.BROKEN,
+            codec.MALFORMED_STREAM,
         ]
         self.assertEqual(written, [base64.b64decode(each) for each in expected["answers"]])
 
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -17,7 +17,8 @@
 
 from oakkeel.dispatch import codec
 from oakkeel.dispatch.codec import RequestReader
-from oakkeel.dispatch.connection import Connection, Phase
+from oakkeel.dispatch.connection import Connection
+from oakkeel.dispatch.connection_state import ConnectionState
 from oakkeel.dispatch.listener import BACKLOG, Listener
 from oakkeel.dispatch.resp import encode
 from oakkeel.log import EventLog
@@ -107,29 +108,29 @@
 
     async def asyncTearDown(self) -> None:
         await self.listener.close()
-        self.listener.end()
+        self.listener.close_connections()
         for each in self.callers:
             each.close()
-        await asyncio.wait_for(self.listener.gone(), WAIT)
+        await asyncio.wait_for(self.listener.wait_closed(), WAIT)
 
     # The node, as connections see it.
 
-    def arrived(self, request) -> None:
+    def request_received(self, request) -> None:
         self.arrived_here.append(request)
 
-    def gone(self, request) -> None:
+    def client_disconnected(self, request) -> None:
         self.gone_here.append(request)
 
-    def holds(self, request_id: bytes) -> bool:
+    def has_request(self, request_id: bytes) -> bool:
         return False
 
     def healthy(self) -> bool:
         return True
 
-    def signal(self) -> float | None:
+    def load_report(self) -> float | None:
         return None
 
-    def return_after(self) -> int:
+    def retry_after(self) -> int:
         return 250 * MS
 
     # Steps.
@@ -157,7 +158,7 @@
         """With one exchange that is open."""
         caller, connection = await self.connected(size)
         caller.send(call(1))
-        await self.until(lambda: connection.open)
+        await self.until(lambda: connection.open_requests)
         return caller, connection
 
     async def rested(self) -> tuple[Caller, Connection]:
@@ -165,7 +166,7 @@
         caller, connection = await self.working()
         self.answer()
         await caller.until(1)
-        await self.until(connection.at_rest)
+        await self.until(connection.is_idle)
         return caller, connection
 
     async def stuck(self) -> tuple[Caller, Connection]:
@@ -177,7 +178,7 @@
         await self.until(lambda: len(self.arrived_here) == 30)
         for _ in range(30):
             self.answer(bytes(4096))
-        self.assertTrue(connection.unread)
+        self.assertTrue(connection.unsent)
         return caller, connection
 
     def answer(self, body: bytes = b"result") -> None:
@@ -189,33 +190,33 @@
     async def test_a_request_that_came_before_we_told_that_it_is_the_last_is_served(self):
         caller, connection = await self.rested()
         caller.send(call(2))
-        connection.leave()
+        connection.drain()
         await self.until(lambda: self.arrived_here)
         self.answer()
         self.assertEqual((await caller.until(2))[1], b"ok")
 
     async def test_a_request_that_came_when_the_rest_was_over_is_served_and_the_close_waits(self):
         caller, connection = await self.rested()
-        connection.leave()
+        connection.drain()
         caller.send(call(2))  # in the kernel, unseen: this close reset the connection
-        connection._rested(SECOND)
-        self.assertIs(connection.phase, Phase.LEAVING)
+        connection._drain_expired(SECOND)
+        self.assertIs(connection.state, ConnectionState.LEAVING)
         await self.until(lambda: self.arrived_here)
-        connection._rested(SECOND)  # now it is open
+        connection._drain_expired(SECOND)  # now it is open
         self.answer()
-        connection._rested(SECOND)  # and now its answer is on its way
+        connection._drain_expired(SECOND)  # and now its answer is on its way
         self.assertEqual((await caller.until(2))[1], b"ok")
-        await self.until(connection.at_rest)
-        connection._rested(SECOND)
+        await self.until(connection.is_idle)
+        connection._drain_expired(SECOND)
         self.assertEqual((await caller.end())[-1], [b"2", b"ok", b"", b"result"])
 
     async def test_half_a_request_keeps_the_connection_until_its_other_half(self):
         caller, connection = await self.rested()
-        connection.leave()
+        connection.drain()
         caller.send(call(2)[:30])
-        await self.until(lambda: connection.read_buffer.waiting)
-        connection._rested(SECOND)
-        self.assertIs(connection.phase, Phase.LEAVING)
+        await self.until(lambda: connection.read_buffer.has_data)
+        connection._drain_expired(SECOND)
+        self.assertIs(connection.state, ConnectionState.LEAVING)
         caller.send(call(2)[30:])
         await self.until(lambda: self.arrived_here)
         self.answer()
@@ -223,9 +224,9 @@
 
     async def test_a_request_that_crosses_our_end_is_never_run_and_resets_nothing(self):
         caller, connection = await self.working()
-        connection.end()
+        connection.finish()
         self.answer(bytes(3000))
-        await self.until(lambda: connection.phase is Phase.LINGERING)
+        await self.until(lambda: connection.state is ConnectionState.LINGERING)
         caller.send(call(2))  # written before its dispatcher read our end
         caller.send(call(3)[:20])
         await asyncio.sleep(0)
@@ -235,27 +236,27 @@
 
     async def test_while_we_linger_what_comes_is_dropped_until_the_dispatcher_closes(self):
         caller, connection = await self.rested()
-        connection.end()
+        connection.finish()
         for tag in range(2, 40):
             caller.send(call(tag, 2000))
         self.assertEqual(len(await caller.end()), 1)
         caller.close()
-        await self.until(lambda: connection.phase is Phase.CLOSED)
+        await self.until(lambda: connection.state is ConnectionState.CLOSED)
         self.assertEqual(self.arrived_here, [])
 
     async def test_one_that_rests_until_we_end_it_sees_a_clean_end(self):
         caller, connection = await self.rested()
-        connection.leave()
+        connection.drain()
         self.assertEqual(await caller.until(1) and (await caller.read()), True)
-        connection._rested(SECOND)
+        connection._drain_expired(SECOND)
         self.assertEqual((await caller.end())[1:], [LAST])
 
     async def test_answers_that_are_still_to_be_sent_keep_the_connection(self):
         caller, connection = await self.stuck()
-        connection.leave()
-        connection._rested(SECOND)
-        connection.end()
-        self.assertIs(connection.phase, Phase.ENDING)
+        connection.drain()
+        connection._drain_expired(SECOND)
+        connection.finish()
+        self.assertIs(connection.state, ConnectionState.ENDING)
         found = await caller.end()
         self.assertEqual(sorted(int(each[0]) for each in found if each != LAST), list(range(1, 31)))
         self.assertTrue(all(len(each[3]) == 4096 for each in found if each != LAST))
@@ -267,9 +268,9 @@
         self.answer()
         await caller.until(2)
         caller.send(call(3))  # within the pause between two reads
-        connection.leave()
-        connection._rested(SECOND)
-        self.assertIs(connection.phase, Phase.LEAVING)
+        connection.drain()
+        connection._drain_expired(SECOND)
+        self.assertIs(connection.state, ConnectionState.LEAVING)
         await self.until(lambda: self.arrived_here)
 
     async def test_one_that_ends_its_half_and_reads_on_gets_its_answers(self):
@@ -278,7 +279,7 @@
         caller.send(call(1) + call(2))
         caller.socket.shutdown(socket.SHUT_WR)
         await self.until(lambda: len(self.arrived_here) == 2)
-        await self.until(lambda: connection.stream.ended)
+        await self.until(lambda: connection.stream.at_eof)
         self.assertEqual(self.gone_here, [])
         self.answer()
         self.answer()
@@ -317,9 +318,9 @@
         self.addCleanup(gc.enable)
         caller, connection = await self.rested()
         stream = weakref.ref(connection.stream)
-        connection.end()
+        connection.finish()
         caller.close(reset=True)
-        await self.until(lambda: stream() is None or connection.phase is Phase.CLOSED)
+        await self.until(lambda: stream() is None or connection.state is ConnectionState.CLOSED)
         self.assertIsInstance(stream().error, ConnectionResetError)
         connection = None
         await self.until(lambda: stream() is None)
@@ -327,24 +328,24 @@
     async def test_an_answer_just_after_an_ending_connection_broke_fails_nothing(self):
         # Its reader had not run yet: the answer shut down a socket that was no longer there, and raised.
         caller, connection = await self.working()
-        connection.end()
+        connection.finish()
         connection.stream.close()
         self.answer()
-        self.assertEqual(connection.open, {})
-        await self.until(lambda: connection.phase is Phase.CLOSED)
+        self.assertEqual(connection.open_requests, {})
+        await self.until(lambda: connection.state is ConnectionState.CLOSED)
 
     async def test_a_look_at_what_is_overdue_outlives_one_that_just_broke(self):
         # It ended the looks for good: from then on nobody who left half an array was ever ended.
         caller, connection = await self.connected()
         caller.send(call(1)[:20])
-        await self.until(lambda: connection.read_buffer.waiting)
-        connection.awaited -= 700 * SECOND
+        await self.until(lambda: connection.read_buffer.has_data)
+        connection.array_due_since -= 700 * SECOND
         connection.stream.close()
         before = self.listener.sweeper
         self.listener._sweep()
         self.assertIsNot(self.listener.sweeper, before)
         before.cancel()
-        await self.until(lambda: connection.phase is Phase.CLOSED)
+        await self.until(lambda: connection.state is ConnectionState.CLOSED)
 
 
 class UnreadableStories(DoorStory):
@@ -357,13 +358,13 @@
         self.answer(bytes(4000))
         self.assertEqual([each[:2] for each in await caller.end()], [[b"0", b"fault"], [b"1", b"ok"]])
         caller.close()
-        await self.until(lambda: connection.phase is Phase.CLOSED)
+        await self.until(lambda: connection.state is ConnectionState.CLOSED)
 
     async def test_what_is_open_may_take_as_long_as_it_needs(self):
         caller, connection = await self.working()
         caller.send(b"?")
         await caller.until(0)
-        connection.overdue(time.monotonic_ns() + 9 * SECOND)
+        connection.check_timeouts(time.monotonic_ns() + 9 * SECOND)
         await asyncio.sleep(0.05)
         self.assertEqual(self.gone_here, [])
         self.answer()
@@ -372,9 +373,9 @@
     async def test_half_an_array_for_too_long_takes_no_answer_along(self):
         caller, connection = await self.working()
         caller.send(call(2)[:25])
-        await self.until(lambda: connection.read_buffer.waiting and connection.stream.reading())
-        connection.overdue(time.monotonic_ns() + 3 * SECOND)
-        self.assertIs(connection.phase, Phase.ENDING)
+        await self.until(lambda: connection.read_buffer.has_data and connection.stream.reading())
+        connection.check_timeouts(time.monotonic_ns() + 3 * SECOND)
+        self.assertIs(connection.state, ConnectionState.ENDING)
         caller.send(call(2)[25:])  # too late: it is not taken, and resets nothing
         self.answer()
         self.assertEqual([each[:2] for each in await caller.end()], [[b"1", b"ok"]])
@@ -384,10 +385,10 @@
         # The whole exchange was in the kernel, and was dropped.
         caller, connection = await self.connected()
         caller.send(call(1)[:25])
-        await self.until(lambda: connection.read_buffer.waiting and connection.stream.reading())
+        await self.until(lambda: connection.read_buffer.has_data and connection.stream.reading())
         caller.send(call(1)[25:])
-        connection.overdue(connection.awaited + self.resource_limits.array_timeout + 1)
-        self.assertIs(connection.phase, Phase.OPEN)
+        connection.check_timeouts(connection.array_due_since + self.resource_limits.array_timeout + 1)
+        self.assertIs(connection.state, ConnectionState.OPEN)
         await self.until(lambda: self.arrived_here)
         self.answer()
         self.assertEqual((await caller.until(1))[1], b"ok")
@@ -395,24 +396,29 @@
     async def test_one_that_sends_a_byte_now_and_then_is_ended_at_the_second_look(self):
         caller, connection = await self.connected()
         caller.send(call(1)[:25])
-        await self.until(lambda: connection.read_buffer.waiting and connection.stream.reading())
-        for look, phase in ((1, Phase.OPEN), (self.resource_limits.sweep_interval, Phase.LINGERING)):
+        await self.until(lambda: connection.read_buffer.has_data and connection.stream.reading())
+        for look, phase in (
+            (1, ConnectionState.OPEN),
+            (self.resource_limits.sweep_interval, ConnectionState.LINGERING),
+        ):
             caller.send(b"?")
-            connection.overdue(connection.awaited + self.resource_limits.array_timeout + look + 1)
-            self.assertIs(connection.phase, phase)
+            connection.check_timeouts(
+                connection.array_due_since + self.resource_limits.array_timeout + look + 1
+            )
+            self.assertIs(connection.state, phase)
 
     async def test_one_that_said_nothing_for_too_long_is_not_ended_over_what_it_just_sends(self):
         caller, connection = await self.connected()
         caller.send(call(1))
-        connection.overdue(time.monotonic_ns() + 3 * SECOND)
+        connection.check_timeouts(time.monotonic_ns() + 3 * SECOND)
         await self.until(lambda: self.arrived_here)
         self.answer()
         self.assertEqual((await caller.until(1))[1], b"ok")
 
     async def test_one_that_takes_nothing_is_closed_in_the_end(self):
         caller, connection = await self.stuck()
-        connection.overdue(time.monotonic_ns() + 11 * SECOND)
-        await self.until(lambda: connection.phase is Phase.CLOSED)
+        connection.check_timeouts(time.monotonic_ns() + 11 * SECOND)
+        await self.until(lambda: connection.state is ConnectionState.CLOSED)
 
 
 class TrimStories(DoorStory):
@@ -420,8 +426,8 @@
         caller, connection = await self.rested()
         caller.send(call(2))
         self.listener.close_idle(1)
-        self.assertIs(connection.phase, Phase.LEAVING)
-        connection._rested(SECOND)
+        self.assertIs(connection.state, ConnectionState.LEAVING)
+        connection._drain_expired(SECOND)
         await self.until(lambda: self.arrived_here)
         self.answer()
         self.assertEqual((await caller.until(2))[1], b"ok")
@@ -442,8 +448,8 @@
         other, second = await self.rested()
         caller.send(call(2))  # it was idle for longest, and was closed over this
         third = self.caller()
-        await self.until(lambda: second.phase is Phase.LINGERING)
-        self.assertIs(first.phase, Phase.OPEN)
+        await self.until(lambda: second.state is ConnectionState.LINGERING)
+        self.assertIs(first.state, ConnectionState.OPEN)
         await self.until(lambda: self.arrived_here)
         self.answer()
         self.assertEqual((await caller.until(2))[1], b"ok")
@@ -458,10 +464,10 @@
         await self.working()
         caller, half = await self.connected()
         caller.send(call(2)[:25])
-        await self.until(lambda: half.read_buffer.waiting and half.stream.reading())
-        self.listener.silent[half] -= 700 * SECOND
+        await self.until(lambda: half.read_buffer.has_data and half.stream.reading())
+        self.listener.without_requests[half] -= 700 * SECOND
         caller.send(call(2)[25:])
-        self.assertFalse(self.listener._make_room())
+        self.assertFalse(self.listener._evict_one())
         self.arrived_here.clear()
         await self.until(lambda: self.arrived_here)
         self.answer()
@@ -481,14 +487,14 @@
         await self.working()
         await self.working()
         late = self.caller()
-        await self.until(lambda: self.listener.ending)
-        connection = next(iter(self.listener.ending))
+        await self.until(lambda: self.listener.evicted)
+        connection = next(iter(self.listener.evicted))
         late.send(call(3))
-        connection._rested(SECOND)
-        self.assertIs(connection.phase, Phase.LEAVING)
+        connection._drain_expired(SECOND)
+        self.assertIs(connection.state, ConnectionState.LEAVING)
         self.assertEqual((await late.until(3))[1], b"full")
-        await self.until(connection.at_rest)
-        connection._rested(SECOND)
+        await self.until(connection.is_idle)
+        connection._drain_expired(SECOND)
         self.assertEqual((await late.end())[-1][:2], [b"3", b"full"])
 
     async def test_one_that_is_closed_over_what_it_sends_gets_its_denial_and_a_clean_end(self):
@@ -497,9 +503,9 @@
         await self.working()
         late = self.caller()
         late.send(call(3))
-        await self.until(lambda: self.listener.ending)
-        connection = next(iter(self.listener.ending))
-        await self.until(lambda: not connection.unread)
+        await self.until(lambda: self.listener.evicted)
+        connection = next(iter(self.listener.evicted))
+        await self.until(lambda: not connection.unsent)
         late.send(call(4))
         connection.close()
         self.assertEqual([each[:2] for each in await late.end()], [[b"3", b"full"], LAST])
@@ -513,7 +519,7 @@
             flood[-1].send(call(tag))
         for tag, each in enumerate(flood, 10):
             self.assertEqual((await each.until(tag))[1], b"full")
-            self.assertLessEqual(len(self.listener.ending), self.resource_limits.evicted_connections)
+            self.assertLessEqual(len(self.listener.evicted), self.resource_limits.evicted_connections)
         self.answer()
         self.answer()
         self.assertEqual((await caller.until(1))[1], b"ok")
@@ -524,7 +530,7 @@
             self.caller().close(reset=True)
             self.callers.pop()
             await asyncio.sleep(0)
-        await self.until(lambda: not self.listener.connections and not self.listener.ending)
+        await self.until(lambda: not self.listener.connections and not self.listener.evicted)
         caller, _ = await self.working()
         self.answer()
         self.assertEqual((await caller.until(1))[1], b"ok")
@@ -555,7 +561,7 @@
         waiting[0].send(call(1))
         waiting[1].send(call(2)[:9])
         await self.listener.close()
-        self.listener.last()
+        self.listener.drain_connections()
         await self.until(lambda: self.arrived_here)
         waiting[1].send(call(2)[9:])
         await self.until(lambda: len(self.arrived_here) == 2)
@@ -634,11 +640,11 @@
         self.assertEqual((await caller.until(1))[1], b"ok")
 
     async def test_one_accepted_after_the_others_were_told_to_close_is_served_and_told_at_the_end(self):
-        self.listener.last()
+        self.listener.drain_connections()
         caller, connection = await self.working()
-        self.assertIs(connection.phase, Phase.OPEN)
+        self.assertIs(connection.state, ConnectionState.OPEN)
         await self.listener.close()
-        self.listener.last()
+        self.listener.drain_connections()
         self.answer()
         await caller.until(1)
         self.assertIn(LAST, caller.words())
@@ -665,7 +671,7 @@
         drain.leave()
         await asyncio.wait_for(self.done.wait(), WAIT)
         self.assertIs(drain.state, DrainState.ENDED)
-        self.assertEqual({resting.phase, held.phase}, {Phase.CLOSED})
+        self.assertEqual({resting.state, held.state}, {ConnectionState.CLOSED})
 
 
 class CrowdedStories(DoorStory):
@@ -694,10 +700,10 @@
         ]
         caller = self.caller()
         caller.send(call(1))
-        await self.until(lambda: self.listener.resume)
-        self.assertEqual(pool.spare, 2 * self.resource_limits.max_links)
+        await self.until(lambda: self.listener.resume_timer)
+        self.assertEqual(pool.available, 2 * self.resource_limits.max_links)
         for each in taken:
-            pool.give_back(each)
+            pool.release(each)
         await self.until(lambda: self.arrived_here)
         self.answer()
         self.assertEqual((await caller.until(1))[1], b"ok")
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -145,7 +145,7 @@
         pool = BufferPool(64, 1)
         first = pool.lease()
         self.assertRaises(MemoryError, pool.lease)
-        pool.give_back(first)
+        pool.release(first)
         self.assertIs(pool.lease(), first)
 
     def test_nested_json_and_text_give_a_node_the_same_limits(self):
@@ -361,7 +361,7 @@
         serving = asyncio.ensure_future(link.serve())
         for _ in range(9):
             await asyncio.sleep(0)
-        pool.left = 9
+        pool.unallocated = 9
         self.assertEqual(await asyncio.wait_for(attached.get(), WAIT), b"ATTACH 0\r\n")
         serving.cancel()
         await asyncio.wait((serving,))
@@ -434,22 +434,22 @@
         class Stand:
             closed = False
 
-            def at_rest(self):
+            def is_idle(self):
                 return not self.closed
 
-            def make_room(self):
+            def evict(self):
                 self.closed = True
                 return False  # it needs no descriptor any more
 
         listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
         self.addCleanup(listener.socket.close)
         old, new, held = Stand(), Stand(), Stand()
-        listener.silent = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
+        listener.without_requests = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
         listener.idle = {held: 0}
         for closed in (old, held, new):
-            self.assertTrue(listener._make_room())
+            self.assertTrue(listener._evict_one())
             self.assertTrue(closed.closed)
-        self.assertFalse(listener._make_room())
+        self.assertFalse(listener._evict_one())
 
 
 class FloodStories(unittest.IsolatedAsyncioTestCase):
@@ -465,7 +465,7 @@
         self.assertEqual(len(listener.connections), len(callers))
         for opened in (*listener.connections, *callers):
             opened.close()
-        await listener.gone()
+        await listener.wait_closed()
 
     async def test_a_flood_of_connections_is_accepted_a_few_at_a_time(self):
         # All that waited were accepted in one pass: 180 ms in which nothing else was read or answered.
@@ -484,7 +484,7 @@
         await listener.close()
         for opened in (*listener.connections, *callers):
             opened.close()
-        await listener.gone()
+        await listener.wait_closed()
 
 
 class ReportStories(unittest.IsolatedAsyncioTestCase):
