--- a/measure/plan.py
+++ b/measure/plan.py
@@ -15,19 +15,20 @@
 
 from measure.common import SECOND, keep, options, processor, say
 from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
-from oakkeel.emulator.consensus import ConsensusSimulation, SimulatedHost
+from oakkeel.emulator.consensus import ConsensusSimulation
 from oakkeel.emulator.faults import Fault, Schedule
+from oakkeel.emulator.simulated_host import SimulatedHost
 from oakkeel.rollout import commands
 from oakkeel.rollout.commands import VersionSpec
 from oakkeel.rollout.controller import RolloutController
-from oakkeel.rollout.plan import BatchPlanner, TargetObservation
+from oakkeel.rollout.plan import BatchLimits, BatchPlanner, TargetObservation
 
 MS = 1_000_000
 HOSTS, EACH, SITES, BOUND = 100, 10, 5, 20
 
 
 def turns(count: int) -> dict[str, float]:
-    """Milliseconds that one choice takes among so many instances on 10 to a host, at 20 sites."""
+    """Return the milliseconds of one choice among so many instances, 10 to a host, at 20 sites."""
     names = [f"n{number}" for number in range(count)]
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
@@ -35,22 +36,22 @@
         BudgetGroup(f"site {number}", max(1, len(site) // 10), tuple(site))
         for number, site in enumerate(sites)
     ]
-    layout = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
-    planner, random, found = BatchPlanner(layout), Random(1), {}
+    topology = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
+    planner, random, found = BatchPlanner(topology), Random(1), {}
     for label, most, out_share in (
         ("one", 1, 0.0),
         ("as many as may be", 500, 0.0),
         ("a tenth out", 500, 0.1),
     ):
-        out = UnavailableTargets(layout)
+        out = UnavailableTargets(topology)
         seen = {name: TargetObservation(name, "serving", 1, "", 0, 0.3) for name in names}
         for name in random.sample(names, int(count * out_share)):
-            out.put(name, "does not serve")
+            out.add(name, "does not serve")
             seen[name].phase = "failing"
         took = []
         for _ in range(5):
             began = time.perf_counter()
-            planner.choose(0, names, seen, out, most, 0.85, False)
+            planner.choose(0, names, seen, out, BatchLimits(most, 0.85))
             took.append(1000 * (time.perf_counter() - began))
         found[label] = statistics.median(took)
     return found
@@ -60,34 +61,35 @@
     """When each thing left by an order and when it served again."""
 
     def __init__(self, world: ConsensusSimulation) -> None:
+        """Watch what the invariant checks are told."""
         self.left_at: dict[str, int] = {}
         self.lasted: dict[str, int] = {}
         self.out = self.most = 0
-        left, serves = world.audit.left, world.audit.serves
+        left, serves = world.audit.drain_started, world.audit.serving
 
-        def on_left(now: int, thing: str, fence: int, ident: str = "") -> None:
-            left(now, thing, fence, ident)
-            self.left_at.setdefault(thing, now)
+        def on_left(now: int, target: str, fence: int, ident: str = "") -> None:
+            left(now, target, fence, ident)
+            self.left_at.setdefault(target, now)
             self.most = max(self.most, len(self.left_at) - len(self.lasted))
 
-        def on_serves(now: int, thing: str) -> None:
-            serves(now, thing)
-            if thing in self.left_at:
-                self.lasted.setdefault(thing, now - self.left_at[thing])
+        def on_serves(now: int, target: str) -> None:
+            serves(now, target)
+            if target in self.left_at:
+                self.lasted.setdefault(target, now - self.left_at[target])
 
-        world.audit.left, world.audit.serves = on_left, on_serves  # type: ignore[method-assign]
+        world.audit.drain_started, world.audit.serving = on_left, on_serves  # type: ignore[method-assign]
 
 
-def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
-    """1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
+def _draw_schedule(seed: int, deaths: int, kills: int) -> Schedule:
+    """Draw when nodes die and agents are killed; two leaders are killed at fixed times."""
     random = Random(seed)
-    troubles = [
+    faults = [
         Fault(
             random.randrange(4 * SECOND, 60 * SECOND), "die", random.randrange(HOSTS), random.randrange(EACH)
         )
         for _ in range(deaths)
     ]
-    troubles += [
+    faults += [
         Fault(
             random.randrange(4 * SECOND, 60 * SECOND),
             "kill",
@@ -97,65 +99,76 @@
         )
         for _ in range(kills)
     ]
-    troubles += [Fault(20 * SECOND, "kill", 0, 0, SECOND), Fault(35 * SECOND, "kill", 1, 0, SECOND)]
-    schedule = Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(troubles, key=lambda each: each.at)))
-    world = ConsensusSimulation(schedule)
+    faults += [Fault(20 * SECOND, "kill", 0, 0, SECOND), Fault(35 * SECOND, "kill", 1, 0, SECOND)]
+    return Schedule(seed, 3, HOSTS, EACH, SITES, BOUND, tuple(sorted(faults, key=lambda fault: fault.at)))
+
+
+def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
+    """1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
+    world = ConsensusSimulation(_draw_schedule(seed, deaths, kills))
     watched = Watched(world)
     world.clock.run(3 * SECOND)
     began = world.clock.now
-    pace = commands.RolloutPolicy(
-        soak=SECOND, patience=120 * SECOND, lasts=20 * SECOND, gated=gated, margin=0.05
-    )
-    order(
-        world, commands.StartRelease("r", "asha", 0, VersionSpec("good r", "here"), pace, list(world.every))
+    state = _follow_release(world, gated)
+    took = (world.clock.now - began) / SECOND
+    out = [lasted / SECOND for lasted in watched.lasted.values()]
+    best = max(sum(out) / (BOUND * SITES), max(out, default=0.0))
+    return {
+        "gated": gated,
+        "state": state,
+        "seconds": took,
+        "best": best,
+        "nodes": len(out),
+        "out_s": statistics.median(out) if out else 0.0,
+        "most": watched.most,
+        "breaches": world.audit.breaches + world.rollout_audit.breaches,
+        "events": world.clock.events_processed,
+    }
+
+
+def _follow_release(world: ConsensusSimulation, gated: bool) -> str:
+    """Start a release of all nodes, resume it wherever it halts, and return its last state."""
+    began = world.clock.now
+    policy = commands.RolloutPolicy(
+        soak=SECOND, verdict_timeout=120 * SECOND, batch_timeout=20 * SECOND, gated=gated, margin=0.05
     )
+    spec = VersionSpec("good r", "here")
+    order(world, commands.StartRelease("r", "asha", 0, spec, policy, list(world.instances)))
     state = ""
     while world.clock.now < began + 600 * SECOND:
         world.clock.run(world.clock.now + 200 * MS)
         leader = leader_of(world)
         if leader is None or leader.control_plane is None:
             continue
-        found = leader.control_plane.ledger.held.releases.get("r")  # type: ignore[attr-defined]
+        found = leader.control_plane.state_machine.state.releases.get("r")  # type: ignore[attr-defined]
         if found is None:
             continue
         state = found.state
         if state == "halted":
             say(f"  halted: {found.why}; told to go on")
             order(world, commands.ControlRelease("r", "asha", "resume"))
-        if found.over:
+        if found.is_finished:
             break
-    took = (world.clock.now - began) / SECOND
-    out = [lasted / SECOND for lasted in watched.lasted.values()]
-    best = max(sum(out) / (BOUND * SITES), max(out, default=0.0))
-    return {
-        "gated": gated,
-        "state": state,
-        "seconds": took,
-        "best": best,
-        "nodes": len(out),
-        "out_s": statistics.median(out) if out else 0.0,
-        "most": watched.most,
-        "breaches": world.audit.breaches + world.of_releases.breaches,
-        "events": world.clock.happened,
-    }
+    return str(state)
 
 
 def order(world: ConsensusSimulation, command: commands.Command) -> None:
-    """An operator's word, to whoever leads."""
+    """Propose an operator's command to the leader."""
     while (leader := leader_of(world)) is None or leader.control_plane is None:
         world.clock.run(world.clock.now + 100 * MS)
     _, steps = leader.control_plane.propose(leader.now(), command)
-    leader.carry_out(steps)
+    leader.replica.carry_out(steps)
 
 
 def leader_of(world: ConsensusSimulation) -> SimulatedHost | None:
+    """Return the host whose replica leads and holds its lease."""
     return next(
         (
             host
             for host in world.hosts.values()
             if host.running
             and host.control_plane
-            and isinstance(host.control_plane.above, RolloutController)
+            and isinstance(host.control_plane.extension, RolloutController)
             and host.control_plane.replica.holds_lease(host.now())
         ),
         None,
@@ -163,19 +176,20 @@
 
 
 def main() -> int:
-    told = options(
+    """Measure the planner, and releases with gates and without."""
+    arguments = options(
         "The planner at 10,000 instances; a release of 1,000 nodes in simulated time.",
         seed=26,
         deaths=40,
         kills=8,
     )
     found = {count: turns(count) for count in (1000, 10_000)}
-    for count, each in found.items():
-        say(f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in each.items()))
+    for count, times in found.items():
+        say(f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in times.items()))
     runs = []
     for gated in (False, True):
         began = time.monotonic()
-        run = release(told.seed, told.deaths, told.kills, gated)
+        run = release(arguments.seed, arguments.deaths, arguments.kills, gated)
         runs.append(run)
         say(
             f"{'with gates' if gated else 'batches alone'}: {run['state']} after {run['seconds']:.1f} s"
@@ -185,7 +199,7 @@
         )
         for breach in run["breaches"]:
             say(breach)
-    keep(told, {"machine": processor(), "turns": found, "runs": runs})
+    keep(arguments, {"machine": processor(), "turns": found, "runs": runs})
     first = runs[0]
     turn = found[10_000]["as many as may be"]
     say(
--- /dev/null
+++ b/oakkeel/admission/request_timers.py
@@ -0,0 +1,32 @@
+"""Timers of requests, gathered in steps: this keeps time and decides nothing."""
+
+from __future__ import annotations
+
+from oakkeel.admission.types import Host, Request
+
+
+class RequestTimers:
+    """Wakes requests at a time; one timer of the host serves all requests of a step."""
+
+    __slots__ = ("host", "step", "steps")
+
+    def __init__(self, host: Host, step: int) -> None:
+        """Start with no timer; timers are gathered in steps of so many nanoseconds."""
+        self.host, self.step = host, step
+        self.steps: dict[int, list[Request]] = {}
+
+    def set(self, now: int, request: Request, at: int) -> None:
+        """Look at the request again at a time, or as soon after it as the next step is."""
+        number = max(at // self.step, now // self.step + 1)
+        if number not in self.steps:
+            self.steps[number] = []
+            self.host.set_timer(number, number * self.step)
+        self.steps[number].append(request)
+
+    def expired(self, token: int) -> list[Request]:
+        """Take the requests whose timer this is."""
+        return self.steps.pop(token, [])
+
+    def pending(self) -> list[Request]:
+        """List the requests of all timers by time; one is there as often as it has timers."""
+        return [request for step in sorted(self.steps) for request in self.steps[step]]
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -20,7 +20,7 @@
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.messages import Heartbeat
-from oakkeel.disruption.state_machine import Rejection
+from oakkeel.disruption.state import Rejection
 from oakkeel.log import EventLog, fault
 from oakkeel.raft import storage
 from oakkeel.raft.messages import Envelope
@@ -32,7 +32,7 @@
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import RolloutStateMachine
-from oakkeel.settings.fleet import Fleet
+from oakkeel.settings.types import Fleet
 from oakkeel.store.database import Database, DatabaseError
 
 MS = 1_000_000
@@ -67,16 +67,16 @@
         self, fleet: Fleet, name: str, keys: dict[str, Key], log: EventLog, pace: RaftTimeouts | None = None
     ) -> None:
         """Raises StoreError where its file can't be used."""
-        assert fleet.keepers is not None
+        assert fleet.control_plane is not None
         self.fleet, self.name, self.keys, self.log = fleet, name, keys, log
         self.pace = pace or RaftTimeouts()
         host = fleet.host(name)
         self.path = os.path.join(host.state, "record.db")
         self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
-        if self.store.set_aside:
-            log.warning("raft_storage_quarantined", file=self.store.set_aside)
+        if self.store.quarantined:
+            log.warning("raft_storage_quarantined", file=self.store.quarantined)
         self.witness = WriteCounter(self.path + ".count", self.store)
-        if self.store.new:
+        if self.store.created:
             self._count_anew()
         elif why := self.witness.stale_reason():
             self._set_aside(f"an older copy: {why}")
@@ -104,7 +104,7 @@
                 held = storage.load(self.store, self.name, f"{self.name}.{secrets.token_hex(8)}")
         except DatabaseError as error:
             return self._failed(error)
-        self.fault, founders = "", self.fleet.keepers.hosts if self.fleet.keepers else ()
+        self.fault, founders = "", self.fleet.control_plane.hosts if self.fleet.control_plane else ()
         self.control_plane = ControlPlaneReplica(
             time.monotonic_ns(),
             held,
@@ -112,10 +112,10 @@
             self.pace,
             founders,
             self.layout,
-            ledger=RolloutStateMachine,
-            above=self._driver,
+            state_machine=RolloutStateMachine,
+            extension=self._driver,
         )
-        self.control_plane.watched = self._agreed
+        self.control_plane.on_committed = self._agreed
 
     def _driver(self, now: int, book: RolloutStateMachine, allocator: PermitAllocator) -> RolloutController:
         """What a leader does for releases, with a name that no other has."""
@@ -127,8 +127,8 @@
         if isinstance(result, Rejection):
             return None
         if isinstance(command, commands.GrantPermits):
-            for thing in command.things:
-                self.log.info("permit_granted", target=thing, fence=index, order=command.ident)
+            for thing in command.targets:
+                self.log.info("permit_granted", target=thing, fence=index, order=command.order_id)
         if self.control_plane is None or self.control_plane.allocator is None:
             return None
         if isinstance(command, releases.Command):
@@ -138,19 +138,23 @@
         elif isinstance(command, commands.ExpirePermit | commands.ReleasePermit):
             over = isinstance(command, commands.ReleasePermit)
             report = self.log.info if over else self.log.warning
-            report("permit_released" if over else "permit_expired", target=command.thing, fence=command.fence)
+            report(
+                "permit_released" if over else "permit_expired",
+                target=command.target,
+                fence=command.fencing_token,
+            )
 
     def _of_release(self, command: releases.Command) -> None:
-        book = self.control_plane.ledger if self.control_plane else None
-        release = book.held.releases.get(command.ident) if isinstance(book, RolloutStateMachine) else None
+        book = self.control_plane.state_machine if self.control_plane else None
+        release = book.state.releases.get(command.ident) if isinstance(book, RolloutStateMachine) else None
         if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
             return
         facts: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
         if isinstance(command, releases.StartBatch):
-            facts["targets"] = ",".join(thing for thing, _ in command.things)
+            facts["targets"] = ",".join(thing for thing, _ in command.targets)
             facts["fence"] = command.fence
         elif isinstance(command, releases.FinishBatch):
-            facts["new"] = ",".join(command.new)
+            facts["new"] = ",".join(command.updated)
         self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **facts)
 
     def _set_aside(self, why: str) -> None:
@@ -186,7 +190,7 @@
         """Letters came from a host, as its key proves. Returns those that wait for it."""
         for letter in letters:
             if letter.sender == sender and self.control_plane:
-                self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
+                self._carry_out(self.control_plane.receive(time.monotonic_ns(), letter))
         self._schedule()
         return self._peer(sender).take() if sender in self.keys else []
 
@@ -194,7 +198,7 @@
         if self.control_plane is None:
             return messages.NotLeaderResponse("", self.fault or "the record is not kept here")
         try:
-            agreed, steps = self.control_plane.polled(time.monotonic_ns(), poll)
+            agreed, steps = self.control_plane.receive_heartbeat(time.monotonic_ns(), poll)
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
         self._carry_out(steps)
@@ -292,7 +296,7 @@
         """With the answer to what we sent."""
         for letter in letters:
             if letter.sender == name and self.control_plane:
-                self._carry_out(self.control_plane.heard(time.monotonic_ns(), letter))
+                self._carry_out(self.control_plane.receive(time.monotonic_ns(), letter))
         self._schedule()
 
     def close(self) -> None:
@@ -350,7 +354,7 @@
 
     async def _ask(self, letters: list[Envelope]) -> None:
         answer = messages.decode_response(
-            await self.link.ask(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
+            await self.link.request(messages.encode(messages.PeerEnvelopesRequest(letters)), CARRY / SECOND)
         )
         if isinstance(answer, messages.PeerEnvelopesResponse):
             self.came(self.name, answer.envelopes)
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -1,6 +1,6 @@
-"""A keeper of the record with the ledger in it, and what it does for places while it leads. Free of I/O.
+"""A Raft replica with the permit state machine, and what it does for permits while it leads. Free of I/O.
 
-Whoever carries out its steps writes each one's `keep` before anything else of it, in their order.
+Whoever carries out its outputs writes the storage update of each before anything else of it, in their order.
 """
 
 from __future__ import annotations
@@ -22,125 +22,150 @@
 
 
 class LeaderExtension(Protocol):
-    """What a leader does beyond places: made when it begins, thrown away when it ends, as `PermitAllocator` is."""
+    """What a leader does beyond permits. It lives as long as the leader's `PermitAllocator`."""
 
-    def heard(self, now: int, poll: Heartbeat) -> list[Any]: ...
-    def answer(self, now: int, host: str) -> bytes: ...
-    def applied(self, now: int, command: object, result: object) -> None: ...
-    def lost(self, command: object) -> None: ...
-    def tick(self, now: int) -> list[Any]: ...
+    def receive_heartbeat(self, now: int, heartbeat: Heartbeat, /) -> list[Any]:
+        """Take in an agent's report. Returns commands to propose."""
+        ...
+
+    def respond(self, now: int, host: str, /) -> bytes:
+        """Return what the response to a host's heartbeat carries for it."""
+        ...
+
+    def applied(self, now: int, command: object, result: object, /) -> None:
+        """Follow a command that was applied."""
+        ...
+
+    def lost(self, command: object, /) -> None:
+        """Forget a command that will never be committed."""
+        ...
+
+    def tick(self, now: int, /) -> list[Any]:
+        """Return commands to propose."""
+        ...
 
 
 class ControlPlaneReplica:
+    """A replica of the control plane. Calls return outputs to carry out."""
+
     def __init__(
         self,
         now: int,
-        held: DurableState,
+        durable: DurableState,
         seed: int,
-        pace: RaftTimeouts,
-        founders: tuple[str, ...],
-        layout: Topology,
-        terms: PermitTimeouts | None = None,
-        ledger: type[PermitStateMachine] = PermitStateMachine,
-        above: Callable[[int, Any, PermitAllocator], LeaderExtension] | None = None,
+        raft_timeouts: RaftTimeouts,
+        initial_voters: tuple[str, ...],
+        topology: Topology,
+        timeouts: PermitTimeouts | None = None,
+        state_machine: type[PermitStateMachine] = PermitStateMachine,
+        extension: Callable[[int, Any, PermitAllocator], LeaderExtension] | None = None,
     ) -> None:
-        """`layout` is by this host's settings: it holds once a leader of the same settings has agreed it.
-        `ledger` and `above` bring in what is built on places."""
-        self.now, self.layout, self.terms = now, layout, terms or PermitTimeouts()
-        self.ledger = ledger(self._applied)
-        self.make_above = above
-        self.above: LeaderExtension | None = None
+        """`topology` is by this host's settings: it holds once a leader with the same settings commits it.
+
+        `state_machine` and `extension` bring in what is built on permits.
+        """
+        self.now, self.topology, self.timeouts = now, topology, timeouts or PermitTimeouts()
+        self.state_machine = state_machine(self._applied)
+        self.make_extension = extension
+        self.extension: LeaderExtension | None = None
         self.allocator: PermitAllocator | None = None
-        self.watched: Callable[[int, commands.Command, object], None] | None = None  # told of what is agreed
-        self.ours: dict[Proposal, commands.Command] = {}  # proposed by `granting`
-        self.replica = Replica(now, held, self.ledger, seed, pace, founders)
+        self.on_committed: Callable[[int, commands.Command, object], None] | None = (
+            None  # called with what is applied
+        )
+        self.proposals: dict[Proposal, commands.Command] = {}  # of the allocator and the extension
+        self.replica = Replica(now, durable, self.state_machine, seed, raft_timeouts, initial_voters)
 
     def tick(self, now: int) -> list[Output]:
+        """Do what is due by time."""
         return self._after(now, [self.replica.tick(now)])
 
-    def heard(self, now: int, letter: Envelope) -> list[Output]:
+    def receive(self, now: int, envelope: Envelope) -> list[Output]:
+        """Take in a message of another replica."""
         self.now = now
-        return self._after(now, [self.replica.receive(now, letter)])
-
-    def polled(self, now: int, poll: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
-        """An agent's report and what it is told. Raises NotLeading."""
-        allocator = self._leads(now)
-        above = self.above
-        steps = self._propose(now, allocator.heard(now, poll) + (above.heard(now, poll) if above else []))
-        answer = allocator.answer(now, self.replica.durable.epoch, poll.host)
-        if above:
-            answer.above = above.answer(now, poll.host)
-        answer.keepers = sorted(
-            {*self.ledger.desired_voters(), *(each.name for each in self.replica.members)}
+        return self._after(now, [self.replica.receive(now, envelope)])
+
+    def receive_heartbeat(self, now: int, heartbeat: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
+        """Take in an agent's report and return the response. Raises NotLeaderError."""
+        allocator = self._require_leader(now)
+        extension = self.extension
+        wanted: list[Any] = allocator.receive_heartbeat(now, heartbeat)
+        if extension:
+            wanted = wanted + extension.receive_heartbeat(now, heartbeat)
+        outputs = self._propose(now, wanted)
+        response = allocator.respond(now, self.replica.durable.epoch, heartbeat.host)
+        if extension:
+            response.extension = extension.respond(now, heartbeat.host)
+        response.voters = sorted(
+            {*self.state_machine.desired_voters(), *(member.name for member in self.replica.members)}
         )
-        return answer, self._after(now, steps)
+        return response, self._after(now, outputs)
 
     def propose(self, now: int, command: Any) -> tuple[Proposal, list[Output]]:
-        """Raises NotLeading."""
+        """Propose a command. Raises NotLeaderError."""
         self.now = now
-        self._leads(now)
-        proposal, steps = self.replica.propose(now, commands.encode(command))
-        return proposal, self._after(now, [steps])
+        self._require_leader(now)
+        proposal, output = self.replica.propose(now, commands.encode(command))
+        return proposal, self._after(now, [output])
 
-    def _leads(self, now: int) -> PermitAllocator:
+    def _require_leader(self, now: int) -> PermitAllocator:
         if self.allocator is None or not self.replica.holds_lease(now):
             raise NotLeaderError(self.replica.leader if self.replica.leader != self.replica.name else "")
         return self.allocator
 
-    def _after(self, now: int, steps: list[Output]) -> list[Output]:
-        """Begin, go on with or end what a leader does."""
+    def _after(self, now: int, outputs: list[Output]) -> list[Output]:
+        """Start, go on with or end what a leader does."""
         self.now = now
-        for each in list(steps):
-            for proposal in each.completed:
-                command = self.ours.pop(proposal, None)
+        for output in list(outputs):
+            for proposal in output.completed:
+                command = self.proposals.pop(proposal, None)
                 if command and proposal.status is not ProposalStatus.COMMITTED and self.allocator:
                     self._lost(command)
         if not self.replica.holds_lease(now):
             if self.replica.leader_state is None:
-                self.allocator = self.above = None
-                self.ours.clear()
-            return steps
+                self.allocator = self.extension = None
+                self.proposals.clear()
+            return outputs
         if self.allocator is None:
             self.allocator = PermitAllocator(
-                now, self.ledger, self.terms, self.replica.random.getrandbits(50) + 1
+                now, self.state_machine, self.timeouts, self.replica.random.getrandbits(50) + 1
             )
-            if self.ledger.held.layout != self.layout:
-                steps += self._propose(now, [commands.SetTopology(self.layout)])
-            if self.make_above:
-                self.above = self.make_above(now, self.ledger, self.allocator)
+            if self.state_machine.state.topology != self.topology:
+                outputs += self._propose(now, [commands.SetTopology(self.topology)])
+            if self.make_extension:
+                self.extension = self.make_extension(now, self.state_machine, self.allocator)
         while self.allocator and (wanted := self._wanted(now, self.allocator)):
             more = self._propose(now, wanted)
             if not more:
                 break
-            steps += more
-        return steps
+            outputs += more
+        return outputs
 
     def _wanted(self, now: int, allocator: PermitAllocator) -> list[Any]:
-        return allocator.tick(now) + (self.above.tick(now) if self.above else [])
+        return allocator.tick(now) + (self.extension.tick(now) if self.extension else [])
 
     def _propose(self, now: int, wanted: list[commands.Command]) -> list[Output]:
-        self.now, done = now, []
+        self.now, outputs = now, []
         for command in wanted:
             try:
-                proposal, steps = self.replica.propose(now, commands.encode(command))
+                proposal, output = self.replica.propose(now, commands.encode(command))
             except NotLeaderError:
                 self._lost(command)
                 continue
             if proposal.status is ProposalStatus.PENDING:
-                self.ours[proposal] = command
-            done.append(steps)
-        return done
+                self.proposals[proposal] = command
+            outputs.append(output)
+        return outputs
 
     def _lost(self, command: commands.Command) -> None:
         if self.allocator:
             self.allocator.lost(command)
-        if self.above:
-            self.above.lost(command)
+        if self.extension:
+            self.extension.lost(command)
 
     def _applied(self, index: int, command: commands.Command, result: object) -> None:
-        if self.watched:
-            self.watched(index, command, result)
+        if self.on_committed:
+            self.on_committed(index, command, result)
         if self.allocator:
             self.allocator.applied(self.now, index, command, result)
-        if self.above:
-            self.above.applied(self.now, command, result)
+        if self.extension:
+            self.extension.applied(self.now, command, result)
--- a/oakkeel/fakes/catalogue.py
+++ b/oakkeel/fakes/catalogue.py
@@ -1,4 +1,4 @@
-"""A catalogue: answers calls, or turns them away."""
+"""A fake catalogue: answers calls, or rejects them."""
 
 from __future__ import annotations
 
@@ -6,28 +6,33 @@
 import contextlib
 
 from oakkeel.fakes.faults import Fault, Faulty
+from oakkeel.fakes.stream_server import StreamServer
 
 
 class Catalogue(Faulty):
+    """Answers each call with its body, or rejects all of them while it is `full`."""
+
     def __init__(self, work: float = 0.005, full: bool = False) -> None:
+        """`work` in seconds for each call."""
         super().__init__()
         self.work, self.full = work, full
         self.calls = 0
-        self.server: asyncio.Server | None = None
+        self.server = StreamServer(self._serve)
 
     async def open(self, port: int = 0) -> int:
         """Listen on loopback; returns the port."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
-        return self.server.sockets[0].getsockname()[1]
+        return await self.server.open(port)
+
+    def stop_listening(self) -> None:
+        """Take no more connections; those that are open stay until `close`."""
+        self.server.stop_listening()
 
     async def close(self) -> None:
-        if self.server:
-            self.server.close()
+        """End the listener and the connections, and wait for their tasks."""
+        await self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(
-            OSError, ValueError, IndexError, asyncio.IncompleteReadError, asyncio.CancelledError
-        ):  # by the end of the loop
+        with contextlib.suppress(OSError, ValueError, IndexError, asyncio.IncompleteReadError):
             while line := (await reader.readline()).split():
                 if self.fault is Fault.CRASH:
                     break
@@ -39,8 +44,7 @@
                 if self.fault is Fault.HANG:
                     continue
                 reply = b"LATER\r\n" if self.full else b"DATA %d\r\n%s\r\n" % (len(body) + 4, b"for " + body)
-                data, ends = self.cut(line[1] + b" " + reply)
+                data, ends = self.truncate(line[1] + b" " + reply)
                 writer.write(data)
                 if ends:
                     break
-        writer.close()
--- a/tests/engine/test_links.py
+++ b/tests/engine/test_links.py
@@ -26,7 +26,7 @@
 from oakkeel.resource_limits import MS, SECOND, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer
 from tests.support.fake_host import GROUP, FakeHost
-from tests.support.node_process import TOLD, WAIT
+from tests.support.node_process import NODE_SETTINGS, WAIT
 
 RESOURCE_LIMITS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
 LOG = EventLog("test", 0)
@@ -149,7 +149,7 @@
         self.assertIs(pool.lease(), first)
 
     def test_nested_json_and_text_give_a_node_the_same_limits(self):
-        values = flatten(TOLD)
+        values = flatten(NODE_SETTINGS)
         text = "\n".join(f"{path}={value}" for path, value in values.items())
         self.assertEqual(values["classes.count"], "4")
         self.assertEqual(str(read_limits(Pairs(values)).request_classes[0].latency_objective), "8000000000")
@@ -507,9 +507,9 @@
     def test_a_read_is_shared_while_fresh_and_not_after(self):
         kept, first = ResponseCache(RESOURCE_LIMITS, SECOND), exchange(mark=b"s")
         now = time.monotonic_ns()
-        kept.remember(first, now, 5 * SECOND)
+        kept.retain(first, now, 5 * SECOND)
         self.assertTrue(kept.find(exchange(mark=b"s"), now))
-        kept.ended(first, Outcome.COMPLETED, b"r")
+        kept.finish(first, Outcome.COMPLETED, b"r")
         self.assertTrue(kept.find(exchange(mark=b"s"), now + SECOND // 2))
         self.assertFalse(kept.find(exchange(mark=b"s"), now + 2 * SECOND))
         self.assertFalse(kept.find(exchange(mark=b"other"), now))
@@ -520,10 +520,10 @@
             exchange(mark=b"s"),
             exchange(mark=b"s"),
         )
-        kept.remember(first, 0, SECOND)
+        kept.retain(first, 0, SECOND)
         kept.find(follower, 0)
         kept.share(follower)
-        kept.forget(first)
+        kept.release(first)
         self.assertEqual(follower.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
         self.assertFalse(kept.find(exchange(mark=b"s"), 0))
 
@@ -536,10 +536,10 @@
             .idempotency.__class__.IDEMPOTENCY_KEY,
         )
         kept = ResponseCache(resource_limits, SECOND)
-        kept.remember(exchange(mark=b"a", request_class=once), 0, SECOND)
-        kept.remember(exchange(mark=b"b"), 0, SECOND)
-        kept.remember(exchange(mark=b"c", request_class=once), 0, SECOND)  # in place of the read
-        self.assertEqual([key for _, key in kept.results], [b"a", b"c"])
+        kept.retain(exchange(mark=b"a", request_class=once), 0, SECOND)
+        kept.retain(exchange(mark=b"b"), 0, SECOND)
+        kept.retain(exchange(mark=b"c", request_class=once), 0, SECOND)  # in place of the read
+        self.assertEqual([key for _, key in kept.entries], [b"a", b"c"])
         self.assertTrue(kept.full(SECOND // 2))
         self.assertTrue(kept.full(SECOND))  # one that came before may be read as late as its caller waits
         self.assertFalse(kept.full(SECOND + GROUP.client_timeout))
@@ -553,7 +553,7 @@
             def __getattr__(self, name):
                 return lambda *words: said.append((name, *words))
 
-            def tell(self, act, *words):
+            def notify(self, act, *words):
                 act(0, *words)
 
             def arrive(self, now, request):
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -1,4 +1,4 @@
-"""Stories of repeats: what is known of an exchange before, for how long, and who may have its result."""
+"""Duplicate requests: the response cache, and the same over sockets."""
 
 import unittest
 from dataclasses import replace
@@ -11,7 +11,7 @@
 from oakkeel.resource_limits import MS, SECOND
 from tests.engine.test_links import RESOURCE_LIMITS, exchange
 from tests.support.fake_host import GROUP, FakeHost
-from tests.support.node_process import NodeStory
+from tests.support.node_process import NodeProcessTest
 
 ONCE = replace(GROUP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window=SECOND)
 KEY = (0, b"hall", b"k1")
@@ -19,52 +19,54 @@
 
 
 def one(**fields):
-    return exchange(**{**dict(request_class=ONCE, cache_key=KEY, body=b"two seats"), **fields})
+    return exchange(**{**{"request_class": ONCE, "cache_key": KEY, "body": b"two seats"}, **fields})
 
 
-class WindowStories(unittest.TestCase):
+class ResponseCacheWindowTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.results = ResponseCache(RESOURCE_LIMITS, 0)
+        self.response_cache = ResponseCache(RESOURCE_LIMITS, 0)
 
     def remembered(self, now: int = NOW, **fields):
         request = one(**fields)
-        self.results.remember(request, now, SECOND)
+        self.response_cache.retain(request, now, SECOND)
         return request
 
     def test_the_window_counts_from_arrival_to_arrival_not_from_reading(self):
         self.remembered(queueing_delay=300 * MS)  # it came at 99.7 s
-        self.assertTrue(self.results.find(one(), NOW + 699 * MS))
-        self.assertFalse(self.results.find(one(), NOW + 700 * MS))  # it would have had a result of before
-        self.assertTrue(self.results.find(one(queueing_delay=5 * MS), NOW + 704 * MS))
+        self.assertTrue(self.response_cache.find(one(), NOW + 699 * MS))
+        self.assertFalse(
+            self.response_cache.find(one(), NOW + 700 * MS)
+        )  # it would have had a result of before
+        self.assertTrue(self.response_cache.find(one(queueing_delay=5 * MS), NOW + 704 * MS))
 
     def test_a_window_shorter_than_the_run_ends_with_the_run_going_on(self):
         self.remembered()
-        self.assertTrue(self.results.find(one(), NOW + 999 * MS))
-        self.assertFalse(self.results.find(one(), NOW + SECOND))
+        self.assertTrue(self.response_cache.find(one(), NOW + 999 * MS))
+        self.assertFalse(self.response_cache.find(one(), NOW + SECOND))
 
     def test_one_read_first_though_it_came_later_is_the_one_that_runs(self):
         self.remembered(queueing_delay=0)
-        self.assertTrue(self.results.find(one(queueing_delay=500 * MS), NOW + MS))
+        self.assertTrue(self.response_cache.find(one(queueing_delay=500 * MS), NOW + MS))
 
     def test_one_that_came_in_time_is_known_however_full_the_table_is_when_it_is_read(self):
         # A full table was swept of entries whose window was over, and the late one ran a second time.
-        results = self.results = ResponseCache(
+        cache = self.response_cache = ResponseCache(
             replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size), 0
         )
         self.remembered()
         later = NOW + SECOND + 400 * MS
-        self.assertTrue(results.full(later))
-        self.assertTrue(results.find(one(queueing_delay=500 * MS), later))
-        self.assertFalse(results.full(NOW + SECOND + ONCE.client_timeout))
+        self.assertTrue(cache.full(later))
+        self.assertTrue(cache.find(one(queueing_delay=500 * MS), later))
+        self.assertFalse(cache.full(NOW + SECOND + ONCE.client_timeout))
 
     def test_one_that_never_ran_gives_its_place_back_to_the_one_that_did(self):
         first = self.remembered()
-        self.results.ended(first, Outcome.COMPLETED, b"first")
+        self.response_cache.finish(first, Outcome.COMPLETED, b"first")
         second = self.remembered(NOW + 1100 * MS)
-        self.results.forget(second)
+        self.response_cache.release(second)
         late = one(queueing_delay=300 * MS)  # it came at 100.9 s, within the window of the first
-        self.assertTrue(self.results.find(late, NOW + 1200 * MS))
-        self.results.share(late)
+        self.assertTrue(self.response_cache.find(late, NOW + 1200 * MS))
+        self.response_cache.share(late)
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
     def test_a_follower_of_one_that_never_ran_takes_the_result_that_was_right_for_it(self):
@@ -73,25 +75,25 @@
         late, fresh = one(queueing_delay=300 * MS), one()
         late.arrived_at = fresh.arrived_at = NOW + 1200 * MS
         for each in (late, fresh):
-            self.assertTrue(self.results.find(each, NOW + 1200 * MS))
-            self.results.share(each)
-        self.results.forget(second)
+            self.assertTrue(self.response_cache.find(each, NOW + 1200 * MS))
+            self.response_cache.share(each)
+        self.response_cache.release(second)
         self.assertEqual(fresh.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
         self.assertFalse(late.events)
-        self.results.ended(first, Outcome.COMPLETED, b"first")
+        self.response_cache.finish(first, Outcome.COMPLETED, b"first")
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
     def test_an_unresolved_one_passes_its_place_back_past_two(self):
         first, second = self.remembered(), self.remembered(NOW + 1100 * MS)
         third = self.remembered(NOW + 2200 * MS)
-        self.results.forget(second)  # in the middle: nothing changes
-        self.assertIs(self.results.results[KEY], third.cache_entry)
-        self.results.ended(first, Outcome.CANCELLED, b"")
-        self.results.ended(third, Outcome.COMPLETED, b"third")
-        self.assertTrue(self.results.find(one(), NOW + 2300 * MS))
+        self.response_cache.release(second)  # in the middle: nothing changes
+        self.assertIs(self.response_cache.entries[KEY], third.cache_entry)
+        self.response_cache.finish(first, Outcome.CANCELLED, b"")
+        self.response_cache.finish(third, Outcome.COMPLETED, b"third")
+        self.assertTrue(self.response_cache.find(one(), NOW + 2300 * MS))
 
 
-class IdentityStories(unittest.TestCase):
+class CacheKeyTest(unittest.TestCase):
     def setUp(self) -> None:
         limits = FakeHost(
             request_classes=[{"idempotency": effect} for effect in Idempotency], tenants=[1.0]
@@ -112,7 +114,7 @@
             }
             self.assertEqual(len(keys), 4)
 
-    def test_two_mutating_exchanges_about_one_subject_are_two(self):
+    def test_two_non_idempotent_requests_about_one_subject_are_two(self):
         # With reads shared elsewhere the second took the result of the first, and never ran.
         for fields in (b"subject=s", b"opkey=k"):
             request = self.read(Idempotency.NON_IDEMPOTENT, fields)
@@ -123,16 +125,16 @@
         self.assertIsNone(self.read(Idempotency.IDEMPOTENT, b"opkey=k").cache_key)
 
     def test_the_same_key_with_another_body_is_another_thing(self):
-        results = ResponseCache(RESOURCE_LIMITS, 0)
+        cache = ResponseCache(RESOURCE_LIMITS, 0)
         first = one()
-        results.remember(first, NOW, SECOND)
-        for body, differs in ((b"two seats", False), (b"nine seats", True), (b"", True)):
+        cache.retain(first, NOW, SECOND)
+        for body, mismatch in ((b"two seats", False), (b"nine seats", True), (b"", True)):
             request = one(body=body)
-            self.assertTrue(results.find(request, NOW))
-            self.assertEqual(results.differs(request), differs)
+            self.assertTrue(cache.find(request, NOW))
+            self.assertEqual(cache.key_mismatch(request), mismatch)
 
 
-class RepeatStories(NodeStory):
+class DuplicateRequestTest(NodeProcessTest):
     """The same on sockets: `order` may run once in a window of 5 s."""
 
     def order(self, dispatcher, key: str = "k1", body: bytes = b"two seats", **more) -> str:
@@ -194,7 +196,7 @@
         self.engine.done(first)
         self.assertEqual(one.answer()[1], b"ok")
 
-    def test_repeats_while_it_is_held_run_and_just_done_on_two_connections_take_one_run(self):
+    def test_duplicates_while_it_is_queued_run_and_just_done_on_two_connections_take_one_run(self):
         one, two, busy = self.filled()
         first = self.order(one, tag=9)
         self.seen(one)
@@ -221,7 +223,7 @@
         self.assertEqual([one.answer()[::3] for _ in range(2)], [(1, b"once"), (2, b"once")])
         self.assertTrue(self.engine.commands.empty())
 
-    def test_followers_of_one_whose_caller_goes_while_it_is_held_are_denied_with_when_to_return(self):
+    def test_followers_of_one_whose_client_goes_while_it_is_queued_are_rejected_with_a_retry_time(self):
         # They were told that it failed, as if it might have run.
         one, two, busy = self.filled()
         self.order(one, tag=9)
@@ -236,7 +238,7 @@
         self.engine.done(busy[0])
         self.runs(again)
 
-    def test_followers_of_one_whose_caller_goes_while_it_runs_get_the_end_of_the_run(self):
+    def test_followers_of_one_whose_client_goes_while_it_runs_get_the_end_of_the_run(self):
         one, two = self.begun()
         first = self.order(one)
         self.runs(first)
@@ -250,7 +252,7 @@
         self.assertEqual(two.answer()[:2], (2, b"fault"))
         self.assertTrue(self.engine.commands.empty())
 
-    def test_a_repeat_of_one_that_was_terminated_is_terminated_and_not_run(self):
+    def test_a_duplicate_of_one_that_was_failed_fails_and_is_not_run(self):
         one, two = self.begun()
         first = self.order(one, timeout=1500)
         self.runs(first)
@@ -280,7 +282,7 @@
         told["classes"] = [{**each, "window": 1 * MS} for each in told["classes"]]
         return told
 
-    def test_a_new_life_knows_nothing_and_runs_it(self):
+    def test_a_new_process_knows_nothing_and_runs_it(self):
         one, _ = self.begun()
         self.runs(self.order(one))
         self.process.kill()
@@ -294,13 +296,13 @@
         self.engine.done(again)
         self.assertEqual(two.answer()[1], b"ok")
 
-    def test_a_full_table_denies_new_keys_and_knows_the_old_ones(self):
+    def test_a_full_table_rejects_new_keys_and_knows_the_old_ones(self):
         self.begin(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # room for one key
         one, two = self.dispatcher(), self.dispatcher()
         first = self.order(one)
         self.runs(first)
         self.order(two, "k2")
-        tag, word, fields, _ = two.answer()
+        _tag, word, fields, _ = two.answer()
         self.assertEqual(word, b"full")
         self.assertIn(b"holdoff=", fields)
         self.engine.done(first)
