--- a/oakkeel/dispatch/answer_writer.py
+++ b/oakkeel/dispatch/answer_writer.py
@@ -37,6 +37,10 @@
         if not self._sending:
             self._send_backlog()
 
+    def unlink(self) -> None:
+        """Report no further write, so that the one it reports to is in no reference cycle."""
+        self._on_written = _ignore
+
     def _send_backlog(self) -> None:
         data = bytes(self._backlog)
         self._backlog.clear()
@@ -49,3 +53,7 @@
         if self._backlog:
             self._send_backlog()
         self._on_written()
+
+
+def _ignore() -> None:
+    """Do nothing on a write that ended after its connection."""
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -95,9 +95,8 @@
         self._write(
             codec.encode_answer(request.tag, word, self._owner.load_report(), body, last, retry_after)
         )
-        self._close_request(
-            request
-        )  # after the write: an ending connection is shut down with its last answer
+        # After the write: an ending connection is shut down with its last answer.
+        self._close_request(request)
 
     def report_violation(self, event: str, why: str = "") -> None:
         """Log and count a request that can't be used: each costs time, and too many end the connection."""
@@ -109,6 +108,10 @@
         self._close_request(request)
         self._owner.client_disconnected(request)
 
+    def unlink(self) -> None:
+        """Let go of the connection, so that it is in no reference cycle; no command may follow."""
+        del self._channel, self._on_idle
+
     def _call(self, tag: int, tokens: list[bytes]) -> None:
         owner, reader = self._owner, self._owner.reader
         if reader is None or self.rejects_all:
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -114,6 +114,9 @@
             self.read_buffer.close()
             for request in list(self.open_requests.values()):
                 self._commands.disconnect(request)
+            # What still refers to it must not keep it in a cycle, which only the garbage collector frees.
+            self._commands.unlink()
+            self._writer.unlink()
 
     async def _read(self) -> None:
         """Read until the dispatcher ends its side.
