--- a/oakkeel/line_protocol.py
+++ b/oakkeel/line_protocol.py
@@ -1,4 +1,7 @@
-"""Lines of tokens that end in CR LF, some followed by a body of as many bytes as their last token says, and CR LF."""
+"""Lines of tokens that end in CR LF; some are followed by a body and CR LF.
+
+The last token of such a line is the number of bytes of its body.
+"""
 
 from __future__ import annotations
 
--- a/oakkeel/stream_buffers.py
+++ b/oakkeel/stream_buffers.py
@@ -44,7 +44,10 @@
 
 
 class ReadBuffer:
-    """Bytes of one stream that are not parsed yet, in a leased buffer: filled at `end`, consumed at `start`."""
+    """Bytes of one stream that are not parsed yet, in a leased buffer.
+
+    It is filled at `end` and consumed at `start`.
+    """
 
     __slots__ = ("_pool", "buffer", "end", "start")
 
@@ -88,8 +91,9 @@
 class HalfClosingStream(IOStream):
     """A stream whose other side may shut down its half and still read ours.
 
-    An IOStream closes both ways at the end of its input, and loses what is still to be written. Here that end
-    is read as one byte more than was received, which `count_delivered` subtracts; nothing may be read after it.
+    An IOStream closes both ways at the end of its input, and loses what is still to be written. Here that
+    end is read as one byte more than was received, which `count_delivered` subtracts; nothing may be read
+    after it.
     """
 
     undelivered = 0  # bytes received and not delivered yet
