--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -13,42 +13,49 @@
 
 
 class DownstreamServices:
+    """The downstream services on one host, by their probes and their permits."""
+
     def __init__(self, permit_holder: PermitHolder, names: tuple[str, ...]) -> None:
+        """Take each service for down until a probe has reached it."""
         self.permit_holder = permit_holder
         self.up = dict.fromkeys(names, False)  # until it is seen
-        self.failed = dict.fromkeys(names, 0)
-        self.was_down: dict[str, int] = {}  # fences under which a service was seen down
+        self.failed_probes = dict.fromkeys(names, 0)
+        self.seen_down: dict[str, int] = {}  # fences under which a service was seen down
 
-    def seen(self, name: str, up: bool) -> None:
-        self.failed[name] = 0 if up else self.failed[name] + 1
-        if up or self.failed[name] >= LOST:
+    def observe(self, name: str, up: bool) -> None:
+        """Record the result of a probe; a service is down after `LOST` failures in a row."""
+        self.failed_probes[name] = 0 if up else self.failed_probes[name] + 1
+        if up or self.failed_probes[name] >= LOST:
             self.up[name] = up
 
     def advance(self, now: int) -> None:
+        """Start permits that may be started and report which of them are over."""
         for name, up in self.up.items():
-            held = self.permit_holder.permits.get(name)
-            if held is None:
+            permit = self.permit_holder.permits.get(name)
+            if permit is None:
                 continue
-            order = self.permit_holder.orders.get(held.order_id)
-            if not held.started and self.permit_holder.may_start(now, name, held.order_id, up):
+            order = self.permit_holder.orders.get(permit.order_id)
+            if not permit.started and self.permit_holder.may_start(now, name, permit.order_id, up):
                 self.permit_holder.start(now, name)
-            if held.started and not up:
-                self.was_down[name] = held.fencing_token
-            over = self.was_down.get(name) == held.fencing_token or order is None or bool(order.cancelled_by)
-            if held.started and up and over:
+            if permit.started and not up:
+                self.seen_down[name] = permit.fencing_token
+            over = (
+                self.seen_down.get(name) == permit.fencing_token or order is None or bool(order.cancelled_by)
+            )
+            if permit.started and up and over:
                 self.permit_holder.mark_restored(name)
             else:
                 self.permit_holder.mark_unavailable(name)
 
-    def ended(self) -> list[TaskResult]:
+    def results(self) -> list[TaskResult]:
         """Orders on services that are over: it is down."""
         return [
-            TaskResult(order.id, thing, "done", "")
+            TaskResult(order.id, target, "done", "")
             for order in self.permit_holder.orders.values()
-            for thing, _, state in order.tasks
+            for target, _, state in order.tasks
             if state == "out"
-            and thing in self.up
-            and not self.up[thing]
-            and (held := self.permit_holder.permits.get(thing))
-            and held.order_id == order.id
+            and target in self.up
+            and not self.up[target]
+            and (permit := self.permit_holder.permits.get(target))
+            and permit.order_id == order.id
         ]
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -11,15 +11,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import Any
 
 from oakkeel.agent.instances import Goal, Instance, Phase
 from oakkeel.agent.supervisor import Action, Step, Supervisor
 from oakkeel.disruption.holder import PermitHolder
+from oakkeel.errors import OakkeelError
 
 SECOND = 1_000_000_000
 
 
 class Verb(Enum):
+    """What an order asks for; the values are wire and stored forms."""
+
     START = "start"
     STOP = "stop"  # drained, and killed where its drain time is not enough
     DRAIN = "drain"  # the same, but never killed
@@ -57,14 +61,15 @@
     instance: Instance
     generation: int  # that it was made for
     state: TaskState = TaskState.WAITING
-    since: int = 0
+    state_since: int = 0
     why: str = ""
-    sent: bool = False  # its process was told to leave
-    replaces: int = 0  # the generation of the process that a restart is to end
-    before: tuple | None = None  # what it changed when it was taken, until that is kept
+    drain_sent: bool = False  # its process was told to leave
+    replaces_generation: int = 0  # the generation of the process that a restart is to end
+    previous: tuple[Any, ...] | None = None  # what it changed when it was taken, until that is kept
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
+        """Whether it is waiting or acting."""
         return self.state in OPEN_STATES
 
 
@@ -72,21 +77,22 @@
 class Order:
     """One order of one operator. Times are monotonic nanoseconds, `taken` Unix ones, for people."""
 
-    ident: str
+    order_id: str
     operator: str
     verb: Verb
-    taken: int
-    expires: int
-    asked: tuple[tuple[str, int], ...]  # instance and generation, as they came
-    parts: list[Task] = field(default_factory=list)
+    accepted_at: int
+    expires_at: int
+    requested: tuple[tuple[str, int], ...]  # instance and generation, as they came
+    tasks: list[Task] = field(default_factory=list)
 
     @property
-    def open(self) -> bool:
-        return any(part.open for part in self.parts)
+    def is_open(self) -> bool:
+        """Whether any of its tasks is open."""
+        return any(task.is_open for task in self.tasks)
 
 
-class OrderRejectedError(ValueError):
-    """The order as a whole is not taken; the text says why."""
+class OrderRejectedError(OakkeelError, ValueError):
+    """The order as a whole is not accepted; the text says why."""
 
 
 class OrderRegistry:
@@ -94,24 +100,29 @@
 
     def __init__(
         self,
-        supervision: Supervisor,
-        unix: Callable[[], int],
-        most_open: int = 256,
-        most: int = 2048,
+        supervisor: Supervisor,
+        unix_time: Callable[[], int],
+        max_open: int = 256,
+        max_orders: int = 2048,
         permit_holder: PermitHolder | None = None,
     ) -> None:
         """`holding`: the places of a fleet with keepers, without which nothing is taken out."""
-        self.supervision, self.unix, self.most_open, self.most = supervision, unix, most_open, most
+        self.supervisor, self.unix_time, self.max_open, self.max_orders = (
+            supervisor,
+            unix_time,
+            max_open,
+            max_orders,
+        )
         self.permit_holder = permit_holder
-        self.named = {each.name: each for each in supervision.instances}
+        self.instances = {each.name: each for each in supervisor.instances}
         self.orders: dict[str, Order] = {}  # the oldest first
-        self.executor: list[Task] = []  # open parts, in the order in which they were taken
+        self.open_tasks: list[Task] = []  # open parts, in the order in which they were taken
         self.changed: set[Order] = set()  # since they were last kept
-        self.dropped: list[str] = []  # ids of those that need no longer be kept
+        self.deleted: list[str] = []  # ids of those that need no longer be kept
 
     # What operators do.
 
-    def take(
+    def submit(
         self,
         now: int,
         ident: str,
@@ -123,100 +134,108 @@
     ) -> Order:
         """Take an order, as far as it can be: each part is open or says why it is refused.
 
-        Raises OrderRefused where it can't be read as one. The same order again is the same object again.
+        Raises OrderRejectedError where it is malformed. The same order again is the same object again.
         """
         if known := self.orders.get(ident):
-            if (known.operator, known.verb, known.asked) != (operator, verb, asked):
+            if (known.operator, known.verb, known.requested) != (operator, verb, asked):
                 raise OrderRejectedError(f"that id is of another order, by {known.operator}")
             return known
-        if not ident or len(ident) > 64 or not asked or len(asked) > len(self.named):
-            raise OrderRejectedError("no id, no instances, or more than there are")
-        if len({name for name, _ in asked}) < len(asked):
-            raise OrderRejectedError("an instance is named twice")
-        if sum(order.open for order in self.orders.values()) >= self.most_open:
-            raise OrderRejectedError(f"{self.most_open} orders are open already")
-        order = Order(ident, operator, verb, self.unix(), now + max(SECOND, lasts), asked)
+        self._check_submission(ident, asked)
+        order = Order(ident, operator, verb, self.unix_time(), now + max(SECOND, lasts), asked)
         for name, generation in asked:
-            instance = self.named.get(name)
-            if instance is None:
-                continue  # the answer names what was taken, and so what was not
-            part = Task(order, instance, generation, since=now)
-            order.parts.append(part)
-            if why := self._against(part, supersede):
-                part.state, part.why = TaskState.REFUSED, why
-                continue
-            standing = instance.part
-            part.before = (
-                instance.generation,
-                instance.changed,
-                instance.changed_by,
-                standing,
-                standing and (standing.state, standing.since, standing.why),
-            )
-            if standing is not None:
-                self._move(now, standing, TaskState.SUPERSEDED, f"by {operator}, {verb.value}")
-            instance.part, instance.dirty = part, True
-            instance.generation += 1
-            instance.changed, instance.changed_by = order.taken, f"{operator}: {verb.value}"
-            self.executor.append(part)
-        if not order.open:
+            if instance := self.instances.get(name):  # the response names the tasks, and so what has none
+                self._add_task(now, order, instance, generation, supersede)
+        if not order.is_open:
             return order  # nothing came of it: it need not be known again
         self.orders[ident] = order
         self.changed.add(order)
-        self._forget()
+        self._delete_oldest()
         return order
 
-    def kept(self, order: Order) -> None:
+    def _check_submission(self, ident: str, asked: tuple[tuple[str, int], ...]) -> None:
+        """Raise OrderRejectedError where a new order is malformed or too many are open."""
+        if not ident or len(ident) > 64 or not asked or len(asked) > len(self.instances):
+            raise OrderRejectedError("no id, no instances, or more than there are")
+        if len({name for name, _ in asked}) < len(asked):
+            raise OrderRejectedError("an instance is named twice")
+        if sum(order.is_open for order in self.orders.values()) >= self.max_open:
+            raise OrderRejectedError(f"{self.max_open} orders are open already")
+
+    def _add_task(self, now: int, order: Order, instance: Instance, generation: int, supersede: bool) -> None:
+        """Add a new order's task for an instance: open, or refused with the reason."""
+        task = Task(order, instance, generation, state_since=now)
+        order.tasks.append(task)
+        if why := self._rejection_reason(task, supersede):
+            task.state, task.why = TaskState.REFUSED, why
+            return
+        current_task = instance.task
+        task.previous = (
+            instance.generation,
+            instance.changed_at,
+            instance.changed_by,
+            current_task,
+            current_task and (current_task.state, current_task.state_since, current_task.why),
+        )
+        changed_by = f"{order.operator}: {order.verb.value}"
+        if current_task is not None:
+            why = f"by {order.operator}, {order.verb.value}"
+            self._transition(now, current_task, TaskState.SUPERSEDED, why)
+        instance.task, instance.dirty = task, True
+        instance.generation += 1
+        instance.changed_at, instance.changed_by = order.accepted_at, changed_by
+        self.open_tasks.append(task)
+
+    def confirm(self, order: Order) -> None:
         """It is on disk: from now on it holds."""
-        for part in order.parts:
-            part.before = None
+        for task in order.tasks:
+            task.previous = None
 
     def undo(self, order: Order) -> None:
         """It could not be kept: nothing of it ever was."""
-        for part in order.parts:
-            if part.before is None:
+        for task in order.tasks:
+            if task.previous is None:
                 continue
-            instance = part.instance
-            instance.generation, instance.changed, instance.changed_by, standing, was = part.before
-            instance.part = standing
-            if standing is not None:
-                standing.state, standing.since, standing.why = was
-            self.executor.remove(part)
-        self.orders.pop(order.ident, None)
+            instance = task.instance
+            instance.generation, instance.changed_at, instance.changed_by, current_task, was = task.previous
+            instance.task = current_task
+            if current_task is not None:
+                current_task.state, current_task.state_since, current_task.why = was
+            self.open_tasks.remove(task)
+        self.orders.pop(order.order_id, None)
         self.changed.discard(order)
 
-    def _against(self, part: Task, supersede: bool) -> str:
+    def _rejection_reason(self, task: Task, supersede: bool) -> str:
         """Why an order does not hold for an instance; empty where it does."""
-        instance, standing = part.instance, part.instance.part
-        if part.generation != instance.generation:
+        instance, current_task = task.instance, task.instance.task
+        if task.generation != instance.generation:
             whose = (
-                f"{standing.order.operator}'s {standing.order.verb.value} stands"
-                if standing
+                f"{current_task.order.operator}'s {current_task.order.verb.value} stands"
+                if current_task
                 else (f"changed by {instance.changed_by or 'nobody'}")
             )
             return (
-                f"{whose} since {_clock(instance.changed)}; it is generation {instance.generation},"
-                f" not {part.generation}"
+                f"{whose} since {_clock(instance.changed_at)}; it is generation {instance.generation},"
+                f" not {task.generation}"
             )
-        if instance.generation >= instance.limit:
+        if instance.generation >= instance.generation_limit:
             return "no generation is left for it until the record is heard"
-        if standing is not None and not supersede:
+        if current_task is not None and not supersede:
             return (
-                f"{standing.order.operator}'s {standing.order.verb.value} stands since"
-                f" {_clock(standing.order.taken)}"
+                f"{current_task.order.operator}'s {current_task.order.verb.value} stands since"
+                f" {_clock(current_task.order.accepted_at)}"
             )
         return ""
 
     def cancel(self, now: int, ident: str, operator: str) -> Order:
-        """End what has not begun; what has goes on, and says so. Raises OrderRefused for an unknown id."""
+        """Cancel tasks that wait; started ones go on. Raises OrderRejectedError for an unknown ID."""
         order = self.orders.get(ident)
         if order is None:
             raise OrderRejectedError("no such order")
-        for part in order.parts:
-            if part.state is TaskState.WAITING:
-                self._move(now, part, TaskState.CANCELLED, f"by {operator}")
-            elif part.state is TaskState.ACTING:
-                part.why = f"begun before {operator} cancelled it"
+        for task in order.tasks:
+            if task.state is TaskState.WAITING:
+                self._transition(now, task, TaskState.CANCELLED, f"by {operator}")
+            elif task.state is TaskState.ACTING:
+                task.why = f"begun before {operator} cancelled it"
                 self.changed.add(order)
         return order
 
@@ -224,53 +243,55 @@
 
     def advance(self, now: int) -> None:
         """Begin what has room, end what is over. The steps come from `Supervisor.tick`."""
-        for part in list(self.executor):
-            if part.state is TaskState.WAITING:
-                if now >= part.order.expires:
-                    self._move(now, part, TaskState.EXPIRED, "no room in its time")
-                elif part.order.verb is Verb.START or self._room(now, part):
-                    self._begin(now, part)
-            if part.state is TaskState.ACTING:
-                self._look(now, part)
+        for task in list(self.open_tasks):
+            if task.state is TaskState.WAITING:
+                if now >= task.order.expires_at:
+                    self._transition(now, task, TaskState.EXPIRED, "no room in its time")
+                elif task.order.verb is Verb.START or self._may_take_out(now, task):
+                    self._start_task(now, task)
+            if task.state is TaskState.ACTING:
+                self._check_completion(now, task)
         # Those superseded leave here too, not when that is decided: it may have to be undone.
-        self.executor = [part for part in self.executor if part.open]
+        self.open_tasks = [task for task in self.open_tasks if task.is_open]
 
-    def _room(self, now: int, part: Task) -> bool:
+    def _may_take_out(self, now: int, task: Task) -> bool:
         """Whether it may be taken out: by the host's own part of its site, or by a place of the record."""
         if self.permit_holder is None:
-            return self.supervision.room(part.instance)
-        return self.permit_holder.may_start(now, part.instance.name, part.order.ident, part.instance.alive)
+            return self.supervisor.has_capacity(task.instance)
+        return self.permit_holder.may_start(now, task.instance.name, task.order.order_id, task.instance.alive)
 
-    def call_back(self, now: int, order: Order, operator: str) -> None:
+    def revert(self, now: int, order: Order, operator: str) -> None:
         """Cancel it for good: what it has taken out comes back, also what has ended by then."""
-        for part in order.parts:
-            took = part.state in (TaskState.ACTING, TaskState.DONE)
-            if part.state in OPEN_STATES:
-                self._move(now, part, TaskState.CANCELLED, f"by {operator}")
+        for task in order.tasks:
+            took = task.state in (TaskState.ACTING, TaskState.DONE)
+            if task.state in OPEN_STATES:
+                self._transition(now, task, TaskState.CANCELLED, f"by {operator}")
             if (
                 took
                 and order.verb in (Verb.DRAIN, Verb.STOP)
-                and part.instance.goal is Goal.DOWN
-                and part.instance.part is None
+                and task.instance.goal is Goal.DOWN
+                and task.instance.task is None
             ):
-                self.supervision.want_back(now, part.instance)
+                self.supervisor.cancel_stop(now, task.instance)
 
-    def _begin(self, now: int, part: Task) -> None:
-        instance, supervision = part.instance, self.supervision
-        if self.permit_holder and part.order.verb is not Verb.START:
+    def _start_task(self, now: int, task: Task) -> None:
+        instance, supervision = task.instance, self.supervisor
+        if self.permit_holder and task.order.verb is not Verb.START:
             self.permit_holder.start(now, instance.name)
-        part.replaces = instance.born
-        self._move(now, part, TaskState.ACTING)
-        if part.order.verb is Verb.START:
+        task.replaces_generation = instance.process_generation
+        self._transition(now, task, TaskState.ACTING)
+        if task.order.verb is Verb.START:
             if not instance.alive or instance.phase is Phase.DRAINING:
-                supervision.want_up(now, instance)
+                supervision.order_start(now, instance)
             instance.goal = Goal.UP
-        elif part.order.verb is Verb.RESTART:
-            supervision.want_anew(now, instance)
+        elif task.order.verb is Verb.RESTART:
+            supervision.order_restart(now, instance)
         else:
-            supervision.want_down(now, instance, part.order.verb is Verb.STOP, self.permit_holder is not None)
+            supervision.order_stop(
+                now, instance, task.order.verb is Verb.STOP, self.permit_holder is not None
+            )
 
-    def hold_back(self, now: int, steps: list[Step]) -> list[Step]:
+    def permitted_steps(self, now: int, steps: list[Step]) -> list[Step]:
         """Of steps that are to be carried out, those that may be by now.
 
         A place is begun in time and kept on disk, and then its process is told. Where the disk was full or
@@ -279,78 +300,80 @@
         """
         may = []
         for step in steps:
-            part, instance = step.instance.part, step.instance
+            task, instance = step.instance.task, step.instance
             if (
                 self.permit_holder is None
-                or step.act not in (Action.LEAVE, Action.TERM)
-                or part is None
-                or part.sent
-                or part.state is not TaskState.ACTING
-                or part.order.verb is Verb.START
+                or step.action not in (Action.DRAIN, Action.TERM)
+                or task is None
+                or task.drain_sent
+                or task.state is not TaskState.ACTING
+                or task.order.verb is Verb.START
             ):
                 may.append(step)
                 continue
             told = getattr(instance.report, "state", "")
-            if told == "draining" or self.permit_holder.may_notify(now, instance.name, part.order.ident):
-                part.sent = True
+            if told == "draining" or self.permit_holder.may_notify(now, instance.name, task.order.order_id):
+                task.drain_sent = True
                 may.append(step)
             elif told:
-                self._move(now, part, TaskState.CANCELLED, "its place was over before it was used")
-                self.supervision.stays(now, instance, told)
+                self._transition(now, task, TaskState.CANCELLED, "its place was over before it was used")
+                self.supervisor.revert_unsent_drain(now, instance, told)
             else:
-                instance.left_at = 0  # until it has said whether it was told before
+                instance.drain_sent_at = 0  # until it has said whether it was told before
         return may
 
-    def _look(self, now: int, part: Task) -> None:
+    def _check_completion(self, now: int, task: Task) -> None:
         """Whether it is over with its instance."""
-        instance, verb = part.instance, part.order.verb
+        instance, verb = task.instance, task.order.verb
         up = instance.phase in (Phase.COLD, Phase.SERVING)
         if verb in (Verb.STOP, Verb.DRAIN):
             over = instance.phase is Phase.STOPPED
         elif verb is Verb.START:
             over = up
         else:
-            over = up and instance.born != part.replaces
+            over = up and instance.process_generation != task.replaces_generation
         if over:
-            self._move(now, part, TaskState.DONE)
-        elif instance.resting:
-            self._move(now, part, TaskState.FAILED, f"it keeps ending: {instance.why}")
-        elif now >= part.order.expires:
-            self._move(now, part, TaskState.FAILED, f"still {instance.phase.value} when its time was over")
+            self._transition(now, task, TaskState.DONE)
+        elif instance.restarts_exhausted:
+            self._transition(now, task, TaskState.FAILED, f"it keeps ending: {instance.why}")
+        elif now >= task.order.expires_at:
+            self._transition(
+                now, task, TaskState.FAILED, f"still {instance.phase.value} when its time was over"
+            )
 
-    def expire_all(self, now: int, why: str) -> None:
+    def fail_all(self, now: int, why: str) -> None:
         """The host was started anew: no order made for what ran on it before holds."""
-        for part in self.executor:
-            self._move(now, part, TaskState.FAILED, why)
-        self.executor.clear()
+        for task in self.open_tasks:
+            self._transition(now, task, TaskState.FAILED, why)
+        self.open_tasks.clear()
 
     def restore(self, orders: list[Order]) -> None:
         """Take up what was kept, the oldest first."""
         for order in orders:
-            self.orders[order.ident] = order
-            for part in order.parts:
-                if part.open:
-                    part.instance.part = part
-                    self.executor.append(part)
+            self.orders[order.order_id] = order
+            for task in order.tasks:
+                if task.is_open:
+                    task.instance.task = task
+                    self.open_tasks.append(task)
 
-    def _move(self, now: int, part: Task, state: TaskState, why: str = "") -> None:
+    def _transition(self, now: int, task: Task, state: TaskState, why: str = "") -> None:
         """The one place where the state of a part changes."""
-        if state not in TRANSITIONS[part.state]:
-            raise RuntimeError(f"order {part.order.ident}: {part.state.value} to {state.value}")
-        part.state, part.since, part.why = state, now, why or part.why
-        self.changed.add(part.order)
-        if not part.open and part.instance.part is part:
-            part.instance.part, part.instance.dirty = None, True
-
-    def _forget(self) -> None:
+        if state not in TRANSITIONS[task.state]:
+            raise RuntimeError(f"order {task.order.order_id}: {task.state.value} to {state.value}")
+        task.state, task.state_since, task.why = state, now, why or task.why
+        self.changed.add(task.order)
+        if not task.is_open and task.instance.task is task:
+            task.instance.task, task.instance.dirty = None, True
+
+    def _delete_oldest(self) -> None:
         """The oldest that ended make room: their ids come with a generation that is long over."""
         for ident, order in list(self.orders.items()):
-            if len(self.orders) <= self.most:
+            if len(self.orders) <= self.max_orders:
                 break
-            if not order.open:
+            if not order.is_open:
                 del self.orders[ident]
                 self.changed.discard(order)
-                self.dropped.append(ident)
+                self.deleted.append(ident)
 
 
 def _clock(unix: int) -> str:
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -57,7 +57,7 @@
         for host, names in self.site.hosts.items():
             processes = Processes(self.state_folder(host), lambda process, why: None)
             for name in names:
-                if processes.holds(name) and (process := processes.take_up(name)):
+                if processes.is_running(name) and (process := processes.adopt(name)):
                     processes.signal(process, signal.SIGCONT)
                     processes.signal(process, signal.SIGKILL)
             processes.close()
@@ -104,7 +104,7 @@
         """Kill a node by SIGKILL, if it runs, and write that into its journal."""
         folder = self.state_folder(self._host_of(name))
         processes = Processes(folder, lambda process, why: None)
-        if processes.holds(name) and (process := processes.take_up(name)):
+        if processes.is_running(name) and (process := processes.adopt(name)):
             with open(os.path.join(folder, f"{name}.journal"), "a", encoding="ascii") as file:
                 file.write(f"killed {process.generation} {process.pid} {time.monotonic_ns()}\n")
             processes.signal(process, signal.SIGKILL)
