--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -6,6 +6,7 @@
 
 import asyncio
 import errno
+import faulthandler
 import gc
 import socket
 import struct
@@ -37,6 +38,7 @@
     sweep_interval=600 * SECOND,
 )
 LAST = [b"0", b"last"]
+DEADLINE = 1.5 * WAIT  # seconds from a test's set-up to that of the next
 
 
 def call(tag: int, size: int = 4) -> bytes:
@@ -96,7 +98,14 @@
 
     resource_limits = RESOURCE_LIMITS
 
+    @classmethod
+    def setUpClass(cls) -> None:
+        """Cancel the deadline only after the last event loop is closed, as that may hang too."""
+        cls.addClassCleanup(faulthandler.cancel_dump_traceback_later)
+
     async def asyncSetUp(self) -> None:
+        # A loop that never yields, or that a tearDown waits for, has no other end: the run fails here.
+        faulthandler.dump_traceback_later(DEADLINE, exit=True)
         self.arrived_here, self.gone_here = [], []
         self.reader = RequestReader(
             FakeHost(request_classes=[{}]).limits, ["quote"], [], self.resource_limits
@@ -327,7 +336,7 @@
 
     async def test_an_answer_just_after_an_ending_connection_broke_fails_nothing(self):
         # Its reader had not run yet: the answer shut down a socket that was no longer there, and raised.
-        caller, connection = await self.working()
+        _, connection = await self.working()
         connection.finish()
         connection.stream.close()
         self.answer()
@@ -416,7 +425,7 @@
         self.assertEqual((await caller.until(1))[1], b"ok")
 
     async def test_one_that_takes_nothing_is_closed_in_the_end(self):
-        caller, connection = await self.stuck()
+        _, connection = await self.stuck()
         connection.check_timeouts(time.monotonic_ns() + 11 * SECOND)
         await self.until(lambda: connection.state is ConnectionState.CLOSED)
 
