--- a/tests/dispatch/test_listener.py
+++ b/tests/dispatch/test_listener.py
@@ -17,22 +17,22 @@
         class FakeConnection:
             closed = False
 
-            def at_rest(self):
+            def is_idle(self):
                 return not self.closed
 
-            def make_room(self):
+            def evict(self):
                 self.closed = True
                 return False  # it needs no descriptor any more
 
         listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
         self.addCleanup(listener.socket.close)
         old, new, held = FakeConnection(), FakeConnection(), FakeConnection()
-        listener.silent = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
+        listener.without_requests = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
         listener.idle = {held: 0}
         for closed in (old, held, new):
-            self.assertTrue(listener._make_room())
+            self.assertTrue(listener._evict_one())
             self.assertTrue(closed.closed)
-        self.assertFalse(listener._make_room())
+        self.assertFalse(listener._evict_one())
 
 
 class ListenerTest(unittest.IsolatedAsyncioTestCase):
@@ -48,7 +48,7 @@
         self.assertEqual(len(listener.connections), len(callers))
         for opened in (*listener.connections, *callers):
             opened.close()
-        await listener.gone()
+        await listener.wait_closed()
 
     async def test_accepts_a_flood_of_connections_a_few_at_a_time(self):
         # All that waited were accepted in one pass: 180 ms in which nothing else was read or answered.
@@ -67,4 +67,4 @@
         await listener.close()
         for opened in (*listener.connections, *callers):
             opened.close()
-        await listener.gone()
+        await listener.wait_closed()
--- a/tests/dispatch/test_parsers.py
+++ b/tests/dispatch/test_parsers.py
@@ -94,5 +94,5 @@
         pool = BufferPool(64, 1)
         first = pool.lease()
         self.assertRaises(MemoryError, pool.lease)
-        pool.give_back(first)
+        pool.release(first)
         self.assertIs(pool.lease(), first)
--- a/tests/engine/test_link.py
+++ b/tests/engine/test_link.py
@@ -46,7 +46,7 @@
         serving = asyncio.ensure_future(link.serve())
         for _ in range(9):
             await asyncio.sleep(0)
-        pool.left = 9
+        pool.unallocated = 9
         self.assertEqual(await asyncio.wait_for(attached.get(), WAIT), b"ATTACH 0\r\n")
         serving.cancel()
         await asyncio.wait((serving,))
