--- a/oakkeel/engine/notices.py
+++ b/oakkeel/engine/notices.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Container
 
 from oakkeel.admission.types import Outcome
-from oakkeel.line_protocol import milliseconds, number
+from oakkeel.line_protocol import parse_integer, parse_milliseconds
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import CallNeeded, RunFinished
@@ -41,16 +41,16 @@
         verb = tokens[0]
         try:
             if verb == b"HELLO":
-                self.on_hello(tokens[1], milliseconds(tokens[2]))
+                self.on_hello(tokens[1], parse_milliseconds(tokens[2]))
             elif verb == b"STATS":
                 self.on_gauges(tokens[1], [float(token) for token in tokens[2:]])
             elif verb in (b"DONE", b"NEED", b"NOTE"):
-                notice = number(tokens[1])
+                notice = parse_integer(tokens[1])
                 if notice <= self.last_number:
                     return  # a duplicate, read already before the connection was lost
                 self.last_number = notice
                 if verb == b"DONE":
-                    self.finish(tokens[2], RUN_OUTCOMES[tokens[3]], milliseconds(tokens[4]), body)
+                    self.finish(tokens[2], RUN_OUTCOMES[tokens[3]], parse_milliseconds(tokens[4]), body)
                 elif verb == b"NEED" and (request := self.runs.get(tokens[2])):
                     request.last_notice = notice
                     request.post(CallNeeded(notice, body))
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -61,8 +61,8 @@
             open_requests=len(node.open_requests),
             cpu=time.process_time_ns(),
             completed=node.metrics.answers_total.get(codec.COMPLETED, 0),
-            rejected=node.metrics.answers_total.get(codec.DENIED, 0),
-            failed=node.metrics.answers_total.get(codec.TERMINATED, 0),
+            rejected=node.metrics.answers_total.get(codec.REJECTED, 0),
+            failed=node.metrics.answers_total.get(codec.FAILED, 0),
             version=self.version,
             load=round(node.host.gauges.core_busy, 4),
             earned_weight=self.outcomes.earned_weight,
@@ -91,7 +91,7 @@
             Counter(
                 request.class_name.decode(errors="replace")
                 for connection in self.node.listener.connections
-                for request in connection.open.values()
+                for request in connection.open_requests.values()
             )
         )
 
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -106,12 +106,12 @@
         node.directory_reporter.set_accepting(False)
         if node.host.started:
             self._notify_admission(left)
-            node.listener.last()
+            node.listener.drain_connections()
             await asyncio.sleep(self.grace / SECOND)
         self._set_state(DrainState.EMPTYING)
         await node.listener.close()
-        node.listener.last()
-        await node.listener.gone()  # each ends only when its answers are sent
+        node.listener.drain_connections()
+        await node.listener.wait_closed()  # each ends only when its answers are sent
         self._set_state(DrainState.ENDED)
         if self.deadline_timer:
             self.deadline_timer.cancel()
@@ -129,7 +129,7 @@
 
     def _close_rest(self) -> None:
         self.node.log.warning("drain_deadline_reached")
-        self.node.listener.end()
+        self.node.listener.close_connections()
 
     def _notify_admission(self, left: int | None) -> None:
         try:
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -134,7 +134,7 @@
             self.configuration.groups,
             self.configuration.tenants,
             self.resource_limits,
-            who=flow_keys,
+            flow_keys=flow_keys,
         )
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
@@ -161,18 +161,18 @@
 
     # What connections ask and tell.
 
-    def arrived(self, request: NodeRequest) -> None:
+    def request_received(self, request: NodeRequest) -> None:
         """Start the handler of a request that was read."""
         self.metrics.requests_read += 1
         task = asyncio.ensure_future(self.handler.handle(request))
         self.open_requests[request.request_id] = task
         task.add_done_callback(lambda _: self.open_requests.pop(request.request_id))
 
-    def holds(self, request_id: bytes) -> bool:
+    def has_request(self, request_id: bytes) -> bool:
         """Whether a request with this ID is open, or its run is."""
         return request_id in self.open_requests
 
-    def gone(self, request: NodeRequest) -> None:
+    def client_disconnected(self, request: NodeRequest) -> None:
         """Tell the handler that the client no longer waits."""
         if not request.answered:
             request.answered = True  # no answer is due any more
@@ -182,11 +182,11 @@
         """Whether health checks get `yes`."""
         return self.host.healthy and self.host.started and not self.drain
 
-    def signal(self) -> float | None:
+    def load_report(self) -> float | None:
         """The share of traffic that the node advertises, None before it has one."""
         return self.host.advertised_share
 
-    def return_after(self) -> int:
+    def retry_after(self) -> int:
         """Nanoseconds after which a request refused on arrival may be retried; 0 where none are advised."""
         return self.host.admission.retry_after() if self.host.started else 0
 
