--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -24,7 +24,7 @@
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args:
                 if node.func.attr in LEVELS:
                     events |= {(event, node.func.attr) for event in strings(node.args[0])}
-                elif node.func.attr == "fault":  # of a connection: a warning
+                elif node.func.attr == "report_violation":  # of a connection: a warning
                     events |= {(event, "warning") for event in strings(node.args[0])}
             elif isinstance(node, ast.AnnAssign) and ast.unparse(node.target) == "RELEASE_EVENTS":
                 events |= {(event, "info") for event in strings(node.value)}
