--- /dev/null
+++ b/tests/dispatch/listener_case.py
@@ -0,0 +1,192 @@
+"""A listener in the loop of the test, with dispatchers that are plain sockets.
+
+What one of these sends is in the kernel at once, and the loop has not looked until the test awaits: so bytes,
+closes and accepts are forced into one order.
+"""
+
+import asyncio
+import faulthandler
+import socket
+import struct
+import time
+import unittest
+
+from oakkeel.dispatch import codec
+from oakkeel.dispatch.codec import RequestReader
+from oakkeel.dispatch.connection import Connection
+from oakkeel.dispatch.listener import Listener
+from oakkeel.dispatch.resp import encode
+from oakkeel.log import EventLog
+from oakkeel.resource_limits import MS, SECOND, ResourceLimits
+from oakkeel.stream_buffers import BufferPool
+from tests.support.fake_host import FakeHost
+from tests.support.node_process import WAIT
+
+RESOURCE_LIMITS = ResourceLimits(
+    sockets=1024,
+    memory=192 * 2**20,
+    stop_after=3 * SECOND,
+    drain_notice_timeout=600 * SECOND,
+    linger_timeout=600 * SECOND,
+    sweep_interval=600 * SECOND,
+)
+
+
+LAST = [b"0", b"last"]
+
+
+DEADLINE = 1.5 * WAIT  # seconds from a test's set-up to that of the next
+
+
+def call(tag: int, size: int = 4) -> bytes:
+    return encode(b"CALL", b"%d" % tag, b"quote", b"req=%016x,need=1,timeout=4000" % tag, b"b" * size)
+
+
+class DispatcherClient:
+    """A dispatcher's end of a connection."""
+
+    def __init__(self, address, size: int = 0) -> None:
+        self.socket = socket.socket()
+        if size:
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
+        self.socket.connect(address)
+        self.socket.setblocking(False)
+        self.got = b""
+
+    def send(self, data: bytes) -> None:
+        self.socket.send(data)
+
+    async def read(self) -> bool:
+        """Some more; False at a clean end. Raises ConnectionResetError."""
+        loop = asyncio.get_running_loop()
+        data = await asyncio.wait_for(loop.sock_recv(self.socket, 65536), WAIT)
+        self.got += data
+        return bool(data)
+
+    def words(self) -> list[list[bytes]]:
+        """The whole arrays that it has got."""
+        found, lines = [], self.got.split(b"\r\n")
+        while lines and lines[0].startswith(b"*"):
+            count = int(lines.pop(0)[1:])
+            found.append(lines[1 : 2 * count : 2])
+            del lines[: 2 * count]
+        return found
+
+    async def until(self, tag: int) -> list[bytes]:
+        """The answer with a tag."""
+        while not (found := [each for each in self.words() if each[0] == b"%d" % tag and each != LAST]):
+            assert await self.read(), f"ended before {tag} was answered"
+        return found[0]
+
+    async def end(self) -> list[list[bytes]]:
+        """All that came until a clean end."""
+        while await self.read():
+            pass
+        return self.words()
+
+    def close(self, reset: bool = False) -> None:
+        if reset:
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        self.socket.close()
+
+
+class ListenerTestCase(unittest.IsolatedAsyncioTestCase):
+    """A listener in front of a node that writes down what it hears."""
+
+    resource_limits = RESOURCE_LIMITS
+
+    @classmethod
+    def setUpClass(cls) -> None:
+        """Cancel the deadline only after the last event loop is closed, as that may hang too."""
+        cls.addClassCleanup(faulthandler.cancel_dump_traceback_later)
+
+    async def asyncSetUp(self) -> None:
+        # A loop that never yields, or that a tearDown waits for, has no other end: the run fails here.
+        faulthandler.dump_traceback_later(DEADLINE, exit=True)
+        self.arrived_here, self.gone_here = [], []
+        self.reader = RequestReader(
+            FakeHost(request_classes=[{}]).limits, ["quote"], [], self.resource_limits
+        )
+        pool = BufferPool(8192, self.resource_limits.max_buffers)
+        self.listener = Listener(("127.0.0.1", 0), pool, self.resource_limits, self, EventLog("test", 0))
+        self.listener.open()
+        self.callers: list[DispatcherClient] = []
+
+    async def asyncTearDown(self) -> None:
+        await self.listener.close()
+        self.listener.close_connections()
+        for each in self.callers:
+            each.close()
+        await asyncio.wait_for(self.listener.wait_closed(), WAIT)
+
+    # The node, as connections see it.
+
+    def request_received(self, request) -> None:
+        self.arrived_here.append(request)
+
+    def client_disconnected(self, request) -> None:
+        self.gone_here.append(request)
+
+    def has_request(self, request_id: bytes) -> bool:
+        return False
+
+    def healthy(self) -> bool:
+        return True
+
+    def load_report(self) -> float | None:
+        return None
+
+    def retry_after(self) -> int:
+        return 250 * MS
+
+    # Steps.
+
+    def caller(self, size: int = 0) -> DispatcherClient:
+        self.callers.append(DispatcherClient(self.listener.address, size))
+        return self.callers[-1]
+
+    async def until(self, true) -> None:
+        """Let the loop go on until something holds."""
+        end = time.monotonic() + WAIT
+        while not true():
+            self.assertLess(time.monotonic(), end)
+            await asyncio.sleep(0.001)
+
+    async def connected(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
+        before = set(self.listener.connections)
+        caller = self.caller(size)
+        await self.until(lambda: set(self.listener.connections) - before)
+        connection = (set(self.listener.connections) - before).pop()
+        await self.until(connection.stream.reading)
+        return caller, connection
+
+    async def working(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
+        """With one exchange that is open."""
+        caller, connection = await self.connected(size)
+        caller.send(call(1))
+        await self.until(lambda: connection.open_requests)
+        return caller, connection
+
+    async def rested(self) -> tuple[DispatcherClient, Connection]:
+        """One whose exchange was answered."""
+        caller, connection = await self.working()
+        self.answer()
+        await caller.until(1)
+        await self.until(connection.is_idle)
+        return caller, connection
+
+    async def stuck(self) -> tuple[DispatcherClient, Connection]:
+        """One with more answers than it has taken: some are still to be sent."""
+        caller, connection = await self.connected(size=4096)
+        connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        for tag in range(1, 31):
+            caller.send(call(tag))
+        await self.until(lambda: len(self.arrived_here) == 30)
+        for _ in range(30):
+            self.answer(bytes(4096))
+        self.assertTrue(connection.unsent)
+        return caller, connection
+
+    def answer(self, body: bytes = b"result") -> None:
+        request = self.arrived_here.pop(0)
+        request.connection.answer(request, codec.COMPLETED, body)
