--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -39,7 +39,7 @@
 from oakkeel.settings.types import FairSharingSettings, Fleet, HostSettings
 from oakkeel.store.database import Database
 
-TURN = 100 * MS  # between looks at everything
+RECONCILE_INTERVAL = 100 * MS  # between looks at everything
 LOG_LINES = 50  # a second
 DROP = 60 * SECOND  # between looks for versions that nothing needs
 
@@ -173,7 +173,7 @@
         while not self.stop_requested.is_set():
             self.reconcile()
             try:
-                await asyncio.wait_for(self.stop_requested.wait(), TURN / SECOND)
+                await asyncio.wait_for(self.stop_requested.wait(), RECONCILE_INTERVAL / SECOND)
             except TimeoutError:
                 continue
         self._close()
@@ -296,9 +296,9 @@
         self.log.info("settings_reloaded", keys=len(keys))
 
 
-def timeouts_of(told: dict[str, int | bool]) -> SupervisionTimeouts:
+def timeouts_of(settings: dict[str, int | bool]) -> SupervisionTimeouts:
     """What the settings say, the rest as it is built in."""
-    return replace(SupervisionTimeouts(), **told)  # type: ignore[arg-type]
+    return replace(SupervisionTimeouts(), **settings)  # type: ignore[arg-type]
 
 
 def new_seed() -> int:
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -39,10 +39,10 @@
                 self.permit_holder.start(now, name)
             if permit.started and not up:
                 self.seen_down[name] = permit.fencing_token
-            over = (
+            expired = (
                 self.seen_down.get(name) == permit.fencing_token or order is None or bool(order.cancelled_by)
             )
-            if permit.started and up and over:
+            if permit.started and up and expired:
                 self.permit_holder.mark_restored(name)
             else:
                 self.permit_holder.mark_unavailable(name)
--- a/oakkeel/agent/leader_locator.py
+++ b/oakkeel/agent/leader_locator.py
@@ -14,9 +14,9 @@
         self.current = voters[0]
         self.position = 0
 
-    def set_voters(self, keepers: Sequence[str]) -> None:
+    def set_voters(self, voters: Sequence[str]) -> None:
         """Who keeps the record by now."""
-        self.voters = [name for name in keepers if name in self.hosts] or self.voters
+        self.voters = [name for name in voters if name in self.hosts] or self.voters
 
     def redirect(self, leader: str) -> None:
         """The one that was asked does not lead, or did not answer; `leader` is whom it named, if any."""
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -311,13 +311,13 @@
             ):
                 may.append(step)
                 continue
-            told = getattr(instance.report, "state", "")
-            if told == "draining" or self.permit_holder.may_notify(now, instance.name, task.order.order_id):
+            state = getattr(instance.report, "state", "")
+            if state == "draining" or self.permit_holder.may_notify(now, instance.name, task.order.order_id):
                 task.drain_sent = True
                 may.append(step)
-            elif told:
+            elif state:
                 self._transition(now, task, TaskState.CANCELLED, "its place was over before it was used")
-                self.supervisor.revert_unsent_drain(now, instance, told)
+                self.supervisor.revert_unsent_drain(now, instance, state)
             else:
                 instance.drain_sent_at = 0  # until it has said whether it was told before
         return may
@@ -327,12 +327,12 @@
         instance, verb = task.instance, task.order.verb
         up = instance.phase in (Phase.COLD, Phase.SERVING)
         if verb in (Verb.STOP, Verb.DRAIN):
-            over = instance.phase is Phase.STOPPED
+            ended = instance.phase is Phase.STOPPED
         elif verb is Verb.START:
-            over = up
+            ended = up
         else:
-            over = up and instance.process_generation != task.replaces_generation
-        if over:
+            ended = up and instance.process_generation != task.replaces_generation
+        if ended:
             self._transition(now, task, TaskState.DONE)
         elif instance.restarts_exhausted:
             self._transition(now, task, TaskState.FAILED, f"it keeps ending: {instance.why}")
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -40,7 +40,7 @@
 SECOND = 1000 * MS
 MAX_QUEUED_ENVELOPES = 256  # that wait for one peer
 MAX_REQUEST_BYTES = 96 * 1024  # bytes of letters in one message
-CARRY = 700 * MS  # for a message to a peer to be taken; what it held is lost then
+PEER_REQUEST_TIMEOUT = 700 * MS  # for a message to a peer to be taken; what it held is lost then
 AGAIN = 100 * MS  # after a link failed, and after the file could not be written
 AGREE = 5 * SECOND  # for something proposed to be agreed
 
@@ -332,7 +332,9 @@
 
     async def _ask(self, envelopes: list[Envelope]) -> None:
         answer = messages.decode_response(
-            await self.link.request(messages.encode(messages.PeerEnvelopesRequest(envelopes)), CARRY / SECOND)
+            await self.link.request(
+                messages.encode(messages.PeerEnvelopesRequest(envelopes)), PEER_REQUEST_TIMEOUT / SECOND
+            )
         )
         if isinstance(answer, messages.PeerEnvelopesResponse):
             self.on_response(self.name, answer.envelopes)
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -74,7 +74,7 @@
             ):
                 reserve[instance.name] = instance.generation + self.generation_block
         in_flight = {
-            each.name: told for each in self.supervisor.instances if (told := _in_flight_summary(each))
+            each.name: summary for each in self.supervisor.instances if (summary := _in_flight_summary(each))
         }
         heartbeat = self.permit_holder.heartbeat(now, up, self._task_results(), reserve, in_flight)
         if self.assignments.active:
@@ -124,7 +124,7 @@
 
     def _task_results(self) -> list[TaskResult]:
         """What the record takes for open and is over here."""
-        told = self.services.results()
+        results = self.services.results()
         for order in self.permit_holder.orders.values():
             known = self.orders.orders.get(order.id)
             here = {task.instance.name: task for task in known.tasks} if known else {}
@@ -133,15 +133,17 @@
                 if state not in OPEN or target in self.services.up:
                     continue
                 if task is not None and not task.is_open:
-                    told.append(TaskResult(order.id, target, HOW[task.state], task.why))
+                    results.append(TaskResult(order.id, target, HOW[task.state], task.why))
                 elif why := self.rejections.get((order.id, target)):
-                    told.append(TaskResult(order.id, target, "refused", why))
+                    results.append(TaskResult(order.id, target, "refused", why))
                 elif self._completed_before_loss(order, target):
-                    told.append(TaskResult(order.id, target, "done", ""))
+                    results.append(TaskResult(order.id, target, "done", ""))
                 elif task is None and state == "out" and (order.halted_by or order.remaining <= 0):
                     # Else it would stand for ever: nobody here knows that it was ever begun.
-                    told.append(TaskResult(order.id, target, "failed", "its agent lost its file meanwhile"))
-        return told
+                    results.append(
+                        TaskResult(order.id, target, "failed", "its agent lost its file meanwhile")
+                    )
+        return results
 
     def _completed_before_loss(self, order: AssignedOrder, target: str) -> bool:
         """It was carried out here, and our file with it was lost before that was told."""
@@ -173,21 +175,21 @@
             if instance.name in self.permit_holder.generations:
                 instance.generation_limit = self.permit_holder.generations[instance.name]
         taken = []
-        for told in answer.orders:
-            order = self.orders.orders.get(told.id)
-            if order is None and not told.halted_by:
-                order = self._submit_order(now, told)
+        for assigned in answer.orders:
+            order = self.orders.orders.get(assigned.id)
+            if order is None and not assigned.halted_by:
+                order = self._submit_order(now, assigned)
                 if order is not None:
                     taken.append(order)
-            if order is not None and told.cancelled_by:
-                self.orders.revert(now, order, told.cancelled_by)
+            if order is not None and assigned.cancelled_by:
+                self.orders.revert(now, order, assigned.cancelled_by)
             elif (
                 order is not None
-                and told.halted_by
+                and assigned.halted_by
                 and any(task.state is TaskState.WAITING for task in order.tasks)
             ):
-                self.orders.cancel(now, order.order_id, told.halted_by)
-        current = {told.id for told in answer.orders}
+                self.orders.cancel(now, order.order_id, assigned.halted_by)
+        current = {assigned.id for assigned in answer.orders}
         for order in [
             task.order
             for task in self.orders.open_tasks
@@ -218,15 +220,17 @@
     def _skip_used_generations(self, reserved: dict[str, int]) -> None:
         """Where the record has given out more generations than our file knows of, any of them may be used."""
         for instance in self.supervisor.instances:
-            told = self.permit_holder.generations.get(instance.name, 0)
-            if told > reserved.get(instance.name, 0):
-                instance.generation, instance.dirty = max(instance.generation, told), True
+            reserved_to = self.permit_holder.generations.get(instance.name, 0)
+            if reserved_to > reserved.get(instance.name, 0):
+                instance.generation, instance.dirty = max(instance.generation, reserved_to), True
 
-    def _submit_order(self, now: int, told: AssignedOrder) -> Order | None:
+    def _submit_order(self, now: int, assigned: AssignedOrder) -> Order | None:
         asked = tuple(
             (target, generation)
-            for target, generation, state in told.tasks
-            if state in OPEN and (told.id, target) not in self.rejections and target in self.orders.instances
+            for target, generation, state in assigned.tasks
+            if state in OPEN
+            and (assigned.id, target) not in self.rejections
+            and target in self.orders.instances
         )
         if not asked or any(
             self.orders.instances[target].generation >= self.orders.instances[target].generation_limit
@@ -234,14 +238,16 @@
         ):
             return None  # until it may number what it does
         try:
-            order = self.orders.submit(now, told.id, told.operator, Verb(told.verb), asked, told.remaining)
+            order = self.orders.submit(
+                now, assigned.id, assigned.operator, Verb(assigned.verb), asked, assigned.remaining
+            )
         except (OrderRejectedError, ValueError) as error:
             for target, _ in asked:
-                self.rejections[told.id, target] = str(error)
+                self.rejections[assigned.id, target] = str(error)
             return None
         if not order.is_open:
             for task in order.tasks:
-                self.rejections[told.id, task.instance.name] = task.why
+                self.rejections[assigned.id, task.instance.name] = task.why
             return None
         return order
 
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -115,8 +115,8 @@
             link.close()
 
 
-async def probe(service: Service, below: DownstreamServices, moved: Callable[[], None]) -> None:
-    """Look whether a service below takes connections, again and again."""
+async def probe(service: Service, services: DownstreamServices, moved: Callable[[], None]) -> None:
+    """Look whether a downstream service takes connections, again and again."""
     while True:
         up = False
         try:
@@ -125,8 +125,8 @@
             writer.close()
         except (TimeoutError, OSError):
             pass
-        was = below.up[service.name]
-        below.observe(service.name, up)
-        if below.up[service.name] is not was:
+        was = services.up[service.name]
+        services.observe(service.name, up)
+        if services.up[service.name] is not was:
             moved()
         await asyncio.sleep(PROBE / SECOND)
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -176,7 +176,7 @@
     )
 
 
-def _leading(now: int, raft: RaftRuntime) -> tuple[ControlPlaneReplica, PermitAllocator]:
+def _require_leader(now: int, raft: RaftRuntime) -> tuple[ControlPlaneReplica, PermitAllocator]:
     """Raises NotLeaderError: only a leader whose lease holds knows the present state."""
     control_plane = raft.control_plane
     if control_plane is None or control_plane.allocator is None or not control_plane.replica.holds_lease(now):
@@ -188,7 +188,7 @@
 
 def fleet_status(now: int, raft: RaftRuntime, order_id: str) -> messages.Response:
     """What is unavailable, with budgets and the latest orders; or one order. Raises NotLeaderError."""
-    control_plane, allocator = _leading(now, raft)
+    control_plane, allocator = _require_leader(now, raft)
     index, state = control_plane.state_machine.index, control_plane.state_machine.state
     if order_id:
         if order_id not in state.orders:
@@ -218,7 +218,7 @@
 
 def release_status(now: int, raft: RaftRuntime, release_id: str) -> messages.Response:
     """One release, or the open or latest one. Raises NotLeaderError, as `fleet_status` does."""
-    control_plane, allocator = _leading(now, raft)
+    control_plane, allocator = _require_leader(now, raft)
     state_machine, controller = control_plane.state_machine, control_plane.extension
     assert isinstance(state_machine, RolloutStateMachine) and isinstance(controller, RolloutController)
     releases = state_machine.state.releases
--- a/oakkeel/agent/topology.py
+++ b/oakkeel/agent/topology.py
@@ -8,8 +8,8 @@
 
 def topology_of(fleet: Fleet) -> Topology:
     """Groups for the fleet, each site and each kind of service below."""
-    keepers = fleet.control_plane
-    services = keepers.services if keepers else ()
+    control_plane = fleet.control_plane
+    services = control_plane.services if control_plane else ()
     hosts: dict[str, tuple[str, ...]] = {}
     sites: dict[str, list[str]] = {site: [] for site in fleet.sites}
     hanging: dict[str, list[str]] = {service.name: [] for service in services}
@@ -21,11 +21,11 @@
             for name in instance.downstream:
                 hanging[name].append(instance.name)
     groups = [BudgetGroup(f"site {site}", fleet.sites[site], tuple(names)) for site, names in sites.items()]
-    if keepers:
+    if control_plane:
         every = tuple(name for names in sites.values() for name in names)
-        groups.append(BudgetGroup("fleet", keepers.max_unavailable, every))
+        groups.append(BudgetGroup("fleet", control_plane.max_unavailable, every))
         groups += [
             BudgetGroup(f"kind {kind}", away, tuple(each.name for each in services if each.kind == kind))
-            for kind, away in keepers.kinds.items()
+            for kind, away in control_plane.kinds.items()
         ]
     return Topology(hosts, tuple(groups), {name: tuple(found) for name, found in hanging.items() if found})
--- a/oakkeel/fakes/control_plane.py
+++ b/oakkeel/fakes/control_plane.py
@@ -94,14 +94,14 @@
         self, what: str, condition: Callable[[], Awaitable[bool]], timeout: float = TIMEOUT
     ) -> float:
         """Wait for a condition; returns the seconds that it took, raises TimeoutError."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         while True:
             try:
                 if await condition():
-                    return time.monotonic() - began
+                    return time.monotonic() - started_at
             except (NoLeaderError, AssertionError):
                 pass
-            if time.monotonic() - began > timeout:
+            if time.monotonic() - started_at > timeout:
                 raise TimeoutError(f"not within {timeout:g} s: {what}")
             await asyncio.sleep(0.03)
 
