--- a/Makefile
+++ b/Makefile
@@ -34,6 +34,7 @@
 	.venv/bin/ruff format --check oakkeel tests measure
 	.venv/bin/ruff check oakkeel tests measure
 	.venv/bin/mypy oakkeel measure
+	.venv/bin/codespell oakkeel tests measure docs README.md CHANGELOG.md Makefile .ci
 
 format: all .venv/lint
 	.venv/bin/ruff format oakkeel tests measure
--- a/measure/common.py
+++ b/measure/common.py
@@ -22,8 +22,7 @@
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key
 from oakkeel.settings.types import Fleet
-
-SECOND = 1_000_000_000
+from oakkeel.units import SECOND
 
 
 def parse_arguments(text: str, **defaults: Any) -> argparse.Namespace:
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -12,7 +12,8 @@
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.agent.instances import Instance, Phase
 from oakkeel.agent.orders import OrderRegistry, Verb
-from oakkeel.agent.supervisor import MS, SECOND, Action, SupervisionTimeouts, Supervisor
+from oakkeel.agent.supervisor import Action, SupervisionTimeouts, Supervisor
+from oakkeel.units import MS, SECOND
 
 REPORT = object()
 SITES = 10
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -9,8 +9,8 @@
 
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.emulator.clients import BalancingPolicy, ClientBehavior
-from oakkeel.emulator.clock import SECOND
 from oakkeel.emulator.scenario import RESPONSE_TIME, Scenario, ScenarioRun
+from oakkeel.units import SECOND
 
 RATE_PER_NODE = 10.0  # requests a second
 FLEET_SIZES = (10, 100, 1000)
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -27,8 +27,8 @@
 from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.simulated_node import fair_share, jain
 from oakkeel.fakes.site import FakeSite
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 CORES, WORK = 2, 0.02  # the engine's, and seconds of a run: capacity of a hundred a second
 COMPLIANT, RATE = 10, 10.0  # compliant clients, and requests a second of each
 REQUEST_CLASS = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -20,9 +20,10 @@
 import numpy
 from scipy import stats
 
-from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
+from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.rollout.gates import Decision, Gate, Samples
 from oakkeel.rollout.sequential import Sums
+from oakkeel.units import SECOND
 
 NODES, RATE = 12, 60.0  # exchanges a second at each node
 GOOD = 0.97  # of which in time
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from measure.common import SECOND, parse_arguments, print_line, write_figures
+from measure.common import parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
 from oakkeel.fakes.control_plane import UnexpectedResponseError
@@ -19,6 +19,7 @@
 from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key, write_key
+from oakkeel.units import SECOND
 
 VERBS = ("restart", "stop", "start")  # one after the other: each needs the state that the last one left
 MOST_STEPS = 14  # an agent kills itself at one of its first so many steps
--- a/measure/places.py
+++ b/measure/places.py
@@ -24,9 +24,8 @@
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 OUT = 3 * SECOND
 SITES = 20
 
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
+from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.disruption.topology import BudgetGroup, Topology, UnavailableTargets
 from oakkeel.emulator.consensus import ConsensusSimulation
 from oakkeel.emulator.faults import Fault, Schedule
@@ -22,8 +22,8 @@
 from oakkeel.rollout.commands import VersionSpec
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.plan import BatchLimits, BatchPlanner, TargetObservation
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
 HOSTS, NODES_PER_HOST, SITES, MAX_UNAVAILABLE = 100, 10, 5, 20
 
 
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import oakkeel
-from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
+from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
 from oakkeel.agent.artifacts import version_of
 from oakkeel.fakes.catalogue import Catalogue
@@ -28,6 +28,7 @@
 from oakkeel.fakes.site import NODE_SETTINGS, FakeSite, free_port
 from oakkeel.fleet.agent_clients import NoLeaderError
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
+from oakkeel.units import SECOND
 
 HOSTS = {f"h{number}": [f"n{2 * number - 1}", f"n{2 * number}"] for number in range(1, 7)}
 SITES = {host: ("woodbrook", "belmont")[number % 2] for number, host in enumerate(HOSTS)}
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -14,10 +14,11 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from measure.common import SECOND, describe_machine, parse_arguments, print_line, write_figures
+from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.emulator.consensus import play
 from oakkeel.emulator.faults import Schedule, draw, schedule_from_json
 from oakkeel.emulator.schedule_shrinking import shrink
+from oakkeel.units import SECOND
 
 RELEASE_DURATION = 40 * SECOND
 
--- a/oakkeel/admission/__init__.py
+++ b/oakkeel/admission/__init__.py
@@ -3,6 +3,5 @@
 from oakkeel.admission.controller import POLL_TOKEN, AdmissionController
 from oakkeel.admission.overload import Stage
 from oakkeel.admission.sliding_window import SlidingWindow
-from oakkeel.resource_limits import MS, SECOND
 
 __all__ = ["MS", "POLL_TOKEN", "SECOND", "AdmissionController", "SlidingWindow", "Stage"]
--- a/oakkeel/admission/client_returns.py
+++ b/oakkeel/admission/client_returns.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oakkeel.admission.sliding_window import SlidingWindow
-from oakkeel.resource_limits import SECOND
+from oakkeel.units import SECOND
 
 WINDOW_STEP = 2 * SECOND
 
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -15,7 +15,7 @@
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.admission.types import Gauges, Host, Idempotency, NodeLimits, Outcome, Request
 from oakkeel.admission.types import RequestState as State
-from oakkeel.resource_limits import MS, SECOND
+from oakkeel.units import MS, SECOND
 
 POLL, POLL_TOKEN = SECOND, 0
 DEPTH_SPARE = 2  # the first requests that no depth counts: on few cores counts for each are coarse
--- a/oakkeel/admission/downstream_calls.py
+++ b/oakkeel/admission/downstream_calls.py
@@ -4,7 +4,7 @@
 
 from oakkeel.admission.sliding_window import WINDOW_BUCKETS, SlidingWindow
 from oakkeel.admission.types import DownstreamKind, NodeLimits, Request, RequestState
-from oakkeel.resource_limits import MS, SECOND
+from oakkeel.units import MS, SECOND
 
 QUOTA_ROOM = 0.8  # of the downstream quota, as a mean
 QUOTA_CALLS = 0.5  # of the quota, in flight at one time; never less than one
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -13,7 +13,7 @@
 from oakkeel.admission.types import ShareStatus as Status
 from oakkeel.fair_sharing.max_min import MaxMinShares
 from oakkeel.fair_sharing.reservations import Reservations
-from oakkeel.resource_limits import MS, SECOND
+from oakkeel.units import MS, SECOND
 
 EVERY = 200 * MS  # between looks at the shares
 ROOM = 0.95  # of what the node can do, for all together
--- a/oakkeel/admission/lifecycle.py
+++ b/oakkeel/admission/lifecycle.py
@@ -12,7 +12,7 @@
 from oakkeel.admission.request_timers import RequestTimers
 from oakkeel.admission.types import Host, NodeLimits, Outcome, Request, StopKind
 from oakkeel.admission.types import RequestState as State
-from oakkeel.resource_limits import MS
+from oakkeel.units import MS
 
 RETRY_AFTER, RETRY_LEAST = 500 * MS, 25 * MS  # from a node that is full or reading; that sheds low ranks
 RETRY_PEERS = 8  # nodes of a fleet from which on all of it is told
--- a/oakkeel/admission/load_report.py
+++ b/oakkeel/admission/load_report.py
@@ -4,7 +4,7 @@
 
 from oakkeel.admission.overload import DEPTH
 from oakkeel.admission.types import LoadReportKind, NodeLimits
-from oakkeel.resource_limits import MS, SECOND
+from oakkeel.units import MS, SECOND
 
 # Advertised share: moved each poll by what wants a core, for each core.
 BUSY, STEP_DOWN, STEP_UP, SHARE_LEAST = 2.0, 0.8, 1.15, 0.05
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -4,7 +4,7 @@
 
 from oakkeel.admission.sliding_window import WINDOW_BUCKETS, WINDOW_STEP, SlidingWindow
 from oakkeel.admission.types import NodeLimits, Request
-from oakkeel.resource_limits import SECOND
+from oakkeel.units import SECOND
 
 SERVICE_TIME_FADE = 0.8  # a poll, of a service time that nothing confirms any more
 
--- a/oakkeel/admission/sliding_window.py
+++ b/oakkeel/admission/sliding_window.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oakkeel.resource_limits import MS
+from oakkeel.units import MS
 
 WINDOW_STEP, WINDOW_BUCKETS = 500 * MS, 12
 
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -31,13 +31,14 @@
     restore_orders,
     restore_permits,
 )
-from oakkeel.agent.supervisor import MS, SECOND, SupervisionTimeouts, Supervisor
+from oakkeel.agent.supervisor import SupervisionTimeouts, Supervisor
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.messages import HeartbeatResponse
 from oakkeel.log import EventLog, fault
 from oakkeel.settings.types import FairSharingSettings, Fleet, HostSettings
 from oakkeel.store.database import Database
+from oakkeel.units import MS, SECOND
 
 RECONCILE_INTERVAL = 100 * MS  # between looks at everything
 LOG_LINES = 50  # a second
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -13,11 +13,12 @@
 from oakkeel.agent.artifacts import ArtifactStore
 from oakkeel.agent.instances import Instance
 from oakkeel.agent.processes import Process, Processes
-from oakkeel.agent.supervisor import MS, SECOND, Action, Step, Supervisor
+from oakkeel.agent.supervisor import Action, Step, Supervisor
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.log import EventLog, fault
 from oakkeel.settings.types import FairSharingSettings, HostSettings, InstanceSettings
+from oakkeel.units import MS, SECOND
 
 ASK = 200 * MS  # between questions to one instance, or more where there are many
 ASK_EACH = 4 * MS  # of this times the instances
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -17,8 +17,7 @@
 from oakkeel.agent.supervisor import Action, Step, Supervisor
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.errors import OakkeelError
-
-SECOND = 1_000_000_000
+from oakkeel.units import SECOND
 
 
 class Verb(Enum):
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -35,9 +35,8 @@
 from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.settings.types import Fleet
 from oakkeel.store.database import Database, DatabaseError
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 MAX_QUEUED_ENVELOPES = 256  # that wait for one peer
 MAX_REQUEST_BYTES = 96 * 1024  # bytes of letters in one message
 PEER_REQUEST_TIMEOUT = 700 * MS  # for a message to a peer to be taken; what it held is lost then
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -20,7 +20,7 @@
     raft_status,
     release_status,
 )
-from oakkeel.agent.supervisor import SECOND, Supervisor
+from oakkeel.agent.supervisor import Supervisor
 from oakkeel.authentication.mac import Key
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption import commands
@@ -30,6 +30,7 @@
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.state_machine import Release
 from oakkeel.settings.types import HostSettings
+from oakkeel.units import SECOND
 
 CONTROL_PLANE_REQUESTS = (
     messages.FleetOrderRequest,
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -25,13 +25,13 @@
 )
 from oakkeel.authentication.mac import (
     NONCE_BYTES,
-    SECOND,
     AuthenticationError,
     Key,
     Role,
     ServerAuthenticator,
 )
 from oakkeel.log import EventLog, fault
+from oakkeel.units import SECOND
 
 Handler = Callable[[Key, messages.Request], messages.Response | Awaitable[messages.Response]]
 ACTS = (
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -18,9 +18,8 @@
 from oakkeel.disruption.messages import HeartbeatResponse
 from oakkeel.log import EventLog, fault
 from oakkeel.settings.types import Fleet, Service
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 POLL = 150 * MS  # from one poll to the next
 POLL_EACH = MS // 2  # of this times the hosts of the fleet, where they are many
 ANSWER = 800 * MS
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -13,9 +13,9 @@
 from random import Random
 
 from oakkeel.agent.instances import REPORTED, TRANSITIONS, Goal, Instance, Phase
+from oakkeel.backoff import exponential_delay, with_jitter
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 RECALL = 200 * MS  # from one word to a node that it may stay to the next
 
 
@@ -150,9 +150,9 @@
             instance.crashes.popleft()
         while len(instance.crashes) > timeouts.budget + 1:
             instance.crashes.popleft()
-        wait = min(timeouts.backoff_most, timeouts.backoff << min(instance.failures, 16))
+        delay = exponential_delay(timeouts.backoff, timeouts.backoff_most, instance.failures)
         instance.failures += 1
-        instance.start_not_before = now + int(wait * (0.5 + self.random()))
+        instance.start_not_before = now + with_jitter(delay, self.random())
         if len(instance.crashes) > timeouts.budget:
             instance.restarts_exhausted = True
             instance.start_not_before = max(instance.start_not_before, instance.crashes[0] + timeouts.window)
--- a/oakkeel/authentication/mac.py
+++ b/oakkeel/authentication/mac.py
@@ -18,8 +18,8 @@
 import msgspec
 
 from oakkeel.errors import OakkeelError
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 NONCE_BYTES, SECRET_BYTES, MAC_BYTES = 16, 32, 32
 
 
--- /dev/null
+++ b/oakkeel/backoff.py
@@ -0,0 +1,21 @@
+"""Delays before another attempt: exponential backoff and jitter.
+
+Free of I/O and of state: callers pass a random number, so one seed gives the same delays again.
+"""
+
+from __future__ import annotations
+
+MAX_DOUBLINGS = 16
+
+
+def exponential_delay(base_ns: int, max_ns: int, failures: int) -> int:
+    """Return `base_ns` doubled for each of `failures` in a row, `max_ns` at most."""
+    return min(max_ns, base_ns << min(failures, MAX_DOUBLINGS))
+
+
+def with_jitter(delay_ns: int, random_value: float) -> int:
+    """Spread a delay over 50 to 150 percent of it: callers that failed together do not retry together.
+
+    `random_value` is uniform in [0, 1).
+    """
+    return int(delay_ns * (0.5 + random_value))
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -13,8 +13,9 @@
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import CallFinished
-from oakkeel.resource_limits import MS, SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, readable, send
+from oakkeel.units import MS, SECOND
 
 WITH_BODY = frozenset({(1, b"DATA")})
 REPLIES = {
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -25,8 +25,9 @@
     encode,
 )
 from oakkeel.log import EventLog, fault
-from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, send
+from oakkeel.units import SECOND
 
 MAX_CLIENTS = 25  # in one response, which must fit a line
 
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -25,8 +25,8 @@
 from oakkeel.rendering.instances import instances_table
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 HOST = "wb1"
 NODES = ("n1", "n2", "n3")
 STOP_DEADLINE = 20 * SECOND
--- a/oakkeel/directory/reports.py
+++ b/oakkeel/directory/reports.py
@@ -6,7 +6,8 @@
 import contextlib
 import socket
 
-from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
+from oakkeel.units import SECOND
 
 
 class DirectoryReporter:
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -10,7 +10,8 @@
 from oakkeel.dispatch.resp import encode
 from oakkeel.errors import OakkeelError
 from oakkeel.request import NodeRequest, ResponseChannel
-from oakkeel.resource_limits import MS, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
+from oakkeel.units import MS
 
 CALL, CANCEL, CHECK = b"CALL", b"CANCEL", b"CHECK"
 COMPLETED, REJECTED, FAILED = b"ok", b"full", b"fault"
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -23,8 +23,9 @@
 from oakkeel.errors import InvalidTransitionError
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
-from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream, MalformedInputError, ReadBuffer, readable
+from oakkeel.units import SECOND
 
 
 class Connection:
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -11,8 +11,9 @@
 from oakkeel.dispatch.command_handler import ConnectionOwner
 from oakkeel.dispatch.connection import Connection
 from oakkeel.log import EventLog, fault
-from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
+from oakkeel.units import SECOND
 
 BACKLOG = 1024  # connections that the kernel lets wait
 NO_DESCRIPTOR = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -19,9 +19,8 @@
 from oakkeel.disruption.state import DisruptionOrder, Rejection, TaskState
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import Topology, UnavailableTargets
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 NOT_SERVING, UNKNOWN, PROPOSED = "does not serve", "not known", "to be granted"  # why a target is unavailable
 MAX_GRANTS = 64  # in one tick
 SCAN_INTERVAL = 50 * MS  # between looks at what time alone brings about
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -8,9 +8,10 @@
 from random import Random
 
 from oakkeel.admission.types import NodeLimits, Request, RequestClass
-from oakkeel.emulator.clock import SECOND, Clock
+from oakkeel.emulator.clock import Clock
 from oakkeel.emulator.invariants import RuleAudit
-from oakkeel.emulator.nodes import MS, ResponseStatus, SimulatedNode
+from oakkeel.emulator.nodes import ResponseStatus, SimulatedNode
+from oakkeel.units import MS, SECOND
 
 EXPECTED_KB = 25.0  # memory that a dispatcher announces for a request
 LATENCY_SMOOTHING = 0.2  # weight of the newest latency in a node's moving average
--- a/oakkeel/emulator/clock.py
+++ b/oakkeel/emulator/clock.py
@@ -6,8 +6,6 @@
 from heapq import heappop, heappush
 from typing import Any
 
-SECOND = 1_000_000_000
-
 
 class ScheduledEvent:
     """A callback with its arguments, due at some time; it can be cancelled."""
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -14,13 +14,14 @@
 from oakkeel.emulator.clock import Clock
 from oakkeel.emulator.convergence import ConvergenceCheck
 from oakkeel.emulator.fault_injection import FaultInjector
-from oakkeel.emulator.faults import SECOND, Schedule
+from oakkeel.emulator.faults import Schedule
 from oakkeel.emulator.operators import Operators
 from oakkeel.emulator.simulated_host import SimulatedHost
 from oakkeel.emulator.simulated_network import SimulatedNetwork
 from oakkeel.emulator.simulated_replica import PERMIT_TIMEOUTS
 from oakkeel.invariants.consensus import ConsensusAudit
 from oakkeel.invariants.rollout import RolloutAudit
+from oakkeel.units import SECOND
 
 
 class ConsensusSimulation:
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -7,8 +7,8 @@
 from oakkeel.agent.orders import Verb
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import OPEN_STATES
-from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.rollout.controller import RolloutController
+from oakkeel.units import MS, SECOND
 
 if TYPE_CHECKING:
     from oakkeel.emulator.consensus import ConsensusSimulation
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -4,8 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from oakkeel.emulator.faults import MS, Fault
+from oakkeel.emulator.faults import Fault
 from oakkeel.raft.memory_storage import InMemoryStorage
+from oakkeel.units import MS
 
 if TYPE_CHECKING:
     from oakkeel.emulator.consensus import ConsensusSimulation
--- a/oakkeel/emulator/faults.py
+++ b/oakkeel/emulator/faults.py
@@ -6,8 +6,8 @@
 from random import Random
 from typing import Any
 
-MS = 1_000_000
-SECOND = 1000 * MS
+from oakkeel.units import MS, SECOND
+
 KINDS = (
     "kill",
     "kill in a step",
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -11,8 +11,6 @@
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.machines import Machine, Task
 
-MS = 1_000_000
-
 
 class ResponseStatus(StrEnum):
     """How a node responds; the values are the keys of the record."""
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -7,10 +7,11 @@
 from oakkeel.agent.instances import Phase
 from oakkeel.disruption import commands
 from oakkeel.disruption.state import Rejection
-from oakkeel.emulator.faults import MS, SECOND, Fault
+from oakkeel.emulator.faults import Fault
 from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
+from oakkeel.units import MS, SECOND
 
 if TYPE_CHECKING:
     from oakkeel.emulator.consensus import ConsensusSimulation
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -23,9 +23,8 @@
     ProposePolicy,
     WithdrawPolicy,
 )
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 TERMS = PermitTimeouts()
 POLL, TELL, DECIDE = 150 * MS, 50 * MS, 40 * MS
 
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -18,9 +18,10 @@
     StopKind,
 )
 from oakkeel.emulator.clients import ClientBehavior, Dispatcher
-from oakkeel.emulator.clock import SECOND, Clock
+from oakkeel.emulator.clock import Clock
 from oakkeel.emulator.invariants import RuleAudit
-from oakkeel.emulator.nodes import MS, SimulatedNode
+from oakkeel.emulator.nodes import SimulatedNode
+from oakkeel.units import MS, SECOND
 
 DISCOVERY_DELAY = SECOND  # until dispatchers see a change of the fleet
 RESPONSE_TIME = 10 * SECOND  # after the load ends, for the responses that are still owed
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -13,8 +13,8 @@
 from oakkeel.agent.supervisor import Action, Step, SupervisionTimeouts, Supervisor
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.messages import HeartbeatResponse
-from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.rollout.assignments import ArtifactRequest
+from oakkeel.units import MS, SECOND
 
 if TYPE_CHECKING:
     from oakkeel.emulator.simulated_host import SimulatedHost
--- a/oakkeel/emulator/simulated_host.py
+++ b/oakkeel/emulator/simulated_host.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 
 from oakkeel.disruption.control_plane import ControlPlaneReplica
-from oakkeel.emulator.faults import SECOND
 from oakkeel.emulator.simulated_agent import TICK_INTERVAL, AgentDisk, SimulatedAgent
 from oakkeel.emulator.simulated_processes import SimulatedProcesses
 from oakkeel.emulator.simulated_replica import SimulatedReplica
+from oakkeel.units import SECOND
 
 if TYPE_CHECKING:
     from oakkeel.emulator.consensus import ConsensusSimulation
--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -6,9 +6,10 @@
 from typing import TYPE_CHECKING
 
 from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
-from oakkeel.emulator.faults import MS, SECOND, Fault
+from oakkeel.emulator.faults import Fault
 from oakkeel.raft.messages import Envelope
 from oakkeel.raft.proposals import NotLeaderError
+from oakkeel.units import MS, SECOND
 
 if TYPE_CHECKING:
     from oakkeel.emulator.consensus import ConsensusSimulation
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -8,7 +8,7 @@
 from oakkeel.agent.instances import Goal
 from oakkeel.agent.supervisor import Action, Step
 from oakkeel.control.messages import NodeStatus
-from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.units import MS, SECOND
 
 if TYPE_CHECKING:
     from oakkeel.emulator.simulated_host import SimulatedHost
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -10,7 +10,6 @@
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import ScheduledEvent
-from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.raft.durable_state import DurableState
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import Envelope
@@ -20,6 +19,7 @@
 from oakkeel.raft.timeouts import RaftTimeouts
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import RolloutStateMachine
+from oakkeel.units import MS, SECOND
 
 if TYPE_CHECKING:
     from oakkeel.emulator.simulated_host import SimulatedHost
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -15,8 +15,9 @@
 from oakkeel.line_protocol import LineParser
 from oakkeel.log import EventLog, fault
 from oakkeel.request import NodeRequest
-from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, send
+from oakkeel.units import SECOND
 
 
 class EngineLink:
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -11,8 +11,8 @@
 from oakkeel.fair_sharing.heavy_hitters import Flow, HeavyHitters
 from oakkeel.fair_sharing.max_min import MaxMinShares
 from oakkeel.fair_sharing.reservations import Reservation, Reservations
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 MAX_AGE = 60 * SECOND  # an older snapshot says nothing of now
 
 
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from oakkeel.admission import MS, SECOND, AdmissionController
+from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import (
     DownstreamKind,
     FairSharingRules,
@@ -27,6 +27,7 @@
     StopKind,
     Tenant,
 )
+from oakkeel.units import MS, SECOND
 
 LIMITS = NodeLimits(
     cores=4,
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -13,9 +13,8 @@
 from oakkeel.fakes.directory import Directory
 from oakkeel.fakes.engine import Engine
 from oakkeel.settings.keys import write_key
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 OPERATORS = {"asha": "act", "ravi": "act", "lena": "view"}
 NODE_SETTINGS = {
     "extra": {
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -12,12 +12,13 @@
 
 from oakkeel.agent import messages
 from oakkeel.authentication.client import AuthenticatedClient, AuthenticationRejectedError, LinkError
-from oakkeel.authentication.mac import SECOND, Key
+from oakkeel.authentication.mac import Key
 from oakkeel.errors import OakkeelError
 from oakkeel.fleet.fan_out import FanOut, FanOutPolicy, Target, TargetState
 from oakkeel.fleet.leader_discovery import LeaderDiscovery, SearchState
 from oakkeel.fleet.view import FleetView
 from oakkeel.settings.types import Fleet, SettingsError
+from oakkeel.units import SECOND
 
 AgentError, AgentRejectedError = LinkError, AuthenticationRejectedError
 OnResponse = Callable[[str, int, messages.Response], None]
--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -12,9 +12,9 @@
 from enum import Enum
 from random import Random
 
+from oakkeel.backoff import with_jitter
 from oakkeel.errors import InvalidTransitionError
 
-MS = 1_000_000
 DEFAULT_RETRY_SHARE = 0.2
 DEFAULT_MIN_RETRIES = 3
 
@@ -157,7 +157,7 @@
             self._move(target, TargetState.FAILED)
             return
         self._move(target, TargetState.BACKING_OFF)
-        target.retry_at = now + int(self.policy.hedge * (0.5 + self.random()))
+        target.retry_at = now + with_jitter(self.policy.hedge, self.random())
 
     def _send(self, now: int, target: Target) -> str:
         target.sent += 1
--- a/oakkeel/fleet/leader_discovery.py
+++ b/oakkeel/fleet/leader_discovery.py
@@ -10,8 +10,8 @@
 from enum import Enum
 
 from oakkeel.errors import InvalidTransitionError
+from oakkeel.units import MS
 
-MS = 1_000_000
 DEFAULT_PAUSE = 100 * MS
 
 
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -10,8 +10,8 @@
 
 from oakkeel.agent.messages import HostStatus, InstanceStatus
 from oakkeel.settings.types import Fleet, HostSettings, InstanceSettings
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 STALE_AFTER = 3 * SECOND
 MAX_CLOCK_SKEW = 2 * SECOND  # between an agent's clock and ours, before an operator is told
 NOT_SERVING_STATES = frozenset(
--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-SECOND = 1_000_000_000
+from oakkeel.units import SECOND
 
 
 class ConsensusAudit:
--- a/oakkeel/invariants/policy_change.py
+++ b/oakkeel/invariants/policy_change.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-SECOND = 1_000_000_000
+from oakkeel.units import SECOND
 
 
 class PolicyChangeAudit:
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -17,7 +17,8 @@
 
 import msgspec
 
-SECOND = 1_000_000_000
+from oakkeel.units import SECOND
+
 STEP_TAGS = ("go", "batch", "settle", "judge", "finish")  # of the controller's commands
 STEP_EVENTS = (
     "release_batch_started",
--- a/oakkeel/line_protocol.py
+++ b/oakkeel/line_protocol.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterator
 
-from oakkeel.resource_limits import MS
 from oakkeel.stream_buffers import MalformedInputError, ReadBuffer
+from oakkeel.units import MS
 
 
 class LineParser:
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -11,6 +11,8 @@
 from collections.abc import Callable, MutableMapping
 from typing import Any, TextIO
 
+from oakkeel.units import SECOND
+
 if "rich" not in sys.modules:  # structlog imports rich where it is installed: 8 MB that no node has room for
     sys.modules["rich"] = None  # type: ignore[assignment]
     import structlog
@@ -19,7 +21,6 @@
 else:
     import structlog
 
-SECOND = 1_000_000_000
 Event = MutableMapping[str, Any]
 
 
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -9,7 +9,8 @@
 
 from oakkeel.admission.types import FairSharingRules, NodeLimits
 from oakkeel.node_limits import LimitsError, Pairs, fail, flatten, read_limits
-from oakkeel.resource_limits import MS, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
+from oakkeel.units import MS
 
 Address = tuple[str, int]
 
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -11,7 +11,8 @@
 from oakkeel.errors import InvalidTransitionError
 from oakkeel.log import EventLog, fault
 from oakkeel.node.host import NodeHost
-from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
+from oakkeel.units import SECOND
 
 
 class DrainState(Enum):
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -13,8 +13,8 @@
 from oakkeel.fair_sharing.heavy_hitters import Flow
 from oakkeel.fair_sharing.keys import SECRET, FlowKeys
 from oakkeel.node.context import NodeContext
-from oakkeel.resource_limits import SECOND
 from oakkeel.store import snapshot_file
+from oakkeel.units import SECOND
 
 SNAPSHOT_INTERVAL = 5 * SECOND
 
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -25,7 +25,7 @@
     SkipCall,
     StartRun,
 )
-from oakkeel.resource_limits import SECOND
+from oakkeel.units import SECOND
 
 
 class NodeHost:
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from oakkeel.resource_limits import MS, SECOND
+from oakkeel.units import MS, SECOND
 
 
 class Metrics:
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -24,8 +24,8 @@
 from oakkeel.node_limits import LimitsError
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import ClientDisconnected
-from oakkeel.resource_limits import SECOND
 from oakkeel.stream_buffers import BufferPool
+from oakkeel.units import SECOND
 
 if TYPE_CHECKING:
     from oakkeel.control.listener import ControlListener
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -8,8 +8,8 @@
 import math
 
 from oakkeel.admission.types import Request
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 MAX_CLASSES = 16  # the first ones seen; a status message has room for no more
 
 
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -20,9 +20,8 @@
     PolicyStateMachine,
     RejectPolicy,
 )
+from oakkeel.units import SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 LEASE = 3 * SECOND
 LOST = 5 * SECOND  # a host that is not heard for so long is not waited for: it has no lease by then
 
--- a/oakkeel/raft/timeouts.py
+++ b/oakkeel/raft/timeouts.py
@@ -4,8 +4,7 @@
 
 from dataclasses import dataclass
 
-MS = 1_000_000
-SECOND = 1000 * MS
+from oakkeel.units import MS
 
 
 @dataclass(slots=True, frozen=True)
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -14,8 +14,8 @@
 from oakkeel.rollout.observations import Observations
 from oakkeel.rollout.plan import BatchLimits
 from oakkeel.rollout.state_machine import Release, RolloutState
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 MAX_BATCH = 500  # targets
 GRACE = 8 * SECOND  # past the time of a batch, before it counts as lost
 EXPIRED = "its time"  # by which an order is halted whose time has run out
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -20,9 +20,8 @@
 from oakkeel.rollout.messages import AgentAssignments, AgentReport, decode_report, encode
 from oakkeel.rollout.observations import Observations
 from oakkeel.rollout.state_machine import LEASE, Release, RolloutStateMachine
+from oakkeel.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1000 * MS
 LEASE_DURATION = 2 * SECOND  # renewed after a quarter of it
 RETRY_AFTER = 200 * MS  # after somebody else was found to hold the lease, or a step was rejected
 PLAN_AGAIN_AFTER = 250 * MS  # where no target could be chosen
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from oakkeel.rollout.sequential import Difference, Events, Sums, log_mean
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 FALSE_HALT_RATE = 0.01
 FALSE_PASS_RATE = 0.05
 WINDOW = SECOND  # nanoseconds of samples that are compared at once
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 
 from oakkeel.disruption.topology import Topology, UnavailableTargets
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 STALE_AFTER = 3 * SECOND  # a report of that age says nothing about now
 COLD_CAPACITY = 0.25  # part of its load that a cold target carries
 MAX_ATTEMPTS = 64  # targets tried of one site, for one place in a batch
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -6,9 +6,7 @@
 from typing import Any
 
 from oakkeel.errors import OakkeelError
-
-MS = 1_000_000
-SECOND = 1000 * MS
+from oakkeel.units import MS, SECOND
 
 
 class SettingsError(OakkeelError, ValueError):
--- a/tests/admission/test_capacity.py
+++ b/tests/admission/test_capacity.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from oakkeel.admission import MS, SECOND
 from oakkeel.admission.types import DownstreamKind, Outcome, RequestState
+from oakkeel.units import MS, SECOND
 from tests.support.fake_host import FakeHost
 
 
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -2,7 +2,6 @@
 
 import unittest
 
-from oakkeel.admission import MS, SECOND
 from oakkeel.admission.overload import Stage, next_stage
 from oakkeel.admission.types import (
     DownstreamKind,
@@ -11,6 +10,7 @@
     Outcome,
     RequestState,
 )
+from oakkeel.units import MS, SECOND
 from tests.support.fake_host import FakeHost
 
 
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -3,9 +3,9 @@
 import unittest
 from unittest import mock
 
-from oakkeel.admission import MS, SECOND
 from oakkeel.admission.types import ShareStatus
 from oakkeel.fakes.simulated_node import SimulatedClient, jain
+from oakkeel.units import MS, SECOND
 from tests.support.fair_sharing import shares_obtained, simulated_node
 
 
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from oakkeel.admission import MS, SECOND
 from oakkeel.admission.load_report import CLIENTS_MOST
 from oakkeel.admission.types import LoadReportKind
+from oakkeel.units import MS, SECOND
 from tests.support.fake_host import FakeHost
 
 
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -14,7 +14,7 @@
 from oakkeel.agent.agent import Agent
 from oakkeel.agent.instances import Phase
 from oakkeel.agent.processes import Processes
-from oakkeel.agent.supervisor import MS, SECOND, SupervisionTimeouts
+from oakkeel.agent.supervisor import SupervisionTimeouts
 from oakkeel.fakes.crashing import PROGRAM
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentClients, request_once
@@ -22,6 +22,7 @@
 from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_keys, read_operator_key, write_key
+from oakkeel.units import MS, SECOND
 
 WAIT = 20.0
 FAST = SupervisionTimeouts(
--- a/tests/agent/simulated_host.py
+++ b/tests/agent/simulated_host.py
@@ -5,7 +5,8 @@
 
 from oakkeel.agent.instances import Instance, Phase
 from oakkeel.agent.orders import OrderRegistry, Verb
-from oakkeel.agent.supervisor import MS, SECOND, Action, SupervisionTimeouts, Supervisor
+from oakkeel.agent.supervisor import Action, SupervisionTimeouts, Supervisor
+from oakkeel.units import MS, SECOND
 
 REPORT = object()
 
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -10,7 +10,8 @@
 from oakkeel.agent import messages
 from oakkeel.agent.instances import Phase
 from oakkeel.agent.processes import Process, started
-from oakkeel.agent.supervisor import MS, SECOND, SupervisionTimeouts
+from oakkeel.agent.supervisor import SupervisionTimeouts
+from oakkeel.units import MS, SECOND
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
 
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -13,7 +13,6 @@
 from oakkeel.agent.instances import Phase
 from oakkeel.agent.processes import Processes
 from oakkeel.agent.storage import SCHEMA, VERSION
-from oakkeel.agent.supervisor import SECOND
 from oakkeel.authentication.mac import Key
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentError, request_once
@@ -21,6 +20,7 @@
 from oakkeel.settings.keys import read_operator_key, write_key
 from oakkeel.settings.types import HostSettings
 from oakkeel.store.database import Database, DatabaseError
+from oakkeel.units import SECOND
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
 
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -6,7 +6,8 @@
 
 from oakkeel.agent.instances import Goal, Phase
 from oakkeel.agent.orders import OrderRejectedError, TaskState, Verb
-from oakkeel.agent.supervisor import MS, SECOND, Action
+from oakkeel.agent.supervisor import Action
+from oakkeel.units import MS, SECOND
 from tests.agent.simulated_host import HostTestCase, SimulatedHost
 
 
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -8,7 +8,6 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.server import AgentServer
-from oakkeel.agent.supervisor import MS, SECOND
 from oakkeel.authentication.framing import HELLO, REFUSED, frame
 from oakkeel.authentication.mac import Key, Role
 from oakkeel.control.messages import NodeStatus
@@ -16,6 +15,7 @@
 from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_keys, read_operator_key, write_key
+from oakkeel.units import MS, SECOND
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
 
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -7,8 +7,9 @@
 from oakkeel.agent.instances import Instance, Phase
 from oakkeel.agent.orders import OrderRegistry, TaskState, Verb
 from oakkeel.agent.storage import SCHEMA, VERSION, restore_orders, statements
-from oakkeel.agent.supervisor import SECOND, SupervisionTimeouts, Supervisor
+from oakkeel.agent.supervisor import SupervisionTimeouts, Supervisor
 from oakkeel.store.database import Database
+from oakkeel.units import SECOND
 
 
 def registry() -> OrderRegistry:
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -4,7 +4,8 @@
 
 from oakkeel.agent.instances import Phase
 from oakkeel.agent.orders import Verb
-from oakkeel.agent.supervisor import MS, SECOND, Action
+from oakkeel.agent.supervisor import Action
+from oakkeel.units import MS, SECOND
 from tests.agent.simulated_host import REPORT, HostTestCase, SimulatedHost
 
 
--- a/tests/authentication/test_mac.py
+++ b/tests/authentication/test_mac.py
@@ -15,7 +15,7 @@
     Role,
     ServerAuthenticator,
 )
-from oakkeel.fleet.view import SECOND
+from oakkeel.units import SECOND
 
 
 class MessageAuthenticationTest(unittest.TestCase):
--- a/tests/catalogue/test_links.py
+++ b/tests/catalogue/test_links.py
@@ -12,8 +12,8 @@
 from oakkeel.catalogue.links import Catalogue
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import CallFinished
-from oakkeel.resource_limits import MS, SECOND
 from oakkeel.stream_buffers import BufferPool
+from oakkeel.units import MS, SECOND
 from tests.support.node_process import WAIT
 from tests.support.node_request import LOG, RESOURCE_LIMITS, node_request
 
--- a/tests/cluster/rollout_case.py
+++ b/tests/cluster/rollout_case.py
@@ -10,9 +10,9 @@
 from oakkeel.agent.artifacts import version_of
 from oakkeel.invariants.rollout import find_diverging_steps, read_running_versions
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
+from oakkeel.units import SECOND
 from tests.support.rig_case import HOSTS, RigTestCase
 
-SECOND = 1_000_000_000
 QUICK = {"soak": 300_000_000, "batch_timeout": 10 * SECOND, "verdict_timeout": 20 * SECOND}
 ALL = [name for names in HOSTS.values() for name in names]
 
--- a/tests/directory/test_reports.py
+++ b/tests/directory/test_reports.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from oakkeel.directory.reports import DirectoryReporter
-from oakkeel.resource_limits import SECOND
+from oakkeel.units import SECOND
 from tests.support.node_process import WAIT
 from tests.support.node_request import RESOURCE_LIMITS
 
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -17,8 +17,9 @@
 from oakkeel.dispatch.listener import Listener
 from oakkeel.dispatch.resp import encode
 from oakkeel.log import EventLog
-from oakkeel.resource_limits import MS, SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import BufferPool
+from oakkeel.units import MS, SECOND
 from tests.support.fake_host import FakeHost
 from tests.support.node_process import WAIT
 
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -10,8 +10,8 @@
 from oakkeel.dispatch.listener import BACKLOG, Listener
 from oakkeel.log import EventLog
 from oakkeel.node.drain import Drain, DrainState
-from oakkeel.resource_limits import MS, SECOND
 from oakkeel.stream_buffers import BufferPool
+from oakkeel.units import MS, SECOND
 from tests.dispatch.listener_case import (
     LAST,
     RESOURCE_LIMITS,
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -6,7 +6,7 @@
 import weakref
 
 from oakkeel.dispatch.connection_state import ConnectionState
-from oakkeel.resource_limits import SECOND
+from oakkeel.units import SECOND
 from tests.dispatch.listener_case import (
     LAST,
     ListenerTestCase,
--- a/tests/dispatch/test_listener.py
+++ b/tests/dispatch/test_listener.py
@@ -6,8 +6,8 @@
 import unittest
 
 from oakkeel.dispatch.listener import Listener
-from oakkeel.resource_limits import SECOND
 from oakkeel.stream_buffers import BufferPool
+from oakkeel.units import SECOND
 from tests.support.node_request import LOG, RESOURCE_LIMITS
 
 
--- a/tests/dispatch/test_violations.py
+++ b/tests/dispatch/test_violations.py
@@ -4,7 +4,7 @@
 import time
 
 from oakkeel.dispatch.connection_state import ConnectionState
-from oakkeel.resource_limits import SECOND
+from oakkeel.units import SECOND
 from tests.dispatch.listener_case import (
     ListenerTestCase,
     call,
--- a/tests/disruption/permit_cluster.py
+++ b/tests/disruption/permit_cluster.py
@@ -7,7 +7,7 @@
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import BudgetGroup, Topology
-from oakkeel.emulator.faults import SECOND
+from oakkeel.units import SECOND
 
 TOPOLOGY = Topology(
     {"h1": ("a", "b", "cat1"), "h2": ("c", "d", "cat2")},
--- a/tests/disruption/test_allocator.py
+++ b/tests/disruption/test_allocator.py
@@ -3,7 +3,7 @@
 from oakkeel.disruption import commands
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.state import Rejection
-from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.units import MS, SECOND
 from tests.disruption.permit_cluster import TOPOLOGY, PermitClusterTest
 
 
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -12,7 +12,7 @@
 from oakkeel.disruption.lease_holder import LeaseHolder
 from oakkeel.disruption.messages import GrantedPermit, HeartbeatResponse
 from oakkeel.disruption.state import Rejection
-from oakkeel.emulator.faults import MS, SECOND
+from oakkeel.units import MS, SECOND
 from tests.disruption.permit_cluster import PermitClusterTest
 
 
--- a/tests/disruption/test_state_machine.py
+++ b/tests/disruption/test_state_machine.py
@@ -7,7 +7,7 @@
 from oakkeel.disruption import commands
 from oakkeel.disruption.state import Rejection
 from oakkeel.disruption.state_machine import PermitStateMachine
-from oakkeel.emulator.faults import SECOND
+from oakkeel.units import SECOND
 from tests.disruption.permit_cluster import TOPOLOGY, PermitClusterTest
 
 
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -10,9 +10,10 @@
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.topology import UnavailableTargets
 from oakkeel.emulator.consensus import play
-from oakkeel.emulator.faults import SECOND, Fault, Schedule, draw, schedule_from_json
+from oakkeel.emulator.faults import Fault, Schedule, draw, schedule_from_json
 from oakkeel.emulator.schedule_shrinking import shrink
 from oakkeel.invariants.consensus import ConsensusAudit
+from oakkeel.units import SECOND
 
 
 class ConsensusSimulationTest(unittest.TestCase):
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -5,11 +5,12 @@
 
 from oakkeel.admission import AdmissionController
 from oakkeel.emulator.clients import BalancingPolicy, ClientBehavior
-from oakkeel.emulator.clock import SECOND, Clock
+from oakkeel.emulator.clock import Clock
 from oakkeel.emulator.invariants import RuleAudit
 from oakkeel.emulator.machines import Machine
-from oakkeel.emulator.nodes import MS, ResponseStatus, SimulatedNode
+from oakkeel.emulator.nodes import ResponseStatus, SimulatedNode
 from oakkeel.emulator.scenario import FaultEvent, FaultKind, Scenario, ScenarioRun, run_scenario
+from oakkeel.units import MS, SECOND
 
 SHORT = Scenario(nodes=2, dispatchers=2, seconds=4.0)
 
--- a/tests/fair_sharing/test_heavy_hitters.py
+++ b/tests/fair_sharing/test_heavy_hitters.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.admission import MS, SECOND
 from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
 from oakkeel.fair_sharing.keys import SECRET, FlowKeys
+from oakkeel.units import MS, SECOND
 
 LONG = 10**9 * SECOND  # a half-life in which nothing fades
 
--- a/tests/fair_sharing/test_node.py
+++ b/tests/fair_sharing/test_node.py
@@ -8,7 +8,7 @@
 import time
 from unittest import mock
 
-from oakkeel.admission import SECOND
+from oakkeel.units import SECOND
 from tests.support.node_process import NodeProcessTest
 
 
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -4,11 +4,11 @@
 import tempfile
 import unittest
 
-from oakkeel.admission import SECOND
 from oakkeel.fair_sharing import persistence
 from oakkeel.fair_sharing.keys import SECRET
 from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode
 from oakkeel.store import snapshot_file
+from oakkeel.units import SECOND
 from tests.support.fair_sharing import simulated_node
 
 
--- a/tests/fair_sharing/test_reservations.py
+++ b/tests/fair_sharing/test_reservations.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.admission import MS, SECOND
 from oakkeel.fair_sharing.reservations import EACH, Reservations
+from oakkeel.units import MS, SECOND
 
 
 class ReservationsTest(unittest.TestCase):
--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 
 from oakkeel.agent import messages
-from oakkeel.fleet.fan_out import MS
 from oakkeel.settings.types import ClientSettings, Fleet, HostSettings, InstanceSettings
+from oakkeel.units import MS
 
 
 def fleet_of(hosts: int = 2, instances: int = 3) -> Fleet:
--- a/tests/fleet/test_fan_out.py
+++ b/tests/fleet/test_fan_out.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.fleet.fan_out import MS, FanOut, FanOutPolicy, TargetState
-from oakkeel.fleet.view import SECOND
+from oakkeel.fleet.fan_out import FanOut, FanOutPolicy, TargetState
+from oakkeel.units import MS, SECOND
 
 HEDGE = 100 * MS
 
--- a/tests/fleet/test_order_tracking.py
+++ b/tests/fleet/test_order_tracking.py
@@ -4,7 +4,8 @@
 
 from oakkeel.agent import messages
 from oakkeel.fleet.order_tracking import OrderSpec, OrderTracker, Result
-from oakkeel.fleet.view import SECOND, FleetView
+from oakkeel.fleet.view import FleetView
+from oakkeel.units import SECOND
 from tests.fleet.builders import fleet_of, host_status
 
 
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from oakkeel.fleet.fan_out import MS
 from oakkeel.fleet.selection import Selection, SelectionError, sites_over_share, targets_by_host
-from oakkeel.fleet.view import SECOND, FleetView
+from oakkeel.fleet.view import FleetView
+from oakkeel.units import MS, SECOND
 from tests.fleet.builders import fleet_of, host_status
 
 
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -13,8 +13,7 @@
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.observations import Observations
-
-SECOND = 1_000_000_000
+from oakkeel.units import SECOND
 
 
 def release(to: int = 0, who: int = 1) -> Fault:
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -8,7 +8,7 @@
 from oakkeel.dispatch.codec import RequestReader
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request_events import SharedResponse
-from oakkeel.resource_limits import MS, SECOND
+from oakkeel.units import MS, SECOND
 from tests.support.fake_host import GROUP, FakeHost
 from tests.support.node_process import NodeProcessTest
 from tests.support.node_request import RESOURCE_LIMITS, node_request
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -8,8 +8,8 @@
 
 from oakkeel.dispatch.resp import encode
 from oakkeel.engine.link import EngineLink
-from oakkeel.resource_limits import MS, SECOND
 from oakkeel.stream_buffers import BufferPool, connect
+from oakkeel.units import MS, SECOND
 from tests.support.node_process import WAIT, NodeProcessTest
 from tests.support.node_request import LOG, RESOURCE_LIMITS, node_request
 
--- a/tests/node/test_response_cache.py
+++ b/tests/node/test_response_cache.py
@@ -7,7 +7,7 @@
 from oakkeel.admission.types import Outcome
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request_events import SharedResponse
-from oakkeel.resource_limits import SECOND
+from oakkeel.units import SECOND
 from tests.support.fake_host import GROUP, FakeHost
 from tests.support.node_request import RESOURCE_LIMITS, node_request
 
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -11,7 +11,7 @@
 import unittest
 
 from oakkeel.dispatch.resp import encode
-from oakkeel.resource_limits import MS
+from oakkeel.units import MS
 from tests.support.control_process import ControlledNodeTest
 from tests.support.node_process import WAIT, NodeProcessTest, until_refused
 
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -20,8 +20,8 @@
     RejectPolicy,
     WithdrawPolicy,
 )
+from oakkeel.units import SECOND
 
-SECOND = 1_000_000_000
 DRIFT = PermitTimeouts().drift
 
 
--- a/tests/raft/cluster.py
+++ b/tests/raft/cluster.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.raft.durable_state import DurableState
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import Envelope
@@ -11,6 +10,7 @@
 from oakkeel.raft.replica import Replica
 from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.units import MS, SECOND
 
 
 class RecordingStateMachine:
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from oakkeel.emulator.faults import SECOND
 from oakkeel.raft.messages import EntryKind, encode_members
 from oakkeel.raft.roles import Role
+from oakkeel.units import SECOND
 from tests.raft.cluster import Cluster
 
 
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from oakkeel.emulator.faults import SECOND
 from oakkeel.raft.log import ReplicatedLog, Snapshot
 from oakkeel.raft.messages import Entry, EntryKind, Member, encode_members
 from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.units import SECOND
 from tests.raft.cluster import Cluster
 
 
--- a/tests/raft/test_properties.py
+++ b/tests/raft/test_properties.py
@@ -4,10 +4,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
 from oakkeel.raft.roles import Role
 from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.units import MS, SECOND
 from tests.raft.cluster import Cluster
 
 
--- a/tests/raft/test_recovery.py
+++ b/tests/raft/test_recovery.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.raft.roles import Role
 from oakkeel.raft.timeouts import RaftTimeouts
+from oakkeel.units import MS, SECOND
 from tests.raft.cluster import Cluster
 
 
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -2,7 +2,6 @@
 
 import unittest
 
-from oakkeel.emulator.faults import MS, SECOND
 from oakkeel.raft.messages import (
     AppendEntriesRequest,
     AppendEntriesResponse,
@@ -11,6 +10,7 @@
     RecoveryRequest,
 )
 from oakkeel.raft.proposals import NotLeaderError, ProposalStatus
+from oakkeel.units import MS, SECOND
 from tests.raft.cluster import Cluster
 
 
--- a/tests/rollout/test_gates.py
+++ b/tests/rollout/test_gates.py
@@ -6,8 +6,7 @@
 
 from oakkeel.rollout.gates import Decision, Gate, Samples
 from oakkeel.rollout.sequential import Difference, Events, Sums
-
-SECOND = 1_000_000_000
+from oakkeel.units import SECOND
 
 
 def bits(random: Random, chance: float, count: int) -> Sums:
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -5,8 +5,7 @@
 
 from oakkeel.emulator.consensus import ConsensusSimulation, play
 from oakkeel.emulator.faults import Fault, Schedule, draw
-
-SECOND = 1_000_000_000
+from oakkeel.units import SECOND
 
 
 def schedule(faults: list[Fault], seed: int = 3, voters: int = 3, lasts: int = 25) -> Schedule:
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -15,9 +15,7 @@
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.messages import AgentAssignments, encode
 from oakkeel.rollout.state_machine import LEASE, TRANSITIONS, Release, RolloutStateMachine
-
-SECOND = 1_000_000_000
-
+from oakkeel.units import SECOND
 
 TOPOLOGY = Topology(
     {"h1": ("a", "b"), "h2": ("c", "d"), "h3": ("db1", "db2")},
--- a/tests/settings/test_fleet.py
+++ b/tests/settings/test_fleet.py
@@ -8,11 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.fleet.fan_out import MS
-from oakkeel.fleet.view import SECOND
 from oakkeel.settings.fleet import read_fleet, split_budget
 from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.settings.types import Fleet, SettingsError
+from oakkeel.units import MS, SECOND
 
 GOOD = """<fleet xmlns="urn:oakkeel:fleet:1" name="guild">
   <operators><operator name="asha" role="act"><key id="asha-1" file="asha.key"/></operator></operators>
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from oakkeel.admission import MS, SECOND, AdmissionController
+from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import (
     DownstreamKind,
     Gauges,
@@ -20,6 +20,7 @@
     StopKind,
     Tenant,
 )
+from oakkeel.units import MS, SECOND
 
 LIMITS = NodeLimits(
     cores=4,
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -16,8 +16,8 @@
 import unittest
 from typing import ClassVar
 
-from oakkeel.admission import MS, SECOND
 from oakkeel.dispatch.resp import encode
+from oakkeel.units import MS, SECOND
 
 WAIT = 20
 
--- a/tests/support/node_request.py
+++ b/tests/support/node_request.py
@@ -7,7 +7,8 @@
 from oakkeel.admission.types import RequestClass
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
-from oakkeel.resource_limits import SECOND, ResourceLimits
+from oakkeel.resource_limits import ResourceLimits
+from oakkeel.units import SECOND
 from tests.support.fake_host import GROUP
 
 RESOURCE_LIMITS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
