--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -28,7 +28,8 @@
 HOSTS = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
 SITES = {host: ("woodbrook", "st-james", "belmont")[number % 3] for number, host in enumerate(HOSTS)}
 VOTERS = ("h1", "h2", "h3", "h4", "h5")
-MAX_UNAVAILABLE, FLEET_MAX_UNAVAILABLE = 1, 3
+MAX_UNAVAILABLE = 1
+FLEET_MAX_UNAVAILABLE = 3
 KNOWN_AFTER = PermitTimeouts().expiry + PermitTimeouts().agent_silence + 2_000_000_000
 
 
@@ -37,7 +38,8 @@
 
     def __init__(self, rig: ProcessRig, seed: int) -> None:
         """Use an open rig; nothing is injected yet."""
-        self.rig, self.random = rig, Random(seed)
+        self.rig = rig
+        self.random = Random(seed)
         self.faults: Counter[str] = Counter()
         self.accepted: dict[str, float] = {}  # until it was committed, by order
         self.accepted_undisturbed: list[float] = []  # the same with no fault at the time
@@ -196,7 +198,8 @@
 
     async def _submit(self, order_id: str, names: list[str]) -> None:
         """Submit an order through changes of leader, with the same ID."""
-        undisturbed, started = not self.active_faults, time.monotonic()
+        undisturbed = not self.active_faults
+        started = time.monotonic()
         generations: dict[str, int] = {}
         while not self.finished:
             try:
--- a/measure/common.py
+++ b/measure/common.py
@@ -59,8 +59,10 @@
 
     def __init__(self, site: FakeSite, fleet: Fleet) -> None:
         """`site` is open; no agent runs yet."""
-        self.site, self.fleet = site, fleet
-        self.agents, self.view = AgentClients(fleet, read_operator_key(fleet, "asha")), FleetView(fleet)
+        self.site = site
+        self.fleet = fleet
+        self.agents = AgentClients(fleet, read_operator_key(fleet, "asha"))
+        self.view = FleetView(fleet)
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start_agent(self, host: str, *command: str) -> None:
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -62,7 +62,8 @@
     fleet = Fleet(size, seed)
     fleet.tick()
     fleet.pass_time(100 * MS)
-    quiet, reports = [], []
+    quiet = []
+    reports = []
     for _ in range(30):
         reports.append(fleet.pass_time(100 * MS))
         quiet.append(fleet.tick())
@@ -74,7 +75,8 @@
         tuple((instance.name, instance.generation) for instance in fleet.instances),
         3600 * SECOND,
     )
-    busy, worst = [], 0
+    busy = []
+    worst = 0
     while order.is_open:
         fleet.pass_time(100 * MS)
         busy.append(fleet.tick())
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -46,7 +46,10 @@
 
     def __init__(self, rig: ProcessRig, load: LoadProcess, rate: float, seed: int) -> None:
         """`rate` in requests a second, of all together."""
-        self.rig, self.load, self.rate, self.random = rig, load, rate, Random(seed)
+        self.rig = rig
+        self.load = load
+        self.rate = rate
+        self.random = Random(seed)
         self.cancels = Cancels()
         self.addresses: dict[str, Address] = {}
 
@@ -143,7 +146,8 @@
             sites={"h1": "woodbrook", "h2": "belmont"},
             supervision='<supervision silent="2s" start="10s" drain="10s" backoff="200ms"/>',
         )
-        rig, load = ProcessRig(site, seed, real=True), LoadProcess()
+        rig = ProcessRig(site, seed, real=True)
+        load = LoadProcess()
         scenario = DrainScenario(rig, load, rate, seed)
         try:
             await rig.open()
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -29,8 +29,12 @@
 from oakkeel.fakes.site import FakeSite
 from oakkeel.units import SECOND
 
-CORES, WORK = 2, 0.02  # the engine's, and seconds of a run: capacity of a hundred a second
-COMPLIANT, RATE = 10, 10.0  # compliant clients, and requests a second of each
+# the engine's, and seconds of a run: capacity of a hundred a second
+CORES = 2
+WORK = 0.02
+# compliant clients, and requests a second of each
+COMPLIANT = 10
+RATE = 10.0
 REQUEST_CLASS = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
 SHARE = CORES / WORK / (COMPLIANT + 1)
 
@@ -54,9 +58,11 @@
         await asyncio.sleep(4.0)
         for client in clients:
             client.reset_counts()
-        cpu, started = cpu_of(node.pid), time.monotonic()
+        cpu = cpu_of(node.pid)
+        started = time.monotonic()
         await asyncio.sleep(seconds)
-        elapsed, cpu = time.monotonic() - started, cpu_of(node.pid) - cpu
+        elapsed = time.monotonic() - started
+        cpu = cpu_of(node.pid) - cpu
         figures = obtained(compliant, crawler, elapsed)
         attempts = sum(client.tries for client in clients)
         for client in clients:
@@ -260,7 +266,8 @@
 def main() -> int:
     """Measure, print and record; 1 where compliant clients or reservations are served too badly."""
     arguments = parse_arguments(__doc__ or "", seconds=10.0, rounds=2, seed=17)
-    sizes, decisions = measure_sketches(arguments.seed), measure_decisions(arguments.seed)
+    sizes = measure_sketches(arguments.seed)
+    decisions = measure_decisions(arguments.seed)
     print_costs(sizes, decisions)
     runs = measure_crawlers(arguments.rounds, arguments.seconds, arguments.seed)
     write_figures(arguments, {"measures": sizes, "decisions": decisions, "days": runs})
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -35,7 +35,8 @@
     """Kill three instances and stop one; returns the seconds until all reports are true, and the names."""
     rows = {row.name: row.status.pid for row in fleet.rows() if row.status}
     chosen = random.sample(sorted(rows), 4)
-    killed, suspended = {name: rows[name] for name in chosen[:3]}, chosen[3]
+    killed = {name: rows[name] for name in chosen[:3]}
+    suspended = chosen[3]
     for pid in killed.values():
         os.kill(pid, signal.SIGKILL)
     os.kill(rows[suspended], signal.SIGSTOP)
@@ -73,7 +74,9 @@
         async with running_site(site) as fleet:
             took = await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
             print_line(f"twelve instances on three hosts serve after {took:.1f} s")
-            times, lost, answered = [], Counter[str](), 0
+            times = []
+            lost = Counter[str]()
+            answered = 0
             for number in range(rounds):
                 dispatchers = [
                     Dispatcher(index, fleet.addresses, rate / 2, seed + 10 * number + index)
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -25,10 +25,16 @@
 from oakkeel.rollout.sequential import Sums
 from oakkeel.units import SECOND
 
-NODES, RATE = 12, 60.0  # exchanges a second at each node
+# exchanges a second at each node
+NODES = 12
+RATE = 60.0
 GOOD = 0.97  # of which in time
-COLD, COLD_LOSS = 20, 0.15  # seconds, and the loss of a cold node at first
-SOAK, MOST = 60, 1200  # seconds
+# seconds, and the loss of a cold node at first
+COLD = 20
+COLD_LOSS = 0.15
+# seconds
+SOAK = 60
+MOST = 1200
 KINDS = ("good", "worse by 2 %", "dies after a minute", "leaks", "worse while cold")
 INTERIM_ANALYSES = 10  # of the group-sequential test
 INTERIM_INTERVAL = 120  # seconds, of the same
@@ -62,8 +68,10 @@
         self.nodes = [Node("old", -1000, float(self.random.normal(0, 0.0005))) for _ in range(NODES)]
         self.gate = Gate(0, b"", 0.02)
         self.others = dict.fromkeys(OTHER_TESTS, 0)  # second at which each other test would have halted
-        self.old, self.new = Sums(), Sums()
-        self.changed_at, self.updated = 0, 0
+        self.old = Sums()
+        self.new = Sums()
+        self.changed_at = 0
+        self.updated = 0
         self.limit = pocock_bound()
 
     def play(self) -> dict[str, Any]:
@@ -98,7 +106,8 @@
 
     def _start_canary(self, second: int) -> None:
         """Update the first node, and restart the second as its control."""
-        self.updated, self.changed_at = 1, second
+        self.updated = 1
+        self.changed_at = second
         self.nodes[0] = Node("new", second, self.nodes[0].loss, 2)
         self.nodes[1] = Node("old", second, self.nodes[1].loss, 2)
 
@@ -108,11 +117,13 @@
         for number in range(self.updated, updated):
             node = self.nodes[number]
             self.nodes[number] = Node("new", second, node.loss, node.generation + 1)
-        self.updated, self.changed_at = updated, second
+        self.updated = updated
+        self.changed_at = second
 
     def _run_node(self, second: int, number: int, disturbance: float) -> None:
         """Draw the requests of one node in one second, and report them."""
-        node, random = self.nodes[number], self.random
+        node = self.nodes[number]
+        random = self.random
         age = second - node.since
         cold = node.since >= 0 and age < COLD
         count = int(random.poisson(RATE))
@@ -127,7 +138,8 @@
         )
         latencies = {"quote": Sums(*_totals(node.latencies))}
         samples = Samples(Sums(*_totals(node.earned_weight)), 0, 0, node.memory, latencies)
-        name, now = f"n{number}", second * SECOND
+        name = f"n{number}"
+        now = second * SECOND
         self.gate.record(now, name, node.version, node.version, node.generation, cold, samples)
         if not cold:
             (self.new if node.version == "new" else self.old).add(Sums(count, good, good))
--- a/measure/node.py
+++ b/measure/node.py
@@ -73,10 +73,14 @@
     await asyncio.sleep(0.5)
     dispatcher.start()
     await asyncio.sleep(1.0)
-    cpu, answered, started = cpu_seconds(pid), dispatcher.answered, time.monotonic()
+    cpu = cpu_seconds(pid)
+    answered = dispatcher.answered
+    started = time.monotonic()
     await asyncio.sleep(seconds)
-    cpu, answered = cpu_seconds(pid) - cpu, dispatcher.answered - answered
-    resident, elapsed = resident_mb(pid), time.monotonic() - started
+    cpu = cpu_seconds(pid) - cpu
+    answered = dispatcher.answered - answered
+    resident = resident_mb(pid)
+    elapsed = time.monotonic() - started
     await dispatcher.stop()
     return {
         "resident_mb": resident,
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -30,7 +30,9 @@
 
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
         """Use the crashes that are left in `crashes`, which all lanes share."""
-        self.folder, self.random, self.crashes = folder, Random(seed), crashes
+        self.folder = folder
+        self.random = Random(seed)
+        self.crashes = crashes
         site = FakeSite(
             folder,
             {"wb1": ["n1"]},
@@ -40,7 +42,8 @@
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         self.fleet = read_fleet(site.settings)
-        self.host, self.key = self.fleet.hosts[0], read_operator_key(self.fleet, "asha")
+        self.host = self.fleet.hosts[0]
+        self.key = read_operator_key(self.fleet, "asha")
         self.agent: asyncio.subprocess.Process | None = None
         self.crashed = self.orders = self.resent = self.lost = 0
         self.expected_starts = 1
@@ -57,10 +60,12 @@
         if self.agent is None or self.agent.returncode is not None:
             if self.agent is not None:
                 self.crashed += 1
-            step, self.doomed = 0, False
+            step = 0
+            self.doomed = False
             if not self.crashes.locked():
                 await self.crashes.acquire()
-                step, self.doomed = self.random.randint(1, MOST_STEPS), True
+                step = self.random.randint(1, MOST_STEPS)
+                self.doomed = True
             self.agent = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -150,7 +155,8 @@
             runs = asyncio.gather(*(lane.run() for lane in lanes))
             while not runs.done():
                 await asyncio.wait((runs,), timeout=10)
-                crashed, orders = sum(lane.crashed for lane in lanes), sum(lane.orders for lane in lanes)
+                crashed = sum(lane.crashed for lane in lanes)
+                orders = sum(lane.orders for lane in lanes)
                 print_line(f"  {crashed} crashes, {orders} orders")
             await runs
             return {
--- a/measure/places.py
+++ b/measure/places.py
@@ -183,7 +183,9 @@
     leader = required_leader(fleet)
     submit_restarts(fleet, leader)
     before = replace(fleet.counts)
-    started, real_start, ticks = fleet.now, time.monotonic(), 0
+    started = fleet.now
+    real_start = time.monotonic()
+    ticks = 0
     while has_open_orders(leader) and time.monotonic() - real_start < real_limit:
         fleet.advance(slices[ticks % 50])
         ticks += 1
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -24,7 +24,10 @@
 from oakkeel.rollout.plan import BatchLimits, BatchPlanner, TargetObservation
 from oakkeel.units import MS, SECOND
 
-HOSTS, NODES_PER_HOST, SITES, MAX_UNAVAILABLE = 100, 10, 5, 20
+HOSTS = 100
+NODES_PER_HOST = 10
+SITES = 5
+MAX_UNAVAILABLE = 20
 
 
 def plan_durations(count: int) -> dict[str, float]:
@@ -37,7 +40,9 @@
         for number, site in enumerate(sites)
     ]
     topology = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
-    planner, random, found = BatchPlanner(topology), Random(1), {}
+    planner = BatchPlanner(topology)
+    random = Random(1)
+    found = {}
     for label, most, out_share in (
         ("one", 1, 0.0),
         ("as many as may be", 500, 0.0),
@@ -65,7 +70,8 @@
         self.drained_at: dict[str, int] = {}
         self.durations: dict[str, int] = {}
         self.most = 0
-        drain_started, serving = simulation.audit.drain_started, simulation.audit.serving
+        drain_started = simulation.audit.drain_started
+        serving = simulation.audit.serving
 
         def on_drain(now: int, target: str, fence: int, ident: str = "") -> None:
             drain_started(now, target, fence, ident)
@@ -77,7 +83,9 @@
             if target in self.drained_at:
                 self.durations.setdefault(target, now - self.drained_at[target])
 
-        simulation.audit.drain_started, simulation.audit.serving = on_drain, on_serving  # type: ignore[method-assign]
+        # type: ignore[method-assign]
+        simulation.audit.drain_started = on_drain
+        simulation.audit.serving = on_serving
 
 
 def _draw_schedule(seed: int, deaths: int, kills: int) -> Schedule:
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -34,7 +34,9 @@
 SITES = {host: ("woodbrook", "belmont")[number % 2] for number, host in enumerate(HOSTS)}
 VOTERS = ("h1", "h2", "h3")
 NAMES = [name for names in HOSTS.values() for name in names]
-MAX_UNAVAILABLE, FLEET_MAX_UNAVAILABLE = 4, 7  # a service makes six nodes unavailable
+# a service makes six nodes unavailable
+MAX_UNAVAILABLE = 4
+FLEET_MAX_UNAVAILABLE = 7
 GROUPS: list[dict[str, Any]] = NODE_SETTINGS["classes"]  # type: ignore[assignment]
 WEIGHTS = {str(group["name"]): float(group.get("worth", 1.0)) for group in GROUPS}
 SERVICE_OF = {name: ("db1", "db2")[number % 2] for number, name in enumerate(NAMES)}
@@ -126,11 +128,15 @@
         self, rig: ProcessRig, services: dict[str, Catalogue], ports: dict[str, int], seed: int
     ) -> None:
         """Use a rig with services by name, and their ports."""
-        self.rig, self.services, self.ports, self.random = rig, services, ports, Random(seed)
+        self.rig = rig
+        self.services = services
+        self.ports = ports
+        self.random = Random(seed)
         self.killed: set[str] = set()
         self.stopped_services: list[Catalogue] = []  # replaced, with connections open until the end
         self.controller_kills = 0
-        self.most_out, self.most_with_permit = 0, 0
+        self.most_out = 0
+        self.most_with_permit = 0
         self.finished = False
 
     async def request_leader(self, request: messages.Request) -> messages.Response:
@@ -167,7 +173,9 @@
         """Start a release, kill controllers and nodes on the way, and follow it to its end."""
         answer = await self.request_leader(messages.StartReleaseRequest(release_id, spec, policy, targets))
         _required_status(answer)
-        last_step, next_kill, step_kills = -1, 2, 0
+        last_step = -1
+        next_kill = 2
+        step_kills = 0
         while True:
             answer = await self.request_leader(messages.ReleaseStatusRequest(release_id))
             status = _required_status(answer)
@@ -301,7 +309,8 @@
     await load.start()
     observer = asyncio.ensure_future(run.watch())
     await asyncio.sleep(3.0)
-    before, weights = load.counts, load.weights
+    before = load.counts
+    weights = load.weights
     started = time.monotonic()
     first, second = await _release_both(run, folder, gated)
     took = time.monotonic() - started
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -87,7 +87,8 @@
 
 def play_all(seeds: range, releases: bool) -> Totals:
     """Play the schedules of some seeds on all cores."""
-    totals, started = Totals(), time.monotonic()
+    totals = Totals()
+    started = time.monotonic()
     with multiprocessing.Pool(os.cpu_count()) as pool:
         for result in pool.imap_unordered(partial(play_seed, releases=releases), seeds, chunksize=8):
             totals.add(result)
@@ -114,7 +115,8 @@
     )
     if arguments.play:
         return replay(arguments.play)
-    started, releases = time.monotonic(), bool(arguments.releases)
+    started = time.monotonic()
+    releases = bool(arguments.releases)
     totals = play_all(range(arguments.seed, arguments.seed + arguments.count), releases)
     seconds = time.monotonic() - started
     if totals.broken:
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -116,7 +116,8 @@
 
     def send(self) -> None:
         """Transmit the request, unless it gets lost, and set the timer that abandons the attempt."""
-        dispatcher, node = self.dispatcher, self.view.node
+        dispatcher = self.dispatcher
+        node = self.view.node
         behavior = dispatcher.behavior
         due = self.sent_at + min(behavior.timeout, self.work.request_class.client_timeout)
         dispatcher.audit.sent(
@@ -194,8 +195,13 @@
         seed: int,
     ) -> None:
         """`mean_costs`: nanoseconds of a core that a request of each request class takes in the mean."""
-        self.number, self.clock, self.limits, self.mean_costs = number, clock, limits, mean_costs
-        self.behavior, self.audit, self.random = behavior, audit, Random(seed)
+        self.number = number
+        self.clock = clock
+        self.limits = limits
+        self.mean_costs = mean_costs
+        self.behavior = behavior
+        self.audit = audit
+        self.random = Random(seed)
         self.views: list[NodeView] = []
         self.rate = 0.0
         self.next_index = 0  # of the round robin
@@ -212,7 +218,8 @@
 
     def set_rate(self, rate: float) -> None:
         """Create so many requests a second from now on."""
-        was_idle, self.rate = self.rate <= 0, rate
+        was_idle = self.rate <= 0
+        self.rate = rate
         if was_idle and rate > 0:
             self._schedule_next()
 
@@ -300,7 +307,8 @@
         work.finished = True
         self.counts[result] += 1
         if result is RequestResult.COMPLETED:
-            request_class, latency = work.request_class, self.clock.now - work.started_at
+            request_class = work.request_class
+            latency = self.clock.now - work.started_at
             self.latencies.append(latency)
             in_time = latency <= request_class.latency_objective
             self.goodput += request_class.priority_weight * (1.0 if in_time else request_class.late_weight)
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -31,7 +31,8 @@
         self, schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None
     ) -> None:
         """`plant` may change the simulation before its hosts start, to plant a defect."""
-        self.schedule, self.clock = schedule, Clock()
+        self.schedule = schedule
+        self.clock = Clock()
         self.random = Random(schedule.seed)
         self.names = [f"h{number}" for number in range(schedule.hosts)]
         instances = {
--- a/oakkeel/emulator/faults.py
+++ b/oakkeel/emulator/faults.py
@@ -131,7 +131,9 @@
         for _ in range(random.randint(0, 3)):
             faults.append(_draw_fault(random, (2 * SECOND, duration // 2), RELEASE_ACTIONS))
     faults.sort(key=lambda fault: fault.at)
-    instances, sites, budget = random.randint(1, 2), random.randint(1, 2), random.randint(1, 2)
+    instances = random.randint(1, 2)
+    sites = random.randint(1, 2)
+    budget = random.randint(1, 2)
     return Schedule(seed, voters, hosts, instances, sites, budget, tuple(faults), duration)
 
 
--- a/oakkeel/emulator/machines.py
+++ b/oakkeel/emulator/machines.py
@@ -30,7 +30,10 @@
 
     def __init__(self, clock: Clock, cores: int, knee: float = 3.0, slope: float = 0.15) -> None:
         """From `knee` tasks a core on, each further one a core costs `slope` of the speed."""
-        self.clock, self.cores, self.knee, self.slope = clock, cores, knee, slope
+        self.clock = clock
+        self.cores = cores
+        self.knee = knee
+        self.slope = slope
         self.speed_factor = 1.0  # of full speed: cold, slowed down, 0 while it is stalled
         self.task_count = 0
         self.service = 0.0  # nanoseconds that each task present from the start would have had
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -54,12 +54,17 @@
         read_cost: int = 200_000,
     ) -> None:
         """`read_cost`: nanoseconds of a core to read one request."""
-        self.name, self.clock, self.audit, self.read_cost = name, clock, audit, read_cost
+        self.name = name
+        self.clock = clock
+        self.audit = audit
+        self.read_cost = read_cost
         self.limits = limits
         self.machine = Machine(clock, limits.cores)
         self.open_requests: dict[Request, OpenRequest] = {}
         self.running = 0
-        self.alive, self.healthy, self.scheduling_due = True, True, False
+        self.alive = True
+        self.healthy = True
+        self.scheduling_due = False
         self.last_gauges = (0.0, clock.now)  # busy time of the machine, and when it was read
         self.admission = AdmissionController(self, limits, seed, clock.now)
 
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -117,7 +117,8 @@
             for instance in host.agent.supervisor.instances
             if instance.name in wanted
         ]
-        verb, atomic = VERBS.get(action.kind, "drain"), action.kind == "drain whole"
+        verb = VERBS.get(action.kind, "drain")
+        atomic = action.kind == "drain whole"
         command = commands.SubmitOrder(ident, "asha", verb, 0, 6 * SECOND, atomic, targets)
         self.submit(command, ident)
 
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -26,7 +26,9 @@
 from oakkeel.units import MS, SECOND
 
 TERMS = PermitTimeouts()
-POLL, TELL, DECIDE = 150 * MS, 50 * MS, 40 * MS
+POLL = 150 * MS
+TELL = 50 * MS
+DECIDE = 40 * MS
 
 
 class PolicyNode:
@@ -34,8 +36,11 @@
 
     def __init__(self, host: PolicyHost, name: str) -> None:
         """Start it on a host."""
-        self.host, self.name = host, name
-        self.lease, self.stopped, self.incarnation = NodePolicyLease(), False, 0
+        self.host = host
+        self.name = name
+        self.lease = NodePolicyLease()
+        self.stopped = False
+        self.incarnation = 0
         self.inbox: list[tuple[int, int]] = []
         host.agent.node_started(name)
         host.simulation.clock.after(host.random.randrange(DECIDE), self.decide, 0)
@@ -43,7 +48,9 @@
     def start(self) -> None:
         """Start another process of it, which knows nothing."""
         self.incarnation += 1
-        self.lease, self.inbox, self.stopped = NodePolicyLease(), [], False
+        self.lease = NodePolicyLease()
+        self.inbox = []
+        self.stopped = False
         self.host.agent.node_stopped(self.name)
         self.host.agent.node_started(self.name)
         self.host.simulation.clock.after(DECIDE, self.decide, self.incarnation)
@@ -52,11 +59,13 @@
         """Decide a request; what came while it stood still is read after that."""
         if incarnation != self.incarnation:
             return
-        simulation, now = self.host.simulation, self.host.now()
+        simulation = self.host.simulation
+        now = self.host.now()
         if not self.stopped:
             if self.lease.may_decide(now):
                 simulation.audit.record_decision(simulation.clock.now, self.name, self.lease.number)
-            received, self.inbox = self.inbox, []
+            received = self.inbox
+            self.inbox = []
             for number, until in received:
                 self.lease.renew(now, number, until)
             if received:
@@ -69,10 +78,14 @@
 
     def __init__(self, simulation: PolicySimulation, name: str) -> None:
         """Start all of it."""
-        self.simulation, self.name = simulation, name
+        self.simulation = simulation
+        self.name = name
         self.random = Random(f"{simulation.seed} {name}")
-        self.rate, self.offset = 1 + self.random.uniform(-0.018, 0.018), self.random.randrange(10 * SECOND)
-        self.agent, self.stopped, self.incarnation = AgentPolicyLease(), False, 0
+        self.rate = 1 + self.random.uniform(-0.018, 0.018)
+        self.offset = self.random.randrange(10 * SECOND)
+        self.agent = AgentPolicyLease()
+        self.stopped = False
+        self.incarnation = 0
         self.nodes = [PolicyNode(self, f"{name}n{number}") for number in range(2)]
         self.unusable_version = 0  # a proposed version that one of its nodes can't take
         simulation.clock.after(self.random.randrange(POLL), self.send_report, 0)
@@ -85,7 +98,8 @@
     def start(self) -> None:
         """Start another process of its agent; the nodes go on with their leases."""
         self.incarnation += 1
-        self.agent, self.stopped = AgentPolicyLease(), False
+        self.agent = AgentPolicyLease()
+        self.stopped = False
         for node in self.nodes:
             self.agent.node_started(node.name)
         self.simulation.clock.after(POLL, self.send_report, self.incarnation)
@@ -106,7 +120,8 @@
                     agent.proposed_number,
                     "it can't be" if agent.proposed_number == self.unusable_version else "",
                 )
-            sent_at, true = self.now(), self.simulation.clock.now
+            sent_at = self.now()
+            true = self.simulation.clock.now
             self.simulation.send(
                 self.name, self.simulation.receive_report, self, incarnation, sent_at, true, agent.report()
             )
@@ -138,9 +153,13 @@
 
     def __init__(self, seed: int, hosts: int = 4, faults: int = 10, duration: int = 40 * SECOND) -> None:
         """Draw the faults of a seed; `duration` in nanoseconds."""
-        self.seed, self.clock, self.audit = seed, Clock(), PolicyChangeAudit()
-        self.random, self.duration = Random(seed), duration
-        self.index, self.state_machine = 0, PolicyStateMachine()
+        self.seed = seed
+        self.clock = Clock()
+        self.audit = PolicyChangeAudit()
+        self.random = Random(seed)
+        self.duration = duration
+        self.index = 0
+        self.state_machine = PolicyStateMachine()
         self.names = tuple(f"h{number}" for number in range(hosts))
         self.cut_until: dict[str, int] = {}
         self.slow_until = 0
@@ -222,7 +241,8 @@
 
     def inject_fault(self, kind: str) -> None:
         """Let a fault of a kind happen to a drawn host or node."""
-        random, now = self.random, self.clock.now
+        random = self.random
+        now = self.clock.now
         host = self.hosts[random.choice(self.names)]
         node = random.choice(host.nodes)
         lasts = random.choice((200 * MS, SECOND, 2500 * MS, 5 * SECOND))
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -119,7 +119,9 @@
 
     def __init__(self, scenario: Scenario) -> None:
         """Build the fleet and its dispatchers; `run` plays the scenario."""
-        self.scenario, self.clock, self.audit = scenario, Clock(), RuleAudit()
+        self.scenario = scenario
+        self.clock = Clock()
+        self.audit = RuleAudit()
         self.random = Random(scenario.seed)
         self.nodes_created = 0
         self.nodes = [self._create_node(starts_cold=False) for _ in range(scenario.nodes)]
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -46,8 +46,10 @@
 
     def start(self) -> None:
         """Make the agent from its disk."""
-        host, disk = self.host, self.disk
-        now, fresh = host.now(), not disk.orders
+        host = self.host
+        disk = self.disk
+        now = host.now()
+        fresh = not disk.orders
         self.leader_locator = LeaderLocator(host.initial_voters, host.simulation.names)
         self.heartbeat_at = -SECOND
         self.permit_holder = PermitHolder(host.name, host.instances, host.random.getrandbits(40))
@@ -117,7 +119,8 @@
             if step.action is Action.START and step.instance.task is not None:
                 self.supervisor.start_abandoned(now, step.instance)
             elif step.action in (Action.TERM, Action.DRAIN) and step.instance.task is not None:
-                step.instance.drain_sent_at, step.instance.task.drain_sent = 0, False
+                step.instance.drain_sent_at = 0
+                step.instance.task.drain_sent = False
         return [step for step in steps if step.instance.task is None and step.action is not Action.START]
 
     def _prepared(self, request: ArtifactRequest, restarts: int) -> None:
@@ -129,7 +132,9 @@
         self.reconciler.assignments.record_prepared(request.release, reason, bases)
 
     def _save(self) -> None:
-        disk, permit_holder, assignments = self.disk, self.permit_holder, self.reconciler.assignments
+        disk = self.disk
+        permit_holder = self.permit_holder
+        assignments = self.reconciler.assignments
         if not self._has_changes():
             return
         assignments.changed = False
@@ -137,7 +142,8 @@
         for instance in self.supervisor.instances:
             instance.dirty = False
         self.orders.deleted.clear()
-        disk.epoch, disk.generations = permit_holder.epoch, dict(permit_holder.generations)
+        disk.epoch = permit_holder.epoch
+        disk.generations = dict(permit_holder.generations)
         disk.permits = []
         for target, fence in permit_holder.highest_tokens.items():
             permit = permit_holder.permits.get(target)
@@ -157,7 +163,8 @@
         )
 
     def _save_orders(self) -> None:
-        orders, self.orders.permit_holder = self.orders, None
+        orders = self.orders
+        self.orders.permit_holder = None
         unix = orders.unix_time
         orders.unix_time = orders.supervisor.unix_time = int  # set again on restore
         self.disk.orders = pickle.dumps(orders)
--- a/oakkeel/emulator/simulated_host.py
+++ b/oakkeel/emulator/simulated_host.py
@@ -29,8 +29,10 @@
         initial_voters: tuple[str, ...],
     ) -> None:
         """Start the replica and the agent."""
-        self.simulation, self.name = simulation, name
-        self.instances, self.initial_voters = instances, initial_voters
+        self.simulation = simulation
+        self.name = name
+        self.instances = instances
+        self.initial_voters = initial_voters
         self.random = Random(f"{simulation.schedule.seed} {name}")
         self.rate = 1 + self.random.uniform(-MAX_RATE_ERROR, MAX_RATE_ERROR)
         self.offset = self.random.randrange(10 * SECOND)
@@ -90,7 +92,8 @@
     def wake(self) -> None:
         """Do what was deferred while it was stopped."""
         self.stopped = False
-        deferred, self.deferred = self.deferred, []
+        deferred = self.deferred
+        self.deferred = []
         for action in deferred:
             action()
 
@@ -101,4 +104,6 @@
 
     def lose_files(self) -> None:
         """Lose all that the replica and the agent have on disk."""
-        self.replica.storage, self.agent.disk, self.replica.known_writes = None, AgentDisk(), 0
+        self.replica.storage = None
+        self.agent.disk = AgentDisk()
+        self.replica.known_writes = 0
--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -42,11 +42,13 @@
         ]
 
     def _deliver(self, source: str, recipient: str, action: Callable[..., None], *arguments: object) -> None:
-        clock, random = self.simulation.clock, self.simulation.random
+        clock = self.simulation.clock
+        random = self.simulation.random
         if source == recipient:
             clock.after(LOCAL_DELAY, action, *arguments)
             return
-        delay, copies = random.randrange(100_000, 2 * MS), 1
+        delay = random.randrange(100_000, 2 * MS)
+        copies = 1
         for fault in self._active_faults(source, recipient):
             if fault.kind in ("cut", "cut one way", "part"):
                 return
@@ -69,7 +71,8 @@
     def send_heartbeat(self, host: SimulatedHost, heartbeat: Heartbeat, sent_at: int) -> None:
         """Send an agent's heartbeat to the host that it takes for the leader's."""
         leader = self.simulation.hosts[host.agent.leader_locator.current]
-        restarts, awaits_response = host.restarts, True
+        restarts = host.restarts
+        awaits_response = True
 
         def arrived() -> None:
             if not leader.running:
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -14,7 +14,9 @@
     from oakkeel.emulator.simulated_host import SimulatedHost
 
 REQUESTS_PER_SECOND = 400
-GOOD_SHARE, WORSE_SHARE = 0.98, 0.6  # of the benefit that requests could bring, by version
+# of the benefit that requests could bring, by version
+GOOD_SHARE = 0.98
+WORSE_SHARE = 0.6
 
 
 @dataclass(slots=True, eq=False)
@@ -75,13 +77,17 @@
             self.end(name, process, "killed", True)
 
     def _start(self, step: Step) -> None:
-        host, simulation = self.host, self.host.simulation
-        name, now, generation = step.instance.name, simulation.clock.now, step.instance.process_generation
+        host = self.host
+        simulation = self.host.simulation
+        name = step.instance.name
+        now = simulation.clock.now
+        generation = step.instance.process_generation
         simulation.audit.generation_started(now, name, generation)
         version = host.agent.reconciler.assignments.version(name)
         simulation.rollout_audit.record_start(now, name, version)
         process = Process(generation, now + host.random.randrange(100 * MS, 600 * MS), version)
-        self.running[name], step.instance.running_version = process, version
+        self.running[name] = process
+        step.instance.running_version = version
         host.agent.supervisor.process_started(host.now(), step.instance)
         if version.startswith("crash"):
             simulation.clock.at(now + 50 * MS, self.end, name, process, "exit code 3", True)
@@ -89,8 +95,10 @@
             simulation.clock.at(process.serves_at, self._serves, name, process)
 
     def _drain(self, step: Step, process: Process) -> None:
-        host, simulation = self.host, self.host.simulation
-        name, now = step.instance.name, simulation.clock.now
+        host = self.host
+        simulation = self.host.simulation
+        name = step.instance.name
+        now = simulation.clock.now
         permit = host.agent.permit_holder.permits.get(name)
         if step.instance.goal is Goal.DOWN or step.instance.task is not None:
             fence = permit.fencing_token if permit and permit.started else -1
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -27,7 +27,8 @@
 RAFT_TIMEOUTS = RaftTimeouts(snapshot_entries=64)
 PERMIT_TIMEOUTS = PermitTimeouts()
 RESTART_DELAY = 300 * MS  # after a write that failed
-CRASH_BEFORE_WRITE, CRASH_AFTER_WRITE = 1, 2
+CRASH_BEFORE_WRITE = 1
+CRASH_AFTER_WRITE = 2
 
 
 class SimulatedReplica:
@@ -75,7 +76,8 @@
 
     def _applied(self, index: int, command: commands.Command, result: object) -> None:
         simulation = self.host.simulation
-        audit, now = simulation.audit, simulation.clock.now
+        audit = simulation.audit
+        now = simulation.clock.now
         content = commands.encode(command)
         audit.command_applied(now, self.host.name, index, content)
         if not isinstance(result, Rejection):
@@ -116,7 +118,8 @@
 
     def carry_out(self, outputs: list[Output]) -> None:
         """Write, send and complete in this order, or crash in between."""
-        simulation, host = self.host.simulation, self.host
+        simulation = self.host.simulation
+        host = self.host
         for output in outputs:
             if self.control_plane is None or self.storage is None or not self._write(output):
                 return
@@ -134,7 +137,8 @@
 
     def _write(self, output: Output) -> bool:
         """Return whether the update is stored; else the process has crashed, or the disk is full."""
-        host, control_plane = self.host, self.control_plane
+        host = self.host
+        control_plane = self.control_plane
         if output.storage_update is None or control_plane is None or self.storage is None:
             return True
         if self._crashes(CRASH_BEFORE_WRITE):
--- a/oakkeel/fakes/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -20,7 +20,8 @@
 from oakkeel.store.database import Database, Statement
 
 PROGRAM = (sys.executable, "-m", "oakkeel.fakes.node")
-_write, _time_ns = Database.write, time.time_ns
+_write = Database.write
+_time_ns = time.time_ns
 
 
 def write(self: Database, statements: Sequence[Statement]) -> None:
--- a/oakkeel/fakes/catalogue.py
+++ b/oakkeel/fakes/catalogue.py
@@ -15,7 +15,8 @@
     def __init__(self, work: float = 0.005, full: bool = False) -> None:
         """`work` in seconds for each call."""
         super().__init__()
-        self.work, self.full = work, full
+        self.work = work
+        self.full = full
         self.calls = 0
         self.server = StreamServer(self._serve)
 
--- a/oakkeel/fakes/control_plane.py
+++ b/oakkeel/fakes/control_plane.py
@@ -37,7 +37,8 @@
 
     async def wait_for_leader(self, excluding: Iterable[str] = (), timeout: float = TIMEOUT) -> str:
         """Wait until a host leads, other than some; raises TimeoutError."""
-        end, excluded = time.monotonic() + timeout, set(excluding)
+        end = time.monotonic() + timeout
+        excluded = set(excluding)
         while time.monotonic() < end:
             for host, status in (await self.raft_statuses()).items():
                 if status.is_leader and host not in excluded:
--- a/oakkeel/fakes/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -28,7 +28,8 @@
 
     def __init__(self, last: int) -> None:
         """`last` is the step that is not survived."""
-        self.last, self.count = last, 0
+        self.last = last
+        self.count = 0
 
     def step(self) -> None:
         """Count a step, or die."""
--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -23,7 +23,9 @@
 
     def __init__(self, node: str, at: float, group: str) -> None:
         """`at` in monotonic seconds; `group` is the request class."""
-        self.node, self.at, self.group = node, at, group
+        self.node = node
+        self.at = at
+        self.group = group
 
 
 class DispatcherConnection(NodeConnection):
@@ -35,7 +37,8 @@
         self, owner: Dispatcher, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """`owner` counts what becomes of the requests."""
-        self.owner, self.node = owner, node
+        self.owner = owner
+        self.node = node
         self.open: dict[int, SentRequest] = {}
         super().__init__(reader, writer)
 
@@ -73,8 +76,12 @@
         timeout: float = 4.0,
     ) -> None:
         """`rate` in requests a second; `timeout` in seconds, sent to the node and waited for."""
-        self.number, self.addresses, self.rate, self.groups = number, addresses, rate, groups
-        self.timeout, self.random = timeout, Random(seed)
+        self.number = number
+        self.addresses = addresses
+        self.rate = rate
+        self.groups = groups
+        self.timeout = timeout
+        self.random = Random(seed)
         self.connections: dict[str, list[DispatcherConnection]] = {}
         self.counts: Counter[str] = Counter()  # by outcome; lost and late beside the node's own
         self.by_node: dict[str, Counter[str]] = {}
--- a/oakkeel/fakes/engine.py
+++ b/oakkeel/fakes/engine.py
@@ -21,7 +21,9 @@
     def __init__(self, seed: int = 1, cores: int = 2, work: float = 0.01, calls: int = 0) -> None:
         """`work` in seconds; no run needs a call where `calls` is 0."""
         super().__init__()
-        self.cores, self.work, self.calls = cores, work, calls
+        self.cores = cores
+        self.work = work
+        self.calls = calls
         self.chance = Random(seed).random
         self.free = asyncio.Semaphore(cores)
         self.runs: dict[bytes, asyncio.Task[None]] = {}
@@ -69,7 +71,8 @@
                         self._command(writer, line, body)
             finally:
                 if self.link is writer:
-                    self.link, self.link_ended_at = None, time.monotonic()
+                    self.link = None
+                    self.link_ended_at = time.monotonic()
 
     def _command(self, writer: asyncio.StreamWriter, line: list[bytes], body: bytes) -> None:
         verb = line[0]
@@ -139,4 +142,5 @@
         self.link.write(data)
         if ends:
             self.link.close()
-            self.link, self.link_ended_at = None, time.monotonic()
+            self.link = None
+            self.link_ended_at = time.monotonic()
--- a/oakkeel/fakes/faults.py
+++ b/oakkeel/fakes/faults.py
@@ -20,11 +20,13 @@
 
     def __init__(self) -> None:
         """Nothing is wrong at first."""
-        self.fault, self.slowness = Fault.NONE, 10.0
+        self.fault = Fault.NONE
+        self.slowness = 10.0
 
     def script(self, fault: Fault, slowness: float = 10.0) -> None:
         """Set the fault from now on; `slowness` is the factor of `Fault.SLOW`."""
-        self.fault, self.slowness = fault, slowness
+        self.fault = fault
+        self.slowness = slowness
 
     @property
     def factor(self) -> float:
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -41,7 +41,9 @@
         self, address: tuple[str, int], there: LinkDirection, back: LinkDirection, seed: int
     ) -> None:
         """`address` is that of the agent which answers."""
-        self.address, self.there, self.back = address, there, back
+        self.address = address
+        self.there = there
+        self.back = back
         self.random = Random(seed)
         self.tasks: set[asyncio.Task[None]] = set()
         self.writers: set[asyncio.StreamWriter] = set()
--- a/oakkeel/fakes/link_mesh.py
+++ b/oakkeel/fakes/link_mesh.py
@@ -14,7 +14,8 @@
 
     def __init__(self, ports: dict[str, int], random: Random) -> None:
         """`ports` are those that the agents listen on, by host."""
-        self._ports, self._random = ports, random
+        self._ports = ports
+        self._random = random
         self.links: dict[tuple[str, str], FaultyLink] = {}
 
     async def open(self, source: str) -> dict[str, int]:
@@ -36,7 +37,8 @@
 
     def cut(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
         """Lose all that goes from some hosts to others, and (`both`) all that comes back."""
-        sources, destinations = list(sources), list(destinations)
+        sources = list(sources)
+        destinations = list(destinations)
         directions = self._between(sources, destinations)
         if both:
             directions += self._between(destinations, sources)
--- a/oakkeel/fakes/load_clients.py
+++ b/oakkeel/fakes/load_clients.py
@@ -63,7 +63,10 @@
 
     def __init__(self, name: str, address: Address, rate: float, seed: int, timeout: float = 2.0) -> None:
         """`rate` in requests a second; `timeout` in seconds, sent to the node."""
-        self.name, self.address, self.rate, self.timeout = name, address, rate, timeout
+        self.name = name
+        self.address = address
+        self.rate = rate
+        self.timeout = timeout
         self.random = Random(seed)
         self.connections: list[ClientConnection] = []
         self.tasks: set[asyncio.Task[None]] = set()
--- a/oakkeel/fakes/load_generator.py
+++ b/oakkeel/fakes/load_generator.py
@@ -112,7 +112,8 @@
     transport, protocol = await loop.connect_write_pipe(asyncio.streams.FlowControlMixin, sys.stdout)
     transport.set_write_buffer_limits(high=0)  # `drain` waits until all is written
     output = asyncio.StreamWriter(transport, protocol, None, loop)
-    encoder, decoder = msgspec.json.Encoder(), msgspec.json.Decoder(LoadCommand)
+    encoder = msgspec.json.Encoder()
+    decoder = msgspec.json.Decoder(LoadCommand)
 
     def report(item: RequestReport | LoadSummary) -> None:
         output.write(encoder.encode(item) + b"\n")  # buffered: a slow reader doesn't hold up what is sent
--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -70,7 +70,8 @@
     def drain(self) -> None:
         """Start to drain; `cancel_drain` may take it back."""
         if not self.draining_since:
-            self.draining_since, self.up = time.monotonic(), False
+            self.draining_since = time.monotonic()
+            self.up = False
             self.journal("leave")
 
     def cancel_drain(self) -> str:
--- a/oakkeel/fakes/node_connection.py
+++ b/oakkeel/fakes/node_connection.py
@@ -17,7 +17,8 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Start to read at once."""
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
         self.last_tag = 0
         self.closing = False  # the node takes no more on it
         self.task = asyncio.ensure_future(self._run())
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -93,9 +93,12 @@
         row = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, objective, 4 * objective, 0, 0.0, 0.0)
         self.limits = replace(base, request_classes=[row], fair_sharing=fair, **limits)
         self.random = Random(seed)
-        self.now, self.order = 1000 * SECOND, count()
+        self.now = 1000 * SECOND
+        self.order = count()
         self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.work, self.slow, self.running = work, slow, 0
+        self.work = work
+        self.slow = slow
+        self.running = 0
         self.clients: list[SimulatedClient] = []
         self.owners: dict[Request, tuple[SimulatedClient, int, bool]] = {}
         self.admission = AdmissionController(self, self.limits, seed, self.now)
@@ -144,7 +147,8 @@
         request = Request(self.limits.request_classes[0], None, 0, 10.0, number > 1, 0, 0, False, False)
         if fair := self.limits.fair_sharing:
             labels = {"tenant": client.tenant, "caller": client.name}
-            key, flow_keys = 0, []
+            key = 0
+            flow_keys = []
             for level in fair.levels:
                 key = hash((key, labels[level])) & (1 << 62) - 1
                 flow_keys.append((key, labels[level]))
@@ -200,7 +204,8 @@
     """Return max-min shares of a capacity, worked out independently: by halving, not by sorting."""
     if sum(rates) <= capacity:
         return list(rates)
-    low, high = 0.0, max(rates)
+    low = 0.0
+    high = max(rates)
     for _ in range(100):
         level = (low + high) / 2
         low, high = (level, high) if sum(min(rate, level) for rate in rates) < capacity else (low, level)
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -62,16 +62,23 @@
         `supervision` and `downstream` are elements of the settings; `dependencies` names the downstream
         service of some instances. `work` is in seconds for each run and call, `max_retry_after` in seconds.
         """
-        self.replicas, self.fleet_max_unavailable = replicas, fleet_max_unavailable
-        self.downstream, self.dependencies = downstream, dependencies or {}
-        self.folder, self.hosts, self.seed, self.work = folder, hosts, seed, work
-        self.max_unavailable, self.supervision = max_unavailable, supervision
+        self.replicas = replicas
+        self.fleet_max_unavailable = fleet_max_unavailable
+        self.downstream = downstream
+        self.dependencies = dependencies or {}
+        self.folder = folder
+        self.hosts = hosts
+        self.seed = seed
+        self.work = work
+        self.max_unavailable = max_unavailable
+        self.supervision = supervision
         self.node_settings = {
             **NODE_SETTINGS,
             "ceilings": {"retry-after": True, "max-retry-after": max_retry_after * SECOND},
         }
         self.sites = sites or dict.fromkeys(hosts, "woodbrook")
-        self.catalogue, self.directory = Catalogue(), Directory()
+        self.catalogue = Catalogue()
+        self.directory = Directory()
         self.catalogues: dict[str, str] = {}  # addresses in place of the one, by instance
         self.engines: dict[str, Engine] = {}
         self.ports = {host: free_port() for host in hosts}
@@ -79,7 +86,8 @@
 
     async def open(self) -> None:
         """Start the fakes, and write configurations, keys and settings."""
-        catalogue, directory = await self.catalogue.open(), await self.directory.open()
+        catalogue = await self.catalogue.open()
+        directory = await self.directory.open()
         for name in (name for names in self.hosts.values() for name in names):
             self.engines[name] = Engine(self.seed + len(self.engines), work=self.work, calls=4)
             port = await self.engines[name].open()
--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -36,7 +36,9 @@
         `known_after` is the time after which a target that is out by itself must be counted by whoever uses a
         permit.
         """
-        self.groups, self.known_after, self.max_breaches = groups, known_after, max_breaches
+        self.groups = groups
+        self.known_after = known_after
+        self.max_breaches = max_breaches
         self.breaches: list[str] = []
         self.leaders: dict[int, str] = {}  # by term
         self.committed: dict[int, bytes] = {}  # by index
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -50,14 +50,16 @@
         command: Any = msgspec.msgpack.decode(content)
         tag = command[0]
         if tag == "begin":
-            self.version[command[1]], self.targets[command[1]] = command[4][0], set(command[6])
+            self.version[command[1]] = command[4][0]
+            self.targets[command[1]] = set(command[6])
         elif tag in STEP_TAGS:
             self._record_step(now, replica, command, content)
             if tag == "batch":
                 self.batched.setdefault(command[1], set()).update(target for target, _ in command[5])
 
     def _record_step(self, now: int, replica: str, command: Any, content: bytes) -> None:
-        tag, (release_id, fence, step) = command[0], command[1:4]
+        tag = command[0]
+        (release_id, fence, step) = command[1:4]
         known = self.steps.setdefault((release_id, step), content)
         if known != content:
             self._add_breach(now, f"10: step {step} of {release_id} is taken twice, by {replica} as {tag}")
--- a/oakkeel/models/drains.py
+++ b/oakkeel/models/drains.py
@@ -22,7 +22,8 @@
     `omitted` names the rules that a variant leaves out.
     """
     phase, node, cancel = state
-    omitted_rules, found = set(omitted), []
+    omitted_rules = set(omitted)
+    found = []
     if phase == "draining" and cancel == "none" and node == "serves":
         found.append((phase, "grace", cancel))  # asked to drain
     if phase == "draining" and cancel == "stands" and node in ("grace", "emptying"):
--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -12,7 +12,9 @@
 
 import z3
 
-REPLICAS, LENGTH, MAX_TERM = 3, 2, 4
+REPLICAS = 3
+LENGTH = 2
+MAX_TERM = 4
 QUORUMS = [set(quorum) for size in (2, 3) for quorum in combinations(range(REPLICAS), size)]
 RULES = {"one vote", "current log", "own term"}
 
@@ -151,7 +153,8 @@
     before: State, after: State, leader: int, index: int, quorum: set[int], rules: set[str]
 ) -> z3.BoolRef:
     """Return that a leader commits the entries up to one that a quorum has stored."""
-    log, term = before.log[leader], before.leads[leader]
+    log = before.log[leader]
+    term = before.leads[leader]
     stored = [
         z3.And(before.log[replica][index] == log[index], before.term[replica] == term) for replica in quorum
     ]
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -127,7 +127,8 @@
         z3.Not(bad[0]),
     )
     for number in range(count):
-        before, after = states[number], states[number + 1]
+        before = states[number]
+        after = states[number + 1]
         moves = [
             move
             for controller in "01"
@@ -178,7 +179,8 @@
     bad: z3.BoolRef,
     bad_after: z3.BoolRef,
 ) -> z3.BoolRef:
-    in_flight, fence = before["way" + controller], before["under" + controller]
+    in_flight = before["way" + controller]
+    fence = before["under" + controller]
     conditions = [in_flight > 0]
     if "fence" in rules:
         conditions.append(fence == before["fence"])
