--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -10,12 +10,15 @@
 import time
 
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
-from oakkeel.agent.instances import Instance, Phase
-from oakkeel.agent.orders import OrderRegistry, Verb
-from oakkeel.agent.supervisor import Action, SupervisionTimeouts, Supervisor
+from oakkeel.agent.instances import Instance, Phase, Verb
+from oakkeel.agent.order_rules import OrderSubmission
+from oakkeel.agent.orders import OrderRegistry
+from oakkeel.agent.supervision_rules import Action, SupervisionTimeouts
+from oakkeel.agent.supervisor import Supervisor
+from oakkeel.control.messages import NodeStatus
 from oakkeel.units import MS, SECOND
 
-REPORT = object()
+REPORT = NodeStatus(0, "", 0, 0, "", "", 0)
 SITES = 10
 
 
@@ -28,7 +31,7 @@
         self.instances = [Instance(f"n{n}", f"site{n % SITES}") for n in range(size)]
         away = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
         self.supervision = Supervisor(
-            self.instances, SupervisionTimeouts(starting=size), away, seed, lambda: self.now
+            self.instances, SupervisionTimeouts(max_starting=size), away, seed, lambda: self.now
         )
         self.orders = OrderRegistry(self.supervision, lambda: self.now)
 
@@ -67,14 +70,14 @@
     for _ in range(30):
         reports.append(fleet.pass_time(100 * MS))
         quiet.append(fleet.tick())
-    order = fleet.orders.submit(
-        fleet.now,
+    submission = OrderSubmission(
         "all",
         "asha",
         Verb.RESTART,
         tuple((instance.name, instance.generation) for instance in fleet.instances),
         3600 * SECOND,
     )
+    order = fleet.orders.submit(fleet.now, submission)
     busy = []
     worst = 0
     while order.is_open:
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -9,7 +9,8 @@
 import sys
 from collections.abc import Callable
 
-from oakkeel.agent.agent import LOG_LINES, Agent, new_seed, timeouts_of
+from oakkeel.agent.agent import LOG_LINES, Agent, new_seed
+from oakkeel.agent.supervision_rules import timeouts_from_settings
 from oakkeel.log import EventLog
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_agent_keys, read_keys
@@ -31,7 +32,7 @@
         async def run() -> None:
             agent = make(
                 host,
-                timeouts_of(fleet.supervision),
+                timeouts_from_settings(fleet.supervision),
                 keys,
                 log,
                 new_seed(),
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -9,7 +9,6 @@
 import sys
 import time
 from collections.abc import Sequence
-from dataclasses import replace
 
 from oakkeel.agent.artifacts import ArtifactStore
 from oakkeel.agent.executor import InstanceExecutor
@@ -31,7 +30,8 @@
     restore_orders,
     restore_permits,
 )
-from oakkeel.agent.supervisor import SupervisionTimeouts, Supervisor
+from oakkeel.agent.supervision_rules import SupervisionTimeouts
+from oakkeel.agent.supervisor import Supervisor
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.messages import HeartbeatResponse
@@ -297,11 +297,6 @@
         self.log.info("settings_reloaded", keys=len(keys))
 
 
-def timeouts_of(settings: dict[str, int | bool]) -> SupervisionTimeouts:
-    """What the settings say, the rest as it is built in."""
-    return replace(SupervisionTimeouts(), **settings)  # type: ignore[arg-type]
-
-
 def new_seed() -> int:
     """A seed from the system's entropy."""
     return random.SystemRandom().getrandbits(63)
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -13,7 +13,8 @@
 from oakkeel.agent.artifacts import ArtifactStore
 from oakkeel.agent.instances import Instance
 from oakkeel.agent.processes import Process, Processes
-from oakkeel.agent.supervisor import Action, Step, Supervisor
+from oakkeel.agent.supervision_rules import Action
+from oakkeel.agent.supervisor import Step, Supervisor
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.log import EventLog, fault
@@ -157,7 +158,7 @@
                 return
             # All is answered before it could be killed.
             answer = await client.drain(
-                process.generation, ANSWER / SECOND, self.supervisor.timeouts.drain * 9 // 10
+                process.generation, ANSWER / SECOND, self.supervisor.timeouts.node_drain_timeout_ns
             )
             self.log.info("drain_requested", answer=answer.reason or None, **fields)
             if answer.accepted:
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -1,6 +1,7 @@
-"""One instance as the agent of its host sees it, and the phases it goes through. Free of I/O.
+"""The instances of one host and the orders on them, with their states. Free of I/O.
 
-Times are nanoseconds of the host's monotonic clock, which goes on where the agent does not.
+Times are nanoseconds of the host's monotonic clock, which outlives a process of the agent, unless a field
+says otherwise.
 """
 
 from __future__ import annotations
@@ -8,23 +9,23 @@
 from collections import deque
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import TYPE_CHECKING, Any
 
-if TYPE_CHECKING:
-    from oakkeel.agent.orders import Task
+from oakkeel.control.messages import NodeStatus
+
+MAX_GENERATION = 1 << 62  # the limit where no control plane reserves generations
 
 
 class Phase(Enum):
-    """What is known of an instance; `Supervisor` alone moves one on."""
+    """What is known of an instance; `Supervisor` alone changes it. The values are wire and stored forms."""
 
-    STOPPED = "stopped"  # no process, and none is wanted yet
-    STARTING = "starting"  # a process, which takes no exchanges yet
-    COLD = "cold"
+    STOPPED = "stopped"  # no process, and none to be started yet
+    STARTING = "starting"  # a process that takes no requests yet
+    COLD = "cold"  # warming up
     SERVING = "serving"
-    DRAINING = "draining"  # told to leave, or leaving by itself
-    SILENT = "silent"  # its process is there and says nothing
-    STUCK = "stuck"  # silent for so long that all it may have read is overdue
-    FAILING = "failing"  # died by itself, and waits to be started again
+    DRAINING = "draining"  # by an order, or by the node itself
+    SILENT = "silent"  # its process exists and sends no reports
+    STUCK = "stuck"  # silent for longer than any request may take
+    FAILING = "failing"  # crashed, and waits for its restart backoff
 
 
 TRANSITIONS = {
@@ -32,7 +33,7 @@
     Phase.STARTING: {Phase.COLD, Phase.SERVING, Phase.DRAINING, Phase.SILENT, Phase.STOPPED, Phase.FAILING},
     Phase.COLD: {Phase.SERVING, Phase.STARTING, Phase.DRAINING, Phase.SILENT, Phase.STOPPED, Phase.FAILING},
     Phase.SERVING: {Phase.COLD, Phase.STARTING, Phase.DRAINING, Phase.SILENT, Phase.STOPPED, Phase.FAILING},
-    Phase.DRAINING: {Phase.COLD, Phase.SERVING, Phase.STOPPED},  # called back, or gone
+    Phase.DRAINING: {Phase.COLD, Phase.SERVING, Phase.STOPPED},  # the drain was cancelled, or is complete
     Phase.SILENT: {
         Phase.STARTING,
         Phase.COLD,
@@ -45,7 +46,7 @@
     Phase.STUCK: {Phase.STARTING, Phase.COLD, Phase.SERVING, Phase.DRAINING, Phase.STOPPED, Phase.FAILING},
     Phase.FAILING: {Phase.STARTING, Phase.STOPPED},
 }
-REPORTED = {
+REPORTED_PHASES = {
     "waiting": Phase.STARTING,
     "cold": Phase.COLD,
     "serving": Phase.SERVING,
@@ -54,7 +55,7 @@
 
 
 class Goal(Enum):
-    """What shall become of an instance."""
+    """The wanted state of an instance; the values are wire and stored forms."""
 
     UP = "up"
     DOWN = "down"
@@ -62,36 +63,126 @@
 
 @dataclass(slots=True, eq=False)
 class Instance:
-    """Its owner is the agent; `Supervisor` and `OrderRegistry` both refer to it."""
+    """The state of one instance. `Supervisor` and `OrderRegistry` share it."""
 
     name: str
     site: str
     goal: Goal = Goal.UP
     phase: Phase = Phase.STOPPED
-    phase_since: int = 0  # when it entered its phase
-    generation: int = 0  # of the last change: a start, or an order taken
-    changed_at: int = 0  # when that was, in Unix nanoseconds, for people
-    changed_by: str = ""  # who made it: an operator, or the agent
-    process_generation: int = 0  # generation of the process that is there, or that was there last
-    spawned: bool = False  # that process was there for certain
-    last_report_at: int = 0  # when its last report came
-    report: Any = None  # that report, as it came
-    drain_sent_at: int = 0  # when its process was told to leave; 0: not yet
-    kill_after_drain: bool = False  # it may be killed its drain time after that
-    start_not_before: int = 0  # not before
-    failures: int = 0  # deaths in a row, before it served steadily
-    crashes: deque[int] = field(default_factory=deque)  # when it died by itself, as far as the window goes
-    restarts_exhausted: bool = False  # its budget of starts is spent
-    why: str = ""  # the last thing that went wrong
-    crash_count: int = 0  # by itself, since the agent started
-    running_version: str = ""  # the version that its last report told
-    drain_cancellable: bool = False  # told to leave in a way that can be taken back
-    drain_cancelled: bool = False  # it is to come back from its drain
-    generation_limit: int = 1 << 62  # generations that may be used, where the record gives them out
-    task: Task | None = None  # of the order that is open on it
-    dirty: bool = False  # changed since it was last kept
+    phase_since: int = 0
+    generation: int = 0  # incremented by each start and each accepted order
+    changed_at: int = 0  # time of that, in Unix nanoseconds, for display
+    changed_by: str = ""  # the operator and verb, or the agent
+    process_generation: int = 0  # generation of the current process, or of the last one
+    spawned: bool = False  # whether that process is known to have been started
+    last_report_at: int = 0
+    report: NodeStatus | None = None  # the last one of its process
+    drain_sent_at: int = 0  # when the drain was last sent to its process; 0: not yet
+    kill_after_drain: bool = False  # it is killed when its drain timeout expires
+    start_not_before: int = 0
+    failures: int = 0  # consecutive crashes, until it has served for `steady_after_ns`
+    crashes: deque[int] = field(default_factory=deque)  # times of crashes within the restart window
+    restarts_exhausted: bool = False  # its restart budget is spent
+    why: str = ""  # the last error, for display
+    crash_count: int = 0  # since the agent started
+    running_version: str = ""  # of its last report
+    drain_cancellable: bool = False  # its drain goes by the control link, which can cancel it
+    drain_cancelled: bool = False  # its drain was cancelled, and its process has not confirmed it
+    generation_limit: int = MAX_GENERATION  # highest generation reserved for it by the control plane
+    task: Task | None = None  # of the open order on it
+    dirty: bool = False  # changed since it was last stored
 
     @property
     def alive(self) -> bool:
-        """A process of it is there, as far as is known."""
+        """Whether it has a process, as far as is known."""
         return self.phase not in (Phase.STOPPED, Phase.FAILING)
+
+
+class Verb(Enum):
+    """What an order asks for; the values are wire and stored forms."""
+
+    START = "start"
+    STOP = "stop"  # drained, and killed when its drain timeout expires
+    DRAIN = "drain"  # drained, and never killed
+    RESTART = "restart"
+
+
+class TaskState(Enum):
+    """The state of an order on one instance; the values are wire and stored forms."""
+
+    REFUSED = "refused"
+    WAITING = "waiting"  # for its disruption budget
+    ACTING = "acting"
+    DONE = "done"
+    FAILED = "failed"
+    CANCELLED = "cancelled"
+    SUPERSEDED = "superseded"
+    EXPIRED = "expired"
+
+
+OPEN_STATES = (TaskState.WAITING, TaskState.ACTING)
+FINAL_STATES = frozenset(TaskState) - set(OPEN_STATES) - {TaskState.REFUSED}
+TASK_TRANSITIONS = {
+    TaskState.WAITING: {TaskState.ACTING} | FINAL_STATES,
+    TaskState.ACTING: FINAL_STATES - {TaskState.EXPIRED},
+    **{state: frozenset() for state in FINAL_STATES},
+    TaskState.REFUSED: frozenset(),
+}
+
+
+@dataclass(slots=True, frozen=True)
+class TaskSnapshot:
+    """The fields of a task that `undo` restores."""
+
+    task: Task
+    state: TaskState
+    state_since: int
+    why: str
+
+
+@dataclass(slots=True, frozen=True)
+class InstanceSnapshot:
+    """The fields of an instance that accepting an order changes, for `undo`."""
+
+    generation: int
+    changed_at: int
+    changed_by: str
+    superseded: TaskSnapshot | None
+
+
+@dataclass(slots=True, eq=False)
+class Task:
+    """One order on one instance; `OrderRegistry._transition` alone changes its state."""
+
+    order: Order
+    instance: Instance
+    generation: int  # of the instance, as the operator saw it
+    state: TaskState = TaskState.WAITING
+    state_since: int = 0
+    why: str = ""
+    drain_sent: bool = False  # whether its process may have received the drain
+    replaces_generation: int = 0  # generation of the process that a restart ends
+    before: InstanceSnapshot | None = None  # the instance before the order, until the order is stored
+
+    @property
+    def is_open(self) -> bool:
+        """Whether it is waiting or acting."""
+        return self.state in OPEN_STATES
+
+
+@dataclass(slots=True, eq=False)
+class Order:
+    """One order of one operator."""
+
+    order_id: str
+    operator: str
+    verb: Verb
+    accepted_at: int  # Unix nanoseconds
+    expires_at: int
+    requested: tuple[tuple[str, int], ...]  # instances and the generations that the operator saw
+    tasks: list[Task] = field(default_factory=list)
+
+    @property
+    def is_open(self) -> bool:
+        """Whether any of its tasks is open."""
+        return any(task.is_open for task in self.tasks)
--- /dev/null
+++ b/oakkeel/agent/order_rules.py
@@ -0,0 +1,120 @@
+"""The rules for orders on instances: what is rejected, and how a task ends. Free of I/O and state."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass
+
+from oakkeel.agent.instances import Phase, Task, TaskState, Verb
+from oakkeel.errors import OakkeelError
+from oakkeel.units import SECOND
+
+MAX_ORDER_ID_LENGTH = 64  # characters
+MIN_ORDER_LIFETIME_NS = SECOND
+
+
+class OrderRejectedError(OakkeelError, ValueError):
+    """The order as a whole is not accepted; the message says why."""
+
+
+@dataclass(slots=True, frozen=True)
+class OrderSubmission:
+    """An order as an operator sends it."""
+
+    order_id: str
+    operator: str
+    verb: Verb
+    requested: tuple[tuple[str, int], ...]  # instances and the generations that the operator saw
+    lifetime_ns: int  # from when it is accepted
+    supersede: bool = False  # replace the open orders of the instances
+
+
+@dataclass(slots=True, frozen=True)
+class TaskOutcome:
+    """How a task ends, with the reason for the operator."""
+
+    state: TaskState
+    why: str = ""
+
+
+def check_submission(submission: OrderSubmission, instance_count: int) -> None:
+    """Raise OrderRejectedError if an order is malformed."""
+    order_id = submission.order_id
+    requested = submission.requested
+    if not order_id or len(order_id) > MAX_ORDER_ID_LENGTH:
+        raise OrderRejectedError(f"an order needs an id of 1 to {MAX_ORDER_ID_LENGTH} characters")
+    if not requested or len(requested) > instance_count:
+        raise OrderRejectedError(f"an order names 1 to {instance_count} instances of this host")
+    if len({name for name, _ in requested}) < len(requested):
+        raise OrderRejectedError("the order names an instance twice")
+
+
+def rejection_reason(task: Task, supersede: bool) -> str:
+    """Why an order is rejected for an instance; empty if it is accepted.
+
+    An order is made for the generation that its operator saw, so that of two concurrent orders the first
+    wins.
+    """
+    instance = task.instance
+    open_task = instance.task
+    if task.generation != instance.generation:
+        if open_task:
+            cause = f"{open_task.order.operator}'s {open_task.order.verb.value} is open"
+        else:
+            cause = f"changed by {instance.changed_by or 'nobody'}"
+        return (
+            f"{cause} since {_time_of_day(instance.changed_at)}; the instance has generation"
+            f" {instance.generation}, the order is for {task.generation}"
+        )
+    if instance.generation >= instance.generation_limit:
+        return "no reserved generation is left; send it again once the agent reaches the leader"
+    if open_task is not None and not supersede:
+        return (
+            f"{open_task.order.operator}'s {open_task.order.verb.value} is open since"
+            f" {_time_of_day(open_task.order.accepted_at)}"
+        )
+    return ""
+
+
+def task_outcome(now: int, task: Task) -> TaskOutcome | None:
+    """How an acting task ends by now; None: it goes on.
+
+    A failure to reach the goal ends the task once its instance has no restart left, or the order has expired.
+    """
+    instance = task.instance
+    if _is_complete(task):
+        return TaskOutcome(TaskState.DONE)
+    if instance.restarts_exhausted:
+        return TaskOutcome(TaskState.FAILED, f"the restart budget is spent: {instance.why}")
+    if now >= task.order.expires_at:
+        return TaskOutcome(
+            TaskState.FAILED, f"the order expired while the instance was {instance.phase.value}"
+        )
+    return None
+
+
+def _is_complete(task: Task) -> bool:
+    """Whether the instance has reached what the order asks for."""
+    instance = task.instance
+    verb = task.order.verb
+    if verb in (Verb.STOP, Verb.DRAIN):
+        return instance.phase is Phase.STOPPED
+    is_up = instance.phase in (Phase.COLD, Phase.SERVING)
+    if verb is Verb.START:
+        return is_up
+    return is_up and instance.process_generation != task.replaces_generation
+
+
+def needs_permit_to_drain(task: Task) -> bool:
+    """Whether the drain of a task that is about to be sent for the first time needs a valid permit."""
+    return not task.drain_sent and task.state is TaskState.ACTING and task.order.verb is not Verb.START
+
+
+def has_taken_out(task: Task) -> bool:
+    """Whether a task has taken its instance out of service."""
+    return task.state in (TaskState.ACTING, TaskState.DONE) and task.order.verb in (Verb.DRAIN, Verb.STOP)
+
+
+def _time_of_day(unix_ns: int) -> str:
+    """A wall-clock time for display."""
+    return time.strftime("%H:%M:%S UTC", time.gmtime(unix_ns // SECOND))
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -1,24 +1,26 @@
-"""Applies the leader's responses on one host and builds its heartbeats. Free of I/O.
+"""Applies the leader's heartbeat responses on one host and builds its heartbeats. Free of I/O.
 
-It stands between `PermitHolder`, which knows permits, and `OrderRegistry` and `Supervisor`, which know
+It connects `PermitHolder`, which knows disruption permits, with `OrderRegistry` and `Supervisor`, which know
 instances.
 """
 
 from __future__ import annotations
 
 from oakkeel.agent.downstream_services import DownstreamServices
-from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.orders import Order, OrderRegistry, OrderRejectedError, TaskState, Verb
+from oakkeel.agent.instances import Goal, Instance, Order, Phase, Task, TaskState, Verb
+from oakkeel.agent.order_rules import OrderRejectedError, OrderSubmission
+from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.supervisor import Supervisor
-from oakkeel.control.messages import NodeStatus
+from oakkeel.agent.target_status import in_flight_summary, instance_status, service_status
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.messages import AssignedOrder, Heartbeat, HeartbeatResponse, TaskResult
 from oakkeel.rollout.assignments import VersionAssignments
-from oakkeel.rollout.gates import Samples
 from oakkeel.rollout.messages import TargetStatus
-from oakkeel.rollout.sequential import Sums
 
-HOW = {
+DEFAULT_GENERATION_BLOCK = 64
+CONTROL_PLANE = "the control plane"  # in place of an operator, where an order is over in the replicated log
+# States on the wire: of results, and of tasks that the control plane takes for open.
+RESULT_STATES = {
     TaskState.DONE: "done",
     TaskState.FAILED: "failed",
     TaskState.REFUSED: "refused",
@@ -26,7 +28,9 @@
     TaskState.SUPERSEDED: "failed",
     TaskState.EXPIRED: "expired",
 }
-OPEN = ("waiting", "granted", "out")
+STARTED_STATE = "out"
+OPEN_STATES = ("waiting", "granted", STARTED_STATE)
+TAKE_OUT_VERBS = (Verb.DRAIN.value, Verb.STOP.value)
 
 
 class Reconciler:
@@ -37,172 +41,168 @@
         supervisor: Supervisor,
         orders: OrderRegistry,
         permit_holder: PermitHolder,
-        generation_block: int = 64,
+        generation_block: int = DEFAULT_GENERATION_BLOCK,
         services: tuple[str, ...] = (),
     ) -> None:
-        """Limit each instance to the generations that were reserved for it before."""
-        self.supervisor, self.orders, self.permit_holder, self.generation_block = (
-            supervisor,
-            orders,
-            permit_holder,
-            generation_block,
-        )
+        """Limit each instance to the generations that are reserved for it, in blocks of
+        `generation_block`."""
+        self.supervisor = supervisor
+        self.orders = orders
+        self.permit_holder = permit_holder
+        self.generation_block = generation_block
         self.services = DownstreamServices(permit_holder, services)
         self.assignments = VersionAssignments(services)
-        self.state_lost = False  # our own file was: nothing begins before the record was heard
+        self.state_lost = False  # the state file is new: nothing starts before a response was received
         for instance in supervisor.instances:
             instance.generation_limit = permit_holder.generations.get(instance.name, 0)
-        self.rejections: dict[tuple[str, str], str] = {}  # by order and thing: why it was not taken here
+        self.rejections: dict[tuple[str, str], str] = {}  # reasons by order and target
 
     def state_file_lost(self) -> None:
-        """No generation, order or goal is known: what the record says stands in for them."""
+        """Recover generations, orders and goals from the next response, as none is stored here."""
         self.state_lost = True
 
-    # What is told.
+    # Heartbeats.
 
     def build_heartbeat(self, now: int) -> Heartbeat:
         """The next heartbeat: states, results and generations to reserve."""
         self.services.advance(now)
-        up, reserve = dict(self.services.up), {}
+        serving = dict(self.services.up)
+        generation_limits: dict[str, int] = {}
         for instance in self.supervisor.instances:
-            up[instance.name] = instance.phase is Phase.SERVING
+            serving[instance.name] = instance.phase is Phase.SERVING
             self._update_permit(instance)
-            if (
-                not self.state_lost
-                and instance.generation + self.generation_block // 2
-                > self.permit_holder.generations.get(instance.name, 0)
-            ):
-                reserve[instance.name] = instance.generation + self.generation_block
+            if self._needs_generations(instance):
+                generation_limits[instance.name] = instance.generation + self.generation_block
         in_flight = {
-            each.name: summary for each in self.supervisor.instances if (summary := _in_flight_summary(each))
+            each.name: summary for each in self.supervisor.instances if (summary := in_flight_summary(each))
         }
-        heartbeat = self.permit_holder.heartbeat(now, up, self._task_results(), reserve, in_flight)
+        heartbeat = self.permit_holder.heartbeat(
+            now, serving, self._task_results(), generation_limits, in_flight
+        )
         if self.assignments.active:
             heartbeat.extension = self.assignments.encode_report(self._target_statuses(now))
         return heartbeat
 
+    def _needs_generations(self, instance: Instance) -> bool:
+        """Whether less than half a block of reserved generations is left for an instance."""
+        reserved = self.permit_holder.generations.get(instance.name, 0)
+        return not self.state_lost and instance.generation + self.generation_block // 2 > reserved
+
     def _target_statuses(self, now: int) -> list[TargetStatus]:
-        """For whoever drives a release: what runs here, and how it does."""
-        runs = [
-            TargetStatus(name, "", 0, "serving" if up else "stopped", 0)
-            for name, up in self.services.up.items()
-        ]
-        for each in self.supervisor.instances:
-            report = each.report
-            run = TargetStatus(
-                each.name,
-                each.running_version,
-                each.generation,
-                each.phase.value,
-                now - each.last_report_at if report is not None else -1,
-                each.restarts_exhausted,
-                each.crash_count,
-            )
-            if isinstance(report, NodeStatus):
-                run.load = report.load
-                if self.assignments.collect_samples and len(report.earned_weight) == 3:
-                    run.samples = Samples(
-                        Sums(*report.earned_weight),
-                        report.rejected,
-                        report.failed,
-                        report.resident_kb,
-                        {group: Sums(*sums) for group, sums in report.latencies.items() if len(sums) == 3},
-                    )
-            runs.append(run)
-        return runs
+        """What runs here and how it performs, for the rollout controller."""
+        collect_samples = self.assignments.collect_samples
+        statuses = [service_status(name, up) for name, up in self.services.up.items()]
+        statuses += [instance_status(now, each, collect_samples) for each in self.supervisor.instances]
+        return statuses
 
     def _update_permit(self, instance: Instance) -> None:
-        """Whether what was taken out under a place is over."""
+        """Note whether the target of a started permit serves again, so that the permit can be released."""
         permit = self.permit_holder.permits.get(instance.name)
         if permit is None or not permit.started:
             return
-        acts = instance.task is not None and instance.task.state is TaskState.ACTING
-        if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not acts:
+        is_acting = instance.task is not None and instance.task.state is TaskState.ACTING
+        if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not is_acting:
             self.permit_holder.mark_restored(instance.name)
         else:
             self.permit_holder.mark_unavailable(instance.name)
 
     def _task_results(self) -> list[TaskResult]:
-        """What the record takes for open and is over here."""
+        """Results of tasks that the control plane takes for open and that are over here."""
         results = self.services.results()
         for order in self.permit_holder.orders.values():
             known = self.orders.orders.get(order.id)
-            here = {task.instance.name: task for task in known.tasks} if known else {}
+            tasks = {task.instance.name: task for task in known.tasks} if known else {}
             for target, _, state in order.tasks:
-                task = here.get(target)
-                if state not in OPEN or target in self.services.up:
+                if state not in OPEN_STATES or target in self.services.up:
                     continue
-                if task is not None and not task.is_open:
-                    results.append(TaskResult(order.id, target, HOW[task.state], task.why))
-                elif why := self.rejections.get((order.id, target)):
-                    results.append(TaskResult(order.id, target, "refused", why))
-                elif self._completed_before_loss(order, target):
-                    results.append(TaskResult(order.id, target, "done", ""))
-                elif task is None and state == "out" and (order.halted_by or order.remaining <= 0):
-                    # Else it would stand for ever: nobody here knows that it was ever begun.
-                    results.append(
-                        TaskResult(order.id, target, "failed", "its agent lost its file meanwhile")
-                    )
+                if result := self._task_result(order, target, state, tasks.get(target)):
+                    results.append(result)
         return results
 
+    def _task_result(
+        self, order: AssignedOrder, target: str, state: str, task: Task | None
+    ) -> TaskResult | None:
+        """The result of an open task, or None while it is not over here."""
+        if task is not None and not task.is_open:
+            return TaskResult(order.id, target, RESULT_STATES[task.state], task.why)
+        if why := self.rejections.get((order.id, target)):
+            return TaskResult(order.id, target, "refused", why)
+        if self._completed_before_loss(order, target):
+            return TaskResult(order.id, target, "done", "")
+        is_over = bool(order.halted_by) or order.remaining <= 0
+        if task is None and state == STARTED_STATE and is_over:
+            # It would stay open for ever: this agent no longer knows that it was started.
+            return TaskResult(order.id, target, "failed", "the agent lost its state file after the start")
+        return None
+
     def _completed_before_loss(self, order: AssignedOrder, target: str) -> bool:
-        """It was carried out here, and our file with it was lost before that was told."""
-        permit, instance = self.permit_holder.permits.get(target), self.orders.instances.get(target)
+        """Whether it was completed here, and the state file was lost before that was reported."""
+        permit = self.permit_holder.permits.get(target)
+        instance = self.orders.instances.get(target)
         return bool(
             permit
             and permit.started
             and permit.order_id == order.id
-            and order.verb in ("drain", "stop")
+            and order.verb in TAKE_OUT_VERBS
             and instance
             and instance.phase is Phase.STOPPED
             and instance.goal is Goal.DOWN
         )
 
-    # What is heard.
+    # Responses.
 
-    def apply_response(self, now: int, sent_at: int, answer: HeartbeatResponse) -> list[Order]:
-        """Take what the record says. Returns the orders that are new here, to be kept."""
-        first, reserved = not self.permit_holder.synchronized, dict(self.permit_holder.generations)
-        if not self.permit_holder.receive_response(now, sent_at, answer):
+    def apply_response(self, now: int, sent_at: int, response: HeartbeatResponse) -> list[Order]:
+        """Apply a response to the heartbeat of `sent_at`. Returns the orders that are new here."""
+        is_first = not self.permit_holder.synchronized
+        stored_limits = dict(self.permit_holder.generations)
+        if not self.permit_holder.receive_response(now, sent_at, response):
             return []
-        self.assignments.handle_response(answer.extension)
+        self.assignments.handle_response(response.extension)
         if self.state_lost:
             self._recover_state(now)
-        elif first:
-            self._skip_used_generations(reserved)
+        elif is_first:
+            self._skip_used_generations(stored_limits)
         self.services.advance(now)
         for instance in self.supervisor.instances:
             if instance.name in self.permit_holder.generations:
                 instance.generation_limit = self.permit_holder.generations[instance.name]
-        taken = []
-        for assigned in answer.orders:
+        accepted = self._apply_orders(now, response.orders)
+        open_ids = {assigned.id for assigned in response.orders}
+        self._cancel_orders_that_ended(now, open_ids)
+        self.rejections = {key: why for key, why in self.rejections.items() if key[0] in open_ids}
+        return accepted
+
+    def _apply_orders(self, now: int, assigned_orders: list[AssignedOrder]) -> list[Order]:
+        """Accept, halt or cancel the orders of a response. Returns those that are new here."""
+        accepted = []
+        for assigned in assigned_orders:
             order = self.orders.orders.get(assigned.id)
             if order is None and not assigned.halted_by:
                 order = self._submit_order(now, assigned)
                 if order is not None:
-                    taken.append(order)
-            if order is not None and assigned.cancelled_by:
+                    accepted.append(order)
+            if order is None:
+                continue
+            if assigned.cancelled_by:
                 self.orders.revert(now, order, assigned.cancelled_by)
-            elif (
-                order is not None
-                and assigned.halted_by
-                and any(task.state is TaskState.WAITING for task in order.tasks)
-            ):
+            elif assigned.halted_by and any(task.state is TaskState.WAITING for task in order.tasks):
                 self.orders.cancel(now, order.order_id, assigned.halted_by)
-        current = {assigned.id for assigned in answer.orders}
-        for order in [
+        return accepted
+
+    def _cancel_orders_that_ended(self, now: int, open_ids: set[str]) -> None:
+        """Cancel waiting tasks of orders that are over in the replicated log: they must not start here."""
+        ended = [
             task.order
             for task in self.orders.open_tasks
             if task.state is TaskState.WAITING
             and task.order.verb is not Verb.START
-            and task.order.order_id not in current
-        ]:
-            self.orders.cancel(now, order.order_id, "the record")  # it is over there, and must not stand here
-        self.rejections = {key: why for key, why in self.rejections.items() if key[0] in current}
-        return taken
+            and task.order.order_id not in open_ids
+        ]
+        for order in ended:
+            self.orders.cancel(now, order.order_id, CONTROL_PLANE)
 
     def _recover_state(self, now: int) -> None:
-        """Our own file is gone: go on after all that may have been used, and leave out what is out."""
+        """After the loss of the state file: skip used generations, and keep out what was taken out."""
         self._skip_used_generations({})
         for instance in self.supervisor.instances:
             permit = self.permit_holder.permits.get(instance.name)
@@ -211,38 +211,33 @@
                 permit
                 and permit.started
                 and order
-                and order.verb in ("drain", "stop")
+                and order.verb in TAKE_OUT_VERBS
                 and not order.cancelled_by
             ):
-                self.supervisor.order_stop(now, instance, order.verb == "stop", True)
+                kill = order.verb == Verb.STOP.value
+                self.supervisor.order_stop(now, instance, kill, cancellable=True)
         self.state_lost = False
 
-    def _skip_used_generations(self, reserved: dict[str, int]) -> None:
-        """Where the record has given out more generations than our file knows of, any of them may be used."""
+    def _skip_used_generations(self, stored_limits: dict[str, int]) -> None:
+        """Skip generations that were reserved beyond the stored limit: any of them may have been used."""
         for instance in self.supervisor.instances:
-            reserved_to = self.permit_holder.generations.get(instance.name, 0)
-            if reserved_to > reserved.get(instance.name, 0):
-                instance.generation, instance.dirty = max(instance.generation, reserved_to), True
+            limit = self.permit_holder.generations.get(instance.name, 0)
+            if limit > stored_limits.get(instance.name, 0):
+                instance.generation = max(instance.generation, limit)
+                instance.dirty = True
 
     def _submit_order(self, now: int, assigned: AssignedOrder) -> Order | None:
-        asked = tuple(
-            (target, generation)
-            for target, generation, state in assigned.tasks
-            if state in OPEN
-            and (assigned.id, target) not in self.rejections
-            and target in self.orders.instances
-        )
-        if not asked or any(
-            self.orders.instances[target].generation >= self.orders.instances[target].generation_limit
-            for target, _ in asked
-        ):
-            return None  # until it may number what it does
+        """Submit an assigned order here; None if it is refused, or a reserved generation is missing."""
+        requested = self._open_requests(assigned)
+        if not requested or not self._have_generations(requested):
+            return None
         try:
-            order = self.orders.submit(
-                now, assigned.id, assigned.operator, Verb(assigned.verb), asked, assigned.remaining
+            submission = OrderSubmission(
+                assigned.id, assigned.operator, Verb(assigned.verb), requested, assigned.remaining
             )
+            order = self.orders.submit(now, submission)
         except (OrderRejectedError, ValueError) as error:
-            for target, _ in asked:
+            for target, _ in requested:
                 self.rejections[assigned.id, target] = str(error)
             return None
         if not order.is_open:
@@ -251,14 +246,17 @@
             return None
         return order
 
+    def _open_requests(self, assigned: AssignedOrder) -> tuple[tuple[str, int], ...]:
+        """The open tasks of an order for instances of this host: names and generations."""
+        return tuple(
+            (target, generation)
+            for target, generation, state in assigned.tasks
+            if state in OPEN_STATES
+            and (assigned.id, target) not in self.rejections
+            and target in self.orders.instances
+        )
 
-def _in_flight_summary(instance: Instance) -> str:
-    """What a node that leaves has yet to answer, by its own last report."""
-    report = instance.report
-    if instance.phase is not Phase.DRAINING or not getattr(report, "owes", 0):
-        return ""
-    groups = ", ".join(f"{count} {group}" for group, count in sorted(report.owes_by.items()))
-    return (
-        f"{report.owes}: {report.hold} held, {report.runs} running, {report.calls} at calls"
-        f" on {report.connections} connections" + (f"; {groups}" if groups else "")
-    )[:200]
+    def _have_generations(self, requested: tuple[tuple[str, int], ...]) -> bool:
+        """Whether each instance has a reserved generation left: accepting an order uses one."""
+        instances = [self.orders.instances[target] for target, _ in requested]
+        return all(instance.generation < instance.generation_limit for instance in instances)
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -9,7 +9,9 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.executor import ANSWER, InstanceExecutor
-from oakkeel.agent.orders import Order, OrderRegistry, OrderRejectedError, Verb
+from oakkeel.agent.instances import Order, Verb
+from oakkeel.agent.order_rules import OrderRejectedError, OrderSubmission
+from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.raft_runtime import CommitUnknownError, RaftRuntime
 from oakkeel.agent.status_reporter import StatusReporter
 from oakkeel.agent.status_views import (
@@ -169,8 +171,7 @@
             return messages.ErrorResponse("this fleet keeps a record: what leaves is agreed there")
         known = request.order_id in agent.orders.orders
         try:
-            order = agent.orders.submit(
-                now,
+            submission = OrderSubmission(
                 request.order_id,
                 key.operator,
                 Verb(request.verb),
@@ -178,6 +179,7 @@
                 request.lifetime,
                 request.supersede,
             )
+            order = agent.orders.submit(now, submission)
         except OrderRejectedError as error:
             return messages.ErrorResponse(str(error))
         if order.is_open and not known:
--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/status_views.py
@@ -5,8 +5,7 @@
 import time
 
 from oakkeel.agent import messages
-from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.orders import Order
+from oakkeel.agent.instances import Goal, Instance, Order, Phase
 from oakkeel.agent.raft_runtime import RaftRuntime
 from oakkeel.agent.status_reporter import StatusReporter
 from oakkeel.agent.supervisor import Supervisor
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from oakkeel.agent.instances import Goal, Instance, Phase
-from oakkeel.agent.orders import Order, OrderRegistry, Task, TaskState, Verb
+from oakkeel.agent.instances import Goal, Instance, Order, Phase, Task, TaskState, Verb
+from oakkeel.agent.orders import OrderRegistry
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.commands import VersionSpec
--- /dev/null
+++ b/oakkeel/agent/supervision_rules.py
@@ -0,0 +1,141 @@
+"""The rules by which an agent starts, restarts, drains and kills instances. Free of I/O and of state."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
+from enum import Enum
+
+from oakkeel.agent.instances import Goal, Instance, Phase
+from oakkeel.backoff import exponential_delay, with_jitter
+from oakkeel.units import MS, SECOND
+
+CANCEL_DRAIN_RETRY_INTERVAL_NS = 200 * MS
+NODE_DRAIN_PERCENT = 90  # of the drain timeout: the node answers everything before it may be killed
+
+
+@dataclass(slots=True, frozen=True)
+class SupervisionTimeouts:
+    """Durations and limits of supervision, from `<supervision>` of the settings."""
+
+    silence_timeout_ns: int = 750 * MS  # without a report, until an instance is silent
+    start_timeout_ns: int = 10 * SECOND  # the same before the first report of a process
+    stuck_timeout_ns: int = 30 * SECOND  # silent, until it is stuck: longer than any client timeout
+    restart_stuck: bool = True
+    drain_timeout_ns: int = 10 * SECOND  # from SIGTERM to SIGKILL
+    min_backoff_ns: int = 500 * MS  # before the first restart; doubled by each consecutive crash
+    max_backoff_ns: int = 30 * SECOND
+    steady_after_ns: int = 30 * SECOND  # of serving, until earlier crashes no longer count as consecutive
+    max_restarts: int = 5  # within the restart window
+    restart_window_ns: int = 300 * SECOND
+    max_starting: int = 4  # processes of the host that start at the same time
+
+    @property
+    def node_drain_timeout_ns(self) -> int:
+        """The time that a node gets to answer what it has read."""
+        return self.drain_timeout_ns * NODE_DRAIN_PERCENT // 100
+
+
+# Fields by the names that the parser of the settings gives them.
+FIELD_OF_SETTING = {
+    "silent": "silence_timeout_ns",
+    "start": "start_timeout_ns",
+    "stuck": "stuck_timeout_ns",
+    "restart_stuck": "restart_stuck",
+    "drain": "drain_timeout_ns",
+    "backoff": "min_backoff_ns",
+    "backoff_most": "max_backoff_ns",
+    "steady": "steady_after_ns",
+    "budget": "max_restarts",
+    "window": "restart_window_ns",
+    "starting": "max_starting",
+}
+
+
+def timeouts_from_settings(settings: Mapping[str, int | bool]) -> SupervisionTimeouts:
+    """The timeouts of the settings, and the defaults for those that they do not name."""
+    fields = {FIELD_OF_SETTING[name]: value for name, value in settings.items()}
+    return replace(SupervisionTimeouts(), **fields)  # type: ignore[arg-type]
+
+
+class Action(Enum):
+    """What a step asks the executor to do."""
+
+    START = "start"  # start a process of the instance's new generation
+    TERM = "term"  # drain it by SIGTERM, for good
+    DRAIN = "leave"  # drain it by the control link, so that the drain can be cancelled
+    CANCEL_DRAIN = "stay"
+    KILL = "kill"
+
+
+@dataclass(slots=True, frozen=True)
+class RestartDecision:
+    """When a crashed instance may be started again."""
+
+    start_not_before: int
+    budget_spent: bool  # it waits until its oldest crash leaves the restart window
+
+
+def decide_restart(
+    now: int, crashes: deque[int], failures: int, timeouts: SupervisionTimeouts, random_value: float
+) -> RestartDecision:
+    """Decide when a crashed instance is started again.
+
+    A crash loop must not use up the host, so each of `failures` consecutive crashes doubles the backoff, and
+    the budget of the restart window bounds all restarts. `crashes` holds the crashes in the window with this
+    one; `random_value` is uniform in [0, 1).
+    """
+    delay = exponential_delay(timeouts.min_backoff_ns, timeouts.max_backoff_ns, failures)
+    start_not_before = now + with_jitter(delay, random_value)
+    if len(crashes) <= timeouts.max_restarts:
+        return RestartDecision(start_not_before, budget_spent=False)
+    window_end = crashes[0] + timeouts.restart_window_ns
+    return RestartDecision(max(start_not_before, window_end), budget_spent=True)
+
+
+def forget_old_crashes(now: int, crashes: deque[int], window_ns: int) -> None:
+    """Remove crashes that are no longer within the restart window."""
+    while crashes and crashes[0] <= now - window_ns:
+        crashes.popleft()
+
+
+def wants_start(now: int, instance: Instance) -> bool:
+    """Whether an instance without a process is to be started by now."""
+    return instance.goal is Goal.UP and now >= instance.start_not_before
+
+
+def has_generation_left(instance: Instance) -> bool:
+    """Whether a start may use a generation: one that was used before must never be used again."""
+    was_never_started = not instance.spawned and instance.process_generation != 0
+    return instance.generation < instance.generation_limit or was_never_started
+
+
+def next_drain_action(now: int, instance: Instance, timeouts: SupervisionTimeouts) -> Action | None:
+    """What a draining instance needs by now: only one that was asked to drain is killed, after its
+    timeout."""
+    since_sent = now - instance.drain_sent_at
+    if instance.drain_cancelled:
+        return Action.CANCEL_DRAIN if since_sent >= CANCEL_DRAIN_RETRY_INTERVAL_NS else None
+    if not instance.drain_sent_at:
+        return Action.DRAIN if instance.drain_cancellable else Action.TERM
+    if instance.kill_after_drain and since_sent >= timeouts.drain_timeout_ns:
+        return Action.KILL
+    return None
+
+
+def is_silent(now: int, instance: Instance, timeouts: SupervisionTimeouts) -> bool:
+    """Whether reports are missing for too long. Silence is no proof of death: nothing is restarted for it."""
+    silence = now - max(instance.last_report_at, instance.phase_since)
+    timeout = timeouts.silence_timeout_ns if instance.report else timeouts.start_timeout_ns
+    return silence > timeout
+
+
+def is_stuck(now: int, instance: Instance, timeouts: SupervisionTimeouts) -> bool:
+    """Whether a silent instance is silent for so long that no client waits for its answers any more."""
+    return now - instance.phase_since > timeouts.stuck_timeout_ns
+
+
+def is_unavailable(instance: Instance) -> bool:
+    """Whether an instance counts against the disruption budget of its site, for whatever cause."""
+    return instance.phase is not Phase.SERVING
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -1,61 +1,45 @@
-"""When to wait for an instance, start it, end it or let it rest. Free of I/O: time and chance are handed in.
+"""The state machine of a host's instances: it applies the rules of `supervision_rules`. Free of I/O.
 
-The acting half tells what happened (`heard`, `died`, `spawned`, ...), calls `tick` now and then, and carries
-out the steps that come back. Silence is never taken for death: only the end of the process proves that.
-Nothing is killed that was not told to leave first and given its drain time.
+Its caller reports events (`report_received`, `process_exited`, ...), calls `tick` periodically and executes
+the steps that it returns. Only the end of a process proves that an instance is down, never its silence.
+Nothing is killed that was not asked to drain first and given its drain timeout.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from enum import Enum
 from random import Random
 
-from oakkeel.agent.instances import REPORTED, TRANSITIONS, Goal, Instance, Phase
-from oakkeel.backoff import exponential_delay, with_jitter
-from oakkeel.units import MS, SECOND
-
-RECALL = 200 * MS  # from one word to a node that it may stay to the next
-
-
-@dataclass(slots=True, frozen=True)
-class SupervisionTimeouts:
-    """How long the agent waits for what. Nanoseconds, but for counts."""
-
-    silent: int = 750 * MS  # without a report, until an instance counts as silent
-    start: int = 10 * SECOND  # the same while its process has yet to open its control link
-    stuck: int = 30 * SECOND  # silent, until all it may have read is overdue: longer than any async timeout
-    restart_stuck: bool = True
-    drain: int = 10 * SECOND  # from SIGTERM to SIGKILL
-    backoff: int = 500 * MS  # before the first start after a death; doubled with each in a row
-    backoff_most: int = 30 * SECOND
-    steady: int = 30 * SECOND  # serving for so long ends a row of deaths
-    budget: int = 5  # starts after deaths within the window; then it rests until the window is over
-    window: int = 300 * SECOND
-    starting: int = 4  # processes of the host that may be starting at one time
-
-
-class Action(Enum):
-    """What a step asks the executor to do."""
-
-    START = "start"  # a process of the instance's new generation
-    TERM = "term"  # tell it to leave, for good
-    DRAIN = "leave"  # tell it to leave in a way that can be taken back
-    CANCEL_DRAIN = "stay"  # take that back
-    KILL = "kill"
+from oakkeel.agent.instances import REPORTED_PHASES, TRANSITIONS, Goal, Instance, Phase
+from oakkeel.agent.supervision_rules import (
+    Action,
+    SupervisionTimeouts,
+    decide_restart,
+    forget_old_crashes,
+    has_generation_left,
+    is_silent,
+    is_stuck,
+    is_unavailable,
+    next_drain_action,
+    wants_start,
+)
+from oakkeel.control.messages import NodeStatus
+from oakkeel.errors import InvalidTransitionError
+
+AGENT_NAME = "the agent"  # stored as who changed an instance that no operator did
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """Something for the acting half to do."""
+    """An action on an instance, for the executor."""
 
     action: Action
     instance: Instance
 
 
 class Supervisor:
-    """The instances of one host. `away` holds, by site, how many of them may be out at one time."""
+    """The instances of one host. `max_unavailable` is the host's part of the budget of each site."""
 
     def __init__(
         self,
@@ -65,208 +49,224 @@
         seed: int,
         unix_time: Callable[[], int],
     ) -> None:
-        """`unix` gives the time for people; no decision hangs on it."""
+        """`unix_time` returns the wall-clock time for display; no decision depends on it."""
         self.instances = list(instances)
-        self.timeouts, self.max_unavailable, self.unix_time = timeouts, max_unavailable, unix_time
+        self.timeouts = timeouts
+        self.max_unavailable = max_unavailable
+        self.unix_time = unix_time
         self.random = Random(seed).random
         self.unavailable = dict.fromkeys({each.site for each in self.instances}, 0)  # by site
         self.starting_count = 0
         for each in self.instances:
-            self.unavailable[each.site] += _out(each)
+            self.unavailable[each.site] += is_unavailable(each)
             self.starting_count += each.phase is Phase.STARTING
 
-    # What happened.
+    # Events.
 
     def report_received(
-        self, now: int, instance: Instance, state: str, generation: int, report: object
+        self, now: int, instance: Instance, state: str, generation: int, report: NodeStatus
     ) -> None:
-        """A report came. One of another generation is by a process that is not ours to believe."""
+        """Take the report of a node; one of another generation is ignored."""
         if not instance.alive:
-            return  # on its way since before it ended
+            return  # sent before its process ended
         if generation != instance.process_generation:
-            instance.why = f"generation {generation} answers in place of {instance.process_generation}"
+            instance.why = (
+                f"received a report of generation {generation}, expected {instance.process_generation}"
+            )
             return
-        instance.last_report_at, instance.report = now, report
-        instance.running_version = getattr(report, "version", "")
-        reported_phase = REPORTED[state]
-        if (instance.phase is not Phase.DRAINING and reported_phase is not instance.phase) or (
-            instance.drain_cancelled and reported_phase in (Phase.COLD, Phase.SERVING)
-        ):
-            instance.drain_cancelled = instance.drain_cancellable = instance.kill_after_drain = False
+        instance.last_report_at = now
+        instance.report = report
+        instance.running_version = report.version
+        reported_phase = REPORTED_PHASES[state]
+        has_moved = instance.phase is not Phase.DRAINING and reported_phase is not instance.phase
+        has_resumed = instance.drain_cancelled and reported_phase in (Phase.COLD, Phase.SERVING)
+        if has_moved or has_resumed:
+            instance.drain_cancelled = False
+            instance.drain_cancellable = False
+            instance.kill_after_drain = False
             self._transition(now, instance, reported_phase)
-        if instance.phase is Phase.SERVING and now - instance.phase_since > self.timeouts.steady:
+        if instance.phase is Phase.SERVING and now - instance.phase_since > self.timeouts.steady_after_ns:
             instance.failures = 0
 
     def process_started(self, now: int, instance: Instance) -> None:
-        """Its process is there."""
-        instance.spawned, instance.dirty = True, True
+        """Note that its process was started."""
+        instance.spawned = True
+        instance.dirty = True
 
     def start_failed(self, now: int, instance: Instance, why: str) -> None:
-        """No process came of it: as bad as one that dies at once."""
+        """Note that its process could not be started, which counts as a crash."""
         self.process_exited(now, instance, why)
 
     def process_adopted(self, now: int, instance: Instance, generation: int) -> None:
-        """Its process was found running when the agent started."""
-        instance.process_generation, instance.spawned = generation, True
+        """Take over a process that was running when the agent started."""
+        instance.process_generation = generation
+        instance.spawned = True
         instance.generation = max(instance.generation, generation)
-        instance.last_report_at = now  # it has its time to answer from now on
+        instance.last_report_at = now  # its silence timeout starts now
         instance.report = None
         if not instance.alive:
             self._transition(now, instance, Phase.STARTING)
-        instance.drain_sent_at = (
-            0  # it is told again: it may not have heard, and a second time changes nothing
-        )
+        instance.drain_sent_at = 0  # a drain is sent again: it may not have arrived, and is idempotent
+
+    def process_not_found(self, now: int, instance: Instance, recorded_generation: int) -> None:
+        """Note that it has no process when the agent starts.
 
-    def process_not_found(self, now: int, instance: Instance, written: int) -> None:
-        """No process of it is there when an agent starts. `written` is the generation that the last one told
-        before its program began: by that it is known whether one was ever made."""
+        `recorded_generation` is the one that its last process wrote to the pid file before its program began:
+        it shows whether a process was ever started.
+        """
         if not instance.alive:
             return
-        if instance.spawned or written == instance.process_generation:
-            self.process_exited(now, instance, "ended while no agent watched")
+        if instance.spawned or recorded_generation == instance.process_generation:
+            self.process_exited(now, instance, "its process ended while no agent was running")
         else:
             self.start_abandoned(now, instance)
 
     def start_abandoned(self, now: int, instance: Instance) -> None:
-        """The agent ended between deciding on a process and making it."""
+        """Note that a start was decided and its process never started."""
         instance.start_not_before = now
         self._transition(now, instance, Phase.STOPPED)
 
     def process_exited(self, now: int, instance: Instance, why: str) -> None:
-        """Its process has ended: proved, not guessed."""
+        """Note that its process has ended: after a drain it is stopped, otherwise it has crashed."""
         if not instance.alive:
             return
-        expected = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
-        instance.drain_sent_at, instance.kill_after_drain, instance.report = 0, False, None
-        instance.drain_cancellable = instance.drain_cancelled = False
-        if expected:
+        is_expected = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
+        instance.drain_sent_at = 0
+        instance.kill_after_drain = False
+        instance.report = None
+        instance.drain_cancellable = False
+        instance.drain_cancelled = False
+        if is_expected:
             instance.start_not_before = now
             self._transition(now, instance, Phase.STOPPED)
-            return
+        else:
+            self._record_crash(now, instance, why)
+            self._transition(now, instance, Phase.FAILING)
+
+    def _record_crash(self, now: int, instance: Instance, why: str) -> None:
+        """Count a crash and set when the instance may be started again."""
         timeouts = self.timeouts
-        instance.why, instance.crash_count = why, instance.crash_count + 1
+        instance.why = why
+        instance.crash_count += 1
         instance.crashes.append(now)
-        while instance.crashes and instance.crashes[0] <= now - timeouts.window:
-            instance.crashes.popleft()
-        while len(instance.crashes) > timeouts.budget + 1:
+        forget_old_crashes(now, instance.crashes, timeouts.restart_window_ns)
+        while len(instance.crashes) > timeouts.max_restarts + 1:
             instance.crashes.popleft()
-        delay = exponential_delay(timeouts.backoff, timeouts.backoff_most, instance.failures)
+        decision = decide_restart(now, instance.crashes, instance.failures, timeouts, self.random())
         instance.failures += 1
-        instance.start_not_before = now + with_jitter(delay, self.random())
-        if len(instance.crashes) > timeouts.budget:
+        instance.start_not_before = decision.start_not_before
+        if decision.budget_spent:
             instance.restarts_exhausted = True
-            instance.start_not_before = max(instance.start_not_before, instance.crashes[0] + timeouts.window)
-        self._transition(now, instance, Phase.FAILING)
 
-    # What is wanted.
+    # Commands.
 
     def order_start(self, now: int, instance: Instance) -> None:
-        """By an order: at once, whatever it did before."""
-        instance.goal, instance.dirty = Goal.UP, True
-        instance.start_not_before, instance.failures, instance.restarts_exhausted = now, 0, False
+        """Start it without backoff and with a new restart budget."""
+        instance.goal = Goal.UP
+        instance.dirty = True
+        instance.start_not_before = now
+        instance.failures = 0
+        instance.restarts_exhausted = False
         instance.crashes.clear()
 
-    def order_stop(self, now: int, instance: Instance, kill: bool, soft: bool = False) -> None:
-        """By an order: drained, and killed after its drain time if `kill`. One that leaves softly can be
-        called back."""
-        instance.goal, instance.dirty = Goal.DOWN, True
+    def order_stop(self, now: int, instance: Instance, kill: bool, cancellable: bool = False) -> None:
+        """Drain it; with `kill` it is killed after its drain timeout, with `cancellable` it can be
+        resumed."""
+        instance.goal = Goal.DOWN
+        instance.dirty = True
         if instance.phase is Phase.FAILING:
             self._transition(now, instance, Phase.STOPPED)
         elif instance.alive:
-            instance.drain_cancellable = soft
+            instance.drain_cancellable = cancellable
             self._drain(now, instance, kill)
 
     def cancel_stop(self, now: int, instance: Instance) -> None:
-        """By a cancel: it takes work again, or is started anew where it has ended by then."""
+        """Cancel its drain, or start it again if its process has ended."""
         self.order_start(now, instance)
         if instance.phase is Phase.DRAINING and instance.drain_cancellable:
-            instance.drain_cancelled, instance.drain_sent_at = True, 0
+            instance.drain_cancelled = True
+            instance.drain_sent_at = 0
 
-    def revert_unsent_drain(self, now: int, instance: Instance, state: str) -> None:
-        """It was to leave and was never told; `state` is what it reported last."""
-        instance.goal, instance.dirty = Goal.UP, True
-        instance.drain_cancellable = instance.kill_after_drain = instance.drain_cancelled = False
+    def revert_unsent_drain(self, now: int, instance: Instance, reported_state: str) -> None:
+        """Revert a drain that was not sent to the process. `reported_state` is the last state it reported."""
+        instance.goal = Goal.UP
+        instance.dirty = True
+        instance.drain_cancellable = False
+        instance.kill_after_drain = False
+        instance.drain_cancelled = False
         instance.drain_sent_at = 0
         if instance.phase is Phase.DRAINING:
-            self._transition(now, instance, Phase.SERVING if state == "serving" else Phase.COLD)
+            self._transition(now, instance, Phase.SERVING if reported_state == "serving" else Phase.COLD)
 
     def order_restart(self, now: int, instance: Instance) -> None:
-        """By an order: drained, and started again."""
+        """Drain it, kill it after its drain timeout, and start it again."""
         self.order_start(now, instance)
         if instance.alive:
             self._drain(now, instance, True)
 
     def has_capacity(self, instance: Instance) -> bool:
-        """Whether it may be taken out: what is out counts whoever took it, or if it died."""
-        return _out(instance) or self.unavailable[instance.site] < self.max_unavailable[instance.site]
+        """Whether it may be taken out: whatever is unavailable counts, also what has crashed."""
+        has_budget = self.unavailable[instance.site] < self.max_unavailable[instance.site]
+        return is_unavailable(instance) or has_budget
 
     def tick(self, now: int) -> list[Step]:
-        """What is to be done by now. Called often; each step comes once."""
+        """Return the steps that are due; each is returned once."""
         steps = []
         for instance in self.instances:
-            phase = instance.phase
-            if phase in (Phase.STOPPED, Phase.FAILING):
-                if (
-                    instance.goal is Goal.UP
-                    and now >= instance.start_not_before
-                    and self._has_generation_left(instance)
-                    and self.starting_count < self.timeouts.starting
-                ):
-                    self._start(now, instance)
-                    steps.append(Step(Action.START, instance))
-            elif phase is Phase.DRAINING:
-                if instance.drain_cancelled:
-                    if now - instance.drain_sent_at >= RECALL:
-                        instance.drain_sent_at = now
-                        steps.append(Step(Action.CANCEL_DRAIN, instance))
-                elif not instance.drain_sent_at:
-                    instance.drain_sent_at = now
-                    steps.append(Step(Action.DRAIN if instance.drain_cancellable else Action.TERM, instance))
-                elif instance.kill_after_drain and now - instance.drain_sent_at >= self.timeouts.drain:
-                    instance.drain_sent_at = now  # should even that not be enough
-                    steps.append(Step(Action.KILL, instance))
-            else:
-                self._check_silence(now, instance)
+            if action := self._next_action(now, instance):
+                steps.append(Step(action, instance))
         return steps
 
-    def _has_generation_left(self, instance: Instance) -> bool:
-        """Whether it may have a generation more: a number that was used before must never come again."""
-        if instance.generation < instance.generation_limit or (
-            not instance.spawned and instance.process_generation
-        ):
-            return True
-        instance.why = "no generation is left for it until the record is heard"
-        return False
+    def _next_action(self, now: int, instance: Instance) -> Action | None:
+        if instance.phase in (Phase.STOPPED, Phase.FAILING):
+            if not self._may_start(now, instance):
+                return None
+            self._start(now, instance)
+            return Action.START
+        if instance.phase is Phase.DRAINING:
+            action = next_drain_action(now, instance, self.timeouts)
+            if action is not None:
+                instance.drain_sent_at = now  # a kill is repeated after the same timeout
+            return action
+        self._check_silence(now, instance)
+        return None
+
+    def _may_start(self, now: int, instance: Instance) -> bool:
+        if not wants_start(now, instance):
+            return False
+        if not has_generation_left(instance):
+            instance.why = "no reserved generation is left; it is started once the leader reserves more"
+            return False
+        return self.starting_count < self.timeouts.max_starting
 
     def _check_silence(self, now: int, instance: Instance) -> None:
-        timeouts, silence = self.timeouts, now - max(instance.last_report_at, instance.phase_since)
         if instance.phase is Phase.SILENT:
-            if now - instance.phase_since > timeouts.stuck:
+            if is_stuck(now, instance, self.timeouts):
                 self._transition(now, instance, Phase.STUCK)
         elif instance.phase is Phase.STUCK:
-            if timeouts.restart_stuck and self._spend_restart(now, instance):
-                instance.why = "stuck"
+            if self.timeouts.restart_stuck and self._spend_restart(now, instance):
+                instance.why = "stuck: it sent no report for the stuck timeout"
                 self._drain(now, instance, True)
-        elif silence > (timeouts.start if not instance.report else timeouts.silent):
+        elif is_silent(now, instance, self.timeouts):
             self._transition(now, instance, Phase.SILENT)
 
     def _spend_restart(self, now: int, instance: Instance) -> bool:
-        """Book a restart on the budget, if it has room."""
-        while instance.crashes and instance.crashes[0] <= now - self.timeouts.window:
-            instance.crashes.popleft()
-        if len(instance.crashes) >= self.timeouts.budget:
+        """Charge a restart to the restart budget; False if it is spent."""
+        forget_old_crashes(now, instance.crashes, self.timeouts.restart_window_ns)
+        if len(instance.crashes) >= self.timeouts.max_restarts:
             return False
         instance.crashes.append(now)
         return True
 
     def _start(self, now: int, instance: Instance) -> None:
-        """A new generation, unless the last one is known never to have been there."""
+        """Use a new generation, unless the last one is known never to have been started."""
         if instance.spawned or not instance.process_generation:
             instance.generation += 1
-            instance.process_generation, instance.spawned = instance.generation, False
+            instance.process_generation = instance.generation
+            instance.spawned = False
             instance.changed_at = self.unix_time()
             if instance.task is None:
-                instance.changed_by = "the agent"
+                instance.changed_by = AGENT_NAME
         instance.restarts_exhausted = False
         instance.last_report_at = now
         self._transition(now, instance, Phase.STARTING)
@@ -278,15 +278,13 @@
             self._transition(now, instance, Phase.DRAINING)
 
     def _transition(self, now: int, instance: Instance, phase: Phase) -> None:
-        """The one place where a phase changes."""
+        """Change the phase; no other function does. Raises InvalidTransitionError."""
         if phase not in TRANSITIONS[instance.phase]:
-            raise RuntimeError(f"{instance.name}: {instance.phase.value} to {phase.value}")
-        self.unavailable[instance.site] -= _out(instance)
+            raise InvalidTransitionError(instance.name, instance.phase.value, phase.value)
+        self.unavailable[instance.site] -= is_unavailable(instance)
         self.starting_count -= instance.phase is Phase.STARTING
-        instance.phase, instance.phase_since, instance.dirty = phase, now, True
-        self.unavailable[instance.site] += _out(instance)
+        instance.phase = phase
+        instance.phase_since = now
+        instance.dirty = True
+        self.unavailable[instance.site] += is_unavailable(instance)
         self.starting_count += phase is Phase.STARTING
-
-
-def _out(instance: Instance) -> bool:
-    return instance.phase is not Phase.SERVING
--- /dev/null
+++ b/oakkeel/agent/target_status.py
@@ -0,0 +1,63 @@
+"""What a heartbeat reports of one target: its status for releases, and its requests in flight."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from oakkeel.agent.instances import Instance, Phase
+from oakkeel.control.messages import NodeStatus
+from oakkeel.rollout.gates import Samples
+from oakkeel.rollout.messages import TargetStatus
+from oakkeel.rollout.sequential import Sums
+
+NO_REPORT_AGE = -1
+SUMS_LENGTH = 3  # count, sum and sum of squares
+MAX_SUMMARY_LENGTH = 200  # characters
+
+
+def service_status(name: str, up: bool) -> TargetStatus:
+    """The status of a downstream service, which has neither version nor generation."""
+    return TargetStatus(name, "", 0, "serving" if up else "stopped", 0)
+
+
+def instance_status(now: int, instance: Instance, collect_samples: bool) -> TargetStatus:
+    """The status of an instance, with the samples of its process if they are collected."""
+    report = instance.report
+    status = TargetStatus(
+        instance.name,
+        instance.running_version,
+        instance.generation,
+        instance.phase.value,
+        now - instance.last_report_at if report is not None else NO_REPORT_AGE,
+        instance.restarts_exhausted,
+        instance.crash_count,
+    )
+    if isinstance(report, NodeStatus):
+        status.load = report.load
+        if collect_samples and len(report.earned_weight) == SUMS_LENGTH:
+            status.samples = _samples(report)
+    return status
+
+
+def _samples(report: NodeStatus) -> Samples:
+    latencies = {
+        request_class: Sums(*sums)
+        for request_class, sums in report.latencies.items()
+        if len(sums) == SUMS_LENGTH
+    }
+    return Samples(Sums(*report.earned_weight), report.rejected, report.failed, report.resident_kb, latencies)
+
+
+def in_flight_summary(instance: Instance) -> str:
+    """The requests that a draining node has yet to answer, for display; empty if it does not drain."""
+    report: Any = instance.report
+    if instance.phase is not Phase.DRAINING or not getattr(report, "owes", 0):
+        return ""
+    classes = ", ".join(f"{count} {name}" for name, count in sorted(report.owes_by.items()))
+    summary = (
+        f"{report.owes}: {report.hold} held, {report.runs} running, {report.calls} at calls"
+        f" on {report.connections} connections"
+    )
+    if classes:
+        summary += f"; {classes}"
+    return summary[:MAX_SUMMARY_LENGTH]
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from oakkeel.agent.orders import Verb
+from oakkeel.agent.instances import Verb
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import OPEN_STATES
 from oakkeel.rollout.controller import RolloutController
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -10,7 +10,8 @@
 from oakkeel.agent.leader_locator import LeaderLocator
 from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.reconciler import Reconciler
-from oakkeel.agent.supervisor import Action, Step, SupervisionTimeouts, Supervisor
+from oakkeel.agent.supervision_rules import Action, SupervisionTimeouts
+from oakkeel.agent.supervisor import Step, Supervisor
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.messages import HeartbeatResponse
 from oakkeel.rollout.assignments import ArtifactRequest
@@ -21,7 +22,9 @@
 
 TICK_INTERVAL = 100 * MS
 HEARTBEAT_INTERVAL = 150 * MS
-SUPERVISION_TIMEOUTS = SupervisionTimeouts(backoff=300 * MS, steady=2 * SECOND, drain=3 * SECOND)
+SUPERVISION_TIMEOUTS = SupervisionTimeouts(
+    min_backoff_ns=300 * MS, steady_after_ns=2 * SECOND, drain_timeout_ns=3 * SECOND
+)
 
 
 @dataclass(slots=True, eq=False)
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -6,7 +6,8 @@
 from typing import TYPE_CHECKING
 
 from oakkeel.agent.instances import Goal
-from oakkeel.agent.supervisor import Action, Step
+from oakkeel.agent.supervision_rules import Action
+from oakkeel.agent.supervisor import Step
 from oakkeel.control.messages import NodeStatus
 from oakkeel.units import MS, SECOND
 
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -14,7 +14,7 @@
 from oakkeel.agent.agent import Agent
 from oakkeel.agent.instances import Phase
 from oakkeel.agent.processes import Processes
-from oakkeel.agent.supervisor import SupervisionTimeouts
+from oakkeel.agent.supervision_rules import SupervisionTimeouts
 from oakkeel.fakes.crashing import PROGRAM
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentClients, request_once
@@ -26,7 +26,11 @@
 
 WAIT = 20.0
 FAST = SupervisionTimeouts(
-    silent=400 * MS, start=3 * SECOND, stuck=60 * SECOND, drain=SECOND, backoff=50 * MS
+    silence_timeout_ns=400 * MS,
+    start_timeout_ns=3 * SECOND,
+    stuck_timeout_ns=60 * SECOND,
+    drain_timeout_ns=SECOND,
+    min_backoff_ns=50 * MS,
 )
 
 
--- a/tests/agent/simulated_host.py
+++ b/tests/agent/simulated_host.py
@@ -3,12 +3,15 @@
 import time
 import unittest
 
-from oakkeel.agent.instances import Instance, Phase
-from oakkeel.agent.orders import OrderRegistry, Verb
-from oakkeel.agent.supervisor import Action, SupervisionTimeouts, Supervisor
+from oakkeel.agent.instances import Instance, Phase, Verb
+from oakkeel.agent.order_rules import OrderSubmission
+from oakkeel.agent.orders import OrderRegistry
+from oakkeel.agent.supervision_rules import Action, SupervisionTimeouts
+from oakkeel.agent.supervisor import Supervisor
+from oakkeel.control.messages import NodeStatus
 from oakkeel.units import MS, SECOND
 
-REPORT = object()
+REPORT = NodeStatus(0, "", 0, 0, "", "", 0)
 
 
 class SimulatedHost:
@@ -65,7 +68,8 @@
         asked = tuple(
             (each.name, each.generation if generation is None else generation) for each in instances
         )
-        return self.orders.submit(self.now, ident, operator, verb, asked, lasts, supersede)
+        submission = OrderSubmission(ident, operator, verb, asked, lasts, supersede)
+        return self.orders.submit(self.now, submission)
 
     def died(self, instance: Instance) -> None:
         self.supervisor.process_exited(self.now, instance, "killed by SIGSEGV")
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -10,7 +10,7 @@
 from oakkeel.agent import messages
 from oakkeel.agent.instances import Phase
 from oakkeel.agent.processes import Process, started
-from oakkeel.agent.supervisor import SupervisionTimeouts
+from oakkeel.agent.supervision_rules import SupervisionTimeouts
 from oakkeel.units import MS, SECOND
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
@@ -40,7 +40,11 @@
 
     async def test_treats_an_instance_that_never_answers_as_silent(self):
         self.script("n1", "mute")
-        agent = await self.agent(SupervisionTimeouts(silent=400 * MS, start=500 * MS, backoff=50 * MS))
+        agent = await self.agent(
+            SupervisionTimeouts(
+                silence_timeout_ns=400 * MS, start_timeout_ns=500 * MS, min_backoff_ns=50 * MS
+            )
+        )
         await self.until(lambda: self.of(agent, "n1").phase is Phase.SILENT)
         self.script("n1", "")
         await self.until(lambda: self.of(agent, "n1").phase is Phase.SERVING)
@@ -48,9 +52,13 @@
 
     async def test_ignores_reports_of_an_old_generation(self):
         self.script("n1", "old")
-        agent = await self.agent(SupervisionTimeouts(silent=400 * MS, start=500 * MS, backoff=50 * MS))
+        agent = await self.agent(
+            SupervisionTimeouts(
+                silence_timeout_ns=400 * MS, start_timeout_ns=500 * MS, min_backoff_ns=50 * MS
+            )
+        )
         await self.until(lambda: self.of(agent, "n1").phase is Phase.SILENT)
-        self.assertIn("generation 0 answers in place of 1", self.of(agent, "n1").why)
+        self.assertIn("received a report of generation 0, expected 1", self.of(agent, "n1").why)
 
     async def test_restarts_a_killed_process_with_a_new_generation(self):
         agent = await self.agent()
@@ -62,7 +70,9 @@
 
     async def test_stops_restarting_a_crash_loop_while_others_serve(self):
         self.script("n1", "crash")
-        agent = await self.agent(SupervisionTimeouts(backoff=10 * MS, budget=3, silent=400 * MS))
+        agent = await self.agent(
+            SupervisionTimeouts(min_backoff_ns=10 * MS, max_restarts=3, silence_timeout_ns=400 * MS)
+        )
         n1 = self.of(agent, "n1")
         await self.until(lambda: n1.restarts_exhausted)
         count = len(self.starts("n1"))
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -36,7 +36,7 @@
         states = sorted(answer.tasks[0].state for answer in (first, second))
         self.assertEqual(states[0], "refused")
         refused, stands = (first, second) if first.tasks[0].state == "refused" else (second, first)
-        self.assertIn(f"{stands.operator}'s {stands.verb} stands since", refused.tasks[0].why)
+        self.assertIn(f"{stands.operator}'s {stands.verb} is open since", refused.tasks[0].why)
         self.assertEqual(await self.ended(stands.order_id), {"n1": "done"})
 
     async def test_rolling_restart_respects_the_limit_and_starts_each_once(self):
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from oakkeel.agent.instances import Goal, Phase
-from oakkeel.agent.orders import OrderRejectedError, TaskState, Verb
-from oakkeel.agent.supervisor import Action
+from oakkeel.agent.instances import Goal, Phase, TaskState, Verb
+from oakkeel.agent.order_rules import OrderRejectedError, OrderSubmission
+from oakkeel.agent.supervision_rules import Action
 from oakkeel.units import MS, SECOND
 from tests.agent.simulated_host import HostTestCase, SimulatedHost
 
@@ -24,7 +24,7 @@
         self.assertEqual([act for act, _ in host.steps].count(Action.START), 4)
 
     def test_crashed_instance_counts_as_unavailable(self):
-        host = self.serving(away=1, backoff=20 * SECOND)
+        host = self.serving(away=1, min_backoff_ns=20 * SECOND)
         host.died(host.instances[0])
         order = host.take(Verb.DRAIN, host.instances[1])
         host.run(5)
@@ -43,7 +43,7 @@
         self.assertEqual(
             (first.tasks[0].state, second.tasks[0].state), (TaskState.WAITING, TaskState.REFUSED)
         )
-        self.assertIn("asha's drain stands since", second.tasks[0].why)
+        self.assertIn("asha's drain is open since", second.tasks[0].why)
         host.run(2)
         self.assertEqual((instance.phase, instance.goal), (Phase.STOPPED, Goal.DOWN))
 
@@ -54,7 +54,7 @@
         host.deaf.add(instance)
         host.run(0.5)
         refused = host.take(Verb.DRAIN, instance, ident="o2", operator="ravi")
-        self.assertIn("asha's restart stands", refused.tasks[0].why)
+        self.assertIn("asha's restart is open", refused.tasks[0].why)
         second = host.take(Verb.DRAIN, instance, ident="o3", operator="ravi", supersede=True)
         self.assertEqual(
             (first.tasks[0].state, second.tasks[0].state), (TaskState.SUPERSEDED, TaskState.WAITING)
@@ -113,7 +113,7 @@
         )
 
     def test_stop_kills_and_drain_does_not(self):
-        host = self.serving(away=2, drain=5 * SECOND)
+        host = self.serving(away=2, drain_timeout_ns=5 * SECOND)
         drained, stopped = host.instances[:2]
         host.deaf |= {drained, stopped}
         slow = host.take(Verb.DRAIN, drained, lasts=30 * SECOND)
@@ -141,7 +141,7 @@
         self.assertIsNone(host.instances[0].task)
 
     def test_fails_a_restart_in_a_crash_loop_with_the_reason(self):
-        host = self.serving(budget=3, away=4)
+        host = self.serving(max_restarts=3, away=4)
         order = host.take(Verb.RESTART, host.instances[0], lasts=600 * SECOND)
         for _ in range(600):
             if host.instances[0].phase is Phase.STARTING:
@@ -167,8 +167,9 @@
         one = host.instances[0]
         for asked in ((), ((one.name, 1), (one.name, 1)), tuple((f"x{n}", 1) for n in range(9))):
             with self.assertRaises(OrderRejectedError):
-                host.orders.submit(host.now, "o1", "asha", Verb.STOP, asked, SECOND)
-        self.assertEqual(host.orders.submit(host.now, "o1", "asha", Verb.STOP, (("x", 1),), SECOND).tasks, [])
+                host.orders.submit(host.now, OrderSubmission("o1", "asha", Verb.STOP, asked, SECOND))
+        unknown = OrderSubmission("o1", "asha", Verb.STOP, (("x", 1),), SECOND)
+        self.assertEqual(host.orders.submit(host.now, unknown).tasks, [])
 
     def test_deletes_the_oldest_ended_orders_beyond_the_limit(self):
         host = self.serving(away=4)
@@ -185,7 +186,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.host = SimulatedHost(names=5, away=2, starting=5)
+        self.host = SimulatedHost(names=5, away=2, max_starting=5)
         self.host.run(2)
         self.number = 0
 
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -4,10 +4,12 @@
 import tempfile
 import unittest
 
-from oakkeel.agent.instances import Instance, Phase
-from oakkeel.agent.orders import OrderRegistry, TaskState, Verb
+from oakkeel.agent.instances import Instance, Phase, TaskState, Verb
+from oakkeel.agent.order_rules import OrderSubmission
+from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.storage import SCHEMA, VERSION, restore_orders, statements
-from oakkeel.agent.supervisor import SupervisionTimeouts, Supervisor
+from oakkeel.agent.supervision_rules import SupervisionTimeouts
+from oakkeel.agent.supervisor import Supervisor
 from oakkeel.store.database import Database
 from oakkeel.units import SECOND
 
@@ -27,7 +29,8 @@
         store = Database(os.path.join(folder, "agent.db"), SCHEMA, VERSION)
         self.addCleanup(store.close)
         before, after = registry(), registry()
-        order = before.submit(SECOND, "o1", "asha", Verb.RESTART, (("n1", 3),), 60 * SECOND)
+        submission = OrderSubmission("o1", "asha", Verb.RESTART, (("n1", 3),), 60 * SECOND)
+        order = before.submit(SECOND, submission)
         before.advance(SECOND)
         store.write(statements([], [order], []))
 
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -2,16 +2,15 @@
 
 from itertools import pairwise
 
-from oakkeel.agent.instances import Phase
-from oakkeel.agent.orders import Verb
-from oakkeel.agent.supervisor import Action
+from oakkeel.agent.instances import Phase, Verb
+from oakkeel.agent.supervision_rules import Action
 from oakkeel.units import MS, SECOND
 from tests.agent.simulated_host import REPORT, HostTestCase, SimulatedHost
 
 
 class SupervisorTest(HostTestCase):
     def test_limits_processes_that_start_at_one_time(self):
-        host = SimulatedHost(names=7, starting=3)
+        host = SimulatedHost(names=7, max_starting=3)
         self.assertEqual(len(host.tick()), 3)
         self.assertEqual(host.tick(), [])
         host.run(1)
@@ -27,7 +26,7 @@
         self.assertEqual((quiet.phase, host.steps), (Phase.SERVING, []))
 
     def test_drains_a_stuck_instance_before_killing_it(self):
-        host = self.serving(stuck=20 * SECOND, drain=5 * SECOND)
+        host = self.serving(stuck_timeout_ns=20 * SECOND, drain_timeout_ns=5 * SECOND)
         stuck = host.instances[0]
         host.quiet.add(stuck)
         host.deaf.add(stuck)
@@ -40,13 +39,13 @@
         self.assertEqual(host.steps, [(Action.TERM, stuck), (Action.KILL, stuck), (Action.START, stuck)])
 
     def test_leaves_a_stuck_instance_where_restart_stuck_is_off(self):
-        host = self.serving(stuck=5 * SECOND, restart_stuck=False)
+        host = self.serving(stuck_timeout_ns=5 * SECOND, restart_stuck=False)
         host.quiet.add(host.instances[0])
         host.run(60)
         self.assertEqual((host.instances[0].phase, host.steps), (Phase.STUCK, []))
 
     def test_backs_off_in_a_crash_loop_until_the_budget_is_spent(self):
-        host = self.serving(budget=4, window=300 * SECOND, backoff=SECOND)
+        host = self.serving(max_restarts=4, restart_window_ns=300 * SECOND, min_backoff_ns=SECOND)
         looping, starts = host.instances[0], []
         for _ in range(2000):
             if looping.phase is Phase.STARTING:
@@ -65,13 +64,13 @@
         self.assertEqual(looping.phase, Phase.STARTING)  # an operator's word ends the rest
 
     def test_backoff_differs_between_instances_that_crash_together(self):
-        host = self.serving(names=8, starting=8)
+        host = self.serving(names=8, max_starting=8)
         for each in host.instances:
             host.died(each)
         self.assertGreater(len({each.start_not_before for each in host.instances}), 6)
 
     def test_steady_service_resets_the_crash_count(self):
-        host = self.serving(steady=10 * SECOND)
+        host = self.serving(steady_after_ns=10 * SECOND)
         host.died(host.instances[0])
         host.run(5)
         self.assertEqual(host.instances[0].failures, 1)
@@ -87,7 +86,8 @@
             host.now, instance, "draining", instance.process_generation - 1, REPORT
         )
         self.assertEqual((instance.phase, instance.last_report_at), (Phase.SERVING, heard))
-        self.assertIn("answers in place of", instance.why)
+        expected = instance.process_generation
+        self.assertEqual(instance.why, f"received a report of generation {expected - 1}, expected {expected}")
 
     def test_ignores_a_report_after_the_process_exited(self):
         host = self.serving()
@@ -102,7 +102,7 @@
         host.tick()
         made = host.instances[0]
         made.spawned = False  # the agent ended before it could keep that
-        host.supervisor.process_not_found(host.now, made, written=made.process_generation)
+        host.supervisor.process_not_found(host.now, made, recorded_generation=made.process_generation)
         self.assertEqual((made.phase, len(made.crashes)), (Phase.FAILING, 1))
 
     def test_adopts_a_found_process_and_reuses_the_generation_of_one_never_started(self):
@@ -112,6 +112,6 @@
         self.assertEqual((found.phase, found.generation), (Phase.STARTING, 5))
         steps = [step.instance for step in host.supervisor.tick(host.now)]
         self.assertNotIn(found, steps)
-        host.supervisor.process_not_found(host.now, never, written=0)
+        host.supervisor.process_not_found(host.now, never, recorded_generation=0)
         host.supervisor.tick(host.now)
         self.assertEqual((never.phase, never.process_generation), (Phase.STARTING, 1))
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -105,7 +105,7 @@
         self.assertEqual(code, 0)
         code, out, _ = await self.oakkeel("restart", "n1", operator="ravi")
         self.assertEqual(code, 1)
-        self.assertIn("asha's drain stands since", out)
+        self.assertIn("asha's drain is open since", out)
         code, out, _ = await self.oakkeel("restart", "n1", "--supersede", operator="ravi")
         self.assertEqual((code, "done" in out), (0, True), out)
         code, out, _ = await self.oakkeel("drain", "n2", operator="lena")
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -3,10 +3,12 @@
 import unittest
 from types import SimpleNamespace
 
-from oakkeel.agent.instances import Instance, Phase
+from oakkeel.agent.instances import Instance, Phase, TaskState, Verb
 from oakkeel.agent.leader_locator import LeaderLocator
-from oakkeel.agent.orders import OrderRegistry, TaskState, Verb
-from oakkeel.agent.supervisor import SupervisionTimeouts, Supervisor
+from oakkeel.agent.order_rules import OrderSubmission
+from oakkeel.agent.orders import OrderRegistry
+from oakkeel.agent.supervision_rules import SupervisionTimeouts
+from oakkeel.agent.supervisor import Supervisor
 from oakkeel.disruption import commands
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.lease_holder import LeaseHolder
@@ -35,9 +37,11 @@
                 spawned=True,
                 generation_limit=9,
             )
-            supervision = Supervisor([instance], SupervisionTimeouts(silent=SECOND * 60), {}, 1, lambda: 0)
+            supervision = Supervisor(
+                [instance], SupervisionTimeouts(silence_timeout_ns=SECOND * 60), {}, 1, lambda: 0
+            )
             orders = OrderRegistry(supervision, lambda: 0, permit_holder=holder)
-            orders.submit(self.now, "o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND)
+            orders.submit(self.now, OrderSubmission("o1", "asha", Verb.DRAIN, (("a", 1),), 60 * SECOND))
             orders.advance(self.now)
             [step] = supervision.tick(self.now)
             self.assertTrue(holder.permits["a"].started)
