--- a/measure/plan.py
+++ b/measure/plan.py
@@ -42,7 +42,7 @@
     topology = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
     planner = BatchPlanner(topology)
     random = Random(1)
-    found = {}
+    found: dict[str, float] = {}
     for label, most, out_share in (
         ("one", 1, 0.0),
         ("as many as may be", 500, 0.0),
@@ -83,9 +83,8 @@
             if target in self.drained_at:
                 self.durations.setdefault(target, now - self.drained_at[target])
 
-        # type: ignore[method-assign]
-        simulation.audit.drain_started = on_drain
-        simulation.audit.serving = on_serving
+        simulation.audit.drain_started = on_drain  # type: ignore[method-assign]
+        simulation.audit.serving = on_serving  # type: ignore[method-assign]
 
 
 def _draw_schedule(seed: int, deaths: int, kills: int) -> Schedule:
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -1,7 +1,7 @@
-"""Changes of policy in simulated time: leaders come and go, hosts have clocks of their own, nodes stop.
+"""Changes of policy in simulated time, while leaders change, processes stop and messages are late or lost.
 
-The record itself is taken as agreed (`emulator/agreement.py` plays that); what is drawn is who leads when,
-which messages come late or never, and what dies or stands still. Nodes decide exchanges all the time.
+Commands are committed at once: `emulator/consensus.py` simulates the replicated log. Each host has a clock of
+its own rate. Nodes decide requests all the time, and the audit checks under which version they do.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 )
 from oakkeel.units import MS, SECOND
 
-TERMS = PermitTimeouts()
-POLL = 150 * MS
-TELL = 50 * MS
-DECIDE = 40 * MS
+PERMIT_TIMEOUTS = PermitTimeouts()
+HEARTBEAT_INTERVAL_NS = 150 * MS
+LEASE_RENEWAL_INTERVAL_NS = 50 * MS
+MAX_DECISION_INTERVAL_NS = 40 * MS
 
 
 class PolicyNode:
     """A node that decides requests all the time, while its lease holds."""
 
     def __init__(self, host: PolicyHost, name: str) -> None:
-        """Start it on a host."""
+        """Start the node on a host."""
         self.host = host
         self.name = name
         self.lease = NodePolicyLease()
@@ -43,20 +43,20 @@
         self.incarnation = 0
         self.inbox: list[tuple[int, int]] = []
         host.agent.node_started(name)
-        host.simulation.clock.after(host.random.randrange(DECIDE), self.decide, 0)
+        host.simulation.clock.after(host.random.randrange(MAX_DECISION_INTERVAL_NS), self.decide, 0)
 
     def start(self) -> None:
-        """Start another process of it, which knows nothing."""
+        """Start another process of the node; it holds no lease."""
         self.incarnation += 1
         self.lease = NodePolicyLease()
         self.inbox = []
         self.stopped = False
         self.host.agent.node_stopped(self.name)
         self.host.agent.node_started(self.name)
-        self.host.simulation.clock.after(DECIDE, self.decide, self.incarnation)
+        self.host.simulation.clock.after(MAX_DECISION_INTERVAL_NS, self.decide, self.incarnation)
 
     def decide(self, incarnation: int) -> None:
-        """Decide a request; what came while it stood still is read after that."""
+        """Decide a request, then read the renewals received since the last one, as after a stop."""
         if incarnation != self.incarnation:
             return
         simulation = self.host.simulation
@@ -70,43 +70,47 @@
                 self.lease.renew(now, number, until)
             if received:
                 self.host.agent.node_reported(self.name, self.lease.number)
-        simulation.clock.after(self.host.random.randrange(DECIDE // 4, DECIDE), self.decide, incarnation)
+        simulation.clock.after(
+            self.host.random.randrange(MIN_DECISION_INTERVAL_NS, MAX_DECISION_INTERVAL_NS),
+            self.decide,
+            incarnation,
+        )
 
 
 class PolicyHost:
     """A host with an agent, two nodes and a clock of its own."""
 
     def __init__(self, simulation: PolicySimulation, name: str) -> None:
-        """Start all of it."""
+        """Start the agent and its nodes."""
         self.simulation = simulation
         self.name = name
         self.random = Random(f"{simulation.seed} {name}")
-        self.rate = 1 + self.random.uniform(-0.018, 0.018)
+        self.rate = 1 + self.random.uniform(-MAX_RATE_ERROR, MAX_RATE_ERROR)
         self.offset = self.random.randrange(10 * SECOND)
         self.agent = AgentPolicyLease()
         self.stopped = False
         self.incarnation = 0
-        self.nodes = [PolicyNode(self, f"{name}n{number}") for number in range(2)]
-        self.unusable_version = 0  # a proposed version that one of its nodes can't take
-        simulation.clock.after(self.random.randrange(POLL), self.send_report, 0)
-        simulation.clock.after(self.random.randrange(TELL), self.renew_nodes, 0)
+        self.nodes = [PolicyNode(self, f"{name}n{number}") for number in range(NODES_PER_HOST)]
+        self.unusable_version = 0  # a proposed version that a node of this host cannot use
+        simulation.clock.after(self.random.randrange(HEARTBEAT_INTERVAL_NS), self.send_report, 0)
+        simulation.clock.after(self.random.randrange(LEASE_RENEWAL_INTERVAL_NS), self.renew_nodes, 0)
 
     def now(self) -> int:
         """Return the time by the clock of the host."""
         return self.offset + int(self.simulation.clock.now * self.rate)
 
     def start(self) -> None:
-        """Start another process of its agent; the nodes go on with their leases."""
+        """Start another process of the agent; the nodes keep their leases."""
         self.incarnation += 1
         self.agent = AgentPolicyLease()
         self.stopped = False
         for node in self.nodes:
             self.agent.node_started(node.name)
-        self.simulation.clock.after(POLL, self.send_report, self.incarnation)
-        self.simulation.clock.after(TELL, self.renew_nodes, self.incarnation)
+        self.simulation.clock.after(HEARTBEAT_INTERVAL_NS, self.send_report, self.incarnation)
+        self.simulation.clock.after(LEASE_RENEWAL_INTERVAL_NS, self.renew_nodes, self.incarnation)
 
     def send_report(self, incarnation: int) -> None:
-        """Report to the leader, again and again."""
+        """Send a heartbeat to the leader, and schedule the next."""
         if incarnation != self.incarnation:
             return
         if not self.stopped:
@@ -118,34 +122,42 @@
             ):
                 agent.report_trial(
                     agent.proposed_number,
-                    "it can't be" if agent.proposed_number == self.unusable_version else "",
+                    "this host cannot use it" if agent.proposed_number == self.unusable_version else "",
                 )
             sent_at = self.now()
-            true = self.simulation.clock.now
+            true_time = self.simulation.clock.now
             self.simulation.send(
-                self.name, self.simulation.receive_report, self, incarnation, sent_at, true, agent.report()
+                self.name,
+                self.simulation.receive_report,
+                self,
+                incarnation,
+                sent_at,
+                true_time,
+                agent.report(),
             )
-        self.simulation.clock.after(POLL, self.send_report, incarnation)
+        self.simulation.clock.after(HEARTBEAT_INTERVAL_NS, self.send_report, incarnation)
 
     def receive_assignment(self, incarnation: int, sent_at: int, assignment: PolicyAssignment) -> None:
         """Take in the leader's response to this process of the agent."""
         if incarnation != self.incarnation:
             return
         if self.stopped:
-            self.simulation.clock.after(20 * MS, self.receive_assignment, incarnation, sent_at, assignment)
+            self.simulation.clock.after(
+                STOPPED_RETRY_DELAY_NS, self.receive_assignment, incarnation, sent_at, assignment
+            )
             return
         self.agent.receive_assignment(sent_at, assignment)
 
     def renew_nodes(self, incarnation: int) -> None:
-        """Give the nodes their lease, again and again."""
+        """Renew the leases of the nodes, and schedule the next renewal."""
         if incarnation != self.incarnation:
             return
         if not self.stopped:
             number, until = self.agent.node_lease()
             for node in self.nodes:
                 if until:
-                    node.inbox = [*node.inbox, (number, until)][-16:]
-        self.simulation.clock.after(TELL, self.renew_nodes, incarnation)
+                    node.inbox = [*node.inbox, (number, until)][-MAX_INBOX:]
+        self.simulation.clock.after(LEASE_RENEWAL_INTERVAL_NS, self.renew_nodes, incarnation)
 
 
 class PolicySimulation:
@@ -168,28 +180,11 @@
         self.hosts = {name: PolicyHost(self, name) for name in self.names}
         self.clock.at(100 * MS, self.elect)
         self.clock.at(200 * MS, self.tick)
-        kinds = (
-            "leader",
-            "leader",
-            "cut",
-            "cut",
-            "slow",
-            "node stops",
-            "node stops",
-            "node dies",
-            "agent stops",
-            "agent dies",
-            "propose",
-            "propose",
-            "propose",
-            "withdraw",
-            "bad",
-        )
-        for _ in range(faults + 8):
+        for _ in range(faults + PROPOSALS):
             self.clock.at(
-                self.random.randrange(SECOND, duration - 12 * SECOND),
+                self.random.randrange(SECOND, duration - CONVERGENCE_TIME_NS),
                 self.inject_fault,
-                self.random.choice(kinds),
+                self.random.choice(FAULT_KINDS),
             )
 
     def apply(self, command: PolicyCommand) -> object:
@@ -203,67 +198,63 @@
                 self.audit.record_in_force(self.clock.now, policy.number)
         return result
 
-    # Who leads, and the network.
-
     def elect(self) -> None:
-        """Let a new leader start."""
+        """Start a new leader."""
         self.leader_count += 1
-        self.coordinator = PolicyCoordinator(self.clock.now, self.state_machine, self.names, TERMS)
+        self.coordinator = PolicyCoordinator(self.clock.now, self.state_machine, self.names, PERMIT_TIMEOUTS)
 
     def tick(self) -> None:
-        """Carry out what the leader wants by time."""
+        """Commit the commands that are due by the leader's timers."""
         if self.coordinator:
             for command in self.coordinator.tick(self.clock.now):
                 self.apply(command)
-        self.clock.after(50 * MS, self.tick)
+        self.clock.after(LEADER_TICK_INTERVAL_NS, self.tick)
 
     def send(self, host: str, act: Callable[..., None], *arguments: object) -> None:
         """Call `act` after the delay of the network, unless the host is cut off."""
         if self.clock.now < self.cut_until.get(host, 0):
             return
-        delay = self.random.randrange(MS, 5 * MS)
+        delay = self.random.randrange(MIN_NETWORK_DELAY_NS, MAX_NETWORK_DELAY_NS)
         if self.clock.now < self.slow_until:
-            delay += self.random.randrange(1800 * MS)
+            delay += self.random.randrange(MAX_EXTRA_DELAY_NS)
         self.clock.after(delay, act, *arguments)
 
     def receive_report(
-        self, host: PolicyHost, incarnation: int, sent_at: int, true: int, told: PolicyReport
+        self, host: PolicyHost, incarnation: int, sent_at: int, true_sent_at: int, report: PolicyReport
     ) -> None:
-        """`true`: when it was said; an echo of the leader's stamp shows no later time."""
+        """Handle a heartbeat that a host sent at `sent_at` by its clock, `true_sent_at` by the true one."""
         if self.coordinator is None:
             return
-        for command in self.coordinator.receive_report(self.clock.now, host.name, told, true):
+        for command in self.coordinator.receive_report(self.clock.now, host.name, report, true_sent_at):
             self.apply(command)
-        answer = self.coordinator.assign(self.clock.now, host.name, told)
-        self.send(host.name, host.receive_assignment, incarnation, sent_at, answer)
-
-    # Faults.
+        assignment = self.coordinator.assign(self.clock.now, host.name, report)
+        self.send(host.name, host.receive_assignment, incarnation, sent_at, assignment)
 
     def inject_fault(self, kind: str) -> None:
-        """Let a fault of a kind happen to a drawn host or node."""
+        """Apply a fault of a kind to a host or node that is drawn."""
         random = self.random
         now = self.clock.now
         host = self.hosts[random.choice(self.names)]
         node = random.choice(host.nodes)
-        lasts = random.choice((200 * MS, SECOND, 2500 * MS, 5 * SECOND))
+        duration = random.choice(FAULT_DURATIONS_NS)
         if kind == "leader" and self.coordinator:
             self.coordinator = None
-            self.clock.after(random.randrange(600 * MS, 2 * SECOND), self.elect)
+            self.clock.after(random.randrange(MIN_ELECTION_TIME_NS, MAX_ELECTION_TIME_NS), self.elect)
         elif kind == "cut":
-            self.cut_until[host.name] = now + lasts
+            self.cut_until[host.name] = now + duration
         elif kind == "slow":
-            self.slow_until = now + lasts
+            self.slow_until = now + duration
         elif kind in ("node stops", "agent stops"):
-            it: PolicyNode | PolicyHost = node if kind == "node stops" else host
-            it.stopped = True
-            self.clock.after(lasts, setattr, it, "stopped", False)
+            process: PolicyNode | PolicyHost = node if kind == "node stops" else host
+            process.stopped = True
+            self.clock.after(duration, setattr, process, "stopped", False)
         elif kind == "node dies":
             node.start()
         elif kind == "agent dies":
             host.start()
         elif kind == "propose":
-            held = self.state_machine.state
-            self.apply(ProposePolicy(f"c{now}", "asha", 0, "", held.decided, b"%d" % now))
+            decided = self.state_machine.state.decided
+            self.apply(ProposePolicy(f"c{now}", "asha", 0, "", decided, b"%d" % now))
         elif kind == "withdraw" and self.state_machine.proposed:
             self.apply(WithdrawPolicy(self.state_machine.proposed.number, "ravi"))
         elif kind == "bad":
@@ -279,7 +270,7 @@
         return self.audit.breaches
 
     def stuck(self) -> list[str]:
-        """With all well for three leases, what was proposed has an end, and nodes decide under the last."""
+        """Return what has not converged: open versions, and nodes that do not use the decided one."""
         found = [
             f"version {each.number} is {each.state}"
             for each in self.state_machine.state.policies.values()
@@ -290,5 +281,5 @@
                 if node.lease.number != self.state_machine.state.decided or not node.lease.may_decide(
                     host.now()
                 ):
-                    found.append(f"{node.name} goes by {node.lease.number}, {node.lease.status.value}")
+                    found.append(f"{node.name} uses {node.lease.number}, {node.lease.status.value}")
         return found
