--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -29,6 +29,38 @@
 HEARTBEAT_INTERVAL_NS = 150 * MS
 LEASE_RENEWAL_INTERVAL_NS = 50 * MS
 MAX_DECISION_INTERVAL_NS = 40 * MS
+MIN_DECISION_INTERVAL_NS = MAX_DECISION_INTERVAL_NS // 4
+LEADER_TICK_INTERVAL_NS = 50 * MS
+STOPPED_RETRY_DELAY_NS = 20 * MS  # until a message to a stopped agent is read
+MAX_INBOX = 16  # lease renewals that a stopped node keeps
+MAX_RATE_ERROR = 0.018  # of a host's clock
+NODES_PER_HOST = 2
+CONVERGENCE_TIME_NS = 12 * SECOND  # at the end of a run, free of faults
+PROPOSALS = 8  # actions drawn in addition to the faults
+FAULT_DURATIONS_NS = (200 * MS, SECOND, 2500 * MS, 5 * SECOND)
+MIN_ELECTION_TIME_NS = 600 * MS
+MAX_ELECTION_TIME_NS = 2 * SECOND
+MIN_NETWORK_DELAY_NS = MS
+MAX_NETWORK_DELAY_NS = 5 * MS
+MAX_EXTRA_DELAY_NS = 1800 * MS  # while the network is slow
+# Each is as likely as it is often here; the order is part of what a seed means.
+FAULT_KINDS = (
+    "leader",
+    "leader",
+    "cut",
+    "cut",
+    "slow",
+    "node stops",
+    "node stops",
+    "node dies",
+    "agent stops",
+    "agent dies",
+    "propose",
+    "propose",
+    "propose",
+    "withdraw",
+    "bad",
+)
 
 
 class PolicyNode:
