--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -12,7 +12,6 @@
 import msgspec
 
 from oakkeel.disruption.allocator import PermitTimeouts
-from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import Clock
 from oakkeel.invariants.policy_change import PolicyChangeAudit
 from oakkeel.policy_change.coordinator import PolicyAssignment, PolicyCoordinator, PolicyReport
@@ -20,6 +19,7 @@
 from oakkeel.policy_change.state_machine import (
     PolicyCommand,
     PolicyStateMachine,
+    PolicyVersion,
     ProposePolicy,
     WithdrawPolicy,
 )
@@ -293,8 +293,8 @@
             result = self.apply(
                 ProposePolicy(f"b{now}", "ravi", 0, "", self.state_machine.state.decided, b"bad")
             )
-            if not isinstance(result, Rejection):
-                host.bad = result.number  # type: ignore[attr-defined]
+            if isinstance(result, PolicyVersion):
+                host.unusable_version = result.number
 
     def run(self) -> list[str]:
         """Run all of it and return the breaches."""
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -175,6 +175,18 @@
             made += len(simulation.audit.decided)
         self.assertGreater(made, 100)
 
+    def test_a_version_that_a_host_cannot_use_is_refused_and_never_used(self):
+        refused = 0
+        for seed in range(40):
+            simulation = PolicySimulation(seed)
+            simulation.run()
+            for policy in simulation.state_machine.state.policies.values():
+                if policy.state == "refused":
+                    refused += 1
+                    self.assertIn("this host cannot use it", policy.state_reason)
+                    self.assertNotIn(policy.number, simulation.audit.decided)
+        self.assertGreater(refused, 0)
+
     def test_catches_nodes_that_go_on_without_a_lease(self):
         with mock.patch.object(NodePolicyLease, "may_decide", lambda policy, now: policy.expires_at > 0):
             self.assertRegex(self.breaches()[0], "promise 11: ")
