--- a/measure/plan.py
+++ b/measure/plan.py
@@ -174,7 +174,7 @@
     """Propose an operator's command to the leader."""
     while (leader := leader_of(simulation)) is None or leader.control_plane is None:
         simulation.clock.run(simulation.clock.now + 100 * MS)
-    _, outputs = leader.control_plane.propose(leader.now(), command)
+    _, outputs = leader.control_plane.propose(leader.machine.now(), command)
     leader.replica.carry_out(outputs)
 
 
@@ -184,10 +184,10 @@
         (
             host
             for host in simulation.hosts.values()
-            if host.running
+            if host.machine.running
             and host.control_plane
             and isinstance(host.control_plane.extension, RolloutController)
-            and host.control_plane.replica.holds_lease(host.now())
+            and host.control_plane.replica.holds_lease(host.machine.now())
         ),
         None,
     )
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -1,26 +1,22 @@
 """Replicas and agents in simulated time: their decisions, on a network and disks that fail.
 
-A host has a clock of its own rate, a disk, a replica, and an agent with instances. What is not
-on its disk is gone when it is killed. `play` returns what the audits found; a failing schedule can be shrunk
+A host has a clock of its own rate, a disk, a replica, and an agent with instances. What is not on its disk is
+lost when it is killed. `play` returns the breaches that the audits found; a failing schedule can be shrunk
 and played again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from random import Random
 
-from oakkeel.disruption.topology import BudgetGroup, Topology
-from oakkeel.emulator.clock import Clock
 from oakkeel.emulator.convergence import ConvergenceCheck
 from oakkeel.emulator.fault_injection import FaultInjector
 from oakkeel.emulator.faults import Schedule
+from oakkeel.emulator.heartbeat_exchange import HeartbeatExchange
 from oakkeel.emulator.operators import Operators
 from oakkeel.emulator.simulated_host import SimulatedHost
 from oakkeel.emulator.simulated_network import SimulatedNetwork
-from oakkeel.emulator.simulated_replica import PERMIT_TIMEOUTS
-from oakkeel.invariants.consensus import ConsensusAudit
-from oakkeel.invariants.rollout import RolloutAudit
+from oakkeel.emulator.world import World
 from oakkeel.units import SECOND
 
 
@@ -32,57 +28,25 @@
     ) -> None:
         """`plant` may change the simulation before its hosts start, to plant a defect."""
         self.schedule = schedule
-        self.clock = Clock()
-        self.random = Random(schedule.seed)
-        self.names = [f"h{number}" for number in range(schedule.hosts)]
-        instances = {
-            name: tuple(f"{name}i{number}" for number in range(schedule.instances)) for name in self.names
-        }
-        self.instances = tuple(instance for names in instances.values() for instance in names)
-        groups = self._budget_groups(instances)
-        self.topology = Topology(dict(instances), tuple(groups))
-        self.audit = ConsensusAudit(
-            {group.name: (group.max_unavailable, list(group.targets)) for group in groups},
-            PERMIT_TIMEOUTS.expiry + PERMIT_TIMEOUTS.agent_silence + 2 * SECOND,
-        )
-        self.rollout_audit = RolloutAudit()
-        self.event_log: list[str] = []
-        self.network = SimulatedNetwork(self)
-        self.operators = Operators(self)
-        self.faults = FaultInjector(self)
-        self.convergence = ConvergenceCheck(self)
+        self.world = World(schedule)
+        self.clock = self.world.clock
+        self.instances = self.world.instances
+        self.audit = self.world.audit
+        self.rollout_audit = self.world.rollout_audit
+        self.event_log = self.world.event_log
+        self.network = SimulatedNetwork(self.world)
+        self.hosts: dict[str, SimulatedHost] = {}
+        self.heartbeats = HeartbeatExchange(self.network, self.hosts)
+        self.operators = Operators(self.world, self.hosts)
+        self.faults = FaultInjector(self.world, self.hosts, self.network, self.operators)
+        self.convergence = ConvergenceCheck(self.world, self.hosts)
         if plant:
             plant(self)
-        voters = tuple(self.names[: schedule.voters])
-        self.hosts: dict[str, SimulatedHost] = {}
-        for name in self.names:
-            self.hosts[name] = SimulatedHost(self, name, instances[name], voters)
+        for name in self.world.names:
+            self.hosts[name] = SimulatedHost(self.world, name, self.network, self.heartbeats.send)
         for fault in schedule.faults:
             self.clock.at(fault.at, self.faults.inject, fault)
 
-    def _budget_groups(self, instances: dict[str, tuple[str, ...]]) -> list[BudgetGroup]:
-        schedule = self.schedule
-        sites: dict[str, list[str]] = {}
-        for number, name in enumerate(self.names):
-            sites.setdefault(f"site s{number % schedule.sites}", []).extend(instances[name])
-        groups = [BudgetGroup(site, schedule.budget, tuple(members)) for site, members in sites.items()]
-        groups.append(BudgetGroup("fleet", schedule.budget * schedule.sites, self.instances))
-        return groups
-
-    def log_event(self, text: str) -> None:
-        """Note what was done to the fleet, with the true time."""
-        self.event_log.append(f"{self.clock.now / SECOND:.3f} s: {text}")
-
-    def kill(self, host: SimulatedHost, wait: int) -> None:
-        """Kill a host's replica and agent, and start them again after some time."""
-        if host.running:
-            host.kill()
-            self.clock.after(wait, self._start, host)
-
-    def _start(self, host: SimulatedHost) -> None:
-        if not host.running:
-            host.start()
-
     def run(self) -> list[str]:
         """Play the schedule and return the breaches."""
         self.clock.at(SECOND, self.convergence.check_releases)
@@ -90,7 +54,7 @@
         return self.audit.finish(self.clock.now) + self.rollout_audit.breaches
 
     def stuck(self) -> list[str]:
-        """Return what has not come to an end."""
+        """Return what has not converged at the end."""
         return self.convergence.stuck()
 
 
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -2,60 +2,68 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from oakkeel.emulator.faults import Fault
+from oakkeel.emulator.operators import Operators
+from oakkeel.emulator.simulated_host import SimulatedHost
+from oakkeel.emulator.simulated_network import SimulatedNetwork
+from oakkeel.emulator.world import World
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.units import MS
 
-if TYPE_CHECKING:
-    from oakkeel.emulator.consensus import ConsensusSimulation
-    from oakkeel.emulator.simulated_host import SimulatedHost
-
 LINK_FAULTS = ("cut", "cut one way", "part", "slow links", "loss", "double")
-CLOCK_ERROR = 0.03  # the widest difference of two rates
+MAX_RATE_DIFFERENCE = 0.03  # of two machines' clocks
 FOLDER_SHARE = 0.3  # of the restored copies; the others restore the file alone
+MIN_RESTART_DELAY_NS = 200 * MS  # after all hosts were killed
 
 
 class FaultInjector:
-    """Injects faults; what is no fault is an operators' action."""
-
-    def __init__(self, simulation: ConsensusSimulation) -> None:
-        """It acts on the hosts of that simulation."""
-        self.simulation = simulation
+    """Injects the faults of a schedule, and hands its operators' actions on."""
+
+    def __init__(
+        self,
+        world: World,
+        hosts: dict[str, SimulatedHost],
+        network: SimulatedNetwork,
+        operators: Operators,
+    ) -> None:
+        """`hosts` by name; it may be filled later."""
+        self.world = world
+        self.hosts = hosts
+        self.network = network
+        self.operators = operators
 
     def inject(self, fault: Fault) -> None:
         """Inject one fault, or have the operators act."""
-        simulation = self.simulation
-        simulation.log_event(f"{fault.kind} {fault.subject} {fault.other} for {fault.duration // MS} ms")
-        names = sorted(simulation.hosts)
-        host = simulation.hosts[names[fault.subject % len(names)]]
+        self.world.log_event(f"{fault.kind} {fault.subject} {fault.other} for {fault.duration // MS} ms")
+        names = sorted(self.hosts)
+        host = self.hosts[names[fault.subject % len(names)]]
         other = names[fault.other % len(names)]
         if fault.kind in LINK_FAULTS:
             for source, recipient in self._links(fault, host.name, other):
-                simulation.network.add_fault(source, recipient, fault)
+                self.network.add_fault(source, recipient, fault)
         elif not (self._process_fault(fault, host) or self._disk_fault(fault, host)):
-            simulation.operators.act(fault)
+            self.operators.act(fault)
 
     def _process_fault(self, fault: Fault, host: SimulatedHost) -> bool:
         """Kill, stop or slow down processes; returns False for faults of other kinds."""
-        simulation = self.simulation
         if fault.kind == "kill":
-            simulation.kill(host, fault.duration)
+            host.machine.kill(fault.duration)
         elif fault.kind == "kill all":
-            for each_host in simulation.hosts.values():
-                simulation.kill(each_host, 200 * MS + int(simulation.random.random() * fault.duration))
+            for each_host in self.hosts.values():
+                each_host.machine.kill(
+                    MIN_RESTART_DELAY_NS + int(self.world.random.random() * fault.duration)
+                )
         elif fault.kind == "kill in a step":
             host.replica.crash_at_write = 1 + fault.other % 2
         elif fault.kind == "power":
             host.end_processes("power")
-            simulation.kill(host, fault.duration)
+            host.machine.kill(fault.duration)
         elif fault.kind == "stop in a step":
             host.agent.pause_on_permit = fault.duration
-        elif fault.kind == "stop" and host.running and not host.stopped:
-            host.stop(fault.duration)
+        elif fault.kind == "stop" and host.machine.running and not host.machine.stopped:
+            host.machine.stop(fault.duration)
         elif fault.kind == "clock":
-            host.rate = 1 + (fault.intensity - 0.5) * CLOCK_ERROR
+            host.machine.rate = 1 + (fault.intensity - 0.5) * MAX_RATE_DIFFERENCE
         elif fault.kind in ("die", "die all of a site"):
             self._end_instances(fault, host)
         else:
@@ -72,11 +80,11 @@
 
     def _disk_fault(self, fault: Fault, host: SimulatedHost) -> bool:
         """Lose, restore or fill a disk; returns False for faults of other kinds."""
-        clock = self.simulation.clock
-        if fault.kind == "lose the file" and host.running and self._may_lose_storage(host):
+        clock = self.world.clock
+        if fault.kind == "lose the file" and host.machine.running and self._may_lose_storage(host):
             if fault.intensity < 0.5:
                 host.end_processes("power")
-            self.simulation.kill(host, fault.duration)
+            host.machine.kill(fault.duration)
             host.lose_files()
         elif fault.kind == "old file" and host.replica.storage is not None:
             with_folder = fault.intensity < FOLDER_SHARE
@@ -84,8 +92,8 @@
             backup = host.replica.storage.copy()
             clock.after(fault.duration, self._restore_backup, host, backup, known_writes, fault.duration)
         elif fault.kind == "full disk":
-            host.disk_full = True
-            clock.after(fault.duration, setattr, host, "disk_full", False)
+            host.machine.disk_full = True
+            clock.after(fault.duration, setattr, host.machine, "disk_full", False)
         else:
             return False
         return True
@@ -94,21 +102,23 @@
         self, host: SimulatedHost, backup: InMemoryStorage, known_writes: int, wait: int
     ) -> None:
         """Put a copy of the replica's file back, with the count beside it unless that is negative."""
-        simulation = self.simulation
-        if not host.running or not self._may_lose_storage(host):
+        if not host.machine.running or not self._may_lose_storage(host):
             return
         if known_writes >= 0:
             # With the whole folder nothing on the host shows it: only others can, and they must be there.
-            others = [other for other in simulation.hosts.values() if other is not host]
-            if any(not other.running or other.stopped or other.disk_full for other in others):
+            others = [other for other in self.hosts.values() if other is not host]
+            if any(
+                not other.machine.running or other.machine.stopped or other.machine.disk_full
+                for other in others
+            ):
                 return
-            if simulation.network.has_faults():
+            if self.network.has_faults():
                 return
             wait = MS
             host.replica.known_writes = known_writes
         folder = "" if known_writes < 0 else " with its whole folder"
-        simulation.log_event(f"the old file of {host.name} is put back{folder}")
-        simulation.kill(host, wait)
+        self.world.log_event(f"the old file of {host.name} is put back{folder}")
+        host.machine.kill(wait)
         host.replica.storage = backup
 
     def _may_lose_storage(self, host: SimulatedHost) -> bool:
@@ -117,7 +127,7 @@
         No promise holds once a majority of the replicas' files is gone: that takes a manual recovery. One at
         a time: a learner may be a voter the moment after, and one that was replaced is none yet.
         """
-        hosts = self.simulation.hosts
+        hosts = self.hosts
         leaders = [leader for other in hosts.values() if (leader := other.leader)]
         if not leaders:
             return False
@@ -127,20 +137,20 @@
             and storage.metadata.incarnation == member.incarnation
             and storage.metadata.epoch
             and member.is_voter
-            and hosts[member.name].running
+            and hosts[member.name].machine.running
             for member in members
         )
 
     def _links(self, fault: Fault, name: str, other: str) -> list[tuple[str, str]]:
         """Return the links that a fault disturbs, by source and recipient."""
-        names = sorted(self.simulation.hosts)
+        names = sorted(self.hosts)
         if fault.kind == "cut one way":
             outgoing = [(name, recipient) for recipient in names]
             return (
                 outgoing if fault.intensity < 0.5 else [(recipient, source) for source, recipient in outgoing]
             )
         if fault.kind == "part":
-            side = {host for host in names if self.simulation.random.random() < 0.5}
+            side = {host for host in names if self.world.random.random() < 0.5}
             return [
                 (source, recipient)
                 for source in names
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -1,46 +1,45 @@
-"""Simulated operators: orders, releases and changes of the voters, sent again until they are answered."""
+"""Simulated operators: they submit orders, releases and changes of the voters, and retry until answered."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from oakkeel.agent.instances import Phase
 from oakkeel.disruption import commands
 from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.faults import Fault
+from oakkeel.emulator.simulated_host import SimulatedHost
+from oakkeel.emulator.world import World
 from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.units import MS, SECOND
 
-if TYPE_CHECKING:
-    from oakkeel.emulator.consensus import ConsensusSimulation
-
 MAX_ATTEMPTS = 40
-RETRY_DELAY = 100 * MS
-RESPONSE_TIMEOUT = 2 * SECOND
-VERBS = {"restart": "restart", "stop it": "stop"}  # by kind; all others drain
+RETRY_DELAY_NS = 100 * MS
+RESPONSE_TIMEOUT_NS = 2 * SECOND
+ORDER_DEADLINE_NS = 6 * SECOND
+VERBS = {"restart": "restart", "stop it": "stop"}  # by kind of action; all others drain
 
 
 class Operators:
-    """Does what the schedule asks of operators."""
+    """Carries out the operators' actions of a schedule."""
 
-    def __init__(self, simulation: ConsensusSimulation) -> None:
-        """Nothing has been ordered yet."""
-        self.simulation = simulation
+    def __init__(self, world: World, hosts: dict[str, SimulatedHost]) -> None:
+        """`hosts` by name; it may be filled later."""
+        self.world = world
+        self.hosts = hosts
         self.orders: list[str] = []
         self.releases: list[str] = []  # that were accepted
 
     def submit(
         self, command: commands.Command | releases.Command, ident: str, attempts: int = MAX_ATTEMPTS
     ) -> None:
-        """Propose a command on some host, again and again with the same ID until it is answered."""
-        simulation = self.simulation
-        running = [host for host in simulation.hosts.values() if host.running]
-        host = simulation.random.choice(running or [None])
+        """Propose a command on some host, and retry with the same ID until it is answered."""
+        world = self.world
+        running = [host for host in self.hosts.values() if host.machine.running]
+        host = world.random.choice(running or [None])
         if host is None and not attempts:
             return
-        if host is None or host.stopped or host.control_plane is None:
+        if host is None or host.machine.stopped or host.control_plane is None:
             self._retry(command, ident, attempts)
             return
         answered = False
@@ -54,7 +53,7 @@
                 self._retry(command, ident, attempts)
 
         try:
-            proposal, outputs = host.control_plane.propose(host.now(), command)
+            proposal, outputs = host.control_plane.propose(host.machine.now(), command)
         except NotLeaderError:
             if attempts:
                 self._retry(command, ident, attempts)
@@ -66,10 +65,10 @@
             if not answered and attempts:
                 self.submit(command, ident, attempts - 1)
 
-        simulation.clock.after(RESPONSE_TIMEOUT, timed_out)
+        world.clock.after(RESPONSE_TIMEOUT_NS, timed_out)
 
     def _retry(self, command: commands.Command | releases.Command, ident: str, attempts: int) -> None:
-        self.simulation.clock.after(RETRY_DELAY, self.submit, command, ident, attempts - 1)
+        self.world.clock.after(RETRY_DELAY_NS, self.submit, command, ident, attempts - 1)
 
     def _committed(
         self, command: commands.Command | releases.Command, ident: str, proposal: Proposal
@@ -80,7 +79,7 @@
         if isinstance(command, releases.StartRelease):
             self.releases.append(ident)
         if isinstance(command, commands.SubmitOrder):
-            self.simulation.audit.order_acknowledged(ident, getattr(result, "index", proposal.index))
+            self.world.audit.order_acknowledged(ident, getattr(result, "index", proposal.index))
 
     def act(self, action: Fault) -> None:
         """Carry out an action of the schedule."""
@@ -102,33 +101,31 @@
             self._start_instance(action)
 
     def _instance(self, action: Fault) -> str:
-        instances = self.simulation.instances
+        instances = self.world.instances
         return instances[action.subject % len(instances)]
 
     def _submit_order(self, action: Fault) -> None:
-        simulation = self.simulation
+        world = self.world
         ident = f"o{len(self.orders)}"
         self.orders.append(ident)
-        others = [name for name in simulation.instances if simulation.random.random() < action.intensity]
+        others = [name for name in world.instances if world.random.random() < action.intensity]
         wanted = {self._instance(action), *others}
         targets = [
             (instance.name, instance.generation)
-            for host in simulation.hosts.values()
+            for host in self.hosts.values()
             for instance in host.agent.supervisor.instances
             if instance.name in wanted
         ]
         verb = VERBS.get(action.kind, "drain")
         atomic = action.kind == "drain whole"
-        command = commands.SubmitOrder(ident, "asha", verb, 0, 6 * SECOND, atomic, targets)
+        command = commands.SubmitOrder(ident, "asha", verb, 0, ORDER_DEADLINE_NS, atomic, targets)
         self.submit(command, ident)
 
     def _start_release(self, action: Fault) -> None:
-        simulation = self.simulation
+        world = self.world
         ident = f"r{action.at}"
         version = ("good", "good", "worse", "crash")[action.other % 4]
-        chosen = [
-            name for name in simulation.instances if simulation.random.random() < 0.3 + action.intensity
-        ]
+        chosen = [name for name in world.instances if world.random.random() < 0.3 + action.intensity]
         policy = RolloutPolicy(
             soak=200 * MS,
             verdict_timeout=10 * SECOND,
@@ -141,17 +138,17 @@
         self.submit(releases.StartRelease(ident, "asha", 0, specification, policy, targets), ident)
 
     def _change_voters(self, action: Fault) -> None:
-        simulation = self.simulation
-        count = min(len(simulation.hosts), 3 + 2 * (action.other % 2))
-        names = simulation.random.sample(sorted(simulation.hosts), count)
+        world = self.world
+        count = min(len(self.hosts), 3 + 2 * (action.other % 2))
+        names = world.random.sample(sorted(self.hosts), count)
         self.submit(commands.SetVoters(names, "asha"), "keepers")
 
     def _start_instance(self, action: Fault) -> None:
         name = self._instance(action)
-        host = next(host for host in self.simulation.hosts.values() if name in host.instances)
-        if not host.running or host.disk_full:
+        host = next(host for host in self.hosts.values() if name in host.instances)
+        if not host.machine.running or host.machine.disk_full:
             return
         supervisor = host.agent.supervisor
         instance = next(instance for instance in supervisor.instances if instance.name == name)
         if instance.task is None and instance.phase in (Phase.STOPPED, Phase.FAILING):
-            supervisor.order_start(host.now(), instance)
+            supervisor.order_start(host.machine.now(), instance)
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pickle
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
 from oakkeel.agent.instances import Instance
 from oakkeel.agent.leader_locator import LeaderLocator
@@ -12,15 +12,17 @@
 from oakkeel.agent.reconciler import Reconciler
 from oakkeel.agent.supervisor import Action, Step, SupervisionTimeouts, Supervisor
 from oakkeel.disruption.holder import PermitHolder
-from oakkeel.disruption.messages import HeartbeatResponse
+from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
+from oakkeel.emulator.simulated_machine import SimulatedMachine
+from oakkeel.emulator.simulated_processes import SimulatedProcesses
 from oakkeel.rollout.assignments import ArtifactRequest
 from oakkeel.units import MS, SECOND
 
-if TYPE_CHECKING:
-    from oakkeel.emulator.simulated_host import SimulatedHost
-
-TICK_INTERVAL = 100 * MS
-HEARTBEAT_INTERVAL = 150 * MS
+TICK_INTERVAL_NS = 100 * MS
+HEARTBEAT_INTERVAL_NS = 150 * MS
+MIN_PREPARATION_TIME_NS = 50 * MS
+MAX_PREPARATION_TIME_NS = 300 * MS
+GENERATION_BLOCK = 8  # generations reserved at a time
 SUPERVISION_TIMEOUTS = SupervisionTimeouts(backoff=300 * MS, steady=2 * SECOND, drain=3 * SECOND)
 
 
@@ -38,36 +40,47 @@
 class SimulatedAgent:
     """Runs the agent's decisions. Its disk outlives the process, all else is lost with it."""
 
-    def __init__(self, host: SimulatedHost) -> None:
-        """`start` begins the process."""
-        self.host = host
+    def __init__(
+        self,
+        machine: SimulatedMachine,
+        processes: SimulatedProcesses,
+        send_heartbeat: Callable[[str, Heartbeat, int], None],
+    ) -> None:
+        """`start` begins the process; `send_heartbeat` takes the host, the heartbeat and its own time."""
+        self.machine = machine
+        self.processes = processes
+        self.processes.owner = self
+        self.send_heartbeat = send_heartbeat
+        self.instances = machine.world.instances_by_host[machine.name]
         self.disk = AgentDisk()
-        self.pause_on_permit = 0  # stop the host for so long at the next response that grants a permit
+        self.pause_on_permit = 0  # nanoseconds to stop the host at the next response that grants a permit
 
     def start(self) -> None:
         """Make the agent from its disk."""
-        host = self.host
+        machine = self.machine
         disk = self.disk
-        now = host.now()
+        now = machine.now()
         fresh = not disk.orders
-        self.leader_locator = LeaderLocator(host.initial_voters, host.simulation.names)
+        self.leader_locator = LeaderLocator(machine.world.initial_voters, machine.world.names)
         self.heartbeat_at = -SECOND
-        self.permit_holder = PermitHolder(host.name, host.instances, host.random.getrandbits(40))
+        self.permit_holder = PermitHolder(machine.name, self.instances, machine.random.getrandbits(40))
         self.permit_holder.restore(disk.epoch, disk.permits, disk.generations)
         if fresh:
-            instances = [Instance(name, "site", phase_since=now) for name in host.instances]
-            seed = host.random.getrandbits(40)
-            self.supervisor = Supervisor(instances, SUPERVISION_TIMEOUTS, {}, seed, host.now)
-            self.orders = OrderRegistry(self.supervisor, host.now, permit_holder=self.permit_holder)
+            instances = [Instance(name, "site", phase_since=now) for name in self.instances]
+            seed = machine.random.getrandbits(40)
+            self.supervisor = Supervisor(instances, SUPERVISION_TIMEOUTS, {}, seed, machine.now)
+            self.orders = OrderRegistry(self.supervisor, machine.now, permit_holder=self.permit_holder)
         else:
             self._restore_orders()
-        self.reconciler = Reconciler(self.supervisor, self.orders, self.permit_holder, generation_block=8)
+        self.reconciler = Reconciler(
+            self.supervisor, self.orders, self.permit_holder, generation_block=GENERATION_BLOCK
+        )
         self.reconciler.assignments.restore(dict(disk.versions), {}, {})
         if fresh:
             self.reconciler.state_file_lost()
         for instance in self.supervisor.instances:
             instance.phase_since = instance.phase_since if fresh else now
-            if process := host.processes.running.get(instance.name):
+            if process := self.processes.running.get(instance.name):
                 self.supervisor.process_adopted(now, instance, process.generation)
             else:
                 self.supervisor.process_not_found(now, instance, instance.process_generation)
@@ -75,42 +88,42 @@
     def _restore_orders(self) -> None:
         self.orders = pickle.loads(self.disk.orders)
         self.supervisor = self.orders.supervisor
-        self.supervisor.unix_time = self.orders.unix_time = self.host.now
+        self.supervisor.unix_time = self.orders.unix_time = self.machine.now
         self.orders.permit_holder = self.permit_holder
 
     def tick(self, restarts: int) -> None:
         """Look at the processes, send a heartbeat if it is time, and act."""
-        host = self.host
-        if not host.may_act(restarts, lambda: self.tick(restarts)):
+        machine = self.machine
+        if not machine.may_act(restarts, lambda: self.tick(restarts)):
             return
-        now = host.now()
+        now = machine.now()
         for instance in self.supervisor.instances:
-            if process := host.processes.running.get(instance.name):
-                state = host.processes.state(process)
-                report = host.processes.report(process, state)
+            if process := self.processes.running.get(instance.name):
+                state = self.processes.state(process)
+                report = self.processes.report(process, state)
                 self.supervisor.report_received(now, instance, state, process.generation, report)
-        if now - self.heartbeat_at >= HEARTBEAT_INTERVAL:
+        if now - self.heartbeat_at >= HEARTBEAT_INTERVAL_NS:
             self.heartbeat_at = now
-            host.simulation.network.send_heartbeat(host, self.reconciler.build_heartbeat(now), now)
+            self.send_heartbeat(machine.name, self.reconciler.build_heartbeat(now), now)
         self.act(now)
-        host.simulation.clock.after(TICK_INTERVAL, self.tick, restarts)
+        machine.world.clock.after(TICK_INTERVAL_NS, self.tick, restarts)
 
     def act(self, now: int) -> None:
         """Carry out what is decided by now; with a full disk nothing that would have to be stored."""
-        host = self.host
+        machine = self.machine
         for request in self.reconciler.assignments.take_requests():
-            wait = host.random.randrange(50 * MS, 300 * MS)
-            host.simulation.clock.after(wait, self._prepared, request, host.restarts)
-        if not host.disk_full:
+            wait = machine.random.randrange(MIN_PREPARATION_TIME_NS, MAX_PREPARATION_TIME_NS)
+            machine.world.clock.after(wait, self._prepared, request, machine.restarts)
+        if not machine.disk_full:
             self.orders.advance(now)
         steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
-        if host.disk_full:
+        if machine.disk_full:
             steps = self._drop_unstored(now, steps)
         else:
             self._save()
         for step in steps:
-            host.processes.execute(step)
-        if steps and not host.disk_full:
+            self.processes.execute(step)
+        if steps and not machine.disk_full:
             self._save()
 
     def _drop_unstored(self, now: int, steps: list[Step]) -> list[Step]:
@@ -124,9 +137,9 @@
         return [step for step in steps if step.instance.task is None and step.action is not Action.START]
 
     def _prepared(self, request: ArtifactRequest, restarts: int) -> None:
-        if restarts != self.host.restarts:
+        if restarts != self.machine.restarts:
             return
-        failed = request.spec.program == "bad" and self.host.random.random() < 0.5
+        failed = request.spec.program == "bad" and self.machine.random.random() < 0.5
         bases = {instance: f"base {instance}" for instance in request.targets}
         reason = "it can't be run here" if failed else ""
         self.reconciler.assignments.record_prepared(request.release, reason, bases)
@@ -173,18 +186,18 @@
 
     def heartbeat_answered(self, restarts: int, sent_at: int, response: HeartbeatResponse) -> None:
         """Take the leader's response to a heartbeat."""
-        host = self.host
-        if not host.may_act(restarts, lambda: self.heartbeat_answered(restarts, sent_at, response)):
+        machine = self.machine
+        if not machine.may_act(restarts, lambda: self.heartbeat_answered(restarts, sent_at, response)):
             return
-        if host.disk_full:
+        if machine.disk_full:
             return
-        now = host.now()
+        now = machine.now()
         self.reconciler.apply_response(now, sent_at, response)
         if self.pause_on_permit and any(
             permit.valid_for and not permit.started for permit in response.permits
         ):
-            host.stop(self.pause_on_permit)
+            machine.stop(self.pause_on_permit)
             self.pause_on_permit = 0
-            host.deferred.append(lambda: self.act(host.now()))
+            machine.deferred.append(lambda: self.act(machine.now()))
             return
         self.act(now)
--- a/oakkeel/emulator/simulated_host.py
+++ b/oakkeel/emulator/simulated_host.py
@@ -1,52 +1,46 @@
-"""A simulated host: a clock of its own rate, a replica, an agent, and the processes of its instances."""
+"""A simulated host: a machine with a replica, an agent, and the processes of its instances."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from random import Random
-from typing import TYPE_CHECKING
 
 from oakkeel.disruption.control_plane import ControlPlaneReplica
-from oakkeel.emulator.simulated_agent import TICK_INTERVAL, AgentDisk, SimulatedAgent
+from oakkeel.disruption.messages import Heartbeat
+from oakkeel.emulator.simulated_agent import TICK_INTERVAL_NS, AgentDisk, SimulatedAgent
+from oakkeel.emulator.simulated_machine import SimulatedMachine
+from oakkeel.emulator.simulated_network import SimulatedNetwork
 from oakkeel.emulator.simulated_processes import SimulatedProcesses
 from oakkeel.emulator.simulated_replica import SimulatedReplica
-from oakkeel.units import SECOND
-
-if TYPE_CHECKING:
-    from oakkeel.emulator.consensus import ConsensusSimulation
-
-MAX_RATE_ERROR = 0.015
+from oakkeel.emulator.world import World
 
 
 class SimulatedHost:
-    """One host. `now` is its own clock, `simulation.clock` the true one."""
+    """One host with all that runs on it."""
 
     def __init__(
         self,
-        simulation: ConsensusSimulation,
+        world: World,
         name: str,
-        instances: tuple[str, ...],
-        initial_voters: tuple[str, ...],
+        network: SimulatedNetwork,
+        send_heartbeat: Callable[[str, Heartbeat, int], None],
     ) -> None:
         """Start the replica and the agent."""
-        self.simulation = simulation
         self.name = name
-        self.instances = instances
-        self.initial_voters = initial_voters
-        self.random = Random(f"{simulation.schedule.seed} {name}")
-        self.rate = 1 + self.random.uniform(-MAX_RATE_ERROR, MAX_RATE_ERROR)
-        self.offset = self.random.randrange(10 * SECOND)
-        self.restarts = 0
-        self.running = self.stopped = self.disk_full = False
-        self.deferred: list[Callable[[], None]] = []  # while it is stopped
-        self.processes = SimulatedProcesses(self)
-        self.replica = SimulatedReplica(self)
-        self.agent = SimulatedAgent(self)
-        self.start()
-
-    def now(self) -> int:
-        """Return the host's own monotonic time in nanoseconds."""
-        return self.offset + int(self.simulation.clock.now * self.rate)
+        self.instances = world.instances_by_host[name]
+        self.machine = SimulatedMachine(world, name)
+        self.processes = SimulatedProcesses(self.machine)
+        self.replica = SimulatedReplica(self.machine, network)
+        self.agent = SimulatedAgent(self.machine, self.processes, send_heartbeat)
+        self.machine.on_start = self._start
+        self.machine.start()
+
+    def _start(self) -> None:
+        machine = self.machine
+        self.replica.start()
+        self.agent.start()
+        first_tick = machine.random.randrange(TICK_INTERVAL_NS)
+        machine.world.clock.after(first_tick, self.agent.tick, machine.restarts)
+        self.replica.start_timer(machine.restarts)
 
     @property
     def control_plane(self) -> ControlPlaneReplica | None:
@@ -59,44 +53,6 @@
         control_plane = self.control_plane
         return control_plane if control_plane and control_plane.allocator else None
 
-    def start(self) -> None:
-        """Start the replica and the agent from what is on disk."""
-        self.running = True
-        self.restarts += 1
-        self.deferred = []
-        self.replica.start()
-        self.agent.start()
-        clock = self.simulation.clock
-        clock.after(self.random.randrange(TICK_INTERVAL), self.agent.tick, self.restarts)
-        self.replica.start_timer(self.restarts)
-
-    def kill(self) -> None:
-        """End the agent and the replica by SIGKILL; the processes of the instances go on."""
-        self.running = self.stopped = False
-        self.restarts += 1
-
-    def may_act(self, restarts: int, action: Callable[[], None]) -> bool:
-        """Whether the process of that start may act now; while it is stopped the action is deferred."""
-        if restarts != self.restarts:
-            return False
-        if self.stopped:
-            self.deferred.append(action)
-            return False
-        return True
-
-    def stop(self, duration: int) -> None:
-        """Stop the agent and the replica by SIGSTOP for some time."""
-        self.stopped = True
-        self.simulation.clock.after(duration, self.wake)
-
-    def wake(self) -> None:
-        """Do what was deferred while it was stopped."""
-        self.stopped = False
-        deferred = self.deferred
-        self.deferred = []
-        for action in deferred:
-            action()
-
     def end_processes(self, reason: str) -> None:
         """End the processes of all instances."""
         for name, process in list(self.processes.running.items()):
@@ -105,5 +61,5 @@
     def lose_files(self) -> None:
         """Lose all that the replica and the agent have on disk."""
         self.replica.storage = None
-        self.agent.disk = AgentDisk()
         self.replica.known_writes = 0
+        self.agent.disk = AgentDisk()
--- /dev/null
+++ b/oakkeel/emulator/simulated_machine.py
@@ -0,0 +1,75 @@
+"""A simulated machine: a clock of its own rate, and processes that can be killed, stopped and started."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+
+from oakkeel.emulator.world import World
+from oakkeel.units import SECOND
+
+MAX_RATE_ERROR = 0.015  # of the clock
+MAX_CLOCK_OFFSET_NS = 10 * SECOND
+
+
+class SimulatedMachine:
+    """The state of one machine. `now` is its own clock, `world.clock` the true one."""
+
+    def __init__(self, world: World, name: str) -> None:
+        """Create a machine that is off."""
+        self.world = world
+        self.name = name
+        self.random = Random(f"{world.schedule.seed} {name}")
+        self.rate = 1 + self.random.uniform(-MAX_RATE_ERROR, MAX_RATE_ERROR)
+        self.offset = self.random.randrange(MAX_CLOCK_OFFSET_NS)
+        self.restarts = 0
+        self.running = False
+        self.stopped = False
+        self.disk_full = False
+        self.deferred: list[Callable[[], None]] = []  # while it is stopped
+        self.on_start: Callable[[], None] | None = None
+
+    def now(self) -> int:
+        """Return the machine's own monotonic time in nanoseconds."""
+        return self.offset + int(self.world.clock.now * self.rate)
+
+    def start(self) -> None:
+        """Start its processes from what is on disk, unless they run."""
+        if self.running:
+            return
+        self.running = True
+        self.restarts += 1
+        self.deferred = []
+        if self.on_start:
+            self.on_start()
+
+    def kill(self, restart_after: int) -> None:
+        """End the agent and the replica by SIGKILL, and start them again after some nanoseconds."""
+        if not self.running:
+            return
+        self.running = False
+        self.stopped = False
+        self.restarts += 1
+        self.world.clock.after(restart_after, self.start)
+
+    def may_act(self, restarts: int, action: Callable[[], None]) -> bool:
+        """Whether the process of that start may act now; while it is stopped the action is deferred."""
+        if restarts != self.restarts:
+            return False
+        if self.stopped:
+            self.deferred.append(action)
+            return False
+        return True
+
+    def stop(self, duration: int) -> None:
+        """Stop the agent and the replica by SIGSTOP for some nanoseconds."""
+        self.stopped = True
+        self.world.clock.after(duration, self.wake)
+
+    def wake(self) -> None:
+        """Do what was deferred while it was stopped."""
+        self.stopped = False
+        deferred = self.deferred
+        self.deferred = []
+        for action in deferred:
+            action()
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -3,20 +3,24 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from oakkeel.agent.instances import Goal
-from oakkeel.agent.supervisor import Action, Step
+from oakkeel.agent.reconciler import Reconciler
+from oakkeel.agent.supervisor import Action, Step, Supervisor
 from oakkeel.control.messages import NodeStatus
+from oakkeel.disruption.holder import PermitHolder
+from oakkeel.emulator.simulated_machine import SimulatedMachine
 from oakkeel.units import MS, SECOND
 
-if TYPE_CHECKING:
-    from oakkeel.emulator.simulated_host import SimulatedHost
-
 REQUESTS_PER_SECOND = 400
-# of the benefit that requests could bring, by version
-GOOD_SHARE = 0.98
+GOOD_SHARE = 0.98  # of the priority weight of all requests that a good version earns
 WORSE_SHARE = 0.6
+MIN_START_TIME_NS = 100 * MS
+MAX_START_TIME_NS = 600 * MS
+CRASH_DELAY_NS = 50 * MS  # from the start of a version that crashes
+MIN_DRAIN_TIME_NS = 100 * MS
+MAX_DRAIN_TIME_NS = 1500 * MS
 
 
 @dataclass(slots=True, eq=False)
@@ -26,26 +30,36 @@
     generation: int
     serves_at: int
     version: str = ""
-    exits_at: int = 0  # while it drains; 0: it stays
+    exits_at: int = 0  # while it drains; 0: it keeps running
+
+
+class ProcessOwner(Protocol):
+    """The agent of the host, as far as its processes report to it."""
+
+    reconciler: Reconciler
+    permit_holder: PermitHolder
+    supervisor: Supervisor
 
 
 class SimulatedProcesses:
-    """Starts and ends processes as the agent's supervisor asks, and tells the audit."""
+    """Starts and ends processes as the agent's supervisor asks, and reports them to the audits."""
 
-    def __init__(self, host: SimulatedHost) -> None:
-        """No process runs yet."""
-        self.host = host
+    def __init__(self, machine: SimulatedMachine) -> None:
+        """No process runs yet. `owner` is set by the agent."""
+        self.machine = machine
+        self.world = machine.world
+        self.owner: ProcessOwner
         self.running: dict[str, Process] = {}  # by instance
 
     def state(self, process: Process) -> str:
         """Return what the process reports of itself."""
         if process.exits_at:
             return "draining"
-        return "serving" if self.host.simulation.clock.now >= process.serves_at else "cold"
+        return "serving" if self.world.clock.now >= process.serves_at else "cold"
 
     def report(self, process: Process, state: str) -> NodeStatus:
         """Return the status as a node of that version makes it."""
-        lasted = max(0, self.host.simulation.clock.now - process.serves_at)
+        lasted = max(0, self.world.clock.now - process.serves_at)
         count = float(lasted * REQUESTS_PER_SECOND // SECOND)
         share = WORSE_SHARE if process.version.startswith("worse") else GOOD_SHARE
         good = float(int(count * share))
@@ -77,58 +91,60 @@
             self.end(name, process, "killed", True)
 
     def _start(self, step: Step) -> None:
-        host = self.host
-        simulation = self.host.simulation
+        machine = self.machine
+        world = self.world
         name = step.instance.name
-        now = simulation.clock.now
+        now = world.clock.now
         generation = step.instance.process_generation
-        simulation.audit.generation_started(now, name, generation)
-        version = host.agent.reconciler.assignments.version(name)
-        simulation.rollout_audit.record_start(now, name, version)
-        process = Process(generation, now + host.random.randrange(100 * MS, 600 * MS), version)
+        world.audit.generation_started(now, name, generation)
+        version = self.owner.reconciler.assignments.version(name)
+        world.rollout_audit.record_start(now, name, version)
+        process = Process(
+            generation, now + machine.random.randrange(MIN_START_TIME_NS, MAX_START_TIME_NS), version
+        )
         self.running[name] = process
         step.instance.running_version = version
-        host.agent.supervisor.process_started(host.now(), step.instance)
+        self.owner.supervisor.process_started(machine.now(), step.instance)
         if version.startswith("crash"):
-            simulation.clock.at(now + 50 * MS, self.end, name, process, "exit code 3", True)
+            world.clock.at(now + CRASH_DELAY_NS, self.end, name, process, "exit code 3", True)
         else:
-            simulation.clock.at(process.serves_at, self._serves, name, process)
+            world.clock.at(process.serves_at, self._serves, name, process)
 
     def _drain(self, step: Step, process: Process) -> None:
-        host = self.host
-        simulation = self.host.simulation
+        machine = self.machine
+        world = self.world
         name = step.instance.name
-        now = simulation.clock.now
-        permit = host.agent.permit_holder.permits.get(name)
+        now = world.clock.now
+        permit = self.owner.permit_holder.permits.get(name)
         if step.instance.goal is Goal.DOWN or step.instance.task is not None:
             fence = permit.fencing_token if permit and permit.started else -1
-            simulation.audit.drain_started(now, name, fence, permit.order_id if permit else "")
+            world.audit.drain_started(now, name, fence, permit.order_id if permit else "")
         else:
-            simulation.audit.out_by_itself(now, name)
-        process.exits_at = now + host.random.randrange(100 * MS, 1500 * MS)
-        simulation.clock.at(process.exits_at, self.end, name, process, "left")
+            world.audit.out_by_itself(now, name)
+        process.exits_at = now + machine.random.randrange(MIN_DRAIN_TIME_NS, MAX_DRAIN_TIME_NS)
+        world.clock.at(process.exits_at, self.end, name, process, "left")
 
     def _serves(self, name: str, process: Process) -> None:
         if self.running.get(name) is process and not process.exits_at:
-            simulation = self.host.simulation
-            simulation.audit.serving(simulation.clock.now, name)
+            world = self.world
+            world.audit.serving(world.clock.now, name)
 
     def end(self, name: str, process: Process, reason: str, certain: bool = False) -> None:
-        """End a process. One that is not certain to end goes on where its drain was cancelled."""
-        simulation = self.host.simulation
+        """End a process. Unless it is `certain`, a process whose drain was cancelled keeps running."""
+        world = self.world
         if self.running.get(name) is not process:
             return
-        if not certain and not (process.exits_at and simulation.clock.now >= process.exits_at):
+        if not certain and not (process.exits_at and world.clock.now >= process.exits_at):
             return
         del self.running[name]
-        simulation.audit.out_by_itself(simulation.clock.now, name)
-        self._exited(name, reason, self.host.restarts)
+        world.audit.out_by_itself(world.clock.now, name)
+        self._exited(name, reason, self.machine.restarts)
 
     def _exited(self, name: str, reason: str, restarts: int) -> None:
-        host = self.host
-        if not host.running or not host.may_act(restarts, lambda: self._exited(name, reason, restarts)):
+        machine = self.machine
+        if not machine.running or not machine.may_act(restarts, lambda: self._exited(name, reason, restarts)):
             return
-        supervisor = host.agent.supervisor
+        supervisor = self.owner.supervisor
         instance = next(instance for instance in supervisor.instances if instance.name == name)
         if name not in self.running:
-            supervisor.process_exited(host.now(), instance, reason)
+            supervisor.process_exited(machine.now(), instance, reason)
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import PermitAllocator, PermitTimeouts
+from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import ScheduledEvent
+from oakkeel.emulator.simulated_machine import SimulatedMachine
+from oakkeel.emulator.simulated_network import SimulatedNetwork
+from oakkeel.emulator.world import PERMIT_TIMEOUTS
 from oakkeel.raft.durable_state import DurableState
 from oakkeel.raft.memory_storage import InMemoryStorage
 from oakkeel.raft.messages import Envelope
@@ -21,12 +23,12 @@
 from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.units import MS, SECOND
 
-if TYPE_CHECKING:
-    from oakkeel.emulator.simulated_host import SimulatedHost
-
 RAFT_TIMEOUTS = RaftTimeouts(snapshot_entries=64)
-PERMIT_TIMEOUTS = PermitTimeouts()
-RESTART_DELAY = 300 * MS  # after a write that failed
+RESTART_DELAY_NS = 300 * MS  # after a write that failed
+NO_REPLICA_TICK_NS = 100 * MS  # while the replica waits for its disk
+MAX_LEADER_TICK_NS = 50 * MS
+MAX_TICK_NS = SECOND
+CRASH_RESTART_DELAY_NS = SECOND
 CRASH_BEFORE_WRITE = 1
 CRASH_AFTER_WRITE = 2
 
@@ -34,9 +36,12 @@
 class SimulatedReplica:
     """Carries out what the replica decides. Its storage outlives the process, all else is lost with it."""
 
-    def __init__(self, host: SimulatedHost) -> None:
+    def __init__(self, machine: SimulatedMachine, network: SimulatedNetwork) -> None:
         """`start` begins the process."""
-        self.host = host
+        self.machine = machine
+        self.world = machine.world
+        self.network = network
+        network.receivers[machine.name] = self.receive
         self.storage: InMemoryStorage | None = None
         self.known_writes = 0  # of the storage, counted beside it
         self.crash_at_write = 0  # CRASH_BEFORE_WRITE or CRASH_AFTER_WRITE the next one
@@ -46,21 +51,21 @@
 
     def start(self) -> None:
         """Make the replica from its storage, or with a new incarnation."""
-        host = self.host
-        now = host.now()
+        machine = self.machine
+        now = machine.now()
         if self.storage is not None and self.storage.writes < self.known_writes:
             self.storage = None  # an older copy
         if self.storage is None:
             self.known_writes = 0
-            incarnation = f"{host.name}.{host.random.getrandbits(40):x}"
-            self.storage = InMemoryStorage(DurableState(host.name, incarnation))
+            incarnation = f"{machine.name}.{machine.random.getrandbits(40):x}"
+            self.storage = InMemoryStorage(DurableState(machine.name, incarnation))
         self.control_plane = ControlPlaneReplica(
             now,
             self.storage.load(),
-            host.random.getrandbits(60),
+            machine.random.getrandbits(60),
             RAFT_TIMEOUTS,
-            host.initial_voters,
-            host.simulation.topology,
+            self.world.initial_voters,
+            self.world.topology,
             PERMIT_TIMEOUTS,
             RolloutStateMachine,
             self._rollout_controller,
@@ -71,17 +76,17 @@
     def _rollout_controller(
         self, now: int, state_machine: RolloutStateMachine, allocator: PermitAllocator
     ) -> RolloutController:
-        name = f"{self.host.name}.{self.host.random.getrandbits(40):x}"
+        name = f"{self.machine.name}.{self.machine.random.getrandbits(40):x}"
         return RolloutController(now, state_machine, allocator, name)
 
     def _applied(self, index: int, command: commands.Command, result: object) -> None:
-        simulation = self.host.simulation
-        audit = simulation.audit
-        now = simulation.clock.now
+        world = self.world
+        audit = world.audit
+        now = world.clock.now
         content = commands.encode(command)
-        audit.command_applied(now, self.host.name, index, content)
+        audit.command_applied(now, self.machine.name, index, content)
         if not isinstance(result, Rejection):
-            simulation.rollout_audit.record_command(now, self.host.name, content)
+            world.rollout_audit.record_command(now, self.machine.name, content)
         if self.control_plane and isinstance(
             command,
             commands.HaltOrder | commands.CancelOrder | commands.ReleasePermit | commands.ExpirePermit,
@@ -94,58 +99,57 @@
 
     def start_timer(self, restarts: int) -> None:
         """Tick for the first time."""
-        self.timer = self.host.simulation.clock.after(1, self._tick, restarts)
+        self.timer = self.world.clock.after(1, self._tick, restarts)
 
     def _tick(self, restarts: int) -> None:
-        host = self.host
-        if not host.may_act(restarts, lambda: self._tick(restarts)):
+        machine = self.machine
+        if not machine.may_act(restarts, lambda: self._tick(restarts)):
             return
         if self.control_plane:
-            self.carry_out(self.control_plane.tick(host.now()))
-        if restarts == host.restarts:
+            self.carry_out(self.control_plane.tick(machine.now()))
+        if restarts == machine.restarts:
             self._schedule()
 
     def _schedule(self) -> None:
-        """Set the timer to when the replica has something to do next; anew after whatever happens to it."""
-        host = self.host
+        """Set the timer to when the replica has something to do next; called after each event."""
+        machine = self.machine
         if self.timer:
             self.timer.cancel()
-        wait = 100 * MS
+        wait = NO_REPLICA_TICK_NS
         if self.control_plane:
-            wait = max(MS, int((self.control_plane.replica.next_tick_at() - host.now()) / host.rate))
-            wait = min(wait, 50 * MS if self.control_plane.allocator else SECOND)
-        self.timer = host.simulation.clock.after(wait, self._tick, host.restarts)
+            wait = max(MS, int((self.control_plane.replica.next_tick_at() - machine.now()) / machine.rate))
+            wait = min(wait, MAX_LEADER_TICK_NS if self.control_plane.allocator else MAX_TICK_NS)
+        self.timer = self.world.clock.after(wait, self._tick, machine.restarts)
 
     def carry_out(self, outputs: list[Output]) -> None:
         """Write, send and complete in this order, or crash in between."""
-        simulation = self.host.simulation
-        host = self.host
+        machine = self.machine
         for output in outputs:
             if self.control_plane is None or self.storage is None or not self._write(output):
                 return
             for recipient, envelope in output.envelopes:
-                simulation.network.send(host.name, recipient, envelope)
+                self.network.send(machine.name, recipient, envelope)
             for proposal in output.completed:
                 if complete := self.completions.pop(proposal, None):
                     complete(proposal)
         replica = self.control_plane and self.control_plane.replica
         if replica and replica.role is Role.LEADER:
-            simulation.audit.leader_observed(simulation.clock.now, replica.term, replica.incarnation)
+            self.world.audit.leader_observed(self.world.clock.now, replica.term, replica.incarnation)
         if replica and replica.role is Role.STALE:
             self.storage = None
             self.start()
 
     def _write(self, output: Output) -> bool:
         """Return whether the update is stored; else the process has crashed, or the disk is full."""
-        host = self.host
+        machine = self.machine
         control_plane = self.control_plane
         if output.storage_update is None or control_plane is None or self.storage is None:
             return True
         if self._crashes(CRASH_BEFORE_WRITE):
             return False
-        if host.disk_full:  # as if it had crashed: made again from what is there
+        if machine.disk_full:  # like a crash: it restarts from what is stored
             self.control_plane = None
-            host.simulation.clock.after(RESTART_DELAY, self._restart, host.restarts)
+            self.world.clock.after(RESTART_DELAY_NS, self._restart, machine.restarts)
             return False
         self.storage.write(control_plane.replica.durable, output.storage_update)
         self.known_writes = self.storage.writes
@@ -155,26 +159,26 @@
         if self.crash_at_write != moment:
             return False
         self.crash_at_write = 0
-        self.host.simulation.kill(self.host, SECOND)
+        self.machine.kill(CRASH_RESTART_DELAY_NS)
         return True
 
     def _restart(self, restarts: int) -> None:
-        host = self.host
-        if restarts == host.restarts and self.control_plane is None:
-            if host.disk_full:
-                host.simulation.clock.after(RESTART_DELAY, self._restart, restarts)
+        machine = self.machine
+        if restarts == machine.restarts and self.control_plane is None:
+            if machine.disk_full:
+                self.world.clock.after(RESTART_DELAY_NS, self._restart, restarts)
             else:
                 self.start()
 
     def receive(self, envelope: Envelope) -> None:
         """Take a message of another replica."""
-        host = self.host
-        if not host.running or not self.control_plane:
+        machine = self.machine
+        if not machine.running or not self.control_plane:
             return
-        if host.stopped:
-            host.deferred.append(lambda: self.receive(envelope))
+        if machine.stopped:
+            machine.deferred.append(lambda: self.receive(envelope))
             return
-        restarts = host.restarts
-        self.carry_out(self.control_plane.receive(host.now(), envelope))
-        if restarts == host.restarts:
+        restarts = machine.restarts
+        self.carry_out(self.control_plane.receive(machine.now(), envelope))
+        if restarts == machine.restarts:
             self._schedule()
