--- a/measure/plan.py
+++ b/measure/plan.py
@@ -42,7 +42,7 @@
     topology = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
     planner = BatchPlanner(topology)
     random = Random(1)
-    found = {}
+    found: dict[str, float] = {}
     for label, most, out_share in (
         ("one", 1, 0.0),
         ("as many as may be", 500, 0.0),
@@ -83,9 +83,8 @@
             if target in self.drained_at:
                 self.durations.setdefault(target, now - self.drained_at[target])
 
-        # type: ignore[method-assign]
-        simulation.audit.drain_started = on_drain
-        simulation.audit.serving = on_serving
+        simulation.audit.drain_started = on_drain  # type: ignore[method-assign]
+        simulation.audit.serving = on_serving  # type: ignore[method-assign]
 
 
 def _draw_schedule(seed: int, deaths: int, kills: int) -> Schedule:
@@ -175,7 +174,7 @@
     """Propose an operator's command to the leader."""
     while (leader := leader_of(simulation)) is None or leader.control_plane is None:
         simulation.clock.run(simulation.clock.now + 100 * MS)
-    _, outputs = leader.control_plane.propose(leader.now(), command)
+    _, outputs = leader.control_plane.propose(leader.machine.now(), command)
     leader.replica.carry_out(outputs)
 
 
@@ -185,10 +184,10 @@
         (
             host
             for host in simulation.hosts.values()
-            if host.running
+            if host.machine.running
             and host.control_plane
             and isinstance(host.control_plane.extension, RolloutController)
-            and host.control_plane.replica.holds_lease(host.now())
+            and host.control_plane.replica.holds_lease(host.machine.now())
         ),
         None,
     )
