--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -1,4 +1,4 @@
-"""What instances run: copies of programs and configurations, made before a release, kept until it is over."""
+"""Copies of the programs and configurations that instances run: made before a release, pruned after it."""
 
 from __future__ import annotations
 
@@ -22,6 +22,8 @@
     read_json,
 )
 
+MAX_ERROR_LENGTH = 300  # characters that a host reports of a failed preparation
+FOLDER_MODE = 0o700
 PACKAGE = os.path.dirname(os.path.abspath(oakkeel.__file__))
 
 
@@ -31,72 +33,75 @@
     def __init__(
         self, host: HostSettings, assignments: VersionAssignments, log: EventLog, on_ready: Callable[[], None]
     ) -> None:
-        """`moved` is called once copies are made, or can't be."""
-        self.assignments, self.log, self.on_ready = assignments, log, on_ready
+        """`on_ready` is called once the copies of a release are made, or have failed."""
+        self.assignments = assignments
+        self.log = log
+        self.on_ready = on_ready
         self.settings = {each.name: each for each in host.instances}
         self.state = host.state
         self.contents = ContentStore(os.path.join(host.state, "versions"))
         self.tasks: set[asyncio.Task[None]] = set()
 
-    # Making ready.
+    # Preparation.
 
     def prepare(self) -> None:
-        """Make the copies that are asked for, beside all else."""
-        for copy in self.assignments.take_requests():
-            task = asyncio.ensure_future(self._prepare(copy))
+        """Start to make the copies that the leader requests."""
+        for request in self.assignments.take_requests():
+            task = asyncio.ensure_future(self._prepare(request))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _prepare(self, copy: ArtifactRequest) -> None:
-        why, bases = "", {}
+    async def _prepare(self, request: ArtifactRequest) -> None:
+        why = ""
+        bases: dict[str, str] = {}
         try:
-            bases = await asyncio.to_thread(self._copy, copy)
+            bases = await asyncio.to_thread(self._copy, request)
         except OSError as error:
             why = str(error)
         except Exception as error:
-            why = "an error of the agent"
-            self.log.error("artifact_copy_failed", release=copy.release, error=fault(error))
+            why = "internal error of the agent; its log has the cause"
+            self.log.error("artifact_copy_failed", release=request.release, error=fault(error))
         report = self.log.warning if why else self.log.info
         report(
             "release_prepare_failed" if why else "release_prepared",
-            release=copy.release,
-            version=copy.spec.version,
+            release=request.release,
+            version=request.spec.version,
             error=why or None,
         )
-        self.assignments.record_prepared(copy.release, why[:300], bases)
+        self.assignments.record_prepared(request.release, why[:MAX_ERROR_LENGTH], bases)
         self.on_ready()
 
-    def _copy(self, copy: ArtifactRequest) -> dict[str, str]:
-        """Raises OSError. Returns the versions of what the things run by their settings."""
-        os.makedirs(os.path.join(self.contents.folder, "content"), mode=0o700, exist_ok=True)
-        self._import(copy.spec)
-        bases, program = {}, ""
-        for target in copy.targets:
+    def _copy(self, request: ArtifactRequest) -> dict[str, str]:
+        """Return the versions of what the targets run by their settings. Raises OSError."""
+        os.makedirs(os.path.join(self.contents.folder, "content"), mode=FOLDER_MODE, exist_ok=True)
+        self._import(request.spec)
+        bases = {}
+        program = ""
+        for target in request.targets:
             settings = self.settings[target]
-            self._merged_config(
-                settings, self.contents.find(copy.spec.version)
-            )  # can it be? Before it has to be
+            # Raises if the configuration can't be merged, before any process depends on it.
+            self._merged_config(settings, self.contents.find(request.spec.version))
             if self.assignments.version(target):
                 continue
-            program = program or self.contents.add_folder(PACKAGE, "oakkeel")  # that the agent itself is of
-            bases[target] = self.contents.add_version(
-                Content(program, "", self.contents.add_file(settings.config))
-            )
+            program = program or self.contents.add_folder(PACKAGE, "oakkeel")  # of the agent itself
+            config = self.contents.add_file(settings.config)
+            bases[target] = self.contents.add_version(Content(program, "", config))
         return bases
 
-    def _import(self, what: VersionSpec) -> None:
-        if self.contents.find(what.version):
+    def _import(self, spec: VersionSpec) -> None:
+        """Copy the content of a version. Raises ContentError."""
+        if self.contents.find(spec.version):
             return
-        program = self.contents.add_folder(what.program) if what.program else ""
+        program = self.contents.add_folder(spec.program) if spec.program else ""
         if program and not self._is_runnable(program):
             raise ContentError(
-                f"{what.program}: neither a file `run` that can be executed, nor oakkeel/__main__.py"
+                f"{spec.program}: neither a file `run` that can be executed, nor oakkeel/__main__.py"
             )
-        patch = self.contents.add_file(what.patch) if what.patch else ""
+        patch = self.contents.add_file(spec.patch) if spec.patch else ""
         if patch:
             read_json(self.contents.path(patch))
-        if (found := self.contents.add_version(Content(program, patch))) != what.version:
-            raise ContentError(f"what is found here is version {found}, not {what.version}")
+        if (found := self.contents.add_version(Content(program, patch))) != spec.version:
+            raise ContentError(f"the content on this host is version {found}, expected {spec.version}")
 
     def _is_runnable(self, program: str) -> bool:
         folder = self.contents.path(program)
@@ -104,20 +109,23 @@
             os.path.join(folder, "oakkeel", "__main__.py")
         )
 
-    # Running.
+    # Launching.
 
     def launch_command(self, name: str, program: list[str]) -> tuple[list[str], dict[str, str]]:
-        """How the next process of an instance is started: words, and variables beside the rest. Raises
-        ContentError where its version is not here."""
-        version, settings = self.assignments.version(name), self.settings[name]
+        """The command of an instance's next process, and its additional environment variables.
+
+        Raises ContentError if its version is not on this host.
+        """
+        version = self.assignments.version(name)
+        settings = self.settings[name]
         if not version:
             return program, {}
         content = self.contents.find(version)
-        if content is None and (what := self.assignments.sources.get(version)):
-            self._import(what)  # our copy is lost: made again where it came from
+        if content is None and (spec := self.assignments.sources.get(version)):
+            self._import(spec)  # the copy is lost: make it again from its source
             content = self.contents.find(version)
         if content is None:
-            raise ContentError(f"version {version} is not here")
+            raise ContentError(f"this host has no copy of version {version}")
         variables = {"OAKKEEL_VERSION": version}
         if content.program:
             folder = self.contents.path(content.program)
@@ -142,21 +150,23 @@
         return apply_merge_patch(config, read_json(self.contents.path(content.patch)))
 
     def prune(self, running: set[str]) -> None:
-        """Forget what no release and no instance needs; `running`: what processes were started from. One that
-        goes on from a copy may still read from it."""
+        """Delete versions that no release and no instance needs.
+
+        Processes were started from `running`, and may still read these copies.
+        """
         if self.tasks or self.assignments.release:
             return
-        if dropped := self.contents.prune(self.assignments.needed_versions() | running):
-            self.log.info("artifacts_pruned", versions=",".join(dropped))
+        if pruned := self.contents.prune(self.assignments.needed_versions() | running):
+            self.log.info("artifacts_pruned", versions=",".join(pruned))
 
     def close(self) -> None:
-        """Cancel copies that are being made."""
+        """Cancel the copies that are not complete."""
         for task in self.tasks:
             task.cancel()
 
 
 def version_of(program: str, patch: str) -> str:
-    """Of what lies at two paths, either of which may be empty. Raises ContentError."""
+    """The version of a program and a patch at two paths, either may be empty. Raises ContentError."""
     content = Content(hash_folder(program) if program else "", hash_file(patch) if patch else "")
     if patch:
         read_json(patch)
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -1,4 +1,8 @@
-"""What passes between command line and agent, inside sealed frames. Ages are nanoseconds, -1 for never."""
+"""Requests and responses between command line and agents, sent in authenticated frames.
+
+Ages are in nanoseconds; -1: never, or not known. Tags and keys are outside forms: a field that has another
+name here states its key.
+"""
 
 from __future__ import annotations
 
@@ -11,52 +15,55 @@
 
 
 class HostStatusRequest(msgspec.Struct, tag="look", forbid_unknown_fields=True):
-    """How is everything on the host? `HostStatus` comes back."""
+    """Ask for the state of the host and its instances. Answered by `HostStatus`."""
 
 
 class OrderRequest(msgspec.Struct, tag="order", forbid_unknown_fields=True):
-    """An order for instances, each with the generation that it is made for. `OrderTold` comes back."""
+    """Order an action on instances, each with the generation that the operator saw.
+
+    Answered by `OrderStatus`.
+    """
 
     order_id: str = msgspec.field(name="ident")
     verb: str
     instances: list[tuple[str, int]]
-    lifetime: int = msgspec.field(name="lasts")  # nanoseconds, from when it is taken
+    lifetime: int = msgspec.field(name="lasts")  # nanoseconds from when it is accepted
     supersede: bool = False
 
 
 class CancelOrderRequest(msgspec.Struct, tag="cancel", forbid_unknown_fields=True):
-    """End what an order has not begun. `OrderTold` comes back."""
+    """Cancel the tasks of an order that are not started. Answered by `OrderStatus`."""
 
     order_id: str = msgspec.field(name="ident")
 
 
 class ListOrdersRequest(msgspec.Struct, tag="orders", forbid_unknown_fields=True):
-    """The last orders. `OrderList` comes back."""
+    """Ask for the latest orders. Answered by `OrderList`."""
 
     limit: int = msgspec.field(default=50, name="most")
 
 
 class InstanceClientsRequest(msgspec.Struct, tag="clients", forbid_unknown_fields=True):
-    """Who sends the most to an instance? `InstanceClients` comes back."""
+    """Ask for the heaviest clients of an instance. Answered by `InstanceClients`."""
 
     instance: str
     limit: int = msgspec.field(default=20, name="most")
 
 
 class PeerEnvelopesRequest(msgspec.Struct, tag="carry", forbid_unknown_fields=True):
-    """Letters from one keeper to another. `PeerEnvelopesResponse` comes back."""
+    """Raft envelopes from one replica to another. Answered by `PeerEnvelopesResponse`."""
 
     envelopes: list[Envelope] = msgspec.field(name="letters")
 
 
 class HeartbeatRequest(msgspec.Struct, tag="polled", forbid_unknown_fields=True):
-    """An agent to whom it takes for the leader. `HeartbeatAccepted` comes back, or `NotLeaderResponse`."""
+    """The heartbeat of an agent. Answered by `HeartbeatAccepted` or `NotLeaderResponse`."""
 
     heartbeat: Heartbeat = msgspec.field(name="poll")
 
 
 class FleetOrderRequest(msgspec.Struct, tag="fleet", forbid_unknown_fields=True):
-    """An order for targets of any host. Answered by `FleetOrderStatus` or `NotLeaderResponse`."""
+    """Order an action on targets of any host. Answered by `FleetOrderStatus` or `NotLeaderResponse`."""
 
     order_id: str = msgspec.field(name="ident")
     verb: str
@@ -73,13 +80,13 @@
 
 
 class SetVotersRequest(msgspec.Struct, tag="set keepers", forbid_unknown_fields=True):
-    """Who should keep the record from now on. `RaftStatus` comes back, or `NotLeaderResponse`."""
+    """Set the voters of the control plane. Answered by `RaftStatus` or `NotLeaderResponse`."""
 
     hosts: list[str]
 
 
 class StartReleaseRequest(msgspec.Struct, tag="start release", forbid_unknown_fields=True):
-    """Bring that to those things, step by step. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
+    """Roll a version out to targets. Answered by `ReleaseStatus` or `NotLeaderResponse`."""
 
     release_id: str = msgspec.field(name="ident")
     version: VersionSpec = msgspec.field(name="what")
@@ -88,10 +95,10 @@
 
 
 class ControlReleaseRequest(msgspec.Struct, tag="turn release", forbid_unknown_fields=True):
-    """pause, resume, abort, undo, leave. `ReleaseStatus` comes back, or `NotLeaderResponse`."""
+    """Control a release. Answered by `ReleaseStatus` or `NotLeaderResponse`."""
 
     release_id: str = msgspec.field(name="ident")
-    action: str = msgspec.field(name="to")
+    action: str = msgspec.field(name="to")  # pause, resume, abort, undo (roll back), leave (give up)
 
 
 class ReleaseStatusRequest(msgspec.Struct, tag="ask release", forbid_unknown_fields=True):
@@ -101,17 +108,17 @@
 
 
 class RaftStatusRequest(msgspec.Struct, tag="record", forbid_unknown_fields=True):
-    """How is the record, as this agent knows it? `RaftStatus` comes back."""
+    """Ask for the state of the agent's replica. Answered by `RaftStatus`."""
 
 
 class FleetStatusRequest(msgspec.Struct, tag="fleet state", forbid_unknown_fields=True):
-    """Places and orders of the fleet. `FleetStatus` comes back, or `NotLeaderResponse`."""
+    """Ask for permits and orders of the fleet. Answered by `FleetStatus` or `NotLeaderResponse`."""
 
     order_id: str = msgspec.field(default="", name="ident")  # of one order; else the latest
 
 
 class OpenOrder(msgspec.Struct):
-    """The order that is open on an instance."""
+    """The open order on an instance."""
 
     order_id: str = msgspec.field(name="ident")
     operator: str
@@ -134,10 +141,10 @@
     report_age: int = msgspec.field(name="heard_age")  # of `report`
     report: NodeStatus | None
     order: OpenOrder | None
-    recent_crashes: int = msgspec.field(name="deaths")  # within the window of the budget
+    recent_crashes: int = msgspec.field(name="deaths")  # within the restart window
     restarts_exhausted: bool = msgspec.field(name="resting")
-    starts_in: int  # nanoseconds until it may be started; 0: now or not to be
-    why: str  # the last thing that went wrong
+    starts_in: int  # nanoseconds until it may be started; 0: now, or it is not to be started
+    why: str  # the last error
 
 
 class HostStatus(msgspec.Struct, tag="host"):
@@ -146,10 +153,10 @@
     host: str
     site: str
     uptime: int  # of the agent
-    unix_time: int = msgspec.field(name="unix")  # its clock
-    max_unavailable: int = msgspec.field(name="away")  # how many of its instances may be out at one time
-    unavailable: int = msgspec.field(name="out")  # how many are
-    notes: list[str]  # what its operator should know of
+    unix_time: int = msgspec.field(name="unix")  # of the host's wall clock
+    max_unavailable: int = msgspec.field(name="away")  # the host's part of its site's disruption budget
+    unavailable: int = msgspec.field(name="out")  # instances that count against it
+    notes: list[str]  # conditions that its operator should know
     instances: list[InstanceStatus]
 
 
@@ -175,18 +182,18 @@
 class OrderList(msgspec.Struct, tag="orders"):
     """The latest orders of a host."""
 
-    orders: list[OrderStatus]  # the latest first
+    orders: list[OrderStatus]  # latest first
 
 
 class InstanceClients(msgspec.Struct, tag="clients"):
-    """The clients that send the most to an instance."""
+    """The heaviest clients of an instance."""
 
     instance: str
     status: ClientsStatus = msgspec.field(name="told")
 
 
 class PeerEnvelopesResponse(msgspec.Struct, tag="carried"):
-    """Envelopes that waited for the host that asked."""
+    """Envelopes that were queued for the requesting host."""
 
     envelopes: list[Envelope] = msgspec.field(name="letters")
 
@@ -198,7 +205,7 @@
 
 
 class NotLeaderResponse(msgspec.Struct, tag="elsewhere"):
-    """Only the leader answers that; `leader` is a host, or empty where none is known."""
+    """Only the leader handles the request; `leader` is a host, or empty if none is known."""
 
     leader: str
     why: str
@@ -211,12 +218,12 @@
     host: str
     state: str
     why: str
-    fence: int = msgspec.field(name="place")  # the fence of its place; 0: none
-    in_flight: str = msgspec.field(default="", name="owes")  # what it has yet to answer while it leaves
+    fence: int = msgspec.field(name="place")  # fencing token of its permit; 0: none
+    in_flight: str = msgspec.field(default="", name="owes")  # requests to answer before its drain ends
 
 
 class FleetOrderStatus(msgspec.Struct, tag="fleet"):
-    """An order of the fleet as it is agreed."""
+    """An order of the fleet as it is committed."""
 
     order_id: str = msgspec.field(name="ident")
     operator: str
@@ -229,7 +236,7 @@
 
 
 class UnavailableTarget(msgspec.Struct):
-    """A thing that is out, and why."""
+    """An unavailable target, and why."""
 
     target: str = msgspec.field(name="thing")
     host: str
@@ -252,11 +259,11 @@
     index: int
     budgets: list[BudgetUsage] = msgspec.field(name="groups")
     unavailable: list[UnavailableTarget] = msgspec.field(name="out")
-    orders: list[FleetOrderStatus]  # the latest first
+    orders: list[FleetOrderStatus]  # latest first
 
 
 class MemberStatus(msgspec.Struct):
-    """A member of the record, as its leader or one who follows knows it. -1: not known here."""
+    """A member of the Raft group, as a replica knows it. -1: not known to it."""
 
     name: str
     incarnation: str = msgspec.field(name="life")
@@ -269,16 +276,16 @@
     """The state of an agent's replica, or of none."""
 
     host: str
-    role: str  # none: it keeps nothing
+    role: str  # "none": this host has no replica
     role_age: int
     epoch: str
     term: int
     leader: str
-    is_leader: bool = msgspec.field(name="leads")  # and its lease holds
+    is_leader: bool = msgspec.field(name="leads")  # with a valid lease
     committed: int = msgspec.field(name="agreed")  # index
     last_index: int = msgspec.field(name="last")
     elections: int
-    contact_age: int = msgspec.field(name="heard_age")  # since this agent heard the record's answer last
+    contact_age: int = msgspec.field(name="heard_age")  # of the last accepted response of a leader
     members: list[MemberStatus]
     why: str
 
@@ -289,14 +296,14 @@
     target: str = msgspec.field(name="thing")
     host: str
     state: str  # old, changing, new
-    running_version: str = msgspec.field(name="runs")  # the version that its process told
+    running_version: str = msgspec.field(name="runs")  # the version that its process reported
     phase: str
-    report_age: int = msgspec.field(name="age")  # of that, -1: nothing is known
+    report_age: int = msgspec.field(name="age")  # of that report
     why: str = ""
 
 
 class ReleaseStatus(msgspec.Struct, tag="release"):
-    """A release as it is agreed, and what whoever drives it waits for."""
+    """A release as it is committed, and what its rollout controller waits for."""
 
     release_id: str = msgspec.field(name="ident")
     operator: str
@@ -306,22 +313,20 @@
     step: int
     batch: int
     why: str
-    gate_summary: str = msgspec.field(name="said")  # the gates' figures
-    waiting_for: str = msgspec.field(name="waits")  # what for, as the driver knows it
+    gate_summary: str = msgspec.field(name="said")  # figures of the gates
+    waiting_for: str = msgspec.field(name="waits")
     controller: str = msgspec.field(name="driver")
     targets: list[ReleaseTargetStatus] = msgspec.field(name="parts")
-    other_releases: list[tuple[str, str]] = msgspec.field(
-        name="others"
-    )  # releases that are over: id and state
+    other_releases: list[tuple[str, str]] = msgspec.field(name="others")  # ended releases: ID and state
 
 
 class ErrorResponse(msgspec.Struct, tag="fault"):
-    """Nothing came of it."""
+    """The request failed and changed nothing."""
 
     why: str
 
 
-PeerRequest = PeerEnvelopesRequest | HeartbeatRequest  # agents
+PeerRequest = PeerEnvelopesRequest | HeartbeatRequest  # with the key of an agent
 Request = (
     HostStatusRequest
     | OrderRequest
@@ -363,10 +368,10 @@
 
 
 def decode_request(content: bytes) -> Request:
-    """Raises `msgspec.MsgspecError` with one plain line."""
+    """Decode a request. Raises `msgspec.MsgspecError`."""
     return _request_decoder.decode(content)
 
 
 def decode_response(content: bytes) -> Response:
-    """Raises `msgspec.MsgspecError` with one plain line."""
+    """Decode a response. Raises `msgspec.MsgspecError`."""
     return _response_decoder.decode(content)
--- a/oakkeel/agent/order_rules.py
+++ b/oakkeel/agent/order_rules.py
@@ -77,9 +77,9 @@
 
 
 def task_outcome(now: int, task: Task) -> TaskOutcome | None:
-    """How an acting task ends by now; None: it goes on.
+    """The outcome of an acting task that is over by now; None if it continues.
 
-    A failure to reach the goal ends the task once its instance has no restart left, or the order has expired.
+    A task fails once its instance has no restart left or its order has expired, as nothing else would end it.
     """
     instance = task.instance
     if _is_complete(task):
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -140,7 +140,7 @@
         return order
 
     def revert(self, now: int, order: Order, operator: str) -> None:
-        """Cancel an order with its started tasks: what it has taken out is restored."""
+        """Cancel an order with its started tasks, and restore the instances that it has drained."""
         for task in order.tasks:
             is_taken_out = has_taken_out(task)
             if task.state in OPEN_STATES:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -18,7 +18,7 @@
 from oakkeel.rollout.messages import TargetStatus
 
 DEFAULT_GENERATION_BLOCK = 64
-CONTROL_PLANE = "the control plane"  # in place of an operator, where an order is over in the replicated log
+CONTROL_PLANE = "the control plane"  # named as the operator who cancelled an order that has ended there
 # States on the wire: of results, and of tasks that the control plane takes for open.
 RESULT_STATES = {
     TaskState.DONE: "done",
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -170,7 +170,7 @@
         try:
             answer = self.handler(key, request)
             return await answer if isinstance(answer, Awaitable) else answer
-        except Exception as error:  # the sender is told, and the agent continues
+        except Exception as error:  # the sender gets an error response, and the agent continues
             self.log.error("agent_request_failed", operator=key.operator, error=fault(error))
             return messages.ErrorResponse("internal error of the agent; its log has the cause")
 
--- a/oakkeel/agent/supervision_rules.py
+++ b/oakkeel/agent/supervision_rules.py
@@ -33,7 +33,7 @@
 
     @property
     def node_drain_timeout_ns(self) -> int:
-        """The time that a node gets to answer what it has read."""
+        """The deadline that a node gets for its drain."""
         return self.drain_timeout_ns * NODE_DRAIN_PERCENT // 100
 
 
@@ -132,7 +132,7 @@
 
 
 def is_stuck(now: int, instance: Instance, timeouts: SupervisionTimeouts) -> bool:
-    """Whether a silent instance is silent for so long that no client waits for its answers any more."""
+    """Whether a silent instance is silent for longer than any client waits for a response."""
     return now - instance.phase_since > timeouts.stuck_timeout_ns
 
 
