--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -9,8 +9,8 @@
 import time
 from collections.abc import Sequence
 
-from oakkeel.agent.artifacts import ArtifactStore
-from oakkeel.agent.configuration import AgentKeys, AgentParts, AgentSettings, control_plane_of
+from oakkeel.agent.configuration import AgentKeys, AgentParts, AgentSettings
+from oakkeel.agent.control_plane_member import ControlPlaneMember, services_of
 from oakkeel.agent.executor import InstanceExecutor
 from oakkeel.agent.instances import Instance
 from oakkeel.agent.orders import OrderRegistry
@@ -20,7 +20,7 @@
 from oakkeel.agent.request_handlers import RequestHandlers
 from oakkeel.agent.server import DEFAULT_MAX_CONNECTIONS, AgentServer, ServerLimits
 from oakkeel.agent.state_writer import StateWriter
-from oakkeel.agent.status_reporter import StatusReporter, probe
+from oakkeel.agent.status_reporter import StatusReporter
 from oakkeel.agent.storage import (
     ADDED_TABLES,
     SCHEMA,
@@ -33,14 +33,12 @@
 from oakkeel.agent.supervisor import Supervisor
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption.holder import PermitHolder
-from oakkeel.disruption.messages import HeartbeatResponse
 from oakkeel.log import EventLog, fault
-from oakkeel.settings.types import Fleet, Service
+from oakkeel.settings.types import Fleet
 from oakkeel.store.database import Database
 from oakkeel.units import MS, SECOND
 
 RECONCILE_INTERVAL_NS = 100 * MS
-PRUNE_INTERVAL_NS = 60 * SECOND  # between searches for versions that nothing needs
 MAX_LOG_LINES_PER_SECOND = 50
 MAX_CONNECTIONS_PER_HOST = 3
 STATE_FOLDER_MODE = 0o700
@@ -66,28 +64,22 @@
         self.settings = settings
         self.host = host
         self.keys = keys.accepted
-        self.agent_keys = keys.agents
         self.log = log
         self.started_at = time.monotonic_ns()
         self.store = parts.store or Database(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
         self.notes: list[str] = []
         fleet = settings.fleet
         self.fleet = fleet if fleet and fleet.control_plane else None
-        self.services: tuple[Service, ...] = ()
         self._restore_state(seed)
-        self.pruned_at = self.started_at
         self.executor = InstanceExecutor(
             settings, parts, self.supervisor, self.permit_holder, log, self.reconcile
         )
         self.reconciler: Reconciler | None = None
-        self.artifacts: ArtifactStore | None = None
-        if self.permit_holder:
-            self._make_reconciler(self.permit_holder)
+        self.member: ControlPlaneMember | None = None
+        if self.fleet and self.permit_holder:
+            self._make_member(self.fleet, self.permit_holder, keys.agents)
         self.state_writer = StateWriter(self.store, self.orders, self.reconciler, log)
         self.stop_requested = asyncio.Event()
-        self.raft: RaftRuntime | None = None
-        self.status_reporter: StatusReporter | None = None
-        self.tasks: list[asyncio.Task[None]] = []
         self.handlers = RequestHandlers(self)
         limits = _server_limits(self.fleet)
         self.server = AgentServer(host.agent, lambda: self.keys, self.handlers.handle, log, limits)
@@ -105,7 +97,7 @@
         restore_instances(self.store, instances, is_same_boot)
         for instance in instances.values():
             instance.phase_since = self.started_at
-        self.permit_holder = self._make_permit_holder(seed) if self.fleet else None
+        self.permit_holder = self._make_permit_holder(self.fleet, seed) if self.fleet else None
         self.supervisor = Supervisor(
             instances.values(),
             self.settings.timeouts,
@@ -118,19 +110,17 @@
         if not is_same_boot:
             self.orders.fail_all(self.started_at, "the host was rebooted")
 
-    def _make_reconciler(self, permit_holder: PermitHolder) -> None:
-        service_names = tuple(service.name for service in self.services)
+    def _make_member(self, fleet: Fleet, permit_holder: PermitHolder, agent_keys: dict[str, Key]) -> None:
+        service_names = tuple(service.name for service in services_of(fleet, self.host.name))
         self.reconciler = Reconciler(self.supervisor, self.orders, permit_holder, services=service_names)
         restore_assignments(self.store, self.reconciler.assignments)
-        self.artifacts = ArtifactStore(
-            self.host, self.reconciler.assignments, self.log, self._artifacts_ready
+        self.member = ControlPlaneMember(
+            self.settings, agent_keys, self.reconciler, self.executor, self.reconcile, self.log
         )
-        self.executor.launcher.artifacts = self.artifacts
 
-    def _make_permit_holder(self, seed: int) -> PermitHolder:
-        services = control_plane_of(self.fleet).services
-        self.services = tuple(each for each in services if each.host == self.host.name)
-        targets = (*(each.name for each in self.host.instances), *(each.name for each in self.services))
+    def _make_permit_holder(self, fleet: Fleet, seed: int) -> PermitHolder:
+        services = services_of(fleet, self.host.name)
+        targets = (*(each.name for each in self.host.instances), *(each.name for each in services))
         incarnation = seed & (1 << INCARNATION_BITS) - 1
         permit_holder = PermitHolder(self.host.name, targets, incarnation)
         self.store.write(ADDED_TABLES)
@@ -146,6 +136,16 @@
         self.store.write([("DELETE FROM boot", ()), ("INSERT INTO boot VALUES (?)", (boot_id,))])
         return not stored
 
+    @property
+    def raft(self) -> RaftRuntime | None:
+        """The replica of this host, if it has one."""
+        return self.member.raft if self.member else None
+
+    @property
+    def status_reporter(self) -> StatusReporter | None:
+        """The sender of heartbeats, if the fleet has a control plane."""
+        return self.member.status_reporter if self.member else None
+
     @property
     def alive(self) -> dict[Instance, Process]:
         """The running processes by instance."""
@@ -163,8 +163,10 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop_requested.set)
         await self.executor.find_processes()
-        if self.fleet and self.reconciler:
-            self._join_control_plane(self.fleet, self.reconciler)
+        if self.fleet and self.reconciler and self.member:
+            if self.store.created:
+                self.reconciler.state_file_lost()
+            self.member.join(self.fleet)
         self.server.open()
         address = f"{self.server.address[0]}:{self.server.address[1]}"
         self.log.info(
@@ -188,68 +190,12 @@
     def _close(self) -> None:
         self.log.info("agent_stopped", running=len(self.alive), open_orders=self._open_orders())
         self.server.close()
-        for task in self.tasks:
-            task.cancel()
-        if self.status_reporter:
-            self.status_reporter.close()
-        if self.raft:
-            self.raft.close()
-        if self.artifacts:
-            self.artifacts.close()
+        if self.member:
+            self.member.close()
         self.save()
         self.executor.close()
         self.store.close()
 
-    # The control plane.
-
-    def _join_control_plane(self, fleet: Fleet, reconciler: Reconciler) -> None:
-        """Start the heartbeats, the probes of downstream services, and a replica if this host has one."""
-        if self.store.created:
-            reconciler.state_file_lost()
-        reporter = StatusReporter(
-            fleet, self.host.name, self.agent_keys, reconciler, self.log, self._response_received
-        )
-        self.status_reporter = reporter
-        has_replica_file = os.path.exists(os.path.join(self.host.state, "record.db"))
-        if self.host.name in control_plane_of(fleet).hosts or has_replica_file:
-            self._start_raft(fleet, reporter)
-        self.tasks.append(asyncio.ensure_future(reporter.run()))
-        self.tasks += [
-            asyncio.ensure_future(probe(each, reconciler.services, reporter.wake.set))
-            for each in self.services
-        ]
-
-    def _start_raft(self, fleet: Fleet, reporter: StatusReporter) -> None:
-        try:
-            self.raft = RaftRuntime(fleet, self.host.name, self.agent_keys, self.log)
-            reporter.raft = self.raft
-            self.raft.open()
-        except OSError as error:
-            self.log.error("raft_unavailable", error=str(error))
-
-    def _response_received(self, response: HeartbeatResponse) -> None:
-        is_voter = self.host.name in response.voters
-        if self.raft is None and is_voter and self.fleet and self.status_reporter:
-            self._start_raft(self.fleet, self.status_reporter)
-        self.reconcile()
-        if self.artifacts:
-            self.artifacts.prepare()
-            self._prune_artifacts(self.artifacts)
-
-    def _prune_artifacts(self, artifacts: ArtifactStore) -> None:
-        """Delete unused versions, once it is known which version each process runs."""
-        running = list(self.alive)
-        is_due = time.monotonic_ns() - self.pruned_at > PRUNE_INTERVAL_NS
-        if is_due and all(each.report for each in running):
-            self.pruned_at = time.monotonic_ns()
-            artifacts.prune({each.running_version for each in running})
-
-    def _artifacts_ready(self) -> None:
-        """Report the result of a release's preparation with the next heartbeat, which is sent at once."""
-        self.reconcile()
-        if self.status_reporter:
-            self.status_reporter.wake.set()
-
     def operator_notes(self) -> Sequence[str]:
         """Conditions of this host that its operator should know."""
         notes = list(self.notes)
@@ -257,10 +203,8 @@
             notes.append(f"orders wait, as the state file can't be written: {self.storage_error}")
         for instance in self.executor.unidentified:
             notes.append(f"{instance.name}: a process that can't be identified holds its lock")
-        if self.status_reporter and self.status_reporter.why:
-            notes.append(f"no leader answers, so nothing new is drained here: {self.status_reporter.why}")
-        if self.raft and self.raft.storage_error:
-            notes.append(f"the replica's file can't be written: {self.raft.storage_error}")
+        if self.member:
+            notes += self.member.operator_notes()
         return notes
 
     # Reconciliation.
@@ -282,8 +226,8 @@
                     self.executor.postpone(step)
             if steps:
                 self.save()
-                if self.status_reporter:
-                    self.status_reporter.wake.set()
+                if self.member:
+                    self.member.wake()
         except Exception as error:  # the agent continues
             self.log.error("reconcile_failed", error=fault(error))
 
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -65,8 +65,14 @@
     supervisor: Supervisor
     orders: OrderRegistry
     executor: InstanceExecutor
-    raft: RaftRuntime | None
-    status_reporter: StatusReporter | None
+
+    @property
+    def raft(self) -> RaftRuntime | None:
+        """The replica of this host, if it has one."""
+
+    @property
+    def status_reporter(self) -> StatusReporter | None:
+        """The sender of heartbeats, if the fleet has a control plane."""
 
     @property
     def storage_error(self) -> str:
