--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -21,7 +21,7 @@
 from oakkeel.disruption.allocator import PermitTimeouts
 from oakkeel.fakes.control_plane import UnexpectedResponseError
 from oakkeel.fakes.rig import ProcessRig
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import NoLeaderError
 from oakkeel.invariants.logs import audit_groups, audit_logs, read_events
 
@@ -239,12 +239,14 @@
         site = FakeSite(
             folder,
             HOSTS,
-            MAX_UNAVAILABLE,
-            seed,
-            sites=SITES,
-            replicas=VOTERS,
-            fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
-            supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>',
+            SiteOptions(
+                max_unavailable=MAX_UNAVAILABLE,
+                seed=seed,
+                sites=SITES,
+                replicas=VOTERS,
+                fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
+                supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>',
+            ),
         )
         rig = ProcessRig(site, seed)
         run = AgreementRun(rig, seed)
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -21,7 +21,7 @@
 from oakkeel.fakes.load_process import LoadProcess
 from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.rig import ProcessRig
-from oakkeel.fakes.site import NODE_SETTINGS, FakeSite
+from oakkeel.fakes.site import NODE_SETTINGS, FakeSite, SiteOptions
 from oakkeel.invariants.logs import read_events
 
 HOSTS = {"h1": ["n1", "n2", "n3"], "h2": ["n4", "n5", "n6"]}
@@ -55,7 +55,7 @@
 
     async def play(self, drains: int) -> LoadSummary:
         """Start the load, play all drains, and stop the load."""
-        await self.load.start(self.rate / 2, self.rig.site.seed)
+        await self.load.start(self.rate / 2, self.rig.site.options.seed)
         updates = [
             asyncio.ensure_future(self._follow_agents()),
             asyncio.ensure_future(self._follow_directory()),
@@ -139,12 +139,14 @@
         site = FakeSite(
             folder,
             HOSTS,
-            2,
-            seed,
-            replicas=("h1",),
-            fleet_max_unavailable=2,
-            sites={"h1": "woodbrook", "h2": "belmont"},
-            supervision='<supervision silent="2s" start="10s" drain="10s" backoff="200ms"/>',
+            SiteOptions(
+                max_unavailable=2,
+                seed=seed,
+                replicas=("h1",),
+                fleet_max_unavailable=2,
+                sites={"h1": "woodbrook", "h2": "belmont"},
+                supervision='<supervision silent="2s" start="10s" drain="10s" backoff="200ms"/>',
+            ),
         )
         rig = ProcessRig(site, seed, real=True)
         load = LoadProcess()
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -9,7 +9,7 @@
 
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.emulator.clients import BalancingPolicy, ClientBehavior
-from oakkeel.emulator.scenario import RESPONSE_TIME, Scenario, ScenarioRun
+from oakkeel.emulator.scenario import RESPONSE_TIME_NS, Scenario, ScenarioRun
 from oakkeel.units import SECOND
 
 RATE_PER_NODE = 10.0  # requests a second
@@ -61,7 +61,7 @@
         seconds_taken=elapsed,
         events=result.events_processed,
         requests=result.requests,
-        times_real=(seconds + RESPONSE_TIME / SECOND) / elapsed,
+        times_real=(seconds + RESPONSE_TIME_NS / SECOND) / elapsed,
         breaches=len(result.breaches),
         digest=result.digest(),
     )
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -26,7 +26,7 @@
 from oakkeel.fakes.load_clients import CrawlerClient, PoliteClient
 from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.simulated_node import fair_share, jain
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.units import SECOND
 
 # the engine's, and seconds of a run: capacity of a hundred a second
@@ -42,7 +42,9 @@
 async def measure_crawler(fair: bool, times: int, seconds: float, seed: int) -> dict[str, Any]:
     """Run compliant clients beside a crawler at so many times its share; return what each obtained."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, seed=seed, work=WORK, max_retry_after=5)
+        site = FakeSite(
+            folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, seed=seed, work=WORK, max_retry_after=5)
+        )
         await site.open()
         site.engines["n1"].calls = 0
         node, address = await start_node(folder, fair)
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -21,7 +21,7 @@
     write_figures,
 )
 from oakkeel.fakes.dispatcher import Dispatcher
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 
 HOSTS = {
     "wb1": [f"n{n}" for n in (1, 2, 3, 4)],
@@ -70,7 +70,7 @@
     """Kill and suspend instances under load for some rounds, and count what was lost."""
     random = Random(seed)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, HOSTS, max_unavailable=4, seed=seed, sites=SITES)
+        site = FakeSite(folder, HOSTS, SiteOptions(max_unavailable=4, seed=seed, sites=SITES))
         async with running_site(site) as fleet:
             took = await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
             print_line(f"twelve instances on three hosts serve after {took:.1f} s")
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from measure.common import format_spread, parse_arguments, print_line, running_site, write_figures
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 
 DEADLINE = 1.0
 
@@ -44,7 +44,7 @@
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         hosts = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
         async with running_site(
-            FakeSite(folder, hosts, max_unavailable=12), "oakkeel.fakes.crashing"
+            FakeSite(folder, hosts, SiteOptions(max_unavailable=12)), "oakkeel.fakes.crashing"
         ) as fleet:
             await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
             complete = [await run_listing(fleet.site.settings) for _ in range(times)]
--- a/measure/node.py
+++ b/measure/node.py
@@ -20,7 +20,7 @@
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.errors import OakkeelError
 from oakkeel.fakes.dispatcher import Dispatcher
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 
 TICKS = os.sysconf("SC_CLK_TCK")
 FAIR = {
@@ -93,7 +93,7 @@
 async def measure_node(tree: str, kind: str, rate: float, seconds: float, seed: int) -> dict[str, float]:
     """Start a node of that kind from a tree, and measure it under load."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, seed=seed, work=0.002)
+        site = FakeSite(folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, seed=seed, work=0.002))
         await site.open()
         variables = node_variables(tree, kind, folder)
         node = await asyncio.create_subprocess_exec(
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -15,7 +15,7 @@
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
 from oakkeel.fakes.control_plane import UnexpectedResponseError
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key, write_key
@@ -36,8 +36,7 @@
         site = FakeSite(
             folder,
             {"wb1": ["n1"]},
-            max_unavailable=1,
-            supervision='<supervision backoff="20ms" restarts="1000"/>',
+            SiteOptions(max_unavailable=1, supervision='<supervision backoff="20ms" restarts="1000"/>'),
         )
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -25,7 +25,7 @@
 from oakkeel.fakes.dispatcher import Dispatcher, SentRequest
 from oakkeel.fakes.node_connection import Address
 from oakkeel.fakes.rig import ProcessRig
-from oakkeel.fakes.site import NODE_SETTINGS, FakeSite, free_port
+from oakkeel.fakes.site import NODE_SETTINGS, FakeSite, SiteOptions, free_port
 from oakkeel.fleet.agent_clients import NoLeaderError
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.units import SECOND
@@ -254,14 +254,16 @@
     site = FakeSite(
         folder,
         HOSTS,
-        MAX_UNAVAILABLE,
-        seed,
-        sites=SITES,
-        replicas=VOTERS,
-        fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
-        downstream=f'<below><kind name="db" away="1">{services}</kind></below>',
-        dependencies=SERVICE_OF,
-        supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
+        SiteOptions(
+            max_unavailable=MAX_UNAVAILABLE,
+            seed=seed,
+            sites=SITES,
+            replicas=VOTERS,
+            fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
+            downstream=f'<below><kind name="db" away="1">{services}</kind></below>',
+            dependencies=SERVICE_OF,
+            supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
+        ),
     )
     site.catalogues = {name: f"127.0.0.1:{ports[service]}" for name, service in SERVICE_OF.items()}
     return site
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -18,7 +18,7 @@
 from oakkeel.agent import messages
 from oakkeel.fakes.dispatcher import Dispatcher
 from oakkeel.fakes.node_connection import Address
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import targets_by_host
 from oakkeel.fleet.view import FleetView
@@ -76,7 +76,7 @@
 @contextlib.asynccontextmanager
 async def _agent_over_fakes(folder: str) -> AsyncIterator[FakeSite]:
     """Run an agent as a process of its own, with fakes for all that is round its nodes."""
-    site = FakeSite(folder, {HOST: list(NODES)}, max_unavailable=len(NODES))
+    site = FakeSite(folder, {HOST: list(NODES)}, SiteOptions(max_unavailable=len(NODES)))
     await site.open()
     with open(os.path.join(folder, "agent.log"), "wb") as log:
         agent = await asyncio.create_subprocess_exec(
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -16,13 +16,13 @@
 EXPECTED_KB = 25.0  # memory that a dispatcher announces for a request
 LATENCY_SMOOTHING = 0.2  # weight of the newest latency in a node's moving average
 MAX_DELAY_FACTOR = 8  # a network delay this many times the mean is still within the deadline
-TIMEOUT_MARGIN = 100 * MS  # past timeout and network, before an unanswered attempt is abandoned
+TIMEOUT_MARGIN_NS = 100 * MS  # past timeout and network, before an unanswered attempt is abandoned
 REQUEST_ID_RANGE = 100_000_000  # attempt IDs of one dispatcher
 HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash
 
 
 class BalancingPolicy(Enum):
-    """How a dispatcher chooses among the nodes that it believes to be available."""
+    """How a dispatcher chooses among the nodes that it sees as available."""
 
     ROUND_ROBIN = "round"
     LEAST_REQUESTS = "least"  # fewest open requests of this dispatcher
@@ -31,7 +31,7 @@
 
 
 class RequestResult(StrEnum):
-    """How a request ends at its dispatcher; the values are the keys of the record."""
+    """The result of a request at its dispatcher; the values are keys of the JSON record."""
 
     COMPLETED = "completed"
     GAVE_UP = "given up"  # no further attempt is safe, allowed or in time
@@ -140,7 +140,7 @@
                 self.work.cost,
                 self._on_response_sent,
             )
-        wait = behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN
+        wait = behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN_NS
         dispatcher.clock.after(wait, self._on_timeout)
 
     def _on_response_sent(self, status: ResponseStatus, retry_after: int) -> None:
@@ -170,7 +170,7 @@
             return
         dispatcher = self.dispatcher
         self._close()
-        dispatcher.audit.excused(self.request_id, dispatcher.clock.now)  # no response is owed from here on
+        dispatcher.audit.excused(self.request_id, dispatcher.clock.now)  # the node need not respond any more
         dispatcher.clock.after(
             dispatcher.network_delay(), self.view.node.client_disconnected, self.wire_request
         )
@@ -217,7 +217,7 @@
         self.views = [known.get(node) or NodeView(node) for node in nodes]
 
     def set_rate(self, rate: float) -> None:
-        """Create so many requests a second from now on."""
+        """Set the number of requests created a second."""
         was_idle = self.rate <= 0
         self.rate = rate
         if was_idle and rate > 0:
--- a/oakkeel/emulator/clock.py
+++ b/oakkeel/emulator/clock.py
@@ -4,7 +4,9 @@
 
 from collections.abc import Callable
 from heapq import heappop, heappush
-from typing import Any
+from typing import TypeVarTuple
+
+Arguments = TypeVarTuple("Arguments")
 
 
 class ScheduledEvent:
@@ -12,9 +14,9 @@
 
     __slots__ = ("arguments", "callback")
 
-    def __init__(self, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+    def __init__(self, callback: Callable[[*Arguments], None], arguments: tuple[*Arguments]) -> None:
         """Hold `callback` until the clock calls it with `arguments`."""
-        self.arguments = arguments
+        self.arguments: tuple[object, ...] = arguments
         self.callback: Callable[..., None] | None = callback
 
     def cancel(self) -> None:
@@ -32,14 +34,16 @@
         self.events_processed = 0
         self.scheduled: list[tuple[int, int, ScheduledEvent]] = []
 
-    def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> ScheduledEvent:
+    def at(self, when: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> ScheduledEvent:
         """Schedule a call at a time, at the earliest now."""
         self.sequence += 1
         event = ScheduledEvent(callback, arguments)
         heappush(self.scheduled, (max(when, self.now), self.sequence, event))
         return event
 
-    def after(self, delay: int, callback: Callable[..., None], *arguments: Any) -> ScheduledEvent:
+    def after(
+        self, delay: int, callback: Callable[[*Arguments], None], *arguments: *Arguments
+    ) -> ScheduledEvent:
         """Schedule a call `delay` nanoseconds from now."""
         return self.at(self.now + delay, callback, *arguments)
 
--- a/oakkeel/emulator/faults.py
+++ b/oakkeel/emulator/faults.py
@@ -28,7 +28,7 @@
     "clock",
     "kill all",
 )
-# What goes together badly: half of the schedules draw from one of these alone.
+# Combinations that stress one mechanism: half of the schedules draw from one of these alone.
 THEMES = (
     ("kill", "kill in a step", "kill all", "slow links", "loss"),
     ("part", "cut", "cut one way", "stop"),
@@ -50,8 +50,8 @@
     "cancel",
     "keepers",
 )
-DURATIONS = ((40 * MS, 150 * MS, 700 * MS), (150 * MS, 700 * MS, 1500 * MS, 4 * SECOND))
-DEFAULT_DURATION = 22 * SECOND
+FAULT_DURATIONS_NS = ((40 * MS, 150 * MS, 700 * MS), (150 * MS, 700 * MS, 1500 * MS, 4 * SECOND))
+DEFAULT_DURATION_NS = 22 * SECOND
 # The names of fields in schedule files, where they differ.
 FAULT_KEYS = {"subject": "who", "other": "to", "duration": "lasts", "intensity": "size"}
 SCHEDULE_KEYS = {"voters": "keepers", "budget": "bound", "faults": "troubles", "duration": "lasts"}
@@ -81,9 +81,9 @@
     hosts: int
     instances: int  # a host
     sites: int
-    budget: int  # the most that may be out of a site
+    budget: int  # maximum unavailable targets of a site
     faults: tuple[Fault, ...]
-    duration: int = DEFAULT_DURATION
+    duration: int = DEFAULT_DURATION_NS
 
     def to_json(self) -> dict[str, Any]:
         """Return the content of a schedule file."""
@@ -108,7 +108,7 @@
     seed: int,
     max_faults: int = 9,
     max_actions: int = 8,
-    duration: int = DEFAULT_DURATION,
+    duration: int = DEFAULT_DURATION_NS,
     releases: bool = False,
 ) -> Schedule:
     """Draw a schedule of faults and actions; the second half of the time is free of them.
@@ -120,7 +120,7 @@
     hosts = voters + random.randrange(2)
     faults: list[Fault] = []
     kinds = random.choice(THEMES) if random.random() < 0.5 else KINDS
-    durations = random.choice(DURATIONS)
+    durations = random.choice(FAULT_DURATIONS_NS)
     for _ in range(random.randint(1, max_faults)):
         faults.append(_draw_fault(random, (2 * SECOND, duration // 2), kinds, durations))
     for _ in range(random.randint(2, max_actions)):
--- a/oakkeel/emulator/heartbeat_exchange.py
+++ b/oakkeel/emulator/heartbeat_exchange.py
@@ -20,7 +20,7 @@
         self.hosts = hosts
 
     def send(self, name: str, heartbeat: Heartbeat, sent_at: int) -> None:
-        """Send the heartbeat of an agent to the host that it believes to be the leader's."""
+        """Send the heartbeat of an agent to the host that it last knew as the leader's."""
         host = self.hosts[name]
         machine = host.machine
         leader = self.hosts[host.agent.leader_locator.current]
--- a/oakkeel/emulator/invariants.py
+++ b/oakkeel/emulator/invariants.py
@@ -76,7 +76,7 @@
         self.attempts[attempt_id].responses.append(Response(now, status))
 
     def excused(self, attempt_id: int, now: int) -> None:
-        """Record that the client or the node is gone: no response is owed unless it was due before."""
+        """Record that the client or the node is gone: it needs no response unless one was due before."""
         attempt = self.attempts[attempt_id]
         attempt.excused = attempt.excused or now <= attempt.deadline
 
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -13,7 +13,7 @@
 
 
 class ResponseStatus(StrEnum):
-    """How a node responds; the values are the keys of the record."""
+    """The response of a node; the values are keys of the JSON record."""
 
     COMPLETED = "completed"
     REJECTED = "denied"  # it never ran
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -23,9 +23,9 @@
 from oakkeel.emulator.nodes import SimulatedNode
 from oakkeel.units import MS, SECOND
 
-DISCOVERY_DELAY = SECOND  # until dispatchers see a change of the fleet
-RESPONSE_TIME = 10 * SECOND  # after the load ends, for the responses that are still owed
-DRAIN_TIME = 5 * SECOND  # that a node of a release has
+DISCOVERY_DELAY_NS = SECOND  # until dispatchers see a change of the fleet
+RESPONSE_TIME_NS = 10 * SECOND  # after the load ends, for the responses that are still owed
+DRAIN_TIME_NS = 5 * SECOND  # that a node of a release has
 WARM_UP_STEPS = 8  # a second each
 COLD_SPEED = 0.3  # of full speed
 PERCENTILES = (0.5, 0.9, 0.99)
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FaultEvent:
-    """A fault from a second on, for so many seconds; faults may overlap."""
+    """A fault that starts at a second and lasts some seconds; faults may overlap."""
 
     kind: FaultKind
     at: float
@@ -110,7 +110,7 @@
         return json.dumps(values, sort_keys=True).encode()
 
     def digest(self) -> str:
-        """Return the first 16 hexadecimal digits of the record's SHA-256."""
+        """Return the first 16 hexadecimal digits of the SHA-256 of the JSON record."""
         return hashlib.sha256(self.record()).hexdigest()[:16]
 
 
@@ -210,7 +210,7 @@
         self.clock.run(int(self.scenario.seconds * SECOND))
         for dispatcher in self.dispatchers:
             dispatcher.set_rate(0.0)
-        self.clock.run(self.clock.now + RESPONSE_TIME)
+        self.clock.run(self.clock.now + RESPONSE_TIME_NS)
         return self._result()
 
     def _inject(self, event: FaultEvent) -> None:
@@ -245,12 +245,12 @@
             self.clock.after(delay, self._drain, self.nodes[number % len(self.nodes)])
 
     def _drain(self, node: SimulatedNode) -> None:
-        node.drain(DRAIN_TIME)
+        node.drain(DRAIN_TIME_NS)
         self._replace(node)
 
     def _replace(self, node: SimulatedNode) -> None:
         self.nodes[self.nodes.index(node)] = self._create_node(starts_cold=True)
-        self.clock.after(DISCOVERY_DELAY, self._publish_nodes)
+        self.clock.after(DISCOVERY_DELAY_NS, self._publish_nodes)
 
     def _publish_nodes(self) -> None:
         for dispatcher in self.dispatchers:
--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -86,7 +86,7 @@
         self.counts: Counter[str] = Counter()  # by outcome; lost and late beside the node's own
         self.by_node: dict[str, Counter[str]] = {}
         self.sending: asyncio.Task[None] | None = None
-        self.max_send_delay = 0.0  # seconds after its time that a request was sent, at most
+        self.max_send_delay = 0.0  # maximum delay in seconds from when a request was due to when it was sent
         self._next = 0  # the node whose turn it is
 
     def start(self) -> None:
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -28,7 +28,7 @@
     cut: bool = False  # all are lost, and new links too
     loss: float = 0.0  # share that is lost
     delay: float = 0.0
-    mixed: float = 0.0  # a further wait up to so long, drawn for each: later ones overtake
+    mixed: float = 0.0  # maximum further wait, drawn for each message: later ones may overtake it
     double: float = 0.0  # share that comes twice
     stall: bool = False  # nothing moves, nothing is lost, until it is over
     altered: float = 0.0  # share with one bit changed
--- a/oakkeel/fakes/link_mesh.py
+++ b/oakkeel/fakes/link_mesh.py
@@ -19,7 +19,7 @@
         self.links: dict[tuple[str, str], FaultyLink] = {}
 
     async def open(self, source: str) -> dict[str, int]:
-        """Open the links of one host; returns the port to use in place of each other host's."""
+        """Open the links of one host; return the port by which it reaches each other host."""
         found = {}
         for host, port in self._ports.items():
             if host == source:
--- a/oakkeel/fakes/load_clients.py
+++ b/oakkeel/fakes/load_clients.py
@@ -1,4 +1,4 @@
-"""Load clients of a node: some come back when they are told to, some again and again."""
+"""Load clients of a node: some honour Retry-After, others retry at a fixed interval."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from oakkeel.fakes.node_connection import Address, NodeConnection
 
-MAX_TRIES = 4  # of one request
-MAX_RETRY_AFTER = 5000  # milliseconds; the most that a node tells, which promises nothing
+MAX_ATTEMPTS = 4  # of one request
+MAX_RETRY_AFTER_MS = 5000  # milliseconds; the most that a node tells, which promises nothing
 DEFAULT_RETRY_AFTER = b"1000"  # milliseconds
 CONNECTION_LOST = b""
 
@@ -57,9 +57,9 @@
 
 
 class PoliteClient:
-    """Sends first tries at a random rate; what is rejected comes again when the node said it might."""
+    """Sends requests at a random rate and retries rejected ones after the time that the node gave."""
 
-    retry_delay: float | None = None  # seconds until a next try, in place of what the node tells
+    retry_delay: float | None = None  # seconds until a retry, for clients that do not honour Retry-After
 
     def __init__(self, name: str, address: Address, rate: float, seed: int, timeout: float = 2.0) -> None:
         """`rate` in requests a second; `timeout` in seconds, sent to the node."""
@@ -103,9 +103,9 @@
             self._start_task(self.send_one())
 
     async def send_one(self) -> None:
-        """Send one request with all its tries."""
+        """Send one request with all its retries."""
         invited = False  # the node said when to come again
-        for number in range(MAX_TRIES):
+        for number in range(MAX_ATTEMPTS):
             self.tries += 1
             self.returned += invited
             outcome, fields = await self._try(number > 0)
@@ -118,7 +118,7 @@
                 return
             values = dict(item.partition(b"=")[::2] for item in fields.split(b","))
             retry_after = float(values.get(b"holdoff", DEFAULT_RETRY_AFTER))
-            invited = self.retry_delay is None and retry_after < MAX_RETRY_AFTER
+            invited = self.retry_delay is None and retry_after < MAX_RETRY_AFTER_MS
             await asyncio.sleep(retry_after / 1000 if self.retry_delay is None else self.retry_delay)
 
     async def _try(self, retry: bool) -> tuple[bytes, bytes]:
--- a/oakkeel/fakes/load_generator.py
+++ b/oakkeel/fakes/load_generator.py
@@ -39,7 +39,7 @@
 
 
 class LoadSummary(msgspec.Struct, tag="summary"):
-    """All that was sent, by outcome, and the most that a request was sent after its time, in seconds."""
+    """The requests sent by outcome, and by how many seconds one was sent late at most."""
 
     counts: dict[str, int]
     max_send_delay: float
--- a/oakkeel/fakes/load_process.py
+++ b/oakkeel/fakes/load_process.py
@@ -1,4 +1,4 @@
-"""The side of a load generator's process that gives it commands and reads its reports."""
+"""Starts a load generator in a process of its own, sends it commands and reads its reports."""
 
 from __future__ import annotations
 
@@ -7,21 +7,25 @@
 
 import msgspec
 
+from oakkeel.errors import OakkeelError
 from oakkeel.fakes.load_generator import LoadCommand, LoadSummary, RequestReport
 from oakkeel.fakes.node_connection import Address
 
-STOP_TIMEOUT = 30.0  # seconds
+STOP_TIMEOUT_S = 30.0
+
+
+class LoadProcessError(OakkeelError):
+    """The load generator cannot be used as it is."""
 
 
 class LoadProcess:
-    """A load generator in a process of its own, with what became of each of its requests."""
+    """A load generator in a process of its own, with the outcome of each of its requests."""
 
     def __init__(self) -> None:
         """Not started yet."""
         self.reports: list[RequestReport] = []
-        self.last_success: dict[
-            str, float
-        ] = {}  # monotonic seconds of the last request that succeeded, by node
+        # monotonic seconds of the last request that succeeded, by node
+        self.last_success: dict[str, float] = {}
         self.summary: LoadSummary | None = None
         self._addresses: dict[str, Address] = {}
         self._process: asyncio.subprocess.Process | None = None
@@ -38,23 +42,26 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        self._reading = asyncio.ensure_future(self._read())
+        output = self._process.stdout
+        if output is None:
+            raise LoadProcessError("the load generator has no standard output")
+        self._reading = asyncio.ensure_future(self._read(self._process, output))
 
     def set_addresses(self, addresses: dict[str, Address]) -> None:
-        """The nodes to send to from now on."""
+        """Set the nodes to send to."""
         if addresses != self._addresses:
             self._addresses = dict(addresses)
             self._send(LoadCommand(addresses=addresses))
 
     def set_rate(self, rate: float) -> None:
-        """Requests a second of each dispatcher from now on."""
+        """Set the requests a second of each dispatcher."""
         self._send(LoadCommand(rate=rate))
 
     async def stop(self) -> LoadSummary:
-        """Let it wait for its answers and end; raises EOFError where it ends without a summary."""
-        assert self._reading is not None
+        """Let it wait for its responses and end. Raises EOFError if it ends without a summary."""
         self._send(LoadCommand(stop=True))
-        await asyncio.wait_for(self._reading, STOP_TIMEOUT)
+        if self._reading is not None:
+            await asyncio.wait_for(self._reading, STOP_TIMEOUT_S)
         if self.summary is None:
             raise EOFError("the load generator ended without a summary")
         return self.summary
@@ -69,13 +76,13 @@
             await asyncio.gather(self._reading, return_exceptions=True)
 
     def _send(self, command: LoadCommand) -> None:
-        assert self._process is not None and self._process.stdin is not None
+        if self._process is None or self._process.stdin is None:
+            raise LoadProcessError("the load generator is not started: call start() first")
         self._process.stdin.write(msgspec.json.encode(command) + b"\n")
 
-    async def _read(self) -> None:
-        assert self._process is not None and self._process.stdout is not None
+    async def _read(self, process: asyncio.subprocess.Process, output: asyncio.StreamReader) -> None:
         decoder = msgspec.json.Decoder(RequestReport | LoadSummary)
-        while line := await self._process.stdout.readline():
+        while line := await output.readline():
             item = decoder.decode(line)
             if isinstance(item, LoadSummary):
                 self.summary = item
@@ -83,4 +90,4 @@
             self.reports.append(item)
             if item.outcome == "ok":
                 self.last_success[item.node] = max(item.ended_at, self.last_success.get(item.node, 0.0))
-        await self._process.wait()
+        await process.wait()
--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -48,7 +48,7 @@
         return words
 
     def measurements(self, script: list[str], cold: bool) -> dict[str, object]:
-        """As if it had answered so many requests a second since its start, evenly good or bad."""
+        """Return the figures of a node that has answered RATE requests a second since its start."""
         uptime = time.monotonic() - self.started_at
         count = float(int(RATE * uptime))
         bad = 0.3 if "worse" in script or ("worse-cold" in script and cold) else 0.02
@@ -63,12 +63,12 @@
         }
 
     def stop(self, *_: object) -> None:
-        """Drain on SIGTERM: nothing takes it back."""
+        """Drain on SIGTERM; this drain cannot be cancelled."""
         self.final = True
         self.drain()
 
     def drain(self) -> None:
-        """Start to drain; `cancel_drain` may take it back."""
+        """Start to drain; `cancel_drain` reverts it."""
         if not self.draining_since:
             self.draining_since = time.monotonic()
             self.up = False
@@ -132,7 +132,7 @@
         return 0
 
     def answer(self, connection: socket.socket) -> bool:
-        """Answer what was sent; returns whether the connection goes on."""
+        """Answer a message; return whether the connection stays open."""
         data = connection.recv(4096)
         if not data or "mute" in (script := self.script()):
             return bool(data)
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -111,13 +111,13 @@
         processes.close()
 
     def set_node_script(self, name: str, words: str) -> None:
-        """Set how a fake node behaves; `oakkeel.fakes.node` lists the words."""
+        """Set how a fake node behaves; `oakkeel.fakes.node` lists the `words`."""
         path = os.path.join(self.state_folder(self._host_of(name)), f"{name}.script")
         with open(path, "w", encoding="ascii") as file:
             file.write(words)
 
     def enable_fault(self, host: str, fault: str, text: str = "") -> None:
-        """Enable `full`, `clock` (`text`: seconds) or `real` of an agent: see `oakkeel.fakes.agent`."""
+        """Enable a fault of an agent; `oakkeel.fakes.agent` lists their names and what `text` holds."""
         with open(os.path.join(self.state_folder(host), fault), "w", encoding="ascii") as file:
             file.write(text)
 
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -7,6 +7,7 @@
 import os
 import secrets
 import socket
+from dataclasses import dataclass
 from xml.sax.saxutils import quoteattr
 
 from oakkeel.fakes.catalogue import Catalogue
@@ -39,47 +40,39 @@
 }
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class SiteOptions:
+    """What a fake site has, and how it behaves."""
+
+    max_unavailable: int  # instances of each site
+    fleet_max_unavailable: int = 0  # instances of the fleet; 0: no bound
+    sites: dict[str, str] | None = None  # the site of each host; None: one site
+    replicas: tuple[str, ...] = ()  # hosts with a replica of the control plane
+    downstream: str = ""  # the XML element of the settings
+    dependencies: dict[str, str] | None = None  # the downstream service, by instance
+    supervision: str = ""  # the XML element of the settings
+    seed: int = 1
+    work: float = 0.005  # seconds of each run and call
+    max_retry_after: int = 1  # seconds
+
+
 class FakeSite:
-    """Hosts with instances, and all that stands round them. Made in `open`, ended in `close`."""
-
-    def __init__(
-        self,
-        folder: str,
-        hosts: dict[str, list[str]],
-        max_unavailable: int,
-        seed: int = 1,
-        work: float = 0.005,
-        supervision: str = "",
-        sites: dict[str, str] | None = None,
-        max_retry_after: int = 1,
-        replicas: tuple[str, ...] = (),
-        fleet_max_unavailable: int = 0,
-        downstream: str = "",
-        dependencies: dict[str, str] | None = None,
-    ) -> None:
-        """`hosts` names the instances of each, `sites` the site of each host, where there are several.
-
-        `supervision` and `downstream` are elements of the settings; `dependencies` names the downstream
-        service of some instances. `work` is in seconds for each run and call, `max_retry_after` in seconds.
-        """
-        self.replicas = replicas
-        self.fleet_max_unavailable = fleet_max_unavailable
-        self.downstream = downstream
-        self.dependencies = dependencies or {}
+    """Hosts with instances and the fakes around them. Started by `open`, ended by `close`."""
+
+    def __init__(self, folder: str, hosts: dict[str, list[str]], options: SiteOptions) -> None:
+        """`hosts` names the instances of each host."""
         self.folder = folder
         self.hosts = hosts
-        self.seed = seed
-        self.work = work
-        self.max_unavailable = max_unavailable
-        self.supervision = supervision
+        self.options = options
+        self.dependencies = options.dependencies or {}
+        self.sites = options.sites or dict.fromkeys(hosts, "woodbrook")
         self.node_settings = {
             **NODE_SETTINGS,
-            "ceilings": {"retry-after": True, "max-retry-after": max_retry_after * SECOND},
+            "ceilings": {"retry-after": True, "max-retry-after": options.max_retry_after * SECOND},
         }
-        self.sites = sites or dict.fromkeys(hosts, "woodbrook")
         self.catalogue = Catalogue()
         self.directory = Directory()
-        self.catalogues: dict[str, str] = {}  # addresses in place of the one, by instance
+        self.catalogues: dict[str, str] = {}  # other addresses than the common one, by instance
         self.engines: dict[str, Engine] = {}
         self.ports = {host: free_port() for host in hosts}
         self.settings = os.path.join(folder, "fleet.xml")
@@ -89,10 +82,12 @@
         catalogue = await self.catalogue.open()
         directory = await self.directory.open()
         for name in (name for names in self.hosts.values() for name in names):
-            self.engines[name] = Engine(self.seed + len(self.engines), work=self.work, calls=4)
+            self.engines[name] = Engine(
+                self.options.seed + len(self.engines), work=self.options.work, calls=4
+            )
             port = await self.engines[name].open()
             self._write_node(name, port, directory, self.catalogues.get(name, f"127.0.0.1:{catalogue}"))
-        agents = self.hosts if self.replicas else ()
+        agents = self.hosts if self.options.replicas else ()
         for key in (*OPERATORS, *agents):
             write_key(os.path.join(self.folder, f"{key}.key"), secrets.token_bytes(32))
         self.write_settings()
@@ -112,18 +107,21 @@
         """Write settings with other ports of some agents: those of the links between hosts."""
         element = '<operator name="{0}" role="{1}"><key id="{0}-1" file="{0}.key"/></operator>'
         elements = {name: element.format(name, role) for name, role in OPERATORS.items()} | operators
-        limit = f' away="{self.fleet_max_unavailable}"' if self.fleet_max_unavailable else ""
+        limit = f' away="{self.options.fleet_max_unavailable}"' if self.options.fleet_max_unavailable else ""
         lines = [
             f'<fleet xmlns="urn:oakkeel:fleet:1" name="guild"{limit}>',
             "  <operators>",
             *(f"    {operator}" for operator in elements.values()),
             "  </operators>",
-            f"  {self.supervision}",
+            f"  {self.options.supervision}",
         ]
-        if self.replicas:
-            lines += [f'  <keepers hosts="{" ".join(self.replicas)}"/>', f"  {self.downstream}"]
+        if self.options.replicas:
+            lines += [
+                f'  <keepers hosts="{" ".join(self.options.replicas)}"/>',
+                f"  {self.options.downstream}",
+            ]
         for site in dict.fromkeys(self.sites.values()):
-            lines.append(f'  <site name={quoteattr(site)} away="{self.max_unavailable}">')
+            lines.append(f'  <site name={quoteattr(site)} away="{self.options.max_unavailable}">')
             for host in self.hosts:
                 if self.sites[host] == site:
                     lines += self._host_lines(host, ports.get(host, self.ports[host]))
@@ -132,7 +130,7 @@
             file.write("\n".join([*lines, "</fleet>", ""]))
 
     def _host_lines(self, host: str, port: int) -> list[str]:
-        key = f' key="{host}.key"' if self.replicas else ""
+        key = f' key="{host}.key"' if self.options.replicas else ""
         lines = [f'    <host name="{host}" agent="127.0.0.1:{port}" state="{host}"{key}>']
         for name in self.hosts[host]:
             below = f' below="{self.dependencies[name]}"' if name in self.dependencies else ""
@@ -147,7 +145,7 @@
             "engine": f"127.0.0.1:{engine}",
             "lookup": f"127.0.0.1:{directory}",
             "catalog": catalogue,
-            "seed": f"{self.seed + len(self.engines):016x}",
+            "seed": f"{self.options.seed + len(self.engines):016x}",
             "stop_ms": 3200,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": self.node_settings,
--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -44,7 +44,7 @@
         self.committed: dict[int, bytes] = {}  # by index
         self.acknowledged_orders: list[tuple[str, int]] = []
         self.taken_out: dict[str, int] = {}  # by target that an order has taken out: fence
-        self.out_since: dict[str, int] = {}  # by target that is out by itself
+        self.out_since: dict[str, int] = {}  # by target that failed or left without an order
         self.fences: dict[str, int] = {}  # the latest by target
         self.generations: dict[str, int] = {}
         self.halted_orders: set[str] = set()
@@ -52,41 +52,43 @@
         self.most_out: dict[str, int] = dict.fromkeys(groups, 0)
 
     def leader_observed(self, now: int, term: int, replica: str) -> None:
-        """Take note that a replica leads in a term."""
+        """Record that a replica leads in a term."""
         other = self.leaders.setdefault(term, replica)
         if other != replica:
             self._breach(now, f"1: {other} and {replica} both lead in term {term}")
 
     def command_applied(self, now: int, replica: str, index: int, content: bytes) -> None:
-        """Take note that a replica has applied a committed command."""
+        """Record that a replica has applied a committed command."""
         known = self.committed.setdefault(index, content)
         if known != content:
-            self._breach(now, f"2: {replica} takes another command for agreed at {index}")
+            self._breach(now, f"2: {replica} takes another command for committed at {index}")
         command: Any = msgspec.msgpack.decode(content)
         if command[0] == "grant":
             for target in command[2]:
                 self.permit_granted(target, index)
 
     def permit_granted(self, target: str, fence: int) -> None:
-        """Take note that a permit for a target was committed."""
+        """Record that a permit for a target was committed."""
         self.granted.setdefault(target, set()).add(fence)
 
     def order_acknowledged(self, ident: str, index: int) -> None:
-        """Take note that an operator was told of an order's index."""
+        """Record that an operator received the index of an order."""
         self.acknowledged_orders.append((ident, index))
 
     def order_halted(self, ident: str) -> None:
-        """Take note that by what is committed nothing can be drained by an order any more."""
+        """Record that by what is committed nothing can be drained by an order any more."""
         self.halted_orders.add(ident)
 
     def drain_started(self, now: int, target: str, fence: int, ident: str = "") -> None:
-        """Take note that a process is drained by an order."""
+        """Record that a process is drained by an order."""
         if ident in self.halted_orders and self.fences.get(target) != fence:
-            self._breach(now, f"7: {target} leaves by {ident}, which is halted")
+            self._breach(now, f"7: {target} is drained by {ident}, which is halted")
         if fence not in self.granted.get(target, ()):
-            self._breach(now, f"5: {target} leaves under {fence}, which the record never granted to it")
+            self._breach(
+                now, f"5: {target} is drained under {fence}, which no committed command granted to it"
+            )
         if fence < self.fences.get(target, 0):
-            self._breach(now, f"5: {target} leaves under {fence} after {self.fences[target]}")
+            self._breach(now, f"5: {target} is drained under {fence} after {self.fences[target]}")
         first = target not in self.taken_out
         self.fences[target] = self.taken_out[target] = fence
         served = self.out_since.pop(target, None) is None
@@ -114,17 +116,17 @@
             )
 
     def serving(self, now: int, target: str) -> None:
-        """Take note that a target serves."""
+        """Record that a target serves."""
         self.taken_out.pop(target, None)
         self.out_since.pop(target, None)
 
     def out_by_itself(self, now: int, target: str) -> None:
-        """Take note that a target does not serve, which no order asked for."""
+        """Record that a target does not serve, which no order asked for."""
         if target not in self.taken_out:
             self.out_since.setdefault(target, now)
 
     def generation_started(self, now: int, target: str, generation: int) -> None:
-        """Take note that a process of a generation starts."""
+        """Record that a process of a generation starts."""
         latest = self.generations.get(target, 0)
         if generation <= latest:
             self._breach(now, f"6: {target} starts as generation {generation} after {latest}")
--- a/oakkeel/invariants/policy_change.py
+++ b/oakkeel/invariants/policy_change.py
@@ -1,7 +1,9 @@
-"""Whether a change of policy took hold everywhere or nowhere, by what was decided when under which version.
+"""Checks that a change of policy takes effect on all nodes or on none.
 
-11. From when a version is told as in force, no exchange is decided under an earlier one anywhere.
-12. Under a version that is told as not made, no exchange ever was decided.
+The promises, continued from the other audits:
+
+11. Once a version is reported as in force, no request is decided under an earlier one on any node.
+12. Under a version that is reported as refused or withdrawn, no request is ever decided.
 """
 
 from __future__ import annotations
@@ -10,16 +12,16 @@
 
 
 class PolicyChangeAudit:
-    """Told with the true time; what is decided after the end of something is found when either comes."""
+    """Receives decisions and reports with the true time, in any order of the two."""
 
     def __init__(self, max_breaches: int = 50) -> None:
-        """Keep so many breaches."""
+        """Keep `max_breaches` at most."""
         self.max_breaches = max_breaches
         self.breaches: list[str] = []
         self.in_force = 0
         self.not_made: set[int] = set()
-        self.used: dict[int, str] = {}  # by version: who was first
-        self.decided: dict[int, int] = {}  # how many exchanges, by version
+        self.used: dict[int, str] = {}  # by version: the first node
+        self.decided: dict[int, int] = {}  # requests, by version
 
     def record_decision(self, now: int, who: str, number: int) -> None:
         """Check a decision under a version."""
@@ -28,7 +30,7 @@
         if number < self.in_force:
             self._breach(now, f"11: {who} decides under {number} while {self.in_force} is in force")
         if number in self.not_made:
-            self._breach(now, f"12: {who} decides under {number}, which was told as not made")
+            self._breach(now, f"12: {who} decides under {number}, which was reported as not made")
 
     def record_in_force(self, now: int, number: int) -> None:
         """Note that a version was reported as in force."""
@@ -38,7 +40,9 @@
         """Note that a version was reported as not made."""
         self.not_made.add(number)
         if number in self.used:
-            self._breach(now, f"12: {self.used[number]} had decided under {number}, told as not made")
+            self._breach(
+                now, f"12: {self.used[number]} had decided under {number}, which is reported as not made"
+            )
 
     def _breach(self, now: int, text: str) -> None:
         if len(self.breaches) < self.max_breaches:
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -6,7 +6,7 @@
    ran before.
 10. Each step of a release is applied once, the same on every replica, under fencing tokens that only rise.
 
-The checks get what happened with the true time, and know nothing of the reasons.
+The checks get events with the true time, and know nothing of the reasons for them.
 """
 
 from __future__ import annotations
@@ -29,24 +29,23 @@
 
 
 class RolloutAudit:
-    """Collects breaches of the invariants, each a line of text with its time."""
+    """Checks commands, starts and ends against the invariants; a breach is a line with its time."""
 
     def __init__(self, max_breaches: int = 100) -> None:
-        """Keep at most so many breaches."""
+        """Keep `max_breaches` breaches."""
         self.max_breaches = max_breaches
         self.breaches: list[str] = []
         self.version: dict[str, str] = {}  # by release
         self.targets: dict[str, set[str]] = {}  # by release
         self.batched: dict[str, set[str]] = {}  # by release: targets that its batches have named
         self.steps: dict[tuple[str, int], bytes] = {}
-        self.latest_steps: dict[
-            str, tuple[int, int]
-        ] = {}  # by release: the latest step and its fencing token
+        # by release: the latest step and its fencing token
+        self.latest_steps: dict[str, tuple[int, int]] = {}
         self.running: dict[str, str] = {}  # version by target
         self.finished: dict[str, str] = {}  # state by release
 
     def record_command(self, now: int, replica: str, content: bytes) -> None:
-        """Take note of a command that a replica applied and did not reject."""
+        """Record a command that a replica applied and did not reject."""
         command: Any = msgspec.msgpack.decode(content)
         tag = command[0]
         if tag == "begin":
@@ -59,10 +58,12 @@
 
     def _record_step(self, now: int, replica: str, command: Any, content: bytes) -> None:
         tag = command[0]
-        (release_id, fence, step) = command[1:4]
+        release_id, fence, step = command[1:4]
         known = self.steps.setdefault((release_id, step), content)
         if known != content:
-            self._add_breach(now, f"10: step {step} of {release_id} is taken twice, by {replica} as {tag}")
+            self._add_breach(
+                now, f"10: step {step} of {release_id} is applied differently, by {replica} as {tag}"
+            )
         last, last_fence = self.latest_steps.get(release_id, (-1, 0))
         if step > last:
             if fence < last_fence:
@@ -70,7 +71,7 @@
             self.latest_steps[release_id] = step, max(fence, last_fence)
 
     def record_start(self, now: int, target: str, version: str) -> None:
-        """Take note of a process that started with a version."""
+        """Record a process that started with a version."""
         self.running[target] = version
         for release_id, new in self.version.items():
             if version != new or target not in self.targets[release_id]:
@@ -86,7 +87,7 @@
                 self._add_breach(now, f"8: {target} starts with {version[:8]} after {release_id} is undone")
 
     def record_end(self, now: int, release_id: str, state: str, serving: set[str]) -> None:
-        """Take note of a release reported as ended; `serving` are the targets that serve at that moment."""
+        """Record a release reported as ended; `serving` are the targets that serve at that moment."""
         if release_id in self.finished:
             return
         self.finished[release_id] = state
@@ -95,7 +96,8 @@
             running = self.running.get(target, "")
             if (state == "done" and running != new) or (state == "undone" and running == new):
                 self._add_breach(
-                    now, f"9: {release_id} is told as {state}, and {target} runs {running[:8] or 'as set'}"
+                    now,
+                    f"9: {release_id} is reported as {state}, and {target} runs {running[:8] or 'as set'}",
                 )
 
     def _add_breach(self, now: int, text: str) -> None:
--- a/oakkeel/models/disruption.py
+++ b/oakkeel/models/disruption.py
@@ -47,7 +47,7 @@
 
 
 def two_hold_a_lease(lease: float, election_timeout: float, drift: float) -> bool:
-    """Return whether a leader can hold its lease after those who heard from it last elected another."""
+    """Return whether a leader can hold its lease after its voters have elected another leader."""
     sent, received, elected, holding = z3.Reals("sent received elected holding")
     solver = z3.Solver()
     solver.add(sent >= 0, sent <= received, received <= elected, holding >= elected)
--- a/oakkeel/models/drains.py
+++ b/oakkeel/models/drains.py
@@ -1,7 +1,8 @@
-"""Does every drain end in stopped or serving? The tables of states of node and agent put together, by z3.
+"""Model of drains for z3: every drain ends with the instance stopped or serving.
 
-z3 is asked for a rank of each state that every step but those of an operator or a crash makes smaller. If
-there is one, no run can go on for ever; a state other than the ends without a step is reported.
+It joins the tables of states of node and agent. z3 is asked for a rank of each state that every step makes
+smaller, except those of an operator or a crash. If there is one, every run ends; a state that is no end and
+has no step is reported.
 """
 
 from __future__ import annotations
@@ -10,8 +11,8 @@
 
 import z3
 
-# An instance as its agent sees it, what its node does, and whether a cancel stands.
-# serving, draining, stopped, starting; serves, grace, emptying, gone; none, stands
+# The phase of the instance (serving, draining, stopped, starting), the state of its node (serves, grace,
+# emptying, gone), and whether a cancel is pending (none, stands).
 State = tuple[str, str, str]
 ENDS = {("serving", "serves", "none"), ("stopped", "gone", "none")}
 
@@ -38,7 +39,7 @@
         found.append(("stopped", node, cancel))
     if phase == "draining" and cancel == "stands" and node == "serves":
         found.append(("serving", node, "none"))
-    if phase == "stopped" and cancel == "stands" and "start anew" not in omitted_rules:
+    if phase == "stopped" and cancel == "stands" and "restart" not in omitted_rules:
         found.append(("starting", node, cancel))
     if phase == "starting" and node == "gone":
         found.append(("serving", "serves", "none"))
--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -1,8 +1,8 @@
-"""Can two replicas lead in one term, or a committed entry be lost? Every run of a few steps, by z3.
+"""Model of elections for z3: no two replicas lead in one term, and no committed entry is lost.
 
-Three replicas, each with a log of entries known by their terms. A step is an election with the votes of some,
-a leader's entry, its copy to one other, or its commit. The variants leave out one rule each and must be found
-unsafe, or the model would prove nothing.
+Every run of a few steps of three replicas is explored. Entries are known by their terms. A step is an
+election with the votes of some replicas, an entry of a leader, its copy to another replica, or its commit.
+Each variant leaves out one rule and must be found unsafe; otherwise the model would prove nothing.
 """
 
 from __future__ import annotations
@@ -92,7 +92,7 @@
 
 
 def is_current(candidate: Terms, voter: Terms) -> z3.BoolRef:
-    """Return that the candidate's log is at least as current as the voter's."""
+    """Return that the candidate's log is no older than the voter's."""
     same_term = last_term(candidate) == last_term(voter)
     return z3.Or(
         last_term(candidate) > last_term(voter), z3.And(same_term, length(candidate) >= length(voter))
@@ -200,7 +200,7 @@
 
 
 def all_runs(steps: int, rules: set[str]) -> tuple[z3.Solver, list[State]]:
-    """Return a solver for the runs of so many steps, and their states."""
+    """Return a solver for all runs of `steps` steps, and their states."""
     solver = z3.Solver()
     states = [State(f"s{number}") for number in range(steps + 1)]
     first = states[0]
@@ -215,7 +215,7 @@
 
 
 def two_leaders(steps: int, rules: set[str]) -> bool:
-    """Return whether some run of so many steps has two leaders in one term."""
+    """Return whether some run of `steps` steps has two leaders in one term."""
     solver, states = all_runs(steps, rules)
     solver.add(
         z3.Or(
--- a/oakkeel/models/policy_change.py
+++ b/oakkeel/models/policy_change.py
@@ -15,7 +15,7 @@
     """Return whether a node can use the earlier version after the change was reported as in force.
 
     `rule` says how the lease ends: it counts from when the heartbeat was "sent" or the response "came";
-    "none": a node goes on until it learns of another version; "wall": at a time of a clock that may be set
+    "none": a node uses it until it learns of another version; "wall": at a time of a clock that may be set
     back.
     """
     sent, answered, received, decided, reported, used = z3.Reals(
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -1,7 +1,7 @@
 """Model of releases for z3: every release ends, and steps of two controllers are never both applied.
 
 Two targets are released. z3 is asked for a rank that every step of a controller makes smaller: if there is
-one, no release can go on for ever by itself. Operators may act at any time; their actions are not ranked.
+one, every release ends unless an operator acts. Operators may act at any time; their actions are not ranked.
 """
 
 from __future__ import annotations
@@ -114,10 +114,10 @@
 
 
 def both_applied(count: int, rules: set[str]) -> bool:
-    """Return whether within so many moves a step is applied twice, or applied for an expired lease.
+    """Return whether within `count` moves a step is applied twice, or applied for an expired lease.
 
     A controller knows a fencing token and a step; what it proposes may be in flight for any time, and be
-    proposed once more. `rules`: fence, step; what the state machine checks.
+    proposed once more. `rules` names what the state machine checks: fence, step.
     """
     solver = z3.Solver()
     states = [{name: z3.Int(f"{name}.{number}") for name in VARIABLES} for number in range(count + 1)]
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -16,7 +16,7 @@
 from oakkeel.agent.processes import Processes
 from oakkeel.agent.supervisor import SupervisionTimeouts
 from oakkeel.fakes.crashing import PROGRAM
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import AgentClients, request_once
 from oakkeel.fleet.view import FleetView
 from oakkeel.log import EventLog
@@ -35,7 +35,7 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, max_unavailable=1)
+        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, SiteOptions(max_unavailable=1))
         for key in ("asha", "ravi", "lena"):
             write_key(os.path.join(self.folder, f"{key}.key"), os.urandom(32))
         self.site.write_settings()
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -14,7 +14,7 @@
 from oakkeel.agent.processes import Processes
 from oakkeel.agent.storage import SCHEMA, VERSION
 from oakkeel.authentication.mac import Key
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key, write_key
@@ -127,7 +127,9 @@
         folder = os.path.join(self.folder, f"at{step}")
         os.mkdir(folder)
         site = FakeSite(
-            folder, {"wb1": ["n1"]}, max_unavailable=1, supervision='<supervision backoff="50ms"/>'
+            folder,
+            {"wb1": ["n1"]},
+            SiteOptions(max_unavailable=1, supervision='<supervision backoff="50ms"/>'),
         )
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -9,6 +9,7 @@
 import sys
 import tempfile
 import unittest
+from dataclasses import replace
 
 from click import Command, Group
 
@@ -16,7 +17,7 @@
 from oakkeel.fakes.dispatcher import Dispatcher
 from oakkeel.fakes.faults import Fault
 from oakkeel.fakes.load_clients import PoliteClient
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
 
@@ -176,7 +177,7 @@
         await super().asyncSetUp()
         self.other = self.enterContext(tempfile.TemporaryDirectory())
         self.site = FakeSite(
-            self.other, {"wb1": ["n1"]}, max_unavailable=1, supervision='<fairness by="client"/>'
+            self.other, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, supervision='<fairness by="client"/>')
         )
         await self.site.open()
         self.addAsyncCleanup(self.site.close)
@@ -207,7 +208,8 @@
         await client.stop()
         code, out, err = await self.oakkeel("show", "n1", "--clients")
         self.assertEqual((code, "steelpan" in out, "1 known" in err), (0, True, True), out + err)
-        self.site.supervision = '<fairness by="client"><weight of="steelpan" is="2.5"/></fairness>'
+        fairness = '<fairness by="client"><weight of="steelpan" is="2.5"/></fairness>'
+        self.site.options = replace(self.site.options, supervision=fairness)
         self.site.write_settings()
         self.server.send_signal(signal.SIGHUP)
         await self.logged("settings_reloaded")
@@ -226,7 +228,7 @@
 
     async def asyncSetUp(self) -> None:
         self.site = FakeSite(
-            self.enterContext(tempfile.TemporaryDirectory()), {"wb1": ["n1"]}, max_unavailable=1
+            self.enterContext(tempfile.TemporaryDirectory()), {"wb1": ["n1"]}, SiteOptions(max_unavailable=1)
         )
         await self.site.open()
         self.addAsyncCleanup(self.site.close)
--- a/tests/compatibility/test_state_folder.py
+++ b/tests/compatibility/test_state_folder.py
@@ -11,7 +11,7 @@
 from oakkeel.agent import messages
 from oakkeel.agent.processes import boot
 from oakkeel.fakes.rig import ProcessRig
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from tests.compatibility.fixtures import DATA, HOSTS, assert_same_keys, load
 from tests.support.rig_case import SUPERVISION
 
@@ -38,11 +38,13 @@
         site = FakeSite(
             self.folder,
             HOSTS,
-            1,
-            supervision=SUPERVISION,
-            sites=dict.fromkeys(HOSTS, "woodbrook"),
-            replicas=("h1", "h2", "h3"),
-            fleet_max_unavailable=1,
+            SiteOptions(
+                max_unavailable=1,
+                supervision=SUPERVISION,
+                sites=dict.fromkeys(HOSTS, "woodbrook"),
+                replicas=("h1", "h2", "h3"),
+                fleet_max_unavailable=1,
+            ),
         )
         for host in HOSTS:
             folder = os.path.join(self.folder, host)
--- a/tests/models/test_models.py
+++ b/tests/models/test_models.py
@@ -52,7 +52,7 @@
         self.assertTrue(drains.always_ends())
 
     def test_cancel_that_crosses_the_stop_is_stuck_without_another_start(self):
-        self.assertEqual(drains.stuck({"start anew"}), [("stopped", "gone", "stands")])
+        self.assertEqual(drains.stuck({"restart"}), [("stopped", "gone", "stands")])
 
 
 if __name__ == "__main__":
--- a/tests/support/rig_case.py
+++ b/tests/support/rig_case.py
@@ -8,7 +8,7 @@
 from oakkeel.agent import messages
 from oakkeel.disruption.allocator import PermitTimeouts
 from oakkeel.fakes.rig import ProcessRig
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.invariants.logs import audit_groups, audit_logs
 
 HOSTS = {f"h{number}": [f"n{number}a", f"n{number}b"] for number in range(1, 6)}
@@ -28,13 +28,15 @@
         self.site = FakeSite(
             self.folder,
             self.hosts,
-            self.max_unavailable,
-            supervision=SUPERVISION,
-            sites=self.sites,
-            replicas=self.replicas,
-            fleet_max_unavailable=self.fleet_max_unavailable,
-            downstream=self.downstream,
-            dependencies=self.dependencies,
+            SiteOptions(
+                max_unavailable=self.max_unavailable,
+                supervision=SUPERVISION,
+                sites=self.sites,
+                replicas=self.replicas,
+                fleet_max_unavailable=self.fleet_max_unavailable,
+                downstream=self.downstream,
+                dependencies=self.dependencies,
+            ),
         )
         self.rig = ProcessRig(self.site)
         self.addAsyncCleanup(self.end)
