--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -15,6 +15,7 @@
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.admission.types import Gauges, Host, Idempotency, NodeLimits, Outcome, Request
 from oakkeel.admission.types import RequestState as State
+from oakkeel.fair_sharing.reservations import ReservationEnd
 from oakkeel.units import MS, SECOND
 
 POLL, POLL_TOKEN = SECOND, 0
@@ -117,7 +118,7 @@
             self.occupancy.retain_key(self.now + duration)
         self.timers.set(self.now, request, request.deadline)
         if request.reservation:
-            self.fair_sharing.reservations.end(request.reservation, True)  # type: ignore[union-attr]
+            self.fair_sharing.reservations.end(request.reservation, ReservationEnd.KEPT)  # type: ignore[union-attr]
         if stage == Stage.BACKPRESSURE:
             self.occupancy.move(self.now, request, State.DELAYED)
             self.timers.set(self.now, request, self.now + DELAY)
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -12,7 +12,7 @@
 from oakkeel.admission.types import FairSharingRules, Request, RequestState
 from oakkeel.admission.types import ShareStatus as Status
 from oakkeel.fair_sharing.max_min import MaxMinShares
-from oakkeel.fair_sharing.reservations import Reservations
+from oakkeel.fair_sharing.reservations import ReservationEnd, Reservations
 from oakkeel.units import MS, SECOND
 
 EVERY = 200 * MS  # between looks at the shares
@@ -48,7 +48,7 @@
             request.share_status = Status.RESERVED
             return
         if booked:  # told a time, and no room: it is judged as any other
-            self.reservations.end(booked, None)
+            self.reservations.end(booked, ReservationEnd.RELEASED)
             request.reservation = None
         elif is_retry and (ahead := self.reservations.last_booked(key)):
             request.share_status = Status.EXCEEDED  # to try early gains nothing, and waits longer
@@ -76,7 +76,7 @@
         """Return how long a rejected client should stay away: until room of its own, if that is known."""
         flow, known = request.flow, request.flow.allowed_rate < inf
         if request.reservation and request.state is RequestState.READ:
-            self.reservations.end(request.reservation, False)  # the room was not enough
+            self.reservations.end(request.reservation, ReservationEnd.BROKEN)  # the room was not enough
         if request.share_status is Status.EXCEEDED and not known:
             return max_retry_after  # one of many who share too little to promise them any
         own_time = flow.free_at - BURST if known else now
@@ -87,6 +87,6 @@
             self._charge(now, request)
             return booked.due_at - now
         if booked:  # longer than clients take: not made, so not broken
-            self.reservations.end(booked, None)
+            self.reservations.end(booked, ReservationEnd.RELEASED)
         self.reservations.record_unbacked(now + max_retry_after, flow.key)
         return max_retry_after
--- a/oakkeel/fair_sharing/keys.py
+++ b/oakkeel/fair_sharing/keys.py
@@ -6,22 +6,28 @@
 
 import blake3
 
-SECRET, LABEL = 32, 40  # bytes; the part of a name that is shown
+SECRET_BYTES = 32
+MAX_LABEL_BYTES = 40  # of a name, for display
+LENGTH_PREFIX_BYTES = 4
+KEY_BYTES = 8
 
 
 class FlowKeys:
     """Makes the keys and labels of the flows of a request from the values of its fields."""
 
     def __init__(self, secret: bytes, fields: tuple[bytes, ...]) -> None:
-        """Take `fields` by level, the outermost first; the same name within another outer flow is another."""
-        self.secret, self.fields = secret, fields
+        """Take `fields` by level, the outermost first; a name is distinct within each outer flow."""
+        self.secret = secret
+        self.fields = fields
 
     def flow_keys(self, values: Callable[[bytes], bytes]) -> tuple[tuple[int, bytes], ...]:
-        """Return a key and a label for each level."""
-        found, path = [], b""
+        """Return the key and the label of the flow at each level; `values` returns the value of a field."""
+        found = []
+        path = b""
         for field in self.fields:
             value = values(field)
-            path += len(value).to_bytes(4, "big") + value  # or two paths could read the same
-            key = int.from_bytes(blake3.blake3(path, key=self.secret).digest(8), "big")
-            found.append((key, value[:LABEL]))
+            # The length makes the paths of two pairs such as (ab, c) and (a, bc) differ.
+            path += len(value).to_bytes(LENGTH_PREFIX_BYTES, "big") + value
+            key = int.from_bytes(blake3.blake3(path, key=self.secret).digest(KEY_BYTES), "big")
+            found.append((key, value[:MAX_LABEL_BYTES]))
         return tuple(found)
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -1,9 +1,8 @@
-"""What outlives a process of fair sharing: heavy flows and reservations, with ages in place of times."""
+"""The snapshot of fair sharing: heavy flows and reservations, with ages instead of instants."""
 
 from __future__ import annotations
 
 import math
-from typing import Any
 
 import msgspec
 
@@ -13,7 +12,8 @@
 from oakkeel.fair_sharing.reservations import Reservation, Reservations
 from oakkeel.units import SECOND
 
-MAX_AGE = 60 * SECOND  # an older snapshot says nothing of now
+MAX_SNAPSHOT_AGE_NS = 60 * SECOND  # an older snapshot does not describe the present flows
+MAX_CLOCK_LEAD_NS = SECOND  # of the clock that wrote the snapshot
 
 
 class FlowRecord(msgspec.Struct, array_like=True):
@@ -21,8 +21,8 @@
 
     key: int
     label: bytes
-    parent: int  # key at the level outside; 0: none
-    rate: float  # a second, certain; nanoseconds on the cores
+    parent: int  # key of the outer flow; 0: none
+    rate: float  # lower bound, per second; nanoseconds on the cores
     retries: float
 
 
@@ -45,18 +45,18 @@
 
 
 class SnapshotRejectedError(OakkeelError, ValueError):
-    """A snapshot is not readable, from the future, too old, or of other settings; the text says which."""
+    """A snapshot cannot be decoded, is from the future, too old, or of other levels; the text says which."""
 
 
 def encode_snapshot(
     now: int,
-    unix: int,
+    unix_now: int,
     levels: tuple[str, ...],
     secret: bytes,
     shares: MaxMinShares,
     reservations: Reservations,
 ) -> bytes:
-    """Write the flows and the reservations ahead; `now` is monotonic, `unix` Unix time, in nanoseconds."""
+    """Encode the flows and the reservations ahead; `now` is monotonic, `unix_now` Unix time; nanoseconds."""
     tables = [
         [
             FlowRecord(
@@ -76,44 +76,55 @@
         for reservation in of_flow
         if reservation.due_at > now
     ]
-    return msgspec.msgpack.encode(FairSharingSnapshot(unix, list(levels), secret, tables, ahead))
+    return msgspec.msgpack.encode(FairSharingSnapshot(unix_now, list(levels), secret, tables, ahead))
 
 
-def decode_snapshot(content: bytes, unix: int, levels: tuple[str, ...]) -> FairSharingSnapshot:
-    """Read a snapshot of the same levels that is young enough, or raise `SnapshotRejectedError`."""
+def decode_snapshot(content: bytes, unix_now: int, levels: tuple[str, ...]) -> FairSharingSnapshot:
+    """Decode a snapshot of these levels that is recent enough to describe the flows of now.
+
+    `unix_now` is Unix time in nanoseconds. Raises `SnapshotRejectedError`.
+    """
     try:
-        found = msgspec.msgpack.decode(content, type=FairSharingSnapshot)
+        snapshot = msgspec.msgpack.decode(content, type=FairSharingSnapshot)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise SnapshotRejectedError(f"not readable: {error}") from error
-    if found.written_at > unix + SECOND:
-        raise SnapshotRejectedError("from the future")
-    if unix - found.written_at > MAX_AGE:
-        raise SnapshotRejectedError(f"{(unix - found.written_at) // SECOND} s old")
-    if tuple(found.levels) != levels:
-        raise SnapshotRejectedError(f"of flows by {' '.join(found.levels)}")
-    return found
+        raise SnapshotRejectedError(f"it cannot be decoded: {error}") from error
+    age = unix_now - snapshot.written_at
+    if age < -MAX_CLOCK_LEAD_NS:
+        raise SnapshotRejectedError(f"it was written {-age // SECOND} s in the future: check the clock")
+    if age > MAX_SNAPSHOT_AGE_NS:
+        raise SnapshotRejectedError(
+            f"it is {age // SECOND} s old, expected {MAX_SNAPSHOT_AGE_NS // SECOND} s or less"
+        )
+    if tuple(snapshot.levels) != levels:
+        raise SnapshotRejectedError(
+            f"it has flows by {' '.join(snapshot.levels)}, expected {' '.join(levels)}"
+        )
+    return snapshot
 
 
 def restore_snapshot(
-    found: FairSharingSnapshot, now: int, unix: int, shares: MaxMinShares, reservations: Reservations
+    snapshot: FairSharingSnapshot, now: int, unix_now: int, shares: MaxMinShares, reservations: Reservations
 ) -> None:
-    """Fill empty tables: who was heavy still is, as much as its age has left, and reservations hold."""
-    age = max(0, unix - found.written_at)
+    """Fill empty tables: flows decay by the age of the snapshot, and reservations ahead stay valid.
+
+    `now` is monotonic, `unix_now` Unix time, in nanoseconds.
+    """
+    age = max(0, unix_now - snapshot.written_at)
     outer: dict[int, Flow] = {}
-    for table, records in zip(shares.tables, found.tables, strict=False):
+    for table, records in zip(shares.tables, snapshot.tables, strict=False):
         inner: dict[int, Flow] = {}
         for record in sorted(records, key=lambda record: -record.rate)[: table.max_flows]:
-            inner[record.key] = _restore(table, record, now, age, outer.get(record.parent))
+            inner[record.key] = _restore_flow(table, record, now, age, outer.get(record.parent))
         outer = inner
-    for reserved in found.reservations:
+    for reserved in snapshot.reservations:
         due_at = now + reserved.after - age
         if due_at > now and reservations.open_count < reservations.max_open:
             reservations.restore(Reservation(reserved.key, due_at, reserved.work))
 
 
-def _restore(table: HeavyHitters, record: FlowRecord, now: int, age: int, parent: Any) -> Flow:
-    """Add a flow with the sum that fades at its rate."""
-    weight = 0.5 ** (age / table.half_life) * table.half_life / (math.log(2) * 1e9)
-    flow = table.add(now, record.key, record.rate * weight, False, record.label, parent)
-    flow.retries = record.retries * weight * table.scale(now)
+def _restore_flow(table: HeavyHitters, record: FlowRecord, now: int, age: int, parent: Flow | None) -> Flow:
+    """Add a flow with the sum that has its rate, decayed by `age` nanoseconds."""
+    weight_per_rate = 0.5 ** (age / table.half_life) * table.half_life / (math.log(2) * SECOND)
+    flow = table.add(now, record.key, record.rate * weight_per_rate, False, record.label, parent)
+    flow.retries = record.retries * weight_per_rate * table.scale(now)
     return flow
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -11,7 +11,7 @@
 from oakkeel.dispatch.codec import flow_fields
 from oakkeel.fair_sharing import persistence
 from oakkeel.fair_sharing.heavy_hitters import Flow
-from oakkeel.fair_sharing.keys import SECRET, FlowKeys
+from oakkeel.fair_sharing.keys import SECRET_BYTES, FlowKeys
 from oakkeel.node.context import NodeContext
 from oakkeel.store import snapshot_file
 from oakkeel.units import SECOND
@@ -26,7 +26,7 @@
         """Read the snapshot at `path`; where that is empty, none is read or written."""
         self.node, self.rules, self.path = node, rules, path
         self.restored = self._read()
-        self.secret = self.restored.secret if self.restored else os.urandom(SECRET)
+        self.secret = self.restored.secret if self.restored else os.urandom(SECRET_BYTES)
         self.keys = FlowKeys(self.secret, flow_fields(rules.levels))
         self.timer: asyncio.TimerHandle | None = None
 
--- a/tests/fair_sharing/test_heavy_hitters.py
+++ b/tests/fair_sharing/test_heavy_hitters.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
-from oakkeel.fair_sharing.keys import SECRET, FlowKeys
+from oakkeel.fair_sharing.keys import SECRET_BYTES, FlowKeys
 from oakkeel.units import MS, SECOND
 
 LONG = 10**9 * SECOND  # a half-life in which nothing fades
@@ -65,14 +65,14 @@
 class FlowKeysTest(unittest.TestCase):
     def test_keys_depend_on_the_secret_and_on_each_field(self):
         names = [f"client-{number}".encode() for number in range(300)]
-        first, second = (FlowKeys(bytes([number]) * SECRET, (b"client",)) for number in (1, 2))
+        first, second = (FlowKeys(bytes([number]) * SECRET_BYTES, (b"client",)) for number in (1, 2))
         keys = [
             [maker.flow_keys(lambda field, name=name: name)[0][0] for name in names]
             for maker in (first, second)
         ]
         self.assertEqual(len(set(keys[0])), 300)
         self.assertFalse(set(keys[0]) & set(keys[1]))
-        two_levels = FlowKeys(bytes(SECRET), (b"owner", b"client"))
+        two_levels = FlowKeys(bytes(SECRET_BYTES), (b"owner", b"client"))
         apart = {
             two_levels.flow_keys({b"owner": owner, b"client": client}.__getitem__)[1][0]
             for owner, client in ((b"ab", b"c"), (b"a", b"bc"), (b"abc", b""))
--- a/tests/fair_sharing/test_max_min.py
+++ b/tests/fair_sharing/test_max_min.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.fair_sharing.max_min import MaxMinShares, fill
+from oakkeel.fair_sharing.max_min import Demand, MaxMinShares, fair_level
 from oakkeel.units import MS, SECOND
 
 
@@ -16,7 +16,7 @@
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_fills_all_of_the_capacity_and_gives_nobody_more_than_its_demand(self, rows, whole):
-        level = fill(rows, whole)
+        level = fair_level([Demand(asked, weight) for asked, weight in rows], whole)
         given_out = sum(min(asked, level * weight) for asked, weight in rows)
         self.assertAlmostEqual(given_out, min(whole, sum(asked for asked, _ in rows)), delta=1e-6 * whole)
 
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -5,7 +5,7 @@
 import unittest
 
 from oakkeel.fair_sharing import persistence
-from oakkeel.fair_sharing.keys import SECRET
+from oakkeel.fair_sharing.keys import SECRET_BYTES
 from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode
 from oakkeel.store import snapshot_file
 from oakkeel.units import SECOND
@@ -28,7 +28,7 @@
     def content(self, node: SimulatedNode, unix: int = 10**18) -> bytes:
         fair = node.admission.fair_sharing
         return persistence.encode_snapshot(
-            node.now, unix, ("caller",), bytes(SECRET), fair.shares, fair.reservations
+            node.now, unix, ("caller",), bytes(SECRET_BYTES), fair.shares, fair.reservations
         )
 
     def test_restores_flows_and_reservations_after_a_restart(self):
--- a/tests/fair_sharing/test_reservations.py
+++ b/tests/fair_sharing/test_reservations.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.fair_sharing.reservations import EACH, Reservations
+from oakkeel.fair_sharing.reservations import MAX_BACKED_PER_FLOW, ReservationEnd, Reservations
 from oakkeel.units import MS, SECOND
 
 
@@ -20,14 +20,14 @@
             self.assertLessEqual(max(reservations.booked), 30.0)
             self.assertLessEqual(reservations.open_count, 40)
             self.assertEqual(reservations.open_count, sum(len(each) for each in reservations.open.values()))
-            self.assertTrue(all(len(each) <= EACH for each in reservations.open.values()))
+            self.assertTrue(all(len(each) <= MAX_BACKED_PER_FLOW for each in reservations.open.values()))
 
     def test_frees_the_room_of_ended_reservations_and_drops_expired_ones(self):
         reservations = Reservations(50 * MS, 20, 2)
         first = reservations.book(0, 0, 1, 10.0, 10.0)
         self.assertEqual((first.due_at, reservations.book(0, 0, 2, 10.0, 10.0).due_at), (50 * MS, 100 * MS))
         self.assertIsNone(reservations.book(0, 0, 3, 10.0, 10.0))
-        reservations.end(first, None)
+        reservations.end(first, ReservationEnd.RELEASED)
         self.assertEqual(reservations.book(0, 0, 3, 10.0, 10.0).due_at, 50 * MS)
         self.assertIsNotNone(reservations.book(5 * SECOND, 0, 4, 10.0, 10.0))
         self.assertEqual(reservations.expired_count, 2)
