--- a/oakkeel/admission/__init__.py
+++ b/oakkeel/admission/__init__.py
@@ -1,7 +1,7 @@
-"""Every decision of an oakkeel node: admission, and fair shares within it."""
+"""Every decision of one oakkeel node: what it admits, rejects, runs, calls and tells its clients."""
 
 from oakkeel.admission.controller import POLL_TOKEN, AdmissionController
 from oakkeel.admission.overload import Stage
 from oakkeel.admission.sliding_window import SlidingWindow
 
-__all__ = ["MS", "POLL_TOKEN", "SECOND", "AdmissionController", "SlidingWindow", "Stage"]
+__all__ = ["POLL_TOKEN", "AdmissionController", "SlidingWindow", "Stage"]
--- /dev/null
+++ b/oakkeel/admission/call_sequence.py
@@ -0,0 +1,94 @@
+"""The downstream call of a running request: placed, waiting, retried, skipped or given up."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from oakkeel.admission.downstream_calls import (
+    FailedCallStep,
+    max_optional_call_wait,
+    step_after_failed_call,
+)
+from oakkeel.admission.node_state import NodeState
+from oakkeel.admission.request_ends import RequestEnds
+from oakkeel.admission.types import Outcome, Request
+from oakkeel.admission.types import RequestState as State
+
+
+class CallSequence:
+    """Places the calls that requests need, in the order in which they came."""
+
+    def __init__(self, node: NodeState, ends: RequestEnds) -> None:
+        """Start with no request that waits for its call."""
+        self.node = node
+        self.ends = ends
+        self.awaiting: deque[Request] = deque()  # whose call can't be placed yet
+
+    def needed(self, now: int, request: Request) -> None:
+        """Place the call without which a run can't go on."""
+        if request.state is State.ORPHANED:
+            self.node.occupancy.move(now, request, State.RELEASING)
+        elif request.state is State.RUNNING:
+            self.node.occupancy.move(now, request, State.AWAITING_CALL)
+            self._place_or_wait(now, request)
+
+    def finished(self, now: int, request: Request, outcome: Outcome) -> None:
+        """Go on after a call, or retry it, skip it or give the request up."""
+        if request.state is not State.CALLING:
+            return
+        node = self.node
+        node.calls.release(now, request, node.limits.call_linger if outcome is Outcome.TIMED_OUT else 0)
+        if outcome is Outcome.COMPLETED:
+            node.calls.breaker.call_succeeded()
+            node.occupancy.move(now, request, State.RUNNING)
+            return
+        node.calls.breaker.call_failed()
+        request.failed_calls += 1
+        node.occupancy.move(now, request, State.AWAITING_CALL)
+        step = step_after_failed_call(request, outcome)
+        if step is FailedCallStep.RETRY:
+            self._place_or_wait(now, request)
+        elif step is FailedCallStep.SKIP:
+            self._skip(now, request)
+        else:
+            self.ends.time_out(now, request)
+
+    def place_waiting(self, now: int) -> None:
+        """Place the calls that now can be."""
+        while self.awaiting and self._place(now, self.awaiting[0]):
+            self.awaiting.popleft()
+
+    def skip_if_overdue(self, now: int, request: Request) -> None:
+        """Skip an optional call that could not be placed within its wait."""
+        is_overdue = now >= request.state_since + max_optional_call_wait(request)
+        if request.request_class.degraded_weight and is_overdue:
+            self._skip(now, request)
+
+    def _place_or_wait(self, now: int, request: Request) -> None:
+        if self._place(now, request):
+            return
+        is_optional = bool(request.request_class.degraded_weight)
+        if is_optional and self.node.calls.breaker.is_open():
+            self._skip(now, request)  # a wait is of no use: calls are known to fail
+            return
+        self.awaiting.append(request)
+        if is_optional:
+            timers = self.node.timers
+            timers.set(now, request, now + int(max_optional_call_wait(request)) + timers.step)
+
+    def _place(self, now: int, request: Request) -> bool:
+        """Place a call if the breaker and the quota allow it; return false if the request still waits."""
+        if request.state is not State.AWAITING_CALL:
+            return True
+        node = self.node
+        service_time = node.ranking.service_time(request)
+        until = node.calls.reserve(now, request, node.occupancy.calling(), service_time)
+        if until is None:
+            return False
+        node.host.call(request, until)
+        node.occupancy.move(now, request, State.CALLING)
+        return True
+
+    def _skip(self, now: int, request: Request) -> None:
+        self.node.host.skip_call(request)
+        self.node.occupancy.move(now, request, State.RUNNING)
--- /dev/null
+++ b/oakkeel/admission/circuit_breaker.py
@@ -0,0 +1,39 @@
+"""Circuit breaker: stops downstream calls that are known to fail, but for probes."""
+
+from __future__ import annotations
+
+from oakkeel.units import SECOND
+
+MAX_FAILURES_IN_ROW = 5
+PROBE_INTERVAL_NS = SECOND
+
+
+class CircuitBreaker:
+    """Opens after failures in a row; while open it lets one half-open probe through at each interval."""
+
+    __slots__ = ("failures_in_row", "next_probe_at")
+
+    def __init__(self) -> None:
+        """Start closed."""
+        self.failures_in_row = 0
+        self.next_probe_at = 0
+
+    def is_open(self) -> bool:
+        """Tell whether calls are expected to fail."""
+        return self.failures_in_row >= MAX_FAILURES_IN_ROW
+
+    def allows_call(self, now: int) -> bool:
+        """Tell whether a call may be placed: any while closed, one probe at a time while open."""
+        return not self.is_open() or now >= self.next_probe_at
+
+    def call_placed(self, now: int) -> None:
+        """Let the next probe wait an interval from this call on."""
+        self.next_probe_at = now + PROBE_INTERVAL_NS
+
+    def call_succeeded(self) -> None:
+        """Close."""
+        self.failures_in_row = 0
+
+    def call_failed(self) -> None:
+        """Count a failure."""
+        self.failures_in_row += 1
--- a/oakkeel/admission/client_returns.py
+++ b/oakkeel/admission/client_returns.py
@@ -1,11 +1,20 @@
-"""After what time clients return: this measures and decides nothing."""
+"""How soon clients return. This module measures and decides nothing."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.units import SECOND
 
-WINDOW_STEP = 2 * SECOND
+WINDOW_STEP_NS = 2 * SECOND
+
+
+class ReturnTimes(NamedTuple):
+    """The times between two requests of one client that fall into one step."""
+
+    total_ns: float
+    returns: int
 
 
 class ClientReturns:
@@ -14,10 +23,12 @@
     __slots__ = ("gap_step", "gap_steps", "gaps", "last_seen", "max_clients")
 
     def __init__(self, gap_step: int, gap_steps: int, max_clients: int) -> None:
-        """Start with no client seen; gaps are told apart by doubled steps, from `gap_step` nanoseconds on."""
-        self.gap_step, self.gap_steps, self.max_clients = gap_step, gap_steps, max_clients
-        self.last_seen: dict[int, int] = {}  # the latest last
-        self.gaps = [SlidingWindow(WINDOW_STEP) for _ in range(gap_steps + 1)]
+        """Start with no client seen. Each step doubles; the first ends at `gap_step` nanoseconds."""
+        self.gap_step = gap_step
+        self.gap_steps = gap_steps
+        self.max_clients = max_clients
+        self.last_seen: dict[int, int] = {}  # in the order of the times
+        self.gaps = [SlidingWindow(WINDOW_STEP_NS) for _ in range(gap_steps + 1)]
 
     def seen(self, now: int, client: int) -> None:
         """Count the time since a client was last seen."""
@@ -27,6 +38,6 @@
         if len(self.last_seen) > self.max_clients:
             del self.last_seen[next(iter(self.last_seen))]
 
-    def totals(self, now: int) -> list[tuple[float, int]]:
-        """Return the sum and the count of the times of each step."""
-        return [window.total(now) for window in self.gaps]
+    def by_step(self, now: int) -> list[ReturnTimes]:
+        """Return the times of each step, the shortest first."""
+        return [ReturnTimes(window.total(now), window.count(now)) for window in self.gaps]
--- /dev/null
+++ b/oakkeel/admission/client_signals.py
@@ -0,0 +1,60 @@
+"""What a node tells its clients: its health, how much to send, and which idle connections it closes."""
+
+from __future__ import annotations
+
+from oakkeel.admission.client_returns import ClientReturns
+from oakkeel.admission.health import is_healthy
+from oakkeel.admission.idle_connections import (
+    MAX_REMEMBERED_CLIENTS,
+    RETURN_STEP_NS,
+    RETURN_STEPS,
+    crowded_idle_time,
+    idle_time,
+)
+from oakkeel.admission.load_report import LoadReport
+from oakkeel.admission.node_state import NodeState
+from oakkeel.admission.overload import Stage
+from oakkeel.admission.sliding_window import SlidingWindow
+
+
+class ClientSignals:
+    """Measures arrivals, and sends the signals that follow from them."""
+
+    def __init__(self, node: NodeState) -> None:
+        """Start healthy, with no client seen."""
+        self.node = node
+        self.healthy = True
+        self.load_report = LoadReport(node.limits)
+        self.returns = ClientReturns(RETURN_STEP_NS, RETURN_STEPS, MAX_REMEMBERED_CLIENTS)
+        self.staleness_ratios = SlidingWindow()  # queueing delay over the latency objective, of arrivals
+
+    def count_arrival(self, now: int, client: int, staleness_ratio: float) -> None:
+        """Count a request, and how long it waited to be parsed."""
+        self.staleness_ratios.add(now, staleness_ratio)
+        self.returns.seen(now, client)
+
+    def follow_health(self, now: int) -> None:
+        """Decide whether the node is healthy, and say so."""
+        is_draining = bool(self.node.drain.stop_at)
+        self.healthy = is_healthy(self.healthy, is_draining, self.staleness_ratios.mean(now, 0.0))
+        self.send_health(self.healthy)
+
+    def send_health(self, healthy: bool) -> None:
+        """Set the answer to health checks; from store, as a computed one takes a core."""
+        self.node.host.set_health(healthy, True)
+
+    def report_load(self, threshold: float, warmth: float) -> None:
+        """Report the load if its value has changed, from the shedding threshold and the slow start."""
+        node = self.node
+        busy_per_core = node.concurrency.parsing_per_core() + node.depth_per_core()
+        value = self.load_report.next_value(bool(node.drain.stop_at), threshold, busy_per_core, warmth)
+        if value is not None:
+            node.host.report_load(value)
+
+    def close_idle_connections(self, now: int, connections: float) -> None:
+        """Set the idle time after which connections close, of which so many are open."""
+        node = self.node
+        kept = idle_time(self.returns.by_step(now), node.overload.highest() >= Stage.REAP)
+        parsing_backlog = node.concurrency.mean_parsing_backlog(now)
+        crowded = crowded_idle_time(connections, parsing_backlog, node.limits.cores)
+        node.host.close_idle(min(node.limits.idle_timeout, max(kept, crowded)))
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -1,243 +1,302 @@
-"""The request path of a node: deadline, duplicate, overload stage, rank, queue.
+"""The admission controller of a node: it applies the rules of this package to each request, in order.
 
 A host calls `schedule` once after all that happened at one moment. Why the rules are so: `docs/design.md`.
 """
 
 from __future__ import annotations
 
-from heapq import heappop, heappush
-from itertools import count
+from collections.abc import Callable
+from random import Random
+from typing import TYPE_CHECKING
 
-from oakkeel.admission import load_report
-from oakkeel.admission.client_returns import ClientReturns
-from oakkeel.admission.lifecycle import CALL_WAIT, TIMER_STEP, RequestLifecycle
-from oakkeel.admission.overload import RUN, Stage
+from oakkeel.admission.call_sequence import CallSequence
+from oakkeel.admission.client_signals import ClientSignals
+from oakkeel.admission.concurrency import ConcurrencyLimits, has_memory_to_run, is_memory_full, may_start
+from oakkeel.admission.deadline import (
+    answer_deadline,
+    can_end_in_time,
+    can_end_in_time_after_queue,
+    latest_deadline,
+    objective_end,
+    queue_wait_time,
+)
+from oakkeel.admission.downstream_calls import DownstreamCalls
+from oakkeel.admission.drain import Drain
+from oakkeel.admission.duplicates import is_coalesced, key_retention, retains_key
+from oakkeel.admission.node_state import NodeState
+from oakkeel.admission.occupancy import Occupancy
+from oakkeel.admission.overload import OverloadStages, Stage
+from oakkeel.admission.ranking import Ranking
+from oakkeel.admission.request_ends import RequestEnds
+from oakkeel.admission.request_queue import RequestQueue
+from oakkeel.admission.request_timers import RequestTimers
+from oakkeel.admission.shedding import SheddingThreshold, full_node_rejection, low_rank_rejection
 from oakkeel.admission.sliding_window import SlidingWindow
-from oakkeel.admission.types import Gauges, Host, Idempotency, NodeLimits, Outcome, Request
+from oakkeel.admission.types import (
+    Admission,
+    Gauges,
+    Host,
+    NodeLimits,
+    Outcome,
+    Rejection,
+    Request,
+    ShareStatus,
+)
 from oakkeel.admission.types import RequestState as State
-from oakkeel.fair_sharing.reservations import ReservationEnd
 from oakkeel.units import MS, SECOND
 
-POLL, POLL_TOKEN = SECOND, 0
-DEPTH_SPARE = 2  # the first requests that no depth counts: on few cores counts for each are coarse
-SERVICE_ROOM = 0.7  # of the expected service time must fit, for sizes vary
-DELAY = 50 * MS  # the wait at BACKPRESSURE
-READING_MOST = 0.75  # being read, for each core: from there on retries fill it
-RETRIES = 0.1  # of what is read: from there on the other nodes are full as well
-MEMORY_ROOM, QUEUE_ROOM = 0.85, 0.95  # of the memory, for what runs; with what is queued and retained
-UNREAD = 0.6  # of the latency objective spent unread: off the list until below half
-DEADLINE_ROOM, STOP_ROOM = 20 * MS, 64 * MS  # an answer leaves this long before its deadline; before the stop
+if TYPE_CHECKING:
+    from oakkeel.admission.fairness import FairSharing
 
+POLL_INTERVAL_NS = SECOND
+MIN_FIRST_POLL_RATIO = 0.5  # of the interval; nodes that start together do not poll together
+POLL_TOKEN = 0
+TIMER_STEP_NS = 16 * MS
+BACKPRESSURE_DELAY_NS = 50 * MS
 
-class AdmissionController(RequestLifecycle):
+Decision = Admission | Rejection
+
+
+class AdmissionController:
     """The decisions of one node, from its start to its end."""
 
     def __init__(self, host: Host, limits: NodeLimits, seed: int, now: int) -> None:
         """Report the node as healthy and start the poll."""
-        super().__init__(host, limits, seed, now)
-        self.load_report = load_report.LoadReport(limits)
-        self.returns = ClientReturns(load_report.GAP_STEP, load_report.GAP_STEPS, load_report.CLIENTS_MOST)
-        self.queue: list[tuple[float, int, Request]] = []
-        self.order = count()
-        self.unread, self.retries = SlidingWindow(), SlidingWindow()  # over the objective; of arrivals
-        self.healthy = True
-        host.set_health(True, True)  # from store: a real check costs work
-        self._report_load()
-        host.set_timer(POLL_TOKEN, now + int(POLL * (0.5 + self.random() / 2)))
+        self.host = host
+        self.limits = limits
+        self.started = now  # the host may set it, if the engine started earlier or again
+        self.chance = Random(seed).random
+        self.timers = RequestTimers(host, TIMER_STEP_NS)
+        self.occupancy = Occupancy(limits)
+        self.concurrency = ConcurrencyLimits(limits)
+        self.overload = OverloadStages()
+        self.ranking = Ranking(limits)
+        self.drain_notice = Drain()
+        self.fair_sharing = _fair_sharing(limits, self.chance)
+        self.node = NodeState(
+            host=host,
+            limits=limits,
+            timers=self.timers,
+            occupancy=self.occupancy,
+            concurrency=self.concurrency,
+            overload=self.overload,
+            ranking=self.ranking,
+            calls=DownstreamCalls(limits),
+            drain=self.drain_notice,
+            fair_sharing=self.fair_sharing,
+        )
+        self.ends = RequestEnds(self.node)
+        self.calls = CallSequence(self.node, self.ends)
+        self.shedding = SheddingThreshold(limits.cores)
+        self.queue = RequestQueue()
+        self.retries = SlidingWindow()  # 1 for an arrival that is a retry, else 0
+        self.signals = ClientSignals(self.node)
+        self.signals.send_health(True)
+        self._report_load(now)
+        first_poll = int(POLL_INTERVAL_NS * (MIN_FIRST_POLL_RATIO + self.chance() / 2))
+        host.set_timer(POLL_TOKEN, now + first_poll)
 
     def arrive(self, now: int, request: Request) -> None:
         """Coalesce, reject, delay or queue a request that was read."""
-        self.now = request.arrived_at = request.state_since = now
-        self._set_deadline(request)
-        self._measure(request)
-        taken, limits, row = self.occupancy.memory_kb, self.limits, request.request_class
-        full = taken + request.memory_kb + limits.key_kb > limits.memory_kb * QUEUE_ROOM
-        after_grace = self.grace_end and now - request.queueing_delay > self.grace_end - DEADLINE_ROOM
-        # One that repeats another takes its result: no second effect, and a twentieth of the work.
-        if request.is_duplicate and (row.at_most_once or (limits.cache_ttl and not full)):
-            self.occupancy.move(now, request, State.COALESCED)
-            self.host.coalesce(request)
-            self.timers.set(now, request, request.deadline)
-        elif after_grace or full or request.deadline <= now:
-            self._reject(request, request.deadline <= now)
+        self._set_deadline(now, request)
+        self._count_arrival(now, request)
+        self._set_rank(now, request)
+        decision = self._decide(now, request)
+        if isinstance(decision, Rejection):
+            self.ends.reject(now, request, decision)
+        elif decision is Admission.COALESCE:
+            self._coalesce(now, request)
         else:
-            self._decide(request)
+            self._admit(now, request, decision)
 
-    def _decide(self, request: Request) -> None:
-        """Reject a request by its overload stage, service time or rank, or accept it."""
-        now, depth, limits = self.now, self._depth(), self.limits
-        stage = self.overload.arrival_stage(depth)
-        latest_end = min(request.objective_end, request.deadline)
-        service_time = self.ranking.service_times[request.request_class.index]
-        if request.share_status and now + SERVICE_ROOM * service_time <= latest_end:
-            if request.share_status < 0 and self.occupancy.on_cores():  # an idle node takes what comes
-                self._reject(request)
-                return
-            stage = Stage.NORMAL if request.share_status > 0 else stage  # room was kept for it
-        elif stage == Stage.REJECT or now + self._time_needed(service_time) > latest_end:
-            crowded = self.capacity.readings.mean(now, 0.0) > READING_MOST * limits.cores
-            self._reject(request, request.retry_attempt or crowded)
-            return
-        self.overload.follow_threshold(now, depth)
-        if stage >= Stage.REORDER and request.rank < self.overload.threshold:
-            final = request.retry_attempt or not limits.marks_retries
-            self._reject(request, final or self.retries.mean(now, 1.0) > RETRIES)
-        else:
-            self._accept(request, stage)
-
-    def _set_deadline(self, request: Request) -> None:
-        """Set when an answer is due, and until when it has its whole weight."""
-        now, row = self.now, request.request_class
-        remaining = request.remaining_time or max(0, row.client_timeout - request.queueing_delay)
-        request.objective_end = now + row.latency_objective - request.queueing_delay
-        due = now + remaining - DEADLINE_ROOM
-        request.deadline = due if row.late_weight else min(due, request.objective_end)
-        if self.stop_at:
-            request.deadline = min(request.deadline, self.stop_at - STOP_ROOM)
-
-    def _measure(self, request: Request) -> None:
-        """Count an arrival, give it its rank, and where shares are fair its standing."""
-        now, row = self.now, request.request_class
-        staleness = self.capacity.staleness = request.queueing_delay / row.latency_objective
-        self.unread.add(now, staleness)
-        self.returns.seen(now, request.client)
+    def _set_deadline(self, now: int, request: Request) -> None:
+        request.arrived_at = now
+        request.state_since = now
+        request.objective_end = objective_end(now, request)
+        request.deadline = answer_deadline(now, request, self.drain_notice.stop_at)
+
+    def _count_arrival(self, now: int, request: Request) -> None:
+        staleness_ratio = request.queueing_delay / request.request_class.latency_objective
+        self.concurrency.staleness_ratio = staleness_ratio
+        self.signals.count_arrival(now, request.client, staleness_ratio)
         self.retries.add(now, request.retry_attempt)
-        request.rank = self.ranking.rank(now, request, self.random())
+
+    def _set_rank(self, now: int, request: Request) -> None:
+        """Rank a request; one that comes by a reservation is above, one over its share below all others."""
+        request.rank = self.ranking.rank(now, request, self.chance())
         if self.fair_sharing:
-            self.fair_sharing.arrive(now, request, self.ranking.service_times[row.index], self.capacity.run)
+            service_time = self.ranking.service_time(request)
+            self.fair_sharing.arrive(now, request, service_time, self.concurrency.run_limit)
             request.rank += request.share_status
 
-    def _accept(self, request: Request, stage: int) -> None:
-        """Retain its key, and queue it: at BACKPRESSURE after a delay."""
-        row = request.request_class
-        if request.has_key and (self.limits.cache_ttl or row.idempotency is Idempotency.IDEMPOTENCY_KEY):
-            served = max(0, request.deadline - self.now) + self.limits.cache_ttl  # while its answer may serve
-            duration = row.idempotency_window if row.at_most_once else served
+    def _decide(self, now: int, request: Request) -> Decision:
+        """Decide by duplicate, deadline, memory and drain, then by load."""
+        memory_full = is_memory_full(request, self.occupancy.memory_kb, self.limits)
+        if is_coalesced(request, self.limits.cache_ttl, memory_full):
+            return Admission.COALESCE
+        if request.deadline <= now:
+            return Rejection.FINAL
+        if memory_full or self.drain_notice.is_past_grace(now, request.queueing_delay):
+            return Rejection.RETRY_ELSEWHERE
+        return self._decide_by_load(now, request)
+
+    def _decide_by_load(self, now: int, request: Request) -> Decision:
+        """Decide by fair share, overload stage, service time and rank."""
+        depth = self.node.depth_per_core()
+        stage = self.overload.arrival_stage(depth)
+        service_time = self.ranking.service_time(request)
+        share_status = request.share_status
+        if share_status is not ShareStatus.WITHIN_SHARE and can_end_in_time(now, request, service_time):
+            if share_status is ShareStatus.RESERVED:
+                stage = Stage.NORMAL
+            elif self.occupancy.on_cores():  # an idle node serves what exceeds its share as well
+                return Rejection.FINAL
+        elif stage is Stage.REJECT or not self._fits_behind_queue(now, request, service_time):
+            parsing_backlog = self.concurrency.mean_parsing_backlog(now)
+            return full_node_rejection(request, parsing_backlog, self.limits.cores)
+        self.shedding.follow(depth, self.overload.latency_ratios.mean(now, 0.0))
+        if self.shedding.sheds(stage, request.rank):
+            return low_rank_rejection(request, self.limits.marks_retries, self.retries.mean(now, 1.0))
+        return Admission.DELAY if stage is Stage.BACKPRESSURE else Admission.QUEUE
+
+    def _fits_behind_queue(self, now: int, request: Request, service_time: float) -> bool:
+        waiting = self.occupancy.waiting()
+        wait_time = queue_wait_time(self.ranking.service_times, waiting, self.limits.cores)
+        return can_end_in_time_after_queue(now, request, service_time, wait_time)
+
+    def _coalesce(self, now: int, request: Request) -> None:
+        """Let a request wait for the result of the one that it duplicates."""
+        self.occupancy.move(now, request, State.COALESCED)
+        self.host.coalesce(request)
+        self.timers.set(now, request, request.deadline)
+
+    def _admit(self, now: int, request: Request, admission: Admission) -> None:
+        """Retain the key of a request and queue it, at once or after a delay."""
+        if retains_key(request, self.limits.cache_ttl):
+            duration = key_retention(now, request, self.limits.cache_ttl)
             self.host.retain_key(request, duration)
             request.key_retained = True
-            self.occupancy.retain_key(self.now + duration)
-        self.timers.set(self.now, request, request.deadline)
-        if request.reservation:
-            self.fair_sharing.reservations.end(request.reservation, ReservationEnd.KEPT)  # type: ignore[union-attr]
-        if stage == Stage.BACKPRESSURE:
-            self.occupancy.move(self.now, request, State.DELAYED)
-            self.timers.set(self.now, request, self.now + DELAY)
+            self.occupancy.retain_key(now + duration)
+        self.timers.set(now, request, request.deadline)
+        if self.fair_sharing:
+            self.fair_sharing.admitted(request)
+        if admission is Admission.DELAY:
+            self.occupancy.move(now, request, State.DELAYED)
+            self.timers.set(now, request, now + BACKPRESSURE_DELAY_NS)
         else:
-            self._enqueue(request)
+            self._enqueue(now, request)
 
-    def _enqueue(self, request: Request) -> None:
-        self.occupancy.move(self.now, request, State.QUEUED)
-        heappush(self.queue, (-request.rank, next(self.order), request))
+    def _enqueue(self, now: int, request: Request) -> None:
+        self.occupancy.move(now, request, State.QUEUED)
+        self.queue.push(request)
 
     def schedule(self, now: int) -> None:
-        """Place the calls that can be, and start what may run, after all that came in at one moment."""
-        self.now = now
-        while self.awaiting_calls and self._start_call(self.awaiting_calls[0]):
-            self.awaiting_calls.popleft()
-        occupancy, limits = self.occupancy, self.limits
-        runs = self.capacity.runs(self.overload.highest() >= Stage.EXPAND)
-        most = self.capacity.most(self.limits.warmth(now - self.started))
-        while self.queue:
-            request = self.queue[0][2]
-            if request.state is not State.QUEUED:
-                heappop(self.queue)
-                continue
-            on_cores = occupancy.on_cores()
-            more = request.memory_kb * (limits.running_memory_factor - 1)
-            busy = on_cores + 0.5 > runs or on_cores + occupancy.count[State.CALLING] + 1 > most
-            if busy or occupancy.memory_kb + more > limits.memory_kb * MEMORY_ROOM:
+        """Place the calls that can be placed, and start the requests that may run, by rank."""
+        self.calls.place_waiting(now)
+        occupancy = self.occupancy
+        allowed_runs = self.concurrency.allowed_runs(self.overload.highest() >= Stage.EXPAND)
+        max_active = self.concurrency.max_active(self._warmth(now))
+        while (request := self.queue.first()) is not None:
+            if not may_start(occupancy.on_cores(), occupancy.calling(), allowed_runs, max_active):
+                break
+            if not has_memory_to_run(request, occupancy.memory_kb, self.limits):
                 break
-            heappop(self.queue)
-            service_time = self.ranking.service_times[request.request_class.index]
-            if now + SERVICE_ROOM * service_time > min(request.objective_end, request.deadline):
-                self._reject(request)  # it waited too long behind higher ranks: no run in vain
-                continue
-            occupancy.move(now, request, State.RUNNING)
-            self.host.run(request)
-
-    def _depth(self) -> float:
-        """Count queued and on the cores, for each core; those at calls have a bound of their own."""
-        return max(0, self.occupancy.waiting() + self.occupancy.on_cores() - DEPTH_SPARE) / self.limits.cores
-
-    def _time_needed(self, service_time: float) -> int:
-        """Return the time that a request must have left, behind what is queued."""
-        known, waiting = self.ranking.service_times, self.occupancy.waiting()
-        wait = sum(known) / len(known) * waiting / (RUN[1] * self.limits.cores)
-        return int(SERVICE_ROOM * (service_time + wait))
+            self.queue.pop()
+            if can_end_in_time(now, request, self.ranking.service_time(request)):
+                occupancy.move(now, request, State.RUNNING)
+                self.host.run(request)
+            else:  # it waited too long behind higher ranks
+                self.ends.reject(now, request, Rejection.FINAL)
+
+    def call_needed(self, now: int, request: Request) -> None:
+        """Place the downstream call without which a run can't go on."""
+        self.calls.needed(now, request)
+
+    def call_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
+        """Go on after a downstream call, or retry it, skip it or give the request up."""
+        self.calls.finished(now, request, outcome)
 
     def run_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
-        """Finish a request whose run, or the run that it was coalesced with, is over."""
-        self.now = now
-        state, row = request.state, request.request_class
+        """Finish a request whose run, or the run that it was coalesced with, has ended."""
+        state = request.state
         if state is State.FINISHED or outcome is Outcome.NEVER_STARTED:
             return
-        self.calls.release(now, request, 0)
+        self.node.calls.release(now, request, 0)
         if outcome is Outcome.CANCELLED and state in (State.RUNNING, State.AWAITING_CALL, State.CALLING):
-            self.host.fail(request)  # cancelled, but not by us: it must not stay without an answer
+            self.host.fail(request)  # this controller did not cancel it, so it has no answer yet
         self.occupancy.move(now, request, State.FINISHED)
         if outcome is Outcome.COMPLETED and state is State.RUNNING:
-            self.ranking.completed[row.index].add(now, request.service_time)
-            latency_share = (now - request.arrived_at + request.queueing_delay) / row.latency_objective
-            self.overload.latencies.add(now, latency_share)
+            request_class = request.request_class
+            self.ranking.completed[request_class.index].add(now, request.service_time)
+            time_to_completion = now - request.arrived_at + request.queueing_delay
+            self.overload.latency_ratios.add(now, time_to_completion / request_class.latency_objective)
 
     def client_disconnected(self, now: int, request: Request) -> None:
-        """Stop the work of a request whose client is known to have given up; no answer is owed."""
-        self.now = now
-        self._abandon(request)
+        """Stop the work of a request whose client has disconnected; it gets no answer."""
+        self.ends.abandon(now, request)
 
     def drain(self, now: int, remaining: int | None) -> None:
-        """Finish what can be before the stop, and answer the rest just before it; None cancels the drain."""
-        self.now = now  # a further notice moves the stop, and never the end of the grace
-        self.grace_end = 0 if remaining is None else self.grace_end or now + self.limits.drain_grace
-        self.stop_at = 0 if remaining is None else now + remaining
-        self.host.set_health(remaining is None, True)
-        self._report_load()
-        if not self.stop_at:
-            return
+        """Stop in `remaining` nanoseconds, with all requests answered before that; None cancels the drain."""
+        if remaining is None:
+            self.drain_notice.cancel()
+        else:
+            self.drain_notice.start(now, remaining, self.limits.drain_grace)
+        self.signals.send_health(remaining is None)
+        self._report_load(now)
+        if self.drain_notice.stop_at:
+            self._move_deadlines_before(now, latest_deadline(self.drain_notice.stop_at))
+
+    def _move_deadlines_before(self, now: int, latest: int) -> None:
         for request in self.timers.pending():
-            if request.deadline > self.stop_at - STOP_ROOM:
-                request.deadline = self.stop_at - STOP_ROOM
-                self.timers.set(self.now, request, request.deadline)
+            if request.deadline > latest:
+                request.deadline = latest
+                self.timers.set(now, request, request.deadline)
+
+    def retry_after(self) -> int:
+        """Return after how many nanoseconds a rejected client may retry, as the load is now."""
+        return self.node.retry_after()
 
     def timer_expired(self, now: int, token: int, gauges: Gauges) -> None:
-        """Poll the signals, or look at the requests of a step of timers."""
-        self.now = now
-        self.capacity.observe(now, gauges.run_queue - self.occupancy.on_cores())
+        """Poll the signals, or act on the requests of a step of timers."""
+        self.concurrency.observe(now, gauges.run_queue - self.occupancy.on_cores())
         if token == POLL_TOKEN:
             self._poll(now, gauges)
         else:
             for request in self.timers.expired(token):
-                self._request_timer_expired(request)
+                self._request_timer_expired(now, request)
+
+    def _request_timer_expired(self, now: int, request: Request) -> None:
+        if now + TIMER_STEP_NS > request.deadline:
+            self.ends.time_out(now, request)
+        elif request.state is State.AWAITING_CALL:
+            self.calls.skip_if_overdue(now, request)
+        elif request.state is State.DELAYED:
+            if self.overload.rejects_by_depth():
+                self.ends.reject(now, request, Rejection.FINAL)
+            else:
+                self._enqueue(now, request)
 
     def _poll(self, now: int, gauges: Gauges) -> None:
-        self.overload.poll(now, gauges.core_busy, self._depth())
+        """Follow the signals, and tell clients what they mean for them."""
+        self.overload.poll(now, gauges.core_busy, self.node.depth_per_core())
         self.occupancy.expire_keys(now)
         self.ranking.poll(now, self.started)
-        self._report_load()
-        # One that reads too late can't even reject in time: only clients that leave it out help.
-        most = UNREAD if self.healthy else UNREAD / 2
-        self.healthy = not self.stop_at and self.unread.mean(now, 0.0) < most
-        self.host.set_health(self.healthy, True)
-        reap = self.overload.highest() >= Stage.REAP
-        keep = load_report.idle_time(self.returns.totals(now), load_report.SAVED[reap])
-        reading = self.capacity.readings.mean(now, 0.0)
-        crowded = load_report.crowded_idle_time(gauges.connections, reading, self.limits.cores)
-        self.host.close_idle(min(self.limits.idle_timeout, max(keep, crowded)))
-        self.host.set_timer(POLL_TOKEN, now + POLL)
-
-    def _request_timer_expired(self, request: Request) -> None:
-        row = request.request_class
-        if self.now + TIMER_STEP > request.deadline:
-            self._time_out(request)
-        elif request.state is State.AWAITING_CALL:
-            if row.degraded_weight and self.now >= request.state_since + CALL_WAIT * row.latency_objective:
-                self._skip_call(request)
-        elif request.state is State.DELAYED:
-            (self._reject if self.overload.depth == Stage.REJECT else self._enqueue)(request)
-
-    def _report_load(self) -> None:
-        busy = self.capacity.reading / self.limits.cores + self._depth()
-        warmth = self.limits.warmth(self.now - self.started)
-        value = self.load_report.next_value(bool(self.stop_at), self.overload.threshold, busy, warmth)
-        if value is not None:
-            self.host.report_load(value)
+        self._report_load(now)
+        self.signals.follow_health(now)
+        self.signals.close_idle_connections(now, gauges.connections)
+        self.host.set_timer(POLL_TOKEN, now + POLL_INTERVAL_NS)
+
+    def _report_load(self, now: int) -> None:
+        self.signals.report_load(self.shedding.threshold, self._warmth(now))
+
+    def _warmth(self, now: int) -> float:
+        return self.limits.warmth(now - self.started)
+
+
+def _fair_sharing(limits: NodeLimits, chance: Callable[[], float]) -> FairSharing | None:
+    """Return the fair sharing of a node; its modules are loaded only where an operator asks for it."""
+    if limits.fair_sharing is None:
+        return None
+    from oakkeel.admission.fairness import FairSharing
+
+    return FairSharing(limits.fair_sharing, limits.marks_retries, chance)
--- /dev/null
+++ b/oakkeel/admission/drain.py
@@ -0,0 +1,38 @@
+"""Drain: what a node that will stop still admits, and until when."""
+
+from __future__ import annotations
+
+from oakkeel.admission.deadline import ANSWER_HEADROOM_NS
+
+
+class Drain:
+    """The notice to drain: when the node stops, and when its grace period ends (0: it does not drain)."""
+
+    __slots__ = ("grace_end", "stop_at")
+
+    def __init__(self) -> None:
+        """Start without a notice."""
+        self.stop_at = 0
+        self.grace_end = 0
+
+    def start(self, now: int, remaining: int, grace: int) -> None:
+        """Stop in `remaining` nanoseconds, after a grace period of `grace`.
+
+        A further notice moves the stop, but not the end of the grace period.
+        """
+        self.stop_at = now + remaining
+        self.grace_end = self.grace_end or now + grace
+
+    def cancel(self) -> None:
+        """Serve on."""
+        self.stop_at = 0
+        self.grace_end = 0
+
+    def is_past_grace(self, now: int, queueing_delay: int) -> bool:
+        """Tell whether a request reached the machine after the grace period.
+
+        Until then clients may not have received the notice.
+        """
+        if not self.grace_end:
+            return False
+        return now - queueing_delay > self.grace_end - ANSWER_HEADROOM_NS
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -1,4 +1,4 @@
-"""Fair sharing: whose request is over its fair share, and when a rejected client may come back.
+"""Fair sharing: whose request exceeds its fair share, and when a rejected client may come back.
 
 Weighted max-min shares of service time, of which there is as much as may run: a slower node allows less.
 The measures are in `oakkeel.fair_sharing`.
@@ -9,84 +9,133 @@
 from collections.abc import Callable
 from math import inf
 
-from oakkeel.admission.types import FairSharingRules, Request, RequestState
-from oakkeel.admission.types import ShareStatus as Status
-from oakkeel.fair_sharing.max_min import MaxMinShares
-from oakkeel.fair_sharing.reservations import ReservationEnd, Reservations
+from oakkeel.admission.types import FairSharingRules, Request, RequestState, ShareStatus
+from oakkeel.fair_sharing.heavy_hitters import Flow
+from oakkeel.fair_sharing.max_min import MaxMinShares, MissingFlowError
+from oakkeel.fair_sharing.reservations import Reservation, ReservationEnd, Reservations
 from oakkeel.units import MS, SECOND
 
-EVERY = 200 * MS  # between looks at the shares
-ROOM = 0.95  # of what the node can do, for all together
-BURST = 500 * MS  # of its share, that a flow may have at once
-RESERVED_ROOM = 0.5  # of what the node can do, for reservations
-STEP, STEPS = 50 * MS, 200  # of time ahead that can be booked
-EARLY, LATE = 25 * MS, SECOND  # from the time of a reservation, and still as told
-EARLY_MOST = 8  # times that coming early postpones a reservation
-RETRY_SHARE = 0.2  # of the work of a flow, for its retries
+ALLOCATION_INTERVAL_NS = 200 * MS
+MAX_ALLOCATED_RATIO = 0.95  # of what the node can do, for all flows together
+MAX_BURST_NS = 500 * MS  # of its allowed rate, that a flow may use at once
+MAX_RESERVED_RATIO = 0.5  # of what the node can do, for reservations
+RESERVATION_STEP_NS = 50 * MS
+MAX_RESERVATION_STEPS = 200  # of time ahead that can be booked
+MAX_EARLY_NS = 25 * MS  # before the time of a reservation, that a request still uses it
+MAX_LATE_NS = SECOND  # after the time of a reservation, that a request still uses it
+MAX_POSTPONEMENTS = 8  # of one reservation whose client keeps coming early
+MAX_POSTPONEMENT_NS = SECOND
+MAX_RETRY_RATIO = 0.2  # of the work of a flow, for its retries
+MIN_ALLOWED_RATE = 1.0  # nanoseconds of service time a second; it bounds a division
+
+
+def time_for_work(work: float, allowed_rate: float) -> int:
+    """Return the nanoseconds in which a flow may use so much service time at its allowed rate."""
+    return int(work / max(MIN_ALLOWED_RATE, allowed_rate) * SECOND)
 
 
 class FairSharing:
-    """Decides the standing of requests and the times of retries by the shares of their flows."""
+    """Decides the share status of requests, and Retry-After, by the shares of their flows."""
 
     def __init__(self, rules: FairSharingRules, marks_retries: bool, chance: Callable[[], float]) -> None:
-        """Start with no flow known."""
-        self.marks_retries, self.random = marks_retries, chance
+        """Start with no flow known; `chance` draws from 0 to 1."""
+        self.marks_retries = marks_retries
+        self.chance = chance
         self.shares = MaxMinShares(len(rules.levels), rules.max_flows, rules.half_life, rules.weights)
-        self.reservations = Reservations(STEP, STEPS, rules.max_reservations)
-        self.room, self.allocated_at = 0.0, 0  # for reservations in one step; when shares were set
+        self.reservations = Reservations(RESERVATION_STEP_NS, MAX_RESERVATION_STEPS, rules.max_reservations)
+        self.reservable_work = 0.0  # in one step
+        self.allocated_at = 0
 
     def arrive(self, now: int, request: Request, work: float, capacity: float) -> None:
-        """Count a request with its flows, and set whether it is over its share, within it, or reserved."""
-        if now - self.allocated_at >= EVERY:
-            self.allocated_at, self.room = now, capacity * RESERVED_ROOM * STEP
-            self.shares.allocate(now, capacity * ROOM * SECOND)
-        key, is_retry = request.flow_keys[-1][0], request.retry_attempt or not self.marks_retries
-        booked = request.reservation = self.reservations.due(now, key, EARLY, LATE) if is_retry else None
-        request.expected_work, asked = work, 0.0 if booked else work  # it comes as told: nothing new
-        flow = request.flow = self.shares.count(now, request.flow_keys, asked, request.retry_attempt)
-        if booked and booked.work:
-            request.share_status = Status.RESERVED
-            return
-        if booked:  # told a time, and no room: it is judged as any other
-            self.reservations.end(booked, ReservationEnd.RELEASED)
+        """Count a request with its flows, and set its share status.
+
+        `work` is its expected service time in nanoseconds, `capacity` how many requests may run at one time.
+        """
+        self._allocate(now, capacity)
+        may_be_return = request.retry_attempt or not self.marks_retries
+        key = request.flow_keys[-1][0]
+        due = self.reservations.due(now, key, MAX_EARLY_NS, MAX_LATE_NS) if may_be_return else None
+        request.reservation = due
+        request.expected_work = work
+        new_work = 0.0 if due else work  # a return at its time was counted when it was rejected
+        flow = self.shares.count(now, request.flow_keys, new_work, request.retry_attempt)
+        request.flow = flow
+        request.share_status = self._share_status(now, request, flow, may_be_return)
+        if request.share_status is ShareStatus.WITHIN_SHARE:  # its overload stage may still reject it
+            self._charge(now, request, flow)
+
+    def _allocate(self, now: int, capacity: float) -> None:
+        """Set the allowed rate of each flow anew, an interval after the last time."""
+        if now - self.allocated_at >= ALLOCATION_INTERVAL_NS:
+            self.allocated_at = now
+            self.reservable_work = capacity * MAX_RESERVED_RATIO * RESERVATION_STEP_NS
+            self.shares.allocate(now, capacity * MAX_ALLOCATED_RATIO * SECOND)
+
+    def _share_status(self, now: int, request: Request, flow: Flow, may_be_return: bool) -> ShareStatus:
+        """Return how a request stands to the share of its flow; coming early must gain nothing."""
+        due = request.reservation
+        if due and due.work:
+            return ShareStatus.RESERVED
+        if due:  # its time had no capacity behind it: it is judged as any other request
+            self.reservations.end(due, ReservationEnd.RELEASED)
             request.reservation = None
-        elif is_retry and (ahead := self.reservations.last_booked(key)):
-            request.share_status = Status.EXCEEDED  # to try early gains nothing, and waits longer
-            if ahead.early_attempts < EARLY_MOST and self.reservations.remembers_all(key):
-                own_time = min(SECOND, int(work / max(1.0, flow.allowed_rate) * SECOND))
-                self.reservations.postpone(now, ahead, ahead.due_at + max(STEP, own_time), self.room)
-            return
-        known = self.shares.is_known(now, flow)
+        elif may_be_return and (ahead := self.reservations.last_booked(flow.key)):
+            self._postpone(now, ahead, request, flow)
+            return ShareStatus.EXCEEDED
+        return ShareStatus.EXCEEDED if self._exceeds_share(now, request, flow) else ShareStatus.WITHIN_SHARE
+
+    def _postpone(self, now: int, ahead: Reservation, request: Request, flow: Flow) -> None:
+        """Postpone the reservation of a client that came early by what its work takes at its share."""
+        if ahead.early_attempts < MAX_POSTPONEMENTS and self.reservations.remembers_all(flow.key):
+            own_time = min(MAX_POSTPONEMENT_NS, time_for_work(request.expected_work, flow.allowed_rate))
+            not_before = ahead.due_at + max(RESERVATION_STEP_NS, own_time)
+            self.reservations.postpone(now, ahead, not_before, self.reservable_work)
+
+    def _exceeds_share(self, now: int, request: Request, flow: Flow) -> bool:
+        """Tell whether the flow has used its share or its retries; unknown flows keep theirs by chance."""
+        is_known = self.shares.is_known(now, flow)
         if flow.allowed_rate < inf:
-            exceeded = flow.free_at > now + BURST
+            exceeds = flow.free_at > now + MAX_BURST_NS
         else:
             unknown_share = self.shares.share_of_unknown(flow)
-            exceeded = unknown_share < 1 and not known and self.random() > unknown_share
-        retries_exceeded = request.retry_attempt and known and flow.retries > RETRY_SHARE * flow.count
-        request.share_status = Status.EXCEEDED if exceeded or retries_exceeded else Status.WITHIN_SHARE
-        if request.share_status is Status.WITHIN_SHARE:  # though its overload stage may still reject it
-            self._charge(now, request)
+            exceeds = unknown_share < 1 and not is_known and self.chance() > unknown_share
+        exceeds_retries = request.retry_attempt and is_known and flow.retries > MAX_RETRY_RATIO * flow.count
+        return exceeds or exceeds_retries
 
-    def _charge(self, now: int, request: Request) -> None:
-        if request.flow.allowed_rate < inf:
-            took = int(request.expected_work / max(1.0, request.flow.allowed_rate) * SECOND)
-            request.flow.free_at = max(request.flow.free_at, now) + took
+    def _charge(self, now: int, request: Request, flow: Flow) -> None:
+        """Count the expected work against the allowed rate of its flow."""
+        if flow.allowed_rate < inf:
+            own_time = time_for_work(request.expected_work, flow.allowed_rate)
+            flow.free_at = max(flow.free_at, now) + own_time
+
+    def admitted(self, request: Request) -> None:
+        """Count a reservation as kept: the request that came by it is admitted."""
+        if request.reservation:
+            self.reservations.end(request.reservation, ReservationEnd.KEPT)
 
     def retry_after(self, now: int, request: Request, max_retry_after: int) -> int:
-        """Return how long a rejected client should stay away: until room of its own, if that is known."""
-        flow, known = request.flow, request.flow.allowed_rate < inf
+        """Return for how many nanoseconds a rejected client stays away: until reserved capacity, if any.
+
+        A client that came early gets no second reservation.
+        """
+        flow = request.flow
+        if flow is None:
+            raise MissingFlowError("a request names no flow: fair sharing has not counted its arrival")
+        is_limited = flow.allowed_rate < inf
+        exceeded = request.share_status is ShareStatus.EXCEEDED
         if request.reservation and request.state is RequestState.READ:
-            self.reservations.end(request.reservation, ReservationEnd.BROKEN)  # the room was not enough
-        if request.share_status is Status.EXCEEDED and not known:
-            return max_retry_after  # one of many who share too little to promise them any
-        own_time = flow.free_at - BURST if known else now
-        booked, first = None, max(now, own_time)
-        if request.share_status is not Status.EXCEEDED or not request.retry_attempt:  # it was not early
-            booked = self.reservations.book(now, first, flow.key, request.expected_work, self.room)
+            self.reservations.end(request.reservation, ReservationEnd.BROKEN)
+        if exceeded and not is_limited:
+            return max_retry_after  # one of many flows with too little share for a reservation
+        booked = None
+        if not exceeded or not request.retry_attempt:
+            not_before = max(now, flow.free_at - MAX_BURST_NS if is_limited else now)
+            work = request.expected_work
+            booked = self.reservations.book(now, not_before, flow.key, work, self.reservable_work)
         if booked and booked.due_at - now <= max_retry_after:
-            self._charge(now, request)
+            self._charge(now, request, flow)
             return booked.due_at - now
-        if booked:  # longer than clients take: not made, so not broken
+        if booked:  # later than clients wait: it was not announced
             self.reservations.end(booked, ReservationEnd.RELEASED)
         self.reservations.record_unbacked(now + max_retry_after, flow.key)
         return max_retry_after
--- /dev/null
+++ b/oakkeel/admission/health.py
@@ -0,0 +1,15 @@
+"""Health: when a node asks to be taken off the endpoint list."""
+
+from __future__ import annotations
+
+MAX_STALENESS_RATIO = 0.6  # of the latency objective, that arrivals wait before they are parsed
+MAX_STALENESS_RATIO_TO_RECOVER = MAX_STALENESS_RATIO / 2
+
+
+def is_healthy(was_healthy: bool, is_draining: bool, staleness_ratio: float) -> bool:
+    """Tell whether clients should use the node; one that parses too late can't even reject in time.
+
+    `staleness_ratio` is the mean queueing delay of the last seconds over the latency objective.
+    """
+    most = MAX_STALENESS_RATIO if was_healthy else MAX_STALENESS_RATIO_TO_RECOVER
+    return not is_draining and staleness_ratio < most
--- /dev/null
+++ b/oakkeel/admission/idle_connections.py
@@ -0,0 +1,49 @@
+"""Idle connections: after what idle time a connection closes, so that the table holds those who return."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from oakkeel.admission.client_returns import ReturnTimes
+from oakkeel.units import MS, SECOND
+
+NEW_CONNECTION_WORTH_NS = 20 * SECOND  # of idle time, that a saved new connection pays for
+NEW_CONNECTION_WORTH_FROM_REAP_NS = 4 * SECOND
+MIN_IDLE_TIME_NS = 10 * MS
+RETURN_STEP_NS = 64 * MS  # the shortest step of return times; each further one doubles
+RETURN_STEPS = 9
+MAX_REMEMBERED_CLIENTS = 512  # the last seen
+MAX_PARSING_PER_CORE = 1.5  # above it, new connections crowd the cores
+MAX_NEW_CONNECTIONS_PER_CORE_S = 8  # while they do
+
+
+def idle_time(returns: Sequence[ReturnTimes], reaping: bool) -> int:
+    """Return the idle time in nanoseconds beyond which a return no longer pays for the kept connection.
+
+    `returns` has the return times by step, the last those beyond all steps. From REAP on a place in the table
+    is worth more.
+    """
+    worth = NEW_CONNECTION_WORTH_FROM_REAP_NS if reaping else NEW_CONNECTION_WORTH_NS
+    others = sum(times.returns for times in returns)
+    best_time = MIN_IDLE_TIME_NS
+    best_gain = 0.0
+    saved = 0.0
+    for step, times in enumerate(returns[:RETURN_STEPS]):
+        step_end = RETURN_STEP_NS << step
+        saved = saved + worth * times.returns - times.total_ns
+        others -= times.returns
+        gain = saved - step_end * others
+        if gain > best_gain:
+            best_gain = gain
+            best_time = step_end
+    return best_time
+
+
+def crowded_idle_time(connections: float, parsing_backlog: float, cores: int) -> int:
+    """Return the idle time in nanoseconds that bounds new connections where these crowd the cores; else 0.
+
+    A full table rejects clients before they cost anything. `parsing_backlog` is the mean of the last seconds.
+    """
+    if parsing_backlog > MAX_PARSING_PER_CORE * cores:
+        return int(connections * SECOND / (MAX_NEW_CONNECTIONS_PER_CORE_S * cores))
+    return 0
--- a/oakkeel/admission/occupancy.py
+++ b/oakkeel/admission/occupancy.py
@@ -20,6 +20,8 @@
     State.RELEASING: {State.FINISHED},
     State.FINISHED: set(),
 }
+NO_MEMORY = frozenset({State.READ, State.FINISHED})
+QUEUED_MEMORY = frozenset({State.DELAYED, State.QUEUED, State.COALESCED})
 
 
 class Occupancy:
@@ -28,10 +30,17 @@
     def __init__(self, limits: NodeLimits) -> None:
         """Start with no request and no key."""
         self.count = [0] * len(State)
-        factor = limits.running_memory_factor
-        self.memory_factors = [0, 1, 1, 1, factor, factor, factor, factor, factor, 0]  # by state
-        self.memory_kb, self.key_kb = 0.0, limits.key_kb
+        self.memory_kb = 0.0
+        self.key_kb = limits.key_kb
         self.key_expiries: list[int] = []
+        self.memory_factors = [self._memory_factor(state, limits) for state in State]
+
+    @staticmethod
+    def _memory_factor(state: State, limits: NodeLimits) -> float:
+        """Return what a request in this state takes of its memory when queued."""
+        if state in NO_MEMORY:
+            return 0
+        return 1 if state in QUEUED_MEMORY else limits.running_memory_factor
 
     def move(self, now: int, request: Request, state: State) -> None:
         """Change the state of a request; nothing else does."""
@@ -43,7 +52,8 @@
         self.count[old] -= 1
         self.count[state] += 1
         self.memory_kb += request.memory_kb * (self.memory_factors[state] - self.memory_factors[old])
-        request.state, request.state_since = state, now
+        request.state = state
+        request.state_since = now
 
     def retain_key(self, until: int) -> None:
         """Count the memory of an idempotency key until it expires."""
@@ -61,5 +71,9 @@
         return self.count[State.DELAYED] + self.count[State.QUEUED]
 
     def on_cores(self) -> int:
-        """Count runs, and those whose call is not placed: they wait for this node, not for a downstream."""
+        """Count runs, and requests whose call is not placed: they wait for this node."""
         return self.count[State.RUNNING] + self.count[State.ORPHANED] + self.count[State.AWAITING_CALL]
+
+    def calling(self) -> int:
+        """Count the requests with a downstream call in flight."""
+        return self.count[State.CALLING]
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -1,99 +1,117 @@
-"""Overload stages with hysteresis (the source's degradation ladder), shedding threshold and concurrency."""
+"""Overload stages with hysteresis: how far the CPU, the depth and the latency of a node are too high."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from enum import IntEnum
 
 from oakkeel.admission.sliding_window import SlidingWindow
-from oakkeel.admission.types import NodeLimits
 
 
 class Stage(IntEnum):
-    """The overload stages."""
-
-    NORMAL, EXPAND, REAP, REORDER, BACKPRESSURE, REJECT = range(6)
-
-
-# A row's n-th figure enters the n-th stage after NORMAL; a stage is left below it less the slack.
-CPU = (0.70, 0.80, 0.85, 0.90, 0.95)  # busy share of the cores
-CPU_SLACK = 0.05
-CPU_DEPTH = (0.0, 0.0, 1.0, 1.0, 3.0)  # a CPU stage acts only while the depth exceeds this
-DEPTH = (0.75, 1.0, 1.25, 1.75, 3.0)  # requests queued and on the cores, for each core
-DEPTH_SLACK = 0.25
-LATENCY = (0.5, 0.6, 0.75, 0.9, 1.1)  # mean time to completion over the latency objective
-LATENCY_SLACK = 0.1
-SHED_MOST, SHED_STEP = 0.9, 0.08  # of arrivals, rejected as low; its step by arrival and core
-# Concurrency.
-RUN = (1.0, 1.24)  # runs for each core, below EXPAND and from it on
-STALE = 0.2  # of the latency objective unread: reading goes first until it is below
-RUN_LEAST = 0.5  # of the cores, however much is being read
-RUN_QUEUE = 1.25  # runs, reading, checks and new connections together
-OVERLOAD_ROOM = 0.7  # of the overload multiple, for all that could be on the cores
-
-
-def next_stage(stage: int, value: float, row: tuple[float, ...], slack: float) -> int:
-    """Climb to the highest stage reached; fall only below a threshold less its slack."""
-    while stage < Stage.REJECT and value >= row[stage]:
-        stage += 1
-    while stage > Stage.NORMAL and value < row[stage - 1] - slack:
-        stage -= 1
-    return stage
+    """The overload stages, each with all that the stages below it do."""
+
+    NORMAL = 0
+    EXPAND = 1  # more requests run at one time
+    REAP = 2  # idle connections close sooner
+    REORDER = 3  # low ranks are shed
+    BACKPRESSURE = 4  # admitted requests are delayed
+    REJECT = 5  # everything is rejected
+
+
+@dataclass(frozen=True, slots=True)
+class StageThresholds:
+    """The value of a signal at which each stage begins; it ends below that value less the hysteresis."""
+
+    expand: float
+    reap: float
+    reorder: float
+    backpressure: float
+    reject: float
+    hysteresis: float
+    begins_at: tuple[float, ...] = field(init=False)  # by stage
+
+    def __post_init__(self) -> None:
+        """Order the values by stage."""
+        values = (0.0, self.expand, self.reap, self.reorder, self.backpressure, self.reject)
+        object.__setattr__(self, "begins_at", values)
+
+
+# Busy share of the cores.
+CPU_BUSY_RATIO = StageThresholds(
+    expand=0.70, reap=0.80, reorder=0.85, backpressure=0.90, reject=0.95, hysteresis=0.05
+)
+# Requests queued and on the cores, for each core.
+DEPTH_PER_CORE = StageThresholds(
+    expand=0.75, reap=1.0, reorder=1.25, backpressure=1.75, reject=3.0, hysteresis=0.25
+)
+# Mean time to completion over the latency objective.
+LATENCY_RATIO = StageThresholds(
+    expand=0.5, reap=0.6, reorder=0.75, backpressure=0.9, reject=1.1, hysteresis=0.1
+)
+
+# A CPU stage acts only above this depth: busy cores without a queue are no overload.
+CPU_STAGE_MIN_DEPTH_PER_CORE = {
+    Stage.NORMAL: 0.0,
+    Stage.EXPAND: 0.0,
+    Stage.REAP: 0.0,
+    Stage.REORDER: 1.0,
+    Stage.BACKPRESSURE: 1.0,
+    Stage.REJECT: 3.0,
+}
+UNCOUNTED_DEPTH_REQUESTS = 2  # on few cores each request more is a large step of depth
+
+
+def depth_per_core(waiting: int, on_cores: int, cores: int) -> float:
+    """Return how many requests are queued and on the cores, for each core.
+
+    Requests at downstream calls are not counted: they have a limit of their own.
+    """
+    return max(0, waiting + on_cores - UNCOUNTED_DEPTH_REQUESTS) / cores
+
+
+def next_stage(stage: Stage, value: float, thresholds: StageThresholds) -> Stage:
+    """Return the stage that follows `stage` at this value of its signal.
+
+    It rises at once and falls only below the hysteresis, so that a value near a threshold does not flap.
+    """
+    begins_at = thresholds.begins_at
+    reached = int(stage)
+    while reached < Stage.REJECT and value >= begins_at[reached + 1]:
+        reached += 1
+    while reached > Stage.NORMAL and value < begins_at[reached] - thresholds.hysteresis:
+        reached -= 1
+    return stage if reached == stage else Stage(reached)
 
 
 class OverloadStages:
-    """The stage of each signal, and the rank below which requests are shed."""
+    """The stage of each signal."""
 
-    def __init__(self, cores: int) -> None:
-        """Start at NORMAL, with nothing shed."""
-        self.cpu = self.depth = self.latency = int(Stage.NORMAL)
-        self.latencies = SlidingWindow()  # to completion, over the latency objective
-        self.threshold, self.step = 0.0, min(1.0, SHED_STEP * cores)
+    def __init__(self) -> None:
+        """Start at NORMAL."""
+        self.cpu_stage = Stage.NORMAL
+        self.depth_stage = Stage.NORMAL
+        self.latency_stage = Stage.NORMAL
+        self.latency_ratios = SlidingWindow()  # time to completion over the latency objective
 
-    def highest(self) -> int:
+    def highest(self) -> Stage:
         """Return the highest stage of all signals."""
-        return max(self.cpu, self.depth, self.latency)
+        return max(self.cpu_stage, self.depth_stage, self.latency_stage)
+
+    def rejects_by_depth(self) -> bool:
+        """Tell whether the depth alone is at REJECT, as last followed."""
+        return self.depth_stage is Stage.REJECT
 
-    def arrival_stage(self, depth: float) -> int:
-        """Follow the depth, and return the stage that a new request meets."""
-        self.depth = next_stage(self.depth, depth, DEPTH, DEPTH_SLACK)
-        stage = max(self.depth, self.latency)
-        return max(stage, self.cpu) if depth > CPU_DEPTH[max(0, self.cpu - 1)] else stage
+    def arrival_stage(self, depth: float) -> Stage:
+        """Follow the depth per core, and return the stage that a request meets on arrival."""
+        self.depth_stage = next_stage(self.depth_stage, depth, DEPTH_PER_CORE)
+        stage = max(self.depth_stage, self.latency_stage)
+        if depth > CPU_STAGE_MIN_DEPTH_PER_CORE[self.cpu_stage]:
+            return max(stage, self.cpu_stage)
+        return stage
 
     def poll(self, now: int, core_busy: float, depth: float) -> None:
-        """Follow all signals."""
-        self.cpu = next_stage(self.cpu, core_busy, CPU, CPU_SLACK)
-        self.latency = next_stage(self.latency, self.latencies.mean(now, 0.0), LATENCY, LATENCY_SLACK)
-        self.depth = next_stage(self.depth, depth, DEPTH, DEPTH_SLACK)
-
-    def follow_threshold(self, now: int, depth: float) -> None:
-        """Move the shedding threshold: it rises with the signals from REORDER to BACKPRESSURE."""
-        signals = ((depth, DEPTH), (self.latencies.mean(now, 0.0), LATENCY))
-        position = max((value - row[2]) / (row[3] - row[2]) for value, row in signals)
-        self.threshold += self.step * (SHED_MOST * min(1.0, max(0.0, position)) - self.threshold)
-
-
-class Capacity:
-    """The bounds on concurrency of one node."""
-
-    def __init__(self, limits: NodeLimits) -> None:
-        """Start with nothing being read."""
-        self.limits, self.run = limits, limits.cores * RUN[0]
-        self.reading, self.readings = 0.0, SlidingWindow()  # what else wanted a core when last seen
-        self.staleness = 0.0  # of the last arrival: time unread over its latency objective
-
-    def observe(self, now: int, reading: float) -> None:
-        """Note what else wants a core."""
-        self.reading = max(0.0, reading)
-        self.readings.add(now, self.reading)
-
-    def runs(self, expanded: bool) -> float:
-        """Return how many may run now."""
-        reading = self.reading / self.limits.cores
-        self.run = max(RUN_LEAST, min(RUN[expanded], RUN_QUEUE - reading)) * self.limits.cores
-        if self.staleness > STALE and reading > RUN_LEAST:
-            return 0  # in a jam one run beside the reading makes all that is read too old to be served
-        return self.run
-
-    def most(self, warmth: float) -> float:
-        """Return how many may run or call before the cores are overloaded."""
-        return (1 + (self.limits.overload_multiple - 1) * warmth) * self.limits.cores * OVERLOAD_ROOM
+        """Follow all signals: the busy share of the cores, the latency and the depth per core."""
+        self.cpu_stage = next_stage(self.cpu_stage, core_busy, CPU_BUSY_RATIO)
+        self.latency_stage = next_stage(self.latency_stage, self.latency_ratios.mean(now, 0.0), LATENCY_RATIO)
+        self.depth_stage = next_stage(self.depth_stage, depth, DEPTH_PER_CORE)
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -1,48 +1,101 @@
-"""The rank of a request: its priority weight for the service time of its class, among what arrives."""
+"""Ranking: the priority weight of a request for each second of service time, among what arrives."""
 
 from __future__ import annotations
 
-from oakkeel.admission.sliding_window import WINDOW_BUCKETS, WINDOW_STEP, SlidingWindow
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from oakkeel.admission.sliding_window import WINDOW_STEP_NS, WINDOW_STEPS, SlidingWindow
 from oakkeel.admission.types import NodeLimits, Request
 from oakkeel.units import SECOND
 
-SERVICE_TIME_FADE = 0.8  # a poll, of a service time that nothing confirms any more
+OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6  # the service time of a class before any request of it completes
+SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll without a completion, so that trials run again
+
+
+@dataclass(frozen=True, slots=True)
+class RankRange:
+    """The ranks that the requests of one class and tenant are spread over, within 0 to 1."""
+
+    start: float
+    width: float
+
+
+class Demand(NamedTuple):
+    """What one class and tenant ask for; the order is that of the ranks."""
+
+    weight_per_ns: float
+    class_index: int
+    tenant_index: int
+    arrivals: int
+
+
+def allowance_weight(rate: float, allowance: float, over_allowance_weight: float) -> float:
+    """Return the mean weight of the requests of a tenant, which is lower above its allowance.
+
+    `rate` and `allowance` are requests a second at this node; no mark tells which request is above it.
+    """
+    within = min(1.0, allowance / rate) if rate and allowance else 1.0
+    return within + (1 - within) * over_allowance_weight
 
 
 class Ranking:
-    """Ranks of request classes and tenants, and the service times that they go by."""
+    """The ranks of request classes and tenants, and the service times behind them."""
 
     def __init__(self, limits: NodeLimits) -> None:
-        """Start with equal ranks, and with a service time of a sixth of the latency objective."""
-        self.limits, classes, tenants = limits, limits.request_classes, max(1, len(limits.tenants))
-        self.completed = [SlidingWindow() for _ in classes]  # service times
-        self.service_times = [row.latency_objective / 6 for row in classes]
+        """Start with equal ranks and service times guessed from the latency objectives."""
+        classes = limits.request_classes
+        tenants = max(1, len(limits.tenants))
+        self.limits = limits
+        self.completed = [SlidingWindow() for _ in classes]  # service times in nanoseconds
+        self.service_times = [
+            request_class.latency_objective / OBJECTIVE_PER_INITIAL_SERVICE_TIME for request_class in classes
+        ]
         self.arrivals = [[SlidingWindow() for _ in range(tenants)] for _ in classes]
-        self.ranks = [[(0.0, 1.0)] * tenants for _ in classes]  # place among the arrivals, breadth
+        self.ranks = [[RankRange(start=0.0, width=1.0)] * tenants for _ in classes]
 
     def rank(self, now: int, request: Request, chance: float) -> float:
-        """Count a request that arrived, and return its rank."""
-        index, tenant = request.request_class.index, request.tenant.index if request.tenant else 0
+        """Count a request that arrived, and return its rank; `chance` from 0 to 1 spreads equal requests."""
+        class_index = request.request_class.index
+        tenant_index = request.tenant.index if request.tenant else 0
         if not request.retry_attempt:
-            self.arrivals[index][tenant].add(now, 1)
-        below, breadth = self.ranks[index][tenant]
-        return below + breadth * chance
+            self.arrivals[class_index][tenant_index].add(now, 1)
+        rank_range = self.ranks[class_index][tenant_index]
+        return rank_range.start + rank_range.width * chance
+
+    def service_time(self, request: Request) -> float:
+        """Return the expected service time of a request, in nanoseconds."""
+        return self.service_times[request.request_class.index]
 
     def poll(self, now: int, started: int) -> None:
-        """Give each request class and tenant its rank, the least weight for its service time first."""
-        limits, rows, known = self.limits, [], zip(self.completed, self.service_times, strict=True)
-        self.service_times = [window.mean(now, last * SERVICE_TIME_FADE) for window, last in known]
-        for tenant in range(len(self.arrivals[0])):
-            counts = [windows[tenant].total(now)[1] for windows in self.arrivals]
-            rate = sum(counts) * SECOND / min(WINDOW_BUCKETS * WINDOW_STEP, max(1, now - started))
-            allowance = limits.tenants[tenant].allowance_per_s / limits.peers if limits.tenants else 0.0
-            within = min(1.0, allowance / rate) if rate and allowance else 1.0
-            weight = within + (1 - within) * limits.over_allowance_weight
-            for row in limits.request_classes:
-                density = row.priority_weight * weight / max(1, self.service_times[row.index])
-                rows.append((density, row.index, tenant, counts[row.index]))
-        rows.sort()
-        total, below = sum(row[3] for row in rows) or 1, 0
-        for _, index, tenant, number in rows:
-            self.ranks[index][tenant] = (below / total, number / total)
-            below += number
+        """Update the service times, and rank classes and tenants anew; the node started at `started`."""
+        for index, window in enumerate(self.completed):
+            self.service_times[index] = window.mean(now, self.service_times[index] * SERVICE_TIME_DECAY_RATIO)
+        window_ns = min(WINDOW_STEPS * WINDOW_STEP_NS, max(1, now - started))
+        demands: list[Demand] = []
+        for tenant_index in range(len(self.arrivals[0])):
+            demands += self._demands_of_tenant(now, tenant_index, window_ns)
+        demands.sort()
+        self._assign_ranks(demands)
+
+    def _demands_of_tenant(self, now: int, tenant_index: int, window_ns: int) -> list[Demand]:
+        limits = self.limits
+        counts = [windows[tenant_index].count(now) for windows in self.arrivals]
+        rate = sum(counts) * SECOND / window_ns
+        allowance = limits.tenants[tenant_index].allowance_per_s / limits.peers if limits.tenants else 0.0
+        weight = allowance_weight(rate, allowance, limits.over_allowance_weight)
+        demands = []
+        for request_class in limits.request_classes:
+            index = request_class.index
+            weight_per_ns = request_class.priority_weight * weight / max(1, self.service_times[index])
+            demands.append(Demand(weight_per_ns, index, tenant_index, counts[index]))
+        return demands
+
+    def _assign_ranks(self, demands: list[Demand]) -> None:
+        """Give each demand its part of 0 to 1 by its arrivals, the lowest weight first."""
+        total = sum(demand.arrivals for demand in demands) or 1
+        below = 0
+        for demand in demands:
+            rank_range = RankRange(below / total, demand.arrivals / total)
+            self.ranks[demand.class_index][demand.tenant_index] = rank_range
+            below += demand.arrivals
--- /dev/null
+++ b/oakkeel/admission/request_ends.py
@@ -0,0 +1,68 @@
+"""The end of a request that is not completed: rejected, timed out, or abandoned by its client."""
+
+from __future__ import annotations
+
+from oakkeel.admission.node_state import NodeState
+from oakkeel.admission.types import Rejection, Request, StopKind
+from oakkeel.admission.types import RequestState as State
+
+QUEUED_STATES = frozenset({State.DELAYED, State.QUEUED})
+AT_CALL_STATES = frozenset({State.AWAITING_CALL, State.CALLING})
+
+
+class RequestEnds:
+    """Answers and stops requests that will not complete."""
+
+    def __init__(self, node: NodeState) -> None:
+        """Act on the requests of this node."""
+        self.node = node
+
+    def reject(self, now: int, request: Request, rejection: Rejection) -> None:
+        """Answer that a request never ran, with when to retry, and forget its key."""
+        self._answer_rejected(request, rejection, self._retry_after(now, request))
+        if request.key_retained:
+            request.key_retained = False
+            self.node.host.release_key(request)
+        self.node.occupancy.move(now, request, State.FINISHED)
+
+    def _answer_rejected(self, request: Request, rejection: Rejection, retry_after: int) -> None:
+        self.node.host.reject(request, rejection is Rejection.FINAL, retry_after)
+
+    def _retry_after(self, now: int, request: Request) -> int:
+        """Return when to retry: by the share of its flow where that is known.
+
+        A node that drains reserves nothing, as it will not be there.
+        """
+        node = self.node
+        if node.fair_sharing and node.limits.max_retry_after and not node.drain.stop_at:
+            return node.fair_sharing.retry_after(now, request, node.limits.max_retry_after)
+        return node.retry_after()
+
+    def time_out(self, now: int, request: Request) -> None:
+        """Answer a request that can no longer be in time, and stop its work.
+
+        One that started is failed, not rejected, where it may not take effect again.
+        """
+        if request.state in QUEUED_STATES:
+            self.reject(now, request, Rejection.FINAL)
+        elif request.state < State.ORPHANED:
+            if request.request_class.at_most_once:
+                self.node.host.fail(request)
+            else:
+                self._answer_rejected(request, Rejection.FINAL, self.node.retry_after())
+            self.abandon(now, request)
+
+    def abandon(self, now: int, request: Request) -> None:
+        """Stop the work of a request that nobody waits for, so that it takes no core from others."""
+        node = self.node
+        if request.state is State.RUNNING:
+            node.occupancy.move(now, request, State.ORPHANED)
+            # Its time counts as a service time: a node on which nothing completes must see that it is slow.
+            node.ranking.completed[request.request_class.index].add(now, request.service_time)
+            if node.limits.stop_kind is not StopKind.NONE:
+                node.host.cancel(request)
+        elif request.state in AT_CALL_STATES:
+            node.calls.release(now, request, node.limits.call_linger)
+            node.occupancy.move(now, request, State.RELEASING)
+        elif request.state < State.ORPHANED:
+            node.occupancy.move(now, request, State.FINISHED)
--- /dev/null
+++ b/oakkeel/admission/request_queue.py
@@ -0,0 +1,36 @@
+"""The queue of admitted requests: the highest rank first, then the first to come."""
+
+from __future__ import annotations
+
+from heapq import heappop, heappush
+from itertools import count
+
+from oakkeel.admission.types import Request, RequestState
+
+
+class RequestQueue:
+    """Requests that may start; one that has left the state QUEUED is dropped when its turn comes."""
+
+    __slots__ = ("_heap", "_numbers")
+
+    def __init__(self) -> None:
+        """Start empty."""
+        self._heap: list[tuple[float, int, Request]] = []  # by negative rank and order of arrival
+        self._numbers = count()
+
+    def push(self, request: Request) -> None:
+        """Add a request."""
+        heappush(self._heap, (-request.rank, next(self._numbers), request))
+
+    def first(self) -> Request | None:
+        """Return the request whose turn it is, or None."""
+        while self._heap:
+            _, _, request = self._heap[0]
+            if request.state is RequestState.QUEUED:
+                return request
+            heappop(self._heap)
+        return None
+
+    def pop(self) -> None:
+        """Remove the request that `first` returned."""
+        heappop(self._heap)
--- a/oakkeel/admission/request_timers.py
+++ b/oakkeel/admission/request_timers.py
@@ -1,4 +1,4 @@
-"""Timers of requests, gathered in steps: this keeps time and decides nothing."""
+"""Timers of requests, rounded up to steps. This module keeps time and decides nothing."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
     __slots__ = ("host", "step", "steps")
 
     def __init__(self, host: Host, step: int) -> None:
-        """Start with no timer; timers are gathered in steps of so many nanoseconds."""
-        self.host, self.step = host, step
+        """Start with no timer; `step` is in nanoseconds."""
+        self.host = host
+        self.step = step
         self.steps: dict[int, list[Request]] = {}
 
     def set(self, now: int, request: Request, at: int) -> None:
-        """Look at the request again at a time, or as soon after it as the next step is."""
+        """Wake the request at a time, or at the first step after `now` if that is later."""
         number = max(at // self.step, now // self.step + 1)
         if number not in self.steps:
             self.steps[number] = []
@@ -28,5 +29,5 @@
         return self.steps.pop(token, [])
 
     def pending(self) -> list[Request]:
-        """List the requests of all timers by time; one is there as often as it has timers."""
+        """List the requests of all timers by time; a request appears once for each of its timers."""
         return [request for step in sorted(self.steps) for request in self.steps[step]]
--- a/oakkeel/admission/sliding_window.py
+++ b/oakkeel/admission/sliding_window.py
@@ -1,38 +1,50 @@
-"""Sums, counts and means over the last few seconds: these measure and decide nothing."""
+"""Sums, counts and means over the last few seconds. This module measures and decides nothing."""
 
 from __future__ import annotations
 
 from oakkeel.units import MS
 
-WINDOW_STEP, WINDOW_BUCKETS = 500 * MS, 12
+WINDOW_STEP_NS = 500 * MS
+WINDOW_STEPS = 12
 
 
 class SlidingWindow:
-    """Sums and counts over the last few seconds, in buckets of time that are used again."""
+    """Sums and counts over the last few seconds, in a ring of buckets of `step` nanoseconds each."""
 
     __slots__ = ("bucket_numbers", "counts", "step", "sums")
 
-    def __init__(self, step: int = WINDOW_STEP) -> None:
-        """Start empty, with buckets of `step` nanoseconds."""
-        self.step, self.sums = step, [0.0] * WINDOW_BUCKETS
-        self.counts, self.bucket_numbers = [0] * WINDOW_BUCKETS, [0] * WINDOW_BUCKETS
+    def __init__(self, step: int = WINDOW_STEP_NS) -> None:
+        """Start empty."""
+        self.step = step
+        self.sums = [0.0] * WINDOW_STEPS
+        self.counts = [0] * WINDOW_STEPS
+        self.bucket_numbers = [0] * WINDOW_STEPS
 
     def add(self, now: int, value: float) -> None:
         """Count a value at this time."""
         number = now // self.step
-        bucket = number % WINDOW_BUCKETS
+        bucket = number % WINDOW_STEPS
         if self.bucket_numbers[bucket] != number:
-            self.bucket_numbers[bucket], self.sums[bucket], self.counts[bucket] = number, 0.0, 0
+            self.bucket_numbers[bucket] = number
+            self.sums[bucket] = 0.0
+            self.counts[bucket] = 0
         self.sums[bucket] += value
         self.counts[bucket] += 1
 
-    def total(self, now: int) -> tuple[float, int]:
-        """Return the sum and the count of the values within the window."""
-        oldest = now // self.step - WINDOW_BUCKETS
-        live = [bucket for bucket in range(WINDOW_BUCKETS) if self.bucket_numbers[bucket] > oldest]
-        return sum(self.sums[bucket] for bucket in live), sum(self.counts[bucket] for bucket in live)
+    def total(self, now: int) -> float:
+        """Return the sum of the values within the window."""
+        return sum(self.sums[bucket] for bucket in self._live_buckets(now))
+
+    def count(self, now: int) -> int:
+        """Return the number of values within the window."""
+        return sum(self.counts[bucket] for bucket in self._live_buckets(now))
 
     def mean(self, now: int, default: float) -> float:
         """Return the mean of the values within the window, or the default where there are none."""
-        total, count = self.total(now)
-        return total / count if count else default
+        live = self._live_buckets(now)
+        count = sum(self.counts[bucket] for bucket in live)
+        return sum(self.sums[bucket] for bucket in live) / count if count else default
+
+    def _live_buckets(self, now: int) -> list[int]:
+        oldest = now // self.step - WINDOW_STEPS
+        return [bucket for bucket in range(WINDOW_STEPS) if self.bucket_numbers[bucket] > oldest]
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -10,8 +10,12 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import Enum, IntEnum
-from typing import Any, Protocol
+from enum import Enum, IntEnum, auto
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:  # loaded only where an operator asks for fair sharing
+    from oakkeel.fair_sharing.heavy_hitters import Flow
+    from oakkeel.fair_sharing.reservations import Reservation
 
 
 class Idempotency(Enum):
@@ -60,6 +64,21 @@
     NEVER_STARTED = "moot"  # never ran
 
 
+class Admission(Enum):
+    """How a request is admitted on arrival."""
+
+    COALESCE = auto()  # it waits for the result of the request that it duplicates
+    QUEUE = auto()
+    DELAY = auto()  # it is queued after the delay of the backpressure stage
+
+
+class Rejection(Enum):
+    """How a request that never ran is rejected."""
+
+    RETRY_ELSEWHERE = auto()  # another node may have capacity
+    FINAL = auto()  # a retry elsewhere is not worth its parsing
+
+
 class RequestState(IntEnum):
     """The states of a request; `Occupancy.move` alone changes one."""
 
@@ -185,8 +204,8 @@
 
     # By level, a key and a label; set where shares are fair.
     flow_keys: tuple[tuple[int, bytes], ...] = ()
-    flow: Any = None
-    reservation: Any = None  # by which it comes
+    flow: Flow | None = None
+    reservation: Reservation | None = None  # by which it comes
     share_status: ShareStatus = ShareStatus.WITHIN_SHARE
     expected_work: float = 0.0  # that it was counted with
 
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -80,7 +80,7 @@
         """Fill in what the admission controller counts."""
         admission = self.node.host.admission
         status.stage = Stage(admission.overload.highest()).name
-        status.shedding_threshold = round(admission.overload.threshold, 4)
+        status.shedding_threshold = round(admission.shedding.threshold, 4)
         status.memory_kb = round(admission.occupancy.memory_kb, 1)
         status.queued, count = admission.occupancy.waiting(), admission.occupancy.count
         status.running = count[RequestState.RUNNING] + count[RequestState.ORPHANED]
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from oakkeel.admission.overload import Stage, next_stage
+from oakkeel.admission.overload import Stage, StageThresholds, next_stage
 from oakkeel.admission.types import (
     DownstreamKind,
     Gauges,
@@ -20,11 +20,13 @@
         self.assertEqual(host.actions_on(host.arrive()), ["run"])
 
     def test_stages_have_hysteresis(self):
-        row = (0.7, 0.8, 0.85, 0.9, 0.95)
-        self.assertEqual(next_stage(Stage.NORMAL, 0.9, row, 0.05), Stage.BACKPRESSURE)
-        self.assertEqual(next_stage(Stage.BACKPRESSURE, 0.86, row, 0.05), Stage.BACKPRESSURE)
-        self.assertEqual(next_stage(Stage.BACKPRESSURE, 0.84, row, 0.05), Stage.REORDER)
-        self.assertEqual(next_stage(Stage.REJECT, 0.1, row, 0.05), Stage.NORMAL)
+        thresholds = StageThresholds(
+            expand=0.7, reap=0.8, reorder=0.85, backpressure=0.9, reject=0.95, hysteresis=0.05
+        )
+        self.assertEqual(next_stage(Stage.NORMAL, 0.9, thresholds), Stage.BACKPRESSURE)
+        self.assertEqual(next_stage(Stage.BACKPRESSURE, 0.86, thresholds), Stage.BACKPRESSURE)
+        self.assertEqual(next_stage(Stage.BACKPRESSURE, 0.84, thresholds), Stage.REORDER)
+        self.assertEqual(next_stage(Stage.REJECT, 0.1, thresholds), Stage.NORMAL)
 
     def test_rejects_a_flood_on_arrival_with_retry_after_and_bounds_runs(self):
         host = FakeHost()
@@ -79,7 +81,7 @@
             host.finish(host.arrive(tenant=1))
             host.run_until(host.now + 20 * MS)
         over_allowance, within_allowance = host.admission.ranking.ranks[0]
-        self.assertLess(over_allowance[0], within_allowance[0])
+        self.assertLess(over_allowance.start, within_allowance.start)
 
 
 class DeadlineTest(unittest.TestCase):
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from oakkeel.admission.load_report import CLIENTS_MOST
+from oakkeel.admission.idle_connections import MAX_REMEMBERED_CLIENTS
 from oakkeel.admission.types import LoadReportKind
 from oakkeel.units import MS, SECOND
 from tests.support.fake_host import FakeHost
@@ -38,9 +38,11 @@
 
     def test_remembers_the_clients_last_seen(self):
         host = FakeHost()
-        for number in range(CLIENTS_MOST + 100):
+        for number in range(MAX_REMEMBERED_CLIENTS + 100):
             host.arrive(client=number)
-        self.assertEqual(list(host.admission.returns.last_seen), list(range(100, CLIENTS_MOST + 100)))
+        self.assertEqual(
+            list(host.admission.signals.returns.last_seen), list(range(100, MAX_REMEMBERED_CLIENTS + 100))
+        )
 
     def test_keeps_idle_connections_while_new_ones_crowd_the_cores(self):
         # A hot key's node spent its cores on connections that it closed at once.
