--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -188,17 +188,15 @@
 
     def test_reports_node_that_runs_everything_at_once(self):
         def schedule(self, now):
-            self.now = now
-            for row in list(self.queue):
-                self.queue.remove(row)
-                if row[2].state.name == "QUEUED":
-                    self.occupancy.move(now, row[2], type(row[2].state).RUNNING)
-                    self.host.run(row[2])
+            while (request := self.queue.first()) is not None:
+                self.queue.pop()
+                self.occupancy.move(now, request, type(request.state).RUNNING)
+                self.host.run(request)
 
         def admit_all(self, now, request):
-            self.now = request.arrived_at = request.state_since = now
+            request.arrived_at = request.state_since = now
             request.objective_end = request.deadline = now + 100 * SECOND
-            self._enqueue(request)
+            self._enqueue(now, request)
 
         with (
             mock.patch.object(AdmissionController, "schedule", schedule),
