--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -24,6 +24,7 @@
     decode_request,
     encode,
 )
+from oakkeel.errors import OrderRefusedError
 from oakkeel.log import EventLog, fault
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, send
@@ -41,11 +42,11 @@
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
         """The heaviest clients, for the request with this tag."""
 
-    def request_drain(self, generation: int, timeout: int) -> str:
-        """Start a drain of `timeout` nanoseconds; returns why not, empty where it starts."""
+    def request_drain(self, generation: int, timeout: int) -> None:
+        """Start a drain of `timeout` nanoseconds. Raises `OrderRefusedError`."""
 
-    def cancel_drain(self, generation: int) -> str:
-        """Cancel the drain; returns why not, empty where it does."""
+    def cancel_drain(self, generation: int) -> None:
+        """Cancel the drain. Raises `OrderRefusedError`."""
 
 
 class ControlListener:
@@ -163,13 +164,13 @@
                 return self.listener.node.status(request.tag)
             if isinstance(request, ClientsRequest):
                 return self.listener.node.clients_status(request.tag, max(1, min(request.limit, MAX_CLIENTS)))
-            node = self.listener.node
-            reason = (
-                node.cancel_drain(request.generation)
-                if isinstance(request, CancelDrainRequest)
-                else node.request_drain(request.generation, request.timeout)
-            )
-            return Acknowledgement(request.tag, not reason, reason)
-        except Exception as error:  # a defect is answered, and the node goes on
+            if isinstance(request, CancelDrainRequest):
+                self.listener.node.cancel_drain(request.generation)
+            else:
+                self.listener.node.request_drain(request.generation, request.timeout)
+            return Acknowledgement(request.tag, True)
+        except OrderRefusedError as refusal:
+            return Acknowledgement(request.tag, False, str(refusal))
+        except Exception as error:  # a defect must not end the link or the node
             self.listener.log.error("control_request_failed", error=fault(error))
             return Acknowledgement(request.tag, False, "an error of the node")
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -1,4 +1,4 @@
-"""Tokens and fields that dispatchers use, and the requests made of them."""
+"""The tokens and fields of the dispatchers' protocol, and the requests made of them."""
 
 from __future__ import annotations
 
@@ -13,18 +13,26 @@
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.units import MS
 
-CALL, CANCEL, CHECK = b"CALL", b"CANCEL", b"CHECK"
-COMPLETED, REJECTED, FAILED = b"ok", b"full", b"fault"
-HEALTHY, UNHEALTHY = b"yes", b"no"
+CALL = b"CALL"
+CANCEL = b"CANCEL"
+CHECK = b"CHECK"
+COMPLETED = b"ok"
+REJECTED = b"full"
+FAILED = b"fault"
+HEALTHY = b"yes"
+UNHEALTHY = b"no"
 LAST = encode(b"0", b"last")
-MALFORMED_STREAM = encode(b"0", FAILED)  # to one whose bytes can't be read: no tag of its own is known
+MALFORMED_STREAM = encode(b"0", FAILED)  # the tags of a stream that can't be parsed are unknown
 FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
-# The field by which duplicates are known. A subject says that two reads ask for the same; of two
-# non-idempotent requests it says nothing.
+# The field by which duplicates are recognized. Reads with one subject ask for the same; non-idempotent
+# requests with one subject may not.
 KEY_FIELDS = {Idempotency.IDEMPOTENCY_KEY: b"opkey", Idempotency.IDEMPOTENT: b"subject"}
-REQUEST_ID = re.compile(rb"[0-9a-fA-F]{16}")
+REQUEST_ID = re.compile(rb"[0-9a-fA-F]{16}")  # copied into lines to the engine and the catalogue
+CALL_TOKENS = 4  # verb, tag, request class and fields
+CALL_TOKENS_WITH_BODY = 5
+MAX_FIELD_NUMBER = 1e15  # exact as a float
 
-# What may identify a flow, as operators' settings name it; any other name is that of a field.
+# Names in the operators' settings of what identifies a flow; any other name is that of a field.
 FLOW_FIELDS = {"tenant": b"owner", "caller": b"via", "subject": b"subject"}
 
 
@@ -34,11 +42,11 @@
 
 
 class MalformedRequestError(OakkeelError, ValueError):
-    """An array whose tag is valid but whose request class or fields are not."""
+    """A CALL whose tag is valid but whose request class, fields or body are not."""
 
 
 class RequestReader:
-    """Makes requests of the tokens of a CALL, by the request classes and tenants of this node."""
+    """Makes requests from the tokens of a CALL, by the request classes and tenants of this node."""
 
     def __init__(
         self,
@@ -49,8 +57,10 @@
         unix_ns: Callable[[], int] = time.time_ns,
         flow_keys: FlowKeyReader | None = None,
     ) -> None:
-        """`flow_keys` makes the flow keys of a request from its fields, where sharing is fair."""
-        self._resource_limits, self._flow_keys, self._unix_ns = resource_limits, flow_keys, unix_ns
+        """`flow_keys` makes the flow keys of a request from its fields, if fair sharing is on."""
+        self._resource_limits = resource_limits
+        self._flow_keys = flow_keys
+        self._unix_ns = unix_ns
         self._classes: dict[bytes, RequestClass] = {
             name.encode(): request_class
             for name, request_class in zip(class_names, limits.request_classes, strict=False)
@@ -61,20 +71,20 @@
 
     def read(self, tag: int, tokens: list[bytes], connection: ResponseChannel) -> NodeRequest:
         """Make a request of the tokens of a CALL. Raises MalformedRequestError."""
-        if len(tokens) not in (4, 5):
-            raise MalformedRequestError("too few or many words")
+        if len(tokens) not in (CALL_TOKENS, CALL_TOKENS_WITH_BODY):
+            raise MalformedRequestError(
+                f"{len(tokens)} tokens, expected {CALL_TOKENS} or {CALL_TOKENS_WITH_BODY}"
+            )
         request_class = self._classes.get(tokens[2])
         if request_class is None:
-            raise MalformedRequestError("an unknown endpoint group")
-        body = tokens[4] if len(tokens) == 5 else b""
+            raise MalformedRequestError("unknown request class")
+        body = tokens[4] if len(tokens) == CALL_TOKENS_WITH_BODY else b""
         fields = dict(item.partition(b"=")[::2] for item in tokens[3].split(b",") if item)
         request_id = fields.get(b"req", b"")
-        if not REQUEST_ID.fullmatch(
-            request_id
-        ):  # it goes into lines to the engine and the catalogue as it is
-            raise MalformedRequestError("no id")
+        if not REQUEST_ID.fullmatch(request_id):
+            raise MalformedRequestError("no id of 16 hexadecimal digits in req")
         if len(body) > self._resource_limits.max_body_size:
-            raise MalformedRequestError("a body that is too long")
+            raise MalformedRequestError(f"a body of more than {self._resource_limits.max_body_size} bytes")
         age = self._age(fields)
         timeout = self._client_timeout(fields)
         if b"level" in fields:
@@ -84,7 +94,7 @@
         return NodeRequest(
             request_class=request_class,
             tenant=self._tenants.get(fields.get(b"owner", b"")),
-            client=int(self._number(fields, b"via", 1e15)) if b"via" in fields else 0,
+            client=int(self._number(fields, b"via", MAX_FIELD_NUMBER)) if b"via" in fields else 0,
             memory_kb=self._number(fields, b"need", self._resource_limits.max_memory_kb),
             retry_attempt=fields.get(b"resent") == b"1",
             remaining_time=max(1, min(timeout, request_class.client_timeout) - age) if timeout else 0,
@@ -101,33 +111,33 @@
         )
 
     def _age(self, fields: dict[bytes, bytes]) -> int:
-        """Nanoseconds since the request was stamped.
+        """Return the nanoseconds since the timestamp of the request; 0 without one.
 
-        A figure out of range would live on in the measurements of the admission controller: one timestamp of
-        long ago took a node out of rotation for seconds.
+        An age out of range is rejected: the admission controller measures delays by it, and one timestamp of
+        long ago would take the node out of rotation for seconds.
         """
         if b"ts" not in fields:
             return 0
-        age = self._unix_ns() - int(self._number(fields, b"ts", 1e15) * MS)
+        age = self._unix_ns() - int(self._number(fields, b"ts", MAX_FIELD_NUMBER) * MS)
         if abs(age) > self._resource_limits.max_clock_skew:
-            raise MalformedRequestError("a stamp far from now")
+            raise MalformedRequestError("the timestamp in ts is too far from now: check the clock")
         return max(0, age)
 
     def _client_timeout(self, fields: dict[bytes, bytes]) -> int:
-        """Nanoseconds from its timestamp that the client waits; 0 where it does not say."""
+        """Return how long the client waits from its timestamp on, in nanoseconds; 0 if unknown."""
         if b"timeout" not in fields:
             return 0
         return int(self._number(fields, b"timeout", self._resource_limits.max_client_timeout / MS) * MS)
 
     @staticmethod
     def _number(fields: dict[bytes, bytes], name: bytes, limit: float) -> float:
-        """The value of a field as a number from 0 to below a limit."""
+        """Return the value of a field as a number from 0 to below a limit."""
         try:
             value = float(fields.get(name, b"none"))
         except ValueError:
             value = -1.0
         if not 0 <= value < limit:
-            raise MalformedRequestError(f"no number in range in {name.decode()}")
+            raise MalformedRequestError(f"no number from 0 to below {limit:g} in {name.decode()}")
         return value
 
 
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -11,9 +11,12 @@
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import MalformedInputError
 
+MAX_TAG_DIGITS = 18
+MAX_LOGGED_BYTES = 20  # of a token from the network
+
 
 class ConnectionOwner(Protocol):
-    """What connections report to the node, and ask it."""
+    """The node, as its connections see it."""
 
     reader: codec.RequestReader | None  # None until the node may take requests
 
@@ -21,19 +24,19 @@
         """Handle a request that was read."""
 
     def client_disconnected(self, request: NodeRequest) -> None:
-        """Note that nobody waits for the answer any more."""
+        """Note that the client no longer waits for the answer."""
 
     def has_request(self, request_id: bytes) -> bool:
-        """Whether a request with this ID is open, or its run is."""
+        """Return whether a request with this ID is open, or its run is."""
 
     def healthy(self) -> bool:
-        """Whether the node takes new requests, for health checks."""
+        """Return whether the node accepts requests, for health checks."""
 
     def load_report(self) -> float | None:
-        """Return the load report for answers; None where there is none."""
+        """Return the load report for answers; None before there is one."""
 
     def retry_after(self) -> int:
-        """Nanoseconds after which a rejected request may come back; 0: no advice."""
+        """Return the Retry-After of a rejected request, in nanoseconds; 0 for no advice."""
 
 
 class CommandHandler:
@@ -61,20 +64,28 @@
         log: EventLog,
         on_idle: Callable[[], None],
     ) -> None:
-        """`channel` is what requests are answered on; `on_idle` is called after the last open request."""
-        self._channel, self._write = channel, write
-        self._resource_limits, self._owner, self._log, self._on_idle = resource_limits, owner, log, on_idle
+        """Requests are answered on `channel`; `on_idle` is called after the last open request."""
+        self._channel = channel
+        self._write = write
+        self._resource_limits = resource_limits
+        self._owner = owner
+        self._log = log
+        self._on_idle = on_idle
         self.open_requests: dict[int, NodeRequest] = {}  # by tag
         self.received_request = False
-        self.rejects_all = False  # there was no room for the connection: each of its calls is rejected
+        self.rejects_all = False  # the connection is over the limit: each of its calls is rejected
         self.violations = 0
 
     def handle(self, tokens: list[bytes]) -> None:
-        """Carry out one command. Raises MalformedInputError where the stream is of no more use."""
-        verb, tag_token = tokens[0], tokens[1] if len(tokens) > 1 else b""
-        tag = int(tag_token) if tag_token.isdigit() and len(tag_token) <= 18 else 0
+        """Carry out one command. Raises MalformedInputError if the stream must not be read further."""
+        verb = tokens[0]
+        tag_token = tokens[1] if len(tokens) > 1 else b""
+        tag = int(tag_token) if tag_token.isdigit() and len(tag_token) <= MAX_TAG_DIGITS else 0
         if not tag or (tag in self.open_requests and verb != codec.CANCEL):
-            raise MalformedInputError(f"{verb[:20]!r} with no new tag")
+            raise MalformedInputError(
+                f"{verb[:MAX_LOGGED_BYTES]!r} with a tag that is malformed or in use: "
+                f"{tag_token[:MAX_LOGGED_BYTES]!r}"
+            )
         if verb == codec.CALL:
             self._call(tag, tokens)
         elif verb == codec.CANCEL:
@@ -84,9 +95,9 @@
             health = codec.HEALTHY if self._owner.healthy() else codec.UNHEALTHY
             self._write(codec.encode_answer(tag, health, self._owner.load_report()))
         else:
-            self._reject_malformed(tag, f"an unknown verb {verb[:20]!r}")
+            self._reject_malformed(tag, f"unknown verb {verb[:MAX_LOGGED_BYTES]!r}")
         if self.violations >= self._resource_limits.max_violations:
-            raise MalformedInputError("too many requests that can't be used")
+            raise MalformedInputError(f"{self.violations} malformed requests on one connection")
 
     def answer(
         self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
@@ -99,7 +110,7 @@
         self._close_request(request)
 
     def report_violation(self, event: str, why: str = "") -> None:
-        """Log and count a request that can't be used: each costs time, and too many end the connection."""
+        """Log and count a malformed request: each costs time, and too many end the connection."""
         self._log.warning(event, reason=why or None)
         self.violations += 1
 
@@ -109,11 +120,12 @@
         self._owner.client_disconnected(request)
 
     def unlink(self) -> None:
-        """Let go of the connection, so that it is in no reference cycle; no command may follow."""
+        """Drop the references to the connection, so that no cycle keeps it; no command may follow."""
         del self._channel, self._on_idle
 
     def _call(self, tag: int, tokens: list[bytes]) -> None:
-        owner, reader = self._owner, self._owner.reader
+        owner = self._owner
+        reader = owner.reader
         if reader is None or self.rejects_all:
             self._write(
                 codec.encode_answer(tag, codec.REJECTED, owner.load_report(), retry_after=owner.retry_after())
@@ -121,11 +133,13 @@
             return
         if len(self.open_requests) >= self._resource_limits.max_open_requests:
             self._write(codec.encode_answer(tag, codec.REJECTED, owner.load_report()))
-            raise MalformedInputError(f"more than {self._resource_limits.max_open_requests} requests open")
+            raise MalformedInputError(
+                f"more than {self._resource_limits.max_open_requests} open requests on one connection"
+            )
         try:
             request = reader.read(tag, tokens, self._channel)
-            if owner.has_request(request.request_id):  # the first must not notice
-                raise codec.MalformedRequestError("an id that is open already")
+            if owner.has_request(request.request_id):  # the open request must not be affected
+                raise codec.MalformedRequestError("the id of an open request")
         except codec.MalformedRequestError as error:
             self._reject_malformed(tag, str(error))
             return
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -1,14 +1,13 @@
 """One connection of a dispatcher, from its accept to its end, as a state machine.
 
-`connection_state.TRANSITIONS` is its table; commands are carried out by `CommandHandler` and answers written
-by `AnswerWriter`.
+`connection_state` has its table. `ArrayReader` parses commands, `CommandHandler` carries them out, and
+`AnswerWriter` writes the answers.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import select
 import socket
 import time
 from collections.abc import Callable
@@ -17,10 +16,12 @@
 
 from oakkeel.dispatch import codec
 from oakkeel.dispatch.answer_writer import AnswerWriter
+from oakkeel.dispatch.array_reader import ArrayReader
 from oakkeel.dispatch.command_handler import CommandHandler, ConnectionOwner
-from oakkeel.dispatch.connection_state import TRANSITIONS, ConnectionState
-from oakkeel.dispatch.resp import arrays
-from oakkeel.errors import InvalidTransitionError
+from oakkeel.dispatch.connection_state import ConnectionLifecycle, ConnectionState
+from oakkeel.dispatch.progress import Progress
+from oakkeel.dispatch.socket_state import discard_received, hung_up
+from oakkeel.dispatch.timeouts import array_overdue_by, is_write_overdue, read_pause
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import ResourceLimits
@@ -33,15 +34,14 @@
 
     __slots__ = (
         "_commands",
+        "_lifecycle",
         "_log",
         "_on_activity",
         "_progress",
         "_resource_limits",
-        "_timer",
         "_writer",
-        "array_due_since",
+        "arrays",
         "read_buffer",
-        "state",
         "stream",
     )
 
@@ -54,30 +54,36 @@
         log: EventLog,
         on_activity: Callable[[Connection], None],
     ) -> None:
-        """`on_activity` is called with the connection after each array, and whenever it gets idle."""
-        self.stream, self._resource_limits, self._log = stream, resource_limits, log
+        """`on_activity` is called with the connection after arrays were handled, and when it becomes idle."""
+        self.stream = stream
+        self._resource_limits = resource_limits
+        self._log = log
         self._on_activity = on_activity
         self.read_buffer = ReadBuffer(pool)
-        self.state = ConnectionState.OPEN
+        self._lifecycle = ConnectionLifecycle()
         self._writer = AnswerWriter(stream, self._shut_down_if_finished)
         self._commands = CommandHandler(self, self._writer.write, resource_limits, owner, log, self._idle)
-        self.array_due_since = time.monotonic_ns()  # a whole array is due since then; 0: none is
-        self._progress = asyncio.Event()  # set when a request on it is finished or an answer sent
-        self._timer: asyncio.TimerHandle | None = None  # ends its draining, or its lingering
+        self.arrays = ArrayReader(self.read_buffer, resource_limits.max_tokens, self._commands.handle)
+        self._progress = Progress(stream)
+
+    @property
+    def state(self) -> ConnectionState:
+        """The state of the connection."""
+        return self._lifecycle.state
 
     @property
     def open_requests(self) -> dict[int, NodeRequest]:
-        """Requests that are not answered yet, by tag."""
+        """The requests that are not answered yet, by tag."""
         return self._commands.open_requests
 
     @property
     def received_request(self) -> bool:
-        """Whether a request came on it."""
+        """Whether a request was received."""
         return self._commands.received_request
 
     @property
     def unsent(self) -> int:
-        """Bytes of answers that are not sent yet."""
+        """The bytes of answers that are not sent yet."""
         return self._writer.unsent
 
     # Answers, as the handler of a request sees them.
@@ -89,7 +95,7 @@
         self._commands.answer(request, word, body, last, retry_after)
 
     def report_violation(self, event: str, why: str = "") -> None:
-        """Log a request that can't be used, and count it against this connection."""
+        """Log a malformed request, and count it against this connection."""
         self._commands.report_violation(event, why)
 
     # Reading.
@@ -98,32 +104,30 @@
         """Read and answer until both sides have closed."""
         try:
             await self._read()
-            # The dispatcher sends no more. Whether it still reads shows when something is written to it: one
-            # that has closed both ways resets, and its requests are dropped.
+            # A write shows whether the dispatcher still reads: if not, it resets the connection.
             self._finish()
             if self.open_requests:
                 self._writer.write(codec.LAST)
             while self.open_requests or self.unsent:
-                await self._wait_for_progress(self._resource_limits.half_closed_poll)
-                if _hung_up(self.stream.socket):
+                await self._progress.wait(self._resource_limits.half_closed_poll)
+                if hung_up(self.stream.socket):
                     break
         except StreamClosedError:
             pass
         finally:
             self.close()
-            self._change_state(ConnectionState.CLOSED)
+            self._lifecycle.change(ConnectionState.CLOSED)
             self.read_buffer.close()
             for request in list(self.open_requests.values()):
                 self._commands.disconnect(request)
-            # What still refers to it must not keep it in a cycle, which only the garbage collector frees.
+            # The connection must be in no reference cycle: only the garbage collector would free it.
             self._commands.unlink()
             self._writer.unlink()
 
     async def _read(self) -> None:
         """Read until the dispatcher ends its side.
 
-        What comes when nothing more is taken is dropped: a close with bytes unread would reset the connection
-        and lose answers that are on their way.
+        An ending connection is still read: a close with bytes unread would reset it and lose answers.
         """
         limits = self._resource_limits
         while True:
@@ -134,52 +138,31 @@
                 self._reject_stream(error)
                 continue
             if self.stream.at_eof:
-                self._parse()  # what came before the end
+                self._parse()  # what was received before the end
                 return
             cpu_time = -time.thread_time_ns()
             self._parse()
             cpu_time += time.thread_time_ns()
-            # One that leaves its answers unread gets no more of them until it has taken some.
+            # A dispatcher that leaves its answers unread gets no more of them until it has read some.
             while self.unsent > limits.max_unsent:
-                await self._wait_for_progress()
-            # One that always has more to send must not keep the event loop: a done future does not yield.
-            pause = max(read_at + limits.read_pause - time.monotonic_ns(), cpu_time * limits.read_cpu_factor)
-            await asyncio.sleep(max(0, pause) / SECOND)
-
-    async def _wait_for_progress(self, timeout: int = 0) -> None:
-        """Wait until a request is finished or an answer sent, at most `timeout` nanoseconds (0: no limit).
-
-        Raises StreamClosedError where the connection is closed.
-        """
-        if self.stream.closed():
-            raise StreamClosedError
-        self._progress.clear()
-        with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._progress.wait(), timeout / SECOND if timeout else None)
-        if self.stream.closed():
-            raise StreamClosedError
+                await self._progress.wait()
+            # A dispatcher that always sends must not keep the event loop: a done future does not yield.
+            await asyncio.sleep(read_pause(time.monotonic_ns(), read_at, cpu_time, limits) / SECOND)
 
     def _parse(self) -> None:
         if self.state in (ConnectionState.ENDING, ConnectionState.LINGERING):
             self.read_buffer.clear()
             return
-        parsed = False
         try:
-            for tokens in arrays(self.read_buffer, self._resource_limits.max_tokens):
-                self._commands.handle(tokens)
-                parsed = True
+            handled = self.arrays.handle_received()
         except MalformedInputError as error:
             self._reject_stream(error)
             return
-        if not self.read_buffer.has_data:
-            self.array_due_since = 0
-        elif parsed or not self.array_due_since:
-            self.array_due_since = time.monotonic_ns()
-        if parsed:
+        if handled:
             self._on_activity(self)
 
     def _reject_stream(self, error: MalformedInputError) -> None:
-        """Read no further; the open requests are answered all the same."""
+        """Stop reading a stream that can't be parsed; the open requests are still answered."""
         self._log.warning("dispatcher_stream_malformed", error=str(error))
         self._writer.write(codec.MALFORMED_STREAM)
         self.read_buffer.clear()
@@ -187,58 +170,46 @@
 
     # States.
 
-    def _change_state(self, state: ConnectionState) -> None:
-        """Change the state, here alone. Raises InvalidTransitionError."""
-        if state not in TRANSITIONS[self.state]:
-            raise InvalidTransitionError("a connection", self.state.value, state.value)
-        self.state = state
-        if self._timer:
-            self._timer.cancel()
-            self._timer = None
-
-    def _start_timer(self, wait: int, expired: Callable[..., None], *arguments: int) -> None:
-        self._timer = asyncio.get_running_loop().call_later(wait / SECOND, expired, *arguments)
-
     def drain(self, timeout: int = 0) -> None:
-        """Tell the dispatcher to send no more on this connection; it closes it once all is answered.
+        """Notify the dispatcher to close the connection after its answers.
 
-        One that does not is closed by us when it is idle after `timeout` nanoseconds (0: the configured one).
+        If it does not, the node closes it when idle, after `timeout` nanoseconds (0: the configured timeout).
         """
         if self.state is ConnectionState.OPEN:
-            self._change_state(ConnectionState.LEAVING)
+            self._lifecycle.change(ConnectionState.LEAVING)
             self._writer.write(codec.LAST)
             timeout = timeout or self._resource_limits.drain_notice_timeout
-            self._start_timer(timeout, self._drain_expired, timeout)
+            self._lifecycle.start_timer(timeout, self._drain_expired, timeout)
 
     def _drain_expired(self, timeout: int) -> None:
-        """Close it, as the dispatcher did not, unless a request is open or has come meanwhile."""
+        """Close the connection if it is idle, as the dispatcher did not; otherwise check again later."""
         if self.state is not ConnectionState.LEAVING or self.stream.closed():
             return
         if self.is_idle():
             self._linger()
         else:
-            self._start_timer(timeout, self._drain_expired, timeout)
+            self._lifecycle.start_timer(timeout, self._drain_expired, timeout)
 
     def is_idle(self) -> bool:
-        """Whether nothing is open, half read, unread or unsent: a close loses nothing."""
+        """Return whether nothing is open, half read, unread or unsent: a close loses nothing."""
         return not (self.open_requests or self.unsent or self.read_buffer.has_data or self.has_incoming())
 
     def has_incoming(self) -> bool:
-        """Whether bytes or an end may be there unread.
+        """Return whether bytes or an end may be there unread.
 
-        They may be in the kernel since the event loop last looked, or in the stream while reading pauses.
+        They may be in the kernel since the event loop last polled, or in the stream while reading pauses.
         """
         return not self.stream.reading() or readable(self.stream.socket)
 
     def finish(self) -> None:
-        """Read nothing more from it; it is shut down as soon as all is answered and sent."""
+        """Read no more; the connection is shut down as soon as all is answered and sent."""
         if not self.stream.closed():
             self._finish()
 
     def _finish(self) -> None:
         if self.state in (ConnectionState.OPEN, ConnectionState.LEAVING):
-            self._change_state(ConnectionState.ENDING)
-            self.array_due_since = 0
+            self._lifecycle.change(ConnectionState.ENDING)
+            self.arrays.due_since = 0
         self._shut_down_if_finished()
 
     def _idle(self) -> None:
@@ -248,7 +219,7 @@
     def _shut_down_if_finished(self) -> None:
         """Shut down an ending connection that has nothing left to answer or send.
 
-        A broken stream has no socket any more: its reader closes it, and may not have run yet.
+        A broken stream has no socket: its reader closes it, and may not have run yet.
         """
         self._progress.set()
         if self.state is ConnectionState.ENDING and not (
@@ -257,71 +228,53 @@
             self._linger()
 
     def _linger(self) -> None:
-        """Shut our side down and read on until the dispatcher closes.
+        """Shut down our side and read until the dispatcher closes.
 
-        A request that crosses this was never run, and its dispatcher sends it again.
+        A request that crosses the shutdown never runs, and its dispatcher sends it again.
         """
-        self._change_state(ConnectionState.LINGERING)
-        with contextlib.suppress(OSError):  # reset by now
+        self._lifecycle.change(ConnectionState.LINGERING)
+        with contextlib.suppress(OSError):  # already reset
             self.stream.socket.shutdown(socket.SHUT_WR)
-        self._start_timer(self._resource_limits.linger_timeout, self.close)
+        self._lifecycle.start_timer(self._resource_limits.linger_timeout, self.close)
 
     def reject_all(self) -> None:
-        """Reject what came with it and what comes within a moment, and close it: there is no room for it."""
+        """Reject the requests of a connection over the limit, for the grace of a new one, and close it."""
         self._commands.rejects_all = True
-        with contextlib.suppress(BlockingIOError, OSError):  # nothing came yet; or its reader will see it
+        with contextlib.suppress(BlockingIOError, OSError):  # nothing received yet, or its reader fails
             self.read_buffer.receive(self.stream.socket)
         self._parse()
         self.drain(self._resource_limits.new_connection_grace)
 
     def evict(self) -> bool:
-        """Close it, as its descriptor is needed; return whether it still has one for a moment."""
+        """Close the connection, as its descriptor is needed; return whether it still holds one until then."""
         if self.state in (ConnectionState.OPEN, ConnectionState.LEAVING):
             self._finish()
-        if not self._writer.used:  # no answer of it can be lost any more
+        if not self._writer.used:  # no answer can be lost
             self.close()
         return not self.stream.closed()
 
     def close(self) -> None:
-        """Close it now; its task drops the open requests.
+        """Close the connection now; its task drops the open requests.
 
-        What came is read first, as far as it is there: a close with bytes unread would reset what is on its
-        way.
+        Received bytes are read first: a close with bytes unread would reset answers that are in flight.
         """
         if not self.stream.closed():
             if self.state is not ConnectionState.OPEN and not self.unsent:
-                _discard_received(self.stream.socket)
+                discard_received(self.stream.socket)
             self.stream.close()
-        if self._timer:
-            self._timer.cancel()
+        self._lifecycle.cancel_timer()
         self._progress.set()
 
     def check_timeouts(self, now: int) -> None:
-        """End it where no whole array came for too long, or close it where it reads nothing.
+        """Close the connection if the dispatcher does not read, and end it if an array stays incomplete.
 
-        One that left half an array may still wait for answers to other requests.
+        It is not closed for an incomplete array, as other requests may still wait for their answers.
         """
         limits = self._resource_limits
-        if self._writer.started_at and now - self._writer.started_at > limits.write_timeout:
+        if is_write_overdue(now, self._writer.started_at, limits):
             self.close()
-        elif (
-            self.array_due_since
-            and (late := now - self.array_due_since - limits.array_timeout) > 0
-            and (not self.has_incoming() or (self.read_buffer.has_data and late > limits.sweep_interval))
-        ):
-            self._finish()  # what has just come is read first, but at the second check it is a trickle
-
-
-def _hung_up(opened: socket.socket) -> bool:
-    """Whether the other side has closed both ways, which shows only once something was written to it."""
-    poll = select.poll()
-    poll.register(opened, 0)
-    return bool(poll.poll(0))
-
-
-def _discard_received(opened: socket.socket) -> None:
-    """Read off what waits in the kernel, as far as it is no flood."""
-    with contextlib.suppress(OSError):
-        for _ in range(16):
-            if not opened.recv(4096):
-                break
+        elif overdue := array_overdue_by(now, self.arrays.due_since, limits):
+            # Received bytes are read first; a second check with data means that they trickle in.
+            trickles = self.read_buffer.has_data and overdue > limits.sweep_interval
+            if not self.has_incoming() or trickles:
+                self._finish()
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -15,8 +15,9 @@
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
 from oakkeel.units import SECOND
 
-BACKLOG = 1024  # connections that the kernel lets wait
-NO_DESCRIPTOR = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+MAX_WAITING_CONNECTIONS = 1024  # for an accept, in the kernel
+OUT_OF_RESOURCES = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+BUFFERS_PER_LINK = 2  # a link is closing while its successor opens
 
 
 class Listener:
@@ -30,14 +31,17 @@
         owner: ConnectionOwner,
         log: EventLog,
     ) -> None:
-        """Bind the address; raises OSError. Nothing is listened on before `open`."""
-        self.pool, self.resource_limits, self.owner, self.log = pool, resource_limits, owner, log
+        """Bind the address; raises OSError. `open` starts to listen."""
+        self.pool = pool
+        self.resource_limits = resource_limits
+        self.owner = owner
+        self.log = log
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        # Monotonic times of the last activity of those that brought no request yet, the oldest first.
+        # Monotonic times of the last activity of connections without a request yet, the oldest first.
         self.without_requests: dict[Connection, int] = {}
-        self.evicted: dict[Connection, None] = {}  # closing, as there is no room for them; the oldest first
-        self.idle: dict[Connection, int] = {}  # since when no request is open on it, the oldest first
+        self.evicted: dict[Connection, None] = {}  # closing, as they are over the limit; the oldest first
+        self.idle: dict[Connection, int] = {}  # since when no request is open, the oldest first
         self.idle_timeout = 0  # nanoseconds; 0: idle connections stay
         self.idle_timer: asyncio.TimerHandle | None = None
         self.sweeper: asyncio.TimerHandle | None = None
@@ -49,21 +53,21 @@
 
     def open(self) -> None:
         """Listen and accept."""
-        self.socket.listen(BACKLOG)
+        self.socket.listen(MAX_WAITING_CONNECTIONS)
         asyncio.get_running_loop().add_reader(self.socket, self._accept_some)
         self.accepting = True
         if self.sweeper is None:
             self._sweep()
 
     async def close(self) -> None:
-        """Take no new connection: a refused one proves to its dispatcher that nothing ran.
+        """Accept no new connection: a refused one proves to its dispatcher that nothing ran.
 
-        One that waits to be accepted may carry a request that the kernel has received, and gets its answer:
-        all that wait are accepted, a few at a time as always, and the socket is closed right after the last,
-        as what comes between is reset. At most as many are accepted as the kernel lets wait: a flood of
-        connections would keep the listener open for good.
+        A waiting connection may carry a request that the kernel has received, and gets its answer: all that
+        wait are accepted, a few at a time as always, and the socket is closed right after the last, as a
+        connection in between is reset. At most as many are accepted as the kernel lets wait: a flood of
+        connections would keep the listener open forever.
         """
-        for _ in range(BACKLOG // self.resource_limits.accepts_per_pass + 1):
+        for _ in range(MAX_WAITING_CONNECTIONS // self.resource_limits.accepts_per_pass + 1):
             if self.accepting and not self.resume_timer and not self._accept_some() and not self.resume_timer:
                 break
             # Evicted connections end in the next pass, and release what the next ones need.
@@ -77,7 +81,7 @@
         self.socket.close()
 
     def reopen(self) -> None:
-        """Accept again at the same address. Raises OSError where another process uses it by now."""
+        """Accept again at the same address. Raises OSError if another process uses it."""
         if not self.accepting:
             self.socket = _bind(self.address)
             self.open()
@@ -86,18 +90,18 @@
         """Accept a few connections; return whether more may wait.
 
         In a flood of connections the rest waits for the next pass of the event loop, behind all that the
-        connections at work have brought by then.
+        open connections have received until then.
         """
         for _ in range(self.resource_limits.accepts_per_pass):
-            if self.pool.available <= 2 * self.resource_limits.max_links:  # those of the links are reserved
+            if self.pool.available <= BUFFERS_PER_LINK * self.resource_limits.max_links:  # reserved for links
                 return self._pause()
             try:
                 accepted, _ = self.socket.accept()
             except BlockingIOError:
                 return False
             except OSError as error:
-                if error.errno not in NO_DESCRIPTOR:
-                    continue  # this one was reset before it was accepted; those behind it were not
+                if error.errno not in OUT_OF_RESOURCES:
+                    continue  # this connection was reset before it was accepted
                 self.log.warning("accept_failed", error=str(error))
                 if not self._evict_one():
                     return self._pause()
@@ -106,9 +110,9 @@
         return True
 
     def _pause(self) -> bool:
-        """Stop accepting for a moment; more connections may wait.
+        """Stop accepting for `accept_retry`; return True, as more connections may wait.
 
-        No descriptor or buffer is left: the socket would wake the event loop for nothing, again and again.
+        No descriptor or buffer is left: the socket would wake the event loop in vain, again and again.
         """
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
@@ -122,7 +126,7 @@
     def _accept(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
         has_room = len(self.connections) < self.resource_limits.max_connections or self._evict_one()
-        with contextlib.suppress(OSError):  # reset by now: its stream finds out
+        with contextlib.suppress(OSError):  # already reset: its stream fails
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = HalfClosingStream(
             accepted,
@@ -145,8 +149,8 @@
     def _evict_one(self) -> bool:
         """Close one connection to make room for another; return whether there was one.
 
-        It is the one that sent nothing for longest, else the one idle for longest, else one that left half an
-        array: never one with a request open, an answer unsent or bytes unread.
+        It is the one that has sent nothing for longest, else the one idle for longest, else one that left an
+        incomplete array: never one with a request open, an answer unsent or bytes unread.
         """
         self.log.warning("descriptors_exhausted")
         grace_start = time.monotonic_ns() - self.resource_limits.new_connection_grace
@@ -165,7 +169,7 @@
         return True
 
     def _add_evicted(self, connection: Connection) -> None:
-        """Let it keep its descriptor for a moment, of those reserved for evicted connections."""
+        """Let a connection close gracefully with a descriptor reserved for evicted ones; close the oldest."""
         while len(self.evicted) >= self.resource_limits.evicted_connections:
             next(iter(self.evicted)).close()
             self.evicted.pop(next(iter(self.evicted)))
@@ -196,12 +200,12 @@
             connection.check_timeouts(now)
 
     def drain_connections(self) -> None:
-        """Tell all dispatchers to send no more on their connections."""
+        """Notify all dispatchers to send no more requests on their connections."""
         for connection in list(self.connections):
             connection.drain()
 
     def close_connections(self) -> None:
-        """Close all that is left, as the time to drain is over."""
+        """Close all connections, as the time to drain is over."""
         for connection in (*self.connections, *self.evicted):
             connection.close()
 
@@ -223,18 +227,18 @@
 
     def _note_activity(self, connection: Connection) -> None:
         if connection not in self.connections:
-            return  # it was evicted, and finishes what was open on it
+            return  # evicted: it only finishes its open requests
         self.without_requests.pop(connection, None)
         self.idle.pop(connection, None)
         if not connection.received_request:
-            self.without_requests[connection] = time.monotonic_ns()  # it only brought health checks
+            self.without_requests[connection] = time.monotonic_ns()  # only health checks were received
         elif not connection.open_requests:
             self.idle[connection] = time.monotonic_ns()
             if self.idle_timer is None:
                 self._drain_idle()
 
     def _drain_idle(self) -> None:
-        """Drain those that were idle for long enough, and return when the next may have been."""
+        """Drain the connections that are idle for `idle_timeout`, and set a timer for the next."""
         if self.idle_timer:
             self.idle_timer.cancel()
             self.idle_timer = None
--- /dev/null
+++ b/oakkeel/dispatch/progress.py
@@ -0,0 +1,38 @@
+"""The progress of a connection, which its reader waits for."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+
+from tornado.iostream import IOStream, StreamClosedError
+
+from oakkeel.units import SECOND
+
+
+class Progress:
+    """Set when a request of a connection is finished, an answer is sent, or the stream is closed."""
+
+    __slots__ = ("_event", "_stream")
+
+    def __init__(self, stream: IOStream) -> None:
+        """Start without progress."""
+        self._stream = stream
+        self._event = asyncio.Event()
+
+    def set(self) -> None:
+        """Wake the reader."""
+        self._event.set()
+
+    async def wait(self, timeout: int = 0) -> None:
+        """Wait for the next progress, `timeout` nanoseconds at most (0: no limit).
+
+        Raises StreamClosedError if the stream is closed before or after the wait.
+        """
+        if self._stream.closed():
+            raise StreamClosedError
+        self._event.clear()
+        with contextlib.suppress(TimeoutError):
+            await asyncio.wait_for(self._event.wait(), timeout / SECOND if timeout else None)
+        if self._stream.closed():
+            raise StreamClosedError
--- a/oakkeel/dispatch/resp.py
+++ b/oakkeel/dispatch/resp.py
@@ -7,49 +7,51 @@
 from oakkeel.line_protocol import parse_integer
 from oakkeel.stream_buffers import MalformedInputError, ReadBuffer
 
+MAX_LENGTH_BYTES = 16  # of the line with a sign and a number
+
 
 def arrays(read_buffer: ReadBuffer, max_tokens: int) -> Iterator[list[bytes]]:
-    """Take the whole arrays out of a read buffer; what is not whole yet stays in it."""
+    """Take the complete arrays out of a read buffer; an incomplete one stays in it."""
     while (found := _array(read_buffer, max_tokens)) is not None:
         tokens, read_buffer.start = found
         yield tokens
 
 
 def _array(read_buffer: ReadBuffer, max_tokens: int) -> tuple[list[bytes], int] | None:
-    """The first array and its end; None where it is not whole yet."""
+    """Return the first array and its end; None if it is incomplete."""
     if (header := _length(read_buffer, read_buffer.start, b"*")) is None:
         return None
     count, position = header
     if not 1 <= count <= max_tokens:
-        raise MalformedInputError(f"an array of {count} words")
+        raise MalformedInputError(f"an array of {count} tokens, expected 1 to {max_tokens}")
     tokens = []
     for _ in range(count):
         if (header := _length(read_buffer, position, b"$")) is None:
             return None
         length, position = header
         if position + length + 2 - read_buffer.start > len(read_buffer.buffer):
-            raise MalformedInputError(f"a word of {length} bytes")
+            raise MalformedInputError(f"a token of {length} bytes, longer than the buffer")
         if position + length + 2 > read_buffer.end:
             return None
         tokens.append(bytes(read_buffer.buffer[position : position + length]))
         position += length + 2
         if read_buffer.buffer[position - 2 : position] != b"\r\n":
-            raise MalformedInputError("no end behind a word")
+            raise MalformedInputError("a token without CR LF")
     return tokens, position
 
 
 def _length(read_buffer: ReadBuffer, position: int, sign: bytes) -> tuple[int, int] | None:
-    """The number after a sign, and the end of its line; None where the line is not whole yet."""
+    """Return the number after a sign, and the end of its line; None if the line is incomplete."""
     if position == read_buffer.end:
         return None
     if read_buffer.buffer[position : position + 1] != sign:
         raise MalformedInputError(
-            f"{bytes(read_buffer.buffer[position : position + 1])!r} in place of {sign!r}"
+            f"received {bytes(read_buffer.buffer[position : position + 1])!r}, expected {sign!r}"
         )
-    end = read_buffer.buffer.find(b"\r\n", position, min(read_buffer.end, position + 16))
+    end = read_buffer.buffer.find(b"\r\n", position, min(read_buffer.end, position + MAX_LENGTH_BYTES))
     if end < 0:
-        if read_buffer.end - position >= 16:
-            raise MalformedInputError("a length without end")
+        if read_buffer.end - position >= MAX_LENGTH_BYTES:
+            raise MalformedInputError(f"a length of more than {MAX_LENGTH_BYTES} bytes")
         return None
     return parse_integer(bytes(read_buffer.buffer[position + 1 : end])), end + 2
 
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -1,4 +1,4 @@
-"""The view of a node that its optional parts get: control endpoint and fair sharing."""
+"""The view of a node that its control endpoint gets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class NodeContext(Protocol):
-    """The node, as its optional parts see it."""
+    """The node, as its control endpoint sees it."""
 
     configuration: NodeConfiguration
     resource_limits: ResourceLimits
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -1,4 +1,4 @@
-"""What a node reports and accepts on its control links. Loaded only where it has any."""
+"""The status that a node reports and the orders that it accepts. Loaded only if it has a control link."""
 
 from __future__ import annotations
 
@@ -11,14 +11,27 @@
 from oakkeel.control.listener import ControlListener
 from oakkeel.control.messages import ClientsStatus, NodeStatus
 from oakkeel.dispatch import codec
+from oakkeel.errors import OrderRefusedError
 from oakkeel.node.context import NodeContext
 from oakkeel.node.metrics import open_descriptors, resident_bytes
 from oakkeel.node.outcome_counters import OutcomeCounters
 from oakkeel.request import NodeRequest
 
+MAX_CLASS_NAME_LENGTH = 64  # characters
+STATUS_DECIMALS = 4
+BYTES_PER_KB = 1024
+
+
+class WrongGenerationError(OrderRefusedError):
+    """An order is for another process: the node was restarted since it was sent."""
+
+    def __init__(self, expected: int, own: int) -> None:
+        """Name the generation that the order is for and that of this process."""
+        super().__init__(f"the order is for generation {expected}, this is generation {own}")
+
 
 def open_control(node: NodeContext) -> ControlListener:
-    """Bind the control socket of a node; raises OSError where it can't be made."""
+    """Bind the control socket of a node; raises OSError."""
     return ControlListener(node.configuration.control, ControlEndpoint(node), node.resource_limits, node.log)
 
 
@@ -27,7 +40,8 @@
 
     def __init__(self, node: NodeContext) -> None:
         """Count the outcomes of the node's requests from now on."""
-        self.node, self.started = node, time.monotonic_ns()
+        self.node = node
+        self.started = time.monotonic_ns()
         weights = (
             request_class.priority_weight for request_class in node.configuration.limits.request_classes
         )
@@ -39,13 +53,14 @@
         self.outcomes.count(
             time.monotonic_ns(),
             request,
-            request.class_name.decode(errors="replace")[:64],
+            request.class_name.decode(errors="replace")[:MAX_CLASS_NAME_LENGTH],
             word == codec.COMPLETED,
         )
 
     def status(self, tag: int) -> NodeStatus:
-        """The state of the node by now."""
-        node, now = self.node, time.monotonic_ns()
+        """Return the present state of the node."""
+        node = self.node
+        now = time.monotonic_ns()
         host, port = node.listener.address
         status = NodeStatus(
             tag=tag,
@@ -55,7 +70,7 @@
             state=self._state(now),
             address=f"{host}:{port}",
             uptime=now - self.started,
-            resident_kb=resident_bytes() // 1024,
+            resident_kb=resident_bytes() // BYTES_PER_KB,
             descriptors=open_descriptors(),
             connections=len(node.listener.connections),
             open_requests=len(node.open_requests),
@@ -64,7 +79,7 @@
             rejected=node.metrics.answers_total.get(codec.REJECTED, 0),
             failed=node.metrics.answers_total.get(codec.FAILED, 0),
             version=self.version,
-            load=round(node.host.gauges.core_busy, 4),
+            load=round(node.host.gauges.core_busy, STATUS_DECIMALS),
             earned_weight=self.outcomes.earned_weight,
             latencies=self.outcomes.latencies,
         )
@@ -72,7 +87,7 @@
             status.gauges_age = now - node.host.gauges_read_at
         if node.host.started:
             self._add_admission(status)
-        if node.drain:
+        if node.drain.started:
             status.open_by_class = self._open_by_class()
         return status
 
@@ -80,9 +95,10 @@
         """Fill in what the admission controller counts."""
         admission = self.node.host.admission
         status.stage = Stage(admission.overload.highest()).name
-        status.shedding_threshold = round(admission.overload.threshold, 4)
+        status.shedding_threshold = round(admission.overload.threshold, STATUS_DECIMALS)
         status.memory_kb = round(admission.occupancy.memory_kb, 1)
-        status.queued, count = admission.occupancy.waiting(), admission.occupancy.count
+        status.queued = admission.occupancy.waiting()
+        count = admission.occupancy.count
         status.running = count[RequestState.RUNNING] + count[RequestState.ORPHANED]
         status.calling = count[RequestState.AWAITING_CALL] + count[RequestState.CALLING]
 
@@ -96,7 +112,7 @@
         )
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
-        """The heaviest clients, none where fair sharing is off or has not started."""
+        """Return the heaviest clients; none if fair sharing is off or has not started."""
         fair_sharing = self.node.fair_sharing
         if fair_sharing and self.node.host.started:
             return fair_sharing.clients_status(tag, limit)
@@ -104,7 +120,7 @@
 
     def _state(self, now: int) -> str:
         node = self.node
-        if node.drain:
+        if node.drain.started:
             return "draining"
         if not node.host.started:
             return "waiting"
@@ -112,18 +128,17 @@
         in_slow_start = limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
         return "cold" if in_slow_start else "serving"
 
-    def _refusal(self, generation: int) -> str:
-        """Why an order for that generation is refused; empty where it is this one."""
+    def request_drain(self, generation: int, timeout: int) -> None:
+        """Start a drain of `timeout` nanoseconds. Raises `OrderRefusedError`."""
+        self._check_generation(generation)
+        self.node.drain.start(timeout)
+
+    def cancel_drain(self, generation: int) -> None:
+        """Cancel the drain. Raises `OrderRefusedError`."""
+        self._check_generation(generation)
+        self.node.drain.cancel()
+
+    def _check_generation(self, generation: int) -> None:
         own = self.node.configuration.generation
-        return "" if generation == own else f"this is generation {own}"
-
-    def request_drain(self, generation: int, timeout: int) -> str:
-        """Start a drain; returns why not, empty where it starts."""
-        refusal = self._refusal(generation)
-        if not refusal:
-            self.node.drain.start(timeout, final=False)
-        return refusal
-
-    def cancel_drain(self, generation: int) -> str:
-        """Cancel the drain; returns why not, empty where it does."""
-        return self._refusal(generation) or self.node.drain.cancel()
+        if generation != own:
+            raise WrongGenerationError(generation, own)
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -1,4 +1,4 @@
-"""The drain of a node: from its notice to the end, or to its cancellation."""
+"""The drain of a node, from its start to its end or its cancellation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from oakkeel.directory.reports import DirectoryReporter
 from oakkeel.dispatch.listener import Listener
-from oakkeel.errors import InvalidTransitionError
+from oakkeel.errors import InvalidTransitionError, OrderRefusedError
 from oakkeel.log import EventLog, fault
 from oakkeel.node.host import NodeHost
 from oakkeel.resource_limits import ResourceLimits
@@ -20,7 +20,7 @@
 
     NOT = "not"
     GRACE = "grace"  # new connections are still served
-    EMPTYING = "emptying"  # none are taken; what was read is answered
+    EMPTYING = "emptying"  # none are accepted; what was read is answered
     ENDED = "ended"
 
 
@@ -32,6 +32,10 @@
 }
 
 
+class DrainNotCancelledError(OrderRefusedError):
+    """A drain can't be cancelled: it is final, it has ended, or the node can't listen again."""
+
+
 class DrainContext(Protocol):
     """The node, as its drain sees it."""
 
@@ -47,48 +51,59 @@
 
 
 class Drain:
-    """The drain of one node; true while it goes on and once it is over."""
+    """The drain of one node: `GRACE` and `EMPTYING` while it is in progress."""
 
     def __init__(self, node: DrainContext, grace: int, stop_after: int) -> None:
         """Prepare a drain that has not started.
 
-        Both times count in nanoseconds from the notice: what comes after `grace` does not run,
-        and what is not answered by `stop_after` may be killed.
+        Both times are nanoseconds from the start of the drain: requests that arrive after `grace` are not
+        read, and the process may be killed at `stop_after`.
         """
-        self.node, self.grace, self.stop_after = node, grace, stop_after
+        self.node = node
+        self.grace = grace
+        self.stop_after = stop_after
         self.state = DrainState.NOT
         self.final = False  # started by SIGTERM, which nothing cancels
         self.task: asyncio.Task[None] | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
 
-    def __bool__(self) -> bool:
-        """Whether the drain goes on, or is over."""
+    @property
+    def started(self) -> bool:
+        """Whether the drain is in progress or has ended."""
         return self.state is not DrainState.NOT
 
-    def start(self, timeout: int = 0, final: bool = True) -> None:
-        """Drain within `timeout` nanoseconds, 0 as the platform says; a final one can't be cancelled."""
-        if self.final or (self and not final):
-            return  # a second notice changes nothing
-        self.final = final
-        if self:  # the order may have given it longer
+    def start(self, timeout: int) -> None:
+        """Drain within `timeout` nanoseconds, 0 for the time after SIGTERM; a second order changes nothing.
+
+        `cancel` ends it, as an order may be withdrawn.
+        """
+        if not self.started:
+            self._begin(timeout or self.stop_after)
+
+    def start_final(self) -> None:
+        """Drain after SIGTERM: nothing cancels it, as the platform kills the process at `stop_after`."""
+        if self.final:
+            return
+        self.final = True
+        if self.started:  # the order may have allowed more time
             self._set_deadline(self.stop_after)
             self._notify_admission(self.stop_after)
             return
-        self._set_state(DrainState.GRACE)
-        self._set_deadline(timeout or self.stop_after)
-        self.task = asyncio.ensure_future(self._drain(timeout or self.stop_after))
-
-    def cancel(self) -> str:
-        """Take requests again. Returns why that can't be; empty where it does."""
-        if not self:
-            return ""
-        if self.final or self.state is DrainState.ENDED:
-            return "it leaves for good" if self.final else "it has ended"
+        self._begin(self.stop_after)
+
+    def cancel(self) -> None:
+        """Read requests again. Raises `DrainNotCancelledError` if the node can't; no drain is no error."""
+        if not self.started:
+            return
+        if self.final:
+            raise DrainNotCancelledError("the drain is final: the node stops after SIGTERM")
+        if self.state is DrainState.ENDED:
+            raise DrainNotCancelledError("the drain has ended")
         node = self.node
         try:
             node.listener.reopen()
         except OSError as error:
-            return f"it can't listen again: {error}"
+            raise DrainNotCancelledError(f"the node can't listen again: {error}") from error
         if self.task:
             self.task.cancel()
         if self.deadline_timer:
@@ -98,15 +113,19 @@
         node.directory_reporter.set_accepting(True)
         node.drain_cancelled()
         node.log.info("drain_cancelled")
-        return ""
 
-    async def _drain(self, left: int) -> None:
+    def _begin(self, time_left: int) -> None:
+        self._set_state(DrainState.GRACE)
+        self._set_deadline(time_left)
+        self.task = asyncio.ensure_future(self._drain(time_left))
+
+    async def _drain(self, time_left: int) -> None:
         """End once each request that was read is answered and every dispatcher has closed its connections."""
         node = self.node
         node.log.info("drain_started")
         node.directory_reporter.set_accepting(False)
         if node.host.started:
-            self._notify_admission(left)
+            self._notify_admission(time_left)
             node.listener.drain_connections()
             await asyncio.sleep(self.grace / SECOND)
         self._set_state(DrainState.EMPTYING)
@@ -118,29 +137,30 @@
             self.deadline_timer.cancel()
         node.done.set()
 
-    def _set_deadline(self, left: int) -> None:
-        """Close what is left just before the stop.
+    def _set_deadline(self, time_left: int) -> None:
+        """Close the remaining connections just before the stop.
 
-        Some dispatchers neither close a connection nor read from it: SIGKILL would find the node waiting.
+        Some dispatchers neither close a connection nor read from it: without the deadline the process would
+        wait for them until SIGKILL.
         """
         if self.deadline_timer:
             self.deadline_timer.cancel()
-        wait = max(0, left - self.node.resource_limits.stop_margin) / SECOND
-        self.deadline_timer = asyncio.get_running_loop().call_later(wait, self._close_rest)
+        delay = max(0, time_left - self.node.resource_limits.stop_margin) / SECOND
+        self.deadline_timer = asyncio.get_running_loop().call_later(delay, self._close_rest)
 
     def _close_rest(self) -> None:
         self.node.log.warning("drain_deadline_reached")
         self.node.listener.close_connections()
 
-    def _notify_admission(self, left: int | None) -> None:
+    def _notify_admission(self, time_left: int | None) -> None:
         try:
             if self.node.host.started:
-                self.node.host.notify(self.node.host.admission.drain, left)
-        except Exception as error:  # the drain goes on
+                self.node.host.notify(self.node.host.admission.drain, time_left)
+        except Exception as error:  # a defect there must not stop the drain
             self.node.log.error("drain_failed", error=fault(error))
 
     def _set_state(self, state: DrainState) -> None:
-        """The one place where the state changes."""
+        """Change the state; nothing else does."""
         if state not in TRANSITIONS[self.state]:
             raise InvalidTransitionError("a drain", self.state.value, state.value)
         self.state = state
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -1,4 +1,4 @@
-"""Fair sharing on a node: flow keys, the snapshot, and its report. Loaded only where it is configured."""
+"""Fair sharing on a node: flow keys, the snapshot and the status. Loaded only if it is configured."""
 
 from __future__ import annotations
 
@@ -12,19 +12,24 @@
 from oakkeel.fair_sharing import persistence
 from oakkeel.fair_sharing.heavy_hitters import Flow
 from oakkeel.fair_sharing.keys import SECRET_BYTES, FlowKeys
-from oakkeel.node.context import NodeContext
+from oakkeel.log import EventLog
+from oakkeel.node.host import NodeHost
 from oakkeel.store import snapshot_file
 from oakkeel.units import SECOND
 
-SNAPSHOT_INTERVAL = 5 * SECOND
+SNAPSHOT_INTERVAL_NS = 5 * SECOND
+MIN_RATE = 1e-9  # divisor for a flow without a certain rate
 
 
 class NodeFairSharing:
     """The fair-sharing state of one node, restored from its snapshot and written there."""
 
-    def __init__(self, node: NodeContext, rules: FairSharingRules, path: str) -> None:
-        """Read the snapshot at `path`; where that is empty, none is read or written."""
-        self.node, self.rules, self.path = node, rules, path
+    def __init__(self, host: NodeHost, log: EventLog, rules: FairSharingRules, path: str) -> None:
+        """Read the snapshot at `path`; if that is empty, none is read or written."""
+        self.host = host
+        self.log = log
+        self.rules = rules
+        self.path = path
         self.restored = self._read()
         self.secret = self.restored.secret if self.restored else os.urandom(SECRET_BYTES)
         self.keys = FlowKeys(self.secret, flow_fields(rules.levels))
@@ -35,26 +40,23 @@
             return None
         try:
             content = snapshot_file.read(self.path)
-            return (
-                None
-                if content is None
-                else persistence.decode_snapshot(content, time.time_ns(), self.rules.levels)
-            )
+            if content is not None:
+                return persistence.decode_snapshot(content, time.time_ns(), self.rules.levels)
         except persistence.SnapshotRejectedError as error:
-            self.node.log.warning("fair_sharing_snapshot_rejected", reason=str(error))
+            self.log.warning("fair_sharing_snapshot_rejected", reason=str(error))
         except (snapshot_file.SnapshotError, OSError) as error:
-            aside = snapshot_file.quarantine(self.path)
-            self.node.log.warning("fair_sharing_snapshot_quarantined", reason=str(error), file=aside)
+            quarantined = snapshot_file.quarantine(self.path)
+            self.log.warning("fair_sharing_snapshot_quarantined", reason=str(error), file=quarantined)
         return None
 
     def begin(self) -> None:
-        """Restore the snapshot: the admission controller has just started."""
-        fair = self.node.host.admission.fair_sharing
+        """Restore the snapshot; call it once, when the admission controller has started."""
+        fair = self.host.admission.fair_sharing
         if self.restored and fair:
             persistence.restore_snapshot(
                 self.restored, time.monotonic_ns(), time.time_ns(), fair.shares, fair.reservations
             )
-            self.node.log.info(
+            self.log.info(
                 "fair_sharing_snapshot_restored",
                 flows=len(fair.shares.tables[-1].flows),
                 reservations=fair.reservations.open_count,
@@ -66,12 +68,12 @@
     def _write_periodically(self) -> None:
         self.write_snapshot()
         self.timer = asyncio.get_running_loop().call_later(
-            SNAPSHOT_INTERVAL / SECOND, self._write_periodically
+            SNAPSHOT_INTERVAL_NS / SECOND, self._write_periodically
         )
 
     def write_snapshot(self) -> None:
-        """Write the snapshot, where it has a path."""
-        fair = self.node.host.admission.fair_sharing if self.node.host.started else None
+        """Write the snapshot, if it has a path and admission has started."""
+        fair = self.host.admission.fair_sharing if self.host.started else None
         if not self.path or fair is None:
             return
         try:
@@ -87,7 +89,7 @@
                 ),
             )
         except OSError as error:
-            self.node.log.error("fair_sharing_snapshot_write_failed", error=str(error))
+            self.log.error("fair_sharing_snapshot_write_failed", error=str(error))
 
     def end(self) -> None:
         """Write the snapshot for the last time."""
@@ -96,20 +98,22 @@
         self.write_snapshot()
 
     def reload(self, rules: FairSharingRules | None) -> None:
-        """Use new weights at once; the flow key stays as it was at the start."""
+        """Use new weights at once; the levels of flows can only change with a restart of the node."""
         if rules is None or rules.levels != self.rules.levels:
-            self.node.log.warning("flow_key_change_ignored")
+            self.log.warning("flow_key_change_ignored")
             return
         self.rules.weights.clear()
         self.rules.weights.update(rules.weights)
-        self.node.log.info("flow_weights_reloaded", weights=len(rules.weights))
+        self.log.info("flow_weights_reloaded", weights=len(rules.weights))
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
-        """The heaviest clients by now, of the innermost level."""
-        fair, now = self.node.host.admission.fair_sharing, time.monotonic_ns()
+        """Return the heaviest clients of now, `limit` at most, of the innermost level."""
+        fair = self.host.admission.fair_sharing
+        now = time.monotonic_ns()
         if fair is None:
             return ClientsStatus(tag, list(self.rules.levels))
-        table, reservations = fair.shares.tables[-1], fair.reservations
+        table = fair.shares.tables[-1]
+        reservations = fair.reservations
         total = table.total_rate(now) or 1.0
         heaviest = sorted(table.flows.values(), key=lambda flow: -table.rate(now, flow))[:limit]
         return ClientsStatus(
@@ -127,7 +131,7 @@
                     name=_path(flow),
                     demand=table.rate(now, flow) / total,
                     retries=table.retry_rate(now, flow) / total,
-                    fair_fraction=min(1.0, flow.allowed_rate / max(1e-9, table.rate(now, flow))),
+                    fair_fraction=min(1.0, flow.allowed_rate / max(MIN_RATE, table.rate(now, flow))),
                 )
                 for flow in heaviest
             ],
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -1,20 +1,17 @@
-"""The `Host` of the admission controller on a node: verdicts go to request handlers."""
+"""The `Host` of the admission controller on a node: passes its verdicts to the request handlers."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 from collections.abc import Callable
+from typing import TypeVarTuple
 
 from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import Gauges
-from oakkeel.directory.reports import DirectoryReporter
-from oakkeel.dispatch.listener import Listener
-from oakkeel.engine.link import EngineLink
-from oakkeel.log import EventLog, fault
+from oakkeel.log import fault
+from oakkeel.node.components import NodeComponents
 from oakkeel.node.configuration import NodeConfiguration
-from oakkeel.node.metrics import Metrics
-from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import (
     AwaitSharedResponse,
@@ -27,26 +24,24 @@
 )
 from oakkeel.units import SECOND
 
+Arguments = TypeVarTuple("Arguments")
+
 
 class NodeHost:
     """Carries out the verdicts of `AdmissionController`, and gives it the time, timers and gauges."""
 
-    def __init__(
-        self,
-        configuration: NodeConfiguration,
-        engine: EngineLink,
-        listener: Listener,
-        directory_reporter: DirectoryReporter,
-        response_cache: ResponseCache,
-        metrics: Metrics,
-        log: EventLog,
-    ) -> None:
+    def __init__(self, configuration: NodeConfiguration, components: NodeComponents) -> None:
         """Take the parts of the node; admission starts with the engine."""
-        self.engine, self.listener, self.directory_reporter = engine, listener, directory_reporter
-        self.response_cache, self.configuration = response_cache, configuration
-        self.metrics, self.log = metrics, log
+        self.configuration = configuration
+        self.engine = components.engine
+        self.listener = components.listener
+        self.directory_reporter = components.directory_reporter
+        self.response_cache = components.response_cache
+        self.metrics = components.metrics
+        self.log = components.log
         self.loop = asyncio.get_running_loop()
-        self.gauges, self.gauges_read_at = Gauges(), 0
+        self.gauges = Gauges()
+        self.gauges_read_at = 0  # nanoseconds of the monotonic clock; 0: never
         self.healthy = True
         self.advertised_share: float | None = None
         self.schedule_pending = False
@@ -55,24 +50,24 @@
         self.started = False
 
     def start_admission(self, cold: bool, age: int) -> None:
-        """Start the admission controller: the engine is up, and `age` nanoseconds old.
+        """Start the admission controller: the engine is up since `age` nanoseconds.
 
-        A cold engine has just booted: the node is in slow start since then.
+        A cold engine has just booted: the node is in slow start from its boot on.
         """
         limits = self.configuration.limits
         limits.starts_cold = limits.starts_cold or cold
         self.started = True
         started = time.monotonic_ns() - (age if cold else 0)
-        # The requests that it names are those that it was given: each a NodeRequest.
+        # It passes back the requests that it was given, which are of the type NodeRequest.
         self.admission = AdmissionController(self, limits, self.configuration.seed, started)  # type: ignore[arg-type]
 
     def engine_restarted(self, cold: bool, age: int) -> None:
-        """Follow a restart of the engine: a node whose engine is cold starts slowly again."""
+        """Begin slow start again if the engine has restarted cold, `age` nanoseconds ago."""
         if cold:
             self.configuration.limits.starts_cold = True
             self.admission.started = time.monotonic_ns() - age
 
-    def notify(self, method: Callable[..., None], *arguments: object) -> None:
+    def notify(self, method: Callable[[int, *Arguments], None], *arguments: *Arguments) -> None:
         """Call a method of the admission controller with the time; it schedules once a loop iteration."""
         method(time.monotonic_ns(), *arguments)
         if not self.schedule_pending:
@@ -83,7 +78,7 @@
         self.schedule_pending = False
         try:
             self.admission.schedule(time.monotonic_ns())
-        except Exception as error:  # the node goes on
+        except Exception as error:  # a defect must not stop the node
             self.log.error("settle_failed", error=fault(error))
 
     # Verdicts of the admission controller, for the handlers of the requests.
@@ -109,7 +104,7 @@
         request.post(PlaceCall(until))
 
     def skip_call(self, request: NodeRequest) -> None:
-        """Let the run go on without its call."""
+        """Let the run continue without its call."""
         request.post(SkipCall())
 
     def coalesce(self, request: NodeRequest) -> None:
@@ -137,28 +132,29 @@
         task.add_done_callback(self.timer_tasks.discard)
 
     async def _read_gauges_and_notify(self, token: int) -> None:
-        """Pass a timer on with fresh gauges: the controller compares them with what runs now."""
+        """Pass a timer to the controller with fresh gauges, which it compares with the present runs."""
         try:
-            if asked := self.engine.ask_gauges():
+            reply = self.engine.ask_gauges()
+            if reply:
                 await asyncio.wait(
-                    (asked,), timeout=self.configuration.resource_limits.gauges_timeout / SECOND
+                    (reply,), timeout=self.configuration.resource_limits.gauges_timeout / SECOND
                 )
-            if asked and asked.done():
+            if reply and reply.done():
                 self.gauges_read_at = time.monotonic_ns()
-                for name, value in zip(self.configuration.gauges, asked.result(), strict=False):
+                for name, value in zip(self.configuration.gauges, reply.result(), strict=False):
                     if name:
                         setattr(self.gauges, name, value)
             else:
                 self.metrics.gauges_missed += 1
             self.notify(self.admission.timer_expired, token, self.gauges)
-        except Exception as error:  # the node goes on, and so must its poll
+        except Exception as error:  # a defect must not stop the polls, which are timers as well
             self.log.error("timer_failed", error=fault(error))
             self.set_timer(token, time.monotonic_ns() + self.configuration.resource_limits.timer_retry)
 
-    # What concerns the whole node.
+    # Verdicts about the whole node.
 
     def set_health(self, good: bool, stored: bool) -> None:
-        """Tell whether the node is healthy, to health checks and the directory."""
+        """Set whether the node is healthy, for health checks and, with `readiness`, the directory."""
         self.healthy = good
         if self.configuration.readiness:
             self.directory_reporter.set_accepting(good)
@@ -172,5 +168,5 @@
         self.listener.close_idle(after)
 
     def note(self, text: str) -> None:
-        """Log a remark of the admission controller."""
+        """Log a message of the admission controller."""
         self.log.info("decision_note", text=text)
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -5,20 +5,25 @@
 import os
 import time
 from collections.abc import Callable
-from typing import Any
 
+from oakkeel.request import NodeRequest
 from oakkeel.units import MS, SECOND
 
+MEDIAN = 0.5
+HIGH_QUANTILE = 0.99
+CPU_DECIMALS = 3
+BYTES_PER_MB = 2**20
+
 
 class Metrics:
-    """Counts since the last log line; timer lags fall into buckets of doubled milliseconds."""
+    """Counts since the last log line; the buckets of timer lags double from one millisecond on."""
 
     BUCKETS = 12
 
     def __init__(self) -> None:
-        """Start at zero, with nobody that observes answers."""
+        """Start at zero, without an observer of answers."""
         self.answers_total: dict[bytes, int] = {}  # answers since the start
-        self.answer_observer: Callable[[Any, bytes], None] | None = None  # called with each answer
+        self.answer_observer: Callable[[NodeRequest, bytes], None] | None = None  # called with each answer
         self._reset()
 
     def _reset(self) -> None:
@@ -27,7 +32,8 @@
         self.calls_by_outcome: dict[str, int] = {}
         self.timer_lags = [0] * (self.BUCKETS + 1)
         self.highest_lag = self.gauges_missed = 0
-        self.cpu_at_reset, self.reset_at = time.process_time_ns(), time.monotonic_ns()
+        self.cpu_at_reset = time.process_time_ns()
+        self.reset_at = time.monotonic_ns()
 
     def count_timer(self, lag: int) -> None:
         """Count a timer that came `lag` nanoseconds late."""
@@ -44,7 +50,7 @@
         self.calls_by_outcome[outcome] = self.calls_by_outcome.get(outcome, 0) + 1
 
     def _lag_quantile(self, quantile: float) -> int:
-        """Milliseconds under which that share of the timers stayed."""
+        """Return the milliseconds that this share of the timers was late at most."""
         remaining = quantile * sum(self.timer_lags)
         for bucket, count in enumerate(self.timer_lags):
             remaining -= count
@@ -54,7 +60,8 @@
 
     def collect(self, connections: int, open_requests: int, link_losses: int) -> dict[str, object]:
         """Return the fields of a log line and reset the counts; sizes in MB, CPU as a share of a core."""
-        now, cpu = time.monotonic_ns(), time.process_time_ns()
+        now = time.monotonic_ns()
+        cpu = time.process_time_ns()
         calls = ",".join(
             f"{outcome.replace(' ', '_')}:{count}" for outcome, count in sorted(self.calls_by_outcome.items())
         )
@@ -65,11 +72,11 @@
             "open": open_requests,
             "connections": connections,
             "descriptors": open_descriptors(),
-            "resident_mb": round(resident_bytes() / 2**20, 1),
-            "cpu": round((cpu - self.cpu_at_reset) / max(1, now - self.reset_at), 3),
+            "resident_mb": round(resident_bytes() / BYTES_PER_MB, 1),
+            "cpu": round((cpu - self.cpu_at_reset) / max(1, now - self.reset_at), CPU_DECIMALS),
             "timers": sum(self.timer_lags),
-            "late_ms_half": self._lag_quantile(0.5),  # half of them came less late
-            "late_ms_99": self._lag_quantile(0.99),
+            "late_ms_half": self._lag_quantile(MEDIAN),
+            "late_ms_99": self._lag_quantile(HIGH_QUANTILE),
             "latest_ms": round(self.highest_lag / MS, 1),
             "gauges_missed": self.gauges_missed,
             "link_losses": link_losses,
@@ -80,11 +87,11 @@
 
 
 def resident_bytes() -> int:
-    """Bytes of memory that the process holds."""
+    """Return the bytes of memory that the process holds."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def open_descriptors() -> int:
-    """Descriptors that the process has open."""
+    """Return how many descriptors the process has open."""
     return len(os.listdir("/proc/self/fd"))
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -7,6 +7,7 @@
 import os
 import signal
 import time
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from oakkeel.catalogue.links import Catalogue
@@ -15,6 +16,7 @@
 from oakkeel.dispatch.listener import Listener
 from oakkeel.engine.link import EngineLink
 from oakkeel.log import EventLog
+from oakkeel.node.components import NodeComponents
 from oakkeel.node.configuration import NodeConfiguration, read_configuration
 from oakkeel.node.drain import Drain
 from oakkeel.node.host import NodeHost
@@ -34,56 +36,63 @@
 SIGNALS = (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
 
 
+@dataclass(slots=True, frozen=True)
+class PendingEngine:
+    """An engine that came up while the node was draining."""
+
+    cold: bool
+    age: int  # nanoseconds, when it came up
+    came_up_at: int  # nanoseconds of the monotonic clock
+
+
 class Node:
     """The `ConnectionOwner` of all connections; starts and stops the parts in their order."""
 
     def __init__(self, configuration: NodeConfiguration) -> None:
         """Make the parts of a node; `run` starts them."""
         resource_limits = configuration.resource_limits
-        self.configuration, self.resource_limits = configuration, resource_limits
+        self.configuration = configuration
+        self.resource_limits = resource_limits
         self.log = EventLog(configuration.name, resource_limits.log_lines_per_second, configuration.log_form)
         self.metrics = Metrics()
         self.pool = BufferPool(resource_limits.buffer_size, resource_limits.max_buffers)
         self.reader: RequestReader | None = None
         self.open_requests: dict[bytes, asyncio.Task[None]] = {}  # handlers by request ID
-        self.pending_engine: tuple[bool, int, int] | None = (
-            None  # that came up during a drain: cold, age, when
-        )
+        self.pending_engine: PendingEngine | None = None
         self.done = asyncio.Event()
         self.listener = Listener(configuration.listen, self.pool, resource_limits, self, self.log)
         self.directory_reporter = DirectoryReporter(configuration.lookup, configuration.name, resource_limits)
         self.engine = EngineLink(configuration.engine, self.pool, resource_limits, self.log, self._engine_up)
         self.catalogue = Catalogue(configuration.catalogue, self.pool, resource_limits, self.log)
         self.response_cache = ResponseCache(resource_limits, configuration.limits.cache_ttl)
-        self.host = NodeHost(
-            configuration,
+        components = NodeComponents(
             self.engine,
             self.listener,
             self.directory_reporter,
+            self.catalogue,
             self.response_cache,
             self.metrics,
             self.log,
         )
+        self.host = NodeHost(configuration, components)
         self.drain = Drain(self, configuration.limits.drain_grace, resource_limits.stop_after)
         self.fair_sharing = self._make_fair_sharing()
         self.control = self._open_control()
-        self.handler = RequestHandler(
-            self.host, self.engine, self.catalogue, self.response_cache, self.metrics, self.log
-        )
+        self.handler = RequestHandler(self.host, components)
 
     def _make_fair_sharing(self) -> NodeFairSharing | None:
         rules = self.configuration.limits.fair_sharing
         if not rules:
             return None
-        # It loads libraries that a plain node does without.
+        # A node without it must not load its libraries: they cost memory.
         from oakkeel.node.fair_sharing import NodeFairSharing
 
-        return NodeFairSharing(self, rules, self.configuration.snapshot)
+        return NodeFairSharing(self.host, self.log, rules, self.configuration.snapshot)
 
     def _open_control(self) -> ControlListener | None:
         if not self.configuration.control:
             return None
-        # It loads libraries that a plain node does without.
+        # A node without it must not load its libraries: they cost memory.
         from oakkeel.node.control_endpoint import open_control
 
         return open_control(self)
@@ -95,18 +104,20 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # one that came before there was a loop comes now
+        # Delivers a signal that came before there was an event loop.
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         self.listener.open()
         if self.control:
             self.control.open()
         serving = asyncio.ensure_future(self.engine.serve())
         loop.call_later(self.resource_limits.metrics_interval / SECOND, self._log_metrics)
         gc.collect()
-        gc.freeze()  # what is loaded by now lives as long as the process
+        gc.freeze()  # what is loaded now lives as long as the process
         host, port = self.listener.address
         self.log.info("listening", address=f"{host}:{port}")
         await self.done.wait()
-        signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # one that comes from now on must not end it badly
+        # A further signal must not interrupt the end with an error code.
+        signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
         serving.cancel()
         self.directory_reporter.close()
         if self.fair_sharing:
@@ -120,8 +131,8 @@
         if self.host.started:
             self.host.engine_restarted(cold, age)
             return
-        if self.drain:  # nothing is taken, unless the drain is cancelled
-            self.pending_engine = (cold, age, time.monotonic_ns())
+        if self.drain.started:  # no request is read, unless the drain is cancelled
+            self.pending_engine = PendingEngine(cold, age, time.monotonic_ns())
             return
         self.host.start_admission(cold, age)
         self.directory_reporter.start()
@@ -139,14 +150,13 @@
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
     def drain_cancelled(self) -> None:
-        """Serve again after a cancelled drain, with the engine that came up meanwhile."""
-        if self.pending_engine:
-            cold, age, at = self.pending_engine
+        """Serve again after a cancelled drain, with an engine that came up during it."""
+        if pending := self.pending_engine:
             self.pending_engine = None
-            self._engine_up(cold, age + time.monotonic_ns() - at)
+            self._engine_up(pending.cold, pending.age + time.monotonic_ns() - pending.came_up_at)
 
     def reload(self) -> None:
-        """Use the engine, catalogue and directory that the file names by now, if it can be read."""
+        """Read the configuration again and use its engine, catalogue, directory and weights of flows."""
         try:
             configuration = read_configuration(os.environ)
         except (LimitsError, OSError) as error:
@@ -159,7 +169,7 @@
             self.fair_sharing.reload(configuration.limits.fair_sharing)
         self.log.info("configuration_reloaded")
 
-    # What connections ask and tell.
+    # The `ConnectionOwner` of all connections.
 
     def request_received(self, request: NodeRequest) -> None:
         """Start the handler of a request that was read."""
@@ -173,26 +183,26 @@
         return request_id in self.open_requests
 
     def client_disconnected(self, request: NodeRequest) -> None:
-        """Tell the handler that the client no longer waits."""
+        """Notify the handler that the client no longer waits."""
         if not request.answered:
             request.answered = True  # no answer is due any more
             request.post(ClientDisconnected())
 
     def healthy(self) -> bool:
-        """Whether health checks get `yes`."""
-        return self.host.healthy and self.host.started and not self.drain
+        """Whether the node accepts requests, for health checks."""
+        return self.host.healthy and self.host.started and not self.drain.started
 
     def load_report(self) -> float | None:
-        """The share of traffic that the node advertises, None before it has one."""
+        """Return the share of traffic that the node asks for; None before it has one."""
         return self.host.advertised_share
 
     def retry_after(self) -> int:
-        """Nanoseconds after which a request refused on arrival may be retried; 0 where none are advised."""
+        """Return the Retry-After of a request rejected on arrival, in nanoseconds; 0 for no advice."""
         return self.host.admission.retry_after() if self.host.started else 0
 
     def stop(self) -> None:
-        """Drain and stop for good; a second call changes nothing."""
-        self.drain.start()
+        """Drain and stop after SIGTERM or SIGINT; a second call changes nothing."""
+        self.drain.start_final()
 
     # Metrics.
 
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -10,7 +10,8 @@
 from oakkeel.admission.types import Request
 from oakkeel.units import SECOND
 
-MAX_CLASSES = 16  # the first ones seen; a status message has room for no more
+MAX_CLASSES = 16  # the first ones seen: a status message must fit a line
+MIN_LATENCY_SECONDS = 1e-6  # the logarithm needs a positive number
 
 
 class OutcomeCounters:
@@ -31,7 +32,7 @@
             earned = request_class.priority_weight / self.highest_weight * timeliness
             if class_name in self.latencies or len(self.latencies) < MAX_CLASSES:
                 sums = self.latencies.setdefault(class_name, [0.0, 0.0, 0.0])
-                _add(sums, math.log(max(1e-6, (now - request.arrived_at) / SECOND)))
+                _add(sums, math.log(max(MIN_LATENCY_SECONDS, (now - request.arrived_at) / SECOND)))
         _add(self.earned_weight, earned)
 
 
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -1,18 +1,16 @@
-"""The way of one request, from its last byte to its one answer and the end of its run."""
+"""The handler of requests: from the last byte of one to its one answer and the end of its run."""
 
 from __future__ import annotations
 
 import time
 
 from oakkeel.admission.types import Outcome, RequestState
-from oakkeel.catalogue.links import Catalogue
 from oakkeel.dispatch import codec
-from oakkeel.engine.link import EngineLink
 from oakkeel.errors import OakkeelError
-from oakkeel.log import EventLog, fault
+from oakkeel.log import fault
+from oakkeel.node.components import NodeComponents
 from oakkeel.node.host import NodeHost
-from oakkeel.node.metrics import Metrics
-from oakkeel.node.response_cache import ResponseCache
+from oakkeel.node.response_cache import KeyCheck
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import (
     AwaitSharedResponse,
@@ -35,36 +33,32 @@
 
 
 class UnexpectedEventError(OakkeelError, RuntimeError):
-    """An event came that the request has no use for in its state: a defect of this program."""
+    """An event that does not fit the state of the request: a defect of this program."""
 
     def __init__(self, event: RequestEvent | RequestReleased, state: RequestState) -> None:
-        """Name both in the message."""
+        """Name the event and the state in the message."""
         super().__init__(f"unexpected {type(event).__name__} in state {state.name}")
 
 
 class RequestHandler:
     """Follows each request of a node from its last byte to its answer and the end of its run."""
 
-    def __init__(
-        self,
-        host: NodeHost,
-        engine: EngineLink,
-        catalogue: Catalogue,
-        response_cache: ResponseCache,
-        metrics: Metrics,
-        log: EventLog,
-    ) -> None:
+    def __init__(self, host: NodeHost, components: NodeComponents) -> None:
         """Take the parts that requests pass through."""
-        self.host, self.engine, self.catalogue, self.response_cache = host, engine, catalogue, response_cache
-        self.metrics, self.log = metrics, log
+        self.host = host
+        self.engine = components.engine
+        self.catalogue = components.catalogue
+        self.response_cache = components.response_cache
+        self.metrics = components.metrics
+        self.log = components.log
 
     async def handle(self, request: NodeRequest) -> None:
-        """Decide on one request, run it, make its calls and answer it once."""
+        """Pass one request to admission, run it, make its calls and answer it once."""
         try:
-            if self._admissible(request):
+            if self._key_permits(request):
                 self.host.notify(self.host.admission.arrive, request)
                 await self._follow(request)
-        except Exception as error:  # the request is answered and the node goes on
+        except Exception as error:  # a defect must not stop the node; the request is answered
             self.log.error("request_failed", state=request.state.name, error=fault(error))
             await self._clean_up(request)
         finally:
@@ -72,24 +66,18 @@
             if request.may_have_run:
                 self.response_cache.finish(request, Outcome.ERROR, b"")
             else:
-                self.response_cache.release(request)  # a duplicate of what never ran may run
-
-    def _admissible(self, request: NodeRequest) -> bool:
-        """Look up its idempotency key; what the key forbids is answered here."""
-        now = time.monotonic_ns()
-        request.is_duplicate = self.response_cache.find(request, now)
-        if request.is_duplicate and self.response_cache.key_mismatch(request):
-            request.connection.report_violation("idempotency_key_mismatch")
-            self._answer(request, codec.FAILED)
-            return False
-        if (
-            request.cache_key
-            and request.request_class.at_most_once
-            and not request.is_duplicate
-            and self.response_cache.full(now)
-        ):
-            self._reject(request)  # its duplicates could not be recognized
-            return False
+                self.response_cache.release(request)  # a duplicate of a request that never ran may run
+
+    def _key_permits(self, request: NodeRequest) -> bool:
+        """Look up the key of a request, and answer the request here if its key forbids a run."""
+        match self.response_cache.check_key(request, time.monotonic_ns()):
+            case KeyCheck.MISMATCH:
+                request.connection.report_violation("idempotency_key_mismatch")
+                self._answer(request, codec.FAILED)
+                return False
+            case KeyCheck.CACHE_FULL:
+                self._reject(request)
+                return False
         return True
 
     async def _follow(self, request: NodeRequest) -> None:
@@ -117,7 +105,7 @@
         self._finish_run(request, event)
 
     async def _make_calls(self, request: NodeRequest, needed: CallNeeded) -> RequestEvent | RequestReleased:
-        """Place the call, again where the verdict says so, or skip it. Returns the event after that."""
+        """Place the call, retry it on a verdict to do so, or skip it; return the event after that."""
         event = await self._next_event(request)
         while isinstance(event, PlaceCall):
             self.catalogue.fetch(request, event.deadline, needed.body)
@@ -134,9 +122,9 @@
         return event
 
     async def _next_event(self, request: NodeRequest) -> RequestEvent | RequestReleased:
-        """Wait for the next event that the caller has to act on.
+        """Wait for the next event that the caller must handle.
 
-        Early answers, cancelled runs and disconnected clients are dealt with here.
+        Early answers, cancelled runs and disconnected clients are handled here.
         """
         while True:
             if request.state is RequestState.FINISHED and not request.in_engine and not request.events:
@@ -156,8 +144,9 @@
                 self.catalogue.quit(request)  # nobody waits for the reply of its call
 
     def _finish_run(self, request: NodeRequest, run: RunFinished) -> None:
-        # Nothing was started where the dispatcher had given up before this node knew. The controller counts
-        # the request as running: an outcome that means "never started" would leave it counted for ever.
+        """Report a finished run to admission, keep its response and answer its request."""
+        # The engine starts no run of a request that was halted before. The controller counts that request as
+        # running: the outcome "never started" would leave it counted forever.
         counted = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
         self.host.notify(self.host.admission.run_finished, request, counted, run.duration)
         if request.unknown_to_engine:
@@ -180,7 +169,7 @@
     def _answer(
         self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
     ) -> None:
-        """Answer a request, unless it was answered or its client is gone. Nothing else answers."""
+        """Answer a request, unless it was answered or its client has disconnected; no other code answers."""
         if not request.answered:
             request.answered = True
             self.metrics.count_answer(word)
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -51,7 +51,9 @@
         self.begin()
         link = self.link()
         told = self.say(link, type="leave", tag=1, generation=6)
-        self.assertEqual((told["done"], told["why"]), (False, "this is generation 7"))
+        self.assertEqual(
+            (told["done"], told["why"]), (False, "the order is for generation 6, this is generation 7")
+        )
         self.assertEqual(self.say(link, type="ask", tag=2)["state"], "serving")
 
     def test_a_drain_order_drains_like_the_signal(self):
@@ -173,7 +175,7 @@
         self.process.send_signal(signal.SIGTERM)
         while (told := self.say(link, type="stay", tag=2, generation=7))["done"]:
             self.leave(link)  # the signal was not handled yet
-        self.assertEqual(told["why"], "it leaves for good")
+        self.assertEqual(told["why"], "the drain is final: the node stops after SIGTERM")
         self.assertFalse(self.say(link, type="stay", tag=3, generation=6)["done"])
         self.engine.done(ident)
         dispatcher.answer()
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from oakkeel.dispatch.connection_state import ConnectionState
-from oakkeel.dispatch.listener import BACKLOG, Listener
+from oakkeel.dispatch.listener import MAX_WAITING_CONNECTIONS, Listener
 from oakkeel.log import EventLog
 from oakkeel.node.drain import Drain, DrainState
 from oakkeel.stream_buffers import BufferPool
@@ -194,7 +194,7 @@
         class Flood(FailingSocket):
             def accept(self):
                 self.asked += 1
-                if self.asked > 3 * BACKLOG:
+                if self.asked > 3 * MAX_WAITING_CONNECTIONS:
                     raise AssertionError("accepted for ever")
                 ours, theirs = socket.socketpair()
                 theirs.close()
@@ -209,7 +209,7 @@
         self.listener.socket = flood
         asyncio.get_running_loop().add_reader(flood, lambda: None)
         await asyncio.wait_for(self.listener.close(), WAIT)
-        self.assertLessEqual(flood.asked, BACKLOG + self.resource_limits.accepts_per_pass)
+        self.assertLessEqual(flood.asked, MAX_WAITING_CONNECTIONS + self.resource_limits.accepts_per_pass)
 
     async def test_with_no_descriptor_left_accepting_rests_and_goes_on(self):
         # The socket stays readable: the loop woke for it again and again.
@@ -257,7 +257,7 @@
         _, resting = await self.rested()
         _, held = await self.stuck()
         drain = Drain(self, grace=0, stop_after=300 * MS)
-        drain.start()
+        drain.start_final()
         await asyncio.wait_for(self.done.wait(), WAIT)
         self.assertIs(drain.state, DrainState.ENDED)
         self.assertEqual({resting.state, held.state}, {ConnectionState.CLOSED})
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -167,7 +167,7 @@
         caller, connection = await self.connected()
         caller.send(call(1)[:20])
         await self.until(lambda: connection.read_buffer.has_data)
-        connection.array_due_since -= 700 * SECOND
+        connection.arrays.due_since -= 700 * SECOND
         connection.stream.close()
         before = self.listener.sweeper
         self.listener._sweep()
--- a/tests/dispatch/test_violations.py
+++ b/tests/dispatch/test_violations.py
@@ -50,7 +50,7 @@
         caller.send(call(1)[:25])
         await self.until(lambda: connection.read_buffer.has_data and connection.stream.reading())
         caller.send(call(1)[25:])
-        connection.check_timeouts(connection.array_due_since + self.resource_limits.array_timeout + 1)
+        connection.check_timeouts(connection.arrays.due_since + self.resource_limits.array_timeout + 1)
         self.assertIs(connection.state, ConnectionState.OPEN)
         await self.until(lambda: self.arrived_here)
         self.answer()
@@ -66,7 +66,7 @@
         ):
             caller.send(b"?")
             connection.check_timeouts(
-                connection.array_due_since + self.resource_limits.array_timeout + look + 1
+                connection.arrays.due_since + self.resource_limits.array_timeout + look + 1
             )
             self.assertIs(connection.state, phase)
 
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -55,9 +55,9 @@
         )
         self.remembered()
         later = NOW + SECOND + 400 * MS
-        self.assertTrue(cache.full(later))
+        self.assertFalse(cache.make_room(later))
         self.assertTrue(cache.find(one(queueing_delay=500 * MS), later))
-        self.assertFalse(cache.full(NOW + SECOND + ONCE.client_timeout))
+        self.assertTrue(cache.make_room(NOW + SECOND + ONCE.client_timeout))
 
     def test_one_that_never_ran_gives_its_place_back_to_the_one_that_did(self):
         first = self.remembered()
--- a/tests/node/test_request_handler.py
+++ b/tests/node/test_request_handler.py
@@ -4,6 +4,7 @@
 import unittest
 
 from oakkeel.admission.types import RequestState
+from oakkeel.node.components import NodeComponents
 from oakkeel.node.metrics import Metrics
 from oakkeel.node.request_handler import RequestHandler
 from oakkeel.node.response_cache import ResponseCache
@@ -27,7 +28,16 @@
 
         parts = Parts()
         parts.admission = parts
-        handler = RequestHandler(parts, parts, parts, ResponseCache(RESOURCE_LIMITS, 0), Metrics(), LOG)
+        components = NodeComponents(
+            engine=parts,
+            listener=parts,
+            directory_reporter=parts,
+            catalogue=parts,
+            response_cache=ResponseCache(RESOURCE_LIMITS, 0),
+            metrics=Metrics(),
+            log=LOG,
+        )
+        handler = RequestHandler(parts, components)
         for _ in range(2):
             request = node_request(connection=parts)
             await asyncio.wait_for(handler.handle(request), 5)
--- a/tests/node/test_response_cache.py
+++ b/tests/node/test_response_cache.py
@@ -49,6 +49,8 @@
         cache.retain(node_request(key=b"b"), 0, SECOND)
         cache.retain(node_request(key=b"c", request_class=once), 0, SECOND)  # in place of the read
         self.assertEqual([key for _, key in cache.entries], [b"a", b"c"])
-        self.assertTrue(cache.full(SECOND // 2))
-        self.assertTrue(cache.full(SECOND))  # one that came before may be read as late as its caller waits
-        self.assertFalse(cache.full(SECOND + GROUP.client_timeout))
+        self.assertFalse(cache.make_room(SECOND // 2))
+        self.assertFalse(
+            cache.make_room(SECOND)
+        )  # one that came before may be read as late as its caller waits
+        self.assertTrue(cache.make_room(SECOND + GROUP.client_timeout))
