--- a/oakkeel/catalogue/__init__.py
+++ b/oakkeel/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""The links to the catalogue, a proxy before the next tier."""
+"""The links to the catalogue, the proxy in front of the next tier."""
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -1,4 +1,4 @@
-"""Calls to the catalogue: connections, calls in flight, and the outcome that each reply proves."""
+"""Calls to the catalogue: links, calls in flight, and the outcomes of their replies."""
 
 from __future__ import annotations
 
@@ -25,20 +25,23 @@
     b"TOOSLOW": Outcome.TIMED_OUT,
     b"NOUSE": Outcome.NEVER_STARTED,
 }
+REPLY_TOKENS = 2  # request ID and verb
+DATA_REPLY_TOKENS = 3  # and the length of the body
+MAX_LOGGED_LINE_BYTES = 60
 
 
 class Call:
-    """One call in flight; it ends once: by a reply, a lost connection, its timeout, or when abandoned."""
+    """One call in flight; it ends once: by a reply, a lost connection, its timeout, or if abandoned."""
 
     __slots__ = ("link", "request", "sent_at", "timer")
 
     def __init__(self, request: NodeRequest, link: CallLink, deadline: int) -> None:
-        """Start the timeout of a call on a link; the deadline is in ns of the monotonic clock."""
+        """Start the timeout of a call; `deadline` is in nanoseconds of the monotonic clock."""
         self.request = request
         self.link = link
         self.sent_at = time.monotonic_ns()
-        wait = (deadline - self.sent_at + link.resource_limits.call_timeout_slack) / SECOND
-        self.timer = asyncio.get_running_loop().call_later(wait, self.give_up)
+        timeout = (deadline - self.sent_at + link.resource_limits.call_timeout_slack) / SECOND
+        self.timer = asyncio.get_running_loop().call_later(timeout, self.give_up)
 
     def end(self, outcome: Outcome | None, reply: bytes = b"") -> None:
         """End the call; `CallFinished` is posted unless the outcome is None."""
@@ -56,7 +59,7 @@
             self.link.retired = True
             self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
-            outcome = Outcome.CONNECT_FAILED  # it never left
+            outcome = Outcome.CONNECT_FAILED  # it was never sent
         self.end(outcome)
 
 
@@ -72,13 +75,13 @@
         self.log = log
         self.calls: dict[bytes, Call] = {}
         self.connected = False
-        self.retired = False  # takes no more calls, and closes after its last one
-        self.surplus_replies = 0  # that no call waited for
+        self.retired = False  # takes no more calls, and closes after its last
+        self.surplus_replies = 0  # replies without a call
         self.last_used = time.monotonic_ns()
         self.stream = IOStream(socket.socket(), max_write_buffer_size=resource_limits.max_write_backlog)
         self.read_buffer = ReadBuffer(pool)
         self.unsent: dict[bytes, bytes] = {}  # calls made while it connects, by request ID
-        self.reply_timer: asyncio.TimerHandle | None = None  # closes a link whose reply stays incomplete
+        self.reply_timer: asyncio.TimerHandle | None = None  # closes the link if a reply stays incomplete
         self.task = asyncio.ensure_future(self._serve())
 
     async def _serve(self) -> None:
@@ -96,7 +99,7 @@
                     self._reply(tokens, body)
                     progressed = True
                 self._limit_partial_reply(progressed)
-                await asyncio.sleep(0)  # a peer that always has more to send must not block the loop
+                await asyncio.sleep(0)  # a peer that always sends must not block the loop
         except StreamClosedError:
             pass
         except MalformedInputError as error:
@@ -106,33 +109,34 @@
             self.read_buffer.close()
             if self.reply_timer:
                 self.reply_timer.cancel()
-            # Without a connection no call was sent; a lost connection proves nothing.
+            # Without a connection no call was sent; after a loss the call may have been carried out.
             outcome = Outcome.RESET if self.connected else Outcome.CONNECT_FAILED
             for call in list(self.calls.values()):
                 call.end(outcome)
 
     def _reply(self, tokens: list[bytes], body: bytes) -> None:
-        if len(tokens) != (3 if tokens[1:2] == [b"DATA"] else 2) or tokens[1] not in REPLIES:
-            raise MalformedInputError(f"a reply {b' '.join(tokens)[:60]!r}")
+        expected_tokens = DATA_REPLY_TOKENS if tokens[1:2] == [b"DATA"] else REPLY_TOKENS
+        if len(tokens) != expected_tokens or tokens[1] not in REPLIES:
+            raise MalformedInputError(f"malformed reply {b' '.join(tokens)[:MAX_LOGGED_LINE_BYTES]!r}")
         if call := self.calls.get(tokens[0]):
             call.end(REPLIES[tokens[1]], body)
             return
-        # A duplicate, or a reply to no call: the other calls here still get theirs, but no new one is made.
+        # A duplicate or a reply without a call: the link takes no more calls, but serves those in flight.
         self.retired = True
         self.surplus_replies += 1
         if self.surplus_replies > self.resource_limits.max_surplus_replies:
-            raise MalformedInputError("replies that nobody waits for")
+            raise MalformedInputError(f"{self.surplus_replies} replies without a call")
         self.close_if_unused()
 
     def _limit_partial_reply(self, progressed: bool) -> None:
-        """Close the link if a reply stays incomplete: its length was wrong and no other can follow it."""
+        """Close the link if a reply stays incomplete: its length is wrong, and no other reply can follow."""
         complete = self.read_buffer.start == self.read_buffer.end
         if self.reply_timer and (complete or progressed):
             self.reply_timer.cancel()
             self.reply_timer = None
         if not complete and not self.reply_timer:
-            wait = self.resource_limits.call_reply_timeout / SECOND
-            self.reply_timer = asyncio.get_running_loop().call_later(wait, self.stream.close)
+            timeout = self.resource_limits.call_reply_timeout / SECOND
+            self.reply_timer = asyncio.get_running_loop().call_later(timeout, self.stream.close)
 
     def send_call(self, request_id: bytes, line: bytes) -> None:
         """Send the line of a call, or keep it until the connection is made."""
@@ -152,7 +156,7 @@
 
 
 class Catalogue:
-    """Links, opened as calls need them: one call each, so that a fault on one link costs no other call."""
+    """Links, opened on demand: one call each, so that a fault on one link fails no other call."""
 
     def __init__(
         self,
@@ -161,7 +165,7 @@
         resource_limits: ResourceLimits,
         log: EventLog,
     ) -> None:
-        """Connect when the first call is made; without an address every call fails to connect."""
+        """Connect with the first call; without an address every call fails to connect."""
         self.address = address
         self.pool = pool
         self.resource_limits = resource_limits
@@ -170,7 +174,7 @@
 
     def fetch(self, request: NodeRequest, deadline: int, body: bytes) -> None:
         """Make the call that the run of a request waits for; `CallFinished` is posted with its outcome."""
-        link = self._link(request)
+        link = self._select_link(request)
         if link is None:
             request.post(CallFinished(Outcome.CONNECT_FAILED, b"", 0))
             return
@@ -187,7 +191,7 @@
             request.call.give_up(None)
 
     def move(self, address: tuple[str, int] | None) -> None:
-        """Make all further calls to another address; links to the old one close after their last call."""
+        """Make all further calls to another address; earlier links close after their last call."""
         if address == self.address:
             return
         self.address = address
@@ -195,8 +199,8 @@
             link.retired = True
             link.close_if_unused()
 
-    def _link(self, request: NodeRequest) -> CallLink | None:
-        """Return the free link used last, a new one, or the least busy; None if there is none.
+    def _select_link(self, request: NodeRequest) -> CallLink | None:
+        """Return the free link used last, a new one, or the least busy one; None if there is none.
 
         A link that had a call of this request is never used again for it: a duplicate of that reply would
         be taken for the reply to the next call.
@@ -209,19 +213,25 @@
         for link in sorted(free, key=lambda link: link.last_used, reverse=True):
             if not readable(link.stream.socket):
                 return link
-            link.retired = True  # closed by the peer, or sent bytes to no call, not read yet
+            link.retired = True  # closed by the peer, or a reply without a call is unread
             link.close_if_unused()
             usable.remove(link)
-        if len(self.links) < self.resource_limits.max_call_links:
-            try:
-                self.links.append(CallLink(self.address, self.pool, self.resource_limits, self.log))
-                return self.links[-1]
-            except (OSError, MemoryError) as error:  # no descriptor or buffer is left: use a busy link
-                self.log.warning("catalogue_connect_failed", error=str(error))
-        return min(usable, key=lambda link: len(link.calls), default=None)
+        return self._open_link(self.address) or min(usable, key=lambda link: len(link.calls), default=None)
+
+    def _open_link(self, address: tuple[str, int]) -> CallLink | None:
+        """Open another link; None at the limit, or without a descriptor or buffer."""
+        if len(self.links) >= self.resource_limits.max_call_links:
+            return None
+        try:
+            link = CallLink(address, self.pool, self.resource_limits, self.log)
+        except (OSError, MemoryError) as error:
+            self.log.warning("catalogue_connect_failed", error=str(error))
+            return None
+        self.links.append(link)
+        return link
 
     def _close_idle(self) -> None:
-        """Drop closed links, and close those idle for so long that the catalogue may have dropped them."""
+        """Remove closed links, and close idle ones before the catalogue does: a call could be lost."""
         now = time.monotonic_ns()
         for link in list(self.links):
             if not link.calls and now - link.last_used > self.resource_limits.call_idle_timeout:
--- a/oakkeel/control/client.py
+++ b/oakkeel/control/client.py
@@ -24,27 +24,30 @@
     decode_response,
     encode,
 )
+from oakkeel.errors import OakkeelError
 
+PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group
 
-class ControlError(OSError):
-    """The node did not response, or not what was asked; the text says how."""
+
+class ControlError(OakkeelError, OSError):
+    """The node does not respond, or not as expected; the text says how."""
 
 
 class ControlClient:
-    """One link to one node, connected again after it broke. One request at a time."""
+    """One link to one node, reconnected after a failure. One request at a time."""
 
     def __init__(self, path: str) -> None:
         """Name the socket of the node; it is connected with the first request."""
         self.path = path
         self.tags = itertools.count(1)
         self.stream: IOStream | None = None
-        self.pid = 0  # of the process at the other end, as the kernel says
+        self.pid = 0  # of the process at the other end, by the kernel
 
     async def status(self, timeout: float) -> NodeStatus:
         """Fetch the state of the node, within `timeout` seconds; raises ControlError, as all requests do."""
         response = await self._request(StatusRequest(next(self.tags)), timeout)
         if not isinstance(response, NodeStatus):
-            raise ControlError(f"no report: {getattr(response, 'reason', '')}")
+            raise ControlError(f"received no status report: {getattr(response, 'reason', '')}")
         return response
 
     async def drain(self, generation: int, timeout: float, drain_timeout: int = 0) -> Acknowledgement:
@@ -60,14 +63,16 @@
     ) -> Acknowledgement:
         response = await self._request(request, timeout)
         if not isinstance(response, Acknowledgement):
-            raise ControlError("a report in place of an answer to an order")
+            raise ControlError(
+                f"received {type(response).__name__}, expected an acknowledgement of the order"
+            )
         return response
 
     async def clients_status(self, limit: int, timeout: float) -> ClientsStatus:
-        """Fetch the heaviest clients, `limit` of them at the most."""
+        """Fetch the heaviest clients, `limit` of them at most."""
         response = await self._request(ClientsRequest(next(self.tags), limit), timeout)
         if not isinstance(response, ClientsStatus):
-            raise ControlError("no list of clients")
+            raise ControlError("received no list of clients")
         return response
 
     async def _request(self, request: Request, timeout: float) -> Response:
@@ -83,14 +88,14 @@
     async def _send(self, request: Request) -> Response:
         if self.stream is None:
             self.stream = IOStream(socket.socket(socket.AF_UNIX), max_buffer_size=MAX_LINE_BYTES)
-            await self.stream.connect(self.path)  # a path is an address as well
-            peer = self.stream.socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
-            self.pid = struct.unpack("3i", peer)[0]
+            await self.stream.connect(self.path)  # a path is an address too
+            peer = self.stream.socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+            self.pid = PEER_CREDENTIALS.unpack(peer)[0]
         self.stream.write(encode(request))
         line = await self.stream.read_until(b"\n", max_bytes=MAX_LINE_BYTES)
         response = decode_response(line)
         if response.tag != request.tag:
-            raise ControlError(f"an answer to another question: {getattr(response, 'reason', '')}")
+            raise ControlError(f"received a response to another request: {getattr(response, 'reason', '')}")
         return response
 
     def close(self) -> None:
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -1,4 +1,4 @@
-"""The node's end of its control links: few, read slowly, at no cost for its requests."""
+"""The node's end of its control links: few, and read slowly, so that they take no time from requests."""
 
 from __future__ import annotations
 
@@ -31,16 +31,20 @@
 from oakkeel.units import SECOND
 
 MAX_CLIENTS = 25  # in one response, which must fit a line
+MAX_WAITING_LINKS = 64  # for an accept, in the kernel
+MAX_UNSENT_BYTES = 8 * MAX_LINE_BYTES
+BUFFERS_PER_LINK = 2  # a link is closing while its successor opens
+PRIVATE_UMASK = 0o077  # other users of the host must not connect
 
 
 class ControlTarget(Protocol):
     """What a control link needs of the node."""
 
     def status(self, tag: int) -> NodeStatus:
-        """The state of the node, for the request with this tag."""
+        """Return the state of the node, for the request with this tag."""
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
-        """The heaviest clients, for the request with this tag."""
+        """Return the heaviest clients, for the request with this tag."""
 
     def request_drain(self, generation: int, timeout: int) -> None:
         """Start a drain of `timeout` nanoseconds. Raises `OrderRefusedError`."""
@@ -56,19 +60,22 @@
         self, path: str, node: ControlTarget, resource_limits: ResourceLimits, log: EventLog
     ) -> None:
         """Bind the socket, for this user alone; raises OSError."""
-        self.path, self.node, self.resource_limits, self.log = path, node, resource_limits, log
+        self.path = path
+        self.node = node
+        self.resource_limits = resource_limits
+        self.log = log
         self.links: dict[ControlLink, asyncio.Task[None]] = {}  # least recently active first
-        self.pool = BufferPool(MAX_LINE_BYTES, 2 * resource_limits.control_links)
+        self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_LINK * resource_limits.control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by a node that was killed
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.socket.setblocking(False)
-        umask = os.umask(0o077)  # other users of the host must not connect
+        umask = os.umask(PRIVATE_UMASK)
         try:
             self.socket.bind(path)
         finally:
             os.umask(umask)
-        self.socket.listen(64)
+        self.socket.listen(MAX_WAITING_LINKS)
 
     def open(self) -> None:
         """Accept links from now on."""
@@ -79,11 +86,10 @@
             accepted, _ = self.socket.accept()
             accepted.setblocking(False)
             if len(self.links) >= self.resource_limits.control_links:
-                # The least recently active one makes room.
-                oldest = next(iter(self.links))
+                oldest = next(iter(self.links))  # the least recently active one
                 oldest.stream.close()
                 del self.links[oldest]
-            link = ControlLink(IOStream(accepted, max_write_buffer_size=8 * MAX_LINE_BYTES), self)
+            link = ControlLink(IOStream(accepted, max_write_buffer_size=MAX_UNSENT_BYTES), self)
             self.links[link] = asyncio.ensure_future(link.serve())
 
     def mark_active(self, link: ControlLink) -> None:
@@ -106,11 +112,12 @@
 
 
 class ControlLink:
-    """One client, read at a limited pace, told what is wrong, and closed where a message stays incomplete."""
+    """One client: read at a limited pace, and closed with a reason if a message stays incomplete."""
 
     def __init__(self, stream: IOStream, listener: ControlListener) -> None:
         """Take an accepted stream; `serve` reads it."""
-        self.stream, self.listener = stream, listener
+        self.stream = stream
+        self.listener = listener
         self.read_buffer = ReadBuffer(listener.pool)
 
     async def serve(self) -> None:
@@ -121,7 +128,7 @@
         except MalformedInputError:
             self._refuse(f"a line of more than {MAX_LINE_BYTES} bytes")
         except TimeoutError:
-            self._refuse("half a message, or an answer not taken, for too long")
+            self._refuse("a message stayed incomplete, or a response unread, for too long")
         except StreamClosedError:
             pass
         finally:
@@ -133,10 +140,11 @@
         send(self.stream, encode(Acknowledgement(0, False, reason)))
 
     async def _read(self) -> None:
-        """Answer what one read brought, then rest, so that a fast client gets no more of the event loop."""
-        limits, read_buffer = self.listener.resource_limits, self.read_buffer
+        """Answer the messages of one read, then pause: a fast client gets no more of the event loop."""
+        limits = self.listener.resource_limits
+        read_buffer = self.read_buffer
         started = time.monotonic_ns()
-        if read_buffer.start == read_buffer.end:
+        if not read_buffer.has_data:
             await read_buffer.fill(self.stream)  # an idle link may stay open
         else:
             await asyncio.wait_for(read_buffer.fill(self.stream), limits.control_timeout / SECOND)
@@ -173,4 +181,4 @@
             return Acknowledgement(request.tag, False, str(refusal))
         except Exception as error:  # a defect must not end the link or the node
             self.listener.log.error("control_request_failed", error=fault(error))
-            return Acknowledgement(request.tag, False, "an error of the node")
+            return Acknowledgement(request.tag, False, "an internal error of the node: see its log")
--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -1,6 +1,6 @@
 """Messages of the control link: one JSON object a line, typed and bounded.
 
-Tags and keys are an outside form: a field that has another name here says its key.
+Tags and keys are fixed by the protocol; a field with another name in the code gives its key.
 """
 
 from __future__ import annotations
--- a/oakkeel/directory/reports.py
+++ b/oakkeel/directory/reports.py
@@ -1,4 +1,4 @@
-"""Reports to the directory, one datagram each, repeated so that a lost or late one does not matter."""
+"""Reports to the directory, one datagram each, repeated as a datagram may be lost or late."""
 
 from __future__ import annotations
 
@@ -10,15 +10,20 @@
 from oakkeel.units import SECOND
 
 
+def report_interval(repeats_left: int, limits: ResourceLimits) -> int:
+    """Return the nanoseconds to the next report: short after a change, as its report may be lost."""
+    return limits.report_repeat_interval if repeats_left else limits.report_interval
+
+
 class DirectoryReporter:
-    """Reports at an interval whether this node accepts work, and each change at once."""
+    """Reports at an interval whether this node accepts requests, and each change at once."""
 
     def __init__(self, address: tuple[str, int], name: str, resource_limits: ResourceLimits) -> None:
         """Open the datagram socket; nothing is sent before `start`."""
         self.name = name
         self.resource_limits = resource_limits
         self.accepting = True
-        self.repeats_left = 0  # quick repeats of a change, as a lost report would leave the old state
+        self.repeats_left = 0  # of a change, at the short interval: a lost report would leave the old state
         self.timer: asyncio.TimerHandle | None = None
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
@@ -29,13 +34,13 @@
         self._report()
 
     def set_accepting(self, accepting: bool) -> None:
-        """Set whether the node is listed as accepting work; report a change at once."""
+        """Set whether the node is listed as accepting requests; report a change at once."""
         if accepting != self.accepting:
             self.accepting = accepting
             self._report_change()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Report to another directory from now on, at once, since it may not know this node."""
+        """Report to another directory from now on, and at once: it may not know this node."""
         self.address = address
         self._report_change()
 
@@ -47,17 +52,12 @@
 
     def _report(self) -> None:
         state = "open" if self.accepting else "closed"
-        with contextlib.suppress(
-            OSError
-        ):  # a directory that is down expires no entry; the next report follows
+        # A directory that is down expires no entry, and the next report follows.
+        with contextlib.suppress(OSError):
             self.socket.sendto(f"PULSE {self.name} {state}".encode(), self.address)
-        wait = (
-            self.resource_limits.report_repeat_interval
-            if self.repeats_left
-            else self.resource_limits.report_interval
-        )
+        interval = report_interval(self.repeats_left, self.resource_limits)
         self.repeats_left = max(0, self.repeats_left - 1)
-        self.timer = asyncio.get_running_loop().call_later(wait / SECOND, self._report)
+        self.timer = asyncio.get_running_loop().call_later(interval / SECOND, self._report)
 
     def close(self) -> None:
         """Send no more reports and close the socket."""
--- a/oakkeel/engine/__init__.py
+++ b/oakkeel/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The link to the engine, which owns the cores and does the work."""
+"""The link to the engine, which owns the cores and runs the requests."""
--- a/oakkeel/engine/commands.py
+++ b/oakkeel/engine/commands.py
@@ -1,4 +1,4 @@
-"""Commands to the engine that a lost connection may take with it."""
+"""Commands to the engine that may be lost with a connection."""
 
 from __future__ import annotations
 
@@ -6,41 +6,42 @@
 from collections import deque
 from dataclasses import dataclass
 
+from oakkeel.engine.verbs import HALT, RUN
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import ResourceLimits
 
 
 @dataclass(slots=True, eq=False)
 class Command:
-    """A command whose effect may still be lost with the connection."""
+    """A command that may still be lost with its connection."""
 
     line: bytes
-    request: NodeRequest | None  # None for a request for gauges, which marks how far the engine has read
+    request: NodeRequest | None  # None for a request for gauges: its answer confirms the earlier commands
     verb: bytes
-    last_notice: int = 0  # number of the last notice for the request when the command was given
+    last_notice: int = 0  # number of the last notice for the request when the command was made
     written: bool = False
 
     def must_resend(self) -> bool:
         """Return whether the command has to be sent again on a new connection.
 
-        A later notice for the request proves that a RUN, FEED or SKIP was carried out. A run that may not
-        take effect twice is sent again only if it was never written: the engine may have read the first one.
+        A later notice for the request proves that a RUN, FEED or SKIP was carried out. An at-most-once run is
+        sent again only if it was never written: the engine may have read the first command.
         """
         request = self.request
         if request is None or not request.in_engine:
             return False
-        if self.verb == b"HALT" or not self.written:
+        if self.verb == HALT or not self.written:
             return True
         return self.last_notice == request.last_notice and not self.is_uncertain()
 
     def is_uncertain(self) -> bool:
-        """Return whether nothing proves that this at-most-once run was started, nor that it was not."""
+        """Return whether this is an at-most-once run that may or may not have started."""
         request = self.request
         return bool(
             request
             and request.in_engine
             and self.written
-            and self.verb == b"RUN"
+            and self.verb == RUN
             and request.request_class.at_most_once
             and self.last_notice == request.last_notice
         )
@@ -48,23 +49,23 @@
 
 @dataclass(slots=True, eq=False)
 class GaugeRequest:
-    """A request for the engine's gauges that was not answered yet."""
+    """A request for the engine's gauges that is not answered yet."""
 
     future: asyncio.Future[list[float]]
     command: Command
-    sent_at: int
+    sent_at: int  # nanoseconds of the monotonic clock
 
 
 class UnconfirmedCommands:
-    """Commands in the order they were given, until gauges confirm that the engine has read them."""
+    """Commands in the order of their writes, until gauges confirm that the engine has read them."""
 
     def __init__(self, resource_limits: ResourceLimits) -> None:
         """Start with no command."""
         self.resource_limits = resource_limits
         self.commands: deque[Command] = deque()
-        # Requests for gauges that were answered, with the time in ns of the answer, the oldest first.
+        # The answered requests for gauges with the time of the answer in nanoseconds, the oldest first.
         self.confirmations: deque[tuple[int, Command]] = deque()
-        # Requests whose run may be lost, with the time in ns at which they were seen answered, or 0.
+        # Requests whose run may be lost, with the time in nanoseconds since which they are answered, or 0.
         self.uncertain_runs: dict[NodeRequest, int] = {}
 
     def add(self, command: Command) -> None:
@@ -74,10 +75,10 @@
         self.commands.append(command)
 
     def confirm(self, marker: Command, now: int) -> None:
-        """Drop what stands before an answered request for gauges, once the loss window has passed.
+        """Drop the commands before an answered request for gauges, once the loss window has passed.
 
-        The engine read all that was written before the request, but a lost connection may still take the
-        youngest commands with it.
+        The engine has read all that was written before the request, but the youngest commands may still be
+        lost with the connection.
         """
         self.confirmations.append((now, marker))
         while (
@@ -96,7 +97,7 @@
         unwritten = {
             command.request
             for command in self.commands
-            if command.request and command.verb == b"RUN" and not command.written
+            if command.request and command.verb == RUN and not command.written
         }
         self.commands = deque(command for command in self.commands if command.request in unwritten)
         self.uncertain_runs.clear()
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -12,6 +12,7 @@
 
 from oakkeel.engine.commands import Command, GaugeRequest, UnconfirmedCommands
 from oakkeel.engine.notices import WITH_BODY, NoticeHandler
+from oakkeel.engine.verbs import FEED, HALT, RUN, SKIP, STAT
 from oakkeel.line_protocol import LineParser
 from oakkeel.log import EventLog, fault
 from oakkeel.request import NodeRequest
@@ -19,9 +20,20 @@
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, send
 from oakkeel.units import SECOND
 
+MAX_GAUGE = 1e12
+
+
+def has_restarted(attached_at: int, age: int, latest_start: int, limits: ResourceLimits) -> bool:
+    """Return whether the engine of a new connection is another process: it knows none of the earlier runs.
+
+    It is if its reported `age` at `attached_at` places its start after `latest_start`, the latest start that
+    the earlier greetings allow, by more than the margin for rounding and delays. All in nanoseconds.
+    """
+    return attached_at - age > latest_start + limits.engine_restart_margin
+
 
 class EngineLink:
-    """A lasting link: commands are written at once while it is open, else they wait for it."""
+    """A link that reconnects: commands are written at once while it is open, otherwise they wait."""
 
     def __init__(
         self,
@@ -31,10 +43,10 @@
         log: EventLog,
         started: Callable[[bool, int], None],
     ) -> None:
-        """Connect later, in `serve`.
+        """Prepare a link; `serve` connects it.
 
-        `started` is called with whether the engine is booting and its age in ns, at its first greeting
-        and after each restart.
+        `started` is called with whether the engine is booting and its age in nanoseconds, at its first
+        greeting and after each restart.
         """
         self.address = address
         self.pool = pool
@@ -50,10 +62,10 @@
         self.latest_start = 0  # the latest time at which the engine can have started, by its greetings
         self.reattach_tag = b""  # of the gauges that follow all missed notices
         self.reattach_at = 0
-        self.handover_tag = b""  # of the gauges that end the connection to the old address
+        self.handover_tag = b""  # of the gauges that end the connection to the earlier address
         self.stream: IOStream | None = None
         self.connecting: IOStream | None = None  # the same stream, also before it is connected
-        self.hello_timer: asyncio.TimerHandle | None = None  # ends a connection without a greeting
+        self.hello_timer: asyncio.TimerHandle | None = None  # closes a connection without a greeting
         self.open = False  # attached, and all missed notices are read
         self.losses = 0
 
@@ -67,7 +79,7 @@
                 pass
             except MalformedInputError as error:
                 self.log.warning("engine_stream_malformed", error=str(error))
-            except Exception as error:  # a node without its engine's notices would answer nothing more
+            except Exception as error:  # a defect must not end the link: no request could be answered
                 self.log.error("engine_link_failed", error=fault(error))
             finally:
                 self._detach()
@@ -80,8 +92,8 @@
         )
         read_buffer = ReadBuffer(self.pool)
         try:
-            # An address may accept the connection and send nothing, or not even accept it, for as long as
-            # TCP allows. An engine that was never up may hold its HELLO back for as long as it likes.
+            # A peer may accept the connection and send nothing, or not even accept it, for as long as TCP
+            # allows. An engine that was never up may delay its HELLO without a limit.
             timeout = self.resource_limits.engine_timeout / SECOND
             self.hello_timer = asyncio.get_running_loop().call_later(timeout, stream.close)
             await connect(stream, self.address)
@@ -95,7 +107,7 @@
                 await read_buffer.fill(stream)
                 for tokens, body in parser.messages():
                     self.notices.handle(tokens, body)
-                await asyncio.sleep(0)  # a peer that always has more to send must not block the loop
+                await asyncio.sleep(0)  # a peer that always sends must not block the loop
         finally:
             stream.close()
             read_buffer.close()
@@ -124,7 +136,7 @@
             return  # the old connection is ending already, and the next one uses the new address
         if (stream := self.stream) is None or not self.open:
             if self.connecting:
-                self.connecting.close()  # also one that is only connecting: it may never be accepted
+                self.connecting.close()  # a connection attempt may never be accepted
             return
         self.open = False  # commands wait for the new connection
         self.handover_tag = b"w%d" % next(self.tags)
@@ -137,19 +149,19 @@
         """Start the run of a request; `RunFinished` is posted to it at the end."""
         request.in_engine = request.may_have_run = True
         self.notices.runs[request.request_id] = request
-        self._command(request, b"RUN", b"%s %d" % (request.class_name, len(request.body)), request.body)
+        self._command(request, RUN, b"%s %d" % (request.class_name, len(request.body)), request.body)
 
     def halt(self, request: NodeRequest) -> None:
         """Cancel the run of a request."""
-        self._command(request, b"HALT")
+        self._command(request, HALT)
 
     def feed(self, request: NodeRequest, reply: bytes) -> None:
         """Give a run the reply of the downstream call that it waits for."""
-        self._command(request, b"FEED", b"%d" % len(reply), reply)
+        self._command(request, FEED, b"%d" % len(reply), reply)
 
     def skip(self, request: NodeRequest, notice: int) -> None:
         """Let a run continue without the call that it asked for in a notice."""
-        self._command(request, b"SKIP", b"%d" % notice)
+        self._command(request, SKIP, b"%d" % notice)
 
     def _command(
         self, request: NodeRequest, verb: bytes, arguments: bytes = b"", body: bytes | None = None
@@ -169,22 +181,22 @@
     def ask_gauges(self) -> asyncio.Future[list[float]] | None:
         """Ask for the gauges; return None while the link is not open."""
         now = time.monotonic_ns()
-        self._close_when_unanswered(now)
+        self._close_if_unanswered(now)
         if not self.open:
             return None
-        # A run that is over or was lost is reported as `nothing`, one that is there continues. Without the
-        # second command admission would count a lost run for ever.
+        # A second command for a run that has ended or was lost yields `nothing`; a run in progress continues.
+        # Without it admission would count a lost run forever.
         for request in self.unconfirmed.take_overdue_runs(now):
             self.run(request)
         tag = b"%d" % next(self.tags)
-        command = Command(b"STAT %s\r\n" % tag, None, b"STAT")
+        command = Command(b"STAT %s\r\n" % tag, None, STAT)
         gauge_request = GaugeRequest(asyncio.get_running_loop().create_future(), command, now)
         self.gauge_requests[tag] = gauge_request
         self.unconfirmed.add(command)
         self._write(command)
         return gauge_request.future
 
-    def _close_when_unanswered(self, now: int) -> None:
+    def _close_if_unanswered(self, now: int) -> None:
         """Close a connection whose oldest request for gauges is older than the timeout."""
         if self.reattach_tag:
             since = self.reattach_at
@@ -197,7 +209,7 @@
             self.stream.close()
 
     def _hello(self, state: bytes, age: int) -> None:
-        """Handle the greeting: missed notices follow it, then the answer to a STAT sent now."""
+        """Handle a greeting: missed notices follow it, then the answer to a STAT sent now."""
         if self.hello_timer:
             self.hello_timer.cancel()
         latest_start = time.monotonic_ns() - age
@@ -205,7 +217,7 @@
             self.greeted = True
             self.latest_start = latest_start
             self.started(state == b"booting", age)
-        elif self.attached_at - age > self.latest_start + self.resource_limits.engine_restart_margin:
+        elif has_restarted(self.attached_at, age, self.latest_start, self.resource_limits):
             self.latest_start = latest_start
             self.started(state == b"booting", age)
             self._engine_restarted()
@@ -217,7 +229,7 @@
             send(self.stream, b"STAT %s\r\n" % self.reattach_tag)
 
     def _engine_restarted(self) -> None:
-        """Fail the runs that the old engine may have started; those it never received wait."""
+        """Fail the runs that the earlier engine may have started; the others wait for the new one."""
         unwritten = self.unconfirmed.keep_unwritten_runs()
         self.log.warning("engine_restarted", runs_lost=len(self.notices.runs) - len(unwritten))
         self.notices.restart(unwritten)
@@ -225,8 +237,8 @@
             self.stream.close()  # its ATTACH named a notice that this engine never sent
 
     def _gauges(self, tag: bytes, values: list[float]) -> None:
-        if not all(0 <= value < 1e12 for value in values):
-            raise MalformedInputError(f"gauges {values}")  # admission would decide by them
+        if not all(0 <= value < MAX_GAUGE for value in values):
+            raise MalformedInputError(f"gauges out of range: {values}")  # admission decides by them
         if tag == self.reattach_tag:
             self.reattach_tag = b""
             self._reattach()
@@ -239,8 +251,8 @@
             self.unconfirmed.confirm(gauge_request.command, time.monotonic_ns())
 
     def _reattach(self) -> None:
-        """Open the link and send the lost commands again, now that all missed notices are read."""
-        self.gauge_requests.clear()  # who waits for gauges that were lost has a timeout of its own
+        """Open the link and send the lost commands again, after all missed notices were read."""
+        self.gauge_requests.clear()  # a waiter for lost gauges has its own timeout
         commands = self.unconfirmed.reattach()
         self.open = True
         for command in commands:
--- a/oakkeel/engine/notices.py
+++ b/oakkeel/engine/notices.py
@@ -1,23 +1,26 @@
-"""Notices of the engine: their numbers, and the events of requests that they become."""
+"""Notices of the engine: their numbers, and the events that they post to requests."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Container
 
 from oakkeel.admission.types import Outcome
+from oakkeel.engine.verbs import DONE, HALT, HELLO, NEED, NO, NOTE, RUN, STATS
 from oakkeel.line_protocol import parse_integer, parse_milliseconds
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import CallNeeded, RunFinished
 from oakkeel.stream_buffers import MalformedInputError
 
-WITH_BODY = frozenset({(0, b"DONE"), (0, b"NEED")})
+WITH_BODY = frozenset({(0, DONE), (0, NEED)})
 RUN_OUTCOMES = {
     b"success": Outcome.COMPLETED,
     b"failure": Outcome.ERROR,
     b"interrupted": Outcome.CANCELLED,
     b"nothing": Outcome.NEVER_STARTED,
 }
+MAX_LOGGED_VERB_BYTES = 20
+MAX_LOGGED_LINE_BYTES = 60
 
 
 class NoticeHandler:
@@ -29,7 +32,7 @@
         on_hello: Callable[[bytes, int], None],
         on_gauges: Callable[[bytes, list[float]], None],
     ) -> None:
-        """Pass each greeting (state and age in ns) and each answer with gauges (tag and values) on."""
+        """`on_hello` gets state and age in nanoseconds of each greeting, `on_gauges` tag and values."""
         self.log = log
         self.on_hello = on_hello
         self.on_gauges = on_gauges
@@ -37,29 +40,31 @@
         self.last_number = 0  # of the last notice read
 
     def handle(self, tokens: list[bytes], body: bytes) -> None:
-        """Handle one notice; raise `MalformedInputError` where it can't be read."""
+        """Handle one notice; raises `MalformedInputError`."""
         verb = tokens[0]
         try:
-            if verb == b"HELLO":
+            if verb == HELLO:
                 self.on_hello(tokens[1], parse_milliseconds(tokens[2]))
-            elif verb == b"STATS":
+            elif verb == STATS:
                 self.on_gauges(tokens[1], [float(token) for token in tokens[2:]])
-            elif verb in (b"DONE", b"NEED", b"NOTE"):
+            elif verb in (DONE, NEED, NOTE):
                 notice = parse_integer(tokens[1])
                 if notice <= self.last_number:
-                    return  # a duplicate, read already before the connection was lost
+                    return  # a duplicate, read before the connection was lost
                 self.last_number = notice
-                if verb == b"DONE":
+                if verb == DONE:
                     self.finish(tokens[2], RUN_OUTCOMES[tokens[3]], parse_milliseconds(tokens[4]), body)
-                elif verb == b"NEED" and (request := self.runs.get(tokens[2])):
+                elif verb == NEED and (request := self.runs.get(tokens[2])):
                     request.last_notice = notice
                     request.post(CallNeeded(notice, body))
-            elif verb == b"NO":
+            elif verb == NO:
                 self._command_rejected(tokens[1], tokens[2])
             else:
-                raise MalformedInputError(f"an unknown notice {verb[:20]!r}")
+                raise MalformedInputError(f"unknown notice {verb[:MAX_LOGGED_VERB_BYTES]!r}")
         except (IndexError, KeyError, ValueError) as error:
-            raise MalformedInputError(f"a notice {b' '.join(tokens)[:60]!r}") from error
+            raise MalformedInputError(
+                f"malformed notice {b' '.join(tokens)[:MAX_LOGGED_LINE_BYTES]!r}"
+            ) from error
 
     def finish(self, request_id: bytes, outcome: Outcome, service_time: int, result: bytes) -> None:
         """End a run, if it is known, with its outcome, service time in ns and result."""
@@ -69,7 +74,7 @@
             request.post(RunFinished(outcome, result, service_time))
 
     def restart(self, unwritten: Container[NodeRequest]) -> None:
-        """End all runs but the unwritten ones as failed: a restarted engine knows none of them.
+        """End all runs but those of `unwritten` as failed: a restarted engine knows none of them.
 
         It also numbers its notices from 1 again.
         """
@@ -79,12 +84,12 @@
                 self.finish(request_id, Outcome.ERROR, 0, b"")
 
     def _command_rejected(self, verb: bytes, request_id: bytes) -> None:
-        """End a run that the engine does not know; nothing depends on the other commands."""
+        """End a run that the engine does not know; no other rejected command has an effect."""
         self.log.warning("engine_command_rejected", command=verb.decode(errors="replace"))
-        if verb in (b"RUN", b"HALT"):
+        if verb in (RUN, HALT):
             request = self.runs.get(request_id)
             self.finish(request_id, Outcome.ERROR, 0, b"")
-            if request and verb == b"RUN":
-                # Its idempotency key stays free for the request that it belongs to.
+            if request and verb == RUN:
+                # Its idempotency key stays available to the request that it belongs to.
                 request.unknown_to_engine = True
                 request.may_have_run = False
