--- a/oakkeel/__main__.py
+++ b/oakkeel/__main__.py
@@ -10,25 +10,26 @@
 
 
 def main() -> int:
-    """Run a node, or the command line; returns the exit code."""
+    """Run a node, or the command line; return the exit code."""
     if sys.argv[1:]:
         return _command()
-    # Signals wait until the node handles them: one that is just starting must not be ended by them.
+    # Signals are blocked until the node handles them: they must not end a node that is starting.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGINT, signal.SIGTERM))
     return _node()
 
 
 def _command() -> int:
-    """Run the command line, with libraries that a node does without."""
+    """Run the command line, with libraries that a node must not load."""
     try:
         from oakkeel.cli.main import main as command_line
     except ImportError as error:
-        print(f"oakkeel: commands need the group 'fleet' of this package: {error}", file=sys.stderr)
+        print(f"oakkeel: the commands need the extra 'fleet' of this package: {error}", file=sys.stderr)
         return 2
     return int(command_line(prog_name="oakkeel"))
 
 
 def _node() -> int:
+    """Run a node; return the exit code."""
     import asyncio
     import os
 
@@ -36,7 +37,7 @@
     from oakkeel.node_limits import LimitsError
 
     async def run(configuration: NodeConfiguration) -> None:
-        from oakkeel.node.node import Node  # a bad configuration fails before this is loaded
+        from oakkeel.node.node import Node  # a malformed configuration fails before this is loaded
 
         await Node(configuration).run()
 
--- /dev/null
+++ b/oakkeel/cached_response.py
@@ -0,0 +1,90 @@
+"""The response of one request, for its duplicates: idempotency keys and shared reads."""
+
+from __future__ import annotations
+
+import time
+from hashlib import blake2b
+from typing import Protocol
+
+from oakkeel.admission.types import Outcome, Request
+from oakkeel.request_events import SharedResponse
+
+DIGEST_BYTES = 16
+CacheKey = tuple[int, bytes, bytes]  # request class, tenant, key: no tenant gets the response of another
+
+
+def body_digest(body: bytes) -> bytes:
+    """Return the digest that distinguishes requests with one idempotency key."""
+    return blake2b(body, digest_size=DIGEST_BYTES).digest()
+
+
+class Follower(Protocol):
+    """A duplicate that waits for the response of another request."""
+
+    arrived_at: int
+    queueing_delay: int
+
+    def post(self, event: SharedResponse) -> None:
+        """Pass the response to the handler of the duplicate."""
+
+
+class CachedResponse:
+    """The response of a request that may have duplicates, once its run is over."""
+
+    __slots__ = (
+        "at_most_once",
+        "digest",
+        "evict_at",
+        "expires_at",
+        "finished_at",
+        "followers",
+        "key",
+        "outcome",
+        "previous",
+        "result",
+    )
+
+    def __init__(
+        self,
+        key: CacheKey,
+        request: Request,
+        body: bytes,
+        now: int,
+        duration: int,
+        previous: CachedResponse | None,
+    ) -> None:
+        """Make an entry that is valid for `duration` nanoseconds.
+
+        They count from the arrival at the machine for a request that runs at most once, and from now for a
+        read. `previous` is the entry that it replaces, kept until this request is known to have run.
+        """
+        self.key = key
+        self.at_most_once = request.request_class.at_most_once
+        self.expires_at = now + duration - (request.queueing_delay if self.at_most_once else 0)
+        # A duplicate that arrived before the expiry may be read later, until its client times out.
+        self.evict_at = self.expires_at + (request.request_class.client_timeout if self.at_most_once else 0)
+        self.digest = body_digest(body) if self.at_most_once else b""
+        self.outcome: Outcome | None = None
+        self.result = b""
+        self.finished_at = 0  # nanoseconds of the monotonic clock
+        self.followers: list[Follower] = []
+        self.previous = previous
+
+    def add_follower(self, request: Follower) -> None:
+        """Give the request this response, now or when it is there."""
+        if self.outcome is not None:
+            request.post(SharedResponse(self.outcome, self.result))
+        else:
+            self.followers.append(request)
+
+    def finish(self, outcome: Outcome, result: bytes) -> None:
+        """Set the outcome, and pass it to all followers; only the first call has an effect."""
+        if self.outcome is not None:
+            return
+        self.outcome = outcome
+        self.result = result
+        self.finished_at = time.monotonic_ns()
+        self.previous = None
+        for request in self.followers:
+            request.post(SharedResponse(outcome, result))
+        self.followers.clear()
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -178,9 +178,10 @@
         if link is None:
             request.post(CallFinished(Outcome.CONNECT_FAILED, b"", 0))
             return
-        request.call = link.calls[request.request_id] = Call(request, link, deadline)
+        call = Call(request, link, deadline)
+        request.call = link.calls[request.request_id] = call
         request.used_links.append(link)
-        wait_ms = max(1, (deadline - request.call.sent_at) // MS)
+        wait_ms = max(1, (deadline - call.sent_at) // MS)
         link.send_call(
             request.request_id, b"FETCH %s %d %d\r\n%s\r\n" % (request.request_id, wait_ms, len(body), body)
         )
--- a/oakkeel/dispatch/resp.py
+++ b/oakkeel/dispatch/resp.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from oakkeel.line_protocol import parse_integer
+from oakkeel.line_protocol import LINE_END, LINE_END_BYTES, parse_integer
 from oakkeel.stream_buffers import MalformedInputError, ReadBuffer
 
 MAX_LENGTH_BYTES = 16  # of the line with a sign and a number
@@ -29,14 +29,16 @@
         if (header := _length(read_buffer, position, b"$")) is None:
             return None
         length, position = header
-        if position + length + 2 - read_buffer.start > len(read_buffer.buffer):
+        token_end = position + length
+        next_position = token_end + LINE_END_BYTES
+        if next_position - read_buffer.start > len(read_buffer.buffer):
             raise MalformedInputError(f"a token of {length} bytes, longer than the buffer")
-        if position + length + 2 > read_buffer.end:
+        if next_position > read_buffer.end:
             return None
-        tokens.append(bytes(read_buffer.buffer[position : position + length]))
-        position += length + 2
-        if read_buffer.buffer[position - 2 : position] != b"\r\n":
+        tokens.append(bytes(read_buffer.buffer[position:token_end]))
+        if read_buffer.buffer[token_end:next_position] != LINE_END:
             raise MalformedInputError("a token without CR LF")
+        position = next_position
     return tokens, position
 
 
@@ -48,12 +50,12 @@
         raise MalformedInputError(
             f"received {bytes(read_buffer.buffer[position : position + 1])!r}, expected {sign!r}"
         )
-    end = read_buffer.buffer.find(b"\r\n", position, min(read_buffer.end, position + MAX_LENGTH_BYTES))
+    end = read_buffer.buffer.find(LINE_END, position, min(read_buffer.end, position + MAX_LENGTH_BYTES))
     if end < 0:
         if read_buffer.end - position >= MAX_LENGTH_BYTES:
             raise MalformedInputError(f"a length of more than {MAX_LENGTH_BYTES} bytes")
         return None
-    return parse_integer(bytes(read_buffer.buffer[position + 1 : end])), end + 2
+    return parse_integer(bytes(read_buffer.buffer[position + 1 : end])), end + LINE_END_BYTES
 
 
 def encode(*tokens: bytes) -> bytes:
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -9,11 +9,14 @@
 import sys
 import time
 from collections.abc import Callable, MutableMapping
-from typing import Any, TextIO
+from typing import TYPE_CHECKING, TextIO
 
 from oakkeel.units import SECOND
 
-if "rich" not in sys.modules:  # structlog imports rich where it is installed: 8 MB that no node has room for
+if TYPE_CHECKING:
+    from structlog.typing import Processor
+
+if "rich" not in sys.modules:  # structlog imports rich if it is installed: 8 MB
     sys.modules["rich"] = None  # type: ignore[assignment]
     import structlog
 
@@ -21,28 +24,34 @@
 else:
     import structlog
 
-Event = MutableMapping[str, Any]
+Event = MutableMapping[str, object]
 
 
 class LineLimiter:
-    """Admits so many lines a second, and each only once in it.
+    """Limits the lines per second, and admits each line once per second.
 
-    Asked before a line is made: in a flood of bad input, all but a few lines must cost next to nothing.
+    It is called before a line is formatted: in a flood of bad input a dropped line must cost little.
     """
 
     def __init__(self, lines_per_s: int, clock: Callable[[], int] = time.monotonic_ns) -> None:
         """Limit to `lines_per_s`, by a clock in nanoseconds."""
-        self.lines_per_s, self.clock = lines_per_s, clock
-        self.second = self.lines = self.dropped = self.left_out = 0
-        self.written: set[str] = set()  # in this second: a flood of one line must not hide the others
+        self.lines_per_s = lines_per_s
+        self.clock = clock
+        self.second = 0
+        self.lines = 0
+        self.dropped = 0
+        self.left_out = 0
+        self.written: set[str] = set()  # in this second; a flood of one line must not hide the others
 
     def admits(self, event: str, fields: Event) -> bool:
-        """Whether the line may be written; `left_out` is then how many before it were not."""
+        """Return whether to write a line; `left_out` is the number of lines dropped before it."""
         second = self.clock() // SECOND
         self.left_out = 0
         if second != self.second:
             self.left_out = self.dropped
-            self.second, self.lines, self.dropped = second, 0, 0
+            self.second = second
+            self.lines = 0
+            self.dropped = 0
             self.written.clear()
         if self.lines < self.lines_per_s and (text := f"{event}{fields}") not in self.written:
             self.lines += 1
@@ -53,7 +62,7 @@
 
 
 def console(name: str) -> Callable[[object, str, Event], str]:
-    """Lines as `oakkeel n3: info event field=value ...`; a value with blanks stands in quotes."""
+    """Return a processor for lines as `oakkeel n3: info event field=value ...`; blanks are quoted."""
 
     def render(logger: object, method: str, event: Event) -> str:
         text = event.pop("event")
@@ -79,10 +88,10 @@
     def __init__(
         self, name: str, lines_per_s: int, form: str = "console", stream: TextIO | None = None
     ) -> None:
-        """`form`: `console` or `json`; `stream`: standard error where none is given."""
+        """`form`: `console` or `json`; `stream`: standard error by default."""
         self.stream = stream or sys.stderr
         self.lines = LineLimiter(lines_per_s)
-        processors: list[Any] = []
+        processors: list[Processor] = []
         if form == "json":
             processors += [
                 structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -92,23 +101,23 @@
             processors.append(console(name))
         self.bound = structlog.BoundLogger(self, processors, {"instance": name} if form == "json" else {})
 
-    def debug(self, event: str, **fields: Any) -> None:
-        """Log what only a developer looks for."""
+    def debug(self, event: str, **fields: object) -> None:
+        """Log an event for developers."""
         self.write("debug", event, fields)
 
-    def info(self, event: str, **fields: Any) -> None:
-        """Log what happens in ordinary operation."""
+    def info(self, event: str, **fields: object) -> None:
+        """Log an event of ordinary operation."""
         self.write("info", event, fields)
 
-    def warning(self, event: str, **fields: Any) -> None:
-        """Log what went wrong outside and was dealt with."""
+    def warning(self, event: str, **fields: object) -> None:
+        """Log a fault outside this process that was handled."""
         self.write("warning", event, fields)
 
-    def error(self, event: str, **fields: Any) -> None:
-        """Log what failed in this process, or what an operator has to mend."""
+    def error(self, event: str, **fields: object) -> None:
+        """Log a failure of this process, or one that an operator has to repair."""
         self.write("error", event, fields)
 
-    def write(self, level: str, event: str, fields: dict[str, Any]) -> None:
+    def write(self, level: str, event: str, fields: dict[str, object]) -> None:
         """Write one event at a level, if the line limiter admits it."""
         if self.lines.admits(event, fields):
             if self.lines.left_out:
@@ -117,11 +126,11 @@
 
     def msg(self, line: str) -> None:
         """Write a finished line; the last processor of structlog calls this."""
-        with contextlib.suppress(OSError):  # a log that nobody reads any more must not end the process
+        with contextlib.suppress(OSError):  # a closed log must not end the process
             print(line, file=self.stream, flush=True)
 
     def capture_library_logs(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Log here what the event loop and libraries report, under the same limit."""
+        """Log the errors of the event loop and of libraries here, under the same limit."""
         loop.set_exception_handler(
             lambda _, context: self.error(
                 "event_loop_error", message=context["message"], error=repr(context.get("exception"))
@@ -131,10 +140,10 @@
 
 
 class LibraryLogHandler(logging.Handler):
-    """Passes errors that libraries log on to an `EventLog`."""
+    """Passes the errors that libraries log to an `EventLog`."""
 
     def __init__(self, log: EventLog) -> None:
-        """Take errors only; the rest of what libraries log is dropped."""
+        """Log errors only; other records are dropped."""
         super().__init__(logging.ERROR)  # a refused or reset connection is logged by its link
         self.log = log
 
@@ -144,5 +153,5 @@
 
 
 def fault(error: BaseException) -> str:
-    """Type and text of an error, for the field `error`."""
+    """Return the type and the text of an error, for the field `error`."""
     return f"{type(error).__name__}: {error}"
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -14,31 +14,37 @@
 
 Address = tuple[str, int]
 
+BYTES_PER_MB = 1024 * 1024
+MAX_FLOW_LEVELS = 2
+MAX_FLOW_WEIGHT = 1e6
+MAX_PORT = 65535
+HEXADECIMAL = 16
+
 
 @dataclass(slots=True)
 class NodeConfiguration:
-    """Everything that a node is configured with."""
+    """The configuration of a node."""
 
     name: str
     listen: Address
     engine: Address
     lookup: Address
-    catalogue: Address | None  # the last tier has none
+    catalogue: Address | None  # None at the last tier
     seed: int
     resource_limits: ResourceLimits
     limits: NodeLimits
     gauges: list[str | None]
     groups: list[str]
     tenants: list[str]
-    readiness: bool  # the directory follows its health
+    readiness: bool  # whether the directory follows its health
     log_form: str  # console or json
-    control: str  # path of its control socket; empty: none
+    control: str  # path of the control socket; empty: none
     snapshot: str  # file that keeps fair shares across restarts; empty: none
-    generation: int  # set by whoever started it, reported on the control link
+    generation: int  # set by the agent, reported on the control link
 
 
 def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
-    """Read variables and file; raises LimitsError with one line that names what is wrong."""
+    """Read the environment variables and the file that they name. Raises LimitsError, with one line."""
     document = _read_document(variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set"))
     pairs = Pairs(flatten({name: value for name, value in document.items() if name != "settings"}))
     node = Pairs(flatten(document.get("settings") or {}))
@@ -54,7 +60,7 @@
             seed=_seed(document.get("seed", 0)),
             resource_limits=ResourceLimits(
                 sockets=int(pairs.needed_number("limits.sockets")),
-                memory=int(pairs.needed_number("limits.memory_mb") * 1024 * 1024),
+                memory=int(pairs.needed_number("limits.memory_mb") * BYTES_PER_MB),
                 stop_after=int(pairs.needed_number("stop_ms") * MS),
             ),
             limits=limits,
@@ -70,7 +76,7 @@
     except LimitsError:
         raise
     except (ValueError, OverflowError, AttributeError, TypeError, RecursionError) as error:
-        raise LimitsError(f"the configuration holds what can't be used: {error}") from None
+        raise LimitsError(f"the configuration has a malformed value: {error}") from None
 
 
 def _read_document(path: str) -> dict[str, Any]:
@@ -80,11 +86,14 @@
             document = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
         raise LimitsError(f"the configuration can't be read: {error}") from None
-    return document if isinstance(document, dict) else fail("the configuration is no JSON object")
+    return document if isinstance(document, dict) else fail("the configuration is not a JSON object")
 
 
 def _read_fair_sharing(path: str) -> tuple[FairSharingRules | None, str]:
-    """Read the fair-sharing rules from the file that an agent made of the operator's settings."""
+    """Read the fair-sharing rules from the file that the agent writes from the operators' settings.
+
+    Return them and the path of the snapshot; without rules, None and an empty path.
+    """
     if not path:
         return None, ""
     try:
@@ -93,8 +102,10 @@
         if document is None:
             return None, ""
         weights = {str(name).encode(): float(value) for name, value in document["weights"].items()}
-        if not 1 <= len(document["by"]) <= 2 or not all(0 < value < 1e6 for value in weights.values()):
-            fail("the operator's settings name no senders, or a weight that can't be")
+        if not 1 <= len(document["by"]) <= MAX_FLOW_LEVELS or not all(
+            0 < value < MAX_FLOW_WEIGHT for value in weights.values()
+        ):
+            fail(f"the operators' settings need 1 to {MAX_FLOW_LEVELS} levels of flows, and weights in range")
         return FairSharingRules(
             tuple(document["by"]),
             weights,
@@ -103,15 +114,16 @@
             int(document["half"]),
         ), str(document["snapshot"])
     except (OSError, KeyError, TypeError, ValueError) as error:
-        raise LimitsError(f"the operator's settings can't be used: {error}") from None
+        raise LimitsError(f"the operators' settings have a malformed value: {error}") from None
 
 
 def _address(text: str) -> Address:
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        fail(f"no address: {text}")
+    if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
+        fail(f"not an address of the form HOST:PORT: {text}")
     return host, int(port)
 
 
 def _seed(value: Any) -> int:
-    return int(value, 16) if isinstance(value, str) else int(value)
+    """Return the seed of the random draws; a string is hexadecimal."""
+    return int(value, HEXADECIMAL) if isinstance(value, str) else int(value)
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -2,18 +2,14 @@
 
 from __future__ import annotations
 
-import time
 from enum import Enum
-from hashlib import blake2b
 
 from oakkeel.admission.types import Outcome
+from oakkeel.cached_response import CachedResponse, CacheKey, body_digest
 from oakkeel.errors import OakkeelError
-from oakkeel.request import CacheKey, NodeRequest
-from oakkeel.request_events import SharedResponse
+from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import ResourceLimits
 
-DIGEST_BYTES = 16
-
 
 class NotADuplicateError(OakkeelError, RuntimeError):
     """A request is to share a response, but duplicates no other request: a defect of this program."""
@@ -27,67 +23,6 @@
     CACHE_FULL = "cache full"  # it must not run: its duplicates could not be recognized
 
 
-def body_digest(request: NodeRequest) -> bytes:
-    """Return the digest that distinguishes requests with one idempotency key."""
-    return blake2b(request.body, digest_size=DIGEST_BYTES).digest()
-
-
-class CachedResponse:
-    """The response of a request that may have duplicates, once its run is over."""
-
-    __slots__ = (
-        "at_most_once",
-        "digest",
-        "evict_at",
-        "expires_at",
-        "finished_at",
-        "followers",
-        "key",
-        "outcome",
-        "previous",
-        "result",
-    )
-
-    def __init__(
-        self, key: CacheKey, request: NodeRequest, now: int, duration: int, previous: CachedResponse | None
-    ) -> None:
-        """Make an entry that is valid for `duration` nanoseconds.
-
-        They count from the arrival at the machine for a request that runs at most once, and from now for a
-        read. `previous` is the entry that it replaces, kept until this request is known to have run.
-        """
-        self.key = key
-        self.at_most_once = request.request_class.at_most_once
-        self.expires_at = now + duration - (request.queueing_delay if self.at_most_once else 0)
-        # A duplicate that arrived before the expiry may be read later, until its client times out.
-        self.evict_at = self.expires_at + (request.request_class.client_timeout if self.at_most_once else 0)
-        self.digest = body_digest(request) if self.at_most_once else b""
-        self.outcome: Outcome | None = None
-        self.result = b""
-        self.finished_at = 0  # nanoseconds of the monotonic clock
-        self.followers: list[NodeRequest] = []
-        self.previous = previous
-
-    def add_follower(self, request: NodeRequest) -> None:
-        """Give the request this response, now or when it is there."""
-        if self.outcome is not None:
-            request.post(SharedResponse(self.outcome, self.result))
-        else:
-            self.followers.append(request)
-
-    def finish(self, outcome: Outcome, result: bytes) -> None:
-        """Set the outcome, and pass it to all followers; only the first call has an effect."""
-        if self.outcome is not None:
-            return
-        self.outcome = outcome
-        self.result = result
-        self.finished_at = time.monotonic_ns()
-        self.previous = None
-        for request in self.followers:
-            request.post(SharedResponse(outcome, result))
-        self.followers.clear()
-
-
 class ResponseCache:
     """Entries by request class, tenant and key; a later request replaces an expired one."""
 
@@ -128,12 +63,12 @@
 
         It must neither get the result of the other request nor run, which could be a second effect.
         """
-        original: CachedResponse | None = request.duplicate_of
-        return original is not None and original.at_most_once and original.digest != body_digest(request)
+        original = request.duplicate_of
+        return original is not None and original.at_most_once and original.digest != body_digest(request.body)
 
     def share(self, request: NodeRequest) -> None:
         """Give a duplicate the response of the request that `find` found, now or when it is there."""
-        original: CachedResponse | None = request.duplicate_of
+        original = request.duplicate_of
         if original is None:
             raise NotADuplicateError(f"the request {request.request_id!r} is no duplicate")
         original.add_follower(request)
@@ -158,7 +93,7 @@
             return  # its duplicates can't be recognized
         self.make_room(now)
         request.cache_entry = self.entries[request.cache_key] = CachedResponse(
-            request.cache_key, request, now, duration, self.entries.get(request.cache_key)
+            request.cache_key, request, request.body, now, duration, self.entries.get(request.cache_key)
         )
 
     def release(self, request: NodeRequest) -> None:
@@ -167,7 +102,7 @@
         The entry that it replaced is restored: that request may have run, and duplicates of it may still be
         unread, or have become followers of this one.
         """
-        entry: CachedResponse | None = request.cache_entry
+        entry = request.cache_entry
         if entry is None:
             return
         previous = entry.previous
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -1,11 +1,11 @@
 """The settings of a node, read into `NodeLimits`: from path=value text or from nested JSON.
 
-Unknown paths are skipped. What can't be read raises a `LimitsError` with one plain line.
+Unknown paths are skipped. A value that can't be parsed raises a `LimitsError` of one line.
 """
 
 from __future__ import annotations
 
-from typing import Any, NoReturn, TypeVar
+from typing import NoReturn, TypeVar
 
 from oakkeel.admission.types import (
     DownstreamKind,
@@ -42,7 +42,7 @@
 
 
 class LimitsError(OakkeelError, ValueError):
-    """The settings of a node can't be read, or lack what it needs."""
+    """The settings of a node can't be parsed, or lack a required value."""
 
 
 def fail(text: str) -> NoReturn:
@@ -50,7 +50,7 @@
     raise LimitsError(text)
 
 
-def flatten(value: Any, path: str = "") -> dict[str, str]:
+def flatten(value: object, path: str = "") -> dict[str, str]:
     """Return nested JSON as the paths of the text form: plain lists joined, lists of objects counted."""
     if isinstance(value, dict):
         inner = [(f"{path}.{name}" if path else str(name), item) for name, item in value.items()]
@@ -64,12 +64,14 @@
     return {name: text for prefix, item in inner for name, text in flatten(item, prefix).items()}
 
 
-def _scalar(value: Any) -> str:
-    return str(value).lower() if isinstance(value, bool) else "" if value is None else str(value)
+def _scalar(value: object) -> str:
+    if value is None:
+        return ""
+    return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 class Pairs:
-    """Settings by path; `get` tolerates an absent path, `need` does not."""
+    """Settings by path; `get` has a default for an absent path, `need` raises."""
 
     def __init__(self, values: dict[str, str]) -> None:
         """Take settings by path."""
@@ -77,27 +79,27 @@
 
     @classmethod
     def from_text(cls, text: str) -> Pairs:
-        """Read one path=value a line; other lines are skipped."""
+        """Parse lines of path=value; other lines are skipped."""
         return cls(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
     def get(self, path: str, default: str) -> str:
-        """Return a value, or the default where it is absent or empty."""
+        """Return a value, or the default if it is absent or empty."""
         return self.values.get(path) or default
 
     def need(self, path: str) -> str:
-        """Return a value; `LimitsError` where it is absent or empty."""
-        return self.values.get(path) or fail(f"settings lack {path}")
+        """Return a value. Raises `LimitsError` if it is absent or empty."""
+        return self.values.get(path) or fail(f"the settings lack {path}")
 
     def number(self, path: str, default: float = 0.0) -> float:
-        """Return a number, or the default where it is absent."""
+        """Return a number, or the default if it is absent."""
         return self._parse(path, self.get(path, str(default)))
 
     def time(self, path: str) -> int:
-        """Return nanoseconds, 0 where absent."""
+        """Return nanoseconds, 0 if absent."""
         return int(self.number(path))
 
     def needed_number(self, path: str) -> float:
-        """Return a number; `LimitsError` where it is absent."""
+        """Return a number. Raises `LimitsError` if it is absent."""
         return self._parse(path, self.need(path))
 
     def flag(self, path: str) -> bool:
@@ -105,24 +107,26 @@
         return self.get(path, "false") == "true"
 
     def entry(self, path: str, index: int, default: str) -> str:
-        """Return an entry of a comma-separated list, or the default where it is absent or empty."""
+        """Return an entry of a comma-separated list, or the default if it is absent or empty."""
         parts = self.get(path, "").split(",")
         return parts[index] if index < len(parts) and parts[index] else default
 
     def choice(self, path: str, known: dict[str, Choice], default: str) -> Choice:
-        """Return what a word stands for; `LimitsError` for an unknown one."""
+        """Return the value of a word in `known`. Raises `LimitsError` for another word."""
         word = self.get(path, default)
-        return known[word] if word in known else fail(f"settings hold an unknown word: {path}={word}")
+        if word not in known:
+            fail(f"the settings have an unknown value: {path}={word}, expected one of {', '.join(known)}")
+        return known[word]
 
     @staticmethod
     def _parse(path: str, value: str) -> float:
         try:
             return float(value)
         except ValueError:
-            fail(f"settings hold no number: {path}={value}")
+            fail(f"the settings have a value that is no number: {path}={value}")
 
     def gauges(self) -> list[str | None]:
-        """Return the fields of `Gauges` in the order in which their values come; None for one not read."""
+        """Return the fields of `Gauges` in the order of their values; None for a value that is not used."""
         return [GAUGES.get(name) for name in self.get("extra.gauges", "").split(",")]
 
     def names(self, path: str) -> list[str]:
--- a/oakkeel/request_events.py
+++ b/oakkeel/request_events.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class SkipCall:
-    """Let the run go on without the downstream call that it waits for."""
+    """Let the run continue without the downstream call that it waits for."""
 
 
 @dataclass(slots=True)
--- a/oakkeel/stream_buffers.py
+++ b/oakkeel/stream_buffers.py
@@ -13,7 +13,7 @@
 
 
 class MalformedInputError(OakkeelError):
-    """Bytes that the other side should not send; the message says why in a few words."""
+    """Bytes that violate the protocol; the message says how."""
 
 
 class BufferPool:
@@ -21,16 +21,17 @@
 
     def __init__(self, buffer_size: int, max_buffers: int) -> None:
         """Allocate nothing yet; the size is in bytes."""
-        self.buffer_size, self.unallocated = buffer_size, max_buffers
+        self.buffer_size = buffer_size
+        self.unallocated = max_buffers
         self.free: list[bytearray] = []
 
     @property
     def available(self) -> int:
-        """How many may still be leased."""
+        """The number of buffers that may still be leased."""
         return self.unallocated + len(self.free)
 
     def lease(self) -> bytearray:
-        """Take a buffer. Raises MemoryError where none is left."""
+        """Lease a buffer. Raises MemoryError if none is left."""
         if self.free:
             return self.free.pop()
         if not self.unallocated:
@@ -44,7 +45,7 @@
 
 
 class ReadBuffer:
-    """Bytes of one stream that are not parsed yet, in a leased buffer.
+    """The bytes of one stream that are not parsed yet, in a leased buffer.
 
     It is filled at `end` and consumed at `start`.
     """
@@ -52,8 +53,9 @@
     __slots__ = ("_pool", "buffer", "end", "start")
 
     def __init__(self, pool: BufferPool) -> None:
-        """Lease a buffer. Raises MemoryError where none is left."""
-        self._pool, self.buffer = pool, pool.lease()
+        """Lease a buffer. Raises MemoryError if none is left."""
+        self._pool = pool
+        self.buffer = pool.lease()
         self.start = self.end = 0
 
     @property
@@ -66,19 +68,20 @@
         self.start = self.end = 0
 
     def receive(self, connected: socket.socket) -> None:
-        """Receive what is there at once, of a socket that no stream reads yet. Raises OSError."""
+        """Receive without waiting from a socket that no stream reads yet. Raises OSError."""
         self.end += connected.recv_into(memoryview(self.buffer)[self.end :])
 
     async def fill(self, stream: IOStream) -> None:
-        """Wait for more bytes. What a parser left is moved to the front.
+        """Wait for more bytes; unparsed ones are moved to the front.
 
-        Raises StreamClosedError, and MalformedInputError where a full buffer holds no whole message.
+        Raises StreamClosedError, and MalformedInputError if a full buffer holds no complete message.
         """
         if self.start:
             self.buffer[: self.end - self.start] = self.buffer[self.start : self.end]
-            self.start, self.end = 0, self.end - self.start
+            self.end -= self.start
+            self.start = 0
         if self.end == len(self.buffer):
-            raise MalformedInputError(f"longer than {self.end} bytes")
+            raise MalformedInputError(f"a message of more than {self.end} bytes")
         free = memoryview(self.buffer)[self.end :]
         count = await stream.read_into(free, partial=True)  # type: ignore[arg-type]  # any buffer will do
         self.end += stream.count_delivered(count) if isinstance(stream, HalfClosingStream) else count
@@ -89,11 +92,10 @@
 
 
 class HalfClosingStream(IOStream):
-    """A stream whose other side may shut down its half and still read ours.
+    """A stream whose other side may shut down its direction and still read ours.
 
-    An IOStream closes both ways at the end of its input, and loses what is still to be written. Here that
-    end is read as one byte more than was received, which `count_delivered` subtracts; nothing may be read
-    after it.
+    An IOStream closes both directions at the end of its input, and loses unwritten data. Here the end is
+    read as one byte more than was received, which `count_delivered` subtracts; nothing may be read after it.
     """
 
     undelivered = 0  # bytes received and not delivered yet
@@ -108,9 +110,9 @@
         return count
 
     def close(self, exc_info: Any = False) -> None:
-        """Close both ways; `error` keeps no traceback.
+        """Close both directions; `error` keeps no traceback.
 
-        Its frames hold the stream and the buffer, and such a cycle stayed in memory until the collector ran.
+        Its frames refer to the stream and the buffer, a cycle that only the garbage collector frees.
         """
         super().close(exc_info)
         if self.error is not None:
@@ -125,14 +127,14 @@
 
 
 def readable(connected: socket.socket) -> bool:
-    """Whether bytes or an end wait in the kernel: they may have come since the event loop last polled."""
+    """Return whether bytes or an end wait in the kernel, perhaps since the event loop last polled."""
     poll = select.poll()
     poll.register(connected, select.POLLIN)
     return bool(poll.poll(0))
 
 
 async def connect(stream: IOStream, address: tuple[str, int]) -> None:
-    """Connect a stream. Raises StreamClosedError where it can't, or the stream was closed meanwhile."""
+    """Connect a stream. Raises StreamClosedError if it can't, or the stream was closed meanwhile."""
     await stream.connect(address)
     if stream.closed():  # since it was connected
         raise StreamClosedError
@@ -140,11 +142,11 @@
 
 
 def send(stream: IOStream, data: bytes) -> asyncio.Future[None] | None:
-    """Write at once what can be; return None where the stream is closed, which its reader reports."""
+    """Write as much as possible at once; return None if the stream is closed, which its reader reports."""
     try:
         written = stream.write(data)
     except StreamBufferFullError:
-        stream.close()  # the other side has long ceased to read
+        stream.close()  # the other side does not read
         return None
     except StreamClosedError:
         return None
@@ -154,4 +156,4 @@
 
 def _retrieve_exception(written: asyncio.Future[None]) -> None:
     if not written.cancelled():
-        written.exception()  # or asyncio would report that it was never retrieved
+        written.exception()  # otherwise asyncio reports that it was never retrieved
