--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oakkeel.agent.orders import Verb
+from oakkeel.agent.instances import Verb
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import OPEN_STATES
 from oakkeel.emulator.simulated_host import SimulatedHost
