--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -12,7 +12,7 @@
 from oakkeel.agent.reconciler import Reconciler
 from oakkeel.agent.supervision_rules import Action, SupervisionTimeouts
 from oakkeel.agent.supervisor import Step, Supervisor
-from oakkeel.disruption.holder import PermitHolder
+from oakkeel.disruption.holder import PermitHolder, StoredPermit
 from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.emulator.simulated_machine import SimulatedMachine
 from oakkeel.emulator.simulated_processes import SimulatedProcesses
@@ -33,7 +33,7 @@
 class AgentDisk:
     """What an agent has on disk."""
 
-    permits: list[tuple[str, int, str, bool]] = field(default_factory=list)
+    permits: list[StoredPermit] = field(default_factory=list)
     epoch: str = ""
     generations: dict[str, int] = field(default_factory=dict)
     orders: bytes = b""  # with the instances that they are for
@@ -164,7 +164,7 @@
         for target, fence in permit_holder.highest_tokens.items():
             permit = permit_holder.permits.get(target)
             begun = bool(permit and permit.started)
-            disk.permits.append((target, fence, permit.order_id if permit else "", begun))
+            disk.permits.append(StoredPermit(target, fence, permit.order_id if permit else "", begun))
         permit_holder.changed.clear()
         self.orders.changed.clear()
         self._save_orders()
--- a/oakkeel/emulator/world.py
+++ b/oakkeel/emulator/world.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.disruption.timeouts import PermitTimeouts
 from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.emulator.clock import Clock
 from oakkeel.emulator.faults import Schedule
@@ -13,7 +13,7 @@
 from oakkeel.units import SECOND
 
 PERMIT_TIMEOUTS = PermitTimeouts()
-OBSERVATION_TIME_NS = PERMIT_TIMEOUTS.expiry + PERMIT_TIMEOUTS.agent_silence + 2 * SECOND
+OBSERVATION_TIME_NS = PERMIT_TIMEOUTS.expiry_ns + PERMIT_TIMEOUTS.max_agent_silence_ns + 2 * SECOND
 
 
 class World:
