--- a/oakkeel/policy_change/__init__.py
+++ b/oakkeel/policy_change/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of a fleet's policy that take hold everywhere or nowhere. Free of I/O."""
+"""Atomic changes of a fleet's policy: a version is in force on all hosts, or on none. Free of I/O."""
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -1,9 +1,9 @@
-"""The leader's part of a policy change: it is made ready on all hosts, decided, and known to be in force.
+"""The leader's part of a policy change: hosts prepare a version, it is decided, then in force. Free of I/O.
 
-An agent is given the decided version with a time for which it may use it, counted by its own clock from
-when it asked. From the decision on no earlier version is given. So no node goes by an earlier one after the
-longest such time, by any clock within the drift, whoever gave it and whatever became of it since: that is
-when the change is in force at the latest. It is sooner where every host has shown to go by it. Free of I/O.
+An agent is assigned the decided version with a lease, whose time counts by the agent's clock from when it
+sent its heartbeat. After the decision no earlier version is assigned. So no node uses an earlier version once
+the longest lease has expired, by any clock within the drift, whichever leader assigned it: by then the change
+is in force. It is in force earlier if all hosts have reported that they use it.
 """
 
 from __future__ import annotations
@@ -22,55 +22,57 @@
 )
 from oakkeel.units import SECOND
 
-LEASE = 3 * SECOND
-LOST = 5 * SECOND  # a host that is not heard for so long is not waited for: it has no lease by then
+POLICY_LEASE_NS = 3 * SECOND
+HOST_TIMEOUT_NS = 5 * SECOND  # longer than the lease, so that a silent host has none any more
 
 
 class PolicyReport(msgspec.Struct, array_like=True):
-    """What an agent reports with its heartbeat."""
+    """The policy versions of an agent, reported with its heartbeat."""
 
-    number: int  # under which every node of it decides by now, and no other
-    held_version: int = 0  # the version whose content it has
-    ready_version: int = 0  # of a proposed version that all its nodes could take
+    number: int  # the lowest version that a node of the agent uses; -1: one has not reported yet
+    held_version: int = 0  # the version whose content the agent has
+    ready_version: int = 0  # the proposed version that all its nodes accept; 0: none
     refused_version: int = 0
     reason: str = ""
 
 
 class PolicyAssignment(msgspec.Struct, array_like=True):
-    """What an agent is assigned in response."""
+    """The response to an agent: the decided version with its lease, and the proposed version."""
 
     number: int
-    valid_for: int  # nanoseconds, from when the poll was sent
-    content: bytes = b""  # where it does not go by that yet
+    valid_for: int  # nanoseconds, from when the heartbeat was sent
+    content: bytes = b""  # empty if the agent has it
     proposed_number: int = 0
-    proposed_content: bytes = b""  # content of that, where it is not ready yet
+    proposed_content: bytes = b""  # empty if the agent is ready
 
 
 @dataclass(slots=True)
 class HostProgress:
-    """What one host reported last."""
+    """The last report of one host."""
 
-    reported_at: int
+    reported_at: int  # nanoseconds of the leader's clock, the earliest possible time
     number: int
     ready_version: int
 
 
 class PolicyCoordinator:
-    """Made when a leader begins, dropped when it ends. Calls return commands to propose."""
+    """Coordinates policy changes for one term of a leader. Calls return the commands to propose."""
 
     def __init__(
         self, now: int, state_machine: PolicyStateMachine, hosts: tuple[str, ...], timeouts: PermitTimeouts
     ) -> None:
-        """It waits for all of `hosts`."""
-        self.state_machine, self.hosts, self.timeouts = state_machine, hosts, timeouts
+        """Start at `now`, in nanoseconds of the leader's clock; a version needs all of `hosts`."""
+        self.state_machine = state_machine
+        self.hosts = hosts
+        self.timeouts = timeouts
         self.started_at = now
         self.progress: dict[str, HostProgress] = {}
-        self.decided_since: dict[int, int] = {}  # since when we tell of no earlier one, by number
-        self.offered_since: dict[int, int] = {}
+        self.decided_since: dict[int, int] = {}  # by number: from then on no earlier version was assigned
+        self.offered_since: dict[int, int] = {}  # by number: when this leader first proposed it to hosts
         self.pending: set[bytes] = set()
 
     def receive_report(self, now: int, host: str, report: PolicyReport, alive_at: int) -> list[PolicyCommand]:
-        """Take in a report, known to have been made after `alive_at` by our clock."""
+        """Record a report that was sent after `alive_at`, by the leader's clock."""
         if host not in self.hosts:
             return []
         known = self.progress.get(host)
@@ -82,11 +84,12 @@
         return []
 
     def assign(self, now: int, host: str, report: PolicyReport) -> PolicyAssignment:
-        """Return the assignment of a host. To be given only while the leader's lease holds."""
-        state, proposed = self.state_machine.state, self.state_machine.proposed
+        """Return the assignment of a host. The caller sends it only while the leader's lease is valid."""
+        state = self.state_machine.state
+        proposed = self.state_machine.proposed
         current = state.policies.get(state.decided)
         content = current.content if current and report.held_version != state.decided else b""
-        assignment = PolicyAssignment(state.decided, LEASE, content)
+        assignment = PolicyAssignment(state.decided, POLICY_LEASE_NS, content)
         if proposed:
             assignment.proposed_number = proposed.number
             if report.ready_version != proposed.number:
@@ -94,36 +97,44 @@
         return assignment
 
     def tick(self, now: int) -> list[PolicyCommand]:
-        """Return what to commit, and what to mark as in force."""
-        state, proposed = self.state_machine.state, self.state_machine.proposed
+        """Return the commands that commit the proposed version, and mark the decided one as in force."""
+        state = self.state_machine.state
+        proposed = self.state_machine.proposed
         wanted: list[PolicyCommand] = []
         if proposed:
             offered_at = self.offered_since.setdefault(proposed.number, now)
-            missing = [host for host in self.hosts if not self._ready(now, host, proposed.number, offered_at)]
-            if not missing:
+            if all(self._is_ready(now, host, proposed.number, offered_at) for host in self.hosts):
                 wanted.append(CommitPolicy(proposed.number))
         current = state.policies.get(state.decided)
         if current and current.state == "decided":
             since = self.decided_since.setdefault(current.number, now)
-            if now - since > self.timeouts.upper_bound(LEASE) or all(
-                (known := self.progress.get(host))
-                and known.number >= current.number
-                and known.reported_at >= since
-                for host in self.hosts
-            ):
+            if self._is_in_force(now, current.number, since):
                 wanted.append(MarkInForce(current.number))
         return self._deduplicate(wanted)
 
-    def _ready(self, now: int, host: str, number: int, offered_at: int) -> bool:
-        """Return whether a host has it, or is not there.
+    def _is_in_force(self, now: int, number: int, since: int) -> bool:
+        """Return whether no request is decided under an earlier version any more.
+
+        That is so once all leases of earlier versions, assigned before `since`, have expired, or once all
+        hosts have reported the version.
+        """
+        if now - since > self.timeouts.upper_bound(POLICY_LEASE_NS):
+            return True
+        return all(
+            (known := self.progress.get(host)) and known.number >= number and known.reported_at >= since
+            for host in self.hosts
+        )
+
+    def _is_ready(self, now: int, host: str, number: int, offered_at: int) -> bool:
+        """Return whether a host is ready for a version, or silent for longer than its lease.
 
-        One that is not there has no lease, and learns the version before it serves.
+        A silent host does not block a change: it has no lease, and gets the version before it serves again.
         """
         known = self.progress.get(host)
         if known and known.ready_version == number:
             return True
         last_seen_at = max(self.started_at, offered_at, known.reported_at if known else 0)
-        return now - last_seen_at > self.timeouts.upper_bound(LOST)
+        return now - last_seen_at > self.timeouts.upper_bound(HOST_TIMEOUT_NS)
 
     def _deduplicate(self, wanted: list[PolicyCommand]) -> list[PolicyCommand]:
         new = [command for command in wanted if msgspec.msgpack.encode(command) not in self.pending]
@@ -131,5 +142,5 @@
         return new
 
     def lost(self, command: PolicyCommand) -> None:
-        """Forget a command that will never be committed."""
+        """Handle a command that was not committed: it may be proposed again."""
         self.pending.discard(msgspec.msgpack.encode(command))
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -4,8 +4,8 @@
         │          └──────────────────────^
         └─> refused, withdrawn
 
-What is decided stays decided; only a later version takes it back. Of a decision and a withdrawal that cross,
-the one that comes first in the log holds.
+A decided version stays decided until a later one replaces it. If a decision and a withdrawal are proposed at
+the same time, the first in the log is applied and the other rejected.
 """
 
 from __future__ import annotations
@@ -19,6 +19,9 @@
 
 MAX_POLICY_BYTES = 64 * 1024  # of one version
 MAX_VERSIONS = 64
+DIGEST_LENGTH = 32  # hexadecimal digits
+MAX_REASON_LENGTH = 500
+MAX_REFUSAL_LENGTH = 300
 TRANSITIONS = {
     "proposed": {"decided", "refused", "withdrawn"},
     "decided": {"in force", "overtaken"},
@@ -30,7 +33,7 @@
 
 
 class ProposePolicy(msgspec.Struct, tag="propose", array_like=True):
-    """Propose a new version, made of the one that its maker saw."""
+    """Propose a new version, based on the decided version that the operator edited."""
 
     change_id: str
     operator: str
@@ -41,14 +44,14 @@
 
 
 class WithdrawPolicy(msgspec.Struct, tag="withdraw", array_like=True):
-    """Withdraw a version that is proposed."""
+    """Withdraw a proposed version."""
 
     number: int
     operator: str
 
 
 class RejectPolicy(msgspec.Struct, tag="refuse", array_like=True):
-    """End a proposal that a host can't take."""
+    """Reject a proposed version that a host does not accept."""
 
     number: int
     host: str
@@ -56,7 +59,7 @@
 
 
 class CommitPolicy(msgspec.Struct, tag="decide", array_like=True):
-    """Decide a version that all hosts have ready: from now on nobody is given an earlier one."""
+    """Decide a version that all hosts are ready for: no earlier version is assigned after it."""
 
     number: int
 
@@ -71,7 +74,7 @@
 
 
 class PolicyVersion(msgspec.Struct, array_like=True):
-    """One version. `PolicyStateMachine._move_version` alone changes its state."""
+    """One version. Only `PolicyStateMachine._move_version` changes its state."""
 
     number: int
     change_id: str
@@ -88,41 +91,47 @@
     """The state of the control plane with the versions of the policy."""
 
     policies: dict[int, PolicyVersion] = msgspec.field(default_factory=dict)
-    decided: int = 0  # number of the latest that was; 0: none, as the settings of each host say
+    decided: int = 0  # number of the latest decided version; 0: none, the settings of each host apply
 
 
 class PolicyStateMachine(RolloutStateMachine):
-    """Applies commands of policy changes, and all others as its base does."""
+    """Applies commands of policy changes; its base applies all others."""
 
     state: PolicyState
     STATE = PolicyState
 
     @property
     def proposed(self) -> PolicyVersion | None:
-        """Return the version that is proposed; there is one at most."""
+        """Return the proposed version, if any; there is at most one."""
         versions = self.state.policies.values()
         return next((version for version in versions if version.state == "proposed"), None)
 
     def _propose(self, index: int, command: ProposePolicy) -> object:
         state = self.state
-        digest = blake3.blake3(command.content).hexdigest()[:32]
+        digest = blake3.blake3(command.content).hexdigest()[:DIGEST_LENGTH]
         for known in state.policies.values():
             if known.change_id == command.change_id:
                 same = (known.operator, known.digest) == (command.operator, digest)
-                return known if same else Rejection(f"that id is of another change, by {known.operator}")
+                return (
+                    known
+                    if same
+                    else Rejection(f"the ID belongs to another change, proposed by {known.operator}")
+                )
         if other := self.proposed:
             return Rejection(f"{other.operator}'s change {other.number} is proposed: it has to end first")
         latest = max(state.policies, default=0)
         if command.based_on != state.decided:
-            return Rejection(f"version {state.decided} is decided, and this was made of {command.based_on}")
+            return Rejection(
+                f"version {state.decided} is decided, and the proposal is based on {command.based_on}"
+            )
         if not command.change_id or not 0 < len(command.content) <= MAX_POLICY_BYTES:
-            return Rejection(f"no id, or not 1 to {MAX_POLICY_BYTES} bytes")
+            return Rejection(f"a change needs an ID and 1 to {MAX_POLICY_BYTES} bytes of content")
         policy = PolicyVersion(
             latest + 1,
             command.change_id,
             command.operator,
             command.created_at,
-            command.reason[:500],
+            command.reason[:MAX_REASON_LENGTH],
             digest,
             command.content,
         )
@@ -136,12 +145,15 @@
         return self._move_version(command.number, "withdrawn", f"by {command.operator}")
 
     def _refuse(self, index: int, command: RejectPolicy) -> object:
-        return self._move_version(command.number, "refused", f"{command.host}: {command.reason[:300]}")
+        return self._move_version(
+            command.number, "refused", f"{command.host}: {command.reason[:MAX_REFUSAL_LENGTH]}"
+        )
 
     def _decide(self, index: int, command: CommitPolicy) -> object:
         result = self._move_version(command.number, "decided", "")
         if isinstance(result, PolicyVersion):
-            before, self.state.decided = self.state.decided, command.number
+            before = self.state.decided
+            self.state.decided = command.number
             if before:
                 self._move_version(before, "overtaken", f"by version {command.number}")
         return result
@@ -150,13 +162,14 @@
         return self._move_version(command.number, "in force", "")
 
     def _move_version(self, number: int, state: str, why: str) -> PolicyVersion | Rejection:
-        """Change the state of a version; nothing else does."""
+        """Change the state of a version, if the transition is allowed; nothing else changes it."""
         policy = self.state.policies.get(number)
         if policy is None:
             return Rejection(f"there is no version {number}")
         if state not in TRANSITIONS[policy.state]:
             return Rejection(f"version {number} is {policy.state}")
-        policy.state, policy.state_reason = state, why
+        policy.state = state
+        policy.state_reason = why
         return policy
 
     COMMANDS = CommandRegistry(
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -9,7 +9,12 @@
 from oakkeel.emulator.policy_change import PolicyHost, PolicySimulation
 from oakkeel.invariants.policy_change import PolicyChangeAudit
 from oakkeel.models import policy_change as model
-from oakkeel.policy_change.coordinator import LEASE, PolicyAssignment, PolicyCoordinator, PolicyReport
+from oakkeel.policy_change.coordinator import (
+    POLICY_LEASE_NS,
+    PolicyAssignment,
+    PolicyCoordinator,
+    PolicyReport,
+)
 from oakkeel.policy_change.policy_lease import AgentPolicyLease, LeaseStatus, NodePolicyLease
 from oakkeel.policy_change.state_machine import (
     CommitPolicy,
@@ -43,7 +48,7 @@
         self.assertIn("another change", self.propose(content=b"<other/>").reason)
         self.assertIn("asha's change 1", self.propose("c2").reason)
         self.apply(CommitPolicy(1))
-        self.assertIn("made of 0", self.propose("c2").reason)
+        self.assertIn("based on 0", self.propose("c2").reason)
         self.assertEqual(self.propose("c2", 1).number, 2)
 
     def test_of_a_commit_and_a_withdrawal_that_cross_the_first_holds(self):
@@ -141,9 +146,9 @@
         self.report(SECOND, "h2", ready_version=1)
         self.apply(*self.leader.tick(SECOND))
         self.report(2 * SECOND, "h1", number=1, held_version=1)
-        self.apply(*self.leader.tick(SECOND + LEASE))
+        self.apply(*self.leader.tick(SECOND + POLICY_LEASE_NS))
         self.assertEqual(self.state(), "decided")
-        self.apply(*self.leader.tick(SECOND + PermitTimeouts().upper_bound(LEASE) + 2))
+        self.apply(*self.leader.tick(SECOND + PermitTimeouts().upper_bound(POLICY_LEASE_NS) + 2))
         self.assertEqual(self.state(), "in force")
 
     def test_new_leader_waits_a_whole_lease_again(self):
@@ -151,7 +156,7 @@
         self.report(SECOND, "h2", ready_version=1)
         self.leader = PolicyCoordinator(3 * SECOND, self.state_machine, ("h1", "h2"), PermitTimeouts())
         self.apply(*self.leader.tick(3 * SECOND))
-        self.apply(*self.leader.tick(3 * SECOND + LEASE))
+        self.apply(*self.leader.tick(3 * SECOND + POLICY_LEASE_NS))
         self.assertEqual(self.state(), "decided")
 
     def test_any_refusal_ends_a_version_by_name_and_a_host_that_is_down_does_not_block_it(self):
