--- a/oakkeel/fleet/__init__.py
+++ b/oakkeel/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""One place that asks and orders many agents: whom to ask again, what to believe, whom an order means."""
+"""The client of all agents of a fleet: retries, the last known status, and the tracking of orders."""
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -1,4 +1,4 @@
-"""Requests to the agents of a fleet over their sockets; `FanOut` and `LeaderDiscovery` decide whom to ask."""
+"""Requests to the agents of a fleet over sockets, as `FanOut` and `LeaderDiscovery` decide."""
 
 from __future__ import annotations
 
@@ -20,17 +20,21 @@
 from oakkeel.settings.types import Fleet, SettingsError
 from oakkeel.units import SECOND
 
-AgentError, AgentRejectedError = LinkError, AuthenticationRejectedError
+AgentError = LinkError
+AgentRejectedError = AuthenticationRejectedError
 OnResponse = Callable[[str, int, messages.Response], None]
-LEADER_DEADLINES = 3  # deadlines of one request that finding the leader may take
+MAX_LEADER_SEARCH_DEADLINES = 3  # in deadlines of one request
+SEED_BITS = 63
+NO_LEADER_TEXT = "no reachable agent leads the control plane"
+UNEXPECTED_RESPONSE = "the agent sent an unexpected response"
 
 
 class NoLeaderError(OakkeelError, OSError):
-    """No agent within reach leads the control plane; `reasons` has what each host answered."""
+    """No reachable agent leads the control plane; `reasons` has the failure or response of each host."""
 
     def __init__(self, reasons: dict[str, str]) -> None:
-        """Keep the reasons by host."""
-        super().__init__("no agent that we reach leads the record")
+        """Store the reasons, by host."""
+        super().__init__(NO_LEADER_TEXT)
         self.reasons = reasons
 
 
@@ -46,7 +50,7 @@
 
 
 class FanOutRequest:
-    """One fan-out in progress: its connections, and the responses that came so far."""
+    """One fan-out in progress: its connections, and the responses so far."""
 
     def __init__(self, clients: AgentClients, requests: dict[str, messages.Request], fan_out: FanOut) -> None:
         """Prepare to send each host its request."""
@@ -59,7 +63,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Send and retry until the fan-out is finished; no connection is left open."""
+        """Send and retry until the fan-out is finished; close all connections."""
         try:
             while not self.fan_out.finished:
                 now = time.monotonic_ns()
@@ -95,8 +99,9 @@
     """All agents of a fleet, as a client with one operator's key."""
 
     def __init__(self, fleet: Fleet, key: Key) -> None:
-        """Use the addresses of the settings and this key."""
-        self.fleet, self.key = fleet, key
+        """Use the addresses of the settings, and this key."""
+        self.fleet = fleet
+        self.key = key
 
     async def request(self, host: str, request: messages.Request) -> messages.Response:
         """Send one request to the agent of a host. Raises AgentError."""
@@ -108,36 +113,36 @@
         deadline: int = 0,
         on_response: OnResponse | None = None,
     ) -> tuple[dict[str, messages.Response], dict[str, str]]:
-        """Send each host its request; return the responses, and why the other hosts gave none.
+        """Send each host its request; return the responses, and the failures, by host.
 
-        `deadline` in nanoseconds, 0 for that of the settings; `on_response` is called with the host, when its
-        request was sent, and the response.
+        `deadline` in nanoseconds, 0 for that of the settings; `on_response` is called with the host, the time
+        at which its request was sent, and the response.
         """
         settings = self.fleet.client
         policy = FanOutPolicy(deadline or settings.deadline, settings.hedge, settings.tries)
-        fan_out = FanOut(time.monotonic_ns(), requests, policy, secrets.randbits(63))
+        fan_out = FanOut(time.monotonic_ns(), requests, policy, secrets.randbits(SEED_BITS))
         in_progress = FanOutRequest(self, requests, fan_out)
         in_progress.on_response = on_response
         await in_progress.run()
-        silent = {
+        failures = {
             name: failure_text(target)
             for name, target in fan_out.targets.items()
             if target.state is not TargetState.ANSWERED
         }
-        return in_progress.responses, silent
+        return in_progress.responses, failures
 
     async def request_leader(self, request: messages.Request, deadline: int = 0) -> messages.Response:
         """Send a request to the leader of the control plane. Raises NoLeaderError.
 
-        `deadline` in nanoseconds, 0 for some deadlines of the settings.
+        `deadline` in nanoseconds, 0 for a few times that of the settings.
         """
         if self.fleet.control_plane is None:
-            raise SettingsError(f"{self.fleet.path}: the fleet has no keepers, so nobody leads")
+            raise SettingsError(f"{self.fleet.path}: the fleet has no replicas (`keepers`), so no leader")
         voters = self.fleet.control_plane.hosts
         others = [host.name for host in self.fleet.hosts if host.name not in voters]
         per_request = self.fleet.client.deadline
         search = LeaderDiscovery(
-            time.monotonic_ns(), [*voters, *others], deadline or LEADER_DEADLINES * per_request
+            time.monotonic_ns(), [*voters, *others], deadline or MAX_LEADER_SEARCH_DEADLINES * per_request
         )
         while search.state is SearchState.SEARCHING:
             now = time.monotonic_ns()
@@ -159,22 +164,22 @@
         raise NoLeaderError(search.reasons)
 
     async def refresh(self, view: FleetView, hosts: list[str] | None = None, deadline: int = 0) -> None:
-        """Bring a view up to date, as far as agents answer. `deadline` in nanoseconds."""
+        """Update a view with the status of these hosts, or of all. `deadline` as for `request_each`."""
         names = hosts if hosts is not None else [host.name for host in self.fleet.hosts]
 
         def update(name: str, sent_at: int, response: messages.Response) -> None:
             if isinstance(response, messages.HostStatus):
                 view.update(name, sent_at, response)
             else:
-                view.no_response(name, getattr(response, "why", "an answer to another question"))
+                view.no_response(name, getattr(response, "why", UNEXPECTED_RESPONSE))
 
         view.clock_offset = time.time_ns() - time.monotonic_ns()
         requests: dict[str, messages.Request] = {name: messages.HostStatusRequest() for name in names}
-        _, silent = await self.request_each(requests, deadline, update)
-        for name, reason in silent.items():
+        _, failures = await self.request_each(requests, deadline, update)
+        for name, reason in failures.items():
             view.no_response(name, reason)
 
 
 def failure_text(target: Target) -> str:
-    """Return in one line why a target gave no response."""
+    """Return in one line why a request to a target failed."""
     return f"{target.state.value}: {target.reason}" if target.reason else target.state.value
--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -1,8 +1,8 @@
-"""One request to many agents: whom to send it to, whom to try again, and when to stop. Free of I/O.
+"""One request to many agents: when to send, retry or hedge it, and when to stop. Free of I/O.
 
-Every request may be sent twice: one that reads changes nothing, and an order carries an ID by which its agent
-recognises it. Retries and hedged requests share one budget over all targets, so that agents that are slow
-together are not sent twice as much for it.
+Every request is idempotent: a read changes nothing, and an order has an ID by which its agent recognises it.
+Retries and hedged requests share one budget over all targets, so that agents that are slow together do not
+get twice the requests.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from oakkeel.backoff import with_jitter
 from oakkeel.errors import InvalidTransitionError
 
-DEFAULT_RETRY_SHARE = 0.2
-DEFAULT_MIN_RETRIES = 3
+DEFAULT_RETRY_BUDGET_RATIO = 0.2
+DEFAULT_MIN_RETRY_BUDGET = 3
 
 
 class TargetState(Enum):
-    """The state of the request to one agent; `FanOut._move` alone changes it."""
+    """The state of the request to one agent, as messages name it. Only `FanOut._move` changes it."""
 
-    SENT = "asked"
-    RETRIED = "asked again"  # more than once, none has failed yet
-    BACKING_OFF = "to be asked again"  # all that were sent have failed
+    SENT = "sent"
+    RETRIED = "sent again"  # a retry or a hedged request is in flight
+    BACKING_OFF = "to be sent again"  # all attempts so far have failed
     ANSWERED = "answered"
-    REJECTED = "refused"  # the agent takes nothing from us: another try is of no use
-    FAILED = "failed"  # no try left, or no budget for another
-    TIMED_OUT = "did not answer"  # the deadline came first
+    REJECTED = "rejected"  # the agent does not accept this client: a retry can't succeed
+    FAILED = "failed"  # no attempt left, or no retry budget
+    TIMED_OUT = "did not answer"  # before the deadline
 
 
 TRANSITIONS = {
@@ -60,11 +60,29 @@
 class FanOutPolicy:
     """Limits of one fan-out. Times in nanoseconds."""
 
-    deadline: int  # for all of it
-    hedge: int  # without an answer for so long, a second request is sent
-    tries: int  # for each target
-    retry_share: float = DEFAULT_RETRY_SHARE  # of the targets: requests beyond the first of each
-    min_retries: int = DEFAULT_MIN_RETRIES  # allowed however few targets there are
+    deadline: int  # after the start, for all targets
+    hedge_delay: int  # a request without a response for so long is sent a second time
+    max_attempts: int  # for each target
+    retry_budget_ratio: float = DEFAULT_RETRY_BUDGET_RATIO  # of the number of targets
+    min_retry_budget: int = DEFAULT_MIN_RETRY_BUDGET  # for few targets
+
+
+def retry_budget(targets: int, policy: FanOutPolicy) -> int:
+    """Return how many requests may be sent beyond the first to each of `targets`.
+
+    A budget for all of them keeps agents that are slow together from getting twice the requests.
+    """
+    return max(policy.min_retry_budget, int(policy.retry_budget_ratio * targets))
+
+
+class Action(Enum):
+    """What to do for one target now."""
+
+    WAIT = "wait"
+    SEND = "send"
+    RETRY = "retry"  # or hedge
+    TIME_OUT = "time out"
+    GIVE_UP = "give up"
 
 
 @dataclass(slots=True, eq=False)
@@ -74,7 +92,7 @@
     name: str
     state: TargetState = TargetState.SENT
     sent: int = 0
-    in_flight: int = 0  # tries that may still be answered
+    in_flight: int = 0  # attempts that may still be answered
     retry_at: int = 0  # monotonic nanoseconds
     reason: str = ""
 
@@ -90,8 +108,8 @@
         self.targets = {name: Target(name) for name in names}
         self.policy = policy
         self.deadline = now + policy.deadline
-        self.max_tries = max(1, policy.tries)
-        self.retries_left = max(policy.min_retries, int(policy.retry_share * len(self.targets)))
+        self.max_attempts = max(1, policy.max_attempts)
+        self.retries_left = retry_budget(len(self.targets), policy)
         self.random = Random(seed).random
 
     @property
@@ -105,30 +123,51 @@
         for target in self.targets.values():
             if target.state in FINAL_STATES:
                 continue
-            if now >= self.deadline:
+            action = self._decide(now, target)
+            if action is Action.TIME_OUT:
                 self._move(target, TargetState.TIMED_OUT)
-            elif not target.sent:
+            elif action is Action.SEND:
                 names.append(self._send(now, target))
-            elif now >= target.retry_at and target.sent < self.max_tries and self.retries_left:
+            elif action is Action.RETRY:
                 self.retries_left -= 1
                 if target.state is not TargetState.RETRIED:
                     self._move(target, TargetState.RETRIED)
                 names.append(self._send(now, target))
-            elif target.state is TargetState.BACKING_OFF and not self.retries_left:
+            elif action is Action.GIVE_UP:
                 self._move(target, TargetState.FAILED)
         return names
 
+    def _decide(self, now: int, target: Target) -> Action:
+        """Return what to do for a target that has no final state; `now` is monotonic nanoseconds.
+
+        A retry after a failure and a hedged request without a response follow one rule: the time of the
+        target's next attempt has come, and it may have another.
+        """
+        if now >= self.deadline:
+            return Action.TIME_OUT
+        if not target.sent:
+            return Action.SEND
+        if now >= target.retry_at and self._may_retry(target):
+            return Action.RETRY
+        if target.state is TargetState.BACKING_OFF and not self.retries_left:
+            return Action.GIVE_UP
+        return Action.WAIT
+
+    def _may_retry(self, target: Target) -> bool:
+        """Return whether a target has an attempt left, and the budget a retry."""
+        return target.sent < self.max_attempts and self.retries_left > 0
+
     def next_at(self) -> int:
-        """Return when `tick` has something to do, should nothing happen before."""
+        """Return when to call `tick` next, unless a response comes before; monotonic nanoseconds."""
         retries = [
             target.retry_at
             for target in self.targets.values()
-            if target.state not in FINAL_STATES and target.sent < self.max_tries and self.retries_left
+            if target.state not in FINAL_STATES and self._may_retry(target)
         ]
         return min([self.deadline, *retries])
 
     def answered(self, now: int, name: str) -> bool:
-        """Take a response; return whether it is the first. One after the end is too late to count."""
+        """Record a response; return whether it counts: it is the first, and came before the deadline."""
         target = self.targets[name]
         target.in_flight -= 1
         if target.state in FINAL_STATES:
@@ -137,7 +176,7 @@
         return True
 
     def rejected(self, now: int, name: str, reason: str) -> None:
-        """Take note that the agent accepts nothing from this client."""
+        """Record that the agent does not accept this client."""
         target = self.targets[name]
         target.in_flight -= 1
         if target.state not in FINAL_STATES:
@@ -145,7 +184,7 @@
             self._move(target, TargetState.REJECTED)
 
     def failed(self, now: int, name: str, reason: str) -> None:
-        """Take note that one try failed; others to the same agent may still be in flight."""
+        """Record that one attempt failed; others to the same agent may still be in flight."""
         target = self.targets[name]
         target.in_flight -= 1
         if target.state in FINAL_STATES:
@@ -153,16 +192,16 @@
         target.reason = reason
         if target.in_flight:
             return
-        if target.sent >= self.max_tries:
+        if target.sent >= self.max_attempts:
             self._move(target, TargetState.FAILED)
             return
         self._move(target, TargetState.BACKING_OFF)
-        target.retry_at = now + with_jitter(self.policy.hedge, self.random())
+        target.retry_at = now + with_jitter(self.policy.hedge_delay, self.random())
 
     def _send(self, now: int, target: Target) -> str:
         target.sent += 1
         target.in_flight += 1
-        target.retry_at = now + self.policy.hedge
+        target.retry_at = now + self.policy.hedge_delay
         return target.name
 
     def _move(self, target: Target, state: TargetState) -> None:
--- a/oakkeel/fleet/order_tracking.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -1,7 +1,7 @@
-"""One order to many agents, from what is seen to what became of it everywhere. Free of I/O.
+"""Tracks one order over many agents to its result. Free of I/O.
 
-Each instance has one outcome here, whatever its agent does: a response may come late, twice, in another
-order, or never. The last status of an agent counts; what no agent reported is unknown, and is never taken for
+Each instance has one outcome, whatever its agent does: a response may come late, twice, in another order, or
+never. The last status of an agent counts; an outcome that no agent reported is unknown, and never counts as
 done.
 """
 
@@ -18,15 +18,15 @@
 
 
 class TaskStage(Enum):
-    """How far an order is with one instance, as its sender knows it. `OrderTracker._move` changes it."""
+    """The progress of an order for one instance, as its sender knows it. Only `OrderTracker` changes it."""
 
     NOT_SENT = "not ordered"  # no agent reported the instance, so no order could name its generation
     SENT = "sent"
     REJECTED = "refused"
-    UNKNOWN = "not known"  # it was sent, and no response came: it may be accepted or not
+    UNKNOWN = "not known"  # no response came: the agent may have accepted the order or not
     OPEN = "open"
     DONE = "done"
-    ENDED = "ended"  # otherwise than done
+    ENDED = "ended"  # not done, and not open any more
 
 
 TRANSITIONS: dict[TaskStage, set[TaskStage]] = {
@@ -53,7 +53,7 @@
 
 
 class Result(Enum):
-    """What became of an order as a whole."""
+    """The result of an order over all its instances."""
 
     DONE = "done"
     SOME_FAILED = "some failed"
@@ -62,11 +62,11 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderSpec:
-    """What an operator orders."""
+    """An operator's order."""
 
     order_id: str
     verb: str
-    lifetime: int  # nanoseconds; what has not ended by then has failed
+    lifetime: int  # nanoseconds; a task that is open after it has failed
     supersede: bool = False  # end another operator's open order on the same instances
 
 
@@ -77,7 +77,7 @@
     instance: str
     host: str
     stage: TaskStage
-    state: str  # as its agent reported it, or ours where it reported none
+    state: str  # as its agent reported it, else that of the stage
     age: int = 0  # nanoseconds in that state, when it was reported
     why: str = ""
 
@@ -90,7 +90,7 @@
         self.order = order
         self.targets_by_host = targets_by_host(chosen)
         self.tasks = {row.name: TrackedTask(row.name, row.host, TaskStage.SENT, "sent") for row in chosen}
-        self.silent: set[str] = set()  # hosts whose agent did not answer when it mattered
+        self.silent: set[str] = set()  # hosts whose agent did not answer the order, or before it
         for row in chosen:
             if row.status is None:
                 self.silent.add(row.host)
@@ -108,7 +108,7 @@
         }
 
     def answered(self, host: str, response: messages.Response) -> None:
-        """Take an agent's response to the order itself, or to a later request for its orders."""
+        """Record an agent's response to the order, or to a later request for its orders."""
         if isinstance(response, messages.OrderStatus):
             self._apply_order(host, response)
         elif isinstance(response, messages.OrderList):
@@ -120,14 +120,14 @@
                     self._move(task, TaskStage.REJECTED, "refused", why=response.why)
 
     def no_response(self, host: str, why: str) -> None:
-        """Take note that the order itself was not answered: it may hold there all the same."""
+        """Record that an agent did not answer the order: it may have accepted it."""
         self.silent.add(host)
         for task in self._tasks_of(host):
             if task.stage is TaskStage.SENT:
                 self._move(task, TaskStage.UNKNOWN, "not known", why=why)
 
     def hosts_to_poll(self) -> list[str]:
-        """Return the hosts with a task that is open, or may be."""
+        """Return the hosts with a task that is open or unknown."""
         return sorted(
             {
                 task.host
@@ -138,16 +138,16 @@
 
     @property
     def finished(self) -> bool:
-        """Whether nothing more can be learnt by waiting."""
+        """Whether no task is open: waiting longer changes nothing."""
         return all(task.stage is not TaskStage.OPEN for task in self.tasks.values())
 
     @property
     def ended_count(self) -> int:
-        """How many tasks are neither open nor just sent."""
+        """The number of tasks that are neither open nor just sent."""
         return sum(task.stage not in (TaskStage.OPEN, TaskStage.SENT) for task in self.tasks.values())
 
     def result(self, waited: bool) -> Result:
-        """Return the result; where the sender did not wait for the end, an open task counts as good."""
+        """Return the result; if the sender did not wait for the end, an open task counts as done."""
         unresolved = (TaskStage.NOT_SENT, TaskStage.UNKNOWN, TaskStage.SENT)
         if any(task.stage in unresolved for task in self.tasks.values()):
             return Result.SOME_SILENT
@@ -163,9 +163,9 @@
         for status in order.tasks:
             task = self.tasks.get(status.instance)
             if task is None or task.host != host:
-                continue  # another host's agent knows nothing of it
+                continue  # it belongs to another host's agent
             stage = STAGE_BY_STATE.get(status.state, TaskStage.ENDED)
-            if stage is task.stage or stage in TRANSITIONS[task.stage]:  # else an earlier response came late
+            if stage is task.stage or stage in TRANSITIONS[task.stage]:  # else the response is an old one
                 self._move(task, stage, status.state, status.age, status.why)
 
     def _move(self, task: TrackedTask, stage: TaskStage, state: str, age: int = 0, why: str = "") -> None:
--- a/oakkeel/fleet/selection.py
+++ b/oakkeel/fleet/selection.py
@@ -1,4 +1,4 @@
-"""Which instances an operator means, and what an order would take out. Free of I/O."""
+"""The instances that an operator selects, and the part of a site that an order takes out. Free of I/O."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class SelectionError(OakkeelError, ValueError):
-    """Nothing is selected, or a pattern matches nothing at all; the text is one plain line."""
+    """A pattern matches no instance, site or host."""
 
 
 @dataclass(slots=True, frozen=True)
 class Selection:
-    """Patterns may be globs. An empty field allows all; several patterns allow what any of them matches."""
+    """Globs that select instances; an empty field selects all, several globs all that one of them matches."""
 
     names: tuple[str, ...] = ()
     sites: tuple[str, ...] = ()
@@ -29,11 +29,11 @@
 
     @property
     def all(self) -> bool:
-        """Whether nothing is excluded."""
+        """Whether all instances are selected."""
         return not (self.names or self.sites or self.hosts or self.states)
 
     def among(self, rows: Sequence[Row]) -> list[Row]:
-        """Return the selected rows in their order. Raises SelectionError where a pattern matches none."""
+        """Return the selected rows in their order. Raises SelectionError if a pattern matches none."""
         for patterns, field in ((self.names, "name"), (self.sites, "site"), (self.hosts, "host")):
             for pattern in patterns:
                 if any(fnmatch.fnmatchcase(getattr(row, field), pattern) for row in rows):
@@ -57,7 +57,7 @@
 
 
 def targets_by_host(rows: Sequence[Row]) -> dict[str, list[tuple[str, int]]]:
-    """Return the names with the generations seen, by host. Rows that no agent reported are left out."""
+    """Return names and reported generations by host, without the rows that no agent reported."""
     targets: dict[str, list[tuple[str, int]]] = {}
     for row in rows:
         if row.status is not None:
@@ -66,12 +66,12 @@
 
 
 def sites_over_share(rows: Sequence[Row], chosen: Sequence[Row], share: float) -> list[str]:
-    """Return a line for each site of which an order would take out more than a share."""
+    """Return a line for each site whose unavailable instances would exceed a share of it by an order."""
     sizes = Counter(row.site for row in rows)
     leaving = Counter(row.site for row in chosen if not row.out)
     out = Counter(row.site for row in rows if row.out)
     return [
-        f"{site}: {leaving[site]} of {size} would leave, {out[site]} are out already"
+        f"{site}: {leaving[site]} of {size} would be taken out, {out[site]} are out already"
         for site, size in sizes.items()
         if leaving[site] and leaving[site] + out[site] > share * size
     ]
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -1,7 +1,7 @@
-"""What is known of a fleet whose agents answer late, never, or out of order. Free of I/O.
+"""The last known status of a fleet whose agents answer late, never, or out of order. Free of I/O.
 
-Each fact has its age and its source. The age counts from when the request was sent, so it is never given as
-too young; it grows until a later request is answered. What is older than `STALE_AFTER` is shown as old.
+Each status has its age and its source. The age counts from when the request was sent, so it is never too
+low; it grows until a later request is answered. A status older than `MAX_STATUS_AGE_NS` is shown as old.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from oakkeel.settings.types import Fleet, HostSettings, InstanceSettings
 from oakkeel.units import SECOND
 
-STALE_AFTER = 3 * SECOND
-MAX_CLOCK_SKEW = 2 * SECOND  # between an agent's clock and ours, before an operator is told
+MAX_STATUS_AGE_NS = 3 * SECOND
+MAX_CLOCK_SKEW_NS = 2 * SECOND  # between an agent and this host, without a note to the operator
 NOT_SERVING_STATES = frozenset(
     {"stopped", "starting", "cold", "draining", "silent", "stuck", "failing", "unknown"}
 )
@@ -29,43 +29,43 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """One instance as it is shown."""
+    """The displayed status of one instance."""
 
     name: str
     site: str
     host: str
-    state: str  # a phase, or unknown where its agent never answered
-    old: bool = False  # the state is that of `age` ago, and nothing later is known
-    age: int = -1  # nanoseconds; -1: nothing was ever reported
-    report_age: int = -1  # of what the instance itself reported; -1: nothing
+    state: str  # a phase; unknown if its agent never answered
+    old: bool = False  # the state is older than `MAX_STATUS_AGE_NS`
+    age: int = -1  # nanoseconds; -1: never reported
+    report_age: int = -1  # of the instance's own report, in nanoseconds; -1: none
     source: str = "nobody"  # who reported
     status: InstanceStatus | None = None
 
     @property
     def shown(self) -> str:
-        """The state, called old where it is."""
+        """The state, marked as old if it is."""
         return f"old: {self.state}" if self.old else self.state
 
     @property
     def out(self) -> bool:
-        """Whether it is not known to serve."""
+        """Whether the instance is not known to serve."""
         return self.old or self.state in NOT_SERVING_STATES
 
 
 class FleetView:
-    """All instances of the settings, with what their agents reported."""
+    """All instances of the settings, with the last status of their agents."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Start with nothing known of any instance."""
+        """Start without any status."""
         self.fleet = fleet
         self.reports: dict[str, HostReport] = {}
         self.silent: dict[str, str] = {}  # by host: why its agent did not answer the last request
-        self.clock_offset = 0  # our own clock less the monotonic one, in nanoseconds; 0: not known
+        self.clock_offset = 0  # this host's clock minus its monotonic clock, in nanoseconds; 0: not set
 
     def update(self, host: str, requested_at: int, status: HostStatus) -> None:
-        """Take the response to a request sent at that time; one to an earlier request changes nothing."""
+        """Record the response to a request sent at that time; one to an earlier request is ignored."""
         if status.host != host:
-            self.silent[host] = f"the agent of {status.host} answers in its place"
+            self.silent[host] = f"the agent of {status.host} answered at its address"
             return
         known = self.reports.get(host)
         if known and known.requested_at >= requested_at:
@@ -74,7 +74,7 @@
         self.silent.pop(host, None)
 
     def no_response(self, host: str, why: str) -> None:
-        """Take note that an agent did not answer the last request."""
+        """Record that an agent did not answer the last request."""
         self.silent[host] = why
 
     def rows(self, now: int) -> list[Row]:
@@ -91,15 +91,17 @@
             return Row(instance.name, host.site, host.name, "unknown", source=source)
         age = now - report.requested_at
         report_age = age + status.report_age if status.report_age >= 0 else -1
-        old = age > STALE_AFTER
+        old = age > MAX_STATUS_AGE_NS
         return Row(instance.name, host.site, host.name, status.phase, old, age, report_age, source, status)
 
     def notes(self) -> list[str]:
-        """Return what an operator should know beside the rows, a line each."""
+        """Return what an operator should know in addition to the rows, a line each."""
         lines = [f"agent of {host}: {why}" for host, why in sorted(self.silent.items())]
         for host, report in sorted(self.reports.items()):
             lines += [f"agent of {host}: {note}" for note in report.status.notes]
             skew = report.status.unix_time - (self.clock_offset + report.requested_at)
-            if self.clock_offset and abs(skew) > MAX_CLOCK_SKEW:
-                lines.append(f"agent of {host}: its clock is {skew / SECOND:+.0f} s from ours")
+            if self.clock_offset and abs(skew) > MAX_CLOCK_SKEW_NS:
+                lines.append(
+                    f"agent of {host}: its clock is {skew / SECOND:+.0f} s off the clock of this host"
+                )
         return lines
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -91,7 +91,7 @@
         await self.serving(agent)
         code, _, err = await self.oakkeel("stop", "--site", "wood*")
         self.assertEqual(code, 2)
-        self.assertIn("woodbrook: 3 of 3 would leave, 0 are out already", err)
+        self.assertIn("woodbrook: 3 of 3 would be taken out, 0 are out already", err)
         self.assertIn("say --yes", err)
         self.assertEqual(agent.orders.orders, {})
         code, _, err = await self.oakkeel("stop")
--- a/tests/fleet/test_fan_out.py
+++ b/tests/fleet/test_fan_out.py
@@ -11,8 +11,8 @@
 HEDGE = 100 * MS
 
 
-def fan_out_to(count: int = 12, tries: int = 3) -> FanOut:
-    return FanOut(0, [f"h{number}" for number in range(count)], FanOutPolicy(SECOND, HEDGE, tries), 7)
+def fan_out_to(count: int = 12, max_attempts: int = 3) -> FanOut:
+    return FanOut(0, [f"h{number}" for number in range(count)], FanOutPolicy(SECOND, HEDGE, max_attempts), 7)
 
 
 class FanOutTest(unittest.TestCase):
@@ -27,10 +27,12 @@
         self.assertFalse(fan_out.finished)
         self.assertTrue(fan_out.answered(150 * MS, "h0"))
         self.assertTrue(fan_out.finished)
-        self.assertFalse(fan_out.answered(151 * MS, "h0"))  # the response to the first try, counted already
+        self.assertFalse(
+            fan_out.answered(151 * MS, "h0")
+        )  # the response to the first attempt, counted already
 
     def test_a_silent_agent_costs_no_more_than_the_deadline(self):
-        fan_out = fan_out_to(1, tries=2)
+        fan_out = fan_out_to(1, max_attempts=2)
         sent = 0
         now = 0
         while not fan_out.finished:
@@ -45,7 +47,7 @@
         sent = sum(len(fan_out.tick(at * 10 * MS)) for at in range(100))
         self.assertEqual(sent, 120)
 
-    def test_retries_a_failed_try_after_a_pause_and_a_rejection_never(self):
+    def test_retries_a_failed_attempt_after_a_backoff_and_a_rejection_never(self):
         fan_out = fan_out_to(2)
         fan_out.tick(0)
         fan_out.failed(MS, "h0", "connection refused")
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -30,7 +30,7 @@
     def test_does_not_believe_an_agent_that_answers_for_another_host(self):
         self.view.update("h0", SECOND, host_status("h1"))
         self.assertEqual(self.view.rows(SECOND)[0].state, "unknown")
-        self.assertIn("answers in its place", self.view.notes()[0])
+        self.assertIn("the agent of h1 answered at its address", self.view.notes()[0])
 
     def test_shows_an_instance_that_its_agent_does_not_know_as_unknown(self):
         self.view.update("h0", SECOND, host_status("h0", numbers=(0,)))
@@ -39,7 +39,7 @@
     def test_notes_a_clock_that_is_off(self):
         self.view.clock_offset = 1000 * SECOND
         self.view.update("h0", 10 * SECOND, host_status("h0", unix=(1010 - 3600) * SECOND))
-        self.assertIn("clock is -3600 s from ours", self.view.notes()[0])
+        self.assertIn("its clock is -3600 s off the clock of this host", self.view.notes()[0])
 
 
 class SelectionTest(unittest.TestCase):
@@ -60,8 +60,8 @@
         view.update("h1", SECOND, host_status("h1"))
         rows = view.rows(SECOND)
         self.assertEqual(sites_over_share(rows, rows[:2], 0.34), [])
-        self.assertIn("3 of 6 would leave, 0 are out", sites_over_share(rows, rows[:3], 0.34)[0])
+        self.assertIn("3 of 6 would be taken out, 0 are out", sites_over_share(rows, rows[:3], 0.34)[0])
         view.update("h1", 2 * SECOND, host_status("h1", "failing"))
         rows = view.rows(2 * SECOND)
-        self.assertIn("1 of 6 would leave, 3 are out", sites_over_share(rows, rows[:1], 0.34)[0])
+        self.assertIn("1 of 6 would be taken out, 3 are out", sites_over_share(rows, rows[:1], 0.34)[0])
         self.assertEqual(sites_over_share(rows, rows[3:], 0.34), [])
