--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -5,17 +5,19 @@
 from oakkeel.agent.instances import Verb
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import OPEN_STATES
+from oakkeel.disruption.topology import BUDGET_EXCEEDED_TEXT
 from oakkeel.emulator.simulated_host import SimulatedHost
 from oakkeel.emulator.world import World
 from oakkeel.rollout.controller import RolloutController
+from oakkeel.rollout.plan import NONE_AVAILABLE
 from oakkeel.units import MS, SECOND
 
 CHECK_INTERVAL_NS = 50 * MS
 EXTRA_TIME_NS = 12 * SECOND  # for an order that was submitted late
 EXPECTED_REASONS = (  # of a release that waits for targets that operators have taken out for good
-    "would pass its bound",
-    "the last that serves",
-    "all that is left is out",
+    BUDGET_EXCEEDED_TEXT,
+    "last serving target",
+    NONE_AVAILABLE,
     "would carry",
 )
 
