--- a/oakkeel/agent/control_plane_member.py
+++ b/oakkeel/agent/control_plane_member.py
@@ -10,7 +10,7 @@
 from oakkeel.agent.artifacts import ArtifactStore
 from oakkeel.agent.configuration import AgentSettings, control_plane_of
 from oakkeel.agent.executor import InstanceExecutor
-from oakkeel.agent.raft_runtime import RaftRuntime
+from oakkeel.agent.raft_runtime import RAFT_DATABASE, RaftRuntime
 from oakkeel.agent.reconciler import Reconciler
 from oakkeel.agent.status_reporter import StatusReporter, probe
 from oakkeel.authentication.mac import Key
@@ -20,7 +20,6 @@
 from oakkeel.units import SECOND
 
 PRUNE_INTERVAL_NS = 60 * SECOND  # between searches for versions that nothing needs
-RAFT_DATABASE = "record.db"
 
 
 class ControlPlaneMember:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import os
 import secrets
 import time
@@ -12,6 +11,7 @@
 from oakkeel.agent.command_log import CommandLog
 from oakkeel.agent.configuration import control_plane_of
 from oakkeel.agent.peer_sender import PeerSender
+from oakkeel.agent.replica_file import ReplicaFile
 from oakkeel.agent.topology import topology_of
 from oakkeel.authentication.client import AuthenticatedClient
 from oakkeel.authentication.mac import Key
@@ -21,18 +21,16 @@
 from oakkeel.disruption.messages import Heartbeat
 from oakkeel.errors import OakkeelError
 from oakkeel.log import EventLog, fault
-from oakkeel.raft import storage
 from oakkeel.raft.messages import Envelope
 from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
 from oakkeel.raft.roles import Role
 from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
-from oakkeel.raft.write_counter import WriteCounter
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.settings.types import Fleet
-from oakkeel.store.database import Database, DatabaseError
+from oakkeel.store.database import DatabaseError
 from oakkeel.units import MS, SECOND
 
 STORAGE_RETRY_DELAY_NS = 100 * MS  # after the file could not be written
@@ -41,7 +39,7 @@
 FOLLOWER_TICK_INTERVAL_NS = SECOND
 MIN_TIMER_DELAY_NS = MS
 SEED_BITS = 60
-INCARNATION_BYTES = 8  # of randomness in the name of a replica's file
+RAFT_DATABASE = "record.db"
 CONTROLLER_ID_BYTES = 6  # of randomness in the name of a leader's rollout controller
 
 
@@ -67,16 +65,8 @@
         self.keys = keys
         self.log = log
         self.timeouts = timeouts or RaftTimeouts()
-        host = fleet.host(name)
-        self.path = os.path.join(host.state, "record.db")
-        self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
-        if self.store.quarantined:
-            log.warning("raft_storage_quarantined", file=self.store.quarantined)
-        self.write_counter = WriteCounter(self.path + ".count", self.store)
-        if self.store.created:
-            self._reset_write_counter()
-        elif why := self.write_counter.stale_reason():
-            self._quarantine(f"the file is an older copy: {why}")
+        path = os.path.join(fleet.host(name).state, RAFT_DATABASE)
+        self.file = ReplicaFile(path, name, log)
         self.command_log = CommandLog(log)
         self.topology = topology_of(fleet)
         self.peers: dict[str, PeerSender] = {}
@@ -95,12 +85,7 @@
     def _start_replica(self) -> None:
         """Start the replica from what is on disk."""
         try:
-            stored = storage.load(self.store, self.name, self._new_incarnation())
-            try:
-                storage.check(stored)
-            except storage.CorruptStateError as error:
-                self._quarantine(str(error))
-                stored = storage.load(self.store, self.name, self._new_incarnation())
+            stored = self.file.load()
         except DatabaseError as error:
             self._storage_failed(error)
             return
@@ -119,10 +104,6 @@
         )
         self.control_plane.on_committed = self._command_committed
 
-    def _new_incarnation(self) -> str:
-        """A name for a new file of this replica, which no other file has."""
-        return f"{self.name}.{secrets.token_hex(INCARNATION_BYTES)}"
-
     def _make_controller(
         self, now: int, state_machine: RolloutStateMachine, allocator: PermitAllocator
     ) -> RolloutController:
@@ -133,23 +114,6 @@
     def _command_committed(self, index: int, command: commands.Command, result: object) -> None:
         self.command_log.committed(self.control_plane, index, command, result)
 
-    def _quarantine(self, why: str) -> None:
-        """Rename the file with the time, and begin a new incarnation with an empty one."""
-        self.store.close()
-        self.write_counter.reset()
-        quarantine = f"{self.path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
-        for ending in ("", "-wal", "-shm"):
-            with contextlib.suppress(FileNotFoundError):
-                os.rename(self.path + ending, quarantine + ending)
-        self.log.warning("raft_storage_quarantined", file=quarantine, error=why)
-        self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
-        self.write_counter = WriteCounter(self.path + ".count", self.store)
-
-    def _reset_write_counter(self) -> None:
-        """Start counting writes again: the file is new."""
-        self.write_counter.reset()
-        self.write_counter = WriteCounter(self.path + ".count", self.store)
-
     def _storage_failed(self, error: DatabaseError) -> None:
         """Stop the replica as if it had crashed; it is started again once its file can be written."""
         if str(error) != self.storage_error:
@@ -240,7 +204,7 @@
             if steps.storage_update:
                 durable = self.control_plane.replica.durable
                 try:
-                    storage.write(self.store, durable, steps.storage_update, self.write_counter)
+                    self.file.write(durable, steps.storage_update)
                 except DatabaseError as error:
                     self._storage_failed(error)
                     return
@@ -257,7 +221,7 @@
         replica = control_plane.replica
         is_leader = control_plane.allocator is not None
         if replica.role is Role.STALE:
-            self._quarantine(replica.stale_reason)
+            self.file.quarantine(replica.stale_reason)
             self._start_replica()
         elif is_leader != self.is_leader:
             self.is_leader = is_leader
@@ -295,5 +259,4 @@
             self.timer.cancel()
         for peer in self.peers.values():
             peer.close()
-        self.write_counter.close()
-        self.store.close()
+        self.file.close()
--- /dev/null
+++ b/oakkeel/agent/replica_file.py
@@ -0,0 +1,77 @@
+"""The file of a host's replica: loading, writing, and quarantine of a file that can't be trusted."""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import secrets
+import time
+
+from oakkeel.log import EventLog
+from oakkeel.raft import storage
+from oakkeel.raft.durable_state import DurableState, StorageUpdate
+from oakkeel.raft.write_counter import WriteCounter
+from oakkeel.store.database import Database
+
+INCARNATION_BYTES = 8  # of randomness in the name of a file's incarnation
+DATABASE_SUFFIXES = ("", "-wal", "-shm")
+
+
+class ReplicaFile:
+    """The database of a replica, and the counter of its writes that reveals an older copy of it."""
+
+    def __init__(self, path: str, name: str, log: EventLog) -> None:
+        """Open the file of the replica on host `name`. Raises DatabaseError if it can't be used."""
+        self.path = path
+        self.name = name
+        self.log = log
+        self._open()
+        if self.store.quarantined:
+            log.warning("raft_storage_quarantined", file=self.store.quarantined)
+        if self.store.created:
+            self._reset_write_counter()
+        elif why := self.write_counter.stale_reason():
+            self.quarantine(f"the file is an older copy: {why}")
+
+    def _open(self) -> None:
+        self.store = Database(self.path, storage.SCHEMA, storage.VERSION, storage.MAX_FILE_BYTES)
+        self.write_counter = WriteCounter(self.path + ".count", self.store)
+
+    def _reset_write_counter(self) -> None:
+        """Start counting writes again: the file is new."""
+        self.write_counter.reset()
+        self.write_counter = WriteCounter(self.path + ".count", self.store)
+
+    def load(self) -> DurableState:
+        """Load the state; corrupt state is quarantined, and an empty one loaded. Raises DatabaseError."""
+        stored = storage.load(self.store, self.name, self._new_incarnation())
+        try:
+            storage.check(stored)
+        except storage.CorruptStateError as error:
+            self.quarantine(str(error))
+            stored = storage.load(self.store, self.name, self._new_incarnation())
+        return stored
+
+    def _new_incarnation(self) -> str:
+        """A name for a new file, which no other file has."""
+        return f"{self.name}.{secrets.token_hex(INCARNATION_BYTES)}"
+
+    def write(self, state: DurableState, update: StorageUpdate) -> None:
+        """Store an update of the state. Raises DatabaseError."""
+        storage.write(self.store, state, update, self.write_counter)
+
+    def quarantine(self, why: str) -> None:
+        """Rename the file with the time, and begin a new incarnation with an empty one."""
+        self.store.close()
+        self.write_counter.reset()
+        quarantine = f"{self.path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
+        for suffix in DATABASE_SUFFIXES:
+            with contextlib.suppress(FileNotFoundError):
+                os.rename(self.path + suffix, quarantine + suffix)
+        self.log.warning("raft_storage_quarantined", file=quarantine, error=why)
+        self._open()
+
+    def close(self) -> None:
+        """Close the database and the counter."""
+        self.write_counter.close()
+        self.store.close()
