--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -36,7 +36,7 @@
 
 
 class AgentTestCase(unittest.IsolatedAsyncioTestCase):
-    """A folder with settings and keys, and whatever a story starts in it."""
+    """A folder with settings and keys, and the agents that a test starts in it."""
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -46,7 +46,7 @@
         self.site.write_settings()
         self.fleet = read_fleet(self.site.settings)
         self.host = self.fleet.hosts[0]
-        self.said = io.StringIO()
+        self.log_output = io.StringIO()
         self.agents, self.view = (
             AgentClients(self.fleet, read_operator_key(self.fleet, "asha")),
             FleetView(self.fleet),
@@ -54,7 +54,7 @@
         self.addAsyncCleanup(self.end_all)
 
     async def end_all(self) -> None:
-        """By the pids that the stand-ins wrote down themselves, and only while they hold their lock."""
+        """Kill the fake nodes by the pids that they wrote, only while they hold their locks."""
         os.makedirs(self.host.state, exist_ok=True)
         processes = Processes(self.host.state, lambda process, why: None)
         for name in ("n1", "n2", "n3"):
@@ -63,10 +63,10 @@
                 processes.signal(process, signal.SIGKILL)
         processes.close()
 
-    def script(self, name: str, words: str) -> None:
+    def script(self, name: str, behavior: str) -> None:
         os.makedirs(self.host.state, exist_ok=True)
         with open(os.path.join(self.host.state, f"{name}.script"), "w") as file:
-            file.write(words)
+            file.write(behavior)
 
     def journal(self, name: str) -> list[list[str]]:
         with contextlib.suppress(OSError), open(os.path.join(self.host.state, f"{name}.journal")) as file:
@@ -76,71 +76,73 @@
     def starts(self, name: str) -> list[int]:
         return [int(line[1]) for line in self.journal(name) if line[0] == "start"]
 
-    async def agent(self, patience: SupervisionTimeouts = FAST, **more) -> Agent:
-        """An agent in this process, which `leave` ends as SIGTERM would."""
+    async def agent(self, timeouts: SupervisionTimeouts = FAST, **options) -> Agent:
+        """An agent in this process, which `stop` ends as SIGTERM would."""
         agent = Agent(
-            AgentSettings(self.host, patience),
+            AgentSettings(self.host, timeouts),
             AgentKeys(read_keys(self.fleet)),
-            EventLog("agent", 1000, stream=self.said),
+            EventLog("agent", 1000, stream=self.log_output),
             7,
-            AgentParts(program=PROGRAM, **more),
+            AgentParts(program=PROGRAM, **options),
         )
         with mock.patch.object(asyncio.get_running_loop(), "add_signal_handler"):
             task = asyncio.ensure_future(agent.run())
             await asyncio.sleep(0)
-        self.addAsyncCleanup(self.leave, agent, task)
+        self.addAsyncCleanup(self.stop, agent, task)
         agent.task = task
         return agent
 
-    async def leave(self, agent: Agent, task: asyncio.Task | None = None) -> None:
+    async def stop(self, agent: Agent, task: asyncio.Task | None = None) -> None:
         agent.stop_requested.set()
         await asyncio.wait((task or agent.task,))
 
     async def until(self, done, what: str = "") -> None:
-        """Wait for something that the agent's own turns bring about."""
+        """Wait until a condition holds, while the agent runs."""
         end = time.monotonic() + WAIT
         while not done():
-            self.assertLess(time.monotonic(), end, what or self.said.getvalue())
+            self.assertLess(time.monotonic(), end, what or self.log_output.getvalue())
             await asyncio.sleep(0.01)
 
     async def serving(self, agent: Agent) -> None:
         await self.until(lambda: all(each.phase is Phase.SERVING for each in agent.supervisor.instances))
 
-    def of(self, agent: Agent, name: str):
+    def instance(self, agent: Agent, name: str):
         return agent.orders.instances[name]
 
-    async def ask(self, wish: messages.Request, operator: str = "asha") -> messages.Response:
+    async def request(self, request: messages.Request, operator: str = "asha") -> messages.Response:
         return await asyncio.wait_for(
-            request_once(self.host.agent, read_operator_key(self.fleet, operator), wish), WAIT
+            request_once(self.host.agent, read_operator_key(self.fleet, operator), request), WAIT
         )
 
     async def order(
         self,
         verb: str,
         *names: str,
-        ident: str = "o1",
+        order_id: str = "o1",
         operator: str = "asha",
         generation: int = 0,
         supersede: bool = False,
     ) -> dict[str, messages.TaskStatus]:
-        asked = [(name, generation or await self.generation(name)) for name in names]
-        told = await self.ask(messages.OrderRequest(ident, verb, asked, 30 * SECOND, supersede), operator)
-        self.assertIsInstance(told, messages.OrderStatus, told)
-        return {part.instance: part for part in told.tasks}
+        requested = [(name, generation or await self.generation(name)) for name in names]
+        response = await self.request(
+            messages.OrderRequest(order_id, verb, requested, 30 * SECOND, supersede), operator
+        )
+        self.assertIsInstance(response, messages.OrderStatus, response)
+        return {task.instance: task for task in response.tasks}
 
     async def generation(self, name: str) -> int:
-        told = await self.ask(messages.HostStatusRequest())
-        return next(each.generation for each in told.instances if each.name == name)
+        response = await self.request(messages.HostStatusRequest())
+        return next(each.generation for each in response.instances if each.name == name)
 
-    async def ended(self, ident: str = "o1") -> dict[str, str]:
-        """Wait until an order is over; returns its instances with their states."""
+    async def final_states(self, order_id: str = "o1") -> dict[str, str]:
+        """Wait until an order has ended; returns the final state of each of its instances."""
         end = time.monotonic() + WAIT
         while time.monotonic() < end:
-            told = await self.ask(messages.ListOrdersRequest())
-            for order in told.orders:
-                if order.order_id == ident and not any(
-                    part.state in ("waiting", "acting") for part in order.tasks
+            response = await self.request(messages.ListOrdersRequest())
+            for order in response.orders:
+                if order.order_id == order_id and not any(
+                    task.state in ("waiting", "acting") for task in order.tasks
                 ):
-                    return {part.instance: part.state for part in order.tasks}
+                    return {task.instance: task.state for task in order.tasks}
             await asyncio.sleep(0.02)
-        raise AssertionError(f"order {ident} did not end: {told}\n{self.said.getvalue()}")
+        raise AssertionError(f"order {order_id} did not end: {response}\n{self.log_output.getvalue()}")
--- a/tests/agent/simulated_host.py
+++ b/tests/agent/simulated_host.py
@@ -15,32 +15,32 @@
 
 
 class SimulatedHost:
-    """A host in simulated time: steps are carried out at once, and processes do what the story says."""
+    """A host in simulated time: steps are executed at once, and processes behave as the test says."""
 
-    def __init__(self, names: int = 4, away: int = 1, **patience) -> None:
+    def __init__(self, names: int = 4, max_unavailable: int = 1, **timeouts) -> None:
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{number}", "woodbrook") for number in range(1, names + 1)]
         self.supervisor = Supervisor(
             self.instances,
-            SupervisionTimeouts(**patience),
-            {"woodbrook": away},
+            SupervisionTimeouts(**timeouts),
+            {"woodbrook": max_unavailable},
             7,
             lambda: 1_790_000_000 * SECOND + self.now,
         )
         self.orders = CheckedOrderRegistry(self.supervisor, time.time_ns)
         self.steps: list[tuple[Action, Instance]] = []
-        self.quiet: set[Instance] = set()  # their processes say nothing
-        self.deaf: set[Instance] = set()  # they don't leave when told to
+        self.silent: set[Instance] = set()  # their processes send no reports
+        self.ignoring_drain: set[Instance] = set()  # they end only when killed
 
     def tick(self) -> list[tuple[Action, Instance]]:
         self.orders.advance(self.now)
         steps = [(step.action, step.instance) for step in self.supervisor.tick(self.now)]
         self.steps += steps
-        for act, instance in steps:
-            if act is Action.START:
+        for action, instance in steps:
+            if action is Action.START:
                 self.supervisor.process_started(self.now, instance)
-            elif act is Action.KILL or instance not in self.deaf:
-                self.supervisor.process_exited(self.now, instance, "told to")
+            elif action is Action.KILL or instance not in self.ignoring_drain:
+                self.supervisor.process_exited(self.now, instance, "drained or killed")
         self.orders.advance(self.now)
         return steps
 
@@ -49,34 +49,34 @@
         while self.now < until:
             self.now += step
             for instance in self.instances:
-                if instance.alive and instance.phase is not Phase.DRAINING and instance not in self.quiet:
+                if instance.alive and instance.phase is not Phase.DRAINING and instance not in self.silent:
                     self.supervisor.report_received(
                         self.now, instance, state, instance.process_generation, REPORT
                     )
             self.tick()
 
-    def take(
+    def submit(
         self,
         verb: Verb,
         *instances: Instance,
-        ident: str = "o1",
+        order_id: str = "o1",
         operator: str = "asha",
         generation: int | None = None,
-        lasts: int = 60 * SECOND,
+        lifetime_ns: int = 60 * SECOND,
         supersede: bool = False,
     ):
-        asked = tuple(
+        requested = tuple(
             (each.name, each.generation if generation is None else generation) for each in instances
         )
-        submission = OrderSubmission(ident, operator, verb, asked, lasts, supersede)
+        submission = OrderSubmission(order_id, operator, verb, requested, lifetime_ns, supersede)
         return self.orders.submit(self.now, submission)
 
-    def died(self, instance: Instance) -> None:
+    def crash(self, instance: Instance) -> None:
         self.supervisor.process_exited(self.now, instance, "killed by SIGSEGV")
 
 
 class CheckedOrderRegistry(OrderRegistry):
-    """Checks at each beginning that the bound on what is out holds, or nothing more went out."""
+    """Checks at each start of a task that it does not exceed the disruption budget."""
 
     def _start_task(self, now, task) -> None:
         before = self.supervisor.unavailable["woodbrook"]
@@ -86,8 +86,8 @@
 
 
 class HostTestCase(unittest.TestCase):
-    def serving(self, **more) -> SimulatedHost:
-        host = SimulatedHost(**more)
+    def serving(self, **options) -> SimulatedHost:
+        host = SimulatedHost(**options)
         host.run(3)
         self.assertEqual({each.phase for each in host.instances}, {Phase.SERVING})
         host.steps.clear()
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -30,7 +30,7 @@
     async def test_treats_a_stopped_process_as_silent_without_killing_it(self):
         agent = await self.agent()
         await self.serving(agent)
-        n1 = self.of(agent, "n1")
+        n1 = self.instance(agent, "n1")
         process = agent.alive[n1]
         agent.processes.signal(process, signal.SIGSTOP)
         await self.until(lambda: n1.phase is Phase.SILENT)
@@ -45,9 +45,9 @@
                 silence_timeout_ns=400 * MS, start_timeout_ns=500 * MS, min_backoff_ns=50 * MS
             )
         )
-        await self.until(lambda: self.of(agent, "n1").phase is Phase.SILENT)
+        await self.until(lambda: self.instance(agent, "n1").phase is Phase.SILENT)
         self.script("n1", "")
-        await self.until(lambda: self.of(agent, "n1").phase is Phase.SERVING)
+        await self.until(lambda: self.instance(agent, "n1").phase is Phase.SERVING)
         self.assertEqual(self.starts("n1"), [1])
 
     async def test_ignores_reports_of_an_old_generation(self):
@@ -57,32 +57,34 @@
                 silence_timeout_ns=400 * MS, start_timeout_ns=500 * MS, min_backoff_ns=50 * MS
             )
         )
-        await self.until(lambda: self.of(agent, "n1").phase is Phase.SILENT)
-        self.assertIn("received a report of generation 0, expected 1", self.of(agent, "n1").why)
+        await self.until(lambda: self.instance(agent, "n1").phase is Phase.SILENT)
+        self.assertIn("received a report of generation 0, expected 1", self.instance(agent, "n1").why)
 
     async def test_restarts_a_killed_process_with_a_new_generation(self):
         agent = await self.agent()
         await self.serving(agent)
-        n1 = self.of(agent, "n1")
+        n1 = self.instance(agent, "n1")
         agent.processes.signal(agent.alive[n1], signal.SIGKILL)
         await self.until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
-        self.assertIn('how="killed by SIGKILL"', self.said.getvalue())
+        self.assertIn('how="killed by SIGKILL"', self.log_output.getvalue())
 
     async def test_stops_restarting_a_crash_loop_while_others_serve(self):
         self.script("n1", "crash")
         agent = await self.agent(
             SupervisionTimeouts(min_backoff_ns=10 * MS, max_restarts=3, silence_timeout_ns=400 * MS)
         )
-        n1 = self.of(agent, "n1")
+        n1 = self.instance(agent, "n1")
         await self.until(lambda: n1.restarts_exhausted)
         count = len(self.starts("n1"))
-        await self.until(lambda: self.of(agent, "n2").phase is Phase.SERVING)
+        await self.until(lambda: self.instance(agent, "n2").phase is Phase.SERVING)
         self.assertEqual((count, len(self.starts("n1"))), (4, 4))
-        told = await self.ask(messages.HostStatusRequest())
-        self.assertEqual((told.instances[0].restarts_exhausted, told.instances[0].why), (True, "exit code 3"))
+        response = await self.request(messages.HostStatusRequest())
+        self.assertEqual(
+            (response.instances[0].restarts_exhausted, response.instances[0].why), (True, "exit code 3")
+        )
         self.script("n1", "")
         await self.order("start", "n1")
-        self.assertEqual(await self.ended(), {"n1": "done"})
+        self.assertEqual(await self.final_states(), {"n1": "done"})
 
     async def test_never_signals_or_adopts_a_reused_pid(self):
         agent = await self.agent()
@@ -100,7 +102,7 @@
             self.assertIsNone(stranger.poll())
             stranger.communicate(b"\n")
         with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
-            file.write(f"{agent.alive[self.of(agent, 'n1')].pid} 1\n")
+            file.write(f"{agent.alive[self.instance(agent, 'n1')].pid} 1\n")
 
     async def test_second_agent_of_a_host_exits_with_the_reason(self):
         first = await asyncio.create_subprocess_exec(
@@ -128,24 +130,26 @@
         agent = await self.agent()
         await self.serving(agent)
         pids = {each.name: process.pid for each, process in agent.alive.items()}
-        await self.leave(agent)
+        await self.stop(agent)
         os.kill(pids["n3"], signal.SIGKILL)
         again = await self.agent()
-        await self.until(lambda: self.of(again, "n3").process_generation == 2)
+        await self.until(lambda: self.instance(again, "n3").process_generation == 2)
         await self.serving(again)
         self.assertEqual(
-            [again.alive[self.of(again, name)].pid for name in ("n1", "n2")], [pids["n1"], pids["n2"]]
+            [again.alive[self.instance(again, name)].pid for name in ("n1", "n2")], [pids["n1"], pids["n2"]]
         )
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1], [1], [1, 2]])
 
     async def test_quarantines_damaged_state_and_adopts_running_processes(self):
         agent = await self.agent()
         await self.serving(agent)
-        await self.leave(agent)
+        await self.stop(agent)
         with open(os.path.join(self.host.state, "agent.db"), "r+b") as file:
             file.write(b"\x00" * 8192)
         again = await self.agent()
         await self.serving(again)
-        told = await self.ask(messages.HostStatusRequest())
-        self.assertIn("the state file was quarantined", told.notes[0])
-        self.assertEqual((self.starts("n1"), [each.generation for each in told.instances]), ([1], [1, 1, 1]))
+        response = await self.request(messages.HostStatusRequest())
+        self.assertIn("the state file was quarantined", response.notes[0])
+        self.assertEqual(
+            (self.starts("n1"), [each.generation for each in response.instances]), ([1], [1, 1, 1])
+        )
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -28,16 +28,16 @@
     async def test_accepts_one_of_two_concurrent_opposite_orders(self):
         agent = await self.agent()
         await self.serving(agent)
-        wishes = [
+        requests = [
             (messages.OrderRequest("o1", "stop", [("n1", 1)], 30 * SECOND), "asha"),
             (messages.OrderRequest("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi"),
         ]
-        first, second = await asyncio.gather(*(self.ask(*wish) for wish in wishes))
+        first, second = await asyncio.gather(*(self.request(*each) for each in requests))
         states = sorted(answer.tasks[0].state for answer in (first, second))
         self.assertEqual(states[0], "refused")
-        refused, stands = (first, second) if first.tasks[0].state == "refused" else (second, first)
-        self.assertIn(f"{stands.operator}'s {stands.verb} is open since", refused.tasks[0].why)
-        self.assertEqual(await self.ended(stands.order_id), {"n1": "done"})
+        refused, accepted = (first, second) if first.tasks[0].state == "refused" else (second, first)
+        self.assertIn(f"{accepted.operator}'s {accepted.verb} is open since", refused.tasks[0].why)
+        self.assertEqual(await self.final_states(accepted.order_id), {"n1": "done"})
 
     async def test_rolling_restart_respects_the_limit_and_starts_each_once(self):
         agent = await self.agent()
@@ -55,33 +55,33 @@
         agent = await self.agent()
         await self.serving(agent)
         await self.order("drain", "n1")
-        await self.until(lambda: self.of(agent, "n1").phase is Phase.DRAINING)
-        await self.order("restart", "n1", ident="o2", operator="ravi", supersede=True)
-        self.assertEqual(await self.ended("o2"), {"n1": "done"})
-        self.assertEqual(await self.ended("o1"), {"n1": "superseded"})
-        self.assertIn("drain_timeout_killed", self.said.getvalue())
+        await self.until(lambda: self.instance(agent, "n1").phase is Phase.DRAINING)
+        await self.order("restart", "n1", order_id="o2", operator="ravi", supersede=True)
+        self.assertEqual(await self.final_states("o2"), {"n1": "done"})
+        self.assertEqual(await self.final_states("o1"), {"n1": "superseded"})
+        self.assertIn("drain_timeout_killed", self.log_output.getvalue())
 
     async def test_next_agent_completes_orders_left_open_by_sigterm(self):
         self.script("n1", "deaf")
         agent = await self.agent()
         await self.serving(agent)
         await self.order("drain", "n1")
-        await self.until(lambda: self.of(agent, "n1").phase is Phase.DRAINING)
-        await self.leave(agent)
+        await self.until(lambda: self.instance(agent, "n1").phase is Phase.DRAINING)
+        await self.stop(agent)
         self.script("n1", "")
         again = await self.agent()
-        self.assertEqual(await self.ended(), {"n1": "done"})
-        self.assertEqual((self.of(again, "n1").phase, self.starts("n1")), (Phase.STOPPED, [1]))
+        self.assertEqual(await self.final_states(), {"n1": "done"})
+        self.assertEqual((self.instance(again, "n1").phase, self.starts("n1")), (Phase.STOPPED, [1]))
 
     async def test_full_disk_rejects_orders_and_supervision_continues(self):
         os.makedirs(self.host.state, exist_ok=True)
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
-        store.connection.execute("PRAGMA max_page_count = 1")  # as full as it can be
-        for number in range(200):  # until what is free in the pages that it has is used up
+        store.connection.execute("PRAGMA max_page_count = 1")  # no page can be added
+        for number in range(200):  # until the free space of its pages is used up
             generation = await self.generation("n2")
-            answer = await self.ask(
+            answer = await self.request(
                 messages.OrderRequest(f"f{number}", "start", [("n2", generation)], SECOND)
             )
             if isinstance(answer, messages.ErrorResponse):
@@ -89,14 +89,14 @@
         self.assertIn("can't be written: database or disk is full", getattr(answer, "why", ""))
         self.assertEqual(await self.generation("n2"), generation)
         with mock.patch.object(store, "write", side_effect=DatabaseError("database or disk is full")):
-            n1 = self.of(agent, "n1")
+            n1 = self.instance(agent, "n1")
             agent.processes.signal(agent.alive[n1], signal.SIGKILL)
             await self.until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
-            self.assertIn("orders wait", (await self.ask(messages.HostStatusRequest())).notes[0])
+            self.assertIn("orders wait", (await self.request(messages.HostStatusRequest())).notes[0])
         store.connection.execute("PRAGMA max_page_count = 10000")
         await self.until(lambda: not agent.storage_error)
-        await self.order("restart", "n2", ident="later")
-        self.assertEqual(await self.ended("later"), {"n2": "done"})
+        await self.order("restart", "n2", order_id="later")
+        self.assertEqual(await self.final_states("later"), {"n2": "done"})
 
     async def test_read_only_state_file_rejects_orders(self):
         os.makedirs(self.host.state, exist_ok=True)
@@ -104,12 +104,14 @@
         agent = await self.agent(store=store)
         await self.serving(agent)
         store.connection.execute("PRAGMA query_only = 1")
-        answer = await self.ask(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
+        answer = await self.request(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
         self.assertIn("readonly", getattr(answer, "why", ""))
-        self.assertEqual((self.of(agent, "n1").generation, self.of(agent, "n1").phase), (1, Phase.SERVING))
+        self.assertEqual(
+            (self.instance(agent, "n1").generation, self.instance(agent, "n1").phase), (1, Phase.SERVING)
+        )
 
     async def test_executes_an_order_once_when_killed_at_any_durable_step(self):
-        """Each step in an agent and a folder of its own, several at a time."""
+        """Each step runs in an agent and a folder of its own, several at a time."""
         together = asyncio.Semaphore(8)
 
         async def one(step: int) -> bool:
@@ -123,7 +125,7 @@
         self.assertGreater(step - 16 + survived.index(True), 14)
 
     async def crash_at(self, step: int) -> bool:
-        """Whether the agent never came to that step. In any case the restart was carried out once."""
+        """Whether the agent never reached that step; in any case the restart was executed once."""
         folder = os.path.join(self.folder, f"at{step}")
         os.mkdir(folder)
         site = FakeSite(
@@ -166,7 +168,7 @@
                 status = await asyncio.wait_for(request_once(address, key, messages.HostStatusRequest()), 1)
                 instance = status.instances[0]
                 if not accepted and instance.phase == "serving":
-                    # The same order again whenever no response came: the sender can't know.
+                    # The same order again without a response: the sender can't know whether it arrived.
                     order = messages.OrderRequest("o1", "restart", [("n1", 1)], 30 * SECOND)
                     response = await asyncio.wait_for(request_once(address, key, order), 1)
                     accepted = response.tasks[0].state != "refused"
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -13,33 +13,37 @@
 
 class OrderRegistryTest(HostTestCase):
     def test_orders_respect_the_limit_and_continue_as_capacity_returns(self):
-        host = self.serving(away=2)
-        order = host.take(Verb.RESTART, *host.instances)
+        host = self.serving(max_unavailable=2)
+        order = host.submit(Verb.RESTART, *host.instances)
         worst = 0
         while order.is_open:
             host.run(0.1)
             worst = max(worst, host.supervisor.unavailable["woodbrook"])
         self.assertEqual(worst, 2)
-        self.assertEqual({part.state for part in order.tasks}, {TaskState.DONE})
+        self.assertEqual({task.state for task in order.tasks}, {TaskState.DONE})
         self.assertEqual([act for act, _ in host.steps].count(Action.START), 4)
 
     def test_crashed_instance_counts_as_unavailable(self):
-        host = self.serving(away=1, min_backoff_ns=20 * SECOND)
-        host.died(host.instances[0])
-        order = host.take(Verb.DRAIN, host.instances[1])
+        host = self.serving(max_unavailable=1, min_backoff_ns=20 * SECOND)
+        host.crash(host.instances[0])
+        order = host.submit(Verb.DRAIN, host.instances[1])
         host.run(5)
         self.assertEqual(order.tasks[0].state, TaskState.WAITING)
-        gone = host.take(Verb.DRAIN, host.instances[0], ident="o2")  # what is out already needs none
+        drain = host.submit(
+            Verb.DRAIN, host.instances[0], order_id="o2"
+        )  # an unavailable instance needs no budget
         host.run(0.2)
-        self.assertEqual((gone.tasks[0].state, host.instances[0].phase), (TaskState.DONE, Phase.STOPPED))
+        self.assertEqual((drain.tasks[0].state, host.instances[0].phase), (TaskState.DONE, Phase.STOPPED))
 
     def test_first_of_two_orders_for_one_generation_wins(self):
         host = self.serving()
         instance = host.instances[0]
         seen = instance.generation
-        first = host.take(Verb.DRAIN, instance, generation=seen)
+        first = host.submit(Verb.DRAIN, instance, generation=seen)
         host.now += MS // 2
-        second = host.take(Verb.START, instance, ident="o2", operator="ravi", generation=seen, supersede=True)
+        second = host.submit(
+            Verb.START, instance, order_id="o2", operator="ravi", generation=seen, supersede=True
+        )
         self.assertEqual(
             (first.tasks[0].state, second.tasks[0].state), (TaskState.WAITING, TaskState.REFUSED)
         )
@@ -50,48 +54,48 @@
     def test_supersedes_the_open_order_when_asked(self):
         host = self.serving()
         instance = host.instances[0]
-        first = host.take(Verb.RESTART, instance)
-        host.deaf.add(instance)
+        first = host.submit(Verb.RESTART, instance)
+        host.ignoring_drain.add(instance)
         host.run(0.5)
-        refused = host.take(Verb.DRAIN, instance, ident="o2", operator="ravi")
+        refused = host.submit(Verb.DRAIN, instance, order_id="o2", operator="ravi")
         self.assertIn("asha's restart is open", refused.tasks[0].why)
-        second = host.take(Verb.DRAIN, instance, ident="o3", operator="ravi", supersede=True)
+        second = host.submit(Verb.DRAIN, instance, order_id="o3", operator="ravi", supersede=True)
         self.assertEqual(
             (first.tasks[0].state, second.tasks[0].state), (TaskState.SUPERSEDED, TaskState.WAITING)
         )
-        host.died(instance)
+        host.crash(instance)
         host.run(1)
         self.assertEqual((instance.phase, second.tasks[0].state), (Phase.STOPPED, TaskState.DONE))
 
     def test_deduplicates_orders_by_id_and_rejects_a_reused_id(self):
-        host = self.serving(away=4)
+        host = self.serving(max_unavailable=4)
         instance = host.instances[0]
-        first = host.take(Verb.RESTART, instance, generation=1)
-        self.assertIs(host.take(Verb.RESTART, instance, generation=1), first)
+        first = host.submit(Verb.RESTART, instance, generation=1)
+        self.assertIs(host.submit(Verb.RESTART, instance, generation=1), first)
         host.run(3)
-        self.assertIs(host.take(Verb.RESTART, instance, generation=1), first)
+        self.assertIs(host.submit(Verb.RESTART, instance, generation=1), first)
         host.run(3)
         self.assertEqual([act for act, _ in host.steps], [Action.TERM, Action.START])
         with self.assertRaises(OrderRejectedError):
-            host.take(Verb.STOP, instance, generation=1)
+            host.submit(Verb.STOP, instance, generation=1)
         with self.assertRaises(OrderRejectedError):
-            host.take(Verb.RESTART, instance, generation=1, operator="ravi")
+            host.submit(Verb.RESTART, instance, generation=1, operator="ravi")
 
     def test_rejects_an_order_for_a_replaced_process(self):
         host = self.serving()
         instance = host.instances[0]
         seen = instance.generation
-        host.died(instance)
+        host.crash(instance)
         host.run(5)
-        order = host.take(Verb.DRAIN, instance, generation=seen)
+        order = host.submit(Verb.DRAIN, instance, generation=seen)
         self.assertIn("changed by the agent", order.tasks[0].why)
         self.assertEqual(instance.phase, Phase.SERVING)
 
     def test_stop_of_a_crashed_instance_starts_nothing(self):
         host = self.serving()
         instance = host.instances[0]
-        host.died(instance)
-        order = host.take(Verb.STOP, instance)
+        host.crash(instance)
+        order = host.submit(Verb.STOP, instance)
         host.run(60)
         self.assertEqual(
             (order.tasks[0].state, instance.phase, host.steps), (TaskState.DONE, Phase.STOPPED, [])
@@ -100,63 +104,63 @@
     def test_restart_during_a_drain_starts_it_again(self):
         host = self.serving()
         instance = host.instances[0]
-        host.deaf.add(instance)
-        host.take(Verb.DRAIN, instance)
+        host.ignoring_drain.add(instance)
+        host.submit(Verb.DRAIN, instance)
         host.run(1)
-        host.take(Verb.RESTART, instance, ident="o2", supersede=True)
+        host.submit(Verb.RESTART, instance, order_id="o2", supersede=True)
         host.run(1)
         self.assertEqual(instance.phase, Phase.DRAINING)
-        host.died(instance)
+        host.crash(instance)
         host.run(1)
         self.assertEqual(
             (instance.phase, [act for act, _ in host.steps]), (Phase.SERVING, [Action.TERM, Action.START])
         )
 
     def test_stop_kills_and_drain_does_not(self):
-        host = self.serving(away=2, drain_timeout_ns=5 * SECOND)
+        host = self.serving(max_unavailable=2, drain_timeout_ns=5 * SECOND)
         drained, stopped = host.instances[:2]
-        host.deaf |= {drained, stopped}
-        slow = host.take(Verb.DRAIN, drained, lasts=30 * SECOND)
-        host.take(Verb.STOP, stopped, ident="o2")
+        host.ignoring_drain |= {drained, stopped}
+        slow = host.submit(Verb.DRAIN, drained, lifetime_ns=30 * SECOND)
+        host.submit(Verb.STOP, stopped, order_id="o2")
         host.run(40)
         self.assertEqual(host.steps, [(Action.TERM, drained), (Action.TERM, stopped), (Action.KILL, stopped)])
         self.assertEqual((slow.tasks[0].state, drained.phase), (TaskState.FAILED, Phase.DRAINING))
 
     def test_cancels_waiting_tasks_and_reports_started_ones(self):
-        host = self.serving(away=1)
-        host.deaf.update(host.instances)
-        order = host.take(Verb.STOP, *host.instances[:2])
+        host = self.serving(max_unavailable=1)
+        host.ignoring_drain.update(host.instances)
+        order = host.submit(Verb.STOP, *host.instances[:2])
         host.run(0.5)
         host.orders.cancel(host.now, "o1", "ravi")
-        self.assertEqual([part.state for part in order.tasks], [TaskState.ACTING, TaskState.CANCELLED])
+        self.assertEqual([task.state for task in order.tasks], [TaskState.ACTING, TaskState.CANCELLED])
         self.assertIn("before ravi cancelled", order.tasks[0].why)
         with self.assertRaises(OrderRejectedError):
             host.orders.cancel(host.now, "o9", "ravi")
 
     def test_expires_a_task_without_capacity_in_time(self):
-        host = self.serving(away=0)
-        order = host.take(Verb.STOP, host.instances[0], lasts=3 * SECOND)
+        host = self.serving(max_unavailable=0)
+        order = host.submit(Verb.STOP, host.instances[0], lifetime_ns=3 * SECOND)
         host.run(4)
         self.assertEqual((order.tasks[0].state, host.steps), (TaskState.EXPIRED, []))
         self.assertIsNone(host.instances[0].task)
 
     def test_fails_a_restart_in_a_crash_loop_with_the_reason(self):
-        host = self.serving(max_restarts=3, away=4)
-        order = host.take(Verb.RESTART, host.instances[0], lasts=600 * SECOND)
+        host = self.serving(max_restarts=3, max_unavailable=4)
+        order = host.submit(Verb.RESTART, host.instances[0], lifetime_ns=600 * SECOND)
         for _ in range(600):
             if host.instances[0].phase is Phase.STARTING:
-                host.died(host.instances[0])
+                host.crash(host.instances[0])
             host.now += 100 * MS
             host.tick()
         self.assertEqual(order.tasks[0].state, TaskState.FAILED)
         self.assertIn("SIGSEGV", order.tasks[0].why)
 
     def test_undo_leaves_no_trace_of_an_order(self):
-        host = self.serving(away=4)
+        host = self.serving(max_unavailable=4)
         instance = host.instances[0]
-        standing = host.take(Verb.STOP, instance, operator="ravi")
+        standing = host.submit(Verb.STOP, instance, operator="ravi")
         before = instance.generation, instance.changed_by
-        host.orders.undo(host.take(Verb.START, instance, ident="o2", supersede=True))
+        host.orders.undo(host.submit(Verb.START, instance, order_id="o2", supersede=True))
         self.assertEqual((instance.generation, instance.changed_by), before)
         self.assertIs(instance.task, standing.tasks[0])
         host.run(1)
@@ -172,21 +176,21 @@
         self.assertEqual(host.orders.submit(host.now, unknown).tasks, [])
 
     def test_deletes_the_oldest_ended_orders_beyond_the_limit(self):
-        host = self.serving(away=4)
+        host = self.serving(max_unavailable=4)
         host.orders.max_orders = 5
         for number in range(9):
-            host.take(Verb.START, host.instances[0], ident=f"o{number}")
+            host.submit(Verb.START, host.instances[0], order_id=f"o{number}")
             host.run(0.2)
         self.assertEqual(list(host.orders.orders), ["o4", "o5", "o6", "o7", "o8"])
         self.assertEqual(host.orders.deleted, ["o0", "o1", "o2", "o3"])
 
 
 class AnyOrders(RuleBasedStateMachine):
-    """Whatever is ordered and whatever dies: orders never take out more than the bound."""
+    """Any orders and crashes: orders never exceed the disruption budget."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.host = SimulatedHost(names=5, away=2, max_starting=5)
+        self.host = SimulatedHost(names=5, max_unavailable=2, max_starting=5)
         self.host.run(2)
         self.number = 0
 
@@ -199,27 +203,27 @@
     )
     def order(self, verb, which, old, supersede, operator):
         self.number += 1
-        self.host.take(
+        self.host.submit(
             verb,
             *(self.host.instances[each] for each in sorted(which)),
-            ident=f"o{self.number}",
+            order_id=f"o{self.number}",
             operator=operator,
             generation=1 if old else None,
             supersede=supersede,
         )
 
     @rule(which=st.integers(0, 4))
-    def dies(self, which):
+    def crash(self, which):
         if self.host.instances[which].alive:
-            self.host.died(self.host.instances[which])
+            self.host.crash(self.host.instances[which])
 
     @rule(which=st.integers(0, 4))
-    def deaf_or_not(self, which):
-        self.host.deaf ^= {self.host.instances[which]}
+    def toggle_ignoring_drain(self, which):
+        self.host.ignoring_drain ^= {self.host.instances[which]}
 
     @rule(which=st.integers(0, 4))
-    def quiet_or_not(self, which):
-        self.host.quiet ^= {self.host.instances[which]}
+    def toggle_silent(self, which):
+        self.host.silent ^= {self.host.instances[which]}
 
     @rule(seconds=st.sampled_from([0.1, 1, 12, 40]))
     def time(self, seconds):
@@ -231,21 +235,21 @@
             self.host.orders.cancel(self.host.now, f"o{number}", "ravi")
 
     @invariant()
-    def what_is_out_is_counted_right(self):
+    def unavailable_instances_are_counted(self):
         assert self.host.supervisor.unavailable["woodbrook"] == sum(
             each.phase is not Phase.SERVING for each in self.host.instances
         )
 
     @invariant()
-    def one_open_order_each(self):
-        open_parts = [
-            part.instance
+    def each_instance_has_one_open_order(self):
+        open_tasks = [
+            task.instance
             for order in self.host.orders.orders.values()
-            for part in order.tasks
-            if part.is_open
+            for task in order.tasks
+            if task.is_open
         ]
-        assert len(open_parts) == len(set(open_parts))
-        assert all(each.task is not None for each in open_parts)
+        assert len(open_tasks) == len(set(open_tasks))
+        assert all(each.task is not None for each in open_tasks)
 
 
 class AnyOrdersTest(AnyOrders.TestCase):
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -21,7 +21,7 @@
 
 class AgentServerTest(AgentTestCase):
     async def raw(self, *frames: bytes) -> list[bytes]:
-        """What comes back on one link for these frames, and the challenge first."""
+        """The challenge, and what is received on one connection for each of these frames."""
         reader, writer = await asyncio.open_connection(*self.host.agent)
         answers = [await self.frame(reader)]
         for each in frames:
@@ -44,31 +44,31 @@
             "oakkeel.authentication.client.frame",
             lambda content: recorded.append(frame(content)) or recorded[-1],
         ):
-            await self.ask(messages.OrderRequest("o1", "start", [("n1", 1)], SECOND))
-        generation = self.of(agent, "n1").generation
-        for spoilt in (
+            await self.request(messages.OrderRequest("o1", "start", [("n1", 1)], SECOND))
+        generation = self.instance(agent, "n1").generation
+        for malformed in (
             recorded[0],
             recorded[0][:-1] + bytes([recorded[0][-1] ^ 1]),
             frame(b"what"),
             (1 << 30).to_bytes(4, "big"),
         ):
-            hello, answer = await self.raw(spoilt)
+            hello, answer = await self.raw(malformed)
             self.assertTrue(hello.startswith(HELLO))
             self.assertEqual(answer, REFUSED)
         wrong = Key("asha-1", "asha", Role.ACT, os.urandom(32))
         with self.assertRaisesRegex(AgentRejectedError, "its log says why"):
             await request_once(self.host.agent, wrong, messages.HostStatusRequest())
-        self.assertEqual(self.of(agent, "n1").generation, generation)
-        refusals = [line for line in self.said.getvalue().splitlines() if "message_rejected" in line]
-        self.assertLessEqual(len(refusals), 2)  # once a second at most
+        self.assertEqual(self.instance(agent, "n1").generation, generation)
+        refusals = [line for line in self.log_output.getvalue().splitlines() if "message_rejected" in line]
+        self.assertLessEqual(len(refusals), 2)  # at most one line a second
 
     async def test_viewer_may_not_send_orders(self):
         agent = await self.agent()
         await self.serving(agent)
-        self.assertIsInstance(await self.ask(messages.HostStatusRequest(), "lena"), messages.HostStatus)
-        answer = await self.ask(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND), "lena")
+        self.assertIsInstance(await self.request(messages.HostStatusRequest(), "lena"), messages.HostStatus)
+        answer = await self.request(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND), "lena")
         self.assertEqual(answer.why, "lena may only view")
-        self.assertEqual(self.of(agent, "n1").generation, 1)
+        self.assertEqual(self.instance(agent, "n1").generation, 1)
 
     async def test_partial_messages_and_too_many_connections_affect_no_others(self):
         agent = await self.agent()
@@ -77,7 +77,7 @@
         for _, writer in half:
             writer.write(b"\x00\x00")
         for _ in range(10):
-            self.assertIsInstance(await self.ask(messages.HostStatusRequest()), messages.HostStatus)
+            self.assertIsInstance(await self.request(messages.HostStatusRequest()), messages.HostStatus)
         self.assertLessEqual(len(agent.server.connections), agent.server.limits.connections)
         for _, writer in half:
             writer.close()
@@ -108,7 +108,7 @@
                         await request_once(self.host.agent, key, messages.HostStatusRequest())
 
     async def test_reports_a_host_of_a_thousand_instances(self):
-        whole = messages.HostStatus(
+        status = messages.HostStatus(
             "wb1",
             "woodbrook",
             1,
@@ -137,13 +137,16 @@
                 for number in range(1000)
             ],
         )
-        door = AgentServer(
-            self.host.agent, lambda: read_keys(self.fleet), lambda key, wish: whole, EventLog("door", 10)
+        server = AgentServer(
+            self.host.agent,
+            lambda: read_keys(self.fleet),
+            lambda key, request: status,
+            EventLog("server", 10),
         )
-        door.open()
-        told = await self.ask(messages.HostStatusRequest())
-        self.assertEqual(len(told.instances), 1000)
-        door.close()
+        server.open()
+        response = await self.request(messages.HostStatusRequest())
+        self.assertEqual(len(response.instances), 1000)
+        server.close()
 
     async def test_reports_an_agent_past_the_deadline_as_unknown(self):
         async def late(reader, writer):
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -18,29 +18,29 @@
 
     def test_silent_instance_serves_again_with_its_next_report(self):
         host = self.serving()
-        host.quiet.add(quiet := host.instances[0])
+        host.silent.add(silent := host.instances[0])
         host.run(1.5)
-        self.assertEqual((quiet.phase, host.steps), (Phase.SILENT, []))
-        host.quiet.clear()
+        self.assertEqual((silent.phase, host.steps), (Phase.SILENT, []))
+        host.silent.clear()
         host.run(0.2)
-        self.assertEqual((quiet.phase, host.steps), (Phase.SERVING, []))
+        self.assertEqual((silent.phase, host.steps), (Phase.SERVING, []))
 
     def test_drains_a_stuck_instance_before_killing_it(self):
         host = self.serving(stuck_timeout_ns=20 * SECOND, drain_timeout_ns=5 * SECOND)
         stuck = host.instances[0]
-        host.quiet.add(stuck)
-        host.deaf.add(stuck)
+        host.silent.add(stuck)
+        host.ignoring_drain.add(stuck)
         host.run(20.5)
         self.assertEqual((stuck.phase, host.steps), (Phase.SILENT, []))
         host.run(3)
         self.assertEqual(host.steps, [(Action.TERM, stuck)])
-        host.quiet.clear()
+        host.silent.clear()
         host.run(5)
         self.assertEqual(host.steps, [(Action.TERM, stuck), (Action.KILL, stuck), (Action.START, stuck)])
 
     def test_leaves_a_stuck_instance_where_restart_stuck_is_off(self):
         host = self.serving(stuck_timeout_ns=5 * SECOND, restart_stuck=False)
-        host.quiet.add(host.instances[0])
+        host.silent.add(host.instances[0])
         host.run(60)
         self.assertEqual((host.instances[0].phase, host.steps), (Phase.STUCK, []))
 
@@ -51,27 +51,27 @@
             if looping.phase is Phase.STARTING:
                 starts.append(host.now)
             if looping.alive:
-                host.died(looping)
+                host.crash(looping)
             host.now += 100 * MS
             host.tick()
         waits = [after - before for before, after in pairwise(starts)]
-        for row, wait in enumerate(waits[:4]):  # half at the least, chance has the rest
-            self.assertGreaterEqual(wait, SECOND << row >> 1)
+        for crashes, wait in enumerate(waits[:4]):  # jitter leaves at least half of the backoff
+            self.assertGreaterEqual(wait, SECOND << crashes >> 1)
         self.assertLessEqual(len(starts), 4)
         self.assertTrue(looping.restarts_exhausted)
-        host.take(Verb.START, looping)
+        host.submit(Verb.START, looping)
         host.tick()
-        self.assertEqual(looping.phase, Phase.STARTING)  # an operator's word ends the rest
+        self.assertEqual(looping.phase, Phase.STARTING)  # an operator's start resets the budget
 
     def test_backoff_differs_between_instances_that_crash_together(self):
         host = self.serving(names=8, max_starting=8)
         for each in host.instances:
-            host.died(each)
+            host.crash(each)
         self.assertGreater(len({each.start_not_before for each in host.instances}), 6)
 
     def test_steady_service_resets_the_crash_count(self):
         host = self.serving(steady_after_ns=10 * SECOND)
-        host.died(host.instances[0])
+        host.crash(host.instances[0])
         host.run(5)
         self.assertEqual(host.instances[0].failures, 1)
         host.run(10)
@@ -80,18 +80,18 @@
     def test_ignores_a_report_of_another_generation(self):
         host = self.serving()
         instance = host.instances[0]
-        heard = instance.last_report_at
+        last_report_at = instance.last_report_at
         host.now += SECOND // 2
         host.supervisor.report_received(
             host.now, instance, "draining", instance.process_generation - 1, REPORT
         )
-        self.assertEqual((instance.phase, instance.last_report_at), (Phase.SERVING, heard))
+        self.assertEqual((instance.phase, instance.last_report_at), (Phase.SERVING, last_report_at))
         expected = instance.process_generation
         self.assertEqual(instance.why, f"received a report of generation {expected - 1}, expected {expected}")
 
     def test_ignores_a_report_after_the_process_exited(self):
         host = self.serving()
-        host.died(host.instances[0])
+        host.crash(host.instances[0])
         host.supervisor.report_received(
             host.now, host.instances[0], "serving", host.instances[0].process_generation, REPORT
         )
@@ -100,10 +100,10 @@
     def test_counts_a_crash_where_the_process_wrote_its_generation(self):
         host = SimulatedHost()
         host.tick()
-        made = host.instances[0]
-        made.spawned = False  # the agent ended before it could keep that
-        host.supervisor.process_not_found(host.now, made, recorded_generation=made.process_generation)
-        self.assertEqual((made.phase, len(made.crashes)), (Phase.FAILING, 1))
+        started = host.instances[0]
+        started.spawned = False  # the agent ended before that was stored
+        host.supervisor.process_not_found(host.now, started, recorded_generation=started.process_generation)
+        self.assertEqual((started.phase, len(started.crashes)), (Phase.FAILING, 1))
 
     def test_adopts_a_found_process_and_reuses_the_generation_of_one_never_started(self):
         host = SimulatedHost()
