--- a/tests/cluster/test_rollout_services.py
+++ b/tests/cluster/test_rollout_services.py
@@ -11,7 +11,7 @@
 
 
 class ServiceRolloutTest(RolloutCase):
-    """Services below are replaced by hand; what hangs on them shows how they do."""
+    """Services below are replaced by hand; their dependents show how they do."""
 
     hosts: ClassVar = {"h1": ["n1a", "n1b"], "h2": ["n2a", "n2b"], "h3": ["n3a", "n3b"]}
     sites: ClassVar = {"h1": "woodbrook", "h2": "belmont", "h3": "st-james"}
