--- a/oakkeel/agent/status_views.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -1,14 +1,10 @@
-"""Status of the instances, orders and control plane of an agent, with the age of what was observed."""
+"""The status of the control plane as this host knows it: replica, permits, orders and releases."""
 
 from __future__ import annotations
 
-import time
-
 from oakkeel.agent import messages
-from oakkeel.agent.instances import Goal, Instance, Order, Phase
 from oakkeel.agent.raft_runtime import RaftRuntime
 from oakkeel.agent.status_reporter import StatusReporter
-from oakkeel.agent.supervisor import Supervisor
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import DisruptionOrder
@@ -19,9 +15,10 @@
 from oakkeel.raft.replica import Replica
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import LEASE, Release, RolloutStateMachine
-from oakkeel.settings.types import HostSettings
 
-UNKNOWN_AGE = -1
+UNKNOWN = -1  # an age or a lag
+NO_ROLE = "none"
+UNKNOWN_PHASE = "unknown"
 MAX_LISTED_ORDERS = 50
 MAX_LISTED_RELEASES = 5
 
@@ -30,100 +27,30 @@
     """The replica runs without releases, which an agent never starts: a defect."""
 
 
-def host_status(
-    now: int,
-    host: HostSettings,
-    supervisor: Supervisor,
-    started_at: int,
-    notes: list[str],
-    pids: dict[Instance, int],
-) -> messages.HostStatus:
-    """The state of a host and its instances."""
-    return messages.HostStatus(
-        host.name,
-        host.site,
-        now - started_at,
-        time.time_ns(),
-        host.max_unavailable,
-        supervisor.unavailable[host.site],
-        notes,
-        [_instance_status(now, instance, pids.get(instance, 0)) for instance in supervisor.instances],
-    )
-
-
-def _instance_status(now: int, instance: Instance, pid: int) -> messages.InstanceStatus:
-    task = instance.task
-    open_order = None
-    if task is not None:
-        open_order = messages.OpenOrder(
-            task.order.order_id,
-            task.order.operator,
-            task.order.verb.value,
-            task.state.value,
-            now - task.state_since,
-        )
-    waits_for_start = instance.phase in (Phase.STOPPED, Phase.FAILING) and instance.goal is Goal.UP
-    return messages.InstanceStatus(
-        instance.name,
-        instance.phase.value,
-        now - instance.phase_since,
-        instance.goal.value,
-        instance.generation,
-        instance.changed_at,
-        instance.changed_by,
-        pid,
-        now - instance.last_report_at if instance.report else UNKNOWN_AGE,
-        instance.report,
-        open_order,
-        len(instance.crashes),
-        instance.restarts_exhausted,
-        max(0, instance.start_not_before - now) if waits_for_start else 0,
-        instance.why,
-    )
-
-
-def order_status(now: int, order: Order) -> messages.OrderStatus:
-    """An order with its tasks, and a refused one for each instance that this host does not have."""
-    tasks = [
-        messages.TaskStatus(task.instance.name, task.state.value, max(0, now - task.state_since), task.why)
-        for task in order.tasks
-    ]
-    known = {task.instance for task in tasks}
-    tasks += [
-        messages.TaskStatus(name, "refused", 0, "this host has no such instance")
-        for name, _ in order.requested
-        if name not in known
-    ]
-    return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, tasks)
-
-
-# The control plane.
-
-
 def raft_status(
     now: int, host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None
 ) -> messages.RaftStatus:
     """The state of the replica on this host, or of none."""
-    contact_age = UNKNOWN_AGE
+    contact_age = UNKNOWN
     if status_reporter and status_reporter.last_response_at:
         contact_age = now - status_reporter.last_response_at
     if raft is None or raft.control_plane is None:
         return _status_without_replica(host, raft, status_reporter, contact_age)
     replica = raft.control_plane.replica
     return messages.RaftStatus(
-        host,
-        replica.role.value,
-        now - replica.role_since,
-        replica.durable.epoch,
-        replica.term,
-        replica.leader,
-        replica.holds_lease(now),
-        replica.commit_index,
-        replica.log.last_index,
-        replica.elections_won,
-        contact_age,
-        [_member_status(now, replica, member) for member in replica.members],
-        replica.stale_reason or (status_reporter.why if status_reporter else ""),
+        host=host,
+        role=replica.role.value,
+        role_age=now - replica.role_since,
+        epoch=replica.durable.epoch,
+        term=replica.term,
+        leader=replica.leader,
+        is_leader=replica.holds_lease(now),
+        committed=replica.commit_index,
+        last_index=replica.log.last_index,
+        elections=replica.elections_won,
+        contact_age=contact_age,
+        members=[_member_status(now, replica, member) for member in replica.members],
+        why=replica.stale_reason or (status_reporter.why if status_reporter else ""),
     )
 
 
@@ -136,14 +63,28 @@
     else:
         why = status_reporter.why if status_reporter else "this fleet has no control plane"
     leader = status_reporter.leader if status_reporter and contact_age >= 0 else ""
-    return messages.RaftStatus(host, "none", 0, "", 0, leader, False, 0, 0, 0, contact_age, [], why)
+    return messages.RaftStatus(
+        host=host,
+        role=NO_ROLE,
+        role_age=0,
+        epoch="",
+        term=0,
+        leader=leader,
+        is_leader=False,
+        committed=0,
+        last_index=0,
+        elections=0,
+        contact_age=contact_age,
+        members=[],
+        why=why,
+    )
 
 
 def _member_status(now: int, replica: Replica, member: Member) -> messages.MemberStatus:
     """The lag of a member, and the age of its last acknowledgement; -1: not known to this replica."""
     peer = replica.leader_state.peers.get(member.incarnation) if replica.leader_state else None
-    lag = UNKNOWN_AGE
-    age = UNKNOWN_AGE
+    lag = UNKNOWN
+    age = UNKNOWN
     if member.incarnation == replica.incarnation:
         lag = 0
         age = 0
@@ -170,18 +111,23 @@
         fence = permit.fencing_token if permit and permit.order_id == order.id else 0
         tasks.append(
             messages.FleetTaskStatus(
-                target, hosts.get(target, ""), task.state, task.reason, fence, in_flight.get(target, "")
+                target=target,
+                host=hosts.get(target, ""),
+                state=task.state,
+                why=task.reason,
+                fence=fence,
+                in_flight=in_flight.get(target, ""),
             )
         )
     return messages.FleetOrderStatus(
-        order.id,
-        order.operator,
-        order.verb,
-        order.created_at,
-        order.atomic,
-        order.halted_by,
-        order.cancelled_by,
-        tasks,
+        order_id=order.id,
+        operator=order.operator,
+        verb=order.verb,
+        unix_time=order.created_at,
+        atomic=order.atomic,
+        halted=order.halted_by,
+        cancelled=order.cancelled_by,
+        tasks=tasks,
     )
 
 
@@ -209,20 +155,20 @@
         permit = state.permits.get(target)
         targets.append(
             messages.UnavailableTarget(
-                target,
-                allocator.host_of.get(target, ""),
-                sorted(reasons),
-                permit.fencing_token if permit else 0,
-                permit.order_id if permit else "",
+                target=target,
+                host=allocator.host_of.get(target, ""),
+                reasons=sorted(reasons),
+                fence=permit.fencing_token if permit else 0,
+                order_id=permit.order_id if permit else "",
             )
         )
-    groups = [
+    budgets = [
         messages.BudgetUsage(name, allocator.unavailable.counts[name], group.max_unavailable)
         for name, group in allocator.unavailable.groups.items()
     ]
     latest = list(state.orders.values())[-MAX_LISTED_ORDERS:]
     return messages.FleetStatus(
-        index, groups, targets, [fleet_order_status(raft, order) for order in reversed(latest)]
+        index, budgets, targets, [fleet_order_status(raft, order) for order in reversed(latest)]
     )
 
 
@@ -245,19 +191,19 @@
     lease = state_machine.state.leases.get(LEASE)
     others = [(other.ident, other.state) for other in releases.values() if other is not release]
     return messages.ReleaseStatus(
-        release.ident,
-        release.operator,
-        release.unix,
-        release.state,
-        release.spec,
-        release.step,
-        release.batch,
-        release.why,
-        release.summary,
-        "" if release.is_finished else controller.why,
-        lease.holder.partition(".")[0] if lease else "",
-        _release_targets(now, release, state_machine.state.orders, controller, allocator),
-        others[-MAX_LISTED_RELEASES:],
+        release_id=release.ident,
+        operator=release.operator,
+        unix_time=release.unix,
+        state=release.state,
+        version=release.spec,
+        step=release.step,
+        batch=release.batch,
+        why=release.why,
+        gate_summary=release.summary,
+        waiting_for="" if release.is_finished else controller.why,
+        controller=lease.holder.partition(".")[0] if lease else "",
+        targets=_release_targets(now, release, state_machine.state.orders, controller, allocator),
+        other_releases=others[-MAX_LISTED_RELEASES:],
     )
 
 
@@ -276,13 +222,13 @@
         is_waiting = order and target in order.tasks and target in release.in_progress
         targets.append(
             messages.ReleaseTargetStatus(
-                target,
-                allocator.host_of.get(target, ""),
-                task.state,
-                observed.version if observed else "",
-                observed.phase if observed else "unknown",
-                now - observed.observed_at if observed else UNKNOWN_AGE,
-                order.tasks[target].reason if order and is_waiting else "",
+                target=target,
+                host=allocator.host_of.get(target, ""),
+                state=task.state,
+                running_version=observed.version if observed else "",
+                phase=observed.phase if observed else UNKNOWN_PHASE,
+                report_age=now - observed.observed_at if observed else UNKNOWN,
+                why=order.tasks[target].reason if order and is_waiting else "",
             )
         )
     return targets
