--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -16,7 +16,7 @@
 
 
 class CallSequence:
-    """Places the calls that requests need, in the order in which they came."""
+    """Places the downstream calls of requests; those that must wait are placed in order of arrival."""
 
     def __init__(self, node: NodeState, ends: RequestEnds) -> None:
         """Start with no request that waits for its call."""
@@ -69,7 +69,7 @@
             return
         is_optional = bool(request.request_class.degraded_weight)
         if is_optional and self.node.calls.breaker.is_open():
-            self._skip(now, request)  # a wait is of no use: calls are known to fail
+            self._skip(now, request)  # calls are known to fail
             return
         self.awaiting.append(request)
         if is_optional:
--- a/oakkeel/admission/client_signals.py
+++ b/oakkeel/admission/client_signals.py
@@ -1,4 +1,4 @@
-"""What a node tells its clients: its health, how much to send, and which idle connections it closes."""
+"""The signals of a node to its clients: health, load report and the closing of idle connections."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
             node.host.report_load(value)
 
     def close_idle_connections(self, now: int, connections: float) -> None:
-        """Set the idle time after which connections close, of which so many are open."""
+        """Set the idle time after which connections close; `connections` is how many are open."""
         node = self.node
         kept = idle_time(self.returns.by_step(now), node.overload.highest() >= Stage.REAP)
         parsing_backlog = node.concurrency.mean_parsing_backlog(now)
--- a/oakkeel/admission/concurrency.py
+++ b/oakkeel/admission/concurrency.py
@@ -12,7 +12,7 @@
 RUN_ROUNDING = 0.5  # the limit is rounded to whole requests
 MAX_OVERLOAD_RATIO = 0.7  # of the overload multiple, for all that could be on the cores
 MAX_STALENESS_RATIO = 0.2  # of the latency objective, that a request waits before it is parsed
-MAX_PARSING_PER_CORE_WHILE_STALE = 0.5
+MAX_STALE_PARSING_PER_CORE = 0.5
 MAX_RUNNING_MEMORY_RATIO = 0.85
 MAX_MEMORY_RATIO = 0.95  # with queued requests and retained keys
 
@@ -61,7 +61,7 @@
         most = MAX_EXPANDED_RUNS_PER_CORE if expanded else MAX_RUNS_PER_CORE
         per_core = max(MIN_RUNS_PER_CORE, min(most, MAX_RUNS_AND_PARSING_PER_CORE - parsing))
         self.run_limit = per_core * self.limits.cores
-        if self.staleness_ratio > MAX_STALENESS_RATIO and parsing > MAX_PARSING_PER_CORE_WHILE_STALE:
+        if self.staleness_ratio > MAX_STALENESS_RATIO and parsing > MAX_STALE_PARSING_PER_CORE:
             return 0
         return self.run_limit
 
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -50,9 +50,9 @@
 
 POLL_INTERVAL_NS = SECOND
 MIN_FIRST_POLL_RATIO = 0.5  # of the interval; nodes that start together do not poll together
-POLL_TOKEN = 0
-TIMER_STEP_NS = 16 * MS
-BACKPRESSURE_DELAY_NS = 50 * MS
+POLL_TOKEN = 0  # of the timer; those of requests are the numbers of their steps
+TIMER_STEP_NS = 16 * MS  # one timer of the host serves all requests of a step
+BACKPRESSURE_DELAY_NS = 50 * MS  # before an admitted request is queued
 
 Decision = Admission | Rejection
 
--- a/oakkeel/admission/deadline.py
+++ b/oakkeel/admission/deadline.py
@@ -49,6 +49,6 @@
 
 
 def queue_wait_time(service_times: Sequence[float], waiting: int, cores: int) -> float:
-    """Return the expected wait in nanoseconds behind so many queued requests of mixed classes."""
+    """Return the expected wait in nanoseconds behind `waiting` queued requests of mixed classes."""
     mean = sum(service_times) / len(service_times)
     return mean * waiting / (MAX_EXPANDED_RUNS_PER_CORE * cores)
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -30,7 +30,7 @@
 
 
 def time_for_work(work: float, allowed_rate: float) -> int:
-    """Return the nanoseconds in which a flow may use so much service time at its allowed rate."""
+    """Return the nanoseconds in which a flow may use `work` (service time in nanoseconds) at its rate."""
     return int(work / max(MIN_ALLOWED_RATE, allowed_rate) * SECOND)
 
 
@@ -57,7 +57,7 @@
         due = self.reservations.due(now, key, MAX_EARLY_NS, MAX_LATE_NS) if may_be_return else None
         request.reservation = due
         request.expected_work = work
-        new_work = 0.0 if due else work  # a return at its time was counted when it was rejected
+        new_work = 0.0 if due else work  # work of a reservation was counted at the rejection
         flow = self.shares.count(now, request.flow_keys, new_work, request.retry_attempt)
         request.flow = flow
         request.share_status = self._share_status(now, request, flow, may_be_return)
@@ -65,7 +65,7 @@
             self._charge(now, request, flow)
 
     def _allocate(self, now: int, capacity: float) -> None:
-        """Set the allowed rate of each flow anew, an interval after the last time."""
+        """Update the allowed rate of each flow, once in an interval."""
         if now - self.allocated_at >= ALLOCATION_INTERVAL_NS:
             self.allocated_at = now
             self.reservable_work = capacity * MAX_RESERVED_RATIO * RESERVATION_STEP_NS
@@ -76,7 +76,7 @@
         due = request.reservation
         if due and due.work:
             return ShareStatus.RESERVED
-        if due:  # its time had no capacity behind it: it is judged as any other request
+        if due:  # it has no capacity: the request counts as any other
             self.reservations.end(due, ReservationEnd.RELEASED)
             request.reservation = None
         elif may_be_return and (ahead := self.reservations.last_booked(flow.key)):
--- a/oakkeel/admission/idle_connections.py
+++ b/oakkeel/admission/idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections: after what idle time a connection closes, so that the table holds those who return."""
+"""Idle connections: when they close, so that the table of connections holds the clients that return."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from oakkeel.admission.client_returns import ReturnTimes
 from oakkeel.units import MS, SECOND
 
-NEW_CONNECTION_WORTH_NS = 20 * SECOND  # of idle time, that a saved new connection pays for
-NEW_CONNECTION_WORTH_FROM_REAP_NS = 4 * SECOND
+CONNECTION_VALUE_NS = 20 * SECOND  # of idle connections, that one new connection saved justifies
+REAP_CONNECTION_VALUE_NS = 4 * SECOND  # the same from REAP on
 MIN_IDLE_TIME_NS = 10 * MS
 RETURN_STEP_NS = 64 * MS  # the shortest step of return times; each further one doubles
 RETURN_STEPS = 9
@@ -18,19 +18,19 @@
 
 
 def idle_time(returns: Sequence[ReturnTimes], reaping: bool) -> int:
-    """Return the idle time in nanoseconds beyond which a return no longer pays for the kept connection.
+    """Return the idle time in nanoseconds after which a client returns too seldom to keep its connection.
 
-    `returns` has the return times by step, the last those beyond all steps. From REAP on a place in the table
-    is worth more.
+    `returns` has the return times by step, in the last place those beyond all steps. With `reaping` (from
+    REAP on) a saved new connection justifies less idle time.
     """
-    worth = NEW_CONNECTION_WORTH_FROM_REAP_NS if reaping else NEW_CONNECTION_WORTH_NS
+    value = REAP_CONNECTION_VALUE_NS if reaping else CONNECTION_VALUE_NS
     others = sum(times.returns for times in returns)
     best_time = MIN_IDLE_TIME_NS
     best_gain = 0.0
     saved = 0.0
     for step, times in enumerate(returns[:RETURN_STEPS]):
         step_end = RETURN_STEP_NS << step
-        saved = saved + worth * times.returns - times.total_ns
+        saved = saved + value * times.returns - times.total_ns
         others -= times.returns
         gain = saved - step_end * others
         if gain > best_gain:
--- a/oakkeel/admission/node_state.py
+++ b/oakkeel/admission/node_state.py
@@ -1,4 +1,4 @@
-"""What the rules of one node share: its host, its limits, its requests and what it has measured."""
+"""The parts of one node that its rules share: host, limits, requests and measurements."""
 
 from __future__ import annotations
 
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -9,7 +9,7 @@
 
 
 class Stage(IntEnum):
-    """The overload stages, each with all that the stages below it do."""
+    """The overload stages; each adds a measure to those of the stages below it."""
 
     NORMAL = 0
     EXPAND = 1  # more requests run at one time
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -10,7 +10,7 @@
 from oakkeel.units import SECOND
 
 OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6  # the service time of a class before any request of it completes
-SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll without a completion, so that trials run again
+SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll without a completion: requests run again as probes
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,8 @@
 def allowance_weight(rate: float, allowance: float, over_allowance_weight: float) -> float:
     """Return the mean weight of the requests of a tenant, which is lower above its allowance.
 
-    `rate` and `allowance` are requests a second at this node; no mark tells which request is above it.
+    `rate` and `allowance` are requests a second at this node. The weight is a mean, because no single request
+    is known to be above the allowance.
     """
     within = min(1.0, allowance / rate) if rate and allowance else 1.0
     return within + (1 - within) * over_allowance_weight
@@ -68,7 +69,7 @@
         return self.service_times[request.request_class.index]
 
     def poll(self, now: int, started: int) -> None:
-        """Update the service times, and rank classes and tenants anew; the node started at `started`."""
+        """Update the service times and the ranks; `started` is when the node started."""
         for index, window in enumerate(self.completed):
             self.service_times[index] = window.mean(now, self.service_times[index] * SERVICE_TIME_DECAY_RATIO)
         window_ns = min(WINDOW_STEPS * WINDOW_STEP_NS, max(1, now - started))
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -57,7 +57,7 @@
         node = self.node
         if request.state is State.RUNNING:
             node.occupancy.move(now, request, State.ORPHANED)
-            # Its time counts as a service time: a node on which nothing completes must see that it is slow.
+            # Counted as a service time, or a node on which nothing completes would not see that it is slow.
             node.ranking.completed[request.request_class.index].add(now, request.service_time)
             if node.limits.stop_kind is not StopKind.NONE:
                 node.host.cancel(request)
--- a/oakkeel/admission/sliding_window.py
+++ b/oakkeel/admission/sliding_window.py
@@ -33,18 +33,21 @@
 
     def total(self, now: int) -> float:
         """Return the sum of the values within the window."""
-        return sum(self.sums[bucket] for bucket in self._live_buckets(now))
+        return sum([self.sums[bucket] for bucket in self._live_buckets(now)])
 
     def count(self, now: int) -> int:
         """Return the number of values within the window."""
-        return sum(self.counts[bucket] for bucket in self._live_buckets(now))
+        return sum([self.counts[bucket] for bucket in self._live_buckets(now)])
 
     def mean(self, now: int, default: float) -> float:
         """Return the mean of the values within the window, or the default where there are none."""
-        live = self._live_buckets(now)
-        count = sum(self.counts[bucket] for bucket in live)
-        return sum(self.sums[bucket] for bucket in live) / count if count else default
+        total = 0.0
+        count = 0
+        for bucket in self._live_buckets(now):
+            total += self.sums[bucket]
+            count += self.counts[bucket]
+        return total / count if count else default
 
     def _live_buckets(self, now: int) -> list[int]:
         oldest = now // self.step - WINDOW_STEPS
-        return [bucket for bucket in range(WINDOW_STEPS) if self.bucket_numbers[bucket] > oldest]
+        return [bucket for bucket, number in enumerate(self.bucket_numbers) if number > oldest]
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -1,10 +1,10 @@
-"""The types between the decisions (`oakkeel.admission`) and whatever hosts them.
+"""The types between the decisions (`oakkeel.admission`) and their host.
 
 A host (`oakkeel.node`, `oakkeel.simulator_adapter`) makes one `AdmissionController` for each node, from
 `NodeLimits`, a seed and the time. It calls `arrive`, `run_finished`, `call_needed`, `call_finished`,
 `client_disconnected`, `drain` and `timer_expired` for what happens, and `schedule` once after all that
-happened at one moment; it carries out what comes back through `Host`. Times are whole nanoseconds, memory is
-in kilobytes. Nothing here decides or tunes.
+happened at one moment; it carries out what the decisions ask of `Host`. Durations and instants are whole
+nanoseconds, memory is in kilobytes. Nothing here decides.
 """
 
 from __future__ import annotations
@@ -13,13 +13,15 @@
 from enum import Enum, IntEnum, auto
 from typing import TYPE_CHECKING, Protocol
 
+from oakkeel.units import SECOND
+
 if TYPE_CHECKING:  # loaded only where an operator asks for fair sharing
     from oakkeel.fair_sharing.heavy_hitters import Flow
     from oakkeel.fair_sharing.reservations import Reservation
 
 
 class Idempotency(Enum):
-    """Whether a request may take effect again; the values are the old names."""
+    """Whether a request may take effect more than once."""
 
     IDEMPOTENT = "repeatable"
     IDEMPOTENCY_KEY = "deduplicated"
@@ -35,12 +37,12 @@
 
 
 class LoadReportKind(Enum):
-    """How clients read the value given to `Host.report_load`."""
+    """What the value given to `Host.report_load` means to clients."""
 
     NONE = "silent"
     MINIMUM_RANK = "level"  # no request ranked below the value is sent here
-    CONCURRENCY_LIMIT = "window"  # the most requests a client may have open here
-    ADVERTISED_SHARE = "share"  # the chance that a client does not skip this node
+    CONCURRENCY_LIMIT = "window"  # the maximum of requests that a client may have open here
+    ADVERTISED_SHARE = "share"  # the probability that a client does not skip this node
 
 
 class DownstreamKind(Enum):
@@ -52,7 +54,7 @@
 
 
 class Outcome(Enum):
-    """How a run or a call ended."""
+    """How a run or a call ended; the values are labels of metrics."""
 
     COMPLETED = "completed"
     ERROR = "error"
@@ -80,7 +82,7 @@
 
 
 class RequestState(IntEnum):
-    """The states of a request; `Occupancy.move` alone changes one."""
+    """The states of a request; only `Occupancy.move` changes them."""
 
     READ = 0  # read, not yet decided
     DELAYED = 1  # queued, under the delay of the backpressure stage
@@ -90,26 +92,26 @@
     AWAITING_CALL = 5  # off the cores, its call not placed
     CALLING = 6  # off the cores, its call placed
     ORPHANED = 7  # answered, its run still on the cores
-    RELEASING = 8  # answered at a call, its memory not yet free
+    RELEASING = 8  # answered during its call, its memory not yet free
     FINISHED = 9
 
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """A class of requests, with what an answer is worth and until when."""
+    """A class of requests, with its weights and its time limits."""
 
     index: int
     idempotency: Idempotency
     priority_weight: float
     latency_objective: int
     client_timeout: int
-    idempotency_window: int  # one with an idempotency key may come again within this
+    idempotency_window: int  # for how long a retry with its idempotency key may come
     late_weight: float  # of the priority weight, for an answer after the latency objective
     degraded_weight: float  # of the priority weight, where the optional call is skipped
 
     @property
     def at_most_once(self) -> bool:
-        """Tell whether it may not take effect again."""
+        """Tell whether a request of this class may take effect only once."""
         return self.idempotency is not Idempotency.IDEMPOTENT
 
 
@@ -122,27 +124,27 @@
 
 
 class ShareStatus(IntEnum):
-    """How a request stands to the fair share of its flow: rejected first below 0, run first above it."""
+    """How a request stands to the fair share of its flow; the value is added to its rank."""
 
-    EXCEEDED = -1  # its flow had its share
+    EXCEEDED = -1  # its flow has used its share
     WITHIN_SHARE = 0
-    RESERVED = 1  # its flow came at its reserved time
+    RESERVED = 1  # its flow came at the time of a reservation
 
 
 @dataclass(slots=True, eq=False)
 class FairSharingRules:
-    """What counts as one flow, and what each may have, as the operator sets it."""
+    """What counts as one flow, and the weight of each, as the operator sets it."""
 
     levels: tuple[str, ...]  # one or two, the outermost first: tenant, client, subject or a field's name
     weights: dict[bytes, float]  # by the value of the level's field; 1 where none is set
     max_flows: int = 256  # known at one time, at each level
     max_reservations: int = 1024  # open at one time
-    half_life: int = 4_000_000_000  # the age at which service time counts half
+    half_life: int = 4 * SECOND  # the age at which service time counts half
 
 
 @dataclass(slots=True, eq=False)
 class NodeLimits:
-    """What a node knows of itself and its rules from its start."""
+    """The limits and rules of a node, known from its start."""
 
     cores: int
     memory_kb: float
@@ -151,10 +153,10 @@
     starts_cold: bool
     slow_start_share: float  # share of full speed that a cold node starts at
     slow_start_time: int
-    overload_multiple: float  # running requests a core that a warm node survives
+    overload_multiple: float  # running requests for each core that a warm node survives
     drain_grace: int
-    marks_retries: bool  # retries come marked
-    max_retry_after: int  # 0: clients heed none
+    marks_retries: bool  # dispatchers mark retries
+    max_retry_after: int  # 0: clients ignore Retry-After
     stop_kind: StopKind
     peers: int
     downstream: DownstreamKind
@@ -167,10 +169,10 @@
     over_allowance_weight: float  # of the priority weight, above the allowance of its tenant
     request_classes: list[RequestClass]
     tenants: list[Tenant]
-    fair_sharing: FairSharingRules | None = None  # None: no flow is told from another
+    fair_sharing: FairSharingRules | None = None  # None: fair sharing is off
 
     def warmth(self, age: int) -> float:
-        """Return the least share of full speed of a node that started so long ago (slow start)."""
+        """Return the minimum share of full speed of a node that is `age` nanoseconds old (slow start)."""
         if not self.starts_cold or not self.slow_start_time:
             return 1.0
         warmed = min(1.0, age / self.slow_start_time)
@@ -179,17 +181,17 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request read by this node: the host fills in the first block, the decisions keep the rest."""
+    """One request: the host sets the first block of fields, the decisions the rest."""
 
     request_class: RequestClass
     tenant: Tenant | None
     client: int
     memory_kb: float
     retry_attempt: bool
-    remaining_time: int  # until its client gives up; 0 where unknown
-    queueing_delay: int  # since it reached the machine
+    remaining_time: int  # until its client times out; 0 where unknown
+    queueing_delay: int  # since it reached the machine, until it was read
     has_key: bool  # reads of its key may be shared
-    is_duplicate: bool  # it repeats a request whose key the host retains
+    is_duplicate: bool  # the host retains the key of an earlier request with its key
 
     state: RequestState = RequestState.READ
     objective_end: int = 0
@@ -202,12 +204,12 @@
     committed_call_time: int = 0  # booked for a call in flight
     key_retained: bool = False
 
-    # By level, a key and a label; set where shares are fair.
+    # For fair sharing: a key and a label for each level, the outermost first.
     flow_keys: tuple[tuple[int, bytes], ...] = ()
     flow: Flow | None = None
-    reservation: Reservation | None = None  # by which it comes
+    reservation: Reservation | None = None  # that it uses
     share_status: ShareStatus = ShareStatus.WITHIN_SHARE
-    expected_work: float = 0.0  # that it was counted with
+    expected_work: float = 0.0  # service time in nanoseconds that its flow was charged
 
 
 @dataclass(slots=True)
@@ -227,40 +229,40 @@
         """Start the request on the cores."""
 
     def reject(self, request: Request, final: bool, retry_after: int) -> None:
-        """Answer that it never ran; `final` where a try elsewhere is not worth its reading."""
+        """Answer that the request never ran; `final` if a retry elsewhere is not worth its parsing."""
 
     def fail(self, request: Request) -> None:
-        """Answer that it failed: it may have taken effect."""
+        """Answer that the request failed: it may have taken effect."""
 
     def cancel(self, request: Request) -> None:
-        """Stop its run."""
+        """Stop the run of the request."""
 
     def call(self, request: Request, until: int) -> None:
-        """Place its downstream call, which ends by then."""
+        """Place the downstream call of the request, which ends by `until`."""
 
     def skip_call(self, request: Request) -> None:
-        """Let its run go on without the call."""
+        """Let the run of the request go on without the call."""
 
     def coalesce(self, request: Request) -> None:
-        """Let it wait for the result of the request that it repeats."""
+        """Let the request wait for the result of the one that it duplicates."""
 
     def retain_key(self, request: Request, duration: int) -> None:
-        """Know later requests with its key as duplicates for this long."""
+        """Treat later requests with the same key as duplicates for `duration` nanoseconds."""
 
     def release_key(self, request: Request) -> None:
-        """Forget its key: it never ran."""
+        """Drop the key of the request: it never ran."""
 
     def set_timer(self, token: int, at: int) -> None:
-        """Call `timer_expired` with the token at this time."""
+        """Call `AdmissionController.timer_expired` with the token at `at`."""
 
     def set_health(self, good: bool, stored: bool) -> None:
-        """Answer health checks so; `stored` without any work."""
+        """Set the answer to health checks; `stored` if checks do no work."""
 
     def report_load(self, value: float) -> None:
-        """Give clients the value, in the meaning of `NodeLimits.load_report`."""
+        """Give clients the value; `NodeLimits.load_report` tells its meaning."""
 
     def close_idle(self, after: int) -> None:
-        """Close connections that have been idle for longer."""
+        """Close connections that have been idle for `after` nanoseconds."""
 
     def note(self, text: str) -> None:
         """Log a remark."""
