--- a/oakkeel/simulator_adapter/__main__.py
+++ b/oakkeel/simulator_adapter/__main__.py
@@ -6,18 +6,21 @@
 import sys
 
 from oakkeel.simulator_adapter.table import InstanceTable
-from oakkeel.simulator_adapter.wire import WireError, read_frame
+from oakkeel.simulator_adapter.wire import WireError, read_batch
+
+GC_THRESHOLDS = (50_000, 20, 50)  # by generation; requests seldom form cycles
 
 
 def main() -> int:
-    """Answer batches until the input ends; 2 for a frame that can't be read, 1 for a closed output."""
-    gc.freeze()  # the modules live as long as the process: don't scan them again
-    gc.set_threshold(50_000, 20, 50)
-    source, sink = sys.stdin.buffer, sys.stdout.buffer
+    """Answer batches until the input ends. Return 2 for a frame that can't be read, 1 for a closed output."""
+    gc.freeze()  # the modules live as long as the process: the collector need not scan them
+    gc.set_threshold(*GC_THRESHOLDS)
+    source = sys.stdin.buffer
+    sink = sys.stdout.buffer
     table = InstanceTable()
     try:
-        while (frame := read_frame(source)) is not None:
-            sink.write(table.batch(*frame))
+        while (batch := read_batch(source)) is not None:
+            sink.write(table.handle(batch))
             sink.flush()
     except (WireError, UnicodeDecodeError) as error:
         print(f"oakkeel: {error}", file=sys.stderr)
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -1,13 +1,12 @@
-"""One instance on the simulator's wire: IDs become objects, and what is asked of the host becomes actions."""
+"""One instance on the simulator's wire: IDs become requests, and actions on the host become records."""
 
 from __future__ import annotations
 
-from typing import Any
-
 from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import Gauges, Idempotency, Outcome, Request
 from oakkeel.node_limits import LimitsError, Pairs, read_limits
 from oakkeel.simulator_adapter import wire
+from oakkeel.simulator_adapter.wire import ActionCode, Arrival, WireError
 
 OUTCOMES = {
     200: Outcome.COMPLETED,
@@ -24,15 +23,15 @@
 class Instance:
     """The `Host` of one `AdmissionController`; request IDs stay known, so that late events are harmless."""
 
-    def __init__(self, number: int, seed: int, text: str, now: int, reply: wire.Reply) -> None:
-        """Read the settings and start the decisions; a `WireError` for settings that lack something."""
+    def __init__(self, number: int, seed: int, settings: str, now: int, reply: wire.Reply) -> None:
+        """Read the settings and start the decisions. Raises `WireError` for settings that lack something."""
         self.number = number
         self.reply = reply
-        pairs = Pairs.from_text(text)
+        pairs = Pairs.from_text(settings)
         try:
             self.limits = read_limits(pairs)
         except LimitsError as error:
-            wire.fail(str(error))
+            raise WireError(str(error)) from error
         self.gauge_names = pairs.gauges()
         self.gauges = Gauges()
         self.requests: dict[int, Request] = {}
@@ -41,29 +40,33 @@
 
     def request_of(self, request_id: int) -> Request:
         """Return the request with this ID."""
-        return self.requests.get(request_id) or wire.fail(
-            f"unknown exchange {request_id} on instance {self.number}"
-        )
+        request = self.requests.get(request_id)
+        if request is None:
+            raise WireError(f"unknown request {request_id} on instance {self.number}")
+        return request
 
-    def incoming(self, now: int, fields: tuple[Any, ...]) -> None:
-        """Decide about a request that arrived, given as the fields of its record."""
-        _, _, request_id, row, _, _, memory_kb, flags, client, remaining, tenant, delay, key, earlier = fields
+    def arrive(self, now: int, arrival: Arrival) -> None:
+        """Let the controller decide about a request that arrived."""
         limits = self.limits
-        if row >= len(limits.request_classes) or request_id in self.requests:
-            wire.fail(
-                f"exchange {request_id} on instance {self.number}: id used before, or group {row} unknown"
+        request_id = arrival.request_id
+        if arrival.class_index >= len(limits.request_classes):
+            raise WireError(
+                f"request {request_id} on instance {self.number}: unknown class {arrival.class_index}"
             )
-        request_class = limits.request_classes[row]
+        if request_id in self.requests:
+            raise WireError(f"request {request_id} on instance {self.number}: the ID was used before")
+        request_class = limits.request_classes[arrival.class_index]
+        has_tenant = arrival.tenant_index < len(limits.tenants)
         request = Request(
             request_class=request_class,
-            tenant=limits.tenants[tenant] if tenant < len(limits.tenants) else None,
-            client=client,
-            memory_kb=memory_kb,
-            retry_attempt=bool(flags & wire.FLAG_RETRY),
-            remaining_time=remaining,
-            queueing_delay=delay,
-            has_key=bool(key) or request_class.idempotency is Idempotency.IDEMPOTENCY_KEY,
-            is_duplicate=bool(earlier),
+            tenant=limits.tenants[arrival.tenant_index] if has_tenant else None,
+            client=arrival.client,
+            memory_kb=arrival.memory_kb,
+            retry_attempt=bool(arrival.flags & wire.RETRY_FLAG),
+            remaining_time=arrival.remaining_time,
+            queueing_delay=arrival.queueing_delay,
+            has_key=bool(arrival.key) or request_class.idempotency is Idempotency.IDEMPOTENCY_KEY,
+            is_duplicate=bool(arrival.earlier_request),
         )
         self.requests[request_id] = request
         self.ids[request] = request_id
@@ -76,65 +79,68 @@
                 setattr(self.gauges, name, value)
         return self.gauges
 
-    def _named(self, code: int, request: Request) -> None:
-        self.reply.records.append(wire.ACT_ID.pack(code, self.number, self.ids[request]))
+    def _add(self, code: ActionCode, request: Request) -> None:
+        """Add an action that names a request and has no further field."""
+        self.reply.records.append(wire.ACTION_REQUEST.pack(code, self.number, self.ids[request]))
+
+    def _add_with_time(self, code: ActionCode, number: int, time: int) -> None:
+        """Add an action that names a request or a timer, and a time."""
+        self.reply.records.append(wire.ACTION_REQUEST_TIME.pack(code, self.number, number, time))
 
     def run(self, request: Request) -> None:
-        """Start it on the cores."""
-        self._named(wire.LAUNCH, request)
+        """Start the request on the cores."""
+        self._add(ActionCode.RUN, request)
 
     def reject(self, request: Request, final: bool, retry_after: int) -> None:
-        """Answer that it never ran, with when to come back."""
+        """Answer that the request never ran, with when to retry."""
         self.reply.records.append(
-            wire.ACT_BOUNCE.pack(wire.BOUNCE, self.number, self.ids[request], final, retry_after)
+            wire.ACTION_REJECT.pack(ActionCode.REJECT, self.number, self.ids[request], final, retry_after)
         )
 
     def fail(self, request: Request) -> None:
-        """Answer that it failed."""
-        self._named(wire.REPORT_FAILURE, request)
+        """Answer that the request failed."""
+        self._add(ActionCode.FAIL, request)
 
     def cancel(self, request: Request) -> None:
-        """Stop its run."""
-        self._named(wire.INTERRUPT, request)
+        """Stop the run of the request."""
+        self._add(ActionCode.CANCEL, request)
 
     def call(self, request: Request, until: int) -> None:
-        """Place its downstream call."""
-        self.reply.records.append(wire.ACT_ID_TIME.pack(wire.DIAL, self.number, self.ids[request], until))
+        """Place the downstream call of the request."""
+        self._add_with_time(ActionCode.CALL, self.ids[request], until)
 
     def skip_call(self, request: Request) -> None:
-        """Let it go on without its call."""
-        self._named(wire.GO_ON, request)
+        """Let the run of the request go on without its call."""
+        self._add(ActionCode.SKIP_CALL, request)
 
     def coalesce(self, request: Request) -> None:
-        """Let it wait for the result of the request that it repeats."""
-        self._named(wire.SHARE, request)
+        """Let the request wait for the result of the one that it duplicates."""
+        self._add(ActionCode.COALESCE, request)
 
     def retain_key(self, request: Request, duration: int) -> None:
-        """Know requests with its key as duplicates for this long."""
-        self.reply.records.append(
-            wire.ACT_ID_TIME.pack(wire.REMEMBER, self.number, self.ids[request], duration)
-        )
+        """Treat requests with the same key as duplicates for `duration` nanoseconds."""
+        self._add_with_time(ActionCode.RETAIN_KEY, self.ids[request], duration)
 
     def release_key(self, request: Request) -> None:
-        """Forget its key."""
-        self._named(wire.RELEASE_KEY, request)
+        """Drop the key of the request."""
+        self._add(ActionCode.RELEASE_KEY, request)
 
     def set_timer(self, token: int, at: int) -> None:
-        """Ask for a timer record at this time."""
-        self.reply.records.append(wire.ACT_ID_TIME.pack(wire.SET_TIMER, self.number, token, at))
+        """Ask for a timer record at `at`."""
+        self._add_with_time(ActionCode.SET_TIMER, token, at)
 
     def set_health(self, good: bool, stored: bool) -> None:
         """Set the answer to health checks."""
-        self.reply.records.append(wire.ACT_HEALTH.pack(wire.HEALTH, self.number, stored, good))
+        self.reply.records.append(wire.ACTION_HEALTH.pack(ActionCode.SET_HEALTH, self.number, stored, good))
 
     def report_load(self, value: float) -> None:
         """Give clients this value."""
-        self.reply.records.append(wire.ACT_FLOAT.pack(wire.ANNOUNCE, self.number, value))
+        self.reply.records.append(wire.ACTION_VALUE.pack(ActionCode.REPORT_LOAD, self.number, value))
 
     def close_idle(self, after: int) -> None:
-        """Close connections that have been idle for longer."""
-        self.reply.records.append(wire.ACT_TIME.pack(wire.TRIM_AFTER, self.number, after))
+        """Close connections that have been idle for `after` nanoseconds."""
+        self.reply.records.append(wire.ACTION_TIME.pack(ActionCode.CLOSE_IDLE, self.number, after))
 
     def note(self, text: str) -> None:
         """Add a remark."""
-        self.reply.add_text(wire.DEBUG, self.number, text)
+        self.reply.add_text(ActionCode.NOTE, self.number, text)
--- a/oakkeel/simulator_adapter/table.py
+++ b/oakkeel/simulator_adapter/table.py
@@ -4,109 +4,144 @@
 
 import struct
 from collections.abc import Callable
-from typing import Any
 
+from oakkeel.admission.types import Outcome
 from oakkeel.simulator_adapter import wire
 from oakkeel.simulator_adapter.instance import OUTCOMES, Instance
+from oakkeel.simulator_adapter.wire import ActionCode, Batch, EventCode, WireError
+
+Handler = Callable[[Batch, int], Instance | None]
 
 
 class InstanceTable:
-    """Many instances that share nothing but the frames."""
+    """Many instances that share nothing but the frames.
+
+    A handler takes a batch and the offset of a record in its body. It returns the instance that is to be
+    scheduled, or None.
+    """
 
     def __init__(self) -> None:
         """Start with no instance."""
         self.instances: dict[int, Instance] = {}
         self.reply = wire.Reply()
-        self.tail = 0  # where the tail of the current batch begins
-        self.handlers: dict[int, Callable[[int, bytes, int], Instance | None]] = {
-            wire.EV_PROVISION: self._provision,
-            wire.EV_INCOMING: self._incoming,
-            wire.EV_WORK_DONE: self._ended,
-            wire.EV_CALL_DONE: self._ended,
-            wire.EV_AWAITING: self._named,
-            wire.EV_GONE: self._named,
-            wire.EV_LAME_DUCK: self._named,
-            wire.EV_TIMER: self._timer,
-            wire.EV_KILLED: self._killed,
+        self.handlers: dict[int, Handler] = {
+            EventCode.START: self._start,
+            EventCode.ARRIVAL: self._arrival,
+            EventCode.RUN_FINISHED: self._run_finished,
+            EventCode.CALL_NEEDED: self._call_needed,
+            EventCode.CALL_FINISHED: self._call_finished,
+            EventCode.DRAIN: self._drain,
+            EventCode.CLIENT_DISCONNECTED: self._client_disconnected,
+            EventCode.TIMER_EXPIRED: self._timer_expired,
+            EventCode.KILLED: self._killed,
         }
 
-    def batch(self, number: int, clock: int, count: int, body: bytes) -> bytes:
-        """Hand out the records of a batch, schedule each instance that had one, and return the reply."""
+    def handle(self, batch: Batch) -> bytes:
+        """Handle the records of a batch, schedule each instance that had one, and return the reply."""
         touched: dict[int, Instance] = {}
-        self.tail = count * wire.EVENT_SIZE
-        for offset in range(0, self.tail, wire.EVENT_SIZE):
-            handler = self.handlers.get(body[offset]) or wire.fail(
-                f"batch {number}: unknown event code {body[offset]}"
-            )
-            instance_id = wire.KILLED.unpack_from(body, offset)[1]
-            instance = self._guarded(instance_id, handler, clock, body, offset)
+        for offset in range(0, batch.records_size, wire.EVENT_SIZE):
+            code, instance_id = wire.EVENT_HEAD.unpack_from(batch.body, offset)
+            instance = self._handle_record(batch, offset, code, instance_id)
             if instance is not None:
                 touched[instance_id] = instance
             else:
                 touched.pop(instance_id, None)
-        for instance_id, instance in touched.items():
-            self._guarded(instance_id, instance.admission.schedule, clock)
-        return self.reply.frame(number)
-
-    def _guarded(
-        self, instance_id: int, handler: Callable[..., Instance | None], *arguments: Any
-    ) -> Instance | None:
-        """Report what the decisions raise as a record; a frame that can't be read is raised."""
+        for instance in touched.values():
+            self._schedule(instance, batch.clock)
+        return self.reply.take_frame(batch.number)
+
+    def _handle_record(self, batch: Batch, offset: int, code: int, instance_id: int) -> Instance | None:
+        handler = self.handlers.get(code)
+        if handler is None:
+            raise WireError(f"batch {batch.number}: unknown event code {code}")
         try:
-            return handler(*arguments)
-        except (wire.WireError, UnicodeDecodeError):
+            return handler(batch, offset)
+        except (WireError, UnicodeDecodeError):
             raise
-        except Exception as error:  # the boundary of the decisions: the simulator stops with the text
-            self.reply.add_text(wire.INTERNAL_ERROR, instance_id, f"{type(error).__name__}: {error}")
+        except Exception as error:  # the boundary of the decisions
+            self._report_error(instance_id, error)
             return None
 
+    def _schedule(self, instance: Instance, now: int) -> None:
+        try:
+            instance.admission.schedule(now)
+        except Exception as error:  # the boundary of the decisions
+            self._report_error(instance.number, error)
+
+    def _report_error(self, instance_id: int, error: Exception) -> None:
+        """Add an error of the decisions to the reply; the simulator stops and prints it."""
+        self.reply.add_text(ActionCode.INTERNAL_ERROR, instance_id, f"{type(error).__name__}: {error}")
+
     def _instance(self, instance_id: int) -> Instance:
-        return self.instances.get(instance_id) or wire.fail(f"event for unknown instance {instance_id}")
-
-    def _provision(self, clock: int, body: bytes, offset: int) -> Instance:
-        _, instance_id, seed, start, length = wire.PROVISION.unpack_from(body, offset)
-        start += self.tail
-        if start + length > len(body):
-            wire.fail(f"settings of instance {instance_id} reach past the end of the batch")
-        text = body[start : start + length].decode()
-        instance = self.instances[instance_id] = Instance(instance_id, seed, text, clock, self.reply)
+        instance = self.instances.get(instance_id)
+        if instance is None:
+            raise WireError(f"event for unknown instance {instance_id}")
+        return instance
+
+    def _start(self, batch: Batch, offset: int) -> Instance:
+        _, instance_id, seed, start, length = wire.START.unpack_from(batch.body, offset)
+        start += batch.records_size
+        if start + length > len(batch.body):
+            raise WireError(f"settings of instance {instance_id} reach past the end of the batch")
+        settings = batch.body[start : start + length].decode()
+        instance = Instance(instance_id, seed, settings, batch.clock, self.reply)
+        self.instances[instance_id] = instance
         return instance
 
-    def _incoming(self, clock: int, body: bytes, offset: int) -> Instance:
-        fields = wire.INCOMING.unpack_from(body, offset)
-        instance = self._instance(fields[1])
-        instance.incoming(clock, fields)
+    def _arrival(self, batch: Batch, offset: int) -> Instance:
+        arrival = wire.Arrival._make(wire.ARRIVAL.unpack_from(batch.body, offset))
+        instance = self._instance(arrival.instance_id)
+        instance.arrive(batch.clock, arrival)
         return instance
 
-    def _ended(self, clock: int, body: bytes, offset: int) -> Instance:
-        code, instance_id, request_id, status, latency = wire.ENDED.unpack_from(body, offset)
+    def _run_finished(self, batch: Batch, offset: int) -> Instance:
+        _, instance_id, request_id, status, latency = wire.FINISHED.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
-        outcome = OUTCOMES.get(status) or wire.fail(f"unknown outcome {status} on instance {instance_id}")
-        admission, request = instance.admission, instance.request_of(request_id)
-        finish = admission.run_finished if code == wire.EV_WORK_DONE else admission.call_finished
-        finish(clock, request, outcome, latency)
+        outcome = _outcome(status, instance_id)
+        instance.admission.run_finished(batch.clock, instance.request_of(request_id), outcome, latency)
         return instance
 
-    def _named(self, clock: int, body: bytes, offset: int) -> Instance:
-        code, instance_id, value = wire.NAMED.unpack_from(body, offset)
+    def _call_finished(self, batch: Batch, offset: int) -> Instance:
+        _, instance_id, request_id, status, latency = wire.FINISHED.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
-        if code == wire.EV_LAME_DUCK:
-            instance.admission.drain(clock, value)
-        else:
-            admission, request = instance.admission, instance.request_of(value)
-            handle = admission.call_needed if code == wire.EV_AWAITING else admission.client_disconnected
-            handle(clock, request)
+        outcome = _outcome(status, instance_id)
+        instance.admission.call_finished(batch.clock, instance.request_of(request_id), outcome, latency)
         return instance
 
-    def _timer(self, clock: int, body: bytes, offset: int) -> Instance:
-        _, instance_id, token, number = wire.TIMER.unpack_from(body, offset)
+    def _call_needed(self, batch: Batch, offset: int) -> Instance:
+        _, instance_id, request_id = wire.EVENT_VALUE.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
-        if number > wire.MOST_GAUGES:
-            wire.fail(f"{number} gauges do not fit a record of instance {instance_id}")
-        values = struct.unpack_from(f"<{number}f", body, offset + wire.TIMER.size)
-        instance.admission.timer_expired(clock, token, instance.read_gauges(values))
+        instance.admission.call_needed(batch.clock, instance.request_of(request_id))
         return instance
 
-    def _killed(self, clock: int, body: bytes, offset: int) -> None:
-        instance_id = self._instance(wire.KILLED.unpack_from(body, offset)[1]).number
-        del self.instances[instance_id]
+    def _client_disconnected(self, batch: Batch, offset: int) -> Instance:
+        _, instance_id, request_id = wire.EVENT_VALUE.unpack_from(batch.body, offset)
+        instance = self._instance(instance_id)
+        instance.admission.client_disconnected(batch.clock, instance.request_of(request_id))
+        return instance
+
+    def _drain(self, batch: Batch, offset: int) -> Instance:
+        _, instance_id, remaining = wire.EVENT_VALUE.unpack_from(batch.body, offset)
+        instance = self._instance(instance_id)
+        instance.admission.drain(batch.clock, remaining)
+        return instance
+
+    def _timer_expired(self, batch: Batch, offset: int) -> Instance:
+        _, instance_id, token, count = wire.TIMER.unpack_from(batch.body, offset)
+        instance = self._instance(instance_id)
+        if count > wire.MAX_GAUGES:
+            raise WireError(f"{count} gauges do not fit a record of instance {instance_id}")
+        values = struct.unpack_from(f"<{count}f", batch.body, offset + wire.TIMER.size)
+        instance.admission.timer_expired(batch.clock, token, instance.read_gauges(values))
+        return instance
+
+    def _killed(self, batch: Batch, offset: int) -> None:
+        _, instance_id = wire.EVENT_HEAD.unpack_from(batch.body, offset)
+        del self.instances[self._instance(instance_id).number]
+
+
+def _outcome(status: int, instance_id: int) -> Outcome:
+    outcome = OUTCOMES.get(status)
+    if outcome is None:
+        raise WireError(f"unknown outcome {status} on instance {instance_id}")
+    return outcome
--- a/tests/compatibility/test_network.py
+++ b/tests/compatibility/test_network.py
@@ -68,7 +68,7 @@
             table, batches = InstanceTable(), 0
             for frame, reply in self.exchanged(name):
                 batches += 1
-                answered = table.batch(*wire.read_frame(io.BytesIO(frame)))
+                answered = table.handle(wire.read_batch(io.BytesIO(frame)))
                 self.assertEqual(answered.hex(), reply.hex(), (name, batches))
             self.assertGreater(batches, 3000)
 
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -23,15 +23,15 @@
         "unheard.of=7",
     )
 ).encode()
-START = wire.PROVISION.pack(1, 3, 99, 0, len(SETTINGS)).ljust(wire.EVENT_SIZE, b"\0")
-ARRIVAL = wire.INCOMING.pack(2, 3, 77, 0, 0.5, 0, 40.0, 0, 1, 900_000_000, 0, 0, 0, 0).ljust(
+START = wire.START.pack(1, 3, 99, 0, len(SETTINGS)).ljust(wire.EVENT_SIZE, b"\0")
+ARRIVAL = wire.ARRIVAL.pack(2, 3, 77, 0, 0.5, 0, 40.0, 0, 1, 900_000_000, 0, 0, 0, 0).ljust(
     wire.EVENT_SIZE, b"\0"
 )
 
 
 def batch(*records: bytes, tail: bytes = b"") -> bytes:
     body = b"".join(records) + tail
-    return wire.HEADER.pack(5, len(body) + 12, 10**9, len(records)) + body
+    return wire.BATCH_HEADER.pack(5, len(body) + 12, 10**9, len(records)) + body
 
 
 def run_adapter(data: bytes) -> subprocess.CompletedProcess:
@@ -43,8 +43,8 @@
 class SimulatorWireTest(unittest.TestCase):
     def test_reads_and_writes_the_examples_of_the_wire(self):
         empty = bytes.fromhex("010000000c00000090bf68f50100000000000000")
-        self.assertEqual(wire.read_frame(io.BytesIO(empty)), (1, 8_412_249_999 + 1, 0, b""))
-        self.assertEqual(wire.Reply().frame(1).hex(), "010000000400000000000000")
+        self.assertEqual(wire.read_batch(io.BytesIO(empty)), wire.Batch(1, 8_412_249_999 + 1, 0, b""))
+        self.assertEqual(wire.Reply().take_frame(1).hex(), "010000000400000000000000")
         incoming = bytes.fromhex(
             "02"
             "03000000"
@@ -62,32 +62,32 @@
             "192b6f0e90b20c00"
             "0000"
         )
-        fields = wire.INCOMING.unpack_from(incoming)
+        fields = wire.ARRIVAL.unpack_from(incoming)
         self.assertEqual(fields[3:12], (0, 0.625, 12_000_000, 24.5, 1, 17, 240_000_000, 0, 1_850_000))
-        bounce = wire.ACT_BOUNCE.pack(wire.BOUNCE, 3, 0x000CB2900E6F2B19, True, 250_000_000)
+        bounce = wire.ACTION_REJECT.pack(wire.ActionCode.REJECT, 3, 0x000CB2900E6F2B19, True, 250_000_000)
         self.assertEqual(bounce.hex(), "0903000000192b6f0e90b20c000180b2e60e000000000000")
 
     def test_runs_an_arrival_and_a_restarted_instance_forgets_it(self):
         table = InstanceTable()
-        frame = table.batch(*wire.read_frame(io.BytesIO(batch(START, ARRIVAL, tail=SETTINGS))))
-        self.assertIn(wire.ACT_ID.pack(wire.LAUNCH, 3, 77), frame)
-        killed = wire.KILLED.pack(9, 3).ljust(wire.EVENT_SIZE, b"\0")
-        frame = table.batch(*wire.read_frame(io.BytesIO(batch(killed, START, ARRIVAL, tail=SETTINGS))))
-        self.assertIn(wire.ACT_ID.pack(wire.LAUNCH, 3, 77), frame)
+        frame = table.handle(wire.read_batch(io.BytesIO(batch(START, ARRIVAL, tail=SETTINGS))))
+        self.assertIn(wire.ACTION_REQUEST.pack(wire.ActionCode.RUN, 3, 77), frame)
+        killed = wire.EVENT_HEAD.pack(9, 3).ljust(wire.EVENT_SIZE, b"\0")
+        frame = table.handle(wire.read_batch(io.BytesIO(batch(killed, START, ARRIVAL, tail=SETTINGS))))
+        self.assertIn(wire.ACTION_REQUEST.pack(wire.ActionCode.RUN, 3, 77), frame)
 
     def test_reports_an_error_of_the_decisions_as_a_record(self):
         table = InstanceTable()
-        table.batch(*wire.read_frame(io.BytesIO(batch(START, tail=SETTINGS))))
+        table.handle(wire.read_batch(io.BytesIO(batch(START, tail=SETTINGS))))
         table.instances[3].admission.arrive = None
-        frame = table.batch(*wire.read_frame(io.BytesIO(batch(ARRIVAL))))
-        self.assertEqual(struct.unpack_from("<B", frame, 12)[0], wire.INTERNAL_ERROR)
+        frame = table.handle(wire.read_batch(io.BytesIO(batch(ARRIVAL))))
+        self.assertEqual(struct.unpack_from("<B", frame, 12)[0], wire.ActionCode.INTERNAL_ERROR)
 
     def test_exits_cleanly_at_the_end_of_input(self):
         self.assertEqual(run_adapter(b"").returncode, 0)
 
     def test_exits_with_one_line_on_malformed_input(self):
         unknown_code = batch(b"\x63".ljust(wire.EVENT_SIZE, b"\0"))
-        unknown_request = wire.ENDED.pack(3, 3, 55, 200, 0).ljust(wire.EVENT_SIZE, b"\0")
+        unknown_request = wire.FINISHED.pack(3, 3, 55, 200, 0).ljust(wire.EVENT_SIZE, b"\0")
         for data in (
             b"abc",
             batch(START, tail=SETTINGS)[:-4],
@@ -102,7 +102,7 @@
             self.assertNotIn(b"Traceback", ended.stderr)
 
     def test_names_missing_settings(self):
-        start = wire.PROVISION.pack(1, 3, 99, 0, 0).ljust(wire.EVENT_SIZE, b"\0")
+        start = wire.START.pack(1, 3, 99, 0, 0).ljust(wire.EVENT_SIZE, b"\0")
         self.assertIn(b"extra.cores", run_adapter(batch(start)).stderr)
 
 
