--- a/oakkeel/admission/occupancy.py
+++ b/oakkeel/admission/occupancy.py
@@ -20,6 +20,14 @@
     State.RELEASING: {State.FINISHED},
     State.FINISHED: set(),
 }
+# Bound once for the request path: access to a member through its enumeration is slow in CPython 3.11.
+DELAYED = State.DELAYED
+QUEUED = State.QUEUED
+RUNNING = State.RUNNING
+AWAITING_CALL = State.AWAITING_CALL
+CALLING = State.CALLING
+ORPHANED = State.ORPHANED
+
 NO_MEMORY = frozenset({State.READ, State.FINISHED})
 QUEUED_MEMORY = frozenset({State.DELAYED, State.QUEUED, State.COALESCED})
 
@@ -47,7 +55,7 @@
         old = request.state
         if state not in TRANSITIONS[old]:
             raise InvalidTransitionError("a request", old.name, state.name)
-        if old is State.RUNNING:
+        if old is RUNNING:
             request.service_time += now - request.state_since
         self.count[old] -= 1
         self.count[state] += 1
@@ -68,12 +76,12 @@
 
     def waiting(self) -> int:
         """Count the requests that wait for a core."""
-        return self.count[State.DELAYED] + self.count[State.QUEUED]
+        return self.count[DELAYED] + self.count[QUEUED]
 
     def on_cores(self) -> int:
         """Count runs, and requests whose call is not placed: they wait for this node."""
-        return self.count[State.RUNNING] + self.count[State.ORPHANED] + self.count[State.AWAITING_CALL]
+        return self.count[RUNNING] + self.count[ORPHANED] + self.count[AWAITING_CALL]
 
     def calling(self) -> int:
         """Count the requests with a downstream call in flight."""
-        return self.count[State.CALLING]
+        return self.count[CALLING]
--- a/oakkeel/simulator_adapter/wire.py
+++ b/oakkeel/simulator_adapter/wire.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import IntEnum
 from struct import Struct
 from typing import BinaryIO, NamedTuple
@@ -98,8 +97,7 @@
     earlier_request: int  # with the same key; 0: none
 
 
-@dataclass(frozen=True, slots=True)
-class Batch:
+class Batch(NamedTuple):
     """One frame from the simulator; the body has the records, then the settings that start records name."""
 
     number: int
