--- a/oakkeel/models/drains.py
+++ b/oakkeel/models/drains.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 
-import z3
+from oakkeel.models.ranking import has_rank, reachable
 
 # The phase of the instance (serving, draining, stopped, starting), the state of its node (serves, grace,
 # emptying, gone), and whether a cancel is pending (none, stands).
@@ -48,17 +48,15 @@
 
 def reached(omitted: Iterable[str] = ()) -> set[State]:
     """Return the states reached from a drain that has just started, with a cancel at any moment."""
-    found: set[State] = set()
-    pending: list[State] = [("draining", "serves", "none")]
-    while pending:
-        state = pending.pop()
-        if state in found:
-            continue
-        found.add(state)
-        pending += steps(state, omitted)
-        if state[0] in ("draining", "stopped") and state[2] == "none":
-            pending.append((state[0], state[1], "stands"))
-    return found
+
+    def successors(state: State) -> list[State]:
+        phase, node, cancel = state
+        found = steps(state, omitted)
+        if phase in ("draining", "stopped") and cancel == "none":
+            found.append((phase, node, "stands"))
+        return found
+
+    return reachable(("draining", "serves", "none"), successors)
 
 
 def stuck(omitted: Iterable[str] = ()) -> list[State]:
@@ -67,11 +65,5 @@
 
 
 def always_ends(omitted: Iterable[str] = ()) -> bool:
-    """Return whether there is a rank that every step makes smaller."""
-    states = reached(omitted)
-    rank = {state: z3.Int("/".join(state)) for state in states}
-    solver = z3.Solver()
-    solver.add(*[value >= 0 for value in rank.values()])
-    for state in states - ENDS:
-        solver.add(*[rank[after] < rank[state] for after in steps(state, omitted)])
-    return bool(solver.check() == z3.sat)
+    """Return whether there is a rank that every step makes smaller, up to the first end of a drain."""
+    return has_rank(reached(omitted), lambda state: [] if state in ENDS else steps(state, omitted))
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -10,6 +10,8 @@
 
 import z3
 
+from oakkeel.models.ranking import has_rank, reachable
+
 MAX_ATTEMPTS = 2
 MAX_STEPS = 5  # that are explored
 # State, whether it rolls back, the target that is out (0: none), versions of both targets, attempts.
@@ -62,30 +64,21 @@
     return found
 
 
+def operator_steps(state: State) -> list[State]:
+    """Return the states that an action of an operator leads to."""
+    name, back, out, one, two, attempts = state
+    found = []
+    for before, after in sorted(OPERATOR_MOVES):
+        if before == name and not (after == "running" and back):
+            kept_attempts = attempts if (before, after) == ("running", "paused") else 0
+            found.append((after, back or after == "undoing", out, one, two, kept_attempts))
+    return found
+
+
 def reached(omitted: Iterable[str] = ()) -> set[State]:
     """Return all states that can be reached, with actions of operators."""
-    found: set[State] = set()
-    pending: list[State] = [("preparing", False, 0, "old", "old", 0)]
-    while pending:
-        state = pending.pop()
-        if state in found:
-            continue
-        found.add(state)
-        pending += steps(state, omitted)
-        name, back, out, one, two, attempts = state
-        for was, to in OPERATOR_MOVES:
-            if was == name and not (to == "running" and back):
-                pending.append(
-                    (
-                        to,
-                        back or to == "undoing",
-                        out,
-                        one,
-                        two,
-                        0 if (was, to) != ("running", "paused") else attempts,
-                    )
-                )
-    return found
+    start: State = ("preparing", False, 0, "old", "old", 0)
+    return reachable(start, lambda state: [*steps(state, omitted), *operator_steps(state)])
 
 
 MOVES = OPERATOR_MOVES | {
@@ -100,13 +93,7 @@
 
 def always_ends(omitted: Iterable[str] = ()) -> bool:
     """Return whether there is a rank that every step makes smaller."""
-    states = reached(omitted)
-    rank = {state: z3.Int("/".join(map(str, state))) for state in states}
-    solver = z3.Solver()
-    solver.add(*[value >= 0 for value in rank.values()])
-    for state in states:
-        solver.add(*[rank[after] < rank[state] for after in steps(state, omitted)])
-    return bool(solver.check() == z3.sat)
+    return has_rank(reached(omitted), lambda state: steps(state, omitted))
 
 
 Variables = dict[str, z3.ArithRef]
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -9,24 +9,13 @@
 from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.state import DisruptionOrder, Rejection
 from oakkeel.disruption.state_machine import PermitStateMachine
-from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.messages import AgentAssignments, encode
 from oakkeel.rollout.state_machine import LEASE, TRANSITIONS, Release, RolloutStateMachine
 from oakkeel.units import SECOND
-
-TOPOLOGY = Topology(
-    {"h1": ("a", "b"), "h2": ("c", "d"), "h3": ("db1", "db2")},
-    (
-        BudgetGroup("site one", 1, ("a", "b")),
-        BudgetGroup("site two", 1, ("c", "d")),
-        BudgetGroup("fleet", 2, ("a", "b", "c", "d")),
-        BudgetGroup("kind db", 1, ("db1", "db2")),
-    ),
-    {"db1": ("a", "c"), "db2": ("b", "d")},
-)
+from tests.rollout.topology import TOPOLOGY
 
 
 class RolloutStateMachineTest(unittest.TestCase):
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -17,27 +17,20 @@
 from typing import ClassVar
 
 from oakkeel.dispatch.resp import encode
+from oakkeel.fakes import site as fakes_site
 from oakkeel.units import MS, SECOND
 
 WAIT = 20
 
 
 NODE_SETTINGS = {
+    **fakes_site.NODE_SETTINGS,
     "extra": {
+        **fakes_site.NODE_SETTINGS["extra"],
         "cores": 4,
-        "heap-kb": 30000.0,
-        "run-factor": 8.0,
-        "halt": "abort",
-        "depends-on": "tier",
-        "gauges": ["core_use", "on_cores", "heap_share", "links"],
-        "say": "share_of",
-        "readiness": True,
         "class-skip-worth": [0.6, 0.0, 0.0, 0.0],
-        "idle": 15 * SECOND,
-        "linger": 200 * MS,
     },
     "obligations": {"fall-multiple": 8.0, "drain-grace": 300 * MS, "cold": 10 * SECOND, "cold-from": 0.25},
-    "ceilings": {"retry-after": True, "max-retry-after": SECOND},
     "classes": [
         {"name": name, "aim": 8 * SECOND, "hard-limit": 12 * SECOND, "effect": effect, "window": 5 * SECOND}
         for name, effect in (
