--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -7,6 +7,7 @@
 import errno
 import socket
 import time
+from collections.abc import Mapping
 
 from oakkeel.dispatch.command_handler import ConnectionOwner
 from oakkeel.dispatch.connection import Connection
@@ -20,6 +21,29 @@
 BUFFERS_PER_LINK = 2  # a link is closing while its successor opens
 
 
+def eviction_candidate(
+    without_requests: Mapping[Connection, int],
+    idle: Mapping[Connection, int],
+    now: int,
+    limits: ResourceLimits,
+) -> Connection | None:
+    """Return the connection to close for a new one, so that no request and no answer is lost.
+
+    It is the one that has sent nothing for longest, else the one idle for longest, else one that left an
+    incomplete array: never one with a request open, an answer unsent or bytes unread. Both mappings have the
+    time of the last activity in nanoseconds of the monotonic clock, as `now`, the oldest first.
+    """
+    grace_start = now - limits.new_connection_grace
+    silent = [connection for connection, since in without_requests.items() if since <= grace_start]
+    for connection in (*silent, *idle, *without_requests):
+        if connection.is_idle():
+            return connection
+    for connection in silent:
+        if not (connection.open_requests or connection.unsent or connection.has_incoming()):
+            return connection
+    return None
+
+
 class Listener:
     """Accepts connections of dispatchers, a few at a time, and bounds how many there are."""
 
@@ -94,7 +118,8 @@
         """
         for _ in range(self.resource_limits.accepts_per_pass):
             if self.pool.available <= BUFFERS_PER_LINK * self.resource_limits.max_links:  # reserved for links
-                return self._pause()
+                self._pause()
+                return True
             try:
                 accepted, _ = self.socket.accept()
             except BlockingIOError:
@@ -104,20 +129,20 @@
                     continue  # this connection was reset before it was accepted
                 self.log.warning("accept_failed", error=str(error))
                 if not self._evict_one():
-                    return self._pause()
+                    self._pause()
+                    return True
                 continue
             self._accept(accepted)
         return True
 
-    def _pause(self) -> bool:
-        """Stop accepting for `accept_retry`; return True, as more connections may wait.
+    def _pause(self) -> None:
+        """Stop accepting for `accept_retry`, as no descriptor or buffer is left.
 
-        No descriptor or buffer is left: the socket would wake the event loop in vain, again and again.
+        Otherwise the socket would wake the event loop in vain, again and again.
         """
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
         self.resume_timer = loop.call_later(self.resource_limits.accept_retry / SECOND, self._resume)
-        return True
 
     def _resume(self) -> None:
         self.resume_timer = None
@@ -147,22 +172,13 @@
         task.add_done_callback(self.tasks.discard)
 
     def _evict_one(self) -> bool:
-        """Close one connection to make room for another; return whether there was one.
-
-        It is the one that has sent nothing for longest, else the one idle for longest, else one that left an
-        incomplete array: never one with a request open, an answer unsent or bytes unread.
-        """
+        """Close one connection to make room for another; return whether there was one."""
         self.log.warning("descriptors_exhausted")
-        grace_start = time.monotonic_ns() - self.resource_limits.new_connection_grace
-        old = [connection for connection, since in self.without_requests.items() if since <= grace_start]
-        for connection in (*old, *self.idle, *self.without_requests):
-            if connection.is_idle():
-                break
-        else:
-            stalled = [each for each in old if not (each.open_requests or each.unsent or each.has_incoming())]
-            if not stalled:
-                return False
-            connection = stalled[0]
+        connection = eviction_candidate(
+            self.without_requests, self.idle, time.monotonic_ns(), self.resource_limits
+        )
+        if connection is None:
+            return False
         self._remove(connection)
         if connection.evict():
             self._add_evicted(connection)
--- a/tests/fair_sharing/test_heavy_hitters.py
+++ b/tests/fair_sharing/test_heavy_hitters.py
@@ -19,46 +19,49 @@
         st.integers(1, 12),
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_bounds_the_true_count_from_above_and_below(self, sent, most):
-        table, truth = HeavyHitters(most, LONG), {}
+    def test_bounds_the_true_count_from_above_and_below(self, sent, max_flows):
+        table = HeavyHitters(max_flows, LONG)
+        truth = {}
         for key, weight in sent:
             table.add(0, key, weight)
             truth[key] = truth.get(key, 0) + weight
         total = sum(truth.values())
-        self.assertLessEqual(len(table.flows), most)
+        self.assertLessEqual(len(table.flows), max_flows)
         self.assertEqual(len(table.heap), len(table.flows))
-        for key, sender in table.flows.items():
-            self.assertGreaterEqual(sender.count, truth[key])
-            self.assertLessEqual(sender.count - sender.error, truth[key])
-            self.assertLessEqual(sender.error, total / most)
+        for key, flow in table.flows.items():
+            self.assertGreaterEqual(flow.count, truth[key])
+            self.assertLessEqual(flow.count - flow.error, truth[key])
+            self.assertLessEqual(flow.error, total / max_flows)
         scale = table.total_rate(0) / total
         for key, count in truth.items():
             if key not in table.flows:
                 self.assertLessEqual(count * scale, table.error_rate(0) * 1.000001)
-                self.assertLessEqual(count, total / most)
+                self.assertLessEqual(count, total / max_flows)
 
     def test_halves_counts_each_half_life_and_returns_rates(self):
-        table, now = HeavyHitters(8, 2 * SECOND), 0
-        for _ in range(4000):  # 100 a second for 40 s, over which the scale is brought back too
+        table = HeavyHitters(8, 2 * SECOND)
+        now = 0
+        for _ in range(4000):  # 100 a second for 40 s, in which the table is rescaled as well
             now += 10 * MS
-            sender = table.add(now, 1, 3.0)
-        self.assertAlmostEqual(table.rate(now, sender) / 300, 1.0, delta=0.02)
-        self.assertAlmostEqual(table.rate(now + 4 * SECOND, sender) / 75, 1.0, delta=0.02)
+            flow = table.add(now, 1, 3.0)
+        self.assertAlmostEqual(table.rate(now, flow) / 300, 1.0, delta=0.02)
+        self.assertAlmostEqual(table.rate(now + 4 * SECOND, flow) / 75, 1.0, delta=0.02)
         later = now + 3600 * SECOND
         again = table.add(later, 1, 3.0)
         self.assertLess(table.rate(later, again), 3.0)
 
-    def test_finds_the_heavy_flow_among_many_light_ones_and_accuses_no_other(self):
-        table, chance = HeavyHitters(256, 4 * SECOND), random.Random(7)
+    def test_finds_the_heavy_flow_among_many_light_ones_and_reports_no_other(self):
+        table = HeavyHitters(256, 4 * SECOND)
+        generator = random.Random(7)
         for number in range(100_000):
-            table.add(number * 40_000, chance.getrandbits(60), 1.0)
+            table.add(number * 40_000, generator.getrandbits(60), 1.0)
             if number % 50 == 0:
                 heavy = table.add(number * 40_000, 1, 1.0)
         now = 100_000 * 40_000
         self.assertIs(table.flows.get(1), heavy)
         self.assertGreaterEqual(table.rate(now, heavy), table.error_rate(now))
-        accused = [each for each in table.flows.values() if table.rate(now, each) >= table.error_rate(now)]
-        self.assertEqual(accused, [heavy])
+        reported = [flow for flow in table.flows.values() if table.rate(now, flow) >= table.error_rate(now)]
+        self.assertEqual(reported, [heavy])
         self.assertEqual((len(table.flows), len(table.heap)), (256, 256))
 
 
@@ -73,8 +76,8 @@
         self.assertEqual(len(set(keys[0])), 300)
         self.assertFalse(set(keys[0]) & set(keys[1]))
         two_levels = FlowKeys(bytes(SECRET_BYTES), (b"owner", b"client"))
-        apart = {
+        keys_of_pairs = {
             two_levels.flow_keys({b"owner": owner, b"client": client}.__getitem__)[1][0]
             for owner, client in ((b"ab", b"c"), (b"a", b"bc"), (b"abc", b""))
         }
-        self.assertEqual(len(apart), 3)
+        self.assertEqual(len(keys_of_pairs), 3)
--- a/tests/fair_sharing/test_max_min.py
+++ b/tests/fair_sharing/test_max_min.py
@@ -15,23 +15,24 @@
         st.floats(0.1, 500),
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_fills_all_of_the_capacity_and_gives_nobody_more_than_its_demand(self, rows, whole):
-        level = fair_level([Demand(asked, weight) for asked, weight in rows], whole)
-        given_out = sum(min(asked, level * weight) for asked, weight in rows)
-        self.assertAlmostEqual(given_out, min(whole, sum(asked for asked, _ in rows)), delta=1e-6 * whole)
+    def test_fills_all_of_the_capacity_and_gives_no_flow_more_than_its_demand(self, rows, capacity):
+        level = fair_level([Demand(asked, weight) for asked, weight in rows], capacity)
+        allocated = sum(min(asked, level * weight) for asked, weight in rows)
+        self.assertAlmostEqual(
+            allocated, min(capacity, sum(asked for asked, _ in rows)), delta=1e-6 * capacity
+        )
 
     def test_shares_by_weight_and_divides_the_share_of_a_tenant_among_its_clients(self):
-        levels = MaxMinShares(2, 64, 2 * SECOND, {b"big": 3.0})
+        shares = MaxMinShares(2, 64, 2 * SECOND, {b"big": 3.0})
         now = 0
         for _ in range(4000):
             now += 5 * MS
             for outer, name, inner in ((1, b"big", 10), (2, b"small", 20 + now // (5 * MS) % 1000)):
-                levels.count(now, ((outer, name), (inner, b"")), 1.0, False)
-        levels.allocate(now, 200.0)  # of the 400 a second that are asked
-        big, small = levels.tables[0].flows[1], levels.tables[0].flows[2]
+                shares.count(now, ((outer, name), (inner, b"")), 1.0, False)
+        shares.allocate(now, 200.0)  # the demand is 400 a second
+        big, small = shares.tables[0].flows[1], shares.tables[0].flows[2]
         self.assertAlmostEqual(big.allowed_rate, 150, delta=3)
         self.assertAlmostEqual(small.allowed_rate, 50, delta=3)
-        self.assertAlmostEqual(levels.tables[1].flows[10].allowed_rate, 150, delta=3)
-        self.assertAlmostEqual(
-            small.unknown_share, 0.25, delta=0.1
-        )  # none of the thousand is heavy, all are cut
+        self.assertAlmostEqual(shares.tables[1].flows[10].allowed_rate, 150, delta=3)
+        # No client of the thousand is in the table for certain: each keeps a quarter of its demand.
+        self.assertAlmostEqual(small.unknown_share, 0.25, delta=0.1)
--- a/tests/fair_sharing/test_reservations.py
+++ b/tests/fair_sharing/test_reservations.py
@@ -12,8 +12,9 @@
 class ReservationsTest(unittest.TestCase):
     @given(st.lists(st.tuples(st.integers(0, 6), st.floats(1, 30), st.integers(0, 3)), max_size=120))
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_never_books_more_than_the_room(self, bookings):
-        reservations, now = Reservations(50 * MS, 20, 40), 0
+    def test_never_books_more_than_the_capacity(self, bookings):
+        reservations = Reservations(50 * MS, 20, 40)
+        now = 0
         for key, work, pause in bookings:
             now += pause * 20 * MS
             reservations.book(now, now, key, work, 30.0)
@@ -22,7 +23,7 @@
             self.assertEqual(reservations.open_count, sum(len(each) for each in reservations.open.values()))
             self.assertTrue(all(len(each) <= MAX_BACKED_PER_FLOW for each in reservations.open.values()))
 
-    def test_frees_the_room_of_ended_reservations_and_drops_expired_ones(self):
+    def test_frees_the_capacity_of_ended_reservations_and_drops_expired_ones(self):
         reservations = Reservations(50 * MS, 20, 2)
         first = reservations.book(0, 0, 1, 10.0, 10.0)
         self.assertEqual((first.due_at, reservations.book(0, 0, 2, 10.0, 10.0).due_at), (50 * MS, 100 * MS))
