--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -18,10 +18,10 @@
 
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.agent import messages
-from oakkeel.disruption.allocator import PermitTimeouts
+from oakkeel.disruption.timeouts import PermitTimeouts
 from oakkeel.fakes.control_plane import UnexpectedResponseError
 from oakkeel.fakes.rig import ProcessRig
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import NoLeaderError
 from oakkeel.invariants.logs import audit_groups, audit_logs, read_events
 
@@ -30,7 +30,7 @@
 VOTERS = ("h1", "h2", "h3", "h4", "h5")
 MAX_UNAVAILABLE = 1
 FLEET_MAX_UNAVAILABLE = 3
-KNOWN_AFTER = PermitTimeouts().expiry + PermitTimeouts().agent_silence + 2_000_000_000
+KNOWN_AFTER = PermitTimeouts().expiry_ns + PermitTimeouts().max_agent_silence_ns + 2_000_000_000
 
 
 class AgreementRun:
@@ -239,12 +239,14 @@
         site = FakeSite(
             folder,
             HOSTS,
-            MAX_UNAVAILABLE,
-            seed,
-            sites=SITES,
-            replicas=VOTERS,
-            fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
-            supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>',
+            SiteOptions(
+                max_unavailable=MAX_UNAVAILABLE,
+                seed=seed,
+                sites=SITES,
+                replicas=VOTERS,
+                fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
+                supervision='<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>',
+            ),
         )
         rig = ProcessRig(site, seed)
         run = AgreementRun(rig, seed)
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -10,8 +10,9 @@
 from oakkeel.agent.leader_locator import LeaderLocator
 from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.reconciler import Reconciler
-from oakkeel.agent.supervisor import Action, Step, SupervisionTimeouts, Supervisor
-from oakkeel.disruption.holder import PermitHolder
+from oakkeel.agent.supervision_rules import Action, SupervisionTimeouts
+from oakkeel.agent.supervisor import Step, Supervisor
+from oakkeel.disruption.holder import PermitHolder, StoredPermit
 from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.emulator.simulated_machine import SimulatedMachine
 from oakkeel.emulator.simulated_processes import SimulatedProcesses
@@ -23,14 +24,16 @@
 MIN_PREPARATION_TIME_NS = 50 * MS
 MAX_PREPARATION_TIME_NS = 300 * MS
 GENERATION_BLOCK = 8  # generations reserved at a time
-SUPERVISION_TIMEOUTS = SupervisionTimeouts(backoff=300 * MS, steady=2 * SECOND, drain=3 * SECOND)
+SUPERVISION_TIMEOUTS = SupervisionTimeouts(
+    min_backoff_ns=300 * MS, steady_after_ns=2 * SECOND, drain_timeout_ns=3 * SECOND
+)
 
 
 @dataclass(slots=True, eq=False)
 class AgentDisk:
     """What an agent has on disk."""
 
-    permits: list[tuple[str, int, str, bool]] = field(default_factory=list)
+    permits: list[StoredPermit] = field(default_factory=list)
     epoch: str = ""
     generations: dict[str, int] = field(default_factory=dict)
     orders: bytes = b""  # with the instances that they are for
@@ -161,7 +164,7 @@
         for target, fence in permit_holder.highest_tokens.items():
             permit = permit_holder.permits.get(target)
             begun = bool(permit and permit.started)
-            disk.permits.append((target, fence, permit.order_id if permit else "", begun))
+            disk.permits.append(StoredPermit(target, fence, permit.order_id if permit else "", begun))
         permit_holder.changed.clear()
         self.orders.changed.clear()
         self._save_orders()
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -6,7 +6,7 @@
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitAllocator
-from oakkeel.disruption.control_plane import ControlPlaneReplica
+from oakkeel.disruption.control_plane import ControlPlaneReplica, ControlPlaneSettings
 from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import ScheduledEvent
 from oakkeel.emulator.simulated_machine import SimulatedMachine
@@ -23,7 +23,7 @@
 from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.units import MS, SECOND
 
-RAFT_TIMEOUTS = RaftTimeouts(snapshot_entries=64)
+RAFT_TIMEOUTS = RaftTimeouts(max_entries_before_snapshot=64)
 RESTART_DELAY_NS = 300 * MS  # after a write that failed
 NO_REPLICA_TICK_NS = 100 * MS  # while the replica waits for its disk
 MAX_LEADER_TICK_NS = 50 * MS
@@ -63,12 +63,14 @@
             now,
             self.storage.load(),
             machine.random.getrandbits(60),
-            RAFT_TIMEOUTS,
-            self.world.initial_voters,
-            self.world.topology,
-            PERMIT_TIMEOUTS,
-            RolloutStateMachine,
-            self._rollout_controller,
+            ControlPlaneSettings(
+                self.world.initial_voters,
+                self.world.topology,
+                RAFT_TIMEOUTS,
+                PERMIT_TIMEOUTS,
+                RolloutStateMachine,
+                self._rollout_controller,
+            ),
         )
         self.control_plane.on_committed = self._applied
         self.completions = {}
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -95,7 +95,7 @@
         """Fill in what the admission controller counts."""
         admission = self.node.host.admission
         status.stage = Stage(admission.overload.highest()).name
-        status.shedding_threshold = round(admission.overload.threshold, STATUS_DECIMALS)
+        status.shedding_threshold = round(admission.shedding.threshold, STATUS_DECIMALS)
         status.memory_kb = round(admission.occupancy.memory_kb, 1)
         status.queued = admission.occupancy.waiting()
         count = admission.occupancy.count
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -12,11 +12,12 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.agent import Agent
+from oakkeel.agent.configuration import AgentKeys, AgentParts, AgentSettings
 from oakkeel.agent.instances import Phase
 from oakkeel.agent.processes import Processes
-from oakkeel.agent.supervisor import SupervisionTimeouts
+from oakkeel.agent.supervision_rules import SupervisionTimeouts
 from oakkeel.fakes.crashing import PROGRAM
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import AgentClients, request_once
 from oakkeel.fleet.view import FleetView
 from oakkeel.log import EventLog
@@ -26,7 +27,11 @@
 
 WAIT = 20.0
 FAST = SupervisionTimeouts(
-    silent=400 * MS, start=3 * SECOND, stuck=60 * SECOND, drain=SECOND, backoff=50 * MS
+    silence_timeout_ns=400 * MS,
+    start_timeout_ns=3 * SECOND,
+    stuck_timeout_ns=60 * SECOND,
+    drain_timeout_ns=SECOND,
+    min_backoff_ns=50 * MS,
 )
 
 
@@ -35,7 +40,7 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, max_unavailable=1)
+        self.site = FakeSite(self.folder, {"wb1": ["n1", "n2", "n3"]}, SiteOptions(max_unavailable=1))
         for key in ("asha", "ravi", "lena"):
             write_key(os.path.join(self.folder, f"{key}.key"), os.urandom(32))
         self.site.write_settings()
@@ -74,13 +79,11 @@
     async def agent(self, patience: SupervisionTimeouts = FAST, **more) -> Agent:
         """An agent in this process, which `leave` ends as SIGTERM would."""
         agent = Agent(
-            self.host,
-            patience,
-            read_keys(self.fleet),
+            AgentSettings(self.host, patience),
+            AgentKeys(read_keys(self.fleet)),
             EventLog("agent", 1000, stream=self.said),
             7,
-            program=PROGRAM,
-            **more,
+            AgentParts(program=PROGRAM, **more),
         )
         with mock.patch.object(asyncio.get_running_loop(), "add_signal_handler"):
             task = asyncio.ensure_future(agent.run())
