--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -89,10 +89,10 @@
     # Answers, as the handler of a request sees them.
 
     def answer(
-        self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
     ) -> None:
         """Write the one answer of a request; `retry_after` in nanoseconds."""
-        self._commands.answer(request, word, body, last, retry_after)
+        self._commands.answer(request, status, body, last, retry_after)
 
     def report_violation(self, event: str, why: str = "") -> None:
         """Log a malformed request, and count it against this connection."""
@@ -176,14 +176,14 @@
         If it does not, the node closes it when idle, after `timeout` nanoseconds (0: the configured timeout).
         """
         if self.state is ConnectionState.OPEN:
-            self._lifecycle.change(ConnectionState.LEAVING)
+            self._lifecycle.change(ConnectionState.DRAINING)
             self._writer.write(codec.LAST)
             timeout = timeout or self._resource_limits.drain_notice_timeout
             self._lifecycle.start_timer(timeout, self._drain_expired, timeout)
 
     def _drain_expired(self, timeout: int) -> None:
         """Close the connection if it is idle, as the dispatcher did not; otherwise check again later."""
-        if self.state is not ConnectionState.LEAVING or self.stream.closed():
+        if self.state is not ConnectionState.DRAINING or self.stream.closed():
             return
         if self.is_idle():
             self._linger()
@@ -207,7 +207,7 @@
             self._finish()
 
     def _finish(self) -> None:
-        if self.state in (ConnectionState.OPEN, ConnectionState.LEAVING):
+        if self.state in (ConnectionState.OPEN, ConnectionState.DRAINING):
             self._lifecycle.change(ConnectionState.ENDING)
             self.arrays.due_since = 0
         self._shut_down_if_finished()
@@ -247,7 +247,7 @@
 
     def evict(self) -> bool:
         """Close the connection, as its descriptor is needed; return whether it still holds one until then."""
-        if self.state in (ConnectionState.OPEN, ConnectionState.LEAVING):
+        if self.state in (ConnectionState.OPEN, ConnectionState.DRAINING):
             self._finish()
         if not self._writer.used:  # no answer can be lost
             self.close()
--- a/oakkeel/dispatch/connection_state.py
+++ b/oakkeel/dispatch/connection_state.py
@@ -17,7 +17,7 @@
     """State of a connection; only `ConnectionLifecycle.change` changes it."""
 
     OPEN = "open"
-    LEAVING = "leaving"  # `0 last` is written; requests that crossed it are handled like any other
+    DRAINING = "draining"  # `0 last` is written; requests that crossed it are handled like any other
     ENDING = "ending"  # no more requests are read; the open ones still get their answers
     LINGERING = "lingering"  # our side is shut down; what is still received is dropped and never runs
     CLOSED = "closed"
@@ -25,12 +25,12 @@
 
 TRANSITIONS = {
     ConnectionState.OPEN: {
-        ConnectionState.LEAVING,
+        ConnectionState.DRAINING,
         ConnectionState.ENDING,
         ConnectionState.LINGERING,
         ConnectionState.CLOSED,
     },
-    ConnectionState.LEAVING: {
+    ConnectionState.DRAINING: {
         ConnectionState.ENDING,
         ConnectionState.LINGERING,
         ConnectionState.CLOSED,
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -49,12 +49,12 @@
         self.version = os.environ.get("OAKKEEL_VERSION", "")
         node.metrics.answer_observer = self._count_answer
 
-    def _count_answer(self, request: NodeRequest, word: bytes) -> None:
+    def _count_answer(self, request: NodeRequest, status: bytes) -> None:
         self.outcomes.count(
             time.monotonic_ns(),
             request,
             request.class_name.decode(errors="replace")[:MAX_CLASS_NAME_LENGTH],
-            word == codec.COMPLETED,
+            status == codec.COMPLETED,
         )
 
     def status(self, tag: int) -> NodeStatus:
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -40,10 +40,10 @@
         self.timer_lags[min(self.BUCKETS, max(0, lag // MS).bit_length())] += 1
         self.highest_lag = max(self.highest_lag, lag)
 
-    def count_answer(self, word: bytes) -> None:
-        """Count an answer by its word on the wire."""
-        self.answers[word] = self.answers.get(word, 0) + 1
-        self.answers_total[word] = self.answers_total.get(word, 0) + 1
+    def count_answer(self, status: bytes) -> None:
+        """Count an answer by its status on the wire."""
+        self.answers[status] = self.answers.get(status, 0) + 1
+        self.answers_total[status] = self.answers_total.get(status, 0) + 1
 
     def count_call(self, outcome: str) -> None:
         """Count a downstream call by its outcome."""
@@ -67,7 +67,7 @@
         )
         fields: dict[str, object] = {
             "read": self.requests_read,
-            **{word.decode(): count for word, count in sorted(self.answers.items())},
+            **{status.decode(): count for status, count in sorted(self.answers.items())},
             "calls": calls or 0,
             "open": open_requests,
             "connections": connections,
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -167,15 +167,15 @@
         self._answer(request, codec.REJECTED, retry_after=self.host.admission.retry_after())
 
     def _answer(
-        self, request: NodeRequest, word: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
     ) -> None:
         """Answer a request, unless it was answered or its client has disconnected; no other code answers."""
         if not request.answered:
             request.answered = True
-            self.metrics.count_answer(word)
+            self.metrics.count_answer(status)
             if self.metrics.answer_observer:
-                self.metrics.answer_observer(request, word)
-            request.connection.answer(request, word, body, last, retry_after)
+                self.metrics.answer_observer(request, status)
+            request.connection.answer(request, status, body, last, retry_after)
 
     async def _clean_up(self, request: NodeRequest) -> None:
         """After a defect, answer the request and follow its run to the end, so that its cores are counted."""
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -21,7 +21,7 @@
 
 
 class ControlLinkTest(ControlledNodeTest):
-    def test_a_status_has_what_the_node_does_and_its_open_requests(self):
+    def test_a_status_reports_the_state_and_the_open_requests(self):
         self.begin(attach=False)
         link = self.link()
         self.assertEqual(self.say(link, type="ask", tag=1)["state"], "waiting")
@@ -68,7 +68,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertFalse(os.path.exists(self.path))
 
-    def test_what_no_client_should_send_costs_its_link_alone(self):
+    def test_malformed_messages_affect_only_their_link(self):
         self.begin()
         good = self.link()
         half, long, noise = self.link(), self.link(), self.link()
@@ -83,7 +83,7 @@
         self.assertTrue(self.ended(half))
         self.assertEqual(self.say(good, type="ask", tag=1)["state"], "serving")
 
-    def test_a_flood_takes_a_bounded_share_and_requests_go_on(self):
+    def test_a_flood_takes_a_bounded_share_of_the_cpu_and_requests_are_served(self):
         self.begin()
         flood, good = self.link(), self.link()
         flood._sock.setblocking(False)
@@ -103,13 +103,13 @@
         self.assertLess(used / (time.monotonic_ns() - begun), 0.2)
         self.assertTrue(ident)
 
-    def test_more_clients_than_there_is_room_for_make_the_least_active_one_go(self):
+    def test_a_client_over_the_limit_replaces_the_least_active_one(self):
         self.begin()
         links = [self.link() for _ in range(9)]
         self.assertEqual(self.say(links[-1], type="ask", tag=1)["tag"], 1)
         self.assertTrue(self.ended(links[0]))
 
-    def test_a_control_socket_that_cannot_be_made_is_one_line(self):
+    def test_a_control_socket_that_cannot_be_bound_is_one_line(self):
         with mock.patch.dict(os.environ, OAKKEEL_CONTROL="/nowhere/at/all.sock"):
             process = self.launch(self.told())
         _, error = process.communicate(timeout=WAIT)
@@ -125,7 +125,7 @@
     def until_it_listens_no_more(self) -> None:
         until_refused(self.port)  # the grace of 0.3 s ends
 
-    def test_a_cancel_after_the_grace_lets_it_take_work_at_once_and_loses_nothing(self):
+    def test_a_cancel_after_the_grace_accepts_requests_at_once_and_loses_nothing(self):
         dispatcher, ident = self.running("card")
         late = self.dispatcher()
         link = self.link()
@@ -157,7 +157,7 @@
             each.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_a_cancel_within_the_grace_goes_on_with_the_same_listening_socket(self):
+    def test_a_cancel_within_the_grace_keeps_the_listening_socket(self):
         self.begin()
         link = self.link()
         self.leave(link)
@@ -168,7 +168,7 @@
         self.engine.done(ident if self.engine.next() else "")
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
-    def test_sigterm_is_final_also_after_an_order_that_was_not(self):
+    def test_sigterm_after_a_drain_order_is_final(self):
         dispatcher, ident = self.running("card")
         link = self.link()
         self.leave(link)
@@ -182,7 +182,7 @@
         dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_an_address_that_is_another_s_by_now_leaves_the_drain_standing(self):
+    def test_a_cancel_is_refused_if_another_process_uses_the_address(self):
         dispatcher, ident = self.running("card")
         link = self.link()
         self.leave(link)
@@ -251,7 +251,7 @@
 
 
 class ImportTest(NodeProcessTest):
-    def test_packages_import_downwards_only_and_sides_know_nothing_of_each_other(self):
+    def test_packages_import_downwards_only_and_the_sides_do_not_import_each_other(self):
         root = str(Path(__file__).resolve().parents[2])
         knows: dict[str, set[str]] = {}
         for path in glob.glob(os.path.join(root, "oakkeel", "**", "*.py"), recursive=True):
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -52,7 +52,7 @@
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
         self.socket.connect(address)
         self.socket.setblocking(False)
-        self.got = b""
+        self.received = b""
 
     def send(self, data: bytes) -> None:
         self.socket.send(data)
@@ -61,12 +61,12 @@
         """Some more; False at a clean end. Raises ConnectionResetError."""
         loop = asyncio.get_running_loop()
         data = await asyncio.wait_for(loop.sock_recv(self.socket, 65536), WAIT)
-        self.got += data
+        self.received += data
         return bool(data)
 
-    def words(self) -> list[list[bytes]]:
+    def arrays(self) -> list[list[bytes]]:
         """The whole arrays that it has got."""
-        found, lines = [], self.got.split(b"\r\n")
+        found, lines = [], self.received.split(b"\r\n")
         while lines and lines[0].startswith(b"*"):
             count = int(lines.pop(0)[1:])
             found.append(lines[1 : 2 * count : 2])
@@ -75,7 +75,7 @@
 
     async def until(self, tag: int) -> list[bytes]:
         """The answer with a tag."""
-        while not (found := [each for each in self.words() if each[0] == b"%d" % tag and each != LAST]):
+        while not (found := [each for each in self.arrays() if each[0] == b"%d" % tag and each != LAST]):
             assert await self.read(), f"ended before {tag} was answered"
         return found[0]
 
@@ -83,7 +83,7 @@
         """All that came until a clean end."""
         while await self.read():
             pass
-        return self.words()
+        return self.arrays()
 
     def close(self, reset: bool = False) -> None:
         if reset:
@@ -104,29 +104,29 @@
     async def asyncSetUp(self) -> None:
         # A loop that never yields, or that a tearDown waits for, has no other end: the run fails here.
         faulthandler.dump_traceback_later(DEADLINE, exit=True)
-        self.arrived_here, self.gone_here = [], []
+        self.received_requests, self.disconnected_requests = [], []
         self.reader = RequestReader(
             FakeHost(request_classes=[{}]).limits, ["quote"], [], self.resource_limits
         )
         pool = BufferPool(8192, self.resource_limits.max_buffers)
         self.listener = Listener(("127.0.0.1", 0), pool, self.resource_limits, self, EventLog("test", 0))
         self.listener.open()
-        self.callers: list[DispatcherClient] = []
+        self.clients: list[DispatcherClient] = []
 
     async def asyncTearDown(self) -> None:
         await self.listener.close()
         self.listener.close_connections()
-        for each in self.callers:
+        for each in self.clients:
             each.close()
         await asyncio.wait_for(self.listener.wait_closed(), WAIT)
 
     # The node, as connections see it.
 
     def request_received(self, request) -> None:
-        self.arrived_here.append(request)
+        self.received_requests.append(request)
 
     def client_disconnected(self, request) -> None:
-        self.gone_here.append(request)
+        self.disconnected_requests.append(request)
 
     def has_request(self, request_id: bytes) -> bool:
         return False
@@ -142,9 +142,9 @@
 
     # Steps.
 
-    def caller(self, size: int = 0) -> DispatcherClient:
-        self.callers.append(DispatcherClient(self.listener.address, size))
-        return self.callers[-1]
+    def client(self, size: int = 0) -> DispatcherClient:
+        self.clients.append(DispatcherClient(self.listener.address, size))
+        return self.clients[-1]
 
     async def until(self, true) -> None:
         """Let the loop go on until something holds."""
@@ -153,41 +153,41 @@
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.001)
 
-    async def connected(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
+    async def connected_client(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
         before = set(self.listener.connections)
-        caller = self.caller(size)
+        client = self.client(size)
         await self.until(lambda: set(self.listener.connections) - before)
         connection = (set(self.listener.connections) - before).pop()
         await self.until(connection.stream.reading)
-        return caller, connection
+        return client, connection
 
-    async def working(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
+    async def client_with_open_request(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
         """With one exchange that is open."""
-        caller, connection = await self.connected(size)
-        caller.send(call(1))
+        client, connection = await self.connected_client(size)
+        client.send(call(1))
         await self.until(lambda: connection.open_requests)
-        return caller, connection
+        return client, connection
 
-    async def rested(self) -> tuple[DispatcherClient, Connection]:
+    async def idle_client(self) -> tuple[DispatcherClient, Connection]:
         """One whose exchange was answered."""
-        caller, connection = await self.working()
+        client, connection = await self.client_with_open_request()
         self.answer()
-        await caller.until(1)
+        await client.until(1)
         await self.until(connection.is_idle)
-        return caller, connection
+        return client, connection
 
-    async def stuck(self) -> tuple[DispatcherClient, Connection]:
+    async def client_with_unsent_answers(self) -> tuple[DispatcherClient, Connection]:
         """One with more answers than it has taken: some are still to be sent."""
-        caller, connection = await self.connected(size=4096)
+        client, connection = await self.connected_client(size=4096)
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         for tag in range(1, 31):
-            caller.send(call(tag))
-        await self.until(lambda: len(self.arrived_here) == 30)
+            client.send(call(tag))
+        await self.until(lambda: len(self.received_requests) == 30)
         for _ in range(30):
             self.answer(bytes(4096))
         self.assertTrue(connection.unsent)
-        return caller, connection
+        return client, connection
 
     def answer(self, body: bytes = b"result") -> None:
-        request = self.arrived_here.pop(0)
+        request = self.received_requests.pop(0)
         request.connection.answer(request, codec.COMPLETED, body)
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -32,65 +32,65 @@
         new_connection_grace=600 * SECOND,
     )
 
-    async def test_room_is_not_made_of_one_that_just_sends(self):
-        caller, first = await self.rested()
-        other, second = await self.rested()
-        caller.send(call(2))  # it was idle for longest, and was closed over this
-        third = self.caller()
+    async def test_does_not_evict_a_connection_with_unread_bytes(self):
+        client, first = await self.idle_client()
+        other, second = await self.idle_client()
+        client.send(call(2))  # it was idle for longest, and was closed over this
+        third = self.client()
         await self.until(lambda: second.state is ConnectionState.LINGERING)
         self.assertIs(first.state, ConnectionState.OPEN)
-        await self.until(lambda: self.arrived_here)
+        await self.until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await caller.until(2))[1], b"ok")
+        self.assertEqual((await client.until(2))[1], b"ok")
         third.send(call(3))
-        await self.until(lambda: self.arrived_here)
+        await self.until(lambda: self.received_requests)
         self.answer()
         self.assertEqual((await third.until(3))[1], b"ok")
         self.assertEqual(len(await other.end()), 1)
 
-    async def test_room_is_not_made_of_one_whose_other_half_is_there(self):
+    async def test_does_not_evict_a_connection_with_the_rest_of_its_array_unread(self):
         # It was closed over a whole exchange.
-        await self.working()
-        caller, half = await self.connected()
-        caller.send(call(2)[:25])
+        await self.client_with_open_request()
+        client, half = await self.connected_client()
+        client.send(call(2)[:25])
         await self.until(lambda: half.read_buffer.has_data and half.stream.reading())
         self.listener.without_requests[half] -= 700 * SECOND
-        caller.send(call(2)[25:])
+        client.send(call(2)[25:])
         self.assertFalse(self.listener._evict_one())
-        self.arrived_here.clear()
-        await self.until(lambda: self.arrived_here)
+        self.received_requests.clear()
+        await self.until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await caller.until(2))[1], b"ok")
+        self.assertEqual((await client.until(2))[1], b"ok")
 
-    async def test_one_that_has_no_room_has_what_came_with_it_denied(self):
+    async def test_rejects_the_request_that_arrives_with_a_connection_over_the_limit(self):
         # It was closed over its request, which resets it and answers nothing.
-        await self.working()
-        await self.working()
-        late = self.caller()
+        await self.client_with_open_request()
+        await self.client_with_open_request()
+        late = self.client()
         late.send(call(3) + call(4))
         self.assertEqual((await late.until(4))[1:3], [b"full", b"holdoff=250"])
         self.assertEqual((await late.until(3))[1], b"full")
-        self.assertEqual(len(self.arrived_here), 2)
+        self.assertEqual(len(self.received_requests), 2)
 
-    async def test_one_that_has_no_room_and_sends_a_moment_later_is_denied_too(self):
-        await self.working()
-        await self.working()
-        late = self.caller()
+    async def test_rejects_a_request_shortly_after_the_accept_of_a_connection_over_the_limit(self):
+        await self.client_with_open_request()
+        await self.client_with_open_request()
+        late = self.client()
         await self.until(lambda: self.listener.evicted)
         connection = next(iter(self.listener.evicted))
         late.send(call(3))
         connection._drain_expired(SECOND)
-        self.assertIs(connection.state, ConnectionState.LEAVING)
+        self.assertIs(connection.state, ConnectionState.DRAINING)
         self.assertEqual((await late.until(3))[1], b"full")
         await self.until(connection.is_idle)
         connection._drain_expired(SECOND)
         self.assertEqual((await late.end())[-1][:2], [b"3", b"full"])
 
-    async def test_one_that_is_closed_over_what_it_sends_gets_its_denial_and_a_clean_end(self):
+    async def test_a_connection_over_the_limit_gets_its_rejection_and_no_reset(self):
         # As it is for the next one that has no room, and for what is left just before the stop.
-        await self.working()
-        await self.working()
-        late = self.caller()
+        await self.client_with_open_request()
+        await self.client_with_open_request()
+        late = self.client()
         late.send(call(3))
         await self.until(lambda: self.listener.evicted)
         connection = next(iter(self.listener.evicted))
@@ -99,30 +99,30 @@
         connection.close()
         self.assertEqual([each[:2] for each in await late.end()], [[b"3", b"full"], LAST])
 
-    async def test_a_flood_beyond_the_limit_is_bounded_and_each_request_in_it_denied(self):
-        caller, _ = await self.working()
-        other, _ = await self.working()
+    async def test_a_flood_over_the_limit_is_bounded_and_each_of_its_requests_rejected(self):
+        client, _ = await self.client_with_open_request()
+        other, _ = await self.client_with_open_request()
         flood = []
         for tag in range(10, 70):
-            flood.append(self.caller())
+            flood.append(self.client())
             flood[-1].send(call(tag))
         for tag, each in enumerate(flood, 10):
             self.assertEqual((await each.until(tag))[1], b"full")
             self.assertLessEqual(len(self.listener.evicted), self.resource_limits.evicted_connections)
         self.answer()
         self.answer()
-        self.assertEqual((await caller.until(1))[1], b"ok")
+        self.assertEqual((await client.until(1))[1], b"ok")
         self.assertEqual((await other.until(1))[1], b"ok")
 
-    async def test_a_thousand_connects_and_resets_leave_nothing_behind(self):
+    async def test_a_thousand_connects_and_resets_leak_nothing(self):
         for _ in range(1000):
-            self.caller().close(reset=True)
-            self.callers.pop()
+            self.client().close(reset=True)
+            self.clients.pop()
             await asyncio.sleep(0)
         await self.until(lambda: not self.listener.connections and not self.listener.evicted)
-        caller, _ = await self.working()
+        client, _ = await self.client_with_open_request()
         self.answer()
-        self.assertEqual((await caller.until(1))[1], b"ok")
+        self.assertEqual((await client.until(1))[1], b"ok")
 
 
 class FailingSocket:
@@ -145,40 +145,40 @@
 
 
 class AcceptingTest(ListenerTestCase):
-    async def test_what_waits_at_the_end_of_listening_is_taken_with_its_request(self):
-        waiting = [self.caller() for _ in range(3)]
+    async def test_waiting_connections_are_served_when_the_listener_closes(self):
+        waiting = [self.client() for _ in range(3)]
         waiting[0].send(call(1))
         waiting[1].send(call(2)[:9])
         await self.listener.close()
         self.listener.drain_connections()
-        await self.until(lambda: self.arrived_here)
+        await self.until(lambda: self.received_requests)
         waiting[1].send(call(2)[9:])
-        await self.until(lambda: len(self.arrived_here) == 2)
+        await self.until(lambda: len(self.received_requests) == 2)
         self.answer()
         self.answer()
         self.assertEqual((await waiting[0].until(1))[1], b"ok")
         self.assertEqual((await waiting[1].until(2))[1], b"ok")
-        while LAST not in waiting[2].words():
+        while LAST not in waiting[2].arrays():
             self.assertTrue(await waiting[2].read())
-        self.assertRaises(ConnectionRefusedError, self.caller)
+        self.assertRaises(ConnectionRefusedError, self.client)
 
-    async def test_one_that_comes_between_two_steps_of_the_end_of_listening_is_served(self):
-        waiting = [self.caller() for _ in range(5 * self.resource_limits.accepts_per_pass)]
+    async def test_a_connection_during_the_close_of_the_listener_is_served(self):
+        waiting = [self.client() for _ in range(5 * self.resource_limits.accepts_per_pass)]
         closing = asyncio.ensure_future(self.listener.close())
         await asyncio.sleep(0)  # the first step is done
         self.assertLess(len(self.listener.connections), len(waiting))
         self.assertFalse(closing.done())
-        late = self.caller()
+        late = self.client()
         late.send(call(1))
         await asyncio.wait_for(closing, WAIT)
-        await self.until(lambda: self.arrived_here)
+        await self.until(lambda: self.received_requests)
         self.answer()
         self.assertEqual((await late.until(1))[1], b"ok")
         self.assertEqual(len(self.listener.connections), len(waiting) + 1)
 
-    async def test_an_accept_that_fails_costs_none_of_those_behind_it(self):
+    async def test_a_failed_accept_does_not_affect_the_connections_behind_it(self):
         # It ended the accepting, and the close reset the rest.
-        waiting = [self.caller() for _ in range(3)]
+        waiting = [self.client() for _ in range(3)]
         for tag, each in enumerate(waiting, 1):
             each.send(call(tag))
         asyncio.get_running_loop().remove_reader(self.listener.socket)
@@ -187,9 +187,9 @@
         asyncio.get_running_loop().add_reader(self.listener.socket, lambda: None)
         self.listener.accepting = True
         await self.listener.close()
-        await self.until(lambda: len(self.arrived_here) == 3)
+        await self.until(lambda: len(self.received_requests) == 3)
 
-    async def test_a_flood_does_not_keep_us_from_the_end_of_listening(self):
+    async def test_a_flood_does_not_keep_the_listener_open(self):
         # Each connection that was accepted made room for the next, for as long as they came.
         class Flood(FailingSocket):
             def accept(self):
@@ -211,34 +211,34 @@
         await asyncio.wait_for(self.listener.close(), WAIT)
         self.assertLessEqual(flood.asked, MAX_WAITING_CONNECTIONS + self.resource_limits.accepts_per_pass)
 
-    async def test_with_no_descriptor_left_accepting_rests_and_goes_on(self):
+    async def test_accepting_pauses_without_a_descriptor_and_resumes(self):
         # The socket stays readable: the loop woke for it again and again.
         loop = asyncio.get_running_loop()
         real = self.listener.socket
         loop.remove_reader(real)
         self.listener.socket = failing = FailingSocket(real, errno.EMFILE)
         loop.add_reader(failing, self.listener._accept_some)
-        caller = self.caller()
-        caller.send(call(1))
+        client = self.client()
+        client.send(call(1))
         await self.until(lambda: failing.asked)
         for _ in range(20):
             await asyncio.sleep(0)
         self.assertEqual(failing.asked, 1)
-        await self.until(lambda: self.arrived_here)
+        await self.until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await caller.until(1))[1], b"ok")
+        self.assertEqual((await client.until(1))[1], b"ok")
 
-    async def test_one_accepted_after_the_others_were_told_to_close_is_served_and_told_at_the_end(self):
+    async def test_a_connection_accepted_after_the_drain_notice_is_served_and_notified_at_the_end(self):
         self.listener.drain_connections()
-        caller, connection = await self.working()
+        client, connection = await self.client_with_open_request()
         self.assertIs(connection.state, ConnectionState.OPEN)
         await self.listener.close()
         self.listener.drain_connections()
         self.answer()
-        await caller.until(1)
-        self.assertIn(LAST, caller.words())
+        await client.until(1)
+        self.assertIn(LAST, client.arrays())
 
-    async def test_nothing_is_listened_on_before_it_is_opened(self):
+    async def test_refuses_connections_before_it_is_opened(self):
         listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, self, EventLog("test", 0))
         self.addCleanup(listener.socket.close)
         self.assertRaises(ConnectionRefusedError, DispatcherClient, listener.address)
@@ -251,16 +251,16 @@
     host = types.SimpleNamespace(started=False)
     log = EventLog("test", 0)
 
-    async def test_what_is_left_just_before_the_stop_is_closed(self):
+    async def test_closes_the_remaining_connections_just_before_the_stop(self):
         # The drain waited for them, and the kill found the node waiting.
         self.done = asyncio.Event()
-        _, resting = await self.rested()
-        _, held = await self.stuck()
+        _, idle = await self.idle_client()
+        _, unread = await self.client_with_unsent_answers()
         drain = Drain(self, grace=0, stop_after=300 * MS)
         drain.start_final()
         await asyncio.wait_for(self.done.wait(), WAIT)
         self.assertIs(drain.state, DrainState.ENDED)
-        self.assertEqual({resting.state, held.state}, {ConnectionState.CLOSED})
+        self.assertEqual({idle.state, unread.state}, {ConnectionState.CLOSED})
 
 
 class BufferExhaustionTest(ListenerTestCase):
@@ -268,31 +268,31 @@
 
     resource_limits = ConnectionLimitTest.resource_limits
 
-    async def test_more_wait_than_there_are_buffers_for_when_listening_ends(self):
+    async def test_closes_with_more_waiting_connections_than_buffers(self):
         # All were taken in one step, the buffers ran out halfway, and the drain ended there for good.
-        waiting = [self.caller() for _ in range(2 * self.resource_limits.max_buffers)]
+        waiting = [self.client() for _ in range(2 * self.resource_limits.max_buffers)]
         for tag, each in enumerate(waiting, 1):
             each.send(call(tag))
         await asyncio.wait_for(self.listener.close(), WAIT)
-        self.assertRaises(ConnectionRefusedError, self.caller)
+        self.assertRaises(ConnectionRefusedError, self.client)
         for tag, each in enumerate(
             waiting[self.resource_limits.max_connections :], self.resource_limits.max_connections + 1
         ):
             self.assertEqual((await each.until(tag))[1], b"full")
-        await self.until(lambda: len(self.arrived_here) == self.resource_limits.max_connections)
+        await self.until(lambda: len(self.received_requests) == self.resource_limits.max_connections)
 
-    async def test_with_no_buffer_left_accepting_rests_and_leaves_the_links_theirs(self):
+    async def test_accepting_pauses_without_a_buffer_and_reserves_those_of_the_links(self):
         # A flood took the last one, and the engine's link found none: it was never connected again.
         pool = self.listener.pool
         taken = [
             pool.lease() for _ in range(self.resource_limits.max_buffers - 2 * self.resource_limits.max_links)
         ]
-        caller = self.caller()
-        caller.send(call(1))
+        client = self.client()
+        client.send(call(1))
         await self.until(lambda: self.listener.resume_timer)
         self.assertEqual(pool.available, 2 * self.resource_limits.max_links)
         for each in taken:
             pool.release(each)
-        await self.until(lambda: self.arrived_here)
+        await self.until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await caller.until(1))[1], b"ok")
+        self.assertEqual((await client.until(1))[1], b"ok")
--- a/tests/node/test_dispatcher_connections.py
+++ b/tests/node/test_dispatcher_connections.py
@@ -36,7 +36,7 @@
             share = float(dispatcher.answer()[2].removeprefix(b"signal="))
         self.assertTrue(0.25 + 0.75 * 0.25 <= share < 0.9, share)
 
-    def test_what_cant_be_read_is_answered_and_its_connection_lives(self):
+    def test_a_malformed_request_is_answered_and_its_connection_stays_open(self):
         self.begin()
         dispatcher = self.dispatcher()
         dispatcher.call("unheard-of")
@@ -50,7 +50,7 @@
         self.engine.done(dispatcher.call(tag=5) and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (5, b"ok"))
 
-    def test_bytes_that_are_no_array_end_a_connection_once_all_on_it_is_answered(self):
+    def test_malformed_bytes_end_a_connection_after_its_answers(self):
         self.begin()
         for garbage in (
             b"GET / HTTP/1.1\r\n\r\n",
@@ -69,7 +69,7 @@
             with contextlib.suppress(ConnectionResetError):
                 self.assertEqual(dispatcher.next(), [])
 
-    def test_dispatchers_that_read_no_answers_hold_up_nobody_and_take_little_memory(self):
+    def test_dispatchers_that_read_no_answers_delay_no_other_and_take_little_memory(self):
         # A write of its own for each answer took 0.4 MB a stuck dispatcher, and 229 MB with 512 of them.
         self.begin()
         checks = [encode(b"CHECK", b"%d" % number, b"") for number in range(1, 30_000)]
@@ -88,7 +88,7 @@
         with open(f"/proc/{self.process.pid}/statm") as file:
             self.assertLess(int(file.read().split()[1]) * 4096, 36 * 2**20)
 
-    def test_an_idle_connection_is_told_that_no_more_shall_come_before_it_ends(self):
+    def test_an_idle_connection_is_notified_before_it_is_closed(self):
         dispatcher, ident = self.running()
         self.engine.done(ident)
         self.assertEqual(dispatcher.next()[:2], [b"1", b"ok"])
@@ -98,7 +98,7 @@
         self.assertEqual(dispatcher.next()[:2], [b"2", b"ok"])
         self.assertEqual(dispatcher.next(), [])
 
-    def test_connections_that_send_nothing_or_half_are_closed_and_make_room(self):
+    def test_silent_connections_and_incomplete_arrays_are_closed_for_others(self):
         # They were never idle, filled the table, and no dispatcher was accepted any more.
         self.begin(limits={"cores": 1.0, "memory_mb": 192, "sockets": 140})
         quiet = [self.dispatcher() for _ in range(70)]
@@ -110,7 +110,7 @@
                 self.assertEqual(each.next(), [])
         self.assertLess(time.monotonic() - start, 3)
 
-    def test_connections_queued_for_good_make_room_for_those_that_work(self):
+    def test_idle_connections_are_closed_for_new_ones(self):
         self.begin(
             limits={"cores": 1.0, "memory_mb": 192, "sockets": 140}, settings=self.settings(idle=600 * 10**9)
         )
@@ -119,7 +119,7 @@
             self.engine.done(held.call() and self.engine.next()[1])
             self.assertEqual(held.answer()[1], b"ok")
 
-    def test_an_id_that_is_open_is_not_taken_again_and_the_first_does_not_notice(self):
+    def test_the_id_of_an_open_request_is_rejected_and_the_first_is_unaffected(self):
         # The second took the first one's place, and was answered with its result.
         dispatcher, ident = self.running()
         other = self.dispatcher()
@@ -129,7 +129,7 @@
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         self.assertTrue(self.engine.commands.empty())
 
-    def test_ids_and_numbers_that_cant_be_are_rejected_and_change_nothing(self):
+    def test_malformed_ids_and_numbers_are_rejected_and_change_nothing(self):
         self.begin()
         now = time.time_ns() // 10**6
         for fields in (
@@ -157,7 +157,7 @@
         self.assertEqual(dispatcher.answer()[:2], (3, b"yes"))
         self.assertTrue(self.engine.commands.empty())
 
-    def test_one_that_goes_on_with_what_nobody_can_use_is_read_no_further(self):
+    def test_a_connection_with_too_many_malformed_requests_is_not_read(self):
         self.begin()
         for useless in ("unheard-of", "quote"):
             dispatcher = self.dispatcher()
@@ -172,7 +172,7 @@
                 while dispatcher.next():
                     pass
 
-    def test_more_open_requests_than_may_be_are_rejected_and_the_rest_is_not_read(self):
+    def test_open_requests_over_the_limit_are_rejected_and_the_rest_is_not_read(self):
         self.begin()
         dispatcher = self.dispatcher()
         for tag in range(1, 200):
@@ -184,7 +184,7 @@
         self.assertIn([b"0", b"fault"], [words[:2] for words in said])
         self.assertNotIn(b"199", [words[0] for words in said])
 
-    def test_one_that_always_has_more_to_send_does_not_hold_up_the_others(self):
+    def test_a_dispatcher_that_always_sends_does_not_delay_the_others(self):
         self.begin()
         flood, stop = self.dispatcher(), threading.Event()
 
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -44,11 +44,11 @@
         self.assertTrue(self.response_cache.find(one(), NOW + 999 * MS))
         self.assertFalse(self.response_cache.find(one(), NOW + SECOND))
 
-    def test_one_read_first_though_it_came_later_is_the_one_that_runs(self):
+    def test_the_request_read_first_runs_though_it_arrived_later(self):
         self.remembered(queueing_delay=0)
         self.assertTrue(self.response_cache.find(one(queueing_delay=500 * MS), NOW + MS))
 
-    def test_one_that_came_in_time_is_known_however_full_the_table_is_when_it_is_read(self):
+    def test_a_duplicate_that_arrived_in_time_is_recognized_in_a_full_cache(self):
         # A full table was swept of entries whose window was over, and the late one ran a second time.
         cache = self.response_cache = ResponseCache(
             replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size), 0
@@ -59,7 +59,7 @@
         self.assertTrue(cache.find(one(queueing_delay=500 * MS), later))
         self.assertTrue(cache.make_room(NOW + SECOND + ONCE.client_timeout))
 
-    def test_one_that_never_ran_gives_its_place_back_to_the_one_that_did(self):
+    def test_a_request_that_never_ran_restores_the_entry_of_the_one_that_did(self):
         first = self.remembered()
         self.response_cache.finish(first, Outcome.COMPLETED, b"first")
         second = self.remembered(NOW + 1100 * MS)
@@ -69,7 +69,7 @@
         self.response_cache.share(late)
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
-    def test_a_follower_of_one_that_never_ran_takes_the_result_that_was_right_for_it(self):
+    def test_a_follower_of_a_request_that_never_ran_gets_the_earlier_result(self):
         first = self.remembered()
         second = self.remembered(NOW + 1100 * MS)
         late, fresh = one(queueing_delay=300 * MS), one()
@@ -83,7 +83,7 @@
         self.response_cache.finish(first, Outcome.COMPLETED, b"first")
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
-    def test_an_unresolved_one_passes_its_place_back_past_two(self):
+    def test_an_unfinished_entry_is_restored_after_two_that_never_ran(self):
         first, second = self.remembered(), self.remembered(NOW + 1100 * MS)
         third = self.remembered(NOW + 2200 * MS)
         self.response_cache.release(second)  # in the middle: nothing changes
@@ -114,17 +114,17 @@
             }
             self.assertEqual(len(keys), 4)
 
-    def test_two_non_idempotent_requests_about_one_subject_are_two(self):
+    def test_non_idempotent_requests_with_one_subject_are_no_duplicates(self):
         # With reads shared elsewhere the second took the result of the first, and never ran.
         for fields in (b"subject=s", b"opkey=k"):
             request = self.read(Idempotency.NON_IDEMPOTENT, fields)
             self.assertEqual((request.cache_key, request.has_key), (None, False))
 
-    def test_a_key_of_one_kind_is_none_of_the_other(self):
+    def test_the_field_of_another_kind_of_idempotency_is_no_key(self):
         self.assertIsNone(self.read(Idempotency.IDEMPOTENCY_KEY, b"subject=s").cache_key)
         self.assertIsNone(self.read(Idempotency.IDEMPOTENT, b"opkey=k").cache_key)
 
-    def test_the_same_key_with_another_body_is_another_thing(self):
+    def test_the_same_key_with_another_body_is_a_mismatch(self):
         cache = ResponseCache(RESOURCE_LIMITS, 0)
         first = one()
         cache.retain(first, NOW, SECOND)
@@ -169,7 +169,7 @@
         self.assertEqual(one.answer()[1::2], (b"ok", b"for hall"))
         self.assertEqual(two.answer()[1::2], (b"ok", b"for fete"))
 
-    def test_one_who_takes_anothers_key_for_a_body_of_his_own_gets_nothing_of_it(self):
+    def test_a_key_with_another_body_gets_no_result(self):
         # 'a bad client was given the answer served': arima-tickets, join days of the short panel.
         one, two = self.begun()
         first = self.order(one)
@@ -184,7 +184,7 @@
         self.assertEqual(one.answer()[1::2], (b"ok", b"result"))
         self.assertTrue(self.engine.commands.empty())
 
-    def test_one_who_comes_first_with_a_key_that_is_not_his_blocks_nobody(self):
+    def test_a_request_that_the_engine_does_not_know_leaves_its_key_available(self):
         # The engine does not know it, which proves that nothing ran; its error stayed for a whole window.
         one, two = self.begun()
         guessed = self.order(two)
@@ -196,7 +196,7 @@
         self.engine.done(first)
         self.assertEqual(one.answer()[1], b"ok")
 
-    def test_duplicates_while_it_is_queued_run_and_just_done_on_two_connections_take_one_run(self):
+    def test_duplicates_of_a_queued_running_or_finished_request_share_one_run(self):
         one, two, busy = self.filled()
         first = self.order(one, tag=9)
         self.seen(one)
@@ -214,7 +214,7 @@
         self.assertEqual([body for _, body in answers], [b"once"] * 3)
         self.assertTrue(self.engine.commands.empty())
 
-    def test_two_at_once_in_one_write_take_one_run(self):
+    def test_two_duplicates_in_one_write_share_one_run(self):
         one, _ = self.begun()
         sent = []
         one.socket = SimpleNamespace(sendall=sent.append, close=one.socket.close, real=one.socket)
@@ -226,7 +226,7 @@
         self.assertEqual([one.answer()[::3] for _ in range(2)], [(1, b"once"), (2, b"once")])
         self.assertTrue(self.engine.commands.empty())
 
-    def test_followers_of_one_whose_client_goes_while_it_is_queued_are_rejected_with_a_retry_time(self):
+    def test_followers_of_a_request_cancelled_in_the_queue_are_rejected_with_retry_after(self):
         # They were told that it failed, as if it might have run.
         one, two, busy = self.filled()
         self.order(one, tag=9)
@@ -241,7 +241,7 @@
         self.engine.done(busy[0])
         self.runs(again)
 
-    def test_followers_of_one_whose_client_goes_while_it_runs_get_the_end_of_the_run(self):
+    def test_followers_of_a_request_cancelled_while_running_fail(self):
         one, two = self.begun()
         first = self.order(one)
         self.runs(first)
@@ -255,7 +255,7 @@
         self.assertEqual(two.answer()[:2], (2, b"fault"))
         self.assertTrue(self.engine.commands.empty())
 
-    def test_a_duplicate_of_one_that_was_failed_fails_and_is_not_run(self):
+    def test_a_duplicate_of_a_failed_request_fails_and_does_not_run(self):
         one, two = self.begun()
         first = self.order(one, timeout=1500)
         self.runs(first)
@@ -268,7 +268,7 @@
         self.assertEqual(two.answer()[1], b"fault")
         self.assertTrue(self.engine.commands.empty())
 
-    def test_one_whose_window_is_over_runs_again_also_beside_the_first(self):
+    def test_a_request_after_the_window_runs_again_also_beside_the_first(self):
         self.begin(settings=self.short_window())
         one, two = self.dispatcher(), self.dispatcher()
         first = self.order(one, age=100)  # 100 ms ago: the window of 1 ms is over
@@ -285,7 +285,7 @@
         told["classes"] = [{**each, "window": 1 * MS} for each in told["classes"]]
         return told
 
-    def test_a_new_process_knows_nothing_and_runs_it(self):
+    def test_a_restarted_node_runs_a_duplicate(self):
         one, _ = self.begun()
         self.runs(self.order(one))
         self.process.kill()
@@ -299,7 +299,7 @@
         self.engine.done(again)
         self.assertEqual(two.answer()[1], b"ok")
 
-    def test_a_full_table_rejects_new_keys_and_knows_the_old_ones(self):
+    def test_a_full_cache_rejects_new_keys_and_recognizes_the_retained_ones(self):
         self.begin(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # room for one key
         one, two = self.dispatcher(), self.dispatcher()
         first = self.order(one)
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -15,7 +15,7 @@
 
 
 class HandoverTest(NodeProcessTest):
-    def test_a_second_break_while_a_link_is_restored_runs_nothing_twice(self):
+    def test_a_second_loss_while_a_link_is_restored_runs_nothing_twice(self):
         dispatcher, ident = self.running("pay")
         self.engine.lose()
         for _ in range(3):  # greeted, asked for gauges, and gone again
@@ -31,7 +31,7 @@
         self.engine.done(late)
         self.assertEqual(sorted(dispatcher.answer()[:2] for _ in range(2)), [(1, b"ok"), (2, b"ok")])
 
-    def test_a_halt_that_was_unread_at_a_break_is_sent_again(self):
+    def test_a_halt_that_was_unread_at_a_loss_is_sent_again(self):
         dispatcher, ident = self.running("card")
         self.engine.lose()
         self.log("engine_link_lost")
@@ -42,7 +42,7 @@
         seen = [self.engine.next()[:2] for _ in range(2)]
         self.assertIn(("HALT", ident), seen)
 
-    def test_an_engine_that_restarted_ends_the_runs_of_the_one_before_and_takes_new_ones(self):
+    def test_a_restarted_engine_fails_the_earlier_runs_and_takes_new_ones(self):
         # It numbers its notices from 1 again: they were taken for old ones, and nothing was ever answered.
         self.begin()
         dispatcher = self.dispatcher()
@@ -68,7 +68,7 @@
         self.engine.done(fresh)
         self.assertEqual(dispatcher.answer()[:2], (10, b"ok"))
 
-    def test_an_engine_whose_age_comes_late_is_the_same(self):
+    def test_a_delayed_greeting_is_no_restart(self):
         self.begin()
         dispatcher = self.dispatcher()
         ident = dispatcher.call("pay")
@@ -78,7 +78,7 @@
         self.engine.done(ident)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
-    def test_calls_in_flight_at_a_move_of_the_catalogue_end_where_they_are(self):
+    def test_calls_in_flight_at_a_move_of_the_catalogue_end_on_their_link(self):
         dispatcher, ident, link = self.calling("card")
         old = self.catalogue
         self.catalogue = socket.create_server(("127.0.0.1", 0))
@@ -103,7 +103,7 @@
         self.catalogue.setblocking(False)
         self.assertRaises(BlockingIOError, self.catalogue.accept)
 
-    def test_a_request_byte_by_byte_and_an_answer_read_byte_by_byte_are_whole(self):
+    def test_a_request_and_an_answer_byte_by_byte_are_complete(self):
         self.begin()
         slow = self.dispatcher()
         slow.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -165,7 +165,7 @@
                 await asyncio.sleep(0.001)
         return reader, writer
 
-    async def test_a_link_that_is_taken_and_never_greeted_is_made_anew_once_the_engine_was_up(self):
+    async def test_a_link_without_a_greeting_reconnects_once_the_engine_was_up(self):
         # A node whose engine moved to such an address waited for it for good.
         server = self.engine()
         self.serve(server)
@@ -175,7 +175,7 @@
         await self.attached(server)
         silent[1].close()  # until here it was open
 
-    async def test_an_engine_that_was_never_up_may_hold_its_greeting_back(self):
+    async def test_an_engine_that_was_never_up_may_delay_its_greeting(self):
         server = self.engine()
         self.serve(server)
         reader, writer = await self.attached(server, greet=False)
@@ -185,7 +185,7 @@
         self.assertEqual((await asyncio.wait_for(reader.readline(), WAIT)).split()[0], b"STAT")
         self.assertEqual(self.ups, [True])
 
-    async def test_a_connect_that_nobody_takes_is_left_for_the_address_that_it_is_moved_to(self):
+    async def test_a_pending_connect_is_abandoned_for_a_new_address(self):
         self.link.resource_limits = replace(self.resource_limits, engine_timeout=600 * SECOND)
         deaf = socket.socket()
         self.servers.append(deaf)
@@ -224,7 +224,7 @@
         self.assertEqual(self.link.unconfirmed.uncertain_runs, {})
         self.assertEqual(list(self.link.unconfirmed.commands), [])
 
-    async def test_a_stream_that_is_closed_as_its_connection_stands_ends_its_link_and_no_more(self):
+    async def test_a_stream_closed_at_its_connect_ends_only_its_link(self):
         from tornado.iostream import StreamClosedError
 
         class Closed:
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -31,7 +31,7 @@
         self.engine.done(ident)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
-    def test_a_configuration_that_cant_be_used_changes_nothing(self):
+    def test_a_malformed_configuration_changes_nothing(self):
         self.begin()
         for told in (
             "{",
@@ -110,7 +110,7 @@
         self.engine.done(unread)
         self.assertEqual(dispatcher.answer()[:2], (2, b"ok"))
 
-    def test_a_run_that_may_be_lost_and_may_not_run_twice_is_settled_after_its_answer(self):
+    def test_a_lost_at_most_once_run_is_resolved_after_its_answer(self):
         # It was counted as running for ever: four of them, and a node of four cores ran nothing more.
         self.begin()
         dispatcher = self.dispatcher()
@@ -129,7 +129,7 @@
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
-    def test_gauges_that_cant_be_reconnects(self):
+    def test_gauges_out_of_range_reconnect(self):
         self.begin()
         self.engine.gauges = "nan 0.0 0.1 -3"
         self.log('engine_stream_malformed error="gauges')
@@ -139,7 +139,7 @@
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
-    def test_a_line_of_the_engine_that_cant_be_read_reconnects(self):
+    def test_a_malformed_line_of_the_engine_reconnects(self):
         dispatcher, ident = self.running("pay")
         self.engine.say("DONE what is this")
         self.engine.attach()
@@ -148,7 +148,7 @@
 
 
 class NodeEndTest(NodeProcessTest):
-    def test_a_node_whose_log_nobody_reads_goes_on(self):
+    def test_a_node_whose_log_is_closed_keeps_serving(self):
         self.begin()
         self.process.stderr.close()
         dispatcher = self.dispatcher()
@@ -184,7 +184,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertNotIn("drain_started", self.process.stderr.read())
 
-    def test_what_still_runs_is_answered_before_the_stop(self):
+    def test_running_requests_are_answered_before_the_stop(self):
         self.begin(stop_ms=700)
         dispatcher = self.dispatcher()
         dispatcher.call()
--- a/tests/node/test_request_handling.py
+++ b/tests/node/test_request_handling.py
@@ -41,12 +41,12 @@
         self.engine.done(ident)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
-    def test_a_call_that_fails_is_skipped_where_that_earns(self):
+    def test_a_failed_call_is_skipped_if_a_degraded_answer_has_weight(self):
         _dispatcher, ident, link = self.calling("quote")
         link.say(f"{ident} FAULT")
         self.assertEqual(self.engine.next()[:3], ("SKIP", ident, "1"))
 
-    def test_a_refused_call_never_ran_and_a_broken_one_proves_nothing(self):
+    def test_a_refused_call_is_retried_and_a_lost_one_is_not(self):
         # A mutating exchange shows the difference: the first is placed again, the second is terminated.
         dispatcher, ident, link = self.calling("pay")
         link.say(f"{ident} LATER")
@@ -57,7 +57,7 @@
         self.catalogue.setblocking(False)
         self.assertRaises(BlockingIOError, self.catalogue.accept)
 
-    def test_with_no_catalogue_there_every_call_is_unreached(self):
+    def test_without_a_catalogue_every_call_fails_to_connect(self):
         self.begin(catalog="127.0.0.1:1")
         dispatcher = self.dispatcher()
         ident = dispatcher.call("quote")
@@ -71,7 +71,7 @@
         again = self.catalogue_link()
         self.assertEqual(again.next()[:2], ("FETCH", ident))
 
-    def test_a_flood_is_rejected_with_a_retry_time(self):
+    def test_a_flood_is_rejected_with_retry_after(self):
         self.begin()
         dispatcher = self.dispatcher()
         for _ in range(30):
@@ -81,14 +81,14 @@
         self.assertIn(b"holdoff=", fields)
         self.assertIn(b"signal=", fields)
 
-    def test_a_request_read_late_counts_its_age_from_its_stamp(self):
+    def test_a_request_read_late_counts_its_age_from_its_timestamp(self):
         self.begin()
         dispatcher = self.dispatcher()
         dispatcher.call("card", age=7990)
         self.assertEqual(dispatcher.answer()[1], b"full")
         self.assertTrue(self.engine.commands.empty())
 
-    def test_what_can_no_longer_be_in_time_is_answered_and_its_run_stopped(self):
+    def test_a_request_past_its_deadline_is_answered_and_its_run_stopped(self):
         dispatcher, ident = self.running("pay", timeout=1500)
         self.assertEqual(dispatcher.answer()[:2], (1, b"fault"))
         self.assertEqual(self.engine.next()[:2], ("HALT", ident))
@@ -150,7 +150,7 @@
         other = dispatcher.call("order", fields=",opkey=k2")
         self.assertEqual(self.engine.next()[:2], ("RUN", other))
 
-    def test_a_duplicate_of_what_went_unrun_runs(self):
+    def test_a_duplicate_of_a_request_that_never_ran_runs(self):
         # Cancelled in the hold, or never started: its repeats were answered as terminated for a whole window.
         self.begin()
         dispatcher = self.dispatcher()
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -31,7 +31,7 @@
         launch()
         return path, opened["file"]
 
-    def test_sigterm_before_it_is_up_is_heard_when_it_does(self):
+    def test_sigterm_during_the_start_is_handled_after_it(self):
         # It ended the process as if it had crashed.
         _, file = self.held_at_its_file()
         self.process.send_signal(signal.SIGTERM)
@@ -40,7 +40,7 @@
         self.log("drain_started")
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_sighup_before_it_is_up_reads_the_file_again_when_it_does(self):
+    def test_sighup_during_the_start_reloads_after_it(self):
         path, file = self.held_at_its_file()
         self.process.send_signal(signal.SIGHUP)
         with open(path + ".new", "w") as new:
@@ -68,7 +68,7 @@
             int(row[1].split(":")[1], 16) for row in rows if row[3] == "0A" and f"socket:[{row[9]}]" in inodes
         )
 
-    def test_signals_when_all_is_done_change_nothing_of_how_it_ends(self):
+    def test_signals_during_the_end_do_not_change_the_exit_code(self):
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             self.begin()
             self.process.send_signal(signal.SIGTERM)
@@ -79,7 +79,7 @@
             self.assertEqual(self.process.wait(WAIT), 0)
             self.process.stderr.close()
 
-    def test_a_signal_between_the_greeting_and_the_first_request_ends_it_cleanly(self):
+    def test_a_signal_between_the_greeting_and_the_first_request_stops_the_node(self):
         self.begin()
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.process.wait(WAIT), 0)
@@ -109,7 +109,7 @@
         dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_a_signal_between_the_halves_of_requests_serves_what_is_whole_within_the_grace(self):
+    def test_requests_completed_within_the_grace_after_a_signal_are_served(self):
         self.begin()
         pairs = [self.dispatcher() for _ in range(2)]
         for each in pairs:
@@ -149,7 +149,7 @@
         dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_a_file_that_is_cut_missing_or_of_others_changes_no_groups(self):
+    def test_a_truncated_missing_or_foreign_file_changes_no_request_class(self):
         self.begin()
         whole = json.dumps(self.told())
         for text in (
@@ -182,7 +182,7 @@
 
 
 class DrainDeadlineTest(NodeProcessTest):
-    def test_dispatchers_that_close_nothing_do_not_keep_it_until_it_is_killed(self):
+    def test_dispatchers_that_never_close_do_not_delay_the_stop(self):
         # It waited for them until the kill; what takes nothing is in test_crossings.
         self.begin(stop_ms=1500)
         resting, stuck = self.dispatcher(), self.dispatcher()
@@ -195,7 +195,7 @@
         self.assertEqual(resting.next(), [b"0", b"last"])
         self.assertEqual(resting.next(), [])  # a clean end
 
-    def test_one_that_rests_after_the_grace_and_then_sends_is_answered_or_proves_that_nothing_ran(self):
+    def test_a_request_after_the_grace_is_answered_or_proves_that_nothing_ran(self):
         self.begin()
         resting = self.dispatcher()
         self.engine.done(resting.call() and self.engine.next()[1])
@@ -210,7 +210,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertTrue(self.engine.next() == ("END",))
 
-    def test_one_connect_after_the_other_does_not_keep_it_from_the_end_of_its_grace(self):
+    def test_a_flood_of_connects_does_not_delay_the_end_of_the_grace(self):
         self.begin(stop_ms=20_000)
         ended = threading.Event()
 
@@ -236,7 +236,7 @@
         self.assertRaises(BlockingIOError, self.directory.recv, 99)
         self.directory.settimeout(WAIT)
 
-    def test_it_is_listed_only_once_it_takes_requests(self):
+    def test_a_node_is_listed_only_once_it_accepts_requests(self):
         # It told `open` from its first moment, also in a second life whose engine was not there.
         self.begin(attach=False)
         dispatcher = self.dispatcher()
@@ -250,7 +250,7 @@
         self.engine.done(dispatcher.call(tag=3) and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (3, b"ok"))
 
-    def test_one_draining_before_its_engine_is_up_is_never_listed(self):
+    def test_a_node_draining_before_its_engine_is_up_is_never_listed(self):
         self.begin(attach=False)
         held = self.dispatcher()
         held.send("CHECK", "1", "")
@@ -262,7 +262,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
         self.no_report()
 
-    def test_an_engine_that_comes_up_in_a_drain_that_is_taken_back_is_restored(self):
+    def test_an_engine_that_comes_up_in_a_cancelled_drain_is_used(self):
         # It was passed over, and the node denied everything from then on.
         self.begin(attach=False, state="booting")
         held = self.dispatcher()
@@ -288,7 +288,7 @@
         self.engine.done(fresh.call() and self.engine.next()[1])
         self.assertEqual(fresh.answer()[1], b"ok")
 
-    def test_a_directory_that_is_not_there_or_moves_holds_nothing_up(self):
+    def test_a_missing_or_moved_directory_delays_nothing(self):
         self.begin(lookup="127.0.0.1:1")
         dispatcher = self.dispatcher()
         self.engine.done(dispatcher.call() and self.engine.next()[1])
