--- a/oakkeel/authentication/__init__.py
+++ b/oakkeel/authentication/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between command line and agent: framed, and authenticated with a shared key."""
+"""Messages between command line and agents: framed, and authenticated with a shared key."""
--- a/oakkeel/authentication/client.py
+++ b/oakkeel/authentication/client.py
@@ -1,4 +1,4 @@
-"""The client's end of one connection to an agent: connects on demand, one request at a time."""
+"""The client's side of a connection to an agent: it connects on demand and sends one request at a time."""
 
 from __future__ import annotations
 
@@ -9,33 +9,42 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from oakkeel.authentication.framing import HELLO, MAX_RESPONSE_BYTES, REFUSED, FrameError, frame, read_frame
+from oakkeel.authentication.framing import (
+    HELLO,
+    LENGTH_BYTES,
+    MAX_RESPONSE_BYTES,
+    REFUSED,
+    FrameError,
+    frame,
+    read_frame,
+)
 from oakkeel.authentication.mac import NONCE_BYTES, AuthenticationError, ClientAuthenticator, Key
 from oakkeel.errors import OakkeelError
 
 
 class LinkError(OakkeelError, OSError):
-    """There is no response; the message says why."""
+    """No response was received; the request may have been executed."""
 
 
 class AuthenticationRejectedError(LinkError):
-    """The peer rejects our key, or could not authenticate itself."""
+    """The peer rejected our key, or could not authenticate itself."""
 
 
 class AuthenticatedClient:
-    """A connection to one agent, opened again after each error."""
+    """A connection to one agent, opened again by the request that follows an error."""
 
     def __init__(self, address: tuple[str, int], key: Key) -> None:
-        """Connect to `address` with the first request."""
-        self.address, self.key = address, key
+        """The first request opens the connection."""
+        self.address = address
+        self.key = key
         self.stream: IOStream | None = None
         self.authenticator: ClientAuthenticator | None = None
 
     async def request(self, content: bytes, timeout: float | None = None) -> bytes:
         """Send a request and return the response. `timeout` in seconds.
 
-        Raises LinkError: the request may have been executed all the same. The connection is closed then, so
-        that a late response is never taken for that of the next request.
+        Raises LinkError. The connection is closed then, so that a late response is not mistaken for that of
+        the next request.
         """
         try:
             return await asyncio.wait_for(self._request(content), timeout)
@@ -47,7 +56,9 @@
             if isinstance(error, LinkError):
                 raise
             real = getattr(error, "real_error", None) or error
-            raise LinkError(getattr(real, "strerror", None) or str(real) or "the link ended") from error
+            raise LinkError(
+                getattr(real, "strerror", None) or str(real) or "the connection was closed"
+            ) from error
         except asyncio.CancelledError:
             self.close()
             raise
@@ -55,23 +66,30 @@
     async def _request(self, content: bytes) -> bytes:
         if self.stream is None or self.authenticator is None or self.stream.closed():
             self.close()
-            self.stream = IOStream(socket.socket(), max_buffer_size=MAX_RESPONSE_BYTES + 4)
-            await self.stream.connect(self.address)
-            self.stream.set_nodelay(True)
-            hello = await read_frame(self.stream)
-            if not hello.startswith(HELLO) or len(hello) != len(HELLO) + NONCE_BYTES:
-                raise AuthenticationRejectedError("no agent of this version listens there")
-            self.authenticator = ClientAuthenticator(
-                self.key, hello[len(HELLO) :], lambda: secrets.token_bytes(NONCE_BYTES), time.time_ns
-            )
+            self.stream = IOStream(socket.socket(), max_buffer_size=MAX_RESPONSE_BYTES + LENGTH_BYTES)
+            self.authenticator = await self._connect(self.stream)
         self.stream.write(frame(self.authenticator.sign(content)))
         response = await read_frame(self.stream, MAX_RESPONSE_BYTES)
         if response == REFUSED:
-            raise AuthenticationRejectedError(f"it refuses key {self.key.ident}; its log says why")
+            raise AuthenticationRejectedError(
+                f"the agent rejected key {self.key.ident}; the cause is in the agent's log"
+            )
         return self.authenticator.verify(response)
 
+    async def _connect(self, stream: IOStream) -> ClientAuthenticator:
+        """Connect and read the agent's challenge. Raises AuthenticationRejectedError."""
+        await stream.connect(self.address)
+        stream.set_nodelay(True)
+        hello = await read_frame(stream)
+        if not hello.startswith(HELLO) or len(hello) != len(HELLO) + NONCE_BYTES:
+            raise AuthenticationRejectedError("the listener is not an agent of this version")
+        return ClientAuthenticator(
+            self.key, hello[len(HELLO) :], lambda: secrets.token_bytes(NONCE_BYTES), time.time_ns
+        )
+
     def close(self) -> None:
         """Close the connection, if there is one."""
         if self.stream:
             self.stream.close()
-        self.stream = self.authenticator = None
+        self.stream = None
+        self.authenticator = None
--- a/oakkeel/authentication/framing.py
+++ b/oakkeel/authentication/framing.py
@@ -6,25 +6,27 @@
 
 from oakkeel.errors import OakkeelError
 
-MAX_FRAME_BYTES = 128 * 1024  # of a frame's content from a peer that is not authenticated yet
-MAX_RESPONSE_BYTES = 8 * 1024 * 1024  # of a response: a host with some thousand instances
-HELLO, REFUSED = b"oakkeel 1 ", b"refused"  # before the challenge; in place of any reason
+MAX_FRAME_BYTES = 128 * 1024  # of the content of a frame from a peer that is not authenticated yet
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
+LENGTH_BYTES = 4
+HELLO = b"oakkeel 1 "  # the first frame of a connection: this, then the challenge
+REFUSED = b"refused"  # the response to a message that is rejected; it has no reason
 
 
 class FrameError(OakkeelError, ValueError):
-    """The length is not allowed for a frame."""
+    """A frame is empty or too long."""
 
 
 async def read_frame(stream: IOStream, max_bytes: int = MAX_FRAME_BYTES) -> bytes:
-    """Read one frame's content. Raises FrameError, or StreamClosedError where the stream ends."""
-    length = int.from_bytes(await stream.read_bytes(4), "big")
+    """Read the content of one frame. Raises FrameError, or StreamClosedError if the stream ends."""
+    length = int.from_bytes(await stream.read_bytes(LENGTH_BYTES), "big")
     if not 0 < length <= max_bytes:
-        raise FrameError(f"a frame of {length} bytes")
+        raise FrameError(f"received a frame of {length} bytes; 1 to {max_bytes} are allowed")
     return await stream.read_bytes(length)
 
 
 def frame(content: bytes) -> bytes:
-    """Put the length before the content. Raises FrameError."""
+    """Return the frame with a content. Raises FrameError."""
     if not 0 < len(content) <= MAX_RESPONSE_BYTES:
-        raise FrameError(f"a frame of {len(content)} bytes")
-    return len(content).to_bytes(4, "big") + content
+        raise FrameError(f"can't send a frame of {len(content)} bytes; 1 to {MAX_RESPONSE_BYTES} are allowed")
+    return len(content).to_bytes(LENGTH_BYTES, "big") + content
--- a/oakkeel/authentication/mac.py
+++ b/oakkeel/authentication/mac.py
@@ -1,10 +1,10 @@
 """Message authentication with keyed BLAKE3, and the role of each key. Free of I/O.
 
-A connection begins with a challenge by the agent. Every message on it carries a MAC over the challenge, the
-message's sequence number on the connection, the client's nonce, its time and its content. A replay on another
-connection meets another challenge, one on the same connection another sequence number: both are rejected,
-whatever the clocks of the hosts say. A challenge has a bounded lifetime, so that nobody can delay a message
-and let it act much later.
+A connection starts with a challenge by the agent. Each message on it has a MAC over the challenge, the
+sequence number of the message on the connection, the client's nonce, the sender's time and the content. A
+replay on another connection fails by the challenge, one on the same connection by the sequence number; both
+checks are independent of the hosts' clocks. A challenge has a maximum lifetime, so that a message can't be
+delayed for long.
 """
 
 from __future__ import annotations
@@ -20,11 +20,18 @@
 from oakkeel.errors import OakkeelError
 from oakkeel.units import SECOND
 
-NONCE_BYTES, SECRET_BYTES, MAC_BYTES = 16, 32, 32
+NONCE_BYTES = 16
+SECRET_BYTES = 32
+MAC_BYTES = 32
+NUMBER_BYTES = 8  # of lengths, sequence numbers and times in the input of a MAC
+MAX_TIME = (1 << 63) - 1
+MAX_CHALLENGE_LIFETIME_NS = 10 * SECOND
+REQUEST_KIND = b"ask"
+RESPONSE_KIND = b"answer"
 
 
 class Role(IntEnum):
-    """What a key allows; `ACT` includes `VIEW`, and `AGENT` is for messages between agents only."""
+    """What a key allows. `ACT` includes `VIEW`; `AGENT` is for messages between agents only."""
 
     AGENT = 0
     VIEW = 1
@@ -33,17 +40,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Key:
-    """One key of an operator. During a key rotation both the old and the new one are valid."""
+    """One key of an operator. During a rotation both the old and the new key are valid."""
 
     ident: str
     operator: str
     role: Role
     secret: bytes
-    expires: int = 0  # Unix nanoseconds from which it is invalid; 0: never
+    expires: int = 0  # Unix time in nanoseconds from which it is invalid; 0: never
 
 
 class AuthenticatedMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A message with its MAC. `time` is the sender's Unix clock in nanoseconds, for information only."""
+    """A message with its MAC. `time` is the sender's Unix time in nanoseconds, for information only."""
 
     key: str
     nonce: bytes
@@ -53,102 +60,138 @@
 
 
 class AuthenticationError(OakkeelError, ValueError):
-    """The message is rejected. The text is for our own log only: the sender learns no reason."""
+    """A message is rejected. The cause is for this host's log only: the sender must not learn it."""
 
 
 _decoder = msgspec.msgpack.Decoder(AuthenticatedMessage)
 _encoder = msgspec.msgpack.Encoder()
 
 
-def _compute_mac(
-    secret: bytes, kind: bytes, challenge: bytes, sequence: int, nonce: bytes, time: int, content: bytes
-) -> bytes:
-    hasher = blake3.blake3(key=secret)
-    for part in (kind, challenge, sequence.to_bytes(8, "big"), nonce, time.to_bytes(8, "big"), content):
-        hasher.update(len(part).to_bytes(8, "big"))  # without it bytes could move from one part to the next
-        hasher.update(part)
-    return hasher.digest()
+@dataclass(slots=True, frozen=True)
+class MacInput:
+    """What the MAC of a message covers."""
+
+    kind: bytes
+    challenge: bytes
+    sequence: int
+    nonce: bytes
+    time: int
+    content: bytes
+
+    def mac(self, secret: bytes) -> bytes:
+        """Return the MAC with the secret of a key."""
+        hasher = blake3.blake3(key=secret)
+        parts = (
+            self.kind,
+            self.challenge,
+            self.sequence.to_bytes(NUMBER_BYTES, "big"),
+            self.nonce,
+            self.time.to_bytes(NUMBER_BYTES, "big"),
+            self.content,
+        )
+        for part in parts:
+            # Without the length, bytes could move from one part to the next without a change of the MAC.
+            hasher.update(len(part).to_bytes(NUMBER_BYTES, "big"))
+            hasher.update(part)
+        return hasher.digest()
 
 
 class ClientAuthenticator:
-    """The client's end of one connection."""
+    """The client's side of one connection."""
 
     def __init__(
-        self, key: Key, challenge: bytes, nonce: Callable[[], bytes], unix: Callable[[], int]
+        self, key: Key, challenge: bytes, make_nonce: Callable[[], bytes], unix_time: Callable[[], int]
     ) -> None:
-        """Use a key for the agent's challenge; `unix` returns the Unix time in nanoseconds."""
-        self.key, self.challenge, self.make_nonce, self.unix = key, challenge, nonce, unix
+        """Use `key` for the agent's challenge. `unix_time` returns nanoseconds."""
+        self.key = key
+        self.challenge = challenge
+        self.make_nonce = make_nonce
+        self.unix_time = unix_time
         self.sequence = 0
+        self.nonce = b""
 
     def sign(self, content: bytes) -> bytes:
         """Return the frame of the next request."""
         self.sequence += 1
-        self.nonce, time = self.make_nonce(), self.unix()
-        mac = _compute_mac(self.key.secret, b"ask", self.challenge, self.sequence, self.nonce, time, content)
-        return _encoder.encode(AuthenticatedMessage(self.key.ident, self.nonce, time, content, mac))
+        self.nonce = self.make_nonce()
+        request = MacInput(REQUEST_KIND, self.challenge, self.sequence, self.nonce, self.unix_time(), content)
+        return _encode(self.key, request)
 
     def verify(self, frame: bytes) -> bytes:
         """Return the content of the response to the last request. Raises AuthenticationError."""
         message = _decode(frame)
-        mac = _compute_mac(
-            self.key.secret,
-            b"answer",
-            self.challenge,
-            self.sequence,
-            self.nonce,
-            message.time,
-            message.content,
+        response = MacInput(
+            RESPONSE_KIND, self.challenge, self.sequence, self.nonce, message.time, message.content
         )
-        if not hmac.compare_digest(mac, message.mac):
-            raise AuthenticationError("an answer that was not made with our key, or not to our message")
+        if not hmac.compare_digest(response.mac(self.key.secret), message.mac):
+            raise AuthenticationError("the response has a wrong MAC: another key, or another request")
         return message.content
 
 
 class ServerAuthenticator:
-    """The agent's end of one connection."""
+    """The agent's side of one connection."""
 
     def __init__(
-        self, keys: dict[str, Key], challenge: bytes, issued_at: int, lifetime: int = 10 * SECOND
+        self,
+        keys: dict[str, Key],
+        challenge: bytes,
+        issued_at: int,
+        max_lifetime_ns: int = MAX_CHALLENGE_LIFETIME_NS,
     ) -> None:
-        """Accept `keys` (by ID) for a challenge issued at a time in monotonic nanoseconds."""
-        self.keys, self.challenge, self.issued_at, self.lifetime = keys, challenge, issued_at, lifetime
+        """Accept `keys`, by ID, for a challenge that was issued at `issued_at`, in monotonic nanoseconds."""
+        self.keys = keys
+        self.challenge = challenge
+        self.issued_at = issued_at
+        self.max_lifetime_ns = max_lifetime_ns
         self.sequence = 0
 
     def verify(self, now: int, unix: int, frame: bytes) -> tuple[Key, bytes]:
-        """Return the key of a request and its content. Raises AuthenticationError."""
+        """Return the key of a request and its content. Raises AuthenticationError.
+
+        `now` is in monotonic nanoseconds, `unix` the Unix time in nanoseconds.
+        """
         message = _decode(frame)
         key = self.keys.get(message.key)
         if key is None:
-            raise AuthenticationError("an unknown key")
+            raise AuthenticationError("the key is unknown")
         sequence = self.sequence + 1
-        mac = _compute_mac(
-            key.secret, b"ask", self.challenge, sequence, message.nonce, message.time, message.content
+        request = MacInput(
+            REQUEST_KIND, self.challenge, sequence, message.nonce, message.time, message.content
         )
-        if not hmac.compare_digest(mac, message.mac):
+        if not hmac.compare_digest(request.mac(key.secret), message.mac):
             raise AuthenticationError(
-                f"a wrong mark for key {key.ident}: altered, replayed, or made with another key"
+                f"key {key.ident}: wrong MAC; the message was altered, replayed or made with another secret"
             )
-        if now - self.issued_at > self.lifetime:
-            raise AuthenticationError(f"key {key.ident}: the challenge is too old")
+        if now - self.issued_at > self.max_lifetime_ns:
+            raise AuthenticationError(f"key {key.ident}: the challenge has expired")
         if key.expires and unix >= key.expires:
-            raise AuthenticationError(f"key {key.ident} is good no more")
-        self.sequence, self.nonce, self.key = sequence, message.nonce, key
-        self.issued_at = now  # each valid message extends the lifetime for the next
+            raise AuthenticationError(f"key {key.ident} has expired: replace it")
+        self.sequence = sequence
+        self.nonce = message.nonce
+        self.key = key
+        self.issued_at = now  # each valid message extends the lifetime of the challenge
         return key, message.content
 
     def sign(self, unix: int, content: bytes) -> bytes:
         """Return the frame of the response to the last verified request."""
-        mac = _compute_mac(
-            self.key.secret, b"answer", self.challenge, self.sequence, self.nonce, unix, content
-        )
-        return _encoder.encode(AuthenticatedMessage(self.key.ident, self.nonce, unix, content, mac))
+        response = MacInput(RESPONSE_KIND, self.challenge, self.sequence, self.nonce, unix, content)
+        return _encode(self.key, response)
+
+
+def _encode(key: Key, signed: MacInput) -> bytes:
+    message = AuthenticatedMessage(
+        key.ident, signed.nonce, signed.time, signed.content, signed.mac(key.secret)
+    )
+    return _encoder.encode(message)
 
 
 def _decode(frame: bytes) -> AuthenticatedMessage:
     try:
         message = _decoder.decode(frame)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise AuthenticationError(f"no sealed message: {error}") from error
-    if len(message.nonce) != NONCE_BYTES or len(message.mac) != MAC_BYTES or not 0 <= message.time < 1 << 63:
-        raise AuthenticationError("a nonce, mark or time of the wrong size")
+        raise AuthenticationError(f"the message can't be decoded: {error}") from error
+    if len(message.nonce) != NONCE_BYTES or len(message.mac) != MAC_BYTES:
+        raise AuthenticationError("the nonce or the MAC has a wrong length")
+    if not 0 <= message.time <= MAX_TIME:
+        raise AuthenticationError("the time is out of range")
     return message
--- a/oakkeel/store/__init__.py
+++ b/oakkeel/store/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: SQLite files that survive crashes, and are never silently emptied."""
+"""Durable state: SQLite databases, snapshot files and a content store, all safe against crashes."""
--- a/oakkeel/store/content_store.py
+++ b/oakkeel/store/content_store.py
@@ -1,4 +1,4 @@
-"""Content-addressed store of programs and configurations: one name is the same content on every host."""
+"""Content-addressed store of programs and configurations: a hash names the same content on every host."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 from oakkeel.errors import OakkeelError
 
-MAX_FILES = 20_000
-MAX_BYTES = 512 * 1024 * 1024
+MAX_FILES = 20_000  # of a program
+MAX_BYTES = 512 * 1024 * 1024  # of a program or a file
 IGNORED_FOLDERS = {"__pycache__", ".git"}
 HASH_LENGTH = 32  # hexadecimal digits
 
 
 class ContentError(OakkeelError, OSError):
-    """The content can't be used; the message says why."""
+    """The content can't be read, copied or used; the message names the path and the cause."""
 
 
 @dataclass(slots=True, frozen=True)
 class Content:
-    """What a version is made of, each part by its hash; an empty one is as the operators' settings say."""
+    """The parts of a version, each by its hash; for an empty one the operators' settings apply."""
 
     program: str = ""  # a folder
     patch: str = ""  # a file, merged into the configuration (RFC 7396)
-    config: str = ""  # a whole configuration in place of that of the settings
+    config: str = ""  # a file that replaces the whole configuration of the settings
 
     @property
     def version(self) -> str:
@@ -37,10 +37,10 @@
 
 
 def hash_file(path: str) -> str:
-    """Hash the content of a file. Raises ContentError."""
+    """Return the hash of a file's content. Raises ContentError."""
     try:
         if os.path.getsize(path) > MAX_BYTES:
-            raise ContentError(f"{path} has more than {MAX_BYTES} bytes")
+            raise ContentError(f"{path} has more than the {MAX_BYTES} bytes that are allowed")
         with open(path, "rb") as file:
             return blake3.blake3(file.read()).hexdigest()[:HASH_LENGTH]
     except OSError as error:
@@ -48,30 +48,31 @@
 
 
 def list_files(folder: str) -> list[str]:
-    """List the files of a program by relative path, sorted. Raises ContentError."""
+    """Return the relative paths of a program's files, sorted. Raises ContentError."""
     found: list[str] = []
     size = 0
     if not os.path.isdir(folder):
-        raise ContentError(f"{folder}: no folder")
+        raise ContentError(f"{folder} is not a folder")
     for parent, folders, names in os.walk(folder):
         folders[:] = sorted(name for name in folders if name not in IGNORED_FOLDERS)
         for name in sorted(names):
             path = os.path.join(parent, name)
             if os.path.islink(path) or not os.path.isfile(path):
-                raise ContentError(f"{path}: neither file nor folder")
+                raise ContentError(f"{path} is neither a file nor a folder")
             size += os.path.getsize(path)
             found.append(os.path.relpath(path, folder))
     if len(found) > MAX_FILES or size > MAX_BYTES:
         raise ContentError(
-            f"{folder}: {len(found)} files with {size} bytes; {MAX_FILES} and {MAX_BYTES} are allowed"
+            f"{folder} has {len(found)} files with {size} bytes;"
+            f" {MAX_FILES} files with {MAX_BYTES} bytes are allowed"
         )
     return sorted(found)
 
 
 def hash_folder(folder: str, prefix: str = "") -> str:
-    """Hash the names, contents and executable bits of a folder's files.
+    """Return the hash of the names, contents and executable bits of a folder's files.
 
-    `prefix` goes before the names. Raises ContentError.
+    `prefix` is a folder to prepend to the names. Raises ContentError.
     """
     hasher = blake3.blake3()
     for name in list_files(folder):
@@ -82,7 +83,7 @@
 
 
 def apply_merge_patch(config: Any, patch: Any) -> Any:
-    """Apply a JSON merge patch (RFC 7396): null removes, objects are merged, all else replaces."""
+    """Apply a JSON merge patch (RFC 7396): null removes, objects are merged, other values replace."""
     if not isinstance(patch, dict):
         return patch
     result = dict(config) if isinstance(config, dict) else {}
@@ -102,23 +103,23 @@
     except (OSError, ValueError) as error:
         raise ContentError(f"{path}: {error}") from error
     if not isinstance(value, dict):
-        raise ContentError(f"{path}: no JSON object")
+        raise ContentError(f"{path} is not a JSON object")
     return value
 
 
 class ContentStore:
-    """The copies of one host: `content/HASH` and `VERSION.json` in one folder, each complete or absent."""
+    """The copies on one host: `content/HASH` and `VERSION.json` in one folder, each written atomically."""
 
     def __init__(self, folder: str) -> None:
         """Use a folder, which need not exist yet."""
         self.folder = folder
 
     def path(self, name: str) -> str:
-        """Return where the copy with this hash is, or would be."""
+        """Return the path of the copy with a hash, which need not exist."""
         return os.path.join(self.folder, "content", name)
 
     def add_folder(self, folder: str, prefix: str = "") -> str:
-        """Copy a folder and return its hash. Raises ContentError, also where it changed during the copy."""
+        """Copy a folder and return its hash. Raises ContentError, also if the folder changed meanwhile."""
         name = hash_folder(folder, prefix)
         if not os.path.exists(self.path(name)):
             temporary = self._make_temporary(name)
@@ -147,11 +148,11 @@
 
     def _publish(self, temporary: str, name: str, found: str) -> None:
         if found != name:
-            raise ContentError(f"{name}: it changed while it was copied")
+            raise ContentError(f"{name} changed while it was copied: try again")
         os.rename(temporary, self.path(name))
 
     def add_version(self, content: Content) -> str:
-        """Record what a version is made of, and return the version."""
+        """Record the parts of a version, and return the version."""
         path = os.path.join(self.folder, f"{content.version}.json")
         with open(path + ".new", "w", encoding="utf-8") as file:
             json.dump({"program": content.program, "patch": content.patch, "config": content.config}, file)
@@ -161,7 +162,7 @@
         return content.version
 
     def find(self, version: str) -> Content | None:
-        """Return what a version is made of, if all of that is here."""
+        """Return the parts of a version, or None if any of them is missing."""
         try:
             recorded = read_json(os.path.join(self.folder, f"{version}.json"))
             content = Content(str(recorded["program"]), str(recorded["patch"]), str(recorded["config"]))
@@ -172,7 +173,7 @@
         return content if complete else None
 
     def prune(self, needed: set[str]) -> list[str]:
-        """Remove all versions but the needed ones, with the copies only they used. Returns those removed."""
+        """Remove the versions that are not needed, and unused copies. Returns the removed versions."""
         removed: list[str] = []
         used: set[str] = set()
         if not os.path.isdir(self.folder):
@@ -192,7 +193,13 @@
 
     def _remove_unused_copies(self, used: set[str]) -> None:
         copies = os.path.join(self.folder, "content")
-        for name in os.listdir(copies) if os.path.isdir(copies) else ():
-            if name not in used:
-                path = os.path.join(copies, name)
-                shutil.rmtree(path) if os.path.isdir(path) else os.unlink(path)
+        if not os.path.isdir(copies):
+            return
+        for name in os.listdir(copies):
+            if name in used:
+                continue
+            path = os.path.join(copies, name)
+            if os.path.isdir(path):
+                shutil.rmtree(path)
+            else:
+                os.unlink(path)
--- a/oakkeel/store/snapshot_file.py
+++ b/oakkeel/store/snapshot_file.py
@@ -1,4 +1,4 @@
-"""A small file that is complete or absent: a checksum before its content, put in place by a rename."""
+"""A small file with a checksum, replaced atomically by a rename."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 
 from oakkeel.errors import OakkeelError
 
-MAGIC, CHECKSUM_BYTES = b"oakkeel snapshot 1\n", 32
+MAGIC = b"oakkeel snapshot 1\n"
+CHECKSUM_BYTES = 32
 MAX_BYTES = 4 * 1024 * 1024
+FILE_MODE = 0o600
 
 
 class SnapshotError(OakkeelError, ValueError):
-    """The file is no complete snapshot; the message says why."""
+    """The file is not a complete snapshot."""
 
 
 def write(path: str, content: bytes) -> None:
-    """Replace the file's content. Raises OSError; the old content stays then."""
+    """Replace the file's content. Raises OSError: then the old content remains."""
     temporary = f"{path}.new"
-    with open(os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
+    with open(os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE), "wb") as file:
         file.write(MAGIC + blake3.blake3(content).digest() + content)
     os.replace(temporary, path)
 
 
 def read(path: str) -> bytes | None:
-    """Return the content; None where there is no file. Raises SnapshotError, or OSError."""
+    """Return the content, or None if there is no file. Raises SnapshotError or OSError."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_BYTES + 1)
@@ -34,14 +36,14 @@
         return None
     header = len(MAGIC) + CHECKSUM_BYTES
     if len(data) > MAX_BYTES or not data.startswith(MAGIC) or len(data) < header:
-        raise SnapshotError("no snapshot")
+        raise SnapshotError(f"{path} is not a snapshot, or has more than {MAX_BYTES} bytes")
     if blake3.blake3(data[header:]).digest() != data[len(MAGIC) : header]:
-        raise SnapshotError("damaged, or cut short")
+        raise SnapshotError(f"{path} is damaged or truncated: its checksum differs")
     return data[header:]
 
 
 def quarantine(path: str) -> str:
-    """Rename a file that can't be used; returns its new name."""
+    """Rename a file that can't be used. Returns its new name."""
     quarantined = f"{path}.bad"
     with contextlib.suppress(OSError):
         os.replace(path, quarantined)
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -56,7 +56,7 @@
             self.assertTrue(hello.startswith(HELLO))
             self.assertEqual(answer, REFUSED)
         wrong = Key("asha-1", "asha", Role.ACT, os.urandom(32))
-        with self.assertRaisesRegex(AgentRejectedError, "its log says why"):
+        with self.assertRaisesRegex(AgentRejectedError, "the cause is in the agent's log"):
             await request_once(self.host.agent, wrong, messages.HostStatusRequest())
         self.assertEqual(self.of(agent, "n1").generation, generation)
         refusals = [line for line in self.said.getvalue().splitlines() if "message_rejected" in line]
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -65,7 +65,7 @@
         keys = read_agent_keys(self.rig.fleet)
         letter = Envelope("0" * 16, "h9", "h9.1", RecoveryRequest(1, True, 9, 9, 9))
         stranger = Key("agent:h1", "h1", Role.AGENT, os.urandom(32))
-        with self.assertRaisesRegex(OSError, "refuses key"):
+        with self.assertRaisesRegex(OSError, "rejected key"):
             await request_once(address, stranger, messages.PeerEnvelopesRequest([letter]))
         other = next(host for host in self.hosts if host != leader)
         answer = await request_once(
