--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -10,7 +10,8 @@
 from oakkeel.agent.leader_locator import LeaderLocator
 from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.reconciler import Reconciler
-from oakkeel.agent.supervisor import Action, Step, SupervisionTimeouts, Supervisor
+from oakkeel.agent.supervision_rules import Action, SupervisionTimeouts
+from oakkeel.agent.supervisor import Step, Supervisor
 from oakkeel.disruption.holder import PermitHolder, StoredPermit
 from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.emulator.simulated_machine import SimulatedMachine
@@ -23,7 +24,9 @@
 MIN_PREPARATION_TIME_NS = 50 * MS
 MAX_PREPARATION_TIME_NS = 300 * MS
 GENERATION_BLOCK = 8  # generations reserved at a time
-SUPERVISION_TIMEOUTS = SupervisionTimeouts(backoff=300 * MS, steady=2 * SECOND, drain=3 * SECOND)
+SUPERVISION_TIMEOUTS = SupervisionTimeouts(
+    min_backoff_ns=300 * MS, steady_after_ns=2 * SECOND, drain_timeout_ns=3 * SECOND
+)
 
 
 @dataclass(slots=True, eq=False)
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -7,7 +7,8 @@
 
 from oakkeel.agent.instances import Goal
 from oakkeel.agent.reconciler import Reconciler
-from oakkeel.agent.supervisor import Action, Step, Supervisor
+from oakkeel.agent.supervision_rules import Action
+from oakkeel.agent.supervisor import Step, Supervisor
 from oakkeel.control.messages import NodeStatus
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.emulator.simulated_machine import SimulatedMachine
