--- a/tests/authentication/test_mac.py
+++ b/tests/authentication/test_mac.py
@@ -1,4 +1,4 @@
-"""Authenticated messages: what is accepted and what is rejected."""
+"""Accepted and rejected messages of the authenticated connection."""
 
 import secrets
 import time
@@ -40,7 +40,7 @@
             for number in range(3):
                 found_key, content = server.verify(0, 0, client.sign(b"ask %d" % number))
                 self.assertEqual((found_key, content), (key, b"ask %d" % number))
-                self.assertEqual(client.verify(server.sign(0, b"so")), b"so")
+                self.assertEqual(client.verify(server.sign(0, b"response")), b"response")
 
     def assert_rejected(self, server: ServerAuthenticator, frame: bytes, now: int = 0, unix: int = 0) -> None:
         with self.assertRaises(AuthenticationError):
@@ -73,10 +73,10 @@
     def test_rejects_response_to_another_request(self):
         client, server = self.make_pair(self.old)
         server.verify(0, 0, client.sign(b"one"))
-        answer = server.sign(0, b"so")
+        response = server.sign(0, b"response")
         client.sign(b"two")
         with self.assertRaises(AuthenticationError):
-            client.verify(answer)
+            client.verify(response)
 
     @given(st.binary(max_size=300))
     @settings(max_examples=300, deadline=None, derandomize=True)
@@ -94,4 +94,4 @@
             _, content = server.verify(0, 0, bytes(frame))
         except AuthenticationError:
             return
-        self.assertEqual(content, b"stop n1")  # another spelling of the same message
+        self.assertEqual(content, b"stop n1")  # another encoding of the same message
--- a/tests/disruption/permit_cluster.py
+++ b/tests/disruption/permit_cluster.py
@@ -22,15 +22,16 @@
 
 
 class PermitClusterTest(unittest.TestCase):
-    """The base of tests that exchange heartbeats between a leader and two agents."""
+    """Base class of tests that exchange heartbeats between a leader and two agents."""
 
     def setUp(self) -> None:
         self.state_machine = PermitStateMachine(
-            lambda *told: self.allocator.applied(self.now, *told) if self.allocator else None
+            lambda *applied: self.allocator.applied(self.now, *applied) if self.allocator else None
         )
         self.allocator: PermitAllocator | None = None
-        self.now, self.index = SECOND, 0
-        self.holders = {name: PermitHolder(name, things, 1) for name, things in TOPOLOGY.hosts.items()}
+        self.now = SECOND
+        self.index = 0
+        self.holders = {name: PermitHolder(name, targets, 1) for name, targets in TOPOLOGY.hosts.items()}
         self.serving = dict.fromkeys("abcd", True) | {"cat1": True, "cat2": True}
         self.apply(commands.SetTopology(TOPOLOGY))
         self.elect()
@@ -46,7 +47,7 @@
         self.allocator = PermitAllocator(self.now, self.state_machine, PermitTimeouts(), self.index + 1)
 
     def exchange_heartbeats(self, *hosts: str) -> None:
-        """Agents say how they are, and the leader does what follows."""
+        """Send a heartbeat from each host, apply what the leader proposes, and deliver its responses."""
         for host in hosts or TOPOLOGY.hosts:
             holder = self.holders[host]
             self.apply(
@@ -56,16 +57,19 @@
                 self.apply(*wanted)
             holder.receive_response(self.now, self.now, self.allocator.respond(self.now, "e", host))
 
-    def submit(self, ident: str, *things: str, verb: str = "drain", whole: bool = False) -> object:
+    def submit(self, order_id: str, *targets: str, verb: str = "drain", atomic: bool = False) -> object:
         return self.apply(
-            commands.SubmitOrder(ident, "asha", verb, 0, 60 * SECOND, whole, [(thing, 1) for thing in things])
+            commands.SubmitOrder(
+                order_id, "asha", verb, 0, 60 * SECOND, atomic, [(target, 1) for target in targets]
+            )
         )
 
-    def states(self, ident: str) -> dict[str, str]:
-        return {thing: part.state for thing, part in self.state_machine.state.orders[ident].tasks.items()}
+    def states(self, order_id: str) -> dict[str, str]:
+        tasks = self.state_machine.state.orders[order_id].tasks
+        return {target: task.state for target, task in tasks.items()}
 
-    def start(self, host: str, thing: str, ident: str) -> bool:
-        if may := self.holders[host].may_start(self.now, thing, ident):
-            self.holders[host].start(self.now, thing)
-            self.serving[thing] = False
-        return may
+    def start(self, host: str, target: str, order_id: str) -> bool:
+        if may_start := self.holders[host].may_start(self.now, target, order_id):
+            self.holders[host].start(self.now, target)
+            self.serving[target] = False
+        return may_start
--- a/tests/disruption/test_allocator.py
+++ b/tests/disruption/test_allocator.py
@@ -1,4 +1,4 @@
-"""What the leader grants, expires and believes."""
+"""The leader's grants, expiry of permits and sessions of agents."""
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.holder import PermitHolder
@@ -35,7 +35,7 @@
         self.exchange_heartbeats()
         self.submit("o1", "a")
         self.exchange_heartbeats()
-        self.submit("o2", "c", "d", whole=True)
+        self.submit("o2", "c", "d", atomic=True)
         self.exchange_heartbeats()
         self.assertEqual(self.states("o2"), {"c": "waiting", "d": "waiting"})
         self.start("h1", "a", "o1")
@@ -49,22 +49,24 @@
         self.assertIsInstance(self.submit("o3", "a", "b", "nobody"), Rejection)
         self.assertEqual(self.state_machine.state.orders["o2"].atomic, True)
 
-    def test_service_counts_with_its_dependents_also_when_it_dies(self):
+    def test_service_counts_with_its_dependents_also_when_it_fails(self):
         self.exchange_heartbeats()
         self.submit("o1", "cat2")
         self.exchange_heartbeats()
-        self.assertEqual(self.states("o1"), {"cat2": "granted"})  # c and d with it: the fleet is full
+        self.assertEqual(
+            self.states("o1"), {"cat2": "granted"}
+        )  # c and d depend on it: the budget of the fleet is used up
         self.submit("o2", "a")
         self.exchange_heartbeats()
         self.assertEqual(self.states("o2"), {"a": "waiting"})
-        self.serving["cat1"] = False  # dies while one of its kind is out
+        self.serving["cat1"] = False  # it fails while the other of its kind is out
         self.submit("o3", "cat1")
         self.exchange_heartbeats()
         self.assertEqual((self.states("o2"), self.states("o3")), ({"a": "waiting"}, {"cat1": "waiting"}))
         self.assertIn("hangs on cat1", self.allocator.unavailable.reasons["a"])
 
     def test_permit_over_the_budget_holds_only_while_its_target_is_down(self):
-        self.serving["a"] = self.serving["b"] = False  # the bound of their site is 1
+        self.serving["a"] = self.serving["b"] = False  # the maximum of their site is 1
         self.exchange_heartbeats()
         self.submit("o1", "a", verb="restart")
         self.exchange_heartbeats()
@@ -80,7 +82,8 @@
         self.submit("o1", "a")
         self.submit("o2", "c", "d")
         self.exchange_heartbeats()
-        timeouts, granted = self.allocator.timeouts, self.now
+        timeouts = self.allocator.timeouts
+        granted = self.now
         self.now = granted + timeouts.validity_ns - MS
         self.assertTrue(self.holders["h1"].may_start(self.now, "a", "o1"))
         self.now = granted + timeouts.validity_ns
@@ -88,17 +91,16 @@
         self.now = granted + timeouts.expiry_ns + MS
         for _ in range(3):
             self.exchange_heartbeats("h2")
-        fence = self.state_machine.state.permits["a"].fencing_token
+        token = self.state_machine.state.permits["a"].fencing_token
         self.assertTrue(self.state_machine.state.permits["a"].expired_index)
-        late = self.holders["h1"].heartbeat(
-            self.now, self.serving, [], {}
-        )  # said before it knew of the lapse
+        # a heartbeat of an agent that does not know of the expiry
+        late = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
         self.apply(*self.allocator.receive_heartbeat(self.now, late))
-        self.assertEqual(self.state_machine.state.permits["a"].fencing_token, fence)
+        self.assertEqual(self.state_machine.state.permits["a"].fencing_token, token)
         self.exchange_heartbeats("h1")
         self.assertFalse(self.holders["h1"].may_start(self.now, "a", "o1"))
         self.exchange_heartbeats("h1")
-        self.assertGreater(self.state_machine.state.permits["a"].fencing_token, fence)  # it is granted anew
+        self.assertGreater(self.state_machine.state.permits["a"].fencing_token, token)  # it is granted again
 
     def test_started_permit_survives_its_expiry_while_the_agent_was_silent(self):
         self.exchange_heartbeats()
@@ -108,12 +110,12 @@
         self.now += self.allocator.timeouts.expiry_ns + MS
         self.exchange_heartbeats("h2")
         self.submit("o2", "b")
-        self.serving["b"] = False  # it is dead: room for it as such, and none for a second place
+        self.serving["b"] = False  # it is down: the budget has no room for a second permit
         self.exchange_heartbeats()
         self.exchange_heartbeats()
         self.assertEqual((self.states("o1"), self.states("o2")), ({"a": "out"}, {"b": "waiting"}))
 
-    def test_new_leader_gives_a_permit_its_whole_validity_again(self):
+    def test_new_leader_counts_the_full_validity_of_a_permit_again(self):
         self.exchange_heartbeats()
         self.submit("o1", "a")
         self.exchange_heartbeats()
@@ -130,7 +132,7 @@
         self.now += 3 * SECOND
         self.submit("o1", "a")
         self.exchange_heartbeats("h1")
-        self.assertEqual(self.states("o1"), {"a": "waiting"})  # c and d may be anything
+        self.assertEqual(self.states("o1"), {"a": "waiting"})  # c and d may be down
         self.exchange_heartbeats("h2")
         self.assertEqual(self.states("o1"), {"a": "granted"})
 
@@ -140,13 +142,13 @@
         self.holders["h1"] = PermitHolder("h1", TOPOLOGY.hosts["h1"], 2)
         self.serving["a"] = False
         self.exchange_heartbeats("h1")
-        self.exchange_heartbeats("h1")  # it has heard the leader: by that it is known to be the later one
+        self.exchange_heartbeats("h1")  # it echoes the leader, so it is the later incarnation
         self.allocator.receive_heartbeat(self.now, late)
         self.assertIn("does not serve", self.allocator.unavailable.reasons["a"])
 
-    def test_late_report_of_a_killed_agent_does_not_shut_out_its_successor(self):
-        """Drawn schedule 1020500: after a change of leader it came behind the next one's first word, which
-        was then taken for the earlier life, and that agent was heard no more."""
+    def test_late_report_of_a_killed_agent_does_not_outdate_its_successor(self):
+        """Drawn schedule 1020500: after a change of leader it arrived after the successor's first heartbeat.
+        That one was taken for the earlier incarnation, and the running agent was ignored."""
         self.exchange_heartbeats()
         late = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
         self.holders["h1"] = PermitHolder("h1", TOPOLOGY.hosts["h1"], 2)
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -19,9 +19,9 @@
 
 
 class PermitHolderTest(PermitClusterTest):
-    def test_target_that_could_not_be_told_in_time_is_not_told_to_drain(self):
-        """Drawn schedule 1047676: a place was begun, the disk was full for eight seconds, and what had died
-        meanwhile was not counted when it was used."""
+    def test_target_gets_no_drain_request_after_the_validity_of_its_permit(self):
+        """Drawn schedule 1047676: a permit was started, and the disk was full for eight seconds. Targets
+        that failed meanwhile were not counted when the permit was used."""
         for late, state in ((False, "serving"), (True, "serving"), (True, "draining")):
             self.setUp()
             self.exchange_heartbeats()
@@ -45,7 +45,7 @@
             orders.advance(self.now)
             [step] = supervision.tick(self.now)
             self.assertTrue(holder.permits["a"].started)
-            instance.drain_sent_at = 0  # it was put off, as it could not be kept
+            instance.drain_sent_at = 0  # it was delayed, as it could not be stored
             instance.report = SimpleNamespace(state=state)
             self.now += 4 * SECOND * late
             steps = orders.permitted_steps(self.now, supervision.tick(self.now))
@@ -57,14 +57,14 @@
 
     def test_rejects_older_responses_other_clusters_and_older_tokens(self):
         holder = PermitHolder("h1", ("a",), 1)
-        answer = HeartbeatResponse("e", 7, [GrantedPermit("a", "o1", 6, False, 3 * SECOND)], [], {})
-        self.assertTrue(holder.receive_response(SECOND, SECOND, answer))
+        response = HeartbeatResponse("e", 7, [GrantedPermit("a", "o1", 6, False, 3 * SECOND)], [], {})
+        self.assertTrue(holder.receive_response(SECOND, SECOND, response))
         self.assertFalse(holder.receive_response(SECOND, SECOND, HeartbeatResponse("e", 5, [], [], {})))
         self.assertFalse(holder.receive_response(SECOND, SECOND, HeartbeatResponse("other", 9, [], [], {})))
         holder.start(SECOND, "a")
         again = PermitHolder("h1", ("a",), 2)
         again.restore("e", [StoredPermit("a", 6, "o1", True)], {})
-        self.assertTrue(again.may_start(9 * SECOND, "a", "o1"))  # begun is begun
+        self.assertTrue(again.may_start(9 * SECOND, "a", "o1"))  # it was started before
         again.receive_response(
             SECOND, SECOND, HeartbeatResponse("e", 9, [GrantedPermit("a", "o0", 4, False, SECOND)], [], {})
         )
@@ -73,16 +73,16 @@
 
 class LeaseHolderTest(PermitClusterTest):
     def test_lease_has_one_holder_at_a_time_and_the_next_a_higher_token(self):
-        first, second = LeaseHolder("release", "h1", SECOND), LeaseHolder("release", "h2", SECOND)
-        asked = self.now
-        self.assertTrue(first.receive_result(asked, self.apply(first.acquire_command())))
-        fence = first.fencing_token
+        first = LeaseHolder("release", "h1", SECOND)
+        second = LeaseHolder("release", "h2", SECOND)
+        sent_at = self.now
+        self.assertTrue(first.receive_result(sent_at, self.apply(first.acquire_command())))
+        token = first.fencing_token
         self.assertFalse(second.receive_result(self.now, self.apply(second.acquire_command())))
         self.now += SECOND // 2
-        self.assertTrue(
-            first.receive_result(self.now, self.apply(first.acquire_command()))
-        )  # renewed: the fence stays
-        self.assertEqual((first.fencing_token, first.expires_at), (fence, asked + SECOND // 2 + SECOND))
+        # A renewal keeps the token.
+        self.assertTrue(first.receive_result(self.now, self.apply(first.acquire_command())))
+        self.assertEqual((first.fencing_token, first.expires_at), (token, sent_at + SECOND // 2 + SECOND))
         self.elect()  # a new leader does not know when that was
         self.now += SECOND
         self.assertFalse(first.is_held(self.now))
@@ -91,19 +91,19 @@
         self.now += self.allocator.timeouts.upper_bound(SECOND) + MS
         self.apply(*self.allocator.tick(self.now))
         self.assertTrue(second.receive_result(self.now, self.apply(second.acquire_command())))
-        self.assertGreater(second.fencing_token, fence)
-        self.assertIsInstance(self.apply(commands.ReleaseLease("release", fence)), Rejection)
+        self.assertGreater(second.fencing_token, token)
+        self.assertIsInstance(self.apply(commands.ReleaseLease("release", token)), Rejection)
         self.assertFalse(first.receive_result(self.now, Rejection("h2 holds it")))
 
 
 class LeaderLocatorTest(unittest.TestCase):
-    def test_asks_the_leader_it_was_told_of_or_each_voter_in_turn(self):
+    def test_polls_the_leader_it_was_redirected_to_or_each_voter_in_turn(self):
         locator = LeaderLocator(["h1", "h2", "h3"], ["h1", "h2", "h3", "h4"])
-        asked = []
+        polled = []
         for leader in ("", "", "h4", "h9", "h4"):
             locator.redirect(leader)
-            asked.append(locator.current)
-        self.assertEqual(asked, ["h2", "h3", "h4", "h1", "h4"])
+            polled.append(locator.current)
+        self.assertEqual(polled, ["h2", "h3", "h4", "h1", "h4"])
         locator.set_voters(["h9"])
         locator.redirect("")
         self.assertIn(locator.current, ("h1", "h2", "h3"))
--- a/tests/disruption/test_state_machine.py
+++ b/tests/disruption/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The permit state machine, alone and against drawn commands."""
+"""The permit state machine, with single commands and with random sequences of them."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -13,8 +13,8 @@
 
 class PermitStateMachineTest(PermitClusterTest):
     def test_target_stays_out_by_the_earlier_order_where_the_next_permit_is_not_used(self):
-        """Drawn schedule 1016590: a restart of what was stopped was cancelled unused, and nothing knew of the
-        stop any more."""
+        """Drawn schedule 1016590: a restart of a stopped target was cancelled before its permit was used,
+        and the permit of the stop was lost."""
         self.exchange_heartbeats()
         self.submit("o1", "a", verb="stop")
         self.exchange_heartbeats()
@@ -35,7 +35,7 @@
         self.exchange_heartbeats()
         self.assertNotIn("a", self.state_machine.state.permits)
 
-    def test_halt_releases_granted_permits_and_started_ones_go_on(self):
+    def test_halt_releases_granted_permits_and_keeps_started_ones(self):
         self.exchange_heartbeats()
         self.submit("o1", "a", "c", "d")
         self.exchange_heartbeats()
@@ -48,7 +48,7 @@
         self.assertFalse(self.start("h2", "c", "o1"))
         self.assertEqual(set(self.state_machine.state.permits), {"a"})
 
-    def test_generations_only_rise(self):
+    def test_generations_only_increase(self):
         self.apply(commands.ReserveGenerations("h1", {"a": 64}))
         self.apply(commands.ReserveGenerations("h1", {"a": 3}))
         self.assertEqual(self.state_machine.state.generations["a"], 64)
@@ -61,63 +61,65 @@
 
 
 class PermitCommandsMachine(RuleBasedStateMachine):
-    """The state machine against sets: whatever is applied in whatever order, the budgets hold."""
+    """Random commands in any order: the budgets hold."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.state_machine, self.index, self.fences = PermitStateMachine(), 0, {}
+        self.state_machine = PermitStateMachine()
+        self.index = 0
+        self.tokens = {}
         self.put(commands.SetTopology(TOPOLOGY))
 
     def put(self, command) -> object:
         self.index += 1
         return self.state_machine.apply(self.index, commands.encode(command))
 
-    things = st.sampled_from(["a", "b", "c", "d", "cat1", "cat2"])
-    idents = st.sampled_from(["o1", "o2", "o3"])
+    target_names = st.sampled_from(["a", "b", "c", "d", "cat1", "cat2"])
+    order_ids = st.sampled_from(["o1", "o2", "o3"])
 
     @rule(
-        ident=idents,
-        named=st.sets(things, min_size=1),
+        order_id=order_ids,
+        names=st.sets(target_names, min_size=1),
         verb=st.sampled_from(["drain", "stop", "restart"]),
-        whole=st.booleans(),
+        atomic=st.booleans(),
     )
-    def order(self, ident, named, verb, whole):
-        self.put(
-            commands.SubmitOrder(ident, "asha", verb, 0, SECOND, whole, [(each, 1) for each in sorted(named)])
-        )
-
-    @rule(ident=idents, named=st.sets(things, min_size=1))
-    def grant(self, ident, named):
-        result = self.put(commands.GrantPermits(ident, sorted(named)))
-        for thing in named if isinstance(result, int) else ():
-            assert result > self.fences.get(thing, 0)
-            self.fences[thing] = result
+    def submit(self, order_id, names, verb, atomic):
+        generations = [(target, 1) for target in sorted(names)]
+        self.put(commands.SubmitOrder(order_id, "asha", verb, 0, SECOND, atomic, generations))
+
+    @rule(order_id=order_ids, names=st.sets(target_names, min_size=1))
+    def grant(self, order_id, names):
+        result = self.put(commands.GrantPermits(order_id, sorted(names)))
+        for target in names if isinstance(result, int) else ():
+            assert result > self.tokens.get(target, 0)
+            self.tokens[target] = result
 
     @rule(
-        thing=things,
+        name=target_names,
         kind=st.sampled_from([commands.StartPermit, commands.ReleasePermit, commands.ExpirePermit]),
     )
-    def move(self, thing, kind):
-        self.put(kind(thing, self.fences.get(thing, 0)))
+    def move_permit(self, name, kind):
+        self.put(kind(name, self.tokens.get(name, 0)))
 
-    @rule(ident=idents, thing=things, how=st.sampled_from(["done", "failed", "refused"]))
-    def ended(self, ident, thing, how):
-        self.put(commands.FinishTask(ident, thing, how, ""))
+    @rule(order_id=order_ids, name=target_names, state=st.sampled_from(["done", "failed", "refused"]))
+    def finish_task(self, order_id, name, state):
+        self.put(commands.FinishTask(order_id, name, state, ""))
 
     @rule(
-        ident=idents, kind=st.sampled_from([commands.HaltOrder, commands.CancelOrder, commands.ExpireOrder])
+        order_id=order_ids,
+        kind=st.sampled_from([commands.HaltOrder, commands.CancelOrder, commands.ExpireOrder]),
     )
-    def end(self, ident, kind):
-        self.put(kind(ident) if kind is commands.ExpireOrder else kind(ident, "ravi"))
+    def end_order(self, order_id, kind):
+        self.put(kind(order_id) if kind is commands.ExpireOrder else kind(order_id, "ravi"))
 
     @rule()
-    def fold(self):
+    def restore_snapshot(self):
         self.state_machine.restore(self.state_machine.snapshot())
 
     @invariant()
-    def bounds_hold(self):
+    def budgets_hold(self):
         out = set(self.state_machine.state.permits)
-        out |= {each for thing in out for each in TOPOLOGY.dependents.get(thing, ())}
+        out |= {instance for target in out for instance in TOPOLOGY.dependents.get(target, ())}
         for group in TOPOLOGY.groups:
             assert len(out & set(group.targets)) <= group.max_unavailable, (group, out)
 
--- a/tests/raft/cluster.py
+++ b/tests/raft/cluster.py
@@ -33,7 +33,7 @@
         return b"\n".join([" ".join(self.voters).encode(), *self.commands])
 
     def restore(self, content: bytes) -> None:
-        """Take the content of a snapshot."""
+        """Replace the state with that of a snapshot."""
         first, *self.commands = content.split(b"\n") if content else [b""]
         self.voters = tuple(first.decode().split())
 
@@ -70,7 +70,7 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start a replica, again if it runs, from its storage."""
+        """Start or restart a replica from its storage."""
         self.count += 1
         storage = self.storages.setdefault(name, InMemoryStorage(DurableState(name, f"{name}.{self.count}")))
         self.replicas[name] = Replica(
@@ -78,7 +78,7 @@
         )
 
     def isolate(self, name: str) -> None:
-        """Cut all links of one replica, and no others."""
+        """Cut all links of one replica and restore the others."""
         self.cut_links = {link for other in self.replicas for link in ((name, other), (other, name))}
 
     def carry_out(self, name: str, output: Output) -> None:
@@ -91,7 +91,7 @@
                 self.in_transit.append(Delivery(self.now + MS, self.count, recipient, envelope))
 
     def run(self, duration: int, done: Callable[[], bool] = lambda: False) -> None:
-        """Let time go on until something is done, or for the whole duration."""
+        """Advance the time until `done`, or for the whole duration."""
         end = self.now + duration
         while self.now < end and not done():
             ticks = [replica.next_tick_at() for replica in self.replicas.values()]
@@ -118,7 +118,7 @@
         return bool(self._leaders())
 
     def leader(self) -> Replica:
-        """Return the leader, once there is one."""
+        """Wait for a leader and return it."""
         self.run(5 * SECOND, self.has_leader)
         return self._leaders()[0]
 
@@ -130,13 +130,13 @@
         return proposal
 
     def commit(self, *contents: bytes) -> None:
-        """Propose commands one after the other, and wait until each is committed."""
+        """Propose commands in turn, and wait until each is committed."""
         for content in contents:
             proposal = self.propose(content)
-            self.run(2 * SECOND, lambda made=proposal: made.status is not ProposalStatus.PENDING)
+            self.run(2 * SECOND, lambda pending=proposal: pending.status is not ProposalStatus.PENDING)
             assert proposal.status is ProposalStatus.COMMITTED, proposal.status
 
     def applied_commands(self) -> dict[str, list[bytes]]:
-        """Return the commands that each replica has applied, a while later."""
+        """Return the commands that each replica has applied, after a pause."""
         self.run(500 * MS)
         return {name: replica.state_machine.commands for name, replica in self.replicas.items()}
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -21,7 +21,7 @@
         cluster.commit(b"two")
         self.assertEqual(set(map(tuple, cluster.applied_commands().values())), {(b"one", b"two")})
 
-    def test_partitioned_replica_does_not_unseat_the_leader_on_its_return(self):
+    def test_partitioned_replica_does_not_depose_the_leader_on_its_return(self):
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
         partitioned = next(name for name in cluster.replicas if name != leader.name)
@@ -35,7 +35,9 @@
     def test_lease_of_a_partitioned_leader_ends_before_the_next_election(self):
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
-        cluster.cut_links = {(name, leader.name) for name in cluster.replicas}  # its own words still go out
+        cluster.cut_links = {
+            (name, leader.name) for name in cluster.replicas
+        }  # its own messages still arrive
         cluster.run(cluster.timeouts.max_election_timeout_ns)
         self.assertFalse(leader.holds_lease(cluster.now))
         cluster.run(2 * SECOND, cluster.has_leader)
@@ -50,9 +52,9 @@
         self.assertNotEqual(cluster.leader().name, leader.name)
         cluster.commit(b"after")
 
-    def test_leader_with_its_uncommitted_removal_may_stand_for_election(self):
-        """Drawn schedule 1006046: it held the entry that took it out, would vote for nobody with less, and
-        did not stand; the others had no majority without it."""
+    def test_leader_with_its_uncommitted_removal_may_become_a_candidate(self):
+        """Drawn schedule 1006046: only the leader had the entry that removes it. It did not vote for a
+        shorter log nor become a candidate, and the others had no majority without it."""
         cluster = Cluster("a", "b", "c", "d")
         cluster.commit(b"one")
         leader = cluster.leader()
@@ -61,7 +63,7 @@
         leader.append(
             cluster.now,
             EntryKind.MEMBERS,
-            encode_members([each for each in leader.members if each.name != leader.name]),
+            encode_members([member for member in leader.members if member.name != leader.name]),
         )
         cluster.carry_out(leader.name, leader._finish(cluster.now))
         del cluster.storages[others[0]]
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -1,4 +1,4 @@
-"""Changes of the members of a Raft cluster."""
+"""Membership changes of a Raft cluster."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class MembershipTest(unittest.TestCase):
-    def test_voters_change_from_three_to_five_and_to_others_while_one_is_cut_off(self):
+    def test_voters_change_from_three_to_five_and_to_others_while_one_is_partitioned(self):
         cluster = Cluster(
             "a",
             "b",
@@ -26,7 +26,7 @@
         cluster.commit(b"voters a b c d e")
 
         def voters() -> set[str]:
-            return {each.name for each in cluster.leader().members if each.is_voter}
+            return {member.name for member in cluster.leader().members if member.is_voter}
 
         cluster.run(10 * SECOND, lambda: voters() == set("abcde"))
         self.assertEqual(voters(), set("abcde"))
--- a/tests/raft/test_properties.py
+++ b/tests/raft/test_properties.py
@@ -12,15 +12,15 @@
 
 
 class RaftMachine(RuleBasedStateMachine):
-    """Three replicas against a list, under cuts, crashes and proposals in whatever order.
+    """Three replicas against a list, under cuts, crashes and proposals in any order.
 
-    What was answered as committed stays, in one order, and no term has two leaders.
+    What was reported as committed stays committed, in one order, and no term has two leaders.
     """
 
     names = st.sampled_from("abc")
 
     def __init__(self) -> None:
-        """Begin with a cluster that has had the time to elect a leader."""
+        """Start with a cluster that has had the time to elect a leader."""
         super().__init__()
         self.cluster = Cluster("a", "b", "c", timeouts=RaftTimeouts(max_entries_before_snapshot=3))
         self.cluster.run(3 * SECOND)
@@ -67,7 +67,7 @@
 
     @rule(name=names)
     def duplicate_messages(self, name):
-        """Deliver what is in transit to a replica twice."""
+        """Deliver messages in transit to a replica twice."""
         self.cluster.in_transit += [
             delivery._replace(number=-delivery.number)
             for delivery in self.cluster.in_transit
@@ -76,7 +76,7 @@
 
     @invariant()
     def committed_commands_stay(self):
-        """Compare what each replica has applied with what any has."""
+        """Compare the commands that each replica has applied with those of the others."""
         for replica in self.cluster.replicas.values():
             commands = replica.state_machine.commands
             common = min(len(commands), len(self.committed))
--- a/tests/raft/test_recovery.py
+++ b/tests/raft/test_recovery.py
@@ -41,7 +41,7 @@
         cluster.commit(b"one")
         victim = next(name for name in cluster.replicas if name != cluster.leader().name)
         backup = cluster.storages[victim].copy()
-        cluster.commit(b"two", b"three", b"four")  # what others keep of it goes along with later entries
+        cluster.commit(b"two", b"three", b"four")  # acknowledgements are stored with later entries
         cluster.storages[victim] = backup
         cluster.start(victim)
         cluster.run(SECOND, lambda: cluster.replicas[victim].role is not Role.RECOVERING)
@@ -53,7 +53,7 @@
         self.assertEqual(cluster.applied_commands()[victim], [b"one", b"two", b"three", b"four"])
 
     def test_recovery_waits_for_all_replicas_that_are_there(self):
-        """Drawn schedule 1018860: one with an old file heard first from a keeper that did not know."""
+        """Drawn schedule 1018860: the first response came from a voter without the later acknowledgement."""
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
         leader = cluster.leader().name
@@ -75,20 +75,19 @@
         cluster.commit(b"two", b"three")
         cluster.storages[victim] = backup
         cluster.start(victim)
-        cluster.replicas[victim].change_role(cluster.now, Role.FOLLOWER)  # as if nobody had known
+        cluster.replicas[victim].change_role(cluster.now, Role.FOLLOWER)  # as if no voter had known
         cluster.run(SECOND, lambda: cluster.replicas[victim].role is Role.STALE)
         self.assertRegex(cluster.replicas[victim].stale_reason, "has its acknowledgement of entry")
 
-    def test_recovering_replica_that_hears_the_leader_is_not_stale(self):
+    def test_recovering_replica_in_contact_with_the_leader_is_not_stale(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
         leader = cluster.leader()
-        name = next(each for each in cluster.replicas if each != leader.name)
+        name = next(other for other in cluster.replicas if other != leader.name)
         cluster.start(name)
         replica = cluster.replicas[name]
-        cluster.cut_links = {
-            (name, other) for other in cluster.replicas
-        }  # its hello is lost, the leader's words are not
+        # Its recovery requests are lost, the messages of the leader are not.
+        cluster.cut_links = {(name, other) for other in cluster.replicas}
         cluster.commit(b"two", b"three")
         cluster.run(300 * MS)
         cluster.cut_links.clear()
@@ -111,5 +110,5 @@
         for name in list(cluster.replicas):
             cluster.start(name)
         cluster.commit(b"last")
-        self.assertEqual({len(each) for each in cluster.applied_commands().values()}, {11})
+        self.assertEqual({len(commands) for commands in cluster.applied_commands().values()}, {11})
         self.assertTrue(all(replica.log.snapshot.index > 4 for replica in cluster.replicas.values()))
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -53,28 +53,27 @@
         cluster.commit(b"one")
         peer = next(iter(leader.leader_state.peers.values()))
         incarnation = next(
-            incarnation for incarnation, each in leader.leader_state.peers.items() if each is peer
+            incarnation for incarnation, other in leader.leader_state.peers.items() if other is peer
         )
-        peer.match_index, peer.next_index, peer.in_flight = (
-            0,
-            1,
-            False,
-        )  # one that never takes what it is sent
-        answers = [AppendEntriesResponse(leader.term, False, 0, peer.sent_at)]
+        # a peer that rejects all entries
+        peer.match_index = 0
+        peer.next_index = 1
+        peer.in_flight = False
+        responses = [AppendEntriesResponse(leader.term, False, 0, peer.sent_at)]
         for _ in range(12):
             cluster.now += MS
             sent = []
-            for answer in answers:
+            for response in responses:
                 output = leader.receive(
-                    cluster.now, Envelope(leader.durable.epoch, peer.name, incarnation, answer)
+                    cluster.now, Envelope(leader.durable.epoch, peer.name, incarnation, response)
                 )
                 sent += [envelope.message for to, envelope in output.envelopes if to == peer.name]
-            answers = [
+            responses = [
                 AppendEntriesResponse(leader.term, False, 0, message.sent_at)
                 for message in sent
                 for _ in range(2)
             ]
-        self.assertEqual(len(answers), 2)
+        self.assertEqual(len(responses), 2)
 
     def test_rejects_proposals_beyond_its_limits(self):
         cluster = Cluster("a", "b", "c")
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -1,4 +1,4 @@
-"""The file of a replica: what is written, read again, and found to be an older copy."""
+"""The stored state of a replica: writes, reads and the detection of an older copy."""
 
 import contextlib
 import os
@@ -11,10 +11,7 @@
 from oakkeel.raft.durable_state import DurableState, StorageUpdate
 from oakkeel.raft.log import LogPosition, ReplicatedLog, Snapshot
 from oakkeel.raft.memory_storage import InMemoryStorage
-from oakkeel.raft.messages import (
-    Entry,
-    EntryKind,
-)
+from oakkeel.raft.messages import Entry, EntryKind
 from oakkeel.raft.write_counter import WriteCounter
 from oakkeel.store.database import APPLICATION_ID, Database, DatabaseError
 
@@ -30,11 +27,14 @@
                 os.unlink(self.path)
             database = Database(self.path, storage.SCHEMA, storage.VERSION)
             durable = storage.load(database, "a", "a.1")
-            memory, log = InMemoryStorage(durable), ReplicatedLog(Snapshot(0, 0, (), b""), [])
+            memory = InMemoryStorage(durable)
+            log = ReplicatedLog(Snapshot(0, 0, (), b""), [])
             for _ in range(40):
                 update = StorageUpdate()
                 if generator.random() < 0.3:
-                    durable.term, durable.voted_for, update.metadata = durable.term + 1, "b.1", True
+                    durable.term += 1
+                    durable.voted_for = "b.1"
+                    update.metadata = True
                     durable.acknowledgements = {"b.1": LogPosition(durable.term, 3)}
                 if log.entries and generator.random() < 0.2:
                     update.truncate_from = generator.randint(log.snapshot.index + 1, log.last_index)
@@ -54,7 +54,7 @@
             storage.check(memory.load())
             database.close()
 
-    def test_failed_write_leaves_nothing_of_it(self):
+    def test_failed_write_stores_nothing(self):
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         durable = storage.load(database, "a", "a.1")
         pages = database.read_pragma("page_count")
@@ -67,8 +67,8 @@
             )
         self.assertEqual(storage.load(database, "a", "a.2").entries, [])
 
-    def test_restored_copy_is_found_by_its_write_count(self):
-        """Drawn schedule 1008469: with its leader stopped nobody else could know."""
+    def test_restored_copy_is_detected_by_its_write_count(self):
+        """Drawn schedule 1008469: with the leader stopped no other replica knew of the later entries."""
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         counter = WriteCounter(self.path + ".count", database)
         durable = storage.load(database, "a", "a.1")
@@ -93,7 +93,7 @@
         )
         old.close()
 
-    def test_count_that_a_power_cut_left_behind_is_no_older_copy(self):
+    def test_count_left_behind_by_a_power_failure_is_not_an_older_copy(self):
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         counter = WriteCounter(self.path + ".count", database)
         storage.write(database, storage.load(database, "a", "a.1"), StorageUpdate(metadata=True), counter)
--- a/tests/store/test_content_store.py
+++ b/tests/store/test_content_store.py
@@ -15,7 +15,7 @@
         os.makedirs(os.path.join(self.program, "sub"))
         self.write("run", "#!/bin/sh\n")
         self.write("sub/data", "1")
-        self.store = ContentStore(os.path.join(self.folder, "kept"))
+        self.store = ContentStore(os.path.join(self.folder, "store"))
 
     def write(self, name: str, text: str) -> None:
         with open(os.path.join(self.program, name), "w", encoding="ascii") as file:
--- a/tests/store/test_database.py
+++ b/tests/store/test_database.py
@@ -1,4 +1,4 @@
-"""The database file: what survives reopening, and what is quarantined."""
+"""The database file: durable writes, and quarantine of files that can't be used."""
 
 import os
 import sqlite3
@@ -15,8 +15,8 @@
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         self.path = os.path.join(self.folder, "a.db")
 
-    def open(self, version: int = 1, **more) -> Database:
-        database = Database(self.path, self.SCHEMA, version, **more)
+    def open(self, version: int = 1, **options) -> Database:
+        database = Database(self.path, self.SCHEMA, version, **options)
         self.addCleanup(database.close)
         return database
 
@@ -55,13 +55,13 @@
         connection.execute("CREATE TABLE words (word TEXT)")
         connection.close()
 
-    def test_full_database_rejects_whole_write_and_says_so(self):
+    def test_full_database_rejects_the_whole_write_with_the_cause(self):
         database = self.open(max_bytes=64 * 1024)
         with self.assertRaisesRegex(DatabaseError, "full"):
             database.write([("INSERT INTO words VALUES (?)", ("x" * 1000,))] * 200)
         self.assertEqual(database.read("SELECT count(*) FROM words"), [(0,)])
         self.put(database, "small")
 
-    def test_missing_folder_is_one_plain_error(self):
+    def test_missing_folder_is_an_error_that_names_it(self):
         with self.assertRaisesRegex(DatabaseError, "nowhere"):
             Database("/nowhere/a.db", self.SCHEMA, 1)
