--- a/oakkeel/disruption/grants.py
+++ b/oakkeel/disruption/grants.py
@@ -7,7 +7,7 @@
 from oakkeel.disruption import commands
 from oakkeel.disruption.state import DisruptionOrder, TaskState
 from oakkeel.disruption.state_machine import PermitStateMachine
-from oakkeel.disruption.topology import PROPOSED_REASON, UNKNOWN_REASON, UnavailableTargets
+from oakkeel.disruption.topology import PROPOSED_REASON, UNKNOWN_REASON, BudgetViolation, UnavailableTargets
 
 MAX_GRANTS_PER_TICK = 64
 
@@ -114,11 +114,11 @@
         return (
             UNKNOWN_REASON not in reasons
             and PROPOSED_REASON not in reasons
-            and not self.state_machine.permit_conflict(target, order_id)
+            and not self.state_machine.find_conflict(target, order_id)
         )
 
-    def find_violation(self, targets: list[str]) -> str:
-        """Return the violation of a budget by grants for targets; empty if there is none.
+    def find_violation(self, targets: list[str]) -> BudgetViolation | None:
+        """Return the violation of a budget by grants for targets; None if there is none.
 
         A target that is already unavailable needs room only among the permits.
         """
--- a/oakkeel/disruption/permit_handlers.py
+++ b/oakkeel/disruption/permit_handlers.py
@@ -28,10 +28,10 @@
         task = order.tasks.get(target)
         if task is None or task.state != TaskState.WAITING:
             return Rejection(f"{target} does not wait for a permit")
-        if conflict := view.permit_conflict(target, order.id):
-            return Rejection(conflict)
+        if conflict := view.find_conflict(target, order.id):
+            return Rejection(f"{target} has a permit of order {conflict.order_id}")
     if violation := view.unavailable.find_violation(command.targets):
-        return Rejection(violation)
+        return Rejection(str(violation))
     for target in command.targets:
         before = state.permits.get(target)
         state.permits[target] = Permit(
--- a/oakkeel/disruption/queries.py
+++ b/oakkeel/disruption/queries.py
@@ -37,15 +37,15 @@
                 return order
         return None
 
-    def permit_conflict(self, target: str, order_id: str) -> str:
-        """Return why an order can't have a permit for a target now; empty if it can.
+    def find_conflict(self, target: str, order_id: str) -> Permit | None:
+        """Return the permit by which an order can't have one for a target now; None if it can.
 
         It can have one for a target that another order has already taken out.
         """
         permit = self.state.permits.get(target)
         if permit and (permit.order_id == order_id or not permit.started or self.is_returning(permit)):
-            return f"{target} has a permit of order {permit.order_id}"
-        return ""
+            return permit
+        return None
 
     def is_returning(self, permit: Permit) -> bool:
         """Whether the target returns to service, as the order of its permit was cancelled."""
--- a/oakkeel/disruption/topology.py
+++ b/oakkeel/disruption/topology.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import msgspec
 
 # Why a target is unavailable. Operators and scripts see these texts in the output of `oakkeel places`.
@@ -33,6 +35,23 @@
     dependents: dict[str, tuple[str, ...]] = {}  # by service: the instances that depend on it
 
 
+@dataclass(slots=True, frozen=True)
+class BudgetViolation:
+    """A budget that more unavailable targets would exceed."""
+
+    group: str
+    unavailable: int  # targets, now
+    additional: int  # targets
+    max_unavailable: int
+
+    def __str__(self) -> str:
+        """Return the violation as a message for operators."""
+        return (
+            f"{self.group}: {self.unavailable} unavailable, {self.additional} more {BUDGET_EXCEEDED_TEXT}"
+            f" of {self.max_unavailable}"
+        )
+
+
 class UnavailableTargets:
     """The unavailable targets with their reasons, and their count in each budget group."""
 
@@ -80,26 +99,24 @@
         """Whether more targets of a budget group are unavailable than its maximum."""
         return self.counts[name] > self.groups[name].max_unavailable
 
-    def find_violation(self, targets: list[str]) -> str:
-        """Return the budget that would be exceeded without these targets as well; empty if there is none.
+    def find_violation(self, targets: list[str]) -> BudgetViolation | None:
+        """Return the budget that would be exceeded without these targets as well; None if there is none.
 
         This is the rule of maximum unavailable: an unavailable target is not counted twice, and a service
         counts with the instances that depend on it.
         """
-        more: dict[str, int] = {}
         added = {
             dependent
             for target in targets
             for dependent in (target, *self.topology.dependents.get(target, ()))
             if dependent not in self.reasons
         }
+        additional: dict[str, int] = {}
         for target in added:
             for name in self.groups_of.get(target, ()):
-                more[name] = more.get(name, 0) + 1
-        for name, count in more.items():
-            if self.counts[name] + count > self.groups[name].max_unavailable:
-                return (
-                    f"{name}: {self.counts[name]} unavailable, {count} more {BUDGET_EXCEEDED_TEXT} of"
-                    f" {self.groups[name].max_unavailable}"
-                )
-        return ""
+                additional[name] = additional.get(name, 0) + 1
+        for name, count in additional.items():
+            maximum = self.groups[name].max_unavailable
+            if self.counts[name] + count > maximum:
+                return BudgetViolation(name, self.counts[name], count, maximum)
+        return None
--- a/oakkeel/raft/replication.py
+++ b/oakkeel/raft/replication.py
@@ -32,8 +32,13 @@
         if not replica.accept_leader(now, envelope.sender, request.term):
             self._respond(envelope, request, False, 0)
             return
-        if reason := self._lost_entry(envelope.sender, request):
-            replica.become_stale(now, reason)
+        if lost := self._lost_entry(request):
+            last = replica.log.last_position
+            replica.become_stale(
+                now,
+                f"{envelope.sender} has its acknowledgement of entry {lost.index} of term {lost.term},"
+                f" but its log ends with entry {last.index} of term {last.term}",
+            )
             return
         log = replica.log
         previous_index = request.previous_index
@@ -55,22 +60,17 @@
         replica.commit_index = max(replica.commit_index, min(request.commit_index, stored_index))
         self._respond(envelope, request, True, stored_index)
 
-    def _lost_entry(self, leader: str, request: AppendEntriesRequest) -> str:
-        """Return why the file is an older copy; empty if the leader knows of no entry that was lost.
+    def _lost_entry(self, request: AppendEntriesRequest) -> LogPosition | None:
+        """Return the entry that this replica acknowledged and lost, if the leader knows of one.
 
-        A lost entry was acknowledged and may count as committed: the replica must not vote or acknowledge
-        again.
+        Such an entry may count as committed: the replica is stale and must not vote or acknowledge again.
         """
         replica = self.replica
-        last = replica.log.last_position
         for acknowledged in request.acknowledgements:
             position = LogPosition(acknowledged.term, acknowledged.index)
-            if acknowledged.incarnation == replica.incarnation and position > last:
-                return (
-                    f"{leader} has its acknowledgement of entry {position.index} of term {position.term},"
-                    f" but its log ends with entry {last.index} of term {last.term}"
-                )
-        return ""
+            if acknowledged.incarnation == replica.incarnation and position > replica.log.last_position:
+                return position
+        return None
 
     def _retry_index(self, previous_index: int) -> int:
         """Return the index after which the leader retries: the log's end, or before the differing term."""
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -199,7 +199,7 @@
         return (
             self._dependency_objection(target)
             or self._last_serving_objection(target)
-            or self.unavailable.find_violation([*self.targets, target])
+            or str(self.unavailable.find_violation([*self.targets, target]) or "")
             or self._load_objection(target)
         )
 
