--- a/oakkeel/raft/replication.py
+++ b/oakkeel/raft/replication.py
@@ -33,23 +33,10 @@
             self._respond(envelope, request, False, 0)
             return
         if lost := self._lost_entry(request):
-            last = replica.log.last_position
-            replica.become_stale(
-                now,
-                f"{envelope.sender} has its acknowledgement of entry {lost.index} of term {lost.term},"
-                f" but its log ends with entry {last.index} of term {last.term}",
-            )
+            self._become_stale(now, envelope.sender, lost)
             return
-        log = replica.log
-        previous_index = request.previous_index
-        entries = request.entries
-        if previous_index < log.snapshot.index:  # entries that the snapshot covers are committed: skip them
-            entries = entries[log.snapshot.index - previous_index :]
-            previous_index = min(log.snapshot.index, previous_index + len(request.entries))
-        differs = (
-            previous_index == request.previous_index and log.term_at(previous_index) != request.previous_term
-        )
-        if previous_index > log.last_index or differs:
+        previous_index, entries = self._entries_after_snapshot(request)
+        if not self._has_previous_entry(request, previous_index):
             self._respond(envelope, request, False, self._retry_index(previous_index))
             return
         self._append(envelope.sender, previous_index, entries)
@@ -60,6 +47,33 @@
         replica.commit_index = max(replica.commit_index, min(request.commit_index, stored_index))
         self._respond(envelope, request, True, stored_index)
 
+    def _entries_after_snapshot(self, request: AppendEntriesRequest) -> tuple[int, list[Entry]]:
+        """Return the entries of a request that the snapshot does not cover, and the index before them.
+
+        Entries that the snapshot covers are committed, and so the same as the leader's.
+        """
+        snapshot_index = self.replica.log.snapshot.index
+        if request.previous_index >= snapshot_index:
+            return request.previous_index, request.entries
+        previous_index = min(snapshot_index, request.previous_index + len(request.entries))
+        return previous_index, request.entries[snapshot_index - request.previous_index :]
+
+    def _has_previous_entry(self, request: AppendEntriesRequest, previous_index: int) -> bool:
+        """Whether the log has the entry before those to append, with the leader's term."""
+        log = self.replica.log
+        if previous_index > log.last_index:
+            return False
+        is_covered = previous_index != request.previous_index  # by the snapshot
+        return is_covered or log.term_at(previous_index) == request.previous_term
+
+    def _become_stale(self, now: int, leader: str, lost: LogPosition) -> None:
+        last = self.replica.log.last_position
+        self.replica.become_stale(
+            now,
+            f"{leader} has its acknowledgement of entry {lost.index} of term {lost.term},"
+            f" but its log ends with entry {last.index} of term {last.term}",
+        )
+
     def _lost_entry(self, request: AppendEntriesRequest) -> LogPosition | None:
         """Return the entry that this replica acknowledged and lost, if the leader knows of one.
 
