--- a/oakkeel/cli/__init__.py
+++ b/oakkeel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: commands parse, call and print; nothing is decided here."""
+"""The command line: commands parse options, send requests and print results."""
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, options, the client of a fleet, and how results are printed."""
+"""Shared by the commands: exit codes, options, the client of a fleet, and the printing of results."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 import sys
 import time
 from collections.abc import Callable, Coroutine, Mapping, Sequence
-from typing import Any, NoReturn
+from enum import IntEnum
+from typing import NoReturn
 
 import click
 from rich.console import Console
@@ -23,15 +24,24 @@
 from oakkeel.settings.keys import read_operator_key
 from oakkeel.settings.types import Fleet, SettingsError
 
-DONE, SOME_FAILED, USAGE, SOME_SILENT = range(4)
-INTERRUPTED = 130
+
+class ExitCode(IntEnum):
+    """The exit codes of all commands."""
+
+    DONE = 0
+    SOME_FAILED = 1
+    USAGE = 2
+    SOME_SILENT = 3  # an agent did not answer, or there is no leader
+    INTERRUPTED = 130
+
+
 EXIT_CODES_HELP = "Exit codes: 0 done, 1 some instance failed, 2 usage, 3 some agent did not answer."
-SETTINGS = "deploy/fleet.xml"
-UNEXPECTED_RESPONSE = "an answer to another question"
-POLL_SECONDS = 0.25  # between requests for something that is under way
-stdout_console, stderr_console = Console(), Console(stderr=True)
+DEFAULT_SETTINGS = "deploy/fleet.xml"
+POLL_INTERVAL_SECONDS = 0.25  # between requests for the progress of an order or release
+stdout_console = Console()
+stderr_console = Console(stderr=True)
 
-Command = Callable[..., Any]
+Command = Callable[..., object]
 
 
 class Duration(click.ParamType[int]):
@@ -39,28 +49,61 @@
 
     name = "time"
 
-    def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Return nanoseconds; what can't be read ends the command as wrong usage."""
+    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
+        """Return nanoseconds; a text that is no duration ends the command with a usage error."""
         if isinstance(value, int):
             return value
         try:
-            return parse_duration(value)
+            return parse_duration(str(value))
         except ValueError as error:
             self.fail(str(error), param, ctx)
 
 
-def fail(text: str, code: int = USAGE) -> NoReturn:
-    """Print an error, a line each, and end the command with an exit code."""
+SETTINGS_OPTION = click.option(
+    "--settings",
+    envvar="OAKKEEL_SETTINGS",
+    default=DEFAULT_SETTINGS,
+    show_default=True,
+    help="Settings file of the fleet (XML). Environment: OAKKEEL_SETTINGS.",
+)
+ALL_OPTION = click.option("--all", "everything", is_flag=True, help="Select all instances.")
+NO_WAIT_OPTION = click.option(
+    "--no-wait", is_flag=True, help="Return once it is accepted, without following it to its end."
+)
+RUN_TIME_OPTION = click.option(
+    "--for", "lasts", type=Duration(), metavar="TIME", help="Stop after this time instead of on Ctrl-C."
+)
+
+
+def timeout_option(description: str) -> Callable[[Command], Command]:
+    """Return the option for the timeout of an order or of a batch."""
+    return click.option(
+        "--lasts", type=Duration(), default="2m", show_default=True, metavar="TIME", help=description
+    )
+
+
+def id_option(subject: str) -> Callable[[Command], Command]:
+    """Return the option for the ID of an order or release."""
+    return click.option(
+        "--id",
+        "ident",
+        metavar="ID",
+        help=f"ID of the {subject}, an idempotency key: submitting it again does nothing new.",
+    )
+
+
+def fail(text: str, code: ExitCode = ExitCode.USAGE) -> NoReturn:
+    """Print each line of an error, and exit."""
     for line in text.splitlines():
         stderr_console.print(f"oakkeel: {line}", markup=False, highlight=False, soft_wrap=True)
     sys.exit(code)
 
 
 class FleetClient:
-    """The fleet, key and view of one command, and how it prints its result."""
+    """The fleet, key, view and output format of one command."""
 
     def __init__(self, settings: str, operator: str | None, deadline: int | None, output: str) -> None:
-        """Read the settings and the operator's key; faults end the command. `deadline` in nanoseconds."""
+        """Read the settings and the operator's key; errors end the command. `deadline` in nanoseconds."""
         try:
             self.fleet: Fleet = read_fleet(settings)
             self.key = read_operator_key(self.fleet, operator or getpass.getuser())
@@ -72,14 +115,14 @@
         self.as_json = output == "json"
 
     async def refresh(self, hosts: list[str] | None = None) -> list[Row]:
-        """Ask the agents of these hosts, or of all, and return the rows of the fleet."""
+        """Update the view from the agents of these hosts, or of all; return the rows of the fleet."""
         await self.agents.refresh(self.view, hosts, self.deadline)
         return self.view.rows(time.monotonic_ns())
 
     async def request_hosts(
         self, request: messages.Request, hosts: Sequence[str] | None = None
     ) -> tuple[dict[str, messages.Response], dict[str, str]]:
-        """Send one request to these hosts, or to all; return the responses, and why others gave none."""
+        """Send one request to these hosts, or to all; return the responses and the failures, by host."""
         names = [host.name for host in self.fleet.hosts] if hosts is None else hosts
         return await self.agents.request_each(dict.fromkeys(names, request), self.deadline)
 
@@ -91,92 +134,96 @@
             fail(str(error))
 
     @property
-    def exit_code(self) -> int:
-        """The exit code of a command that only shows the view."""
-        return SOME_SILENT if self.view.silent else DONE
+    def exit_code(self) -> ExitCode:
+        """The exit code of a command that only displays the view."""
+        return ExitCode.SOME_SILENT if self.view.silent else ExitCode.DONE
 
     def print_notes(self) -> None:
-        """Print what an operator should know beside the rows."""
+        """Print the notes of the view."""
         for note in self.view.notes():
             stderr_console.print(note, style="yellow", markup=False, highlight=False, soft_wrap=True)
 
 
 def fleet_options(command: Command) -> Command:
-    """Add the options that name the settings, the operator and the output; the command gets a `client`."""
+    """Add the options of settings, operator, deadline and output; the command gets a `client`."""
 
     @functools.wraps(command)
-    def wrapper(*arguments: Any, open_client: Callable[[], FleetClient], **options: Any) -> Any:
+    def wrapper(*arguments: object, open_client: Callable[[], FleetClient], **options: object) -> object:
         return command(*arguments, client=open_client(), **options)
 
     return lazy_fleet_options(wrapper)
 
 
 def lazy_fleet_options(command: Command) -> Command:
-    """Add the same options; the command gets `open_client`, which reads the settings when it is called."""
+    """Add the same options; the command gets `open_client`, which reads the settings when called."""
 
     @functools.wraps(command)
     def wrapper(
-        *arguments: Any,
+        *arguments: object,
         settings: str,
         operator: str | None,
         deadline: int | None,
         output: str,
-        **options: Any,
-    ) -> Any:
+        **options: object,
+    ) -> object:
         open_client = functools.partial(FleetClient, settings, operator, deadline, output)
         return command(*arguments, open_client=open_client, **options)
 
     return _with_options(
         wrapper,
-        click.option(
-            "--settings",
-            envvar="OAKKEEL_SETTINGS",
-            default=SETTINGS,
-            show_default=True,
-            help="The operators' XML; also OAKKEEL_SETTINGS.",
-        ),
+        SETTINGS_OPTION,
         click.option(
             "--as",
             "operator",
             envvar="OAKKEEL_OPERATOR",
             metavar="NAME",
-            help="The operator whose key is used; also OAKKEEL_OPERATOR. Else your login name.",
+            help="Operator whose key is used; the default is the login name. Environment: OAKKEEL_OPERATOR.",
         ),
         click.option(
             "--deadline",
             type=Duration(),
             metavar="TIME",
-            help="For agents to answer, such as 500ms or 2s. Else as the settings say.",
+            help="Timeout for the agents' responses, such as 500ms or 2s; the default is in the settings.",
+        ),
+        click.option(
+            "--output",
+            type=click.Choice(["table", "json"]),
+            default="table",
+            show_default=True,
+            help="Output format.",
         ),
-        click.option("--output", type=click.Choice(["table", "json"]), default="table", show_default=True),
     )
 
 
 def selection_options(command: Command) -> Command:
-    """Add the arguments that choose instances; the command gets a `selection`."""
+    """Add the arguments that select instances; the command gets a `selection`."""
 
     @functools.wraps(command)
     def wrapper(
-        *arguments: Any,
+        *arguments: object,
         names: tuple[str, ...],
         sites: tuple[str, ...],
         hosts: tuple[str, ...],
         states: tuple[str, ...],
-        **options: Any,
-    ) -> Any:
+        **options: object,
+    ) -> object:
         return command(*arguments, selection=Selection(names, sites, hosts, states), **options)
 
     return _with_options(
         wrapper,
         click.argument("names", nargs=-1, metavar="[NAME_OR_GLOB]..."),
-        click.option("--site", "sites", multiple=True, metavar="GLOB", help="Instances of this site."),
-        click.option("--host", "hosts", multiple=True, metavar="GLOB", help="Instances of this host."),
+        click.option(
+            "--site", "sites", multiple=True, metavar="GLOB", help="Select instances of these sites."
+        ),
+        click.option(
+            "--host", "hosts", multiple=True, metavar="GLOB", help="Select instances of these hosts."
+        ),
         click.option(
             "--state",
             "states",
             multiple=True,
             type=click.Choice(STATES),
-            help="Instances in this state.",
+            help="Select instances in this state; may be repeated.",
         ),
     )
 
@@ -187,12 +234,12 @@
     return command
 
 
-def run_command(work: Coroutine[Any, Any, int]) -> NoReturn:
-    """Run a command's work to its end and exit with the code that it returns."""
+def run_command(work: Coroutine[object, object, ExitCode]) -> NoReturn:
+    """Run the coroutine of a command, and exit with the code that it returns."""
     try:
         sys.exit(asyncio.run(work))
     except KeyboardInterrupt:
-        sys.exit(INTERRUPTED)
+        sys.exit(ExitCode.INTERRUPTED)
 
 
 def print_json(value: object) -> None:
@@ -201,11 +248,11 @@
 
 
 def print_silent(silent: Mapping[str, str]) -> None:
-    """Print why the agents of these hosts gave no response."""
+    """Print why the requests to the agents of these hosts failed."""
     for host, reason in silent.items():
         stderr_console.print(f"agent of {host}: {reason}", style="yellow", markup=False, highlight=False)
 
 
 def interactive() -> bool:
-    """Whether there is somebody to ask."""
+    """Return whether a person can answer a prompt."""
     return sys.stdin.isatty() and sys.stderr.isatty() and not os.environ.get("CI")
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -1,4 +1,4 @@
-"""Commands on what a fleet agrees: its replicas, its disruption permits, and its orders."""
+"""Commands on the control plane of a fleet: its replicas, its disruption permits and its orders."""
 
 from __future__ import annotations
 
@@ -13,12 +13,9 @@
 
 from oakkeel.agent import messages
 from oakkeel.cli.common import (
-    DONE,
     EXIT_CODES_HELP,
-    POLL_SECONDS,
-    SOME_FAILED,
-    SOME_SILENT,
-    UNEXPECTED_RESPONSE,
+    POLL_INTERVAL_SECONDS,
+    ExitCode,
     FleetClient,
     fail,
     fleet_options,
@@ -31,19 +28,24 @@
     stdout_console,
 )
 from oakkeel.cli.selection import select_rows, selected_services
-from oakkeel.fleet.agent_clients import NoLeaderError
+from oakkeel.fleet.agent_clients import (
+    MAX_LEADER_SEARCH_DEADLINES,
+    NO_LEADER_TEXT,
+    UNEXPECTED_RESPONSE,
+    NoLeaderError,
+)
 from oakkeel.fleet.selection import Selection
 from oakkeel.rendering.control_plane import order_table, permit_tables, replicas_table
 
-NO_LEADER_TEXT = "no agent that we reach leads the record"
-NOTHING_COMMITTED_TEXT = "nothing new is agreed, what serves goes on"
-WAITING_STATES = ("waiting", "granted")  # nothing has left yet
+NOTHING_COMMITTED_TEXT = "nothing new is committed, running instances keep serving"
+WAITING_STATES = ("waiting", "granted")  # of a task whose target still serves
 OPEN_STATES = (*WAITING_STATES, "out")
-ENDED_STATES = ("out", "halted", "cancelled", "done")  # as good as it gets once an order is ended
-LEADER_DEADLINES = 3  # deadlines of one request, to find the leader
-FOLLOW_DEADLINES = 10  # beyond the time of an order
-END_DEADLINES = 20  # until an order that was ended holds nothing any more
-MEMBERSHIP_DEADLINES = 30  # until all new voters are there
+ENDED_STATES = ("out", "halted", "cancelled", "done")  # of a task, where ending its order succeeded
+
+# Maximum waits, in deadlines of one request.
+MAX_FOLLOW_DEADLINES = 10  # after the timeout of an order
+MAX_END_DEADLINES = 20  # until an order that was halted or cancelled takes out nothing more
+MAX_MEMBERSHIP_DEADLINES = 30  # until all new replicas have joined
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,49 +60,49 @@
 
 def _fail_without_leader(error: NoLeaderError) -> NoReturn:
     print_silent(dict(sorted(error.reasons.items())))
-    fail(f"{error}: {NOTHING_COMMITTED_TEXT}", SOME_SILENT)
+    fail(f"{error}: {NOTHING_COMMITTED_TEXT}", ExitCode.SOME_SILENT)
 
 
 async def request_leader(client: FleetClient, request: messages.Request) -> messages.Response:
-    """Return the leader's response; no leader, or a rejection, ends the command."""
+    """Return the leader's response; a rejection, or no leader, ends the command."""
     try:
-        response = await client.agents.request_leader(request, LEADER_DEADLINES * client.deadline)
+        response = await client.agents.request_leader(request, MAX_LEADER_SEARCH_DEADLINES * client.deadline)
     except NoLeaderError as error:
         _fail_without_leader(error)
     if isinstance(response, messages.ErrorResponse):
-        fail(response.why, SOME_FAILED)
+        fail(response.why, ExitCode.SOME_FAILED)
     return response
 
 
-async def submit_order(client: FleetClient, selection: Selection, order: FleetOrder, wait: bool) -> int:
-    """Have an order committed, follow it to its end, and print what became of every target.
+async def submit_order(client: FleetClient, selection: Selection, order: FleetOrder, wait: bool) -> ExitCode:
+    """Submit an order to the control plane, follow it to its end, and print the result of every target.
 
-    The operator is not asked for confirmation: no more targets leave at once than their budgets allow.
+    It needs no confirmation: no more targets are taken out at once than the disruption budgets allow.
     """
     targets = await _order_targets(client, selection)
     response = await request_leader(
         client, messages.FleetOrderRequest(order.order_id, order.verb, targets, order.lifetime, order.atomic)
     )
-    until = time.monotonic_ns() + order.lifetime + FOLLOW_DEADLINES * client.deadline
+    until = time.monotonic_ns() + order.lifetime + MAX_FOLLOW_DEADLINES * client.deadline
     while (
         wait
         and isinstance(response, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
         and any(task.state in OPEN_STATES for task in response.tasks)
     ):
-        await asyncio.sleep(POLL_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
         response = await _order_status(client, order.order_id)
     return _print_order(client, response, () if wait else OPEN_STATES)
 
 
 async def _order_targets(client: FleetClient, selection: Selection) -> list[tuple[str, int]]:
-    """Return names with the generations that the order is for; services have none."""
+    """Return the names and generations of the order's targets; services have generation 0."""
     if services := selected_services(client, selection):
         return [(name, 0) for name in services]
     _, chosen = await select_rows(client, selection)
     if unseen := [row.name for row in chosen if row.status is None]:
-        text = f"{unseen[0]}: its agent did not answer, so no order can say for which process it is"
-        fail(text, SOME_SILENT)
+        text = f"{unseen[0]}: its agent did not answer, so the generation of its process is unknown"
+        fail(text, ExitCode.SOME_SILENT)
     return [(row.name, row.status.generation) for row in chosen if row.status]
 
 
@@ -109,42 +111,43 @@
     return response.orders[0] if isinstance(response, messages.FleetStatus) else response
 
 
-async def end_order(client: FleetClient, ident: str, cancel: bool) -> int:
-    """Halt or cancel an order; wait until nothing can leave by it any more."""
+async def end_order(client: FleetClient, ident: str, cancel: bool) -> ExitCode:
+    """Halt or cancel an order, and wait until it takes out nothing more."""
     response = await request_leader(client, messages.EndFleetOrderRequest(ident, cancel))
-    until = time.monotonic_ns() + END_DEADLINES * client.deadline
+    until = time.monotonic_ns() + MAX_END_DEADLINES * client.deadline
     while (
         isinstance(response, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
-        and any(_may_still_leave(task, cancel) for task in response.tasks)
+        and any(_may_be_taken_out(task, cancel) for task in response.tasks)
     ):
-        await asyncio.sleep(POLL_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
         response = await _order_status(client, ident)
     return _print_order(client, response, ENDED_STATES)
 
 
-def _may_still_leave(task: messages.FleetTaskStatus, cancel: bool) -> bool:
+def _may_be_taken_out(task: messages.FleetTaskStatus, cancel: bool) -> bool:
+    """Return whether the target may still be taken out, or on a cancel, has not come back yet."""
     if cancel:
         return task.state in OPEN_STATES or bool(task.fence)
     return task.state in WAITING_STATES
 
 
-def _print_order(client: FleetClient, response: messages.Response, good_states: Sequence[str]) -> int:
+def _print_order(client: FleetClient, response: messages.Response, good_states: Sequence[str]) -> ExitCode:
     if not isinstance(response, messages.FleetOrderStatus):
-        fail(UNEXPECTED_RESPONSE, SOME_SILENT)
+        fail(UNEXPECTED_RESPONSE, ExitCode.SOME_SILENT)
     if client.as_json:
         print_json(msgspec.to_builtins(response))
     else:
         stdout_console.print(order_table(response))
     good = ("done", *good_states)
-    return DONE if all(task.state in good for task in response.tasks) else SOME_FAILED
+    return ExitCode.DONE if all(task.state in good for task in response.tasks) else ExitCode.SOME_FAILED
 
 
 @click.group("keepers", epilog=EXIT_CODES_HELP, invoke_without_command=True)
 @lazy_fleet_options
 @click.pass_context
 def replicas(context: click.Context, open_client: Callable[[], FleetClient]) -> None:
-    """Who keeps the record of the fleet: who leads, who is behind, since when.
+    """Show the replicas (keepers) of the control plane: leader, term, votes and replication lag.
 
     \b
     Example: oakkeel keepers
@@ -155,7 +158,7 @@
         run_command(_show_replicas(require_control_plane(open_client())))
 
 
-async def _show_replicas(client: FleetClient) -> int:
+async def _show_replicas(client: FleetClient) -> ExitCode:
     responses, silent = await client.request_hosts(messages.RaftStatusRequest())
     statuses = [status for status in responses.values() if isinstance(status, messages.RaftStatus)]
     has_leader = any(status.is_leader for status in statuses)
@@ -172,14 +175,14 @@
             highlight=False,
             soft_wrap=True,
         )
-    return DONE if has_leader else SOME_SILENT
+    return ExitCode.DONE if has_leader else ExitCode.SOME_SILENT
 
 
 @replicas.command("set", epilog=EXIT_CODES_HELP)
 @click.argument("hosts", nargs=-1, required=True)
 @click.pass_context
 def set_replicas(context: click.Context, hosts: tuple[str, ...]) -> None:
-    """Name who shall keep the record. They change one by one; who is new catches up first.
+    """Change the replicas of the control plane. They change one at a time; new ones catch up first.
 
     \b
     Example: oakkeel keepers set wb1 sj1 be1 wb2 sj2
@@ -187,9 +190,9 @@
     run_command(_set_replicas(require_control_plane(context.obj()), hosts))
 
 
-async def _set_replicas(client: FleetClient, hosts: tuple[str, ...]) -> int:
+async def _set_replicas(client: FleetClient, hosts: tuple[str, ...]) -> ExitCode:
     await request_leader(client, messages.SetVotersRequest(list(hosts)))
-    until = time.monotonic_ns() + MEMBERSHIP_DEADLINES * client.deadline
+    until = time.monotonic_ns() + MAX_MEMBERSHIP_DEADLINES * client.deadline
     while time.monotonic_ns() < until:
         status = await _leader_status(client)
         if status and _has_voters(status, hosts):
@@ -197,14 +200,14 @@
                 print_json(msgspec.to_builtins(status))
             else:
                 stdout_console.print(replicas_table([status]))
-            return DONE
-        await asyncio.sleep(POLL_SECONDS)
+            return ExitCode.DONE
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     stderr_console.print(
-        "oakkeel: it is agreed, and not all of them are there yet; `oakkeel keepers` shows who",
+        "oakkeel: the change is committed, but not all replicas have joined yet; see `oakkeel keepers`",
         markup=False,
         highlight=False,
     )
-    return SOME_SILENT
+    return ExitCode.SOME_SILENT
 
 
 def _has_voters(status: messages.RaftStatus, hosts: Sequence[str]) -> bool:
@@ -213,7 +216,7 @@
 
 
 async def _leader_status(client: FleetClient) -> messages.RaftStatus | None:
-    """Return how the leader sees the members."""
+    """Return the status that the leader reports, with its members."""
     responses, _ = await client.request_hosts(messages.RaftStatusRequest())
     statuses = [status for status in responses.values() if isinstance(status, messages.RaftStatus)]
     return next((status for status in statuses if status.is_leader), None)
@@ -223,7 +226,7 @@
 @selection_options
 @fleet_options
 def permits(selection: Selection, client: FleetClient) -> None:
-    """What is out, why, under which place; and how much more may be.
+    """Show the disruption permits (places): unavailable targets, their permits, and the budgets left.
 
     \b
     Example: oakkeel places
@@ -232,10 +235,10 @@
     run_command(_show_permits(require_control_plane(client), selection))
 
 
-async def _show_permits(client: FleetClient, selection: Selection) -> int:
+async def _show_permits(client: FleetClient, selection: Selection) -> ExitCode:
     status = await request_leader(client, messages.FleetStatusRequest())
     if not isinstance(status, messages.FleetStatus):
-        fail(UNEXPECTED_RESPONSE, SOME_SILENT)
+        fail(UNEXPECTED_RESPONSE, ExitCode.SOME_SILENT)
     unavailable = [
         target
         for target in status.unavailable
@@ -254,11 +257,11 @@
     else:
         for table in permit_tables(status.budgets, unavailable, status.orders):
             stdout_console.print(table)
-    return DONE
+    return ExitCode.DONE
 
 
 def require_control_plane(client: FleetClient) -> FleetClient:
-    """Return the client of a fleet with replicas; any other fleet ends the command."""
+    """Return the client of a fleet with a control plane; any other fleet ends the command."""
     if client.fleet.control_plane is None:
-        fail(f"{client.fleet.path}: this fleet has no keepers: each agent is on its own")
+        fail(f"{client.fleet.path}: the fleet has no replicas (keepers), so no control plane")
     return client
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -1,4 +1,4 @@
-"""Commands that only show: ls, show, watch, orders."""
+"""Read-only commands: ls, show, watch, orders."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 from collections import Counter
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any
 
 import click
 import msgspec
@@ -16,11 +15,10 @@
 
 from oakkeel.agent import messages
 from oakkeel.cli.common import (
-    DONE,
     EXIT_CODES_HELP,
-    SOME_FAILED,
-    SOME_SILENT,
+    RUN_TIME_OPTION,
     Duration,
+    ExitCode,
     FleetClient,
     fail,
     fleet_options,
@@ -41,8 +39,8 @@
 OPEN_STATES = ("waiting", "acting")
 
 
-def row_json(row: Row) -> dict[str, Any]:
-    """Return a row as the commands print it in JSON."""
+def row_json(row: Row) -> dict[str, object]:
+    """Return the JSON document of a row."""
     return {
         "instance": row.name,
         "site": row.site,
@@ -69,7 +67,7 @@
     run_command(_list_instances(client, selection))
 
 
-async def _list_instances(client: FleetClient, selection: Selection) -> int:
+async def _list_instances(client: FleetClient, selection: Selection) -> ExitCode:
     rows = client.select(await client.refresh(), selection)
     if client.as_json:
         _print_rows_as_json(client, rows)
@@ -88,10 +86,12 @@
 
 @click.command(epilog=EXIT_CODES_HELP)
 @click.argument("name")
-@click.option("--clients", is_flag=True, help="Who sends it the most, and what of that is kept and promised.")
+@click.option(
+    "--clients", is_flag=True, help="Show its heaviest clients, with their fair shares and reservations."
+)
 @fleet_options
 def show(name: str, clients: bool, client: FleetClient) -> None:
-    """Tell all that is known of one instance, each fact with its age.
+    """Show the details of one instance, with the age of each status.
 
     \b
     Example: oakkeel show n3
@@ -100,7 +100,7 @@
     run_command(_show_clients(client, name) if clients else _show_instance(client, name))
 
 
-async def _show_instance(client: FleetClient, name: str) -> int:
+async def _show_instance(client: FleetClient, name: str) -> ExitCode:
     rows = client.select(await client.refresh(_hosts_with(client, name)), Selection((name,)))
     if client.as_json:
         _print_rows_as_json(client, rows)
@@ -120,32 +120,34 @@
     ]
 
 
-async def _show_clients(client: FleetClient, name: str) -> int:
+async def _show_clients(client: FleetClient, name: str) -> ExitCode:
     hosts = _hosts_with(client, name)
     if not hosts:
         fail(f"no instance has the name {name!r}")
     responses, silent = await client.request_hosts(messages.InstanceClientsRequest(name), hosts[:1])
     response = responses.get(hosts[0])
     if not isinstance(response, messages.InstanceClients):
-        reason = silent.get(hosts[0], "no answer")
+        reason = silent.get(hosts[0], "no response")
         if isinstance(response, messages.ErrorResponse):
             reason = response.why
-        fail(f"{name}: {reason}", SOME_SILENT if silent else SOME_FAILED)
+        fail(f"{name}: {reason}", ExitCode.SOME_SILENT if silent else ExitCode.SOME_FAILED)
     if client.as_json:
         print_json(msgspec.to_builtins(response.status))
     else:
         stdout_console.print(clients_table(response.status))
         stderr_console.print(clients_summary(response.status), style="dim")
-    return DONE
+    return ExitCode.DONE
 
 
 @click.command(epilog=EXIT_CODES_HELP)
 @selection_options
-@click.option("--every", type=Duration(), default="1s", show_default=True, metavar="TIME")
-@click.option("--for", "lasts", type=Duration(), metavar="TIME", help="End by itself after this time.")
+@click.option(
+    "--every", type=Duration(), default="1s", show_default=True, metavar="TIME", help="Refresh interval."
+)
+@RUN_TIME_OPTION
 @fleet_options
 def watch(selection: Selection, every: int, lasts: int | None, client: FleetClient) -> None:
-    """Keep a live table of instances; with json, a line each time.
+    """Show a live table of instances; with --output json, one line per refresh.
 
     \b
     Example: oakkeel watch --site woodbrook --every 2s
@@ -153,7 +155,9 @@
     run_command(_watch_instances(client, selection, every, lasts))
 
 
-async def _watch_instances(client: FleetClient, selection: Selection, every: int, lasts: int | None) -> int:
+async def _watch_instances(
+    client: FleetClient, selection: Selection, every: int, lasts: int | None
+) -> ExitCode:
     until = time.monotonic_ns() + lasts if lasts else 0
     with Live(console=stdout_console, auto_refresh=False, screen=False) as live:
         while True:
@@ -179,11 +183,11 @@
 
 
 @click.command(epilog=EXIT_CODES_HELP)
-@click.option("--host", "hosts", multiple=True, metavar="NAME", help="Orders of this host only.")
-@click.option("--open", "only_open", is_flag=True, help="Only those that have not ended.")
+@click.option("--host", "hosts", multiple=True, metavar="NAME", help="Only orders on these hosts.")
+@click.option("--open", "only_open", is_flag=True, help="Only orders that have not ended.")
 @fleet_options
 def orders(hosts: tuple[str, ...], only_open: bool, client: FleetClient) -> None:
-    """List the last orders and what became of each, the latest first.
+    """List the last orders with the states of their tasks, the latest first.
 
     \b
     Example: oakkeel orders --open
@@ -191,7 +195,7 @@
     run_command(_list_orders(client, hosts, only_open))
 
 
-async def _list_orders(client: FleetClient, hosts: tuple[str, ...], only_open: bool) -> int:
+async def _list_orders(client: FleetClient, hosts: tuple[str, ...], only_open: bool) -> ExitCode:
     names = [host.name for host in client.fleet.hosts if not hosts or host.name in hosts]
     responses, silent = await client.request_hosts(messages.ListOrdersRequest(), names)
     found = _orders_by_ident(responses)
@@ -202,11 +206,11 @@
     else:
         stdout_console.print(_orders_table(found))
     print_silent(silent)
-    return SOME_SILENT if silent else DONE
+    return ExitCode.SOME_SILENT if silent else ExitCode.DONE
 
 
 def _orders_by_ident(responses: dict[str, messages.Response]) -> list[list[HostOrder]]:
-    """Gather what the agents report of each order, the latest order first."""
+    """Return the reports of all agents for each order, the latest order first."""
     by_ident: dict[str, list[HostOrder]] = {}
     for host, response in responses.items():
         if isinstance(response, messages.OrderList):
@@ -219,7 +223,7 @@
     return any(task.state in OPEN_STATES for on_host in order for task in on_host.status.tasks)
 
 
-def _order_json(order: list[HostOrder]) -> dict[str, Any]:
+def _order_json(order: list[HostOrder]) -> dict[str, object]:
     first = order[0].status
     return {
         "order": first.order_id,
--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -7,7 +7,14 @@
 
 import click
 
-from oakkeel.cli.common import EXIT_CODES_HELP, SETTINGS, Duration, fail, stdout_console
+from oakkeel.cli.common import (
+    DEFAULT_SETTINGS,
+    EXIT_CODES_HELP,
+    RUN_TIME_OPTION,
+    SETTINGS_OPTION,
+    fail,
+    stdout_console,
+)
 from oakkeel.cli.control_plane import permits, replicas
 from oakkeel.cli.inspect import ls, orders, show, watch
 from oakkeel.cli.operate import COMMANDS
@@ -20,7 +27,7 @@
 @click.group(epilog=EXIT_CODES_HELP, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="oakkeel")
 def main() -> None:
-    """Look after the instances of a fleet, from one place.
+    """Manage the instances of a fleet.
 
     \b
     A first look:       oakkeel demo --for 10s
@@ -29,13 +36,19 @@
 
 
 @main.command()
-@click.option("--settings", envvar="OAKKEEL_SETTINGS", default=SETTINGS, show_default=True)
-@click.option("--log", type=click.Choice(["console", "json"]), default="console", show_default=True)
+@SETTINGS_OPTION
+@click.option(
+    "--log",
+    type=click.Choice(["console", "json"]),
+    default="console",
+    show_default=True,
+    help="Log format.",
+)
 @click.argument("host")
 def agent(settings: str, log: str, host: str) -> None:
-    """Run the agent of a host: it starts, watches and orders the instances there.
+    """Run the agent of a host: it starts and supervises the instances there.
 
-    SIGTERM ends it and leaves the instances running; SIGHUP reads the keys again.
+    SIGTERM ends the agent and leaves the instances running; SIGHUP reloads keys and client weights.
 
     \b
     Example: oakkeel agent --settings deploy/fleet.xml wb1
@@ -47,13 +60,15 @@
 
 @main.command()
 @click.option(
-    "--settings", envvar="OAKKEEL_SETTINGS", help="With NAME: the operators' XML that it stands in."
+    "--settings",
+    envvar="OAKKEEL_SETTINGS",
+    help="With NAME: settings file of the fleet (XML). Environment: OAKKEEL_SETTINGS.",
 )
 @click.argument("name", required=False)
 def node(settings: str | None, name: str | None) -> None:
-    """Run one node, told by PROXY_CONFIG, or by NAME in the operators' settings.
+    """Run one node, configured by PROXY_CONFIG, or as the instance NAME of the settings.
 
-    With NAME it opens its control link in the state folder of its host, as under an agent.
+    With NAME it opens its control socket in the state folder of its host, as under an agent.
 
     \b
     Example: PROXY_CONFIG=config.json oakkeel node
@@ -61,8 +76,8 @@
     """
     variables = dict(os.environ)
     if name is not None:
-        variables |= _variables_of_instance(settings or SETTINGS, name)
-    # In place of this process: nothing that the command line loaded stays in the node's memory.
+        variables |= _variables_of_instance(settings or DEFAULT_SETTINGS, name)
+    # Replaces this process, so that the modules of the command line take no memory in the node.
     os.execve(sys.executable, [sys.executable, "-m", "oakkeel"], variables)
 
 
@@ -90,14 +105,14 @@
 
 @main.group("settings")
 def settings_group() -> None:
-    """Check operators' settings, and make keys for them."""
+    """Check settings files, and create keys."""
 
 
 @settings_group.command("check")
-@click.argument("file", default=SETTINGS)
-@click.option("--keys", is_flag=True, help="Read the key files as well, as an agent does.")
+@click.argument("file", default=DEFAULT_SETTINGS)
+@click.option("--keys", is_flag=True, help="Read the key files too, as an agent does.")
 def check(file: str, keys: bool) -> None:
-    """Read settings and say what they come to. Each fault is a line; the exit code is 2 then.
+    """Check a settings file and print a summary, or each error in a line with exit code 2.
 
     \b
     Example: oakkeel settings check deploy/fleet.xml
@@ -126,9 +141,10 @@
             highlight=False,
         )
     if control_plane := fleet.control_plane:
-        hosts, limit = ", ".join(control_plane.hosts), control_plane.max_unavailable
+        hosts = ", ".join(control_plane.hosts)
+        limit = control_plane.max_unavailable
         stdout_console.print(
-            f"  keepers of a new record: {hosts}; at most {limit} out at once, and by site {fleet.sites}",
+            f"  initial replicas (keepers): {hosts}; at most {limit} out at once, and by site {fleet.sites}",
             highlight=False,
         )
 
@@ -136,7 +152,7 @@
 @settings_group.command("key")
 @click.argument("file")
 def key(file: str) -> None:
-    """Make a new key in a file that only you can read; one that is there stays.
+    """Create a key file with mode 600; an existing file is not changed.
 
     \b
     Example: oakkeel settings key keys/asha-2.key
@@ -150,12 +166,12 @@
 
 
 @main.command()
-@click.option("--for", "lasts", type=Duration(), metavar="TIME", help="End by itself after this time.")
+@RUN_TIME_OPTION
 @click.option(
-    "--rate", type=click.FloatRange(1, 2000), default=60.0, show_default=True, help="Exchanges a second."
+    "--rate", type=click.FloatRange(1, 2000), default=60.0, show_default=True, help="Requests per second."
 )
 def demo(lasts: int | None, rate: float) -> None:
-    """Run a small fleet on loopback: an agent, three nodes, and stand-ins for all that is round them.
+    """Run a small fleet on loopback: an agent, three nodes, and fakes of all their peers.
 
     \b
     Example: oakkeel demo --for 10s
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -1,4 +1,4 @@
-"""Commands that order: drain, stop, start, restart, cancel, halt."""
+"""Commands that submit or end orders: drain, stop, start, restart, cancel, halt."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 from oakkeel.agent import messages
 from oakkeel.cli.common import (
-    DONE,
+    ALL_OPTION,
     EXIT_CODES_HELP,
-    POLL_SECONDS,
-    SOME_FAILED,
-    SOME_SILENT,
-    USAGE,
-    Duration,
+    NO_WAIT_OPTION,
+    POLL_INTERVAL_SECONDS,
+    ExitCode,
     FleetClient,
     fail,
     fleet_options,
+    id_option,
     print_json,
     print_silent,
     run_command,
     selection_options,
     stderr_console,
     stdout_console,
+    timeout_option,
 )
 from oakkeel.cli.control_plane import FleetOrder, end_order, submit_order
 from oakkeel.cli.selection import confirm_order, require_selection, select_rows
@@ -38,17 +38,20 @@
 from oakkeel.rendering.tables import plain_table
 from oakkeel.rendering.times import format_duration
 
-OPEN_STATES, GOOD_STATES = ("waiting", "acting"), ("done",)
+OPEN_STATES = ("waiting", "acting")
+GOOD_STATES = ("done",)
+ORDER_ID_BYTES = 6
+MAX_FOLLOW_DEADLINES = 2  # after the timeout of an order, in deadlines of one request
 EXIT_CODE_BY_RESULT = {
-    Result.DONE: DONE,
-    Result.SOME_FAILED: SOME_FAILED,
-    Result.SOME_SILENT: SOME_SILENT,
+    Result.DONE: ExitCode.DONE,
+    Result.SOME_FAILED: ExitCode.SOME_FAILED,
+    Result.SOME_SILENT: ExitCode.SOME_SILENT,
 }
 
 
 @dataclass(slots=True, frozen=True)
 class OrderOptions:
-    """What the options of an ordering command ask for."""
+    """The options of a command that submits an order."""
 
     everything: bool
     yes: bool
@@ -61,27 +64,25 @@
 
 
 def order_command(verb: str, takes_out: bool, text: str, example: str) -> click.Command:
-    """Return the command for one kind of order."""
+    """Return the command that submits orders of one kind; `takes_out` if they make targets unavailable."""
 
     @click.command(verb, epilog=EXIT_CODES_HELP, help=f"{text}\n\n\b\nExample: {example}")
     @selection_options
-    @click.option("--all", "everything", is_flag=True, help="All instances.")
-    @click.option("--yes", is_flag=True, help="Do not ask, however much of a site it takes out.")
-    @click.option("--no-wait", is_flag=True, help="Return once the order is taken.")
+    @ALL_OPTION
+    @click.option("--yes", is_flag=True, help="Do not ask for confirmation.")
+    @NO_WAIT_OPTION
+    @timeout_option("Timeout of the order; tasks that are still open then have failed.")
     @click.option(
-        "--lasts",
-        type=Duration(),
-        default="2m",
-        show_default=True,
-        metavar="TIME",
-        help="What has not ended by then counts as failed.",
+        "--supersede", is_flag=True, help="Replace another operator's open order on the same instances."
     )
     @click.option(
-        "--supersede", is_flag=True, help="End another operator's open order on the same instances."
+        "--whole",
+        "atomic",
+        is_flag=True,
+        help="Accept the order for all targets or for none; needs replicas (keepers).",
     )
-    @click.option("--whole", "atomic", is_flag=True, help="All or nothing, in a fleet with keepers.")
-    @click.option("--halt", "halted", metavar="ORDER", help="Halt that order in place of a new one.")
-    @click.option("--id", "ident", metavar="ID", help="Of the order: the same once more is carried out once.")
+    @click.option("--halt", "halted", metavar="ORDER", help="Halt this order instead of submitting one.")
+    @id_option("order")
     @fleet_options
     def command(selection: Selection, client: FleetClient, **options: Any) -> None:
         _run_order(verb, takes_out, selection, client, OrderOptions(**options))
@@ -95,14 +96,14 @@
     if options.halted:
         run_halt(client, options.halted)
     require_selection(selection, options.everything)
-    ident = options.ident or secrets.token_hex(6)
+    ident = options.ident or secrets.token_hex(ORDER_ID_BYTES)
     if client.fleet.control_plane and takes_out:
         if options.supersede:
-            fail("a record knows no --supersede: halt or cancel the order that stands")
+            fail("--supersede does not work with replicas (keepers): halt or cancel the open order instead")
         order = FleetOrder(ident, verb, options.lasts, options.atomic)
         run_command(submit_order(client, selection, order, wait=not options.no_wait))
     if options.atomic:
-        fail("--whole needs keepers in the settings: each agent of this fleet is on its own")
+        fail("--whole needs replicas (keepers) in the settings")
     spec = OrderSpec(ident, verb, options.lasts, options.supersede)
     confirm = takes_out and not options.yes
     run_command(submit_to_hosts(client, selection, spec, confirm=confirm, wait=not options.no_wait))
@@ -110,11 +111,11 @@
 
 async def submit_to_hosts(
     client: FleetClient, selection: Selection, order: OrderSpec, confirm: bool, wait: bool
-) -> int:
-    """Order each agent its tasks, follow them to their end, and print what became of every instance."""
+) -> ExitCode:
+    """Send each agent its tasks, follow them to their end, and print the result of every instance."""
     rows, chosen = await select_rows(client, selection)
     if confirm and not confirm_order(order.verb, rows, chosen):
-        return USAGE
+        return ExitCode.USAGE
     tracker = OrderTracker(order, chosen)
     responses, silent = await client.agents.request_each(tracker.requests(), client.deadline)
     for host, response in responses.items():
@@ -128,15 +129,15 @@
 
 
 async def follow_order(client: FleetClient, tracker: OrderTracker) -> None:
-    """Poll the agents until nothing is open any more, or the time of the order is over."""
+    """Poll the agents until no task is open, or the order has timed out."""
     order = tracker.order
-    until = time.monotonic_ns() + order.lifetime + 2 * client.deadline
+    until = time.monotonic_ns() + order.lifetime + MAX_FOLLOW_DEADLINES * client.deadline
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
     hidden = not stderr_console.is_terminal
     with Progress(*columns, console=stderr_console, transient=True, disable=hidden) as progress:
         bar = progress.add_task(f"{order.verb} {order.order_id}", total=len(tracker.tasks))
         while not tracker.finished and time.monotonic_ns() < until:
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
             responses, _ = await client.request_hosts(messages.ListOrdersRequest(), tracker.hosts_to_poll())
             for host, response in responses.items():
                 tracker.answered(host, response)
@@ -162,10 +163,10 @@
 @click.argument("ident", metavar="ORDER")
 @fleet_options
 def cancel(ident: str, client: FleetClient) -> None:
-    """End what an order has not begun. What has begun goes on, and the answer says so.
+    """Cancel the tasks of an order that have not started; started tasks continue.
 
-    In a fleet with keepers what it took out comes back: an instance that drains takes work again, one that
-    has ended is started.
+    In a fleet with replicas (keepers) the targets come back: a draining instance takes requests again, one
+    that has ended is started.
 
     \b
     Example: oakkeel cancel 3f9a01c2d4e5
@@ -175,7 +176,7 @@
     run_command(_cancel_on_hosts(client, ident))
 
 
-async def _cancel_on_hosts(client: FleetClient, ident: str) -> int:
+async def _cancel_on_hosts(client: FleetClient, ident: str) -> ExitCode:
     responses, silent = await client.request_hosts(messages.CancelOrderRequest(ident))
     tasks = {
         task.instance: task
@@ -184,19 +185,21 @@
         for task in response.tasks
     }
     if not tasks:
-        fail(f"no agent knows an order {ident}", SOME_SILENT if silent else SOME_FAILED)
+        fail(f"no agent knows an order {ident}", ExitCode.SOME_SILENT if silent else ExitCode.SOME_FAILED)
     print_tasks(client, ident, "cancel", list(tasks.values()))
     print_silent(silent)
     if silent:
-        return SOME_SILENT
-    return SOME_FAILED if any(task.state in OPEN_STATES for task in tasks.values()) else DONE
+        return ExitCode.SOME_SILENT
+    return (
+        ExitCode.SOME_FAILED if any(task.state in OPEN_STATES for task in tasks.values()) else ExitCode.DONE
+    )
 
 
 @click.command(epilog=EXIT_CODES_HELP)
 @click.argument("ident", metavar="ORDER")
 @fleet_options
 def halt(ident: str, client: FleetClient) -> None:
-    """Let nothing further leave by an order of the fleet. What has left stays out; `cancel` brings it back.
+    """Halt an order: no further target is taken out, and those that are out stay out until a `cancel`.
 
     \b
     Example: oakkeel halt 3f9a01c2d4e5
@@ -207,7 +210,7 @@
 def run_halt(client: FleetClient, ident: str) -> NoReturn:
     """Halt an order of the fleet and exit."""
     if not client.fleet.control_plane:
-        fail("halt needs keepers in the settings; cancel ends what an order has not begun")
+        fail("halt needs replicas (keepers) in the settings; cancel ends the tasks that have not started")
     run_command(end_order(client, ident, cancel=False))
 
 
@@ -215,17 +218,20 @@
     order_command(
         "drain",
         True,
-        "Take instances out of service: each answers what it has read, and ends.",
+        "Drain instances: each answers the requests that it has read, and ends.",
         "oakkeel drain --host wb1",
     ),
     order_command(
-        "stop", True, "Drain instances, and kill what does not end in its drain time.", "oakkeel stop n3 n4"
+        "stop",
+        True,
+        "Drain instances, and kill those that do not end within the drain timeout.",
+        "oakkeel stop n3 n4",
     ),
-    order_command("start", False, "Start instances that are not there.", "oakkeel start --site belmont"),
+    order_command("start", False, "Start stopped instances.", "oakkeel start --site belmont"),
     order_command(
         "restart",
         True,
-        "Drain instances and start them anew, no more at once than their site allows.",
+        "Drain and start instances, within the disruption budget of their site.",
         "oakkeel restart --site st-james --yes",
     ),
     cancel,
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -92,10 +92,10 @@
         code, _, err = await self.oakkeel("stop", "--site", "wood*")
         self.assertEqual(code, 2)
         self.assertIn("woodbrook: 3 of 3 would be taken out, 0 are out already", err)
-        self.assertIn("say --yes", err)
+        self.assertIn("confirm with --yes", err)
         self.assertEqual(agent.orders.orders, {})
         code, _, err = await self.oakkeel("stop")
-        self.assertEqual((code, "say which instances" in err), (2, True))
+        self.assertEqual((code, "select instances by name" in err), (2, True))
 
     async def test_names_the_operator_whose_order_stands_in_the_way(self):
         self.script("n1", "deaf")
--- a/tests/cluster/test_drain_orders.py
+++ b/tests/cluster/test_drain_orders.py
@@ -118,7 +118,7 @@
         ]
         ended = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
         self.assertEqual(ended.returncode, 3, ended)
-        self.assertIn("nothing new is agreed, what serves goes on", ended.stderr)
+        self.assertIn("nothing new is committed, running instances keep serving", ended.stderr)
         told = await self.rig.instance_statuses()
         self.assertEqual({told[name].phase for name in ("n4a", "n4b", "n5a", "n5b")}, {"serving"})
 
