--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -33,9 +33,8 @@
 from oakkeel.fleet.view import Row
 from oakkeel.rendering.instances import clients_summary, clients_table, instance_facts, instances_table
 from oakkeel.rendering.tables import plain_table
-from oakkeel.rendering.times import format_duration
+from oakkeel.rendering.times import NANOSECONDS_PER_SECOND, format_duration
 
-NANOSECONDS = 1e9
 OPEN_STATES = ("waiting", "acting")
 
 
@@ -47,8 +46,8 @@
         "host": row.host,
         "state": row.state,
         "old": row.old,
-        "age_s": round(row.age / NANOSECONDS, 3) if row.age >= 0 else None,
-        "report_age_s": round(row.report_age / NANOSECONDS, 3) if row.report_age >= 0 else None,
+        "age_s": round(row.age / NANOSECONDS_PER_SECOND, 3) if row.age >= 0 else None,
+        "report_age_s": round(row.report_age / NANOSECONDS_PER_SECOND, 3) if row.report_age >= 0 else None,
         "source": row.source,
         "told": msgspec.to_builtins(row.status),
     }
@@ -171,7 +170,7 @@
                 live.update(table, refresh=True)
             if until and time.monotonic_ns() >= until:
                 return client.exit_code
-            await asyncio.sleep(max(0, started_at + every - time.monotonic_ns()) / NANOSECONDS)
+            await asyncio.sleep(max(0, started_at + every - time.monotonic_ns()) / NANOSECONDS_PER_SECOND)
 
 
 @dataclass(slots=True, frozen=True)
@@ -239,7 +238,7 @@
 
 
 def _orders_table(found: list[list[HostOrder]]) -> Table:
-    table = plain_table("order", "operator", "verb", "taken", "instances")
+    table = plain_table("order", "operator", "verb", "accepted", "instances")
     for order in found:
         first = order[0].status
         states = Counter(task.state for on_host in order for task in on_host.status.tasks)
--- a/oakkeel/demo/__init__.py
+++ b/oakkeel/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A small fleet on loopback for a newcomer."""
+"""The demo: a small fleet on loopback."""
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -1,4 +1,4 @@
-"""The demo: three nodes under an agent, fed by fakes, with a live table of how they do."""
+"""The demo: an agent with three nodes, a fake dispatcher and fake peers, and a live table of instances."""
 
 from __future__ import annotations
 
@@ -28,19 +28,24 @@
 from oakkeel.units import SECOND
 
 HOST = "wb1"
+OPERATOR = "asha"
 NODES = ("n1", "n2", "n3")
-STOP_DEADLINE = 20 * SECOND
-REFRESH_SECONDS = 0.25
+STOP_TIMEOUT_NS = 20 * SECOND
+REFRESH_INTERVAL_SECONDS = 0.25
+STOP_POLL_INTERVAL_SECONDS = 0.1
 
 
 def play(lasts: int, rate: float) -> int:
-    """Run the demo for some nanoseconds, 0 until it is interrupted; return 1 where a request was lost."""
+    """Run the demo for `lasts` nanoseconds, 0 until Ctrl-C; return the exit code, 1 if a request was lost.
+
+    `rate` in requests per second.
+    """
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         return asyncio.run(_play(folder, lasts, rate, Console()))
 
 
 def addresses_of(view: FleetView) -> dict[str, Address]:
-    """Return where the nodes that serve listen, by their own reports."""
+    """Return the addresses of the serving nodes, by their reports."""
     found = {}
     for row in view.rows(time.monotonic_ns()):
         if row.state in ("serving", "cold") and row.status and row.status.report:
@@ -56,11 +61,12 @@
         loop.add_signal_handler(number, done.set)
     async with _agent_over_fakes(folder) as site:
         fleet = read_fleet(site.settings)
-        agents, view = AgentClients(fleet, read_operator_key(fleet, "asha")), FleetView(fleet)
+        agents = AgentClients(fleet, read_operator_key(fleet, OPERATOR))
+        view = FleetView(fleet)
         dispatcher = Dispatcher(1, lambda: addresses_of(view), rate, seed=1)
         console.print(
-            f"Three nodes at {rate:g} requests a second. From another terminal, as long as it lasts:\n"
-            f"  export OAKKEEL_SETTINGS={site.settings} OAKKEEL_OPERATOR=asha\n"
+            f"Three nodes at {rate:g} requests per second. Commands to try in another terminal meanwhile:\n"
+            f"  export OAKKEEL_SETTINGS={site.settings} OAKKEEL_OPERATOR={OPERATOR}\n"
             "  oakkeel ls      oakkeel restart n2      oakkeel orders",
             highlight=False,
         )
@@ -75,7 +81,7 @@
 
 @contextlib.asynccontextmanager
 async def _agent_over_fakes(folder: str) -> AsyncIterator[FakeSite]:
-    """Run an agent as a process of its own, with fakes for all that is round its nodes."""
+    """Run an agent in a subprocess, with fakes of its nodes' peers."""
     site = FakeSite(folder, {HOST: list(NODES)}, max_unavailable=len(NODES))
     await site.open()
     with open(os.path.join(folder, "agent.log"), "wb") as log:
@@ -98,7 +104,7 @@
     live: Live,
     done: asyncio.Event,
 ) -> None:
-    """Keep the table up to date until the time is over or a signal came."""
+    """Update the table for `lasts` nanoseconds, or until a signal sets `done`."""
     started_at = time.monotonic_ns()
     while not done.is_set() and (not lasts or time.monotonic_ns() - started_at < lasts):
         await agents.refresh(view)
@@ -108,22 +114,22 @@
         counts = f"{dispatcher.answered} requests answered, {dispatcher.counts['lost']} lost"
         live.update(Group(instances_table(rows, live.console.width), Text(counts)), refresh=True)
         with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(done.wait(), REFRESH_SECONDS)
+            await asyncio.wait_for(done.wait(), REFRESH_INTERVAL_SECONDS)
 
 
 async def _stop_nodes(agents: AgentClients, view: FleetView) -> None:
-    """Stop all nodes, so that no process is left behind."""
+    """Stop all nodes, so that no process stays behind."""
     await agents.refresh(view)
     targets = targets_by_host(view.rows(time.monotonic_ns()))
     await agents.request_each(
         {
-            host: messages.OrderRequest("demo-ends", "stop", instances, STOP_DEADLINE, supersede=True)
+            host: messages.OrderRequest("demo-ends", "stop", instances, STOP_TIMEOUT_NS, supersede=True)
             for host, instances in targets.items()
         }
     )
-    until = time.monotonic_ns() + STOP_DEADLINE
+    until = time.monotonic_ns() + STOP_TIMEOUT_NS
     while time.monotonic_ns() < until:
         await agents.refresh(view)
         if all(row.state == "stopped" for row in view.rows(time.monotonic_ns())):
             return
-        await asyncio.sleep(0.1)
+        await asyncio.sleep(STOP_POLL_INTERVAL_SECONDS)
--- a/oakkeel/rendering/__init__.py
+++ b/oakkeel/rendering/__init__.py
@@ -1,1 +1,1 @@
-"""What commands and the demo show, as tables for a terminal."""
+"""Tables for the terminal, of the commands and the demo."""
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -21,14 +21,14 @@
     "cancelled": "yellow",
 }
 OTHER_TASK_STYLE = "red"
-NO_REPLICA = "none"  # role of an agent whose host has no replica
-DEADLINE_PASSED = "its time"  # in place of an operator who halted an order
-MAX_ORDERS = 10
+NO_REPLICA = "none"  # role that an agent reports if its host has no replica
+DEADLINE_PASSED = "its time"  # stored as the operator who halted an order that timed out
+MAX_DISPLAYED_ORDERS = 10
 
 
 def replicas_table(statuses: Sequence[messages.RaftStatus]) -> Table:
     """Return a line for each replica, as its own agent and the leader report it."""
-    table = plain_table("host", "role", "for", "votes", "term", "agreed", "behind", "heard", "remarks")
+    table = plain_table("host", "role", "for", "votes", "term", "committed", "lag", "contact", "remarks")
     leader = next((status for status in statuses if status.is_leader), None)
     members = {member.name: member for member in leader.members} if leader else {}
     for status in sorted(statuses, key=lambda status: (status.role == NO_REPLICA, status.host)):
@@ -65,7 +65,7 @@
         "-",
         str(member.lag),
         format_age(member.contact_age),
-        "its agent did not answer us",
+        "its agent did not answer",
     )
 
 
@@ -78,17 +78,17 @@
     unavailable: Sequence[messages.UnavailableTarget],
     orders: Sequence[messages.FleetOrderStatus],
 ) -> list[Table]:
-    """Return how much of each budget is used, and where there are any, what is out and the last orders."""
+    """Return tables of the disruption budgets, and if any, of unavailable targets and the last orders."""
     tables = [_budgets_table(groups)]
     if unavailable:
         tables.append(_unavailable_table(unavailable))
     if orders:
-        tables.append(_orders_table(orders[:MAX_ORDERS]))
+        tables.append(_orders_table(orders[:MAX_DISPLAYED_ORDERS]))
     return tables
 
 
 def _budgets_table(groups: Sequence[messages.BudgetUsage]) -> Table:
-    table = plain_table("of", "out", "may be out")
+    table = plain_table("group", "out", "budget")
     for group in groups:
         used = (
             f"[yellow]{group.unavailable}[/]" if group.unavailable >= group.limit else str(group.unavailable)
@@ -98,7 +98,7 @@
 
 
 def _unavailable_table(unavailable: Sequence[messages.UnavailableTarget]) -> Table:
-    table = plain_table("out", "host", "because", "place", "order")
+    table = plain_table("out", "host", "reasons", "permit", "order")
     for target in unavailable:
         reasons = ", ".join(target.reasons)
         table.add_row(target.target, target.host, reasons, str(target.fence or "-"), target.order_id)
@@ -106,7 +106,7 @@
 
 
 def _orders_table(orders: Sequence[messages.FleetOrderStatus]) -> Table:
-    table = plain_table("order", "operator", "verb", "made", "things", "remarks")
+    table = plain_table("order", "operator", "verb", "submitted", "targets", "remarks")
     for order in orders:
         states = Counter(task.state for task in order.tasks)
         table.add_row(
@@ -127,8 +127,10 @@
 
 
 def order_table(order: messages.FleetOrderStatus) -> Table:
-    """Return a line for each target of an order, under a title that says what became of it."""
-    table = plain_table("thing", "host", "state", "place", "owes", "remarks", title=_order_title(order))
+    """Return a line for each target of an order, under a title with its result."""
+    table = plain_table(
+        "target", "host", "state", "permit", "in flight", "remarks", title=_order_title(order)
+    )
     for task in sorted(order.tasks, key=lambda task: task.target):
         style = TASK_STYLES.get(task.state, OTHER_TASK_STYLE)
         state = f"[{style}]{task.state}[/]"
@@ -143,5 +145,5 @@
     if order.cancelled:
         return f"{title}, cancelled by {order.cancelled}"
     if order.halted == DEADLINE_PASSED:
-        return f"{title}, its time is over"
+        return f"{title}, timed out"
     return f"{title}, halted by {order.halted}" if order.halted else title
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -1,4 +1,4 @@
-"""Instances as tables: a line each, or all that is known of one."""
+"""Instances as tables: a line each, or the details of one."""
 
 from __future__ import annotations
 
@@ -22,20 +22,22 @@
     "unknown": "magenta",
 }
 OLD_STYLE = "magenta"
-WIDE = 110  # characters of a terminal, from which on all columns are shown
-NARROW_TEXT_COLUMNS = ("instance", "state", "told")
-WIDE_TEXT_COLUMNS = ("instance", "site", "host", "state", "told", "gen")
-NARROW_NUMBER_COLUMNS = ("owes", "ok", "denied")
-WIDE_NUMBER_COLUMNS = ("stage", "hold", "runs", "calls", *NARROW_NUMBER_COLUMNS, "MB")
+MIN_WIDE_COLUMNS = 110  # characters of a terminal; a narrower one shows fewer columns
+DEFAULT_COLUMNS = 120
+KB_PER_MB = 1024
+NARROW_TEXT_COLUMNS = ("instance", "state", "age")
+WIDE_TEXT_COLUMNS = ("instance", "site", "host", "state", "age", "gen")
+NARROW_NUMBER_COLUMNS = ("open", "ok", "rejected")
+WIDE_NUMBER_COLUMNS = ("stage", "queued", "running", "calls", *NARROW_NUMBER_COLUMNS, "MB")
 SILENT_PHASES = ("silent", "stuck")
-HEALTHY_PHASES = ("serving", "cold", "stopped")  # an old reason is of no interest there
+HEALTHY_PHASES = ("serving", "cold", "stopped")  # in these, the last reason is out of date
 DURATION_FIELDS = ("uptime", "gauges_age")
 HIDDEN_FIELDS = ("type", "tag", "name")
 
 
-def instances_table(rows: list[Row], width: int = 120) -> Table:
-    """Return a line for each instance; columns that a narrow terminal has no room for are left out."""
-    wide = width >= WIDE
+def instances_table(rows: list[Row], width: int = DEFAULT_COLUMNS) -> Table:
+    """Return a line for each instance; `width` of the terminal, in characters, limits the columns."""
+    wide = width >= MIN_WIDE_COLUMNS
     text_columns = WIDE_TEXT_COLUMNS if wide else NARROW_TEXT_COLUMNS
     number_columns = WIDE_NUMBER_COLUMNS if wide else NARROW_NUMBER_COLUMNS
     table = plain_table()
@@ -62,7 +64,7 @@
         "site": row.site,
         "host": row.host,
         "state": f"[{style}]{row.shown}[/]" if style else row.shown,
-        "told": format_age(row.age),
+        "age": format_age(row.age),
         "gen": str(row.status.generation) if row.status else "-",
     }
 
@@ -73,18 +75,18 @@
         return {}
     return {
         "stage": report.stage.lower(),
-        "hold": str(report.queued),
-        "runs": str(report.running),
+        "queued": str(report.queued),
+        "running": str(report.running),
         "calls": str(report.calling),
-        "owes": str(report.open_requests),
+        "open": str(report.open_requests),
         "ok": str(report.completed),
-        "denied": str(report.rejected),
-        "MB": str(report.resident_kb // 1024),
+        "rejected": str(report.rejected),
+        "MB": str(report.resident_kb // KB_PER_MB),
     }
 
 
 def remarks(row: Row) -> str:
-    """Return in one line what an operator should know of an instance beside its state."""
+    """Return what an operator should know of an instance beside its state, in one line."""
     status = row.status
     if status is None:
         return "its agent did not answer"
@@ -93,25 +95,24 @@
         order = status.order
         texts.append(f"{order.operator}'s {order.verb} {order.state} for {format_duration(order.age)}")
     if status.restarts_exhausted:
-        texts.append(
-            f"rests after {status.recent_crashes} deaths, starts in {format_duration(status.starts_in)}"
-        )
+        starts_in = format_duration(status.starts_in)
+        texts.append(f"not restarted after {status.recent_crashes} crashes, starts in {starts_in}")
     elif status.starts_in:
         texts.append(f"starts in {format_duration(status.starts_in)}")
     if status.phase in SILENT_PHASES:
-        texts.append(f"heard {format_age(row.report_age)}" if row.report_age >= 0 else "never heard")
+        texts.append(f"last report {format_age(row.report_age)}" if row.report_age >= 0 else "no report")
     if status.why and status.phase not in HEALTHY_PHASES:
         texts.append(status.why)
     return "; ".join(texts)
 
 
 def instance_facts(row: Row) -> list[tuple[str, str]]:
-    """Return all that is known of an instance, as names and values."""
+    """Return the details of an instance, as names and values."""
     facts = [
         ("instance", row.name),
         ("site, host", f"{row.site}, {row.host}"),
         ("state", row.shown),
-        ("told", f"by {row.source}, {format_age(row.age)}" if row.age >= 0 else "by nobody"),
+        ("reported", f"by {row.source}, {format_age(row.age)}" if row.age >= 0 else "never"),
     ]
     status = row.status
     if status is None:
@@ -121,13 +122,13 @@
         ("wanted", status.goal),
         ("process", str(status.pid or "none")),
         ("generation", f"{status.generation}, by {status.changed_by or 'nobody'}"),
-        ("deaths lately", str(status.recent_crashes)),
+        ("recent crashes", str(status.recent_crashes)),
         ("remarks", remarks(row) or "none"),
     ]
     if order := status.order:
         facts.append(("order", f"{order.order_id}: {order.verb} by {order.operator}, {order.state}"))
     if status.report:
-        facts.append(("its own report", format_age(row.report_age)))
+        facts.append(("own report", format_age(row.report_age)))
         for field, value in msgspec.to_builtins(status.report).items():
             if field in DURATION_FIELDS:
                 facts.append(("  " + field, format_duration(value)))
@@ -137,15 +138,15 @@
 
 
 def clients_table(status: ClientsStatus) -> Table:
-    """Return the heaviest clients of a node, with their shares of all that is asked."""
+    """Return the heaviest clients of a node, with their ratios of its requests, and their fair shares."""
     flows = " / ".join(status.flow_key)
     table = plain_table()
-    table.add_column(flows or "sender", justify="left" if flows else "right")
-    for column in ("asks for", "of it retries", "keeps"):
+    table.add_column(flows or "client", justify="left" if flows else "right")
+    for column in ("demand", "retries", "fair share"):
         table.add_column(column, justify="right")
     for client in status.clients:
         table.add_row(
-            client.name or "(none told)",
+            client.name or "(unnamed)",
             f"{client.demand:.1%}",
             f"{client.retries:.1%}",
             f"{client.fair_fraction:.0%}",
@@ -154,12 +155,12 @@
 
 
 def clients_summary(status: ClientsStatus) -> str:
-    """Return one line on what is known of all clients."""
+    """Return one line on all clients and reservations."""
     if not status.flow_key:
-        return "no sender is told from another: the settings name none"
+        return "the settings have no flow key, so all requests count for one client"
     return (
-        f"{status.known} known, others ask for at most {status.error:.2%} each;"
-        f" promises: {status.reservations_open} open, {status.reservations_honored} kept,"
-        f" {status.reservations_broken} broken, {status.reservations_expired} not come for,"
-        f" of {status.reservations_made}"
+        f"{status.known} known, others demand at most {status.error:.2%} each;"
+        f" reservations (promises): {status.reservations_made} made, {status.reservations_open} open,"
+        f" {status.reservations_honored} honored, {status.reservations_broken} broken,"
+        f" {status.reservations_expired} expired"
     )
--- a/oakkeel/rendering/rollout.py
+++ b/oakkeel/rendering/rollout.py
@@ -17,12 +17,12 @@
 TARGET_STYLES = {"old": "", "changing": "yellow", "new": "green"}
 RELEASE_STYLES = {"done": "green", "undone": "cyan", "halted": "red", "left": "yellow", "paused": "yellow"}
 OTHER_RELEASE_STYLE = "cyan"
-VERSION_LENGTH = 12  # characters of a hash, in the heading
-RUNNING_LENGTH = 8  # in the table
+HEADING_VERSION_LENGTH = 12  # characters of a hash
+TABLE_VERSION_LENGTH = 8
 
 
 def release_table(release: messages.ReleaseStatus) -> Group:
-    """Return some lines on a release, and a table with a line for each of its targets."""
+    """Return a heading of a few lines, and a table with a line for each target of a release."""
     lines = (Text.from_markup(line) for line in _heading(release))
     return Group(*lines, _targets_table(release))
 
@@ -31,30 +31,31 @@
     states = Counter(target.state for target in release.targets)
     style = RELEASE_STYLES.get(release.state, OTHER_RELEASE_STYLE)
     counts = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
+    version = release.version.version[:HEADING_VERSION_LENGTH]
     lines = [
-        f"release {release.release_id} of {release.version.version[:VERSION_LENGTH]} by {release.operator},"
+        f"release {release.release_id} of {version} by {release.operator},"
         f" {format_age(time.time_ns() - release.unix_time)}: [{style}]{release.state}[/], {counts}"
     ]
     if release.why:
-        lines.append(f"because: {escape(release.why)}")
+        lines.append(f"reason: {escape(release.why)}")
     if release.waiting_for:
         lines.append(f"waits: {escape(release.waiting_for)}")
     if release.gate_summary:
         lines.append(f"gates: {release.gate_summary}")
     if release.controller:
-        lines.append(f"driven by {release.controller}, step {release.step}, batch {release.batch}")
+        lines.append(f"controller: {release.controller}, step {release.step}, batch {release.batch}")
     return lines
 
 
 def _targets_table(release: messages.ReleaseStatus) -> Table:
-    table = plain_table("thing", "host", "version", "runs", "phase", "known", "remarks")
+    table = plain_table("target", "host", "version", "running", "phase", "report", "remarks")
     for target in sorted(release.targets, key=lambda target: target.target):
         style = TARGET_STYLES.get(target.state, "")
         table.add_row(
             target.target,
             target.host,
             f"[{style}]{target.state}[/]" if style else target.state,
-            target.running_version[:RUNNING_LENGTH] or "as set",
+            target.running_version[:TABLE_VERSION_LENGTH] or "settings",
             target.phase,
             format_age(target.report_age) if target.report_age >= 0 else "-",
             target.why,
--- a/oakkeel/rendering/times.py
+++ b/oakkeel/rendering/times.py
@@ -1,22 +1,24 @@
-"""Lengths of time for people."""
+"""Durations and ages for display."""
 
 from __future__ import annotations
 
-NANOSECONDS = 1e9
+NANOSECONDS_PER_SECOND = 1e9
 UNITS = ((86400, "d"), (3600, "h"), (60, "m"))  # seconds
+MIN_UNITS = 2  # of a unit, below which the next smaller unit is shown
+MAX_SECONDS_WITH_FRACTION = 10
 
 
 def format_duration(nanoseconds: int) -> str:
-    """Return a length of time in few letters; `never` below zero."""
+    """Return a duration in one unit, such as 1.5s or 12m; `never` if it is negative."""
     if nanoseconds < 0:
         return "never"
-    seconds = nanoseconds / NANOSECONDS
+    seconds = nanoseconds / NANOSECONDS_PER_SECOND
     for size, unit in UNITS:
-        if seconds >= 2 * size:
+        if seconds >= MIN_UNITS * size:
             return f"{seconds / size:.0f}{unit}"
-    return f"{seconds:.1f}s" if seconds < 10 else f"{seconds:.0f}s"
+    return f"{seconds:.1f}s" if seconds < MAX_SECONDS_WITH_FRACTION else f"{seconds:.0f}s"
 
 
 def format_age(nanoseconds: int) -> str:
-    """Return how long ago something was; `never` below zero."""
+    """Return an age, such as 3.0s ago; `never` if it is negative."""
     return "never" if nanoseconds < 0 else f"{format_duration(nanoseconds)} ago"
--- a/oakkeel/settings/__init__.py
+++ b/oakkeel/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' settings: XML with a schema, read into frozen types. The platform's JSON is read elsewhere."""
+"""Settings of a fleet, read from the operators' XML into frozen types; a node reads its own from JSON."""
--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -1,6 +1,6 @@
 """Reads the settings of a fleet from XML, validated by `fleet.xsd`.
 
-Each error is one line with file, line, element and what is allowed there.
+Each error is one line with the file, the line, the element, and the allowed values.
 """
 
 from __future__ import annotations
@@ -9,8 +9,9 @@
 import importlib.resources
 import os
 import re
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Iterable, Iterator
+from dataclasses import replace
+from typing import TypeAlias
 
 from lxml import etree
 
@@ -26,12 +27,18 @@
     Service,
     SettingsError,
 )
+from oakkeel.units import MS, SECOND
 
 MAX_FILE_BYTES = 1024 * 1024
 NAMESPACE = "{urn:oakkeel:fleet:1}"
-UNITS = {"ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3600_000_000_000}
+UNITS_NS = {"ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
+MAX_TRACKED = 65_536  # flows, and reservations
+MAX_PORT = 65_535
+VOTER_COUNTS = (1, 3, 5)  # an even number of voters tolerates no more failures than one less
 
+Element: TypeAlias = etree._Element
 
+# By attribute: the field of `SupervisionTimeouts`.
 SUPERVISION_FIELDS = {
     "silent": "silent",
     "start": "start",
@@ -67,7 +74,7 @@
     try:
         root = etree.fromstring(data, parser)
     except etree.XMLSyntaxError as error:
-        raise SettingsError(f"{path}:{error.lineno or 1}: no XML: {error.msg}") from error
+        raise SettingsError(f"{path}:{error.lineno or 1}: not well-formed XML: {error.msg}") from error
     if root.getroottree().docinfo.doctype:
         raise SettingsError(f"{path}:1: a document type is not allowed")
     schema = _schema()
@@ -81,7 +88,7 @@
         return etree.XMLSchema(etree.parse(file))
 
 
-def _describe_violation(path: str, error: Any) -> str:
+def _describe_violation(path: str, error: etree._LogEntry) -> str:
     text = error.message.replace(NAMESPACE, "")
     text = re.sub(
         r"^Element '(\w+)'(, attribute '([\w-]+)')?: ",
@@ -92,15 +99,16 @@
 
 
 class _FleetReader:
-    """Turns what the schema allowed into types, and checks what a schema can't."""
+    """Converts elements that the schema accepted into types, and checks what a schema can't."""
 
-    def __init__(self, path: str, root: Any) -> None:
-        self.path, self.root = path, root
+    def __init__(self, path: str, root: Element) -> None:
+        self.path = path
+        self.root = root
         self.folder = os.path.dirname(os.path.abspath(path))
         self.errors: list[str] = []
 
     def read(self) -> Fleet:
-        """Return the fleet. Raises SettingsError with a line for each error found."""
+        """Return the fleet. Raises SettingsError with a line for each error."""
         root = self.root
         operators = tuple(self._operator(element) for element in self._elements("operator"))
         self._check_unique_names()
@@ -129,8 +137,8 @@
             control_plane,
         )
 
-    def _elements(self, name: str) -> Iterator[Any]:
-        found: Iterator[Any] = self.root.iter(NAMESPACE + name)
+    def _elements(self, name: str) -> Iterator[Element]:
+        found: Iterator[Element] = self.root.iter(NAMESPACE + name)
         return found
 
     def _check_unique_names(self) -> None:
@@ -144,8 +152,8 @@
         ):
             self._check_unique(self._elements(name), attribute)
 
-    def _supervision(self) -> dict[str, Any]:
-        supervision: dict[str, Any] = {}
+    def _supervision(self) -> dict[str, int | bool]:
+        supervision: dict[str, int | bool] = {}
         for element in self._elements("supervision"):
             for attribute, value in element.attrib.items():
                 supervision[SUPERVISION_FIELDS[attribute]] = (
@@ -161,18 +169,18 @@
             values = {name: _parse_number_or_duration(value) for name, value in element.attrib.items()}
         return ClientSettings(**values)
 
-    def _add_error(self, element: Any, text: str) -> None:
+    def _add_error(self, element: Element, text: str) -> None:
         self.errors.append(f"{self.path}:{element.sourceline}: <{etree.QName(element).localname}> {text}")
 
-    def _check_unique(self, elements: Any, attribute: str) -> None:
+    def _check_unique(self, elements: Iterable[Element], attribute: str) -> None:
         seen: dict[str, int] = {}
         for element in elements:
             value = element.get(attribute)
             if value in seen:
-                self._add_error(element, f"{attribute}: {value!r} stands in line {seen[value]} already")
+                self._add_error(element, f"{attribute}: {value!r} is defined in line {seen[value]} already")
             seen.setdefault(value, element.sourceline)
 
-    def _operator(self, element: Any) -> Operator:
+    def _operator(self, element: Element) -> Operator:
         keys = []
         for key in element.iter(NAMESPACE + "key"):
             expires = 0
@@ -180,44 +188,46 @@
                 moment = datetime.datetime.fromisoformat(text)
                 if moment.tzinfo is None:
                     moment = moment.replace(tzinfo=datetime.UTC)
-                expires = int(moment.timestamp()) * UNITS["s"]
+                expires = int(moment.timestamp()) * UNITS_NS["s"]
             keys.append(KeyFile(key.get("id"), self._path(key.get("file")), expires))
         return Operator(element.get("name"), element.get("role") == "act", tuple(keys))
 
-    def _fair_sharing(self, element: Any) -> FairSharingSettings:
+    def _fair_sharing(self, element: Element) -> FairSharingSettings:
         self._check_unique(element.iter(NAMESPACE + "weight"), "of")
         weights = tuple(
             (weight.get("of"), float(weight.get("is"))) for weight in element.iter(NAMESPACE + "weight")
         )
-        values: dict[str, Any] = {
-            field: int(element.get(name))
-            for name, field in (("places", "tracked_flows"), ("promises", "max_reservations"))
-            if element.get(name)
-        }
-        if any(not 1 <= value <= 65536 for value in values.values()):
-            self._add_error(element, "places and promises: 1 to 65536 are allowed")
+        settings = FairSharingSettings(tuple(element.get("by").split()), weights)
+        if element.get("places"):
+            settings = replace(settings, tracked_flows=int(element.get("places")))
+        if element.get("promises"):
+            settings = replace(settings, max_reservations=int(element.get("promises")))
+        if any(
+            not 1 <= number <= MAX_TRACKED for number in (settings.tracked_flows, settings.max_reservations)
+        ):
+            self._add_error(element, f"places and promises: 1 to {MAX_TRACKED} are allowed")
         if element.get("half"):
-            values["half_life"] = max(1, parse_duration(element.get("half")))
+            settings = replace(settings, half_life=max(1, parse_duration(element.get("half"))))
         if element.get("snapshot"):
-            values["snapshot"] = element.get("snapshot") in ("true", "1")
-        return FairSharingSettings(tuple(element.get("by").split()), weights, **values)
+            settings = replace(settings, snapshot=element.get("snapshot") in ("true", "1"))
+        return settings
 
     def _control_plane(self, hosts: list[HostSettings], all_sites: int) -> ControlPlaneSettings | None:
-        """Return what the control plane has to know; None where the fleet has none."""
+        """Return the settings of the control plane; None if the fleet has none."""
         names = {host.name for host in hosts}
         services = self._services(names)
         found = self.root.find(NAMESPACE + "keepers")
         if found is None:
             return None
         voters = tuple(found.get("hosts").split())
-        if len(voters) not in (1, 3, 5) or len(set(voters)) != len(voters):
-            self._add_error(found, "hosts: three or five are asked for, or one for a trial, each once")
+        if len(voters) not in VOTER_COUNTS or len(set(voters)) != len(voters):
+            self._add_error(found, "hosts: three or five different hosts are allowed, or one for a trial")
         for name in voters:
             if name not in names:
                 self._add_error(found, f"hosts: there is no host {name!r}")
         for element in self._elements("host"):
             if not element.get("key"):
-                self._add_error(element, "key: agents that agree need one each")
+                self._add_error(element, "key: in a fleet with replicas (keepers) each agent needs one")
         kinds = {kind.get("name"): int(kind.get("away")) for kind in self._elements("kind")}
         return ControlPlaneSettings(voters, int(self.root.get("away") or all_sites), kinds, services)
 
@@ -248,8 +258,8 @@
         """Resolve a path that is relative to the settings file."""
         return os.path.normpath(os.path.join(self.folder, text))
 
-    def _hosts(self, site: Any) -> list[HostSettings]:
-        """Return the hosts of a site, each with its part of the site's disruption budget."""
+    def _hosts(self, site: Element) -> list[HostSettings]:
+        """Return the hosts of a site, each with its share of the site's disruption budget."""
         elements = list(site.iter(NAMESPACE + "host"))
         budgets = self._host_budgets(site, elements)
         return [
@@ -265,31 +275,29 @@
             for element, budget in zip(elements, budgets, strict=True)
         ]
 
-    def _host_budgets(self, site: Any, elements: list[Any]) -> list[int]:
-        """Return how many instances of each host may be unavailable: as given, or by its size."""
+    def _host_budgets(self, site: Element, elements: list[Element]) -> list[int]:
+        """Return the disruption budget of each host: as given, else its share of the rest of the site's."""
         allowed = int(site.get("away"))
         sizes = [len(list(element.iter(NAMESPACE + "instance"))) for element in elements]
         given = [element.get("away") for element in elements]
         remaining = allowed - sum(int(value) for value in given if value is not None)
         if remaining < 0:
-            self._add_error(
-                site, f"away: its hosts are told {allowed - remaining} in all, more than {allowed}"
-            )
+            self._add_error(site, f"away: the sum of its hosts is {allowed - remaining}, more than {allowed}")
         open_indexes = [index for index, value in enumerate(given) if value is None]
         shares = split_budget(max(0, remaining), [sizes[index] for index in open_indexes])
         budgets = [int(value) if value is not None else 0 for value in given]
         for index, share in zip(open_indexes, shares, strict=True):
             budgets[index] = share
-            # With a control plane its leader lends permits, so that a host needs no part of its own.
+            # In a fleet with a control plane permits come from its leader: a host needs no budget of its own.
             if not share and site.getparent().find(NAMESPACE + "keepers") is None:
                 self._add_error(
                     elements[index],
-                    f"away: nothing is left for it of the {allowed} of its site, so no"
-                    " order could take an instance out; allow the site more, or tell it 0",
+                    f"away: none of the {allowed} of its site is left for this host, so no order could take"
+                    " out an instance; raise the value of the site, or set 0 for this host",
                 )
         return budgets
 
-    def _instance(self, element: Any) -> InstanceSettings:
+    def _instance(self, element: Element) -> InstanceSettings:
         return InstanceSettings(
             element.get("name"),
             self._path(element.get("config")),
@@ -298,25 +306,26 @@
             tuple(element.get("below", "").split()),
         )
 
-    def _address(self, element: Any, attribute: str = "agent") -> tuple[str, int]:
+    def _address(self, element: Element, attribute: str = "agent") -> tuple[str, int]:
         host, _, port = element.get(attribute).rpartition(":")
-        if not 0 < int(port) < 65536:
-            self._add_error(element, f"{attribute}: {port} is no port; 1 to 65535 are")
+        if not 0 < int(port) <= MAX_PORT:
+            self._add_error(element, f"{attribute}: {port} is not a port; 1 to {MAX_PORT} are allowed")
         return host, int(port)
 
 
 def split_budget(total: int, sizes: list[int]) -> list[int]:
-    """Split an integer in proportion to sizes, the largest remainders rounded up first."""
+    """Split an integer in proportion to sizes, rounding up the largest remainders first."""
     size_sum = sum(sizes) or 1
     shares = [total * size // size_sum for size in sizes]
     order = sorted(range(len(sizes)), key=lambda index: (-(total * sizes[index] % size_sum), index))
     for index in order[: total - sum(shares)]:
         shares[index] += 1
-    # None may get nothing while another has two: no order could ever take one of its instances.
+    # A host without a share could never take out an instance: it gets one from a host with two or more.
     for empty in [index for index, share in enumerate(shares) if not share]:
         largest = max(range(len(shares)), key=lambda index: shares[index])
         if shares[largest] > 1:
-            shares[largest], shares[empty] = shares[largest] - 1, 1
+            shares[largest] -= 1
+            shares[empty] = 1
     return shares
 
 
@@ -327,5 +336,5 @@
 def parse_duration(text: str) -> int:
     """Parse a duration like 250ms, 2s, 5m or 1h into nanoseconds. Raises ValueError."""
     if not (found := re.fullmatch(r"(\d{1,6})(ms|s|m|h)", text)):
-        raise ValueError(f"no time like 250ms, 2s, 5m or 1h: {text!r}")
-    return int(found[1]) * UNITS[found[2]]
+        raise ValueError(f"not a duration like 250ms, 2s, 5m or 1h: {text!r}")
+    return int(found[1]) * UNITS_NS[found[2]]
--- a/oakkeel/settings/keys.py
+++ b/oakkeel/settings/keys.py
@@ -7,7 +7,8 @@
 from oakkeel.authentication.mac import SECRET_BYTES, Key, Role
 from oakkeel.settings.types import Fleet, KeyFile, Operator, SettingsError
 
-AGENT_PREFIX = "agent:"  # before the names of hosts, so that no operator's key has the same ID
+AGENT_PREFIX = "agent:"  # of the key IDs of agents, which operators' keys do not have
+GROUP_AND_OTHERS = 0o077  # permission bits
 
 
 def read_keys(fleet: Fleet) -> dict[str, Key]:
@@ -26,12 +27,12 @@
 
 
 def read_operator_key(fleet: Fleet, name: str) -> Key:
-    """Read the key that an operator authenticates with: the first whose file exists. Raises SettingsError."""
+    """Read an operator's key: the first whose file exists. Raises SettingsError."""
     operator = fleet.operator(name)
     for file in operator.keys:
         if os.path.exists(file.path):
             return _read_key(operator, file)
-    raise SettingsError(f"{operator.keys[0].path}: there is no key of {name} here")
+    raise SettingsError(f"{operator.keys[0].path}: the key of operator {name} is not on this host")
 
 
 def _read_key(operator: Operator, file: KeyFile) -> Key:
@@ -46,8 +47,8 @@
 
 def _read_secret(path: str) -> bytes:
     try:
-        if os.stat(path).st_mode & 0o077:
-            raise SettingsError(f"{path}: others may read this key; mode 600 is asked for")
+        if os.stat(path).st_mode & GROUP_AND_OTHERS:
+            raise SettingsError(f"{path}: other users may read this key; set mode 600")
         with open(path, encoding="ascii") as opened:
             secret = bytes.fromhex(opened.read(2 * SECRET_BYTES + 2).strip())
     except OSError as error:
@@ -57,11 +58,11 @@
             raise
         secret = b""
     if len(secret) != SECRET_BYTES:
-        raise SettingsError(f"{path}: no key; {2 * SECRET_BYTES} hexadecimal digits are asked for")
+        raise SettingsError(f"{path}: not a key; a key has {2 * SECRET_BYTES} hexadecimal digits")
     return secret
 
 
 def write_key(path: str, secret: bytes) -> None:
-    """Create a key file that only its owner may read; an existing file stays. Raises OSError."""
+    """Create a key file with mode 600. Raises FileExistsError, or another OSError."""
     with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
         file.write(secret.hex() + "\n")
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -3,19 +3,18 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from oakkeel.errors import OakkeelError
 from oakkeel.units import MS, SECOND
 
 
 class SettingsError(OakkeelError, ValueError):
-    """The settings can't be used; the message has one line for each error."""
+    """The settings are invalid; the message has one line for each error."""
 
 
 @dataclass(slots=True, frozen=True)
 class KeyFile:
-    """Where a key of an operator is stored."""
+    """The file of an operator's key."""
 
     ident: str
     path: str
@@ -27,7 +26,7 @@
     """A person or program that uses the command line."""
 
     name: str
-    may_act: bool  # or view only
+    may_act: bool  # submit orders; else view only
     keys: tuple[KeyFile, ...]
 
 
@@ -36,10 +35,10 @@
     """One node that an agent supervises."""
 
     name: str
-    config: str  # path of the platform's JSON
-    listen: str  # overrides the address in that; empty: no override
+    config: str  # path of the node's JSON configuration
+    listen: str  # overrides the address of the configuration, unless empty
     log: str
-    downstream: tuple[str, ...] = ()  # services that it requires
+    downstream: tuple[str, ...] = ()  # services that it depends on
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,9 +49,9 @@
     site: str
     agent: tuple[str, int]
     state: str  # folder
-    max_unavailable: int  # of its instances at one time: its part of its site's budget
+    max_unavailable: int  # of its instances at one time: its share of the site's budget
     instances: tuple[InstanceSettings, ...]
-    key: str = ""  # path of the key that its agent authenticates with
+    key: str = ""  # path of its agent's key
 
 
 @dataclass(slots=True, frozen=True)
@@ -67,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlPlaneSettings:
-    """What a fleet with a replicated control plane has in addition."""
+    """The additional settings of a fleet with a replicated control plane."""
 
     hosts: tuple[str, ...]  # the initial voters
     max_unavailable: int  # of all instances, at one time
@@ -77,16 +76,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientSettings:
-    """How the command line sends requests to agents. Times in nanoseconds."""
+    """Requests of the command line to agents. Times in nanoseconds."""
 
     deadline: int = 1000 * MS
-    hedge: int = 250 * MS  # without a response, until the request is sent once more
+    hedge: int = 250 * MS  # time without a response, after which a request is sent a second time
     tries: int = 3
 
 
 @dataclass(slots=True, frozen=True)
 class FairSharingSettings:
-    """What identifies a flow at a node, and the shares of flows."""
+    """How nodes identify flows, and the weights of flows."""
 
     by: tuple[str, ...]  # fields of the flow key, the outer level first
     weights: tuple[tuple[str, float], ...]
@@ -95,7 +94,7 @@
     half_life: int = 4 * SECOND
     snapshot: bool = True
 
-    def node_settings(self, snapshot: str) -> dict[str, Any]:
+    def node_settings(self, snapshot: str) -> dict[str, object]:
         """Return the JSON object that a node reads; `snapshot` is the path of its snapshot file."""
         return {
             "by": list(self.by),
@@ -114,12 +113,12 @@
     name: str
     path: str
     operators: tuple[Operator, ...]
-    supervision: dict[str, Any]  # the given fields of `SupervisionTimeouts`
+    supervision: dict[str, int | bool]  # the given fields of `SupervisionTimeouts`
     client: ClientSettings
     sites: dict[str, int]  # how many instances of each may be unavailable at one time
     hosts: tuple[HostSettings, ...]
     fairness: FairSharingSettings | None = None
-    control_plane: ControlPlaneSettings | None = None  # None: each agent works on its own
+    control_plane: ControlPlaneSettings | None = None  # None: agents work independently
 
     def host(self, name: str) -> HostSettings:
         """Return the host of that name. Raises SettingsError."""
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -128,7 +128,7 @@
             (("stop", "--site", "x*"), "there is no site 'x*'"),
             (("agent", "wb9"), "no host 'wb9'; there are wb1"),
             (("node", "n9"), "no instance 'n9'"),
-            (("settings", "check", "/dev/null"), "no XML"),
+            (("settings", "check", "/dev/null"), "not well-formed XML"),
         ):
             with self.subTest(words):
                 code, out, err = await self.oakkeel(*words)
--- a/tests/settings/test_fleet.py
+++ b/tests/settings/test_fleet.py
@@ -52,11 +52,11 @@
             ('role="act"', 'role="admin"', 2, "'view', 'act'"),
             ('silent="1500ms"', 'silent="soon"', 3, "pattern"),
             (' log="json"', ' lug="json"', 9, "'lug' is not allowed"),
-            ('name="n3"', 'name="n1"', 9, "stands in line 6 already"),
-            ("127.0.0.1:7402", "127.0.0.1:99999", 8, "no port"),
-            ('away="3"', 'away="1"', 8, "nothing is left for it"),
-            ('name="wb1"', 'name="wb1" away="4"', 4, "told 4 in all"),
-            ("</site>", "", 12, "no XML"),
+            ('name="n3"', 'name="n1"', 9, "is defined in line 6 already"),
+            ("127.0.0.1:7402", "127.0.0.1:99999", 8, "not a port"),
+            ('away="3"', 'away="1"', 8, "none of the 1 of its site is left"),
+            ('name="wb1"', 'name="wb1" away="4"', 4, "the sum of its hosts is 4"),
+            ("</site>", "", 12, "not well-formed XML"),
         ):
             with self.subTest(new), self.assertRaises(SettingsError) as caught:
                 self.read(GOOD.replace(old, new, 1))
@@ -75,7 +75,7 @@
             ('"tenant client"', '"a b c"', "pattern"),
             ('is="2.5"', 'is="0"', "0.001"),
             ('half="2s"', 'places="0"', "1 to 65536"),
-            ('is="2.5"/>', 'is="2.5"/><weight of="a" is="1"/>', "stands in line 4"),
+            ('is="2.5"/>', 'is="2.5"/><weight of="a" is="1"/>', "is defined in line 4"),
         ):
             with self.subTest(new), self.assertRaisesRegex(SettingsError, message):
                 self.read(plain.replace(old, new))
@@ -91,7 +91,7 @@
     def test_rejects_key_files_with_wrong_mode_or_content(self):
         fleet = self.read(GOOD)
         path = os.path.join(self.folder, "asha.key")
-        with self.assertRaisesRegex(SettingsError, "no key of asha here"):
+        with self.assertRaisesRegex(SettingsError, "key of operator asha is not on this host"):
             read_operator_key(fleet, "asha")
         write_key(path, secret := secrets.token_bytes(32))
         self.assertEqual(read_keys(fleet)["asha-1"].secret, secret)
