--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -21,7 +21,7 @@
     write_figures,
 )
 from oakkeel.fakes.dispatcher import Dispatcher
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 
 HOSTS = {
     "wb1": [f"n{n}" for n in (1, 2, 3, 4)],
@@ -35,7 +35,8 @@
     """Kill three instances and stop one; returns the seconds until all reports are true, and the names."""
     rows = {row.name: row.status.pid for row in fleet.rows() if row.status}
     chosen = random.sample(sorted(rows), 4)
-    killed, suspended = {name: rows[name] for name in chosen[:3]}, chosen[3]
+    killed = {name: rows[name] for name in chosen[:3]}
+    suspended = chosen[3]
     for pid in killed.values():
         os.kill(pid, signal.SIGKILL)
     os.kill(rows[suspended], signal.SIGSTOP)
@@ -69,11 +70,13 @@
     """Kill and suspend instances under load for some rounds, and count what was lost."""
     random = Random(seed)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, HOSTS, max_unavailable=4, seed=seed, sites=SITES)
+        site = FakeSite(folder, HOSTS, SiteOptions(max_unavailable=4, seed=seed, sites=SITES))
         async with running_site(site) as fleet:
             took = await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
             print_line(f"twelve instances on three hosts serve after {took:.1f} s")
-            times, lost, answered = [], Counter[str](), 0
+            times = []
+            lost = Counter[str]()
+            answered = 0
             for number in range(rounds):
                 dispatchers = [
                     Dispatcher(index, fleet.addresses, rate / 2, seed + 10 * number + index)
--- a/measure/node.py
+++ b/measure/node.py
@@ -20,7 +20,7 @@
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.errors import OakkeelError
 from oakkeel.fakes.dispatcher import Dispatcher
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 
 TICKS = os.sysconf("SC_CLK_TCK")
 FAIR = {
@@ -73,10 +73,14 @@
     await asyncio.sleep(0.5)
     dispatcher.start()
     await asyncio.sleep(1.0)
-    cpu, answered, started = cpu_seconds(pid), dispatcher.answered, time.monotonic()
+    cpu = cpu_seconds(pid)
+    answered = dispatcher.answered
+    started = time.monotonic()
     await asyncio.sleep(seconds)
-    cpu, answered = cpu_seconds(pid) - cpu, dispatcher.answered - answered
-    resident, elapsed = resident_mb(pid), time.monotonic() - started
+    cpu = cpu_seconds(pid) - cpu
+    answered = dispatcher.answered - answered
+    resident = resident_mb(pid)
+    elapsed = time.monotonic() - started
     await dispatcher.stop()
     return {
         "resident_mb": resident,
@@ -89,7 +93,7 @@
 async def measure_node(tree: str, kind: str, rate: float, seconds: float, seed: int) -> dict[str, float]:
     """Start a node of that kind from a tree, and measure it under load."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        site = FakeSite(folder, {"wb1": ["n1"]}, max_unavailable=1, seed=seed, work=0.002)
+        site = FakeSite(folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, seed=seed, work=0.002))
         await site.open()
         variables = node_variables(tree, kind, folder)
         node = await asyncio.create_subprocess_exec(
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -15,7 +15,7 @@
 from oakkeel.agent import messages
 from oakkeel.agent.processes import Processes
 from oakkeel.fakes.control_plane import UnexpectedResponseError
-from oakkeel.fakes.site import FakeSite
+from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import AgentError, request_once
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key, write_key
@@ -30,17 +30,19 @@
 
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
         """Use the crashes that are left in `crashes`, which all lanes share."""
-        self.folder, self.random, self.crashes = folder, Random(seed), crashes
+        self.folder = folder
+        self.random = Random(seed)
+        self.crashes = crashes
         site = FakeSite(
             folder,
             {"wb1": ["n1"]},
-            max_unavailable=1,
-            supervision='<supervision backoff="20ms" restarts="1000"/>',
+            SiteOptions(max_unavailable=1, supervision='<supervision backoff="20ms" restarts="1000"/>'),
         )
         write_key(os.path.join(folder, "asha.key"), os.urandom(32))
         site.write_settings(ravi="", lena="")
         self.fleet = read_fleet(site.settings)
-        self.host, self.key = self.fleet.hosts[0], read_operator_key(self.fleet, "asha")
+        self.host = self.fleet.hosts[0]
+        self.key = read_operator_key(self.fleet, "asha")
         self.agent: asyncio.subprocess.Process | None = None
         self.crashed = self.orders = self.resent = self.lost = 0
         self.expected_starts = 1
@@ -57,10 +59,12 @@
         if self.agent is None or self.agent.returncode is not None:
             if self.agent is not None:
                 self.crashed += 1
-            step, self.doomed = 0, False
+            step = 0
+            self.doomed = False
             if not self.crashes.locked():
                 await self.crashes.acquire()
-                step, self.doomed = self.random.randint(1, MOST_STEPS), True
+                step = self.random.randint(1, MOST_STEPS)
+                self.doomed = True
             self.agent = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -150,7 +154,8 @@
             runs = asyncio.gather(*(lane.run() for lane in lanes))
             while not runs.done():
                 await asyncio.wait((runs,), timeout=10)
-                crashed, orders = sum(lane.crashed for lane in lanes), sum(lane.orders for lane in lanes)
+                crashed = sum(lane.crashed for lane in lanes)
+                orders = sum(lane.orders for lane in lanes)
                 print_line(f"  {crashed} crashes, {orders} orders")
             await runs
             return {
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -16,13 +16,13 @@
 EXPECTED_KB = 25.0  # memory that a dispatcher announces for a request
 LATENCY_SMOOTHING = 0.2  # weight of the newest latency in a node's moving average
 MAX_DELAY_FACTOR = 8  # a network delay this many times the mean is still within the deadline
-TIMEOUT_MARGIN = 100 * MS  # past timeout and network, before an unanswered attempt is abandoned
+TIMEOUT_MARGIN_NS = 100 * MS  # past timeout and network, before an unanswered attempt is abandoned
 REQUEST_ID_RANGE = 100_000_000  # attempt IDs of one dispatcher
 HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash
 
 
 class BalancingPolicy(Enum):
-    """How a dispatcher chooses among the nodes that it believes to be available."""
+    """How a dispatcher chooses among the nodes that it sees as available."""
 
     ROUND_ROBIN = "round"
     LEAST_REQUESTS = "least"  # fewest open requests of this dispatcher
@@ -31,7 +31,7 @@
 
 
 class RequestResult(StrEnum):
-    """How a request ends at its dispatcher; the values are the keys of the record."""
+    """The result of a request at its dispatcher; the values are keys of the JSON record."""
 
     COMPLETED = "completed"
     GAVE_UP = "given up"  # no further attempt is safe, allowed or in time
@@ -116,7 +116,8 @@
 
     def send(self) -> None:
         """Transmit the request, unless it gets lost, and set the timer that abandons the attempt."""
-        dispatcher, node = self.dispatcher, self.view.node
+        dispatcher = self.dispatcher
+        node = self.view.node
         behavior = dispatcher.behavior
         due = self.sent_at + min(behavior.timeout, self.work.request_class.client_timeout)
         dispatcher.audit.sent(
@@ -139,7 +140,7 @@
                 self.work.cost,
                 self._on_response_sent,
             )
-        wait = behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN
+        wait = behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN_NS
         dispatcher.clock.after(wait, self._on_timeout)
 
     def _on_response_sent(self, status: ResponseStatus, retry_after: int) -> None:
@@ -169,7 +170,7 @@
             return
         dispatcher = self.dispatcher
         self._close()
-        dispatcher.audit.excused(self.request_id, dispatcher.clock.now)  # no response is owed from here on
+        dispatcher.audit.excused(self.request_id, dispatcher.clock.now)  # the node need not respond any more
         dispatcher.clock.after(
             dispatcher.network_delay(), self.view.node.client_disconnected, self.wire_request
         )
@@ -194,8 +195,13 @@
         seed: int,
     ) -> None:
         """`mean_costs`: nanoseconds of a core that a request of each request class takes in the mean."""
-        self.number, self.clock, self.limits, self.mean_costs = number, clock, limits, mean_costs
-        self.behavior, self.audit, self.random = behavior, audit, Random(seed)
+        self.number = number
+        self.clock = clock
+        self.limits = limits
+        self.mean_costs = mean_costs
+        self.behavior = behavior
+        self.audit = audit
+        self.random = Random(seed)
         self.views: list[NodeView] = []
         self.rate = 0.0
         self.next_index = 0  # of the round robin
@@ -211,8 +217,9 @@
         self.views = [known.get(node) or NodeView(node) for node in nodes]
 
     def set_rate(self, rate: float) -> None:
-        """Create so many requests a second from now on."""
-        was_idle, self.rate = self.rate <= 0, rate
+        """Set the number of requests created a second."""
+        was_idle = self.rate <= 0
+        self.rate = rate
         if was_idle and rate > 0:
             self._schedule_next()
 
@@ -300,7 +307,8 @@
         work.finished = True
         self.counts[result] += 1
         if result is RequestResult.COMPLETED:
-            request_class, latency = work.request_class, self.clock.now - work.started_at
+            request_class = work.request_class
+            latency = self.clock.now - work.started_at
             self.latencies.append(latency)
             in_time = latency <= request_class.latency_objective
             self.goodput += request_class.priority_weight * (1.0 if in_time else request_class.late_weight)
--- a/oakkeel/fakes/link_mesh.py
+++ b/oakkeel/fakes/link_mesh.py
@@ -14,11 +14,12 @@
 
     def __init__(self, ports: dict[str, int], random: Random) -> None:
         """`ports` are those that the agents listen on, by host."""
-        self._ports, self._random = ports, random
+        self._ports = ports
+        self._random = random
         self.links: dict[tuple[str, str], FaultyLink] = {}
 
     async def open(self, source: str) -> dict[str, int]:
-        """Open the links of one host; returns the port to use in place of each other host's."""
+        """Open the links of one host; return the port by which it reaches each other host."""
         found = {}
         for host, port in self._ports.items():
             if host == source:
@@ -36,7 +37,8 @@
 
     def cut(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
         """Lose all that goes from some hosts to others, and (`both`) all that comes back."""
-        sources, destinations = list(sources), list(destinations)
+        sources = list(sources)
+        destinations = list(destinations)
         directions = self._between(sources, destinations)
         if both:
             directions += self._between(destinations, sources)
--- a/oakkeel/fakes/load_generator.py
+++ b/oakkeel/fakes/load_generator.py
@@ -39,7 +39,7 @@
 
 
 class LoadSummary(msgspec.Struct, tag="summary"):
-    """All that was sent, by outcome, and the most that a request was sent after its time, in seconds."""
+    """The requests sent by outcome, and by how many seconds one was sent late at most."""
 
     counts: dict[str, int]
     max_send_delay: float
@@ -112,7 +112,8 @@
     transport, protocol = await loop.connect_write_pipe(asyncio.streams.FlowControlMixin, sys.stdout)
     transport.set_write_buffer_limits(high=0)  # `drain` waits until all is written
     output = asyncio.StreamWriter(transport, protocol, None, loop)
-    encoder, decoder = msgspec.json.Encoder(), msgspec.json.Decoder(LoadCommand)
+    encoder = msgspec.json.Encoder()
+    decoder = msgspec.json.Decoder(LoadCommand)
 
     def report(item: RequestReport | LoadSummary) -> None:
         output.write(encoder.encode(item) + b"\n")  # buffered: a slow reader doesn't hold up what is sent
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from oakkeel.disruption.state import OPEN_STATES, DisruptionOrder, DisruptionTask
+from oakkeel.disruption.state import OPEN_STATES, TIMEOUT_OPERATOR, DisruptionOrder, DisruptionTask
 from oakkeel.rollout import commands
 from oakkeel.rollout.gates import Arm, Decision, Gate
 from oakkeel.rollout.observations import Observations
@@ -19,7 +19,6 @@
 MAX_BATCH = 500  # targets
 BATCH_GRACE_NS = 8 * SECOND  # after the timeout of a batch, for its last reports to arrive
 MAX_LISTED_TARGETS = 5  # in a message
-EXPIRED = "its time"  # stored as the one who halted an order whose timeout has passed
 NOT_STARTED = ("refused", "expired", "halted", "cancelled", "done")  # states of a task that changed nothing
 
 
@@ -109,7 +108,7 @@
     """Return whether the batch no longer has to complete: an operator stopped or reversed it."""
     release = view.release
     order = view.order
-    order_halted = bool(order and order.halted_by not in ("", EXPIRED))
+    order_halted = bool(order and order.halted_by not in ("", TIMEOUT_OPERATOR))
     reversed_since = release.batch_forward is release.rolling_back
     return release.state in ("paused", "halted") or order_halted or reversed_since
 
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from oakkeel.disruption.topology import Topology, UnavailableTargets
+from oakkeel.disruption.topology import DEPENDENCY_REASON_PREFIX, Topology, UnavailableTargets
 from oakkeel.units import SECOND
 
 MAX_REPORT_AGE_NS = 3 * SECOND  # an older report is stale
@@ -23,7 +23,6 @@
 MIN_CHECKED_LOAD = 0.05  # cores of a site; below it, its capacity is not checked
 MIN_CAPACITY = 1e-9  # cores, so that no capacity at all is still exceeded by the load
 UNKNOWN_AT = -(1 << 62)  # of a target without a report
-DEPENDENT_REASON = "hangs on"  # start of the reasons that `UnavailableTargets` adds for a dependency
 NONE_AVAILABLE = "all remaining targets are unavailable"
 
 
@@ -110,7 +109,7 @@
             elif target not in unavailable.reasons:
                 available.append(target)
             elif observation.phase != "draining" and not any(
-                reason.startswith(DEPENDENT_REASON) for reason in unavailable.reasons[target]
+                reason.startswith(DEPENDENCY_REASON_PREFIX) for reason in unavailable.reasons[target]
             ):
                 broken.append(target)
         if not broken and not available:
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -4,8 +4,8 @@
 from unittest import mock
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.allocator import PermitTimeouts
 from oakkeel.disruption.state import Rejection
+from oakkeel.disruption.timeouts import PermitTimeouts
 from oakkeel.emulator.policy_change import PolicyHost, PolicySimulation
 from oakkeel.invariants.policy_change import PolicyChangeAudit
 from oakkeel.models import policy_change as model
@@ -27,7 +27,7 @@
 )
 from oakkeel.units import SECOND
 
-DRIFT = PermitTimeouts().drift
+DRIFT = PermitTimeouts().max_clock_drift_ratio
 
 
 class PolicyStateMachineTest(unittest.TestCase):
@@ -180,6 +180,18 @@
             made += len(simulation.audit.decided)
         self.assertGreater(made, 100)
 
+    def test_a_version_that_a_host_cannot_use_is_refused_and_never_used(self):
+        refused = 0
+        for seed in range(40):
+            simulation = PolicySimulation(seed)
+            simulation.run()
+            for policy in simulation.state_machine.state.policies.values():
+                if policy.state == "refused":
+                    refused += 1
+                    self.assertIn("this host cannot use it", policy.state_reason)
+                    self.assertNotIn(policy.number, simulation.audit.decided)
+        self.assertGreater(refused, 0)
+
     def test_catches_nodes_that_go_on_without_a_lease(self):
         with mock.patch.object(NodePolicyLease, "may_decide", lambda policy, now: policy.expires_at > 0):
             self.assertRegex(self.breaches()[0], "promise 11: ")
