--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -9,6 +9,7 @@
 from rich.table import Table
 
 from oakkeel.agent import messages
+from oakkeel.disruption.state import TIMEOUT_OPERATOR
 from oakkeel.rendering.tables import plain_table
 from oakkeel.rendering.times import format_age, format_duration
 
@@ -22,7 +23,6 @@
 }
 OTHER_TASK_STYLE = "red"
 NO_REPLICA = "none"  # role that an agent reports if its host has no replica
-DEADLINE_PASSED = "its time"  # stored as the operator who halted an order that timed out
 MAX_DISPLAYED_ORDERS = 10
 
 
@@ -144,6 +144,6 @@
         title += ", all or nothing"
     if order.cancelled:
         return f"{title}, cancelled by {order.cancelled}"
-    if order.halted == DEADLINE_PASSED:
+    if order.halted == TIMEOUT_OPERATOR:
         return f"{title}, timed out"
     return f"{title}, halted by {order.halted}" if order.halted else title
