--- a/measure/gates.py
+++ b/measure/gates.py
@@ -21,16 +21,8 @@
 from scipy import stats
 
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
-from oakkeel.rollout.gates import (
-    AgeClass,
-    Arm,
-    Decision,
-    Gate,
-    Population,
-    ProcessIdentity,
-    ProcessReport,
-    Samples,
-)
+from oakkeel.rollout.gates import Decision, Gate
+from oakkeel.rollout.samples import AgeClass, Arm, Population, ProcessIdentity, ProcessReport, Samples
 from oakkeel.rollout.sequential import Sums
 from oakkeel.units import SECOND
 
--- a/oakkeel/agent/target_status.py
+++ b/oakkeel/agent/target_status.py
@@ -6,8 +6,8 @@
 
 from oakkeel.agent.instances import Instance, Phase
 from oakkeel.control.messages import NodeStatus
-from oakkeel.rollout.gates import Samples
 from oakkeel.rollout.messages import TargetStatus
+from oakkeel.rollout.samples import Samples
 from oakkeel.rollout.sequential import Sums
 
 NO_REPORT_AGE = -1
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -10,9 +10,10 @@
 
 from oakkeel.disruption.state import OPEN_STATES, TIMEOUT_OPERATOR, DisruptionOrder, DisruptionTask
 from oakkeel.rollout import commands
-from oakkeel.rollout.gates import Arm, Decision, Gate
+from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.observations import Observations
 from oakkeel.rollout.plan import BatchLimits
+from oakkeel.rollout.samples import Arm
 from oakkeel.rollout.state_machine import Release, RolloutState
 from oakkeel.units import SECOND
 
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -13,20 +13,18 @@
 
 from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.allocator import PermitAllocator
-from oakkeel.disruption.lease_holder import LeaseHolder
 from oakkeel.disruption.messages import Heartbeat
 from oakkeel.disruption.state import OPEN_STATES, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.batches import MAX_LISTED_TARGETS, BatchView, Step, finish_batch, start_batch
+from oakkeel.rollout.controller_lease import ControllerLease
 from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.messages import AgentAssignments, AgentReport, decode_report, encode
 from oakkeel.rollout.observations import Observations
-from oakkeel.rollout.state_machine import LEASE, Release, RolloutStateMachine
+from oakkeel.rollout.state_machine import Release, RolloutStateMachine
 from oakkeel.units import MS, SECOND
 
-LEASE_DURATION_NS = 2 * SECOND
-LEASE_RENEWAL_NS = LEASE_DURATION_NS * 3 // 4  # before its end, so that some renewals may be lost
-RETRY_DELAY_NS = 200 * MS  # after a lease that another controller holds, or a rejected step
+STEP_RETRY_DELAY_NS = 200 * MS  # after a rejected step
 PLAN_RETRY_DELAY_NS = 250 * MS  # after a plan without a target
 GATE_STORAGE_INTERVAL_NS = 2 * SECOND
 MAX_ATTEMPTS = 4  # for one target, before the release halts
@@ -51,9 +49,7 @@
         """`holder` is a name that no earlier controller had."""
         self.state_machine = state_machine
         self.allocator = allocator
-        self.lease = LeaseHolder(LEASE, holder, LEASE_DURATION_NS)
-        self.lease_requested_at = 0  # 0: no request is in flight
-        self.next_lease_request = now
+        self.lease = ControllerLease(now, holder)
         self.observations = Observations(allocator)
         self.gate: Gate | None = None
         self.gate_key = ""  # release and direction of the gate
@@ -138,26 +134,20 @@
         """Handle the result of a command that was applied."""
         if isinstance(command, permit_commands.SetTopology):
             self.observations.update_topology()
-        if (
-            isinstance(command, permit_commands.AcquireLease)
-            and command.name == LEASE
-            and command.holder == self.lease.holder
-        ):
-            if not self.lease.receive_result(self.lease_requested_at, result):
-                self.next_lease_request = now + RETRY_DELAY_NS
-            self.lease_requested_at = 0
+        if self.lease.is_own_request(command):
+            self.lease.receive_result(now, result)
         if self._is_proposed(command):
             self.proposed = b""
             if isinstance(result, Rejection):
                 self.why = result.reason
-                self.next_step = now + RETRY_DELAY_NS
+                self.next_step = now + STEP_RETRY_DELAY_NS
             elif isinstance(command, commands.FinishBatch):
                 self.waiting_since = now
 
     def lost(self, command: object) -> None:
         """Handle a command that was not committed."""
         if isinstance(command, permit_commands.AcquireLease):
-            self.lease_requested_at = 0
+            self.lease.lost()
         if self._is_proposed(command):
             self.proposed = b""
 
@@ -174,10 +164,8 @@
             self.gate = None
             self.gate_key = ""
             return wanted
-        if self._needs_lease(now):
-            self.lease_requested_at = now
-            self.next_lease_request = now + RETRY_DELAY_NS
-            wanted.append(self.lease.acquire_command())
+        if self.lease.needs_request(now):
+            wanted.append(self.lease.request(now))
         if not self.lease.is_held(now) or self.proposed or now < self.next_step:
             return wanted
         gate = self._current_gate(now, release)
@@ -192,12 +180,6 @@
             wanted.append(step.command)
         return wanted
 
-    def _needs_lease(self, now: int) -> bool:
-        """Return whether to request the lease: it is not held, or expires soon."""
-        if self.lease_requested_at or now < self.next_lease_request:
-            return False
-        return not self.lease.is_held(now) or now > self.lease.expires_at - LEASE_RENEWAL_NS
-
     def _next(self, now: int, release: Release, gate: Gate) -> Step:
         """Return the next step of a release, by its state: prepare, start or finish a batch, wait, finish."""
         view = BatchView(
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -1,27 +1,24 @@
 """Gates of a release: compare the new version with the old at the same time, by the nodes' reports.
 
-Free of I/O. Each process reports totals since its start. The difference of two reports is added to the arm of
-the process, new or old, and to its age class: cold processes are compared with cold ones only, such as the
-controls of the first batch. All metrics share one bound on the probability of halting a version that is as
-good as the old.
+Free of I/O. Cold processes are compared with cold ones only, such as the controls of the first batch. All
+metrics share one bound on the probability of halting a version that is as good as the old.
 """
 
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import Enum, StrEnum
 
 import msgspec
 
+from oakkeel.rollout.samples import AgeClass, Arm, Population, ProcessReport, SampleCollector, Window
 from oakkeel.rollout.sequential import Difference, Events, Sums, log_mean
 from oakkeel.units import SECOND
 
 FALSE_HALT_RATE = 0.01
 FALSE_PASS_RATE = 0.05
 WINDOW_NS = SECOND  # samples of one window are compared with each other
-MIN_MEMORY_WINDOW_NS = 5 * SECOND  # over a shorter time, noise exceeds the growth
-MAX_REQUEST_CLASSES = 16
 MAX_DEATHS = 3  # of processes of the new version, below which no release halts for the number alone
 MAX_DEATH_RATIO = 0.1  # of the processes of the new version
 MIN_SAMPLES = 50  # requests of each arm before a metric counts
@@ -48,21 +45,6 @@
 MAX_DISPLAYED_SPREAD = 9.0
 
 
-class Arm(StrEnum):
-    """The version that a process counts for in the comparison."""
-
-    NEW = "new"
-    OLD = "old"
-    NEITHER = ""
-
-
-class AgeClass(StrEnum):
-    """Whether a process is still warming up."""
-
-    COLD = "cold"
-    WARM = "warm"
-
-
 class Metric(StrEnum):
     """What the versions are compared by, as reasons name it."""
 
@@ -74,17 +56,6 @@
     LATENCY = "latency"
 
 
-class Samples(msgspec.Struct, array_like=True):
-    """What one process has counted since its start."""
-
-    # Of each request: the part of its full priority weight that its answer earned.
-    earned_weight: Sums = msgspec.field(default_factory=Sums)
-    rejected: float = 0.0
-    failed: float = 0.0
-    memory_kb: float = 0.0
-    latencies: dict[str, Sums] = {}  # by request class: logs of seconds until completed
-
-
 class Decision(Enum):
     """What a gate concludes from its samples."""
 
@@ -114,58 +85,6 @@
     population: int = 0  # maximum number of processes of the new version at a crash
 
 
-@dataclass(slots=True, frozen=True)
-class ProcessIdentity:
-    """The process that totals belong to: a new generation starts counting at zero."""
-
-    version: str
-    generation: int
-
-
-@dataclass(slots=True, frozen=True)
-class ProcessReport:
-    """The totals of one process at one time."""
-
-    process: ProcessIdentity
-    age: AgeClass
-    samples: Samples
-
-
-@dataclass(slots=True, frozen=True)
-class MemoryReading:
-    """The resident memory of a process at one time."""
-
-    observed_at: int  # nanoseconds
-    memory_kb: float
-
-
-@dataclass(slots=True, eq=False)
-class ProcessBaseline:
-    """The last report of one process, which the next one is compared with."""
-
-    report: ProcessReport
-    arm: Arm
-    memory: MemoryReading | None = None  # from which its growth is measured
-
-
-@dataclass(slots=True, frozen=True)
-class Population:
-    """The number of running processes of each arm."""
-
-    new: int
-    old: int
-
-
-@dataclass(slots=True, eq=False)
-class Window:
-    """The samples since the last comparison, by arm and age class or request class."""
-
-    earned_weight: dict[tuple[Arm, AgeClass], Sums] = field(default_factory=dict)
-    rejected: dict[Arm, Sums] = field(default_factory=dict)
-    latencies: dict[tuple[Arm, str], Sums] = field(default_factory=dict)
-    memory_growth: dict[Arm, Sums] = field(default_factory=dict)
-
-
 class Gate:
     """The sequential tests of one release in one direction."""
 
@@ -179,8 +98,7 @@
             self.state = msgspec.msgpack.decode(state, type=GateState) if state else GateState()
         except msgspec.MsgspecError:
             self.state = GateState()
-        self.baselines: dict[str, ProcessBaseline] = {}
-        self.window = Window()
+        self.collector = SampleCollector()
         self.window_start = now
 
     def encode_state(self) -> bytes:
@@ -192,49 +110,8 @@
         return self.state.warm.new.count
 
     def record(self, now: int, target: str, arm: Arm, report: ProcessReport) -> None:
-        """Add a report of a target's process, which counts for `arm`."""
-        baseline = self.baselines.get(target)
-        if baseline is None or baseline.report.process != report.process:
-            self.baselines[target] = ProcessBaseline(report, arm)
-            return
-        if report.samples.earned_weight.count < baseline.report.samples.earned_weight.count:
-            return  # an older report
-        same_group = baseline.report.age is report.age and baseline.arm is arm
-        if same_group and arm is not Arm.NEITHER:
-            self._add_to_window(now, baseline, report.samples)
-        else:
-            baseline.memory = None
-        baseline.report = report
-        baseline.arm = arm
-
-    def _add_to_window(self, now: int, baseline: ProcessBaseline, samples: Samples) -> None:
-        """Add what a process counted since its last report."""
-        window = self.window
-        arm = baseline.arm
-        age = baseline.report.age
-        before = baseline.report.samples
-        earned_weight = samples.earned_weight.minus(before.earned_weight)
-        window.earned_weight.setdefault((arm, age), Sums()).add(earned_weight)
-        if age is AgeClass.COLD:
-            return
-        rejected = max(0.0, samples.rejected - before.rejected)
-        window.rejected.setdefault(arm, Sums()).add(Sums(earned_weight.count, rejected, rejected))
-        for request_class, latencies in list(samples.latencies.items())[:MAX_REQUEST_CLASSES]:
-            earlier = before.latencies.get(request_class, Sums())
-            window.latencies.setdefault((arm, request_class), Sums()).add(latencies.minus(earlier))
-        self._add_memory(baseline, MemoryReading(now, samples.memory_kb))
-
-    def _add_memory(self, baseline: ProcessBaseline, reading: MemoryReading) -> None:
-        """Add the memory growth per second, measured over times long enough to average out noise."""
-        first = baseline.memory
-        if first is None:
-            baseline.memory = reading
-            return
-        elapsed = reading.observed_at - first.observed_at
-        if elapsed >= MIN_MEMORY_WINDOW_NS:
-            rate = (reading.memory_kb - first.memory_kb) / (elapsed / SECOND)
-            self.window.memory_growth.setdefault(baseline.arm, Sums()).add(Sums(1, rate, rate * rate))
-            baseline.memory = reading
+        """Add a report of a target's process, which counts for `arm`; `now` in nanoseconds."""
+        self.collector.record(now, target, arm, report)
 
     def record_death(self, arm: Arm, running: Population) -> None:
         """Add a crash of a process of `arm`; `running` includes that process."""
@@ -248,7 +125,7 @@
         """Compare both arms over the current window once it is long enough, and begin the next window."""
         if now - self.window_start < WINDOW_NS:
             return
-        window = self.window
+        window = self.collector.window
         state = self.state
         _observe_loss(state.warm, window, AgeClass.WARM, INITIAL_WARM_VARIANCE)
         _observe_loss(state.cold, window, AgeClass.COLD, INITIAL_COLD_VARIANCE)
@@ -263,7 +140,7 @@
                 _negated(growth_old), _negated(growth_new), INITIAL_MEMORY_GROWTH_VARIANCE
             )
             window.memory_growth.clear()
-        self.window = Window(memory_growth=window.memory_growth)
+        self.collector.window = Window(memory_growth=window.memory_growth)
         self.window_start = now
 
     def _observe_latencies(self, window: Window) -> None:
--- a/oakkeel/rollout/messages.py
+++ b/oakkeel/rollout/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from oakkeel.rollout.commands import VersionSpec
-from oakkeel.rollout.gates import Samples
+from oakkeel.rollout.samples import Samples
 
 
 class TargetStatus(msgspec.Struct, array_like=True):
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -6,9 +6,10 @@
 
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.state import DisruptionTask
-from oakkeel.rollout.gates import AgeClass, Arm, Gate, Population, ProcessIdentity, ProcessReport
+from oakkeel.rollout.gates import Gate
 from oakkeel.rollout.messages import TargetStatus
 from oakkeel.rollout.plan import BatchPlanner, TargetObservation
+from oakkeel.rollout.samples import AgeClass, Arm, Population, ProcessIdentity, ProcessReport
 from oakkeel.rollout.state_machine import Release
 
 COLD_PHASE = "cold"  # warming up
--- a/tests/rollout/test_gates.py
+++ b/tests/rollout/test_gates.py
@@ -4,7 +4,8 @@
 import unittest.mock
 from random import Random
 
-from oakkeel.rollout.gates import AgeClass, Arm, Decision, Gate, ProcessIdentity, ProcessReport, Samples
+from oakkeel.rollout.gates import Decision, Gate
+from oakkeel.rollout.samples import AgeClass, Arm, ProcessIdentity, ProcessReport, Samples
 from oakkeel.rollout.sequential import Difference, Events, Sums
 from oakkeel.units import SECOND
 
