--- a/tests/admission/test_capacity.py
+++ b/tests/admission/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Bounds of one node: memory, slow start, and what reading leaves."""
+"""Bounds of one node: memory, slow start, and concurrency beside the parsing backlog."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from tests.support.fake_host import FakeHost
 
 
-class CapacityTest(unittest.TestCase):
+class ConcurrencyTest(unittest.TestCase):
     def test_bounds_queue_and_runs_by_memory(self):
         host = FakeHost(memory_kb=2000)
         requests = [host.arrive() for _ in range(30)]
@@ -42,7 +42,7 @@
         self.assertLess(len(host.in_state(requests, RequestState.RUNNING)), host.limits.cores)
 
     def test_reads_first_while_arrivals_are_stale(self):
-        # In a jam one run beside the reading made all that was read too old; no node came out of it.
+        # One run beside the parsing would make every request too old, and the backlog would never end.
         host = FakeHost()
         host.gauges.run_queue = 4
         host.run_until(2 * SECOND)
@@ -59,7 +59,7 @@
         self.assertEqual([action[2] for action in host.actions if action[0] == "reject"], [True])
 
     def test_rejects_early_when_stuck_and_probes_again(self):
-        # On a node slowed many times nothing completed, so it went on to take work that it gave up.
+        # Where nothing completes, timed-out runs must count as service times, and then fade.
         host = FakeHost()
         wave = [host.arrive() for _ in range(4)]
         host.run_until(host.now + 2 * SECOND)
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -1,10 +1,12 @@
 """Downstream calls: quota, circuit breaker, optional calls."""
 
 import unittest
+from dataclasses import replace
 
-from oakkeel.admission.types import DownstreamKind, Outcome, RequestState, StopKind
+from oakkeel.admission.downstream_calls import MAX_CALL_ATTEMPTS, FailedCallStep, step_after_failed_call
+from oakkeel.admission.types import DownstreamKind, Idempotency, Outcome, RequestState, StopKind
 from oakkeel.units import MS, SECOND
-from tests.support.fake_host import FakeHost
+from tests.support.fake_host import GROUP, FakeHost, make_request
 
 
 class DownstreamCallsTest(unittest.TestCase):
@@ -64,7 +66,7 @@
         self.assertEqual(sum(action[0] == "call" for action in host.actions), 6)
 
     def test_waits_for_room_before_it_skips_a_call(self):
-        # Leaving calls out at the first full moment gave up half the benefit for a wait of milliseconds.
+        # The quota is often free again after milliseconds, and a skipped call costs half of the weight.
         host = FakeHost(
             request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.SHARED, downstream_quota=1
         )
@@ -76,7 +78,7 @@
         self.assertEqual(host.actions_on(second), ["run", "skip_call"])
 
     def test_ends_a_call_in_time_to_go_on_without_it(self):
-        # Calls through a dead dispatcher hung until nothing could be done in time without them.
+        # A call that hangs must leave time to complete without it.
         host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.TIER)
         request = host.arrive()
         host.need_call(request)
@@ -85,3 +87,40 @@
         host.run_until(until)
         host.finish_call(request, Outcome.TIMED_OUT)
         self.assertEqual(host.actions_on(request), ["run", "call", "skip_call"])
+
+    def test_repeats_the_call_of_a_non_idempotent_request_only_if_it_never_ran(self):
+        for outcome, calls in ((Outcome.CONNECT_FAILED, 2), (Outcome.RESET, 1)):
+            host = FakeHost(
+                request_classes=[{"idempotency": Idempotency.NON_IDEMPOTENT}], downstream=DownstreamKind.TIER
+            )
+            request = host.arrive()
+            host.need_call(request)
+            host.finish_call(request, outcome)
+            self.assertEqual(host.actions_on(request).count("call"), calls)
+
+    def test_repeats_an_optional_call_only_where_its_link_failed(self):
+        for outcome, expected in (
+            (Outcome.RESET, "call"),
+            (Outcome.CONNECT_FAILED, "call"),
+            (Outcome.REJECTED, "skip_call"),
+            (Outcome.TIMED_OUT, "skip_call"),
+        ):
+            host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.TIER)
+            request = host.arrive()
+            host.need_call(request)
+            host.finish_call(request, outcome)
+            self.assertEqual(host.actions_on(request)[2:], [expected])
+
+    def test_gives_a_call_up_after_its_attempts(self):
+        request = make_request(failed_calls=MAX_CALL_ATTEMPTS - 1)
+        self.assertIs(step_after_failed_call(request, Outcome.RESET), FailedCallStep.RETRY)
+        request.failed_calls += 1
+        self.assertIs(step_after_failed_call(request, Outcome.RESET), FailedCallStep.FAIL)
+
+    def test_skips_an_optional_call_after_its_attempts(self):
+        request = make_request(replace(GROUP, degraded_weight=0.5), failed_calls=MAX_CALL_ATTEMPTS)
+        self.assertIs(step_after_failed_call(request, Outcome.RESET), FailedCallStep.SKIP)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/admission/test_health.py
@@ -0,0 +1,26 @@
+"""Health: when a node leaves the endpoint list, and when it comes back."""
+
+import unittest
+
+from oakkeel.admission.health import (
+    MAX_STALENESS_RATIO,
+    MAX_STALENESS_RATIO_TO_RECOVER,
+    is_healthy,
+)
+
+
+class HealthTest(unittest.TestCase):
+    def test_becomes_unhealthy_at_the_maximum_staleness(self):
+        self.assertTrue(is_healthy(True, False, MAX_STALENESS_RATIO - 0.01))
+        self.assertFalse(is_healthy(True, False, MAX_STALENESS_RATIO))
+
+    def test_recovers_only_below_half_of_it(self):
+        self.assertFalse(is_healthy(False, False, MAX_STALENESS_RATIO_TO_RECOVER))
+        self.assertTrue(is_healthy(False, False, MAX_STALENESS_RATIO_TO_RECOVER - 0.01))
+
+    def test_is_never_healthy_while_it_drains(self):
+        self.assertFalse(is_healthy(True, True, 0.0))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -10,7 +10,7 @@
 
 class LoadReportTest(unittest.TestCase):
     def test_reports_unhealthy_while_it_reads_too_late(self):
-        # Slowed nodes went on getting requests that waited unread until their clients gave up.
+        # A slowed node would get requests that wait to be parsed until their clients time out.
         host = FakeHost()
         for _ in range(10):
             host.arrive(queueing_delay=1900 * MS)
@@ -32,7 +32,7 @@
         return [action[1] for action in host.actions if action[0] == "close_idle"][-1]
 
     def test_keeps_idle_connections_for_clients_that_return(self):
-        # Hundreds of clients that seldom return filled the tables; the others got no connection.
+        # Hundreds of clients that seldom return would fill the table of connections.
         self.assertGreater(self.idle_time(clients=5), 400 * MS)
         self.assertLess(self.idle_time(clients=100), 100 * MS)
 
@@ -45,7 +45,7 @@
         )
 
     def test_keeps_idle_connections_while_new_ones_crowd_the_cores(self):
-        # A hot key's node spent its cores on connections that it closed at once.
+        # The node of a hot key would spend its cores on connections that it closes at once.
         self.assertGreater(self.idle_time(clients=100, reading=20), SECOND)
 
     def test_lowers_the_advertised_share_poll_by_poll_while_full(self):
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -61,6 +61,22 @@
 )
 
 
+def make_request(request_class: RequestClass = GROUP, **fields: Any) -> Request:
+    """Return an ordinary request that was just read; `fields` replace those of it."""
+    given = {
+        "request_class": request_class,
+        "tenant": None,
+        "client": 0,
+        "memory_kb": 50,
+        "retry_attempt": False,
+        "remaining_time": request_class.client_timeout,
+        "queueing_delay": 0,
+        "has_key": False,
+        "is_duplicate": False,
+    }
+    return Request(**(given | fields))
+
+
 class FakeHost:
     """Records every action in `actions` and carries none out; timers wait for `run_until`."""
 
@@ -90,19 +106,11 @@
         self, class_index: int = 0, schedule: bool = True, tenant: int | None = None, **fields: Any
     ) -> Request:
         """Let a request arrive; `fields` replace those of an ordinary one."""
-        row = self.limits.request_classes[class_index]
-        given = {
-            "request_class": row,
-            "tenant": None if tenant is None else self.limits.tenants[tenant],
-            "client": 0,
-            "memory_kb": 50,
-            "retry_attempt": False,
-            "remaining_time": row.client_timeout,
-            "queueing_delay": 0,
-            "has_key": False,
-            "is_duplicate": False,
-        }
-        request = Request(**(given | fields))
+        request = make_request(
+            self.limits.request_classes[class_index],
+            tenant=None if tenant is None else self.limits.tenants[tenant],
+            **fields,
+        )
         self.admission.arrive(self.now, request)
         if schedule:
             self.admission.schedule(self.now)
