--- a/oakkeel/admission/__init__.py
+++ b/oakkeel/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of one oakkeel node: what it admits, rejects, runs, calls and tells its clients."""
+"""The decisions of one oakkeel node: admission, scheduling, downstream calls and signals to clients."""
 
 from oakkeel.admission.controller import POLL_TOKEN, AdmissionController
 from oakkeel.admission.overload import Stage
--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -1,4 +1,4 @@
-"""The downstream call of a running request: placed, waiting, retried, skipped or given up."""
+"""The downstream call of a running request: placed, waiting, retried, skipped or failed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self.awaiting: deque[Request] = deque()  # whose call can't be placed yet
 
     def needed(self, now: int, request: Request) -> None:
-        """Place the call without which a run can't go on."""
+        """Place the call that a run needs to go on."""
         if request.state is State.ORPHANED:
             self.node.occupancy.move(now, request, State.RELEASING)
         elif request.state is State.RUNNING:
@@ -33,7 +33,7 @@
             self._place_or_wait(now, request)
 
     def finished(self, now: int, request: Request, outcome: Outcome) -> None:
-        """Go on after a call, or retry it, skip it or give the request up."""
+        """Resume the run after a call, or retry the call, skip it or fail the request."""
         if request.state is not State.CALLING:
             return
         node = self.node
@@ -54,7 +54,7 @@
             self.ends.time_out(now, request)
 
     def place_waiting(self, now: int) -> None:
-        """Place the calls that now can be."""
+        """Place the waiting calls that the breaker and the quota now allow."""
         while self.awaiting and self._place(now, self.awaiting[0]):
             self.awaiting.popleft()
 
--- a/oakkeel/admission/circuit_breaker.py
+++ b/oakkeel/admission/circuit_breaker.py
@@ -19,11 +19,11 @@
         self.next_probe_at = 0
 
     def is_open(self) -> bool:
-        """Tell whether calls are expected to fail."""
+        """Return whether calls are expected to fail."""
         return self.failures_in_row >= MAX_FAILURES_IN_ROW
 
     def allows_call(self, now: int) -> bool:
-        """Tell whether a call may be placed: any while closed, one probe at a time while open."""
+        """Return whether a call may be placed: any while closed, one probe at a time while open."""
         return not self.is_open() or now >= self.next_probe_at
 
     def call_placed(self, now: int) -> None:
--- a/oakkeel/admission/concurrency.py
+++ b/oakkeel/admission/concurrency.py
@@ -18,12 +18,12 @@
 
 
 def is_memory_full(request: Request, memory_kb: float, limits: NodeLimits) -> bool:
-    """Tell whether a request that arrives would exceed the memory, of which `memory_kb` is in use."""
+    """Return whether a request that arrives would exceed the memory, of which `memory_kb` is in use."""
     return memory_kb + request.memory_kb + limits.key_kb > limits.memory_kb * MAX_MEMORY_RATIO
 
 
 def has_memory_to_run(request: Request, memory_kb: float, limits: NodeLimits) -> bool:
-    """Tell whether the memory leaves what a queued request takes more once it runs."""
+    """Return whether there is memory for the growth of a queued request when it starts to run."""
     growth_kb = request.memory_kb * (limits.running_memory_factor - 1)
     return memory_kb + growth_kb <= limits.memory_kb * MAX_RUNNING_MEMORY_RATIO
 
@@ -35,7 +35,7 @@
         """Start with no parsing backlog."""
         self.limits = limits
         self.run_limit = limits.cores * MAX_RUNS_PER_CORE
-        self.parsing_backlog = 0.0  # what wanted a core beside runs, when last seen
+        self.parsing_backlog = 0.0  # tasks other than runs that wanted a core, when last seen
         self.parsing_backlogs = SlidingWindow()
         self.staleness_ratio = 0.0  # of the last arrival: its queueing delay over its latency objective
 
@@ -55,11 +55,11 @@
     def allowed_runs(self, expanded: bool) -> float:
         """Return how many requests may run now, less while requests wait to be parsed.
 
-        None starts while arrivals are stale: runs beside the parsing would make all of them too old.
+        None starts while arrivals are stale: runs would delay the parsing until every request is too old.
         """
         parsing = self.parsing_per_core()
-        most = MAX_EXPANDED_RUNS_PER_CORE if expanded else MAX_RUNS_PER_CORE
-        per_core = max(MIN_RUNS_PER_CORE, min(most, MAX_RUNS_AND_PARSING_PER_CORE - parsing))
+        max_per_core = MAX_EXPANDED_RUNS_PER_CORE if expanded else MAX_RUNS_PER_CORE
+        per_core = max(MIN_RUNS_PER_CORE, min(max_per_core, MAX_RUNS_AND_PARSING_PER_CORE - parsing))
         self.run_limit = per_core * self.limits.cores
         if self.staleness_ratio > MAX_STALENESS_RATIO and parsing > MAX_STALE_PARSING_PER_CORE:
             return 0
@@ -74,5 +74,5 @@
 
 
 def may_start(on_cores: int, calling: int, allowed_runs: float, max_active: float) -> bool:
-    """Tell whether one request more may run."""
+    """Return whether one request more may run."""
     return on_cores + RUN_ROUNDING <= allowed_runs and on_cores + calling + 1 <= max_active
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -122,7 +122,7 @@
         self.retries.add(now, request.retry_attempt)
 
     def _set_rank(self, now: int, request: Request) -> None:
-        """Rank a request; one that comes by a reservation is above, one over its share below all others."""
+        """Rank a request; one with a reservation ranks above all others, one over its share below them."""
         request.rank = self.ranking.rank(now, request, self.chance())
         if self.fair_sharing:
             service_time = self.ranking.service_time(request)
@@ -209,11 +209,11 @@
                 self.ends.reject(now, request, Rejection.FINAL)
 
     def call_needed(self, now: int, request: Request) -> None:
-        """Place the downstream call without which a run can't go on."""
+        """Place the downstream call that a run needs to go on."""
         self.calls.needed(now, request)
 
     def call_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
-        """Go on after a downstream call, or retry it, skip it or give the request up."""
+        """Resume the run after a downstream call, or retry the call, skip it or fail the request."""
         self.calls.finished(now, request, outcome)
 
     def run_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
@@ -277,7 +277,7 @@
                 self._enqueue(now, request)
 
     def _poll(self, now: int, gauges: Gauges) -> None:
-        """Follow the signals, and tell clients what they mean for them."""
+        """Follow the signals of overload, and send health, load report and idle time."""
         self.overload.poll(now, gauges.core_busy, self.node.depth_per_core())
         self.occupancy.expire_keys(now)
         self.ranking.poll(now, self.started)
--- a/oakkeel/admission/deadline.py
+++ b/oakkeel/admission/deadline.py
@@ -36,14 +36,14 @@
 
 
 def can_end_in_time(now: int, request: Request, service_time: float) -> bool:
-    """Tell whether a request that starts now can end in time; a run that can't is wasted."""
+    """Return whether a request that starts now can end in time; a run that can't is wasted."""
     return now + MIN_SERVICE_TIME_RATIO * service_time <= min(request.objective_end, request.deadline)
 
 
 def can_end_in_time_after_queue(
     now: int, request: Request, service_time: float, queue_wait_time: float
 ) -> bool:
-    """Tell whether a request can end in time behind what is queued before it."""
+    """Return whether a request can end in time after its wait in the queue."""
     needed = int(MIN_SERVICE_TIME_RATIO * (service_time + queue_wait_time))
     return now + needed <= min(request.objective_end, request.deadline)
 
--- a/oakkeel/admission/drain.py
+++ b/oakkeel/admission/drain.py
@@ -29,7 +29,7 @@
         self.grace_end = 0
 
     def is_past_grace(self, now: int, queueing_delay: int) -> bool:
-        """Tell whether a request reached the machine after the grace period.
+        """Return whether a request reached the machine after the grace period.
 
         Until then clients may not have received the notice.
         """
--- a/oakkeel/admission/duplicates.py
+++ b/oakkeel/admission/duplicates.py
@@ -6,7 +6,7 @@
 
 
 def is_coalesced(request: Request, cache_ttl: int, memory_full: bool) -> bool:
-    """Tell whether a request waits for the result of the one that it duplicates.
+    """Return whether a request waits for the result of the one that it duplicates.
 
     That prevents a second effect, and a result is cheaper than a run. A read is not coalesced into a full
     memory; `cache_ttl` (nanoseconds) is how long an answer may serve reads, 0 where none may.
@@ -17,7 +17,7 @@
 
 
 def retains_key(request: Request, cache_ttl: int) -> bool:
-    """Tell whether later requests with the key of an admitted one are duplicates."""
+    """Return whether later requests with the key of an admitted one are duplicates."""
     if not request.has_key:
         return False
     return bool(cache_ttl) or request.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -85,14 +85,14 @@
         return ShareStatus.EXCEEDED if self._exceeds_share(now, request, flow) else ShareStatus.WITHIN_SHARE
 
     def _postpone(self, now: int, ahead: Reservation, request: Request, flow: Flow) -> None:
-        """Postpone the reservation of a client that came early by what its work takes at its share."""
+        """Postpone the reservation of a client that came early by the time that its work takes."""
         if ahead.early_attempts < MAX_POSTPONEMENTS and self.reservations.remembers_all(flow.key):
             own_time = min(MAX_POSTPONEMENT_NS, time_for_work(request.expected_work, flow.allowed_rate))
             not_before = ahead.due_at + max(RESERVATION_STEP_NS, own_time)
             self.reservations.postpone(now, ahead, not_before, self.reservable_work)
 
     def _exceeds_share(self, now: int, request: Request, flow: Flow) -> bool:
-        """Tell whether the flow has used its share or its retries; unknown flows keep theirs by chance."""
+        """Return whether the flow has used its share or its retries; unknown flows keep theirs by chance."""
         is_known = self.shares.is_known(now, flow)
         if flow.allowed_rate < inf:
             exceeds = flow.free_at > now + MAX_BURST_NS
--- a/oakkeel/admission/health.py
+++ b/oakkeel/admission/health.py
@@ -7,9 +7,9 @@
 
 
 def is_healthy(was_healthy: bool, is_draining: bool, staleness_ratio: float) -> bool:
-    """Tell whether clients should use the node; one that parses too late can't even reject in time.
+    """Return whether clients should use the node; one that parses too late can't even reject in time.
 
     `staleness_ratio` is the mean queueing delay of the last seconds over the latency objective.
     """
-    most = MAX_STALENESS_RATIO if was_healthy else MAX_STALENESS_RATIO_TO_RECOVER
-    return not is_draining and staleness_ratio < most
+    limit = MAX_STALENESS_RATIO if was_healthy else MAX_STALENESS_RATIO_TO_RECOVER
+    return not is_draining and staleness_ratio < limit
--- a/oakkeel/admission/idle_connections.py
+++ b/oakkeel/admission/idle_connections.py
@@ -42,7 +42,7 @@
 def crowded_idle_time(connections: float, parsing_backlog: float, cores: int) -> int:
     """Return the idle time in nanoseconds that bounds new connections where these crowd the cores; else 0.
 
-    A full table rejects clients before they cost anything. `parsing_backlog` is the mean of the last seconds.
+    A full table rejects clients before they take a core. `parsing_backlog` is the mean of the last seconds.
     """
     if parsing_backlog > MAX_PARSING_PER_CORE * cores:
         return int(connections * SECOND / (MAX_NEW_CONNECTIONS_PER_CORE_S * cores))
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -99,7 +99,7 @@
         return max(self.cpu_stage, self.depth_stage, self.latency_stage)
 
     def rejects_by_depth(self) -> bool:
-        """Tell whether the depth alone is at REJECT, as last followed."""
+        """Return whether the depth alone is at REJECT, as last followed."""
         return self.depth_stage is Stage.REJECT
 
     def arrival_stage(self, depth: float) -> Stage:
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -29,7 +29,7 @@
         self.node.host.reject(request, rejection is Rejection.FINAL, retry_after)
 
     def _retry_after(self, now: int, request: Request) -> int:
-        """Return when to retry: by the share of its flow where that is known.
+        """Return when to retry: by the share of its flow if it has one.
 
         A node that drains reserves nothing, as it will not be there.
         """
@@ -41,7 +41,7 @@
     def time_out(self, now: int, request: Request) -> None:
         """Answer a request that can no longer be in time, and stop its work.
 
-        One that started is failed, not rejected, where it may not take effect again.
+        A request that started is failed, not rejected, if it may take effect only once.
         """
         if request.state in QUEUED_STATES:
             self.reject(now, request, Rejection.FINAL)
@@ -53,7 +53,7 @@
             self.abandon(now, request)
 
     def abandon(self, now: int, request: Request) -> None:
-        """Stop the work of a request that nobody waits for, so that it takes no core from others."""
+        """Stop the work of a request whose answer no client awaits, to free the core for others."""
         node = self.node
         if request.state is State.RUNNING:
             node.occupancy.move(now, request, State.ORPHANED)
--- a/oakkeel/admission/shedding.py
+++ b/oakkeel/admission/shedding.py
@@ -36,7 +36,7 @@
         self.threshold += self.step_ratio * (MAX_SHED_RATIO * min(1.0, max(0.0, position)) - self.threshold)
 
     def sheds(self, stage: Stage, rank: float) -> bool:
-        """Tell whether a request of this rank is shed, so that the cores are left to what is worth most."""
+        """Return whether a request of this rank is shed, to keep the cores for higher ranks."""
         return stage >= Stage.REORDER and rank < self.threshold
 
 
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -111,7 +111,7 @@
 
     @property
     def at_most_once(self) -> bool:
-        """Tell whether a request of this class may take effect only once."""
+        """Return whether a request of this class may take effect only once."""
         return self.idempotency is not Idempotency.IDEMPOTENT
 
 
