--- a/oakkeel/control/__init__.py
+++ b/oakkeel/control/__init__.py
@@ -1,1 +1,1 @@
-"""The side towards whoever looks after a node: its state, and the orders for it, on a Unix socket."""
+"""The control link between an agent and its node: status reports and orders, on a Unix socket."""
--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-MAX_LINE_BYTES = 4096  # bytes of a line
+MAX_LINE_BYTES = 4096
 
 
 class StatusRequest(msgspec.Struct, tag="ask", forbid_unknown_fields=True):
-    """Ask for the state of the node; the response is a `NodeStatus`."""
+    """Request the state of the node; the response is a `NodeStatus`."""
 
     tag: int
 
@@ -35,7 +35,7 @@
 
 
 class ClientsRequest(msgspec.Struct, tag="clients", forbid_unknown_fields=True):
-    """Ask for the heaviest clients, where fair sharing is on; the response is a `ClientsStatus`."""
+    """Request the heaviest clients, with fair sharing; the response is a `ClientsStatus`."""
 
     tag: int
     limit: int = msgspec.field(default=20, name="most")
@@ -47,7 +47,7 @@
     tag: int
     name: str
     pid: int
-    generation: int  # given to it when it was started
+    generation: int  # set at its start
     state: str  # waiting (its engine is not up), cold, serving, draining
     address: str
     uptime: int
@@ -58,19 +58,19 @@
     queued: int = msgspec.field(default=0, name="hold")
     running: int = msgspec.field(default=0, name="runs")
     calling: int = msgspec.field(default=0, name="calls")
-    memory_kb: float = 0.0  # booked by requests, as the admission controller counts
+    memory_kb: float = 0.0  # of requests, as the admission controller counts
     resident_kb: int = 0
     descriptors: int = 0
     connections: int = 0
-    gauges_age: int = -1  # -1: none were ever read
-    open_requests: int = msgspec.field(default=0, name="owes")  # read and not over
+    gauges_age: int = -1  # -1: never read
+    open_requests: int = msgspec.field(default=0, name="owes")  # read and not finished
     open_by_class: dict[str, int] = msgspec.field(default_factory=dict, name="owes_by")  # while it drains
     completed: int = 0  # since its start, as the next two
     rejected: int = msgspec.field(default=0, name="denied")
     failed: int = msgspec.field(default=0, name="terminated")
     cpu: int = 0  # nanoseconds of a core since its start
-    version: str = ""  # that it runs, as whoever started it gave it
-    load: float = 0.0  # of its cores, as it last read it
+    version: str = ""  # of the program, as the agent set it
+    load: float = 0.0  # of its cores, by the last gauges
     # Count, sum and sum of squares over requests since the start: of the weight that each earned, and, by
     # request class, of the logarithms of the seconds until it was completed.
     earned_weight: list[float] = msgspec.field(default_factory=list, name="benefit")
@@ -78,7 +78,7 @@
 
 
 class Acknowledgement(msgspec.Struct, tag="told"):
-    """The result of an order, or why a message was refused (tag 0: it could not be read)."""
+    """The result of an order, or why a message was refused (tag 0: it could not be decoded)."""
 
     tag: int
     accepted: bool = msgspec.field(name="done")
@@ -86,21 +86,21 @@
 
 
 class ClientUsage(msgspec.Struct):
-    """One client, as shares of what all ask for."""
+    """One client; its rates are shares of the total demand."""
 
     name: str
     demand: float = msgspec.field(name="asks")
     retries: float
-    fair_fraction: float = msgspec.field(name="keeps")  # of its demand, under its fair share
+    fair_fraction: float = msgspec.field(name="keeps")  # part of its demand that its fair share allows
 
 
 class ClientsStatus(msgspec.Struct, tag="clients"):
     """The heaviest clients. Reservations are counted since the start."""
 
     tag: int
-    flow_key: list[str] = msgspec.field(name="by")  # fields that tell clients apart; empty: none are
+    flow_key: list[str] = msgspec.field(name="by")  # fields that identify a client; empty: none
     known: int = 0
-    error: float = 0.0  # the highest share that one not known may have
+    error: float = 0.0  # the maximum share of a client that is not known
     reservations_open: int = msgspec.field(default=0, name="open")
     reservations_made: int = msgspec.field(default=0, name="made")
     reservations_honored: int = msgspec.field(default=0, name="kept")
@@ -117,15 +117,15 @@
 
 
 def encode(message: Request | Response) -> bytes:
-    """Write one message as a line."""
+    """Encode one message as a line."""
     return _encoder.encode(message) + b"\n"
 
 
 def decode_request(line: bytes) -> Request:
-    """Read a request; raises `msgspec.MsgspecError` with one plain line."""
+    """Decode a request. Raises `msgspec.MsgspecError`."""
     return _request_decoder.decode(line)
 
 
 def decode_response(line: bytes) -> Response:
-    """Read a response; raises `msgspec.MsgspecError` with one plain line."""
+    """Decode a response. Raises `msgspec.MsgspecError`."""
     return _response_decoder.decode(line)
--- a/oakkeel/dispatch/__init__.py
+++ b/oakkeel/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The side towards the dispatchers: their protocol, their connections, the listening socket."""
+"""The dispatchers' side of a node: their protocol, their connections and the listening socket."""
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -1,6 +1,6 @@
 """Outcomes of the requests of one node since its start, by request class: sums that can be subtracted.
 
-Free of I/O. Loaded only where a node has a control link.
+Free of I/O. Loaded only if the node has a control link.
 """
 
 from __future__ import annotations
--- a/oakkeel/request_events.py
+++ b/oakkeel/request_events.py
@@ -19,7 +19,7 @@
     """Answer that the request is not admitted."""
 
     final: bool  # no other node should be tried
-    retry_after: int  # nanoseconds until it may come back, 0 where no time is advised
+    retry_after: int  # nanoseconds; 0 for no advice
 
 
 @dataclass(slots=True)
--- a/tests/catalogue/test_links.py
+++ b/tests/catalogue/test_links.py
@@ -58,7 +58,7 @@
         return request, self.catalogue.links[0]
 
     async def test_ignores_a_late_reply_of_an_earlier_call(self):
-        # Replies name only the request: one that crossed the QUIT of its call was taken for the next reply.
+        # Replies name only the request: one that crosses the QUIT of its call must not answer the next call.
         request = node_request()
         self.catalogue.fetch(request, time.monotonic_ns() + 50 * MS, b"first")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
@@ -98,7 +98,7 @@
         return request, writer
 
     async def test_malformed_reply_fails_no_other_call(self):
-        # When calls shared four links, each malformed, silent or reset one failed the calls beside it.
+        # A malformed, silent or reset link must not fail the calls on other links.
         other, other_writer = await self._fetched(b"0123456789abcdef")
         for number, malformed in enumerate(
             (
@@ -146,7 +146,7 @@
         self.assertIsNot(self.catalogue.links[0], first)
 
     async def test_makes_no_call_on_a_link_that_was_just_lost(self):
-        # Its reader had not run yet: the call was made on it and reported as reset, though it was never sent.
+        # The reader of the link has not run yet: a call there would be reported as reset, not as never sent.
         request, first = await self._replied()
         first.stream.close()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"again")
@@ -162,7 +162,7 @@
         self.assertTrue(self.catalogue.links[0].stream.closed())
 
     async def test_makes_no_call_on_a_link_that_the_peer_has_closed(self):
-        # Its end was in the kernel already: the call was reported as reset, though nobody ever read it.
+        # The end is in the kernel: a call there would be reported as reset, though it is never read.
         _, first = await self._replied()
         self.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         other = node_request()
@@ -172,7 +172,7 @@
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
 
     async def test_call_without_a_descriptor_fails_to_connect(self):
-        # The error ended its request as if the call might have run.
+        # Without a connection the call has not run.
         def none(*words):
             raise OSError(errno.EMFILE, "forced")
 
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -90,7 +90,7 @@
         asks = b'{"type":"ask","tag":1}\n' * 400
         sent = 0
         dispatcher = self.dispatcher()
-        for _ in range(20):  # it never reads what it is told
+        for _ in range(20):  # it never reads its responses
             with contextlib.suppress(BlockingIOError):
                 sent += flood._sock.send(asks)
             ident = dispatcher.call()
@@ -98,7 +98,7 @@
             self.assertEqual(dispatcher.answer()[1], b"ok")
         self.assertGreater(sent, len(asks))
         before, begun = self.say(good, type="ask", tag=1)["cpu"], time.monotonic_ns()
-        time.sleep(0.5)  # the time is what is measured over
+        time.sleep(0.5)  # the CPU time is measured over this time
         used = self.say(good, type="ask", tag=2)["cpu"] - before
         self.assertLess(used / (time.monotonic_ns() - begun), 0.2)
         self.assertTrue(ident)
@@ -117,7 +117,7 @@
 
 
 class CancelDrainTest(ControlledNodeTest):
-    """A drain that is taken back."""
+    """The cancellation of a drain."""
 
     def leave(self, link) -> None:
         self.assertTrue(self.say(link, type="leave", tag=1, generation=7, within=20_000_000_000)["done"])
@@ -134,7 +134,7 @@
         within = late.call("card")  # read in the grace: it runs
         self.assertEqual(self.engine.next()[:2], ("RUN", within))
         self.until_it_listens_no_more()
-        late.call("card", tag=2)  # after the grace, while the drain stands: it does not
+        late.call("card", tag=2)  # after the grace, before the cancel: it does not run
         self.assertEqual(late.answer()[:2], (2, b"full"))
         self.assertEqual(self.say(link, type="ask", tag=2)["owes_by"], {"card": 2})
         while self.report() != "PULSE n3 closed":
@@ -151,7 +151,7 @@
         while self.report() != "PULSE n3 open":
             pass
         self.assertEqual(self.say(link, type="ask", tag=4)["state"], "serving")
-        self.leave(link)  # and it can leave again
+        self.leave(link)  # and it can drain again
         self.assertEqual(fresh.next(), [b"0", b"last"])
         for each in (fresh, dispatcher, late):
             each.close()
@@ -162,7 +162,7 @@
         link = self.link()
         self.leave(link)
         self.assertTrue(self.say(link, type="stay", tag=2, generation=7)["done"])
-        self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])  # twice changes nothing
+        self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])  # twice is no error
         dispatcher = self.dispatcher()
         ident = dispatcher.call()
         self.engine.done(ident if self.engine.next() else "")
@@ -225,7 +225,7 @@
         self.engine.done(ident if self.engine.next() else "")
         self.assertEqual(dispatcher.answer()[1], b"ok")
         with open(f"/proc/{self.process.pid}/cmdline", "rb") as file:
-            self.assertEqual(file.read().split(b"\0")[1:3], [b"-m", b"oakkeel"])  # in place of the shell
+            self.assertEqual(file.read().split(b"\0")[1:3], [b"-m", b"oakkeel"])  # instead of the shell
         with open(f"/proc/{self.process.pid}/task/{self.process.pid}/children", "rb") as file:
             self.assertEqual(file.read(), b"")
         with open(f"/proc/{self.process.pid}/maps", encoding="utf-8") as file:
@@ -263,7 +263,7 @@
                 module.split(".")[1] for module in named if module and module.startswith("oakkeel.")
             )
         graph = {name: found - {name} for name, found in knows.items()}
-        list(graphlib.TopologicalSorter(graph).static_order())  # raises where there is a circle
+        list(graphlib.TopologicalSorter(graph).static_order())  # raises if there is a circle
         sides = {"dispatch", "engine", "catalogue", "directory", "control"}
         for side in sides:
             self.assertFalse(graph[side] & (sides | {"node", "agent", "fleet"}), side)
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -58,14 +58,14 @@
         self.socket.send(data)
 
     async def read(self) -> bool:
-        """Some more; False at a clean end. Raises ConnectionResetError."""
+        """Read more; return False at an end without a reset. Raises ConnectionResetError."""
         loop = asyncio.get_running_loop()
         data = await asyncio.wait_for(loop.sock_recv(self.socket, 65536), WAIT)
         self.received += data
         return bool(data)
 
     def arrays(self) -> list[list[bytes]]:
-        """The whole arrays that it has got."""
+        """Return the complete arrays that were received."""
         found, lines = [], self.received.split(b"\r\n")
         while lines and lines[0].startswith(b"*"):
             count = int(lines.pop(0)[1:])
@@ -74,13 +74,13 @@
         return found
 
     async def until(self, tag: int) -> list[bytes]:
-        """The answer with a tag."""
+        """Return the answer with a tag."""
         while not (found := [each for each in self.arrays() if each[0] == b"%d" % tag and each != LAST]):
             assert await self.read(), f"ended before {tag} was answered"
         return found[0]
 
     async def end(self) -> list[list[bytes]]:
-        """All that came until a clean end."""
+        """Read to the end; return all arrays. Raises ConnectionResetError."""
         while await self.read():
             pass
         return self.arrays()
@@ -92,7 +92,7 @@
 
 
 class ListenerTestCase(unittest.IsolatedAsyncioTestCase):
-    """A listener in front of a node that writes down what it hears."""
+    """A listener in front of a node that records requests and disconnects."""
 
     resource_limits = RESOURCE_LIMITS
 
@@ -102,7 +102,7 @@
         cls.addClassCleanup(faulthandler.cancel_dump_traceback_later)
 
     async def asyncSetUp(self) -> None:
-        # A loop that never yields, or that a tearDown waits for, has no other end: the run fails here.
+        # Ends a test whose event loop never yields, or whose tearDown hangs.
         faulthandler.dump_traceback_later(DEADLINE, exit=True)
         self.received_requests, self.disconnected_requests = [], []
         self.reader = RequestReader(
@@ -147,7 +147,7 @@
         return self.clients[-1]
 
     async def until(self, true) -> None:
-        """Let the loop go on until something holds."""
+        """Run the event loop until a condition is true."""
         end = time.monotonic() + WAIT
         while not true():
             self.assertLess(time.monotonic(), end)
@@ -162,14 +162,14 @@
         return client, connection
 
     async def client_with_open_request(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
-        """With one exchange that is open."""
+        """Return a client and its connection with one open request."""
         client, connection = await self.connected_client(size)
         client.send(call(1))
         await self.until(lambda: connection.open_requests)
         return client, connection
 
     async def idle_client(self) -> tuple[DispatcherClient, Connection]:
-        """One whose exchange was answered."""
+        """Return a client and its connection, idle after an answered request."""
         client, connection = await self.client_with_open_request()
         self.answer()
         await client.until(1)
@@ -177,7 +177,7 @@
         return client, connection
 
     async def client_with_unsent_answers(self) -> tuple[DispatcherClient, Connection]:
-        """One with more answers than it has taken: some are still to be sent."""
+        """Return a client that reads nothing, and its connection with unsent answers."""
         client, connection = await self.connected_client(size=4096)
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         for tag in range(1, 31):
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -1,4 +1,4 @@
-"""Accepting, room for connections, and the end of listening."""
+"""Accepting, the limit of connections, and the close of the listener."""
 
 import asyncio
 import errno
@@ -35,7 +35,7 @@
     async def test_does_not_evict_a_connection_with_unread_bytes(self):
         client, first = await self.idle_client()
         other, second = await self.idle_client()
-        client.send(call(2))  # it was idle for longest, and was closed over this
+        client.send(call(2))  # it is idle for longest, but has received this
         third = self.client()
         await self.until(lambda: second.state is ConnectionState.LINGERING)
         self.assertIs(first.state, ConnectionState.OPEN)
@@ -49,7 +49,7 @@
         self.assertEqual(len(await other.end()), 1)
 
     async def test_does_not_evict_a_connection_with_the_rest_of_its_array_unread(self):
-        # It was closed over a whole exchange.
+        # The rest of its array is unread.
         await self.client_with_open_request()
         client, half = await self.connected_client()
         client.send(call(2)[:25])
@@ -63,7 +63,7 @@
         self.assertEqual((await client.until(2))[1], b"ok")
 
     async def test_rejects_the_request_that_arrives_with_a_connection_over_the_limit(self):
-        # It was closed over its request, which resets it and answers nothing.
+        # A close with the request unread would reset the connection without an answer.
         await self.client_with_open_request()
         await self.client_with_open_request()
         late = self.client()
@@ -87,7 +87,7 @@
         self.assertEqual((await late.end())[-1][:2], [b"3", b"full"])
 
     async def test_a_connection_over_the_limit_gets_its_rejection_and_no_reset(self):
-        # As it is for the next one that has no room, and for what is left just before the stop.
+        # The same happens to the next connection over the limit, and to the rest just before the stop.
         await self.client_with_open_request()
         await self.client_with_open_request()
         late = self.client()
@@ -126,7 +126,7 @@
 
 
 class FailingSocket:
-    """A listening socket whose accepts fail in a given order, then are those of the real one."""
+    """A listening socket whose first accepts fail in a given order."""
 
     def __init__(self, real: socket.socket, *errors: int) -> None:
         self.real, self.errors, self.asked = real, list(errors), 0
@@ -165,7 +165,7 @@
     async def test_a_connection_during_the_close_of_the_listener_is_served(self):
         waiting = [self.client() for _ in range(5 * self.resource_limits.accepts_per_pass)]
         closing = asyncio.ensure_future(self.listener.close())
-        await asyncio.sleep(0)  # the first step is done
+        await asyncio.sleep(0)  # the first pass is done
         self.assertLess(len(self.listener.connections), len(waiting))
         self.assertFalse(closing.done())
         late = self.client()
@@ -177,7 +177,7 @@
         self.assertEqual(len(self.listener.connections), len(waiting) + 1)
 
     async def test_a_failed_accept_does_not_affect_the_connections_behind_it(self):
-        # It ended the accepting, and the close reset the rest.
+        # It must not end the accepting: the close would reset the rest.
         waiting = [self.client() for _ in range(3)]
         for tag, each in enumerate(waiting, 1):
             each.send(call(tag))
@@ -190,7 +190,7 @@
         await self.until(lambda: len(self.received_requests) == 3)
 
     async def test_a_flood_does_not_keep_the_listener_open(self):
-        # Each connection that was accepted made room for the next, for as long as they came.
+        # Each connection that is accepted frees a place for the next, as long as they arrive.
         class Flood(FailingSocket):
             def accept(self):
                 self.asked += 1
@@ -212,7 +212,7 @@
         self.assertLessEqual(flood.asked, MAX_WAITING_CONNECTIONS + self.resource_limits.accepts_per_pass)
 
     async def test_accepting_pauses_without_a_descriptor_and_resumes(self):
-        # The socket stays readable: the loop woke for it again and again.
+        # The socket stays readable: the loop must not wake for it again and again.
         loop = asyncio.get_running_loop()
         real = self.listener.socket
         loop.remove_reader(real)
@@ -245,14 +245,14 @@
 
 
 class DrainDeadlineTest(ListenerTestCase):
-    """The drain in front of dispatchers that do nothing for it; its node has no engine yet, so no grace."""
+    """A drain with dispatchers that close nothing; the node has no engine yet, so there is no grace."""
 
     directory_reporter = types.SimpleNamespace(set_accepting=lambda taking: None)
     host = types.SimpleNamespace(started=False)
     log = EventLog("test", 0)
 
     async def test_closes_the_remaining_connections_just_before_the_stop(self):
-        # The drain waited for them, and the kill found the node waiting.
+        # Otherwise the drain waits for them until SIGKILL.
         self.done = asyncio.Event()
         _, idle = await self.idle_client()
         _, unread = await self.client_with_unsent_answers()
@@ -264,12 +264,12 @@
 
 
 class BufferExhaustionTest(ListenerTestCase):
-    """Room for two connections, and the buffers that a node of that size has."""
+    """A limit of two connections, and the buffers of a node of that size."""
 
     resource_limits = ConnectionLimitTest.resource_limits
 
     async def test_closes_with_more_waiting_connections_than_buffers(self):
-        # All were taken in one step, the buffers ran out halfway, and the drain ended there for good.
+        # Accepted in one step they would exhaust the buffers and end the drain.
         waiting = [self.client() for _ in range(2 * self.resource_limits.max_buffers)]
         for tag, each in enumerate(waiting, 1):
             each.send(call(tag))
@@ -282,7 +282,7 @@
         await self.until(lambda: len(self.received_requests) == self.resource_limits.max_connections)
 
     async def test_accepting_pauses_without_a_buffer_and_reserves_those_of_the_links(self):
-        # A flood took the last one, and the engine's link found none: it was never connected again.
+        # A flood must not take the last one: the link to the engine could not reconnect.
         pool = self.listener.pool
         taken = [
             pool.lease() for _ in range(self.resource_limits.max_buffers - 2 * self.resource_limits.max_links)
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -1,4 +1,4 @@
-"""The end of a connection: what crosses it is served, rejected or provably not run."""
+"""The end of a connection: a request that crosses it is served, rejected or provably not run."""
 
 import asyncio
 import gc
@@ -26,13 +26,13 @@
     async def test_a_request_at_the_drain_timeout_is_served_and_delays_the_close(self):
         client, connection = await self.idle_client()
         connection.drain()
-        client.send(call(2))  # in the kernel, unseen: this close reset the connection
+        client.send(call(2))  # unread in the kernel: a close now would reset the connection
         connection._drain_expired(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
         await self.until(lambda: self.received_requests)
-        connection._drain_expired(SECOND)  # now it is open
+        connection._drain_expired(SECOND)  # the request is open
         self.answer()
-        connection._drain_expired(SECOND)  # and now its answer is on its way
+        connection._drain_expired(SECOND)  # its answer is in flight
         self.assertEqual((await client.until(2))[1], b"ok")
         await self.until(connection.is_idle)
         connection._drain_expired(SECOND)
@@ -55,10 +55,10 @@
         connection.finish()
         self.answer(bytes(3000))
         await self.until(lambda: connection.state is ConnectionState.LINGERING)
-        client.send(call(2))  # written before its dispatcher read our end
+        client.send(call(2))  # written before the dispatcher has read the shutdown
         client.send(call(3)[:20])
         await asyncio.sleep(0)
-        connection.close()  # the time to linger is over, with bytes unread
+        connection.close()  # the linger timeout, with bytes unread
         self.assertEqual([each[:2] for each in await client.end()], [[b"1", b"ok"]])
         self.assertEqual(self.received_requests, [])
 
@@ -102,7 +102,7 @@
         await self.until(lambda: self.received_requests)
 
     async def test_a_half_closed_connection_gets_its_answers(self):
-        # An end of what came closed both ways, and the answer was lost.
+        # The end of the input must not close both directions: the answer would be lost.
         client, connection = await self.connected_client()
         client.send(call(1) + call(2))
         client.socket.shutdown(socket.SHUT_WR)
@@ -141,7 +141,7 @@
         await self.until(lambda: self.disconnected_requests)
 
     async def test_a_reset_while_lingering_leaves_no_reference_cycle(self):
-        # Its error unread the frames and these the stream with 8 KB: the soak went from 20 to 34 MB.
+        # The traceback of its error refers to the frames, and these to the stream with its buffer.
         gc.disable()
         self.addCleanup(gc.enable)
         client, connection = await self.idle_client()
@@ -154,7 +154,7 @@
         await self.until(lambda: stream() is None)
 
     async def test_an_answer_after_a_lost_connection_raises_nothing(self):
-        # Its reader had not run yet: the answer shut down a socket that was no longer there, and raised.
+        # The reader has not run yet: the answer must not shut down a socket that is gone.
         _, connection = await self.client_with_open_request()
         connection.finish()
         connection.stream.close()
@@ -163,7 +163,7 @@
         await self.until(lambda: connection.state is ConnectionState.CLOSED)
 
     async def test_a_timeout_check_of_a_lost_connection_raises_nothing(self):
-        # It ended the looks for good: from then on nobody who left half an array was ever ended.
+        # An error would end the checks: no incomplete array would be overdue any more.
         client, connection = await self.connected_client()
         client.send(call(1)[:20])
         await self.until(lambda: connection.read_buffer.has_data)
--- a/tests/dispatch/test_listener.py
+++ b/tests/dispatch/test_listener.py
@@ -1,4 +1,4 @@
-"""Accepting of connections, and room for new ones."""
+"""Accepting and eviction of connections."""
 
 import asyncio
 import socket
@@ -22,7 +22,7 @@
 
             def evict(self):
                 self.closed = True
-                return False  # it needs no descriptor any more
+                return False  # its descriptor is free
 
         listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
         self.addCleanup(listener.socket.close)
@@ -37,7 +37,7 @@
 
 class ListenerTest(unittest.IsolatedAsyncioTestCase):
     async def test_accepts_the_waiting_connections_when_it_closes(self):
-        # Its request was written to a connection that the machine had taken, and got no answer.
+        # A request on a connection that the kernel has accepted must get its answer.
         listener = Listener(
             ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
         )
@@ -51,7 +51,7 @@
         await listener.wait_closed()
 
     async def test_accepts_a_flood_of_connections_a_few_at_a_time(self):
-        # All that waited were accepted in one pass: 180 ms in which nothing else was read or answered.
+        # Accepted in one pass they would stop all reads and answers for 180 ms.
         listener = Listener(
             ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
         )
--- a/tests/engine/test_link.py
+++ b/tests/engine/test_link.py
@@ -11,7 +11,7 @@
 
 class EngineLinkTest(unittest.IsolatedAsyncioTestCase):
     async def test_reconnects_after_an_internal_error_at_a_notice(self):
-        # Without its engine's notices a node would answer nothing more.
+        # Without the notices of its engine a node answers no request.
         attached = asyncio.Queue()
 
         async def accepted(reader, writer):
@@ -33,7 +33,7 @@
         server.close()
 
     async def test_retries_when_no_buffer_is_left(self):
-        # The error ended the tries: the node never reached its engine again.
+        # An error must not end the retries.
         attached = asyncio.Queue()
 
         async def accepted(reader, writer):
@@ -53,7 +53,7 @@
         server.close()
 
     async def test_resends_a_recent_command_though_gauges_were_answered_after_it(self):
-        # A break takes the youngest commands with it, also those that the engine had read.
+        # A loss may take the youngest commands with it, even after the engine has read them.
         commands, up, links = asyncio.Queue(), asyncio.Event(), []
 
         async def accepted(reader, writer):
@@ -89,7 +89,7 @@
         server.close()
 
     async def test_connecting_link_moves_to_a_new_address(self):
-        # It stayed with the old one, which takes nothing new and would never say how it started.
+        # The earlier address accepts no commands and would never send a greeting.
         attached = asyncio.Queue()
 
         async def accepted(reader, writer):
--- a/tests/fair_sharing/test_heavy_hitters.py
+++ b/tests/fair_sharing/test_heavy_hitters.py
@@ -10,7 +10,7 @@
 from oakkeel.fair_sharing.keys import SECRET_BYTES, FlowKeys
 from oakkeel.units import MS, SECOND
 
-LONG = 10**9 * SECOND  # a half-life in which nothing fades
+LONG = 10**9 * SECOND  # a half-life in which no count decays
 
 
 class HeavyHittersTest(unittest.TestCase):
--- a/tests/fair_sharing/test_node.py
+++ b/tests/fair_sharing/test_node.py
@@ -90,7 +90,7 @@
         self.reload(self.told())
         self.assertIn("weights=1", self.log("flow_weights_reloaded"))
         self.write_settings(by=("tenant",))
-        time.sleep(1.1)  # the log says the same line once a second
+        time.sleep(1.1)  # the log writes the same line once a second
         self.reload(self.told())
         self.log("flow_key_change_ignored")
         self.served(self.dispatcher(), "a")
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -40,7 +40,7 @@
         key = max(old.shares.tables[0].flows.values(), key=lambda each: each.count).key
         before = old.shares.tables[0].rate(node.now, old.shares.tables[0].flows[key])
         after = fair.shares.tables[0].rate(again.now, fair.shares.tables[0].flows[key])
-        self.assertAlmostEqual(after / before, 0.5**0.25, delta=0.01)  # a second of the four that halve it
+        self.assertAlmostEqual(after / before, 0.5**0.25, delta=0.01)  # after a quarter of the half-life
         ahead = [
             sorted(each.due_at - from_time for rows in reservations.open.values() for each in rows)
             for reservations, from_time in (
--- a/tests/node/test_dispatcher_connections.py
+++ b/tests/node/test_dispatcher_connections.py
@@ -1,4 +1,4 @@
-"""How the program treats the connections of dispatchers."""
+"""The connections of dispatchers, over sockets."""
 
 import contextlib
 import socket
@@ -70,7 +70,7 @@
                 self.assertEqual(dispatcher.next(), [])
 
     def test_dispatchers_that_read_no_answers_delay_no_other_and_take_little_memory(self):
-        # A write of its own for each answer took 0.4 MB a stuck dispatcher, and 229 MB with 512 of them.
+        # A separate write for each answer takes 0.4 MB for each dispatcher that reads none.
         self.begin()
         checks = [encode(b"CHECK", b"%d" % number, b"") for number in range(1, 30_000)]
         for _ in range(60):
@@ -93,17 +93,17 @@
         self.engine.done(ident)
         self.assertEqual(dispatcher.next()[:2], [b"1", b"ok"])
         self.assertEqual(dispatcher.next(), [b"0", b"last"])
-        ident = dispatcher.call()  # one that crossed the word is still served
+        ident = dispatcher.call()  # a request that crosses the notice is still served
         self.engine.done(self.engine.next()[1])
         self.assertEqual(dispatcher.next()[:2], [b"2", b"ok"])
         self.assertEqual(dispatcher.next(), [])
 
     def test_silent_connections_and_incomplete_arrays_are_closed_for_others(self):
-        # They were never idle, filled the table, and no dispatcher was accepted any more.
+        # Connections that were never idle must not fill the limit for good.
         self.begin(limits={"cores": 1.0, "memory_mb": 192, "sockets": 140})
         quiet = [self.dispatcher() for _ in range(70)]
         quiet[-1].socket.sendall(b"*5\r\n$4\r\nCA")
-        self.engine.done(self.dispatcher().call() and self.engine.next()[1])  # the table is full
+        self.engine.done(self.dispatcher().call() and self.engine.next()[1])  # the limit is reached
         start = time.monotonic()
         for each in quiet:
             with contextlib.suppress(ConnectionResetError):
@@ -120,7 +120,7 @@
             self.assertEqual(held.answer()[1], b"ok")
 
     def test_the_id_of_an_open_request_is_rejected_and_the_first_is_unaffected(self):
-        # The second took the first one's place, and was answered with its result.
+        # The second must not replace the first and get its result.
         dispatcher, ident = self.running()
         other = self.dispatcher()
         other.send("CALL", "1", "quote", f"req={ident},need=1", b"another body")
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -32,11 +32,9 @@
         return request
 
     def test_the_window_counts_from_arrival_to_arrival_not_from_reading(self):
-        self.remembered(queueing_delay=300 * MS)  # it came at 99.7 s
+        self.remembered(queueing_delay=300 * MS)  # it arrived at 99.7 s
         self.assertTrue(self.response_cache.find(one(), NOW + 699 * MS))
-        self.assertFalse(
-            self.response_cache.find(one(), NOW + 700 * MS)
-        )  # it would have had a result of before
+        self.assertFalse(self.response_cache.find(one(), NOW + 700 * MS))  # it would get an earlier result
         self.assertTrue(self.response_cache.find(one(queueing_delay=5 * MS), NOW + 704 * MS))
 
     def test_a_window_shorter_than_the_run_ends_with_the_run_going_on(self):
@@ -49,7 +47,7 @@
         self.assertTrue(self.response_cache.find(one(queueing_delay=500 * MS), NOW + MS))
 
     def test_a_duplicate_that_arrived_in_time_is_recognized_in_a_full_cache(self):
-        # A full table was swept of entries whose window was over, and the late one ran a second time.
+        # An entry whose window is over must not be evicted while a duplicate may still be unread.
         cache = self.response_cache = ResponseCache(
             replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size), 0
         )
@@ -64,7 +62,7 @@
         self.response_cache.finish(first, Outcome.COMPLETED, b"first")
         second = self.remembered(NOW + 1100 * MS)
         self.response_cache.release(second)
-        late = one(queueing_delay=300 * MS)  # it came at 100.9 s, within the window of the first
+        late = one(queueing_delay=300 * MS)  # it arrived at 100.9 s, within the window of the first
         self.assertTrue(self.response_cache.find(late, NOW + 1200 * MS))
         self.response_cache.share(late)
         self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
@@ -115,7 +113,7 @@
             self.assertEqual(len(keys), 4)
 
     def test_non_idempotent_requests_with_one_subject_are_no_duplicates(self):
-        # With reads shared elsewhere the second took the result of the first, and never ran.
+        # The second must run, and not get the result of the first.
         for fields in (b"subject=s", b"opkey=k"):
             request = self.read(Idempotency.NON_IDEMPOTENT, fields)
             self.assertEqual((request.cache_key, request.has_key), (None, False))
@@ -135,7 +133,7 @@
 
 
 class DuplicateRequestTest(NodeProcessTest):
-    """The same on sockets: `order` may run once in a window of 5 s."""
+    """Duplicates over sockets: `order` runs at most once in a window of 5 s."""
 
     def order(self, dispatcher, key: str = "k1", body: bytes = b"two seats", **more) -> str:
         return dispatcher.call("order", body, fields=f",opkey={key}" + more.pop("fields", ""), **more)
@@ -144,7 +142,7 @@
         self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
 
     def seen(self, dispatcher) -> None:
-        """All that it sent so far is read."""
+        """Wait until the node has read all that the dispatcher sent."""
         dispatcher.send("CHECK", "99", "")
         self.assertEqual(dispatcher.answer()[0], 99)
 
@@ -153,7 +151,7 @@
         return self.dispatcher(), self.dispatcher()
 
     def filled(self) -> tuple:
-        """All cores busy with others, so that the next exchange is held."""
+        """Occupy all cores, so that the next request is queued."""
         dispatcher, other = self.begun()
         busy = [dispatcher.call("pay") and self.engine.next()[1] for _ in range(4)]
         return dispatcher, other, busy
@@ -170,7 +168,7 @@
         self.assertEqual(two.answer()[1::2], (b"ok", b"for fete"))
 
     def test_a_key_with_another_body_gets_no_result(self):
-        # 'a bad client was given the answer served': arima-tickets, join days of the short panel.
+        # A client that guesses a key must not get the result of another one's request.
         one, two = self.begun()
         first = self.order(one)
         self.runs(first)
@@ -178,14 +176,14 @@
         self.assertEqual(two.answer()[1::2], (b"fault", b""))
         self.engine.done(first)
         self.assertEqual(one.answer()[1], b"ok")
-        self.order(two, body=b"nine seats", tag=2)  # nor once it is over
+        self.order(two, body=b"nine seats", tag=2)  # nor after the run
         self.assertEqual(two.answer()[1::2], (b"fault", b""))
         self.order(one, tag=2)
         self.assertEqual(one.answer()[1::2], (b"ok", b"result"))
         self.assertTrue(self.engine.commands.empty())
 
     def test_a_request_that_the_engine_does_not_know_leaves_its_key_available(self):
-        # The engine does not know it, which proves that nothing ran; its error stayed for a whole window.
+        # The engine does not know it, so nothing ran: the error must not stay for the window.
         one, two = self.begun()
         guessed = self.order(two)
         self.runs(guessed)
@@ -200,16 +198,16 @@
         one, two, busy = self.filled()
         first = self.order(one, tag=9)
         self.seen(one)
-        self.order(two, tag=1, fields=",resent=1")  # while the first is held
+        self.order(two, tag=1, fields=",resent=1")  # while the first is queued
         self.seen(two)
         self.engine.done(busy[0])
         self.runs(first)
         self.order(two, tag=2, fields=",resent=1")  # while it runs
         self.seen(two)
         self.engine.done(first, body=b"once")
-        self.order(two, tag=3, fields=",resent=1")  # just done
+        self.order(two, tag=3, fields=",resent=1")  # just finished
         answers = [two.answer()[::3] for _ in range(3)]
-        # The third may be read between the end of the run and the wake-up of the two that wait for it.
+        # The third may be read between the end of the run and the wake-up of the two followers.
         self.assertIn([tag for tag, _ in answers], ([1, 2, 3], [1, 3, 2], [3, 1, 2]))
         self.assertEqual([body for _, body in answers], [b"once"] * 3)
         self.assertTrue(self.engine.commands.empty())
@@ -227,7 +225,7 @@
         self.assertTrue(self.engine.commands.empty())
 
     def test_followers_of_a_request_cancelled_in_the_queue_are_rejected_with_retry_after(self):
-        # They were told that it failed, as if it might have run.
+        # They must not fail as if it might have run.
         one, two, busy = self.filled()
         self.order(one, tag=9)
         self.seen(one)
@@ -251,7 +249,7 @@
         self.assertEqual(self.engine.next()[:2], ("HALT", first))
         self.engine.done(first, "interrupted", b"")
         self.assertEqual(two.answer()[:2], (1, b"fault"))
-        self.order(two, tag=2, fields=",resent=1")  # it may have had its effect: never again in the window
+        self.order(two, tag=2, fields=",resent=1")  # it must not run again in the window
         self.assertEqual(two.answer()[:2], (2, b"fault"))
         self.assertTrue(self.engine.commands.empty())
 
@@ -261,7 +259,7 @@
         self.runs(first)
         self.assertEqual(one.answer()[1], b"fault")
         self.assertEqual(self.engine.next()[:2], ("HALT", first))
-        self.order(two, timeout=400, fields=",resent=1")  # the run is still there, and outlasts this one
+        self.order(two, timeout=400, fields=",resent=1")  # the run outlasts this request
         self.assertEqual(two.answer()[1], b"fault")
         self.engine.done(first, "interrupted", b"")
         self.order(two, tag=2, fields=",resent=1")
@@ -271,7 +269,7 @@
     def test_a_request_after_the_window_runs_again_also_beside_the_first(self):
         self.begin(settings=self.short_window())
         one, two = self.dispatcher(), self.dispatcher()
-        first = self.order(one, age=100)  # 100 ms ago: the window of 1 ms is over
+        first = self.order(one, age=100)  # sent 100 ms ago: the window of 1 ms is over
         self.runs(first)
         late = self.order(two)
         self.runs(late)
@@ -300,7 +298,7 @@
         self.assertEqual(two.answer()[1], b"ok")
 
     def test_a_full_cache_rejects_new_keys_and_recognizes_the_retained_ones(self):
-        self.begin(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # room for one key
+        self.begin(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # a capacity of one key
         one, two = self.dispatcher(), self.dispatcher()
         first = self.order(one)
         self.runs(first)
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -1,4 +1,4 @@
-"""Engine and catalogue that break, restart, move or fall silent under the program."""
+"""Losses, restarts, moves and silence of the engine and the catalogue, over sockets."""
 
 import asyncio
 import socket
@@ -18,7 +18,7 @@
     def test_a_second_loss_while_a_link_is_restored_runs_nothing_twice(self):
         dispatcher, ident = self.running("pay")
         self.engine.lose()
-        for _ in range(3):  # greeted, asked for gauges, and gone again
+        for _ in range(3):  # greeted, asked for gauges, and lost again
             self.engine.attach(answer=False)
             self.engine.say(f"HELLO steady {self.engine.age()}")
             self.assertEqual(self.engine.stream.readline().split()[0], b"STAT")
@@ -43,7 +43,7 @@
         self.assertIn(("HALT", ident), seen)
 
     def test_a_restarted_engine_fails_the_earlier_runs_and_takes_new_ones(self):
-        # It numbers its notices from 1 again: they were taken for old ones, and nothing was ever answered.
+        # It numbers its notices from 1 again: they must not be taken for duplicates.
         self.begin()
         dispatcher = self.dispatcher()
         done, lost = dispatcher.call("quote"), dispatcher.call("pay")
@@ -52,14 +52,14 @@
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         self.engine.lose()
         self.log("engine_link_lost")
-        waiting = dispatcher.call("card")  # never sent: it belongs to the one that comes
+        waiting = dispatcher.call("card")  # never written: the new engine runs it
         dispatcher.send("CHECK", "9", "")
         self.assertEqual(dispatcher.answer()[0], 9)
         self.engine.number = 0
         self.assertEqual(self.engine.attach("booting", "5.0", answer=False), 1)
         self.engine.say("HELLO booting 5.0")
         self.assertEqual(self.engine.attach("booting"), 0)
-        self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))  # it may have run, and never runs again
+        self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))  # it may have run, and must not run again
         self.assertEqual(self.engine.next()[:2], ("RUN", waiting))
         self.engine.done(waiting)
         self.assertEqual(dispatcher.answer()[:2], (3, b"ok"))
@@ -94,7 +94,7 @@
         self.assertEqual(self.engine.next()[:2], ("FEED", ident))
         new.say(f"{second} DATA 3", b"new")
         self.assertEqual(self.engine.next()[:2], ("FEED", second))
-        self.assertEqual(link.stream.readline(), b"")  # the old one ends with its last call
+        self.assertEqual(link.stream.readline(), b"")  # the earlier link closes after its last call
 
     def test_a_non_idempotent_call_whose_link_closes_as_it_is_written_is_not_sent_again(self):
         dispatcher, _ident, link = self.calling("pay")
@@ -119,7 +119,7 @@
 
 
 class EngineSilenceTest(unittest.IsolatedAsyncioTestCase):
-    """Of the link alone, with a patience of a fifth of a second."""
+    """The link alone, with a timeout of a fifth of a second."""
 
     resource_limits = replace(RESOURCE_LIMITS, engine_timeout=200 * MS, engine_handover_timeout=600 * SECOND)
 
@@ -166,7 +166,7 @@
         return reader, writer
 
     async def test_a_link_without_a_greeting_reconnects_once_the_engine_was_up(self):
-        # A node whose engine moved to such an address waited for it for good.
+        # Otherwise a node whose engine moved from such an address waits for it forever.
         server = self.engine()
         self.serve(server)
         _, writer = await self.attached(server)
@@ -191,7 +191,7 @@
         self.servers.append(deaf)
         deaf.bind(("127.0.0.1", 0))
         deaf.listen(0)
-        crowd = [socket.socket() for _ in range(4)]  # they fill its queue: no handshake ends any more
+        crowd = [socket.socket() for _ in range(4)]  # they fill its queue: no handshake completes
         for each in crowd:
             self.addCleanup(each.close)
             each.setblocking(False)
@@ -207,7 +207,7 @@
         await self.attached(good)
 
     async def test_a_second_move_waits_until_the_old_engine_has_read_what_was_written(self):
-        # It closed the old link at once, and what may not run twice was left in doubt.
+        # A close of the earlier link at once would make at-most-once runs uncertain.
         first, second, third = self.engine(), self.engine(), self.engine()
         self.serve(first)
         reader, writer = await self.attached(first)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -13,7 +13,7 @@
 
 class ReloadTest(NodeProcessTest):
     def test_a_new_configuration_is_used_with_nothing_lost(self):
-        # SIGHUP ended the node.
+        # SIGHUP must not end the node.
         dispatcher, ident, link = self.calling("card")
         before = self.report().split()
         old, _, _ = self.replace_parties()
@@ -21,7 +21,7 @@
         self.assertEqual(self.engine.attach(), 1)  # the last notice that was read
         self.assertEqual(old.next(), ("END",))
         self.assertEqual(self.report().split(), before)
-        link.say(f"{ident} DATA 3", b"old")  # a call on its way ends where it was placed
+        link.say(f"{ident} DATA 3", b"old")  # a call in flight ends on its link
         self.assertEqual(self.engine.next()[:2], ("FEED", ident))
         again = dispatcher.call("card")
         self.assertEqual(self.engine.next()[:2], ("RUN", again))
@@ -74,7 +74,7 @@
         self.assertEqual(link.next()[:2], ("FETCH", running))
         self.engine.lose()
         self.assertEqual(self.engine.attach(answer=False), 1)
-        # What was missed comes before the answer to the barrier; only then is anything sent again.
+        # Missed notices precede the answer to the first STAT; only then are commands sent again.
         self.engine.say(f"HELLO steady {self.engine.age()}")
         self.engine.say(f"NEED 1 {running} 4", b"call")
         self.engine.done(ended)
@@ -111,7 +111,7 @@
         self.assertEqual(dispatcher.answer()[:2], (2, b"ok"))
 
     def test_a_lost_at_most_once_run_is_resolved_after_its_answer(self):
-        # It was counted as running for ever: four of them, and a node of four cores ran nothing more.
+        # Otherwise it counts as running forever, and four of them stop a node of four cores.
         self.begin()
         dispatcher = self.dispatcher()
         idents = [dispatcher.call("pay", timeout=2500) for _ in range(4)]
--- a/tests/node/test_request_handling.py
+++ b/tests/node/test_request_handling.py
@@ -1,4 +1,4 @@
-"""How the program runs, rejects and answers requests, over sockets."""
+"""Runs, rejections and answers of requests, over sockets."""
 
 import time
 import unittest
@@ -47,10 +47,10 @@
         self.assertEqual(self.engine.next()[:3], ("SKIP", ident, "1"))
 
     def test_a_refused_call_is_retried_and_a_lost_one_is_not(self):
-        # A mutating exchange shows the difference: the first is placed again, the second is terminated.
+        # A non-idempotent call shows the difference: the first is retried, the second fails its request.
         dispatcher, ident, link = self.calling("pay")
         link.say(f"{ident} LATER")
-        again = self.catalogue_link()  # never the same link: a second reply there would be taken for its own
+        again = self.catalogue_link()  # a duplicate reply on the same link would be taken for its own
         self.assertEqual(again.next()[:2], ("FETCH", ident))
         again.close()
         self.assertEqual(dispatcher.answer()[:2], (1, b"fault"))
@@ -112,7 +112,7 @@
         start = time.monotonic()
         dispatcher.send("CANCEL", "1")
         self.assertEqual(link.next()[:2], ("QUIT", ident))
-        self.assertLess(time.monotonic() - start, 4)  # not only when its time is up
+        self.assertLess(time.monotonic() - start, 4)  # before its timeout
 
     def test_runs_that_were_never_started_leave_the_cores_free(self):
         # A cancel that crossed the command to run: the engine answers `nothing`, which the decisions
@@ -151,7 +151,7 @@
         self.assertEqual(self.engine.next()[:2], ("RUN", other))
 
     def test_a_duplicate_of_a_request_that_never_ran_runs(self):
-        # Cancelled in the hold, or never started: its repeats were answered as terminated for a whole window.
+        # Cancelled in the queue or never started: its retries must not fail for the window.
         self.begin()
         dispatcher = self.dispatcher()
         running = [dispatcher.call() and self.engine.next()[1] for _ in range(4)]
--- a/tests/node/test_response_cache.py
+++ b/tests/node/test_response_cache.py
@@ -37,7 +37,7 @@
         self.assertFalse(cache.find(node_request(key=b"s"), 0))
 
     def test_is_bounded_and_never_drops_an_idempotency_key(self):
-        resource_limits = replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size * 2)  # room for two
+        resource_limits = replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size * 2)  # two results
         once = replace(
             GROUP,
             idempotency=FakeHost(request_classes=[{}])
@@ -47,10 +47,10 @@
         cache = ResponseCache(resource_limits, SECOND)
         cache.retain(node_request(key=b"a", request_class=once), 0, SECOND)
         cache.retain(node_request(key=b"b"), 0, SECOND)
-        cache.retain(node_request(key=b"c", request_class=once), 0, SECOND)  # in place of the read
+        cache.retain(node_request(key=b"c", request_class=once), 0, SECOND)  # replaces the read
         self.assertEqual([key for _, key in cache.entries], [b"a", b"c"])
         self.assertFalse(cache.make_room(SECOND // 2))
         self.assertFalse(
             cache.make_room(SECOND)
-        )  # one that came before may be read as late as its caller waits
+        )  # a duplicate that arrived before may be read until its client times out
         self.assertTrue(cache.make_room(SECOND + GROUP.client_timeout))
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -18,7 +18,7 @@
 
 class SignalTest(NodeProcessTest):
     def held_at_its_file(self):
-        """A node that is reading its configuration, out of a pipe that nobody has written to yet."""
+        """Start a node that waits for its configuration, in a pipe that is still empty."""
         path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "config.json")
         os.mkfifo(path)
         real, opened = self.launch, {}
@@ -32,7 +32,7 @@
         return path, opened["file"]
 
     def test_sigterm_during_the_start_is_handled_after_it(self):
-        # It ended the process as if it had crashed.
+        # It must not end the process with an error code.
         _, file = self.held_at_its_file()
         self.process.send_signal(signal.SIGTERM)
         with file:
@@ -57,7 +57,7 @@
         return self.dispatcher()
 
     def port_of(self) -> int:
-        """Of the one socket that the process listens on."""
+        """Return the address of the one socket that the process listens on."""
         inodes = set()
         for number in os.listdir(f"/proc/{self.process.pid}/fd"):
             with contextlib.suppress(OSError):
@@ -98,7 +98,7 @@
         link.say(f"{started[0]} DATA 5", b"reply")
         self.engine.done(started[1])
         seen = {started[0]: False}
-        for _ in range(3):  # the reply, and the two that were held
+        for _ in range(3):  # the reply, and the two that were queued
             verb, ident, *_ = self.engine.next()
             seen[ident] = verb == "RUN"
             self.engine.done(ident)
@@ -114,7 +114,7 @@
         pairs = [self.dispatcher() for _ in range(2)]
         for each in pairs:
             each.socket.sendall(self.whole()[:20])
-            seen = self.dispatcher()  # the loop has looked since
+            seen = self.dispatcher()  # the event loop has polled since
             seen.send("CHECK", "1", "")
             self.assertEqual(seen.answer()[1], b"yes")
         self.process.send_signal(signal.SIGTERM)
@@ -132,7 +132,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
 
     def whole(self) -> bytes:
-        """An exchange that comes now; its first 20 bytes are always the same."""
+        """A request that is sent now; its first 20 bytes are always the same."""
         fields = b"req=%016x,ts=%d,need=1,timeout=9000" % (time.time_ns(), time.time_ns() // MS)
         return encode(b"CALL", b"1", b"quote", fields, b"body")
 
@@ -183,7 +183,7 @@
 
 class DrainDeadlineTest(NodeProcessTest):
     def test_dispatchers_that_never_close_do_not_delay_the_stop(self):
-        # It waited for them until the kill; what takes nothing is in test_crossings.
+        # It must not wait for them until SIGKILL.
         self.begin(stop_ms=1500)
         resting, stuck = self.dispatcher(), self.dispatcher()
         self.engine.done(resting.call() and self.engine.next()[1])
@@ -193,7 +193,7 @@
         self.log("drain_deadline_reached")
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertEqual(resting.next(), [b"0", b"last"])
-        self.assertEqual(resting.next(), [])  # a clean end
+        self.assertEqual(resting.next(), [])  # an end without a reset
 
     def test_a_request_after_the_grace_is_answered_or_proves_that_nothing_ran(self):
         self.begin()
@@ -237,7 +237,7 @@
         self.directory.settimeout(WAIT)
 
     def test_a_node_is_listed_only_once_it_accepts_requests(self):
-        # It told `open` from its first moment, also in a second life whose engine was not there.
+        # It must not report `open` before its engine is up, also after a restart.
         self.begin(attach=False)
         dispatcher = self.dispatcher()
         dispatcher.send("CHECK", "1", "")
@@ -263,7 +263,7 @@
         self.no_report()
 
     def test_an_engine_that_comes_up_in_a_cancelled_drain_is_used(self):
-        # It was passed over, and the node denied everything from then on.
+        # An engine that came up during the drain must be used after the cancel.
         self.begin(attach=False, state="booting")
         held = self.dispatcher()
         held.send("CHECK", "1", "")
@@ -273,7 +273,7 @@
         self.assertEqual(held.next(), [b"0", b"last"])
         self.engine.attach(age="1000.0", answer=False)
         self.engine.say(f"HELLO booting {self.engine.age()}")
-        barrier = self.engine.stream.readline().split()  # asked for behind the greeting, which is read
+        barrier = self.engine.stream.readline().split()  # asked for after the greeting, which is read
         self.assertEqual(self.say(link, type="ask", tag=2)["state"], "draining")
         self.engine.say(f"STATS {barrier[1].decode()} {self.engine.gauges}")
         reading = threading.Thread(
