--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -268,6 +268,26 @@
         for side in sides:
             self.assertFalse(graph[side] & (sides | {"node", "agent", "fleet"}), side)
 
+    def test_the_deploy_file_lists_each_module_that_a_plain_node_loads(self):
+        root = Path(__file__).resolve().parents[2]
+        with open(root / "deploy" / "balancer.toml", "rb") as file:
+            deploy = tomllib.load(file)
+        listed = tuple(deploy["policy"] + deploy["node"])
+        code = (
+            "import sys, oakkeel.__main__, oakkeel.node.node\n"
+            "print(*(module.__file__ for name, module in sys.modules.items() if name.startswith('oakkeel.')))"
+        )
+        loaded = subprocess.run(
+            [sys.executable, "-c", code], cwd=root, capture_output=True, text=True, check=True
+        ).stdout.split()
+        self.assertIn(str(root / "oakkeel" / "node" / "node.py"), loaded)
+        unlisted = [
+            path
+            for path in (str(Path(file).relative_to(root)) for file in loaded)
+            if not any(path == entry or path.startswith(entry + "/") for entry in listed)
+        ]
+        self.assertEqual(unlisted, [])
+
     def test_a_plain_node_loads_none_of_what_agents_and_commands_need(self):
         code = (
             "import sys, oakkeel.__main__, oakkeel.node.node\n"
