--- a/oakkeel/agent/command_log.py
+++ b/oakkeel/agent/command_log.py
@@ -5,7 +5,7 @@
 from oakkeel.disruption import commands
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import Rejection
-from oakkeel.log import EventLog
+from oakkeel.log import EventLog, LogFields
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.state_machine import RolloutStateMachine
 
@@ -55,7 +55,7 @@
         release = state_machine.state.releases.get(command.ident)
         if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
             return
-        fields: dict[str, object] = {"release": release.ident, "state": release.state, "batch": release.batch}
+        fields: LogFields = {"release": release.ident, "state": release.state, "batch": release.batch}
         if isinstance(command, releases.StartBatch):
             fields["targets"] = ",".join(target for target, _ in command.targets)
             fields["fence"] = command.fence
--- a/oakkeel/agent/control_requests.py
+++ b/oakkeel/agent/control_requests.py
@@ -11,7 +11,7 @@
 from oakkeel.agent.supervision_rules import Action
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.control.messages import Acknowledgement
-from oakkeel.log import EventLog
+from oakkeel.log import EventLog, LogFields
 from oakkeel.units import SECOND
 
 CONTROL_REQUEST_TIMEOUT_NS = SECOND
@@ -38,7 +38,7 @@
         self.log = log
         self.tasks: dict[Instance, asyncio.Task[None]] = {}
 
-    def send(self, instance: Instance, process: Process, action: Action, fields: dict[str, object]) -> None:
+    def send(self, instance: Instance, process: Process, action: Action, fields: LogFields) -> None:
         """Send a drain or its cancellation after the requests before it; `fields` are logged with it."""
         previous = self.tasks.get(instance)
         task = asyncio.ensure_future(self._send_after(previous, instance, process, action, fields))
@@ -55,7 +55,7 @@
         instance: Instance,
         process: Process,
         action: Action,
-        fields: dict[str, object],
+        fields: LogFields,
     ) -> None:
         if previous is not None:
             await asyncio.wait((previous,))
@@ -66,9 +66,7 @@
             self.log.info("drain_requested", by="signal", **fields)
             self.processes.signal(process, signal.SIGTERM)
 
-    async def _request(
-        self, instance: Instance, process: Process, action: Action, fields: dict[str, object]
-    ) -> bool:
+    async def _request(self, instance: Instance, process: Process, action: Action, fields: LogFields) -> bool:
         """Send the request over the control link; returns whether the node accepted it."""
         client = ControlClient(self.processes.path(instance.name, "sock"))
         timeout = CONTROL_REQUEST_TIMEOUT_NS / SECOND
@@ -86,9 +84,7 @@
         finally:
             client.close()
 
-    def _log_cancellation(
-        self, instance: Instance, answer: Acknowledgement, fields: dict[str, object]
-    ) -> None:
+    def _log_cancellation(self, instance: Instance, answer: Acknowledgement, fields: LogFields) -> None:
         self.log.info("drain_cancel_requested", answer=answer.reason or "accepted", **fields)
         if answer.reason:
             instance.why = f"the node did not cancel its drain: {answer.reason}"
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -16,7 +16,7 @@
 from oakkeel.agent.supervisor import Step, Supervisor
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption.holder import PermitHolder
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, LogFields, fault
 from oakkeel.settings.types import FairSharingSettings
 from oakkeel.units import MS, SECOND
 
@@ -73,9 +73,9 @@
             self.log.info("drain_timeout_killed", **fields)
             self.processes.signal(process, signal.SIGKILL)
 
-    def _log_fields(self, instance: Instance) -> dict[str, object]:
+    def _log_fields(self, instance: Instance) -> LogFields:
         """Instance, generation, order and fencing token of a step, for the log."""
-        fields: dict[str, object] = {"target": instance.name, "generation": instance.process_generation}
+        fields: LogFields = {"target": instance.name, "generation": instance.process_generation}
         if instance.task:
             order = instance.task.order
             fields |= {"order": order.order_id, "operator": order.operator}
@@ -94,7 +94,7 @@
             if instance.task:
                 instance.task.drain_sent = False
 
-    def _start(self, instance: Instance, fields: dict[str, object]) -> None:
+    def _start(self, instance: Instance, fields: LogFields) -> None:
         now = time.monotonic_ns()
         try:
             launched = self.launcher.launch(instance)
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -24,7 +24,9 @@
 else:
     import structlog
 
-Event = MutableMapping[str, object]
+FieldValue = str | int | float | None
+LogFields = dict[str, FieldValue]
+Event = MutableMapping[str, FieldValue]
 
 
 class LineLimiter:
@@ -77,7 +79,7 @@
     return render
 
 
-def _format_value(value: object) -> str:
+def _format_value(value: FieldValue) -> str:
     text = f"{value:g}" if isinstance(value, float) else str(value)
     return text if text and text.isprintable() and not set(' "=') & set(text) else json.dumps(text)
 
@@ -101,23 +103,23 @@
             processors.append(console(name))
         self.bound = structlog.BoundLogger(self, processors, {"instance": name} if form == "json" else {})
 
-    def debug(self, event: str, **fields: object) -> None:
+    def debug(self, event: str, **fields: FieldValue) -> None:
         """Log an event for developers."""
         self.write("debug", event, fields)
 
-    def info(self, event: str, **fields: object) -> None:
+    def info(self, event: str, **fields: FieldValue) -> None:
         """Log an event of ordinary operation."""
         self.write("info", event, fields)
 
-    def warning(self, event: str, **fields: object) -> None:
+    def warning(self, event: str, **fields: FieldValue) -> None:
         """Log a fault outside this process that was handled."""
         self.write("warning", event, fields)
 
-    def error(self, event: str, **fields: object) -> None:
+    def error(self, event: str, **fields: FieldValue) -> None:
         """Log a failure of this process, or one that an operator has to repair."""
         self.write("error", event, fields)
 
-    def write(self, level: str, event: str, fields: dict[str, object]) -> None:
+    def write(self, level: str, event: str, fields: LogFields) -> None:
         """Write one event at a level, if the line limiter admits it."""
         if self.lines.admits(event, fields):
             if self.lines.left_out:
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Callable
 
+from oakkeel.log import LogFields
 from oakkeel.request import NodeRequest
 from oakkeel.units import MS, SECOND
 
@@ -58,14 +59,14 @@
                 return 1 << bucket
         return 1 << self.BUCKETS
 
-    def collect(self, connections: int, open_requests: int, link_losses: int) -> dict[str, object]:
+    def collect(self, connections: int, open_requests: int, link_losses: int) -> LogFields:
         """Return the fields of a log line and reset the counts; sizes in MB, CPU as a share of a core."""
         now = time.monotonic_ns()
         cpu = time.process_time_ns()
         calls = ",".join(
             f"{outcome.replace(' ', '_')}:{count}" for outcome, count in sorted(self.calls_by_outcome.items())
         )
-        fields: dict[str, object] = {
+        fields: LogFields = {
             "read": self.requests_read,
             **{status.decode(): count for status, count in sorted(self.answers.items())},
             "calls": calls or 0,
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -15,7 +15,7 @@
 from oakkeel.dispatch.codec import RequestReader
 from oakkeel.dispatch.listener import Listener
 from oakkeel.engine.link import EngineLink
-from oakkeel.log import EventLog
+from oakkeel.log import EventLog, LogFields
 from oakkeel.node.components import NodeComponents
 from oakkeel.node.configuration import NodeConfiguration, read_configuration
 from oakkeel.node.drain import Drain
@@ -212,7 +212,7 @@
             self.resource_limits.metrics_interval / SECOND, self._log_metrics
         )
 
-    def _metric_fields(self) -> dict[str, object]:
+    def _metric_fields(self) -> LogFields:
         return self.metrics.collect(
             len(self.listener.connections), len(self.open_requests), self.engine.losses
         )
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from typing import NoReturn, TypeVar
+from typing import NoReturn, TypeAlias, TypeVar
 
 from oakkeel.admission.types import (
     DownstreamKind,
@@ -19,6 +19,7 @@
 from oakkeel.errors import OakkeelError
 
 Choice = TypeVar("Choice")
+JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
 
 IDEMPOTENCY = {
     "read_like": Idempotency.IDEMPOTENT,
@@ -50,7 +51,7 @@
     raise LimitsError(text)
 
 
-def flatten(value: object, path: str = "") -> dict[str, str]:
+def flatten(value: JsonValue, path: str = "") -> dict[str, str]:
     """Return nested JSON as the paths of the text form: plain lists joined, lists of objects counted."""
     if isinstance(value, dict):
         inner = [(f"{path}.{name}" if path else str(name), item) for name, item in value.items()]
@@ -64,7 +65,7 @@
     return {name: text for prefix, item in inner for name, text in flatten(item, prefix).items()}
 
 
-def _scalar(value: object) -> str:
+def _scalar(value: JsonValue) -> str:
     if value is None:
         return ""
     return str(value).lower() if isinstance(value, bool) else str(value)
