--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -120,18 +120,12 @@
         One of another cluster, or of an earlier state than was seen before, is rejected.
         """
         self.timestamp = response.timestamp  # also if rejected: its echo shows the leader that we are alive
-        if self.epoch and response.epoch != self.epoch:
-            self.rejection_reason = f"received a response of cluster {response.epoch}, expected {self.epoch}"
-            return False
-        if response.index < self.last_index:
-            self.rejection_reason = (
-                f"received a response of index {response.index}, which is before {self.last_index}"
-            )
+        self.rejection_reason = self._find_rejection(response)
+        if self.rejection_reason:
             return False
         self.epoch = response.epoch
         self.last_index = response.index
         self.synchronized = True
-        self.rejection_reason = ""
         self.changed |= {
             target for target, limit in response.generations.items() if self.generations.get(target) != limit
         }
@@ -144,6 +138,14 @@
                 self._update_permit(permit, sent_at)
         return True
 
+    def _find_rejection(self, response: HeartbeatResponse) -> str:
+        """Return why a response is rejected; empty if it is accepted."""
+        if self.epoch and response.epoch != self.epoch:
+            return f"received a response of cluster {response.epoch}, expected {self.epoch}"
+        if response.index < self.last_index:
+            return f"received a response of index {response.index}, which is before {self.last_index}"
+        return ""
+
     def _drop_permits(self, granted: dict[str, GrantedPermit]) -> None:
         """Delete permits that were released or replaced: they may not be started any more."""
         ended = [
@@ -170,19 +172,20 @@
             held.start_before = 0
             held.unused = not held.started
 
-    def may_start(self, now: int, target: str, order_id: str, runs: bool = True) -> bool:
+    def may_start(self, now: int, target: str, order_id: str, may_have_process: bool = True) -> bool:
         """Whether a target may be taken out of service now: the rule of permit validity.
 
-        `now` is by the agent's monotonic clock; `runs` says whether the target may have a process. A permit
-        is started before the leader can consider it expired, or not at all: no two count on the same budget.
+        `now` is by the agent's monotonic clock. A permit is started before the leader can consider it expired,
+        or not at all: no two count on the same budget.
         """
         held = self.permits.get(target)
-        return bool(
-            held
-            and held.order_id == order_id
-            and not held.unused
-            and (held.started or (now < held.start_before and not (held.only_while_down and runs)))
-        )
+        if held is None or held.order_id != order_id or held.unused:
+            return False
+        if held.started:
+            return True
+        if held.only_while_down and may_have_process:
+            return False
+        return now < held.start_before
 
     def may_notify(self, now: int, target: str, order_id: str) -> bool:
         """Whether the target may still be sent its first drain request under a started permit."""
