--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -175,8 +175,8 @@
     def may_start(self, now: int, target: str, order_id: str, may_have_process: bool = True) -> bool:
         """Whether a target may be taken out of service now: the rule of permit validity.
 
-        `now` is by the agent's monotonic clock. A permit is started before the leader can consider it expired,
-        or not at all: no two count on the same budget.
+        `now` is by the agent's monotonic clock. A permit is started before the leader can consider it
+        expired, or not at all: no two count on the same budget.
         """
         held = self.permits.get(target)
         if held is None or held.order_id != order_id or held.unused:
