--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -1,19 +1,19 @@
-"""Audit of the promises of consensus and of disruption permits, by what replicas, agents and processes do.
-
-The promises, each in a sentence:
-
-1. No two replicas ever lead in one term.
-2. What one replica takes for committed at an index, every other takes for committed there, and it never
-   changes.
-3. An order that was acknowledged is in the log at the index that was named.
-4. No more targets of a group are taken out at one time than its bound, and one that serves is taken out only
-   while those that had been out by themselves for long enough to be known count as well.
-5. Nothing is taken out without a permit that was granted by a committed command, and no process is drained
-   under an older fence than one before it.
+"""Audit of the invariants of consensus and of disruption permits, by what happened.
+
+The invariants, which breaches call promises:
+
+1. A term has one leader at most.
+2. All replicas have the same committed entry at an index, and it never changes.
+3. An order that was acknowledged is in the log at the index that was returned.
+4. No more targets of a budget group are taken out at one time than its maximum unavailable. A target that
+   serves is taken out only while those that have failed for long enough to be detected count as unavailable
+   too.
+5. No target is taken out without a permit that a committed command granted, and no process is drained under a
+   lower fencing token than one before it.
 6. No generation of an instance is ever used twice.
-7. Once nothing of a halted order waits for a permit or has one that is not used, nothing is drained by it.
+7. Once no target of a halted order waits for a permit or has an unused one, the order takes no target out.
 
-The audit is given what happened with the true time, and knows nothing of why.
+The audit receives events with the true time, and shares no code with what it checks.
 """
 
 from __future__ import annotations
@@ -26,15 +26,14 @@
 
 
 class ConsensusAudit:
-    """Checks the promises as things happen. All times are nanoseconds of one clock."""
+    """Checks the invariants with each event. All times are nanoseconds of one clock."""
 
     def __init__(
         self, groups: dict[str, tuple[int, list[str]]], known_after: int, max_breaches: int = 100
     ) -> None:
-        """`groups` gives the bound and targets by name.
+        """`groups` gives the maximum unavailable and the targets by name.
 
-        `known_after` is the time after which a target that is out by itself must be counted by whoever uses a
-        permit.
+        `known_after` is how long after its failure a target must count as unavailable for every new permit.
         """
         self.groups = groups
         self.known_after = known_after
@@ -43,16 +42,16 @@
         self.leaders: dict[int, str] = {}  # by term
         self.committed: dict[int, bytes] = {}  # by index
         self.acknowledged_orders: list[tuple[str, int]] = []
-        self.taken_out: dict[str, int] = {}  # by target that an order has taken out: fence
-        self.out_since: dict[str, int] = {}  # by target that failed or left without an order
-        self.fences: dict[str, int] = {}  # the latest by target
+        self.taken_out: dict[str, int] = {}  # fencing token by target that an order has taken out
+        self.out_since: dict[str, int] = {}  # by target that is unavailable without an order
+        self.fences: dict[str, int] = {}  # the highest by target
         self.generations: dict[str, int] = {}
         self.halted_orders: set[str] = set()
-        self.granted: dict[str, set[int]] = {}  # fences by target, as committed
+        self.granted: dict[str, set[int]] = {}  # committed fencing tokens by target
         self.most_out: dict[str, int] = dict.fromkeys(groups, 0)
 
     def leader_observed(self, now: int, term: int, replica: str) -> None:
-        """Record that a replica leads in a term."""
+        """Record the leader of a term."""
         other = self.leaders.setdefault(term, replica)
         if other != replica:
             self._breach(now, f"1: {other} and {replica} both lead in term {term}")
@@ -61,7 +60,7 @@
         """Record that a replica has applied a committed command."""
         known = self.committed.setdefault(index, content)
         if known != content:
-            self._breach(now, f"2: {replica} takes another command for committed at {index}")
+            self._breach(now, f"2: {replica} has another committed command at {index}")
         command: Any = msgspec.msgpack.decode(content)
         if command[0] == "grant":
             for target in command[2]:
@@ -76,7 +75,7 @@
         self.acknowledged_orders.append((ident, index))
 
     def order_halted(self, ident: str) -> None:
-        """Record that by what is committed nothing can be drained by an order any more."""
+        """Record that an order is halted and none of its targets waits or has an unused permit."""
         self.halted_orders.add(ident)
 
     def drain_started(self, now: int, target: str, fence: int, ident: str = "") -> None:
@@ -107,12 +106,12 @@
         ]
         self.most_out[name] = max(self.most_out[name], len(taken_out))
         if len(taken_out) > bound:
-            self._breach(now, f"4: {name}: {', '.join(taken_out)} are taken out, bound {bound}")
+            self._breach(now, f"4: {name}: {', '.join(taken_out)} are taken out, maximum {bound}")
         elif served and len(taken_out) + len(known_out) > bound:
             self._breach(
                 now,
                 f"4: {name}: {', '.join(taken_out)} are taken out while {', '.join(known_out)} are"
-                f" known to be away, bound {bound}",
+                f" known to be unavailable, maximum {bound}",
             )
 
     def serving(self, now: int, target: str) -> None:
@@ -121,7 +120,7 @@
         self.out_since.pop(target, None)
 
     def out_by_itself(self, now: int, target: str) -> None:
-        """Record that a target does not serve, which no order asked for."""
+        """Record that a target does not serve without an order."""
         if target not in self.taken_out:
             self.out_since.setdefault(target, now)
 
@@ -133,11 +132,11 @@
         self.generations[target] = max(generation, latest)
 
     def finish(self, now: int) -> list[str]:
-        """Check what can be checked only at the end, and return all breaches."""
+        """Check the acknowledged orders, and return all breaches."""
         for ident, index in self.acknowledged_orders:
             content = self.committed.get(index)
             if content is None or msgspec.msgpack.decode(content)[1] != ident:
-                self._breach(now, f"3: order {ident} was answered at {index} and is not there")
+                self._breach(now, f"3: order {ident} was acknowledged at {index} and is not there")
         return self.breaches
 
     def _breach(self, now: int, text: str) -> None:
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -1,6 +1,6 @@
-"""Reads what agents logged and nodes wrote down, in the order of the time that a machine's processes share.
+"""Reads the logs of agents and the journals of nodes, ordered by the monotonic clock of their machine.
 
-Feeds `ConsensusAudit`: it knows agents by their lines and nodes by their journals, and asks none of them.
+`ConsensusAudit` gets its events from them alone, without a request to any process.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class LogEvent(NamedTuple):
-    """One line of an agent's log, or of a node's journal (`node` and its word)."""
+    """One line of an agent's log, or of a node's journal (the kind is `node` and the word of the line)."""
 
     at: int  # monotonic nanoseconds
     kind: str
@@ -22,7 +22,7 @@
 
 
 def read_events(folder: str, hosts: dict[str, list[str]]) -> list[LogEvent]:
-    """All events of a site's folder, the earliest first."""
+    """Return all events of a site's folder, the earliest first."""
     found: list[LogEvent] = []
     for host, names in hosts.items():
         found += _agent_events(folder, host)
@@ -41,7 +41,7 @@
                 fields = json.loads(line)
                 yield LogEvent(fields["mono"], fields["event"], {"host": host, **fields})
             except (ValueError, KeyError, TypeError):
-                continue  # a line cut short by a kill
+                continue  # a line that was truncated by a kill
 
 
 def _node_events(folder: str, host: str, name: str) -> Iterator[LogEvent]:
@@ -57,7 +57,7 @@
 def audit_groups(
     hosts: dict[str, list[str]], sites: dict[str, str], max_unavailable: int, fleet_max_unavailable: int
 ) -> dict[str, tuple[int, list[str]]]:
-    """The disruption budgets of the fleet and of each site, with their instances."""
+    """Return the maximum unavailable and the instances of the fleet and of each site, by name."""
     groups = {"fleet": (fleet_max_unavailable, [name for names in hosts.values() for name in names])}
     for site in set(sites.values()):
         names = [name for host, names in hosts.items() if sites[host] == site for name in names]
@@ -68,7 +68,7 @@
 def audit_logs(
     folder: str, hosts: dict[str, list[str]], groups: dict[str, tuple[int, list[str]]], known_after: int
 ) -> ConsensusAudit:
-    """Audit one run: its breaches, and what was unavailable at most."""
+    """Return the audit of one run, with its breaches and the maximum of unavailable targets."""
     audit = ConsensusAudit(groups, known_after)
     for at, kind, fields in read_events(folder, hosts):
         target = fields.get("target", "")
--- a/oakkeel/invariants/policy_change.py
+++ b/oakkeel/invariants/policy_change.py
@@ -1,6 +1,6 @@
-"""Checks that a change of policy takes effect on all nodes or on none.
+"""Audit of policy changes: a version takes effect on all nodes or on none.
 
-The promises, continued from the other audits:
+The invariants, numbered on from the other audits:
 
 11. Once a version is reported as in force, no request is decided under an earlier one on any node.
 12. Under a version that is reported as refused or withdrawn, no request is ever decided.
@@ -12,7 +12,7 @@
 
 
 class PolicyChangeAudit:
-    """Receives decisions and reports with the true time, in any order of the two."""
+    """Receives decisions and reports with the true time, in any order."""
 
     def __init__(self, max_breaches: int = 50) -> None:
         """Keep `max_breaches` at most."""
@@ -20,11 +20,11 @@
         self.breaches: list[str] = []
         self.in_force = 0
         self.not_made: set[int] = set()
-        self.used: dict[int, str] = {}  # by version: the first node
+        self.used: dict[int, str] = {}  # first node by version
         self.decided: dict[int, int] = {}  # requests, by version
 
     def record_decision(self, now: int, who: str, number: int) -> None:
-        """Check a decision under a version."""
+        """Record a decision under a version."""
         self.used.setdefault(number, who)
         self.decided[number] = self.decided.get(number, 0) + 1
         if number < self.in_force:
@@ -33,11 +33,11 @@
             self._breach(now, f"12: {who} decides under {number}, which was reported as not made")
 
     def record_in_force(self, now: int, number: int) -> None:
-        """Note that a version was reported as in force."""
+        """Record that a version was reported as in force."""
         self.in_force = max(self.in_force, number)
 
     def record_not_made(self, now: int, number: int) -> None:
-        """Note that a version was reported as not made."""
+        """Record that a version was reported as refused or withdrawn."""
         self.not_made.add(number)
         if number in self.used:
             self._breach(
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -1,12 +1,11 @@
-"""Checks whether the invariants of releases hold, by what was committed, started and reported.
+"""Audit of the invariants of releases, by what was committed, started and reported.
 
-8. Nothing starts with the version of a release before a committed batch of it names that target, nor once the
-   release is reported as undone.
-9. When a release is reported as done, each target of it that serves runs the new version; as undone, what it
-   ran before.
-10. Each step of a release is applied once, the same on every replica, under fencing tokens that only rise.
+8. No target starts with the version of a release before a committed batch of it names that target, nor after
+the release is reported as undone. 9. When a release is reported as done, each target of it that serves runs
+the new version; as undone, what it ran before. 10. Each step of a release is applied once, the same on every
+replica, under fencing tokens that only increase.
 
-The checks get events with the true time, and know nothing of the reasons for them.
+The audit receives events with the true time, and shares no code with what it checks.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
 
 
 class RolloutAudit:
-    """Checks commands, starts and ends against the invariants; a breach is a line with its time."""
+    """Checks the invariants with each event; a breach is a line of text with its time."""
 
     def __init__(self, max_breaches: int = 100) -> None:
         """Keep `max_breaches` breaches."""
@@ -45,7 +44,7 @@
         self.finished: dict[str, str] = {}  # state by release
 
     def record_command(self, now: int, replica: str, content: bytes) -> None:
-        """Record a command that a replica applied and did not reject."""
+        """Record a command that a replica has applied without a rejection."""
         command: Any = msgspec.msgpack.decode(content)
         tag = command[0]
         if tag == "begin":
@@ -87,7 +86,7 @@
                 self._add_breach(now, f"8: {target} starts with {version[:8]} after {release_id} is undone")
 
     def record_end(self, now: int, release_id: str, state: str, serving: set[str]) -> None:
-        """Record a release reported as ended; `serving` are the targets that serve at that moment."""
+        """Record a release that is reported as ended; `serving` are the targets that serve at that time."""
         if release_id in self.finished:
             return
         self.finished[release_id] = state
@@ -148,5 +147,5 @@
             try:
                 events.append(json.loads(line))
             except ValueError:
-                continue  # cut short by a kill
+                continue  # a line that was truncated by a kill
     return events
--- a/oakkeel/models/__init__.py
+++ b/oakkeel/models/__init__.py
@@ -1,1 +1,1 @@
-"""Models of what must never happen, small enough for z3 to look at every case. The code is not in them."""
+"""Models of the rules for z3, which checks every case of a small model."""
--- a/oakkeel/models/disruption.py
+++ b/oakkeel/models/disruption.py
@@ -1,20 +1,30 @@
-"""Can a permit be used after it was granted to another? Two clocks that run at different speeds, by z3.
+"""Models of permit expiry and of the leader's lease for z3, with clocks that run at different rates.
 
-True time is t. A clock's speed lies between 1 - drift and 1 + drift, so the time that it shows to have passed
-lies between those multiples of the true time: all is linear, and z3 decides it for every real number.
+The rate of a clock is between 1 - drift and 1 + drift, so a duration that it measures is between those
+multiples of the true duration. All conditions are linear, and z3 decides them for all real numbers.
 """
 
 from __future__ import annotations
 
+from enum import Enum
+
 import z3
 
 
-def started_after_expiry(validity: float, expiry: float, drift: float, from_when: str = "sent") -> bool:
-    """Return whether an agent can start under a permit after the leader has let it expire.
+class CountedFrom(Enum):
+    """The event from which an agent counts the validity of a permit."""
+
+    SENT = "its heartbeat was sent"
+    RECEIVED = "the response was received"
+
+
+def started_after_expiry(
+    validity: float, expiry: float, drift: float, counted_from: CountedFrom = CountedFrom.SENT
+) -> bool:
+    """Whether an agent can start a permit after the leader has expired it.
 
-    The agent counts `validity`, less what the leader reports as passed of it, from when its heartbeat was
-    sent or (`from_when` "came") from when the response arrived; the leader lets the permit expire after
-    `expiry`. Both count by their own clock.
+    The agent counts what the leader reports as left of `validity`, from the event `counted_from`. The leader
+    expires the permit after `expiry`. Both count in seconds by their own clock.
     """
     granted, sent, answered, received, started, expired = z3.Reals(
         "granted sent answered received started expired"
@@ -30,16 +40,18 @@
     )
 
     def passed(name: str, since: z3.ArithRef, until: z3.ArithRef) -> z3.ArithRef:
-        """Return what a clock may show between two moments."""
+        """Return a duration that a clock may measure between two instants."""
         shown = z3.Real(name)
         solver.add(shown >= (until - since) * (1 - drift), shown <= (until - since) * (1 + drift))
         return shown
 
     elapsed = passed("elapsed", granted, answered)  # by the leader
     remaining = z3.If(elapsed >= validity, 0, validity - elapsed)
-    counted = passed("counted", sent if from_when == "sent" else received, started)  # by the agent
+    counted = passed(
+        "counted", sent if counted_from is CountedFrom.SENT else received, started
+    )  # by the agent
     solver.add(remaining > 0, counted < remaining)
-    # The leader's clock runs on from `elapsed` at the same speed or another within the drift.
+    # After `elapsed` the rate of the leader's clock may change within the drift.
     rest = passed("rest", answered, expired)
     solver.add(expired >= answered, elapsed + rest >= expiry)
     solver.add(started >= expired)
@@ -47,7 +59,7 @@
 
 
 def two_hold_a_lease(lease: float, election_timeout: float, drift: float) -> bool:
-    """Return whether a leader can hold its lease after its voters have elected another leader."""
+    """Whether a leader can hold its lease after its voters have elected another leader."""
     sent, received, elected, holding = z3.Reals("sent received elected holding")
     solver = z3.Solver()
     solver.add(sent >= 0, sent <= received, received <= elected, holding >= elected)
--- a/oakkeel/models/drains.py
+++ b/oakkeel/models/drains.py
@@ -1,8 +1,8 @@
 """Model of drains for z3: every drain ends with the instance stopped or serving.
 
-It joins the tables of states of node and agent. z3 is asked for a rank of each state that every step makes
-smaller, except those of an operator or a crash. If there is one, every run ends; a state that is no end and
-has no step is reported.
+It combines the state tables of node and agent. z3 searches for a rank of each state that decreases with every
+step, except steps of an operator or a crash. If there is one, every run ends. A state that is not final and
+has no step is reported as stuck.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 
 def steps(state: State, omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that can follow with no operator and no crash.
+    """Return the states that can follow without an operator or a crash.
 
-    `omitted` names the rules that a variant leaves out.
+    `omitted` names the rules that a variant omits.
     """
     phase, node, cancel = state
     omitted_rules = set(omitted)
@@ -47,7 +47,7 @@
 
 
 def reached(omitted: Iterable[str] = ()) -> set[State]:
-    """Return the states reached from a drain that has just started, with a cancel at any moment."""
+    """Return the states reached from a drain that has just started, with a cancel at any time."""
 
     def successors(state: State) -> list[State]:
         phase, node, cancel = state
@@ -60,10 +60,10 @@
 
 
 def stuck(omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that are no end and have no step."""
+    """Return the states that are not final and have no step."""
     return sorted(state for state in reached(omitted) if state not in ENDS and not steps(state, omitted))
 
 
 def always_ends(omitted: Iterable[str] = ()) -> bool:
-    """Return whether there is a rank that every step makes smaller, up to the first end of a drain."""
+    """Whether there is a rank that decreases with every step, up to the first end of a drain."""
     return has_rank(reached(omitted), lambda state: [] if state in ENDS else steps(state, omitted))
--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -1,8 +1,8 @@
-"""Model of elections for z3: no two replicas lead in one term, and no committed entry is lost.
+"""Model of elections for z3: a term has one leader at most, and no committed entry is lost.
 
-Every run of a few steps of three replicas is explored. Entries are known by their terms. A step is an
+Every run of a few steps of three replicas is explored. An entry is represented by its term. A step is an
 election with the votes of some replicas, an entry of a leader, its copy to another replica, or its commit.
-Each variant leaves out one rule and must be found unsafe; otherwise the model would prove nothing.
+Each variant omits one rule and must be found unsafe; otherwise the model would prove nothing.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class State:
-    """One moment: terms, votes, logs, leaders, and what was ever committed."""
+    """The state of all replicas: terms, votes, logs, leaders, and the entries that were ever committed."""
 
     def __init__(self, name: str) -> None:
         """`name` is the prefix of the variables."""
@@ -31,24 +31,24 @@
             return [z3.Int(f"{name}.{field}{number}") for number in range(count)]
 
         self.term = integers("term", REPLICAS)
-        self.voted_for = integers("voted", REPLICAS)  # -1: nobody
+        self.voted_for = integers("voted", REPLICAS)  # -1: none
         self.log = [integers(f"log{replica}.", LENGTH) for replica in range(REPLICAS)]  # 0: no entry
         self.leads = integers("leads", REPLICAS)  # the term that it leads; 0: none
         self.committed = integers("committed", LENGTH)  # the term of the entry committed there; 0: none
 
     def is_leader(self, replica: int) -> z3.BoolRef:
-        """Return whether a replica leads in its present term."""
+        """Return that a replica leads in its current term."""
         return z3.And(self.leads[replica] > 0, self.leads[replica] == self.term[replica])
 
 
 def same(before: Terms, after: Terms, but: Iterable[int] = ()) -> list[z3.BoolRef]:
-    """Return that all but some values stay."""
+    """Return that all but some values stay the same."""
     changed = set(but)
     return [after[index] == before[index] for index in range(len(before)) if index not in changed]
 
 
 def same_logs(before: State, after: State, but: Iterable[int] = ()) -> list[z3.BoolRef]:
-    """Return that the logs of all but some replicas stay."""
+    """Return that the logs of all but some replicas stay the same."""
     changed = set(but)
     return [
         condition
@@ -69,7 +69,7 @@
 
 
 def elected(before: State, after: State, candidate: int, voters: set[int], rules: set[str]) -> z3.BoolRef:
-    """Return that some vote for one in a later term than any of them is in."""
+    """Return that voters elect a candidate in a later term than theirs."""
     term = after.leads[candidate]
     conditions = [term > before.term[candidate], term <= MAX_TERM]
     for voter in voters:
@@ -92,7 +92,7 @@
 
 
 def is_current(candidate: Terms, voter: Terms) -> z3.BoolRef:
-    """Return that the candidate's log is no older than the voter's."""
+    """Return that the candidate's log is at least as up to date as the voter's."""
     same_term = last_term(candidate) == last_term(voter)
     return z3.Or(
         last_term(candidate) > last_term(voter), z3.And(same_term, length(candidate) >= length(voter))
@@ -100,7 +100,7 @@
 
 
 def vote_lost(before: State, after: State, replica: int) -> z3.BoolRef:
-    """Return that one loses the file with its vote, and stays the same to all others."""
+    """Return that a replica loses its vote and keeps its identity."""
     return z3.And(
         after.voted_for[replica] == -1,
         *same(before.voted_for, after.voted_for, [replica]),
@@ -131,7 +131,7 @@
 
 
 def log_copied(before: State, after: State, leader: int, follower: int) -> z3.BoolRef:
-    """Return that a follower takes the leader's whole log, which is what appends come to in the end."""
+    """Return that a follower copies the leader's log, which is the result of its append entries requests."""
     term = before.leads[leader]
     vote = z3.If(before.term[follower] == term, before.voted_for[follower], -1)
     return z3.And(
@@ -215,7 +215,7 @@
 
 
 def two_leaders(steps: int, rules: set[str]) -> bool:
-    """Return whether some run of `steps` steps has two leaders in one term."""
+    """Whether some run of `steps` steps has two leaders in one term."""
     solver, states = all_runs(steps, rules)
     solver.add(
         z3.Or(
@@ -233,7 +233,7 @@
 
 
 def committed_entry_is_lost(steps: int, rules: set[str]) -> bool:
-    """Return whether some run ends with a leader that lacks or contradicts an earlier committed entry."""
+    """Whether some run ends with a leader that lacks or contradicts an earlier committed entry."""
     solver, states = all_runs(steps, rules)
     end = states[-1]
     lacks = [
--- a/oakkeel/models/policy_change.py
+++ b/oakkeel/models/policy_change.py
@@ -1,22 +1,33 @@
-"""Can a request be decided under an earlier version after the change was reported as in force? By z3.
+"""Model of policy changes for z3: no request is decided under an earlier version once the change is in force.
 
-True time is t; a clock shows between 1 - drift and 1 + drift of it. An agent sends a heartbeat, a leader
-responds with the earlier version, the agent counts its lease from when it sent the heartbeat (or from when
-the response arrived) and passes it on, and a node decides while it lasts. The leader commits the change
-after it responded, and waits.
+The rate of a clock is between 1 - drift and 1 + drift. An agent sends a heartbeat, and a leader responds with
+the earlier version. The agent counts the lease on it, passes it to a node, and the node decides under it
+while the lease lasts. The leader commits the change after its response, waits, and reports the change as in
+force.
 """
 
 from __future__ import annotations
 
+from enum import Enum
+
 import z3
 
 
-def old_after_in_force(lease: float, wait: float, drift: float, rule: str = "sent") -> bool:
-    """Return whether a node can use the earlier version after the change was reported as in force.
+class LeaseRule(Enum):
+    """When the lease on an earlier version ends."""
+
+    FROM_SENT = "counted from when the heartbeat was sent"
+    FROM_RECEIVED = "counted from when the response was received"
+    NO_END = "when the node learns of another version"
+    WALL_CLOCK = "at a time of a clock that may be set back"
+
+
+def old_after_in_force(
+    lease: float, wait: float, drift: float, rule: LeaseRule = LeaseRule.FROM_SENT
+) -> bool:
+    """Whether a node can use the earlier version after the change was reported as in force.
 
-    `rule` says how the lease ends: it counts from when the heartbeat was "sent" or the response "came";
-    "none": a node uses it until it learns of another version; "wall": at a time of a clock that may be set
-    back.
+    `lease` and the `wait` of the leader are in seconds.
     """
     sent, answered, received, decided, reported, used = z3.Reals(
         "sent answered received decided reported used"
@@ -33,26 +44,26 @@
     )
 
     def shown(name: str, since: z3.ArithRef, until: z3.ArithRef) -> z3.ArithRef:
-        """Return what a clock may show to have passed between two moments."""
+        """Return a duration that a clock may measure between two instants."""
         passed = z3.Real(name)
         solver.add(passed >= (until - since) * (1 - drift), passed <= (until - since) * (1 + drift))
         return passed
 
     solver.add(shown("waited", decided, reported) >= wait)
-    since = received if rule == "came" else sent
-    if rule in ("sent", "came"):
+    since = received if rule is LeaseRule.FROM_RECEIVED else sent
+    if rule in (LeaseRule.FROM_SENT, LeaseRule.FROM_RECEIVED):
         solver.add(shown("counted", since, used) < lease)
-    elif rule == "wall":
+    elif rule is LeaseRule.WALL_CLOCK:
         back = z3.Real("back")
         solver.add(back >= 0, shown("counted", since, used) - back < lease)
     return bool(solver.check() == z3.sat)
 
 
 def withdrawn_and_used(order_rules: set[str]) -> bool:
-    """Return whether some sequence of moves reports a version as withdrawn under which a node decided.
+    """Whether a version can be reported as withdrawn under which a node decided.
 
-    Every sequence is explored. The rules: a node learns only of what is decided ("decided first"), and what
-    is decided can't be withdrawn ("decided stays").
+    Every sequence of steps is explored. The rules: a node learns only of decided versions ("decided first"),
+    and a decided version can't be withdrawn ("decided stays").
     """
     pending = [("proposed", False, False)]  # state, a node uses it, reported as withdrawn
     seen = set()
--- a/oakkeel/models/ranking.py
+++ b/oakkeel/models/ranking.py
@@ -1,4 +1,4 @@
-"""Termination by a rank: if every step makes a number smaller, no run of a model goes on for ever."""
+"""Termination by a rank: if a number decreases with every step, every run of a model ends."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def has_rank(states: Iterable[ModelState], successors: Callable[[ModelState], Iterable[ModelState]]) -> bool:
-    """Return whether z3 finds a rank, 0 or more for each state, that every step makes smaller."""
+    """Whether z3 finds a rank, 0 or more for each state, that decreases with every step."""
     rank = {state: z3.Int("/".join(map(str, state))) for state in states}
     solver = z3.Solver()
     solver.add(*[value >= 0 for value in rank.values()])
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -1,6 +1,6 @@
 """Model of releases for z3: every release ends, and steps of two controllers are never both applied.
 
-Two targets are released. z3 is asked for a rank that every step of a controller makes smaller: if there is
+Two targets are released. z3 searches for a rank that decreases with every step of a controller: if there is
 one, every release ends unless an operator acts. Operators may act at any time; their actions are not ranked.
 """
 
@@ -33,17 +33,17 @@
 
 
 def steps(state: State, omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that a controller can reach at once, with no operator."""
+    """Return the states that a controller can reach by one step, without an operator."""
     name, back, out, one, two, attempts = state
     found: list[State] = []
     if name == "preparing":
         return [("running", back, out, one, two, attempts), ("left", back, out, one, two, attempts)]
-    if out:  # the batch finishes as new or old, whatever was intended
+    if out:  # the batch ends with the new or the old version, whichever was intended
         for version in ("new", "old"):
             found.append(
                 (name, back, 0, version if out == 1 else one, version if out == 2 else two, attempts)
             )
-        if name in ("running", "undoing"):  # it failed, or the gates found it worse
+        if name in ("running", "undoing"):  # it failed, or a gate rejected the new version
             found.append(("halted", back, out, one, two, attempts))
             if name == "running":
                 found.append(("undoing", True, out, one, two, 0))
@@ -87,12 +87,12 @@
 
 
 def stuck() -> list[State]:
-    """Return the states that are no end and have no step."""
+    """Return the states that are not final and have no step."""
     return sorted(state for state in reached() if not steps(state) and state[0] not in ENDS)
 
 
 def always_ends(omitted: Iterable[str] = ()) -> bool:
-    """Return whether there is a rank that every step makes smaller."""
+    """Whether there is a rank that decreases with every step."""
     return has_rank(reached(omitted), lambda state: steps(state, omitted))
 
 
@@ -101,10 +101,10 @@
 
 
 def both_applied(count: int, rules: set[str]) -> bool:
-    """Return whether within `count` moves a step is applied twice, or applied for an expired lease.
+    """Whether within `count` moves a step is applied twice, or applied under an expired lease.
 
-    A controller knows a fencing token and a step; what it proposes may be in flight for any time, and be
-    proposed once more. `rules` names what the state machine checks: fence, step.
+    A controller knows a fencing token and a step; its proposal may be in flight for any time, and be proposed
+    again. `rules` names what the state machine checks: fence, step.
     """
     solver = z3.Solver()
     states = [{name: z3.Int(f"{name}.{number}") for name in VARIABLES} for number in range(count + 1)]
@@ -189,7 +189,7 @@
 
 
 def max_unavailable(bound: int, rules: set[str]) -> int:
-    """Return how many of three targets can be out at one time, at every interleaving of two controllers.
+    """Return how many of three targets are out at one time, at most, over all runs of two controllers.
 
     Each controller knows the step that it saw last and may propose a batch of any target that is in; a
     command may be applied at once or later. `rules`: step, a batch is accepted once; permits, none without
@@ -232,6 +232,6 @@
         found.append((step, saw, rest, batch, out))  # rejected, or lost in flight
         if accepted:
             found.append((step + 1, saw, rest, target, out | {target}))
-    for target in out:  # it is back, and the batch may be finished
+    for target in out:  # it is back in service, and the batch may be finished
         found.append((step, saw, in_flight, -1 if target == batch else batch, out - {target}))
     return found
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -121,4 +121,4 @@
         late = granted_audit()
         late.out_by_itself(0, "a")
         late.drain_started(2 * SECOND, "b", 5)
-        self.assertRegex(late.finish(9)[0], "known to be away")
+        self.assertRegex(late.finish(9)[0], "known to be unavailable")
--- a/tests/models/test_models.py
+++ b/tests/models/test_models.py
@@ -30,7 +30,11 @@
         good, lapse = terms.validity_ns / 1e9, terms.expiry_ns / 1e9
         self.assertFalse(disruption.started_after_expiry(good, lapse, terms.max_clock_drift_ratio))
         self.assertTrue(disruption.started_after_expiry(good, good, terms.max_clock_drift_ratio))
-        self.assertTrue(disruption.started_after_expiry(good, lapse, terms.max_clock_drift_ratio, "came"))
+        self.assertTrue(
+            disruption.started_after_expiry(
+                good, lapse, terms.max_clock_drift_ratio, disruption.CountedFrom.RECEIVED
+            )
+        )
 
     def test_leader_is_never_sure_beyond_its_lease(self):
         timeouts = RaftTimeouts()
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -234,7 +234,7 @@
     def test_no_clock_within_the_drift_lets_an_old_version_be_used_and_each_rule_is_needed(self):
         lease, wait = 3.0, 3.0 * (1 + DRIFT) / (1 - DRIFT)
         self.assertFalse(model.old_after_in_force(lease, wait, DRIFT))
-        for rule in ("came", "none", "wall"):
+        for rule in set(model.LeaseRule) - {model.LeaseRule.FROM_SENT}:
             self.assertTrue(model.old_after_in_force(lease, wait, DRIFT, rule), rule)
         self.assertTrue(model.old_after_in_force(lease, lease, DRIFT))
 
