--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -49,12 +49,12 @@
     def results(self) -> list[TaskResult]:
         """Results of orders on services: a task is done once its service is down."""
         return [
-            TaskResult(order.id, target, "done", "")
+            TaskResult(order.id, task.target, "done", "")
             for order in self.permit_holder.orders.values()
-            for target, _, state in order.tasks
-            if state == "out"
-            and target in self.up
-            and not self.up[target]
-            and (permit := self.permit_holder.permits.get(target))
+            for task in order.tasks
+            if task.state == "out"
+            and task.target in self.up
+            and not self.up[task.target]
+            and (permit := self.permit_holder.permits.get(task.target))
             and permit.order_id == order.id
         ]
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -112,10 +112,11 @@
         for order in self.permit_holder.orders.values():
             known = self.orders.orders.get(order.id)
             tasks = {task.instance.name: task for task in known.tasks} if known else {}
-            for target, _, state in order.tasks:
-                if state not in OPEN_STATES or target in self.services.up:
+            for assigned in order.tasks:
+                target = assigned.target
+                if assigned.state not in OPEN_STATES or target in self.services.up:
                     continue
-                if result := self._task_result(order, target, state, tasks.get(target)):
+                if result := self._task_result(order, target, assigned.state, tasks.get(target)):
                     results.append(result)
         return results
 
@@ -249,11 +250,11 @@
     def _open_requests(self, assigned: AssignedOrder) -> tuple[tuple[str, int], ...]:
         """The open tasks of an order for instances of this host: names and generations."""
         return tuple(
-            (target, generation)
-            for target, generation, state in assigned.tasks
-            if state in OPEN_STATES
-            and (assigned.id, target) not in self.rejections
-            and target in self.orders.instances
+            (task.target, task.generation)
+            for task in assigned.tasks
+            if task.state in OPEN_STATES
+            and (assigned.id, task.target) not in self.rejections
+            and task.target in self.orders.instances
         )
 
     def _have_generations(self, requested: tuple[tuple[str, int], ...]) -> bool:
--- a/oakkeel/disruption/heartbeats.py
+++ b/oakkeel/disruption/heartbeats.py
@@ -6,6 +6,7 @@
 from oakkeel.disruption.expiry import ExpiryClock
 from oakkeel.disruption.messages import (
     AssignedOrder,
+    AssignedTask,
     GrantedPermit,
     Heartbeat,
     HeartbeatResponse,
@@ -117,8 +118,10 @@
 
 
 def _assigned_order(order: DisruptionOrder, targets: tuple[str, ...], remaining_ns: int) -> AssignedOrder:
-    tasks: list[tuple[str, int, str]] = [
-        (target, task.generation, task.state) for target in targets if (task := order.tasks.get(target))
+    tasks = [
+        AssignedTask(target, task.generation, task.state)
+        for target in targets
+        if (task := order.tasks.get(target))
     ]
     return AssignedOrder(
         order.id,
--- a/oakkeel/disruption/messages.py
+++ b/oakkeel/disruption/messages.py
@@ -53,6 +53,14 @@
     only_while_down: bool = False  # it may be started only while the target has no process
 
 
+class AssignedTask(msgspec.Struct, array_like=True):
+    """A task of an order for a target of the host."""
+
+    target: str
+    generation: int
+    state: str
+
+
 class AssignedOrder(msgspec.Struct, array_like=True):
     """The part of an order that concerns the host."""
 
@@ -63,7 +71,7 @@
     remaining: int
     halted_by: str
     cancelled_by: str
-    tasks: list[tuple[str, int, str]]  # target, generation, state
+    tasks: list[AssignedTask]
 
 
 class HeartbeatResponse(msgspec.Struct, array_like=True):
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -2,7 +2,9 @@
 
 import unittest
 
-from oakkeel.raft.messages import EntryKind, encode_members
+from oakkeel.raft.elections import VoteDecision, decide_vote
+from oakkeel.raft.messages import EntryKind, Envelope, VoteRequest, encode_members
+from oakkeel.raft.replica import Replica
 from oakkeel.raft.roles import Role
 from oakkeel.units import SECOND
 from tests.raft.cluster import Cluster
@@ -74,3 +76,53 @@
         cluster.run(3 * SECOND)
         self.assertNotIn(leader.incarnation, cluster.leader().voters)
         self.assertEqual(cluster.replicas[others[1]].state_machine.commands, [b"one", b"two"])
+
+
+class VoteDecisionTest(unittest.TestCase):
+    """One follower of three decides on requests of another, long after the last message of the leader."""
+
+    def setUp(self) -> None:
+        self.cluster = Cluster("a", "b", "c")
+        self.cluster.commit(b"one")
+        leader = self.cluster.leader()
+        voter, candidate = (replica for replica in self.cluster.replicas.values() if replica is not leader)
+        self.voter: Replica = voter
+        self.candidate: Replica = candidate
+        self.now = self.cluster.now + 10 * SECOND
+
+    def decide(
+        self, term: int, *, pre_vote: bool = False, entries: int = 0, incarnation: str = ""
+    ) -> VoteDecision:
+        """Decide on a request; `term` and `entries` are what the candidate has more than the voter."""
+        log = self.voter.log
+        request = VoteRequest(self.voter.term + term, pre_vote, log.last_term, log.last_index + entries)
+        sender = incarnation or self.candidate.incarnation
+        envelope = Envelope(self.voter.durable.epoch, self.candidate.name, sender, request)
+        return decide_vote(self.now, self.voter, envelope, request)
+
+    def test_grants_a_vote_in_a_later_term_for_a_log_that_is_as_long(self):
+        self.assertEqual(self.decide(1), VoteDecision.GRANT)
+        self.assertEqual(self.decide(1, pre_vote=True), VoteDecision.GRANT)
+        self.assertEqual(self.decide(1, entries=-1), VoteDecision.LOG_BEHIND)
+
+    def test_gives_one_vote_in_a_term_and_none_in_an_earlier_one(self):
+        self.voter.durable.voted_for = ""
+        self.assertEqual(self.decide(0), VoteDecision.GRANT)
+        self.voter.durable.voted_for = "another"
+        self.assertEqual(self.decide(0), VoteDecision.ALREADY_VOTED)
+        self.voter.durable.voted_for = self.candidate.incarnation
+        self.assertEqual(self.decide(0), VoteDecision.GRANT)
+        self.assertEqual(self.decide(0, pre_vote=True), VoteDecision.TERM_ENDED)
+        self.assertEqual(self.decide(-1), VoteDecision.TERM_ENDED)
+
+    def test_gives_no_vote_while_a_leader_is_in_contact(self):
+        contact_at = self.voter.leader_contact_at
+        self.now = contact_at + self.cluster.timeouts.min_election_timeout_ns - 1
+        self.assertEqual(self.decide(1), VoteDecision.LEADER_ALIVE)
+        self.now += 1
+        self.assertEqual(self.decide(1), VoteDecision.GRANT)
+
+    def test_gives_no_vote_to_a_replaced_incarnation_or_while_it_recovers(self):
+        self.assertEqual(self.decide(1, incarnation="replaced"), VoteDecision.REPLACED)
+        self.voter.role = Role.RECOVERING
+        self.assertEqual(self.decide(1), VoteDecision.RECOVERING)
