--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -30,7 +30,7 @@
 
 class CommandLineTestCase(AgentTestCase):
     async def oakkeel(self, *words: str, operator: str = "asha") -> tuple[int, str, str]:
-        """The exit code, what was printed, and what was said on standard error."""
+        """Return the exit code, standard output and standard error."""
         variables = {
             **os.environ,
             "OAKKEEL_SETTINGS": self.site.settings,
@@ -79,9 +79,9 @@
         self.assertEqual((code, out.count("done")), (0, 2), out + err)
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1]])
         _, out, _ = await self.oakkeel("orders", "--output", "json")
-        told = json.loads(out)
+        orders = json.loads(out)
         self.assertEqual(
-            [(each["order"], each["operator"], len(each["parts"])) for each in told], [("mine", "asha", 2)]
+            [(each["order"], each["operator"], len(each["parts"])) for each in orders], [("mine", "asha", 2)]
         )
         code, out, _ = await self.oakkeel("cancel", "mine")
         self.assertEqual((code, out.count("done")), (0, 2))  # it was over
@@ -122,7 +122,7 @@
     async def test_reports_unknown_names_and_bad_settings_in_one_line_each(self):
         agent = await self.agent()
         await self.serving(agent)
-        for words, said in (
+        for words, text in (
             (("ls", "n7"), "no instance has the name 'n7'"),
             (("ls", "--as", "nobody"), "no operator 'nobody'"),
             (("ls", "--settings", "/nowhere.xml"), "No such file"),
@@ -134,7 +134,7 @@
             with self.subTest(words):
                 code, out, err = await self.oakkeel(*words)
                 self.assertEqual((code, out, err.count("\n")), (2, "", 1), err)
-                self.assertIn(said, err)
+                self.assertIn(text, err)
 
     async def test_checks_settings_and_makes_keys(self):
         code, out, _ = await self.oakkeel("settings", "check", self.site.settings, "--keys")
--- a/tests/fleet/test_fan_out.py
+++ b/tests/fleet/test_fan_out.py
@@ -67,7 +67,9 @@
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_finishes_by_its_deadline_within_its_budget_whatever_happens(self, events):
-        fan_out, now, in_flight = fan_out_to(5), 0, []
+        fan_out = fan_out_to(5)
+        now = 0
+        in_flight = []
         sent = fan_out.tick(now)
         in_flight += sent
         total = len(sent)
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -32,7 +32,8 @@
 
 class PolicyStateMachineTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.state_machine, self.index = PolicyStateMachine(), 0
+        self.state_machine = PolicyStateMachine()
+        self.index = 0
 
     def apply(self, command):
         self.index += 1
@@ -105,15 +106,15 @@
         agent.receive_assignment(20, PolicyAssignment(1, 50))
         self.assertEqual(agent.node_lease(), (1, 150))
         self.assertFalse(agent.receive_assignment(300, PolicyAssignment(0, 50)))
-        agent.receive_assignment(
-            200, PolicyAssignment(2, 50)
-        )  # with no content it can't go by that, and has no more time for this
+        # Without its content the agent can't use version 2, and its lease on version 1 is not renewed.
+        agent.receive_assignment(200, PolicyAssignment(2, 50))
         self.assertEqual(agent.node_lease(), (1, 150))
 
 
 class PolicyCoordinatorTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.state_machine, self.index = PolicyStateMachine(), 0
+        self.state_machine = PolicyStateMachine()
+        self.index = 0
         self.leader = PolicyCoordinator(0, self.state_machine, ("h1", "h2"), PermitTimeouts())
         self.apply(ProposePolicy("c1", "asha", 0, "", 0, b"one"))
 
@@ -201,7 +202,7 @@
         with mock.patch.object(
             PolicyHost,
             "receive_assignment",
-            lambda host, life, sent_at, heard: old(host, life, host.now(), heard),
+            lambda host, incarnation, sent_at, assignment: old(host, incarnation, host.now(), assignment),
         ):
             self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
 
@@ -212,11 +213,12 @@
     def test_catches_a_version_used_before_it_is_decided(self):
         old = PolicyCoordinator.assign
 
-        def early(leader, now, host, told):
-            heard = old(leader, now, host, told)
-            if heard.proposed_number and heard.proposed_content:
-                heard.number, heard.content = heard.proposed_number, heard.proposed_content
-            return heard
+        def early(leader, now, host, report):
+            assignment = old(leader, now, host, report)
+            if assignment.proposed_number and assignment.proposed_content:
+                assignment.number = assignment.proposed_number
+                assignment.content = assignment.proposed_content
+            return assignment
 
         with mock.patch.object(PolicyCoordinator, "assign", early):
             self.assertRegex(self.breaches()[0], "promise 12: ")
@@ -232,7 +234,8 @@
 
 class PolicyModelTest(unittest.TestCase):
     def test_no_clock_within_the_drift_lets_an_old_version_be_used_and_each_rule_is_needed(self):
-        lease, wait = 3.0, 3.0 * (1 + DRIFT) / (1 - DRIFT)
+        lease = 3.0
+        wait = 3.0 * (1 + DRIFT) / (1 - DRIFT)
         self.assertFalse(model.old_after_in_force(lease, wait, DRIFT))
         for rule in ("came", "none", "wall"):
             self.assertTrue(model.old_after_in_force(lease, wait, DRIFT, rule), rule)
--- a/tests/rollout/test_gates.py
+++ b/tests/rollout/test_gates.py
@@ -24,7 +24,8 @@
 
 class SequentialStatisticsTest(unittest.TestCase):
     def halted(self, seed: int, old: float, new: float, windows: int = 300) -> bool:
-        random, test = Random(seed), Difference()
+        random = Random(seed)
+        test = Difference()
         for _ in range(windows):
             test.observe(bits(random, old, 110), bits(random, new, 10), 0.05)
             if test.new.count > 50 and test.worse(0.0, 0.02) > 4.605:
@@ -36,9 +37,11 @@
 
     def test_finds_loss_while_fixed_sample_test_would_break_bound(self):
         self.assertGreaterEqual(sum(self.halted(seed, 0.95, 0.91) for seed in range(40)), 38)
-        random, false_halts = Random(5), 0
-        for _ in range(100):  # a test made for one look, looked at 300 times
-            old, new = Sums(), Sums()
+        random = Random(5)
+        false_halts = 0
+        for _ in range(100):  # a fixed-sample test, evaluated 300 times
+            old = Sums()
+            new = Sums()
             for _ in range(300):
                 old.add(bits(random, 0.95, 110))
                 new.add(bits(random, 0.95, 10))
@@ -49,7 +52,8 @@
         self.assertGreater(false_halts, 4)
 
     def test_deaths_are_judged_by_exposure_of_new_version(self):
-        excess, proportional = Events(), Events()
+        excess = Events()
+        proportional = Events()
         excess.record(True, 1 / 12)
         self.assertLess(excess.worse(), 4.605)
         excess.record(True, 1 / 12)
@@ -131,7 +135,8 @@
         gate = Gate(0, b"", 0.02)
         for second in range(60):
             count = 100.0 * second
-            bad, good = Samples(Sums(count, count * 0.5, count * 0.5)), Samples(Sums(count, count, count))
+            bad = Samples(Sums(count, count * 0.5, count * 0.5))
+            good = Samples(Sums(count, count, count))
             record(gate, second * SECOND, "new", Arm.NEW, 1, AgeClass.COLD, bad)
             record(gate, second * SECOND, "old", Arm.OLD, 1, AgeClass.WARM, good)
             gate.evaluate(second * SECOND)
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -24,7 +24,8 @@
 
 class BatchPlannerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.unavailable, self.planner = UnavailableTargets(TOPOLOGY), BatchPlanner(TOPOLOGY)
+        self.unavailable = UnavailableTargets(TOPOLOGY)
+        self.planner = BatchPlanner(TOPOLOGY)
         self.observations = {
             name: TargetObservation(name, "serving", 1, "", 0)
             for names in TOPOLOGY.hosts.values()
@@ -64,12 +65,12 @@
         self.assertIn("last reports of 1 targets are stale", self.choose("a", now=MAX_REPORT_AGE_NS + 1).why)
 
     def test_never_takes_both_sides_of_dependency(self):
-        self.unavailable.add("db1", "a place")
+        self.unavailable.add("db1", "a permit")
         choice = self.choose("a b c d")
         self.assertNotIn("a", choice.targets)
         self.assertNotIn("c", choice.targets)
         self.setUp()
-        self.unavailable.add("a", "a place")
+        self.unavailable.add("a", "a permit")
         self.assertNotIn("db1", self.choose("db1").targets)
         self.assertIn("depends on db1", self.choose("db1").why)
 
@@ -97,7 +98,7 @@
         self.unavailable.add("a", "does not serve")
         self.observations["a"].phase = "failing"
         self.assertEqual(self.choose("a b", broken=True).targets, ["a"])
-        self.assertEqual(self.choose("a", broken=False).targets, ["a"])  # nothing else is left
+        self.assertEqual(self.choose("a", broken=False).targets, ["a"])  # no other target remains
 
     @given(st.integers(0, 1 << 30))
     @settings(max_examples=60, deadline=None)
@@ -113,11 +114,11 @@
         before = set(self.unavailable.reasons)
         chosen = self.choose("a b c d", random.randint(1, 4), broken=random.random() < 0.5).targets
         self.assertEqual(len(set(chosen)), len(chosen))
-        available_before = [thing for thing in chosen if thing not in before]
-        for thing in available_before:
-            self.unavailable.add(thing, "a place")
+        available_before = [target for target in chosen if target not in before]
+        for target in available_before:
+            self.unavailable.add(target, "a permit")
         for group in TOPOLOGY.groups:
-            fresh = [thing for thing in available_before if thing in group.targets]
+            fresh = [target for target in available_before if target in group.targets]
             if fresh:
                 self.assertLessEqual(self.unavailable.counts[group.name], group.max_unavailable)
                 self.assertTrue(set(group.targets) - set(self.unavailable.reasons))
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -13,7 +13,7 @@
 
 
 def release(to: int = 0, who: int = 1) -> Fault:
-    """Of the kind `to % 4`: good, good, worse, crash; on all things."""
+    """Return the start of a release to all targets, of the kind `to % 4`: good, good, worse, crash."""
     return Fault(2 * SECOND, "release", who, to, 0, 1.0)
 
 
@@ -35,7 +35,7 @@
         self.assertEqual(self.play(release(1))[0], "done")
         self.assertIn("worse than the old", self.play(release(2))[1])
         self.assertIn("processes of the new version crashed", self.play(release(7))[1])
-        self.assertEqual(self.play(release(6))[0], "undone")  # by itself, as it was told
+        self.assertEqual(self.play(release(6))[0], "undone")  # automatically, by its policy
 
     def test_controller_killed_at_any_step_is_succeeded_where_it_was(self):
         ended = set()
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -33,7 +33,8 @@
     """A step is accepted once, under the fencing token of the current lease."""
 
     def setUp(self) -> None:
-        self.state_machine, self.index = RolloutStateMachine(), 0
+        self.state_machine = RolloutStateMachine()
+        self.index = 0
         self.do(permit_commands.SetTopology(TOPOLOGY))
         self.fence = self.do(permit_commands.AcquireLease(LEASE, "h1.1", SECOND))
         self.do(commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["a", "b"]))
@@ -113,7 +114,7 @@
         order = self.state_machine.state.orders["r.1"]
         self.assertEqual((order.halted_by, order.tasks["a"].state), ("asha", "halted"))
         self.assert_rejected(commands.StartBatch("r", self.fence, 2, 0, [("a", 1)]), "batch is in progress")
-        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had come up with the new all the same
+        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had started with the new version
         self.assertIsInstance(
             self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), DisruptionOrder
         )
@@ -168,7 +169,9 @@
     def test_any_commands_follow_transition_table_and_versions_match_states(self, actions):
         self.setUp()
         for action, index in actions:
-            was, step, target_name = self.release.state, self.release.step, "ab"[index]
+            previous_state = self.release.state
+            step = self.release.step
+            target_name = "ab"[index]
             fence = self.fence - (action == "old fence")
             command = {
                 "go": commands.BeginRollout("r", fence, step),
@@ -183,7 +186,9 @@
             answer = self.do(command)
             if action.startswith("old"):
                 self.assertIsInstance(answer, Rejection)
-            self.assertTrue(self.release.state == was or self.release.state in TRANSITIONS[was])
+            self.assertTrue(
+                self.release.state == previous_state or self.release.state in TRANSITIONS[previous_state]
+            )
             for name, target in self.release.targets.items():
                 if target.state == "new":
                     self.assertEqual(self.state_machine.state.versions.get(name), "v2")
