--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the whole: each prints what it does, and one last line with what came of it."""
+"""Measurements of the whole program: each prints its progress, and one last line with its result."""
--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -24,13 +24,14 @@
 from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.fleet.agent_clients import NoLeaderError
 from oakkeel.invariants.logs import audit_groups, audit_logs, read_events
+from oakkeel.units import SECOND
 
 HOSTS = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
 SITES = {host: ("woodbrook", "st-james", "belmont")[number % 3] for number, host in enumerate(HOSTS)}
 VOTERS = ("h1", "h2", "h3", "h4", "h5")
 MAX_UNAVAILABLE = 1
 FLEET_MAX_UNAVAILABLE = 3
-KNOWN_AFTER = PermitTimeouts().expiry_ns + PermitTimeouts().max_agent_silence_ns + 2_000_000_000
+OBSERVATION_TIME_NS = PermitTimeouts().expiry_ns + PermitTimeouts().max_agent_silence_ns + 2 * SECOND
 
 
 class AgreementRun:
@@ -271,7 +272,7 @@
 def figures_of(run: AgreementRun, folder: str) -> dict[str, Any]:
     """Return the figures with the keys of the journal."""
     groups = audit_groups(HOSTS, SITES, MAX_UNAVAILABLE, FLEET_MAX_UNAVAILABLE)
-    audit = audit_logs(folder, HOSTS, groups, KNOWN_AFTER)
+    audit = audit_logs(folder, HOSTS, groups, OBSERVATION_TIME_NS)
     after_death = [
         duration for at, duration in run.gaps if any(0 <= at - death < 0.6 for death in run.leader_deaths)
     ]
--- a/measure/common.py
+++ b/measure/common.py
@@ -47,7 +47,7 @@
 
 
 def format_spread(values: list[float], digits: int = 2) -> str:
-    """Format the median, the least and the most."""
+    """Format the median, the minimum and the maximum."""
     return (
         f"{statistics.median(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f},"
         f" {len(values)} times)"
@@ -66,7 +66,7 @@
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start_agent(self, host: str, *command: str) -> None:
-        """Start the agent of a host: `command` is the module in place of the agent's, and its arguments."""
+        """Start the agent of a host: `command` is the module to run as the agent, with its arguments."""
         with open(os.path.join(self.site.folder, f"{host}.agent.log"), "ab") as log:
             self.processes[host] = await asyncio.create_subprocess_exec(
                 sys.executable,
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -45,7 +45,7 @@
             if step.action is Action.START:
                 self.supervision.process_started(self.now, step.instance)
             else:
-                self.supervision.process_exited(self.now, step.instance, "told to")
+                self.supervision.process_exited(self.now, step.instance, "ended as ordered")
         return spent
 
     def pass_time(self, by: int, state: str = "serving") -> int:
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -40,7 +40,7 @@
 
 
 async def measure_crawler(fair: bool, times: int, seconds: float, seed: int) -> dict[str, Any]:
-    """Run compliant clients beside a crawler at so many times its share; return what each obtained."""
+    """Run compliant clients beside a crawler at a multiple of its share; return what each obtained."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(
             folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, seed=seed, work=WORK, max_retry_after=5)
@@ -100,7 +100,7 @@
 
 
 def obtained(compliant: list[PoliteClient], crawler: CrawlerClient, elapsed: float) -> dict[str, Any]:
-    """Return what each client got of its fair share in so many seconds."""
+    """Return what each client got of its fair share in some seconds."""
     done = [client.completed / elapsed for client in (*compliant, crawler)]
     sent = [client.sent / elapsed for client in (*compliant, crawler)]
     shares = fair_share(sent, max(sum(done), 1.0))
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -35,7 +35,7 @@
 COLD_LOSS = 0.15
 # seconds
 SOAK = 60
-MOST = 1200
+MAX_SECONDS = 1200
 KINDS = ("good", "worse by 2 %", "dies after a minute", "leaks", "worse while cold")
 INTERIM_ANALYSES = 10  # of the group-sequential test
 INTERIM_INTERVAL = 120  # seconds, of the same
@@ -76,8 +76,8 @@
         self.limit = pocock_bound()
 
     def play(self) -> dict[str, Any]:
-        """Run until it halts, is done, or its time is over."""
-        for second in range(MOST):
+        """Run until it halts, completes, or MAX_SECONDS have passed."""
+        for second in range(MAX_SECONDS):
             if self.updated == 0:
                 self._start_canary(second)
             disturbance = 0.02 * max(0.0, math.sin(second / 90)) + float(self.random.exponential(0.004))
@@ -92,7 +92,7 @@
                 if self.updated >= NODES:
                     return self._result("done", second)
                 self._start_batch(second)
-        return self._result("no answer", MOST)
+        return self._result("no answer", MAX_SECONDS)
 
     def _result(self, end: str, second: int, why: str = "") -> dict[str, Any]:
         return {
@@ -219,7 +219,7 @@
 
 
 def play_all(seed: int, count: int) -> dict[str, list[dict[str, Any]]]:
-    """Play so many releases of each kind on all cores; return the results by kind."""
+    """Play releases of each kind on all cores; return the results by kind."""
     results: dict[str, list[dict[str, Any]]] = {kind: [] for kind in KINDS}
     with multiprocessing.Pool(os.cpu_count()) as pool:
         work = [(seed + number, kind) for kind in KINDS for number in range(count)]
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -22,7 +22,7 @@
 from oakkeel.units import SECOND
 
 VERBS = ("restart", "stop", "start")  # one after the other: each needs the state that the last one left
-MOST_STEPS = 14  # an agent kills itself at one of its first so many steps
+MAX_CRASH_STEP = 14  # an agent kills itself at one of its first durable steps
 
 
 class Lane:
@@ -63,7 +63,7 @@
             self.doomed = False
             if not self.crashes.locked():
                 await self.crashes.acquire()
-                step = self.random.randint(1, MOST_STEPS)
+                step = self.random.randint(1, MAX_CRASH_STEP)
                 self.doomed = True
             self.agent = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -143,7 +143,7 @@
 
 
 async def measure(crashes: int, lane_count: int, seed: int) -> dict[str, Any]:
-    """Kill agents so many times, spread over some lanes, and count what was lost or started twice."""
+    """Kill agents at random steps, in several lanes, and count orders lost and processes started twice."""
     crashes_left = asyncio.Semaphore(crashes)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         lanes: list[Lane] = []
--- a/measure/places.py
+++ b/measure/places.py
@@ -24,7 +24,7 @@
 from oakkeel.raft.state import Output
 from oakkeel.units import MS, SECOND
 
-OUT = 3 * SECOND
+RESTART_TIME_NS = 3 * SECOND
 SITES = 20
 
 
@@ -122,7 +122,7 @@
                 and not holder.permits[permit.target].started
             ):
                 holder.start(self.now, permit.target)
-                self.back_at[permit.target] = self.now + OUT
+                self.back_at[permit.target] = self.now + RESTART_TIME_NS
 
     def _mark_restored(self, holder: PermitHolder) -> None:
         for target in holder.targets:
@@ -225,9 +225,9 @@
         print_line(
             f"{row['instances']} instances on {hosts} hosts restarted in {row['simulated_s']:.0f} s"
             f" simulated ({row['real_s']:.0f} s real), at most {row['most_out']} of {row['bound']} out;"
-            f" {row['polls_a_second']:.0f} polls and {row['letters_a_second']:.0f} letters a second,"
-            f" {row['poll_us']:.0f} us a poll ({row['quiet_poll_us']:.0f} with no order, worst"
-            f" {row['worst_poll_ms']:.0f} ms), {row['letter_us']:.0f} us a letter"
+            f" {row['polls_a_second']:.0f} heartbeats and {row['letters_a_second']:.0f} messages a second,"
+            f" {row['poll_us']:.0f} us a heartbeat ({row['quiet_poll_us']:.0f} with no order, worst"
+            f" {row['worst_poll_ms']:.0f} ms), {row['letter_us']:.0f} us a message"
         )
     write_figures(arguments, {"machine": describe_machine(), "plays": figures})
     small, large = figures
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -31,7 +31,7 @@
 
 
 def plan_durations(count: int) -> dict[str, float]:
-    """Return the milliseconds that one batch takes to choose among so many instances, 10 a host, 20 sites."""
+    """Return the milliseconds that one batch takes to choose among `count` instances, 10 a host, 20 sites."""
     names = [f"n{number}" for number in range(count)]
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -106,11 +106,11 @@
     def lost_except(self, killed: set[str]) -> int:
         """Return the requests without a response at nodes that were not killed."""
         return sum(
-            dispatcher.by_node[name][word]
+            dispatcher.by_node[name][outcome]
             for dispatcher in self.dispatchers
             for name in NAMES
             if name not in killed and name in dispatcher.by_node
-            for word in ("lost", "late")
+            for outcome in ("lost", "late")
         )
 
     async def stop(self) -> None:
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -20,7 +20,7 @@
 from oakkeel.emulator.schedule_shrinking import shrink
 from oakkeel.units import SECOND
 
-RELEASE_DURATION = 40 * SECOND
+RELEASE_DURATION_NS = 40 * SECOND
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
 
 def drawn(seed: int, releases: bool) -> Schedule:
     """Return the schedule of a seed."""
-    return draw(seed, releases=True, duration=RELEASE_DURATION) if releases else draw(seed)
+    return draw(seed, releases=True, duration=RELEASE_DURATION_NS) if releases else draw(seed)
 
 
 def play_seed(seed: int, releases: bool = False) -> PlayedSchedule:
