--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -146,6 +146,7 @@
         stage = self.overload.arrival_stage(depth)
         service_time = self.ranking.service_time(request)
         share_status = request.share_status
+        # A reservation or an exceeded share decides before the stage, if the request can end in time.
         if share_status is not ShareStatus.WITHIN_SHARE and can_end_in_time(now, request, service_time):
             if share_status is ShareStatus.RESERVED:
                 stage = Stage.NORMAL
