--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -5,11 +5,22 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 MAX_LINE_BYTES = 4096
 
 
+class ServingState(StrEnum):
+    """Whether a node serves requests, as its status reports it."""
+
+    WAITING = "waiting"  # for its engine
+    WARMING_UP = "cold"  # in slow start
+    SERVING = "serving"
+    DRAINING = "draining"
+
+
 class StatusRequest(msgspec.Struct, tag="ask", forbid_unknown_fields=True):
     """Request the state of the node; the response is a `NodeStatus`."""
 
@@ -48,7 +59,7 @@
     name: str
     pid: int
     generation: int  # set at its start
-    state: str  # waiting (its engine is not up), cold, serving, draining
+    state: str  # a `ServingState`; a node of another version may report another one
     address: str
     uptime: int
     stage: str = "NORMAL"  # of overload
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -5,7 +5,6 @@
 from asyncio import Task
 from typing import TYPE_CHECKING, Protocol
 
-from oakkeel.dispatch.codec import RequestReader
 from oakkeel.dispatch.listener import Listener
 from oakkeel.log import EventLog
 from oakkeel.node.configuration import NodeConfiguration
@@ -29,5 +28,4 @@
     open_requests: dict[bytes, Task[None]]
     metrics: Metrics
     drain: Drain
-    reader: RequestReader | None
     fair_sharing: NodeFairSharing | None
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -9,7 +9,7 @@
 from oakkeel.admission import Stage
 from oakkeel.admission.types import RequestState
 from oakkeel.control.listener import ControlListener
-from oakkeel.control.messages import ClientsStatus, NodeStatus
+from oakkeel.control.messages import ClientsStatus, NodeStatus, ServingState
 from oakkeel.dispatch import codec
 from oakkeel.errors import OrderRefusedError
 from oakkeel.node.context import NodeContext
@@ -67,7 +67,7 @@
             name=node.configuration.name,
             pid=os.getpid(),
             generation=node.configuration.generation,
-            state=self._state(now),
+            state=self._state(now).value,
             address=f"{host}:{port}",
             uptime=now - self.started,
             resident_kb=resident_bytes() // BYTES_PER_KB,
@@ -118,15 +118,15 @@
             return fair_sharing.clients_status(tag, limit)
         return ClientsStatus(tag, [])
 
-    def _state(self, now: int) -> str:
+    def _state(self, now: int) -> ServingState:
         node = self.node
         if node.drain.started:
-            return "draining"
+            return ServingState.DRAINING
         if not node.host.started:
-            return "waiting"
+            return ServingState.WAITING
         limits = node.configuration.limits
         in_slow_start = limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
-        return "cold" if in_slow_start else "serving"
+        return ServingState.WARMING_UP if in_slow_start else ServingState.SERVING
 
     def request_drain(self, generation: int, timeout: int) -> None:
         """Start a drain of `timeout` nanoseconds. Raises `OrderRefusedError`."""
