--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -34,8 +34,8 @@
     resource_limits: ResourceLimits
     limits: NodeLimits
     gauges: list[str | None]
-    groups: list[str]
-    tenants: list[str]
+    class_names: list[str]
+    tenant_names: list[str]
     readiness: bool  # whether the directory follows its health
     log_form: str  # console or json
     control: str  # path of the control socket; empty: none
@@ -65,8 +65,8 @@
             ),
             limits=limits,
             gauges=node.gauges(),
-            groups=node.names("classes"),
-            tenants=node.names("tenants"),
+            class_names=node.names("classes"),
+            tenant_names=node.names("tenants"),
             readiness=node.flag("extra.readiness"),
             snapshot=snapshot,
             log_form="json" if variables.get("OAKKEEL_LOG") == "json" else "console",
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -142,8 +142,8 @@
             flow_keys = self.fair_sharing.keys.flow_keys
         self.reader = RequestReader(
             self.configuration.limits,
-            self.configuration.groups,
-            self.configuration.tenants,
+            self.configuration.class_names,
+            self.configuration.tenant_names,
             self.resource_limits,
             flow_keys=flow_keys,
         )
