--- a/oakkeel/raft/snapshot_transfer.py
+++ b/oakkeel/raft/snapshot_transfer.py
@@ -33,6 +33,10 @@
     term: int
     content: bytearray = field(default_factory=bytearray)
 
+    def includes(self, chunk: SnapshotChunk) -> bool:
+        """Whether a chunk belongs to this snapshot."""
+        return (self.index, self.term) == (chunk.last_included_index, chunk.last_included_term)
+
 
 class SnapshotReceiver:
     """The follower's side of the transfer."""
@@ -45,10 +49,9 @@
     def chunk_received(self, now: int, envelope: Envelope, chunk: SnapshotChunk) -> None:
         """Receive a chunk, and install the snapshot once it is complete."""
         replica = self.replica
-        if (
-            not replica.accept_leader(now, envelope.sender, chunk.term)
-            or chunk.total_bytes > MAX_SNAPSHOT_BYTES
-        ):
+        if not replica.accept_leader(now, envelope.sender, chunk.term):
+            return
+        if chunk.total_bytes > MAX_SNAPSHOT_BYTES:
             return
         if chunk.last_included_index <= replica.commit_index:
             self._respond(envelope.sender, chunk, chunk.total_bytes)
@@ -62,11 +65,9 @@
     def _add(self, chunk: SnapshotChunk) -> bytearray:
         """Append the chunk if it is the next one, and return what was received of its snapshot."""
         incoming = self.incoming
-        if incoming is None or (incoming.index, incoming.term) != (
-            chunk.last_included_index,
-            chunk.last_included_term,
-        ):
-            incoming = self.incoming = IncomingSnapshot(chunk.last_included_index, chunk.last_included_term)
+        if incoming is None or not incoming.includes(chunk):
+            incoming = IncomingSnapshot(chunk.last_included_index, chunk.last_included_term)
+            self.incoming = incoming
         if chunk.offset == len(incoming.content):
             incoming.content += chunk.content
         return incoming.content
@@ -81,7 +82,8 @@
             replica.storage_update.snapshot = snapshot
         else:
             replica.replace_log(snapshot)
-        replica.commit_index = replica.applied_index = index
+        replica.commit_index = index
+        replica.applied_index = index
         replica.state_machine.restore(content)
 
     def _respond(self, sender: str, chunk: SnapshotChunk, next_offset: int) -> None:
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -16,6 +16,7 @@
 
 VERSION = 1
 MAX_FILE_BYTES = 256 * 1024 * 1024
+# Stored names: `life` is the incarnation, `voted` the vote, `marks` the acknowledgements, `place` an index.
 SCHEMA = """
 CREATE TABLE head (one INTEGER PRIMARY KEY CHECK (one = 1), name TEXT, life TEXT, epoch TEXT, term INTEGER,
     voted TEXT, marks TEXT);
@@ -36,30 +37,30 @@
     database: Database, durable: DurableState, update: StorageUpdate, counter: WriteCounter | None = None
 ) -> None:
     """Store an update durably. Raises DatabaseError: then nothing of it is stored."""
-    rows = _statements(durable, update)
+    statements = _statements(durable, update)
     if counter is None:
-        database.write(rows)
+        database.write(statements)
         return
-    database.write([*rows, counter.increment()])
+    database.write([*statements, counter.increment()])
     counter.confirm()
 
 
 def _statements(durable: DurableState, update: StorageUpdate) -> list[Statement]:
     """Return the statements, in the order of the fields of `StorageUpdate`."""
-    rows: list[Statement] = []
+    statements: list[Statement] = []
     if update.metadata:
-        rows.append((PUT_METADATA, _metadata_row(durable)))
+        statements.append((PUT_METADATA, _metadata_row(durable)))
     if update.snapshot and update.replaces_log:
-        rows.append(("DELETE FROM entries", ()))
+        statements.append(("DELETE FROM entries", ()))
     if update.truncate_from:
-        rows.append(("DELETE FROM entries WHERE place >= ?", (update.truncate_from,)))
+        statements.append(("DELETE FROM entries WHERE place >= ?", (update.truncate_from,)))
     for index, entry in update.entries:
-        rows.append((PUT_ENTRY, (index, entry.term, entry.kind, entry.content)))
+        statements.append((PUT_ENTRY, (index, entry.term, entry.kind, entry.content)))
     if snapshot := update.snapshot:
         members = encode_members(list(snapshot.members))
-        rows.append((PUT_SNAPSHOT, (snapshot.index, snapshot.term, members, snapshot.content)))
-        rows.append(("DELETE FROM entries WHERE place <= ?", (snapshot.index,)))
-    return rows
+        statements.append((PUT_SNAPSHOT, (snapshot.index, snapshot.term, members, snapshot.content)))
+        statements.append(("DELETE FROM entries WHERE place <= ?", (snapshot.index,)))
+    return statements
 
 
 def _metadata_row(durable: DurableState) -> tuple[object, ...]:
