--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -11,6 +11,8 @@
 
 from __future__ import annotations
 
+import msgspec
+
 from oakkeel.disruption import commands, heartbeats
 from oakkeel.disruption.expiry import ExpiryClock
 from oakkeel.disruption.grants import GrantPlanner
@@ -131,12 +133,12 @@
             if task and task.state == TaskState.WAITING:
                 self.planner.enqueue(order_id, target)
 
-    def lost(self, command: commands.Command) -> None:
+    def lost(self, command: msgspec.Struct) -> None:
         """Forget a command that could not be proposed or will never be committed."""
         self._clear_pending(command)
         self.must_plan = True
 
-    def _clear_pending(self, command: commands.Command) -> None:
+    def _clear_pending(self, command: msgspec.Struct) -> None:
         self.pending.discard(commands.encode(command))
         if isinstance(command, commands.GrantPermits):
             for target in command.targets:
--- a/oakkeel/disruption/cluster_handlers.py
+++ b/oakkeel/disruption/cluster_handlers.py
@@ -28,7 +28,7 @@
     """Record the hosts that should be voters."""
     voters = command.voters
     if not voters or len(set(voters)) != len(voters) or len(voters) > MAX_VOTERS:
-        return Rejection(f"name 1 to {MAX_VOTERS} voters (keepers), each once")
+        return Rejection(f"name 1 to {MAX_VOTERS} replicas, each once")
     view.state.voters = list(voters)
     return index
 
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -38,11 +38,11 @@
         """Return the `extension` of the response to a host's heartbeat."""
         ...
 
-    def applied(self, now: int, command: object, result: object, /) -> None:
+    def applied(self, now: int, command: msgspec.Struct, result: object, /) -> None:
         """Follow a command that was applied."""
         ...
 
-    def lost(self, command: object, /) -> None:
+    def lost(self, command: msgspec.Struct, /) -> None:
         """Forget a command that will never be committed."""
         ...
 
@@ -184,7 +184,7 @@
             outputs.append(output)
         return outputs
 
-    def _lost(self, command: Any) -> None:
+    def _lost(self, command: msgspec.Struct) -> None:
         if self.allocator:
             self.allocator.lost(command)
         if self.extension:
--- a/oakkeel/disruption/order_handlers.py
+++ b/oakkeel/disruption/order_handlers.py
@@ -72,7 +72,7 @@
     if not 0 < len(command.order_id) <= MAX_ID_LENGTH:
         return Rejection(f"the order's ID must have 1 to {MAX_ID_LENGTH} characters")
     if not targets or len(targets) != len(command.targets):
-        return Rejection("an order needs at least one target, and each target once")
+        return Rejection("an order needs one or more targets, each named once")
     if command.verb not in VERBS:
         return Rejection(f"unknown verb {command.verb!r}; use one of {', '.join(VERBS)}")
     if len(targets) > commands.MAX_TARGETS:
--- a/oakkeel/disruption/timeouts.py
+++ b/oakkeel/disruption/timeouts.py
@@ -11,7 +11,7 @@
 class PermitTimeouts:
     """Timeouts of permits and heartbeats, in nanoseconds."""
 
-    validity_ns: int = 3 * SECOND  # after its grant a permit may be started for so long
+    validity_ns: int = 3 * SECOND  # from the grant to the last start of a permit
     max_clock_drift_ratio: float = 0.04  # by which the rates of two clocks may differ
     max_agent_silence_ns: int = 2 * SECOND  # after it the targets of an agent count as unavailable
 
--- a/oakkeel/models/disruption.py
+++ b/oakkeel/models/disruption.py
@@ -10,6 +10,8 @@
 
 import z3
 
+from oakkeel.models.clocks import measured
+
 
 class CountedFrom(Enum):
     """The event from which an agent counts the validity of a permit."""
@@ -38,21 +40,13 @@
         received <= started,
         granted <= expired,
     )
-
-    def passed(name: str, since: z3.ArithRef, until: z3.ArithRef) -> z3.ArithRef:
-        """Return a duration that a clock may measure between two instants."""
-        shown = z3.Real(name)
-        solver.add(shown >= (until - since) * (1 - drift), shown <= (until - since) * (1 + drift))
-        return shown
-
-    elapsed = passed("elapsed", granted, answered)  # by the leader
+    elapsed = measured(solver, "elapsed", granted, answered, drift)  # by the leader
     remaining = z3.If(elapsed >= validity, 0, validity - elapsed)
-    counted = passed(
-        "counted", sent if counted_from is CountedFrom.SENT else received, started
-    )  # by the agent
+    since = sent if counted_from is CountedFrom.SENT else received
+    counted = measured(solver, "counted", since, started, drift)  # by the agent
     solver.add(remaining > 0, counted < remaining)
     # After `elapsed` the rate of the leader's clock may change within the drift.
-    rest = passed("rest", answered, expired)
+    rest = measured(solver, "rest", answered, expired, drift)
     solver.add(expired >= answered, elapsed + rest >= expiry)
     solver.add(started >= expired)
     return bool(solver.check() == z3.sat)
@@ -63,12 +57,7 @@
     sent, received, elected, holding = z3.Reals("sent received elected holding")
     solver = z3.Solver()
     solver.add(sent >= 0, sent <= received, received <= elected, holding >= elected)
-    by_leader, by_follower = z3.Reals("by_leader by_follower")
-    solver.add(
-        by_leader >= (holding - sent) * (1 - drift),
-        by_leader <= (holding - sent) * (1 + drift),
-        by_follower >= (elected - received) * (1 - drift),
-        by_follower <= (elected - received) * (1 + drift),
-    )
+    by_leader = measured(solver, "by_leader", sent, holding, drift)
+    by_follower = measured(solver, "by_follower", received, elected, drift)
     solver.add(by_leader < lease, by_follower >= election_timeout)
     return bool(solver.check() == z3.sat)
--- a/oakkeel/models/policy_change.py
+++ b/oakkeel/models/policy_change.py
@@ -12,6 +12,8 @@
 
 import z3
 
+from oakkeel.models.clocks import measured
+
 
 class LeaseRule(Enum):
     """When the lease on an earlier version ends."""
@@ -42,20 +44,13 @@
         received <= used,
         used >= reported,
     )
-
-    def shown(name: str, since: z3.ArithRef, until: z3.ArithRef) -> z3.ArithRef:
-        """Return a duration that a clock may measure between two instants."""
-        passed = z3.Real(name)
-        solver.add(passed >= (until - since) * (1 - drift), passed <= (until - since) * (1 + drift))
-        return passed
-
-    solver.add(shown("waited", decided, reported) >= wait)
+    solver.add(measured(solver, "waited", decided, reported, drift) >= wait)
     since = received if rule is LeaseRule.FROM_RECEIVED else sent
     if rule in (LeaseRule.FROM_SENT, LeaseRule.FROM_RECEIVED):
-        solver.add(shown("counted", since, used) < lease)
+        solver.add(measured(solver, "counted", since, used, drift) < lease)
     elif rule is LeaseRule.WALL_CLOCK:
         back = z3.Real("back")
-        solver.add(back >= 0, shown("counted", since, used) - back < lease)
+        solver.add(back >= 0, measured(solver, "counted", since, used, drift) - back < lease)
     return bool(solver.check() == z3.sat)
 
 
