--- a/measure/places.py
+++ b/measure/places.py
@@ -162,7 +162,7 @@
 
 def has_open_orders(leader: ControlPlaneReplica) -> bool:
     """Return whether an order has not ended."""
-    return any(order.open for order in leader.state_machine.state.orders.values())
+    return any(order.is_open for order in leader.state_machine.state.orders.values())
 
 
 def play(hosts: int, instances_per_host: int, real_limit: float) -> dict[str, Any]:
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -72,9 +72,9 @@
     def _track_order(self, now: int, order: DisruptionOrder) -> None:
         """Track an order that is open or has permits."""
         has_permit = any(permit.order_id == order.id for permit in self.state_machine.state.permits.values())
-        if order.open:
+        if order.is_open:
             self.clock.order_submitted_at.setdefault(order.id, now)
-        if order.open or has_permit:
+        if order.is_open or has_permit:
             for host in sorted({self.host_of[target] for target in order.tasks if target in self.host_of}):
                 self.responses.orders_by_host.setdefault(host, []).append(order.id)
         for target, task in order.tasks.items():
--- a/oakkeel/disruption/expiry.py
+++ b/oakkeel/disruption/expiry.py
@@ -61,7 +61,7 @@
         ended = [
             order_id
             for order_id in self.order_submitted_at
-            if (order := state.orders.get(order_id)) is None or not order.open
+            if (order := state.orders.get(order_id)) is None or not order.is_open
         ]
         for order_id in ended:
             del self.order_submitted_at[order_id]
--- a/oakkeel/disruption/heartbeats.py
+++ b/oakkeel/disruption/heartbeats.py
@@ -32,7 +32,7 @@
             wanted += _permit_commands(permit, report, heartbeat.last_index)
     for result in heartbeat.task_results:
         order = state.orders.get(result.order_id)
-        if order and result.target in order.tasks and order.tasks[result.target].open:
+        if order and result.target in order.tasks and order.tasks[result.target].is_open:
             reason = result.reason[:MAX_REASON_LENGTH]
             wanted.append(commands.FinishTask(result.order_id, result.target, result.state, reason))
     limits = {
@@ -112,7 +112,7 @@
     for target in targets:
         task = order.tasks.get(target)
         permit = state.permits.get(target)
-        if task and (task.open or (permit and permit.order_id == order.id)):
+        if task and (task.is_open or (permit and permit.order_id == order.id)):
             return True
     return False
 
--- a/oakkeel/disruption/order_handlers.py
+++ b/oakkeel/disruption/order_handlers.py
@@ -51,7 +51,7 @@
         index,
         tasks,
     )
-    if order.open:
+    if order.is_open:
         view.state.orders[order.id] = order
         _forget_ended_orders(view)
     return order
@@ -79,7 +79,7 @@
         return Rejection(f"the order has {len(targets)} targets; {commands.MAX_TARGETS} are allowed")
     if unknown := sorted(targets - view.known_targets()):
         return Rejection(f"unknown target {unknown[0]}")
-    if sum(order.open for order in view.state.orders.values()) >= MAX_OPEN_ORDERS:
+    if sum(order.is_open for order in view.state.orders.values()) >= MAX_OPEN_ORDERS:
         return Rejection(f"{MAX_OPEN_ORDERS} orders are already open: wait until one has ended")
     return None
 
@@ -101,7 +101,7 @@
     for order_id, order in list(orders.items()):
         if len(orders) <= MAX_ORDERS:
             break
-        if not order.open and order_id not in with_permit:
+        if not order.is_open and order_id not in with_permit:
             del orders[order_id]
 
 
@@ -144,7 +144,7 @@
     """End a task as its agent has reported; a refusal ends an atomic order that nothing was done for."""
     order = view.state.orders.get(command.order_id)
     task = order.tasks.get(command.target) if order else None
-    if order is None or task is None or not task.open or command.state not in FINAL_STATES:
+    if order is None or task is None or not task.is_open or command.state not in FINAL_STATES:
         return Rejection(f"order {command.order_id} has no open task for {command.target} to end")
     task.move(TaskState(command.state), command.reason)
     used = any(other.state in (TaskState.OUT, TaskState.DONE) for other in order.tasks.values())
--- a/oakkeel/disruption/permit_handlers.py
+++ b/oakkeel/disruption/permit_handlers.py
@@ -64,7 +64,7 @@
         return Rejection(f"{command.target} has no permit {command.fencing_token}")
     order = view.state.orders.get(permit.order_id)
     task = order.tasks[permit.target] if order else None
-    if order and task and task.open:
+    if order and task and task.is_open:
         if permit.started:
             _end_started(order, task)
         elif order.halted_by:
@@ -107,5 +107,5 @@
 
 def _move_task(view: ControlPlaneView, permit: Permit, state: TaskState, reason: str) -> None:
     order = view.state.orders.get(permit.order_id)
-    if order and order.tasks[permit.target].open:
+    if order and order.tasks[permit.target].is_open:
         order.tasks[permit.target].move(state, reason)
--- a/oakkeel/disruption/queries.py
+++ b/oakkeel/disruption/queries.py
@@ -33,7 +33,7 @@
     def find_open_order(self, target: str) -> DisruptionOrder | None:
         """Return the first order with an open task for a target."""
         for order in self.state.orders.values():
-            if target in order.tasks and order.tasks[target].open:
+            if target in order.tasks and order.tasks[target].is_open:
                 return order
         return None
 
--- a/oakkeel/disruption/state.py
+++ b/oakkeel/disruption/state.py
@@ -50,7 +50,7 @@
     reason: str = ""
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the task has not ended."""
         return self.state in OPEN_STATES
 
@@ -79,7 +79,7 @@
     cancelled_by: str = ""
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether any of its tasks has not ended."""
         return any(task.state in OPEN_STATES for task in self.tasks.values())
 
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -101,6 +101,6 @@
         found = []
         for task in host.agent.orders.open_tasks:
             order = leader.state_machine.state.orders.get(task.order.order_id)
-            if task.is_open and task.order.verb is not Verb.START and not (order and order.open):
+            if task.is_open and task.order.verb is not Verb.START and not (order and order.is_open):
                 found.append(f"{host.name}: a task of {task.order.order_id} waits for no open order")
         return found
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -243,7 +243,7 @@
         release.batch_forward = not release.rolling_back
         release.in_progress = names
         release.controls = [name for name, _ in command.controls]
-        if not order.open:  # all tasks were rejected: the batch still has to be finished
+        if not order.is_open:  # all tasks were rejected: the batch still has to be finished
             self.state.orders.setdefault(order.id, order)
         return order
 
@@ -306,7 +306,7 @@
         release.state = state
         release.why = why or release.why
         order = self.state.orders.get(release.order_id)
-        if state in ("paused", "halted", "undoing") and order and order.open:
+        if state in ("paused", "halted", "undoing") and order and order.is_open:
             order.halted_by = order.halted_by or release.operator
             order.end_waiting(TaskState.HALTED, f"release {release.ident} {state}")
             if state == "undoing":  # a target that does not start is not waited for
