--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -11,6 +11,8 @@
 
 from __future__ import annotations
 
+import msgspec
+
 from oakkeel.disruption import commands, heartbeats
 from oakkeel.disruption.expiry import ExpiryClock
 from oakkeel.disruption.grants import GrantPlanner
@@ -70,9 +72,9 @@
     def _track_order(self, now: int, order: DisruptionOrder) -> None:
         """Track an order that is open or has permits."""
         has_permit = any(permit.order_id == order.id for permit in self.state_machine.state.permits.values())
-        if order.open:
+        if order.is_open:
             self.clock.order_submitted_at.setdefault(order.id, now)
-        if order.open or has_permit:
+        if order.is_open or has_permit:
             for host in sorted({self.host_of[target] for target in order.tasks if target in self.host_of}):
                 self.responses.orders_by_host.setdefault(host, []).append(order.id)
         for target, task in order.tasks.items():
@@ -131,12 +133,12 @@
             if task and task.state == TaskState.WAITING:
                 self.planner.enqueue(order_id, target)
 
-    def lost(self, command: commands.Command) -> None:
+    def lost(self, command: msgspec.Struct) -> None:
         """Forget a command that could not be proposed or will never be committed."""
         self._clear_pending(command)
         self.must_plan = True
 
-    def _clear_pending(self, command: commands.Command) -> None:
+    def _clear_pending(self, command: msgspec.Struct) -> None:
         self.pending.discard(commands.encode(command))
         if isinstance(command, commands.GrantPermits):
             for target in command.targets:
