--- a/oakkeel/agent/control_plane_handlers.py
+++ b/oakkeel/agent/control_plane_handlers.py
@@ -14,7 +14,7 @@
 from oakkeel.errors import OakkeelError
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout import commands as releases
-from oakkeel.rollout.state_machine import Release
+from oakkeel.rollout.release import Release
 
 VOTER_COUNTS = (1, 3, 5)  # one for a trial; an even number tolerates no more failures
 CONTROL_PLANE_REQUESTS = (
--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -14,7 +14,8 @@
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.raft.replica import Replica
 from oakkeel.rollout.controller import RolloutController
-from oakkeel.rollout.state_machine import LEASE, Release, RolloutStateMachine
+from oakkeel.rollout.release import Release
+from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
 
 UNKNOWN = -1  # an age or a lag
 NO_ROLE = "none"
@@ -189,7 +190,9 @@
             f"there is no release {release_id}" if release_id else "no release was started yet"
         )
     lease = state_machine.state.leases.get(LEASE)
-    others = [(other.ident, other.state) for other in releases.values() if other is not release]
+    others: list[tuple[str, str]] = [
+        (other.ident, other.state) for other in releases.values() if other is not release
+    ]
     return messages.ReleaseStatus(
         release_id=release.ident,
         operator=release.operator,
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -15,7 +15,8 @@
 
 from oakkeel.disruption.command_registry import CommandRegistry
 from oakkeel.disruption.state import Rejection
-from oakkeel.rollout.state_machine import RolloutState, RolloutStateMachine
+from oakkeel.rollout.release import RolloutState
+from oakkeel.rollout.state_machine import RolloutStateMachine
 
 MAX_POLICY_BYTES = 64 * 1024  # of one version
 MAX_VERSIONS = 64
@@ -106,7 +107,7 @@
         versions = self.state.policies.values()
         return next((version for version in versions if version.state == "proposed"), None)
 
-    def _propose(self, index: int, command: ProposePolicy) -> object:
+    def _propose(self, index: int, command: ProposePolicy) -> PolicyVersion | Rejection:
         state = self.state
         digest = blake3.blake3(command.content).hexdigest()[:DIGEST_LENGTH]
         for known in state.policies.values():
@@ -141,15 +142,15 @@
                 del state.policies[number]
         return policy
 
-    def _withdraw(self, index: int, command: WithdrawPolicy) -> object:
+    def _withdraw(self, index: int, command: WithdrawPolicy) -> PolicyVersion | Rejection:
         return self._move_version(command.number, "withdrawn", f"by {command.operator}")
 
-    def _refuse(self, index: int, command: RejectPolicy) -> object:
+    def _refuse(self, index: int, command: RejectPolicy) -> PolicyVersion | Rejection:
         return self._move_version(
             command.number, "refused", f"{command.host}: {command.reason[:MAX_REFUSAL_LENGTH]}"
         )
 
-    def _decide(self, index: int, command: CommitPolicy) -> object:
+    def _decide(self, index: int, command: CommitPolicy) -> PolicyVersion | Rejection:
         result = self._move_version(command.number, "decided", "")
         if isinstance(result, PolicyVersion):
             before = self.state.decided
@@ -158,7 +159,7 @@
                 self._move_version(before, "overtaken", f"by version {command.number}")
         return result
 
-    def _in_force(self, index: int, command: MarkInForce) -> object:
+    def _in_force(self, index: int, command: MarkInForce) -> PolicyVersion | Rejection:
         return self._move_version(command.number, "in force", "")
 
     def _move_version(self, number: int, state: str, why: str) -> PolicyVersion | Rejection:
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -13,8 +13,8 @@
 from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.observations import Observations
 from oakkeel.rollout.plan import BatchLimits
+from oakkeel.rollout.release import MOVING_STATES, STOPPED_STATES, Release, RolloutState, TargetState
 from oakkeel.rollout.samples import Arm
-from oakkeel.rollout.state_machine import Release, RolloutState
 from oakkeel.units import SECOND
 
 MAX_BATCH = 500  # targets
@@ -90,7 +90,7 @@
     if not stopped and (why := _failure_of_batch(view)):
         return view.halt(why)
     time_left = started_at + release.policy.batch_timeout + BATCH_GRACE_NS - view.now
-    if release.state in ("running", "undoing") and time_left < 0:
+    if release.state in MOVING_STATES and time_left < 0:
         late = next((target for target in open_targets or release.in_progress), "")
         return view.halt(f"{late} sent no report before the timeout of its batch")
     if waiting := _wait_for_batch(view, stopped, open_targets):
@@ -111,7 +111,7 @@
     order = view.order
     order_halted = bool(order and order.halted_by not in ("", TIMEOUT_OPERATOR))
     reversed_since = release.batch_forward is release.rolling_back
-    return release.state in ("paused", "halted") or order_halted or reversed_since
+    return release.state in STOPPED_STATES or order_halted or reversed_since
 
 
 def _failure_of_batch(view: BatchView) -> str:
@@ -205,7 +205,7 @@
     elif not release.batch:
         size = policy.canary
     else:
-        updated = sum(target.state == "new" for target in release.targets.values())
+        updated = sum(target.state is TargetState.NEW for target in release.targets.values())
         size = max(policy.canary, int(updated * (policy.growth - 1)) if policy.gated else remaining)
         size = min(size, policy.max_batch or size)
     return max(1, min(size, MAX_BATCH))
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -21,7 +21,8 @@
 from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.messages import AgentAssignments, AgentReport, decode_report, encode
 from oakkeel.rollout.observations import Observations
-from oakkeel.rollout.state_machine import Release, RolloutStateMachine
+from oakkeel.rollout.release import MOVING_STATES, Release, ReleaseState
+from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.units import MS, SECOND
 
 STEP_RETRY_DELAY_NS = 200 * MS  # after a rejected step
@@ -89,7 +90,7 @@
             if before is not None and release:
                 gate = self._current_gate(now, release)
                 self.observations.feed(now, gate, release, poll.incarnation, status, before)
-        if release and release.state == "preparing" and self.lease.is_held(now):
+        if release and release.state is ReleaseState.PREPARING and self.lease.is_held(now):
             return self._report_prepared(release, poll.host, report)
         return []
 
@@ -185,7 +186,7 @@
         view = BatchView(
             now, self.state_machine.state, release, gate, self.observations, self.lease.fencing_token
         )
-        if release.state == "preparing":
+        if release.state is ReleaseState.PREPARING:
             return self._prepare(now, release)
         if release.in_progress:
             key = BatchKey(release.batch, release.ident, release.controlled)
@@ -193,7 +194,7 @@
                 self.batch_key = key
                 self.batch_started_at = now
             return finish_batch(view, self.batch_started_at)
-        if release.state not in ("running", "undoing"):
+        if release.state not in MOVING_STATES:
             return Step(None, "")
         gate_step = self._check_gate(view)
         if gate_step.command or gate_step.why:
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -9,8 +9,8 @@
 from oakkeel.rollout.gates import Gate
 from oakkeel.rollout.messages import TargetStatus
 from oakkeel.rollout.plan import BatchPlanner, TargetObservation
+from oakkeel.rollout.release import Release, TargetState
 from oakkeel.rollout.samples import AgeClass, Arm, Population, ProcessIdentity, ProcessReport
-from oakkeel.rollout.state_machine import Release
 
 COLD_PHASE = "cold"  # warming up
 RUNNING_PHASES = (COLD_PHASE, "serving")
@@ -96,9 +96,9 @@
             for service in self.planner.services_of.get(target, ())
             if service in release.targets
         }
-        if states == {"new"}:
+        if states == {TargetState.NEW}:
             return Arm.NEW
-        return Arm.OLD if states == {"old"} else Arm.NEITHER
+        return Arm.OLD if states == {TargetState.OLD} else Arm.NEITHER
 
     def fresh(self, now: int, target: str) -> TargetObservation | None:
         """Return the last report of a target, unless it is stale."""
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state of releases: the version assigned to each target, and the steps of the open release.
+"""Applies the replicated commands of releases: assigns versions, and takes the steps of the open release.
 
 Every command of a controller has the fencing token of its lease and the last step that it saw: an old
 controller that wakes up, and a step that was taken already, are rejected on every replica alike. Free of I/O
@@ -10,16 +10,25 @@
 
 from __future__ import annotations
 
-import msgspec
-
 from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.command_registry import CommandRegistry
 from oakkeel.disruption.order_handlers import submit_order
-from oakkeel.disruption.state import ControlPlaneState, Rejection, TaskState
+from oakkeel.disruption.state import DisruptionOrder, Rejection, TaskState
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.errors import InvalidTransitionError
 from oakkeel.rollout import commands
-from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
+from oakkeel.rollout.release import (
+    FINAL_STATES,
+    MOVING_STATES,
+    STOPPED_STATES,
+    TARGET_TRANSITIONS,
+    TRANSITIONS,
+    Release,
+    ReleaseState,
+    ReleaseTarget,
+    RolloutState,
+    TargetState,
+)
 from oakkeel.rollout.validation import find_fault
 
 LEASE = "release"  # its holder is the controller
@@ -27,84 +36,12 @@
 MAX_GATE_STATE_BYTES = 16 * 1024
 MAX_TEXT = 500  # characters of a reason or summary
 # By action of an operator: the state that a release changes to. `resume` depends on its direction.
-ACTION_STATES = {"pause": "paused", "abort": "halted", "undo": "undoing", "leave": "left"}
-
-# Of a release. preparing: hosts make their copies; running: forward; undoing, undone: rolling back, rolled
-# back; halted: no further batch starts until an operator decides; left: abandoned.
-TRANSITIONS = {
-    "preparing": {"running", "left"},
-    "running": {"paused", "halted", "undoing", "done"},
-    "paused": {"running", "halted", "undoing"},
-    "halted": {"running", "undoing", "left"},
-    "undoing": {"halted", "undone"},
-    "done": set(),
-    "undone": set(),
-    "left": set(),
+ACTION_STATES = {
+    "pause": ReleaseState.PAUSED,
+    "abort": ReleaseState.HALTED,
+    "undo": ReleaseState.ROLLING_BACK,
+    "leave": ReleaseState.ABANDONED,
 }
-FINAL_STATES = ("done", "undone", "left")
-# Of a target.
-TARGET_TRANSITIONS = {"old": {"changing"}, "changing": {"old", "new"}, "new": {"changing"}}
-
-
-class ReleaseTarget(msgspec.Struct, array_like=True):
-    """One target of a release. Only `RolloutStateMachine._move_target` changes its state."""
-
-    previous: str  # the version before the release
-    state: str = "old"
-    base: str = ""  # version of the copy of its earlier program, as its settings may change meanwhile
-    attempts: int = 0
-
-
-class Release(msgspec.Struct, array_like=True):
-    """One release and its progress."""
-
-    ident: str
-    operator: str
-    unix: int
-    index: int
-    spec: VersionSpec
-    policy: RolloutPolicy
-    targets: dict[str, ReleaseTarget]
-    state: str = "preparing"
-    step: int = 0  # increased by every command of a controller
-    batch: int = 0  # number of the last batch
-    in_progress: list[str] = []  # targets of the open batch
-    controls: list[str] = []  # targets that restart unchanged with them
-    prepared_hosts: list[str] = []
-    rolling_back: bool = False  # also while the rollback is halted
-    why: str = ""
-    gate_state: bytes = b""
-    summary: str = ""  # of the gates, for display
-    controlled: int = 0  # number of accepted controls by operators
-    batch_forward: bool = True  # the open batch brings the new version
-
-    @property
-    def is_finished(self) -> bool:
-        """Return whether the release is in a final state."""
-        return self.state in FINAL_STATES
-
-    @property
-    def order_id(self) -> str:
-        """Return the ID of its last batch's order."""
-        return f"{self.ident}.{self.batch}"
-
-    @property
-    def end_state(self) -> str:
-        """Return the state that all targets have to reach in the direction of the release."""
-        return "old" if self.rolling_back else "new"
-
-    def wanted_version(self, name: str) -> str:
-        """Return the version to assign to a target in the direction of the release."""
-        target = self.targets[name]
-        return target.base or target.previous if self.rolling_back else self.spec.version
-
-
-class RolloutState(ControlPlaneState, array_like=True):
-    """The state of the control plane with its releases."""
-
-    releases: dict[str, Release] = msgspec.field(default_factory=dict)
-    versions: dict[str, str] = msgspec.field(default_factory=dict)  # by target, for its next start
-    sources: dict[str, VersionSpec] = msgspec.field(default_factory=dict)  # by version in use
 
 
 class RolloutStateMachine(PermitStateMachine):
@@ -118,7 +55,7 @@
         """Return the release that is not finished, if any; there is at most one."""
         return next((release for release in self.state.releases.values() if not release.is_finished), None)
 
-    def _start_release(self, index: int, command: commands.StartRelease) -> object:
+    def _start_release(self, index: int, command: commands.StartRelease) -> Release | Rejection:
         state = self.state
         spec = command.spec
         if known := state.releases.get(command.ident):
@@ -148,25 +85,24 @@
             del state.releases[ident]
         return release
 
-    def _control_release(self, index: int, command: commands.ControlRelease) -> object:
+    def _control_release(self, index: int, command: commands.ControlRelease) -> Release | Rejection:
         release = self.state.releases.get(command.ident)
         if release is None:
             return Rejection("no such release")
         action = command.action
-        if action == "abort" and release.state == "preparing":
+        if action == "abort" and release.state is ReleaseState.PREPARING:
             action = "leave"
-        if action == "undo" and release.state == "preparing":
+        if action == "undo" and release.state is ReleaseState.PREPARING:
             return Rejection("the release has changed nothing yet: abort it")
+        state = ACTION_STATES.get(action)
         if action == "resume":
-            state = "undoing" if release.rolling_back else "running"
-        else:
-            state = ACTION_STATES.get(action, "")
-        if state == release.state:
+            state = ReleaseState.ROLLING_BACK if release.rolling_back else ReleaseState.RUNNING
+        if state is release.state:
             return release
-        if state not in TRANSITIONS[release.state]:
+        if state is None or state not in TRANSITIONS[release.state]:
             return Rejection(f"the release is {release.state}: {action} is not possible")
         release.controlled += 1
-        if action == "resume" and release.state == "halted":  # an operator overrules the gates
+        if action == "resume" and release.state is ReleaseState.HALTED:  # an operator overrules the gates
             self._reset_progress(release)
         return self._move_release(release, state, f"by {command.operator}")
 
@@ -175,7 +111,9 @@
         lease = self.state.leases.get(LEASE)
         return lease is not None and lease.fencing_token == fencing_token
 
-    def _authorize_step(self, command: commands.ControllerCommand, *states: str) -> Release | Rejection:
+    def _authorize_step(
+        self, command: commands.ControllerCommand, *states: ReleaseState
+    ) -> Release | Rejection:
         """Return the release if the command may change it, else a rejection.
 
         It needs the current fencing token, one of the release's `states`, and the step that is due: so two
@@ -190,12 +128,18 @@
             return Rejection(f"step {command.step} was taken: the release is at step {release.step}")
         return release
 
-    def _report_prepared(self, index: int, command: commands.ReportPrepared) -> object:
+    def _report_prepared(self, index: int, command: commands.ReportPrepared) -> Release | Rejection:
         release = self.state.releases.get(command.ident)
-        if not self._holds_lease(command.fence) or release is None or release.state != "preparing":
+        if (
+            not self._holds_lease(command.fence)
+            or release is None
+            or release.state is not ReleaseState.PREPARING
+        ):
             return Rejection("the release is not preparing, or another controller holds its lease")
         if command.why:
-            return self._move_release(release, "left", f"{command.host} can't take it: {command.why}")
+            return self._move_release(
+                release, ReleaseState.ABANDONED, f"{command.host} can't take it: {command.why}"
+            )
         if command.host not in release.prepared_hosts:
             release.prepared_hosts.append(command.host)
             for name, base in command.bases.items():
@@ -203,15 +147,15 @@
                     release.targets[name].base = base
         return release
 
-    def _begin_rollout(self, index: int, command: commands.BeginRollout) -> object:
-        release = self._authorize_step(command, "preparing")
+    def _begin_rollout(self, index: int, command: commands.BeginRollout) -> Release | Rejection:
+        release = self._authorize_step(command, ReleaseState.PREPARING)
         if isinstance(release, Rejection):
             return release
         release.step += 1
-        return self._move_release(release, "running", "")
+        return self._move_release(release, ReleaseState.RUNNING, "")
 
-    def _start_batch(self, index: int, command: commands.StartBatch) -> object:
-        release = self._authorize_step(command, "running", "undoing")
+    def _start_batch(self, index: int, command: commands.StartBatch) -> DisruptionOrder | Rejection:
+        release = self._authorize_step(command, *MOVING_STATES)
         if isinstance(release, Rejection):
             return release
         names = [name for name, _ in command.targets]
@@ -238,7 +182,7 @@
         for name in names:
             target = release.targets[name]
             target.attempts += 1
-            self._move_target(target, "changing")
+            self._move_target(target, TargetState.CHANGING)
             self._assign_version(name, release.wanted_version(name))
         release.batch_forward = not release.rolling_back
         release.in_progress = names
@@ -247,21 +191,21 @@
             self.state.orders.setdefault(order.id, order)
         return order
 
-    def _finish_batch(self, index: int, command: commands.FinishBatch) -> object:
-        release = self._authorize_step(command, "running", "paused", "halted", "undoing")
+    def _finish_batch(self, index: int, command: commands.FinishBatch) -> Release | Rejection:
+        release = self._authorize_step(command, *MOVING_STATES, *STOPPED_STATES)
         if isinstance(release, Rejection):
             return release
         release.step += 1
         for name in release.in_progress:
             target = release.targets[name]
             updated = name in command.updated
-            self._move_target(target, "new" if updated else "old")
+            self._move_target(target, TargetState.NEW if updated else TargetState.OLD)
             self._assign_version(name, release.spec.version if updated else target.base or target.previous)
         release.in_progress = []
         return release
 
-    def _record_verdict(self, index: int, command: commands.RecordVerdict) -> object:
-        release = self._authorize_step(command, "running", "paused", "undoing")
+    def _record_verdict(self, index: int, command: commands.RecordVerdict) -> Release | Rejection:
+        release = self._authorize_step(command, *MOVING_STATES, ReleaseState.PAUSED)
         if isinstance(release, Rejection):
             return release
         release.step += 1
@@ -269,14 +213,14 @@
             release.gate_state = command.gate_state
         release.summary = command.summary[:MAX_TEXT]
         if command.why:
-            was_rolling_back = release.state == "undoing"
-            self._move_release(release, "halted", command.why[:MAX_TEXT])
+            was_rolling_back = release.state is ReleaseState.ROLLING_BACK
+            self._move_release(release, ReleaseState.HALTED, command.why[:MAX_TEXT])
             if release.policy.auto_roll_back and not was_rolling_back:
-                self._move_release(release, "undoing", command.why[:MAX_TEXT])
+                self._move_release(release, ReleaseState.ROLLING_BACK, command.why[:MAX_TEXT])
         return release
 
-    def _finish_release(self, index: int, command: commands.FinishRelease) -> object:
-        release = self._authorize_step(command, "running", "undoing")
+    def _finish_release(self, index: int, command: commands.FinishRelease) -> Release | Rejection:
+        release = self._authorize_step(command, *MOVING_STATES)
         if isinstance(release, Rejection):
             return release
         if release.in_progress or any(
@@ -284,7 +228,8 @@
         ):
             return Rejection("not all targets have reached the end state")
         release.step += 1
-        return self._move_release(release, "undone" if release.rolling_back else "done", "")
+        end = ReleaseState.ROLLED_BACK if release.rolling_back else ReleaseState.DONE
+        return self._move_release(release, end, "")
 
     def _assign_version(self, target: str, version: str) -> None:
         if version:
@@ -292,13 +237,13 @@
         else:
             self.state.versions.pop(target, None)
 
-    def _move_target(self, target: ReleaseTarget, state: str) -> None:
+    def _move_target(self, target: ReleaseTarget, state: TargetState) -> None:
         """Change the state of a target; nothing else does. Raises InvalidTransitionError."""
         if state not in TARGET_TRANSITIONS[target.state] and state != target.state:
             raise InvalidTransitionError("a target of a release", target.state, state)
         target.state = state
 
-    def _move_release(self, release: Release, state: str, why: str) -> Release:
+    def _move_release(self, release: Release, state: ReleaseState, why: str) -> Release:
         """Change the state of a release; nothing else does. Raises InvalidTransitionError."""
         if state not in TRANSITIONS[release.state]:
             raise InvalidTransitionError(f"release {release.ident}", release.state, state)
@@ -306,18 +251,18 @@
         release.state = state
         release.why = why or release.why
         order = self.state.orders.get(release.order_id)
-        if state in ("paused", "halted", "undoing") and order and order.open:
+        if state in (*STOPPED_STATES, ReleaseState.ROLLING_BACK) and order and order.open:
             order.halted_by = order.halted_by or release.operator
             order.end_waiting(TaskState.HALTED, f"release {release.ident} {state}")
-            if state == "undoing":  # a target that does not start is not waited for
+            if state is ReleaseState.ROLLING_BACK:  # a target that does not start is not waited for
                 order.cancelled_by = order.cancelled_by or release.operator
-        if state == "undoing":
+        if state is ReleaseState.ROLLING_BACK:
             if not release.rolling_back:
                 self._reset_progress(release)
             release.rolling_back = True
         if state in FINAL_STATES:
             self._clean_up(release)
-        if previous_state == "preparing" or state == "running":
+        if previous_state is ReleaseState.PREPARING or state is ReleaseState.RUNNING:
             release.why = why
         return release
 
@@ -330,7 +275,7 @@
     def _clean_up(self, release: Release) -> None:
         """Assign unchanged targets their earlier versions, and drop the sources of unused versions."""
         for name, target in release.targets.items():
-            if target.state == "old":
+            if target.state is TargetState.OLD:
                 self._assign_version(name, target.previous)
         used = {*self.state.versions.values()}
         self.state.sources = {
--- a/tests/models/test_releases.py
+++ b/tests/models/test_releases.py
@@ -3,7 +3,7 @@
 import unittest
 
 from oakkeel.models import releases as model
-from oakkeel.rollout.state_machine import FINAL_STATES, TRANSITIONS
+from oakkeel.rollout.release import FINAL_STATES, TRANSITIONS
 
 
 class ReleaseModelTest(unittest.TestCase):
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -13,7 +13,8 @@
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.messages import AgentAssignments, encode
-from oakkeel.rollout.state_machine import LEASE, TRANSITIONS, Release, RolloutStateMachine
+from oakkeel.rollout.release import TRANSITIONS, Release
+from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
 from oakkeel.units import SECOND
 from tests.rollout.topology import TOPOLOGY
 
