--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -12,6 +12,7 @@
 import subprocess
 import sys
 import time
+import tomllib
 from pathlib import Path
 from unittest import mock
 
