--- a/oakkeel/disruption/topology.py
+++ b/oakkeel/disruption/topology.py
@@ -15,7 +15,7 @@
 NOT_SERVING_REASON = "does not serve"
 UNKNOWN_REASON = "not known"  # its agent is silent
 PROPOSED_REASON = "to be granted"  # a permit was proposed and is not committed yet
-DEPENDENCY_REASON_PREFIX = "depends on "  # before the name of the service that it depends on
+DEPENDENCY_REASON_PREFIX = "hangs on "  # before the name of the service that it depends on
 BUDGET_EXCEEDED_TEXT = "would exceed its maximum"  # part of the message of each violation
 
 
--- a/tests/cluster/test_downstream_budget.py
+++ b/tests/cluster/test_downstream_budget.py
@@ -55,7 +55,7 @@
             state = await self.rig.fleet_status()
             out = {each.target: each.reasons for each in state.unavailable}
             group = next(each for each in state.budgets if each.name == "kind catalogue")
-            return group.unavailable == 2 and out.get("n4a") == ["depends on cat2"]
+            return group.unavailable == 2 and out.get("n4a") == ["hangs on cat2"]
 
         await self.rig.wait_until("the dead one counts, and what depends on it", counted)
         for name in self.ports:
--- a/tests/disruption/test_allocator.py
+++ b/tests/disruption/test_allocator.py
@@ -63,7 +63,7 @@
         self.submit("o3", "cat1")
         self.exchange_heartbeats()
         self.assertEqual((self.states("o2"), self.states("o3")), ({"a": "waiting"}, {"cat1": "waiting"}))
-        self.assertIn("depends on cat1", self.allocator.unavailable.reasons["a"])
+        self.assertIn("hangs on cat1", self.allocator.unavailable.reasons["a"])
 
     def test_permit_over_the_budget_holds_only_while_its_target_is_down(self):
         self.serving["a"] = self.serving["b"] = False  # the maximum of their site is 1
