--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -111,10 +111,13 @@
     """
     age = max(0, unix_now - snapshot.written_at)
     outer: dict[int, Flow] = {}
-    for table, records in zip(shares.tables, snapshot.tables, strict=False):
+    for level, (table, records) in enumerate(zip(shares.tables, snapshot.tables, strict=False)):
         inner: dict[int, Flow] = {}
         for record in sorted(records, key=lambda record: -record.rate)[: table.max_flows]:
-            inner[record.key] = _restore_flow(table, record, now, age, outer.get(record.parent))
+            parent = outer.get(record.parent)
+            if level > 0 and parent is None:
+                continue  # its outer flow had left the table: without one it has no share to divide
+            inner[record.key] = _restore_flow(table, record, now, age, parent)
         outer = inner
     for reserved in snapshot.reservations:
         due_at = now + reserved.after - age
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -6,6 +6,8 @@
 
 from oakkeel.fair_sharing import persistence
 from oakkeel.fair_sharing.keys import SECRET_BYTES
+from oakkeel.fair_sharing.max_min import MaxMinShares
+from oakkeel.fair_sharing.reservations import Reservations
 from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode
 from oakkeel.store import snapshot_file
 from oakkeel.units import SECOND
@@ -50,6 +52,23 @@
         ]
         self.assertEqual(ahead[1], [after for after in ahead[0] if after > 0])
 
+    def test_drops_a_client_whose_tenant_is_not_in_the_snapshot(self):
+        shares = MaxMinShares(2, 2, 4 * SECOND, {})
+        for tenant in range(3):  # the third takes the entry of the first, whose client stays
+            weight = 1.0 + tenant
+            shares.count(0, [(tenant, b"t%d" % tenant), (10 + tenant % 2, b"c%d" % tenant)], weight, False)
+        self.assertNotIn(0, shares.tables[0].flows)
+        self.assertIn(10, shares.tables[1].flows)
+        content = persistence.encode_snapshot(
+            0, 10**18, ("tenant", "client"), bytes(SECRET_BYTES), shares, Reservations(SECOND, 8, 8)
+        )
+        restored = MaxMinShares(2, 2, 4 * SECOND, {})
+        snapshot = persistence.decode_snapshot(content, 10**18, ("tenant", "client"))
+        persistence.restore_snapshot(snapshot, SECOND, 10**18, restored, Reservations(SECOND, 8, 8))
+        restored.allocate(SECOND, 0.1)
+        self.assertEqual(set(restored.tables[0].flows), {1, 2})
+        self.assertEqual(set(restored.tables[1].flows), {11})
+
     def test_rejects_a_snapshot_from_the_future_too_old_or_of_other_flows(self):
         content = self.content(self.filled())
         for unix, by in (
