--- a/oakkeel/agent/replica_file.py
+++ b/oakkeel/agent/replica_file.py
@@ -44,8 +44,8 @@
 
     def load(self) -> DurableState:
         """Load the state; corrupt state is quarantined, and an empty one loaded. Raises DatabaseError."""
-        stored = storage.load(self.store, self.name, self._new_incarnation())
         try:
+            stored = storage.load(self.store, self.name, self._new_incarnation())
             storage.check(stored)
         except storage.CorruptStateError as error:
             self.quarantine(str(error))
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -79,7 +79,10 @@
 
 
 def load(database: Database, name: str, new_incarnation: str) -> DurableState:
-    """Return the stored state; an empty file begins `new_incarnation`. Raises DatabaseError."""
+    """Return the stored state; an empty file begins `new_incarnation`.
+
+    Raises DatabaseError, and CorruptStateError for fields that can't be decoded.
+    """
     rows = database.read("SELECT name, life, epoch, term, voted, marks FROM head")
     if not rows:
         durable = DurableState(name, new_incarnation)
@@ -87,17 +90,25 @@
         return durable
     *fields, acknowledgements = rows[0]
     durable = DurableState(*fields)
-    durable.acknowledgements = {
-        incarnation: LogPosition(*position) for incarnation, position in json.loads(acknowledgements).items()
-    }
-    for index, term, members, content in database.read("SELECT place, term, members, content FROM snapshot"):
-        durable.snapshot = Snapshot(index, term, tuple(decode_members(members)), content)
+    try:
+        durable.acknowledgements = _decode_acknowledgements(acknowledgements)
+        for row in database.read("SELECT place, term, members, content FROM snapshot"):
+            index, term, members, content = row
+            durable.snapshot = Snapshot(index, term, tuple(decode_members(members)), content)
+    except msgspec.MsgspecError as error:
+        raise CorruptStateError(f"the metadata or the snapshot can't be decoded: {error}") from error
     durable.entries = [
         Entry(*row) for row in database.read("SELECT term, kind, content FROM entries ORDER BY place")
     ]
     return durable
 
 
+def _decode_acknowledgements(content: str) -> dict[str, LogPosition]:
+    """Return the acknowledged position by incarnation. Raises msgspec.MsgspecError."""
+    positions = msgspec.json.decode(content, type=dict[str, tuple[int, int]])
+    return {incarnation: LogPosition(*position) for incarnation, position in positions.items()}
+
+
 def check(durable: DurableState) -> None:
     """Raise CorruptStateError if the state is inconsistent."""
     terms = [durable.snapshot.term, *(entry.term for entry in durable.entries), durable.term]
--- /dev/null
+++ b/tests/agent/test_replica_file.py
@@ -0,0 +1,27 @@
+"""The file of a replica is quarantined when it can't be decoded."""
+
+import glob
+import os
+import tempfile
+import unittest
+
+from oakkeel.agent.replica_file import ReplicaFile
+from oakkeel.log import EventLog
+
+
+class ReplicaFileTest(unittest.TestCase):
+    def test_a_snapshot_that_cannot_be_decoded_is_quarantined_and_an_empty_file_begun(self):
+        path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "record.db")
+        log = EventLog("h1", 1000, "json")
+        file = ReplicaFile(path, "h1", log)
+        before = file.load().incarnation
+        file.store.write([("INSERT OR REPLACE INTO snapshot VALUES (1, 1, 1, x'ff', x'')", ())])
+        after = file.load()
+        self.assertNotEqual(after.incarnation, before)
+        self.assertEqual(after.snapshot.index, 0)
+        self.assertTrue(glob.glob(path + ".*Z-*"))
+        file.close()
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -54,6 +54,22 @@
             storage.check(memory.load())
             database.close()
 
+    def test_undecodable_snapshot_members_and_acknowledgements_are_corrupt_state(self):
+        for damage in (
+            "INSERT OR REPLACE INTO snapshot VALUES (1, 1, 1, x'ff', x'')",
+            "UPDATE head SET marks = 'not JSON'",
+            "UPDATE head SET marks = '[]'",
+        ):
+            with self.subTest(damage):
+                if os.path.exists(self.path):
+                    os.unlink(self.path)
+                database = Database(self.path, storage.SCHEMA, storage.VERSION)
+                storage.load(database, "a", "a.1")
+                database.write([(damage, ())])
+                with self.assertRaises(storage.CorruptStateError):
+                    storage.load(database, "a", "a.2")
+                database.close()
+
     def test_failed_write_stores_nothing(self):
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         durable = storage.load(database, "a", "a.1")
