--- a/tests/agent/test_replica_file.py
+++ b/tests/agent/test_replica_file.py
@@ -19,7 +19,7 @@
         after = file.load()
         self.assertNotEqual(after.incarnation, before)
         self.assertEqual(after.snapshot.index, 0)
-        self.assertTrue(glob.glob(path + ".*Z-*"))
+        self.assertEqual(len(glob.glob(path + ".*T*-*[0-9]")), 1)
         file.close()
 
 
