--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -118,15 +118,15 @@
     while (
         isinstance(response, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
-        and any(_may_be_taken_out(task, cancel) for task in response.tasks)
+        and any(_is_unsettled(task, cancel) for task in response.tasks)
     ):
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
         response = await _order_status(client, ident)
     return _print_order(client, response, ENDED_STATES)
 
 
-def _may_be_taken_out(task: messages.FleetTaskStatus, cancel: bool) -> bool:
-    """Return whether the target may still be taken out, or on a cancel, has not come back yet."""
+def _is_unsettled(task: messages.FleetTaskStatus, cancel: bool) -> bool:
+    """Return whether a halted task may still take effect, or a cancelled one is still in effect."""
     if cancel:
         return task.state in OPEN_STATES or bool(task.fence)
     return task.state in WAITING_STATES
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -19,7 +19,8 @@
 FALSE_HALT_RATE = 0.01
 FALSE_PASS_RATE = 0.05
 WINDOW_NS = SECOND  # samples of one window are compared with each other
-MAX_DEATHS = 3  # of processes of the new version, below which no release halts for the number alone
+# Crashes of the new version from which a release halts, if the old version has fewer; the larger one counts.
+MAX_DEATHS = 3
 MAX_DEATH_RATIO = 0.1  # of the processes of the new version
 MIN_SAMPLES = 50  # requests of each arm before a metric counts
 MIN_REFERENCE_WEIGHT = 1e-6
@@ -144,7 +145,7 @@
         self.window_start = now
 
     def _observe_latencies(self, window: Window) -> None:
-        """Compare the logs of latencies by request class; the new version is worse where they are higher."""
+        """Compare the logs of latencies by request class; the new version is worse if they are higher."""
         tests = self.state.latency
         for request_class in {request_class for _, request_class in window.latencies}:
             old = window.latencies.get((Arm.OLD, request_class), Sums())
@@ -155,7 +156,7 @@
                 tests[request_class].observe(_negated(old), _negated(new), INITIAL_LOG_LATENCY_VARIANCE)
 
     def verdict(self, reference: float) -> Verdict:
-        """Decide whether a release halts, waits for samples or may go on, by all samples so far.
+        """Decide whether a release halts, waits for samples or may continue, by all samples so far.
 
         Losses are relative to `reference`, the mean earned weight of a request of the old version. The
         evidence of all metrics is averaged before it is compared, so that one bound on false halts holds for
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -20,9 +20,9 @@
 MAX_REPORT_AGE_NS = 3 * SECOND  # an older report is stale
 COLD_CAPACITY_RATIO = 0.25  # of the capacity of a serving target
 MAX_CANDIDATES_PER_SITE = 64  # tried for one slot of a batch
-MIN_CHECKED_LOAD = 0.05  # cores of a site; below it, its capacity is not checked
-MIN_CAPACITY = 1e-9  # cores, so that no capacity at all is still exceeded by the load
-UNKNOWN_AT = -(1 << 62)  # of a target without a report
+MIN_CHECKED_LOAD = 0.05  # of a site, in nodes' worth of cores; the capacity for less is not checked
+MIN_CAPACITY = 1e-9  # in nodes' worth of cores, so that a load always exceeds a capacity of zero
+NEVER_OBSERVED_AT_NS = -(1 << 62)
 NONE_AVAILABLE = "all remaining targets are unavailable"
 
 
@@ -34,7 +34,9 @@
     phase: str = "unknown"
     generation: int = 0
     version: str = ""
-    observed_at: int = UNKNOWN_AT  # earliest time of the report, in nanoseconds of the controller's clock
+    observed_at: int = (
+        NEVER_OBSERVED_AT_NS  # earliest time of the report, in nanoseconds of the controller's clock
+    )
     load: float = 0.0  # ratio of its cores
     backing_off: bool = False  # it crashed repeatedly, and is not restarted for a time
 
--- a/oakkeel/rollout/sequential.py
+++ b/oakkeel/rollout/sequential.py
@@ -15,7 +15,7 @@
 import msgspec
 
 MIN_VARIANCE = 1e-12
-INITIAL_VARIANCE_SAMPLES = 30.0  # the initial variance counts as much as so many samples
+INITIAL_VARIANCE_SAMPLES = 30.0  # weight of the initial variance, as a number of samples
 BET_ODDS = (3.0, 10.0, 30.0)  # of an event on the new arm, relative to its share of the exposure
 MIN_EXPOSURE_RATIO = 0.001
 MAX_EXPOSURE_RATIO = 0.999
@@ -120,7 +120,7 @@
 
 
 def log_normal(point: float) -> float:
-    """Return the log of the normal distribution function, also where that is too small for a float."""
+    """Return the log of the normal distribution function, also if that is too small for a float."""
     if point > MIN_ERFC_POINT:
         return math.log(0.5 * math.erfc(-point / math.sqrt(2)))
     return -0.5 * point * point - math.log(-point * math.sqrt(2 * math.pi))
@@ -152,7 +152,7 @@
 
 
 def log_mean(logs: list[float]) -> float:
-    """Return the log of the mean of values that are given by their logs."""
+    """Return the log of the mean of values, by their logs."""
     if not logs:
         return 0.0
     highest = max(logs)
