--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -26,7 +26,7 @@
     RETRIED = "sent again"  # a retry or a hedged request is in flight
     BACKING_OFF = "to be sent again"  # all attempts so far have failed
     ANSWERED = "answered"
-    REJECTED = "rejected"  # the agent does not accept this client: a retry can't succeed
+    REJECTED = "refused"  # also in JSON output; the agent does not accept this client: no retry can succeed
     FAILED = "failed"  # no attempt left, or no retry budget
     TIMED_OUT = "did not answer"  # before the deadline
 
