--- a/oakkeel/agent/target_status.py
+++ b/oakkeel/agent/target_status.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from oakkeel.agent.instances import Instance, Phase
 from oakkeel.control.messages import NodeStatus
 from oakkeel.rollout.messages import TargetStatus
@@ -50,12 +48,12 @@
 
 def in_flight_summary(instance: Instance) -> str:
     """The requests that a draining node has yet to answer, for display; empty if it does not drain."""
-    report: Any = instance.report
-    if instance.phase is not Phase.DRAINING or not getattr(report, "owes", 0):
+    report = instance.report
+    if instance.phase is not Phase.DRAINING or report is None or not report.open_requests:
         return ""
-    classes = ", ".join(f"{count} {name}" for name, count in sorted(report.owes_by.items()))
+    classes = ", ".join(f"{count} {name}" for name, count in sorted(report.open_by_class.items()))
     summary = (
-        f"{report.owes}: {report.hold} held, {report.runs} running, {report.calls} at calls"
+        f"{report.open_requests}: {report.queued} held, {report.running} running, {report.calling} at calls"
         f" on {report.connections} connections"
     )
     if classes:
