--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -16,7 +16,7 @@
 
 
 class CallSequence:
-    """Places the downstream calls of requests; those that must wait are placed in order of arrival."""
+    """Places the downstream calls of requests; calls that must wait start in order of arrival."""
 
     def __init__(self, node: NodeState, ends: RequestEnds) -> None:
         """Start with no request that waits for its call."""
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """A class of requests, with its weights and its time limits."""
+    """A class of requests, with weights and time limits."""
 
     index: int
     idempotency: Idempotency
--- a/oakkeel/agent/state_writer.py
+++ b/oakkeel/agent/state_writer.py
@@ -25,7 +25,7 @@
         self.storage_error = ""
 
     def save(self) -> bool:
-        """Write what changed; False if that fails, and the next call tries again."""
+        """Write what changed; return False if that fails, and the next call retries."""
         changed = [instance for instance in self.instances if instance.dirty]
         if not changed and not self._has_other_changes() and not self.storage_error:
             return True
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -201,10 +201,10 @@
             link.close_if_unused()
 
     def _select_link(self, request: NodeRequest) -> CallLink | None:
-        """Return the free link used last, a new one, or the least busy one; None if there is none.
+        """Return the free link used last, a new one, or the one with the fewest calls; None without any.
 
         A link that had a call of this request is never used again for it: a duplicate of that reply would
-        be taken for the reply to the next call.
+        be mistaken for the reply to the next call.
         """
         self._close_idle()
         if self.address is None:
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -138,7 +138,7 @@
     def _pause(self) -> None:
         """Stop accepting for `accept_retry`, as no descriptor or buffer is left.
 
-        Otherwise the socket would wake the event loop in vain, again and again.
+        Otherwise the readable socket would keep the event loop busy.
         """
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
--- a/oakkeel/disruption/commands.py
+++ b/oakkeel/disruption/commands.py
@@ -39,7 +39,7 @@
 
 
 class CancelOrder(msgspec.Struct, tag="cancel", array_like=True):
-    """Halt an order, and return to service what it has taken out."""
+    """Halt an order, and return the targets that it has taken out to service."""
 
     order_id: str
     operator: str
--- a/oakkeel/disruption/order_handlers.py
+++ b/oakkeel/disruption/order_handlers.py
@@ -120,7 +120,7 @@
 def cancel_order(
     view: ControlPlaneView, index: int, command: commands.CancelOrder
 ) -> DisruptionOrder | Rejection:
-    """Halt an order and return to service what it has taken out."""
+    """Halt an order, and return the targets that it has taken out to service."""
     order = view.state.orders.get(command.order_id)
     if order is None:
         return Rejection(f"unknown order {command.order_id}")
--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import TypeVarTuple
 
 from oakkeel.emulator.faults import Fault
 from oakkeel.emulator.world import World
 from oakkeel.raft.messages import Envelope
 from oakkeel.units import MS, SECOND
 
+Arguments = TypeVarTuple("Arguments")
+
 LOCAL_DELAY_NS = 10_000  # between processes of one host
 MIN_DELAY_NS = 100_000
 MAX_DELAY_NS = 2 * MS
@@ -41,7 +44,9 @@
             fault for fault in self.faults.get((source, recipient), ()) if now < fault.at + fault.duration
         ]
 
-    def deliver(self, source: str, recipient: str, action: Callable[..., None], *arguments: object) -> None:
+    def deliver(
+        self, source: str, recipient: str, action: Callable[[*Arguments], None], *arguments: *Arguments
+    ) -> None:
         """Call `action` at the recipient after the delay of the link, unless the message is lost."""
         clock = self.world.clock
         random = self.world.random
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -26,8 +26,8 @@
 def has_restarted(attached_at: int, age: int, latest_start: int, limits: ResourceLimits) -> bool:
     """Return whether the engine of a new connection is another process: it knows none of the earlier runs.
 
-    It is if its reported `age` at `attached_at` places its start after `latest_start`, the latest start that
-    the earlier greetings allow, by more than the margin for rounding and delays. All in nanoseconds.
+    It has if its start, by the reported `age` at `attached_at`, is after `latest_start`, the latest start
+    that the earlier greetings allow, by more than the margin for rounding and delays. All in nanoseconds.
     """
     return attached_at - age > latest_start + limits.engine_restart_margin
 
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -1,8 +1,8 @@
 """Flows at one or two levels, such as tenant and client within it, and weighted max-min shares among them.
 
 Max-min: capacity is divided evenly, by weight, and no flow gets more than its demand (D. Bertsekas,
-R. Gallager, "Data Networks", 1992, section 6.5.2). Flows outside the table count together, as so many flows
-of the maximum rate that one of them may have: so none of them gets less than its share for want of an entry.
+R. Gallager, "Data Networks", 1992, section 6.5.2). Flows outside the table count together, as flows of the
+maximum rate that one of them may have, so that a flow without an entry does not get less than its share.
 """
 
 from __future__ import annotations
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -55,8 +55,8 @@
     def due(self, now: int, key: int, early: int, late: int) -> Reservation | None:
         """Return the flow's reservation that a retry at `now` uses; drop those that have expired.
 
-        A retry may come `early` nanoseconds before its time and `late` after it. Of several reservations it
-        uses the nearest, as the clients of the others may have given up.
+        A retry may come `early` nanoseconds before the reserved time and `late` after it. Of several
+        reservations it uses the nearest, as the clients of the others may have given up.
         """
         nearest = None
         for reservation in list(self.open.get(key, ())):
--- a/oakkeel/fakes/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -12,12 +12,11 @@
 import sys
 import time
 from collections.abc import Sequence
-from typing import Any
 
 from oakkeel.agent.__main__ import serve
 from oakkeel.agent.agent import Agent
 from oakkeel.agent.configuration import AgentKeys, AgentParts, AgentSettings
-from oakkeel.log import EventLog
+from oakkeel.log import EventLog, LogFields
 from oakkeel.store.database import Database, Statement
 
 PROGRAM = (sys.executable, "-m", "oakkeel.fakes.node")
@@ -46,7 +45,7 @@
 class TimedLog(EventLog):
     """A log with the monotonic time in each line."""
 
-    def write(self, level: str, event: str, fields: dict[str, Any]) -> None:
+    def write(self, level: str, event: str, fields: LogFields) -> None:
         """Write an event with the field `mono`, in monotonic nanoseconds."""
         super().write(level, event, {**fields, "mono": time.monotonic_ns()})
 
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -11,7 +11,6 @@
 from collections.abc import Coroutine
 from dataclasses import dataclass
 from random import Random
-from typing import Any
 
 from oakkeel.fakes.stream_server import StreamServer
 
@@ -136,7 +135,7 @@
         if not direction.cut and not writer.is_closing():
             writer.write(message)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         """Start a task that `close` ends and awaits."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
--- a/oakkeel/fakes/load_clients.py
+++ b/oakkeel/fakes/load_clients.py
@@ -6,7 +6,6 @@
 import time
 from collections.abc import Coroutine
 from random import Random
-from typing import Any
 
 from oakkeel.fakes.node_connection import Address, NodeConnection
 
@@ -89,7 +88,7 @@
         reading = (connection.task for connection in self.connections)
         await asyncio.gather(*self.tasks, *reading, return_exceptions=True)
 
-    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -1,9 +1,9 @@
-"""A process that looks like a node to its agent: it starts at once, answers on its control link, and drains.
+"""A fake of a node for its agent: it starts at once, answers on its control socket, and drains.
 
 Its behaviour is set by NAME.script beside its control socket, read again before each answer. Words: `mute`
 accepts and never answers, `old` answers with an earlier generation, `crash` ends at the start with code 3,
 `deaf` does not drain, `cold` reports that it is cold, `linger` takes a second to drain, `slow` is cold for a
-second at its start; `worse` and `slower` serve worse than others, `leak` grows, `mortal` ends by itself
+second at its start; `worse` and `slower` serve worse than others, `leak` grows, `mortal` exits
 after a second, `worse-cold` serves worse while it is cold. OAKKEEL_BEHAVE adds words to all of these. What
 happens to it is a line in NAME.journal: a word, its generation, its pid, and the monotonic time.
 """
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -8,10 +8,11 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
+from functools import partial
 from heapq import heappop, heappush
 from itertools import count
 from random import Random
-from typing import Any
+from typing import Any, TypeVarTuple
 
 from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import (
@@ -29,6 +30,9 @@
 )
 from oakkeel.units import MS, SECOND
 
+Arguments = TypeVarTuple("Arguments")
+Event = tuple[int, int, Callable[[], None]]  # time in nanoseconds, order of scheduling, what happens
+
 LIMITS = NodeLimits(
     cores=4,
     memory_kb=200_000.0,
@@ -95,7 +99,7 @@
         self.random = Random(seed)
         self.now = 1000 * SECOND
         self.order = count()
-        self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.events: list[Event] = []
         self.work = work
         self.slow = slow
         self.running = 0
@@ -109,15 +113,16 @@
             raise AttributeError(name)
         return lambda *words: None
 
-    def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> None:
+    def at(self, when: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
         """Call something at a time, in nanoseconds."""
-        heappush(self.events, (when, next(self.order), callback, arguments))
+        event: Event = (when, next(self.order), partial(callback, *arguments))
+        heappush(self.events, event)
 
     def run_until(self, when: int) -> None:
         """Play all events up to a time, in nanoseconds."""
         while self.events and self.events[0][0] <= when:
-            self.now, _, callback, arguments = heappop(self.events)
-            callback(*arguments)
+            self.now, _, callback = heappop(self.events)
+            callback()
             self.admission.schedule(self.now)
         self.now = when
 
--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -61,7 +61,7 @@
     """Limits of one fan-out. Times in nanoseconds."""
 
     deadline: int  # after the start, for all targets
-    hedge_delay: int  # a request without a response for so long is sent a second time
+    hedge_delay: int  # without a response after it, a second request is sent
     max_attempts: int  # for each target
     retry_budget_ratio: float = DEFAULT_RETRY_BUDGET_RATIO  # of the number of targets
     min_retry_budget: int = DEFAULT_MIN_RETRY_BUDGET  # for few targets
--- a/oakkeel/fleet/leader_discovery.py
+++ b/oakkeel/fleet/leader_discovery.py
@@ -15,7 +15,7 @@
 from oakkeel.errors import InvalidTransitionError
 from oakkeel.units import MS
 
-DEFAULT_ROUND_DELAY_NS = 100 * MS  # an election takes a moment
+DEFAULT_ROUND_DELAY_NS = 100 * MS  # time for an election to complete
 
 
 class SearchState(Enum):
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -28,7 +28,7 @@
 
 
 class RolloutAudit:
-    """Checks the invariants with each event; a breach is a line of text with its time."""
+    """Checks the invariants with each event; a breach is a line of text with a time."""
 
     def __init__(self, max_breaches: int = 100) -> None:
         """Keep `max_breaches` breaches."""
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -67,7 +67,7 @@
         self.timeouts = timeouts
         self.started_at = now
         self.progress: dict[str, HostProgress] = {}
-        self.decided_since: dict[int, int] = {}  # by number: from then on no earlier version was assigned
+        self.decided_since: dict[int, int] = {}  # by number: since then no earlier version has been assigned
         self.offered_since: dict[int, int] = {}  # by number: when this leader first proposed it to hosts
         self.pending: set[bytes] = set()
 
--- a/oakkeel/simulator_adapter/wire.py
+++ b/oakkeel/simulator_adapter/wire.py
@@ -79,7 +79,7 @@
 
 
 class Arrival(NamedTuple):
-    """The record of a request that arrived; durations in nanoseconds."""
+    """The arrival of a request; durations in nanoseconds."""
 
     code: int
     instance_id: int
