--- a/oakkeel/rollout/release.py
+++ b/oakkeel/rollout/release.py
@@ -105,6 +105,12 @@
         """Return the state that all targets have to reach in the direction of the release."""
         return TargetState.OLD if self.rolling_back else TargetState.NEW
 
+    def reset_progress(self) -> None:
+        """Drop the state of the gates, and the number of attempts of each target."""
+        self.gate_state = b""
+        for target in self.targets.values():
+            target.attempts = 0
+
     def wanted_version(self, name: str) -> str:
         """Return the version to assign to a target in the direction of the release."""
         target = self.targets[name]
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -103,7 +103,7 @@
             return Rejection(f"the release is {release.state}: {action} is not possible")
         release.controlled += 1
         if action == "resume" and release.state is ReleaseState.HALTED:  # an operator overrules the gates
-            self._reset_progress(release)
+            release.reset_progress()
         return self._move_release(release, state, f"by {command.operator}")
 
     def _holds_lease(self, fencing_token: int) -> bool:
@@ -258,7 +258,7 @@
                 order.cancelled_by = order.cancelled_by or release.operator
         if state is ReleaseState.ROLLING_BACK:
             if not release.rolling_back:
-                self._reset_progress(release)
+                release.reset_progress()
             release.rolling_back = True
         if state in FINAL_STATES:
             self._clean_up(release)
@@ -266,12 +266,6 @@
             release.why = why
         return release
 
-    def _reset_progress(self, release: Release) -> None:
-        """Drop the state of the gates, and the number of attempts of each target."""
-        release.gate_state = b""
-        for target in release.targets.values():
-            target.attempts = 0
-
     def _clean_up(self, release: Release) -> None:
         """Assign unchanged targets their earlier versions, and drop the sources of unused versions."""
         for name, target in release.targets.items():
