--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -1,8 +1,8 @@
 """One request to many agents: when to send, retry or hedge it, and when to stop. Free of I/O.
 
 Every request is idempotent: a read changes nothing, and an order has an ID by which its agent recognises it.
-Retries and hedged requests share one budget over all targets, so that agents that are slow together do not
-get twice the requests.
+Retries and hedged requests share one budget over all targets, so that agents that are slow together get few
+requests more. A fan-out to few targets may still send `min_retry_budget` more in all.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
     """Limits of one fan-out. Times in nanoseconds."""
 
     deadline: int  # after the start, for all targets
-    hedge_delay: int  # without a response after it, a second request is sent
+    hedge_delay: int  # without a response after it another request is sent, up to `max_attempts`
     max_attempts: int  # for each target
     retry_budget_ratio: float = DEFAULT_RETRY_BUDGET_RATIO  # of the number of targets
     min_retry_budget: int = DEFAULT_MIN_RETRY_BUDGET  # for few targets
--- a/oakkeel/fleet/leader_discovery.py
+++ b/oakkeel/fleet/leader_discovery.py
@@ -40,7 +40,6 @@
         self.requested_this_round: set[str] = set()
         self.next = self.names[0]
         self.not_before = now
-        self.responses = 0  # from agents that do not lead
         self.reasons: dict[str, str] = {}  # by host: why it was not the leader
 
     def next_host(self, now: int) -> str:
@@ -54,7 +53,6 @@
 
     def not_leader(self, now: int, name: str, leader: str, reason: str) -> None:
         """Record a response of an agent that does not lead; `leader` is the one that it knows, or empty."""
-        self.responses += 1
         self.reasons[name] = reason
         self._choose_next(now, leader)
 
