--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -20,7 +20,9 @@
 MAX_BATCH = 500  # targets
 BATCH_GRACE_NS = 8 * SECOND  # after the timeout of a batch, for its last reports to arrive
 MAX_LISTED_TARGETS = 5  # in a message
-NOT_STARTED = ("refused", "expired", "halted", "cancelled", "done")  # states of a task that changed nothing
+# States of a task that needs no report of the new process before the batch finishes: it did not start, or
+# it completed its restart. A target that does not run the intended version is changed again by a later batch.
+ENDED_WITHOUT_FAILURE = ("refused", "expired", "halted", "cancelled", "done")
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,7 +85,7 @@
     tasks = view.tasks
     open_targets = [
         target
-        for target in (*release.in_progress, *release.controls)
+        for target in (*release.in_progress, *release.comparison_targets)
         if target in tasks and tasks[target].state in OPEN_STATES
     ]
     stopped = _is_stopped(view)
@@ -92,7 +94,7 @@
     time_left = started_at + release.policy.batch_timeout + BATCH_GRACE_NS - view.now
     if release.state in MOVING_STATES and time_left < 0:
         late = next((target for target in open_targets or release.in_progress), "")
-        return view.halt(f"{late} sent no report before the timeout of its batch")
+        return view.halt(f"{late} did not finish before the timeout of its batch")
     if waiting := _wait_for_batch(view, stopped, open_targets):
         return Step(None, waiting)
     if not release.spec.services and any(
@@ -148,14 +150,13 @@
             names = ", ".join((open_targets or taken_out)[:MAX_LISTED_TARGETS])
             return f"batch {release.batch}: {names} not available again yet"
         return ""
-    # If no task was started, the batch can finish, and its targets are tried again.
-    nothing_started = all(
-        tasks[target].state in NOT_STARTED for target in release.in_progress if target in tasks
+    all_ended = all(
+        tasks[target].state in ENDED_WITHOUT_FAILURE for target in release.in_progress if target in tasks
     )
     arrived = [
         target for target in release.in_progress if view.observations.has_arrived(view.now, release, target)
     ]
-    if not stopped and len(arrived) < len(release.in_progress) and not nothing_started:
+    if not stopped and len(arrived) < len(release.in_progress) and not all_ended:
         return f"batch {release.batch}: waits for reports of the running versions"
     return ""
 
@@ -178,9 +179,9 @@
     )
     if not choice.targets:
         return Step(None, choice.why, retry=True)
-    controls: list[str] = []
+    comparison_targets: list[str] = []
     if policy.control and policy.gated and not release.batch and not release.spec.services:
-        controls = _choose_controls(view, choice.targets)
+        comparison_targets = _choose_comparison_targets(view, choice.targets)
     return Step(
         commands.StartBatch(
             release.ident,
@@ -188,7 +189,7 @@
             release.step,
             release.unix,
             _with_generations(observations, choice.targets),
-            _with_generations(observations, controls),
+            _with_generations(observations, comparison_targets),
         )
     )
 
@@ -216,7 +217,7 @@
     return [(target, known[target].generation if target in known else 0) for target in targets]
 
 
-def _choose_controls(view: BatchView, chosen: list[str]) -> list[str]:
+def _choose_comparison_targets(view: BatchView, chosen: list[str]) -> list[str]:
     """Choose as many old targets as canaries, to restart with them, if the budgets allow both."""
     observations = view.observations
     release = view.release
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -73,14 +73,14 @@
 
 
 class StartBatch(msgspec.Struct, tag="batch", array_like=True):
-    """Change these targets now, given with the observed generation; `controls` restart unchanged."""
+    """Change these targets now, each with its observed generation; `comparison_targets` restart unchanged."""
 
     ident: str
     fence: int
     step: int
     unix: int
     targets: list[tuple[str, int]]
-    controls: list[tuple[str, int]] = []
+    comparison_targets: list[tuple[str, int]] = []
 
 
 class FinishBatch(msgspec.Struct, tag="settle", array_like=True):
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -38,7 +38,7 @@
 
     batch: int = 0
     release: str = ""
-    controlled: int = 0
+    operator_actions: int = 0
 
 
 class RolloutController:
@@ -67,31 +67,31 @@
     # Heartbeats of agents.
 
     def receive_heartbeat(
-        self, now: int, poll: Heartbeat
+        self, now: int, heartbeat: Heartbeat
     ) -> list[commands.Command | permit_commands.Command]:
         """Record a host's report, which is no older than the response that it echoes."""
-        host = self.allocator.sessions.get(poll.host)
+        session = self.allocator.sessions.get(heartbeat.host)
         if (
-            host is None
-            or host.incarnation != poll.incarnation
-            or host.sequence != poll.sequence
-            or not host.echoed_at
+            session is None
+            or session.incarnation != heartbeat.incarnation
+            or session.sequence != heartbeat.sequence
+            or not session.echoed_at
         ):
             return []  # an older heartbeat, or one of unknown age
         try:
-            report = decode_report(poll.extension)
+            report = decode_report(heartbeat.extension)
         except msgspec.MsgspecError:
             return []  # from an agent of another version
         release = self.state_machine.open_release
         for status in report.statuses:
-            if self.allocator.host_of.get(status.name) != poll.host:
+            if self.allocator.host_of.get(status.name) != heartbeat.host:
                 continue
-            before = self.observations.record(status, host.echoed_at)
+            before = self.observations.record(status, session.echoed_at)
             if before is not None and release:
                 gate = self._current_gate(now, release)
-                self.observations.feed(now, gate, release, poll.incarnation, status, before)
+                self.observations.feed(now, gate, release, heartbeat.incarnation, status, before)
         if release and release.state is ReleaseState.PREPARING and self.lease.is_held(now):
-            return self._report_prepared(release, poll.host, report)
+            return self._report_prepared(release, heartbeat.host, report)
         return []
 
     def _report_prepared(
@@ -105,7 +105,7 @@
         return [commands.ReportPrepared(release.ident, self.lease.fencing_token, host, why, bases)]
 
     def _current_gate(self, now: int, release: Release) -> Gate:
-        key = f"{release.ident} {release.rolling_back} {release.controlled}"
+        key = f"{release.ident} {release.rolling_back} {release.operator_actions}"
         if self.gate is None or self.gate_key != key:
             self.gate = Gate(now, release.gate_state, release.policy.margin)
             self.gate_key = key
@@ -189,7 +189,7 @@
         if release.state is ReleaseState.PREPARING:
             return self._prepare(now, release)
         if release.in_progress:
-            key = BatchKey(release.batch, release.ident, release.controlled)
+            key = BatchKey(release.batch, release.ident, release.operator_actions)
             if self.batch_key != key:
                 self.batch_key = key
                 self.batch_started_at = now
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -1,6 +1,6 @@
 """Gates of a release: compare the new version with the old at the same time, by the nodes' reports.
 
-Free of I/O. Cold processes are compared with cold ones only, such as the controls of the first batch. All
+Free of I/O. Cold processes are compared with cold ones only, such as the comparison targets of a batch. All
 metrics share one bound on the probability of halting a version that is as good as the old.
 """
 
--- a/oakkeel/rollout/release.py
+++ b/oakkeel/rollout/release.py
@@ -63,7 +63,7 @@
 
     previous: str  # the version before the release
     state: TargetState = TargetState.OLD
-    base: str = ""  # version of the copy of its earlier program, as its settings may change meanwhile
+    base: str = ""  # version of the copy of what it ran before this release; used for the rollback
     attempts: int = 0
 
 
@@ -81,13 +81,13 @@
     step: int = 0  # increased by every command of a controller
     batch: int = 0  # number of the last batch
     in_progress: list[str] = []  # targets of the open batch
-    controls: list[str] = []  # targets that restart unchanged with them
+    comparison_targets: list[str] = []  # targets that restart unchanged with them
     prepared_hosts: list[str] = []
     rolling_back: bool = False  # also while the rollback is halted
     why: str = ""
     gate_state: bytes = b""
     summary: str = ""  # of the gates, for display
-    controlled: int = 0  # number of accepted controls by operators
+    operator_actions: int = 0  # number of accepted actions
     batch_forward: bool = True  # the open batch brings the new version
 
     @property
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -35,7 +35,8 @@
 MAX_FINISHED_RELEASES = 32
 MAX_GATE_STATE_BYTES = 16 * 1024
 MAX_TEXT = 500  # characters of a reason or summary
-# By action of an operator: the state that a release changes to. `resume` depends on its direction.
+# By action of an operator: the state that a release changes to. `resume` depends on its direction, and
+# `abort` halts a release; only one that still prepares is ended by it.
 ACTION_STATES = {
     "pause": ReleaseState.PAUSED,
     "abort": ReleaseState.HALTED,
@@ -101,7 +102,7 @@
             return release
         if state is None or state not in TRANSITIONS[release.state]:
             return Rejection(f"the release is {release.state}: {action} is not possible")
-        release.controlled += 1
+        release.operator_actions += 1
         if action == "resume" and release.state is ReleaseState.HALTED:  # an operator overrules the gates
             release.reset_progress()
         return self._move_release(release, state, f"by {command.operator}")
@@ -172,7 +173,7 @@
                 command.unix,
                 release.policy.batch_timeout,
                 False,
-                [*command.targets, *command.controls],
+                [*command.targets, *command.comparison_targets],
             ),
         )
         if isinstance(order, Rejection):
@@ -186,7 +187,7 @@
             self._assign_version(name, release.wanted_version(name))
         release.batch_forward = not release.rolling_back
         release.in_progress = names
-        release.controls = [name for name, _ in command.controls]
+        release.comparison_targets = [name for name, _ in command.comparison_targets]
         if not order.is_open:  # all tasks were rejected: the batch still has to be finished
             self.state.orders.setdefault(order.id, order)
         return order
