--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -9,7 +9,7 @@
 
 
 class Stage(IntEnum):
-    """The overload stages, each with all that the stages below it do."""
+    """The overload stages; each adds a measure to those of the stages below it."""
 
     NORMAL = 0
     EXPAND = 1  # more requests run at one time
@@ -99,7 +99,7 @@
         return max(self.cpu_stage, self.depth_stage, self.latency_stage)
 
     def rejects_by_depth(self) -> bool:
-        """Tell whether the depth alone is at REJECT, as last followed."""
+        """Return whether the depth alone is at REJECT, as last followed."""
         return self.depth_stage is Stage.REJECT
 
     def arrival_stage(self, depth: float) -> Stage:
--- a/oakkeel/disruption/order_handlers.py
+++ b/oakkeel/disruption/order_handlers.py
@@ -51,7 +51,7 @@
         index,
         tasks,
     )
-    if order.open:
+    if order.is_open:
         view.state.orders[order.id] = order
         _forget_ended_orders(view)
     return order
@@ -72,14 +72,14 @@
     if not 0 < len(command.order_id) <= MAX_ID_LENGTH:
         return Rejection(f"the order's ID must have 1 to {MAX_ID_LENGTH} characters")
     if not targets or len(targets) != len(command.targets):
-        return Rejection("an order needs at least one target, and each target once")
+        return Rejection("an order needs one or more targets, each named once")
     if command.verb not in VERBS:
         return Rejection(f"unknown verb {command.verb!r}; use one of {', '.join(VERBS)}")
     if len(targets) > commands.MAX_TARGETS:
         return Rejection(f"the order has {len(targets)} targets; {commands.MAX_TARGETS} are allowed")
     if unknown := sorted(targets - view.known_targets()):
         return Rejection(f"unknown target {unknown[0]}")
-    if sum(order.open for order in view.state.orders.values()) >= MAX_OPEN_ORDERS:
+    if sum(order.is_open for order in view.state.orders.values()) >= MAX_OPEN_ORDERS:
         return Rejection(f"{MAX_OPEN_ORDERS} orders are already open: wait until one has ended")
     return None
 
@@ -101,7 +101,7 @@
     for order_id, order in list(orders.items()):
         if len(orders) <= MAX_ORDERS:
             break
-        if not order.open and order_id not in with_permit:
+        if not order.is_open and order_id not in with_permit:
             del orders[order_id]
 
 
@@ -120,7 +120,7 @@
 def cancel_order(
     view: ControlPlaneView, index: int, command: commands.CancelOrder
 ) -> DisruptionOrder | Rejection:
-    """Halt an order and return to service what it has taken out."""
+    """Halt an order, and return the targets that it has taken out to service."""
     order = view.state.orders.get(command.order_id)
     if order is None:
         return Rejection(f"unknown order {command.order_id}")
@@ -144,7 +144,7 @@
     """End a task as its agent has reported; a refusal ends an atomic order that nothing was done for."""
     order = view.state.orders.get(command.order_id)
     task = order.tasks.get(command.target) if order else None
-    if order is None or task is None or not task.open or command.state not in FINAL_STATES:
+    if order is None or task is None or not task.is_open or command.state not in FINAL_STATES:
         return Rejection(f"order {command.order_id} has no open task for {command.target} to end")
     task.move(TaskState(command.state), command.reason)
     used = any(other.state in (TaskState.OUT, TaskState.DONE) for other in order.tasks.values())
--- a/oakkeel/disruption/permit_handlers.py
+++ b/oakkeel/disruption/permit_handlers.py
@@ -28,10 +28,10 @@
         task = order.tasks.get(target)
         if task is None or task.state != TaskState.WAITING:
             return Rejection(f"{target} does not wait for a permit")
-        if conflict := view.permit_conflict(target, order.id):
-            return Rejection(conflict)
+        if conflict := view.find_conflict(target, order.id):
+            return Rejection(f"{target} has a permit of order {conflict.order_id}")
     if violation := view.unavailable.find_violation(command.targets):
-        return Rejection(violation)
+        return Rejection(str(violation))
     for target in command.targets:
         before = state.permits.get(target)
         state.permits[target] = Permit(
@@ -64,7 +64,7 @@
         return Rejection(f"{command.target} has no permit {command.fencing_token}")
     order = view.state.orders.get(permit.order_id)
     task = order.tasks[permit.target] if order else None
-    if order and task and task.open:
+    if order and task and task.is_open:
         if permit.started:
             _end_started(order, task)
         elif order.halted_by:
@@ -107,5 +107,5 @@
 
 def _move_task(view: ControlPlaneView, permit: Permit, state: TaskState, reason: str) -> None:
     order = view.state.orders.get(permit.order_id)
-    if order and order.tasks[permit.target].open:
+    if order and order.tasks[permit.target].is_open:
         order.tasks[permit.target].move(state, reason)
--- a/oakkeel/disruption/queries.py
+++ b/oakkeel/disruption/queries.py
@@ -33,19 +33,19 @@
     def find_open_order(self, target: str) -> DisruptionOrder | None:
         """Return the first order with an open task for a target."""
         for order in self.state.orders.values():
-            if target in order.tasks and order.tasks[target].open:
+            if target in order.tasks and order.tasks[target].is_open:
                 return order
         return None
 
-    def permit_conflict(self, target: str, order_id: str) -> str:
-        """Return why an order can't have a permit for a target now; empty if it can.
+    def find_conflict(self, target: str, order_id: str) -> Permit | None:
+        """Return the permit by which an order can't have one for a target now; None if it can.
 
         It can have one for a target that another order has already taken out.
         """
         permit = self.state.permits.get(target)
         if permit and (permit.order_id == order_id or not permit.started or self.is_returning(permit)):
-            return f"{target} has a permit of order {permit.order_id}"
-        return ""
+            return permit
+        return None
 
     def is_returning(self, permit: Permit) -> bool:
         """Whether the target returns to service, as the order of its permit was cancelled."""
--- a/oakkeel/models/drains.py
+++ b/oakkeel/models/drains.py
@@ -1,15 +1,15 @@
 """Model of drains for z3: every drain ends with the instance stopped or serving.
 
-It joins the tables of states of node and agent. z3 is asked for a rank of each state that every step makes
-smaller, except those of an operator or a crash. If there is one, every run ends; a state that is no end and
-has no step is reported.
+It combines the state tables of node and agent. z3 searches for a rank of each state that decreases with every
+step, except steps of an operator or a crash. If there is one, every run ends. A state that is not final and
+has no step is reported as stuck.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-import z3
+from oakkeel.models.ranking import has_rank, reachable
 
 # The phase of the instance (serving, draining, stopped, starting), the state of its node (serves, grace,
 # emptying, gone), and whether a cancel is pending (none, stands).
@@ -18,9 +18,9 @@
 
 
 def steps(state: State, omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that can follow with no operator and no crash.
+    """Return the states that can follow without an operator or a crash.
 
-    `omitted` names the rules that a variant leaves out.
+    `omitted` names the rules that a variant omits.
     """
     phase, node, cancel = state
     omitted_rules = set(omitted)
@@ -47,31 +47,23 @@
 
 
 def reached(omitted: Iterable[str] = ()) -> set[State]:
-    """Return the states reached from a drain that has just started, with a cancel at any moment."""
-    found: set[State] = set()
-    pending: list[State] = [("draining", "serves", "none")]
-    while pending:
-        state = pending.pop()
-        if state in found:
-            continue
-        found.add(state)
-        pending += steps(state, omitted)
-        if state[0] in ("draining", "stopped") and state[2] == "none":
-            pending.append((state[0], state[1], "stands"))
-    return found
+    """Return the states reached from a drain that has just started, with a cancel at any time."""
+
+    def successors(state: State) -> list[State]:
+        phase, node, cancel = state
+        found = steps(state, omitted)
+        if phase in ("draining", "stopped") and cancel == "none":
+            found.append((phase, node, "stands"))
+        return found
+
+    return reachable(("draining", "serves", "none"), successors)
 
 
 def stuck(omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that are no end and have no step."""
+    """Return the states that are not final and have no step."""
     return sorted(state for state in reached(omitted) if state not in ENDS and not steps(state, omitted))
 
 
 def always_ends(omitted: Iterable[str] = ()) -> bool:
-    """Return whether there is a rank that every step makes smaller."""
-    states = reached(omitted)
-    rank = {state: z3.Int("/".join(state)) for state in states}
-    solver = z3.Solver()
-    solver.add(*[value >= 0 for value in rank.values()])
-    for state in states - ENDS:
-        solver.add(*[rank[after] < rank[state] for after in steps(state, omitted)])
-    return bool(solver.check() == z3.sat)
+    """Whether there is a rank that decreases with every step, up to the first end of a drain."""
+    return has_rank(reached(omitted), lambda state: [] if state in ENDS else steps(state, omitted))
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -1,6 +1,6 @@
 """Model of releases for z3: every release ends, and steps of two controllers are never both applied.
 
-Two targets are released. z3 is asked for a rank that every step of a controller makes smaller: if there is
+Two targets are released. z3 searches for a rank that decreases with every step of a controller: if there is
 one, every release ends unless an operator acts. Operators may act at any time; their actions are not ranked.
 """
 
@@ -10,6 +10,8 @@
 
 import z3
 
+from oakkeel.models.ranking import has_rank, reachable
+
 MAX_ATTEMPTS = 2
 MAX_STEPS = 5  # that are explored
 # State, whether it rolls back, the target that is out (0: none), versions of both targets, attempts.
@@ -31,17 +33,17 @@
 
 
 def steps(state: State, omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that a controller can reach at once, with no operator."""
+    """Return the states that a controller can reach by one step, without an operator."""
     name, back, out, one, two, attempts = state
     found: list[State] = []
     if name == "preparing":
         return [("running", back, out, one, two, attempts), ("left", back, out, one, two, attempts)]
-    if out:  # the batch finishes as new or old, whatever was intended
+    if out:  # the batch ends with the new or the old version, whichever was intended
         for version in ("new", "old"):
             found.append(
                 (name, back, 0, version if out == 1 else one, version if out == 2 else two, attempts)
             )
-        if name in ("running", "undoing"):  # it failed, or the gates found it worse
+        if name in ("running", "undoing"):  # it failed, or a gate rejected the new version
             found.append(("halted", back, out, one, two, attempts))
             if name == "running":
                 found.append(("undoing", True, out, one, two, 0))
@@ -62,30 +64,21 @@
     return found
 
 
+def operator_steps(state: State) -> list[State]:
+    """Return the states that an action of an operator leads to."""
+    name, back, out, one, two, attempts = state
+    found = []
+    for before, after in sorted(OPERATOR_MOVES):
+        if before == name and not (after == "running" and back):
+            kept_attempts = attempts if (before, after) == ("running", "paused") else 0
+            found.append((after, back or after == "undoing", out, one, two, kept_attempts))
+    return found
+
+
 def reached(omitted: Iterable[str] = ()) -> set[State]:
     """Return all states that can be reached, with actions of operators."""
-    found: set[State] = set()
-    pending: list[State] = [("preparing", False, 0, "old", "old", 0)]
-    while pending:
-        state = pending.pop()
-        if state in found:
-            continue
-        found.add(state)
-        pending += steps(state, omitted)
-        name, back, out, one, two, attempts = state
-        for was, to in OPERATOR_MOVES:
-            if was == name and not (to == "running" and back):
-                pending.append(
-                    (
-                        to,
-                        back or to == "undoing",
-                        out,
-                        one,
-                        two,
-                        0 if (was, to) != ("running", "paused") else attempts,
-                    )
-                )
-    return found
+    start: State = ("preparing", False, 0, "old", "old", 0)
+    return reachable(start, lambda state: [*steps(state, omitted), *operator_steps(state)])
 
 
 MOVES = OPERATOR_MOVES | {
@@ -94,19 +87,13 @@
 
 
 def stuck() -> list[State]:
-    """Return the states that are no end and have no step."""
+    """Return the states that are not final and have no step."""
     return sorted(state for state in reached() if not steps(state) and state[0] not in ENDS)
 
 
 def always_ends(omitted: Iterable[str] = ()) -> bool:
-    """Return whether there is a rank that every step makes smaller."""
-    states = reached(omitted)
-    rank = {state: z3.Int("/".join(map(str, state))) for state in states}
-    solver = z3.Solver()
-    solver.add(*[value >= 0 for value in rank.values()])
-    for state in states:
-        solver.add(*[rank[after] < rank[state] for after in steps(state, omitted)])
-    return bool(solver.check() == z3.sat)
+    """Whether there is a rank that decreases with every step."""
+    return has_rank(reached(omitted), lambda state: steps(state, omitted))
 
 
 Variables = dict[str, z3.ArithRef]
@@ -114,10 +101,10 @@
 
 
 def both_applied(count: int, rules: set[str]) -> bool:
-    """Return whether within `count` moves a step is applied twice, or applied for an expired lease.
+    """Whether within `count` moves a step is applied twice, or applied under an expired lease.
 
-    A controller knows a fencing token and a step; what it proposes may be in flight for any time, and be
-    proposed once more. `rules` names what the state machine checks: fence, step.
+    A controller knows a fencing token and a step; its proposal may be in flight for any time, and be proposed
+    again. `rules` names what the state machine checks: fence, step.
     """
     solver = z3.Solver()
     states = [{name: z3.Int(f"{name}.{number}") for name in VARIABLES} for number in range(count + 1)]
@@ -202,7 +189,7 @@
 
 
 def max_unavailable(bound: int, rules: set[str]) -> int:
-    """Return how many of three targets can be out at one time, at every interleaving of two controllers.
+    """Return how many of three targets are out at one time, at most, over all runs of two controllers.
 
     Each controller knows the step that it saw last and may propose a batch of any target that is in; a
     command may be applied at once or later. `rules`: step, a batch is accepted once; permits, none without
@@ -245,6 +232,6 @@
         found.append((step, saw, rest, batch, out))  # rejected, or lost in flight
         if accepted:
             found.append((step + 1, saw, rest, target, out | {target}))
-    for target in out:  # it is back, and the batch may be finished
+    for target in out:  # it is back in service, and the batch may be finished
         found.append((step, saw, in_flight, -1 if target == batch else batch, out - {target}))
     return found
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Callable
 
+from oakkeel.log import LogFields
 from oakkeel.request import NodeRequest
 from oakkeel.units import MS, SECOND
 
@@ -40,10 +41,10 @@
         self.timer_lags[min(self.BUCKETS, max(0, lag // MS).bit_length())] += 1
         self.highest_lag = max(self.highest_lag, lag)
 
-    def count_answer(self, word: bytes) -> None:
-        """Count an answer by its word on the wire."""
-        self.answers[word] = self.answers.get(word, 0) + 1
-        self.answers_total[word] = self.answers_total.get(word, 0) + 1
+    def count_answer(self, status: bytes) -> None:
+        """Count an answer by its status on the wire."""
+        self.answers[status] = self.answers.get(status, 0) + 1
+        self.answers_total[status] = self.answers_total.get(status, 0) + 1
 
     def count_call(self, outcome: str) -> None:
         """Count a downstream call by its outcome."""
@@ -58,16 +59,16 @@
                 return 1 << bucket
         return 1 << self.BUCKETS
 
-    def collect(self, connections: int, open_requests: int, link_losses: int) -> dict[str, object]:
+    def collect(self, connections: int, open_requests: int, link_losses: int) -> LogFields:
         """Return the fields of a log line and reset the counts; sizes in MB, CPU as a share of a core."""
         now = time.monotonic_ns()
         cpu = time.process_time_ns()
         calls = ",".join(
             f"{outcome.replace(' ', '_')}:{count}" for outcome, count in sorted(self.calls_by_outcome.items())
         )
-        fields: dict[str, object] = {
+        fields: LogFields = {
             "read": self.requests_read,
-            **{word.decode(): count for word, count in sorted(self.answers.items())},
+            **{status.decode(): count for status, count in sorted(self.answers.items())},
             "calls": calls or 0,
             "open": open_requests,
             "connections": connections,
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -16,6 +16,7 @@
 
 VERSION = 1
 MAX_FILE_BYTES = 256 * 1024 * 1024
+# Stored names: `life` is the incarnation, `voted` the vote, `marks` the acknowledgements, `place` an index.
 SCHEMA = """
 CREATE TABLE head (one INTEGER PRIMARY KEY CHECK (one = 1), name TEXT, life TEXT, epoch TEXT, term INTEGER,
     voted TEXT, marks TEXT);
@@ -36,30 +37,30 @@
     database: Database, durable: DurableState, update: StorageUpdate, counter: WriteCounter | None = None
 ) -> None:
     """Store an update durably. Raises DatabaseError: then nothing of it is stored."""
-    rows = _statements(durable, update)
+    statements = _statements(durable, update)
     if counter is None:
-        database.write(rows)
+        database.write(statements)
         return
-    database.write([*rows, counter.increment()])
+    database.write([*statements, counter.increment()])
     counter.confirm()
 
 
 def _statements(durable: DurableState, update: StorageUpdate) -> list[Statement]:
     """Return the statements, in the order of the fields of `StorageUpdate`."""
-    rows: list[Statement] = []
+    statements: list[Statement] = []
     if update.metadata:
-        rows.append((PUT_METADATA, _metadata_row(durable)))
+        statements.append((PUT_METADATA, _metadata_row(durable)))
     if update.snapshot and update.replaces_log:
-        rows.append(("DELETE FROM entries", ()))
+        statements.append(("DELETE FROM entries", ()))
     if update.truncate_from:
-        rows.append(("DELETE FROM entries WHERE place >= ?", (update.truncate_from,)))
+        statements.append(("DELETE FROM entries WHERE place >= ?", (update.truncate_from,)))
     for index, entry in update.entries:
-        rows.append((PUT_ENTRY, (index, entry.term, entry.kind, entry.content)))
+        statements.append((PUT_ENTRY, (index, entry.term, entry.kind, entry.content)))
     if snapshot := update.snapshot:
         members = encode_members(list(snapshot.members))
-        rows.append((PUT_SNAPSHOT, (snapshot.index, snapshot.term, members, snapshot.content)))
-        rows.append(("DELETE FROM entries WHERE place <= ?", (snapshot.index,)))
-    return rows
+        statements.append((PUT_SNAPSHOT, (snapshot.index, snapshot.term, members, snapshot.content)))
+        statements.append(("DELETE FROM entries WHERE place <= ?", (snapshot.index,)))
+    return statements
 
 
 def _metadata_row(durable: DurableState) -> tuple[object, ...]:
@@ -78,7 +79,10 @@
 
 
 def load(database: Database, name: str, new_incarnation: str) -> DurableState:
-    """Return the stored state; an empty file begins `new_incarnation`. Raises DatabaseError."""
+    """Return the stored state; an empty file begins `new_incarnation`.
+
+    Raises DatabaseError, and CorruptStateError for fields that can't be decoded.
+    """
     rows = database.read("SELECT name, life, epoch, term, voted, marks FROM head")
     if not rows:
         durable = DurableState(name, new_incarnation)
@@ -86,17 +90,25 @@
         return durable
     *fields, acknowledgements = rows[0]
     durable = DurableState(*fields)
-    durable.acknowledgements = {
-        incarnation: LogPosition(*position) for incarnation, position in json.loads(acknowledgements).items()
-    }
-    for index, term, members, content in database.read("SELECT place, term, members, content FROM snapshot"):
-        durable.snapshot = Snapshot(index, term, tuple(decode_members(members)), content)
+    try:
+        durable.acknowledgements = _decode_acknowledgements(acknowledgements)
+        for row in database.read("SELECT place, term, members, content FROM snapshot"):
+            index, term, members, content = row
+            durable.snapshot = Snapshot(index, term, tuple(decode_members(members)), content)
+    except msgspec.MsgspecError as error:
+        raise CorruptStateError(f"the metadata or the snapshot can't be decoded: {error}") from error
     durable.entries = [
         Entry(*row) for row in database.read("SELECT term, kind, content FROM entries ORDER BY place")
     ]
     return durable
 
 
+def _decode_acknowledgements(content: str) -> dict[str, LogPosition]:
+    """Return the acknowledged position by incarnation. Raises msgspec.MsgspecError."""
+    positions = msgspec.json.decode(content, type=dict[str, tuple[int, int]])
+    return {incarnation: LogPosition(*position) for incarnation, position in positions.items()}
+
+
 def check(durable: DurableState) -> None:
     """Raise CorruptStateError if the state is inconsistent."""
     terms = [durable.snapshot.term, *(entry.term for entry in durable.entries), durable.term]
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -13,20 +13,19 @@
 
 from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.allocator import PermitAllocator
-from oakkeel.disruption.lease_holder import LeaseHolder
 from oakkeel.disruption.messages import Heartbeat
 from oakkeel.disruption.state import OPEN_STATES, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.batches import MAX_LISTED_TARGETS, BatchView, Step, finish_batch, start_batch
+from oakkeel.rollout.controller_lease import ControllerLease
 from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.messages import AgentAssignments, AgentReport, decode_report, encode
 from oakkeel.rollout.observations import Observations
-from oakkeel.rollout.state_machine import LEASE, Release, RolloutStateMachine
+from oakkeel.rollout.release import MOVING_STATES, Release, ReleaseState
+from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.units import MS, SECOND
 
-LEASE_DURATION_NS = 2 * SECOND
-LEASE_RENEWAL_NS = LEASE_DURATION_NS * 3 // 4  # before its end, so that some renewals may be lost
-RETRY_DELAY_NS = 200 * MS  # after a lease that another controller holds, or a rejected step
+STEP_RETRY_DELAY_NS = 200 * MS  # after a rejected step
 PLAN_RETRY_DELAY_NS = 250 * MS  # after a plan without a target
 GATE_STORAGE_INTERVAL_NS = 2 * SECOND
 MAX_ATTEMPTS = 4  # for one target, before the release halts
@@ -39,7 +38,7 @@
 
     batch: int = 0
     release: str = ""
-    controlled: int = 0
+    operator_actions: int = 0
 
 
 class RolloutController:
@@ -51,9 +50,7 @@
         """`holder` is a name that no earlier controller had."""
         self.state_machine = state_machine
         self.allocator = allocator
-        self.lease = LeaseHolder(LEASE, holder, LEASE_DURATION_NS)
-        self.lease_requested_at = 0  # 0: no request is in flight
-        self.next_lease_request = now
+        self.lease = ControllerLease(now, holder)
         self.observations = Observations(allocator)
         self.gate: Gate | None = None
         self.gate_key = ""  # release and direction of the gate
@@ -70,31 +67,31 @@
     # Heartbeats of agents.
 
     def receive_heartbeat(
-        self, now: int, poll: Heartbeat
+        self, now: int, heartbeat: Heartbeat
     ) -> list[commands.Command | permit_commands.Command]:
         """Record a host's report, which is no older than the response that it echoes."""
-        host = self.allocator.sessions.get(poll.host)
+        session = self.allocator.sessions.get(heartbeat.host)
         if (
-            host is None
-            or host.incarnation != poll.incarnation
-            or host.sequence != poll.sequence
-            or not host.echoed_at
+            session is None
+            or session.incarnation != heartbeat.incarnation
+            or session.sequence != heartbeat.sequence
+            or not session.echoed_at
         ):
             return []  # an older heartbeat, or one of unknown age
         try:
-            report = decode_report(poll.extension)
+            report = decode_report(heartbeat.extension)
         except msgspec.MsgspecError:
             return []  # from an agent of another version
         release = self.state_machine.open_release
         for status in report.statuses:
-            if self.allocator.host_of.get(status.name) != poll.host:
+            if self.allocator.host_of.get(status.name) != heartbeat.host:
                 continue
-            before = self.observations.record(status, host.echoed_at)
+            before = self.observations.record(status, session.echoed_at)
             if before is not None and release:
                 gate = self._current_gate(now, release)
-                self.observations.feed(now, gate, release, poll.incarnation, status, before)
-        if release and release.state == "preparing" and self.lease.is_held(now):
-            return self._report_prepared(release, poll.host, report)
+                self.observations.feed(now, gate, release, heartbeat.incarnation, status, before)
+        if release and release.state is ReleaseState.PREPARING and self.lease.is_held(now):
+            return self._report_prepared(release, heartbeat.host, report)
         return []
 
     def _report_prepared(
@@ -108,7 +105,7 @@
         return [commands.ReportPrepared(release.ident, self.lease.fencing_token, host, why, bases)]
 
     def _current_gate(self, now: int, release: Release) -> Gate:
-        key = f"{release.ident} {release.rolling_back} {release.controlled}"
+        key = f"{release.ident} {release.rolling_back} {release.operator_actions}"
         if self.gate is None or self.gate_key != key:
             self.gate = Gate(now, release.gate_state, release.policy.margin)
             self.gate_key = key
@@ -138,26 +135,20 @@
         """Handle the result of a command that was applied."""
         if isinstance(command, permit_commands.SetTopology):
             self.observations.update_topology()
-        if (
-            isinstance(command, permit_commands.AcquireLease)
-            and command.name == LEASE
-            and command.holder == self.lease.holder
-        ):
-            if not self.lease.receive_result(self.lease_requested_at, result):
-                self.next_lease_request = now + RETRY_DELAY_NS
-            self.lease_requested_at = 0
+        if self.lease.is_own_request(command):
+            self.lease.receive_result(now, result)
         if self._is_proposed(command):
             self.proposed = b""
             if isinstance(result, Rejection):
                 self.why = result.reason
-                self.next_step = now + RETRY_DELAY_NS
+                self.next_step = now + STEP_RETRY_DELAY_NS
             elif isinstance(command, commands.FinishBatch):
                 self.waiting_since = now
 
     def lost(self, command: object) -> None:
         """Handle a command that was not committed."""
         if isinstance(command, permit_commands.AcquireLease):
-            self.lease_requested_at = 0
+            self.lease.lost()
         if self._is_proposed(command):
             self.proposed = b""
 
@@ -174,10 +165,8 @@
             self.gate = None
             self.gate_key = ""
             return wanted
-        if self._needs_lease(now):
-            self.lease_requested_at = now
-            self.next_lease_request = now + RETRY_DELAY_NS
-            wanted.append(self.lease.acquire_command())
+        if self.lease.needs_request(now):
+            wanted.append(self.lease.request(now))
         if not self.lease.is_held(now) or self.proposed or now < self.next_step:
             return wanted
         gate = self._current_gate(now, release)
@@ -192,26 +181,20 @@
             wanted.append(step.command)
         return wanted
 
-    def _needs_lease(self, now: int) -> bool:
-        """Return whether to request the lease: it is not held, or expires soon."""
-        if self.lease_requested_at or now < self.next_lease_request:
-            return False
-        return not self.lease.is_held(now) or now > self.lease.expires_at - LEASE_RENEWAL_NS
-
     def _next(self, now: int, release: Release, gate: Gate) -> Step:
         """Return the next step of a release, by its state: prepare, start or finish a batch, wait, finish."""
         view = BatchView(
             now, self.state_machine.state, release, gate, self.observations, self.lease.fencing_token
         )
-        if release.state == "preparing":
+        if release.state is ReleaseState.PREPARING:
             return self._prepare(now, release)
         if release.in_progress:
-            key = BatchKey(release.batch, release.ident, release.controlled)
+            key = BatchKey(release.batch, release.ident, release.operator_actions)
             if self.batch_key != key:
                 self.batch_key = key
                 self.batch_started_at = now
             return finish_batch(view, self.batch_started_at)
-        if release.state not in ("running", "undoing"):
+        if release.state not in MOVING_STATES:
             return Step(None, "")
         gate_step = self._check_gate(view)
         if gate_step.command or gate_step.why:
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -1,4 +1,4 @@
-"""Engine and catalogue that break, restart, move or fall silent under the program."""
+"""Losses, restarts, moves and silence of the engine and the catalogue, over sockets."""
 
 import asyncio
 import socket
@@ -15,10 +15,10 @@
 
 
 class HandoverTest(NodeProcessTest):
-    def test_a_second_break_while_a_link_is_restored_runs_nothing_twice(self):
+    def test_a_second_loss_while_a_link_is_restored_runs_nothing_twice(self):
         dispatcher, ident = self.running("pay")
         self.engine.lose()
-        for _ in range(3):  # greeted, asked for gauges, and gone again
+        for _ in range(3):  # greeted, asked for gauges, and lost again
             self.engine.attach(answer=False)
             self.engine.say(f"HELLO steady {self.engine.age()}")
             self.assertEqual(self.engine.stream.readline().split()[0], b"STAT")
@@ -31,7 +31,7 @@
         self.engine.done(late)
         self.assertEqual(sorted(dispatcher.answer()[:2] for _ in range(2)), [(1, b"ok"), (2, b"ok")])
 
-    def test_a_halt_that_was_unread_at_a_break_is_sent_again(self):
+    def test_a_halt_that_was_unread_at_a_loss_is_sent_again(self):
         dispatcher, ident = self.running("card")
         self.engine.lose()
         self.log("engine_link_lost")
@@ -42,8 +42,8 @@
         seen = [self.engine.next()[:2] for _ in range(2)]
         self.assertIn(("HALT", ident), seen)
 
-    def test_an_engine_that_restarted_ends_the_runs_of_the_one_before_and_takes_new_ones(self):
-        # It numbers its notices from 1 again: they were taken for old ones, and nothing was ever answered.
+    def test_a_restarted_engine_fails_the_earlier_runs_and_takes_new_ones(self):
+        # It numbers its notices from 1 again: they must not be taken for duplicates.
         self.begin()
         dispatcher = self.dispatcher()
         done, lost = dispatcher.call("quote"), dispatcher.call("pay")
@@ -52,14 +52,14 @@
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         self.engine.lose()
         self.log("engine_link_lost")
-        waiting = dispatcher.call("card")  # never sent: it belongs to the one that comes
+        waiting = dispatcher.call("card")  # never written: the new engine runs it
         dispatcher.send("CHECK", "9", "")
         self.assertEqual(dispatcher.answer()[0], 9)
         self.engine.number = 0
         self.assertEqual(self.engine.attach("booting", "5.0", answer=False), 1)
         self.engine.say("HELLO booting 5.0")
         self.assertEqual(self.engine.attach("booting"), 0)
-        self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))  # it may have run, and never runs again
+        self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))  # it may have run, and must not run again
         self.assertEqual(self.engine.next()[:2], ("RUN", waiting))
         self.engine.done(waiting)
         self.assertEqual(dispatcher.answer()[:2], (3, b"ok"))
@@ -68,7 +68,7 @@
         self.engine.done(fresh)
         self.assertEqual(dispatcher.answer()[:2], (10, b"ok"))
 
-    def test_an_engine_whose_age_comes_late_is_the_same(self):
+    def test_a_delayed_greeting_is_no_restart(self):
         self.begin()
         dispatcher = self.dispatcher()
         ident = dispatcher.call("pay")
@@ -78,7 +78,7 @@
         self.engine.done(ident)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
-    def test_calls_in_flight_at_a_move_of_the_catalogue_end_where_they_are(self):
+    def test_calls_in_flight_at_a_move_of_the_catalogue_end_on_their_link(self):
         dispatcher, ident, link = self.calling("card")
         old = self.catalogue
         self.catalogue = socket.create_server(("127.0.0.1", 0))
@@ -94,7 +94,7 @@
         self.assertEqual(self.engine.next()[:2], ("FEED", ident))
         new.say(f"{second} DATA 3", b"new")
         self.assertEqual(self.engine.next()[:2], ("FEED", second))
-        self.assertEqual(link.stream.readline(), b"")  # the old one ends with its last call
+        self.assertEqual(link.stream.readline(), b"")  # the earlier link closes after its last call
 
     def test_a_non_idempotent_call_whose_link_closes_as_it_is_written_is_not_sent_again(self):
         dispatcher, _ident, link = self.calling("pay")
@@ -103,7 +103,7 @@
         self.catalogue.setblocking(False)
         self.assertRaises(BlockingIOError, self.catalogue.accept)
 
-    def test_a_request_byte_by_byte_and_an_answer_read_byte_by_byte_are_whole(self):
+    def test_a_request_and_an_answer_byte_by_byte_are_complete(self):
         self.begin()
         slow = self.dispatcher()
         slow.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -119,7 +119,7 @@
 
 
 class EngineSilenceTest(unittest.IsolatedAsyncioTestCase):
-    """Of the link alone, with a patience of a fifth of a second."""
+    """The link alone, with a timeout of a fifth of a second."""
 
     resource_limits = replace(RESOURCE_LIMITS, engine_timeout=200 * MS, engine_handover_timeout=600 * SECOND)
 
@@ -165,8 +165,8 @@
                 await asyncio.sleep(0.001)
         return reader, writer
 
-    async def test_a_link_that_is_taken_and_never_greeted_is_made_anew_once_the_engine_was_up(self):
-        # A node whose engine moved to such an address waited for it for good.
+    async def test_a_link_without_a_greeting_reconnects_once_the_engine_was_up(self):
+        # Otherwise a node whose engine moved from such an address waits for it forever.
         server = self.engine()
         self.serve(server)
         _, writer = await self.attached(server)
@@ -175,7 +175,7 @@
         await self.attached(server)
         silent[1].close()  # until here it was open
 
-    async def test_an_engine_that_was_never_up_may_hold_its_greeting_back(self):
+    async def test_an_engine_that_was_never_up_may_delay_its_greeting(self):
         server = self.engine()
         self.serve(server)
         reader, writer = await self.attached(server, greet=False)
@@ -185,13 +185,13 @@
         self.assertEqual((await asyncio.wait_for(reader.readline(), WAIT)).split()[0], b"STAT")
         self.assertEqual(self.ups, [True])
 
-    async def test_a_connect_that_nobody_takes_is_left_for_the_address_that_it_is_moved_to(self):
+    async def test_a_pending_connect_is_abandoned_for_a_new_address(self):
         self.link.resource_limits = replace(self.resource_limits, engine_timeout=600 * SECOND)
         deaf = socket.socket()
         self.servers.append(deaf)
         deaf.bind(("127.0.0.1", 0))
         deaf.listen(0)
-        crowd = [socket.socket() for _ in range(4)]  # they fill its queue: no handshake ends any more
+        crowd = [socket.socket() for _ in range(4)]  # they fill its queue: no handshake completes
         for each in crowd:
             self.addCleanup(each.close)
             each.setblocking(False)
@@ -207,7 +207,7 @@
         await self.attached(good)
 
     async def test_a_second_move_waits_until_the_old_engine_has_read_what_was_written(self):
-        # It closed the old link at once, and what may not run twice was left in doubt.
+        # A close of the earlier link at once would make at-most-once runs uncertain.
         first, second, third = self.engine(), self.engine(), self.engine()
         self.serve(first)
         reader, writer = await self.attached(first)
@@ -224,7 +224,7 @@
         self.assertEqual(self.link.unconfirmed.uncertain_runs, {})
         self.assertEqual(list(self.link.unconfirmed.commands), [])
 
-    async def test_a_stream_that_is_closed_as_its_connection_stands_ends_its_link_and_no_more(self):
+    async def test_a_stream_closed_at_its_connect_ends_only_its_link(self):
         from tornado.iostream import StreamClosedError
 
         class Closed:
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -13,7 +13,7 @@
 
 class ReloadTest(NodeProcessTest):
     def test_a_new_configuration_is_used_with_nothing_lost(self):
-        # SIGHUP ended the node.
+        # SIGHUP must not end the node.
         dispatcher, ident, link = self.calling("card")
         before = self.report().split()
         old, _, _ = self.replace_parties()
@@ -21,7 +21,7 @@
         self.assertEqual(self.engine.attach(), 1)  # the last notice that was read
         self.assertEqual(old.next(), ("END",))
         self.assertEqual(self.report().split(), before)
-        link.say(f"{ident} DATA 3", b"old")  # a call on its way ends where it was placed
+        link.say(f"{ident} DATA 3", b"old")  # a call in flight ends on its link
         self.assertEqual(self.engine.next()[:2], ("FEED", ident))
         again = dispatcher.call("card")
         self.assertEqual(self.engine.next()[:2], ("RUN", again))
@@ -31,7 +31,7 @@
         self.engine.done(ident)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
-    def test_a_configuration_that_cant_be_used_changes_nothing(self):
+    def test_a_malformed_configuration_changes_nothing(self):
         self.begin()
         for told in (
             "{",
@@ -74,7 +74,7 @@
         self.assertEqual(link.next()[:2], ("FETCH", running))
         self.engine.lose()
         self.assertEqual(self.engine.attach(answer=False), 1)
-        # What was missed comes before the answer to the barrier; only then is anything sent again.
+        # Missed notices precede the answer to the first STAT; only then are commands sent again.
         self.engine.say(f"HELLO steady {self.engine.age()}")
         self.engine.say(f"NEED 1 {running} 4", b"call")
         self.engine.done(ended)
@@ -110,8 +110,8 @@
         self.engine.done(unread)
         self.assertEqual(dispatcher.answer()[:2], (2, b"ok"))
 
-    def test_a_run_that_may_be_lost_and_may_not_run_twice_is_settled_after_its_answer(self):
-        # It was counted as running for ever: four of them, and a node of four cores ran nothing more.
+    def test_a_lost_at_most_once_run_is_resolved_after_its_answer(self):
+        # Otherwise it counts as running forever, and four of them stop a node of four cores.
         self.begin()
         dispatcher = self.dispatcher()
         idents = [dispatcher.call("pay", timeout=2500) for _ in range(4)]
@@ -129,7 +129,7 @@
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
-    def test_gauges_that_cant_be_reconnects(self):
+    def test_gauges_out_of_range_reconnect(self):
         self.begin()
         self.engine.gauges = "nan 0.0 0.1 -3"
         self.log('engine_stream_malformed error="gauges')
@@ -139,7 +139,7 @@
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
-    def test_a_line_of_the_engine_that_cant_be_read_reconnects(self):
+    def test_a_malformed_line_of_the_engine_reconnects(self):
         dispatcher, ident = self.running("pay")
         self.engine.say("DONE what is this")
         self.engine.attach()
@@ -148,7 +148,7 @@
 
 
 class NodeEndTest(NodeProcessTest):
-    def test_a_node_whose_log_nobody_reads_goes_on(self):
+    def test_a_node_whose_log_is_closed_keeps_serving(self):
         self.begin()
         self.process.stderr.close()
         dispatcher = self.dispatcher()
@@ -184,7 +184,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertNotIn("drain_started", self.process.stderr.read())
 
-    def test_what_still_runs_is_answered_before_the_stop(self):
+    def test_running_requests_are_answered_before_the_stop(self):
         self.begin(stop_ms=700)
         dispatcher = self.dispatcher()
         dispatcher.call()
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -9,31 +9,22 @@
 from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.state import DisruptionOrder, Rejection
 from oakkeel.disruption.state_machine import PermitStateMachine
-from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.commands import RolloutPolicy, VersionSpec
 from oakkeel.rollout.messages import AgentAssignments, encode
-from oakkeel.rollout.state_machine import LEASE, TRANSITIONS, Release, RolloutStateMachine
+from oakkeel.rollout.release import TRANSITIONS, Release
+from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
 from oakkeel.units import SECOND
-
-TOPOLOGY = Topology(
-    {"h1": ("a", "b"), "h2": ("c", "d"), "h3": ("db1", "db2")},
-    (
-        BudgetGroup("site one", 1, ("a", "b")),
-        BudgetGroup("site two", 1, ("c", "d")),
-        BudgetGroup("fleet", 2, ("a", "b", "c", "d")),
-        BudgetGroup("kind db", 1, ("db1", "db2")),
-    ),
-    {"db1": ("a", "c"), "db2": ("b", "d")},
-)
+from tests.rollout.topology import TOPOLOGY
 
 
 class RolloutStateMachineTest(unittest.TestCase):
     """A step is accepted once, under the fencing token of the current lease."""
 
     def setUp(self) -> None:
-        self.state_machine, self.index = RolloutStateMachine(), 0
+        self.state_machine = RolloutStateMachine()
+        self.index = 0
         self.do(permit_commands.SetTopology(TOPOLOGY))
         self.fence = self.do(permit_commands.AcquireLease(LEASE, "h1.1", SECOND))
         self.do(commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["a", "b"]))
@@ -113,7 +104,7 @@
         order = self.state_machine.state.orders["r.1"]
         self.assertEqual((order.halted_by, order.tasks["a"].state), ("asha", "halted"))
         self.assert_rejected(commands.StartBatch("r", self.fence, 2, 0, [("a", 1)]), "batch is in progress")
-        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had come up with the new all the same
+        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had started with the new version
         self.assertIsInstance(
             self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), DisruptionOrder
         )
@@ -168,7 +159,9 @@
     def test_any_commands_follow_transition_table_and_versions_match_states(self, actions):
         self.setUp()
         for action, index in actions:
-            was, step, target_name = self.release.state, self.release.step, "ab"[index]
+            previous_state = self.release.state
+            step = self.release.step
+            target_name = "ab"[index]
             fence = self.fence - (action == "old fence")
             command = {
                 "go": commands.BeginRollout("r", fence, step),
@@ -183,7 +176,9 @@
             answer = self.do(command)
             if action.startswith("old"):
                 self.assertIsInstance(answer, Rejection)
-            self.assertTrue(self.release.state == was or self.release.state in TRANSITIONS[was])
+            self.assertTrue(
+                self.release.state == previous_state or self.release.state in TRANSITIONS[previous_state]
+            )
             for name, target in self.release.targets.items():
                 if target.state == "new":
                     self.assertEqual(self.state_machine.state.versions.get(name), "v2")
