--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -125,12 +125,19 @@
             for key, _ in selector.select(0.02):
                 if key.fileobj is server:
                     selector.register(server.accept()[0], selectors.EVENT_READ)
-                elif not self.answer(key.fileobj):  # type: ignore[arg-type]  # it is a socket
+                elif not self.answer_or_close(key.fileobj):  # type: ignore[arg-type]  # it is a socket
                     selector.unregister(key.fileobj)
                     key.fileobj.close()  # type: ignore[union-attr]
         self.journal("end")
         return 0
 
+    def answer_or_close(self, connection: socket.socket) -> bool:
+        """Answer a message; return whether the connection stays open, which an agent's death may end."""
+        try:
+            return self.answer(connection)
+        except (BrokenPipeError, ConnectionResetError):
+            return False
+
     def answer(self, connection: socket.socket) -> bool:
         """Answer a message; return whether the connection stays open."""
         data = connection.recv(4096)
