--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -80,7 +80,8 @@
                 self.log.error("heartbeat_failed", error=fault(error))
             self.wake.clear()
             try:
-                await asyncio.wait_for(self.wake.wait(), self.interval_ns / SECOND)
+                async with asyncio.timeout(self.interval_ns / SECOND):
+                    await self.wake.wait()
             except TimeoutError:
                 continue
             await asyncio.sleep(COALESCING_DELAY_NS / SECOND)
@@ -136,8 +137,8 @@
 
 async def _accepts_connections(address: tuple[str, int]) -> bool:
     try:
-        connecting = asyncio.open_connection(*address)
-        _, writer = await asyncio.wait_for(connecting, PROBE_TIMEOUT_NS / SECOND)
+        async with asyncio.timeout(PROBE_TIMEOUT_NS / SECOND):
+            _, writer = await asyncio.open_connection(*address)
     except (TimeoutError, OSError):
         return False
     writer.close()
--- a/oakkeel/authentication/client.py
+++ b/oakkeel/authentication/client.py
@@ -47,7 +47,8 @@
         the next request.
         """
         try:
-            return await asyncio.wait_for(self._request(content), timeout)
+            async with asyncio.timeout(timeout):  # `wait_for` may lose a cancellation, before Python 3.12
+                return await self._request(content)
         except AuthenticationError as error:
             self.close()
             raise AuthenticationRejectedError(str(error)) from error
--- a/oakkeel/control/client.py
+++ b/oakkeel/control/client.py
@@ -77,7 +77,8 @@
 
     async def _request(self, request: Request, timeout: float) -> Response:
         try:
-            return await asyncio.wait_for(self._send(request), timeout)
+            async with asyncio.timeout(timeout):  # `wait_for` may lose a cancellation, before Python 3.12
+                return await self._send(request)
         except ControlError:
             self.close()
             raise
