--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -37,12 +37,14 @@
         if request.state is not State.CALLING:
             return
         node = self.node
-        node.calls.release(now, request, node.limits.call_linger if outcome is Outcome.TIMED_OUT else 0)
+        node.downstream_calls.release(
+            now, request, node.limits.call_linger if outcome is Outcome.TIMED_OUT else 0
+        )
         if outcome is Outcome.COMPLETED:
-            node.calls.breaker.call_succeeded()
+            node.downstream_calls.breaker.call_succeeded()
             node.occupancy.move(now, request, State.RUNNING)
             return
-        node.calls.breaker.call_failed()
+        node.downstream_calls.breaker.call_failed()
         request.failed_calls += 1
         node.occupancy.move(now, request, State.AWAITING_CALL)
         step = step_after_failed_call(request, outcome)
@@ -51,7 +53,7 @@
         elif step is FailedCallStep.SKIP:
             self._skip(now, request)
         else:
-            self.ends.time_out(now, request)
+            self.ends.end_unanswered(now, request)
 
     def place_waiting(self, now: int) -> None:
         """Place the waiting calls that the breaker and the quota now allow."""
@@ -68,13 +70,13 @@
         if self._place(now, request):
             return
         is_optional = bool(request.request_class.degraded_weight)
-        if is_optional and self.node.calls.breaker.is_open():
+        if is_optional and self.node.downstream_calls.breaker.is_open():
             self._skip(now, request)  # calls are known to fail
             return
         self.awaiting.append(request)
         if is_optional:
-            timers = self.node.timers
-            timers.set(now, request, now + int(max_optional_call_wait(request)) + timers.step)
+            skip_at = now + int(max_optional_call_wait(request))
+            self.node.timers.set_not_before(now, request, skip_at)
 
     def _place(self, now: int, request: Request) -> bool:
         """Place a call if the breaker and the quota allow it; return false if the request still waits."""
@@ -82,7 +84,7 @@
             return True
         node = self.node
         service_time = node.ranking.service_time(request)
-        until = node.calls.reserve(now, request, node.occupancy.calling(), service_time)
+        until = node.downstream_calls.reserve(now, request, node.occupancy.calling(), service_time)
         if until is None:
             return False
         node.host.call(request, until)
--- a/oakkeel/admission/concurrency.py
+++ b/oakkeel/admission/concurrency.py
@@ -73,6 +73,6 @@
         return (1 + (self.limits.overload_multiple - 1) * warmth) * self.limits.cores * MAX_OVERLOAD_RATIO
 
 
-def may_start(on_cores: int, calling: int, allowed_runs: float, max_active: float) -> bool:
+def may_start(holding_run_slot: int, calling: int, allowed_runs: float, max_active: float) -> bool:
     """Return whether one request more may run."""
-    return on_cores + RUN_ROUNDING <= allowed_runs and on_cores + calling + 1 <= max_active
+    return holding_run_slot + RUN_ROUNDING <= allowed_runs and holding_run_slot + calling + 1 <= max_active
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -81,12 +81,12 @@
             concurrency=self.concurrency,
             overload=self.overload,
             ranking=self.ranking,
-            calls=DownstreamCalls(limits),
+            downstream_calls=DownstreamCalls(limits),
             drain=self.drain_notice,
             fair_sharing=self.fair_sharing,
         )
         self.ends = RequestEnds(self.node)
-        self.calls = CallSequence(self.node, self.ends)
+        self.call_sequence = CallSequence(self.node, self.ends)
         self.shedding = SheddingThreshold(limits.cores)
         self.queue = RequestQueue()
         self.retries = SlidingWindow()  # 1 for an arrival that is a retry, else 0
@@ -150,7 +150,7 @@
         if share_status is not ShareStatus.WITHIN_SHARE and can_end_in_time(now, request, service_time):
             if share_status is ShareStatus.RESERVED:
                 stage = Stage.NORMAL
-            elif self.occupancy.on_cores():  # an idle node serves what exceeds its share as well
+            elif self.occupancy.holding_run_slot():  # an idle node serves what exceeds its share as well
                 return Rejection.FINAL
         elif stage is Stage.REJECT or not self._fits_behind_queue(now, request, service_time):
             parsing_backlog = self.concurrency.mean_parsing_backlog(now)
@@ -193,12 +193,12 @@
 
     def schedule(self, now: int) -> None:
         """Place the calls that can be placed, and start the requests that may run, by rank."""
-        self.calls.place_waiting(now)
+        self.call_sequence.place_waiting(now)
         occupancy = self.occupancy
         allowed_runs = self.concurrency.allowed_runs(self.overload.highest() >= Stage.EXPAND)
         max_active = self.concurrency.max_active(self._warmth(now))
         while (request := self.queue.first()) is not None:
-            if not may_start(occupancy.on_cores(), occupancy.calling(), allowed_runs, max_active):
+            if not may_start(occupancy.holding_run_slot(), occupancy.calling(), allowed_runs, max_active):
                 break
             if not has_memory_to_run(request, occupancy.memory_kb, self.limits):
                 break
@@ -211,18 +211,18 @@
 
     def call_needed(self, now: int, request: Request) -> None:
         """Place the downstream call that a run needs to go on."""
-        self.calls.needed(now, request)
+        self.call_sequence.needed(now, request)
 
     def call_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
         """Resume the run after a downstream call, or retry the call, skip it or fail the request."""
-        self.calls.finished(now, request, outcome)
+        self.call_sequence.finished(now, request, outcome)
 
     def run_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
         """Finish a request whose run, or the run that it was coalesced with, has ended."""
         state = request.state
         if state is State.FINISHED or outcome is Outcome.NEVER_STARTED:
             return
-        self.node.calls.release(now, request, 0)
+        self.node.downstream_calls.release(now, request, 0)
         if outcome is Outcome.CANCELLED and state in (State.RUNNING, State.AWAITING_CALL, State.CALLING):
             self.host.fail(request)  # this controller did not cancel it, so it has no answer yet
         self.occupancy.move(now, request, State.FINISHED)
@@ -259,7 +259,7 @@
 
     def timer_expired(self, now: int, token: int, gauges: Gauges) -> None:
         """Poll the signals, or act on the requests of a step of timers."""
-        self.concurrency.observe(now, gauges.run_queue - self.occupancy.on_cores())
+        self.concurrency.observe(now, gauges.run_queue - self.occupancy.holding_run_slot())
         if token == POLL_TOKEN:
             self._poll(now, gauges)
         else:
@@ -267,10 +267,10 @@
                 self._request_timer_expired(now, request)
 
     def _request_timer_expired(self, now: int, request: Request) -> None:
-        if now + TIMER_STEP_NS > request.deadline:
-            self.ends.time_out(now, request)
+        if self.timers.is_due(now, request.deadline):
+            self.ends.end_unanswered(now, request)
         elif request.state is State.AWAITING_CALL:
-            self.calls.skip_if_overdue(now, request)
+            self.call_sequence.skip_if_overdue(now, request)
         elif request.state is State.DELAYED:
             if self.overload.rejects_by_depth():
                 self.ends.reject(now, request, Rejection.FINAL)
--- a/oakkeel/admission/downstream_calls.py
+++ b/oakkeel/admission/downstream_calls.py
@@ -19,7 +19,7 @@
 MAX_CALL_ATTEMPTS = 3
 
 LINK_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})  # the downstream may have capacity
-NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NEVER_STARTED})
+NO_LASTING_EFFECT = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NEVER_STARTED})
 
 
 class FailedCallStep(Enum):
@@ -37,7 +37,7 @@
     """
     request_class = request.request_class
     is_optional = bool(request_class.degraded_weight)
-    may_repeat = outcome in NEVER_RAN or not request_class.at_most_once
+    may_repeat = outcome in NO_LASTING_EFFECT or not request_class.at_most_once
     has_attempts = request.failed_calls < MAX_CALL_ATTEMPTS
     if has_attempts and may_repeat and (outcome in LINK_FAILURES or not is_optional):
         return FailedCallStep.RETRY
--- a/oakkeel/admission/node_state.py
+++ b/oakkeel/admission/node_state.py
@@ -30,13 +30,13 @@
     concurrency: ConcurrencyLimits
     overload: OverloadStages
     ranking: Ranking
-    calls: DownstreamCalls
+    downstream_calls: DownstreamCalls
     drain: Drain
     fair_sharing: FairSharing | None
 
     def depth_per_core(self) -> float:
-        """Return how many requests are queued and on the cores, for each core."""
-        return depth_per_core(self.occupancy.waiting(), self.occupancy.on_cores(), self.limits.cores)
+        """Return how many requests are queued and hold a run slot, for each core."""
+        return depth_per_core(self.occupancy.waiting(), self.occupancy.holding_run_slot(), self.limits.cores)
 
     def retry_after(self) -> int:
         """Return after how many nanoseconds a rejected client may retry, as the load of this node is now."""
--- a/oakkeel/admission/occupancy.py
+++ b/oakkeel/admission/occupancy.py
@@ -78,8 +78,8 @@
         """Count the requests that wait for a core."""
         return self.count[DELAYED] + self.count[QUEUED]
 
-    def on_cores(self) -> int:
-        """Count runs, and requests whose call is not placed: they wait for this node."""
+    def holding_run_slot(self) -> int:
+        """Count the requests that hold a run slot: runs, and those whose call this node has not placed."""
         return self.count[RUNNING] + self.count[ORPHANED] + self.count[AWAITING_CALL]
 
     def calling(self) -> int:
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -41,7 +41,7 @@
 CPU_BUSY_RATIO = StageThresholds(
     expand=0.70, reap=0.80, reorder=0.85, backpressure=0.90, reject=0.95, hysteresis=0.05
 )
-# Requests queued and on the cores, for each core.
+# Requests that are queued or hold a run slot, for each core.
 DEPTH_PER_CORE = StageThresholds(
     expand=0.75, reap=1.0, reorder=1.25, backpressure=1.75, reject=3.0, hysteresis=0.25
 )
@@ -62,12 +62,12 @@
 UNCOUNTED_DEPTH_REQUESTS = 2  # on few cores each request more is a large step of depth
 
 
-def depth_per_core(waiting: int, on_cores: int, cores: int) -> float:
-    """Return how many requests are queued and on the cores, for each core.
+def depth_per_core(waiting: int, holding_run_slot: int, cores: int) -> float:
+    """Return how many requests are queued and hold a run slot, for each core.
 
     Requests at downstream calls are not counted: they have a limit of their own.
     """
-    return max(0, waiting + on_cores - UNCOUNTED_DEPTH_REQUESTS) / cores
+    return max(0, waiting + holding_run_slot - UNCOUNTED_DEPTH_REQUESTS) / cores
 
 
 def next_stage(stage: Stage, value: float, thresholds: StageThresholds) -> Stage:
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -1,4 +1,4 @@
-"""The end of a request that is not completed: rejected, timed out, or abandoned by its client."""
+"""The end of a request that is not completed: rejected, out of time, failed at its call, or abandoned."""
 
 from __future__ import annotations
 
@@ -26,6 +26,7 @@
         self.node.occupancy.move(now, request, State.FINISHED)
 
     def _answer_rejected(self, request: Request, rejection: Rejection, retry_after: int) -> None:
+        """Answer that a request had no lasting effect: it never ran, or it is idempotent."""
         self.node.host.reject(request, rejection is Rejection.FINAL, retry_after)
 
     def _retry_after(self, now: int, request: Request) -> int:
@@ -38,10 +39,11 @@
             return node.fair_sharing.retry_after(now, request, node.limits.max_retry_after)
         return node.retry_after()
 
-    def time_out(self, now: int, request: Request) -> None:
-        """Answer a request that can no longer be in time, and stop its work.
+    def end_unanswered(self, now: int, request: Request) -> None:
+        """Answer a request that has no answer yet and gets no result, and stop its work.
 
-        A request that started is failed, not rejected, if it may take effect only once.
+        Its time is up, or its call failed. One that started is rejected if it is idempotent, else failed: it
+        may have taken effect.
         """
         if request.state in QUEUED_STATES:
             self.reject(now, request, Rejection.FINAL)
@@ -62,7 +64,7 @@
             if node.limits.stop_kind is not StopKind.NONE:
                 node.host.cancel(request)
         elif request.state in AT_CALL_STATES:
-            node.calls.release(now, request, node.limits.call_linger)
+            node.downstream_calls.release(now, request, node.limits.call_linger)
             node.occupancy.move(now, request, State.RELEASING)
         elif request.state < State.ORPHANED:
             node.occupancy.move(now, request, State.FINISHED)
--- a/oakkeel/admission/request_timers.py
+++ b/oakkeel/admission/request_timers.py
@@ -1,4 +1,7 @@
-"""Timers of requests, rounded up to steps. This module keeps time and decides nothing."""
+"""Timers of requests, rounded down to steps: a timer may fire up to one step early.
+
+This module keeps time and decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +20,24 @@
         self.steps: dict[int, list[Request]] = {}
 
     def set(self, now: int, request: Request, at: int) -> None:
-        """Wake the request at a time, or at the first step after `now` if that is later."""
+        """Wake the request at the start of the step of `at`, or of the next step if that has begun.
+
+        That may be up to one step before `at`: `is_due` allows for it.
+        """
         number = max(at // self.step, now // self.step + 1)
         if number not in self.steps:
             self.steps[number] = []
             self.host.set_timer(number, number * self.step)
         self.steps[number].append(request)
 
+    def set_not_before(self, now: int, request: Request, at: int) -> None:
+        """Wake the request within one step after `at`, and not before it."""
+        self.set(now, request, at + self.step)
+
+    def is_due(self, now: int, at: int) -> bool:
+        """Return whether a time has come, or comes within a step: the timer of `at` may have fired early."""
+        return now + self.step > at
+
     def expired(self, token: int) -> list[Request]:
         """Take the requests whose timer this is."""
         return self.steps.pop(token, [])
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -58,7 +58,7 @@
 
     COMPLETED = "completed"
     ERROR = "error"
-    REJECTED = "denied"  # never ran
+    REJECTED = "denied"  # without lasting effect: it never ran, or it is idempotent
     TIMED_OUT = "given up"
     CONNECT_FAILED = "unreached"  # never ran
     RESET = "reset"
@@ -75,7 +75,7 @@
 
 
 class Rejection(Enum):
-    """How a request that never ran is rejected."""
+    """How a request is rejected that had no lasting effect: it never ran, or it is idempotent."""
 
     RETRY_ELSEWHERE = auto()  # another node may have capacity
     FINAL = auto()  # a retry elsewhere is not worth its parsing
@@ -89,9 +89,9 @@
     QUEUED = 2  # may start
     COALESCED = 3  # waits for the result of the one that it duplicates
     RUNNING = 4  # on the cores
-    AWAITING_CALL = 5  # off the cores, its call not placed
-    CALLING = 6  # off the cores, its call placed
-    ORPHANED = 7  # answered, its run still on the cores
+    AWAITING_CALL = 5  # paused until its call is placed; it holds its run slot
+    CALLING = 6  # paused, its call placed; it holds no run slot
+    ORPHANED = 7  # answered, its run still on the cores, in its run slot
     RELEASING = 8  # answered during its call, its memory not yet free
     FINISHED = 9
 
@@ -229,7 +229,10 @@
         """Start the request on the cores."""
 
     def reject(self, request: Request, final: bool, retry_after: int) -> None:
-        """Answer that the request never ran; `final` if a retry elsewhere is not worth its parsing."""
+        """Answer that the request had no lasting effect: it never ran, or it is idempotent.
+
+        `final` if a retry elsewhere is not worth its parsing.
+        """
 
     def fail(self, request: Request) -> None:
         """Answer that the request failed: it may have taken effect."""
