--- a/oakkeel/admission/circuit_breaker.py
+++ b/oakkeel/admission/circuit_breaker.py
@@ -9,7 +9,7 @@
 
 
 class CircuitBreaker:
-    """Opens after failures in a row; while open it lets one half-open probe through at each interval."""
+    """Opens after failures in a row; while open it lets at most one half-open probe through per interval."""
 
     __slots__ = ("failures_in_row", "next_probe_at")
 
@@ -23,7 +23,7 @@
         return self.failures_in_row >= MAX_FAILURES_IN_ROW
 
     def allows_call(self, now: int) -> bool:
-        """Return whether a call may be placed: any while closed, one probe at a time while open."""
+        """Return whether a call may be placed: while open at most one probe per interval."""
         return not self.is_open() or now >= self.next_probe_at
 
     def call_placed(self, now: int) -> None:
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -213,11 +213,11 @@
         """Place the downstream call that a run needs to go on."""
         self.call_sequence.needed(now, request)
 
-    def call_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
+    def call_finished(self, now: int, request: Request, outcome: Outcome) -> None:
         """Resume the run after a downstream call, or retry the call, skip it or fail the request."""
         self.call_sequence.finished(now, request, outcome)
 
-    def run_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
+    def run_finished(self, now: int, request: Request, outcome: Outcome) -> None:
         """Finish a request whose run, or the run that it was coalesced with, has ended."""
         state = request.state
         if state is State.FINISHED or outcome is Outcome.NEVER_STARTED:
@@ -228,7 +228,7 @@
         self.occupancy.move(now, request, State.FINISHED)
         if outcome is Outcome.COMPLETED and state is State.RUNNING:
             request_class = request.request_class
-            self.ranking.completed[request_class.index].add(now, request.service_time)
+            self.ranking.observed_service_times[request_class.index].add(now, request.service_time)
             time_to_completion = now - request.arrived_at + request.queueing_delay
             self.overload.latency_ratios.add(now, time_to_completion / request_class.latency_objective)
 
--- a/oakkeel/admission/load_report.py
+++ b/oakkeel/admission/load_report.py
@@ -6,8 +6,8 @@
 from oakkeel.admission.types import LoadReportKind, NodeLimits
 
 MAX_BUSY_PER_CORE = 2.0  # requests that want a core; above it the advertised share falls
-SHARE_DECREASE_RATIO = 0.8  # at each poll
-SHARE_INCREASE_RATIO = 1.15  # at each poll
+SHARE_DECREASE_RATIO = 0.8  # at each report: at the start, each poll and each change of a drain
+SHARE_INCREASE_RATIO = 1.15  # at each report, as above
 MIN_ADVERTISED_SHARE_RATIO = 0.05  # a few clients must try, or recovery is not seen
 
 
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -14,9 +14,9 @@
     NORMAL = 0
     EXPAND = 1  # more requests run at one time
     REAP = 2  # idle connections close sooner
-    REORDER = 3  # low ranks are shed
+    REORDER = 3  # low ranks are shed; the queue is ordered by rank at every stage
     BACKPRESSURE = 4  # admitted requests are delayed
-    REJECT = 5  # everything is rejected
+    REJECT = 5  # all is rejected but what its fair share decides
 
 
 @dataclass(frozen=True, slots=True)
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -10,7 +10,7 @@
 from oakkeel.units import SECOND
 
 OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6  # the service time of a class before any request of it completes
-SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll without a completion: requests run again as probes
+SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll with none observed: requests run again as probes
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,8 @@
         classes = limits.request_classes
         tenants = max(1, len(limits.tenants))
         self.limits = limits
-        self.completed = [SlidingWindow() for _ in classes]  # service times in nanoseconds
+        # In nanoseconds, of runs that completed or were abandoned.
+        self.observed_service_times = [SlidingWindow() for _ in classes]
         self.service_times = [
             request_class.latency_objective / OBJECTIVE_PER_INITIAL_SERVICE_TIME for request_class in classes
         ]
@@ -70,7 +71,7 @@
 
     def poll(self, now: int, started: int) -> None:
         """Update the service times and the ranks; `started` is when the node started."""
-        for index, window in enumerate(self.completed):
+        for index, window in enumerate(self.observed_service_times):
             self.service_times[index] = window.mean(now, self.service_times[index] * SERVICE_TIME_DECAY_RATIO)
         window_ns = min(WINDOW_STEPS * WINDOW_STEP_NS, max(1, now - started))
         demands: list[Demand] = []
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -60,7 +60,7 @@
         if request.state is State.RUNNING:
             node.occupancy.move(now, request, State.ORPHANED)
             # Counted as a service time, or a node on which nothing completes would not see that it is slow.
-            node.ranking.completed[request.request_class.index].add(now, request.service_time)
+            node.ranking.observed_service_times[request.request_class.index].add(now, request.service_time)
             if node.limits.stop_kind is not StopKind.NONE:
                 node.host.cancel(request)
         elif request.state in AT_CALL_STATES:
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -127,7 +127,7 @@
             return
         self.running -= 1
         self.audit.took_effect(opened.request_id)
-        self.admission.run_finished(self.clock.now, opened.request, Outcome.COMPLETED, 0)
+        self.admission.run_finished(self.clock.now, opened.request, Outcome.COMPLETED)
         self._respond(opened, ResponseStatus.COMPLETED, 0)
         self._close(opened)
         self._schedule_soon()
@@ -142,7 +142,7 @@
 
     def _report_cancelled(self, opened: OpenRequest) -> None:
         if self.alive:
-            self.admission.run_finished(self.clock.now, opened.request, Outcome.CANCELLED, 0)
+            self.admission.run_finished(self.clock.now, opened.request, Outcome.CANCELLED)
             self._close(opened)
             self._schedule_soon()
 
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -173,7 +173,7 @@
 
     def _done(self, request: Request) -> None:
         self.running -= 1
-        self.admission.run_finished(self.now, request, Outcome.COMPLETED, 0)
+        self.admission.run_finished(self.now, request, Outcome.COMPLETED)
         if request in self.owners:
             client, _, _ = self.owners.pop(request)
             client.counts["in time" if self.now <= request.objective_end else "late"] += 1
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -87,7 +87,7 @@
             self.response_cache.share(request)
             event = await self._next_event(request)
         if isinstance(event, SharedResponse):
-            self.host.notify(self.host.admission.run_finished, request, event.outcome, 0)
+            self.host.notify(self.host.admission.run_finished, request, event.outcome)
             self._answer_run(request, event.outcome, event.result)
         elif isinstance(event, StartRun):
             self.engine.run(request)
@@ -112,7 +112,7 @@
             event = await self._next_event(request)
             if isinstance(event, CallFinished):
                 self.metrics.count_call(event.outcome.value)
-                self.host.notify(self.host.admission.call_finished, request, event.outcome, event.duration)
+                self.host.notify(self.host.admission.call_finished, request, event.outcome)
                 if event.outcome is Outcome.COMPLETED and request.state is RequestState.RUNNING:
                     self.engine.feed(request, event.reply)
                 event = await self._next_event(request)
@@ -148,7 +148,7 @@
         # The engine starts no run of a request that was halted before. The controller counts that request as
         # running: the outcome "never started" would leave it counted forever.
         counted = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
-        self.host.notify(self.host.admission.run_finished, request, counted, run.duration)
+        self.host.notify(self.host.admission.run_finished, request, counted)
         if request.unknown_to_engine:
             request.connection.report_violation("request_id_unknown")
         if request.may_have_run:
--- a/oakkeel/simulator_adapter/table.py
+++ b/oakkeel/simulator_adapter/table.py
@@ -95,17 +95,17 @@
         return instance
 
     def _run_finished(self, batch: Batch, offset: int) -> Instance:
-        _, instance_id, request_id, status, latency = wire.FINISHED.unpack_from(batch.body, offset)
+        _, instance_id, request_id, status, _ = wire.FINISHED.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
         outcome = _outcome(status, instance_id)
-        instance.admission.run_finished(batch.clock, instance.request_of(request_id), outcome, latency)
+        instance.admission.run_finished(batch.clock, instance.request_of(request_id), outcome)
         return instance
 
     def _call_finished(self, batch: Batch, offset: int) -> Instance:
-        _, instance_id, request_id, status, latency = wire.FINISHED.unpack_from(batch.body, offset)
+        _, instance_id, request_id, status, _ = wire.FINISHED.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
         outcome = _outcome(status, instance_id)
-        instance.admission.call_finished(batch.clock, instance.request_of(request_id), outcome, latency)
+        instance.admission.call_finished(batch.clock, instance.request_of(request_id), outcome)
         return instance
 
     def _call_needed(self, batch: Batch, offset: int) -> Instance:
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -117,7 +117,7 @@
         return request
 
     def finish(self, request: Request, outcome: Outcome = Outcome.COMPLETED) -> None:
-        self.admission.run_finished(self.now, request, outcome, 0)
+        self.admission.run_finished(self.now, request, outcome)
         self.admission.schedule(self.now)
 
     def need_call(self, request: Request) -> None:
@@ -125,7 +125,7 @@
         self.admission.schedule(self.now)
 
     def finish_call(self, request: Request, outcome: Outcome) -> None:
-        self.admission.call_finished(self.now, request, outcome, 0)
+        self.admission.call_finished(self.now, request, outcome)
         self.admission.schedule(self.now)
 
     def run_until(self, time: int) -> None:
