--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -9,20 +9,14 @@
 from random import Random
 from typing import TYPE_CHECKING
 
+from oakkeel.admission.arrival_decision import ArrivalDecisions, RejectionDecision
 from oakkeel.admission.call_sequence import CallSequence
 from oakkeel.admission.client_signals import ClientSignals
-from oakkeel.admission.concurrency import ConcurrencyLimits, has_memory_to_run, is_memory_full, may_start
-from oakkeel.admission.deadline import (
-    answer_deadline,
-    can_end_in_time,
-    can_end_in_time_after_queue,
-    latest_deadline,
-    objective_end,
-    queue_wait_time,
-)
+from oakkeel.admission.concurrency import ConcurrencyLimits, has_memory_to_run, may_start
+from oakkeel.admission.deadline import answer_deadline, can_end_in_time, latest_deadline, objective_end
 from oakkeel.admission.downstream_calls import DownstreamCalls
 from oakkeel.admission.drain import Drain
-from oakkeel.admission.duplicates import is_coalesced, key_retention, retains_key
+from oakkeel.admission.duplicates import key_retention, retains_key
 from oakkeel.admission.node_state import NodeState
 from oakkeel.admission.occupancy import Occupancy
 from oakkeel.admission.overload import OverloadStages, Stage
@@ -30,7 +24,7 @@
 from oakkeel.admission.request_ends import RequestEnds
 from oakkeel.admission.request_queue import RequestQueue
 from oakkeel.admission.request_timers import RequestTimers
-from oakkeel.admission.shedding import SheddingThreshold, full_node_rejection, low_rank_rejection
+from oakkeel.admission.shedding import SheddingThreshold
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.admission.types import (
     Admission,
@@ -40,7 +34,6 @@
     Outcome,
     Rejection,
     Request,
-    ShareStatus,
 )
 from oakkeel.admission.types import RequestState as State
 from oakkeel.units import MS, SECOND
@@ -54,8 +47,6 @@
 TIMER_STEP_NS = 16 * MS  # one timer of the host serves all requests of a step
 BACKPRESSURE_DELAY_NS = 50 * MS  # before an admitted request is queued
 
-Decision = Admission | Rejection
-
 
 class AdmissionController:
     """The decisions of one node, from its start to its end."""
@@ -90,6 +81,7 @@
         self.shedding = SheddingThreshold(limits.cores)
         self.queue = RequestQueue()
         self.retries = SlidingWindow()  # 1 for an arrival that is a retry, else 0
+        self.arrivals = ArrivalDecisions(self.node, self.shedding, self.retries)
         self.signals = ClientSignals(self.node)
         self.signals.send_health(True)
         self._report_load(now)
@@ -101,9 +93,9 @@
         self._set_deadline(now, request)
         self._count_arrival(now, request)
         self._set_rank(now, request)
-        decision = self._decide(now, request)
-        if isinstance(decision, Rejection):
-            self.ends.reject(now, request, decision)
+        decision = self.arrivals.decide(now, request)
+        if isinstance(decision, RejectionDecision):
+            self.ends.reject(now, request, decision.rejection)
         elif decision is Admission.COALESCE:
             self._coalesce(now, request)
         else:
@@ -129,42 +121,6 @@
             self.fair_sharing.arrive(now, request, service_time, self.concurrency.run_limit)
             request.rank += request.share_status
 
-    def _decide(self, now: int, request: Request) -> Decision:
-        """Decide by duplicate, deadline, memory and drain, then by load."""
-        memory_full = is_memory_full(request, self.occupancy.memory_kb, self.limits)
-        if is_coalesced(request, self.limits.cache_ttl, memory_full):
-            return Admission.COALESCE
-        if request.deadline <= now:
-            return Rejection.FINAL
-        if memory_full or self.drain_notice.is_past_grace(now, request.queueing_delay):
-            return Rejection.RETRY_ELSEWHERE
-        return self._decide_by_load(now, request)
-
-    def _decide_by_load(self, now: int, request: Request) -> Decision:
-        """Decide by fair share, overload stage, service time and rank."""
-        depth = self.node.depth_per_core()
-        stage = self.overload.arrival_stage(depth)
-        service_time = self.ranking.service_time(request)
-        share_status = request.share_status
-        # A reservation or an exceeded share decides before the stage, if the request can end in time.
-        if share_status is not ShareStatus.WITHIN_SHARE and can_end_in_time(now, request, service_time):
-            if share_status is ShareStatus.RESERVED:
-                stage = Stage.NORMAL
-            elif self.occupancy.holding_run_slot():  # an idle node serves what exceeds its share as well
-                return Rejection.FINAL
-        elif stage is Stage.REJECT or not self._fits_behind_queue(now, request, service_time):
-            parsing_backlog = self.concurrency.mean_parsing_backlog(now)
-            return full_node_rejection(request, parsing_backlog, self.limits.cores)
-        self.shedding.follow(depth, self.overload.latency_ratios.mean(now, 0.0))
-        if self.shedding.sheds(stage, request.rank):
-            return low_rank_rejection(request, self.limits.marks_retries, self.retries.mean(now, 1.0))
-        return Admission.DELAY if stage is Stage.BACKPRESSURE else Admission.QUEUE
-
-    def _fits_behind_queue(self, now: int, request: Request, service_time: float) -> bool:
-        waiting = self.occupancy.waiting()
-        wait_time = queue_wait_time(self.ranking.service_times, waiting, self.limits.cores)
-        return can_end_in_time_after_queue(now, request, service_time, wait_time)
-
     def _coalesce(self, now: int, request: Request) -> None:
         """Let a request wait for the result of the one that it duplicates."""
         self.occupancy.move(now, request, State.COALESCED)
