--- a/oakkeel/admission/arrival_decision.py
+++ b/oakkeel/admission/arrival_decision.py
@@ -104,7 +104,7 @@
 
     def _decide_by_rank(self, now: int, request: Request, stage: Stage, depth: float) -> Decision:
         """Update the shedding threshold; shed a low rank, else queue the request, delayed in BACKPRESSURE."""
-        self.shedding.follow(depth, self.node.overload.latency_ratios.mean(now, 0.0))
+        self.shedding.update(depth, self.node.overload.latency_ratios.mean(now, 0.0))
         if self.shedding.sheds(stage, request.rank):
             retry_ratio = self.retries.mean(now, 1.0)
             rejection = low_rank_rejection(request, self.node.limits.marks_retries, retry_ratio)
--- a/oakkeel/admission/client_signals.py
+++ b/oakkeel/admission/client_signals.py
@@ -33,7 +33,7 @@
         self.staleness_ratios.add(now, staleness_ratio)
         self.returns.seen(now, client)
 
-    def follow_health(self, now: int) -> None:
+    def update_health(self, now: int) -> None:
         """Decide whether the node is healthy, and set the answer to health checks."""
         is_draining = bool(self.node.drain.stop_at)
         self.healthy = is_healthy(self.healthy, is_draining, self.staleness_ratios.mean(now, 0.0))
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -92,7 +92,7 @@
         """Coalesce, reject, delay or queue a request that was read."""
         self._set_deadline(now, request)
         self._count_arrival(now, request)
-        self._set_rank(now, request)
+        self._count_and_rank(now, request)
         decision = self.arrivals.decide(now, request)
         if isinstance(decision, RejectionDecision):
             self.ends.reject(now, request, decision.rejection)
@@ -113,9 +113,13 @@
         self.signals.count_arrival(now, request.client, staleness_ratio)
         self.retries.add(now, request.retry_attempt)
 
-    def _set_rank(self, now: int, request: Request) -> None:
-        """Rank a request; one with a reservation ranks above all others, one over its share below them."""
-        request.rank = self.ranking.rank(now, request, self.chance())
+    def _count_and_rank(self, now: int, request: Request) -> None:
+        """Count a request with its class and tenant, and its flow, and set its rank and share status.
+
+        One with a reservation ranks above all others, one over its share below them. Fair sharing charges
+        the flow of a request within its share, and postpones the reservation of a flow that came early.
+        """
+        request.rank = self.ranking.count_and_rank(now, request, self.chance())
         if self.fair_sharing:
             service_time = self.ranking.service_time(request)
             self.fair_sharing.arrive(now, request, service_time, self.concurrency.run_limit)
@@ -151,7 +155,8 @@
         """Place the calls that can be placed, and start the requests that may run, by rank."""
         self.call_sequence.place_waiting(now)
         occupancy = self.occupancy
-        allowed_runs = self.concurrency.allowed_runs(self.overload.highest() >= Stage.EXPAND)
+        self.concurrency.update_run_limit(self.overload.highest() >= Stage.EXPAND)
+        allowed_runs = self.concurrency.allowed_runs()
         max_active = self.concurrency.max_active(self._warmth(now))
         while (request := self.queue.first()) is not None:
             if not may_start(occupancy.holding_run_slot(), occupancy.calling(), allowed_runs, max_active):
@@ -219,7 +224,7 @@
         if token == POLL_TOKEN:
             self._poll(now, gauges)
         else:
-            for request in self.timers.expired(token):
+            for request in self.timers.take_expired(token):
                 self._request_timer_expired(now, request)
 
     def _request_timer_expired(self, now: int, request: Request) -> None:
@@ -234,12 +239,12 @@
                 self._enqueue(now, request)
 
     def _poll(self, now: int, gauges: Gauges) -> None:
-        """Follow the signals of overload, and send health, load report and idle time."""
+        """Update the overload stages and the ranks, and send health, load report and idle time."""
         self.overload.poll(now, gauges.core_busy, self.node.depth_per_core())
         self.occupancy.expire_keys(now)
         self.ranking.poll(now, self.started)
         self._report_load(now)
-        self.signals.follow_health(now)
+        self.signals.update_health(now)
         self.signals.close_idle_connections(now, gauges.connections)
         self.host.set_timer(POLL_TOKEN, now + POLL_INTERVAL_NS)
 
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -113,8 +113,10 @@
         if request.reservation:
             self.reservations.end(request.reservation, ReservationEnd.KEPT)
 
-    def retry_after(self, now: int, request: Request, max_retry_after: int) -> int:
-        """Return for how many nanoseconds a rejected client stays away: until reserved capacity, if any.
+    def reserve_return(self, now: int, request: Request, max_retry_after: int) -> int:
+        """Reserve capacity for a rejected client, and return the nanoseconds until it may retry.
+
+        Without capacity that is `max_retry_after`, recorded so that a retry then does not count as early.
 
         A client that came early gets no second reservation.
         """
--- a/oakkeel/admission/load_report.py
+++ b/oakkeel/admission/load_report.py
@@ -31,7 +31,7 @@
         if kind is LoadReportKind.NONE:
             return None
         threshold = 1.0 if is_draining else threshold
-        self._follow_share(busy_per_core)
+        self._update_share(busy_per_core)
         if kind is LoadReportKind.MINIMUM_RANK:
             value = threshold
         elif kind is LoadReportKind.ADVERTISED_SHARE:
@@ -43,7 +43,7 @@
         self.reported = value
         return value
 
-    def _follow_share(self, busy_per_core: float) -> None:
+    def _update_share(self, busy_per_core: float) -> None:
         """Lower the share while too much wants a core: a request sent elsewhere costs no parsing here."""
         step = SHARE_DECREASE_RATIO if busy_per_core > MAX_BUSY_PER_CORE else SHARE_INCREASE_RATIO
         self.share = min(1.0, max(MIN_ADVERTISED_SHARE_RATIO, self.share * step))
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -99,11 +99,11 @@
         return max(self.cpu_stage, self.depth_stage, self.latency_stage)
 
     def rejects_by_depth(self) -> bool:
-        """Return whether the depth alone is at REJECT, as last followed."""
+        """Return whether the depth alone is at REJECT, when it was last updated."""
         return self.depth_stage is Stage.REJECT
 
     def arrival_stage(self, depth: float) -> Stage:
-        """Follow the depth per core, and return the stage that a request meets on arrival."""
+        """Update the stage of the depth per core, and return the stage that a request meets on arrival."""
         self.depth_stage = next_stage(self.depth_stage, depth, DEPTH_PER_CORE)
         stage = max(self.depth_stage, self.latency_stage)
         if depth > CPU_STAGE_MIN_DEPTH_PER_CORE[self.cpu_stage]:
@@ -111,7 +111,7 @@
         return stage
 
     def poll(self, now: int, core_busy: float, depth: float) -> None:
-        """Follow all signals: the busy share of the cores, the latency and the depth per core."""
+        """Update the stage of each signal: busy share of the cores, latency and depth per core."""
         self.cpu_stage = next_stage(self.cpu_stage, core_busy, CPU_BUSY_RATIO)
         self.latency_stage = next_stage(self.latency_stage, self.latency_ratios.mean(now, 0.0), LATENCY_RATIO)
         self.depth_stage = next_stage(self.depth_stage, depth, DEPTH_PER_CORE)
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -56,7 +56,7 @@
         self.arrivals = [[SlidingWindow() for _ in range(tenants)] for _ in classes]
         self.ranks = [[RankRange(start=0.0, width=1.0)] * tenants for _ in classes]
 
-    def rank(self, now: int, request: Request, chance: float) -> float:
+    def count_and_rank(self, now: int, request: Request, chance: float) -> float:
         """Count a request that arrived, and return its rank; `chance` from 0 to 1 spreads equal requests."""
         class_index = request.request_class.index
         tenant_index = request.tenant.index if request.tenant else 0
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -30,13 +30,13 @@
         self.node.host.reject(request, rejection is Rejection.FINAL, retry_after)
 
     def _retry_after(self, now: int, request: Request) -> int:
-        """Return when to retry: by the share of its flow if it has one.
+        """Return when to retry: at a reservation for its flow, made here, where fair sharing is on.
 
         A node that drains reserves nothing, as it will not be there.
         """
         node = self.node
         if node.fair_sharing and node.limits.max_retry_after and not node.drain.stop_at:
-            return node.fair_sharing.retry_after(now, request, node.limits.max_retry_after)
+            return node.fair_sharing.reserve_return(now, request, node.limits.max_retry_after)
         return node.retry_after()
 
     def end_unanswered(self, now: int, request: Request) -> None:
--- a/oakkeel/admission/request_timers.py
+++ b/oakkeel/admission/request_timers.py
@@ -38,8 +38,8 @@
         """Return whether a time has come, or comes within a step: the timer of `at` may have fired early."""
         return now + self.step > at
 
-    def expired(self, token: int) -> list[Request]:
-        """Take the requests whose timer this is."""
+    def take_expired(self, token: int) -> list[Request]:
+        """Remove the timer of this token, and return its requests."""
         return self.steps.pop(token, [])
 
     def pending(self) -> list[Request]:
--- a/oakkeel/admission/shedding.py
+++ b/oakkeel/admission/shedding.py
@@ -24,7 +24,7 @@
         self.threshold = 0.0
         self.step_ratio = min(1.0, SHED_STEP_RATIO_PER_CORE * cores)
 
-    def follow(self, depth: float, latency_ratio: float) -> None:
+    def update(self, depth: float, latency_ratio: float) -> None:
         """Move the threshold towards the higher of both signals.
 
         It moves in steps, because the depth of a node with few cores has only few values.
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -30,7 +30,8 @@
 
     KEPT = "kept"  # its flow came in time and was admitted
     BROKEN = "broken"  # its flow came in time and was rejected
-    RELEASED = "released"  # it is not needed: its capacity is free for others
+    # Neither: it expired, was moved, has no capacity or was not announced. Its capacity is free for others.
+    RELEASED = "released"
 
 
 class Reservations:
@@ -50,7 +51,7 @@
         self.booked_count = 0
         self.kept_count = 0
         self.broken_count = 0
-        self.expired_count = 0
+        self.expired_count = 0  # with capacity, whose flow did not come in time
 
     def due(self, now: int, key: int, early: int, late: int) -> Reservation | None:
         """Return the flow's reservation that a retry at `now` uses; drop those that have expired.
@@ -90,15 +91,15 @@
             if booked + work <= capacity or not booked:
                 self.booked_count += 1
                 reservation = Reservation(key, step_number * self.step, work)
-                self.restore(reservation)
+                self._add(reservation)
                 return reservation
         return None
 
     def record_unbacked(self, at: int, key: int) -> None:
         """Record a retry time without capacity, so that a retry at that time does not count as early."""
-        has_capacity = self.unbacked < MAX_UNBACKED_RATIO * self.max_open
-        if has_capacity and self.remembers_all(key):
-            self.restore(Reservation(key, at, 0.0))
+        has_room = self.unbacked < MAX_UNBACKED_RATIO * self.max_open
+        if has_room and self.remembers_all(key):
+            self._add(Reservation(key, at, 0.0))
 
     def remembers_all(self, key: int) -> bool:
         """Return whether every retry time of the flow is recorded: otherwise a retry may only seem early."""
@@ -109,13 +110,16 @@
         self.end(reservation, ReservationEnd.RELEASED)
         later = self.book(now, not_before, reservation.key, reservation.work, capacity)
         if later is None:
-            self.restore(reservation)
+            self._add(reservation)
             return
         later.early_attempts = reservation.early_attempts + 1
         self.booked_count -= 1  # moved, not made
 
     def restore(self, reservation: Reservation) -> None:
-        """Add a reservation regardless of other bookings: its client knows the time already."""
+        """Add a reservation of a snapshot regardless of other bookings: its client knows the time already."""
+        self._add(reservation)
+
+    def _add(self, reservation: Reservation) -> None:
         self.booked[self._slot(reservation.due_at // self.step)] += reservation.work
         reservations = self.open.setdefault(reservation.key, [])
         reservations.append(reservation)
