--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -63,13 +63,13 @@
     def skip_if_overdue(self, now: int, request: Request) -> None:
         """Skip an optional call that could not be placed within its wait."""
         is_overdue = now >= request.state_since + max_optional_call_wait(request)
-        if request.request_class.degraded_weight and is_overdue:
+        if request.request_class.is_call_optional and is_overdue:
             self._skip(now, request)
 
     def _place_or_wait(self, now: int, request: Request) -> None:
         if self._place(now, request):
             return
-        is_optional = bool(request.request_class.degraded_weight)
+        is_optional = request.request_class.is_call_optional
         if is_optional and self.node.downstream_calls.breaker.is_open():
             self._skip(now, request)  # calls are known to fail
             return
--- a/oakkeel/admission/client_signals.py
+++ b/oakkeel/admission/client_signals.py
@@ -35,8 +35,8 @@
 
     def update_health(self, now: int) -> None:
         """Decide whether the node is healthy, and set the answer to health checks."""
-        is_draining = bool(self.node.drain.stop_at)
-        self.healthy = is_healthy(self.healthy, is_draining, self.staleness_ratios.mean(now, 0.0))
+        staleness_ratio = self.staleness_ratios.mean(now, 0.0)
+        self.healthy = is_healthy(self.healthy, self.node.drain.is_draining, staleness_ratio)
         self.send_health(self.healthy)
 
     def send_health(self, healthy: bool) -> None:
@@ -47,7 +47,7 @@
         """Report the load if its value has changed, from the shedding threshold and the slow start."""
         node = self.node
         busy_per_core = node.concurrency.parsing_per_core() + node.depth_per_core()
-        value = self.load_report.next_value(bool(node.drain.stop_at), threshold, busy_per_core, warmth)
+        value = self.load_report.next_value(node.drain.is_draining, threshold, busy_per_core, warmth)
         if value is not None:
             node.host.report_load(value)
 
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -205,7 +205,7 @@
             self.drain_notice.start(now, remaining, self.limits.drain_grace)
         self.signals.send_health(remaining is None)
         self._report_load(now)
-        if self.drain_notice.stop_at:
+        if self.drain_notice.is_draining:
             self._move_deadlines_before(now, latest_deadline(self.drain_notice.stop_at))
 
     def _move_deadlines_before(self, now: int, latest: int) -> None:
--- a/oakkeel/admission/deadline.py
+++ b/oakkeel/admission/deadline.py
@@ -35,9 +35,14 @@
     return stop_at - STOP_HEADROOM_NS
 
 
+def useful_end(request: Request) -> int:
+    """Return until when a run has to end to be of use: the objective and the deadline are both met."""
+    return min(request.objective_end, request.deadline)
+
+
 def can_end_in_time(now: int, request: Request, service_time: float) -> bool:
     """Return whether a request that starts now can end in time; a run that can't is wasted."""
-    return now + MIN_SERVICE_TIME_RATIO * service_time <= min(request.objective_end, request.deadline)
+    return now + MIN_SERVICE_TIME_RATIO * service_time <= useful_end(request)
 
 
 def can_end_in_time_after_queue(
@@ -45,7 +50,7 @@
 ) -> bool:
     """Return whether a request can end in time after its wait in the queue."""
     needed = int(MIN_SERVICE_TIME_RATIO * (service_time + queue_wait_time))
-    return now + needed <= min(request.objective_end, request.deadline)
+    return now + needed <= useful_end(request)
 
 
 def queue_wait_time(service_times: Sequence[float], waiting: int, cores: int) -> float:
--- a/oakkeel/admission/downstream_calls.py
+++ b/oakkeel/admission/downstream_calls.py
@@ -36,7 +36,7 @@
     An optional call is retried only if its link failed: a downstream that is full gets no second call.
     """
     request_class = request.request_class
-    is_optional = bool(request_class.degraded_weight)
+    is_optional = request_class.is_call_optional
     may_repeat = outcome in NO_LASTING_EFFECT or not request_class.at_most_once
     has_attempts = request.failed_calls < MAX_CALL_ATTEMPTS
     if has_attempts and may_repeat and (outcome in LINK_FAILURES or not is_optional):
@@ -51,7 +51,7 @@
 
 def latest_call_end(now: int, request: Request, service_time: float) -> int:
     """Return until when a call may take; an optional one leaves time to end without it."""
-    if request.request_class.degraded_weight:
+    if request.request_class.is_call_optional:
         return max(now + MIN_OPTIONAL_CALL_TIME_NS, request.deadline - int(service_time))
     return request.deadline
 
--- a/oakkeel/admission/drain.py
+++ b/oakkeel/admission/drain.py
@@ -28,6 +28,11 @@
         self.stop_at = 0
         self.grace_end = 0
 
+    @property
+    def is_draining(self) -> bool:
+        """Return whether there is a notice to drain."""
+        return bool(self.stop_at)
+
     def is_past_grace(self, now: int, queueing_delay: int) -> bool:
         """Return whether a request reached the machine after the grace period.
 
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from math import inf
 
 from oakkeel.admission.types import FairSharingRules, Request, RequestState, ShareStatus
 from oakkeel.fair_sharing.heavy_hitters import Flow
@@ -94,7 +93,7 @@
     def _exceeds_share(self, now: int, request: Request, flow: Flow) -> bool:
         """Return whether the flow has used its share or its retries; unknown flows keep theirs by chance."""
         is_known = self.shares.is_known(now, flow)
-        if flow.allowed_rate < inf:
+        if flow.is_limited:
             exceeds = flow.free_at > now + MAX_BURST_NS
         else:
             unknown_share = self.shares.share_of_unknown(flow)
@@ -104,7 +103,7 @@
 
     def _charge(self, now: int, request: Request, flow: Flow) -> None:
         """Count the expected work against the allowed rate of its flow."""
-        if flow.allowed_rate < inf:
+        if flow.is_limited:
             own_time = time_for_work(request.expected_work, flow.allowed_rate)
             flow.free_at = max(flow.free_at, now) + own_time
 
@@ -123,15 +122,14 @@
         flow = request.flow
         if flow is None:
             raise MissingFlowError("a request names no flow: fair sharing has not counted its arrival")
-        is_limited = flow.allowed_rate < inf
         exceeded = request.share_status is ShareStatus.EXCEEDED
         if request.reservation and request.state is RequestState.READ:
             self.reservations.end(request.reservation, ReservationEnd.BROKEN)
-        if exceeded and not is_limited:
+        if exceeded and not flow.is_limited:
             return max_retry_after  # one of many flows with too little share for a reservation
         booked = None
         if not exceeded or not request.retry_attempt:
-            not_before = max(now, flow.free_at - MAX_BURST_NS if is_limited else now)
+            not_before = max(now, flow.free_at - MAX_BURST_NS if flow.is_limited else now)
             work = request.expected_work
             booked = self.reservations.book(now, not_before, flow.key, work, self.reservable_work)
         if booked and booked.due_at - now <= max_retry_after:
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -7,6 +7,7 @@
 from oakkeel.admission.types import RequestState as State
 
 QUEUED_STATES = frozenset({State.DELAYED, State.QUEUED})
+UNANSWERED_STATES = frozenset(State) - {State.ORPHANED, State.RELEASING, State.FINISHED}
 AT_CALL_STATES = frozenset({State.AWAITING_CALL, State.CALLING})
 
 
@@ -35,7 +36,7 @@
         A node that drains reserves nothing, as it will not be there.
         """
         node = self.node
-        if node.fair_sharing and node.limits.max_retry_after and not node.drain.stop_at:
+        if node.fair_sharing and node.limits.max_retry_after and not node.drain.is_draining:
             return node.fair_sharing.reserve_return(now, request, node.limits.max_retry_after)
         return node.retry_after()
 
@@ -47,7 +48,7 @@
         """
         if request.state in QUEUED_STATES:
             self.reject(now, request, Rejection.FINAL)
-        elif request.state < State.ORPHANED:
+        elif request.state in UNANSWERED_STATES:
             if request.request_class.at_most_once:
                 self.node.host.fail(request)
             else:
@@ -66,5 +67,5 @@
         elif request.state in AT_CALL_STATES:
             node.downstream_calls.release(now, request, node.limits.call_linger)
             node.occupancy.move(now, request, State.RELEASING)
-        elif request.state < State.ORPHANED:
+        elif request.state in UNANSWERED_STATES:
             node.occupancy.move(now, request, State.FINISHED)
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -114,6 +114,11 @@
         """Return whether a request of this class may take effect only once."""
         return self.idempotency is not Idempotency.IDEMPOTENT
 
+    @property
+    def is_call_optional(self) -> bool:
+        """Return whether a request of this class has weight without its downstream call."""
+        return bool(self.degraded_weight)
+
 
 @dataclass(slots=True, eq=False)
 class Tenant:
--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -47,6 +47,11 @@
         self.free_at = 0  # nanoseconds; when its limit admits more work
         self.unknown_share = 1.0  # part of their work that inner flows outside the table may send
 
+    @property
+    def is_limited(self) -> bool:
+        """Return whether the flow has a limit."""
+        return self.allowed_rate < math.inf
+
 
 class HeavyHitters:
     """The table. Keys are whole numbers that no client can choose: a keyed hash of what names a flow."""
