--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -14,9 +14,9 @@
     NORMAL = 0
     EXPAND = 1  # more requests run at one time
     REAP = 2  # idle connections close sooner
-    REORDER = 3  # low ranks are shed
+    REORDER = 3  # low ranks are shed; the queue is ordered by rank at every stage
     BACKPRESSURE = 4  # admitted requests are delayed
-    REJECT = 5  # everything is rejected
+    REJECT = 5  # all is rejected but what its fair share decides
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 CPU_BUSY_RATIO = StageThresholds(
     expand=0.70, reap=0.80, reorder=0.85, backpressure=0.90, reject=0.95, hysteresis=0.05
 )
-# Requests queued and on the cores, for each core.
+# Requests that are queued or hold a run slot, for each core.
 DEPTH_PER_CORE = StageThresholds(
     expand=0.75, reap=1.0, reorder=1.25, backpressure=1.75, reject=3.0, hysteresis=0.25
 )
@@ -62,12 +62,12 @@
 UNCOUNTED_DEPTH_REQUESTS = 2  # on few cores each request more is a large step of depth
 
 
-def depth_per_core(waiting: int, on_cores: int, cores: int) -> float:
-    """Return how many requests are queued and on the cores, for each core.
+def depth_per_core(waiting: int, holding_run_slot: int, cores: int) -> float:
+    """Return how many requests are queued and hold a run slot, for each core.
 
     Requests at downstream calls are not counted: they have a limit of their own.
     """
-    return max(0, waiting + on_cores - UNCOUNTED_DEPTH_REQUESTS) / cores
+    return max(0, waiting + holding_run_slot - UNCOUNTED_DEPTH_REQUESTS) / cores
 
 
 def next_stage(stage: Stage, value: float, thresholds: StageThresholds) -> Stage:
@@ -99,11 +99,11 @@
         return max(self.cpu_stage, self.depth_stage, self.latency_stage)
 
     def rejects_by_depth(self) -> bool:
-        """Return whether the depth alone is at REJECT, as last followed."""
+        """Return whether the depth alone is at REJECT, when it was last updated."""
         return self.depth_stage is Stage.REJECT
 
     def arrival_stage(self, depth: float) -> Stage:
-        """Follow the depth per core, and return the stage that a request meets on arrival."""
+        """Update the stage of the depth per core, and return the stage that a request meets on arrival."""
         self.depth_stage = next_stage(self.depth_stage, depth, DEPTH_PER_CORE)
         stage = max(self.depth_stage, self.latency_stage)
         if depth > CPU_STAGE_MIN_DEPTH_PER_CORE[self.cpu_stage]:
@@ -111,7 +111,7 @@
         return stage
 
     def poll(self, now: int, core_busy: float, depth: float) -> None:
-        """Follow all signals: the busy share of the cores, the latency and the depth per core."""
+        """Update the stage of each signal: busy share of the cores, latency and depth per core."""
         self.cpu_stage = next_stage(self.cpu_stage, core_busy, CPU_BUSY_RATIO)
         self.latency_stage = next_stage(self.latency_stage, self.latency_ratios.mean(now, 0.0), LATENCY_RATIO)
         self.depth_stage = next_stage(self.depth_stage, depth, DEPTH_PER_CORE)
