--- a/oakkeel/engine/commands.py
+++ b/oakkeel/engine/commands.py
@@ -113,7 +113,7 @@
         return self.commands
 
     def take_overdue_runs(self, now: int) -> list[NodeRequest]:
-        """Remove and return the uncertain runs whose requests were answered longer than the timeout ago."""
+        """Remove and return the uncertain runs whose requests were seen answered over a timeout ago."""
         overdue = []
         for request, answered_at in list(self.uncertain_runs.items()):
             if not request.in_engine:
--- a/oakkeel/node/__init__.py
+++ b/oakkeel/node/__init__.py
@@ -1,1 +1,1 @@
-"""The node: what starts and ends it, the `Host` of its decisions, and the life of an exchange."""
+"""The node: what starts and ends it, the `Host` of its decisions, and the life of a request."""
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -169,7 +169,11 @@
     def _answer(
         self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
     ) -> None:
-        """Answer a request, unless it was answered or its client has disconnected; no other code answers."""
+        """Answer a request, unless it was answered or its client has disconnected.
+
+        `CommandHandler` answers the calls that never become a request: malformed, over a limit, or before the
+        node may take requests.
+        """
         if not request.answered:
             request.answered = True
             self.metrics.count_answer(status)
