--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -21,7 +21,9 @@
 FAILED = b"fault"
 HEALTHY = b"yes"
 UNHEALTHY = b"no"
-LAST = encode(b"0", b"last")
+# Asks the dispatcher to send no more requests on the connection and to close it.
+DRAIN_NOTICE = encode(b"0", b"last")
+FINAL_REJECTION = b"nomore=1"  # the field of an answer: no other node should be tried
 MALFORMED_STREAM = encode(b"0", FAILED)  # the tags of a stream that can't be parsed are unknown
 FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
 # The field by which duplicates are recognized. Reads with one subject ask for the same; non-idempotent
@@ -146,15 +148,18 @@
     status: bytes,
     load_report: float | None,
     body: bytes = b"",
-    last: bool = False,
+    final: bool = False,
     retry_after: int = 0,
 ) -> bytes:
-    """Encode an answer, or the answer to a check, with the load report; `retry_after` in nanoseconds."""
+    """Encode an answer, or the answer to a check, with the load report.
+
+    `final` says that no other node should be tried; `retry_after` is in nanoseconds, 0 for no advice.
+    """
     fields = []
     if load_report is not None:
         fields.append(b"signal=%.4f" % load_report)
     if retry_after:
         fields.append(b"holdoff=%d" % max(1, round(retry_after / MS)))
-    if last:
-        fields.append(b"nomore=1")
+    if final:
+        fields.append(FINAL_REJECTION)
     return encode(b"%d" % tag, status, b",".join(fields), body)
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -100,11 +100,16 @@
             raise MalformedInputError(f"{self.violations} malformed requests on one connection")
 
     def answer(
-        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self,
+        request: NodeRequest,
+        status: bytes,
+        body: bytes = b"",
+        final: bool = False,
+        retry_after: int = 0,
     ) -> None:
         """Write the one answer of a request; `retry_after` in nanoseconds."""
         self._write(
-            codec.encode_answer(request.tag, status, self._owner.load_report(), body, last, retry_after)
+            codec.encode_answer(request.tag, status, self._owner.load_report(), body, final, retry_after)
         )
         # After the write: an ending connection is shut down with its last answer.
         self._close_request(request)
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -89,10 +89,15 @@
     # Answers, as the handler of a request sees them.
 
     def answer(
-        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self,
+        request: NodeRequest,
+        status: bytes,
+        body: bytes = b"",
+        final: bool = False,
+        retry_after: int = 0,
     ) -> None:
         """Write the one answer of a request; `retry_after` in nanoseconds."""
-        self._commands.answer(request, status, body, last, retry_after)
+        self._commands.answer(request, status, body, final, retry_after)
 
     def report_violation(self, event: str, why: str = "") -> None:
         """Log a malformed request, and count it against this connection."""
@@ -107,7 +112,7 @@
             # A write shows whether the dispatcher still reads: if not, it resets the connection.
             self._finish()
             if self.open_requests:
-                self._writer.write(codec.LAST)
+                self._writer.write(codec.DRAIN_NOTICE)
             while self.open_requests or self.unsent:
                 await self._progress.wait(self._resource_limits.half_closed_poll)
                 if hung_up(self.stream.socket):
@@ -177,7 +182,7 @@
         """
         if self.state is ConnectionState.OPEN:
             self._lifecycle.change(ConnectionState.DRAINING)
-            self._writer.write(codec.LAST)
+            self._writer.write(codec.DRAIN_NOTICE)
             timeout = timeout or self._resource_limits.drain_notice_timeout
             self._lifecycle.start_timer(timeout, self._drain_expired, timeout)
 
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -146,7 +146,7 @@
             self._close(opened)
             self._schedule_soon()
 
-    def reject(self, request: Request, last: bool, retry_after: int) -> None:
+    def reject(self, request: Request, final: bool, retry_after: int) -> None:
         """Respond that the request is rejected."""
         opened = self.open_requests[request]
         self._respond(opened, ResponseStatus.REJECTED, retry_after)
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -87,9 +87,12 @@
         """Let the engine run the request."""
         request.post(StartRun())
 
-    def reject(self, request: NodeRequest, last: bool, retry_after: int) -> None:
-        """Answer that the request is not admitted; `retry_after` in nanoseconds."""
-        request.post(RejectRequest(last, retry_after))
+    def reject(self, request: NodeRequest, final: bool, retry_after: int) -> None:
+        """Answer that the request is not admitted.
+
+        `final`: no other node should be tried; `retry_after` in nanoseconds, 0 for no advice.
+        """
+        request.post(RejectRequest(final, retry_after))
 
     def fail(self, request: NodeRequest) -> None:
         """Answer that the request failed."""
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -131,7 +131,7 @@
                 return RELEASED
             event = await request.next_event()
             if isinstance(event, RejectRequest):
-                self._answer(request, codec.REJECTED, last=event.final, retry_after=event.retry_after)
+                self._answer(request, codec.REJECTED, final=event.final, retry_after=event.retry_after)
             elif isinstance(event, FailRequest):
                 self._answer(request, codec.FAILED)
             elif isinstance(event, CancelRun):
@@ -167,7 +167,12 @@
         self._answer(request, codec.REJECTED, retry_after=self.host.admission.retry_after())
 
     def _answer(
-        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self,
+        request: NodeRequest,
+        status: bytes,
+        body: bytes = b"",
+        final: bool = False,
+        retry_after: int = 0,
     ) -> None:
         """Answer a request, unless it was answered or its client has disconnected.
 
@@ -179,7 +184,7 @@
             self.metrics.count_answer(status)
             if self.metrics.answer_observer:
                 self.metrics.answer_observer(request, status)
-            request.connection.answer(request, status, body, last, retry_after)
+            request.connection.answer(request, status, body, final, retry_after)
 
     async def _clean_up(self, request: NodeRequest) -> None:
         """After a defect, answer the request and follow its run to the end, so that its cores are counted."""
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -16,7 +16,12 @@
     """The connection of a request, as its handler sees it."""
 
     def answer(
-        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self,
+        request: NodeRequest,
+        status: bytes,
+        body: bytes = b"",
+        final: bool = False,
+        retry_after: int = 0,
     ) -> None:
         """Write the one answer of the request; `retry_after` in nanoseconds."""
 
--- a/tests/compatibility/test_network.py
+++ b/tests/compatibility/test_network.py
@@ -56,7 +56,7 @@
             codec.encode_answer(9, codec.FAILED, 1.0),
             codec.encode_answer(10, codec.HEALTHY, 0.5),
             codec.encode_answer(11, codec.UNHEALTHY, None),
-            codec.LAST,
+            codec.DRAIN_NOTICE,
             codec.MALFORMED_STREAM,
         ]
         self.assertEqual(written, [base64.b64decode(answer) for answer in self.expected["answers"]])
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -147,7 +147,7 @@
         self.assertIn("ms late", self.breaches_with("_respond", respond_late))
 
     def test_reports_completion_of_request_that_never_ran(self):
-        def complete_instead(self, request, last, retry_after):
+        def complete_instead(self, request, final, retry_after):
             self._respond(self.open_requests[request], ResponseStatus.COMPLETED, 0)
 
         overload = Scenario(nodes=1, dispatchers=1, seconds=3.0, load=2.0)
