--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -46,6 +46,11 @@
 class MalformedRequestError(OakkeelError, ValueError):
     """A CALL whose tag is valid but whose request class, fields or body are not."""
 
+    def __init__(self, message: str, request_id: bytes = b"") -> None:
+        """Say what is wrong, with the ID of the request if it was read."""
+        super().__init__(message)
+        self.request_id = request_id
+
 
 class RequestReader:
     """Makes requests from the tokens of a CALL, by the request classes and tenants of this node."""
@@ -85,6 +90,22 @@
         request_id = fields.get(b"req", b"")
         if not REQUEST_ID.fullmatch(request_id):
             raise MalformedRequestError("no id of 16 hexadecimal digits in req")
+        try:
+            return self._read_fields(tag, tokens[2], request_class, request_id, fields, body, connection)
+        except MalformedRequestError as error:
+            error.request_id = request_id
+            raise
+
+    def _read_fields(
+        self,
+        tag: int,
+        class_name: bytes,
+        request_class: RequestClass,
+        request_id: bytes,
+        fields: dict[bytes, bytes],
+        body: bytes,
+        connection: ResponseChannel,
+    ) -> NodeRequest:
         if len(body) > self._resource_limits.max_body_size:
             raise MalformedRequestError(f"a body of more than {self._resource_limits.max_body_size} bytes")
         age = self._age(fields)
@@ -105,7 +126,7 @@
             is_duplicate=False,
             request_id=request_id,
             tag=tag,
-            class_name=tokens[2],
+            class_name=class_name,
             body=body,
             cache_key=(request_class.index, fields.get(b"owner", b""), key) if key else None,
             connection=connection,
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -114,9 +114,9 @@
         # After the write: an ending connection is shut down with its last answer.
         self._close_request(request)
 
-    def report_violation(self, event: str, why: str = "") -> None:
+    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
         """Log and count a malformed request: each costs time, and too many end the connection."""
-        self._log.warning(event, reason=why or None)
+        self._log.warning(event, reason=why or None, request_id=request_id.decode() or None)
         self.violations += 1
 
     def disconnect(self, request: NodeRequest) -> None:
@@ -144,17 +144,17 @@
         try:
             request = reader.read(tag, tokens, self._channel)
             if owner.has_request(request.request_id):  # the open request must not be affected
-                raise codec.MalformedRequestError("the id of an open request")
+                raise codec.MalformedRequestError("the id of an open request", request.request_id)
         except codec.MalformedRequestError as error:
-            self._reject_malformed(tag, str(error))
+            self._reject_malformed(tag, str(error), error.request_id)
             return
         self.open_requests[tag] = request
         self.received_request = True
         owner.request_received(request)
 
-    def _reject_malformed(self, tag: int, why: str) -> None:
+    def _reject_malformed(self, tag: int, why: str, request_id: bytes = b"") -> None:
         self._write(codec.encode_answer(tag, codec.FAILED, self._owner.load_report()))
-        self.report_violation("request_malformed", why)
+        self.report_violation("request_malformed", why, request_id)
 
     def _close_request(self, request: NodeRequest) -> None:
         if self.open_requests.pop(request.tag, None) and not self.open_requests:
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -99,9 +99,9 @@
         """Write the one answer of a request; `retry_after` in nanoseconds."""
         self._commands.answer(request, status, body, final, retry_after)
 
-    def report_violation(self, event: str, why: str = "") -> None:
+    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
         """Log a malformed request, and count it against this connection."""
-        self._commands.report_violation(event, why)
+        self._commands.report_violation(event, why, request_id)
 
     # Reading.
 
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -17,6 +17,9 @@
 from oakkeel.units import SECOND
 
 MAX_WAITING_CONNECTIONS = 1024  # for an accept, in the kernel
+# Reasons of `descriptors_exhausted`.
+CONNECTION_LIMIT = "connection_limit"
+NO_DESCRIPTOR = "no_descriptor"
 OUT_OF_RESOURCES = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 BUFFERS_PER_LINK = 2  # a link is closing while its successor opens
 
@@ -128,7 +131,7 @@
                 if error.errno not in OUT_OF_RESOURCES:
                     continue  # this connection was reset before it was accepted
                 self.log.warning("accept_failed", error=str(error))
-                if not self._evict_one():
+                if not self._evict_one(NO_DESCRIPTOR):
                     self._pause()
                     return True
                 continue
@@ -150,7 +153,9 @@
 
     def _accept(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
-        has_room = len(self.connections) < self.resource_limits.max_connections or self._evict_one()
+        has_room = len(self.connections) < self.resource_limits.max_connections or self._evict_one(
+            CONNECTION_LIMIT
+        )
         with contextlib.suppress(OSError):  # already reset: its stream fails
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = HalfClosingStream(
@@ -171,9 +176,9 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _evict_one(self) -> bool:
-        """Close one connection to make room for another; return whether there was one."""
-        self.log.warning("descriptors_exhausted")
+    def _evict_one(self, reason: str) -> bool:
+        """Close one connection to make room for another; return whether there was one. `reason` is logged."""
+        self.log.warning("descriptors_exhausted", reason=reason)
         connection = eviction_candidate(
             self.without_requests, self.idle, time.monotonic_ns(), self.resource_limits
         )
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -68,6 +68,7 @@
         self.hello_timer: asyncio.TimerHandle | None = None  # closes a connection without a greeting
         self.open = False  # attached, and all missed notices are read
         self.losses = 0
+        self.loss_reason = ""  # of this connection, for the log; empty: the other side closed it
 
     async def serve(self) -> None:
         """Attach and read notices until cancelled, with a new connection after each loss."""
@@ -75,11 +76,17 @@
             attempted_at = time.monotonic_ns()
             try:
                 await self._attach_and_read()
-            except StreamClosedError:
-                pass
+            except StreamClosedError as error:
+                if error.real_error:
+                    self._note_loss(fault(error.real_error))
             except MalformedInputError as error:
+                self._note_loss("stream_malformed")
                 self.log.warning("engine_stream_malformed", error=str(error))
+            except asyncio.CancelledError:
+                self._note_loss("node_stopping")
+                raise
             except Exception as error:  # a defect must not end the link: no request could be answered
+                self._note_loss("defect")
                 self.log.error("engine_link_failed", error=fault(error))
             finally:
                 self._detach()
@@ -95,7 +102,7 @@
             # A peer may accept the connection and send nothing, or not even accept it, for as long as TCP
             # allows. An engine that was never up may delay its HELLO without a limit.
             timeout = self.resource_limits.engine_timeout / SECOND
-            self.hello_timer = asyncio.get_running_loop().call_later(timeout, stream.close)
+            self.hello_timer = asyncio.get_running_loop().call_later(timeout, self._close_ungreeted, stream)
             await connect(stream, self.address)
             if not self.greeted and self.hello_timer:
                 self.hello_timer.cancel()
@@ -112,6 +119,10 @@
             stream.close()
             read_buffer.close()
 
+    def _close_ungreeted(self, stream: IOStream) -> None:
+        self._note_loss("no_greeting")
+        stream.close()
+
     def _detach(self) -> None:
         """Reset what belongs to one connection."""
         if self.hello_timer:
@@ -120,13 +131,18 @@
             self.connecting.close()
         if self.stream and not self.handover_tag:
             self.losses += 1
-            self.log.warning("engine_link_lost")
+            self.log.warning("engine_link_lost", reason=self.loss_reason or "closed_by_peer")
+        self.loss_reason = ""
         self.stream = None
         self.connecting = None
         self.open = False
         self.reattach_tag = b""
         self.handover_tag = b""
 
+    def _note_loss(self, reason: str) -> None:
+        """Note why the connection ends; the first reason stands."""
+        self.loss_reason = self.loss_reason or reason
+
     def move(self, address: tuple[str, int]) -> None:
         """Move to another address as soon as the engine has read all that was written so far."""
         if address == self.address:
@@ -205,6 +221,7 @@
         else:
             return
         if self.stream and now - since > self.resource_limits.engine_timeout:
+            self._note_loss("timed_out")
             self.log.warning("engine_link_timed_out")
             self.stream.close()
 
@@ -234,6 +251,7 @@
         self.log.warning("engine_restarted", runs_lost=len(self.notices.runs) - len(unwritten))
         self.notices.restart(unwritten)
         if self.stream:
+            self._note_loss("engine_restarted")
             self.stream.close()  # its ATTACH named a notice that this engine never sent
 
     def _gauges(self, tag: bytes, values: list[float]) -> None:
--- a/oakkeel/engine/notices.py
+++ b/oakkeel/engine/notices.py
@@ -21,6 +21,7 @@
 }
 MAX_LOGGED_VERB_BYTES = 20
 MAX_LOGGED_LINE_BYTES = 60
+MAX_LOGGED_ID_BYTES = 20
 
 
 class NoticeHandler:
@@ -85,7 +86,11 @@
 
     def _command_rejected(self, verb: bytes, request_id: bytes) -> None:
         """End a run that the engine does not know; no other rejected command has an effect."""
-        self.log.warning("engine_command_rejected", command=verb.decode(errors="replace"))
+        self.log.warning(
+            "engine_command_rejected",
+            command=verb.decode(errors="replace"),
+            request_id=request_id[:MAX_LOGGED_ID_BYTES].decode(errors="replace"),
+        )
         if verb in (RUN, HALT):
             request = self.runs.get(request_id)
             self.finish(request_id, Outcome.ERROR, 0, b"")
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -29,6 +29,10 @@
 Event = MutableMapping[str, FieldValue]
 
 
+# Lines that differ only in these are one line: a flood of bad requests must not hide other events.
+SAMPLED_FIELDS = {"request_id"}
+
+
 class LineLimiter:
     """Limits the lines per second, and admits each line once per second.
 
@@ -55,7 +59,10 @@
             self.lines = 0
             self.dropped = 0
             self.written.clear()
-        if self.lines < self.lines_per_s and (text := f"{event}{fields}") not in self.written:
+        if (
+            self.lines < self.lines_per_s
+            and (text := f"{event}{_without_samples(fields)}") not in self.written
+        ):
             self.lines += 1
             self.written.add(text)
             return True
@@ -63,6 +70,10 @@
         return False
 
 
+def _without_samples(fields: Event) -> Event:
+    return {key: value for key, value in fields.items() if key not in SAMPLED_FIELDS}
+
+
 def console(name: str) -> Callable[[object, str, Event], str]:
     """Return a processor for lines as `oakkeel n3: info event field=value ...`; blanks are quoted."""
 
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -78,7 +78,7 @@
         `cancel` ends it, as an order may be withdrawn.
         """
         if not self.started:
-            self._begin(timeout or self.stop_after)
+            self._begin("order", timeout or self.stop_after)
 
     def start_final(self) -> None:
         """Drain after SIGTERM: nothing cancels it, as the platform kills the process at `stop_after`."""
@@ -89,7 +89,7 @@
             self._set_deadline(self.stop_after)
             self._notify_admission(self.stop_after)
             return
-        self._begin(self.stop_after)
+        self._begin("signal", self.stop_after)
 
     def cancel(self) -> None:
         """Read requests again. Raises `DrainNotCancelledError` if the node can't; no drain is no error."""
@@ -114,7 +114,9 @@
         node.drain_cancelled()
         node.log.info("drain_cancelled")
 
-    def _begin(self, time_left: int) -> None:
+    def _begin(self, cause: str, time_left: int) -> None:
+        """Start the drain; `cause` is logged: `signal` or `order`."""
+        self.node.log.info("drain_started", cause=cause, time_left_s=round(time_left / SECOND, 1))
         self._set_state(DrainState.GRACE)
         self._set_deadline(time_left)
         self.task = asyncio.ensure_future(self._drain(time_left))
@@ -122,7 +124,6 @@
     async def _drain(self, time_left: int) -> None:
         """End once each request that was read is answered and every dispatcher has closed its connections."""
         node = self.node
-        node.log.info("drain_started")
         node.directory_reporter.set_accepting(False)
         if node.host.started:
             self._notify_admission(time_left)
@@ -157,7 +158,7 @@
             if self.node.host.started:
                 self.node.host.notify(self.node.host.admission.drain, time_left)
         except Exception as error:  # a defect there must not stop the drain
-            self.node.log.error("drain_failed", error=fault(error))
+            self.node.log.error("drain_admission_notice_failed", error=fault(error))
 
     def _set_state(self, state: DrainState) -> None:
         """Change the state; nothing else does."""
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -100,7 +100,11 @@
     def reload(self, rules: FairSharingRules | None) -> None:
         """Use new weights at once; the levels of flows can only change with a restart of the node."""
         if rules is None or rules.levels != self.rules.levels:
-            self.log.warning("flow_key_change_ignored")
+            self.log.warning(
+                "flow_key_change_ignored",
+                old_levels="/".join(self.rules.levels),
+                new_levels="/".join(rules.levels) if rules else "",
+            )
             return
         self.rules.weights.clear()
         self.rules.weights.update(rules.weights)
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -79,7 +79,7 @@
         try:
             self.admission.schedule(time.monotonic_ns())
         except Exception as error:  # a defect must not stop the node
-            self.log.error("settle_failed", error=fault(error))
+            self.log.error("schedule_failed", error=fault(error))
 
     # Verdicts of the admission controller, for the handlers of the requests.
 
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -59,7 +59,12 @@
                 self.host.notify(self.host.admission.arrive, request)
                 await self._follow(request)
         except Exception as error:  # a defect must not stop the node; the request is answered
-            self.log.error("request_failed", state=request.state.name, error=fault(error))
+            self.log.error(
+                "request_failed",
+                request_id=request.request_id.decode(),
+                state=request.state.name,
+                error=fault(error),
+            )
             await self._clean_up(request)
         finally:
             self.catalogue.quit(request)
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -25,8 +25,8 @@
     ) -> None:
         """Write the one answer of the request; `retry_after` in nanoseconds."""
 
-    def report_violation(self, event: str, why: str = "") -> None:
-        """Log a malformed request, and count it against the connection."""
+    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
+        """Log a malformed request, with its ID if known, and count it against the connection."""
 
 
 class DownstreamCall(Protocol):
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -56,7 +56,7 @@
         await self.until(lambda: half.read_buffer.has_data and half.stream.reading())
         self.listener.without_requests[half] -= 700 * SECOND
         client.send(call(2)[25:])
-        self.assertFalse(self.listener._evict_one())
+        self.assertFalse(self.listener._evict_one("connection_limit"))
         self.received_requests.clear()
         await self.until(lambda: self.received_requests)
         self.answer()
--- a/tests/dispatch/test_listener.py
+++ b/tests/dispatch/test_listener.py
@@ -30,9 +30,9 @@
         listener.without_requests = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
         listener.idle = {held: 0}
         for closed in (old, held, new):
-            self.assertTrue(listener._evict_one())
+            self.assertTrue(listener._evict_one("connection_limit"))
             self.assertTrue(closed.closed)
-        self.assertFalse(listener._evict_one())
+        self.assertFalse(listener._evict_one("connection_limit"))
 
 
 class ListenerTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/fair_sharing/test_node.py
+++ b/tests/fair_sharing/test_node.py
@@ -92,7 +92,7 @@
         self.write_settings(by=("tenant",))
         time.sleep(1.1)  # the log writes the same line once a second
         self.reload(self.told())
-        self.log("flow_key_change_ignored")
+        self.assertIn("new_levels=tenant", self.log("flow_key_change_ignored"))
         self.served(self.dispatcher(), "a")
 
     def test_reports_unusable_settings_in_one_line(self):
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -34,7 +34,7 @@
     def test_a_halt_that_was_unread_at_a_loss_is_sent_again(self):
         dispatcher, ident = self.running("card")
         self.engine.lose()
-        self.log("engine_link_lost")
+        self.assertIn("reason=", self.log("engine_link_lost"))
         dispatcher.send("CANCEL", "1")
         dispatcher.send("CHECK", "9", "")
         self.assertEqual(dispatcher.answer()[0], 9)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -53,7 +53,7 @@
         ident = dispatcher.call()
         self.assertEqual(self.engine.next()[:2], ("RUN", ident))
         self.process.send_signal(signal.SIGTERM)
-        self.log("drain_started")
+        self.assertIn("cause=signal", self.log("drain_started"))
         self.replace_parties()
         self.reload(self.told())
         self.engine.attach()
