--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -43,7 +43,7 @@
         self.gauges = Gauges()
         self.gauges_read_at = 0  # nanoseconds of the monotonic clock; 0: never
         self.healthy = True
-        self.advertised_share: float | None = None
+        self.load_report_value: float | None = None  # `NodeLimits.load_report` tells its meaning
         self.schedule_pending = False
         self.timer_tasks: set[asyncio.Task[None]] = set()
         self.admission: AdmissionController  # from `start_admission` on
@@ -163,8 +163,8 @@
             self.directory_reporter.set_accepting(good)
 
     def report_load(self, value: float) -> None:
-        """Advertise the share of traffic that the node wants."""
-        self.advertised_share = value
+        """Report this value with each answer; `NodeLimits.load_report` tells its meaning."""
+        self.load_report_value = value
 
     def close_idle(self, after: int) -> None:
         """Close connections that are idle for `after` nanoseconds."""
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -193,8 +193,8 @@
         return self.host.healthy and self.host.started and not self.drain.started
 
     def load_report(self) -> float | None:
-        """Return the share of traffic that the node asks for; None before it has one."""
-        return self.host.advertised_share
+        """Return the value of the load report; None before there is one."""
+        return self.host.load_report_value
 
     def retry_after(self) -> int:
         """Return the Retry-After of a request rejected on arrival, in nanoseconds; 0 for no advice."""
