--- a/oakkeel/stream_buffers.py
+++ b/oakkeel/stream_buffers.py
@@ -16,6 +16,10 @@
     """Bytes that violate the protocol; the message says how."""
 
 
+class ProtocolViolationError(MalformedInputError):
+    """Well-formed messages that the protocol does not allow, such as too many; the connection ends too."""
+
+
 class BufferPool:
     """A bounded pool of buffers of one size, allocated on demand and reused."""
 
