--- a/oakkeel/admission/client_signals.py
+++ b/oakkeel/admission/client_signals.py
@@ -57,4 +57,4 @@
         kept = idle_time(self.returns.by_step(now), node.overload.highest() >= Stage.REAP)
         parsing_backlog = node.concurrency.mean_parsing_backlog(now)
         crowded = crowded_idle_time(connections, parsing_backlog, node.limits.cores)
-        node.host.close_idle(min(node.limits.idle_timeout, max(kept, crowded)))
+        node.host.set_idle_timeout(min(node.limits.idle_timeout, max(kept, crowded)))
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -261,8 +261,8 @@
     def report_load(self, value: float) -> None:
         """Give clients the value; `NodeLimits.load_report` tells its meaning."""
 
-    def close_idle(self, after: int) -> None:
-        """Close connections that have been idle for `after` nanoseconds."""
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Close connections that are idle for `timeout` nanoseconds, from now on."""
 
     def note(self, text: str) -> None:
         """Log a remark."""
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -62,7 +62,9 @@
         self.read_buffer = ReadBuffer(pool)
         self._lifecycle = ConnectionLifecycle()
         self._writer = AnswerWriter(stream, self._shut_down_if_finished)
-        self._commands = CommandHandler(self, self._writer.write, resource_limits, owner, log, self._idle)
+        self._commands = CommandHandler(
+            self, self._writer.write, resource_limits, owner, log, self._on_became_idle
+        )
         self.arrays = ArrayReader(self.read_buffer, resource_limits.max_tokens, self._commands.handle)
         self._progress = Progress(stream)
 
@@ -217,7 +219,7 @@
             self.arrays.due_since = 0
         self._shut_down_if_finished()
 
-    def _idle(self) -> None:
+    def _on_became_idle(self) -> None:
         self._on_activity(self)
         self._shut_down_if_finished()
 
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -241,8 +241,8 @@
 
     # Idle connections.
 
-    def close_idle(self, timeout: int) -> None:
-        """Drain connections that are idle for `timeout` nanoseconds; 0: none."""
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Drain connections that are idle for `timeout` nanoseconds, from now on; 0: none."""
         self.idle_timeout = timeout
         self._drain_idle()
 
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -194,16 +194,25 @@
         if self.stream and send(self.stream, command.line):
             command.written = True
 
-    def ask_gauges(self) -> asyncio.Future[list[float]] | None:
-        """Ask for the gauges; return None while the link is not open."""
+    def maintain_and_ask_gauges(self) -> asyncio.Future[list[float]] | None:
+        """Close a stale link, resend what may be lost, and ask for the gauges; None while it is not open."""
         now = time.monotonic_ns()
         self._close_if_unanswered(now)
         if not self.open:
             return None
-        # A second command for a run that has ended or was lost yields `nothing`; a run in progress continues.
-        # Without it admission would count a lost run forever.
+        self._resend_overdue_runs(now)
+        return self._ask_gauges(now)
+
+    def _resend_overdue_runs(self, now: int) -> None:
+        """Send the runs again that may be lost, and whose requests are answered.
+
+        A second command for a run that has ended or was lost yields `nothing`; a run in progress continues.
+        Without it admission would count a lost run forever.
+        """
         for request in self.unconfirmed.take_overdue_runs(now):
             self.run(request)
+
+    def _ask_gauges(self, now: int) -> asyncio.Future[list[float]]:
         tag = b"%d" % next(self.tags)
         command = Command(b"STAT %s\r\n" % tag, None, STAT)
         gauge_request = GaugeRequest(asyncio.get_running_loop().create_future(), command, now)
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -137,7 +137,7 @@
     async def _read_gauges_and_notify(self, token: int) -> None:
         """Pass a timer to the controller with fresh gauges, which it compares with the present runs."""
         try:
-            reply = self.engine.ask_gauges()
+            reply = self.engine.maintain_and_ask_gauges()
             if reply:
                 await asyncio.wait(
                     (reply,), timeout=self.configuration.resource_limits.gauges_timeout / SECOND
@@ -166,9 +166,9 @@
         """Report this value with each answer; `NodeLimits.load_report` tells its meaning."""
         self.load_report_value = value
 
-    def close_idle(self, after: int) -> None:
-        """Close connections that are idle for `after` nanoseconds."""
-        self.listener.close_idle(after)
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Close connections that are idle for `timeout` nanoseconds, from now on; 0: none."""
+        self.listener.set_idle_timeout(timeout)
 
     def note(self, text: str) -> None:
         """Log a message of the admission controller."""
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -137,9 +137,9 @@
         """Give clients this value."""
         self.reply.records.append(wire.ACTION_VALUE.pack(ActionCode.REPORT_LOAD, self.number, value))
 
-    def close_idle(self, after: int) -> None:
-        """Close connections that have been idle for `after` nanoseconds."""
-        self.reply.records.append(wire.ACTION_TIME.pack(ActionCode.CLOSE_IDLE, self.number, after))
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Close connections that are idle for `timeout` nanoseconds, from now on."""
+        self.reply.records.append(wire.ACTION_TIME.pack(ActionCode.CLOSE_IDLE, self.number, timeout))
 
     def note(self, text: str) -> None:
         """Add a remark."""
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -29,7 +29,7 @@
         for number in range(100):
             host.finish(host.arrive(client=number % clients))
             host.run_until(host.now + 100 * MS)
-        return [action[1] for action in host.actions if action[0] == "close_idle"][-1]
+        return [action[1] for action in host.actions if action[0] == "set_idle_timeout"][-1]
 
     def test_keeps_idle_connections_for_clients_that_return(self):
         # Hundreds of clients that seldom return would fill the table of connections.
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -180,7 +180,7 @@
     async def test_an_unread_request_of_an_idle_connection_that_is_drained_is_served(self):
         client, connection = await self.idle_client()
         client.send(call(2))
-        self.listener.close_idle(1)
+        self.listener.set_idle_timeout(1)
         self.assertIs(connection.state, ConnectionState.DRAINING)
         connection._drain_expired(SECOND)
         await self.until(lambda: self.received_requests)
--- a/tests/engine/test_link.py
+++ b/tests/engine/test_link.py
@@ -81,7 +81,7 @@
         request = node_request()
         link.run(request)
         self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.request_id)
-        await asyncio.wait_for(link.ask_gauges(), WAIT)
+        await asyncio.wait_for(link.maintain_and_ask_gauges(), WAIT)
         links[0].close()
         self.assertEqual(await asyncio.wait_for(commands.get(), WAIT), request.request_id)
         serving.cancel()
