--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -26,14 +26,13 @@
 )
 from oakkeel.errors import OrderRefusedError
 from oakkeel.log import EventLog, fault
-from oakkeel.resource_limits import ResourceLimits
+from oakkeel.resource_limits import BUFFERS_PER_STREAM, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, send
 from oakkeel.units import SECOND
 
 MAX_CLIENTS = 25  # in one response, which must fit a line
 MAX_WAITING_LINKS = 64  # for an accept, in the kernel
 MAX_UNSENT_BYTES = 8 * MAX_LINE_BYTES
-BUFFERS_PER_LINK = 2  # a link is closing while its successor opens
 PRIVATE_UMASK = 0o077  # other users of the host must not connect
 
 
@@ -65,7 +64,7 @@
         self.resource_limits = resource_limits
         self.log = log
         self.links: dict[ControlLink, asyncio.Task[None]] = {}  # least recently active first
-        self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_LINK * resource_limits.control_links)
+        self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_STREAM * resource_limits.control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by a node that was killed
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -111,7 +111,7 @@
         age = self._age(fields)
         timeout = self._client_timeout(fields)
         if b"level" in fields:
-            self._number(fields, b"level", 1.0)
+            self._number(fields, b"level", 1.0)  # validated only: the node does not use it
         key_field = KEY_FIELDS.get(request_class.idempotency)
         key = fields.get(key_field, b"") if key_field else b""
         return NodeRequest(
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -12,7 +12,7 @@
 from oakkeel.dispatch.command_handler import ConnectionOwner
 from oakkeel.dispatch.connection import Connection
 from oakkeel.log import EventLog, fault
-from oakkeel.resource_limits import ResourceLimits
+from oakkeel.resource_limits import BUFFERS_PER_STREAM, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
 from oakkeel.units import SECOND
 
@@ -21,7 +21,6 @@
 CONNECTION_LIMIT = "connection_limit"
 NO_DESCRIPTOR = "no_descriptor"
 OUT_OF_RESOURCES = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
-BUFFERS_PER_LINK = 2  # a link is closing while its successor opens
 
 
 def eviction_candidate(
@@ -38,10 +37,12 @@
     """
     grace_start = now - limits.new_connection_grace
     silent = [connection for connection, since in without_requests.items() if since <= grace_start]
-    for connection in (*silent, *idle, *without_requests):
+    recently_accepted = [connection for connection, since in without_requests.items() if since > grace_start]
+    for connection in (*silent, *idle, *recently_accepted):
         if connection.is_idle():
             return connection
-    for connection in silent:
+    with_incomplete_array = silent  # not idle for the part of an array that they sent
+    for connection in with_incomplete_array:
         if not (connection.open_requests or connection.unsent or connection.has_incoming()):
             return connection
     return None
@@ -95,7 +96,7 @@
         connections would keep the listener open forever.
         """
         for _ in range(MAX_WAITING_CONNECTIONS // self.resource_limits.accepts_per_pass + 1):
-            if self.accepting and not self.resume_timer and not self._accept_some() and not self.resume_timer:
+            if self.accepting and not self.resume_timer and not self._accept_some():
                 break
             # Evicted connections end in the next pass, and release what the next ones need.
             await asyncio.sleep(self.resource_limits.accept_retry / SECOND if self.resume_timer else 0)
@@ -120,7 +121,9 @@
         open connections have received until then.
         """
         for _ in range(self.resource_limits.accepts_per_pass):
-            if self.pool.available <= BUFFERS_PER_LINK * self.resource_limits.max_links:  # reserved for links
+            if (
+                self.pool.available <= BUFFERS_PER_STREAM * self.resource_limits.max_links
+            ):  # reserved for links
                 self._pause()
                 return True
             try:
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -10,11 +10,10 @@
 from oakkeel.admission.types import FairSharingRules, NodeLimits
 from oakkeel.node_limits import LimitsError, Pairs, fail, flatten, read_limits
 from oakkeel.resource_limits import ResourceLimits
-from oakkeel.units import MS
+from oakkeel.units import BYTES_PER_MB, MS
 
 Address = tuple[str, int]
 
-BYTES_PER_MB = 1024 * 1024
 MAX_FLOW_LEVELS = 2
 MAX_FLOW_WEIGHT = 1e6
 MAX_PORT = 65535
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -8,12 +8,11 @@
 
 from oakkeel.log import LogFields
 from oakkeel.request import NodeRequest
-from oakkeel.units import MS, SECOND
+from oakkeel.units import BYTES_PER_MB, MS, SECOND
 
 MEDIAN = 0.5
 HIGH_QUANTILE = 0.99
 CPU_DECIMALS = 3
-BYTES_PER_MB = 2**20
 
 
 class Metrics:
--- a/oakkeel/resource_limits.py
+++ b/oakkeel/resource_limits.py
@@ -7,7 +7,7 @@
 from oakkeel.units import MS, SECOND
 
 MAX_ENGINE_LINKS = 2  # one may be closing while its successor opens
-BUFFERS_PER_STREAM = 2
+BUFFERS_PER_STREAM = 2  # a connection or a link is closing while its successor opens
 
 
 @dataclass(slots=True, frozen=True)
