--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -21,7 +21,9 @@
 FAILED = b"fault"
 HEALTHY = b"yes"
 UNHEALTHY = b"no"
-LAST = encode(b"0", b"last")
+# Asks the dispatcher to send no more requests on the connection and to close it.
+DRAIN_NOTICE = encode(b"0", b"last")
+FINAL_REJECTION = b"nomore=1"  # the field of an answer: no other node should be tried
 MALFORMED_STREAM = encode(b"0", FAILED)  # the tags of a stream that can't be parsed are unknown
 FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
 # The field by which duplicates are recognized. Reads with one subject ask for the same; non-idempotent
@@ -44,6 +46,11 @@
 class MalformedRequestError(OakkeelError, ValueError):
     """A CALL whose tag is valid but whose request class, fields or body are not."""
 
+    def __init__(self, message: str, request_id: bytes = b"") -> None:
+        """Say what is wrong, with the ID of the request if it was read."""
+        super().__init__(message)
+        self.request_id = request_id
+
 
 class RequestReader:
     """Makes requests from the tokens of a CALL, by the request classes and tenants of this node."""
@@ -83,12 +90,28 @@
         request_id = fields.get(b"req", b"")
         if not REQUEST_ID.fullmatch(request_id):
             raise MalformedRequestError("no id of 16 hexadecimal digits in req")
+        try:
+            return self._read_fields(tag, tokens[2], request_class, request_id, fields, body, connection)
+        except MalformedRequestError as error:
+            error.request_id = request_id
+            raise
+
+    def _read_fields(
+        self,
+        tag: int,
+        class_name: bytes,
+        request_class: RequestClass,
+        request_id: bytes,
+        fields: dict[bytes, bytes],
+        body: bytes,
+        connection: ResponseChannel,
+    ) -> NodeRequest:
         if len(body) > self._resource_limits.max_body_size:
             raise MalformedRequestError(f"a body of more than {self._resource_limits.max_body_size} bytes")
         age = self._age(fields)
         timeout = self._client_timeout(fields)
         if b"level" in fields:
-            self._number(fields, b"level", 1.0)
+            self._number(fields, b"level", 1.0)  # validated only: the node does not use it
         key_field = KEY_FIELDS.get(request_class.idempotency)
         key = fields.get(key_field, b"") if key_field else b""
         return NodeRequest(
@@ -103,7 +126,7 @@
             is_duplicate=False,
             request_id=request_id,
             tag=tag,
-            class_name=tokens[2],
+            class_name=class_name,
             body=body,
             cache_key=(request_class.index, fields.get(b"owner", b""), key) if key else None,
             connection=connection,
@@ -146,15 +169,18 @@
     status: bytes,
     load_report: float | None,
     body: bytes = b"",
-    last: bool = False,
+    final: bool = False,
     retry_after: int = 0,
 ) -> bytes:
-    """Encode an answer, or the answer to a check, with the load report; `retry_after` in nanoseconds."""
+    """Encode an answer, or the answer to a check, with the load report.
+
+    `final` says that no other node should be tried; `retry_after` is in nanoseconds, 0 for no advice.
+    """
     fields = []
     if load_report is not None:
         fields.append(b"signal=%.4f" % load_report)
     if retry_after:
         fields.append(b"holdoff=%d" % max(1, round(retry_after / MS)))
-    if last:
-        fields.append(b"nomore=1")
+    if final:
+        fields.append(FINAL_REJECTION)
     return encode(b"%d" % tag, status, b",".join(fields), body)
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -9,7 +9,7 @@
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest, ResponseChannel
 from oakkeel.resource_limits import ResourceLimits
-from oakkeel.stream_buffers import MalformedInputError
+from oakkeel.stream_buffers import ProtocolViolationError
 
 MAX_TAG_DIGITS = 18
 MAX_LOGGED_BYTES = 20  # of a token from the network
@@ -77,12 +77,12 @@
         self.violations = 0
 
     def handle(self, tokens: list[bytes]) -> None:
-        """Carry out one command. Raises MalformedInputError if the stream must not be read further."""
+        """Carry out one command. Raises ProtocolViolationError if the stream must not be read further."""
         verb = tokens[0]
         tag_token = tokens[1] if len(tokens) > 1 else b""
         tag = int(tag_token) if tag_token.isdigit() and len(tag_token) <= MAX_TAG_DIGITS else 0
         if not tag or (tag in self.open_requests and verb != codec.CANCEL):
-            raise MalformedInputError(
+            raise ProtocolViolationError(
                 f"{verb[:MAX_LOGGED_BYTES]!r} with a tag that is malformed or in use: "
                 f"{tag_token[:MAX_LOGGED_BYTES]!r}"
             )
@@ -97,21 +97,26 @@
         else:
             self._reject_malformed(tag, f"unknown verb {verb[:MAX_LOGGED_BYTES]!r}")
         if self.violations >= self._resource_limits.max_violations:
-            raise MalformedInputError(f"{self.violations} malformed requests on one connection")
+            raise ProtocolViolationError(f"{self.violations} malformed requests on one connection")
 
     def answer(
-        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self,
+        request: NodeRequest,
+        status: bytes,
+        body: bytes = b"",
+        final: bool = False,
+        retry_after: int = 0,
     ) -> None:
         """Write the one answer of a request; `retry_after` in nanoseconds."""
         self._write(
-            codec.encode_answer(request.tag, status, self._owner.load_report(), body, last, retry_after)
+            codec.encode_answer(request.tag, status, self._owner.load_report(), body, final, retry_after)
         )
         # After the write: an ending connection is shut down with its last answer.
         self._close_request(request)
 
-    def report_violation(self, event: str, why: str = "") -> None:
+    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
         """Log and count a malformed request: each costs time, and too many end the connection."""
-        self._log.warning(event, reason=why or None)
+        self._log.warning(event, reason=why or None, request_id=request_id.decode() or None)
         self.violations += 1
 
     def disconnect(self, request: NodeRequest) -> None:
@@ -133,23 +138,23 @@
             return
         if len(self.open_requests) >= self._resource_limits.max_open_requests:
             self._write(codec.encode_answer(tag, codec.REJECTED, owner.load_report()))
-            raise MalformedInputError(
+            raise ProtocolViolationError(
                 f"more than {self._resource_limits.max_open_requests} open requests on one connection"
             )
         try:
             request = reader.read(tag, tokens, self._channel)
             if owner.has_request(request.request_id):  # the open request must not be affected
-                raise codec.MalformedRequestError("the id of an open request")
+                raise codec.MalformedRequestError("the id of an open request", request.request_id)
         except codec.MalformedRequestError as error:
-            self._reject_malformed(tag, str(error))
+            self._reject_malformed(tag, str(error), error.request_id)
             return
         self.open_requests[tag] = request
         self.received_request = True
         owner.request_received(request)
 
-    def _reject_malformed(self, tag: int, why: str) -> None:
+    def _reject_malformed(self, tag: int, why: str, request_id: bytes = b"") -> None:
         self._write(codec.encode_answer(tag, codec.FAILED, self._owner.load_report()))
-        self.report_violation("request_malformed", why)
+        self.report_violation("request_malformed", why, request_id)
 
     def _close_request(self, request: NodeRequest) -> None:
         if self.open_requests.pop(request.tag, None) and not self.open_requests:
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -62,7 +62,9 @@
         self.read_buffer = ReadBuffer(pool)
         self._lifecycle = ConnectionLifecycle()
         self._writer = AnswerWriter(stream, self._shut_down_if_finished)
-        self._commands = CommandHandler(self, self._writer.write, resource_limits, owner, log, self._idle)
+        self._commands = CommandHandler(
+            self, self._writer.write, resource_limits, owner, log, self._on_became_idle
+        )
         self.arrays = ArrayReader(self.read_buffer, resource_limits.max_tokens, self._commands.handle)
         self._progress = Progress(stream)
 
@@ -89,14 +91,19 @@
     # Answers, as the handler of a request sees them.
 
     def answer(
-        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self,
+        request: NodeRequest,
+        status: bytes,
+        body: bytes = b"",
+        final: bool = False,
+        retry_after: int = 0,
     ) -> None:
         """Write the one answer of a request; `retry_after` in nanoseconds."""
-        self._commands.answer(request, status, body, last, retry_after)
+        self._commands.answer(request, status, body, final, retry_after)
 
-    def report_violation(self, event: str, why: str = "") -> None:
+    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
         """Log a malformed request, and count it against this connection."""
-        self._commands.report_violation(event, why)
+        self._commands.report_violation(event, why, request_id)
 
     # Reading.
 
@@ -107,7 +114,7 @@
             # A write shows whether the dispatcher still reads: if not, it resets the connection.
             self._finish()
             if self.open_requests:
-                self._writer.write(codec.LAST)
+                self._writer.write(codec.DRAIN_NOTICE)
             while self.open_requests or self.unsent:
                 await self._progress.wait(self._resource_limits.half_closed_poll)
                 if hung_up(self.stream.socket):
@@ -177,7 +184,7 @@
         """
         if self.state is ConnectionState.OPEN:
             self._lifecycle.change(ConnectionState.DRAINING)
-            self._writer.write(codec.LAST)
+            self._writer.write(codec.DRAIN_NOTICE)
             timeout = timeout or self._resource_limits.drain_notice_timeout
             self._lifecycle.start_timer(timeout, self._drain_expired, timeout)
 
@@ -212,7 +219,7 @@
             self.arrays.due_since = 0
         self._shut_down_if_finished()
 
-    def _idle(self) -> None:
+    def _on_became_idle(self) -> None:
         self._on_activity(self)
         self._shut_down_if_finished()
 
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -12,13 +12,15 @@
 from oakkeel.dispatch.command_handler import ConnectionOwner
 from oakkeel.dispatch.connection import Connection
 from oakkeel.log import EventLog, fault
-from oakkeel.resource_limits import ResourceLimits
+from oakkeel.resource_limits import BUFFERS_PER_STREAM, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
 from oakkeel.units import SECOND
 
 MAX_WAITING_CONNECTIONS = 1024  # for an accept, in the kernel
+# Reasons of `descriptors_exhausted`.
+CONNECTION_LIMIT = "connection_limit"
+NO_DESCRIPTOR = "no_descriptor"
 OUT_OF_RESOURCES = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
-BUFFERS_PER_LINK = 2  # a link is closing while its successor opens
 
 
 def eviction_candidate(
@@ -35,10 +37,12 @@
     """
     grace_start = now - limits.new_connection_grace
     silent = [connection for connection, since in without_requests.items() if since <= grace_start]
-    for connection in (*silent, *idle, *without_requests):
+    recently_accepted = [connection for connection, since in without_requests.items() if since > grace_start]
+    for connection in (*silent, *idle, *recently_accepted):
         if connection.is_idle():
             return connection
-    for connection in silent:
+    with_incomplete_array = silent  # not idle for the part of an array that they sent
+    for connection in with_incomplete_array:
         if not (connection.open_requests or connection.unsent or connection.has_incoming()):
             return connection
     return None
@@ -92,7 +96,7 @@
         connections would keep the listener open forever.
         """
         for _ in range(MAX_WAITING_CONNECTIONS // self.resource_limits.accepts_per_pass + 1):
-            if self.accepting and not self.resume_timer and not self._accept_some() and not self.resume_timer:
+            if self.accepting and not self.resume_timer and not self._accept_some():
                 break
             # Evicted connections end in the next pass, and release what the next ones need.
             await asyncio.sleep(self.resource_limits.accept_retry / SECOND if self.resume_timer else 0)
@@ -117,7 +121,9 @@
         open connections have received until then.
         """
         for _ in range(self.resource_limits.accepts_per_pass):
-            if self.pool.available <= BUFFERS_PER_LINK * self.resource_limits.max_links:  # reserved for links
+            if (
+                self.pool.available <= BUFFERS_PER_STREAM * self.resource_limits.max_links
+            ):  # reserved for links
                 self._pause()
                 return True
             try:
@@ -128,7 +134,7 @@
                 if error.errno not in OUT_OF_RESOURCES:
                     continue  # this connection was reset before it was accepted
                 self.log.warning("accept_failed", error=str(error))
-                if not self._evict_one():
+                if not self._evict_one(NO_DESCRIPTOR):
                     self._pause()
                     return True
                 continue
@@ -150,7 +156,9 @@
 
     def _accept(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
-        has_room = len(self.connections) < self.resource_limits.max_connections or self._evict_one()
+        has_room = len(self.connections) < self.resource_limits.max_connections or self._evict_one(
+            CONNECTION_LIMIT
+        )
         with contextlib.suppress(OSError):  # already reset: its stream fails
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = HalfClosingStream(
@@ -171,9 +179,9 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _evict_one(self) -> bool:
-        """Close one connection to make room for another; return whether there was one."""
-        self.log.warning("descriptors_exhausted")
+    def _evict_one(self, reason: str) -> bool:
+        """Close one connection to make room for another; return whether there was one. `reason` is logged."""
+        self.log.warning("descriptors_exhausted", reason=reason)
         connection = eviction_candidate(
             self.without_requests, self.idle, time.monotonic_ns(), self.resource_limits
         )
@@ -236,8 +244,8 @@
 
     # Idle connections.
 
-    def close_idle(self, timeout: int) -> None:
-        """Drain connections that are idle for `timeout` nanoseconds; 0: none."""
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Drain connections that are idle for `timeout` nanoseconds, from now on; 0: none."""
         self.idle_timeout = timeout
         self._drain_idle()
 
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -43,7 +43,7 @@
         self.gauges = Gauges()
         self.gauges_read_at = 0  # nanoseconds of the monotonic clock; 0: never
         self.healthy = True
-        self.advertised_share: float | None = None
+        self.load_report_value: float | None = None  # `NodeLimits.load_report` tells its meaning
         self.schedule_pending = False
         self.timer_tasks: set[asyncio.Task[None]] = set()
         self.admission: AdmissionController  # from `start_admission` on
@@ -79,7 +79,7 @@
         try:
             self.admission.schedule(time.monotonic_ns())
         except Exception as error:  # a defect must not stop the node
-            self.log.error("settle_failed", error=fault(error))
+            self.log.error("schedule_failed", error=fault(error))
 
     # Verdicts of the admission controller, for the handlers of the requests.
 
@@ -87,9 +87,12 @@
         """Let the engine run the request."""
         request.post(StartRun())
 
-    def reject(self, request: NodeRequest, last: bool, retry_after: int) -> None:
-        """Answer that the request is not admitted; `retry_after` in nanoseconds."""
-        request.post(RejectRequest(last, retry_after))
+    def reject(self, request: NodeRequest, final: bool, retry_after: int) -> None:
+        """Answer that the request is not admitted.
+
+        `final`: no other node should be tried; `retry_after` in nanoseconds, 0 for no advice.
+        """
+        request.post(RejectRequest(final, retry_after))
 
     def fail(self, request: NodeRequest) -> None:
         """Answer that the request failed."""
@@ -134,7 +137,7 @@
     async def _read_gauges_and_notify(self, token: int) -> None:
         """Pass a timer to the controller with fresh gauges, which it compares with the present runs."""
         try:
-            reply = self.engine.ask_gauges()
+            reply = self.engine.maintain_and_ask_gauges()
             if reply:
                 await asyncio.wait(
                     (reply,), timeout=self.configuration.resource_limits.gauges_timeout / SECOND
@@ -160,12 +163,12 @@
             self.directory_reporter.set_accepting(good)
 
     def report_load(self, value: float) -> None:
-        """Advertise the share of traffic that the node wants."""
-        self.advertised_share = value
+        """Report this value with each answer; `NodeLimits.load_report` tells its meaning."""
+        self.load_report_value = value
 
-    def close_idle(self, after: int) -> None:
-        """Close connections that are idle for `after` nanoseconds."""
-        self.listener.close_idle(after)
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Close connections that are idle for `timeout` nanoseconds, from now on; 0: none."""
+        self.listener.set_idle_timeout(timeout)
 
     def note(self, text: str) -> None:
         """Log a message of the admission controller."""
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -16,12 +16,17 @@
     """The connection of a request, as its handler sees it."""
 
     def answer(
-        self, request: NodeRequest, status: bytes, body: bytes = b"", last: bool = False, retry_after: int = 0
+        self,
+        request: NodeRequest,
+        status: bytes,
+        body: bytes = b"",
+        final: bool = False,
+        retry_after: int = 0,
     ) -> None:
         """Write the one answer of the request; `retry_after` in nanoseconds."""
 
-    def report_violation(self, event: str, why: str = "") -> None:
-        """Log a malformed request, and count it against the connection."""
+    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
+        """Log a malformed request, with its ID if known, and count it against the connection."""
 
 
 class DownstreamCall(Protocol):
