--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -38,7 +38,7 @@
 from oakkeel.store.database import Database
 from oakkeel.units import MS, SECOND
 
-RECONCILE_INTERVAL_NS = 100 * MS
+CYCLE_INTERVAL_NS = 100 * MS
 MAX_LOG_LINES_PER_SECOND = 50
 MAX_CONNECTIONS_PER_HOST = 3
 STATE_FOLDER_MODE = 0o700
@@ -72,7 +72,7 @@
         self.fleet = fleet if fleet and fleet.control_plane else None
         self._restore_state(seed)
         self.executor = InstanceExecutor(
-            settings, parts, self.supervisor, self.permit_holder, log, self.reconcile
+            settings, parts, self.supervisor, self.permit_holder, log, self.run_cycle
         )
         self.reconciler: Reconciler | None = None
         self.member: ControlPlaneMember | None = None
@@ -93,7 +93,7 @@
         instances = {
             each.name: Instance(each.name, host.site, phase_since=self.started_at) for each in host.instances
         }
-        is_same_boot = self._is_same_boot()
+        is_same_boot = self._record_boot()
         restore_instances(self.store, instances, is_same_boot)
         for instance in instances.values():
             instance.phase_since = self.started_at
@@ -115,7 +115,7 @@
         self.reconciler = Reconciler(self.supervisor, self.orders, permit_holder, services=service_names)
         restore_assignments(self.store, self.reconciler.assignments)
         self.member = ControlPlaneMember(
-            self.settings, agent_keys, self.reconciler, self.executor, self.reconcile, self.log
+            self.settings, agent_keys, self.reconciler, self.executor, self.run_cycle, self.log
         )
 
     def _make_permit_holder(self, fleet: Fleet, seed: int) -> PermitHolder:
@@ -127,8 +127,11 @@
         restore_permits(self.store, permit_holder)
         return permit_holder
 
-    def _is_same_boot(self) -> bool:
-        """Whether the host was not rebooted since the state was stored; stores the current boot."""
+    def _record_boot(self) -> bool:
+        """Store the ID of the current boot. Returns whether no reboot is known since the state was stored.
+
+        A new file has no boot to compare with, so the result is True for it.
+        """
         boot_id = read_boot_id()
         stored = self.store.read("SELECT id FROM boot")
         if stored == [(boot_id,)]:
@@ -177,9 +180,9 @@
             open_orders=self._open_orders(),
         )
         while not self.stop_requested.is_set():
-            self.reconcile()
+            self.run_cycle()
             try:
-                await asyncio.wait_for(self.stop_requested.wait(), RECONCILE_INTERVAL_NS / SECOND)
+                await asyncio.wait_for(self.stop_requested.wait(), CYCLE_INTERVAL_NS / SECOND)
             except TimeoutError:
                 continue
         self._close()
@@ -207,9 +210,9 @@
             notes += self.member.operator_notes()
         return notes
 
-    # Reconciliation.
+    # The cycle.
 
-    def reconcile(self) -> None:
+    def run_cycle(self) -> None:
         """Decide, store and execute once; no other function executes steps."""
         try:
             now = time.monotonic_ns()
--- a/oakkeel/agent/control_plane_member.py
+++ b/oakkeel/agent/control_plane_member.py
@@ -31,15 +31,15 @@
         agent_keys: dict[str, Key],
         reconciler: Reconciler,
         executor: InstanceExecutor,
-        reconcile: Callable[[], None],
+        run_cycle: Callable[[], None],
         log: EventLog,
     ) -> None:
-        """`reconcile` is called after each response and after each preparation of a release."""
+        """`run_cycle` is called after each response and after each preparation of a release."""
         self.host = settings.host
         self.agent_keys = agent_keys
         self.reconciler = reconciler
         self.executor = executor
-        self.reconcile = reconcile
+        self.run_cycle = run_cycle
         self.log = log
         self.artifacts = ArtifactStore(self.host, reconciler.assignments, log, self._artifacts_ready)
         executor.launcher.artifacts = self.artifacts
@@ -79,7 +79,7 @@
     def _response_received(self, response: HeartbeatResponse) -> None:
         if self.raft is None and self.host.name in response.voters and self.status_reporter:
             self._start_raft(self.status_reporter)
-        self.reconcile()
+        self.run_cycle()
         self.artifacts.prepare()
         self._prune_artifacts()
 
@@ -93,7 +93,7 @@
 
     def _artifacts_ready(self) -> None:
         """Report the result of a release's preparation with the next heartbeat, which is sent at once."""
-        self.reconcile()
+        self.run_cycle()
         self.wake()
 
     def operator_notes(self) -> list[str]:
--- a/oakkeel/agent/handler_context.py
+++ b/oakkeel/agent/handler_context.py
@@ -39,7 +39,7 @@
     def save(self) -> bool:
         """Write what changed; False if that fails."""
 
-    def reconcile(self) -> None:
+    def run_cycle(self) -> None:
         """Decide, write and execute once."""
 
     def operator_notes(self) -> Sequence[str]:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -1,5 +1,6 @@
 """Applies the leader's heartbeat responses on one host and builds its heartbeats. Free of I/O.
 
+The status reporter calls it for each heartbeat and response; `Agent.run_cycle` does not.
 It connects `PermitHolder`, which knows disruption permits, with `OrderRegistry` and `Supervisor`, which know
 instances.
 """
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -150,7 +150,7 @@
                 )
             agent.orders.confirm(order)
             _log_accepted(agent.log, order)
-            asyncio.get_running_loop().call_soon(agent.reconcile)
+            asyncio.get_running_loop().call_soon(agent.run_cycle)
         return order_status(now, order)
 
 
