--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -73,7 +73,7 @@
         self.futures: dict[Proposal, asyncio.Future[object]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.storage_error = ""  # why the file can't be written
-        self.is_leader = False
+        self.has_allocator = False  # of the control plane, when it was last logged
         self.retry_at = 0  # when to start the replica again, while there is none
         self.control_plane: ControlPlaneReplica | None = None
 
@@ -144,12 +144,12 @@
         if self.control_plane is None:
             return messages.NotLeaderResponse("", self.storage_error or "no replica runs on this host")
         try:
-            agreed, steps = self.control_plane.receive_heartbeat(time.monotonic_ns(), heartbeat)
+            response, outputs = self.control_plane.receive_heartbeat(time.monotonic_ns(), heartbeat)
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
-        self._execute(steps)
+        self._execute(outputs)
         self._schedule()
-        return messages.HeartbeatAccepted(agreed)
+        return messages.HeartbeatAccepted(response)
 
     async def propose(self, command: commands.Command | releases.Command) -> object:
         """Return the result of a command once it is committed.
@@ -158,10 +158,10 @@
         """
         if self.control_plane is None:
             raise NotLeaderError("", self.storage_error)
-        proposal, steps = self.control_plane.propose(time.monotonic_ns(), command)
+        proposal, outputs = self.control_plane.propose(time.monotonic_ns(), command)
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self.futures[proposal] = future
-        self._execute(steps)
+        self._execute(outputs)
         self._schedule()
         try:
             return await asyncio.wait_for(future, COMMIT_TIMEOUT_NS / SECOND)
@@ -190,43 +190,47 @@
             self.retry_at
         )  # an instant, as envelopes that arrive all the time would postpone a delay for ever
         if self.control_plane:
-            is_leader = self.control_plane.allocator is not None
-            interval = LEADER_TICK_INTERVAL_NS if is_leader else FOLLOWER_TICK_INTERVAL_NS
+            has_allocator = self.control_plane.allocator is not None
+            interval = LEADER_TICK_INTERVAL_NS if has_allocator else FOLLOWER_TICK_INTERVAL_NS
             at = min(self.control_plane.replica.next_tick_at(), now + interval)
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(max(MIN_TIMER_DELAY_NS, at - now) / SECOND, self._tick)
 
-    def _execute(self, all_steps: list[Output]) -> None:
+    def _execute(self, outputs: list[Output]) -> None:
         """Execute outputs in order; each is stored before anything of it is sent or reported."""
-        for steps in all_steps:
+        for output in outputs:
             if self.control_plane is None:
                 return
-            if steps.storage_update:
+            if output.storage_update:
                 durable = self.control_plane.replica.durable
                 try:
-                    self.file.write(durable, steps.storage_update)
+                    self.file.write(durable, output.storage_update)
                 except DatabaseError as error:
                     self._storage_failed(error)
                     return
-            for name, envelope in steps.envelopes:
+            for name, envelope in output.envelopes:
                 if name in self.keys:
                     self._peer(name).put(envelope)
-            for proposal in steps.completed:
+            for proposal in output.completed:
                 self._proposal_decided(proposal)
         if self.control_plane is not None:
             self._check_role(self.control_plane)
 
     def _check_role(self, control_plane: ControlPlaneReplica) -> None:
-        """Quarantine the file of a stale replica, and log when leadership was won or lost."""
+        """Quarantine the file of a stale replica, and log when leadership was won or lost.
+
+        A leader has an allocator from when it first holds its lease until it steps down. It
+        keeps it while the lease is expired, so this is not `RaftStatus.is_leader`, which needs a valid lease.
+        """
         replica = control_plane.replica
-        is_leader = control_plane.allocator is not None
+        has_allocator = control_plane.allocator is not None
         if replica.role is Role.STALE:
             self.file.quarantine(replica.stale_reason)
             self._start_replica()
-        elif is_leader != self.is_leader:
-            self.is_leader = is_leader
+        elif has_allocator != self.has_allocator:
+            self.has_allocator = has_allocator
             self.log.info(
-                "leader_elected" if is_leader else "leadership_lost",
+                "leader_elected" if has_allocator else "leadership_lost",
                 term=replica.term,
                 committed=replica.commit_index,
             )
