--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -135,9 +135,12 @@
 def _require_leader(now: int, raft: RaftRuntime) -> tuple[ControlPlaneReplica, PermitAllocator]:
     """The control plane of this leader. Raises NotLeaderError: only a leader with a lease knows the state."""
     control_plane = raft.control_plane
-    if control_plane is None or control_plane.allocator is None or not control_plane.replica.holds_lease(now):
+    if control_plane is None:
+        raise NotLeaderError("")
+    replica = control_plane.replica
+    if control_plane.allocator is None or not replica.holds_lease(now):
         raise NotLeaderError(
-            control_plane.replica.leader if control_plane and not control_plane.replica.leader_state else ""
+            replica.leader if not replica.leader_state else "", replica.lease_missing_reason()
         )
     return control_plane, control_plane.allocator
 
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -123,7 +123,8 @@
     def _require_leader(self, now: int) -> PermitAllocator:
         """Return the allocator of a leader that holds its lease. Raises NotLeaderError."""
         if self.allocator is None or not self.replica.holds_lease(now):
-            raise NotLeaderError(self.replica.leader if self.replica.leader != self.replica.name else "")
+            leader = self.replica.leader if self.replica.leader != self.replica.name else ""
+            raise NotLeaderError(leader, self.replica.lease_missing_reason())
         return self.allocator
 
     def _after(self, now: int, outputs: list[Output]) -> list[Output]:
--- a/oakkeel/raft/proposals.py
+++ b/oakkeel/raft/proposals.py
@@ -25,6 +25,11 @@
     result: object = None  # returned by the state machine, once the command is committed
 
 
+# Reasons of a replica that leads, and yet can't take a proposal or answer a read.
+LEASE_EXPIRED_REASON = "this replica leads, but its lease has expired"
+NOTHING_COMMITTED_REASON = "this replica leads, but has committed nothing in its term yet"
+
+
 class NotLeaderError(OakkeelError, ValueError):
     """The replica can't take a proposal. `leader` is the leader that it knows, or empty."""
 
--- a/oakkeel/raft/replica.py
+++ b/oakkeel/raft/replica.py
@@ -138,7 +138,7 @@
         """
         leader_state = self.leader_state
         if leader_state is None or not leader_state.has_committed(self.commit_index):
-            raise NotLeaderError(self.leader if leader_state is None else "")
+            raise NotLeaderError(self.leader if leader_state is None else "", self.lease_missing_reason())
         if len(content) > MAX_COMMAND_BYTES:
             raise ProposalLimitError(
                 self.name, f"the command has {len(content)} bytes; {MAX_COMMAND_BYTES} are allowed"
--- a/oakkeel/raft/state.py
+++ b/oakkeel/raft/state.py
@@ -11,7 +11,12 @@
 from oakkeel.raft.leader_state import LeaderState
 from oakkeel.raft.log import LogPosition, ReplicatedLog, Snapshot
 from oakkeel.raft.messages import Acknowledgement, Entry, EntryKind, Envelope, Member, Message
-from oakkeel.raft.proposals import Proposal, ProposalStatus
+from oakkeel.raft.proposals import (
+    LEASE_EXPIRED_REASON,
+    NOTHING_COMMITTED_REASON,
+    Proposal,
+    ProposalStatus,
+)
 from oakkeel.raft.quorum import is_majority
 from oakkeel.raft.roles import TRANSITIONS, Role
 from oakkeel.raft.timeouts import RaftTimeouts
@@ -121,6 +126,14 @@
             and now < leader_state.lease_until(now)
         )
 
+    def lease_missing_reason(self) -> str:
+        """Return why a replica that leads has no valid lease; empty if it does not lead."""
+        if self.leader_state is None:
+            return ""
+        if not self.leader_state.has_committed(self.commit_index):
+            return NOTHING_COMMITTED_REASON
+        return LEASE_EXPIRED_REASON
+
     def has_majority(self, incarnations: set[str]) -> bool:
         """Whether the incarnations include a majority of the voters."""
         return is_majority(incarnations, self.voters)
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -4,6 +4,7 @@
 
 from oakkeel.raft.elections import VoteDecision, decide_vote
 from oakkeel.raft.messages import EntryKind, Envelope, VoteRequest, encode_members
+from oakkeel.raft.proposals import LEASE_EXPIRED_REASON
 from oakkeel.raft.replica import Replica
 from oakkeel.raft.roles import Role
 from oakkeel.units import SECOND
@@ -45,6 +46,17 @@
         cluster.run(2 * SECOND, cluster.has_leader)
         self.assertIsNot(cluster.leader(), leader)
 
+    def test_leader_without_a_lease_says_that_it_leads(self):
+        cluster = Cluster("a", "b", "c")
+        leader = cluster.leader()
+        follower = next(each for each in cluster.replicas.values() if each is not leader)
+        cluster.cut_links = {(name, leader.name) for name in cluster.replicas}
+        cluster.run(cluster.timeouts.min_election_timeout_ns)
+        self.assertIs(leader.role, Role.LEADER)
+        self.assertFalse(leader.holds_lease(cluster.now))
+        self.assertEqual(leader.lease_missing_reason(), LEASE_EXPIRED_REASON)
+        self.assertEqual(follower.lease_missing_reason(), "")
+
     def test_removed_leader_steps_down(self):
         cluster = Cluster("a", "b", "c", "d")
         leader = cluster.leader()
