--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -191,8 +191,9 @@
     def permitted_steps(self, now: int, steps: list[Step]) -> list[Step]:
         """Return the steps that may be executed by now.
 
-        A permit is started in time and stored before the drain is sent. With a full disk, or an agent that is
-        killed in between, the drain would come late: the budget does not count what has crashed since then.
+        A permit is stored as started before the drain is sent. A full disk, or a restart of the agent, can
+        delay the drain. After `notify_before` it is not sent at all: other targets may have failed since the
+        grant.
         """
         holder = self.permit_holder
         if holder is None:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -186,9 +186,8 @@
         if self.timer:
             self.timer.cancel()
         now = time.monotonic_ns()
-        at = (
-            self.retry_at
-        )  # an instant, as envelopes that arrive all the time would postpone a delay for ever
+        # An instant, as envelopes that arrive all the time would postpone a delay for ever.
+        at = self.retry_at
         if self.control_plane:
             has_allocator = self.control_plane.allocator is not None
             interval = LEADER_TICK_INTERVAL_NS if has_allocator else FOLLOWER_TICK_INTERVAL_NS
--- a/oakkeel/disruption/expiry.py
+++ b/oakkeel/disruption/expiry.py
@@ -10,7 +10,8 @@
 from oakkeel.disruption.state import ControlPlaneState, DisruptionOrder, Lease, Permit
 from oakkeel.disruption.timeouts import PermitTimeouts
 
-MAX_STALE_GRANT_TIMES = 64  # kept for tokens that no permit has any more, beside one for each permit
+# Times of tokens that no permit has any more are forgotten once more are kept than two a permit and these.
+MAX_STALE_GRANT_TIMES = 64
 
 
 class ExpiryClock:
--- a/oakkeel/disruption/grants.py
+++ b/oakkeel/disruption/grants.py
@@ -120,7 +120,8 @@
     def find_violation(self, targets: list[str]) -> BudgetViolation | None:
         """Return the violation of a budget by grants for targets; None if there is none.
 
-        A target that is already unavailable needs room only among the permits.
+        Whatever is unavailable counts first: a target that is already unavailable adds nothing to that. Then
+        the permits alone count: a target without a permit adds one to each of its budgets.
         """
         by_permits = self.state_machine.unavailable
         return self.unavailable.find_violation(targets) or by_permits.find_violation(targets)
@@ -128,7 +129,8 @@
     def _grant(self, order: DisruptionOrder, targets: list[str]) -> commands.GrantPermits:
         """Return the grant of permits for targets, which count as unavailable from now on.
 
-        With a budget already exceeded, the permit is for targets that are down, and only while they stay so.
+        If a budget of the targets is already exceeded, a permit may be started only while its target has no
+        process: otherwise it would take one more out of service.
         """
         only_while_down = any(
             self.unavailable.is_exceeded(name)
--- a/oakkeel/disruption/messages.py
+++ b/oakkeel/disruption/messages.py
@@ -84,7 +84,5 @@
     generations: dict[str, int]
     voters: list[str] = []  # hosts that are members of the Raft group or should be
     extension: bytes = b""  # from the LeaderExtension
-    timestamp: tuple[int, int] = (
-        0,
-        0,
-    )  # nonce and clock of the leader; an agent that echoes it was alive after that
+    # Nonce and clock of the leader. An agent that echoes it was alive after that.
+    timestamp: tuple[int, int] = (0, 0)
--- a/oakkeel/disruption/topology.py
+++ b/oakkeel/disruption/topology.py
@@ -100,7 +100,7 @@
         return self.counts[name] > self.groups[name].max_unavailable
 
     def find_violation(self, targets: list[str]) -> BudgetViolation | None:
-        """Return the budget that would be exceeded without these targets as well; None if there is none.
+        """Return a budget that would be exceeded if these targets became unavailable too; else None.
 
         This is the rule of maximum unavailable: an unavailable target is not counted twice, and a service
         counts with the instances that depend on it.
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -90,9 +90,8 @@
         is_latest = _record_contact(peer, response.sent_at)
         snapshot = self.replica.log.snapshot
         if response.last_included_index != snapshot.index:
-            peer.needs_snapshot = (
-                False  # a later snapshot has replaced it: restart the transfer with that one
-            )
+            # A later snapshot has replaced it: restart the transfer with that one.
+            peer.needs_snapshot = False
         elif response.next_offset >= len(snapshot.content):
             peer.needs_snapshot = False
             _record_stored(peer, response.last_included_index)
