--- a/oakkeel/agent/host_status.py
+++ b/oakkeel/agent/host_status.py
@@ -49,7 +49,7 @@
         report_age=now - instance.last_report_at if instance.report else UNKNOWN_AGE,
         report=instance.report,
         order=_open_order(now, instance.task) if instance.task else None,
-        recent_crashes=len(instance.crashes),
+        recent_crashes=len(instance.crash_times),
         restarts_exhausted=instance.restarts_exhausted,
         starts_in=max(0, instance.start_not_before - now) if waits_for_start else 0,
         why=instance.why,
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -80,11 +80,12 @@
     drain_sent_at: int = 0  # when the drain was last sent to its process; 0: not yet
     kill_after_drain: bool = False  # it is killed when its drain timeout expires
     start_not_before: int = 0
-    failures: int = 0  # consecutive crashes, until it has served for `steady_after_ns`
-    crashes: deque[int] = field(default_factory=deque)  # times of crashes within the restart window
-    restarts_exhausted: bool = False  # its restart budget is spent
+    consecutive_crashes: int = 0  # until it has served for `steady_after_ns`
+    # Of its crashes, and of restarts because it was stuck, within the restart window.
+    crash_times: deque[int] = field(default_factory=deque)
+    restarts_exhausted: bool = False  # its restart budget is spent (stored as `resting`)
     why: str = ""  # the last error, for display
-    crash_count: int = 0  # since the agent started
+    crashes_since_agent_start: int = 0
     running_version: str = ""  # of its last report
     drain_cancellable: bool = False  # its drain goes by the control link, which can cancel it
     drain_cancelled: bool = False  # its drain was cancelled, and its process has not confirmed it
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -69,8 +69,8 @@
         instance.phase.value,
         instance.kill_after_drain,
         instance.start_not_before,
-        instance.failures,
-        json.dumps(list(instance.crashes)),
+        instance.consecutive_crashes,
+        json.dumps(list(instance.crash_times)),
         instance.restarts_exhausted,
         instance.why,
     )
@@ -119,7 +119,7 @@
             phase,
             kill,
             each.start_not_before,
-            each.failures,
+            each.consecutive_crashes,
             deaths,
             resting,
             each.why,
@@ -129,12 +129,12 @@
         each.restarts_exhausted = bool(resting)
         each.goal = Goal(goal)
         each.phase = Phase(phase)
-        each.crashes = deque(json.loads(deaths))
+        each.crash_times = deque(json.loads(deaths))
         if not same_boot:
             each.start_not_before = 0
-            each.failures = 0
+            each.consecutive_crashes = 0
             each.restarts_exhausted = False
-            each.crashes.clear()
+            each.crash_times.clear()
 
 
 def restore_orders(store: Database, orders: OrderRegistry) -> None:
--- a/oakkeel/agent/supervision_rules.py
+++ b/oakkeel/agent/supervision_rules.py
@@ -74,30 +74,34 @@
     """When a crashed instance may be started again."""
 
     start_not_before: int
-    budget_spent: bool  # it waits until its oldest crash leaves the restart window
+    restarts_exhausted: bool  # it waits until its oldest crash leaves the restart window
 
 
 def decide_restart(
-    now: int, crashes: deque[int], failures: int, timeouts: SupervisionTimeouts, random_value: float
+    now: int,
+    crash_times: deque[int],
+    consecutive_crashes: int,
+    timeouts: SupervisionTimeouts,
+    random_value: float,
 ) -> RestartDecision:
     """Decide when a crashed instance is started again.
 
-    A crash loop must not use up the host, so each of `failures` consecutive crashes doubles the backoff, and
-    the budget of the restart window bounds all restarts. `crashes` holds the crashes in the window with this
+    A crash loop must not use up the host, so each of the `consecutive_crashes` doubles the backoff, and the
+    budget of the restart window bounds all restarts. `crash_times` holds the crashes in the window with this
     one; `random_value` is uniform in [0, 1).
     """
-    delay = exponential_delay(timeouts.min_backoff_ns, timeouts.max_backoff_ns, failures)
+    delay = exponential_delay(timeouts.min_backoff_ns, timeouts.max_backoff_ns, consecutive_crashes)
     start_not_before = now + with_jitter(delay, random_value)
-    if len(crashes) <= timeouts.max_restarts:
-        return RestartDecision(start_not_before, budget_spent=False)
-    window_end = crashes[0] + timeouts.restart_window_ns
-    return RestartDecision(max(start_not_before, window_end), budget_spent=True)
+    if len(crash_times) <= timeouts.max_restarts:
+        return RestartDecision(start_not_before, restarts_exhausted=False)
+    window_end = crash_times[0] + timeouts.restart_window_ns
+    return RestartDecision(max(start_not_before, window_end), restarts_exhausted=True)
 
 
-def forget_old_crashes(now: int, crashes: deque[int], window_ns: int) -> None:
+def forget_old_crashes(now: int, crash_times: deque[int], window_ns: int) -> None:
     """Remove crashes that are no longer within the restart window."""
-    while crashes and crashes[0] <= now - window_ns:
-        crashes.popleft()
+    while crash_times and crash_times[0] <= now - window_ns:
+        crash_times.popleft()
 
 
 def wants_start(now: int, instance: Instance) -> bool:
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -86,7 +86,7 @@
             instance.kill_after_drain = False
             self._transition(now, instance, reported_phase)
         if instance.phase is Phase.SERVING and now - instance.phase_since > self.timeouts.steady_after_ns:
-            instance.failures = 0
+            instance.consecutive_crashes = 0
 
     def process_started(self, now: int, instance: Instance) -> None:
         """Note that its process was started."""
@@ -147,15 +147,17 @@
         """Count a crash and set when the instance may be started again."""
         timeouts = self.timeouts
         instance.why = why
-        instance.crash_count += 1
-        instance.crashes.append(now)
-        forget_old_crashes(now, instance.crashes, timeouts.restart_window_ns)
-        while len(instance.crashes) > timeouts.max_restarts + 1:
-            instance.crashes.popleft()
-        decision = decide_restart(now, instance.crashes, instance.failures, timeouts, self.random())
-        instance.failures += 1
+        instance.crashes_since_agent_start += 1
+        instance.crash_times.append(now)
+        forget_old_crashes(now, instance.crash_times, timeouts.restart_window_ns)
+        while len(instance.crash_times) > timeouts.max_restarts + 1:
+            instance.crash_times.popleft()
+        decision = decide_restart(
+            now, instance.crash_times, instance.consecutive_crashes, timeouts, self.random()
+        )
+        instance.consecutive_crashes += 1
         instance.start_not_before = decision.start_not_before
-        if decision.budget_spent:
+        if decision.restarts_exhausted:
             instance.restarts_exhausted = True
 
     # Commands.
@@ -165,9 +167,9 @@
         instance.goal = Goal.UP
         instance.dirty = True
         instance.start_not_before = now
-        instance.failures = 0
+        instance.consecutive_crashes = 0
         instance.restarts_exhausted = False
-        instance.crashes.clear()
+        instance.crash_times.clear()
 
     def order_stop(self, now: int, instance: Instance, kill: bool, cancellable: bool = False) -> None:
         """Drain it; with `kill` it is killed after its drain timeout, with `cancellable` it can be
@@ -252,10 +254,10 @@
 
     def _spend_restart(self, now: int, instance: Instance) -> bool:
         """Charge a restart to the restart budget; False if it is spent."""
-        forget_old_crashes(now, instance.crashes, self.timeouts.restart_window_ns)
-        if len(instance.crashes) >= self.timeouts.max_restarts:
+        forget_old_crashes(now, instance.crash_times, self.timeouts.restart_window_ns)
+        if len(instance.crash_times) >= self.timeouts.max_restarts:
             return False
-        instance.crashes.append(now)
+        instance.crash_times.append(now)
         return True
 
     def _start(self, now: int, instance: Instance) -> None:
--- a/oakkeel/agent/target_status.py
+++ b/oakkeel/agent/target_status.py
@@ -28,7 +28,7 @@
         instance.phase.value,
         now - instance.last_report_at if report is not None else NO_REPORT_AGE,
         instance.restarts_exhausted,
-        instance.crash_count,
+        instance.crashes_since_agent_start,
     )
     if isinstance(report, NodeStatus):
         status.load = report.load
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -73,9 +73,9 @@
         host = self.serving(steady_after_ns=10 * SECOND)
         host.crash(host.instances[0])
         host.run(5)
-        self.assertEqual(host.instances[0].failures, 1)
+        self.assertEqual(host.instances[0].consecutive_crashes, 1)
         host.run(10)
-        self.assertEqual(host.instances[0].failures, 0)
+        self.assertEqual(host.instances[0].consecutive_crashes, 0)
 
     def test_ignores_a_report_of_another_generation(self):
         host = self.serving()
@@ -103,7 +103,7 @@
         started = host.instances[0]
         started.spawned = False  # the agent ended before that was stored
         host.supervisor.process_not_found(host.now, started, recorded_generation=started.process_generation)
-        self.assertEqual((started.phase, len(started.crashes)), (Phase.FAILING, 1))
+        self.assertEqual((started.phase, len(started.crash_times)), (Phase.FAILING, 1))
 
     def test_adopts_a_found_process_and_reuses_the_generation_of_one_never_started(self):
         host = SimulatedHost()
