--- a/oakkeel/agent/host_status.py
+++ b/oakkeel/agent/host_status.py
@@ -5,7 +5,7 @@
 import time
 
 from oakkeel.agent import messages
-from oakkeel.agent.instances import Goal, Instance, Order, Phase, Task, TaskState
+from oakkeel.agent.instances import Goal, HostTaskState, Instance, Order, Phase, Task
 from oakkeel.agent.supervisor import Supervisor
 from oakkeel.settings.types import HostSettings
 
@@ -74,7 +74,7 @@
     ]
     known = {task.instance for task in tasks}
     tasks += [
-        messages.TaskStatus(name, TaskState.REFUSED.value, 0, "this host has no such instance")
+        messages.TaskStatus(name, HostTaskState.REFUSED.value, 0, "this host has no such instance")
         for name, _ in order.requested
         if name not in known
     ]
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -108,7 +108,7 @@
     RESTART = "restart"
 
 
-class TaskState(Enum):
+class HostTaskState(Enum):
     """The state of an order on one instance; the values are wire and stored forms."""
 
     REFUSED = "refused"
@@ -121,13 +121,14 @@
     EXPIRED = "expired"
 
 
-OPEN_STATES = (TaskState.WAITING, TaskState.ACTING)
-FINAL_STATES = frozenset(TaskState) - set(OPEN_STATES) - {TaskState.REFUSED}
+OPEN_HOST_TASK_STATES = (HostTaskState.WAITING, HostTaskState.ACTING)
+OPEN_HOST_TASK_STATE_VALUES = tuple(state.value for state in OPEN_HOST_TASK_STATES)
+FINAL_STATES = frozenset(HostTaskState) - set(OPEN_HOST_TASK_STATES) - {HostTaskState.REFUSED}
 TASK_TRANSITIONS = {
-    TaskState.WAITING: {TaskState.ACTING} | FINAL_STATES,
-    TaskState.ACTING: FINAL_STATES - {TaskState.EXPIRED},
+    HostTaskState.WAITING: {HostTaskState.ACTING} | FINAL_STATES,
+    HostTaskState.ACTING: FINAL_STATES - {HostTaskState.EXPIRED},
     **{state: frozenset() for state in FINAL_STATES},
-    TaskState.REFUSED: frozenset(),
+    HostTaskState.REFUSED: frozenset(),
 }
 
 
@@ -136,7 +137,7 @@
     """The fields of a task that `undo` restores."""
 
     task: Task
-    state: TaskState
+    state: HostTaskState
     state_since: int
     why: str
 
@@ -158,7 +159,7 @@
     order: Order
     instance: Instance
     generation: int  # of the instance, as the operator saw it
-    state: TaskState = TaskState.WAITING
+    state: HostTaskState = HostTaskState.WAITING
     state_since: int = 0
     why: str = ""
     drain_sent: bool = False  # whether its process may have received the drain
@@ -168,7 +169,7 @@
     @property
     def is_open(self) -> bool:
         """Whether it is waiting or acting."""
-        return self.state in OPEN_STATES
+        return self.state in OPEN_HOST_TASK_STATES
 
 
 @dataclass(slots=True, eq=False)
--- a/oakkeel/agent/order_rules.py
+++ b/oakkeel/agent/order_rules.py
@@ -5,7 +5,7 @@
 import time
 from dataclasses import dataclass
 
-from oakkeel.agent.instances import Phase, Task, TaskState, Verb
+from oakkeel.agent.instances import HostTaskState, Phase, Task, Verb
 from oakkeel.errors import OakkeelError
 from oakkeel.units import SECOND
 
@@ -33,7 +33,7 @@
 class TaskOutcome:
     """How a task ends, with the reason for the operator."""
 
-    state: TaskState
+    state: HostTaskState
     why: str = ""
 
 
@@ -83,12 +83,12 @@
     """
     instance = task.instance
     if _is_complete(task):
-        return TaskOutcome(TaskState.DONE)
+        return TaskOutcome(HostTaskState.DONE)
     if instance.restarts_exhausted:
-        return TaskOutcome(TaskState.FAILED, f"the restart budget is spent: {instance.why}")
+        return TaskOutcome(HostTaskState.FAILED, f"the restart budget is spent: {instance.why}")
     if now >= task.order.expires_at:
         return TaskOutcome(
-            TaskState.FAILED, f"the order expired while the instance was {instance.phase.value}"
+            HostTaskState.FAILED, f"the order expired while the instance was {instance.phase.value}"
         )
     return None
 
@@ -107,12 +107,15 @@
 
 def needs_permit_to_drain(task: Task) -> bool:
     """Whether the drain of a task that is about to be sent for the first time needs a valid permit."""
-    return not task.drain_sent and task.state is TaskState.ACTING and task.order.verb is not Verb.START
+    return not task.drain_sent and task.state is HostTaskState.ACTING and task.order.verb is not Verb.START
 
 
 def has_taken_out(task: Task) -> bool:
     """Whether a task has taken its instance out of service."""
-    return task.state in (TaskState.ACTING, TaskState.DONE) and task.order.verb in (Verb.DRAIN, Verb.STOP)
+    return task.state in (HostTaskState.ACTING, HostTaskState.DONE) and task.order.verb in (
+        Verb.DRAIN,
+        Verb.STOP,
+    )
 
 
 def _time_of_day(unix_ns: int) -> str:
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -10,16 +10,16 @@
 from collections.abc import Callable
 
 from oakkeel.agent.instances import (
-    OPEN_STATES,
+    OPEN_HOST_TASK_STATES,
     TASK_TRANSITIONS,
     Goal,
+    HostTaskState,
     Instance,
     InstanceSnapshot,
     Order,
     Phase,
     Task,
     TaskSnapshot,
-    TaskState,
     Verb,
 )
 from oakkeel.agent.order_rules import (
@@ -96,14 +96,14 @@
         task = Task(order, instance, generation, state_since=now)
         order.tasks.append(task)
         if why := rejection_reason(task, supersede):
-            task.state = TaskState.REFUSED
+            task.state = HostTaskState.REFUSED
             task.why = why
             return
         task.before = _snapshot(instance)
         changed_by = f"{order.operator}: {order.verb.value}"
         if instance.task is not None:
             why = f"by {order.operator}, {order.verb.value}"
-            self._transition(now, instance.task, TaskState.SUPERSEDED, why)
+            self._transition(now, instance.task, HostTaskState.SUPERSEDED, why)
         instance.task = task
         instance.dirty = True
         instance.generation += 1
@@ -132,9 +132,9 @@
         if order is None:
             raise OrderRejectedError("no such order")
         for task in order.tasks:
-            if task.state is TaskState.WAITING:
-                self._transition(now, task, TaskState.CANCELLED, f"by {operator}")
-            elif task.state is TaskState.ACTING:
+            if task.state is HostTaskState.WAITING:
+                self._transition(now, task, HostTaskState.CANCELLED, f"by {operator}")
+            elif task.state is HostTaskState.ACTING:
                 task.why = f"started before {operator} cancelled the order"
                 self.changed.add(order)
         return order
@@ -143,8 +143,8 @@
         """Cancel an order with its started tasks, and restore the instances that it has drained."""
         for task in order.tasks:
             is_taken_out = has_taken_out(task)
-            if task.state in OPEN_STATES:
-                self._transition(now, task, TaskState.CANCELLED, f"by {operator}")
+            if task.state in OPEN_HOST_TASK_STATES:
+                self._transition(now, task, HostTaskState.CANCELLED, f"by {operator}")
             if is_taken_out and task.instance.goal is Goal.DOWN and task.instance.task is None:
                 self.supervisor.cancel_stop(now, task.instance)
 
@@ -153,13 +153,13 @@
     def advance(self, now: int) -> None:
         """Start the tasks that may start and end those that are over; `Supervisor.tick` returns the steps."""
         for task in list(self.open_tasks):
-            if task.state is TaskState.WAITING:
+            if task.state is HostTaskState.WAITING:
                 if now >= task.order.expires_at:
                     why = "the order expired before the disruption budget allowed it"
-                    self._transition(now, task, TaskState.EXPIRED, why)
+                    self._transition(now, task, HostTaskState.EXPIRED, why)
                 elif task.order.verb is Verb.START or self._may_take_out(now, task):
                     self._start_task(now, task)
-            if task.state is TaskState.ACTING and (outcome := task_outcome(now, task)):
+            if task.state is HostTaskState.ACTING and (outcome := task_outcome(now, task)):
                 self._transition(now, task, outcome.state, outcome.why)
         # Superseded tasks are removed only here, as `undo` may open them again.
         self.open_tasks = [task for task in self.open_tasks if task.is_open]
@@ -177,7 +177,7 @@
         if self.permit_holder and verb is not Verb.START:
             self.permit_holder.start(now, instance.name)
         task.replaces_generation = instance.process_generation
-        self._transition(now, task, TaskState.ACTING)
+        self._transition(now, task, HostTaskState.ACTING)
         if verb is Verb.START:
             if not instance.alive or instance.phase is Phase.DRAINING:
                 self.supervisor.order_start(now, instance)
@@ -213,7 +213,7 @@
             return True
         if reported_state:
             why = "its disruption permit expired before the drain was sent"
-            self._transition(now, task, TaskState.CANCELLED, why)
+            self._transition(now, task, HostTaskState.CANCELLED, why)
             self.supervisor.revert_unsent_drain(now, instance, reported_state)
         else:
             instance.drain_sent_at = 0  # decided again once its process reports whether it drains
@@ -222,7 +222,7 @@
     def fail_all(self, now: int, why: str) -> None:
         """End all open tasks as failed: the host was rebooted, and what they were for no longer runs."""
         for task in self.open_tasks:
-            self._transition(now, task, TaskState.FAILED, why)
+            self._transition(now, task, HostTaskState.FAILED, why)
         self.open_tasks.clear()
 
     # State.
@@ -236,7 +236,7 @@
                     task.instance.task = task
                     self.open_tasks.append(task)
 
-    def _transition(self, now: int, task: Task, state: TaskState, why: str = "") -> None:
+    def _transition(self, now: int, task: Task, state: HostTaskState, why: str = "") -> None:
         """Change the state of a task; no other function does. Raises InvalidTransitionError."""
         if state not in TASK_TRANSITIONS[task.state]:
             raise InvalidTransitionError(f"order {task.order.order_id}", task.state.value, state.value)
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -8,29 +8,29 @@
 from __future__ import annotations
 
 from oakkeel.agent.downstream_services import DownstreamServices
-from oakkeel.agent.instances import Goal, Instance, Order, Phase, Task, TaskState, Verb
+from oakkeel.agent.instances import Goal, HostTaskState, Instance, Order, Phase, Task, Verb
 from oakkeel.agent.order_rules import OrderRejectedError, OrderSubmission
 from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.supervisor import Supervisor
 from oakkeel.agent.target_status import in_flight_summary, instance_status, service_status
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.messages import AssignedOrder, Heartbeat, HeartbeatResponse, TaskResult
+from oakkeel.disruption.state import OPEN_FLEET_TASK_STATES
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.messages import TargetStatus
 
 DEFAULT_GENERATION_BLOCK = 64
 CONTROL_PLANE = "the control plane"  # named as the operator who cancelled an order that has ended there
-# States on the wire: of results, and of tasks that the control plane takes for open.
+# States of results on the wire.
 RESULT_STATES = {
-    TaskState.DONE: "done",
-    TaskState.FAILED: "failed",
-    TaskState.REFUSED: "refused",
-    TaskState.CANCELLED: "cancelled",
-    TaskState.SUPERSEDED: "failed",
-    TaskState.EXPIRED: "expired",
+    HostTaskState.DONE: "done",
+    HostTaskState.FAILED: "failed",
+    HostTaskState.REFUSED: "refused",
+    HostTaskState.CANCELLED: "cancelled",
+    HostTaskState.SUPERSEDED: "failed",
+    HostTaskState.EXPIRED: "expired",
 }
 STARTED_STATE = "out"
-OPEN_STATES = ("waiting", "granted", STARTED_STATE)
 TAKE_OUT_VERBS = (Verb.DRAIN.value, Verb.STOP.value)
 
 
@@ -101,7 +101,7 @@
         permit = self.permit_holder.permits.get(instance.name)
         if permit is None or not permit.started:
             return
-        is_acting = instance.task is not None and instance.task.state is TaskState.ACTING
+        is_acting = instance.task is not None and instance.task.state is HostTaskState.ACTING
         if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not is_acting:
             self.permit_holder.mark_restored(instance.name)
         else:
@@ -115,7 +115,7 @@
             tasks = {task.instance.name: task for task in known.tasks} if known else {}
             for assigned in order.tasks:
                 target = assigned.target
-                if assigned.state not in OPEN_STATES or target in self.services.up:
+                if assigned.state not in OPEN_FLEET_TASK_STATES or target in self.services.up:
                     continue
                 if result := self._task_result(order, target, assigned.state, tasks.get(target)):
                     results.append(result)
@@ -187,7 +187,7 @@
                 continue
             if assigned.cancelled_by:
                 self.orders.revert(now, order, assigned.cancelled_by)
-            elif assigned.halted_by and any(task.state is TaskState.WAITING for task in order.tasks):
+            elif assigned.halted_by and any(task.state is HostTaskState.WAITING for task in order.tasks):
                 self.orders.cancel(now, order.order_id, assigned.halted_by)
         return accepted
 
@@ -196,7 +196,7 @@
         ended = [
             task.order
             for task in self.orders.open_tasks
-            if task.state is TaskState.WAITING
+            if task.state is HostTaskState.WAITING
             and task.order.verb is not Verb.START
             and task.order.order_id not in open_ids
         ]
@@ -253,7 +253,7 @@
         return tuple(
             (task.target, task.generation)
             for task in assigned.tasks
-            if task.state in OPEN_STATES
+            if task.state in OPEN_FLEET_TASK_STATES
             and (assigned.id, task.target) not in self.rejections
             and task.target in self.orders.instances
         )
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from oakkeel.agent.instances import Goal, Instance, Order, Phase, Task, TaskState, Verb
+from oakkeel.agent.instances import Goal, HostTaskState, Instance, Order, Phase, Task, Verb
 from oakkeel.agent.orders import OrderRegistry
 from oakkeel.disruption.holder import PermitHolder, StoredPermit
 from oakkeel.rollout.assignments import VersionAssignments
@@ -155,7 +155,7 @@
                     found[order_id],
                     instance,
                     generation,
-                    TaskState(state),
+                    HostTaskState(state),
                     since,
                     why,
                     drain_sent=bool(replaces),
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -28,6 +28,7 @@
     stdout_console,
 )
 from oakkeel.cli.selection import select_rows, selected_services
+from oakkeel.disruption.state import OPEN_FLEET_TASK_STATES
 from oakkeel.fleet.agent_clients import (
     MAX_LEADER_SEARCH_DEADLINES,
     NO_LEADER_TEXT,
@@ -39,7 +40,6 @@
 
 NOTHING_COMMITTED_TEXT = "nothing new is committed, running instances keep serving"
 WAITING_STATES = ("waiting", "granted")  # of a task whose target still serves
-OPEN_STATES = (*WAITING_STATES, "out")
 ENDED_STATES = ("out", "halted", "cancelled", "done")  # of a task, where ending its order succeeded
 
 # Maximum waits, in deadlines of one request.
@@ -88,11 +88,11 @@
         wait
         and isinstance(response, messages.FleetOrderStatus)
         and time.monotonic_ns() < until
-        and any(task.state in OPEN_STATES for task in response.tasks)
+        and any(task.state in OPEN_FLEET_TASK_STATES for task in response.tasks)
     ):
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
         response = await _order_status(client, order.order_id)
-    return _print_order(client, response, () if wait else OPEN_STATES)
+    return _print_order(client, response, () if wait else OPEN_FLEET_TASK_STATES)
 
 
 async def _order_targets(client: FleetClient, selection: Selection) -> list[tuple[str, int]]:
@@ -128,7 +128,7 @@
 def _is_unsettled(task: messages.FleetTaskStatus, cancel: bool) -> bool:
     """Return whether a halted task may still take effect, or a cancelled one is still in effect."""
     if cancel:
-        return task.state in OPEN_STATES or bool(task.fence)
+        return task.state in OPEN_FLEET_TASK_STATES or bool(task.fence)
     return task.state in WAITING_STATES
 
 
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -14,6 +14,7 @@
 from rich.table import Table
 
 from oakkeel.agent import messages
+from oakkeel.agent.instances import OPEN_HOST_TASK_STATE_VALUES
 from oakkeel.cli.common import (
     EXIT_CODES_HELP,
     RUN_TIME_OPTION,
@@ -35,8 +36,6 @@
 from oakkeel.rendering.tables import plain_table
 from oakkeel.rendering.times import NANOSECONDS_PER_SECOND, format_duration
 
-OPEN_STATES = ("waiting", "acting")
-
 
 def row_json(row: Row) -> dict[str, object]:
     """Return the JSON document of a row."""
@@ -219,7 +218,9 @@
 
 
 def _is_open(order: list[HostOrder]) -> bool:
-    return any(task.state in OPEN_STATES for on_host in order for task in on_host.status.tasks)
+    return any(
+        task.state in OPEN_HOST_TASK_STATE_VALUES for on_host in order for task in on_host.status.tasks
+    )
 
 
 def _order_json(order: list[HostOrder]) -> dict[str, object]:
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -13,6 +13,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
 from oakkeel.agent import messages
+from oakkeel.agent.instances import OPEN_HOST_TASK_STATE_VALUES
 from oakkeel.cli.common import (
     ALL_OPTION,
     EXIT_CODES_HELP,
@@ -38,7 +39,6 @@
 from oakkeel.rendering.tables import plain_table
 from oakkeel.rendering.times import format_duration
 
-OPEN_STATES = ("waiting", "acting")
 GOOD_STATES = ("done",)
 ORDER_ID_BYTES = 6
 MAX_FOLLOW_DEADLINES = 2  # after the timeout of an order, in deadlines of one request
@@ -154,7 +154,13 @@
         return
     table = plain_table("instance", "state", "for", "remarks", title=f"{verb}, order {ident}")
     for task in sorted(tasks, key=lambda task: task.instance):
-        style = "green" if task.state in GOOD_STATES else "cyan" if task.state in OPEN_STATES else "red"
+        style = (
+            "green"
+            if task.state in GOOD_STATES
+            else "cyan"
+            if task.state in OPEN_HOST_TASK_STATE_VALUES
+            else "red"
+        )
         table.add_row(task.instance, f"[{style}]{task.state}[/]", format_duration(task.age), task.why)
     stdout_console.print(table)
 
@@ -191,7 +197,9 @@
     if silent:
         return ExitCode.SOME_SILENT
     return (
-        ExitCode.SOME_FAILED if any(task.state in OPEN_STATES for task in tasks.values()) else ExitCode.DONE
+        ExitCode.SOME_FAILED
+        if any(task.state in OPEN_HOST_TASK_STATE_VALUES for task in tasks.values())
+        else ExitCode.DONE
     )
 
 
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -18,7 +18,7 @@
 from oakkeel.disruption.grants import GrantPlanner
 from oakkeel.disruption.messages import Heartbeat, HeartbeatResponse
 from oakkeel.disruption.sessions import AgentSession, is_outdated, new_session
-from oakkeel.disruption.state import DisruptionOrder, Rejection, TaskState
+from oakkeel.disruption.state import DisruptionOrder, FleetTaskState, Rejection
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.timeouts import PermitTimeouts
 from oakkeel.disruption.topology import (
@@ -78,7 +78,7 @@
             for host in sorted({self.host_of[target] for target in order.tasks if target in self.host_of}):
                 self.responses.orders_by_host.setdefault(host, []).append(order.id)
         for target, task in order.tasks.items():
-            if task.state == TaskState.WAITING:
+            if task.state == FleetTaskState.WAITING:
                 self.planner.enqueue(order.id, target)
 
     def receive_heartbeat(self, now: int, heartbeat: Heartbeat) -> list[commands.Command]:
@@ -130,7 +130,7 @@
         orders = self.state_machine.state.orders
         for order_id in self.clock.order_submitted_at:
             task = orders[order_id].tasks.get(target) if order_id in orders else None
-            if task and task.state == TaskState.WAITING:
+            if task and task.state == FleetTaskState.WAITING:
                 self.planner.enqueue(order_id, target)
 
     def lost(self, command: msgspec.Struct) -> None:
--- a/oakkeel/disruption/grants.py
+++ b/oakkeel/disruption/grants.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.state import DisruptionOrder, TaskState
+from oakkeel.disruption.state import DisruptionOrder, FleetTaskState
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import PROPOSED_REASON, UNKNOWN_REASON, BudgetViolation, UnavailableTargets
 
@@ -98,7 +98,7 @@
         A grant needs an agent that is there to use it, no other permit for the target, and room in each
         budget of the target and of what depends on it. So no budget is exceeded, whoever else is unavailable.
         """
-        if order.tasks[target].state != TaskState.WAITING:
+        if order.tasks[target].state != FleetTaskState.WAITING:
             return GrantDecision.NOT_WAITING
         if is_group_exhausted and target not in self.unavailable.reasons:
             return GrantDecision.GROUP_EXHAUSTED
@@ -143,4 +143,4 @@
 
 
 def _has_begun(order: DisruptionOrder) -> bool:
-    return any(task.state != TaskState.WAITING for task in order.tasks.values())
+    return any(task.state != FleetTaskState.WAITING for task in order.tasks.values())
--- a/oakkeel/disruption/order_handlers.py
+++ b/oakkeel/disruption/order_handlers.py
@@ -12,8 +12,8 @@
     TIMEOUT_OPERATOR,
     DisruptionOrder,
     DisruptionTask,
+    FleetTaskState,
     Rejection,
-    TaskState,
 )
 
 MAX_OPEN_ORDERS = 256
@@ -37,10 +37,10 @@
     tasks = {target: DisruptionTask(generation) for target, generation in command.targets}
     for target, task in tasks.items():
         if conflict := _conflict(view, command.verb, target):
-            task.move(TaskState.REFUSED, conflict)
-    if command.atomic and any(task.state == TaskState.REFUSED for task in tasks.values()):
+            task.move(FleetTaskState.REFUSED, conflict)
+    if command.atomic and any(task.state == FleetTaskState.REFUSED for task in tasks.values()):
         for task in tasks.values():
-            task.move(TaskState.REFUSED, NOT_ATOMIC_REASON)
+            task.move(FleetTaskState.REFUSED, NOT_ATOMIC_REASON)
     order = DisruptionOrder(
         command.order_id,
         command.operator,
@@ -113,7 +113,7 @@
     if order is None:
         return Rejection(f"unknown order {command.order_id}")
     order.halted_by = order.halted_by or command.operator
-    order.end_waiting(TaskState.HALTED, f"by {command.operator}")
+    order.end_waiting(FleetTaskState.HALTED, f"by {command.operator}")
     return order
 
 
@@ -126,7 +126,7 @@
         return Rejection(f"unknown order {command.order_id}")
     order.cancelled_by = order.cancelled_by or command.operator
     order.halted_by = order.halted_by or command.operator
-    order.end_waiting(TaskState.CANCELLED, f"by {command.operator}")
+    order.end_waiting(FleetTaskState.CANCELLED, f"by {command.operator}")
     return order
 
 
@@ -136,7 +136,7 @@
     if order is None:
         return Rejection(f"unknown order {command.order_id}")
     order.halted_by = order.halted_by or TIMEOUT_OPERATOR
-    order.end_waiting(TaskState.EXPIRED, TIMEOUT_REASON)
+    order.end_waiting(FleetTaskState.EXPIRED, TIMEOUT_REASON)
     return index
 
 
@@ -146,10 +146,10 @@
     task = order.tasks.get(command.target) if order else None
     if order is None or task is None or not task.is_open or command.state not in FINAL_STATES:
         return Rejection(f"order {command.order_id} has no open task for {command.target} to end")
-    task.move(TaskState(command.state), command.reason)
-    used = any(other.state in (TaskState.OUT, TaskState.DONE) for other in order.tasks.values())
-    if task.state == TaskState.REFUSED and order.atomic and not used:
+    task.move(FleetTaskState(command.state), command.reason)
+    used = any(other.state in (FleetTaskState.OUT, FleetTaskState.DONE) for other in order.tasks.values())
+    if task.state == FleetTaskState.REFUSED and order.atomic and not used:
         order.halted_by = order.halted_by or order.operator
         reason = f"{NOT_ATOMIC_REASON}: {command.target} {command.reason}"
-        order.end_waiting(TaskState.REFUSED, reason)
+        order.end_waiting(FleetTaskState.REFUSED, reason)
     return index
--- a/oakkeel/disruption/permit_handlers.py
+++ b/oakkeel/disruption/permit_handlers.py
@@ -7,7 +7,7 @@
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.queries import ControlPlaneView
-from oakkeel.disruption.state import DisruptionOrder, DisruptionTask, Permit, Rejection, TaskState
+from oakkeel.disruption.state import DisruptionOrder, DisruptionTask, FleetTaskState, Permit, Rejection
 from oakkeel.disruption.topology import PERMIT_REASON
 
 RETURNED_REASON = "its place was given back"
@@ -26,7 +26,7 @@
         return Rejection(f"order {command.order_id} does not exist or is halted")
     for target in command.targets:
         task = order.tasks.get(target)
-        if task is None or task.state != TaskState.WAITING:
+        if task is None or task.state != FleetTaskState.WAITING:
             return Rejection(f"{target} does not wait for a permit")
         if conflict := view.find_conflict(target, order.id):
             return Rejection(f"{target} has a permit of order {conflict.order_id}")
@@ -42,7 +42,7 @@
             previous_order_id=before.order_id if before and before.started else "",
         )
         view.unavailable.add(target, PERMIT_REASON)
-        order.tasks[target].move(TaskState.GRANTED, "")
+        order.tasks[target].move(FleetTaskState.GRANTED, "")
     return index
 
 
@@ -53,7 +53,7 @@
         return Rejection(f"{command.target} has no permit {command.fencing_token}")
     permit.started = True
     permit.expired_index = 0
-    _move_task(view, permit, TaskState.OUT, "")
+    _move_task(view, permit, FleetTaskState.OUT, "")
     return index
 
 
@@ -68,10 +68,10 @@
         if permit.started:
             _end_started(order, task)
         elif order.halted_by:
-            state = TaskState.CANCELLED if order.cancelled_by else TaskState.HALTED
+            state = FleetTaskState.CANCELLED if order.cancelled_by else FleetTaskState.HALTED
             task.move(state, f"by {order.halted_by}")
         else:
-            task.move(TaskState.WAITING, RETURNED_REASON)
+            task.move(FleetTaskState.WAITING, RETURNED_REASON)
     if permit.previous_order_id and not permit.started:  # the target stays out by the earlier order
         view.state.permits[permit.target] = Permit(permit.target, permit.previous_order_id, index, True)
     else:
@@ -83,11 +83,11 @@
 def _end_started(order: DisruptionOrder, task: DisruptionTask) -> None:
     """End a task whose target was taken out and is back in service."""
     if order.returns_targets:
-        task.move(TaskState.CANCELLED, f"by {order.cancelled_by}")
+        task.move(FleetTaskState.CANCELLED, f"by {order.cancelled_by}")
     elif order.verb == "restart":
-        task.move(TaskState.DONE, "")
+        task.move(FleetTaskState.DONE, "")
     else:
-        task.move(TaskState.FAILED, RESTORED_REASON)
+        task.move(FleetTaskState.FAILED, RESTORED_REASON)
 
 
 def expire_permit(view: ControlPlaneView, index: int, command: commands.ExpirePermit) -> int | Rejection:
@@ -99,13 +99,13 @@
     if permit is None or permit.started or permit.expired_index:
         return Rejection(f"{command.target} has no permit {command.fencing_token} that can expire")
     order = view.state.orders.get(permit.order_id)
-    state = TaskState.HALTED if order and order.halted_by else TaskState.WAITING
+    state = FleetTaskState.HALTED if order and order.halted_by else FleetTaskState.WAITING
     _move_task(view, permit, state, AGENT_SILENT_REASON)
     permit.expired_index = index
     return index
 
 
-def _move_task(view: ControlPlaneView, permit: Permit, state: TaskState, reason: str) -> None:
+def _move_task(view: ControlPlaneView, permit: Permit, state: FleetTaskState, reason: str) -> None:
     order = view.state.orders.get(permit.order_id)
     if order and order.tasks[permit.target].is_open:
         order.tasks[permit.target].move(state, reason)
--- a/oakkeel/disruption/state.py
+++ b/oakkeel/disruption/state.py
@@ -15,7 +15,7 @@
 from oakkeel.errors import InvalidTransitionError
 
 
-class TaskState(StrEnum):
+class FleetTaskState(StrEnum):
     """The state of one target of an order. The values are stored."""
 
     WAITING = "waiting"  # for a permit
@@ -29,12 +29,12 @@
     EXPIRED = "expired"
 
 
-OPEN_STATES = (TaskState.WAITING, TaskState.GRANTED, TaskState.OUT)
-FINAL_STATES = frozenset(TaskState) - frozenset(OPEN_STATES)
-TRANSITIONS: dict[TaskState, frozenset[TaskState]] = {
-    TaskState.WAITING: FINAL_STATES | {TaskState.GRANTED, TaskState.OUT},
-    TaskState.GRANTED: FINAL_STATES | {TaskState.OUT, TaskState.WAITING},
-    TaskState.OUT: FINAL_STATES,
+OPEN_FLEET_TASK_STATES = (FleetTaskState.WAITING, FleetTaskState.GRANTED, FleetTaskState.OUT)
+FINAL_STATES = frozenset(FleetTaskState) - frozenset(OPEN_FLEET_TASK_STATES)
+TRANSITIONS: dict[FleetTaskState, frozenset[FleetTaskState]] = {
+    FleetTaskState.WAITING: FINAL_STATES | {FleetTaskState.GRANTED, FleetTaskState.OUT},
+    FleetTaskState.GRANTED: FINAL_STATES | {FleetTaskState.OUT, FleetTaskState.WAITING},
+    FleetTaskState.OUT: FINAL_STATES,
     **{state: frozenset() for state in FINAL_STATES},
 }
 
@@ -46,15 +46,15 @@
     """One target of an order. Only `move` changes its state."""
 
     generation: int
-    state: TaskState = TaskState.WAITING
+    state: FleetTaskState = FleetTaskState.WAITING
     reason: str = ""
 
     @property
     def is_open(self) -> bool:
         """Whether the task has not ended."""
-        return self.state in OPEN_STATES
+        return self.state in OPEN_FLEET_TASK_STATES
 
-    def move(self, state: TaskState, reason: str) -> None:
+    def move(self, state: FleetTaskState, reason: str) -> None:
         """Change the state. Raises InvalidTransitionError."""
         if state == self.state:
             return
@@ -81,7 +81,7 @@
     @property
     def is_open(self) -> bool:
         """Whether any of its tasks has not ended."""
-        return any(task.state in OPEN_STATES for task in self.tasks.values())
+        return any(task.state in OPEN_FLEET_TASK_STATES for task in self.tasks.values())
 
     @property
     def returns_targets(self) -> bool:
@@ -91,10 +91,10 @@
         """
         return bool(self.cancelled_by) and self.verb != "restart"
 
-    def end_waiting(self, state: TaskState, reason: str) -> None:
+    def end_waiting(self, state: FleetTaskState, reason: str) -> None:
         """End the tasks that wait for a permit."""
         for task in self.tasks.values():
-            if task.state == TaskState.WAITING:
+            if task.state == FleetTaskState.WAITING:
                 task.move(state, reason)
 
 
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -4,7 +4,7 @@
 
 from oakkeel.agent.instances import Verb
 from oakkeel.disruption.control_plane import ControlPlaneReplica
-from oakkeel.disruption.state import OPEN_STATES
+from oakkeel.disruption.state import OPEN_FLEET_TASK_STATES
 from oakkeel.disruption.topology import BUDGET_EXCEEDED_TEXT
 from oakkeel.emulator.simulated_host import SimulatedHost
 from oakkeel.emulator.world import World
@@ -79,7 +79,7 @@
         found = [
             f"order {order.id} is open: {order.tasks}"
             for order in leader.state_machine.state.orders.values()
-            if any(task.state in OPEN_STATES for task in order.tasks.values())
+            if any(task.state in OPEN_FLEET_TASK_STATES for task in order.tasks.values())
         ]
         found += self._stuck_release(leader)
         for host in hosts:
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from oakkeel.disruption.state import OPEN_STATES, TIMEOUT_OPERATOR, DisruptionOrder, DisruptionTask
+from oakkeel.disruption.state import OPEN_FLEET_TASK_STATES, TIMEOUT_OPERATOR, DisruptionOrder, DisruptionTask
 from oakkeel.rollout import commands
 from oakkeel.rollout.gates import Decision, Gate
 from oakkeel.rollout.observations import Observations
@@ -84,7 +84,7 @@
     open_targets = [
         target
         for target in (*release.in_progress, *release.controls)
-        if target in tasks and tasks[target].state in OPEN_STATES
+        if target in tasks and tasks[target].state in OPEN_FLEET_TASK_STATES
     ]
     stopped = _is_stopped(view)
     if not stopped and (why := _failure_of_batch(view)):
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -14,7 +14,7 @@
 from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.allocator import PermitAllocator
 from oakkeel.disruption.messages import Heartbeat
-from oakkeel.disruption.state import OPEN_STATES, Rejection
+from oakkeel.disruption.state import OPEN_FLEET_TASK_STATES, Rejection
 from oakkeel.rollout import commands
 from oakkeel.rollout.batches import MAX_LISTED_TARGETS, BatchView, Step, finish_batch, start_batch
 from oakkeel.rollout.controller_lease import ControllerLease
@@ -277,5 +277,5 @@
             for ident in self.allocator.clock.order_submitted_at
             if (order := self.state_machine.state.orders.get(ident))
             for target, task in order.tasks.items()
-            if task.state in OPEN_STATES
+            if task.state in OPEN_FLEET_TASK_STATES
         }
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -13,7 +13,7 @@
 from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.command_registry import CommandRegistry
 from oakkeel.disruption.order_handlers import submit_order
-from oakkeel.disruption.state import DisruptionOrder, Rejection, TaskState
+from oakkeel.disruption.state import DisruptionOrder, FleetTaskState, Rejection
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.errors import InvalidTransitionError
 from oakkeel.rollout import commands
@@ -253,7 +253,7 @@
         order = self.state.orders.get(release.order_id)
         if state in (*STOPPED_STATES, ReleaseState.ROLLING_BACK) and order and order.is_open:
             order.halted_by = order.halted_by or release.operator
-            order.end_waiting(TaskState.HALTED, f"release {release.ident} {state}")
+            order.end_waiting(FleetTaskState.HALTED, f"release {release.ident} {state}")
             if state is ReleaseState.ROLLING_BACK:  # a target that does not start is not waited for
                 order.cancelled_by = order.cancelled_by or release.operator
         if state is ReleaseState.ROLLING_BACK:
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from oakkeel.agent.instances import Goal, Phase, TaskState, Verb
+from oakkeel.agent.instances import Goal, HostTaskState, Phase, Verb
 from oakkeel.agent.order_rules import OrderRejectedError, OrderSubmission
 from oakkeel.agent.supervision_rules import Action
 from oakkeel.units import MS, SECOND
@@ -20,7 +20,7 @@
             host.run(0.1)
             worst = max(worst, host.supervisor.unavailable["woodbrook"])
         self.assertEqual(worst, 2)
-        self.assertEqual({task.state for task in order.tasks}, {TaskState.DONE})
+        self.assertEqual({task.state for task in order.tasks}, {HostTaskState.DONE})
         self.assertEqual([act for act, _ in host.steps].count(Action.START), 4)
 
     def test_crashed_instance_counts_as_unavailable(self):
@@ -28,12 +28,12 @@
         host.crash(host.instances[0])
         order = host.submit(Verb.DRAIN, host.instances[1])
         host.run(5)
-        self.assertEqual(order.tasks[0].state, TaskState.WAITING)
+        self.assertEqual(order.tasks[0].state, HostTaskState.WAITING)
         drain = host.submit(
             Verb.DRAIN, host.instances[0], order_id="o2"
         )  # an unavailable instance needs no budget
         host.run(0.2)
-        self.assertEqual((drain.tasks[0].state, host.instances[0].phase), (TaskState.DONE, Phase.STOPPED))
+        self.assertEqual((drain.tasks[0].state, host.instances[0].phase), (HostTaskState.DONE, Phase.STOPPED))
 
     def test_first_of_two_orders_for_one_generation_wins(self):
         host = self.serving()
@@ -45,7 +45,7 @@
             Verb.START, instance, order_id="o2", operator="ravi", generation=seen, supersede=True
         )
         self.assertEqual(
-            (first.tasks[0].state, second.tasks[0].state), (TaskState.WAITING, TaskState.REFUSED)
+            (first.tasks[0].state, second.tasks[0].state), (HostTaskState.WAITING, HostTaskState.REFUSED)
         )
         self.assertIn("asha's drain is open since", second.tasks[0].why)
         host.run(2)
@@ -61,11 +61,11 @@
         self.assertIn("asha's restart is open", refused.tasks[0].why)
         second = host.submit(Verb.DRAIN, instance, order_id="o3", operator="ravi", supersede=True)
         self.assertEqual(
-            (first.tasks[0].state, second.tasks[0].state), (TaskState.SUPERSEDED, TaskState.WAITING)
+            (first.tasks[0].state, second.tasks[0].state), (HostTaskState.SUPERSEDED, HostTaskState.WAITING)
         )
         host.crash(instance)
         host.run(1)
-        self.assertEqual((instance.phase, second.tasks[0].state), (Phase.STOPPED, TaskState.DONE))
+        self.assertEqual((instance.phase, second.tasks[0].state), (Phase.STOPPED, HostTaskState.DONE))
 
     def test_deduplicates_orders_by_id_and_rejects_a_reused_id(self):
         host = self.serving(max_unavailable=4)
@@ -98,7 +98,7 @@
         order = host.submit(Verb.STOP, instance)
         host.run(60)
         self.assertEqual(
-            (order.tasks[0].state, instance.phase, host.steps), (TaskState.DONE, Phase.STOPPED, [])
+            (order.tasks[0].state, instance.phase, host.steps), (HostTaskState.DONE, Phase.STOPPED, [])
         )
 
     def test_restart_during_a_drain_starts_it_again(self):
@@ -124,7 +124,7 @@
         host.submit(Verb.STOP, stopped, order_id="o2")
         host.run(40)
         self.assertEqual(host.steps, [(Action.TERM, drained), (Action.TERM, stopped), (Action.KILL, stopped)])
-        self.assertEqual((slow.tasks[0].state, drained.phase), (TaskState.FAILED, Phase.DRAINING))
+        self.assertEqual((slow.tasks[0].state, drained.phase), (HostTaskState.FAILED, Phase.DRAINING))
 
     def test_cancels_waiting_tasks_and_reports_started_ones(self):
         host = self.serving(max_unavailable=1)
@@ -132,7 +132,9 @@
         order = host.submit(Verb.STOP, *host.instances[:2])
         host.run(0.5)
         host.orders.cancel(host.now, "o1", "ravi")
-        self.assertEqual([task.state for task in order.tasks], [TaskState.ACTING, TaskState.CANCELLED])
+        self.assertEqual(
+            [task.state for task in order.tasks], [HostTaskState.ACTING, HostTaskState.CANCELLED]
+        )
         self.assertIn("before ravi cancelled", order.tasks[0].why)
         with self.assertRaises(OrderRejectedError):
             host.orders.cancel(host.now, "o9", "ravi")
@@ -141,7 +143,7 @@
         host = self.serving(max_unavailable=0)
         order = host.submit(Verb.STOP, host.instances[0], lifetime_ns=3 * SECOND)
         host.run(4)
-        self.assertEqual((order.tasks[0].state, host.steps), (TaskState.EXPIRED, []))
+        self.assertEqual((order.tasks[0].state, host.steps), (HostTaskState.EXPIRED, []))
         self.assertIsNone(host.instances[0].task)
 
     def test_fails_a_restart_in_a_crash_loop_with_the_reason(self):
@@ -152,7 +154,7 @@
                 host.crash(host.instances[0])
             host.now += 100 * MS
             host.tick()
-        self.assertEqual(order.tasks[0].state, TaskState.FAILED)
+        self.assertEqual(order.tasks[0].state, HostTaskState.FAILED)
         self.assertIn("SIGSEGV", order.tasks[0].why)
 
     def test_undo_leaves_no_trace_of_an_order(self):
@@ -164,7 +166,7 @@
         self.assertEqual((instance.generation, instance.changed_by), before)
         self.assertIs(instance.task, standing.tasks[0])
         host.run(1)
-        self.assertEqual((standing.tasks[0].state, instance.phase), (TaskState.DONE, Phase.STOPPED))
+        self.assertEqual((standing.tasks[0].state, instance.phase), (HostTaskState.DONE, Phase.STOPPED))
 
     def test_rejects_malformed_orders(self):
         host = self.serving()
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from oakkeel.agent.instances import Instance, Phase, TaskState, Verb
+from oakkeel.agent.instances import HostTaskState, Instance, Phase, Verb
 from oakkeel.agent.order_rules import OrderSubmission
 from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.storage import SCHEMA, VERSION, restore_orders, statements
@@ -37,5 +37,5 @@
         restore_orders(store, after)
 
         [task] = after.open_tasks
-        self.assertEqual((task.state, task.replaces_generation), (TaskState.ACTING, 3))
+        self.assertEqual((task.state, task.replaces_generation), (HostTaskState.ACTING, 3))
         self.assertIs(task.drain_sent, True)
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -3,7 +3,7 @@
 import unittest
 from types import SimpleNamespace
 
-from oakkeel.agent.instances import Instance, Phase, TaskState, Verb
+from oakkeel.agent.instances import HostTaskState, Instance, Phase, Verb
 from oakkeel.agent.leader_locator import LeaderLocator
 from oakkeel.agent.order_rules import OrderSubmission
 from oakkeel.agent.orders import OrderRegistry
@@ -51,7 +51,7 @@
             steps = orders.permitted_steps(self.now, supervision.tick(self.now))
             if late and state == "serving":
                 self.assertEqual((steps, instance.phase, instance.task), ([], Phase.SERVING, None))
-                self.assertEqual(orders.orders["o1"].tasks[0].state, TaskState.CANCELLED)
+                self.assertEqual(orders.orders["o1"].tasks[0].state, HostTaskState.CANCELLED)
             else:
                 self.assertEqual((steps, instance.task.drain_sent), ([step], True))
 
