--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -38,7 +38,8 @@
 
 Element: TypeAlias = etree._Element
 
-# By attribute: the field of `SupervisionTimeouts`.
+# By attribute of `<supervision>`: the name in `Fleet.supervision`. `FIELD_OF_SETTING` of
+# `agent/supervision_rules.py` has the field of `SupervisionTimeouts` for each.
 SUPERVISION_FIELDS = {
     "silent": "silent",
     "start": "start",
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -113,7 +113,7 @@
     name: str
     path: str
     operators: tuple[Operator, ...]
-    supervision: dict[str, int | bool]  # the given fields of `SupervisionTimeouts`
+    supervision: dict[str, int | bool]  # the given ones, by name of `SUPERVISION_FIELDS`
     client: ClientSettings
     sites: dict[str, int]  # how many instances of each may be unavailable at one time
     hosts: tuple[HostSettings, ...]
