--- a/oakkeel/agent/control_plane_handlers.py
+++ b/oakkeel/agent/control_plane_handlers.py
@@ -55,9 +55,7 @@
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
         except CommitUnknownError as error:
-            return messages.NotLeaderResponse(
-                "", f"not known to be committed: {error}; send it again with the same id"
-            )
+            return _commit_unknown(error)
         return self._committed(key, request, raft, result)
 
     def _no_replica(self, raft: RaftRuntime | None) -> messages.Response:
@@ -109,6 +107,17 @@
         return raft_status(time.monotonic_ns(), self.agent.host.name, raft, self.agent.status_reporter)
 
 
+def _commit_unknown(error: CommitUnknownError) -> messages.NotLeaderResponse:
+    """Respond that a command may be committed or lost, though the leader itself answers.
+
+    On the wire this is the response of a replica that does not lead and knows no leader: so a client searches
+    for the leader again and repeats the request with the same ID, which has no second effect.
+    """
+    return messages.NotLeaderResponse(
+        "", f"not known to be committed: {error}; send it again with the same id"
+    )
+
+
 def _command_of(key: Key, request: messages.Request, unix_time: int) -> commands.Command | releases.Command:
     """The replicated command for a request."""
     if isinstance(request, messages.FleetOrderRequest):
