--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -16,6 +16,14 @@
 from oakkeel.store.database import Database, Statement
 
 VERSION = 1
+# Stored names. `instances`: `born` is the process generation, `kill` to kill after the drain, `start_at`
+# the instant before which it is not started, `failures` the consecutive crashes, `deaths` the crash times,
+# `resting` that its restarts are exhausted. `orders`: `place` is the sequence number, `taken` the time of
+# acceptance, `asked` what was requested. `parts` are tasks: `replaces` is the generation of the process
+# that a restart ends. `places` are permits: `thing` is the target, `fence` the highest fencing token,
+# `begun` that it was started. `reserved`: `upto` is the highest reserved generation. `fitting` has the
+# version assignments, `heard` the epoch of the replicated log that the permits belong to. `ident` is the ID
+# of an order.
 SCHEMA = """
 CREATE TABLE boot (id TEXT NOT NULL);
 CREATE TABLE instances (name TEXT PRIMARY KEY, generation INTEGER, changed INTEGER, changed_by TEXT,
--- a/oakkeel/disruption/order_handlers.py
+++ b/oakkeel/disruption/order_handlers.py
@@ -19,8 +19,9 @@
 MAX_OPEN_ORDERS = 256
 MAX_ORDERS = 1024  # with ended ones
 MAX_ID_LENGTH = 64
-NOT_ATOMIC_REASON = "not all of it can be taken"
-TIMEOUT_REASON = "no room in its time"
+# Stored and printed reasons of tasks.
+NOT_ATOMIC_REASON = "not all of it can be taken"  # another target of an atomic order was refused
+TIMEOUT_REASON = "no room in its time"  # the order timed out before its budgets had room
 VERBS = ("drain", "stop", "restart")
 
 
--- a/oakkeel/disruption/permit_handlers.py
+++ b/oakkeel/disruption/permit_handlers.py
@@ -10,7 +10,8 @@
 from oakkeel.disruption.state import DisruptionOrder, DisruptionTask, FleetTaskState, Permit, Rejection
 from oakkeel.disruption.topology import PERMIT_REASON
 
-RETURNED_REASON = "its place was given back"
+# Stored and printed reasons of tasks.
+RETURNED_REASON = "its place was given back"  # its permit was released unused: it waits for another
 RESTORED_REASON = "it was started again"
 AGENT_SILENT_REASON = "its agent was not heard in time"
 
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -123,6 +123,8 @@
 def _order_remark(order: messages.FleetOrderStatus) -> str:
     if order.cancelled:
         return f"cancelled by {order.cancelled}"
+    if order.halted == TIMEOUT_OPERATOR:
+        return "timed out"
     return f"halted by {order.halted}" if order.halted else ""
 
 
