--- a/oakkeel/agent/host_status.py
+++ b/oakkeel/agent/host_status.py
@@ -5,7 +5,7 @@
 import time
 
 from oakkeel.agent import messages
-from oakkeel.agent.instances import Goal, Instance, Order, Phase, Task, TaskState
+from oakkeel.agent.instances import Goal, HostTaskState, Instance, Order, Phase, Task
 from oakkeel.agent.supervisor import Supervisor
 from oakkeel.settings.types import HostSettings
 
@@ -49,7 +49,7 @@
         report_age=now - instance.last_report_at if instance.report else UNKNOWN_AGE,
         report=instance.report,
         order=_open_order(now, instance.task) if instance.task else None,
-        recent_crashes=len(instance.crashes),
+        recent_crashes=len(instance.crash_times),
         restarts_exhausted=instance.restarts_exhausted,
         starts_in=max(0, instance.start_not_before - now) if waits_for_start else 0,
         why=instance.why,
@@ -74,7 +74,7 @@
     ]
     known = {task.instance for task in tasks}
     tasks += [
-        messages.TaskStatus(name, TaskState.REFUSED.value, 0, "this host has no such instance")
+        messages.TaskStatus(name, HostTaskState.REFUSED.value, 0, "this host has no such instance")
         for name, _ in order.requested
         if name not in known
     ]
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from oakkeel.agent.instances import Goal, Instance, Order, Phase, Task, TaskState, Verb
+from oakkeel.agent.instances import Goal, HostTaskState, Instance, Order, Phase, Task, Verb
 from oakkeel.agent.orders import OrderRegistry
 from oakkeel.disruption.holder import PermitHolder, StoredPermit
 from oakkeel.rollout.assignments import VersionAssignments
@@ -16,6 +16,14 @@
 from oakkeel.store.database import Database, Statement
 
 VERSION = 1
+# Stored names. `instances`: `born` is the process generation, `kill` to kill after the drain, `start_at`
+# the instant before which it is not started, `failures` the consecutive crashes, `deaths` the crash times,
+# `resting` that its restarts are exhausted. `orders`: `place` is the sequence number, `taken` the time of
+# acceptance, `asked` what was requested. `parts` are tasks: `replaces` is the generation of the process
+# that a restart ends. `places` are permits: `thing` is the target, `fence` the highest fencing token,
+# `begun` that it was started. `reserved`: `upto` is the highest reserved generation. `fitting` has the
+# version assignments, `heard` the epoch of the replicated log that the permits belong to. `ident` is the ID
+# of an order.
 SCHEMA = """
 CREATE TABLE boot (id TEXT NOT NULL);
 CREATE TABLE instances (name TEXT PRIMARY KEY, generation INTEGER, changed INTEGER, changed_by TEXT,
@@ -69,8 +77,8 @@
         instance.phase.value,
         instance.kill_after_drain,
         instance.start_not_before,
-        instance.failures,
-        json.dumps(list(instance.crashes)),
+        instance.consecutive_crashes,
+        json.dumps(list(instance.crash_times)),
         instance.restarts_exhausted,
         instance.why,
     )
@@ -119,7 +127,7 @@
             phase,
             kill,
             each.start_not_before,
-            each.failures,
+            each.consecutive_crashes,
             deaths,
             resting,
             each.why,
@@ -129,12 +137,12 @@
         each.restarts_exhausted = bool(resting)
         each.goal = Goal(goal)
         each.phase = Phase(phase)
-        each.crashes = deque(json.loads(deaths))
+        each.crash_times = deque(json.loads(deaths))
         if not same_boot:
             each.start_not_before = 0
-            each.failures = 0
+            each.consecutive_crashes = 0
             each.restarts_exhausted = False
-            each.crashes.clear()
+            each.crash_times.clear()
 
 
 def restore_orders(store: Database, orders: OrderRegistry) -> None:
@@ -155,7 +163,7 @@
                     found[order_id],
                     instance,
                     generation,
-                    TaskState(state),
+                    HostTaskState(state),
                     since,
                     why,
                     drain_sent=bool(replaces),
