--- a/oakkeel/admission/client_returns.py
+++ b/oakkeel/admission/client_returns.py
@@ -7,7 +7,7 @@
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.units import SECOND
 
-WINDOW_STEP_NS = 2 * SECOND
+RETURNS_WINDOW_STEP_NS = 2 * SECOND
 
 
 class ReturnTimes(NamedTuple):
@@ -28,7 +28,7 @@
         self.gap_steps = gap_steps
         self.max_clients = max_clients
         self.last_seen: dict[int, int] = {}  # in the order of the times
-        self.gaps = [SlidingWindow(WINDOW_STEP_NS) for _ in range(gap_steps + 1)]
+        self.gaps = [SlidingWindow(RETURNS_WINDOW_STEP_NS) for _ in range(gap_steps + 1)]
 
     def seen(self, now: int, client: int) -> None:
         """Count the time since a client was last seen."""
--- a/oakkeel/admission/concurrency.py
+++ b/oakkeel/admission/concurrency.py
@@ -5,16 +5,16 @@
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.admission.types import NodeLimits, Request
 
-MAX_RUNS_PER_CORE = 1.0  # below EXPAND
-MAX_EXPANDED_RUNS_PER_CORE = 1.24  # from EXPAND on
+MAX_RUNS_PER_CORE = 1.0  # below the stage EXPAND
+MAX_EXPANDED_RUNS_PER_CORE = 1.24  # from the stage EXPAND on
 MIN_RUNS_PER_CORE = 0.5  # however much request parsing is waiting
 MAX_RUNS_AND_PARSING_PER_CORE = 1.25
 RUN_ROUNDING = 0.5  # the limit is rounded to whole requests
-MAX_OVERLOAD_RATIO = 0.7  # of the overload multiple, for all that could be on the cores
-MAX_STALENESS_RATIO = 0.2  # of the latency objective, that a request waits before it is parsed
-MAX_STALE_PARSING_PER_CORE = 0.5
-MAX_RUNNING_MEMORY_RATIO = 0.85
-MAX_MEMORY_RATIO = 0.95  # with queued requests and retained keys
+MAX_OVERLOAD_RATIO = 0.7  # runs and calls, which could all be on the cores, over the overload multiple
+MAX_STALENESS_RATIO_TO_START = 0.2  # maximum staleness, as a share of the latency objective
+MAX_STALE_PARSING_PER_CORE = 0.5  # parsing backlog up to which stale arrivals do not stop the starts
+MAX_RUNNING_MEMORY_RATIO = 0.85  # memory in use once a request runs, as a share of all memory
+MAX_MEMORY_RATIO = 0.95  # memory in use once a request is admitted, as a share of all memory
 
 
 def is_memory_full(request: Request, memory_kb: float, limits: NodeLimits) -> bool:
@@ -35,12 +35,13 @@
         """Start with no parsing backlog."""
         self.limits = limits
         self.run_limit = limits.cores * MAX_RUNS_PER_CORE
-        self.parsing_backlog = 0.0  # tasks other than runs that wanted a core, when last seen
+        # Inferred when the gauges were last read: the run queue less the requests that hold a run slot.
+        self.parsing_backlog = 0.0
         self.parsing_backlogs = SlidingWindow()
         self.staleness_ratio = 0.0  # of the last arrival: its queueing delay over its latency objective
 
     def observe(self, now: int, parsing_backlog: float) -> None:
-        """Record how many tasks other than runs want a core."""
+        """Record how many tasks other than runs want a core: they are taken for requests to be parsed."""
         self.parsing_backlog = max(0.0, parsing_backlog)
         self.parsing_backlogs.add(now, self.parsing_backlog)
 
@@ -65,7 +66,7 @@
         Runs would then delay the parsing until every request is too old.
         """
         parsing = self.parsing_per_core()
-        if self.staleness_ratio > MAX_STALENESS_RATIO and parsing > MAX_STALE_PARSING_PER_CORE:
+        if self.staleness_ratio > MAX_STALENESS_RATIO_TO_START and parsing > MAX_STALE_PARSING_PER_CORE:
             return 0
         return self.run_limit
 
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -42,10 +42,10 @@
     from oakkeel.admission.fairness import FairSharing
 
 POLL_INTERVAL_NS = SECOND
-MIN_FIRST_POLL_RATIO = 0.5  # of the interval; nodes that start together do not poll together
-POLL_TOKEN = 0  # of the timer; those of requests are the numbers of their steps
+MIN_FIRST_POLL_RATIO = 0.5  # earliest first poll, in intervals; it is random so that nodes poll apart
+POLL_TOKEN = 0  # the token of the poll timer; those of requests are the numbers of their steps
 TIMER_STEP_NS = 16 * MS  # one timer of the host serves all requests of a step
-BACKPRESSURE_DELAY_NS = 50 * MS  # before an admitted request is queued
+BACKPRESSURE_DELAY_NS = 50 * MS  # delay before an admitted request is queued, in BACKPRESSURE
 
 
 class AdmissionController:
@@ -56,14 +56,14 @@
         self.host = host
         self.limits = limits
         self.started = now  # the host may set it, if the engine started earlier or again
-        self.chance = Random(seed).random
+        self.random = Random(seed).random
         self.timers = RequestTimers(host, TIMER_STEP_NS)
         self.occupancy = Occupancy(limits)
         self.concurrency = ConcurrencyLimits(limits)
         self.overload = OverloadStages()
         self.ranking = Ranking(limits)
         self.drain_notice = Drain()
-        self.fair_sharing = _fair_sharing(limits, self.chance)
+        self.fair_sharing = _fair_sharing(limits, self.random)
         self.node = NodeState(
             host=host,
             limits=limits,
@@ -85,7 +85,7 @@
         self.signals = ClientSignals(self.node)
         self.signals.send_health(True)
         self._report_load(now)
-        first_poll = int(POLL_INTERVAL_NS * (MIN_FIRST_POLL_RATIO + self.chance() / 2))
+        first_poll = int(POLL_INTERVAL_NS * (MIN_FIRST_POLL_RATIO + self.random() / 2))
         host.set_timer(POLL_TOKEN, now + first_poll)
 
     def arrive(self, now: int, request: Request) -> None:
@@ -119,7 +119,7 @@
         One with a reservation ranks above all others, one over its share below them. Fair sharing charges
         the flow of a request within its share, and postpones the reservation of a flow that came early.
         """
-        request.rank = self.ranking.count_and_rank(now, request, self.chance())
+        request.rank = self.ranking.count_and_rank(now, request, self.random())
         if self.fair_sharing:
             service_time = self.ranking.service_time(request)
             self.fair_sharing.arrive(now, request, service_time, self.concurrency.run_limit)
@@ -255,10 +255,10 @@
         return self.limits.warmth(now - self.started)
 
 
-def _fair_sharing(limits: NodeLimits, chance: Callable[[], float]) -> FairSharing | None:
+def _fair_sharing(limits: NodeLimits, random: Callable[[], float]) -> FairSharing | None:
     """Return the fair sharing of a node; its modules are loaded only where an operator asks for it."""
     if limits.fair_sharing is None:
         return None
     from oakkeel.admission.fairness import FairSharing
 
-    return FairSharing(limits.fair_sharing, limits.marks_retries, chance)
+    return FairSharing(limits.fair_sharing, limits.marks_retries, random)
--- a/oakkeel/admission/deadline.py
+++ b/oakkeel/admission/deadline.py
@@ -10,7 +10,7 @@
 
 ANSWER_HEADROOM_NS = 20 * MS  # an answer leaves this long before its deadline
 STOP_HEADROOM_NS = 64 * MS  # every answer leaves this long before the stop of a drain
-MIN_SERVICE_TIME_RATIO = 0.7  # of the expected service time, that must fit: sizes vary
+MIN_SERVICE_TIME_RATIO = 0.7  # the part of the expected service time that must fit: sizes vary
 
 
 def objective_end(now: int, request: Request) -> int:
--- a/oakkeel/admission/downstream_calls.py
+++ b/oakkeel/admission/downstream_calls.py
@@ -9,13 +9,13 @@
 from oakkeel.admission.types import DownstreamKind, NodeLimits, Outcome, Request, RequestState
 from oakkeel.units import MS
 
-MAX_QUOTA_RATIO = 0.8  # of the quota, as a mean over its window
-MAX_QUOTA_IN_FLIGHT_RATIO = 0.5  # of the quota, at one time
+MAX_QUOTA_RATIO = 0.8  # mean calls in flight over the window, as a share of the quota
+MAX_QUOTA_IN_FLIGHT_RATIO = 0.5  # calls in flight at one time, as a share of the quota
 MIN_CALLS_IN_FLIGHT = 1.0
-MAX_CALL_TIME_RATIO = 0.25  # of the latency objective
+MAX_CALL_TIME_RATIO = 0.25  # duration of one call, as a share of the latency objective
 MIN_CALLS_PER_BUDGET = 2  # one call may not use the whole budget of a window
 MIN_OPTIONAL_CALL_TIME_NS = MS
-MAX_OPTIONAL_CALL_WAIT_RATIO = 0.15  # of the latency objective, for a call that may be skipped
+MAX_OPTIONAL_CALL_WAIT_RATIO = 0.15  # wait before an optional call is skipped, over the latency objective
 MAX_CALL_ATTEMPTS = 3
 
 LINK_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})  # the downstream may have capacity
@@ -50,7 +50,7 @@
 
 
 def latest_call_end(now: int, request: Request, service_time: float) -> int:
-    """Return until when a call may take; an optional one leaves time to end without it."""
+    """Return when a call has to end; an optional one ends early enough for the run to end without it."""
     if request.request_class.is_call_optional:
         return max(now + MIN_OPTIONAL_CALL_TIME_NS, request.deadline - int(service_time))
     return request.deadline
@@ -78,7 +78,7 @@
         self.committed = 0  # booked for calls in flight
 
     def reserve(self, now: int, request: Request, in_flight: int, service_time: float) -> int | None:
-        """Return until when a call may take, or None while the breaker or the quota forbids it."""
+        """Book a call and return when it has to end; None while the breaker or the quota forbids it."""
         if not self.breaker.allows_call(now):
             return None
         until = latest_call_end(now, request, service_time)
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -15,16 +15,16 @@
 from oakkeel.units import MS, SECOND
 
 ALLOCATION_INTERVAL_NS = 200 * MS
-MAX_ALLOCATED_RATIO = 0.95  # of what the node can do, for all flows together
-MAX_BURST_NS = 500 * MS  # of its allowed rate, that a flow may use at once
-MAX_RESERVED_RATIO = 0.5  # of what the node can do, for reservations
+MAX_ALLOCATED_RATIO = 0.95  # work of all flows together, as a share of what the node can do
+MAX_BURST_NS = 500 * MS  # a flow may use at once what its allowed rate gives in this time
+MAX_RESERVED_RATIO = 0.5  # work of reservations, as a share of what the node can do
 RESERVATION_STEP_NS = 50 * MS
-MAX_RESERVATION_STEPS = 200  # of time ahead that can be booked
-MAX_EARLY_NS = 25 * MS  # before the time of a reservation, that a request still uses it
-MAX_LATE_NS = SECOND  # after the time of a reservation, that a request still uses it
-MAX_POSTPONEMENTS = 8  # of one reservation whose client keeps coming early
+MAX_RESERVATION_STEPS = 200  # steps ahead that can be booked
+MAX_EARLY_NS = 25 * MS  # how early a request may come and still use its reservation
+MAX_LATE_NS = SECOND  # how late a request may come and still use its reservation
+MAX_POSTPONEMENTS = 8  # for one reservation whose client keeps coming early
 MAX_POSTPONEMENT_NS = SECOND
-MAX_RETRY_RATIO = 0.2  # of the work of a flow, for its retries
+MAX_FLOW_RETRY_RATIO = 0.2  # work of the retries of a flow, as a share of all its work
 MIN_ALLOWED_RATE = 1.0  # nanoseconds of service time a second; it bounds a division
 
 
@@ -36,10 +36,10 @@
 class FairSharing:
     """Decides the share status of requests, and Retry-After, by the shares of their flows."""
 
-    def __init__(self, rules: FairSharingRules, marks_retries: bool, chance: Callable[[], float]) -> None:
-        """Start with no flow known; `chance` draws from 0 to 1."""
+    def __init__(self, rules: FairSharingRules, marks_retries: bool, random: Callable[[], float]) -> None:
+        """Start with no flow known; `random` draws from 0 to 1."""
         self.marks_retries = marks_retries
-        self.chance = chance
+        self.random = random
         self.shares = MaxMinShares(len(rules.levels), rules.max_flows, rules.half_life, rules.weights)
         self.reservations = Reservations(RESERVATION_STEP_NS, MAX_RESERVATION_STEPS, rules.max_reservations)
         self.reservable_work = 0.0  # in one step
@@ -91,14 +91,20 @@
             self.reservations.postpone(now, ahead, not_before, self.reservable_work)
 
     def _exceeds_share(self, now: int, request: Request, flow: Flow) -> bool:
-        """Return whether the flow has used its share or its retries; unknown flows keep theirs by chance."""
-        is_known = self.shares.is_known(now, flow)
+        """Return whether the flow has used its share or its retries.
+
+        A flow that is not surely heavier than those outside the table is admitted with probability
+        `unknown_share`.
+        """
+        is_heavy = self.shares.is_heavy(now, flow)
         if flow.is_limited:
             exceeds = flow.free_at > now + MAX_BURST_NS
         else:
             unknown_share = self.shares.share_of_unknown(flow)
-            exceeds = unknown_share < 1 and not is_known and self.chance() > unknown_share
-        exceeds_retries = request.retry_attempt and is_known and flow.retries > MAX_RETRY_RATIO * flow.count
+            exceeds = unknown_share < 1 and not is_heavy and self.random() > unknown_share
+        exceeds_retries = (
+            request.retry_attempt and is_heavy and flow.retries > MAX_FLOW_RETRY_RATIO * flow.count
+        )
         return exceeds or exceeds_retries
 
     def _charge(self, now: int, request: Request, flow: Flow) -> None:
--- a/oakkeel/admission/health.py
+++ b/oakkeel/admission/health.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-MAX_STALENESS_RATIO = 0.6  # of the latency objective, that arrivals wait before they are parsed
-MAX_STALENESS_RATIO_TO_RECOVER = MAX_STALENESS_RATIO / 2
+# Mean staleness of arrivals (queueing delay before parsing), as a share of the latency objective.
+MAX_HEALTHY_STALENESS_RATIO = 0.6
+MAX_STALENESS_RATIO_TO_RECOVER = MAX_HEALTHY_STALENESS_RATIO / 2
 
 
 def is_healthy(was_healthy: bool, is_draining: bool, staleness_ratio: float) -> bool:
@@ -11,5 +12,5 @@
 
     `staleness_ratio` is the mean queueing delay of the last seconds over the latency objective.
     """
-    limit = MAX_STALENESS_RATIO if was_healthy else MAX_STALENESS_RATIO_TO_RECOVER
+    limit = MAX_HEALTHY_STALENESS_RATIO if was_healthy else MAX_STALENESS_RATIO_TO_RECOVER
     return not is_draining and staleness_ratio < limit
--- a/oakkeel/admission/idle_connections.py
+++ b/oakkeel/admission/idle_connections.py
@@ -7,21 +7,23 @@
 from oakkeel.admission.client_returns import ReturnTimes
 from oakkeel.units import MS, SECOND
 
-CONNECTION_VALUE_NS = 20 * SECOND  # of idle connections, that one new connection saved justifies
-REAP_CONNECTION_VALUE_NS = 4 * SECOND  # the same from REAP on
+# Total idle time of connections that is worth spending to save one new connection, below and from REAP.
+CONNECTION_VALUE_NS = 20 * SECOND
+REAP_CONNECTION_VALUE_NS = 4 * SECOND
 MIN_IDLE_TIME_NS = 10 * MS
 RETURN_STEP_NS = 64 * MS  # the shortest step of return times; each further one doubles
 RETURN_STEPS = 9
-MAX_REMEMBERED_CLIENTS = 512  # the last seen
+MAX_REMEMBERED_CLIENTS = 512  # the least recently seen is forgotten first
 MAX_PARSING_PER_CORE = 1.5  # above it, new connections crowd the cores
-MAX_NEW_CONNECTIONS_PER_CORE_S = 8  # while they do
+MAX_NEW_CONNECTIONS_PER_CORE_S = 8  # while new connections crowd the cores
 
 
 def idle_time(returns: Sequence[ReturnTimes], reaping: bool) -> int:
-    """Return the idle time in nanoseconds after which a client returns too seldom to keep its connection.
+    """Return the idle time in nanoseconds after which a connection closes.
 
-    `returns` has the return times by step, in the last place those beyond all steps. With `reaping` (from
-    REAP on) a saved new connection justifies less idle time.
+    It is the end of the step of return times that gains most: the value of the new connections that it saves
+    less the time that connections stay idle. `returns` has the return times by step, in the last place those
+    beyond all steps. With `reaping` (from REAP on) a saved new connection justifies less idle time.
     """
     value = REAP_CONNECTION_VALUE_NS if reaping else CONNECTION_VALUE_NS
     others = sum(times.returns for times in returns)
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -1,15 +1,19 @@
-"""Ranking: the priority weight of a request for each second of service time, among what arrives."""
+"""Rank: the position (0 lowest, 1 highest) of a request among recent arrivals.
+
+They are ordered by priority weight per second of service time.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from oakkeel.admission.sliding_window import WINDOW_STEP_NS, WINDOW_STEPS, SlidingWindow
+from oakkeel.admission.sliding_window import DEFAULT_WINDOW_STEP_NS, WINDOW_STEPS, SlidingWindow
 from oakkeel.admission.types import NodeLimits, Request
 from oakkeel.units import SECOND
 
-OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6  # the service time of a class before any request of it completes
+# The service time of a class is guessed so before any of its requests has completed.
+OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6
 SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll with none observed: requests run again as probes
 
 
@@ -56,14 +60,17 @@
         self.arrivals = [[SlidingWindow() for _ in range(tenants)] for _ in classes]
         self.ranks = [[RankRange(start=0.0, width=1.0)] * tenants for _ in classes]
 
-    def count_and_rank(self, now: int, request: Request, chance: float) -> float:
-        """Count a request that arrived, and return its rank; `chance` from 0 to 1 spreads equal requests."""
+    def count_and_rank(self, now: int, request: Request, random_value: float) -> float:
+        """Count a request that arrived, and return its rank.
+
+        `random_value`, from 0 to 1, spreads the requests of one class and tenant over their ranks.
+        """
         class_index = request.request_class.index
         tenant_index = request.tenant.index if request.tenant else 0
         if not request.retry_attempt:
             self.arrivals[class_index][tenant_index].add(now, 1)
         rank_range = self.ranks[class_index][tenant_index]
-        return rank_range.start + rank_range.width * chance
+        return rank_range.start + rank_range.width * random_value
 
     def service_time(self, request: Request) -> float:
         """Return the expected service time of a request, in nanoseconds."""
@@ -73,7 +80,7 @@
         """Update the service times and the ranks; `started` is when the node started."""
         for index, window in enumerate(self.observed_service_times):
             self.service_times[index] = window.mean(now, self.service_times[index] * SERVICE_TIME_DECAY_RATIO)
-        window_ns = min(WINDOW_STEPS * WINDOW_STEP_NS, max(1, now - started))
+        window_ns = min(WINDOW_STEPS * DEFAULT_WINDOW_STEP_NS, max(1, now - started))
         demands: list[Demand] = []
         for tenant_index in range(len(self.arrivals[0])):
             demands += self._demands_of_tenant(now, tenant_index, window_ns)
--- a/oakkeel/admission/shedding.py
+++ b/oakkeel/admission/shedding.py
@@ -5,9 +5,10 @@
 from oakkeel.admission.overload import DEPTH_PER_CORE, LATENCY_RATIO, Stage, StageThresholds
 from oakkeel.admission.types import Rejection, Request
 
-MAX_SHED_RATIO = 0.9  # of arrivals; some of the lowest ranks still run
-SHED_STEP_RATIO_PER_CORE = 0.08  # of the way to its target that the threshold moves at each arrival
-MAX_RETRY_RATIO = 0.1  # of arrivals; above it the other nodes are full as well
+MAX_SHED_RATIO = 0.9  # highest threshold: the share of arrivals that is shed; some still run
+# Part of the way to its target that the threshold moves at each arrival.
+SHED_STEP_RATIO_PER_CORE = 0.08
+MAX_ARRIVAL_RETRY_RATIO = 0.1  # retries among arrivals; above it the other nodes are full as well
 MAX_PARSING_PER_CORE_FOR_RETRY = 0.75  # above it, a retry only adds parsing work elsewhere
 
 
@@ -46,7 +47,7 @@
     Another node may have capacity, unless the request or many of the arrivals are retries already;
     `retry_ratio` is the part of recent arrivals that are.
     """
-    if request.retry_attempt or not marks_retries or retry_ratio > MAX_RETRY_RATIO:
+    if request.retry_attempt or not marks_retries or retry_ratio > MAX_ARRIVAL_RETRY_RATIO:
         return Rejection.FINAL
     return Rejection.RETRY_ELSEWHERE
 
--- a/oakkeel/admission/sliding_window.py
+++ b/oakkeel/admission/sliding_window.py
@@ -4,7 +4,7 @@
 
 from oakkeel.units import MS
 
-WINDOW_STEP_NS = 500 * MS
+DEFAULT_WINDOW_STEP_NS = 500 * MS
 WINDOW_STEPS = 12
 
 
@@ -13,7 +13,7 @@
 
     __slots__ = ("bucket_numbers", "counts", "step", "sums")
 
-    def __init__(self, step: int = WINDOW_STEP_NS) -> None:
+    def __init__(self, step: int = DEFAULT_WINDOW_STEP_NS) -> None:
         """Start empty."""
         self.step = step
         self.sums = [0.0] * WINDOW_STEPS
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -3,8 +3,8 @@
 A host (`oakkeel.node`, `oakkeel.simulator_adapter`) makes one `AdmissionController` for each node, from
 `NodeLimits`, a seed and the time. It calls `arrive`, `run_finished`, `call_needed`, `call_finished`,
 `client_disconnected`, `drain` and `timer_expired` for what happens, and `schedule` once after all that
-happened at one moment; it carries out what the decisions ask of `Host`. Durations and instants are whole
-nanoseconds, memory is in kilobytes. Nothing here decides.
+happened at one moment; it carries out what the decisions ask of `Host`. Instants and limits are whole
+nanoseconds, estimates of durations are floats in nanoseconds, memory is in kilobytes. Nothing here decides.
 """
 
 from __future__ import annotations
@@ -204,7 +204,7 @@
     state_since: int = 0  # when it entered its state
     arrived_at: int = 0
     service_time: int = 0  # on the cores so far
-    rank: float = 0.0
+    rank: float = 0.0  # 0 lowest to 1 highest, plus the share status: -1 to 2
     failed_calls: int = 0
     committed_call_time: int = 0  # booked for a call in flight
     key_retained: bool = False
--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -44,7 +44,9 @@
         self.count = self.error = self.retries = 0.0
         # Set when capacity is allocated.
         self.allowed_rate = math.inf  # per second; infinite while the flow has no limit
-        self.free_at = 0  # nanoseconds; when its limit admits more work
+        # Theoretical arrival time of GCRA, in nanoseconds: when the work charged so far is used up at the
+        # allowed rate. A flow whose time is more than a burst ahead is over its share.
+        self.free_at = 0
         self.unknown_share = 1.0  # part of their work that inner flows outside the table may send
 
     @property
@@ -97,6 +99,15 @@
             flow.retries += scaled
         return flow
 
+    def restore(
+        self, now: int, key: int, rate: float, retry_rate: float, age: int, label: bytes, parent: Flow | None
+    ) -> Flow:
+        """Add a flow that had these rates (weight per second) `age` nanoseconds ago, and return it."""
+        weight_per_rate = 0.5 ** (age / self.half_life) * self.half_life / (math.log(2) * SECOND)
+        flow = self.add(now, key, rate * weight_per_rate, False, label, parent)
+        flow.retries = retry_rate * weight_per_rate * self.scale(now)
+        return flow
+
     def rate(self, now: int, flow: Flow) -> float:
         """Return a lower bound of the flow's recent weight per second."""
         return (flow.count - flow.error) * self._rate_factor(now)
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -48,7 +48,7 @@
             raise MissingFlowError("a request names no flow: its flow keys are empty")
         return flow
 
-    def is_known(self, now: int, flow: Flow) -> bool:
+    def is_heavy(self, now: int, flow: Flow) -> bool:
         """Return whether the flow certainly sends more than a flow outside the table could."""
         table = self.tables[-1]
         return table.rate(now, flow) >= table.error_rate(now)
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
-import math
-
 import msgspec
 
 from oakkeel.errors import OakkeelError
-from oakkeel.fair_sharing.heavy_hitters import Flow, HeavyHitters
+from oakkeel.fair_sharing.heavy_hitters import Flow
 from oakkeel.fair_sharing.max_min import MaxMinShares
 from oakkeel.fair_sharing.reservations import Reservation, Reservations
 from oakkeel.units import SECOND
@@ -117,17 +115,11 @@
             parent = outer.get(record.parent)
             if level > 0 and parent is None:
                 continue  # its outer flow had left the table: without one it has no share to divide
-            inner[record.key] = _restore_flow(table, record, now, age, parent)
+            inner[record.key] = table.restore(
+                now, record.key, record.rate, record.retries, age, record.label, parent
+            )
         outer = inner
     for reserved in snapshot.reservations:
         due_at = now + reserved.after - age
         if due_at > now and reservations.open_count < reservations.max_open:
             reservations.restore(Reservation(reserved.key, due_at, reserved.work))
-
-
-def _restore_flow(table: HeavyHitters, record: FlowRecord, now: int, age: int, parent: Flow | None) -> Flow:
-    """Add a flow with the sum that has its rate, decayed by `age` nanoseconds."""
-    weight_per_rate = 0.5 ** (age / table.half_life) * table.half_life / (math.log(2) * SECOND)
-    flow = table.add(now, record.key, record.rate * weight_per_rate, False, record.label, parent)
-    flow.retries = record.retries * weight_per_rate * table.scale(now)
-    return flow
--- a/oakkeel/units.py
+++ b/oakkeel/units.py
@@ -1,4 +1,6 @@
-"""Units of time: every duration and every instant in the program is a whole number of nanoseconds.
+"""Units of time: every duration and every instant in the program is in nanoseconds.
+
+Instants and set durations are whole numbers; means and estimates, such as expected service times, are floats.
 
 Names of constants that hold one end in `_NS`; their values are written as multiples, `250 * MS`.
 """
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_health.py
@@ -3,7 +3,7 @@
 import unittest
 
 from oakkeel.admission.health import (
-    MAX_STALENESS_RATIO,
+    MAX_HEALTHY_STALENESS_RATIO,
     MAX_STALENESS_RATIO_TO_RECOVER,
     is_healthy,
 )
@@ -11,8 +11,8 @@
 
 class HealthTest(unittest.TestCase):
     def test_becomes_unhealthy_at_the_maximum_staleness(self):
-        self.assertTrue(is_healthy(True, False, MAX_STALENESS_RATIO - 0.01))
-        self.assertFalse(is_healthy(True, False, MAX_STALENESS_RATIO))
+        self.assertTrue(is_healthy(True, False, MAX_HEALTHY_STALENESS_RATIO - 0.01))
+        self.assertFalse(is_healthy(True, False, MAX_HEALTHY_STALENESS_RATIO))
 
     def test_recovers_only_below_half_of_it(self):
         self.assertFalse(is_healthy(False, False, MAX_STALENESS_RATIO_TO_RECOVER))
