--- /dev/null
+++ b/oakkeel/admission/arrival_decision.py
@@ -0,0 +1,112 @@
+"""The decision on a request that arrives: coalesced, queued, delayed or rejected, and why it is rejected."""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+from typing import NamedTuple
+
+from oakkeel.admission.concurrency import is_memory_full
+from oakkeel.admission.deadline import can_end_in_time, can_end_in_time_after_queue, queue_wait_time
+from oakkeel.admission.duplicates import is_coalesced
+from oakkeel.admission.node_state import NodeState
+from oakkeel.admission.overload import Stage
+from oakkeel.admission.shedding import SheddingThreshold, full_node_rejection, low_rank_rejection
+from oakkeel.admission.sliding_window import SlidingWindow
+from oakkeel.admission.types import Admission, Rejection, Request, ShareStatus
+
+
+class RejectionReason(Enum):
+    """Why a request is rejected on arrival."""
+
+    DEADLINE = auto()  # its deadline has passed
+    MEMORY = auto()
+    DRAIN = auto()  # it came after the grace period
+    SHARE = auto()  # its flow has used its fair share
+    STAGE = auto()  # the overload stage is REJECT
+    FIT = auto()  # it can't end in time behind the queue
+    RANK = auto()  # its rank is below the shedding threshold
+
+
+class RejectionDecision(NamedTuple):
+    """That a request is rejected on arrival, how and why."""
+
+    rejection: Rejection
+    reason: RejectionReason
+
+
+Decision = Admission | RejectionDecision
+
+
+class ArrivalDecisions:
+    """Decides on requests that arrive, with their deadline, rank and share status set."""
+
+    def __init__(self, node: NodeState, shedding: SheddingThreshold, retries: SlidingWindow) -> None:
+        """Decide for this node; `retries` has 1 for an arrival that is a retry, else 0."""
+        self.node = node
+        self.shedding = shedding
+        self.retries = retries
+
+    def decide(self, now: int, request: Request) -> Decision:
+        """Decide by duplicate, deadline, memory and drain, then by load."""
+        node = self.node
+        memory_full = is_memory_full(request, node.occupancy.memory_kb, node.limits)
+        if is_coalesced(request, node.limits.cache_ttl, memory_full):
+            return Admission.COALESCE
+        if request.deadline <= now:
+            return RejectionDecision(Rejection.FINAL, RejectionReason.DEADLINE)
+        if memory_full:
+            return RejectionDecision(Rejection.RETRY_ELSEWHERE, RejectionReason.MEMORY)
+        if node.drain.is_past_grace(now, request.queueing_delay):
+            return RejectionDecision(Rejection.RETRY_ELSEWHERE, RejectionReason.DRAIN)
+        return self._decide_by_load(now, request)
+
+    def _decide_by_load(self, now: int, request: Request) -> Decision:
+        """Decide by fair share, else by overload stage and fit, and last by rank."""
+        depth = self.node.depth_per_core()
+        stage = self.node.overload.arrival_stage(depth)
+        service_time = self.node.ranking.service_time(request)
+        if self._is_decided_by_share(now, request, service_time):
+            return self._decide_by_share(now, request, stage, depth)
+        if stage is Stage.REJECT:
+            return self._reject_as_full(now, request, RejectionReason.STAGE)
+        if not self._fits_behind_queue(now, request, service_time):
+            return self._reject_as_full(now, request, RejectionReason.FIT)
+        return self._decide_by_rank(now, request, stage, depth)
+
+    def _is_decided_by_share(self, now: int, request: Request, service_time: float) -> bool:
+        """Return whether a reservation or an exceeded share decides, before stage and fit.
+
+        Neither does for a request that can't end in time.
+        """
+        if request.share_status is ShareStatus.WITHIN_SHARE:
+            return False
+        return can_end_in_time(now, request, service_time)
+
+    def _decide_by_share(self, now: int, request: Request, stage: Stage, depth: float) -> Decision:
+        """Admit a reservation as in NORMAL; reject an exceeded share, but on an idle node decide by rank."""
+        if request.share_status is ShareStatus.RESERVED:
+            return self._decide_by_rank(now, request, Stage.NORMAL, depth)
+        if self.node.occupancy.holding_run_slot():
+            return RejectionDecision(Rejection.FINAL, RejectionReason.SHARE)
+        return self._decide_by_rank(now, request, stage, depth)
+
+    def _fits_behind_queue(self, now: int, request: Request, service_time: float) -> bool:
+        node = self.node
+        wait_time = queue_wait_time(node.ranking.service_times, node.occupancy.waiting(), node.limits.cores)
+        return can_end_in_time_after_queue(now, request, service_time, wait_time)
+
+    def _reject_as_full(self, now: int, request: Request, reason: RejectionReason) -> RejectionDecision:
+        """Reject a request that this node can't serve in time."""
+        parsing_backlog = self.node.concurrency.mean_parsing_backlog(now)
+        return RejectionDecision(
+            full_node_rejection(request, parsing_backlog, self.node.limits.cores), reason
+        )
+
+    def _decide_by_rank(self, now: int, request: Request, stage: Stage, depth: float) -> Decision:
+        """Update the shedding threshold; shed a low rank, else queue the request, delayed in BACKPRESSURE."""
+        self.shedding.update(depth, self.node.overload.latency_ratios.mean(now, 0.0))
+        if self.shedding.sheds(stage, request.rank):
+            retry_ratio = self.retries.mean(now, 1.0)
+            rejection = low_rank_rejection(request, self.node.limits.marks_retries, retry_ratio)
+            return RejectionDecision(rejection, RejectionReason.RANK)
+        return Admission.DELAY if stage is Stage.BACKPRESSURE else Admission.QUEUE
--- a/oakkeel/admission/concurrency.py
+++ b/oakkeel/admission/concurrency.py
@@ -35,7 +35,8 @@
         """Start with no parsing backlog."""
         self.limits = limits
         self.run_limit = limits.cores * MAX_RUNS_PER_CORE
-        self.parsing_backlog = 0.0  # inferred: the last run queue, less the requests that hold a run slot
+        # Inferred when the gauges were last read: the run queue less the requests that hold a run slot.
+        self.parsing_backlog = 0.0
         self.parsing_backlogs = SlidingWindow()
         self.staleness_ratio = 0.0  # of the last arrival: its queueing delay over its latency objective
 
@@ -52,15 +53,19 @@
         """Return the mean parsing backlog of the last seconds."""
         return self.parsing_backlogs.mean(now, 0.0)
 
-    def update_run_limit(self, expanded: bool) -> float:
-        """Update the run limit, lower while requests wait to be parsed; return how many may run now.
-
-        None starts while arrivals are stale: runs would delay the parsing until every request is too old.
-        """
+    def update_run_limit(self, expanded: bool) -> None:
+        """Update how many requests may run, fewer while requests wait to be parsed."""
         parsing = self.parsing_per_core()
         max_per_core = MAX_EXPANDED_RUNS_PER_CORE if expanded else MAX_RUNS_PER_CORE
         per_core = max(MIN_RUNS_PER_CORE, min(max_per_core, MAX_RUNS_AND_PARSING_PER_CORE - parsing))
         self.run_limit = per_core * self.limits.cores
+
+    def allowed_runs(self) -> float:
+        """Return how many requests may run now: the run limit, or none while arrivals are stale.
+
+        Runs would then delay the parsing until every request is too old.
+        """
+        parsing = self.parsing_per_core()
         if self.staleness_ratio > MAX_STALENESS_RATIO_TO_START and parsing > MAX_STALE_PARSING_PER_CORE:
             return 0
         return self.run_limit
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -9,20 +9,14 @@
 from random import Random
 from typing import TYPE_CHECKING
 
+from oakkeel.admission.arrival_decision import ArrivalDecisions, RejectionDecision
 from oakkeel.admission.call_sequence import CallSequence
 from oakkeel.admission.client_signals import ClientSignals
-from oakkeel.admission.concurrency import ConcurrencyLimits, has_memory_to_run, is_memory_full, may_start
-from oakkeel.admission.deadline import (
-    answer_deadline,
-    can_end_in_time,
-    can_end_in_time_after_queue,
-    latest_deadline,
-    objective_end,
-    queue_wait_time,
-)
+from oakkeel.admission.concurrency import ConcurrencyLimits, has_memory_to_run, may_start
+from oakkeel.admission.deadline import answer_deadline, can_end_in_time, latest_deadline, objective_end
 from oakkeel.admission.downstream_calls import DownstreamCalls
 from oakkeel.admission.drain import Drain
-from oakkeel.admission.duplicates import is_coalesced, key_retention, retains_key
+from oakkeel.admission.duplicates import key_retention, retains_key
 from oakkeel.admission.node_state import NodeState
 from oakkeel.admission.occupancy import Occupancy
 from oakkeel.admission.overload import OverloadStages, Stage
@@ -30,7 +24,7 @@
 from oakkeel.admission.request_ends import RequestEnds
 from oakkeel.admission.request_queue import RequestQueue
 from oakkeel.admission.request_timers import RequestTimers
-from oakkeel.admission.shedding import SheddingThreshold, full_node_rejection, low_rank_rejection
+from oakkeel.admission.shedding import SheddingThreshold
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.admission.types import (
     Admission,
@@ -40,7 +34,6 @@
     Outcome,
     Rejection,
     Request,
-    ShareStatus,
 )
 from oakkeel.admission.types import RequestState as State
 from oakkeel.units import MS, SECOND
@@ -54,8 +47,6 @@
 TIMER_STEP_NS = 16 * MS  # one timer of the host serves all requests of a step
 BACKPRESSURE_DELAY_NS = 50 * MS  # delay before an admitted request is queued, in BACKPRESSURE
 
-Decision = Admission | Rejection
-
 
 class AdmissionController:
     """The decisions of one node, from its start to its end."""
@@ -90,6 +81,7 @@
         self.shedding = SheddingThreshold(limits.cores)
         self.queue = RequestQueue()
         self.retries = SlidingWindow()  # 1 for an arrival that is a retry, else 0
+        self.arrivals = ArrivalDecisions(self.node, self.shedding, self.retries)
         self.signals = ClientSignals(self.node)
         self.signals.send_health(True)
         self._report_load(now)
@@ -101,9 +93,9 @@
         self._set_deadline(now, request)
         self._count_arrival(now, request)
         self._count_and_rank(now, request)
-        decision = self._decide(now, request)
-        if isinstance(decision, Rejection):
-            self.ends.reject(now, request, decision)
+        decision = self.arrivals.decide(now, request)
+        if isinstance(decision, RejectionDecision):
+            self.ends.reject(now, request, decision.rejection)
         elif decision is Admission.COALESCE:
             self._coalesce(now, request)
         else:
@@ -122,57 +114,17 @@
         self.retries.add(now, request.retry_attempt)
 
     def _count_and_rank(self, now: int, request: Request) -> None:
-        """Count a request, and set its rank and share status; its flow is charged, or postponed if early."""
+        """Count a request with its class and tenant, and its flow, and set its rank and share status.
+
+        One with a reservation ranks above all others, one over its share below them. Fair sharing charges
+        the flow of a request within its share, and postpones the reservation of a flow that came early.
+        """
         request.rank = self.ranking.count_and_rank(now, request, self.random())
         if self.fair_sharing:
             service_time = self.ranking.service_time(request)
             self.fair_sharing.arrive(now, request, service_time, self.concurrency.run_limit)
             request.rank += request.share_status
 
-    def _decide(self, now: int, request: Request) -> Decision:
-        """Decide by duplicate, deadline, memory and drain, then by load."""
-        memory_full = is_memory_full(request, self.occupancy.memory_kb, self.limits)
-        if is_coalesced(request, self.limits.cache_ttl, memory_full):
-            return Admission.COALESCE
-        if request.deadline <= now:
-            return Rejection.FINAL
-        if memory_full or self.drain_notice.is_past_grace(now, request.queueing_delay):
-            return Rejection.RETRY_ELSEWHERE
-        return self._decide_by_load(now, request)
-
-    def _decide_by_load(self, now: int, request: Request) -> Decision:
-        """Decide by share, if the request exceeds it or has a reservation; else by stage, fit and rank."""
-        depth = self.node.depth_per_core()
-        stage = self.overload.arrival_stage(depth)
-        service_time = self.ranking.service_time(request)
-        has_status = request.share_status is not ShareStatus.WITHIN_SHARE
-        if has_status and can_end_in_time(now, request, service_time):
-            return self._decide_by_share(now, request, stage, depth)
-        if stage is Stage.REJECT or not self._fits_behind_queue(now, request, service_time):
-            parsing_backlog = self.concurrency.mean_parsing_backlog(now)
-            return full_node_rejection(request, parsing_backlog, self.limits.cores)
-        return self._decide_by_rank(now, request, stage, depth)
-
-    def _decide_by_share(self, now: int, request: Request, stage: Stage, depth: float) -> Decision:
-        """Admit a reservation as in NORMAL; reject an exceeded share, but on an idle node decide by rank."""
-        if request.share_status is ShareStatus.RESERVED:
-            return self._decide_by_rank(now, request, Stage.NORMAL, depth)
-        if self.occupancy.holding_run_slot():
-            return Rejection.FINAL
-        return self._decide_by_rank(now, request, stage, depth)
-
-    def _fits_behind_queue(self, now: int, request: Request, service_time: float) -> bool:
-        waiting = self.occupancy.waiting()
-        wait_time = queue_wait_time(self.ranking.service_times, waiting, self.limits.cores)
-        return can_end_in_time_after_queue(now, request, service_time, wait_time)
-
-    def _decide_by_rank(self, now: int, request: Request, stage: Stage, depth: float) -> Decision:
-        """Update the shedding threshold; shed a low rank, else queue the request, delayed in BACKPRESSURE."""
-        self.shedding.update(depth, self.overload.latency_ratios.mean(now, 0.0))
-        if self.shedding.sheds(stage, request.rank):
-            return low_rank_rejection(request, self.limits.marks_retries, self.retries.mean(now, 1.0))
-        return Admission.DELAY if stage is Stage.BACKPRESSURE else Admission.QUEUE
-
     def _coalesce(self, now: int, request: Request) -> None:
         """Let a request wait for the result of the one that it duplicates."""
         self.occupancy.move(now, request, State.COALESCED)
@@ -203,7 +155,8 @@
         """Place the calls that can be placed, and start the requests that may run, by rank."""
         self.call_sequence.place_waiting(now)
         occupancy = self.occupancy
-        allowed_runs = self.concurrency.update_run_limit(self.overload.highest() >= Stage.EXPAND)
+        self.concurrency.update_run_limit(self.overload.highest() >= Stage.EXPAND)
+        allowed_runs = self.concurrency.allowed_runs()
         max_active = self.concurrency.max_active(self._warmth(now))
         while (request := self.queue.first()) is not None:
             if not may_start(occupancy.holding_run_slot(), occupancy.calling(), allowed_runs, max_active):
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -96,13 +96,15 @@
         A flow that is not surely heavier than those outside the table is admitted with probability
         `unknown_share`.
         """
-        heavy = self.shares.is_heavy(now, flow)
+        is_heavy = self.shares.is_heavy(now, flow)
         if flow.is_limited:
             exceeds = flow.free_at > now + MAX_BURST_NS
         else:
             unknown_share = self.shares.share_of_unknown(flow)
-            exceeds = unknown_share < 1 and not heavy and self.random() > unknown_share
-        exceeds_retries = request.retry_attempt and heavy and flow.retries > MAX_FLOW_RETRY_RATIO * flow.count
+            exceeds = unknown_share < 1 and not is_heavy and self.random() > unknown_share
+        exceeds_retries = (
+            request.retry_attempt and is_heavy and flow.retries > MAX_FLOW_RETRY_RATIO * flow.count
+        )
         return exceeds or exceeds_retries
 
     def _charge(self, now: int, request: Request, flow: Flow) -> None:
--- a/oakkeel/admission/health.py
+++ b/oakkeel/admission/health.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-MAX_HEALTHY_STALENESS_RATIO = 0.6  # maximum mean staleness, as a share of the latency objective
+# Mean staleness of arrivals (queueing delay before parsing), as a share of the latency objective.
+MAX_HEALTHY_STALENESS_RATIO = 0.6
 MAX_STALENESS_RATIO_TO_RECOVER = MAX_HEALTHY_STALENESS_RATIO / 2
 
 
--- a/oakkeel/admission/idle_connections.py
+++ b/oakkeel/admission/idle_connections.py
@@ -7,8 +7,9 @@
 from oakkeel.admission.client_returns import ReturnTimes
 from oakkeel.units import MS, SECOND
 
-CONNECTION_VALUE_NS = 20 * SECOND  # total idle time worth spending to save one new connection
-REAP_CONNECTION_VALUE_NS = 4 * SECOND  # the same value from the stage REAP on
+# Total idle time of connections that is worth spending to save one new connection, below and from REAP.
+CONNECTION_VALUE_NS = 20 * SECOND
+REAP_CONNECTION_VALUE_NS = 4 * SECOND
 MIN_IDLE_TIME_NS = 10 * MS
 RETURN_STEP_NS = 64 * MS  # the shortest step of return times; each further one doubles
 RETURN_STEPS = 9
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -1,4 +1,7 @@
-"""Rank: position (0 lowest, 1 highest) among recent arrivals, by priority weight per second of service."""
+"""Rank: the position (0 lowest, 1 highest) of a request among recent arrivals.
+
+They are ordered by priority weight per second of service time.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,8 @@
 from oakkeel.admission.types import NodeLimits, Request
 from oakkeel.units import SECOND
 
-OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6  # a guess for a class until its first request completes
+# The service time of a class is guessed so before any of its requests has completed.
+OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6
 SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll with none observed: requests run again as probes
 
 
@@ -48,7 +52,8 @@
         classes = limits.request_classes
         tenants = max(1, len(limits.tenants))
         self.limits = limits
-        self.observed_service_times = [SlidingWindow() for _ in classes]  # ns; completed or abandoned runs
+        # In nanoseconds, of runs that completed or were abandoned.
+        self.observed_service_times = [SlidingWindow() for _ in classes]
         self.service_times = [
             request_class.latency_objective / OBJECTIVE_PER_INITIAL_SERVICE_TIME for request_class in classes
         ]
@@ -56,7 +61,10 @@
         self.ranks = [[RankRange(start=0.0, width=1.0)] * tenants for _ in classes]
 
     def count_and_rank(self, now: int, request: Request, random_value: float) -> float:
-        """Count an arrived request, and return its rank; `random_value` (0 to 1) spreads equal requests."""
+        """Count a request that arrived, and return its rank.
+
+        `random_value`, from 0 to 1, spreads the requests of one class and tenant over their ranks.
+        """
         class_index = request.request_class.index
         tenant_index = request.tenant.index if request.tenant else 0
         if not request.retry_attempt:
--- a/oakkeel/admission/shedding.py
+++ b/oakkeel/admission/shedding.py
@@ -6,7 +6,8 @@
 from oakkeel.admission.types import Rejection, Request
 
 MAX_SHED_RATIO = 0.9  # highest threshold: the share of arrivals that is shed; some still run
-SHED_STEP_RATIO_PER_CORE = 0.08  # part of the way to its target that the threshold moves at an arrival
+# Part of the way to its target that the threshold moves at each arrival.
+SHED_STEP_RATIO_PER_CORE = 0.08
 MAX_ARRIVAL_RETRY_RATIO = 0.1  # retries among arrivals; above it the other nodes are full as well
 MAX_PARSING_PER_CORE_FOR_RETRY = 0.75  # above it, a retry only adds parsing work elsewhere
 
--- a/tests/admission/test_arrival_decision.py
+++ b/tests/admission/test_arrival_decision.py
@@ -1,8 +1,8 @@
-"""The decision on a request that arrives."""
+"""The decision on a request that arrives, and the reason of a rejection."""
 
 import unittest
 
-from oakkeel.admission.controller import Decision
+from oakkeel.admission.arrival_decision import Decision, RejectionDecision, RejectionReason
 from oakkeel.admission.overload import Stage
 from oakkeel.admission.types import Admission, Rejection, ShareStatus
 from oakkeel.units import MS, SECOND
@@ -20,43 +20,46 @@
         request.objective_end = request.deadline
         request.share_status = share_status
         request.rank = 0.1
-        return self.controller._decide(self.host.now, request)
+        return self.controller.arrivals.decide(self.host.now, request)
+
+    def assert_rejected(self, decision: Decision, rejection: Rejection, reason: RejectionReason) -> None:
+        self.assertEqual(decision, RejectionDecision(rejection, reason))
 
     def test_admits_on_an_idle_node_even_what_exceeds_its_share(self):
         self.assertIs(self.decide(), Admission.QUEUE)
         self.assertIs(self.decide(share_status=ShareStatus.EXCEEDED), Admission.QUEUE)
 
     def test_rejects_after_the_deadline(self):
-        self.assertIs(self.decide(remaining=0), Rejection.FINAL)
+        self.assert_rejected(self.decide(remaining=0), Rejection.FINAL, RejectionReason.DEADLINE)
 
     def test_rejects_what_exceeds_the_memory(self):
         decision = self.decide(memory_kb=100_000)
-        self.assertIs(decision, Rejection.RETRY_ELSEWHERE)
+        self.assert_rejected(decision, Rejection.RETRY_ELSEWHERE, RejectionReason.MEMORY)
 
     def test_rejects_after_the_grace_period_of_a_drain(self):
         self.controller.drain(self.host.now, 10 * SECOND)
         self.host.now += 3 * SECOND
-        self.assertIs(self.decide(), Rejection.RETRY_ELSEWHERE)
+        self.assert_rejected(self.decide(), Rejection.RETRY_ELSEWHERE, RejectionReason.DRAIN)
 
     def test_rejects_what_exceeds_its_share_while_another_runs(self):
         self.host.arrive()
         decision = self.decide(share_status=ShareStatus.EXCEEDED)
-        self.assertIs(decision, Rejection.FINAL)
+        self.assert_rejected(decision, Rejection.FINAL, RejectionReason.SHARE)
 
     def test_rejects_at_the_stage_reject_all_but_a_reservation(self):
         self.controller.overload.latency_stage = Stage.REJECT
-        self.assertIs(self.decide(), Rejection.RETRY_ELSEWHERE)
+        self.assert_rejected(self.decide(), Rejection.RETRY_ELSEWHERE, RejectionReason.STAGE)
         self.assertIs(self.decide(share_status=ShareStatus.RESERVED), Admission.QUEUE)
 
     def test_rejects_what_cannot_end_in_time_and_a_reservation_too(self):
         for share_status in ShareStatus:
             decision = self.decide(remaining=100 * MS, share_status=share_status)
-            self.assertIs(decision, Rejection.RETRY_ELSEWHERE)
+            self.assert_rejected(decision, Rejection.RETRY_ELSEWHERE, RejectionReason.FIT)
 
     def test_rejects_a_low_rank_from_reorder_on_and_delays_a_high_one_at_backpressure(self):
         self.controller.overload.latency_stage = Stage.BACKPRESSURE
         self.assertIs(self.decide(), Admission.DELAY)
         self.controller.shedding.threshold = 0.9
         self.controller.overload.latency_stage = Stage.REORDER
-        self.assertIs(self.decide(), Rejection.FINAL)
+        self.assert_rejected(self.decide(), Rejection.FINAL, RejectionReason.RANK)
         self.assertIs(self.decide(share_status=ShareStatus.RESERVED), Admission.QUEUE)
