--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -33,7 +33,7 @@
 from oakkeel.agent.supervisor import Supervisor
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption.holder import PermitHolder
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.settings.types import Fleet
 from oakkeel.store.database import Database
 from oakkeel.units import MS, SECOND
@@ -229,7 +229,7 @@
                 if self.member:
                     self.member.wake()
         except Exception as error:  # the agent continues
-            self.log.error("reconcile_failed", error=fault(error))
+            self.log.error("reconcile_failed", error=describe_error(error))
 
     @property
     def storage_error(self) -> str:
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 import oakkeel
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.rollout.assignments import ArtifactRequest, VersionAssignments
 from oakkeel.rollout.commands import VersionSpec
 from oakkeel.settings.types import HostSettings, InstanceSettings
@@ -60,7 +60,7 @@
             why = str(error)
         except Exception as error:
             why = "internal error of the agent; its log has the cause"
-            self.log.error("artifact_copy_failed", release=request.release, error=fault(error))
+            self.log.error("artifact_copy_failed", release=request.release, error=describe_error(error))
         report = self.log.warning if why else self.log.info
         report(
             "release_prepare_failed" if why else "release_prepared",
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -16,7 +16,7 @@
 from oakkeel.agent.supervisor import Step, Supervisor
 from oakkeel.control.client import ControlClient, ControlError
 from oakkeel.disruption.holder import PermitHolder
-from oakkeel.log import EventLog, LogFields, fault
+from oakkeel.log import EventLog, LogFields, describe_error
 from oakkeel.settings.types import FairSharingSettings
 from oakkeel.units import MS, SECOND
 
@@ -183,7 +183,7 @@
                     if instance.report is not None:
                         instance.why = f"its status request failed: {error}"
                 except Exception as error:
-                    self.log.error("control_poll_failed", target=instance.name, error=fault(error))
+                    self.log.error("control_poll_failed", target=instance.name, error=describe_error(error))
                 await asyncio.sleep(interval_ns / SECOND)
         finally:
             client.close()
--- a/oakkeel/agent/peer_sender.py
+++ b/oakkeel/agent/peer_sender.py
@@ -10,7 +10,7 @@
 
 from oakkeel.agent import messages
 from oakkeel.authentication.client import AuthenticatedClient, LinkError
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.raft.messages import Envelope
 from oakkeel.units import MS, SECOND
 
@@ -71,7 +71,7 @@
                 # The envelopes are lost: Raft sends them again.
                 await asyncio.sleep(PEER_RECONNECT_DELAY_NS / SECOND)
             except Exception as error:  # a fault in handling one response must not end this task
-                self.log.error("peer_response_failed", target=self.name, error=fault(error))
+                self.log.error("peer_response_failed", target=self.name, error=describe_error(error))
                 await asyncio.sleep(PEER_RECONNECT_DELAY_NS / SECOND)
 
     async def _request(self, envelopes: list[Envelope]) -> None:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -20,7 +20,7 @@
 from oakkeel.disruption.control_plane import ControlPlaneReplica, ControlPlaneSettings
 from oakkeel.disruption.messages import Heartbeat
 from oakkeel.errors import OakkeelError
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.raft.messages import Envelope
 from oakkeel.raft.proposals import NotLeaderError, Proposal, ProposalStatus
 from oakkeel.raft.roles import Role
@@ -178,7 +178,7 @@
             else:
                 self._execute(self.control_plane.tick(time.monotonic_ns()))
         except Exception as error:  # the agent continues; what is on disk is consistent
-            self.log.error("raft_tick_failed", error=fault(error))
+            self.log.error("raft_tick_failed", error=describe_error(error))
             self._stop_replica()
         self._schedule()
 
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -30,7 +30,7 @@
     Role,
     ServerAuthenticator,
 )
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.units import SECOND
 
 Handler = Callable[[Key, messages.Request], messages.Response | Awaitable[messages.Response]]
@@ -123,7 +123,7 @@
             with contextlib.suppress(StreamClosedError):
                 stream.write(frame(REFUSED))
         except Exception as error:  # a fault of one connection must not end the agent
-            self.log.error("agent_connection_failed", error=fault(error))
+            self.log.error("agent_connection_failed", error=describe_error(error))
         finally:
             stream.close()
             self.connections.pop(stream, None)
@@ -171,7 +171,7 @@
             answer = self.handler(key, request)
             return await answer if isinstance(answer, Awaitable) else answer
         except Exception as error:  # the sender gets an error response, and the agent continues
-            self.log.error("agent_request_failed", operator=key.operator, error=fault(error))
+            self.log.error("agent_request_failed", operator=key.operator, error=describe_error(error))
             return messages.ErrorResponse("internal error of the agent; its log has the cause")
 
     def _log_rejection(self, why: str) -> None:
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -17,7 +17,7 @@
 from oakkeel.authentication.client import AuthenticatedClient, LinkError
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption.messages import HeartbeatResponse
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.settings.types import Fleet, Service
 from oakkeel.units import MS, SECOND
 
@@ -77,7 +77,7 @@
                 self.why = f"{self.leader}: {error}"
                 self.locator.redirect("")
             except Exception as error:  # the agent continues
-                self.log.error("heartbeat_failed", error=fault(error))
+                self.log.error("heartbeat_failed", error=describe_error(error))
             self.wake.clear()
             try:
                 await asyncio.wait_for(self.wake.wait(), self.interval_ns / SECOND)
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -25,7 +25,7 @@
     encode,
 )
 from oakkeel.errors import OrderRefusedError
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.resource_limits import BUFFERS_PER_STREAM, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, send
 from oakkeel.units import SECOND
@@ -179,5 +179,5 @@
         except OrderRefusedError as refusal:
             return Acknowledgement(request.tag, False, str(refusal))
         except Exception as error:  # a defect must not end the link or the node
-            self.listener.log.error("control_request_failed", error=fault(error))
+            self.listener.log.error("control_request_failed", error=describe_error(error))
             return Acknowledgement(request.tag, False, "an internal error of the node: see its log")
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -11,7 +11,7 @@
 
 from oakkeel.dispatch.command_handler import ConnectionOwner
 from oakkeel.dispatch.connection import Connection
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.resource_limits import BUFFERS_PER_STREAM, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
 from oakkeel.units import SECOND
@@ -210,7 +210,7 @@
         try:
             await connection.serve()
         except Exception as error:  # one connection must not end the node
-            self.log.error("connection_failed", error=fault(error))
+            self.log.error("connection_failed", error=describe_error(error))
         finally:
             self._remove(connection)
 
--- a/oakkeel/engine/commands.py
+++ b/oakkeel/engine/commands.py
@@ -118,7 +118,7 @@
         for request, answered_at in list(self.uncertain_runs.items()):
             if not request.in_engine:
                 del self.uncertain_runs[request]
-            elif request.answered and not answered_at:
+            elif not request.awaits_answer and not answered_at:
                 self.uncertain_runs[request] = now
             elif answered_at and now - answered_at > self.resource_limits.engine_timeout:
                 del self.uncertain_runs[request]
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -14,13 +14,16 @@
 from oakkeel.engine.notices import WITH_BODY, NoticeHandler
 from oakkeel.engine.verbs import FEED, HALT, RUN, SKIP, STAT
 from oakkeel.line_protocol import LineParser
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, send
 from oakkeel.units import SECOND
 
 MAX_GAUGE = 1e12
+# They keep the tags of the two apart from those of requests for gauges, which are plain numbers.
+HANDOVER_TAG_PREFIX = b"w"
+REATTACH_TAG_PREFIX = b"b"
 
 
 def has_restarted(attached_at: int, age: int, latest_start: int, limits: ResourceLimits) -> bool:
@@ -41,19 +44,19 @@
         pool: BufferPool,
         resource_limits: ResourceLimits,
         log: EventLog,
-        started: Callable[[bool, int], None],
+        on_engine_started: Callable[[bool, int], None],
     ) -> None:
         """Prepare a link; `serve` connects it.
 
-        `started` is called with whether the engine is booting and its age in nanoseconds, at its first
-        greeting and after each restart.
+        `on_engine_started` is called with whether the engine is booting and its age in nanoseconds, at its
+        first greeting and after each restart.
         """
         self.address = address
         self.pool = pool
         self.resource_limits = resource_limits
         self.log = log
-        self.started = started
-        self.notices = NoticeHandler(log, self._hello, self._gauges)
+        self.on_engine_started = on_engine_started
+        self.notices = NoticeHandler(log, self._on_hello, self._on_gauges)
         self.unconfirmed = UnconfirmedCommands(resource_limits)
         self.gauge_requests: dict[bytes, GaugeRequest] = {}  # by tag, the oldest first
         self.tags = count(1)
@@ -78,7 +81,7 @@
                 await self._attach_and_read()
             except StreamClosedError as error:
                 if error.real_error:
-                    self._note_loss(fault(error.real_error))
+                    self._note_loss(describe_error(error.real_error))
             except MalformedInputError as error:
                 self._note_loss("stream_malformed")
                 self.log.warning("engine_stream_malformed", error=str(error))
@@ -87,7 +90,7 @@
                 raise
             except Exception as error:  # a defect must not end the link: no request could be answered
                 self._note_loss("defect")
-                self.log.error("engine_link_failed", error=fault(error))
+                self.log.error("engine_link_failed", error=describe_error(error))
             finally:
                 self._detach()
             wait = attempted_at + self.resource_limits.engine_retry - time.monotonic_ns()
@@ -155,7 +158,7 @@
                 self.connecting.close()  # a connection attempt may never be accepted
             return
         self.open = False  # commands wait for the new connection
-        self.handover_tag = b"w%d" % next(self.tags)
+        self.handover_tag = HANDOVER_TAG_PREFIX + b"%d" % next(self.tags)
         send(stream, b"STAT %s\r\n" % self.handover_tag)
         asyncio.get_running_loop().call_later(
             self.resource_limits.engine_handover_timeout / SECOND, stream.close
@@ -175,9 +178,9 @@
         """Give a run the reply of the downstream call that it waits for."""
         self._command(request, FEED, b"%d" % len(reply), reply)
 
-    def skip(self, request: NodeRequest, notice: int) -> None:
+    def skip(self, request: NodeRequest, notice_number: int) -> None:
         """Let a run continue without the call that it asked for in a notice."""
-        self._command(request, SKIP, b"%d" % notice)
+        self._command(request, SKIP, b"%d" % notice_number)
 
     def _command(
         self, request: NodeRequest, verb: bytes, arguments: bytes = b"", body: bytes | None = None
@@ -234,7 +237,7 @@
             self.log.warning("engine_link_timed_out")
             self.stream.close()
 
-    def _hello(self, state: bytes, age: int) -> None:
+    def _on_hello(self, state: bytes, age: int) -> None:
         """Handle a greeting: missed notices follow it, then the answer to a STAT sent now."""
         if self.hello_timer:
             self.hello_timer.cancel()
@@ -242,14 +245,14 @@
         if not self.greeted:
             self.greeted = True
             self.latest_start = latest_start
-            self.started(state == b"booting", age)
+            self.on_engine_started(state == b"booting", age)
         elif has_restarted(self.attached_at, age, self.latest_start, self.resource_limits):
             self.latest_start = latest_start
-            self.started(state == b"booting", age)
+            self.on_engine_started(state == b"booting", age)
             self._engine_restarted()
             return
         self.latest_start = min(self.latest_start, latest_start)
-        self.reattach_tag = b"b%d" % next(self.tags)
+        self.reattach_tag = REATTACH_TAG_PREFIX + b"%d" % next(self.tags)
         self.reattach_at = time.monotonic_ns()
         if self.stream:
             send(self.stream, b"STAT %s\r\n" % self.reattach_tag)
@@ -263,7 +266,7 @@
             self._note_loss("engine_restarted")
             self.stream.close()  # its ATTACH named a notice that this engine never sent
 
-    def _gauges(self, tag: bytes, values: list[float]) -> None:
+    def _on_gauges(self, tag: bytes, values: list[float]) -> None:
         if not all(0 <= value < MAX_GAUGE for value in values):
             raise MalformedInputError(f"gauges out of range: {values}")  # admission decides by them
         if tag == self.reattach_tag:
--- a/oakkeel/engine/notices.py
+++ b/oakkeel/engine/notices.py
@@ -49,15 +49,15 @@
             elif verb == STATS:
                 self.on_gauges(tokens[1], [float(token) for token in tokens[2:]])
             elif verb in (DONE, NEED, NOTE):
-                notice = parse_integer(tokens[1])
-                if notice <= self.last_number:
+                number = parse_integer(tokens[1])
+                if number <= self.last_number:
                     return  # a duplicate, read before the connection was lost
-                self.last_number = notice
+                self.last_number = number
                 if verb == DONE:
                     self.finish(tokens[2], RUN_OUTCOMES[tokens[3]], parse_milliseconds(tokens[4]), body)
                 elif verb == NEED and (request := self.runs.get(tokens[2])):
-                    request.last_notice = notice
-                    request.post(CallNeeded(notice, body))
+                    request.last_notice = number
+                    request.post(CallNeeded(number, body))
             elif verb == NO:
                 self._command_rejected(tokens[1], tokens[2])
             else:
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -165,6 +165,6 @@
         self.log.error("library_error", logger=record.name, message=record.getMessage())
 
 
-def fault(error: BaseException) -> str:
+def describe_error(error: BaseException) -> str:
     """Return the type and the text of an error, for the field `error`."""
     return f"{type(error).__name__}: {error}"
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -41,7 +41,7 @@
     def __init__(self, node: NodeContext) -> None:
         """Count the outcomes of the node's requests from now on."""
         self.node = node
-        self.started = time.monotonic_ns()
+        self.started_at = time.monotonic_ns()
         weights = (
             request_class.priority_weight for request_class in node.configuration.limits.request_classes
         )
@@ -69,7 +69,7 @@
             generation=node.configuration.generation,
             state=self._state(now).value,
             address=f"{host}:{port}",
-            uptime=now - self.started,
+            uptime=now - self.started_at,
             resident_kb=resident_bytes() // BYTES_PER_KB,
             descriptors=open_descriptors(),
             connections=len(node.listener.connections),
@@ -85,9 +85,9 @@
         )
         if node.host.gauges_read_at:
             status.gauges_age = now - node.host.gauges_read_at
-        if node.host.started:
+        if node.host.is_started:
             self._add_admission(status)
-        if node.drain.started:
+        if node.drain.is_started:
             status.open_by_class = self._open_by_class()
         return status
 
@@ -114,15 +114,15 @@
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
         """Return the heaviest clients; none if fair sharing is off or has not started."""
         fair_sharing = self.node.fair_sharing
-        if fair_sharing and self.node.host.started:
+        if fair_sharing and self.node.host.is_started:
             return fair_sharing.clients_status(tag, limit)
         return ClientsStatus(tag, [])
 
     def _state(self, now: int) -> ServingState:
         node = self.node
-        if node.drain.started:
+        if node.drain.is_started:
             return ServingState.DRAINING
-        if not node.host.started:
+        if not node.host.is_started:
             return ServingState.WAITING
         limits = node.configuration.limits
         in_slow_start = limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -9,7 +9,7 @@
 from oakkeel.directory.reports import DirectoryReporter
 from oakkeel.dispatch.listener import Listener
 from oakkeel.errors import InvalidTransitionError, OrderRefusedError
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.node.host import NodeHost
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.units import SECOND
@@ -18,16 +18,16 @@
 class DrainState(Enum):
     """States of a drain; only `Drain._set_state` changes it."""
 
-    NOT = "not"
+    SERVING = "serving"  # no drain is in progress
     GRACE = "grace"  # new connections are still served
     EMPTYING = "emptying"  # none are accepted; what was read is answered
     ENDED = "ended"
 
 
 TRANSITIONS: dict[DrainState, set[DrainState]] = {
-    DrainState.NOT: {DrainState.GRACE},
-    DrainState.GRACE: {DrainState.EMPTYING, DrainState.NOT},
-    DrainState.EMPTYING: {DrainState.ENDED, DrainState.NOT},
+    DrainState.SERVING: {DrainState.GRACE},
+    DrainState.GRACE: {DrainState.EMPTYING, DrainState.SERVING},
+    DrainState.EMPTYING: {DrainState.ENDED, DrainState.SERVING},
     DrainState.ENDED: set(),
 }
 
@@ -62,22 +62,22 @@
         self.node = node
         self.grace = grace
         self.stop_after = stop_after
-        self.state = DrainState.NOT
+        self.state = DrainState.SERVING
         self.final = False  # started by SIGTERM, which nothing cancels
         self.task: asyncio.Task[None] | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
 
     @property
-    def started(self) -> bool:
+    def is_started(self) -> bool:
         """Whether the drain is in progress or has ended."""
-        return self.state is not DrainState.NOT
+        return self.state is not DrainState.SERVING
 
     def start(self, timeout: int) -> None:
         """Drain within `timeout` nanoseconds, 0 for the time after SIGTERM; a second order changes nothing.
 
         `cancel` ends it, as an order may be withdrawn.
         """
-        if not self.started:
+        if not self.is_started:
             self._begin("order", timeout or self.stop_after)
 
     def start_final(self) -> None:
@@ -85,7 +85,7 @@
         if self.final:
             return
         self.final = True
-        if self.started:  # the order may have allowed more time
+        if self.is_started:  # the order may have allowed more time
             self._set_deadline(self.stop_after)
             self._notify_admission(self.stop_after)
             return
@@ -93,7 +93,7 @@
 
     def cancel(self) -> None:
         """Read requests again. Raises `DrainNotCancelledError` if the node can't; no drain is no error."""
-        if not self.started:
+        if not self.is_started:
             return
         if self.final:
             raise DrainNotCancelledError("the drain is final: the node stops after SIGTERM")
@@ -108,7 +108,7 @@
             self.task.cancel()
         if self.deadline_timer:
             self.deadline_timer.cancel()
-        self._set_state(DrainState.NOT)
+        self._set_state(DrainState.SERVING)
         self._notify_admission(None)
         node.directory_reporter.set_accepting(True)
         node.drain_cancelled()
@@ -125,7 +125,7 @@
         """End once each request that was read is answered and every dispatcher has closed its connections."""
         node = self.node
         node.directory_reporter.set_accepting(False)
-        if node.host.started:
+        if node.host.is_started:
             self._notify_admission(time_left)
             node.listener.drain_connections()
             await asyncio.sleep(self.grace / SECOND)
@@ -155,10 +155,10 @@
 
     def _notify_admission(self, time_left: int | None) -> None:
         try:
-            if self.node.host.started:
+            if self.node.host.is_started:
                 self.node.host.notify(self.node.host.admission.drain, time_left)
         except Exception as error:  # a defect there must not stop the drain
-            self.node.log.error("drain_admission_notice_failed", error=fault(error))
+            self.node.log.error("drain_admission_notice_failed", error=describe_error(error))
 
     def _set_state(self, state: DrainState) -> None:
         """Change the state; nothing else does."""
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -73,7 +73,7 @@
 
     def write_snapshot(self) -> None:
         """Write the snapshot, if it has a path and admission has started."""
-        fair = self.host.admission.fair_sharing if self.host.started else None
+        fair = self.host.admission.fair_sharing if self.host.is_started else None
         if not self.path or fair is None:
             return
         try:
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -9,7 +9,7 @@
 
 from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import Gauges
-from oakkeel.log import fault
+from oakkeel.log import describe_error
 from oakkeel.node.components import NodeComponents
 from oakkeel.node.configuration import NodeConfiguration
 from oakkeel.request import NodeRequest
@@ -47,7 +47,7 @@
         self.schedule_pending = False
         self.timer_tasks: set[asyncio.Task[None]] = set()
         self.admission: AdmissionController  # from `start_admission` on
-        self.started = False
+        self.is_started = False
 
     def start_admission(self, cold: bool, age: int) -> None:
         """Start the admission controller: the engine is up since `age` nanoseconds.
@@ -56,10 +56,10 @@
         """
         limits = self.configuration.limits
         limits.starts_cold = limits.starts_cold or cold
-        self.started = True
-        started = time.monotonic_ns() - (age if cold else 0)
+        self.is_started = True
+        started_at = time.monotonic_ns() - (age if cold else 0)
         # It passes back the requests that it was given, which are of the type NodeRequest.
-        self.admission = AdmissionController(self, limits, self.configuration.seed, started)  # type: ignore[arg-type]
+        self.admission = AdmissionController(self, limits, self.configuration.seed, started_at)  # type: ignore[arg-type]
 
     def engine_restarted(self, cold: bool, age: int) -> None:
         """Begin slow start again if the engine has restarted cold, `age` nanoseconds ago."""
@@ -79,7 +79,7 @@
         try:
             self.admission.schedule(time.monotonic_ns())
         except Exception as error:  # a defect must not stop the node
-            self.log.error("schedule_failed", error=fault(error))
+            self.log.error("schedule_failed", error=describe_error(error))
 
     # Verdicts of the admission controller, for the handlers of the requests.
 
@@ -151,7 +151,7 @@
                 self.metrics.gauges_missed += 1
             self.notify(self.admission.timer_expired, token, self.gauges)
         except Exception as error:  # a defect must not stop the polls, which are timers as well
-            self.log.error("timer_failed", error=fault(error))
+            self.log.error("timer_failed", error=describe_error(error))
             self.set_timer(token, time.monotonic_ns() + self.configuration.resource_limits.timer_retry)
 
     # Verdicts about the whole node.
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -128,10 +128,10 @@
         self.log.info("node_stopped")
 
     def _engine_up(self, cold: bool, age: int) -> None:
-        if self.host.started:
+        if self.host.is_started:
             self.host.engine_restarted(cold, age)
             return
-        if self.drain.started:  # no request is read, unless the drain is cancelled
+        if self.drain.is_started:  # no request is read, unless the drain is cancelled
             self.pending_engine = PendingEngine(cold, age, time.monotonic_ns())
             return
         self.host.start_admission(cold, age)
@@ -184,13 +184,13 @@
 
     def client_disconnected(self, request: NodeRequest) -> None:
         """Notify the handler that the client no longer waits."""
-        if not request.answered:
-            request.answered = True  # no answer is due any more
+        if request.awaits_answer:
+            request.awaits_answer = False
             request.post(ClientDisconnected())
 
     def healthy(self) -> bool:
         """Whether the node accepts requests, for health checks."""
-        return self.host.healthy and self.host.started and not self.drain.started
+        return self.host.healthy and self.host.is_started and not self.drain.is_started
 
     def load_report(self) -> float | None:
         """Return the value of the load report; None before there is one."""
@@ -198,7 +198,7 @@
 
     def retry_after(self) -> int:
         """Return the Retry-After of a request rejected on arrival, in nanoseconds; 0 for no advice."""
-        return self.host.admission.retry_after() if self.host.started else 0
+        return self.host.admission.retry_after() if self.host.is_started else 0
 
     def stop(self) -> None:
         """Drain and stop after SIGTERM or SIGINT; a second call changes nothing."""
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -7,7 +7,7 @@
 from oakkeel.admission.types import Outcome, RequestState
 from oakkeel.dispatch import codec
 from oakkeel.errors import OakkeelError
-from oakkeel.log import fault
+from oakkeel.log import describe_error
 from oakkeel.node.components import NodeComponents
 from oakkeel.node.host import NodeHost
 from oakkeel.node.response_cache import KeyCheck
@@ -63,7 +63,7 @@
                 "request_failed",
                 request_id=request.request_id.decode(),
                 state=request.state.name,
-                error=fault(error),
+                error=describe_error(error),
             )
             await self._clean_up(request)
         finally:
@@ -122,7 +122,7 @@
                     self.engine.feed(request, event.reply)
                 event = await self._next_event(request)
         if isinstance(event, SkipCall):
-            self.engine.skip(request, needed.notice)
+            self.engine.skip(request, needed.notice_number)
             event = await self._next_event(request)
         return event
 
@@ -145,7 +145,7 @@
                 self.host.notify(self.host.admission.client_disconnected, request)
             else:
                 return event
-            if request.answered:
+            if not request.awaits_answer:
                 self.catalogue.quit(request)  # nobody waits for the reply of its call
 
     def _finish_run(self, request: NodeRequest, run: RunFinished) -> None:
@@ -184,8 +184,8 @@
         `CommandHandler` answers the calls that never become a request: malformed, over a limit, or before the
         node may take requests.
         """
-        if not request.answered:
-            request.answered = True
+        if request.awaits_answer:
+            request.awaits_answer = False
             self.metrics.count_answer(status)
             if self.metrics.answer_observer:
                 self.metrics.answer_observer(request, status)
@@ -203,4 +203,4 @@
                 elif isinstance(event, RunFinished):
                     self._finish_run(request, event)
         except Exception as error:
-            self.log.error("request_cleanup_failed", error=fault(error))
+            self.log.error("request_cleanup_failed", error=describe_error(error))
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -49,7 +49,7 @@
     cache_key: CacheKey | None  # None if duplicates can't be recognized
     connection: ResponseChannel
 
-    answered: bool = False  # or its client has disconnected
+    awaits_answer: bool = True  # until it is answered or its client has disconnected
     may_have_run: bool = False  # given to the engine, and nothing proves that it had no effect
     in_engine: bool = False  # from the command to run until the notice that the run is over
     last_notice: int = 0  # number of the engine's last notice for it
--- a/oakkeel/request_events.py
+++ b/oakkeel/request_events.py
@@ -49,7 +49,7 @@
     """Take the response of the request that this one duplicates."""
 
 
-# Notices of connections, engine, catalogue and response cache.
+# What connections, engine, catalogue and response cache report.
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
 class CallNeeded:
     """The run waits for a downstream call."""
 
-    notice: int  # number of the engine's notice
+    notice_number: int  # of the engine's notice
     body: bytes
 
 
@@ -97,5 +97,5 @@
 
 
 Verdict = StartRun | RejectRequest | FailRequest | CancelRun | PlaceCall | SkipCall | AwaitSharedResponse
-Notice = ClientDisconnected | CallNeeded | CallFinished | RunFinished | SharedResponse
-RequestEvent = Verdict | Notice
+ExternalEvent = ClientDisconnected | CallNeeded | CallFinished | RunFinished | SharedResponse
+RequestEvent = Verdict | ExternalEvent
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -248,7 +248,7 @@
     """A drain with dispatchers that close nothing; the node has no engine yet, so there is no grace."""
 
     directory_reporter = types.SimpleNamespace(set_accepting=lambda taking: None)
-    host = types.SimpleNamespace(started=False)
+    host = types.SimpleNamespace(is_started=False)
     log = EventLog("test", 0)
 
     async def test_closes_the_remaining_connections_just_before_the_stop(self):
