--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -20,6 +20,9 @@
     from oakkeel.fair_sharing.reservations import Reservation
 
 
+# The values of these enums are not words of the settings: the tables of `oakkeel/node_limits.py` map those.
+
+
 class Idempotency(Enum):
     """Whether a request may take effect more than once."""
 
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from oakkeel.admission.types import FairSharingRules, NodeLimits
-from oakkeel.node_limits import LimitsError, Pairs, fail, flatten, read_limits
+from oakkeel.node_limits import LimitsError, Settings, fail, flatten, read_limits
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.units import BYTES_PER_MB, MS
 
@@ -45,22 +45,22 @@
 def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
     """Read the environment variables and the file that they name. Raises LimitsError, with one line."""
     document = _read_document(variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set"))
-    pairs = Pairs(flatten({name: value for name, value in document.items() if name != "settings"}))
-    node = Pairs(flatten(document.get("settings") or {}))
+    settings = Settings(flatten({name: value for name, value in document.items() if name != "settings"}))
+    node = Settings(flatten(document.get("settings") or {}))
     try:
         limits = read_limits(node)
         limits.fair_sharing, snapshot = _read_fair_sharing(variables.get("OAKKEEL_TOLD", ""))
         return NodeConfiguration(
-            name=variables.get("PROXY_NAME") or pairs.need("name"),
-            listen=_address(variables.get("PROXY_LISTEN") or pairs.need("listen")),
-            engine=_address(pairs.need("engine")),
-            lookup=_address(pairs.need("lookup")),
-            catalogue=_address(pairs.get("catalog", "")) if pairs.get("catalog", "") else None,
+            name=variables.get("PROXY_NAME") or settings.required("name"),
+            listen=_address(variables.get("PROXY_LISTEN") or settings.required("listen")),
+            engine=_address(settings.required("engine")),
+            lookup=_address(settings.required("lookup")),
+            catalogue=_address(settings.get("catalog", "")) if settings.get("catalog", "") else None,
             seed=_seed(document.get("seed", 0)),
             resource_limits=ResourceLimits(
-                sockets=int(pairs.needed_number("limits.sockets")),
-                memory=int(pairs.needed_number("limits.memory_mb") * BYTES_PER_MB),
-                stop_after=int(pairs.needed_number("stop_ms") * MS),
+                sockets=int(settings.required_number("limits.sockets")),
+                memory=int(settings.required_number("limits.memory_mb") * BYTES_PER_MB),
+                stop_after=int(settings.required_number("stop_ms") * MS),
             ),
             limits=limits,
             gauges=node.gauges(),
@@ -100,18 +100,18 @@
             document = json.load(file).get("fair")
         if document is None:
             return None, ""
-        weights = {str(name).encode(): float(value) for name, value in document["weights"].items()}
-        if not 1 <= len(document["by"]) <= MAX_FLOW_LEVELS or not all(
-            0 < value < MAX_FLOW_WEIGHT for value in weights.values()
+        rules = FairSharingRules(
+            levels=tuple(document["by"]),
+            weights={str(name).encode(): float(value) for name, value in document["weights"].items()},
+            max_flows=int(document["places"]),
+            max_reservations=int(document["promises"]),
+            half_life=int(document["half"]),
+        )
+        if not 1 <= len(rules.levels) <= MAX_FLOW_LEVELS or not all(
+            0 < weight < MAX_FLOW_WEIGHT for weight in rules.weights.values()
         ):
             fail(f"the operators' settings need 1 to {MAX_FLOW_LEVELS} levels of flows, and weights in range")
-        return FairSharingRules(
-            tuple(document["by"]),
-            weights,
-            int(document["places"]),
-            int(document["promises"]),
-            int(document["half"]),
-        ), str(document["snapshot"])
+        return rules, str(document["snapshot"])
     except (OSError, KeyError, TypeError, ValueError) as error:
         raise LimitsError(f"the operators' settings have a malformed value: {error}") from None
 
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -1,6 +1,7 @@
 """The settings of a node, read into `NodeLimits`: from path=value text or from nested JSON.
 
-Unknown paths are skipped. A value that can't be parsed raises a `LimitsError` of one line.
+Times are nanoseconds. Unknown paths are skipped. A value that can't be parsed raises a `LimitsError` of one
+line.
 """
 
 from __future__ import annotations
@@ -21,6 +22,8 @@
 Choice = TypeVar("Choice")
 JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
 
+# The words of the settings, on the left, are mapped to the terms of the code here and nowhere else. The paths
+# are mapped in `read_limits` and `_request_class`.
 IDEMPOTENCY = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
@@ -71,15 +74,15 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-class Pairs:
-    """Settings by path; `get` has a default for an absent path, `need` raises."""
+class Settings:
+    """Settings by path; `get` has a default for an absent path, `required` raises."""
 
     def __init__(self, values: dict[str, str]) -> None:
         """Take settings by path."""
         self.values = values
 
     @classmethod
-    def from_text(cls, text: str) -> Pairs:
+    def from_text(cls, text: str) -> Settings:
         """Parse lines of path=value; other lines are skipped."""
         return cls(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
@@ -87,7 +90,7 @@
         """Return a value, or the default if it is absent or empty."""
         return self.values.get(path) or default
 
-    def need(self, path: str) -> str:
+    def required(self, path: str) -> str:
         """Return a value. Raises `LimitsError` if it is absent or empty."""
         return self.values.get(path) or fail(f"the settings lack {path}")
 
@@ -99,9 +102,9 @@
         """Return nanoseconds, 0 if absent."""
         return int(self.number(path))
 
-    def needed_number(self, path: str) -> float:
+    def required_number(self, path: str) -> float:
         """Return a number. Raises `LimitsError` if it is absent."""
-        return self._parse(path, self.need(path))
+        return self._parse(path, self.required(path))
 
     def flag(self, path: str) -> bool:
         """Return whether it is `true`."""
@@ -135,50 +138,52 @@
         return [self.get(f"{path}.{index}.name", "") for index in range(int(self.number(f"{path}.count")))]
 
 
-def read_limits(pairs: Pairs) -> NodeLimits:
-    """Return the limits of a node."""
+def read_limits(settings: Settings) -> NodeLimits:
+    """Return the limits of a node; times in the settings are nanoseconds already."""
+    gives_retry_after = settings.flag("ceilings.retry-after")
+    max_retry_after = settings.time("ceilings.max-retry-after") if gives_retry_after else 0
     return NodeLimits(
-        cores=int(pairs.needed_number("extra.cores")),
-        memory_kb=pairs.needed_number("extra.heap-kb"),
-        running_memory_factor=pairs.needed_number("extra.run-factor"),
-        key_kb=pairs.number("extra.key-kb"),
-        starts_cold=pairs.flag("extra.cold"),
-        slow_start_share=pairs.number("obligations.cold-from", 1.0),
-        slow_start_time=pairs.time("obligations.cold"),
-        overload_multiple=pairs.needed_number("obligations.fall-multiple"),
-        drain_grace=pairs.time("obligations.drain-grace"),
-        marks_retries=pairs.flag("clients.marks-retry"),
-        max_retry_after=pairs.time("ceilings.max-retry-after") if pairs.flag("ceilings.retry-after") else 0,
-        stop_kind=pairs.choice("extra.halt", STOP_KINDS, "silent"),
-        peers=max(1, int(pairs.number("peers-total", 1))),
-        downstream=pairs.choice("extra.depends-on", DOWNSTREAMS, "silent"),
-        downstream_quota=pairs.number("extra.call-share"),
-        downstream_window=pairs.time("extra.dep-window"),
-        call_linger=pairs.time("extra.linger"),
-        cache_ttl=pairs.time("extra.fresh"),
-        idle_timeout=pairs.time("extra.idle"),
-        load_report=pairs.choice("extra.say", LOAD_REPORTS, "silent"),
-        over_allowance_weight=pairs.number("over-share-worth", 1.0),
+        cores=int(settings.required_number("extra.cores")),
+        memory_kb=settings.required_number("extra.heap-kb"),
+        running_memory_factor=settings.required_number("extra.run-factor"),
+        key_kb=settings.number("extra.key-kb"),
+        starts_cold=settings.flag("extra.cold"),
+        slow_start_share=settings.number("obligations.cold-from", 1.0),
+        slow_start_time=settings.time("obligations.cold"),
+        overload_multiple=settings.required_number("obligations.fall-multiple"),
+        drain_grace=settings.time("obligations.drain-grace"),
+        marks_retries=settings.flag("clients.marks-retry"),
+        max_retry_after=max_retry_after,
+        stop_kind=settings.choice("extra.halt", STOP_KINDS, "silent"),
+        peers=max(1, int(settings.number("peers-total", 1))),
+        downstream=settings.choice("extra.depends-on", DOWNSTREAMS, "silent"),
+        downstream_quota=settings.number("extra.call-share"),
+        downstream_window=settings.time("extra.dep-window"),
+        call_linger=settings.time("extra.linger"),
+        cache_ttl=settings.time("extra.fresh"),
+        idle_timeout=settings.time("extra.idle"),
+        load_report=settings.choice("extra.say", LOAD_REPORTS, "silent"),
+        over_allowance_weight=settings.number("over-share-worth", 1.0),
         request_classes=[
-            _request_class(pairs, index) for index in range(int(pairs.needed_number("classes.count")))
+            _request_class(settings, index) for index in range(int(settings.required_number("classes.count")))
         ],
         tenants=[
-            Tenant(index, pairs.number(f"tenants.{index}.allowance-per-s"))
-            for index in range(int(pairs.number("tenants.count")))
+            Tenant(index, settings.number(f"tenants.{index}.allowance-per-s"))
+            for index in range(int(settings.number("tenants.count")))
         ],
     )
 
 
-def _request_class(pairs: Pairs, index: int) -> RequestClass:
+def _request_class(settings: Settings, index: int) -> RequestClass:
     path = f"classes.{index}."
-    client_timeout = int(pairs.needed_number(path + "hard-limit"))
+    client_timeout = int(settings.required_number(path + "hard-limit"))
     return RequestClass(
         index=index,
-        idempotency=pairs.choice(path + "effect", IDEMPOTENCY, "non_idempotent"),
-        priority_weight=pairs.number(path + "worth", 1.0),
-        latency_objective=pairs.time(path + "aim") or client_timeout,
+        idempotency=settings.choice(path + "effect", IDEMPOTENCY, "non_idempotent"),
+        priority_weight=settings.number(path + "worth", 1.0),
+        latency_objective=settings.time(path + "aim") or client_timeout,
         client_timeout=client_timeout,
-        idempotency_window=pairs.time(path + "window"),
-        late_weight=pairs.number(path + "late-worth"),
-        degraded_weight=float(pairs.entry("extra.class-skip-worth", index, "0")),
+        idempotency_window=settings.time(path + "window"),
+        late_weight=settings.number(path + "late-worth"),
+        degraded_weight=float(settings.entry("extra.class-skip-worth", index, "0")),
     )
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -4,7 +4,7 @@
 
 from oakkeel.admission import AdmissionController
 from oakkeel.admission.types import Gauges, Idempotency, Outcome, Request
-from oakkeel.node_limits import LimitsError, Pairs, read_limits
+from oakkeel.node_limits import LimitsError, Settings, read_limits
 from oakkeel.simulator_adapter import wire
 from oakkeel.simulator_adapter.wire import ActionCode, Arrival, WireError
 
@@ -27,12 +27,12 @@
         """Read the settings and start the decisions. Raises `WireError` for settings that lack something."""
         self.number = number
         self.reply = reply
-        pairs = Pairs.from_text(settings)
+        parsed = Settings.from_text(settings)
         try:
-            self.limits = read_limits(pairs)
+            self.limits = read_limits(parsed)
         except LimitsError as error:
             raise WireError(str(error)) from error
-        self.gauge_names = pairs.gauges()
+        self.gauge_names = parsed.gauges()
         self.gauges = Gauges()
         self.requests: dict[int, Request] = {}
         self.ids: dict[Request, int] = {}
--- a/tests/compatibility/test_network.py
+++ b/tests/compatibility/test_network.py
@@ -7,7 +7,7 @@
 import unittest
 
 from oakkeel.dispatch import codec, resp
-from oakkeel.node_limits import Pairs, read_limits
+from oakkeel.node_limits import Settings, read_limits
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.simulator_adapter import wire
 from oakkeel.simulator_adapter.table import InstanceTable
@@ -38,7 +38,7 @@
         self.expected = load("network.json")
 
     def test_requests_are_read_to_the_same_values(self):
-        limits = read_limits(Pairs(load("simulator-settings.json")))
+        limits = read_limits(Settings(load("simulator-settings.json")))
         bounds = ResourceLimits(1024, 192 * 2**20, 3_000_000_000)
         classes, tenants = ["quote", "pay", "card"], ["guild", "south"]
         reader = codec.RequestReader(limits, classes, tenants, bounds, lambda: NOW)
--- a/tests/node/test_node_limits.py
+++ b/tests/node/test_node_limits.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from oakkeel.node_limits import Pairs, flatten, read_limits
+from oakkeel.node_limits import Settings, flatten, read_limits
 from tests.support.node_process import NODE_SETTINGS
 
 
@@ -11,5 +11,7 @@
         values = flatten(NODE_SETTINGS)
         text = "\n".join(f"{path}={value}" for path, value in values.items())
         self.assertEqual(values["classes.count"], "4")
-        self.assertEqual(str(read_limits(Pairs(values)).request_classes[0].latency_objective), "8000000000")
-        self.assertEqual(Pairs.from_text(text).values, values)
+        self.assertEqual(
+            str(read_limits(Settings(values)).request_classes[0].latency_objective), "8000000000"
+        )
+        self.assertEqual(Settings.from_text(text).values, values)
