--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -64,7 +64,7 @@
         self.resource_limits = resource_limits
         self.log = log
         self.links: dict[ControlLink, asyncio.Task[None]] = {}  # least recently active first
-        self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_STREAM * resource_limits.control_links)
+        self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_STREAM * resource_limits.max_control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by a node that was killed
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -84,7 +84,7 @@
         with contextlib.suppress(BlockingIOError, OSError):
             accepted, _ = self.socket.accept()
             accepted.setblocking(False)
-            if len(self.links) >= self.resource_limits.control_links:
+            if len(self.links) >= self.resource_limits.max_control_links:
                 oldest = next(iter(self.links))  # the least recently active one
                 oldest.stream.close()
                 del self.links[oldest]
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -245,7 +245,10 @@
         self._lifecycle.start_timer(self._resource_limits.linger_timeout, self.close)
 
     def reject_all(self) -> None:
-        """Reject the requests of a connection over the limit, for the grace of a new one, and close it."""
+        """Reject all requests of this connection, as it is over the limit.
+
+        The dispatcher is asked to close it; the node closes it when idle, after `new_connection_grace`.
+        """
         self._commands.rejects_all = True
         with contextlib.suppress(BlockingIOError, OSError):  # nothing received yet, or its reader fails
             self.read_buffer.receive(self.stream.socket)
@@ -253,7 +256,10 @@
         self.drain(self._resource_limits.new_connection_grace)
 
     def evict(self) -> bool:
-        """Close the connection, as its descriptor is needed; return whether it still holds one until then."""
+        """End the connection, as its descriptor is needed: at once if no answer can be lost, else gracefully.
+
+        Return whether it still holds its descriptor.
+        """
         if self.state in (ConnectionState.OPEN, ConnectionState.DRAINING):
             self._finish()
         if not self._writer.used:  # no answer can be lost
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -99,7 +99,7 @@
             if self.accepting and not self.resume_timer and not self._accept_some():
                 break
             # Evicted connections end in the next pass, and release what the next ones need.
-            await asyncio.sleep(self.resource_limits.accept_retry / SECOND if self.resume_timer else 0)
+            await asyncio.sleep(self.resource_limits.accept_retry_delay / SECOND if self.resume_timer else 0)
         if self.accepting:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.accepting = False
@@ -142,13 +142,13 @@
         return True
 
     def _pause(self) -> None:
-        """Stop accepting for `accept_retry`, as no descriptor or buffer is left.
+        """Stop accepting for `accept_retry_delay`, as no descriptor or buffer is left.
 
         Otherwise the readable socket would keep the event loop busy.
         """
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
-        self.resume_timer = loop.call_later(self.resource_limits.accept_retry / SECOND, self._resume)
+        self.resume_timer = loop.call_later(self.resource_limits.accept_retry_delay / SECOND, self._resume)
 
     def _resume(self) -> None:
         self.resume_timer = None
@@ -194,7 +194,7 @@
 
     def _add_evicted(self, connection: Connection) -> None:
         """Let a connection close gracefully with a descriptor reserved for evicted ones; close the oldest."""
-        while len(self.evicted) >= self.resource_limits.evicted_connections:
+        while len(self.evicted) >= self.resource_limits.max_evicted_connections:
             next(iter(self.evicted)).close()
             self.evicted.pop(next(iter(self.evicted)))
         self.evicted[connection] = None
--- a/oakkeel/dispatch/resp.py
+++ b/oakkeel/dispatch/resp.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from oakkeel.line_protocol import LINE_END, LINE_END_BYTES, parse_integer
 from oakkeel.stream_buffers import MalformedInputError, ReadBuffer
@@ -10,15 +11,29 @@
 MAX_LENGTH_BYTES = 16  # of the line with a sign and a number
 
 
+class ParsedArray(NamedTuple):
+    """An array, and the position after it."""
+
+    tokens: list[bytes]
+    end: int
+
+
+class ParsedLength(NamedTuple):
+    """The number of a line, and the position after the line."""
+
+    value: int
+    end: int
+
+
 def arrays(read_buffer: ReadBuffer, max_tokens: int) -> Iterator[list[bytes]]:
     """Take the complete arrays out of a read buffer; an incomplete one stays in it."""
     while (found := _array(read_buffer, max_tokens)) is not None:
-        tokens, read_buffer.start = found
-        yield tokens
+        read_buffer.start = found.end
+        yield found.tokens
 
 
-def _array(read_buffer: ReadBuffer, max_tokens: int) -> tuple[list[bytes], int] | None:
-    """Return the first array and its end; None if it is incomplete."""
+def _array(read_buffer: ReadBuffer, max_tokens: int) -> ParsedArray | None:
+    """Return the first array; None if it is incomplete."""
     if (header := _length(read_buffer, read_buffer.start, b"*")) is None:
         return None
     count, position = header
@@ -39,11 +54,11 @@
         if read_buffer.buffer[token_end:next_position] != LINE_END:
             raise MalformedInputError("a token without CR LF")
         position = next_position
-    return tokens, position
+    return ParsedArray(tokens, position)
 
 
-def _length(read_buffer: ReadBuffer, position: int, sign: bytes) -> tuple[int, int] | None:
-    """Return the number after a sign, and the end of its line; None if the line is incomplete."""
+def _length(read_buffer: ReadBuffer, position: int, sign: bytes) -> ParsedLength | None:
+    """Return the number after a sign; None if the line is incomplete."""
     if position == read_buffer.end:
         return None
     if read_buffer.buffer[position : position + 1] != sign:
@@ -55,7 +70,8 @@
         if read_buffer.end - position >= MAX_LENGTH_BYTES:
             raise MalformedInputError(f"a length of more than {MAX_LENGTH_BYTES} bytes")
         return None
-    return parse_integer(bytes(read_buffer.buffer[position + 1 : end])), end + LINE_END_BYTES
+    number = parse_integer(bytes(read_buffer.buffer[position + 1 : end]))
+    return ParsedLength(number, end + LINE_END_BYTES)
 
 
 def encode(*tokens: bytes) -> bytes:
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -29,8 +29,9 @@
 def has_restarted(attached_at: int, age: int, latest_start: int, limits: ResourceLimits) -> bool:
     """Return whether the engine of a new connection is another process: it knows none of the earlier runs.
 
-    It has if its start, by the reported `age` at `attached_at`, is after `latest_start`, the latest start
-    that the earlier greetings allow, by more than the margin for rounding and delays. All in nanoseconds.
+    The engine restarted if it started later than `latest_start` plus the margin for rounding and delays. Its
+    start is `attached_at` minus the reported `age`; `latest_start` is the latest start that the earlier
+    greetings allow. All times are nanoseconds.
     """
     return attached_at - age > latest_start + limits.engine_restart_margin
 
@@ -93,7 +94,7 @@
                 self.log.error("engine_link_failed", error=describe_error(error))
             finally:
                 self._detach()
-            wait = attempted_at + self.resource_limits.engine_retry - time.monotonic_ns()
+            wait = attempted_at + self.resource_limits.engine_retry_delay - time.monotonic_ns()
             await asyncio.sleep(max(0, wait) / SECOND)
 
     async def _attach_and_read(self) -> None:
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -5,7 +5,7 @@
 import json
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from oakkeel.admission.types import FairSharingRules, NodeLimits
 from oakkeel.node_limits import LimitsError, Settings, fail, flatten, read_limits
@@ -20,6 +20,16 @@
 HEXADECIMAL = 16
 
 
+class FairSharingSettings(NamedTuple):
+    """The fair-sharing rules, and the file that keeps the shares across restarts."""
+
+    rules: FairSharingRules | None
+    snapshot: str  # empty: none
+
+
+NO_FAIR_SHARING = FairSharingSettings(None, "")
+
+
 @dataclass(slots=True)
 class NodeConfiguration:
     """The configuration of a node."""
@@ -49,7 +59,8 @@
     node = Settings(flatten(document.get("settings") or {}))
     try:
         limits = read_limits(node)
-        limits.fair_sharing, snapshot = _read_fair_sharing(variables.get("OAKKEEL_TOLD", ""))
+        fair_sharing = _read_fair_sharing(variables.get("OAKKEEL_TOLD", ""))
+        limits.fair_sharing = fair_sharing.rules
         return NodeConfiguration(
             name=variables.get("PROXY_NAME") or settings.required("name"),
             listen=_address(variables.get("PROXY_LISTEN") or settings.required("listen")),
@@ -67,7 +78,7 @@
             class_names=node.names("classes"),
             tenant_names=node.names("tenants"),
             readiness=node.flag("extra.readiness"),
-            snapshot=snapshot,
+            snapshot=fair_sharing.snapshot,
             log_form="json" if variables.get("OAKKEEL_LOG") == "json" else "console",
             control=variables.get("OAKKEEL_CONTROL", ""),
             generation=int(variables.get("OAKKEEL_GENERATION") or 0),
@@ -88,18 +99,15 @@
     return document if isinstance(document, dict) else fail("the configuration is not a JSON object")
 
 
-def _read_fair_sharing(path: str) -> tuple[FairSharingRules | None, str]:
-    """Read the fair-sharing rules from the file that the agent writes from the operators' settings.
-
-    Return them and the path of the snapshot; without rules, None and an empty path.
-    """
+def _read_fair_sharing(path: str) -> FairSharingSettings:
+    """Read the fair-sharing settings from the file that the agent writes from the operators' settings."""
     if not path:
-        return None, ""
+        return NO_FAIR_SHARING
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file).get("fair")
         if document is None:
-            return None, ""
+            return NO_FAIR_SHARING
         rules = FairSharingRules(
             levels=tuple(document["by"]),
             weights={str(name).encode(): float(value) for name, value in document["weights"].items()},
@@ -111,7 +119,7 @@
             0 < weight < MAX_FLOW_WEIGHT for weight in rules.weights.values()
         ):
             fail(f"the operators' settings need 1 to {MAX_FLOW_LEVELS} levels of flows, and weights in range")
-        return rules, str(document["snapshot"])
+        return FairSharingSettings(rules, str(document["snapshot"]))
     except (OSError, KeyError, TypeError, ValueError) as error:
         raise LimitsError(f"the operators' settings have a malformed value: {error}") from None
 
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -80,8 +80,8 @@
             failed=node.metrics.answers_total.get(codec.FAILED, 0),
             version=self.version,
             load=round(node.host.gauges.core_busy, STATUS_DECIMALS),
-            earned_weight=self.outcomes.earned_weight,
-            latencies=self.outcomes.latencies,
+            earned_weight=self.outcomes.earned_weight.as_list(),
+            latencies={name: moments.as_list() for name, moments in self.outcomes.latencies.items()},
         )
         if node.host.gauges_read_at:
             status.gauges_age = now - node.host.gauges_read_at
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -73,9 +73,9 @@
         return self.state is not DrainState.SERVING
 
     def start(self, timeout: int) -> None:
-        """Drain within `timeout` nanoseconds, 0 for the time after SIGTERM; a second order changes nothing.
+        """Start a drain on an order, unless one is in progress; `cancel` reverts it.
 
-        `cancel` ends it, as an order may be withdrawn.
+        `timeout` is the nanoseconds until the process may be killed; 0: `stop_after`, as after SIGTERM.
         """
         if not self.is_started:
             self._begin("order", timeout or self.stop_after)
@@ -92,7 +92,10 @@
         self._begin("signal", self.stop_after)
 
     def cancel(self) -> None:
-        """Read requests again. Raises `DrainNotCancelledError` if the node can't; no drain is no error."""
+        """Cancel the drain and serve again; without a drain, do nothing.
+
+        Raises `DrainNotCancelledError` if the drain is final or has ended, or the node can't listen again.
+        """
         if not self.is_started:
             return
         if self.final:
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -152,7 +152,7 @@
             self.notify(self.admission.timer_expired, token, self.gauges)
         except Exception as error:  # a defect must not stop the polls, which are timers as well
             self.log.error("timer_failed", error=describe_error(error))
-            self.set_timer(token, time.monotonic_ns() + self.configuration.resource_limits.timer_retry)
+            self.set_timer(token, time.monotonic_ns() + self.configuration.resource_limits.timer_retry_delay)
 
     # Verdicts about the whole node.
 
--- a/oakkeel/resource_limits.py
+++ b/oakkeel/resource_limits.py
@@ -43,24 +43,24 @@
     array_timeout: int = 2 * SECOND  # from the accept to the first array, from an array's start to its end
     half_closed_poll: int = 20 * MS  # between checks whether a half-closed connection is closed both ways
     linger_timeout: int = SECOND  # from the shutdown of our side of a connection to its close
-    evicted_connections: int = 16  # closing, as they are over the limit
-    accept_retry: int = 50 * MS  # after no descriptor was left
+    max_evicted_connections: int = 16  # closing, as they are over the limit
+    accept_retry_delay: int = 50 * MS  # after no descriptor was left
     write_timeout: int = 10 * SECOND  # for one write to a dispatcher
     drain_notice_timeout: int = SECOND  # from `0 last` to the close of an idle connection by the node
 
     stop_margin: int = 30 * MS  # from the close of the last connections in a drain to SIGKILL
 
     # The engine.
-    engine_retry: int = 50 * MS  # from one connection attempt to the next
-    engine_loss_window: int = 150 * MS  # a broken link may lose younger commands
+    engine_retry_delay: int = 50 * MS  # from one connection attempt to the next
+    engine_loss_window: int = 150 * MS  # commands written less than this before a loss may be lost
     engine_timeout: int = 2 * SECOND  # for an answer with gauges, then the link is reconnected
-    engine_restart_margin: int = SECOND  # start later than an earlier age allows, that proves a restart
+    engine_restart_margin: int = SECOND  # minimum shift of the start time that proves a restart
     engine_handover_timeout: int = 200 * MS  # for the earlier engine to confirm that it has read all commands
     gauges_timeout: int = 10 * MS  # for fresh gauges before an admission timer
     max_unconfirmed_commands: int = 8192  # then those that need no resend are dropped
     max_write_backlog: int = 8 * 1024 * 1024  # bytes, on one link
 
-    timer_retry: int = SECOND  # after an internal error in an admission timer
+    timer_retry_delay: int = SECOND  # after an internal error in an admission timer
 
     # The catalogue.
     max_call_links: int = 64  # one call each; more calls share them
@@ -70,7 +70,7 @@
     call_timeout_slack: int = 15 * MS  # after the deadline of a call, for the peer to report it first
 
     # The directory.
-    report_interval: int = 250 * MS  # one in four may be lost; an entry expires after 3 s
+    report_interval: int = 250 * MS  # an entry expires after 3 s, and one report in four may be lost
     report_repeat_interval: int = 60 * MS
     report_repeats: int = 3  # reports at the short interval, after a change
 
@@ -79,7 +79,7 @@
     results_memory_share: float = 0.25  # of the memory, for retained results
 
     # Control links.
-    control_links: int = 4
+    max_control_links: int = 4
     control_pause: int = 20 * MS  # from one message on a link to the next
     control_cpu_factor: int = 50  # pause before the next message, in multiples of the CPU time of one
     control_timeout: int = 2 * SECOND  # for the rest of a message, and for the write of a response
@@ -91,7 +91,9 @@
     @property
     def max_connections(self) -> int:
         """The maximum of connections of dispatchers at one time."""
-        return max(1, self.sockets - self.reserved_sockets - self.max_call_links - self.evicted_connections)
+        return max(
+            1, self.sockets - self.reserved_sockets - self.max_call_links - self.max_evicted_connections
+        )
 
     @property
     def max_links(self) -> int:
@@ -101,7 +103,7 @@
     @property
     def max_buffers(self) -> int:
         """The maximum of read buffers: connections and links are closing while others open."""
-        return BUFFERS_PER_STREAM * (self.max_connections + self.evicted_connections + self.max_links)
+        return BUFFERS_PER_STREAM * (self.max_connections + self.max_evicted_connections + self.max_links)
 
     @property
     def max_unsent(self) -> int:
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -27,7 +27,7 @@
         RESOURCE_LIMITS,
         sockets=RESOURCE_LIMITS.reserved_sockets
         + RESOURCE_LIMITS.max_call_links
-        + RESOURCE_LIMITS.evicted_connections
+        + RESOURCE_LIMITS.max_evicted_connections
         + 2,
         new_connection_grace=600 * SECOND,
     )
@@ -108,7 +108,7 @@
             flood[-1].send(call(tag))
         for tag, each in enumerate(flood, 10):
             self.assertEqual((await each.until(tag))[1], b"full")
-            self.assertLessEqual(len(self.listener.evicted), self.resource_limits.evicted_connections)
+            self.assertLessEqual(len(self.listener.evicted), self.resource_limits.max_evicted_connections)
         self.answer()
         self.answer()
         self.assertEqual((await client.until(1))[1], b"ok")
