--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -13,6 +13,7 @@
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.units import MS
 
+# Verbs and statuses.
 CALL = b"CALL"
 CANCEL = b"CANCEL"
 CHECK = b"CHECK"
@@ -23,19 +24,41 @@
 UNHEALTHY = b"no"
 # Asks the dispatcher to send no more requests on the connection and to close it.
 DRAIN_NOTICE = encode(b"0", b"last")
-FINAL_REJECTION = b"nomore=1"  # the field of an answer: no other node should be tried
 MALFORMED_STREAM = encode(b"0", FAILED)  # the tags of a stream that can't be parsed are unknown
+
+# Fields of a request.
+REQUEST_ID_FIELD = b"req"
+TIMESTAMP_FIELD = b"ts"  # milliseconds of the wall clock
+TIMEOUT_FIELD = b"timeout"  # milliseconds from the timestamp
+TENANT_FIELD = b"owner"
+CLIENT_FIELD = b"via"
+SUBJECT_FIELD = b"subject"
+IDEMPOTENCY_KEY_FIELD = b"opkey"
+MEMORY_FIELD = b"need"  # KB
+RETRY_FIELD = b"resent"
+RETRY_VALUE = b"1"
+LEVEL_FIELD = b"level"
+
+# Fields of an answer.
+LOAD_REPORT = b"signal=%.4f"
+RETRY_AFTER = b"holdoff=%d"  # milliseconds
+FINAL_REJECTION = b"nomore=1"  # no other node should be tried
+
 FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
 # The field by which duplicates are recognized. Reads with one subject ask for the same; non-idempotent
 # requests with one subject may not.
-KEY_FIELDS = {Idempotency.IDEMPOTENCY_KEY: b"opkey", Idempotency.IDEMPOTENT: b"subject"}
+KEY_FIELDS = {Idempotency.IDEMPOTENCY_KEY: IDEMPOTENCY_KEY_FIELD, Idempotency.IDEMPOTENT: SUBJECT_FIELD}
 REQUEST_ID = re.compile(rb"[0-9a-fA-F]{16}")  # copied into lines to the engine and the catalogue
-CALL_TOKENS = 4  # verb, tag, request class and fields
+# Positions of the tokens of a CALL: verb, tag, request class, fields, and an optional body.
+CLASS_TOKEN = 2
+FIELDS_TOKEN = 3
+BODY_TOKEN = 4
+CALL_TOKENS = 4
 CALL_TOKENS_WITH_BODY = 5
 MAX_FIELD_NUMBER = 1e15  # exact as a float
 
 # Names in the operators' settings of what identifies a flow; any other name is that of a field.
-FLOW_FIELDS = {"tenant": b"owner", "caller": b"via", "subject": b"subject"}
+FLOW_FIELDS = {"tenant": TENANT_FIELD, "caller": CLIENT_FIELD, "subject": SUBJECT_FIELD}
 
 
 def flow_fields(names: tuple[str, ...]) -> tuple[bytes, ...]:
@@ -82,16 +105,18 @@
             raise MalformedRequestError(
                 f"{len(tokens)} tokens, expected {CALL_TOKENS} or {CALL_TOKENS_WITH_BODY}"
             )
-        request_class = self._classes.get(tokens[2])
+        request_class = self._classes.get(tokens[CLASS_TOKEN])
         if request_class is None:
             raise MalformedRequestError("unknown request class")
-        body = tokens[4] if len(tokens) == CALL_TOKENS_WITH_BODY else b""
-        fields = dict(item.partition(b"=")[::2] for item in tokens[3].split(b",") if item)
-        request_id = fields.get(b"req", b"")
+        body = tokens[BODY_TOKEN] if len(tokens) == CALL_TOKENS_WITH_BODY else b""
+        fields = dict(item.partition(b"=")[::2] for item in tokens[FIELDS_TOKEN].split(b",") if item)
+        request_id = fields.get(REQUEST_ID_FIELD, b"")
         if not REQUEST_ID.fullmatch(request_id):
             raise MalformedRequestError("no id of 16 hexadecimal digits in req")
         try:
-            return self._read_fields(tag, tokens[2], request_class, request_id, fields, body, connection)
+            return self._read_fields(
+                tag, tokens[CLASS_TOKEN], request_class, request_id, fields, body, connection
+            )
         except MalformedRequestError as error:
             error.request_id = request_id
             raise
@@ -110,16 +135,16 @@
             raise MalformedRequestError(f"a body of more than {self._resource_limits.max_body_size} bytes")
         age = self._age(fields)
         timeout = self._client_timeout(fields)
-        if b"level" in fields:
-            self._number(fields, b"level", 1.0)  # validated only: the node does not use it
+        if LEVEL_FIELD in fields:
+            self._number(fields, LEVEL_FIELD, 1.0)  # validated only: the node does not use it
         key_field = KEY_FIELDS.get(request_class.idempotency)
         key = fields.get(key_field, b"") if key_field else b""
         return NodeRequest(
             request_class=request_class,
-            tenant=self._tenants.get(fields.get(b"owner", b"")),
-            client=int(self._number(fields, b"via", MAX_FIELD_NUMBER)) if b"via" in fields else 0,
-            memory_kb=self._number(fields, b"need", self._resource_limits.max_memory_kb),
-            retry_attempt=fields.get(b"resent") == b"1",
+            tenant=self._tenants.get(fields.get(TENANT_FIELD, b"")),
+            client=int(self._number(fields, CLIENT_FIELD, MAX_FIELD_NUMBER)) if CLIENT_FIELD in fields else 0,
+            memory_kb=self._number(fields, MEMORY_FIELD, self._resource_limits.max_memory_kb),
+            retry_attempt=fields.get(RETRY_FIELD) == RETRY_VALUE,
             remaining_time=max(1, min(timeout, request_class.client_timeout) - age) if timeout else 0,
             queueing_delay=age,
             has_key=bool(key),
@@ -128,7 +153,7 @@
             tag=tag,
             class_name=class_name,
             body=body,
-            cache_key=(request_class.index, fields.get(b"owner", b""), key) if key else None,
+            cache_key=(request_class.index, fields.get(TENANT_FIELD, b""), key) if key else None,
             connection=connection,
             flow_keys=self._flow_keys(lambda name: fields.get(name, b"")) if self._flow_keys else (),
         )
@@ -139,18 +164,18 @@
         An age out of range is rejected: the admission controller measures delays by it, and one timestamp of
         long ago would take the node out of rotation for seconds.
         """
-        if b"ts" not in fields:
+        if TIMESTAMP_FIELD not in fields:
             return 0
-        age = self._unix_ns() - int(self._number(fields, b"ts", MAX_FIELD_NUMBER) * MS)
+        age = self._unix_ns() - int(self._number(fields, TIMESTAMP_FIELD, MAX_FIELD_NUMBER) * MS)
         if abs(age) > self._resource_limits.max_clock_skew:
             raise MalformedRequestError("the timestamp in ts is too far from now: check the clock")
         return max(0, age)
 
     def _client_timeout(self, fields: dict[bytes, bytes]) -> int:
         """Return how long the client waits from its timestamp on, in nanoseconds; 0 if unknown."""
-        if b"timeout" not in fields:
+        if TIMEOUT_FIELD not in fields:
             return 0
-        return int(self._number(fields, b"timeout", self._resource_limits.max_client_timeout / MS) * MS)
+        return int(self._number(fields, TIMEOUT_FIELD, self._resource_limits.max_client_timeout / MS) * MS)
 
     @staticmethod
     def _number(fields: dict[bytes, bytes], name: bytes, limit: float) -> float:
@@ -178,9 +203,9 @@
     """
     fields = []
     if load_report is not None:
-        fields.append(b"signal=%.4f" % load_report)
+        fields.append(LOAD_REPORT % load_report)
     if retry_after:
-        fields.append(b"holdoff=%d" % max(1, round(retry_after / MS)))
+        fields.append(RETRY_AFTER % max(1, round(retry_after / MS)))
     if final:
         fields.append(FINAL_REJECTION)
     return encode(b"%d" % tag, status, b",".join(fields), body)
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -9,7 +9,7 @@
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest, ResponseChannel
 from oakkeel.resource_limits import ResourceLimits
-from oakkeel.stream_buffers import ProtocolViolationError
+from oakkeel.stream_buffers import MalformedInputError, ProtocolViolationError
 
 MAX_TAG_DIGITS = 18
 MAX_LOGGED_BYTES = 20  # of a token from the network
@@ -77,12 +77,12 @@
         self.violations = 0
 
     def handle(self, tokens: list[bytes]) -> None:
-        """Carry out one command. Raises ProtocolViolationError if the stream must not be read further."""
+        """Carry out one command. Raises MalformedInputError if the stream must not be read further."""
         verb = tokens[0]
         tag_token = tokens[1] if len(tokens) > 1 else b""
         tag = int(tag_token) if tag_token.isdigit() and len(tag_token) <= MAX_TAG_DIGITS else 0
         if not tag or (tag in self.open_requests and verb != codec.CANCEL):
-            raise ProtocolViolationError(
+            raise MalformedInputError(
                 f"{verb[:MAX_LOGGED_BYTES]!r} with a tag that is malformed or in use: "
                 f"{tag_token[:MAX_LOGGED_BYTES]!r}"
             )
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -120,10 +120,9 @@
         In a flood of connections the rest waits for the next pass of the event loop, behind all that the
         open connections have received until then.
         """
+        reserved_for_links = BUFFERS_PER_STREAM * self.resource_limits.max_links
         for _ in range(self.resource_limits.accepts_per_pass):
-            if (
-                self.pool.available <= BUFFERS_PER_STREAM * self.resource_limits.max_links
-            ):  # reserved for links
+            if self.pool.available <= reserved_for_links:
                 self._pause()
                 return True
             try:
--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -77,7 +77,7 @@
     def cancel_drain(self) -> str:
         """Serve again; returns why not, or nothing."""
         if self.final:
-            return "it leaves for good"
+            return "the drain is final: the node stops after SIGTERM"
         if self.draining_since:
             self.draining_since = 0.0
             self.journal("stay")
@@ -139,9 +139,10 @@
         for line in data.splitlines():
             request = json.loads(line)
             if request["type"] in ("leave", "stay"):
+                expected = request["generation"]
                 why = (
-                    f"this is generation {self.generation}"
-                    if request["generation"] != self.generation
+                    f"the order is for generation {expected}, this is generation {self.generation}"
+                    if expected != self.generation
                     else ""
                 )
                 if not why and request["type"] == "stay":
