--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -9,20 +9,14 @@
 from random import Random
 from typing import TYPE_CHECKING
 
+from oakkeel.admission.arrival_decision import ArrivalDecisions, RejectionDecision
 from oakkeel.admission.call_sequence import CallSequence
 from oakkeel.admission.client_signals import ClientSignals
-from oakkeel.admission.concurrency import ConcurrencyLimits, has_memory_to_run, is_memory_full, may_start
-from oakkeel.admission.deadline import (
-    answer_deadline,
-    can_end_in_time,
-    can_end_in_time_after_queue,
-    latest_deadline,
-    objective_end,
-    queue_wait_time,
-)
+from oakkeel.admission.concurrency import ConcurrencyLimits, has_memory_to_run, may_start
+from oakkeel.admission.deadline import answer_deadline, can_end_in_time, latest_deadline, objective_end
 from oakkeel.admission.downstream_calls import DownstreamCalls
 from oakkeel.admission.drain import Drain
-from oakkeel.admission.duplicates import is_coalesced, key_retention, retains_key
+from oakkeel.admission.duplicates import key_retention, retains_key
 from oakkeel.admission.node_state import NodeState
 from oakkeel.admission.occupancy import Occupancy
 from oakkeel.admission.overload import OverloadStages, Stage
@@ -30,7 +24,7 @@
 from oakkeel.admission.request_ends import RequestEnds
 from oakkeel.admission.request_queue import RequestQueue
 from oakkeel.admission.request_timers import RequestTimers
-from oakkeel.admission.shedding import SheddingThreshold, full_node_rejection, low_rank_rejection
+from oakkeel.admission.shedding import SheddingThreshold
 from oakkeel.admission.sliding_window import SlidingWindow
 from oakkeel.admission.types import (
     Admission,
@@ -40,7 +34,6 @@
     Outcome,
     Rejection,
     Request,
-    ShareStatus,
 )
 from oakkeel.admission.types import RequestState as State
 from oakkeel.units import MS, SECOND
@@ -54,8 +47,6 @@
 TIMER_STEP_NS = 16 * MS  # one timer of the host serves all requests of a step
 BACKPRESSURE_DELAY_NS = 50 * MS  # before an admitted request is queued
 
-Decision = Admission | Rejection
-
 
 class AdmissionController:
     """The decisions of one node, from its start to its end."""
@@ -81,15 +72,16 @@
             concurrency=self.concurrency,
             overload=self.overload,
             ranking=self.ranking,
-            calls=DownstreamCalls(limits),
+            downstream_calls=DownstreamCalls(limits),
             drain=self.drain_notice,
             fair_sharing=self.fair_sharing,
         )
         self.ends = RequestEnds(self.node)
-        self.calls = CallSequence(self.node, self.ends)
+        self.call_sequence = CallSequence(self.node, self.ends)
         self.shedding = SheddingThreshold(limits.cores)
         self.queue = RequestQueue()
         self.retries = SlidingWindow()  # 1 for an arrival that is a retry, else 0
+        self.arrivals = ArrivalDecisions(self.node, self.shedding, self.retries)
         self.signals = ClientSignals(self.node)
         self.signals.send_health(True)
         self._report_load(now)
@@ -100,10 +92,10 @@
         """Coalesce, reject, delay or queue a request that was read."""
         self._set_deadline(now, request)
         self._count_arrival(now, request)
-        self._set_rank(now, request)
-        decision = self._decide(now, request)
-        if isinstance(decision, Rejection):
-            self.ends.reject(now, request, decision)
+        self._count_and_rank(now, request)
+        decision = self.arrivals.decide(now, request)
+        if isinstance(decision, RejectionDecision):
+            self.ends.reject(now, request, decision.rejection)
         elif decision is Admission.COALESCE:
             self._coalesce(now, request)
         else:
@@ -121,50 +113,18 @@
         self.signals.count_arrival(now, request.client, staleness_ratio)
         self.retries.add(now, request.retry_attempt)
 
-    def _set_rank(self, now: int, request: Request) -> None:
-        """Rank a request; one with a reservation ranks above all others, one over its share below them."""
-        request.rank = self.ranking.rank(now, request, self.chance())
+    def _count_and_rank(self, now: int, request: Request) -> None:
+        """Count a request with its class and tenant, and its flow, and set its rank and share status.
+
+        One with a reservation ranks above all others, one over its share below them. Fair sharing charges
+        the flow of a request within its share, and postpones the reservation of a flow that came early.
+        """
+        request.rank = self.ranking.count_and_rank(now, request, self.chance())
         if self.fair_sharing:
             service_time = self.ranking.service_time(request)
             self.fair_sharing.arrive(now, request, service_time, self.concurrency.run_limit)
             request.rank += request.share_status
 
-    def _decide(self, now: int, request: Request) -> Decision:
-        """Decide by duplicate, deadline, memory and drain, then by load."""
-        memory_full = is_memory_full(request, self.occupancy.memory_kb, self.limits)
-        if is_coalesced(request, self.limits.cache_ttl, memory_full):
-            return Admission.COALESCE
-        if request.deadline <= now:
-            return Rejection.FINAL
-        if memory_full or self.drain_notice.is_past_grace(now, request.queueing_delay):
-            return Rejection.RETRY_ELSEWHERE
-        return self._decide_by_load(now, request)
-
-    def _decide_by_load(self, now: int, request: Request) -> Decision:
-        """Decide by fair share, overload stage, service time and rank."""
-        depth = self.node.depth_per_core()
-        stage = self.overload.arrival_stage(depth)
-        service_time = self.ranking.service_time(request)
-        share_status = request.share_status
-        # A reservation or an exceeded share decides before the stage, if the request can end in time.
-        if share_status is not ShareStatus.WITHIN_SHARE and can_end_in_time(now, request, service_time):
-            if share_status is ShareStatus.RESERVED:
-                stage = Stage.NORMAL
-            elif self.occupancy.on_cores():  # an idle node serves what exceeds its share as well
-                return Rejection.FINAL
-        elif stage is Stage.REJECT or not self._fits_behind_queue(now, request, service_time):
-            parsing_backlog = self.concurrency.mean_parsing_backlog(now)
-            return full_node_rejection(request, parsing_backlog, self.limits.cores)
-        self.shedding.follow(depth, self.overload.latency_ratios.mean(now, 0.0))
-        if self.shedding.sheds(stage, request.rank):
-            return low_rank_rejection(request, self.limits.marks_retries, self.retries.mean(now, 1.0))
-        return Admission.DELAY if stage is Stage.BACKPRESSURE else Admission.QUEUE
-
-    def _fits_behind_queue(self, now: int, request: Request, service_time: float) -> bool:
-        waiting = self.occupancy.waiting()
-        wait_time = queue_wait_time(self.ranking.service_times, waiting, self.limits.cores)
-        return can_end_in_time_after_queue(now, request, service_time, wait_time)
-
     def _coalesce(self, now: int, request: Request) -> None:
         """Let a request wait for the result of the one that it duplicates."""
         self.occupancy.move(now, request, State.COALESCED)
@@ -193,12 +153,13 @@
 
     def schedule(self, now: int) -> None:
         """Place the calls that can be placed, and start the requests that may run, by rank."""
-        self.calls.place_waiting(now)
+        self.call_sequence.place_waiting(now)
         occupancy = self.occupancy
-        allowed_runs = self.concurrency.allowed_runs(self.overload.highest() >= Stage.EXPAND)
+        self.concurrency.update_run_limit(self.overload.highest() >= Stage.EXPAND)
+        allowed_runs = self.concurrency.allowed_runs()
         max_active = self.concurrency.max_active(self._warmth(now))
         while (request := self.queue.first()) is not None:
-            if not may_start(occupancy.on_cores(), occupancy.calling(), allowed_runs, max_active):
+            if not may_start(occupancy.holding_run_slot(), occupancy.calling(), allowed_runs, max_active):
                 break
             if not has_memory_to_run(request, occupancy.memory_kb, self.limits):
                 break
@@ -211,24 +172,24 @@
 
     def call_needed(self, now: int, request: Request) -> None:
         """Place the downstream call that a run needs to go on."""
-        self.calls.needed(now, request)
+        self.call_sequence.needed(now, request)
 
-    def call_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
+    def call_finished(self, now: int, request: Request, outcome: Outcome) -> None:
         """Resume the run after a downstream call, or retry the call, skip it or fail the request."""
-        self.calls.finished(now, request, outcome)
+        self.call_sequence.finished(now, request, outcome)
 
-    def run_finished(self, now: int, request: Request, outcome: Outcome, latency: int) -> None:
+    def run_finished(self, now: int, request: Request, outcome: Outcome) -> None:
         """Finish a request whose run, or the run that it was coalesced with, has ended."""
         state = request.state
         if state is State.FINISHED or outcome is Outcome.NEVER_STARTED:
             return
-        self.node.calls.release(now, request, 0)
+        self.node.downstream_calls.release(now, request, 0)
         if outcome is Outcome.CANCELLED and state in (State.RUNNING, State.AWAITING_CALL, State.CALLING):
             self.host.fail(request)  # this controller did not cancel it, so it has no answer yet
         self.occupancy.move(now, request, State.FINISHED)
         if outcome is Outcome.COMPLETED and state is State.RUNNING:
             request_class = request.request_class
-            self.ranking.completed[request_class.index].add(now, request.service_time)
+            self.ranking.observed_service_times[request_class.index].add(now, request.service_time)
             time_to_completion = now - request.arrived_at + request.queueing_delay
             self.overload.latency_ratios.add(now, time_to_completion / request_class.latency_objective)
 
@@ -244,7 +205,7 @@
             self.drain_notice.start(now, remaining, self.limits.drain_grace)
         self.signals.send_health(remaining is None)
         self._report_load(now)
-        if self.drain_notice.stop_at:
+        if self.drain_notice.is_draining:
             self._move_deadlines_before(now, latest_deadline(self.drain_notice.stop_at))
 
     def _move_deadlines_before(self, now: int, latest: int) -> None:
@@ -259,18 +220,18 @@
 
     def timer_expired(self, now: int, token: int, gauges: Gauges) -> None:
         """Poll the signals, or act on the requests of a step of timers."""
-        self.concurrency.observe(now, gauges.run_queue - self.occupancy.on_cores())
+        self.concurrency.observe(now, gauges.run_queue - self.occupancy.holding_run_slot())
         if token == POLL_TOKEN:
             self._poll(now, gauges)
         else:
-            for request in self.timers.expired(token):
+            for request in self.timers.take_expired(token):
                 self._request_timer_expired(now, request)
 
     def _request_timer_expired(self, now: int, request: Request) -> None:
-        if now + TIMER_STEP_NS > request.deadline:
-            self.ends.time_out(now, request)
+        if self.timers.is_due(now, request.deadline):
+            self.ends.end_unanswered(now, request)
         elif request.state is State.AWAITING_CALL:
-            self.calls.skip_if_overdue(now, request)
+            self.call_sequence.skip_if_overdue(now, request)
         elif request.state is State.DELAYED:
             if self.overload.rejects_by_depth():
                 self.ends.reject(now, request, Rejection.FINAL)
@@ -278,12 +239,12 @@
                 self._enqueue(now, request)
 
     def _poll(self, now: int, gauges: Gauges) -> None:
-        """Follow the signals of overload, and send health, load report and idle time."""
+        """Update the overload stages and the ranks, and send health, load report and idle time."""
         self.overload.poll(now, gauges.core_busy, self.node.depth_per_core())
         self.occupancy.expire_keys(now)
         self.ranking.poll(now, self.started)
         self._report_load(now)
-        self.signals.follow_health(now)
+        self.signals.update_health(now)
         self.signals.close_idle_connections(now, gauges.connections)
         self.host.set_timer(POLL_TOKEN, now + POLL_INTERVAL_NS)
 
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -1,4 +1,4 @@
-"""The end of a request that is not completed: rejected, timed out, or abandoned by its client."""
+"""The end of a request that is not completed: rejected, out of time, failed at its call, or abandoned."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from oakkeel.admission.types import RequestState as State
 
 QUEUED_STATES = frozenset({State.DELAYED, State.QUEUED})
+UNANSWERED_STATES = frozenset(State) - {State.ORPHANED, State.RELEASING, State.FINISHED}
 AT_CALL_STATES = frozenset({State.AWAITING_CALL, State.CALLING})
 
 
@@ -26,26 +27,28 @@
         self.node.occupancy.move(now, request, State.FINISHED)
 
     def _answer_rejected(self, request: Request, rejection: Rejection, retry_after: int) -> None:
+        """Answer that a request had no lasting effect: it never ran, or it is idempotent."""
         self.node.host.reject(request, rejection is Rejection.FINAL, retry_after)
 
     def _retry_after(self, now: int, request: Request) -> int:
-        """Return when to retry: by the share of its flow if it has one.
+        """Return when to retry: at a reservation for its flow, made here, where fair sharing is on.
 
         A node that drains reserves nothing, as it will not be there.
         """
         node = self.node
-        if node.fair_sharing and node.limits.max_retry_after and not node.drain.stop_at:
-            return node.fair_sharing.retry_after(now, request, node.limits.max_retry_after)
+        if node.fair_sharing and node.limits.max_retry_after and not node.drain.is_draining:
+            return node.fair_sharing.reserve_return(now, request, node.limits.max_retry_after)
         return node.retry_after()
 
-    def time_out(self, now: int, request: Request) -> None:
-        """Answer a request that can no longer be in time, and stop its work.
+    def end_unanswered(self, now: int, request: Request) -> None:
+        """Answer a request that has no answer yet and gets no result, and stop its work.
 
-        A request that started is failed, not rejected, if it may take effect only once.
+        Its time is up, or its call failed. One that started is rejected if it is idempotent, else failed: it
+        may have taken effect.
         """
         if request.state in QUEUED_STATES:
             self.reject(now, request, Rejection.FINAL)
-        elif request.state < State.ORPHANED:
+        elif request.state in UNANSWERED_STATES:
             if request.request_class.at_most_once:
                 self.node.host.fail(request)
             else:
@@ -58,11 +61,11 @@
         if request.state is State.RUNNING:
             node.occupancy.move(now, request, State.ORPHANED)
             # Counted as a service time, or a node on which nothing completes would not see that it is slow.
-            node.ranking.completed[request.request_class.index].add(now, request.service_time)
+            node.ranking.observed_service_times[request.request_class.index].add(now, request.service_time)
             if node.limits.stop_kind is not StopKind.NONE:
                 node.host.cancel(request)
         elif request.state in AT_CALL_STATES:
-            node.calls.release(now, request, node.limits.call_linger)
+            node.downstream_calls.release(now, request, node.limits.call_linger)
             node.occupancy.move(now, request, State.RELEASING)
-        elif request.state < State.ORPHANED:
+        elif request.state in UNANSWERED_STATES:
             node.occupancy.move(now, request, State.FINISHED)
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -80,11 +80,12 @@
     drain_sent_at: int = 0  # when the drain was last sent to its process; 0: not yet
     kill_after_drain: bool = False  # it is killed when its drain timeout expires
     start_not_before: int = 0
-    failures: int = 0  # consecutive crashes, until it has served for `steady_after_ns`
-    crashes: deque[int] = field(default_factory=deque)  # times of crashes within the restart window
-    restarts_exhausted: bool = False  # its restart budget is spent
+    consecutive_crashes: int = 0  # until it has served for `steady_after_ns`
+    # Of its crashes, and of restarts because it was stuck, within the restart window.
+    crash_times: deque[int] = field(default_factory=deque)
+    restarts_exhausted: bool = False  # its restart budget is spent (stored as `resting`)
     why: str = ""  # the last error, for display
-    crash_count: int = 0  # since the agent started
+    crashes_since_agent_start: int = 0
     running_version: str = ""  # of its last report
     drain_cancellable: bool = False  # its drain goes by the control link, which can cancel it
     drain_cancelled: bool = False  # its drain was cancelled, and its process has not confirmed it
@@ -107,7 +108,7 @@
     RESTART = "restart"
 
 
-class TaskState(Enum):
+class HostTaskState(Enum):
     """The state of an order on one instance; the values are wire and stored forms."""
 
     REFUSED = "refused"
@@ -120,13 +121,14 @@
     EXPIRED = "expired"
 
 
-OPEN_STATES = (TaskState.WAITING, TaskState.ACTING)
-FINAL_STATES = frozenset(TaskState) - set(OPEN_STATES) - {TaskState.REFUSED}
+OPEN_HOST_TASK_STATES = (HostTaskState.WAITING, HostTaskState.ACTING)
+OPEN_HOST_TASK_STATE_VALUES = tuple(state.value for state in OPEN_HOST_TASK_STATES)
+FINAL_STATES = frozenset(HostTaskState) - set(OPEN_HOST_TASK_STATES) - {HostTaskState.REFUSED}
 TASK_TRANSITIONS = {
-    TaskState.WAITING: {TaskState.ACTING} | FINAL_STATES,
-    TaskState.ACTING: FINAL_STATES - {TaskState.EXPIRED},
+    HostTaskState.WAITING: {HostTaskState.ACTING} | FINAL_STATES,
+    HostTaskState.ACTING: FINAL_STATES - {HostTaskState.EXPIRED},
     **{state: frozenset() for state in FINAL_STATES},
-    TaskState.REFUSED: frozenset(),
+    HostTaskState.REFUSED: frozenset(),
 }
 
 
@@ -135,7 +137,7 @@
     """The fields of a task that `undo` restores."""
 
     task: Task
-    state: TaskState
+    state: HostTaskState
     state_since: int
     why: str
 
@@ -157,7 +159,7 @@
     order: Order
     instance: Instance
     generation: int  # of the instance, as the operator saw it
-    state: TaskState = TaskState.WAITING
+    state: HostTaskState = HostTaskState.WAITING
     state_since: int = 0
     why: str = ""
     drain_sent: bool = False  # whether its process may have received the drain
@@ -167,7 +169,7 @@
     @property
     def is_open(self) -> bool:
         """Whether it is waiting or acting."""
-        return self.state in OPEN_STATES
+        return self.state in OPEN_HOST_TASK_STATES
 
 
 @dataclass(slots=True, eq=False)
--- a/oakkeel/disruption/grants.py
+++ b/oakkeel/disruption/grants.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from oakkeel.disruption import commands
-from oakkeel.disruption.state import DisruptionOrder, TaskState
+from oakkeel.disruption.state import DisruptionOrder, FleetTaskState
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.disruption.topology import PROPOSED_REASON, UNKNOWN_REASON, BudgetViolation, UnavailableTargets
 
@@ -98,7 +98,7 @@
         A grant needs an agent that is there to use it, no other permit for the target, and room in each
         budget of the target and of what depends on it. So no budget is exceeded, whoever else is unavailable.
         """
-        if order.tasks[target].state != TaskState.WAITING:
+        if order.tasks[target].state != FleetTaskState.WAITING:
             return GrantDecision.NOT_WAITING
         if is_group_exhausted and target not in self.unavailable.reasons:
             return GrantDecision.GROUP_EXHAUSTED
@@ -120,7 +120,8 @@
     def find_violation(self, targets: list[str]) -> BudgetViolation | None:
         """Return the violation of a budget by grants for targets; None if there is none.
 
-        A target that is already unavailable needs room only among the permits.
+        Whatever is unavailable counts first: a target that is already unavailable adds nothing to that. Then
+        the permits alone count: a target without a permit adds one to each of its budgets.
         """
         by_permits = self.state_machine.unavailable
         return self.unavailable.find_violation(targets) or by_permits.find_violation(targets)
@@ -128,7 +129,8 @@
     def _grant(self, order: DisruptionOrder, targets: list[str]) -> commands.GrantPermits:
         """Return the grant of permits for targets, which count as unavailable from now on.
 
-        With a budget already exceeded, the permit is for targets that are down, and only while they stay so.
+        If a budget of the targets is already exceeded, a permit may be started only while its target has no
+        process: otherwise it would take one more out of service.
         """
         only_while_down = any(
             self.unavailable.is_exceeded(name)
@@ -141,4 +143,4 @@
 
 
 def _has_begun(order: DisruptionOrder) -> bool:
-    return any(task.state != TaskState.WAITING for task in order.tasks.values())
+    return any(task.state != FleetTaskState.WAITING for task in order.tasks.values())
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -13,7 +13,7 @@
 from oakkeel.disruption import commands as permit_commands
 from oakkeel.disruption.command_registry import CommandRegistry
 from oakkeel.disruption.order_handlers import submit_order
-from oakkeel.disruption.state import DisruptionOrder, Rejection, TaskState
+from oakkeel.disruption.state import DisruptionOrder, FleetTaskState, Rejection
 from oakkeel.disruption.state_machine import PermitStateMachine
 from oakkeel.errors import InvalidTransitionError
 from oakkeel.rollout import commands
@@ -35,7 +35,8 @@
 MAX_FINISHED_RELEASES = 32
 MAX_GATE_STATE_BYTES = 16 * 1024
 MAX_TEXT = 500  # characters of a reason or summary
-# By action of an operator: the state that a release changes to. `resume` depends on its direction.
+# By action of an operator: the state that a release changes to. `resume` depends on its direction, and
+# `abort` halts a release; only one that still prepares is ended by it.
 ACTION_STATES = {
     "pause": ReleaseState.PAUSED,
     "abort": ReleaseState.HALTED,
@@ -101,9 +102,9 @@
             return release
         if state is None or state not in TRANSITIONS[release.state]:
             return Rejection(f"the release is {release.state}: {action} is not possible")
-        release.controlled += 1
+        release.operator_actions += 1
         if action == "resume" and release.state is ReleaseState.HALTED:  # an operator overrules the gates
-            self._reset_progress(release)
+            release.reset_progress()
         return self._move_release(release, state, f"by {command.operator}")
 
     def _holds_lease(self, fencing_token: int) -> bool:
@@ -172,7 +173,7 @@
                 command.unix,
                 release.policy.batch_timeout,
                 False,
-                [*command.targets, *command.controls],
+                [*command.targets, *command.comparison_targets],
             ),
         )
         if isinstance(order, Rejection):
@@ -186,7 +187,7 @@
             self._assign_version(name, release.wanted_version(name))
         release.batch_forward = not release.rolling_back
         release.in_progress = names
-        release.controls = [name for name, _ in command.controls]
+        release.comparison_targets = [name for name, _ in command.comparison_targets]
         if not order.is_open:  # all tasks were rejected: the batch still has to be finished
             self.state.orders.setdefault(order.id, order)
         return order
@@ -253,12 +254,12 @@
         order = self.state.orders.get(release.order_id)
         if state in (*STOPPED_STATES, ReleaseState.ROLLING_BACK) and order and order.is_open:
             order.halted_by = order.halted_by or release.operator
-            order.end_waiting(TaskState.HALTED, f"release {release.ident} {state}")
+            order.end_waiting(FleetTaskState.HALTED, f"release {release.ident} {state}")
             if state is ReleaseState.ROLLING_BACK:  # a target that does not start is not waited for
                 order.cancelled_by = order.cancelled_by or release.operator
         if state is ReleaseState.ROLLING_BACK:
             if not release.rolling_back:
-                self._reset_progress(release)
+                release.reset_progress()
             release.rolling_back = True
         if state in FINAL_STATES:
             self._clean_up(release)
@@ -266,12 +267,6 @@
             release.why = why
         return release
 
-    def _reset_progress(self, release: Release) -> None:
-        """Drop the state of the gates, and the number of attempts of each target."""
-        release.gate_state = b""
-        for target in release.targets.values():
-            target.attempts = 0
-
     def _clean_up(self, release: Release) -> None:
         """Assign unchanged targets their earlier versions, and drop the sources of unused versions."""
         for name, target in release.targets.items():
--- a/tests/cluster/test_rollout_programs.py
+++ b/tests/cluster/test_rollout_programs.py
@@ -82,7 +82,7 @@
         answer = await self.start_release(VersionSpec(spec.version, spec.program), ["n1a"], ident="r2")
         self.assertIsInstance(answer, messages.ReleaseStatus)
         status = await self.wait_for_end("left", ident="r2")
-        self.assertIn("expected " + spec.version, status.why)
+        self.assertIn(", expected " + spec.version, status.why)
 
 
 class RolloutCommandTest(RolloutCase):
@@ -109,9 +109,9 @@
     async def test_rejects_bad_options_and_applies_patch_to_configuration(self):
         program = self.program("v2").program
         for words, text in (
-            (["--program", program], "select instances by name"),
-            (["--all"], "name the new version of instances"),
-            (["--all", "--program", program, "--version", "x"], "name the new version of instances"),
+            (["--program", program], "say which instances"),
+            (["--all"], "say what is new"),
+            (["--all", "--program", program, "--version", "x"], "say what is new"),
             (["--all", "--config", self.site.settings], "Expecting value"),
         ):
             code, _, err = await self.oakkeel("start", *words)
