--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -25,7 +25,7 @@
     encode,
 )
 from oakkeel.errors import OrderRefusedError
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.resource_limits import BUFFERS_PER_STREAM, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, send
 from oakkeel.units import SECOND
@@ -64,7 +64,7 @@
         self.resource_limits = resource_limits
         self.log = log
         self.links: dict[ControlLink, asyncio.Task[None]] = {}  # least recently active first
-        self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_STREAM * resource_limits.control_links)
+        self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_STREAM * resource_limits.max_control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by a node that was killed
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -84,7 +84,7 @@
         with contextlib.suppress(BlockingIOError, OSError):
             accepted, _ = self.socket.accept()
             accepted.setblocking(False)
-            if len(self.links) >= self.resource_limits.control_links:
+            if len(self.links) >= self.resource_limits.max_control_links:
                 oldest = next(iter(self.links))  # the least recently active one
                 oldest.stream.close()
                 del self.links[oldest]
@@ -179,5 +179,5 @@
         except OrderRefusedError as refusal:
             return Acknowledgement(request.tag, False, str(refusal))
         except Exception as error:  # a defect must not end the link or the node
-            self.listener.log.error("control_request_failed", error=fault(error))
+            self.listener.log.error("control_request_failed", error=describe_error(error))
             return Acknowledgement(request.tag, False, "an internal error of the node: see its log")
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -11,7 +11,7 @@
 
 from oakkeel.dispatch.command_handler import ConnectionOwner
 from oakkeel.dispatch.connection import Connection
-from oakkeel.log import EventLog, fault
+from oakkeel.log import EventLog, describe_error
 from oakkeel.resource_limits import BUFFERS_PER_STREAM, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
 from oakkeel.units import SECOND
@@ -99,7 +99,7 @@
             if self.accepting and not self.resume_timer and not self._accept_some():
                 break
             # Evicted connections end in the next pass, and release what the next ones need.
-            await asyncio.sleep(self.resource_limits.accept_retry / SECOND if self.resume_timer else 0)
+            await asyncio.sleep(self.resource_limits.accept_retry_delay / SECOND if self.resume_timer else 0)
         if self.accepting:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.accepting = False
@@ -120,10 +120,9 @@
         In a flood of connections the rest waits for the next pass of the event loop, behind all that the
         open connections have received until then.
         """
+        reserved_for_links = BUFFERS_PER_STREAM * self.resource_limits.max_links
         for _ in range(self.resource_limits.accepts_per_pass):
-            if (
-                self.pool.available <= BUFFERS_PER_STREAM * self.resource_limits.max_links
-            ):  # reserved for links
+            if self.pool.available <= reserved_for_links:
                 self._pause()
                 return True
             try:
@@ -142,13 +141,13 @@
         return True
 
     def _pause(self) -> None:
-        """Stop accepting for `accept_retry`, as no descriptor or buffer is left.
+        """Stop accepting for `accept_retry_delay`, as no descriptor or buffer is left.
 
         Otherwise the readable socket would keep the event loop busy.
         """
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
-        self.resume_timer = loop.call_later(self.resource_limits.accept_retry / SECOND, self._resume)
+        self.resume_timer = loop.call_later(self.resource_limits.accept_retry_delay / SECOND, self._resume)
 
     def _resume(self) -> None:
         self.resume_timer = None
@@ -194,7 +193,7 @@
 
     def _add_evicted(self, connection: Connection) -> None:
         """Let a connection close gracefully with a descriptor reserved for evicted ones; close the oldest."""
-        while len(self.evicted) >= self.resource_limits.evicted_connections:
+        while len(self.evicted) >= self.resource_limits.max_evicted_connections:
             next(iter(self.evicted)).close()
             self.evicted.pop(next(iter(self.evicted)))
         self.evicted[connection] = None
@@ -210,7 +209,7 @@
         try:
             await connection.serve()
         except Exception as error:  # one connection must not end the node
-            self.log.error("connection_failed", error=fault(error))
+            self.log.error("connection_failed", error=describe_error(error))
         finally:
             self._remove(connection)
 
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -5,10 +5,10 @@
 import json
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from oakkeel.admission.types import FairSharingRules, NodeLimits
-from oakkeel.node_limits import LimitsError, Pairs, fail, flatten, read_limits
+from oakkeel.node_limits import LimitsError, Settings, fail, flatten, read_limits
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.units import BYTES_PER_MB, MS
 
@@ -20,6 +20,16 @@
 HEXADECIMAL = 16
 
 
+class FairSharingSettings(NamedTuple):
+    """The fair-sharing rules, and the file that keeps the shares across restarts."""
+
+    rules: FairSharingRules | None
+    snapshot: str  # empty: none
+
+
+NO_FAIR_SHARING = FairSharingSettings(None, "")
+
+
 @dataclass(slots=True)
 class NodeConfiguration:
     """The configuration of a node."""
@@ -45,29 +55,30 @@
 def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
     """Read the environment variables and the file that they name. Raises LimitsError, with one line."""
     document = _read_document(variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set"))
-    pairs = Pairs(flatten({name: value for name, value in document.items() if name != "settings"}))
-    node = Pairs(flatten(document.get("settings") or {}))
+    settings = Settings(flatten({name: value for name, value in document.items() if name != "settings"}))
+    node = Settings(flatten(document.get("settings") or {}))
     try:
         limits = read_limits(node)
-        limits.fair_sharing, snapshot = _read_fair_sharing(variables.get("OAKKEEL_TOLD", ""))
+        fair_sharing = _read_fair_sharing(variables.get("OAKKEEL_TOLD", ""))
+        limits.fair_sharing = fair_sharing.rules
         return NodeConfiguration(
-            name=variables.get("PROXY_NAME") or pairs.need("name"),
-            listen=_address(variables.get("PROXY_LISTEN") or pairs.need("listen")),
-            engine=_address(pairs.need("engine")),
-            lookup=_address(pairs.need("lookup")),
-            catalogue=_address(pairs.get("catalog", "")) if pairs.get("catalog", "") else None,
+            name=variables.get("PROXY_NAME") or settings.required("name"),
+            listen=_address(variables.get("PROXY_LISTEN") or settings.required("listen")),
+            engine=_address(settings.required("engine")),
+            lookup=_address(settings.required("lookup")),
+            catalogue=_address(settings.get("catalog", "")) if settings.get("catalog", "") else None,
             seed=_seed(document.get("seed", 0)),
             resource_limits=ResourceLimits(
-                sockets=int(pairs.needed_number("limits.sockets")),
-                memory=int(pairs.needed_number("limits.memory_mb") * BYTES_PER_MB),
-                stop_after=int(pairs.needed_number("stop_ms") * MS),
+                sockets=int(settings.required_number("limits.sockets")),
+                memory=int(settings.required_number("limits.memory_mb") * BYTES_PER_MB),
+                stop_after=int(settings.required_number("stop_ms") * MS),
             ),
             limits=limits,
             gauges=node.gauges(),
             class_names=node.names("classes"),
             tenant_names=node.names("tenants"),
             readiness=node.flag("extra.readiness"),
-            snapshot=snapshot,
+            snapshot=fair_sharing.snapshot,
             log_form="json" if variables.get("OAKKEEL_LOG") == "json" else "console",
             control=variables.get("OAKKEEL_CONTROL", ""),
             generation=int(variables.get("OAKKEEL_GENERATION") or 0),
@@ -88,30 +99,27 @@
     return document if isinstance(document, dict) else fail("the configuration is not a JSON object")
 
 
-def _read_fair_sharing(path: str) -> tuple[FairSharingRules | None, str]:
-    """Read the fair-sharing rules from the file that the agent writes from the operators' settings.
-
-    Return them and the path of the snapshot; without rules, None and an empty path.
-    """
+def _read_fair_sharing(path: str) -> FairSharingSettings:
+    """Read the fair-sharing settings from the file that the agent writes from the operators' settings."""
     if not path:
-        return None, ""
+        return NO_FAIR_SHARING
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file).get("fair")
         if document is None:
-            return None, ""
-        weights = {str(name).encode(): float(value) for name, value in document["weights"].items()}
-        if not 1 <= len(document["by"]) <= MAX_FLOW_LEVELS or not all(
-            0 < value < MAX_FLOW_WEIGHT for value in weights.values()
+            return NO_FAIR_SHARING
+        rules = FairSharingRules(
+            levels=tuple(document["by"]),
+            weights={str(name).encode(): float(value) for name, value in document["weights"].items()},
+            max_flows=int(document["places"]),
+            max_reservations=int(document["promises"]),
+            half_life=int(document["half"]),
+        )
+        if not 1 <= len(rules.levels) <= MAX_FLOW_LEVELS or not all(
+            0 < weight < MAX_FLOW_WEIGHT for weight in rules.weights.values()
         ):
             fail(f"the operators' settings need 1 to {MAX_FLOW_LEVELS} levels of flows, and weights in range")
-        return FairSharingRules(
-            tuple(document["by"]),
-            weights,
-            int(document["places"]),
-            int(document["promises"]),
-            int(document["half"]),
-        ), str(document["snapshot"])
+        return FairSharingSettings(rules, str(document["snapshot"]))
     except (OSError, KeyError, TypeError, ValueError) as error:
         raise LimitsError(f"the operators' settings have a malformed value: {error}") from None
 
