--- a/measure/places.py
+++ b/measure/places.py
@@ -14,7 +14,7 @@
 
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
 from oakkeel.disruption import commands
-from oakkeel.disruption.control_plane import ControlPlaneReplica, ControlPlaneSettings
+from oakkeel.disruption.control_plane import ControlPlaneReplica, ReplicaSettings
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.topology import BudgetGroup, Topology
 from oakkeel.raft.durable_state import DurableState
@@ -67,7 +67,7 @@
                 self.now,
                 InMemoryStorage(DurableState(name, f"{name}.1")).load(),
                 seed,
-                ControlPlaneSettings(voters, topology),
+                ReplicaSettings(voters, topology),
             )
             for seed, name in enumerate(voters)
         }
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -1,4 +1,10 @@
-"""Runs the control plane replica of one agent: its file, connections and timer. The replica decides."""
+"""Runs the control plane replica of one agent: its file, connections and timer. The replica decides.
+
+Who owns whom: the `RaftRuntime` of an agent owns a `ReplicaFile` (what is on disk), a `PeerSender` for each
+other replica, and a `ControlPlaneReplica`. That one owns the Raft `Replica`, the state machine and, while
+it leads, a `PermitAllocator` and the rollout controller. It is created again from the file after a failed
+write or a quarantine.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +23,7 @@
 from oakkeel.authentication.mac import Key
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitAllocator
-from oakkeel.disruption.control_plane import ControlPlaneReplica, ControlPlaneSettings
+from oakkeel.disruption.control_plane import ControlPlaneReplica, ReplicaSettings
 from oakkeel.disruption.messages import Heartbeat
 from oakkeel.errors import OakkeelError
 from oakkeel.log import EventLog, fault
@@ -94,7 +100,7 @@
             time.monotonic_ns(),
             stored,
             secrets.randbits(SEED_BITS),
-            ControlPlaneSettings(
+            ReplicaSettings(
                 self.initial_voters,
                 self.topology,
                 self.timeouts,
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ControlPlaneSettings:
+class ReplicaSettings:
     """What the replicas of one control plane have in common.
 
     `initial_voters` names the voters of a new cluster. `topology` is by this host's settings: it takes effect
@@ -74,7 +74,7 @@
 class ControlPlaneReplica:
     """A replica of the control plane. Calls return outputs to carry out."""
 
-    def __init__(self, now: int, durable: DurableState, seed: int, settings: ControlPlaneSettings) -> None:
+    def __init__(self, now: int, durable: DurableState, seed: int, settings: ReplicaSettings) -> None:
         """`now` is the host's monotonic time in nanoseconds, here and in all other calls."""
         self.now = now
         self.settings = settings
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -6,7 +6,7 @@
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.allocator import PermitAllocator
-from oakkeel.disruption.control_plane import ControlPlaneReplica, ControlPlaneSettings
+from oakkeel.disruption.control_plane import ControlPlaneReplica, ReplicaSettings
 from oakkeel.disruption.state import Rejection
 from oakkeel.emulator.clock import ScheduledEvent
 from oakkeel.emulator.simulated_machine import SimulatedMachine
@@ -63,7 +63,7 @@
             now,
             self.storage.load(),
             machine.random.getrandbits(60),
-            ControlPlaneSettings(
+            ReplicaSettings(
                 self.world.initial_voters,
                 self.world.topology,
                 RAFT_TIMEOUTS,
