--- a/oakkeel/agent/control_plane_handlers.py
+++ b/oakkeel/agent/control_plane_handlers.py
@@ -15,8 +15,8 @@
 from oakkeel.raft.proposals import NotLeaderError
 from oakkeel.rollout import commands as releases
 from oakkeel.rollout.release import Release
+from oakkeel.settings.types import VOTER_COUNTS
 
-VOTER_COUNTS = (1, 3, 5)  # one for a trial; an even number tolerates no more failures
 CONTROL_PLANE_REQUESTS = (
     messages.FleetOrderRequest,
     messages.EndFleetOrderRequest,
--- a/oakkeel/agent/replica_file.py
+++ b/oakkeel/agent/replica_file.py
@@ -2,19 +2,16 @@
 
 from __future__ import annotations
 
-import contextlib
-import os
 import secrets
-import time
 
 from oakkeel.log import EventLog
 from oakkeel.raft import storage
 from oakkeel.raft.durable_state import DurableState, StorageUpdate
 from oakkeel.raft.write_counter import WriteCounter
+from oakkeel.store import database
 from oakkeel.store.database import Database
 
 INCARNATION_BYTES = 8  # of randomness in the name of a file's incarnation
-DATABASE_SUFFIXES = ("", "-wal", "-shm")
 
 
 class ReplicaFile:
@@ -64,11 +61,8 @@
         """Rename the file with the time, and begin a new incarnation with an empty one."""
         self.store.close()
         self.write_counter.reset()
-        quarantine = f"{self.path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
-        for suffix in DATABASE_SUFFIXES:
-            with contextlib.suppress(FileNotFoundError):
-                os.rename(self.path + suffix, quarantine + suffix)
-        self.log.warning("raft_storage_quarantined", file=quarantine, error=why)
+        quarantined = database.quarantine(self.path)
+        self.log.warning("raft_storage_quarantined", file=quarantined, error=why)
         self._open()
 
     def close(self) -> None:
--- a/oakkeel/disruption/cluster_handlers.py
+++ b/oakkeel/disruption/cluster_handlers.py
@@ -7,6 +7,8 @@
 from oakkeel.disruption.state import Lease, Rejection
 
 MAX_LEASES = 256
+# It bounds what is stored. `VOTER_COUNTS` of the settings is narrower and is checked before a command is
+# proposed: so a later version may allow other counts, and replicas of both apply the command alike.
 MAX_VOTERS = 9
 
 
--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -16,6 +16,7 @@
 from lxml import etree
 
 from oakkeel.settings.types import (
+    VOTER_COUNTS,
     ClientSettings,
     ControlPlaneSettings,
     FairSharingSettings,
@@ -34,7 +35,6 @@
 UNITS_NS = {"ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
 MAX_TRACKED = 65_536  # flows, and reservations
 MAX_PORT = 65_535
-VOTER_COUNTS = (1, 3, 5)  # an even number of voters tolerates no more failures than one less
 
 Element: TypeAlias = etree._Element
 
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -7,6 +7,9 @@
 from oakkeel.errors import OakkeelError
 from oakkeel.units import MS, SECOND
 
+# One for a trial. An even number of voters tolerates no more failures than one less.
+VOTER_COUNTS = (1, 3, 5)
+
 
 class SettingsError(OakkeelError, ValueError):
     """The settings are invalid; the message has one line for each error."""
--- a/oakkeel/store/database.py
+++ b/oakkeel/store/database.py
@@ -15,6 +15,7 @@
 DEFAULT_MAX_BYTES = 64 * 1024 * 1024
 MIN_PAGES = 16
 LOCK_TIMEOUT_S = 2.0
+FILE_SUFFIXES = ("", "-wal", "-shm")  # of the files of one database
 Statement = tuple[str, Sequence[object]]  # SQL text and its values
 
 
@@ -22,6 +23,15 @@
     """The database can't be used, or a write failed and nothing of it was stored."""
 
 
+def quarantine(path: str) -> str:
+    """Rename the files of a closed database, with the time and process. Returns the new name of the first."""
+    quarantined = f"{path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
+    for suffix in FILE_SUFFIXES:
+        with contextlib.suppress(FileNotFoundError):
+            os.rename(path + suffix, quarantined + suffix)
+    return quarantined
+
+
 class Database:
     """A database file. A damaged one is quarantined (renamed) and replaced by an empty one.
 
@@ -35,11 +45,7 @@
         self.version = version
         self.quarantined = ""
         if os.path.exists(path) and (defect := self._find_defect()):
-            quarantine = f"{path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
-            for ending in ("", "-wal", "-shm"):
-                with contextlib.suppress(FileNotFoundError):
-                    os.rename(path + ending, quarantine + ending)
-            self.quarantined = f"{quarantine}: {defect}"
+            self.quarantined = f"{quarantine(path)}: {defect}"
         try:
             self.connection = self._connect()
             self.created = not self.read_pragma("user_version")  # 0 in a new file
