--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -152,7 +152,7 @@
         while not self.finished:
             try:
                 out = (await self.rig.fleet_status()).unavailable
-                with_permit = {entry.target for entry in out if entry.fence}
+                with_permit = {entry.target for entry in out if entry.fencing_token}
                 dependent = {name for name, on in SERVICE_OF.items() if on in with_permit}
                 self.most_with_permit = max(self.most_with_permit, len(with_permit & set(NAMES) | dependent))
                 known = [entry for entry in out if entry.target in NAMES and entry.reasons != ["not known"]]
@@ -217,7 +217,7 @@
                 out = (await self.rig.fleet_status()).unavailable
             except (NoLeaderError, UnexpectedResponseError):
                 return
-            if not any(entry.target == target.target and entry.fence for entry in out):
+            if not any(entry.target == target.target and entry.fencing_token for entry in out):
                 continue
             old = self.services.pop(target.target)
             old.stop_listening()
--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -109,14 +109,14 @@
     tasks = []
     for target, task in order.tasks.items():
         permit = permits.get(target)
-        fence = permit.fencing_token if permit and permit.order_id == order.id else 0
+        fencing_token = permit.fencing_token if permit and permit.order_id == order.id else 0
         tasks.append(
             messages.FleetTaskStatus(
                 target=target,
                 host=hosts.get(target, ""),
                 state=task.state,
                 why=task.reason,
-                fence=fence,
+                fencing_token=fencing_token,
                 in_flight=in_flight.get(target, ""),
             )
         )
@@ -162,7 +162,7 @@
                 target=target,
                 host=allocator.host_of.get(target, ""),
                 reasons=sorted(reasons),
-                fence=permit.fencing_token if permit else 0,
+                fencing_token=permit.fencing_token if permit else 0,
                 order_id=permit.order_id if permit else "",
             )
         )
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -218,7 +218,7 @@
     host: str
     state: str
     why: str
-    fence: int = msgspec.field(name="place")  # fencing token of its permit; 0: none
+    fencing_token: int = msgspec.field(name="place")  # of its permit; 0: none
     in_flight: str = msgspec.field(default="", name="owes")  # requests to answer before its drain ends
 
 
@@ -241,7 +241,7 @@
     target: str = msgspec.field(name="thing")
     host: str
     reasons: list[str]
-    fence: int = 0
+    fencing_token: int = msgspec.field(default=0, name="fence")  # of its permit; 0: none
     order_id: str = msgspec.field(default="", name="order")
 
 
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -204,8 +204,10 @@
     permit_holder.restore(
         epochs[0][0] if epochs else "",
         [
-            StoredPermit(target, fence, ident, bool(begun))
-            for target, fence, ident, begun in store.read("SELECT thing, fence, ident, begun FROM places")
+            StoredPermit(target, fencing_token, order_id, bool(begun))
+            for target, fencing_token, order_id, begun in store.read(
+                "SELECT thing, fence, ident, begun FROM places"
+            )
         ],
         dict(store.read("SELECT thing, upto FROM reserved")),
     )
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -128,7 +128,7 @@
 def _is_unsettled(task: messages.FleetTaskStatus, cancel: bool) -> bool:
     """Return whether a halted task may still take effect, or a cancelled one is still in effect."""
     if cancel:
-        return task.state in OPEN_FLEET_TASK_STATES or bool(task.fence)
+        return task.state in OPEN_FLEET_TASK_STATES or bool(task.fencing_token)
     return task.state in WAITING_STATES
 
 
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -101,7 +101,7 @@
     table = plain_table("out", "host", "reasons", "permit", "order")
     for target in unavailable:
         reasons = ", ".join(target.reasons)
-        table.add_row(target.target, target.host, reasons, str(target.fence or "-"), target.order_id)
+        table.add_row(target.target, target.host, reasons, str(target.fencing_token or "-"), target.order_id)
     return table
 
 
@@ -136,7 +136,7 @@
     for task in sorted(order.tasks, key=lambda task: task.target):
         style = TASK_STYLES.get(task.state, OTHER_TASK_STYLE)
         state = f"[{style}]{task.state}[/]"
-        table.add_row(task.target, task.host, state, str(task.fence or "-"), task.in_flight, task.why)
+        table.add_row(task.target, task.host, state, str(task.fencing_token or "-"), task.in_flight, task.why)
     return table
 
 
--- a/tests/cluster/test_rollout_services.py
+++ b/tests/cluster/test_rollout_services.py
@@ -58,7 +58,7 @@
 
         async def leave() -> bool:
             unavailable = (await self.rig.fleet_status()).unavailable
-            return any(target.target == names[0] and target.fence for target in unavailable)
+            return any(target.target == names[0] and target.fencing_token for target in unavailable)
 
         await self.rig.wait_until("its place is there", leave)
         await self.services[names[0]].close()
