--- a/oakkeel/admission/idle_connections.py
+++ b/oakkeel/admission/idle_connections.py
@@ -13,7 +13,7 @@
 MIN_IDLE_TIME_NS = 10 * MS
 RETURN_STEP_NS = 64 * MS  # the shortest step of return times; each further one doubles
 RETURN_STEPS = 9
-MAX_REMEMBERED_CLIENTS = 512  # the least recently seen is forgotten first
+MAX_REMEMBERED_CLIENTS = 512  # the client that was seen longest ago is forgotten first
 MAX_PARSING_PER_CORE = 1.5  # above it, new connections crowd the cores
 MAX_NEW_CONNECTIONS_PER_CORE_S = 8  # while new connections crowd the cores
 
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -43,7 +43,7 @@
     def end_unanswered(self, now: int, request: Request) -> None:
         """Answer a request that has no answer yet and gets no result, and stop its work.
 
-        Its time is up, or its call failed. One that started is rejected if it is idempotent, else failed: it
+        The deadline has come, or its call failed. One that started is rejected if it is idempotent, else failed: it
         may have taken effect.
         """
         if request.state in QUEUED_STATES:
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -20,7 +20,7 @@
     from oakkeel.fair_sharing.reservations import Reservation
 
 
-# The values of these enums are not words of the settings: the tables of `oakkeel/node_limits.py` map those.
+# The values of these enums are not the settings' words: the tables of `oakkeel/node_limits.py` map those.
 
 
 class Idempotency(Enum):
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -192,8 +192,8 @@
         """Return the steps that may be executed by now.
 
         A permit is stored as started before the drain is sent. A full disk, or a restart of the agent, can
-        delay the drain. After `notify_before` it is not sent at all: other targets may have failed since the
-        grant.
+        delay the drain. After the permit's time to notify it is not sent at all: other targets may have
+        failed since the grant.
         """
         holder = self.permit_holder
         if holder is None:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -1,6 +1,6 @@
 """Runs the control plane replica of one agent: its file, connections and timer. The replica decides.
 
-Who owns whom: the `RaftRuntime` of an agent owns a `ReplicaFile` (what is on disk), a `PeerSender` for each
+Owners: the `RaftRuntime` of an agent owns a `ReplicaFile` (what is on disk), a `PeerSender` for each
 other replica, and a `ControlPlaneReplica`. That one owns the Raft `Replica`, the state machine and, while
 it leads, a `PermitAllocator` and the rollout controller. It is created again from the file after a failed
 write or a quarantine.
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -111,8 +111,7 @@
     def process_not_found(self, now: int, instance: Instance, recorded_generation: int) -> None:
         """Note that it has no process when the agent starts.
 
-        `recorded_generation` is the one that its last process wrote to the pid file before its program began:
-        it shows whether a process was ever started.
+        `recorded_generation` in the pid file shows whether a process of that generation was ever started.
         """
         if not instance.alive:
             return
@@ -172,8 +171,7 @@
         instance.crash_times.clear()
 
     def order_stop(self, now: int, instance: Instance, kill: bool, cancellable: bool = False) -> None:
-        """Drain it; with `kill` it is killed after its drain timeout, with `cancellable` it can be
-        resumed."""
+        """Drain it; `kill`: kill it after its drain timeout; `cancellable`: the drain can be reverted."""
         instance.goal = Goal.DOWN
         instance.dirty = True
         if instance.phase is Phase.FAILING:
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -63,7 +63,7 @@
         self.node = node
         self.resource_limits = resource_limits
         self.log = log
-        self.links: dict[ControlLink, asyncio.Task[None]] = {}  # least recently active first
+        self.links: dict[ControlLink, asyncio.Task[None]] = {}  # by last activity, the oldest first
         self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_STREAM * resource_limits.max_control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # left by a node that was killed
@@ -85,7 +85,7 @@
             accepted, _ = self.socket.accept()
             accepted.setblocking(False)
             if len(self.links) >= self.resource_limits.max_control_links:
-                oldest = next(iter(self.links))  # the least recently active one
+                oldest = next(iter(self.links))  # by last activity
                 oldest.stream.close()
                 del self.links[oldest]
             link = ControlLink(IOStream(accepted, max_write_buffer_size=MAX_UNSENT_BYTES), self)
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -20,12 +20,12 @@
 from oakkeel.dispatch.command_handler import CommandHandler, ConnectionOwner
 from oakkeel.dispatch.connection_state import ConnectionLifecycle, ConnectionState
 from oakkeel.dispatch.progress import Progress
-from oakkeel.dispatch.socket_state import discard_received, hung_up
+from oakkeel.dispatch.socket_state import discard_received, has_incoming, hung_up
 from oakkeel.dispatch.timeouts import array_overdue_by, is_write_overdue, read_pause
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import ResourceLimits
-from oakkeel.stream_buffers import BufferPool, HalfClosingStream, MalformedInputError, ReadBuffer, readable
+from oakkeel.stream_buffers import BufferPool, HalfClosingStream, MalformedInputError, ReadBuffer
 from oakkeel.units import SECOND
 
 
@@ -88,8 +88,6 @@
         """The bytes of answers that are not sent yet."""
         return self._writer.unsent
 
-    # Answers, as the handler of a request sees them.
-
     def answer(
         self,
         request: NodeRequest,
@@ -105,8 +103,6 @@
         """Log a malformed request, and count it against this connection."""
         self._commands.report_violation(event, why, request_id)
 
-    # Reading.
-
     async def serve(self) -> None:
         """Read and answer until both sides have closed."""
         try:
@@ -175,8 +171,6 @@
         self.read_buffer.clear()
         self._finish()
 
-    # States.
-
     def drain(self, timeout: int = 0) -> None:
         """Notify the dispatcher to close the connection after its answers.
 
@@ -199,14 +193,9 @@
 
     def is_idle(self) -> bool:
         """Return whether nothing is open, half read, unread or unsent: a close loses nothing."""
-        return not (self.open_requests or self.unsent or self.read_buffer.has_data or self.has_incoming())
-
-    def has_incoming(self) -> bool:
-        """Return whether bytes or an end may be there unread.
-
-        They may be in the kernel since the event loop last polled, or in the stream while reading pauses.
-        """
-        return not self.stream.reading() or readable(self.stream.socket)
+        return not (
+            self.open_requests or self.unsent or self.read_buffer.has_data or has_incoming(self.stream)
+        )
 
     def finish(self) -> None:
         """Read no more; the connection is shut down as soon as all is answered and sent."""
@@ -245,10 +234,7 @@
         self._lifecycle.start_timer(self._resource_limits.linger_timeout, self.close)
 
     def reject_all(self) -> None:
-        """Reject all requests of this connection, as it is over the limit.
-
-        The dispatcher is asked to close it; the node closes it when idle, after `new_connection_grace`.
-        """
+        """Reject all requests, as the connection is over the limit, and drain it after its grace."""
         self._commands.rejects_all = True
         with contextlib.suppress(BlockingIOError, OSError):  # nothing received yet, or its reader fails
             self.read_buffer.receive(self.stream.socket)
@@ -289,5 +275,5 @@
         elif overdue := array_overdue_by(now, self.arrays.due_since, limits):
             # Received bytes are read first; a second check with data means that they trickle in.
             trickles = self.read_buffer.has_data and overdue > limits.sweep_interval
-            if not self.has_incoming() or trickles:
+            if not has_incoming(self.stream) or trickles:
                 self._finish()
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -11,6 +11,7 @@
 
 from oakkeel.dispatch.command_handler import ConnectionOwner
 from oakkeel.dispatch.connection import Connection
+from oakkeel.dispatch.socket_state import has_incoming
 from oakkeel.log import EventLog, describe_error
 from oakkeel.resource_limits import BUFFERS_PER_STREAM, ResourceLimits
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
@@ -43,7 +44,7 @@
             return connection
     with_incomplete_array = silent  # not idle for the part of an array that they sent
     for connection in with_incomplete_array:
-        if not (connection.open_requests or connection.unsent or connection.has_incoming()):
+        if not (connection.open_requests or connection.unsent or has_incoming(connection.stream)):
             return connection
     return None
 
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -208,10 +208,9 @@
         return self._ask_gauges(now)
 
     def _resend_overdue_runs(self, now: int) -> None:
-        """Send the runs again that may be lost, and whose requests are answered.
+        """Send the runs again that may be lost: else admission would count a lost run of an answered request.
 
-        A second command for a run that has ended or was lost yields `nothing`; a run in progress continues.
-        Without it admission would count a lost run forever.
+        The engine continues a run in progress, and answers 'nothing' for one that has ended or was lost.
         """
         for request in self.unconfirmed.take_overdue_runs(now):
             self.run(request)
--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -13,6 +13,7 @@
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 from heapq import heapify, heappush, heapreplace
 
 from oakkeel.units import SECOND
@@ -55,6 +56,15 @@
         return self.allowed_rate < math.inf
 
 
+@dataclass(frozen=True, slots=True)
+class PastRates:
+    """The rates of a flow some time ago, in weight per second; `age` in nanoseconds."""
+
+    rate: float
+    retry_rate: float
+    age: int
+
+
 class HeavyHitters:
     """The table. Keys are whole numbers that no client can choose: a keyed hash of what names a flow."""
 
@@ -99,13 +109,11 @@
             flow.retries += scaled
         return flow
 
-    def restore(
-        self, now: int, key: int, rate: float, retry_rate: float, age: int, label: bytes, parent: Flow | None
-    ) -> Flow:
-        """Add a flow that had these rates (weight per second) `age` nanoseconds ago, and return it."""
-        weight_per_rate = 0.5 ** (age / self.half_life) * self.half_life / (math.log(2) * SECOND)
-        flow = self.add(now, key, rate * weight_per_rate, False, label, parent)
-        flow.retries = retry_rate * weight_per_rate * self.scale(now)
+    def restore(self, now: int, key: int, past: PastRates, label: bytes, parent: Flow | None) -> Flow:
+        """Add a flow by its rates at an earlier time, and return it."""
+        weight_per_rate = 0.5 ** (past.age / self.half_life) * self.half_life / (math.log(2) * SECOND)
+        flow = self.add(now, key, past.rate * weight_per_rate, False, label, parent)
+        flow.retries = past.retry_rate * weight_per_rate * self.scale(now)
         return flow
 
     def rate(self, now: int, flow: Flow) -> float:
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from oakkeel.errors import OakkeelError
-from oakkeel.fair_sharing.heavy_hitters import Flow
+from oakkeel.fair_sharing.heavy_hitters import Flow, PastRates
 from oakkeel.fair_sharing.max_min import MaxMinShares
 from oakkeel.fair_sharing.reservations import Reservation, Reservations
 from oakkeel.units import SECOND
@@ -115,9 +115,8 @@
             parent = outer.get(record.parent)
             if level > 0 and parent is None:
                 continue  # its outer flow had left the table: without one it has no share to divide
-            inner[record.key] = table.restore(
-                now, record.key, record.rate, record.retries, age, record.label, parent
-            )
+            past = PastRates(record.rate, record.retries, age)
+            inner[record.key] = table.restore(now, record.key, past, record.label, parent)
         outer = inner
     for reserved in snapshot.reservations:
         due_at = now + reserved.after - age
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -22,7 +22,7 @@
 Choice = TypeVar("Choice")
 JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
 
-# The words of the settings, on the left, are mapped to the terms of the code here and nowhere else. The paths
+# The settings' words, on the left, are mapped to the terms of the code here and nowhere else. The paths
 # are mapped in `read_limits` and `_request_class`.
 IDEMPOTENCY = {
     "read_like": Idempotency.IDEMPOTENT,
--- a/oakkeel/raft/timeouts.py
+++ b/oakkeel/raft/timeouts.py
@@ -15,7 +15,7 @@
     """
 
     heartbeat_interval_ns: int = 80 * MS
-    # A replica grants no vote for this long after it heard from a leader.
+    # A replica grants no vote for this long after the last message of a leader.
     min_election_timeout_ns: int = 500 * MS
     max_election_timeout_ns: int = 1000 * MS  # each election timeout is drawn between the two
     max_clock_drift_ratio: float = 0.04  # by which the rates of two clocks may differ
