--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -43,8 +43,8 @@
     def end_unanswered(self, now: int, request: Request) -> None:
         """Answer a request that has no answer yet and gets no result, and stop its work.
 
-        The deadline has come, or its call failed. One that started is rejected if it is idempotent, else failed: it
-        may have taken effect.
+        Its deadline passed, or a call failed. One that started is rejected if it is idempotent, else failed:
+        it may have taken effect.
         """
         if request.state in QUEUED_STATES:
             self.reject(now, request, Rejection.FINAL)
