--- a/tests/cluster/test_rollout_programs.py
+++ b/tests/cluster/test_rollout_programs.py
@@ -109,9 +109,9 @@
     async def test_rejects_bad_options_and_applies_patch_to_configuration(self):
         program = self.program("v2").program
         for words, text in (
-            (["--program", program], "say which instances"),
-            (["--all"], "say what is new"),
-            (["--all", "--program", program, "--version", "x"], "say what is new"),
+            (["--program", program], "select instances by name"),
+            (["--all"], "name the new version of instances"),
+            (["--all", "--program", program, "--version", "x"], "name the new version of instances"),
             (["--all", "--config", self.site.settings], "Expecting value"),
         ):
             code, _, err = await self.oakkeel("start", *words)
