--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -182,7 +182,8 @@
         while not self.stop_requested.is_set():
             self.run_cycle()
             try:
-                await asyncio.wait_for(self.stop_requested.wait(), CYCLE_INTERVAL_NS / SECOND)
+                async with asyncio.timeout(CYCLE_INTERVAL_NS / SECOND):
+                    await self.stop_requested.wait()
             except TimeoutError:
                 continue
         self._close()
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -170,8 +170,11 @@
         self._execute(outputs)
         self._schedule()
         try:
-            return await asyncio.wait_for(future, COMMIT_TIMEOUT_NS / SECOND)
+            async with asyncio.timeout(COMMIT_TIMEOUT_NS / SECOND):
+                return await future
         except TimeoutError as error:
+            if not future.cancelled():  # the result came in the turn of the event loop that ended the time
+                return future.result()
             raise CommitUnknownError("no majority has stored it yet") from error
         finally:
             self.futures.pop(proposal, None)
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -138,7 +138,10 @@
         stream.write(frame(HELLO + challenge))
         max_bytes = MAX_FRAME_BYTES
         while True:
-            content = await asyncio.wait_for(read_frame(stream, max_bytes), timeout)
+            async with asyncio.timeout(timeout):
+                # A client that always sends must not keep the event loop: a done future does not yield.
+                await asyncio.sleep(0)
+                content = await read_frame(stream, max_bytes)
             try:
                 key, request = authenticator.verify(time.monotonic_ns(), time.time_ns(), content)
             except AuthenticationError as error:
@@ -152,7 +155,8 @@
             if len(response) > MAX_RESPONSE_BYTES - MAX_SIGNATURE_BYTES:
                 response = messages.encode(messages.ErrorResponse("the response is too long; ask for less"))
             written = stream.write(frame(authenticator.sign(time.time_ns(), response)))
-            await asyncio.wait_for(asyncio.shield(written), timeout)
+            async with asyncio.timeout(timeout):
+                await asyncio.shield(written)
 
     async def _respond(self, key: Key, content: bytes) -> messages.Response:
         try:
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -146,7 +146,8 @@
         if not read_buffer.has_data:
             await read_buffer.fill(self.stream)  # an idle link may stay open
         else:
-            await asyncio.wait_for(read_buffer.fill(self.stream), limits.control_timeout / SECOND)
+            async with asyncio.timeout(limits.control_timeout / SECOND):
+                await read_buffer.fill(self.stream)
         spent = -time.thread_time_ns()
         while (at := read_buffer.buffer.find(b"\n", read_buffer.start, read_buffer.end)) >= 0:
             line = bytes(read_buffer.buffer[read_buffer.start : at])
@@ -154,7 +155,8 @@
             written = send(self.stream, encode(self._answer(line)))
             if written is None:
                 raise StreamClosedError
-            await asyncio.wait_for(asyncio.shield(written), limits.control_timeout / SECOND)
+            async with asyncio.timeout(limits.control_timeout / SECOND):
+                await asyncio.shield(written)
             spent += time.thread_time_ns()
             await asyncio.sleep(max(limits.control_pause, spent * limits.control_cpu_factor) / SECOND)
             spent = -time.thread_time_ns()
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -113,8 +113,9 @@
         rows = view.rows(time.monotonic_ns())
         counts = f"{dispatcher.answered} requests answered, {dispatcher.counts['lost']} lost"
         live.update(Group(instances_table(rows, live.console.width), Text(counts)), refresh=True)
-        with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(done.wait(), REFRESH_INTERVAL_SECONDS)
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(REFRESH_INTERVAL_SECONDS):
+                await done.wait()
 
 
 async def _stop_nodes(agents: AgentClients, view: FleetView) -> None:
--- a/oakkeel/dispatch/progress.py
+++ b/oakkeel/dispatch/progress.py
@@ -33,6 +33,7 @@
             raise StreamClosedError
         self._event.clear()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._event.wait(), timeout / SECOND if timeout else None)
+            async with asyncio.timeout(timeout / SECOND if timeout else None):
+                await self._event.wait()
         if self._stream.closed():
             raise StreamClosedError
--- a/oakkeel/fakes/load_process.py
+++ b/oakkeel/fakes/load_process.py
@@ -61,7 +61,8 @@
         """Let it wait for its responses and end. Raises EOFError if it ends without a summary."""
         self._send(LoadCommand(stop=True))
         if self._reading is not None:
-            await asyncio.wait_for(self._reading, STOP_TIMEOUT_S)
+            async with asyncio.timeout(STOP_TIMEOUT_S):
+                await self._reading
         if self.summary is None:
             raise EOFError("the load generator ended without a summary")
         return self.summary
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -73,8 +73,10 @@
                     break
                 self.progress.clear()
                 wait = max(0, self.fan_out.next_at() - time.monotonic_ns())
-                with contextlib.suppress(asyncio.TimeoutError):
-                    await asyncio.wait_for(self.progress.wait(), wait / SECOND)
+                with contextlib.suppress(TimeoutError):
+                    # `wait_for` may lose a cancellation, before Python 3.12
+                    async with asyncio.timeout(wait / SECOND):
+                        await self.progress.wait()
         finally:
             for task in self.tasks:
                 task.cancel()
@@ -151,7 +153,8 @@
                 continue
             timeout = min(per_request, max(1, search.deadline - now))
             try:
-                response = await asyncio.wait_for(self.request(name, request), timeout / SECOND)
+                async with asyncio.timeout(timeout / SECOND):
+                    response = await self.request(name, request)
             except TimeoutError:
                 search.failed(time.monotonic_ns(), name, "did not answer")
             except OSError as error:
--- /dev/null
+++ b/tests/agent/test_agent.py
@@ -0,0 +1,21 @@
+"""The cycle of an agent."""
+
+import unittest
+from unittest import mock
+
+from oakkeel.agent.agent import Agent
+from tests.agent.agent_test_case import AgentTestCase
+from tests.support.cancellation import ends_cancelled, followed_by_wait
+
+
+class AgentCycleTest(AgentTestCase):
+    async def test_an_agent_that_is_cancelled_as_its_stop_is_requested_is_cancelled(self):
+        run = Agent.run
+        with mock.patch.object(Agent, "run", lambda agent: followed_by_wait(run(agent))):
+            agent = await self.agent()
+        await self.until(lambda: "agent_started" in self.log_output.getvalue())
+        self.assertTrue(await ends_cancelled(agent.task, agent.stop_requested.set))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/agent/test_raft_runtime.py
@@ -0,0 +1,78 @@
+"""Proposals to the replica of one agent."""
+
+import asyncio
+import os
+import tempfile
+import unittest
+from unittest import mock
+
+from oakkeel.agent import raft_runtime
+from oakkeel.agent.raft_runtime import CommitUnknownError, RaftRuntime
+from oakkeel.disruption import commands
+from oakkeel.fakes.site import FakeSite, SiteOptions
+from oakkeel.log import EventLog
+from oakkeel.raft.proposals import Proposal, ProposalStatus
+from oakkeel.settings.fleet import read_fleet
+from oakkeel.units import MS, SECOND
+from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
+
+
+class ProposalTest(unittest.IsolatedAsyncioTestCase):
+    async def asyncSetUp(self) -> None:
+        folder = self.enterContext(tempfile.TemporaryDirectory())
+        site = FakeSite(folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, replicas=("wb1",)))
+        site.write_settings()
+        fleet = read_fleet(site.settings)
+        os.makedirs(fleet.host("wb1").state, exist_ok=True)
+        self.runtime = RaftRuntime(fleet, "wb1", {}, EventLog("raft", 0))
+        self.addCleanup(self.runtime.file.close)
+        self.proposal = Proposal(1)
+        self.runtime.control_plane = mock.Mock()
+        self.runtime.control_plane.propose.return_value = (self.proposal, [])
+        self.enterContext(mock.patch.object(self.runtime, "_schedule"))
+
+    async def propose(self) -> object:
+        return await self.runtime.propose(commands.SetVoters(("wb1",), "asha"))
+
+    def commit(self) -> None:
+        self.proposal.status = ProposalStatus.COMMITTED
+        self.proposal.result = "committed"
+        self.runtime._proposal_decided(self.proposal)
+
+    async def test_a_proposal_that_is_cancelled_as_it_is_committed_is_cancelled(self):
+        for turns in (0, 1):
+            with self.subTest(turns=turns):
+                task = asyncio.ensure_future(followed_by_wait(self.propose()))
+                await let_run()
+                self.assertTrue(await ends_cancelled(task, self.commit, turns))
+                self.assertEqual(self.runtime.futures, {})
+
+    async def test_a_proposal_that_is_not_committed_in_time_is_unknown(self):
+        with mock.patch.object(raft_runtime, "COMMIT_TIMEOUT_NS", 10 * MS):
+            task = asyncio.ensure_future(self.propose())
+            await let_run(1)
+            (future,) = self.runtime.futures.values()
+            with self.assertRaises(CommitUnknownError):
+                await task
+        self.assertTrue(future.cancelled())
+        self.assertEqual(self.runtime.futures, {})
+
+    async def test_a_proposal_that_is_committed_as_its_time_ends_has_its_result(self):
+        with mock.patch.object(raft_runtime, "COMMIT_TIMEOUT_NS", SECOND // 2):
+            limits = []
+
+            def call_at(when, callback, *args, **options):
+                limits.append((callback, args))
+                return mock.Mock(_source_traceback=None)
+
+            with mock.patch.object(asyncio.get_running_loop(), "call_at", call_at):
+                task = asyncio.ensure_future(self.propose())
+                await let_run()
+            ((time_ends, args),) = limits
+            self.commit()
+            time_ends(*args)
+            self.assertEqual(await task, "committed")
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -2,8 +2,10 @@
 
 import asyncio
 import contextlib
+import itertools
 import os
 import time
+import unittest
 from unittest import mock
 
 from oakkeel.agent import messages
@@ -17,6 +19,7 @@
 from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.units import MS, SECOND
 from tests.agent.agent_test_case import WAIT, AgentTestCase
+from tests.support.cancellation import ends_cancelled, let_run
 
 
 class AgentServerTest(AgentTestCase):
@@ -167,3 +170,65 @@
         self.assertIn("did not answer", self.view.notes()[0])
         await asyncio.wait(tasks, timeout=WAIT)
         server.close()
+
+
+class FakeStream:
+    """A stream that writes when the test says so."""
+
+    def __init__(self, written: asyncio.Future | None = None) -> None:
+        self.written = written or asyncio.get_running_loop().create_future()
+        self.max_buffer_size = 0
+
+    def write(self, data: bytes) -> asyncio.Future:
+        return self.written
+
+    def close(self) -> None:
+        pass
+
+
+class ConnectionTest(unittest.IsolatedAsyncioTestCase):
+    """One connection of a server, with requests that the test delivers and nobody authenticates."""
+
+    async def asyncSetUp(self) -> None:
+        self.requests: asyncio.Queue[bytes] = asyncio.Queue()
+        self.handled = 0
+        authenticator = mock.Mock()
+        authenticator.verify.return_value = (Key("asha-1", "asha", Role.ACT, b""), b"request")
+        authenticator.sign.return_value = b"response"
+        module = "oakkeel.agent.server"
+        self.enterContext(mock.patch(f"{module}.ServerAuthenticator", return_value=authenticator))
+        self.enterContext(mock.patch(f"{module}.read_frame", lambda stream, max_bytes: self.requests.get()))
+        self.server = AgentServer(("127.0.0.1", 0), dict, mock.Mock(), EventLog("server", 0))
+        self.addCleanup(self.server.socket.close)
+        self.enterContext(mock.patch.object(self.server, "_respond", self.respond))
+
+    async def respond(self, key: Key, content: bytes) -> messages.Response:
+        self.handled += 1
+        return messages.ErrorResponse("none")
+
+    async def test_a_connection_that_is_cancelled_as_a_request_arrives_is_cancelled(self):
+        task = asyncio.ensure_future(self.server._serve(FakeStream()))
+        await let_run()
+        self.assertTrue(await ends_cancelled(task, lambda: self.requests.put_nowait(b"request")))
+
+    async def test_a_connection_that_is_cancelled_as_a_response_is_written_is_cancelled(self):
+        stream = FakeStream()
+        task = asyncio.ensure_future(self.server._serve(stream))
+        self.requests.put_nowait(b"request")
+        await let_run()
+        self.assertEqual(self.handled, 1)
+        self.assertTrue(await ends_cancelled(task, lambda: stream.written.set_result(None)))
+
+    async def test_a_client_that_always_sends_does_not_keep_the_event_loop(self):
+        written = asyncio.get_running_loop().create_future()
+        written.set_result(None)
+        for _ in range(100):
+            self.requests.put_nowait(b"request")
+        task = asyncio.ensure_future(self.server._serve(FakeStream(written)))
+        seen = [0]
+        while self.handled < 100:
+            await asyncio.sleep(0)
+            seen.append(self.handled)
+        task.cancel()
+        await asyncio.wait([task])
+        self.assertEqual(max(after - before for before, after in itertools.pairwise(seen)), 1)
--- /dev/null
+++ b/tests/dispatch/test_progress.py
@@ -0,0 +1,40 @@
+"""Waits for the progress of a connection."""
+
+import asyncio
+import itertools
+import unittest
+from unittest import mock
+
+from oakkeel.dispatch.progress import Progress
+from oakkeel.units import MS, SECOND
+from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
+
+
+class ProgressTest(unittest.IsolatedAsyncioTestCase):
+    async def asyncSetUp(self) -> None:
+        stream = mock.Mock()
+        stream.closed.return_value = False
+        self.progress = Progress(stream)
+
+    async def test_a_wait_that_is_cancelled_as_progress_is_made_is_cancelled(self):
+        for timeout, turns in itertools.product((0, 60 * SECOND), (0, 1)):
+            with self.subTest(timeout=timeout, turns=turns):
+                task = asyncio.ensure_future(followed_by_wait(self.progress.wait(timeout)))
+                await let_run()
+                self.assertTrue(await ends_cancelled(task, self.progress.set, turns))
+
+    async def test_a_wait_with_a_limit_ends_without_progress(self):
+        async with asyncio.timeout(20):
+            await self.progress.wait(MS)
+
+    async def test_a_wait_without_a_limit_ends_with_progress_only(self):
+        task = asyncio.ensure_future(self.progress.wait())
+        await asyncio.sleep(0.02)
+        self.assertFalse(task.done())
+        self.progress.set()
+        async with asyncio.timeout(20):
+            await task
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/fakes/test_load_generator.py
+++ b/tests/fakes/test_load_generator.py
@@ -1,9 +1,12 @@
 import asyncio
 import time
 import unittest
+from unittest import mock
 
+from oakkeel.fakes.load_generator import LoadSummary
 from oakkeel.fakes.load_process import LoadProcess
 from oakkeel.fakes.stream_server import StreamServer
+from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
 
 
 async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -70,6 +73,15 @@
         with self.assertRaises((EOFError, OSError)):
             await self.load.stop()
 
+    async def test_a_stop_that_is_cancelled_as_the_process_ends_is_cancelled(self):
+        ended = asyncio.Event()
+        self.load._reading = asyncio.ensure_future(ended.wait())
+        self.load.summary = LoadSummary({}, 0.0)
+        with mock.patch.object(self.load, "_send"):
+            task = asyncio.ensure_future(followed_by_wait(self.load.stop()))
+            await let_run()
+            self.assertTrue(await ends_cancelled(task, ended.set))
+
     @staticmethod
     async def close_after_first_line(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
--- /dev/null
+++ b/tests/fleet/test_agent_clients.py
@@ -0,0 +1,78 @@
+"""Requests to agents over sockets, and their cancellation."""
+
+import asyncio
+import types
+import unittest
+from unittest import mock
+
+from oakkeel.agent import messages
+from oakkeel.fleet.agent_clients import AgentClients, FanOutRequest, NoLeaderError
+from oakkeel.fleet.fan_out import FanOut, FanOutPolicy
+from oakkeel.units import MS, SECOND
+from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
+
+
+def clients_of(deadline: int) -> AgentClients:
+    """The clients of a fleet with one host, which is a replica; `deadline` of one request."""
+    fleet = types.SimpleNamespace(
+        control_plane=types.SimpleNamespace(hosts=("h0",)),
+        hosts=[types.SimpleNamespace(name="h0")],
+        client=types.SimpleNamespace(deadline=deadline),
+    )
+    return AgentClients(fleet, None)
+
+
+async def silent(name: str, request: messages.Request) -> messages.Response:
+    return await asyncio.get_running_loop().create_future()
+
+
+class FanOutRequestTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_fan_out_that_is_cancelled_as_a_response_arrives_is_cancelled(self):
+        """A cancelled poller must not wait for the hosts that have not answered."""
+        clients = clients_of(60 * SECOND)
+        requests = {name: messages.HostStatusRequest() for name in ("h0", "h1")}
+        fan_out = FanOut(0, requests, FanOutPolicy(1 << 62, 1 << 62, 1), 7)
+        in_progress = FanOutRequest(clients, requests, fan_out)
+        with mock.patch.object(clients, "request", silent):
+            task = asyncio.ensure_future(in_progress.run())
+            await let_run()
+            sends = set(in_progress.tasks)
+            self.assertEqual(len(sends), 2)
+            self.assertTrue(await ends_cancelled(task, in_progress.progress.set))
+        self.assertTrue(all(send.cancelled() for send in sends))
+
+
+class LeaderRequestTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_request_to_the_leader_that_is_cancelled_as_its_response_arrives_is_cancelled(self):
+        clients = clients_of(60 * SECOND)
+        arrived = asyncio.Event()
+
+        async def request(name: str, request: messages.Request) -> messages.Response:
+            await arrived.wait()
+            return messages.NotLeaderResponse("", "an election is in progress")
+
+        with mock.patch.object(clients, "request", request):
+            asked = clients.request_leader(messages.HostStatusRequest())
+            task = asyncio.ensure_future(followed_by_wait(asked))
+            await let_run()
+            self.assertTrue(await ends_cancelled(task, arrived.set))
+
+    async def test_a_request_to_the_leader_is_cancelled_at_its_deadline(self):
+        clients = clients_of(20 * MS)
+        ended: list[bool] = []
+
+        async def request(name: str, request: messages.Request) -> messages.Response:
+            waited_for = asyncio.get_running_loop().create_future()
+            try:
+                return await waited_for
+            finally:
+                ended.append(waited_for.cancelled())
+
+        with mock.patch.object(clients, "request", request), self.assertRaises(NoLeaderError) as caught:
+            await clients.request_leader(messages.HostStatusRequest())
+        self.assertEqual(caught.exception.reasons, {"h0": "did not answer"})
+        self.assertTrue(ended and all(ended))
+
+
+if __name__ == "__main__":
+    unittest.main()
