--- a/oakkeel/admission/arrival_decision.py
+++ b/oakkeel/admission/arrival_decision.py
@@ -1,4 +1,4 @@
-"""The decision on a request that arrives: coalesced, queued, delayed or rejected, and why it is rejected."""
+"""Decides whether an arriving request is coalesced, queued, delayed or rejected, and for which reason."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
     DEADLINE = auto()  # its deadline has passed
     MEMORY = auto()
-    DRAIN = auto()  # it came after the grace period
+    DRAIN = auto()  # it arrived after the grace period of a drain
     SHARE = auto()  # its flow has used its fair share
     STAGE = auto()  # the overload stage is REJECT
-    FIT = auto()  # it can't end in time behind the queue
+    FIT = auto()  # it can't complete in time after its wait in the queue
     RANK = auto()  # its rank is below the shedding threshold
 
 
 class RejectionDecision(NamedTuple):
-    """That a request is rejected on arrival, how and why."""
+    """The rejection of a request on arrival, with its kind and its reason."""
 
     rejection: Rejection
     reason: RejectionReason
@@ -41,13 +41,13 @@
     """Decides on requests that arrive, with their deadline, rank and share status set."""
 
     def __init__(self, node: NodeState, shedding: SheddingThreshold, retries: SlidingWindow) -> None:
-        """Decide for this node; `retries` has 1 for an arrival that is a retry, else 0."""
+        """Decide for this node; `retries` holds 1 for each arrival that is a retry, else 0."""
         self.node = node
         self.shedding = shedding
         self.retries = retries
 
     def decide(self, now: int, request: Request) -> Decision:
-        """Decide by duplicate, deadline, memory and drain, then by load."""
+        """Check for a duplicate, the deadline, the memory and a drain, then decide by load."""
         node = self.node
         memory_full = is_memory_full(request, node.occupancy.memory_kb, node.limits)
         if is_coalesced(request, node.limits.cache_ttl, memory_full):
@@ -61,7 +61,7 @@
         return self._decide_by_load(now, request)
 
     def _decide_by_load(self, now: int, request: Request) -> Decision:
-        """Decide by fair share, else by overload stage and fit, and last by rank."""
+        """Decide by the fair share if it applies, otherwise by overload stage, by fit and then by rank."""
         depth = self.node.depth_per_core()
         stage = self.node.overload.arrival_stage(depth)
         service_time = self.node.ranking.service_time(request)
@@ -74,16 +74,16 @@
         return self._decide_by_rank(now, request, stage, depth)
 
     def _is_decided_by_share(self, now: int, request: Request, service_time: float) -> bool:
-        """Return whether a reservation or an exceeded share decides, before stage and fit.
+        """Return whether a reservation or an exceeded share decides, before the stage and the fit.
 
-        Neither does for a request that can't end in time.
+        For a request that can't end in time, neither a reservation nor an exceeded share decides.
         """
         if request.share_status is ShareStatus.WITHIN_SHARE:
             return False
         return can_end_in_time(now, request, service_time)
 
     def _decide_by_share(self, now: int, request: Request, stage: Stage, depth: float) -> Decision:
-        """Admit a reservation as in NORMAL; reject an exceeded share, but on an idle node decide by rank."""
+        """Decide on a reservation as in NORMAL; reject an exceeded share unless the node is idle."""
         if request.share_status is ShareStatus.RESERVED:
             return self._decide_by_rank(now, request, Stage.NORMAL, depth)
         if self.node.occupancy.holding_run_slot():
--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -1,4 +1,4 @@
-"""The downstream call of a running request: placed, waiting, retried, skipped or failed."""
+"""The sequence of a downstream call: it waits, is placed, and is retried, skipped or failed."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     """Places the downstream calls of requests; calls that must wait start in order of arrival."""
 
     def __init__(self, node: NodeState, ends: RequestEnds) -> None:
-        """Start with no request that waits for its call."""
+        """Start with no waiting request."""
         self.node = node
         self.ends = ends
-        self.awaiting: deque[Request] = deque()  # whose call can't be placed yet
+        self.waiting_requests: deque[Request] = deque()  # their calls can't be placed yet
 
-    def needed(self, now: int, request: Request) -> None:
-        """Place the call that a run needs to go on."""
+    def call_needed(self, now: int, request: Request) -> None:
+        """Place the downstream call that a run needs before it can continue."""
         if request.state is State.ORPHANED:
             self.node.occupancy.move(now, request, State.RELEASING)
         elif request.state is State.RUNNING:
             self.node.occupancy.move(now, request, State.AWAITING_CALL)
             self._place_or_wait(now, request)
 
-    def finished(self, now: int, request: Request, outcome: Outcome) -> None:
+    def call_finished(self, now: int, request: Request, outcome: Outcome) -> None:
         """Resume the run after a call, or retry the call, skip it or fail the request."""
         if request.state is not State.CALLING:
             return
@@ -57,11 +57,11 @@
 
     def place_waiting(self, now: int) -> None:
         """Place the waiting calls that the breaker and the quota now allow."""
-        while self.awaiting and self._place(now, self.awaiting[0]):
-            self.awaiting.popleft()
+        while self.waiting_requests and self._place(now, self.waiting_requests[0]):
+            self.waiting_requests.popleft()
 
     def skip_if_overdue(self, now: int, request: Request) -> None:
-        """Skip an optional call that could not be placed within its wait."""
+        """Skip an optional call that could not be placed within its maximum wait."""
         is_overdue = now >= request.state_since + max_optional_call_wait(request)
         if request.request_class.is_call_optional and is_overdue:
             self._skip(now, request)
@@ -73,21 +73,21 @@
         if is_optional and self.node.downstream_calls.breaker.is_open():
             self._skip(now, request)  # calls are known to fail
             return
-        self.awaiting.append(request)
+        self.waiting_requests.append(request)
         if is_optional:
             skip_at = now + int(max_optional_call_wait(request))
             self.node.timers.set_not_before(now, request, skip_at)
 
     def _place(self, now: int, request: Request) -> bool:
-        """Place a call if the breaker and the quota allow it; return false if the request still waits."""
+        """Place a call if the breaker and the quota allow it; return whether the request no longer waits."""
         if request.state is not State.AWAITING_CALL:
             return True
         node = self.node
         service_time = node.ranking.service_time(request)
-        until = node.downstream_calls.reserve(now, request, node.occupancy.calling(), service_time)
-        if until is None:
+        call_end = node.downstream_calls.reserve(now, request, node.occupancy.calling(), service_time)
+        if call_end is None:
             return False
-        node.host.call(request, until)
+        node.host.call(request, call_end)
         node.occupancy.move(now, request, State.CALLING)
         return True
 
--- a/oakkeel/admission/circuit_breaker.py
+++ b/oakkeel/admission/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breaker: stops downstream calls that are known to fail, but for probes."""
+"""Circuit breaker: blocks downstream calls while they are expected to fail, except for probes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     __slots__ = ("failures_in_row", "next_probe_at")
 
     def __init__(self) -> None:
-        """Start closed."""
+        """Start with the breaker closed."""
         self.failures_in_row = 0
         self.next_probe_at = 0
 
@@ -23,15 +23,15 @@
         return self.failures_in_row >= MAX_FAILURES_IN_ROW
 
     def allows_call(self, now: int) -> bool:
-        """Return whether a call may be placed: while open at most one probe per interval."""
+        """Return whether a call may be placed; while the breaker is open, at most one probe per interval."""
         return not self.is_open() or now >= self.next_probe_at
 
     def call_placed(self, now: int) -> None:
-        """Let the next probe wait an interval from this call on."""
+        """Delay the next probe until one interval after this call."""
         self.next_probe_at = now + PROBE_INTERVAL_NS
 
     def call_succeeded(self) -> None:
-        """Close."""
+        """Close the breaker."""
         self.failures_in_row = 0
 
     def call_failed(self) -> None:
--- a/oakkeel/admission/client_returns.py
+++ b/oakkeel/admission/client_returns.py
@@ -1,4 +1,4 @@
-"""How soon clients return. This module measures and decides nothing."""
+"""Measures the time between two requests of one client. This module makes no decisions."""
 
 from __future__ import annotations
 
@@ -11,33 +11,36 @@
 
 
 class ReturnTimes(NamedTuple):
-    """The times between two requests of one client that fall into one step."""
+    """The sum and the number of the return times that fall into one step."""
 
     total_ns: float
     returns: int
 
 
 class ClientReturns:
-    """Times between two requests of one client, over the last seconds."""
+    """The return times of clients over the last seconds: the time between two requests of one client."""
 
-    __slots__ = ("gap_step", "gap_steps", "gaps", "last_seen", "max_clients")
+    __slots__ = ("last_seen", "max_clients", "return_times", "step", "steps")
 
-    def __init__(self, gap_step: int, gap_steps: int, max_clients: int) -> None:
-        """Start with no client seen. Each step doubles; the first ends at `gap_step` nanoseconds."""
-        self.gap_step = gap_step
-        self.gap_steps = gap_steps
+    def __init__(self, step: int, steps: int, max_clients: int) -> None:
+        """Start with no client seen.
+
+        The first step ends at `step` nanoseconds, and each later step at twice the end of the previous one.
+        """
+        self.step = step
+        self.steps = steps
         self.max_clients = max_clients
-        self.last_seen: dict[int, int] = {}  # in the order of the times
-        self.gaps = [SlidingWindow(RETURNS_WINDOW_STEP_NS) for _ in range(gap_steps + 1)]
+        self.last_seen: dict[int, int] = {}  # time of the last request by client, the least recent first
+        self.return_times = [SlidingWindow(RETURNS_WINDOW_STEP_NS) for _ in range(steps + 1)]
 
-    def seen(self, now: int, client: int) -> None:
-        """Count the time since a client was last seen."""
-        gap = now - self.last_seen.pop(client, -(self.gap_step << self.gap_steps))
+    def record_request(self, now: int, client: int) -> None:
+        """Count the time since the last request of this client."""
+        return_time = now - self.last_seen.pop(client, -(self.step << self.steps))
         self.last_seen[client] = now
-        self.gaps[min(self.gap_steps, (gap // self.gap_step).bit_length())].add(now, gap)
+        self.return_times[min(self.steps, (return_time // self.step).bit_length())].add(now, return_time)
         if len(self.last_seen) > self.max_clients:
             del self.last_seen[next(iter(self.last_seen))]
 
-    def by_step(self, now: int) -> list[ReturnTimes]:
-        """Return the times of each step, the shortest first."""
-        return [ReturnTimes(window.total(now), window.count(now)) for window in self.gaps]
+    def times_by_step(self, now: int) -> list[ReturnTimes]:
+        """Return the return times of each step, the shortest step first."""
+        return [ReturnTimes(window.total(now), window.count(now)) for window in self.return_times]
--- a/oakkeel/admission/client_signals.py
+++ b/oakkeel/admission/client_signals.py
@@ -18,7 +18,7 @@
 
 
 class ClientSignals:
-    """Measures arrivals, and sends the signals that follow from them."""
+    """Measures arrivals, and sends clients the health, the load report and the idle time-out."""
 
     def __init__(self, node: NodeState) -> None:
         """Start healthy, with no client seen."""
@@ -26,12 +26,13 @@
         self.healthy = True
         self.load_report = LoadReport(node.limits)
         self.returns = ClientReturns(RETURN_STEP_NS, RETURN_STEPS, MAX_REMEMBERED_CLIENTS)
-        self.staleness_ratios = SlidingWindow()  # queueing delay over the latency objective, of arrivals
+        # For each arrival, its queueing delay divided by its latency objective.
+        self.staleness_ratios = SlidingWindow()
 
     def count_arrival(self, now: int, client: int, staleness_ratio: float) -> None:
-        """Count a request, and how long it waited to be parsed."""
+        """Record an arrival of this client and its staleness: queueing delay divided by latency objective."""
         self.staleness_ratios.add(now, staleness_ratio)
-        self.returns.seen(now, client)
+        self.returns.record_request(now, client)
 
     def update_health(self, now: int) -> None:
         """Decide whether the node is healthy, and set the answer to health checks."""
@@ -40,7 +41,7 @@
         self.send_health(self.healthy)
 
     def send_health(self, healthy: bool) -> None:
-        """Set the answer to health checks; from store, as a computed one takes a core."""
+        """Set a stored answer to health checks: computing each answer would take a core."""
         self.node.host.set_health(healthy, True)
 
     def report_load(self, threshold: float, warmth: float) -> None:
@@ -52,9 +53,9 @@
             node.host.report_load(value)
 
     def close_idle_connections(self, now: int, connections: float) -> None:
-        """Set the idle time after which connections close; `connections` is how many are open."""
+        """Set the idle time after which connections close; `connections` is the number of open ones."""
         node = self.node
-        kept = idle_time(self.returns.by_step(now), node.overload.highest() >= Stage.REAP)
+        base_idle_time = idle_time(self.returns.times_by_step(now), node.overload.highest() >= Stage.REAP)
         parsing_backlog = node.concurrency.mean_parsing_backlog(now)
         crowded = crowded_idle_time(connections, parsing_backlog, node.limits.cores)
-        node.host.set_idle_timeout(min(node.limits.idle_timeout, max(kept, crowded)))
+        node.host.set_idle_timeout(min(node.limits.idle_timeout, max(base_idle_time, crowded)))
--- a/oakkeel/admission/concurrency.py
+++ b/oakkeel/admission/concurrency.py
@@ -1,4 +1,4 @@
-"""Concurrency and memory: how many requests may run, and how much memory they may take."""
+"""Limits on the number of running requests and on the memory that requests take."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 
 MAX_RUNS_PER_CORE = 1.0  # below the stage EXPAND
 MAX_EXPANDED_RUNS_PER_CORE = 1.24  # from the stage EXPAND on
-MIN_RUNS_PER_CORE = 0.5  # however much request parsing is waiting
+MIN_RUNS_PER_CORE = 0.5  # at any parsing backlog
 MAX_RUNS_AND_PARSING_PER_CORE = 1.25
 RUN_ROUNDING = 0.5  # the limit is rounded to whole requests
-MAX_OVERLOAD_RATIO = 0.7  # runs and calls, which could all be on the cores, over the overload multiple
+# Runs and calls divided by the overload multiple: if all calls end at once, all are on the cores.
+MAX_OVERLOAD_RATIO = 0.7
 MAX_STALENESS_RATIO_TO_START = 0.2  # maximum staleness, as a share of the latency objective
-MAX_STALE_PARSING_PER_CORE = 0.5  # parsing backlog up to which stale arrivals do not stop the starts
+MAX_STALE_PARSING_PER_CORE = 0.5  # up to this parsing backlog, stale arrivals do not stop starts
 MAX_RUNNING_MEMORY_RATIO = 0.85  # memory in use once a request runs, as a share of all memory
 MAX_MEMORY_RATIO = 0.95  # memory in use once a request is admitted, as a share of all memory
 
 
 def is_memory_full(request: Request, memory_kb: float, limits: NodeLimits) -> bool:
-    """Return whether a request that arrives would exceed the memory, of which `memory_kb` is in use."""
+    """Return whether an arriving request would exceed the memory limit; `memory_kb` is in use already."""
     return memory_kb + request.memory_kb + limits.key_kb > limits.memory_kb * MAX_MEMORY_RATIO
 
 
@@ -29,41 +30,41 @@
 
 
 class ConcurrencyLimits:
-    """How many requests may run, and how many may run or call."""
+    """Limits on the requests that run, and on those that run or have a downstream call in flight."""
 
     def __init__(self, limits: NodeLimits) -> None:
         """Start with no parsing backlog."""
         self.limits = limits
         self.run_limit = limits.cores * MAX_RUNS_PER_CORE
-        # Inferred when the gauges were last read: the run queue less the requests that hold a run slot.
+        # From the last reading of the gauges: the run queue minus the requests that hold a run slot.
         self.parsing_backlog = 0.0
-        self.parsing_backlogs = SlidingWindow()
-        self.staleness_ratio = 0.0  # of the last arrival: its queueing delay over its latency objective
+        self.parsing_backlog_window = SlidingWindow()
+        self.staleness_ratio = 0.0  # queueing delay of the last arrival divided by its latency objective
 
     def observe(self, now: int, parsing_backlog: float) -> None:
-        """Record how many tasks other than runs want a core: they are taken for requests to be parsed."""
+        """Record the number of tasks other than runs that want a core, assumed to be requests to parse."""
         self.parsing_backlog = max(0.0, parsing_backlog)
-        self.parsing_backlogs.add(now, self.parsing_backlog)
+        self.parsing_backlog_window.add(now, self.parsing_backlog)
 
     def parsing_per_core(self) -> float:
-        """Return the parsing backlog of each core, when last seen."""
+        """Return the last observed parsing backlog for each core."""
         return self.parsing_backlog / self.limits.cores
 
     def mean_parsing_backlog(self, now: int) -> float:
         """Return the mean parsing backlog of the last seconds."""
-        return self.parsing_backlogs.mean(now, 0.0)
+        return self.parsing_backlog_window.mean(now, 0.0)
 
     def update_run_limit(self, expanded: bool) -> None:
-        """Update how many requests may run, fewer while requests wait to be parsed."""
+        """Update the run limit, which is lower while requests wait to be parsed."""
         parsing = self.parsing_per_core()
         max_per_core = MAX_EXPANDED_RUNS_PER_CORE if expanded else MAX_RUNS_PER_CORE
-        per_core = max(MIN_RUNS_PER_CORE, min(max_per_core, MAX_RUNS_AND_PARSING_PER_CORE - parsing))
-        self.run_limit = per_core * self.limits.cores
+        runs_per_core = max(MIN_RUNS_PER_CORE, min(max_per_core, MAX_RUNS_AND_PARSING_PER_CORE - parsing))
+        self.run_limit = runs_per_core * self.limits.cores
 
     def allowed_runs(self) -> float:
-        """Return how many requests may run now: the run limit, or none while arrivals are stale.
+        """Return the number of requests that may run now: the run limit, or none while arrivals are stale.
 
-        Runs would then delay the parsing until every request is too old.
+        While arrivals are stale, runs would delay the parsing until every request is too old.
         """
         parsing = self.parsing_per_core()
         if self.staleness_ratio > MAX_STALENESS_RATIO_TO_START and parsing > MAX_STALE_PARSING_PER_CORE:
@@ -71,7 +72,7 @@
         return self.run_limit
 
     def max_active(self, warmth: float) -> float:
-        """Return how many may run or call, so that the cores are not overloaded if all calls end at once.
+        """Return the limit on runs and calls that keeps the cores from overload if all calls end at once.
 
         `warmth` is the share of full speed that the node may have (slow start).
         """
@@ -79,5 +80,5 @@
 
 
 def may_start(holding_run_slot: int, calling: int, allowed_runs: float, max_active: float) -> bool:
-    """Return whether one request more may run."""
+    """Return whether one more request may run."""
     return holding_run_slot + RUN_ROUNDING <= allowed_runs and holding_run_slot + calling + 1 <= max_active
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -1,6 +1,6 @@
 """The admission controller of a node: it applies the rules of this package to each request, in order.
 
-A host calls `schedule` once after all that happened at one moment. Why the rules are so: `docs/design.md`.
+A host calls `schedule` once after all events of one moment. `docs/design.md` explains the rules.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
     from oakkeel.admission.fairness import FairSharing
 
 POLL_INTERVAL_NS = SECOND
-MIN_FIRST_POLL_RATIO = 0.5  # earliest first poll, in intervals; it is random so that nodes poll apart
-POLL_TOKEN = 0  # the token of the poll timer; those of requests are the numbers of their steps
+MIN_FIRST_POLL_RATIO = 0.5  # earliest first poll, in intervals; randomized so that nodes do not poll together
+POLL_TOKEN = 0  # token of the poll timer; the token of a request timer is the number of its step
 TIMER_STEP_NS = 16 * MS  # one timer of the host serves all requests of a step
 BACKPRESSURE_DELAY_NS = 50 * MS  # delay before an admitted request is queued, in BACKPRESSURE
 
@@ -55,7 +55,7 @@
         """Report the node as healthy and start the poll."""
         self.host = host
         self.limits = limits
-        self.started = now  # the host may set it, if the engine started earlier or again
+        self.started = now  # set by the host if the engine started earlier or was restarted
         self.random = Random(seed).random
         self.timers = RequestTimers(host, TIMER_STEP_NS)
         self.occupancy = Occupancy(limits)
@@ -80,7 +80,7 @@
         self.call_sequence = CallSequence(self.node, self.ends)
         self.shedding = SheddingThreshold(limits.cores)
         self.queue = RequestQueue()
-        self.retries = SlidingWindow()  # 1 for an arrival that is a retry, else 0
+        self.retries = SlidingWindow()  # 1 for each arrival that is a retry, else 0
         self.arrivals = ArrivalDecisions(self.node, self.shedding, self.retries)
         self.signals = ClientSignals(self.node)
         self.signals.send_health(True)
@@ -114,10 +114,11 @@
         self.retries.add(now, request.retry_attempt)
 
     def _count_and_rank(self, now: int, request: Request) -> None:
-        """Count a request with its class and tenant, and its flow, and set its rank and share status.
+        """Count a request for its class, tenant and flow, and set its rank and share status.
 
-        One with a reservation ranks above all others, one over its share below them. Fair sharing charges
-        the flow of a request within its share, and postpones the reservation of a flow that came early.
+        A request with a reservation ranks above all others, and a request that exceeds its share ranks below
+        them. Fair sharing charges the flow of a request within its share, and postpones the reservation of a
+        flow that retries early.
         """
         request.rank = self.ranking.count_and_rank(now, request, self.random())
         if self.fair_sharing:
@@ -126,7 +127,7 @@
             request.rank += request.share_status
 
     def _coalesce(self, now: int, request: Request) -> None:
-        """Let a request wait for the result of the one that it duplicates."""
+        """Let a request wait for the result of the request that it duplicates."""
         self.occupancy.move(now, request, State.COALESCED)
         self.host.coalesce(request)
         self.timers.set(now, request, request.deadline)
@@ -140,7 +141,7 @@
             self.occupancy.retain_key(now + duration)
         self.timers.set(now, request, request.deadline)
         if self.fair_sharing:
-            self.fair_sharing.admitted(request)
+            self.fair_sharing.record_admission(request)
         if admission is Admission.DELAY:
             self.occupancy.move(now, request, State.DELAYED)
             self.timers.set(now, request, now + BACKPRESSURE_DELAY_NS)
@@ -152,7 +153,7 @@
         self.queue.push(request)
 
     def schedule(self, now: int) -> None:
-        """Place the calls that can be placed, and start the requests that may run, by rank."""
+        """Place the waiting calls that may be placed, and start the requests that may run, by rank."""
         self.call_sequence.place_waiting(now)
         occupancy = self.occupancy
         self.concurrency.update_run_limit(self.overload.highest() >= Stage.EXPAND)
@@ -171,15 +172,15 @@
                 self.ends.reject(now, request, Rejection.FINAL)
 
     def call_needed(self, now: int, request: Request) -> None:
-        """Place the downstream call that a run needs to go on."""
-        self.call_sequence.needed(now, request)
+        """Place the downstream call that a run needs before it can continue."""
+        self.call_sequence.call_needed(now, request)
 
     def call_finished(self, now: int, request: Request, outcome: Outcome) -> None:
         """Resume the run after a downstream call, or retry the call, skip it or fail the request."""
-        self.call_sequence.finished(now, request, outcome)
+        self.call_sequence.call_finished(now, request, outcome)
 
     def run_finished(self, now: int, request: Request, outcome: Outcome) -> None:
-        """Finish a request whose run, or the run that it was coalesced with, has ended."""
+        """Finish a request after the end of its run, or of the run that it was coalesced with."""
         state = request.state
         if state is State.FINISHED or outcome is Outcome.NEVER_STARTED:
             return
@@ -198,7 +199,7 @@
         self.ends.abandon(now, request)
 
     def drain(self, now: int, remaining: int | None) -> None:
-        """Stop in `remaining` nanoseconds, with all requests answered before that; None cancels the drain."""
+        """Stop in `remaining` nanoseconds, with all requests answered by then; None cancels the drain."""
         if remaining is None:
             self.drain_notice.cancel()
         else:
@@ -215,11 +216,11 @@
                 self.timers.set(now, request, request.deadline)
 
     def retry_after(self) -> int:
-        """Return after how many nanoseconds a rejected client may retry, as the load is now."""
+        """Return the nanoseconds after which a rejected client may retry at the present load."""
         return self.node.retry_after()
 
     def timer_expired(self, now: int, token: int, gauges: Gauges) -> None:
-        """Poll the signals, or act on the requests of a step of timers."""
+        """Poll, or act on the requests whose timers belong to this token."""
         self.concurrency.observe(now, gauges.run_queue - self.occupancy.holding_run_slot())
         if token == POLL_TOKEN:
             self._poll(now, gauges)
@@ -239,7 +240,7 @@
                 self._enqueue(now, request)
 
     def _poll(self, now: int, gauges: Gauges) -> None:
-        """Update the overload stages and the ranks, and send health, load report and idle time."""
+        """Update overload stages and ranks, and send the health, the load report and the idle time-out."""
         self.overload.poll(now, gauges.core_busy, self.node.depth_per_core())
         self.occupancy.expire_keys(now)
         self.ranking.poll(now, self.started)
@@ -256,7 +257,7 @@
 
 
 def _fair_sharing(limits: NodeLimits, random: Callable[[], float]) -> FairSharing | None:
-    """Return the fair sharing of a node; its modules are loaded only where an operator asks for it."""
+    """Return the fair sharing of a node; its modules are loaded only if an operator enables it."""
     if limits.fair_sharing is None:
         return None
     from oakkeel.admission.fairness import FairSharing
--- a/oakkeel/admission/deadline.py
+++ b/oakkeel/admission/deadline.py
@@ -1,4 +1,4 @@
-"""Deadlines: until when an answer has its whole weight, when it must leave, and what can end before."""
+"""Deadlines of answers, and whether a request can complete before its own."""
 
 from __future__ import annotations
 
@@ -8,35 +8,36 @@
 from oakkeel.admission.types import Request
 from oakkeel.units import MS
 
-ANSWER_HEADROOM_NS = 20 * MS  # an answer leaves this long before its deadline
+ANSWER_HEADROOM_NS = 20 * MS  # an answer leaves this long before its client times out
 STOP_HEADROOM_NS = 64 * MS  # every answer leaves this long before the stop of a drain
-MIN_SERVICE_TIME_RATIO = 0.7  # the part of the expected service time that must fit: sizes vary
+MIN_SERVICE_TIME_RATIO = 0.7  # the part of the expected service time that must fit: service times vary
 
 
 def objective_end(now: int, request: Request) -> int:
-    """Return until when an answer meets the latency objective; it counts from the arrival at the machine."""
+    """Return the time until which an answer meets its objective, counted from the arrival at the machine."""
     return now + request.request_class.latency_objective - request.queueing_delay
 
 
 def answer_deadline(now: int, request: Request, stop_at: int) -> int:
-    """Return when an answer must leave, so that its client or the stop (0: none) does not come first.
+    """Return the latest time for an answer: before the client times out and before the stop of a drain.
 
-    It is the end of the objective where a late answer has no weight.
+    `stop_at` is 0 without a drain. Where a late answer has no weight, the deadline is at the latest the end
+    of the objective.
     """
     request_class = request.request_class
     remaining = request.remaining_time or max(0, request_class.client_timeout - request.queueing_delay)
-    due = now + remaining - ANSWER_HEADROOM_NS
-    deadline = due if request_class.late_weight else min(due, request.objective_end)
+    client_deadline = now + remaining - ANSWER_HEADROOM_NS
+    deadline = client_deadline if request_class.late_weight else min(client_deadline, request.objective_end)
     return min(deadline, latest_deadline(stop_at)) if stop_at else deadline
 
 
 def latest_deadline(stop_at: int) -> int:
-    """Return the latest deadline of any request of a node that stops then."""
+    """Return the latest deadline of any request of a node that stops at `stop_at`."""
     return stop_at - STOP_HEADROOM_NS
 
 
 def useful_end(request: Request) -> int:
-    """Return until when a run has to end to be of use: the objective and the deadline are both met."""
+    """Return the time until which a run meets both its objective and its deadline."""
     return min(request.objective_end, request.deadline)
 
 
@@ -48,7 +49,7 @@
 def can_end_in_time_after_queue(
     now: int, request: Request, service_time: float, queue_wait_time: float
 ) -> bool:
-    """Return whether a request can end in time after its wait in the queue."""
+    """Return whether a request can end in time if it first waits `queue_wait_time` in the queue."""
     needed = int(MIN_SERVICE_TIME_RATIO * (service_time + queue_wait_time))
     return now + needed <= useful_end(request)
 
--- a/oakkeel/admission/downstream_calls.py
+++ b/oakkeel/admission/downstream_calls.py
@@ -1,4 +1,4 @@
-"""Downstream calls: the time that each may take, the quota of the node, and what follows a failed call."""
+"""Downstream calls: the time limit of each, the quota of the node, and the step after a failed call."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from oakkeel.admission.types import DownstreamKind, NodeLimits, Outcome, Request, RequestState
 from oakkeel.units import MS
 
-MAX_QUOTA_RATIO = 0.8  # mean calls in flight over the window, as a share of the quota
+MAX_QUOTA_RATIO = 0.8  # mean of the calls in flight within the window, as a share of the quota
 MAX_QUOTA_IN_FLIGHT_RATIO = 0.5  # calls in flight at one time, as a share of the quota
 MIN_CALLS_IN_FLIGHT = 1.0
 MAX_CALL_TIME_RATIO = 0.25  # duration of one call, as a share of the latency objective
-MIN_CALLS_PER_BUDGET = 2  # one call may not use the whole budget of a window
+MIN_CALLS_PER_BUDGET = 2  # no single call may use the whole budget of a window
 MIN_OPTIONAL_CALL_TIME_NS = MS
-MAX_OPTIONAL_CALL_WAIT_RATIO = 0.15  # wait before an optional call is skipped, over the latency objective
+MAX_OPTIONAL_CALL_WAIT_RATIO = 0.15  # wait before a call is skipped, as a share of the objective
 MAX_CALL_ATTEMPTS = 3
 
-LINK_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})  # the downstream may have capacity
-NO_LASTING_EFFECT = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NEVER_STARTED})
+LINK_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})  # the service may have capacity
+OUTCOMES_WITHOUT_EFFECT = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NEVER_STARTED})
 
 
 class FailedCallStep(Enum):
-    """What follows a failed call."""
+    """The step of a request after its downstream call failed."""
 
     RETRY = auto()
     SKIP = auto()
@@ -31,13 +31,13 @@
 
 
 def step_after_failed_call(request: Request, outcome: Outcome) -> FailedCallStep:
-    """Return what follows a failed call: a retry only where nothing may take effect twice.
+    """Return the step after a failed call: a retry only where no call may take effect twice.
 
-    An optional call is retried only if its link failed: a downstream that is full gets no second call.
+    An optional call is retried only if its link failed: a full downstream service gets no second call.
     """
     request_class = request.request_class
     is_optional = request_class.is_call_optional
-    may_repeat = outcome in NO_LASTING_EFFECT or not request_class.at_most_once
+    may_repeat = outcome in OUTCOMES_WITHOUT_EFFECT or not request_class.at_most_once
     has_attempts = request.failed_calls < MAX_CALL_ATTEMPTS
     if has_attempts and may_repeat and (outcome in LINK_FAILURES or not is_optional):
         return FailedCallStep.RETRY
@@ -45,60 +45,60 @@
 
 
 def max_optional_call_wait(request: Request) -> float:
-    """Return for how many nanoseconds an optional call may wait to be placed before it is skipped."""
+    """Return the nanoseconds that an optional call may wait to be placed before it is skipped."""
     return MAX_OPTIONAL_CALL_WAIT_RATIO * request.request_class.latency_objective
 
 
 def latest_call_end(now: int, request: Request, service_time: float) -> int:
-    """Return when a call has to end; an optional one ends early enough for the run to end without it."""
+    """Return the time by which a call must end; after an optional call the run must have time to complete."""
     if request.request_class.is_call_optional:
         return max(now + MIN_OPTIONAL_CALL_TIME_NS, request.deadline - int(service_time))
     return request.deadline
 
 
 def max_call_time(request: Request, budget: float) -> int:
-    """Return how many nanoseconds a call may take; `budget` is the time of all calls within a window."""
+    """Return the maximum duration of a call in nanoseconds; `budget` is for all calls of a window."""
     objective = request.request_class.latency_objective
     return int(min(objective * MAX_CALL_TIME_RATIO, budget / MIN_CALLS_PER_BUDGET))
 
 
 def max_calls_in_flight(quota: float) -> float:
-    """Return how many calls may be in flight, so that calls that linger stay within the quota as well."""
+    """Return the limit on calls in flight, low enough that lingering calls stay within the quota as well."""
     return max(MIN_CALLS_IN_FLIGHT, quota * MAX_QUOTA_IN_FLIGHT_RATIO)
 
 
 class DownstreamCalls:
-    """Decides whether a call may be placed now, and books the downstream time that it takes."""
+    """Decides whether a call may be placed now, and books its downstream time."""
 
     def __init__(self, limits: NodeLimits) -> None:
         """Start with the breaker closed and the quota unused."""
         self.limits = limits
         self.breaker = CircuitBreaker()
-        self.spent = SlidingWindow(limits.downstream_window // (WINDOW_STEPS - 1) + 1)
-        self.committed = 0  # booked for calls in flight
+        self.spent_time = SlidingWindow(limits.downstream_window // (WINDOW_STEPS - 1) + 1)
+        self.committed_time = 0  # booked for calls in flight
 
     def reserve(self, now: int, request: Request, in_flight: int, service_time: float) -> int | None:
-        """Book a call and return when it has to end; None while the breaker or the quota forbids it."""
+        """Book a call and return its latest end; None if the breaker or the quota forbids the call."""
         if not self.breaker.allows_call(now):
             return None
-        until = latest_call_end(now, request, service_time)
+        call_end = latest_call_end(now, request, service_time)
         limits = self.limits
         if limits.downstream is DownstreamKind.SHARED and limits.downstream_quota:
             budget = limits.downstream_quota * limits.downstream_window * MAX_QUOTA_RATIO
-            until = min(until, now + max_call_time(request, budget))
-            booking = until - now + limits.call_linger
+            call_end = min(call_end, now + max_call_time(request, budget))
+            booking = call_end - now + limits.call_linger
             if in_flight + 1 > max_calls_in_flight(limits.downstream_quota):
                 return None
-            if self.spent.total(now) + self.committed + booking > budget:
+            if self.spent_time.total(now) + self.committed_time + booking > budget:
                 return None
             request.committed_call_time = booking
-            self.committed += booking
+            self.committed_time += booking
         self.breaker.call_placed(now)
-        return until
+        return call_end
 
     def release(self, now: int, request: Request, linger: int) -> None:
-        """Book the time that a call took downstream, and how long it may linger there."""
+        """Replace the booking of a call by the time that it took and may linger downstream."""
         if request.state is RequestState.CALLING:
-            self.committed -= request.committed_call_time
+            self.committed_time -= request.committed_call_time
             request.committed_call_time = 0
-            self.spent.add(now, now - request.state_since + linger)
+            self.spent_time.add(now, now - request.state_since + linger)
--- a/oakkeel/admission/drain.py
+++ b/oakkeel/admission/drain.py
@@ -1,4 +1,4 @@
-"""Drain: what a node that will stop still admits, and until when."""
+"""Drain: the notice that a node will stop, with the grace period in which it still admits requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Drain:
-    """The notice to drain: when the node stops, and when its grace period ends (0: it does not drain)."""
+    """The notice to drain: the times of the stop and of the end of the grace period (0: no drain)."""
 
     __slots__ = ("grace_end", "stop_at")
 
@@ -24,7 +24,7 @@
         self.grace_end = self.grace_end or now + grace
 
     def cancel(self) -> None:
-        """Serve on."""
+        """Withdraw the notice."""
         self.stop_at = 0
         self.grace_end = 0
 
@@ -36,7 +36,7 @@
     def is_past_grace(self, now: int, queueing_delay: int) -> bool:
         """Return whether a request reached the machine after the grace period.
 
-        Until then clients may not have received the notice.
+        Within the grace period, clients may not have received the notice yet.
         """
         if not self.grace_end:
             return False
--- a/oakkeel/admission/duplicates.py
+++ b/oakkeel/admission/duplicates.py
@@ -1,4 +1,4 @@
-"""Duplicates: when a request shares the result of another, and how long its key is retained for that."""
+"""Duplicates: which requests share the result of another, and how long a key is retained for that."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 def is_coalesced(request: Request, cache_ttl: int, memory_full: bool) -> bool:
-    """Return whether a request waits for the result of the one that it duplicates.
+    """Return whether a request waits for the result of the request that it duplicates.
 
-    That prevents a second effect, and a result is cheaper than a run. A read is not coalesced into a full
-    memory; `cache_ttl` (nanoseconds) is how long an answer may serve reads, 0 where none may.
+    Coalescing prevents a second effect, and a shared result is cheaper than a run. A read is not coalesced
+    while the memory is full. `cache_ttl` is the time in nanoseconds for which an answer may serve reads, 0 if
+    no answer may be reused.
     """
     if not request.is_duplicate:
         return False
@@ -24,9 +25,9 @@
 
 
 def key_retention(now: int, request: Request, cache_ttl: int) -> int:
-    """Return for how many nanoseconds a key is retained.
+    """Return the nanoseconds for which a key is retained.
 
-    That is as long as a retry may come, or as long as an answer may serve reads.
+    The key is retained as long as a retry may arrive, or as long as the answer may serve reads.
     """
     if request.request_class.at_most_once:
         return request.request_class.idempotency_window
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -1,7 +1,7 @@
-"""Fair sharing: whose request exceeds its fair share, and when a rejected client may come back.
+"""Fair sharing: decides which requests exceed the share of their flow, and when a rejected client may retry.
 
-Weighted max-min shares of service time, of which there is as much as may run: a slower node allows less.
-The measures are in `oakkeel.fair_sharing`.
+The shares are weighted max-min shares of service time. The capacity is the service time of the requests that
+may run at one time, so a slower node admits fewer requests. `oakkeel.fair_sharing` has the data structures.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from oakkeel.units import MS, SECOND
 
 ALLOCATION_INTERVAL_NS = 200 * MS
-MAX_ALLOCATED_RATIO = 0.95  # work of all flows together, as a share of what the node can do
-MAX_BURST_NS = 500 * MS  # a flow may use at once what its allowed rate gives in this time
-MAX_RESERVED_RATIO = 0.5  # work of reservations, as a share of what the node can do
+MAX_ALLOCATED_RATIO = 0.95  # work of all flows together, as a share of the capacity of the node
+MAX_BURST_NS = 500 * MS  # work that a flow may use at once, as time at its allowed rate
+MAX_RESERVED_RATIO = 0.5  # work of reservations, as a share of the capacity of the node
 RESERVATION_STEP_NS = 50 * MS
 MAX_RESERVATION_STEPS = 200  # steps ahead that can be booked
-MAX_EARLY_NS = 25 * MS  # how early a request may come and still use its reservation
-MAX_LATE_NS = SECOND  # how late a request may come and still use its reservation
-MAX_POSTPONEMENTS = 8  # for one reservation whose client keeps coming early
+MAX_EARLY_NS = 25 * MS  # a request that arrives earlier can't use its reservation
+MAX_LATE_NS = SECOND  # a request that arrives later can't use its reservation
+MAX_POSTPONEMENTS = 8  # of one reservation whose client keeps retrying early
 MAX_POSTPONEMENT_NS = SECOND
 MAX_FLOW_RETRY_RATIO = 0.2  # work of the retries of a flow, as a share of all its work
-MIN_ALLOWED_RATE = 1.0  # nanoseconds of service time a second; it bounds a division
+MIN_ALLOWED_RATE = 1.0  # nanoseconds of service time a second; avoids a division by zero
 
 
 def time_for_work(work: float, allowed_rate: float) -> int:
-    """Return the nanoseconds in which a flow may use `work` (service time in nanoseconds) at its rate."""
+    """Return the nanoseconds that `work` (nanoseconds of service time) takes at `allowed_rate`."""
     return int(work / max(MIN_ALLOWED_RATE, allowed_rate) * SECOND)
 
 
 class FairSharing:
-    """Decides the share status of requests, and Retry-After, by the shares of their flows."""
+    """Decides the share status and the Retry-After of requests by the shares of their flows."""
 
     def __init__(self, rules: FairSharingRules, marks_retries: bool, random: Callable[[], float]) -> None:
         """Start with no flow known; `random` draws from 0 to 1."""
@@ -48,19 +48,21 @@
     def arrive(self, now: int, request: Request, work: float, capacity: float) -> None:
         """Count a request with its flows, and set its share status.
 
-        `work` is its expected service time in nanoseconds, `capacity` how many requests may run at one time.
+        `work` is its expected service time in nanoseconds, `capacity` the run limit of the node.
         """
         self._allocate(now, capacity)
-        may_be_return = request.retry_attempt or not self.marks_retries
+        may_use_reservation = request.retry_attempt or not self.marks_retries
         key = request.flow_keys[-1][0]
-        due = self.reservations.due(now, key, MAX_EARLY_NS, MAX_LATE_NS) if may_be_return else None
-        request.reservation = due
+        reservation = (
+            self.reservations.find_due(now, key, MAX_EARLY_NS, MAX_LATE_NS) if may_use_reservation else None
+        )
+        request.reservation = reservation
         request.expected_work = work
-        new_work = 0.0 if due else work  # work of a reservation was counted at the rejection
+        new_work = 0.0 if reservation else work  # the work of a reservation was counted at the rejection
         flow = self.shares.count(now, request.flow_keys, new_work, request.retry_attempt)
         request.flow = flow
-        request.share_status = self._share_status(now, request, flow, may_be_return)
-        if request.share_status is ShareStatus.WITHIN_SHARE:  # its overload stage may still reject it
+        request.share_status = self._share_status(now, request, flow, may_use_reservation)
+        if request.share_status is ShareStatus.WITHIN_SHARE:  # the overload stage may still reject it
             self._charge(now, request, flow)
 
     def _allocate(self, now: int, capacity: float) -> None:
@@ -70,37 +72,37 @@
             self.reservable_work = capacity * MAX_RESERVED_RATIO * RESERVATION_STEP_NS
             self.shares.allocate(now, capacity * MAX_ALLOCATED_RATIO * SECOND)
 
-    def _share_status(self, now: int, request: Request, flow: Flow, may_be_return: bool) -> ShareStatus:
-        """Return how a request stands to the share of its flow; coming early must gain nothing."""
-        due = request.reservation
-        if due and due.work:
+    def _share_status(self, now: int, request: Request, flow: Flow, may_use_reservation: bool) -> ShareStatus:
+        """Return the share status of a request; a client must gain nothing by retrying early."""
+        reservation = request.reservation
+        if reservation and reservation.work:
             return ShareStatus.RESERVED
-        if due:  # it has no capacity: the request counts as any other
-            self.reservations.end(due, ReservationEnd.RELEASED)
+        if reservation:  # without capacity, the request counts as any other
+            self.reservations.end(reservation, ReservationEnd.RELEASED)
             request.reservation = None
-        elif may_be_return and (ahead := self.reservations.last_booked(flow.key)):
-            self._postpone(now, ahead, request, flow)
+        elif may_use_reservation and (last_reservation := self.reservations.last_backed(flow.key)):
+            self._postpone(now, last_reservation, request, flow)
             return ShareStatus.EXCEEDED
         return ShareStatus.EXCEEDED if self._exceeds_share(now, request, flow) else ShareStatus.WITHIN_SHARE
 
-    def _postpone(self, now: int, ahead: Reservation, request: Request, flow: Flow) -> None:
-        """Postpone the reservation of a client that came early by the time that its work takes."""
-        if ahead.early_attempts < MAX_POSTPONEMENTS and self.reservations.remembers_all(flow.key):
-            own_time = min(MAX_POSTPONEMENT_NS, time_for_work(request.expected_work, flow.allowed_rate))
-            not_before = ahead.due_at + max(RESERVATION_STEP_NS, own_time)
-            self.reservations.postpone(now, ahead, not_before, self.reservable_work)
+    def _postpone(self, now: int, last_reservation: Reservation, request: Request, flow: Flow) -> None:
+        """Postpone the reservation of a client that retried early by the time that its work takes."""
+        if last_reservation.early_attempts < MAX_POSTPONEMENTS and self.reservations.records_all(flow.key):
+            work_time = min(MAX_POSTPONEMENT_NS, time_for_work(request.expected_work, flow.allowed_rate))
+            not_before = last_reservation.due_at + max(RESERVATION_STEP_NS, work_time)
+            self.reservations.postpone(now, last_reservation, not_before, self.reservable_work)
 
     def _exceeds_share(self, now: int, request: Request, flow: Flow) -> bool:
         """Return whether the flow has used its share or its retries.
 
-        A flow that is not surely heavier than those outside the table is admitted with probability
+        A flow that is not certainly heavier than the flows outside the table is admitted with the probability
         `unknown_share`.
         """
         is_heavy = self.shares.is_heavy(now, flow)
         if flow.is_limited:
-            exceeds = flow.free_at > now + MAX_BURST_NS
+            exceeds = flow.theoretical_arrival_time > now + MAX_BURST_NS
         else:
-            unknown_share = self.shares.share_of_unknown(flow)
+            unknown_share = self.shares.unknown_flow_share(flow)
             exceeds = unknown_share < 1 and not is_heavy and self.random() > unknown_share
         exceeds_retries = (
             request.retry_attempt and is_heavy and flow.retries > MAX_FLOW_RETRY_RATIO * flow.count
@@ -110,20 +112,19 @@
     def _charge(self, now: int, request: Request, flow: Flow) -> None:
         """Count the expected work against the allowed rate of its flow."""
         if flow.is_limited:
-            own_time = time_for_work(request.expected_work, flow.allowed_rate)
-            flow.free_at = max(flow.free_at, now) + own_time
+            work_time = time_for_work(request.expected_work, flow.allowed_rate)
+            flow.theoretical_arrival_time = max(flow.theoretical_arrival_time, now) + work_time
 
-    def admitted(self, request: Request) -> None:
-        """Count a reservation as kept: the request that came by it is admitted."""
+    def record_admission(self, request: Request) -> None:
+        """Count the reservation that an admitted request used as kept."""
         if request.reservation:
             self.reservations.end(request.reservation, ReservationEnd.KEPT)
 
-    def reserve_return(self, now: int, request: Request, max_retry_after: int) -> int:
+    def reserve_retry(self, now: int, request: Request, max_retry_after: int) -> int:
         """Reserve capacity for a rejected client, and return the nanoseconds until it may retry.
 
-        Without capacity that is `max_retry_after`, recorded so that a retry then does not count as early.
-
-        A client that came early gets no second reservation.
+        If no capacity is left, the time is `max_retry_after`; it is recorded, so that a retry at that time
+        does not count as early. A client that retried early gets no second reservation.
         """
         flow = request.flow
         if flow is None:
@@ -132,16 +133,16 @@
         if request.reservation and request.state is RequestState.READ:
             self.reservations.end(request.reservation, ReservationEnd.BROKEN)
         if exceeded and not flow.is_limited:
-            return max_retry_after  # one of many flows with too little share for a reservation
+            return max_retry_after  # one of many flows whose share is too small for a reservation
         booked = None
         if not exceeded or not request.retry_attempt:
-            not_before = max(now, flow.free_at - MAX_BURST_NS if flow.is_limited else now)
+            not_before = max(now, flow.theoretical_arrival_time - MAX_BURST_NS if flow.is_limited else now)
             work = request.expected_work
             booked = self.reservations.book(now, not_before, flow.key, work, self.reservable_work)
         if booked and booked.due_at - now <= max_retry_after:
             self._charge(now, request, flow)
             return booked.due_at - now
-        if booked:  # later than clients wait: it was not announced
+        if booked:  # clients do not wait that long, so the reservation is not announced
             self.reservations.end(booked, ReservationEnd.RELEASED)
         self.reservations.record_unbacked(now + max_retry_after, flow.key)
         return max_retry_after
--- a/oakkeel/admission/health.py
+++ b/oakkeel/admission/health.py
@@ -1,4 +1,4 @@
-"""Health: when a node asks to be taken off the endpoint list."""
+"""Health: whether a node should be on the endpoint list."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def is_healthy(was_healthy: bool, is_draining: bool, staleness_ratio: float) -> bool:
-    """Return whether clients should use the node; one that parses too late can't even reject in time.
+    """Return whether clients should use the node: a node that parses too late can't even reject in time.
 
-    `staleness_ratio` is the mean queueing delay of the last seconds over the latency objective.
+    `staleness_ratio` is the mean over the last seconds of queueing delay divided by latency objective.
     """
     limit = MAX_HEALTHY_STALENESS_RATIO if was_healthy else MAX_STALENESS_RATIO_TO_RECOVER
     return not is_draining and staleness_ratio < limit
--- a/oakkeel/admission/load_report.py
+++ b/oakkeel/admission/load_report.py
@@ -5,25 +5,25 @@
 from oakkeel.admission.overload import DEPTH_PER_CORE
 from oakkeel.admission.types import LoadReportKind, NodeLimits
 
-MAX_BUSY_PER_CORE = 2.0  # requests that want a core; above it the advertised share falls
+MAX_BUSY_PER_CORE = 2.0  # requests that want a core; above this number the advertised share falls
 SHARE_DECREASE_RATIO = 0.8  # at each report: at the start, each poll and each change of a drain
 SHARE_INCREASE_RATIO = 1.15  # at each report, as above
-MIN_ADVERTISED_SHARE_RATIO = 0.05  # a few clients must try, or recovery is not seen
+MIN_ADVERTISED_SHARE_RATIO = 0.05  # a few requests must still come, or clients would not notice a recovery
 
 
 class LoadReport:
-    """The value of `NodeLimits.load_report`, and what was last reported."""
+    """Computes the value of the kind `NodeLimits.load_report`, and remembers the last reported one."""
 
     def __init__(self, limits: NodeLimits) -> None:
-        """Start with the whole share, and nothing reported."""
+        """Start with an advertised share of 1 and nothing reported."""
         self.limits = limits
-        self.reported = -1.0
+        self.last_reported = -1.0
         self.share = 1.0
 
     def next_value(
         self, is_draining: bool, threshold: float, busy_per_core: float, warmth: float
     ) -> float | None:
-        """Return the value to report; None if it has not changed or clients take none.
+        """Return the value to report; None if it has not changed or clients use no load reports.
 
         `threshold` is the shedding threshold, `warmth` the share of full speed that the node may have.
         """
@@ -38,12 +38,12 @@
             value = MIN_ADVERTISED_SHARE_RATIO if is_draining else min(self.share, warmth)
         else:
             value = max(1.0, DEPTH_PER_CORE.reject * self.limits.cores * (1 - threshold))
-        if value == self.reported:
+        if value == self.last_reported:
             return None
-        self.reported = value
+        self.last_reported = value
         return value
 
     def _update_share(self, busy_per_core: float) -> None:
-        """Lower the share while too much wants a core: a request sent elsewhere costs no parsing here."""
+        """Lower the share while too many requests want a core: those sent elsewhere cost no parsing here."""
         step = SHARE_DECREASE_RATIO if busy_per_core > MAX_BUSY_PER_CORE else SHARE_INCREASE_RATIO
         self.share = min(1.0, max(MIN_ADVERTISED_SHARE_RATIO, self.share * step))
--- a/oakkeel/admission/node_state.py
+++ b/oakkeel/admission/node_state.py
@@ -1,4 +1,4 @@
-"""The parts of one node that its rules share: host, limits, requests and measurements."""
+"""The objects of one node that its rules share: host, limits, requests and measurements."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from oakkeel.admission.retry_after import retry_after
 from oakkeel.admission.types import Host, NodeLimits
 
-if TYPE_CHECKING:  # loaded only where an operator asks for fair sharing
+if TYPE_CHECKING:  # loaded only if an operator enables fair sharing
     from oakkeel.admission.fairness import FairSharing
 
 
 @dataclass(frozen=True, slots=True)
 class NodeState:
-    """The parts of one node, made once at its start."""
+    """The shared objects of one node, created at its start."""
 
     host: Host
     limits: NodeLimits
@@ -35,9 +35,9 @@
     fair_sharing: FairSharing | None
 
     def depth_per_core(self) -> float:
-        """Return how many requests are queued and hold a run slot, for each core."""
+        """Return the number of requests for each core that are queued or hold a run slot."""
         return depth_per_core(self.occupancy.waiting(), self.occupancy.holding_run_slot(), self.limits.cores)
 
     def retry_after(self) -> int:
-        """Return after how many nanoseconds a rejected client may retry, as the load of this node is now."""
+        """Return the nanoseconds after which a rejected client may retry at the present load."""
         return retry_after(self.concurrency.parsing_per_core(), self.overload.rejects_by_depth(), self.limits)
--- a/oakkeel/admission/occupancy.py
+++ b/oakkeel/admission/occupancy.py
@@ -1,4 +1,4 @@
-"""Requests by state: which state may follow each, how many there are, and the memory that they take."""
+"""Requests by state: the allowed transitions, the number in each state, and the memory in use."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 CALLING = State.CALLING
 ORPHANED = State.ORPHANED
 
-NO_MEMORY = frozenset({State.READ, State.FINISHED})
-QUEUED_MEMORY = frozenset({State.DELAYED, State.QUEUED, State.COALESCED})
+STATES_WITHOUT_MEMORY = frozenset({State.READ, State.FINISHED})
+STATES_WITH_QUEUED_MEMORY = frozenset({State.DELAYED, State.QUEUED, State.COALESCED})
 
 
 class Occupancy:
@@ -45,13 +45,13 @@
 
     @staticmethod
     def _memory_factor(state: State, limits: NodeLimits) -> float:
-        """Return what a request in this state takes of its memory when queued."""
-        if state in NO_MEMORY:
+        """Return the memory of a request in this state divided by its memory when queued."""
+        if state in STATES_WITHOUT_MEMORY:
             return 0
-        return 1 if state in QUEUED_MEMORY else limits.running_memory_factor
+        return 1 if state in STATES_WITH_QUEUED_MEMORY else limits.running_memory_factor
 
     def move(self, now: int, request: Request, state: State) -> None:
-        """Change the state of a request; nothing else does."""
+        """Change the state of a request; no other code does."""
         old = request.state
         if state not in TRANSITIONS[old]:
             raise InvalidTransitionError("a request", old.name, state.name)
@@ -79,7 +79,7 @@
         return self.count[DELAYED] + self.count[QUEUED]
 
     def holding_run_slot(self) -> int:
-        """Count the requests that hold a run slot: runs, and those whose call this node has not placed."""
+        """Count the requests that hold a run slot: those running or waiting for their call to be placed."""
         return self.count[RUNNING] + self.count[ORPHANED] + self.count[AWAITING_CALL]
 
     def calling(self) -> int:
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -1,4 +1,4 @@
-"""Overload stages with hysteresis: how far the CPU, the depth and the latency of a node are too high."""
+"""Overload stages with hysteresis, from the CPU use, the depth and the latency of a node."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     REAP = 2  # idle connections close sooner
     REORDER = 3  # low ranks are shed; the queue is ordered by rank at every stage
     BACKPRESSURE = 4  # admitted requests are delayed
-    REJECT = 5  # all is rejected but what its fair share decides
+    REJECT = 5  # all requests are rejected except those that the fair share decides on
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
         object.__setattr__(self, "begins_at", values)
 
 
-# Busy share of the cores.
+# Share of the cores that is busy.
 CPU_BUSY_RATIO = StageThresholds(
     expand=0.70, reap=0.80, reorder=0.85, backpressure=0.90, reject=0.95, hysteresis=0.05
 )
@@ -45,12 +45,12 @@
 DEPTH_PER_CORE = StageThresholds(
     expand=0.75, reap=1.0, reorder=1.25, backpressure=1.75, reject=3.0, hysteresis=0.25
 )
-# Mean time to completion over the latency objective.
+# Mean of time to completion divided by latency objective.
 LATENCY_RATIO = StageThresholds(
     expand=0.5, reap=0.6, reorder=0.75, backpressure=0.9, reject=1.1, hysteresis=0.1
 )
 
-# A CPU stage acts only above this depth: busy cores without a queue are no overload.
+# A CPU stage applies only above this depth: busy cores without a queue are no overload.
 CPU_STAGE_MIN_DEPTH_PER_CORE = {
     Stage.NORMAL: 0.0,
     Stage.EXPAND: 0.0,
@@ -59,13 +59,13 @@
     Stage.BACKPRESSURE: 1.0,
     Stage.REJECT: 3.0,
 }
-UNCOUNTED_DEPTH_REQUESTS = 2  # on few cores each request more is a large step of depth
+UNCOUNTED_DEPTH_REQUESTS = 2  # with few cores, each further request is a large step of depth
 
 
 def depth_per_core(waiting: int, holding_run_slot: int, cores: int) -> float:
-    """Return how many requests are queued and hold a run slot, for each core.
+    """Return the number of requests for each core that are queued or hold a run slot.
 
-    Requests at downstream calls are not counted: they have a limit of their own.
+    Requests with a downstream call in flight are not counted: `ConcurrencyLimits.max_active` limits them.
     """
     return max(0, waiting + holding_run_slot - UNCOUNTED_DEPTH_REQUESTS) / cores
 
@@ -73,7 +73,8 @@
 def next_stage(stage: Stage, value: float, thresholds: StageThresholds) -> Stage:
     """Return the stage that follows `stage` at this value of its signal.
 
-    It rises at once and falls only below the hysteresis, so that a value near a threshold does not flap.
+    The stage rises at once. It falls only once the value is below the threshold by more than the hysteresis,
+    so that it does not flap while the value is near a threshold.
     """
     begins_at = thresholds.begins_at
     reached = int(stage)
@@ -92,18 +93,18 @@
         self.cpu_stage = Stage.NORMAL
         self.depth_stage = Stage.NORMAL
         self.latency_stage = Stage.NORMAL
-        self.latency_ratios = SlidingWindow()  # time to completion over the latency objective
+        self.latency_ratios = SlidingWindow()  # time to completion divided by latency objective
 
     def highest(self) -> Stage:
         """Return the highest stage of all signals."""
         return max(self.cpu_stage, self.depth_stage, self.latency_stage)
 
     def rejects_by_depth(self) -> bool:
-        """Return whether the depth alone is at REJECT, when it was last updated."""
+        """Return whether the depth alone was at REJECT at its last update."""
         return self.depth_stage is Stage.REJECT
 
     def arrival_stage(self, depth: float) -> Stage:
-        """Update the stage of the depth per core, and return the stage that a request meets on arrival."""
+        """Update the stage of the depth per core, and return the stage for an arriving request."""
         self.depth_stage = next_stage(self.depth_stage, depth, DEPTH_PER_CORE)
         stage = max(self.depth_stage, self.latency_stage)
         if depth > CPU_STAGE_MIN_DEPTH_PER_CORE[self.cpu_stage]:
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -1,6 +1,6 @@
 """Rank: the position (0 lowest, 1 highest) of a request among recent arrivals.
 
-They are ordered by priority weight per second of service time.
+Arrivals are ordered by priority weight per second of service time.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from oakkeel.admission.types import NodeLimits, Request
 from oakkeel.units import SECOND
 
-# The service time of a class is guessed so before any of its requests has completed.
+# Until a request of a class completes, its service time is taken as the latency objective divided by this.
 OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6
-SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll with none observed: requests run again as probes
+SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll without an observation, so that requests run again as probes
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 
 class Demand(NamedTuple):
-    """What one class and tenant ask for; the order is that of the ranks."""
+    """The demand of one class and tenant; demands sort in the order of their ranks."""
 
     weight_per_ns: float
     class_index: int
@@ -35,24 +35,24 @@
 
 
 def allowance_weight(rate: float, allowance: float, over_allowance_weight: float) -> float:
-    """Return the mean weight of the requests of a tenant, which is lower above its allowance.
+    """Return the mean weight factor of the requests of a tenant, which is lower above its allowance.
 
-    `rate` and `allowance` are requests a second at this node. The weight is a mean, because no single request
-    is known to be above the allowance.
+    `rate` and `allowance` are requests a second at this node. The factor is a mean, because no single request
+    can be said to be above the allowance.
     """
     within = min(1.0, allowance / rate) if rate and allowance else 1.0
     return within + (1 - within) * over_allowance_weight
 
 
 class Ranking:
-    """The ranks of request classes and tenants, and the service times behind them."""
+    """The ranks of request classes and tenants, and the expected service times that they depend on."""
 
     def __init__(self, limits: NodeLimits) -> None:
-        """Start with equal ranks and service times guessed from the latency objectives."""
+        """Start with equal ranks and with service times estimated from the latency objectives."""
         classes = limits.request_classes
         tenants = max(1, len(limits.tenants))
         self.limits = limits
-        # In nanoseconds, of runs that completed or were abandoned.
+        # By class, in nanoseconds, of runs that completed or were abandoned.
         self.observed_service_times = [SlidingWindow() for _ in classes]
         self.service_times = [
             request_class.latency_objective / OBJECTIVE_PER_INITIAL_SERVICE_TIME for request_class in classes
@@ -77,7 +77,7 @@
         return self.service_times[request.request_class.index]
 
     def poll(self, now: int, started: int) -> None:
-        """Update the service times and the ranks; `started` is when the node started."""
+        """Update the service times and the ranks; `started` is the start time of the node."""
         for index, window in enumerate(self.observed_service_times):
             self.service_times[index] = window.mean(now, self.service_times[index] * SERVICE_TIME_DECAY_RATIO)
         window_ns = min(WINDOW_STEPS * DEFAULT_WINDOW_STEP_NS, max(1, now - started))
@@ -101,10 +101,10 @@
         return demands
 
     def _assign_ranks(self, demands: list[Demand]) -> None:
-        """Give each demand its part of 0 to 1 by its arrivals, the lowest weight first."""
+        """Divide the range 0 to 1 among the demands by their arrivals, the lowest weight first."""
         total = sum(demand.arrivals for demand in demands) or 1
-        below = 0
+        arrivals_below = 0
         for demand in demands:
-            rank_range = RankRange(below / total, demand.arrivals / total)
+            rank_range = RankRange(arrivals_below / total, demand.arrivals / total)
             self.ranks[demand.class_index][demand.tenant_index] = rank_range
-            below += demand.arrivals
+            arrivals_below += demand.arrivals
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -1,4 +1,4 @@
-"""The end of a request that is not completed: rejected, out of time, failed at its call, or abandoned."""
+"""Ends requests that do not complete: they are rejected, timed out, failed or abandoned."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     """Answers and stops requests that will not complete."""
 
     def __init__(self, node: NodeState) -> None:
-        """Act on the requests of this node."""
+        """End requests of this node."""
         self.node = node
 
     def reject(self, now: int, request: Request, rejection: Rejection) -> None:
-        """Answer that a request never ran, with when to retry, and forget its key."""
+        """Answer that a request never ran, with a time to retry, and release its key."""
         self._answer_rejected(request, rejection, self._retry_after(now, request))
         if request.key_retained:
             request.key_retained = False
@@ -31,20 +31,20 @@
         self.node.host.reject(request, rejection is Rejection.FINAL, retry_after)
 
     def _retry_after(self, now: int, request: Request) -> int:
-        """Return when to retry: at a reservation for its flow, made here, where fair sharing is on.
+        """Return the nanoseconds until a retry; fair sharing, if it is on, reserves capacity for the retry.
 
-        A node that drains reserves nothing, as it will not be there.
+        A draining node makes no reservations, as it will have stopped by then.
         """
         node = self.node
         if node.fair_sharing and node.limits.max_retry_after and not node.drain.is_draining:
-            return node.fair_sharing.reserve_return(now, request, node.limits.max_retry_after)
+            return node.fair_sharing.reserve_retry(now, request, node.limits.max_retry_after)
         return node.retry_after()
 
     def end_unanswered(self, now: int, request: Request) -> None:
         """Answer a request that has no answer yet and gets no result, and stop its work.
 
-        Its deadline passed, or a call failed. One that started is rejected if it is idempotent, else failed:
-        it may have taken effect.
+        Its deadline has passed or its call has failed. A request that has started is rejected if it is
+        idempotent; otherwise it may have taken effect, so it is failed.
         """
         if request.state in QUEUED_STATES:
             self.reject(now, request, Rejection.FINAL)
@@ -56,11 +56,11 @@
             self.abandon(now, request)
 
     def abandon(self, now: int, request: Request) -> None:
-        """Stop the work of a request whose answer no client awaits, to free the core for others."""
+        """Stop the work of a request whose answer no client awaits, to free its core."""
         node = self.node
         if request.state is State.RUNNING:
             node.occupancy.move(now, request, State.ORPHANED)
-            # Counted as a service time, or a node on which nothing completes would not see that it is slow.
+            # Counted as a service time, so that a node on which no run completes notices that it is slow.
             node.ranking.observed_service_times[request.request_class.index].add(now, request.service_time)
             if node.limits.stop_kind is not StopKind.NONE:
                 node.host.cancel(request)
--- a/oakkeel/admission/request_queue.py
+++ b/oakkeel/admission/request_queue.py
@@ -1,4 +1,4 @@
-"""The queue of admitted requests: the highest rank first, then the first to come."""
+"""The queue of admitted requests: the highest rank first, and equal ranks in order of arrival."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class RequestQueue:
-    """Requests that may start; one that has left the state QUEUED is dropped when its turn comes."""
+    """Requests that may start; a request that is no longer QUEUED is dropped once it reaches the head."""
 
     __slots__ = ("_heap", "_numbers")
 
     def __init__(self) -> None:
         """Start empty."""
-        self._heap: list[tuple[float, int, Request]] = []  # by negative rank and order of arrival
+        self._heap: list[tuple[float, int, Request]] = []  # by negative rank, then by order of arrival
         self._numbers = count()
 
     def push(self, request: Request) -> None:
@@ -23,7 +23,7 @@
         heappush(self._heap, (-request.rank, next(self._numbers), request))
 
     def first(self) -> Request | None:
-        """Return the request whose turn it is, or None."""
+        """Return the queued request of the highest rank, or None."""
         while self._heap:
             _, _, request = self._heap[0]
             if request.state is RequestState.QUEUED:
--- a/oakkeel/admission/request_timers.py
+++ b/oakkeel/admission/request_timers.py
@@ -1,6 +1,6 @@
 """Timers of requests, rounded down to steps: a timer may fire up to one step early.
 
-This module keeps time and decides nothing.
+This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class RequestTimers:
-    """Wakes requests at a time; one timer of the host serves all requests of a step."""
+    """The timers of requests; one timer of the host serves all requests of a step."""
 
     __slots__ = ("host", "step", "steps")
 
@@ -20,9 +20,9 @@
         self.steps: dict[int, list[Request]] = {}
 
     def set(self, now: int, request: Request, at: int) -> None:
-        """Wake the request at the start of the step of `at`, or of the next step if that has begun.
+        """Set a timer for the start of the step that contains `at`, or of the next step if it has begun.
 
-        That may be up to one step before `at`: `is_due` allows for it.
+        The timer may fire up to one step before `at`: `is_due` allows for that.
         """
         number = max(at // self.step, now // self.step + 1)
         if number not in self.steps:
@@ -31,17 +31,17 @@
         self.steps[number].append(request)
 
     def set_not_before(self, now: int, request: Request, at: int) -> None:
-        """Wake the request within one step after `at`, and not before it."""
+        """Set a timer that fires within one step after `at`, and not before."""
         self.set(now, request, at + self.step)
 
     def is_due(self, now: int, at: int) -> bool:
-        """Return whether a time has come, or comes within a step: the timer of `at` may have fired early."""
+        """Return whether `at` has passed or is within a step: its timer may have fired early."""
         return now + self.step > at
 
     def take_expired(self, token: int) -> list[Request]:
-        """Remove the timer of this token, and return its requests."""
+        """Remove the step of this token, and return its requests."""
         return self.steps.pop(token, [])
 
     def pending(self) -> list[Request]:
-        """List the requests of all timers by time; a request appears once for each of its timers."""
+        """Return the requests of all timers by time; a request appears once for each of its timers."""
         return [request for step in sorted(self.steps) for request in self.steps[step]]
--- a/oakkeel/admission/shedding.py
+++ b/oakkeel/admission/shedding.py
@@ -1,19 +1,19 @@
-"""Load shedding: below which rank a request is rejected, and whether its client may retry elsewhere."""
+"""Load shedding: the rank below which requests are rejected, and whether clients may retry elsewhere."""
 
 from __future__ import annotations
 
 from oakkeel.admission.overload import DEPTH_PER_CORE, LATENCY_RATIO, Stage, StageThresholds
 from oakkeel.admission.types import Rejection, Request
 
-MAX_SHED_RATIO = 0.9  # highest threshold: the share of arrivals that is shed; some still run
-# Part of the way to its target that the threshold moves at each arrival.
+MAX_SHED_RATIO = 0.9  # maximum threshold, and so of the share of arrivals that is shed: some must still run
+# Part of the distance to its target by which the threshold moves at each arrival.
 SHED_STEP_RATIO_PER_CORE = 0.08
-MAX_ARRIVAL_RETRY_RATIO = 0.1  # retries among arrivals; above it the other nodes are full as well
+MAX_ARRIVAL_RETRY_RATIO = 0.1  # retries among arrivals; above it, other nodes are assumed full as well
 MAX_PARSING_PER_CORE_FOR_RETRY = 0.75  # above it, a retry only adds parsing work elsewhere
 
 
 def position_in_shedding_range(value: float, thresholds: StageThresholds) -> float:
-    """Return where a signal stands between REORDER (0) and BACKPRESSURE (1); it may be outside."""
+    """Return the position of a signal between REORDER (0) and BACKPRESSURE (1), or outside of these."""
     return (value - thresholds.reorder) / (thresholds.backpressure - thresholds.reorder)
 
 
@@ -28,7 +28,7 @@
     def update(self, depth: float, latency_ratio: float) -> None:
         """Move the threshold towards the higher of both signals.
 
-        It moves in steps, because the depth of a node with few cores has only few values.
+        The threshold moves in steps, because the depth of a node with few cores has only a few values.
         """
         position = max(
             position_in_shedding_range(depth, DEPTH_PER_CORE),
@@ -42,10 +42,10 @@
 
 
 def low_rank_rejection(request: Request, marks_retries: bool, retry_ratio: float) -> Rejection:
-    """Return how a request of low rank is rejected.
+    """Return the kind of rejection for a request of low rank.
 
-    Another node may have capacity, unless the request or many of the arrivals are retries already;
-    `retry_ratio` is the part of recent arrivals that are.
+    Another node may have capacity, unless the request or many of the arrivals are already retries;
+    `retry_ratio` is the share of retries among recent arrivals.
     """
     if request.retry_attempt or not marks_retries or retry_ratio > MAX_ARRIVAL_RETRY_RATIO:
         return Rejection.FINAL
@@ -53,9 +53,9 @@
 
 
 def full_node_rejection(request: Request, parsing_backlog: float, cores: int) -> Rejection:
-    """Return how a request is rejected that this node can't serve in time.
+    """Return the kind of rejection for a request that this node can't serve in time.
 
-    Another node may, unless retries are what fills this one. `parsing_backlog` is the mean of the last
+    Another node may have capacity, unless retries fill this node. `parsing_backlog` is the mean of the last
     seconds.
     """
     if request.retry_attempt or parsing_backlog > MAX_PARSING_PER_CORE_FOR_RETRY * cores:
--- a/oakkeel/admission/sliding_window.py
+++ b/oakkeel/admission/sliding_window.py
@@ -1,4 +1,4 @@
-"""Sums, counts and means over the last few seconds. This module measures and decides nothing."""
+"""Sums, counts and means over the last few seconds. This module makes no decisions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.bucket_numbers = [0] * WINDOW_STEPS
 
     def add(self, now: int, value: float) -> None:
-        """Count a value at this time."""
+        """Add a value at this time."""
         number = now // self.step
         bucket = number % WINDOW_STEPS
         if self.bucket_numbers[bucket] != number:
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -2,9 +2,10 @@
 
 A host (`oakkeel.node`, `oakkeel.simulator_adapter`) makes one `AdmissionController` for each node, from
 `NodeLimits`, a seed and the time. It calls `arrive`, `run_finished`, `call_needed`, `call_finished`,
-`client_disconnected`, `drain` and `timer_expired` for what happens, and `schedule` once after all that
-happened at one moment; it carries out what the decisions ask of `Host`. Instants and limits are whole
-nanoseconds, estimates of durations are floats in nanoseconds, memory is in kilobytes. Nothing here decides.
+`client_disconnected`, `drain` and `timer_expired` for events, and `schedule` once after all events of one
+moment; it implements `Host`, through which the decisions take effect. Instants and limits are whole
+nanoseconds, estimates of durations are floats in nanoseconds, memory is in kilobytes. This module makes no
+decisions.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 
 from oakkeel.units import SECOND
 
-if TYPE_CHECKING:  # loaded only where an operator asks for fair sharing
+if TYPE_CHECKING:  # loaded only if an operator enables fair sharing
     from oakkeel.fair_sharing.heavy_hitters import Flow
     from oakkeel.fair_sharing.reservations import Reservation
 
 
-# The values of these enums are not the settings' words: the tables of `oakkeel/node_limits.py` map those.
+# The values of these enums are not the words of the settings: tables in `oakkeel/node_limits.py` map those.
 
 
 class Idempotency(Enum):
@@ -32,7 +33,7 @@
 
 
 class StopKind(Enum):
-    """What a host can do to running work."""
+    """The way in which a host can stop running work."""
 
     NONE = "none"
     ABORT = "abort"
@@ -40,16 +41,16 @@
 
 
 class LoadReportKind(Enum):
-    """What the value given to `Host.report_load` means to clients."""
+    """The meaning to clients of the value passed to `Host.report_load`."""
 
     NONE = "silent"
     MINIMUM_RANK = "level"  # no request ranked below the value is sent here
-    CONCURRENCY_LIMIT = "window"  # the maximum of requests that a client may have open here
+    CONCURRENCY_LIMIT = "window"  # the maximum number of requests that a client may have open here
     ADVERTISED_SHARE = "share"  # the probability that a client does not skip this node
 
 
 class DownstreamKind(Enum):
-    """What the requests of this node call."""
+    """The kind of downstream service that the requests of this node call."""
 
     NONE = "nothing"
     SHARED = "shared"
@@ -72,13 +73,13 @@
 class Admission(Enum):
     """How a request is admitted on arrival."""
 
-    COALESCE = auto()  # it waits for the result of the request that it duplicates
+    COALESCE = auto()  # the request waits for the result of the request that it duplicates
     QUEUE = auto()
-    DELAY = auto()  # it is queued after the delay of the backpressure stage
+    DELAY = auto()  # the request is queued after the delay of the backpressure stage
 
 
 class Rejection(Enum):
-    """How a request is rejected that had no lasting effect: it never ran, or it is idempotent."""
+    """How a request without lasting effect is rejected: it never ran, or it is idempotent."""
 
     RETRY_ELSEWHERE = auto()  # another node may have capacity
     FINAL = auto()  # a retry elsewhere is not worth its parsing
@@ -90,7 +91,7 @@
     READ = 0  # read, not yet decided
     DELAYED = 1  # queued, under the delay of the backpressure stage
     QUEUED = 2  # may start
-    COALESCED = 3  # waits for the result of the one that it duplicates
+    COALESCED = 3  # waits for the result of the request that it duplicates
     RUNNING = 4  # on the cores
     AWAITING_CALL = 5  # paused until its call is placed; it holds its run slot
     CALLING = 6  # paused, its call placed; it holds no run slot
@@ -108,9 +109,9 @@
     priority_weight: float
     latency_objective: int
     client_timeout: int
-    idempotency_window: int  # for how long a retry with its idempotency key may come
-    late_weight: float  # of the priority weight, for an answer after the latency objective
-    degraded_weight: float  # of the priority weight, where the optional call is skipped
+    idempotency_window: int  # time for which a retry with its idempotency key may arrive
+    late_weight: float  # factor on the priority weight for an answer after the latency objective
+    degraded_weight: float  # factor on the priority weight if the optional call is skipped
 
     @property
     def at_most_once(self) -> bool:
@@ -119,7 +120,7 @@
 
     @property
     def is_call_optional(self) -> bool:
-        """Return whether a request of this class has weight without its downstream call."""
+        """Return whether a request of this class still has weight without its downstream call."""
         return bool(self.degraded_weight)
 
 
@@ -132,22 +133,22 @@
 
 
 class ShareStatus(IntEnum):
-    """How a request stands to the fair share of its flow; the value is added to its rank."""
+    """The relation of a request to the fair share of its flow; the value is added to its rank."""
 
     EXCEEDED = -1  # its flow has used its share
     WITHIN_SHARE = 0
-    RESERVED = 1  # its flow came at the time of a reservation
+    RESERVED = 1  # its flow retried at the time of a reservation
 
 
 @dataclass(slots=True, eq=False)
 class FairSharingRules:
-    """What counts as one flow, and the weight of each, as the operator sets it."""
+    """The fields that define a flow, the weights of flows and the bounds on memory."""
 
     levels: tuple[str, ...]  # one or two, the outermost first: tenant, client, subject or a field's name
     weights: dict[bytes, float]  # by the value of the level's field; 1 where none is set
-    max_flows: int = 256  # known at one time, at each level
+    max_flows: int = 256  # in the table of each level at one time
     max_reservations: int = 1024  # open at one time
-    half_life: int = 4 * SECOND  # the age at which service time counts half
+    half_life: int = 4 * SECOND  # age at which service time has half its weight
 
 
 @dataclass(slots=True, eq=False)
@@ -156,10 +157,10 @@
 
     cores: int
     memory_kb: float
-    running_memory_factor: float  # memory of a running request over that of a queued one
+    running_memory_factor: float  # memory of a running request divided by its memory when queued
     key_kb: float
     starts_cold: bool
-    slow_start_share: float  # share of full speed that a cold node starts at
+    slow_start_share: float  # share of full speed at the start of a cold node
     slow_start_time: int
     overload_multiple: float  # running requests for each core that a warm node survives
     drain_grace: int
@@ -171,10 +172,10 @@
     downstream_quota: float  # mean calls in flight downstream; 0: no bound
     downstream_window: int
     call_linger: int
-    cache_ttl: int  # how long an answer may serve other reads; 0: never
+    cache_ttl: int  # time for which an answer may serve other reads; 0: none
     idle_timeout: int
     load_report: LoadReportKind
-    over_allowance_weight: float  # of the priority weight, above the allowance of its tenant
+    over_allowance_weight: float  # factor on the priority weight above the allowance of the tenant
     request_classes: list[RequestClass]
     tenants: list[Tenant]
     fair_sharing: FairSharingRules | None = None  # None: fair sharing is off
@@ -189,17 +190,17 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request: the host sets the first block of fields, the decisions the rest."""
+    """One request: the host sets the first block of fields, the decisions set the others."""
 
     request_class: RequestClass
     tenant: Tenant | None
     client: int
     memory_kb: float
     retry_attempt: bool
-    remaining_time: int  # until its client times out; 0 where unknown
-    queueing_delay: int  # since it reached the machine, until it was read
+    remaining_time: int  # until its client times out; 0 if unknown
+    queueing_delay: int  # from its arrival at the machine until it was read
     has_key: bool  # reads of its key may be shared
-    is_duplicate: bool  # the host retains the key of an earlier request with its key
+    is_duplicate: bool  # the host retains the same key from an earlier request
 
     state: RequestState = RequestState.READ
     objective_end: int = 0
@@ -207,15 +208,15 @@
     state_since: int = 0  # when it entered its state
     arrived_at: int = 0
     service_time: int = 0  # on the cores so far
-    rank: float = 0.0  # 0 lowest to 1 highest, plus the share status: -1 to 2
+    rank: float = 0.0  # 0 (lowest) to 1 (highest) plus the share status, so -1 to 2
     failed_calls: int = 0
-    committed_call_time: int = 0  # booked for a call in flight
+    committed_call_time: int = 0  # booked for its call in flight
     key_retained: bool = False
 
-    # For fair sharing: a key and a label for each level, the outermost first.
+    # For fair sharing; `flow_keys` has a key and a label for each level, the outermost first.
     flow_keys: tuple[tuple[int, bytes], ...] = ()
     flow: Flow | None = None
-    reservation: Reservation | None = None  # that it uses
+    reservation: Reservation | None = None  # the reservation that this request uses
     share_status: ShareStatus = ShareStatus.WITHIN_SHARE
     expected_work: float = 0.0  # service time in nanoseconds that its flow was charged
 
@@ -231,7 +232,7 @@
 
 
 class Host(Protocol):
-    """What the decisions may ask of the node."""
+    """The actions that the decisions may request from the node."""
 
     def run(self, request: Request) -> None:
         """Start the request on the cores."""
@@ -252,28 +253,28 @@
         """Place the downstream call of the request, which ends by `until`."""
 
     def skip_call(self, request: Request) -> None:
-        """Let the run of the request go on without the call."""
+        """Continue the run of the request without the call."""
 
     def coalesce(self, request: Request) -> None:
-        """Let the request wait for the result of the one that it duplicates."""
+        """Let the request wait for the result of the request that it duplicates."""
 
     def retain_key(self, request: Request, duration: int) -> None:
         """Treat later requests with the same key as duplicates for `duration` nanoseconds."""
 
     def release_key(self, request: Request) -> None:
-        """Drop the key of the request: it never ran."""
+        """Drop the key of a request that never ran."""
 
     def set_timer(self, token: int, at: int) -> None:
         """Call `AdmissionController.timer_expired` with the token at `at`."""
 
     def set_health(self, good: bool, stored: bool) -> None:
-        """Set the answer to health checks; `stored` if checks do no work."""
+        """Set the answer to health checks; `stored` if a check computes nothing."""
 
     def report_load(self, value: float) -> None:
-        """Give clients the value; `NodeLimits.load_report` tells its meaning."""
+        """Send clients the value; `NodeLimits.load_report` defines its meaning."""
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Close connections that are idle for `timeout` nanoseconds, from now on."""
+        """From now on, close connections that are idle for `timeout` nanoseconds."""
 
     def note(self, text: str) -> None:
         """Log a remark."""
--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -29,11 +29,11 @@
         "allowed_rate",
         "count",
         "error",
-        "free_at",
         "key",
         "label",
         "parent",
         "retries",
+        "theoretical_arrival_time",
         "unknown_share",
     )
 
@@ -47,7 +47,7 @@
         self.allowed_rate = math.inf  # per second; infinite while the flow has no limit
         # Theoretical arrival time of GCRA, in nanoseconds: when the work charged so far is used up at the
         # allowed rate. A flow whose time is more than a burst ahead is over its share.
-        self.free_at = 0
+        self.theoretical_arrival_time = 0
         self.unknown_share = 1.0  # part of their work that inner flows outside the table may send
 
     @property
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -53,7 +53,7 @@
         table = self.tables[-1]
         return table.rate(now, flow) >= table.error_rate(now)
 
-    def share_of_unknown(self, flow: Flow) -> float:
+    def unknown_flow_share(self, flow: Flow) -> float:
         """Return the part of its work that an unknown flow, a sibling of `flow`, may send."""
         return flow.parent.unknown_share if flow.parent else self.unknown_share
 
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -70,8 +70,8 @@
     ]
     ahead = [
         ReservationRecord(reservation.key, reservation.due_at - now, reservation.work)
-        for of_flow in reservations.open.values()
-        for reservation in of_flow
+        for flow_reservations in reservations.open.values()
+        for reservation in flow_reservations
         if reservation.due_at > now
     ]
     return msgspec.msgpack.encode(FairSharingSnapshot(unix_now, list(levels), secret, tables, ahead))
@@ -118,7 +118,7 @@
             past = PastRates(record.rate, record.retries, age)
             inner[record.key] = table.restore(now, record.key, past, record.label, parent)
         outer = inner
-    for reserved in snapshot.reservations:
-        due_at = now + reserved.after - age
+    for reservation_record in snapshot.reservations:
+        due_at = now + reservation_record.after - age
         if due_at > now and reservations.open_count < reservations.max_open:
-            reservations.restore(Reservation(reserved.key, due_at, reserved.work))
+            reservations.restore(Reservation(reservation_record.key, due_at, reservation_record.work))
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -46,14 +46,14 @@
         self.booked = [0.0] * steps  # work, by slot
         self.open: dict[int, list[Reservation]] = {}  # by flow, each list with the soonest first
         self.open_count = 0  # with capacity
-        self.unbacked = 0  # without
+        self.unbacked_count = 0  # without
         # Since the start.
         self.booked_count = 0
         self.kept_count = 0
         self.broken_count = 0
         self.expired_count = 0  # with capacity, whose flow did not come in time
 
-    def due(self, now: int, key: int, early: int, late: int) -> Reservation | None:
+    def find_due(self, now: int, key: int, early: int, late: int) -> Reservation | None:
         """Return the flow's reservation that a retry at `now` uses; drop those that have expired.
 
         A retry may come `early` nanoseconds before the reserved time and `late` after it. Of several
@@ -69,7 +69,7 @@
                 nearest = reservation
         return nearest
 
-    def last_booked(self, key: int) -> Reservation | None:
+    def last_backed(self, key: int) -> Reservation | None:
         """Return the last reservation of the flow that has capacity."""
         return next((each for each in reversed(self.open.get(key, ())) if each.work), None)
 
@@ -97,11 +97,11 @@
 
     def record_unbacked(self, at: int, key: int) -> None:
         """Record a retry time without capacity, so that a retry at that time does not count as early."""
-        has_room = self.unbacked < MAX_UNBACKED_RATIO * self.max_open
-        if has_room and self.remembers_all(key):
+        has_room = self.unbacked_count < MAX_UNBACKED_RATIO * self.max_open
+        if has_room and self.records_all(key):
             self._add(Reservation(key, at, 0.0))
 
-    def remembers_all(self, key: int) -> bool:
+    def records_all(self, key: int) -> bool:
         """Return whether every retry time of the flow is recorded: otherwise a retry may only seem early."""
         return len(self.open.get(key, ())) < MAX_RECORDED_PER_FLOW
 
@@ -125,14 +125,14 @@
         reservations.append(reservation)
         reservations.sort(key=lambda each: each.due_at)
         self.open_count += reservation.work > 0
-        self.unbacked += not reservation.work
+        self.unbacked_count += not reservation.work
 
     def end(self, reservation: Reservation, end: ReservationEnd) -> None:
         """Remove a reservation and count how it ended."""
         reservations = self.open[reservation.key]
         reservations.remove(reservation)
         self.open_count -= reservation.work > 0
-        self.unbacked -= not reservation.work
+        self.unbacked_count -= not reservation.work
         if not reservations:
             del self.open[reservation.key]
         if end is ReservationEnd.RELEASED:
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -104,12 +104,12 @@
         )
         node.pass_time(5)
         fair = node.admission.fair_sharing
-        while not fair.reservations.last_booked(key := hash((0, b"one")) & (1 << 62) - 1):
+        while not fair.reservations.last_backed(key := hash((0, b"one")) & (1 << 62) - 1):
             node.send(one, 1)
             node.pass_time(0.01)
-        due_at = fair.reservations.last_booked(key).due_at
+        due_at = fair.reservations.last_backed(key).due_at
         node.send(one, 2)  # a further try, long before
-        self.assertGreater(fair.reservations.last_booked(key).due_at, due_at)
+        self.assertGreater(fair.reservations.last_backed(key).due_at, due_at)
         self.assertEqual(one.counts["in time"], 0)
 
     def test_serves_within_the_drain_grace_and_makes_no_reservation(self):
