--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -1,13 +1,13 @@
-"""The heaviest flows of recent time, in fixed memory: Space-Saving over a window with exponential decay.
+"""The heaviest recent flows, in fixed memory: the Space-Saving algorithm with exponential decay.
 
 Source: A. Metwally, D. Agrawal, A. El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data
 Streams", ICDT 2005, with weights, and with time by forward decay (G. Cormode, V. Shkapenyuk, D. Srivastava,
 B. Xu, "Forward Decay", ICDE 2009).
 
-Bound, for `max_flows` and all that was added, each weight halved with every `half_life` of its age: the
-`count` of a flow is its true sum or more, by no more than `error`, which is never over total / max_flows;
-and no flow whose true sum is over total / max_flows is missing. So `count - error` never exceeds what a flow
-sent.
+Bounds: the true sum of a flow is the sum of its weights, each halved with every `half_life` of its age. The
+`count` of a flow is at least its true sum and exceeds it by at most `error`, and `error` is at most
+total / max_flows. Every flow whose true sum exceeds total / max_flows is in the table. It follows that
+`count - error` never exceeds the true sum of a flow.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 from oakkeel.units import SECOND
 
-MAX_HALVINGS_PER_SCALE = 40.0  # a scale that grows further would lose the precision of the counts
-MAX_RESCALE_HALVINGS = 1000.0  # two to the power of more is no float
+MAX_HALVINGS_PER_SCALE = 40.0  # a larger scale would cost the counts their precision
+MAX_RESCALE_HALVINGS = 1000.0  # a larger power of two overflows a float
 
 
 class Flow:
-    """A flow in the table. Its sums are in the scale of the table: `HeavyHitters` converts them to rates."""
+    """A flow in the table, with sums in the scale of the table: `HeavyHitters` converts them to rates."""
 
     __slots__ = (
         "allowed_rate",
@@ -43,12 +43,12 @@
         self.label = label
         self.parent = parent
         self.count = self.error = self.retries = 0.0
-        # Set when capacity is allocated.
+        # The following fields are set when capacity is allocated or used.
         self.allowed_rate = math.inf  # per second; infinite while the flow has no limit
-        # Theoretical arrival time of GCRA, in nanoseconds: when the work charged so far is used up at the
-        # allowed rate. A flow whose time is more than a burst ahead is over its share.
+        # In nanoseconds, as in the generic cell rate algorithm (GCRA): the time at which the work charged to
+        # the flow is used up at the allowed rate. The flow exceeds its share if this is over a burst ahead.
         self.theoretical_arrival_time = 0
-        self.unknown_share = 1.0  # part of their work that inner flows outside the table may send
+        self.unknown_share = 1.0  # share of their work that inner flows outside the table may send
 
     @property
     def is_limited(self) -> bool:
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PastRates:
-    """The rates of a flow some time ago, in weight per second; `age` in nanoseconds."""
+    """The rates of a flow `age` nanoseconds ago, in weight per second."""
 
     rate: float
     retry_rate: float
@@ -66,7 +66,7 @@
 
 
 class HeavyHitters:
-    """The table. Keys are whole numbers that no client can choose: a keyed hash of what names a flow."""
+    """The table of flows. Keys are keyed hashes of the names of flows, so that no client can choose them."""
 
     def __init__(self, max_flows: int, half_life: int) -> None:
         """Start empty; `half_life` is the age in nanoseconds at which a weight counts half."""
@@ -74,7 +74,7 @@
         self.half_life = half_life
         self.flows: dict[int, Flow] = {}
         self.heap: list[tuple[float, int]] = []  # a lower bound of the flow's count, and its key
-        self.landmark = 0  # nanoseconds; the instant at which the scale is one
+        self.landmark = 0  # the instant in nanoseconds at which the scale is one
         self.sum = 0.0
 
     def add(
@@ -86,10 +86,10 @@
         label: bytes = b"",
         parent: Flow | None = None,
     ) -> Flow:
-        """Count a weight with its flow, and return the flow.
+        """Add a weight to the count of its flow, and return the flow.
 
         A new flow in a full table replaces the lightest one and inherits its count as error. `label` and
-        `parent` are those of the flow's first weight.
+        `parent` are used only for a new flow.
         """
         scaled = weight * self.scale(now)
         self.sum += scaled
@@ -121,21 +121,21 @@
         return (flow.count - flow.error) * self._rate_factor(now)
 
     def retry_rate(self, now: int, flow: Flow) -> float:
-        """Return the part of the flow's rate that was retries."""
+        """Return the rate of the retries of the flow."""
         return flow.retries * self._rate_factor(now)
 
     def total_rate(self, now: int) -> float:
-        """Return the recent weight of all flows per second; exact."""
+        """Return the exact recent weight of all flows per second."""
         return self.sum * self._rate_factor(now)
 
     def error_rate(self, now: int) -> float:
-        """Return the maximum rate of a flow outside the table: never over total / max_flows."""
+        """Return the maximum rate of a flow outside the table, at most `total_rate` / max_flows."""
         if len(self.flows) < self.max_flows:
-            return 0.0  # all are in the table
+            return 0.0  # all flows are in the table
         return self._lightest().count * self._rate_factor(now)
 
     def _rate_factor(self, now: int) -> float:
-        """Return the weight per second that a scaled sum of one stands for."""
+        """Return the weight per second that corresponds to a scaled sum of one."""
         return math.log(2) * SECOND / self.half_life / self.scale(now)
 
     def scale(self, now: int) -> float:
@@ -148,7 +148,7 @@
         return scale
 
     def _rescale(self, now: int, factor: float) -> None:
-        """Multiply all sums by `factor`, so that a weight added at `now` counts one."""
+        """Multiply all sums by `factor`, so that a weight of one added at `now` counts one."""
         self.landmark = now
         self.sum *= factor
         for flow in self.flows.values():
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -1,8 +1,8 @@
-"""Flows at one or two levels, such as tenant and client within it, and weighted max-min shares among them.
+"""Weighted max-min shares of flows at one or two levels, such as tenants and the clients of each tenant.
 
-Max-min: capacity is divided evenly, by weight, and no flow gets more than its demand (D. Bertsekas,
-R. Gallager, "Data Networks", 1992, section 6.5.2). Flows outside the table count together, as flows of the
-maximum rate that one of them may have, so that a flow without an entry does not get less than its share.
+Max-min: capacity is divided in proportion to the weights, and no flow gets more than its demand (D.
+Bertsekas, R. Gallager, "Data Networks", 1992, section 6.5.2). Flows outside the table are treated as flows of
+the maximum rate that such a flow may have, so that none of them gets less than its share.
 """
 
 from __future__ import annotations
@@ -15,32 +15,35 @@
 from oakkeel.fair_sharing.heavy_hitters import Flow, HeavyHitters
 
 DEFAULT_WEIGHT = 1.0
-DEMAND_TOLERANCE_RATIO = 1e-9  # rounding of a sum must not start to limit flows
+DEMAND_TOLERANCE_RATIO = 1e-9  # a rounding error of a sum must not limit flows
 
 
 class MissingFlowError(OakkeelError, ValueError):
-    """A request or an inner flow names no flow: a defect of the caller."""
+    """A request has no flow, or an inner flow no outer flow: a defect of the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What one flow, or many small ones together, would use if it had no limit."""
+    """The work that a flow, or many small flows together, would use without a limit."""
 
     rate: float  # of work, per second
     weight: float
 
 
 class MaxMinShares:
-    """The tables of flows, the outermost level first."""
+    """The tables of flows by level, the outermost first, and the allocation of capacity to flows."""
 
     def __init__(self, levels: int, max_flows: int, half_life: int, weights: Mapping[bytes, float]) -> None:
         """Start with no flow; `half_life` in nanoseconds; `weights` by label, and may change later."""
         self.tables = [HeavyHitters(max_flows, half_life) for _ in range(levels)]
         self.weights = weights
-        self.unknown_share = 1.0  # of their work, for flows outside the table of the outermost level
+        self.unknown_share = 1.0  # share of their work that flows outside the outermost table may send
 
     def count(self, now: int, flow_keys: Sequence[tuple[int, bytes]], work: float, retry: bool) -> Flow:
-        """Count work with its flow at each level, and return the innermost; a key and a label for each."""
+        """Count work for its flow at each level, and return the innermost flow.
+
+        `flow_keys` has a key and a label for each level.
+        """
         flow: Flow | None = None
         for table, (key, label) in zip(self.tables, flow_keys, strict=True):
             flow = table.add(now, key, work, retry, label, flow)
@@ -49,18 +52,19 @@
         return flow
 
     def is_heavy(self, now: int, flow: Flow) -> bool:
-        """Return whether the flow certainly sends more than a flow outside the table could."""
+        """Return whether the rate of the flow is at least the maximum rate of a flow outside the table."""
         table = self.tables[-1]
         return table.rate(now, flow) >= table.error_rate(now)
 
     def unknown_flow_share(self, flow: Flow) -> float:
-        """Return the part of its work that an unknown flow, a sibling of `flow`, may send."""
+        """Return the share of its work that a sibling of `flow` outside the table may send."""
         return flow.parent.unknown_share if flow.parent else self.unknown_share
 
     def allocate(self, now: int, capacity: float) -> None:
-        """Set the allowed rate of each flow, so that no flow takes the capacity that others need.
+        """Set the allowed rate of each flow, so that no flow takes the capacity that other flows need.
 
-        `capacity` is work per second. It is divided at the outermost level, and each share within it.
+        `capacity` is work per second. It is divided among the outer flows, and the share of each outer flow
+        among its inner flows.
         """
         outer = self.tables[0]
         self.unknown_share = self._allocate_table(
@@ -76,17 +80,17 @@
             if parent is None:
                 raise MissingFlowError("a flow of the inner level has no outer flow")
             demand = outer.rate(now, parent)
-            unknown = 1.0 if demand >= outer.error_rate(now) else self.unknown_share
+            outer_share = 1.0 if demand >= outer.error_rate(now) else self.unknown_share
             parent.unknown_share = self._allocate_table(
-                now, inner, flows, demand, min(parent.allowed_rate, demand * unknown)
+                now, inner, flows, demand, min(parent.allowed_rate, demand * outer_share)
             )
 
     def _allocate_table(
         self, now: int, table: HeavyHitters, flows: list[Flow], demand: float, capacity: float
     ) -> float:
-        """Set the allowed rate of each of `flows`; return the share that unknown flows keep.
+        """Set the allowed rate of each of `flows`; return the share of work that unknown flows may send.
 
-        `demand` is the rate of all flows that share this capacity, those outside the table included.
+        `demand` is the rate of all flows that share this capacity, including flows outside the table.
         """
         for flow in flows:
             flow.allowed_rate = inf
@@ -97,7 +101,8 @@
         unknown_rate = max(0.0, demand - sum(rates.values())) if error else 0.0
         demands = [Demand(rate, self._weight(flow)) for flow, rate in rates.items()]
         if unknown_rate > 0:
-            demands.append(Demand(unknown_rate, unknown_rate / error))  # as many flows of the rate `error`
+            # The weight is the number of flows of the rate `error`.
+            demands.append(Demand(unknown_rate, unknown_rate / error))
         level = fair_level(demands, capacity)
         for flow, rate in rates.items():
             share = level * self._weight(flow)
@@ -110,9 +115,9 @@
 
 
 def fair_level(demands: list[Demand], capacity: float) -> float:
-    """Return the rate for each unit of weight that divides `capacity`; infinite if every demand fits.
+    """Return the max-min rate for each unit of weight; infinite if the capacity meets every demand.
 
-    A flow gets the level times its weight, or its demand where that is less: the max-min fair share.
+    The max-min fair share of a flow is this level times its weight, or its demand if that is less.
     """
     remaining_capacity = capacity
     remaining_weight = sum(demand.weight for demand in demands)
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -1,4 +1,4 @@
-"""The snapshot of fair sharing: heavy flows and reservations, with ages instead of instants."""
+"""The snapshot of fair sharing: flows and reservations, with times relative to its writing."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from oakkeel.units import SECOND
 
 MAX_SNAPSHOT_AGE_NS = 60 * SECOND  # an older snapshot does not describe the present flows
-MAX_CLOCK_LEAD_NS = SECOND  # of the clock that wrote the snapshot
+MAX_CLOCK_LEAD_NS = SECOND  # maximum lead of the clock that wrote the snapshot
 
 
 class FlowRecord(msgspec.Struct, array_like=True):
-    """A heavy flow; positional on disk."""
+    """A flow of the table; positional on disk."""
 
     key: int
     label: bytes
     parent: int  # key of the outer flow; 0: none
-    rate: float  # lower bound, per second; nanoseconds on the cores
+    rate: float  # lower bound, in nanoseconds of service time per second
     retries: float
 
 
@@ -28,7 +28,7 @@
     """A reservation; positional on disk."""
 
     key: int
-    after: int  # nanoseconds from when the snapshot was written
+    after: int  # nanoseconds from the writing of the snapshot
     work: float
 
 
@@ -43,7 +43,7 @@
 
 
 class SnapshotRejectedError(OakkeelError, ValueError):
-    """A snapshot cannot be decoded, is from the future, too old, or of other levels; the text says which."""
+    """A snapshot cannot be decoded, is from the future, is too old or has other levels (see the message)."""
 
 
 def encode_snapshot(
@@ -54,7 +54,10 @@
     shares: MaxMinShares,
     reservations: Reservations,
 ) -> bytes:
-    """Encode the flows and the reservations ahead; `now` is monotonic, `unix_now` Unix time; nanoseconds."""
+    """Encode the flows and the future reservations.
+
+    `now` is monotonic and `unix_now` is Unix time, both in nanoseconds.
+    """
     tables = [
         [
             FlowRecord(
@@ -68,17 +71,19 @@
         ]
         for table in shares.tables
     ]
-    ahead = [
+    future_reservations = [
         ReservationRecord(reservation.key, reservation.due_at - now, reservation.work)
         for flow_reservations in reservations.open.values()
         for reservation in flow_reservations
         if reservation.due_at > now
     ]
-    return msgspec.msgpack.encode(FairSharingSnapshot(unix_now, list(levels), secret, tables, ahead))
+    return msgspec.msgpack.encode(
+        FairSharingSnapshot(unix_now, list(levels), secret, tables, future_reservations)
+    )
 
 
 def decode_snapshot(content: bytes, unix_now: int, levels: tuple[str, ...]) -> FairSharingSnapshot:
-    """Decode a snapshot of these levels that is recent enough to describe the flows of now.
+    """Decode a snapshot of these levels that is recent enough to describe the present flows.
 
     `unix_now` is Unix time in nanoseconds. Raises `SnapshotRejectedError`.
     """
@@ -103,9 +108,9 @@
 def restore_snapshot(
     snapshot: FairSharingSnapshot, now: int, unix_now: int, shares: MaxMinShares, reservations: Reservations
 ) -> None:
-    """Fill empty tables: flows decay by the age of the snapshot, and reservations ahead stay valid.
+    """Fill empty tables: flows decay by the age of the snapshot, and future reservations stay valid.
 
-    `now` is monotonic, `unix_now` Unix time, in nanoseconds.
+    `now` is monotonic and `unix_now` is Unix time, both in nanoseconds.
     """
     age = max(0, unix_now - snapshot.written_at)
     outer: dict[int, Flow] = {}
@@ -114,7 +119,7 @@
         for record in sorted(records, key=lambda record: -record.rate)[: table.max_flows]:
             parent = outer.get(record.parent)
             if level > 0 and parent is None:
-                continue  # its outer flow had left the table: without one it has no share to divide
+                continue  # the outer flow was no longer in the table, so no share could be divided
             past = PastRates(record.rate, record.retries, age)
             inner[record.key] = table.restore(now, record.key, past, record.label, parent)
         outer = inner
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -1,7 +1,8 @@
-"""Capacity reservations for flows that were rejected, in fixed memory: an amount of work in each step ahead.
+"""Capacity reservations for rejected flows, in fixed memory: the work booked in each future step.
 
-What is booked in a step never exceeds the capacity that it had when it was booked; a reservation that expires
-or is released frees its capacity. How much capacity a step has, and who gets which, is decided elsewhere.
+The work booked in a step never exceeds the capacity given at the time of booking, unless a single reservation
+is larger than that capacity. A reservation that expires or is released frees its capacity.
+`oakkeel.admission.fairness` decides on the capacity of a step and on the flows that get a reservation.
 """
 
 from __future__ import annotations
@@ -9,61 +10,61 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_BACKED_PER_FLOW = 4  # reservations of one flow that have capacity
-MAX_RECORDED_PER_FLOW = 64  # reservations of one flow, those without capacity included
-MAX_UNBACKED_RATIO = 4  # reservations without capacity, to the maximum with it
+MAX_BACKED_PER_FLOW = 4  # reservations with capacity, of one flow
+MAX_RECORDED_PER_FLOW = 64  # reservations of one flow, including those without capacity
+MAX_UNBACKED_RATIO = 4  # maximum of reservations without capacity, divided by the maximum with capacity
 NO_STEP = -1
 
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """A flow may retry at `due_at` (nanoseconds) and be admitted."""
+    """The time `due_at` (nanoseconds) at which a flow may retry and be admitted."""
 
     key: int
     due_at: int
     work: float  # 0: no capacity is reserved
-    early_attempts: int = 0  # times that the flow retried before `due_at`
+    early_attempts: int = 0  # number of retries of the flow before `due_at`
 
 
 class ReservationEnd(Enum):
-    """How a reservation ends."""
+    """The ways in which a reservation ends."""
 
-    KEPT = "kept"  # its flow came in time and was admitted
-    BROKEN = "broken"  # its flow came in time and was rejected
-    # Neither: it expired, was moved, has no capacity or was not announced. Its capacity is free for others.
+    KEPT = "kept"  # the flow retried in time and was admitted
+    BROKEN = "broken"  # the flow retried in time and was rejected
+    # It expired, was moved, has no capacity or was not announced; its capacity is free for other flows.
     RELEASED = "released"
 
 
 class Reservations:
-    """The reservations of all flows, and the capacity that they take in each step of the time ahead."""
+    """The reservations of all flows, and the work booked in each future step."""
 
     def __init__(self, step: int, steps: int, max_open: int) -> None:
-        """Let `steps` of `step` nanoseconds ahead be booked, with `max_open` reservations at one time."""
+        """Allow bookings in `steps` steps of `step` nanoseconds, with at most `max_open` reservations."""
         self.step = step
         self.steps = steps
         self.max_open = max_open
-        self.step_numbers = [NO_STEP] * steps  # which step each slot holds
+        self.step_numbers = [NO_STEP] * steps  # the number of the step in each slot
         self.booked = [0.0] * steps  # work, by slot
         self.open: dict[int, list[Reservation]] = {}  # by flow, each list with the soonest first
-        self.open_count = 0  # with capacity
-        self.unbacked_count = 0  # without
-        # Since the start.
+        self.open_count = 0  # open reservations with capacity
+        self.unbacked_count = 0  # open reservations without capacity
+        # Totals since the start.
         self.booked_count = 0
         self.kept_count = 0
         self.broken_count = 0
-        self.expired_count = 0  # with capacity, whose flow did not come in time
+        self.expired_count = 0  # with capacity, and without a retry in time
 
-    def find_due(self, now: int, key: int, early: int, late: int) -> Reservation | None:
-        """Return the flow's reservation that a retry at `now` uses; drop those that have expired.
+    def find_due(self, now: int, key: int, max_early: int, max_late: int) -> Reservation | None:
+        """Return the reservation that a retry of the flow at `now` uses; drop expired reservations.
 
-        A retry may come `early` nanoseconds before the reserved time and `late` after it. Of several
-        reservations it uses the nearest, as the clients of the others may have given up.
+        A retry may come up to `max_early` nanoseconds before the reserved time and up to `max_late` after
+        it. Of several reservations the retry uses the nearest: the clients of the others may have given up.
         """
         nearest = None
         for reservation in list(self.open.get(key, ())):
-            if now > reservation.due_at + late:
+            if now > reservation.due_at + max_late:
                 self._expire(reservation)
-            elif now < reservation.due_at - early:
+            elif now < reservation.due_at - max_early:
                 break
             elif nearest is None or abs(reservation.due_at - now) <= abs(nearest.due_at - now):
                 nearest = reservation
@@ -71,13 +72,15 @@
 
     def last_backed(self, key: int) -> Reservation | None:
         """Return the last reservation of the flow that has capacity."""
-        return next((each for each in reversed(self.open.get(key, ())) if each.work), None)
+        return next(
+            (reservation for reservation in reversed(self.open.get(key, ())) if reservation.work), None
+        )
 
     def book(self, now: int, not_before: int, key: int, work: float, capacity: float) -> Reservation | None:
-        """Reserve the first step from `not_before` on with capacity for the work; None if there is none.
+        """Reserve the first step from `not_before` on with capacity for the work; None without such a step.
 
-        `capacity` is the work that all reservations of one step may have together. The bounds on open
-        reservations keep the memory fixed, and one flow from booking the capacity of the others.
+        `capacity` is the limit on the work that is booked in one step. The bounds on open reservations limit
+        the memory, and keep one flow from booking the capacity of other flows.
         """
         if self.open_count >= self.max_open:
             self._drop_expired(now)
@@ -87,7 +90,7 @@
         first_step = max(current_step + 1, -(-not_before // self.step))
         for step_number in range(first_step, current_step + self.steps):
             booked = self.booked[self._slot(step_number)]
-            # Work that exceeds the capacity of any step gets an empty step of its own.
+            # Work above the capacity of a whole step gets an empty step.
             if booked + work <= capacity or not booked:
                 self.booked_count += 1
                 reservation = Reservation(key, step_number * self.step, work)
@@ -96,39 +99,39 @@
         return None
 
     def record_unbacked(self, at: int, key: int) -> None:
-        """Record a retry time without capacity, so that a retry at that time does not count as early."""
+        """Record a retry time without capacity, so that a retry at `at` does not count as early."""
         has_room = self.unbacked_count < MAX_UNBACKED_RATIO * self.max_open
         if has_room and self.records_all(key):
             self._add(Reservation(key, at, 0.0))
 
     def records_all(self, key: int) -> bool:
-        """Return whether every retry time of the flow is recorded: otherwise a retry may only seem early."""
+        """Return whether all retry times of the flow are recorded; if not, a retry may only seem early."""
         return len(self.open.get(key, ())) < MAX_RECORDED_PER_FLOW
 
     def postpone(self, now: int, reservation: Reservation, not_before: int, capacity: float) -> None:
-        """Move a reservation to a later step, as its flow came early; it stays if no step has capacity."""
+        """Move a reservation whose flow retried early to a later step, or keep it if no step has capacity."""
         self.end(reservation, ReservationEnd.RELEASED)
-        later = self.book(now, not_before, reservation.key, reservation.work, capacity)
-        if later is None:
+        moved = self.book(now, not_before, reservation.key, reservation.work, capacity)
+        if moved is None:
             self._add(reservation)
             return
-        later.early_attempts = reservation.early_attempts + 1
-        self.booked_count -= 1  # moved, not made
+        moved.early_attempts = reservation.early_attempts + 1
+        self.booked_count -= 1  # the reservation was moved, not added
 
     def restore(self, reservation: Reservation) -> None:
-        """Add a reservation of a snapshot regardless of other bookings: its client knows the time already."""
+        """Add a reservation of a snapshot regardless of capacity: its client already knows the time."""
         self._add(reservation)
 
     def _add(self, reservation: Reservation) -> None:
         self.booked[self._slot(reservation.due_at // self.step)] += reservation.work
         reservations = self.open.setdefault(reservation.key, [])
         reservations.append(reservation)
-        reservations.sort(key=lambda each: each.due_at)
+        reservations.sort(key=lambda reservation: reservation.due_at)
         self.open_count += reservation.work > 0
         self.unbacked_count += not reservation.work
 
     def end(self, reservation: Reservation, end: ReservationEnd) -> None:
-        """Remove a reservation and count how it ended."""
+        """Remove a reservation and count the way in which it ended."""
         reservations = self.open[reservation.key]
         reservations.remove(reservation)
         self.open_count -= reservation.work > 0
@@ -143,7 +146,7 @@
             self.broken_count += 1
 
     def _slot(self, step_number: int) -> int:
-        """Return the slot of a step ahead; one that held an earlier step is emptied."""
+        """Return the slot of a step; a slot that held an earlier step is cleared first."""
         slot = step_number % self.steps
         if self.step_numbers[slot] != step_number:
             self.step_numbers[slot] = step_number
@@ -151,7 +154,7 @@
         return slot
 
     def _backed_count(self, key: int) -> int:
-        return sum(each.work > 0 for each in self.open.get(key, ()))
+        return sum(reservation.work > 0 for reservation in self.open.get(key, ()))
 
     def _free_capacity(self, reservation: Reservation) -> None:
         step_number = reservation.due_at // self.step
@@ -164,7 +167,7 @@
         self.end(reservation, ReservationEnd.RELEASED)
 
     def _drop_expired(self, now: int) -> None:
-        """Drop the reservations that are overdue by the whole time that can be booked ahead."""
+        """Drop the reservations that are overdue by more than the time that can be booked ahead."""
         for reservations in list(self.open.values()):
             for reservation in list(reservations):
                 if reservation.due_at < now - self.steps * self.step:
