--- a/tests/admission/test_arrival_decision.py
+++ b/tests/admission/test_arrival_decision.py
@@ -25,14 +25,14 @@
     def assert_rejected(self, decision: Decision, rejection: Rejection, reason: RejectionReason) -> None:
         self.assertEqual(decision, RejectionDecision(rejection, reason))
 
-    def test_admits_on_an_idle_node_even_what_exceeds_its_share(self):
+    def test_admits_a_request_beyond_its_share_on_an_idle_node(self):
         self.assertIs(self.decide(), Admission.QUEUE)
         self.assertIs(self.decide(share_status=ShareStatus.EXCEEDED), Admission.QUEUE)
 
     def test_rejects_after_the_deadline(self):
         self.assert_rejected(self.decide(remaining=0), Rejection.FINAL, RejectionReason.DEADLINE)
 
-    def test_rejects_what_exceeds_the_memory(self):
+    def test_rejects_a_request_that_exceeds_the_memory(self):
         decision = self.decide(memory_kb=100_000)
         self.assert_rejected(decision, Rejection.RETRY_ELSEWHERE, RejectionReason.MEMORY)
 
@@ -41,22 +41,22 @@
         self.host.now += 3 * SECOND
         self.assert_rejected(self.decide(), Rejection.RETRY_ELSEWHERE, RejectionReason.DRAIN)
 
-    def test_rejects_what_exceeds_its_share_while_another_runs(self):
+    def test_rejects_a_request_beyond_its_share_while_another_runs(self):
         self.host.arrive()
         decision = self.decide(share_status=ShareStatus.EXCEEDED)
         self.assert_rejected(decision, Rejection.FINAL, RejectionReason.SHARE)
 
-    def test_rejects_at_the_stage_reject_all_but_a_reservation(self):
+    def test_rejects_every_request_without_a_reservation_at_stage_reject(self):
         self.controller.overload.latency_stage = Stage.REJECT
         self.assert_rejected(self.decide(), Rejection.RETRY_ELSEWHERE, RejectionReason.STAGE)
         self.assertIs(self.decide(share_status=ShareStatus.RESERVED), Admission.QUEUE)
 
-    def test_rejects_what_cannot_end_in_time_and_a_reservation_too(self):
+    def test_rejects_a_request_that_cannot_end_in_time_even_with_a_reservation(self):
         for share_status in ShareStatus:
             decision = self.decide(remaining=100 * MS, share_status=share_status)
             self.assert_rejected(decision, Rejection.RETRY_ELSEWHERE, RejectionReason.FIT)
 
-    def test_rejects_a_low_rank_from_reorder_on_and_delays_a_high_one_at_backpressure(self):
+    def test_rejects_a_low_rank_from_reorder_on_and_delays_a_high_rank_at_backpressure(self):
         self.controller.overload.latency_stage = Stage.BACKPRESSURE
         self.assertIs(self.decide(), Admission.DELAY)
         self.controller.shedding.threshold = 0.9
--- a/tests/admission/test_circuit_breaker.py
+++ b/tests/admission/test_circuit_breaker.py
@@ -30,7 +30,7 @@
         self.breaker.call_placed(probe_at)
         self.assertFalse(self.breaker.allows_call(probe_at))
 
-    def test_a_success_closes_it(self):
+    def test_closes_after_a_success(self):
         self.fail(MAX_FAILURES_IN_ROW)
         self.breaker.call_succeeded()
         self.assertFalse(self.breaker.is_open())
--- a/tests/admission/test_concurrency.py
+++ b/tests/admission/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Bounds of one node: memory, slow start, and concurrency beside the parsing backlog."""
+"""Limits of one node: memory, slow start, and concurrency beside a parsing backlog."""
 
 import unittest
 
@@ -17,9 +17,9 @@
     def test_bounds_duplicates_of_a_hot_key_by_memory(self):
         host = FakeHost(cache_ttl=SECOND, memory_kb=2000)
         host.arrive(has_key=True)
-        repeats = [host.arrive(has_key=True, is_duplicate=True) for _ in range(60)]
+        duplicates = [host.arrive(has_key=True, is_duplicate=True) for _ in range(60)]
         self.assertLessEqual(host.admission.occupancy.memory_kb, 2000)
-        self.assertIn("reject", host.actions_on(repeats[-1]))
+        self.assertIn("reject", host.actions_on(duplicates[-1]))
 
     def test_bounds_runs_and_calls_of_a_cold_node_by_its_slow_start(self):
         host = FakeHost(
@@ -34,36 +34,36 @@
             1.25 * host.limits.cores,
         )
 
-    def test_runs_fewer_while_it_reads(self):
+    def test_runs_fewer_requests_beside_a_parsing_backlog(self):
         host = FakeHost()
         host.gauges.run_queue = 4
         host.run_until(2 * SECOND)
         requests = [host.arrive() for _ in range(8)]
         self.assertLess(len(host.in_state(requests, RequestState.RUNNING)), host.limits.cores)
 
-    def test_reads_first_while_arrivals_are_stale(self):
-        # One run beside the parsing would make every request too old, and the backlog would never end.
+    def test_starts_no_run_while_arrivals_are_stale(self):
+        # A run beside the parsing would make every request too old, and the backlog would never clear.
         host = FakeHost()
         host.gauges.run_queue = 4
         host.run_until(2 * SECOND)
-        old = host.arrive(queueing_delay=800 * MS)
-        self.assertEqual(host.actions_on(old), [])
+        stale_request = host.arrive(queueing_delay=800 * MS)
+        self.assertEqual(host.actions_on(stale_request), [])
         host.arrive()
-        self.assertEqual(host.actions_on(old), ["run"])
+        self.assertEqual(host.actions_on(stale_request), ["run"])
 
-    def test_rejects_finally_while_crowded_by_reading(self):
+    def test_rejects_finally_beside_a_large_parsing_backlog(self):
         host = FakeHost()
         host.gauges.run_queue = 8
         host.run_until(3 * SECOND)
         host.arrive(remaining_time=100 * MS)
         self.assertEqual([action[2] for action in host.actions if action[0] == "reject"], [True])
 
-    def test_rejects_early_when_stuck_and_probes_again(self):
-        # Where nothing completes, timed-out runs must count as service times, and then fade.
+    def test_rejects_early_while_no_run_completes_and_probes_later(self):
+        # While no run completes, timed-out runs must count as service times, which then decay.
         host = FakeHost()
-        wave = [host.arrive() for _ in range(4)]
+        requests = [host.arrive() for _ in range(4)]
         host.run_until(host.now + 2 * SECOND)
-        for request in host.in_state(wave, RequestState.ORPHANED):
+        for request in host.in_state(requests, RequestState.ORPHANED):
             host.finish(request, Outcome.CANCELLED)
         host.run_until(host.now + SECOND)
         self.assertEqual(host.actions_on(host.arrive(queueing_delay=800 * MS)), ["reject"])
--- a/tests/admission/test_deadline.py
+++ b/tests/admission/test_deadline.py
@@ -26,11 +26,11 @@
         host.need_call(requests[0])
         host.run_until(host.now + 1490 * MS)
         for request in requests:
-            self.assertEqual(sum(expected in ("reject", "fail") for expected in host.actions_on(request)), 1)
+            self.assertEqual(sum(action in ("reject", "fail") for action in host.actions_on(request)), 1)
         self.assertIn("cancel", host.actions_on(requests[1]))
 
     def test_rejects_a_queued_request_that_waited_too_long(self):
-        # Low ranks would start with too little time left, and time out.
+        # Otherwise requests of low rank would start with too little time left and time out.
         host = FakeHost()
         requests = [host.arrive() for _ in range(7)]
         queued = host.in_state(requests, RequestState.QUEUED)
@@ -39,19 +39,19 @@
         self.assertEqual(len(queued), 2)
         self.assertEqual([host.actions_on(request) for request in queued], [["reject"], ["reject"]])
 
-    def test_rejects_request_past_its_deadline(self):
+    def test_rejects_a_request_past_its_deadline(self):
         host = FakeHost()
         self.assertEqual(
             host.actions_on(host.arrive(queueing_delay=3 * SECOND, remaining_time=2 * SECOND)), ["reject"]
         )
 
-    def test_is_the_end_of_the_objective_where_a_late_answer_has_no_weight(self):
+    def test_deadline_is_the_end_of_the_objective_if_a_late_answer_has_no_weight(self):
         for late_weight, expected in ((0.0, 2 * SECOND), (0.5, 5 * SECOND - ANSWER_HEADROOM_NS)):
             request = make_request(replace(GROUP, late_weight=late_weight))
             request.objective_end = objective_end(0, request)
             self.assertEqual(answer_deadline(0, request, 0), expected)
 
-    def test_is_before_the_stop_of_a_drain(self):
+    def test_deadline_is_before_the_stop_of_a_drain(self):
         request = make_request()
         request.objective_end = objective_end(0, request)
         self.assertEqual(answer_deadline(0, request, SECOND), SECOND - STOP_HEADROOM_NS)
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -17,18 +17,18 @@
             downstream_quota=0.2,
             downstream_window=20 * SECOND,
         )
-        spent = 0
+        call_time = 0
         for _ in range(120):
             request = host.arrive()
             host.need_call(request)
             if request.state is RequestState.CALLING:
                 started = host.now
                 host.run_until(host.now + 300 * MS)
-                spent += host.now - started
+                call_time += host.now - started
                 host.finish_call(request, Outcome.COMPLETED)
                 host.finish(request)
             host.run_until(host.now + 100 * MS)
-        self.assertLess(spent, 0.2 * max(host.now - SECOND, host.limits.downstream_window))
+        self.assertLess(call_time, 0.2 * max(host.now - SECOND, host.limits.downstream_window))
 
     def test_bounds_calls_in_flight_by_a_quota_below_one(self):
         host = FakeHost(
@@ -37,19 +37,19 @@
             downstream_quota=0.4,
             stop_kind=StopKind.SUSPEND,
         )
-        spent = 0
+        call_time = 0
         for _ in range(100):
             request = host.arrive()
             host.need_call(request)
             started = host.now
             host.run_until(host.now + 300 * MS)
             if request.state is RequestState.CALLING:
-                spent += host.now - started
+                call_time += host.now - started
                 host.finish_call(request, Outcome.COMPLETED)
                 host.finish(request)
         self.assertLessEqual(host.admission.occupancy.count[RequestState.CALLING], 1)
-        self.assertGreater(spent, 0)
-        self.assertLess(spent / (host.now - SECOND), 0.4)
+        self.assertGreater(call_time, 0)
+        self.assertLess(call_time / (host.now - SECOND), 0.4)
 
     def test_opens_the_circuit_breaker_until_a_single_half_open_probe(self):
         host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.TIER)
@@ -60,13 +60,13 @@
             host.finish(request)
         self.assertEqual(sum(action[0] == "call" for action in host.actions), 5)
         host.run_until(host.now + 1100 * MS)
-        pair = [host.arrive(), host.arrive()]
-        for request in pair:
+        requests = [host.arrive(), host.arrive()]
+        for request in requests:
             host.need_call(request)
         self.assertEqual(sum(action[0] == "call" for action in host.actions), 6)
 
-    def test_waits_for_room_before_it_skips_a_call(self):
-        # The quota is often free again after milliseconds, and a skipped call costs half of the weight.
+    def test_waits_for_the_quota_before_it_skips_a_call(self):
+        # The quota is often free again within milliseconds, and a skipped call costs half of the weight.
         host = FakeHost(
             request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.SHARED, downstream_quota=1
         )
@@ -77,14 +77,14 @@
         host.run_until(host.now + 400 * MS)
         self.assertEqual(host.actions_on(second), ["run", "skip_call"])
 
-    def test_ends_a_call_in_time_to_go_on_without_it(self):
-        # A call that hangs must leave time to complete without it.
+    def test_ends_an_optional_call_early_enough_to_complete_without_it(self):
+        # A call that hangs must end early enough for the run to complete without its result.
         host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.TIER)
         request = host.arrive()
         host.need_call(request)
-        until = next(action[2] for action in host.actions if action[0] == "call")
-        self.assertLess(until, request.objective_end - 200 * MS)
-        host.run_until(until)
+        call_end = next(action[2] for action in host.actions if action[0] == "call")
+        self.assertLess(call_end, request.objective_end - 200 * MS)
+        host.run_until(call_end)
         host.finish_call(request, Outcome.TIMED_OUT)
         self.assertEqual(host.actions_on(request), ["run", "call", "skip_call"])
 
@@ -111,13 +111,13 @@
             host.finish_call(request, outcome)
             self.assertEqual(host.actions_on(request)[2:], [expected])
 
-    def test_gives_a_call_up_after_its_attempts(self):
+    def test_fails_the_request_after_the_maximum_of_call_attempts(self):
         request = make_request(failed_calls=MAX_CALL_ATTEMPTS - 1)
         self.assertIs(step_after_failed_call(request, Outcome.RESET), FailedCallStep.RETRY)
         request.failed_calls += 1
         self.assertIs(step_after_failed_call(request, Outcome.RESET), FailedCallStep.FAIL)
 
-    def test_skips_an_optional_call_after_its_attempts(self):
+    def test_skips_an_optional_call_after_the_maximum_of_attempts(self):
         request = make_request(replace(GROUP, degraded_weight=0.5), failed_calls=MAX_CALL_ATTEMPTS)
         self.assertIs(step_after_failed_call(request, Outcome.RESET), FailedCallStep.SKIP)
 
--- a/tests/admission/test_duplicates.py
+++ b/tests/admission/test_duplicates.py
@@ -1,4 +1,4 @@
-"""Duplicates and requests that may take effect only once."""
+"""Coalescing of duplicates, and requests that may take effect only once."""
 
 import unittest
 
@@ -14,9 +14,9 @@
     def test_coalesces_a_duplicate_of_a_request_with_an_idempotency_key(self):
         host = FakeHost(request_classes=[{"idempotency": Idempotency.IDEMPOTENCY_KEY}])
         first = host.arrive(has_key=True)
-        again = host.arrive(has_key=True, is_duplicate=True)
+        duplicate = host.arrive(has_key=True, is_duplicate=True)
         self.assertEqual(
-            (host.actions_on(first), host.actions_on(again)), (["retain_key", "run"], ["coalesce"])
+            (host.actions_on(first), host.actions_on(duplicate)), (["retain_key", "run"], ["coalesce"])
         )
 
     def test_fails_a_non_idempotent_request_that_ran_and_never_reruns_it(self):
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -1,4 +1,4 @@
-"""Fair sharing decisions of a node in simulated time."""
+"""Fair sharing on one node in simulated time."""
 
 import unittest
 from unittest import mock
@@ -10,37 +10,41 @@
 
 
 class FairSharingTest(unittest.TestCase):
-    def compliant(self, count: int = 12, rate: float = 15) -> list[SimulatedClient]:
+    def compliant_clients(self, count: int = 12, rate: float = 15) -> list[SimulatedClient]:
         return [SimulatedClient(b"good-%d" % number, rate) for number in range(count)]
 
     def test_limits_a_crawler_to_its_share(self):
-        for fair in (False, True):
-            node, good = simulated_node(fair), self.compliant()
-            node.add(*good, SimulatedClient(b"crawler", 1000, honours_retry_after=False, max_attempts=10))
-            shares, promises = shares_obtained(node, good)
-            if not fair:
+        for has_fair_sharing in (False, True):
+            node, compliant = simulated_node(has_fair_sharing), self.compliant_clients()
+            node.add(
+                *compliant, SimulatedClient(b"crawler", 1000, honours_retry_after=False, max_attempts=10)
+            )
+            shares, kept_ratio = shares_obtained(node, compliant)
+            if not has_fair_sharing:
                 self.assertLess(sum(shares) / len(shares), 0.5)
                 continue
             self.assertGreater(sum(shares) / len(shares), 0.9)
             self.assertGreater(min(shares), 0.75)
-            self.assertGreater(promises, 0.95)
-            self.assertGreater(jain([each.counts["in time"] for each in good]), 0.98)
+            self.assertGreater(kept_ratio, 0.95)
+            self.assertGreater(jain([each.counts["in time"] for each in compliant]), 0.98)
 
-    def test_many_clients_of_one_tenant_gain_it_nothing(self):
+    def test_gives_a_tenant_no_more_for_having_many_clients(self):
         node = simulated_node(by=("tenant", "caller"), places=128)
-        good = [SimulatedClient(b"good-%d" % number, 20, tenant=b"t%d" % number) for number in range(8)]
+        compliant = [SimulatedClient(b"good-%d" % number, 20, tenant=b"t%d" % number) for number in range(8)]
         crowd = [
             SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", honours_retry_after=False)
             for number in range(1000)
         ]
-        node.add(*good, *crowd)
+        node.add(*compliant, *crowd)
         node.pass_time(5)
-        before = [each.counts["in time"] for each in good], sum(each.counts["in time"] for each in crowd)
+        before = [each.counts["in time"] for each in compliant], sum(each.counts["in time"] for each in crowd)
         node.pass_time(8)
-        each_good = [(each.counts["in time"] - was) / 8 for each, was in zip(good, before[0], strict=True)]
-        crowd_got = (sum(each.counts["in time"] for each in crowd) - before[1]) / 8
-        self.assertGreater(sum(each_good) / len(each_good), 15)
-        self.assertLess(crowd_got, 60)  # of the thousand a second that it asks
+        rates = [
+            (each.counts["in time"] - count) / 8 for each, count in zip(compliant, before[0], strict=True)
+        ]
+        crowd_rate = (sum(each.counts["in time"] for each in crowd) - before[1]) / 8
+        self.assertGreater(sum(rates) / len(rates), 15)
+        self.assertLess(crowd_rate, 60)  # of the thousand requests a second that the crowd sends
 
     def test_follows_weights_that_change_while_it_runs(self):
         weights = {b"heavy": 3.0}
@@ -59,83 +63,85 @@
         ratio = (first.counts["in time"] - before[0]) / (second.counts["in time"] - before[1])
         self.assertAlmostEqual(ratio, 1.0, delta=0.25)
 
-    def test_gives_all_to_a_lone_flow_and_its_share_to_one_that_comes_back(self):
+    def test_gives_all_capacity_to_a_lone_flow_and_a_share_to_a_flow_that_returns(self):
         node = simulated_node()
-        busy, back = SimulatedClient(b"busy", 150), SimulatedClient(b"back", 40)
+        busy, returning = SimulatedClient(b"busy", 150), SimulatedClient(b"back", 40)
         node.add(busy)
         node.pass_time(6)
         self.assertGreater(busy.counts["in time"] / busy.first_attempts, 0.97)
         node.clients.remove(busy)
         node.run_until(node.now + 3600 * SECOND)
-        node.add(back, more := SimulatedClient(b"more", 400))
-        shares, _ = shares_obtained(node, [back], warm=3)
+        node.add(returning, heavy := SimulatedClient(b"more", 400))
+        shares, _ = shares_obtained(node, [returning], warm=3)
         self.assertGreater(min(shares), 0.9)
-        self.assertGreater(more.counts["in time"], 0)
+        self.assertGreater(heavy.counts["in time"], 0)
 
-    def test_allows_half_as_much_on_a_node_half_as_fast(self):
-        promised = []
+    def test_allows_half_the_requests_on_a_node_of_half_the_speed(self):
+        allowed_requests = []
         for slow in (1.0, 2.0):
             node = simulated_node(slow=slow, objective=SECOND)
-            node.add(*self.compliant(10, 40))
+            node.add(*self.compliant_clients(10, 40))
             node.pass_time(10)
-            fair = node.admission.fair_sharing
-            allowed = [each.allowed_rate for each in fair.shares.tables[0].flows.values()]
-            promised.append(sum(allowed) / node.admission.ranking.service_times[0])
-        self.assertAlmostEqual(promised[1] / promised[0], 0.5, delta=0.1)
+            fair_sharing = node.admission.fair_sharing
+            allowed_rates = [flow.allowed_rate for flow in fair_sharing.shares.tables[0].flows.values()]
+            allowed_requests.append(sum(allowed_rates) / node.admission.ranking.service_times[0])
+        self.assertAlmostEqual(allowed_requests[1] / allowed_requests[0], 0.5, delta=0.1)
 
-    def test_shares_a_cold_node(self):
-        node, good = simulated_node(starts_cold=True, slow=4.0, objective=2 * SECOND), self.compliant(8, 4)
-        node.add(*good, SimulatedClient(b"crawler", 400, honours_retry_after=False))
-        shares, _ = shares_obtained(node, good, warm=3, seconds=6)
+    def test_limits_a_crawler_on_a_cold_node(self):
+        node = simulated_node(starts_cold=True, slow=4.0, objective=2 * SECOND)
+        compliant = self.compliant_clients(8, 4)
+        node.add(*compliant, SimulatedClient(b"crawler", 400, honours_retry_after=False))
+        shares, _ = shares_obtained(node, compliant, warm=3, seconds=6)
         self.assertGreater(sum(shares) / len(shares), 0.85)
 
     def test_keeps_reservations_when_all_clients_return_at_once(self):
-        node, good = simulated_node(), self.compliant(40, 15)  # three times what the node can do
-        node.add(*good)
-        _, promises = shares_obtained(node, good)
-        self.assertGreater(promises, 0.95)
-        self.assertGreater(sum(each.scheduled_returns for each in good), 200)
+        # The clients send three times the capacity of the node.
+        node, compliant = simulated_node(), self.compliant_clients(40, 15)
+        node.add(*compliant)
+        _, kept_ratio = shares_obtained(node, compliant)
+        self.assertGreater(kept_ratio, 0.95)
+        self.assertGreater(sum(each.scheduled_returns for each in compliant), 200)
 
-    def test_postpones_the_reservation_of_a_client_that_comes_early(self):
+    def test_postpones_the_reservation_of_a_client_that_retries_early(self):
         node = simulated_node()
         node.add(
             SimulatedClient(b"flood", 600),
-            one := SimulatedClient(b"one", 0.0, honours_retry_after=False, max_attempts=1),
+            early_client := SimulatedClient(b"one", 0.0, honours_retry_after=False, max_attempts=1),
         )
         node.pass_time(5)
-        fair = node.admission.fair_sharing
-        while not fair.reservations.last_backed(key := hash((0, b"one")) & (1 << 62) - 1):
-            node.send(one, 1)
+        reservations = node.admission.fair_sharing.reservations
+        while not reservations.last_backed(key := hash((0, b"one")) & (1 << 62) - 1):
+            node.send(early_client, 1)
             node.pass_time(0.01)
-        due_at = fair.reservations.last_backed(key).due_at
-        node.send(one, 2)  # a further try, long before
-        self.assertGreater(fair.reservations.last_backed(key).due_at, due_at)
-        self.assertEqual(one.counts["in time"], 0)
+        due_at = reservations.last_backed(key).due_at
+        node.send(early_client, 2)  # a retry long before `due_at`
+        self.assertGreater(reservations.last_backed(key).due_at, due_at)
+        self.assertEqual(early_client.counts["in time"], 0)
 
     def test_serves_within_the_drain_grace_and_makes_no_reservation(self):
-        node, good = simulated_node(), self.compliant(30, 15)
-        node.add(*good)
+        node, compliant = simulated_node(), self.compliant_clients(30, 15)
+        node.add(*compliant)
         node.pass_time(5)
-        fair, before = node.admission.fair_sharing, [sum(each.admitted_returns for each in good)]
+        fair_sharing, before = node.admission.fair_sharing, sum(each.admitted_returns for each in compliant)
         node.admission.drain(node.now, 5 * SECOND)
-        booked = fair.reservations.booked_count
+        booked_count = fair_sharing.reservations.booked_count
         node.pass_time(1.5)
-        self.assertEqual(fair.reservations.booked_count, booked)
-        self.assertGreater(sum(each.admitted_returns for each in good), before[0])
+        self.assertEqual(fair_sharing.reservations.booked_count, booked_count)
+        self.assertGreater(sum(each.admitted_returns for each in compliant), before)
 
-    def test_is_absent_without_rules(self):
-        node, good = simulated_node(False), self.compliant(4, 10)
-        node.add(*good)
+    def test_is_off_without_rules(self):
+        node, compliant = simulated_node(False), self.compliant_clients(4, 10)
+        node.add(*compliant)
         node.pass_time(2)
         self.assertIsNone(node.admission.fair_sharing)
 
-    def test_limits_retries_of_each_flow_by_its_own_budget(self):
+    def test_limits_the_retries_of_a_flow_to_a_share_of_its_work(self):
         node = simulated_node()
-        levels = node.admission.fair_sharing.shares
+        shares = node.admission.fair_sharing.shares
         for number in range(400):
-            levels.count(node.now + number * MS, ((1, b"tries"),), 1.0, number % 2 == 0)
-        sender = levels.tables[0].flows[1]
-        self.assertAlmostEqual(sender.retries / sender.count, 0.5, delta=0.01)
+            shares.count(node.now + number * MS, ((1, b"tries"),), 1.0, number % 2 == 0)
+        flow = shares.tables[0].flows[1]
+        self.assertAlmostEqual(flow.retries / flow.count, 0.5, delta=0.01)
         request = mock.Mock(
             flow_keys=((1, b"tries"),), retry_attempt=True, share_status=ShareStatus.WITHIN_SHARE
         )
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_health.py
@@ -1,4 +1,4 @@
-"""Health: when a node leaves the endpoint list, and when it comes back."""
+"""Health: the staleness at which a node leaves the endpoint list, and that at which it returns."""
 
 import unittest
 
@@ -14,11 +14,11 @@
         self.assertTrue(is_healthy(True, False, MAX_HEALTHY_STALENESS_RATIO - 0.01))
         self.assertFalse(is_healthy(True, False, MAX_HEALTHY_STALENESS_RATIO))
 
-    def test_recovers_only_below_half_of_it(self):
+    def test_recovers_only_below_half_of_the_maximum_staleness(self):
         self.assertFalse(is_healthy(False, False, MAX_STALENESS_RATIO_TO_RECOVER))
         self.assertTrue(is_healthy(False, False, MAX_STALENESS_RATIO_TO_RECOVER - 0.01))
 
-    def test_is_never_healthy_while_it_drains(self):
+    def test_is_unhealthy_while_draining(self):
         self.assertFalse(is_healthy(True, True, 0.0))
 
 
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -9,8 +9,8 @@
 
 
 class LoadReportTest(unittest.TestCase):
-    def test_reports_unhealthy_while_it_reads_too_late(self):
-        # A slowed node would get requests that wait to be parsed until their clients time out.
+    def test_reports_unhealthy_while_requests_are_parsed_too_late(self):
+        # Otherwise a slow node would get requests that wait to be parsed until their clients time out.
         host = FakeHost()
         for _ in range(10):
             host.arrive(queueing_delay=1900 * MS)
@@ -23,20 +23,20 @@
             [action[1:] for action in host.actions if action[0] == "set_health"][-1], (True, True)
         )
 
-    def idle_time(self, clients: int, reading: float = 0) -> int:
+    def idle_time(self, clients: int, run_queue: float = 0) -> int:
         host = FakeHost()
-        host.gauges.connections, host.gauges.run_queue = 60, reading
+        host.gauges.connections, host.gauges.run_queue = 60, run_queue
         for number in range(100):
             host.finish(host.arrive(client=number % clients))
             host.run_until(host.now + 100 * MS)
         return [action[1] for action in host.actions if action[0] == "set_idle_timeout"][-1]
 
     def test_keeps_idle_connections_for_clients_that_return(self):
-        # Hundreds of clients that seldom return would fill the table of connections.
+        # Otherwise hundreds of clients that seldom return would fill the table of connections.
         self.assertGreater(self.idle_time(clients=5), 400 * MS)
         self.assertLess(self.idle_time(clients=100), 100 * MS)
 
-    def test_remembers_the_clients_last_seen(self):
+    def test_remembers_the_most_recent_clients(self):
         host = FakeHost()
         for number in range(MAX_REMEMBERED_CLIENTS + 100):
             host.arrive(client=number)
@@ -44,9 +44,9 @@
             list(host.admission.signals.returns.last_seen), list(range(100, MAX_REMEMBERED_CLIENTS + 100))
         )
 
-    def test_keeps_idle_connections_while_new_ones_crowd_the_cores(self):
-        # The node of a hot key would spend its cores on connections that it closes at once.
-        self.assertGreater(self.idle_time(clients=100, reading=20), SECOND)
+    def test_keeps_idle_connections_while_new_connections_fill_the_cores(self):
+        # Otherwise the node of a hot key would spend its cores on connections that it soon closes.
+        self.assertGreater(self.idle_time(clients=100, run_queue=20), SECOND)
 
     def test_lowers_the_advertised_share_poll_by_poll_while_full(self):
         host = FakeHost(load_report=LoadReportKind.ADVERTISED_SHARE)
--- a/tests/admission/test_overload.py
+++ b/tests/admission/test_overload.py
@@ -1,4 +1,4 @@
-"""Overload stages: hysteresis, and what each stage does."""
+"""Overload stages: their hysteresis and their effects."""
 
 import unittest
 
@@ -32,7 +32,7 @@
         self.assertTrue(all(0 < action[3] <= SECOND for action in rejections))
         self.assertLessEqual(len(host.in_state(flood, RequestState.RUNNING)), 2 * host.limits.cores)
 
-    def test_rejects_nothing_by_cpu_alone_while_the_cores_have_room(self):
+    def test_runs_a_request_on_busy_cores_while_the_queue_is_empty(self):
         host = FakeHost()
         host.gauges.core_busy = 1.0
         host.run_until(3 * SECOND)
--- a/tests/admission/test_request_ends.py
+++ b/tests/admission/test_request_ends.py
@@ -1,4 +1,4 @@
-"""Requests whose client has disconnected, and events that come late."""
+"""Requests of disconnected clients, and events for finished requests."""
 
 import unittest
 
--- a/tests/admission/test_shedding.py
+++ b/tests/admission/test_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding by rank, and the ranks."""
+"""Load shedding by rank, and retries elsewhere."""
 
 import unittest
 
@@ -20,24 +20,26 @@
                 host.finish(running[0])
             host.run_until(host.now + 100 * MS)
         rejected = [
-            sum(host.actions_on(request) == ["reject"] for request in requests[group::2]) for group in (0, 1)
+            sum(host.actions_on(request) == ["reject"] for request in requests[class_index::2])
+            for class_index in (0, 1)
         ]
         self.assertGreater(rejected[0], 2 * rejected[1])
 
-    def test_lets_low_rank_try_elsewhere_until_many_retries_arrive(self):
-        # Behind clients that choose by subject, one node may be full while others have capacity.
-        for retries_in_ten, elsewhere in ((0, True), (4, False)):
+    def test_lets_low_ranks_retry_elsewhere_unless_many_retries_arrive(self):
+        # If clients choose a node by subject, one node may be full while other nodes have capacity.
+        for retries_in_ten, is_retried_elsewhere in ((0, True), (4, False)):
             host = FakeHost()
             requests = []
             for number in range(200):
                 requests.append(host.arrive(retry_attempt=number % 10 < retries_in_ten))
                 while (
-                    len(open_ones := host.in_state(requests, RequestState.QUEUED, RequestState.RUNNING)) > 8
+                    len(open_requests := host.in_state(requests, RequestState.QUEUED, RequestState.RUNNING))
+                    > 8
                 ):
-                    host.finish(host.in_state(open_ones, RequestState.RUNNING)[0])
+                    host.finish(host.in_state(open_requests, RequestState.RUNNING)[0])
                 host.run_until(host.now + 20 * MS)
             final = [
                 action[2] for action in host.actions if action[0] == "reject" and not action[1].retry_attempt
             ]
             self.assertGreater(len(final), 10)
-            self.assertEqual(sum(final) < len(final) / 4, elsewhere)
+            self.assertEqual(sum(final) < len(final) / 4, is_retried_elsewhere)
--- a/tests/fair_sharing/test_heavy_hitters.py
+++ b/tests/fair_sharing/test_heavy_hitters.py
@@ -1,4 +1,4 @@
-"""Heavy hitters: bounds of counts, fading and keys."""
+"""Heavy hitters: the bounds and the decay of counts, and the keys of flows."""
 
 import random
 import unittest
@@ -10,7 +10,7 @@
 from oakkeel.fair_sharing.keys import SECRET_BYTES, FlowKeys
 from oakkeel.units import MS, SECOND
 
-LONG = 10**9 * SECOND  # a half-life in which no count decays
+NO_DECAY_HALF_LIFE = 10**9 * SECOND  # so long that no count decays
 
 
 class HeavyHittersTest(unittest.TestCase):
@@ -20,20 +20,20 @@
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_bounds_the_true_count_from_above_and_below(self, sent, max_flows):
-        table = HeavyHitters(max_flows, LONG)
-        truth = {}
+        table = HeavyHitters(max_flows, NO_DECAY_HALF_LIFE)
+        true_counts = {}
         for key, weight in sent:
             table.add(0, key, weight)
-            truth[key] = truth.get(key, 0) + weight
-        total = sum(truth.values())
+            true_counts[key] = true_counts.get(key, 0) + weight
+        total = sum(true_counts.values())
         self.assertLessEqual(len(table.flows), max_flows)
         self.assertEqual(len(table.heap), len(table.flows))
         for key, flow in table.flows.items():
-            self.assertGreaterEqual(flow.count, truth[key])
-            self.assertLessEqual(flow.count - flow.error, truth[key])
+            self.assertGreaterEqual(flow.count, true_counts[key])
+            self.assertLessEqual(flow.count - flow.error, true_counts[key])
             self.assertLessEqual(flow.error, total / max_flows)
         scale = table.total_rate(0) / total
-        for key, count in truth.items():
+        for key, count in true_counts.items():
             if key not in table.flows:
                 self.assertLessEqual(count * scale, table.error_rate(0) * 1.000001)
                 self.assertLessEqual(count, total / max_flows)
@@ -41,14 +41,14 @@
     def test_halves_counts_each_half_life_and_returns_rates(self):
         table = HeavyHitters(8, 2 * SECOND)
         now = 0
-        for _ in range(4000):  # 100 a second for 40 s, in which the table is rescaled as well
+        for _ in range(4000):  # 100 a second for 40 s, so that the table is rescaled as well
             now += 10 * MS
             flow = table.add(now, 1, 3.0)
         self.assertAlmostEqual(table.rate(now, flow) / 300, 1.0, delta=0.02)
         self.assertAlmostEqual(table.rate(now + 4 * SECOND, flow) / 75, 1.0, delta=0.02)
         later = now + 3600 * SECOND
-        again = table.add(later, 1, 3.0)
-        self.assertLess(table.rate(later, again), 3.0)
+        flow = table.add(later, 1, 3.0)
+        self.assertLess(table.rate(later, flow), 3.0)
 
     def test_finds_the_heavy_flow_among_many_light_ones_and_reports_no_other(self):
         table = HeavyHitters(256, 4 * SECOND)
@@ -70,8 +70,8 @@
         names = [f"client-{number}".encode() for number in range(300)]
         first, second = (FlowKeys(bytes([number]) * SECRET_BYTES, (b"client",)) for number in (1, 2))
         keys = [
-            [maker.flow_keys(lambda field, name=name: name)[0][0] for name in names]
-            for maker in (first, second)
+            [flow_keys.flow_keys(lambda field, name=name: name)[0][0] for name in names]
+            for flow_keys in (first, second)
         ]
         self.assertEqual(len(set(keys[0])), 300)
         self.assertFalse(set(keys[0]) & set(keys[1]))
--- a/tests/fair_sharing/test_max_min.py
+++ b/tests/fair_sharing/test_max_min.py
@@ -15,11 +15,11 @@
         st.floats(0.1, 500),
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_fills_all_of_the_capacity_and_gives_no_flow_more_than_its_demand(self, rows, capacity):
-        level = fair_level([Demand(asked, weight) for asked, weight in rows], capacity)
-        allocated = sum(min(asked, level * weight) for asked, weight in rows)
+    def test_fills_all_of_the_capacity_and_gives_no_flow_more_than_its_demand(self, demands, capacity):
+        level = fair_level([Demand(rate, weight) for rate, weight in demands], capacity)
+        allocated = sum(min(rate, level * weight) for rate, weight in demands)
         self.assertAlmostEqual(
-            allocated, min(capacity, sum(asked for asked, _ in rows)), delta=1e-6 * capacity
+            allocated, min(capacity, sum(rate for rate, _ in demands)), delta=1e-6 * capacity
         )
 
     def test_shares_by_weight_and_divides_the_share_of_a_tenant_among_its_clients(self):
@@ -34,5 +34,5 @@
         self.assertAlmostEqual(big.allowed_rate, 150, delta=3)
         self.assertAlmostEqual(small.allowed_rate, 50, delta=3)
         self.assertAlmostEqual(shares.tables[1].flows[10].allowed_rate, 150, delta=3)
-        # No client of the thousand is in the table for certain: each keeps a quarter of its demand.
+        # None of the thousand clients is certainly heavy, so each may send a quarter of its demand.
         self.assertAlmostEqual(small.unknown_share, 0.25, delta=0.1)
--- a/tests/fair_sharing/test_node.py
+++ b/tests/fair_sharing/test_node.py
@@ -1,4 +1,4 @@
-"""Fair sharing of a node on sockets."""
+"""Fair sharing of a node process that is reached over its sockets."""
 
 import json
 import os
@@ -43,7 +43,7 @@
                 file,
             )
 
-    def clients(self) -> dict:
+    def fetch_flows(self) -> dict:
         with socket.socket(socket.AF_UNIX) as link:
             link.connect(os.path.join(self.folder, "n3.sock"))
             link.settimeout(20)
@@ -51,20 +51,20 @@
             with link.makefile("rb") as stream:
                 return json.loads(stream.readline())
 
-    def served(self, dispatcher, client: str) -> None:
+    def serve_request(self, dispatcher, client: str) -> None:
         dispatcher.call("card", fields=f",client={client}")
         self.engine.done(self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
-    def test_reports_flows_over_the_control_link_and_keeps_them_over_a_restart(self):
+    def test_reports_flows_over_the_control_link_and_restores_them_after_a_restart(self):
         self.begin()
         dispatcher = self.dispatcher()
         for client in ("a", "a", "a", "b"):
-            self.served(dispatcher, client)
-        told = self.clients()
+            self.serve_request(dispatcher, client)
+        report = self.fetch_flows()
         self.assertEqual(
-            [(each["name"], round(each["asks"], 1)) for each in told["clients"]],
-            [("a", 0.8), ("b", 0.2)] if told["clients"][0]["asks"] > 0.76 else [("a", 0.7), ("b", 0.3)],
+            [(each["name"], round(each["asks"], 1)) for each in report["clients"]],
+            [("a", 0.8), ("b", 0.2)] if report["clients"][0]["asks"] > 0.76 else [("a", 0.7), ("b", 0.3)],
         )
         self.process.send_signal(signal.SIGTERM)
         dispatcher.close()
@@ -72,9 +72,9 @@
         self.process.stderr.close()
         self.engine.number = 0
         self.begin()
-        self.assertEqual([each["name"] for each in self.clients()["clients"]], ["a", "b"])
+        self.assertEqual([each["name"] for each in self.fetch_flows()["clients"]], ["a", "b"])
 
-    def test_quarantines_a_damaged_snapshot_and_serves(self):
+    def test_quarantines_a_damaged_snapshot_and_serves_requests(self):
         with open(os.path.join(self.folder, "n3.shares"), "wb") as file:
             file.write(b"oakkeel snapshot 1\n" + b"x" * 60)
         self.launch(self.told())
@@ -82,7 +82,7 @@
         self.port = int(self.log("listening").rsplit(":", 1)[1])
         self.engine.attach()
         self.log("engine_ready")
-        self.served(self.dispatcher(), "a")
+        self.serve_request(self.dispatcher(), "a")
 
     def test_reloads_weights_on_sighup_but_not_flow_fields(self):
         self.begin()
@@ -90,10 +90,10 @@
         self.reload(self.told())
         self.assertIn("weights=1", self.log("flow_weights_reloaded"))
         self.write_settings(by=("tenant",))
-        time.sleep(1.1)  # the log writes the same line once a second
+        time.sleep(1.1)  # the log writes a repeated line at most once a second
         self.reload(self.told())
         self.assertIn("new_levels=tenant", self.log("flow_key_change_ignored"))
-        self.served(self.dispatcher(), "a")
+        self.serve_request(self.dispatcher(), "a")
 
     def test_reports_unusable_settings_in_one_line(self):
         for text in ("", "{}x", '{"fair": {"by": []}}', '{"fair": {"by": ["a"], "weights": {"b": -1}}}'):
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -1,4 +1,4 @@
-"""The snapshot of fair sharing and its file."""
+"""The snapshot of fair sharing, and damage to its file."""
 
 import os
 import tempfile
@@ -18,7 +18,7 @@
     def setUp(self) -> None:
         self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "n1.shares")
 
-    def filled(self) -> SimulatedNode:
+    def loaded_node(self) -> SimulatedNode:
         node = simulated_node()
         node.add(
             SimulatedClient(b"crawler", 500, honours_retry_after=False),
@@ -34,27 +34,33 @@
         )
 
     def test_restores_flows_and_reservations_after_a_restart(self):
-        node, again = self.filled(), simulated_node()
+        node, restarted = self.loaded_node(), simulated_node()
         content = self.content(node)
-        found = persistence.decode_snapshot(content, 10**18 + SECOND, ("caller",))
-        fair, old = again.admission.fair_sharing, node.admission.fair_sharing
-        persistence.restore_snapshot(found, again.now, 10**18 + SECOND, fair.shares, fair.reservations)
-        key = max(old.shares.tables[0].flows.values(), key=lambda each: each.count).key
-        before = old.shares.tables[0].rate(node.now, old.shares.tables[0].flows[key])
-        after = fair.shares.tables[0].rate(again.now, fair.shares.tables[0].flows[key])
+        snapshot = persistence.decode_snapshot(content, 10**18 + SECOND, ("caller",))
+        restored, original = restarted.admission.fair_sharing, node.admission.fair_sharing
+        persistence.restore_snapshot(
+            snapshot, restarted.now, 10**18 + SECOND, restored.shares, restored.reservations
+        )
+        key = max(original.shares.tables[0].flows.values(), key=lambda flow: flow.count).key
+        before = original.shares.tables[0].rate(node.now, original.shares.tables[0].flows[key])
+        after = restored.shares.tables[0].rate(restarted.now, restored.shares.tables[0].flows[key])
         self.assertAlmostEqual(after / before, 0.5**0.25, delta=0.01)  # after a quarter of the half-life
-        ahead = [
-            sorted(each.due_at - from_time for rows in reservations.open.values() for each in rows)
+        remaining_times = [
+            sorted(
+                reservation.due_at - from_time
+                for flow_reservations in reservations.open.values()
+                for reservation in flow_reservations
+            )
             for reservations, from_time in (
-                (old.reservations, node.now + SECOND),
-                (fair.reservations, again.now),
+                (original.reservations, node.now + SECOND),
+                (restored.reservations, restarted.now),
             )
         ]
-        self.assertEqual(ahead[1], [after for after in ahead[0] if after > 0])
+        self.assertEqual(remaining_times[1], [time for time in remaining_times[0] if time > 0])
 
     def test_drops_a_client_whose_tenant_is_not_in_the_snapshot(self):
         shares = MaxMinShares(2, 2, 4 * SECOND, {})
-        for tenant in range(3):  # the third takes the entry of the first, whose client stays
+        for tenant in range(3):  # the third tenant replaces the first, whose client stays
             weight = 1.0 + tenant
             shares.count(0, [(tenant, b"t%d" % tenant), (10 + tenant % 2, b"c%d" % tenant)], weight, False)
         self.assertNotIn(0, shares.tables[0].flows)
@@ -69,15 +75,15 @@
         self.assertEqual(set(restored.tables[0].flows), {1, 2})
         self.assertEqual(set(restored.tables[1].flows), {11})
 
-    def test_rejects_a_snapshot_from_the_future_too_old_or_of_other_flows(self):
-        content = self.content(self.filled())
-        for unix, by in (
+    def test_rejects_a_snapshot_from_the_future_too_old_of_other_levels_or_truncated(self):
+        content = self.content(self.loaded_node())
+        for unix_now, levels in (
             (10**18 - 5 * SECOND, ("caller",)),
             (10**18 + 61 * SECOND, ("caller",)),
             (10**18, ("tenant",)),
         ):
             with self.assertRaises(persistence.SnapshotRejectedError):
-                persistence.decode_snapshot(content, unix, by)
+                persistence.decode_snapshot(content, unix_now, levels)
         with self.assertRaises(persistence.SnapshotRejectedError):
             persistence.decode_snapshot(content[:50], 10**18, ("caller",))
 
@@ -85,10 +91,15 @@
         snapshot_file.write(self.path, b"content" * 100)
         self.assertEqual(snapshot_file.read(self.path), b"content" * 100)
         with open(self.path, "rb") as file:
-            whole = file.read()
-        for spoilt in (whole[: len(whole) // 2], whole[:-1] + bytes([whole[-1] ^ 1]), b"", b"x" * 100):
+            content = file.read()
+        for damaged in (
+            content[: len(content) // 2],
+            content[:-1] + bytes([content[-1] ^ 1]),
+            b"",
+            b"x" * 100,
+        ):
             with open(self.path, "wb") as file:
-                file.write(spoilt)
+                file.write(damaged)
             with self.assertRaises(snapshot_file.SnapshotError):
                 snapshot_file.read(self.path)
         self.assertIsNone(snapshot_file.read(self.path + "x"))
--- a/tests/fair_sharing/test_reservations.py
+++ b/tests/fair_sharing/test_reservations.py
@@ -15,8 +15,8 @@
     def test_never_books_more_than_the_capacity(self, bookings):
         reservations = Reservations(50 * MS, 20, 40)
         now = 0
-        for key, work, pause in bookings:
-            now += pause * 20 * MS
+        for key, work, pauses in bookings:
+            now += pauses * 20 * MS
             reservations.book(now, now, key, work, 30.0)
             self.assertLessEqual(max(reservations.booked), 30.0)
             self.assertLessEqual(reservations.open_count, 40)
