--- a/oakkeel/admission/arrival_decision.py
+++ b/oakkeel/admission/arrival_decision.py
@@ -49,12 +49,12 @@
     def decide(self, now: int, request: Request) -> Decision:
         """Check for a duplicate, the deadline, the memory and a drain, then decide by load."""
         node = self.node
-        memory_full = is_memory_full(request, node.occupancy.memory_kb, node.limits)
-        if is_coalesced(request, node.limits.cache_ttl, memory_full):
+        lacks_memory = is_memory_full(request, node.occupancy.memory_kb, node.limits)
+        if is_coalesced(request, node.limits.cache_ttl, lacks_memory):
             return Admission.COALESCE
         if request.deadline <= now:
             return RejectionDecision(Rejection.FINAL, RejectionReason.DEADLINE)
-        if memory_full:
+        if lacks_memory:
             return RejectionDecision(Rejection.RETRY_ELSEWHERE, RejectionReason.MEMORY)
         if node.drain.is_past_grace(now, request.queueing_delay):
             return RejectionDecision(Rejection.RETRY_ELSEWHERE, RejectionReason.DRAIN)
--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -18,10 +18,10 @@
 class CallSequence:
     """Places the downstream calls of requests; calls that must wait start in order of arrival."""
 
-    def __init__(self, node: NodeState, ends: RequestEnds) -> None:
+    def __init__(self, node: NodeState, request_ends: RequestEnds) -> None:
         """Start with no waiting request."""
         self.node = node
-        self.ends = ends
+        self.request_ends = request_ends
         self.waiting_requests: deque[Request] = deque()  # their calls can't be placed yet
 
     def call_needed(self, now: int, request: Request) -> None:
@@ -53,7 +53,7 @@
         elif step is FailedCallStep.SKIP:
             self._skip(now, request)
         else:
-            self.ends.end_unanswered(now, request)
+            self.request_ends.end_unanswered(now, request)
 
     def place_waiting(self, now: int) -> None:
         """Place the waiting calls that the breaker and the quota now allow."""
--- a/oakkeel/admission/client_signals.py
+++ b/oakkeel/admission/client_signals.py
@@ -23,7 +23,7 @@
     def __init__(self, node: NodeState) -> None:
         """Start healthy, with no client seen."""
         self.node = node
-        self.healthy = True
+        self.is_healthy = True
         self.load_report = LoadReport(node.limits)
         self.returns = ClientReturns(RETURN_STEP_NS, RETURN_STEPS, MAX_REMEMBERED_CLIENTS)
         # For each arrival, its queueing delay divided by its latency objective.
@@ -37,15 +37,15 @@
     def update_health(self, now: int) -> None:
         """Decide whether the node is healthy, and set the answer to health checks."""
         staleness_ratio = self.staleness_ratios.mean(now, 0.0)
-        self.healthy = is_healthy(self.healthy, self.node.drain.is_draining, staleness_ratio)
-        self.send_health(self.healthy)
+        self.is_healthy = is_healthy(self.is_healthy, self.node.drain.is_draining, staleness_ratio)
+        self.send_health(self.is_healthy)
 
     def send_health(self, healthy: bool) -> None:
         """Set a stored answer to health checks: computing each answer would take a core."""
         self.node.host.set_health(healthy, True)
 
     def report_load(self, threshold: float, warmth: float) -> None:
-        """Report the load if its value has changed, from the shedding threshold and the slow start."""
+        """Send the load report if it has changed; it depends on the shedding threshold and the slow start."""
         node = self.node
         busy_per_core = node.concurrency.parsing_per_core() + node.depth_per_core()
         value = self.load_report.next_value(node.drain.is_draining, threshold, busy_per_core, warmth)
@@ -57,5 +57,5 @@
         node = self.node
         base_idle_time = idle_time(self.returns.times_by_step(now), node.overload.highest() >= Stage.REAP)
         parsing_backlog = node.concurrency.mean_parsing_backlog(now)
-        crowded = crowded_idle_time(connections, parsing_backlog, node.limits.cores)
-        node.host.set_idle_timeout(min(node.limits.idle_timeout, max(base_idle_time, crowded)))
+        crowded_time = crowded_idle_time(connections, parsing_backlog, node.limits.cores)
+        node.host.set_idle_timeout(min(node.limits.idle_timeout, max(base_idle_time, crowded_time)))
--- a/oakkeel/admission/concurrency.py
+++ b/oakkeel/admission/concurrency.py
@@ -54,10 +54,10 @@
         """Return the mean parsing backlog of the last seconds."""
         return self.parsing_backlog_window.mean(now, 0.0)
 
-    def update_run_limit(self, expanded: bool) -> None:
+    def update_run_limit(self, is_expanded: bool) -> None:
         """Update the run limit, which is lower while requests wait to be parsed."""
         parsing = self.parsing_per_core()
-        max_per_core = MAX_EXPANDED_RUNS_PER_CORE if expanded else MAX_RUNS_PER_CORE
+        max_per_core = MAX_EXPANDED_RUNS_PER_CORE if is_expanded else MAX_RUNS_PER_CORE
         runs_per_core = max(MIN_RUNS_PER_CORE, min(max_per_core, MAX_RUNS_AND_PARSING_PER_CORE - parsing))
         self.run_limit = runs_per_core * self.limits.cores
 
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -76,8 +76,8 @@
             drain=self.drain_notice,
             fair_sharing=self.fair_sharing,
         )
-        self.ends = RequestEnds(self.node)
-        self.call_sequence = CallSequence(self.node, self.ends)
+        self.request_ends = RequestEnds(self.node)
+        self.call_sequence = CallSequence(self.node, self.request_ends)
         self.shedding = SheddingThreshold(limits.cores)
         self.queue = RequestQueue()
         self.retries = SlidingWindow()  # 1 for each arrival that is a retry, else 0
@@ -95,7 +95,7 @@
         self._count_and_rank(now, request)
         decision = self.arrivals.decide(now, request)
         if isinstance(decision, RejectionDecision):
-            self.ends.reject(now, request, decision.rejection)
+            self.request_ends.reject(now, request, decision.rejection)
         elif decision is Admission.COALESCE:
             self._coalesce(now, request)
         else:
@@ -168,8 +168,8 @@
             if can_end_in_time(now, request, self.ranking.service_time(request)):
                 occupancy.move(now, request, State.RUNNING)
                 self.host.run(request)
-            else:  # it waited too long behind higher ranks
-                self.ends.reject(now, request, Rejection.FINAL)
+            else:  # the request waited too long behind higher ranks
+                self.request_ends.reject(now, request, Rejection.FINAL)
 
     def call_needed(self, now: int, request: Request) -> None:
         """Place the downstream call that a run needs before it can continue."""
@@ -195,8 +195,8 @@
             self.overload.latency_ratios.add(now, time_to_completion / request_class.latency_objective)
 
     def client_disconnected(self, now: int, request: Request) -> None:
-        """Stop the work of a request whose client has disconnected; it gets no answer."""
-        self.ends.abandon(now, request)
+        """Stop the work of a request whose client has disconnected; the request gets no answer."""
+        self.request_ends.abandon(now, request)
 
     def drain(self, now: int, remaining: int | None) -> None:
         """Stop in `remaining` nanoseconds, with all requests answered by then; None cancels the drain."""
@@ -230,12 +230,12 @@
 
     def _request_timer_expired(self, now: int, request: Request) -> None:
         if self.timers.is_due(now, request.deadline):
-            self.ends.end_unanswered(now, request)
+            self.request_ends.end_unanswered(now, request)
         elif request.state is State.AWAITING_CALL:
             self.call_sequence.skip_if_overdue(now, request)
         elif request.state is State.DELAYED:
             if self.overload.rejects_by_depth():
-                self.ends.reject(now, request, Rejection.FINAL)
+                self.request_ends.reject(now, request, Rejection.FINAL)
             else:
                 self._enqueue(now, request)
 
--- a/oakkeel/admission/deadline.py
+++ b/oakkeel/admission/deadline.py
@@ -1,4 +1,4 @@
-"""Deadlines of answers, and whether a request can complete before its own."""
+"""Deadlines of answers, and whether a request can end before its deadline."""
 
 from __future__ import annotations
 
--- a/oakkeel/admission/duplicates.py
+++ b/oakkeel/admission/duplicates.py
@@ -5,7 +5,7 @@
 from oakkeel.admission.types import Idempotency, Request
 
 
-def is_coalesced(request: Request, cache_ttl: int, memory_full: bool) -> bool:
+def is_coalesced(request: Request, cache_ttl: int, lacks_memory: bool) -> bool:
     """Return whether a request waits for the result of the request that it duplicates.
 
     Coalescing prevents a second effect, and a shared result is cheaper than a run. A read is not coalesced
@@ -14,11 +14,11 @@
     """
     if not request.is_duplicate:
         return False
-    return request.request_class.at_most_once or bool(cache_ttl and not memory_full)
+    return request.request_class.at_most_once or bool(cache_ttl and not lacks_memory)
 
 
 def retains_key(request: Request, cache_ttl: int) -> bool:
-    """Return whether later requests with the key of an admitted one are duplicates."""
+    """Return whether later requests with the key of an admitted request are duplicates."""
     if not request.has_key:
         return False
     return bool(cache_ttl) or request.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -46,7 +46,7 @@
         self.allocated_at = 0
 
     def arrive(self, now: int, request: Request, work: float, capacity: float) -> None:
-        """Count a request with its flows, and set its share status.
+        """Count a request for its flows, and set its share status.
 
         `work` is its expected service time in nanoseconds, `capacity` the run limit of the node.
         """
@@ -100,14 +100,14 @@
         """
         is_heavy = self.shares.is_heavy(now, flow)
         if flow.is_limited:
-            exceeds = flow.theoretical_arrival_time > now + MAX_BURST_NS
+            exceeds_share = flow.theoretical_arrival_time > now + MAX_BURST_NS
         else:
             unknown_share = self.shares.unknown_flow_share(flow)
-            exceeds = unknown_share < 1 and not is_heavy and self.random() > unknown_share
+            exceeds_share = unknown_share < 1 and not is_heavy and self.random() > unknown_share
         exceeds_retries = (
             request.retry_attempt and is_heavy and flow.retries > MAX_FLOW_RETRY_RATIO * flow.count
         )
-        return exceeds or exceeds_retries
+        return exceeds_share or exceeds_retries
 
     def _charge(self, now: int, request: Request, flow: Flow) -> None:
         """Count the expected work against the allowed rate of its flow."""
@@ -129,13 +129,13 @@
         flow = request.flow
         if flow is None:
             raise MissingFlowError("a request names no flow: fair sharing has not counted its arrival")
-        exceeded = request.share_status is ShareStatus.EXCEEDED
+        has_exceeded_share = request.share_status is ShareStatus.EXCEEDED
         if request.reservation and request.state is RequestState.READ:
             self.reservations.end(request.reservation, ReservationEnd.BROKEN)
-        if exceeded and not flow.is_limited:
+        if has_exceeded_share and not flow.is_limited:
             return max_retry_after  # one of many flows whose share is too small for a reservation
         booked = None
-        if not exceeded or not request.retry_attempt:
+        if not has_exceeded_share or not request.retry_attempt:
             not_before = max(now, flow.theoretical_arrival_time - MAX_BURST_NS if flow.is_limited else now)
             work = request.expected_work
             booked = self.reservations.book(now, not_before, flow.key, work, self.reservable_work)
--- a/oakkeel/admission/idle_connections.py
+++ b/oakkeel/admission/idle_connections.py
@@ -18,14 +18,14 @@
 MAX_NEW_CONNECTIONS_PER_CORE_S = 8  # while new connections fill the cores
 
 
-def idle_time(returns: Sequence[ReturnTimes], reaping: bool) -> int:
+def idle_time(returns: Sequence[ReturnTimes], is_reaping: bool) -> int:
     """Return the idle time in nanoseconds after which a connection closes.
 
     The result is the end of the step of return times with the highest gain: the value of the saved new
     connections minus the time that connections stay idle. `returns` has the return times by step; its last
     element has those beyond all steps. With `reaping` (from REAP on) a saved connection is worth less.
     """
-    value = REAP_CONNECTION_VALUE_NS if reaping else CONNECTION_VALUE_NS
+    value = REAP_CONNECTION_VALUE_NS if is_reaping else CONNECTION_VALUE_NS
     remaining_returns = sum(times.returns for times in returns)
     best_time = MIN_IDLE_TIME_NS
     best_gain = 0.0
--- a/oakkeel/admission/load_report.py
+++ b/oakkeel/admission/load_report.py
@@ -1,4 +1,4 @@
-"""Load report: the value by which clients choose how much to send to this node."""
+"""Load report: the value by which clients limit the requests that they send to this node."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 MAX_BUSY_PER_CORE = 2.0  # requests that want a core; above this number the advertised share falls
 SHARE_DECREASE_RATIO = 0.8  # at each report: at the start, each poll and each change of a drain
-SHARE_INCREASE_RATIO = 1.15  # at each report, as above
+SHARE_INCREASE_RATIO = 1.15  # at each report
 MIN_ADVERTISED_SHARE_RATIO = 0.05  # a few requests must still come, or clients would not notice a recovery
 
 
--- a/oakkeel/admission/occupancy.py
+++ b/oakkeel/admission/occupancy.py
@@ -52,21 +52,21 @@
 
     def move(self, now: int, request: Request, state: State) -> None:
         """Change the state of a request; no other code does."""
-        old = request.state
-        if state not in TRANSITIONS[old]:
-            raise InvalidTransitionError("a request", old.name, state.name)
-        if old is RUNNING:
+        old_state = request.state
+        if state not in TRANSITIONS[old_state]:
+            raise InvalidTransitionError("a request", old_state.name, state.name)
+        if old_state is RUNNING:
             request.service_time += now - request.state_since
-        self.count[old] -= 1
+        self.count[old_state] -= 1
         self.count[state] += 1
-        self.memory_kb += request.memory_kb * (self.memory_factors[state] - self.memory_factors[old])
+        self.memory_kb += request.memory_kb * (self.memory_factors[state] - self.memory_factors[old_state])
         request.state = state
         request.state_since = now
 
-    def retain_key(self, until: int) -> None:
+    def retain_key(self, expires_at: int) -> None:
         """Count the memory of an idempotency key until it expires."""
         self.memory_kb += self.key_kb
-        heappush(self.key_expiries, until)
+        heappush(self.key_expiries, expires_at)
 
     def expire_keys(self, now: int) -> None:
         """Free the memory of the keys that have expired."""
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageThresholds:
-    """The value of a signal at which each stage begins; it ends below that value less the hysteresis."""
+    """The value of a signal at which each stage begins; a stage ends below this minus the hysteresis."""
 
     expand: float
     reap: float
@@ -77,12 +77,12 @@
     so that it does not flap while the value is near a threshold.
     """
     begins_at = thresholds.begins_at
-    reached = int(stage)
-    while reached < Stage.REJECT and value >= begins_at[reached + 1]:
-        reached += 1
-    while reached > Stage.NORMAL and value < begins_at[reached] - thresholds.hysteresis:
-        reached -= 1
-    return stage if reached == stage else Stage(reached)
+    level = int(stage)
+    while level < Stage.REJECT and value >= begins_at[level + 1]:
+        level += 1
+    while level > Stage.NORMAL and value < begins_at[level] - thresholds.hysteresis:
+        level -= 1
+    return stage if level == stage else Stage(level)
 
 
 class OverloadStages:
--- a/oakkeel/admission/request_timers.py
+++ b/oakkeel/admission/request_timers.py
@@ -19,24 +19,24 @@
         self.step = step
         self.steps: dict[int, list[Request]] = {}
 
-    def set(self, now: int, request: Request, at: int) -> None:
-        """Set a timer for the start of the step that contains `at`, or of the next step if it has begun.
+    def set(self, now: int, request: Request, due_at: int) -> None:
+        """Set a timer for the start of the step that contains `due_at`, or of the next step if it has begun.
 
-        The timer may fire up to one step before `at`: `is_due` allows for that.
+        The timer may fire up to one step before `due_at`: `is_due` allows for that.
         """
-        number = max(at // self.step, now // self.step + 1)
-        if number not in self.steps:
-            self.steps[number] = []
-            self.host.set_timer(number, number * self.step)
-        self.steps[number].append(request)
-
-    def set_not_before(self, now: int, request: Request, at: int) -> None:
-        """Set a timer that fires within one step after `at`, and not before."""
-        self.set(now, request, at + self.step)
-
-    def is_due(self, now: int, at: int) -> bool:
-        """Return whether `at` has passed or is within a step: its timer may have fired early."""
-        return now + self.step > at
+        step_number = max(due_at // self.step, now // self.step + 1)
+        if step_number not in self.steps:
+            self.steps[step_number] = []
+            self.host.set_timer(step_number, step_number * self.step)
+        self.steps[step_number].append(request)
+
+    def set_not_before(self, now: int, request: Request, due_at: int) -> None:
+        """Set a timer that fires within one step after `due_at`, and not before."""
+        self.set(now, request, due_at + self.step)
+
+    def is_due(self, now: int, due_at: int) -> bool:
+        """Return whether `due_at` has passed or is within a step: its timer may have fired early."""
+        return now + self.step > due_at
 
     def take_expired(self, token: int) -> list[Request]:
         """Remove the step of this token, and return its requests."""
--- a/oakkeel/admission/sliding_window.py
+++ b/oakkeel/admission/sliding_window.py
@@ -22,10 +22,10 @@
 
     def add(self, now: int, value: float) -> None:
         """Add a value at this time."""
-        number = now // self.step
-        bucket = number % WINDOW_STEPS
-        if self.bucket_numbers[bucket] != number:
-            self.bucket_numbers[bucket] = number
+        bucket_number = now // self.step
+        bucket = bucket_number % WINDOW_STEPS
+        if self.bucket_numbers[bucket] != bucket_number:
+            self.bucket_numbers[bucket] = bucket_number
             self.sums[bucket] = 0.0
             self.counts[bucket] = 0
         self.sums[bucket] += value
@@ -50,4 +50,4 @@
 
     def _live_buckets(self, now: int) -> list[int]:
         oldest = now // self.step - WINDOW_STEPS
-        return [bucket for bucket, number in enumerate(self.bucket_numbers) if number > oldest]
+        return [bucket for bucket, bucket_number in enumerate(self.bucket_numbers) if bucket_number > oldest]
--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -45,8 +45,9 @@
         self.count = self.error = self.retries = 0.0
         # The following fields are set when capacity is allocated or used.
         self.allowed_rate = math.inf  # per second; infinite while the flow has no limit
-        # In nanoseconds, as in the generic cell rate algorithm (GCRA): the time at which the work charged to
-        # the flow is used up at the allowed rate. The flow exceeds its share if this is over a burst ahead.
+        # In nanoseconds, as in the generic cell rate algorithm (GCRA): the time at which the work charged so
+        # far is used up at the allowed rate. The flow exceeds its share if that time is more than a burst
+        # ahead.
         self.theoretical_arrival_time = 0
         self.unknown_share = 1.0  # share of their work that inner flows outside the table may send
 
@@ -82,7 +83,7 @@
         now: int,
         key: int,
         weight: float,
-        retry: bool = False,
+        is_retry: bool = False,
         label: bytes = b"",
         parent: Flow | None = None,
     ) -> Flow:
@@ -105,7 +106,7 @@
                 heapreplace(self.heap, (flow.count + scaled, key))
             self.flows[key] = flow
         flow.count += scaled
-        if retry:
+        if is_retry:
             flow.retries += scaled
         return flow
 
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -39,14 +39,14 @@
         self.weights = weights
         self.unknown_share = 1.0  # share of their work that flows outside the outermost table may send
 
-    def count(self, now: int, flow_keys: Sequence[tuple[int, bytes]], work: float, retry: bool) -> Flow:
+    def count(self, now: int, flow_keys: Sequence[tuple[int, bytes]], work: float, is_retry: bool) -> Flow:
         """Count work for its flow at each level, and return the innermost flow.
 
         `flow_keys` has a key and a label for each level.
         """
         flow: Flow | None = None
         for table, (key, label) in zip(self.tables, flow_keys, strict=True):
-            flow = table.add(now, key, work, retry, label, flow)
+            flow = table.add(now, key, work, is_retry, label, flow)
         if flow is None:
             raise MissingFlowError("a request names no flow: its flow keys are empty")
         return flow
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -73,7 +73,7 @@
     ]
     future_reservations = [
         ReservationRecord(reservation.key, reservation.due_at - now, reservation.work)
-        for flow_reservations in reservations.open.values()
+        for flow_reservations in reservations.by_flow.values()
         for reservation in flow_reservations
         if reservation.due_at > now
     ]
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -45,7 +45,7 @@
         self.max_open = max_open
         self.step_numbers = [NO_STEP] * steps  # the number of the step in each slot
         self.booked = [0.0] * steps  # work, by slot
-        self.open: dict[int, list[Reservation]] = {}  # by flow, each list with the soonest first
+        self.by_flow: dict[int, list[Reservation]] = {}  # open reservations, the soonest first
         self.open_count = 0  # open reservations with capacity
         self.unbacked_count = 0  # open reservations without capacity
         # Totals since the start.
@@ -61,7 +61,7 @@
         it. Of several reservations the retry uses the nearest: the clients of the others may have given up.
         """
         nearest = None
-        for reservation in list(self.open.get(key, ())):
+        for reservation in list(self.by_flow.get(key, ())):
             if now > reservation.due_at + max_late:
                 self._expire(reservation)
             elif now < reservation.due_at - max_early:
@@ -73,7 +73,7 @@
     def last_backed(self, key: int) -> Reservation | None:
         """Return the last reservation of the flow that has capacity."""
         return next(
-            (reservation for reservation in reversed(self.open.get(key, ())) if reservation.work), None
+            (reservation for reservation in reversed(self.by_flow.get(key, ())) if reservation.work), None
         )
 
     def book(self, now: int, not_before: int, key: int, work: float, capacity: float) -> Reservation | None:
@@ -98,24 +98,24 @@
                 return reservation
         return None
 
-    def record_unbacked(self, at: int, key: int) -> None:
-        """Record a retry time without capacity, so that a retry at `at` does not count as early."""
+    def record_unbacked(self, due_at: int, key: int) -> None:
+        """Record a retry time without capacity, so that a retry at `due_at` does not count as early."""
         has_room = self.unbacked_count < MAX_UNBACKED_RATIO * self.max_open
         if has_room and self.records_all(key):
-            self._add(Reservation(key, at, 0.0))
+            self._add(Reservation(key, due_at, 0.0))
 
     def records_all(self, key: int) -> bool:
         """Return whether all retry times of the flow are recorded; if not, a retry may only seem early."""
-        return len(self.open.get(key, ())) < MAX_RECORDED_PER_FLOW
+        return len(self.by_flow.get(key, ())) < MAX_RECORDED_PER_FLOW
 
     def postpone(self, now: int, reservation: Reservation, not_before: int, capacity: float) -> None:
         """Move a reservation whose flow retried early to a later step, or keep it if no step has capacity."""
         self.end(reservation, ReservationEnd.RELEASED)
-        moved = self.book(now, not_before, reservation.key, reservation.work, capacity)
-        if moved is None:
+        new_reservation = self.book(now, not_before, reservation.key, reservation.work, capacity)
+        if new_reservation is None:
             self._add(reservation)
             return
-        moved.early_attempts = reservation.early_attempts + 1
+        new_reservation.early_attempts = reservation.early_attempts + 1
         self.booked_count -= 1  # the reservation was moved, not added
 
     def restore(self, reservation: Reservation) -> None:
@@ -124,7 +124,7 @@
 
     def _add(self, reservation: Reservation) -> None:
         self.booked[self._slot(reservation.due_at // self.step)] += reservation.work
-        reservations = self.open.setdefault(reservation.key, [])
+        reservations = self.by_flow.setdefault(reservation.key, [])
         reservations.append(reservation)
         reservations.sort(key=lambda reservation: reservation.due_at)
         self.open_count += reservation.work > 0
@@ -132,12 +132,12 @@
 
     def end(self, reservation: Reservation, end: ReservationEnd) -> None:
         """Remove a reservation and count the way in which it ended."""
-        reservations = self.open[reservation.key]
+        reservations = self.by_flow[reservation.key]
         reservations.remove(reservation)
         self.open_count -= reservation.work > 0
         self.unbacked_count -= not reservation.work
         if not reservations:
-            del self.open[reservation.key]
+            del self.by_flow[reservation.key]
         if end is ReservationEnd.RELEASED:
             self._free_capacity(reservation)
         elif end is ReservationEnd.KEPT:
@@ -154,7 +154,7 @@
         return slot
 
     def _backed_count(self, key: int) -> int:
-        return sum(reservation.work > 0 for reservation in self.open.get(key, ()))
+        return sum(reservation.work > 0 for reservation in self.by_flow.get(key, ()))
 
     def _free_capacity(self, reservation: Reservation) -> None:
         step_number = reservation.due_at // self.step
@@ -168,7 +168,7 @@
 
     def _drop_expired(self, now: int) -> None:
         """Drop the reservations that are overdue by more than the time that can be booked ahead."""
-        for reservations in list(self.open.values()):
+        for reservations in list(self.by_flow.values()):
             for reservation in list(reservations):
                 if reservation.due_at < now - self.steps * self.step:
                     self._expire(reservation)
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -48,7 +48,7 @@
         remaining_times = [
             sorted(
                 reservation.due_at - from_time
-                for flow_reservations in reservations.open.values()
+                for flow_reservations in reservations.by_flow.values()
                 for reservation in flow_reservations
             )
             for reservations, from_time in (
--- a/tests/fair_sharing/test_reservations.py
+++ b/tests/fair_sharing/test_reservations.py
@@ -20,8 +20,10 @@
             reservations.book(now, now, key, work, 30.0)
             self.assertLessEqual(max(reservations.booked), 30.0)
             self.assertLessEqual(reservations.open_count, 40)
-            self.assertEqual(reservations.open_count, sum(len(each) for each in reservations.open.values()))
-            self.assertTrue(all(len(each) <= MAX_BACKED_PER_FLOW for each in reservations.open.values()))
+            self.assertEqual(
+                reservations.open_count, sum(len(each) for each in reservations.by_flow.values())
+            )
+            self.assertTrue(all(len(each) <= MAX_BACKED_PER_FLOW for each in reservations.by_flow.values()))
 
     def test_frees_the_capacity_of_ended_reservations_and_drops_expired_ones(self):
         reservations = Reservations(50 * MS, 20, 2)
