--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -128,7 +128,7 @@
         """
         flow = request.flow
         if flow is None:
-            raise MissingFlowError("a request names no flow: fair sharing has not counted its arrival")
+            raise MissingFlowError("a request has no flow: fair sharing has not counted its arrival")
         has_exceeded_share = request.share_status is ShareStatus.EXCEEDED
         if request.reservation and request.state is RequestState.READ:
             self.reservations.end(request.reservation, ReservationEnd.BROKEN)
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -48,7 +48,7 @@
         for table, (key, label) in zip(self.tables, flow_keys, strict=True):
             flow = table.add(now, key, work, is_retry, label, flow)
         if flow is None:
-            raise MissingFlowError("a request names no flow: its flow keys are empty")
+            raise MissingFlowError("a request has no flow: its flow keys are empty")
         return flow
 
     def is_heavy(self, now: int, flow: Flow) -> bool:
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -90,17 +90,19 @@
     try:
         snapshot = msgspec.msgpack.decode(content, type=FairSharingSnapshot)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise SnapshotRejectedError(f"it cannot be decoded: {error}") from error
+        raise SnapshotRejectedError(f"the snapshot cannot be decoded: {error}") from error
     age = unix_now - snapshot.written_at
     if age < -MAX_CLOCK_LEAD_NS:
-        raise SnapshotRejectedError(f"it was written {-age // SECOND} s in the future: check the clock")
+        raise SnapshotRejectedError(
+            f"the snapshot was written {-age // SECOND} s in the future: check the clock"
+        )
     if age > MAX_SNAPSHOT_AGE_NS:
         raise SnapshotRejectedError(
-            f"it is {age // SECOND} s old, expected {MAX_SNAPSHOT_AGE_NS // SECOND} s or less"
+            f"the snapshot is {age // SECOND} s old, expected {MAX_SNAPSHOT_AGE_NS // SECOND} s or less"
         )
     if tuple(snapshot.levels) != levels:
         raise SnapshotRejectedError(
-            f"it has flows by {' '.join(snapshot.levels)}, expected {' '.join(levels)}"
+            f"the snapshot has flows by {' '.join(snapshot.levels)}, expected {' '.join(levels)}"
         )
     return snapshot
 
