--- a/oakkeel/node/__init__.py
+++ b/oakkeel/node/__init__.py
@@ -1,1 +1,1 @@
-"""The node: what starts and ends it, the `Host` of its decisions, and the life of a request."""
+"""The node process: start and shutdown, the `Host` of the admission controller, and request handling."""
--- a/oakkeel/node/components.py
+++ b/oakkeel/node/components.py
@@ -1,4 +1,4 @@
-"""The parts of a node that others act through, made once at its start."""
+"""The components that the host and the request handler of a node share, made once at its start."""
 
 from __future__ import annotations
 
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -1,4 +1,4 @@
-"""The view of a node that its control endpoint gets."""
+"""The protocol of a node for its control endpoint."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class NodeContext(Protocol):
-    """The node, as its control endpoint sees it."""
+    """The attributes of a node that its control endpoint uses."""
 
     configuration: NodeConfiguration
     resource_limits: ResourceLimits
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a node about itself, written to the log at intervals."""
+"""Metrics of a node process, written to the log at intervals."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 
 
 class Metrics:
-    """Counts since the last log line; the buckets of timer lags double from one millisecond on."""
+    """Counts since the last log line.
 
-    BUCKETS = 12
+    The first bucket of the timer lags ends at one millisecond; each further bucket ends at twice the lag.
+    """
+
+    LAG_BUCKETS = 12
 
     def __init__(self) -> None:
-        """Start at zero, without an observer of answers."""
+        """Start all counts at zero, without an observer of answers."""
         self.answers_total: dict[bytes, int] = {}  # answers since the start
         self.answer_observer: Callable[[NodeRequest, bytes], None] | None = None  # called with each answer
         self._reset()
@@ -30,15 +33,15 @@
         self.requests_read = 0
         self.answers: dict[bytes, int] = {}
         self.calls_by_outcome: dict[str, int] = {}
-        self.timer_lags = [0] * (self.BUCKETS + 1)
-        self.highest_lag = self.gauges_missed = 0
+        self.timer_lags = [0] * (self.LAG_BUCKETS + 1)
+        self.max_timer_lag = self.gauges_missed = 0
         self.cpu_at_reset = time.process_time_ns()
         self.reset_at = time.monotonic_ns()
 
     def count_timer(self, lag: int) -> None:
-        """Count a timer that came `lag` nanoseconds late."""
-        self.timer_lags[min(self.BUCKETS, max(0, lag // MS).bit_length())] += 1
-        self.highest_lag = max(self.highest_lag, lag)
+        """Count a timer that expired `lag` nanoseconds late."""
+        self.timer_lags[min(self.LAG_BUCKETS, max(0, lag // MS).bit_length())] += 1
+        self.max_timer_lag = max(self.max_timer_lag, lag)
 
     def count_answer(self, status: bytes) -> None:
         """Count an answer by its status on the wire."""
@@ -50,16 +53,16 @@
         self.calls_by_outcome[outcome] = self.calls_by_outcome.get(outcome, 0) + 1
 
     def _lag_quantile(self, quantile: float) -> int:
-        """Return the milliseconds that this share of the timers was late at most."""
+        """Return this quantile of the timer lags, in milliseconds, rounded up to the end of its bucket."""
         remaining = quantile * sum(self.timer_lags)
         for bucket, count in enumerate(self.timer_lags):
             remaining -= count
             if remaining <= 0:
                 return 1 << bucket
-        return 1 << self.BUCKETS
+        return 1 << self.LAG_BUCKETS
 
     def collect(self, connections: int, open_requests: int, link_losses: int) -> LogFields:
-        """Return the fields of a log line and reset the counts; sizes in MB, CPU as a share of a core."""
+        """Return the fields of a log line and reset the counts; memory is in MB, CPU use in cores."""
         now = time.monotonic_ns()
         cpu = time.process_time_ns()
         calls = ",".join(
@@ -77,7 +80,7 @@
             "timers": sum(self.timer_lags),
             "late_ms_half": self._lag_quantile(MEDIAN),
             "late_ms_99": self._lag_quantile(HIGH_QUANTILE),
-            "latest_ms": round(self.highest_lag / MS, 1),
+            "latest_ms": round(self.max_timer_lag / MS, 1),
             "gauges_missed": self.gauges_missed,
             "link_losses": link_losses,
             "over_s": round((now - self.reset_at) / SECOND, 1),
@@ -87,11 +90,11 @@
 
 
 def resident_bytes() -> int:
-    """Return the bytes of memory that the process holds."""
+    """Return the resident memory of the process in bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def open_descriptors() -> int:
-    """Return how many descriptors the process has open."""
+    """Return the number of open file descriptors of the process."""
     return len(os.listdir("/proc/self/fd"))
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -1,6 +1,7 @@
-"""Outcomes of the requests of one node since its start, by request class: sums that can be subtracted.
+"""Sums over the request outcomes of one node since its start.
 
-Free of I/O. Loaded only if the node has a control link.
+The difference of two readings gives the sums for the time between them. Performs no I/O. Imported only if the
+node has a control link.
 """
 
 from __future__ import annotations
@@ -11,40 +12,40 @@
 from oakkeel.admission.types import Request
 from oakkeel.units import SECOND
 
-MAX_CLASSES = 16  # the first ones seen: a status message must fit a line
+MAX_CLASSES = 16  # only the first request classes are counted: a status message must fit in one line
 MIN_LATENCY_SECONDS = 1e-6  # the logarithm needs a positive number
 
 
 @dataclass(slots=True)
 class Moments:
-    """Count, sum and sum of squares of values."""
+    """Count, sum and sum of squares of a series of values."""
 
     count: float = 0.0
     total: float = 0.0
     squares: float = 0.0
 
     def add(self, value: float) -> None:
-        """Count one value."""
+        """Add one value to the series."""
         self.count += 1
         self.total += value
         self.squares += value * value
 
     def as_list(self) -> list[float]:
-        """Return the form of status messages: count, sum and sum of squares."""
+        """Return count, sum and sum of squares, the form used in status messages."""
         return [self.count, self.total, self.squares]
 
 
 class OutcomeCounters:
-    """Sums over answered requests."""
+    """Sums over answered requests: the earned weight of all, and the latencies of each request class."""
 
     def __init__(self, highest_weight: float) -> None:
-        """Start at zero; `highest_weight` is that of any request class, and the unit of earned weights."""
+        """Start at zero; `highest_weight`, that of any request class, is the unit of earned weights."""
         self.highest_weight = highest_weight or 1.0
         self.earned_weight = Moments()
-        self.latencies: dict[str, Moments] = {}  # logarithms of seconds until completed
+        self.latencies: dict[str, Moments] = {}  # by class name: logarithms of latencies in seconds
 
     def count(self, now: int, request: Request, class_name: str, completed: bool) -> None:
-        """Count one answer; a late one earns the part of its weight that its class gives."""
+        """Count one answer; a late one earns the part of its priority weight that its request class sets."""
         earned = 0.0
         if completed:
             request_class = request.request_class
