--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -1,4 +1,4 @@
-"""Responses of requests for their duplicates, in bounded memory: idempotency keys and shared reads."""
+"""Bounded cache of responses for duplicate requests: idempotency keys and shared reads."""
 
 from __future__ import annotations
 
@@ -12,40 +12,43 @@
 
 
 class NotADuplicateError(OakkeelError, RuntimeError):
-    """A request is to share a response, but duplicates no other request: a defect of this program."""
+    """A request that is no duplicate was to get a shared response: a defect of this program."""
 
 
 class KeyCheck(Enum):
-    """What the key of a request says about it before admission."""
+    """Result of the check of a request's key before admission."""
 
-    PERMITTED = "permitted"  # it has no key, a new one, or is a duplicate
-    MISMATCH = "mismatch"  # its idempotency key belongs to a request with another body
-    CACHE_FULL = "cache full"  # it must not run: its duplicates could not be recognized
+    PERMITTED = "permitted"  # the request has no key or a new key, or is a duplicate
+    MISMATCH = "mismatch"  # the idempotency key belongs to a request with another body
+    CACHE_FULL = "cache full"  # the request must not run: its duplicates could not be recognized
 
 
 class ResponseCache:
-    """Entries by request class, tenant and key; a later request replaces an expired one."""
+    """Entries by request class, tenant and key; a new request replaces the expired entry of its key."""
 
     def __init__(self, resource_limits: ResourceLimits, read_ttl: int) -> None:
-        """Make an empty cache; the result of a read may serve others for `read_ttl` nanoseconds."""
+        """Make an empty cache; the result of a read serves duplicates for `read_ttl` nanoseconds."""
         self.capacity = resource_limits.max_results
         self.read_ttl = read_ttl
         self.entries: dict[CacheKey, CachedResponse] = {}
 
     def check_key(self, request: NodeRequest, now: int) -> KeyCheck:
-        """Decide whether the key of a request permits to admit it, so that no effect happens twice.
+        """Check whether the key of a request permits its admission, so that no effect happens twice.
 
         Sets `is_duplicate` of the request. `now` is in nanoseconds of the monotonic clock.
         """
-        request.is_duplicate = self.find(request, now)
+        request.is_duplicate = self.find_original(request, now)
         if request.is_duplicate:
-            return KeyCheck.MISMATCH if self.key_mismatch(request) else KeyCheck.PERMITTED
+            return KeyCheck.MISMATCH if self.has_key_mismatch(request) else KeyCheck.PERMITTED
         if request.cache_key and request.request_class.at_most_once and not self.make_room(now):
             return KeyCheck.CACHE_FULL
         return KeyCheck.PERMITTED
 
-    def find(self, request: NodeRequest, now: int) -> bool:
-        """Return whether the request is a duplicate: it reached the machine before an entry expired."""
+    def find_original(self, request: NodeRequest, now: int) -> bool:
+        """Return whether the request reached the host while the entry of its key was valid.
+
+        If so, it is a duplicate, and its `duplicate_of` is set to that entry.
+        """
         entry = self.entries.get(request.cache_key) if request.cache_key else None
         if entry is None or now - request.queueing_delay >= entry.expires_at:
             return False
@@ -58,25 +61,25 @@
         request.duplicate_of = entry
         return True
 
-    def key_mismatch(self, request: NodeRequest) -> bool:
-        """Return whether a duplicate has the key of another request, but a different body.
+    def has_key_mismatch(self, request: NodeRequest) -> bool:
+        """Return whether a duplicate has the key of the original request, but a different body.
 
-        It must neither get the result of the other request nor run, which could be a second effect.
+        Such a request must neither get the result of the original nor run: a run could have a second effect.
         """
         original = request.duplicate_of
         return original is not None and original.at_most_once and original.digest != body_digest(request.body)
 
     def share(self, request: NodeRequest) -> None:
-        """Give a duplicate the response of the request that `find` found, now or when it is there."""
+        """Give a duplicate the response of its original request, at once or when the original finishes."""
         original = request.duplicate_of
         if original is None:
             raise NotADuplicateError(f"the request {request.request_id!r} is no duplicate")
         original.add_follower(request)
 
     def make_room(self, now: int) -> bool:
-        """Evict expired entries, then a read's, if the cache is full; return whether another key fits.
+        """If the cache is full, evict expired entries, then the entry of one read; return whether a key fits.
 
-        An idempotency key that is valid is never evicted: its duplicate would run a second time.
+        A valid idempotency key is never evicted: a duplicate would run a second time.
         """
         if len(self.entries) < self.capacity:
             return True
@@ -88,19 +91,19 @@
         return len(self.entries) < self.capacity
 
     def retain(self, request: NodeRequest, now: int, duration: int) -> None:
-        """Make an entry for a request with a key; `duration` in nanoseconds."""
+        """Make an entry that is valid for `duration` nanoseconds, if the request has a key."""
         if request.cache_key is None:
-            return  # its duplicates can't be recognized
+            return  # duplicates can't be recognized without a key
         self.make_room(now)
         request.cache_entry = self.entries[request.cache_key] = CachedResponse(
             request.cache_key, request, request.body, now, duration, self.entries.get(request.cache_key)
         )
 
     def release(self, request: NodeRequest) -> None:
-        """Drop the entry of a request that never ran and never will.
+        """Drop the entry of a request that has not run and will not run.
 
-        The entry that it replaced is restored: that request may have run, and duplicates of it may still be
-        unread, or have become followers of this one.
+        An at-most-once entry that it replaced is restored: the request of that entry may have run, and its
+        duplicates may still be unread or may be followers of the dropped entry.
         """
         entry = request.cache_entry
         if entry is None:
@@ -115,14 +118,14 @@
 
     @staticmethod
     def _move_followers(entry: CachedResponse, previous: CachedResponse) -> None:
-        """Move the followers that arrived before the previous entry expired: they are its duplicates."""
+        """Move the followers that arrived before `previous` expired: they are duplicates of its request."""
         for follower in entry.followers[:]:
             if follower.arrived_at - follower.queueing_delay < previous.expires_at:
                 entry.followers.remove(follower)
                 previous.add_follower(follower)
 
     def finish(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
-        """Set the outcome of a request, if it has an entry."""
+        """Store the outcome and the result of a request in its entry, if there is one."""
         if request.cache_entry is not None:
             request.cache_entry.finish(outcome, result)
 
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -1,4 +1,4 @@
-"""Duplicate requests: the response cache, and the same over sockets."""
+"""Duplicate requests, in the response cache alone and in a node process over sockets."""
 
 import unittest
 from dataclasses import replace
@@ -13,302 +13,312 @@
 from tests.support.node_process import NodeProcessTest
 from tests.support.node_request import RESOURCE_LIMITS, node_request
 
-ONCE = replace(GROUP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window=SECOND)
-KEY = (0, b"hall", b"k1")
+AT_MOST_ONCE_CLASS = replace(GROUP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window=SECOND)
+CACHE_KEY = (0, b"hall", b"k1")
 NOW = 100 * SECOND
 
 
-def one(**fields):
-    return node_request(**{**{"request_class": ONCE, "cache_key": KEY, "body": b"two seats"}, **fields})
+def keyed_request(**fields):
+    return node_request(
+        **{**{"request_class": AT_MOST_ONCE_CLASS, "cache_key": CACHE_KEY, "body": b"two seats"}, **fields}
+    )
 
 
 class ResponseCacheWindowTest(unittest.TestCase):
     def setUp(self) -> None:
         self.response_cache = ResponseCache(RESOURCE_LIMITS, 0)
 
-    def remembered(self, now: int = NOW, **fields):
-        request = one(**fields)
+    def retain_request(self, now: int = NOW, **fields):
+        request = keyed_request(**fields)
         self.response_cache.retain(request, now, SECOND)
         return request
 
     def test_the_window_counts_from_arrival_to_arrival_not_from_reading(self):
-        self.remembered(queueing_delay=300 * MS)  # it arrived at 99.7 s
-        self.assertTrue(self.response_cache.find(one(), NOW + 699 * MS))
-        self.assertFalse(self.response_cache.find(one(), NOW + 700 * MS))  # it would get an earlier result
-        self.assertTrue(self.response_cache.find(one(queueing_delay=5 * MS), NOW + 704 * MS))
+        self.retain_request(queueing_delay=300 * MS)  # arrived at 99.7 s
+        self.assertTrue(self.response_cache.find_original(keyed_request(), NOW + 699 * MS))
+        # A duplicate would get the result of a window that has ended.
+        self.assertFalse(self.response_cache.find_original(keyed_request(), NOW + 700 * MS))
+        self.assertTrue(
+            self.response_cache.find_original(keyed_request(queueing_delay=5 * MS), NOW + 704 * MS)
+        )
 
-    def test_a_window_shorter_than_the_run_ends_with_the_run_going_on(self):
-        self.remembered()
-        self.assertTrue(self.response_cache.find(one(), NOW + 999 * MS))
-        self.assertFalse(self.response_cache.find(one(), NOW + SECOND))
+    def test_a_window_shorter_than_the_run_ends_during_the_run(self):
+        self.retain_request()
+        self.assertTrue(self.response_cache.find_original(keyed_request(), NOW + 999 * MS))
+        self.assertFalse(self.response_cache.find_original(keyed_request(), NOW + SECOND))
 
     def test_the_request_read_first_runs_though_it_arrived_later(self):
-        self.remembered(queueing_delay=0)
-        self.assertTrue(self.response_cache.find(one(queueing_delay=500 * MS), NOW + MS))
+        self.retain_request(queueing_delay=0)
+        self.assertTrue(self.response_cache.find_original(keyed_request(queueing_delay=500 * MS), NOW + MS))
 
     def test_a_duplicate_that_arrived_in_time_is_recognized_in_a_full_cache(self):
-        # An entry whose window is over must not be evicted while a duplicate may still be unread.
+        # An entry whose window has ended must not be evicted while a duplicate may still be unread.
         cache = self.response_cache = ResponseCache(
             replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size), 0
         )
-        self.remembered()
+        self.retain_request()
         later = NOW + SECOND + 400 * MS
         self.assertFalse(cache.make_room(later))
-        self.assertTrue(cache.find(one(queueing_delay=500 * MS), later))
-        self.assertTrue(cache.make_room(NOW + SECOND + ONCE.client_timeout))
+        self.assertTrue(cache.find_original(keyed_request(queueing_delay=500 * MS), later))
+        self.assertTrue(cache.make_room(NOW + SECOND + AT_MOST_ONCE_CLASS.client_timeout))
 
-    def test_a_request_that_never_ran_restores_the_entry_of_the_one_that_did(self):
-        first = self.remembered()
+    def test_release_of_a_request_that_never_ran_restores_the_entry_of_the_earlier_request(self):
+        first = self.retain_request()
         self.response_cache.finish(first, Outcome.COMPLETED, b"first")
-        second = self.remembered(NOW + 1100 * MS)
+        second = self.retain_request(NOW + 1100 * MS)
         self.response_cache.release(second)
-        late = one(queueing_delay=300 * MS)  # it arrived at 100.9 s, within the window of the first
-        self.assertTrue(self.response_cache.find(late, NOW + 1200 * MS))
-        self.response_cache.share(late)
-        self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
+        late_request = keyed_request(queueing_delay=300 * MS)  # arrived at 100.9 s, in the first window
+        self.assertTrue(self.response_cache.find_original(late_request, NOW + 1200 * MS))
+        self.response_cache.share(late_request)
+        self.assertEqual(late_request.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
     def test_a_follower_of_a_request_that_never_ran_gets_the_earlier_result(self):
-        first = self.remembered()
-        second = self.remembered(NOW + 1100 * MS)
-        late, fresh = one(queueing_delay=300 * MS), one()
-        late.arrived_at = fresh.arrived_at = NOW + 1200 * MS
-        for each in (late, fresh):
-            self.assertTrue(self.response_cache.find(each, NOW + 1200 * MS))
+        first = self.retain_request()
+        second = self.retain_request(NOW + 1100 * MS)
+        late_request, fresh = keyed_request(queueing_delay=300 * MS), keyed_request()
+        late_request.arrived_at = fresh.arrived_at = NOW + 1200 * MS
+        for each in (late_request, fresh):
+            self.assertTrue(self.response_cache.find_original(each, NOW + 1200 * MS))
             self.response_cache.share(each)
         self.response_cache.release(second)
         self.assertEqual(fresh.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
-        self.assertFalse(late.events)
+        self.assertFalse(late_request.events)
         self.response_cache.finish(first, Outcome.COMPLETED, b"first")
-        self.assertEqual(late.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
+        self.assertEqual(late_request.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
 
-    def test_an_unfinished_entry_is_restored_after_two_that_never_ran(self):
-        first, second = self.remembered(), self.remembered(NOW + 1100 * MS)
-        third = self.remembered(NOW + 2200 * MS)
-        self.response_cache.release(second)  # in the middle: nothing changes
-        self.assertIs(self.response_cache.entries[KEY], third.cache_entry)
+    def test_releasing_an_entry_that_was_replaced_keeps_the_present_entry(self):
+        first, second = self.retain_request(), self.retain_request(NOW + 1100 * MS)
+        third = self.retain_request(NOW + 2200 * MS)
+        self.response_cache.release(second)  # the third has replaced its entry: nothing changes
+        self.assertIs(self.response_cache.entries[CACHE_KEY], third.cache_entry)
         self.response_cache.finish(first, Outcome.CANCELLED, b"")
         self.response_cache.finish(third, Outcome.COMPLETED, b"third")
-        self.assertTrue(self.response_cache.find(one(), NOW + 2300 * MS))
+        self.assertTrue(self.response_cache.find_original(keyed_request(), NOW + 2300 * MS))
 
 
 class CacheKeyTest(unittest.TestCase):
     def setUp(self) -> None:
         limits = FakeHost(
-            request_classes=[{"idempotency": effect} for effect in Idempotency], tenants=[1.0]
+            request_classes=[{"idempotency": idempotency} for idempotency in Idempotency], tenants=[1.0]
         ).limits
         self.reader = RequestReader(
-            limits, [effect.value for effect in Idempotency], ["hall"], RESOURCE_LIMITS
+            limits, [idempotency.value for idempotency in Idempotency], ["hall"], RESOURCE_LIMITS
         )
 
-    def read(self, effect: Idempotency, fields: bytes, body: bytes = b"b"):
-        words = [b"CALL", b"1", effect.value.encode(), b"req=9b1f03aa5c7e2d41,need=1," + fields, body]
+    def read(self, idempotency: Idempotency, fields: bytes, body: bytes = b"b"):
+        words = [b"CALL", b"1", idempotency.value.encode(), b"req=9b1f03aa5c7e2d41,need=1," + fields, body]
         return self.reader.read(1, words, None)
 
     def test_two_tenants_never_share_a_key_or_a_subject(self):
-        for effect, name in ((Idempotency.IDEMPOTENCY_KEY, b"opkey"), (Idempotency.IDEMPOTENT, b"subject")):
+        for idempotency, name in (
+            (Idempotency.IDEMPOTENCY_KEY, b"opkey"),
+            (Idempotency.IDEMPOTENT, b"subject"),
+        ):
             keys = {
-                self.read(effect, owner + name + b"=k1").cache_key
+                self.read(idempotency, owner + name + b"=k1").cache_key
                 for owner in (b"owner=hall,", b"owner=fete,", b"owner=,", b"owner=unheard-of,")
             }
             self.assertEqual(len(keys), 4)
 
     def test_non_idempotent_requests_with_one_subject_are_no_duplicates(self):
-        # The second must run, and not get the result of the first.
+        # The second request must run, and not get the result of the first.
         for fields in (b"subject=s", b"opkey=k"):
             request = self.read(Idempotency.NON_IDEMPOTENT, fields)
             self.assertEqual((request.cache_key, request.has_key), (None, False))
 
-    def test_the_field_of_another_kind_of_idempotency_is_no_key(self):
+    def test_the_key_field_of_another_idempotency_kind_is_ignored(self):
         self.assertIsNone(self.read(Idempotency.IDEMPOTENCY_KEY, b"subject=s").cache_key)
         self.assertIsNone(self.read(Idempotency.IDEMPOTENT, b"opkey=k").cache_key)
 
     def test_the_same_key_with_another_body_is_a_mismatch(self):
         cache = ResponseCache(RESOURCE_LIMITS, 0)
-        first = one()
+        first = keyed_request()
         cache.retain(first, NOW, SECOND)
         for body, mismatch in ((b"two seats", False), (b"nine seats", True), (b"", True)):
-            request = one(body=body)
-            self.assertTrue(cache.find(request, NOW))
-            self.assertEqual(cache.key_mismatch(request), mismatch)
+            request = keyed_request(body=body)
+            self.assertTrue(cache.find_original(request, NOW))
+            self.assertEqual(cache.has_key_mismatch(request), mismatch)
 
 
 class DuplicateRequestTest(NodeProcessTest):
     """Duplicates over sockets: `order` runs at most once in a window of 5 s."""
 
-    def order(self, dispatcher, key: str = "k1", body: bytes = b"two seats", **more) -> str:
-        return dispatcher.call("order", body, fields=f",opkey={key}" + more.pop("fields", ""), **more)
+    def send_order(self, dispatcher, key: str = "k1", body: bytes = b"two seats", **options) -> str:
+        return dispatcher.call("order", body, fields=f",opkey={key}" + options.pop("fields", ""), **options)
 
-    def runs(self, request_id: str) -> None:
+    def assert_runs(self, request_id: str) -> None:
         self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
 
-    def seen(self, dispatcher) -> None:
-        """Wait until the node has read all that the dispatcher sent."""
+    def wait_until_read(self, dispatcher) -> None:
+        """Wait until the node has read everything that the dispatcher has sent."""
         dispatcher.send("CHECK", "99", "")
         self.assertEqual(dispatcher.answer()[0], 99)
 
-    def begun(self):
+    def begin_with_two_dispatchers(self):
         self.begin()
         return self.dispatcher(), self.dispatcher()
 
-    def filled(self) -> tuple:
-        """Occupy all cores, so that the next request is queued."""
-        dispatcher, other = self.begun()
-        busy = [dispatcher.call("pay") and self.engine.next()[1] for _ in range(4)]
-        return dispatcher, other, busy
-
-    def test_two_tenants_with_one_key_both_run_and_get_their_own_results(self):
-        one, two = self.begun()
-        first = self.order(one, fields=",owner=hall")
-        self.runs(first)
-        second = self.order(two, fields=",owner=fete")
-        self.runs(second)
+    def occupy_cores(self) -> tuple:
+        """Begin, and occupy all cores, so that the next request is queued."""
+        dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
+        running_ids = [dispatcher.call("pay") and self.engine.next()[1] for _ in range(4)]
+        return dispatcher, other_dispatcher, running_ids
+
+    def test_requests_of_two_tenants_with_one_key_both_run_and_get_their_own_results(self):
+        dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
+        first = self.send_order(dispatcher, fields=",owner=hall")
+        self.assert_runs(first)
+        second = self.send_order(other_dispatcher, fields=",owner=fete")
+        self.assert_runs(second)
         self.engine.done(second, body=b"for fete")
         self.engine.done(first, body=b"for hall")
-        self.assertEqual(one.answer()[1::2], (b"ok", b"for hall"))
-        self.assertEqual(two.answer()[1::2], (b"ok", b"for fete"))
-
-    def test_a_key_with_another_body_gets_no_result(self):
-        # A client that guesses a key must not get the result of another one's request.
-        one, two = self.begun()
-        first = self.order(one)
-        self.runs(first)
-        self.order(two, body=b"nine seats")
-        self.assertEqual(two.answer()[1::2], (b"fault", b""))
+        self.assertEqual(dispatcher.answer()[1::2], (b"ok", b"for hall"))
+        self.assertEqual(other_dispatcher.answer()[1::2], (b"ok", b"for fete"))
+
+    def test_a_request_with_a_known_key_and_another_body_gets_no_result(self):
+        # A client that guesses a key must not get the result of another client's request.
+        dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
+        first = self.send_order(dispatcher)
+        self.assert_runs(first)
+        self.send_order(other_dispatcher, body=b"nine seats")
+        self.assertEqual(other_dispatcher.answer()[1::2], (b"fault", b""))
         self.engine.done(first)
-        self.assertEqual(one.answer()[1], b"ok")
-        self.order(two, body=b"nine seats", tag=2)  # nor after the run
-        self.assertEqual(two.answer()[1::2], (b"fault", b""))
-        self.order(one, tag=2)
-        self.assertEqual(one.answer()[1::2], (b"ok", b"result"))
+        self.assertEqual(dispatcher.answer()[1], b"ok")
+        self.send_order(other_dispatcher, body=b"nine seats", tag=2)  # also rejected after the run
+        self.assertEqual(other_dispatcher.answer()[1::2], (b"fault", b""))
+        self.send_order(dispatcher, tag=2)
+        self.assertEqual(dispatcher.answer()[1::2], (b"ok", b"result"))
         self.assertTrue(self.engine.commands.empty())
 
     def test_a_request_that_the_engine_does_not_know_leaves_its_key_available(self):
-        # The engine does not know it, so nothing ran: the error must not stay for the window.
-        one, two = self.begun()
-        guessed = self.order(two)
-        self.runs(guessed)
-        self.engine.say(f"NO RUN {guessed}")
-        self.assertEqual(two.answer()[1], b"fault")
-        first = self.order(one)
-        self.runs(first)
+        # The engine does not know the request, so nothing ran: the error must not stay cached for the window.
+        dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
+        unknown_id = self.send_order(other_dispatcher)
+        self.assert_runs(unknown_id)
+        self.engine.say(f"NO RUN {unknown_id}")
+        self.assertEqual(other_dispatcher.answer()[1], b"fault")
+        first = self.send_order(dispatcher)
+        self.assert_runs(first)
         self.engine.done(first)
-        self.assertEqual(one.answer()[1], b"ok")
+        self.assertEqual(dispatcher.answer()[1], b"ok")
 
     def test_duplicates_of_a_queued_running_or_finished_request_share_one_run(self):
-        one, two, busy = self.filled()
-        first = self.order(one, tag=9)
-        self.seen(one)
-        self.order(two, tag=1, fields=",resent=1")  # while the first is queued
-        self.seen(two)
-        self.engine.done(busy[0])
-        self.runs(first)
-        self.order(two, tag=2, fields=",resent=1")  # while it runs
-        self.seen(two)
+        dispatcher, other_dispatcher, running_ids = self.occupy_cores()
+        first = self.send_order(dispatcher, tag=9)
+        self.wait_until_read(dispatcher)
+        self.send_order(other_dispatcher, tag=1, fields=",resent=1")  # while the first is queued
+        self.wait_until_read(other_dispatcher)
+        self.engine.done(running_ids[0])
+        self.assert_runs(first)
+        self.send_order(other_dispatcher, tag=2, fields=",resent=1")  # while the first runs
+        self.wait_until_read(other_dispatcher)
         self.engine.done(first, body=b"once")
-        self.order(two, tag=3, fields=",resent=1")  # just finished
-        answers = [two.answer()[::3] for _ in range(3)]
+        self.send_order(other_dispatcher, tag=3, fields=",resent=1")  # when the first has just finished
+        answers = [other_dispatcher.answer()[::3] for _ in range(3)]
         # The third may be read between the end of the run and the wake-up of the two followers.
         self.assertIn([tag for tag, _ in answers], ([1, 2, 3], [1, 3, 2], [3, 1, 2]))
         self.assertEqual([body for _, body in answers], [b"once"] * 3)
         self.assertTrue(self.engine.commands.empty())
 
     def test_two_duplicates_in_one_write_share_one_run(self):
-        one, _ = self.begun()
+        dispatcher, _ = self.begin_with_two_dispatchers()
         sent = []
-        one.socket = SimpleNamespace(sendall=sent.append, close=one.socket.close, real=one.socket)
-        first = self.order(one)
-        self.order(one)
-        one.socket.real.sendall(b"".join(sent))
-        self.runs(first)
+        dispatcher.socket = SimpleNamespace(
+            sendall=sent.append, close=dispatcher.socket.close, real=dispatcher.socket
+        )
+        first = self.send_order(dispatcher)
+        self.send_order(dispatcher)
+        dispatcher.socket.real.sendall(b"".join(sent))
+        self.assert_runs(first)
         self.engine.done(first, body=b"once")
-        self.assertEqual([one.answer()[::3] for _ in range(2)], [(1, b"once"), (2, b"once")])
+        self.assertEqual([dispatcher.answer()[::3] for _ in range(2)], [(1, b"once"), (2, b"once")])
         self.assertTrue(self.engine.commands.empty())
 
     def test_followers_of_a_request_cancelled_in_the_queue_are_rejected_with_retry_after(self):
-        # They must not fail as if it might have run.
-        one, two, busy = self.filled()
-        self.order(one, tag=9)
-        self.seen(one)
-        self.order(two, fields=",resent=1")
-        self.seen(two)
-        one.send("CANCEL", "9")
-        tag, word, fields, _ = two.answer()
+        # The followers must not fail, as the request can't have run.
+        dispatcher, other_dispatcher, running_ids = self.occupy_cores()
+        self.send_order(dispatcher, tag=9)
+        self.wait_until_read(dispatcher)
+        self.send_order(other_dispatcher, fields=",resent=1")
+        self.wait_until_read(other_dispatcher)
+        dispatcher.send("CANCEL", "9")
+        tag, word, fields, _ = other_dispatcher.answer()
         self.assertEqual((tag, word), (1, b"full"))
         self.assertIn(b"holdoff=", fields)
-        again = self.order(two, tag=2, fields=",resent=1")
-        self.engine.done(busy[0])
-        self.runs(again)
+        again = self.send_order(other_dispatcher, tag=2, fields=",resent=1")
+        self.engine.done(running_ids[0])
+        self.assert_runs(again)
 
     def test_followers_of_a_request_cancelled_while_running_fail(self):
-        one, two = self.begun()
-        first = self.order(one)
-        self.runs(first)
-        self.order(two, fields=",resent=1")
-        self.seen(two)
-        one.send("CANCEL", "1")
+        dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
+        first = self.send_order(dispatcher)
+        self.assert_runs(first)
+        self.send_order(other_dispatcher, fields=",resent=1")
+        self.wait_until_read(other_dispatcher)
+        dispatcher.send("CANCEL", "1")
         self.assertEqual(self.engine.next()[:2], ("HALT", first))
         self.engine.done(first, "interrupted", b"")
-        self.assertEqual(two.answer()[:2], (1, b"fault"))
-        self.order(two, tag=2, fields=",resent=1")  # it must not run again in the window
-        self.assertEqual(two.answer()[:2], (2, b"fault"))
+        self.assertEqual(other_dispatcher.answer()[:2], (1, b"fault"))
+        self.send_order(other_dispatcher, tag=2, fields=",resent=1")  # must not run again in the window
+        self.assertEqual(other_dispatcher.answer()[:2], (2, b"fault"))
         self.assertTrue(self.engine.commands.empty())
 
     def test_a_duplicate_of_a_failed_request_fails_and_does_not_run(self):
-        one, two = self.begun()
-        first = self.order(one, timeout=1500)
-        self.runs(first)
-        self.assertEqual(one.answer()[1], b"fault")
+        dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
+        first = self.send_order(dispatcher, timeout=1500)
+        self.assert_runs(first)
+        self.assertEqual(dispatcher.answer()[1], b"fault")
         self.assertEqual(self.engine.next()[:2], ("HALT", first))
-        self.order(two, timeout=400, fields=",resent=1")  # the run outlasts this request
-        self.assertEqual(two.answer()[1], b"fault")
+        self.send_order(other_dispatcher, timeout=400, fields=",resent=1")  # the run outlasts this request
+        self.assertEqual(other_dispatcher.answer()[1], b"fault")
         self.engine.done(first, "interrupted", b"")
-        self.order(two, tag=2, fields=",resent=1")
-        self.assertEqual(two.answer()[1], b"fault")
+        self.send_order(other_dispatcher, tag=2, fields=",resent=1")
+        self.assertEqual(other_dispatcher.answer()[1], b"fault")
         self.assertTrue(self.engine.commands.empty())
 
-    def test_a_request_after_the_window_runs_again_also_beside_the_first(self):
-        self.begin(settings=self.short_window())
-        one, two = self.dispatcher(), self.dispatcher()
-        first = self.order(one, age=100)  # sent 100 ms ago: the window of 1 ms is over
-        self.runs(first)
-        late = self.order(two)
-        self.runs(late)
-        self.engine.done(late, body=b"second")
+    def test_a_request_after_the_window_runs_even_if_the_first_still_runs(self):
+        self.begin(settings=self.short_window_settings())
+        dispatcher, other_dispatcher = self.dispatcher(), self.dispatcher()
+        first = self.send_order(dispatcher, age=100)  # sent 100 ms ago: the window of 1 ms is over
+        self.assert_runs(first)
+        late_request = self.send_order(other_dispatcher)
+        self.assert_runs(late_request)
+        self.engine.done(late_request, body=b"second")
         self.engine.done(first, body=b"first")
-        self.assertEqual(two.answer()[3], b"second")
-        self.assertEqual(one.answer()[3], b"first")
+        self.assertEqual(other_dispatcher.answer()[3], b"second")
+        self.assertEqual(dispatcher.answer()[3], b"first")
 
-    def short_window(self) -> dict:
-        told = self.settings()
-        told["classes"] = [{**each, "window": 1 * MS} for each in told["classes"]]
-        return told
+    def short_window_settings(self) -> dict:
+        settings = self.settings()
+        settings["classes"] = [{**each, "window": 1 * MS} for each in settings["classes"]]
+        return settings
 
-    def test_a_restarted_node_runs_a_duplicate(self):
-        one, _ = self.begun()
-        self.runs(self.order(one))
+    def test_a_duplicate_runs_after_a_restart_of_the_node(self):
+        dispatcher, _ = self.begin_with_two_dispatchers()
+        self.assert_runs(self.send_order(dispatcher))
         self.process.kill()
         self.process.wait()
         self.process.stderr.close()
         self.begin(listen=f"127.0.0.1:{self.port}", state="booting", age="1.0")
         self.engine.number = 0
-        two = self.dispatcher()
-        again = self.order(two, fields=",resent=1")
-        self.runs(again)
+        other_dispatcher = self.dispatcher()
+        again = self.send_order(other_dispatcher, fields=",resent=1")
+        self.assert_runs(again)
         self.engine.done(again)
-        self.assertEqual(two.answer()[1], b"ok")
+        self.assertEqual(other_dispatcher.answer()[1], b"ok")
 
     def test_a_full_cache_rejects_new_keys_and_recognizes_the_retained_ones(self):
         self.begin(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # a capacity of one key
-        one, two = self.dispatcher(), self.dispatcher()
-        first = self.order(one)
-        self.runs(first)
-        self.order(two, "k2")
-        _tag, word, fields, _ = two.answer()
+        dispatcher, other_dispatcher = self.dispatcher(), self.dispatcher()
+        first = self.send_order(dispatcher)
+        self.assert_runs(first)
+        self.send_order(other_dispatcher, "k2")
+        _tag, word, fields, _ = other_dispatcher.answer()
         self.assertEqual(word, b"full")
         self.assertIn(b"holdoff=", fields)
         self.engine.done(first)
-        self.order(two, tag=2, fields=",resent=1")
-        self.assertEqual(two.answer()[1], b"ok")
+        self.send_order(other_dispatcher, tag=2, fields=",resent=1")
+        self.assertEqual(other_dispatcher.answer()[1], b"ok")
 
 
 if __name__ == "__main__":
