--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -17,14 +17,14 @@
 MAX_FLOW_LEVELS = 2
 MAX_FLOW_WEIGHT = 1e6
 MAX_PORT = 65535
-HEXADECIMAL = 16
+HEX_BASE = 16
 
 
 class FairSharingSettings(NamedTuple):
     """The fair-sharing rules, and the file that keeps the shares across restarts."""
 
     rules: FairSharingRules | None
-    snapshot: str  # empty: none
+    snapshot: str  # path; empty for no snapshot
 
 
 NO_FAIR_SHARING = FairSharingSettings(None, "")
@@ -37,7 +37,7 @@
     name: str
     listen: Address
     engine: Address
-    lookup: Address
+    directory: Address
     catalogue: Address | None  # None at the last tier
     seed: int
     resource_limits: ResourceLimits
@@ -45,15 +45,18 @@
     gauges: list[str | None]
     class_names: list[str]
     tenant_names: list[str]
-    readiness: bool  # whether the directory follows its health
+    readiness: bool  # whether the directory is notified of changes of the node's health
     log_form: str  # console or json
-    control: str  # path of the control socket; empty: none
-    snapshot: str  # file that keeps fair shares across restarts; empty: none
+    control: str  # path of the control socket; empty for none
+    snapshot: str  # path of the file that keeps fair shares across restarts; empty for none
     generation: int  # set by the agent, reported on the control link
 
 
 def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
-    """Read the environment variables and the file that they name. Raises LimitsError, with one line."""
+    """Read the environment variables and the file that they name.
+
+    Raises LimitsError with a message of one line.
+    """
     document = _read_document(variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set"))
     settings = Settings(flatten({name: value for name, value in document.items() if name != "settings"}))
     node = Settings(flatten(document.get("settings") or {}))
@@ -65,7 +68,7 @@
             name=variables.get("PROXY_NAME") or settings.required("name"),
             listen=_address(variables.get("PROXY_LISTEN") or settings.required("listen")),
             engine=_address(settings.required("engine")),
-            lookup=_address(settings.required("lookup")),
+            directory=_address(settings.required("lookup")),
             catalogue=_address(settings.get("catalog", "")) if settings.get("catalog", "") else None,
             seed=_seed(document.get("seed", 0)),
             resource_limits=ResourceLimits(
@@ -90,7 +93,7 @@
 
 
 def _read_document(path: str) -> dict[str, Any]:
-    """Read the JSON object of a file."""
+    """Read a file that holds one JSON object."""
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
@@ -133,4 +136,4 @@
 
 def _seed(value: Any) -> int:
     """Return the seed of the random draws; a string is hexadecimal."""
-    return int(value, HEXADECIMAL) if isinstance(value, str) else int(value)
+    return int(value, HEX_BASE) if isinstance(value, str) else int(value)
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -1,4 +1,4 @@
-"""Fair sharing on a node: flow keys, the snapshot and the status. Loaded only if it is configured."""
+"""Fair sharing on a node: flow keys, snapshot and status. Imported only if fair sharing is configured."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from oakkeel.units import SECOND
 
 SNAPSHOT_INTERVAL_NS = 5 * SECOND
-MIN_RATE = 1e-9  # divisor for a flow without a certain rate
+MIN_RATE = 1e-9  # lowest divisor: the rate of a flow, a lower bound, can be 0
 
 
 class NodeFairSharing:
     """The fair-sharing state of one node, restored from its snapshot and written there."""
 
     def __init__(self, host: NodeHost, log: EventLog, rules: FairSharingRules, path: str) -> None:
-        """Read the snapshot at `path`; if that is empty, none is read or written."""
+        """Read the snapshot at `path`; with an empty path, no snapshot is read or written."""
         self.host = host
         self.log = log
         self.rules = rules
         self.path = path
-        self.restored = self._read()
-        self.secret = self.restored.secret if self.restored else os.urandom(SECRET_BYTES)
+        self.loaded_snapshot = self._read_snapshot()
+        self.secret = self.loaded_snapshot.secret if self.loaded_snapshot else os.urandom(SECRET_BYTES)
         self.keys = FlowKeys(self.secret, flow_fields(rules.levels))
         self.timer: asyncio.TimerHandle | None = None
 
-    def _read(self) -> persistence.FairSharingSnapshot | None:
+    def _read_snapshot(self) -> persistence.FairSharingSnapshot | None:
         if not self.path:
             return None
         try:
@@ -49,19 +49,23 @@
             self.log.warning("fair_sharing_snapshot_quarantined", reason=str(error), file=quarantined)
         return None
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Restore the snapshot; call it once, when the admission controller has started."""
-        fair = self.host.admission.fair_sharing
-        if self.restored and fair:
+        fair_sharing = self.host.admission.fair_sharing
+        if self.loaded_snapshot and fair_sharing:
             persistence.restore_snapshot(
-                self.restored, time.monotonic_ns(), time.time_ns(), fair.shares, fair.reservations
+                self.loaded_snapshot,
+                time.monotonic_ns(),
+                time.time_ns(),
+                fair_sharing.shares,
+                fair_sharing.reservations,
             )
             self.log.info(
                 "fair_sharing_snapshot_restored",
-                flows=len(fair.shares.tables[-1].flows),
-                reservations=fair.reservations.open_count,
+                flows=len(fair_sharing.shares.tables[-1].flows),
+                reservations=fair_sharing.reservations.open_count,
             )
-        self.restored = None
+        self.loaded_snapshot = None
         if self.path:
             self._write_periodically()
 
@@ -72,9 +76,9 @@
         )
 
     def write_snapshot(self) -> None:
-        """Write the snapshot, if it has a path and admission has started."""
-        fair = self.host.admission.fair_sharing if self.host.is_started else None
-        if not self.path or fair is None:
+        """Write the snapshot, if a path is configured and admission has started."""
+        fair_sharing = self.host.admission.fair_sharing if self.host.is_started else None
+        if not self.path or fair_sharing is None:
             return
         try:
             snapshot_file.write(
@@ -84,15 +88,15 @@
                     time.time_ns(),
                     self.rules.levels,
                     self.secret,
-                    fair.shares,
-                    fair.reservations,
+                    fair_sharing.shares,
+                    fair_sharing.reservations,
                 ),
             )
         except OSError as error:
             self.log.error("fair_sharing_snapshot_write_failed", error=str(error))
 
-    def end(self) -> None:
-        """Write the snapshot for the last time."""
+    def stop(self) -> None:
+        """Stop the periodic writes and write the snapshot for the last time."""
         if self.timer:
             self.timer.cancel()
         self.write_snapshot()
@@ -111,13 +115,13 @@
         self.log.info("flow_weights_reloaded", weights=len(rules.weights))
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
-        """Return the heaviest clients of now, `limit` at most, of the innermost level."""
-        fair = self.host.admission.fair_sharing
+        """Return the at most `limit` heaviest clients of the innermost level at present."""
+        fair_sharing = self.host.admission.fair_sharing
         now = time.monotonic_ns()
-        if fair is None:
+        if fair_sharing is None:
             return ClientsStatus(tag, list(self.rules.levels))
-        table = fair.shares.tables[-1]
-        reservations = fair.reservations
+        table = fair_sharing.shares.tables[-1]
+        reservations = fair_sharing.reservations
         total = table.total_rate(now) or 1.0
         heaviest = sorted(table.flows.values(), key=lambda flow: -table.rate(now, flow))[:limit]
         return ClientsStatus(
@@ -132,7 +136,7 @@
             reservations_expired=reservations.expired_count,
             clients=[
                 ClientUsage(
-                    name=_path(flow),
+                    name=_flow_path(flow),
                     demand=table.rate(now, flow) / total,
                     retries=table.retry_rate(now, flow) / total,
                     fair_fraction=min(1.0, flow.allowed_rate / max(MIN_RATE, table.rate(now, flow))),
@@ -142,6 +146,6 @@
         )
 
 
-def _path(flow: Flow) -> str:
-    outer = _path(flow.parent) + "/" if flow.parent else ""
+def _flow_path(flow: Flow) -> str:
+    outer = _flow_path(flow.parent) + "/" if flow.parent else ""
     return outer + flow.label.decode(errors="replace")
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -61,7 +61,9 @@
         self.pending_engine: PendingEngine | None = None
         self.done = asyncio.Event()
         self.listener = Listener(configuration.listen, self.pool, resource_limits, self, self.log)
-        self.directory_reporter = DirectoryReporter(configuration.lookup, configuration.name, resource_limits)
+        self.directory_reporter = DirectoryReporter(
+            configuration.directory, configuration.name, resource_limits
+        )
         self.engine = EngineLink(configuration.engine, self.pool, resource_limits, self.log, self._engine_up)
         self.catalogue = Catalogue(configuration.catalogue, self.pool, resource_limits, self.log)
         self.response_cache = ResponseCache(resource_limits, configuration.limits.cache_ttl)
@@ -121,7 +123,7 @@
         serving.cancel()
         self.directory_reporter.close()
         if self.fair_sharing:
-            self.fair_sharing.end()
+            self.fair_sharing.stop()
         if self.control:
             self.control.close()
         self.log.info("metrics", **self._metric_fields())
@@ -138,7 +140,7 @@
         self.directory_reporter.start()
         flow_keys = None
         if self.fair_sharing:
-            self.fair_sharing.begin()
+            self.fair_sharing.start()
             flow_keys = self.fair_sharing.keys.flow_keys
         self.reader = RequestReader(
             self.configuration.limits,
@@ -164,7 +166,7 @@
             return
         self.engine.move(configuration.engine)
         self.catalogue.move(configuration.catalogue)
-        self.directory_reporter.move(configuration.lookup)
+        self.directory_reporter.move(configuration.directory)
         if self.fair_sharing:
             self.fair_sharing.reload(configuration.limits.fair_sharing)
         self.log.info("configuration_reloaded")
