--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -1,4 +1,4 @@
-"""The status that a node reports and the orders that it accepts. Loaded only if it has a control link."""
+"""The status that a node reports and the orders that it accepts. Imported only for a control link."""
 
 from __future__ import annotations
 
@@ -23,11 +23,13 @@
 
 
 class WrongGenerationError(OrderRefusedError):
-    """An order is for another process: the node was restarted since it was sent."""
+    """An order is for another generation: the node has restarted since the order was sent."""
 
-    def __init__(self, expected: int, own: int) -> None:
-        """Name the generation that the order is for and that of this process."""
-        super().__init__(f"the order is for generation {expected}, this is generation {own}")
+    def __init__(self, order_generation: int, own_generation: int) -> None:
+        """Name the generation of the order and the generation of this process in the message."""
+        super().__init__(
+            f"the order is for generation {order_generation}, this is generation {own_generation}"
+        )
 
 
 def open_control(node: NodeContext) -> ControlListener:
@@ -39,7 +41,7 @@
     """The `ControlTarget` of one node."""
 
     def __init__(self, node: NodeContext) -> None:
-        """Count the outcomes of the node's requests from now on."""
+        """Start to count the outcomes of the node's requests."""
         self.node = node
         self.started_at = time.monotonic_ns()
         weights = (
@@ -92,7 +94,7 @@
         return status
 
     def _add_admission(self, status: NodeStatus) -> None:
-        """Fill in what the admission controller counts."""
+        """Fill in the fields that the admission controller provides."""
         admission = self.node.host.admission
         status.stage = Stage(admission.overload.highest()).name
         status.shedding_threshold = round(admission.shedding.threshold, STATUS_DECIMALS)
@@ -112,7 +114,7 @@
         )
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
-        """Return the heaviest clients; none if fair sharing is off or has not started."""
+        """Return the heaviest clients; an empty list if fair sharing is off or has not started."""
         fair_sharing = self.node.fair_sharing
         if fair_sharing and self.node.host.is_started:
             return fair_sharing.clients_status(tag, limit)
@@ -139,6 +141,6 @@
         self.node.drain.cancel()
 
     def _check_generation(self, generation: int) -> None:
-        own = self.node.configuration.generation
-        if generation != own:
-            raise WrongGenerationError(generation, own)
+        own_generation = self.node.configuration.generation
+        if generation != own_generation:
+            raise WrongGenerationError(generation, own_generation)
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -16,11 +16,11 @@
 
 
 class DrainState(Enum):
-    """States of a drain; only `Drain._set_state` changes it."""
+    """States of a drain; only `Drain._set_state` changes the state."""
 
     SERVING = "serving"  # no drain is in progress
     GRACE = "grace"  # new connections are still served
-    EMPTYING = "emptying"  # none are accepted; what was read is answered
+    EMPTYING = "emptying"  # no connections are accepted; requests that were read are answered
     ENDED = "ended"
 
 
@@ -37,7 +37,7 @@
 
 
 class DrainContext(Protocol):
-    """The node, as its drain sees it."""
+    """The attributes and methods of a node that its drain uses."""
 
     listener: Listener
     directory_reporter: DirectoryReporter
@@ -46,8 +46,8 @@
     resource_limits: ResourceLimits
     done: asyncio.Event
 
-    def drain_cancelled(self) -> None:
-        """Serve again."""
+    def resume_serving(self) -> None:
+        """Serve again after a cancelled drain."""
 
 
 class Drain:
@@ -63,9 +63,9 @@
         self.grace = grace
         self.stop_after = stop_after
         self.state = DrainState.SERVING
-        self.final = False  # started by SIGTERM, which nothing cancels
+        self.is_final = False  # started by SIGTERM: the drain can't be cancelled
         self.task: asyncio.Task[None] | None = None
-        self.deadline_timer: asyncio.TimerHandle | None = None  # ends what is left just before the stop
+        self.deadline_timer: asyncio.TimerHandle | None = None  # closes the remaining connections
 
     @property
     def is_started(self) -> bool:
@@ -73,32 +73,32 @@
         return self.state is not DrainState.SERVING
 
     def start(self, timeout: int) -> None:
-        """Start a drain on an order, unless one is in progress; `cancel` reverts it.
+        """Start a drain on an order, unless a drain is in progress; `cancel` reverts it.
 
-        `timeout` is the nanoseconds until the process may be killed; 0: `stop_after`, as after SIGTERM.
+        The process may be killed `timeout` nanoseconds later; 0 stands for `stop_after`, as after SIGTERM.
         """
         if not self.is_started:
-            self._begin("order", timeout or self.stop_after)
+            self._start("order", timeout or self.stop_after)
 
     def start_final(self) -> None:
-        """Drain after SIGTERM: nothing cancels it, as the platform kills the process at `stop_after`."""
-        if self.final:
+        """Start a drain after SIGTERM: it can't be cancelled, as the platform kills the process later."""
+        if self.is_final:
             return
-        self.final = True
+        self.is_final = True
         if self.is_started:  # the order may have allowed more time
             self._set_deadline(self.stop_after)
             self._notify_admission(self.stop_after)
             return
-        self._begin("signal", self.stop_after)
+        self._start("signal", self.stop_after)
 
     def cancel(self) -> None:
-        """Cancel the drain and serve again; without a drain, do nothing.
+        """Cancel the drain and serve again; does nothing without a drain.
 
         Raises `DrainNotCancelledError` if the drain is final or has ended, or the node can't listen again.
         """
         if not self.is_started:
             return
-        if self.final:
+        if self.is_final:
             raise DrainNotCancelledError("the drain is final: the node stops after SIGTERM")
         if self.state is DrainState.ENDED:
             raise DrainNotCancelledError("the drain has ended")
@@ -114,10 +114,10 @@
         self._set_state(DrainState.SERVING)
         self._notify_admission(None)
         node.directory_reporter.set_accepting(True)
-        node.drain_cancelled()
+        node.resume_serving()
         node.log.info("drain_cancelled")
 
-    def _begin(self, cause: str, time_left: int) -> None:
+    def _start(self, cause: str, time_left: int) -> None:
         """Start the drain; `cause` is logged: `signal` or `order`."""
         self.node.log.info("drain_started", cause=cause, time_left_s=round(time_left / SECOND, 1))
         self._set_state(DrainState.GRACE)
@@ -125,7 +125,7 @@
         self.task = asyncio.ensure_future(self._drain(time_left))
 
     async def _drain(self, time_left: int) -> None:
-        """End once each request that was read is answered and every dispatcher has closed its connections."""
+        """End the drain once all requests that were read are answered and all connections are closed."""
         node = self.node
         node.directory_reporter.set_accepting(False)
         if node.host.is_started:
@@ -135,14 +135,14 @@
         self._set_state(DrainState.EMPTYING)
         await node.listener.close()
         node.listener.drain_connections()
-        await node.listener.wait_closed()  # each ends only when its answers are sent
+        await node.listener.wait_closed()  # a connection closes only after its answers are sent
         self._set_state(DrainState.ENDED)
         if self.deadline_timer:
             self.deadline_timer.cancel()
         node.done.set()
 
     def _set_deadline(self, time_left: int) -> None:
-        """Close the remaining connections just before the stop.
+        """Set the timer that closes the remaining connections just before the stop.
 
         Some dispatchers neither close a connection nor read from it: without the deadline the process would
         wait for them until SIGKILL.
@@ -150,9 +150,9 @@
         if self.deadline_timer:
             self.deadline_timer.cancel()
         delay = max(0, time_left - self.node.resource_limits.stop_margin) / SECOND
-        self.deadline_timer = asyncio.get_running_loop().call_later(delay, self._close_rest)
+        self.deadline_timer = asyncio.get_running_loop().call_later(delay, self._close_remaining_connections)
 
-    def _close_rest(self) -> None:
+    def _close_remaining_connections(self) -> None:
         self.node.log.warning("drain_deadline_reached")
         self.node.listener.close_connections()
 
@@ -160,11 +160,11 @@
         try:
             if self.node.host.is_started:
                 self.node.host.notify(self.node.host.admission.drain, time_left)
-        except Exception as error:  # a defect there must not stop the drain
+        except Exception as error:  # a defect of the admission controller must not stop the drain
             self.node.log.error("drain_admission_notice_failed", error=describe_error(error))
 
     def _set_state(self, state: DrainState) -> None:
-        """Change the state; nothing else does."""
+        """Change the state; no other method assigns it after the construction."""
         if state not in TRANSITIONS[self.state]:
             raise InvalidTransitionError("a drain", self.state.value, state.value)
         self.state = state
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -151,7 +151,7 @@
         )
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
-    def drain_cancelled(self) -> None:
+    def resume_serving(self) -> None:
         """Serve again after a cancelled drain, with an engine that came up during it."""
         if pending := self.pending_engine:
             self.pending_engine = None
