--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -28,10 +28,10 @@
 
 
 class NodeHost:
-    """Carries out the verdicts of `AdmissionController`, and gives it the time, timers and gauges."""
+    """Carries out the verdicts of `AdmissionController`, and provides time, timers and gauges to it."""
 
     def __init__(self, configuration: NodeConfiguration, components: NodeComponents) -> None:
-        """Take the parts of the node; admission starts with the engine."""
+        """Take the components of the node; `start_admission` starts admission when the engine is up."""
         self.configuration = configuration
         self.engine = components.engine
         self.listener = components.listener
@@ -41,24 +41,24 @@
         self.log = components.log
         self.loop = asyncio.get_running_loop()
         self.gauges = Gauges()
-        self.gauges_read_at = 0  # nanoseconds of the monotonic clock; 0: never
-        self.healthy = True
-        self.load_report_value: float | None = None  # `NodeLimits.load_report` tells its meaning
-        self.schedule_pending = False
+        self.gauges_read_at = 0  # nanoseconds of the monotonic clock; 0 for never
+        self.is_healthy = True
+        self.load_report_value: float | None = None  # `NodeLimits.load_report` defines its meaning
+        self.is_schedule_pending = False
         self.timer_tasks: set[asyncio.Task[None]] = set()
-        self.admission: AdmissionController  # from `start_admission` on
+        self.admission: AdmissionController  # set by `start_admission`
         self.is_started = False
 
     def start_admission(self, cold: bool, age: int) -> None:
-        """Start the admission controller: the engine is up since `age` nanoseconds.
+        """Start the admission controller; the engine has been up for `age` nanoseconds.
 
-        A cold engine has just booted: the node is in slow start from its boot on.
+        A cold engine has just booted: slow start counts from the boot of the engine.
         """
         limits = self.configuration.limits
         limits.starts_cold = limits.starts_cold or cold
         self.is_started = True
         started_at = time.monotonic_ns() - (age if cold else 0)
-        # It passes back the requests that it was given, which are of the type NodeRequest.
+        # The controller passes back the requests that it was given, which are of the type NodeRequest.
         self.admission = AdmissionController(self, limits, self.configuration.seed, started_at)  # type: ignore[arg-type]
 
     def engine_restarted(self, cold: bool, age: int) -> None:
@@ -68,14 +68,14 @@
             self.admission.started = time.monotonic_ns() - age
 
     def notify(self, method: Callable[[int, *Arguments], None], *arguments: *Arguments) -> None:
-        """Call a method of the admission controller with the time; it schedules once a loop iteration."""
+        """Call a method of the admission controller with the time; schedule once per loop iteration."""
         method(time.monotonic_ns(), *arguments)
-        if not self.schedule_pending:
-            self.schedule_pending = True
+        if not self.is_schedule_pending:
+            self.is_schedule_pending = True
             self.loop.call_soon(self._schedule)
 
     def _schedule(self) -> None:
-        self.schedule_pending = False
+        self.is_schedule_pending = False
         try:
             self.admission.schedule(time.monotonic_ns())
         except Exception as error:  # a defect must not stop the node
@@ -84,13 +84,13 @@
     # Verdicts of the admission controller, for the handlers of the requests.
 
     def run(self, request: NodeRequest) -> None:
-        """Let the engine run the request."""
+        """Run the request in the engine."""
         request.post(StartRun())
 
     def reject(self, request: NodeRequest, final: bool, retry_after: int) -> None:
         """Answer that the request is not admitted.
 
-        `final`: no other node should be tried; `retry_after` in nanoseconds, 0 for no advice.
+        With `final`, no other node should be tried. `retry_after` is in nanoseconds; 0 for no advice.
         """
         request.post(RejectRequest(final, retry_after))
 
@@ -135,7 +135,7 @@
         task.add_done_callback(self.timer_tasks.discard)
 
     async def _read_gauges_and_notify(self, token: int) -> None:
-        """Pass a timer to the controller with fresh gauges, which it compares with the present runs."""
+        """Notify the controller of an expired timer, with fresh gauges to compare with the present runs."""
         try:
             reply = self.engine.maintain_and_ask_gauges()
             if reply:
@@ -150,7 +150,7 @@
             else:
                 self.metrics.gauges_missed += 1
             self.notify(self.admission.timer_expired, token, self.gauges)
-        except Exception as error:  # a defect must not stop the polls, which are timers as well
+        except Exception as error:  # a defect must not stop the polls, which timers drive as well
             self.log.error("timer_failed", error=describe_error(error))
             self.set_timer(token, time.monotonic_ns() + self.configuration.resource_limits.timer_retry_delay)
 
@@ -158,16 +158,16 @@
 
     def set_health(self, good: bool, stored: bool) -> None:
         """Set whether the node is healthy, for health checks and, with `readiness`, the directory."""
-        self.healthy = good
+        self.is_healthy = good
         if self.configuration.readiness:
             self.directory_reporter.set_accepting(good)
 
     def report_load(self, value: float) -> None:
-        """Report this value with each answer; `NodeLimits.load_report` tells its meaning."""
+        """Report this value with each answer; `NodeLimits.load_report` defines its meaning."""
         self.load_report_value = value
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Close connections that are idle for `timeout` nanoseconds, from now on; 0: none."""
+        """Set the time in nanoseconds after which idle connections are closed; 0 for never."""
         self.listener.set_idle_timeout(timeout)
 
     def note(self, text: str) -> None:
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -1,4 +1,4 @@
-"""A node with all of its parts: start, reload, drain and end."""
+"""The node process with all its components: start, reload, drain and shutdown."""
 
 from __future__ import annotations
 
@@ -41,15 +41,15 @@
     """An engine that came up while the node was draining."""
 
     cold: bool
-    age: int  # nanoseconds, when it came up
+    age: int  # nanoseconds since its boot, at `came_up_at`
     came_up_at: int  # nanoseconds of the monotonic clock
 
 
 class Node:
-    """The `ConnectionOwner` of all connections; starts and stops the parts in their order."""
+    """The `ConnectionOwner` of all connections; starts and stops the components in order."""
 
     def __init__(self, configuration: NodeConfiguration) -> None:
-        """Make the parts of a node; `run` starts them."""
+        """Make the components of a node; `run` starts them."""
         resource_limits = configuration.resource_limits
         self.configuration = configuration
         self.resource_limits = resource_limits
@@ -64,7 +64,9 @@
         self.directory_reporter = DirectoryReporter(
             configuration.directory, configuration.name, resource_limits
         )
-        self.engine = EngineLink(configuration.engine, self.pool, resource_limits, self.log, self._engine_up)
+        self.engine = EngineLink(
+            configuration.engine, self.pool, resource_limits, self.log, self._on_engine_up
+        )
         self.catalogue = Catalogue(configuration.catalogue, self.pool, resource_limits, self.log)
         self.response_cache = ResponseCache(resource_limits, configuration.limits.cache_ttl)
         components = NodeComponents(
@@ -86,7 +88,7 @@
         rules = self.configuration.limits.fair_sharing
         if not rules:
             return None
-        # A node without it must not load its libraries: they cost memory.
+        # A node without fair sharing must not import the libraries of this module: they cost memory.
         from oakkeel.node.fair_sharing import NodeFairSharing
 
         return NodeFairSharing(self.host, self.log, rules, self.configuration.snapshot)
@@ -94,33 +96,33 @@
     def _open_control(self) -> ControlListener | None:
         if not self.configuration.control:
             return None
-        # A node without it must not load its libraries: they cost memory.
+        # A node without a control link must not import the libraries of this module: they cost memory.
         from oakkeel.node.control_endpoint import open_control
 
         return open_control(self)
 
     async def run(self) -> None:
-        """Serve from the start to the end of the drain."""
+        """Serve until the end of the drain."""
         loop = asyncio.get_running_loop()
         self.log.capture_library_logs(loop)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        # Delivers a signal that came before there was an event loop.
+        # Unblocking delivers the signals that arrived before the event loop ran.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         self.listener.open()
         if self.control:
             self.control.open()
-        serving = asyncio.ensure_future(self.engine.serve())
+        engine_task = asyncio.ensure_future(self.engine.serve())
         loop.call_later(self.resource_limits.metrics_interval / SECOND, self._log_metrics)
         gc.collect()
-        gc.freeze()  # what is loaded now lives as long as the process
+        gc.freeze()  # the objects loaded so far live as long as the process
         host, port = self.listener.address
         self.log.info("listening", address=f"{host}:{port}")
         await self.done.wait()
-        # A further signal must not interrupt the end with an error code.
+        # A further signal must not end the process with an error code during the shutdown.
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-        serving.cancel()
+        engine_task.cancel()
         self.directory_reporter.close()
         if self.fair_sharing:
             self.fair_sharing.stop()
@@ -129,11 +131,11 @@
         self.log.info("metrics", **self._metric_fields())
         self.log.info("node_stopped")
 
-    def _engine_up(self, cold: bool, age: int) -> None:
+    def _on_engine_up(self, cold: bool, age: int) -> None:
         if self.host.is_started:
             self.host.engine_restarted(cold, age)
             return
-        if self.drain.is_started:  # no request is read, unless the drain is cancelled
+        if self.drain.is_started:  # requests are read again only if the drain is cancelled
             self.pending_engine = PendingEngine(cold, age, time.monotonic_ns())
             return
         self.host.start_admission(cold, age)
@@ -152,13 +154,13 @@
         self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
 
     def resume_serving(self) -> None:
-        """Serve again after a cancelled drain, with an engine that came up during it."""
+        """Serve again after a cancelled drain; use an engine that came up during the drain."""
         if pending := self.pending_engine:
             self.pending_engine = None
-            self._engine_up(pending.cold, pending.age + time.monotonic_ns() - pending.came_up_at)
+            self._on_engine_up(pending.cold, pending.age + time.monotonic_ns() - pending.came_up_at)
 
     def reload(self) -> None:
-        """Read the configuration again and use its engine, catalogue, directory and weights of flows."""
+        """Read the configuration again and apply its engine, catalogue, directory and flow weights."""
         try:
             configuration = read_configuration(os.environ)
         except (LimitsError, OSError) as error:
@@ -171,17 +173,17 @@
             self.fair_sharing.reload(configuration.limits.fair_sharing)
         self.log.info("configuration_reloaded")
 
-    # The `ConnectionOwner` of all connections.
+    # Methods of the `ConnectionOwner` of all connections.
 
     def request_received(self, request: NodeRequest) -> None:
-        """Start the handler of a request that was read."""
+        """Start the handler for a request that was read."""
         self.metrics.requests_read += 1
         task = asyncio.ensure_future(self.handler.handle(request))
         self.open_requests[request.request_id] = task
         task.add_done_callback(lambda _: self.open_requests.pop(request.request_id))
 
     def has_request(self, request_id: bytes) -> bool:
-        """Whether a request with this ID is open, or its run is."""
+        """Return whether a request with this ID or its run is open."""
         return request_id in self.open_requests
 
     def client_disconnected(self, request: NodeRequest) -> None:
@@ -191,11 +193,11 @@
             request.post(ClientDisconnected())
 
     def healthy(self) -> bool:
-        """Whether the node accepts requests, for health checks."""
-        return self.host.healthy and self.host.is_started and not self.drain.is_started
+        """Return whether the node accepts requests, for health checks."""
+        return self.host.is_healthy and self.host.is_started and not self.drain.is_started
 
     def load_report(self) -> float | None:
-        """Return the value of the load report; None before there is one."""
+        """Return the value of the load report; None before the first report."""
         return self.host.load_report_value
 
     def retry_after(self) -> int:
@@ -203,7 +205,7 @@
         return self.host.admission.retry_after() if self.host.is_started else 0
 
     def stop(self) -> None:
-        """Drain and stop after SIGTERM or SIGINT; a second call changes nothing."""
+        """Drain and stop after SIGTERM or SIGINT; a second call has no effect."""
         self.drain.start_final()
 
     # Metrics.
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -1,4 +1,4 @@
-"""The handler of requests: from the last byte of one to its one answer and the end of its run."""
+"""The request handler: takes a request from its last byte to its only answer and the end of its run."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class UnexpectedEventError(OakkeelError, RuntimeError):
-    """An event that does not fit the state of the request: a defect of this program."""
+    """An event does not fit the state of the request: a defect of this program."""
 
     def __init__(self, event: RequestEvent | RequestReleased, state: RequestState) -> None:
         """Name the event and the state in the message."""
@@ -44,7 +44,7 @@
     """Follows each request of a node from its last byte to its answer and the end of its run."""
 
     def __init__(self, host: NodeHost, components: NodeComponents) -> None:
-        """Take the parts that requests pass through."""
+        """Take the host and the components that requests pass through."""
         self.host = host
         self.engine = components.engine
         self.catalogue = components.catalogue
@@ -55,7 +55,7 @@
     async def handle(self, request: NodeRequest) -> None:
         """Pass one request to admission, run it, make its calls and answer it once."""
         try:
-            if self._key_permits(request):
+            if self._check_key(request):
                 self.host.notify(self.host.admission.arrive, request)
                 await self._follow(request)
         except Exception as error:  # a defect must not stop the node; the request is answered
@@ -73,8 +73,8 @@
             else:
                 self.response_cache.release(request)  # a duplicate of a request that never ran may run
 
-    def _key_permits(self, request: NodeRequest) -> bool:
-        """Look up the key of a request, and answer the request here if its key forbids a run."""
+    def _check_key(self, request: NodeRequest) -> bool:
+        """Return whether the key of a request permits its admission; if it does not, answer the request."""
         match self.response_cache.check_key(request, time.monotonic_ns()):
             case KeyCheck.MISMATCH:
                 request.connection.report_violation("idempotency_key_mismatch")
@@ -97,10 +97,10 @@
         elif isinstance(event, StartRun):
             self.engine.run(request)
             await self._follow_run(request)
-        # Otherwise it was rejected, or its client is gone.
+        # Otherwise the request was rejected, or its client has disconnected.
 
     async def _follow_run(self, request: NodeRequest) -> None:
-        """Make the calls that a run waits for, until the run is over."""
+        """Make the downstream calls that a run needs, until the run finishes."""
         event = await self._next_event(request)
         while isinstance(event, CallNeeded):
             self.host.notify(self.host.admission.call_needed, request)
@@ -110,7 +110,7 @@
         self._finish_run(request, event)
 
     async def _make_calls(self, request: NodeRequest, needed: CallNeeded) -> RequestEvent | RequestReleased:
-        """Place the call, retry it on a verdict to do so, or skip it; return the event after that."""
+        """Place the call, retry or skip it as the verdicts say, and return the next event of the run."""
         event = await self._next_event(request)
         while isinstance(event, PlaceCall):
             self.catalogue.fetch(request, event.deadline, needed.body)
@@ -146,25 +146,25 @@
             else:
                 return event
             if not request.awaits_answer:
-                self.catalogue.quit(request)  # nobody waits for the reply of its call
+                self.catalogue.quit(request)  # no client waits for the reply of the downstream call
 
     def _finish_run(self, request: NodeRequest, run: RunFinished) -> None:
         """Report a finished run to admission, keep its response and answer its request."""
-        # The engine starts no run of a request that was halted before. The controller counts that request as
-        # running: the outcome "never started" would leave it counted forever.
-        counted = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
-        self.host.notify(self.host.admission.run_finished, request, counted)
+        # The engine does not start the run of a request that was halted before. The controller counts such a
+        # request as running: the outcome "never started" would leave the request counted forever.
+        counted_outcome = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
+        self.host.notify(self.host.admission.run_finished, request, counted_outcome)
         if request.unknown_to_engine:
             request.connection.report_violation("request_id_unknown")
         if request.may_have_run:
-            self.response_cache.finish(request, counted, run.result)
+            self.response_cache.finish(request, counted_outcome, run.result)
         self._answer_run(request, run.outcome, run.result)
 
     def _answer_run(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
         if outcome is Outcome.COMPLETED:
             self._answer(request, codec.COMPLETED, result)
         elif outcome is Outcome.REJECTED:
-            self._reject(request)  # the original never ran, so neither did this one
+            self._reject(request)  # the original request never ran, so this duplicate did not run either
         else:
             self._answer(request, codec.FAILED)
 
@@ -181,8 +181,8 @@
     ) -> None:
         """Answer a request, unless it was answered or its client has disconnected.
 
-        `CommandHandler` answers the calls that never become a request: malformed, over a limit, or before the
-        node may take requests.
+        `CommandHandler` answers the calls that never become a request: those that are malformed, exceed a
+        limit or arrive before the node accepts requests.
         """
         if request.awaits_answer:
             request.awaits_answer = False
@@ -192,7 +192,7 @@
             request.connection.answer(request, status, body, final, retry_after)
 
     async def _clean_up(self, request: NodeRequest) -> None:
-        """After a defect, answer the request and follow its run to the end, so that its cores are counted."""
+        """Answer a request after a defect, and follow its run to the end, so that the cores are counted."""
         self._answer(request, codec.FAILED)
         try:
             self.host.notify(self.host.admission.client_disconnected, request)
