--- a/tests/node/test_log.py
+++ b/tests/node/test_log.py
@@ -1,4 +1,4 @@
-"""The limit of the log: how many lines a second, and which lines count as one."""
+"""The rate limit of the log: the lines per second, and the lines that count as repetitions."""
 
 import unittest
 
@@ -11,8 +11,8 @@
         self.now = 0
         self.limiter = LineLimiter(2, lambda: self.now)
 
-    def test_admits_one_line_a_second_whatever_the_request_id(self):
-        # A flood of bad requests has a new ID in each: it must not hide other events.
+    def test_admits_one_line_per_second_of_those_that_differ_only_in_the_request_id(self):
+        # Each request of a flood of malformed requests has a new ID: the flood must not hide other events.
         admitted = [
             self.limiter.admits("request_malformed", {"reason": "no class", "request_id": f"{number:016x}"})
             for number in range(9)
--- a/tests/node/test_request_handler.py
+++ b/tests/node/test_request_handler.py
@@ -14,19 +14,19 @@
 
 class RequestHandlerTest(unittest.IsolatedAsyncioTestCase):
     async def test_answers_a_request_after_an_internal_error_and_handles_the_next(self):
-        received = []
+        calls = []
 
-        class Parts:  # the host, the decisions, the engine, the catalogue and a connection in one
+        class FakeParts:  # stands for the host, the admission controller, the components and a connection
             def __getattr__(self, name):
-                return lambda *words: received.append((name, *words))
+                return lambda *arguments: calls.append((name, *arguments))
 
-            def notify(self, act, *words):
-                act(0, *words)
+            def notify(self, method, *arguments):
+                method(0, *arguments)
 
             def arrive(self, now, request):
                 raise RuntimeError("a defect")
 
-        parts = Parts()
+        parts = FakeParts()
         parts.admission = parts
         components = NodeComponents(
             engine=parts,
@@ -41,15 +41,15 @@
         for _ in range(2):
             request = node_request(connection=parts)
             await asyncio.wait_for(handler.handle(request), 5)
-            self.assertIn(("answer", request, b"fault", b"", False, 0), received)
+            self.assertIn(("answer", request, b"fault", b"", False, 0), calls)
 
     async def test_delivers_events_in_order(self):
         request = node_request()
         request.post(StartRun())
         request.post(CancelRun())
         self.assertEqual([await request.next_event(), await request.next_event()], [StartRun(), CancelRun()])
-        waiting = asyncio.ensure_future(request.next_event())
+        next_event = asyncio.ensure_future(request.next_event())
         await asyncio.sleep(0)
         request.post(ClientDisconnected())
-        self.assertEqual(await waiting, ClientDisconnected())
+        self.assertEqual(await next_event, ClientDisconnected())
         self.assertEqual(request.state, RequestState.READ)
