--- a/tests/node/test_dispatcher_connections.py
+++ b/tests/node/test_dispatcher_connections.py
@@ -1,4 +1,4 @@
-"""The connections of dispatchers, over sockets."""
+"""Connections of dispatchers to a node, over sockets."""
 
 import contextlib
 import socket
@@ -19,7 +19,7 @@
         dispatcher.send("CHECK", "8", "")
         self.assertEqual(dispatcher.answer()[:3], (8, b"yes", b"signal=1.0000"))
 
-    def test_before_its_engine_is_up_a_node_is_unhealthy_and_runs_nothing(self):
+    def test_a_node_is_unhealthy_and_rejects_requests_before_its_engine_is_up(self):
         self.begin(attach=False)
         dispatcher = self.dispatcher()
         dispatcher.send("CHECK", "8", "")
@@ -27,7 +27,7 @@
         dispatcher.call(tag=9)
         self.assertEqual(dispatcher.answer()[:2], (9, b"full"))
 
-    def test_a_node_whose_engine_has_just_booted_is_cold_since_then(self):
+    def test_the_slow_start_of_a_node_counts_from_the_boot_of_its_engine(self):
         self.begin(state="booting", age="2500.0")
         dispatcher, share = self.dispatcher(), 0.25
         while share == 0.25:  # until the first poll has read the clock
@@ -53,7 +53,7 @@
 
     def test_malformed_bytes_end_a_connection_after_its_answers(self):
         self.begin()
-        for garbage in (
+        for malformed in (
             b"GET / HTTP/1.1\r\n\r\n",
             b"*2\r\n$9999999\r\n",
             b"*2\r\n$-1\r\n",
@@ -61,72 +61,72 @@
             b"*1\r\n$8000\r\n" + b"x" * 9000,
         ):
             dispatcher = self.dispatcher()
-            ident = dispatcher.call()
+            request_id = dispatcher.call()
             self.engine.next()
-            dispatcher.socket.sendall(garbage)
+            dispatcher.socket.sendall(malformed)
             self.assertEqual(dispatcher.answer()[:2], (0, b"fault"))
-            self.engine.done(ident)
+            self.engine.done(request_id)
             self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
             with contextlib.suppress(ConnectionResetError):
                 self.assertEqual(dispatcher.next(), [])
 
-    def test_dispatchers_that_read_no_answers_delay_no_other_and_take_little_memory(self):
-        # A separate write for each answer takes 0.4 MB for each dispatcher that reads none.
+    def test_dispatchers_that_read_no_answers_do_not_delay_others_and_use_little_memory(self):
+        # A separate write for each answer takes 0.4 MB for each dispatcher that reads no answers.
         self.begin()
         checks = [encode(b"CHECK", b"%d" % number, b"") for number in range(1, 30_000)]
         for _ in range(60):
-            stuck = self.dispatcher()
-            stuck.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            stuck.socket.setblocking(False)
+            blocked_dispatcher = self.dispatcher()
+            blocked_dispatcher.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            blocked_dispatcher.socket.setblocking(False)
             with contextlib.suppress(BlockingIOError):
-                for at in range(0, len(checks), 500):
-                    part = b"".join(checks[at : at + 500])
-                    if stuck.socket.send(part) < len(part):
+                for offset in range(0, len(checks), 500):
+                    chunk = b"".join(checks[offset : offset + 500])
+                    if blocked_dispatcher.socket.send(chunk) < len(chunk):
                         break
-        other = self.dispatcher()
-        self.engine.done(other.call() and self.engine.next()[1])
-        self.assertEqual(other.answer()[1], b"ok")
+        other_dispatcher = self.dispatcher()
+        self.engine.done(other_dispatcher.call() and self.engine.next()[1])
+        self.assertEqual(other_dispatcher.answer()[1], b"ok")
         with open(f"/proc/{self.process.pid}/statm") as file:
             self.assertLess(int(file.read().split()[1]) * 4096, 36 * 2**20)
 
     def test_an_idle_connection_is_notified_before_it_is_closed(self):
-        dispatcher, ident = self.running()
-        self.engine.done(ident)
+        dispatcher, request_id = self.running()
+        self.engine.done(request_id)
         self.assertEqual(dispatcher.next()[:2], [b"1", b"ok"])
         self.assertEqual(dispatcher.next(), [b"0", b"last"])
-        ident = dispatcher.call()  # a request that crosses the notice is still served
+        request_id = dispatcher.call()  # a request that crosses the notice is still served
         self.engine.done(self.engine.next()[1])
         self.assertEqual(dispatcher.next()[:2], [b"2", b"ok"])
         self.assertEqual(dispatcher.next(), [])
 
-    def test_silent_connections_and_incomplete_arrays_are_closed_for_others(self):
-        # Connections that were never idle must not fill the limit for good.
+    def test_silent_connections_and_incomplete_arrays_are_closed_at_the_connection_limit(self):
+        # Connections that never became idle, as no request was read, must not occupy the limit forever.
         self.begin(limits={"cores": 1.0, "memory_mb": 192, "sockets": 140})
-        quiet = [self.dispatcher() for _ in range(70)]
-        quiet[-1].socket.sendall(b"*5\r\n$4\r\nCA")
+        silent_dispatchers = [self.dispatcher() for _ in range(70)]
+        silent_dispatchers[-1].socket.sendall(b"*5\r\n$4\r\nCA")
         self.engine.done(self.dispatcher().call() and self.engine.next()[1])  # the limit is reached
         start = time.monotonic()
-        for each in quiet:
+        for dispatcher in silent_dispatchers:
             with contextlib.suppress(ConnectionResetError):
-                self.assertEqual(each.next(), [])
+                self.assertEqual(dispatcher.next(), [])
         self.assertLess(time.monotonic() - start, 3)
 
-    def test_idle_connections_are_closed_for_new_ones(self):
+    def test_idle_connections_are_closed_to_accept_new_connections(self):
         self.begin(
             limits={"cores": 1.0, "memory_mb": 192, "sockets": 140}, settings=self.settings(idle=600 * 10**9)
         )
         for _ in range(60):
-            held = self.dispatcher()
-            self.engine.done(held.call() and self.engine.next()[1])
-            self.assertEqual(held.answer()[1], b"ok")
+            idle_dispatcher = self.dispatcher()
+            self.engine.done(idle_dispatcher.call() and self.engine.next()[1])
+            self.assertEqual(idle_dispatcher.answer()[1], b"ok")
 
     def test_the_id_of_an_open_request_is_rejected_and_the_first_is_unaffected(self):
-        # The second must not replace the first and get its result.
-        dispatcher, ident = self.running()
-        other = self.dispatcher()
-        other.send("CALL", "1", "quote", f"req={ident},need=1", b"another body")
-        self.assertEqual(other.answer()[:2], (1, b"fault"))
-        self.engine.done(ident)
+        # The second request must not replace the first request and get its result.
+        dispatcher, request_id = self.running()
+        other_dispatcher = self.dispatcher()
+        other_dispatcher.send("CALL", "1", "quote", f"req={request_id},need=1", b"another body")
+        self.assertEqual(other_dispatcher.answer()[:2], (1, b"fault"))
+        self.engine.done(request_id)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         self.assertTrue(self.engine.commands.empty())
 
@@ -160,57 +160,57 @@
 
     def test_a_connection_with_too_many_malformed_requests_is_not_read(self):
         self.begin()
-        for useless in ("unheard-of", "quote"):
+        for class_name in ("unheard-of", "quote"):
             dispatcher = self.dispatcher()
             for tag in range(1, 9):
-                ident = dispatcher.call(useless, tag=tag)
-                if useless == "quote":
-                    self.assertEqual(self.engine.next()[:2], ("RUN", ident))
-                    self.engine.say(f"NO RUN {ident}")
+                request_id = dispatcher.call(class_name, tag=tag)
+                if class_name == "quote":
+                    self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
+                    self.engine.say(f"NO RUN {request_id}")
                 self.assertEqual(dispatcher.answer()[:2], (tag, b"fault"))
             with contextlib.suppress(ConnectionResetError, BrokenPipeError):
                 dispatcher.call(tag=9)
                 while dispatcher.next():
                     pass
 
-    def test_open_requests_over_the_limit_are_rejected_and_the_rest_is_not_read(self):
+    def test_requests_over_the_limit_of_open_requests_are_rejected_and_later_requests_are_not_read(self):
         self.begin()
         dispatcher = self.dispatcher()
         for tag in range(1, 200):
             dispatcher.call(tag=tag)
-        said = []
+        messages = []
         with contextlib.suppress(ConnectionResetError):
             while words := dispatcher.next():
-                said.append(words)
-        self.assertIn([b"0", b"fault"], [words[:2] for words in said])
-        self.assertNotIn(b"199", [words[0] for words in said])
+                messages.append(words)
+        self.assertIn([b"0", b"fault"], [words[:2] for words in messages])
+        self.assertNotIn(b"199", [words[0] for words in messages])
 
-    def test_a_dispatcher_that_always_sends_does_not_delay_the_others(self):
+    def test_a_dispatcher_that_sends_without_pause_does_not_delay_the_others(self):
         self.begin()
-        flood, stop = self.dispatcher(), threading.Event()
+        sending_dispatcher, stop = self.dispatcher(), threading.Event()
 
-        def pour():
+        def send_cancels():
             with contextlib.suppress(OSError):
                 for first in range(1, 10**9, 500):
                     if stop.is_set():
                         return
-                    flood.socket.sendall(
+                    sending_dispatcher.socket.sendall(
                         b"".join(encode(b"CANCEL", b"%d" % tag) for tag in range(first, first + 500))
                     )
 
-        pouring = threading.Thread(target=pour)
-        pouring.start()
+        sender = threading.Thread(target=send_cancels)
+        sender.start()
         try:
-            other = self.dispatcher()
+            other_dispatcher = self.dispatcher()
             start = time.monotonic()
             for _ in range(20):
-                self.engine.done(other.call() and self.engine.next()[1])
-                self.assertEqual(other.answer()[1], b"ok")
+                self.engine.done(other_dispatcher.call() and self.engine.next()[1])
+                self.assertEqual(other_dispatcher.answer()[1], b"ok")
             self.assertLess(time.monotonic() - start, 5)
         finally:
             stop.set()
-            flood.socket.shutdown(socket.SHUT_RDWR)
-            pouring.join()
+            sending_dispatcher.socket.shutdown(socket.SHUT_RDWR)
+            sender.join()
 
 
 if __name__ == "__main__":
