--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""Reload, engine link and end of the program, over sockets."""
+"""Reload, engine link and shutdown of a node process, over sockets."""
 
 import signal
 import socket
@@ -12,124 +12,130 @@
 
 
 class ReloadTest(NodeProcessTest):
-    def test_a_new_configuration_is_used_with_nothing_lost(self):
+    def test_a_reload_uses_the_new_configuration_and_loses_no_request(self):
         # SIGHUP must not end the node.
-        dispatcher, ident, link = self.calling("card")
-        before = self.report().split()
-        old, _, _ = self.replace_parties()
+        dispatcher, request_id, link = self.calling("card")
+        report_before = self.report().split()
+        old_engine, _, _ = self.replace_parties()
         self.reload(self.told())
-        self.assertEqual(self.engine.attach(), 1)  # the last notice that was read
-        self.assertEqual(old.next(), ("END",))
-        self.assertEqual(self.report().split(), before)
-        link.say(f"{ident} DATA 3", b"old")  # a call in flight ends on its link
-        self.assertEqual(self.engine.next()[:2], ("FEED", ident))
-        again = dispatcher.call("card")
-        self.assertEqual(self.engine.next()[:2], ("RUN", again))
+        self.assertEqual(self.engine.attach(), 1)  # the number of the last notice that was read
+        self.assertEqual(old_engine.next(), ("END",))
+        self.assertEqual(self.report().split(), report_before)
+        link.say(f"{request_id} DATA 3", b"old")  # a call in flight finishes on its link
+        self.assertEqual(self.engine.next()[:2], ("FEED", request_id))
+        second_id = dispatcher.call("card")
+        self.assertEqual(self.engine.next()[:2], ("RUN", second_id))
         self.engine.number = 1
-        self.engine.need(again)
-        self.assertEqual(self.catalogue_link().next()[:2], ("FETCH", again))
-        self.engine.done(ident)
+        self.engine.need(second_id)
+        self.assertEqual(self.catalogue_link().next()[:2], ("FETCH", second_id))
+        self.engine.done(request_id)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
     def test_a_malformed_configuration_changes_nothing(self):
         self.begin()
-        for told in (
+        for configuration in (
             "{",
             "[]",
             self.told(engine="nowhere"),
             self.told(settings={**NODE_SETTINGS, "classes": []}),
         ):
-            self.reload(told)
+            self.reload(configuration)
             self.log("configuration_rejected")
         self.engine.done(self.dispatcher().call() and self.engine.next()[1])
 
-    def test_sighup_before_the_engine_is_up_and_in_a_drain_ends_nothing(self):
+    def test_sighup_before_the_engine_is_up_or_in_a_drain_does_not_end_the_node(self):
         self.begin(attach=False)
         self.replace_parties()
         self.reload(self.told())
         self.engine.attach()
         self.log("engine_ready")
         dispatcher = self.dispatcher()
-        ident = dispatcher.call()
-        self.assertEqual(self.engine.next()[:2], ("RUN", ident))
+        request_id = dispatcher.call()
+        self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
         self.process.send_signal(signal.SIGTERM)
         self.assertIn("cause=signal", self.log("drain_started"))
         self.replace_parties()
         self.reload(self.told())
         self.engine.attach()
-        self.engine.done(ident)
+        self.engine.done(request_id)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
 
 class EngineLinkTest(NodeProcessTest):
-    def test_a_lost_link_is_restored_with_nothing_lost_or_run_again(self):
+    def test_a_lost_link_is_restored_and_no_run_is_lost_or_repeated(self):
         self.begin()
         dispatcher = self.dispatcher()
-        ended, running = dispatcher.call(), dispatcher.call()
-        self.assertEqual({self.engine.next()[1], self.engine.next()[1]}, {ended, running})
-        self.engine.need(running)
+        finished_id, running_id = dispatcher.call(), dispatcher.call()
+        self.assertEqual({self.engine.next()[1], self.engine.next()[1]}, {finished_id, running_id})
+        self.engine.need(running_id)
         link = self.catalogue_link()
-        self.assertEqual(link.next()[:2], ("FETCH", running))
+        self.assertEqual(link.next()[:2], ("FETCH", running_id))
         self.engine.lose()
         self.assertEqual(self.engine.attach(answer=False), 1)
         # Missed notices precede the answer to the first STAT; only then are commands sent again.
         self.engine.say(f"HELLO steady {self.engine.age()}")
-        self.engine.say(f"NEED 1 {running} 4", b"call")
-        self.engine.done(ended)
+        self.engine.say(f"NEED 1 {running_id} 4", b"call")
+        self.engine.done(finished_id)
         barrier = self.engine.stream.readline().split()
         self.assertEqual(barrier[0], b"STAT")
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         self.engine.say(f"STATS {barrier[1].decode()} 0.1 0.0 0.1 1.0")
-        third = dispatcher.call()
+        third_id = dispatcher.call()
         while (line := self.engine.stream.readline().split())[0] == b"STAT":
             pass
-        self.assertEqual(line[:2], [b"RUN", third.encode()])
+        self.assertEqual(line[:2], [b"RUN", third_id.encode()])
         self.engine.stream.read(int(line[3]) + 2)
-        link.say(f"{running} DATA 5", b"reply")
+        link.say(f"{running_id} DATA 5", b"reply")
         while (line := self.engine.stream.readline().split())[0] == b"STAT":
             pass
-        self.assertEqual(line[:2], [b"FEED", running.encode()])
-        self.engine.done(running)
+        self.assertEqual(line[:2], [b"FEED", running_id.encode()])
+        self.engine.done(running_id)
         self.assertEqual(dispatcher.answer()[:2], (2, b"ok"))
 
-    def test_a_command_that_the_engine_never_read_is_sent_again(self):
+    def test_an_unconfirmed_run_command_is_sent_again_only_if_it_is_repeatable(self):
         self.begin()
         dispatcher = self.dispatcher()
-        read, unread = dispatcher.call(), dispatcher.call("pay")
+        repeatable_id, mutating_id = dispatcher.call(), dispatcher.call("pay")
         self.engine.next()
         self.engine.next()
         self.engine.lose()
         self.log("engine_link_lost")
-        late = dispatcher.call()
+        later_id = dispatcher.call()
         self.engine.attach()
-        # The link broke before the gauges proved that RUN was read. A repeatable one is sent again, to no
-        # effect where it runs; a mutating one may run already and is not.
-        self.assertEqual([self.engine.next()[:2] for _ in range(2)], [("RUN", read), ("RUN", late)])
-        self.engine.done(unread)
+        # The link broke before gauges confirmed that the RUN commands were read. The repeatable command is
+        # sent again, which has no effect if its run has started. The mutating command is not sent again, as
+        # its run may have started.
+        self.assertEqual(
+            [self.engine.next()[:2] for _ in range(2)], [("RUN", repeatable_id), ("RUN", later_id)]
+        )
+        self.engine.done(mutating_id)
         self.assertEqual(dispatcher.answer()[:2], (2, b"ok"))
 
     def test_a_lost_at_most_once_run_is_resolved_after_its_answer(self):
-        # Otherwise it counts as running forever, and four of them stop a node of four cores.
+        # An unresolved run counts as running forever, and four such runs block a node with four cores.
         self.begin()
         dispatcher = self.dispatcher()
-        idents = [dispatcher.call("pay", timeout=2500) for _ in range(4)]
-        for _ in idents:
+        request_ids = [dispatcher.call("pay", timeout=2500) for _ in range(4)]
+        for _ in request_ids:
             self.engine.next()
         self.engine.lose()
         self.engine.attach()
-        self.assertEqual([dispatcher.answer()[1] for _ in idents], [b"fault"] * 4)
-        asked = [self.engine.next()[:2] for _ in range(8)]
-        self.assertEqual({each for each in asked if each[0] == "HALT"}, {("HALT", ident) for ident in idents})
-        for verb, ident in asked:
+        self.assertEqual([dispatcher.answer()[1] for _ in request_ids], [b"fault"] * 4)
+        commands = [self.engine.next()[:2] for _ in range(8)]
+        self.assertEqual(
+            {command for command in commands if command[0] == "HALT"},
+            {("HALT", request_id) for request_id in request_ids},
+        )
+        for verb, request_id in commands:
             if verb == "RUN":
-                self.engine.done(ident, "nothing", b"")
+                self.engine.done(request_id, "nothing", b"")
         dispatcher = self.dispatcher()
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
-    def test_gauges_out_of_range_reconnect(self):
+    def test_gauges_out_of_range_make_the_node_reconnect(self):
         self.begin()
         self.engine.gauges = "nan 0.0 0.1 -3"
         self.log('engine_stream_malformed error="gauges')
@@ -139,15 +145,15 @@
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
-    def test_a_malformed_line_of_the_engine_reconnects(self):
-        dispatcher, ident = self.running("pay")
+    def test_a_malformed_line_of_the_engine_makes_the_node_reconnect(self):
+        dispatcher, request_id = self.running("pay")
         self.engine.say("DONE what is this")
         self.engine.attach()
-        self.engine.done(ident)
+        self.engine.done(request_id)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
 
-class NodeEndTest(NodeProcessTest):
+class ShutdownTest(NodeProcessTest):
     def test_a_node_whose_log_is_closed_keeps_serving(self):
         self.begin()
         self.process.stderr.close()
@@ -158,10 +164,10 @@
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (4, b"ok"))
 
-    def test_a_drain_answers_all_runs_nothing_after_the_grace_and_ends(self):
+    def test_a_drain_answers_every_request_starts_no_run_after_the_grace_and_ends(self):
         self.begin(settings=self.settings(readiness=False))
-        dispatcher, late = self.dispatcher(), self.dispatcher()
-        ident = dispatcher.call()
+        dispatcher, late_dispatcher = self.dispatcher(), self.dispatcher()
+        request_id = dispatcher.call()
         self.engine.next()
         self.assertEqual(self.report(), "PULSE n3 open")
         self.process.send_signal(signal.SIGTERM)
@@ -170,17 +176,17 @@
         while self.report() != "PULSE n3 closed":
             pass
         self.assertEqual(dispatcher.next(), [b"0", b"last"])
-        within = late.call()  # read in the grace: it runs
-        self.assertEqual(self.engine.next()[:2], ("RUN", within))
+        grace_id = late_dispatcher.call()  # a request that is read in the grace runs
+        self.assertEqual(self.engine.next()[:2], ("RUN", grace_id))
         until_refused(self.port)  # the grace of 0.3 s ends: the listening socket closes
-        late.call(tag=2)
-        self.assertEqual(late.answer()[:2], (2, b"full"))
-        self.engine.done(within)
-        self.engine.done(ident)
-        self.assertEqual(late.answer()[:2], (1, b"ok"))
+        late_dispatcher.call(tag=2)
+        self.assertEqual(late_dispatcher.answer()[:2], (2, b"full"))
+        self.engine.done(grace_id)
+        self.engine.done(request_id)
+        self.assertEqual(late_dispatcher.answer()[:2], (1, b"ok"))
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         dispatcher.close()
-        late.close()
+        late_dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertNotIn("drain_started", self.process.stderr.read())
 
@@ -192,14 +198,14 @@
         start = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(dispatcher.answer()[:2], (1, b"full"))
-        self.assertLess(time.monotonic() - start, 4)  # far less than the SLO time
+        self.assertLess(time.monotonic() - start, 4)  # far less than the latency objective
 
-    def test_a_node_draining_before_its_engine_is_up_ends_at_once(self):
+    def test_a_node_that_drains_before_its_engine_is_up_ends_at_once(self):
         self.begin(attach=False)
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_a_killed_node_starts_again_under_its_address(self):
+    def test_a_killed_node_starts_again_at_its_address(self):
         self.begin()
         self.engine.done(self.dispatcher().call() and self.engine.next()[1])
         self.process.kill()
@@ -211,10 +217,10 @@
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
-    def test_a_bad_configuration_is_one_plain_line_and_no_traceback(self):
-        taken = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(taken.close)
-        for told in (
+    def test_a_malformed_configuration_ends_the_start_with_one_line_and_no_traceback(self):
+        other_server = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(other_server.close)
+        for configuration in (
             None,
             "not json",
             "[]",
@@ -223,24 +229,24 @@
             self.told(limits={"sockets": "many", "memory_mb": 1}),
             self.told(settings={**NODE_SETTINGS, "classes": []}),
             self.told(settings={**NODE_SETTINGS, "obligations": {}}),
-            self.told(listen=f"127.0.0.1:{taken.getsockname()[1]}"),
+            self.told(listen=f"127.0.0.1:{other_server.getsockname()[1]}"),
         ):
-            ended = self.launch(told)
-            _, said = ended.communicate(timeout=WAIT)
-            self.assertEqual((ended.returncode, said.count("\n")), (2, 1), said)
-            self.assertTrue(said.startswith("oakkeel"), said)
+            process = self.launch(configuration)
+            _, errors = process.communicate(timeout=WAIT)
+            self.assertEqual((process.returncode, errors.count("\n")), (2, 1), errors)
+            self.assertTrue(errors.startswith("oakkeel"), errors)
 
-    def test_an_unreadable_configuration_is_named(self):
+    def test_an_unreadable_configuration_file_ends_the_start_with_one_line(self):
         import sys
 
-        ended = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "oakkeel"],
             env={"PROXY_CONFIG": "/nowhere/at/all"},
             capture_output=True,
             text=True,
             timeout=WAIT,
         )
-        self.assertEqual((ended.returncode, ended.stderr.count("\n")), (2, 1))
+        self.assertEqual((completed.returncode, completed.stderr.count("\n")), (2, 1))
 
 
 if __name__ == "__main__":
