--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -81,7 +81,7 @@
             self._start("order", timeout or self.stop_after)
 
     def start_final(self) -> None:
-        """Start a drain after SIGTERM: it can't be cancelled, as the platform kills the process later."""
+        """Start a final drain, after SIGTERM: the platform kills the process at `stop_after`."""
         if self.is_final:
             return
         self.is_final = True
@@ -164,7 +164,7 @@
             self.node.log.error("drain_admission_notice_failed", error=describe_error(error))
 
     def _set_state(self, state: DrainState) -> None:
-        """Change the state; no other method assigns it after the construction."""
+        """Change the state; no other method does so after the construction."""
         if state not in TRANSITIONS[self.state]:
             raise InvalidTransitionError("a drain", self.state.value, state.value)
         self.state = state
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -135,7 +135,7 @@
         if self.host.is_started:
             self.host.engine_restarted(cold, age)
             return
-        if self.drain.is_started:  # requests are read again only if the drain is cancelled
+        if self.drain.is_started:  # no request is read unless the drain is cancelled
             self.pending_engine = PendingEngine(cold, age, time.monotonic_ns())
             return
         self.host.start_admission(cold, age)
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -75,13 +75,13 @@
     def test_a_follower_of_a_request_that_never_ran_gets_the_earlier_result(self):
         first = self.retain_request()
         second = self.retain_request(NOW + 1100 * MS)
-        late_request, fresh = keyed_request(queueing_delay=300 * MS), keyed_request()
-        late_request.arrived_at = fresh.arrived_at = NOW + 1200 * MS
-        for each in (late_request, fresh):
-            self.assertTrue(self.response_cache.find_original(each, NOW + 1200 * MS))
-            self.response_cache.share(each)
+        late_request, new_request = keyed_request(queueing_delay=300 * MS), keyed_request()
+        late_request.arrived_at = new_request.arrived_at = NOW + 1200 * MS
+        for request in (late_request, new_request):
+            self.assertTrue(self.response_cache.find_original(request, NOW + 1200 * MS))
+            self.response_cache.share(request)
         self.response_cache.release(second)
-        self.assertEqual(fresh.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
+        self.assertEqual(new_request.events.popleft(), SharedResponse(Outcome.REJECTED, b""))
         self.assertFalse(late_request.events)
         self.response_cache.finish(first, Outcome.COMPLETED, b"first")
         self.assertEqual(late_request.events.popleft(), SharedResponse(Outcome.COMPLETED, b"first"))
