--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -107,8 +107,8 @@
         self.begin()
         dispatcher = self.dispatcher()
         dispatcher.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        fields = b"req=%016x,ts=%d,need=1,timeout=9000" % (7, time.time_ns() // MS)
-        data = encode(b"CALL", b"1", b"quote", fields, b"body")
+        sent_at = time.time_ns() // MS
+        data = encode(b"CALL", b"1", b"quote", b"req=%016x,ts=%d,need=1,timeout=9000" % (7, sent_at), b"body")
         for offset in range(len(data)):
             dispatcher.socket.sendall(data[offset : offset + 1])
         request_id = self.engine.next()[1]
