--- a/oakkeel/raft/log.py
+++ b/oakkeel/raft/log.py
@@ -42,7 +42,7 @@
         """`entries` follow the snapshot without a gap."""
         self.snapshot = snapshot
         self.entries = entries
-        # in order of the index; the first is that of the snapshot
+        # in order of the index; the first change is that of the snapshot
         self.membership_changes = [MembershipChange(snapshot.index, snapshot.members)]
         for index, entry in enumerate(entries, snapshot.index + 1):
             self._record_membership(index, entry)
@@ -64,7 +64,7 @@
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The members by the latest entry that names them, committed or not: it takes effect once stored."""
+        """The members by the latest entry that names them, which takes effect before it is committed."""
         return self.membership_changes[-1].members
 
     @property
@@ -92,7 +92,7 @@
         return self.entries[index - self.snapshot.index - 1]
 
     def batch_after(self, index: int) -> list[Entry]:
-        """Return the entries after an index, as many as fit one message."""
+        """Return the entries after an index that fit into one message."""
         batch: list[Entry] = []
         size = 0
         start = index - self.snapshot.index
--- a/oakkeel/raft/membership.py
+++ b/oakkeel/raft/membership.py
@@ -1,4 +1,4 @@
-"""Membership changes, one member at a time, as the leader decides them."""
+"""The leader's decisions on membership changes, one member at a time."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def next_membership(now: int, replica: ReplicaState, leader_state: LeaderState) -> list[Member] | None:
     """Return the members after the next change; None if none is needed or possible.
 
-    One member changes at a time, and the next change waits until this one is committed: two majorities always
-    have a voter in common. `now` is in monotonic nanoseconds.
+    One member changes at a time, and the next change waits until the previous one is committed, so that two
+    majorities always have a voter in common. `now` is in monotonic nanoseconds.
     """
     uncommitted = replica.log.members_index > replica.commit_index
     if uncommitted or not leader_state.has_committed(replica.commit_index):
@@ -96,9 +96,9 @@
 
 
 def _remove_member(replica: ReplicaState, desired: set[str]) -> list[Member] | None:
-    """Return the members without one that is not desired, the leader last.
+    """Return the members without an undesired member; the leader is removed last.
 
-    None is removed before all desired ones are voters.
+    No member is removed before all desired members are voters.
     """
     if not desired <= {member.name for member in replica.members if member.is_voter}:
         return None
--- a/oakkeel/raft/messages.py
+++ b/oakkeel/raft/messages.py
@@ -18,13 +18,13 @@
 class EntryKind(IntEnum):
     """The kind of content of a log entry."""
 
-    NO_OP = 0  # appended by a new leader: once it is committed, all earlier entries are
+    NO_OP = 0  # appended by a new leader: its commit also commits all earlier entries
     MEMBERS = 1
     COMMAND = 2
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """One incarnation of a replica: after the loss of its file it is another member of the same name."""
+    """One incarnation of a replica. A replica that lost its file becomes another member of the same name."""
 
     name: str
     incarnation: str
@@ -48,7 +48,7 @@
 
 
 class RecoveryRequest(msgspec.Struct, tag="hello", array_like=True):
-    """Asks which entry the sender, which has just started, had acknowledged before."""
+    """Asks for the last entry that the sender acknowledged before its start."""
 
     nonce: int  # drawn at each start
     empty: bool  # the file is new: the replica belongs to no cluster yet
@@ -76,7 +76,7 @@
 
 
 class VoteRequest(msgspec.Struct, tag="ballot", array_like=True):
-    """Asks for a vote; with `pre_vote` it asks whether the vote would be granted, and changes nothing."""
+    """Asks for a vote. A pre-vote asks whether the vote would be granted, and changes nothing."""
 
     term: int
     pre_vote: bool
@@ -93,14 +93,14 @@
 
 
 class AppendEntriesRequest(msgspec.Struct, tag="append", array_like=True):
-    """Entries that follow the entry at `previous_index`; without entries it is a heartbeat."""
+    """Entries that follow the entry at `previous_index`; a request without entries is a heartbeat."""
 
     term: int
     previous_index: int
     previous_term: int
     entries: list[Entry]
     commit_index: int
-    sent_at: int  # by the leader's clock; the response repeats it
+    sent_at: int  # by the leader's clock; repeated in the response
     acknowledgements: list[Acknowledgement]  # of each member
 
 
@@ -109,7 +109,7 @@
 
     term: int
     success: bool
-    index: int  # with success of the last stored entry, else of the entry to retry after
+    index: int  # on success, of the last stored entry; else, of the entry to retry after
     sent_at: int
 
 
--- a/oakkeel/raft/proposals.py
+++ b/oakkeel/raft/proposals.py
@@ -13,7 +13,7 @@
 
     PENDING = "pending"
     COMMITTED = "committed"
-    UNKNOWN = "unknown"  # its leader stepped down: the next one may still commit it
+    UNKNOWN = "unknown"  # its leader stepped down: the next leader may still commit it
 
 
 @dataclass(slots=True, eq=False)
@@ -25,13 +25,13 @@
     result: object = None  # returned by the state machine, once the command is committed
 
 
-# Reasons of a replica that leads, and yet can't take a proposal or answer a read.
+# Reasons why a leader can't take a proposal or answer a read.
 LEASE_EXPIRED_REASON = "this replica leads, but its lease has expired"
 NOTHING_COMMITTED_REASON = "this replica leads, but has committed nothing in its term yet"
 
 
 class NotLeaderError(OakkeelError, ValueError):
-    """The replica can't take a proposal. `leader` is the leader that it knows, or empty."""
+    """The replica can't take a proposal. `leader` names the leader; empty if none is known."""
 
     def __init__(self, leader: str, reason: str = "") -> None:
         """`reason` replaces the default message."""
--- a/oakkeel/raft/roles.py
+++ b/oakkeel/raft/roles.py
@@ -6,14 +6,14 @@
 
 
 class Role(Enum):
-    """The role of a replica; operators see the values. Only `ReplicaState.change_role` sets it."""
+    """The role of a replica. Operators see the values. Only `ReplicaState.change_role` sets it."""
 
-    RECOVERING = "joining"  # it does not know yet what it acknowledged before, or its cluster
+    RECOVERING = "joining"  # does not know its cluster yet, or its last acknowledged entry
     FOLLOWER = "following"
     PRE_CANDIDATE = "asking"  # in a pre-vote
     CANDIDATE = "standing"
     LEADER = "leading"
-    STALE = "outdated"  # its file is an older copy: others know of entries that it lost
+    STALE = "outdated"  # its file is an older copy, without entries that it acknowledged
 
 
 TRANSITIONS = {
--- a/oakkeel/raft/timeouts.py
+++ b/oakkeel/raft/timeouts.py
@@ -17,18 +17,18 @@
     heartbeat_interval_ns: int = 80 * MS
     # A replica grants no vote for this long after the last message of a leader.
     min_election_timeout_ns: int = 500 * MS
-    max_election_timeout_ns: int = 1000 * MS  # each election timeout is drawn between the two
-    max_clock_drift_ratio: float = 0.04  # by which the rates of two clocks may differ
+    max_election_timeout_ns: int = 1000 * MS  # an election timeout is drawn between the minimum and this
+    max_clock_drift_ratio: float = 0.04  # maximum deviation of a clock's rate from real time
     recovery_interval_ns: int = 200 * MS  # between two recovery requests of a replica
-    max_recovery_wait_ns: int = 700 * MS  # for all voters; after it a majority is enough
+    max_recovery_wait_ns: int = 700 * MS  # for responses of all voters; then a majority is enough
     membership_interval_ns: int = 200 * MS  # between two checks of the leader whether to change the members
     max_entries_before_snapshot: int = 512  # committed since the last snapshot
 
     @property
     def lease_ns(self) -> int:
-        """How long after its contact with a majority a leader holds its lease.
+        """The duration of a leader's lease, from its last contact with a majority.
 
-        It is the minimum election timeout, less what two clocks may drift apart in opposite directions.
+        This is the minimum election timeout, less the drift of two clocks in opposite directions.
         """
         drift = self.max_clock_drift_ratio
         return int(self.min_election_timeout_ns * (1 - drift) / (1 + drift))
