--- a/oakkeel/raft/durable_state.py
+++ b/oakkeel/raft/durable_state.py
@@ -18,7 +18,7 @@
     incarnation: str
     epoch: str = ""
     term: int = 0
-    voted_for: str = ""  # the incarnation that it voted for in `term`; empty: none
+    voted_for: str = ""  # the incarnation that got the vote in `term`; empty: none
     snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: list[Entry] = field(default_factory=list)
     acknowledgements: dict[str, LogPosition] = field(default_factory=dict)  # by incarnation
@@ -29,12 +29,12 @@
     """A change of the durable state. A storage applies the fields in their order, atomically."""
 
     snapshot: Snapshot | None = None
-    replaces_log: bool = False  # the snapshot replaces all entries, also those after its index
+    replaces_log: bool = False  # the snapshot replaces all entries, even the ones after its index
     truncate_from: int = 0  # index of the first entry to drop; 0: none
     entries: list[tuple[int, Entry]] = field(default_factory=list)
-    metadata: bool = False  # incarnation, epoch, term, vote or acknowledgements changed
+    updates_metadata: bool = False  # incarnation, epoch, term, vote or acknowledgements changed
 
     @property
     def is_empty(self) -> bool:
         """Whether nothing changed."""
-        return not (self.metadata or self.truncate_from or self.entries or self.snapshot)
+        return not (self.updates_metadata or self.truncate_from or self.entries or self.snapshot)
--- a/oakkeel/raft/elections.py
+++ b/oakkeel/raft/elections.py
@@ -12,7 +12,7 @@
 
 
 class VoteDecision(Enum):
-    """Whether a replica votes for a candidate; all but `GRANT` say why it does not."""
+    """Whether a replica votes for a candidate; each value but `GRANT` is the reason of a refusal."""
 
     GRANT = "granted"
     RECOVERING = "this replica does not know yet what it voted for"
@@ -26,9 +26,9 @@
 def decide_vote(now: int, replica: ReplicaState, envelope: Envelope, request: VoteRequest) -> VoteDecision:
     """Decide whether a replica votes for the sender of a request: the rule of the vote.
 
-    A replica has one vote in a term and gives it only to a candidate whose log holds all that its own holds.
-    So a term has one leader at most, and each leader has all committed entries. It gives no vote while a
-    leader is in contact, on which the leader's lease relies. `now` is in monotonic nanoseconds.
+    A replica has one vote in a term and grants it only to a candidate whose log is at least as up to date as
+    its own. So a term has at most one leader, and each leader has all committed entries. While a leader is in
+    contact, no vote is granted: the leader's lease relies on this. `now` is in monotonic nanoseconds.
     """
     if replica.role is Role.RECOVERING:
         return VoteDecision.RECOVERING
@@ -55,18 +55,18 @@
 
 
 class Elections:
-    """Becomes a candidate, counts votes and votes for others."""
+    """The elections of one replica: its candidacies, and its votes for other candidates."""
 
     def __init__(self, replica: ReplicaState) -> None:
-        """`replica` is the state that it reads and changes."""
+        """`replica` is the state to read and change."""
         self.replica = replica
         self.votes_received: set[str] = set()  # incarnations
 
     def start_pre_vote(self, now: int) -> None:
         """Ask whether a majority would vote for this replica.
 
-        Without a pre-vote a replica that was partitioned would return with a higher term and so depose a
-        leader that works.
+        Without a pre-vote, a replica that was partitioned would return with a higher term and so depose a
+        working leader.
         """
         replica = self.replica
         if replica.role is not Role.PRE_CANDIDATE:
@@ -77,10 +77,10 @@
         self._request_votes(now)
 
     def _request_votes(self, now: int) -> None:
-        """Ask the other voters, for the next term if this is a pre-vote."""
+        """Request the votes of the other voters; a pre-vote is for the next term."""
         replica = self.replica
         if replica.has_majority(self.votes_received):
-            self._won(now)
+            self._advance_election(now)
             return
         pre_vote = replica.role is Role.PRE_CANDIDATE
         term = replica.term + 1 if pre_vote else replica.term
@@ -89,7 +89,7 @@
             if member.is_voter and member.incarnation != replica.incarnation:
                 replica.send(member.name, request)
 
-    def _won(self, now: int) -> None:
+    def _advance_election(self, now: int) -> None:
         if self.replica.role is Role.PRE_CANDIDATE:
             self._become_candidate(now)
         else:
@@ -113,7 +113,7 @@
         )
         replica.append(now, EntryKind.NO_OP, b"")
 
-    def vote_requested(self, now: int, envelope: Envelope, request: VoteRequest) -> None:
+    def handle_vote_request(self, now: int, envelope: Envelope, request: VoteRequest) -> None:
         """Respond to a vote request; a pre-vote changes nothing."""
         replica = self.replica
         granted = decide_vote(now, replica, envelope, request) is VoteDecision.GRANT
@@ -122,10 +122,10 @@
             replica.send(envelope.sender, VoteResponse(term, True, granted))
             return
         if granted:
-            self._vote(now, envelope, request)
+            self._grant_vote(now, envelope, request)
         replica.send(envelope.sender, VoteResponse(replica.term, False, granted))
 
-    def _vote(self, now: int, envelope: Envelope, request: VoteRequest) -> None:
+    def _grant_vote(self, now: int, envelope: Envelope, request: VoteRequest) -> None:
         replica = self.replica
         if request.term > replica.term:
             replica.become_follower(now, request.term, "")
@@ -133,21 +133,21 @@
             replica.set_term(request.term, envelope.incarnation)
             replica.reset_election_timer(now)
 
-    def vote_received(self, now: int, envelope: Envelope, response: VoteResponse) -> None:
+    def handle_vote_response(self, now: int, envelope: Envelope, response: VoteResponse) -> None:
         """Count a vote, and take the next step of the election once there is a majority."""
         replica = self.replica
         if not response.granted:
             if response.term > replica.term:
                 replica.become_follower(now, response.term, replica.leader)
             return
-        if not self._is_awaited(response):
+        if not self._belongs_to_election(response):
             return
         self.votes_received.add(envelope.incarnation)
         if replica.has_majority(self.votes_received):
-            self._won(now)
+            self._advance_election(now)
 
-    def _is_awaited(self, response: VoteResponse) -> bool:
-        """Whether a vote belongs to the election that is running."""
+    def _belongs_to_election(self, response: VoteResponse) -> bool:
+        """Whether a vote is for the current candidacy of this replica."""
         replica = self.replica
         if response.pre_vote:
             return replica.role is Role.PRE_CANDIDATE and response.term == replica.term + 1
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -17,7 +17,7 @@
     """Sends heartbeats, entries and snapshot chunks, and records the responses."""
 
     def __init__(self, replica: ReplicaState) -> None:
-        """`replica` is the state that it reads and changes."""
+        """`replica` is the state to read and change."""
         self.replica = replica
 
     def send_heartbeats(self, now: int, leader_state: LeaderState) -> None:
@@ -64,8 +64,8 @@
         )
         replica.send(peer.name, request)
 
-    def append_response_received(self, now: int, envelope: Envelope, response: AppendEntriesResponse) -> None:
-        """Record a member's response to an append entries request; step down at a later term."""
+    def handle_append_response(self, now: int, envelope: Envelope, response: AppendEntriesResponse) -> None:
+        """Record a member's response to an append entries request; step down if its term is later."""
         replica = self.replica
         if response.term > replica.term:
             replica.become_follower(now, response.term, "")
@@ -80,9 +80,7 @@
         elif response.index >= peer.match_index:  # else a later request has already succeeded
             peer.next_index = min(replica.log.last_index, response.index) + 1
 
-    def snapshot_response_received(
-        self, now: int, envelope: Envelope, response: SnapshotChunkResponse
-    ) -> None:
+    def handle_snapshot_response(self, now: int, envelope: Envelope, response: SnapshotChunkResponse) -> None:
         """Record a member's response to a snapshot chunk."""
         peer = self._responding_peer(now, envelope, response)
         if peer is None:
@@ -90,7 +88,7 @@
         is_latest = _record_contact(peer, response.sent_at)
         snapshot = self.replica.log.snapshot
         if response.last_included_index != snapshot.index:
-            # A later snapshot has replaced it: restart the transfer with that one.
+            # A later snapshot has replaced that of the chunk: restart the transfer.
             peer.needs_snapshot = False
         elif response.next_offset >= len(snapshot.content):
             peer.needs_snapshot = False
@@ -101,7 +99,7 @@
     def _responding_peer(
         self, now: int, envelope: Envelope, response: AppendEntriesResponse | SnapshotChunkResponse
     ) -> PeerProgress | None:
-        """Return the member that sent a response of the leader's term; None if it does not count."""
+        """Return the member that sent a response; None if the response is invalid or of another term."""
         leader_state = self.replica.leader_state
         if leader_state is None or response.term != self.replica.term or response.sent_at > now:
             return None
@@ -109,10 +107,10 @@
 
 
 def _record_contact(peer: PeerProgress, sent_at: int) -> bool:
-    """Record that a member received the message of `sent_at`, and return whether that is the latest one.
+    """Record that a member received the message of `sent_at`. Returns whether that is the latest message.
 
-    Only the response to the latest message allows the next one: if a duplicate of a response did so too, a
-    link that duplicates messages would multiply them without end.
+    Only a response to the latest message allows the next one. If duplicates of earlier responses did so too,
+    a link that duplicates messages would multiply them without end.
     """
     peer.acknowledged_sent_at = max(peer.acknowledged_sent_at, sent_at)
     if sent_at != peer.sent_at:
--- a/oakkeel/raft/leader_state.py
+++ b/oakkeel/raft/leader_state.py
@@ -9,7 +9,7 @@
 from oakkeel.raft.quorum import majority_value
 from oakkeel.raft.timeouts import RaftTimeouts
 
-NEVER = 1 << 62  # an instant after every other; `-NEVER` is before every other
+NEVER = 1 << 62  # later than every instant; `-NEVER` is earlier than every instant
 
 
 @dataclass(slots=True, eq=False)
@@ -27,32 +27,32 @@
 
 
 class LeaderState:
-    """What a replica knows only while it leads. Discarded when it steps down."""
+    """The state of a replica while it leads, discarded when it steps down."""
 
     def __init__(
         self, now: int, incarnation: str, term: int, log: ReplicatedLog, timeouts: RaftTimeouts
     ) -> None:
-        """`incarnation` is the one of the replica that has just become the leader of `term`."""
+        """`incarnation` is that of the replica that was elected leader of `term`."""
         self.incarnation = incarnation
         self.term = term
         self.log = log
         self.timeouts = timeouts
         self.elected_at = now
-        self.first_index = log.last_index + 1  # of its own term
+        self.first_index = log.last_index + 1  # of the first entry of this term
         self.peers: dict[str, PeerProgress] = {}  # by incarnation
         self._update_peers(now)
 
     def _update_peers(self, now: int) -> None:
-        """Keep the progress of members that remain and begin that of new ones."""
-        known = self.peers
+        """Keep the progress of the remaining members, and begin to track new members."""
+        previous_peers = self.peers
         self.peers = {
-            member.incarnation: known.get(member.incarnation)
+            member.incarnation: previous_peers.get(member.incarnation)
             or PeerProgress(member.name, self.log.last_index + 1, acknowledged_sent_at=now)
             for member in self.log.members
             if member.incarnation != self.incarnation
         }
 
-    def entry_appended(self, now: int) -> None:
+    def update_members(self, now: int) -> None:
         """Update the peers if the entry that was just appended changes the members."""
         if self.log.members_index == self.log.last_index:
             self._update_peers(now)
@@ -61,7 +61,7 @@
         return [member for member in self.log.members if member.is_voter]
 
     def has_committed(self, commit_index: int) -> bool:
-        """Whether an entry of its own term is committed.
+        """Whether an entry of this leader's term is committed.
 
         Until then the leader does not know which entries of earlier terms are committed.
         """
@@ -112,18 +112,19 @@
     def lost_majority(self, now: int) -> bool:
         """Whether the leader has to step down, as no majority responded for the maximum election timeout.
 
-        Others may have elected a leader that this one cannot reach: it must not accept proposals for ever.
+        The other voters may have elected a leader that this leader cannot reach, so this leader must not accept
+        proposals for ever.
         """
         silent_since = max(self.elected_at, self._majority_contact_at(now))
         return now - silent_since > self.timeouts.max_election_timeout_ns
 
     def next_heartbeat_at(self) -> int:
-        """Return when the next heartbeat is due."""
+        """Return the time at which the next heartbeat is due."""
         interval = self.timeouts.heartbeat_interval_ns
         return min((peer.sent_at + interval for peer in self.peers.values()), default=NEVER)
 
     def acknowledgements(self) -> list[Acknowledgement]:
-        """Return the last entry that each member is known to have stored, its own first."""
+        """Return the last entry that each member is known to have stored, beginning with the leader."""
         return [
             Acknowledgement(self.incarnation, self.log.last_term, self.log.last_index),
             *(
--- a/oakkeel/raft/memory_storage.py
+++ b/oakkeel/raft/memory_storage.py
@@ -1,4 +1,4 @@
-"""Storage of durable state in memory: the reference for what other storages do. Free of I/O."""
+"""Storage of durable state in memory: the reference for other storages. Free of I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     def write(self, durable: DurableState, update: StorageUpdate) -> None:
         """Store an update."""
         self.writes += 1
-        if update.metadata:
+        if update.updates_metadata:
             self.metadata = replace(durable, entries=[], acknowledgements=dict(durable.acknowledgements))
         if update.snapshot and update.replaces_log:
             self.entries.clear()
--- a/oakkeel/raft/recovery.py
+++ b/oakkeel/raft/recovery.py
@@ -1,8 +1,8 @@
 """Recovery of a replica that has just started, and the bootstrap of a new cluster.
 
-A replica that starts asks the others which entry it last acknowledged. If that is later than the end of its
-log, its file is an older copy: the replica is stale and must begin a new incarnation. It does not vote before
-a majority has responded, and never in a term that any of them knows.
+A replica that has just started asks the other replicas for the last entry that it acknowledged. If that entry
+is after the end of its log, its file is an older copy: the replica is stale and must begin a new incarnation.
+It does not vote before a majority has responded, and never in a term that a responder knows.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from oakkeel.raft.roles import Role
 from oakkeel.raft.state import ReceivedRecoveryRequest, ReplicaState
 
-UNKNOWN_VOTE = "?"  # the replica may have voted and lost that; stored as the vote of the term
+UNKNOWN_VOTE = "?"  # stored as the vote in a term in which an earlier vote may have been lost
 NONCE_BITS = 60
 EPOCH_BITS = 64
 
 
 class Recovery:
-    """Sends recovery requests and responds to those of others."""
+    """Sends recovery requests and responds to the requests of other replicas."""
 
     def __init__(self, now: int, replica: ReplicaState, initial_voters: tuple[str, ...]) -> None:
         """`initial_voters` names the voters of a new cluster, by the operators' settings."""
@@ -28,7 +28,7 @@
         self.next_request_at = now
         self.start_position = replica.log.last_position
         self.nonce = replica.random.getrandbits(NONCE_BITS)
-        self.responded: set[str] = set()  # incarnations
+        self.responders: set[str] = set()  # incarnations
 
     def tick(self, now: int) -> None:
         """Send recovery requests if they are due, and create the cluster if there is none."""
@@ -45,13 +45,13 @@
             *self.initial_voters,
             *replica.state_machine.desired_voters(),
         }
-        for name in sorted(names):  # a fixed order: one seed of the simulation gives the same run
+        for name in sorted(names):  # a fixed order, so that a simulation is reproducible by its seed
             replica.send(name, request)
         if not durable.epoch and self.initial_voters and replica.name == min(self.initial_voters):
             self._bootstrap(now)
 
     def _bootstrap(self, now: int) -> None:
-        """Create the cluster, if all initial voters have empty files: only then there can be none."""
+        """Create the cluster if all initial voters have empty files: else a cluster may exist already."""
         replica = self.replica
         incarnations = {
             name: request.incarnation
@@ -67,13 +67,13 @@
         replica = self.replica
         replica.durable.epoch = epoch
         replica.replace_log(Snapshot(0, 0, tuple(members), b""))
-        replica.storage_update.metadata = True
+        replica.storage_update.updates_metadata = True
         replica.change_role(now, Role.FOLLOWER)
         replica.leader_contact_at = now
         replica.reset_election_timer(now)
 
-    def request_received(self, now: int, envelope: Envelope, request: RecoveryRequest) -> None:
-        """Respond with the last acknowledged entry of the sender; a new member also gets its cluster."""
+    def handle_request(self, now: int, envelope: Envelope, request: RecoveryRequest) -> None:
+        """Respond with the last acknowledged entry of the sender, and tell a new member its cluster."""
         replica = self.replica
         durable = replica.durable
         if envelope.epoch and envelope.epoch != durable.epoch:
@@ -81,7 +81,7 @@
         replica.recovery_requests[envelope.sender] = ReceivedRecoveryRequest(
             envelope.incarnation, now, request.empty
         )
-        acknowledged = self._acknowledged(envelope.incarnation)
+        acknowledged = self._known_position(envelope.incarnation)
         response = RecoveryResponse(
             request.nonce, not durable.epoch, durable.term, acknowledged.term, acknowledged.index
         )
@@ -92,15 +92,15 @@
             members = list(replica.log.snapshot.members)
             replica.send(envelope.sender, JoinCluster(request.nonce, durable.epoch, members))
 
-    def _acknowledged(self, incarnation: str) -> LogPosition:
+    def _known_position(self, incarnation: str) -> LogPosition:
         """Return the last entry that a replica is known to have stored."""
         replica = self.replica
-        known = replica.durable.acknowledgements.get(incarnation, LogPosition(0, 0))
+        position = replica.durable.acknowledgements.get(incarnation, LogPosition(0, 0))
         if replica.leader_state and (peer := replica.leader_state.peers.get(incarnation)):
-            known = max(known, LogPosition(replica.log.term_at(peer.match_index), peer.match_index))
-        return known
+            position = max(position, LogPosition(replica.log.term_at(peer.match_index), peer.match_index))
+        return position
 
-    def response_received(self, now: int, envelope: Envelope, response: RecoveryResponse) -> None:
+    def handle_response(self, now: int, envelope: Envelope, response: RecoveryResponse) -> None:
         """Become stale if the file is an older copy, or a follower once enough voters have responded."""
         replica = self.replica
         if replica.role is not Role.RECOVERING or response.nonce != self.nonce:
@@ -116,8 +116,8 @@
                 f" {self.start_position.term}",
             )
             return
-        replica.set_term(max(response.term, replica.term), UNKNOWN_VOTE)  # it may have voted in that term
-        self.responded.add(envelope.incarnation)
+        replica.set_term(max(response.term, replica.term), UNKNOWN_VOTE)  # an earlier vote may be lost
+        self.responders.add(envelope.incarnation)
         if self._is_complete(now):
             replica.change_role(now, Role.FOLLOWER)
             replica.reset_election_timer(now)
@@ -128,13 +128,13 @@
         One voter may know of a later acknowledgement than another, so the wait lets all of them respond.
         """
         replica = self.replica
-        counted = self.responded | {replica.incarnation}
-        if counted >= replica.voters:
+        incarnations = self.responders | {replica.incarnation}
+        if incarnations >= replica.voters:
             return True
         waited = now - self.started_at
-        return waited >= replica.timeouts.max_recovery_wait_ns and replica.has_majority(counted)
+        return waited >= replica.timeouts.max_recovery_wait_ns and replica.has_majority(incarnations)
 
-    def join_received(self, now: int, message: JoinCluster) -> None:
-        """Join the cluster that a message names, if it responds to a request of this start."""
+    def handle_join(self, now: int, message: JoinCluster) -> None:
+        """Join the cluster that a message names, if the message responds to a request of this start."""
         if not self.replica.durable.epoch and message.nonce == self.nonce:
             self._join(now, message.epoch, message.members)
--- a/oakkeel/raft/replica.py
+++ b/oakkeel/raft/replica.py
@@ -1,11 +1,11 @@
 """One replica of the replicated state machine. Free of I/O.
 
-After Raft (D. Ongaro, "Consensus: bridging theory and practice", 2014: terms, log, one change of members at a
-time, pre-vote, a leader's lease, snapshots). Beyond it:
+Implements Raft (D. Ongaro, "Consensus: bridging theory and practice", 2014: terms, log, one change of members
+at a time, pre-vote, a leader's lease, snapshots), with two extensions:
 
-- A replica has an incarnation for each file. After the loss of its file it is another member of the same
-  name, and has no vote until the leader has replaced the former member with it.
-- A replica that starts recovers first, see `recovery`: an older copy of its file is detected.
+- A replica has an incarnation for each file. A replica that lost its file is another member of the same name,
+  and has no vote until the leader has replaced the former member with it.
+- A replica that has just started recovers first, which detects an older copy of its file: see `recovery`.
 
 Each call returns an `Output`, whose storage update must be on disk before the rest is carried out. If the
 write fails, the caller discards the replica and creates it again from the stored state, as after a crash.
@@ -45,7 +45,7 @@
 
 
 class Replica(ReplicaState):
-    """One replica: `tick`, `receive` and `propose` return what the caller carries out."""
+    """One replica: `tick`, `receive` and `propose` return an `Output` for the caller to carry out."""
 
     def __init__(
         self,
@@ -65,11 +65,11 @@
         self.snapshot_receiver = SnapshotReceiver(self)
         self.next_membership_check_at = now
         if self.voters == {self.incarnation} or (durable.epoch and not self.is_eligible):
-            # No other replica can know what it acknowledged, or it has no vote: recovery would be useless.
+            # Recovery is useless without a vote, and for the only voter, whose acknowledgements nobody knows.
             self.change_role(now, Role.FOLLOWER)
 
     def next_tick_at(self) -> int:
-        """Return when to call `tick` next, unless another call comes first."""
+        """Return the time of the next call of `tick`, unless another call comes first."""
         if self.leader_state:
             return min(self.leader_state.next_heartbeat_at(), self.next_membership_check_at)
         if self.role is Role.RECOVERING or not self.is_eligible:
@@ -77,7 +77,7 @@
         return self.election_at
 
     def tick(self, now: int) -> Output:
-        """Do what is due: heartbeats, an election, recovery requests."""
+        """Send the heartbeats or recovery requests that are due, or start an election that is due."""
         if self.role is Role.STALE:
             return self._finish(now)
         if self.role is Role.RECOVERING or (self.role is Role.FOLLOWER and not self.is_eligible):
@@ -101,11 +101,11 @@
         """Handle a message of another replica."""
         message = envelope.message
         if isinstance(message, RecoveryRequest):
-            self.recovery.request_received(now, envelope, message)
+            self.recovery.handle_request(now, envelope, message)
         elif isinstance(message, RecoveryResponse):
-            self.recovery.response_received(now, envelope, message)
+            self.recovery.handle_response(now, envelope, message)
         elif isinstance(message, JoinCluster):
-            self.recovery.join_received(now, message)
+            self.recovery.handle_join(now, message)
         elif (
             envelope.epoch == self.durable.epoch
             and envelope.epoch
@@ -118,17 +118,17 @@
     def _receive_as_member(self, now: int, envelope: Envelope) -> None:
         message = envelope.message
         if isinstance(message, VoteRequest):
-            self.elections.vote_requested(now, envelope, message)
+            self.elections.handle_vote_request(now, envelope, message)
         elif isinstance(message, VoteResponse):
-            self.elections.vote_received(now, envelope, message)
+            self.elections.handle_vote_response(now, envelope, message)
         elif isinstance(message, AppendEntriesRequest):
-            self.follower_replication.append_received(now, envelope, message)
+            self.follower_replication.handle_append_request(now, envelope, message)
         elif isinstance(message, AppendEntriesResponse):
-            self.leader_replication.append_response_received(now, envelope, message)
+            self.leader_replication.handle_append_response(now, envelope, message)
         elif isinstance(message, SnapshotChunk):
-            self.snapshot_receiver.chunk_received(now, envelope, message)
+            self.snapshot_receiver.handle_chunk(now, envelope, message)
         elif isinstance(message, SnapshotChunkResponse):
-            self.leader_replication.snapshot_response_received(now, envelope, message)
+            self.leader_replication.handle_snapshot_response(now, envelope, message)
 
     def propose(self, now: int, content: bytes) -> tuple[Proposal, Output]:
         """Append a command as the leader.
@@ -182,7 +182,7 @@
             result = None
             if entry.kind == EntryKind.COMMAND:
                 result = self.state_machine.apply(self.applied_index, entry.content)
-            if proposal := self.proposals.pop(self.applied_index, None):  # only a leader has any
+            if proposal := self.proposals.pop(self.applied_index, None):  # only on the leader
                 proposal.status = ProposalStatus.COMMITTED
                 proposal.result = result
                 self.output.completed.append(proposal)
--- a/oakkeel/raft/replication.py
+++ b/oakkeel/raft/replication.py
@@ -9,11 +9,11 @@
 
 
 class CommittedEntryConflictError(OakkeelError, RuntimeError):
-    """The leader's entry differs from a committed one of this replica: a defect, or damage."""
+    """The leader's entry differs from a committed entry of this replica, by a defect or damaged data."""
 
     def __init__(self, replica: str, index: int, leader: str) -> None:
         """Name the replica, the index of the entry and the leader."""
-        super().__init__(f"{replica}: entry {index} is committed, but that of leader {leader} differs")
+        super().__init__(f"{replica}: entry {index} is committed, but leader {leader} sent a different one")
         self.replica = replica
         self.index = index
         self.leader = leader
@@ -23,10 +23,10 @@
     """Appends the entries that the leader sends."""
 
     def __init__(self, replica: ReplicaState) -> None:
-        """`replica` is the state that it reads and changes."""
+        """`replica` is the state to read and change."""
         self.replica = replica
 
-    def append_received(self, now: int, envelope: Envelope, request: AppendEntriesRequest) -> None:
+    def handle_append_request(self, now: int, envelope: Envelope, request: AppendEntriesRequest) -> None:
         """Append the leader's entries and respond. Raises CommittedEntryConflictError."""
         replica = self.replica
         if not replica.accept_leader(now, envelope.sender, request.term):
@@ -59,7 +59,7 @@
         return previous_index, request.entries[snapshot_index - request.previous_index :]
 
     def _has_previous_entry(self, request: AppendEntriesRequest, previous_index: int) -> bool:
-        """Whether the log has the entry before those to append, with the leader's term."""
+        """Whether the log has the entry before the new entries, with the leader's term."""
         log = self.replica.log
         if previous_index > log.last_index:
             return False
@@ -87,7 +87,7 @@
         return None
 
     def _retry_index(self, previous_index: int) -> int:
-        """Return the index after which the leader retries: the log's end, or before the differing term."""
+        """Return the index after which the leader retries: the log's end, or before the conflicting term."""
         replica = self.replica
         log = replica.log
         index = min(log.last_index, previous_index - 1)
--- a/oakkeel/raft/snapshot_transfer.py
+++ b/oakkeel/raft/snapshot_transfer.py
@@ -42,11 +42,11 @@
     """The follower's side of the transfer."""
 
     def __init__(self, replica: ReplicaState) -> None:
-        """`replica` is the state that it reads and changes."""
+        """`replica` is the state to read and change."""
         self.replica = replica
         self.incoming: IncomingSnapshot | None = None
 
-    def chunk_received(self, now: int, envelope: Envelope, chunk: SnapshotChunk) -> None:
+    def handle_chunk(self, now: int, envelope: Envelope, chunk: SnapshotChunk) -> None:
         """Receive a chunk, and install the snapshot once it is complete."""
         replica = self.replica
         if not replica.accept_leader(now, envelope.sender, chunk.term):
@@ -63,7 +63,7 @@
         self._respond(envelope.sender, chunk, min(len(received), chunk.total_bytes))
 
     def _add(self, chunk: SnapshotChunk) -> bytearray:
-        """Append the chunk if it is the next one, and return what was received of its snapshot."""
+        """Append the chunk if it is the next one, and return the content of its snapshot received so far."""
         incoming = self.incoming
         if incoming is None or not incoming.includes(chunk):
             incoming = IncomingSnapshot(chunk.last_included_index, chunk.last_included_term)
--- a/oakkeel/raft/state.py
+++ b/oakkeel/raft/state.py
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """What the caller carries out: the storage update first, the rest once that is on disk."""
+    """Work for the caller: the storage update comes first, the rest once the update is on disk."""
 
     storage_update: StorageUpdate | None = None
     envelopes: list[tuple[str, Envelope]] = field(default_factory=list)  # by the recipient's name
@@ -104,10 +104,10 @@
 
     @property
     def is_eligible(self) -> bool:
-        """Whether it may become a candidate: whether it is a voter by the latest or the committed members.
+        """Whether the replica may become a candidate, as a voter by the latest or the committed members.
 
-        A replica that is being removed may be the only one that has the entry which removes it: it must be
-        able to lead until that entry is committed.
+        A replica that is being removed may be the only one with the entry that removes it, so it must be able
+        to lead until that entry is committed.
         """
         if self.incarnation in self.voters:
             return True
@@ -115,9 +115,10 @@
         return any(member.incarnation == self.incarnation and member.is_voter for member in committed_members)
 
     def holds_lease(self, now: int) -> bool:
-        """Whether it may grant and answer reads without a round trip: no other leader can be elected.
+        """Whether the replica may act as the leader and answer reads without a round trip.
 
-        It also needs a committed entry of its own term: only then its state includes all that is committed.
+        During the lease no other leader can be elected. The replica must also have committed an entry of its
+        own term: before that, its state may lack committed commands.
         """
         leader_state = self.leader_state
         return bool(
@@ -155,7 +156,7 @@
         self.role_since = now
 
     def become_stale(self, now: int, reason: str) -> None:
-        """Stop taking part, as its file is an older copy and lacks acknowledged entries."""
+        """Stop taking part in the cluster, as the replica's file is an older copy of its state."""
         self.stale_reason = reason
         self.change_role(now, Role.STALE)
 
@@ -178,7 +179,7 @@
             self.reset_election_timer(now)
 
     def accept_leader(self, now: int, sender: str, term: int) -> bool:
-        """Follow the sender of a leader's message. Returns False if the term of the message is over."""
+        """Follow the sender of a leader's message. Returns False if the message is of an earlier term."""
         if term < self.durable.term:
             return False
         self.become_follower(now, term, sender)
@@ -191,12 +192,12 @@
         if (self.durable.term, self.durable.voted_for) != (term, voted_for):
             self.durable.term = term
             self.durable.voted_for = voted_for
-            self.storage_update.metadata = True
+            self.storage_update.updates_metadata = True
 
     def reset_election_timer(self, now: int) -> None:
         """Draw the next election timeout: the rule of the election timer.
 
-        Random timeouts differ between replicas, so that seldom two become candidates at the same time.
+        Timeouts are random, so that two replicas seldom become candidates at the same time.
         """
         timeouts = self.timeouts
         timeout_ns = self.random.randint(timeouts.min_election_timeout_ns, timeouts.max_election_timeout_ns)
@@ -208,19 +209,19 @@
         index = self.log.append(entry)
         self.storage_update.entries.append((index, entry))
         if self.leader_state:
-            self.leader_state.entry_appended(now)
+            self.leader_state.update_members(now)
             self.store_acknowledgements(self.leader_state.acknowledgements())
         return index
 
     def store_acknowledgements(self, acknowledgements: list[Acknowledgement]) -> None:
-        """Store what members have acknowledged, if entries are written anyway."""
+        """Store the acknowledgements of the members if the same update stores entries."""
         positions = {
             acknowledged.incarnation: LogPosition(acknowledged.term, acknowledged.index)
             for acknowledged in acknowledgements
         }
         if self.storage_update.entries and positions != self.durable.acknowledgements:
             self.durable.acknowledgements = positions
-            self.storage_update.metadata = True
+            self.storage_update.updates_metadata = True
 
     def replace_log(self, snapshot: Snapshot) -> None:
         """Replace the whole log with a snapshot."""
@@ -231,7 +232,7 @@
         self.storage_update.entries.clear()
 
     def send(self, name: str, message: Message) -> None:
-        """Send a message to a replica by name; one to itself is dropped."""
+        """Send a message to a replica by name; a message to this replica is dropped."""
         if name != self.name:
             envelope = Envelope(self.durable.epoch, self.name, self.incarnation, message)
             self.output.envelopes.append((name, envelope))
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -36,7 +36,7 @@
 def write(
     database: Database, durable: DurableState, update: StorageUpdate, counter: WriteCounter | None = None
 ) -> None:
-    """Store an update durably. Raises DatabaseError: then nothing of it is stored."""
+    """Store an update durably. Raises DatabaseError, after which no part of the update is stored."""
     statements = _statements(durable, update)
     if counter is None:
         database.write(statements)
@@ -48,7 +48,7 @@
 def _statements(durable: DurableState, update: StorageUpdate) -> list[Statement]:
     """Return the statements, in the order of the fields of `StorageUpdate`."""
     statements: list[Statement] = []
-    if update.metadata:
+    if update.updates_metadata:
         statements.append((PUT_METADATA, _metadata_row(durable)))
     if update.snapshot and update.replaces_log:
         statements.append(("DELETE FROM entries", ()))
@@ -86,7 +86,7 @@
     rows = database.read("SELECT name, life, epoch, term, voted, marks FROM head")
     if not rows:
         durable = DurableState(name, new_incarnation)
-        write(database, durable, StorageUpdate(metadata=True))
+        write(database, durable, StorageUpdate(updates_metadata=True))
         return durable
     *fields, acknowledgements = rows[0]
     durable = DurableState(*fields)
--- a/oakkeel/raft/write_counter.py
+++ b/oakkeel/raft/write_counter.py
@@ -15,10 +15,11 @@
 
 
 class WriteCounter:
-    """Counts the writes to a database in it and in a file beside it: a restored older copy counts fewer.
+    """Counts the writes to a database, both in the database and in a file beside it.
 
-    The file is written after the database and is not synced. It is right after a crash of the process and may
-    be behind after a power failure, but it is never ahead of the database that it belongs to.
+    A restored older copy of the database has a lower count than the file. The file is written after the
+    database and is not synced. So its count is exact after a crash of the process and may be behind after a
+    power failure, but is never ahead of the count in the database.
     """
 
     def __init__(self, path: str, database: Database) -> None:
@@ -30,32 +31,32 @@
         self.count = rows[0][0] if rows else 0
         self.descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         content = os.pread(self.descriptor, COUNT_BYTES, 0)
-        self.count_beside = int(content) if content.strip().isdigit() else 0
+        self.file_count = int(content) if content.strip().isdigit() else 0
 
     def stale_reason(self) -> str:
         """Return why the database is an older copy; empty if it is not."""
-        if self.count_beside <= self.count:
+        if self.file_count <= self.count:
             return ""
-        return f"the write count is {self.count} in the database and {self.count_beside} beside it"
+        return f"the write count is {self.count} in the database and {self.file_count} beside it"
 
     def increment(self) -> Statement:
         """Return the statement to add to each transaction on the database."""
         return "INSERT OR REPLACE INTO writes VALUES (1, ?)", (self.count + 1,)
 
     def confirm(self) -> None:
-        """Count a transaction that was committed."""
+        """Count a committed transaction."""
         self.count += 1
-        self._write_beside(self.count)
+        self._write_file(self.count)
 
     def reset(self) -> None:
-        """Reset the file to zero and close it, as the database that it counts for was removed."""
-        self._write_beside(0)
+        """Reset the file to zero and close it, as the database was removed."""
+        self._write_file(0)
         os.close(self.descriptor)
 
     def close(self) -> None:
         """Close the file beside the database."""
         os.close(self.descriptor)
 
-    def _write_beside(self, count: int) -> None:
+    def _write_file(self, count: int) -> None:
         with contextlib.suppress(OSError):
             os.pwrite(self.descriptor, b"%0*d" % (COUNT_BYTES, count), 0)
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -34,7 +34,7 @@
                 if generator.random() < 0.3:
                     durable.term += 1
                     durable.voted_for = "b.1"
-                    update.metadata = True
+                    update.updates_metadata = True
                     durable.acknowledgements = {"b.1": LogPosition(durable.term, 3)}
                 if log.entries and generator.random() < 0.2:
                     update.truncate_from = generator.randint(log.snapshot.index + 1, log.last_index)
@@ -88,9 +88,9 @@
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         counter = WriteCounter(self.path + ".count", database)
         durable = storage.load(database, "a", "a.1")
-        storage.write(database, durable, StorageUpdate(metadata=True), counter)
+        storage.write(database, durable, StorageUpdate(updates_metadata=True), counter)
         database.connection.execute("VACUUM INTO ?", (self.path + ".backup",))
-        storage.write(database, durable, StorageUpdate(metadata=True), counter)
+        storage.write(database, durable, StorageUpdate(updates_metadata=True), counter)
         counter.close()
         database.close()
         again = Database(self.path, storage.SCHEMA, storage.VERSION)
@@ -112,7 +112,9 @@
     def test_count_left_behind_by_a_power_failure_is_not_an_older_copy(self):
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         counter = WriteCounter(self.path + ".count", database)
-        storage.write(database, storage.load(database, "a", "a.1"), StorageUpdate(metadata=True), counter)
+        storage.write(
+            database, storage.load(database, "a", "a.1"), StorageUpdate(updates_metadata=True), counter
+        )
         os.truncate(self.path + ".count", 0)
         self.assertEqual(WriteCounter(self.path + ".count", database).stale_reason(), "")
         database.close()
