--- a/oakkeel/raft/leader_state.py
+++ b/oakkeel/raft/leader_state.py
@@ -112,7 +112,7 @@
     def lost_majority(self, now: int) -> bool:
         """Whether the leader has to step down, as no majority responded for the maximum election timeout.
 
-        The other voters may have elected a leader that this leader cannot reach, so this leader must not accept
+        The other voters may have elected a leader that this one cannot reach, so this leader must not accept
         proposals for ever.
         """
         silent_since = max(self.elected_at, self._majority_contact_at(now))
--- a/tests/raft/cluster.py
+++ b/tests/raft/cluster.py
@@ -17,7 +17,7 @@
     """Records the commands that were committed; `voters a b c` names the desired voters."""
 
     def __init__(self) -> None:
-        """Nothing has been committed yet."""
+        """Start without commands and desired voters."""
         self.commands: list[bytes] = []
         self.voters: tuple[str, ...] = ()
 
@@ -38,21 +38,21 @@
         self.voters = tuple(first.decode().split())
 
     def desired_voters(self) -> tuple[str, ...]:
-        """Return the voters that the last such command named."""
+        """Return the voters that the last `voters` command named."""
         return self.voters
 
 
 class Delivery(NamedTuple):
     """A message in transit."""
 
-    at: int
+    due_at: int
     number: int
     recipient: str
     envelope: Envelope
 
 
 class Cluster:
-    """Replicas on one clock, whose messages take a millisecond unless a link is cut."""
+    """Replicas on one clock. A message arrives after a millisecond, unless its link is cut."""
 
     def __init__(
         self, *names: str, initial_voters: tuple[str, ...] = (), timeouts: RaftTimeouts | None = None
@@ -65,16 +65,23 @@
         self.replicas: dict[str, Replica] = {}
         self.in_transit: list[Delivery] = []
         self.cut_links: set[tuple[str, str]] = set()  # by sender and recipient
-        self.count = 0
+        self.last_number = 0  # of a start or a message
         for name in names:
             self.start(name)
 
     def start(self, name: str) -> None:
         """Start or restart a replica from its storage."""
-        self.count += 1
-        storage = self.storages.setdefault(name, InMemoryStorage(DurableState(name, f"{name}.{self.count}")))
+        self.last_number += 1
+        storage = self.storages.setdefault(
+            name, InMemoryStorage(DurableState(name, f"{name}.{self.last_number}"))
+        )
         self.replicas[name] = Replica(
-            self.now, storage.load(), RecordingStateMachine(), self.count, self.timeouts, self.initial_voters
+            self.now,
+            storage.load(),
+            RecordingStateMachine(),
+            self.last_number,
+            self.timeouts,
+            self.initial_voters,
         )
 
     def isolate(self, name: str) -> None:
@@ -87,24 +94,24 @@
             self.storages[name].write(self.replicas[name].durable, output.storage_update)
         for recipient, envelope in output.envelopes:
             if (name, recipient) not in self.cut_links:
-                self.count += 1
-                self.in_transit.append(Delivery(self.now + MS, self.count, recipient, envelope))
+                self.last_number += 1
+                self.in_transit.append(Delivery(self.now + MS, self.last_number, recipient, envelope))
 
-    def run(self, duration: int, done: Callable[[], bool] = lambda: False) -> None:
-        """Advance the time until `done`, or for the whole duration."""
+    def run(self, duration: int, is_done: Callable[[], bool] = lambda: False) -> None:
+        """Advance the time until `is_done` returns true, or for the whole duration."""
         end = self.now + duration
-        while self.now < end and not done():
+        while self.now < end and not is_done():
             ticks = [replica.next_tick_at() for replica in self.replicas.values()]
-            at = min(ticks + [delivery.at for delivery in self.in_transit])
-            self.now = max(self.now, min(at, end))
+            next_at = min(ticks + [delivery.due_at for delivery in self.in_transit])
+            self.now = max(self.now, min(next_at, end))
             self._deliver()
             for name, replica in list(self.replicas.items()):
                 if replica.next_tick_at() <= self.now:
                     self.carry_out(name, replica.tick(self.now))
 
     def _deliver(self) -> None:
-        due = sorted(delivery for delivery in self.in_transit if delivery.at <= self.now)
-        self.in_transit = [delivery for delivery in self.in_transit if delivery.at > self.now]
+        due = sorted(delivery for delivery in self.in_transit if delivery.due_at <= self.now)
+        self.in_transit = [delivery for delivery in self.in_transit if delivery.due_at > self.now]
         for delivery in due:
             if delivery.recipient in self.replicas:
                 replica = self.replicas[delivery.recipient]
@@ -118,7 +125,7 @@
         return bool(self._leaders())
 
     def leader(self) -> Replica:
-        """Wait for a leader and return it."""
+        """Return the leader, and wait for its election if there is none."""
         self.run(5 * SECOND, self.has_leader)
         return self._leaders()[0]
 
@@ -137,6 +144,6 @@
             assert proposal.status is ProposalStatus.COMMITTED, proposal.status
 
     def applied_commands(self) -> dict[str, list[bytes]]:
-        """Return the commands that each replica has applied, after a pause."""
+        """Return the commands that each replica has applied after 500 ms more."""
         self.run(500 * MS)
         return {name: replica.state_machine.commands for name, replica in self.replicas.items()}
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -12,15 +12,15 @@
 
 
 class ElectionTest(unittest.TestCase):
-    def test_elects_a_complete_leader_within_two_seconds_of_a_crash(self):
+    def test_elects_a_leader_with_all_commands_within_two_seconds_of_a_crash(self):
         cluster = Cluster("a", "b", "c", "d", "e")
         cluster.commit(b"one")
         for _ in range(2):
-            gone = cluster.leader().name
-            del cluster.replicas[gone]
-            since = cluster.now
-            self.assertNotEqual(cluster.leader().name, gone)
-            self.assertLess(cluster.now - since, 2 * SECOND)
+            crashed = cluster.leader().name
+            del cluster.replicas[crashed]
+            crashed_at = cluster.now
+            self.assertNotEqual(cluster.leader().name, crashed)
+            self.assertLess(cluster.now - crashed_at, 2 * SECOND)
         cluster.commit(b"two")
         self.assertEqual(set(map(tuple, cluster.applied_commands().values())), {(b"one", b"two")})
 
@@ -38,18 +38,17 @@
     def test_lease_of_a_partitioned_leader_ends_before_the_next_election(self):
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
-        cluster.cut_links = {
-            (name, leader.name) for name in cluster.replicas
-        }  # its own messages still arrive
+        # The messages of the leader still arrive.
+        cluster.cut_links = {(name, leader.name) for name in cluster.replicas}
         cluster.run(cluster.timeouts.max_election_timeout_ns)
         self.assertFalse(leader.holds_lease(cluster.now))
         cluster.run(2 * SECOND, cluster.has_leader)
         self.assertIsNot(cluster.leader(), leader)
 
-    def test_leader_without_a_lease_says_that_it_leads(self):
+    def test_leader_without_a_lease_reports_its_expiry_and_a_follower_reports_nothing(self):
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
-        follower = next(each for each in cluster.replicas.values() if each is not leader)
+        follower = next(replica for replica in cluster.replicas.values() if replica is not leader)
         cluster.cut_links = {(name, leader.name) for name in cluster.replicas}
         cluster.run(cluster.timeouts.min_election_timeout_ns)
         self.assertIs(leader.role, Role.LEADER)
@@ -67,8 +66,8 @@
         cluster.commit(b"after")
 
     def test_leader_with_its_uncommitted_removal_may_become_a_candidate(self):
-        """Drawn schedule 1006046: only the leader had the entry that removes it. It did not vote for a
-        shorter log nor become a candidate, and the others had no majority without it."""
+        """Simulated schedule 1006046: only the leader had the entry that removes it. It neither voted for a
+        shorter log nor became a candidate, and the other replicas had no majority without its vote."""
         cluster = Cluster("a", "b", "c", "d")
         cluster.commit(b"one")
         leader = cluster.leader()
@@ -91,7 +90,7 @@
 
 
 class VoteDecisionTest(unittest.TestCase):
-    """One follower of three decides on requests of another, long after the last message of the leader."""
+    """A follower decides on vote requests of the other follower, long after the leader's last message."""
 
     def setUp(self) -> None:
         self.cluster = Cluster("a", "b", "c")
@@ -103,21 +102,23 @@
         self.now = self.cluster.now + 10 * SECOND
 
     def decide(
-        self, term: int, *, pre_vote: bool = False, entries: int = 0, incarnation: str = ""
+        self, term_lead: int, *, pre_vote: bool = False, entry_lead: int = 0, incarnation: str = ""
     ) -> VoteDecision:
-        """Decide on a request; `term` and `entries` are what the candidate has more than the voter."""
+        """Decide on a request of a candidate whose term and log are ahead of the voter's by the leads."""
         log = self.voter.log
-        request = VoteRequest(self.voter.term + term, pre_vote, log.last_term, log.last_index + entries)
+        request = VoteRequest(
+            self.voter.term + term_lead, pre_vote, log.last_term, log.last_index + entry_lead
+        )
         sender = incarnation or self.candidate.incarnation
         envelope = Envelope(self.voter.durable.epoch, self.candidate.name, sender, request)
         return decide_vote(self.now, self.voter, envelope, request)
 
-    def test_grants_a_vote_in_a_later_term_for_a_log_that_is_as_long(self):
+    def test_grants_a_vote_in_a_later_term_for_a_log_that_is_not_shorter(self):
         self.assertEqual(self.decide(1), VoteDecision.GRANT)
         self.assertEqual(self.decide(1, pre_vote=True), VoteDecision.GRANT)
-        self.assertEqual(self.decide(1, entries=-1), VoteDecision.LOG_BEHIND)
+        self.assertEqual(self.decide(1, entry_lead=-1), VoteDecision.LOG_BEHIND)
 
-    def test_gives_one_vote_in_a_term_and_none_in_an_earlier_one(self):
+    def test_grants_one_vote_in_a_term_and_none_in_an_earlier_term(self):
         self.voter.durable.voted_for = ""
         self.assertEqual(self.decide(0), VoteDecision.GRANT)
         self.voter.durable.voted_for = "another"
@@ -127,14 +128,14 @@
         self.assertEqual(self.decide(0, pre_vote=True), VoteDecision.TERM_ENDED)
         self.assertEqual(self.decide(-1), VoteDecision.TERM_ENDED)
 
-    def test_gives_no_vote_while_a_leader_is_in_contact(self):
+    def test_grants_no_vote_while_a_leader_is_in_contact(self):
         contact_at = self.voter.leader_contact_at
         self.now = contact_at + self.cluster.timeouts.min_election_timeout_ns - 1
         self.assertEqual(self.decide(1), VoteDecision.LEADER_ALIVE)
         self.now += 1
         self.assertEqual(self.decide(1), VoteDecision.GRANT)
 
-    def test_gives_no_vote_to_a_replaced_incarnation_or_while_it_recovers(self):
+    def test_grants_no_vote_to_a_replaced_incarnation_or_during_recovery(self):
         self.assertEqual(self.decide(1, incarnation="replaced"), VoteDecision.REPLACED)
         self.voter.role = Role.RECOVERING
         self.assertEqual(self.decide(1), VoteDecision.RECOVERING)
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -10,7 +10,7 @@
 
 
 class MembershipTest(unittest.TestCase):
-    def test_voters_change_from_three_to_five_and_to_others_while_one_is_partitioned(self):
+    def test_voters_change_from_three_to_five_while_one_is_partitioned_and_then_to_three(self):
         cluster = Cluster(
             "a",
             "b",
@@ -36,11 +36,11 @@
         self.assertEqual(voters(), set("cde"))
         cluster.commit(b"after")
         self.assertEqual(
-            {name: lines[-1] for name, lines in cluster.applied_commands().items() if name in "cde"},
+            {name: commands[-1] for name, commands in cluster.applied_commands().items() if name in "cde"},
             dict.fromkeys("cde", b"after"),
         )
 
-    def test_members_change_with_the_entry_that_names_them_and_with_its_truncation(self):
+    def test_members_change_when_the_entry_that_names_them_is_appended_or_truncated(self):
         log = ReplicatedLog(Snapshot(0, 0, (Member("a", "a.1"),), b""), [])
         log.append(
             Entry(1, EntryKind.MEMBERS, encode_members([Member("a", "a.1"), Member("b", "b.1", False)]))
--- a/tests/raft/test_properties.py
+++ b/tests/raft/test_properties.py
@@ -1,4 +1,4 @@
-"""Properties of Raft under drawn crashes, cuts and proposals."""
+"""Properties of Raft under random crashes, cut links and proposals."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -12,15 +12,15 @@
 
 
 class RaftMachine(RuleBasedStateMachine):
-    """Three replicas against a list, under cuts, crashes and proposals in any order.
+    """Three replicas under cut links, crashes and proposals in any order.
 
-    What was reported as committed stays committed, in one order, and no term has two leaders.
+    A command that was reported as committed stays committed, in one order, and no term has two leaders.
     """
 
     names = st.sampled_from("abc")
 
     def __init__(self) -> None:
-        """Start with a cluster that has had the time to elect a leader."""
+        """Start a cluster and give it the time to elect a leader."""
         super().__init__()
         self.cluster = Cluster("a", "b", "c", timeouts=RaftTimeouts(max_entries_before_snapshot=3))
         self.cluster.run(3 * SECOND)
@@ -33,10 +33,10 @@
         """Let some milliseconds pass."""
         self.cluster.run(wait * MS)
 
-    @rule(name=names, other=names, both=st.booleans())
-    def cut(self, name, other, both):
-        """Cut a link in one direction or in both."""
-        self.cluster.cut_links |= {(name, other), (other, name)} if both else {(name, other)}
+    @rule(name=names, other=names, both_directions=st.booleans())
+    def cut(self, name, other, both_directions):
+        """Cut a link in one direction or in both directions."""
+        self.cluster.cut_links |= {(name, other), (other, name)} if both_directions else {(name, other)}
 
     @rule()
     def heal(self):
@@ -67,7 +67,7 @@
 
     @rule(name=names)
     def duplicate_messages(self, name):
-        """Deliver messages in transit to a replica twice."""
+        """Duplicate the messages in transit to a replica."""
         self.cluster.in_transit += [
             delivery._replace(number=-delivery.number)
             for delivery in self.cluster.in_transit
@@ -76,7 +76,7 @@
 
     @invariant()
     def committed_commands_stay(self):
-        """Compare the commands that each replica has applied with those of the others."""
+        """Compare the commands that each replica has applied, and the leaders of each term."""
         for replica in self.cluster.replicas.values():
             commands = replica.state_machine.commands
             common = min(len(commands), len(self.committed))
--- a/tests/raft/test_recovery.py
+++ b/tests/raft/test_recovery.py
@@ -26,58 +26,61 @@
     def test_replica_with_a_lost_file_votes_only_as_a_new_member(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
-        lost = next(name for name in cluster.replicas if name != cluster.leader().name)
-        old = cluster.storages.pop(lost).metadata.incarnation
-        cluster.start(lost)
+        lost_name = next(name for name in cluster.replicas if name != cluster.leader().name)
+        lost_incarnation = cluster.storages.pop(lost_name).metadata.incarnation
+        cluster.start(lost_name)
         cluster.commit(b"two")
-        replica = cluster.replicas[lost]
+        replica = cluster.replicas[lost_name]
         cluster.run(5 * SECOND, lambda: replica.incarnation in cluster.leader().voters)
         self.assertIn(replica.incarnation, cluster.leader().voters)
-        self.assertNotIn(old, cluster.leader().voters)
-        self.assertEqual(cluster.applied_commands()[lost], [b"one", b"two"])
+        self.assertNotIn(lost_incarnation, cluster.leader().voters)
+        self.assertEqual(cluster.applied_commands()[lost_name], [b"one", b"two"])
 
     def test_replica_with_an_older_file_is_stale(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
-        victim = next(name for name in cluster.replicas if name != cluster.leader().name)
-        backup = cluster.storages[victim].copy()
+        restored = next(name for name in cluster.replicas if name != cluster.leader().name)
+        backup = cluster.storages[restored].copy()
         cluster.commit(b"two", b"three", b"four")  # acknowledgements are stored with later entries
-        cluster.storages[victim] = backup
-        cluster.start(victim)
-        cluster.run(SECOND, lambda: cluster.replicas[victim].role is not Role.RECOVERING)
-        self.assertEqual(cluster.replicas[victim].role, Role.STALE)
-        self.assertRegex(cluster.replicas[victim].stale_reason, "knows that this replica stored entry")
-        del cluster.storages[victim]
-        cluster.start(victim)
-        cluster.run(5 * SECOND, lambda: cluster.replicas[victim].incarnation in cluster.leader().voters)
-        self.assertEqual(cluster.applied_commands()[victim], [b"one", b"two", b"three", b"four"])
+        cluster.storages[restored] = backup
+        cluster.start(restored)
+        cluster.run(SECOND, lambda: cluster.replicas[restored].role is not Role.RECOVERING)
+        self.assertEqual(cluster.replicas[restored].role, Role.STALE)
+        self.assertRegex(cluster.replicas[restored].stale_reason, "knows that this replica stored entry")
+        del cluster.storages[restored]
+        cluster.start(restored)
+        cluster.run(5 * SECOND, lambda: cluster.replicas[restored].incarnation in cluster.leader().voters)
+        self.assertEqual(cluster.applied_commands()[restored], [b"one", b"two", b"three", b"four"])
 
-    def test_recovery_waits_for_all_replicas_that_are_there(self):
-        """Drawn schedule 1018860: the first response came from a voter without the later acknowledgement."""
+    def test_recovery_waits_for_the_responses_of_all_reachable_voters(self):
+        """Simulated schedule 1018860: the first response came from a voter that did not know of the latest
+        acknowledgement."""
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
         leader = cluster.leader().name
-        victim, other = (name for name in cluster.replicas if name != leader)
-        backup = cluster.storages[victim].copy()
+        restored, other = (name for name in cluster.replicas if name != leader)
+        backup = cluster.storages[restored].copy()
         cluster.cut_links = {(leader, other), (other, leader)}
         cluster.commit(b"two", b"three")
-        cluster.storages[victim] = backup
-        cluster.start(victim)
-        cluster.run(300 * MS, lambda: cluster.replicas[victim].role is not Role.RECOVERING)
-        self.assertEqual(cluster.replicas[victim].role, Role.STALE)
+        cluster.storages[restored] = backup
+        cluster.start(restored)
+        cluster.run(300 * MS, lambda: cluster.replicas[restored].role is not Role.RECOVERING)
+        self.assertEqual(cluster.replicas[restored].role, Role.STALE)
 
-    def test_follower_behind_its_own_acknowledgement_is_stale(self):
+    def test_follower_whose_log_ends_before_its_acknowledgement_is_stale(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
         leader = cluster.leader().name
-        victim = next(name for name in cluster.replicas if name != leader)
-        backup = cluster.storages[victim].copy()
+        restored = next(name for name in cluster.replicas if name != leader)
+        backup = cluster.storages[restored].copy()
         cluster.commit(b"two", b"three")
-        cluster.storages[victim] = backup
-        cluster.start(victim)
-        cluster.replicas[victim].change_role(cluster.now, Role.FOLLOWER)  # as if no voter had known
-        cluster.run(SECOND, lambda: cluster.replicas[victim].role is Role.STALE)
-        self.assertRegex(cluster.replicas[victim].stale_reason, "has its acknowledgement of entry")
+        cluster.storages[restored] = backup
+        cluster.start(restored)
+        cluster.replicas[restored].change_role(
+            cluster.now, Role.FOLLOWER
+        )  # as if no voter knew of the acknowledgement
+        cluster.run(SECOND, lambda: cluster.replicas[restored].role is Role.STALE)
+        self.assertRegex(cluster.replicas[restored].stale_reason, "has its acknowledgement of entry")
 
     def test_recovering_replica_in_contact_with_the_leader_is_not_stale(self):
         cluster = Cluster("a", "b", "c")
@@ -86,7 +89,7 @@
         name = next(other for other in cluster.replicas if other != leader.name)
         cluster.start(name)
         replica = cluster.replicas[name]
-        # Its recovery requests are lost, the messages of the leader are not.
+        # The recovery requests of the replica are lost, but the messages of the leader arrive.
         cluster.cut_links = {(name, other) for other in cluster.replicas}
         cluster.commit(b"two", b"three")
         cluster.run(300 * MS)
@@ -95,7 +98,7 @@
         self.assertEqual(replica.role, Role.FOLLOWER)
         self.assertEqual(cluster.applied_commands()[name], [b"one", b"two", b"three"])
 
-    def test_restarted_replicas_do_not_vote_in_a_known_term(self):
+    def test_restarted_replicas_elect_a_leader_in_a_later_term(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
         for name in list(cluster.replicas):
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication of the log: proposals, duplicates and foreign messages."""
+"""Replication of the log: proposals, duplicates and messages of another cluster."""
 
 import unittest
 
@@ -28,7 +28,7 @@
         cluster.commit(b"third")
         self.assertEqual(set(map(tuple, cluster.applied_commands().values())), {(b"other", b"third")})
 
-    def test_ignores_messages_of_another_cluster_and_duplicates(self):
+    def test_messages_of_another_cluster_and_duplicates_change_nothing(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
         leader = cluster.leader()
@@ -55,7 +55,7 @@
         incarnation = next(
             incarnation for incarnation, other in leader.leader_state.peers.items() if other is peer
         )
-        # a peer that rejects all entries
+        # The peer rejects all entries.
         peer.match_index = 0
         peer.next_index = 1
         peer.in_flight = False
@@ -67,7 +67,9 @@
                 output = leader.receive(
                     cluster.now, Envelope(leader.durable.epoch, peer.name, incarnation, response)
                 )
-                sent += [envelope.message for to, envelope in output.envelopes if to == peer.name]
+                sent += [
+                    envelope.message for recipient, envelope in output.envelopes if recipient == peer.name
+                ]
             responses = [
                 AppendEntriesResponse(leader.term, False, 0, message.sent_at)
                 for message in sent
@@ -75,7 +77,7 @@
             ]
         self.assertEqual(len(responses), 2)
 
-    def test_rejects_proposals_beyond_its_limits(self):
+    def test_leader_rejects_too_many_and_too_large_proposals(self):
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
         cluster.cut_links = {(leader.name, name) for name in cluster.replicas}
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -20,7 +20,7 @@
     def setUp(self) -> None:
         self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "record.db")
 
-    def test_file_holds_what_the_storage_in_memory_holds(self):
+    def test_file_holds_the_same_state_as_the_storage_in_memory(self):
         generator = random.Random(5)
         for _ in range(30):
             if os.path.exists(self.path):
@@ -84,7 +84,7 @@
         self.assertEqual(storage.load(database, "a", "a.2").entries, [])
 
     def test_restored_copy_is_detected_by_its_write_count(self):
-        """Drawn schedule 1008469: with the leader stopped no other replica knew of the later entries."""
+        """Simulated schedule 1008469: with the leader stopped, no other replica knew of the later entries."""
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         counter = WriteCounter(self.path + ".count", database)
         durable = storage.load(database, "a", "a.1")
@@ -93,23 +93,24 @@
         storage.write(database, durable, StorageUpdate(updates_metadata=True), counter)
         counter.close()
         database.close()
-        again = Database(self.path, storage.SCHEMA, storage.VERSION)
-        self.assertEqual(WriteCounter(self.path + ".count", again).stale_reason(), "")
-        again.close()
+        reopened = Database(self.path, storage.SCHEMA, storage.VERSION)
+        self.assertEqual(WriteCounter(self.path + ".count", reopened).stale_reason(), "")
+        reopened.close()
         os.replace(self.path + ".backup", self.path)
         for ending in ("-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self.path + ending)
-        back = sqlite3.connect(self.path)
-        back.execute(f"PRAGMA application_id = {APPLICATION_ID}")
-        back.close()
-        old = Database(self.path, storage.SCHEMA, storage.VERSION)
+        connection = sqlite3.connect(self.path)
+        connection.execute(f"PRAGMA application_id = {APPLICATION_ID}")
+        connection.close()
+        restored = Database(self.path, storage.SCHEMA, storage.VERSION)
         self.assertIn(
-            "is 1 in the database and 2 beside it", WriteCounter(self.path + ".count", old).stale_reason()
+            "is 1 in the database and 2 beside it",
+            WriteCounter(self.path + ".count", restored).stale_reason(),
         )
-        old.close()
+        restored.close()
 
-    def test_count_left_behind_by_a_power_failure_is_not_an_older_copy(self):
+    def test_database_is_not_stale_if_a_power_failure_lost_the_count_in_the_file(self):
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         counter = WriteCounter(self.path + ".count", database)
         storage.write(
@@ -119,7 +120,7 @@
         self.assertEqual(WriteCounter(self.path + ".count", database).stale_reason(), "")
         database.close()
 
-    def test_decreasing_terms_and_unreadable_members_are_corruption(self):
+    def test_decreasing_terms_and_undecodable_members_are_corrupt_state(self):
         durable = DurableState("a", "a.1", term=3, entries=[Entry(2, 2, b""), Entry(1, 2, b"")])
         with self.assertRaisesRegex(storage.CorruptStateError, "^the terms decrease within the log$"):
             storage.check(durable)
