--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -1,12 +1,12 @@
-"""The leader's part of disruption permits: which agents are alive, what to grant, what expires. Free of I/O.
+"""The leader's part of disruption permits: sessions of agents, grants and expiry. Free of I/O.
 
 A target is unavailable while it has a permit, while its agent reports that it does not serve, and while its
 agent is silent. So a new leader grants nothing on a site before the agents there have reported, and all
 targets of a host that fails count as unavailable.
 
-A permit may be started within its validity, which the agent counts by its own clock from when it sent its
-heartbeat. It expires once the validity is over by any clock within the drift. The leader only proposes: what
-is committed holds.
+A permit may be started within its validity, which the agent counts by its own clock from the time at which
+it sent its heartbeat. The permit expires once the validity has ended by any clock within the drift. The
+leader only proposes commands; they take effect once they are committed.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 )
 from oakkeel.units import MS
 
-SCAN_INTERVAL_NS = 50 * MS  # between two checks for silent agents and for what has expired
+SCAN_INTERVAL_NS = 50 * MS  # between two checks for silent agents, expired permits, leases and orders
 
 
 class PermitAllocator:
-    """A leader's view of agents and permits, discarded when it steps down. Returns commands to propose."""
+    """A leader's state of agents and permits, discarded when it steps down. Returns commands to propose."""
 
     def __init__(
         self, now: int, state_machine: PermitStateMachine, timeouts: PermitTimeouts, nonce: int = 1
@@ -49,7 +49,7 @@
         self.planner = GrantPlanner(state_machine)
         self.responses = heartbeats.ResponseBuilder(state_machine, self.clock, nonce)
         self.pending: set[bytes] = set()  # encoded commands that were proposed and are not applied yet
-        self.must_plan = True  # something changed since the last plan of grants
+        self.must_plan = True  # agents, permits or orders changed since the last plan of grants
         self.next_scan_at = now
         self._set_topology(now)
 
@@ -82,18 +82,22 @@
                 self.planner.enqueue(order.id, target)
 
     def receive_heartbeat(self, now: int, heartbeat: Heartbeat) -> list[commands.Command]:
-        """Record an agent's heartbeat; one that a later one has overtaken changes nothing."""
-        known = self.sessions.get(heartbeat.host)
+        """Record an agent's heartbeat, unless a later heartbeat of the agent was already received."""
+        latest_session = self.sessions.get(heartbeat.host)
         session = new_session(now, heartbeat, self.nonce)
-        if known and is_outdated(session, known):
+        if latest_session and is_outdated(session, latest_session):
             return []
         self.sessions[heartbeat.host] = session
-        if known is None or known.serving != session.serving or self._is_silent(now, known):
+        if (
+            latest_session is None
+            or latest_session.serving != session.serving
+            or self._is_silent(now, latest_session)
+        ):
             self._update_availability(heartbeat.host, session)
         return self._deduplicate(heartbeats.commands_of(self.state_machine.state, self.host_of, heartbeat))
 
     def _is_silent(self, now: int, session: AgentSession) -> bool:
-        """Whether an agent sent no heartbeat for too long: its targets then count as unavailable."""
+        """Whether an agent's last heartbeat is so old that its targets count as unavailable."""
         return now - session.last_heartbeat_at > self.timeouts.max_agent_silence_ns
 
     def _update_availability(self, host: str, session: AgentSession) -> None:
@@ -104,7 +108,7 @@
         self.must_plan = True
 
     def applied(self, now: int, index: int, command: commands.Command, result: object) -> None:
-        """Follow a command that was applied, whoever proposed it."""
+        """Update the sessions, clocks and waiting targets after a command of any leader was applied."""
         self._clear_pending(command)
         if isinstance(result, Rejection):
             return
@@ -145,18 +149,18 @@
                 self.unavailable.remove(target, PROPOSED_REASON)
 
     def tick(self, now: int) -> list[commands.Command]:
-        """Return what expires, and the grants that the budgets allow."""
-        wanted: list[commands.Command] = []
+        """Return the commands that expire permits, leases and orders, and the grants within the budgets."""
+        to_propose: list[commands.Command] = []
         if now >= self.next_scan_at:
             self.next_scan_at = now + SCAN_INTERVAL_NS
             self._mark_silent_agents(now)
             for order_id in self.clock.forget_ended_orders(self.state_machine.state):
                 self.planner.drop_order(order_id)
-            wanted += self.clock.expired(now, self.state_machine.state)
+            to_propose += self.clock.expiry_commands(now, self.state_machine.state)
         if self.must_plan:
             self.must_plan = False
-            wanted += self.planner.plan()
-        return self._deduplicate(wanted)
+            to_propose += self.planner.plan()
+        return self._deduplicate(to_propose)
 
     def _mark_silent_agents(self, now: int) -> None:
         """Count the targets of silent agents as unavailable."""
@@ -165,15 +169,15 @@
                 session.serving = {}
                 self._update_availability(host, session)
 
-    def _deduplicate(self, wanted: list[commands.Command]) -> list[commands.Command]:
-        """Return the commands that are not pending: heartbeats repeat what is not committed yet."""
-        new = []
-        for command in wanted:
+    def _deduplicate(self, to_propose: list[commands.Command]) -> list[commands.Command]:
+        """Return the commands that are not pending: heartbeats repeat a report until it is committed."""
+        not_pending = []
+        for command in to_propose:
             content = commands.encode(command)
             if content not in self.pending:
                 self.pending.add(content)
-                new.append(command)
-        return new
+                not_pending.append(command)
+        return not_pending
 
     def respond(self, now: int, epoch: str, host: str) -> HeartbeatResponse:
         """Return the permits and orders of a host. To be called only while the leader's lease holds."""
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -1,6 +1,6 @@
 """A replica of the control plane: Raft, the permit state machine, and a leader's allocator. Free of I/O.
 
-The caller carries out the outputs in their order, the storage update of each before the rest of it.
+The caller carries out the outputs in their order. Of each output, the storage update comes first.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class LeaderExtension(Protocol):
-    """What a leader does in addition to permits. It exists as long as the leader's `PermitAllocator`."""
+    """A leader's duties beside permits. An extension exists as long as the leader's `PermitAllocator`."""
 
     def receive_heartbeat(self, now: int, heartbeat: Heartbeat, /) -> Sequence[msgspec.Struct]:
         """Record an agent's heartbeat. Returns commands to propose."""
@@ -39,7 +39,7 @@
         ...
 
     def applied(self, now: int, command: msgspec.Struct, result: object, /) -> None:
-        """Follow a command that was applied."""
+        """Update the extension after a command was applied."""
         ...
 
     def lost(self, command: msgspec.Struct, /) -> None:
@@ -56,11 +56,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaSettings:
-    """What the replicas of one control plane have in common.
+    """The settings that the replicas of one control plane have in common.
 
     `initial_voters` names the voters of a new cluster. `topology` is by this host's settings: it takes effect
-    once a leader with the same settings has committed it. `state_machine` and `extension` add what is built
-    on permits.
+    once a leader with the same settings has committed it. `state_machine` and `extension` add the features
+    that are built on permits.
     """
 
     initial_voters: tuple[str, ...]
@@ -78,47 +78,49 @@
         """`now` is the host's monotonic time in nanoseconds, here and in all other calls."""
         self.now = now
         self.settings = settings
-        self.state_machine = settings.state_machine(self._applied)
+        self.state_machine = settings.state_machine(self._handle_applied)
         self.extension: LeaderExtension | None = None
         self.allocator: PermitAllocator | None = None
         # called with the index, the command and the result of each applied command
         self.on_committed: Callable[[int, commands.Command, object], None] | None = None
-        self.proposals: dict[Proposal, msgspec.Struct] = {}  # pending ones of the allocator and the extension
+        self.proposals: dict[
+            Proposal, msgspec.Struct
+        ] = {}  # pending proposals of the allocator and the extension
         self.replica = Replica(
             now, durable, self.state_machine, seed, settings.raft_timeouts, settings.initial_voters
         )
 
     def tick(self, now: int) -> list[Output]:
-        """Do what is due."""
-        return self._after(now, [self.replica.tick(now)])
+        """Send the messages and propose the commands that are due."""
+        return self._with_leader_outputs(now, [self.replica.tick(now)])
 
     def receive(self, now: int, envelope: Envelope) -> list[Output]:
         """Handle a message of another replica."""
         self.now = now
-        return self._after(now, [self.replica.receive(now, envelope)])
+        return self._with_leader_outputs(now, [self.replica.receive(now, envelope)])
 
     def receive_heartbeat(self, now: int, heartbeat: Heartbeat) -> tuple[HeartbeatResponse, list[Output]]:
         """Handle an agent's heartbeat and return the response. Raises NotLeaderError."""
         allocator = self._require_leader(now)
         extension = self.extension
-        wanted: list[msgspec.Struct] = [*allocator.receive_heartbeat(now, heartbeat)]
+        to_propose: list[msgspec.Struct] = [*allocator.receive_heartbeat(now, heartbeat)]
         if extension:
-            wanted += extension.receive_heartbeat(now, heartbeat)
-        outputs = self._propose(now, wanted)
+            to_propose += extension.receive_heartbeat(now, heartbeat)
+        outputs = self._propose(now, to_propose)
         response = allocator.respond(now, self.replica.durable.epoch, heartbeat.host)
         if extension:
             response.extension = extension.respond(now, heartbeat.host)
         response.voters = sorted(
             {*self.state_machine.desired_voters(), *(member.name for member in self.replica.members)}
         )
-        return response, self._after(now, outputs)
+        return response, self._with_leader_outputs(now, outputs)
 
     def propose(self, now: int, command: msgspec.Struct) -> tuple[Proposal, list[Output]]:
         """Propose a command. Raises NotLeaderError."""
         self.now = now
         self._require_leader(now)
         proposal, output = self.replica.propose(now, commands.encode(command))
-        return proposal, self._after(now, [output])
+        return proposal, self._with_leader_outputs(now, [output])
 
     def _require_leader(self, now: int) -> PermitAllocator:
         """Return the allocator of a leader that holds its lease. Raises NotLeaderError."""
@@ -127,8 +129,8 @@
             raise NotLeaderError(leader, self.replica.lease_missing_reason())
         return self.allocator
 
-    def _after(self, now: int, outputs: list[Output]) -> list[Output]:
-        """Return the outputs of a call, with those of what the leader does next."""
+    def _with_leader_outputs(self, now: int, outputs: list[Output]) -> list[Output]:
+        """Return the outputs of a call and of the commands that the leader proposes next."""
         self.now = now
         self._handle_lost_proposals(outputs)
         if not self.replica.holds_lease(now):
@@ -137,11 +139,11 @@
             return outputs
         if self.allocator is None:
             outputs += self._take_over(now)
-        while self.allocator and (wanted := self._wanted(now, self.allocator)):
-            more = self._propose(now, wanted)
-            if not more:
+        while self.allocator and (to_propose := self._next_commands(now, self.allocator)):
+            new_outputs = self._propose(now, to_propose)
+            if not new_outputs:
                 break
-            outputs += more
+            outputs += new_outputs
         return outputs
 
     def _handle_lost_proposals(self, outputs: list[Output]) -> None:
@@ -150,10 +152,10 @@
             for proposal in output.completed:
                 command = self.proposals.pop(proposal, None)
                 if command and proposal.status is not ProposalStatus.COMMITTED and self.allocator:
-                    self._lost(command)
+                    self._forget_command(command)
 
     def _take_over(self, now: int) -> list[Output]:
-        """Create what a leader needs, and propose its topology if the committed one differs."""
+        """Create the allocator and the extension, and propose the topology if the committed one differs."""
         nonce = self.replica.random.getrandbits(LEADER_NONCE_BITS) + 1
         self.allocator = PermitAllocator(now, self.state_machine, self.settings.permit_timeouts, nonce)
         outputs: list[Output] = []
@@ -168,30 +170,30 @@
         self.extension = None
         self.proposals.clear()
 
-    def _wanted(self, now: int, allocator: PermitAllocator) -> list[msgspec.Struct]:
+    def _next_commands(self, now: int, allocator: PermitAllocator) -> list[msgspec.Struct]:
         return [*allocator.tick(now), *(self.extension.tick(now) if self.extension else [])]
 
-    def _propose(self, now: int, wanted: Sequence[msgspec.Struct]) -> list[Output]:
+    def _propose(self, now: int, to_propose: Sequence[msgspec.Struct]) -> list[Output]:
         self.now = now
         outputs = []
-        for command in wanted:
+        for command in to_propose:
             try:
                 proposal, output = self.replica.propose(now, commands.encode(command))
             except NotLeaderError:
-                self._lost(command)
+                self._forget_command(command)
                 continue
             if proposal.status is ProposalStatus.PENDING:
                 self.proposals[proposal] = command
             outputs.append(output)
         return outputs
 
-    def _lost(self, command: msgspec.Struct) -> None:
+    def _forget_command(self, command: msgspec.Struct) -> None:
         if self.allocator:
             self.allocator.lost(command)
         if self.extension:
             self.extension.lost(command)
 
-    def _applied(self, index: int, command: commands.Command, result: object) -> None:
+    def _handle_applied(self, index: int, command: commands.Command, result: object) -> None:
         if self.on_committed:
             self.on_committed(index, command, result)
         if self.allocator:
--- a/oakkeel/disruption/expiry.py
+++ b/oakkeel/disruption/expiry.py
@@ -1,7 +1,7 @@
-"""The leader's clock of permits, leases and orders: how long they remain valid and when they expire.
+"""The validity and the expiry of permits, leases and orders, by the leader's clock.
 
-Free of I/O. All instants are in monotonic nanoseconds of the leader. A new leader does not know when its
-predecessor granted something, so it counts the full time from when it took over.
+Free of I/O. All instants are in monotonic nanoseconds of the leader. A new leader does not know the time of
+its predecessor's grants, so it counts the full validity from the time at which it took over.
 """
 
 from __future__ import annotations
@@ -10,12 +10,13 @@
 from oakkeel.disruption.state import ControlPlaneState, DisruptionOrder, Lease, Permit
 from oakkeel.disruption.timeouts import PermitTimeouts
 
-# Times of tokens that no permit has any more are forgotten once more are kept than two a permit and these.
+# The grant times of former permits are forgotten once the number of kept times exceeds twice the number of
+# permits by this.
 MAX_STALE_GRANT_TIMES = 64
 
 
 class ExpiryClock:
-    """The instants from which permits, leases and open orders count."""
+    """The instants at which permits were granted, leases renewed and open orders submitted."""
 
     def __init__(self, timeouts: PermitTimeouts) -> None:
         """Nothing has been granted or submitted yet."""
@@ -27,8 +28,9 @@
     def is_permit_expired(self, now: int, permit: Permit) -> bool:
         """Whether a permit that was not started expires: the rule of permit expiry.
 
-        Its holder may start it within the validity by its own clock. So after the upper bound of that by the
-        leader's clock the holder can no longer start it, and its target may be granted to another order.
+        The holder may start a permit within the validity by its own clock. After the upper bound of the
+        validity by the leader's clock, the holder can no longer start it, and the target may be granted to
+        another order.
         """
         granted_at = self.granted_at.setdefault(permit.fencing_token, now)
         if permit.started or permit.expired_index:
@@ -38,18 +40,19 @@
     def is_lease_expired(self, now: int, name: str, lease: Lease) -> bool:
         """Whether a lease expires: the rule of lease expiry.
 
-        Its holder counts the duration from when it sent the command. After the upper bound of that by the
-        leader's clock the holder no longer relies on the lease, and another may acquire it.
+        The holder counts the duration from the time at which it sent the command. After the upper bound of
+        the duration by the leader's clock, the holder no longer relies on the lease, and another holder may
+        acquire it.
         """
         renewed_at = self.lease_renewed_at.setdefault(name, now)
         return now - renewed_at > self.timeouts.upper_bound(lease.duration)
 
     def is_order_expired(self, now: int, order: DisruptionOrder) -> bool:
-        """Whether an open order expires: what still waits for a permit at its timeout is not taken out."""
+        """Whether an open order expires: targets that wait for a permit at its timeout are not taken out."""
         return not order.halted_by and now - self.order_submitted_at[order.id] > order.timeout
 
     def remaining_validity(self, now: int, permit: Permit) -> int:
-        """Return for how many nanoseconds a permit may still be started; not below 0."""
+        """Return the nanoseconds within which a permit may still be started; not below 0."""
         granted_at = self.granted_at.setdefault(permit.fencing_token, now)
         return max(0, granted_at + self.timeouts.validity_ns - now)
 
@@ -59,37 +62,39 @@
 
     def forget_ended_orders(self, state: ControlPlaneState) -> list[str]:
         """Forget the orders that are not open any more, and return their IDs."""
-        ended = [
+        ended_ids = [
             order_id
             for order_id in self.order_submitted_at
             if (order := state.orders.get(order_id)) is None or not order.is_open
         ]
-        for order_id in ended:
+        for order_id in ended_ids:
             del self.order_submitted_at[order_id]
-        return ended
+        return ended_ids
 
-    def expired(self, now: int, state: ControlPlaneState) -> list[commands.Command]:
-        """Return the commands that expire permits, leases and orders whose time is over."""
-        wanted: list[commands.Command] = [
+    def expiry_commands(self, now: int, state: ControlPlaneState) -> list[commands.Command]:
+        """Return the commands that expire permits, leases and orders."""
+        to_propose: list[commands.Command] = [
             commands.ExpirePermit(permit.target, permit.fencing_token)
             for permit in state.permits.values()
             if self.is_permit_expired(now, permit)
         ]
         self._forget_stale_grants(state)
-        wanted += [
+        to_propose += [
             commands.ReleaseLease(name, lease.fencing_token)
             for name, lease in state.leases.items()
             if self.is_lease_expired(now, name, lease)
         ]
-        wanted += [
+        to_propose += [
             commands.ExpireOrder(order_id)
             for order_id in self.order_submitted_at
             if self.is_order_expired(now, state.orders[order_id])
         ]
-        return wanted
+        return to_propose
 
     def _forget_stale_grants(self, state: ControlPlaneState) -> None:
         if len(self.granted_at) <= 2 * len(state.permits) + MAX_STALE_GRANT_TIMES:
             return
         tokens = {permit.fencing_token for permit in state.permits.values()}
-        self.granted_at = {token: at for token, at in self.granted_at.items() if token in tokens}
+        self.granted_at = {
+            token: granted_at for token, granted_at in self.granted_at.items() if token in tokens
+        }
--- a/oakkeel/disruption/grants.py
+++ b/oakkeel/disruption/grants.py
@@ -1,4 +1,4 @@
-"""Which waiting targets are granted a permit within the budgets. Free of I/O."""
+"""The choice of the waiting targets that are granted a permit within the budgets. Free of I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class GrantDecision(Enum):
-    """Whether a target is granted a permit; all but `GRANT` say why not."""
+    """Whether a target is granted a permit; each value but `GRANT` is the reason of a refusal."""
 
     GRANT = "granted"
     NOT_WAITING = "its task does not wait any more"
@@ -26,14 +26,14 @@
     """The targets that wait for a permit, in the order in which their orders were submitted."""
 
     def __init__(self, state_machine: PermitStateMachine) -> None:
-        """Nothing waits yet. `unavailable` is what the allocator knows to be unavailable."""
+        """Start without waiting targets. `reset` sets the allocator's unavailable targets."""
         self.state_machine = state_machine
         self.unavailable = UnavailableTargets(state_machine.state.topology)
         # targets by order and by their budget groups; the dictionary of targets is an ordered set
         self.waiting: dict[str, dict[tuple[str, ...], dict[str, None]]] = {}
 
     def reset(self, unavailable: UnavailableTargets) -> None:
-        """Begin again without waiting targets, after a change of the topology."""
+        """Start again without waiting targets, after a change of the topology."""
         self.unavailable = unavailable
         self.waiting.clear()
 
@@ -44,23 +44,23 @@
         self.waiting.setdefault(order_id, {}).setdefault(groups, {})[target] = None
 
     def drop_order(self, order_id: str) -> None:
-        """Forget what waits for an order that has ended."""
+        """Forget the waiting targets of an order that has ended."""
         self.waiting.pop(order_id, None)
 
     def plan(self) -> list[commands.Command]:
         """Return the grants of one tick."""
-        wanted: list[commands.Command] = []
+        to_propose: list[commands.Command] = []
         for order_id, groups in self.waiting.items():
             order = self.state_machine.state.orders.get(order_id)
             if order is None or order.halted_by:
                 continue
             if order.atomic and not _has_begun(order):
-                wanted += self._grant_all(order)
+                to_propose += self._grant_all(order)
                 continue
             for targets in groups.values():
-                if self._grant_group(order, targets, wanted):
-                    return wanted
-        return wanted
+                if self._grant_group(order, targets, to_propose):
+                    return to_propose
+        return to_propose
 
     def _grant_all(self, order: DisruptionOrder) -> list[commands.Command]:
         """Grant all targets of an atomic order or none."""
@@ -70,22 +70,22 @@
         return [self._grant(order, targets)]
 
     def _grant_group(
-        self, order: DisruptionOrder, targets: dict[str, None], wanted: list[commands.Command]
+        self, order: DisruptionOrder, targets: dict[str, None], to_propose: list[commands.Command]
     ) -> bool:
         """Grant targets of the same budget groups. Returns whether the tick's maximum of grants is reached.
 
-        They need the same budgets: once one is exhausted, only targets that are already unavailable can still
-        be granted.
+        The targets need the same budgets. Once a budget is exhausted, only targets that are already
+        unavailable can still be granted.
         """
         is_exhausted = False
         for target in list(targets):
-            if len(wanted) >= MAX_GRANTS_PER_TICK:
+            if len(to_propose) >= MAX_GRANTS_PER_TICK:
                 return True
             decision = self._decide(order, target, is_exhausted)
             if decision is GrantDecision.NOT_WAITING:
                 del targets[target]
             elif decision is GrantDecision.GRANT:
-                wanted.append(self._grant(order, [target]))
+                to_propose.append(self._grant(order, [target]))
             elif decision is GrantDecision.BUDGET_EXHAUSTED:
                 is_exhausted = True
                 if not self.unavailable.reasons.keys() & targets.keys():
@@ -95,8 +95,8 @@
     def _decide(self, order: DisruptionOrder, target: str, is_group_exhausted: bool) -> GrantDecision:
         """Decide whether a target is granted a permit: the rule of the grant.
 
-        A grant needs an agent that is there to use it, no other permit for the target, and room in each
-        budget of the target and of what depends on it. So no budget is exceeded, whoever else is unavailable.
+        A grant needs an agent that reports, no other permit for the target, and room in each budget of the
+        target and of its dependents. So no budget is exceeded, whichever other targets are unavailable.
         """
         if order.tasks[target].state != FleetTaskState.WAITING:
             return GrantDecision.NOT_WAITING
@@ -109,7 +109,7 @@
         return GrantDecision.GRANT
 
     def _is_ready(self, target: str, order_id: str) -> bool:
-        """Whether the target's agent is there to use a permit, and no other order has one."""
+        """Whether the target's agent reports, no grant is pending and no other order has a permit for it."""
         reasons = self.unavailable.reasons.get(target, ())
         return (
             UNKNOWN_REASON not in reasons
@@ -120,8 +120,8 @@
     def find_violation(self, targets: list[str]) -> BudgetViolation | None:
         """Return the violation of a budget by grants for targets; None if there is none.
 
-        Whatever is unavailable counts first: a target that is already unavailable adds nothing to that. Then
-        the permits alone count: a target without a permit adds one to each of its budgets.
+        The first check counts all unavailable targets: a target that is already unavailable adds nothing. The
+        second check counts the permits alone: a target without a permit adds one to each of its budgets.
         """
         by_permits = self.state_machine.unavailable
         return self.unavailable.find_violation(targets) or by_permits.find_violation(targets)
@@ -130,7 +130,7 @@
         """Return the grant of permits for targets, which count as unavailable from now on.
 
         If a budget of the targets is already exceeded, a permit may be started only while its target has no
-        process: otherwise it would take one more out of service.
+        process: otherwise the permit would take one more target out of service.
         """
         only_while_down = any(
             self.unavailable.is_exceeded(name)
--- a/oakkeel/disruption/heartbeats.py
+++ b/oakkeel/disruption/heartbeats.py
@@ -21,41 +21,43 @@
 def commands_of(
     state: ControlPlaneState, host_of: dict[str, str], heartbeat: Heartbeat
 ) -> list[commands.Command]:
-    """Return the commands that update the replicated state to what an agent reports.
+    """Return the commands that update the replicated state by an agent's report.
 
     `host_of` names the host of each target: an agent reports for its own targets only.
     """
-    wanted: list[commands.Command] = []
+    to_propose: list[commands.Command] = []
     for report in heartbeat.targets:
         permit = state.permits.get(report.name)
         if permit is not None and host_of.get(report.name) == heartbeat.host:
-            wanted += _permit_commands(permit, report, heartbeat.last_index)
+            to_propose += _permit_commands(permit, report, heartbeat.last_index)
     for result in heartbeat.task_results:
         order = state.orders.get(result.order_id)
         if order and result.target in order.tasks and order.tasks[result.target].is_open:
             reason = result.reason[:MAX_REASON_LENGTH]
-            wanted.append(commands.FinishTask(result.order_id, result.target, result.state, reason))
+            to_propose.append(commands.FinishTask(result.order_id, result.target, result.state, reason))
     limits = {
         target: limit
         for target, limit in heartbeat.generation_limits.items()
         if host_of.get(target) == heartbeat.host and limit > state.generations.get(target, 0)
     }
     if limits:
-        wanted.append(commands.ReserveGenerations(heartbeat.host, limits))
-    return wanted
+        to_propose.append(commands.ReserveGenerations(heartbeat.host, limits))
+    return to_propose
 
 
 def _permit_commands(permit: Permit, report: TargetReport, last_index: int) -> list[commands.Command]:
-    wanted: list[commands.Command] = []
+    to_propose: list[commands.Command] = []
     token = permit.fencing_token
-    started = report.started_token == token
-    if started and not permit.started:
-        wanted.append(commands.StartPermit(report.name, token))
-    is_back = started and report.restored and report.serving
-    never_started = not started and 0 < permit.expired_index <= last_index  # the agent knew of the expiry
-    if is_back or report.unused_token == token or never_started:
-        wanted.append(commands.ReleasePermit(report.name, token))
-    return wanted
+    is_started = report.started_token == token
+    if is_started and not permit.started:
+        to_propose.append(commands.StartPermit(report.name, token))
+    is_back = is_started and report.restored and report.serving
+    was_never_started = (
+        not is_started and 0 < permit.expired_index <= last_index
+    )  # the agent knows of the expiry
+    if is_back or report.unused_token == token or was_never_started:
+        to_propose.append(commands.ReleasePermit(report.name, token))
+    return to_propose
 
 
 class ResponseBuilder:
@@ -75,13 +77,13 @@
         return HeartbeatResponse(
             epoch,
             self.state_machine.index,
-            [self._granted(now, permit) for name in targets if (permit := state.permits.get(name))],
+            [self._granted_permit(now, permit) for name in targets if (permit := state.permits.get(name))],
             self._assigned_orders(now, host, targets),
             {target: state.generations[target] for target in targets if target in state.generations},
             timestamp=(self.nonce, now),
         )
 
-    def _granted(self, now: int, permit: Permit) -> GrantedPermit:
+    def _granted_permit(self, now: int, permit: Permit) -> GrantedPermit:
         order = self.state_machine.state.orders.get(permit.order_id)
         valid_for_ns = self.clock.remaining_validity(now, permit)
         must_not_start = order is None or order.halted_by or permit.expired_index
@@ -96,12 +98,12 @@
 
     def _assigned_orders(self, now: int, host: str, targets: tuple[str, ...]) -> list[AssignedOrder]:
         state = self.state_machine.state
-        known = self.orders_by_host.get(host, [])
+        order_ids = self.orders_by_host.get(host, [])
         assigned = []
-        for order_id in list(known):
+        for order_id in list(order_ids):
             order = state.orders.get(order_id)
             if order is None or not _concerns(state, order, targets):
-                known.remove(order_id)  # an order that has ended on a host is never resumed there
+                order_ids.remove(order_id)  # an order that has ended on a host is never resumed there
                 continue
             assigned.append(_assigned_order(order, targets, self.clock.remaining_time(now, order)))
         return assigned
--- a/oakkeel/disruption/sessions.py
+++ b/oakkeel/disruption/sessions.py
@@ -16,7 +16,7 @@
     last_heartbeat_at: int  # by the leader's monotonic clock, in nanoseconds
     serving: dict[str, bool]  # by target
     in_flight: dict[str, str]  # requests in flight, by target that drains
-    echoed_at: int  # time of the latest response that the agent received; 0: none of this leader
+    echoed_at: int  # time of this leader's latest response that the agent received; 0: none
 
 
 def new_session(now: int, heartbeat: Heartbeat, leader_nonce: int) -> AgentSession:
@@ -32,12 +32,12 @@
     )
 
 
-def is_outdated(session: AgentSession, known: AgentSession) -> bool:
-    """Whether a heartbeat was overtaken by one that the leader already has.
+def is_outdated(session: AgentSession, latest_session: AgentSession) -> bool:
+    """Whether the leader already has a later heartbeat of the agent.
 
     Of two incarnations of an agent, the one that echoes the later response of the leader is the later: a
-    delayed heartbeat of a killed agent must not count as one of its successor.
+    delayed heartbeat of a killed agent must not count as a heartbeat of its successor.
     """
-    if session.incarnation != known.incarnation:
-        return session.echoed_at <= known.echoed_at
-    return session.sequence < known.sequence
+    if session.incarnation != latest_session.incarnation:
+        return session.echoed_at <= latest_session.echoed_at
+    return session.sequence < latest_session.sequence
