--- a/tests/disruption/permit_cluster.py
+++ b/tests/disruption/permit_cluster.py
@@ -26,7 +26,7 @@
 
     def setUp(self) -> None:
         self.state_machine = PermitStateMachine(
-            lambda *applied: self.allocator.applied(self.now, *applied) if self.allocator else None
+            lambda *arguments: self.allocator.applied(self.now, *arguments) if self.allocator else None
         )
         self.allocator: PermitAllocator | None = None
         self.now = SECOND
@@ -36,9 +36,9 @@
         self.apply(commands.SetTopology(TOPOLOGY))
         self.elect()
 
-    def apply(self, *wanted: commands.Command) -> object:
+    def apply(self, *to_apply: commands.Command) -> object:
         result = None
-        for command in wanted:
+        for command in to_apply:
             self.index += 1
             result = self.state_machine.apply(self.index, commands.encode(command))
         return result
@@ -53,8 +53,8 @@
             self.apply(
                 *self.allocator.receive_heartbeat(self.now, holder.heartbeat(self.now, self.serving, [], {}))
             )
-            while wanted := self.allocator.tick(self.now):
-                self.apply(*wanted)
+            while proposed := self.allocator.tick(self.now):
+                self.apply(*proposed)
             holder.receive_response(self.now, self.now, self.allocator.respond(self.now, "e", host))
 
     def submit(self, order_id: str, *targets: str, verb: str = "drain", atomic: bool = False) -> object:
--- a/tests/disruption/test_allocator.py
+++ b/tests/disruption/test_allocator.py
@@ -1,4 +1,4 @@
-"""The leader's grants, expiry of permits and sessions of agents."""
+"""The leader's grants, its expiry of permits, and its sessions of agents."""
 
 from oakkeel.disruption import commands
 from oakkeel.disruption.holder import PermitHolder
@@ -15,7 +15,7 @@
         self.exchange_heartbeats("h1")
         self.assertEqual(self.states("o1"), {"a": "granted"})
 
-    def test_keeps_the_budget_over_hosts_and_grants_a_released_permit_to_the_next(self):
+    def test_grants_keep_the_budget_of_all_hosts_and_continue_after_a_release(self):
         self.exchange_heartbeats()
         self.submit("o1", "a", "b", "c", "d", verb="restart")
         self.exchange_heartbeats()
@@ -49,23 +49,22 @@
         self.assertIsInstance(self.submit("o3", "a", "b", "nobody"), Rejection)
         self.assertEqual(self.state_machine.state.orders["o2"].atomic, True)
 
-    def test_service_counts_with_its_dependents_also_when_it_fails(self):
+    def test_taken_or_failed_service_counts_with_its_dependents(self):
         self.exchange_heartbeats()
         self.submit("o1", "cat2")
         self.exchange_heartbeats()
-        self.assertEqual(
-            self.states("o1"), {"cat2": "granted"}
-        )  # c and d depend on it: the budget of the fleet is used up
+        # c and d depend on cat2, so the budget of the fleet is exhausted.
+        self.assertEqual(self.states("o1"), {"cat2": "granted"})
         self.submit("o2", "a")
         self.exchange_heartbeats()
         self.assertEqual(self.states("o2"), {"a": "waiting"})
-        self.serving["cat1"] = False  # it fails while the other of its kind is out
+        self.serving["cat1"] = False  # cat1 fails while cat2, of the same kind, is out
         self.submit("o3", "cat1")
         self.exchange_heartbeats()
         self.assertEqual((self.states("o2"), self.states("o3")), ({"a": "waiting"}, {"cat1": "waiting"}))
         self.assertIn("hangs on cat1", self.allocator.unavailable.reasons["a"])
 
-    def test_permit_over_the_budget_holds_only_while_its_target_is_down(self):
+    def test_permit_beyond_the_budget_can_be_started_only_while_its_target_is_down(self):
         self.serving["a"] = self.serving["b"] = False  # the maximum of their site is 1
         self.exchange_heartbeats()
         self.submit("o1", "a", verb="restart")
@@ -77,30 +76,30 @@
 
 
 class ExpiryTest(PermitClusterTest):
-    def test_permit_expires_after_nobody_can_start_it_and_counts_until_its_agent_reports(self):
+    def test_permit_expires_after_its_validity_and_counts_until_its_agent_reports(self):
         self.exchange_heartbeats()
         self.submit("o1", "a")
         self.submit("o2", "c", "d")
         self.exchange_heartbeats()
         timeouts = self.allocator.timeouts
-        granted = self.now
-        self.now = granted + timeouts.validity_ns - MS
+        granted_at = self.now
+        self.now = granted_at + timeouts.validity_ns - MS
         self.assertTrue(self.holders["h1"].may_start(self.now, "a", "o1"))
-        self.now = granted + timeouts.validity_ns
+        self.now = granted_at + timeouts.validity_ns
         self.assertFalse(self.holders["h1"].may_start(self.now, "a", "o1"))
-        self.now = granted + timeouts.expiry_ns + MS
+        self.now = granted_at + timeouts.expiry_ns + MS
         for _ in range(3):
             self.exchange_heartbeats("h2")
         token = self.state_machine.state.permits["a"].fencing_token
         self.assertTrue(self.state_machine.state.permits["a"].expired_index)
-        # a heartbeat of an agent that does not know of the expiry
-        late = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
-        self.apply(*self.allocator.receive_heartbeat(self.now, late))
+        # The agent does not know of the expiry when it sends this heartbeat.
+        heartbeat = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
+        self.apply(*self.allocator.receive_heartbeat(self.now, heartbeat))
         self.assertEqual(self.state_machine.state.permits["a"].fencing_token, token)
         self.exchange_heartbeats("h1")
         self.assertFalse(self.holders["h1"].may_start(self.now, "a", "o1"))
         self.exchange_heartbeats("h1")
-        self.assertGreater(self.state_machine.state.permits["a"].fencing_token, token)  # it is granted again
+        self.assertGreater(self.state_machine.state.permits["a"].fencing_token, token)  # a new grant
 
     def test_started_permit_survives_its_expiry_while_the_agent_was_silent(self):
         self.exchange_heartbeats()
@@ -110,7 +109,7 @@
         self.now += self.allocator.timeouts.expiry_ns + MS
         self.exchange_heartbeats("h2")
         self.submit("o2", "b")
-        self.serving["b"] = False  # it is down: the budget has no room for a second permit
+        self.serving["b"] = False  # b is down, so the budget has no room for a second permit
         self.exchange_heartbeats()
         self.exchange_heartbeats()
         self.assertEqual((self.states("o1"), self.states("o2")), ({"a": "out"}, {"b": "waiting"}))
@@ -136,27 +135,27 @@
         self.exchange_heartbeats("h2")
         self.assertEqual(self.states("o1"), {"a": "granted"})
 
-    def test_ignores_late_report_of_an_earlier_incarnation(self):
+    def test_ignores_late_heartbeat_of_an_earlier_incarnation(self):
         self.exchange_heartbeats()
-        late = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
+        late_heartbeat = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
         self.holders["h1"] = PermitHolder("h1", TOPOLOGY.hosts["h1"], 2)
         self.serving["a"] = False
         self.exchange_heartbeats("h1")
-        self.exchange_heartbeats("h1")  # it echoes the leader, so it is the later incarnation
-        self.allocator.receive_heartbeat(self.now, late)
+        self.exchange_heartbeats("h1")  # its echo of the leader's timestamp shows the later incarnation
+        self.allocator.receive_heartbeat(self.now, late_heartbeat)
         self.assertIn("does not serve", self.allocator.unavailable.reasons["a"])
 
-    def test_late_report_of_a_killed_agent_does_not_outdate_its_successor(self):
-        """Drawn schedule 1020500: after a change of leader it arrived after the successor's first heartbeat.
-        That one was taken for the earlier incarnation, and the running agent was ignored."""
+    def test_late_heartbeat_of_a_killed_agent_does_not_outdate_its_successor(self):
+        """Simulated schedule 1020500: after a change of leader, the heartbeat arrived after the successor's
+        first heartbeat. The successor was taken for the earlier incarnation, and the leader ignored it."""
         self.exchange_heartbeats()
-        late = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
+        late_heartbeat = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
         self.holders["h1"] = PermitHolder("h1", TOPOLOGY.hosts["h1"], 2)
         self.index += 1
         self.elect()
         self.serving["a"] = False
         self.exchange_heartbeats("h1")
-        self.allocator.receive_heartbeat(self.now, late)
+        self.allocator.receive_heartbeat(self.now, late_heartbeat)
         self.exchange_heartbeats("h1")
         self.now += SECOND
         self.exchange_heartbeats("h1")
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -1,4 +1,4 @@
-"""The agent's side: permit holder, lease holder and the search for the leader."""
+"""The agent's side: the permit holder, the lease holder and the leader locator."""
 
 import unittest
 from types import SimpleNamespace
@@ -19,10 +19,10 @@
 
 
 class PermitHolderTest(PermitClusterTest):
-    def test_target_gets_no_drain_request_after_the_validity_of_its_permit(self):
-        """Drawn schedule 1047676: a permit was started, and the disk was full for eight seconds. Targets
+    def test_target_gets_no_first_drain_request_after_the_validity_of_its_permit(self):
+        """Simulated schedule 1047676: a permit was started, and the disk was full for eight seconds. Targets
         that failed meanwhile were not counted when the permit was used."""
-        for late, state in ((False, "serving"), (True, "serving"), (True, "draining")):
+        for is_late, state in ((False, "serving"), (True, "serving"), (True, "draining")):
             self.setUp()
             self.exchange_heartbeats()
             self.submit("o1", "a")
@@ -45,34 +45,34 @@
             orders.advance(self.now)
             [step] = supervision.tick(self.now)
             self.assertTrue(holder.permits["a"].started)
-            instance.drain_sent_at = 0  # it was delayed, as it could not be stored
+            instance.drain_sent_at = 0  # the request was delayed, as the start could not be stored
             instance.report = SimpleNamespace(state=state)
-            self.now += 4 * SECOND * late
+            self.now += 4 * SECOND * is_late
             steps = orders.permitted_steps(self.now, supervision.tick(self.now))
-            if late and state == "serving":
+            if is_late and state == "serving":
                 self.assertEqual((steps, instance.phase, instance.task), ([], Phase.SERVING, None))
                 self.assertEqual(orders.orders["o1"].tasks[0].state, HostTaskState.CANCELLED)
             else:
                 self.assertEqual((steps, instance.task.drain_sent), ([step], True))
 
-    def test_rejects_older_responses_other_clusters_and_older_tokens(self):
+    def test_rejects_older_responses_responses_of_other_clusters_and_older_tokens(self):
         holder = PermitHolder("h1", ("a",), 1)
         response = HeartbeatResponse("e", 7, [GrantedPermit("a", "o1", 6, False, 3 * SECOND)], [], {})
         self.assertTrue(holder.receive_response(SECOND, SECOND, response))
         self.assertFalse(holder.receive_response(SECOND, SECOND, HeartbeatResponse("e", 5, [], [], {})))
         self.assertFalse(holder.receive_response(SECOND, SECOND, HeartbeatResponse("other", 9, [], [], {})))
         holder.start(SECOND, "a")
-        again = PermitHolder("h1", ("a",), 2)
-        again.restore("e", [StoredPermit("a", 6, "o1", True)], {})
-        self.assertTrue(again.may_start(9 * SECOND, "a", "o1"))  # it was started before
-        again.receive_response(
+        restarted = PermitHolder("h1", ("a",), 2)
+        restarted.restore("e", [StoredPermit("a", 6, "o1", True)], {})
+        self.assertTrue(restarted.may_start(9 * SECOND, "a", "o1"))  # the permit was started before
+        restarted.receive_response(
             SECOND, SECOND, HeartbeatResponse("e", 9, [GrantedPermit("a", "o0", 4, False, SECOND)], [], {})
         )
-        self.assertFalse(again.may_start(SECOND, "a", "o0"))
+        self.assertFalse(restarted.may_start(SECOND, "a", "o0"))
 
 
 class LeaseHolderTest(PermitClusterTest):
-    def test_lease_has_one_holder_at_a_time_and_the_next_a_higher_token(self):
+    def test_lease_has_one_holder_at_a_time_and_the_next_holder_gets_a_higher_token(self):
         first = LeaseHolder("release", "h1", SECOND)
         second = LeaseHolder("release", "h2", SECOND)
         sent_at = self.now
@@ -83,7 +83,7 @@
         # A renewal keeps the token.
         self.assertTrue(first.receive_result(self.now, self.apply(first.acquire_command())))
         self.assertEqual((first.fencing_token, first.expires_at), (token, sent_at + SECOND // 2 + SECOND))
-        self.elect()  # a new leader does not know when that was
+        self.elect()  # a new leader does not know the time of the renewal
         self.now += SECOND
         self.assertFalse(first.is_held(self.now))
         self.apply(*self.allocator.tick(self.now))
@@ -97,7 +97,7 @@
 
 
 class LeaderLocatorTest(unittest.TestCase):
-    def test_polls_the_leader_it_was_redirected_to_or_each_voter_in_turn(self):
+    def test_polls_the_leader_of_a_redirect_or_else_each_voter_in_turn(self):
         locator = LeaderLocator(["h1", "h2", "h3"], ["h1", "h2", "h3", "h4"])
         polled = []
         for leader in ("", "", "h4", "h9", "h4"):
--- a/tests/disruption/test_state_machine.py
+++ b/tests/disruption/test_state_machine.py
@@ -12,8 +12,8 @@
 
 
 class PermitStateMachineTest(PermitClusterTest):
-    def test_target_stays_out_by_the_earlier_order_where_the_next_permit_is_not_used(self):
-        """Drawn schedule 1016590: a restart of a stopped target was cancelled before its permit was used,
+    def test_target_stays_out_by_the_earlier_order_if_the_next_permit_is_not_used(self):
+        """Simulated schedule 1016590: a restart of a stopped target was cancelled before its permit was used,
         and the permit of the stop was lost."""
         self.exchange_heartbeats()
         self.submit("o1", "a", verb="stop")
@@ -53,24 +53,24 @@
         self.apply(commands.ReserveGenerations("h1", {"a": 3}))
         self.assertEqual(self.state_machine.state.generations["a"], 64)
 
-    def test_rejects_command_of_a_later_version_and_keeps_its_state(self):
+    def test_rejects_command_of_a_later_version_and_restores_the_same_state(self):
         self.assertIsInstance(self.state_machine.apply(99, b"\x91\xa5other"), Rejection)
-        again = PermitStateMachine()
-        again.restore(self.state_machine.snapshot())
-        self.assertEqual(again.snapshot(), self.state_machine.snapshot())
+        restored = PermitStateMachine()
+        restored.restore(self.state_machine.snapshot())
+        self.assertEqual(restored.snapshot(), self.state_machine.snapshot())
 
 
 class PermitCommandsMachine(RuleBasedStateMachine):
-    """Random commands in any order: the budgets hold."""
+    """Applies random commands in any order: no budget is exceeded by permits."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state_machine = PermitStateMachine()
         self.index = 0
         self.tokens = {}
-        self.put(commands.SetTopology(TOPOLOGY))
+        self.apply(commands.SetTopology(TOPOLOGY))
 
-    def put(self, command) -> object:
+    def apply(self, command) -> object:
         self.index += 1
         return self.state_machine.apply(self.index, commands.encode(command))
 
@@ -85,11 +85,11 @@
     )
     def submit(self, order_id, names, verb, atomic):
         generations = [(target, 1) for target in sorted(names)]
-        self.put(commands.SubmitOrder(order_id, "asha", verb, 0, SECOND, atomic, generations))
+        self.apply(commands.SubmitOrder(order_id, "asha", verb, 0, SECOND, atomic, generations))
 
     @rule(order_id=order_ids, names=st.sets(target_names, min_size=1))
     def grant(self, order_id, names):
-        result = self.put(commands.GrantPermits(order_id, sorted(names)))
+        result = self.apply(commands.GrantPermits(order_id, sorted(names)))
         for target in names if isinstance(result, int) else ():
             assert result > self.tokens.get(target, 0)
             self.tokens[target] = result
@@ -99,18 +99,18 @@
         kind=st.sampled_from([commands.StartPermit, commands.ReleasePermit, commands.ExpirePermit]),
     )
     def move_permit(self, name, kind):
-        self.put(kind(name, self.tokens.get(name, 0)))
+        self.apply(kind(name, self.tokens.get(name, 0)))
 
     @rule(order_id=order_ids, name=target_names, state=st.sampled_from(["done", "failed", "refused"]))
     def finish_task(self, order_id, name, state):
-        self.put(commands.FinishTask(order_id, name, state, ""))
+        self.apply(commands.FinishTask(order_id, name, state, ""))
 
     @rule(
         order_id=order_ids,
         kind=st.sampled_from([commands.HaltOrder, commands.CancelOrder, commands.ExpireOrder]),
     )
     def end_order(self, order_id, kind):
-        self.put(kind(order_id) if kind is commands.ExpireOrder else kind(order_id, "ravi"))
+        self.apply(kind(order_id) if kind is commands.ExpireOrder else kind(order_id, "ravi"))
 
     @rule()
     def restore_snapshot(self):
@@ -118,10 +118,12 @@
 
     @invariant()
     def budgets_hold(self):
-        out = set(self.state_machine.state.permits)
-        out |= {instance for target in out for instance in TOPOLOGY.dependents.get(target, ())}
+        unavailable = set(self.state_machine.state.permits)
+        unavailable |= {
+            instance for target in unavailable for instance in TOPOLOGY.dependents.get(target, ())
+        }
         for group in TOPOLOGY.groups:
-            assert len(out & set(group.targets)) <= group.max_unavailable, (group, out)
+            assert len(unavailable & set(group.targets)) <= group.max_unavailable, (group, unavailable)
 
 
 PermitCommandsMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
