--- a/oakkeel/raft/durable_state.py
+++ b/oakkeel/raft/durable_state.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class DurableState:
-    """Everything that a replica has on disk."""
+    """The state that a replica keeps on disk."""
 
     name: str
     incarnation: str
@@ -36,5 +36,5 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing changed."""
+        """Whether the update changes nothing."""
         return not (self.updates_metadata or self.truncate_from or self.entries or self.snapshot)
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -1,4 +1,4 @@
-"""Replication of the log, on the leader's side. The follower's is in `replication`."""
+"""Replication of the log, on the leader's side. The follower's side is in `replication`."""
 
 from __future__ import annotations
 
--- a/oakkeel/raft/log.py
+++ b/oakkeel/raft/log.py
@@ -110,7 +110,7 @@
         return self.last_index
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entry at an index and all that follow it."""
+        """Drop the entry at an index and all entries after it."""
         del self.entries[index - self.snapshot.index - 1 :]
         while len(self.membership_changes) > 1 and self.membership_changes[-1].index >= index:
             self.membership_changes.pop()
--- a/oakkeel/raft/replication.py
+++ b/oakkeel/raft/replication.py
@@ -1,4 +1,4 @@
-"""Replication of the log, on the follower's side. The leader's is in `leader`."""
+"""Replication of the log, on the follower's side. The leader's side is in `leader`."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
         if not replica.accept_leader(now, envelope.sender, request.term):
             self._respond(envelope, request, False, 0)
             return
-        if lost := self._lost_entry(request):
-            self._become_stale(now, envelope.sender, lost)
+        if lost_position := self._lost_entry(request):
+            self._become_stale(now, envelope.sender, lost_position)
             return
         previous_index, entries = self._entries_after_snapshot(request)
         if not self._has_previous_entry(request, previous_index):
@@ -66,11 +66,11 @@
         is_covered = previous_index != request.previous_index  # by the snapshot
         return is_covered or log.term_at(previous_index) == request.previous_term
 
-    def _become_stale(self, now: int, leader: str, lost: LogPosition) -> None:
+    def _become_stale(self, now: int, leader: str, lost_position: LogPosition) -> None:
         last = self.replica.log.last_position
         self.replica.become_stale(
             now,
-            f"{leader} has its acknowledgement of entry {lost.index} of term {lost.term},"
+            f"{leader} has its acknowledgement of entry {lost_position.index} of term {lost_position.term},"
             f" but its log ends with entry {last.index} of term {last.term}",
         )
 
--- a/oakkeel/raft/state.py
+++ b/oakkeel/raft/state.py
@@ -25,7 +25,7 @@
 
 
 class StateMachine(Protocol):
-    """Applies committed commands. Deterministic, so that it is the same on every replica."""
+    """Applies committed commands. It is deterministic, so that its state is the same on every replica."""
 
     def apply(self, index: int, content: bytes) -> object:
         """Apply a committed command and return its result."""
@@ -77,7 +77,7 @@
         self.leader = ""  # by name
         self.leader_state: LeaderState | None = None
         self.leader_contact_at = now  # before its start the replica may have been in contact with a leader
-        self.election_at = now  # when its election timeout ends
+        self.election_at = now  # the end of the election timeout
         self.elections_won = 0
         self.commit_index = durable.snapshot.index
         self.applied_index = durable.snapshot.index
@@ -188,7 +188,7 @@
         return True
 
     def set_term(self, term: int, voted_for: str) -> None:
-        """Set the term and the vote in it; an empty vote is none."""
+        """Set the term and the vote in that term; empty: no vote."""
         if (self.durable.term, self.durable.voted_for) != (term, voted_for):
             self.durable.term = term
             self.durable.voted_for = voted_for
--- a/oakkeel/raft/write_counter.py
+++ b/oakkeel/raft/write_counter.py
@@ -18,8 +18,8 @@
     """Counts the writes to a database, both in the database and in a file beside it.
 
     A restored older copy of the database has a lower count than the file. The file is written after the
-    database and is not synced. So its count is exact after a crash of the process and may be behind after a
-    power failure, but is never ahead of the count in the database.
+    database and is not synced: after a crash of the process its count is exact, after a power failure it may
+    be behind, but it is never ahead of the count in the database that it belongs to.
     """
 
     def __init__(self, path: str, database: Database) -> None:
