--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -1,6 +1,6 @@
 """The leader's part of disruption permits: sessions of agents, grants and expiry. Free of I/O.
 
-A target is unavailable while it has a permit, while its agent reports that it does not serve, and while its
+A target is unavailable while it has a permit, while its agent reports that it is not serving, and while its
 agent is silent. So a new leader grants nothing on a site before the agents there have reported, and all
 targets of a host that fails count as unavailable.
 
@@ -40,7 +40,7 @@
     def __init__(
         self, now: int, state_machine: PermitStateMachine, timeouts: PermitTimeouts, nonce: int = 1
     ) -> None:
-        """`nonce` distinguishes the timestamps of this leader from those of others."""
+        """`nonce` distinguishes the timestamps of this leader from the timestamps of other leaders."""
         self.state_machine = state_machine
         self.timeouts = timeouts
         self.nonce = nonce
@@ -108,7 +108,7 @@
         self.must_plan = True
 
     def applied(self, now: int, index: int, command: commands.Command, result: object) -> None:
-        """Update the sessions, clocks and waiting targets after a command of any leader was applied."""
+        """Update the leader's state after a command was applied, whichever leader had proposed it."""
         self._clear_pending(command)
         if isinstance(result, Rejection):
             return
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -83,9 +83,8 @@
         self.allocator: PermitAllocator | None = None
         # called with the index, the command and the result of each applied command
         self.on_committed: Callable[[int, commands.Command, object], None] | None = None
-        self.proposals: dict[
-            Proposal, msgspec.Struct
-        ] = {}  # pending proposals of the allocator and the extension
+        # pending proposals of the allocator and the extension
+        self.proposals: dict[Proposal, msgspec.Struct] = {}
         self.replica = Replica(
             now, durable, self.state_machine, seed, settings.raft_timeouts, settings.initial_voters
         )
--- a/oakkeel/disruption/grants.py
+++ b/oakkeel/disruption/grants.py
@@ -109,7 +109,7 @@
         return GrantDecision.GRANT
 
     def _is_ready(self, target: str, order_id: str) -> bool:
-        """Whether the target's agent reports, no grant is pending and no other order has a permit for it."""
+        """Whether the target's agent reports, no grant is pending, and no permit excludes a new one."""
         reasons = self.unavailable.reasons.get(target, ())
         return (
             UNKNOWN_REASON not in reasons
--- a/oakkeel/disruption/heartbeats.py
+++ b/oakkeel/disruption/heartbeats.py
@@ -52,9 +52,8 @@
     if is_started and not permit.started:
         to_propose.append(commands.StartPermit(report.name, token))
     is_back = is_started and report.restored and report.serving
-    was_never_started = (
-        not is_started and 0 < permit.expired_index <= last_index
-    )  # the agent knows of the expiry
+    # An agent that knows of the expiry can no longer start the permit.
+    was_never_started = not is_started and 0 < permit.expired_index <= last_index
     if is_back or report.unused_token == token or was_never_started:
         to_propose.append(commands.ReleasePermit(report.name, token))
     return to_propose
@@ -64,7 +63,7 @@
     """Builds the leader's responses to heartbeats."""
 
     def __init__(self, state_machine: PermitStateMachine, clock: ExpiryClock, nonce: int) -> None:
-        """`nonce` distinguishes the timestamps of this leader from those of others."""
+        """`nonce` distinguishes the timestamps of this leader from the timestamps of other leaders."""
         self.state_machine = state_machine
         self.clock = clock
         self.nonce = nonce
--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -30,7 +30,7 @@
     start_before: int  # by the agent's monotonic clock, in nanoseconds
     started: bool = False
     restored: bool = False  # the target is back in service
-    unused: bool = False  # the agent will not start it
+    unused: bool = False  # the agent will not start the permit
     notify_before: int = 0  # the first drain request must be sent before this instant
     only_while_down: bool = False  # the permit may be started only while the target has no process
 
@@ -51,7 +51,7 @@
     """
 
     def __init__(self, host: str, targets: tuple[str, ...], incarnation: int) -> None:
-        """`incarnation` distinguishes this process of the agent from others."""
+        """`incarnation` distinguishes this process of the agent from its other processes."""
         self.host = host
         self.targets = targets
         self.incarnation = incarnation
--- a/oakkeel/disruption/order_handlers.py
+++ b/oakkeel/disruption/order_handlers.py
@@ -87,8 +87,8 @@
 
 def _find_refusal_reason(view: ControlPlaneView, verb: str, target: str) -> str:
     """Return why a target can't be part of a new order; empty if it can. The text is stored with the task."""
-    if other := view.find_open_order(target):
-        return f"{other.operator}'s {other.verb} {other.id} stands"
+    if open_order := view.find_open_order(target):
+        return f"{open_order.operator}'s {open_order.verb} {open_order.id} stands"
     permit = view.state.permits.get(target)
     if permit and verb != "restart" and not view.is_returning(permit):
         return f"it is out already, by {permit.order_id}"
@@ -96,7 +96,7 @@
 
 
 def _forget_ended_orders(view: ControlPlaneView) -> None:
-    """Delete the oldest orders that have ended and have no permit, until the maximum is kept."""
+    """Delete the oldest orders that have ended and have no permit, until at most the maximum remains."""
     orders = view.state.orders
     with_permit = {permit.order_id for permit in view.state.permits.values()}
     for order_id, order in list(orders.items()):
--- a/oakkeel/disruption/permit_handlers.py
+++ b/oakkeel/disruption/permit_handlers.py
@@ -11,9 +11,7 @@
 from oakkeel.disruption.topology import PERMIT_REASON
 
 # Stored and printed reasons of tasks.
-RETURNED_REASON = (
-    "its place was given back"  # the target's permit was released unused: the target waits for another permit
-)
+RETURNED_REASON = "its place was given back"  # the permit was released unused: the task waits again
 RESTORED_REASON = "it was started again"
 AGENT_SILENT_REASON = "its agent was not heard in time"
 
@@ -36,13 +34,13 @@
     if violation := view.unavailable.find_violation(command.targets):
         return Rejection(str(violation))
     for target in command.targets:
-        previous = state.permits.get(target)
+        previous_permit = state.permits.get(target)
         state.permits[target] = Permit(
             target,
             order.id,
             index,
             only_while_down=command.only_while_down,
-            previous_order_id=previous.order_id if previous and previous.started else "",
+            previous_order_id=previous_permit.order_id if previous_permit and previous_permit.started else "",
         )
         view.unavailable.add(target, PERMIT_REASON)
         order.tasks[target].move(FleetTaskState.GRANTED, "")
--- a/oakkeel/disruption/state_machine.py
+++ b/oakkeel/disruption/state_machine.py
@@ -1,6 +1,7 @@
 """The replicated state machine of permits, orders, generations and leases.
 
-It is deterministic, so that it is the same on every replica: free of I/O, of time and of random numbers.
+It is deterministic, so that its state is the same on every replica: free of I/O, of time and of random
+numbers.
 """
 
 from __future__ import annotations
--- a/oakkeel/disruption/timeouts.py
+++ b/oakkeel/disruption/timeouts.py
@@ -13,7 +13,7 @@
 
     validity_ns: int = 3 * SECOND  # from the grant to the last start of a permit
     max_clock_drift_ratio: float = 0.04  # maximum deviation of a clock's rate from real time
-    max_agent_silence_ns: int = 2 * SECOND  # then the targets of an agent count as unavailable
+    max_agent_silence_ns: int = 2 * SECOND  # longer silence makes an agent's targets count as unavailable
 
     def upper_bound(self, duration_ns: int) -> int:
         """Return the time to wait by this clock until a duration has ended by any other clock."""
