--- a/oakkeel/disruption/state_machine.py
+++ b/oakkeel/disruption/state_machine.py
@@ -1,6 +1,7 @@
 """The replicated state machine of permits, orders, generations and leases.
 
-It is deterministic, so that it is the same on every replica: free of I/O, of time and of random numbers.
+It is deterministic, so that its state is the same on every replica: free of I/O, of time and of random
+numbers.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
         self.restore(b"")
 
     def apply(self, index: int, content: bytes) -> object:
-        """Apply a committed command and return its result, which is a Rejection if it changed nothing."""
+        """Apply a committed command. Returns its result, or a Rejection if the state did not change."""
         try:
             command = self.decode_command(content)
         except msgspec.MsgspecError as error:  # a command of a later version: every replica rejects it
--- a/oakkeel/raft/replication.py
+++ b/oakkeel/raft/replication.py
@@ -1,4 +1,4 @@
-"""Replication of the log, on the follower's side. The leader's is in `leader`."""
+"""Replication of the log, on the follower's side. The leader's side is in `leader`."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class CommittedEntryConflictError(OakkeelError, RuntimeError):
-    """The leader's entry differs from a committed one of this replica: a defect, or damage."""
+    """The leader's entry differs from a committed entry of this replica, by a defect or damaged data."""
 
     def __init__(self, replica: str, index: int, leader: str) -> None:
         """Name the replica, the index of the entry and the leader."""
-        super().__init__(f"{replica}: entry {index} is committed, but that of leader {leader} differs")
+        super().__init__(f"{replica}: entry {index} is committed, but leader {leader} sent a different one")
         self.replica = replica
         self.index = index
         self.leader = leader
@@ -23,17 +23,17 @@
     """Appends the entries that the leader sends."""
 
     def __init__(self, replica: ReplicaState) -> None:
-        """`replica` is the state that it reads and changes."""
+        """`replica` is the state to read and change."""
         self.replica = replica
 
-    def append_received(self, now: int, envelope: Envelope, request: AppendEntriesRequest) -> None:
+    def handle_append_request(self, now: int, envelope: Envelope, request: AppendEntriesRequest) -> None:
         """Append the leader's entries and respond. Raises CommittedEntryConflictError."""
         replica = self.replica
         if not replica.accept_leader(now, envelope.sender, request.term):
             self._respond(envelope, request, False, 0)
             return
-        if lost := self._lost_entry(request):
-            self._become_stale(now, envelope.sender, lost)
+        if lost_position := self._lost_entry(request):
+            self._become_stale(now, envelope.sender, lost_position)
             return
         previous_index, entries = self._entries_after_snapshot(request)
         if not self._has_previous_entry(request, previous_index):
@@ -59,18 +59,18 @@
         return previous_index, request.entries[snapshot_index - request.previous_index :]
 
     def _has_previous_entry(self, request: AppendEntriesRequest, previous_index: int) -> bool:
-        """Whether the log has the entry before those to append, with the leader's term."""
+        """Whether the log has the entry before the new entries, with the leader's term."""
         log = self.replica.log
         if previous_index > log.last_index:
             return False
         is_covered = previous_index != request.previous_index  # by the snapshot
         return is_covered or log.term_at(previous_index) == request.previous_term
 
-    def _become_stale(self, now: int, leader: str, lost: LogPosition) -> None:
+    def _become_stale(self, now: int, leader: str, lost_position: LogPosition) -> None:
         last = self.replica.log.last_position
         self.replica.become_stale(
             now,
-            f"{leader} has its acknowledgement of entry {lost.index} of term {lost.term},"
+            f"{leader} has its acknowledgement of entry {lost_position.index} of term {lost_position.term},"
             f" but its log ends with entry {last.index} of term {last.term}",
         )
 
@@ -87,7 +87,7 @@
         return None
 
     def _retry_index(self, previous_index: int) -> int:
-        """Return the index after which the leader retries: the log's end, or before the differing term."""
+        """Return the index after which the leader retries: the log's end, or before the conflicting term."""
         replica = self.replica
         log = replica.log
         index = min(log.last_index, previous_index - 1)
