--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -24,7 +24,7 @@
 
 
 def serve(settings_path: str, name: str, log_form: str = "console", make: AgentFactory = Agent) -> int:
-    """Run the agent of a host and return the exit code; if it can't start, print why and return 2."""
+    """Run the agent of a host and return the exit code; if it can't start, print the reason and return 2."""
     try:
         fleet = read_fleet(settings_path)
         settings = AgentSettings.of_host(fleet, name)
@@ -54,10 +54,12 @@
 
 
 def _lock_state_folder(settings_path: str, host: HostSettings) -> None:
-    """Make the state folder and lock it until this process ends. Raises SettingsError or OSError."""
-    longest = max(len(os.path.join(host.state, f"{each.name}.sock").encode()) for each in host.instances)
-    if longest > MAX_SOCKET_PATH_BYTES:
-        excess = longest - MAX_SOCKET_PATH_BYTES
+    """Create the state folder and lock it until this process ends. Raises SettingsError or OSError."""
+    longest_path_bytes = max(
+        len(os.path.join(host.state, f"{each.name}.sock").encode()) for each in host.instances
+    )
+    if longest_path_bytes > MAX_SOCKET_PATH_BYTES:
+        excess = longest_path_bytes - MAX_SOCKET_PATH_BYTES
         raise SettingsError(f"{settings_path}: the state folder of {host.name} is {excess} bytes too long")
     os.makedirs(host.state, mode=STATE_FOLDER_MODE, exist_ok=True)
     path = os.path.join(host.state, "agent.lock")
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -1,4 +1,4 @@
-"""The agent of one host: it decides, stores what was decided, and then executes it."""
+"""The agent of one host: decides on steps, stores the changed state, and then executes the steps."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
         self.server = AgentServer(host.agent, lambda: self.keys, self.handlers.handle, log, limits)
 
     def _restore_state(self, seed: int) -> None:
-        """Make the supervisor, the permit holder and the order registry from what is stored."""
+        """Create the supervisor, the permit holder and the order registry from the stored state."""
         host = self.host
         if self.store.quarantined:
             self.notes.append(f"the state file was quarantined: {self.store.quarantined}")
@@ -130,7 +130,7 @@
     def _record_boot(self) -> bool:
         """Store the ID of the current boot. Returns whether no reboot is known since the state was stored.
 
-        A new file has no boot to compare with, so the result is True for it.
+        A new state file holds no boot ID, so the result is True.
         """
         boot_id = read_boot_id()
         stored = self.store.read("SELECT id FROM boot")
@@ -163,8 +163,8 @@
         """Run until SIGTERM. The instances keep running, and the next agent resumes the open orders."""
         loop = asyncio.get_running_loop()
         self.log.capture_library_logs(loop)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop_requested.set)
         await self.executor.find_processes()
         if self.fleet and self.reconciler and self.member:
             if self.store.created:
@@ -177,7 +177,7 @@
             address=address,
             instances=len(self.supervisor.instances),
             running=len(self.alive),
-            open_orders=self._open_orders(),
+            open_orders=self._open_order_count(),
         )
         while not self.stop_requested.is_set():
             self.run_cycle()
@@ -188,11 +188,11 @@
                 continue
         self._close()
 
-    def _open_orders(self) -> int:
+    def _open_order_count(self) -> int:
         return sum(order.is_open for order in self.orders.orders.values())
 
     def _close(self) -> None:
-        self.log.info("agent_stopped", running=len(self.alive), open_orders=self._open_orders())
+        self.log.info("agent_stopped", running=len(self.alive), open_orders=self._open_order_count())
         self.server.close()
         if self.member:
             self.member.close()
@@ -211,15 +211,15 @@
             notes += self.member.operator_notes()
         return notes
 
-    # The cycle.
+    # The reconciliation cycle.
 
     def run_cycle(self) -> None:
-        """Decide, store and execute once; no other function executes steps."""
+        """Decide on steps, store the changed state and execute the steps; nothing else executes steps."""
         try:
             now = time.monotonic_ns()
             if self.executor.unidentified:
                 self.executor.identify_processes(now)
-            if not self.storage_error:  # what orders change must be stored before it is executed
+            if not self.storage_error:  # changes by orders must be stored before they are executed
                 self.orders.advance(now)
             steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
             is_saved = self.save()
@@ -237,11 +237,11 @@
 
     @property
     def storage_error(self) -> str:
-        """Why the state can't be written; empty if it can."""
+        """The reason the state can't be written; empty if it can."""
         return self.state_writer.storage_error
 
     def save(self) -> bool:
-        """Write what changed. If that fails, supervision continues and orders wait."""
+        """Write the changed state. If that fails, supervision continues and orders wait."""
         return self.state_writer.save()
 
     def apply_settings(self, fleet: Fleet, keys: dict[str, Key]) -> None:
@@ -252,7 +252,7 @@
 
 
 def _server_limits(fleet: Fleet | None) -> ServerLimits | None:
-    """With a control plane, each agent of the fleet may connect as well."""
+    """The limits of the server; with a control plane, each agent of the fleet may connect as well."""
     if fleet is None:
         return None
     return ServerLimits(connections=DEFAULT_MAX_CONNECTIONS + MAX_CONNECTIONS_PER_HOST * len(fleet.hosts))
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -22,9 +22,9 @@
     read_json,
 )
 
-MAX_ERROR_LENGTH = 300  # characters that a host reports of a failed preparation
+MAX_ERROR_LENGTH = 300  # characters of the error that a host reports for a failed preparation
 FOLDER_MODE = 0o700
-PACKAGE = os.path.dirname(os.path.abspath(oakkeel.__file__))
+PACKAGE_FOLDER = os.path.dirname(os.path.abspath(oakkeel.__file__))  # of the program that this agent runs
 
 
 class ArtifactStore:
@@ -33,19 +33,19 @@
     def __init__(
         self, host: HostSettings, assignments: VersionAssignments, log: EventLog, on_ready: Callable[[], None]
     ) -> None:
-        """`on_ready` is called once the copies of a release are made, or have failed."""
+        """`on_ready` is called after the copies of a release were made, or have failed."""
         self.assignments = assignments
         self.log = log
         self.on_ready = on_ready
         self.settings = {each.name: each for each in host.instances}
-        self.state = host.state
+        self.state_folder = host.state
         self.contents = ContentStore(os.path.join(host.state, "versions"))
         self.tasks: set[asyncio.Task[None]] = set()
 
     # Preparation.
 
     def prepare(self) -> None:
-        """Start to make the copies that the leader requests."""
+        """Start to copy the content that the leader requests."""
         for request in self.assignments.take_requests():
             task = asyncio.ensure_future(self._prepare(request))
             self.tasks.add(task)
@@ -55,14 +55,14 @@
         why = ""
         bases: dict[str, str] = {}
         try:
-            bases = await asyncio.to_thread(self._copy, request)
+            bases = await asyncio.to_thread(self._copy_content, request)
         except OSError as error:
             why = str(error)
         except Exception as error:
             why = "internal error of the agent; its log has the cause"
             self.log.error("artifact_copy_failed", release=request.release, error=describe_error(error))
-        report = self.log.warning if why else self.log.info
-        report(
+        log_result = self.log.warning if why else self.log.info
+        log_result(
             "release_prepare_failed" if why else "release_prepared",
             release=request.release,
             version=request.spec.version,
@@ -71,8 +71,11 @@
         self.assignments.record_prepared(request.release, why[:MAX_ERROR_LENGTH], bases)
         self.on_ready()
 
-    def _copy(self, request: ArtifactRequest) -> dict[str, str]:
-        """Return the versions of what the targets run by their settings. Raises OSError."""
+    def _copy_content(self, request: ArtifactRequest) -> dict[str, str]:
+        """Copy the requested version, and the content that targets without an assigned version run.
+
+        Returns the versions of that content by target. Raises OSError.
+        """
         os.makedirs(os.path.join(self.contents.folder, "content"), mode=FOLDER_MODE, exist_ok=True)
         self._import(request.spec)
         bases = {}
@@ -83,7 +86,7 @@
             self._merged_config(settings, self.contents.find(request.spec.version))
             if self.assignments.version(target):
                 continue
-            program = program or self.contents.add_folder(PACKAGE, "oakkeel")  # of the agent itself
+            program = program or self.contents.add_folder(PACKAGE_FOLDER, "oakkeel")
             config = self.contents.add_file(settings.config)
             bases[target] = self.contents.add_version(Content(program, "", config))
         return bases
@@ -94,14 +97,12 @@
             return
         program = self.contents.add_folder(spec.program) if spec.program else ""
         if program and not self._is_runnable(program):
-            raise ContentError(
-                f"{spec.program}: neither a file `run` that can be executed, nor oakkeel/__main__.py"
-            )
+            raise ContentError(f"{spec.program} has neither an executable file `run` nor oakkeel/__main__.py")
         patch = self.contents.add_file(spec.patch) if spec.patch else ""
         if patch:
             read_json(self.contents.path(patch))
-        if (found := self.contents.add_version(Content(program, patch))) != spec.version:
-            raise ContentError(f"the content on this host is version {found}, expected {spec.version}")
+        if (version := self.contents.add_version(Content(program, patch))) != spec.version:
+            raise ContentError(f"the content on this host is version {version}, expected {spec.version}")
 
     def _is_runnable(self, program: str) -> bool:
         folder = self.contents.path(program)
@@ -122,7 +123,7 @@
             return program, {}
         content = self.contents.find(version)
         if content is None and (spec := self.assignments.sources.get(version)):
-            self._import(spec)  # the copy is lost: make it again from its source
+            self._import(spec)  # the copy is lost: copy the source again
             content = self.contents.find(version)
         if content is None:
             raise ContentError(f"this host has no copy of version {version}")
@@ -134,7 +135,7 @@
             else:
                 variables["PYTHONPATH"] = folder
         if content.patch or content.config:
-            path = os.path.join(self.state, f"{name}.config.json")
+            path = os.path.join(self.state_folder, f"{name}.config.json")
             with open(path + ".new", "w", encoding="utf-8") as file:
                 json.dump(self._merged_config(settings, content), file)
             os.replace(path + ".new", path)
@@ -150,9 +151,9 @@
         return apply_merge_patch(config, read_json(self.contents.path(content.patch)))
 
     def prune(self, running: set[str]) -> None:
-        """Delete versions that no release and no instance needs.
+        """Delete versions that neither a release nor an instance needs.
 
-        Processes were started from `running`, and may still read these copies.
+        `running` has the versions of running processes, which may still read their copies.
         """
         if self.tasks or self.assignments.release:
             return
@@ -166,7 +167,7 @@
 
 
 def version_of(program: str, patch: str) -> str:
-    """The version of a program and a patch at two paths, either may be empty. Raises ContentError."""
+    """The version of the program and the patch at these paths; one may be empty. Raises ContentError."""
     content = Content(hash_folder(program) if program else "", hash_file(patch) if patch else "")
     if patch:
         read_json(patch)
--- a/oakkeel/agent/command_log.py
+++ b/oakkeel/agent/command_log.py
@@ -22,13 +22,13 @@
 
 
 class CommandLog:
-    """Logs granted permits at each replica, as their leader may have failed, and all else at the leader."""
+    """Logs permit grants at each replica, as the leader may have failed, and other commands at the leader."""
 
     def __init__(self, log: EventLog) -> None:
         """Write to that log."""
         self.log = log
 
-    def committed(
+    def log_committed(
         self, control_plane: ControlPlaneReplica | None, index: int, command: commands.Command, result: object
     ) -> None:
         """Log a command that was committed at `index` and was not rejected."""
--- a/oakkeel/agent/configuration.py
+++ b/oakkeel/agent/configuration.py
@@ -1,4 +1,4 @@
-"""What an agent is constructed from: settings, keys, and the parts that a test may replace."""
+"""The settings, the keys and the replaceable parts that an agent is constructed from."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 class AgentKeys:
     """The keys that an agent reads from its files."""
 
-    accepted: dict[str, Key]  # by ID: whose requests it serves
-    agents: dict[str, Key] = field(default_factory=dict)  # by host: of the agents of a control plane
+    accepted: dict[str, Key]  # by key ID: keys whose requests the agent serves
+    agents: dict[str, Key] = field(default_factory=dict)  # by host: keys of agents, with a control plane
 
 
 @dataclass(slots=True, frozen=True)
 class AgentParts:
-    """The parts of an agent that touch the host."""
+    """The parts of an agent that access the host; a test may replace them."""
 
     store: Database | None = None  # None: opened in the state folder
     processes: type[Processes] = Processes
--- a/oakkeel/agent/control_plane_handlers.py
+++ b/oakkeel/agent/control_plane_handlers.py
@@ -43,7 +43,7 @@
         """Propose the command of a request, or respond with the status that it asks for."""
         raft = self.agent.raft
         if raft is None or raft.control_plane is None:
-            return self._no_replica(raft)
+            return self._no_replica_response(raft)
         try:
             if isinstance(request, messages.FleetStatusRequest):
                 return fleet_status(time.monotonic_ns(), raft, request.order_id)
@@ -55,11 +55,11 @@
         except NotLeaderError as error:
             return messages.NotLeaderResponse(error.leader, str(error))
         except CommitUnknownError as error:
-            return _commit_unknown(error)
-        return self._committed(key, request, raft, result)
+            return _commit_unknown_response(error)
+        return self._committed_response(key, request, raft, result)
 
-    def _no_replica(self, raft: RaftRuntime | None) -> messages.Response:
-        """Respond without a replica on this host, with the leader if it is known."""
+    def _no_replica_response(self, raft: RaftRuntime | None) -> messages.Response:
+        """Respond that this host has no replica, and name the leader if it is known."""
         reporter = self.agent.status_reporter
         if raft and raft.storage_error:
             reason = raft.storage_error
@@ -69,7 +69,7 @@
             reason = "this fleet has no control plane: name its voters in <keepers>"
         return messages.NotLeaderResponse(reporter.leader if reporter else "", reason)
 
-    def _committed(
+    def _committed_response(
         self, key: Key, request: messages.Request, raft: RaftRuntime, result: object
     ) -> messages.Response:
         """Respond with the result of a committed command."""
@@ -107,11 +107,11 @@
         return raft_status(time.monotonic_ns(), self.agent.host.name, raft, self.agent.status_reporter)
 
 
-def _commit_unknown(error: CommitUnknownError) -> messages.NotLeaderResponse:
-    """Respond that a command may be committed or lost, though the leader itself answers.
+def _commit_unknown_response(error: CommitUnknownError) -> messages.NotLeaderResponse:
+    """Respond that a command may be committed or lost.
 
-    On the wire this is the response of a replica that does not lead and knows no leader: so a client searches
-    for the leader again and repeats the request with the same ID, which has no second effect.
+    The leader sends the response of a replica that knows no leader. A client then searches for the leader
+    again and repeats the request with the same ID, which has no second effect.
     """
     return messages.NotLeaderResponse(
         "", f"not known to be committed: {error}; send it again with the same id"
--- a/oakkeel/agent/control_plane_member.py
+++ b/oakkeel/agent/control_plane_member.py
@@ -19,11 +19,11 @@
 from oakkeel.settings.types import Fleet, Service
 from oakkeel.units import SECOND
 
-PRUNE_INTERVAL_NS = 60 * SECOND  # between searches for versions that nothing needs
+PRUNE_INTERVAL_NS = 60 * SECOND  # between deletions of unused versions
 
 
 class ControlPlaneMember:
-    """Runs what connects one host with the control plane."""
+    """Connects one host with the control plane."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         self._prune_artifacts()
 
     def _prune_artifacts(self) -> None:
-        """Delete unused versions, once it is known which version each process runs."""
+        """Delete unused versions, if the version of each running process is known."""
         running = list(self.executor.alive)
         is_due = time.monotonic_ns() - self.pruned_at > PRUNE_INTERVAL_NS
         if is_due and all(instance.report for instance in running):
@@ -92,12 +92,12 @@
             self.artifacts.prune({instance.running_version for instance in running})
 
     def _artifacts_ready(self) -> None:
-        """Report the result of a release's preparation with the next heartbeat, which is sent at once."""
+        """Send a heartbeat at once, with the result of a release's preparation."""
         self.run_cycle()
         self.wake()
 
     def operator_notes(self) -> list[str]:
-        """Why this host can't work with the control plane, for its operator."""
+        """The faults between this host and the control plane, for the operator."""
         notes = []
         if self.status_reporter and self.status_reporter.why:
             notes.append(f"no leader answers, so nothing new is drained here: {self.status_reporter.why}")
--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -17,7 +17,7 @@
 from oakkeel.rollout.release import Release
 from oakkeel.rollout.state_machine import LEASE, RolloutStateMachine
 
-UNKNOWN = -1  # an age or a lag
+UNKNOWN = -1  # an age or a lag that is not known
 NO_ROLE = "none"
 UNKNOWN_PHASE = "unknown"
 MAX_LISTED_ORDERS = 50
@@ -31,7 +31,7 @@
 def raft_status(
     now: int, host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None
 ) -> messages.RaftStatus:
-    """The state of the replica on this host, or of none."""
+    """The state of the replica on this host, or that it has none."""
     contact_age = UNKNOWN
     if status_reporter and status_reporter.last_response_at:
         contact_age = now - status_reporter.last_response_at
@@ -100,8 +100,8 @@
     """A fleet order with the permits of its targets."""
     control_plane = raft.control_plane
     permits = control_plane.state_machine.state.permits if control_plane else {}
-    hosts_of = raft.topology.hosts.items() if control_plane else ()
-    hosts = {target: host for host, targets in hosts_of for target in targets}
+    targets_by_host = raft.topology.hosts.items() if control_plane else ()
+    host_by_target = {target: host for host, targets in targets_by_host for target in targets}
     sessions = control_plane.allocator.sessions if control_plane and control_plane.allocator else {}
     in_flight = {
         target: summary for session in sessions.values() for target, summary in session.in_flight.items()
@@ -113,7 +113,7 @@
         tasks.append(
             messages.FleetTaskStatus(
                 target=target,
-                host=hosts.get(target, ""),
+                host=host_by_target.get(target, ""),
                 state=task.state,
                 why=task.reason,
                 fencing_token=fencing_token,
@@ -146,7 +146,7 @@
 
 
 def fleet_status(now: int, raft: RaftRuntime, order_id: str) -> messages.Response:
-    """What is unavailable, with budgets and the latest orders; or one order. Raises NotLeaderError."""
+    """The unavailable targets, budgets and latest orders, or one order. Raises NotLeaderError."""
     control_plane, allocator = _require_leader(now, raft)
     index = control_plane.state_machine.index
     state = control_plane.state_machine.state
@@ -170,14 +170,14 @@
         messages.BudgetUsage(name, allocator.unavailable.counts[name], group.max_unavailable)
         for name, group in allocator.unavailable.groups.items()
     ]
-    latest = list(state.orders.values())[-MAX_LISTED_ORDERS:]
+    latest_orders = list(state.orders.values())[-MAX_LISTED_ORDERS:]
     return messages.FleetStatus(
-        index, budgets, targets, [fleet_order_status(raft, order) for order in reversed(latest)]
+        index, budgets, targets, [fleet_order_status(raft, order) for order in reversed(latest_orders)]
     )
 
 
 def release_status(now: int, raft: RaftRuntime, release_id: str) -> messages.Response:
-    """One release, or the open or latest one. Raises NotLeaderError, as `fleet_status` does."""
+    """The release with that ID; without an ID, the open or the latest release. Raises NotLeaderError."""
     control_plane, allocator = _require_leader(now, raft)
     state_machine = control_plane.state_machine
     controller = control_plane.extension
@@ -193,7 +193,7 @@
             f"there is no release {release_id}" if release_id else "no release was started yet"
         )
     lease = state_machine.state.leases.get(LEASE)
-    others: list[tuple[str, str]] = [
+    other_releases: list[tuple[str, str]] = [
         (other.ident, other.state) for other in releases.values() if other is not release
     ]
     return messages.ReleaseStatus(
@@ -209,7 +209,7 @@
         waiting_for="" if release.is_finished else controller.why,
         controller=lease.holder.partition(".")[0] if lease else "",
         targets=_release_targets(now, release, state_machine.state.orders, controller, allocator),
-        other_releases=others[-MAX_LISTED_RELEASES:],
+        other_releases=other_releases[-MAX_LISTED_RELEASES:],
     )
 
 
@@ -220,7 +220,7 @@
     controller: RolloutController,
     allocator: PermitAllocator,
 ) -> list[messages.ReleaseTargetStatus]:
-    """The targets of a release with what was observed of them last."""
+    """The targets of a release with the last observation of each."""
     order = orders.get(release.order_id)
     targets = []
     for target, task in release.targets.items():
--- a/oakkeel/agent/control_requests.py
+++ b/oakkeel/agent/control_requests.py
@@ -39,13 +39,13 @@
         self.tasks: dict[Instance, asyncio.Task[None]] = {}
 
     def send(self, instance: Instance, process: Process, action: Action, fields: LogFields) -> None:
-        """Send a drain or its cancellation after the requests before it; `fields` are logged with it."""
+        """Send a drain or its cancellation after earlier requests to the instance; `fields` are logged."""
         previous = self.tasks.get(instance)
         task = asyncio.ensure_future(self._send_after(previous, instance, process, action, fields))
         self.tasks[instance] = task
-        task.add_done_callback(partial(self._done, instance))
+        task.add_done_callback(partial(self._remove_task, instance))
 
-    def _done(self, instance: Instance, task: asyncio.Task[None]) -> None:
+    def _remove_task(self, instance: Instance, task: asyncio.Task[None]) -> None:
         if self.tasks.get(instance) is task:
             del self.tasks[instance]
 
@@ -72,24 +72,26 @@
         timeout = CONTROL_REQUEST_TIMEOUT_NS / SECOND
         try:
             if action is Action.CANCEL_DRAIN:
-                answer = await client.cancel_drain(process.generation, timeout)
-                self._log_cancellation(instance, answer, fields)
+                acknowledgement = await client.cancel_drain(process.generation, timeout)
+                self._log_cancellation(instance, acknowledgement, fields)
             else:
-                answer = await client.drain(process.generation, timeout, self.node_drain_timeout_ns)
-                self.log.info("drain_requested", answer=answer.reason or None, **fields)
-            return answer.accepted
+                acknowledgement = await client.drain(process.generation, timeout, self.node_drain_timeout_ns)
+                self.log.info("drain_requested", answer=acknowledgement.reason or None, **fields)
+            return acknowledgement.accepted
         except ControlError as error:
             self.log.warning("control_request_failed", error=str(error), **fields)
             return False
         finally:
             client.close()
 
-    def _log_cancellation(self, instance: Instance, answer: Acknowledgement, fields: LogFields) -> None:
-        self.log.info("drain_cancel_requested", answer=answer.reason or "accepted", **fields)
-        if answer.reason:
-            instance.why = f"the node did not cancel its drain: {answer.reason}"
+    def _log_cancellation(
+        self, instance: Instance, acknowledgement: Acknowledgement, fields: LogFields
+    ) -> None:
+        self.log.info("drain_cancel_requested", answer=acknowledgement.reason or "accepted", **fields)
+        if acknowledgement.reason:
+            instance.why = f"the node did not cancel its drain: {acknowledgement.reason}"
 
     def close(self) -> None:
-        """Cancel the requests that were not sent."""
+        """Cancel the requests that are not complete."""
         for task in self.tasks.values():
             task.cancel()
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -20,7 +20,7 @@
         self.permit_holder = permit_holder
         self.up = dict.fromkeys(names, False)
         self.failed_probes = dict.fromkeys(names, 0)
-        self.seen_down: dict[str, int] = {}  # fencing tokens of permits under which a service was down
+        self.seen_down: dict[str, int] = {}  # by service: fencing token of the permit under which it was down
 
     def observe(self, name: str, up: bool) -> None:
         """Record the result of a probe; a service is down after `MIN_FAILED_PROBES` failures in a row."""
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -51,7 +51,7 @@
             self.alive, self.processes, supervisor.timeouts.node_drain_timeout_ns, log
         )
         self.pollers: dict[Instance, asyncio.Task[None]] = {}
-        self.unidentified: set[Instance] = set()  # a process holds its lock, and its pid is not known
+        self.unidentified: set[Instance] = set()  # a process of unknown pid holds the lock of each
 
     # Steps.
 
@@ -85,7 +85,7 @@
         return fields
 
     def postpone(self, step: Step) -> None:
-        """Undo an order's step that could not be stored: the supervisor returns it again."""
+        """Revert a step whose order could not be stored, so that the supervisor returns the step again."""
         instance = step.instance
         if step.action is Action.START:
             self.supervisor.start_abandoned(time.monotonic_ns(), instance)
@@ -136,7 +136,7 @@
         self.supervisor.process_not_found(time.monotonic_ns(), instance, recorded_generation)
 
     def identify_processes(self, now: int) -> None:
-        """Adopt processes whose pid files have been written since."""
+        """Adopt the unidentified processes whose pid files are written by now."""
         for instance in list(self.unidentified):
             if process := self.processes.adopt(instance.name):
                 self.unidentified.discard(instance)
@@ -154,7 +154,7 @@
         self.pollers[instance] = asyncio.ensure_future(self._poll_status(instance, process))
 
     def _process_exited(self, process: Process, why: str) -> None:
-        instance = next((each for each, known in self.alive.items() if known is process), None)
+        instance = next((each for each, current in self.alive.items() if current is process), None)
         if instance is None:
             return
         del self.alive[instance]
@@ -181,7 +181,7 @@
                     await self._request_status(client, instance, process)
                 except ControlError as error:
                     if instance.report is not None:
-                        instance.why = f"its status request failed: {error}"
+                        instance.why = f"the status request failed: {error}"
                 except Exception as error:
                     self.log.error("control_poll_failed", target=instance.name, error=describe_error(error))
                 await asyncio.sleep(interval_ns / SECOND)
--- a/oakkeel/agent/handler_context.py
+++ b/oakkeel/agent/handler_context.py
@@ -1,4 +1,4 @@
-"""What the handlers of requests need of an agent."""
+"""The interface of an agent for its request handlers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HandlerContext(Protocol):
-    """An agent as its request handlers see it."""
+    """The members of an agent that its request handlers use."""
 
     host: HostSettings
     log: EventLog
@@ -34,13 +34,13 @@
 
     @property
     def storage_error(self) -> str:
-        """Why the state can't be written; empty if it can."""
+        """The reason the state can't be written; empty if it can."""
 
     def save(self) -> bool:
-        """Write what changed; False if that fails."""
+        """Write the changed state; return False if that fails."""
 
     def run_cycle(self) -> None:
-        """Decide, write and execute once."""
+        """Decide on steps, store the changed state and execute the steps."""
 
     def operator_notes(self) -> Sequence[str]:
         """Conditions of this host that its operator should know."""
--- a/oakkeel/agent/host_status.py
+++ b/oakkeel/agent/host_status.py
@@ -1,4 +1,4 @@
-"""The status of a host, its instances and their orders, with the age of what was observed."""
+"""The status of a host, its instances and their orders, with the age of each observation."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     notes: list[str],
     pids: dict[Instance, int],
 ) -> messages.HostStatus:
-    """The state of a host and its instances; `pids` has those of running processes."""
+    """The state of a host and its instances; `pids` has the pids of running processes."""
     return messages.HostStatus(
         host=host.name,
         site=host.site,
@@ -36,7 +36,7 @@
 
 
 def _instance_status(now: int, instance: Instance, pid: int) -> messages.InstanceStatus:
-    waits_for_start = instance.phase in (Phase.STOPPED, Phase.FAILING) and instance.goal is Goal.UP
+    is_waiting_for_start = instance.phase in (Phase.STOPPED, Phase.FAILING) and instance.goal is Goal.UP
     return messages.InstanceStatus(
         name=instance.name,
         phase=instance.phase.value,
@@ -51,7 +51,7 @@
         order=_open_order(now, instance.task) if instance.task else None,
         recent_crashes=len(instance.crash_times),
         restarts_exhausted=instance.restarts_exhausted,
-        starts_in=max(0, instance.start_not_before - now) if waits_for_start else 0,
+        starts_in=max(0, instance.start_not_before - now) if is_waiting_for_start else 0,
         why=instance.why,
     )
 
@@ -67,15 +67,15 @@
 
 
 def order_status(now: int, order: Order) -> messages.OrderStatus:
-    """An order with its tasks, and a refused one for each instance that this host does not have."""
+    """An order with its tasks, and a refused task for each instance that this host does not have."""
     tasks = [
         messages.TaskStatus(task.instance.name, task.state.value, max(0, now - task.state_since), task.why)
         for task in order.tasks
     ]
-    known = {task.instance for task in tasks}
+    listed = {task.instance for task in tasks}
     tasks += [
         messages.TaskStatus(name, HostTaskState.REFUSED.value, 0, "this host has no such instance")
         for name, _ in order.requested
-        if name not in known
+        if name not in listed
     ]
     return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, tasks)
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -118,7 +118,7 @@
         return RolloutController(now, state_machine, allocator, controller_id)
 
     def _command_committed(self, index: int, command: commands.Command, result: object) -> None:
-        self.command_log.committed(self.control_plane, index, command, result)
+        self.command_log.log_committed(self.control_plane, index, command, result)
 
     def _storage_failed(self, error: DatabaseError) -> None:
         """Stop the replica as if it had crashed; it is started again once its file can be written."""
