--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -1,7 +1,7 @@
 """The instances of one host and the orders on them, with their states. Free of I/O.
 
-Times are nanoseconds of the host's monotonic clock, which outlives a process of the agent, unless a field
-says otherwise.
+Times are nanoseconds of the host's monotonic clock, which continues across restarts of the agent, unless a
+field says otherwise.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 
 class Phase(Enum):
-    """What is known of an instance; `Supervisor` alone changes it. The values are wire and stored forms."""
+    """The known state of an instance; only `Supervisor` changes it. The values are sent and stored."""
 
-    STOPPED = "stopped"  # no process, and none to be started yet
-    STARTING = "starting"  # a process that takes no requests yet
+    STOPPED = "stopped"  # has no process, and none is to be started yet
+    STARTING = "starting"  # its process takes no requests yet
     COLD = "cold"  # warming up
     SERVING = "serving"
     DRAINING = "draining"  # by an order, or by the node itself
     SILENT = "silent"  # its process exists and sends no reports
     STUCK = "stuck"  # silent for longer than any request may take
-    FAILING = "failing"  # crashed, and waits for its restart backoff
+    FAILING = "failing"  # has crashed, and waits for its restart backoff
 
 
 TRANSITIONS = {
@@ -55,7 +55,7 @@
 
 
 class Goal(Enum):
-    """The wanted state of an instance; the values are wire and stored forms."""
+    """The desired state of an instance; the values are sent and stored."""
 
     UP = "up"
     DOWN = "down"
@@ -71,36 +71,36 @@
     phase: Phase = Phase.STOPPED
     phase_since: int = 0
     generation: int = 0  # incremented by each start and each accepted order
-    changed_at: int = 0  # time of that, in Unix nanoseconds, for display
-    changed_by: str = ""  # the operator and verb, or the agent
+    changed_at: int = 0  # when that was, in Unix nanoseconds, for display
+    changed_by: str = ""  # operator and verb of that change, or the agent
     process_generation: int = 0  # generation of the current process, or of the last one
-    spawned: bool = False  # whether that process is known to have been started
+    spawned: bool = False  # whether the current or last process is known to have been started
     last_report_at: int = 0
-    report: NodeStatus | None = None  # the last one of its process
+    report: NodeStatus | None = None  # the last report of its process
     drain_sent_at: int = 0  # when the drain was last sent to its process; 0: not yet
-    kill_after_drain: bool = False  # it is killed when its drain timeout expires
+    kill_after_drain: bool = False  # whether it is killed when the drain timeout expires
     start_not_before: int = 0
-    consecutive_crashes: int = 0  # until it has served for `steady_after_ns`
-    # Of its crashes, and of restarts because it was stuck, within the restart window.
+    consecutive_crashes: int = 0  # reset once it has served for `steady_after_ns`
+    # Times of crashes, and of restarts of the stuck instance, within the restart window.
     crash_times: deque[int] = field(default_factory=deque)
-    restarts_exhausted: bool = False  # its restart budget is spent (stored as `resting`)
+    restarts_exhausted: bool = False  # whether its restart budget is spent (stored as `resting`)
     why: str = ""  # the last error, for display
     crashes_since_agent_start: int = 0
-    running_version: str = ""  # of its last report
-    drain_cancellable: bool = False  # its drain goes by the control link, which can cancel it
-    drain_cancelled: bool = False  # its drain was cancelled, and its process has not confirmed it
+    running_version: str = ""  # version of its process, by the start or the last report
+    drain_cancellable: bool = False  # whether its drain is sent by the control link, which can cancel it
+    drain_cancelled: bool = False  # whether a cancellation of its drain is not confirmed yet
     generation_limit: int = MAX_GENERATION  # highest generation reserved for it by the control plane
-    task: Task | None = None  # of the open order on it
-    dirty: bool = False  # changed since it was last stored
+    task: Task | None = None  # task of the open order on it
+    dirty: bool = False  # whether it has changed since it was last stored
 
     @property
     def alive(self) -> bool:
-        """Whether it has a process, as far as is known."""
+        """Whether the instance has a process, as far as is known."""
         return self.phase not in (Phase.STOPPED, Phase.FAILING)
 
 
 class Verb(Enum):
-    """What an order asks for; the values are wire and stored forms."""
+    """The action that an order requests; the values are sent and stored."""
 
     START = "start"
     STOP = "stop"  # drained, and killed when its drain timeout expires
@@ -109,10 +109,10 @@
 
 
 class HostTaskState(Enum):
-    """The state of an order on one instance; the values are wire and stored forms."""
+    """The state of an order on one instance; the values are sent and stored."""
 
     REFUSED = "refused"
-    WAITING = "waiting"  # for its disruption budget
+    WAITING = "waiting"  # for the disruption budget
     ACTING = "acting"
     DONE = "done"
     FAILED = "failed"
@@ -149,12 +149,12 @@
     generation: int
     changed_at: int
     changed_by: str
-    superseded: TaskSnapshot | None
+    superseded_task: TaskSnapshot | None
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One order on one instance; `OrderRegistry._transition` alone changes its state."""
+    """One order on one instance; only `OrderRegistry._transition` changes its state."""
 
     order: Order
     instance: Instance
@@ -164,11 +164,11 @@
     why: str = ""
     drain_sent: bool = False  # whether its process may have received the drain
     replaces_generation: int = 0  # generation of the process that a restart ends
-    before: InstanceSnapshot | None = None  # the instance before the order, until the order is stored
+    undo_snapshot: InstanceSnapshot | None = None  # the instance before the order; None once that is stored
 
     @property
     def is_open(self) -> bool:
-        """Whether it is waiting or acting."""
+        """Whether the task is waiting or acting."""
         return self.state in OPEN_HOST_TASK_STATES
 
 
--- a/oakkeel/agent/launcher.py
+++ b/oakkeel/agent/launcher.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LaunchedProcess:
-    """A new process and its release version; None: it runs what its settings name."""
+    """A new process and its release version; None: it runs the program and configuration of its settings."""
 
     process: Process
     version: str | None
@@ -55,7 +55,7 @@
         return LaunchedProcess(process, variables.get(VERSION_VARIABLE))
 
     def _variables(self, name: str) -> dict[str, str]:
-        """The environment variables of a node, before those of a release."""
+        """The environment variables of a node, without those of a release."""
         settings = self.settings[name]
         variables = {
             **os.environ,
@@ -81,7 +81,7 @@
         os.replace(path + ".new", path)
 
     def update_fair_sharing(self, fair_sharing: FairSharingSettings | None) -> bool:
-        """Take new fair-sharing settings; True if nodes have to read them again.
+        """Apply new fair-sharing settings; return True if nodes have to read them again.
 
         Fair sharing can't be switched on or off while nodes run.
         """
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -1,7 +1,7 @@
-"""Requests and responses between command line and agents, sent in authenticated frames.
+"""The requests that agents serve and their responses, sent in authenticated frames.
 
-Ages are in nanoseconds; -1: never, or not known. Tags and keys are outside forms: a field that has another
-name here states its key.
+Ages are in nanoseconds; -1: never, or not known. Tags and keys are part of the protocol: a field whose name
+differs from its key states the key.
 """
 
 from __future__ import annotations
@@ -102,7 +102,10 @@
 
 
 class ReleaseStatusRequest(msgspec.Struct, tag="ask release", forbid_unknown_fields=True):
-    """Without an ID the open release, or the last. Answered by `ReleaseStatus` or `NotLeaderResponse`."""
+    """Ask for the release with that ID; without an ID, for the open or the last release.
+
+    Answered by `ReleaseStatus` or `NotLeaderResponse`.
+    """
 
     release_id: str = msgspec.field(default="", name="ident")
 
@@ -114,7 +117,7 @@
 class FleetStatusRequest(msgspec.Struct, tag="fleet state", forbid_unknown_fields=True):
     """Ask for permits and orders of the fleet. Answered by `FleetStatus` or `NotLeaderResponse`."""
 
-    order_id: str = msgspec.field(default="", name="ident")  # of one order; else the latest
+    order_id: str = msgspec.field(default="", name="ident")  # asks for one order; empty: the latest orders
 
 
 class OpenOrder(msgspec.Struct):
@@ -246,7 +249,7 @@
 
 
 class BudgetUsage(msgspec.Struct):
-    """How much of a disruption budget is in use."""
+    """The use of a disruption budget."""
 
     name: str
     unavailable: int = msgspec.field(name="out")
@@ -263,7 +266,7 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """A member of the Raft group, as a replica knows it. -1: not known to it."""
+    """A member of the Raft group, as a replica knows it. -1: not known to the replica."""
 
     name: str
     incarnation: str = msgspec.field(name="life")
@@ -273,7 +276,7 @@
 
 
 class RaftStatus(msgspec.Struct, tag="record"):
-    """The state of an agent's replica, or of none."""
+    """The state of an agent's replica, or that the host has none."""
 
     host: str
     role: str  # "none": this host has no replica
--- a/oakkeel/agent/order_rules.py
+++ b/oakkeel/agent/order_rules.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskOutcome:
-    """How a task ends, with the reason for the operator."""
+    """The final state of a task, with the reason for the operator."""
 
     state: HostTaskState
     why: str = ""
@@ -50,7 +50,7 @@
 
 
 def rejection_reason(task: Task, supersede: bool) -> str:
-    """Why an order is rejected for an instance; empty if it is accepted.
+    """The reason an order is rejected for an instance; empty if it is accepted.
 
     An order is made for the generation that its operator saw, so that of two concurrent orders the first
     wins.
@@ -94,7 +94,7 @@
 
 
 def _is_complete(task: Task) -> bool:
-    """Whether the instance has reached what the order asks for."""
+    """Whether the instance has reached the state that the order requests."""
     instance = task.instance
     verb = task.order.verb
     if verb in (Verb.STOP, Verb.DRAIN):
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -1,8 +1,8 @@
 """The orders on the instances of one host: accepting, starting, ending and cancelling them. Free of I/O.
 
 An order has an ID chosen by its sender: an order that is sent twice is accepted once. For each instance it
-names the generation that the operator saw (see `order_rules`). What an order changes must be stored before
-its response is sent or its steps are executed: `changed` and `deleted` name what.
+names the generation that the operator saw (see `order_rules`). Changes by an order must be stored before its
+response is sent or its steps are executed; `changed` and `deleted` list the orders to write.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
 from oakkeel.errors import InvalidTransitionError
 
 MAX_OPEN_ORDERS = 256
-MAX_ORDERS = 2048  # open and ended ones that are stored
+MAX_ORDERS = 2048  # stored orders, open and ended
 
 
 class OrderRegistry:
-    """The open orders of a host and the last of those that ended."""
+    """The open orders of a host and the latest ended ones."""
 
     def __init__(
         self, supervisor: Supervisor, unix_time: Callable[[], int], permit_holder: PermitHolder | None = None
     ) -> None:
-        """In a fleet with a control plane, `permit_holder` has the permits to take instances out."""
+        """`permit_holder` has the permits of the control plane; None: the fleet has no control plane."""
         self.supervisor = supervisor
         self.unix_time = unix_time
         self.permit_holder = permit_holder
@@ -55,7 +55,7 @@
         self.instances = {each.name: each for each in supervisor.instances}
         self.orders: dict[str, Order] = {}  # oldest first
         self.open_tasks: list[Task] = []  # in the order in which they were accepted
-        self.changed: set[Order] = set()  # since they were last stored
+        self.changed: set[Order] = set()  # orders to store
         self.deleted: list[str] = []  # IDs of orders to delete from the store
 
     # Commands of operators.
@@ -67,7 +67,7 @@
         ID belongs to another order, or if too many orders are open.
         """
         if known := self.orders.get(submission.order_id):
-            return _same_order(known, submission)
+            return _check_duplicate(known, submission)
         check_submission(submission, len(self.instances))
         if sum(order.is_open for order in self.orders.values()) >= MAX_OPEN_ORDERS:
             raise OrderRejectedError(
@@ -99,7 +99,7 @@
             task.state = HostTaskState.REFUSED
             task.why = why
             return
-        task.before = _snapshot(instance)
+        task.undo_snapshot = _snapshot(instance)
         changed_by = f"{order.operator}: {order.verb.value}"
         if instance.task is not None:
             why = f"by {order.operator}, {order.verb.value}"
@@ -112,22 +112,22 @@
         self.open_tasks.append(task)
 
     def confirm(self, order: Order) -> None:
-        """Note that an order is stored: it can't be undone any more."""
+        """Record that an order is stored: it can no longer be undone."""
         for task in order.tasks:
-            task.before = None
+            task.undo_snapshot = None
 
     def undo(self, order: Order) -> None:
-        """Remove an order that could not be stored, with all that it changed."""
+        """Remove an order that could not be stored, and revert its changes."""
         for task in order.tasks:
-            if task.before is None:
+            if task.undo_snapshot is None:
                 continue
-            _restore(task.instance, task.before)
+            _restore(task.instance, task.undo_snapshot)
             self.open_tasks.remove(task)
         self.orders.pop(order.order_id, None)
         self.changed.discard(order)
 
     def cancel(self, now: int, order_id: str, operator: str) -> Order:
-        """Cancel the tasks that wait; started ones continue. Raises OrderRejectedError for an unknown ID."""
+        """Cancel the waiting tasks; started tasks continue. Raises OrderRejectedError for an unknown ID."""
         order = self.orders.get(order_id)
         if order is None:
             raise OrderRejectedError("no such order")
@@ -165,8 +165,7 @@
         self.open_tasks = [task for task in self.open_tasks if task.is_open]
 
     def _may_take_out(self, now: int, task: Task) -> bool:
-        """Whether the disruption budget allows it: the host's part of its site's, or a permit of the
-        fleet."""
+        """Whether the host's part of the disruption budget, or a permit of the fleet, allows the start."""
         if self.permit_holder is None:
             return self.supervisor.has_capacity(task.instance)
         return self.permit_holder.may_start(now, task.instance.name, task.order.order_id, task.instance.alive)
@@ -189,11 +188,11 @@
             self.supervisor.order_stop(now, instance, verb is Verb.STOP, cancellable=has_control_plane)
 
     def permitted_steps(self, now: int, steps: list[Step]) -> list[Step]:
-        """Return the steps that may be executed by now.
+        """Return the steps that may be executed now.
 
         A permit is stored as started before the drain is sent. A full disk, or a restart of the agent, can
-        delay the drain. After the permit's time to notify it is not sent at all: other targets may have
-        failed since the grant.
+        delay the drain. After the permit's notification deadline the drain is not sent at all: other targets
+        may have failed since the grant.
         """
         holder = self.permit_holder
         if holder is None:
@@ -220,7 +219,7 @@
         return False
 
     def fail_all(self, now: int, why: str) -> None:
-        """End all open tasks as failed: the host was rebooted, and what they were for no longer runs."""
+        """End all open tasks as failed: the host was rebooted, and their processes no longer run."""
         for task in self.open_tasks:
             self._transition(now, task, HostTaskState.FAILED, why)
         self.open_tasks.clear()
@@ -249,7 +248,7 @@
             task.instance.dirty = True
 
     def _delete_oldest(self) -> None:
-        """Delete the oldest ended orders: sent again, they are for a generation that is long replaced."""
+        """Delete the oldest ended orders. A duplicate of one is refused, as its generation was replaced."""
         for order_id, order in list(self.orders.items()):
             if len(self.orders) <= self.max_orders:
                 break
@@ -259,16 +258,16 @@
                 self.deleted.append(order_id)
 
 
-def _same_order(known: Order, submission: OrderSubmission) -> Order:
-    """Return the known order. Raises OrderRejectedError if the submission with its ID is another one."""
-    same_sender = known.operator == submission.operator and known.verb is submission.verb
-    if not same_sender or known.requested != submission.requested:
+def _check_duplicate(known: Order, submission: OrderSubmission) -> Order:
+    """Return the known order of that ID. Raises OrderRejectedError if the submission differs from it."""
+    is_same_command = known.operator == submission.operator and known.verb is submission.verb
+    if not is_same_command or known.requested != submission.requested:
         raise OrderRejectedError(f"that id belongs to another order, by {known.operator}")
     return known
 
 
 def _snapshot(instance: Instance) -> InstanceSnapshot:
-    """What accepting an order on an instance changes, for `undo`."""
+    """The fields of an instance that accepting an order changes, for `undo`."""
     task = instance.task
     return InstanceSnapshot(
         instance.generation,
@@ -278,11 +277,11 @@
     )
 
 
-def _restore(instance: Instance, before: InstanceSnapshot) -> None:
-    instance.generation = before.generation
-    instance.changed_at = before.changed_at
-    instance.changed_by = before.changed_by
-    superseded = before.superseded
+def _restore(instance: Instance, snapshot: InstanceSnapshot) -> None:
+    instance.generation = snapshot.generation
+    instance.changed_at = snapshot.changed_at
+    instance.changed_by = snapshot.changed_by
+    superseded = snapshot.superseded_task
     instance.task = superseded.task if superseded else None
     if superseded:
         superseded.task.state = superseded.state
--- a/oakkeel/agent/peer_sender.py
+++ b/oakkeel/agent/peer_sender.py
@@ -45,7 +45,7 @@
         self.not_empty.set()
 
     def take(self) -> list[Envelope]:
-        """Remove as many envelopes as one request may hold."""
+        """Remove and return as many envelopes as one request may hold."""
         envelopes: list[Envelope] = []
         size = 0
         while self.queue:
@@ -65,7 +65,7 @@
                 continue
             try:
                 if self.link.stream is None:
-                    await self._request([])  # authenticates the link, so that a long request is accepted
+                    await self._request([])  # authenticates the link: only then is a long request accepted
                 await self._request(envelopes)
             except (LinkError, msgspec.MsgspecError):
                 # The envelopes are lost: Raft sends them again.
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -1,8 +1,8 @@
 """The processes of instances: starts, adopts, watches and signals them. No pid is trusted on its own.
 
-Each process holds a lock on its instance's lock file for its whole life: whoever can take that lock knows
-that no process of the instance is left, even if another agent started it. Signals go through a pidfd, which
-is opened before its owner is checked, so that a reused pid is never signalled.
+Each process holds a lock on its instance's lock file for its whole life: an agent that can take the lock
+knows that no process of the instance is left, even if another agent started it. Signals go through a pidfd,
+which is opened before its owner is checked, so that a reused pid is never signalled.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Writes the pid file before the program begins, so that the next agent finds it if this one ends in between.
+# Writes the pid file before the program begins, so that the next agent finds the process if this agent ends.
 START_SCRIPT = 'echo "$$ $OAKKEEL_GENERATION" >"$OAKKEEL_PID_FILE" && unset OAKKEEL_PID_FILE && exec "$@"'
 MAX_LOG_BYTES = 4 * 1024 * 1024  # of an instance's log: beyond it, the next start begins a new file
 MAX_PID_FILE_BYTES = 64
@@ -43,7 +43,7 @@
     """Processes with their files `NAME.lock`, `NAME.pid`, `NAME.sock` and `NAME.log` in the state folder."""
 
     def __init__(self, folder: str, on_exit: Callable[[Process, str], None]) -> None:
-        """`on_exit` is called once for each process, with how it ended."""
+        """`on_exit` is called once for each process, with its exit status as text."""
         self.folder = folder
         self.on_exit = on_exit
         self.watched: dict[int, Process] = {}  # by pidfd
@@ -62,7 +62,7 @@
             with contextlib.suppress(FileNotFoundError):
                 if os.path.getsize(log) > MAX_LOG_BYTES:
                     os.replace(log, log + ".1")
-            with open(log, "ab") as out:
+            with open(log, "ab") as output:
                 environment = {
                     **variables,
                     "OAKKEEL_GENERATION": str(generation),
@@ -73,8 +73,8 @@
                     env=environment,
                     pass_fds=(lock,),
                     stdin=subprocess.DEVNULL,
-                    stdout=out,
-                    stderr=out,
+                    stdout=output,
+                    stderr=output,
                     start_new_session=True,
                 )
         except OSError as error:
@@ -136,12 +136,12 @@
         return lock
 
     def _has_lock_open(self, pid: int, name: str) -> bool:
-        lock = os.stat(self.path(name, "lock"))
+        lock_file = os.stat(self.path(name, "lock"))
         try:
-            for number in os.listdir(f"/proc/{pid}/fd"):
+            for descriptor in os.listdir(f"/proc/{pid}/fd"):
                 with contextlib.suppress(OSError):
-                    found = os.stat(f"/proc/{pid}/fd/{number}")
-                    if (found.st_dev, found.st_ino) == (lock.st_dev, lock.st_ino):
+                    open_file = os.stat(f"/proc/{pid}/fd/{descriptor}")
+                    if (open_file.st_dev, open_file.st_ino) == (lock_file.st_dev, lock_file.st_ino):
                         return True
         except OSError:
             pass
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -1,9 +1,9 @@
-"""Runs the control plane replica of one agent: its file, connections and timer. The replica decides.
+"""Runs the control plane replica of one agent: its file, connections and timer.
 
-Owners: the `RaftRuntime` of an agent owns a `ReplicaFile` (what is on disk), a `PeerSender` for each
-other replica, and a `ControlPlaneReplica`. That one owns the Raft `Replica`, the state machine and, while
-it leads, a `PermitAllocator` and the rollout controller. It is created again from the file after a failed
-write or a quarantine.
+The `RaftRuntime` of an agent owns a `ReplicaFile` (the state on disk), a `PeerSender` for each other
+replica, and a `ControlPlaneReplica`. The `ControlPlaneReplica` owns the Raft `Replica`, the state machine
+and, while it leads, a `PermitAllocator` and the rollout controller. After a failed write or a quarantine, a
+new `ControlPlaneReplica` is created from the file.
 """
 
 from __future__ import annotations
@@ -50,11 +50,11 @@
 
 
 class CommitUnknownError(OakkeelError):
-    """It is not known whether a command is committed; it may be sent again with the same ID."""
+    """It is not known whether a command is committed; the command may be sent again with the same ID."""
 
 
 class RaftRuntime:
-    """The replica of one host, with every write, connection and timer of it."""
+    """The replica of one host, with its file, connections and timer."""
 
     def __init__(
         self,
@@ -79,8 +79,8 @@
         self.futures: dict[Proposal, asyncio.Future[object]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.storage_error = ""  # why the file can't be written
-        self.has_allocator = False  # of the control plane, when it was last logged
-        self.retry_at = 0  # when to start the replica again, while there is none
+        self.has_allocator = False  # whether the control plane had an allocator when last logged
+        self.retry_at = 0  # when to start the replica again, if it is stopped
         self.control_plane: ControlPlaneReplica | None = None
 
     def open(self) -> None:
@@ -138,7 +138,7 @@
     # Events.
 
     def receive_envelopes(self, sender: str, envelopes: list[Envelope]) -> list[Envelope]:
-        """Receive the envelopes of an authenticated host. Returns those that are queued for it."""
+        """Receive the envelopes of an authenticated host. Returns the envelopes that are queued for it."""
         for envelope in envelopes:
             if envelope.sender == sender and self.control_plane:
                 self._execute(self.control_plane.receive(time.monotonic_ns(), envelope))
@@ -160,7 +160,7 @@
     async def propose(self, command: commands.Command | releases.Command) -> object:
         """Return the result of a command once it is committed.
 
-        Raises NotLeaderError, or CommitUnknownError if that is not known in time.
+        Raises NotLeaderError, or CommitUnknownError if the outcome is not known in time.
         """
         if self.control_plane is None:
             raise NotLeaderError("", self.storage_error)
@@ -173,9 +173,9 @@
             async with asyncio.timeout(COMMIT_TIMEOUT_NS / SECOND):
                 return await future
         except TimeoutError as error:
-            if not future.cancelled():  # the result came in the turn of the event loop that ended the time
+            if not future.cancelled():  # the result arrived in the same turn of the event loop as the timeout
                 return future.result()
-            raise CommitUnknownError("no majority has stored it yet") from error
+            raise CommitUnknownError("no majority has stored the command yet") from error
         finally:
             self.futures.pop(proposal, None)
 
@@ -195,17 +195,17 @@
         if self.timer:
             self.timer.cancel()
         now = time.monotonic_ns()
-        # An instant, as envelopes that arrive all the time would postpone a delay for ever.
-        at = self.retry_at
+        # A fixed time: each arriving envelope reschedules the tick, and would postpone a delay for ever.
+        next_tick_at = self.retry_at
         if self.control_plane:
             has_allocator = self.control_plane.allocator is not None
             interval = LEADER_TICK_INTERVAL_NS if has_allocator else FOLLOWER_TICK_INTERVAL_NS
-            at = min(self.control_plane.replica.next_tick_at(), now + interval)
+            next_tick_at = min(self.control_plane.replica.next_tick_at(), now + interval)
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(max(MIN_TIMER_DELAY_NS, at - now) / SECOND, self._tick)
+        self.timer = loop.call_later(max(MIN_TIMER_DELAY_NS, next_tick_at - now) / SECOND, self._tick)
 
     def _execute(self, outputs: list[Output]) -> None:
-        """Execute outputs in order; each is stored before anything of it is sent or reported."""
+        """Execute outputs in order; each is stored before its envelopes are sent and its results reported."""
         for output in outputs:
             if self.control_plane is None:
                 return
@@ -227,8 +227,8 @@
     def _check_role(self, control_plane: ControlPlaneReplica) -> None:
         """Quarantine the file of a stale replica, and log when leadership was won or lost.
 
-        A leader has an allocator from when it first holds its lease until it steps down. It
-        keeps it while the lease is expired, so this is not `RaftStatus.is_leader`, which needs a valid lease.
+        A leader has an allocator from when it first holds its lease until it steps down, also while the lease
+        is expired. `RaftStatus.is_leader` differs, as it needs a valid lease.
         """
         replica = control_plane.replica
         has_allocator = control_plane.allocator is not None
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -1,8 +1,8 @@
 """Applies the leader's heartbeat responses on one host and builds its heartbeats. Free of I/O.
 
-The status reporter calls it for each heartbeat and response; `Agent.run_cycle` does not.
-It connects `PermitHolder`, which knows disruption permits, with `OrderRegistry` and `Supervisor`, which know
-instances.
+The status reporter calls the `Reconciler` for each heartbeat and response; `Agent.run_cycle` does not.
+The `Reconciler` connects `PermitHolder`, which knows disruption permits, with `OrderRegistry` and
+`Supervisor`, which know instances.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from oakkeel.rollout.messages import TargetStatus
 
 DEFAULT_GENERATION_BLOCK = 64
-CONTROL_PLANE = "the control plane"  # named as the operator who cancelled an order that has ended there
+CONTROL_PLANE = "the control plane"  # recorded as the operator who cancelled an order that has ended there
 # States of results on the wire.
 RESULT_STATES = {
     HostTaskState.DONE: "done",
@@ -53,7 +53,7 @@
         self.generation_block = generation_block
         self.services = DownstreamServices(permit_holder, services)
         self.assignments = VersionAssignments(services)
-        self.state_lost = False  # the state file is new: nothing starts before a response was received
+        self.state_lost = False  # whether the state file is new: nothing starts before a response arrives
         for instance in supervisor.instances:
             instance.generation_limit = permit_holder.generations.get(instance.name, 0)
         self.rejections: dict[tuple[str, str], str] = {}  # reasons by order and target
@@ -90,7 +90,7 @@
         return not self.state_lost and instance.generation + self.generation_block // 2 > reserved
 
     def _target_statuses(self, now: int) -> list[TargetStatus]:
-        """What runs here and how it performs, for the rollout controller."""
+        """The versions that run here and their performance, for the rollout controller."""
         collect_samples = self.assignments.collect_samples
         statuses = [service_status(name, up) for name, up in self.services.up.items()]
         statuses += [instance_status(now, each, collect_samples) for each in self.supervisor.instances]
@@ -108,7 +108,7 @@
             self.permit_holder.mark_unavailable(instance.name)
 
     def _task_results(self) -> list[TaskResult]:
-        """Results of tasks that the control plane takes for open and that are over here."""
+        """Results of tasks that are open in the control plane and over on this host."""
         results = self.services.results()
         for order in self.permit_holder.orders.values():
             known = self.orders.orders.get(order.id)
@@ -124,7 +124,7 @@
     def _task_result(
         self, order: AssignedOrder, target: str, state: str, task: Task | None
     ) -> TaskResult | None:
-        """The result of an open task, or None while it is not over here."""
+        """The result of an open task, or None while the task is not over on this host."""
         if task is not None and not task.is_open:
             return TaskResult(order.id, target, RESULT_STATES[task.state], task.why)
         if why := self.rejections.get((order.id, target)):
@@ -133,12 +133,12 @@
             return TaskResult(order.id, target, "done", "")
         is_over = bool(order.halted_by) or order.remaining <= 0
         if task is None and state == STARTED_STATE and is_over:
-            # It would stay open for ever: this agent no longer knows that it was started.
+            # The task would stay open for ever: this agent no longer knows that it was started.
             return TaskResult(order.id, target, "failed", "the agent lost its state file after the start")
         return None
 
     def _completed_before_loss(self, order: AssignedOrder, target: str) -> bool:
-        """Whether it was completed here, and the state file was lost before that was reported."""
+        """Whether a task was completed here, and the state file was lost before its result was reported."""
         permit = self.permit_holder.permits.get(target)
         instance = self.orders.instances.get(target)
         return bool(
@@ -204,7 +204,7 @@
             self.orders.cancel(now, order.order_id, CONTROL_PLANE)
 
     def _recover_state(self, now: int) -> None:
-        """After the loss of the state file: skip used generations, and keep out what was taken out."""
+        """Skip used generations, and stop the instances that an order had stopped before the loss."""
         self._skip_used_generations({})
         for instance in self.supervisor.instances:
             permit = self.permit_holder.permits.get(instance.name)
--- a/oakkeel/agent/replica_file.py
+++ b/oakkeel/agent/replica_file.py
@@ -15,7 +15,7 @@
 
 
 class ReplicaFile:
-    """The database of a replica, and the counter of its writes that reveals an older copy of it."""
+    """The database of a replica, and the counter of its writes, which detects an older copy."""
 
     def __init__(self, path: str, name: str, log: EventLog) -> None:
         """Open the file of the replica on host `name`. Raises DatabaseError if it can't be used."""
@@ -50,7 +50,7 @@
         return stored
 
     def _new_incarnation(self) -> str:
-        """A name for a new file, which no other file has."""
+        """A unique name for the incarnation of a new file."""
         return f"{self.name}.{secrets.token_hex(INCARNATION_BYTES)}"
 
     def write(self, state: DurableState, update: StorageUpdate) -> None:
@@ -58,7 +58,7 @@
         storage.write(self.store, state, update, self.write_counter)
 
     def quarantine(self, why: str) -> None:
-        """Rename the file with the time, and begin a new incarnation with an empty one."""
+        """Rename the file, adding the time, and begin a new incarnation with an empty file."""
         self.store.close()
         self.write_counter.reset()
         quarantined = database.quarantine(self.path)
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -1,4 +1,4 @@
-"""Handles the requests of operators and of other agents, those to the control plane apart."""
+"""Handles the requests of operators and other agents, except those to the control plane."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from oakkeel.units import SECOND
 
 MAX_LISTED_ORDERS = 200
-MAX_QUOTED_LENGTH = 20  # characters of a request that an error message repeats
+MAX_QUOTED_LENGTH = 20  # characters of a request that are quoted in an error message
 # The request is of the type that the handler is registered for.
 Handler = Callable[[Key, Any], messages.Response | Awaitable[messages.Response]]
 
@@ -87,7 +87,7 @@
         return raft_status(time.monotonic_ns(), agent.host.name, agent.raft, agent.status_reporter)
 
     async def _clients(self, key: Key, request: messages.InstanceClientsRequest) -> messages.Response:
-        """Request the heaviest clients of a node, on a link of its own."""
+        """Request the heaviest clients of a node, over a separate control link."""
         agent = self.agent
         instance = agent.orders.instances.get(request.instance)
         if instance is None or instance not in agent.executor.alive:
@@ -129,7 +129,7 @@
             return messages.ErrorResponse(
                 "this fleet has a control plane: submit drains, stops and restarts to its leader"
             )
-        known = request.order_id in agent.orders.orders
+        is_known = request.order_id in agent.orders.orders
         try:
             submission = OrderSubmission(
                 request.order_id,
@@ -142,7 +142,7 @@
             order = agent.orders.submit(now, submission)
         except OrderRejectedError as error:
             return messages.ErrorResponse(str(error))
-        if order.is_open and not known:
+        if order.is_open and not is_known:
             if not agent.save():
                 agent.orders.undo(order)
                 return messages.ErrorResponse(
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -38,7 +38,7 @@
 LISTEN_BACKLOG = 256
 FRAME_HEADER_BYTES = 4
 MAX_SIGNATURE_BYTES = 256  # of a response's frame, around its content
-# What a key that may only view is not accepted for.
+# Rejected for a key that may only view.
 ORDER_REQUESTS = (
     messages.OrderRequest,
     messages.CancelOrderRequest,
@@ -71,7 +71,7 @@
         log: EventLog,
         limits: ServerLimits | None = None,
     ) -> None:
-        """Raises OSError if the address is in use. `keys` returns the keys that are valid by now."""
+        """Raises OSError if the address is in use. `keys` returns the keys that are valid now."""
         self.keys = keys
         self.handler = handler
         self.log = log
@@ -88,7 +88,7 @@
 
     def open(self) -> None:
         """Accept connections from now on."""
-        asyncio.get_running_loop().add_reader(self.socket, self._accept_some)
+        asyncio.get_running_loop().add_reader(self.socket, self._accept_connections)
 
     def close(self) -> None:
         """Close the socket and all connections."""
@@ -97,7 +97,7 @@
         for stream in list(self.connections):
             stream.close()
 
-    def _accept_some(self) -> None:
+    def _accept_connections(self) -> None:
         with contextlib.suppress(OSError):
             for _ in range(self.limits.accepts):
                 accepted, _ = self.socket.accept()
@@ -139,7 +139,8 @@
         max_bytes = MAX_FRAME_BYTES
         while True:
             async with asyncio.timeout(timeout):
-                # A client that always sends must not keep the event loop: a done future does not yield.
+                # Yields to other tasks: a client that always sends must not hold the event loop, and awaiting
+                # a done future does not yield.
                 await asyncio.sleep(0)
                 content = await read_frame(stream, max_bytes)
             try:
@@ -172,14 +173,14 @@
             )
             return messages.ErrorResponse(f"{key.operator} may only view")
         try:
-            answer = self.handler(key, request)
-            return await answer if isinstance(answer, Awaitable) else answer
+            response = self.handler(key, request)
+            return await response if isinstance(response, Awaitable) else response
         except Exception as error:  # the sender gets an error response, and the agent continues
             self.log.error("agent_request_failed", operator=key.operator, error=describe_error(error))
             return messages.ErrorResponse("internal error of the agent; its log has the cause")
 
     def _log_rejection(self, why: str) -> None:
-        """Log a rejection with the number of those since the last line; at most one line an interval."""
+        """Log the number of rejections since the last such line, at most once per interval."""
         self.rejected += 1
         now = time.monotonic_ns()
         is_due = now - self.rejection_logged_at >= self.limits.rejection_log_interval_ns
--- a/oakkeel/agent/state_writer.py
+++ b/oakkeel/agent/state_writer.py
@@ -4,7 +4,7 @@
 
 from oakkeel.agent.orders import OrderRegistry
 from oakkeel.agent.reconciler import Reconciler
-from oakkeel.agent.storage import assignment_statements, permit_statements, statements
+from oakkeel.agent.storage import assignment_statements, order_statements, permit_statements
 from oakkeel.log import EventLog
 from oakkeel.store.database import Database, DatabaseError
 
@@ -15,7 +15,7 @@
     def __init__(
         self, store: Database, orders: OrderRegistry, reconciler: Reconciler | None, log: EventLog
     ) -> None:
-        """`reconciler`: that of an agent whose fleet has a control plane."""
+        """`reconciler` is None if the fleet has no control plane."""
         self.store = store
         self.orders = orders
         self.log = log
@@ -25,17 +25,17 @@
         self.storage_error = ""
 
     def save(self) -> bool:
-        """Write what changed; return False if that fails, and the next call retries."""
+        """Write the changed state; return False if that fails, and the next call retries."""
         changed = [instance for instance in self.instances if instance.dirty]
         if not changed and not self._has_other_changes() and not self.storage_error:
             return True
-        rows = statements(changed, self.orders.changed, self.orders.deleted)
+        statements = order_statements(changed, self.orders.changed, self.orders.deleted)
         if self.permit_holder:
-            rows += permit_statements(self.permit_holder)
+            statements += permit_statements(self.permit_holder)
         if self.assignments:
-            rows += assignment_statements(self.assignments)
+            statements += assignment_statements(self.assignments)
         try:
-            self.store.write(rows)
+            self.store.write(statements)
         except DatabaseError as error:
             if str(error) != self.storage_error:
                 self.log.error("agent_state_write_failed", error=str(error))
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -24,7 +24,7 @@
 MIN_HEARTBEAT_INTERVAL_NS = 150 * MS
 HEARTBEAT_INTERVAL_PER_HOST_NS = MS // 2
 HEARTBEAT_TIMEOUT_NS = 800 * MS
-COALESCING_DELAY_NS = 5 * MS  # before a heartbeat for a change: changes that follow at once are sent with it
+COALESCING_DELAY_NS = 5 * MS  # before a heartbeat for a change, to include changes that follow at once
 PROBE_INTERVAL_NS = 400 * MS
 PROBE_TIMEOUT_NS = 400 * MS
 
@@ -53,7 +53,7 @@
         self.raft: RaftRuntime | None = None
         self.clients: dict[str, AuthenticatedClient] = {}
         self.last_response_at = 0  # monotonic; 0: never
-        self.why = "no heartbeat was sent yet"  # why there is no accepted response
+        self.why = "no heartbeat was sent yet"  # reason the last heartbeat has no accepted response
         self.wake = asyncio.Event()
         self.interval_ns = max(MIN_HEARTBEAT_INTERVAL_NS, HEARTBEAT_INTERVAL_PER_HOST_NS * len(fleet.hosts))
 
@@ -66,12 +66,12 @@
         """Send heartbeats until cancelled."""
         while True:
             try:
-                answer = await self._send_heartbeat()
-                if isinstance(answer, messages.NotLeaderResponse):
-                    self.why = answer.why
-                    self.locator.redirect(answer.leader)
-                elif not isinstance(answer, messages.HeartbeatAccepted):
-                    self.why = getattr(answer, "why", "the response is of another type")
+                response = await self._send_heartbeat()
+                if isinstance(response, messages.NotLeaderResponse):
+                    self.why = response.why
+                    self.locator.redirect(response.leader)
+                elif not isinstance(response, messages.HeartbeatAccepted):
+                    self.why = getattr(response, "why", "the response is of another type")
                     self.locator.redirect("")
             except (LinkError, msgspec.MsgspecError) as error:
                 self.why = f"{self.leader}: {error}"
@@ -90,14 +90,14 @@
         sent_at = time.monotonic_ns()
         heartbeat = self.reconciler.build_heartbeat(sent_at)
         if self.leader == self.name and self.raft:
-            answer = self.raft.receive_heartbeat(heartbeat)
+            response = self.raft.receive_heartbeat(heartbeat)
         else:
             request = messages.encode(messages.HeartbeatRequest(heartbeat))
             content = await self._leader_client().request(request, HEARTBEAT_TIMEOUT_NS / SECOND)
-            answer = messages.decode_response(content)
-        if isinstance(answer, messages.HeartbeatAccepted):
-            self._apply_response(sent_at, answer.response)
-        return answer
+            response = messages.decode_response(content)
+        if isinstance(response, messages.HeartbeatAccepted):
+            self._apply_response(sent_at, response.response)
+        return response
 
     def _leader_client(self) -> AuthenticatedClient:
         if self.leader not in self.clients:
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -16,14 +16,14 @@
 from oakkeel.store.database import Database, Statement
 
 VERSION = 1
-# Stored names. `instances`: `born` is the process generation, `kill` to kill after the drain, `start_at`
-# the instant before which it is not started, `failures` the consecutive crashes, `deaths` the crash times,
-# `resting` that its restarts are exhausted. `orders`: `place` is the sequence number, `taken` the time of
-# acceptance, `asked` what was requested. `parts` are tasks: `replaces` is the generation of the process
-# that a restart ends. `places` are permits: `thing` is the target, `fence` the highest fencing token,
-# `begun` that it was started. `reserved`: `upto` is the highest reserved generation. `fitting` has the
-# version assignments, `heard` the epoch of the replicated log that the permits belong to. `ident` is the ID
-# of an order.
+# Stored names. `instances`: `born` is the process generation, `kill` whether to kill after the drain,
+# `start_at` the time before which the instance is not started, `failures` the consecutive crashes, `deaths`
+# the crash times, `resting` whether the restarts are exhausted. `orders`: `place` is the sequence number,
+# `taken` the time of acceptance, `asked` the requested instances. `parts` are tasks: `replaces` is the
+# generation of the process that a restart ends. `places` are permits: `thing` is the target, `fence` the
+# highest fencing token, `begun` whether the permit was started. `reserved`: `upto` is the highest reserved
+# generation. `fitting` has the version assignments, `heard` the epoch of the replicated log that the permits
+# belong to. `ident` is the ID of an order.
 SCHEMA = """
 CREATE TABLE boot (id TEXT NOT NULL);
 CREATE TABLE instances (name TEXT PRIMARY KEY, generation INTEGER, changed INTEGER, changed_by TEXT,
@@ -51,18 +51,18 @@
 PUT_TASK = "INSERT OR REPLACE INTO parts VALUES (?,?,?,?,?,?,?)"
 
 
-def statements(
+def order_statements(
     instances: Iterable[Instance], orders: Iterable[Order], deleted: Iterable[str]
 ) -> list[Statement]:
     """The statements that write changed instances and orders; `deleted` holds IDs of orders."""
-    rows = [_instance_statement(instance) for instance in instances]
+    statements = [_instance_statement(instance) for instance in instances]
     for order in orders:
-        rows.append(_order_statement(order))
-        rows += [_task_statement(order, task) for task in order.tasks]
+        statements.append(_order_statement(order))
+        statements += [_task_statement(order, task) for task in order.tasks]
     for order_id in deleted:
-        rows.append(("DELETE FROM orders WHERE ident = ?", (order_id,)))
-        rows.append(("DELETE FROM parts WHERE ident = ?", (order_id,)))
-    return rows
+        statements.append(("DELETE FROM orders WHERE ident = ?", (order_id,)))
+        statements.append(("DELETE FROM parts WHERE ident = ?", (order_id,)))
+    return statements
 
 
 def _instance_statement(instance: Instance) -> Statement:
@@ -110,8 +110,8 @@
     return (PUT_TASK, values)
 
 
-def restore_instances(store: Database, instances: dict[str, Instance], same_boot: bool) -> None:
-    """Restore stored instances. After a reboot, times of the monotonic clock mean nothing."""
+def restore_instances(store: Database, instances: dict[str, Instance], is_same_boot: bool) -> None:
+    """Restore stored instances. After a reboot, times of the monotonic clock are invalid."""
     for row in store.read("SELECT * FROM instances"):
         each = instances.get(row[0])
         if each is None:
@@ -138,7 +138,7 @@
         each.goal = Goal(goal)
         each.phase = Phase(phase)
         each.crash_times = deque(json.loads(deaths))
-        if not same_boot:
+        if not is_same_boot:
             each.start_not_before = 0
             each.consecutive_crashes = 0
             each.restarts_exhausted = False
@@ -147,20 +147,20 @@
 
 def restore_orders(store: Database, orders: OrderRegistry) -> None:
     """Restore stored orders with their tasks, oldest first."""
-    found: dict[str, Order] = {}
+    restored: dict[str, Order] = {}
     for order_id, operator, verb, accepted_at, expires_at, asked in store.read(
         "SELECT ident, operator, verb, taken, expires, asked FROM orders ORDER BY place"
     ):
-        pairs = tuple((name, generation) for name, generation in json.loads(asked))
-        found[order_id] = Order(order_id, operator, Verb(verb), accepted_at, expires_at, pairs)
+        requested = tuple((name, generation) for name, generation in json.loads(asked))
+        restored[order_id] = Order(order_id, operator, Verb(verb), accepted_at, expires_at, requested)
     for order_id, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
         instance = orders.instances.get(name)
-        if instance is not None and order_id in found:
+        if instance is not None and order_id in restored:
             # Whether a drain was sent is not stored: a started task counts as sent, as one whose
             # process does not answer would otherwise wait for a report until its order expires.
-            found[order_id].tasks.append(
+            restored[order_id].tasks.append(
                 Task(
-                    found[order_id],
+                    restored[order_id],
                     instance,
                     generation,
                     HostTaskState(state),
@@ -170,15 +170,15 @@
                     replaces_generation=replaces,
                 )
             )
-    orders.restore(list(found.values()))
+    orders.restore(list(restored.values()))
 
 
 def permit_statements(permit_holder: PermitHolder) -> list[Statement]:
     """The statements that write changed permits, and the replicated log that they belong to."""
-    rows: list[Statement] = []
+    statements: list[Statement] = []
     for target in sorted(permit_holder.changed):
         permit = permit_holder.permits.get(target)
-        rows.append(
+        statements.append(
             (
                 PUT_PERMIT,
                 (
@@ -190,12 +190,12 @@
             )
         )
         if target in permit_holder.generations:
-            rows.append(
+            statements.append(
                 ("INSERT OR REPLACE INTO reserved VALUES (?,?)", (target, permit_holder.generations[target]))
             )
-    if rows:
-        rows.append(("INSERT OR REPLACE INTO heard VALUES (1, ?)", (permit_holder.epoch,)))
-    return rows
+    if statements:
+        statements.append(("INSERT OR REPLACE INTO heard VALUES (1, ?)", (permit_holder.epoch,)))
+    return statements
 
 
 def restore_permits(store: Database, permit_holder: PermitHolder) -> None:
@@ -214,7 +214,7 @@
 
 
 def assignment_statements(assignments: VersionAssignments) -> list[Statement]:
-    """The statement that writes the versions of the targets, their sources and what ran before."""
+    """The statement that writes the versions of the targets, their sources and the versions before them."""
     if not assignments.changed:
         return []
     return [
--- a/oakkeel/agent/supervision_rules.py
+++ b/oakkeel/agent/supervision_rules.py
@@ -20,13 +20,13 @@
     """Durations and limits of supervision, from `<supervision>` of the settings."""
 
     silence_timeout_ns: int = 750 * MS  # without a report, until an instance is silent
-    start_timeout_ns: int = 10 * SECOND  # the same before the first report of a process
-    stuck_timeout_ns: int = 30 * SECOND  # silent, until it is stuck: longer than any client timeout
+    start_timeout_ns: int = 10 * SECOND  # without a first report of a process, until it is silent
+    stuck_timeout_ns: int = 30 * SECOND  # of silence, until it is stuck: longer than any client timeout
     restart_stuck: bool = True
     drain_timeout_ns: int = 10 * SECOND  # from SIGTERM to SIGKILL
     min_backoff_ns: int = 500 * MS  # before the first restart; doubled by each consecutive crash
     max_backoff_ns: int = 30 * SECOND
-    steady_after_ns: int = 30 * SECOND  # of serving, until earlier crashes no longer count as consecutive
+    steady_after_ns: int = 30 * SECOND  # of service, until earlier crashes no longer count as consecutive
     max_restarts: int = 5  # within the restart window
     restart_window_ns: int = 300 * SECOND
     max_starting: int = 4  # processes of the host that start at the same time
@@ -60,10 +60,10 @@
 
 
 class Action(Enum):
-    """What a step asks the executor to do."""
+    """The action of a step, for the executor."""
 
     START = "start"  # start a process of the instance's new generation
-    TERM = "term"  # drain it by SIGTERM, for good
+    TERM = "term"  # drain it by SIGTERM, which can't be cancelled
     DRAIN = "leave"  # drain it by the control link, so that the drain can be cancelled
     CANCEL_DRAIN = "stay"
     KILL = "kill"
@@ -87,8 +87,8 @@
     """Decide when a crashed instance is started again.
 
     A crash loop must not use up the host, so each of the `consecutive_crashes` doubles the backoff, and the
-    budget of the restart window bounds all restarts. `crash_times` holds the crashes in the window with this
-    one; `random_value` is uniform in [0, 1).
+    budget of the restart window bounds all restarts. `crash_times` holds the crashes in the window with the
+    latest; `random_value` is uniform in [0, 1).
     """
     delay = exponential_delay(timeouts.min_backoff_ns, timeouts.max_backoff_ns, consecutive_crashes)
     start_not_before = now + with_jitter(delay, random_value)
@@ -98,7 +98,7 @@
     return RestartDecision(max(start_not_before, window_end), restarts_exhausted=True)
 
 
-def forget_old_crashes(now: int, crash_times: deque[int], window_ns: int) -> None:
+def remove_old_crashes(now: int, crash_times: deque[int], window_ns: int) -> None:
     """Remove crashes that are no longer within the restart window."""
     while crash_times and crash_times[0] <= now - window_ns:
         crash_times.popleft()
@@ -110,14 +110,13 @@
 
 
 def has_generation_left(instance: Instance) -> bool:
-    """Whether a start may use a generation: one that was used before must never be used again."""
+    """Whether a start may use a generation: no generation is ever used for two processes."""
     was_never_started = not instance.spawned and instance.process_generation != 0
     return instance.generation < instance.generation_limit or was_never_started
 
 
 def next_drain_action(now: int, instance: Instance, timeouts: SupervisionTimeouts) -> Action | None:
-    """What a draining instance needs by now: only one that was asked to drain is killed, after its
-    timeout."""
+    """The action that a draining instance needs now; a kill follows a drain only after its timeout."""
     since_sent = now - instance.drain_sent_at
     if instance.drain_cancelled:
         return Action.CANCEL_DRAIN if since_sent >= CANCEL_DRAIN_RETRY_INTERVAL_NS else None
@@ -129,7 +128,7 @@
 
 
 def is_silent(now: int, instance: Instance, timeouts: SupervisionTimeouts) -> bool:
-    """Whether reports are missing for too long. Silence is no proof of death: nothing is restarted for it."""
+    """Whether reports are missing for too long. Nothing is restarted: a silent process may still run."""
     silence = now - max(instance.last_report_at, instance.phase_since)
     timeout = timeouts.silence_timeout_ns if instance.report else timeouts.start_timeout_ns
     return silence > timeout
@@ -141,5 +140,5 @@
 
 
 def is_unavailable(instance: Instance) -> bool:
-    """Whether an instance counts against the disruption budget of its site, for whatever cause."""
+    """Whether an instance counts against the disruption budget of its site, for any cause."""
     return instance.phase is not Phase.SERVING
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -2,7 +2,7 @@
 
 Its caller reports events (`report_received`, `process_exited`, ...), calls `tick` periodically and executes
 the steps that it returns. Only the end of a process proves that an instance is down, never its silence.
-Nothing is killed that was not asked to drain first and given its drain timeout.
+A process is killed only after it was asked to drain and the drain timeout has expired.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
     Action,
     SupervisionTimeouts,
     decide_restart,
-    forget_old_crashes,
     has_generation_left,
     is_silent,
     is_stuck,
     is_unavailable,
     next_drain_action,
+    remove_old_crashes,
     wants_start,
 )
 from oakkeel.control.messages import NodeStatus
 from oakkeel.errors import InvalidTransitionError
 
-AGENT_NAME = "the agent"  # stored as who changed an instance that no operator did
+AGENT_NAME = "the agent"  # stored as `changed_by` of an instance that no operator changed
 
 
 @dataclass(slots=True, frozen=True)
@@ -66,7 +66,7 @@
     def report_received(
         self, now: int, instance: Instance, state: str, generation: int, report: NodeStatus
     ) -> None:
-        """Take the report of a node; one of another generation is ignored."""
+        """Apply the report of a node; a report of another generation is ignored."""
         if not instance.alive:
             return  # sent before its process ended
         if generation != instance.process_generation:
@@ -78,9 +78,9 @@
         instance.report = report
         instance.running_version = report.version
         reported_phase = REPORTED_PHASES[state]
-        has_moved = instance.phase is not Phase.DRAINING and reported_phase is not instance.phase
-        has_resumed = instance.drain_cancelled and reported_phase in (Phase.COLD, Phase.SERVING)
-        if has_moved or has_resumed:
+        has_other_phase = instance.phase is not Phase.DRAINING and reported_phase is not instance.phase
+        has_resumed_service = instance.drain_cancelled and reported_phase in (Phase.COLD, Phase.SERVING)
+        if has_other_phase or has_resumed_service:
             instance.drain_cancelled = False
             instance.drain_cancellable = False
             instance.kill_after_drain = False
@@ -89,12 +89,12 @@
             instance.consecutive_crashes = 0
 
     def process_started(self, now: int, instance: Instance) -> None:
-        """Note that its process was started."""
+        """Record that the process of an instance was started."""
         instance.spawned = True
         instance.dirty = True
 
     def start_failed(self, now: int, instance: Instance, why: str) -> None:
-        """Note that its process could not be started, which counts as a crash."""
+        """Record that the process of an instance could not be started, which counts as a crash."""
         self.process_exited(now, instance, why)
 
     def process_adopted(self, now: int, instance: Instance, generation: int) -> None:
@@ -102,14 +102,14 @@
         instance.process_generation = generation
         instance.spawned = True
         instance.generation = max(instance.generation, generation)
-        instance.last_report_at = now  # its silence timeout starts now
+        instance.last_report_at = now  # the silence timeout starts now
         instance.report = None
         if not instance.alive:
             self._transition(now, instance, Phase.STARTING)
-        instance.drain_sent_at = 0  # a drain is sent again: it may not have arrived, and is idempotent
+        instance.drain_sent_at = 0  # sends a drain again: it may not have arrived, and is idempotent
 
     def process_not_found(self, now: int, instance: Instance, recorded_generation: int) -> None:
-        """Note that it has no process when the agent starts.
+        """Record that an instance has no process when the agent starts.
 
         `recorded_generation` in the pid file shows whether a process of that generation was ever started.
         """
@@ -121,12 +121,12 @@
             self.start_abandoned(now, instance)
 
     def start_abandoned(self, now: int, instance: Instance) -> None:
-        """Note that a start was decided and its process never started."""
+        """Record that a start was decided and no process was started."""
         instance.start_not_before = now
         self._transition(now, instance, Phase.STOPPED)
 
     def process_exited(self, now: int, instance: Instance, why: str) -> None:
-        """Note that its process has ended: after a drain it is stopped, otherwise it has crashed."""
+        """Record that the process of an instance has ended: stopped after a drain, otherwise crashed."""
         if not instance.alive:
             return
         is_expected = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
@@ -148,7 +148,7 @@
         instance.why = why
         instance.crashes_since_agent_start += 1
         instance.crash_times.append(now)
-        forget_old_crashes(now, instance.crash_times, timeouts.restart_window_ns)
+        remove_old_crashes(now, instance.crash_times, timeouts.restart_window_ns)
         while len(instance.crash_times) > timeouts.max_restarts + 1:
             instance.crash_times.popleft()
         decision = decide_restart(
@@ -162,7 +162,7 @@
     # Commands.
 
     def order_start(self, now: int, instance: Instance) -> None:
-        """Start it without backoff and with a new restart budget."""
+        """Start an instance without backoff and with a new restart budget."""
         instance.goal = Goal.UP
         instance.dirty = True
         instance.start_not_before = now
@@ -171,7 +171,7 @@
         instance.crash_times.clear()
 
     def order_stop(self, now: int, instance: Instance, kill: bool, cancellable: bool = False) -> None:
-        """Drain it; `kill`: kill it after its drain timeout; `cancellable`: the drain can be reverted."""
+        """Drain an instance. `kill`: kill it after the drain timeout; `cancellable`: it can be reverted."""
         instance.goal = Goal.DOWN
         instance.dirty = True
         if instance.phase is Phase.FAILING:
@@ -181,7 +181,7 @@
             self._drain(now, instance, kill)
 
     def cancel_stop(self, now: int, instance: Instance) -> None:
-        """Cancel its drain, or start it again if its process has ended."""
+        """Cancel the drain of an instance, or start the instance again if its process has ended."""
         self.order_start(now, instance)
         if instance.phase is Phase.DRAINING and instance.drain_cancellable:
             instance.drain_cancelled = True
@@ -199,13 +199,13 @@
             self._transition(now, instance, Phase.SERVING if reported_state == "serving" else Phase.COLD)
 
     def order_restart(self, now: int, instance: Instance) -> None:
-        """Drain it, kill it after its drain timeout, and start it again."""
+        """Drain an instance, kill it after the drain timeout, and start it again."""
         self.order_start(now, instance)
         if instance.alive:
             self._drain(now, instance, True)
 
     def has_capacity(self, instance: Instance) -> bool:
-        """Whether it may be taken out: whatever is unavailable counts, also what has crashed."""
+        """Whether an instance may be taken out of service; crashed instances count against the budget too."""
         has_budget = self.unavailable[instance.site] < self.max_unavailable[instance.site]
         return is_unavailable(instance) or has_budget
 
@@ -251,15 +251,15 @@
             self._transition(now, instance, Phase.SILENT)
 
     def _spend_restart(self, now: int, instance: Instance) -> bool:
-        """Charge a restart to the restart budget; False if it is spent."""
-        forget_old_crashes(now, instance.crash_times, self.timeouts.restart_window_ns)
+        """Charge a restart to the restart budget; return False if the budget is spent."""
+        remove_old_crashes(now, instance.crash_times, self.timeouts.restart_window_ns)
         if len(instance.crash_times) >= self.timeouts.max_restarts:
             return False
         instance.crash_times.append(now)
         return True
 
     def _start(self, now: int, instance: Instance) -> None:
-        """Use a new generation, unless the last one is known never to have been started."""
+        """Begin a start with a new generation, or with the last one if no process ever used it."""
         if instance.spawned or not instance.process_generation:
             instance.generation += 1
             instance.process_generation = instance.generation
--- a/oakkeel/agent/target_status.py
+++ b/oakkeel/agent/target_status.py
@@ -1,4 +1,4 @@
-"""What a heartbeat reports of one target: its status for releases, and its requests in flight."""
+"""The report of a heartbeat on one target: its status for releases, and its requests in flight."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def in_flight_summary(instance: Instance) -> str:
-    """The requests that a draining node has yet to answer, for display; empty if it does not drain."""
+    """The requests in flight of a draining node, for display; empty if it does not drain."""
     report = instance.report
     if instance.phase is not Phase.DRAINING or report is None or not report.open_requests:
         return ""
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -7,7 +7,7 @@
 from oakkeel.agent.instances import HostTaskState, Instance, Phase, Verb
 from oakkeel.agent.order_rules import OrderSubmission
 from oakkeel.agent.orders import OrderRegistry
-from oakkeel.agent.storage import SCHEMA, VERSION, restore_orders, statements
+from oakkeel.agent.storage import SCHEMA, VERSION, order_statements, restore_orders
 from oakkeel.agent.supervision_rules import SupervisionTimeouts
 from oakkeel.agent.supervisor import Supervisor
 from oakkeel.store.database import Database
@@ -32,7 +32,7 @@
         submission = OrderSubmission("o1", "asha", Verb.RESTART, (("n1", 3),), 60 * SECOND)
         order = before.submit(SECOND, submission)
         before.advance(SECOND)
-        store.write(statements([], [order], []))
+        store.write(order_statements([], [order], []))
 
         restore_orders(store, after)
 
