--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -26,7 +26,7 @@
 from oakkeel.units import MS, SECOND
 
 WAIT = 20.0
-FAST = SupervisionTimeouts(
+SHORT_TIMEOUTS = SupervisionTimeouts(
     silence_timeout_ns=400 * MS,
     start_timeout_ns=3 * SECOND,
     stuck_timeout_ns=60 * SECOND,
@@ -47,14 +47,14 @@
         self.fleet = read_fleet(self.site.settings)
         self.host = self.fleet.hosts[0]
         self.log_output = io.StringIO()
-        self.agents, self.view = (
+        self.agent_clients, self.view = (
             AgentClients(self.fleet, read_operator_key(self.fleet, "asha")),
             FleetView(self.fleet),
         )
-        self.addAsyncCleanup(self.end_all)
+        self.addAsyncCleanup(self.kill_nodes)
 
-    async def end_all(self) -> None:
-        """Kill the fake nodes by the pids that they wrote, only while they hold their locks."""
+    async def kill_nodes(self) -> None:
+        """Kill the fake nodes, each only while it holds the lock of its instance."""
         os.makedirs(self.host.state, exist_ok=True)
         processes = Processes(self.host.state, lambda process, why: None)
         for name in ("n1", "n2", "n3"):
@@ -68,16 +68,16 @@
         with open(os.path.join(self.host.state, f"{name}.script"), "w") as file:
             file.write(behavior)
 
-    def journal(self, name: str) -> list[list[str]]:
+    def read_journal(self, name: str) -> list[list[str]]:
         with contextlib.suppress(OSError), open(os.path.join(self.host.state, f"{name}.journal")) as file:
             return [line.split() for line in file]
         return []
 
     def starts(self, name: str) -> list[int]:
-        return [int(line[1]) for line in self.journal(name) if line[0] == "start"]
+        return [int(line[1]) for line in self.read_journal(name) if line[0] == "start"]
 
-    async def agent(self, timeouts: SupervisionTimeouts = FAST, **options) -> Agent:
-        """An agent in this process, which `stop` ends as SIGTERM would."""
+    async def agent(self, timeouts: SupervisionTimeouts = SHORT_TIMEOUTS, **options) -> Agent:
+        """Start an agent in this process; `stop` ends it as SIGTERM would."""
         agent = Agent(
             AgentSettings(self.host, timeouts),
             AgentKeys(read_keys(self.fleet)),
@@ -96,25 +96,25 @@
         agent.stop_requested.set()
         await asyncio.wait((task or agent.task,))
 
-    async def until(self, done, what: str = "") -> None:
+    async def wait_until(self, condition, message: str = "") -> None:
         """Wait until a condition holds, while the agent runs."""
-        end = time.monotonic() + WAIT
-        while not done():
-            self.assertLess(time.monotonic(), end, what or self.log_output.getvalue())
+        deadline = time.monotonic() + WAIT
+        while not condition():
+            self.assertLess(time.monotonic(), deadline, message or self.log_output.getvalue())
             await asyncio.sleep(0.01)
 
     async def serving(self, agent: Agent) -> None:
-        await self.until(lambda: all(each.phase is Phase.SERVING for each in agent.supervisor.instances))
+        await self.wait_until(lambda: all(each.phase is Phase.SERVING for each in agent.supervisor.instances))
 
     def instance(self, agent: Agent, name: str):
         return agent.orders.instances[name]
 
-    async def request(self, request: messages.Request, operator: str = "asha") -> messages.Response:
+    async def send_request(self, request: messages.Request, operator: str = "asha") -> messages.Response:
         return await asyncio.wait_for(
             request_once(self.host.agent, read_operator_key(self.fleet, operator), request), WAIT
         )
 
-    async def order(
+    async def submit_order(
         self,
         verb: str,
         *names: str,
@@ -123,22 +123,22 @@
         generation: int = 0,
         supersede: bool = False,
     ) -> dict[str, messages.TaskStatus]:
-        requested = [(name, generation or await self.generation(name)) for name in names]
-        response = await self.request(
+        requested = [(name, generation or await self.current_generation(name)) for name in names]
+        response = await self.send_request(
             messages.OrderRequest(order_id, verb, requested, 30 * SECOND, supersede), operator
         )
         self.assertIsInstance(response, messages.OrderStatus, response)
         return {task.instance: task for task in response.tasks}
 
-    async def generation(self, name: str) -> int:
-        response = await self.request(messages.HostStatusRequest())
+    async def current_generation(self, name: str) -> int:
+        response = await self.send_request(messages.HostStatusRequest())
         return next(each.generation for each in response.instances if each.name == name)
 
-    async def final_states(self, order_id: str = "o1") -> dict[str, str]:
+    async def wait_for_final_states(self, order_id: str = "o1") -> dict[str, str]:
         """Wait until an order has ended; returns the final state of each of its instances."""
-        end = time.monotonic() + WAIT
-        while time.monotonic() < end:
-            response = await self.request(messages.ListOrdersRequest())
+        deadline = time.monotonic() + WAIT
+        while time.monotonic() < deadline:
+            response = await self.send_request(messages.ListOrdersRequest())
             for order in response.orders:
                 if order.order_id == order_id and not any(
                     task.state in ("waiting", "acting") for task in order.tasks
--- a/tests/agent/simulated_host.py
+++ b/tests/agent/simulated_host.py
@@ -1,4 +1,4 @@
-"""A host in simulated time: no process, no socket."""
+"""A host in simulated time, without processes and sockets."""
 
 import time
 import unittest
@@ -17,9 +17,9 @@
 class SimulatedHost:
     """A host in simulated time: steps are executed at once, and processes behave as the test says."""
 
-    def __init__(self, names: int = 4, max_unavailable: int = 1, **timeouts) -> None:
+    def __init__(self, instance_count: int = 4, max_unavailable: int = 1, **timeouts) -> None:
         self.now = 1000 * SECOND
-        self.instances = [Instance(f"n{number}", "woodbrook") for number in range(1, names + 1)]
+        self.instances = [Instance(f"n{number}", "woodbrook") for number in range(1, instance_count + 1)]
         self.supervisor = Supervisor(
             self.instances,
             SupervisionTimeouts(**timeouts),
@@ -29,8 +29,8 @@
         )
         self.orders = CheckedOrderRegistry(self.supervisor, time.time_ns)
         self.steps: list[tuple[Action, Instance]] = []
-        self.silent: set[Instance] = set()  # their processes send no reports
-        self.ignoring_drain: set[Instance] = set()  # they end only when killed
+        self.silent: set[Instance] = set()  # instances whose processes send no reports
+        self.ignoring_drain: set[Instance] = set()  # instances whose processes end only when killed
 
     def tick(self) -> list[tuple[Action, Instance]]:
         self.orders.advance(self.now)
@@ -45,8 +45,8 @@
         return steps
 
     def run(self, seconds: float, step: int = 100 * MS, state: str = "serving") -> None:
-        until = self.now + int(seconds * SECOND)
-        while self.now < until:
+        end = self.now + int(seconds * SECOND)
+        while self.now < end:
             self.now += step
             for instance in self.instances:
                 if instance.alive and instance.phase is not Phase.DRAINING and instance not in self.silent:
@@ -86,7 +86,7 @@
 
 
 class HostTestCase(unittest.TestCase):
-    def serving(self, **options) -> SimulatedHost:
+    def serving_host(self, **options) -> SimulatedHost:
         host = SimulatedHost(**options)
         host.run(3)
         self.assertEqual({each.phase for each in host.instances}, {Phase.SERVING})
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -1,4 +1,4 @@
-"""The cycle of an agent."""
+"""Tests of the cycle of an agent."""
 
 import unittest
 from unittest import mock
@@ -13,7 +13,7 @@
         run = Agent.run
         with mock.patch.object(Agent, "run", lambda agent: followed_by_wait(run(agent))):
             agent = await self.agent()
-        await self.until(lambda: "agent_started" in self.log_output.getvalue())
+        await self.wait_until(lambda: "agent_started" in self.log_output.getvalue())
         self.assertTrue(await ends_cancelled(agent.task, agent.stop_requested.set))
 
 
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -19,7 +19,7 @@
     async def test_starts_instances_and_reports_them_with_ages(self):
         agent = await self.agent()
         await self.serving(agent)
-        await self.agents.refresh(self.view)
+        await self.agent_clients.refresh(self.view)
         rows = self.view.rows(time.monotonic_ns())
         self.assertEqual(
             [(row.name, row.shown) for row in rows], [("n1", "serving"), ("n2", "serving"), ("n3", "serving")]
@@ -33,9 +33,9 @@
         n1 = self.instance(agent, "n1")
         process = agent.alive[n1]
         agent.processes.signal(process, signal.SIGSTOP)
-        await self.until(lambda: n1.phase is Phase.SILENT)
+        await self.wait_until(lambda: n1.phase is Phase.SILENT)
         agent.processes.signal(process, signal.SIGCONT)
-        await self.until(lambda: n1.phase is Phase.SERVING)
+        await self.wait_until(lambda: n1.phase is Phase.SERVING)
         self.assertEqual((self.starts("n1"), agent.alive[n1]), ([1], process))
 
     async def test_treats_an_instance_that_never_answers_as_silent(self):
@@ -45,9 +45,9 @@
                 silence_timeout_ns=400 * MS, start_timeout_ns=500 * MS, min_backoff_ns=50 * MS
             )
         )
-        await self.until(lambda: self.instance(agent, "n1").phase is Phase.SILENT)
+        await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.SILENT)
         self.script("n1", "")
-        await self.until(lambda: self.instance(agent, "n1").phase is Phase.SERVING)
+        await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.SERVING)
         self.assertEqual(self.starts("n1"), [1])
 
     async def test_ignores_reports_of_an_old_generation(self):
@@ -57,7 +57,7 @@
                 silence_timeout_ns=400 * MS, start_timeout_ns=500 * MS, min_backoff_ns=50 * MS
             )
         )
-        await self.until(lambda: self.instance(agent, "n1").phase is Phase.SILENT)
+        await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.SILENT)
         self.assertIn("received a report of generation 0, expected 1", self.instance(agent, "n1").why)
 
     async def test_restarts_a_killed_process_with_a_new_generation(self):
@@ -65,7 +65,7 @@
         await self.serving(agent)
         n1 = self.instance(agent, "n1")
         agent.processes.signal(agent.alive[n1], signal.SIGKILL)
-        await self.until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
+        await self.wait_until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
         self.assertIn('how="killed by SIGKILL"', self.log_output.getvalue())
 
     async def test_stops_restarting_a_crash_loop_while_others_serve(self):
@@ -74,33 +74,33 @@
             SupervisionTimeouts(min_backoff_ns=10 * MS, max_restarts=3, silence_timeout_ns=400 * MS)
         )
         n1 = self.instance(agent, "n1")
-        await self.until(lambda: n1.restarts_exhausted)
-        count = len(self.starts("n1"))
-        await self.until(lambda: self.instance(agent, "n2").phase is Phase.SERVING)
-        self.assertEqual((count, len(self.starts("n1"))), (4, 4))
-        response = await self.request(messages.HostStatusRequest())
+        await self.wait_until(lambda: n1.restarts_exhausted)
+        start_count = len(self.starts("n1"))
+        await self.wait_until(lambda: self.instance(agent, "n2").phase is Phase.SERVING)
+        self.assertEqual((start_count, len(self.starts("n1"))), (4, 4))
+        response = await self.send_request(messages.HostStatusRequest())
         self.assertEqual(
             (response.instances[0].restarts_exhausted, response.instances[0].why), (True, "exit code 3")
         )
         self.script("n1", "")
-        await self.order("start", "n1")
-        self.assertEqual(await self.final_states(), {"n1": "done"})
+        await self.submit_order("start", "n1")
+        self.assertEqual(await self.wait_for_final_states(), {"n1": "done"})
 
     async def test_never_signals_or_adopts_a_reused_pid(self):
         agent = await self.agent()
         await self.serving(agent)
-        with subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) as stranger:
+        with subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) as unrelated:
             with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
-                file.write(f"{stranger.pid} 1\n")
+                file.write(f"{unrelated.pid} 1\n")
             self.assertIsNone(agent.processes.adopt("n1"))  # it does not hold the lock
-            pidfd = os.pidfd_open(stranger.pid)
-            again = Process("n1", stranger.pid, read_start_ticks(stranger.pid) - 1, 1, pidfd)
-            agent.processes.watched[pidfd] = again
-            self.assertFalse(agent.processes.signal(again, signal.SIGKILL))
+            pidfd = os.pidfd_open(unrelated.pid)
+            earlier = Process("n1", unrelated.pid, read_start_ticks(unrelated.pid) - 1, 1, pidfd)
+            agent.processes.watched[pidfd] = earlier
+            self.assertFalse(agent.processes.signal(earlier, signal.SIGKILL))
             del agent.processes.watched[pidfd]
             os.close(pidfd)
-            self.assertIsNone(stranger.poll())
-            stranger.communicate(b"\n")
+            self.assertIsNone(unrelated.poll())
+            unrelated.communicate(b"\n")
         with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
             file.write(f"{agent.alive[self.instance(agent, 'n1')].pid} 1\n")
 
@@ -132,11 +132,12 @@
         pids = {each.name: process.pid for each, process in agent.alive.items()}
         await self.stop(agent)
         os.kill(pids["n3"], signal.SIGKILL)
-        again = await self.agent()
-        await self.until(lambda: self.instance(again, "n3").process_generation == 2)
-        await self.serving(again)
+        next_agent = await self.agent()
+        await self.wait_until(lambda: self.instance(next_agent, "n3").process_generation == 2)
+        await self.serving(next_agent)
         self.assertEqual(
-            [again.alive[self.instance(again, name)].pid for name in ("n1", "n2")], [pids["n1"], pids["n2"]]
+            [next_agent.alive[self.instance(next_agent, name)].pid for name in ("n1", "n2")],
+            [pids["n1"], pids["n2"]],
         )
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1], [1], [1, 2]])
 
@@ -146,9 +147,9 @@
         await self.stop(agent)
         with open(os.path.join(self.host.state, "agent.db"), "r+b") as file:
             file.write(b"\x00" * 8192)
-        again = await self.agent()
-        await self.serving(again)
-        response = await self.request(messages.HostStatusRequest())
+        next_agent = await self.agent()
+        await self.serving(next_agent)
+        response = await self.send_request(messages.HostStatusRequest())
         self.assertIn("the state file was quarantined", response.notes[0])
         self.assertEqual(
             (self.starts("n1"), [each.generation for each in response.instances]), ([1], [1, 1, 1])
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -1,4 +1,4 @@
-"""Tests of orders to an agent with real processes, also killed at each durable step."""
+"""Tests of orders to an agent with real processes, which is also killed at each durable step."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 from oakkeel.settings.types import HostSettings
 from oakkeel.store.database import Database, DatabaseError
 from oakkeel.units import SECOND
-from tests.agent.agent_test_case import FAST, WAIT, AgentTestCase
+from tests.agent.agent_test_case import SHORT_TIMEOUTS, WAIT, AgentTestCase
 
 
 class OrderHandlingTest(AgentTestCase):
@@ -33,47 +33,47 @@
             (messages.OrderRequest("o1", "stop", [("n1", 1)], 30 * SECOND), "asha"),
             (messages.OrderRequest("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi"),
         ]
-        first, second = await asyncio.gather(*(self.request(*each) for each in requests))
-        states = sorted(answer.tasks[0].state for answer in (first, second))
+        first, second = await asyncio.gather(*(self.send_request(*each) for each in requests))
+        states = sorted(response.tasks[0].state for response in (first, second))
         self.assertEqual(states[0], "refused")
         refused, accepted = (first, second) if first.tasks[0].state == "refused" else (second, first)
         self.assertIn(f"{accepted.operator}'s {accepted.verb} is open since", refused.tasks[0].why)
-        self.assertEqual(await self.final_states(accepted.order_id), {"n1": "done"})
+        self.assertEqual(await self.wait_for_final_states(accepted.order_id), {"n1": "done"})
 
     async def test_rolling_restart_respects_the_limit_and_starts_each_once(self):
         # A stall of the event loop must not make instances silent, which would count as unavailable too.
-        agent = await self.agent(replace(FAST, silence_timeout_ns=30 * SECOND))
+        agent = await self.agent(replace(SHORT_TIMEOUTS, silence_timeout_ns=30 * SECOND))
         await self.serving(agent)
-        await self.order("restart", "n1", "n2", "n3")
-        worst = 0
+        await self.submit_order("restart", "n1", "n2", "n3")
+        most_unavailable = 0
         while agent.orders.orders["o1"].is_open:
-            worst = max(worst, agent.supervisor.unavailable["woodbrook"])
+            most_unavailable = max(most_unavailable, agent.supervisor.unavailable["woodbrook"])
             await asyncio.sleep(0.005)
-        self.assertEqual(worst, 1)
+        self.assertEqual(most_unavailable, 1)
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1, 3]])
 
     async def test_restart_supersedes_a_drain_and_kills_after_the_timeout(self):
         self.script("n1", "deaf")
         agent = await self.agent()
         await self.serving(agent)
-        await self.order("drain", "n1")
-        await self.until(lambda: self.instance(agent, "n1").phase is Phase.DRAINING)
-        await self.order("restart", "n1", order_id="o2", operator="ravi", supersede=True)
-        self.assertEqual(await self.final_states("o2"), {"n1": "done"})
-        self.assertEqual(await self.final_states("o1"), {"n1": "superseded"})
+        await self.submit_order("drain", "n1")
+        await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.DRAINING)
+        await self.submit_order("restart", "n1", order_id="o2", operator="ravi", supersede=True)
+        self.assertEqual(await self.wait_for_final_states("o2"), {"n1": "done"})
+        self.assertEqual(await self.wait_for_final_states("o1"), {"n1": "superseded"})
         self.assertIn("drain_timeout_killed", self.log_output.getvalue())
 
     async def test_next_agent_completes_orders_left_open_by_sigterm(self):
         self.script("n1", "deaf")
         agent = await self.agent()
         await self.serving(agent)
-        await self.order("drain", "n1")
-        await self.until(lambda: self.instance(agent, "n1").phase is Phase.DRAINING)
+        await self.submit_order("drain", "n1")
+        await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.DRAINING)
         await self.stop(agent)
         self.script("n1", "")
-        again = await self.agent()
-        self.assertEqual(await self.final_states(), {"n1": "done"})
-        self.assertEqual((self.instance(again, "n1").phase, self.starts("n1")), (Phase.STOPPED, [1]))
+        next_agent = await self.agent()
+        self.assertEqual(await self.wait_for_final_states(), {"n1": "done"})
+        self.assertEqual((self.instance(next_agent, "n1").phase, self.starts("n1")), (Phase.STOPPED, [1]))
 
     async def test_full_disk_rejects_orders_and_supervision_continues(self):
         os.makedirs(self.host.state, exist_ok=True)
@@ -81,24 +81,24 @@
         agent = await self.agent(store=store)
         await self.serving(agent)
         store.connection.execute("PRAGMA max_page_count = 1")  # no page can be added
-        for number in range(200):  # until the free space of its pages is used up
-            generation = await self.generation("n2")
-            answer = await self.request(
+        for number in range(200):  # until the existing pages have no free space
+            generation = await self.current_generation("n2")
+            response = await self.send_request(
                 messages.OrderRequest(f"f{number}", "start", [("n2", generation)], SECOND)
             )
-            if isinstance(answer, messages.ErrorResponse):
+            if isinstance(response, messages.ErrorResponse):
                 break
-        self.assertIn("can't be written: database or disk is full", getattr(answer, "why", ""))
-        self.assertEqual(await self.generation("n2"), generation)
+        self.assertIn("can't be written: database or disk is full", getattr(response, "why", ""))
+        self.assertEqual(await self.current_generation("n2"), generation)
         with mock.patch.object(store, "write", side_effect=DatabaseError("database or disk is full")):
             n1 = self.instance(agent, "n1")
             agent.processes.signal(agent.alive[n1], signal.SIGKILL)
-            await self.until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
-            self.assertIn("orders wait", (await self.request(messages.HostStatusRequest())).notes[0])
+            await self.wait_until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
+            self.assertIn("orders wait", (await self.send_request(messages.HostStatusRequest())).notes[0])
         store.connection.execute("PRAGMA max_page_count = 10000")
-        await self.until(lambda: not agent.storage_error)
-        await self.order("restart", "n2", order_id="later")
-        self.assertEqual(await self.final_states("later"), {"n2": "done"})
+        await self.wait_until(lambda: not agent.storage_error)
+        await self.submit_order("restart", "n2", order_id="later")
+        self.assertEqual(await self.wait_for_final_states("later"), {"n2": "done"})
 
     async def test_read_only_state_file_rejects_orders(self):
         os.makedirs(self.host.state, exist_ok=True)
@@ -106,28 +106,28 @@
         agent = await self.agent(store=store)
         await self.serving(agent)
         store.connection.execute("PRAGMA query_only = 1")
-        answer = await self.request(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
-        self.assertIn("readonly", getattr(answer, "why", ""))
+        response = await self.send_request(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
+        self.assertIn("readonly", getattr(response, "why", ""))
         self.assertEqual(
             (self.instance(agent, "n1").generation, self.instance(agent, "n1").phase), (1, Phase.SERVING)
         )
 
     async def test_executes_an_order_once_when_killed_at_any_durable_step(self):
-        """Each step runs in an agent and a folder of its own, several at a time."""
-        together = asyncio.Semaphore(8)
+        """Each step is tested with a separate agent and folder, several at a time."""
+        semaphore = asyncio.Semaphore(8)
 
-        async def one(step: int) -> bool:
-            async with together:
-                return await self.crash_at(step)
+        async def run_limited(step: int) -> bool:
+            async with semaphore:
+                return await self.run_with_crash_at(step)
 
-        survived, step = [], 1
-        while not any(survived):
-            survived = await asyncio.gather(*(one(each) for each in range(step, step + 16)))
+        unreached, step = [], 1
+        while not any(unreached):
+            unreached = await asyncio.gather(*(run_limited(each) for each in range(step, step + 16)))
             step += 16
-        self.assertGreater(step - 16 + survived.index(True), 14)
+        self.assertGreater(step - 16 + unreached.index(True), 14)
 
-    async def crash_at(self, step: int) -> bool:
-        """Whether the agent never reached that step; in any case the restart was executed once."""
+    async def run_with_crash_at(self, step: int) -> bool:
+        """Check that a restart is executed once; return whether the agent never reached the step."""
         folder = os.path.join(self.folder, f"at{step}")
         os.mkdir(folder)
         site = FakeSite(
@@ -162,23 +162,23 @@
         agents: list[asyncio.subprocess.Process],
     ) -> None:
         """Order a restart and wait for its end; the first agent dies at `step`, those after it do not."""
-        end, accepted = time.monotonic() + 2 * WAIT, False
-        while time.monotonic() < end:
+        deadline, is_accepted = time.monotonic() + 2 * WAIT, False
+        while time.monotonic() < deadline:
             if not agents or agents[-1].returncode is not None:
                 agents.append(await self.start_crashing_agent(settings, [] if agents else [str(step)]))
             with contextlib.suppress(AgentError, asyncio.TimeoutError):
                 status = await asyncio.wait_for(request_once(address, key, messages.HostStatusRequest()), 1)
                 instance = status.instances[0]
-                if not accepted and instance.phase == "serving":
-                    # The same order again without a response: the sender can't know whether it arrived.
+                if not is_accepted and instance.phase == "serving":
+                    # Without a response the order is sent again: the sender can't know whether it arrived.
                     order = messages.OrderRequest("o1", "restart", [("n1", 1)], 30 * SECOND)
                     response = await asyncio.wait_for(request_once(address, key, order), 1)
-                    accepted = response.tasks[0].state != "refused"
-                    self.assertTrue(accepted, response)
-                elif accepted and instance.order is None and instance.phase == "serving":
+                    is_accepted = response.tasks[0].state != "refused"
+                    self.assertTrue(is_accepted, response)
+                elif is_accepted and instance.order is None and instance.phase == "serving":
                     return
             await asyncio.sleep(0.02)
-        self.fail(f"step {step}: no end")
+        self.fail(f"step {step}: the restart did not end in time")
 
     async def start_crashing_agent(self, settings: str, step: list[str]) -> asyncio.subprocess.Process:
         command = (sys.executable, "-m", "oakkeel.fakes.crashing", settings, "wb1", *step)
@@ -188,5 +188,5 @@
         orders = await request_once(host.agent, key, messages.ListOrdersRequest())
         self.assertEqual([task.state for task in orders.orders[0].tasks], ["done"], f"step {step}")
         with open(os.path.join(host.state, "n1.journal")) as file:
-            words = [line.split()[:2] for line in file if line.startswith(("start ", "end "))]
-        self.assertEqual([word for word, _ in words], ["start", "end", "start"], f"step {step}: {words}")
+            events = [line.split()[:2] for line in file if line.startswith(("start ", "end "))]
+        self.assertEqual([event for event, _ in events], ["start", "end", "start"], f"step {step}: {events}")
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -13,18 +13,18 @@
 
 class OrderRegistryTest(HostTestCase):
     def test_orders_respect_the_limit_and_continue_as_capacity_returns(self):
-        host = self.serving(max_unavailable=2)
+        host = self.serving_host(max_unavailable=2)
         order = host.submit(Verb.RESTART, *host.instances)
-        worst = 0
+        most_unavailable = 0
         while order.is_open:
             host.run(0.1)
-            worst = max(worst, host.supervisor.unavailable["woodbrook"])
-        self.assertEqual(worst, 2)
+            most_unavailable = max(most_unavailable, host.supervisor.unavailable["woodbrook"])
+        self.assertEqual(most_unavailable, 2)
         self.assertEqual({task.state for task in order.tasks}, {HostTaskState.DONE})
-        self.assertEqual([act for act, _ in host.steps].count(Action.START), 4)
+        self.assertEqual([action for action, _ in host.steps].count(Action.START), 4)
 
     def test_crashed_instance_counts_as_unavailable(self):
-        host = self.serving(max_unavailable=1, min_backoff_ns=20 * SECOND)
+        host = self.serving_host(max_unavailable=1, min_backoff_ns=20 * SECOND)
         host.crash(host.instances[0])
         order = host.submit(Verb.DRAIN, host.instances[1])
         host.run(5)
@@ -36,13 +36,13 @@
         self.assertEqual((drain.tasks[0].state, host.instances[0].phase), (HostTaskState.DONE, Phase.STOPPED))
 
     def test_first_of_two_orders_for_one_generation_wins(self):
-        host = self.serving()
+        host = self.serving_host()
         instance = host.instances[0]
-        seen = instance.generation
-        first = host.submit(Verb.DRAIN, instance, generation=seen)
+        seen_generation = instance.generation
+        first = host.submit(Verb.DRAIN, instance, generation=seen_generation)
         host.now += MS // 2
         second = host.submit(
-            Verb.START, instance, order_id="o2", operator="ravi", generation=seen, supersede=True
+            Verb.START, instance, order_id="o2", operator="ravi", generation=seen_generation, supersede=True
         )
         self.assertEqual(
             (first.tasks[0].state, second.tasks[0].state), (HostTaskState.WAITING, HostTaskState.REFUSED)
@@ -52,7 +52,7 @@
         self.assertEqual((instance.phase, instance.goal), (Phase.STOPPED, Goal.DOWN))
 
     def test_supersedes_the_open_order_when_asked(self):
-        host = self.serving()
+        host = self.serving_host()
         instance = host.instances[0]
         first = host.submit(Verb.RESTART, instance)
         host.ignoring_drain.add(instance)
@@ -68,31 +68,31 @@
         self.assertEqual((instance.phase, second.tasks[0].state), (Phase.STOPPED, HostTaskState.DONE))
 
     def test_deduplicates_orders_by_id_and_rejects_a_reused_id(self):
-        host = self.serving(max_unavailable=4)
+        host = self.serving_host(max_unavailable=4)
         instance = host.instances[0]
         first = host.submit(Verb.RESTART, instance, generation=1)
         self.assertIs(host.submit(Verb.RESTART, instance, generation=1), first)
         host.run(3)
         self.assertIs(host.submit(Verb.RESTART, instance, generation=1), first)
         host.run(3)
-        self.assertEqual([act for act, _ in host.steps], [Action.TERM, Action.START])
+        self.assertEqual([action for action, _ in host.steps], [Action.TERM, Action.START])
         with self.assertRaises(OrderRejectedError):
             host.submit(Verb.STOP, instance, generation=1)
         with self.assertRaises(OrderRejectedError):
             host.submit(Verb.RESTART, instance, generation=1, operator="ravi")
 
     def test_rejects_an_order_for_a_replaced_process(self):
-        host = self.serving()
+        host = self.serving_host()
         instance = host.instances[0]
-        seen = instance.generation
+        seen_generation = instance.generation
         host.crash(instance)
         host.run(5)
-        order = host.submit(Verb.DRAIN, instance, generation=seen)
+        order = host.submit(Verb.DRAIN, instance, generation=seen_generation)
         self.assertIn("changed by the agent", order.tasks[0].why)
         self.assertEqual(instance.phase, Phase.SERVING)
 
     def test_stop_of_a_crashed_instance_starts_nothing(self):
-        host = self.serving()
+        host = self.serving_host()
         instance = host.instances[0]
         host.crash(instance)
         order = host.submit(Verb.STOP, instance)
@@ -102,7 +102,7 @@
         )
 
     def test_restart_during_a_drain_starts_it_again(self):
-        host = self.serving()
+        host = self.serving_host()
         instance = host.instances[0]
         host.ignoring_drain.add(instance)
         host.submit(Verb.DRAIN, instance)
@@ -113,21 +113,22 @@
         host.crash(instance)
         host.run(1)
         self.assertEqual(
-            (instance.phase, [act for act, _ in host.steps]), (Phase.SERVING, [Action.TERM, Action.START])
+            (instance.phase, [action for action, _ in host.steps]),
+            (Phase.SERVING, [Action.TERM, Action.START]),
         )
 
     def test_stop_kills_and_drain_does_not(self):
-        host = self.serving(max_unavailable=2, drain_timeout_ns=5 * SECOND)
+        host = self.serving_host(max_unavailable=2, drain_timeout_ns=5 * SECOND)
         drained, stopped = host.instances[:2]
         host.ignoring_drain |= {drained, stopped}
-        slow = host.submit(Verb.DRAIN, drained, lifetime_ns=30 * SECOND)
+        drain = host.submit(Verb.DRAIN, drained, lifetime_ns=30 * SECOND)
         host.submit(Verb.STOP, stopped, order_id="o2")
         host.run(40)
         self.assertEqual(host.steps, [(Action.TERM, drained), (Action.TERM, stopped), (Action.KILL, stopped)])
-        self.assertEqual((slow.tasks[0].state, drained.phase), (HostTaskState.FAILED, Phase.DRAINING))
+        self.assertEqual((drain.tasks[0].state, drained.phase), (HostTaskState.FAILED, Phase.DRAINING))
 
     def test_cancels_waiting_tasks_and_reports_started_ones(self):
-        host = self.serving(max_unavailable=1)
+        host = self.serving_host(max_unavailable=1)
         host.ignoring_drain.update(host.instances)
         order = host.submit(Verb.STOP, *host.instances[:2])
         host.run(0.5)
@@ -140,14 +141,14 @@
             host.orders.cancel(host.now, "o9", "ravi")
 
     def test_expires_a_task_without_capacity_in_time(self):
-        host = self.serving(max_unavailable=0)
+        host = self.serving_host(max_unavailable=0)
         order = host.submit(Verb.STOP, host.instances[0], lifetime_ns=3 * SECOND)
         host.run(4)
         self.assertEqual((order.tasks[0].state, host.steps), (HostTaskState.EXPIRED, []))
         self.assertIsNone(host.instances[0].task)
 
     def test_fails_a_restart_in_a_crash_loop_with_the_reason(self):
-        host = self.serving(max_restarts=3, max_unavailable=4)
+        host = self.serving_host(max_restarts=3, max_unavailable=4)
         order = host.submit(Verb.RESTART, host.instances[0], lifetime_ns=600 * SECOND)
         for _ in range(600):
             if host.instances[0].phase is Phase.STARTING:
@@ -158,27 +159,31 @@
         self.assertIn("SIGSEGV", order.tasks[0].why)
 
     def test_undo_leaves_no_trace_of_an_order(self):
-        host = self.serving(max_unavailable=4)
+        host = self.serving_host(max_unavailable=4)
         instance = host.instances[0]
-        standing = host.submit(Verb.STOP, instance, operator="ravi")
+        open_order = host.submit(Verb.STOP, instance, operator="ravi")
         before = instance.generation, instance.changed_by
         host.orders.undo(host.submit(Verb.START, instance, order_id="o2", supersede=True))
         self.assertEqual((instance.generation, instance.changed_by), before)
-        self.assertIs(instance.task, standing.tasks[0])
+        self.assertIs(instance.task, open_order.tasks[0])
         host.run(1)
-        self.assertEqual((standing.tasks[0].state, instance.phase), (HostTaskState.DONE, Phase.STOPPED))
+        self.assertEqual((open_order.tasks[0].state, instance.phase), (HostTaskState.DONE, Phase.STOPPED))
 
     def test_rejects_malformed_orders(self):
-        host = self.serving()
-        one = host.instances[0]
-        for asked in ((), ((one.name, 1), (one.name, 1)), tuple((f"x{n}", 1) for n in range(9))):
+        host = self.serving_host()
+        instance = host.instances[0]
+        for requested in (
+            (),
+            ((instance.name, 1), (instance.name, 1)),
+            tuple((f"x{n}", 1) for n in range(9)),
+        ):
             with self.assertRaises(OrderRejectedError):
-                host.orders.submit(host.now, OrderSubmission("o1", "asha", Verb.STOP, asked, SECOND))
+                host.orders.submit(host.now, OrderSubmission("o1", "asha", Verb.STOP, requested, SECOND))
         unknown = OrderSubmission("o1", "asha", Verb.STOP, (("x", 1),), SECOND)
         self.assertEqual(host.orders.submit(host.now, unknown).tasks, [])
 
     def test_deletes_the_oldest_ended_orders_beyond_the_limit(self):
-        host = self.serving(max_unavailable=4)
+        host = self.serving_host(max_unavailable=4)
         host.orders.max_orders = 5
         for number in range(9):
             host.submit(Verb.START, host.instances[0], order_id=f"o{number}")
@@ -188,11 +193,11 @@
 
 
 class AnyOrders(RuleBasedStateMachine):
-    """Any orders and crashes: orders never exceed the disruption budget."""
+    """Random orders and crashes: orders never exceed the disruption budget."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.host = SimulatedHost(names=5, max_unavailable=2, max_starting=5)
+        self.host = SimulatedHost(instance_count=5, max_unavailable=2, max_starting=5)
         self.host.run(2)
         self.number = 0
 
--- a/tests/agent/test_raft_runtime.py
+++ b/tests/agent/test_raft_runtime.py
@@ -1,4 +1,4 @@
-"""Proposals to the replica of one agent."""
+"""Tests of proposals to the replica of one agent."""
 
 import asyncio
 import os
@@ -47,7 +47,7 @@
                 self.assertTrue(await ends_cancelled(task, self.commit, turns))
                 self.assertEqual(self.runtime.futures, {})
 
-    async def test_a_proposal_that_is_not_committed_in_time_is_unknown(self):
+    async def test_a_proposal_that_is_not_committed_in_time_has_an_unknown_outcome(self):
         with mock.patch.object(raft_runtime, "COMMIT_TIMEOUT_NS", 10 * MS):
             task = asyncio.ensure_future(self.propose())
             await let_run(1)
@@ -57,20 +57,20 @@
         self.assertTrue(future.cancelled())
         self.assertEqual(self.runtime.futures, {})
 
-    async def test_a_proposal_that_is_committed_as_its_time_ends_has_its_result(self):
+    async def test_a_proposal_that_is_committed_as_its_timeout_expires_returns_its_result(self):
         with mock.patch.object(raft_runtime, "COMMIT_TIMEOUT_NS", SECOND // 2):
-            limits = []
+            timers = []
 
             def call_at(when, callback, *args, **options):
-                limits.append((callback, args))
+                timers.append((callback, args))
                 return mock.Mock(_source_traceback=None)
 
             with mock.patch.object(asyncio.get_running_loop(), "call_at", call_at):
                 task = asyncio.ensure_future(self.propose())
                 await let_run()
-            ((time_ends, args),) = limits
+            ((on_timeout, args),) = timers
             self.commit()
-            time_ends(*args)
+            on_timeout(*args)
             self.assertEqual(await task, "committed")
 
 
--- a/tests/agent/test_replica_file.py
+++ b/tests/agent/test_replica_file.py
@@ -1,4 +1,4 @@
-"""The file of a replica is quarantined when it can't be decoded."""
+"""Tests that a replica's file is quarantined if it can't be decoded."""
 
 import glob
 import os
@@ -10,15 +10,15 @@
 
 
 class ReplicaFileTest(unittest.TestCase):
-    def test_a_snapshot_that_cannot_be_decoded_is_quarantined_and_an_empty_file_begun(self):
+    def test_a_snapshot_that_cannot_be_decoded_is_quarantined_and_replaced_by_an_empty_file(self):
         path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "record.db")
         log = EventLog("h1", 1000, "json")
         file = ReplicaFile(path, "h1", log)
-        before = file.load().incarnation
+        first_incarnation = file.load().incarnation
         file.store.write([("INSERT OR REPLACE INTO snapshot VALUES (1, 1, 1, x'ff', x'')", ())])
-        after = file.load()
-        self.assertNotEqual(after.incarnation, before)
-        self.assertEqual(after.snapshot.index, 0)
+        reloaded = file.load()
+        self.assertNotEqual(reloaded.incarnation, first_incarnation)
+        self.assertEqual(reloaded.snapshot.index, 0)
         self.assertEqual(len(glob.glob(path + ".*T*-*[0-9]")), 1)
         file.close()
 
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -23,17 +23,17 @@
 
 
 class AgentServerTest(AgentTestCase):
-    async def raw(self, *frames: bytes) -> list[bytes]:
-        """The challenge, and what is received on one connection for each of these frames."""
+    async def exchange_frames(self, *frames: bytes) -> list[bytes]:
+        """Send frames on one connection; return the challenge and the response to each frame."""
         reader, writer = await asyncio.open_connection(*self.host.agent)
-        answers = [await self.frame(reader)]
+        responses = [await self.read_frame(reader)]
         for each in frames:
             writer.write(each)
-            answers.append(await self.frame(reader))
+            responses.append(await self.read_frame(reader))
         writer.close()
-        return answers
+        return responses
 
-    async def frame(self, reader: asyncio.StreamReader) -> bytes:
+    async def read_frame(self, reader: asyncio.StreamReader) -> bytes:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionResetError):
             length = int.from_bytes(await asyncio.wait_for(reader.readexactly(4), WAIT), "big")
             return await asyncio.wait_for(reader.readexactly(length), WAIT)
@@ -47,7 +47,7 @@
             "oakkeel.authentication.client.frame",
             lambda content: recorded.append(frame(content)) or recorded[-1],
         ):
-            await self.request(messages.OrderRequest("o1", "start", [("n1", 1)], SECOND))
+            await self.send_request(messages.OrderRequest("o1", "start", [("n1", 1)], SECOND))
         generation = self.instance(agent, "n1").generation
         for malformed in (
             recorded[0],
@@ -55,53 +55,55 @@
             frame(b"what"),
             (1 << 30).to_bytes(4, "big"),
         ):
-            hello, answer = await self.raw(malformed)
+            hello, response = await self.exchange_frames(malformed)
             self.assertTrue(hello.startswith(HELLO))
-            self.assertEqual(answer, REFUSED)
-        wrong = Key("asha-1", "asha", Role.ACT, os.urandom(32))
+            self.assertEqual(response, REFUSED)
+        wrong_key = Key("asha-1", "asha", Role.ACT, os.urandom(32))
         with self.assertRaisesRegex(AgentRejectedError, "the cause is in the agent's log"):
-            await request_once(self.host.agent, wrong, messages.HostStatusRequest())
+            await request_once(self.host.agent, wrong_key, messages.HostStatusRequest())
         self.assertEqual(self.instance(agent, "n1").generation, generation)
-        refusals = [line for line in self.log_output.getvalue().splitlines() if "message_rejected" in line]
-        self.assertLessEqual(len(refusals), 2)  # at most one line a second
+        rejections = [line for line in self.log_output.getvalue().splitlines() if "message_rejected" in line]
+        self.assertLessEqual(len(rejections), 2)  # at most one line a second
 
     async def test_viewer_may_not_send_orders(self):
         agent = await self.agent()
         await self.serving(agent)
-        self.assertIsInstance(await self.request(messages.HostStatusRequest(), "lena"), messages.HostStatus)
-        answer = await self.request(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND), "lena")
-        self.assertEqual(answer.why, "lena may only view")
+        self.assertIsInstance(
+            await self.send_request(messages.HostStatusRequest(), "lena"), messages.HostStatus
+        )
+        response = await self.send_request(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND), "lena")
+        self.assertEqual(response.why, "lena may only view")
         self.assertEqual(self.instance(agent, "n1").generation, 1)
 
     async def test_partial_messages_and_too_many_connections_affect_no_others(self):
         agent = await self.agent()
         await self.serving(agent)
-        half = [await asyncio.open_connection(*self.host.agent) for _ in range(80)]
-        for _, writer in half:
+        partial = [await asyncio.open_connection(*self.host.agent) for _ in range(80)]
+        for _, writer in partial:
             writer.write(b"\x00\x00")
         for _ in range(10):
-            self.assertIsInstance(await self.request(messages.HostStatusRequest()), messages.HostStatus)
+            self.assertIsInstance(await self.send_request(messages.HostStatusRequest()), messages.HostStatus)
         self.assertLessEqual(len(agent.server.connections), agent.server.limits.connections)
-        for _, writer in half:
+        for _, writer in partial:
             writer.close()
 
     async def test_rotates_keys_while_serving(self):
         agent = await self.agent()
-        old = read_operator_key(self.fleet, "asha")
+        old_key = read_operator_key(self.fleet, "asha")
         write_key(os.path.join(self.folder, "asha-2.key"), os.urandom(32))
-        two = (
+        both_keys = (
             '<operator name="asha" role="act"><key id="asha-1" file="asha.key"/>'
             '<key id="asha-2" file="asha-2.key"/></operator>'
         )
-        for text, good in (
-            (two, (True, True)),
-            (two.replace('<key id="asha-1" file="asha.key"/>', ""), (False, True)),
+        for operator, expected in (
+            (both_keys, (True, True)),
+            (both_keys.replace('<key id="asha-1" file="asha.key"/>', ""), (False, True)),
         ):
-            self.site.write_settings(asha=text)
+            self.site.write_settings(asha=operator)
             agent.keys = read_keys(read_fleet(self.site.settings))
-            new = agent.keys["asha-2"]
-            for key, taken in zip((old, new), good, strict=True):
-                if taken:
+            new_key = agent.keys["asha-2"]
+            for key, is_accepted in zip((old_key, new_key), expected, strict=True):
+                if is_accepted:
                     self.assertIsInstance(
                         await request_once(self.host.agent, key, messages.HostStatusRequest()),
                         messages.HostStatus,
@@ -147,12 +149,12 @@
             EventLog("server", 10),
         )
         server.open()
-        response = await self.request(messages.HostStatusRequest())
+        response = await self.send_request(messages.HostStatusRequest())
         self.assertEqual(len(response.instances), 1000)
         server.close()
 
     async def test_reports_an_agent_past_the_deadline_as_unknown(self):
-        async def late(reader, writer):
+        async def respond_late(reader, writer):
             tasks.append(asyncio.current_task())
             writer.write(frame(HELLO + b"c" * 16))
             await reader.read(10)
@@ -162,10 +164,10 @@
 
         tasks: list[asyncio.Task] = []
 
-        server = await asyncio.start_server(late, *self.host.agent)
-        began = time.monotonic()
-        await self.agents.refresh(self.view, deadline=300 * MS)
-        self.assertLess(time.monotonic() - began, 0.5)
+        server = await asyncio.start_server(respond_late, *self.host.agent)
+        started_at = time.monotonic()
+        await self.agent_clients.refresh(self.view, deadline=300 * MS)
+        self.assertLess(time.monotonic() - started_at, 0.5)
         self.assertEqual(self.view.rows(0)[0].shown, "unknown")
         self.assertIn("did not answer", self.view.notes()[0])
         await asyncio.wait(tasks, timeout=WAIT)
@@ -173,7 +175,7 @@
 
 
 class FakeStream:
-    """A stream that writes when the test says so."""
+    """A stream whose writes complete when the test sets their result."""
 
     def __init__(self, written: asyncio.Future | None = None) -> None:
         self.written = written or asyncio.get_running_loop().create_future()
@@ -187,7 +189,7 @@
 
 
 class ConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """One connection of a server, with requests that the test delivers and nobody authenticates."""
+    """One connection of a server; the test delivers its requests, which are not authenticated."""
 
     async def asyncSetUp(self) -> None:
         self.requests: asyncio.Queue[bytes] = asyncio.Queue()
@@ -219,16 +221,16 @@
         self.assertEqual(self.handled, 1)
         self.assertTrue(await ends_cancelled(task, lambda: stream.written.set_result(None)))
 
-    async def test_a_client_that_always_sends_does_not_keep_the_event_loop(self):
+    async def test_a_client_that_always_sends_does_not_block_the_event_loop(self):
         written = asyncio.get_running_loop().create_future()
         written.set_result(None)
         for _ in range(100):
             self.requests.put_nowait(b"request")
         task = asyncio.ensure_future(self.server._serve(FakeStream(written)))
-        seen = [0]
+        handled_counts = [0]
         while self.handled < 100:
             await asyncio.sleep(0)
-            seen.append(self.handled)
+            handled_counts.append(self.handled)
         task.cancel()
         await asyncio.wait([task])
-        self.assertEqual(max(after - before for before, after in itertools.pairwise(seen)), 1)
+        self.assertEqual(max(after - before for before, after in itertools.pairwise(handled_counts)), 1)
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -1,4 +1,4 @@
-"""Tests of what the agent stores of orders and restores."""
+"""Tests of storing and restoring the orders of an agent."""
 
 import os
 import tempfile
@@ -14,7 +14,7 @@
 from oakkeel.units import SECOND
 
 
-def registry() -> OrderRegistry:
+def make_registry() -> OrderRegistry:
     """An order registry with one serving instance of generation 3."""
     instance = Instance(
         "n1", "woodbrook", phase=Phase.SERVING, generation=3, process_generation=3, spawned=True
@@ -28,14 +28,14 @@
         folder = self.enterContext(tempfile.TemporaryDirectory())
         store = Database(os.path.join(folder, "agent.db"), SCHEMA, VERSION)
         self.addCleanup(store.close)
-        before, after = registry(), registry()
+        stored, restored = make_registry(), make_registry()
         submission = OrderSubmission("o1", "asha", Verb.RESTART, (("n1", 3),), 60 * SECOND)
-        order = before.submit(SECOND, submission)
-        before.advance(SECOND)
+        order = stored.submit(SECOND, submission)
+        stored.advance(SECOND)
         store.write(order_statements([], [order], []))
 
-        restore_orders(store, after)
+        restore_orders(store, restored)
 
-        [task] = after.open_tasks
+        [task] = restored.open_tasks
         self.assertEqual((task.state, task.replaces_generation), (HostTaskState.ACTING, 3))
         self.assertIs(task.drain_sent, True)
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -10,23 +10,23 @@
 
 class SupervisorTest(HostTestCase):
     def test_limits_processes_that_start_at_one_time(self):
-        host = SimulatedHost(names=7, max_starting=3)
+        host = SimulatedHost(instance_count=7, max_starting=3)
         self.assertEqual(len(host.tick()), 3)
         self.assertEqual(host.tick(), [])
         host.run(1)
         self.assertEqual(len(host.steps), 7)
 
     def test_silent_instance_serves_again_with_its_next_report(self):
-        host = self.serving()
-        host.silent.add(silent := host.instances[0])
+        host = self.serving_host()
+        host.silent.add(instance := host.instances[0])
         host.run(1.5)
-        self.assertEqual((silent.phase, host.steps), (Phase.SILENT, []))
+        self.assertEqual((instance.phase, host.steps), (Phase.SILENT, []))
         host.silent.clear()
         host.run(0.2)
-        self.assertEqual((silent.phase, host.steps), (Phase.SERVING, []))
+        self.assertEqual((instance.phase, host.steps), (Phase.SERVING, []))
 
     def test_drains_a_stuck_instance_before_killing_it(self):
-        host = self.serving(stuck_timeout_ns=20 * SECOND, drain_timeout_ns=5 * SECOND)
+        host = self.serving_host(stuck_timeout_ns=20 * SECOND, drain_timeout_ns=5 * SECOND)
         stuck = host.instances[0]
         host.silent.add(stuck)
         host.ignoring_drain.add(stuck)
@@ -39,38 +39,38 @@
         self.assertEqual(host.steps, [(Action.TERM, stuck), (Action.KILL, stuck), (Action.START, stuck)])
 
     def test_leaves_a_stuck_instance_where_restart_stuck_is_off(self):
-        host = self.serving(stuck_timeout_ns=5 * SECOND, restart_stuck=False)
+        host = self.serving_host(stuck_timeout_ns=5 * SECOND, restart_stuck=False)
         host.silent.add(host.instances[0])
         host.run(60)
         self.assertEqual((host.instances[0].phase, host.steps), (Phase.STUCK, []))
 
     def test_backs_off_in_a_crash_loop_until_the_budget_is_spent(self):
-        host = self.serving(max_restarts=4, restart_window_ns=300 * SECOND, min_backoff_ns=SECOND)
-        looping, starts = host.instances[0], []
+        host = self.serving_host(max_restarts=4, restart_window_ns=300 * SECOND, min_backoff_ns=SECOND)
+        crashing, starts = host.instances[0], []
         for _ in range(2000):
-            if looping.phase is Phase.STARTING:
+            if crashing.phase is Phase.STARTING:
                 starts.append(host.now)
-            if looping.alive:
-                host.crash(looping)
+            if crashing.alive:
+                host.crash(crashing)
             host.now += 100 * MS
             host.tick()
-        waits = [after - before for before, after in pairwise(starts)]
-        for crashes, wait in enumerate(waits[:4]):  # jitter leaves at least half of the backoff
-            self.assertGreaterEqual(wait, SECOND << crashes >> 1)
+        intervals = [after - before for before, after in pairwise(starts)]
+        for crashes, interval in enumerate(intervals[:4]):  # jitter leaves at least half of the backoff
+            self.assertGreaterEqual(interval, SECOND << crashes >> 1)
         self.assertLessEqual(len(starts), 4)
-        self.assertTrue(looping.restarts_exhausted)
-        host.submit(Verb.START, looping)
+        self.assertTrue(crashing.restarts_exhausted)
+        host.submit(Verb.START, crashing)
         host.tick()
-        self.assertEqual(looping.phase, Phase.STARTING)  # an operator's start resets the budget
+        self.assertEqual(crashing.phase, Phase.STARTING)  # an operator's start resets the budget
 
     def test_backoff_differs_between_instances_that_crash_together(self):
-        host = self.serving(names=8, max_starting=8)
+        host = self.serving_host(instance_count=8, max_starting=8)
         for each in host.instances:
             host.crash(each)
         self.assertGreater(len({each.start_not_before for each in host.instances}), 6)
 
     def test_steady_service_resets_the_crash_count(self):
-        host = self.serving(steady_after_ns=10 * SECOND)
+        host = self.serving_host(steady_after_ns=10 * SECOND)
         host.crash(host.instances[0])
         host.run(5)
         self.assertEqual(host.instances[0].consecutive_crashes, 1)
@@ -78,7 +78,7 @@
         self.assertEqual(host.instances[0].consecutive_crashes, 0)
 
     def test_ignores_a_report_of_another_generation(self):
-        host = self.serving()
+        host = self.serving_host()
         instance = host.instances[0]
         last_report_at = instance.last_report_at
         host.now += SECOND // 2
@@ -90,7 +90,7 @@
         self.assertEqual(instance.why, f"received a report of generation {expected - 1}, expected {expected}")
 
     def test_ignores_a_report_after_the_process_exited(self):
-        host = self.serving()
+        host = self.serving_host()
         host.crash(host.instances[0])
         host.supervisor.report_received(
             host.now, host.instances[0], "serving", host.instances[0].process_generation, REPORT
@@ -101,17 +101,17 @@
         host = SimulatedHost()
         host.tick()
         started = host.instances[0]
-        started.spawned = False  # the agent ended before that was stored
+        started.spawned = False  # the agent ended before the start was stored
         host.supervisor.process_not_found(host.now, started, recorded_generation=started.process_generation)
         self.assertEqual((started.phase, len(started.crash_times)), (Phase.FAILING, 1))
 
     def test_adopts_a_found_process_and_reuses_the_generation_of_one_never_started(self):
         host = SimulatedHost()
-        found, never = host.instances[:2]
-        host.supervisor.process_adopted(host.now, found, 5)
-        self.assertEqual((found.phase, found.generation), (Phase.STARTING, 5))
+        adopted, never_started = host.instances[:2]
+        host.supervisor.process_adopted(host.now, adopted, 5)
+        self.assertEqual((adopted.phase, adopted.generation), (Phase.STARTING, 5))
         steps = [step.instance for step in host.supervisor.tick(host.now)]
-        self.assertNotIn(found, steps)
-        host.supervisor.process_not_found(host.now, never, recorded_generation=0)
+        self.assertNotIn(adopted, steps)
+        host.supervisor.process_not_found(host.now, never_started, recorded_generation=0)
         host.supervisor.tick(host.now)
-        self.assertEqual((never.phase, never.process_generation), (Phase.STARTING, 1))
+        self.assertEqual((never_started.phase, never_started.process_generation), (Phase.STARTING, 1))
--- a/tests/agent/test_target_status.py
+++ b/tests/agent/test_target_status.py
@@ -1,4 +1,4 @@
-"""What a heartbeat reports of one target."""
+"""Tests of the requests in flight that a heartbeat reports of one target."""
 
 import unittest
 
@@ -21,11 +21,11 @@
             "4: 1 held, 2 running, 1 at calls on 7 connections; 1 card, 3 quote",
         )
 
-    def test_is_empty_for_a_node_that_does_not_drain_or_has_no_report(self):
+    def test_summary_is_empty_for_a_node_that_does_not_drain_or_has_no_report(self):
         self.assertEqual(in_flight_summary(draining_instance(Phase.SERVING)), "")
         self.assertEqual(in_flight_summary(Instance("n1", "site", phase=Phase.DRAINING)), "")
 
-    def test_is_empty_once_no_request_is_open(self):
+    def test_summary_is_empty_once_no_request_is_open(self):
         instance = draining_instance()
         instance.report.open_requests = 0
         self.assertEqual(in_flight_summary(instance), "")
