--- a/oakkeel/agent/__init__.py
+++ b/oakkeel/agent/__init__.py
@@ -1,1 +1,1 @@
-"""One a host: starts, watches and orders the instances there. What decides stands apart from what acts."""
+"""The agent of a host: starts and supervises its instances and executes orders. Decisions are free of I/O."""
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -77,7 +77,7 @@
         Returns the versions of that content by target. Raises OSError.
         """
         os.makedirs(os.path.join(self.contents.folder, "content"), mode=FOLDER_MODE, exist_ok=True)
-        self._import(request.spec)
+        self._import_version(request.spec)
         bases = {}
         program = ""
         for target in request.targets:
@@ -91,7 +91,7 @@
             bases[target] = self.contents.add_version(Content(program, "", config))
         return bases
 
-    def _import(self, spec: VersionSpec) -> None:
+    def _import_version(self, spec: VersionSpec) -> None:
         """Copy the content of a version. Raises ContentError."""
         if self.contents.find(spec.version):
             return
@@ -123,7 +123,7 @@
             return program, {}
         content = self.contents.find(version)
         if content is None and (spec := self.assignments.sources.get(version)):
-            self._import(spec)  # the copy is lost: copy the source again
+            self._import_version(spec)  # the copy is lost: copy the source again
             content = self.contents.find(version)
         if content is None:
             raise ContentError(f"this host has no copy of version {version}")
--- a/oakkeel/agent/control_plane_handlers.py
+++ b/oakkeel/agent/control_plane_handlers.py
@@ -40,7 +40,7 @@
         self.agent = agent
 
     async def handle(self, key: Key, request: messages.Request) -> messages.Response:
-        """Propose the command of a request, or respond with the status that it asks for."""
+        """Propose the command of a request, or respond with the requested status."""
         raft = self.agent.raft
         if raft is None or raft.control_plane is None:
             return self._no_replica_response(raft)
--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -31,7 +31,7 @@
 def raft_status(
     now: int, host: str, raft: RaftRuntime | None, status_reporter: StatusReporter | None
 ) -> messages.RaftStatus:
-    """The state of the replica on this host, or that it has none."""
+    """The state of the replica on this host, or a status without a replica."""
     contact_age = UNKNOWN
     if status_reporter and status_reporter.last_response_at:
         contact_age = now - status_reporter.last_response_at
--- a/oakkeel/agent/control_requests.py
+++ b/oakkeel/agent/control_requests.py
@@ -62,7 +62,7 @@
         if self.alive.get(instance) is not process:
             return
         is_accepted = await self._request(instance, process, action, fields)
-        if not is_accepted and action is Action.DRAIN and not instance.drain_cancelled:
+        if not is_accepted and action is Action.DRAIN and not instance.is_drain_cancelled:
             self.log.info("drain_requested", by="signal", **fields)
             self.processes.signal(process, signal.SIGTERM)
 
--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -18,30 +18,30 @@
     def __init__(self, permit_holder: PermitHolder, names: tuple[str, ...]) -> None:
         """Each service counts as down until a probe has reached it."""
         self.permit_holder = permit_holder
-        self.up = dict.fromkeys(names, False)
+        self.is_up = dict.fromkeys(names, False)
         self.failed_probes = dict.fromkeys(names, 0)
         self.seen_down: dict[str, int] = {}  # by service: fencing token of the permit under which it was down
 
-    def observe(self, name: str, up: bool) -> None:
+    def observe(self, name: str, is_up: bool) -> None:
         """Record the result of a probe; a service is down after `MIN_FAILED_PROBES` failures in a row."""
-        self.failed_probes[name] = 0 if up else self.failed_probes[name] + 1
-        if up or self.failed_probes[name] >= MIN_FAILED_PROBES:
-            self.up[name] = up
+        self.failed_probes[name] = 0 if is_up else self.failed_probes[name] + 1
+        if is_up or self.failed_probes[name] >= MIN_FAILED_PROBES:
+            self.is_up[name] = is_up
 
     def advance(self, now: int) -> None:
         """Start permits that may be started, and note which services are restored."""
-        for name, up in self.up.items():
+        for name, is_up in self.is_up.items():
             permit = self.permit_holder.permits.get(name)
             if permit is None:
                 continue
             order = self.permit_holder.orders.get(permit.order_id)
-            if not permit.started and self.permit_holder.may_start(now, name, permit.order_id, up):
+            if not permit.started and self.permit_holder.may_start(now, name, permit.order_id, is_up):
                 self.permit_holder.start(now, name)
-            if permit.started and not up:
+            if permit.started and not is_up:
                 self.seen_down[name] = permit.fencing_token
             was_down = self.seen_down.get(name) == permit.fencing_token
             is_cancelled = order is None or bool(order.cancelled_by)
-            if permit.started and up and (was_down or is_cancelled):
+            if permit.started and is_up and (was_down or is_cancelled):
                 self.permit_holder.mark_restored(name)
             else:
                 self.permit_holder.mark_unavailable(name)
@@ -53,8 +53,8 @@
             for order in self.permit_holder.orders.values()
             for task in order.tasks
             if task.state == "out"
-            and task.target in self.up
-            and not self.up[task.target]
+            and task.target in self.is_up
+            and not self.is_up[task.target]
             and (permit := self.permit_holder.permits.get(task.target))
             and permit.order_id == order.id
         ]
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, eq=False)
 class Instance:
-    """The state of one instance. `Supervisor` and `OrderRegistry` share it."""
+    """The state of one instance, shared by `Supervisor` and `OrderRegistry`."""
 
     name: str
     site: str
@@ -78,20 +78,20 @@
     last_report_at: int = 0
     report: NodeStatus | None = None  # the last report of its process
     drain_sent_at: int = 0  # when the drain was last sent to its process; 0: not yet
-    kill_after_drain: bool = False  # whether it is killed when the drain timeout expires
+    kill_after_drain: bool = False  # whether its process is killed when the drain timeout expires
     start_not_before: int = 0
-    consecutive_crashes: int = 0  # reset once it has served for `steady_after_ns`
+    consecutive_crashes: int = 0  # reset once the instance has served for `steady_after_ns`
     # Times of crashes, and of restarts of the stuck instance, within the restart window.
     crash_times: deque[int] = field(default_factory=deque)
     restarts_exhausted: bool = False  # whether its restart budget is spent (stored as `resting`)
     why: str = ""  # the last error, for display
     crashes_since_agent_start: int = 0
     running_version: str = ""  # version of its process, by the start or the last report
-    drain_cancellable: bool = False  # whether its drain is sent by the control link, which can cancel it
-    drain_cancelled: bool = False  # whether a cancellation of its drain is not confirmed yet
-    generation_limit: int = MAX_GENERATION  # highest generation reserved for it by the control plane
-    task: Task | None = None  # task of the open order on it
-    dirty: bool = False  # whether it has changed since it was last stored
+    is_drain_cancellable: bool = False  # whether its drain is sent by the control link, which can cancel it
+    is_drain_cancelled: bool = False  # whether a cancellation of its drain is not confirmed yet
+    generation_limit: int = MAX_GENERATION  # highest generation that the control plane has reserved
+    task: Task | None = None  # task of the open order on the instance
+    dirty: bool = False  # whether the instance has changed since the last write
 
     @property
     def alive(self) -> bool:
@@ -103,8 +103,8 @@
     """The action that an order requests; the values are sent and stored."""
 
     START = "start"
-    STOP = "stop"  # drained, and killed when its drain timeout expires
-    DRAIN = "drain"  # drained, and never killed
+    STOP = "stop"  # drain, and kill when the drain timeout expires
+    DRAIN = "drain"  # drain without a kill
     RESTART = "restart"
 
 
@@ -158,7 +158,7 @@
 
     order: Order
     instance: Instance
-    generation: int  # of the instance, as the operator saw it
+    generation: int  # of the instance, as seen by the operator
     state: HostTaskState = HostTaskState.WAITING
     state_since: int = 0
     why: str = ""
--- a/oakkeel/agent/launcher.py
+++ b/oakkeel/agent/launcher.py
@@ -45,7 +45,7 @@
     def launch(self, instance: Instance) -> LaunchedProcess:
         """Start a process of the instance's generation. Raises OSError."""
         name = instance.name
-        variables = self._variables(name)
+        variables = self._environment_variables(name)
         self.write_node_settings(name)
         program = self.program
         if self.artifacts:
@@ -54,7 +54,7 @@
         process = self.processes.spawn(name, instance.process_generation, program, variables)
         return LaunchedProcess(process, variables.get(VERSION_VARIABLE))
 
-    def _variables(self, name: str) -> dict[str, str]:
+    def _environment_variables(self, name: str) -> dict[str, str]:
         """The environment variables of a node, without those of a release."""
         settings = self.settings[name]
         variables = {
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -27,7 +27,7 @@
     order_id: str = msgspec.field(name="ident")
     verb: str
     instances: list[tuple[str, int]]
-    lifetime: int = msgspec.field(name="lasts")  # nanoseconds from when it is accepted
+    lifetime: int = msgspec.field(name="lasts")  # nanoseconds from the acceptance of the order
     supersede: bool = False
 
 
@@ -131,7 +131,7 @@
 
 
 class InstanceStatus(msgspec.Struct):
-    """An instance as its agent knows it."""
+    """The state of an instance, as known to its agent."""
 
     name: str
     phase: str
@@ -146,7 +146,7 @@
     order: OpenOrder | None
     recent_crashes: int = msgspec.field(name="deaths")  # within the restart window
     restarts_exhausted: bool = msgspec.field(name="resting")
-    starts_in: int  # nanoseconds until it may be started; 0: now, or it is not to be started
+    starts_in: int  # nanoseconds until the instance may be started; 0: now, or no start is due
     why: str  # the last error
 
 
@@ -158,7 +158,7 @@
     uptime: int  # of the agent
     unix_time: int = msgspec.field(name="unix")  # of the host's wall clock
     max_unavailable: int = msgspec.field(name="away")  # the host's part of its site's disruption budget
-    unavailable: int = msgspec.field(name="out")  # instances that count against it
+    unavailable: int = msgspec.field(name="out")  # instances that count against `max_unavailable`
     notes: list[str]  # conditions that its operator should know
     instances: list[InstanceStatus]
 
@@ -221,12 +221,12 @@
     host: str
     state: str
     why: str
-    fencing_token: int = msgspec.field(name="place")  # of its permit; 0: none
-    in_flight: str = msgspec.field(default="", name="owes")  # requests to answer before its drain ends
+    fencing_token: int = msgspec.field(name="place")  # of the target's permit; 0: none
+    in_flight: str = msgspec.field(default="", name="owes")  # requests to answer before the drain ends
 
 
 class FleetOrderStatus(msgspec.Struct, tag="fleet"):
-    """An order of the fleet as it is committed."""
+    """A committed order of the fleet."""
 
     order_id: str = msgspec.field(name="ident")
     operator: str
@@ -244,7 +244,7 @@
     target: str = msgspec.field(name="thing")
     host: str
     reasons: list[str]
-    fencing_token: int = msgspec.field(default=0, name="fence")  # of its permit; 0: none
+    fencing_token: int = msgspec.field(default=0, name="fence")  # of the target's permit; 0: none
     order_id: str = msgspec.field(default="", name="order")
 
 
@@ -276,7 +276,7 @@
 
 
 class RaftStatus(msgspec.Struct, tag="record"):
-    """The state of an agent's replica, or that the host has none."""
+    """The state of an agent's replica, or a status without a replica."""
 
     host: str
     role: str  # "none": this host has no replica
@@ -299,14 +299,14 @@
     target: str = msgspec.field(name="thing")
     host: str
     state: str  # old, changing, new
-    running_version: str = msgspec.field(name="runs")  # the version that its process reported
+    running_version: str = msgspec.field(name="runs")  # the version that the process reported
     phase: str
     report_age: int = msgspec.field(name="age")  # of that report
     why: str = ""
 
 
 class ReleaseStatus(msgspec.Struct, tag="release"):
-    """A release as it is committed, and what its rollout controller waits for."""
+    """A committed release, with the condition that the rollout controller waits for."""
 
     release_id: str = msgspec.field(name="ident")
     operator: str
--- a/oakkeel/agent/order_rules.py
+++ b/oakkeel/agent/order_rules.py
@@ -1,4 +1,4 @@
-"""The rules for orders on instances: what is rejected, and how a task ends. Free of I/O and state."""
+"""The rules for orders on instances: rejections, and the outcomes of tasks. Free of I/O and state."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderSubmission:
-    """An order as an operator sends it."""
+    """An order as sent by an operator."""
 
     order_id: str
     operator: str
     verb: Verb
     requested: tuple[tuple[str, int], ...]  # instances and the generations that the operator saw
-    lifetime_ns: int  # from when it is accepted
+    lifetime_ns: int  # from the acceptance of the order
     supersede: bool = False  # replace the open orders of the instances
 
 
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -151,7 +151,7 @@
     # Progress.
 
     def advance(self, now: int) -> None:
-        """Start the tasks that may start and end those that are over; `Supervisor.tick` returns the steps."""
+        """Start and end the tasks that are due; `Supervisor.tick` then returns the steps."""
         for task in list(self.open_tasks):
             if task.state is HostTaskState.WAITING:
                 if now >= task.order.expires_at:
@@ -215,7 +215,7 @@
             self._transition(now, task, HostTaskState.CANCELLED, why)
             self.supervisor.revert_unsent_drain(now, instance, reported_state)
         else:
-            instance.drain_sent_at = 0  # decided again once its process reports whether it drains
+            instance.drain_sent_at = 0  # decided again once the process reports whether it drains
         return False
 
     def fail_all(self, now: int, why: str) -> None:
@@ -248,7 +248,7 @@
             task.instance.dirty = True
 
     def _delete_oldest(self) -> None:
-        """Delete the oldest ended orders. A duplicate of one is refused, as its generation was replaced."""
+        """Delete the oldest ended orders. Their duplicates are refused, as the generations were replaced."""
         for order_id, order in list(self.orders.items()):
             if len(self.orders) <= self.max_orders:
                 break
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -53,8 +53,8 @@
         return os.path.join(self.folder, f"{name}.{suffix}")
 
     def spawn(self, name: str, generation: int, argv: list[str], variables: dict[str, str]) -> Process:
-        """Start a process of the instance. Raises ProcessError, also if one is still running."""
-        lock = self._lock(name)
+        """Start a process of the instance. Raises ProcessError, also if a process is still running."""
+        lock = self._acquire_lock(name)
         if lock < 0:
             raise ProcessError("a process of the instance is still running")
         log = self.path(name, "log")
@@ -80,14 +80,14 @@
         except OSError as error:
             raise ProcessError(str(error)) from error
         finally:
-            os.close(lock)  # the child holds it
-        child.returncode = 0  # `_exited` waits for it, so that its destructor does not
+            os.close(lock)  # the child holds the lock
+        child.returncode = 0  # `_exited` waits for the child, so that the destructor of `Popen` does not
         pidfd = os.pidfd_open(child.pid)
         return self._watch(Process(name, child.pid, read_start_ticks(child.pid), generation, pidfd))
 
     def is_running(self, name: str) -> bool:
         """Whether any process of the instance is running."""
-        lock = self._lock(name)
+        lock = self._acquire_lock(name)
         if lock >= 0:
             os.close(lock)
         return lock < 0
@@ -102,7 +102,7 @@
             return 0, 0
 
     def adopt(self, name: str) -> Process | None:
-        """Watch the process that an earlier agent started; None if it can't be identified."""
+        """Watch the process that an earlier agent started; None if the process can't be identified."""
         pid, generation = self.read_pid_file(name)
         if not pid:
             return None
@@ -125,7 +125,7 @@
             return False
         return True
 
-    def _lock(self, name: str) -> int:
+    def _acquire_lock(self, name: str) -> int:
         """A descriptor that holds the lock; -1 if another process holds it."""
         lock = os.open(self.path(name, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE)
         try:
@@ -154,7 +154,7 @@
 
     def _exited(self, process: Process) -> None:
         self._unwatch(process)
-        why = "ended as the child of another process"  # its exit status is unknown
+        why = "ended as the child of another process"  # the exit status is unknown
         with contextlib.suppress(ChildProcessError):
             _, status = os.waitpid(process.pid, os.WNOHANG)
             code = os.waitstatus_to_exitcode(status)
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -89,7 +89,7 @@
         self._schedule()
 
     def _start_replica(self) -> None:
-        """Start the replica from what is on disk."""
+        """Start the replica from the state on disk."""
         try:
             stored = self.file.load()
         except DatabaseError as error:
@@ -186,7 +186,7 @@
                 self._start_replica()
             else:
                 self._execute(self.control_plane.tick(time.monotonic_ns()))
-        except Exception as error:  # the agent continues; what is on disk is consistent
+        except Exception as error:  # the agent continues; the state on disk is consistent
             self.log.error("raft_tick_failed", error=describe_error(error))
             self._stop_replica()
         self._schedule()
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -45,29 +45,28 @@
         generation_block: int = DEFAULT_GENERATION_BLOCK,
         services: tuple[str, ...] = (),
     ) -> None:
-        """Limit each instance to the generations that are reserved for it, in blocks of
-        `generation_block`."""
+        """Limit instances to their reserved generations, reserved in blocks of `generation_block`."""
         self.supervisor = supervisor
         self.orders = orders
         self.permit_holder = permit_holder
         self.generation_block = generation_block
         self.services = DownstreamServices(permit_holder, services)
         self.assignments = VersionAssignments(services)
-        self.state_lost = False  # whether the state file is new: nothing starts before a response arrives
+        self.is_state_lost = False  # whether the state file is new: nothing starts before a response arrives
         for instance in supervisor.instances:
             instance.generation_limit = permit_holder.generations.get(instance.name, 0)
         self.rejections: dict[tuple[str, str], str] = {}  # reasons by order and target
 
     def state_file_lost(self) -> None:
         """Recover generations, orders and goals from the next response, as none is stored here."""
-        self.state_lost = True
+        self.is_state_lost = True
 
     # Heartbeats.
 
     def build_heartbeat(self, now: int) -> Heartbeat:
         """The next heartbeat: states, results and generations to reserve."""
         self.services.advance(now)
-        serving = dict(self.services.up)
+        serving = dict(self.services.is_up)
         generation_limits: dict[str, int] = {}
         for instance in self.supervisor.instances:
             serving[instance.name] = instance.phase is Phase.SERVING
@@ -87,12 +86,12 @@
     def _needs_generations(self, instance: Instance) -> bool:
         """Whether less than half a block of reserved generations is left for an instance."""
         reserved = self.permit_holder.generations.get(instance.name, 0)
-        return not self.state_lost and instance.generation + self.generation_block // 2 > reserved
+        return not self.is_state_lost and instance.generation + self.generation_block // 2 > reserved
 
     def _target_statuses(self, now: int) -> list[TargetStatus]:
         """The versions that run here and their performance, for the rollout controller."""
         collect_samples = self.assignments.collect_samples
-        statuses = [service_status(name, up) for name, up in self.services.up.items()]
+        statuses = [service_status(name, is_up) for name, is_up in self.services.is_up.items()]
         statuses += [instance_status(now, each, collect_samples) for each in self.supervisor.instances]
         return statuses
 
@@ -115,7 +114,7 @@
             tasks = {task.instance.name: task for task in known.tasks} if known else {}
             for assigned in order.tasks:
                 target = assigned.target
-                if assigned.state not in OPEN_FLEET_TASK_STATES or target in self.services.up:
+                if assigned.state not in OPEN_FLEET_TASK_STATES or target in self.services.is_up:
                     continue
                 if result := self._task_result(order, target, assigned.state, tasks.get(target)):
                     results.append(result)
@@ -160,7 +159,7 @@
         if not self.permit_holder.receive_response(now, sent_at, response):
             return []
         self.assignments.handle_response(response.extension)
-        if self.state_lost:
+        if self.is_state_lost:
             self._recover_state(now)
         elif is_first:
             self._skip_used_generations(stored_limits)
@@ -175,7 +174,7 @@
         return accepted
 
     def _apply_orders(self, now: int, assigned_orders: list[AssignedOrder]) -> list[Order]:
-        """Accept, halt or cancel the orders of a response. Returns those that are new here."""
+        """Accept, halt or cancel the orders of a response. Returns the orders that are new here."""
         accepted = []
         for assigned in assigned_orders:
             order = self.orders.orders.get(assigned.id)
@@ -218,7 +217,7 @@
             ):
                 kill = order.verb == Verb.STOP.value
                 self.supervisor.order_stop(now, instance, kill, cancellable=True)
-        self.state_lost = False
+        self.is_state_lost = False
 
     def _skip_used_generations(self, stored_limits: dict[str, int]) -> None:
         """Skip generations that were reserved beyond the stored limit: any of them may have been used."""
@@ -229,7 +228,7 @@
                 instance.dirty = True
 
     def _submit_order(self, now: int, assigned: AssignedOrder) -> Order | None:
-        """Submit an assigned order here; None if it is refused, or a reserved generation is missing."""
+        """Submit an assigned order; None if the order is refused, or a reserved generation is missing."""
         requested = self._open_requests(assigned)
         if not requested or not self._have_generations(requested):
             return None
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -36,7 +36,7 @@
             messages.PeerEnvelopesRequest: self._receive_envelopes,
             messages.HeartbeatRequest: self._receive_heartbeat,
             messages.HostStatusRequest: self._host_status,
-            messages.InstanceClientsRequest: self._clients,
+            messages.InstanceClientsRequest: self._instance_clients,
             messages.RaftStatusRequest: self._raft_status,
             messages.ListOrdersRequest: self._list_orders,
             messages.OrderRequest: self._submit_order,
@@ -45,7 +45,7 @@
         }
 
     def handle(self, key: Key, request: messages.Request) -> messages.Response | Awaitable[messages.Response]:
-        """Respond to one request that `key` has authenticated and may send."""
+        """Respond to one request that was authenticated with `key` and is allowed by its role."""
         return self._handlers[type(request)](key, request)
 
     # Requests of other agents.
@@ -86,7 +86,9 @@
         agent = self.agent
         return raft_status(time.monotonic_ns(), agent.host.name, agent.raft, agent.status_reporter)
 
-    async def _clients(self, key: Key, request: messages.InstanceClientsRequest) -> messages.Response:
+    async def _instance_clients(
+        self, key: Key, request: messages.InstanceClientsRequest
+    ) -> messages.Response:
         """Request the heaviest clients of a node, over a separate control link."""
         agent = self.agent
         instance = agent.orders.instances.get(request.instance)
@@ -149,12 +151,12 @@
                     f"not accepted, as the state file can't be written: {agent.storage_error}"
                 )
             agent.orders.confirm(order)
-            _log_accepted(agent.log, order)
+            _log_order_accepted(agent.log, order)
             asyncio.get_running_loop().call_soon(agent.run_cycle)
         return order_status(now, order)
 
 
-def _log_accepted(log: EventLog, order: Order) -> None:
+def _log_order_accepted(log: EventLog, order: Order) -> None:
     """Log an order that was accepted."""
     log.info(
         "order_accepted",
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -108,7 +108,7 @@
                 self.connections[stream] = asyncio.ensure_future(self._serve(stream))
 
     def _close_oldest(self) -> None:
-        """Close the oldest connection: it had the most time for its request."""
+        """Close the oldest connection: its client had the most time for a request."""
         oldest = next(iter(self.connections))
         del self.connections[oldest]
         oldest.close()
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -128,9 +128,9 @@
     """Probe whether a downstream service accepts connections, until cancelled."""
     while True:
         is_up = await _accepts_connections(service.address)
-        was_up = services.up[service.name]
+        was_up = services.is_up[service.name]
         services.observe(service.name, is_up)
-        if services.up[service.name] is not was_up:
+        if services.is_up[service.name] is not was_up:
             on_change()
         await asyncio.sleep(PROBE_INTERVAL_NS / SECOND)
 
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -115,7 +115,7 @@
     for row in store.read("SELECT * FROM instances"):
         each = instances.get(row[0])
         if each is None:
-            continue  # not in the settings any more; its row stays, in case it is added again
+            continue  # not in the settings any more; the row stays, in case the instance is added again
         (
             _,
             each.generation,
@@ -156,8 +156,8 @@
     for order_id, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
         instance = orders.instances.get(name)
         if instance is not None and order_id in restored:
-            # Whether a drain was sent is not stored: a started task counts as sent, as one whose
-            # process does not answer would otherwise wait for a report until its order expires.
+            # Whether a drain was sent is not stored. It counts as sent for a started task: with a process
+            # that does not answer, the task would otherwise wait for a report until its order expires.
             restored[order_id].tasks.append(
                 Task(
                     restored[order_id],
--- a/oakkeel/agent/supervision_rules.py
+++ b/oakkeel/agent/supervision_rules.py
@@ -12,7 +12,7 @@
 from oakkeel.units import MS, SECOND
 
 CANCEL_DRAIN_RETRY_INTERVAL_NS = 200 * MS
-NODE_DRAIN_PERCENT = 90  # of the drain timeout: the node answers everything before it may be killed
+NODE_DRAIN_PERCENT = 90  # of the drain timeout: the node answers all requests before the agent may kill it
 
 
 @dataclass(slots=True, frozen=True)
@@ -20,8 +20,8 @@
     """Durations and limits of supervision, from `<supervision>` of the settings."""
 
     silence_timeout_ns: int = 750 * MS  # without a report, until an instance is silent
-    start_timeout_ns: int = 10 * SECOND  # without a first report of a process, until it is silent
-    stuck_timeout_ns: int = 30 * SECOND  # of silence, until it is stuck: longer than any client timeout
+    start_timeout_ns: int = 10 * SECOND  # without a first report, until an instance is silent
+    stuck_timeout_ns: int = 30 * SECOND  # of silence, until stuck: longer than any client timeout
     restart_stuck: bool = True
     drain_timeout_ns: int = 10 * SECOND  # from SIGTERM to SIGKILL
     min_backoff_ns: int = 500 * MS  # before the first restart; doubled by each consecutive crash
@@ -54,7 +54,7 @@
 
 
 def timeouts_from_settings(settings: Mapping[str, int | bool]) -> SupervisionTimeouts:
-    """The timeouts of the settings, and the defaults for those that they do not name."""
+    """The timeouts of the settings, with defaults for missing ones."""
     fields = {FIELD_OF_SETTING[name]: value for name, value in settings.items()}
     return replace(SupervisionTimeouts(), **fields)  # type: ignore[arg-type]
 
@@ -63,8 +63,8 @@
     """The action of a step, for the executor."""
 
     START = "start"  # start a process of the instance's new generation
-    TERM = "term"  # drain it by SIGTERM, which can't be cancelled
-    DRAIN = "leave"  # drain it by the control link, so that the drain can be cancelled
+    TERM = "term"  # drain by SIGTERM, which can't be cancelled
+    DRAIN = "leave"  # drain by the control link, so that the drain can be cancelled
     CANCEL_DRAIN = "stay"
     KILL = "kill"
 
@@ -74,7 +74,7 @@
     """When a crashed instance may be started again."""
 
     start_not_before: int
-    restarts_exhausted: bool  # it waits until its oldest crash leaves the restart window
+    restarts_exhausted: bool  # the start waits until the oldest crash leaves the restart window
 
 
 def decide_restart(
@@ -116,12 +116,12 @@
 
 
 def next_drain_action(now: int, instance: Instance, timeouts: SupervisionTimeouts) -> Action | None:
-    """The action that a draining instance needs now; a kill follows a drain only after its timeout."""
+    """The action that is due for a draining instance; a kill is due only after the drain timeout."""
     since_sent = now - instance.drain_sent_at
-    if instance.drain_cancelled:
+    if instance.is_drain_cancelled:
         return Action.CANCEL_DRAIN if since_sent >= CANCEL_DRAIN_RETRY_INTERVAL_NS else None
     if not instance.drain_sent_at:
-        return Action.DRAIN if instance.drain_cancellable else Action.TERM
+        return Action.DRAIN if instance.is_drain_cancellable else Action.TERM
     if instance.kill_after_drain and since_sent >= timeouts.drain_timeout_ns:
         return Action.KILL
     return None
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -79,10 +79,10 @@
         instance.running_version = report.version
         reported_phase = REPORTED_PHASES[state]
         has_other_phase = instance.phase is not Phase.DRAINING and reported_phase is not instance.phase
-        has_resumed_service = instance.drain_cancelled and reported_phase in (Phase.COLD, Phase.SERVING)
+        has_resumed_service = instance.is_drain_cancelled and reported_phase in (Phase.COLD, Phase.SERVING)
         if has_other_phase or has_resumed_service:
-            instance.drain_cancelled = False
-            instance.drain_cancellable = False
+            instance.is_drain_cancelled = False
+            instance.is_drain_cancellable = False
             instance.kill_after_drain = False
             self._transition(now, instance, reported_phase)
         if instance.phase is Phase.SERVING and now - instance.phase_since > self.timeouts.steady_after_ns:
@@ -106,7 +106,7 @@
         instance.report = None
         if not instance.alive:
             self._transition(now, instance, Phase.STARTING)
-        instance.drain_sent_at = 0  # sends a drain again: it may not have arrived, and is idempotent
+        instance.drain_sent_at = 0  # a drain is sent again: it is idempotent, and may not have arrived
 
     def process_not_found(self, now: int, instance: Instance, recorded_generation: int) -> None:
         """Record that an instance has no process when the agent starts.
@@ -133,8 +133,8 @@
         instance.drain_sent_at = 0
         instance.kill_after_drain = False
         instance.report = None
-        instance.drain_cancellable = False
-        instance.drain_cancelled = False
+        instance.is_drain_cancellable = False
+        instance.is_drain_cancelled = False
         if is_expected:
             instance.start_not_before = now
             self._transition(now, instance, Phase.STOPPED)
@@ -171,29 +171,29 @@
         instance.crash_times.clear()
 
     def order_stop(self, now: int, instance: Instance, kill: bool, cancellable: bool = False) -> None:
-        """Drain an instance. `kill`: kill it after the drain timeout; `cancellable`: it can be reverted."""
+        """Drain an instance. `kill`: kill it after the drain timeout; `cancellable`: allow a cancellation."""
         instance.goal = Goal.DOWN
         instance.dirty = True
         if instance.phase is Phase.FAILING:
             self._transition(now, instance, Phase.STOPPED)
         elif instance.alive:
-            instance.drain_cancellable = cancellable
+            instance.is_drain_cancellable = cancellable
             self._drain(now, instance, kill)
 
     def cancel_stop(self, now: int, instance: Instance) -> None:
         """Cancel the drain of an instance, or start the instance again if its process has ended."""
         self.order_start(now, instance)
-        if instance.phase is Phase.DRAINING and instance.drain_cancellable:
-            instance.drain_cancelled = True
+        if instance.phase is Phase.DRAINING and instance.is_drain_cancellable:
+            instance.is_drain_cancelled = True
             instance.drain_sent_at = 0
 
     def revert_unsent_drain(self, now: int, instance: Instance, reported_state: str) -> None:
         """Revert a drain that was not sent to the process. `reported_state` is the last state it reported."""
         instance.goal = Goal.UP
         instance.dirty = True
-        instance.drain_cancellable = False
+        instance.is_drain_cancellable = False
         instance.kill_after_drain = False
-        instance.drain_cancelled = False
+        instance.is_drain_cancelled = False
         instance.drain_sent_at = 0
         if instance.phase is Phase.DRAINING:
             self._transition(now, instance, Phase.SERVING if reported_state == "serving" else Phase.COLD)
--- a/oakkeel/agent/target_status.py
+++ b/oakkeel/agent/target_status.py
@@ -13,9 +13,9 @@
 MAX_SUMMARY_LENGTH = 200  # characters
 
 
-def service_status(name: str, up: bool) -> TargetStatus:
+def service_status(name: str, is_up: bool) -> TargetStatus:
     """The status of a downstream service, which has neither version nor generation."""
-    return TargetStatus(name, "", 0, "serving" if up else "stopped", 0)
+    return TargetStatus(name, "", 0, "serving" if is_up else "stopped", 0)
 
 
 def instance_status(now: int, instance: Instance, collect_samples: bool) -> TargetStatus:
