--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -108,7 +108,7 @@
         self.orders = OrderRegistry(self.supervisor, time.time_ns, self.permit_holder)
         restore_orders(self.store, self.orders)
         if not is_same_boot:
-            self.orders.fail_all(self.started_at, "the host was rebooted")
+            self.orders.fail_open_tasks(self.started_at, "the host was rebooted")
 
     def _make_member(self, fleet: Fleet, permit_holder: PermitHolder, agent_keys: dict[str, Key]) -> None:
         service_names = tuple(service.name for service in services_of(fleet, self.host.name))
@@ -150,9 +150,9 @@
         return self.member.status_reporter if self.member else None
 
     @property
-    def alive(self) -> dict[Instance, Process]:
+    def running_processes(self) -> dict[Instance, Process]:
         """The running processes by instance."""
-        return self.executor.alive
+        return self.executor.running_processes
 
     @property
     def processes(self) -> Processes:
@@ -176,7 +176,7 @@
             "agent_started",
             address=address,
             instances=len(self.supervisor.instances),
-            running=len(self.alive),
+            running=len(self.running_processes),
             open_orders=self._open_order_count(),
         )
         while not self.stop_requested.is_set():
@@ -192,7 +192,9 @@
         return sum(order.is_open for order in self.orders.orders.values())
 
     def _close(self) -> None:
-        self.log.info("agent_stopped", running=len(self.alive), open_orders=self._open_order_count())
+        self.log.info(
+            "agent_stopped", running=len(self.running_processes), open_orders=self._open_order_count()
+        )
         self.server.close()
         if self.member:
             self.member.close()
@@ -255,7 +257,7 @@
     """The limits of the server; with a control plane, each agent of the fleet may connect as well."""
     if fleet is None:
         return None
-    return ServerLimits(connections=DEFAULT_MAX_CONNECTIONS + MAX_CONNECTIONS_PER_HOST * len(fleet.hosts))
+    return ServerLimits(max_connections=DEFAULT_MAX_CONNECTIONS + MAX_CONNECTIONS_PER_HOST * len(fleet.hosts))
 
 
 def new_seed() -> int:
--- a/oakkeel/agent/control_plane_member.py
+++ b/oakkeel/agent/control_plane_member.py
@@ -85,7 +85,7 @@
 
     def _prune_artifacts(self) -> None:
         """Delete unused versions, if the version of each running process is known."""
-        running = list(self.executor.alive)
+        running = list(self.executor.running_processes)
         is_due = time.monotonic_ns() - self.pruned_at > PRUNE_INTERVAL_NS
         if is_due and all(instance.report for instance in running):
             self.pruned_at = time.monotonic_ns()
--- a/oakkeel/agent/control_requests.py
+++ b/oakkeel/agent/control_requests.py
@@ -26,13 +26,13 @@
 
     def __init__(
         self,
-        alive: dict[Instance, Process],
+        running_processes: dict[Instance, Process],
         processes: Processes,
         node_drain_timeout_ns: int,
         log: EventLog,
     ) -> None:
-        """`alive` has the current process of each instance; nodes drain within `node_drain_timeout_ns`."""
-        self.alive = alive
+        """`running_processes` is shared with the executor; nodes drain within `node_drain_timeout_ns`."""
+        self.running_processes = running_processes
         self.processes = processes
         self.node_drain_timeout_ns = node_drain_timeout_ns
         self.log = log
@@ -59,7 +59,7 @@
     ) -> None:
         if previous is not None:
             await asyncio.wait((previous,))
-        if self.alive.get(instance) is not process:
+        if self.running_processes.get(instance) is not process:
             return
         is_accepted = await self._request(instance, process, action, fields)
         if not is_accepted and action is Action.DRAIN and not instance.is_drain_cancelled:
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -44,11 +44,11 @@
         self.permit_holder = permit_holder
         self.log = log
         self.on_exit = on_exit
-        self.alive: dict[Instance, Process] = {}
+        self.running_processes: dict[Instance, Process] = {}
         self.processes = parts.processes(host.state, self._process_exited)
         self.launcher = InstanceLauncher(host, self.processes, parts.program, settings.fair_sharing)
         self.drain_sender = DrainSender(
-            self.alive, self.processes, supervisor.timeouts.node_drain_timeout_ns, log
+            self.running_processes, self.processes, supervisor.timeouts.node_drain_timeout_ns, log
         )
         self.pollers: dict[Instance, asyncio.Task[None]] = {}
         self.unidentified: set[Instance] = set()  # a process of unknown pid holds the lock of each
@@ -58,7 +58,7 @@
     def execute(self, step: Step) -> None:
         """Execute one step of the supervisor."""
         instance = step.instance
-        process = self.alive.get(instance)
+        process = self.running_processes.get(instance)
         fields = self._log_fields(instance)
         if step.action is Action.START:
             self._start(instance, fields)
@@ -111,7 +111,7 @@
     def update_fair_sharing(self, fair_sharing: FairSharingSettings | None) -> None:
         """Write new fair-sharing settings and have the nodes read them."""
         if self.launcher.update_fair_sharing(fair_sharing):
-            for instance, process in self.alive.items():
+            for instance, process in self.running_processes.items():
                 self.launcher.write_node_settings(instance.name)
                 self.processes.signal(process, signal.SIGHUP)
 
@@ -150,14 +150,16 @@
                 self._process_not_found(instance)
 
     def _watch(self, instance: Instance, process: Process) -> None:
-        self.alive[instance] = process
+        self.running_processes[instance] = process
         self.pollers[instance] = asyncio.ensure_future(self._poll_status(instance, process))
 
     def _process_exited(self, process: Process, why: str) -> None:
-        instance = next((each for each, current in self.alive.items() if current is process), None)
+        instance = next(
+            (each for each, current in self.running_processes.items() if current is process), None
+        )
         if instance is None:
             return
-        del self.alive[instance]
+        del self.running_processes[instance]
         self.pollers.pop(instance).cancel()
         self.log.info(
             "instance_exited",
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -218,7 +218,7 @@
             instance.drain_sent_at = 0  # decided again once the process reports whether it drains
         return False
 
-    def fail_all(self, now: int, why: str) -> None:
+    def fail_open_tasks(self, now: int, why: str) -> None:
         """End all open tasks as failed: the host was rebooted, and their processes no longer run."""
         for task in self.open_tasks:
             self._transition(now, task, HostTaskState.FAILED, why)
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -79,7 +79,7 @@
             agent.supervisor,
             agent.started_at,
             list(agent.operator_notes()),
-            {instance: process.pid for instance, process in agent.executor.alive.items()},
+            {instance: process.pid for instance, process in agent.executor.running_processes.items()},
         )
 
     def _raft_status(self, key: Key, request: messages.RaftStatusRequest) -> messages.Response:
@@ -92,7 +92,7 @@
         """Request the heaviest clients of a node, over a separate control link."""
         agent = self.agent
         instance = agent.orders.instances.get(request.instance)
-        if instance is None or instance not in agent.executor.alive:
+        if instance is None or instance not in agent.executor.running_processes:
             return messages.ErrorResponse("this host has no such instance, or it is not running")
         client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
         timeout = CONTROL_REQUEST_TIMEOUT_NS / SECOND
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -54,9 +54,9 @@
 class ServerLimits:
     """Limits that keep a client from exhausting the agent."""
 
-    connections: int = DEFAULT_MAX_CONNECTIONS
+    max_connections: int = DEFAULT_MAX_CONNECTIONS
     timeout_ns: int = 10 * SECOND  # for a whole request, and for the client to read a response
-    accepts: int = 16  # new connections in one pass of the event loop
+    max_accepts: int = 16  # new connections in one pass of the event loop
     rejection_log_interval_ns: int = SECOND  # between two log lines
 
 
@@ -99,10 +99,10 @@
 
     def _accept_connections(self) -> None:
         with contextlib.suppress(OSError):
-            for _ in range(self.limits.accepts):
+            for _ in range(self.limits.max_accepts):
                 accepted, _ = self.socket.accept()
                 accepted.setblocking(False)
-                if len(self.connections) >= self.limits.connections:
+                if len(self.connections) >= self.limits.max_connections:
                     self._close_oldest()
                 stream = IOStream(accepted, max_buffer_size=MAX_FRAME_BYTES + FRAME_HEADER_BYTES)
                 self.connections[stream] = asyncio.ensure_future(self._serve(stream))
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -31,12 +31,12 @@
         agent = await self.agent()
         await self.serving(agent)
         n1 = self.instance(agent, "n1")
-        process = agent.alive[n1]
+        process = agent.running_processes[n1]
         agent.processes.signal(process, signal.SIGSTOP)
         await self.wait_until(lambda: n1.phase is Phase.SILENT)
         agent.processes.signal(process, signal.SIGCONT)
         await self.wait_until(lambda: n1.phase is Phase.SERVING)
-        self.assertEqual((self.starts("n1"), agent.alive[n1]), ([1], process))
+        self.assertEqual((self.starts("n1"), agent.running_processes[n1]), ([1], process))
 
     async def test_treats_an_instance_that_never_answers_as_silent(self):
         self.script("n1", "mute")
@@ -64,11 +64,11 @@
         agent = await self.agent()
         await self.serving(agent)
         n1 = self.instance(agent, "n1")
-        agent.processes.signal(agent.alive[n1], signal.SIGKILL)
+        agent.processes.signal(agent.running_processes[n1], signal.SIGKILL)
         await self.wait_until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
         self.assertIn('how="killed by SIGKILL"', self.log_output.getvalue())
 
-    async def test_stops_restarting_a_crash_loop_while_others_serve(self):
+    async def test_stops_restarting_a_crash_loop_while_other_instances_serve(self):
         self.script("n1", "crash")
         agent = await self.agent(
             SupervisionTimeouts(min_backoff_ns=10 * MS, max_restarts=3, silence_timeout_ns=400 * MS)
@@ -102,7 +102,7 @@
             self.assertIsNone(unrelated.poll())
             unrelated.communicate(b"\n")
         with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
-            file.write(f"{agent.alive[self.instance(agent, 'n1')].pid} 1\n")
+            file.write(f"{agent.running_processes[self.instance(agent, 'n1')].pid} 1\n")
 
     async def test_second_agent_of_a_host_exits_with_the_reason(self):
         first = await asyncio.create_subprocess_exec(
@@ -129,14 +129,14 @@
     async def test_next_agent_adopts_running_processes_and_restarts_ended_ones(self):
         agent = await self.agent()
         await self.serving(agent)
-        pids = {each.name: process.pid for each, process in agent.alive.items()}
+        pids = {each.name: process.pid for each, process in agent.running_processes.items()}
         await self.stop(agent)
         os.kill(pids["n3"], signal.SIGKILL)
         next_agent = await self.agent()
         await self.wait_until(lambda: self.instance(next_agent, "n3").process_generation == 2)
         await self.serving(next_agent)
         self.assertEqual(
-            [next_agent.alive[self.instance(next_agent, name)].pid for name in ("n1", "n2")],
+            [next_agent.running_processes[self.instance(next_agent, name)].pid for name in ("n1", "n2")],
             [pids["n1"], pids["n2"]],
         )
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1], [1], [1, 2]])
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -92,7 +92,7 @@
         self.assertEqual(await self.current_generation("n2"), generation)
         with mock.patch.object(store, "write", side_effect=DatabaseError("database or disk is full")):
             n1 = self.instance(agent, "n1")
-            agent.processes.signal(agent.alive[n1], signal.SIGKILL)
+            agent.processes.signal(agent.running_processes[n1], signal.SIGKILL)
             await self.wait_until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
             self.assertIn("orders wait", (await self.send_request(messages.HostStatusRequest())).notes[0])
         store.connection.execute("PRAGMA max_page_count = 10000")
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -29,9 +29,8 @@
         order = host.submit(Verb.DRAIN, host.instances[1])
         host.run(5)
         self.assertEqual(order.tasks[0].state, HostTaskState.WAITING)
-        drain = host.submit(
-            Verb.DRAIN, host.instances[0], order_id="o2"
-        )  # an unavailable instance needs no budget
+        # An unavailable instance needs no budget.
+        drain = host.submit(Verb.DRAIN, host.instances[0], order_id="o2")
         host.run(0.2)
         self.assertEqual((drain.tasks[0].state, host.instances[0].phase), (HostTaskState.DONE, Phase.STOPPED))
 
@@ -51,7 +50,7 @@
         host.run(2)
         self.assertEqual((instance.phase, instance.goal), (Phase.STOPPED, Goal.DOWN))
 
-    def test_supersedes_the_open_order_when_asked(self):
+    def test_supersedes_the_open_order_when_requested(self):
         host = self.serving_host()
         instance = host.instances[0]
         first = host.submit(Verb.RESTART, instance)
@@ -101,7 +100,7 @@
             (order.tasks[0].state, instance.phase, host.steps), (HostTaskState.DONE, Phase.STOPPED, [])
         )
 
-    def test_restart_during_a_drain_starts_it_again(self):
+    def test_restart_during_a_drain_starts_the_instance_again(self):
         host = self.serving_host()
         instance = host.instances[0]
         host.ignoring_drain.add(instance)
@@ -203,34 +202,34 @@
 
     @rule(
         verb=st.sampled_from(list(Verb)),
-        which=st.sets(st.integers(0, 4), min_size=1),
-        old=st.booleans(),
+        indices=st.sets(st.integers(0, 4), min_size=1),
+        is_outdated=st.booleans(),
         supersede=st.booleans(),
         operator=st.sampled_from(["asha", "ravi"]),
     )
-    def order(self, verb, which, old, supersede, operator):
+    def order(self, verb, indices, is_outdated, supersede, operator):
         self.number += 1
         self.host.submit(
             verb,
-            *(self.host.instances[each] for each in sorted(which)),
+            *(self.host.instances[each] for each in sorted(indices)),
             order_id=f"o{self.number}",
             operator=operator,
-            generation=1 if old else None,
+            generation=1 if is_outdated else None,
             supersede=supersede,
         )
 
-    @rule(which=st.integers(0, 4))
-    def crash(self, which):
-        if self.host.instances[which].alive:
-            self.host.crash(self.host.instances[which])
+    @rule(index=st.integers(0, 4))
+    def crash(self, index):
+        if self.host.instances[index].alive:
+            self.host.crash(self.host.instances[index])
 
-    @rule(which=st.integers(0, 4))
-    def toggle_ignoring_drain(self, which):
-        self.host.ignoring_drain ^= {self.host.instances[which]}
+    @rule(index=st.integers(0, 4))
+    def toggle_ignoring_drain(self, index):
+        self.host.ignoring_drain ^= {self.host.instances[index]}
 
-    @rule(which=st.integers(0, 4))
-    def toggle_silent(self, which):
-        self.host.silent ^= {self.host.instances[which]}
+    @rule(index=st.integers(0, 4))
+    def toggle_silent(self, index):
+        self.host.silent ^= {self.host.instances[index]}
 
     @rule(seconds=st.sampled_from([0.1, 1, 12, 40]))
     def time(self, seconds):
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -75,7 +75,7 @@
         self.assertEqual(response.why, "lena may only view")
         self.assertEqual(self.instance(agent, "n1").generation, 1)
 
-    async def test_partial_messages_and_too_many_connections_affect_no_others(self):
+    async def test_partial_messages_and_too_many_connections_affect_no_other_client(self):
         agent = await self.agent()
         await self.serving(agent)
         partial = [await asyncio.open_connection(*self.host.agent) for _ in range(80)]
@@ -83,7 +83,7 @@
             writer.write(b"\x00\x00")
         for _ in range(10):
             self.assertIsInstance(await self.send_request(messages.HostStatusRequest()), messages.HostStatus)
-        self.assertLessEqual(len(agent.server.connections), agent.server.limits.connections)
+        self.assertLessEqual(len(agent.server.connections), agent.server.limits.max_connections)
         for _, writer in partial:
             writer.close()
 
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -9,7 +9,7 @@
 
 
 class SupervisorTest(HostTestCase):
-    def test_limits_processes_that_start_at_one_time(self):
+    def test_limits_processes_that_start_at_the_same_time(self):
         host = SimulatedHost(instance_count=7, max_starting=3)
         self.assertEqual(len(host.tick()), 3)
         self.assertEqual(host.tick(), [])
@@ -105,7 +105,7 @@
         host.supervisor.process_not_found(host.now, started, recorded_generation=started.process_generation)
         self.assertEqual((started.phase, len(started.crash_times)), (Phase.FAILING, 1))
 
-    def test_adopts_a_found_process_and_reuses_the_generation_of_one_never_started(self):
+    def test_adopts_a_running_process_and_reuses_a_generation_that_was_never_started(self):
         host = SimulatedHost()
         adopted, never_started = host.instances[:2]
         host.supervisor.process_adopted(host.now, adopted, 5)
