--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -47,10 +47,10 @@
 
 def _read_keys(fleet: Fleet) -> AgentKeys:
     """The keys of operators and agents. Raises SettingsError."""
-    accepted = read_keys(fleet)
+    accepted_keys = read_keys(fleet)
     agent_keys = read_agent_keys(fleet)
-    accepted |= {key.ident: key for key in agent_keys.values()}
-    return AgentKeys(accepted, agent_keys)
+    accepted_keys |= {key.ident: key for key in agent_keys.values()}
+    return AgentKeys(accepted_keys, agent_keys)
 
 
 def _lock_state_folder(settings_path: str, host: HostSettings) -> None:
@@ -59,8 +59,10 @@
         len(os.path.join(host.state, f"{each.name}.sock").encode()) for each in host.instances
     )
     if longest_path_bytes > MAX_SOCKET_PATH_BYTES:
-        excess = longest_path_bytes - MAX_SOCKET_PATH_BYTES
-        raise SettingsError(f"{settings_path}: the state folder of {host.name} is {excess} bytes too long")
+        excess_bytes = longest_path_bytes - MAX_SOCKET_PATH_BYTES
+        raise SettingsError(
+            f"{settings_path}: the state folder of {host.name} is {excess_bytes} bytes too long"
+        )
     os.makedirs(host.state, mode=STATE_FOLDER_MODE, exist_ok=True)
     path = os.path.join(host.state, "agent.lock")
     lock = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE)
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -133,11 +133,11 @@
         A new state file holds no boot ID, so the result is True.
         """
         boot_id = read_boot_id()
-        stored = self.store.read("SELECT id FROM boot")
-        if stored == [(boot_id,)]:
+        stored_ids = self.store.read("SELECT id FROM boot")
+        if stored_ids == [(boot_id,)]:
             return True
         self.store.write([("DELETE FROM boot", ()), ("INSERT INTO boot VALUES (?)", (boot_id,))])
-        return not stored
+        return not stored_ids
 
     @property
     def raft(self) -> RaftRuntime | None:
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -150,15 +150,15 @@
             return config
         return apply_merge_patch(config, read_json(self.contents.path(content.patch)))
 
-    def prune(self, running: set[str]) -> None:
+    def prune(self, running_versions: set[str]) -> None:
         """Delete versions that neither a release nor an instance needs.
 
-        `running` has the versions of running processes, which may still read their copies.
+        `running_versions` has the versions of running processes, which may still read their copies.
         """
         if self.tasks or self.assignments.release:
             return
-        if pruned := self.contents.prune(self.assignments.needed_versions() | running):
-            self.log.info("artifacts_pruned", versions=",".join(pruned))
+        if pruned_versions := self.contents.prune(self.assignments.needed_versions() | running_versions):
+            self.log.info("artifacts_pruned", versions=",".join(pruned_versions))
 
     def close(self) -> None:
         """Cancel the copies that are not complete."""
--- a/oakkeel/agent/control_plane_handlers.py
+++ b/oakkeel/agent/control_plane_handlers.py
@@ -96,9 +96,9 @@
     async def _set_voters(
         self, key: Key, raft: RaftRuntime, request: messages.SetVotersRequest
     ) -> messages.Response:
-        known = {host.name for host in raft.fleet.hosts}
-        if unknown := [name for name in request.hosts if name not in known]:
-            return messages.ErrorResponse(f"there is no host {unknown[0]!r}")
+        known_hosts = {host.name for host in raft.fleet.hosts}
+        if unknown_hosts := [name for name in request.hosts if name not in known_hosts]:
+            return messages.ErrorResponse(f"there is no host {unknown_hosts[0]!r}")
         if len(request.hosts) not in VOTER_COUNTS:
             return messages.ErrorResponse("name three or five voters (keepers), or one for a trial")
         result = await raft.propose(commands.SetVoters(request.hosts, key.operator))
--- a/oakkeel/agent/control_plane_member.py
+++ b/oakkeel/agent/control_plane_member.py
@@ -85,11 +85,11 @@
 
     def _prune_artifacts(self) -> None:
         """Delete unused versions, if the version of each running process is known."""
-        running = list(self.executor.running_processes)
+        running_instances = list(self.executor.running_processes)
         is_due = time.monotonic_ns() - self.pruned_at > PRUNE_INTERVAL_NS
-        if is_due and all(instance.report for instance in running):
+        if is_due and all(instance.report for instance in running_instances):
             self.pruned_at = time.monotonic_ns()
-            self.artifacts.prune({instance.running_version for instance in running})
+            self.artifacts.prune({instance.running_version for instance in running_instances})
 
     def _artifacts_ready(self) -> None:
         """Send a heartbeat at once, with the result of a release's preparation."""
--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -224,16 +224,16 @@
     order = orders.get(release.order_id)
     targets = []
     for target, task in release.targets.items():
-        observed = controller.observations.targets.get(target)
+        observation = controller.observations.targets.get(target)
         is_waiting = order and target in order.tasks and target in release.in_progress
         targets.append(
             messages.ReleaseTargetStatus(
                 target=target,
                 host=allocator.host_of.get(target, ""),
                 state=task.state,
-                running_version=observed.version if observed else "",
-                phase=observed.phase if observed else UNKNOWN_PHASE,
-                report_age=now - observed.observed_at if observed else UNKNOWN,
+                running_version=observation.version if observation else "",
+                phase=observation.phase if observation else UNKNOWN_PHASE,
+                report_age=now - observation.observed_at if observation else UNKNOWN,
                 why=order.tasks[target].reason if order and is_waiting else "",
             )
         )
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -66,8 +66,8 @@
         Returns the same order if it is submitted again. Raises OrderRejectedError if it is malformed, if its
         ID belongs to another order, or if too many orders are open.
         """
-        if known := self.orders.get(submission.order_id):
-            return _check_duplicate(known, submission)
+        if known_order := self.orders.get(submission.order_id):
+            return _check_duplicate(known_order, submission)
         check_submission(submission, len(self.instances))
         if sum(order.is_open for order in self.orders.values()) >= MAX_OPEN_ORDERS:
             raise OrderRejectedError(
@@ -258,12 +258,12 @@
                 self.deleted.append(order_id)
 
 
-def _check_duplicate(known: Order, submission: OrderSubmission) -> Order:
+def _check_duplicate(known_order: Order, submission: OrderSubmission) -> Order:
     """Return the known order of that ID. Raises OrderRejectedError if the submission differs from it."""
-    is_same_command = known.operator == submission.operator and known.verb is submission.verb
-    if not is_same_command or known.requested != submission.requested:
-        raise OrderRejectedError(f"that id belongs to another order, by {known.operator}")
-    return known
+    is_same_command = known_order.operator == submission.operator and known_order.verb is submission.verb
+    if not is_same_command or known_order.requested != submission.requested:
+        raise OrderRejectedError(f"that id belongs to another order, by {known_order.operator}")
+    return known_order
 
 
 def _snapshot(instance: Instance) -> InstanceSnapshot:
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -91,14 +91,14 @@
     def _start_replica(self) -> None:
         """Start the replica from the state on disk."""
         try:
-            stored = self.file.load()
+            stored_state = self.file.load()
         except DatabaseError as error:
             self._storage_failed(error)
             return
         self.storage_error = ""
         self.control_plane = ControlPlaneReplica(
             time.monotonic_ns(),
-            stored,
+            stored_state,
             secrets.randbits(SEED_BITS),
             ReplicaSettings(
                 self.initial_voters,
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -110,8 +110,8 @@
         """Results of tasks that are open in the control plane and over on this host."""
         results = self.services.results()
         for order in self.permit_holder.orders.values():
-            known = self.orders.orders.get(order.id)
-            tasks = {task.instance.name: task for task in known.tasks} if known else {}
+            known_order = self.orders.orders.get(order.id)
+            tasks = {task.instance.name: task for task in known_order.tasks} if known_order else {}
             for assigned in order.tasks:
                 target = assigned.target
                 if assigned.state not in OPEN_FLEET_TASK_STATES or target in self.services.is_up:
@@ -192,14 +192,14 @@
 
     def _cancel_orders_that_ended(self, now: int, open_ids: set[str]) -> None:
         """Cancel waiting tasks of orders that are over in the replicated log: they must not start here."""
-        ended = [
+        ended_orders = [
             task.order
             for task in self.orders.open_tasks
             if task.state is HostTaskState.WAITING
             and task.order.verb is not Verb.START
             and task.order.order_id not in open_ids
         ]
-        for order in ended:
+        for order in ended_orders:
             self.orders.cancel(now, order.order_id, CONTROL_PLANE)
 
     def _recover_state(self, now: int) -> None:
--- a/oakkeel/agent/replica_file.py
+++ b/oakkeel/agent/replica_file.py
@@ -42,12 +42,12 @@
     def load(self) -> DurableState:
         """Load the state; corrupt state is quarantined, and an empty one loaded. Raises DatabaseError."""
         try:
-            stored = storage.load(self.store, self.name, self._new_incarnation())
-            storage.check(stored)
+            state = storage.load(self.store, self.name, self._new_incarnation())
+            storage.check(state)
         except storage.CorruptStateError as error:
             self.quarantine(str(error))
-            stored = storage.load(self.store, self.name, self._new_incarnation())
-        return stored
+            state = storage.load(self.store, self.name, self._new_incarnation())
+        return state
 
     def _new_incarnation(self) -> str:
         """A unique name for the incarnation of a new file."""
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -108,8 +108,10 @@
 
     def _list_orders(self, key: Key, request: messages.ListOrdersRequest) -> messages.Response:
         now = time.monotonic_ns()
-        latest = list(self.agent.orders.orders.values())[-max(1, min(request.limit, MAX_LISTED_ORDERS)) :]
-        return messages.OrderList([order_status(now, order) for order in reversed(latest)])
+        latest_orders = list(self.agent.orders.orders.values())[
+            -max(1, min(request.limit, MAX_LISTED_ORDERS)) :
+        ]
+        return messages.OrderList([order_status(now, order) for order in reversed(latest_orders)])
 
     def _cancel_order(self, key: Key, request: messages.CancelOrderRequest) -> messages.Response:
         agent = self.agent
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -100,18 +100,18 @@
     def _accept_connections(self) -> None:
         with contextlib.suppress(OSError):
             for _ in range(self.limits.max_accepts):
-                accepted, _ = self.socket.accept()
-                accepted.setblocking(False)
+                connection, _ = self.socket.accept()
+                connection.setblocking(False)
                 if len(self.connections) >= self.limits.max_connections:
                     self._close_oldest()
-                stream = IOStream(accepted, max_buffer_size=MAX_FRAME_BYTES + FRAME_HEADER_BYTES)
+                stream = IOStream(connection, max_buffer_size=MAX_FRAME_BYTES + FRAME_HEADER_BYTES)
                 self.connections[stream] = asyncio.ensure_future(self._serve(stream))
 
     def _close_oldest(self) -> None:
         """Close the oldest connection: its client had the most time for a request."""
-        oldest = next(iter(self.connections))
-        del self.connections[oldest]
-        oldest.close()
+        oldest_stream = next(iter(self.connections))
+        del self.connections[oldest_stream]
+        oldest_stream.close()
 
     async def _serve(self, stream: IOStream) -> None:
         try:
@@ -155,9 +155,9 @@
             response = messages.encode(await self._respond(key, request))
             if len(response) > MAX_RESPONSE_BYTES - MAX_SIGNATURE_BYTES:
                 response = messages.encode(messages.ErrorResponse("the response is too long; ask for less"))
-            written = stream.write(frame(authenticator.sign(time.time_ns(), response)))
+            write_future = stream.write(frame(authenticator.sign(time.time_ns(), response)))
             async with asyncio.timeout(timeout):
-                await asyncio.shield(written)
+                await asyncio.shield(write_future)
 
     async def _respond(self, key: Key, content: bytes) -> messages.Response:
         try:
--- a/oakkeel/agent/state_writer.py
+++ b/oakkeel/agent/state_writer.py
@@ -26,10 +26,10 @@
 
     def save(self) -> bool:
         """Write the changed state; return False if that fails, and the next call retries."""
-        changed = [instance for instance in self.instances if instance.dirty]
-        if not changed and not self._has_other_changes() and not self.storage_error:
+        changed_instances = [instance for instance in self.instances if instance.dirty]
+        if not changed_instances and not self._has_other_changes() and not self.storage_error:
             return True
-        statements = order_statements(changed, self.orders.changed, self.orders.deleted)
+        statements = order_statements(changed_instances, self.orders.changed, self.orders.deleted)
         if self.permit_holder:
             statements += permit_statements(self.permit_holder)
         if self.assignments:
@@ -41,7 +41,7 @@
                 self.log.error("agent_state_write_failed", error=str(error))
             self.storage_error = str(error)
             return False
-        for instance in changed:
+        for instance in changed_instances:
             instance.dirty = False
         self._clear_other_changes()
         if self.storage_error:
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -128,7 +128,7 @@
             kill,
             each.start_not_before,
             each.consecutive_crashes,
-            deaths,
+            crash_times_json,
             resting,
             each.why,
         ) = row
@@ -137,7 +137,7 @@
         each.restarts_exhausted = bool(resting)
         each.goal = Goal(goal)
         each.phase = Phase(phase)
-        each.crash_times = deque(json.loads(deaths))
+        each.crash_times = deque(json.loads(crash_times_json))
         if not is_same_boot:
             each.start_not_before = 0
             each.consecutive_crashes = 0
@@ -148,10 +148,10 @@
 def restore_orders(store: Database, orders: OrderRegistry) -> None:
     """Restore stored orders with their tasks, oldest first."""
     restored: dict[str, Order] = {}
-    for order_id, operator, verb, accepted_at, expires_at, asked in store.read(
+    for order_id, operator, verb, accepted_at, expires_at, requested_json in store.read(
         "SELECT ident, operator, verb, taken, expires, asked FROM orders ORDER BY place"
     ):
-        requested = tuple((name, generation) for name, generation in json.loads(asked))
+        requested = tuple((name, generation) for name, generation in json.loads(requested_json))
         restored[order_id] = Order(order_id, operator, Verb(verb), accepted_at, expires_at, requested)
     for order_id, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
         instance = orders.instances.get(name)
@@ -204,8 +204,8 @@
     permit_holder.restore(
         epochs[0][0] if epochs else "",
         [
-            StoredPermit(target, fencing_token, order_id, bool(begun))
-            for target, fencing_token, order_id, begun in store.read(
+            StoredPermit(target, fencing_token, order_id, bool(is_started))
+            for target, fencing_token, order_id, is_started in store.read(
                 "SELECT thing, fence, ident, begun FROM places"
             )
         ],
