--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -44,21 +44,21 @@
         self.permit_holder = permit_holder
         self.log = log
         self.on_exit = on_exit
-        self.alive: dict[Instance, Process] = {}
+        self.running_processes: dict[Instance, Process] = {}
         self.processes = parts.processes(host.state, self._process_exited)
         self.launcher = InstanceLauncher(host, self.processes, parts.program, settings.fair_sharing)
         self.drain_sender = DrainSender(
-            self.alive, self.processes, supervisor.timeouts.node_drain_timeout_ns, log
+            self.running_processes, self.processes, supervisor.timeouts.node_drain_timeout_ns, log
         )
         self.pollers: dict[Instance, asyncio.Task[None]] = {}
-        self.unidentified: set[Instance] = set()  # a process holds its lock, and its pid is not known
+        self.unidentified: set[Instance] = set()  # a process of unknown pid holds the lock of each
 
     # Steps.
 
     def execute(self, step: Step) -> None:
         """Execute one step of the supervisor."""
         instance = step.instance
-        process = self.alive.get(instance)
+        process = self.running_processes.get(instance)
         fields = self._log_fields(instance)
         if step.action is Action.START:
             self._start(instance, fields)
@@ -85,7 +85,7 @@
         return fields
 
     def postpone(self, step: Step) -> None:
-        """Undo an order's step that could not be stored: the supervisor returns it again."""
+        """Revert a step whose order could not be stored, so that the supervisor returns the step again."""
         instance = step.instance
         if step.action is Action.START:
             self.supervisor.start_abandoned(time.monotonic_ns(), instance)
@@ -111,7 +111,7 @@
     def update_fair_sharing(self, fair_sharing: FairSharingSettings | None) -> None:
         """Write new fair-sharing settings and have the nodes read them."""
         if self.launcher.update_fair_sharing(fair_sharing):
-            for instance, process in self.alive.items():
+            for instance, process in self.running_processes.items():
                 self.launcher.write_node_settings(instance.name)
                 self.processes.signal(process, signal.SIGHUP)
 
@@ -136,7 +136,7 @@
         self.supervisor.process_not_found(time.monotonic_ns(), instance, recorded_generation)
 
     def identify_processes(self, now: int) -> None:
-        """Adopt processes whose pid files have been written since."""
+        """Adopt the unidentified processes whose pid files are written by now."""
         for instance in list(self.unidentified):
             if process := self.processes.adopt(instance.name):
                 self.unidentified.discard(instance)
@@ -150,14 +150,16 @@
                 self._process_not_found(instance)
 
     def _watch(self, instance: Instance, process: Process) -> None:
-        self.alive[instance] = process
+        self.running_processes[instance] = process
         self.pollers[instance] = asyncio.ensure_future(self._poll_status(instance, process))
 
     def _process_exited(self, process: Process, why: str) -> None:
-        instance = next((each for each, known in self.alive.items() if known is process), None)
+        instance = next(
+            (each for each, current in self.running_processes.items() if current is process), None
+        )
         if instance is None:
             return
-        del self.alive[instance]
+        del self.running_processes[instance]
         self.pollers.pop(instance).cancel()
         self.log.info(
             "instance_exited",
@@ -181,7 +183,7 @@
                     await self._request_status(client, instance, process)
                 except ControlError as error:
                     if instance.report is not None:
-                        instance.why = f"its status request failed: {error}"
+                        instance.why = f"the status request failed: {error}"
                 except Exception as error:
                     self.log.error("control_poll_failed", target=instance.name, error=describe_error(error))
                 await asyncio.sleep(interval_ns / SECOND)
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -1,7 +1,7 @@
-"""Requests and responses between command line and agents, sent in authenticated frames.
+"""The requests that agents serve and their responses, sent in authenticated frames.
 
-Ages are in nanoseconds; -1: never, or not known. Tags and keys are outside forms: a field that has another
-name here states its key.
+Ages are in nanoseconds; -1: never, or not known. Tags and keys are part of the protocol: a field whose name
+differs from its key states the key.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     order_id: str = msgspec.field(name="ident")
     verb: str
     instances: list[tuple[str, int]]
-    lifetime: int = msgspec.field(name="lasts")  # nanoseconds from when it is accepted
+    lifetime: int = msgspec.field(name="lasts")  # nanoseconds from the acceptance of the order
     supersede: bool = False
 
 
@@ -102,7 +102,10 @@
 
 
 class ReleaseStatusRequest(msgspec.Struct, tag="ask release", forbid_unknown_fields=True):
-    """Without an ID the open release, or the last. Answered by `ReleaseStatus` or `NotLeaderResponse`."""
+    """Ask for the release with that ID; without an ID, for the open or the last release.
+
+    Answered by `ReleaseStatus` or `NotLeaderResponse`.
+    """
 
     release_id: str = msgspec.field(default="", name="ident")
 
@@ -114,7 +117,7 @@
 class FleetStatusRequest(msgspec.Struct, tag="fleet state", forbid_unknown_fields=True):
     """Ask for permits and orders of the fleet. Answered by `FleetStatus` or `NotLeaderResponse`."""
 
-    order_id: str = msgspec.field(default="", name="ident")  # of one order; else the latest
+    order_id: str = msgspec.field(default="", name="ident")  # asks for one order; empty: the latest orders
 
 
 class OpenOrder(msgspec.Struct):
@@ -128,7 +131,7 @@
 
 
 class InstanceStatus(msgspec.Struct):
-    """An instance as its agent knows it."""
+    """The state of an instance, as known to its agent."""
 
     name: str
     phase: str
@@ -143,7 +146,7 @@
     order: OpenOrder | None
     recent_crashes: int = msgspec.field(name="deaths")  # within the restart window
     restarts_exhausted: bool = msgspec.field(name="resting")
-    starts_in: int  # nanoseconds until it may be started; 0: now, or it is not to be started
+    starts_in: int  # nanoseconds until the instance may be started; 0: now, or no start is due
     why: str  # the last error
 
 
@@ -155,7 +158,7 @@
     uptime: int  # of the agent
     unix_time: int = msgspec.field(name="unix")  # of the host's wall clock
     max_unavailable: int = msgspec.field(name="away")  # the host's part of its site's disruption budget
-    unavailable: int = msgspec.field(name="out")  # instances that count against it
+    unavailable: int = msgspec.field(name="out")  # instances that count against `max_unavailable`
     notes: list[str]  # conditions that its operator should know
     instances: list[InstanceStatus]
 
@@ -218,12 +221,12 @@
     host: str
     state: str
     why: str
-    fencing_token: int = msgspec.field(name="place")  # of its permit; 0: none
-    in_flight: str = msgspec.field(default="", name="owes")  # requests to answer before its drain ends
+    fencing_token: int = msgspec.field(name="place")  # of the target's permit; 0: none
+    in_flight: str = msgspec.field(default="", name="owes")  # requests to answer before the drain ends
 
 
 class FleetOrderStatus(msgspec.Struct, tag="fleet"):
-    """An order of the fleet as it is committed."""
+    """A committed order of the fleet."""
 
     order_id: str = msgspec.field(name="ident")
     operator: str
@@ -241,12 +244,12 @@
     target: str = msgspec.field(name="thing")
     host: str
     reasons: list[str]
-    fencing_token: int = msgspec.field(default=0, name="fence")  # of its permit; 0: none
+    fencing_token: int = msgspec.field(default=0, name="fence")  # of the target's permit; 0: none
     order_id: str = msgspec.field(default="", name="order")
 
 
 class BudgetUsage(msgspec.Struct):
-    """How much of a disruption budget is in use."""
+    """The use of a disruption budget."""
 
     name: str
     unavailable: int = msgspec.field(name="out")
@@ -263,7 +266,7 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """A member of the Raft group, as a replica knows it. -1: not known to it."""
+    """A member of the Raft group, as a replica knows it. -1: not known to the replica."""
 
     name: str
     incarnation: str = msgspec.field(name="life")
@@ -273,7 +276,7 @@
 
 
 class RaftStatus(msgspec.Struct, tag="record"):
-    """The state of an agent's replica, or of none."""
+    """The state of an agent's replica, or a status without a replica."""
 
     host: str
     role: str  # "none": this host has no replica
@@ -296,14 +299,14 @@
     target: str = msgspec.field(name="thing")
     host: str
     state: str  # old, changing, new
-    running_version: str = msgspec.field(name="runs")  # the version that its process reported
+    running_version: str = msgspec.field(name="runs")  # the version that the process reported
     phase: str
     report_age: int = msgspec.field(name="age")  # of that report
     why: str = ""
 
 
 class ReleaseStatus(msgspec.Struct, tag="release"):
-    """A release as it is committed, and what its rollout controller waits for."""
+    """A committed release, with the condition that the rollout controller waits for."""
 
     release_id: str = msgspec.field(name="ident")
     operator: str
--- a/oakkeel/agent/order_rules.py
+++ b/oakkeel/agent/order_rules.py
@@ -1,4 +1,4 @@
-"""The rules for orders on instances: what is rejected, and how a task ends. Free of I/O and state."""
+"""The rules for orders on instances: rejections, and the outcomes of tasks. Free of I/O and state."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderSubmission:
-    """An order as an operator sends it."""
+    """An order as sent by an operator."""
 
     order_id: str
     operator: str
     verb: Verb
     requested: tuple[tuple[str, int], ...]  # instances and the generations that the operator saw
-    lifetime_ns: int  # from when it is accepted
+    lifetime_ns: int  # from the acceptance of the order
     supersede: bool = False  # replace the open orders of the instances
 
 
 @dataclass(slots=True, frozen=True)
 class TaskOutcome:
-    """How a task ends, with the reason for the operator."""
+    """The final state of a task, with the reason for the operator."""
 
     state: HostTaskState
     why: str = ""
@@ -50,7 +50,7 @@
 
 
 def rejection_reason(task: Task, supersede: bool) -> str:
-    """Why an order is rejected for an instance; empty if it is accepted.
+    """The reason an order is rejected for an instance; empty if it is accepted.
 
     An order is made for the generation that its operator saw, so that of two concurrent orders the first
     wins.
@@ -94,7 +94,7 @@
 
 
 def _is_complete(task: Task) -> bool:
-    """Whether the instance has reached what the order asks for."""
+    """Whether the instance has reached the state that the order requests."""
     instance = task.instance
     verb = task.order.verb
     if verb in (Verb.STOP, Verb.DRAIN):
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -1,8 +1,8 @@
 """The processes of instances: starts, adopts, watches and signals them. No pid is trusted on its own.
 
-Each process holds a lock on its instance's lock file for its whole life: whoever can take that lock knows
-that no process of the instance is left, even if another agent started it. Signals go through a pidfd, which
-is opened before its owner is checked, so that a reused pid is never signalled.
+Each process holds a lock on its instance's lock file for its whole life: an agent that can take the lock
+knows that no process of the instance is left, even if another agent started it. Signals go through a pidfd,
+which is opened before its owner is checked, so that a reused pid is never signalled.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Writes the pid file before the program begins, so that the next agent finds it if this one ends in between.
+# Writes the pid file before the program begins, so that the next agent finds the process if this agent ends.
 START_SCRIPT = 'echo "$$ $OAKKEEL_GENERATION" >"$OAKKEEL_PID_FILE" && unset OAKKEEL_PID_FILE && exec "$@"'
 MAX_LOG_BYTES = 4 * 1024 * 1024  # of an instance's log: beyond it, the next start begins a new file
 MAX_PID_FILE_BYTES = 64
@@ -43,7 +43,7 @@
     """Processes with their files `NAME.lock`, `NAME.pid`, `NAME.sock` and `NAME.log` in the state folder."""
 
     def __init__(self, folder: str, on_exit: Callable[[Process, str], None]) -> None:
-        """`on_exit` is called once for each process, with how it ended."""
+        """`on_exit` is called once for each process, with its exit status as text."""
         self.folder = folder
         self.on_exit = on_exit
         self.watched: dict[int, Process] = {}  # by pidfd
@@ -53,8 +53,8 @@
         return os.path.join(self.folder, f"{name}.{suffix}")
 
     def spawn(self, name: str, generation: int, argv: list[str], variables: dict[str, str]) -> Process:
-        """Start a process of the instance. Raises ProcessError, also if one is still running."""
-        lock = self._lock(name)
+        """Start a process of the instance. Raises ProcessError, also if a process is still running."""
+        lock = self._acquire_lock(name)
         if lock < 0:
             raise ProcessError("a process of the instance is still running")
         log = self.path(name, "log")
@@ -62,7 +62,7 @@
             with contextlib.suppress(FileNotFoundError):
                 if os.path.getsize(log) > MAX_LOG_BYTES:
                     os.replace(log, log + ".1")
-            with open(log, "ab") as out:
+            with open(log, "ab") as output:
                 environment = {
                     **variables,
                     "OAKKEEL_GENERATION": str(generation),
@@ -73,21 +73,21 @@
                     env=environment,
                     pass_fds=(lock,),
                     stdin=subprocess.DEVNULL,
-                    stdout=out,
-                    stderr=out,
+                    stdout=output,
+                    stderr=output,
                     start_new_session=True,
                 )
         except OSError as error:
             raise ProcessError(str(error)) from error
         finally:
-            os.close(lock)  # the child holds it
-        child.returncode = 0  # `_exited` waits for it, so that its destructor does not
+            os.close(lock)  # the child holds the lock
+        child.returncode = 0  # `_exited` waits for the child, so that the destructor of `Popen` does not
         pidfd = os.pidfd_open(child.pid)
         return self._watch(Process(name, child.pid, read_start_ticks(child.pid), generation, pidfd))
 
     def is_running(self, name: str) -> bool:
         """Whether any process of the instance is running."""
-        lock = self._lock(name)
+        lock = self._acquire_lock(name)
         if lock >= 0:
             os.close(lock)
         return lock < 0
@@ -102,7 +102,7 @@
             return 0, 0
 
     def adopt(self, name: str) -> Process | None:
-        """Watch the process that an earlier agent started; None if it can't be identified."""
+        """Watch the process that an earlier agent started; None if the process can't be identified."""
         pid, generation = self.read_pid_file(name)
         if not pid:
             return None
@@ -125,7 +125,7 @@
             return False
         return True
 
-    def _lock(self, name: str) -> int:
+    def _acquire_lock(self, name: str) -> int:
         """A descriptor that holds the lock; -1 if another process holds it."""
         lock = os.open(self.path(name, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE)
         try:
@@ -136,12 +136,12 @@
         return lock
 
     def _has_lock_open(self, pid: int, name: str) -> bool:
-        lock = os.stat(self.path(name, "lock"))
+        lock_file = os.stat(self.path(name, "lock"))
         try:
-            for number in os.listdir(f"/proc/{pid}/fd"):
+            for descriptor in os.listdir(f"/proc/{pid}/fd"):
                 with contextlib.suppress(OSError):
-                    found = os.stat(f"/proc/{pid}/fd/{number}")
-                    if (found.st_dev, found.st_ino) == (lock.st_dev, lock.st_ino):
+                    open_file = os.stat(f"/proc/{pid}/fd/{descriptor}")
+                    if (open_file.st_dev, open_file.st_ino) == (lock_file.st_dev, lock_file.st_ino):
                         return True
         except OSError:
             pass
@@ -154,7 +154,7 @@
 
     def _exited(self, process: Process) -> None:
         self._unwatch(process)
-        why = "ended as the child of another process"  # its exit status is unknown
+        why = "ended as the child of another process"  # the exit status is unknown
         with contextlib.suppress(ChildProcessError):
             _, status = os.waitpid(process.pid, os.WNOHANG)
             code = os.waitstatus_to_exitcode(status)
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -1,8 +1,8 @@
 """Applies the leader's heartbeat responses on one host and builds its heartbeats. Free of I/O.
 
-The status reporter calls it for each heartbeat and response; `Agent.run_cycle` does not.
-It connects `PermitHolder`, which knows disruption permits, with `OrderRegistry` and `Supervisor`, which know
-instances.
+The status reporter calls the `Reconciler` for each heartbeat and response; `Agent.run_cycle` does not.
+The `Reconciler` connects `PermitHolder`, which knows disruption permits, with `OrderRegistry` and
+`Supervisor`, which know instances.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from oakkeel.rollout.messages import TargetStatus
 
 DEFAULT_GENERATION_BLOCK = 64
-CONTROL_PLANE = "the control plane"  # named as the operator who cancelled an order that has ended there
+CONTROL_PLANE = "the control plane"  # recorded as the operator who cancelled an order that has ended there
 # States of results on the wire.
 RESULT_STATES = {
     HostTaskState.DONE: "done",
@@ -45,29 +45,28 @@
         generation_block: int = DEFAULT_GENERATION_BLOCK,
         services: tuple[str, ...] = (),
     ) -> None:
-        """Limit each instance to the generations that are reserved for it, in blocks of
-        `generation_block`."""
+        """Limit instances to their reserved generations, reserved in blocks of `generation_block`."""
         self.supervisor = supervisor
         self.orders = orders
         self.permit_holder = permit_holder
         self.generation_block = generation_block
         self.services = DownstreamServices(permit_holder, services)
         self.assignments = VersionAssignments(services)
-        self.state_lost = False  # the state file is new: nothing starts before a response was received
+        self.is_state_lost = False  # whether the state file is new: nothing starts before a response arrives
         for instance in supervisor.instances:
             instance.generation_limit = permit_holder.generations.get(instance.name, 0)
         self.rejections: dict[tuple[str, str], str] = {}  # reasons by order and target
 
     def state_file_lost(self) -> None:
         """Recover generations, orders and goals from the next response, as none is stored here."""
-        self.state_lost = True
+        self.is_state_lost = True
 
     # Heartbeats.
 
     def build_heartbeat(self, now: int) -> Heartbeat:
         """The next heartbeat: states, results and generations to reserve."""
         self.services.advance(now)
-        serving = dict(self.services.up)
+        serving = dict(self.services.is_up)
         generation_limits: dict[str, int] = {}
         for instance in self.supervisor.instances:
             serving[instance.name] = instance.phase is Phase.SERVING
@@ -87,12 +86,12 @@
     def _needs_generations(self, instance: Instance) -> bool:
         """Whether less than half a block of reserved generations is left for an instance."""
         reserved = self.permit_holder.generations.get(instance.name, 0)
-        return not self.state_lost and instance.generation + self.generation_block // 2 > reserved
+        return not self.is_state_lost and instance.generation + self.generation_block // 2 > reserved
 
     def _target_statuses(self, now: int) -> list[TargetStatus]:
-        """What runs here and how it performs, for the rollout controller."""
+        """The versions that run here and their performance, for the rollout controller."""
         collect_samples = self.assignments.collect_samples
-        statuses = [service_status(name, up) for name, up in self.services.up.items()]
+        statuses = [service_status(name, is_up) for name, is_up in self.services.is_up.items()]
         statuses += [instance_status(now, each, collect_samples) for each in self.supervisor.instances]
         return statuses
 
@@ -108,14 +107,14 @@
             self.permit_holder.mark_unavailable(instance.name)
 
     def _task_results(self) -> list[TaskResult]:
-        """Results of tasks that the control plane takes for open and that are over here."""
+        """Results of tasks that are open in the control plane and over on this host."""
         results = self.services.results()
         for order in self.permit_holder.orders.values():
-            known = self.orders.orders.get(order.id)
-            tasks = {task.instance.name: task for task in known.tasks} if known else {}
+            known_order = self.orders.orders.get(order.id)
+            tasks = {task.instance.name: task for task in known_order.tasks} if known_order else {}
             for assigned in order.tasks:
                 target = assigned.target
-                if assigned.state not in OPEN_FLEET_TASK_STATES or target in self.services.up:
+                if assigned.state not in OPEN_FLEET_TASK_STATES or target in self.services.is_up:
                     continue
                 if result := self._task_result(order, target, assigned.state, tasks.get(target)):
                     results.append(result)
@@ -124,7 +123,7 @@
     def _task_result(
         self, order: AssignedOrder, target: str, state: str, task: Task | None
     ) -> TaskResult | None:
-        """The result of an open task, or None while it is not over here."""
+        """The result of an open task, or None while the task is not over on this host."""
         if task is not None and not task.is_open:
             return TaskResult(order.id, target, RESULT_STATES[task.state], task.why)
         if why := self.rejections.get((order.id, target)):
@@ -133,12 +132,12 @@
             return TaskResult(order.id, target, "done", "")
         is_over = bool(order.halted_by) or order.remaining <= 0
         if task is None and state == STARTED_STATE and is_over:
-            # It would stay open for ever: this agent no longer knows that it was started.
+            # The task would stay open for ever: this agent no longer knows that it was started.
             return TaskResult(order.id, target, "failed", "the agent lost its state file after the start")
         return None
 
     def _completed_before_loss(self, order: AssignedOrder, target: str) -> bool:
-        """Whether it was completed here, and the state file was lost before that was reported."""
+        """Whether a task was completed here, and the state file was lost before its result was reported."""
         permit = self.permit_holder.permits.get(target)
         instance = self.orders.instances.get(target)
         return bool(
@@ -160,7 +159,7 @@
         if not self.permit_holder.receive_response(now, sent_at, response):
             return []
         self.assignments.handle_response(response.extension)
-        if self.state_lost:
+        if self.is_state_lost:
             self._recover_state(now)
         elif is_first:
             self._skip_used_generations(stored_limits)
@@ -175,7 +174,7 @@
         return accepted
 
     def _apply_orders(self, now: int, assigned_orders: list[AssignedOrder]) -> list[Order]:
-        """Accept, halt or cancel the orders of a response. Returns those that are new here."""
+        """Accept, halt or cancel the orders of a response. Returns the orders that are new here."""
         accepted = []
         for assigned in assigned_orders:
             order = self.orders.orders.get(assigned.id)
@@ -193,18 +192,18 @@
 
     def _cancel_orders_that_ended(self, now: int, open_ids: set[str]) -> None:
         """Cancel waiting tasks of orders that are over in the replicated log: they must not start here."""
-        ended = [
+        ended_orders = [
             task.order
             for task in self.orders.open_tasks
             if task.state is HostTaskState.WAITING
             and task.order.verb is not Verb.START
             and task.order.order_id not in open_ids
         ]
-        for order in ended:
+        for order in ended_orders:
             self.orders.cancel(now, order.order_id, CONTROL_PLANE)
 
     def _recover_state(self, now: int) -> None:
-        """After the loss of the state file: skip used generations, and keep out what was taken out."""
+        """Skip used generations, and stop the instances that an order had stopped before the loss."""
         self._skip_used_generations({})
         for instance in self.supervisor.instances:
             permit = self.permit_holder.permits.get(instance.name)
@@ -218,7 +217,7 @@
             ):
                 kill = order.verb == Verb.STOP.value
                 self.supervisor.order_stop(now, instance, kill, cancellable=True)
-        self.state_lost = False
+        self.is_state_lost = False
 
     def _skip_used_generations(self, stored_limits: dict[str, int]) -> None:
         """Skip generations that were reserved beyond the stored limit: any of them may have been used."""
@@ -229,7 +228,7 @@
                 instance.dirty = True
 
     def _submit_order(self, now: int, assigned: AssignedOrder) -> Order | None:
-        """Submit an assigned order here; None if it is refused, or a reserved generation is missing."""
+        """Submit an assigned order; None if the order is refused, or a reserved generation is missing."""
         requested = self._open_requests(assigned)
         if not requested or not self._have_generations(requested):
             return None
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -1,4 +1,4 @@
-"""Handles the requests of operators and of other agents, those to the control plane apart."""
+"""Handles the requests of operators and other agents, except those to the control plane."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from oakkeel.units import SECOND
 
 MAX_LISTED_ORDERS = 200
-MAX_QUOTED_LENGTH = 20  # characters of a request that an error message repeats
+MAX_QUOTED_LENGTH = 20  # characters of a request that are quoted in an error message
 # The request is of the type that the handler is registered for.
 Handler = Callable[[Key, Any], messages.Response | Awaitable[messages.Response]]
 
@@ -36,7 +36,7 @@
             messages.PeerEnvelopesRequest: self._receive_envelopes,
             messages.HeartbeatRequest: self._receive_heartbeat,
             messages.HostStatusRequest: self._host_status,
-            messages.InstanceClientsRequest: self._clients,
+            messages.InstanceClientsRequest: self._instance_clients,
             messages.RaftStatusRequest: self._raft_status,
             messages.ListOrdersRequest: self._list_orders,
             messages.OrderRequest: self._submit_order,
@@ -45,7 +45,7 @@
         }
 
     def handle(self, key: Key, request: messages.Request) -> messages.Response | Awaitable[messages.Response]:
-        """Respond to one request that `key` has authenticated and may send."""
+        """Respond to one request that was authenticated with `key` and is allowed by its role."""
         return self._handlers[type(request)](key, request)
 
     # Requests of other agents.
@@ -79,18 +79,20 @@
             agent.supervisor,
             agent.started_at,
             list(agent.operator_notes()),
-            {instance: process.pid for instance, process in agent.executor.alive.items()},
+            {instance: process.pid for instance, process in agent.executor.running_processes.items()},
         )
 
     def _raft_status(self, key: Key, request: messages.RaftStatusRequest) -> messages.Response:
         agent = self.agent
         return raft_status(time.monotonic_ns(), agent.host.name, agent.raft, agent.status_reporter)
 
-    async def _clients(self, key: Key, request: messages.InstanceClientsRequest) -> messages.Response:
-        """Request the heaviest clients of a node, on a link of its own."""
+    async def _instance_clients(
+        self, key: Key, request: messages.InstanceClientsRequest
+    ) -> messages.Response:
+        """Request the heaviest clients of a node, over a separate control link."""
         agent = self.agent
         instance = agent.orders.instances.get(request.instance)
-        if instance is None or instance not in agent.executor.alive:
+        if instance is None or instance not in agent.executor.running_processes:
             return messages.ErrorResponse("this host has no such instance, or it is not running")
         client = ControlClient(agent.executor.processes.path(instance.name, "sock"))
         timeout = CONTROL_REQUEST_TIMEOUT_NS / SECOND
@@ -106,8 +108,10 @@
 
     def _list_orders(self, key: Key, request: messages.ListOrdersRequest) -> messages.Response:
         now = time.monotonic_ns()
-        latest = list(self.agent.orders.orders.values())[-max(1, min(request.limit, MAX_LISTED_ORDERS)) :]
-        return messages.OrderList([order_status(now, order) for order in reversed(latest)])
+        latest_orders = list(self.agent.orders.orders.values())[
+            -max(1, min(request.limit, MAX_LISTED_ORDERS)) :
+        ]
+        return messages.OrderList([order_status(now, order) for order in reversed(latest_orders)])
 
     def _cancel_order(self, key: Key, request: messages.CancelOrderRequest) -> messages.Response:
         agent = self.agent
@@ -129,7 +133,7 @@
             return messages.ErrorResponse(
                 "this fleet has a control plane: submit drains, stops and restarts to its leader"
             )
-        known = request.order_id in agent.orders.orders
+        is_known = request.order_id in agent.orders.orders
         try:
             submission = OrderSubmission(
                 request.order_id,
@@ -142,19 +146,19 @@
             order = agent.orders.submit(now, submission)
         except OrderRejectedError as error:
             return messages.ErrorResponse(str(error))
-        if order.is_open and not known:
+        if order.is_open and not is_known:
             if not agent.save():
                 agent.orders.undo(order)
                 return messages.ErrorResponse(
                     f"not accepted, as the state file can't be written: {agent.storage_error}"
                 )
             agent.orders.confirm(order)
-            _log_accepted(agent.log, order)
+            _log_order_accepted(agent.log, order)
             asyncio.get_running_loop().call_soon(agent.run_cycle)
         return order_status(now, order)
 
 
-def _log_accepted(log: EventLog, order: Order) -> None:
+def _log_order_accepted(log: EventLog, order: Order) -> None:
     """Log an order that was accepted."""
     log.info(
         "order_accepted",
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -38,7 +38,7 @@
 LISTEN_BACKLOG = 256
 FRAME_HEADER_BYTES = 4
 MAX_SIGNATURE_BYTES = 256  # of a response's frame, around its content
-# What a key that may only view is not accepted for.
+# Rejected for a key that may only view.
 ORDER_REQUESTS = (
     messages.OrderRequest,
     messages.CancelOrderRequest,
@@ -54,9 +54,9 @@
 class ServerLimits:
     """Limits that keep a client from exhausting the agent."""
 
-    connections: int = DEFAULT_MAX_CONNECTIONS
+    max_connections: int = DEFAULT_MAX_CONNECTIONS
     timeout_ns: int = 10 * SECOND  # for a whole request, and for the client to read a response
-    accepts: int = 16  # new connections in one pass of the event loop
+    max_accepts: int = 16  # new connections in one pass of the event loop
     rejection_log_interval_ns: int = SECOND  # between two log lines
 
 
@@ -71,7 +71,7 @@
         log: EventLog,
         limits: ServerLimits | None = None,
     ) -> None:
-        """Raises OSError if the address is in use. `keys` returns the keys that are valid by now."""
+        """Raises OSError if the address is in use. `keys` returns the keys that are valid now."""
         self.keys = keys
         self.handler = handler
         self.log = log
@@ -88,7 +88,7 @@
 
     def open(self) -> None:
         """Accept connections from now on."""
-        asyncio.get_running_loop().add_reader(self.socket, self._accept_some)
+        asyncio.get_running_loop().add_reader(self.socket, self._accept_connections)
 
     def close(self) -> None:
         """Close the socket and all connections."""
@@ -97,21 +97,21 @@
         for stream in list(self.connections):
             stream.close()
 
-    def _accept_some(self) -> None:
+    def _accept_connections(self) -> None:
         with contextlib.suppress(OSError):
-            for _ in range(self.limits.accepts):
-                accepted, _ = self.socket.accept()
-                accepted.setblocking(False)
-                if len(self.connections) >= self.limits.connections:
+            for _ in range(self.limits.max_accepts):
+                connection, _ = self.socket.accept()
+                connection.setblocking(False)
+                if len(self.connections) >= self.limits.max_connections:
                     self._close_oldest()
-                stream = IOStream(accepted, max_buffer_size=MAX_FRAME_BYTES + FRAME_HEADER_BYTES)
+                stream = IOStream(connection, max_buffer_size=MAX_FRAME_BYTES + FRAME_HEADER_BYTES)
                 self.connections[stream] = asyncio.ensure_future(self._serve(stream))
 
     def _close_oldest(self) -> None:
-        """Close the oldest connection: it had the most time for its request."""
-        oldest = next(iter(self.connections))
-        del self.connections[oldest]
-        oldest.close()
+        """Close the oldest connection: its client had the most time for a request."""
+        oldest_stream = next(iter(self.connections))
+        del self.connections[oldest_stream]
+        oldest_stream.close()
 
     async def _serve(self, stream: IOStream) -> None:
         try:
@@ -139,7 +139,8 @@
         max_bytes = MAX_FRAME_BYTES
         while True:
             async with asyncio.timeout(timeout):
-                # A client that always sends must not keep the event loop: a done future does not yield.
+                # Yields to other tasks: a client that always sends must not hold the event loop, and awaiting
+                # a done future does not yield.
                 await asyncio.sleep(0)
                 content = await read_frame(stream, max_bytes)
             try:
@@ -154,9 +155,9 @@
             response = messages.encode(await self._respond(key, request))
             if len(response) > MAX_RESPONSE_BYTES - MAX_SIGNATURE_BYTES:
                 response = messages.encode(messages.ErrorResponse("the response is too long; ask for less"))
-            written = stream.write(frame(authenticator.sign(time.time_ns(), response)))
+            write_future = stream.write(frame(authenticator.sign(time.time_ns(), response)))
             async with asyncio.timeout(timeout):
-                await asyncio.shield(written)
+                await asyncio.shield(write_future)
 
     async def _respond(self, key: Key, content: bytes) -> messages.Response:
         try:
@@ -172,14 +173,14 @@
             )
             return messages.ErrorResponse(f"{key.operator} may only view")
         try:
-            answer = self.handler(key, request)
-            return await answer if isinstance(answer, Awaitable) else answer
+            response = self.handler(key, request)
+            return await response if isinstance(response, Awaitable) else response
         except Exception as error:  # the sender gets an error response, and the agent continues
             self.log.error("agent_request_failed", operator=key.operator, error=describe_error(error))
             return messages.ErrorResponse("internal error of the agent; its log has the cause")
 
     def _log_rejection(self, why: str) -> None:
-        """Log a rejection with the number of those since the last line; at most one line an interval."""
+        """Log the number of rejections since the last such line, at most once per interval."""
         self.rejected += 1
         now = time.monotonic_ns()
         is_due = now - self.rejection_logged_at >= self.limits.rejection_log_interval_ns
