--- a/oakkeel/store/content_store.py
+++ b/oakkeel/store/content_store.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Content:
-    """The parts of a version, each by its hash; for an empty one the operators' settings apply."""
+    """The hashes of the parts of a version. Where a hash is empty, the operators' settings apply."""
 
     program: str = ""  # a folder
     patch: str = ""  # a file, merged into the configuration (RFC 7396)
@@ -49,7 +49,7 @@
 
 def list_files(folder: str) -> list[str]:
     """Return the relative paths of a program's files, sorted. Raises ContentError."""
-    found: list[str] = []
+    paths: list[str] = []
     size = 0
     if not os.path.isdir(folder):
         raise ContentError(f"{folder} is not a folder")
@@ -60,13 +60,13 @@
             if os.path.islink(path) or not os.path.isfile(path):
                 raise ContentError(f"{path} is neither a file nor a folder")
             size += os.path.getsize(path)
-            found.append(os.path.relpath(path, folder))
-    if len(found) > MAX_FILES or size > MAX_BYTES:
+            paths.append(os.path.relpath(path, folder))
+    if len(paths) > MAX_FILES or size > MAX_BYTES:
         raise ContentError(
-            f"{folder} has {len(found)} files with {size} bytes;"
+            f"{folder} has {len(paths)} files with {size} bytes;"
             f" {MAX_FILES} files with {MAX_BYTES} bytes are allowed"
         )
-    return sorted(found)
+    return sorted(paths)
 
 
 def hash_folder(folder: str, prefix: str = "") -> str:
@@ -114,42 +114,42 @@
         """Use a folder, which need not exist yet."""
         self.folder = folder
 
-    def path(self, name: str) -> str:
-        """Return the path of the copy with a hash, which need not exist."""
-        return os.path.join(self.folder, "content", name)
+    def path(self, content_hash: str) -> str:
+        """Return the path of the copy with a hash; the copy need not exist."""
+        return os.path.join(self.folder, "content", content_hash)
 
     def add_folder(self, folder: str, prefix: str = "") -> str:
-        """Copy a folder and return its hash. Raises ContentError, also if the folder changed meanwhile."""
-        name = hash_folder(folder, prefix)
-        if not os.path.exists(self.path(name)):
-            temporary = self._make_temporary(name)
+        """Copy a folder and return its hash. Raises ContentError, also if the folder changes during it."""
+        content_hash = hash_folder(folder, prefix)
+        if not os.path.exists(self.path(content_hash)):
+            temporary = self._make_temporary(content_hash)
             for file in list_files(folder):
                 target = os.path.join(temporary, prefix, file)
                 os.makedirs(os.path.dirname(target), exist_ok=True)
                 shutil.copy(os.path.join(folder, file), target)
-            self._publish(temporary, name, hash_folder(temporary))
-        return name
+            self._publish(temporary, content_hash, hash_folder(temporary))
+        return content_hash
 
     def add_file(self, path: str) -> str:
         """Copy a file and return its hash. Raises ContentError."""
-        name = hash_file(path)
-        if not os.path.exists(self.path(name)):
-            temporary = self._make_temporary(name)
+        content_hash = hash_file(path)
+        if not os.path.exists(self.path(content_hash)):
+            temporary = self._make_temporary(content_hash)
             shutil.rmtree(temporary)
             shutil.copy(path, temporary)
-            self._publish(temporary, name, hash_file(temporary))
-        return name
+            self._publish(temporary, content_hash, hash_file(temporary))
+        return content_hash
 
-    def _make_temporary(self, name: str) -> str:
-        temporary = self.path(f"{name}.new-{os.getpid()}")
+    def _make_temporary(self, content_hash: str) -> str:
+        temporary = self.path(f"{content_hash}.new-{os.getpid()}")
         shutil.rmtree(temporary, ignore_errors=True)
         os.makedirs(temporary)
         return temporary
 
-    def _publish(self, temporary: str, name: str, found: str) -> None:
-        if found != name:
-            raise ContentError(f"{name} changed while it was copied: try again")
-        os.rename(temporary, self.path(name))
+    def _publish(self, temporary: str, content_hash: str, copy_hash: str) -> None:
+        if copy_hash != content_hash:
+            raise ContentError(f"the source of {self.path(content_hash)} changed during the copy: try again")
+        os.rename(temporary, self.path(content_hash))
 
     def add_version(self, content: Content) -> str:
         """Record the parts of a version, and return the version."""
@@ -169,11 +169,11 @@
         except (ContentError, KeyError):
             return None
         parts = [part for part in (content.program, content.patch, content.config) if part]
-        complete = content.version == version and all(os.path.exists(self.path(part)) for part in parts)
-        return content if complete else None
+        is_complete = content.version == version and all(os.path.exists(self.path(part)) for part in parts)
+        return content if is_complete else None
 
     def prune(self, needed: set[str]) -> list[str]:
-        """Remove the versions that are not needed, and unused copies. Returns the removed versions."""
+        """Remove the versions not in `needed`, and unused copies. Returns the removed versions."""
         removed: list[str] = []
         used: set[str] = set()
         if not os.path.isdir(self.folder):
--- a/oakkeel/store/database.py
+++ b/oakkeel/store/database.py
@@ -11,7 +11,7 @@
 
 from oakkeel.errors import OakkeelError
 
-APPLICATION_ID = 0x6F616B6B  # identifies a database of oakkeel
+APPLICATION_ID = 0x6F616B6B  # identifies an Oakkeel database
 DEFAULT_MAX_BYTES = 64 * 1024 * 1024
 MIN_PAGES = 16
 LOCK_TIMEOUT_S = 2.0
@@ -24,7 +24,7 @@
 
 
 def quarantine(path: str) -> str:
-    """Rename the files of a closed database, with the time and process. Returns the new name of the first."""
+    """Rename the files of a closed database by time and process ID. Returns the main file's new path."""
     quarantined = f"{path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
     for suffix in FILE_SUFFIXES:
         with contextlib.suppress(FileNotFoundError):
@@ -35,8 +35,8 @@
 class Database:
     """A database file. A damaged one is quarantined (renamed) and replaced by an empty one.
 
-    `quarantined` has the name of the renamed file and the cause, or is empty. `created` is whether the file
-    was created empty.
+    `quarantined` has the path of the renamed file and the cause; it is empty if no file was quarantined.
+    `created` tells whether the file was created empty.
     """
 
     def __init__(self, path: str, schema: str, version: int, max_bytes: int = DEFAULT_MAX_BYTES) -> None:
@@ -74,12 +74,12 @@
         """Return why the file can't be used; empty if it can."""
         try:
             with contextlib.closing(self._connect()) as self.connection:
-                if (found := self.read_pragma("application_id")) != APPLICATION_ID:
-                    return f"not a database of oakkeel (application ID {found:#x})"
-                if (found := self.read_pragma("user_version")) != self.version:
-                    return f"schema version {found}, expected {self.version}"
-                checked = self.connection.execute("PRAGMA quick_check(1)").fetchone()[0]
-                return "" if checked == "ok" else f"damaged: {checked}"
+                if (actual := self.read_pragma("application_id")) != APPLICATION_ID:
+                    return f"not a database of oakkeel (application ID {actual:#x})"
+                if (actual := self.read_pragma("user_version")) != self.version:
+                    return f"schema version {actual}, expected {self.version}"
+                result = self.connection.execute("PRAGMA quick_check(1)").fetchone()[0]
+                return "" if result == "ok" else f"damaged: {result}"
         except sqlite3.Error as error:
             return f"damaged: {error}"
 
@@ -87,17 +87,17 @@
         """Execute statements in one transaction, which is durable on return. Raises DatabaseError."""
         try:
             self.connection.execute("BEGIN IMMEDIATE")
-            for text, values in statements:
-                self.connection.execute(text, values)
+            for sql, values in statements:
+                self.connection.execute(sql, values)
             self.connection.execute("COMMIT")
         except sqlite3.Error as error:
             with contextlib.suppress(sqlite3.Error):
                 self.connection.execute("ROLLBACK")
             raise DatabaseError(str(error)) from error
 
-    def read(self, text: str) -> list[tuple[Any, ...]]:
+    def read(self, sql: str) -> list[tuple[Any, ...]]:
         """Return the rows of a query."""
-        return self.connection.execute(text).fetchall()
+        return self.connection.execute(sql).fetchall()
 
     def close(self) -> None:
         """Close the file."""
--- a/tests/store/test_content_store.py
+++ b/tests/store/test_content_store.py
@@ -1,4 +1,4 @@
-"""Programs and configurations stored by their content."""
+"""The content store: copies by hash, pruning, and merge patches."""
 
 import os
 import tempfile
@@ -21,14 +21,14 @@
         with open(os.path.join(self.program, name), "w", encoding="ascii") as file:
             file.write(text)
 
-    def test_copy_survives_change_of_its_source(self):
-        name = self.store.add_folder(self.program)
-        version = self.store.add_version(Content(name))
+    def test_copy_is_independent_of_its_source(self):
+        content_hash = self.store.add_folder(self.program)
+        version = self.store.add_version(Content(content_hash))
         self.write("sub/data", "2")
-        self.assertNotEqual(hash_folder(self.program), name)
-        self.assertEqual(hash_folder(self.store.path(name)), name)
-        self.assertEqual(self.store.find(version), Content(name))
-        self.assertEqual(self.store.add_folder(self.store.path(name)), name)
+        self.assertNotEqual(hash_folder(self.program), content_hash)
+        self.assertEqual(hash_folder(self.store.path(content_hash)), content_hash)
+        self.assertEqual(self.store.find(version), Content(content_hash))
+        self.assertEqual(self.store.add_folder(self.store.path(content_hash)), content_hash)
 
     def test_hash_covers_names_contents_and_permissions(self):
         first = hash_folder(self.program)
@@ -46,9 +46,9 @@
     def test_prunes_unneeded_versions_and_their_copies(self):
         retained = self.store.add_version(Content(self.store.add_folder(self.program)))
         self.write("sub/data", "2")
-        other = self.store.add_version(Content(self.store.add_folder(self.program)))
-        self.assertEqual(self.store.prune({retained}), [other])
-        self.assertIsNone(self.store.find(other))
+        unneeded = self.store.add_version(Content(self.store.add_folder(self.program)))
+        self.assertEqual(self.store.prune({retained}), [unneeded])
+        self.assertIsNone(self.store.find(unneeded))
         self.assertIsNotNone(self.store.find(retained))
         self.assertEqual(len(os.listdir(os.path.join(self.store.folder, "content"))), 1)
 
--- a/tests/store/test_database.py
+++ b/tests/store/test_database.py
@@ -20,19 +20,19 @@
         self.addCleanup(database.close)
         return database
 
-    def put(self, database: Database, word: str) -> None:
+    def insert_word(self, database: Database, word: str) -> None:
         database.write([("INSERT INTO words VALUES (?)", (word,))])
 
-    def test_written_rows_are_there_after_reopening(self):
-        self.put(self.open(), "kept")
+    def test_written_rows_are_read_after_reopening(self):
+        self.insert_word(self.open(), "kept")
         reopened = self.open()
         self.assertEqual((reopened.read("SELECT * FROM words"), reopened.quarantined), ([("kept",)], ""))
 
-    def test_quarantines_and_names_file_of_other_version_damaged_or_foreign(self):
-        for damage in (lambda: None, self._damage, self._replace_by_foreign_file):
+    def test_quarantines_damaged_and_foreign_files_and_those_of_another_version(self):
+        for damage in (lambda: None, self._overwrite_second_page, self._replace_with_foreign_file):
             database = Database(self.path, self.SCHEMA, 1)
             for number in range(500):
-                self.put(database, "kept" * 50 + str(number)) if number < 40 else None
+                self.insert_word(database, "kept" * 50 + str(number)) if number < 40 else None
             database.close()
             damage()
             reopened = Database(self.path, self.SCHEMA, 2)
@@ -44,12 +44,12 @@
             os.rename(quarantined_file, quarantined_file + str(id(damage)))
             os.remove(self.path)
 
-    def _damage(self) -> None:
+    def _overwrite_second_page(self) -> None:
         with open(self.path, "r+b") as file:
             file.seek(4096)
             file.write(b"\xff" * 4096)
 
-    def _replace_by_foreign_file(self) -> None:
+    def _replace_with_foreign_file(self) -> None:
         os.remove(self.path)
         connection = sqlite3.connect(self.path)
         connection.execute("CREATE TABLE words (word TEXT)")
@@ -60,7 +60,7 @@
         with self.assertRaisesRegex(DatabaseError, "full"):
             database.write([("INSERT INTO words VALUES (?)", ("x" * 1000,))] * 200)
         self.assertEqual(database.read("SELECT count(*) FROM words"), [(0,)])
-        self.put(database, "small")
+        self.insert_word(database, "small")
 
     def test_missing_folder_is_an_error_that_names_it(self):
         with self.assertRaisesRegex(DatabaseError, "nowhere"):
