--- a/oakkeel/authentication/__init__.py
+++ b/oakkeel/authentication/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between command line and agents: framed, and authenticated with a shared key."""
+"""Framed messages between the command line and agents, authenticated with a shared key."""
--- a/oakkeel/authentication/client.py
+++ b/oakkeel/authentication/client.py
@@ -27,11 +27,11 @@
 
 
 class AuthenticationRejectedError(LinkError):
-    """The peer rejected our key, or could not authenticate itself."""
+    """The peer rejected the client's key, or could not authenticate itself."""
 
 
 class AuthenticatedClient:
-    """A connection to one agent, opened again by the request that follows an error."""
+    """A connection to one agent; after an error the next request opens it again."""
 
     def __init__(self, address: tuple[str, int], key: Key) -> None:
         """The first request opens the connection."""
@@ -41,10 +41,10 @@
         self.authenticator: ClientAuthenticator | None = None
 
     async def request(self, content: bytes, timeout: float | None = None) -> bytes:
-        """Send a request and return the response. `timeout` in seconds.
+        """Send a request and return the response. `timeout` is in seconds.
 
-        Raises LinkError. The connection is closed then, so that a late response is not mistaken for that of
-        the next request.
+        Raises LinkError, and closes the connection before that, so that a late response is not taken for the
+        response to the next request.
         """
         try:
             async with asyncio.timeout(timeout):  # `wait_for` may lose a cancellation, before Python 3.12
@@ -56,9 +56,9 @@
             self.close()
             if isinstance(error, LinkError):
                 raise
-            real = getattr(error, "real_error", None) or error
+            cause = getattr(error, "real_error", None) or error
             raise LinkError(
-                getattr(real, "strerror", None) or str(real) or "the connection was closed"
+                getattr(cause, "strerror", None) or str(cause) or "the connection was closed"
             ) from error
         except asyncio.CancelledError:
             self.close()
--- a/oakkeel/authentication/framing.py
+++ b/oakkeel/authentication/framing.py
@@ -6,11 +6,11 @@
 
 from oakkeel.errors import OakkeelError
 
-MAX_FRAME_BYTES = 128 * 1024  # of the content of a frame from a peer that is not authenticated yet
+MAX_FRAME_BYTES = 128 * 1024  # content of a frame from a peer that is not authenticated yet
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 LENGTH_BYTES = 4
-HELLO = b"oakkeel 1 "  # the first frame of a connection: this, then the challenge
-REFUSED = b"refused"  # the response to a message that is rejected; it has no reason
+HELLO = b"oakkeel 1 "  # start of the first frame of a connection; the challenge follows
+REFUSED = b"refused"  # the response to a rejected message, without the cause
 
 
 class FrameError(OakkeelError, ValueError):
@@ -26,7 +26,7 @@
 
 
 def frame(content: bytes) -> bytes:
-    """Return the frame with a content. Raises FrameError."""
+    """Return the frame that holds a content. Raises FrameError."""
     if not 0 < len(content) <= MAX_RESPONSE_BYTES:
         raise FrameError(f"can't send a frame of {len(content)} bytes; 1 to {MAX_RESPONSE_BYTES} are allowed")
     return len(content).to_bytes(LENGTH_BYTES, "big") + content
--- a/oakkeel/authentication/mac.py
+++ b/oakkeel/authentication/mac.py
@@ -2,9 +2,9 @@
 
 A connection starts with a challenge by the agent. Each message on it has a MAC over the challenge, the
 sequence number of the message on the connection, the client's nonce, the sender's time and the content. A
-replay on another connection fails by the challenge, one on the same connection by the sequence number; both
-checks are independent of the hosts' clocks. A challenge has a maximum lifetime, so that a message can't be
-delayed for long.
+replay on another connection is rejected because the challenge differs, a replay on the same connection
+because the sequence number differs; both checks are independent of the hosts' clocks. A challenge has a
+maximum lifetime, so that a message can't be delayed for long.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 NONCE_BYTES = 16
 SECRET_BYTES = 32
 MAC_BYTES = 32
-NUMBER_BYTES = 8  # of lengths, sequence numbers and times in the input of a MAC
-MAX_TIME = (1 << 63) - 1
+NUMBER_BYTES = 8  # size of lengths, sequence numbers and times in the input of a MAC
+MAX_UNIX_TIME_NS = (1 << 63) - 1
 MAX_CHALLENGE_LIFETIME_NS = 10 * SECOND
 REQUEST_KIND = b"ask"
 RESPONSE_KIND = b"answer"
 
 
 class Role(IntEnum):
-    """What a key allows. `ACT` includes `VIEW`; `AGENT` is for messages between agents only."""
+    """The permission that a key gives. `ACT` includes `VIEW`; `AGENT` is for messages between agents only."""
 
     AGENT = 0
     VIEW = 1
@@ -46,7 +46,7 @@
     operator: str
     role: Role
     secret: bytes
-    expires: int = 0  # Unix time in nanoseconds from which it is invalid; 0: never
+    expires: int = 0  # Unix time in nanoseconds from which the key is invalid; 0: never
 
 
 class AuthenticatedMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MacInput:
-    """What the MAC of a message covers."""
+    """The fields that the MAC of a message covers."""
 
     kind: bytes
     challenge: bytes
@@ -78,7 +78,7 @@
     time: int
     content: bytes
 
-    def mac(self, secret: bytes) -> bytes:
+    def compute_mac(self, secret: bytes) -> bytes:
         """Return the MAC with the secret of a key."""
         hasher = blake3.blake3(key=secret)
         parts = (
@@ -102,7 +102,7 @@
     def __init__(
         self, key: Key, challenge: bytes, make_nonce: Callable[[], bytes], unix_time: Callable[[], int]
     ) -> None:
-        """Use `key` for the agent's challenge. `unix_time` returns nanoseconds."""
+        """Sign with `key` for the agent's challenge. `unix_time` returns nanoseconds."""
         self.key = key
         self.challenge = challenge
         self.make_nonce = make_nonce
@@ -123,7 +123,7 @@
         response = MacInput(
             RESPONSE_KIND, self.challenge, self.sequence, self.nonce, message.time, message.content
         )
-        if not hmac.compare_digest(response.mac(self.key.secret), message.mac):
+        if not hmac.compare_digest(response.compute_mac(self.key.secret), message.mac):
             raise AuthenticationError("the response has a wrong MAC: another key, or another request")
         return message.content
 
@@ -145,10 +145,10 @@
         self.max_lifetime_ns = max_lifetime_ns
         self.sequence = 0
 
-    def verify(self, now: int, unix: int, frame: bytes) -> tuple[Key, bytes]:
+    def verify(self, now: int, unix_now: int, frame: bytes) -> tuple[Key, bytes]:
         """Return the key of a request and its content. Raises AuthenticationError.
 
-        `now` is in monotonic nanoseconds, `unix` the Unix time in nanoseconds.
+        `now` is in monotonic nanoseconds, `unix_now` the Unix time in nanoseconds.
         """
         message = _decode(frame)
         key = self.keys.get(message.key)
@@ -158,13 +158,13 @@
         request = MacInput(
             REQUEST_KIND, self.challenge, sequence, message.nonce, message.time, message.content
         )
-        if not hmac.compare_digest(request.mac(key.secret), message.mac):
+        if not hmac.compare_digest(request.compute_mac(key.secret), message.mac):
             raise AuthenticationError(
                 f"key {key.ident}: wrong MAC; the message was altered, replayed or made with another secret"
             )
         if now - self.issued_at > self.max_lifetime_ns:
             raise AuthenticationError(f"key {key.ident}: the challenge has expired")
-        if key.expires and unix >= key.expires:
+        if key.expires and unix_now >= key.expires:
             raise AuthenticationError(f"key {key.ident} has expired: replace it")
         self.sequence = sequence
         self.nonce = message.nonce
@@ -172,15 +172,15 @@
         self.issued_at = now  # each valid message extends the lifetime of the challenge
         return key, message.content
 
-    def sign(self, unix: int, content: bytes) -> bytes:
+    def sign(self, unix_now: int, content: bytes) -> bytes:
         """Return the frame of the response to the last verified request."""
-        response = MacInput(RESPONSE_KIND, self.challenge, self.sequence, self.nonce, unix, content)
+        response = MacInput(RESPONSE_KIND, self.challenge, self.sequence, self.nonce, unix_now, content)
         return _encode(self.key, response)
 
 
-def _encode(key: Key, signed: MacInput) -> bytes:
+def _encode(key: Key, mac_input: MacInput) -> bytes:
     message = AuthenticatedMessage(
-        key.ident, signed.nonce, signed.time, signed.content, signed.mac(key.secret)
+        key.ident, mac_input.nonce, mac_input.time, mac_input.content, mac_input.compute_mac(key.secret)
     )
     return _encoder.encode(message)
 
@@ -192,6 +192,6 @@
         raise AuthenticationError(f"the message can't be decoded: {error}") from error
     if len(message.nonce) != NONCE_BYTES or len(message.mac) != MAC_BYTES:
         raise AuthenticationError("the nonce or the MAC has a wrong length")
-    if not 0 <= message.time <= MAX_TIME:
+    if not 0 <= message.time <= MAX_UNIX_TIME_NS:
         raise AuthenticationError("the time is out of range")
     return message
--- a/oakkeel/store/content_store.py
+++ b/oakkeel/store/content_store.py
@@ -119,7 +119,7 @@
         return os.path.join(self.folder, "content", content_hash)
 
     def add_folder(self, folder: str, prefix: str = "") -> str:
-        """Copy a folder and return its hash. Raises ContentError, also if the folder changes during it."""
+        """Copy a folder and return its hash. Raises ContentError, also if the folder changes meanwhile."""
         content_hash = hash_folder(folder, prefix)
         if not os.path.exists(self.path(content_hash)):
             temporary = self._make_temporary(content_hash)
--- a/tests/authentication/test_mac.py
+++ b/tests/authentication/test_mac.py
@@ -1,4 +1,4 @@
-"""Accepted and rejected messages of the authenticated connection."""
+"""Messages that an authenticated connection accepts and rejects."""
 
 import secrets
 import time
@@ -42,33 +42,35 @@
                 self.assertEqual((found_key, content), (key, b"ask %d" % number))
                 self.assertEqual(client.verify(server.sign(0, b"response")), b"response")
 
-    def assert_rejected(self, server: ServerAuthenticator, frame: bytes, now: int = 0, unix: int = 0) -> None:
+    def assert_rejected(
+        self, server: ServerAuthenticator, frame: bytes, now: int = 0, unix_now: int = 0
+    ) -> None:
         with self.assertRaises(AuthenticationError):
-            server.verify(now, unix, frame)
+            server.verify(now, unix_now, frame)
 
     def test_rejects_replayed_altered_foreign_late_and_expired_messages(self):
         client, server = self.make_pair(self.old)
         frame = client.sign(b"stop n1")
         server.verify(0, 0, frame)
         self.assert_rejected(server, frame)  # on the same connection
-        self.assert_rejected(self.make_pair(self.old)[1], frame)  # on another
+        self.assert_rejected(self.make_pair(self.old)[1], frame)  # on another connection
         client, server = self.make_pair(self.old)
-        good = client.sign(b"stop n1")
-        self.assert_rejected(server, good.replace(b"n1", b"n2"))
-        server.verify(0, 0, good)
+        frame = client.sign(b"stop n1")
+        self.assert_rejected(server, frame.replace(b"n1", b"n2"))
+        server.verify(0, 0, frame)
         client, server = self.make_pair(self.foreign)
         self.assert_rejected(server, client.sign(b"stop n1"))
         client, server = self.make_pair(self.old)
         self.assert_rejected(server, client.sign(b"stop n1"), now=11 * SECOND)
         expired = Key("a-1", "asha", Role.ACT, self.old.secret, expires=5 * SECOND)
         client, server = self.make_pair(expired, {"a-1": expired})
-        self.assert_rejected(server, client.sign(b"stop n1"), unix=5 * SECOND)
+        self.assert_rejected(server, client.sign(b"stop n1"), unix_now=5 * SECOND)
 
-    def test_clock_set_back_admits_no_old_message(self):
+    def test_rejects_a_replay_after_the_clock_was_set_back(self):
         client, server = self.make_pair(self.old)
         frame = client.sign(b"stop n1")
         server.verify(0, 3600 * SECOND, frame)
-        self.assert_rejected(self.make_pair(self.old)[1], frame, unix=0)
+        self.assert_rejected(self.make_pair(self.old)[1], frame, unix_now=0)
 
     def test_rejects_response_to_another_request(self):
         client, server = self.make_pair(self.old)
