--- a/oakkeel/policy_change/__init__.py
+++ b/oakkeel/policy_change/__init__.py
@@ -1,4 +1,4 @@
 """Atomic changes of a fleet's policy: a version is in force on all hosts, or on none. Free of I/O.
 
-No production package imports it yet: `emulator` plays it, and `invariants` and `models` check it.
+No production package imports it yet: `emulator` simulates it, and `invariants` and `models` check it.
 """
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -1,9 +1,10 @@
-"""The leader's part of a policy change: hosts prepare a version, it is decided, then in force. Free of I/O.
+"""The leader's part of a policy change: it collects reports and assigns versions. Free of I/O.
 
-An agent is assigned the decided version with a lease, whose time counts by the agent's clock from when it
-sent its heartbeat. After the decision no earlier version is assigned. So no node uses an earlier version once
-the longest lease has expired, by any clock within the drift, whichever leader assigned it: by then the change
-is in force. It is in force earlier if all hosts have reported that they use it.
+All hosts prepare a proposed version; then it is decided, and after that in force. The leader assigns the
+decided version to an agent with a lease, which starts, by the agent's clock, when the agent sent its
+heartbeat. After the decision no leader assigns an earlier version. So once the longest lease has expired, by
+any clock within the maximum drift, no node uses an earlier version, and the decided version is in force. It
+is in force earlier if all hosts have reported that they use it.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 from oakkeel.units import SECOND
 
 POLICY_LEASE_NS = 3 * SECOND
-HOST_TIMEOUT_NS = 5 * SECOND  # longer than the lease, so that a silent host has none any more
+HOST_TIMEOUT_NS = 5 * SECOND  # longer than the lease, so that the lease of a silent host has expired
 
 
 class PolicyReport(msgspec.Struct, array_like=True):
     """The policy versions of an agent, reported with its heartbeat."""
 
-    number: int  # the lowest version that a node of the agent uses; -1: one has not reported yet
+    number: int  # the lowest version that a node of the agent uses; -1: a node has not reported yet
     held_version: int = 0  # the version whose content the agent has
     ready_version: int = 0  # the proposed version that all its nodes accept; 0: none
     refused_version: int = 0
@@ -41,7 +42,7 @@
 
     number: int
     valid_for: int  # nanoseconds, from when the heartbeat was sent
-    content: bytes = b""  # empty if the agent has it
+    content: bytes = b""  # empty if the agent already has it
     proposed_number: int = 0
     proposed_content: bytes = b""  # empty if the agent is ready
 
@@ -50,7 +51,7 @@
 class HostProgress:
     """The last report of one host."""
 
-    reported_at: int  # nanoseconds of the leader's clock, the earliest possible time
+    reported_at: int  # earliest time at which the report was sent, in nanoseconds of the leader's clock
     number: int
     ready_version: int
 
@@ -61,22 +62,22 @@
     def __init__(
         self, now: int, state_machine: PolicyStateMachine, hosts: tuple[str, ...], timeouts: PermitTimeouts
     ) -> None:
-        """Start at `now`, in nanoseconds of the leader's clock; a version needs all of `hosts`."""
+        """Start at `now`, in nanoseconds of the leader's clock; all `hosts` must be ready for a version."""
         self.state_machine = state_machine
         self.hosts = hosts
         self.timeouts = timeouts
         self.started_at = now
         self.progress: dict[str, HostProgress] = {}
-        self.decided_since: dict[int, int] = {}  # by number: since then no earlier version has been assigned
-        self.offered_since: dict[int, int] = {}  # by number: when this leader first proposed it to hosts
-        self.pending: set[bytes] = set()
+        self.decision_seen_at: dict[int, int] = {}  # by number: no earlier version is assigned from then on
+        self.first_offered_at: dict[int, int] = {}  # by number: when this leader first offered it to hosts
+        self.pending: set[bytes] = set()  # encoded commands that a call has returned
 
     def receive_report(self, now: int, host: str, report: PolicyReport, alive_at: int) -> list[PolicyCommand]:
         """Record a report that was sent after `alive_at`, by the leader's clock."""
         if host not in self.hosts:
             return []
-        known = self.progress.get(host)
-        if known is None or alive_at >= known.reported_at:
+        previous = self.progress.get(host)
+        if previous is None or alive_at >= previous.reported_at:
             self.progress[host] = HostProgress(alive_at, report.number, report.ready_version)
         proposed = self.state_machine.proposed
         if proposed and report.refused_version == proposed.number:
@@ -100,28 +101,30 @@
         """Return the commands that commit the proposed version, and mark the decided one as in force."""
         state = self.state_machine.state
         proposed = self.state_machine.proposed
-        wanted: list[PolicyCommand] = []
+        commands: list[PolicyCommand] = []
         if proposed:
-            offered_at = self.offered_since.setdefault(proposed.number, now)
+            offered_at = self.first_offered_at.setdefault(proposed.number, now)
             if all(self._is_ready(now, host, proposed.number, offered_at) for host in self.hosts):
-                wanted.append(CommitPolicy(proposed.number))
+                commands.append(CommitPolicy(proposed.number))
         current = state.policies.get(state.decided)
         if current and current.state == "decided":
-            since = self.decided_since.setdefault(current.number, now)
-            if self._is_in_force(now, current.number, since):
-                wanted.append(MarkInForce(current.number))
-        return self._deduplicate(wanted)
+            seen_at = self.decision_seen_at.setdefault(current.number, now)
+            if self._is_in_force(now, current.number, seen_at):
+                commands.append(MarkInForce(current.number))
+        return self._deduplicate(commands)
 
-    def _is_in_force(self, now: int, number: int, since: int) -> bool:
+    def _is_in_force(self, now: int, number: int, seen_at: int) -> bool:
         """Return whether no request is decided under an earlier version any more.
 
-        That is so once all leases of earlier versions, assigned before `since`, have expired, or once all
-        hosts have reported the version.
+        All leases on earlier versions were assigned before `seen_at`. The version is in force once they have
+        expired, or once all hosts have reported since then that they use it.
         """
-        if now - since > self.timeouts.upper_bound(POLICY_LEASE_NS):
+        if now - seen_at > self.timeouts.upper_bound(POLICY_LEASE_NS):
             return True
         return all(
-            (known := self.progress.get(host)) and known.number >= number and known.reported_at >= since
+            (progress := self.progress.get(host))
+            and progress.number >= number
+            and progress.reported_at >= seen_at
             for host in self.hosts
         )
 
@@ -130,17 +133,17 @@
 
         A silent host does not block a change: it has no lease, and gets the version before it serves again.
         """
-        known = self.progress.get(host)
-        if known and known.ready_version == number:
+        progress = self.progress.get(host)
+        if progress and progress.ready_version == number:
             return True
-        last_seen_at = max(self.started_at, offered_at, known.reported_at if known else 0)
+        last_seen_at = max(self.started_at, offered_at, progress.reported_at if progress else 0)
         return now - last_seen_at > self.timeouts.upper_bound(HOST_TIMEOUT_NS)
 
-    def _deduplicate(self, wanted: list[PolicyCommand]) -> list[PolicyCommand]:
-        new = [command for command in wanted if msgspec.msgpack.encode(command) not in self.pending]
+    def _deduplicate(self, commands: list[PolicyCommand]) -> list[PolicyCommand]:
+        new = [command for command in commands if msgspec.msgpack.encode(command) not in self.pending]
         self.pending |= {msgspec.msgpack.encode(command) for command in new}
         return new
 
     def lost(self, command: PolicyCommand) -> None:
-        """Handle a command that was not committed: it may be proposed again."""
+        """Forget a command that was not committed, so that it may be proposed again."""
         self.pending.discard(msgspec.msgpack.encode(command))
--- a/oakkeel/policy_change/policy_lease.py
+++ b/oakkeel/policy_change/policy_lease.py
@@ -1,6 +1,7 @@
 """The leases of an agent and of a node on a policy version. Free of I/O.
 
-Agent and node run on one host and share its monotonic clock, so that the expiry time is passed on as it is.
+An agent and its nodes run on one host and share its monotonic clock, so the agent passes the expiry time on
+unchanged.
 """
 
 from __future__ import annotations
@@ -27,18 +28,21 @@
         self.number = 0
         self.expires_at = 0  # monotonic nanoseconds
 
-    def renew(self, now: int, number: int, until: int) -> bool:
-        """Extend the lease to `until`; return whether the node switches versions. It never goes back."""
-        if number < self.number or (number == self.number and until < self.expires_at):
+    def renew(self, now: int, number: int, expires_at: int) -> bool:
+        """Extend the lease, and return whether the node switches versions.
+
+        An earlier version, or an earlier expiry time of the same version, is ignored.
+        """
+        if number < self.number or (number == self.number and expires_at < self.expires_at):
             return False
-        switched = number != self.number
+        is_switch = number != self.number
         self.number = number
-        self.expires_at = until
-        self.status = LeaseStatus.HELD if now < until else LeaseStatus.EXPIRED
-        return switched
+        self.expires_at = expires_at
+        self.status = LeaseStatus.HELD if now < expires_at else LeaseStatus.EXPIRED
+        return is_switch
 
     def may_decide(self, now: int) -> bool:
-        """Return whether the lease is valid; without one a later version may be in force elsewhere."""
+        """Return whether the lease is valid; after its expiry a later version may be in force elsewhere."""
         if self.status is LeaseStatus.HELD and now >= self.expires_at:
             self.status = LeaseStatus.EXPIRED
         return self.status is LeaseStatus.HELD
@@ -57,17 +61,18 @@
         self.ready_version = 0
         self.refused_version = 0
         self.reason = ""
-        self.node_versions: dict[str, int] = {}  # by running node: the number that it reported
+        self.node_versions: dict[str, int] = {}  # by name of a running node; -1: it has not reported yet
 
     def report(self) -> PolicyReport:
-        """Return the report, with the lowest version of the nodes; -1 if one has not reported yet."""
+        """Return the report, with the lowest version of the nodes; -1 if a node has not reported yet."""
         number = min(self.node_versions.values(), default=self.number)
         return PolicyReport(number, self.number, self.ready_version, self.refused_version, self.reason)
 
     def receive_assignment(self, sent_at: int, assignment: PolicyAssignment) -> bool:
-        """Adopt a response; return whether to renew the nodes' leases.
+        """Adopt an assignment; return whether to renew the nodes' leases.
 
-        The lease counts from when its heartbeat was sent. A version is adopted only with its content.
+        The lease starts when the heartbeat was sent, at `sent_at`. A version is adopted only with its
+        content.
         """
         if assignment.number < self.number:
             return False  # from an old leader, or overtaken by a later response
@@ -86,12 +91,12 @@
             self.expires_at = max(self.expires_at, sent_at + assignment.valid_for)
         return True
 
-    def report_trial(self, number: int, why: str) -> None:
-        """Record whether all nodes accept a proposed version; `why` is the reason if one does not."""
+    def report_trial(self, number: int, refusal_reason: str) -> None:
+        """Record whether all nodes accept a proposed version; `refusal_reason` is empty if they do."""
         if number == self.proposed_number:
-            self.ready_version = 0 if why else number
-            self.refused_version = number if why else 0
-            self.reason = why
+            self.ready_version = 0 if refusal_reason else number
+            self.refused_version = number if refusal_reason else 0
+            self.reason = refusal_reason
 
     def node_lease(self) -> tuple[int, int]:
         """Return the version to use, and the monotonic time in nanoseconds at which the lease expires."""
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated versions of the fleet's policy and their states. Free of I/O and time.
+"""The replicated versions of the fleet's policy and their states. Free of I/O and clocks.
 
     proposed ─> decided ─> in force ─> overtaken
         │          └──────────────────────^
@@ -96,7 +96,7 @@
 
 
 class PolicyStateMachine(RolloutStateMachine):
-    """Applies commands of policy changes; its base applies all others."""
+    """Applies commands of policy changes; the base class applies all others."""
 
     state: PolicyState
     STATE = PolicyState
@@ -110,17 +110,19 @@
     def _propose(self, index: int, command: ProposePolicy) -> PolicyVersion | Rejection:
         state = self.state
         digest = blake3.blake3(command.content).hexdigest()[:DIGEST_LENGTH]
-        for known in state.policies.values():
-            if known.change_id == command.change_id:
-                same = (known.operator, known.digest) == (command.operator, digest)
+        for existing in state.policies.values():
+            if existing.change_id == command.change_id:
+                is_same_change = (existing.operator, existing.digest) == (command.operator, digest)
                 return (
-                    known
-                    if same
-                    else Rejection(f"the ID belongs to another change, proposed by {known.operator}")
+                    existing
+                    if is_same_change
+                    else Rejection(f"the ID belongs to another change, proposed by {existing.operator}")
                 )
-        if other := self.proposed:
-            return Rejection(f"{other.operator}'s change {other.number} is proposed: it has to end first")
-        latest = max(state.policies, default=0)
+        if proposed := self.proposed:
+            return Rejection(
+                f"{proposed.operator}'s change {proposed.number} is proposed: it has to end first"
+            )
+        latest_number = max(state.policies, default=0)
         if command.based_on != state.decided:
             return Rejection(
                 f"version {state.decided} is decided, and the proposal is based on {command.based_on}"
@@ -128,7 +130,7 @@
         if not command.change_id or not 0 < len(command.content) <= MAX_POLICY_BYTES:
             return Rejection(f"a change needs an ID and 1 to {MAX_POLICY_BYTES} bytes of content")
         policy = PolicyVersion(
-            latest + 1,
+            latest_number + 1,
             command.change_id,
             command.operator,
             command.created_at,
@@ -145,41 +147,41 @@
     def _withdraw(self, index: int, command: WithdrawPolicy) -> PolicyVersion | Rejection:
         return self._move_version(command.number, "withdrawn", f"by {command.operator}")
 
-    def _refuse(self, index: int, command: RejectPolicy) -> PolicyVersion | Rejection:
+    def _reject(self, index: int, command: RejectPolicy) -> PolicyVersion | Rejection:
         return self._move_version(
             command.number, "refused", f"{command.host}: {command.reason[:MAX_REFUSAL_LENGTH]}"
         )
 
-    def _decide(self, index: int, command: CommitPolicy) -> PolicyVersion | Rejection:
+    def _commit(self, index: int, command: CommitPolicy) -> PolicyVersion | Rejection:
         result = self._move_version(command.number, "decided", "")
         if isinstance(result, PolicyVersion):
-            before = self.state.decided
+            previous_number = self.state.decided
             self.state.decided = command.number
-            if before:
-                self._move_version(before, "overtaken", f"by version {command.number}")
+            if previous_number:
+                self._move_version(previous_number, "overtaken", f"by version {command.number}")
         return result
 
-    def _in_force(self, index: int, command: MarkInForce) -> PolicyVersion | Rejection:
+    def _mark_in_force(self, index: int, command: MarkInForce) -> PolicyVersion | Rejection:
         return self._move_version(command.number, "in force", "")
 
-    def _move_version(self, number: int, state: str, why: str) -> PolicyVersion | Rejection:
-        """Change the state of a version, if the transition is allowed; nothing else changes it."""
+    def _move_version(self, number: int, state: str, reason: str) -> PolicyVersion | Rejection:
+        """Change the state of a version if the transition is allowed; no other code changes the state."""
         policy = self.state.policies.get(number)
         if policy is None:
             return Rejection(f"there is no version {number}")
         if state not in TRANSITIONS[policy.state]:
             return Rejection(f"version {number} is {policy.state}")
         policy.state = state
-        policy.state_reason = why
+        policy.state_reason = reason
         return policy
 
     COMMANDS = CommandRegistry(
         {
             ProposePolicy: _propose,
             WithdrawPolicy: _withdraw,
-            RejectPolicy: _refuse,
-            CommitPolicy: _decide,
-            MarkInForce: _in_force,
+            RejectPolicy: _reject,
+            CommitPolicy: _commit,
+            MarkInForce: _mark_in_force,
         },
         RolloutStateMachine.COMMANDS,
     )
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -1,4 +1,4 @@
-"""Policy changes take hold everywhere or nowhere, whoever leads, stops or is cut off."""
+"""Policy changes are in force on all hosts or on none, despite changes of leader, crashes and partitions."""
 
 import unittest
 from unittest import mock
@@ -52,7 +52,7 @@
         self.assertIn("based on 0", self.propose("c2").reason)
         self.assertEqual(self.propose("c2", 1).number, 2)
 
-    def test_of_a_commit_and_a_withdrawal_that_cross_the_first_holds(self):
+    def test_applies_the_first_of_a_concurrent_commit_and_withdrawal(self):
         self.propose()
         self.apply(CommitPolicy(1))
         self.assertIsInstance(self.apply(WithdrawPolicy(1, "ravi")), Rejection)
@@ -64,11 +64,11 @@
     def test_snapshot_holds_all_versions_with_operator_and_reasons(self):
         self.propose()
         self.apply(RejectPolicy(1, "h3", "no such group"))
-        again = PolicyStateMachine()
-        again.restore(self.state_machine.snapshot())
-        found = again.state.policies[1]
+        restored = PolicyStateMachine()
+        restored.restore(self.state_machine.snapshot())
+        version = restored.state.policies[1]
         self.assertEqual(
-            (found.operator, found.reason, found.state, found.state_reason),
+            (version.operator, version.reason, version.state, version.state_reason),
             ("asha", "for Carnival", "refused", "h3: no such group"),
         )
         self.assertIsInstance(self.apply(MarkInForce(7)), Rejection)
@@ -76,7 +76,7 @@
 
 
 class PolicyLeaseTest(unittest.TestCase):
-    def test_node_decides_only_while_its_lease_holds_and_never_goes_back(self):
+    def test_node_decides_only_with_a_valid_lease_and_ignores_earlier_versions(self):
         node = NodePolicyLease()
         self.assertFalse(node.may_decide(0))
         self.assertTrue(node.renew(0, 3, 100))
@@ -88,7 +88,7 @@
         node.renew(103, 3, 200)
         self.assertTrue(node.may_decide(104))
 
-    def test_agent_reports_the_lowest_version_of_its_nodes_and_none_for_a_silent_one(self):
+    def test_agent_reports_the_lowest_version_of_its_nodes_or_that_a_node_has_not_reported(self):
         agent = AgentPolicyLease()
         agent.receive_assignment(0, PolicyAssignment(2, SECOND, b"two"))
         agent.node_started("a")
@@ -100,7 +100,7 @@
         agent.node_stopped("b")
         self.assertEqual(agent.report().number, 2)
 
-    def test_lease_counts_from_the_request_and_an_overtaken_response_shortens_nothing(self):
+    def test_lease_starts_at_the_heartbeat_and_a_reordered_response_does_not_shorten_it(self):
         agent = AgentPolicyLease()
         agent.receive_assignment(100, PolicyAssignment(1, 50, b"one"))
         agent.receive_assignment(20, PolicyAssignment(1, 50))
@@ -115,11 +115,11 @@
     def setUp(self) -> None:
         self.state_machine = PolicyStateMachine()
         self.index = 0
-        self.leader = PolicyCoordinator(0, self.state_machine, ("h1", "h2"), PermitTimeouts())
+        self.coordinator = PolicyCoordinator(0, self.state_machine, ("h1", "h2"), PermitTimeouts())
         self.apply(ProposePolicy("c1", "asha", 0, "", 0, b"one"))
 
-    def apply(self, *wanted):
-        for command in wanted:
+    def apply(self, *new_commands):
+        for command in new_commands:
             self.index += 1
             self.state_machine.apply(self.index, commands.encode(command))
 
@@ -127,40 +127,40 @@
         return self.state_machine.state.policies[1].state
 
     def report(self, now: int, host: str, **fields) -> None:
-        self.apply(*self.leader.receive_report(now, host, PolicyReport(**({"number": 0} | fields)), now))
-        self.apply(*self.leader.tick(now))
+        self.apply(*self.coordinator.receive_report(now, host, PolicyReport(**({"number": 0} | fields)), now))
+        self.apply(*self.coordinator.tick(now))
 
     def test_version_is_decided_once_all_are_ready_and_in_force_once_all_use_it(self):
         self.report(SECOND, "h1", ready_version=1)
         self.assertEqual(self.state(), "proposed")
         self.report(SECOND, "h2", ready_version=1)
         self.assertEqual(self.state(), "decided")
-        self.assertEqual(self.leader.assign(SECOND, "h1", PolicyReport(0)).content, b"one")
-        self.apply(*self.leader.tick(SECOND))
+        self.assertEqual(self.coordinator.assign(SECOND, "h1", PolicyReport(0)).content, b"one")
+        self.apply(*self.coordinator.tick(SECOND))
         self.report(2 * SECOND, "h1", number=1, held_version=1)
         self.assertEqual(self.state(), "decided")
         self.report(2 * SECOND, "h2", number=1, held_version=1)
         self.assertEqual(self.state(), "in force")
 
-    def test_waits_for_a_silent_host_only_as_long_as_it_may_use_the_old_version(self):
+    def test_version_is_in_force_once_the_lease_of_a_silent_host_has_expired(self):
         self.report(SECOND, "h1", ready_version=1)
         self.report(SECOND, "h2", ready_version=1)
-        self.apply(*self.leader.tick(SECOND))
+        self.apply(*self.coordinator.tick(SECOND))
         self.report(2 * SECOND, "h1", number=1, held_version=1)
-        self.apply(*self.leader.tick(SECOND + POLICY_LEASE_NS))
+        self.apply(*self.coordinator.tick(SECOND + POLICY_LEASE_NS))
         self.assertEqual(self.state(), "decided")
-        self.apply(*self.leader.tick(SECOND + PermitTimeouts().upper_bound(POLICY_LEASE_NS) + 2))
+        self.apply(*self.coordinator.tick(SECOND + PermitTimeouts().upper_bound(POLICY_LEASE_NS) + 2))
         self.assertEqual(self.state(), "in force")
 
-    def test_new_leader_waits_a_whole_lease_again(self):
+    def test_new_leader_waits_for_a_full_lease(self):
         self.report(SECOND, "h1", ready_version=1)
         self.report(SECOND, "h2", ready_version=1)
-        self.leader = PolicyCoordinator(3 * SECOND, self.state_machine, ("h1", "h2"), PermitTimeouts())
-        self.apply(*self.leader.tick(3 * SECOND))
-        self.apply(*self.leader.tick(3 * SECOND + POLICY_LEASE_NS))
+        self.coordinator = PolicyCoordinator(3 * SECOND, self.state_machine, ("h1", "h2"), PermitTimeouts())
+        self.apply(*self.coordinator.tick(3 * SECOND))
+        self.apply(*self.coordinator.tick(3 * SECOND + POLICY_LEASE_NS))
         self.assertEqual(self.state(), "decided")
 
-    def test_any_refusal_ends_a_version_by_name_and_a_host_that_is_down_does_not_block_it(self):
+    def test_one_refusal_rejects_a_version_and_a_host_that_is_down_does_not_block_a_version(self):
         self.report(SECOND, "h2", refused_version=1, reason="n3 has no group 'quote'")
         self.assertEqual(self.state_machine.state.policies[1].state_reason, "h2: n3 has no group 'quote'")
         self.apply(ProposePolicy("c2", "asha", 0, "", 0, b"two"))
@@ -173,57 +173,59 @@
     def breaches(self, seeds=range(40)) -> list[str]:
         return [breach for seed in seeds for breach in PolicySimulation(seed).run()]
 
-    def test_drawn_schedules_break_no_invariant_and_come_to_an_end(self):
-        made = 0
+    def test_random_schedules_break_no_invariant_and_complete(self):
+        decided_count = 0
         for seed in range(100):
             simulation = PolicySimulation(seed)
             self.assertEqual((simulation.run(), simulation.stuck()), ([], []), seed)
-            made += len(simulation.audit.decided)
-        self.assertGreater(made, 100)
+            decided_count += len(simulation.audit.decided)
+        self.assertGreater(decided_count, 100)
 
     def test_a_version_that_a_host_cannot_use_is_refused_and_never_used(self):
-        refused = 0
+        refused_count = 0
         for seed in range(40):
             simulation = PolicySimulation(seed)
             simulation.run()
             for policy in simulation.state_machine.state.policies.values():
                 if policy.state == "refused":
-                    refused += 1
+                    refused_count += 1
                     self.assertIn("this host cannot use it", policy.state_reason)
                     self.assertNotIn(policy.number, simulation.audit.decided)
-        self.assertGreater(refused, 0)
+        self.assertGreater(refused_count, 0)
 
-    def test_catches_nodes_that_go_on_without_a_lease(self):
-        with mock.patch.object(NodePolicyLease, "may_decide", lambda policy, now: policy.expires_at > 0):
+    def test_detects_nodes_that_decide_without_a_lease(self):
+        with mock.patch.object(NodePolicyLease, "may_decide", lambda lease, now: lease.expires_at > 0):
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
-    def test_catches_a_lease_that_counts_from_the_response(self):
-        old = PolicyHost.receive_assignment
+    def test_detects_a_lease_that_starts_at_the_response(self):
+        original = PolicyHost.receive_assignment
         with mock.patch.object(
             PolicyHost,
             "receive_assignment",
-            lambda host, incarnation, sent_at, assignment: old(host, incarnation, host.now(), assignment),
+            lambda host, incarnation, sent_at, assignment: original(
+                host, incarnation, host.now(), assignment
+            ),
         ):
             self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
 
-    def test_catches_a_version_in_force_before_the_longest_lease_is_over(self):
-        with mock.patch.object(PermitTimeouts, "upper_bound", lambda terms, time: time // 4):
+    def test_detects_a_version_in_force_before_the_longest_lease_has_expired(self):
+        with mock.patch.object(PermitTimeouts, "upper_bound", lambda timeouts, duration: duration // 4):
             self.assertRegex(self.breaches()[0], "promise 11: ")
 
-    def test_catches_a_version_used_before_it_is_decided(self):
-        old = PolicyCoordinator.assign
+    def test_detects_a_version_used_before_it_is_decided(self):
+        original = PolicyCoordinator.assign
 
-        def early(leader, now, host, report):
-            assignment = old(leader, now, host, report)
+        def assign_proposed_version(coordinator, now, host, report):
+            assignment = original(coordinator, now, host, report)
             if assignment.proposed_number and assignment.proposed_content:
                 assignment.number = assignment.proposed_number
                 assignment.content = assignment.proposed_content
             return assignment
 
-        with mock.patch.object(PolicyCoordinator, "assign", early):
+        with mock.patch.object(PolicyCoordinator, "assign", assign_proposed_version):
             self.assertRegex(self.breaches()[0], "promise 12: ")
 
-    def test_audit_finds_decisions_before_and_after_a_report(self):
+    def test_audit_detects_decisions_under_a_withdrawn_version_and_under_an_earlier_one(self):
         audit = PolicyChangeAudit()
         audit.record_decision(0, "n1", 2)
         audit.record_not_made(1, 2)
@@ -233,15 +235,15 @@
 
 
 class PolicyModelTest(unittest.TestCase):
-    def test_no_clock_within_the_drift_lets_an_old_version_be_used_and_each_rule_is_needed(self):
-        lease = 3.0
-        wait = 3.0 * (1 + DRIFT) / (1 - DRIFT)
-        self.assertFalse(model.old_after_in_force(lease, wait, DRIFT))
+    def test_old_versions_are_not_used_within_the_clock_drift_and_each_rule_is_needed(self):
+        lease_s = 3.0
+        wait_s = 3.0 * (1 + DRIFT) / (1 - DRIFT)
+        self.assertFalse(model.old_after_in_force(lease_s, wait_s, DRIFT))
         for rule in set(model.LeaseRule) - {model.LeaseRule.FROM_SENT}:
-            self.assertTrue(model.old_after_in_force(lease, wait, DRIFT, rule), rule)
-        self.assertTrue(model.old_after_in_force(lease, lease, DRIFT))
+            self.assertTrue(model.old_after_in_force(lease_s, wait_s, DRIFT, rule), rule)
+        self.assertTrue(model.old_after_in_force(lease_s, lease_s, DRIFT))
 
-    def test_withdrawn_version_was_never_used_by_two_rules_that_are_both_needed(self):
+    def test_withdrawn_version_is_never_used_and_both_rules_are_needed(self):
         self.assertFalse(model.withdrawn_and_used({"decided first", "decided stays"}))
         self.assertTrue(model.withdrawn_and_used({"decided first"}))
         self.assertTrue(model.withdrawn_and_used({"decided stays"}))
