--- a/oakkeel/store/content_store.py
+++ b/oakkeel/store/content_store.py
@@ -12,8 +12,8 @@
 
 from oakkeel.errors import OakkeelError
 
-MAX_FILES = 20_000  # of a program
-MAX_BYTES = 512 * 1024 * 1024  # of a program or a file
+MAX_FILES = 20_000  # in a program
+MAX_BYTES = 512 * 1024 * 1024  # size of a program or a file
 IGNORED_FOLDERS = {"__pycache__", ".git"}
 HASH_LENGTH = 32  # hexadecimal digits
 
@@ -32,7 +32,7 @@
 
     @property
     def version(self) -> str:
-        """The hash that names this content."""
+        """Return the hash that names this content."""
         return blake3.blake3(f"{self.program}|{self.patch}|{self.config}".encode()).hexdigest()[:HASH_LENGTH]
 
 
@@ -123,10 +123,10 @@
         content_hash = hash_folder(folder, prefix)
         if not os.path.exists(self.path(content_hash)):
             temporary = self._make_temporary(content_hash)
-            for file in list_files(folder):
-                target = os.path.join(temporary, prefix, file)
+            for relative_path in list_files(folder):
+                target = os.path.join(temporary, prefix, relative_path)
                 os.makedirs(os.path.dirname(target), exist_ok=True)
-                shutil.copy(os.path.join(folder, file), target)
+                shutil.copy(os.path.join(folder, relative_path), target)
             self._publish(temporary, content_hash, hash_folder(temporary))
         return content_hash
 
@@ -162,7 +162,7 @@
         return content.version
 
     def find(self, version: str) -> Content | None:
-        """Return the parts of a version, or None if any of them is missing."""
+        """Return the parts of a version, or None if its record is unusable or a copy is missing."""
         try:
             recorded = read_json(os.path.join(self.folder, f"{version}.json"))
             content = Content(str(recorded["program"]), str(recorded["patch"]), str(recorded["config"]))
--- a/oakkeel/store/database.py
+++ b/oakkeel/store/database.py
@@ -15,7 +15,7 @@
 DEFAULT_MAX_BYTES = 64 * 1024 * 1024
 MIN_PAGES = 16
 LOCK_TIMEOUT_S = 2.0
-FILE_SUFFIXES = ("", "-wal", "-shm")  # of the files of one database
+FILE_SUFFIXES = ("", "-wal", "-shm")  # main file, write-ahead log and its shared-memory index
 Statement = tuple[str, Sequence[object]]  # SQL text and its values
 
 
@@ -24,7 +24,7 @@
 
 
 def quarantine(path: str) -> str:
-    """Rename the files of a closed database by time and process ID. Returns the main file's new path."""
+    """Add the time and the process ID to the file names of a closed database. Returns the new path."""
     quarantined = f"{path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
     for suffix in FILE_SUFFIXES:
         with contextlib.suppress(FileNotFoundError):
