--- a/oakkeel/control/client.py
+++ b/oakkeel/control/client.py
@@ -26,36 +26,36 @@
 )
 from oakkeel.errors import OakkeelError
 
-PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group
+PEER_CREDENTIALS = struct.Struct("3i")  # `struct ucred`: process, user and group IDs
 
 
 class ControlError(OakkeelError, OSError):
-    """The node does not respond, or not as expected; the text says how."""
+    """The node did not respond, or its response was not the expected one; the message gives the cause."""
 
 
 class ControlClient:
-    """One link to one node, reconnected after a failure. One request at a time."""
+    """A link to one node, which reconnects after a failure and sends one request at a time."""
 
     def __init__(self, path: str) -> None:
-        """Name the socket of the node; it is connected with the first request."""
+        """Use the Unix socket at `path`; the first request connects to it."""
         self.path = path
         self.tags = itertools.count(1)
         self.stream: IOStream | None = None
-        self.pid = 0  # of the process at the other end, by the kernel
+        self.pid = 0  # of the node, as the kernel reports it
 
     async def status(self, timeout: float) -> NodeStatus:
-        """Fetch the state of the node, within `timeout` seconds; raises ControlError, as all requests do."""
+        """Fetch the state of the node within `timeout` seconds. Raises ControlError, as all requests do."""
         response = await self._request(StatusRequest(next(self.tags)), timeout)
         if not isinstance(response, NodeStatus):
             raise ControlError(f"received no status report: {getattr(response, 'reason', '')}")
         return response
 
     async def drain(self, generation: int, timeout: float, drain_timeout: int = 0) -> Acknowledgement:
-        """Order a drain that ends within `drain_timeout` nanoseconds, 0 as after a SIGTERM."""
+        """Order a drain of at most `drain_timeout` nanoseconds; 0: the limit that applies after a SIGTERM."""
         return await self._send_order(DrainRequest(next(self.tags), generation, drain_timeout), timeout)
 
     async def cancel_drain(self, generation: int, timeout: float) -> Acknowledgement:
-        """Order the end of a drain, so that the node takes requests again."""
+        """Cancel a drain, so that the node accepts requests again."""
         return await self._send_order(CancelDrainRequest(next(self.tags), generation), timeout)
 
     async def _send_order(
@@ -69,7 +69,7 @@
         return response
 
     async def clients_status(self, limit: int, timeout: float) -> ClientsStatus:
-        """Fetch the heaviest clients, `limit` of them at most."""
+        """Fetch at most `limit` of the heaviest clients."""
         response = await self._request(ClientsRequest(next(self.tags), limit), timeout)
         if not isinstance(response, ClientsStatus):
             raise ControlError("received no list of clients")
@@ -77,19 +77,19 @@
 
     async def _request(self, request: Request, timeout: float) -> Response:
         try:
-            async with asyncio.timeout(timeout):  # `wait_for` may lose a cancellation, before Python 3.12
+            async with asyncio.timeout(timeout):  # before Python 3.12, `wait_for` may lose a cancellation
                 return await self._send(request)
         except ControlError:
             self.close()
             raise
         except (TimeoutError, OSError, ValueError, msgspec.MsgspecError) as error:
-            self.close()  # a late response must not be taken for that of the next request
+            self.close()  # a late response must not be read as the response to the next request
             raise ControlError(f"{type(error).__name__}: {error}".rstrip(": ")) from None
 
     async def _send(self, request: Request) -> Response:
         if self.stream is None:
             self.stream = IOStream(socket.socket(socket.AF_UNIX), max_buffer_size=MAX_LINE_BYTES)
-            await self.stream.connect(self.path)  # a path is an address too
+            await self.stream.connect(self.path)  # the address of a Unix socket is its path
             peer = self.stream.socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
             self.pid = PEER_CREDENTIALS.unpack(peer)[0]
         self.stream.write(encode(request))
@@ -100,7 +100,7 @@
         return response
 
     def close(self) -> None:
-        """Close the link; the next request opens another."""
+        """Close the link; the next request opens a new one."""
         if self.stream:
             self.stream.close()
         self.stream = None
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -1,4 +1,4 @@
-"""The node's end of its control links: few, and read slowly, so that they take no time from requests."""
+"""The node's end of its control links. Limits on their number and read rate keep CPU time for requests."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, send
 from oakkeel.units import SECOND
 
-MAX_CLIENTS = 25  # in one response, which must fit a line
-MAX_WAITING_LINKS = 64  # for an accept, in the kernel
+MAX_CLIENTS = 25  # in one response, which must fit in a line of MAX_LINE_BYTES
+LISTEN_BACKLOG = 64  # connections that the kernel queues until they are accepted
 MAX_UNSENT_BYTES = 8 * MAX_LINE_BYTES
 PRIVATE_UMASK = 0o077  # other users of the host must not connect
 
 
 class ControlTarget(Protocol):
-    """What a control link needs of the node."""
+    """The operations of the node that a control link calls."""
 
     def status(self, tag: int) -> NodeStatus:
         """Return the state of the node, for the request with this tag."""
@@ -46,7 +46,7 @@
         """Return the heaviest clients, for the request with this tag."""
 
     def request_drain(self, generation: int, timeout: int) -> None:
-        """Start a drain of `timeout` nanoseconds. Raises `OrderRefusedError`."""
+        """Start a drain with a timeout in nanoseconds. Raises `OrderRefusedError`."""
 
     def cancel_drain(self, generation: int) -> None:
         """Cancel the drain. Raises `OrderRefusedError`."""
@@ -58,15 +58,15 @@
     def __init__(
         self, path: str, node: ControlTarget, resource_limits: ResourceLimits, log: EventLog
     ) -> None:
-        """Bind the socket, for this user alone; raises OSError."""
+        """Bind the socket, which only this user can connect to. Raises OSError."""
         self.path = path
         self.node = node
         self.resource_limits = resource_limits
         self.log = log
-        self.links: dict[ControlLink, asyncio.Task[None]] = {}  # by last activity, the oldest first
+        self.links: dict[ControlLink, asyncio.Task[None]] = {}  # by last activity, the least recent first
         self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_STREAM * resource_limits.max_control_links)
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(path)  # left by a node that was killed
+            os.unlink(path)  # a node that was killed leaves its socket file
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.socket.setblocking(False)
         umask = os.umask(PRIVATE_UMASK)
@@ -74,30 +74,30 @@
             self.socket.bind(path)
         finally:
             os.umask(umask)
-        self.socket.listen(MAX_WAITING_LINKS)
+        self.socket.listen(LISTEN_BACKLOG)
 
     def open(self) -> None:
-        """Accept links from now on."""
+        """Start to accept links."""
         asyncio.get_running_loop().add_reader(self.socket, self._accept)
 
     def _accept(self) -> None:
         with contextlib.suppress(BlockingIOError, OSError):
-            accepted, _ = self.socket.accept()
-            accepted.setblocking(False)
+            connection, _ = self.socket.accept()
+            connection.setblocking(False)
             if len(self.links) >= self.resource_limits.max_control_links:
-                oldest = next(iter(self.links))  # by last activity
-                oldest.stream.close()
-                del self.links[oldest]
-            link = ControlLink(IOStream(accepted, max_write_buffer_size=MAX_UNSENT_BYTES), self)
+                least_active = next(iter(self.links))
+                least_active.stream.close()
+                del self.links[least_active]
+            link = ControlLink(IOStream(connection, max_write_buffer_size=MAX_UNSENT_BYTES), self)
             self.links[link] = asyncio.ensure_future(link.serve())
 
     def mark_active(self, link: ControlLink) -> None:
-        """Note that a link has just been read."""
+        """Move a link that has just been read to the end of the order."""
         if link in self.links:
             self.links[link] = self.links.pop(link)
 
     def remove(self, link: ControlLink) -> None:
-        """Forget a link that is closed."""
+        """Remove a closed link."""
         self.links.pop(link, None)
 
     def close(self) -> None:
@@ -111,16 +111,16 @@
 
 
 class ControlLink:
-    """One client: read at a limited pace, and closed with a reason if a message stays incomplete."""
+    """The link of one client: read at a limited rate, and closed if a message stays incomplete."""
 
     def __init__(self, stream: IOStream, listener: ControlListener) -> None:
-        """Take an accepted stream; `serve` reads it."""
+        """Wrap an accepted stream; `serve` reads it."""
         self.stream = stream
         self.listener = listener
         self.read_buffer = ReadBuffer(listener.pool)
 
     async def serve(self) -> None:
-        """Read and answer the client until the link ends."""
+        """Read and answer requests until the link is closed."""
         try:
             while True:
                 await self._read()
@@ -139,29 +139,29 @@
         send(self.stream, encode(Acknowledgement(0, False, reason)))
 
     async def _read(self) -> None:
-        """Answer the messages of one read, then pause: a fast client gets no more of the event loop."""
+        """Answer the messages of one read, then pause, to limit the event loop time of a fast client."""
         limits = self.listener.resource_limits
         read_buffer = self.read_buffer
-        started = time.monotonic_ns()
+        started_at = time.monotonic_ns()
         if not read_buffer.has_data:
-            await read_buffer.fill(self.stream)  # an idle link may stay open
+            await read_buffer.fill(self.stream)  # without a timeout: an idle link may stay open
         else:
             async with asyncio.timeout(limits.control_timeout / SECOND):
                 await read_buffer.fill(self.stream)
-        spent = -time.thread_time_ns()
-        while (at := read_buffer.buffer.find(b"\n", read_buffer.start, read_buffer.end)) >= 0:
-            line = bytes(read_buffer.buffer[read_buffer.start : at])
-            read_buffer.start = at + 1
-            written = send(self.stream, encode(self._answer(line)))
-            if written is None:
+        cpu_time = -time.thread_time_ns()
+        while (newline := read_buffer.buffer.find(b"\n", read_buffer.start, read_buffer.end)) >= 0:
+            line = bytes(read_buffer.buffer[read_buffer.start : newline])
+            read_buffer.start = newline + 1
+            write = send(self.stream, encode(self._answer(line)))
+            if write is None:
                 raise StreamClosedError
             async with asyncio.timeout(limits.control_timeout / SECOND):
-                await asyncio.shield(written)
-            spent += time.thread_time_ns()
-            await asyncio.sleep(max(limits.control_pause, spent * limits.control_cpu_factor) / SECOND)
-            spent = -time.thread_time_ns()
+                await asyncio.shield(write)
+            cpu_time += time.thread_time_ns()
+            await asyncio.sleep(max(limits.control_pause, cpu_time * limits.control_cpu_factor) / SECOND)
+            cpu_time = -time.thread_time_ns()
         self.listener.mark_active(self)
-        await asyncio.sleep(max(0, started + limits.control_pause - time.monotonic_ns()) / SECOND)
+        await asyncio.sleep(max(0, started_at + limits.control_pause - time.monotonic_ns()) / SECOND)
 
     def _answer(self, line: bytes) -> Response:
         try:
--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -1,6 +1,6 @@
-"""Messages of the control link: one JSON object a line, typed and bounded.
+"""Messages of the control link: one JSON object per line, typed and of bounded size.
 
-Tags and keys are fixed by the protocol; a field with another name in the code gives its key.
+The protocol fixes tags and keys; a field whose key differs from its name in the code declares the key.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 
 class DrainRequest(msgspec.Struct, tag="leave", forbid_unknown_fields=True):
-    """Drain and stop, if the node is of that generation; the response is an `Acknowledgement`."""
+    """Drain and stop, if the node has this generation; the response is an `Acknowledgement`."""
 
     tag: int
     generation: int
-    timeout: int = msgspec.field(default=0, name="within")  # nanoseconds to the end; 0: as after a SIGTERM
+    timeout: int = msgspec.field(default=0, name="within")  # nanoseconds; 0: the limit after a SIGTERM
 
 
 class CancelDrainRequest(msgspec.Struct, tag="stay", forbid_unknown_fields=True):
-    """Cancel the drain, if the node is of that generation and has not stopped.
+    """Cancel the drain, if the node has this generation and has not stopped.
 
     The response is an `Acknowledgement`.
     """
@@ -53,7 +53,7 @@
 
 
 class NodeStatus(msgspec.Struct, tag="report"):
-    """The state of a node. Sizes in KB unless named otherwise, times in nanoseconds."""
+    """The state of a node. Times in nanoseconds."""
 
     tag: int
     name: str
@@ -63,33 +63,32 @@
     address: str
     uptime: int
     stage: str = "NORMAL"  # of overload
-    shedding_threshold: float = msgspec.field(
-        default=0.0, name="cut"
-    )  # requests of a lower rank are rejected
+    shedding_threshold: float = msgspec.field(default=0.0, name="cut")  # lower ranks are rejected
     queued: int = msgspec.field(default=0, name="hold")
     running: int = msgspec.field(default=0, name="runs")
     calling: int = msgspec.field(default=0, name="calls")
-    memory_kb: float = 0.0  # of requests, as the admission controller counts
+    memory_kb: float = 0.0  # of requests, by the count of the admission controller
     resident_kb: int = 0
     descriptors: int = 0
     connections: int = 0
     gauges_age: int = -1  # -1: never read
     open_requests: int = msgspec.field(default=0, name="owes")  # read and not finished
-    open_by_class: dict[str, int] = msgspec.field(default_factory=dict, name="owes_by")  # while it drains
-    completed: int = 0  # since its start, as the next two
+    open_by_class: dict[str, int] = msgspec.field(default_factory=dict, name="owes_by")  # while draining
+    completed: int = 0  # since the start of the node, as are `rejected` and `failed`
     rejected: int = msgspec.field(default=0, name="denied")
     failed: int = msgspec.field(default=0, name="terminated")
-    cpu: int = 0  # nanoseconds of a core since its start
+    cpu: int = 0  # nanoseconds of CPU time since its start
     version: str = ""  # of the program, as the agent set it
-    load: float = 0.0  # of its cores, by the last gauges
-    # Count, sum and sum of squares over requests since the start: of the weight that each earned, and, by
-    # request class, of the logarithms of the seconds until it was completed.
+    load: float = 0.0  # ratio of its cores, by the last gauges
+    # Count, sum and sum of squares over all requests since the start: `earned_weight` of the priority weight
+    # that each request earned; `latencies`, by request class, of the logarithm of the seconds until a request
+    # was completed.
     earned_weight: list[float] = msgspec.field(default_factory=list, name="benefit")
     latencies: dict[str, list[float]] = msgspec.field(default_factory=dict, name="times")
 
 
 class Acknowledgement(msgspec.Struct, tag="told"):
-    """The result of an order, or why a message was refused (tag 0: it could not be decoded)."""
+    """The result of an order, or the reason why a message was refused (tag 0: it could not be decoded)."""
 
     tag: int
     accepted: bool = msgspec.field(name="done")
@@ -102,16 +101,16 @@
     name: str
     demand: float = msgspec.field(name="asks")
     retries: float
-    fair_fraction: float = msgspec.field(name="keeps")  # part of its demand that its fair share allows
+    fair_fraction: float = msgspec.field(name="keeps")  # ratio of its demand that its fair share allows
 
 
 class ClientsStatus(msgspec.Struct, tag="clients"):
-    """The heaviest clients. Reservations are counted since the start."""
+    """The heaviest clients, and the counts of reservations since the start of the node."""
 
     tag: int
     flow_key: list[str] = msgspec.field(name="by")  # fields that identify a client; empty: none
     known: int = 0
-    error: float = 0.0  # the maximum share of a client that is not known
+    error: float = 0.0  # maximum share of a client that is not tracked
     reservations_open: int = msgspec.field(default=0, name="open")
     reservations_made: int = msgspec.field(default=0, name="made")
     reservations_honored: int = msgspec.field(default=0, name="kept")
--- a/tests/control/test_client.py
+++ b/tests/control/test_client.py
@@ -10,7 +10,7 @@
 
 class ControlClientTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_is_cancelled_as_its_response_arrives_is_cancelled(self):
-        """A poller that is cancelled at its end must not go on with the next request."""
+        """Guards against a lost cancellation, after which a stopped poller would send its next request."""
         client = ControlClient("/nowhere")
         arrived = asyncio.Event()
 
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -1,4 +1,4 @@
-"""The control link of the program, and what the program loads."""
+"""The control link of a node process, and the modules that a node loads."""
 
 import ast
 import contextlib
@@ -50,13 +50,14 @@
     def test_an_order_for_another_generation_changes_nothing(self):
         self.begin()
         link = self.link()
-        told = self.say(link, type="leave", tag=1, generation=6)
+        response = self.say(link, type="leave", tag=1, generation=6)
         self.assertEqual(
-            (told["done"], told["why"]), (False, "the order is for generation 6, this is generation 7")
+            (response["done"], response["why"]),
+            (False, "the order is for generation 6, this is generation 7"),
         )
         self.assertEqual(self.say(link, type="ask", tag=2)["state"], "serving")
 
-    def test_a_drain_order_drains_like_the_signal(self):
+    def test_a_drain_order_drains_as_sigterm_does(self):
         dispatcher, ident = self.running("card")
         link = self.link()
         self.assertTrue(self.say(link, type="leave", tag=1, generation=7)["done"])
@@ -70,46 +71,46 @@
 
     def test_malformed_messages_affect_only_their_link(self):
         self.begin()
-        good = self.link()
-        half, long, noise = self.link(), self.link(), self.link()
-        half.write(b'{"type":"ask"')
-        long.write(b"x" * 5000)
-        noise.write(b"what\n" + b'{"type":"ask","tag":1,"more":2}\n')
-        self.assertIn("more than 4096", json.loads(long.readline())["why"])
-        self.assertTrue(self.ended(long))
-        self.assertFalse(json.loads(noise.readline())["done"])
-        self.assertIn("more", json.loads(noise.readline())["why"])
-        self.assertIn("for too long", json.loads(half.readline())["why"])
-        self.assertTrue(self.ended(half))
-        self.assertEqual(self.say(good, type="ask", tag=1)["state"], "serving")
+        valid = self.link()
+        incomplete, oversized, malformed = self.link(), self.link(), self.link()
+        incomplete.write(b'{"type":"ask"')
+        oversized.write(b"x" * 5000)
+        malformed.write(b"what\n" + b'{"type":"ask","tag":1,"more":2}\n')
+        self.assertIn("more than 4096", json.loads(oversized.readline())["why"])
+        self.assertTrue(self.ended(oversized))
+        self.assertFalse(json.loads(malformed.readline())["done"])
+        self.assertIn("more", json.loads(malformed.readline())["why"])
+        self.assertIn("for too long", json.loads(incomplete.readline())["why"])
+        self.assertTrue(self.ended(incomplete))
+        self.assertEqual(self.say(valid, type="ask", tag=1)["state"], "serving")
 
-    def test_a_flood_takes_a_bounded_share_of_the_cpu_and_requests_are_served(self):
+    def test_a_flood_takes_a_bounded_share_of_the_cpu_while_requests_are_served(self):
         self.begin()
-        flood, good = self.link(), self.link()
+        flood, poller = self.link(), self.link()
         flood._sock.setblocking(False)
-        asks = b'{"type":"ask","tag":1}\n' * 400
+        status_requests = b'{"type":"ask","tag":1}\n' * 400
         sent = 0
         dispatcher = self.dispatcher()
-        for _ in range(20):  # it never reads its responses
+        for _ in range(20):  # the flooding client never reads its responses
             with contextlib.suppress(BlockingIOError):
-                sent += flood._sock.send(asks)
+                sent += flood._sock.send(status_requests)
             ident = dispatcher.call()
             self.engine.done(self.engine.next()[1])
             self.assertEqual(dispatcher.answer()[1], b"ok")
-        self.assertGreater(sent, len(asks))
-        before, begun = self.say(good, type="ask", tag=1)["cpu"], time.monotonic_ns()
-        time.sleep(0.5)  # the CPU time is measured over this time
-        used = self.say(good, type="ask", tag=2)["cpu"] - before
-        self.assertLess(used / (time.monotonic_ns() - begun), 0.2)
+        self.assertGreater(sent, len(status_requests))
+        cpu_before, started_at = self.say(poller, type="ask", tag=1)["cpu"], time.monotonic_ns()
+        time.sleep(0.5)  # the period over which CPU time is measured
+        cpu_used = self.say(poller, type="ask", tag=2)["cpu"] - cpu_before
+        self.assertLess(cpu_used / (time.monotonic_ns() - started_at), 0.2)
         self.assertTrue(ident)
 
-    def test_a_client_over_the_limit_replaces_the_least_active_one(self):
+    def test_a_link_over_the_limit_replaces_the_least_recently_active_one(self):
         self.begin()
         links = [self.link() for _ in range(9)]
         self.assertEqual(self.say(links[-1], type="ask", tag=1)["tag"], 1)
         self.assertTrue(self.ended(links[0]))
 
-    def test_a_control_socket_that_cannot_be_bound_is_one_line(self):
+    def test_a_control_socket_that_cannot_be_bound_fails_the_start_with_one_line(self):
         with mock.patch.dict(os.environ, OAKKEEL_CONTROL="/nowhere/at/all.sock"):
             process = self.launch(self.told())
         _, error = process.communicate(timeout=WAIT)
@@ -119,50 +120,50 @@
 class CancelDrainTest(ControlledNodeTest):
     """The cancellation of a drain."""
 
-    def leave(self, link) -> None:
+    def order_drain(self, link) -> None:
         self.assertTrue(self.say(link, type="leave", tag=1, generation=7, within=20_000_000_000)["done"])
 
-    def until_it_listens_no_more(self) -> None:
-        until_refused(self.port)  # the grace of 0.3 s ends
+    def wait_until_not_listening(self) -> None:
+        until_refused(self.port)  # after the grace period of 0.3 s
 
     def test_a_cancel_after_the_grace_accepts_requests_at_once_and_loses_nothing(self):
         dispatcher, ident = self.running("card")
-        late = self.dispatcher()
+        second_dispatcher = self.dispatcher()
         link = self.link()
-        self.leave(link)
+        self.order_drain(link)
         self.assertEqual(dispatcher.next(), [b"0", b"last"])
-        within = late.call("card")  # read in the grace: it runs
-        self.assertEqual(self.engine.next()[:2], ("RUN", within))
-        self.until_it_listens_no_more()
-        late.call("card", tag=2)  # after the grace, before the cancel: it does not run
-        self.assertEqual(late.answer()[:2], (2, b"full"))
+        in_grace = second_dispatcher.call("card")  # read within the grace period: it runs
+        self.assertEqual(self.engine.next()[:2], ("RUN", in_grace))
+        self.wait_until_not_listening()
+        second_dispatcher.call("card", tag=2)  # after the grace period, before the cancel: it does not run
+        self.assertEqual(second_dispatcher.answer()[:2], (2, b"full"))
         self.assertEqual(self.say(link, type="ask", tag=2)["owes_by"], {"card": 2})
         while self.report() != "PULSE n3 closed":
             pass
         self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])
-        fresh = self.dispatcher()
-        again = fresh.call("card")
-        self.assertEqual(self.engine.next()[:2], ("RUN", again))
-        self.engine.done(again)
+        new_dispatcher = self.dispatcher()
+        after_cancel = new_dispatcher.call("card")
+        self.assertEqual(self.engine.next()[:2], ("RUN", after_cancel))
+        self.engine.done(after_cancel)
         self.engine.done(ident)
-        self.engine.done(within)
-        for each in (fresh, dispatcher, late):
+        self.engine.done(in_grace)
+        for each in (new_dispatcher, dispatcher, second_dispatcher):
             self.assertEqual(each.answer()[1], b"ok")
         while self.report() != "PULSE n3 open":
             pass
         self.assertEqual(self.say(link, type="ask", tag=4)["state"], "serving")
-        self.leave(link)  # and it can drain again
-        self.assertEqual(fresh.next(), [b"0", b"last"])
-        for each in (fresh, dispatcher, late):
+        self.order_drain(link)  # the node can drain again
+        self.assertEqual(new_dispatcher.next(), [b"0", b"last"])
+        for each in (new_dispatcher, dispatcher, second_dispatcher):
             each.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
     def test_a_cancel_within_the_grace_keeps_the_listening_socket(self):
         self.begin()
         link = self.link()
-        self.leave(link)
+        self.order_drain(link)
         self.assertTrue(self.say(link, type="stay", tag=2, generation=7)["done"])
-        self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])  # twice is no error
+        self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])  # a repetition is accepted
         dispatcher = self.dispatcher()
         ident = dispatcher.call()
         self.engine.done(ident if self.engine.next() else "")
@@ -171,11 +172,11 @@
     def test_sigterm_after_a_drain_order_is_final(self):
         dispatcher, ident = self.running("card")
         link = self.link()
-        self.leave(link)
+        self.order_drain(link)
         self.process.send_signal(signal.SIGTERM)
-        while (told := self.say(link, type="stay", tag=2, generation=7))["done"]:
-            self.leave(link)  # the signal was not handled yet
-        self.assertEqual(told["why"], "the drain is final: the node stops after SIGTERM")
+        while (response := self.say(link, type="stay", tag=2, generation=7))["done"]:
+            self.order_drain(link)  # the signal was not handled yet
+        self.assertEqual(response["why"], "the drain is final: the node stops after SIGTERM")
         self.assertFalse(self.say(link, type="stay", tag=3, generation=6)["done"])
         self.engine.done(ident)
         dispatcher.answer()
@@ -185,11 +186,11 @@
     def test_a_cancel_is_refused_if_another_process_uses_the_address(self):
         dispatcher, ident = self.running("card")
         link = self.link()
-        self.leave(link)
-        self.until_it_listens_no_more()
+        self.order_drain(link)
+        self.wait_until_not_listening()
         with socket.create_server(("127.0.0.1", self.port)):
-            told = self.say(link, type="stay", tag=2, generation=7)
-        self.assertIn("can't listen again", told["why"])
+            response = self.say(link, type="stay", tag=2, generation=7)
+        self.assertIn("can't listen again", response["why"])
         self.assertEqual(self.say(link, type="ask", tag=3)["state"], "draining")
         self.engine.done(ident)
         dispatcher.answer()
@@ -198,7 +199,7 @@
 
 
 class RunCommandTest(NodeProcessTest):
-    """`run` of the deploy file, as the platform starts it."""
+    """The command `run` of the deploy file, as the platform executes it."""
 
     root = str(Path(__file__).resolve().parents[2])
 
@@ -209,7 +210,7 @@
         self.command = ["/bin/sh", "-c", f"cd {shlex.quote(self.root)} && {run}"]
         self.variables = {"PYTHONPROFILEIMPORTTIME": "1"}
 
-    def test_it_is_one_process_that_forks_nothing_and_loads_nothing_of_the_agent(self):
+    def test_a_node_is_one_process_without_children_and_loads_no_module_of_the_agent(self):
         self.launch(self.told())
         loaded, port = [], 0
         for line in self.process.stderr:
@@ -225,7 +226,7 @@
         self.engine.done(ident if self.engine.next() else "")
         self.assertEqual(dispatcher.answer()[1], b"ok")
         with open(f"/proc/{self.process.pid}/cmdline", "rb") as file:
-            self.assertEqual(file.read().split(b"\0")[1:3], [b"-m", b"oakkeel"])  # instead of the shell
+            self.assertEqual(file.read().split(b"\0")[1:3], [b"-m", b"oakkeel"])  # exec replaced the shell
         with open(f"/proc/{self.process.pid}/task/{self.process.pid}/children", "rb") as file:
             self.assertEqual(file.read(), b"")
         with open(f"/proc/{self.process.pid}/maps", encoding="utf-8") as file:
@@ -251,28 +252,28 @@
 
 
 class ImportTest(NodeProcessTest):
-    def test_packages_import_downwards_only_and_the_sides_do_not_import_each_other(self):
+    def test_package_imports_have_no_cycle_and_protocol_packages_do_not_import_each_other(self):
         root = str(Path(__file__).resolve().parents[2])
-        knows: dict[str, set[str]] = {}
+        imports: dict[str, set[str]] = {}
         for path in glob.glob(os.path.join(root, "oakkeel", "**", "*.py"), recursive=True):
             parts = os.path.relpath(path, root).removesuffix(".py").split(os.sep)
             with open(path, encoding="utf-8") as file:
                 tree = ast.parse(file.read())
-            named = [node.module for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)]
-            knows.setdefault(parts[1], set()).update(
-                module.split(".")[1] for module in named if module and module.startswith("oakkeel.")
+            modules = [node.module for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)]
+            imports.setdefault(parts[1], set()).update(
+                module.split(".")[1] for module in modules if module and module.startswith("oakkeel.")
             )
-        graph = {name: found - {name} for name, found in knows.items()}
-        list(graphlib.TopologicalSorter(graph).static_order())  # raises if there is a circle
-        sides = {"dispatch", "engine", "catalogue", "directory", "control"}
-        for side in sides:
-            self.assertFalse(graph[side] & (sides | {"node", "agent", "fleet"}), side)
+        graph = {name: imported - {name} for name, imported in imports.items()}
+        list(graphlib.TopologicalSorter(graph).static_order())  # raises CycleError if there is a cycle
+        protocols = {"dispatch", "engine", "catalogue", "directory", "control"}
+        for protocol in protocols:
+            self.assertFalse(graph[protocol] & (protocols | {"node", "agent", "fleet"}), protocol)
 
-    def test_a_plain_node_loads_none_of_what_agents_and_commands_need(self):
+    def test_a_node_without_control_link_loads_no_module_of_agents_and_commands(self):
         code = (
             "import sys, oakkeel.__main__, oakkeel.node.node\n"
             "print([name for name in ('msgspec', 'click', 'rich', 'lxml', 'blake3', 'sqlite3',"
             " 'oakkeel.agent', 'oakkeel.cli') if sys.modules.get(name)])"
         )
-        out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-        self.assertEqual(out.stdout.strip(), "[]")
+        process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+        self.assertEqual(process.stdout.strip(), "[]")
--- a/tests/control/test_listener.py
+++ b/tests/control/test_listener.py
@@ -15,7 +15,7 @@
 
 
 class FakeStream:
-    """A stream of which the test decides when a read or a write is finished."""
+    """A stream whose reads and writes finish when the test completes them."""
 
     def __init__(self) -> None:
         self.reads: list[tuple[memoryview, asyncio.Future]] = []
@@ -57,7 +57,7 @@
     async def test_a_link_that_is_cancelled_as_more_of_a_message_arrives_is_cancelled(self):
         self.stream.receive(REQUEST[:4])
         async with asyncio.timeout(20):
-            while len(self.stream.reads) < 2:  # it pauses between two reads
+            while len(self.stream.reads) < 2:  # the link pauses between two reads
                 await asyncio.sleep(0.001)
         await let_run()
         self.assertTrue(await ends_cancelled(self.task, lambda: self.stream.receive(REQUEST[4:8])))
@@ -65,10 +65,10 @@
     async def test_a_link_that_is_cancelled_as_a_response_is_written_is_cancelled(self):
         self.stream.receive(REQUEST)
         await let_run()
-        (written,) = self.stream.writes
-        self.assertTrue(await ends_cancelled(self.task, lambda: written.set_result(None)))
+        (write,) = self.stream.writes
+        self.assertTrue(await ends_cancelled(self.task, lambda: write.set_result(None)))
 
-    async def test_a_write_goes_on_after_the_cancellation_of_its_link(self):
+    async def test_the_cancellation_of_a_link_does_not_cancel_its_write(self):
         self.stream.receive(REQUEST)
         await let_run()
         self.task.cancel()
