--- a/oakkeel/fleet/__init__.py
+++ b/oakkeel/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The client of all agents of a fleet: retries, the last known status, and the tracking of orders."""
+"""The client of all agents of a fleet: fan-out with retries, last known status, order tracking."""
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -23,14 +23,14 @@
 AgentError = LinkError
 AgentRejectedError = AuthenticationRejectedError
 OnResponse = Callable[[str, int, messages.Response], None]
-MAX_LEADER_SEARCH_DEADLINES = 3  # in deadlines of one request
+MAX_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, in deadlines of one request
 SEED_BITS = 63
 NO_LEADER_TEXT = "no reachable agent leads the control plane"
 UNEXPECTED_RESPONSE = "the agent sent an unexpected response"
 
 
 class NoLeaderError(OakkeelError, OSError):
-    """No reachable agent leads the control plane; `reasons` has the failure or response of each host."""
+    """No reachable agent leads the control plane; `reasons` has the failure or response by host."""
 
     def __init__(self, reasons: dict[str, str]) -> None:
         """Store the reasons, by host."""
@@ -39,7 +39,7 @@
 
 
 async def request_once(address: tuple[str, int], key: Key, request: messages.Request) -> messages.Response:
-    """Send one request on a connection of its own, with no deadline. Raises AgentError."""
+    """Send one request over a new connection, without a deadline. Raises AgentError."""
     client = AuthenticatedClient(address, key)
     try:
         return messages.decode_response(await client.request(messages.encode(request)))
@@ -50,7 +50,7 @@
 
 
 class FanOutRequest:
-    """One fan-out in progress: its connections, and the responses so far."""
+    """One fan-out in progress: its attempts, and the responses received."""
 
     def __init__(self, clients: AgentClients, requests: dict[str, messages.Request], fan_out: FanOut) -> None:
         """Prepare to send each host its request."""
@@ -63,18 +63,18 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Send and retry until the fan-out is finished; close all connections."""
+        """Send and retry until the fan-out is finished, then cancel the attempts in flight."""
         try:
-            while not self.fan_out.finished:
+            while not self.fan_out.is_finished:
                 now = time.monotonic_ns()
                 for name in self.fan_out.tick(now):
                     self.tasks.add(asyncio.ensure_future(self._send(name, now)))
-                if self.fan_out.finished:
+                if self.fan_out.is_finished:
                     break
                 self.progress.clear()
-                wait = max(0, self.fan_out.next_at() - time.monotonic_ns())
+                wait = max(0, self.fan_out.next_tick_at() - time.monotonic_ns())
                 with contextlib.suppress(TimeoutError):
-                    # `wait_for` may lose a cancellation, before Python 3.12
+                    # before Python 3.12, `wait_for` may lose a cancellation
                     async with asyncio.timeout(wait / SECOND):
                         await self.progress.wait()
         finally:
@@ -85,23 +85,23 @@
     async def _send(self, name: str, sent_at: int) -> None:
         try:
             response = await self.clients.request(name, self.requests[name])
-            if self.fan_out.answered(time.monotonic_ns(), name):
+            if self.fan_out.record_response(time.monotonic_ns(), name):
                 self.responses[name] = response
                 if self.on_response:
                     self.on_response(name, sent_at, response)
         except AgentRejectedError as error:
-            self.fan_out.rejected(time.monotonic_ns(), name, str(error))
+            self.fan_out.record_rejection(time.monotonic_ns(), name, str(error))
         except OSError as error:
-            self.fan_out.failed(time.monotonic_ns(), name, str(error))
+            self.fan_out.record_failure(time.monotonic_ns(), name, str(error))
         finally:
             self.progress.set()
 
 
 class AgentClients:
-    """All agents of a fleet, as a client with one operator's key."""
+    """A client of all agents of a fleet, with the key of one operator."""
 
     def __init__(self, fleet: Fleet, key: Key) -> None:
-        """Use the addresses of the settings, and this key."""
+        """Use the addresses in the settings of the fleet, and this key."""
         self.fleet = fleet
         self.key = key
 
@@ -115,10 +115,10 @@
         deadline: int = 0,
         on_response: OnResponse | None = None,
     ) -> tuple[dict[str, messages.Response], dict[str, str]]:
-        """Send each host its request; return the responses, and the failures, by host.
+        """Send each host its request; return the responses and the failures, both by host.
 
-        `deadline` in nanoseconds, 0 for that of the settings; `on_response` is called with the host, the time
-        at which its request was sent, and the response.
+        `deadline` is in nanoseconds; 0: the deadline in the settings. `on_response` is called with the host,
+        the time at which its request was sent, and the response.
         """
         settings = self.fleet.client
         policy = FanOutPolicy(deadline or settings.deadline, settings.hedge, settings.tries)
@@ -127,7 +127,7 @@
         in_progress.on_response = on_response
         await in_progress.run()
         failures = {
-            name: failure_text(target)
+            name: describe_failure(target)
             for name, target in fan_out.targets.items()
             if target.state is not TargetState.ANSWERED
         }
@@ -136,38 +136,40 @@
     async def request_leader(self, request: messages.Request, deadline: int = 0) -> messages.Response:
         """Send a request to the leader of the control plane. Raises NoLeaderError.
 
-        `deadline` in nanoseconds, 0 for a few times that of the settings.
+        `deadline` is in nanoseconds; 0: `MAX_LEADER_SEARCH_DEADLINES` times the deadline in the settings.
         """
         if self.fleet.control_plane is None:
             raise SettingsError(f"{self.fleet.path}: the fleet has no replicas (`keepers`), so no leader")
         voters = self.fleet.control_plane.hosts
         others = [host.name for host in self.fleet.hosts if host.name not in voters]
-        per_request = self.fleet.client.deadline
+        request_deadline = self.fleet.client.deadline
         search = LeaderDiscovery(
-            time.monotonic_ns(), [*voters, *others], deadline or MAX_LEADER_SEARCH_DEADLINES * per_request
+            time.monotonic_ns(),
+            [*voters, *others],
+            deadline or MAX_LEADER_SEARCH_DEADLINES * request_deadline,
         )
         while search.state is SearchState.SEARCHING:
             now = time.monotonic_ns()
             if not (name := search.next_host(now)):
                 await asyncio.sleep(max(0, min(search.not_before, search.deadline) - now) / SECOND)
                 continue
-            timeout = min(per_request, max(1, search.deadline - now))
+            timeout = min(request_deadline, max(1, search.deadline - now))
             try:
                 async with asyncio.timeout(timeout / SECOND):
                     response = await self.request(name, request)
             except TimeoutError:
-                search.failed(time.monotonic_ns(), name, "did not answer")
+                search.record_failure(time.monotonic_ns(), name, "did not answer")
             except OSError as error:
-                search.failed(time.monotonic_ns(), name, str(error))
+                search.record_failure(time.monotonic_ns(), name, str(error))
             else:
                 if not isinstance(response, messages.NotLeaderResponse):
-                    search.found()
+                    search.record_leader()
                     return response
-                search.not_leader(time.monotonic_ns(), name, response.leader, response.why)
+                search.record_not_leader(time.monotonic_ns(), name, response.leader, response.why)
         raise NoLeaderError(search.reasons)
 
     async def refresh(self, view: FleetView, hosts: list[str] | None = None, deadline: int = 0) -> None:
-        """Update a view with the status of these hosts, or of all. `deadline` as for `request_each`."""
+        """Update a view with the status of these hosts, or of all; `deadline` is that of `request_each`."""
         names = hosts if hosts is not None else [host.name for host in self.fleet.hosts]
 
         def update(name: str, sent_at: int, response: messages.Response) -> None:
@@ -183,6 +185,6 @@
             view.no_response(name, reason)
 
 
-def failure_text(target: Target) -> str:
-    """Return in one line why a request to a target failed."""
+def describe_failure(target: Target) -> str:
+    """Describe in one line why a request to a target failed."""
     return f"{target.state.value}: {target.reason}" if target.reason else target.state.value
--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -1,8 +1,8 @@
-"""One request to many agents: when to send, retry or hedge it, and when to stop. Free of I/O.
+"""Decides when to send, retry, hedge and give up a request to many agents. Free of I/O.
 
 Every request is idempotent: a read changes nothing, and an order has an ID by which its agent recognises it.
-Retries and hedged requests share one budget over all targets, so that agents that are slow together get few
-requests more. A fan-out to few targets may still send `min_retry_budget` more in all.
+Retries and hedged requests share one budget over all targets, which limits the additional load on agents
+that are slow at the same time. A fan-out to few targets may still send `min_retry_budget` of them.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class TargetState(Enum):
-    """The state of the request to one agent, as messages name it. Only `FanOut._move` changes it."""
+    """The state of the request to one agent, by its text in messages. Only `FanOut._move` changes it."""
 
     SENT = "sent"
     RETRIED = "sent again"  # a retry or a hedged request is in flight
     BACKING_OFF = "to be sent again"  # all attempts so far have failed
     ANSWERED = "answered"
-    REJECTED = "refused"  # also in JSON output; the agent does not accept this client: no retry can succeed
-    FAILED = "failed"  # no attempt left, or no retry budget
+    REJECTED = "refused"  # the agent does not accept this client: no retry can succeed; also in JSON output
+    FAILED = "failed"  # no attempt is left, or no retry budget
     TIMED_OUT = "did not answer"  # before the deadline
 
 
@@ -61,35 +61,35 @@
     """Limits of one fan-out. Times in nanoseconds."""
 
     deadline: int  # after the start, for all targets
-    hedge_delay: int  # without a response after it another request is sent, up to `max_attempts`
+    hedge_delay: int  # without a response for this time, another attempt is sent, up to `max_attempts`
     max_attempts: int  # for each target
     retry_budget_ratio: float = DEFAULT_RETRY_BUDGET_RATIO  # of the number of targets
-    min_retry_budget: int = DEFAULT_MIN_RETRY_BUDGET  # for few targets
+    min_retry_budget: int = DEFAULT_MIN_RETRY_BUDGET  # applies to few targets
 
 
 def retry_budget(targets: int, policy: FanOutPolicy) -> int:
-    """Return how many requests may be sent beyond the first to each of `targets`.
+    """Return the number of retries and hedged requests for a number of targets together.
 
-    A budget for all of them keeps agents that are slow together from getting twice the requests.
+    A common budget keeps agents that are slow at the same time from receiving twice the requests.
     """
     return max(policy.min_retry_budget, int(policy.retry_budget_ratio * targets))
 
 
 class Action(Enum):
-    """What to do for one target now."""
+    """The decision for one target."""
 
     WAIT = "wait"
     SEND = "send"
-    RETRY = "retry"  # or hedge
+    RETRY = "retry"  # or send a hedged request
     TIME_OUT = "time out"
     GIVE_UP = "give up"
 
 
 @dataclass(slots=True, eq=False)
 class Target:
-    """The requests to one agent, by the name of its host."""
+    """The attempts to send a request to one agent."""
 
-    name: str
+    name: str  # of the host
     state: TargetState = TargetState.SENT
     sent: int = 0
     in_flight: int = 0  # attempts that may still be answered
@@ -98,9 +98,9 @@
 
 
 class FanOut:
-    """Decides on one request to many agents.
+    """Decides on the attempts of one request to many agents.
 
-    The caller sends the request to the names that `tick` returns, and reports what became of each.
+    The caller sends the request to the hosts that `tick` returns, and records the outcome of each attempt.
     """
 
     def __init__(self, now: int, names: Iterable[str], policy: FanOutPolicy, seed: int) -> None:
@@ -113,12 +113,12 @@
         self.random = Random(seed).random
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether every target has a final state."""
         return all(target.state in FINAL_STATES for target in self.targets.values())
 
     def tick(self, now: int) -> list[str]:
-        """Return the hosts to send the request to now."""
+        """Return the hosts to which to send the request now."""
         names = []
         for target in self.targets.values():
             if target.state in FINAL_STATES:
@@ -138,10 +138,10 @@
         return names
 
     def _decide(self, now: int, target: Target) -> Action:
-        """Return what to do for a target that has no final state; `now` is monotonic nanoseconds.
+        """Return the decision for a target that has no final state; `now` is monotonic nanoseconds.
 
-        A retry after a failure and a hedged request without a response follow one rule: the time of the
-        target's next attempt has come, and it may have another.
+        A retry after a failure and a hedged request without a response follow one rule: `retry_at` has
+        passed, and the target may be retried.
         """
         if now >= self.deadline:
             return Action.TIME_OUT
@@ -154,11 +154,11 @@
         return Action.WAIT
 
     def _may_retry(self, target: Target) -> bool:
-        """Return whether a target has an attempt left, and the budget a retry."""
+        """Return whether neither the attempts of a target nor the retry budget are used up."""
         return target.sent < self.max_attempts and self.retries_left > 0
 
-    def next_at(self) -> int:
-        """Return when to call `tick` next, unless a response comes before; monotonic nanoseconds."""
+    def next_tick_at(self) -> int:
+        """Return the time of the next `tick`, in monotonic nanoseconds, unless a response arrives earlier."""
         retries = [
             target.retry_at
             for target in self.targets.values()
@@ -166,8 +166,8 @@
         ]
         return min([self.deadline, *retries])
 
-    def answered(self, now: int, name: str) -> bool:
-        """Record a response; return whether it counts: it is the first, and came before the deadline."""
+    def record_response(self, now: int, name: str) -> bool:
+        """Record a response; return whether it counts: it is the first, and arrived before the deadline."""
         target = self.targets[name]
         target.in_flight -= 1
         if target.state in FINAL_STATES:
@@ -175,7 +175,7 @@
         self._move(target, TargetState.ANSWERED)
         return True
 
-    def rejected(self, now: int, name: str, reason: str) -> None:
+    def record_rejection(self, now: int, name: str, reason: str) -> None:
         """Record that the agent does not accept this client."""
         target = self.targets[name]
         target.in_flight -= 1
@@ -183,8 +183,8 @@
             target.reason = reason
             self._move(target, TargetState.REJECTED)
 
-    def failed(self, now: int, name: str, reason: str) -> None:
-        """Record that one attempt failed; others to the same agent may still be in flight."""
+    def record_failure(self, now: int, name: str, reason: str) -> None:
+        """Record that one attempt failed; other attempts to the same agent may still be in flight."""
         target = self.targets[name]
         target.in_flight -= 1
         if target.state in FINAL_STATES:
--- a/oakkeel/fleet/leader_discovery.py
+++ b/oakkeel/fleet/leader_discovery.py
@@ -1,10 +1,10 @@
-"""The search for the agent that leads the control plane: which host to request next. Free of I/O.
+"""Searches for the agent that leads the control plane: chooses the next host to query. Free of I/O.
 
-The search starts at any agent; one that is not the leader names the leader that it knows. Each host is
-requested once in a round, and after a round without a leader there is a delay.
+The search starts at any agent; an agent that is not the leader names the leader that it knows. Each host is
+queried once in a round, and a round without a leader is followed by a delay.
 
-`agent/leader_locator.py` has another rule on purpose: an agent keeps one replica for all its heartbeats, and
-changes it in rotation. This search serves one request of a client, has rounds and a deadline, and ends.
+`agent/leader_locator.py` has another rule on purpose: an agent sends all its heartbeats to one replica, and
+changes the replica in rotation. This search serves one request of a client; it has rounds and a deadline.
 """
 
 from __future__ import annotations
@@ -27,54 +27,57 @@
 
 
 class LeaderDiscovery:
-    """One search for the leader, over hosts in the order in which they are likely to lead."""
+    """One search for the leader among hosts."""
 
     def __init__(
         self, now: int, names: Iterable[str], deadline: int, round_delay: int = DEFAULT_ROUND_DELAY_NS
     ) -> None:
-        """Start a search among hosts, the likeliest first; `deadline` after `now`. Times in nanoseconds."""
+        """Start a search; `names` has the likeliest leaders first. `deadline` counts from `now`.
+
+        All times are in nanoseconds.
+        """
         self.names = list(names)
         self.deadline = now + deadline
         self.round_delay = round_delay
         self.state = SearchState.SEARCHING
-        self.requested_this_round: set[str] = set()
-        self.next = self.names[0]
+        self.queried_this_round: set[str] = set()
+        self.next_candidate = self.names[0]
         self.not_before = now
-        self.reasons: dict[str, str] = {}  # by host: why it was not the leader
+        self.reasons: dict[str, str] = {}  # failure, or response of an agent that does not lead, by host
 
     def next_host(self, now: int) -> str:
-        """Return the host to request now; empty before `not_before`, and after the end of the search."""
+        """Return the host to query now; empty before `not_before` and after the end of the search."""
         if self.state is SearchState.SEARCHING and now >= self.deadline:
             self._move(SearchState.TIMED_OUT)
         if self.state is not SearchState.SEARCHING or now < self.not_before:
             return ""
-        self.requested_this_round.add(self.next)
-        return self.next
+        self.queried_this_round.add(self.next_candidate)
+        return self.next_candidate
 
-    def not_leader(self, now: int, name: str, leader: str, reason: str) -> None:
-        """Record a response of an agent that does not lead; `leader` is the one that it knows, or empty."""
+    def record_not_leader(self, now: int, name: str, leader: str, reason: str) -> None:
+        """Record a response of an agent that does not lead; `leader` is the one that it names, if any."""
         self.reasons[name] = reason
         self._choose_next(now, leader)
 
-    def failed(self, now: int, name: str, reason: str) -> None:
+    def record_failure(self, now: int, name: str, reason: str) -> None:
         """Record that an agent did not answer."""
         self.reasons[name] = reason
         self._choose_next(now, "")
 
-    def found(self) -> None:
-        """Record that the last requested host leads."""
+    def record_leader(self) -> None:
+        """Record that the host queried last leads."""
         self._move(SearchState.FOUND)
 
     def _choose_next(self, now: int, leader: str) -> None:
-        """Choose the named leader, or the next host in order, that was not requested in this round."""
-        candidates = [name for name in self.names if name not in self.requested_this_round]
+        """Choose the named leader, else the next host in order, of the hosts not queried in this round."""
+        candidates = [name for name in self.names if name not in self.queried_this_round]
         if leader in candidates:
-            self.next = leader
+            self.next_candidate = leader
         elif candidates:
-            self.next = candidates[0]
+            self.next_candidate = candidates[0]
         else:
-            self.requested_this_round.clear()
-            self.next = leader if leader in self.names else self.names[0]
+            self.queried_this_round.clear()
+            self.next_candidate = leader if leader in self.names else self.names[0]
             self.not_before = now + self.round_delay
 
     def _move(self, state: SearchState) -> None:
--- a/oakkeel/fleet/order_tracking.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -1,8 +1,8 @@
-"""Tracks one order over many agents to its result. Free of I/O.
+"""Tracks one order over many agents until its result. Free of I/O.
 
-Each instance has one outcome, whatever its agent does: a response may come late, twice, in another order, or
-never. The last status of an agent counts; an outcome that no agent reported is unknown, and never counts as
-done.
+Each instance has one outcome, although responses of its agent may be late, duplicated, reordered or missing.
+The last status that an agent reported counts; an outcome that no agent reported is unknown, and never counts
+as done.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 class TaskStage(Enum):
-    """The progress of an order for one instance, as its sender knows it. Only `OrderTracker` changes it."""
+    """The progress of an order for one instance, as known to its sender. Only `OrderTracker` changes it."""
 
-    NOT_SENT = "not ordered"  # no agent reported the instance, so no order could name its generation
+    NOT_SENT = "not ordered"  # no agent reported the instance, so its generation is not known
     SENT = "sent"
     REJECTED = "refused"
-    UNKNOWN = "not known"  # no response came: the agent may have accepted the order or not
+    UNKNOWN = "not known"  # without a response: the agent may have accepted the order
     OPEN = "open"
     DONE = "done"
-    ENDED = "ended"  # not done, and not open any more
+    ENDED = "ended"  # without success
 
 
 TRANSITIONS: dict[TaskStage, set[TaskStage]] = {
@@ -53,7 +53,7 @@
 
 
 class Result(Enum):
-    """The result of an order over all its instances."""
+    """The result of an order for all its instances."""
 
     DONE = "done"
     SOME_FAILED = "some failed"
@@ -66,8 +66,8 @@
 
     order_id: str
     verb: str
-    lifetime: int  # nanoseconds; a task that is open after it has failed
-    supersede: bool = False  # end another operator's open order on the same instances
+    lifetime: int  # nanoseconds, after which an open task has failed
+    supersede: bool = False  # end open orders of other operators on the same instances
 
 
 @dataclass(slots=True)
@@ -77,23 +77,23 @@
     instance: str
     host: str
     stage: TaskStage
-    state: str  # as its agent reported it, else that of the stage
-    age: int = 0  # nanoseconds in that state, when it was reported
+    state: str  # as its agent reported it; without a report, the text of the stage
+    age: int = 0  # nanoseconds in that state, at the time of the report
     why: str = ""
 
 
 class OrderTracker:
-    """Follows one order over the agents of the chosen instances."""
+    """Tracks one order over the agents of the selected instances."""
 
-    def __init__(self, order: OrderSpec, chosen: Sequence[Row]) -> None:
+    def __init__(self, order: OrderSpec, selected: Sequence[Row]) -> None:
         """Track an order for the instances of these rows."""
         self.order = order
-        self.targets_by_host = targets_by_host(chosen)
-        self.tasks = {row.name: TrackedTask(row.name, row.host, TaskStage.SENT, "sent") for row in chosen}
-        self.silent: set[str] = set()  # hosts whose agent did not answer the order, or before it
-        for row in chosen:
+        self.targets_by_host = targets_by_host(selected)
+        self.tasks = {row.name: TrackedTask(row.name, row.host, TaskStage.SENT, "sent") for row in selected}
+        self.silent_hosts: set[str] = set()  # their agents did not answer the order, or an earlier request
+        for row in selected:
             if row.status is None:
-                self.silent.add(row.host)
+                self.silent_hosts.add(row.host)
                 task = self.tasks[row.name]
                 task.stage = TaskStage.NOT_SENT
                 task.state = "not ordered"
@@ -108,7 +108,7 @@
         }
 
     def answered(self, host: str, response: messages.Response) -> None:
-        """Record an agent's response to the order, or to a later request for its orders."""
+        """Record the response of an agent to the order, or to a later request for its list of orders."""
         if isinstance(response, messages.OrderStatus):
             self._apply_order(host, response)
         elif isinstance(response, messages.OrderList):
@@ -120,8 +120,8 @@
                     self._move(task, TaskStage.REJECTED, "refused", why=response.why)
 
     def no_response(self, host: str, why: str) -> None:
-        """Record that an agent did not answer the order: it may have accepted it."""
-        self.silent.add(host)
+        """Record that an agent did not answer the order, which it may have accepted."""
+        self.silent_hosts.add(host)
         for task in self._tasks_of(host):
             if task.stage is TaskStage.SENT:
                 self._move(task, TaskStage.UNKNOWN, "not known", why=why)
@@ -138,7 +138,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether no task is open: waiting longer changes nothing."""
+        """Whether no task is open, so that waiting longer changes nothing."""
         return all(task.stage is not TaskStage.OPEN for task in self.tasks.values())
 
     @property
@@ -147,12 +147,16 @@
         return sum(task.stage not in (TaskStage.OPEN, TaskStage.SENT) for task in self.tasks.values())
 
     def result(self, waited: bool) -> Result:
-        """Return the result; if the sender did not wait for the end, an open task counts as done."""
+        """Return the result; for a sender that did not wait, an open task counts as done."""
         unresolved = (TaskStage.NOT_SENT, TaskStage.UNKNOWN, TaskStage.SENT)
         if any(task.stage in unresolved for task in self.tasks.values()):
             return Result.SOME_SILENT
-        good = {TaskStage.DONE} if waited else {TaskStage.DONE, TaskStage.OPEN}
-        return Result.DONE if all(task.stage in good for task in self.tasks.values()) else Result.SOME_FAILED
+        successful = {TaskStage.DONE} if waited else {TaskStage.DONE, TaskStage.OPEN}
+        return (
+            Result.DONE
+            if all(task.stage in successful for task in self.tasks.values())
+            else Result.SOME_FAILED
+        )
 
     def _tasks_of(self, host: str) -> list[TrackedTask]:
         return [task for task in self.tasks.values() if task.host == host]
@@ -163,9 +167,9 @@
         for status in order.tasks:
             task = self.tasks.get(status.instance)
             if task is None or task.host != host:
-                continue  # it belongs to another host's agent
+                continue  # the task belongs to the agent of another host
             stage = STAGE_BY_STATE.get(status.state, TaskStage.ENDED)
-            if stage is task.stage or stage in TRANSITIONS[task.stage]:  # else the response is an old one
+            if stage is task.stage or stage in TRANSITIONS[task.stage]:  # else the response is outdated
                 self._move(task, stage, status.state, status.age, status.why)
 
     def _move(self, task: TrackedTask, stage: TaskStage, state: str, age: int = 0, why: str = "") -> None:
--- a/oakkeel/fleet/selection.py
+++ b/oakkeel/fleet/selection.py
@@ -1,4 +1,4 @@
-"""The instances that an operator selects, and the part of a site that an order takes out. Free of I/O."""
+"""Selects instances, and finds the sites where an order makes too many of them unavailable. Free of I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Selection:
-    """Globs that select instances; an empty field selects all, several globs all that one of them matches."""
+    """Glob patterns that select instances.
+
+    A field without patterns selects all instances; a field with several, those that match one of them.
+    """
 
     names: tuple[str, ...] = ()
     sites: tuple[str, ...] = ()
@@ -33,7 +36,7 @@
         return not (self.names or self.sites or self.hosts or self.states)
 
     def among(self, rows: Sequence[Row]) -> list[Row]:
-        """Return the selected rows in their order. Raises SelectionError if a pattern matches none."""
+        """Return the selected rows in their order. Raises SelectionError if a pattern matches no row."""
         for patterns, field in ((self.names, "name"), (self.sites, "site"), (self.hosts, "host")):
             for pattern in patterns:
                 if any(fnmatch.fnmatchcase(getattr(row, field), pattern) for row in rows):
@@ -57,7 +60,7 @@
 
 
 def targets_by_host(rows: Sequence[Row]) -> dict[str, list[tuple[str, int]]]:
-    """Return names and reported generations by host, without the rows that no agent reported."""
+    """Return names and reported generations by host; rows that no agent reported are left out."""
     targets: dict[str, list[tuple[str, int]]] = {}
     for row in rows:
         if row.status is not None:
@@ -65,13 +68,13 @@
     return targets
 
 
-def sites_over_share(rows: Sequence[Row], chosen: Sequence[Row], share: float) -> list[str]:
-    """Return a line for each site whose unavailable instances would exceed a share of it by an order."""
+def sites_over_share(rows: Sequence[Row], selected: Sequence[Row], share: float) -> list[str]:
+    """Return a line for each site of which an order would leave more than `share` unavailable."""
     sizes = Counter(row.site for row in rows)
-    leaving = Counter(row.site for row in chosen if not row.out)
-    out = Counter(row.site for row in rows if row.out)
+    leaving = Counter(row.site for row in selected if not row.is_unavailable)
+    unavailable = Counter(row.site for row in rows if row.is_unavailable)
     return [
-        f"{site}: {leaving[site]} of {size} would be taken out, {out[site]} are out already"
+        f"{site}: {leaving[site]} of {size} would be taken out, {unavailable[site]} are out already"
         for site, size in sizes.items()
-        if leaving[site] and leaving[site] + out[site] > share * size
+        if leaving[site] and leaving[site] + unavailable[site] > share * size
     ]
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -1,7 +1,8 @@
 """The last known status of a fleet whose agents answer late, never, or out of order. Free of I/O.
 
-Each status has its age and its source. The age counts from when the request was sent, so it is never too
-low; it grows until a later request is answered. A status older than `MAX_STATUS_AGE_NS` is shown as old.
+Each status has an age and a source. The age counts from the time at which the request was sent, so it is
+never too low, and grows until a later request is answered. A status older than `MAX_STATUS_AGE_NS` is shown
+as old.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from oakkeel.units import SECOND
 
 MAX_STATUS_AGE_NS = 3 * SECOND
-MAX_CLOCK_SKEW_NS = 2 * SECOND  # between an agent and this host, without a note to the operator
+MAX_CLOCK_SKEW_NS = 2 * SECOND  # between an agent and this host; beyond it the operator sees a note
 NOT_SERVING_STATES = frozenset(
     {"stopped", "starting", "cold", "draining", "silent", "stuck", "failing", "unknown"}
 )
@@ -21,7 +22,7 @@
 
 @dataclass(slots=True, eq=False)
 class HostReport:
-    """The last status that an agent sent."""
+    """The last status that an agent sent, and the time of the request for it."""
 
     requested_at: int  # monotonic nanoseconds
     status: HostStatus
@@ -34,36 +35,36 @@
     name: str
     site: str
     host: str
-    state: str  # a phase; unknown if its agent never answered
+    state: str  # a phase, or `unknown` if its agent never reported the instance
     old: bool = False  # the state is older than `MAX_STATUS_AGE_NS`
     age: int = -1  # nanoseconds; -1: never reported
     report_age: int = -1  # of the instance's own report, in nanoseconds; -1: none
-    source: str = "nobody"  # who reported
+    source: str = "nobody"  # the agent that reported
     status: InstanceStatus | None = None
 
     @property
     def shown(self) -> str:
-        """The state, marked as old if it is."""
+        """The state to display, marked if it is old."""
         return f"old: {self.state}" if self.old else self.state
 
     @property
-    def out(self) -> bool:
-        """Whether the instance is not known to serve."""
+    def is_unavailable(self) -> bool:
+        """Whether the instance does not serve, or is not known to serve."""
         return self.old or self.state in NOT_SERVING_STATES
 
 
 class FleetView:
-    """All instances of the settings, with the last status of their agents."""
+    """All instances in the settings of a fleet, with the last status that their agents reported."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Start without any status."""
         self.fleet = fleet
         self.reports: dict[str, HostReport] = {}
-        self.silent: dict[str, str] = {}  # by host: why its agent did not answer the last request
+        self.silent: dict[str, str] = {}  # reason by host whose agent did not answer the last request
         self.clock_offset = 0  # this host's clock minus its monotonic clock, in nanoseconds; 0: not set
 
     def update(self, host: str, requested_at: int, status: HostStatus) -> None:
-        """Record the response to a request sent at that time; one to an earlier request is ignored."""
+        """Record the response to a request sent at `requested_at`, unless a later request was answered."""
         if status.host != host:
             self.silent[host] = f"the agent of {status.host} answered at its address"
             return
@@ -78,7 +79,7 @@
         self.silent[host] = why
 
     def rows(self, now: int) -> list[Row]:
-        """Return a row for each instance of the settings; `now` is monotonic nanoseconds."""
+        """Return a row for each instance in the settings; `now` is monotonic nanoseconds."""
         return [self._row(now, host, instance) for host in self.fleet.hosts for instance in host.instances]
 
     def _row(self, now: int, host: HostSettings, instance: InstanceSettings) -> Row:
@@ -95,7 +96,7 @@
         return Row(instance.name, host.site, host.name, status.phase, old, age, report_age, source, status)
 
     def notes(self) -> list[str]:
-        """Return what an operator should know in addition to the rows, a line each."""
+        """Return the notes for an operator in addition to the rows, one line each."""
         lines = [f"agent of {host}: {why}" for host, why in sorted(self.silent.items())]
         for host, report in sorted(self.reports.items()):
             lines += [f"agent of {host}: {note}" for note in report.status.notes]
--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -8,7 +8,7 @@
 
 
 def fleet_of(hosts: int = 2, instances: int = 3) -> Fleet:
-    """Hosts h0, h1 ... at one site, with instances n00, n01 ... of each."""
+    """Hosts h0, h1 ... at one site, with instances n00, n01 ... on the first, n10, n11 ... on the second."""
     return Fleet(
         "f",
         "f.xml",
@@ -30,7 +30,7 @@
 def host_status(
     host: str, phase: str = "serving", numbers: Iterable[int] = (0, 1, 2), unix: int = 0
 ) -> messages.HostStatus:
-    """What the agent of a host answers, with these instances of it in one phase."""
+    """Return the status that the agent of a host reports, with all these instances in one phase."""
     instances = [instance_status(f"n{host[1:]}{number}", phase) for number in numbers]
     return messages.HostStatus(host, "woodbrook", 1, unix, 1, 0, [], instances)
 
--- a/tests/fleet/test_agent_clients.py
+++ b/tests/fleet/test_agent_clients.py
@@ -13,7 +13,7 @@
 
 
 def clients_of(deadline: int) -> AgentClients:
-    """The clients of a fleet with one host, which is a replica; `deadline` of one request."""
+    """Return the clients of a fleet with one host, which is a replica; `deadline` is that of one request."""
     fleet = types.SimpleNamespace(
         control_plane=types.SimpleNamespace(hosts=("h0",)),
         hosts=[types.SimpleNamespace(name="h0")],
@@ -22,18 +22,18 @@
     return AgentClients(fleet, None)
 
 
-async def silent(name: str, request: messages.Request) -> messages.Response:
+async def never_respond(name: str, request: messages.Request) -> messages.Response:
     return await asyncio.get_running_loop().create_future()
 
 
 class FanOutRequestTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_fan_out_that_is_cancelled_as_a_response_arrives_is_cancelled(self):
-        """A cancelled poller must not wait for the hosts that have not answered."""
+        """Guards against a lost cancellation, after which a stopped poller would wait for silent hosts."""
         clients = clients_of(60 * SECOND)
         requests = {name: messages.HostStatusRequest() for name in ("h0", "h1")}
         fan_out = FanOut(0, requests, FanOutPolicy(1 << 62, 1 << 62, 1), 7)
         in_progress = FanOutRequest(clients, requests, fan_out)
-        with mock.patch.object(clients, "request", silent):
+        with mock.patch.object(clients, "request", never_respond):
             task = asyncio.ensure_future(in_progress.run())
             await let_run()
             sends = set(in_progress.tasks)
@@ -52,26 +52,26 @@
             return messages.NotLeaderResponse("", "an election is in progress")
 
         with mock.patch.object(clients, "request", request):
-            asked = clients.request_leader(messages.HostStatusRequest())
-            task = asyncio.ensure_future(followed_by_wait(asked))
+            search = clients.request_leader(messages.HostStatusRequest())
+            task = asyncio.ensure_future(followed_by_wait(search))
             await let_run()
             self.assertTrue(await ends_cancelled(task, arrived.set))
 
     async def test_a_request_to_the_leader_is_cancelled_at_its_deadline(self):
         clients = clients_of(20 * MS)
-        ended: list[bool] = []
+        cancelled: list[bool] = []
 
         async def request(name: str, request: messages.Request) -> messages.Response:
-            waited_for = asyncio.get_running_loop().create_future()
+            response = asyncio.get_running_loop().create_future()
             try:
-                return await waited_for
+                return await response
             finally:
-                ended.append(waited_for.cancelled())
+                cancelled.append(response.cancelled())
 
         with mock.patch.object(clients, "request", request), self.assertRaises(NoLeaderError) as caught:
             await clients.request_leader(messages.HostStatusRequest())
         self.assertEqual(caught.exception.reasons, {"h0": "did not answer"})
-        self.assertTrue(ended and all(ended))
+        self.assertTrue(cancelled and all(cancelled))
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_order_tracking.py
+++ b/tests/fleet/test_order_tracking.py
@@ -1,4 +1,4 @@
-"""Orders over many agents, followed to their end."""
+"""Orders over many agents, tracked until their result."""
 
 import unittest
 
@@ -20,7 +20,7 @@
         view.update("h1", SECOND, host_status("h1", numbers=(0,)))
         self.tracker = OrderTracker(OrderSpec("o1", "stop", 60 * SECOND), view.rows(SECOND))
 
-    def test_gives_each_instance_one_outcome_and_does_not_order_what_no_agent_reported(self):
+    def test_gives_each_instance_one_outcome_and_sends_no_order_for_unreported_ones(self):
         tracker = self.tracker
         self.assertEqual(
             {host: request.instances for host, request in tracker.requests().items()},
@@ -36,7 +36,7 @@
         )
         self.assertIs(tracker.result(True), Result.SOME_SILENT)
 
-    def test_ignores_late_foreign_and_misplaced_responses(self):
+    def test_ignores_outdated_statuses_and_those_of_other_orders_and_hosts(self):
         tracker = self.tracker
         tracker.answered("h0", order_status("n00", "done"))
         tracker.answered("h0", order_status("n00", "acting"))
@@ -44,7 +44,7 @@
         tracker.answered("h1", order_status("n00", "failed"))
         self.assertEqual(tracker.tasks["n00"].state, "done")
 
-    def test_no_response_means_unknown_until_the_agent_reports_and_never_done(self):
+    def test_a_task_without_response_is_unknown_until_the_agent_reports(self):
         tracker = self.tracker
         tracker.answered("h0", order_status("n00", "done"))
         tracker.no_response("h1", "did not answer")
@@ -56,7 +56,7 @@
         del tracker.tasks["n20"]
         self.assertIs(tracker.result(True), Result.SOME_FAILED)
 
-    def test_an_open_task_counts_as_good_for_a_sender_that_does_not_wait(self):
+    def test_an_open_task_counts_as_done_for_a_sender_that_does_not_wait(self):
         tracker = self.tracker
         del tracker.tasks["n20"]
         tracker.answered("h0", order_status("n00", "acting"))
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -1,4 +1,4 @@
-"""What is known of a fleet whose agents answer late or never."""
+"""The view of a fleet whose agents answer late or never, and the selection of instances."""
 
 import unittest
 
@@ -16,10 +16,12 @@
         self.view.update("h0", 10 * SECOND, host_status("h0"))
         rows = self.view.rows(10 * SECOND + 400 * MS)
         self.assertEqual((rows[0].shown, rows[0].age, rows[0].report_age), ("serving", 400 * MS, 600 * MS))
-        self.assertEqual((rows[3].shown, rows[3].age, rows[3].out), ("unknown", -1, True))
+        self.assertEqual((rows[3].shown, rows[3].age, rows[3].is_unavailable), ("unknown", -1, True))
         self.view.no_response("h0", "did not answer")
         rows = self.view.rows(20 * SECOND)
-        self.assertEqual((rows[0].shown, rows[0].age, rows[0].out), ("old: serving", 10 * SECOND, True))
+        self.assertEqual(
+            (rows[0].shown, rows[0].age, rows[0].is_unavailable), ("old: serving", 10 * SECOND, True)
+        )
         self.assertEqual(self.view.notes(), ["agent of h0: did not answer"])
 
     def test_ignores_a_response_to_an_earlier_request(self):
@@ -27,7 +29,7 @@
         self.view.update("h0", 10 * SECOND, host_status("h0", "serving"))
         self.assertEqual(self.view.rows(21 * SECOND)[0].state, "stopped")
 
-    def test_does_not_believe_an_agent_that_answers_for_another_host(self):
+    def test_ignores_the_status_of_an_agent_of_another_host(self):
         self.view.update("h0", SECOND, host_status("h1"))
         self.assertEqual(self.view.rows(SECOND)[0].state, "unknown")
         self.assertIn("the agent of h1 answered at its address", self.view.notes()[0])
@@ -36,7 +38,7 @@
         self.view.update("h0", SECOND, host_status("h0", numbers=(0,)))
         self.assertEqual([row.state for row in self.view.rows(SECOND)[:3]], ["serving", "unknown", "unknown"])
 
-    def test_notes_a_clock_that_is_off(self):
+    def test_notes_the_clock_skew_of_an_agent(self):
         self.view.clock_offset = 1000 * SECOND
         self.view.update("h0", 10 * SECOND, host_status("h0", unix=(1010 - 3600) * SECOND))
         self.assertIn("its clock is -3600 s off the clock of this host", self.view.notes()[0])
@@ -54,7 +56,7 @@
             Selection(names=("n00", "x")).among(rows)
         self.assertEqual(targets_by_host(rows), {"h0": [("n00", 4), ("n01", 4), ("n02", 4)]})
 
-    def test_names_sites_over_a_share_and_counts_what_is_out_already(self):
+    def test_names_sites_over_a_share_and_counts_instances_that_are_out_already(self):
         view = FleetView(fleet_of())
         view.update("h0", SECOND, host_status("h0"))
         view.update("h1", SECOND, host_status("h1"))
