--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -1,7 +1,7 @@
-"""Gates of a release: compare the new version with the old at the same time, by the nodes' reports.
+"""Gates of a release: compare reports of nodes with the new and the old version over the same time.
 
-Free of I/O. Cold processes are compared with cold ones only, such as the comparison targets of a batch. All
-metrics share one bound on the probability of halting a version that is as good as the old.
+Cold processes are compared only with cold ones, such as the comparison targets of a batch. All metrics share
+one bound on the probability of halting a version that is as good as the old. Free of I/O.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 
 FALSE_HALT_RATE = 0.01
 FALSE_PASS_RATE = 0.05
-WINDOW_NS = SECOND  # samples of one window are compared with each other
-# Crashes of the new version from which a release halts, if the old version has fewer; the larger one counts.
+WINDOW_NS = SECOND  # samples of one window are compared
+# A release halts at this number of crashes of the new version if the old version has fewer. The larger limit
+# applies.
 MAX_DEATHS = 3
 MAX_DEATH_RATIO = 0.1  # of the processes of the new version
 MIN_SAMPLES = 50  # requests of each arm before a metric counts
 MIN_REFERENCE_WEIGHT = 1e-6
 
-# Losses that count as equal, and the scale of the losses beyond them that matter.
+# Tolerated losses, and the typical sizes (scales) of the losses beyond them that matter.
 TOLERATED_MARGIN_RATIO = 0.25  # of the margin
 TOLERATED_COLD_MARGIN_RATIO = 0.5  # cold processes vary more
 COLD_SCALE_RATIO = 4  # of the margin
 TOLERATED_LOG_LATENCY = 0.05
 LOG_LATENCY_SCALE = 0.2
-TOLERATED_MEMORY_GROWTH_KB_PER_SECOND = 64.0  # more than the old
+TOLERATED_MEMORY_GROWTH_KB_PER_SECOND = 64.0  # beyond that of the old version
 MEMORY_GROWTH_SCALE_KB_PER_SECOND = 4 * TOLERATED_MEMORY_GROWTH_KB_PER_SECOND
 
 # Variances assumed before there are samples. Too small a value halts good versions in their first second.
@@ -47,7 +48,7 @@
 
 
 class Metric(StrEnum):
-    """What the versions are compared by, as reasons name it."""
+    """A metric by which versions are compared; reasons contain its value."""
 
     WARM_WEIGHT = "benefit"
     COLD_WEIGHT = "benefit while cold"
@@ -58,7 +59,7 @@
 
 
 class Decision(Enum):
-    """What a gate concludes from its samples."""
+    """The conclusion of a gate from its samples."""
 
     WORSE = "worse"
     GOOD = "good"
@@ -90,9 +91,9 @@
     """The sequential tests of one release in one direction."""
 
     def __init__(self, now: int, state: bytes, margin: float) -> None:
-        """Continue from an earlier controller's state; one that can't be decoded is dropped.
+        """Continue from the state of an earlier controller, which is dropped if it can't be decoded.
 
-        `margin` is the ratio of the earned weight that must not be lost.
+        `margin` is the loss to rule out, as a ratio of the earned weight.
         """
         self.margin = margin
         try:
@@ -107,11 +108,11 @@
         return msgspec.msgpack.encode(self.state)
 
     def sample_count(self) -> float:
-        """Return the requests of warm processes of the new version."""
+        """Return the number of requests to warm processes of the new version."""
         return self.state.warm.new.count
 
     def record(self, now: int, target: str, arm: Arm, report: ProcessReport) -> None:
-        """Add a report of a target's process, which counts for `arm`; `now` in nanoseconds."""
+        """Add a report of a target's process, which belongs to `arm`; `now` in nanoseconds."""
         self.collector.record(now, target, arm, report)
 
     def record_death(self, arm: Arm, running: Population) -> None:
@@ -123,7 +124,7 @@
             self.state.deaths.new += 1
 
     def evaluate(self, now: int) -> None:
-        """Compare both arms over the current window once it is long enough, and begin the next window."""
+        """Compare both arms over the current window once it is long enough, and start the next window."""
         if now - self.window_start < WINDOW_NS:
             return
         window = self.collector.window
@@ -156,7 +157,7 @@
                 tests[request_class].observe(_negated(old), _negated(new), INITIAL_LOG_LATENCY_VARIANCE)
 
     def verdict(self, reference: float) -> Verdict:
-        """Decide whether a release halts, waits for samples or may continue, by all samples so far.
+        """Return whether all samples so far halt a release, let it continue, or are too few.
 
         Losses are relative to `reference`, the mean earned weight of a request of the old version. The
         evidence of all metrics is averaged before it is compared, so that one bound on false halts holds for
@@ -171,7 +172,7 @@
         return Verdict(Decision.GOOD, "", summary)
 
     def _excess_deaths(self) -> str:
-        """Return a reason if enough processes of the new version crashed to halt, whatever the old does."""
+        """Return a reason if the new version crashed too often, and more often than the old; else empty."""
         deaths = self.state.deaths
         max_deaths = max(MAX_DEATHS, MAX_DEATH_RATIO * self.state.population)
         if deaths.new >= max_deaths and deaths.new > deaths.old:
@@ -179,7 +180,7 @@
         return ""
 
     def _worse_metric(self, scale: float) -> str:
-        """Return a reason if the evidence of all metrics together shows that the new version is worse."""
+        """Return a reason if all metrics together show that the new version is worse; empty otherwise."""
         evidence = self._evidence(scale)
         if log_mean(list(evidence.values())) >= math.log(1 / FALSE_HALT_RATE):
             worst = max(evidence, key=lambda metric: evidence[metric])
@@ -187,12 +188,12 @@
         return ""
 
     def _missing_evidence(self, scale: float) -> str:
-        """Return a reason if the samples do not yet rule out a loss of `margin`."""
+        """Return a reason if the samples do not yet rule out a loss of `margin`; empty if they do."""
         warm = self.state.warm
         if not _has_samples(warm):
             return (
-                f"{warm.new.count:.0f} exchanges of the new and {warm.old.count:.0f} of the old"
-                f" at the same time; {MIN_SAMPLES} of each are needed"
+                f"{warm.new.count:.0f} requests to the new and {warm.old.count:.0f} to the old version"
+                f" at the same time; {MIN_SAMPLES} to each are needed"
             )
         if warm.not_worse(scale, scale) < math.log(1 / FALSE_PASS_RATE):
             return f"a loss of {_percent(self.margin)} is not ruled out yet"
@@ -229,7 +230,7 @@
         }
 
     def reference_weight(self) -> float:
-        """Return the mean earned weight of warm processes of the old version, 1 while it is not known."""
+        """Return the mean earned weight of warm processes of the old version; 1 while it is not known."""
         return self.state.warm.old.mean or 1.0
 
     def _describe(self, worst: Metric) -> str:
@@ -239,12 +240,12 @@
             return f"{state.deaths.new} crashes of the new, {state.deaths.old} of the old"
         if worst is Metric.MEMORY:
             return (
-                f"memory grows {-state.memory_growth.new.mean:.0f} KB a second, the old's"
+                f"memory grows by {-state.memory_growth.new.mean:.0f} KB a second, with the old version by"
                 f" {-state.memory_growth.old.mean:.0f}"
             )
         if worst is Metric.REJECTED:
             return (
-                f"{_percent(-state.rejected.new.mean)} are rejected, of the old's"
+                f"{_percent(-state.rejected.new.mean)} are rejected, with the old version"
                 f" {_percent(-state.rejected.old.mean)}"
             )
         if worst is Metric.LATENCY:
@@ -253,8 +254,8 @@
         test = state.cold if worst is Metric.COLD_WEIGHT else state.warm
         relative_loss = test.loss / max(MIN_DISPLAYED_MEAN, test.old.mean)
         return (
-            f"{worst} {test.new.mean:.4f} an exchange, the old's {test.old.mean:.4f},"
-            f" {_percent(relative_loss)} less"
+            f"{worst} {test.new.mean:.4f} a request, {_percent(relative_loss)} less than the old version's"
+            f" {test.old.mean:.4f}"
         )
 
     def summary(self) -> str:
--- a/oakkeel/rollout/samples.py
+++ b/oakkeel/rollout/samples.py
@@ -1,7 +1,7 @@
 """The samples that gates compare: totals that processes report, and their differences in one window.
 
-Free of I/O. Each process reports totals since its start. The difference of two reports is added to the arm of
-the process, new or old, and to its age class.
+Each process reports totals since its start. The difference of two reports is added to the samples of the arm
+(new or old version) and age class of the process. Free of I/O.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Arm(StrEnum):
-    """The version that a process counts for in the comparison."""
+    """The side of the comparison to which a process belongs."""
 
     NEW = "new"
     OLD = "old"
@@ -34,19 +34,19 @@
 
 
 class Samples(msgspec.Struct, array_like=True):
-    """What one process has counted since its start."""
+    """The totals of one process since its start."""
 
-    # Of each request: the part of its full priority weight that its answer earned.
+    # For each request, the part of its full priority weight that its response earned.
     earned_weight: Sums = msgspec.field(default_factory=Sums)
     rejected: float = 0.0
     failed: float = 0.0
     memory_kb: float = 0.0
-    latencies: dict[str, Sums] = {}  # by request class: logs of seconds until completed
+    latencies: dict[str, Sums] = {}  # by request class: logs of the seconds until completion
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessIdentity:
-    """The process that totals belong to: a new generation starts counting at zero."""
+    """The process to which totals belong: a new generation starts to count at zero."""
 
     version: str
     generation: int
@@ -71,11 +71,11 @@
 
 @dataclass(slots=True, eq=False)
 class ProcessBaseline:
-    """The last report of one process, which the next one is compared with."""
+    """The last report of one process, which is subtracted from its next report."""
 
     report: ProcessReport
     arm: Arm
-    memory: MemoryReading | None = None  # from which its growth is measured
+    memory: MemoryReading | None = None  # start of the current measurement of memory growth
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,9 +105,9 @@
         self.window = Window()
 
     def record(self, now: int, target: str, arm: Arm, report: ProcessReport) -> None:
-        """Add what a target's process counted since its last report to the window.
+        """Add the samples of a target's process since its last report to the window.
 
-        Only reports of one process, in one arm and one age class, are subtracted from each other. `now` is in
+        Reports are subtracted only if they are of one process, in one arm and one age class. `now` is in
         monotonic nanoseconds.
         """
         baseline = self.baselines.get(target)
@@ -125,7 +125,7 @@
         baseline.arm = arm
 
     def _add_to_window(self, now: int, baseline: ProcessBaseline, samples: Samples) -> None:
-        """Add what a process counted since its last report."""
+        """Add the samples of a process since its last report."""
         window = self.window
         arm = baseline.arm
         age = baseline.report.age
--- a/oakkeel/rollout/sequential.py
+++ b/oakkeel/rollout/sequential.py
@@ -1,11 +1,11 @@
 """Sequential tests: they may be evaluated after every sample and keep their error rate. Free of I/O.
 
-Each test has a value, kept as its logarithm, with a mean of at most 1 under the null hypothesis. It exceeds
-1 / a with a probability of at most a, however often it is evaluated (J. Ville, 1939; for mixtures H. Robbins,
-"Statistical methods related to the law of the iterated logarithm", 1970). The mean of the values of several
-tests is such a value again.
+Each test has a value, stored as its logarithm, with a mean of at most 1 under the null hypothesis. The value
+exceeds 1 / a with a probability of at most a, however often the test is evaluated (J. Ville, 1939; for
+mixtures H. Robbins, "Statistical methods related to the law of the iterated logarithm", 1970). The mean of
+the values of several tests has the same property.
 
-Differences are those of means, assumed to be normal, with variances estimated from earlier samples.
+Differences of means are assumed to be normal, with variances estimated from earlier samples.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 BET_ODDS = (3.0, 10.0, 30.0)  # of an event on the new arm, relative to its share of the exposure
 MIN_EXPOSURE_RATIO = 0.001
 MAX_EXPOSURE_RATIO = 0.999
-MIN_ERFC_POINT = -30  # below it, erfc underflows
+MIN_ERFC_POINT = -30  # far below this point, `math.erfc` underflows
 
 
 class Sums(msgspec.Struct, array_like=True):
@@ -30,23 +30,23 @@
     squares: float = 0.0
 
     def add(self, other: Sums) -> None:
-        """Add the samples of another."""
+        """Add the samples of `other`."""
         self.count += other.count
         self.total += other.total
         self.squares += other.squares
 
     def minus(self, other: Sums) -> Sums:
-        """Return what was added since `other`, an earlier state of the same sums."""
+        """Return the sums of the samples added since `other`, an earlier state of these sums."""
         return Sums(self.count - other.count, self.total - other.total, self.squares - other.squares)
 
     @property
     def mean(self) -> float:
-        """Return the mean, 0 without samples."""
+        """Return the mean; 0 without samples."""
         return self.total / self.count if self.count else 0.0
 
 
 class PooledVariance(msgspec.Struct, array_like=True):
-    """The variance within arms by all earlier samples, with an initial value that fades."""
+    """The variance within arms, estimated from earlier samples and an initial value that loses weight."""
 
     degrees: float = 0.0
     squares: float = 0.0
@@ -69,8 +69,8 @@
     Both arms are compared over the same windows, so that changes common to both cancel out.
     """
 
-    score: float = 0.0  # sum of differences over their variances
-    weight: float = 0.0  # sum of one over their variances
+    score: float = 0.0  # sum of differences, each divided by its variance
+    weight: float = 0.0  # sum of the reciprocals of these variances
     pooled: PooledVariance = msgspec.field(default_factory=PooledVariance)
     old: Sums = msgspec.field(default_factory=Sums)
     new: Sums = msgspec.field(default_factory=Sums)
@@ -89,7 +89,7 @@
 
     @property
     def loss(self) -> float:
-        """Return how much lower the new mean is, over all windows."""
+        """Return the difference of the means over all windows; positive if the new mean is lower."""
         return self.score / self.weight if self.weight else 0.0
 
     @property
@@ -100,27 +100,28 @@
     def worse(self, tolerated: float, scale: float) -> float:
         """Return the log evidence that the new mean is lower by more than `tolerated`.
 
-        `scale` is the scale of the losses beyond it that matter.
+        `scale` is the typical size of a loss beyond `tolerated` that matters.
         """
-        return half_normal(self.score - tolerated * self.weight, self.weight, scale)
+        return log_half_normal_mixture(self.score - tolerated * self.weight, self.weight, scale)
 
     def not_worse(self, margin: float, scale: float) -> float:
         """Return the log evidence that the new mean is lower by less than `margin`."""
-        return half_normal(margin * self.weight - self.score, self.weight, scale)
+        return log_half_normal_mixture(margin * self.weight - self.score, self.weight, scale)
 
 
-def half_normal(score: float, weight: float, scale: float) -> float:
-    """Return the log of the mixture of likelihood ratios over means drawn from the upper half of a normal.
+def log_half_normal_mixture(score: float, weight: float, scale: float) -> float:
+    """Return the log of the mean likelihood ratio over means with a half-normal distribution of this scale.
 
-    `score` is a sum of values over their variances, `weight` the sum of one over the variances.
+    `score` is a sum of values, each divided by its variance; `weight` is the sum of the reciprocals of the
+    variances.
     """
     spread = 1 + scale * scale * weight
     point = scale * score / math.sqrt(spread)
-    return math.log(2) - 0.5 * math.log(spread) + 0.5 * point * point + log_normal(point)
+    return math.log(2) - 0.5 * math.log(spread) + 0.5 * point * point + log_normal_cdf(point)
 
 
-def log_normal(point: float) -> float:
-    """Return the log of the normal distribution function, also if that is too small for a float."""
+def log_normal_cdf(point: float) -> float:
+    """Return the log of the normal distribution function, even if its value is too small for a float."""
     if point > MIN_ERFC_POINT:
         return math.log(0.5 * math.erfc(-point / math.sqrt(2)))
     return -0.5 * point * point - math.log(-point * math.sqrt(2 * math.pi))
@@ -130,7 +131,7 @@
     """Tests whether rare events happen on the new arm more often than its share of the exposure explains.
 
     Under the null hypothesis an event happens on the new arm with a probability equal to its share of the
-    exposure at that moment. The test value is the mean of bets on higher odds, `BET_ODDS` times as high.
+    exposure at that time. The test value is the mean of bets on higher odds, `BET_ODDS` times as high.
     """
 
     logs: list[float] = msgspec.field(default_factory=lambda: [0.0, 0.0, 0.0])
@@ -147,12 +148,12 @@
         self.old += not on_new
 
     def worse(self) -> float:
-        """Return the log evidence that events happen on the new arm more often than by its share."""
+        """Return the log evidence that events happen on the new arm more often than its share explains."""
         return log_mean(self.logs)
 
 
 def log_mean(logs: list[float]) -> float:
-    """Return the log of the mean of values, by their logs."""
+    """Return the log of the mean of values, given their logs."""
     if not logs:
         return 0.0
     highest = max(logs)
--- a/tests/cluster/test_rollout_programs.py
+++ b/tests/cluster/test_rollout_programs.py
@@ -19,7 +19,10 @@
         before = read_running_versions(self.folder, self.hosts)
         await self.start_release(self.program("bad", "worse"))
         status = await self.wait_for_end("halted")
-        self.assertRegex(status.why, r"worse than the old: benefit 0\.\d+ an exchange, the old's 0\.9\d+")
+        self.assertRegex(
+            status.why,
+            r"worse than the old: benefit 0\.\d+ a request, \d+\.\d % less than the old version's 0\.9\d+",
+        )
         changed = [entry.target for entry in status.targets if entry.state == "new"]
         self.assertLessEqual(len(changed), 2)
         await asyncio.sleep(1.0)
--- a/tests/rollout/test_gates.py
+++ b/tests/rollout/test_gates.py
@@ -1,7 +1,6 @@
 """Sequential tests and the gates of a release."""
 
 import unittest
-import unittest.mock
 from random import Random
 
 from oakkeel.rollout.gates import Decision, Gate
@@ -10,9 +9,9 @@
 from oakkeel.units import SECOND
 
 
-def bits(random: Random, chance: float, count: int) -> Sums:
-    good = sum(random.random() < chance for _ in range(count))
-    return Sums(count, good, good)
+def draw_sums(random: Random, success_rate: float, count: int) -> Sums:
+    successes = sum(random.random() < success_rate for _ in range(count))
+    return Sums(count, successes, successes)
 
 
 def record(
@@ -23,35 +22,35 @@
 
 
 class SequentialStatisticsTest(unittest.TestCase):
-    def halted(self, seed: int, old: float, new: float, windows: int = 300) -> bool:
+    def halts(self, seed: int, old: float, new: float, windows: int = 300) -> bool:
         random = Random(seed)
         test = Difference()
         for _ in range(windows):
-            test.observe(bits(random, old, 110), bits(random, new, 10), 0.05)
+            test.observe(draw_sums(random, old, 110), draw_sums(random, new, 10), 0.05)
             if test.new.count > 50 and test.worse(0.0, 0.02) > 4.605:
                 return True
         return False
 
-    def test_evaluation_after_every_window_keeps_bound_on_false_halts(self):
-        self.assertLessEqual(sum(self.halted(seed, 0.95, 0.95) for seed in range(200)), 4)
+    def test_evaluation_after_every_window_keeps_the_bound_on_false_halts(self):
+        self.assertLessEqual(sum(self.halts(seed, 0.95, 0.95) for seed in range(200)), 4)
 
-    def test_finds_loss_while_fixed_sample_test_would_break_bound(self):
-        self.assertGreaterEqual(sum(self.halted(seed, 0.95, 0.91) for seed in range(40)), 38)
+    def test_finds_a_loss_although_a_repeated_fixed_sample_test_exceeds_the_bound(self):
+        self.assertGreaterEqual(sum(self.halts(seed, 0.95, 0.91) for seed in range(40)), 38)
         random = Random(5)
         false_halts = 0
         for _ in range(100):  # a fixed-sample test, evaluated 300 times
             old = Sums()
             new = Sums()
             for _ in range(300):
-                old.add(bits(random, 0.95, 110))
-                new.add(bits(random, 0.95, 10))
+                old.add(draw_sums(random, 0.95, 110))
+                new.add(draw_sums(random, 0.95, 10))
                 spread = (0.95 * 0.05 * (1 / old.count + 1 / new.count)) ** 0.5
                 if new.count > 50 and (old.mean - new.mean) / spread > 2.326:
                     false_halts += 1
                     break
         self.assertGreater(false_halts, 4)
 
-    def test_deaths_are_judged_by_exposure_of_new_version(self):
+    def test_crashes_are_compared_by_the_exposure_of_the_new_version(self):
         excess = Events()
         proportional = Events()
         excess.record(True, 1 / 12)
@@ -63,7 +62,7 @@
             proportional.record(number % 12 == 0, 1 / 12)
         self.assertLess(proportional.worse(), 0)
 
-    def test_one_arm_alone_changes_nothing(self):
+    def test_samples_of_one_arm_alone_change_nothing(self):
         test = Difference()
         self.assertFalse(test.observe(Sums(100, 10, 10), Sums(), 0.05))
         self.assertEqual(test.weight, 0)
@@ -74,77 +73,77 @@
         self,
         gate: Gate,
         seconds: int,
-        bad: float = 0.02,
-        leak: float = 0.0,
-        cold: float | None = None,
+        new_loss: float = 0.02,
+        memory_growth: float = 0.0,
+        cold_new_loss: float | None = None,
         start: int = 0,
     ) -> None:
         for second in range(start, start + seconds):
             now = second * SECOND
             for target, arm in (("new", Arm.NEW), ("old1", Arm.OLD), ("old2", Arm.OLD)):
                 count = 100.0 * second
-                loss = bad if arm is Arm.NEW else 0.02
-                good = count * (1 - loss)
-                grown = leak * second if arm is Arm.NEW else 0.0
-                samples = Samples(Sums(count, good, good), 0, 0, 20000 + grown)
+                loss = new_loss if arm is Arm.NEW else 0.02
+                earned = count * (1 - loss)
+                growth = memory_growth * second if arm is Arm.NEW else 0.0
+                samples = Samples(Sums(count, earned, earned), 0, 0, 20000 + growth)
                 record(gate, now, target, arm, 1, AgeClass.WARM, samples)
-            if cold is not None:
-                for target, arm, part in (("cold new", Arm.NEW, cold), ("control", Arm.OLD, 0.02)):
-                    good = count * (1 - part)
-                    record(gate, now, target, arm, 2, AgeClass.COLD, Samples(Sums(count, good, good)))
+            if cold_new_loss is not None:
+                for target, arm, loss in (("cold new", Arm.NEW, cold_new_loss), ("control", Arm.OLD, 0.02)):
+                    earned = count * (1 - loss)
+                    record(gate, now, target, arm, 2, AgeClass.COLD, Samples(Sums(count, earned, earned)))
             gate.evaluate(now)
 
-    def test_too_few_samples_are_named(self):
+    def test_reports_too_few_samples_with_their_number(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 1)
         verdict = gate.verdict(gate.reference_weight())
         self.assertIs(verdict.decision, Decision.TOO_FEW)
-        self.assertIn("0 exchanges", verdict.why)
+        self.assertIn("0 requests", verdict.why)
 
-    def test_good_version_passes_and_worse_halts_with_figures(self):
+    def test_a_good_version_passes_and_a_worse_one_halts_with_figures(self):
         gate = Gate(0, b"", 0.02)
         self.feed(gate, 60)
         self.assertIs(gate.verdict(gate.reference_weight()).decision, Decision.GOOD)
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 60, bad=0.10)
+        self.feed(gate, 60, new_loss=0.10)
         verdict = gate.verdict(gate.reference_weight())
         self.assertIs(verdict.decision, Decision.WORSE)
         self.assertIn("0.9", verdict.why)
 
-    def test_more_rejections_halt_at_equal_earned_weight(self):
+    def test_more_rejections_halt_a_release_at_equal_earned_weight(self):
         gate = Gate(0, b"", 0.02)
         for second in range(60):
             count = 100.0 * second
-            for target, arm, part in (("new", Arm.NEW, 0.1), ("old", Arm.OLD, 0.01)):
-                samples = Samples(Sums(count, count * 0.9, count * 0.9), count * part)
+            for target, arm, ratio in (("new", Arm.NEW, 0.1), ("old", Arm.OLD, 0.01)):
+                samples = Samples(Sums(count, count * 0.9, count * 0.9), count * ratio)
                 record(gate, second * SECOND, target, arm, 1, AgeClass.WARM, samples)
             gate.evaluate(second * SECOND)
         verdict = gate.verdict(gate.reference_weight())
         self.assertIs(verdict.decision, Decision.WORSE)
         self.assertIn("10.0 % are rejected", verdict.why)
 
-    def test_names_memory_leak_and_loss_while_cold(self):
+    def test_names_a_memory_leak_and_a_loss_while_cold(self):
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 120, leak=2000.0)
+        self.feed(gate, 120, memory_growth=2000.0)
         self.assertIn("memory", gate.verdict(gate.reference_weight()).why)
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 60, cold=0.25)
+        self.feed(gate, 60, cold_new_loss=0.25)
         self.assertIn("while cold", gate.verdict(gate.reference_weight()).why)
 
-    def test_cold_new_process_is_not_compared_with_warm_old_ones(self):
+    def test_a_cold_new_process_is_not_compared_with_a_warm_old_one(self):
         gate = Gate(0, b"", 0.02)
         for second in range(60):
             count = 100.0 * second
-            bad = Samples(Sums(count, count * 0.5, count * 0.5))
-            good = Samples(Sums(count, count, count))
-            record(gate, second * SECOND, "new", Arm.NEW, 1, AgeClass.COLD, bad)
-            record(gate, second * SECOND, "old", Arm.OLD, 1, AgeClass.WARM, good)
+            worse = Samples(Sums(count, count * 0.5, count * 0.5))
+            better = Samples(Sums(count, count, count))
+            record(gate, second * SECOND, "new", Arm.NEW, 1, AgeClass.COLD, worse)
+            record(gate, second * SECOND, "old", Arm.OLD, 1, AgeClass.WARM, better)
             gate.evaluate(second * SECOND)
         self.assertIs(gate.verdict(gate.reference_weight()).decision, Decision.TOO_FEW)
 
-    def test_next_controller_restores_state_and_drops_damaged_one(self):
+    def test_the_next_controller_restores_the_state_and_drops_a_damaged_one(self):
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 60, bad=0.10)
+        self.feed(gate, 60, new_loss=0.10)
         restored = Gate(0, gate.encode_state(), 0.02)
         self.assertIs(restored.verdict(restored.reference_weight()).decision, Decision.WORSE)
         self.assertEqual(Gate(0, b"\x93spoilt", 0.02).sample_count(), 0)
