--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -1,12 +1,14 @@
-"""Chooses the targets of the next batch of a release. Free of I/O; a function of the last reports.
+"""Chooses the targets of the next batch of a release by the last reports. Free of I/O.
 
-The replicated state enforces the disruption budgets, whatever is planned here. A plan keeps them, and also:
+The replicated state machine enforces the disruption budgets independently of a plan. A plan keeps them, and
+follows these rules:
 
 - a target whose last report is stale is not chosen, and counts as unavailable;
 - the last serving target of a group, or of the dependents of a service, is not chosen;
 - a service and a target that depends on it are not chosen together;
-- the remaining targets of a site must be able to carry its load; warming-up ones carry a part of theirs;
-- sites take turns, the one with the most serving targets first.
+- the remaining targets of a site must have the capacity for its load; a target that warms up has a part of
+  its capacity;
+- sites take turns, the site with the most serving targets first.
 """
 
 from __future__ import annotations
@@ -19,8 +21,8 @@
 
 MAX_REPORT_AGE_NS = 3 * SECOND  # an older report is stale
 COLD_CAPACITY_RATIO = 0.25  # of the capacity of a serving target
-MAX_CANDIDATES_PER_SITE = 64  # tried for one slot of a batch
-MIN_CHECKED_LOAD = 0.05  # of a site, in nodes' worth of cores; the capacity for less is not checked
+MAX_CANDIDATES_PER_SITE = 64  # checked for one place in a batch
+MIN_CHECKED_LOAD = 0.05  # of a site, in nodes' worth of cores; a lower load is not checked
 MIN_CAPACITY = 1e-9  # in nodes' worth of cores, so that a load always exceeds a capacity of zero
 NEVER_OBSERVED_AT_NS = -(1 << 62)
 NONE_AVAILABLE = "all remaining targets are unavailable"
@@ -34,9 +36,7 @@
     phase: str = "unknown"
     generation: int = 0
     version: str = ""
-    observed_at: int = (
-        NEVER_OBSERVED_AT_NS  # earliest time of the report, in nanoseconds of the controller's clock
-    )
+    observed_at: int = NEVER_OBSERVED_AT_NS  # the earliest possible time, in nanoseconds
     load: float = 0.0  # ratio of its cores
     backing_off: bool = False  # it crashed repeatedly, and is not restarted for a time
 
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class BatchChoice:
-    """The targets to change now; with none chosen, the reason."""
+    """The targets to change now, or the reason why there are none."""
 
     targets: list[str] = field(default_factory=list)
     why: str = ""
@@ -63,9 +63,9 @@
     """The limits of one batch."""
 
     max_targets: int
-    max_load: float  # ratio of the cores that keep serving at a site
-    broken_first: bool = False  # as for a rollback; else unavailable targets come after available ones
-    keep_last: bool = True  # the last serving target of a group is not chosen
+    max_load: float  # ratio of the cores of the remaining targets of a site
+    broken_first: bool = False  # for a rollback; else unavailable targets come after available ones
+    keep_last: bool = True  # never choose the last serving target of a group
 
 
 class BatchPlanner:
@@ -82,9 +82,9 @@
                 self.groups_of.setdefault(target, []).append(group.name)
                 if group.name.startswith("site "):
                     self.site[target] = group.name
-        # Spreads a batch over hosts: a host starts few targets at a time, and may fail as a whole.
+        # Spreads a batch over hosts, as a host starts few targets at a time, and may fail as a whole.
         self.rank = {target: rank for names in topology.hosts.values() for rank, target in enumerate(names)}
-        self.services_of: dict[str, list[str]] = {}  # by instance: services that it depends on
+        self.services_of: dict[str, list[str]] = {}  # services that an instance depends on
         for service, instances in topology.dependents.items():
             for instance in instances:
                 self.services_of.setdefault(instance, []).append(service)
@@ -97,9 +97,10 @@
         unavailable: UnavailableTargets,
         limits: BatchLimits,
     ) -> BatchChoice:
-        """Choose targets of the next batch among the candidates.
+        """Choose targets of the next batch from the candidates.
 
-        A target that does not serve is never the first of a release, unless `limits.broken_first` is set.
+        The first target of a batch is one that serves, unless `limits.broken_first` is set or no candidate is
+        available.
         """
         broken: list[str] = []
         available: list[str] = []
@@ -131,7 +132,7 @@
 
 
 class _Selection:
-    """The targets chosen so far, and the load and capacity without them."""
+    """The targets chosen for a batch, and the load and capacity of the remaining ones."""
 
     def __init__(
         self,
@@ -157,7 +158,7 @@
         site = self.planner.site.get(target, "")
         available = target not in self.unavailable.reasons
         if observation is None or not observation.is_fresh(now):
-            if available:  # a downstream service reports no phase
+            if available:  # such as a downstream service, which reports no phase
                 self._add_serving(target, 1)
         elif observation.is_serving and available:
             self._add_serving(target, 1)
@@ -167,36 +168,36 @@
             self.capacity[site] = self.capacity.get(site, 0.0) + COLD_CAPACITY_RATIO
             self.load[site] = self.load.get(site, 0.0) + observation.load
 
-    def _add_serving(self, target: str, number: int) -> None:
+    def _add_serving(self, target: str, change: int) -> None:
         for group in self.planner.groups_of.get(target, ()):
-            self.serving[group] = self.serving.get(group, 0) + number
+            self.serving[group] = self.serving.get(group, 0) + change
 
     def fill(self, available: list[str]) -> None:
-        """Choose among available targets, sites in turn, up to the size of the batch."""
+        """Choose from available targets, site by site in turn, up to the size of the batch."""
         by_site: dict[str, list[str]] = {}
         rank = self.planner.rank
         for target in sorted(available, key=lambda target: (rank.get(target, 0), target), reverse=True):
             by_site.setdefault(self.planner.site.get(target, ""), []).append(target)
         while len(self.targets) < self.limits.max_targets and by_site:
-            target = self._next(by_site)
+            target = self._next_target(by_site)
             if not target:
                 break
-            self._take(target)
+            self._add(target)
 
-    def _next(self, by_site: dict[str, list[str]]) -> str:
-        """Return the next target without an objection, empty if none; drops the sites without one."""
+    def _next_target(self, by_site: dict[str, list[str]]) -> str:
+        """Return the next target without an objection, empty if none; drop the sites that have none."""
         for site in sorted(
             by_site, key=lambda site: (self.chosen_count.get(site, 0), -self.serving.get(site, 0), site)
         ):
             for target in by_site[site][-MAX_CANDIDATES_PER_SITE:][::-1]:
-                self.objection = self._object(target)
+                self.objection = self._find_objection(target)
                 if not self.objection:
                     by_site[site].remove(target)
                     return target
-            del by_site[site]  # an objection stays for the rest of the batch
+            del by_site[site]  # an objection holds for the rest of the batch
         return ""
 
-    def _object(self, target: str) -> str:
+    def _find_objection(self, target: str) -> str:
         """Return why a target may not be added to the batch; empty if it may."""
         return (
             self._dependency_objection(target)
@@ -234,19 +235,19 @@
         site_of = self.planner.site
         max_load = self.limits.max_load
         for site in {site_of.get(target, ""), *(site_of.get(dependent, "") for dependent in dependents)}:
-            lost = sum(site_of.get(name, "") == site for name in (target, *dependents)) if site else 0
-            if not lost or lost >= len(self.planner.groups[site].targets):
-                continue  # the whole site: no other target there could carry its load
-            capacity = self.capacity.get(site, 0.0) - lost
+            lost_count = sum(site_of.get(name, "") == site for name in (target, *dependents)) if site else 0
+            if not lost_count or lost_count >= len(self.planner.groups[site].targets):
+                continue  # all targets of the site: none remains to carry its load
+            capacity = self.capacity.get(site, 0.0) - lost_count
             load = self.load.get(site, 0.0)
             if load > MIN_CHECKED_LOAD and load > max_load * max(capacity, MIN_CAPACITY):
                 return (
                     f"{site}: the remaining targets would carry {load:.2f} on {max(0.0, capacity):.2f} nodes'"
-                    f" worth of cores, over {max_load:g}"
+                    f" worth of cores, above the maximum ratio of {max_load:g}"
                 )
         return ""
 
-    def _take(self, target: str) -> None:
+    def _add(self, target: str) -> None:
         """Add a target to the batch; its dependents stop serving with it."""
         for name in (target, *self.planner.topology.dependents.get(target, ())):
             self._add_serving(name, -1)
