--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -1,6 +1,6 @@
-"""Starting and finishing the batches of a release. Free of I/O.
+"""Starts and finishes the batches of a release. Free of I/O.
 
-Each function returns the next step by the state at one moment; the controller proposes it.
+Each function returns the next step for a state; the controller proposes the step.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from oakkeel.rollout.samples import Arm
 from oakkeel.units import SECOND
 
-MAX_BATCH = 500  # targets
-BATCH_GRACE_NS = 8 * SECOND  # after the timeout of a batch, for its last reports to arrive
-MAX_LISTED_TARGETS = 5  # in a message
-# States of a task that needs no report of the new process before the batch finishes: it did not start, or
-# it completed its restart. A target that does not run the intended version is changed again by a later batch.
+MAX_BATCH = 500  # targets of one batch
+BATCH_GRACE_NS = 8 * SECOND  # after the timeout of a batch, until its last reports have arrived
+MAX_LISTED_TARGETS = 5  # in one reason
+# Final states of a task after which a batch finishes without a report of the new process: the task was not
+# started, or it completed. A target that does not run the intended version is changed again by a later batch.
 ENDED_WITHOUT_FAILURE = ("refused", "expired", "halted", "cancelled", "done")
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """The next command, if any, and the reason for waiting."""
+    """The next command, if any, and the reason why the release waits."""
 
     command: commands.Command | None = None
-    why: str | None = None  # None keeps the last reason, empty clears it
+    why: str | None = None  # None keeps the last reason, an empty one clears it
     retry: bool = False  # plan again after a delay
 
 
 @dataclass(slots=True, frozen=True)
 class BatchView:
-    """The inputs of all decisions on a batch at one moment; `state` is the replicated state."""
+    """The inputs of all decisions on a batch at one time; `state` is the replicated state."""
 
     now: int  # monotonic nanoseconds
     state: RolloutState
@@ -47,7 +47,7 @@
 
     @property
     def tasks(self) -> dict[str, DisruptionTask]:
-        """Return the tasks of the last batch's order, by target."""
+        """Return the tasks of the order of the last batch, by target."""
         order = self.order
         return order.tasks if order else {}
 
@@ -56,20 +56,20 @@
         """Return the order of the last batch."""
         return self.state.orders.get(self.release.order_id)
 
-    def halt(self, why: str) -> Step:
+    def halt_step(self, why: str) -> Step:
         """Return the step that halts the release."""
-        return Step(self.record_verdict(why))
+        return Step(self.verdict_command(why))
 
-    def record_verdict(self, why: str = "") -> commands.RecordVerdict:
-        """Return the command that stores the state of the gate; with a reason the release halts."""
+    def verdict_command(self, why: str = "") -> commands.RecordVerdict:
+        """Return the command that stores the state of the gate, and with a reason halts the release."""
         release = self.release
         gate = self.gate
         return commands.RecordVerdict(
             release.ident, self.fence, release.step, gate.encode_state(), gate.summary(), why
         )
 
-    def last_event(self, target: str) -> str:
-        """Return what happened to a target in the last batch, for display."""
+    def last_outcome(self, target: str) -> str:
+        """Return the reason or state of the task of a target in the last batch, for display."""
         task = self.tasks.get(target)
         return task.reason or task.state if task else "it was not part of the order"
 
@@ -89,13 +89,13 @@
         if target in tasks and tasks[target].state in OPEN_FLEET_TASK_STATES
     ]
     stopped = _is_stopped(view)
-    if not stopped and (why := _failure_of_batch(view)):
-        return view.halt(why)
+    if not stopped and (why := _failure_reason(view)):
+        return view.halt_step(why)
     time_left = started_at + release.policy.batch_timeout + BATCH_GRACE_NS - view.now
     if release.state in MOVING_STATES and time_left < 0:
-        late = next((target for target in open_targets or release.in_progress), "")
-        return view.halt(f"{late} did not finish before the timeout of its batch")
-    if waiting := _wait_for_batch(view, stopped, open_targets):
+        late_target = next((target for target in open_targets or release.in_progress), "")
+        return view.halt_step(f"{late_target} did not finish before the timeout of its batch")
+    if waiting := _wait_reason(view, stopped, open_targets):
         return Step(None, waiting)
     if not release.spec.services and any(
         view.observations.fresh(view.now, target) is None for target in release.in_progress
@@ -108,22 +108,22 @@
 
 
 def _is_stopped(view: BatchView) -> bool:
-    """Return whether the batch no longer has to complete: an operator stopped or reversed it."""
+    """Return whether the batch need not complete, because an operator stopped or reversed it."""
     release = view.release
     order = view.order
     order_halted = bool(order and order.halted_by not in ("", TIMEOUT_OPERATOR))
-    reversed_since = release.batch_forward is release.rolling_back
-    return release.state in STOPPED_STATES or order_halted or reversed_since
+    is_reversed = release.batch_forward is release.rolling_back
+    return release.state in STOPPED_STATES or order_halted or is_reversed
 
 
-def _failure_of_batch(view: BatchView) -> str:
-    """Return why the release has to halt: a target failed, or the new version is worse; empty if neither."""
+def _failure_reason(view: BatchView) -> str:
+    """Return why the release has to halt, for a failed target or a worse version; empty if neither."""
     release = view.release
     tasks = view.tasks
     for target in release.in_progress:
         if target in tasks and tasks[target].state == "failed":
             version = "old" if release.rolling_back else "new"
-            return f"{target} did not start with the {version} version: {view.last_event(target)}"
+            return f"{target} did not start with the {version} version: {view.last_outcome(target)}"
     if release.policy.gated and not release.rolling_back:
         verdict = view.gate.verdict(view.gate.reference_weight())
         if verdict.decision is Decision.WORSE:
@@ -131,23 +131,23 @@
     return ""
 
 
-def _wait_for_batch(view: BatchView, stopped: bool, open_targets: list[str]) -> str:
-    """Return what the open batch waits for; empty if it can finish.
+def _wait_reason(view: BatchView, stopped: bool, open_targets: list[str]) -> str:
+    """Return why the open batch has to wait; empty if it can finish.
 
     A stopped batch does not wait for broken targets: they do not recover without an operator.
     """
     release = view.release
     tasks = view.tasks
     permits = view.state.permits
-    taken_out = [
+    with_permit = [
         target
         for target in release.in_progress
         if target in permits and permits[target].order_id == release.order_id
     ]
-    if open_targets or taken_out:
-        missing = {*open_targets, *taken_out} & set(release.in_progress)
+    if open_targets or with_permit:
+        missing = {*open_targets, *with_permit} & set(release.in_progress)
         if not stopped or any(not view.observations.is_broken(view.now, target) for target in missing):
-            names = ", ".join((open_targets or taken_out)[:MAX_LISTED_TARGETS])
+            names = ", ".join((open_targets or with_permit)[:MAX_LISTED_TARGETS])
             return f"batch {release.batch}: {names} not available again yet"
         return ""
     all_ended = all(
@@ -162,7 +162,7 @@
 
 
 def start_batch(view: BatchView, remaining: list[str], busy: dict[str, str]) -> Step:
-    """Return the step that starts the next batch; `busy` has a description of the open order by target."""
+    """Return the step that starts the next batch; `busy` describes the open order by target."""
     release = view.release
     policy = release.policy
     observations = view.observations
@@ -195,7 +195,7 @@
 
 
 def batch_size(release: Release, remaining: int) -> int:
-    """Return the maximum number of targets of the next batch, of those remaining.
+    """Return the maximum number of targets of the next batch, out of the remaining ones.
 
     A gated release starts with its canaries and grows by a factor, so that a bad version reaches few targets
     before the gates have samples. A rollback takes as many as its policy allows.
@@ -218,11 +218,11 @@
 
 
 def _choose_comparison_targets(view: BatchView, chosen: list[str]) -> list[str]:
-    """Choose as many old targets as canaries, to restart with them, if the budgets allow both."""
+    """Choose as many old targets as canaries to restart with the canaries, if the budgets allow both."""
     observations = view.observations
     release = view.release
     unavailable = observations.allocator.unavailable
-    others = [
+    candidates = [
         target
         for target in observations.planner.site
         if target not in chosen
@@ -232,5 +232,5 @@
         and not unavailable.find_violation([*chosen, target])
     ]
     limits = BatchLimits(len(chosen), release.policy.max_load)
-    found = observations.planner.choose(view.now, others, observations.targets, unavailable, limits).targets
-    return [] if unavailable.find_violation([*chosen, *found]) else found
+    choice = observations.planner.choose(view.now, candidates, observations.targets, unavailable, limits)
+    return [] if unavailable.find_violation([*chosen, *choice.targets]) else choice.targets
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -1,8 +1,9 @@
-"""The rollout controller: decides the next step of the open release, or what it waits for. Free of I/O.
+"""The rollout controller: decides the next step of the open release, or why it waits. Free of I/O.
 
-It is created when a replica becomes the leader, and dropped when it steps down. It acts while it holds the
-lease, by commands that have the lease's fencing token and the step that they follow. All its other state may
-be lost: the next controller continues from the replicated state and the next reports of the agents.
+A controller is created when a replica becomes the leader, and dropped when the replica steps down. It acts
+only while it holds the lease; its commands carry the fencing token of the lease and the number of the step
+that they follow. All its other state may be lost: the next controller continues from the replicated state
+and the next reports of the agents.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BatchKey:
-    """The batch whose timeout runs: an operator's control restarts it."""
+    """Identifies the batch whose timeout runs; an action of an operator restarts the timeout."""
 
     batch: int = 0
     release: str = ""
@@ -54,22 +55,21 @@
         self.observations = Observations(allocator)
         self.gate: Gate | None = None
         self.gate_key = ""  # release and direction of the gate
-        self.waiting_since = (
-            now  # when the last batch finished or the release began, if this controller saw it
-        )
-        self.batch_started_at = now  # when this controller first saw the open batch
+        # The time at which the last batch finished or the release began, if this controller observed that.
+        self.waiting_since = now
+        self.batch_started_at = now  # the time at which this controller first observed the open batch
         self.batch_key = BatchKey()
         self.gate_stored_at = now
-        self.next_step = now
-        self.proposed: bytes = b""  # a step that is not committed yet
-        self.why = ""  # what the release waits for
+        self.next_step_at = now
+        self.proposed_step: bytes = b""  # the encoded step that is not committed yet
+        self.why = ""  # the reason why the release waits
 
     # Heartbeats of agents.
 
     def receive_heartbeat(
         self, now: int, heartbeat: Heartbeat
     ) -> list[commands.Command | permit_commands.Command]:
-        """Record a host's report, which is no older than the response that it echoes."""
+        """Record the report of a host, which is no older than the response that the heartbeat echoes."""
         session = self.allocator.sessions.get(heartbeat.host)
         if (
             session is None
@@ -77,19 +77,21 @@
             or session.sequence != heartbeat.sequence
             or not session.echoed_at
         ):
-            return []  # an older heartbeat, or one of unknown age
+            return []  # the heartbeat is outdated, or its age is not known
         try:
             report = decode_report(heartbeat.extension)
         except msgspec.MsgspecError:
-            return []  # from an agent of another version
+            return []  # the agent runs another version of the program
         release = self.state_machine.open_release
         for status in report.statuses:
             if self.allocator.host_of.get(status.name) != heartbeat.host:
                 continue
-            before = self.observations.record(status, session.echoed_at)
-            if before is not None and release:
+            previous_version = self.observations.record(status, session.echoed_at)
+            if previous_version is not None and release:
                 gate = self._current_gate(now, release)
-                self.observations.feed(now, gate, release, heartbeat.incarnation, status, before)
+                self.observations.add_to_gate(
+                    now, gate, release, heartbeat.incarnation, status, previous_version
+                )
         if release and release.state is ReleaseState.PREPARING and self.lease.is_held(now):
             return self._report_prepared(release, heartbeat.host, report)
         return []
@@ -138,10 +140,10 @@
         if self.lease.is_own_request(command):
             self.lease.receive_result(now, result)
         if self._is_proposed(command):
-            self.proposed = b""
+            self.proposed_step = b""
             if isinstance(result, Rejection):
                 self.why = result.reason
-                self.next_step = now + STEP_RETRY_DELAY_NS
+                self.next_step_at = now + STEP_RETRY_DELAY_NS
             elif isinstance(command, commands.FinishBatch):
                 self.waiting_since = now
 
@@ -150,39 +152,39 @@
         if isinstance(command, permit_commands.AcquireLease):
             self.lease.lost()
         if self._is_proposed(command):
-            self.proposed = b""
+            self.proposed_step = b""
 
     def _is_proposed(self, command: object) -> bool:
-        return bool(self.proposed) and permit_commands.encode(command) == self.proposed  # type: ignore[arg-type]
+        return bool(self.proposed_step) and permit_commands.encode(command) == self.proposed_step  # type: ignore[arg-type]
 
     # The next step.
 
     def tick(self, now: int) -> list[commands.Command | permit_commands.Command]:
-        """Return the commands to propose now: the lease, and the next step under it."""
-        wanted: list[commands.Command | permit_commands.Command] = []
+        """Return the commands to propose now: for the lease, and for the next step under the lease."""
+        proposals: list[commands.Command | permit_commands.Command] = []
         release = self.state_machine.open_release
         if release is None:
             self.gate = None
             self.gate_key = ""
-            return wanted
+            return proposals
         if self.lease.needs_request(now):
-            wanted.append(self.lease.request(now))
-        if not self.lease.is_held(now) or self.proposed or now < self.next_step:
-            return wanted
+            proposals.append(self.lease.request(now))
+        if not self.lease.is_held(now) or self.proposed_step or now < self.next_step_at:
+            return proposals
         gate = self._current_gate(now, release)
         gate.evaluate(now)
-        step = self._next(now, release, gate)
+        step = self._next_step(now, release, gate)
         if step.why is not None:
             self.why = step.why
         if step.retry:
-            self.next_step = now + PLAN_RETRY_DELAY_NS
+            self.next_step_at = now + PLAN_RETRY_DELAY_NS
         if step.command is not None:
-            self.proposed = permit_commands.encode(step.command)
-            wanted.append(step.command)
-        return wanted
+            self.proposed_step = permit_commands.encode(step.command)
+            proposals.append(step.command)
+        return proposals
 
-    def _next(self, now: int, release: Release, gate: Gate) -> Step:
-        """Return the next step of a release, by its state: prepare, start or finish a batch, wait, finish."""
+    def _next_step(self, now: int, release: Release, gate: Gate) -> Step:
+        """Return the next step of a release in its state: prepare, start or finish a batch, wait, finish."""
         view = BatchView(
             now, self.state_machine.state, release, gate, self.observations, self.lease.fencing_token
         )
@@ -219,7 +221,7 @@
     def _check_gate(self, view: BatchView) -> Step:
         """Halt, or wait for a verdict and the soak time; return an empty step if the next batch may start.
 
-        Without a verdict for the timeout of the policy the release halts: an operator has to decide.
+        The release halts if there is no verdict within the timeout of the policy: an operator has to decide.
         """
         release = view.release
         policy = release.policy
@@ -227,19 +229,19 @@
             return Step(None, "")
         verdict = view.gate.verdict(view.gate.reference_weight())
         if verdict.decision is Decision.WORSE:
-            return Step(view.record_verdict(verdict.why), "")
+            return Step(view.verdict_command(verdict.why), "")
         if not release.batch:
             return Step(None, "")
         waited = view.now - self.waiting_since
         inconclusive = verdict.decision is Decision.TOO_FEW
         if inconclusive and waited > policy.verdict_timeout:
-            return Step(view.record_verdict(f"no verdict of the gates in time: {verdict.why}"), "")
+            return Step(view.verdict_command(f"no verdict of the gates in time: {verdict.why}"), "")
         if not inconclusive and waited >= policy.soak:
             return Step(None, "")
         why = verdict.why or f"soak time: {waited / SECOND:.0f} of {policy.soak / SECOND:.0f} s"
         if view.now - self.gate_stored_at >= GATE_STORAGE_INTERVAL_NS:
             self.gate_stored_at = view.now
-            return Step(view.record_verdict(), why)
+            return Step(view.verdict_command(), why)
         return Step(None, why)
 
     def _continue(self, view: BatchView) -> Step:
@@ -254,8 +256,8 @@
             return self._finish(view)
         for name in remaining:
             if release.targets[name].attempts >= MAX_ATTEMPTS:
-                return view.halt(
-                    f"{name} was changed {MAX_ATTEMPTS} times without success: {view.last_event(name)}"
+                return view.halt_step(
+                    f"{name} was changed {MAX_ATTEMPTS} times without success: {view.last_outcome(name)}"
                 )
         return start_batch(view, remaining, self._busy_targets())
 
@@ -271,7 +273,7 @@
         return Step(commands.FinishRelease(release.ident, self.lease.fencing_token, release.step))
 
     def _busy_targets(self) -> dict[str, str]:
-        """Return a description of the open order by target: another order there would be rejected."""
+        """Describe the open order by target: another order for such a target would be rejected."""
         return {
             target: f"{order.operator}'s {order.verb} {order.id}"
             for ident in self.allocator.clock.order_submitted_at
--- a/oakkeel/rollout/controller_lease.py
+++ b/oakkeel/rollout/controller_lease.py
@@ -1,4 +1,4 @@
-"""The lease of the rollout controller: when to request or renew it. Free of I/O."""
+"""Decides when the rollout controller requests or renews its lease. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from oakkeel.units import MS, SECOND
 
 LEASE_DURATION_NS = 2 * SECOND
-LEASE_RENEWAL_NS = LEASE_DURATION_NS * 3 // 4  # before its expiry, so that some renewals may fail
-LEASE_RETRY_DELAY_NS = 200 * MS  # after a request, and after another controller was found to hold the lease
+LEASE_RENEWAL_NS = LEASE_DURATION_NS * 3 // 4  # before the expiry, which leaves time for failed renewals
+LEASE_RETRY_DELAY_NS = (
+    200 * MS
+)  # after a request, and after a rejection because another controller holds the lease
 
 
 class ControllerLease:
@@ -23,7 +25,7 @@
 
     @property
     def fencing_token(self) -> int:
-        """The token that commands under the lease have."""
+        """The token that commands under the lease carry."""
         return self.holder.fencing_token
 
     def is_held(self, now: int) -> bool:
@@ -57,5 +59,5 @@
         self.requested_at = 0
 
     def lost(self) -> None:
-        """Handle a request that was not committed: it may be sent again."""
+        """Handle a request that was not committed: another one may be sent."""
         self.requested_at = 0
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -1,4 +1,4 @@
-"""What agents last reported about targets, as the rollout controller sees it. Free of I/O."""
+"""The last reports of agents about targets, as the rollout controller received them. Free of I/O."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 COLD_PHASE = "cold"  # warming up
 RUNNING_PHASES = (COLD_PHASE, "serving")
-PROCESS_PHASES = ("starting", COLD_PHASE, "serving", "silent", "stuck")  # with a process that is not draining
+PROCESS_PHASES = ("starting", COLD_PHASE, "serving", "silent", "stuck")  # a process runs and does not drain
 BROKEN_PHASES = ("failing", "stopped", "silent", "stuck")
 
 
 @dataclass(slots=True, frozen=True)
 class DeathCount:
-    """The number of crashes of a target's process since its agent started."""
+    """The number of crashes of the processes of a target since its agent started."""
 
     incarnation: int  # of the agent
     deaths: int
 
 
 class Observations:
-    """The last report of each target, and the questions of a release that it answers."""
+    """The last report of each target, and the conditions of a release that depend on it."""
 
     def __init__(self, allocator: PermitAllocator) -> None:
         """Start without any report."""
@@ -37,46 +37,52 @@
         self.death_counts: dict[str, DeathCount] = {}
 
     def update_topology(self) -> None:
-        """Take over a changed topology."""
+        """Use a changed topology from now on."""
         self.planner = BatchPlanner(self.allocator.topology)
 
     def record(self, status: TargetStatus, observed_at: int) -> str | None:
         """Store a report no older than `observed_at`, in monotonic nanoseconds.
 
-        Returns the version in the report before; None if a newer report is stored already.
+        Returns the version in the previous report; None if a later report is stored already.
         """
-        known = self.targets.get(status.name)
-        if known and known.observed_at > observed_at:
+        previous = self.targets.get(status.name)
+        if previous and previous.observed_at > observed_at:
             return None
-        before = known.version if known else status.version
+        previous_version = previous.version if previous else status.version
         self.targets[status.name] = TargetObservation(
             status.name,
             status.phase,
             status.generation,
-            status.version or (before if status.age < 0 else ""),
+            status.version or (previous_version if status.age < 0 else ""),
             observed_at,
             status.load,
             status.backing_off,
         )
-        return before
-
-    def feed(
-        self, now: int, gate: Gate, release: Release, incarnation: int, status: TargetStatus, before: str
+        return previous_version
+
+    def add_to_gate(
+        self,
+        now: int,
+        gate: Gate,
+        release: Release,
+        incarnation: int,
+        status: TargetStatus,
+        previous_version: str,
     ) -> None:
-        """Pass a recorded report to the gate; `before` is the version in the report before.
+        """Add a recorded report to the gate; `previous_version` is the version in the report before it.
 
-        `incarnation` is that of the agent, whose counts start at zero with each.
+        `incarnation` is that of the agent, which counts crashes from zero in each incarnation.
         """
-        known = self.death_counts.get(status.name)
+        previous = self.death_counts.get(status.name)
         self.death_counts[status.name] = DeathCount(incarnation, status.deaths)
-        if known and known.incarnation == incarnation and status.deaths > known.deaths:
+        if previous and previous.incarnation == incarnation and status.deaths > previous.deaths:
             arms = [
                 self.arm(release, name, observation.version)
                 for name, observation in self.targets.items()
                 if observation.is_serving or name == status.name
             ]
             running = Population(arms.count(Arm.NEW), arms.count(Arm.OLD))
-            gate.record_death(self.arm(release, status.name, before), running)
+            gate.record_death(self.arm(release, status.name, previous_version), running)
         if status.samples is not None and status.phase in RUNNING_PHASES:
             process = ProcessIdentity(status.version, status.generation)
             age = AgeClass.COLD if status.phase == COLD_PHASE else AgeClass.WARM
@@ -86,8 +92,8 @@
     def arm(self, release: Release, target: str, version: str) -> Arm:
         """Return the arm of a target that runs `version`.
 
-        In a release of services an instance belongs to the arm of the services that it depends on, and to
-        neither while they differ.
+        In a release of services, an instance belongs to the arm of the services on which it depends, and to
+        neither arm while their states differ.
         """
         if not release.spec.services:
             return Arm.NEW if version == release.spec.version else Arm.OLD
@@ -117,9 +123,9 @@
         )
 
     def deviates(self, now: int, release: Release, target: str) -> bool:
-        """Return whether a target runs another version than the finished batch assigned to it.
+        """Return whether a target runs another version than a finished batch assigned to it.
 
-        This happens if it crashed and restarted before its agent received the assignment.
+        This happens if the target crashed and restarted before its agent received the assignment.
         """
         observation = self.fresh(now, target)
         if release.spec.services or observation is None:
@@ -135,8 +141,8 @@
     def is_updated(self, release: Release, target: str, tasks: dict[str, DisruptionTask]) -> bool:
         """Return whether a target runs the new version, or may start with it at any moment.
 
-        A target without a process, or whose process drains, may start with the version of the batch, and so
-        has to be changed again. For a service: whether the operator has replaced it.
+        A target without a process, or with a draining one, may start with the version of the batch and has to
+        be changed again. For a service: whether the operator has replaced it.
         """
         if release.spec.services:
             replaced = target in tasks and tasks[target].state == "done"
