--- a/oakkeel/rollout/assignments.py
+++ b/oakkeel/rollout/assignments.py
@@ -1,7 +1,7 @@
-"""An agent's part in releases: the versions of its targets from their next start on, and the copies to make.
+"""The versions assigned to the targets of an agent, and the copies that the agent has to make for a release.
 
-Free of I/O: the agent stores a change (`changed`) before it starts a process by it, makes the copies that
-`take_requests` returns, and reports the result to `record_prepared`.
+Free of I/O: the agent stores changed assignments (`changed`) before it starts a process of an assigned
+version, makes the copies that `take_requests` returns, and passes the result to `record_prepared`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ArtifactRequest:
-    """Copies to make: of the content of a version, and of the programs that targets run without a version."""
+    """A request for copies of the content of a version, and of programs that targets run without one."""
 
     release: str
     spec: VersionSpec
@@ -24,19 +24,19 @@
 
 
 class VersionAssignments:
-    """The versions assigned to an agent's targets, as it last received from the leader."""
+    """The versions of the targets of an agent, as last received from the leader."""
 
     def __init__(self, services: tuple[str, ...] = ()) -> None:
-        """`services` are downstream services watched here, for which nothing is prepared."""
+        """`services` are the downstream services that the agent watches; they need no copies."""
         self.services = frozenset(services)
         self.versions: dict[str, str] = {}  # by target
         self.sources: dict[str, VersionSpec] = {}  # by version
-        self.bases: dict[str, str] = {}  # by target: the copy of its program without a version
+        self.bases: dict[str, str] = {}  # by target: version of the copy of its program without a version
         self.changed = False
-        self.active = False  # the leader supports releases
+        self.active = False  # whether the leader supports releases
         self.collect_samples = False
         self.release = ""
-        self.prepared: dict[str, str] = {}  # by release: why it can't be installed; empty if it can
+        self.prepared: dict[str, str] = {}  # by release: why it can't be installed, empty if it can
         self.requested: set[str] = set()  # releases whose copies were requested
         self.pending: dict[str, ArtifactRequest] = {}
 
@@ -53,7 +53,7 @@
         return self.versions.get(target, "")
 
     def encode_report(self, statuses: list[TargetStatus]) -> bytes:
-        """Return the report to send; it has no samples while no release is open."""
+        """Return the encoded report to send; it has no samples while no release is open."""
         if not self.collect_samples:
             statuses = [
                 TargetStatus(
@@ -71,7 +71,7 @@
         return encode(AgentReport(statuses, self.prepared, self.bases if self.release else {}))
 
     def handle_response(self, content: bytes) -> None:
-        """Adopt the leader's assignments; content that can't be decoded is ignored."""
+        """Adopt the assignments of the leader; content that can't be decoded is ignored."""
         if not content:
             return  # the leader does not support releases
         try:
@@ -89,7 +89,7 @@
             self.prepared = {ident: why for ident, why in self.prepared.items() if ident == received.release}
             self.requested &= {received.release}
             if not received.release and self.bases:
-                self.bases = {}  # the release has ended: nothing is rolled back to them any more
+                self.bases = {}  # the release has ended: no rollback needs them
                 self.changed = True
         targets = tuple(target for target in received.targets if target not in self.services)
         if received.release and targets and received.release not in self.requested:
@@ -97,13 +97,13 @@
             self.pending[received.release] = ArtifactRequest(received.release, received.spec, targets)
 
     def take_requests(self) -> list[ArtifactRequest]:
-        """Return the copies to make now: each is returned once, and again after a restart of the agent."""
+        """Return the copies to make now; each is returned once, and again after a restart of the agent."""
         requests = list(self.pending.values())
         self.pending = {}
         return requests
 
     def record_prepared(self, release: str, why: str, bases: dict[str, str]) -> None:
-        """Record why the new version can't run here, empty if it can, and the copies of running programs."""
+        """Record why the new version can't run on this host, empty if it can, and the copies of programs."""
         if release != self.release:
             return
         self.prepared[release] = why
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -1,4 +1,4 @@
-"""Replicated commands of releases. Those with a fencing token are valid under the controller's lease only."""
+"""Replicated commands of releases. A command with a fencing token needs the lease of the controller."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class VersionSpec(msgspec.Struct, array_like=True):
-    """The released version, and where hosts find its content until they have their own copy."""
+    """The released version, and the paths from which hosts copy its content."""
 
     version: str  # hash of the content; for services any text
     program: str = ""  # folder
     patch: str = ""  # file, merged into each instance's configuration
-    services: bool = False  # of downstream services, which operators replace by hand
+    services: bool = False  # the targets are downstream services, which operators replace by hand
     from_settings: bool = False  # parts not named are taken from the settings, not from the last release
 
 
@@ -23,16 +23,16 @@
     """How a release proceeds. Times in nanoseconds."""
 
     canary: int = 1  # targets of the first batch
-    growth: float = 2.0  # a batch multiplies the number of updated targets by this
+    growth: float = 2.0  # each batch multiplies the number of updated targets by this factor
     max_batch: int = 0  # targets of one batch; 0: as the disruption budgets allow
-    control: bool = True  # restart as many old targets with the canaries, to compare cold processes
+    control: bool = True  # restart as many old targets together with the canaries, to compare cold processes
     gated: bool = True
-    auto_roll_back: bool = False  # roll back automatically after the gates halted it
+    auto_roll_back: bool = False  # roll back automatically after the gates have halted the release
     soak: int = 60_000_000_000  # minimum time after each batch
     verdict_timeout: int = 600_000_000_000  # maximum time without a verdict of the gates
     batch_timeout: int = 120_000_000_000
-    margin: float = 0.02  # ratio of the earned weight: a loss of it has to be ruled out
-    max_load: float = 0.85  # ratio of the cores that keep serving at a site
+    margin: float = 0.02  # the loss to rule out, as a ratio of the earned weight
+    max_load: float = 0.85  # ratio of the cores of the remaining targets of a site
 
 
 class StartRelease(msgspec.Struct, tag="begin", array_like=True):
@@ -55,7 +55,7 @@
 
 
 class ReportPrepared(msgspec.Struct, tag="ready", array_like=True):
-    """A host has copies of the new version and of the running one, or reports why not."""
+    """A host has copies of the new and of the running version, or reports why it has none."""
 
     ident: str
     fence: int
@@ -84,7 +84,7 @@
 
 
 class FinishBatch(msgspec.Struct, tag="settle", array_like=True):
-    """The batch is over: these targets run the new version, the rest the old one."""
+    """The open batch has finished: `updated` targets run the new version, the others the old one."""
 
     ident: str
     fence: int
@@ -100,7 +100,7 @@
     step: int
     gate_state: bytes
     summary: str  # for display
-    why: str = ""  # the release halts for this reason; empty: it continues
+    why: str = ""  # the reason to halt the release; empty: the release continues
 
 
 class FinishRelease(msgspec.Struct, tag="finish", array_like=True):
--- a/oakkeel/rollout/messages.py
+++ b/oakkeel/rollout/messages.py
@@ -15,27 +15,27 @@
     version: str  # as reported by its process
     generation: int
     phase: str
-    age: int  # of the last report in nanoseconds; -1: none
-    backing_off: bool = False  # it crashed repeatedly, and is not restarted for a time
+    age: int  # of the last report of the target, in nanoseconds; -1: none
+    backing_off: bool = False  # the process crashed repeatedly, and its restart is delayed
     deaths: int = 0  # crashes since its agent started
     load: float = 0.0  # of its cores
     samples: Samples | None = None
 
 
 class AgentReport(msgspec.Struct, array_like=True):
-    """The targets of an agent, and its preparation of the open release."""
+    """The status of the targets of an agent, and its preparation of the open release."""
 
     statuses: list[TargetStatus] = []
-    prepared: dict[str, str] = {}  # by release: why it can't be installed; empty if it can
-    bases: dict[str, str] = {}  # by target: the version of the copy of its program
+    prepared: dict[str, str] = {}  # by release: why it can't be installed, empty if it can
+    bases: dict[str, str] = {}  # by target: version of the copy of its program
 
 
 class AgentAssignments(msgspec.Struct, array_like=True):
-    """The response: the versions of the agent's targets from their next start on."""
+    """The response to a report: the versions of the targets of the agent from their next start on."""
 
     versions: dict[str, str] = {}
-    sources: dict[str, VersionSpec] = {}  # where to copy these versions from
-    release: str = ""  # the open one, if it has targets here
+    sources: dict[str, VersionSpec] = {}  # specification to copy from, by version
+    release: str = ""  # ID of the open release, if it has targets on this host
     spec: VersionSpec = msgspec.field(default_factory=lambda: VersionSpec(""))
     targets: list[str] = []  # of the release, on this host
     collect_samples: bool = False
@@ -51,10 +51,10 @@
 
 
 def decode_report(content: bytes) -> AgentReport:
-    """Decode a report; no content is an empty one. Raises `msgspec.MsgspecError`."""
+    """Decode a report, without content an empty one. Raises `msgspec.MsgspecError`."""
     return _report_decoder.decode(content) if content else AgentReport()
 
 
 def decode_assignments(content: bytes) -> AgentAssignments:
-    """Decode a response; no content is an empty one. Raises `msgspec.MsgspecError`."""
+    """Decode a response, without content an empty one. Raises `msgspec.MsgspecError`."""
     return _assignments_decoder.decode(content) if content else AgentAssignments()
--- a/oakkeel/rollout/release.py
+++ b/oakkeel/rollout/release.py
@@ -63,7 +63,7 @@
 
     previous: str  # the version before the release
     state: TargetState = TargetState.OLD
-    base: str = ""  # version of the copy of what it ran before this release; used for the rollback
+    base: str = ""  # version of the copy of the program that ran before the release; for the rollback
     attempts: int = 0
 
 
@@ -81,14 +81,14 @@
     step: int = 0  # increased by every command of a controller
     batch: int = 0  # number of the last batch
     in_progress: list[str] = []  # targets of the open batch
-    comparison_targets: list[str] = []  # targets that restart unchanged with them
+    comparison_targets: list[str] = []  # targets that restart unchanged with the open batch
     prepared_hosts: list[str] = []
     rolling_back: bool = False  # also while the rollback is halted
     why: str = ""
     gate_state: bytes = b""
     summary: str = ""  # of the gates, for display
-    operator_actions: int = 0  # number of accepted actions
-    batch_forward: bool = True  # the open batch brings the new version
+    operator_actions: int = 0  # number of accepted operator actions
+    batch_forward: bool = True  # the open batch changes its targets to the new version
 
     @property
     def is_finished(self) -> bool:
@@ -97,7 +97,7 @@
 
     @property
     def order_id(self) -> str:
-        """Return the ID of its last batch's order."""
+        """Return the ID of the order of the last batch."""
         return f"{self.ident}.{self.batch}"
 
     @property
@@ -111,14 +111,14 @@
         for target in self.targets.values():
             target.attempts = 0
 
-    def wanted_version(self, name: str) -> str:
+    def version_to_assign(self, name: str) -> str:
         """Return the version to assign to a target in the direction of the release."""
         target = self.targets[name]
         return target.base or target.previous if self.rolling_back else self.spec.version
 
 
 class RolloutState(ControlPlaneState, array_like=True):
-    """The state of the control plane with its releases."""
+    """The replicated state of the control plane, with releases."""
 
     releases: dict[str, Release] = msgspec.field(default_factory=dict)
     versions: dict[str, str] = msgspec.field(default_factory=dict)  # by target, for its next start
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -1,11 +1,11 @@
 """Applies the replicated commands of releases: assigns versions, and takes the steps of the open release.
 
-Every command of a controller has the fencing token of its lease and the last step that it saw: an old
-controller that wakes up, and a step that was taken already, are rejected on every replica alike. Free of I/O
-and time.
+Every command of a controller carries the fencing token of its lease and the number of the last step that the
+controller observed. Every replica therefore rejects the commands of a former controller, and a step that was
+already taken. Free of I/O and clocks.
 
-Reasons that a command stores in the state are part of it: they must be the same on every replica, also while
-a fleet runs two versions of the program.
+Reasons that a command stores are part of the replicated state: they must be the same on every replica, also
+while a fleet runs two versions of the program.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
     RolloutState,
     TargetState,
 )
-from oakkeel.rollout.validation import find_fault
+from oakkeel.rollout.validation import find_rejection_reason
 
-LEASE = "release"  # its holder is the controller
+LEASE = "release"  # the name of the lease of the rollout controller
 MAX_FINISHED_RELEASES = 32
 MAX_GATE_STATE_BYTES = 16 * 1024
 MAX_TEXT = 500  # characters of a reason or summary
-# By action of an operator: the state that a release changes to. `resume` depends on its direction, and
-# `abort` halts a release; only one that still prepares is ended by it.
+# The next state of a release, by operator action. The state after `resume` depends on the direction of the
+# release. `abort` halts a release, except that it abandons a release that is still preparing.
 ACTION_STATES = {
     "pause": ReleaseState.PAUSED,
     "abort": ReleaseState.HALTED,
@@ -46,7 +46,7 @@
 
 
 class RolloutStateMachine(PermitStateMachine):
-    """Applies commands of releases; its base applies all others."""
+    """Applies the commands of releases; the base class applies all others."""
 
     state: RolloutState
     STATE = RolloutState
@@ -59,23 +59,23 @@
     def _start_release(self, index: int, command: commands.StartRelease) -> Release | Rejection:
         state = self.state
         spec = command.spec
-        if known := state.releases.get(command.ident):
-            same = (known.operator, known.spec, sorted(known.targets)) == (
+        if existing := state.releases.get(command.ident):
+            is_repetition = (existing.operator, existing.spec, sorted(existing.targets)) == (
                 command.operator,
                 spec,
                 sorted(command.targets),
             )
             return (
-                known
-                if same
-                else Rejection(f"the ID belongs to another release, started by {known.operator}")
+                existing
+                if is_repetition
+                else Rejection(f"the ID belongs to another release, started by {existing.operator}")
             )
         if other := self.open_release:
             return Rejection(
                 f"{other.operator}'s release {other.ident} is {other.state}: it has to end first"
             )
-        if fault := find_fault(command, state.topology, state.versions, state.sources):
-            return Rejection(fault)
+        if reason := find_rejection_reason(command, state.topology, state.versions, state.sources):
+            return Rejection(reason)
         targets = {name: ReleaseTarget(state.versions.get(name, "")) for name in command.targets}
         release = Release(command.ident, command.operator, command.unix, index, spec, command.policy, targets)
         state.releases[release.ident] = release
@@ -95,20 +95,20 @@
             action = "leave"
         if action == "undo" and release.state is ReleaseState.PREPARING:
             return Rejection("the release has changed nothing yet: abort it")
-        state = ACTION_STATES.get(action)
+        next_state = ACTION_STATES.get(action)
         if action == "resume":
-            state = ReleaseState.ROLLING_BACK if release.rolling_back else ReleaseState.RUNNING
-        if state is release.state:
+            next_state = ReleaseState.ROLLING_BACK if release.rolling_back else ReleaseState.RUNNING
+        if next_state is release.state:
             return release
-        if state is None or state not in TRANSITIONS[release.state]:
+        if next_state is None or next_state not in TRANSITIONS[release.state]:
             return Rejection(f"the release is {release.state}: {action} is not possible")
         release.operator_actions += 1
         if action == "resume" and release.state is ReleaseState.HALTED:  # an operator overrules the gates
             release.reset_progress()
-        return self._move_release(release, state, f"by {command.operator}")
+        return self._move_release(release, next_state, f"by {command.operator}")
 
     def _holds_lease(self, fencing_token: int) -> bool:
-        """Return whether the token is that of the current lease: only its holder drives the release."""
+        """Return whether the token is that of the current lease; only its holder takes steps of a release."""
         lease = self.state.leases.get(LEASE)
         return lease is not None and lease.fencing_token == fencing_token
 
@@ -117,8 +117,8 @@
     ) -> Release | Rejection:
         """Return the release if the command may change it, else a rejection.
 
-        It needs the current fencing token, one of the release's `states`, and the step that is due: so two
-        controllers never take the same step, and none takes a step twice.
+        The command needs the current fencing token, a release in one of `states`, and the current step of the
+        release. So no step is taken twice, neither by one controller nor by two.
         """
         release = self.state.releases.get(command.ident)
         if not self._holds_lease(command.fence):
@@ -184,7 +184,7 @@
             target = release.targets[name]
             target.attempts += 1
             self._move_target(target, TargetState.CHANGING)
-            self._assign_version(name, release.wanted_version(name))
+            self._assign_version(name, release.version_to_assign(name))
         release.batch_forward = not release.rolling_back
         release.in_progress = names
         release.comparison_targets = [name for name, _ in command.comparison_targets]
@@ -229,8 +229,8 @@
         ):
             return Rejection("not all targets have reached the end state")
         release.step += 1
-        end = ReleaseState.ROLLED_BACK if release.rolling_back else ReleaseState.DONE
-        return self._move_release(release, end, "")
+        final_state = ReleaseState.ROLLED_BACK if release.rolling_back else ReleaseState.DONE
+        return self._move_release(release, final_state, "")
 
     def _assign_version(self, target: str, version: str) -> None:
         if version:
@@ -239,13 +239,13 @@
             self.state.versions.pop(target, None)
 
     def _move_target(self, target: ReleaseTarget, state: TargetState) -> None:
-        """Change the state of a target; nothing else does. Raises InvalidTransitionError."""
+        """Change the state of a target; no other method does. Raises InvalidTransitionError."""
         if state not in TARGET_TRANSITIONS[target.state] and state != target.state:
             raise InvalidTransitionError("a target of a release", target.state, state)
         target.state = state
 
     def _move_release(self, release: Release, state: ReleaseState, why: str) -> Release:
-        """Change the state of a release; nothing else does. Raises InvalidTransitionError."""
+        """Change the state of a release; no other method does. Raises InvalidTransitionError."""
         if state not in TRANSITIONS[release.state]:
             raise InvalidTransitionError(f"release {release.ident}", release.state, state)
         previous_state = release.state
@@ -255,7 +255,7 @@
         if state in (*STOPPED_STATES, ReleaseState.ROLLING_BACK) and order and order.is_open:
             order.halted_by = order.halted_by or release.operator
             order.end_waiting(FleetTaskState.HALTED, f"release {release.ident} {state}")
-            if state is ReleaseState.ROLLING_BACK:  # a target that does not start is not waited for
+            if state is ReleaseState.ROLLING_BACK:  # do not wait for a target that fails to start
                 order.cancelled_by = order.cancelled_by or release.operator
         if state is ReleaseState.ROLLING_BACK:
             if not release.rolling_back:
--- a/oakkeel/rollout/validation.py
+++ b/oakkeel/rollout/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a command that starts a release, against what the control plane knows."""
+"""Validates a command that starts a release against the replicated state."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 MAX_ID_LENGTH = 48
 
 
-def find_fault(
+def find_rejection_reason(
     command: StartRelease, topology: Topology, versions: dict[str, str], sources: dict[str, VersionSpec]
 ) -> str:
     """Return why a release can't be started; empty if it can.
 
-    `versions` has the assigned version by target, `sources` the specification by version.
+    `versions` has the assigned version of each target, `sources` the specification of each version.
     """
     spec = command.spec
     targets = command.targets
@@ -28,8 +28,8 @@
     }
     if unknown := sorted(set(targets) - known):
         return f"there is no target {unknown[0]}"
-    if wrong := [target for target in targets if (target in services) != spec.services]:
-        return f"{wrong[0]}: instances and downstream services can't be in one release"
+    if mismatched := [target for target in targets if (target in services) != spec.services]:
+        return f"{mismatched[0]}: instances and downstream services can't be in one release"
     if not spec.version:
         return "the version is empty"
     if unchanged := [target for target in targets if versions.get(target, "") == spec.version]:
@@ -52,11 +52,11 @@
 def _find_dropped_part(
     command: StartRelease, versions: dict[str, str], sources: dict[str, VersionSpec]
 ) -> str:
-    """Return why a release would remove a released program or patch that it does not name; empty if not."""
+    """Return why a release would remove a released program or patch without naming it; empty if not."""
     for target in command.targets:
-        running = sources.get(versions.get(target, ""), VersionSpec(""))
+        assigned = sources.get(versions.get(target, ""), VersionSpec(""))
         for name in ("program", "patch"):
-            if getattr(running, name) and not getattr(command.spec, name):
+            if getattr(assigned, name) and not getattr(command.spec, name):
                 return (
                     f"{target} runs a released {name}: name one in this release too, or return to that of"
                     " the settings with --as-set"
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -1,7 +1,6 @@
 """The replicated state of releases and the assignments of versions."""
 
 import unittest
-import unittest.mock
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -20,16 +19,18 @@
 
 
 class RolloutStateMachineTest(unittest.TestCase):
-    """A step is accepted once, under the fencing token of the current lease."""
+    """Steps are accepted once, with the fencing token of the current lease."""
 
     def setUp(self) -> None:
         self.state_machine = RolloutStateMachine()
         self.index = 0
-        self.do(permit_commands.SetTopology(TOPOLOGY))
-        self.fence = self.do(permit_commands.AcquireLease(LEASE, "h1.1", SECOND))
-        self.do(commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["a", "b"]))
+        self.apply(permit_commands.SetTopology(TOPOLOGY))
+        self.fencing_token = self.apply(permit_commands.AcquireLease(LEASE, "h1.1", SECOND))
+        self.apply(
+            commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["a", "b"])
+        )
 
-    def do(self, command):
+    def apply(self, command):
         self.index += 1
         return self.state_machine.apply(self.index, permit_commands.encode(command))
 
@@ -38,41 +39,44 @@
         return self.state_machine.state.releases["r"]
 
     def assert_rejected(self, command, text: str) -> None:
-        answer = self.do(command)
-        self.assertIsInstance(answer, Rejection)
-        self.assertIn(text, answer.reason)
+        result = self.apply(command)
+        self.assertIsInstance(result, Rejection)
+        self.assertIn(text, result.reason)
 
-    def test_accepts_step_once_and_rejects_old_controller_by_its_fence(self):
-        self.do(commands.BeginRollout("r", self.fence, 0))
+    def test_accepts_a_step_once_and_rejects_an_old_controller_by_its_fencing_token(self):
+        self.apply(commands.BeginRollout("r", self.fencing_token, 0))
         self.assertIsInstance(
-            self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)])), DisruptionOrder
+            self.apply(commands.StartBatch("r", self.fencing_token, 1, 0, [("a", 1)])), DisruptionOrder
+        )
+        self.assert_rejected(
+            commands.StartBatch("r", self.fencing_token, 1, 0, [("b", 1)]), "step 1 was taken"
         )
-        self.assert_rejected(commands.StartBatch("r", self.fence, 1, 0, [("b", 1)]), "step 1 was taken")
-        self.do(permit_commands.ReleaseLease(LEASE, self.fence))
-        fence = self.do(permit_commands.AcquireLease(LEASE, "h2.1", SECOND))
+        self.apply(permit_commands.ReleaseLease(LEASE, self.fencing_token))
+        fencing_token = self.apply(permit_commands.AcquireLease(LEASE, "h2.1", SECOND))
         self.assert_rejected(
-            commands.FinishBatch("r", self.fence, 2, ["a"]), "another controller holds the release lease"
+            commands.FinishBatch("r", self.fencing_token, 2, ["a"]),
+            "another controller holds the release lease",
         )
-        self.assertGreater(fence, self.fence)
-        self.assertIs(self.do(commands.FinishBatch("r", fence, 2, ["a"])), self.release)
+        self.assertGreater(fencing_token, self.fencing_token)
+        self.assertIs(self.apply(commands.FinishBatch("r", fencing_token, 2, ["a"])), self.release)
         self.assertEqual(self.state_machine.state.versions, {"a": "v2"})
 
-    def test_rejects_second_open_release_and_accepts_same_command_twice(self):
+    def test_rejects_a_second_open_release_and_accepts_a_repeated_command(self):
         self.assert_rejected(
             commands.StartRelease("r2", "ravi", 0, VersionSpec("v3", "/p"), RolloutPolicy(), ["c"]),
             "asha's release r",
         )
-        same = self.do(
+        result = self.apply(
             commands.StartRelease("r", "asha", 0, VersionSpec("v2", "/p"), RolloutPolicy(), ["b", "a"])
         )
-        self.assertIs(same, self.release)
+        self.assertIs(result, self.release)
         self.assert_rejected(
             commands.StartRelease("r", "asha", 0, VersionSpec("v3", "/p"), RolloutPolicy(), ["a", "b"]),
             "another release",
         )
 
-    def test_rejects_invalid_release_with_reason(self):
-        self.do(commands.ControlRelease("r", "asha", "abort"))
+    def test_rejects_an_invalid_release_with_a_reason(self):
+        self.apply(commands.ControlRelease("r", "asha", "abort"))
         self.assertEqual(self.release.state, "left")
         for targets, spec, text in (
             (["zz"], VersionSpec("v", "/p"), "no target zz"),
@@ -83,53 +87,58 @@
         ):
             self.assert_rejected(commands.StartRelease("x", "asha", 0, spec, RolloutPolicy(), targets), text)
 
-    def test_release_of_patch_alone_keeps_released_program_unless_asked(self):
-        self.do(commands.BeginRollout("r", self.fence, 0))
-        self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
-        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))
-        self.do(commands.ControlRelease("r", "asha", "abort"))
-        self.do(commands.ControlRelease("r", "asha", "leave"))
-        alone = commands.StartRelease("p", "asha", 0, VersionSpec("v3", "", "/patch"), RolloutPolicy(), ["a"])
-        self.assert_rejected(alone, "released program")
-        both = commands.StartRelease(
+    def test_a_release_of_a_patch_alone_must_not_drop_a_released_program(self):
+        self.apply(commands.BeginRollout("r", self.fencing_token, 0))
+        self.apply(commands.StartBatch("r", self.fencing_token, 1, 0, [("a", 1)]))
+        self.apply(commands.FinishBatch("r", self.fencing_token, 2, ["a"]))
+        self.apply(commands.ControlRelease("r", "asha", "abort"))
+        self.apply(commands.ControlRelease("r", "asha", "leave"))
+        patch_alone = commands.StartRelease(
+            "p", "asha", 0, VersionSpec("v3", "", "/patch"), RolloutPolicy(), ["a"]
+        )
+        self.assert_rejected(patch_alone, "released program")
+        patch_with_settings = commands.StartRelease(
             "p", "asha", 0, VersionSpec("v3", "", "/patch", from_settings=True), RolloutPolicy(), ["a"]
         )
-        self.assertIsInstance(self.do(both), Release)
+        self.assertIsInstance(self.apply(patch_with_settings), Release)
 
-    def test_rollback_during_batch_halts_its_order_and_restores_versions(self):
-        self.do(commands.ReportPrepared("r", self.fence, "h1", "", {"a": "base a", "b": "base b"}))
-        self.do(commands.BeginRollout("r", self.fence, 0))
-        self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
-        self.do(commands.ControlRelease("r", "ravi", "undo"))
+    def test_a_rollback_during_a_batch_halts_its_order_and_restores_versions(self):
+        self.apply(commands.ReportPrepared("r", self.fencing_token, "h1", "", {"a": "base a", "b": "base b"}))
+        self.apply(commands.BeginRollout("r", self.fencing_token, 0))
+        self.apply(commands.StartBatch("r", self.fencing_token, 1, 0, [("a", 1)]))
+        self.apply(commands.ControlRelease("r", "ravi", "undo"))
         order = self.state_machine.state.orders["r.1"]
         self.assertEqual((order.halted_by, order.tasks["a"].state), ("asha", "halted"))
-        self.assert_rejected(commands.StartBatch("r", self.fence, 2, 0, [("a", 1)]), "batch is in progress")
-        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))  # it had started with the new version
+        self.assert_rejected(
+            commands.StartBatch("r", self.fencing_token, 2, 0, [("a", 1)]), "batch is in progress"
+        )
+        # The target started with the new version.
+        self.apply(commands.FinishBatch("r", self.fencing_token, 2, ["a"]))
         self.assertIsInstance(
-            self.do(commands.StartBatch("r", self.fence, 3, 0, [("a", 2)])), DisruptionOrder
+            self.apply(commands.StartBatch("r", self.fencing_token, 3, 0, [("a", 2)])), DisruptionOrder
         )
         self.assertEqual(self.state_machine.state.versions["a"], "base a")
-        self.assert_rejected(commands.FinishRelease("r", self.fence, 4), "not all targets")
-        self.do(commands.FinishBatch("r", self.fence, 4, []))
-        self.assertEqual(self.do(commands.FinishRelease("r", self.fence, 5)).state, "undone")
+        self.assert_rejected(commands.FinishRelease("r", self.fencing_token, 4), "not all targets")
+        self.apply(commands.FinishBatch("r", self.fencing_token, 4, []))
+        self.assertEqual(self.apply(commands.FinishRelease("r", self.fencing_token, 5)).state, "undone")
         self.assertEqual(self.state_machine.state.versions, {})
 
-    def test_host_that_cannot_prepare_ends_release_before_any_change(self):
-        self.do(commands.ReportPrepared("r", self.fence, "h1", "no such folder", {}))
+    def test_a_host_that_cannot_prepare_ends_the_release_before_any_change(self):
+        self.apply(commands.ReportPrepared("r", self.fencing_token, "h1", "no such folder", {}))
         self.assertEqual((self.release.state, self.release.why), ("left", "h1 can't take it: no such folder"))
 
-    def test_halted_rollback_resumes_as_rollback(self):
-        self.do(commands.BeginRollout("r", self.fence, 0))
-        self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
-        self.do(commands.FinishBatch("r", self.fence, 2, ["a"]))
-        self.do(commands.ControlRelease("r", "asha", "undo"))
-        self.do(commands.ControlRelease("r", "asha", "abort"))
+    def test_a_halted_rollback_resumes_as_a_rollback(self):
+        self.apply(commands.BeginRollout("r", self.fencing_token, 0))
+        self.apply(commands.StartBatch("r", self.fencing_token, 1, 0, [("a", 1)]))
+        self.apply(commands.FinishBatch("r", self.fencing_token, 2, ["a"]))
+        self.apply(commands.ControlRelease("r", "asha", "undo"))
+        self.apply(commands.ControlRelease("r", "asha", "abort"))
         self.assertEqual(self.release.state, "halted")
-        self.assertEqual(self.do(commands.ControlRelease("r", "asha", "resume")).state, "undoing")
+        self.assertEqual(self.apply(commands.ControlRelease("r", "asha", "resume")).state, "undoing")
 
-    def test_snapshot_round_trip_and_snapshot_without_releases(self):
-        self.do(commands.BeginRollout("r", self.fence, 0))
-        self.do(commands.StartBatch("r", self.fence, 1, 0, [("a", 1)]))
+    def test_restores_snapshots_with_and_without_releases(self):
+        self.apply(commands.BeginRollout("r", self.fencing_token, 0))
+        self.apply(commands.StartBatch("r", self.fencing_token, 1, 0, [("a", 1)]))
         restored = RolloutStateMachine()
         restored.restore(self.state_machine.snapshot())
         self.assertEqual(restored.snapshot(), self.state_machine.snapshot())
@@ -139,43 +148,45 @@
         self.assertEqual((restored.state.releases, restored.state.topology), ({}, TOPOLOGY))
 
     ACTIONS = (
-        "go",
-        "batch",
-        "settle",
-        "settle new",
-        "worse",
-        "finish",
+        "begin rollout",
+        "start batch",
+        "finish batch with the old version",
+        "finish batch with the new version",
+        "halt",
+        "finish release",
         "pause",
         "resume",
         "abort",
         "undo",
         "leave",
-        "old fence",
+        "old fencing token",
         "old step",
     )
 
     @given(st.lists(st.tuples(st.sampled_from(ACTIONS), st.integers(0, 1)), max_size=40))
     @settings(max_examples=150, deadline=None)
-    def test_any_commands_follow_transition_table_and_versions_match_states(self, actions):
+    def test_any_commands_follow_the_transition_table_and_versions_match_states(self, actions):
         self.setUp()
         for action, index in actions:
             previous_state = self.release.state
             step = self.release.step
             target_name = "ab"[index]
-            fence = self.fence - (action == "old fence")
+            fencing_token = self.fencing_token - (action == "old fencing token")
             command = {
-                "go": commands.BeginRollout("r", fence, step),
-                "finish": commands.FinishRelease("r", fence, step),
-                "batch": commands.StartBatch("r", fence, step, 0, [(target_name, 1)]),
-                "settle": commands.FinishBatch("r", fence, step, []),
-                "settle new": commands.FinishBatch("r", fence, step, list(self.release.in_progress)),
-                "worse": commands.RecordVerdict("r", fence, step, b"", "", "worse"),
-                "old fence": commands.FinishBatch("r", fence, step, []),
-                "old step": commands.FinishRelease("r", fence, step - 1),
+                "begin rollout": commands.BeginRollout("r", fencing_token, step),
+                "finish release": commands.FinishRelease("r", fencing_token, step),
+                "start batch": commands.StartBatch("r", fencing_token, step, 0, [(target_name, 1)]),
+                "finish batch with the old version": commands.FinishBatch("r", fencing_token, step, []),
+                "finish batch with the new version": commands.FinishBatch(
+                    "r", fencing_token, step, list(self.release.in_progress)
+                ),
+                "halt": commands.RecordVerdict("r", fencing_token, step, b"", "", "worse"),
+                "old fencing token": commands.FinishBatch("r", fencing_token, step, []),
+                "old step": commands.FinishRelease("r", fencing_token, step - 1),
             }.get(action, commands.ControlRelease("r", "asha", action))
-            answer = self.do(command)
+            result = self.apply(command)
             if action.startswith("old"):
-                self.assertIsInstance(answer, Rejection)
+                self.assertIsInstance(result, Rejection)
             self.assertTrue(
                 self.release.state == previous_state or self.release.state in TRANSITIONS[previous_state]
             )
@@ -185,12 +196,12 @@
                 if target.state == "old":
                     self.assertNotEqual(self.state_machine.state.versions.get(name), "v2")
             if self.release.state in ("done", "undone"):
-                wanted = "new" if self.release.state == "done" else "old"
-                self.assertEqual({target.state for target in self.release.targets.values()}, {wanted})
+                expected_state = "new" if self.release.state == "done" else "old"
+                self.assertEqual({target.state for target in self.release.targets.values()}, {expected_state})
 
 
 class VersionAssignmentsTest(unittest.TestCase):
-    def test_assigned_versions_survive_restart_of_agent(self):
+    def test_assigned_versions_survive_a_restart_of_the_agent(self):
         assignments = VersionAssignments()
         spec = VersionSpec("v2", "/p")
         response = AgentAssignments({"a": "v2"}, {"v2": spec}, "r", spec, ["a"], True)
@@ -205,7 +216,7 @@
         restored.restore(assignments.versions, assignments.sources, assignments.bases)
         self.assertEqual(restored.needed_versions(), {"v2", "base"})
 
-    def test_empty_or_damaged_response_changes_nothing(self):
+    def test_an_empty_or_damaged_response_changes_nothing(self):
         assignments = VersionAssignments()
         assignments.restore({"a": "v2"}, {}, {})
         for content in (b"", b"\x99"):
