--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -13,7 +13,7 @@
 
 
 class ServingState(StrEnum):
-    """Whether a node serves requests, as its status reports it."""
+    """The serving state of a node in its status reports."""
 
     WAITING = "waiting"  # for its engine
     WARMING_UP = "cold"  # in slow start
@@ -78,7 +78,7 @@
     rejected: int = msgspec.field(default=0, name="denied")
     failed: int = msgspec.field(default=0, name="terminated")
     cpu: int = 0  # nanoseconds of CPU time since its start
-    version: str = ""  # of the program, as the agent set it
+    version: str = ""  # of the program, set by the agent
     load: float = 0.0  # ratio of its cores, by the last gauges
     # Count, sum and sum of squares over all requests since the start: `earned_weight` of the priority weight
     # that each request earned; `latencies`, by request class, of the logarithm of the seconds until a request
--- a/oakkeel/fleet/selection.py
+++ b/oakkeel/fleet/selection.py
@@ -71,10 +71,10 @@
 def sites_over_share(rows: Sequence[Row], selected: Sequence[Row], share: float) -> list[str]:
     """Return a line for each site of which an order would leave more than `share` unavailable."""
     sizes = Counter(row.site for row in rows)
-    leaving = Counter(row.site for row in selected if not row.is_unavailable)
+    newly_unavailable = Counter(row.site for row in selected if not row.is_unavailable)
     unavailable = Counter(row.site for row in rows if row.is_unavailable)
     return [
-        f"{site}: {leaving[site]} of {size} would be taken out, {unavailable[site]} are out already"
+        f"{site}: {newly_unavailable[site]} of {size} would be taken out, {unavailable[site]} are out already"
         for site, size in sizes.items()
-        if leaving[site] and leaving[site] + unavailable[site] > share * size
+        if newly_unavailable[site] and newly_unavailable[site] + unavailable[site] > share * size
     ]
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -68,8 +68,8 @@
         if status.host != host:
             self.silent[host] = f"the agent of {status.host} answered at its address"
             return
-        known = self.reports.get(host)
-        if known and known.requested_at >= requested_at:
+        previous = self.reports.get(host)
+        if previous and previous.requested_at >= requested_at:
             return
         self.reports[host] = HostReport(requested_at, status)
         self.silent.pop(host, None)
@@ -87,7 +87,7 @@
         if report is None:
             return Row(instance.name, host.site, host.name, "unknown")
         source = f"agent of {host.name}"
-        status = next((known for known in report.status.instances if known.name == instance.name), None)
+        status = next((entry for entry in report.status.instances if entry.name == instance.name), None)
         if status is None:
             return Row(instance.name, host.site, host.name, "unknown", source=source)
         age = now - report.requested_at
--- a/oakkeel/rollout/assignments.py
+++ b/oakkeel/rollout/assignments.py
@@ -49,7 +49,7 @@
         self.bases = bases
 
     def version(self, target: str) -> str:
-        """Return the version of a target's next process; empty for that of its settings."""
+        """Return the version of a target's next process; empty for the version in the settings."""
         return self.versions.get(target, "")
 
     def encode_report(self, statuses: list[TargetStatus]) -> bytes:
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -213,8 +213,8 @@
 
 
 def _with_generations(observations: Observations, targets: Sequence[str]) -> list[tuple[str, int]]:
-    known = observations.targets
-    return [(target, known[target].generation if target in known else 0) for target in targets]
+    observed = observations.targets
+    return [(target, observed[target].generation if target in observed else 0) for target in targets]
 
 
 def _choose_comparison_targets(view: BatchView, chosen: list[str]) -> list[str]:
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -38,7 +38,7 @@
     version: str = ""
     observed_at: int = NEVER_OBSERVED_AT_NS  # the earliest possible time, in nanoseconds
     load: float = 0.0  # ratio of its cores
-    backing_off: bool = False  # it crashed repeatedly, and is not restarted for a time
+    backing_off: bool = False  # the process crashed repeatedly, and its restart is delayed
 
     def is_fresh(self, now: int) -> bool:
         """Return whether the report is recent enough to act on."""
@@ -63,7 +63,7 @@
     """The limits of one batch."""
 
     max_targets: int
-    max_load: float  # ratio of the cores of the remaining targets of a site
+    max_load: float  # ratio of the cores of the remaining targets at a site
     broken_first: bool = False  # for a rollback; else unavailable targets come after available ones
     keep_last: bool = True  # never choose the last serving target of a group
 
@@ -82,9 +82,9 @@
                 self.groups_of.setdefault(target, []).append(group.name)
                 if group.name.startswith("site "):
                     self.site[target] = group.name
-        # Spreads a batch over hosts, as a host starts few targets at a time, and may fail as a whole.
+        # The rank spreads a batch over hosts: a host starts few targets at a time, and may fail as a whole.
         self.rank = {target: rank for names in topology.hosts.values() for rank, target in enumerate(names)}
-        self.services_of: dict[str, list[str]] = {}  # services that an instance depends on
+        self.services_of: dict[str, list[str]] = {}  # services on which an instance depends
         for service, instances in topology.dependents.items():
             for instance in instances:
                 self.services_of.setdefault(instance, []).append(service)
--- a/oakkeel/rollout/sequential.py
+++ b/oakkeel/rollout/sequential.py
@@ -76,7 +76,7 @@
     new: Sums = msgspec.field(default_factory=Sums)
 
     def observe(self, old: Sums, new: Sums, initial_variance: float) -> bool:
-        """Add one window's samples of both arms; return False and change nothing if either has none."""
+        """Add one window's samples of both arms; return False and change nothing if one arm has none."""
         if old.count < 1 or new.count < 1:
             return False
         variance = self.pooled.variance(initial_variance) * (1 / old.count + 1 / new.count)
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -70,9 +70,9 @@
                 if is_repetition
                 else Rejection(f"the ID belongs to another release, started by {existing.operator}")
             )
-        if other := self.open_release:
+        if current := self.open_release:
             return Rejection(
-                f"{other.operator}'s release {other.ident} is {other.state}: it has to end first"
+                f"{current.operator}'s release {current.ident} is {current.state}: it has to end first"
             )
         if reason := find_rejection_reason(command, state.topology, state.versions, state.sources):
             return Rejection(reason)
--- a/oakkeel/rollout/validation.py
+++ b/oakkeel/rollout/validation.py
@@ -22,11 +22,11 @@
             f"a release has an ID of 1 to {MAX_ID_LENGTH} characters without a dot, and 1 to {MAX_TARGETS}"
             " targets, none of them twice"
         )
-    known = {target for names in topology.hosts.values() for target in names}
+    known_targets = {target for names in topology.hosts.values() for target in names}
     services = {
         target for group in topology.groups if group.name.startswith("kind ") for target in group.targets
     }
-    if unknown := sorted(set(targets) - known):
+    if unknown := sorted(set(targets) - known_targets):
         return f"there is no target {unknown[0]}"
     if mismatched := [target for target in targets if (target in services) != spec.services]:
         return f"{mismatched[0]}: instances and downstream services can't be in one release"
