--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -176,13 +176,13 @@
             if isinstance(response, messages.HostStatus):
                 view.update(name, sent_at, response)
             else:
-                view.no_response(name, getattr(response, "why", UNEXPECTED_RESPONSE))
+                view.record_no_response(name, getattr(response, "why", UNEXPECTED_RESPONSE))
 
         view.clock_offset = time.time_ns() - time.monotonic_ns()
         requests: dict[str, messages.Request] = {name: messages.HostStatusRequest() for name in names}
         _, failures = await self.request_each(requests, deadline, update)
         for name, reason in failures.items():
-            view.no_response(name, reason)
+            view.record_no_response(name, reason)
 
 
 def describe_failure(target: Target) -> str:
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -74,7 +74,7 @@
         self.reports[host] = HostReport(requested_at, status)
         self.silent.pop(host, None)
 
-    def no_response(self, host: str, why: str) -> None:
+    def record_no_response(self, host: str, why: str) -> None:
         """Record that an agent did not answer the last request."""
         self.silent[host] = why
 
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -150,7 +150,7 @@
     def lost(self, command: object) -> None:
         """Handle a command that was not committed."""
         if isinstance(command, permit_commands.AcquireLease):
-            self.lease.lost()
+            self.lease.handle_lost_request()
         if self._is_proposed(command):
             self.proposed_step = b""
 
--- a/oakkeel/rollout/controller_lease.py
+++ b/oakkeel/rollout/controller_lease.py
@@ -58,6 +58,6 @@
             self.next_request_at = now + LEASE_RETRY_DELAY_NS
         self.requested_at = 0
 
-    def lost(self) -> None:
+    def handle_lost_request(self) -> None:
         """Handle a request that was not committed: another one may be sent."""
         self.requested_at = 0
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -17,7 +17,7 @@
         rows = self.view.rows(10 * SECOND + 400 * MS)
         self.assertEqual((rows[0].shown, rows[0].age, rows[0].report_age), ("serving", 400 * MS, 600 * MS))
         self.assertEqual((rows[3].shown, rows[3].age, rows[3].is_unavailable), ("unknown", -1, True))
-        self.view.no_response("h0", "did not answer")
+        self.view.record_no_response("h0", "did not answer")
         rows = self.view.rows(20 * SECOND)
         self.assertEqual(
             (rows[0].shown, rows[0].age, rows[0].is_unavailable), ("old: serving", 10 * SECOND, True)
