--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -98,7 +98,7 @@
     if waiting := _wait_reason(view, stopped, open_targets):
         return Step(None, waiting)
     if not release.spec.services and any(
-        view.observations.fresh(view.now, target) is None for target in release.in_progress
+        view.observations.fresh_observation(view.now, target) is None for target in release.in_progress
     ):
         return Step(None, "waits for reports of all targets in the batch")
     updated = [
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -266,7 +266,9 @@
         release = view.release
         if not release.spec.services and (
             stale := [
-                target for target in release.targets if self.observations.fresh(view.now, target) is None
+                target
+                for target in release.targets
+                if self.observations.fresh_observation(view.now, target) is None
             ]
         ):
             return Step(None, f"waits for reports of {', '.join(stale[:MAX_LISTED_TARGETS])}")
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -106,7 +106,7 @@
             return Arm.NEW
         return Arm.OLD if states == {TargetState.OLD} else Arm.NEITHER
 
-    def fresh(self, now: int, target: str) -> TargetObservation | None:
+    def fresh_observation(self, now: int, target: str) -> TargetObservation | None:
         """Return the last report of a target, unless it is stale."""
         observation = self.targets.get(target)
         return observation if observation and observation.is_fresh(now) else None
@@ -115,7 +115,7 @@
         """Return whether a target of the open batch runs the version of the batch."""
         if release.spec.services:
             return target not in self.allocator.unavailable.reasons
-        observation = self.fresh(now, target)
+        observation = self.fresh_observation(now, target)
         return bool(
             observation
             and observation.phase in RUNNING_PHASES
@@ -127,7 +127,7 @@
 
         This happens if the target crashed and restarted before its agent received the assignment.
         """
-        observation = self.fresh(now, target)
+        observation = self.fresh_observation(now, target)
         if release.spec.services or observation is None:
             return False
         updated = observation.version == release.spec.version
@@ -135,7 +135,7 @@
 
     def is_broken(self, now: int, target: str) -> bool:
         """Return whether a target is down and will not recover without an operator."""
-        observation = self.fresh(now, target)
+        observation = self.fresh_observation(now, target)
         return bool(observation and (observation.backing_off or observation.phase in BROKEN_PHASES))
 
     def is_updated(self, release: Release, target: str, tasks: dict[str, DisruptionTask]) -> bool:
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -147,15 +147,15 @@
         self.engine.done(after_cancel)
         self.engine.done(ident)
         self.engine.done(in_grace)
-        for each in (new_dispatcher, dispatcher, second_dispatcher):
-            self.assertEqual(each.answer()[1], b"ok")
+        for connection in (new_dispatcher, dispatcher, second_dispatcher):
+            self.assertEqual(connection.answer()[1], b"ok")
         while self.report() != "PULSE n3 open":
             pass
         self.assertEqual(self.say(link, type="ask", tag=4)["state"], "serving")
         self.order_drain(link)  # the node can drain again
         self.assertEqual(new_dispatcher.next(), [b"0", b"last"])
-        for each in (new_dispatcher, dispatcher, second_dispatcher):
-            each.close()
+        for connection in (new_dispatcher, dispatcher, second_dispatcher):
+            connection.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
     def test_a_cancel_within_the_grace_keeps_the_listening_socket(self):
