--- a/oakkeel/settings/__init__.py
+++ b/oakkeel/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a fleet, read from the operators' XML into frozen types; a node reads its own from JSON."""
+"""Settings of a fleet, read from the operators' XML file. Each node reads its settings from a JSON file."""
--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -32,14 +32,14 @@
 
 MAX_FILE_BYTES = 1024 * 1024
 NAMESPACE = "{urn:oakkeel:fleet:1}"
-UNITS_NS = {"ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
-MAX_TRACKED = 65_536  # flows, and reservations
+NS_PER_UNIT = {"ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
+MAX_TRACKED = 65_536  # limit of the number of tracked flows, and of reservations
 MAX_PORT = 65_535
 
 Element: TypeAlias = etree._Element
 
-# By attribute of `<supervision>`: the name in `Fleet.supervision`. `FIELD_OF_SETTING` of
-# `agent/supervision_rules.py` has the field of `SupervisionTimeouts` for each.
+# Maps the attributes of `<supervision>` to the keys of `Fleet.supervision`. `FIELD_OF_SETTING` in
+# `agent/supervision_rules.py` maps these keys to the fields of `SupervisionTimeouts`.
 SUPERVISION_FIELDS = {
     "silent": "silent",
     "start": "start",
@@ -78,13 +78,13 @@
         raise SettingsError(f"{path}:{error.lineno or 1}: not well-formed XML: {error.msg}") from error
     if root.getroottree().docinfo.doctype:
         raise SettingsError(f"{path}:1: a document type is not allowed")
-    schema = _schema()
+    schema = _load_schema()
     if not schema.validate(root):
         raise SettingsError("\n".join(_describe_violation(path, error) for error in schema.error_log))
     return _FleetReader(path, root).read()
 
 
-def _schema() -> etree.XMLSchema:
+def _load_schema() -> etree.XMLSchema:
     with importlib.resources.files("oakkeel.settings").joinpath("fleet.xsd").open("rb") as file:
         return etree.XMLSchema(etree.parse(file))
 
@@ -93,14 +93,14 @@
     text = error.message.replace(NAMESPACE, "")
     text = re.sub(
         r"^Element '(\w+)'(, attribute '([\w-]+)')?: ",
-        lambda found: "<" + found[1] + ">" + (f" {found[3]}" if found[3] else "") + ": ",
+        lambda match: "<" + match[1] + ">" + (f" {match[3]}" if match[3] else "") + ": ",
         text,
     )
     return f"{path}:{error.line}: {text}"
 
 
 class _FleetReader:
-    """Converts elements that the schema accepted into types, and checks what a schema can't."""
+    """Converts elements that the schema accepts, and checks the rules that the schema cannot express."""
 
     def __init__(self, path: str, root: Element) -> None:
         self.path = path
@@ -139,8 +139,8 @@
         )
 
     def _elements(self, name: str) -> Iterator[Element]:
-        found: Iterator[Element] = self.root.iter(NAMESPACE + name)
-        return found
+        elements: Iterator[Element] = self.root.iter(NAMESPACE + name)
+        return elements
 
     def _check_unique_names(self) -> None:
         for name, attribute in (
@@ -174,22 +174,22 @@
         self.errors.append(f"{self.path}:{element.sourceline}: <{etree.QName(element).localname}> {text}")
 
     def _check_unique(self, elements: Iterable[Element], attribute: str) -> None:
-        seen: dict[str, int] = {}
+        lines: dict[str, int] = {}
         for element in elements:
             value = element.get(attribute)
-            if value in seen:
-                self._add_error(element, f"{attribute}: {value!r} is defined in line {seen[value]} already")
-            seen.setdefault(value, element.sourceline)
+            if value in lines:
+                self._add_error(element, f"{attribute}: {value!r} is defined in line {lines[value]} already")
+            lines.setdefault(value, element.sourceline)
 
     def _operator(self, element: Element) -> Operator:
         keys = []
         for key in element.iter(NAMESPACE + "key"):
             expires = 0
             if text := key.get("until"):
-                moment = datetime.datetime.fromisoformat(text)
-                if moment.tzinfo is None:
-                    moment = moment.replace(tzinfo=datetime.UTC)
-                expires = int(moment.timestamp()) * UNITS_NS["s"]
+                expiry = datetime.datetime.fromisoformat(text)
+                if expiry.tzinfo is None:
+                    expiry = expiry.replace(tzinfo=datetime.UTC)
+                expires = int(expiry.timestamp()) * NS_PER_UNIT["s"]
             keys.append(KeyFile(key.get("id"), self._path(key.get("file")), expires))
         return Operator(element.get("name"), element.get("role") == "act", tuple(keys))
 
@@ -213,32 +213,35 @@
             settings = replace(settings, snapshot=element.get("snapshot") in ("true", "1"))
         return settings
 
-    def _control_plane(self, hosts: list[HostSettings], all_sites: int) -> ControlPlaneSettings | None:
-        """Return the settings of the control plane; None if the fleet has none."""
-        names = {host.name for host in hosts}
-        services = self._services(names)
-        found = self.root.find(NAMESPACE + "keepers")
-        if found is None:
+    def _control_plane(self, hosts: list[HostSettings], site_sum: int) -> ControlPlaneSettings | None:
+        """Return the settings of the control plane; None if the fleet has no replicas (keepers).
+
+        `site_sum` is the sum of the disruption budgets of all sites, the default for the whole fleet.
+        """
+        host_names = {host.name for host in hosts}
+        services = self._services(host_names)
+        replicas = self.root.find(NAMESPACE + "keepers")
+        if replicas is None:
             return None
-        voters = tuple(found.get("hosts").split())
+        voters = tuple(replicas.get("hosts").split())
         if len(voters) not in VOTER_COUNTS or len(set(voters)) != len(voters):
-            self._add_error(found, "hosts: three or five different hosts are allowed, or one for a trial")
+            self._add_error(replicas, "hosts: three or five different hosts are allowed, or one for a trial")
         for name in voters:
-            if name not in names:
-                self._add_error(found, f"hosts: there is no host {name!r}")
+            if name not in host_names:
+                self._add_error(replicas, f"hosts: there is no host {name!r}")
         for element in self._elements("host"):
             if not element.get("key"):
-                self._add_error(element, "key: in a fleet with replicas (keepers) each agent needs one")
+                self._add_error(element, "key: in a fleet with replicas (keepers) each agent needs a key")
         kinds = {kind.get("name"): int(kind.get("away")) for kind in self._elements("kind")}
-        return ControlPlaneSettings(voters, int(self.root.get("away") or all_sites), kinds, services)
+        return ControlPlaneSettings(voters, int(self.root.get("away") or site_sum), kinds, services)
 
-    def _services(self, hosts: set[str]) -> tuple[Service, ...]:
-        """Return the downstream services, after checking them and all references to them."""
+    def _services(self, host_names: set[str]) -> tuple[Service, ...]:
+        """Return the downstream services. Checks them, and all references to services."""
         services = []
         self._check_unique(self._elements("kind"), "name")
         self._check_unique([*self._elements("instance"), *self._elements("service")], "name")
         for element in self._elements("service"):
-            if element.get("host") not in hosts:
+            if element.get("host") not in host_names:
                 self._add_error(element, f"host: there is no host {element.get('host')!r}")
             services.append(
                 Service(
@@ -248,10 +251,10 @@
                     element.get("host"),
                 )
             )
-        known = {service.name for service in services}
+        service_names = {service.name for service in services}
         for element in self._elements("instance"):
             for name in element.get("below", "").split():
-                if name not in known:
+                if name not in service_names:
                     self._add_error(element, f"below: there is no service {name!r}")
         return tuple(services)
 
@@ -277,24 +280,27 @@
         ]
 
     def _host_budgets(self, site: Element, elements: list[Element]) -> list[int]:
-        """Return the disruption budget of each host: as given, else its share of the rest of the site's."""
-        allowed = int(site.get("away"))
+        """Return the disruption budget of each host of a site.
+
+        A host without an `away` of its own gets a share of the part of the site's budget that is left.
+        """
+        total = int(site.get("away"))
         sizes = [len(list(element.iter(NAMESPACE + "instance"))) for element in elements]
-        given = [element.get("away") for element in elements]
-        remaining = allowed - sum(int(value) for value in given if value is not None)
+        configured = [element.get("away") for element in elements]
+        remaining = total - sum(int(value) for value in configured if value is not None)
         if remaining < 0:
-            self._add_error(site, f"away: the sum of its hosts is {allowed - remaining}, more than {allowed}")
-        open_indexes = [index for index, value in enumerate(given) if value is None]
-        shares = split_budget(max(0, remaining), [sizes[index] for index in open_indexes])
-        budgets = [int(value) if value is not None else 0 for value in given]
-        for index, share in zip(open_indexes, shares, strict=True):
+            self._add_error(site, f"away: the sum of its hosts is {total - remaining}, more than {total}")
+        unset_indexes = [index for index, value in enumerate(configured) if value is None]
+        shares = split_budget(max(0, remaining), [sizes[index] for index in unset_indexes])
+        budgets = [int(value) if value is not None else 0 for value in configured]
+        for index, share in zip(unset_indexes, shares, strict=True):
             budgets[index] = share
-            # In a fleet with a control plane permits come from its leader: a host needs no budget of its own.
+            # In a fleet with a control plane, permits come from its leader, so a host needs no budget.
             if not share and site.getparent().find(NAMESPACE + "keepers") is None:
                 self._add_error(
                     elements[index],
-                    f"away: none of the {allowed} of its site is left for this host, so no order could take"
-                    " out an instance; raise the value of the site, or set 0 for this host",
+                    f"away: nothing of the site's budget of {total} is left for this host, so no order could"
+                    " take out an instance; raise the value of the site, or set 0 for this host",
                 )
         return budgets
 
@@ -315,18 +321,18 @@
 
 
 def split_budget(total: int, sizes: list[int]) -> list[int]:
-    """Split an integer in proportion to sizes, rounding up the largest remainders first."""
+    """Split an integer into shares in proportion to sizes; the largest remainders are rounded up."""
     size_sum = sum(sizes) or 1
     shares = [total * size // size_sum for size in sizes]
-    order = sorted(range(len(sizes)), key=lambda index: (-(total * sizes[index] % size_sum), index))
-    for index in order[: total - sum(shares)]:
+    by_remainder = sorted(range(len(sizes)), key=lambda index: (-(total * sizes[index] % size_sum), index))
+    for index in by_remainder[: total - sum(shares)]:
         shares[index] += 1
-    # A host without a share could never take out an instance: it gets one from a host with two or more.
-    for empty in [index for index, share in enumerate(shares) if not share]:
+    # No order could take out an instance of a host without a share, so a host with two or more gives one up.
+    for empty_index in [index for index, share in enumerate(shares) if not share]:
         largest = max(range(len(shares)), key=lambda index: shares[index])
         if shares[largest] > 1:
             shares[largest] -= 1
-            shares[empty] = 1
+            shares[empty_index] = 1
     return shares
 
 
@@ -336,6 +342,6 @@
 
 def parse_duration(text: str) -> int:
     """Parse a duration like 250ms, 2s, 5m or 1h into nanoseconds. Raises ValueError."""
-    if not (found := re.fullmatch(r"(\d{1,6})(ms|s|m|h)", text)):
+    if not (match := re.fullmatch(r"(\d{1,6})(ms|s|m|h)", text)):
         raise ValueError(f"not a duration like 250ms, 2s, 5m or 1h: {text!r}")
-    return int(found[1]) * UNITS_NS[found[2]]
+    return int(match[1]) * NS_PER_UNIT[match[2]]
--- a/oakkeel/settings/keys.py
+++ b/oakkeel/settings/keys.py
@@ -7,8 +7,8 @@
 from oakkeel.authentication.mac import SECRET_BYTES, Key, Role
 from oakkeel.settings.types import Fleet, KeyFile, Operator, SettingsError
 
-AGENT_PREFIX = "agent:"  # of the key IDs of agents, which operators' keys do not have
-GROUP_AND_OTHERS = 0o077  # permission bits
+AGENT_KEY_PREFIX = "agent:"  # starts the key IDs of agents, and no key ID of an operator
+GROUP_AND_OTHERS_MASK = 0o077  # permission bits
 
 
 def read_keys(fleet: Fleet) -> dict[str, Key]:
@@ -21,13 +21,13 @@
     if fleet.control_plane is None:
         return {}
     return {
-        host.name: Key(f"{AGENT_PREFIX}{host.name}", host.name, Role.AGENT, _read_secret(host.key))
+        host.name: Key(f"{AGENT_KEY_PREFIX}{host.name}", host.name, Role.AGENT, _read_secret(host.key))
         for host in fleet.hosts
     }
 
 
 def read_operator_key(fleet: Fleet, name: str) -> Key:
-    """Read an operator's key: the first whose file exists. Raises SettingsError."""
+    """Read the first key of an operator whose file exists. Raises SettingsError."""
     operator = fleet.operator(name)
     for file in operator.keys:
         if os.path.exists(file.path):
@@ -47,10 +47,10 @@
 
 def _read_secret(path: str) -> bytes:
     try:
-        if os.stat(path).st_mode & GROUP_AND_OTHERS:
+        if os.stat(path).st_mode & GROUP_AND_OTHERS_MASK:
             raise SettingsError(f"{path}: other users may read this key; set mode 600")
-        with open(path, encoding="ascii") as opened:
-            secret = bytes.fromhex(opened.read(2 * SECRET_BYTES + 2).strip())
+        with open(path, encoding="ascii") as file:
+            secret = bytes.fromhex(file.read(2 * SECRET_BYTES + 2).strip())
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from error
     except ValueError as error:
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -7,7 +7,7 @@
 from oakkeel.errors import OakkeelError
 from oakkeel.units import MS, SECOND
 
-# One for a trial. An even number of voters tolerates no more failures than one less.
+# One voter is for trials. An even number of voters tolerates no more failures than the odd number below it.
 VOTER_COUNTS = (1, 3, 5)
 
 
@@ -29,7 +29,7 @@
     """A person or program that uses the command line."""
 
     name: str
-    may_act: bool  # submit orders; else view only
+    may_act: bool  # may submit orders; otherwise may only view
     keys: tuple[KeyFile, ...]
 
 
@@ -41,7 +41,7 @@
     config: str  # path of the node's JSON configuration
     listen: str  # overrides the address of the configuration, unless empty
     log: str
-    downstream: tuple[str, ...] = ()  # services that it depends on
+    downstream: tuple[str, ...] = ()  # names of the services that the node depends on
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,10 +51,10 @@
     name: str
     site: str
     agent: tuple[str, int]
-    state: str  # folder
-    max_unavailable: int  # of its instances at one time: its share of the site's budget
+    state: str  # path of the agent's state folder
+    max_unavailable: int  # number of its instances, at one time: its share of the site's budget
     instances: tuple[InstanceSettings, ...]
-    key: str = ""  # path of its agent's key
+    key: str = ""  # path of the agent's key file
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,7 +64,7 @@
     name: str
     kind: str
     address: tuple[str, int]
-    host: str  # whose agent watches it
+    host: str  # name of the host whose agent watches the service
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,17 +72,17 @@
     """The additional settings of a fleet with a replicated control plane."""
 
     hosts: tuple[str, ...]  # the initial voters
-    max_unavailable: int  # of all instances, at one time
-    kinds: dict[str, int]  # the same for services, by kind
+    max_unavailable: int  # number of instances of the fleet, at one time
+    kinds: dict[str, int]  # maximum number of unavailable services at one time, by kind
     services: tuple[Service, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class ClientSettings:
-    """Requests of the command line to agents. Times in nanoseconds."""
+    """Settings of the requests from the command line to agents. Times in nanoseconds."""
 
     deadline: int = 1000 * MS
-    hedge: int = 250 * MS  # time without a response, after which a request is sent a second time
+    hedge: int = 250 * MS  # time without a response after which a request is sent a second time
     tries: int = 3
 
 
@@ -94,7 +94,7 @@
     weights: tuple[tuple[str, float], ...]
     tracked_flows: int = 256
     max_reservations: int = 1024
-    half_life: int = 4 * SECOND
+    half_life: int = 4 * SECOND  # nanoseconds
     snapshot: bool = True
 
     def node_settings(self, snapshot: str) -> dict[str, object]:
@@ -116,9 +116,9 @@
     name: str
     path: str
     operators: tuple[Operator, ...]
-    supervision: dict[str, int | bool]  # the given ones, by name of `SUPERVISION_FIELDS`
+    supervision: dict[str, int | bool]  # only those in the file, by a name of `SUPERVISION_FIELDS`
     client: ClientSettings
-    sites: dict[str, int]  # how many instances of each may be unavailable at one time
+    sites: dict[str, int]  # maximum number of unavailable instances at one time, by site
     hosts: tuple[HostSettings, ...]
     fairness: FairSharingSettings | None = None
     control_plane: ControlPlaneSettings | None = None  # None: agents work independently
--- a/tests/settings/test_fleet.py
+++ b/tests/settings/test_fleet.py
@@ -1,4 +1,4 @@
-"""Settings of a fleet: what is read, and the one line for each fault."""
+"""Tests of reading the settings of a fleet, and of the error line for each mistake in them."""
 
 import os
 import secrets
@@ -13,7 +13,7 @@
 from oakkeel.settings.types import Fleet, SettingsError
 from oakkeel.units import MS, SECOND
 
-GOOD = """<fleet xmlns="urn:oakkeel:fleet:1" name="guild">
+VALID_XML = """<fleet xmlns="urn:oakkeel:fleet:1" name="guild">
   <operators><operator name="asha" role="act"><key id="asha-1" file="asha.key"/></operator></operators>
   <supervision silent="1500ms" restarts="3" restart-stuck="false"/>
   <site name="woodbrook" away="3">
@@ -39,14 +39,14 @@
         return read_fleet(self.path)
 
     def test_reads_given_values_and_built_in_defaults(self):
-        fleet = self.read(GOOD)
+        fleet = self.read(VALID_XML)
         self.assertEqual(fleet.supervision, {"silent": 1500 * MS, "budget": 3, "restart_stuck": False})
         self.assertEqual(
             [(host.name, host.max_unavailable) for host in fleet.hosts], [("wb1", 2), ("wb2", 1)]
         )
         self.assertEqual(fleet.hosts[0].instances[1].config, os.path.join(self.folder, "n2.json"))
 
-    def test_names_line_and_allowed_values_of_each_error(self):
+    def test_error_has_line_and_allowed_values(self):
         for old, new, line, message in (
             ('away="3"', 'away="many"', 4, "'many'"),
             ('role="act"', 'role="admin"', 2, "'view', 'act'"),
@@ -54,23 +54,28 @@
             (' log="json"', ' lug="json"', 9, "'lug' is not allowed"),
             ('name="n3"', 'name="n1"', 9, "is defined in line 6 already"),
             ("127.0.0.1:7402", "127.0.0.1:99999", 8, "not a port"),
-            ('away="3"', 'away="1"', 8, "none of the 1 of its site is left"),
+            ('away="3"', 'away="1"', 8, "nothing of the site's budget of 1 is left"),
             ('name="wb1"', 'name="wb1" away="4"', 4, "the sum of its hosts is 4"),
             ("</site>", "", 12, "not well-formed XML"),
         ):
             with self.subTest(new), self.assertRaises(SettingsError) as caught:
-                self.read(GOOD.replace(old, new, 1))
+                self.read(VALID_XML.replace(old, new, 1))
             self.assertRegex(str(caught.exception).replace("\n", " "), rf"fleet\.xml:{line}: .*{message}")
 
-    def test_reads_fair_sharing_and_names_its_errors(self):
+    def test_reads_fair_sharing_and_reports_errors_in_it(self):
         fairness = '  <fairness by="tenant client" half="2s"><weight of="a" is="2.5"/></fairness>'
-        plain = GOOD.replace("  <site name", fairness + "\n  <site name", 1)
-        fair = self.read(plain).fairness
+        xml = VALID_XML.replace("  <site name", fairness + "\n  <site name", 1)
+        fair_sharing = self.read(xml).fairness
         self.assertEqual(
-            (fair.by, fair.weights, fair.half_life, fair.tracked_flows),
+            (
+                fair_sharing.by,
+                fair_sharing.weights,
+                fair_sharing.half_life,
+                fair_sharing.tracked_flows,
+            ),
             (("tenant", "client"), (("a", 2.5),), 2 * SECOND, 256),
         )
-        self.assertIsNone(self.read(GOOD).fairness)
+        self.assertIsNone(self.read(VALID_XML).fairness)
         for old, new, message in (
             ('"tenant client"', '"a b c"', "pattern"),
             ('is="2.5"', 'is="0"', "0.001"),
@@ -78,18 +83,25 @@
             ('is="2.5"/>', 'is="2.5"/><weight of="a" is="1"/>', "is defined in line 4"),
         ):
             with self.subTest(new), self.assertRaisesRegex(SettingsError, message):
-                self.read(plain.replace(old, new))
+                self.read(xml.replace(old, new))
 
     def test_rejects_entities_document_types_and_huge_files(self):
-        bomb = '<!DOCTYPE fleet [<!ENTITY a "aaaa">]>\n' + GOOD.replace('name="guild"', 'name="&a;"')
-        for text in (bomb, '<!DOCTYPE fleet SYSTEM "file:///etc/passwd">' + GOOD, " " * (1 << 20) + GOOD, ""):
+        entity_xml = '<!DOCTYPE fleet [<!ENTITY a "aaaa">]>\n' + VALID_XML.replace(
+            'name="guild"', 'name="&a;"'
+        )
+        for text in (
+            entity_xml,
+            '<!DOCTYPE fleet SYSTEM "file:///etc/passwd">' + VALID_XML,
+            " " * (1 << 20) + VALID_XML,
+            "",
+        ):
             with self.assertRaises(SettingsError):
                 self.read(text)
         with self.assertRaisesRegex(SettingsError, "No such file"):
             read_fleet(self.path + "x")
 
     def test_rejects_key_files_with_wrong_mode_or_content(self):
-        fleet = self.read(GOOD)
+        fleet = self.read(VALID_XML)
         path = os.path.join(self.folder, "asha.key")
         with self.assertRaisesRegex(SettingsError, "key of operator asha is not on this host"):
             read_operator_key(fleet, "asha")
@@ -106,7 +118,7 @@
 
     @given(st.integers(0, 50), st.lists(st.integers(1, 9), min_size=1, max_size=9))
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_budget_is_split_whole_and_leaves_no_host_out_without_need(self, total, sizes):
+    def test_shares_sum_to_the_budget_and_each_host_gets_one_if_there_are_enough(self, total, sizes):
         shares = split_budget(total, sizes)
         self.assertEqual(sum(shares), total)
         self.assertGreaterEqual(min(shares), 0)
