--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -32,7 +32,7 @@
 )
 from oakkeel.fleet.selection import Selection
 from oakkeel.fleet.view import Row
-from oakkeel.rendering.instances import clients_summary, clients_table, instance_facts, instances_table
+from oakkeel.rendering.instances import clients_summary, clients_table, instance_details, instances_table
 from oakkeel.rendering.tables import plain_table
 from oakkeel.rendering.times import NANOSECONDS_PER_SECOND, format_duration
 
@@ -105,7 +105,7 @@
         return client.exit_code
     for row in rows:
         table = Table(box=None, show_header=False, pad_edge=False)
-        for key, value in instance_facts(row):
+        for key, value in instance_details(row):
             table.add_row(f"[dim]{key}[/]", value)
         stdout_console.print(table)
     client.print_notes()
--- a/oakkeel/rendering/__init__.py
+++ b/oakkeel/rendering/__init__.py
@@ -1,1 +1,1 @@
-"""Tables for the terminal, of the commands and the demo."""
+"""Tables that the commands and the demo print to the terminal."""
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -1,4 +1,4 @@
-"""The control plane as tables: its replicas, the disruption permits, and the orders."""
+"""Tables of the control plane: its replicas, the disruption permits, and the orders."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
     "cancelled": "yellow",
 }
 OTHER_TASK_STYLE = "red"
-NO_REPLICA = "none"  # role that an agent reports if its host has no replica
+NO_REPLICA_ROLE = "none"  # reported by an agent whose host has no replica
 MAX_DISPLAYED_ORDERS = 10
 
 
 def replicas_table(statuses: Sequence[messages.RaftStatus]) -> Table:
-    """Return a line for each replica, as its own agent and the leader report it."""
+    """Return a table with a row for each replica, from the reports of its agent and of the leader."""
     table = plain_table("host", "role", "for", "votes", "term", "committed", "lag", "contact", "remarks")
     leader = next((status for status in statuses if status.is_leader), None)
     members = {member.name: member for member in leader.members} if leader else {}
-    for status in sorted(statuses, key=lambda status: (status.role == NO_REPLICA, status.host)):
-        if status.role != NO_REPLICA or status.host in members:
-            table.add_row(*_replica_texts(status, members.get(status.host)))
-    known = {status.host for status in statuses}
+    for status in sorted(statuses, key=lambda status: (status.role == NO_REPLICA_ROLE, status.host)):
+        if status.role != NO_REPLICA_ROLE or status.host in members:
+            table.add_row(*_replica_cells(status, members.get(status.host)))
+    reporting_hosts = {status.host for status in statuses}
     for name, member in members.items():
-        if name not in known:
-            table.add_row(*_silent_replica_texts(member))
+        if name not in reporting_hosts:
+            table.add_row(*_silent_replica_cells(member))
     return table
 
 
-def _replica_texts(status: messages.RaftStatus, member: messages.MemberStatus | None) -> tuple[str, ...]:
+def _replica_cells(status: messages.RaftStatus, member: messages.MemberStatus | None) -> tuple[str, ...]:
     return (
         status.host,
         f"[green]{status.role}[/]" if status.is_leader else status.role,
         format_duration(status.role_age),
-        "-" if member is None else _votes(member),
+        "-" if member is None else _voting_text(member),
         str(status.term),
         str(status.committed),
         "-" if member is None or member.lag < 0 else str(member.lag),
@@ -55,12 +55,12 @@
     )
 
 
-def _silent_replica_texts(member: messages.MemberStatus) -> tuple[str, ...]:
+def _silent_replica_cells(member: messages.MemberStatus) -> tuple[str, ...]:
     return (
         member.name,
         "[magenta]unknown[/]",
         "-",
-        _votes(member),
+        _voting_text(member),
         "-",
         "-",
         str(member.lag),
@@ -69,7 +69,7 @@
     )
 
 
-def _votes(member: messages.MemberStatus) -> str:
+def _voting_text(member: messages.MemberStatus) -> str:
     return "yes" if member.is_voter else "not yet"
 
 
@@ -78,7 +78,7 @@
     unavailable: Sequence[messages.UnavailableTarget],
     orders: Sequence[messages.FleetOrderStatus],
 ) -> list[Table]:
-    """Return tables of the disruption budgets, and if any, of unavailable targets and the last orders."""
+    """Return tables of the disruption budgets and, if there are any, of unavailable targets and of orders."""
     tables = [_budgets_table(groups)]
     if unavailable:
         tables.append(_unavailable_table(unavailable))
@@ -90,10 +90,10 @@
 def _budgets_table(groups: Sequence[messages.BudgetUsage]) -> Table:
     table = plain_table("group", "out", "budget")
     for group in groups:
-        used = (
+        usage = (
             f"[yellow]{group.unavailable}[/]" if group.unavailable >= group.limit else str(group.unavailable)
         )
-        table.add_row(group.name, used, str(group.limit))
+        table.add_row(group.name, usage, str(group.limit))
     return table
 
 
@@ -129,7 +129,7 @@
 
 
 def order_table(order: messages.FleetOrderStatus) -> Table:
-    """Return a line for each target of an order, under a title with its result."""
+    """Return a table with a row for each target of an order; the title says how the order ended."""
     table = plain_table(
         "target", "host", "state", "permit", "in flight", "remarks", title=_order_title(order)
     )
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -1,4 +1,4 @@
-"""Instances as tables: a line each, or the details of one."""
+"""Tables of instances and of a node's clients, and the details of one instance."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
     "failing": "red",
     "unknown": "magenta",
 }
-OLD_STYLE = "magenta"
-MIN_WIDE_COLUMNS = 110  # characters of a terminal; a narrower one shows fewer columns
-DEFAULT_COLUMNS = 120
+STALE_STYLE = "magenta"  # of a status that is older than `MAX_STATUS_AGE_NS`
+MIN_WIDE_TERMINAL = 110  # characters; a narrower terminal shows fewer columns
+DEFAULT_TERMINAL_WIDTH = 120  # characters
 KB_PER_MB = 1024
 NARROW_TEXT_COLUMNS = ("instance", "state", "age")
 WIDE_TEXT_COLUMNS = ("instance", "site", "host", "state", "age", "gen")
 NARROW_NUMBER_COLUMNS = ("open", "ok", "rejected")
 WIDE_NUMBER_COLUMNS = ("stage", "queued", "running", "calls", *NARROW_NUMBER_COLUMNS, "MB")
 SILENT_PHASES = ("silent", "stuck")
-HEALTHY_PHASES = ("serving", "cold", "stopped")  # in these, the last reason is out of date
-DURATION_FIELDS = ("uptime", "gauges_age")
-HIDDEN_FIELDS = ("type", "tag", "name")
+HEALTHY_PHASES = ("serving", "cold", "stopped")  # in these phases, the last error is out of date
+DURATION_FIELDS = ("uptime", "gauges_age")  # of a report
+HIDDEN_FIELDS = ("type", "tag", "name")  # of a report
 
 
-def instances_table(rows: list[Row], width: int = DEFAULT_COLUMNS) -> Table:
-    """Return a line for each instance; `width` of the terminal, in characters, limits the columns."""
-    wide = width >= MIN_WIDE_COLUMNS
-    text_columns = WIDE_TEXT_COLUMNS if wide else NARROW_TEXT_COLUMNS
-    number_columns = WIDE_NUMBER_COLUMNS if wide else NARROW_NUMBER_COLUMNS
+def instances_table(rows: list[Row], width: int = DEFAULT_TERMINAL_WIDTH) -> Table:
+    """Return a table with a row for each instance, and columns for a terminal `width` in characters."""
+    is_wide = width >= MIN_WIDE_TERMINAL
+    text_columns = WIDE_TEXT_COLUMNS if is_wide else NARROW_TEXT_COLUMNS
+    number_columns = WIDE_NUMBER_COLUMNS if is_wide else NARROW_NUMBER_COLUMNS
     table = plain_table()
     for column in text_columns:
         table.add_column(column, no_wrap=True)
@@ -47,8 +47,8 @@
         table.add_column(column, justify="right", no_wrap=True)
     table.add_column("remarks")
     for row in rows:
-        texts = _texts(row)
-        numbers = _numbers(row)
+        texts = _text_cells(row)
+        numbers = _number_cells(row)
         table.add_row(
             *(texts[column] for column in text_columns),
             *(numbers.get(column, "-") for column in number_columns),
@@ -57,8 +57,8 @@
     return table
 
 
-def _texts(row: Row) -> dict[str, str]:
-    style = OLD_STYLE if row.old else STATE_STYLES.get(row.state, "")
+def _text_cells(row: Row) -> dict[str, str]:
+    style = STALE_STYLE if row.old else STATE_STYLES.get(row.state, "")
     return {
         "instance": row.name,
         "site": row.site,
@@ -69,7 +69,7 @@
     }
 
 
-def _numbers(row: Row) -> dict[str, str]:
+def _number_cells(row: Row) -> dict[str, str]:
     report = row.status.report if row.status else None
     if report is None:
         return {}
@@ -86,7 +86,7 @@
 
 
 def remarks(row: Row) -> str:
-    """Return what an operator should know of an instance beside its state, in one line."""
+    """Return one line with the order, pending restart, missing report and last error of an instance."""
     status = row.status
     if status is None:
         return "its agent did not answer"
@@ -106,9 +106,9 @@
     return "; ".join(texts)
 
 
-def instance_facts(row: Row) -> list[tuple[str, str]]:
+def instance_details(row: Row) -> list[tuple[str, str]]:
     """Return the details of an instance, as names and values."""
-    facts = [
+    details = [
         ("instance", row.name),
         ("site, host", f"{row.site}, {row.host}"),
         ("state", row.shown),
@@ -116,8 +116,8 @@
     ]
     status = row.status
     if status is None:
-        return facts
-    facts += [
+        return details
+    details += [
         ("for", format_duration(status.phase_age + row.age)),
         ("wanted", status.goal),
         ("process", str(status.pid or "none")),
@@ -126,22 +126,22 @@
         ("remarks", remarks(row) or "none"),
     ]
     if order := status.order:
-        facts.append(("order", f"{order.order_id}: {order.verb} by {order.operator}, {order.state}"))
+        details.append(("order", f"{order.order_id}: {order.verb} by {order.operator}, {order.state}"))
     if status.report:
-        facts.append(("own report", format_age(row.report_age)))
+        details.append(("own report", format_age(row.report_age)))
         for field, value in msgspec.to_builtins(status.report).items():
             if field in DURATION_FIELDS:
-                facts.append(("  " + field, format_duration(value)))
+                details.append(("  " + field, format_duration(value)))
             elif field not in HIDDEN_FIELDS:
-                facts.append(("  " + field, str(value)))
-    return facts
+                details.append(("  " + field, str(value)))
+    return details
 
 
 def clients_table(status: ClientsStatus) -> Table:
-    """Return the heaviest clients of a node, with their ratios of its requests, and their fair shares."""
-    flows = " / ".join(status.flow_key)
+    """Return a table of the heaviest clients of a node, with their demand, retries and fair shares."""
+    key_text = " / ".join(status.flow_key)
     table = plain_table()
-    table.add_column(flows or "client", justify="left" if flows else "right")
+    table.add_column(key_text or "client", justify="left" if key_text else "right")
     for column in ("demand", "retries", "fair share"):
         table.add_column(column, justify="right")
     for client in status.clients:
@@ -155,7 +155,7 @@
 
 
 def clients_summary(status: ClientsStatus) -> str:
-    """Return one line on all clients and reservations."""
+    """Return one line of text about all clients and reservations of a node."""
     if not status.flow_key:
         return "the settings have no flow key, so all requests count for one client"
     return (
--- a/oakkeel/rendering/rollout.py
+++ b/oakkeel/rendering/rollout.py
@@ -17,17 +17,17 @@
 TARGET_STYLES = {"old": "", "changing": "yellow", "new": "green"}
 RELEASE_STYLES = {"done": "green", "undone": "cyan", "halted": "red", "left": "yellow", "paused": "yellow"}
 OTHER_RELEASE_STYLE = "cyan"
-HEADING_VERSION_LENGTH = 12  # characters of a hash
+HEADING_VERSION_LENGTH = 12  # characters of the version's hash
 TABLE_VERSION_LENGTH = 8
 
 
 def release_table(release: messages.ReleaseStatus) -> Group:
-    """Return a heading of a few lines, and a table with a line for each target of a release."""
-    lines = (Text.from_markup(line) for line in _heading(release))
+    """Return a heading of a few lines, and a table with a row for each target of a release."""
+    lines = (Text.from_markup(line) for line in _heading_lines(release))
     return Group(*lines, _targets_table(release))
 
 
-def _heading(release: messages.ReleaseStatus) -> list[str]:
+def _heading_lines(release: messages.ReleaseStatus) -> list[str]:
     states = Counter(target.state for target in release.targets)
     style = RELEASE_STYLES.get(release.state, OTHER_RELEASE_STYLE)
     counts = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
--- a/oakkeel/rendering/times.py
+++ b/oakkeel/rendering/times.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 NANOSECONDS_PER_SECOND = 1e9
-UNITS = ((86400, "d"), (3600, "h"), (60, "m"))  # seconds
-MIN_UNITS = 2  # of a unit, below which the next smaller unit is shown
+UNITS = ((86400, "d"), (3600, "h"), (60, "m"))  # lengths in seconds
+MIN_UNIT_COUNT = 2  # a duration of fewer units is shown in the next smaller unit
 MAX_SECONDS_WITH_FRACTION = 10
 
 
@@ -14,7 +14,7 @@
         return "never"
     seconds = nanoseconds / NANOSECONDS_PER_SECOND
     for size, unit in UNITS:
-        if seconds >= MIN_UNITS * size:
+        if seconds >= MIN_UNIT_COUNT * size:
             return f"{seconds / size:.0f}{unit}"
     return f"{seconds:.1f}s" if seconds < MAX_SECONDS_WITH_FRACTION else f"{seconds:.0f}s"
 
--- a/tests/cli/test_control_plane_tables.py
+++ b/tests/cli/test_control_plane_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the control plane, as `oakkeel places` prints them."""
+"""Tests of the tables of the control plane, which `oakkeel places` prints."""
 
 import unittest
 
@@ -21,16 +21,16 @@
 
 
 class OrderRemarkTest(unittest.TestCase):
-    def remark(self, order: messages.FleetOrderStatus) -> str:
-        orders = permit_tables([], [], [order])[-1]
-        return next(iter(orders.columns[-1].cells))
+    def listed_remark(self, order: messages.FleetOrderStatus) -> str:
+        orders_table = permit_tables([], [], [order])[-1]
+        return next(iter(orders_table.columns[-1].cells))
 
-    def test_list_and_title_of_an_order_agree_on_how_it_was_ended(self):
+    def test_order_list_and_order_title_have_the_same_remark(self):
         for order, remark in (
             (make_order(TIMEOUT_OPERATOR), "timed out"),
             (make_order("ann"), "halted by ann"),
             (make_order("ann", cancelled="bob"), "cancelled by bob"),
         ):
             with self.subTest(remark=remark):
-                self.assertEqual(self.remark(order), remark)
+                self.assertEqual(self.listed_remark(order), remark)
                 self.assertEqual(order_table(order).title, f"drain, order o1, {remark}")
