--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -176,9 +176,9 @@
     \b
     Example: oakkeel demo --for 10s
     """
-    from oakkeel.demo.show import play
+    from oakkeel.demo.show import run_demo
 
-    sys.exit(play(lasts or 0, rate))
+    sys.exit(run_demo(lasts or 0, rate))
 
 
 ALL_COMMANDS: tuple[click.Command, ...] = (ls, show, watch, orders, *COMMANDS, replicas, permits, rollout)
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -35,35 +35,35 @@
 STOP_POLL_INTERVAL_SECONDS = 0.1
 
 
-def play(lasts: int, rate: float) -> int:
-    """Run the demo for `lasts` nanoseconds, 0 until Ctrl-C; return the exit code, 1 if a request was lost.
+def run_demo(duration: int, rate: float) -> int:
+    """Run the demo and return the exit code: 1 if a request was lost or none was answered, otherwise 0.
 
-    `rate` in requests per second.
+    `duration` is in nanoseconds, 0 until Ctrl-C. `rate` is in requests per second.
     """
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        return asyncio.run(_play(folder, lasts, rate, Console()))
+        return asyncio.run(_run_demo(folder, duration, rate, Console()))
 
 
-def addresses_of(view: FleetView) -> dict[str, Address]:
-    """Return the addresses of the serving nodes, by their reports."""
-    found = {}
+def serving_addresses(view: FleetView) -> dict[str, Address]:
+    """Return the addresses that the serving nodes reported, by node."""
+    addresses = {}
     for row in view.rows(time.monotonic_ns()):
         if row.state in ("serving", "cold") and row.status and row.status.report:
             host, _, port = row.status.report.address.rpartition(":")
-            found[row.name] = host, int(port)
-    return found
+            addresses[row.name] = host, int(port)
+    return addresses
 
 
-async def _play(folder: str, lasts: int, rate: float, console: Console) -> int:
-    done = asyncio.Event()
+async def _run_demo(folder: str, duration: int, rate: float, console: Console) -> int:
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, done.set)
-    async with _agent_over_fakes(folder) as site:
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    async with _agent_with_fakes(folder) as site:
         fleet = read_fleet(site.settings)
         agents = AgentClients(fleet, read_operator_key(fleet, OPERATOR))
         view = FleetView(fleet)
-        dispatcher = Dispatcher(1, lambda: addresses_of(view), rate, seed=1)
+        dispatcher = Dispatcher(1, lambda: serving_addresses(view), rate, seed=1)
         console.print(
             f"Three nodes at {rate:g} requests per second. Commands to try in another terminal meanwhile:\n"
             f"  export OAKKEEL_SETTINGS={site.settings} OAKKEEL_OPERATOR={OPERATOR}\n"
@@ -71,7 +71,7 @@
             highlight=False,
         )
         with Live(console=console, auto_refresh=False, transient=not console.is_terminal) as live:
-            await _show_until_done(agents, view, dispatcher, lasts, live, done)
+            await _show_until_stopped(agents, view, dispatcher, duration, live, stop_requested)
         await dispatcher.stop()
         await _stop_nodes(agents, view)
     lost = dispatcher.counts["lost"] + dispatcher.counts["late"]
@@ -80,8 +80,8 @@
 
 
 @contextlib.asynccontextmanager
-async def _agent_over_fakes(folder: str) -> AsyncIterator[FakeSite]:
-    """Run an agent in a subprocess, with fakes of its nodes' peers."""
+async def _agent_with_fakes(folder: str) -> AsyncIterator[FakeSite]:
+    """Run an agent in a subprocess, with fakes of the peers of its nodes."""
     site = FakeSite(folder, {HOST: list(NODES)}, SiteOptions(max_unavailable=len(NODES)))
     await site.open()
     with open(os.path.join(folder, "agent.log"), "wb") as log:
@@ -96,30 +96,30 @@
             await site.close()
 
 
-async def _show_until_done(
+async def _show_until_stopped(
     agents: AgentClients,
     view: FleetView,
     dispatcher: Dispatcher,
-    lasts: int,
+    duration: int,
     live: Live,
-    done: asyncio.Event,
+    stop_requested: asyncio.Event,
 ) -> None:
-    """Update the table for `lasts` nanoseconds, or until a signal sets `done`."""
+    """Update the table until `stop_requested` is set, or for `duration` nanoseconds unless that is 0."""
     started_at = time.monotonic_ns()
-    while not done.is_set() and (not lasts or time.monotonic_ns() - started_at < lasts):
+    while not stop_requested.is_set() and (not duration or time.monotonic_ns() - started_at < duration):
         await agents.refresh(view)
-        if dispatcher.sending is None and len(addresses_of(view)) == len(NODES):
+        if dispatcher.sending is None and len(serving_addresses(view)) == len(NODES):
             dispatcher.start()
         rows = view.rows(time.monotonic_ns())
         counts = f"{dispatcher.answered} requests answered, {dispatcher.counts['lost']} lost"
         live.update(Group(instances_table(rows, live.console.width), Text(counts)), refresh=True)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(REFRESH_INTERVAL_SECONDS):
-                await done.wait()
+                await stop_requested.wait()
 
 
 async def _stop_nodes(agents: AgentClients, view: FleetView) -> None:
-    """Stop all nodes, so that no process stays behind."""
+    """Stop all nodes, so that the demo leaves no process running."""
     await agents.refresh(view)
     targets = targets_by_host(view.rows(time.monotonic_ns()))
     await agents.request_each(
@@ -128,8 +128,8 @@
             for host, instances in targets.items()
         }
     )
-    until = time.monotonic_ns() + STOP_TIMEOUT_NS
-    while time.monotonic_ns() < until:
+    timeout_at = time.monotonic_ns() + STOP_TIMEOUT_NS
+    while time.monotonic_ns() < timeout_at:
         await agents.refresh(view)
         if all(row.state == "stopped" for row in view.rows(time.monotonic_ns())):
             return
--- a/tests/demo/test_show.py
+++ b/tests/demo/test_show.py
@@ -1,4 +1,4 @@
-"""The table of the demo."""
+"""Test of the live table of the demo."""
 
 import asyncio
 import unittest
@@ -8,21 +8,21 @@
 from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
 
 
-class ShowTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_table_that_is_cancelled_as_a_signal_ends_it_is_cancelled(self):
+class LiveTableTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_cancellation_in_the_same_turn_as_a_stop_signal_is_not_lost(self):
         agents = mock.Mock(refresh=mock.AsyncMock())
         view = mock.Mock()
         view.rows.return_value = []
         live = mock.Mock()
         live.console.width = 80
         dispatcher = mock.Mock(answered=0, counts={"lost": 0})
-        done = asyncio.Event()
+        stop_requested = asyncio.Event()
         with mock.patch.object(show, "REFRESH_INTERVAL_SECONDS", 60.0):
-            shown = show._show_until_done(agents, view, dispatcher, 0, live, done)
-            task = asyncio.ensure_future(followed_by_wait(shown))
+            show_table = show._show_until_stopped(agents, view, dispatcher, 0, live, stop_requested)
+            task = asyncio.ensure_future(followed_by_wait(show_table))
             await let_run()
             self.assertEqual(live.update.call_count, 1)
-            self.assertTrue(await ends_cancelled(task, done.set))
+            self.assertTrue(await ends_cancelled(task, stop_requested.set))
 
 
 if __name__ == "__main__":
