--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -1,4 +1,4 @@
-"""Shared by the commands: exit codes, options, the client of a fleet, and the printing of results."""
+"""Exit codes, options, the fleet client and the printing of results, for all commands."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 
 
 class Duration(click.ParamType[int]):
-    """A time such as 500ms, 2s, 5m or 1h, as nanoseconds."""
+    """Converts a duration such as 500ms, 2s, 5m or 1h to nanoseconds."""
 
     name = "time"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Return nanoseconds; a text that is no duration ends the command with a usage error."""
+        """Return the duration in nanoseconds; an invalid text ends the command with a usage error."""
         if isinstance(value, int):
             return value
         try:
@@ -66,19 +66,27 @@
     show_default=True,
     help="Settings file of the fleet (XML). Environment: OAKKEEL_SETTINGS.",
 )
-ALL_OPTION = click.option("--all", "everything", is_flag=True, help="Select all instances.")
+ALL_OPTION = click.option("--all", "select_all", is_flag=True, help="Select all instances.")
 NO_WAIT_OPTION = click.option(
-    "--no-wait", is_flag=True, help="Return once it is accepted, without following it to its end."
+    "--no-wait",
+    is_flag=True,
+    help="Return when the order or release is accepted, without waiting for its end.",
 )
 RUN_TIME_OPTION = click.option(
-    "--for", "lasts", type=Duration(), metavar="TIME", help="Stop after this time instead of on Ctrl-C."
+    "--for", "duration", type=Duration(), metavar="TIME", help="Stop after this time instead of on Ctrl-C."
 )
 
 
 def timeout_option(description: str) -> Callable[[Command], Command]:
     """Return the option for the timeout of an order or of a batch."""
     return click.option(
-        "--lasts", type=Duration(), default="2m", show_default=True, metavar="TIME", help=description
+        "--lasts",
+        "timeout",
+        type=Duration(),
+        default="2m",
+        show_default=True,
+        metavar="TIME",
+        help=description,
     )
 
 
@@ -88,12 +96,12 @@
         "--id",
         "ident",
         metavar="ID",
-        help=f"ID of the {subject}, an idempotency key: submitting it again does nothing new.",
+        help=f"ID of the {subject}, an idempotency key: submitting it again has no further effect.",
     )
 
 
 def fail(text: str, code: ExitCode = ExitCode.USAGE) -> NoReturn:
-    """Print each line of an error, and exit."""
+    """Print each line of an error, and exit with a code."""
     for line in text.splitlines():
         stderr_console.print(f"oakkeel: {line}", markup=False, highlight=False, soft_wrap=True)
     sys.exit(code)
@@ -103,7 +111,7 @@
     """The fleet, key, view and output format of one command."""
 
     def __init__(self, settings: str, operator: str | None, deadline: int | None, output: str) -> None:
-        """Read the settings and the operator's key; errors end the command. `deadline` in nanoseconds."""
+        """Read the settings and the operator's key; errors end the command. `deadline` is in nanoseconds."""
         try:
             self.fleet: Fleet = read_fleet(settings)
             self.key = read_operator_key(self.fleet, operator or getpass.getuser())
@@ -135,7 +143,7 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """The exit code of a command that only displays the view."""
+        """Exit code of a command that only displays the view."""
         return ExitCode.SOME_SILENT if self.view.silent else ExitCode.DONE
 
     def print_notes(self) -> None:
@@ -145,7 +153,7 @@
 
 
 def fleet_options(command: Command) -> Command:
-    """Add the options of settings, operator, deadline and output; the command gets a `client`."""
+    """Add the options for settings, operator, deadline and output; the command gets a `client`."""
 
     @functools.wraps(command)
     def wrapper(*arguments: object, open_client: Callable[[], FleetClient], **options: object) -> object:
@@ -155,7 +163,7 @@
 
 
 def lazy_fleet_options(command: Command) -> Command:
-    """Add the same options; the command gets `open_client`, which reads the settings when called."""
+    """Add the options of `fleet_options`; the command gets `open_client`, which reads the settings."""
 
     @functools.wraps(command)
     def wrapper(
@@ -234,10 +242,10 @@
     return command
 
 
-def run_command(work: Coroutine[object, object, ExitCode]) -> NoReturn:
+def run_command(coroutine: Coroutine[object, object, ExitCode]) -> NoReturn:
     """Run the coroutine of a command, and exit with the code that it returns."""
     try:
-        sys.exit(asyncio.run(work))
+        sys.exit(asyncio.run(coroutine))
     except KeyboardInterrupt:
         sys.exit(ExitCode.INTERRUPTED)
 
@@ -247,12 +255,12 @@
     sys.stdout.write(json.dumps(value, indent=1, default=str) + "\n")
 
 
-def print_silent(silent: Mapping[str, str]) -> None:
-    """Print why the requests to the agents of these hosts failed."""
-    for host, reason in silent.items():
+def print_failures(failures: Mapping[str, str]) -> None:
+    """Print the reasons why requests to agents failed, by host."""
+    for host, reason in failures.items():
         stderr_console.print(f"agent of {host}: {reason}", style="yellow", markup=False, highlight=False)
 
 
-def interactive() -> bool:
+def is_interactive() -> bool:
     """Return whether a person can answer a prompt."""
     return sys.stdin.isatty() and sys.stderr.isatty() and not os.environ.get("CI")
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -1,4 +1,4 @@
-"""Commands on the control plane of a fleet: its replicas, its disruption permits and its orders."""
+"""Commands on the control plane of a fleet: on its replicas, disruption permits and orders."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     fail,
     fleet_options,
     lazy_fleet_options,
+    print_failures,
     print_json,
-    print_silent,
     run_command,
     selection_options,
     stderr_console,
@@ -40,11 +40,11 @@
 
 NOTHING_COMMITTED_TEXT = "nothing new is committed, running instances keep serving"
 WAITING_STATES = ("waiting", "granted")  # of a task whose target still serves
-ENDED_STATES = ("out", "halted", "cancelled", "done")  # of a task, where ending its order succeeded
+ENDED_STATES = ("out", "halted", "cancelled", "done")  # of a task whose order was ended successfully
 
 # Maximum waits, in deadlines of one request.
-MAX_FOLLOW_DEADLINES = 10  # after the timeout of an order
-MAX_END_DEADLINES = 20  # until an order that was halted or cancelled takes out nothing more
+MAX_FOLLOW_DEADLINES = 10  # after the timeout of an order, for the end of its tasks
+MAX_END_DEADLINES = 20  # until a halted or cancelled order takes out no further target
 MAX_MEMBERSHIP_DEADLINES = 30  # until all new replicas have joined
 
 
@@ -59,7 +59,7 @@
 
 
 def _fail_without_leader(error: NoLeaderError) -> NoReturn:
-    print_silent(dict(sorted(error.reasons.items())))
+    print_failures(dict(sorted(error.reasons.items())))
     fail(f"{error}: {NOTHING_COMMITTED_TEXT}", ExitCode.SOME_SILENT)
 
 
@@ -77,17 +77,17 @@
 async def submit_order(client: FleetClient, selection: Selection, order: FleetOrder, wait: bool) -> ExitCode:
     """Submit an order to the control plane, follow it to its end, and print the result of every target.
 
-    It needs no confirmation: no more targets are taken out at once than the disruption budgets allow.
+    The order needs no confirmation, as the disruption budgets limit the targets that are out at one time.
     """
     targets = await _order_targets(client, selection)
     response = await request_leader(
         client, messages.FleetOrderRequest(order.order_id, order.verb, targets, order.lifetime, order.atomic)
     )
-    until = time.monotonic_ns() + order.lifetime + MAX_FOLLOW_DEADLINES * client.deadline
+    timeout_at = time.monotonic_ns() + order.lifetime + MAX_FOLLOW_DEADLINES * client.deadline
     while (
         wait
         and isinstance(response, messages.FleetOrderStatus)
-        and time.monotonic_ns() < until
+        and time.monotonic_ns() < timeout_at
         and any(task.state in OPEN_FLEET_TASK_STATES for task in response.tasks)
     ):
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
@@ -99,11 +99,11 @@
     """Return the names and generations of the order's targets; services have generation 0."""
     if services := selected_services(client, selection):
         return [(name, 0) for name in services]
-    _, chosen = await select_rows(client, selection)
-    if unseen := [row.name for row in chosen if row.status is None]:
-        text = f"{unseen[0]}: its agent did not answer, so the generation of its process is unknown"
+    _, selected_rows = await select_rows(client, selection)
+    if unreported := [row.name for row in selected_rows if row.status is None]:
+        text = f"{unreported[0]}: its agent did not answer, so the generation of its process is unknown"
         fail(text, ExitCode.SOME_SILENT)
-    return [(row.name, row.status.generation) for row in chosen if row.status]
+    return [(row.name, row.status.generation) for row in selected_rows if row.status]
 
 
 async def _order_status(client: FleetClient, ident: str) -> messages.Response:
@@ -112,12 +112,12 @@
 
 
 async def end_order(client: FleetClient, ident: str, cancel: bool) -> ExitCode:
-    """Halt or cancel an order, and wait until it takes out nothing more."""
+    """Halt or cancel an order, and wait until it takes out no further target."""
     response = await request_leader(client, messages.EndFleetOrderRequest(ident, cancel))
-    until = time.monotonic_ns() + MAX_END_DEADLINES * client.deadline
+    timeout_at = time.monotonic_ns() + MAX_END_DEADLINES * client.deadline
     while (
         isinstance(response, messages.FleetOrderStatus)
-        and time.monotonic_ns() < until
+        and time.monotonic_ns() < timeout_at
         and any(_is_unsettled(task, cancel) for task in response.tasks)
     ):
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
@@ -132,15 +132,21 @@
     return task.state in WAITING_STATES
 
 
-def _print_order(client: FleetClient, response: messages.Response, good_states: Sequence[str]) -> ExitCode:
+def _print_order(
+    client: FleetClient, response: messages.Response, other_success_states: Sequence[str]
+) -> ExitCode:
     if not isinstance(response, messages.FleetOrderStatus):
         fail(UNEXPECTED_RESPONSE, ExitCode.SOME_SILENT)
     if client.as_json:
         print_json(msgspec.to_builtins(response))
     else:
         stdout_console.print(order_table(response))
-    good = ("done", *good_states)
-    return ExitCode.DONE if all(task.state in good for task in response.tasks) else ExitCode.SOME_FAILED
+    success_states = ("done", *other_success_states)
+    return (
+        ExitCode.DONE
+        if all(task.state in success_states for task in response.tasks)
+        else ExitCode.SOME_FAILED
+    )
 
 
 @click.group("keepers", epilog=EXIT_CODES_HELP, invoke_without_command=True)
@@ -153,21 +159,21 @@
     Example: oakkeel keepers
              oakkeel keepers set wb1 sj1 be1 wb2 sj2
     """
-    context.obj = open_client  # not opened yet: the help of a subcommand needs no settings
+    context.obj = open_client  # not called yet, as the help of a subcommand needs no settings
     if not context.invoked_subcommand:
         run_command(_show_replicas(require_control_plane(open_client())))
 
 
 async def _show_replicas(client: FleetClient) -> ExitCode:
-    responses, silent = await client.request_hosts(messages.RaftStatusRequest())
+    responses, failures = await client.request_hosts(messages.RaftStatusRequest())
     statuses = [status for status in responses.values() if isinstance(status, messages.RaftStatus)]
     has_leader = any(status.is_leader for status in statuses)
     if client.as_json:
         documents = [msgspec.to_builtins(status) for status in statuses]
-        print_json({"keepers": documents, "silent": silent, "led": has_leader})
+        print_json({"keepers": documents, "silent": failures, "led": has_leader})
     else:
         stdout_console.print(replicas_table(statuses))
-        print_silent(dict(sorted(silent.items())))
+        print_failures(dict(sorted(failures.items())))
     if not has_leader:
         stderr_console.print(
             f"oakkeel: {NO_LEADER_TEXT}: {NOTHING_COMMITTED_TEXT}",
@@ -192,8 +198,8 @@
 
 async def _set_replicas(client: FleetClient, hosts: tuple[str, ...]) -> ExitCode:
     await request_leader(client, messages.SetVotersRequest(list(hosts)))
-    until = time.monotonic_ns() + MAX_MEMBERSHIP_DEADLINES * client.deadline
-    while time.monotonic_ns() < until:
+    timeout_at = time.monotonic_ns() + MAX_MEMBERSHIP_DEADLINES * client.deadline
+    while time.monotonic_ns() < timeout_at:
         status = await _leader_status(client)
         if status and _has_voters(status, hosts):
             if client.as_json:
@@ -216,7 +222,7 @@
 
 
 async def _leader_status(client: FleetClient) -> messages.RaftStatus | None:
-    """Return the status that the leader reports, with its members."""
+    """Return the status that the leader reports, with all members; None if no leader answered."""
     responses, _ = await client.request_hosts(messages.RaftStatusRequest())
     statuses = [status for status in responses.values() if isinstance(status, messages.RaftStatus)]
     return next((status for status in statuses if status.is_leader), None)
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -23,8 +23,8 @@
     FleetClient,
     fail,
     fleet_options,
+    print_failures,
     print_json,
-    print_silent,
     run_command,
     selection_options,
     stderr_console,
@@ -38,7 +38,7 @@
 
 
 def row_json(row: Row) -> dict[str, object]:
-    """Return the JSON document of a row."""
+    """Return the JSON document of an instance's row."""
     return {
         "instance": row.name,
         "site": row.site,
@@ -85,7 +85,9 @@
 @click.command(epilog=EXIT_CODES_HELP)
 @click.argument("name")
 @click.option(
-    "--clients", is_flag=True, help="Show its heaviest clients, with their fair shares and reservations."
+    "--clients",
+    is_flag=True,
+    help="Show the heaviest clients of the instance, their fair shares, and all reservations.",
 )
 @fleet_options
 def show(name: str, clients: bool, client: FleetClient) -> None:
@@ -99,7 +101,7 @@
 
 
 async def _show_instance(client: FleetClient, name: str) -> ExitCode:
-    rows = client.select(await client.refresh(_hosts_with(client, name)), Selection((name,)))
+    rows = client.select(await client.refresh(_hosts_of_instance(client, name)), Selection((name,)))
     if client.as_json:
         _print_rows_as_json(client, rows)
         return client.exit_code
@@ -112,23 +114,23 @@
     return client.exit_code
 
 
-def _hosts_with(client: FleetClient, name: str) -> list[str]:
+def _hosts_of_instance(client: FleetClient, name: str) -> list[str]:
     return [
         host.name for host in client.fleet.hosts if any(instance.name == name for instance in host.instances)
     ]
 
 
 async def _show_clients(client: FleetClient, name: str) -> ExitCode:
-    hosts = _hosts_with(client, name)
+    hosts = _hosts_of_instance(client, name)
     if not hosts:
         fail(f"no instance has the name {name!r}")
-    responses, silent = await client.request_hosts(messages.InstanceClientsRequest(name), hosts[:1])
+    responses, failures = await client.request_hosts(messages.InstanceClientsRequest(name), hosts[:1])
     response = responses.get(hosts[0])
     if not isinstance(response, messages.InstanceClients):
-        reason = silent.get(hosts[0], "no response")
+        reason = failures.get(hosts[0], "no response")
         if isinstance(response, messages.ErrorResponse):
             reason = response.why
-        fail(f"{name}: {reason}", ExitCode.SOME_SILENT if silent else ExitCode.SOME_FAILED)
+        fail(f"{name}: {reason}", ExitCode.SOME_SILENT if failures else ExitCode.SOME_FAILED)
     if client.as_json:
         print_json(msgspec.to_builtins(response.status))
     else:
@@ -140,23 +142,29 @@
 @click.command(epilog=EXIT_CODES_HELP)
 @selection_options
 @click.option(
-    "--every", type=Duration(), default="1s", show_default=True, metavar="TIME", help="Refresh interval."
+    "--every",
+    "interval",
+    type=Duration(),
+    default="1s",
+    show_default=True,
+    metavar="TIME",
+    help="Refresh interval.",
 )
 @RUN_TIME_OPTION
 @fleet_options
-def watch(selection: Selection, every: int, lasts: int | None, client: FleetClient) -> None:
+def watch(selection: Selection, interval: int, duration: int | None, client: FleetClient) -> None:
     """Show a live table of instances; with --output json, one line per refresh.
 
     \b
     Example: oakkeel watch --site woodbrook --every 2s
     """
-    run_command(_watch_instances(client, selection, every, lasts))
+    run_command(_watch_instances(client, selection, interval, duration))
 
 
 async def _watch_instances(
-    client: FleetClient, selection: Selection, every: int, lasts: int | None
+    client: FleetClient, selection: Selection, interval: int, duration: int | None
 ) -> ExitCode:
-    until = time.monotonic_ns() + lasts if lasts else 0
+    end_at = time.monotonic_ns() + duration if duration else 0
     with Live(console=stdout_console, auto_refresh=False, screen=False) as live:
         while True:
             started_at = time.monotonic_ns()
@@ -167,14 +175,14 @@
                 table = instances_table(rows, stdout_console.width)
                 table.caption = "\n".join(client.view.notes()) or None
                 live.update(table, refresh=True)
-            if until and time.monotonic_ns() >= until:
+            if end_at and time.monotonic_ns() >= end_at:
                 return client.exit_code
-            await asyncio.sleep(max(0, started_at + every - time.monotonic_ns()) / NANOSECONDS_PER_SECOND)
+            await asyncio.sleep(max(0, started_at + interval - time.monotonic_ns()) / NANOSECONDS_PER_SECOND)
 
 
 @dataclass(slots=True, frozen=True)
 class HostOrder:
-    """One order as the agent of one host reports it."""
+    """The report of an order by the agent of one host."""
 
     host: str
     status: messages.OrderStatus
@@ -195,54 +203,56 @@
 
 async def _list_orders(client: FleetClient, hosts: tuple[str, ...], only_open: bool) -> ExitCode:
     names = [host.name for host in client.fleet.hosts if not hosts or host.name in hosts]
-    responses, silent = await client.request_hosts(messages.ListOrdersRequest(), names)
-    found = _orders_by_ident(responses)
+    responses, failures = await client.request_hosts(messages.ListOrdersRequest(), names)
+    listed_orders = _group_by_order(responses)
     if only_open:
-        found = [order for order in found if _is_open(order)]
+        listed_orders = [host_orders for host_orders in listed_orders if _is_open(host_orders)]
     if client.as_json:
-        print_json([_order_json(order) for order in found])
+        print_json([_order_json(host_orders) for host_orders in listed_orders])
     else:
-        stdout_console.print(_orders_table(found))
-    print_silent(silent)
-    return ExitCode.SOME_SILENT if silent else ExitCode.DONE
+        stdout_console.print(_orders_table(listed_orders))
+    print_failures(failures)
+    return ExitCode.SOME_SILENT if failures else ExitCode.DONE
 
 
-def _orders_by_ident(responses: dict[str, messages.Response]) -> list[list[HostOrder]]:
+def _group_by_order(responses: dict[str, messages.Response]) -> list[list[HostOrder]]:
     """Return the reports of all agents for each order, the latest order first."""
-    by_ident: dict[str, list[HostOrder]] = {}
+    by_order_id: dict[str, list[HostOrder]] = {}
     for host, response in responses.items():
         if isinstance(response, messages.OrderList):
             for status in response.orders:
-                by_ident.setdefault(status.order_id, []).append(HostOrder(host, status))
-    return sorted(by_ident.values(), key=lambda order: -order[0].status.accepted_at)
+                by_order_id.setdefault(status.order_id, []).append(HostOrder(host, status))
+    return sorted(by_order_id.values(), key=lambda host_orders: -host_orders[0].status.accepted_at)
 
 
-def _is_open(order: list[HostOrder]) -> bool:
+def _is_open(host_orders: list[HostOrder]) -> bool:
     return any(
-        task.state in OPEN_HOST_TASK_STATE_VALUES for on_host in order for task in on_host.status.tasks
+        task.state in OPEN_HOST_TASK_STATE_VALUES
+        for host_order in host_orders
+        for task in host_order.status.tasks
     )
 
 
-def _order_json(order: list[HostOrder]) -> dict[str, object]:
-    first = order[0].status
+def _order_json(host_orders: list[HostOrder]) -> dict[str, object]:
+    first = host_orders[0].status
     return {
         "order": first.order_id,
         "operator": first.operator,
         "verb": first.verb,
         "taken": first.accepted_at,
         "parts": [
-            {"host": on_host.host, **msgspec.to_builtins(task)}
-            for on_host in order
-            for task in on_host.status.tasks
+            {"host": host_order.host, **msgspec.to_builtins(task)}
+            for host_order in host_orders
+            for task in host_order.status.tasks
         ],
     }
 
 
-def _orders_table(found: list[list[HostOrder]]) -> Table:
+def _orders_table(listed_orders: list[list[HostOrder]]) -> Table:
     table = plain_table("order", "operator", "verb", "accepted", "instances")
-    for order in found:
-        first = order[0].status
-        states = Counter(task.state for on_host in order for task in on_host.status.tasks)
+    for host_orders in listed_orders:
+        first = host_orders[0].status
+        states = Counter(task.state for host_order in host_orders for task in host_order.status.tasks)
         table.add_row(
             first.order_id,
             first.operator,
--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -1,4 +1,4 @@
-"""`oakkeel`: the commands in one group."""
+"""The `oakkeel` command, which groups all other commands."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 def node(settings: str | None, name: str | None) -> None:
     """Run one node, configured by PROXY_CONFIG, or as the instance NAME of the settings.
 
-    With NAME it opens its control socket in the state folder of its host, as under an agent.
+    With NAME, the node opens its control socket in the state folder of its host, as it does under an agent.
 
     \b
     Example: PROXY_CONFIG=config.json oakkeel node
@@ -76,21 +76,23 @@
     """
     variables = dict(os.environ)
     if name is not None:
-        variables |= _variables_of_instance(settings or DEFAULT_SETTINGS, name)
-    # Replaces this process, so that the modules of the command line take no memory in the node.
+        variables |= _instance_environment(settings or DEFAULT_SETTINGS, name)
+    # The node replaces this process, so that the modules of the command line take none of its memory.
     os.execve(sys.executable, [sys.executable, "-m", "oakkeel"], variables)
 
 
-def _variables_of_instance(settings: str, name: str) -> dict[str, str]:
+def _instance_environment(settings: str, name: str) -> dict[str, str]:
     """Return the environment variables of an instance, as its agent would set them."""
     try:
         fleet = read_fleet(settings)
     except SettingsError as error:
         fail(str(error))
-    found = [(host, instance) for host in fleet.hosts for instance in host.instances if instance.name == name]
-    if not found:
+    matches = [
+        (host, instance) for host in fleet.hosts for instance in host.instances if instance.name == name
+    ]
+    if not matches:
         fail(f"{fleet.path}: no instance {name!r}")
-    host, instance = found[0]
+    host, instance = matches[0]
     os.makedirs(host.state, mode=0o700, exist_ok=True)
     variables = {
         "PROXY_CONFIG": instance.config,
@@ -112,7 +114,7 @@
 @click.argument("file", default=DEFAULT_SETTINGS)
 @click.option("--keys", is_flag=True, help="Read the key files too, as an agent does.")
 def check(file: str, keys: bool) -> None:
-    """Check a settings file and print a summary, or each error in a line with exit code 2.
+    """Check a settings file. Print a summary, or one line for each error with exit code 2.
 
     \b
     Example: oakkeel settings check deploy/fleet.xml
@@ -170,7 +172,7 @@
 @click.option(
     "--rate", type=click.FloatRange(1, 2000), default=60.0, show_default=True, help="Requests per second."
 )
-def demo(lasts: int | None, rate: float) -> None:
+def demo(duration: int | None, rate: float) -> None:
     """Run a small fleet on loopback: an agent, three nodes, and fakes of all their peers.
 
     \b
@@ -178,7 +180,7 @@
     """
     from oakkeel.demo.show import run_demo
 
-    sys.exit(run_demo(lasts or 0, rate))
+    sys.exit(run_demo(duration or 0, rate))
 
 
 ALL_COMMANDS: tuple[click.Command, ...] = (ls, show, watch, orders, *COMMANDS, replicas, permits, rollout)
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -24,8 +24,8 @@
     fail,
     fleet_options,
     id_option,
+    print_failures,
     print_json,
-    print_silent,
     run_command,
     selection_options,
     stderr_console,
@@ -39,7 +39,7 @@
 from oakkeel.rendering.tables import plain_table
 from oakkeel.rendering.times import format_duration
 
-GOOD_STATES = ("done",)
+SUCCESS_STATES = ("done",)
 ORDER_ID_BYTES = 6
 MAX_FOLLOW_DEADLINES = 2  # after the timeout of an order, in deadlines of one request
 EXIT_CODE_BY_RESULT = {
@@ -53,25 +53,25 @@
 class OrderOptions:
     """The options of a command that submits an order."""
 
-    everything: bool
-    yes: bool
+    select_all: bool
+    is_confirmed: bool
     no_wait: bool
-    lasts: int  # nanoseconds
+    timeout: int  # nanoseconds
     supersede: bool
     atomic: bool
-    halted: str | None
+    order_to_halt: str | None
     ident: str | None
 
 
-def order_command(verb: str, takes_out: bool, text: str, example: str) -> click.Command:
-    """Return the command that submits orders of one kind; `takes_out` if they make targets unavailable."""
+def order_command(verb: str, is_disruptive: bool, text: str, example: str) -> click.Command:
+    """Return the command that submits orders of one verb; disruptive orders make targets unavailable."""
 
     @click.command(verb, epilog=EXIT_CODES_HELP, help=f"{text}\n\n\b\nExample: {example}")
     @selection_options
     @ALL_OPTION
-    @click.option("--yes", is_flag=True, help="Do not ask for confirmation.")
+    @click.option("--yes", "is_confirmed", is_flag=True, help="Do not ask for confirmation.")
     @NO_WAIT_OPTION
-    @timeout_option("Timeout of the order; tasks that are still open then have failed.")
+    @timeout_option("Timeout of the order; tasks that are open at that time fail.")
     @click.option(
         "--supersede", is_flag=True, help="Replace another operator's open order on the same instances."
     )
@@ -81,46 +81,48 @@
         is_flag=True,
         help="Accept the order for all targets or for none; needs replicas (keepers).",
     )
-    @click.option("--halt", "halted", metavar="ORDER", help="Halt this order instead of submitting one.")
+    @click.option(
+        "--halt", "order_to_halt", metavar="ORDER", help="Halt this order instead of submitting one."
+    )
     @id_option("order")
     @fleet_options
     def command(selection: Selection, client: FleetClient, **options: Any) -> None:
-        _run_order(verb, takes_out, selection, client, OrderOptions(**options))
+        _run_order(verb, is_disruptive, selection, client, OrderOptions(**options))
 
     return command
 
 
 def _run_order(
-    verb: str, takes_out: bool, selection: Selection, client: FleetClient, options: OrderOptions
+    verb: str, is_disruptive: bool, selection: Selection, client: FleetClient, options: OrderOptions
 ) -> NoReturn:
-    if options.halted:
-        run_halt(client, options.halted)
-    require_selection(selection, options.everything)
+    if options.order_to_halt:
+        run_halt(client, options.order_to_halt)
+    require_selection(selection, options.select_all)
     ident = options.ident or secrets.token_hex(ORDER_ID_BYTES)
-    if client.fleet.control_plane and takes_out:
+    if client.fleet.control_plane and is_disruptive:
         if options.supersede:
             fail("--supersede does not work with replicas (keepers): halt or cancel the open order instead")
-        order = FleetOrder(ident, verb, options.lasts, options.atomic)
+        order = FleetOrder(ident, verb, options.timeout, options.atomic)
         run_command(submit_order(client, selection, order, wait=not options.no_wait))
     if options.atomic:
         fail("--whole needs replicas (keepers) in the settings")
-    spec = OrderSpec(ident, verb, options.lasts, options.supersede)
-    confirm = takes_out and not options.yes
+    spec = OrderSpec(ident, verb, options.timeout, options.supersede)
+    confirm = is_disruptive and not options.is_confirmed
     run_command(submit_to_hosts(client, selection, spec, confirm=confirm, wait=not options.no_wait))
 
 
 async def submit_to_hosts(
     client: FleetClient, selection: Selection, order: OrderSpec, confirm: bool, wait: bool
 ) -> ExitCode:
-    """Send each agent its tasks, follow them to their end, and print the result of every instance."""
-    rows, chosen = await select_rows(client, selection)
-    if confirm and not confirm_order(order.verb, rows, chosen):
+    """Send each agent its tasks, wait for their end if `wait`, and print the result of every instance."""
+    rows, selected_rows = await select_rows(client, selection)
+    if confirm and not confirm_order(order.verb, rows, selected_rows):
         return ExitCode.USAGE
-    tracker = OrderTracker(order, chosen)
-    responses, silent = await client.agents.request_each(tracker.requests(), client.deadline)
+    tracker = OrderTracker(order, selected_rows)
+    responses, failures = await client.agents.request_each(tracker.requests(), client.deadline)
     for host, response in responses.items():
         tracker.answered(host, response)
-    for host, reason in silent.items():
+    for host, reason in failures.items():
         tracker.no_response(host, reason)
     if wait:
         await follow_order(client, tracker)
@@ -129,19 +131,19 @@
 
 
 async def follow_order(client: FleetClient, tracker: OrderTracker) -> None:
-    """Poll the agents until no task is open, or the order has timed out."""
+    """Poll the agents until no task is open or the order has timed out."""
     order = tracker.order
-    until = time.monotonic_ns() + order.lifetime + MAX_FOLLOW_DEADLINES * client.deadline
+    timeout_at = time.monotonic_ns() + order.lifetime + MAX_FOLLOW_DEADLINES * client.deadline
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
-    hidden = not stderr_console.is_terminal
-    with Progress(*columns, console=stderr_console, transient=True, disable=hidden) as progress:
-        bar = progress.add_task(f"{order.verb} {order.order_id}", total=len(tracker.tasks))
-        while not tracker.finished and time.monotonic_ns() < until:
+    is_hidden = not stderr_console.is_terminal
+    with Progress(*columns, console=stderr_console, transient=True, disable=is_hidden) as progress:
+        progress_task = progress.add_task(f"{order.verb} {order.order_id}", total=len(tracker.tasks))
+        while not tracker.finished and time.monotonic_ns() < timeout_at:
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
             responses, _ = await client.request_hosts(messages.ListOrdersRequest(), tracker.hosts_to_poll())
             for host, response in responses.items():
                 tracker.answered(host, response)
-            progress.update(bar, completed=tracker.ended_count)
+            progress.update(progress_task, completed=tracker.ended_count)
 
 
 def print_tasks(
@@ -156,7 +158,7 @@
     for task in sorted(tasks, key=lambda task: task.instance):
         style = (
             "green"
-            if task.state in GOOD_STATES
+            if task.state in SUCCESS_STATES
             else "cyan"
             if task.state in OPEN_HOST_TASK_STATE_VALUES
             else "red"
@@ -171,8 +173,8 @@
 def cancel(ident: str, client: FleetClient) -> None:
     """Cancel the tasks of an order that have not started; started tasks continue.
 
-    In a fleet with replicas (keepers) the targets come back: a draining instance takes requests again, one
-    that has ended is started.
+    In a fleet with replicas (keepers) the targets come back: a draining instance takes requests again, and an
+    instance that has ended is started.
 
     \b
     Example: oakkeel cancel 3f9a01c2d4e5
@@ -183,7 +185,7 @@
 
 
 async def _cancel_on_hosts(client: FleetClient, ident: str) -> ExitCode:
-    responses, silent = await client.request_hosts(messages.CancelOrderRequest(ident))
+    responses, failures = await client.request_hosts(messages.CancelOrderRequest(ident))
     tasks = {
         task.instance: task
         for response in responses.values()
@@ -191,10 +193,10 @@
         for task in response.tasks
     }
     if not tasks:
-        fail(f"no agent knows an order {ident}", ExitCode.SOME_SILENT if silent else ExitCode.SOME_FAILED)
+        fail(f"no agent knows an order {ident}", ExitCode.SOME_SILENT if failures else ExitCode.SOME_FAILED)
     print_tasks(client, ident, "cancel", list(tasks.values()))
-    print_silent(silent)
-    if silent:
+    print_failures(failures)
+    if failures:
         return ExitCode.SOME_SILENT
     return (
         ExitCode.SOME_FAILED
@@ -207,7 +209,7 @@
 @click.argument("ident", metavar="ORDER")
 @fleet_options
 def halt(ident: str, client: FleetClient) -> None:
-    """Halt an order: no further target is taken out, and those that are out stay out until a `cancel`.
+    """Halt an order: no further target is taken out, and targets that are out stay out until a `cancel`.
 
     \b
     Example: oakkeel halt 3f9a01c2d4e5
@@ -226,7 +228,7 @@
     order_command(
         "drain",
         True,
-        "Drain instances: each answers the requests that it has read, and ends.",
+        "Drain instances: each answers the requests that it has read, and then ends.",
         "oakkeel drain --host wb1",
     ),
     order_command(
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -1,4 +1,4 @@
-"""Commands on releases: start, show, pause, halt, resume, roll back, abandon."""
+"""Commands that start, show, pause, halt, resume, roll back and abandon releases."""
 
 from __future__ import annotations
 
@@ -50,57 +50,57 @@
 
 @dataclass(slots=True, frozen=True)
 class NewVersion:
-    """The new version of a release, as the options name it."""
+    """The new version of a release, as the options of `rollout start` name it."""
 
     program: str | None  # folder
     patch: str | None  # file
     label: str  # of downstream services
-    from_settings: bool
+    from_settings: bool  # take a program or patch that is not named from the settings
 
 
 @dataclass(slots=True, frozen=True)
 class StartOptions:
-    """The options of `rollout start`, by the names of its parameters. Times in nanoseconds."""
+    """The options of `rollout start`. Times are in nanoseconds."""
 
-    everything: bool
+    select_all: bool
     program: str | None
     patch: str | None
     label: str
     canary: int
     growth: float
-    most: int
+    max_batch: int
     soak: int
-    patience: int
-    lasts: int
+    verdict_timeout: int
+    timeout: int
     margin: float
-    ceiling: float
-    as_set: bool
+    max_load: float
+    from_settings: bool
     no_gates: bool
     no_control: bool
-    back: bool
+    auto_roll_back: bool
     no_wait: bool
     ident: str | None
 
     @property
     def version(self) -> NewVersion:
         """Return the version to release."""
-        return NewVersion(self.program, self.patch, self.label, self.as_set)
+        return NewVersion(self.program, self.patch, self.label, self.from_settings)
 
     @property
     def policy(self) -> RolloutPolicy:
-        """Return how the release proceeds."""
+        """Return the policy of the release."""
         return RolloutPolicy(
             canary=self.canary,
             growth=self.growth,
-            max_batch=self.most,
+            max_batch=self.max_batch,
             control=not self.no_control,
             gated=not self.no_gates,
-            auto_roll_back=self.back,
+            auto_roll_back=self.auto_roll_back,
             soak=self.soak,
-            verdict_timeout=self.patience,
-            batch_timeout=self.lasts,
+            verdict_timeout=self.verdict_timeout,
+            batch_timeout=self.timeout,
             margin=self.margin,
-            max_load=self.ceiling,
+            max_load=self.max_load,
         )
 
 
@@ -140,10 +140,11 @@
     type=click.FloatRange(1.1, 100),
     default=2.0,
     show_default=True,
-    help="Factor of the updated targets with each batch.",
+    help="Factor by which the number of updated targets grows with each batch.",
 )
 @click.option(
     "--most",
+    "max_batch",
     type=click.IntRange(0, 1000),
     default=0,
     help="Maximum size of a batch; 0: as the disruption budgets allow.",
@@ -158,6 +159,7 @@
 )
 @click.option(
     "--patience",
+    "verdict_timeout",
     type=Duration(),
     default="10m",
     show_default=True,
@@ -170,10 +172,11 @@
     type=click.FloatRange(0.001, 0.5),
     default=0.02,
     show_default=True,
-    help="Ratio of the benefit (priority weight) that must not be lost.",
+    help="A loss of this ratio of the benefit (priority weight) must be ruled out.",
 )
 @click.option(
     "--ceiling",
+    "max_load",
     type=click.FloatRange(0.1, 1.0),
     default=0.85,
     show_default=True,
@@ -181,14 +184,21 @@
 )
 @click.option(
     "--as-set",
+    "from_settings",
+    is_flag=True,
+    help="If a program or configuration is not named, take it from the settings instead of the last release.",
+)
+@click.option(
+    "--no-gates", is_flag=True, help="Do not compare the versions; failed targets still halt the release."
+)
+@click.option(
+    "--no-control",
     is_flag=True,
-    help="Take a program or configuration that is not named from the settings, not the last release.",
+    help="Do not restart old instances together with the canaries for the comparison.",
 )
-@click.option("--no-gates", is_flag=True, help="Do not compare the versions; failed targets still halt it.")
 @click.option(
-    "--no-control", is_flag=True, help="Do not restart old instances with the canaries, to compare."
+    "--back", "auto_roll_back", is_flag=True, help="Roll back automatically when the gates halt the release."
 )
-@click.option("--back", is_flag=True, help="Roll back automatically when the gates halt the release.")
 @NO_WAIT_OPTION
 @id_option("release")
 @fleet_options
@@ -202,7 +212,7 @@
     """
     require_control_plane(client)
     options = StartOptions(**values)
-    require_selection(selection, options.everything)
+    require_selection(selection, options.select_all)
     run_command(_start_release(client, selection, options))
 
 
@@ -229,8 +239,8 @@
         version = VersionSpec(version_of(program, patch), program, patch, from_settings=new.from_settings)
     except ContentError as error:
         fail(str(error))
-    _, chosen = await select_rows(client, selection)
-    return [row.name for row in chosen], version
+    _, selected_rows = await select_rows(client, selection)
+    return [row.name for row in selected_rows], version
 
 
 async def _follow_release(client: FleetClient, response: messages.Response, wait: bool) -> ExitCode:
@@ -295,8 +305,8 @@
         require_control_plane(client)
 
         async def control() -> ExitCode:
-            target = ident or (await _release_status(client)).release_id
-            response = await request_leader(client, messages.ControlReleaseRequest(target, name))
+            release_id = ident or (await _release_status(client)).release_id
+            response = await request_leader(client, messages.ControlReleaseRequest(release_id, name))
             _print_release(client, _expect_release(response))
             return ExitCode.DONE
 
@@ -307,7 +317,7 @@
 
 _status_command(
     "status",
-    "Show the progress of a release, and what it waits for. Without an ID: the open or the last release.",
+    "Show the progress of a release, and the reason why it waits. Without an ID: the open or last release.",
     wait=False,
 )
 _status_command("watch", "Follow a release until it ends or halts.", wait=True)
@@ -315,7 +325,7 @@
 _control_command("resume", "Resume a paused or halted release, in the same direction.")
 _control_command(
     "abort",
-    "Halt a release: no further batch starts, and updated targets stay, until resume, undo or leave.",
+    "Halt a release until resume, undo or leave: no further batch starts, and updated targets stay updated.",
 )
 _control_command("undo", "Roll back a release to the versions before it, in batches.")
 _control_command("leave", "Abandon a halted release: some targets keep the new version, some the old.")
--- a/oakkeel/cli/selection.py
+++ b/oakkeel/cli/selection.py
@@ -4,25 +4,25 @@
 
 import click
 
-from oakkeel.cli.common import FleetClient, fail, interactive, stderr_console
+from oakkeel.cli.common import FleetClient, fail, is_interactive, stderr_console
 from oakkeel.fleet.selection import Selection, sites_over_share
 from oakkeel.fleet.view import Row
 
-MAX_UNCONFIRMED_SITE_RATIO = 0.34  # of a site's instances, unavailable after an order
+MAX_UNCONFIRMED_SITE_RATIO = 0.34  # unavailable instances after an order, as a ratio of a site's instances
 
 
 async def select_rows(client: FleetClient, selection: Selection) -> tuple[list[Row], list[Row]]:
     """Return all rows and the selected ones; an empty selection ends the command."""
     rows = await client.refresh()
-    chosen = client.select(rows, selection)
-    if not chosen:
+    selected_rows = client.select(rows, selection)
+    if not selected_rows:
         fail("no instance matches the selection")
-    return rows, chosen
+    return rows, selected_rows
 
 
-def require_selection(selection: Selection, everything: bool) -> None:
-    """End the command unless it selects instances, or all of them with `--all`."""
-    if selection.all != everything:
+def require_selection(selection: Selection, select_all: bool) -> None:
+    """End the command unless either `--all` or other options select its instances."""
+    if selection.all != select_all:
         fail("select instances by name, --site, --host or --state, or all of them with --all")
 
 
@@ -31,18 +31,18 @@
     if client.fleet.control_plane is None:
         return []
     services = {service.name for service in client.fleet.control_plane.services}
-    named = [name for name in selection.names if name in services]
-    if named and len(named) < len(selection.names):
+    selected = [name for name in selection.names if name in services]
+    if selected and len(selected) < len(selection.names):
         fail("select either instances or downstream services")
-    return named
+    return selected
 
 
-def confirm_order(verb: str, rows: list[Row], chosen: list[Row]) -> bool:
-    """Ask for confirmation if an order takes out much of a site; return whether to continue."""
-    if much := sites_over_share(rows, chosen, MAX_UNCONFIRMED_SITE_RATIO):
-        for line in much:
+def confirm_order(verb: str, rows: list[Row], selected_rows: list[Row]) -> bool:
+    """Ask for confirmation of an order that takes out a large part of a site; return whether to continue."""
+    if warnings := sites_over_share(rows, selected_rows, MAX_UNCONFIRMED_SITE_RATIO):
+        for line in warnings:
             stderr_console.print(line, style="yellow", markup=False)
-        if not interactive():
-            fail("that is more than a third of a site: confirm with --yes")
+        if not is_interactive():
+            fail("the order takes out more than a third of a site: confirm with --yes")
         return click.confirm(f"{verb} anyway?", err=True)
     return True
