--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""Stories of the command line as its users call it, and of the demo."""
+"""Tests of the commands and the demo in subprocesses, and of a node whose peers have faults."""
 
 import asyncio
 import json
@@ -21,17 +21,17 @@
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
 
-def commands(group: Group, path: str = "oakkeel"):
+def subcommands(group: Group, path: str = "oakkeel"):
     for name, command in group.commands.items():
         yield f"{path} {name}", command
         if isinstance(command, Group):
-            yield from commands(command, f"{path} {name}")
+            yield from subcommands(command, f"{path} {name}")
 
 
 class CommandLineTestCase(AgentTestCase):
-    async def oakkeel(self, *words: str, operator: str = "asha") -> tuple[int, str, str]:
+    async def run_oakkeel(self, *arguments: str, operator: str = "asha") -> tuple[int, str, str]:
         """Return the exit code, standard output and standard error."""
-        variables = {
+        environment = {
             **os.environ,
             "OAKKEEL_SETTINGS": self.site.settings,
             "OAKKEEL_OPERATOR": operator,
@@ -41,8 +41,8 @@
             sys.executable,
             "-m",
             "oakkeel",
-            *words,
-            env=variables,
+            *arguments,
+            env=environment,
             stdin=subprocess.DEVNULL,
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
@@ -50,8 +50,8 @@
         out, err = await asyncio.wait_for(process.communicate(), 2 * WAIT)
         return process.returncode, out.decode(), err.decode()
 
-    async def instances(self, *words: str) -> dict[str, str]:
-        _, out, _ = await self.oakkeel("ls", "--output", "json", *words)
+    async def instance_states(self, *arguments: str) -> dict[str, str]:
+        _, out, _ = await self.run_oakkeel("ls", "--output", "json", *arguments)
         return {row["instance"]: row["state"] for row in json.loads(out)["instances"]}
 
 
@@ -59,70 +59,71 @@
     async def test_lists_instances_by_name_glob_and_state(self):
         agent = await self.agent()
         await self.serving(agent)
-        code, out, err = await self.oakkeel("ls")
+        code, out, err = await self.run_oakkeel("ls")
         self.assertEqual((code, len(out.splitlines())), (0, 4))
         self.assertIn("3 serving", err)
         self.assertEqual(
-            await self.instances("n[12]", "--state", "serving"), {"n1": "serving", "n2": "serving"}
+            await self.instance_states("n[12]", "--state", "serving"), {"n1": "serving", "n2": "serving"}
         )
-        code, out, _ = await self.oakkeel("show", "n2")
+        code, out, _ = await self.run_oakkeel("show", "n2")
         self.assertEqual(code, 0)
         self.assertRegex(out, r"generation +1, by the agent")
-        code, out, _ = await self.oakkeel("watch", "--for", "1s", "--every", "200ms", "--output", "json")
+        code, out, _ = await self.run_oakkeel("watch", "--for", "1s", "--every", "200ms", "--output", "json")
         self.assertGreater(len(out.splitlines()), 2)
         self.assertEqual(len(json.loads(out.splitlines()[-1])), 3)
 
     async def test_follows_an_order_to_its_end_and_lists_it(self):
         agent = await self.agent()
         await self.serving(agent)
-        code, out, err = await self.oakkeel("restart", "n1", "n2", "--yes", "--id", "mine")
+        code, out, err = await self.run_oakkeel("restart", "n1", "n2", "--yes", "--id", "mine")
         self.assertEqual((code, out.count("done")), (0, 2), out + err)
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1]])
-        _, out, _ = await self.oakkeel("orders", "--output", "json")
+        _, out, _ = await self.run_oakkeel("orders", "--output", "json")
         orders = json.loads(out)
         self.assertEqual(
-            [(each["order"], each["operator"], len(each["parts"])) for each in orders], [("mine", "asha", 2)]
+            [(order["order"], order["operator"], len(order["parts"])) for order in orders],
+            [("mine", "asha", 2)],
         )
-        code, out, _ = await self.oakkeel("cancel", "mine")
-        self.assertEqual((code, out.count("done")), (0, 2))  # it was over
-        self.assertEqual((await self.oakkeel("cancel", "other"))[0], 1)
+        code, out, _ = await self.run_oakkeel("cancel", "mine")
+        self.assertEqual((code, out.count("done")), (0, 2))  # the order had ended already
+        self.assertEqual((await self.run_oakkeel("cancel", "other"))[0], 1)
 
-    async def test_asks_before_taking_out_much_of_a_site(self):
+    async def test_an_order_for_a_large_part_of_a_site_needs_a_confirmation(self):
         agent = await self.agent()
         await self.serving(agent)
-        code, _, err = await self.oakkeel("stop", "--site", "wood*")
+        code, _, err = await self.run_oakkeel("stop", "--site", "wood*")
         self.assertEqual(code, 2)
         self.assertIn("woodbrook: 3 of 3 would be taken out, 0 are out already", err)
         self.assertIn("confirm with --yes", err)
         self.assertEqual(agent.orders.orders, {})
-        code, _, err = await self.oakkeel("stop")
+        code, _, err = await self.run_oakkeel("stop")
         self.assertEqual((code, "select instances by name" in err), (2, True))
 
-    async def test_names_the_operator_whose_order_stands_in_the_way(self):
+    async def test_a_rejection_names_the_operator_of_the_open_order(self):
         self.script("n1", "deaf")
         agent = await self.agent()
         await self.serving(agent)
-        code, out, _ = await self.oakkeel("drain", "n1", "--no-wait")
+        code, out, _ = await self.run_oakkeel("drain", "n1", "--no-wait")
         self.assertEqual(code, 0)
-        code, out, _ = await self.oakkeel("restart", "n1", operator="ravi")
+        code, out, _ = await self.run_oakkeel("restart", "n1", operator="ravi")
         self.assertEqual(code, 1)
         self.assertIn("asha's drain is open since", out)
-        code, out, _ = await self.oakkeel("restart", "n1", "--supersede", operator="ravi")
+        code, out, _ = await self.run_oakkeel("restart", "n1", "--supersede", operator="ravi")
         self.assertEqual((code, "done" in out), (0, True), out)
-        code, out, _ = await self.oakkeel("drain", "n2", operator="lena")
+        code, out, _ = await self.run_oakkeel("drain", "n2", operator="lena")
         self.assertEqual((code, "lena may only view" in out), (1, True), out)
 
     async def test_shows_instances_of_silent_agents_as_unknown_with_exit_code_3(self):
-        code, out, err = await self.oakkeel("ls", "--deadline", "300ms")
+        code, out, err = await self.run_oakkeel("ls", "--deadline", "300ms")
         self.assertEqual((code, out.count("unknown")), (3, 3))
         self.assertIn("agent of wb1", err)
-        code, out, _ = await self.oakkeel("restart", "n1", "--deadline", "300ms")
+        code, out, _ = await self.run_oakkeel("restart", "n1", "--deadline", "300ms")
         self.assertEqual((code, "not ordered" in out), (3, True))
 
-    async def test_reports_unknown_names_and_bad_settings_in_one_line_each(self):
+    async def test_reports_each_unknown_name_and_invalid_settings_file_in_one_line(self):
         agent = await self.agent()
         await self.serving(agent)
-        for words, text in (
+        for arguments, text in (
             (("ls", "n7"), "no instance has the name 'n7'"),
             (("ls", "--as", "nobody"), "no operator 'nobody'"),
             (("ls", "--settings", "/nowhere.xml"), "No such file"),
@@ -131,35 +132,35 @@
             (("node", "n9"), "no instance 'n9'"),
             (("settings", "check", "/dev/null"), "not well-formed XML"),
         ):
-            with self.subTest(words):
-                code, out, err = await self.oakkeel(*words)
+            with self.subTest(arguments):
+                code, out, err = await self.run_oakkeel(*arguments)
                 self.assertEqual((code, out, err.count("\n")), (2, "", 1), err)
                 self.assertIn(text, err)
 
-    async def test_checks_settings_and_makes_keys(self):
-        code, out, _ = await self.oakkeel("settings", "check", self.site.settings, "--keys")
+    async def test_checks_settings_and_creates_keys(self):
+        code, out, _ = await self.run_oakkeel("settings", "check", self.site.settings, "--keys")
         self.assertEqual((code, "at most 1 out at once" in out), (0, True))
         path = os.path.join(self.folder, "new.key")
-        self.assertEqual((await self.oakkeel("settings", "key", path))[0], 0)
+        self.assertEqual((await self.run_oakkeel("settings", "key", path))[0], 0)
         self.assertEqual(os.stat(path).st_mode & 0o777, 0o600)
-        self.assertEqual((await self.oakkeel("settings", "key", path))[0], 2)
+        self.assertEqual((await self.run_oakkeel("settings", "key", path))[0], 2)
 
     async def test_each_command_has_help_with_an_example(self):
-        for path, command in commands(main):
+        for path, command in subcommands(main):
             if not isinstance(command, Group):
                 with self.subTest(path):
                     self.assertIsInstance(command, Command)
                     self.assertIn(
                         f"Example: {'PROXY_CONFIG=config.json ' * path.endswith(' node')}{path}", command.help
                     )
-        _, out, _ = await self.oakkeel("drain", "--help")
+        _, out, _ = await self.run_oakkeel("drain", "--help")
         self.assertIn("3 some agent did not answer", " ".join(out.split()))
 
-    async def test_demo_counts_its_requests_and_leaves_nothing_behind(self):
-        code, out, err = await self.oakkeel("demo", "--for", "3s")
+    async def test_demo_loses_no_request_and_leaves_no_folder_or_process(self):
+        code, out, err = await self.run_oakkeel("demo", "--for", "3s")
         self.assertEqual(code, 0, out + err)
-        found = re.fullmatch(r"demo: (\d+) exchanges answered, 0 lost", out.splitlines()[-1])
-        self.assertGreater(int(found[1]), 20)
+        match = re.fullmatch(r"demo: (\d+) exchanges answered, 0 lost", out.splitlines()[-1])
+        self.assertGreater(int(match[1]), 20)
         folder = re.search(r"OAKKEEL_SETTINGS=(\S+)/fleet.xml", out)[1]
         self.assertFalse(os.path.exists(folder))
         for pid in filter(str.isdigit, os.listdir("/proc")):
@@ -171,60 +172,62 @@
 
 
 class FairSharingCommandsTest(CommandLineTestCase):
-    """An agent with a real node, whose settings name who counts as one sender."""
+    """Runs an agent with a real node whose settings have fair sharing by client."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.other = self.enterContext(tempfile.TemporaryDirectory())
+        self.site_folder = self.enterContext(tempfile.TemporaryDirectory())
         self.site = FakeSite(
-            self.other, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, supervision='<fairness by="client"/>')
+            self.site_folder,
+            {"wb1": ["n1"]},
+            SiteOptions(max_unavailable=1, supervision='<fairness by="client"/>'),
         )
         await self.site.open()
         self.addAsyncCleanup(self.site.close)
-        self.server = await asyncio.create_subprocess_exec(
+        self.agent_process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "oakkeel.agent", self.site.settings, "wb1", stderr=subprocess.PIPE
         )
-        self.addAsyncCleanup(self.end_server)
+        self.addAsyncCleanup(self.stop_agent)
 
-    async def end_server(self) -> None:
-        await self.oakkeel("stop", "--all", "--yes")
-        self.server.terminate()
-        await self.server.communicate()
+    async def stop_agent(self) -> None:
+        await self.run_oakkeel("stop", "--all", "--yes")
+        self.agent_process.terminate()
+        await self.agent_process.communicate()
 
-    async def logged(self, part: str) -> str:
-        while line := await asyncio.wait_for(self.server.stderr.readline(), WAIT):
-            if part.encode() in line:
+    async def wait_for_log(self, text: str) -> str:
+        while line := await asyncio.wait_for(self.agent_process.stderr.readline(), WAIT):
+            if text.encode() in line:
                 return line.decode()
-        raise AssertionError(f"the agent ended without {part!r}")
+        raise AssertionError(f"the agent ended without logging {text!r}")
 
-    async def test_shows_heavy_clients_and_hands_new_weights_to_the_node(self):
-        await self.logged("instance_started")
-        while (await self.instances()) != {"n1": "serving"}:
+    async def test_shows_heavy_clients_and_sends_changed_weights_to_the_node(self):
+        await self.wait_for_log("instance_started")
+        while (await self.instance_states()) != {"n1": "serving"}:
             await asyncio.sleep(0.1)
-        _, out, _ = await self.oakkeel("show", "n1", "--output", "json")
+        _, out, _ = await self.run_oakkeel("show", "n1", "--output", "json")
         host, _, port = json.loads(out)["instances"][0]["told"]["report"]["address"].rpartition(":")
         client = PoliteClient("steelpan", (host, int(port)), 1.0, 7)
         await client.send_one()
         await client.stop()
-        code, out, err = await self.oakkeel("show", "n1", "--clients")
+        code, out, err = await self.run_oakkeel("show", "n1", "--clients")
         self.assertEqual((code, "steelpan" in out, "1 known" in err), (0, True, True), out + err)
         fairness = '<fairness by="client"><weight of="steelpan" is="2.5"/></fairness>'
         self.site.options = replace(self.site.options, supervision=fairness)
         self.site.write_settings()
-        self.server.send_signal(signal.SIGHUP)
-        await self.logged("settings_reloaded")
-        path = os.path.join(self.other, "wb1", "n1.log")
+        self.agent_process.send_signal(signal.SIGHUP)
+        await self.wait_for_log("settings_reloaded")
+        path = os.path.join(self.site_folder, "wb1", "n1.log")
         for _ in range(200):
             with open(path) as file:
                 if "flow_weights_reloaded weights=1" in file.read():
                     break
             await asyncio.sleep(0.05)
         else:
-            self.fail("the node did not take the weights")
+            self.fail("the node did not log the changed weights")
 
 
 class FaultyPeersTest(unittest.IsolatedAsyncioTestCase):
-    """A real node between stand-ins that have a fault each."""
+    """Runs a real node with a fake dispatcher, engine and catalogue, some of which have a fault."""
 
     async def asyncSetUp(self) -> None:
         self.site = FakeSite(
@@ -240,18 +243,18 @@
             stderr=subprocess.PIPE,
             env={**os.environ, "PROXY_CONFIG": os.path.join(self.site.folder, "n1.json")},
         )
-        address = "127.0.0.1", int((await self.said("listening")).rsplit(b":", 1)[1])
-        await self.said("engine_ready")
+        address = "127.0.0.1", int((await self.wait_for_log("listening")).rsplit(b":", 1)[1])
+        await self.wait_for_log("engine_ready")
         self.dispatcher = Dispatcher(1, lambda: {"n1": address}, 100, 7)
-        self.addAsyncCleanup(self.end)
+        self.addAsyncCleanup(self.kill_node)
 
-    async def said(self, part: str) -> bytes:
+    async def wait_for_log(self, text: str) -> bytes:
         while line := await asyncio.wait_for(self.node.stderr.readline(), WAIT):
-            if part.encode() in line:
+            if text.encode() in line:
                 return line
-        raise AssertionError(f"the node ended without {part!r}")
+        raise AssertionError(f"the node ended without logging {text!r}")
 
-    async def end(self) -> None:
+    async def kill_node(self) -> None:
         self.node.send_signal(signal.SIGKILL)
         await self.node.communicate()
 
@@ -259,44 +262,44 @@
         for _ in range(count):
             await self.dispatcher.send_one()
 
-    async def all_answered(self) -> None:
+    async def assert_all_answered(self) -> None:
         await self.dispatcher.stop()
         self.assertEqual(self.dispatcher.answered, self.dispatcher.counts["sent"], self.dispatcher.counts)
         self.assertEqual(max(self.engine.start_counts.values()), 1)
 
-    async def test_each_is_answered_with_what_its_run_made(self):
-        self.engine.calls = 1  # each run needs one
+    async def test_each_request_is_answered_with_the_result_of_its_run(self):
+        self.engine.calls = 1  # downstream calls of each run
         for _ in range(10):
             await self.send(2)
             while self.dispatcher.open:
                 await asyncio.sleep(0.005)
-        await self.all_answered()
+        await self.assert_all_answered()
         self.assertEqual((self.dispatcher.counts["ok"], self.site.catalogue.calls), (20, 20))
 
-    async def test_an_engine_that_breaks_in_a_line_loses_nothing_and_runs_nothing_twice(self):
+    async def test_an_engine_that_breaks_off_within_a_line_loses_no_request_and_repeats_no_run(self):
         for _ in range(4):
             self.engine.script(Fault.BREAK)
             await self.send(5)
-        await self.all_answered()
+        await self.assert_all_answered()
 
-    async def test_a_crashed_engine_is_attached_again(self):
+    async def test_the_node_reconnects_to_an_engine_that_crashed(self):
         await self.send(5)
         self.engine.script(Fault.CRASH)
-        await self.said("engine_link_lost")
+        await self.wait_for_log("engine_link_lost")
         self.engine.script(Fault.NONE)
         await self.send(5)
-        await self.all_answered()
+        await self.assert_all_answered()
 
-    async def test_a_hanging_catalogue_ends_in_answers_by_their_time(self):
+    async def test_requests_are_answered_by_their_deadlines_while_the_catalogue_hangs(self):
         self.engine.calls = 1
         self.site.catalogue.script(Fault.HANG)
         await self.send(20)
-        await self.all_answered()
+        await self.assert_all_answered()
         self.assertEqual(self.dispatcher.counts["late"], 0)
 
-    async def test_a_slow_engine_denies_early_and_a_full_catalogue_spares_no_answer(self):
+    async def test_a_slow_engine_causes_rejections_and_a_full_catalogue_leaves_no_request_unanswered(self):
         self.engine.script(Fault.SLOW, 100.0)
         self.site.catalogue.full = True
         await self.send(32)
-        await self.all_answered()
+        await self.assert_all_answered()
         self.assertGreater(self.dispatcher.counts["full"], 0)
