--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -1,4 +1,4 @@
-"""Typed settings of a fleet, as its operators wrote them."""
+"""Types of the settings of a fleet."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 class FairSharingSettings:
     """How nodes identify flows, and the weights of flows."""
 
-    by: tuple[str, ...]  # fields of the flow key, the outer level first
+    flow_key: tuple[str, ...]  # names of its fields, the outer level first
     weights: tuple[tuple[str, float], ...]
     tracked_flows: int = 256
     max_reservations: int = 1024
@@ -100,7 +100,7 @@
     def node_settings(self, snapshot: str) -> dict[str, object]:
         """Return the JSON object that a node reads; `snapshot` is the path of its snapshot file."""
         return {
-            "by": list(self.by),
+            "by": list(self.flow_key),
             "weights": dict(self.weights),
             "places": self.tracked_flows,
             "promises": self.max_reservations,
--- a/tests/settings/test_fleet.py
+++ b/tests/settings/test_fleet.py
@@ -68,7 +68,7 @@
         fair_sharing = self.read(xml).fairness
         self.assertEqual(
             (
-                fair_sharing.by,
+                fair_sharing.flow_key,
                 fair_sharing.weights,
                 fair_sharing.half_life,
                 fair_sharing.tracked_flows,
