--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the whole program: each prints its progress, and one last line with its result."""
+"""Measurement programs: each prints its progress, and its result as the last line."""
--- a/measure/common.py
+++ b/measure/common.py
@@ -1,4 +1,4 @@
-"""Helpers of the measurements: command line, output, and a site with running agents."""
+"""Helpers for the measurement programs: command line, output, and a site with running agents."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from oakkeel.units import SECOND
 
 
-def parse_arguments(text: str, **defaults: Any) -> argparse.Namespace:
-    """Parse the command line: an option for each default, of its type, and `--json`."""
-    parser = argparse.ArgumentParser(description=text)
+def parse_arguments(description: str, **defaults: Any) -> argparse.Namespace:
+    """Parse the command line, with an option for each default (of the type of the default) and `--json`."""
+    parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--json", metavar="FILE", help="write the figures to this file")
     for name, value in defaults.items():
         parser.add_argument(f"--{name}", type=type(value), default=value)
@@ -42,7 +42,7 @@
 
 
 def print_line(text: str) -> None:
-    """Print a line at once."""
+    """Print a line and flush the output."""
     print(text, flush=True)
 
 
@@ -58,7 +58,7 @@
     """A site with its agents as processes, and a view of their status."""
 
     def __init__(self, site: FakeSite, fleet: Fleet) -> None:
-        """`site` is open; no agent runs yet."""
+        """Use an open site on which no agent runs yet."""
         self.site = site
         self.fleet = fleet
         self.agents = AgentClients(fleet, read_operator_key(fleet, "asha"))
@@ -66,7 +66,7 @@
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start_agent(self, host: str, *command: str) -> None:
-        """Start the agent of a host: `command` is the module to run as the agent, with its arguments."""
+        """Start the agent of a host, or another module with arguments (`command`) in its place."""
         with open(os.path.join(self.site.folder, f"{host}.agent.log"), "ab") as log:
             self.processes[host] = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -78,57 +78,61 @@
                 start_new_session=True,
             )
 
-    async def wait_until(self, done: Callable[[], bool], wait: float, pause: float = 0.05) -> float:
-        """Poll all agents until `done` is true; returns the seconds that it took."""
+    async def wait_until(
+        self, condition: Callable[[], bool], timeout: float, poll_interval: float = 0.05
+    ) -> float:
+        """Poll all agents until the condition holds; return the seconds until then."""
         started = time.monotonic()
         while True:
             await self.agents.refresh(self.view)
-            if done():
+            if condition():
                 return time.monotonic() - started
-            if time.monotonic() - started > wait:
-                raise TimeoutError(f"not within {wait:g} s: {[row.shown for row in self.rows()]}")
-            await asyncio.sleep(pause)
+            if time.monotonic() - started > timeout:
+                raise TimeoutError(
+                    f"condition not met within {timeout:g} s; states: {[row.shown for row in self.rows()]}"
+                )
+            await asyncio.sleep(poll_interval)
 
     def rows(self) -> list[Row]:
-        """Return the present rows of the view."""
+        """Return the current rows of the view."""
         return self.view.rows(time.monotonic_ns())
 
-    def all_in(self, *states: str) -> bool:
+    def all_instances_in(self, *states: str) -> bool:
         """Return whether every instance is shown in one of these states."""
         return all(row.shown in states for row in self.rows())
 
     def addresses(self) -> dict[str, Address]:
-        """Return the addresses of the nodes that the directory lists, from the nodes' reports."""
-        found = {}
+        """Return the reported addresses of the nodes that the directory lists as open."""
+        addresses = {}
         listed = set(self.site.directory.open_nodes())
         for row in self.rows():
             if row.name in listed and row.status and row.status.report:
                 host, _, port = row.status.report.address.rpartition(":")
-                found[row.name] = host, int(port)
-        return found
+                addresses[row.name] = host, int(port)
+        return addresses
 
     async def stop_all(self) -> None:
-        """Stop all instances by an order, so that no process is left when the agents end."""
+        """Stop all instances with an order, so that no node process remains when the agents end."""
         await self.agents.refresh(self.view)
-        wanted = targets_by_host(self.rows())
+        targets = targets_by_host(self.rows())
         for attempt in range(3):
             await self.agents.request_each(
                 {
                     host: messages.OrderRequest(
                         f"end-{attempt}", "stop", instances, 30 * SECOND, supersede=True
                     )
-                    for host, instances in wanted.items()
+                    for host, instances in targets.items()
                 }
             )
             with contextlib.suppress(TimeoutError):
-                await self.wait_until(lambda: self.all_in("stopped"), 15)
+                await self.wait_until(lambda: self.all_instances_in("stopped"), 15)
                 break
-            wanted = targets_by_host(self.rows())
+            targets = targets_by_host(self.rows())
 
 
 @contextlib.asynccontextmanager
 async def running_site(site: FakeSite, *command: str) -> AsyncIterator[RunningSite]:
-    """Open a site with an agent for each host, and stop them all on leaving."""
+    """Open a site with an agent for each host; stop all instances and agents on exit."""
     await site.open()
     fleet = RunningSite(site, read_fleet(site.settings))
     try:
@@ -145,5 +149,5 @@
 
 
 def describe_machine() -> str:
-    """Describe the machine."""
+    """Return the number of cores and the Python version."""
     return f"{os.cpu_count()} cores, Python {sys.version.split()[0]}"
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -1,4 +1,4 @@
-"""Twelve instances on one machine, three killed, one stopped, under load: how soon the status is true."""
+"""Measures how soon the status of twelve instances is correct after three die and one stops, under load."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 
 
 async def kill_and_suspend(fleet: RunningSite, random: Random) -> tuple[float, set[str]]:
-    """Kill three instances and stop one; returns the seconds until all reports are true, and the names."""
-    rows = {row.name: row.status.pid for row in fleet.rows() if row.status}
-    chosen = random.sample(sorted(rows), 4)
-    killed = {name: rows[name] for name in chosen[:3]}
+    """Kill three instances and stop one; return the seconds until a correct status, and the names."""
+    pids = {row.name: row.status.pid for row in fleet.rows() if row.status}
+    chosen = random.sample(sorted(pids), 4)
+    killed = {name: pids[name] for name in chosen[:3]}
     suspended = chosen[3]
     for pid in killed.values():
         os.kill(pid, signal.SIGKILL)
-    os.kill(rows[suspended], signal.SIGSTOP)
+    os.kill(pids[suspended], signal.SIGSTOP)
 
-    def reports_are_true() -> bool:
+    def is_status_correct() -> bool:
         for row in fleet.rows():
             if row.old or row.status is None:
                 return False
@@ -55,26 +55,26 @@
                 return False
         return True
 
-    took = await fleet.wait_until(reports_are_true, 10)
-    await asyncio.sleep(1.5)  # under load: those left alone must go on losing nothing
-    os.kill(rows[suspended], signal.SIGCONT)
-    back = await fleet.wait_until(lambda: fleet.all_in("serving"), 20)
+    elapsed = await fleet.wait_until(is_status_correct, 10)
+    await asyncio.sleep(1.5)  # under load: the other instances must not lose a request
+    os.kill(pids[suspended], signal.SIGCONT)
+    resumed_after = await fleet.wait_until(lambda: fleet.all_instances_in("serving"), 20)
     print_line(
-        f"  killed {', '.join(killed)}, stopped {suspended}: reports true after {took:.2f} s,"
-        f" all serving {back:.1f} s after it went on"
+        f"  killed {', '.join(killed)}, stopped {suspended}: reports true after {elapsed:.2f} s,"
+        f" all serving {resumed_after:.1f} s after it went on"
     )
-    return took, set(chosen)
+    return elapsed, set(chosen)
 
 
 async def measure(rounds: int, rate: float, seed: int) -> dict[str, Any]:
-    """Kill and suspend instances under load for some rounds, and count what was lost."""
+    """Kill and suspend instances under load for some rounds, and count the lost requests."""
     random = Random(seed)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(folder, HOSTS, SiteOptions(max_unavailable=4, seed=seed, sites=SITES))
         async with running_site(site) as fleet:
-            took = await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
-            print_line(f"twelve instances on three hosts serve after {took:.1f} s")
-            times = []
+            elapsed = await fleet.wait_until(lambda: fleet.all_instances_in("serving"), 30)
+            print_line(f"twelve instances on three hosts serve after {elapsed:.1f} s")
+            detection_times = []
             lost = Counter[str]()
             answered = 0
             for number in range(rounds):
@@ -85,17 +85,17 @@
                 for dispatcher in dispatchers:
                     dispatcher.start()
                 await asyncio.sleep(1.0)
-                time_true, touched = await kill_and_suspend(fleet, random)
-                times.append(time_true)
+                elapsed, affected = await kill_and_suspend(fleet, random)
+                detection_times.append(elapsed)
                 for dispatcher in dispatchers:
                     await dispatcher.stop()
                     answered += dispatcher.answered
                     for node, counts in dispatcher.by_node.items():
-                        kind = "touched" if node in touched else "others"
-                        lost[kind] += counts["lost"] + counts["late"]
+                        group = "touched" if node in affected else "others"
+                        lost[group] += counts["lost"] + counts["late"]
                 await asyncio.sleep(0.5)
     return {
-        "times_s": times,
+        "times_s": detection_times,
         "lost_on_others": lost["others"],
         "lost_on_killed_and_stopped": lost["touched"],
         "answered": answered,
@@ -103,7 +103,7 @@
 
 
 def main() -> int:
-    """Run the measurement; returns the exit code."""
+    """Run the measurement and return the exit code."""
     arguments = parse_arguments(__doc__ or "", rounds=3, rate=120.0, seed=16)
     started = time.monotonic()
     figures = asyncio.run(measure(arguments.rounds, arguments.rate, arguments.seed))
@@ -114,9 +114,9 @@
         f" took {time.monotonic() - started:.0f} s"
     )
     print_line(f"reports true after {format_spread(figures['times_s'])} s")
-    worst = max(figures["times_s"])
-    print_line(f"fleet: 12 instances, 3 killed, 1 silent, reports true after {worst:.2f} s")
-    return 1 if figures["lost_on_others"] or worst > 5 or not figures["answered"] else 0
+    max_detection_time = max(figures["times_s"])
+    print_line(f"fleet: 12 instances, 3 killed, 1 silent, reports true after {max_detection_time:.2f} s")
+    return 1 if figures["lost_on_others"] or max_detection_time > 5 or not figures["answered"] else 0
 
 
 if __name__ == "__main__":
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -1,4 +1,4 @@
-"""`oakkeel ls` over twelve agents, one of them silent: how long until the table is there?"""
+"""Measures how long `oakkeel ls` takes with twelve agents, all of which respond or one of which is silent."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from measure.common import format_spread, parse_arguments, print_line, running_site, write_figures
 from oakkeel.fakes.site import FakeSite, SiteOptions
 
-DEADLINE = 1.0
+DEADLINE_S = 1.0
 
 
 async def run_listing(settings: str) -> tuple[float, int, dict[str, Any]]:
-    """Run `oakkeel ls`; returns the seconds that it took, its exit code and its output."""
+    """Run `oakkeel ls`; return its duration in seconds, its exit code and its output."""
     started = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -35,37 +35,39 @@
         "json",
         stdout=asyncio.subprocess.PIPE,
     )
-    out, _ = await process.communicate()
-    return time.monotonic() - started, process.returncode or 0, json.loads(out)
+    output, _ = await process.communicate()
+    return time.monotonic() - started, process.returncode or 0, json.loads(output)
 
 
-async def measure(times: int) -> dict[str, Any]:
-    """List `times` times with all agents, and as often with one of them silent."""
+async def measure(repetitions: int) -> dict[str, Any]:
+    """List the instances `repetitions` times with all agents, and as often with one of them silent."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         hosts = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
         async with running_site(
             FakeSite(folder, hosts, SiteOptions(max_unavailable=12)), "oakkeel.fakes.crashing"
         ) as fleet:
-            await fleet.wait_until(lambda: fleet.all_in("serving"), 30)
-            complete = [await run_listing(fleet.site.settings) for _ in range(times)]
+            await fleet.wait_until(lambda: fleet.all_instances_in("serving"), 30)
+            with_all_agents = [await run_listing(fleet.site.settings) for _ in range(repetitions)]
             os.kill(fleet.processes["h7"].pid, signal.SIGSTOP)
             try:
-                silent = [await run_listing(fleet.site.settings) for _ in range(times)]
+                with_silent_agent = [await run_listing(fleet.site.settings) for _ in range(repetitions)]
             finally:
                 os.kill(fleet.processes["h7"].pid, signal.SIGCONT)
-    correct = all(code == 0 and len(out["instances"]) == 12 for _, code, out in complete) and all(
-        code == 3 and [row["instance"] for row in out["instances"] if row["state"] == "unknown"] == ["n7"]
-        for _, code, out in silent
+    is_correct = all(
+        code == 0 and len(output["instances"]) == 12 for _, code, output in with_all_agents
+    ) and all(
+        code == 3 and [row["instance"] for row in output["instances"] if row["state"] == "unknown"] == ["n7"]
+        for _, code, output in with_silent_agent
     )
     return {
-        "all_answer_s": [took for took, _, _ in complete],
-        "one_silent_s": [took for took, _, _ in silent],
-        "right": correct,
+        "all_answer_s": [elapsed for elapsed, _, _ in with_all_agents],
+        "one_silent_s": [elapsed for elapsed, _, _ in with_silent_agent],
+        "right": is_correct,
     }
 
 
 def main() -> int:
-    """Run the measurement; returns the exit code."""
+    """Run the measurement and return the exit code."""
     arguments = parse_arguments(__doc__ or "", times=7)
     figures = asyncio.run(measure(arguments.times))
     write_figures(arguments, figures)
@@ -75,7 +77,7 @@
     )
     print_line(
         f"listing: 12 agents, 1 silent, told after {max(figures['one_silent_s']):.2f} s with a deadline of"
-        f" {DEADLINE:g} s, {'right' if figures['right'] else 'WRONG'} each time"
+        f" {DEADLINE_S:g} s, {'right' if figures['right'] else 'WRONG'} each time"
     )
     return 0 if figures["right"] else 1
 
