--- a/measure/drain.py
+++ b/measure/drain.py
@@ -1,6 +1,6 @@
-"""Drains and cancels at random times under load on real nodes: what is lost, what runs after the grace.
+"""Measures drains cancelled at random times on real nodes under load: requests lost or run after the grace.
 
-Two hosts with three nodes each, one replica; dispatchers send all the time, at a changing rate.
+Two hosts with three nodes each, one replica; dispatchers send throughout, at a varying rate.
 """
 
 from __future__ import annotations
@@ -25,52 +25,52 @@
 from oakkeel.invariants.logs import read_events
 
 HOSTS = {"h1": ["n1", "n2", "n3"], "h2": ["n4", "n5", "n6"]}
-NAMES = [name for names in HOSTS.values() for name in names]
-GRACE = NODE_SETTINGS["obligations"]["drain-grace"]  # type: ignore[index]
-SLACK = 0.06  # seconds, from a message at our end to its log line
+NODE_NAMES = [name for names in HOSTS.values() for name in names]
+DRAIN_GRACE_NS = NODE_SETTINGS["obligations"]["drain-grace"]  # type: ignore[index]
+LOG_DELAY_S = 0.06  # allowed difference between the time of a message here and that of its log line
 
 
 @dataclass
-class Cancels:
-    """What became of the drains that were cancelled; times in seconds until the node works again."""
+class CancelResults:
+    """Counts of cancelled drains, and seconds from a cancel until the node completes a request again."""
 
     count: int = 0
     while_draining: int = 0
-    cancelled: list[float] = field(default_factory=list)  # cancelled while it was draining
-    restarted: list[float] = field(default_factory=list)  # started again after its stop
-    never_drained: list[float] = field(default_factory=list)
+    cancelled_drain_times: list[float] = field(default_factory=list)  # cancelled while the node was draining
+    restart_times: list[float] = field(default_factory=list)  # cancelled after the stop: started again
+    undrained_times: list[float] = field(default_factory=list)  # cancelled before the drain began
 
 
 class DrainScenario:
-    """Two lanes of drains and cancels on a site under load."""
+    """Two concurrent sequences of drains and cancels on a site under load."""
 
     def __init__(self, rig: ProcessRig, load: LoadProcess, rate: float, seed: int) -> None:
-        """`rate` in requests a second, of all together."""
+        """`rate`: requests a second of all dispatchers together."""
         self.rig = rig
         self.load = load
         self.rate = rate
         self.random = Random(seed)
-        self.cancels = Cancels()
+        self.cancels = CancelResults()
         self.addresses: dict[str, Address] = {}
 
     async def play(self, drains: int) -> LoadSummary:
-        """Start the load, play all drains, and stop the load."""
+        """Start the load, run all drains, and stop the load."""
         await self.load.start(self.rate / 2, self.rig.site.options.seed)
-        updates = [
+        update_tasks = [
             asyncio.ensure_future(self._follow_agents()),
             asyncio.ensure_future(self._follow_directory()),
         ]
         try:
             await asyncio.sleep(1.0)
-            await asyncio.gather(self._lane(0, drains), self._lane(1, drains))
+            await asyncio.gather(self._run_sequence(0, drains), self._run_sequence(1, drains))
         finally:
-            for task in updates:
+            for task in update_tasks:
                 task.cancel()
-            await asyncio.gather(*updates, return_exceptions=True)
+            await asyncio.gather(*update_tasks, return_exceptions=True)
         return await self.load.stop()
 
     async def _follow_agents(self) -> None:
-        """Keep the addresses that the nodes report."""
+        """Keep the addresses up to date with the nodes' reports."""
         while True:
             for name, status in (await self.rig.instance_statuses()).items():
                 if status.report:
@@ -79,8 +79,8 @@
             await asyncio.sleep(0.1)
 
     async def _follow_directory(self) -> None:
-        """Give the load generator the nodes that the directory lists as open, once all are known."""
-        while len(self.addresses) < len(NAMES):
+        """Give the load generator the nodes that the directory lists as open, once all have an address."""
+        while len(self.addresses) < len(NODE_NAMES):
             await asyncio.sleep(0.01)
         while True:
             self.load.set_addresses(
@@ -92,8 +92,8 @@
             )
             await asyncio.sleep(0.005)
 
-    async def _lane(self, number: int, drains: int) -> None:
-        names = NAMES[number::2]
+    async def _run_sequence(self, number: int, drains: int) -> None:
+        names = NODE_NAMES[number::2]
         for drain in range(number, drains, 2):
             self.load.set_rate(self.rate * (1.5 if self.random.random() < 0.2 else 0.5))
             cancel_after = None if self.random.random() < 0.2 else self.random.uniform(0.05, 1.2)
@@ -102,7 +102,7 @@
                 print_line(f"  {drain} drains, {self.cancels.while_draining} cancelled while draining")
 
     async def _drain_and_cancel(self, order_id: str, name: str, cancel_after: float | None) -> None:
-        """Cancel after some seconds, or (None) when the drain is over; returns when the permit is free."""
+        """Drain a node, cancel after some seconds or (None) at the end, and wait until its permit is free."""
         answer = await self.rig.submit_order(order_id, "drain", [name], 60)
         if not isinstance(answer, messages.FleetOrderStatus):
             raise UnexpectedResponseError(f"{order_id} was not submitted: {answer}")
@@ -110,31 +110,34 @@
             await self.rig.wait_until_ended(order_id)
         else:
             await asyncio.sleep(cancel_after)
-        before = (await self.rig.instance_statuses())[name]
-        cancelled = time.monotonic()
+        status_before = (await self.rig.instance_statuses())[name]
+        cancelled_at = time.monotonic()
         answer = await self.rig.end_order(order_id, True)
         if not isinstance(answer, messages.FleetOrderStatus):
             raise UnexpectedResponseError(f"{order_id} was not cancelled: {answer}")
         self.cancels.count += 1
-        self.cancels.while_draining += before.phase == "draining"
+        self.cancels.while_draining += status_before.phase == "draining"
 
-        async def succeeds() -> bool:
-            return self.load.last_success.get(name, 0.0) > cancelled
+        async def has_succeeded() -> bool:
+            return self.load.last_success.get(name, 0.0) > cancelled_at
 
-        took = await self.rig.wait_until(f"{name} works again", succeeds)
-        times = {"draining": self.cancels.cancelled, "serving": self.cancels.never_drained}
-        times.get(before.phase, self.cancels.restarted).append(took)
+        elapsed = await self.rig.wait_until(f"{name} works again", has_succeeded)
+        times_by_phase = {
+            "draining": self.cancels.cancelled_drain_times,
+            "serving": self.cancels.undrained_times,
+        }
+        times_by_phase.get(status_before.phase, self.cancels.restart_times).append(elapsed)
 
-        async def free() -> bool:
+        async def is_free() -> bool:
             return not any(
                 entry.order_id == order_id for entry in (await self.rig.fleet_status()).unavailable
             )
 
-        await self.rig.wait_until(f"the permit of {name} is free", free)
+        await self.rig.wait_until(f"the permit of {name} is free", is_free)
 
 
 async def measure(drains: int, rate: float, seed: int) -> dict[str, Any]:
-    """Play the drains, and count what was lost, run twice or run after the grace."""
+    """Run the drains, and count the requests that were lost, run twice or run after the grace."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(
             folder,
@@ -159,51 +162,58 @@
         finally:
             await load.close()
             await rig.close()
-        late = after_grace(folder, site, load.reports)
-    return figures_of(scenario.cancels, summary, len(load.reports), site) | {
+        runs_after_grace = count_runs_after_grace(folder, site, load.reports)
+    return collect_figures(scenario.cancels, summary, len(load.reports), site) | {
         "drains": drains,
-        "after_grace": late,
+        "after_grace": runs_after_grace,
     }
 
 
-def figures_of(cancels: Cancels, summary: LoadSummary, reported: int, site: FakeSite) -> dict[str, Any]:
-    """Return the figures with the keys of the journal."""
+def collect_figures(
+    cancels: CancelResults, summary: LoadSummary, reported: int, site: FakeSite
+) -> dict[str, Any]:
+    """Return the figures under their JSON keys."""
     counts = Counter(summary.counts)
-    runs = [count for engine in site.engines.values() for count in engine.start_counts.values()]
+    run_counts = [count for engine in site.engines.values() for count in engine.start_counts.values()]
     return {
         "cancels": cancels.count,
         "while draining": cancels.while_draining,
-        "back_s": cancels.cancelled,
-        "anew_s": cancels.restarted,
-        "not_left_s": cancels.never_drained,
+        "back_s": cancels.cancelled_drain_times,
+        "anew_s": cancels.restart_times,
+        "not_left_s": cancels.undrained_times,
         "sent_late": summary.max_send_delay,
         "machine": describe_machine(),
         "counts": dict(counts),
         "reported": reported,
         "lost": counts["lost"] + counts["late"],
-        "doubled": sum(count > 1 for count in runs),
+        "doubled": sum(count > 1 for count in run_counts),
     }
 
 
-def after_grace(folder: str, site: FakeSite, reports: list[RequestReport]) -> int:
-    """Count the runs of requests sent after the grace of a drain, before it was cancelled or ended."""
-    drains: dict[str, list[list[float]]] = {}  # by instance: when the grace ended, and the drain
-    for at, kind, fields in read_events(folder, HOSTS):
-        if kind == "drain_requested":
-            drains.setdefault(fields["target"], []).append([at / 1e9 + GRACE / 1e9, float("inf")])
-        elif kind in ("drain_cancel_requested", "instance_exited") and fields.get("target") in drains:
-            drains[fields["target"]][-1][1] = min(drains[fields["target"]][-1][1], at / 1e9)
-    sent = {report.id.encode(): report.sent_at for report in reports}
+def count_runs_after_grace(folder: str, site: FakeSite, reports: list[RequestReport]) -> int:
+    """Count the runs of requests that were sent after the grace of a drain and before its cancel or end."""
+    drains: dict[str, list[list[float]]] = {}  # by instance: ends of grace and of drain
+    for time_ns, event, fields in read_events(folder, HOSTS):
+        if event == "drain_requested":
+            drains.setdefault(fields["target"], []).append(
+                [time_ns / 1e9 + DRAIN_GRACE_NS / 1e9, float("inf")]
+            )
+        elif event in ("drain_cancel_requested", "instance_exited") and fields.get("target") in drains:
+            drains[fields["target"]][-1][1] = min(drains[fields["target"]][-1][1], time_ns / 1e9)
+    sent_at_by_id = {report.id.encode(): report.sent_at for report in reports}
     return sum(
-        any(begin + SLACK < sent[ident] < end - SLACK for begin, end in drains.get(name, ()))
+        any(
+            grace_end + LOG_DELAY_S < sent_at_by_id[request_id] < drain_end - LOG_DELAY_S
+            for grace_end, drain_end in drains.get(name, ())
+        )
         for name, engine in site.engines.items()
-        for ident in engine.first_started
-        if ident in sent
+        for request_id in engine.first_started
+        if request_id in sent_at_by_id
     )
 
 
 def main() -> int:
-    """Run the measurement; returns the exit code."""
+    """Run the measurement and return the exit code."""
     arguments = parse_arguments(__doc__ or "", drains=200, rate=120.0, seed=25)
     figures = asyncio.run(measure(arguments.drains, arguments.rate, arguments.seed))
     write_figures(arguments, figures)
