--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -1,6 +1,6 @@
-"""The decisions of the agent alone, in simulated time: cost of a tick with 100 to 10,000 instances.
+"""Measures the cost of one tick of the agent's decisions with 100 to 10,000 instances, in simulated time.
 
-No process, socket or file: `Supervisor` and `OrderRegistry` only, with steps carried out in memory.
+Only `Supervisor` and `OrderRegistry` run: steps are carried out in memory, with no process, socket or file.
 """
 
 from __future__ import annotations
@@ -23,53 +23,53 @@
 
 
 class Fleet:
-    """A supervisor and its orders, with steps carried out at once."""
+    """A supervisor and its orders; each step is carried out at once."""
 
     def __init__(self, size: int, seed: int) -> None:
         """Supervise `size` instances at ten sites."""
         self.now = 1000 * SECOND
         self.instances = [Instance(f"n{n}", f"site{n % SITES}") for n in range(size)]
-        away = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
+        max_unavailable = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
         self.supervision = Supervisor(
-            self.instances, SupervisionTimeouts(max_starting=size), away, seed, lambda: self.now
+            self.instances, SupervisionTimeouts(max_starting=size), max_unavailable, seed, lambda: self.now
         )
         self.orders = OrderRegistry(self.supervision, lambda: self.now)
 
     def tick(self) -> int:
-        """Decide and carry out what is due, as the agent does; returns the nanoseconds spent deciding."""
-        spent = -time.perf_counter_ns()
+        """Decide and carry out the due steps, as the agent does; return the nanoseconds spent deciding."""
+        duration = -time.perf_counter_ns()
         self.orders.advance(self.now)
         steps = self.supervision.tick(self.now)
-        spent += time.perf_counter_ns()
+        duration += time.perf_counter_ns()
         for step in steps:
             if step.action is Action.START:
                 self.supervision.process_started(self.now, step.instance)
             else:
                 self.supervision.process_exited(self.now, step.instance, "ended as ordered")
-        return spent
+        return duration
 
-    def pass_time(self, by: int, state: str = "serving") -> int:
-        """Advance the time and report all instances; returns the nanoseconds spent on the reports."""
-        self.now += by
-        spent = -time.perf_counter_ns()
+    def advance_time(self, elapsed: int, state: str = "serving") -> int:
+        """Advance the time and report all instances; return the nanoseconds spent on the reports."""
+        self.now += elapsed
+        duration = -time.perf_counter_ns()
         for instance in self.instances:
             if instance.alive and instance.phase is not Phase.DRAINING:
                 self.supervision.report_received(
                     self.now, instance, state, instance.process_generation, REPORT
                 )
-        return spent + time.perf_counter_ns()
+        return duration + time.perf_counter_ns()
 
 
 def measure(size: int, seed: int) -> dict[str, float]:
-    """Measure ticks with nothing to do, then those of a restart of all instances."""
+    """Measure ticks with nothing to do, then the ticks of a restart of all instances."""
     fleet = Fleet(size, seed)
     fleet.tick()
-    fleet.pass_time(100 * MS)
-    quiet = []
-    reports = []
+    fleet.advance_time(100 * MS)
+    idle_durations = []
+    report_durations = []
     for _ in range(30):
-        reports.append(fleet.pass_time(100 * MS))
-        quiet.append(fleet.tick())
+        report_durations.append(fleet.advance_time(100 * MS))
+        idle_durations.append(fleet.tick())
     submission = OrderSubmission(
         "all",
         "asha",
@@ -78,13 +78,13 @@
         3600 * SECOND,
     )
     order = fleet.orders.submit(fleet.now, submission)
-    busy = []
-    worst = 0
+    restart_durations = []
+    max_excess = 0
     while order.is_open:
-        fleet.pass_time(100 * MS)
-        busy.append(fleet.tick())
-        worst = max(
-            worst,
+        fleet.advance_time(100 * MS)
+        restart_durations.append(fleet.tick())
+        max_excess = max(
+            max_excess,
             *(
                 fleet.supervision.unavailable[site] - fleet.supervision.max_unavailable[site]
                 for site in fleet.supervision.unavailable
@@ -92,17 +92,17 @@
         )
     return {
         "size": size,
-        "quiet_ms": statistics.median(quiet) / 1e6,
-        "busy_ms": statistics.median(busy) / 1e6,
-        "busy_worst_ms": max(busy) / 1e6,
-        "report_us": statistics.median(reports) / 1e3 / size,
-        "turns": len(busy),
-        "beyond_bound": worst,
+        "quiet_ms": statistics.median(idle_durations) / 1e6,
+        "busy_ms": statistics.median(restart_durations) / 1e6,
+        "busy_worst_ms": max(restart_durations) / 1e6,
+        "report_us": statistics.median(report_durations) / 1e3 / size,
+        "turns": len(restart_durations),
+        "beyond_bound": max_excess,
     }
 
 
 def main() -> int:
-    """Run the measurement; 1 where more instances were out than the budgets allow."""
+    """Run the measurement; the exit code is 1 if more instances were unavailable than the budgets allow."""
     arguments = parse_arguments(__doc__ or "", seed=16)
     rows = [measure(size, arguments.seed) for size in (100, 1000, 10_000)]
     print_line(f"{describe_machine()}; simulated time")
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -1,4 +1,4 @@
-"""Two hundred simulated nodes at 2,000 requests a second: events a second, and cost by number of nodes."""
+"""Measures the emulator: events a second of 200 nodes at 2,000 requests a second, and cost by fleet size."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
     """Cost of one simulated scenario."""
 
     nodes: int
-    seconds_taken: float  # real time
+    real_seconds: float
     events: int
     requests: int
-    times_real: float  # simulated seconds a real second
+    speedup: float  # simulated seconds per real second
     breaches: int
     digest: str
 
-    def figures(self) -> dict[str, Any]:
-        """Return the figures with the keys of the journal."""
+    def to_figures(self) -> dict[str, Any]:
+        """Return the figures under their JSON keys."""
         return {
             "nodes": self.nodes,
-            "took_s": self.seconds_taken,
+            "took_s": self.real_seconds,
             "events": self.events,
             "asked": self.requests,
-            "times_real": self.times_real,
+            "times_real": self.speedup,
             "breaches": self.breaches,
             "digest": self.digest,
         }
 
 
 def measure_fleet(nodes: int, seconds: float, seed: int) -> Measurement:
-    """Simulate a fleet for some seconds and measure the real time that it takes."""
+    """Simulate a fleet for some seconds and measure the real time that the simulation takes."""
     scenario = Scenario(
         nodes=nodes,
         cores=4,
@@ -58,10 +58,10 @@
     elapsed = time.perf_counter() - started
     return Measurement(
         nodes=nodes,
-        seconds_taken=elapsed,
+        real_seconds=elapsed,
         events=result.events_processed,
         requests=result.requests,
-        times_real=(seconds + RESPONSE_TIME_NS / SECOND) / elapsed,
+        speedup=(seconds + RESPONSE_TIME_NS / SECOND) / elapsed,
         breaches=len(result.breaches),
         digest=result.digest(),
     )
@@ -69,15 +69,15 @@
 
 def print_row(row: Measurement) -> None:
     """Print the cost of one fleet size."""
-    cost = 1e6 * row.seconds_taken / row.requests
+    cost = 1e6 * row.real_seconds / row.requests
     print_line(
-        f"  {row.nodes:5} nodes, 10 s: {row.seconds_taken:.1f} s, {cost:.0f} us an"
+        f"  {row.nodes:5} nodes, 10 s: {row.real_seconds:.1f} s, {cost:.0f} us an"
         f" exchange, {row.events} events, {row.breaches} breaches"
     )
 
 
 def main() -> int:
-    """Measure three fleet sizes, then the one asked for; exit code 1 where a rule is broken."""
+    """Measure three fleet sizes, then the requested size; the exit code is 1 if an invariant is broken."""
     arguments = parse_arguments(__doc__ or "", seconds=60.0, nodes=200, seed=18)
     print_line(f"{describe_machine()}; simulated time")
     rows = []
@@ -86,13 +86,13 @@
         rows.append(row)
         print_row(row)
     final = measure_fleet(arguments.nodes, arguments.seconds, arguments.seed)
-    write_figures(arguments, {"rows": [row.figures() for row in rows], "whole": final.figures()})
+    write_figures(arguments, {"rows": [row.to_figures() for row in rows], "whole": final.to_figures()})
     print_line(
         f"  {final.nodes} nodes, {arguments.seconds:g} s: {final.requests} exchanges,"
-        f" {final.seconds_taken:.1f} s, record {final.digest}"
+        f" {final.real_seconds:.1f} s, record {final.digest}"
     )
     print_line(
-        f"emulator: {final.events / final.seconds_taken:.0f} events/s, {final.times_real:.1f} times real time"
+        f"emulator: {final.events / final.real_seconds:.0f} events/s, {final.speedup:.1f} times real time"
     )
     return 1 if any(row.breaches for row in (*rows, final)) else 0
 
