--- a/measure/orders.py
+++ b/measure/orders.py
@@ -1,4 +1,4 @@
-"""Agents killed at random durable steps while orders arrive: none may be lost, none carried out twice."""
+"""Kills agents at random durable steps while orders arrive; no order may be lost or carried out twice."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from oakkeel.settings.keys import read_operator_key, write_key
 from oakkeel.units import SECOND
 
-VERBS = ("restart", "stop", "start")  # one after the other: each needs the state that the last one left
-MAX_CRASH_STEP = 14  # an agent kills itself at one of its first durable steps
+VERBS = ("restart", "stop", "start")  # in this order: each verb needs the state that the previous one leaves
+MAX_CRASH_STEP = 14  # an agent kills itself at one of its first 14 durable steps
 
 
-class Lane:
-    """One host with one instance, its agent killed repeatedly, and one operator who sends orders."""
+class HostScenario:
+    """One host with one instance, an agent that is killed repeatedly, and an operator who sends orders."""
 
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
-        """Use the crashes that are left in `crashes`, which all lanes share."""
+        """Take crashes from the semaphore `crashes`, which all hosts share."""
         self.folder = folder
         self.random = Random(seed)
-        self.crashes = crashes
+        self.remaining_crashes = crashes
         site = FakeSite(
             folder,
             {"wb1": ["n1"]},
@@ -44,27 +44,27 @@
         self.host = self.fleet.hosts[0]
         self.key = read_operator_key(self.fleet, "asha")
         self.agent: asyncio.subprocess.Process | None = None
-        self.crashed = self.orders = self.resent = self.lost = 0
+        self.crash_count = self.orders = self.resent = self.lost = 0
         self.expected_starts = 1
-        self.doomed = False  # the present agent will kill itself
+        self.will_crash = False  # the current agent will kill itself
 
     async def run(self) -> None:
-        """Send orders until no crash is left, then wait until the last one has ended."""
-        while not self.crashes.locked() or self.doomed:
+        """Send orders until no crash is left, then wait until the last order has ended."""
+        while not self.remaining_crashes.locked() or self.will_crash:
             await self._carry_out_order(VERBS[self.orders % len(VERBS)])
-        await self._settled_generation()
+        await self._wait_until_settled()
 
     async def _ensure_agent(self) -> None:
-        """Start an agent where none runs; it kills itself as long as crashes are left."""
+        """Start an agent if none runs; as long as crashes are left, the agent will kill itself."""
         if self.agent is None or self.agent.returncode is not None:
             if self.agent is not None:
-                self.crashed += 1
+                self.crash_count += 1
             step = 0
-            self.doomed = False
-            if not self.crashes.locked():
-                await self.crashes.acquire()
+            self.will_crash = False
+            if not self.remaining_crashes.locked():
+                await self.remaining_crashes.acquire()
                 step = self.random.randint(1, MAX_CRASH_STEP)
-                self.doomed = True
+                self.will_crash = True
             self.agent = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -77,15 +77,15 @@
             )
 
     async def _request(self, request: messages.Request) -> messages.Response | None:
-        """Return the agent's response, or None where it gave none within a second."""
+        """Return the agent's response, or None if there was none within a second."""
         await self._ensure_agent()
         with contextlib.suppress(AgentError, asyncio.TimeoutError):
             return await asyncio.wait_for(request_once(self.host.agent, self.key, request), 1.0)
         await asyncio.sleep(0.02)
         return None
 
-    async def _settled_generation(self) -> int:
-        """Return the generation once the instance serves or is stopped and no order is open."""
+    async def _wait_until_settled(self) -> int:
+        """Wait until the instance serves or is stopped and no order is open; return its generation."""
         while True:
             answer = await self._request(messages.HostStatusRequest())
             if isinstance(answer, messages.HostStatus):
@@ -95,9 +95,9 @@
             await asyncio.sleep(0.01)
 
     async def _carry_out_order(self, verb: str) -> None:
-        """Send an order until it is acknowledged, whatever dies; then wait until it has ended."""
-        order_id = await self._acknowledged_order(verb)
-        while True:  # it was acknowledged: no crash may lose it
+        """Send an order until it is acknowledged, through all crashes; then wait until it has ended."""
+        order_id = await self._submit_until_acknowledged(verb)
+        while True:  # the order was acknowledged: no crash may lose it
             answer = await self._request(messages.ListOrdersRequest(200))
             if isinstance(answer, messages.OrderList):
                 found = [order for order in answer.orders if order.order_id == order_id]
@@ -110,9 +110,9 @@
                     return
             await asyncio.sleep(0.01)
 
-    async def _acknowledged_order(self, verb: str) -> str:
+    async def _submit_until_acknowledged(self, verb: str) -> str:
         """Send an order, with the same ID until it is acknowledged, and return the ID."""
-        generation = await self._settled_generation()
+        generation = await self._wait_until_settled()
         order_id = f"o{self.orders}"
         request = messages.OrderRequest(order_id, verb, [("n1", generation)], 120 * SECOND)
         while True:
@@ -126,8 +126,8 @@
         self.expected_starts += verb in ("restart", "start")
         return order_id
 
-    def starts(self) -> int:
-        """Return how many processes of the instance were started, by its journal."""
+    def count_starts(self) -> int:
+        """Return the number of processes that were started, from the instance's journal."""
         with open(os.path.join(self.host.state, "n1.journal"), encoding="ascii") as file:
             return sum(line.startswith("start") for line in file)
 
@@ -142,51 +142,53 @@
         processes.close()
 
 
-async def measure(crashes: int, lane_count: int, seed: int) -> dict[str, Any]:
-    """Kill agents at random steps, in several lanes, and count orders lost and processes started twice."""
-    crashes_left = asyncio.Semaphore(crashes)
+async def measure(crashes: int, scenario_count: int, seed: int) -> dict[str, Any]:
+    """Kill agents at random steps on several hosts; count the lost orders and the started processes."""
+    remaining_crashes = asyncio.Semaphore(crashes)
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
-        lanes: list[Lane] = []
-        for number in range(lane_count):
+        scenarios: list[HostScenario] = []
+        for number in range(scenario_count):
             os.mkdir(os.path.join(folder, str(number)))
-            lanes.append(Lane(os.path.join(folder, str(number)), seed + number, crashes_left))
+            scenarios.append(
+                HostScenario(os.path.join(folder, str(number)), seed + number, remaining_crashes)
+            )
         try:
-            runs = asyncio.gather(*(lane.run() for lane in lanes))
+            runs = asyncio.gather(*(scenario.run() for scenario in scenarios))
             while not runs.done():
                 await asyncio.wait((runs,), timeout=10)
-                crashed = sum(lane.crashed for lane in lanes)
-                orders = sum(lane.orders for lane in lanes)
-                print_line(f"  {crashed} crashes, {orders} orders")
+                crash_count = sum(scenario.crash_count for scenario in scenarios)
+                orders = sum(scenario.orders for scenario in scenarios)
+                print_line(f"  {crash_count} crashes, {orders} orders")
             await runs
             return {
-                "crashes": sum(lane.crashed for lane in lanes),
-                "orders": sum(lane.orders for lane in lanes),
-                "resent": sum(lane.resent for lane in lanes),
-                "lost": sum(lane.lost for lane in lanes),
-                "starts": sum(lane.starts() for lane in lanes),
-                "expected_starts": sum(lane.expected_starts for lane in lanes),
+                "crashes": sum(scenario.crash_count for scenario in scenarios),
+                "orders": sum(scenario.orders for scenario in scenarios),
+                "resent": sum(scenario.resent for scenario in scenarios),
+                "lost": sum(scenario.lost for scenario in scenarios),
+                "starts": sum(scenario.count_starts() for scenario in scenarios),
+                "expected_starts": sum(scenario.expected_starts for scenario in scenarios),
             }
         finally:
-            for lane in lanes:
-                await lane.close()
+            for scenario in scenarios:
+                await scenario.close()
 
 
 def main() -> int:
-    """Run the measurement; returns the exit code."""
+    """Run the measurement and return the exit code."""
     arguments = parse_arguments(__doc__ or "", crashes=300, lanes=6, seed=16)
     started = time.monotonic()
     figures = asyncio.run(measure(arguments.crashes, arguments.lanes, arguments.seed))
     write_figures(arguments, figures)
-    twice = max(0, figures["starts"] - figures["expected_starts"])
+    doubled = max(0, figures["starts"] - figures["expected_starts"])
     missing = max(0, figures["expected_starts"] - figures["starts"])
     print_line(
         f"{figures['orders']} orders, sent again {figures['resent']} times; {figures['starts']} processes"
         f" made, {figures['expected_starts']} ordered; took {time.monotonic() - started:.0f} s"
     )
     print_line(
-        f"orders: {figures['crashes']} crashes, {figures['lost'] + missing} lost, {twice} carried out twice"
+        f"orders: {figures['crashes']} crashes, {figures['lost'] + missing} lost, {doubled} carried out twice"
     )
-    return 1 if figures["lost"] or twice or missing or figures["crashes"] < arguments.crashes else 0
+    return 1 if figures["lost"] or doubled or missing or figures["crashes"] < arguments.crashes else 0
 
 
 if __name__ == "__main__":
