--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -1,7 +1,7 @@
-"""Five voters of twelve agents as processes under random faults: orders lost or doubled, leaderless time.
+"""Measures lost and doubled orders and leaderless time of twelve agents, five of them voters, under faults.
 
-A prober polls who leads; an operator submits orders; a fault is injected every one to three seconds, one at
-a time.
+A prober polls the voters for the leader; an operator submits orders; random faults are injected one at a
+time, with a pause of 0.3 to 1.5 seconds after each.
 """
 
 from __future__ import annotations
@@ -35,22 +35,22 @@
 
 
 class AgreementRun:
-    """Faults, a prober and an operator on one rig, and what they observed. Times in seconds."""
+    """Faults, a prober and an operator on one rig, and their observations; times in seconds."""
 
     def __init__(self, rig: ProcessRig, seed: int) -> None:
         """Use an open rig; nothing is injected yet."""
         self.rig = rig
         self.random = Random(seed)
         self.faults: Counter[str] = Counter()
-        self.accepted: dict[str, float] = {}  # until it was committed, by order
-        self.accepted_undisturbed: list[float] = []  # the same with no fault at the time
-        self.gaps: list[tuple[float, float]] = []  # when nobody led, and for how long
+        self.accept_durations: dict[str, float] = {}  # by order, from its first attempt until its acceptance
+        self.undisturbed_commit_durations: list[float] = []  # from the last attempt, with no active fault
+        self.leaderless_periods: list[tuple[float, float]] = []  # start and length
         self.active_faults = 0
-        self.leader_deaths: list[float] = []
+        self.leader_kill_times: list[float] = []
         self.finished = False
 
-    async def inject_faults(self, until: float) -> None:
-        """Inject one fault at a time until a monotonic time."""
+    async def inject_faults(self, end_time: float) -> None:
+        """Inject one fault at a time until `end_time` on the monotonic clock."""
         faults: dict[str, Callable[[], Awaitable[None]]] = {
             "kill": self._kill,
             "kill the leader": self._kill_leader,
@@ -66,7 +66,7 @@
             "kill a node": self._kill_node,
             "clock": self._shift_clock,
         }
-        while time.monotonic() < until:
+        while time.monotonic() < end_time:
             kind = self.random.choice(list(faults))
             self.faults[kind] += 1
             self.active_faults += 1
@@ -76,34 +76,34 @@
                 self.active_faults -= 1
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
 
-    def _duration(self) -> float:
+    def _draw_duration(self) -> float:
         return self.random.uniform(0.2, 2.5)
 
-    def _host(self) -> str:
+    def _choose_host(self) -> str:
         return self.random.choice(VOTERS if self.random.random() < 0.7 else list(HOSTS))
 
     async def _kill(self) -> None:
-        await self._kill_agent(self._host())
+        await self._kill_agent(self._choose_host())
 
     async def _kill_leader(self) -> None:
         leader = await self.rig.wait_for_leader()
-        self.leader_deaths.append(time.monotonic())
+        self.leader_kill_times.append(time.monotonic())
         await self._kill_agent(leader)
 
     async def _kill_agent(self, host: str) -> None:
         await self.rig.kill_agent(host)
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._draw_duration())
         await self.rig.start_agent(host)
 
     async def _suspend(self) -> None:
-        await self._suspend_agent(self._host())
+        await self._suspend_agent(self._choose_host())
 
     async def _suspend_leader(self) -> None:
         await self._suspend_agent(await self.rig.wait_for_leader())
 
     async def _suspend_agent(self, host: str) -> None:
         self.rig.suspend_agent(host)
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._draw_duration())
         self.rig.resume_agent(host)
 
     async def _partition_both_ways(self) -> None:
@@ -113,31 +113,31 @@
         await self._partition(both=False)
 
     async def _partition(self, both: bool) -> None:
-        host = self._host()
+        host = self._choose_host()
         others = [other for other in HOSTS if other != host]
         if self.random.random() < 0.5:
             self.rig.links.cut([host], others, both)
         else:
             self.rig.links.cut(others, [host], both)
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._draw_duration())
         self.rig.links.clear_faults()
 
-    async def _disturb_links(self, fault: str, most: float) -> None:
-        self.rig.links.set_faults(**{fault: self.random.uniform(0.05, most)})
-        await asyncio.sleep(self._duration())
+    async def _disturb_links(self, fault: str, max_value: float) -> None:
+        self.rig.links.set_faults(**{fault: self.random.uniform(0.05, max_value)})
+        await asyncio.sleep(self._draw_duration())
         self.rig.links.clear_faults()
 
     async def _fill_disk(self) -> None:
-        host = self._host()
+        host = self._choose_host()
         self.rig.enable_fault(host, "full")
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._draw_duration())
         self.rig.disable_fault(host, "full")
 
     async def _delete_databases(self) -> None:
-        host = self._host()
+        host = self._choose_host()
         await self.rig.kill_agent(host)
-        agent_too = ["agent.db"] if self.random.random() < 0.5 else []
-        self.rig.delete_databases(host, "record.db", *agent_too)
+        agent_database = ["agent.db"] if self.random.random() < 0.5 else []
+        self.rig.delete_databases(host, "record.db", *agent_database)
         await self.rig.start_agent(host)
         await self._wait_until_voting(host)
 
@@ -145,14 +145,14 @@
         self.rig.kill_node(self.random.choice([name for names in HOSTS.values() for name in names]))
 
     async def _shift_clock(self) -> None:
-        self.rig.enable_fault(self._host(), "clock", str(self.random.uniform(-7200, 7200)))
+        self.rig.enable_fault(self._choose_host(), "clock", str(self.random.uniform(-7200, 7200)))
 
     async def _wait_until_voting(self, host: str) -> None:
-        """Wait until a replica votes again: a majority whose databases are gone has lost the log."""
+        """Wait until a replica votes again: the log is lost once a majority has lost its databases."""
         if host not in VOTERS:
             return
 
-        async def votes() -> bool:
+        async def is_voting() -> bool:
             statuses = await self.rig.raft_statuses()
             leader = next((status for status in statuses.values() if status.is_leader), None)
             if leader is None or host not in statuses or statuses[host].epoch != leader.epoch:
@@ -168,10 +168,10 @@
                 for member in leader.members
             )
 
-        await self.rig.wait_until(f"{host} votes again", votes)
+        await self.rig.wait_until(f"{host} votes again", is_voting)
 
     async def probe_leader(self) -> None:
-        """Record how long there is no leader, until the run is finished."""
+        """Record the periods without a leader until the run is finished."""
         started = 0.0
         while not self.finished:
             answers, _ = await self.rig.clients.request_each(
@@ -181,20 +181,20 @@
             statuses = [answer for answer in answers.values() if isinstance(answer, messages.RaftStatus)]
             if any(status.is_leader for status in statuses):
                 if started:
-                    self.gaps.append((started, now - started))
+                    self.leaderless_periods.append((started, now - started))
                 started = 0.0
             else:
                 started = started or now
             await asyncio.sleep(0.03)
 
-    async def operate(self) -> None:
-        """Submit one order after the other, until the run is finished."""
+    async def submit_orders(self) -> None:
+        """Submit one order after the other until the run is finished."""
         names = [name for names in HOSTS.values() for name in names]
         count = 0
         while not self.finished:
             count += 1
-            chosen = self.random.sample(names, self.random.randint(1, 3))
-            await self._submit(f"o{count}", chosen)
+            targets = self.random.sample(names, self.random.randint(1, 3))
+            await self._submit(f"o{count}", targets)
             await asyncio.sleep(self.random.uniform(0.2, 0.8))
 
     async def _submit(self, order_id: str, names: list[str]) -> None:
@@ -216,16 +216,16 @@
             if isinstance(answer, messages.FleetOrderStatus) and any(
                 task.state != "refused" for task in answer.tasks
             ):
-                self.accepted[order_id] = time.monotonic() - started
+                self.accept_durations[order_id] = time.monotonic() - started
                 if undisturbed and not self.active_faults:
-                    self.accepted_undisturbed.append(time.monotonic() - sent)
+                    self.undisturbed_commit_durations.append(time.monotonic() - sent)
             return
 
     async def lost_orders(self) -> list[str]:
         """Return the accepted orders that the control plane has lost."""
         known = {order.order_id for order in (await self.rig.fleet_status()).orders}
         lost = []
-        for order_id in self.accepted:
+        for order_id in self.accept_durations:
             if order_id not in known:
                 try:
                     await self.rig.fleet_status(order_id)
@@ -235,7 +235,7 @@
 
 
 async def measure(seconds: float, seed: int) -> dict[str, Any]:
-    """Inject faults for some seconds, then count and audit what happened."""
+    """Inject faults for some seconds, then count the results and audit the logs."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(
             folder,
@@ -254,9 +254,11 @@
         try:
             await rig.open()
             await rig.wait_for_leader()
-            took = await rig.wait_until_serving()
-            print_line(f"twelve agents, five of them voters; all serve {took:.1f} s after there was a leader")
-            tasks = [asyncio.ensure_future(run.probe_leader()), asyncio.ensure_future(run.operate())]
+            elapsed = await rig.wait_until_serving()
+            print_line(
+                f"twelve agents, five of them voters; all serve {elapsed:.1f} s after there was a leader"
+            )
+            tasks = [asyncio.ensure_future(run.probe_leader()), asyncio.ensure_future(run.submit_orders())]
             await run.inject_faults(time.monotonic() + seconds)
             run.finished = True
             await asyncio.gather(*tasks)
@@ -266,33 +268,35 @@
             lost = await run.lost_orders()
         finally:
             await rig.close()
-        return {"seconds": seconds, "lost": lost} | figures_of(run, folder)
+        return {"seconds": seconds, "lost": lost} | collect_figures(run, folder)
 
 
-def figures_of(run: AgreementRun, folder: str) -> dict[str, Any]:
-    """Return the figures with the keys of the journal."""
+def collect_figures(run: AgreementRun, folder: str) -> dict[str, Any]:
+    """Return the figures under their JSON keys."""
     groups = audit_groups(HOSTS, SITES, MAX_UNAVAILABLE, FLEET_MAX_UNAVAILABLE)
     audit = audit_logs(folder, HOSTS, groups, OBSERVATION_TIME_NS)
-    after_death = [
-        duration for at, duration in run.gaps if any(0 <= at - death < 0.6 for death in run.leader_deaths)
+    failover_durations = [
+        duration
+        for started, duration in run.leaderless_periods
+        if any(0 <= started - killed_at < 0.6 for killed_at in run.leader_kill_times)
     ]
     return {
         "machine": describe_machine(),
         "faults": dict(run.faults),
         "elections": sum(kind == "leader_elected" for _, kind, _ in read_events(folder, HOSTS)),
-        "taken": len(run.accepted),
-        "doubled": doubled_drains(folder),
+        "taken": len(run.accept_durations),
+        "doubled": count_doubled_drains(folder),
         "breaches": audit.finish(0),
         "most_out": audit.most_out["fleet"],
         "bound": FLEET_MAX_UNAVAILABLE,
-        "worst_gap_s": max((duration for _, duration in run.gaps), default=0.0),
-        "after_death_s": after_death,
-        "agreed_s": run.accepted_undisturbed,
+        "worst_gap_s": max((duration for _, duration in run.leaderless_periods), default=0.0),
+        "after_death_s": failover_durations,
+        "agreed_s": run.undisturbed_commit_durations,
     }
 
 
-def doubled_drains(folder: str) -> int:
-    """Return how many processes were drained twice with no cancel between."""
+def count_doubled_drains(folder: str) -> int:
+    """Return the number of processes that were drained twice with no cancel in between."""
     drained: set[tuple[str, int]] = set()
     doubled = 0
     for _, kind, fields in read_events(folder, HOSTS):
@@ -306,7 +310,7 @@
 
 
 def main() -> int:
-    """Run the measurement; returns the exit code."""
+    """Run the measurement and return the exit code."""
     arguments = parse_arguments(__doc__ or "", seconds=150.0, seed=25)
     figures = asyncio.run(measure(arguments.seconds, arguments.seed))
     write_figures(arguments, figures)
