--- a/measure/fair.py
+++ b/measure/fair.py
@@ -1,8 +1,8 @@
-"""Compliant clients beside a crawler at 1, 10 and 100 times its share, on a real node, fairness off and on.
+"""Measures the service of clients beside a crawler at 1, 10 and 100 times its share, fairness off and on.
 
-The node is real, on loopback; its engine has the cores named, so that what it can do in a second is known.
-Before that, in simulated time: memory and time of the heavy hitters with 10 to 1,000,000 clients, and the
-cost of other sketches.
+The node runs as a process on loopback; its engine has a fixed number of cores, so that its capacity is known.
+Measured first, in simulated time: memory and time of the heavy-hitter table with 10 to 1,000,000 clients, and
+of other sketches.
 """
 
 from __future__ import annotations
@@ -29,64 +29,70 @@
 from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.units import SECOND
 
-# the engine's, and seconds of a run: capacity of a hundred a second
+# the engine's cores and the seconds of a request: its capacity is 100 requests a second
 CORES = 2
-WORK = 0.02
-# compliant clients, and requests a second of each
-COMPLIANT = 10
-RATE = 10.0
+WORK_S = 0.02
+# the number of compliant clients, and the requests a second of each
+COMPLIANT_CLIENTS = 10
+CLIENT_RATE = 10.0
 REQUEST_CLASS = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
-SHARE = CORES / WORK / (COMPLIANT + 1)
+FAIR_RATE = CORES / WORK_S / (COMPLIANT_CLIENTS + 1)
 
 
-async def measure_crawler(fair: bool, times: int, seconds: float, seed: int) -> dict[str, Any]:
-    """Run compliant clients beside a crawler at a multiple of its share; return what each obtained."""
+async def measure_crawler(with_fairness: bool, multiple: int, seconds: float, seed: int) -> dict[str, Any]:
+    """Run compliant clients beside a crawler at a multiple of its share; return the figures."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         site = FakeSite(
-            folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, seed=seed, work=WORK, max_retry_after=5)
+            folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, seed=seed, work=WORK_S, max_retry_after=5)
         )
         await site.open()
         site.engines["n1"].calls = 0
-        node, address = await start_node(folder, fair)
-        stderr = asyncio.ensure_future(required(node.stderr).read())
+        node, address = await start_node(folder, with_fairness)
+        log_reader = asyncio.ensure_future(required_stream(node.stderr).read())
         await asyncio.sleep(0.5)
         compliant = [
-            PoliteClient(f"good-{number}", address, RATE, seed + number) for number in range(COMPLIANT)
+            PoliteClient(f"good-{number}", address, CLIENT_RATE, seed + number)
+            for number in range(COMPLIANT_CLIENTS)
         ]
-        crawler = CrawlerClient("crawler", address, SHARE * times, seed + 99)
+        crawler = CrawlerClient("crawler", address, FAIR_RATE * multiple, seed + 99)
         clients = [*compliant, crawler]
         for client in clients:
             await client.start()
         await asyncio.sleep(4.0)
         for client in clients:
             client.reset_counts()
-        cpu = cpu_of(node.pid)
+        cpu = cpu_seconds(node.pid)
         started = time.monotonic()
         await asyncio.sleep(seconds)
         elapsed = time.monotonic() - started
-        cpu = cpu_of(node.pid) - cpu
-        figures = obtained(compliant, crawler, elapsed)
+        cpu = cpu_seconds(node.pid) - cpu
+        figures = compute_shares(compliant, crawler, elapsed)
         attempts = sum(client.tries for client in clients)
         for client in clients:
             await client.stop()
         node.kill()
         await node.wait()
-        await stderr
+        await log_reader
         await site.close()
-        return {"fair": fair, "times": times, **figures, "cpu_ms_a_try": 1000 * cpu / max(1, attempts)}
+        return {
+            "fair": with_fairness,
+            "times": multiple,
+            **figures,
+            "cpu_ms_a_try": 1000 * cpu / max(1, attempts),
+        }
 
 
-def required(stream: asyncio.StreamReader | None) -> asyncio.StreamReader:
+def required_stream(stream: asyncio.StreamReader | None) -> asyncio.StreamReader:
     """Return the stream of a process that was started with a pipe."""
     if stream is None:
         raise OSError("the node was started without a pipe for its log")
     return stream
 
 
-async def start_node(folder: str, fair: bool) -> tuple[asyncio.subprocess.Process, Address]:
-    """Start a node with or without fair sharing; return it and its address, as its log gives it."""
+async def start_node(folder: str, with_fairness: bool) -> tuple[asyncio.subprocess.Process, Address]:
+    """Start a node with or without fair sharing; return the process, and the address from its log."""
     variables = {**os.environ, "PROXY_CONFIG": os.path.join(folder, "n1.json")}
-    if fair:
+    if with_fairness:
         path = os.path.join(folder, "n1.told")
         rules = {"by": ["client"], "weights": {}, "places": 256, "promises": 1024, "half": 4 * SECOND}
         with open(path, "w", encoding="utf-8") as file:
@@ -95,51 +101,53 @@
     node = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "oakkeel", env=variables, stderr=asyncio.subprocess.PIPE
     )
-    line = await asyncio.wait_for(required(node.stderr).readline(), 20)
+    line = await asyncio.wait_for(required_stream(node.stderr).readline(), 20)
     return node, ("127.0.0.1", int(line.rsplit(b":", 1)[1]))
 
 
-def obtained(compliant: list[PoliteClient], crawler: CrawlerClient, elapsed: float) -> dict[str, Any]:
-    """Return what each client got of its fair share in some seconds."""
-    done = [client.completed / elapsed for client in (*compliant, crawler)]
-    sent = [client.sent / elapsed for client in (*compliant, crawler)]
-    shares = fair_share(sent, max(sum(done), 1.0))
-    obtained_shares = [min(1.0, rate / share) for rate, share in zip(done[:-1], shares[:-1], strict=True)]
+def compute_shares(compliant: list[PoliteClient], crawler: CrawlerClient, elapsed: float) -> dict[str, Any]:
+    """Return the figures of the shares that the clients obtained in `elapsed` seconds."""
+    completed_rates = [client.completed / elapsed for client in (*compliant, crawler)]
+    sent_rates = [client.sent / elapsed for client in (*compliant, crawler)]
+    fair_rates = fair_share(sent_rates, max(sum(completed_rates), 1.0))
+    obtained_shares = [
+        min(1.0, rate / share) for rate, share in zip(completed_rates[:-1], fair_rates[:-1], strict=True)
+    ]
     return {
         "kept_mean": statistics.mean(obtained_shares),
         "kept_least": min(obtained_shares),
-        "jain": jain(done[:-1]),
-        "crawler_a_second": done[-1],
-        "completed_a_second": sum(done),
+        "jain": jain(completed_rates[:-1]),
+        "crawler_a_second": completed_rates[-1],
+        "completed_a_second": sum(completed_rates),
         "returned": sum(client.returned for client in compliant),
         "went_ahead": sum(client.went_ahead for client in compliant),
     }
 
 
-def cpu_of(pid: int) -> float:
-    """Return the seconds of CPU time that a process has taken."""
+def cpu_seconds(pid: int) -> float:
+    """Return the seconds of CPU time that a process has used."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 class ExactCounts:
-    """A counter for each flow: the baseline that bounded memory is compared with."""
+    """A counter for each flow: the baseline for the tables of bounded memory."""
 
     def __init__(self) -> None:
         """Start with nothing counted."""
         self.counts: dict[int, float] = {}
 
     def add(self, now: int, key: int, weight: float) -> None:
-        """Count what a flow sent."""
+        """Add the weight of a request of a flow."""
         self.counts[key] = self.counts.get(key, 0.0) + weight
 
 
 class CountMin:
-    """Count-min with conservative update: four rows of 512.
+    """Count-min sketch with conservative update: four rows of 512 counters.
 
-    G. Cormode, S. Muthukrishnan 2005; C. Estan, G. Varghese 2002. It estimates
-    counts but does not list flows: it needs a table of heavy hitters beside it.
+    G. Cormode, S. Muthukrishnan 2005; C. Estan, G. Varghese 2002. The sketch
+    estimates counts but does not list flows: finding the heavy hitters needs a second table.
     """
 
     def __init__(self, rows: int = 4, columns: int = 512) -> None:
@@ -148,18 +156,18 @@
         self.rows = [[0.0] * columns for _ in range(rows)]
 
     def add(self, now: int, key: int, weight: float) -> None:
-        """Count what a flow sent."""
+        """Add the weight of a request of a flow."""
         columns = [(key >> 14 * number) % self.columns for number in range(len(self.rows))]
-        least = min(row[column] for row, column in zip(self.rows, columns, strict=True)) + weight
+        smallest = min(row[column] for row, column in zip(self.rows, columns, strict=True)) + weight
         for row, column in zip(self.rows, columns, strict=True):
-            row[column] = max(row[column], least)
+            row[column] = max(row[column], smallest)
 
 
 class HashedFlows:
     """Deficit round robin over 512 hashed queues, reduced to its counting.
 
-    P. McKenney 1990; M. Shreedhar, G. Varghese 1995. Flows in the queue of a heavy hitter are
-    served like it.
+    P. McKenney 1990; M. Shreedhar, G. Varghese 1995. All flows in the queue of a heavy hitter get
+    the same service as the heavy hitter.
     """
 
     def __init__(self, queues: int = 512) -> None:
@@ -167,20 +175,22 @@
         self.counts = [0.0] * queues
 
     def add(self, now: int, key: int, weight: float) -> None:
-        """Count what a flow sent."""
+        """Add the weight of a request of a flow."""
         self.counts[key % len(self.counts)] += weight
 
 
-def keys_of(clients: int, seed: int, count: int = 200_000) -> list[int]:
-    """Return the keys that arrive: one in ten of one heavy flow, the others of random flows."""
+def draw_keys(clients: int, seed: int, count: int = 200_000) -> list[int]:
+    """Draw the flow keys of requests: one in ten from one heavy flow, the rest from random flows."""
     generator = random.Random(seed)
-    names = [generator.getrandbits(60) for _ in range(clients)]
-    return [names[0 if generator.random() < 0.1 else int(generator.random() * clients)] for _ in range(count)]
+    flow_keys = [generator.getrandbits(60) for _ in range(clients)]
+    return [
+        flow_keys[0 if generator.random() < 0.1 else int(generator.random() * clients)] for _ in range(count)
+    ]
 
 
 def measure_sketches(seed: int) -> list[dict[str, Any]]:
-    """Measure memory and time of each kind of table."""
-    kinds: dict[str, Callable[[], Any]] = {
+    """Measure memory and time of each type of table."""
+    table_types: dict[str, Callable[[], Any]] = {
         "space-saving, 256": lambda: HeavyHitters(256, 4 * SECOND),
         "exact": ExactCounts,
         "count-min, 4 x 512": CountMin,
@@ -188,30 +198,32 @@
     }
     rows = []
     for clients in (10, 10_000, 1_000_000):
-        keys = keys_of(clients, seed)
-        for name, make in kinds.items():
-            table = make()
+        keys = draw_keys(clients, seed)
+        for name, make_table in table_types.items():
+            table = make_table()
             started = time.perf_counter_ns()
             for number, key in enumerate(keys):
                 table.add(number * 100_000, key, 1.0)
-            spent = time.perf_counter_ns() - started
+            elapsed = time.perf_counter_ns() - started
             tracemalloc.start()
-            traced = make()
+            traced = make_table()
             for number, key in enumerate(keys):
                 traced.add(number * 100_000, key, 1.0)
             memory = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             rows.append(
-                {"clients": clients, "measure": name, "kb": memory / 1024, "us": spent / len(keys) / 1e3}
+                {"clients": clients, "measure": name, "kb": memory / 1024, "us": elapsed / len(keys) / 1e3}
             )
     return rows
 
 
 def measure_decisions(seed: int) -> list[dict[str, Any]]:
-    """Measure `FairSharing.arrive` in all, with the shares allocated five times a second."""
+    """Measure the whole of `FairSharing.arrive`, with the shares allocated five times a second."""
     rows = []
     for clients in (10, 1_000_000):
-        fair = FairSharing(FairSharingRules(("tenant", "client"), {}), True, random.Random(seed).random)
+        fair_sharing = FairSharing(
+            FairSharingRules(("tenant", "client"), {}), True, random.Random(seed).random
+        )
         requests = [
             Request(
                 REQUEST_CLASS,
@@ -225,18 +237,18 @@
                 False,
                 flow_keys=((1 + key % 7, b"tenant"), (key, b"client")),
             )
-            for key in keys_of(clients, seed, 100_000)
+            for key in draw_keys(clients, seed, 100_000)
         ]
         started = time.perf_counter_ns()
         for number, request in enumerate(requests):
-            fair.arrive(number * 1_000_000, request, 20e6, 4.0)
+            fair_sharing.arrive(number * 1_000_000, request, 20e6, 4.0)
         rows.append({"clients": clients, "us": (time.perf_counter_ns() - started) / len(requests) / 1e3})
     return rows
 
 
-def print_costs(sizes: list[dict[str, Any]], decisions: list[dict[str, Any]]) -> None:
+def print_costs(sketch_costs: list[dict[str, Any]], decisions: list[dict[str, Any]]) -> None:
     """Print memory and time of the sketches, and time of the decisions."""
-    for row in sizes:
+    for row in sketch_costs:
         print_line(
             f"  {row['clients']:9,} clients, {row['measure']}: {row['kb']:.0f} KB,"
             f" {row['us']:.2f} us a request"
@@ -251,13 +263,13 @@
     """Measure crawlers of three rates, without and with fair sharing, for some rounds."""
     runs = []
     for number in range(rounds):
-        for times in (1, 10, 100):
-            for fair in (False, True):
-                run = asyncio.run(measure_crawler(fair, times, seconds, seed + number))
+        for multiple in (1, 10, 100):
+            for with_fairness in (False, True):
+                run = asyncio.run(measure_crawler(with_fairness, multiple, seconds, seed + number))
                 runs.append(run)
                 print_line(
-                    f"  crawler at {times} times its share, {'fair' if fair else 'before'}: kept"
-                    f" {run['kept_mean']:.3f} (least {run['kept_least']:.3f}), Jain {run['jain']:.3f},"
+                    f"  crawler at {multiple} times its share, {'fair' if with_fairness else 'before'}:"
+                    f" kept {run['kept_mean']:.3f} (least {run['kept_least']:.3f}), Jain {run['jain']:.3f},"
                     f" crawler {run['crawler_a_second']:.1f} of {run['completed_a_second']:.0f} a second,"
                     f" as promised {run['went_ahead']} of {run['returned']},"
                     f" {run['cpu_ms_a_try']:.2f} ms a try"
@@ -266,24 +278,24 @@
 
 
 def main() -> int:
-    """Measure, print and record; 1 where compliant clients or reservations are served too badly."""
+    """Run the measurement; the exit code is 1 if compliant clients or reservations are served too badly."""
     arguments = parse_arguments(__doc__ or "", seconds=10.0, rounds=2, seed=17)
-    sizes = measure_sketches(arguments.seed)
+    sketch_costs = measure_sketches(arguments.seed)
     decisions = measure_decisions(arguments.seed)
-    print_costs(sizes, decisions)
+    print_costs(sketch_costs, decisions)
     runs = measure_crawlers(arguments.rounds, arguments.seconds, arguments.seed)
-    write_figures(arguments, {"measures": sizes, "decisions": decisions, "days": runs})
+    write_figures(arguments, {"measures": sketch_costs, "decisions": decisions, "days": runs})
     fair_runs = [run for run in runs if run["fair"]]
     obtained_share = min(run["kept_mean"] for run in fair_runs)
     returned = sum(run["returned"] for run in fair_runs)
-    ahead = sum(run["went_ahead"] for run in fair_runs) / max(1, returned)
-    before = min(run["kept_mean"] for run in runs if not run["fair"])
-    print_line(f"before: compliant clients keep {100 * before:.1f} % of it in the worst run")
+    promises_kept = sum(run["went_ahead"] for run in fair_runs) / max(1, returned)
+    unfair_share = min(run["kept_mean"] for run in runs if not run["fair"])
+    print_line(f"before: compliant clients keep {100 * unfair_share:.1f} % of it in the worst run")
     print_line(
         f"fair: compliant clients keep {100 * obtained_share:.1f} % of their fair share,"
-        f" promises kept {100 * ahead:.1f} %"
+        f" promises kept {100 * promises_kept:.1f} %"
     )
-    return 1 if obtained_share < 0.9 or ahead < 0.95 or not returned else 0
+    return 1 if obtained_share < 0.9 or promises_kept < 0.95 or not returned else 0
 
 
 if __name__ == "__main__":
