--- a/measure/places.py
+++ b/measure/places.py
@@ -1,7 +1,7 @@
-"""Consensus and permits at scale, in simulated time: three replicas, a thousand agents, all restarted.
+"""Measures consensus and permits in a simulated restart of all instances of 1,000 agents, with 3 replicas.
 
 The decisions are those of the program, with no socket, file or process. An agent sends a heartbeat every half
-second, as in a fleet of a thousand; an instance is out for three seconds.
+second, as in a fleet of a thousand agents; a restart takes an instance three seconds.
 """
 
 from __future__ import annotations
@@ -29,29 +29,29 @@
 
 
 def make_topology(hosts: int, instances_per_host: int) -> Topology:
-    """Return hosts at twenty sites, a tenth of which may be out at each site and in all."""
+    """Return hosts at twenty sites; a tenth of each site and of the fleet may be unavailable."""
     names = [f"h{number}" for number in range(hosts)]
     targets = {name: tuple(f"{name}i{number}" for number in range(instances_per_host)) for name in names}
     groups = []
     for site in range(SITES):
         members = tuple(target for name in names[site::SITES] for target in targets[name])
         groups.append(BudgetGroup(f"site s{site}", max(1, len(members) // 10), members))
-    everything = tuple(target for members in targets.values() for target in members)
-    groups.append(BudgetGroup("fleet", hosts * instances_per_host // 10, everything))
+    all_targets = tuple(target for members in targets.values() for target in members)
+    groups.append(BudgetGroup("fleet", hosts * instances_per_host // 10, all_targets))
     return Topology(targets, tuple(groups))
 
 
 @dataclass(slots=True)
 class Counts:
-    """What was exchanged, and the nanoseconds that it took."""
+    """Numbers of heartbeats, envelopes and entries, and the nanoseconds spent on them."""
 
     heartbeats: int = 0
     heartbeat_ns: int = 0
-    worst_heartbeat_ns: int = 0
+    max_heartbeat_ns: int = 0
     envelopes: int = 0
     envelope_ns: int = 0
     entries: int = 0
-    most_out: int = 0
+    max_unavailable: int = 0
 
 
 class Fleet:
@@ -72,7 +72,7 @@
             for seed, name in enumerate(voters)
         }
         self.agents = {name: PermitHolder(name, targets, 1) for name, targets in topology.hosts.items()}
-        self.back_at: dict[str, int] = {}
+        self.restart_end_by_target: dict[str, int] = {}
         self.envelopes: deque[tuple[str, Envelope]] = deque()
         self.counts = Counts()
 
@@ -82,7 +82,7 @@
         return next((plane for plane in self.control_planes.values() if plane.allocator), None)
 
     def carry_out(self, outputs: list[Output]) -> None:
-        """Count what is stored, and queue what is sent."""
+        """Count the stored log entries, and queue the envelopes to send."""
         for output in outputs:
             self.counts.entries += len(output.storage_update.entries) if output.storage_update else 0
             self.envelopes += output.envelopes
@@ -99,17 +99,17 @@
                 self.carry_out(outputs)
 
     def exchange_heartbeat(self, name: str) -> None:
-        """Exchange a heartbeat of one agent, which starts what was granted."""
+        """Exchange a heartbeat of one agent, which starts the restarts that were granted."""
         holder = self.agents[name]
         self._mark_restored(holder)
-        up = {target: target not in self.back_at for target in holder.targets}
-        heartbeat = holder.heartbeat(self.now, up, [], {})
+        up_by_target = {target: target not in self.restart_end_by_target for target in holder.targets}
+        heartbeat = holder.heartbeat(self.now, up_by_target, [], {})
         leader = required_leader(self)
         started = time.perf_counter_ns()
         response, outputs = leader.receive_heartbeat(self.now, heartbeat)
         elapsed = time.perf_counter_ns() - started
         self.counts.heartbeat_ns += elapsed
-        self.counts.worst_heartbeat_ns = max(self.counts.worst_heartbeat_ns, elapsed)
+        self.counts.max_heartbeat_ns = max(self.counts.max_heartbeat_ns, elapsed)
         self.counts.heartbeats += 1
         self.carry_out(outputs)
         self.deliver()
@@ -118,20 +118,20 @@
             if (
                 not permit.started
                 and holder.may_start(self.now, permit.target, permit.order_id)
-                and permit.target not in self.back_at
+                and permit.target not in self.restart_end_by_target
                 and not holder.permits[permit.target].started
             ):
                 holder.start(self.now, permit.target)
-                self.back_at[permit.target] = self.now + RESTART_TIME_NS
+                self.restart_end_by_target[permit.target] = self.now + RESTART_TIME_NS
 
     def _mark_restored(self, holder: PermitHolder) -> None:
         for target in holder.targets:
-            if self.back_at.get(target, 0) and self.now >= self.back_at[target]:
-                del self.back_at[target]
+            if self.restart_end_by_target.get(target, 0) and self.now >= self.restart_end_by_target[target]:
+                del self.restart_end_by_target[target]
                 holder.mark_restored(target)
 
     def advance(self, names: list[str]) -> None:
-        """Advance the time by ten milliseconds, in which some agents send a heartbeat."""
+        """Advance the time by ten milliseconds; the named agents send a heartbeat."""
         self.now += 10 * MS
         for control_plane in self.control_planes.values():
             if control_plane.replica.next_tick_at() <= self.now:
@@ -139,84 +139,86 @@
         self.deliver()
         for name in names:
             self.exchange_heartbeat(name)
-        self.counts.most_out = max(self.counts.most_out, len(self.back_at))
+        self.counts.max_unavailable = max(self.counts.max_unavailable, len(self.restart_end_by_target))
 
 
 def required_leader(fleet: Fleet) -> ControlPlaneReplica:
-    """Return the leader of a fleet, which a simulation without faults always has."""
+    """Return the leader of a fleet; a simulation without faults always has a leader."""
     if (leader := fleet.leader) is None:
         raise NotLeaderError("", "no leader in a simulation without faults")
     return leader
 
 
 def submit_restarts(fleet: Fleet, leader: ControlPlaneReplica) -> None:
-    """Order a restart of all instances, a thousand an order."""
+    """Order a restart of all instances, in orders of a thousand instances each."""
     targets = [target for name in fleet.agents for target in fleet.topology.hosts[name]]
     for first in range(0, len(targets), 1000):
-        chosen = [(target, 1) for target in targets[first : first + 1000]]
-        order = commands.SubmitOrder(f"o{first}", "asha", "restart", 0, 3600 * SECOND, False, chosen)
+        order_targets = [(target, 1) for target in targets[first : first + 1000]]
+        order = commands.SubmitOrder(f"o{first}", "asha", "restart", 0, 3600 * SECOND, False, order_targets)
         _, outputs = leader.propose(fleet.now, order)
         fleet.carry_out(outputs)
         fleet.deliver()
 
 
 def has_open_orders(leader: ControlPlaneReplica) -> bool:
-    """Return whether an order has not ended."""
+    """Return whether at least one order is open."""
     return any(order.is_open for order in leader.state_machine.state.orders.values())
 
 
 def play(hosts: int, instances_per_host: int, real_limit: float) -> dict[str, Any]:
-    """Restart a fleet in simulated time, for `real_limit` real seconds at most, and return the figures."""
+    """Restart a fleet in simulated time, for at most `real_limit` real seconds; return the figures."""
     fleet = Fleet(make_topology(hosts, instances_per_host))
     while fleet.leader is None:
         fleet.advance([])
     names = list(fleet.agents)
-    slices = [names[index::50] for index in range(50)]
+    heartbeat_groups = [names[index::50] for index in range(50)]
     for index in range(100):
-        fleet.advance(slices[index % 50])
-    idle = replace(fleet.counts)
+        fleet.advance(heartbeat_groups[index % 50])
+    idle_counts = replace(fleet.counts)
     leader = required_leader(fleet)
     submit_restarts(fleet, leader)
-    before = replace(fleet.counts)
+    counts_before = replace(fleet.counts)
     started = fleet.now
     real_start = time.monotonic()
     ticks = 0
     while has_open_orders(leader) and time.monotonic() - real_start < real_limit:
-        fleet.advance(slices[ticks % 50])
+        fleet.advance(heartbeat_groups[ticks % 50])
         ticks += 1
     return {
         "hosts": hosts,
         "instances": hosts * instances_per_host,
         "ended": not has_open_orders(leader),
         "real_s": time.monotonic() - real_start,
-        **figures_of(fleet.counts, before, idle, (fleet.now - started) / SECOND),
+        **collect_figures(fleet.counts, counts_before, idle_counts, (fleet.now - started) / SECOND),
         "bound": hosts * instances_per_host // 10,
         "snapshot_kb": len(leader.state_machine.snapshot()) / 1024,
     }
 
 
-def figures_of(counts: Counts, before: Counts, idle: Counts, seconds: float) -> dict[str, Any]:
-    """Return the figures of a restart that took some simulated seconds, with the keys of the journal."""
-    heartbeats = counts.heartbeats - before.heartbeats
-    heartbeat_ns = counts.heartbeat_ns - before.heartbeat_ns
-    envelopes = counts.envelopes - before.envelopes
-    envelope_ns = counts.envelope_ns - before.envelope_ns
+def collect_figures(
+    counts: Counts, counts_before: Counts, idle_counts: Counts, seconds: float
+) -> dict[str, Any]:
+    """Return the figures of a restart that took some simulated seconds, under their JSON keys."""
+    heartbeats = counts.heartbeats - counts_before.heartbeats
+    heartbeat_ns = counts.heartbeat_ns - counts_before.heartbeat_ns
+    envelopes = counts.envelopes - counts_before.envelopes
+    envelope_ns = counts.envelope_ns - counts_before.envelope_ns
     return {
         "simulated_s": seconds,
         "poll_us": heartbeat_ns / max(1, heartbeats) / 1000,
-        "quiet_poll_us": idle.heartbeat_ns / max(1, idle.heartbeats) / 1000,
-        "worst_poll_ms": counts.worst_heartbeat_ns / 1e6,
+        "quiet_poll_us": idle_counts.heartbeat_ns / max(1, idle_counts.heartbeats) / 1000,
+        "worst_poll_ms": counts.max_heartbeat_ns / 1e6,
         "letter_us": envelope_ns / max(1, envelopes) / 1000,
         "polls_a_second": heartbeats / seconds,
         "letters_a_second": envelopes / seconds,
         "leader_busy": (heartbeat_ns + envelope_ns / 2) / 1e9 / seconds,
-        "entries": counts.entries - before.entries,
-        "most_out": counts.most_out,
+        "entries": counts.entries - counts_before.entries,
+        "most_out": counts.max_unavailable,
     }
 
 
 def main() -> int:
-    """Play a small and a large fleet."""
+    """Run the measurement; the exit code is 1 if a restart does not end or exceeds the budget."""
     arguments = parse_arguments(__doc__ or "", hosts=1000, each=10, most=240.0)
     figures = []
     for hosts in (arguments.hosts // 10, arguments.hosts):
