--- a/measure/plan.py
+++ b/measure/plan.py
@@ -1,8 +1,8 @@
-"""The planner at 10,000 instances, and a release of 1,000 nodes in simulated time under drawn failures.
+"""Measures the planner at 10,000 instances, and a simulated release of 1,000 nodes under drawn faults.
 
-The second runs agents, replicas and the rollout controller as they are, on the emulator's clock. Beside it
-stands a lower bound: the time that each node is out is known afterwards, and no sequence of them with as many
-out at a time as the budgets allow could end sooner.
+The release runs the program's agents, replicas and rollout controller on the emulator's clock. Its duration
+is compared with a lower bound that is computed afterwards from the outage of each node: no sequence of these
+outages could end sooner with as many nodes unavailable at a time as the budgets allow.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def plan_durations(count: int) -> dict[str, float]:
-    """Return the milliseconds that one batch takes to choose among `count` instances, 10 a host, 20 sites."""
+    """Return the milliseconds to choose a batch among `count` instances, 10 a host, at 20 sites, by case."""
     names = [f"n{number}" for number in range(count)]
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
@@ -42,41 +42,41 @@
     topology = Topology(hosts, (*groups, BudgetGroup("fleet", count // 10, tuple(names))))
     planner = BatchPlanner(topology)
     random = Random(1)
-    found: dict[str, float] = {}
-    for label, most, out_share in (
+    median_durations: dict[str, float] = {}
+    for label, max_batch, unavailable_share in (
         ("one", 1, 0.0),
         ("as many as may be", 500, 0.0),
         ("a tenth out", 500, 0.1),
     ):
-        out = UnavailableTargets(topology)
-        seen = {name: TargetObservation(name, "serving", 1, "", 0, 0.3) for name in names}
-        for name in random.sample(names, int(count * out_share)):
-            out.add(name, "does not serve")
-            seen[name].phase = "failing"
-        took = []
+        unavailable = UnavailableTargets(topology)
+        observations = {name: TargetObservation(name, "serving", 1, "", 0, 0.3) for name in names}
+        for name in random.sample(names, int(count * unavailable_share)):
+            unavailable.add(name, "does not serve")
+            observations[name].phase = "failing"
+        durations = []
         for _ in range(5):
             started = time.perf_counter()
-            planner.choose(0, names, seen, out, BatchLimits(most, 0.85))
-            took.append(1000 * (time.perf_counter() - started))
-        found[label] = statistics.median(took)
-    return found
+            planner.choose(0, names, observations, unavailable, BatchLimits(max_batch, 0.85))
+            durations.append(1000 * (time.perf_counter() - started))
+        median_durations[label] = statistics.median(durations)
+    return median_durations
 
 
-class DrainTimes:
-    """When each target was drained by an order, and how long until it served again."""
+class DrainDurations:
+    """The time at which each target was drained by an order, and the duration until it served again."""
 
     def __init__(self, simulation: ConsensusSimulation) -> None:
         """Observe the events that the invariant checks receive."""
         self.drained_at: dict[str, int] = {}
         self.durations: dict[str, int] = {}
-        self.most = 0
+        self.max_unavailable = 0
         drain_started = simulation.audit.drain_started
         serving = simulation.audit.serving
 
         def on_drain(now: int, target: str, fence: int, ident: str = "") -> None:
             drain_started(now, target, fence, ident)
             self.drained_at.setdefault(target, now)
-            self.most = max(self.most, len(self.drained_at) - len(self.durations))
+            self.max_unavailable = max(self.max_unavailable, len(self.drained_at) - len(self.durations))
 
         def on_serving(now: int, target: str) -> None:
             serving(now, target)
@@ -87,7 +87,7 @@
         simulation.audit.serving = on_serving  # type: ignore[method-assign]
 
 
-def _draw_schedule(seed: int, deaths: int, kills: int) -> Schedule:
+def _draw_schedule(seed: int, node_deaths: int, agent_kills: int) -> Schedule:
     """Draw when nodes die and agents are killed; two leaders are killed at fixed times."""
     random = Random(seed)
     faults = [
@@ -97,7 +97,7 @@
             random.randrange(HOSTS),
             random.randrange(NODES_PER_HOST),
         )
-        for _ in range(deaths)
+        for _ in range(node_deaths)
     ]
     faults += [
         Fault(
@@ -107,7 +107,7 @@
             0,
             random.randrange(SECOND, 4 * SECOND),
         )
-        for _ in range(kills)
+        for _ in range(agent_kills)
     ]
     faults += [Fault(20 * SECOND, "kill", 0, 0, SECOND), Fault(35 * SECOND, "kill", 1, 0, SECOND)]
     return Schedule(
@@ -121,31 +121,31 @@
     )
 
 
-def release(seed: int, deaths: int, kills: int, gated: bool) -> dict[str, Any]:
-    """Release 1,000 nodes on 100 hosts at 5 sites, at most 20 out at each."""
-    simulation = ConsensusSimulation(_draw_schedule(seed, deaths, kills))
-    drain_times = DrainTimes(simulation)
+def release(seed: int, node_deaths: int, agent_kills: int, gated: bool) -> dict[str, Any]:
+    """Release 1,000 nodes on 100 hosts at 5 sites, with at most 20 unavailable at each site."""
+    simulation = ConsensusSimulation(_draw_schedule(seed, node_deaths, agent_kills))
+    drain_durations = DrainDurations(simulation)
     simulation.clock.run(3 * SECOND)
     started = simulation.clock.now
     state = _follow_release(simulation, gated)
-    took = (simulation.clock.now - started) / SECOND
-    out = [duration / SECOND for duration in drain_times.durations.values()]
-    best = max(sum(out) / (MAX_UNAVAILABLE * SITES), max(out, default=0.0))
+    elapsed = (simulation.clock.now - started) / SECOND
+    outages = [duration / SECOND for duration in drain_durations.durations.values()]
+    lower_bound = max(sum(outages) / (MAX_UNAVAILABLE * SITES), max(outages, default=0.0))
     return {
         "gated": gated,
         "state": state,
-        "seconds": took,
-        "best": best,
-        "nodes": len(out),
-        "out_s": statistics.median(out) if out else 0.0,
-        "most": drain_times.most,
+        "seconds": elapsed,
+        "best": lower_bound,
+        "nodes": len(outages),
+        "out_s": statistics.median(outages) if outages else 0.0,
+        "most": drain_durations.max_unavailable,
         "breaches": simulation.audit.breaches + simulation.rollout_audit.breaches,
         "events": simulation.clock.events_processed,
     }
 
 
 def _follow_release(simulation: ConsensusSimulation, gated: bool) -> str:
-    """Start a release of all nodes, resume it wherever it halts, and return its last state."""
+    """Start a release of all nodes, resume the release whenever it halts, and return its last state."""
     started = simulation.clock.now
     policy = commands.RolloutPolicy(
         soak=SECOND, verdict_timeout=120 * SECOND, batch_timeout=20 * SECOND, gated=gated, margin=0.05
@@ -158,14 +158,14 @@
         leader = leader_of(simulation)
         if leader is None or leader.control_plane is None:
             continue
-        found = leader.control_plane.state_machine.state.releases.get("r")  # type: ignore[attr-defined]
-        if found is None:
+        release_state = leader.control_plane.state_machine.state.releases.get("r")  # type: ignore[attr-defined]
+        if release_state is None:
             continue
-        state = found.state
+        state = release_state.state
         if state == "halted":
-            print_line(f"  halted: {found.why}; resumed")
+            print_line(f"  halted: {release_state.why}; resumed")
             propose(simulation, commands.ControlRelease("r", "asha", "resume"))
-        if found.is_finished:
+        if release_state.is_finished:
             break
     return str(state)
 
@@ -194,17 +194,18 @@
 
 
 def main() -> int:
-    """Measure the planner, and releases with gates and without."""
+    """Run the measurement; the exit code is 1 if a release is not done or breaches an invariant."""
     arguments = parse_arguments(
         "The planner at 10,000 instances; a release of 1,000 nodes in simulated time.",
         seed=26,
         deaths=40,
         kills=8,
     )
-    found = {count: plan_durations(count) for count in (1000, 10_000)}
-    for count, times in found.items():
+    median_durations = {count: plan_durations(count) for count in (1000, 10_000)}
+    for count, durations in median_durations.items():
         print_line(
-            f"{count} instances: " + ", ".join(f"{label} {took:.1f} ms" for label, took in times.items())
+            f"{count} instances: "
+            + ", ".join(f"{label} {duration:.1f} ms" for label, duration in durations.items())
         )
     runs = []
     for gated in (False, True):
@@ -219,12 +220,12 @@
         )
         for breach in run["breaches"]:
             print_line(breach)
-    write_figures(arguments, {"machine": describe_machine(), "turns": found, "runs": runs})
+    write_figures(arguments, {"machine": describe_machine(), "turns": median_durations, "runs": runs})
     first = runs[0]
-    chosen = found[10_000]["as many as may be"]
+    plan_duration = median_durations[10_000]["as many as may be"]
     print_line(
-        f"plan: {chosen:.1f} ms a turn at 10,000 instances; 1,000 nodes released in {first['seconds']:.1f} s,"
-        f" {first['best'] / first['seconds']:.2f} of the best"
+        f"plan: {plan_duration:.1f} ms a turn at 10,000 instances; 1,000 nodes released in"
+        f" {first['seconds']:.1f} s, {first['best'] / first['seconds']:.2f} of the best"
     )
     return 1 if any(run["breaches"] or run["state"] != "done" for run in runs) else 0
 
