--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -1,7 +1,8 @@
-"""Twelve real nodes and two downstream services replaced under load, with nodes and controllers killed.
+"""Measures the release of twelve real nodes and two downstream services under load, with processes killed.
 
-Six hosts at two sites with an agent each, three of them replicas; the rollout controller is killed five times
-and three nodes once each. Beside it: the same by batches with no gates, as fast as the budgets allow.
+Each of the six hosts at two sites has an agent, and three agents are replicas. The rollout controller is
+killed five times and three nodes once each. For comparison, a second run has no gates: its batches are
+released as fast as the budgets allow.
 """
 
 from __future__ import annotations
@@ -33,42 +34,42 @@
 HOSTS = {f"h{number}": [f"n{2 * number - 1}", f"n{2 * number}"] for number in range(1, 7)}
 SITES = {host: ("woodbrook", "belmont")[number % 2] for number, host in enumerate(HOSTS)}
 VOTERS = ("h1", "h2", "h3")
-NAMES = [name for names in HOSTS.values() for name in names]
-# a service makes six nodes unavailable
+NODE_NAMES = [name for names in HOSTS.values() for name in names]
+# the replacement of a service makes six nodes unavailable, which the limit of the fleet must allow
 MAX_UNAVAILABLE = 4
 FLEET_MAX_UNAVAILABLE = 7
-GROUPS: list[dict[str, Any]] = NODE_SETTINGS["classes"]  # type: ignore[assignment]
-WEIGHTS = {str(group["name"]): float(group.get("worth", 1.0)) for group in GROUPS}
-SERVICE_OF = {name: ("db1", "db2")[number % 2] for number, name in enumerate(NAMES)}
+REQUEST_CLASSES: list[dict[str, Any]] = NODE_SETTINGS["classes"]  # type: ignore[assignment]
+PRIORITY_WEIGHTS = {str(group["name"]): float(group.get("worth", 1.0)) for group in REQUEST_CLASSES}
+SERVICE_BY_NODE = {name: ("db1", "db2")[number % 2] for number, name in enumerate(NODE_NAMES)}
 
 
-class WeighingDispatcher(Dispatcher):
-    """Counts the priority weight of all requests, and of those completed in time."""
+class WeightCountingDispatcher(Dispatcher):
+    """Counts the priority weight of all requests, and of the requests completed in time."""
 
     offered = earned = 0.0
 
     def request_sent(self, request_id: str, sent: SentRequest) -> None:
-        """Add a request that is sent."""
-        self.offered += WEIGHTS[sent.group]
+        """Add the weight of a request that is sent."""
+        self.offered += PRIORITY_WEIGHTS[sent.group]
 
     def request_ended(self, sent: SentRequest, outcome: str) -> str:
-        """Add the end of a request."""
+        """Add the weight of a request if it was completed in time."""
         if outcome == "ok":
-            self.earned += WEIGHTS[sent.group]
+            self.earned += PRIORITY_WEIGHTS[sent.group]
         return super().request_ended(sent, outcome)
 
 
 class Load:
-    """Dispatchers that send requests, and what became of these."""
+    """Dispatchers that send requests, and the outcomes of the requests."""
 
     def __init__(self, rig: ProcessRig, rate: float, seed: int) -> None:
         """Send `rate` requests a second in all."""
         self.rig = rig
         self.addresses: dict[str, Address] = {}
         self.dispatchers = [
-            WeighingDispatcher(number, self.open_nodes, rate / 2, seed + number) for number in (1, 2)
+            WeightCountingDispatcher(number, self.open_nodes, rate / 2, seed + number) for number in (1, 2)
         ]
-        self.follower: asyncio.Task[None] | None = None
+        self.address_task: asyncio.Task[None] | None = None
 
     def open_nodes(self) -> dict[str, Address]:
         """Return the addresses of the nodes that the directory lists."""
@@ -76,13 +77,13 @@
         return {name: self.addresses[name] for name in listed if name in self.addresses}
 
     async def start(self) -> None:
-        """Begin to send."""
-        self.follower = asyncio.ensure_future(self._follow())
+        """Start to send requests."""
+        self.address_task = asyncio.ensure_future(self._update_addresses())
         await asyncio.sleep(0.5)
         for dispatcher in self.dispatchers:
             dispatcher.start()
 
-    async def _follow(self) -> None:
+    async def _update_addresses(self) -> None:
         while True:
             for name, row in (await self.rig.instance_statuses()).items():
                 if row.report:
@@ -92,42 +93,42 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Return the number of requests by their end."""
+        """Return the number of requests by outcome."""
         return sum((dispatcher.counts for dispatcher in self.dispatchers), Counter())
 
     @property
     def weights(self) -> tuple[float, float]:
-        """Return the priority weight that was offered, and that was earned."""
+        """Return the priority weight of all requests, and of the requests completed in time."""
         return (
             sum(dispatcher.offered for dispatcher in self.dispatchers),
             sum(dispatcher.earned for dispatcher in self.dispatchers),
         )
 
     def lost_except(self, killed: set[str]) -> int:
-        """Return the requests without a response at nodes that were not killed."""
+        """Return the number of requests without a response at nodes that were not killed."""
         return sum(
             dispatcher.by_node[name][outcome]
             for dispatcher in self.dispatchers
-            for name in NAMES
+            for name in NODE_NAMES
             if name not in killed and name in dispatcher.by_node
             for outcome in ("lost", "late")
         )
 
     async def stop(self) -> None:
-        """Stop sending."""
-        if self.follower:
-            self.follower.cancel()
+        """Stop sending requests."""
+        if self.address_task:
+            self.address_task.cancel()
         for dispatcher in self.dispatchers:
             await dispatcher.stop()
 
 
 class RolloutRun:
-    """Releases on a rig, with faults on the way, and what was out at most."""
+    """Releases on a rig with faults in progress, and the largest numbers of unavailable nodes."""
 
     def __init__(
         self, rig: ProcessRig, services: dict[str, Catalogue], ports: dict[str, int], seed: int
     ) -> None:
-        """Use a rig with services by name, and their ports."""
+        """Use a rig; the services and their ports are given by name."""
         self.rig = rig
         self.services = services
         self.ports = ports
@@ -135,28 +136,34 @@
         self.killed: set[str] = set()
         self.stopped_services: list[Catalogue] = []  # replaced, with connections open until the end
         self.controller_kills = 0
-        self.most_out = 0
-        self.most_with_permit = 0
+        self.max_unavailable = 0
+        self.max_with_permit = 0
         self.finished = False
 
     async def request_leader(self, request: messages.Request) -> messages.Response:
-        """Return the leader's response, however often the leader changes."""
+        """Return the leader's response; retry as long as there is no leader."""
         while True:
             try:
                 return await self.rig.clients.request_leader(request)
             except NoLeaderError:
                 await asyncio.sleep(0.05)
 
-    async def watch(self) -> None:
-        """Record how many nodes the leader knows as unavailable, and how many of these by a permit."""
+    async def watch_unavailable(self) -> None:
+        """Record the largest number of nodes that the leader knows as unavailable, in all and by permit."""
         while not self.finished:
             try:
-                out = (await self.rig.fleet_status()).unavailable
-                with_permit = {entry.target for entry in out if entry.fencing_token}
-                dependent = {name for name, on in SERVICE_OF.items() if on in with_permit}
-                self.most_with_permit = max(self.most_with_permit, len(with_permit & set(NAMES) | dependent))
-                known = [entry for entry in out if entry.target in NAMES and entry.reasons != ["not known"]]
-                self.most_out = max(self.most_out, len(known))
+                unavailable = (await self.rig.fleet_status()).unavailable
+                with_permit = {entry.target for entry in unavailable if entry.fencing_token}
+                dependent = {name for name, service in SERVICE_BY_NODE.items() if service in with_permit}
+                self.max_with_permit = max(
+                    self.max_with_permit, len(with_permit & set(NODE_NAMES) | dependent)
+                )
+                known = [
+                    entry
+                    for entry in unavailable
+                    if entry.target in NODE_NAMES and entry.reasons != ["not known"]
+                ]
+                self.max_unavailable = max(self.max_unavailable, len(known))
             except (NoLeaderError, UnexpectedResponseError):
                 pass
             await asyncio.sleep(0.03)
@@ -167,10 +174,10 @@
         spec: VersionSpec,
         targets: list[str],
         policy: RolloutPolicy,
-        kills: int,
-        nodes: int,
+        controller_kills: int,
+        remaining_node_kills: int,
     ) -> messages.ReleaseStatus:
-        """Start a release, kill controllers and nodes on the way, and follow it to its end."""
+        """Start a release, kill controllers and nodes during the release, and return its final status."""
         answer = await self.request_leader(messages.StartReleaseRequest(release_id, spec, policy, targets))
         _required_status(answer)
         last_step = -1
@@ -184,16 +191,16 @@
             if status.state == "halted":
                 print_line(f"  {release_id} is halted: {status.why}; resumed")
                 await self.request_leader(messages.ControlReleaseRequest(release_id, "resume"))
-            if status.step > last_step and status.step >= next_kill and step_kills < kills:
+            if status.step > last_step and status.step >= next_kill and step_kills < controller_kills:
                 await self._kill_controller()
                 step_kills += 1
                 next_kill = status.step + 1
-            if status.batch >= 2 and nodes and self.random.random() < 0.2:
+            if status.batch >= 2 and remaining_node_kills and self.random.random() < 0.2:
                 self._kill_node()
-                nodes -= 1
+                remaining_node_kills -= 1
             last_step = status.step
             if spec.services:
-                await self.replace(status)
+                await self.replace_services(status)
             await asyncio.sleep(0.05)
 
     async def _kill_controller(self) -> None:
@@ -204,37 +211,37 @@
         await self.rig.start_agent(leader)
 
     def _kill_node(self) -> None:
-        name = self.random.choice([entry for entry in NAMES if entry not in self.killed])
+        name = self.random.choice([entry for entry in NODE_NAMES if entry not in self.killed])
         self.killed.add(name)
         self.rig.kill_node(name)
 
-    async def replace(self, status: messages.ReleaseStatus) -> None:
+    async def replace_services(self, status: messages.ReleaseStatus) -> None:
         """Replace each service that holds a permit, as an operator would."""
         for target in status.targets:
             if target.state != "changing" or target.target not in self.services:
                 continue
             try:
-                out = (await self.rig.fleet_status()).unavailable
+                unavailable = (await self.rig.fleet_status()).unavailable
             except (NoLeaderError, UnexpectedResponseError):
                 return
-            if not any(entry.target == target.target and entry.fencing_token for entry in out):
+            if not any(entry.target == target.target and entry.fencing_token for entry in unavailable):
                 continue
-            old = self.services.pop(target.target)
-            old.stop_listening()
-            self.stopped_services.append(old)
+            old_service = self.services.pop(target.target)
+            old_service.stop_listening()
+            self.stopped_services.append(old_service)
             await asyncio.sleep(1.5)
-            self.services[target.target + " new"] = new = Catalogue()
-            await new.open(self.ports[target.target])
+            self.services[target.target + " new"] = new_service = Catalogue()
+            await new_service.open(self.ports[target.target])
 
 
 def _required_status(answer: messages.Response) -> messages.ReleaseStatus:
     if not isinstance(answer, messages.ReleaseStatus):
-        raise UnexpectedResponseError(f"no status of the release: {answer}")
+        raise UnexpectedResponseError(f"the response is not the status of a release: {answer}")
     return answer
 
 
-def program(folder: str, name: str) -> VersionSpec:
-    """Return a version of the present program with one more file: other content, the same behaviour."""
+def copy_program(folder: str, name: str) -> VersionSpec:
+    """Copy the current program with one more file, so that the version differs but not the behaviour."""
     path = os.path.join(folder, name)
     shutil.copytree(
         os.path.dirname(oakkeel.__file__),
@@ -261,16 +268,16 @@
             replicas=VOTERS,
             fleet_max_unavailable=FLEET_MAX_UNAVAILABLE,
             downstream=f'<below><kind name="db" away="1">{services}</kind></below>',
-            dependencies=SERVICE_OF,
+            dependencies=SERVICE_BY_NODE,
             supervision='<supervision silent="2s" start="10s" drain="6s" backoff="200ms"/>',
         ),
     )
-    site.catalogues = {name: f"127.0.0.1:{ports[service]}" for name, service in SERVICE_OF.items()}
+    site.catalogues = {name: f"127.0.0.1:{ports[service]}" for name, service in SERVICE_BY_NODE.items()}
     return site
 
 
 async def measure(rate: float, seed: int, gated: bool) -> dict[str, Any]:
-    """Release all nodes and services once under load."""
+    """Release all nodes and services once under load; return the figures."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         ports = {"db1": free_port(), "db2": free_port()}
         services = {name: Catalogue() for name in ports}
@@ -282,7 +289,7 @@
             await rig.open()
             await rig.wait_for_leader()
             await rig.wait_until_serving()
-            return await _release_all(run, Load(rig, rate, seed), folder, gated)
+            return await _measure_release(run, Load(rig, rate, seed), folder, gated)
         finally:
             await rig.close()
             for service in (*run.services.values(), *run.stopped_services):
@@ -300,50 +307,50 @@
         gated=gated,
         max_load=0.95,
     )
-    nodes = await run.release("nodes", program(folder, "v2"), NAMES, policy, 3, 3)
+    nodes = await run.release("nodes", copy_program(folder, "v2"), NODE_NAMES, policy, 3, 3)
     policy = RolloutPolicy(soak=SECOND, batch_timeout=30 * SECOND, gated=False)
     services = await run.release("below", VersionSpec("db-2", services=True), ["db1", "db2"], policy, 2, 0)
     return nodes, services
 
 
-async def _release_all(run: RolloutRun, load: Load, folder: str, gated: bool) -> dict[str, Any]:
-    """Release the nodes, then the services, and return what was measured."""
+async def _measure_release(run: RolloutRun, load: Load, folder: str, gated: bool) -> dict[str, Any]:
+    """Release the nodes, then the services, under load; return the figures."""
     await load.start()
-    observer = asyncio.ensure_future(run.watch())
+    watch_task = asyncio.ensure_future(run.watch_unavailable())
     await asyncio.sleep(3.0)
-    before = load.counts
-    weights = load.weights
+    counts_before = load.counts
+    weights_before = load.weights
     started = time.monotonic()
-    first, second = await _release_both(run, folder, gated)
-    took = time.monotonic() - started
-    counts = load.counts - before
-    offered, earned = (now - then for now, then in zip(load.weights, weights, strict=True))
+    node_release, service_release = await _release_both(run, folder, gated)
+    elapsed = time.monotonic() - started
+    counts = load.counts - counts_before
+    offered, earned = (total - at_start for total, at_start in zip(load.weights, weights_before, strict=True))
     lost = load.lost_except(run.killed)
     await run.rig.wait_until_serving(timeout=60)
     run.finished = True
-    await observer
+    await watch_task
     await load.stop()
     rows = await run.rig.instance_statuses()
     versions = [row.report.version if row.report else "" for row in rows.values()]
-    offered += counts["unsent"] * sum(WEIGHTS.values()) / len(WEIGHTS)
+    offered += counts["unsent"] * sum(PRIORITY_WEIGHTS.values()) / len(PRIORITY_WEIGHTS)
     return {
         "gated": gated,
-        "seconds": took,
-        "ends": [first.state, second.state],
+        "seconds": elapsed,
+        "ends": [node_release.state, service_release.state],
         "counts": dict(counts),
         "lost": lost,
         "kept": earned / max(1.0, offered),
-        "most_placed": run.most_with_permit,
-        "most_out": run.most_out,
+        "most_placed": run.max_with_permit,
+        "most_out": run.max_unavailable,
         "driver_kills": run.controller_kills,
         "killed": sorted(run.killed),
-        "batches": [first.batch, second.batch],
-        "new": sum(version == first.version.version for version in versions),
+        "batches": [node_release.batch, service_release.batch],
+        "new": sum(version == node_release.version.version for version in versions),
     }
 
 
 def main() -> int:
-    """Measure releases with gates and without."""
+    """Run the measurement; the exit code is 1 if the gated run fails, loses requests or exceeds its budget."""
     arguments = parse_arguments(__doc__ or "", rate=120.0, seed=26)
     figures = [asyncio.run(measure(arguments.rate, arguments.seed, gated)) for gated in (True, False)]
     write_figures(arguments, {"machine": describe_machine(), "runs": figures})
@@ -357,12 +364,12 @@
             f" {100 * run['kept']:.1f} %"
         )
     first = figures[0]
-    good = first["lost"] == 0 and first["new"] == 12 and first["ends"] == ["done", "done"]
+    succeeded = first["lost"] == 0 and first["new"] == 12 and first["ends"] == ["done", "done"]
     print_line(
         f"rollout: done in {first['seconds']:.1f} s, at most {first['most_placed']} of"
         f" {FLEET_MAX_UNAVAILABLE} out, {first['lost']} lost, benefit kept {100 * first['kept']:.1f} %"
     )
-    return 0 if good and first["most_placed"] <= FLEET_MAX_UNAVAILABLE else 1
+    return 0 if succeeded and first["most_placed"] <= FLEET_MAX_UNAVAILABLE else 1
 
 
 if __name__ == "__main__":
