--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -1,7 +1,7 @@
-"""Replicas and agents in simulated time under drawn schedules of faults: is an invariant ever broken?
+"""Checks the invariants of replicas and agents in simulated time under drawn schedules of faults.
 
-`--count` schedules from `--seed` on, spread over the cores; with `--releases 1` each has one or two releases
-in progress. A failing one is shrunk, written to a file and can be replayed with `--play FILE`.
+Plays `--count` schedules from `--seed` on, on all cores; with `--releases 1` each schedule has one or two
+releases in progress. The first failing schedule is shrunk and written to a file; `--play FILE` replays it.
 """
 
 from __future__ import annotations
@@ -29,47 +29,47 @@
 
     seed: int
     breaches: list[str] = field(default_factory=list)
-    stuck: list[str] = field(default_factory=list)  # what did not come to an end
+    unconverged: list[str] = field(default_factory=list)  # conditions that do not hold at the end
     events: int = 0
 
 
 @dataclass(slots=True)
 class Totals:
-    """Results of all schedules that were played so far."""
+    """Results of the schedules played so far."""
 
     played: int = 0
     events: int = 0
-    broken: list[tuple[int, list[str]]] = field(default_factory=list)  # by seed
-    stuck: list[int] = field(default_factory=list)  # seeds
+    failed: list[tuple[int, list[str]]] = field(default_factory=list)  # seeds and breaches
+    unconverged: list[int] = field(default_factory=list)  # seeds
 
-    def add(self, result: PlayedSchedule) -> None:
+    def record(self, result: PlayedSchedule) -> None:
         """Count and print the result of one schedule."""
         self.played += 1
         self.events += result.events
         if result.breaches:
-            self.broken.append((result.seed, result.breaches))
+            self.failed.append((result.seed, result.breaches))
             print_line(f"schedule {result.seed}: {result.breaches[0]}")
-        if result.stuck:
-            self.stuck.append(result.seed)
-            print_line(f"schedule {result.seed} did not come to an end: {result.stuck[0][:160]}")
+        if result.unconverged:
+            self.unconverged.append(result.seed)
+            print_line(f"schedule {result.seed} did not come to an end: {result.unconverged[0][:160]}")
 
 
-def drawn(seed: int, releases: bool) -> Schedule:
-    """Return the schedule of a seed."""
+def draw_for_seed(seed: int, releases: bool) -> Schedule:
+    """Draw the schedule of a seed."""
     return draw(seed, releases=True, duration=RELEASE_DURATION_NS) if releases else draw(seed)
 
 
 def play_seed(seed: int, releases: bool = False) -> PlayedSchedule:
     """Play the schedule of a seed."""
     try:
-        simulation, breaches = play(drawn(seed, releases))
-    except Exception as error:  # a decision that failed is a breach as well
+        simulation, breaches = play(draw_for_seed(seed, releases))
+    except Exception as error:  # an exception in a decision counts as a breach
         return PlayedSchedule(seed, [f"{type(error).__name__}: {error}"])
     return PlayedSchedule(seed, breaches, simulation.stuck(), simulation.clock.events_processed)
 
 
-def fails(schedule: Schedule) -> bool:
-    """Return whether a schedule breaks an invariant."""
+def breaks_invariant(schedule: Schedule) -> bool:
+    """Return whether a schedule breaks an invariant or raises an exception."""
     try:
         return bool(play(schedule)[1])
     except Exception:
@@ -77,7 +77,7 @@
 
 
 def replay(path: str) -> int:
-    """Play a schedule file and print what happens; returns the exit code."""
+    """Play a schedule file and print its events; the exit code is 1 if an invariant is broken."""
     with open(path, encoding="utf-8") as file:
         simulation, breaches = play(schedule_from_json(json.load(file)))
     for line in [*simulation.event_log, *breaches]:
@@ -86,21 +86,21 @@
 
 
 def play_all(seeds: range, releases: bool) -> Totals:
-    """Play the schedules of some seeds on all cores."""
+    """Play the schedules of the seeds on all cores."""
     totals = Totals()
     started = time.monotonic()
     with multiprocessing.Pool(os.cpu_count()) as pool:
         for result in pool.imap_unordered(partial(play_seed, releases=releases), seeds, chunksize=8):
-            totals.add(result)
+            totals.record(result)
             if totals.played % max(1, len(seeds) // 10) == 0:
                 rate = totals.played / (time.monotonic() - started)
-                print_line(f"{totals.played} played, {len(totals.broken)} broken, {rate:.1f} a second")
+                print_line(f"{totals.played} played, {len(totals.failed)} broken, {rate:.1f} a second")
     return totals
 
 
 def write_shrunk(schedule: Schedule, path: str) -> None:
     """Shrink a failing schedule and write it to a file."""
-    shrunk = shrink(schedule, fails)
+    shrunk = shrink(schedule, breaks_invariant)
     with open(path, "w", encoding="utf-8") as file:
         json.dump(shrunk.to_json(), file, indent=1)
     print_line(f"the first, cut down to {len(shrunk.faults)} faults, is in {path}:")
@@ -109,7 +109,7 @@
 
 
 def main() -> int:
-    """Play schedules as the command line says; the exit code is 1 where an invariant broke."""
+    """Play schedules as the command line requests; the exit code is 1 if an invariant is broken."""
     arguments = parse_arguments(
         "Drawn schedules in simulated time.", count=600, seed=1, play="", out="schedule.json", releases=0
     )
@@ -119,22 +119,24 @@
     releases = bool(arguments.releases)
     totals = play_all(range(arguments.seed, arguments.seed + arguments.count), releases)
     seconds = time.monotonic() - started
-    if totals.broken:
-        write_shrunk(drawn(totals.broken[0][0], releases), arguments.out)
+    if totals.failed:
+        write_shrunk(draw_for_seed(totals.failed[0][0], releases), arguments.out)
     figures = {
         "machine": describe_machine(),
         "played": arguments.count,
-        "broken": totals.broken,
-        "not_ended": totals.stuck,
+        "broken": totals.failed,
+        "not_ended": totals.unconverged,
         "seconds": seconds,
         "events": totals.events,
     }
     write_figures(arguments, figures)
     events = totals.events / arguments.count
-    print_line(f"{describe_machine()}; {events:.0f} events each; {len(totals.stuck)} did not come to an end")
+    print_line(
+        f"{describe_machine()}; {events:.0f} events each; {len(totals.unconverged)} did not come to an end"
+    )
     rate = arguments.count / seconds
-    print_line(f"schedules: {arguments.count} played, {len(totals.broken)} broken, {rate:.1f} a second")
-    return 1 if totals.broken else 0
+    print_line(f"schedules: {arguments.count} played, {len(totals.failed)} broken, {rate:.1f} a second")
+    return 1 if totals.failed else 0
 
 
 if __name__ == "__main__":
