--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -47,14 +47,14 @@
         self.leaderless_periods: list[tuple[float, float]] = []  # start and length
         self.active_faults = 0
         self.leader_kill_times: list[float] = []
-        self.finished = False
+        self.is_finished = False
 
     async def inject_faults(self, end_time: float) -> None:
         """Inject one fault at a time until `end_time` on the monotonic clock."""
         faults: dict[str, Callable[[], Awaitable[None]]] = {
-            "kill": self._kill,
+            "kill": self._kill_random_agent,
             "kill the leader": self._kill_leader,
-            "stop": self._suspend,
+            "stop": self._suspend_random_agent,
             "stop the leader": self._suspend_leader,
             "cut": self._partition_both_ways,
             "one way": self._partition_one_way,
@@ -82,7 +82,7 @@
     def _choose_host(self) -> str:
         return self.random.choice(VOTERS if self.random.random() < 0.7 else list(HOSTS))
 
-    async def _kill(self) -> None:
+    async def _kill_random_agent(self) -> None:
         await self._kill_agent(self._choose_host())
 
     async def _kill_leader(self) -> None:
@@ -95,7 +95,7 @@
         await asyncio.sleep(self._draw_duration())
         await self.rig.start_agent(host)
 
-    async def _suspend(self) -> None:
+    async def _suspend_random_agent(self) -> None:
         await self._suspend_agent(self._choose_host())
 
     async def _suspend_leader(self) -> None:
@@ -173,12 +173,14 @@
     async def probe_leader(self) -> None:
         """Record the periods without a leader until the run is finished."""
         started = 0.0
-        while not self.finished:
-            answers, _ = await self.rig.clients.request_each(
+        while not self.is_finished:
+            responses, _ = await self.rig.clients.request_each(
                 {host: messages.RaftStatusRequest() for host in VOTERS}, 200_000_000
             )
             now = time.monotonic()
-            statuses = [answer for answer in answers.values() if isinstance(answer, messages.RaftStatus)]
+            statuses = [
+                response for response in responses.values() if isinstance(response, messages.RaftStatus)
+            ]
             if any(status.is_leader for status in statuses):
                 if started:
                     self.leaderless_periods.append((started, now - started))
@@ -191,7 +193,7 @@
         """Submit one order after the other until the run is finished."""
         names = [name for names in HOSTS.values() for name in names]
         count = 0
-        while not self.finished:
+        while not self.is_finished:
             count += 1
             targets = self.random.sample(names, self.random.randint(1, 3))
             await self._submit(f"o{count}", targets)
@@ -199,29 +201,31 @@
 
     async def _submit(self, order_id: str, names: list[str]) -> None:
         """Submit an order through changes of leader, with the same ID."""
-        undisturbed = not self.active_faults
+        was_undisturbed = not self.active_faults
         started = time.monotonic()
         generations: dict[str, int] = {}
-        while not self.finished:
+        while not self.is_finished:
             try:
                 generations = generations or await self.rig.generations()
                 if any(name not in generations for name in names):
                     generations = {}
                     await asyncio.sleep(0.1)
                     continue
-                sent = time.monotonic()
-                answer = await self.rig.submit_order(order_id, "restart", names, 15, generations=generations)
+                attempt_started = time.monotonic()
+                response = await self.rig.submit_order(
+                    order_id, "restart", names, 15, generations=generations
+                )
             except NoLeaderError:
                 continue
-            if isinstance(answer, messages.FleetOrderStatus) and any(
-                task.state != "refused" for task in answer.tasks
+            if isinstance(response, messages.FleetOrderStatus) and any(
+                task.state != "refused" for task in response.tasks
             ):
                 self.accept_durations[order_id] = time.monotonic() - started
-                if undisturbed and not self.active_faults:
-                    self.undisturbed_commit_durations.append(time.monotonic() - sent)
+                if was_undisturbed and not self.active_faults:
+                    self.undisturbed_commit_durations.append(time.monotonic() - attempt_started)
             return
 
-    async def lost_orders(self) -> list[str]:
+    async def find_lost_orders(self) -> list[str]:
         """Return the accepted orders that the control plane has lost."""
         known = {order.order_id for order in (await self.rig.fleet_status()).orders}
         lost = []
@@ -260,12 +264,12 @@
             )
             tasks = [asyncio.ensure_future(run.probe_leader()), asyncio.ensure_future(run.submit_orders())]
             await run.inject_faults(time.monotonic() + seconds)
-            run.finished = True
+            run.is_finished = True
             await asyncio.gather(*tasks)
             rig.links.clear_faults()
             await rig.wait_for_leader()
             await rig.wait_until_serving(timeout=60)
-            lost = await run.lost_orders()
+            lost = await run.find_lost_orders()
         finally:
             await rig.close()
         return {"seconds": seconds, "lost": lost} | collect_figures(run, folder)
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -103,18 +103,18 @@
 
     async def _drain_and_cancel(self, order_id: str, name: str, cancel_after: float | None) -> None:
         """Drain a node, cancel after some seconds or (None) at the end, and wait until its permit is free."""
-        answer = await self.rig.submit_order(order_id, "drain", [name], 60)
-        if not isinstance(answer, messages.FleetOrderStatus):
-            raise UnexpectedResponseError(f"{order_id} was not submitted: {answer}")
+        response = await self.rig.submit_order(order_id, "drain", [name], 60)
+        if not isinstance(response, messages.FleetOrderStatus):
+            raise UnexpectedResponseError(f"{order_id} was not submitted: {response}")
         if cancel_after is None:
             await self.rig.wait_until_ended(order_id)
         else:
             await asyncio.sleep(cancel_after)
         status_before = (await self.rig.instance_statuses())[name]
         cancelled_at = time.monotonic()
-        answer = await self.rig.end_order(order_id, True)
-        if not isinstance(answer, messages.FleetOrderStatus):
-            raise UnexpectedResponseError(f"{order_id} was not cancelled: {answer}")
+        response = await self.rig.end_order(order_id, True)
+        if not isinstance(response, messages.FleetOrderStatus):
+            raise UnexpectedResponseError(f"{order_id} was not cancelled: {response}")
         self.cancels.count += 1
         self.cancels.while_draining += status_before.phase == "draining"
 
@@ -220,12 +220,12 @@
     print_line(f"{figures['counts']}; {figures['doubled']} ran twice")
     if figures["anew_s"]:
         print_line(f"started again after the stop: works after {format_spread(figures['anew_s'])} s")
-    back = 1000 * max(figures["back_s"], default=0.0)
+    max_resume_ms = 1000 * max(figures["back_s"], default=0.0)
     if figures["back_s"]:
         print_line(f"cancelled while draining: works after {format_spread(figures['back_s'])} s")
     print_line(
         f"drain: {figures['drains']} drains, {figures['cancels']} cancels, {figures['lost']} lost,"
-        f" {figures['after_grace']} run after the grace, back in service after {back:.0f} ms"
+        f" {figures['after_grace']} run after the grace, back in service after {max_resume_ms:.0f} ms"
     )
     return 1 if figures["lost"] or figures["after_grace"] or figures["doubled"] else 0
 
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -48,7 +48,7 @@
         await site.open()
         site.engines["n1"].calls = 0
         node, address = await start_node(folder, with_fairness)
-        log_reader = asyncio.ensure_future(required_stream(node.stderr).read())
+        log_reader = asyncio.ensure_future(require_stream(node.stderr).read())
         await asyncio.sleep(0.5)
         compliant = [
             PoliteClient(f"good-{number}", address, CLIENT_RATE, seed + number)
@@ -82,7 +82,7 @@
         }
 
 
-def required_stream(stream: asyncio.StreamReader | None) -> asyncio.StreamReader:
+def require_stream(stream: asyncio.StreamReader | None) -> asyncio.StreamReader:
     """Return the stream of a process that was started with a pipe."""
     if stream is None:
         raise OSError("the node was started without a pipe for its log")
@@ -101,7 +101,7 @@
     node = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "oakkeel", env=variables, stderr=asyncio.subprocess.PIPE
     )
-    line = await asyncio.wait_for(required_stream(node.stderr).readline(), 20)
+    line = await asyncio.wait_for(require_stream(node.stderr).readline(), 20)
     return node, ("127.0.0.1", int(line.rsplit(b":", 1)[1]))
 
 
@@ -111,7 +111,8 @@
     sent_rates = [client.sent / elapsed for client in (*compliant, crawler)]
     fair_rates = fair_share(sent_rates, max(sum(completed_rates), 1.0))
     obtained_shares = [
-        min(1.0, rate / share) for rate, share in zip(completed_rates[:-1], fair_rates[:-1], strict=True)
+        min(1.0, rate / fair_rate)
+        for rate, fair_rate in zip(completed_rates[:-1], fair_rates[:-1], strict=True)
     ]
     return {
         "kept_mean": statistics.mean(obtained_shares),
@@ -206,9 +207,9 @@
                 table.add(number * 100_000, key, 1.0)
             elapsed = time.perf_counter_ns() - started
             tracemalloc.start()
-            traced = make_table()
+            traced_table = make_table()
             for number, key in enumerate(keys):
-                traced.add(number * 100_000, key, 1.0)
+                traced_table.add(number * 100_000, key, 1.0)
             memory = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             rows.append(
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -1,4 +1,4 @@
-"""Measures how soon the status of twelve instances is correct after three die and one stops, under load."""
+"""Measures how soon the status of twelve instances under load is correct after three die and one stops."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
 async def kill_and_suspend(fleet: RunningSite, random: Random) -> tuple[float, set[str]]:
     """Kill three instances and stop one; return the seconds until a correct status, and the names."""
     pids = {row.name: row.status.pid for row in fleet.rows() if row.status}
-    chosen = random.sample(sorted(pids), 4)
-    killed = {name: pids[name] for name in chosen[:3]}
-    suspended = chosen[3]
-    for pid in killed.values():
+    chosen_names = random.sample(sorted(pids), 4)
+    killed_pids = {name: pids[name] for name in chosen_names[:3]}
+    suspended_name = chosen_names[3]
+    for pid in killed_pids.values():
         os.kill(pid, signal.SIGKILL)
-    os.kill(pids[suspended], signal.SIGSTOP)
+    os.kill(pids[suspended_name], signal.SIGSTOP)
 
     def is_status_correct() -> bool:
         for row in fleet.rows():
             if row.old or row.status is None:
                 return False
-            if row.name in killed:
-                if row.status.pid == killed[row.name]:
+            if row.name in killed_pids:
+                if row.status.pid == killed_pids[row.name]:
                     return False
-            elif row.name == suspended:
+            elif row.name == suspended_name:
                 if row.state not in ("silent", "stuck"):
                     return False
             elif row.state != "serving":
@@ -57,13 +57,13 @@
 
     elapsed = await fleet.wait_until(is_status_correct, 10)
     await asyncio.sleep(1.5)  # under load: the other instances must not lose a request
-    os.kill(pids[suspended], signal.SIGCONT)
+    os.kill(pids[suspended_name], signal.SIGCONT)
     resumed_after = await fleet.wait_until(lambda: fleet.all_instances_in("serving"), 20)
     print_line(
-        f"  killed {', '.join(killed)}, stopped {suspended}: reports true after {elapsed:.2f} s,"
+        f"  killed {', '.join(killed_pids)}, stopped {suspended_name}: reports true after {elapsed:.2f} s,"
         f" all serving {resumed_after:.1f} s after it went on"
     )
-    return elapsed, set(chosen)
+    return elapsed, set(chosen_names)
 
 
 async def measure(rounds: int, rate: float, seed: int) -> dict[str, Any]:
@@ -85,13 +85,13 @@
                 for dispatcher in dispatchers:
                     dispatcher.start()
                 await asyncio.sleep(1.0)
-                elapsed, affected = await kill_and_suspend(fleet, random)
+                elapsed, affected_names = await kill_and_suspend(fleet, random)
                 detection_times.append(elapsed)
                 for dispatcher in dispatchers:
                     await dispatcher.stop()
                     answered += dispatcher.answered
                     for node, counts in dispatcher.by_node.items():
-                        group = "touched" if node in affected else "others"
+                        group = "touched" if node in affected_names else "others"
                         lost[group] += counts["lost"] + counts["late"]
                 await asyncio.sleep(0.5)
     return {
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -152,8 +152,8 @@
             (self.new_requests if node.version == "new" else self.old_requests).add(
                 Sums(count, succeeded, succeeded)
             )
-        dies = self.kind == "dies after a minute" and node.version == "new" and age > 60
-        if dies and random.random() < 0.05:
+        may_die = self.kind == "dies after a minute" and node.version == "new" and age > 60
+        if may_die and random.random() < 0.05:
             arms = [other.version for other in self.nodes]
             self.gate.record_death(Arm.NEW, Population(arms.count("new"), arms.count("old")))
             self.nodes[number] = Node("new", second, node.loss, node.generation + 1)
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -1,4 +1,4 @@
-"""Measures how long `oakkeel ls` takes with twelve agents, all of which respond or one of which is silent."""
+"""Measures the duration of `oakkeel ls` with twelve agents, with all of them running and with one silent."""
 
 from __future__ import annotations
 
@@ -54,10 +54,11 @@
             finally:
                 os.kill(fleet.processes["h7"].pid, signal.SIGCONT)
     is_correct = all(
-        code == 0 and len(output["instances"]) == 12 for _, code, output in with_all_agents
+        exit_code == 0 and len(output["instances"]) == 12 for _, exit_code, output in with_all_agents
     ) and all(
-        code == 3 and [row["instance"] for row in output["instances"] if row["state"] == "unknown"] == ["n7"]
-        for _, code, output in with_silent_agent
+        exit_code == 3
+        and [row["instance"] for row in output["instances"] if row["state"] == "unknown"] == ["n7"]
+        for _, exit_code, output in with_silent_agent
     )
     return {
         "all_answer_s": [elapsed for elapsed, _, _ in with_all_agents],
--- a/measure/node.py
+++ b/measure/node.py
@@ -134,10 +134,10 @@
     for round_number in range(rounds):
         for name in results:
             results[name].append(await measure_node(trees[name], name, rate, seconds, round_number + 1))
-            last = results[name][-1]
+            latest = results[name][-1]
             print_line(
-                f"  {name}: {last['resident_mb']:.1f} MB, {last['ms_an_exchange']:.3f} ms an exchange at"
-                f" {last['rate']:.0f} a second"
+                f"  {name}: {latest['resident_mb']:.1f} MB, {latest['ms_an_exchange']:.3f} ms an exchange at"
+                f" {latest['rate']:.0f} a second"
             )
     return results
 
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -87,9 +87,9 @@
     async def _wait_until_settled(self) -> int:
         """Wait until the instance serves or is stopped and no order is open; return its generation."""
         while True:
-            answer = await self._request(messages.HostStatusRequest())
-            if isinstance(answer, messages.HostStatus):
-                instance = answer.instances[0]
+            response = await self._request(messages.HostStatusRequest())
+            if isinstance(response, messages.HostStatus):
+                instance = response.instances[0]
                 if instance.order is None and instance.phase in ("serving", "stopped"):
                     return instance.generation
             await asyncio.sleep(0.01)
@@ -98,13 +98,13 @@
         """Send an order until it is acknowledged, through all crashes; then wait until it has ended."""
         order_id = await self._submit_until_acknowledged(verb)
         while True:  # the order was acknowledged: no crash may lose it
-            answer = await self._request(messages.ListOrdersRequest(200))
-            if isinstance(answer, messages.OrderList):
-                found = [order for order in answer.orders if order.order_id == order_id]
-                state = found[0].tasks[0].state if found else ""
+            response = await self._request(messages.ListOrdersRequest(200))
+            if isinstance(response, messages.OrderList):
+                matching_orders = [order for order in response.orders if order.order_id == order_id]
+                state = matching_orders[0].tasks[0].state if matching_orders else ""
                 if state not in ("waiting", "acting", "done"):
                     self.lost += 1
-                    print_line(f"  lost: {order_id} {verb} {found}")
+                    print_line(f"  lost: {order_id} {verb} {matching_orders}")
                     return
                 if state == "done":
                     return
@@ -116,12 +116,12 @@
         order_id = f"o{self.orders}"
         request = messages.OrderRequest(order_id, verb, [("n1", generation)], 120 * SECOND)
         while True:
-            answer = await self._request(request)
-            if isinstance(answer, messages.OrderStatus):
+            response = await self._request(request)
+            if isinstance(response, messages.OrderStatus):
                 break
-            self.resent += answer is None
-        if answer.tasks[0].state == "refused":
-            raise UnexpectedResponseError(f"{order_id}: {answer.tasks[0].why}")
+            self.resent += response is None
+        if response.tasks[0].state == "refused":
+            raise UnexpectedResponseError(f"{order_id}: {response.tasks[0].why}")
         self.orders += 1
         self.expected_starts += verb in ("restart", "start")
         return order_id
--- a/measure/places.py
+++ b/measure/places.py
@@ -104,7 +104,7 @@
         self._mark_restored(holder)
         up_by_target = {target: target not in self.restart_end_by_target for target in holder.targets}
         heartbeat = holder.heartbeat(self.now, up_by_target, [], {})
-        leader = required_leader(self)
+        leader = require_leader(self)
         started = time.perf_counter_ns()
         response, outputs = leader.receive_heartbeat(self.now, heartbeat)
         elapsed = time.perf_counter_ns() - started
@@ -142,7 +142,7 @@
         self.counts.max_unavailable = max(self.counts.max_unavailable, len(self.restart_end_by_target))
 
 
-def required_leader(fleet: Fleet) -> ControlPlaneReplica:
+def require_leader(fleet: Fleet) -> ControlPlaneReplica:
     """Return the leader of a fleet; a simulation without faults always has a leader."""
     if (leader := fleet.leader) is None:
         raise NotLeaderError("", "no leader in a simulation without faults")
@@ -175,7 +175,7 @@
     for index in range(100):
         fleet.advance(heartbeat_groups[index % 50])
     idle_counts = replace(fleet.counts)
-    leader = required_leader(fleet)
+    leader = require_leader(fleet)
     submit_restarts(fleet, leader)
     counts_before = replace(fleet.counts)
     started = fleet.now
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -88,7 +88,7 @@
 
 
 def _draw_schedule(seed: int, node_deaths: int, agent_kills: int) -> Schedule:
-    """Draw when nodes die and agents are killed; two leaders are killed at fixed times."""
+    """Draw the times at which nodes die and agents are killed; two replicas are killed at fixed times."""
     random = Random(seed)
     faults = [
         Fault(
@@ -221,11 +221,11 @@
         for breach in run["breaches"]:
             print_line(breach)
     write_figures(arguments, {"machine": describe_machine(), "turns": median_durations, "runs": runs})
-    first = runs[0]
+    ungated_run = runs[0]
     plan_duration = median_durations[10_000]["as many as may be"]
     print_line(
         f"plan: {plan_duration:.1f} ms a turn at 10,000 instances; 1,000 nodes released in"
-        f" {first['seconds']:.1f} s, {first['best'] / first['seconds']:.2f} of the best"
+        f" {ungated_run['seconds']:.1f} s, {ungated_run['best'] / ungated_run['seconds']:.2f} of the best"
     )
     return 1 if any(run["breaches"] or run["state"] != "done" for run in runs) else 0
 
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -138,7 +138,7 @@
         self.controller_kills = 0
         self.max_unavailable = 0
         self.max_with_permit = 0
-        self.finished = False
+        self.is_finished = False
 
     async def request_leader(self, request: messages.Request) -> messages.Response:
         """Return the leader's response; retry as long as there is no leader."""
@@ -149,21 +149,23 @@
                 await asyncio.sleep(0.05)
 
     async def watch_unavailable(self) -> None:
-        """Record the largest number of nodes that the leader knows as unavailable, in all and by permit."""
-        while not self.finished:
+        """Record the largest number of nodes that the leader counts as unavailable, in all and by permit."""
+        while not self.is_finished:
             try:
                 unavailable = (await self.rig.fleet_status()).unavailable
                 with_permit = {entry.target for entry in unavailable if entry.fencing_token}
-                dependent = {name for name, service in SERVICE_BY_NODE.items() if service in with_permit}
+                dependent_nodes = {
+                    name for name, service in SERVICE_BY_NODE.items() if service in with_permit
+                }
                 self.max_with_permit = max(
-                    self.max_with_permit, len(with_permit & set(NODE_NAMES) | dependent)
+                    self.max_with_permit, len(with_permit & set(NODE_NAMES) | dependent_nodes)
                 )
-                known = [
+                known_unavailable = [
                     entry
                     for entry in unavailable
                     if entry.target in NODE_NAMES and entry.reasons != ["not known"]
                 ]
-                self.max_unavailable = max(self.max_unavailable, len(known))
+                self.max_unavailable = max(self.max_unavailable, len(known_unavailable))
             except (NoLeaderError, UnexpectedResponseError):
                 pass
             await asyncio.sleep(0.03)
@@ -178,14 +180,14 @@
         remaining_node_kills: int,
     ) -> messages.ReleaseStatus:
         """Start a release, kill controllers and nodes during the release, and return its final status."""
-        answer = await self.request_leader(messages.StartReleaseRequest(release_id, spec, policy, targets))
-        _required_status(answer)
+        response = await self.request_leader(messages.StartReleaseRequest(release_id, spec, policy, targets))
+        _require_status(response)
         last_step = -1
         next_kill = 2
         step_kills = 0
         while True:
-            answer = await self.request_leader(messages.ReleaseStatusRequest(release_id))
-            status = _required_status(answer)
+            response = await self.request_leader(messages.ReleaseStatusRequest(release_id))
+            status = _require_status(response)
             if status.state in ("done", "undone", "left"):
                 return status
             if status.state == "halted":
@@ -234,10 +236,10 @@
             await new_service.open(self.ports[target.target])
 
 
-def _required_status(answer: messages.Response) -> messages.ReleaseStatus:
-    if not isinstance(answer, messages.ReleaseStatus):
-        raise UnexpectedResponseError(f"the response is not the status of a release: {answer}")
-    return answer
+def _require_status(response: messages.Response) -> messages.ReleaseStatus:
+    if not isinstance(response, messages.ReleaseStatus):
+        raise UnexpectedResponseError(f"the response is not the status of a release: {response}")
+    return response
 
 
 def copy_program(folder: str, name: str) -> VersionSpec:
@@ -327,7 +329,7 @@
     offered, earned = (total - at_start for total, at_start in zip(load.weights, weights_before, strict=True))
     lost = load.lost_except(run.killed)
     await run.rig.wait_until_serving(timeout=60)
-    run.finished = True
+    run.is_finished = True
     await watch_task
     await load.stop()
     rows = await run.rig.instance_statuses()
@@ -350,7 +352,7 @@
 
 
 def main() -> int:
-    """Run the measurement; the exit code is 1 if the gated run fails, loses requests or exceeds its budget."""
+    """Run the measurement; the exit code is 1 if the gated run fails, loses requests or exceeds a budget."""
     arguments = parse_arguments(__doc__ or "", rate=120.0, seed=26)
     figures = [asyncio.run(measure(arguments.rate, arguments.seed, gated)) for gated in (True, False)]
     write_figures(arguments, {"machine": describe_machine(), "runs": figures})
@@ -363,13 +365,14 @@
             f" {run['most_placed']}, out in all {run['most_out']}, {run['counts']}, benefit kept"
             f" {100 * run['kept']:.1f} %"
         )
-    first = figures[0]
-    succeeded = first["lost"] == 0 and first["new"] == 12 and first["ends"] == ["done", "done"]
+    gated_run = figures[0]
+    succeeded = gated_run["lost"] == 0 and gated_run["new"] == 12 and gated_run["ends"] == ["done", "done"]
     print_line(
-        f"rollout: done in {first['seconds']:.1f} s, at most {first['most_placed']} of"
-        f" {FLEET_MAX_UNAVAILABLE} out, {first['lost']} lost, benefit kept {100 * first['kept']:.1f} %"
+        f"rollout: done in {gated_run['seconds']:.1f} s, at most {gated_run['most_placed']} of"
+        f" {FLEET_MAX_UNAVAILABLE} out, {gated_run['lost']} lost,"
+        f" benefit kept {100 * gated_run['kept']:.1f} %"
     )
-    return 0 if succeeded and first["most_placed"] <= FLEET_MAX_UNAVAILABLE else 1
+    return 0 if succeeded and gated_run["most_placed"] <= FLEET_MAX_UNAVAILABLE else 1
 
 
 if __name__ == "__main__":
