--- a/measure/gates.py
+++ b/measure/gates.py
@@ -34,7 +34,7 @@
 SOAK_SECONDS = 60
 MAX_SECONDS = 1200
 KINDS = ("good", "worse by 2 %", "dies after a minute", "leaks", "worse while cold")
-# of the group-sequential test; the interval in seconds
+# the number of analyses of the group-sequential test, and the seconds between them
 INTERIM_ANALYSES = 10
 INTERIM_INTERVAL = 120
 OTHER_TESTS = {
