--- a/oakkeel/emulator/__init__.py
+++ b/oakkeel/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A simulated fleet over the real decisions: deterministic by seed, in simulated time, with troubles."""
+"""Deterministic simulation of a fleet: runs the production decision logic in simulated time under faults."""
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -132,7 +132,7 @@
         if dispatcher.random.random() < behavior.loss or not node.alive:
             dispatcher.audit.excused(self.request_id, self.sent_at)
         else:
-            dispatcher.clock.after(
+            dispatcher.clock.call_after(
                 dispatcher.network_delay(),
                 node.receive,
                 self.request_id,
@@ -141,13 +141,13 @@
                 self._on_response_sent,
             )
         wait = behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN_NS
-        dispatcher.clock.after(wait, self._on_timeout)
+        dispatcher.clock.call_after(wait, self._on_timeout)
 
     def _on_response_sent(self, status: ResponseStatus, retry_after: int) -> None:
         """The node responded; the response is on its way."""
         dispatcher = self.dispatcher
         dispatcher.audit.answered(self.request_id, dispatcher.clock.now, status)
-        dispatcher.clock.after(dispatcher.network_delay(), self._on_response, status, retry_after)
+        dispatcher.clock.call_after(dispatcher.network_delay(), self._on_response, status, retry_after)
 
     def _on_response(self, status: ResponseStatus, retry_after: int) -> None:
         if self.closed:
@@ -171,7 +171,7 @@
         dispatcher = self.dispatcher
         self._close()
         dispatcher.audit.excused(self.request_id, dispatcher.clock.now)  # the node need not respond any more
-        dispatcher.clock.after(
+        dispatcher.clock.call_after(
             dispatcher.network_delay(), self.view.node.client_disconnected, self.wire_request
         )
         dispatcher.retry(self.work, self.work.request_class.at_most_once)
@@ -225,7 +225,7 @@
 
     def _schedule_next(self) -> None:
         if self.rate > 0:
-            self.clock.after(int(self.random.expovariate(self.rate) * SECOND), self._create_request)
+            self.clock.call_after(int(self.random.expovariate(self.rate) * SECOND), self._create_request)
 
     def _create_request(self) -> None:
         self._schedule_next()
--- a/oakkeel/emulator/clock.py
+++ b/oakkeel/emulator/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: scheduled events run by time, and equal times in the order of scheduling."""
+"""Simulated time: events run in order of time, and in the order of scheduling at equal times."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     __slots__ = ("arguments", "callback")
 
     def __init__(self, callback: Callable[[*Arguments], None], arguments: tuple[*Arguments]) -> None:
-        """Hold `callback` until the clock calls it with `arguments`."""
+        """Create an event that calls `callback` with `arguments`."""
         self.arguments: tuple[object, ...] = arguments
         self.callback: Callable[..., None] | None = callback
 
     def cancel(self) -> None:
-        """Never run the callback; no effect once it has run."""
+        """Prevent the callback from running; has no effect once it has run."""
         self.callback = None
 
 
 class Clock:
-    """Nanoseconds from the start of the simulation, and the events scheduled in it."""
+    """The time of a simulation, in nanoseconds from its start, and the events scheduled in it."""
 
     def __init__(self) -> None:
         """Start at 0 with nothing scheduled."""
@@ -34,21 +34,23 @@
         self.events_processed = 0
         self.scheduled: list[tuple[int, int, ScheduledEvent]] = []
 
-    def at(self, when: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> ScheduledEvent:
-        """Schedule a call at a time, at the earliest now."""
+    def call_at(
+        self, when: int, callback: Callable[[*Arguments], None], *arguments: *Arguments
+    ) -> ScheduledEvent:
+        """Schedule a call for the time `when`, or for now if that time is past."""
         self.sequence += 1
         event = ScheduledEvent(callback, arguments)
         heappush(self.scheduled, (max(when, self.now), self.sequence, event))
         return event
 
-    def after(
+    def call_after(
         self, delay: int, callback: Callable[[*Arguments], None], *arguments: *Arguments
     ) -> ScheduledEvent:
         """Schedule a call `delay` nanoseconds from now."""
-        return self.at(self.now + delay, callback, *arguments)
+        return self.call_at(self.now + delay, callback, *arguments)
 
     def run(self, until: int) -> None:
-        """Run all events up to a time, that time included."""
+        """Run all events up to and including the time `until`."""
         scheduled = self.scheduled
         while scheduled and scheduled[0][0] <= until:
             when, _, event = heappop(scheduled)
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -45,11 +45,11 @@
         for name in self.world.names:
             self.hosts[name] = SimulatedHost(self.world, name, self.network, self.heartbeats.send)
         for fault in schedule.faults:
-            self.clock.at(fault.at, self.faults.inject, fault)
+            self.clock.call_at(fault.at, self.faults.inject, fault)
 
     def run(self) -> list[str]:
         """Play the schedule and return the breaches."""
-        self.clock.at(SECOND, self.convergence.check_releases)
+        self.clock.call_at(SECOND, self.convergence.check_releases)
         self.clock.run(self.schedule.duration)
         return self.audit.finish(self.clock.now) + self.rollout_audit.breaches
 
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -47,7 +47,7 @@
                     world.rollout_audit.record_end(
                         world.clock.now, release.ident, release.state, self._serving()
                     )
-        world.clock.after(CHECK_INTERVAL_NS, self.check_releases)
+        world.clock.call_after(CHECK_INTERVAL_NS, self.check_releases)
 
     def _serving(self) -> set[str]:
         now = self.world.clock.now
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -90,10 +90,10 @@
             with_folder = fault.intensity < FOLDER_SHARE
             known_writes = host.replica.known_writes if with_folder else -1
             backup = host.replica.storage.copy()
-            clock.after(fault.duration, self._restore_backup, host, backup, known_writes, fault.duration)
+            clock.call_after(fault.duration, self._restore_backup, host, backup, known_writes, fault.duration)
         elif fault.kind == "full disk":
             host.machine.disk_full = True
-            clock.after(fault.duration, setattr, host.machine, "disk_full", False)
+            clock.call_after(fault.duration, setattr, host.machine, "disk_full", False)
         else:
             return False
         return True
--- a/oakkeel/emulator/heartbeat_exchange.py
+++ b/oakkeel/emulator/heartbeat_exchange.py
@@ -57,4 +57,4 @@
                 host.agent.leader_locator.redirect(name)
 
         self.network.deliver(host.name, leader.name, arrived)
-        self.network.world.clock.after(HEARTBEAT_TIMEOUT_NS, redirected, "")
+        self.network.world.clock.call_after(HEARTBEAT_TIMEOUT_NS, redirected, "")
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -138,7 +138,7 @@
         if opened.task and opened.task.active:
             self.machine.stop(opened.task)
             self.running -= 1
-            self.clock.after(0, self._report_cancelled, opened)
+            self.clock.call_after(0, self._report_cancelled, opened)
 
     def _report_cancelled(self, opened: OpenRequest) -> None:
         if self.alive:
@@ -167,7 +167,7 @@
 
     def set_timer(self, token: int, at: int) -> None:
         """Call the controller's `timer_expired` with the token at a time."""
-        self.clock.at(at, self._on_timer, token)
+        self.clock.call_at(at, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
         if not self.alive:
@@ -184,7 +184,7 @@
         """Run the scheduler once after all that happens at this time."""
         if not self.scheduling_due:
             self.scheduling_due = True
-            self.clock.after(0, self._schedule)
+            self.clock.call_after(0, self._schedule)
 
     def _schedule(self) -> None:
         self.scheduling_due = False
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -65,10 +65,10 @@
             if not answered and attempts:
                 self.submit(command, ident, attempts - 1)
 
-        world.clock.after(RESPONSE_TIMEOUT_NS, timed_out)
+        world.clock.call_after(RESPONSE_TIMEOUT_NS, timed_out)
 
     def _retry(self, command: commands.Command | releases.Command, ident: str, attempts: int) -> None:
-        self.world.clock.after(RETRY_DELAY_NS, self.submit, command, ident, attempts - 1)
+        self.world.clock.call_after(RETRY_DELAY_NS, self.submit, command, ident, attempts - 1)
 
     def _committed(
         self, command: commands.Command | releases.Command, ident: str, proposal: Proposal
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -75,7 +75,7 @@
         self.incarnation = 0
         self.inbox: list[tuple[int, int]] = []
         host.agent.node_started(name)
-        host.simulation.clock.after(host.random.randrange(MAX_DECISION_INTERVAL_NS), self.decide, 0)
+        host.simulation.clock.call_after(host.random.randrange(MAX_DECISION_INTERVAL_NS), self.decide, 0)
 
     def start(self) -> None:
         """Start another process of the node; it holds no lease."""
@@ -85,7 +85,7 @@
         self.stopped = False
         self.host.agent.node_stopped(self.name)
         self.host.agent.node_started(self.name)
-        self.host.simulation.clock.after(MAX_DECISION_INTERVAL_NS, self.decide, self.incarnation)
+        self.host.simulation.clock.call_after(MAX_DECISION_INTERVAL_NS, self.decide, self.incarnation)
 
     def decide(self, incarnation: int) -> None:
         """Decide a request, then read the renewals received since the last one, as after a stop."""
@@ -102,7 +102,7 @@
                 self.lease.renew(now, number, until)
             if received:
                 self.host.agent.node_reported(self.name, self.lease.number)
-        simulation.clock.after(
+        simulation.clock.call_after(
             self.host.random.randrange(MIN_DECISION_INTERVAL_NS, MAX_DECISION_INTERVAL_NS),
             self.decide,
             incarnation,
@@ -124,8 +124,8 @@
         self.incarnation = 0
         self.nodes = [PolicyNode(self, f"{name}n{number}") for number in range(NODES_PER_HOST)]
         self.unusable_version = 0  # a proposed version that a node of this host cannot use
-        simulation.clock.after(self.random.randrange(HEARTBEAT_INTERVAL_NS), self.send_report, 0)
-        simulation.clock.after(self.random.randrange(LEASE_RENEWAL_INTERVAL_NS), self.renew_nodes, 0)
+        simulation.clock.call_after(self.random.randrange(HEARTBEAT_INTERVAL_NS), self.send_report, 0)
+        simulation.clock.call_after(self.random.randrange(LEASE_RENEWAL_INTERVAL_NS), self.renew_nodes, 0)
 
     def now(self) -> int:
         """Return the time by the clock of the host."""
@@ -138,8 +138,8 @@
         self.stopped = False
         for node in self.nodes:
             self.agent.node_started(node.name)
-        self.simulation.clock.after(HEARTBEAT_INTERVAL_NS, self.send_report, self.incarnation)
-        self.simulation.clock.after(LEASE_RENEWAL_INTERVAL_NS, self.renew_nodes, self.incarnation)
+        self.simulation.clock.call_after(HEARTBEAT_INTERVAL_NS, self.send_report, self.incarnation)
+        self.simulation.clock.call_after(LEASE_RENEWAL_INTERVAL_NS, self.renew_nodes, self.incarnation)
 
     def send_report(self, incarnation: int) -> None:
         """Send a heartbeat to the leader, and schedule the next."""
@@ -167,14 +167,14 @@
                 true_time,
                 agent.report(),
             )
-        self.simulation.clock.after(HEARTBEAT_INTERVAL_NS, self.send_report, incarnation)
+        self.simulation.clock.call_after(HEARTBEAT_INTERVAL_NS, self.send_report, incarnation)
 
     def receive_assignment(self, incarnation: int, sent_at: int, assignment: PolicyAssignment) -> None:
         """Take in the leader's response to this process of the agent."""
         if incarnation != self.incarnation:
             return
         if self.stopped:
-            self.simulation.clock.after(
+            self.simulation.clock.call_after(
                 STOPPED_RETRY_DELAY_NS, self.receive_assignment, incarnation, sent_at, assignment
             )
             return
@@ -189,7 +189,7 @@
             for node in self.nodes:
                 if until:
                     node.inbox = [*node.inbox, (number, until)][-MAX_INBOX:]
-        self.simulation.clock.after(LEASE_RENEWAL_INTERVAL_NS, self.renew_nodes, incarnation)
+        self.simulation.clock.call_after(LEASE_RENEWAL_INTERVAL_NS, self.renew_nodes, incarnation)
 
 
 class PolicySimulation:
@@ -210,10 +210,10 @@
         self.coordinator: PolicyCoordinator | None = None
         self.leader_count = 0
         self.hosts = {name: PolicyHost(self, name) for name in self.names}
-        self.clock.at(100 * MS, self.elect)
-        self.clock.at(200 * MS, self.tick)
+        self.clock.call_at(100 * MS, self.elect)
+        self.clock.call_at(200 * MS, self.tick)
         for _ in range(faults + PROPOSALS):
-            self.clock.at(
+            self.clock.call_at(
                 self.random.randrange(SECOND, duration - CONVERGENCE_TIME_NS),
                 self.inject_fault,
                 self.random.choice(FAULT_KINDS),
@@ -240,7 +240,7 @@
         if self.coordinator:
             for command in self.coordinator.tick(self.clock.now):
                 self.apply(command)
-        self.clock.after(LEADER_TICK_INTERVAL_NS, self.tick)
+        self.clock.call_after(LEADER_TICK_INTERVAL_NS, self.tick)
 
     def send(self, host: str, act: Callable[..., None], *arguments: object) -> None:
         """Call `act` after the delay of the network, unless the host is cut off."""
@@ -249,7 +249,7 @@
         delay = self.random.randrange(MIN_NETWORK_DELAY_NS, MAX_NETWORK_DELAY_NS)
         if self.clock.now < self.slow_until:
             delay += self.random.randrange(MAX_EXTRA_DELAY_NS)
-        self.clock.after(delay, act, *arguments)
+        self.clock.call_after(delay, act, *arguments)
 
     def receive_report(
         self, host: PolicyHost, incarnation: int, sent_at: int, true_sent_at: int, report: PolicyReport
@@ -271,7 +271,7 @@
         duration = random.choice(FAULT_DURATIONS_NS)
         if kind == "leader" and self.coordinator:
             self.coordinator = None
-            self.clock.after(random.randrange(MIN_ELECTION_TIME_NS, MAX_ELECTION_TIME_NS), self.elect)
+            self.clock.call_after(random.randrange(MIN_ELECTION_TIME_NS, MAX_ELECTION_TIME_NS), self.elect)
         elif kind == "cut":
             self.cut_until[host.name] = now + duration
         elif kind == "slow":
@@ -279,7 +279,7 @@
         elif kind in ("node stops", "agent stops"):
             process: PolicyNode | PolicyHost = node if kind == "node stops" else host
             process.stopped = True
-            self.clock.after(duration, setattr, process, "stopped", False)
+            self.clock.call_after(duration, setattr, process, "stopped", False)
         elif kind == "node dies":
             node.start()
         elif kind == "agent dies":
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -196,8 +196,8 @@
         if starts_cold:
             for step in range(WARM_UP_STEPS):
                 speed = COLD_SPEED + 0.7 * step / WARM_UP_STEPS
-                self.clock.after(step * SECOND, node.machine.set_speed, speed)
-            self.clock.after(WARM_UP_STEPS * SECOND, node.machine.set_speed, 1.0)
+                self.clock.call_after(step * SECOND, node.machine.set_speed, speed)
+            self.clock.call_after(WARM_UP_STEPS * SECOND, node.machine.set_speed, 1.0)
         return node
 
     def run(self) -> ScenarioResult:
@@ -206,7 +206,7 @@
             dispatcher.set_nodes(self.nodes)
             dispatcher.set_rate(self.dispatcher_rate)
         for event in self.scenario.events:
-            self.clock.at(int(event.at * SECOND), self._inject, event)
+            self.clock.call_at(int(event.at * SECOND), self._inject, event)
         self.clock.run(int(self.scenario.seconds * SECOND))
         for dispatcher in self.dispatchers:
             dispatcher.set_rate(0.0)
@@ -223,7 +223,7 @@
                 self._slow_down(node, event.size, until)
             case FaultKind.STALL:
                 self._slow_down(node, 0.0, until)
-                self.clock.at(until, self.audit.node_stalled, node.name, self.clock.now, until)
+                self.clock.call_at(until, self.audit.node_stalled, node.name, self.clock.now, until)
             case FaultKind.CRASH:
                 node.crash()
                 self._replace(node)
@@ -233,16 +233,16 @@
     def _spike_load(self, multiple: float, until: int) -> None:
         for dispatcher in self.dispatchers:
             dispatcher.set_rate(self.dispatcher_rate * multiple)
-            self.clock.at(until, dispatcher.set_rate, self.dispatcher_rate)
+            self.clock.call_at(until, dispatcher.set_rate, self.dispatcher_rate)
 
     def _slow_down(self, node: SimulatedNode, speed: float, until: int) -> None:
         node.machine.set_speed(speed)
-        self.clock.at(until, node.machine.set_speed, 1.0)
+        self.clock.call_at(until, node.machine.set_speed, 1.0)
 
     def _start_release(self, event: FaultEvent) -> None:
         for number in range(int(event.size)):
             delay = int(number * event.duration * SECOND / max(1.0, event.size))
-            self.clock.after(delay, self._drain, self.nodes[number % len(self.nodes)])
+            self.clock.call_after(delay, self._drain, self.nodes[number % len(self.nodes)])
 
     def _drain(self, node: SimulatedNode) -> None:
         node.drain(DRAIN_TIME_NS)
@@ -250,7 +250,7 @@
 
     def _replace(self, node: SimulatedNode) -> None:
         self.nodes[self.nodes.index(node)] = self._create_node(starts_cold=True)
-        self.clock.after(DISCOVERY_DELAY_NS, self._publish_nodes)
+        self.clock.call_after(DISCOVERY_DELAY_NS, self._publish_nodes)
 
     def _publish_nodes(self) -> None:
         for dispatcher in self.dispatchers:
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -109,14 +109,14 @@
             self.heartbeat_at = now
             self.send_heartbeat(machine.name, self.reconciler.build_heartbeat(now), now)
         self.act(now)
-        machine.world.clock.after(TICK_INTERVAL_NS, self.tick, restarts)
+        machine.world.clock.call_after(TICK_INTERVAL_NS, self.tick, restarts)
 
     def act(self, now: int) -> None:
         """Carry out what is decided by now; with a full disk nothing that would have to be stored."""
         machine = self.machine
         for request in self.reconciler.assignments.take_requests():
             wait = machine.random.randrange(MIN_PREPARATION_TIME_NS, MAX_PREPARATION_TIME_NS)
-            machine.world.clock.after(wait, self._prepared, request, machine.restarts)
+            machine.world.clock.call_after(wait, self._prepared, request, machine.restarts)
         if not machine.disk_full:
             self.orders.advance(now)
         steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
--- a/oakkeel/emulator/simulated_host.py
+++ b/oakkeel/emulator/simulated_host.py
@@ -39,7 +39,7 @@
         self.replica.start()
         self.agent.start()
         first_tick = machine.random.randrange(TICK_INTERVAL_NS)
-        machine.world.clock.after(first_tick, self.agent.tick, machine.restarts)
+        machine.world.clock.call_after(first_tick, self.agent.tick, machine.restarts)
         self.replica.start_timer(machine.restarts)
 
     @property
--- a/oakkeel/emulator/simulated_machine.py
+++ b/oakkeel/emulator/simulated_machine.py
@@ -50,7 +50,7 @@
         self.running = False
         self.stopped = False
         self.restarts += 1
-        self.world.clock.after(restart_after, self.start)
+        self.world.clock.call_after(restart_after, self.start)
 
     def may_act(self, restarts: int, action: Callable[[], None]) -> bool:
         """Whether the process of that start may act now; while it is stopped the action is deferred."""
@@ -64,7 +64,7 @@
     def stop(self, duration: int) -> None:
         """Stop the agent and the replica by SIGSTOP for some nanoseconds."""
         self.stopped = True
-        self.world.clock.after(duration, self.wake)
+        self.world.clock.call_after(duration, self.wake)
 
     def wake(self) -> None:
         """Do what was deferred while it was stopped."""
--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -51,7 +51,7 @@
         clock = self.world.clock
         random = self.world.random
         if source == recipient:
-            clock.after(LOCAL_DELAY_NS, action, *arguments)
+            clock.call_after(LOCAL_DELAY_NS, action, *arguments)
             return
         delay = random.randrange(MIN_DELAY_NS, MAX_DELAY_NS)
         copies = 1
@@ -65,7 +65,7 @@
             if fault.kind == "double":
                 copies = 2
         for _ in range(copies):
-            clock.after(delay, action, *arguments)
+            clock.call_after(delay, action, *arguments)
             delay += random.randrange(MAX_DUPLICATE_DELAY_NS)
 
     def send(self, source: str, recipient: str, envelope: Envelope) -> None:
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -107,9 +107,9 @@
         step.instance.running_version = version
         self.owner.supervisor.process_started(machine.now(), step.instance)
         if version.startswith("crash"):
-            world.clock.at(now + CRASH_DELAY_NS, self.end, name, process, "exit code 3", True)
+            world.clock.call_at(now + CRASH_DELAY_NS, self.end, name, process, "exit code 3", True)
         else:
-            world.clock.at(process.serves_at, self._serves, name, process)
+            world.clock.call_at(process.serves_at, self._serves, name, process)
 
     def _drain(self, step: Step, process: Process) -> None:
         machine = self.machine
@@ -123,7 +123,7 @@
         else:
             world.audit.out_by_itself(now, name)
         process.exits_at = now + machine.random.randrange(MIN_DRAIN_TIME_NS, MAX_DRAIN_TIME_NS)
-        world.clock.at(process.exits_at, self.end, name, process, "left")
+        world.clock.call_at(process.exits_at, self.end, name, process, "left")
 
     def _serves(self, name: str, process: Process) -> None:
         if self.running.get(name) is process and not process.exits_at:
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -101,7 +101,7 @@
 
     def start_timer(self, restarts: int) -> None:
         """Tick for the first time."""
-        self.timer = self.world.clock.after(1, self._tick, restarts)
+        self.timer = self.world.clock.call_after(1, self._tick, restarts)
 
     def _tick(self, restarts: int) -> None:
         machine = self.machine
@@ -121,7 +121,7 @@
         if self.control_plane:
             wait = max(MS, int((self.control_plane.replica.next_tick_at() - machine.now()) / machine.rate))
             wait = min(wait, MAX_LEADER_TICK_NS if self.control_plane.allocator else MAX_TICK_NS)
-        self.timer = self.world.clock.after(wait, self._tick, machine.restarts)
+        self.timer = self.world.clock.call_after(wait, self._tick, machine.restarts)
 
     def carry_out(self, outputs: list[Output]) -> None:
         """Write, send and complete in this order, or crash in between."""
@@ -151,7 +151,7 @@
             return False
         if machine.disk_full:  # like a crash: it restarts from what is stored
             self.control_plane = None
-            self.world.clock.after(RESTART_DELAY_NS, self._restart, machine.restarts)
+            self.world.clock.call_after(RESTART_DELAY_NS, self._restart, machine.restarts)
             return False
         self.storage.write(control_plane.replica.durable, output.storage_update)
         self.known_writes = self.storage.writes
@@ -168,7 +168,7 @@
         machine = self.machine
         if restarts == machine.restarts and self.control_plane is None:
             if machine.disk_full:
-                self.world.clock.after(RESTART_DELAY_NS, self._restart, restarts)
+                self.world.clock.call_after(RESTART_DELAY_NS, self._restart, restarts)
             else:
                 self.start()
 
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -17,24 +17,24 @@
 
 class ClockTest(unittest.TestCase):
     def test_runs_events_by_time_then_by_scheduling_and_skips_cancelled_ones(self):
-        clock, seen = Clock(), []
-        clock.at(20, seen.append, "b")
-        clock.at(10, seen.append, "a")
-        clock.at(20, seen.append, "c")
-        clock.at(20, seen.append, "off").cancel()
-        clock.at(30, seen.append, "later")
+        clock, calls = Clock(), []
+        clock.call_at(20, calls.append, "b")
+        clock.call_at(10, calls.append, "a")
+        clock.call_at(20, calls.append, "c")
+        clock.call_at(20, calls.append, "cancelled").cancel()
+        clock.call_at(30, calls.append, "later")
         clock.run(20)
-        self.assertEqual((seen, clock.now, clock.events_processed), (["a", "b", "c"], 20, 3))
+        self.assertEqual((calls, clock.now, clock.events_processed), (["a", "b", "c"], 20, 3))
 
 
 class MachineTest(unittest.TestCase):
     def end_times(self, cores: int, costs: list[int], **contention) -> list[int]:
-        clock, ended = Clock(), {}
+        clock, end_times = Clock(), {}
         machine = Machine(clock, cores, **contention)
         for number, cost in enumerate(costs):
-            machine.start(cost, lambda number=number: ended.setdefault(number, clock.now))
+            machine.start(cost, lambda number=number: end_times.setdefault(number, clock.now))
         clock.run(SECOND)
-        return [round(ended[number] / MS) for number in range(len(costs))]
+        return [round(end_times[number] / MS) for number in range(len(costs))]
 
     def test_shares_cores_evenly_and_speeds_up_the_tasks_that_remain(self):
         self.assertEqual(self.end_times(2, [10 * MS, 10 * MS]), [10, 10])
@@ -44,18 +44,18 @@
     def test_contention_past_the_knee_slows_all_tasks(self):
         self.assertEqual(self.end_times(1, [10 * MS] * 4, knee=2.0, slope=0.5), [80] * 4)
 
-    def test_stopped_task_frees_its_share_and_stalled_machine_makes_no_progress(self):
-        clock, ended = Clock(), []
+    def test_stopping_a_task_frees_its_share_and_a_stalled_machine_makes_no_progress(self):
+        clock, end_times = Clock(), []
         machine = Machine(clock, 1)
-        stopped = machine.start(10 * MS, lambda: ended.append("gone"))
-        machine.start(10 * MS, lambda: ended.append(clock.now))
+        stopped = machine.start(10 * MS, lambda: end_times.append("stopped"))
+        machine.start(10 * MS, lambda: end_times.append(clock.now))
         clock.run(5 * MS)
         machine.stop(stopped)
         machine.set_speed(0.0)
         clock.run(100 * MS)
         machine.set_speed(1.0)
         clock.run(SECOND)
-        self.assertEqual([round(end / MS, 1) for end in ended], [107.5])
+        self.assertEqual([round(end / MS, 1) for end in end_times], [107.5])
         self.assertAlmostEqual(machine.busy_time / MS, 107.5, delta=0.1)
 
 
@@ -142,7 +142,7 @@
         respond = SimulatedNode._respond
 
         def respond_late(self, opened, status, retry_after):
-            self.clock.after(10 * SECOND, respond, self, opened, status, retry_after)
+            self.clock.call_after(10 * SECOND, respond, self, opened, status, retry_after)
 
         self.assertIn("ms late", self.breaches_with("_respond", respond_late))
 
