--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Simulated dispatchers: requests arrive at random, open loop, and each is attempted on one node or more."""
+"""Simulated dispatchers: an open-loop load of random requests, each attempted on one or more nodes."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from oakkeel.emulator.nodes import ResponseStatus, SimulatedNode
 from oakkeel.units import MS, SECOND
 
-EXPECTED_KB = 25.0  # memory that a dispatcher announces for a request
+EXPECTED_KB = 25.0  # memory that a dispatcher expects a request to take
 LATENCY_SMOOTHING = 0.2  # weight of the newest latency in a node's moving average
-MAX_DELAY_FACTOR = 8  # a network delay this many times the mean is still within the deadline
-TIMEOUT_MARGIN_NS = 100 * MS  # past timeout and network, before an unanswered attempt is abandoned
-REQUEST_ID_RANGE = 100_000_000  # attempt IDs of one dispatcher
+MAX_DELAY_FACTOR = 8  # the delay allowance covers a network delay this many times the mean
+TIMEOUT_MARGIN_NS = 100 * MS  # added to timeout and delay allowance before an attempt is abandoned
+REQUEST_ID_RANGE = 100_000_000  # number of attempt IDs of one dispatcher
 HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash
 
 
 class BalancingPolicy(Enum):
-    """How a dispatcher chooses among the nodes that it sees as available."""
+    """How a dispatcher chooses among the nodes that it considers available."""
 
     ROUND_ROBIN = "round"
     LEAST_REQUESTS = "least"  # fewest open requests of this dispatcher
-    HASH = "subject"  # by the request's routing key
-    LEAST_LATENCY = "fastest"  # by the moving average of latencies
+    HASH = "subject"  # of the request's routing key
+    LEAST_LATENCY = "fastest"  # lowest moving average of latencies
 
 
 class RequestResult(StrEnum):
@@ -44,38 +44,38 @@
 
     policy: BalancingPolicy = BalancingPolicy.ROUND_ROBIN
     max_attempts: int = 3
-    timeout: int = 2 * SECOND  # of an attempt, and of all attempts together
-    abandon_after: int = 0  # without a response; the node sees the client disconnect; 0: only at the timeout
-    honors_retry_after: bool = True  # avoids a node for as long as its rejection asks
-    delay: int = MS  # mean one-way network delay
-    loss: float = 0.0  # share of attempts that never reach their node
+    timeout: int = 2 * SECOND  # of each attempt, and of all attempts of a request together
+    abandon_after: int = 0  # disconnects if there is no response by then; 0: only after the timeout
+    honors_retry_after: bool = True  # avoids a node for the time that its rejection states
+    network_delay: int = MS  # mean one-way network delay
+    loss_ratio: float = 0.0  # share of attempts that never reach their node
 
     @property
     def delay_allowance(self) -> int:
-        """Nanoseconds allowed for a round trip of the network, far above its mean."""
-        return 2 * self.delay * MAX_DELAY_FACTOR
+        """Nanoseconds allowed for a network round trip, far above its mean."""
+        return 2 * self.network_delay * MAX_DELAY_FACTOR
 
 
 class NodeView:
-    """What a dispatcher knows of one node."""
+    """A dispatcher's view of one node."""
 
     __slots__ = ("avoid_until", "mean_latency", "node", "open_requests")
 
     def __init__(self, node: SimulatedNode) -> None:
-        """Start with a node that has been sent nothing."""
+        """Create the view of a node that has received no request yet."""
         self.node = node
         self.open_requests = 0
         self.avoid_until = 0
         self.mean_latency = 0.0
 
     def record_latency(self, latency: int) -> None:
-        """Count a request as closed and take its latency, in nanoseconds, into the moving average."""
+        """Count a request as closed and add its latency, in nanoseconds, to the moving average."""
         self.open_requests -= 1
         self.mean_latency += LATENCY_SMOOTHING * (latency - self.mean_latency)
 
 
 class ClientRequest:
-    """One request with all its attempts."""
+    """One request of a client, attempted once or more."""
 
     __slots__ = ("attempts", "cost", "finished", "name", "request_class", "routing_key", "started_at")
 
@@ -95,19 +95,19 @@
 class ClientAttempt:
     """One attempt of a request on one node, from the dispatcher's side."""
 
-    __slots__ = ("closed", "dispatcher", "request_id", "sent_at", "view", "wire_request", "work")
+    __slots__ = ("client_request", "closed", "dispatcher", "request_id", "sent_at", "view", "wire_request")
 
     def __init__(
         self,
         dispatcher: Dispatcher,
-        work: ClientRequest,
+        client_request: ClientRequest,
         view: NodeView,
         request_id: int,
         wire_request: Request,
     ) -> None:
-        """Open an attempt; `send` transmits it."""
+        """Create an attempt; `send` sends it."""
         self.dispatcher = dispatcher
-        self.work = work
+        self.client_request = client_request
         self.view = view
         self.request_id = request_id
         self.wire_request = wire_request
@@ -115,39 +115,41 @@
         self.closed = False
 
     def send(self) -> None:
-        """Transmit the request, unless it gets lost, and set the timer that abandons the attempt."""
+        """Send the request, unless it is lost, and set the timer that abandons the attempt."""
         dispatcher = self.dispatcher
         node = self.view.node
         behavior = dispatcher.behavior
-        due = self.sent_at + min(behavior.timeout, self.work.request_class.client_timeout)
-        dispatcher.audit.sent(
+        deadline = self.sent_at + min(behavior.timeout, self.client_request.request_class.client_timeout)
+        dispatcher.audit.attempt_sent(
             self.request_id,
             self.sent_at,
-            due + behavior.delay_allowance,
-            self.work.request_class.at_most_once,
-            self.work.name,
+            deadline + behavior.delay_allowance,
+            self.client_request.request_class.at_most_once,
+            self.client_request.name,
             node.name,
         )
         self.view.open_requests += 1
-        if dispatcher.random.random() < behavior.loss or not node.alive:
-            dispatcher.audit.excused(self.request_id, self.sent_at)
+        if dispatcher.random.random() < behavior.loss_ratio or not node.alive:
+            dispatcher.audit.waive_response(self.request_id, self.sent_at)
         else:
             dispatcher.clock.call_after(
-                dispatcher.network_delay(),
+                dispatcher.draw_network_delay(),
                 node.receive,
                 self.request_id,
                 self.wire_request,
-                self.work.cost,
+                self.client_request.cost,
                 self._on_response_sent,
             )
-        wait = behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN_NS
-        dispatcher.clock.call_after(wait, self._on_timeout)
+        abandon_after = (
+            behavior.abandon_after or behavior.timeout + behavior.delay_allowance + TIMEOUT_MARGIN_NS
+        )
+        dispatcher.clock.call_after(abandon_after, self._on_timeout)
 
     def _on_response_sent(self, status: ResponseStatus, retry_after: int) -> None:
-        """The node responded; the response is on its way."""
+        """Handle a response sent by the node; the dispatcher receives it after the network delay."""
         dispatcher = self.dispatcher
-        dispatcher.audit.answered(self.request_id, dispatcher.clock.now, status)
-        dispatcher.clock.call_after(dispatcher.network_delay(), self._on_response, status, retry_after)
+        dispatcher.audit.response_sent(self.request_id, dispatcher.clock.now, status)
+        dispatcher.clock.call_after(dispatcher.draw_network_delay(), self._on_response, status, retry_after)
 
     def _on_response(self, status: ResponseStatus, retry_after: int) -> None:
         if self.closed:
@@ -155,26 +157,27 @@
         dispatcher = self.dispatcher
         self._close()
         if status is ResponseStatus.COMPLETED:
-            dispatcher.finish(self.work, RequestResult.COMPLETED)
+            dispatcher.finish(self.client_request, RequestResult.COMPLETED)
             return
         dispatcher.counts[status] += 1
         if retry_after:
             self.view.avoid_until = dispatcher.clock.now + retry_after
         dispatcher.retry(
-            self.work, self.work.request_class.at_most_once and status is not ResponseStatus.REJECTED
+            self.client_request,
+            self.client_request.request_class.at_most_once and status is not ResponseStatus.REJECTED,
         )
 
     def _on_timeout(self) -> None:
-        """Abandon the attempt: its node sees the client disconnect."""
+        """Abandon the attempt and disconnect from the node."""
         if self.closed:
             return
         dispatcher = self.dispatcher
         self._close()
-        dispatcher.audit.excused(self.request_id, dispatcher.clock.now)  # the node need not respond any more
+        dispatcher.audit.waive_response(self.request_id, dispatcher.clock.now)
         dispatcher.clock.call_after(
-            dispatcher.network_delay(), self.view.node.client_disconnected, self.wire_request
+            dispatcher.draw_network_delay(), self.view.node.client_disconnected, self.wire_request
         )
-        dispatcher.retry(self.work, self.work.request_class.at_most_once)
+        dispatcher.retry(self.client_request, self.client_request.request_class.at_most_once)
 
     def _close(self) -> None:
         self.closed = True
@@ -194,7 +197,7 @@
         audit: RuleAudit,
         seed: int,
     ) -> None:
-        """`mean_costs`: nanoseconds of a core that a request of each request class takes in the mean."""
+        """`mean_costs`: mean cost of a request by request class, in nanoseconds of a core."""
         self.number = number
         self.clock = clock
         self.limits = limits
@@ -204,7 +207,7 @@
         self.random = Random(seed)
         self.views: list[NodeView] = []
         self.rate = 0.0
-        self.next_index = 0  # of the round robin
+        self.next_index = 0  # of the round-robin policy
         self.requests_created = 0
         self.attempts_sent = 0
         self.counts: Counter[str] = Counter()
@@ -212,12 +215,12 @@
         self.latencies: list[int] = []
 
     def set_nodes(self, nodes: list[SimulatedNode]) -> None:
-        """Take the nodes that the directory lists now; what is known of those that stay is retained."""
-        known = {view.node: view for view in self.views}
-        self.views = [known.get(node) or NodeView(node) for node in nodes]
+        """Set the nodes listed by the directory; the views of nodes that are still listed are kept."""
+        views_by_node = {view.node: view for view in self.views}
+        self.views = [views_by_node.get(node) or NodeView(node) for node in nodes]
 
     def set_rate(self, rate: float) -> None:
-        """Set the number of requests created a second."""
+        """Set the number of requests created per second."""
         was_idle = self.rate <= 0
         self.rate = rate
         if was_idle and rate > 0:
@@ -232,7 +235,7 @@
         self.requests_created += 1
         class_index = self.random.randrange(len(self.mean_costs))
         cost = self.mean_costs[class_index] * (0.5 + self.random.random())
-        work = ClientRequest(
+        client_request = ClientRequest(
             f"{self.number}.{self.requests_created}",
             self.limits.request_classes[class_index],
             self.clock.now,
@@ -240,25 +243,27 @@
             cost,
         )
         self.counts["asked"] += 1
-        self._attempt(work)
+        self._send_attempt(client_request)
 
-    def _choose(self, work: ClientRequest) -> NodeView | None:
+    def _choose_node(self, client_request: ClientRequest) -> NodeView | None:
         policy = self.behavior.policy
         if policy is BalancingPolicy.ROUND_ROBIN:
-            return self._choose_round_robin()
+            return self._choose_node_round_robin()
         views = [view for view in self.views if self._is_available(view)]
         if not views:
             return None
         if policy is BalancingPolicy.HASH:
-            return views[(work.routing_key * HASH_MULTIPLIER + work.attempts) % len(views)]
+            return views[
+                (client_request.routing_key * HASH_MULTIPLIER + client_request.attempts) % len(views)
+            ]
         if policy is BalancingPolicy.LEAST_REQUESTS:
             return min(views, key=lambda view: (view.open_requests, self.random.random()))
         if policy is BalancingPolicy.LEAST_LATENCY:
             return min(views, key=lambda view: (view.mean_latency, self.random.random()))
         raise ValueError(f"unknown balancing policy: {policy}")
 
-    def _choose_round_robin(self) -> NodeView | None:
-        """Return the next available node without looking at the whole of a large fleet."""
+    def _choose_node_round_robin(self) -> NodeView | None:
+        """Return the next available node, without checking all nodes of a large fleet."""
         for _ in self.views:
             self.next_index += 1
             view = self.views[self.next_index % len(self.views)]
@@ -267,20 +272,20 @@
         return None
 
     def _is_available(self, view: NodeView) -> bool:
-        avoided = self.behavior.honors_retry_after and view.avoid_until > self.clock.now
-        return view.node.healthy and not avoided
+        is_avoided = self.behavior.honors_retry_after and view.avoid_until > self.clock.now
+        return view.node.healthy and not is_avoided
 
-    def _attempt(self, work: ClientRequest) -> None:
-        view = self._choose(work)
+    def _send_attempt(self, client_request: ClientRequest) -> None:
+        view = self._choose_node(client_request)
         if view is None:
-            self.finish(work, RequestResult.UNSENT)
+            self.finish(client_request, RequestResult.UNSENT)
             return
-        work.attempts += 1
+        client_request.attempts += 1
         self.attempts_sent += 1
         request_id = self.number * REQUEST_ID_RANGE + self.attempts_sent
-        is_retry = work.attempts > 1
+        is_retry = client_request.attempts > 1
         wire_request = Request(
-            work.request_class,
+            client_request.request_class,
             None,
             self.number,
             EXPECTED_KB,
@@ -290,29 +295,29 @@
             False,
             False,
         )
-        ClientAttempt(self, work, view, request_id, wire_request).send()
+        ClientAttempt(self, client_request, view, request_id, wire_request).send()
 
-    def retry(self, work: ClientRequest, may_have_run: bool) -> None:
-        """Attempt the request again where that is safe and its timeout and attempts allow it."""
-        timed_out = self.clock.now - work.started_at >= self.behavior.timeout
-        if may_have_run or work.attempts >= self.behavior.max_attempts or timed_out:
-            self.finish(work, RequestResult.GAVE_UP)
+    def retry(self, client_request: ClientRequest, may_have_run: bool) -> None:
+        """Send another attempt if that is safe and the timeout and the maximum of attempts allow it."""
+        has_timed_out = self.clock.now - client_request.started_at >= self.behavior.timeout
+        if may_have_run or client_request.attempts >= self.behavior.max_attempts or has_timed_out:
+            self.finish(client_request, RequestResult.GAVE_UP)
             return
-        self._attempt(work)
+        self._send_attempt(client_request)
 
-    def finish(self, work: ClientRequest, result: RequestResult) -> None:
-        """Count the request's result, once."""
-        if work.finished:
+    def finish(self, client_request: ClientRequest, result: RequestResult) -> None:
+        """Count the result of a request; further results of the same request are ignored."""
+        if client_request.finished:
             return
-        work.finished = True
+        client_request.finished = True
         self.counts[result] += 1
         if result is RequestResult.COMPLETED:
-            request_class = work.request_class
-            latency = self.clock.now - work.started_at
+            request_class = client_request.request_class
+            latency = self.clock.now - client_request.started_at
             self.latencies.append(latency)
-            in_time = latency <= request_class.latency_objective
-            self.goodput += request_class.priority_weight * (1.0 if in_time else request_class.late_weight)
+            is_in_time = latency <= request_class.latency_objective
+            self.goodput += request_class.priority_weight * (1.0 if is_in_time else request_class.late_weight)
 
-    def network_delay(self) -> int:
-        """Draw a one-way delay in nanoseconds."""
-        return int(self.random.expovariate(1.0) * self.behavior.delay)
+    def draw_network_delay(self) -> int:
+        """Draw a one-way network delay in nanoseconds."""
+        return int(self.random.expovariate(1.0) * self.behavior.network_delay)
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -16,11 +16,11 @@
     """The response of a node; the values are keys of the JSON record."""
 
     COMPLETED = "completed"
-    REJECTED = "denied"  # it never ran
-    FAILED = "terminated"  # it may have run
+    REJECTED = "denied"  # the request never ran
+    FAILED = "terminated"  # the request may have run
 
 
-ResponseCallback = Callable[[ResponseStatus, int], None]  # and nanoseconds to stay away (retry after)
+ResponseCallback = Callable[[ResponseStatus, int], None]  # second argument: retry after, in nanoseconds
 
 
 class OpenRequest:
@@ -31,7 +31,7 @@
     def __init__(
         self, request_id: int, request: Request, cost: float, respond: ResponseCallback, arrived_at: int
     ) -> None:
-        """`cost`: nanoseconds of a core; `arrived_at`: when it reached the machine, before it was read."""
+        """`cost`: nanoseconds of a core; `arrived_at`: when the request reached the machine, still unread."""
         self.request_id = request_id
         self.request = request
         self.cost = cost
@@ -64,109 +64,109 @@
         self.running = 0
         self.alive = True
         self.healthy = True
-        self.scheduling_due = False
-        self.last_gauges = (0.0, clock.now)  # busy time of the machine, and when it was read
+        self.schedule_pending = False
+        self.last_gauges = (0.0, clock.now)  # busy time of the machine, and when that was read
         self.admission = AdmissionController(self, limits, seed, clock.now)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        """Ignore the calls of `Host` that mean nothing here: connections, duplicates, load reports."""
+        """Ignore calls of `Host` that are not simulated: connections, duplicates, load reports."""
         if name.startswith("_") or name in ("admission", "alive"):
             raise AttributeError(name)
         return lambda *arguments: None
 
-    # What the network brings.
+    # Events from the network.
 
     def receive(self, request_id: int, request: Request, cost: float, respond: ResponseCallback) -> None:
-        """Take a request that reached the machine; it has to be read before it is admitted."""
+        """Receive a request; reading it takes processor time, and then it is passed to admission."""
         if not self.alive:
             return
-        opened = OpenRequest(request_id, request, cost, respond, self.clock.now)
-        self.machine.start(self.read_cost, lambda: self._admit(opened))
+        open_request = OpenRequest(request_id, request, cost, respond, self.clock.now)
+        self.machine.start(self.read_cost, lambda: self._admit(open_request))
 
-    def _admit(self, opened: OpenRequest) -> None:
-        opened.request.queueing_delay += self.clock.now - opened.arrived_at
-        self.open_requests[opened.request] = opened
-        self.admission.arrive(self.clock.now, opened.request)
-        self._schedule_soon()
+    def _admit(self, open_request: OpenRequest) -> None:
+        open_request.request.queueing_delay += self.clock.now - open_request.arrived_at
+        self.open_requests[open_request.request] = open_request
+        self.admission.arrive(self.clock.now, open_request.request)
+        self._request_schedule()
 
     def client_disconnected(self, request: Request) -> None:
-        """Take notice that the client of a request is gone."""
-        if self.alive and (opened := self.open_requests.get(request)) and not opened.responded:
-            opened.responded = True
+        """Report to admission that the client of a request disconnected."""
+        if self.alive and (open_request := self.open_requests.get(request)) and not open_request.responded:
+            open_request.responded = True
             self.admission.client_disconnected(self.clock.now, request)
-            self._schedule_soon()
+            self._request_schedule()
 
     def drain(self, remaining: int) -> None:
-        """Start to drain; the node ends in `remaining` nanoseconds."""
+        """Start to drain; the node exits in `remaining` nanoseconds."""
         self.audit.drain_started(self.name, self.clock.now + self.limits.drain_grace)
         self.admission.drain(self.clock.now, remaining)
 
     def crash(self) -> None:
-        """End at once: open requests are lost and get no response."""
+        """Crash: open requests are lost and get no response."""
         self.alive = False
-        for opened in self.open_requests.values():
-            self.audit.excused(opened.request_id, self.clock.now)
-            if opened.task:
-                self.machine.stop(opened.task)
+        for open_request in self.open_requests.values():
+            self.audit.waive_response(open_request.request_id, self.clock.now)
+            if open_request.task:
+                self.machine.stop(open_request.task)
 
-    # Host.
+    # Methods of `Host`.
 
     def run(self, request: Request) -> None:
         """Start a request on the cores."""
-        opened = self.open_requests[request]
-        self.audit.run_started(opened.request_id, opened.arrived_at)
-        opened.task = self.machine.start(opened.cost, lambda: self._complete(opened))
+        open_request = self.open_requests[request]
+        self.audit.run_started(open_request.request_id, open_request.arrived_at)
+        open_request.task = self.machine.start(open_request.cost, lambda: self._complete(open_request))
         self.running += 1
         warm_share = self.machine.speed_factor if self.limits.starts_cold else 1.0
         concurrency = self.running / self.limits.cores
         if concurrency > 1 + (self.limits.overload_multiple - 1) * warm_share:
             self.audit.node_overloaded(self.name, f"{concurrency:.1f} runs a core")
 
-    def _complete(self, opened: OpenRequest) -> None:
+    def _complete(self, open_request: OpenRequest) -> None:
         if not self.alive:
             return
         self.running -= 1
-        self.audit.took_effect(opened.request_id)
-        self.admission.run_finished(self.clock.now, opened.request, Outcome.COMPLETED)
-        self._respond(opened, ResponseStatus.COMPLETED, 0)
-        self._close(opened)
-        self._schedule_soon()
+        self.audit.run_completed(open_request.request_id)
+        self.admission.run_finished(self.clock.now, open_request.request, Outcome.COMPLETED)
+        self._respond(open_request, ResponseStatus.COMPLETED, 0)
+        self._close(open_request)
+        self._request_schedule()
 
     def cancel(self, request: Request) -> None:
-        """Stop a running request; the controller hears of its end in an event of its own."""
-        opened = self.open_requests[request]
-        if opened.task and opened.task.active:
-            self.machine.stop(opened.task)
+        """Stop a running request; a separate event reports its end to the controller."""
+        open_request = self.open_requests[request]
+        if open_request.task and open_request.task.active:
+            self.machine.stop(open_request.task)
             self.running -= 1
-            self.clock.call_after(0, self._report_cancelled, opened)
+            self.clock.call_after(0, self._report_cancelled, open_request)
 
-    def _report_cancelled(self, opened: OpenRequest) -> None:
+    def _report_cancelled(self, open_request: OpenRequest) -> None:
         if self.alive:
-            self.admission.run_finished(self.clock.now, opened.request, Outcome.CANCELLED)
-            self._close(opened)
-            self._schedule_soon()
+            self.admission.run_finished(self.clock.now, open_request.request, Outcome.CANCELLED)
+            self._close(open_request)
+            self._request_schedule()
 
     def reject(self, request: Request, final: bool, retry_after: int) -> None:
         """Respond that the request is rejected."""
-        opened = self.open_requests[request]
-        self._respond(opened, ResponseStatus.REJECTED, retry_after)
-        if opened.task is None:
-            self._close(opened)
+        open_request = self.open_requests[request]
+        self._respond(open_request, ResponseStatus.REJECTED, retry_after)
+        if open_request.task is None:
+            self._close(open_request)
 
     def fail(self, request: Request) -> None:
-        """Respond that the request failed after it had begun."""
+        """Respond that the request failed after its run had started."""
         self._respond(self.open_requests[request], ResponseStatus.FAILED, 0)
 
-    def _respond(self, opened: OpenRequest, status: ResponseStatus, retry_after: int) -> None:
-        if not opened.responded:
-            opened.responded = True
-            opened.respond(status, retry_after)
+    def _respond(self, open_request: OpenRequest, status: ResponseStatus, retry_after: int) -> None:
+        if not open_request.responded:
+            open_request.responded = True
+            open_request.respond(status, retry_after)
 
-    def _close(self, opened: OpenRequest) -> None:
-        self.open_requests.pop(opened.request, None)
+    def _close(self, open_request: OpenRequest) -> None:
+        self.open_requests.pop(open_request.request, None)
 
     def set_timer(self, token: int, at: int) -> None:
-        """Call the controller's `timer_expired` with the token at a time."""
+        """Call the controller's `timer_expired` with `token` at the time `at`."""
         self.clock.call_at(at, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
@@ -178,16 +178,16 @@
             self.last_gauges = self.machine.busy_time, self.clock.now
         gauges = Gauges(min(1.0, utilization), float(self.machine.task_count), 0.1, 1.0)
         self.admission.timer_expired(self.clock.now, token, gauges)
-        self._schedule_soon()
+        self._request_schedule()
 
-    def _schedule_soon(self) -> None:
-        """Run the scheduler once after all that happens at this time."""
-        if not self.scheduling_due:
-            self.scheduling_due = True
+    def _request_schedule(self) -> None:
+        """Run the scheduler once, after all events already scheduled for this time."""
+        if not self.schedule_pending:
+            self.schedule_pending = True
             self.clock.call_after(0, self._schedule)
 
     def _schedule(self) -> None:
-        self.scheduling_due = False
+        self.schedule_pending = False
         if self.alive:
             self.admission.schedule(self.clock.now)
 
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""One scenario in simulated time: a fleet, its clients, injected faults, and the result."""
+"""Runs a scenario in simulated time: a fleet, its clients and injected faults."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 from oakkeel.emulator.nodes import SimulatedNode
 from oakkeel.units import MS, SECOND
 
-DISCOVERY_DELAY_NS = SECOND  # until dispatchers see a change of the fleet
-RESPONSE_TIME_NS = 10 * SECOND  # after the load ends, for the responses that are still owed
-DRAIN_TIME_NS = 5 * SECOND  # that a node of a release has
-WARM_UP_STEPS = 8  # a second each
+DISCOVERY_DELAY_NS = SECOND  # until dispatchers receive a change of the fleet
+RESPONSE_TIME_NS = 10 * SECOND  # from the end of the load, for outstanding responses
+DRAIN_TIME_NS = 5 * SECOND  # from the start of the drain to the exit of a node in a release
+WARM_UP_STEPS = 8  # of one second each
 COLD_SPEED = 0.3  # of full speed
 PERCENTILES = (0.5, 0.9, 0.99)
 
 
 class FaultKind(Enum):
-    """What goes wrong."""
+    """The kinds of injected faults."""
 
-    SLOW = "slow"  # a node at `size` of its speed
+    SLOW = "slow"  # a node runs at `size` of its speed
     STALL = "still"  # a node stalls
-    CRASH = "die"  # a node ends at once, and a cold one takes its place
-    RELEASE = "release"  # `size` nodes drain one after the other, each replaced by a cold one
-    LOAD_SPIKE = "flood"  # `size` times the rate
+    CRASH = "die"  # a node exits without a drain, and a cold node replaces it
+    RELEASE = "release"  # `size` nodes drain one after the other, and a cold node replaces each
+    LOAD_SPIKE = "flood"  # the request rate is multiplied by `size`
 
 
 @dataclass(slots=True, frozen=True)
 class FaultEvent:
-    """A fault that starts at a second and lasts some seconds; faults may overlap."""
+    """A fault with its start and duration in seconds; faults may overlap."""
 
     kind: FaultKind
-    at: float
+    starts_at: float
     duration: float = 5.0
     size: float = 0.5
     node: int = 0
@@ -71,11 +71,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """A fleet, its load and its faults; the seed makes it repeatable."""
+    """A fleet, its load and its faults; runs with the same seed are identical."""
 
     nodes: int = 4
     cores: int = 4
-    load: float = 0.8  # of what all cores can do, in the mean
+    load: float = 0.8  # mean load as a share of the capacity of all cores
     seconds: float = 20.0
     dispatchers: int = 4
     request_classes: tuple[RequestClassSpec, ...] = REQUEST_CLASSES
@@ -89,8 +89,8 @@
     """The result of a scenario; the same scenario gives the same bytes of `record`."""
 
     requests: int
-    goodput: float  # priority weights of the requests completed, less where late
-    max_goodput: float  # had all been in time
+    goodput: float  # sum of the priority weights of completed requests, reduced for late ones
+    max_goodput: float  # if all requests completed in time
     counts: dict[str, int]
     latency_ms: dict[str, float]
     breaches: list[str]
@@ -118,7 +118,7 @@
     """One run of a scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Build the fleet and its dispatchers; `run` plays the scenario."""
+        """Create the fleet and its dispatchers."""
         self.scenario = scenario
         self.clock = Clock()
         self.audit = RuleAudit()
@@ -201,12 +201,12 @@
         return node
 
     def run(self) -> ScenarioResult:
-        """Play the scenario to its end; callable once."""
+        """Run the scenario to its end; may be called only once."""
         for dispatcher in self.dispatchers:
             dispatcher.set_nodes(self.nodes)
             dispatcher.set_rate(self.dispatcher_rate)
         for event in self.scenario.events:
-            self.clock.call_at(int(event.at * SECOND), self._inject, event)
+            self.clock.call_at(int(event.starts_at * SECOND), self._inject, event)
         self.clock.run(int(self.scenario.seconds * SECOND))
         for dispatcher in self.dispatchers:
             dispatcher.set_rate(0.0)
@@ -230,9 +230,9 @@
             case FaultKind.RELEASE:
                 self._start_release(event)
 
-    def _spike_load(self, multiple: float, until: int) -> None:
+    def _spike_load(self, factor: float, until: int) -> None:
         for dispatcher in self.dispatchers:
-            dispatcher.set_rate(self.dispatcher_rate * multiple)
+            dispatcher.set_rate(self.dispatcher_rate * factor)
             self.clock.call_at(until, dispatcher.set_rate, self.dispatcher_rate)
 
     def _slow_down(self, node: SimulatedNode, speed: float, until: int) -> None:
@@ -281,5 +281,5 @@
 
 
 def run_scenario(scenario: Scenario) -> ScenarioResult:
-    """Run a scenario from its start to its end."""
+    """Run a scenario and return its result."""
     return ScenarioRun(scenario).run()
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -1,4 +1,4 @@
-"""The emulator: the same scenario gives the same bytes, and the audit reports every broken rule."""
+"""Tests of the emulator: a scenario is repeatable byte by byte, and the audit reports each broken rule."""
 
 import unittest
 from unittest import mock
@@ -12,7 +12,7 @@
 from oakkeel.emulator.scenario import FaultEvent, FaultKind, Scenario, ScenarioRun, run_scenario
 from oakkeel.units import MS, SECOND
 
-SHORT = Scenario(nodes=2, dispatchers=2, seconds=4.0)
+SHORT_SCENARIO = Scenario(nodes=2, dispatchers=2, seconds=4.0)
 
 
 class ClockTest(unittest.TestCase):
@@ -61,11 +61,11 @@
 
 class ScenarioTest(unittest.TestCase):
     def test_same_seed_gives_the_same_bytes_and_another_seed_does_not(self):
-        first, again = run_scenario(SHORT), run_scenario(SHORT)
-        self.assertEqual(first.record(), again.record())
-        other = run_scenario(Scenario(nodes=2, dispatchers=2, seconds=4.0, seed=2))
-        self.assertNotEqual(first.record(), other.record())
-        self.assertEqual((first.breaches, other.breaches), ([], []))
+        first, second = run_scenario(SHORT_SCENARIO), run_scenario(SHORT_SCENARIO)
+        self.assertEqual(first.record(), second.record())
+        other_seed = run_scenario(Scenario(nodes=2, dispatchers=2, seconds=4.0, seed=2))
+        self.assertNotEqual(first.record(), other_seed.record())
+        self.assertEqual((first.breaches, other_seed.breaches), ([], []))
         self.assertGreater(first.goodput / first.max_goodput, 0.9)
 
     def test_overlapping_faults_break_no_rule(self):
@@ -87,27 +87,27 @@
         self.assertEqual(result.breaches, [])
         self.assertGreater(result.counts["denied"], 0)
 
-    def test_dispatcher_abandoning_attempts_while_responses_travel_runs_nothing_twice(self):
+    def test_abandoning_attempts_while_responses_are_in_transit_runs_nothing_twice(self):
         result = run_scenario(
             Scenario(
                 nodes=2,
                 dispatchers=2,
                 seconds=4.0,
                 load=1.2,
-                client_behavior=ClientBehavior(abandon_after=60 * MS, delay=20 * MS),
+                client_behavior=ClientBehavior(abandon_after=60 * MS, network_delay=20 * MS),
             )
         )
         self.assertEqual(result.breaches, [])
 
-    def test_node_that_crashes_as_a_run_ends_owes_no_response(self):
-        scenario_run = ScenarioRun(SHORT)
+    def test_node_that_crashes_as_a_run_ends_need_not_respond(self):
+        scenario_run = ScenarioRun(SHORT_SCENARIO)
         node = scenario_run.nodes[0]
         complete = SimulatedNode._complete
 
-        def crash_first(self, opened):
+        def crash_first(self, open_request):
             if self is node and scenario_run.clock.now > SECOND and self.alive:
                 self.crash()
-            complete(self, opened)
+            complete(self, open_request)
 
         with mock.patch.object(SimulatedNode, "_complete", crash_first):
             result = scenario_run.run()
@@ -116,59 +116,59 @@
 
 
 class RuleAuditTest(unittest.TestCase):
-    """Faults put into a node, one for each rule; the audit must report each."""
+    """The audit reports each of the defects that are put into a simulated node."""
 
-    def breaches_with(self, method: str, faulty, scenario: Scenario = SHORT) -> str:
-        with mock.patch.object(SimulatedNode, method, faulty):
+    def breaches_with(self, method: str, defect, scenario: Scenario = SHORT_SCENARIO) -> str:
+        with mock.patch.object(SimulatedNode, method, defect):
             return "\n".join(run_scenario(scenario).breaches)
 
-    def test_reports_request_that_never_gets_a_response(self):
+    def test_reports_request_without_a_response(self):
         respond, count = SimulatedNode._respond, iter(range(10**9))
 
-        def drop_some(self, opened, status, retry_after):
+        def drop_some(self, open_request, status, retry_after):
             if next(count) % 50:
-                respond(self, opened, status, retry_after)
+                respond(self, open_request, status, retry_after)
 
-        self.assertIn("got no answer", self.breaches_with("_respond", drop_some))
+        self.assertIn("got no response", self.breaches_with("_respond", drop_some))
 
     def test_reports_two_responses(self):
-        def respond_twice(self, opened, status, retry_after):
-            opened.respond(status, retry_after)
-            opened.respond(status, retry_after)
+        def respond_twice(self, open_request, status, retry_after):
+            open_request.respond(status, retry_after)
+            open_request.respond(status, retry_after)
 
-        self.assertIn("got 2 answers", self.breaches_with("_respond", respond_twice))
+        self.assertIn("got 2 responses", self.breaches_with("_respond", respond_twice))
 
     def test_reports_late_response(self):
         respond = SimulatedNode._respond
 
-        def respond_late(self, opened, status, retry_after):
-            self.clock.call_after(10 * SECOND, respond, self, opened, status, retry_after)
+        def respond_late(self, open_request, status, retry_after):
+            self.clock.call_after(10 * SECOND, respond, self, open_request, status, retry_after)
 
         self.assertIn("ms late", self.breaches_with("_respond", respond_late))
 
-    def test_reports_completion_of_request_that_never_ran(self):
-        def complete_instead(self, request, final, retry_after):
+    def test_reports_completion_of_a_request_that_never_ran(self):
+        def complete_rejected(self, request, final, retry_after):
             self._respond(self.open_requests[request], ResponseStatus.COMPLETED, 0)
 
         overload = Scenario(nodes=1, dispatchers=1, seconds=3.0, load=2.0)
-        self.assertIn("never ran", self.breaches_with("reject", complete_instead, overload))
+        self.assertIn("never ran", self.breaches_with("reject", complete_rejected, overload))
 
     def test_reports_second_run(self):
         run = SimulatedNode.run
 
         def run_twice(self, request):
             run(self, request)
-            opened = self.open_requests[request]
-            self.audit.run_started(opened.request_id, opened.arrived_at)
+            open_request = self.open_requests[request]
+            self.audit.run_started(open_request.request_id, open_request.arrived_at)
 
         self.assertIn("ran 2 times", self.breaches_with("run", run_twice))
 
     def test_reports_non_idempotent_request_that_takes_effect_on_two_nodes(self):
         audit = RuleAudit()
         for attempt_id, node in ((1, "n1"), (2, "n2")):
-            audit.sent(attempt_id, 0, SECOND, True, "w1", node)
+            audit.attempt_sent(attempt_id, 0, SECOND, True, "w1", node)
             audit.run_started(attempt_id, 0)
-            audit.took_effect(attempt_id)
+            audit.run_completed(attempt_id)
         self.assertIn("rule 2: w1 took effect 2 times", audit.breaches)
 
     def test_reports_run_after_the_grace_period(self):
@@ -176,18 +176,18 @@
         scenario = Scenario(nodes=2, dispatchers=2, seconds=8.0, events=(release,))
 
         def never_publish(self):
-            return None  # dispatchers go on sending to the node that drains
+            return None  # dispatchers keep sending to the draining node
 
         with (
             mock.patch.object(ScenarioRun, "_publish_nodes", never_publish),
-            mock.patch.object(AdmissionController, "drain", lambda self, now, left: None),
+            mock.patch.object(AdmissionController, "drain", lambda self, now, remaining: None),
         ):
-            self.assertIn("after its grace and ran", "\n".join(run_scenario(scenario).breaches))
+            self.assertIn("after its grace period and ran", "\n".join(run_scenario(scenario).breaches))
         with mock.patch.object(ScenarioRun, "_publish_nodes", never_publish):
-            self.assertNotIn("after its grace", "\n".join(run_scenario(scenario).breaches))
+            self.assertNotIn("after its grace period", "\n".join(run_scenario(scenario).breaches))
 
     def test_reports_node_that_runs_everything_at_once(self):
-        def schedule(self, now):
+        def run_all(self, now):
             while (request := self.queue.first()) is not None:
                 self.queue.pop()
                 self.occupancy.move(now, request, type(request.state).RUNNING)
@@ -199,9 +199,9 @@
             self._enqueue(now, request)
 
         with (
-            mock.patch.object(AdmissionController, "schedule", schedule),
+            mock.patch.object(AdmissionController, "schedule", run_all),
             mock.patch.object(AdmissionController, "arrive", admit_all),
         ):
             scenario = Scenario(nodes=1, dispatchers=1, seconds=6.0, load=4.0)
             breaches = "\n".join(run_scenario(scenario).breaches)
-        self.assertIn("rule 4: n1 fell over", breaches)
+        self.assertIn("rule 4: n1 was overloaded", breaches)
