--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -1,8 +1,8 @@
-"""Replicas and agents in simulated time: their decisions, on a network and disks that fail.
+"""Runs the decision logic of replicas and agents in simulated time, over a network and disks that fail.
 
-A host has a clock of its own rate, a disk, a replica, and an agent with instances. What is not on its disk is
-lost when it is killed. `play` returns the breaches that the audits found; a failing schedule can be shrunk
-and played again.
+Each host has a clock with its own rate, a disk, a replica, and an agent with instances. State that is not on
+disk is lost when the processes of the host are killed. `play` returns the breaches that the audits found; a
+failing schedule can be shrunk and replayed.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
     """A fleet of simulated hosts under a schedule."""
 
     def __init__(
-        self, schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None
+        self, schedule: Schedule, inject_defect: Callable[[ConsensusSimulation], None] | None = None
     ) -> None:
-        """`plant` may change the simulation before its hosts start, to plant a defect."""
+        """`inject_defect`: called with the simulation before its hosts start."""
         self.schedule = schedule
         self.world = World(schedule)
         self.clock = self.world.clock
@@ -40,27 +40,27 @@
         self.operators = Operators(self.world, self.hosts)
         self.faults = FaultInjector(self.world, self.hosts, self.network, self.operators)
         self.convergence = ConvergenceCheck(self.world, self.hosts)
-        if plant:
-            plant(self)
+        if inject_defect:
+            inject_defect(self)
         for name in self.world.names:
             self.hosts[name] = SimulatedHost(self.world, name, self.network, self.heartbeats.send)
         for fault in schedule.faults:
             self.clock.call_at(fault.at, self.faults.inject, fault)
 
     def run(self) -> list[str]:
-        """Play the schedule and return the breaches."""
+        """Run the schedule and return the breaches."""
         self.clock.call_at(SECOND, self.convergence.check_releases)
         self.clock.run(self.schedule.duration)
         return self.audit.finish(self.clock.now) + self.rollout_audit.breaches
 
     def stuck(self) -> list[str]:
-        """Return what has not converged at the end."""
+        """Return descriptions of all that has not converged at the end."""
         return self.convergence.stuck()
 
 
 def play(
-    schedule: Schedule, plant: Callable[[ConsensusSimulation], None] | None = None
+    schedule: Schedule, inject_defect: Callable[[ConsensusSimulation], None] | None = None
 ) -> tuple[ConsensusSimulation, list[str]]:
-    """Return the simulation of a schedule that was played, and its breaches."""
-    simulation = ConsensusSimulation(schedule, plant)
+    """Run the simulation of a schedule; return the simulation and its breaches."""
+    simulation = ConsensusSimulation(schedule, inject_defect)
     return simulation, simulation.run()
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -1,4 +1,4 @@
-"""Checks that a simulated fleet converges: one leader, no open order, no release that is stuck."""
+"""Checks that a simulated fleet converges: one leader, no open order and no stuck release."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from oakkeel.units import MS, SECOND
 
 CHECK_INTERVAL_NS = 50 * MS
-EXTRA_TIME_NS = 12 * SECOND  # for an order that was submitted late
-EXPECTED_REASONS = (  # of a release that waits for targets that operators have taken out for good
+EXTRA_CONVERGENCE_TIME_NS = 12 * SECOND  # for an order that was submitted late
+EXPECTED_REASONS = (  # why a release waits for targets that operators have stopped for good
     BUDGET_EXCEEDED_TEXT,
     "last serving target",
     NONE_AVAILABLE,
@@ -23,15 +23,15 @@
 
 
 class ConvergenceCheck:
-    """Checks releases during the run, and at its end what has not converged."""
+    """Checks releases during the run, and convergence at its end."""
 
     def __init__(self, world: World, hosts: dict[str, SimulatedHost]) -> None:
-        """`hosts` by name; it may be filled later."""
+        """`hosts`: by name; may be filled later."""
         self.world = world
         self.hosts = hosts
 
     def check_releases(self) -> None:
-        """Report to the audit how finished releases ended, as a leader with a lease states it."""
+        """Report the final states of releases to the audit, as known to a leader with a lease."""
         world = self.world
         for host in self.hosts.values():
             leader = host.leader
@@ -45,11 +45,11 @@
             for release in leader.state_machine.state.releases.values():  # type: ignore[attr-defined]
                 if release.is_finished and release.ident in world.rollout_audit.version:
                     world.rollout_audit.record_end(
-                        world.clock.now, release.ident, release.state, self._serving()
+                        world.clock.now, release.ident, release.state, self._serving_instances()
                     )
         world.clock.call_after(CHECK_INTERVAL_NS, self.check_releases)
 
-    def _serving(self) -> set[str]:
+    def _serving_instances(self) -> set[str]:
         now = self.world.clock.now
         return {
             name
@@ -59,12 +59,12 @@
         }
 
     def stuck(self) -> list[str]:
-        """Return what has not converged, not even with some more time."""
-        if found := self._stuck():
+        """Return descriptions of all that has not converged, even with some extra time."""
+        if problems := self._stuck():
             clock = self.world.clock
-            clock.run(clock.now + EXTRA_TIME_NS)
-            found = self._stuck()
-        return found
+            clock.run(clock.now + EXTRA_CONVERGENCE_TIME_NS)
+            problems = self._stuck()
+        return problems
 
     def _stuck(self) -> list[str]:
         hosts = self.hosts.values()
@@ -76,15 +76,15 @@
         if len(leaders) != 1:
             return [f"{len(leaders)} leaders at the end"]
         leader = leaders[0]
-        found = [
+        problems = [
             f"order {order.id} is open: {order.tasks}"
             for order in leader.state_machine.state.orders.values()
             if any(task.state in OPEN_FLEET_TASK_STATES for task in order.tasks.values())
         ]
-        found += self._stuck_release(leader)
+        problems += self._stuck_release(leader)
         for host in hosts:
-            found += self._stuck_tasks(leader, host)
-        return found
+            problems += self._stuck_tasks(leader, host)
+        return problems
 
     def _stuck_release(self, leader: ControlPlaneReplica) -> list[str]:
         release = leader.state_machine.open_release  # type: ignore[attr-defined]
@@ -92,15 +92,15 @@
             return []
         controller = leader.extension
         reason = controller.why if isinstance(controller, RolloutController) else "no controller"
-        if any(good_reason in reason for good_reason in EXPECTED_REASONS):
+        if any(expected_reason in reason for expected_reason in EXPECTED_REASONS):
             return []
         state = f"{release.state}, batch {release.batch}, {release.in_progress}"
         return [f"release {release.ident} is {state}: {reason}"]
 
     def _stuck_tasks(self, leader: ControlPlaneReplica, host: SimulatedHost) -> list[str]:
-        found = []
+        problems = []
         for task in host.agent.orders.open_tasks:
             order = leader.state_machine.state.orders.get(task.order.order_id)
             if task.is_open and task.order.verb is not Verb.START and not (order and order.is_open):
-                found.append(f"{host.name}: a task of {task.order.order_id} waits for no open order")
-        return found
+                problems.append(f"{host.name}: a task of {task.order.order_id} waits for no open order")
+        return problems
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injection of a schedule's faults into simulated hosts and their network."""
+"""Injects the faults of a schedule into simulated hosts and their network."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from oakkeel.units import MS
 
 LINK_FAULTS = ("cut", "cut one way", "part", "slow links", "loss", "double")
-MAX_RATE_DIFFERENCE = 0.03  # of two machines' clocks
-FOLDER_SHARE = 0.3  # of the restored copies; the others restore the file alone
+MAX_RATE_DIFFERENCE = 0.03  # between the fastest and the slowest machine clock
+WHOLE_FOLDER_SHARE = 0.3  # of the restored backups; all other backups restore the file only
 MIN_RESTART_DELAY_NS = 200 * MS  # after all hosts were killed
 
 
 class FaultInjector:
-    """Injects the faults of a schedule, and hands its operators' actions on."""
+    """Injects the faults of a schedule, and passes its operators' actions on."""
 
     def __init__(
         self,
@@ -26,31 +26,31 @@
         network: SimulatedNetwork,
         operators: Operators,
     ) -> None:
-        """`hosts` by name; it may be filled later."""
+        """`hosts`: by name; may be filled later."""
         self.world = world
         self.hosts = hosts
         self.network = network
         self.operators = operators
 
     def inject(self, fault: Fault) -> None:
-        """Inject one fault, or have the operators act."""
+        """Inject a fault, or have the operators carry out an action."""
         self.world.log_event(f"{fault.kind} {fault.subject} {fault.other} for {fault.duration // MS} ms")
         names = sorted(self.hosts)
         host = self.hosts[names[fault.subject % len(names)]]
         other = names[fault.other % len(names)]
         if fault.kind in LINK_FAULTS:
-            for source, recipient in self._links(fault, host.name, other):
+            for source, recipient in self._affected_links(fault, host.name, other):
                 self.network.add_fault(source, recipient, fault)
-        elif not (self._process_fault(fault, host) or self._disk_fault(fault, host)):
+        elif not (self._inject_process_fault(fault, host) or self._inject_disk_fault(fault, host)):
             self.operators.act(fault)
 
-    def _process_fault(self, fault: Fault, host: SimulatedHost) -> bool:
+    def _inject_process_fault(self, fault: Fault, host: SimulatedHost) -> bool:
         """Kill, stop or slow down processes; returns False for faults of other kinds."""
         if fault.kind == "kill":
             host.machine.kill(fault.duration)
         elif fault.kind == "kill all":
-            for each_host in self.hosts.values():
-                each_host.machine.kill(
+            for restarted_host in self.hosts.values():
+                restarted_host.machine.kill(
                     MIN_RESTART_DELAY_NS + int(self.world.random.random() * fault.duration)
                 )
         elif fault.kind == "kill in a step":
@@ -78,7 +78,7 @@
             if process := host.processes.running.get(name):
                 host.processes.end(name, process, "died", True)
 
-    def _disk_fault(self, fault: Fault, host: SimulatedHost) -> bool:
+    def _inject_disk_fault(self, fault: Fault, host: SimulatedHost) -> bool:
         """Lose, restore or fill a disk; returns False for faults of other kinds."""
         clock = self.world.clock
         if fault.kind == "lose the file" and host.machine.running and self._may_lose_storage(host):
@@ -87,7 +87,7 @@
             host.machine.kill(fault.duration)
             host.lose_files()
         elif fault.kind == "old file" and host.replica.storage is not None:
-            with_folder = fault.intensity < FOLDER_SHARE
+            with_folder = fault.intensity < WHOLE_FOLDER_SHARE
             known_writes = host.replica.known_writes if with_folder else -1
             backup = host.replica.storage.copy()
             clock.call_after(fault.duration, self._restore_backup, host, backup, known_writes, fault.duration)
@@ -101,11 +101,11 @@
     def _restore_backup(
         self, host: SimulatedHost, backup: InMemoryStorage, known_writes: int, wait: int
     ) -> None:
-        """Put a copy of the replica's file back, with the count beside it unless that is negative."""
+        """Restore a backup of the replica's file, and its count of writes unless `known_writes` is negative."""
         if not host.machine.running or not self._may_lose_storage(host):
             return
         if known_writes >= 0:
-            # With the whole folder nothing on the host shows it: only others can, and they must be there.
+            # The host can't detect that its whole folder is old. Only other replicas can, so all must respond.
             others = [other for other in self.hosts.values() if other is not host]
             if any(
                 not other.machine.running or other.machine.stopped or other.machine.disk_full
@@ -116,16 +116,17 @@
                 return
             wait = MS
             host.replica.known_writes = known_writes
-        folder = "" if known_writes < 0 else " with its whole folder"
-        self.world.log_event(f"the old file of {host.name} is put back{folder}")
+        folder = "" if known_writes < 0 else " with the whole folder"
+        self.world.log_event(f"a backup of the file of {host.name} is restored{folder}")
         host.machine.kill(wait)
         host.replica.storage = backup
 
     def _may_lose_storage(self, host: SimulatedHost) -> bool:
         """Whether all other members have their storage.
 
-        No promise holds once a majority of the replicas' files is gone: that takes a manual recovery. One at
-        a time: a learner may be a voter the moment after, and one that was replaced is none yet.
+        The invariants do not hold once a majority of the replicas has lost its storage, which takes a manual
+        recovery. Only one member may lose its storage at a time, also a learner: it may become a voter at any
+        moment, and a replaced member is not a voter again until it has caught up.
         """
         hosts = self.hosts
         leaders = [leader for other in hosts.values() if (leader := other.leader)]
@@ -141,8 +142,8 @@
             for member in members
         )
 
-    def _links(self, fault: Fault, name: str, other: str) -> list[tuple[str, str]]:
-        """Return the links that a fault disturbs, by source and recipient."""
+    def _affected_links(self, fault: Fault, name: str, other: str) -> list[tuple[str, str]]:
+        """Return the links that a fault affects, as pairs of source and recipient."""
         names = sorted(self.hosts)
         if fault.kind == "cut one way":
             outgoing = [(name, recipient) for recipient in names]
@@ -150,12 +151,12 @@
                 outgoing if fault.intensity < 0.5 else [(recipient, source) for source, recipient in outgoing]
             )
         if fault.kind == "part":
-            side = {host for host in names if self.world.random.random() < 0.5}
+            partition = {host for host in names if self.world.random.random() < 0.5}
             return [
                 (source, recipient)
                 for source in names
                 for recipient in names
-                if (source in side) != (recipient in side)
+                if (source in partition) != (recipient in partition)
             ]
         if fault.kind == "cut" and fault.intensity < 0.5:
             return [(name, other), (other, name)]
--- a/oakkeel/emulator/faults.py
+++ b/oakkeel/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Schedules of faults and operators' actions as plain data: drawn by a seed, kept in a file, played again."""
+"""Schedules of faults and operators' actions: drawn from a seed, stored in files and replayed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from oakkeel.units import MS, SECOND
 
-KINDS = (
+FAULT_KINDS = (
     "kill",
     "kill in a step",
     "stop",
@@ -28,8 +28,8 @@
     "clock",
     "kill all",
 )
-# Combinations that stress one mechanism: half of the schedules draw from one of these alone.
-THEMES = (
+# Combinations that stress one mechanism. Half of the schedules draw their faults from one combination only.
+FAULT_COMBINATIONS = (
     ("kill", "kill in a step", "kill all", "slow links", "loss"),
     ("part", "cut", "cut one way", "stop"),
     ("lose the file", "old file", "kill", "power"),
@@ -38,7 +38,8 @@
     ("die", "die all of a site", "kill all", "part"),
 )
 RELEASE_ACTIONS = ("pause", "resume", "abort", "undo", "leave", "restart", "drain", "cancel")
-ACTIONS = (
+# An action that is listed twice is drawn twice as often.
+OPERATOR_ACTIONS = (
     "drain",
     "drain whole",
     "restart",
@@ -52,7 +53,7 @@
 )
 FAULT_DURATIONS_NS = ((40 * MS, 150 * MS, 700 * MS), (150 * MS, 700 * MS, 1500 * MS, 4 * SECOND))
 DEFAULT_DURATION_NS = 22 * SECOND
-# The names of fields in schedule files, where they differ.
+# Keys in schedule files of fields that have another name here.
 FAULT_KEYS = {"subject": "who", "other": "to", "duration": "lasts", "intensity": "size"}
 SCHEDULE_KEYS = {"voters": "keepers", "budget": "bound", "faults": "troubles", "duration": "lasts"}
 
@@ -61,10 +62,10 @@
 class Fault:
     """A fault or an operators' action.
 
-    `subject` and `other` are numbers of hosts or instances, taken modulo how many there are.
+    `subject` and `other` are numbers of hosts or instances, modulo the number of these.
     """
 
-    at: int  # nanoseconds, as all times
+    at: int  # in nanoseconds, like all times
     kind: str
     subject: int = 0
     other: int = 0
@@ -74,33 +75,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """All that is drawn of one simulation."""
+    """The fleet, faults and operators' actions drawn for one simulation."""
 
     seed: int
     voters: int
     hosts: int
-    instances: int  # a host
+    instances: int  # per host
     sites: int
-    budget: int  # maximum unavailable targets of a site
+    budget: int  # maximum unavailable targets per site
     faults: tuple[Fault, ...]
     duration: int = DEFAULT_DURATION_NS
 
     def to_json(self) -> dict[str, Any]:
         """Return the content of a schedule file."""
-        content = _renamed(asdict(self), SCHEDULE_KEYS)
-        content["troubles"] = tuple(_renamed(fault, FAULT_KEYS) for fault in content["troubles"])
+        content = _rename_keys(asdict(self), SCHEDULE_KEYS)
+        content["troubles"] = tuple(_rename_keys(fault, FAULT_KEYS) for fault in content["troubles"])
         return content
 
 
 def schedule_from_json(content: dict[str, Any]) -> Schedule:
-    """Return the schedule that a file holds."""
-    fields = _renamed(content, {key: name for name, key in SCHEDULE_KEYS.items()})
-    fault_names = {key: name for name, key in FAULT_KEYS.items()}
-    fields["faults"] = tuple(Fault(**_renamed(fault, fault_names)) for fault in fields["faults"])
+    """Return the schedule with the content of a schedule file."""
+    fields = _rename_keys(content, {key: name for name, key in SCHEDULE_KEYS.items()})
+    names_by_key = {key: name for name, key in FAULT_KEYS.items()}
+    fields["faults"] = tuple(Fault(**_rename_keys(fault, names_by_key)) for fault in fields["faults"])
     return Schedule(**fields)
 
 
-def _renamed(values: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
+def _rename_keys(values: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
     return {names.get(name, name): value for name, value in values.items()}
 
 
@@ -111,20 +112,20 @@
     duration: int = DEFAULT_DURATION_NS,
     releases: bool = False,
 ) -> Schedule:
-    """Draw a schedule of faults and actions; the second half of the time is free of them.
+    """Draw a schedule whose faults and actions all start in the first half of its duration.
 
-    With `releases` one or two releases are started as well.
+    With `releases`, the schedule also starts one or two releases.
     """
     random = Random(seed)
     voters = random.choice((3, 3, 5))
     hosts = voters + random.randrange(2)
     faults: list[Fault] = []
-    kinds = random.choice(THEMES) if random.random() < 0.5 else KINDS
+    kinds = random.choice(FAULT_COMBINATIONS) if random.random() < 0.5 else FAULT_KINDS
     durations = random.choice(FAULT_DURATIONS_NS)
     for _ in range(random.randint(1, max_faults)):
         faults.append(_draw_fault(random, (2 * SECOND, duration // 2), kinds, durations))
     for _ in range(random.randint(2, max_actions)):
-        faults.append(_draw_fault(random, (2 * SECOND, duration // 2), ACTIONS))
+        faults.append(_draw_fault(random, (2 * SECOND, duration // 2), OPERATOR_ACTIONS))
     if releases:
         for _ in range(random.randint(1, 2)):
             faults.append(_draw_fault(random, (SECOND, duration // 3), "release"))
@@ -140,7 +141,7 @@
 def _draw_fault(
     random: Random, period: tuple[int, int], kinds: tuple[str, ...] | str, durations: tuple[int, ...] = ()
 ) -> Fault:
-    """Draw one fault; the order of the draws is part of what a seed means."""
+    """Draw one fault or action; the order of the draws determines the schedule of a seed."""
     return Fault(
         random.randrange(*period),
         kinds if isinstance(kinds, str) else random.choice(kinds),
--- a/oakkeel/emulator/heartbeat_exchange.py
+++ b/oakkeel/emulator/heartbeat_exchange.py
@@ -1,4 +1,4 @@
-"""Heartbeats of simulated agents to the leader, and its responses."""
+"""Exchanges heartbeats and responses between simulated agents and the leader."""
 
 from __future__ import annotations
 
@@ -12,49 +12,49 @@
 
 
 class HeartbeatExchange:
-    """Carries heartbeats from agents to the replicas that may lead, over the network."""
+    """Carries heartbeats of agents to replicas over the network, and the responses back."""
 
     def __init__(self, network: SimulatedNetwork, hosts: dict[str, SimulatedHost]) -> None:
-        """`hosts` by name; it may be filled later."""
+        """`hosts`: by name; may be filled later."""
         self.network = network
         self.hosts = hosts
 
     def send(self, name: str, heartbeat: Heartbeat, sent_at: int) -> None:
-        """Send the heartbeat of an agent to the host that it last knew as the leader's."""
+        """Send an agent's heartbeat to the host that the agent last knew as the leader."""
         host = self.hosts[name]
         machine = host.machine
         leader = self.hosts[host.agent.leader_locator.current]
         restarts = machine.restarts
-        awaits_response = True
+        is_awaiting_response = True
 
-        def arrived() -> None:
+        def on_arrival() -> None:
             if not leader.machine.running:
                 return
             if leader.machine.stopped:
-                leader.machine.deferred.append(arrived)
+                leader.machine.deferred.append(on_arrival)
                 return
             if leader.control_plane is None:
                 return
             try:
                 response, outputs = leader.control_plane.receive_heartbeat(leader.machine.now(), heartbeat)
             except NotLeaderError as error:
-                self.network.deliver(leader.name, host.name, redirected, error.leader)
+                self.network.deliver(leader.name, host.name, on_redirect, error.leader)
                 return
-            self.network.deliver(leader.name, host.name, answered, response)
+            self.network.deliver(leader.name, host.name, on_response, response)
             leader.replica.carry_out(outputs)
 
-        def answered(response: HeartbeatResponse) -> None:
-            nonlocal awaits_response
-            awaits_response = False
+        def on_response(response: HeartbeatResponse) -> None:
+            nonlocal is_awaiting_response
+            is_awaiting_response = False
             if machine.restarts == restarts and response.voters:
                 host.agent.leader_locator.set_voters(response.voters)
-            host.agent.heartbeat_answered(restarts, sent_at, response)
+            host.agent.receive_heartbeat_response(restarts, sent_at, response)
 
-        def redirected(name: str) -> None:
-            nonlocal awaits_response
-            if machine.restarts == restarts and awaits_response:
-                awaits_response = False
-                host.agent.leader_locator.redirect(name)
+        def on_redirect(leader_name: str) -> None:
+            nonlocal is_awaiting_response
+            if machine.restarts == restarts and is_awaiting_response:
+                is_awaiting_response = False
+                host.agent.leader_locator.redirect(leader_name)
 
-        self.network.deliver(host.name, leader.name, arrived)
-        self.network.world.clock.call_after(HEARTBEAT_TIMEOUT_NS, redirected, "")
+        self.network.deliver(host.name, leader.name, on_arrival)
+        self.network.world.clock.call_after(HEARTBEAT_TIMEOUT_NS, on_redirect, "")
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: they submit orders, releases and changes of the voters, and retry until answered."""
+"""Simulated operators, who submit orders, releases and changes of the voters, with retries."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 RETRY_DELAY_NS = 100 * MS
 RESPONSE_TIMEOUT_NS = 2 * SECOND
 ORDER_DEADLINE_NS = 6 * SECOND
-VERBS = {"restart": "restart", "stop it": "stop"}  # by kind of action; all others drain
+VERBS = {"restart": "restart", "stop it": "stop"}  # by kind of action; other kinds drain
 
 
 class Operators:
     """Carries out the operators' actions of a schedule."""
 
     def __init__(self, world: World, hosts: dict[str, SimulatedHost]) -> None:
-        """`hosts` by name; it may be filled later."""
+        """`hosts`: by name; may be filled later."""
         self.world = world
         self.hosts = hosts
-        self.orders: list[str] = []
-        self.releases: list[str] = []  # that were accepted
+        self.orders: list[str] = []  # IDs of all orders submitted
+        self.releases: list[str] = []  # IDs of the releases that were accepted
 
     def submit(
         self, command: commands.Command | releases.Command, ident: str, attempts: int = MAX_ATTEMPTS
     ) -> None:
-        """Propose a command on some host, and retry with the same ID until it is answered."""
+        """Propose a command on a random host, and retry with the same ID until the proposal commits."""
         world = self.world
         running = [host for host in self.hosts.values() if host.machine.running]
         host = world.random.choice(running or [None])
@@ -42,13 +42,13 @@
         if host is None or host.machine.stopped or host.control_plane is None:
             self._retry(command, ident, attempts)
             return
-        answered = False
+        is_answered = False
 
-        def complete(proposal: Proposal) -> None:
-            nonlocal answered
-            answered = True
+        def on_completed(proposal: Proposal) -> None:
+            nonlocal is_answered
+            is_answered = True
             if proposal.status is ProposalStatus.COMMITTED:
-                self._committed(command, ident, proposal)
+                self._on_committed(command, ident, proposal)
             else:
                 self._retry(command, ident, attempts)
 
@@ -58,19 +58,19 @@
             if attempts:
                 self._retry(command, ident, attempts)
             return
-        host.replica.completions[proposal] = complete
+        host.replica.completions[proposal] = on_completed
         host.replica.carry_out(outputs)
 
-        def timed_out() -> None:  # the host that was asked may be gone
-            if not answered and attempts:
+        def on_timeout() -> None:  # the host with the proposal may have been killed
+            if not is_answered and attempts:
                 self.submit(command, ident, attempts - 1)
 
-        world.clock.call_after(RESPONSE_TIMEOUT_NS, timed_out)
+        world.clock.call_after(RESPONSE_TIMEOUT_NS, on_timeout)
 
     def _retry(self, command: commands.Command | releases.Command, ident: str, attempts: int) -> None:
         self.world.clock.call_after(RETRY_DELAY_NS, self.submit, command, ident, attempts - 1)
 
-    def _committed(
+    def _on_committed(
         self, command: commands.Command | releases.Command, ident: str, proposal: Proposal
     ) -> None:
         result = proposal.result
@@ -87,8 +87,8 @@
             self._submit_order(action)
         elif action.kind in ("halt", "cancel") and self.orders:
             ident = self.orders[action.subject % len(self.orders)]
-            kind = commands.HaltOrder if action.kind == "halt" else commands.CancelOrder
-            self.submit(kind(ident, "ravi"), ident)
+            command_type = commands.HaltOrder if action.kind == "halt" else commands.CancelOrder
+            self.submit(command_type(ident, "ravi"), ident)
         elif action.kind == "release":
             self._start_release(action)
         elif action.kind in ("pause", "resume", "abort", "undo", "leave"):
@@ -100,7 +100,7 @@
         elif action.kind == "start":
             self._start_instance(action)
 
-    def _instance(self, action: Fault) -> str:
+    def _subject_instance(self, action: Fault) -> str:
         instances = self.world.instances
         return instances[action.subject % len(instances)]
 
@@ -108,24 +108,24 @@
         world = self.world
         ident = f"o{len(self.orders)}"
         self.orders.append(ident)
-        others = [name for name in world.instances if world.random.random() < action.intensity]
-        wanted = {self._instance(action), *others}
+        drawn_names = [name for name in world.instances if world.random.random() < action.intensity]
+        target_names = {self._subject_instance(action), *drawn_names}
         targets = [
             (instance.name, instance.generation)
             for host in self.hosts.values()
             for instance in host.agent.supervisor.instances
-            if instance.name in wanted
+            if instance.name in target_names
         ]
         verb = VERBS.get(action.kind, "drain")
-        atomic = action.kind == "drain whole"
-        command = commands.SubmitOrder(ident, "asha", verb, 0, ORDER_DEADLINE_NS, atomic, targets)
+        is_atomic = action.kind == "drain whole"
+        command = commands.SubmitOrder(ident, "asha", verb, 0, ORDER_DEADLINE_NS, is_atomic, targets)
         self.submit(command, ident)
 
     def _start_release(self, action: Fault) -> None:
         world = self.world
         ident = f"r{action.at}"
         version = ("good", "good", "worse", "crash")[action.other % 4]
-        chosen = [name for name in world.instances if world.random.random() < 0.3 + action.intensity]
+        drawn_names = [name for name in world.instances if world.random.random() < 0.3 + action.intensity]
         policy = RolloutPolicy(
             soak=200 * MS,
             verdict_timeout=10 * SECOND,
@@ -134,7 +134,7 @@
             auto_roll_back=action.other % 3 == 0,
         )
         specification = VersionSpec(f"{version} {ident}", "bad" if action.other % 16 == 0 else "here")
-        targets = chosen or [self._instance(action)]
+        targets = drawn_names or [self._subject_instance(action)]
         self.submit(releases.StartRelease(ident, "asha", 0, specification, policy, targets), ident)
 
     def _change_voters(self, action: Fault) -> None:
@@ -144,7 +144,7 @@
         self.submit(commands.SetVoters(names, "asha"), "keepers")
 
     def _start_instance(self, action: Fault) -> None:
-        name = self._instance(action)
+        name = self._subject_instance(action)
         host = next(host for host in self.hosts.values() if name in host.instances)
         if not host.machine.running or host.machine.disk_full:
             return
--- a/oakkeel/emulator/schedule_shrinking.py
+++ b/oakkeel/emulator/schedule_shrinking.py
@@ -1,4 +1,4 @@
-"""Shrinking of a schedule that fails."""
+"""Shrinks a failing schedule to the faults that the failure needs."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
-    """Leave out faults without which it still fails, one after the other, until none can be left out."""
+    """Remove faults one after the other while the schedule still fails, until none can be removed."""
     while True:
         for index in range(len(schedule.faults)):
-            rest = schedule.faults[:index] + schedule.faults[index + 1 :]
-            shorter = replace(schedule, faults=rest)
-            if fails(shorter):
-                schedule = shorter
+            remaining_faults = schedule.faults[:index] + schedule.faults[index + 1 :]
+            reduced_schedule = replace(schedule, faults=remaining_faults)
+            if fails(reduced_schedule):
+                schedule = reduced_schedule
                 break
         else:
             return schedule
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -187,10 +187,12 @@
         orders.unix_time = orders.supervisor.unix_time = unix
         orders.permit_holder = self.permit_holder
 
-    def heartbeat_answered(self, restarts: int, sent_at: int, response: HeartbeatResponse) -> None:
+    def receive_heartbeat_response(self, restarts: int, sent_at: int, response: HeartbeatResponse) -> None:
         """Take the leader's response to a heartbeat."""
         machine = self.machine
-        if not machine.may_act(restarts, lambda: self.heartbeat_answered(restarts, sent_at, response)):
+        if not machine.may_act(
+            restarts, lambda: self.receive_heartbeat_response(restarts, sent_at, response)
+        ):
             return
         if machine.disk_full:
             return
