--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -54,7 +54,7 @@
                     MIN_RESTART_DELAY_NS + int(self.world.random.random() * fault.duration)
                 )
         elif fault.kind == "kill in a step":
-            host.replica.crash_at_write = 1 + fault.other % 2
+            host.replica.planned_crash = 1 + fault.other % 2
         elif fault.kind == "power":
             host.end_processes("power")
             host.machine.kill(fault.duration)
@@ -101,11 +101,11 @@
     def _restore_backup(
         self, host: SimulatedHost, backup: InMemoryStorage, known_writes: int, wait: int
     ) -> None:
-        """Restore a backup of the replica's file, and its count of writes unless `known_writes` is negative."""
+        """Restore a backup of the replica's file; `known_writes`: its count of writes, or negative."""
         if not host.machine.running or not self._may_lose_storage(host):
             return
         if known_writes >= 0:
-            # The host can't detect that its whole folder is old. Only other replicas can, so all must respond.
+            # The host can't detect that its whole folder is old. Only others can, so all others must respond.
             others = [other for other in self.hosts.values() if other is not host]
             if any(
                 not other.machine.running or other.machine.stopped or other.machine.disk_full
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -1,4 +1,4 @@
-"""The agent of a simulated host: its disk, its permits, its supervisor and its orders."""
+"""The agent of a simulated host, with its disk, permits, supervisor and orders."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 HEARTBEAT_INTERVAL_NS = 150 * MS
 MIN_PREPARATION_TIME_NS = 50 * MS
 MAX_PREPARATION_TIME_NS = 300 * MS
-GENERATION_BLOCK = 8  # generations reserved at a time
+GENERATION_BLOCK = 8  # number of generations reserved at once
 SUPERVISION_TIMEOUTS = SupervisionTimeouts(
     min_backoff_ns=300 * MS, steady_after_ns=2 * SECOND, drain_timeout_ns=3 * SECOND
 )
@@ -31,17 +31,17 @@
 
 @dataclass(slots=True, eq=False)
 class AgentDisk:
-    """What an agent has on disk."""
+    """The state that an agent has on disk."""
 
     permits: list[StoredPermit] = field(default_factory=list)
     epoch: str = ""
     generations: dict[str, int] = field(default_factory=dict)
-    orders: bytes = b""  # with the instances that they are for
+    orders: bytes = b""  # pickled, with their instances
     versions: dict[str, str] = field(default_factory=dict)
 
 
 class SimulatedAgent:
-    """Runs the agent's decisions. Its disk outlives the process, all else is lost with it."""
+    """Runs the decision logic of the agent. Only `disk` outlives a process of the agent."""
 
     def __init__(
         self,
@@ -49,26 +49,26 @@
         processes: SimulatedProcesses,
         send_heartbeat: Callable[[str, Heartbeat, int], None],
     ) -> None:
-        """`start` begins the process; `send_heartbeat` takes the host, the heartbeat and its own time."""
+        """Create an agent without a process. `send_heartbeat` takes host, heartbeat and the host's time."""
         self.machine = machine
         self.processes = processes
         self.processes.owner = self
         self.send_heartbeat = send_heartbeat
         self.instances = machine.world.instances_by_host[machine.name]
         self.disk = AgentDisk()
-        self.pause_on_permit = 0  # nanoseconds to stop the host at the next response that grants a permit
+        self.pause_on_permit = 0  # duration of a stop of the host at the next response with a permit
 
     def start(self) -> None:
-        """Make the agent from its disk."""
+        """Start a process of the agent from the state on disk."""
         machine = self.machine
         disk = self.disk
         now = machine.now()
-        fresh = not disk.orders
+        is_new_disk = not disk.orders
         self.leader_locator = LeaderLocator(machine.world.initial_voters, machine.world.names)
-        self.heartbeat_at = -SECOND
+        self.last_heartbeat_at = -SECOND
         self.permit_holder = PermitHolder(machine.name, self.instances, machine.random.getrandbits(40))
         self.permit_holder.restore(disk.epoch, disk.permits, disk.generations)
-        if fresh:
+        if is_new_disk:
             instances = [Instance(name, "site", phase_since=now) for name in self.instances]
             seed = machine.random.getrandbits(40)
             self.supervisor = Supervisor(instances, SUPERVISION_TIMEOUTS, {}, seed, machine.now)
@@ -79,10 +79,10 @@
             self.supervisor, self.orders, self.permit_holder, generation_block=GENERATION_BLOCK
         )
         self.reconciler.assignments.restore(dict(disk.versions), {}, {})
-        if fresh:
+        if is_new_disk:
             self.reconciler.state_file_lost()
         for instance in self.supervisor.instances:
-            instance.phase_since = instance.phase_since if fresh else now
+            instance.phase_since = instance.phase_since if is_new_disk else now
             if process := self.processes.running.get(instance.name):
                 self.supervisor.process_adopted(now, instance, process.generation)
             else:
@@ -95,7 +95,7 @@
         self.orders.permit_holder = self.permit_holder
 
     def tick(self, restarts: int) -> None:
-        """Look at the processes, send a heartbeat if it is time, and act."""
+        """Read the reports of the processes, send a heartbeat if one is due, and act."""
         machine = self.machine
         if not machine.may_act(restarts, lambda: self.tick(restarts)):
             return
@@ -105,18 +105,18 @@
                 state = self.processes.state(process)
                 report = self.processes.report(process, state)
                 self.supervisor.report_received(now, instance, state, process.generation, report)
-        if now - self.heartbeat_at >= HEARTBEAT_INTERVAL_NS:
-            self.heartbeat_at = now
+        if now - self.last_heartbeat_at >= HEARTBEAT_INTERVAL_NS:
+            self.last_heartbeat_at = now
             self.send_heartbeat(machine.name, self.reconciler.build_heartbeat(now), now)
         self.act(now)
         machine.world.clock.call_after(TICK_INTERVAL_NS, self.tick, restarts)
 
     def act(self, now: int) -> None:
-        """Carry out what is decided by now; with a full disk nothing that would have to be stored."""
+        """Carry out the decisions that are due; with a full disk only those that need no storage."""
         machine = self.machine
         for request in self.reconciler.assignments.take_requests():
-            wait = machine.random.randrange(MIN_PREPARATION_TIME_NS, MAX_PREPARATION_TIME_NS)
-            machine.world.clock.call_after(wait, self._prepared, request, machine.restarts)
+            preparation_time = machine.random.randrange(MIN_PREPARATION_TIME_NS, MAX_PREPARATION_TIME_NS)
+            machine.world.clock.call_after(preparation_time, self._on_prepared, request, machine.restarts)
         if not machine.disk_full:
             self.orders.advance(now)
         steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
@@ -130,7 +130,7 @@
             self._save()
 
     def _drop_unstored(self, now: int, steps: list[Step]) -> list[Step]:
-        """Return the steps that need no storage: what is not stored is not done."""
+        """Revert the steps that need storage, as the disk is full, and return the other steps."""
         for step in steps:
             if step.action is Action.START and step.instance.task is not None:
                 self.supervisor.start_abandoned(now, step.instance)
@@ -139,12 +139,12 @@
                 step.instance.task.drain_sent = False
         return [step for step in steps if step.instance.task is None and step.action is not Action.START]
 
-    def _prepared(self, request: ArtifactRequest, restarts: int) -> None:
+    def _on_prepared(self, request: ArtifactRequest, restarts: int) -> None:
         if restarts != self.machine.restarts:
             return
-        failed = request.spec.program == "bad" and self.machine.random.random() < 0.5
+        has_failed = request.spec.program == "bad" and self.machine.random.random() < 0.5
         bases = {instance: f"base {instance}" for instance in request.targets}
-        reason = "it can't be run here" if failed else ""
+        reason = "it can't be run here" if has_failed else ""
         self.reconciler.assignments.record_prepared(request.release, reason, bases)
 
     def _save(self) -> None:
@@ -161,10 +161,10 @@
         disk.epoch = permit_holder.epoch
         disk.generations = dict(permit_holder.generations)
         disk.permits = []
-        for target, fence in permit_holder.highest_tokens.items():
+        for target, token in permit_holder.highest_tokens.items():
             permit = permit_holder.permits.get(target)
-            begun = bool(permit and permit.started)
-            disk.permits.append(StoredPermit(target, fence, permit.order_id if permit else "", begun))
+            has_started = bool(permit and permit.started)
+            disk.permits.append(StoredPermit(target, token, permit.order_id if permit else "", has_started))
         permit_holder.changed.clear()
         self.orders.changed.clear()
         self._save_orders()
@@ -181,14 +181,14 @@
     def _save_orders(self) -> None:
         orders = self.orders
         self.orders.permit_holder = None
-        unix = orders.unix_time
-        orders.unix_time = orders.supervisor.unix_time = int  # set again on restore
+        unix_time = orders.unix_time
+        orders.unix_time = orders.supervisor.unix_time = int  # instead of the machine's clock; set on restore
         self.disk.orders = pickle.dumps(orders)
-        orders.unix_time = orders.supervisor.unix_time = unix
+        orders.unix_time = orders.supervisor.unix_time = unix_time
         orders.permit_holder = self.permit_holder
 
     def receive_heartbeat_response(self, restarts: int, sent_at: int, response: HeartbeatResponse) -> None:
-        """Take the leader's response to a heartbeat."""
+        """Handle the leader's response to a heartbeat."""
         machine = self.machine
         if not machine.may_act(
             restarts, lambda: self.receive_heartbeat_response(restarts, sent_at, response)
--- a/oakkeel/emulator/simulated_host.py
+++ b/oakkeel/emulator/simulated_host.py
@@ -1,4 +1,4 @@
-"""A simulated host: a machine with a replica, an agent, and the processes of its instances."""
+"""A simulated host: a machine with a replica, an agent and the processes of its instances."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SimulatedHost:
-    """One host with all that runs on it."""
+    """A machine with the replica, the agent and the processes on it."""
 
     def __init__(
         self,
@@ -38,18 +38,18 @@
         machine = self.machine
         self.replica.start()
         self.agent.start()
-        first_tick = machine.random.randrange(TICK_INTERVAL_NS)
-        machine.world.clock.call_after(first_tick, self.agent.tick, machine.restarts)
+        first_tick_delay = machine.random.randrange(TICK_INTERVAL_NS)
+        machine.world.clock.call_after(first_tick_delay, self.agent.tick, machine.restarts)
         self.replica.start_timer(machine.restarts)
 
     @property
     def control_plane(self) -> ControlPlaneReplica | None:
-        """The replica with its state machine; none while its file can't be written."""
+        """The replica with its state machine; None while the file of the replica can't be written."""
         return self.replica.control_plane
 
     @property
     def leader(self) -> ControlPlaneReplica | None:
-        """The control plane replica while it leads."""
+        """The control plane replica if it is the leader, otherwise None."""
         control_plane = self.control_plane
         return control_plane if control_plane and control_plane.allocator else None
 
--- a/oakkeel/emulator/simulated_machine.py
+++ b/oakkeel/emulator/simulated_machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: a clock of its own rate, and processes that can be killed, stopped and started."""
+"""A simulated machine with a clock of its own rate, whose processes can be killed, stopped and started."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from oakkeel.emulator.world import World
 from oakkeel.units import SECOND
 
-MAX_RATE_ERROR = 0.015  # of the clock
+MAX_RATE_ERROR = 0.015  # of a machine's clock
 MAX_CLOCK_OFFSET_NS = 10 * SECOND
 
 
 class SimulatedMachine:
-    """The state of one machine. `now` is its own clock, `world.clock` the true one."""
+    """The state of one machine. `now` returns the time of its own clock, `world.clock` has the true time."""
 
     def __init__(self, world: World, name: str) -> None:
-        """Create a machine that is off."""
+        """Create a machine whose processes do not run."""
         self.world = world
         self.name = name
         self.random = Random(f"{world.schedule.seed} {name}")
@@ -26,7 +26,7 @@
         self.running = False
         self.stopped = False
         self.disk_full = False
-        self.deferred: list[Callable[[], None]] = []  # while it is stopped
+        self.deferred: list[Callable[[], None]] = []  # actions to run at the end of a stop
         self.on_start: Callable[[], None] | None = None
 
     def now(self) -> int:
@@ -34,7 +34,7 @@
         return self.offset + int(self.world.clock.now * self.rate)
 
     def start(self) -> None:
-        """Start its processes from what is on disk, unless they run."""
+        """Start the processes from the state on disk, unless they run already."""
         if self.running:
             return
         self.running = True
@@ -44,7 +44,7 @@
             self.on_start()
 
     def kill(self, restart_after: int) -> None:
-        """End the agent and the replica by SIGKILL, and start them again after some nanoseconds."""
+        """Kill the agent and the replica by SIGKILL, and start both again after `restart_after` ns."""
         if not self.running:
             return
         self.running = False
@@ -53,7 +53,7 @@
         self.world.clock.call_after(restart_after, self.start)
 
     def may_act(self, restarts: int, action: Callable[[], None]) -> bool:
-        """Whether the process of that start may act now; while it is stopped the action is deferred."""
+        """Whether the process with that number of restarts may act now; defers the action during a stop."""
         if restarts != self.restarts:
             return False
         if self.stopped:
@@ -62,12 +62,12 @@
         return True
 
     def stop(self, duration: int) -> None:
-        """Stop the agent and the replica by SIGSTOP for some nanoseconds."""
+        """Stop the agent and the replica by SIGSTOP for `duration` nanoseconds."""
         self.stopped = True
-        self.world.clock.call_after(duration, self.wake)
+        self.world.clock.call_after(duration, self.resume)
 
-    def wake(self) -> None:
-        """Do what was deferred while it was stopped."""
+    def resume(self) -> None:
+        """End a stop and run the deferred actions."""
         self.stopped = False
         deferred = self.deferred
         self.deferred = []
--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -1,4 +1,4 @@
-"""The network between simulated hosts, with faults of its links."""
+"""The network between simulated hosts, with link faults."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 Arguments = TypeVarTuple("Arguments")
 
-LOCAL_DELAY_NS = 10_000  # between processes of one host
+LOCAL_DELAY_NS = 10_000  # between processes on one host
 MIN_DELAY_NS = 100_000
 MAX_DELAY_NS = 2 * MS
 MAX_SLOW_LINK_DELAY_NS = 2 * SECOND
-MAX_DUPLICATE_DELAY_NS = 20 * MS  # from one copy of a message to the next
+MAX_DUPLICATE_DELAY_NS = 20 * MS  # between two copies of a message
 MIN_LOSS_RATIO = 0.2
-LOSS_RATIO_RANGE = 0.6  # added by a fault of full intensity
+LOSS_RATIO_RANGE = 0.6  # added to the minimum by a fault of full intensity
 
 
 class SimulatedNetwork:
-    """Delivers messages late, twice or never, as the faults of a link say."""
+    """Delivers messages; a link fault can delay, duplicate or drop them."""
 
     def __init__(self, world: World) -> None:
-        """No link has a fault yet."""
+        """Create a network without link faults."""
         self.world = world
-        self.receivers: dict[str, Callable[[Envelope], None]] = {}  # the replicas by host
+        self.receivers: dict[str, Callable[[Envelope], None]] = {}  # handlers of the replicas by host
         self.faults: dict[tuple[str, str], list[Fault]] = {}  # by source and recipient
 
     def add_fault(self, source: str, recipient: str, fault: Fault) -> None:
-        """Disturb one link, for as long as the fault lasts."""
+        """Add a fault to one link for the duration of the fault."""
         self.faults.setdefault((source, recipient), []).append(fault)
 
     def has_faults(self) -> bool:
-        """Whether any link is disturbed at present."""
+        """Whether any link has an active fault."""
         return any(self._active_faults(*link) for link in self.faults)
 
     def _active_faults(self, source: str, recipient: str) -> list[Fault]:
@@ -47,7 +47,7 @@
     def deliver(
         self, source: str, recipient: str, action: Callable[[*Arguments], None], *arguments: *Arguments
     ) -> None:
-        """Call `action` at the recipient after the delay of the link, unless the message is lost."""
+        """Call `action` on the recipient after the delay of the link, unless the message is lost."""
         clock = self.world.clock
         random = self.world.random
         if source == recipient:
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the instances on a simulated host: they outlive its agent."""
+"""The processes of the instances on a simulated host; they outlive the agent."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from oakkeel.units import MS, SECOND
 
 REQUESTS_PER_SECOND = 400
-GOOD_SHARE = 0.98  # of the priority weight of all requests that a good version earns
-WORSE_SHARE = 0.6
+GOOD_SHARE = 0.98  # share of the priority weight of all requests that a good version earns
+WORSE_SHARE = 0.6  # the same for a worse version
 MIN_START_TIME_NS = 100 * MS
 MAX_START_TIME_NS = 600 * MS
 CRASH_DELAY_NS = 50 * MS  # from the start of a version that crashes
@@ -31,11 +31,11 @@
     generation: int
     serves_at: int
     version: str = ""
-    exits_at: int = 0  # while it drains; 0: it keeps running
+    exits_at: int = 0  # end of the drain; 0: not draining
 
 
 class ProcessOwner(Protocol):
-    """The agent of the host, as far as its processes report to it."""
+    """The part of the host's agent that its processes use."""
 
     reconciler: Reconciler
     permit_holder: PermitHolder
@@ -43,27 +43,27 @@
 
 
 class SimulatedProcesses:
-    """Starts and ends processes as the agent's supervisor asks, and reports them to the audits."""
+    """Starts and ends processes on behalf of the agent's supervisor, and reports them to the audits."""
 
     def __init__(self, machine: SimulatedMachine) -> None:
-        """No process runs yet. `owner` is set by the agent."""
+        """Create the set without processes. The agent sets `owner`."""
         self.machine = machine
         self.world = machine.world
         self.owner: ProcessOwner
         self.running: dict[str, Process] = {}  # by instance
 
     def state(self, process: Process) -> str:
-        """Return what the process reports of itself."""
+        """Return the state that the process reports."""
         if process.exits_at:
             return "draining"
         return "serving" if self.world.clock.now >= process.serves_at else "cold"
 
     def report(self, process: Process, state: str) -> NodeStatus:
-        """Return the status as a node of that version makes it."""
-        lasted = max(0, self.world.clock.now - process.serves_at)
-        count = float(lasted * REQUESTS_PER_SECOND // SECOND)
+        """Return the status that a node of the process's version reports."""
+        serving_time = max(0, self.world.clock.now - process.serves_at)
+        request_count = float(serving_time * REQUESTS_PER_SECOND // SECOND)
         share = WORSE_SHARE if process.version.startswith("worse") else GOOD_SHARE
-        good = float(int(count * share))
+        earned = float(int(request_count * share))
         return NodeStatus(
             0,
             "",
@@ -74,7 +74,7 @@
             0,
             version=process.version,
             load=0.2,
-            earned_weight=[count, good, good],
+            earned_weight=[request_count, earned, earned],
         )
 
     def execute(self, step: Step) -> None:
@@ -87,7 +87,7 @@
             self._drain(step, process)
         elif process and step.action is Action.CANCEL_DRAIN and process.exits_at:
             process.exits_at = 0
-            self._serves(name, process)
+            self._on_serving(name, process)
         elif process and step.action is Action.KILL:
             self.end(name, process, "killed", True)
 
@@ -109,7 +109,7 @@
         if version.startswith("crash"):
             world.clock.call_at(now + CRASH_DELAY_NS, self.end, name, process, "exit code 3", True)
         else:
-            world.clock.call_at(process.serves_at, self._serves, name, process)
+            world.clock.call_at(process.serves_at, self._on_serving, name, process)
 
     def _drain(self, step: Step, process: Process) -> None:
         machine = self.machine
@@ -118,32 +118,34 @@
         now = world.clock.now
         permit = self.owner.permit_holder.permits.get(name)
         if step.instance.goal is Goal.DOWN or step.instance.task is not None:
-            fence = permit.fencing_token if permit and permit.started else -1
-            world.audit.drain_started(now, name, fence, permit.order_id if permit else "")
+            fencing_token = permit.fencing_token if permit and permit.started else -1
+            world.audit.drain_started(now, name, fencing_token, permit.order_id if permit else "")
         else:
             world.audit.out_by_itself(now, name)
         process.exits_at = now + machine.random.randrange(MIN_DRAIN_TIME_NS, MAX_DRAIN_TIME_NS)
         world.clock.call_at(process.exits_at, self.end, name, process, "left")
 
-    def _serves(self, name: str, process: Process) -> None:
+    def _on_serving(self, name: str, process: Process) -> None:
         if self.running.get(name) is process and not process.exits_at:
             world = self.world
             world.audit.serving(world.clock.now, name)
 
-    def end(self, name: str, process: Process, reason: str, certain: bool = False) -> None:
-        """End a process. Unless it is `certain`, a process whose drain was cancelled keeps running."""
+    def end(self, name: str, process: Process, reason: str, unconditional: bool = False) -> None:
+        """End a process. Unless `unconditional`, only a process whose drain is due to end is ended."""
         world = self.world
         if self.running.get(name) is not process:
             return
-        if not certain and not (process.exits_at and world.clock.now >= process.exits_at):
+        if not unconditional and not (process.exits_at and world.clock.now >= process.exits_at):
             return
         del self.running[name]
         world.audit.out_by_itself(world.clock.now, name)
-        self._exited(name, reason, self.machine.restarts)
+        self._on_exited(name, reason, self.machine.restarts)
 
-    def _exited(self, name: str, reason: str, restarts: int) -> None:
+    def _on_exited(self, name: str, reason: str, restarts: int) -> None:
         machine = self.machine
-        if not machine.running or not machine.may_act(restarts, lambda: self._exited(name, reason, restarts)):
+        if not machine.running or not machine.may_act(
+            restarts, lambda: self._on_exited(name, reason, restarts)
+        ):
             return
         supervisor = self.owner.supervisor
         instance = next(instance for instance in supervisor.instances if instance.name == name)
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -1,4 +1,4 @@
-"""The control plane replica of a simulated host: its storage, its timer and its messages."""
+"""The control plane replica of a simulated host, with its storage, timer and messages."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from oakkeel.units import MS, SECOND
 
 RAFT_TIMEOUTS = RaftTimeouts(max_entries_before_snapshot=64)
-RESTART_DELAY_NS = 300 * MS  # after a write that failed
-NO_REPLICA_TICK_NS = 100 * MS  # while the replica waits for its disk
+RESTART_DELAY_NS = 300 * MS  # after a failed write
+NO_REPLICA_TICK_NS = 100 * MS  # interval of ticks while the disk is full and no replica runs
 MAX_LEADER_TICK_NS = 50 * MS
 MAX_TICK_NS = SECOND
 CRASH_RESTART_DELAY_NS = SECOND
@@ -34,27 +34,27 @@
 
 
 class SimulatedReplica:
-    """Carries out what the replica decides. Its storage outlives the process, all else is lost with it."""
+    """Carries out the decisions of the replica. Only its storage outlives a process of the replica."""
 
     def __init__(self, machine: SimulatedMachine, network: SimulatedNetwork) -> None:
-        """`start` begins the process."""
+        """Create a replica without a process."""
         self.machine = machine
         self.world = machine.world
         self.network = network
         network.receivers[machine.name] = self.receive
         self.storage: InMemoryStorage | None = None
-        self.known_writes = 0  # of the storage, counted beside it
-        self.crash_at_write = 0  # CRASH_BEFORE_WRITE or CRASH_AFTER_WRITE the next one
+        self.known_writes = 0  # count of writes, kept apart from the storage to detect an old backup
+        self.planned_crash = 0  # CRASH_BEFORE_WRITE or CRASH_AFTER_WRITE, for the next write; 0: none
         self.timer: ScheduledEvent | None = None
         self.control_plane: ControlPlaneReplica | None = None
         self.completions: dict[Proposal, Callable[[Proposal], None]] = {}
 
     def start(self) -> None:
-        """Make the replica from its storage, or with a new incarnation."""
+        """Start a process of the replica from its storage, or with a new incarnation if there is none."""
         machine = self.machine
         now = machine.now()
         if self.storage is not None and self.storage.writes < self.known_writes:
-            self.storage = None  # an older copy
+            self.storage = None  # an old backup was restored
         if self.storage is None:
             self.known_writes = 0
             incarnation = f"{machine.name}.{machine.random.getrandbits(40):x}"
@@ -69,19 +69,19 @@
                 RAFT_TIMEOUTS,
                 PERMIT_TIMEOUTS,
                 RolloutStateMachine,
-                self._rollout_controller,
+                self._create_rollout_controller,
             ),
         )
-        self.control_plane.on_committed = self._applied
+        self.control_plane.on_committed = self._on_applied
         self.completions = {}
 
-    def _rollout_controller(
+    def _create_rollout_controller(
         self, now: int, state_machine: RolloutStateMachine, allocator: PermitAllocator
     ) -> RolloutController:
         name = f"{self.machine.name}.{self.machine.random.getrandbits(40):x}"
         return RolloutController(now, state_machine, allocator, name)
 
-    def _applied(self, index: int, command: commands.Command, result: object) -> None:
+    def _on_applied(self, index: int, command: commands.Command, result: object) -> None:
         world = self.world
         audit = world.audit
         now = world.clock.now
@@ -95,12 +95,12 @@
         ):
             for order in self.control_plane.state_machine.state.orders.values():
                 if order.halted_by and all(
-                    part.state not in ("waiting", "granted") for part in order.tasks.values()
+                    task.state not in ("waiting", "granted") for task in order.tasks.values()
                 ):
                     audit.order_halted(order.id)
 
     def start_timer(self, restarts: int) -> None:
-        """Tick for the first time."""
+        """Schedule the first tick."""
         self.timer = self.world.clock.call_after(1, self._tick, restarts)
 
     def _tick(self, restarts: int) -> None:
@@ -110,21 +110,21 @@
         if self.control_plane:
             self.carry_out(self.control_plane.tick(machine.now()))
         if restarts == machine.restarts:
-            self._schedule()
+            self._schedule_tick()
 
-    def _schedule(self) -> None:
-        """Set the timer to when the replica has something to do next; called after each event."""
+    def _schedule_tick(self) -> None:
+        """Schedule the next tick for when the replica has an action due; called after each event."""
         machine = self.machine
         if self.timer:
             self.timer.cancel()
-        wait = NO_REPLICA_TICK_NS
+        delay = NO_REPLICA_TICK_NS
         if self.control_plane:
-            wait = max(MS, int((self.control_plane.replica.next_tick_at() - machine.now()) / machine.rate))
-            wait = min(wait, MAX_LEADER_TICK_NS if self.control_plane.allocator else MAX_TICK_NS)
-        self.timer = self.world.clock.call_after(wait, self._tick, machine.restarts)
+            delay = max(MS, int((self.control_plane.replica.next_tick_at() - machine.now()) / machine.rate))
+            delay = min(delay, MAX_LEADER_TICK_NS if self.control_plane.allocator else MAX_TICK_NS)
+        self.timer = self.world.clock.call_after(delay, self._tick, machine.restarts)
 
     def carry_out(self, outputs: list[Output]) -> None:
-        """Write, send and complete in this order, or crash in between."""
+        """Write, send messages and complete proposals, in this order; the process may crash in between."""
         machine = self.machine
         for output in outputs:
             if self.control_plane is None or self.storage is None or not self._write(output):
@@ -142,25 +142,25 @@
             self.start()
 
     def _write(self, output: Output) -> bool:
-        """Return whether the update is stored; else the process has crashed, or the disk is full."""
+        """Return whether the update is stored; if not, the process has crashed or the disk is full."""
         machine = self.machine
         control_plane = self.control_plane
         if output.storage_update is None or control_plane is None or self.storage is None:
             return True
-        if self._crashes(CRASH_BEFORE_WRITE):
+        if self._crash_if_planned(CRASH_BEFORE_WRITE):
             return False
-        if machine.disk_full:  # like a crash: it restarts from what is stored
+        if machine.disk_full:  # as after a crash, the replica restarts from its storage
             self.control_plane = None
             self.world.clock.call_after(RESTART_DELAY_NS, self._restart, machine.restarts)
             return False
         self.storage.write(control_plane.replica.durable, output.storage_update)
         self.known_writes = self.storage.writes
-        return not self._crashes(CRASH_AFTER_WRITE)
+        return not self._crash_if_planned(CRASH_AFTER_WRITE)
 
-    def _crashes(self, moment: int) -> bool:
-        if self.crash_at_write != moment:
+    def _crash_if_planned(self, crash_point: int) -> bool:
+        if self.planned_crash != crash_point:
             return False
-        self.crash_at_write = 0
+        self.planned_crash = 0
         self.machine.kill(CRASH_RESTART_DELAY_NS)
         return True
 
@@ -173,7 +173,7 @@
                 self.start()
 
     def receive(self, envelope: Envelope) -> None:
-        """Take a message of another replica."""
+        """Handle a message of another replica."""
         machine = self.machine
         if not machine.running or not self.control_plane:
             return
@@ -183,4 +183,4 @@
         restarts = machine.restarts
         self.carry_out(self.control_plane.receive(machine.now(), envelope))
         if restarts == machine.restarts:
-            self._schedule()
+            self._schedule_tick()
--- a/oakkeel/emulator/world.py
+++ b/oakkeel/emulator/world.py
@@ -1,4 +1,4 @@
-"""What the parts of a simulated fleet share: the schedule, the true time, the random source, the audits."""
+"""State shared by all parts of a simulated fleet: schedule, true time, random source and audits."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class World:
-    """The hosts' names and instances by a schedule, and what records what happens to them."""
+    """The names of hosts and instances in a schedule, with the clock, the audits and the event log."""
 
     def __init__(self, schedule: Schedule) -> None:
-        """Lay out the fleet of a schedule; nothing runs yet."""
+        """Create the names, topology and audits of the fleet of a schedule; no host runs yet."""
         self.schedule = schedule
         self.clock = Clock()
         self.random = Random(schedule.seed)
@@ -41,14 +41,16 @@
 
     def _budget_groups(self) -> list[BudgetGroup]:
         schedule = self.schedule
-        sites: dict[str, list[str]] = {}
+        targets_by_site: dict[str, list[str]] = {}
         for number, name in enumerate(self.names):
             site = f"site s{number % schedule.sites}"
-            sites.setdefault(site, []).extend(self.instances_by_host[name])
-        groups = [BudgetGroup(site, schedule.budget, tuple(members)) for site, members in sites.items()]
+            targets_by_site.setdefault(site, []).extend(self.instances_by_host[name])
+        groups = [
+            BudgetGroup(site, schedule.budget, tuple(targets)) for site, targets in targets_by_site.items()
+        ]
         groups.append(BudgetGroup("fleet", schedule.budget * schedule.sites, self.instances))
         return groups
 
     def log_event(self, text: str) -> None:
-        """Note what was done to the fleet, with the true time."""
+        """Add an entry to the event log, with the true time."""
         self.event_log.append(f"{self.clock.now / SECOND:.3f} s: {text}")
