--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -1,7 +1,7 @@
-"""Changes of policy in simulated time, while leaders change, processes stop and messages are late or lost.
+"""Simulates policy changes while leaders change, processes stop and messages are late or lost.
 
-Commands are committed at once: `emulator/consensus.py` simulates the replicated log. Each host has a clock of
-its own rate. Nodes decide requests all the time, and the audit checks under which version they do.
+Commands are committed at once; `emulator/consensus.py` simulates the replicated log. Each host has its own
+clock rate. Nodes decide requests all the time, and the audit checks the policy version of each decision.
 """
 
 from __future__ import annotations
@@ -31,19 +31,19 @@
 MAX_DECISION_INTERVAL_NS = 40 * MS
 MIN_DECISION_INTERVAL_NS = MAX_DECISION_INTERVAL_NS // 4
 LEADER_TICK_INTERVAL_NS = 50 * MS
-STOPPED_RETRY_DELAY_NS = 20 * MS  # until a message to a stopped agent is read
-MAX_INBOX = 16  # lease renewals that a stopped node keeps
+STOPPED_RETRY_DELAY_NS = 20 * MS  # until a stopped agent tries to read a message again
+MAX_INBOX = 16  # maximum of lease renewals queued for a node that is stopped
 MAX_RATE_ERROR = 0.018  # of a host's clock
 NODES_PER_HOST = 2
-CONVERGENCE_TIME_NS = 12 * SECOND  # at the end of a run, free of faults
-PROPOSALS = 8  # actions drawn in addition to the faults
+CONVERGENCE_TIME_NS = 12 * SECOND  # at the end of a run, in which no fault starts
+EXTRA_ACTION_COUNT = 8  # drawn in addition to the faults
 FAULT_DURATIONS_NS = (200 * MS, SECOND, 2500 * MS, 5 * SECOND)
 MIN_ELECTION_TIME_NS = 600 * MS
 MAX_ELECTION_TIME_NS = 2 * SECOND
 MIN_NETWORK_DELAY_NS = MS
 MAX_NETWORK_DELAY_NS = 5 * MS
 MAX_EXTRA_DELAY_NS = 1800 * MS  # while the network is slow
-# Each is as likely as it is often here; the order is part of what a seed means.
+# A kind is drawn in proportion to its number of entries. The order determines the faults of a seed.
 FAULT_KINDS = (
     "leader",
     "leader",
@@ -64,7 +64,7 @@
 
 
 class PolicyNode:
-    """A node that decides requests all the time, while its lease holds."""
+    """A node that decides requests for as long as its lease is valid."""
 
     def __init__(self, host: PolicyHost, name: str) -> None:
         """Start the node on a host."""
@@ -78,7 +78,7 @@
         host.simulation.clock.call_after(host.random.randrange(MAX_DECISION_INTERVAL_NS), self.decide, 0)
 
     def start(self) -> None:
-        """Start another process of the node; it holds no lease."""
+        """Start a new process of the node, without a lease."""
         self.incarnation += 1
         self.lease = NodePolicyLease()
         self.inbox = []
@@ -88,7 +88,10 @@
         self.host.simulation.clock.call_after(MAX_DECISION_INTERVAL_NS, self.decide, self.incarnation)
 
     def decide(self, incarnation: int) -> None:
-        """Decide a request, then read the renewals received since the last one, as after a stop."""
+        """Decide a request, then read the lease renewals received since the last decision.
+
+        In this order a node that was stopped decides before it reads the renewals sent during the stop.
+        """
         if incarnation != self.incarnation:
             return
         simulation = self.host.simulation
@@ -96,11 +99,11 @@
         if not self.stopped:
             if self.lease.may_decide(now):
                 simulation.audit.record_decision(simulation.clock.now, self.name, self.lease.number)
-            received = self.inbox
+            renewals = self.inbox
             self.inbox = []
-            for number, until in received:
+            for number, until in renewals:
                 self.lease.renew(now, number, until)
-            if received:
+            if renewals:
                 self.host.agent.node_reported(self.name, self.lease.number)
         simulation.clock.call_after(
             self.host.random.randrange(MIN_DECISION_INTERVAL_NS, MAX_DECISION_INTERVAL_NS),
@@ -110,7 +113,7 @@
 
 
 class PolicyHost:
-    """A host with an agent, two nodes and a clock of its own."""
+    """A host with an agent, nodes and its own clock."""
 
     def __init__(self, simulation: PolicySimulation, name: str) -> None:
         """Start the agent and its nodes."""
@@ -128,11 +131,11 @@
         simulation.clock.call_after(self.random.randrange(LEASE_RENEWAL_INTERVAL_NS), self.renew_nodes, 0)
 
     def now(self) -> int:
-        """Return the time by the clock of the host."""
+        """Return the time of the host's clock."""
         return self.offset + int(self.simulation.clock.now * self.rate)
 
     def start(self) -> None:
-        """Start another process of the agent; the nodes keep their leases."""
+        """Start a new process of the agent; the nodes keep their leases."""
         self.incarnation += 1
         self.agent = AgentPolicyLease()
         self.stopped = False
@@ -142,7 +145,7 @@
         self.simulation.clock.call_after(LEASE_RENEWAL_INTERVAL_NS, self.renew_nodes, self.incarnation)
 
     def send_report(self, incarnation: int) -> None:
-        """Send a heartbeat to the leader, and schedule the next."""
+        """Send a heartbeat to the leader, and schedule the next heartbeat."""
         if incarnation != self.incarnation:
             return
         if not self.stopped:
@@ -157,20 +160,20 @@
                     "this host cannot use it" if agent.proposed_number == self.unusable_version else "",
                 )
             sent_at = self.now()
-            true_time = self.simulation.clock.now
+            true_sent_at = self.simulation.clock.now
             self.simulation.send(
                 self.name,
                 self.simulation.receive_report,
                 self,
                 incarnation,
                 sent_at,
-                true_time,
+                true_sent_at,
                 agent.report(),
             )
         self.simulation.clock.call_after(HEARTBEAT_INTERVAL_NS, self.send_report, incarnation)
 
     def receive_assignment(self, incarnation: int, sent_at: int, assignment: PolicyAssignment) -> None:
-        """Take in the leader's response to this process of the agent."""
+        """Handle the leader's response to a heartbeat of the agent's process `incarnation`."""
         if incarnation != self.incarnation:
             return
         if self.stopped:
@@ -193,10 +196,10 @@
 
 
 class PolicySimulation:
-    """Hosts, a leader that changes, and drawn faults."""
+    """A simulation of hosts with drawn faults and changes of the leader."""
 
     def __init__(self, seed: int, hosts: int = 4, faults: int = 10, duration: int = 40 * SECOND) -> None:
-        """Draw the faults of a seed; `duration` in nanoseconds."""
+        """Draw the faults and actions of a seed; `duration` in nanoseconds."""
         self.seed = seed
         self.clock = Clock()
         self.audit = PolicyChangeAudit()
@@ -205,14 +208,14 @@
         self.index = 0
         self.state_machine = PolicyStateMachine()
         self.names = tuple(f"h{number}" for number in range(hosts))
-        self.cut_until: dict[str, int] = {}
+        self.disconnected_until: dict[str, int] = {}
         self.slow_until = 0
         self.coordinator: PolicyCoordinator | None = None
         self.leader_count = 0
         self.hosts = {name: PolicyHost(self, name) for name in self.names}
-        self.clock.call_at(100 * MS, self.elect)
+        self.clock.call_at(100 * MS, self.elect_leader)
         self.clock.call_at(200 * MS, self.tick)
-        for _ in range(faults + PROPOSALS):
+        for _ in range(faults + EXTRA_ACTION_COUNT):
             self.clock.call_at(
                 self.random.randrange(SECOND, duration - CONVERGENCE_TIME_NS),
                 self.inject_fault,
@@ -230,31 +233,31 @@
                 self.audit.record_in_force(self.clock.now, policy.number)
         return result
 
-    def elect(self) -> None:
-        """Start a new leader."""
+    def elect_leader(self) -> None:
+        """Replace the leader by a new one."""
         self.leader_count += 1
         self.coordinator = PolicyCoordinator(self.clock.now, self.state_machine, self.names, PERMIT_TIMEOUTS)
 
     def tick(self) -> None:
-        """Commit the commands that are due by the leader's timers."""
+        """Commit the commands due by the leader's timers, and schedule the next tick."""
         if self.coordinator:
             for command in self.coordinator.tick(self.clock.now):
                 self.apply(command)
         self.clock.call_after(LEADER_TICK_INTERVAL_NS, self.tick)
 
-    def send(self, host: str, act: Callable[..., None], *arguments: object) -> None:
-        """Call `act` after the delay of the network, unless the host is cut off."""
-        if self.clock.now < self.cut_until.get(host, 0):
+    def send(self, host: str, callback: Callable[..., None], *arguments: object) -> None:
+        """Call `callback` after a network delay, unless the host is disconnected."""
+        if self.clock.now < self.disconnected_until.get(host, 0):
             return
         delay = self.random.randrange(MIN_NETWORK_DELAY_NS, MAX_NETWORK_DELAY_NS)
         if self.clock.now < self.slow_until:
             delay += self.random.randrange(MAX_EXTRA_DELAY_NS)
-        self.clock.call_after(delay, act, *arguments)
+        self.clock.call_after(delay, callback, *arguments)
 
     def receive_report(
         self, host: PolicyHost, incarnation: int, sent_at: int, true_sent_at: int, report: PolicyReport
     ) -> None:
-        """Handle a heartbeat that a host sent at `sent_at` by its clock, `true_sent_at` by the true one."""
+        """Handle a heartbeat, sent at `sent_at` by the clock of the host and `true_sent_at` in true time."""
         if self.coordinator is None:
             return
         for command in self.coordinator.receive_report(self.clock.now, host.name, report, true_sent_at):
@@ -263,7 +266,7 @@
         self.send(host.name, host.receive_assignment, incarnation, sent_at, assignment)
 
     def inject_fault(self, kind: str) -> None:
-        """Apply a fault of a kind to a host or node that is drawn."""
+        """Inject a fault of the given kind into a random host or node."""
         random = self.random
         now = self.clock.now
         host = self.hosts[random.choice(self.names)]
@@ -271,9 +274,11 @@
         duration = random.choice(FAULT_DURATIONS_NS)
         if kind == "leader" and self.coordinator:
             self.coordinator = None
-            self.clock.call_after(random.randrange(MIN_ELECTION_TIME_NS, MAX_ELECTION_TIME_NS), self.elect)
+            self.clock.call_after(
+                random.randrange(MIN_ELECTION_TIME_NS, MAX_ELECTION_TIME_NS), self.elect_leader
+            )
         elif kind == "cut":
-            self.cut_until[host.name] = now + duration
+            self.disconnected_until[host.name] = now + duration
         elif kind == "slow":
             self.slow_until = now + duration
         elif kind in ("node stops", "agent stops"):
@@ -297,21 +302,21 @@
                 host.unusable_version = result.number
 
     def run(self) -> list[str]:
-        """Run all of it and return the breaches."""
+        """Run the simulation to its end and return the breaches."""
         self.clock.run(self.duration)
         return self.audit.breaches
 
     def stuck(self) -> list[str]:
-        """Return what has not converged: open versions, and nodes that do not use the decided one."""
-        found = [
-            f"version {each.number} is {each.state}"
-            for each in self.state_machine.state.policies.values()
-            if each.state in ("proposed", "decided")
+        """Return descriptions of open versions, and of nodes that do not use the decided version."""
+        problems = [
+            f"version {policy.number} is {policy.state}"
+            for policy in self.state_machine.state.policies.values()
+            if policy.state in ("proposed", "decided")
         ]
         for host in self.hosts.values():
             for node in host.nodes:
                 if node.lease.number != self.state_machine.state.decided or not node.lease.may_decide(
                     host.now()
                 ):
-                    found.append(f"{node.name} uses {node.lease.number}, {node.lease.status.value}")
-        return found
+                    problems.append(f"{node.name} uses {node.lease.number}, {node.lease.status.value}")
+        return problems
