--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -1,4 +1,4 @@
-"""Drawn schedules of faults in simulated time."""
+"""Tests of the consensus emulator with drawn schedules of faults."""
 
 import dataclasses
 import os
@@ -17,13 +17,13 @@
 
 
 class ConsensusSimulationTest(unittest.TestCase):
-    """Whole fleets in simulated time. `make measure-schedules` plays many more."""
+    """Simulations of whole fleets. `make measure-schedules` runs many more schedules."""
 
-    def test_drawn_schedules_break_no_promise_and_come_to_an_end(self):
+    def test_drawn_schedules_break_no_invariant_and_converge(self):
         for seed in range(7000, 7012):
             with self.subTest(seed=seed):
-                world, breaches = play(draw(seed))
-                self.assertEqual((breaches, world.stuck()), ([], []))
+                simulation, breaches = play(draw(seed))
+                self.assertEqual((breaches, simulation.stuck()), ([], []))
 
     def test_replays_a_schedule_exactly_from_a_file_and_in_another_process(self):
         schedule = draw(3)
@@ -47,22 +47,22 @@
         }
         self.assertEqual(outputs, {f"{first.clock.events_processed}\n"})
 
-    def test_planted_defect_is_caught_and_its_schedule_shrunk(self):
-        with mock.patch.object(UnavailableTargets, "find_violation", lambda self, things: ""):
+    def test_detects_an_injected_defect_and_shrinks_its_schedule(self):
+        with mock.patch.object(UnavailableTargets, "find_violation", lambda self, targets: ""):
 
             def fails(schedule: Schedule) -> bool:
                 return bool(play(schedule)[1])
 
-            schedule = next(each for each in map(draw, range(20)) if fails(each))
-            shrunk = shrink(schedule, fails)
-            self.assertTrue(fails(shrunk))
-            self.assertLess(len(shrunk.faults), len(schedule.faults))
-            for index in range(len(shrunk.faults)):  # nothing of it can be left out
-                rest = shrunk.faults[:index] + shrunk.faults[index + 1 :]
-                self.assertFalse(fails(dataclasses.replace(shrunk, faults=rest)))
-        self.assertEqual(play(shrunk)[1], [])
+            schedule = next(candidate for candidate in map(draw, range(20)) if fails(candidate))
+            shrunk_schedule = shrink(schedule, fails)
+            self.assertTrue(fails(shrunk_schedule))
+            self.assertLess(len(shrunk_schedule.faults), len(schedule.faults))
+            for index in range(len(shrunk_schedule.faults)):  # each remaining fault is needed
+                remaining_faults = shrunk_schedule.faults[:index] + shrunk_schedule.faults[index + 1 :]
+                self.assertFalse(fails(dataclasses.replace(shrunk_schedule, faults=remaining_faults)))
+        self.assertEqual(play(shrunk_schedule)[1], [])
 
-    def test_catches_an_agent_that_uses_an_expired_permit(self):
+    def test_detects_an_agent_that_uses_an_expired_permit(self):
         schedules = [
             Schedule(
                 seed,
@@ -80,26 +80,26 @@
             )
             for seed in range(6)
         ]
-        self.assertEqual([breach for each in schedules for breach in play(each)[1]], [])
+        self.assertEqual([breach for schedule in schedules for breach in play(schedule)[1]], [])
 
-        def for_ever(self, now, thing, ident, runs=True):
-            held = self.permits.get(thing)
-            return held is not None and held.order_id == ident and not held.unused
+        def ignore_expiry(self, now, target, order_id, may_have_process=True):
+            permit = self.permits.get(target)
+            return permit is not None and permit.order_id == order_id and not permit.unused
 
         with (
-            mock.patch.object(PermitHolder, "may_start", for_ever),
-            mock.patch.object(PermitHolder, "may_notify", for_ever),
+            mock.patch.object(PermitHolder, "may_start", ignore_expiry),
+            mock.patch.object(PermitHolder, "may_notify", ignore_expiry),
         ):
-            breaches = [breach for each in schedules for breach in play(each)[1]]
+            breaches = [breach for schedule in schedules for breach in play(schedule)[1]]
         self.assertRegex(breaches[0], "promise 7: ")
 
-    def test_audit_catches_each_breach_by_itself(self):
-        def granted_audit() -> ConsensusAudit:
+    def test_audit_detects_each_breach(self):
+        def audit_with_grants() -> ConsensusAudit:
             audit = ConsensusAudit({"s": (1, ["a", "b"])}, SECOND)
             audit.command_applied(0, "k", 5, b"\x93\xa5grant\xa1o\x92\xa1a\xa1b")
             return audit
 
-        audit = granted_audit()
+        audit = audit_with_grants()
         audit.leader_observed(0, 1, "x")
         audit.leader_observed(1, 1, "y")
         audit.command_applied(1, "y", 5, b"\x93\xa5grant\xa1o\x91\xa1a")
@@ -111,14 +111,15 @@
         audit.drain_started(5, "b", 3)
         audit.order_halted("o")
         audit.drain_started(6, "b", 6, "o")
-        found = "\n".join(audit.finish(9))
+        breaches = "\n".join(audit.finish(9))
         for number in range(1, 8):
-            self.assertIn(f"promise {number}: ", found)
-        good = granted_audit()
-        good.out_by_itself(0, "a")
-        good.drain_started(SECOND // 2, "b", 5)  # too soon to be known
-        self.assertEqual(good.finish(9), [])
-        late = granted_audit()
-        late.out_by_itself(0, "a")
-        late.drain_started(2 * SECOND, "b", 5)
-        self.assertRegex(late.finish(9)[0], "known to be unavailable")
+            self.assertIn(f"promise {number}: ", breaches)
+        early_drain_audit = audit_with_grants()
+        early_drain_audit.out_by_itself(0, "a")
+        # The leader need not know yet that "a" is unavailable.
+        early_drain_audit.drain_started(SECOND // 2, "b", 5)
+        self.assertEqual(early_drain_audit.finish(9), [])
+        late_drain_audit = audit_with_grants()
+        late_drain_audit.out_by_itself(0, "a")
+        late_drain_audit.drain_started(2 * SECOND, "b", 5)
+        self.assertRegex(late_drain_audit.finish(9)[0], "known to be unavailable")
