--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -54,7 +54,7 @@
         return self.audit.finish(self.clock.now) + self.rollout_audit.breaches
 
     def stuck(self) -> list[str]:
-        """Return descriptions of all that has not converged at the end."""
+        """Return the reasons why the fleet has not converged at the end."""
         return self.convergence.stuck()
 
 
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -59,7 +59,7 @@
         }
 
     def stuck(self) -> list[str]:
-        """Return descriptions of all that has not converged, even with some extra time."""
+        """Return the reasons why the fleet has not converged, even after some extra time."""
         if problems := self._stuck():
             clock = self.world.clock
             clock.run(clock.now + EXTRA_CONVERGENCE_TIME_NS)
@@ -102,5 +102,5 @@
         for task in host.agent.orders.open_tasks:
             order = leader.state_machine.state.orders.get(task.order.order_id)
             if task.is_open and task.order.verb is not Verb.START and not (order and order.is_open):
-                problems.append(f"{host.name}: a task of {task.order.order_id} waits for no open order")
+                problems.append(f"{host.name}: a task of {task.order.order_id} is open, but the order is not")
         return problems
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -49,8 +49,8 @@
         if fault.kind == "kill":
             host.machine.kill(fault.duration)
         elif fault.kind == "kill all":
-            for restarted_host in self.hosts.values():
-                restarted_host.machine.kill(
+            for killed_host in self.hosts.values():
+                killed_host.machine.kill(
                     MIN_RESTART_DELAY_NS + int(self.world.random.random() * fault.duration)
                 )
         elif fault.kind == "kill in a step":
@@ -99,7 +99,7 @@
         return True
 
     def _restore_backup(
-        self, host: SimulatedHost, backup: InMemoryStorage, known_writes: int, wait: int
+        self, host: SimulatedHost, backup: InMemoryStorage, known_writes: int, restart_delay: int
     ) -> None:
         """Restore a backup of the replica's file; `known_writes`: its count of writes, or negative."""
         if not host.machine.running or not self._may_lose_storage(host):
@@ -114,19 +114,19 @@
                 return
             if self.network.has_faults():
                 return
-            wait = MS
+            restart_delay = MS
             host.replica.known_writes = known_writes
-        folder = "" if known_writes < 0 else " with the whole folder"
-        self.world.log_event(f"a backup of the file of {host.name} is restored{folder}")
-        host.machine.kill(wait)
+        suffix = "" if known_writes < 0 else " with the whole folder"
+        self.world.log_event(f"a backup of the file of {host.name} is restored{suffix}")
+        host.machine.kill(restart_delay)
         host.replica.storage = backup
 
     def _may_lose_storage(self, host: SimulatedHost) -> bool:
         """Whether all other members have their storage.
 
-        The invariants do not hold once a majority of the replicas has lost its storage, which takes a manual
-        recovery. Only one member may lose its storage at a time, also a learner: it may become a voter at any
-        moment, and a replaced member is not a voter again until it has caught up.
+        The invariants do not hold once a majority of the replicas has lost its storage; a manual recovery is
+        needed then. So only one member may lose its storage at a time, and only while all other members are
+        voters: a learner may become a voter at any moment, and a replaced member is not a voter yet.
         """
         hosts = self.hosts
         leaders = [leader for other in hosts.values() if (leader := other.leader)]
--- a/oakkeel/emulator/heartbeat_exchange.py
+++ b/oakkeel/emulator/heartbeat_exchange.py
@@ -23,25 +23,27 @@
         """Send an agent's heartbeat to the host that the agent last knew as the leader."""
         host = self.hosts[name]
         machine = host.machine
-        leader = self.hosts[host.agent.leader_locator.current]
+        recipient = self.hosts[host.agent.leader_locator.current]
         restarts = machine.restarts
         is_awaiting_response = True
 
         def on_arrival() -> None:
-            if not leader.machine.running:
+            if not recipient.machine.running:
                 return
-            if leader.machine.stopped:
-                leader.machine.deferred.append(on_arrival)
+            if recipient.machine.stopped:
+                recipient.machine.deferred.append(on_arrival)
                 return
-            if leader.control_plane is None:
+            if recipient.control_plane is None:
                 return
             try:
-                response, outputs = leader.control_plane.receive_heartbeat(leader.machine.now(), heartbeat)
+                response, outputs = recipient.control_plane.receive_heartbeat(
+                    recipient.machine.now(), heartbeat
+                )
             except NotLeaderError as error:
-                self.network.deliver(leader.name, host.name, on_redirect, error.leader)
+                self.network.deliver(recipient.name, host.name, on_redirect, error.leader)
                 return
-            self.network.deliver(leader.name, host.name, on_response, response)
-            leader.replica.carry_out(outputs)
+            self.network.deliver(recipient.name, host.name, on_response, response)
+            recipient.replica.carry_out(outputs)
 
         def on_response(response: HeartbeatResponse) -> None:
             nonlocal is_awaiting_response
@@ -56,5 +58,5 @@
                 is_awaiting_response = False
                 host.agent.leader_locator.redirect(leader_name)
 
-        self.network.deliver(host.name, leader.name, on_arrival)
+        self.network.deliver(host.name, recipient.name, on_arrival)
         self.network.world.clock.call_after(HEARTBEAT_TIMEOUT_NS, on_redirect, "")
--- a/oakkeel/emulator/machines.py
+++ b/oakkeel/emulator/machines.py
@@ -36,12 +36,12 @@
         self.slope = slope
         self.speed_factor = 1.0  # share of full speed; lower while cold or slowed down, 0 while stalled
         self.task_count = 0
-        self.service = 0.0  # nanoseconds of a core received by a task that runs since the start
+        self.service = 0.0  # nanoseconds of a core that a task running from the start has received
         self.busy_time = 0.0  # nanoseconds, summed over the busy cores
         self.advanced_to = clock.now
         self.sequence = 0
         self.heap: list[tuple[float, int, Task]] = []
-        self.next_end: ScheduledEvent | None = None
+        self.next_end_event: ScheduledEvent | None = None
 
     def task_speed(self) -> float:
         """Return the present speed of one task, as a share of one core at full speed."""
@@ -87,19 +87,19 @@
 
     def _schedule_next_end(self) -> None:
         """Schedule the end of the next task to finish at the present speed."""
-        if self.next_end:
-            self.next_end.cancel()
-            self.next_end = None
+        if self.next_end_event:
+            self.next_end_event.cancel()
+            self.next_end_event = None
         while self.heap and not self.heap[0][2].active:
             heappop(self.heap)
         speed = self.task_speed()
         if self.heap and speed > 0:
             delay = max(0.0, self.heap[0][0] - self.service) / speed
-            self.next_end = self.clock.call_after(int(delay) + 1, self._end_tasks)
+            self.next_end_event = self.clock.call_after(int(delay) + 1, self._end_tasks)
 
     def _end_tasks(self) -> None:
         self._advance()
-        self.next_end = None
+        self.next_end_event = None
         ended_tasks = []
         while self.heap and (not self.heap[0][2].active or self.heap[0][0] <= self.service):
             task = heappop(self.heap)[2]
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -120,7 +120,7 @@
         warm_share = self.machine.speed_factor if self.limits.starts_cold else 1.0
         concurrency = self.running / self.limits.cores
         if concurrency > 1 + (self.limits.overload_multiple - 1) * warm_share:
-            self.audit.node_overloaded(self.name, f"{concurrency:.1f} runs a core")
+            self.audit.node_overloaded(self.name, f"{concurrency:.1f} runs per core")
 
     def _complete(self, open_request: OpenRequest) -> None:
         if not self.alive:
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -33,7 +33,7 @@
     def submit(
         self, command: commands.Command | releases.Command, ident: str, attempts: int = MAX_ATTEMPTS
     ) -> None:
-        """Propose a command on a random host, and retry with the same ID until the proposal commits."""
+        """Propose a command on a random host; retry up to `attempts` times until the command is committed."""
         world = self.world
         running = [host for host in self.hosts.values() if host.machine.running]
         host = world.random.choice(running or [None])
@@ -42,11 +42,11 @@
         if host is None or host.machine.stopped or host.control_plane is None:
             self._retry(command, ident, attempts)
             return
-        is_answered = False
+        is_completed = False
 
         def on_completed(proposal: Proposal) -> None:
-            nonlocal is_answered
-            is_answered = True
+            nonlocal is_completed
+            is_completed = True
             if proposal.status is ProposalStatus.COMMITTED:
                 self._on_committed(command, ident, proposal)
             else:
@@ -62,7 +62,7 @@
         host.replica.carry_out(outputs)
 
         def on_timeout() -> None:  # the host with the proposal may have been killed
-            if not is_answered and attempts:
+            if not is_completed and attempts:
                 self.submit(command, ident, attempts - 1)
 
         world.clock.call_after(RESPONSE_TIMEOUT_NS, on_timeout)
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -36,7 +36,7 @@
     permits: list[StoredPermit] = field(default_factory=list)
     epoch: str = ""
     generations: dict[str, int] = field(default_factory=dict)
-    orders: bytes = b""  # pickled, with their instances
+    orders: bytes = b""  # pickled orders and their instances
     versions: dict[str, str] = field(default_factory=dict)
 
 
@@ -56,7 +56,7 @@
         self.send_heartbeat = send_heartbeat
         self.instances = machine.world.instances_by_host[machine.name]
         self.disk = AgentDisk()
-        self.pause_on_permit = 0  # duration of a stop of the host at the next response with a permit
+        self.pause_on_permit = 0  # nanoseconds to stop for at the next response that grants a permit; 0: none
 
     def start(self) -> None:
         """Start a process of the agent from the state on disk."""
@@ -121,7 +121,7 @@
             self.orders.advance(now)
         steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
         if machine.disk_full:
-            steps = self._drop_unstored(now, steps)
+            steps = self._revert_unstored_steps(now, steps)
         else:
             self._save()
         for step in steps:
@@ -129,7 +129,7 @@
         if steps and not machine.disk_full:
             self._save()
 
-    def _drop_unstored(self, now: int, steps: list[Step]) -> list[Step]:
+    def _revert_unstored_steps(self, now: int, steps: list[Step]) -> list[Step]:
         """Revert the steps that need storage, as the disk is full, and return the other steps."""
         for step in steps:
             if step.action is Action.START and step.instance.task is not None:
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -16,7 +16,7 @@
 
 REQUESTS_PER_SECOND = 400
 GOOD_SHARE = 0.98  # share of the priority weight of all requests that a good version earns
-WORSE_SHARE = 0.6  # the same for a worse version
+WORSE_SHARE = 0.6  # the same share for a worse version
 MIN_START_TIME_NS = 100 * MS
 MAX_START_TIME_NS = 600 * MS
 CRASH_DELAY_NS = 50 * MS  # from the start of a version that crashes
@@ -46,7 +46,7 @@
     """Starts and ends processes on behalf of the agent's supervisor, and reports them to the audits."""
 
     def __init__(self, machine: SimulatedMachine) -> None:
-        """Create the set without processes. The agent sets `owner`."""
+        """Create the processes of a machine; none runs yet. The agent sets `owner`."""
         self.machine = machine
         self.world = machine.world
         self.owner: ProcessOwner
@@ -131,7 +131,7 @@
             world.audit.serving(world.clock.now, name)
 
     def end(self, name: str, process: Process, reason: str, unconditional: bool = False) -> None:
-        """End a process. Unless `unconditional`, only a process whose drain is due to end is ended."""
+        """End a process; without `unconditional` only if its drain is over and was not cancelled."""
         world = self.world
         if self.running.get(name) is not process:
             return
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -123,10 +123,10 @@
             return "\n".join(run_scenario(scenario).breaches)
 
     def test_reports_request_without_a_response(self):
-        respond, count = SimulatedNode._respond, iter(range(10**9))
+        respond, response_numbers = SimulatedNode._respond, iter(range(10**9))
 
         def drop_some(self, open_request, status, retry_after):
-            if next(count) % 50:
+            if next(response_numbers) % 50:
                 respond(self, open_request, status, retry_after)
 
         self.assertIn("got no response", self.breaches_with("_respond", drop_some))
