--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -14,7 +14,7 @@
 from oakkeel.request import NodeRequest
 from oakkeel.request_events import CallFinished
 from oakkeel.resource_limits import ResourceLimits
-from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, readable, send
+from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, is_readable, send
 from oakkeel.units import MS, SECOND
 
 WITH_BODY = frozenset({(1, b"DATA")})
@@ -212,7 +212,7 @@
         usable = [link for link in self.links if not link.retired and link not in request.used_links]
         free = [link for link in usable if not link.calls and link.connected]
         for link in sorted(free, key=lambda link: link.last_used, reverse=True):
-            if not readable(link.stream.socket):
+            if not is_readable(link.stream.socket):
                 return link
             link.retired = True  # closed by the peer, or a reply without a call is unread
             link.close_if_unused()
--- a/oakkeel/dispatch/array_reader.py
+++ b/oakkeel/dispatch/array_reader.py
@@ -1,34 +1,34 @@
-"""The commands that a connection has received, and since when one of them is incomplete."""
+"""Parsing of the commands that a connection receives, and the time since which one is incomplete."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-from oakkeel.dispatch.resp import arrays
+from oakkeel.dispatch.resp import parse_arrays
 from oakkeel.stream_buffers import ReadBuffer
 
 
 class ArrayReader:
-    """Takes the whole arrays out of a read buffer and passes each to a handler of commands."""
+    """Takes the complete arrays out of a read buffer and passes each to a handler of commands."""
 
-    __slots__ = ("_buffer", "_handle", "_max_tokens", "due_since")
+    __slots__ = ("_buffer", "_handle", "_max_tokens", "wait_started_at")
 
     def __init__(self, buffer: ReadBuffer, max_tokens: int, handle: Callable[[list[bytes]], None]) -> None:
-        """Start to wait for the first array."""
+        """Start the wait for the first array."""
         self._buffer = buffer
         self._max_tokens = max_tokens
         self._handle = handle
-        self.due_since = time.monotonic_ns()  # when the wait for a whole array began; 0: none is due
+        self.wait_started_at = time.monotonic_ns()  # of the wait for a complete array; 0: none is expected
 
     def handle_received(self) -> bool:
-        """Handle the whole arrays; return whether there was one. Raises MalformedInputError."""
-        handled = False
-        for tokens in arrays(self._buffer, self._max_tokens):
+        """Handle the complete arrays; return whether there was one. Raises MalformedInputError."""
+        any_handled = False
+        for tokens in parse_arrays(self._buffer, self._max_tokens):
             self._handle(tokens)
-            handled = True
+            any_handled = True
         if not self._buffer.has_data:
-            self.due_since = 0
-        elif handled or not self.due_since:
-            self.due_since = time.monotonic_ns()
-        return handled
+            self.wait_started_at = 0
+        elif any_handled or not self.wait_started_at:
+            self.wait_started_at = time.monotonic_ns()
+        return any_handled
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -1,4 +1,4 @@
-"""The tokens and fields of the dispatchers' protocol, and the requests made of them."""
+"""The tokens and fields of the dispatchers' protocol, and the requests made from them."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 FINAL_REJECTION = b"nomore=1"  # no other node should be tried
 
 FlowKeyReader = Callable[[Callable[[bytes], bytes]], tuple[tuple[int, bytes], ...]]
-# The field by which duplicates are recognized. Reads with one subject ask for the same; non-idempotent
-# requests with one subject may not.
+# The field that identifies duplicates. Idempotent reads with the same subject have the same result;
+# non-idempotent requests with the same subject may not.
 KEY_FIELDS = {Idempotency.IDEMPOTENCY_KEY: IDEMPOTENCY_KEY_FIELD, Idempotency.IDEMPOTENT: SUBJECT_FIELD}
 REQUEST_ID = re.compile(rb"[0-9a-fA-F]{16}")  # copied into lines to the engine and the catalogue
 # Positions of the tokens of a CALL: verb, tag, request class, fields, and an optional body.
@@ -57,7 +57,7 @@
 CALL_TOKENS_WITH_BODY = 5
 MAX_FIELD_NUMBER = 1e15  # exact as a float
 
-# Names in the operators' settings of what identifies a flow; any other name is that of a field.
+# Request fields by their names in the operators' settings of flows; any other name is the field's own.
 FLOW_FIELDS = {"tenant": TENANT_FIELD, "caller": CLIENT_FIELD, "subject": SUBJECT_FIELD}
 
 
@@ -70,13 +70,13 @@
     """A CALL whose tag is valid but whose request class, fields or body are not."""
 
     def __init__(self, message: str, request_id: bytes = b"") -> None:
-        """Say what is wrong, with the ID of the request if it was read."""
+        """Take a description of the fault, and the ID of the request if it was read."""
         super().__init__(message)
         self.request_id = request_id
 
 
 class RequestReader:
-    """Makes requests from the tokens of a CALL, by the request classes and tenants of this node."""
+    """Makes requests from the tokens of a CALL, with the request classes and tenants of this node."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
         }
 
     def read(self, tag: int, tokens: list[bytes], connection: ResponseChannel) -> NodeRequest:
-        """Make a request of the tokens of a CALL. Raises MalformedRequestError."""
+        """Make a request from the tokens of a CALL. Raises MalformedRequestError."""
         if len(tokens) not in (CALL_TOKENS, CALL_TOKENS_WITH_BODY):
             raise MalformedRequestError(
                 f"{len(tokens)} tokens, expected {CALL_TOKENS} or {CALL_TOKENS_WITH_BODY}"
@@ -133,17 +133,19 @@
     ) -> NodeRequest:
         if len(body) > self._resource_limits.max_body_size:
             raise MalformedRequestError(f"a body of more than {self._resource_limits.max_body_size} bytes")
-        age = self._age(fields)
+        age = self._request_age(fields)
         timeout = self._client_timeout(fields)
         if LEVEL_FIELD in fields:
-            self._number(fields, LEVEL_FIELD, 1.0)  # validated only: the node does not use it
+            self._parse_number(fields, LEVEL_FIELD, 1.0)  # validated only: the node does not use it
         key_field = KEY_FIELDS.get(request_class.idempotency)
         key = fields.get(key_field, b"") if key_field else b""
         return NodeRequest(
             request_class=request_class,
             tenant=self._tenants.get(fields.get(TENANT_FIELD, b"")),
-            client=int(self._number(fields, CLIENT_FIELD, MAX_FIELD_NUMBER)) if CLIENT_FIELD in fields else 0,
-            memory_kb=self._number(fields, MEMORY_FIELD, self._resource_limits.max_memory_kb),
+            client=int(self._parse_number(fields, CLIENT_FIELD, MAX_FIELD_NUMBER))
+            if CLIENT_FIELD in fields
+            else 0,
+            memory_kb=self._parse_number(fields, MEMORY_FIELD, self._resource_limits.max_memory_kb),
             retry_attempt=fields.get(RETRY_FIELD) == RETRY_VALUE,
             remaining_time=max(1, min(timeout, request_class.client_timeout) - age) if timeout else 0,
             queueing_delay=age,
@@ -158,28 +160,30 @@
             flow_keys=self._flow_keys(lambda name: fields.get(name, b"")) if self._flow_keys else (),
         )
 
-    def _age(self, fields: dict[bytes, bytes]) -> int:
-        """Return the nanoseconds since the timestamp of the request; 0 without one.
+    def _request_age(self, fields: dict[bytes, bytes]) -> int:
+        """Return the nanoseconds since the timestamp of the request; 0 if it has none.
 
-        An age out of range is rejected: the admission controller measures delays by it, and one timestamp of
-        long ago would take the node out of rotation for seconds.
+        An age out of range is rejected: the admission controller measures delays by the age, and a single
+        very old timestamp would take the node out of rotation for seconds.
         """
         if TIMESTAMP_FIELD not in fields:
             return 0
-        age = self._unix_ns() - int(self._number(fields, TIMESTAMP_FIELD, MAX_FIELD_NUMBER) * MS)
+        age = self._unix_ns() - int(self._parse_number(fields, TIMESTAMP_FIELD, MAX_FIELD_NUMBER) * MS)
         if abs(age) > self._resource_limits.max_clock_skew:
             raise MalformedRequestError("the timestamp in ts is too far from now: check the clock")
         return max(0, age)
 
     def _client_timeout(self, fields: dict[bytes, bytes]) -> int:
-        """Return how long the client waits from its timestamp on, in nanoseconds; 0 if unknown."""
+        """Return the client's timeout in nanoseconds, counted from the timestamp; 0 if unknown."""
         if TIMEOUT_FIELD not in fields:
             return 0
-        return int(self._number(fields, TIMEOUT_FIELD, self._resource_limits.max_client_timeout / MS) * MS)
+        return int(
+            self._parse_number(fields, TIMEOUT_FIELD, self._resource_limits.max_client_timeout / MS) * MS
+        )
 
     @staticmethod
-    def _number(fields: dict[bytes, bytes], name: bytes, limit: float) -> float:
-        """Return the value of a field as a number from 0 to below a limit."""
+    def _parse_number(fields: dict[bytes, bytes], name: bytes, limit: float) -> float:
+        """Return the value of a field as a number of at least 0 and less than `limit`."""
         try:
             value = float(fields.get(name, b"none"))
         except ValueError:
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -18,22 +18,22 @@
 class ConnectionOwner(Protocol):
     """The node, as its connections see it."""
 
-    reader: codec.RequestReader | None  # None until the node may take requests
+    reader: codec.RequestReader | None  # None while the node can't accept requests yet
 
     def request_received(self, request: NodeRequest) -> None:
-        """Handle a request that was read."""
+        """Handle a request that the connection has read."""
 
     def client_disconnected(self, request: NodeRequest) -> None:
         """Note that the client no longer waits for the answer."""
 
     def has_request(self, request_id: bytes) -> bool:
-        """Return whether a request with this ID is open, or its run is."""
+        """Return whether a request with this ID is open or still has a run."""
 
     def healthy(self) -> bool:
         """Return whether the node accepts requests, for health checks."""
 
     def load_report(self) -> float | None:
-        """Return the load report for answers; None before there is one."""
+        """Return the load report for answers; None before the first report."""
 
     def retry_after(self) -> int:
         """Return the Retry-After of a rejected request, in nanoseconds; 0 for no advice."""
@@ -49,8 +49,8 @@
         "_owner",
         "_resource_limits",
         "_write",
+        "has_received_request",
         "open_requests",
-        "received_request",
         "rejects_all",
         "violations",
     )
@@ -72,7 +72,7 @@
         self._log = log
         self._on_idle = on_idle
         self.open_requests: dict[int, NodeRequest] = {}  # by tag
-        self.received_request = False
+        self.has_received_request = False
         self.rejects_all = False  # the connection is over the limit: each of its calls is rejected
         self.violations = 0
 
@@ -87,7 +87,7 @@
                 f"{tag_token[:MAX_LOGGED_BYTES]!r}"
             )
         if verb == codec.CALL:
-            self._call(tag, tokens)
+            self._handle_call(tag, tokens)
         elif verb == codec.CANCEL:
             if tag in self.open_requests:
                 self.disconnect(self.open_requests[tag])
@@ -111,11 +111,11 @@
         self._write(
             codec.encode_answer(request.tag, status, self._owner.load_report(), body, final, retry_after)
         )
-        # After the write: an ending connection is shut down with its last answer.
+        # Only after the write: closing the last request shuts down an ending connection.
         self._close_request(request)
 
     def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
-        """Log and count a malformed request: each costs time, and too many end the connection."""
+        """Log and count a malformed request: parsing costs time, and too many end the connection."""
         self._log.warning(event, reason=why or None, request_id=request_id.decode() or None)
         self.violations += 1
 
@@ -124,11 +124,11 @@
         self._close_request(request)
         self._owner.client_disconnected(request)
 
-    def unlink(self) -> None:
-        """Drop the references to the connection, so that no cycle keeps it; no command may follow."""
+    def detach(self) -> None:
+        """Drop the references to the connection, so that it is in no cycle; no command may follow."""
         del self._channel, self._on_idle
 
-    def _call(self, tag: int, tokens: list[bytes]) -> None:
+    def _handle_call(self, tag: int, tokens: list[bytes]) -> None:
         owner = self._owner
         reader = owner.reader
         if reader is None or self.rejects_all:
@@ -143,13 +143,13 @@
             )
         try:
             request = reader.read(tag, tokens, self._channel)
-            if owner.has_request(request.request_id):  # the open request must not be affected
+            if owner.has_request(request.request_id):  # a reused ID must not affect it
                 raise codec.MalformedRequestError("the id of an open request", request.request_id)
         except codec.MalformedRequestError as error:
             self._reject_malformed(tag, str(error), error.request_id)
             return
         self.open_requests[tag] = request
-        self.received_request = True
+        self.has_received_request = True
         owner.request_received(request)
 
     def _reject_malformed(self, tag: int, why: str, request_id: bytes = b"") -> None:
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -20,7 +20,7 @@
 from oakkeel.dispatch.command_handler import CommandHandler, ConnectionOwner
 from oakkeel.dispatch.connection_state import ConnectionLifecycle, ConnectionState
 from oakkeel.dispatch.progress import Progress
-from oakkeel.dispatch.socket_state import discard_received, has_incoming, hung_up
+from oakkeel.dispatch.socket_state import discard_received, has_hung_up, has_incoming
 from oakkeel.dispatch.timeouts import array_overdue_by, is_write_overdue, read_pause
 from oakkeel.log import EventLog
 from oakkeel.request import NodeRequest
@@ -40,7 +40,7 @@
         "_progress",
         "_resource_limits",
         "_writer",
-        "arrays",
+        "array_reader",
         "read_buffer",
         "stream",
     )
@@ -65,7 +65,7 @@
         self._commands = CommandHandler(
             self, self._writer.write, resource_limits, owner, log, self._on_became_idle
         )
-        self.arrays = ArrayReader(self.read_buffer, resource_limits.max_tokens, self._commands.handle)
+        self.array_reader = ArrayReader(self.read_buffer, resource_limits.max_tokens, self._commands.handle)
         self._progress = Progress(stream)
 
     @property
@@ -79,14 +79,14 @@
         return self._commands.open_requests
 
     @property
-    def received_request(self) -> bool:
+    def has_received_request(self) -> bool:
         """Whether a request was received."""
-        return self._commands.received_request
+        return self._commands.has_received_request
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """The bytes of answers that are not sent yet."""
-        return self._writer.unsent
+        return self._writer.unsent_bytes
 
     def answer(
         self,
@@ -104,16 +104,16 @@
         self._commands.report_violation(event, why, request_id)
 
     async def serve(self) -> None:
-        """Read and answer until both sides have closed."""
+        """Read commands and write answers until both sides have closed."""
         try:
             await self._read()
-            # A write shows whether the dispatcher still reads: if not, it resets the connection.
+            # A dispatcher that no longer reads resets the connection at this write.
             self._finish()
             if self.open_requests:
                 self._writer.write(codec.DRAIN_NOTICE)
-            while self.open_requests or self.unsent:
+            while self.open_requests or self.unsent_bytes:
                 await self._progress.wait(self._resource_limits.half_closed_poll)
-                if hung_up(self.stream.socket):
+                if has_hung_up(self.stream.socket):
                     break
         except StreamClosedError:
             pass
@@ -124,8 +124,8 @@
             for request in list(self.open_requests.values()):
                 self._commands.disconnect(request)
             # The connection must be in no reference cycle: only the garbage collector would free it.
-            self._commands.unlink()
-            self._writer.unlink()
+            self._commands.detach()
+            self._writer.detach()
 
     async def _read(self) -> None:
         """Read until the dispatcher ends its side.
@@ -141,15 +141,16 @@
                 self._reject_stream(error)
                 continue
             if self.stream.at_eof:
-                self._parse()  # what was received before the end
+                self._parse()  # the bytes received before the end
                 return
             cpu_time = -time.thread_time_ns()
             self._parse()
             cpu_time += time.thread_time_ns()
-            # A dispatcher that leaves its answers unread gets no more of them until it has read some.
-            while self.unsent > limits.max_unsent:
+            # Read no more requests from a dispatcher until it has read enough of its answers.
+            while self.unsent_bytes > limits.max_unsent:
                 await self._progress.wait()
-            # A dispatcher that always sends must not keep the event loop: a done future does not yield.
+            # A dispatcher that sends without pause must not block the event loop: awaiting a done future
+            # does not yield.
             await asyncio.sleep(read_pause(time.monotonic_ns(), read_at, cpu_time, limits) / SECOND)
 
     def _parse(self) -> None:
@@ -157,11 +158,11 @@
             self.read_buffer.clear()
             return
         try:
-            handled = self.arrays.handle_received()
+            any_handled = self.array_reader.handle_received()
         except MalformedInputError as error:
             self._reject_stream(error)
             return
-        if handled:
+        if any_handled:
             self._on_activity(self)
 
     def _reject_stream(self, error: MalformedInputError) -> None:
@@ -180,32 +181,32 @@
             self._lifecycle.change(ConnectionState.DRAINING)
             self._writer.write(codec.DRAIN_NOTICE)
             timeout = timeout or self._resource_limits.drain_notice_timeout
-            self._lifecycle.start_timer(timeout, self._drain_expired, timeout)
+            self._lifecycle.start_timer(timeout, self._on_drain_timeout, timeout)
 
-    def _drain_expired(self, timeout: int) -> None:
-        """Close the connection if it is idle, as the dispatcher did not; otherwise check again later."""
+    def _on_drain_timeout(self, timeout: int) -> None:
+        """Close the connection if it is idle and the dispatcher has not closed it; else check again later."""
         if self.state is not ConnectionState.DRAINING or self.stream.closed():
             return
         if self.is_idle():
             self._linger()
         else:
-            self._lifecycle.start_timer(timeout, self._drain_expired, timeout)
+            self._lifecycle.start_timer(timeout, self._on_drain_timeout, timeout)
 
     def is_idle(self) -> bool:
-        """Return whether nothing is open, half read, unread or unsent: a close loses nothing."""
+        """Return whether no request is open, no input incomplete or unread, and no answer unsent."""
         return not (
-            self.open_requests or self.unsent or self.read_buffer.has_data or has_incoming(self.stream)
+            self.open_requests or self.unsent_bytes or self.read_buffer.has_data or has_incoming(self.stream)
         )
 
     def finish(self) -> None:
-        """Read no more; the connection is shut down as soon as all is answered and sent."""
+        """Read no more requests; the connection is shut down once all answers are sent."""
         if not self.stream.closed():
             self._finish()
 
     def _finish(self) -> None:
         if self.state in (ConnectionState.OPEN, ConnectionState.DRAINING):
             self._lifecycle.change(ConnectionState.ENDING)
-            self.arrays.due_since = 0
+            self.array_reader.wait_started_at = 0
         self._shut_down_if_finished()
 
     def _on_became_idle(self) -> None:
@@ -219,14 +220,14 @@
         """
         self._progress.set()
         if self.state is ConnectionState.ENDING and not (
-            self.open_requests or self.unsent or self.stream.at_eof or self.stream.closed()
+            self.open_requests or self.unsent_bytes or self.stream.at_eof or self.stream.closed()
         ):
             self._linger()
 
     def _linger(self) -> None:
         """Shut down our side and read until the dispatcher closes.
 
-        A request that crosses the shutdown never runs, and its dispatcher sends it again.
+        A request that is in flight during the shutdown never runs, and its dispatcher sends it again.
         """
         self._lifecycle.change(ConnectionState.LINGERING)
         with contextlib.suppress(OSError):  # already reset
@@ -236,19 +237,19 @@
     def reject_all(self) -> None:
         """Reject all requests, as the connection is over the limit, and drain it after its grace."""
         self._commands.rejects_all = True
-        with contextlib.suppress(BlockingIOError, OSError):  # nothing received yet, or its reader fails
+        with contextlib.suppress(BlockingIOError, OSError):  # nothing received yet, or reset: `serve` fails
             self.read_buffer.receive(self.stream.socket)
         self._parse()
         self.drain(self._resource_limits.new_connection_grace)
 
     def evict(self) -> bool:
-        """End the connection, as its descriptor is needed: at once if no answer can be lost, else gracefully.
+        """End the connection to free its descriptor: at once if no answer can be lost, else gracefully.
 
-        Return whether it still holds its descriptor.
+        Return whether the connection still holds its descriptor.
         """
         if self.state in (ConnectionState.OPEN, ConnectionState.DRAINING):
             self._finish()
-        if not self._writer.used:  # no answer can be lost
+        if not self._writer.has_written:  # no answer can be lost
             self.close()
         return not self.stream.closed()
 
@@ -258,7 +259,7 @@
         Received bytes are read first: a close with bytes unread would reset answers that are in flight.
         """
         if not self.stream.closed():
-            if self.state is not ConnectionState.OPEN and not self.unsent:
+            if self.state is not ConnectionState.OPEN and not self.unsent_bytes:
                 discard_received(self.stream.socket)
             self.stream.close()
         self._lifecycle.cancel_timer()
@@ -267,13 +268,13 @@
     def check_timeouts(self, now: int) -> None:
         """Close the connection if the dispatcher does not read, and end it if an array stays incomplete.
 
-        It is not closed for an incomplete array, as other requests may still wait for their answers.
+        An incomplete array does not close the connection, as other requests may still wait for answers.
         """
         limits = self._resource_limits
-        if is_write_overdue(now, self._writer.started_at, limits):
+        if is_write_overdue(now, self._writer.write_started_at, limits):
             self.close()
-        elif overdue := array_overdue_by(now, self.arrays.due_since, limits):
-            # Received bytes are read first; a second check with data means that they trickle in.
-            trickles = self.read_buffer.has_data and overdue > limits.sweep_interval
-            if not has_incoming(self.stream) or trickles:
+        elif overdue := array_overdue_by(now, self.array_reader.wait_started_at, limits):
+            # Received bytes are read first; an array still incomplete at the next check is trickling in.
+            is_trickling = self.read_buffer.has_data and overdue > limits.sweep_interval
+            if not has_incoming(self.stream) or is_trickling:
                 self._finish()
--- a/oakkeel/dispatch/connection_state.py
+++ b/oakkeel/dispatch/connection_state.py
@@ -17,9 +17,9 @@
     """State of a connection; only `ConnectionLifecycle.change` changes it."""
 
     OPEN = "open"
-    DRAINING = "draining"  # `0 last` is written; requests that crossed it are handled like any other
-    ENDING = "ending"  # no more requests are read; the open ones still get their answers
-    LINGERING = "lingering"  # our side is shut down; what is still received is dropped and never runs
+    DRAINING = "draining"  # `0 last` is written; requests that were in flight are handled as usual
+    ENDING = "ending"  # no more requests are read; open requests still get their answers
+    LINGERING = "lingering"  # our side is shut down; requests still received are dropped and never run
     CLOSED = "closed"
 
 
@@ -52,15 +52,17 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def change(self, state: ConnectionState) -> None:
-        """Change the state and cancel the timer of the earlier one. Raises InvalidTransitionError."""
+        """Change the state, and cancel the timer of the previous state. Raises InvalidTransitionError."""
         if state not in TRANSITIONS[self.state]:
             raise InvalidTransitionError("a connection", self.state.value, state.value)
         self.state = state
         self.cancel_timer()
 
-    def start_timer(self, delay: int, expired: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Call `expired` after `delay` nanoseconds, unless the state has changed by then."""
-        self._timer = asyncio.get_running_loop().call_later(delay / SECOND, expired, *arguments)
+    def start_timer(
+        self, delay: int, on_expired: Callable[[*Arguments], None], *arguments: *Arguments
+    ) -> None:
+        """Call `on_expired` after `delay` nanoseconds, unless the state changes earlier."""
+        self._timer = asyncio.get_running_loop().call_later(delay / SECOND, on_expired, *arguments)
 
     def cancel_timer(self) -> None:
         """Cancel the timer, if there is one."""
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket, and the connections that it accepted."""
+"""The listening socket and its accepted connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 # Reasons of `descriptors_exhausted`.
 CONNECTION_LIMIT = "connection_limit"
 NO_DESCRIPTOR = "no_descriptor"
-OUT_OF_RESOURCES = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+RESOURCE_ERRNOS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 
 
 def eviction_candidate(
@@ -32,25 +32,26 @@
 ) -> Connection | None:
     """Return the connection to close for a new one, so that no request and no answer is lost.
 
-    It is the one that has sent nothing for longest, else the one idle for longest, else one that left an
-    incomplete array: never one with a request open, an answer unsent or bytes unread. Both mappings have the
-    time of the last activity in nanoseconds of the monotonic clock, as `now`, the oldest first.
+    Candidates in this order: the connection that has sent nothing for longest, the connection idle for
+    longest, a newly accepted connection, and a connection with an incomplete array. A connection with an open
+    request, an unsent answer or unread bytes is never returned. Both mappings have the time of the last
+    activity in nanoseconds of the monotonic clock, as `now`, the oldest first.
     """
     grace_start = now - limits.new_connection_grace
     silent = [connection for connection, since in without_requests.items() if since <= grace_start]
-    recently_accepted = [connection for connection, since in without_requests.items() if since > grace_start]
-    for connection in (*silent, *idle, *recently_accepted):
+    in_grace = [connection for connection, since in without_requests.items() if since > grace_start]
+    for connection in (*silent, *idle, *in_grace):
         if connection.is_idle():
             return connection
-    with_incomplete_array = silent  # not idle for the part of an array that they sent
+    with_incomplete_array = silent  # these are not idle because of the part of an array that they sent
     for connection in with_incomplete_array:
-        if not (connection.open_requests or connection.unsent or has_incoming(connection.stream)):
+        if not (connection.open_requests or connection.unsent_bytes or has_incoming(connection.stream)):
             return connection
     return None
 
 
 class Listener:
-    """Accepts connections of dispatchers, a few at a time, and bounds how many there are."""
+    """Accepts connections of dispatchers, a few at a time, and limits their number."""
 
     def __init__(
         self,
@@ -83,23 +84,23 @@
     def open(self) -> None:
         """Listen and accept."""
         self.socket.listen(MAX_WAITING_CONNECTIONS)
-        asyncio.get_running_loop().add_reader(self.socket, self._accept_some)
+        asyncio.get_running_loop().add_reader(self.socket, self._accept_batch)
         self.accepting = True
         if self.sweeper is None:
             self._sweep()
 
     async def close(self) -> None:
-        """Accept no new connection: a refused one proves to its dispatcher that nothing ran.
+        """Accept no new connection: a refused connection proves to its dispatcher that no request ran.
 
-        A waiting connection may carry a request that the kernel has received, and gets its answer: all that
-        wait are accepted, a few at a time as always, and the socket is closed right after the last, as a
-        connection in between is reset. At most as many are accepted as the kernel lets wait: a flood of
-        connections would keep the listener open forever.
+        A waiting connection may carry a request that the kernel has received and that must be answered. So
+        all waiting connections are accepted, a few at a time, and the socket is closed right after the last:
+        a connection that arrives in between is reset. The number is limited to the kernel's accept queue, as
+        a flood of connections would keep the listener open forever.
         """
         for _ in range(MAX_WAITING_CONNECTIONS // self.resource_limits.accepts_per_pass + 1):
-            if self.accepting and not self.resume_timer and not self._accept_some():
+            if self.accepting and not self.resume_timer and not self._accept_batch():
                 break
-            # Evicted connections end in the next pass, and release what the next ones need.
+            # Evicted connections end in the next pass and free descriptors and buffers for later ones.
             await asyncio.sleep(self.resource_limits.accept_retry_delay / SECOND if self.resume_timer else 0)
         if self.accepting:
             asyncio.get_running_loop().remove_reader(self.socket)
@@ -115,11 +116,11 @@
             self.socket = _bind(self.address)
             self.open()
 
-    def _accept_some(self) -> bool:
+    def _accept_batch(self) -> bool:
         """Accept a few connections; return whether more may wait.
 
-        In a flood of connections the rest waits for the next pass of the event loop, behind all that the
-        open connections have received until then.
+        In a flood, the other connections wait for the next pass of the event loop, after the reads of the
+        open connections.
         """
         reserved_for_links = BUFFERS_PER_STREAM * self.resource_limits.max_links
         for _ in range(self.resource_limits.accepts_per_pass):
@@ -131,7 +132,7 @@
             except BlockingIOError:
                 return False
             except OSError as error:
-                if error.errno not in OUT_OF_RESOURCES:
+                if error.errno not in RESOURCE_ERRNOS:
                     continue  # this connection was reset before it was accepted
                 self.log.warning("accept_failed", error=str(error))
                 if not self._evict_one(NO_DESCRIPTOR):
@@ -144,7 +145,7 @@
     def _pause(self) -> None:
         """Stop accepting for `accept_retry_delay`, as no descriptor or buffer is left.
 
-        Otherwise the readable socket would keep the event loop busy.
+        Otherwise the socket, which stays readable, would keep the event loop busy.
         """
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
@@ -152,7 +153,7 @@
 
     def _resume(self) -> None:
         self.resume_timer = None
-        asyncio.get_running_loop().add_reader(self.socket, self._accept_some)
+        asyncio.get_running_loop().add_reader(self.socket, self._accept_batch)
 
     def _accept(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
@@ -173,14 +174,17 @@
             self.connections.add(connection)
             self.without_requests[connection] = time.monotonic_ns()
         else:
-            self._add_evicted(connection)
+            self._track_evicted(connection)
             connection.reject_all()
         task = asyncio.ensure_future(self._serve(connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def _evict_one(self, reason: str) -> bool:
-        """Close one connection to make room for another; return whether there was one. `reason` is logged."""
+        """Close a connection to make room for another; return False if none can be closed.
+
+        `reason` is logged.
+        """
         self.log.warning("descriptors_exhausted", reason=reason)
         connection = eviction_candidate(
             self.without_requests, self.idle, time.monotonic_ns(), self.resource_limits
@@ -189,11 +193,14 @@
             return False
         self._remove(connection)
         if connection.evict():
-            self._add_evicted(connection)
+            self._track_evicted(connection)
         return True
 
-    def _add_evicted(self, connection: Connection) -> None:
-        """Let a connection close gracefully with a descriptor reserved for evicted ones; close the oldest."""
+    def _track_evicted(self, connection: Connection) -> None:
+        """Let a connection close gracefully on a descriptor reserved for evictions.
+
+        At the limit, the oldest evicted connection is closed at once.
+        """
         while len(self.evicted) >= self.resource_limits.max_evicted_connections:
             next(iter(self.evicted)).close()
             self.evicted.pop(next(iter(self.evicted)))
@@ -229,7 +236,7 @@
             connection.drain()
 
     def close_connections(self) -> None:
-        """Close all connections, as the time to drain is over."""
+        """Close all connections at the drain deadline."""
         for connection in (*self.connections, *self.evicted):
             connection.close()
 
@@ -245,7 +252,7 @@
     # Idle connections.
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Drain connections that are idle for `timeout` nanoseconds, from now on; 0: none."""
+        """Drain connections once they are idle for `timeout` nanoseconds; 0: never."""
         self.idle_timeout = timeout
         self._drain_idle()
 
@@ -254,7 +261,7 @@
             return  # evicted: it only finishes its open requests
         self.without_requests.pop(connection, None)
         self.idle.pop(connection, None)
-        if not connection.received_request:
+        if not connection.has_received_request:
             self.without_requests[connection] = time.monotonic_ns()  # only health checks were received
         elif not connection.open_requests:
             self.idle[connection] = time.monotonic_ns()
@@ -262,7 +269,7 @@
                 self._drain_idle()
 
     def _drain_idle(self) -> None:
-        """Drain the connections that are idle for `idle_timeout`, and set a timer for the next."""
+        """Drain the connections idle for `idle_timeout`, and start a timer for the next connection."""
         if self.idle_timer:
             self.idle_timer.cancel()
             self.idle_timer = None
--- a/oakkeel/dispatch/progress.py
+++ b/oakkeel/dispatch/progress.py
@@ -1,4 +1,4 @@
-"""The progress of a connection, which its reader waits for."""
+"""The event that the reader of a connection waits for while it does not read."""
 
 from __future__ import annotations
 
--- a/oakkeel/dispatch/resp.py
+++ b/oakkeel/dispatch/resp.py
@@ -8,11 +8,11 @@
 from oakkeel.line_protocol import LINE_END, LINE_END_BYTES, parse_integer
 from oakkeel.stream_buffers import MalformedInputError, ReadBuffer
 
-MAX_LENGTH_BYTES = 16  # of the line with a sign and a number
+MAX_LENGTH_BYTES = 16  # of a length line: a type byte, a number and CR LF
 
 
 class ParsedArray(NamedTuple):
-    """An array, and the position after it."""
+    """An array, and the position after its last byte."""
 
     tokens: list[bytes]
     end: int
@@ -25,23 +25,23 @@
     end: int
 
 
-def arrays(read_buffer: ReadBuffer, max_tokens: int) -> Iterator[list[bytes]]:
-    """Take the complete arrays out of a read buffer; an incomplete one stays in it."""
-    while (found := _array(read_buffer, max_tokens)) is not None:
-        read_buffer.start = found.end
-        yield found.tokens
+def parse_arrays(read_buffer: ReadBuffer, max_tokens: int) -> Iterator[list[bytes]]:
+    """Take the complete arrays out of a read buffer; an incomplete array stays in the buffer."""
+    while (parsed := _parse_array(read_buffer, max_tokens)) is not None:
+        read_buffer.start = parsed.end
+        yield parsed.tokens
 
 
-def _array(read_buffer: ReadBuffer, max_tokens: int) -> ParsedArray | None:
-    """Return the first array; None if it is incomplete."""
-    if (header := _length(read_buffer, read_buffer.start, b"*")) is None:
+def _parse_array(read_buffer: ReadBuffer, max_tokens: int) -> ParsedArray | None:
+    """Return the first array of the buffer; None if the array is incomplete."""
+    if (header := _parse_length(read_buffer, read_buffer.start, b"*")) is None:
         return None
     count, position = header
     if not 1 <= count <= max_tokens:
         raise MalformedInputError(f"an array of {count} tokens, expected 1 to {max_tokens}")
     tokens = []
     for _ in range(count):
-        if (header := _length(read_buffer, position, b"$")) is None:
+        if (header := _parse_length(read_buffer, position, b"$")) is None:
             return None
         length, position = header
         token_end = position + length
@@ -57,8 +57,8 @@
     return ParsedArray(tokens, position)
 
 
-def _length(read_buffer: ReadBuffer, position: int, sign: bytes) -> ParsedLength | None:
-    """Return the number after a sign; None if the line is incomplete."""
+def _parse_length(read_buffer: ReadBuffer, position: int, sign: bytes) -> ParsedLength | None:
+    """Return the number after the type byte `sign`; None if the line is incomplete."""
     if position == read_buffer.end:
         return None
     if read_buffer.buffer[position : position + 1] != sign:
--- a/oakkeel/dispatch/timeouts.py
+++ b/oakkeel/dispatch/timeouts.py
@@ -1,4 +1,4 @@
-"""When a connection has taken too long, and how fast it is read."""
+"""The timeouts of a connection, and the pauses between its reads."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 
 def is_write_overdue(now: int, write_started_at: int, limits: ResourceLimits) -> bool:
-    """Return whether a write takes too long: its dispatcher does not read, and its answers hold memory.
+    """Return whether a write takes too long: the dispatcher does not read, and the answers hold memory.
 
     `write_started_at` is in nanoseconds of the monotonic clock, as `now`; 0: no write is in progress.
     """
     return bool(write_started_at) and now - write_started_at > limits.write_timeout
 
 
-def array_overdue_by(now: int, due_since: int, limits: ResourceLimits) -> int:
-    """Return for how many nanoseconds an array has been overdue; 0 if it is not, or none is due.
+def array_overdue_by(now: int, wait_started_at: int, limits: ResourceLimits) -> int:
+    """Return the nanoseconds for which an array has been overdue; 0 if none is overdue.
 
-    A dispatcher that sends incomplete arrays holds a descriptor and a buffer that others need. `due_since`
-    is in nanoseconds of the monotonic clock, as `now`; 0: no array is due.
+    A dispatcher that sends incomplete arrays holds a descriptor and a buffer that other dispatchers need.
+    `wait_started_at` is in nanoseconds of the monotonic clock, as `now`; 0: no array is expected.
     """
-    return max(0, now - due_since - limits.array_timeout) if due_since else 0
+    return max(0, now - wait_started_at - limits.array_timeout) if wait_started_at else 0
 
 
 def read_pause(now: int, read_at: int, cpu_time: int, limits: ResourceLimits) -> int:
     """Return the nanoseconds from now to the next read of a connection that was read at `read_at`.
 
-    The pause bounds the share of the event loop that one connection gets; `cpu_time` is what parsing took.
+    The pause bounds the share of the event loop that one connection gets; `cpu_time` is the CPU time that
+    parsing took.
     """
     return max(0, read_at + limits.read_pause - now, cpu_time * limits.read_cpu_factor)
--- a/oakkeel/stream_buffers.py
+++ b/oakkeel/stream_buffers.py
@@ -130,7 +130,7 @@
         return real
 
 
-def readable(connected: socket.socket) -> bool:
+def is_readable(connected: socket.socket) -> bool:
     """Return whether bytes or an end wait in the kernel, perhaps since the event loop last polled."""
     poll = select.poll()
     poll.register(connected, select.POLLIN)
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -185,7 +185,7 @@
         await self.until(lambda: len(self.received_requests) == 30)
         for _ in range(30):
             self.answer(bytes(4096))
-        self.assertTrue(connection.unsent)
+        self.assertTrue(connection.unsent_bytes)
         return client, connection
 
     def answer(self, body: bytes = b"result") -> None:
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -79,11 +79,11 @@
         await self.until(lambda: self.listener.evicted)
         connection = next(iter(self.listener.evicted))
         late.send(call(3))
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
         self.assertEqual((await late.until(3))[1], b"full")
         await self.until(connection.is_idle)
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         self.assertEqual((await late.end())[-1][:2], [b"3", b"full"])
 
     async def test_a_connection_over_the_limit_gets_its_rejection_and_no_reset(self):
@@ -94,7 +94,7 @@
         late.send(call(3))
         await self.until(lambda: self.listener.evicted)
         connection = next(iter(self.listener.evicted))
-        await self.until(lambda: not connection.unsent)
+        await self.until(lambda: not connection.unsent_bytes)
         late.send(call(4))
         connection.close()
         self.assertEqual([each[:2] for each in await late.end()], [[b"3", b"full"], LAST])
@@ -217,7 +217,7 @@
         real = self.listener.socket
         loop.remove_reader(real)
         self.listener.socket = failing = FailingSocket(real, errno.EMFILE)
-        loop.add_reader(failing, self.listener._accept_some)
+        loop.add_reader(failing, self.listener._accept_batch)
         client = self.client()
         client.send(call(1))
         await self.until(lambda: failing.asked)
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -27,15 +27,15 @@
         client, connection = await self.idle_client()
         connection.drain()
         client.send(call(2))  # unread in the kernel: a close now would reset the connection
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
         await self.until(lambda: self.received_requests)
-        connection._drain_expired(SECOND)  # the request is open
+        connection._on_drain_timeout(SECOND)  # the request is open
         self.answer()
-        connection._drain_expired(SECOND)  # its answer is in flight
+        connection._on_drain_timeout(SECOND)  # its answer is in flight
         self.assertEqual((await client.until(2))[1], b"ok")
         await self.until(connection.is_idle)
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         self.assertEqual((await client.end())[-1], [b"2", b"ok", b"", b"result"])
 
     async def test_an_incomplete_request_keeps_the_connection_open(self):
@@ -43,7 +43,7 @@
         connection.drain()
         client.send(call(2)[:30])
         await self.until(lambda: connection.read_buffer.has_data)
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
         client.send(call(2)[30:])
         await self.until(lambda: self.received_requests)
@@ -76,13 +76,13 @@
         client, connection = await self.idle_client()
         connection.drain()
         self.assertEqual(await client.until(1) and (await client.read()), True)
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         self.assertEqual((await client.end())[1:], [LAST])
 
     async def test_unsent_answers_keep_the_connection_open(self):
         client, connection = await self.client_with_unsent_answers()
         connection.drain()
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         connection.finish()
         self.assertIs(connection.state, ConnectionState.ENDING)
         found = await client.end()
@@ -97,7 +97,7 @@
         await client.until(2)
         client.send(call(3))  # within the pause between two reads
         connection.drain()
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
         await self.until(lambda: self.received_requests)
 
@@ -167,7 +167,7 @@
         client, connection = await self.connected_client()
         client.send(call(1)[:20])
         await self.until(lambda: connection.read_buffer.has_data)
-        connection.arrays.due_since -= 700 * SECOND
+        connection.array_reader.wait_started_at -= 700 * SECOND
         connection.stream.close()
         before = self.listener.sweeper
         self.listener._sweep()
@@ -182,7 +182,7 @@
         client.send(call(2))
         self.listener.set_idle_timeout(1)
         self.assertIs(connection.state, ConnectionState.DRAINING)
-        connection._drain_expired(SECOND)
+        connection._on_drain_timeout(SECOND)
         await self.until(lambda: self.received_requests)
         self.answer()
         self.assertEqual((await client.until(2))[1], b"ok")
--- a/tests/dispatch/test_parsers.py
+++ b/tests/dispatch/test_parsers.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Callable, Iterable
 
-from oakkeel.dispatch.resp import arrays, encode
+from oakkeel.dispatch.resp import encode, parse_arrays
 from oakkeel.line_protocol import LineParser
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer
 
@@ -41,7 +41,7 @@
         data = b"".join(encode(*words) for words in wanted)
         for step in (1, 2, 3, 7, len(data)):
             self.assertEqual(
-                parse_in_pieces(data, step, lambda read_buffer: list(arrays(read_buffer, 16))), wanted
+                parse_in_pieces(data, step, lambda read_buffer: list(parse_arrays(read_buffer, 16))), wanted
             )
 
     def test_rejects_malformed_arrays(self):
@@ -57,7 +57,7 @@
             b"*1\r\n$-1\r\n",
         ):
             with self.assertRaises(MalformedInputError, msg=data):
-                parse_in_pieces(data, len(data), lambda read_buffer: list(arrays(read_buffer, 16)))
+                parse_in_pieces(data, len(data), lambda read_buffer: list(parse_arrays(read_buffer, 16)))
 
     def test_parses_the_same_lines_from_pieces_of_any_size(self):
         wanted = [
--- a/tests/dispatch/test_violations.py
+++ b/tests/dispatch/test_violations.py
@@ -50,7 +50,9 @@
         client.send(call(1)[:25])
         await self.until(lambda: connection.read_buffer.has_data and connection.stream.reading())
         client.send(call(1)[25:])
-        connection.check_timeouts(connection.arrays.due_since + self.resource_limits.array_timeout + 1)
+        connection.check_timeouts(
+            connection.array_reader.wait_started_at + self.resource_limits.array_timeout + 1
+        )
         self.assertIs(connection.state, ConnectionState.OPEN)
         await self.until(lambda: self.received_requests)
         self.answer()
@@ -66,7 +68,7 @@
         ):
             client.send(b"?")
             connection.check_timeouts(
-                connection.arrays.due_since + self.resource_limits.array_timeout + overdue + 1
+                connection.array_reader.wait_started_at + self.resource_limits.array_timeout + overdue + 1
             )
             self.assertIs(connection.state, state)
 
