--- a/oakkeel/engine/commands.py
+++ b/oakkeel/engine/commands.py
@@ -1,4 +1,4 @@
-"""Commands to the engine that may be lost with a connection."""
+"""Commands to the engine that a lost connection may take with it."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 
 @dataclass(slots=True, eq=False)
 class Command:
-    """A command that may still be lost with its connection."""
+    """A command that the engine is not yet known to have read."""
 
     line: bytes
-    request: NodeRequest | None  # None for a request for gauges: its answer confirms the earlier commands
+    request: NodeRequest | None  # None for a request for gauges, whose answer confirms earlier commands
     verb: bytes
     last_notice: int = 0  # number of the last notice for the request when the command was made
-    written: bool = False
+    is_written: bool = False
 
     def must_resend(self) -> bool:
         """Return whether the command has to be sent again on a new connection.
 
         A later notice for the request proves that a RUN, FEED or SKIP was carried out. An at-most-once run is
-        sent again only if it was never written: the engine may have read the first command.
+        sent again only if its RUN was never written: otherwise the engine may have read it.
         """
         request = self.request
         if request is None or not request.in_engine:
             return False
-        if self.verb == HALT or not self.written:
+        if self.verb == HALT or not self.is_written:
             return True
         return self.last_notice == request.last_notice and not self.is_uncertain()
 
     def is_uncertain(self) -> bool:
-        """Return whether this is an at-most-once run that may or may not have started."""
+        """Return whether this starts an at-most-once run that the engine may or may not have read."""
         request = self.request
         return bool(
             request
             and request.in_engine
-            and self.written
+            and self.is_written
             and self.verb == RUN
             and request.request_class.at_most_once
             and self.last_notice == request.last_notice
@@ -63,13 +63,14 @@
         """Start with no command."""
         self.resource_limits = resource_limits
         self.commands: deque[Command] = deque()
-        # The answered requests for gauges with the time of the answer in nanoseconds, the oldest first.
+        # Answered requests for gauges, each with the time of its answer in nanoseconds, the oldest first.
         self.confirmations: deque[tuple[int, Command]] = deque()
-        # Requests whose run may be lost, with the time in nanoseconds since which they are answered, or 0.
+        # Requests whose run may be lost, each with the time in nanoseconds at which the request was seen
+        # to be answered; 0: it still awaits its answer.
         self.uncertain_runs: dict[NodeRequest, int] = {}
 
     def add(self, command: Command) -> None:
-        """Append a command; at the limit, drop those that would not be sent again."""
+        """Append a command; at the limit, drop the commands that need no resend."""
         if len(self.commands) >= self.resource_limits.max_unconfirmed_commands:
             self.commands = deque(old for old in self.commands if old.request is None or old.must_resend())
         self.commands.append(command)
@@ -77,8 +78,8 @@
     def confirm(self, marker: Command, now: int) -> None:
         """Drop the commands before an answered request for gauges, once the loss window has passed.
 
-        The engine has read all that was written before the request, but the youngest commands may still be
-        lost with the connection.
+        The engine has read all commands before that request, but the most recent ones may still be lost with
+        the connection.
         """
         self.confirmations.append((now, marker))
         while (
@@ -90,20 +91,20 @@
 
     def drop_written(self) -> None:
         """Drop the commands that were written, since the engine has read them all."""
-        self.commands = deque(command for command in self.commands if not command.written)
+        self.commands = deque(command for command in self.commands if not command.is_written)
 
     def keep_unwritten_runs(self) -> set[NodeRequest]:
-        """Drop all but the commands of runs that were never written; return the requests of these runs."""
+        """Drop all commands but those of runs whose RUN was never written; return these runs' requests."""
         unwritten = {
             command.request
             for command in self.commands
-            if command.request and command.verb == RUN and not command.written
+            if command.request and command.verb == RUN and not command.is_written
         }
         self.commands = deque(command for command in self.commands if command.request in unwritten)
         self.uncertain_runs.clear()
         return unwritten
 
-    def reattach(self) -> deque[Command]:
+    def prepare_resend(self) -> deque[Command]:
         """Return the commands to send on a new connection, after all missed notices were read."""
         self.confirmations.clear()
         self.uncertain_runs |= {
@@ -113,8 +114,8 @@
         return self.commands
 
     def take_overdue_runs(self, now: int) -> list[NodeRequest]:
-        """Remove and return the uncertain runs whose requests were seen answered over a timeout ago."""
-        overdue = []
+        """Remove and return the uncertain runs whose requests were answered longer than a timeout ago."""
+        overdue_requests = []
         for request, answered_at in list(self.uncertain_runs.items()):
             if not request.in_engine:
                 del self.uncertain_runs[request]
@@ -122,5 +123,5 @@
                 self.uncertain_runs[request] = now
             elif answered_at and now - answered_at > self.resource_limits.engine_timeout:
                 del self.uncertain_runs[request]
-                overdue.append(request)
-        return overdue
+                overdue_requests.append(request)
+        return overdue_requests
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -1,4 +1,4 @@
-"""The node's link to its engine: commands out, notices in, both preserved when the connection is lost."""
+"""The node's link to its engine, which preserves commands and notices when the connection is lost."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 from oakkeel.units import SECOND
 
 MAX_GAUGE = 1e12
-# They keep the tags of the two apart from those of requests for gauges, which are plain numbers.
+# Tags of requests for gauges are plain numbers; these prefixes mark the tags of a handover and a reattach.
 HANDOVER_TAG_PREFIX = b"w"
 REATTACH_TAG_PREFIX = b"b"
 
 
 def has_restarted(attached_at: int, age: int, latest_start: int, limits: ResourceLimits) -> bool:
-    """Return whether the engine of a new connection is another process: it knows none of the earlier runs.
+    """Return whether the engine of a new connection is another process, which knows no earlier run.
 
     The engine restarted if it started later than `latest_start` plus the margin for rounding and delays. Its
-    start is `attached_at` minus the reported `age`; `latest_start` is the latest start that the earlier
-    greetings allow. All times are nanoseconds.
+    start is `attached_at` minus the reported `age`; `latest_start` is the latest start consistent with the
+    earlier greetings. All times are nanoseconds.
     """
     return attached_at - age > latest_start + limits.engine_restart_margin
 
 
 class EngineLink:
-    """A link that reconnects: commands are written at once while it is open, otherwise they wait."""
+    """A link that reconnects; commands are written at once while it is open and queued otherwise."""
 
     def __init__(
         self,
@@ -61,9 +61,9 @@
         self.unconfirmed = UnconfirmedCommands(resource_limits)
         self.gauge_requests: dict[bytes, GaugeRequest] = {}  # by tag, the oldest first
         self.tags = count(1)
-        self.greeted = False  # an engine has sent its first greeting
-        self.attached_at = 0  # on this connection
-        self.latest_start = 0  # the latest time at which the engine can have started, by its greetings
+        self.has_greeted = False  # an engine has sent its first greeting
+        self.attached_at = 0  # time of the ATTACH on this connection
+        self.latest_start = 0  # latest possible start time of the engine, by its greetings
         self.reattach_tag = b""  # of the gauges that follow all missed notices
         self.reattach_at = 0
         self.handover_tag = b""  # of the gauges that end the connection to the earlier address
@@ -94,8 +94,8 @@
                 self.log.error("engine_link_failed", error=describe_error(error))
             finally:
                 self._detach()
-            wait = attempted_at + self.resource_limits.engine_retry_delay - time.monotonic_ns()
-            await asyncio.sleep(max(0, wait) / SECOND)
+            retry_delay = attempted_at + self.resource_limits.engine_retry_delay - time.monotonic_ns()
+            await asyncio.sleep(max(0, retry_delay) / SECOND)
 
     async def _attach_and_read(self) -> None:
         stream = self.connecting = IOStream(
@@ -103,12 +103,12 @@
         )
         read_buffer = ReadBuffer(self.pool)
         try:
-            # A peer may accept the connection and send nothing, or not even accept it, for as long as TCP
-            # allows. An engine that was never up may delay its HELLO without a limit.
+            # A peer may leave the connection unaccepted, or accept it and send nothing, for as long as TCP
+            # allows. The first HELLO has no time limit, as the engine may still be starting.
             timeout = self.resource_limits.engine_timeout / SECOND
             self.hello_timer = asyncio.get_running_loop().call_later(timeout, self._close_ungreeted, stream)
             await connect(stream, self.address)
-            if not self.greeted and self.hello_timer:
+            if not self.has_greeted and self.hello_timer:
                 self.hello_timer.cancel()
             self.stream = stream
             self.attached_at = time.monotonic_ns()
@@ -118,7 +118,7 @@
                 await read_buffer.fill(stream)
                 for tokens, body in parser.messages():
                     self.notices.handle(tokens, body)
-                await asyncio.sleep(0)  # a peer that always sends must not block the loop
+                await asyncio.sleep(0)  # a peer that sends without pause must not block the event loop
         finally:
             stream.close()
             read_buffer.close()
@@ -128,7 +128,7 @@
         stream.close()
 
     def _detach(self) -> None:
-        """Reset what belongs to one connection."""
+        """Reset the state of the ended connection."""
         if self.hello_timer:
             self.hello_timer.cancel()
         if self.connecting:
@@ -144,11 +144,11 @@
         self.handover_tag = b""
 
     def _note_loss(self, reason: str) -> None:
-        """Note why the connection ends; the first reason stands."""
+        """Store the reason for the end of the connection, unless one is stored already."""
         self.loss_reason = self.loss_reason or reason
 
     def move(self, address: tuple[str, int]) -> None:
-        """Move to another address as soon as the engine has read all that was written so far."""
+        """Move to another address once the engine has read all commands written so far."""
         if address == self.address:
             return
         self.address = address
@@ -169,21 +169,21 @@
         """Start the run of a request; `RunFinished` is posted to it at the end."""
         request.in_engine = request.may_have_run = True
         self.notices.runs[request.request_id] = request
-        self._command(request, RUN, b"%s %d" % (request.class_name, len(request.body)), request.body)
+        self._send_command(request, RUN, b"%s %d" % (request.class_name, len(request.body)), request.body)
 
     def halt(self, request: NodeRequest) -> None:
         """Cancel the run of a request."""
-        self._command(request, HALT)
+        self._send_command(request, HALT)
 
     def feed(self, request: NodeRequest, reply: bytes) -> None:
         """Give a run the reply of the downstream call that it waits for."""
-        self._command(request, FEED, b"%d" % len(reply), reply)
+        self._send_command(request, FEED, b"%d" % len(reply), reply)
 
     def skip(self, request: NodeRequest, notice_number: int) -> None:
         """Let a run continue without the call that it asked for in a notice."""
-        self._command(request, SKIP, b"%d" % notice_number)
+        self._send_command(request, SKIP, b"%d" % notice_number)
 
-    def _command(
+    def _send_command(
         self, request: NodeRequest, verb: bytes, arguments: bytes = b"", body: bytes | None = None
     ) -> None:
         line = b" ".join((verb, request.request_id, arguments)).rstrip() + b"\r\n"
@@ -196,10 +196,13 @@
 
     def _write(self, command: Command) -> None:
         if self.stream and send(self.stream, command.line):
-            command.written = True
+            command.is_written = True
 
     def maintain_and_ask_gauges(self) -> asyncio.Future[list[float]] | None:
-        """Close a stale link, resend what may be lost, and ask for the gauges; None while it is not open."""
+        """Close an unresponsive link, resend overdue runs, and ask for the gauges.
+
+        Return None while the link is not open.
+        """
         now = time.monotonic_ns()
         self._close_if_unanswered(now)
         if not self.open:
@@ -208,9 +211,9 @@
         return self._ask_gauges(now)
 
     def _resend_overdue_runs(self, now: int) -> None:
-        """Send the runs again that may be lost: else admission would count a lost run of an answered request.
+        """Resend runs that may be lost, as admission counts each run until its end is reported.
 
-        The engine continues a run in progress, and answers 'nothing' for one that has ended or was lost.
+        The engine continues a run in progress, and answers 'nothing' for a run that has ended or was lost.
         """
         for request in self.unconfirmed.take_overdue_runs(now):
             self.run(request)
@@ -227,12 +230,12 @@
     def _close_if_unanswered(self, now: int) -> None:
         """Close a connection whose oldest request for gauges is older than the timeout."""
         if self.reattach_tag:
-            since = self.reattach_at
+            waiting_since = self.reattach_at
         elif self.gauge_requests and self.open:
-            since = next(iter(self.gauge_requests.values())).sent_at
+            waiting_since = next(iter(self.gauge_requests.values())).sent_at
         else:
             return
-        if self.stream and now - since > self.resource_limits.engine_timeout:
+        if self.stream and now - waiting_since > self.resource_limits.engine_timeout:
             self._note_loss("timed_out")
             self.log.warning("engine_link_timed_out")
             self.stream.close()
@@ -242,8 +245,8 @@
         if self.hello_timer:
             self.hello_timer.cancel()
         latest_start = time.monotonic_ns() - age
-        if not self.greeted:
-            self.greeted = True
+        if not self.has_greeted:
+            self.has_greeted = True
             self.latest_start = latest_start
             self.on_engine_started(state == b"booting", age)
         elif has_restarted(self.attached_at, age, self.latest_start, self.resource_limits):
@@ -258,7 +261,7 @@
             send(self.stream, b"STAT %s\r\n" % self.reattach_tag)
 
     def _engine_restarted(self) -> None:
-        """Fail the runs that the earlier engine may have started; the others wait for the new one."""
+        """Fail the runs that the earlier engine may have started; other runs wait for the new engine."""
         unwritten = self.unconfirmed.keep_unwritten_runs()
         self.log.warning("engine_restarted", runs_lost=len(self.notices.runs) - len(unwritten))
         self.notices.restart(unwritten)
@@ -268,7 +271,7 @@
 
     def _on_gauges(self, tag: bytes, values: list[float]) -> None:
         if not all(0 <= value < MAX_GAUGE for value in values):
-            raise MalformedInputError(f"gauges out of range: {values}")  # admission decides by them
+            raise MalformedInputError(f"gauges out of range: {values}")  # admission decisions depend on them
         if tag == self.reattach_tag:
             self.reattach_tag = b""
             self._reattach()
@@ -281,9 +284,9 @@
             self.unconfirmed.confirm(gauge_request.command, time.monotonic_ns())
 
     def _reattach(self) -> None:
-        """Open the link and send the lost commands again, after all missed notices were read."""
+        """Open the link and resend the lost commands, after all missed notices were read."""
         self.gauge_requests.clear()  # a waiter for lost gauges has its own timeout
-        commands = self.unconfirmed.reattach()
+        commands = self.unconfirmed.prepare_resend()
         self.open = True
         for command in commands:
             self._write(command)
--- a/oakkeel/engine/notices.py
+++ b/oakkeel/engine/notices.py
@@ -33,7 +33,11 @@
         on_hello: Callable[[bytes, int], None],
         on_gauges: Callable[[bytes, list[float]], None],
     ) -> None:
-        """`on_hello` gets state and age in nanoseconds of each greeting, `on_gauges` tag and values."""
+        """Take the callbacks.
+
+        `on_hello` receives the state and the age in nanoseconds of each greeting, `on_gauges` the tag and
+        the values.
+        """
         self.log = log
         self.on_hello = on_hello
         self.on_gauges = on_gauges
@@ -59,7 +63,7 @@
                     request.last_notice = number
                     request.post(CallNeeded(number, body))
             elif verb == NO:
-                self._command_rejected(tokens[1], tokens[2])
+                self._handle_rejected_command(tokens[1], tokens[2])
             else:
                 raise MalformedInputError(f"unknown notice {verb[:MAX_LOGGED_VERB_BYTES]!r}")
         except (IndexError, KeyError, ValueError) as error:
@@ -75,16 +79,16 @@
             request.post(RunFinished(outcome, result, service_time))
 
     def restart(self, unwritten: Container[NodeRequest]) -> None:
-        """End all runs but those of `unwritten` as failed: a restarted engine knows none of them.
+        """End all runs but those of `unwritten` as failed: a restarted engine knows no earlier run.
 
-        It also numbers its notices from 1 again.
+        A restarted engine also numbers its notices from 1 again.
         """
         self.last_number = 0
         for request_id, request in list(self.runs.items()):
             if request not in unwritten:
                 self.finish(request_id, Outcome.ERROR, 0, b"")
 
-    def _command_rejected(self, verb: bytes, request_id: bytes) -> None:
+    def _handle_rejected_command(self, verb: bytes, request_id: bytes) -> None:
         """End a run that the engine does not know; no other rejected command has an effect."""
         self.log.warning(
             "engine_command_rejected",
@@ -95,6 +99,6 @@
             request = self.runs.get(request_id)
             self.finish(request_id, Outcome.ERROR, 0, b"")
             if request and verb == RUN:
-                # Its idempotency key stays available to the request that it belongs to.
+                # The idempotency key stays available to the request that owns it.
                 request.unknown_to_engine = True
                 request.may_have_run = False
