--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -18,7 +18,7 @@
 from oakkeel.units import MS, SECOND
 
 WITH_BODY = frozenset({(1, b"DATA")})
-REPLIES = {
+REPLY_OUTCOMES = {
     b"DATA": Outcome.COMPLETED,
     b"LATER": Outcome.REJECTED,
     b"FAULT": Outcome.ERROR,
@@ -31,7 +31,7 @@
 
 
 class Call:
-    """One call in flight; it ends once: by a reply, a lost connection, its timeout, or if abandoned."""
+    """A call in flight; it ends once: by a reply, a lost connection, its timeout or `give_up`."""
 
     __slots__ = ("link", "request", "sent_at", "timer")
 
@@ -54,12 +54,12 @@
         self.link.close_if_unused()
 
     def give_up(self, outcome: Outcome | None = Outcome.TIMED_OUT) -> None:
-        """End the call without a reply; its link takes no other call, as it may be broken."""
+        """End the call without a reply; its link may be broken and takes no further call."""
         if self.link.unsent.pop(self.request.request_id, None) is None:
             self.link.retired = True
             self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
-            outcome = Outcome.CONNECT_FAILED  # it was never sent
+            outcome = Outcome.CONNECT_FAILED  # the call was never sent
         self.end(outcome)
 
 
@@ -76,11 +76,11 @@
         self.calls: dict[bytes, Call] = {}
         self.connected = False
         self.retired = False  # takes no more calls, and closes after its last
-        self.surplus_replies = 0  # replies without a call
+        self.unmatched_replies = 0  # replies without a call
         self.last_used = time.monotonic_ns()
         self.stream = IOStream(socket.socket(), max_write_buffer_size=resource_limits.max_write_backlog)
         self.read_buffer = ReadBuffer(pool)
-        self.unsent: dict[bytes, bytes] = {}  # calls made while it connects, by request ID
+        self.unsent: dict[bytes, bytes] = {}  # calls made before the connection is open, by request ID
         self.reply_timer: asyncio.TimerHandle | None = None  # closes the link if a reply stays incomplete
         self.task = asyncio.ensure_future(self._serve())
 
@@ -94,12 +94,12 @@
             parser = LineParser(self.read_buffer, WITH_BODY, self.resource_limits.max_tokens)
             while True:
                 await self.read_buffer.fill(self.stream)
-                progressed = False
+                had_complete_reply = False
                 for tokens, body in parser.messages():
-                    self._reply(tokens, body)
-                    progressed = True
-                self._limit_partial_reply(progressed)
-                await asyncio.sleep(0)  # a peer that always sends must not block the loop
+                    self._handle_reply(tokens, body)
+                    had_complete_reply = True
+                self._limit_partial_reply(had_complete_reply)
+                await asyncio.sleep(0)  # a peer that sends without pause must not block the event loop
         except StreamClosedError:
             pass
         except MalformedInputError as error:
@@ -109,37 +109,37 @@
             self.read_buffer.close()
             if self.reply_timer:
                 self.reply_timer.cancel()
-            # Without a connection no call was sent; after a loss the call may have been carried out.
+            # Without a connection no call was sent; after a lost one the calls may have been carried out.
             outcome = Outcome.RESET if self.connected else Outcome.CONNECT_FAILED
             for call in list(self.calls.values()):
                 call.end(outcome)
 
-    def _reply(self, tokens: list[bytes], body: bytes) -> None:
+    def _handle_reply(self, tokens: list[bytes], body: bytes) -> None:
         expected_tokens = DATA_REPLY_TOKENS if tokens[1:2] == [b"DATA"] else REPLY_TOKENS
-        if len(tokens) != expected_tokens or tokens[1] not in REPLIES:
+        if len(tokens) != expected_tokens or tokens[1] not in REPLY_OUTCOMES:
             raise MalformedInputError(f"malformed reply {b' '.join(tokens)[:MAX_LOGGED_LINE_BYTES]!r}")
         if call := self.calls.get(tokens[0]):
-            call.end(REPLIES[tokens[1]], body)
+            call.end(REPLY_OUTCOMES[tokens[1]], body)
             return
-        # A duplicate or a reply without a call: the link takes no more calls, but serves those in flight.
+        # A duplicate or a reply without a call: the link takes no more calls, but finishes its open calls.
         self.retired = True
-        self.surplus_replies += 1
-        if self.surplus_replies > self.resource_limits.max_surplus_replies:
-            raise MalformedInputError(f"{self.surplus_replies} replies without a call")
+        self.unmatched_replies += 1
+        if self.unmatched_replies > self.resource_limits.max_unmatched_replies:
+            raise MalformedInputError(f"{self.unmatched_replies} replies without a call")
         self.close_if_unused()
 
-    def _limit_partial_reply(self, progressed: bool) -> None:
-        """Close the link if a reply stays incomplete: its length is wrong, and no other reply can follow."""
-        complete = self.read_buffer.start == self.read_buffer.end
-        if self.reply_timer and (complete or progressed):
+    def _limit_partial_reply(self, had_complete_reply: bool) -> None:
+        """Close the link if a reply stays incomplete: no further reply can be read on it."""
+        is_empty = self.read_buffer.start == self.read_buffer.end
+        if self.reply_timer and (is_empty or had_complete_reply):
             self.reply_timer.cancel()
             self.reply_timer = None
-        if not complete and not self.reply_timer:
+        if not is_empty and not self.reply_timer:
             timeout = self.resource_limits.call_reply_timeout / SECOND
             self.reply_timer = asyncio.get_running_loop().call_later(timeout, self.stream.close)
 
     def send_call(self, request_id: bytes, line: bytes) -> None:
-        """Send the line of a call, or keep it until the connection is made."""
+        """Send the line of a call, or keep the line until the connection is open."""
         if self.connected:
             self.write(line)
         else:
@@ -156,7 +156,10 @@
 
 
 class Catalogue:
-    """Links, opened on demand: one call each, so that a fault on one link fails no other call."""
+    """Links to the catalogue, opened on demand.
+
+    Each link carries one call at a time if possible, so that a fault on one link fails no other call.
+    """
 
     def __init__(
         self,
@@ -165,7 +168,7 @@
         resource_limits: ResourceLimits,
         log: EventLog,
     ) -> None:
-        """Connect with the first call; without an address every call fails to connect."""
+        """Store the address; links connect with the first call, and without an address every call fails."""
         self.address = address
         self.pool = pool
         self.resource_limits = resource_limits
@@ -192,7 +195,7 @@
             request.call.give_up(None)
 
     def move(self, address: tuple[str, int] | None) -> None:
-        """Make all further calls to another address; earlier links close after their last call."""
+        """Make all further calls to another address; links to the old address close after their last call."""
         if address == self.address:
             return
         self.address = address
@@ -201,10 +204,10 @@
             link.close_if_unused()
 
     def _select_link(self, request: NodeRequest) -> CallLink | None:
-        """Return the free link used last, a new one, or the one with the fewest calls; None without any.
+        """Return the most recently used free link, a new link, or the link with the fewest calls.
 
-        A link that had a call of this request is never used again for it: a duplicate of that reply would
-        be mistaken for the reply to the next call.
+        Return None if there is no such link. A link that carried a call of this request is never used for
+        another call of it: a duplicate of the earlier reply would be mistaken for the reply to the new call.
         """
         self._close_idle()
         if self.address is None:
@@ -232,7 +235,7 @@
         return link
 
     def _close_idle(self) -> None:
-        """Remove closed links, and close idle ones before the catalogue does: a call could be lost."""
+        """Remove closed links, and close idle links before the catalogue does, as a call could be lost."""
         now = time.monotonic_ns()
         for link in list(self.links):
             if not link.calls and now - link.last_used > self.resource_limits.call_idle_timeout:
--- a/oakkeel/directory/reports.py
+++ b/oakkeel/directory/reports.py
@@ -1,4 +1,4 @@
-"""Reports to the directory, one datagram each, repeated as a datagram may be lost or late."""
+"""Reports to the directory; each is one datagram, repeated because datagrams may be lost or late."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def report_interval(repeats_left: int, limits: ResourceLimits) -> int:
-    """Return the nanoseconds to the next report: short after a change, as its report may be lost."""
+    """Return the nanoseconds to the next report: few after a change, as the report of it may be lost."""
     return limits.report_repeat_interval if repeats_left else limits.report_interval
 
 
@@ -23,7 +23,7 @@
         self.name = name
         self.resource_limits = resource_limits
         self.accepting = True
-        self.repeats_left = 0  # of a change, at the short interval: a lost report would leave the old state
+        self.repeats_left = 0  # reports of the last change, sent at the short interval in case one is lost
         self.timer: asyncio.TimerHandle | None = None
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
@@ -40,7 +40,7 @@
             self._report_change()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Report to another directory from now on, and at once: it may not know this node."""
+        """Report to another directory from now on, and at once, as it may not know this node."""
         self.address = address
         self._report_change()
 
@@ -52,7 +52,7 @@
 
     def _report(self) -> None:
         state = "open" if self.accepting else "closed"
-        # A directory that is down expires no entry, and the next report follows.
+        # No retry: a directory that is down expires no entry, and the next report follows.
         with contextlib.suppress(OSError):
             self.socket.sendto(f"PULSE {self.name} {state}".encode(), self.address)
         interval = report_interval(self.repeats_left, self.resource_limits)
--- a/oakkeel/resource_limits.py
+++ b/oakkeel/resource_limits.py
@@ -66,7 +66,7 @@
     max_call_links: int = 64  # one call each; more calls share them
     call_idle_timeout: int = 500 * MS  # shorter than the timeout of the peer
     call_reply_timeout: int = 200 * MS  # from the first byte of a reply to its last
-    max_surplus_replies: int = 4  # replies without a call, on one link
+    max_unmatched_replies: int = 4  # replies without a call, on one link
     call_timeout_slack: int = 15 * MS  # after the deadline of a call, for the peer to report it first
 
     # The directory.
--- a/tests/catalogue/test_links.py
+++ b/tests/catalogue/test_links.py
@@ -30,11 +30,11 @@
     async def asyncSetUp(self):
         self.peers: asyncio.Queue[tuple] = asyncio.Queue()
         self.writers = []
-        self.server = await asyncio.start_server(self._accepted, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._accept_connection, "127.0.0.1", 0)
         address = self.server.sockets[0].getsockname()
         self.catalogue = Catalogue(address, BufferPool(8192, 99), RESOURCE_LIMITS, LOG)
 
-    async def _accepted(self, reader, writer):
+    async def _accept_connection(self, reader, writer):
         self.writers.append(writer)
         self.peers.put_nowait((reader, writer))
 
@@ -48,7 +48,7 @@
             with contextlib.suppress(OSError):
                 await writer.wait_closed()
 
-    async def _replied(self):
+    async def _answered_call(self):
         """Return a request whose call was answered, and the link of that call."""
         request = node_request()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
@@ -58,38 +58,38 @@
         return request, self.catalogue.links[0]
 
     async def test_ignores_a_late_reply_of_an_earlier_call(self):
-        # Replies name only the request: one that crosses the QUIT of its call must not answer the next call.
+        # A reply names only its request: a reply sent before the QUIT arrives must not end the next call.
         request = node_request()
         self.catalogue.fetch(request, time.monotonic_ns() + 50 * MS, b"first")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
         self.assertEqual((await finished_call(request)).outcome, Outcome.TIMED_OUT)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
-        again, writer_again = await asyncio.wait_for(self.peers.get(), WAIT)
-        await again.readline()
+        second_reader, second_writer = await asyncio.wait_for(self.peers.get(), WAIT)
+        await second_reader.readline()
         writer.write(b"%s DATA 3\r\nold\r\n" % request.request_id)
         await writer.drain()
         self.assertEqual([await reader.readline() for _ in range(2)][1][:4], b"QUIT")
-        writer_again.write(b"%s DATA 3\r\nnew\r\n" % request.request_id)
+        second_writer.write(b"%s DATA 3\r\nnew\r\n" % request.request_id)
         finished = await finished_call(request)
         self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"new"))
 
     async def test_maps_each_reply_to_the_outcome_that_it_proves(self):
-        for word, outcome in (
+        for verb, outcome in (
             (b"LATER", Outcome.REJECTED),
             (b"FAULT", Outcome.ERROR),
             (b"NOUSE", Outcome.NEVER_STARTED),
             (b"TOOSLOW", Outcome.TIMED_OUT),
         ):
-            request = node_request(b"%016x" % len(word))
+            request = node_request(b"%016x" % len(verb))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
             if not self.catalogue.links[0].connected:
                 _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
-            writer.write(b"%s %s\r\n" % (request.request_id, word))
+            writer.write(b"%s %s\r\n" % (request.request_id, verb))
             self.assertEqual((await finished_call(request)).outcome, outcome)
         self.assertEqual(len(self.catalogue.links), 1)
 
-    async def _fetched(self, request_id):
+    async def _call_read_by_catalogue(self, request_id):
         """Return a request whose call the catalogue has read, and the writer for its reply."""
         request = node_request(request_id)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
@@ -98,8 +98,8 @@
         return request, writer
 
     async def test_malformed_reply_fails_no_other_call(self):
-        # A malformed, silent or reset link must not fail the calls on other links.
-        other, other_writer = await self._fetched(b"0123456789abcdef")
+        # A malformed reply or a silent or reset link must not fail the calls on other links.
+        other_request, other_writer = await self._call_read_by_catalogue(b"0123456789abcdef")
         for number, malformed in enumerate(
             (
                 b"\x00\xff\r\n",
@@ -112,43 +112,43 @@
                 b"%s DA",
             )
         ):
-            request, writer = await self._fetched(b"%016x" % number)
+            request, writer = await self._call_read_by_catalogue(b"%016x" % number)
             writer.write(malformed.replace(b"%s", request.request_id))
             self.assertEqual((await finished_call(request)).outcome, Outcome.RESET, malformed)
-        other_writer.write(b"%s DATA 2\r\nok\r\n" % other.request_id)
-        finished = await finished_call(other)
+        other_writer.write(b"%s DATA 2\r\nok\r\n" % other_request.request_id)
+        finished = await finished_call(other_request)
         self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
 
-    async def test_accepts_a_reply_with_surplus_ones_and_retires_its_link(self):
+    async def test_accepts_a_reply_next_to_unmatched_replies_and_retires_its_link(self):
         unknown = b"feedfeedfeedfeed DATA 1\r\nx\r\n%s"
-        for number, (ahead, behind) in enumerate(((b"%s", b"%s"), (unknown, b""))):
-            request, writer = await self._fetched(b"%016x" % number)
+        for number, (before, after) in enumerate(((b"%s", b"%s"), (unknown, b""))):
+            request, writer = await self._call_read_by_catalogue(b"%016x" % number)
             reply = b"%s DATA 2\r\nok\r\n" % request.request_id
-            writer.write(ahead.replace(b"%s", reply) + behind.replace(b"%s", reply))
+            writer.write(before.replace(b"%s", reply) + after.replace(b"%s", reply))
             finished = await finished_call(request)
             self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"next")
-            await asyncio.wait_for(self.peers.get(), WAIT)  # a link of its own
+            await asyncio.wait_for(self.peers.get(), WAIT)  # the next call uses a new link
             request.call.give_up(None)
 
     async def test_retires_a_link_after_an_unanswered_call(self):
-        request, _ = await self._fetched(b"0123456789abcdef")
+        request, _ = await self._call_read_by_catalogue(b"0123456789abcdef")
         link = request.call.link
         request.call.give_up()
-        await self._fetched(b"1123456789abcdef")
+        await self._call_read_by_catalogue(b"1123456789abcdef")
         self.assertTrue(link.stream.closed())
 
     async def test_closes_a_link_past_its_idle_timeout_instead_of_using_it(self):
-        request, first = await self._replied()
-        first.last_used -= RESOURCE_LIMITS.call_idle_timeout + SECOND
+        request, link = await self._answered_call()
+        link.last_used -= RESOURCE_LIMITS.call_idle_timeout + SECOND
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
-        self.assertTrue(first.stream.closed())
-        self.assertIsNot(self.catalogue.links[0], first)
+        self.assertTrue(link.stream.closed())
+        self.assertIsNot(self.catalogue.links[0], link)
 
     async def test_makes_no_call_on_a_link_that_was_just_lost(self):
-        # The reader of the link has not run yet: a call there would be reported as reset, not as never sent.
-        request, first = await self._replied()
-        first.stream.close()
+        # The link's reader has not run yet: a call on the link would be reported as reset, not as never sent.
+        request, link = await self._answered_call()
+        link.stream.close()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"again")
         reader, _ = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
@@ -162,22 +162,23 @@
         self.assertTrue(self.catalogue.links[0].stream.closed())
 
     async def test_makes_no_call_on_a_link_that_the_peer_has_closed(self):
-        # The end is in the kernel: a call there would be reported as reset, though it is never read.
-        _, first = await self._replied()
+        # The end of the input is in the kernel only: a call on the link would be reported as reset, though
+        # the peer never reads it.
+        _, link = await self._answered_call()
         self.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
-        other = node_request()
-        self.catalogue.fetch(other, time.monotonic_ns() + 20 * SECOND, b"again")
-        self.assertIsNot(other.call.link, first)
+        other_request = node_request()
+        self.catalogue.fetch(other_request, time.monotonic_ns() + 20 * SECOND, b"again")
+        self.assertIsNot(other_request.call.link, link)
         reader, _ = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
 
     async def test_call_without_a_descriptor_fails_to_connect(self):
         # Without a connection the call has not run.
-        def none(*words):
+        def raise_no_descriptor(*words):
             raise OSError(errno.EMFILE, "forced")
 
         request = node_request()
-        with unittest.mock.patch("oakkeel.catalogue.links.socket.socket", none):
+        with unittest.mock.patch("oakkeel.catalogue.links.socket.socket", raise_no_descriptor):
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         self.assertEqual((await finished_call(request)).outcome, Outcome.CONNECT_FAILED)
 
--- a/tests/directory/test_reports.py
+++ b/tests/directory/test_reports.py
@@ -17,11 +17,11 @@
             directory.bind(("127.0.0.1", 0))
             directory.setblocking(False)
             loop = asyncio.get_running_loop()
-            reports = DirectoryReporter(
+            reporter = DirectoryReporter(
                 directory.getsockname(), "n3", replace(RESOURCE_LIMITS, report_interval=600 * SECOND)
             )
-            reports.start()
-            reports.set_accepting(False)
+            reporter.start()
+            reporter.set_accepting(False)
             received = [await asyncio.wait_for(loop.sock_recv(directory, 99), WAIT) for _ in range(4)]
-            reports.close()
+            reporter.close()
             self.assertEqual(received, [b"PULSE n3 open"] + [b"PULSE n3 closed"] * 3)
