--- a/oakkeel/__main__.py
+++ b/oakkeel/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m oakkeel`: one node, configured by its environment variables and the file that they name.
+"""`python -m oakkeel` runs a node, configured by environment variables and the file that they name.
 
-With arguments, one of the commands in `oakkeel.cli`.
+With arguments, it runs one of the commands in `oakkeel.cli`.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 def main() -> int:
     """Run a node, or the command line; return the exit code."""
     if sys.argv[1:]:
-        return _command()
-    # Signals are blocked until the node handles them: they must not end a node that is starting.
+        return _run_command()
+    # Signals are blocked until the node handles them: a signal must not end a node that is starting.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGINT, signal.SIGTERM))
-    return _node()
+    return _run_node()
 
 
-def _command() -> int:
+def _run_command() -> int:
     """Run the command line, with libraries that a node must not load."""
     try:
         from oakkeel.cli.main import main as command_line
@@ -28,7 +28,7 @@
     return int(command_line(prog_name="oakkeel"))
 
 
-def _node() -> int:
+def _run_node() -> int:
     """Run a node; return the exit code."""
     import asyncio
     import os
--- a/oakkeel/cached_response.py
+++ b/oakkeel/cached_response.py
@@ -1,4 +1,4 @@
-"""The response of one request, for its duplicates: idempotency keys and shared reads."""
+"""The response of a request, shared with its duplicates: retries of an idempotency key, and equal reads."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from oakkeel.request_events import SharedResponse
 
 DIGEST_BYTES = 16
-CacheKey = tuple[int, bytes, bytes]  # request class, tenant, key: no tenant gets the response of another
+# Request class, tenant and key; with the tenant, as no tenant may get the response of another.
+CacheKey = tuple[int, bytes, bytes]
 
 
 def body_digest(body: bytes) -> bytes:
-    """Return the digest that distinguishes requests with one idempotency key."""
+    """Return the digest that distinguishes requests with the same idempotency key but another body."""
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
@@ -29,7 +30,7 @@
 
 
 class CachedResponse:
-    """The response of a request that may have duplicates, once its run is over."""
+    """The response of a request that may have duplicates; the outcome is set once its run is over."""
 
     __slots__ = (
         "at_most_once",
@@ -55,8 +56,8 @@
     ) -> None:
         """Make an entry that is valid for `duration` nanoseconds.
 
-        They count from the arrival at the machine for a request that runs at most once, and from now for a
-        read. `previous` is the entry that it replaces, kept until this request is known to have run.
+        The duration counts from the arrival at the machine for a request that runs at most once, and from now
+        for a read. `previous` is the entry that this one replaces; it is kept until this request has run.
         """
         self.key = key
         self.at_most_once = request.request_class.at_most_once
@@ -71,14 +72,14 @@
         self.previous = previous
 
     def add_follower(self, request: Follower) -> None:
-        """Give the request this response, now or when it is there."""
+        """Post this response to a duplicate, now or once the outcome is known."""
         if self.outcome is not None:
             request.post(SharedResponse(self.outcome, self.result))
         else:
             self.followers.append(request)
 
     def finish(self, outcome: Outcome, result: bytes) -> None:
-        """Set the outcome, and pass it to all followers; only the first call has an effect."""
+        """Set the outcome, and post it to all followers; only the first call has an effect."""
         if self.outcome is not None:
             return
         self.outcome = outcome
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -147,7 +147,7 @@
             self._parse()
             cpu_time += time.thread_time_ns()
             # Read no more requests from a dispatcher until it has read enough of its answers.
-            while self.unsent_bytes > limits.max_unsent:
+            while self.unsent_bytes > limits.max_unsent_bytes:
                 await self._progress.wait()
             # A dispatcher that sends without pause must not block the event loop: awaiting a done future
             # does not yield.
--- a/oakkeel/line_protocol.py
+++ b/oakkeel/line_protocol.py
@@ -1,6 +1,6 @@
-"""Lines of tokens that end in CR LF; some are followed by a body and CR LF.
+"""Lines of tokens that end in CR LF; some lines are followed by a body and CR LF.
 
-The last token of such a line is the number of bytes of its body.
+The last token of a line with a body is the number of bytes of the body.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class LineParser:
-    """Takes complete messages out of a read buffer: the tokens of a line, and the body that follows it."""
+    """Takes complete messages out of a read buffer: the tokens of a line, and its body if it has one."""
 
     def __init__(
         self, read_buffer: ReadBuffer, with_body: frozenset[tuple[int, bytes]], max_tokens: int
     ) -> None:
-        """`with_body` holds index and value of the tokens that mark a line whose last token is a length."""
+        """`with_body` has the index and the value of each token that marks a line with a body."""
         self._read_buffer = read_buffer
         self._with_body = with_body
         self._max_tokens = max_tokens
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -1,4 +1,4 @@
-"""The structured log: events with fields on standard error, as console lines or JSON, limited in rate."""
+"""The structured log: rate-limited events with fields on standard error, as console lines or JSON."""
 
 from __future__ import annotations
 
@@ -29,53 +29,57 @@
 Event = MutableMapping[str, FieldValue]
 
 
-# Lines that differ only in these are one line: a flood of bad requests must not hide other events.
+# Lines that differ only in these fields count as the same line: a flood of bad requests must not hide other
+# events.
 SAMPLED_FIELDS = {"request_id"}
 
 
 class LineLimiter:
     """Limits the lines per second, and admits each line once per second.
 
-    It is called before a line is formatted: in a flood of bad input a dropped line must cost little.
+    The limiter runs before a line is formatted: in a flood of bad input, a dropped line must cost little.
     """
 
     def __init__(self, lines_per_s: int, clock: Callable[[], int] = time.monotonic_ns) -> None:
         """Limit to `lines_per_s`, by a clock in nanoseconds."""
         self.lines_per_s = lines_per_s
         self.clock = clock
-        self.second = 0
-        self.lines = 0
+        self.current_second = 0
+        self.line_count = 0
         self.dropped = 0
         self.left_out = 0
-        self.written: set[str] = set()  # in this second; a flood of one line must not hide the others
+        self.written_lines: set[str] = set()  # this second's: a flood of one line must not hide other lines
 
     def admits(self, event: str, fields: Event) -> bool:
         """Return whether to write a line; `left_out` is the number of lines dropped before it."""
         second = self.clock() // SECOND
         self.left_out = 0
-        if second != self.second:
+        if second != self.current_second:
             self.left_out = self.dropped
-            self.second = second
-            self.lines = 0
+            self.current_second = second
+            self.line_count = 0
             self.dropped = 0
-            self.written.clear()
+            self.written_lines.clear()
         if (
-            self.lines < self.lines_per_s
-            and (text := f"{event}{_without_samples(fields)}") not in self.written
+            self.line_count < self.lines_per_s
+            and (text := f"{event}{_without_sampled_fields(fields)}") not in self.written_lines
         ):
-            self.lines += 1
-            self.written.add(text)
+            self.line_count += 1
+            self.written_lines.add(text)
             return True
         self.dropped += 1
         return False
 
 
-def _without_samples(fields: Event) -> Event:
+def _without_sampled_fields(fields: Event) -> Event:
     return {key: value for key, value in fields.items() if key not in SAMPLED_FIELDS}
 
 
-def console(name: str) -> Callable[[object, str, Event], str]:
-    """Return a processor for lines as `oakkeel n3: info event field=value ...`; blanks are quoted."""
+def console_renderer(name: str) -> Callable[[object, str, Event], str]:
+    """Return a processor that makes lines such as `oakkeel n3: info event field=value ...`.
+
+    Values with blanks are quoted.
+    """
 
     def render(logger: object, method: str, event: Event) -> str:
         text = event.pop("event")
@@ -101,9 +105,9 @@
     def __init__(
         self, name: str, lines_per_s: int, form: str = "console", stream: TextIO | None = None
     ) -> None:
-        """`form`: `console` or `json`; `stream`: standard error by default."""
+        """Set up the processors; `form` is `console` or `json`, `stream` is standard error by default."""
         self.stream = stream or sys.stderr
-        self.lines = LineLimiter(lines_per_s)
+        self.line_limiter = LineLimiter(lines_per_s)
         processors: list[Processor] = []
         if form == "json":
             processors += [
@@ -111,8 +115,10 @@
                 structlog.processors.JSONRenderer(default=str),
             ]
         else:
-            processors.append(console(name))
-        self.bound = structlog.BoundLogger(self, processors, {"instance": name} if form == "json" else {})
+            processors.append(console_renderer(name))
+        self.structlog_logger = structlog.BoundLogger(
+            self, processors, {"instance": name} if form == "json" else {}
+        )
 
     def debug(self, event: str, **fields: FieldValue) -> None:
         """Log an event for developers."""
@@ -132,18 +138,18 @@
 
     def write(self, level: str, event: str, fields: LogFields) -> None:
         """Write one event at a level, if the line limiter admits it."""
-        if self.lines.admits(event, fields):
-            if self.lines.left_out:
-                fields["left_out"] = self.lines.left_out  # lines, before this one
-            self.bound.msg(event, level=level, **fields)
+        if self.line_limiter.admits(event, fields):
+            if self.line_limiter.left_out:
+                fields["left_out"] = self.line_limiter.left_out  # the lines dropped before this line
+            self.structlog_logger.msg(event, level=level, **fields)
 
     def msg(self, line: str) -> None:
-        """Write a finished line; the last processor of structlog calls this."""
+        """Write a formatted line; the bound logger calls this after its last processor."""
         with contextlib.suppress(OSError):  # a closed log must not end the process
             print(line, file=self.stream, flush=True)
 
     def capture_library_logs(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Log the errors of the event loop and of libraries here, under the same limit."""
+        """Log the errors of the event loop and of libraries to this log, under the same limit."""
         loop.set_exception_handler(
             lambda _, context: self.error(
                 "event_loop_error", message=context["message"], error=repr(context.get("exception"))
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -22,8 +22,8 @@
 Choice = TypeVar("Choice")
 JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
 
-# The settings' words, on the left, are mapped to the terms of the code here and nowhere else. The paths
-# are mapped in `read_limits` and `_request_class`.
+# The words of the settings, on the left, are mapped to the terms of the code only here; the paths are mapped
+# in `read_limits` and `_request_class`.
 IDEMPOTENCY = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
@@ -55,7 +55,10 @@
 
 
 def flatten(value: JsonValue, path: str = "") -> dict[str, str]:
-    """Return nested JSON as the paths of the text form: plain lists joined, lists of objects counted."""
+    """Return nested JSON as values by path, as in the text form.
+
+    Plain lists are joined by commas; a list of objects has a `count` and an index for each object.
+    """
     if isinstance(value, dict):
         inner = [(f"{path}.{name}" if path else str(name), item) for name, item in value.items()]
     elif isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
@@ -75,7 +78,7 @@
 
 
 class Settings:
-    """Settings by path; `get` has a default for an absent path, `required` raises."""
+    """Settings by path; `get` returns a default for an absent path, `required` raises an error."""
 
     def __init__(self, values: dict[str, str]) -> None:
         """Take settings by path."""
@@ -107,7 +110,7 @@
         return self._parse(path, self.required(path))
 
     def flag(self, path: str) -> bool:
-        """Return whether it is `true`."""
+        """Return whether the value is `true`."""
         return self.get(path, "false") == "true"
 
     def entry(self, path: str, index: int, default: str) -> str:
@@ -116,7 +119,7 @@
         return parts[index] if index < len(parts) and parts[index] else default
 
     def choice(self, path: str, known: dict[str, Choice], default: str) -> Choice:
-        """Return the value of a word in `known`. Raises `LimitsError` for another word."""
+        """Return the value that `known` has for the setting. Raises `LimitsError` for an unknown word."""
         word = self.get(path, default)
         if word not in known:
             fail(f"the settings have an unknown value: {path}={word}, expected one of {', '.join(known)}")
@@ -130,7 +133,7 @@
             fail(f"the settings have a value that is no number: {path}={value}")
 
     def gauges(self) -> list[str | None]:
-        """Return the fields of `Gauges` in the order of their values; None for a value that is not used."""
+        """Return the fields of `Gauges` in the order of the gauge values; None for an unused value."""
         return [GAUGES.get(name) for name in self.get("extra.gauges", "").split(",")]
 
     def names(self, path: str) -> list[str]:
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -1,4 +1,4 @@
-"""A request of a node on sockets: its admission state, its connection, and its events."""
+"""A request that a node received on a connection: its admission state and its events."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         final: bool = False,
         retry_after: int = 0,
     ) -> None:
-        """Write the one answer of the request; `retry_after` in nanoseconds."""
+        """Write the answer of the request, of which there is one; `retry_after` is in nanoseconds."""
 
     def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
         """Log a malformed request, with its ID if known, and count it against the connection."""
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class NodeRequest(Request):
-    """A request with its connection; its handler reads the events in the order of their posts."""
+    """A request with its connection; its handler reads the events in the order in which they were posted."""
 
     request_id: bytes
     tag: int
@@ -50,14 +50,14 @@
     connection: ResponseChannel
 
     awaits_answer: bool = True  # until it is answered or its client has disconnected
-    may_have_run: bool = False  # given to the engine, and nothing proves that it had no effect
+    may_have_run: bool = False  # passed to the engine, without proof that it had no effect
     in_engine: bool = False  # from the command to run until the notice that the run is over
-    last_notice: int = 0  # number of the engine's last notice for it
+    last_notice: int = 0  # number of the engine's last notice for this request
     call: DownstreamCall | None = None
     unknown_to_engine: bool = False
-    used_links: list[object] = field(default_factory=list)  # that carried a call of this request
-    duplicate_of: CachedResponse | None = None  # that of the request that it repeats
-    cache_entry: CachedResponse | None = None  # its own
+    used_links: list[object] = field(default_factory=list)  # the links that carried a call of this request
+    duplicate_of: CachedResponse | None = None  # the entry of the request that this one duplicates
+    cache_entry: CachedResponse | None = None  # the entry of this request
     events: deque[RequestEvent] = field(default_factory=deque)
     waiter: asyncio.Future[None] | None = None
 
--- a/oakkeel/request_events.py
+++ b/oakkeel/request_events.py
@@ -1,4 +1,4 @@
-"""Events of one request, in the order in which its handler reads them: one small type for each kind."""
+"""Events of a request that its handler reads; each kind of event has a type."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class StartRun:
-    """The request is admitted: give it to the engine."""
+    """The request is admitted: pass it to the engine."""
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
     """Take the response of the request that this one duplicates."""
 
 
-# What connections, engine, catalogue and response cache report.
+# Events of connections, engine, catalogue and response cache.
 
 
 @dataclass(slots=True)
--- a/oakkeel/resource_limits.py
+++ b/oakkeel/resource_limits.py
@@ -1,4 +1,4 @@
-"""The sizes, counts and times of the network code, in one type that is filled at start and passed on."""
+"""The limits of the network code, in one type that is filled at the start of a node and passed on."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from oakkeel.units import MS, SECOND
 
 MAX_ENGINE_LINKS = 2  # one may be closing while its successor opens
-BUFFERS_PER_STREAM = 2  # a connection or a link is closing while its successor opens
+BUFFERS_PER_STREAM = 2  # a connection or a link may be closing while its successor opens
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,17 +17,17 @@
     None of these decides whether a request is admitted: the admission controller does.
     """
 
-    # Given at start.
+    # Given at the start.
     sockets: int  # descriptors that the process may hold
-    memory: int  # that the process may use
+    memory: int  # bytes that the process may use
     stop_after: int  # from SIGTERM to SIGKILL
 
     # Buffers of one size: no array, line with its body, or field may be longer.
     buffer_size: int = 8192
-    max_tokens: int = 16  # in one array or line; the rest of a line is one token
+    max_tokens: int = 16  # in one array or line; the rest of a longer line is one token
 
     # Dispatchers.
-    reserved_sockets: int = 32  # descriptors for everything but calls and dispatchers
+    reserved_sockets: int = 32  # descriptors that are for neither calls nor dispatchers
     max_open_requests: int = 32  # on one connection
     max_body_size: int = 2048
     max_memory_kb: float = 2000.0  # declared by one request
@@ -43,8 +43,8 @@
     array_timeout: int = 2 * SECOND  # from the accept to the first array, from an array's start to its end
     half_closed_poll: int = 20 * MS  # between checks whether a half-closed connection is closed both ways
     linger_timeout: int = SECOND  # from the shutdown of our side of a connection to its close
-    max_evicted_connections: int = 16  # closing, as they are over the limit
-    accept_retry_delay: int = 50 * MS  # after no descriptor was left
+    max_evicted_connections: int = 16  # connections over the limit that are closing
+    accept_retry_delay: int = 50 * MS  # after an accept without a free descriptor or buffer
     write_timeout: int = 10 * SECOND  # for one write to a dispatcher
     drain_notice_timeout: int = SECOND  # from `0 last` to the close of an idle connection by the node
 
@@ -53,17 +53,17 @@
     # The engine.
     engine_retry_delay: int = 50 * MS  # from one connection attempt to the next
     engine_loss_window: int = 150 * MS  # commands written less than this before a loss may be lost
-    engine_timeout: int = 2 * SECOND  # for an answer with gauges, then the link is reconnected
+    engine_timeout: int = 2 * SECOND  # for a greeting or an answer with gauges; then the link reconnects
     engine_restart_margin: int = SECOND  # minimum shift of the start time that proves a restart
     engine_handover_timeout: int = 200 * MS  # for the earlier engine to confirm that it has read all commands
     gauges_timeout: int = 10 * MS  # for fresh gauges before an admission timer
-    max_unconfirmed_commands: int = 8192  # then those that need no resend are dropped
+    max_unconfirmed_commands: int = 8192  # at the limit, commands that need no resend are dropped
     max_write_backlog: int = 8 * 1024 * 1024  # bytes, on one link
 
     timer_retry_delay: int = SECOND  # after an internal error in an admission timer
 
     # The catalogue.
-    max_call_links: int = 64  # one call each; more calls share them
+    max_call_links: int = 64  # with one call each; further calls share the links
     call_idle_timeout: int = 500 * MS  # shorter than the timeout of the peer
     call_reply_timeout: int = 200 * MS  # from the first byte of a reply to its last
     max_unmatched_replies: int = 4  # replies without a call, on one link
@@ -90,27 +90,27 @@
 
     @property
     def max_connections(self) -> int:
-        """The maximum of connections of dispatchers at one time."""
+        """The maximum number of dispatchers' connections at one time."""
         return max(
             1, self.sockets - self.reserved_sockets - self.max_call_links - self.max_evicted_connections
         )
 
     @property
     def max_links(self) -> int:
-        """The maximum of links to the engine and the catalogue at one time."""
+        """The maximum number of links to the engine and the catalogue at one time."""
         return MAX_ENGINE_LINKS + self.max_call_links
 
     @property
     def max_buffers(self) -> int:
-        """The maximum of read buffers: connections and links are closing while others open."""
+        """The maximum number of read buffers: connections and links may be closing while others open."""
         return BUFFERS_PER_STREAM * (self.max_connections + self.max_evicted_connections + self.max_links)
 
     @property
-    def max_unsent(self) -> int:
-        """The bytes of unsent answers on one connection: above it the connection is not read."""
+    def max_unsent_bytes(self) -> int:
+        """The maximum number of bytes of unsent answers on a connection that is still read."""
         return int(self.memory * self.unsent_memory_share) // self.max_connections
 
     @property
     def max_results(self) -> int:
-        """The maximum of idempotency keys retained at one time."""
+        """The maximum number of idempotency keys retained at one time."""
         return max(1, int(self.memory * self.results_memory_share) // self.result_size)
--- a/oakkeel/stream_buffers.py
+++ b/oakkeel/stream_buffers.py
@@ -1,4 +1,4 @@
-"""Reused buffers of one size, and how streams are read into them and written to."""
+"""Reused buffers of one size, and functions that read streams into them and write to streams."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class MalformedInputError(OakkeelError):
-    """Bytes that violate the protocol; the message says how."""
+    """Bytes that violate the protocol; the message describes the violation."""
 
 
 class ProtocolViolationError(MalformedInputError):
-    """Well-formed messages that the protocol does not allow, such as too many; the connection ends too."""
+    """Well-formed messages that the protocol does not allow, such as too many; they end the connection."""
 
 
 class BufferPool:
     """A bounded pool of buffers of one size, allocated on demand and reused."""
 
     def __init__(self, buffer_size: int, max_buffers: int) -> None:
-        """Allocate nothing yet; the size is in bytes."""
+        """Set the size in bytes and the number of the buffers; allocate none yet."""
         self.buffer_size = buffer_size
         self.unallocated = max_buffers
         self.free: list[bytearray] = []
@@ -51,7 +51,7 @@
 class ReadBuffer:
     """The bytes of one stream that are not parsed yet, in a leased buffer.
 
-    It is filled at `end` and consumed at `start`.
+    The buffer is filled at `end` and consumed at `start`.
     """
 
     __slots__ = ("_pool", "buffer", "end", "start")
@@ -64,7 +64,7 @@
 
     @property
     def has_data(self) -> bool:
-        """Whether it holds bytes that no parser has consumed."""
+        """Whether the buffer holds bytes that no parser has consumed."""
         return self.start != self.end
 
     def clear(self) -> None:
@@ -76,7 +76,7 @@
         self.end += connected.recv_into(memoryview(self.buffer)[self.end :])
 
     async def fill(self, stream: IOStream) -> None:
-        """Wait for more bytes; unparsed ones are moved to the front.
+        """Wait for more bytes, after moving the unparsed bytes to the front.
 
         Raises StreamClosedError, and MalformedInputError if a full buffer holds no complete message.
         """
@@ -98,12 +98,12 @@
 class HalfClosingStream(IOStream):
     """A stream whose other side may shut down its direction and still read ours.
 
-    An IOStream closes both directions at the end of its input, and loses unwritten data. Here the end is
-    read as one byte more than was received, which `count_delivered` subtracts; nothing may be read after it.
+    An IOStream closes both directions at the end of its input, and loses unwritten data. This stream reads
+    the end as one additional byte, which `count_delivered` subtracts; nothing may be read after the end.
     """
 
     undelivered = 0  # bytes received and not delivered yet
-    at_eof = False  # the other side sends no more, and all that it sent is delivered
+    at_eof = False  # the other side sends no more, and all received bytes are delivered
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
         """Read into a buffer; the end of the input counts as one byte."""
@@ -114,39 +114,40 @@
         return count
 
     def close(self, exc_info: Any = False) -> None:
-        """Close both directions; `error` keeps no traceback.
+        """Close both directions, and drop the traceback of `error`.
 
-        Its frames refer to the stream and the buffer, a cycle that only the garbage collector frees.
+        The frames of the traceback refer to the stream and the buffer: a reference cycle that only the
+        garbage collector would free.
         """
         super().close(exc_info)
         if self.error is not None:
             self.error.__traceback__ = None
 
     def count_delivered(self, count: int) -> int:
-        """Return how many of the bytes of a read were received."""
-        real = min(count, self.undelivered)
-        self.undelivered -= real
-        self.at_eof = real < count
-        return real
+        """Return the number of received bytes among the `count` bytes of a read."""
+        received = min(count, self.undelivered)
+        self.undelivered -= received
+        self.at_eof = received < count
+        return received
 
 
 def is_readable(connected: socket.socket) -> bool:
-    """Return whether bytes or an end wait in the kernel, perhaps since the event loop last polled."""
+    """Return whether the kernel holds unread bytes or the end of the input, also if not polled yet."""
     poll = select.poll()
     poll.register(connected, select.POLLIN)
     return bool(poll.poll(0))
 
 
 async def connect(stream: IOStream, address: tuple[str, int]) -> None:
-    """Connect a stream. Raises StreamClosedError if it can't, or the stream was closed meanwhile."""
+    """Connect a stream. Raises StreamClosedError if this fails or the stream is closed meanwhile."""
     await stream.connect(address)
-    if stream.closed():  # since it was connected
+    if stream.closed():  # between the connect and this step of the task
         raise StreamClosedError
     stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def send(stream: IOStream, data: bytes) -> asyncio.Future[None] | None:
-    """Write as much as possible at once; return None if the stream is closed, which its reader reports."""
+    """Write as much as possible at once; return None if the stream is closed, as its reader notices."""
     try:
         written = stream.write(data)
     except StreamBufferFullError:
--- a/oakkeel/units.py
+++ b/oakkeel/units.py
@@ -1,7 +1,7 @@
-"""Units: every duration and every instant in the program is in nanoseconds, every size in bytes unless named.
+"""Units: durations and times are in nanoseconds, and sizes in bytes, unless a name has another unit.
 
-Instants and set durations are whole numbers; means and estimates, such as expected service times, are floats.
-Names of constants that hold a time end in `_NS`; their values are written as multiples, `250 * MS`.
+Times and configured durations are whole numbers; means and estimates, such as expected service times, are
+floats. Names of constants that hold a time end in `_NS`; their values are written as multiples: `250 * MS`.
 """
 
 MS = 1_000_000
