--- a/oakkeel/cached_response.py
+++ b/oakkeel/cached_response.py
@@ -1,4 +1,4 @@
-"""The response of a request, shared with its duplicates: retries of an idempotency key, and equal reads."""
+"""The response of a request, shared with its duplicates: retries with its key, and equal reads."""
 
 from __future__ import annotations
 
--- a/oakkeel/simulator_adapter/__init__.py
+++ b/oakkeel/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that lets the bench's simulated nodes be decided by `oakkeel.admission`."""
+"""The adapter through which `oakkeel.admission` takes the decisions of the bench's simulated nodes."""
--- a/oakkeel/simulator_adapter/__main__.py
+++ b/oakkeel/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m oakkeel.simulator_adapter`: batches on standard input, one reply each on standard output."""
+"""`python -m oakkeel.simulator_adapter` reads batches from standard input, and writes a reply to each."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends. Return 2 for a frame that can't be read, 1 for a closed output."""
+    """Answer batches until the input ends. Return 2 for a malformed frame, 1 for a closed output."""
     gc.freeze()  # the modules live as long as the process: the collector need not scan them
     gc.set_threshold(*GC_THRESHOLDS)
-    source = sys.stdin.buffer
-    sink = sys.stdout.buffer
+    input_stream = sys.stdin.buffer
+    output_stream = sys.stdout.buffer
     table = InstanceTable()
     try:
-        while (batch := read_batch(source)) is not None:
-            sink.write(table.handle(batch))
-            sink.flush()
+        while (batch := read_batch(input_stream)) is not None:
+            output_stream.write(table.handle(batch))
+            output_stream.flush()
     except (WireError, UnicodeDecodeError) as error:
         print(f"oakkeel: {error}", file=sys.stderr)
         return 2
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One instance on the simulator's wire: IDs become requests, and actions on the host become records."""
+"""One simulated instance: maps the request IDs of the wire to requests, and decisions to action records."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Instance:
-    """The `Host` of one `AdmissionController`; request IDs stay known, so that late events are harmless."""
+    """The `Host` of one `AdmissionController`; request IDs are never forgotten, as events may come late."""
 
     def __init__(self, number: int, seed: int, settings: str, now: int, reply: wire.Reply) -> None:
-        """Read the settings and start the decisions. Raises `WireError` for settings that lack something."""
+        """Read the settings and start the controller. Raises `WireError` for malformed settings."""
         self.number = number
         self.reply = reply
         parsed = Settings.from_text(settings)
@@ -38,7 +38,7 @@
         self.ids: dict[Request, int] = {}
         self.admission = AdmissionController(self, self.limits, seed, now)
 
-    def request_of(self, request_id: int) -> Request:
+    def find_request(self, request_id: int) -> Request:
         """Return the request with this ID."""
         request = self.requests.get(request_id)
         if request is None:
@@ -46,7 +46,7 @@
         return request
 
     def arrive(self, now: int, arrival: Arrival) -> None:
-        """Let the controller decide about a request that arrived."""
+        """Pass an arriving request to the controller."""
         limits = self.limits
         request_id = arrival.request_id
         if arrival.class_index >= len(limits.request_classes):
@@ -73,74 +73,74 @@
         self.admission.arrive(now, request)
 
     def read_gauges(self, values: tuple[float, ...]) -> Gauges:
-        """Take over the gauges of a timer record."""
+        """Store the gauge values of a timer record, and return all gauges."""
         for name, value in zip(self.gauge_names, values, strict=False):
             if name:
                 setattr(self.gauges, name, value)
         return self.gauges
 
-    def _add(self, code: ActionCode, request: Request) -> None:
+    def _add_action(self, code: ActionCode, request: Request) -> None:
         """Add an action that names a request and has no further field."""
         self.reply.records.append(wire.ACTION_REQUEST.pack(code, self.number, self.ids[request]))
 
-    def _add_with_time(self, code: ActionCode, number: int, time: int) -> None:
+    def _add_action_with_time(self, code: ActionCode, number: int, time: int) -> None:
         """Add an action that names a request or a timer, and a time."""
         self.reply.records.append(wire.ACTION_REQUEST_TIME.pack(code, self.number, number, time))
 
     def run(self, request: Request) -> None:
         """Start the request on the cores."""
-        self._add(ActionCode.RUN, request)
+        self._add_action(ActionCode.RUN, request)
 
     def reject(self, request: Request, final: bool, retry_after: int) -> None:
-        """Answer that the request never ran, with when to retry."""
+        """Answer that the request never ran, with the delay before a retry."""
         self.reply.records.append(
             wire.ACTION_REJECT.pack(ActionCode.REJECT, self.number, self.ids[request], final, retry_after)
         )
 
     def fail(self, request: Request) -> None:
         """Answer that the request failed."""
-        self._add(ActionCode.FAIL, request)
+        self._add_action(ActionCode.FAIL, request)
 
     def cancel(self, request: Request) -> None:
         """Stop the run of the request."""
-        self._add(ActionCode.CANCEL, request)
+        self._add_action(ActionCode.CANCEL, request)
 
     def call(self, request: Request, until: int) -> None:
         """Place the downstream call of the request."""
-        self._add_with_time(ActionCode.CALL, self.ids[request], until)
+        self._add_action_with_time(ActionCode.CALL, self.ids[request], until)
 
     def skip_call(self, request: Request) -> None:
-        """Let the run of the request go on without its call."""
-        self._add(ActionCode.SKIP_CALL, request)
+        """Let the run of the request continue without its call."""
+        self._add_action(ActionCode.SKIP_CALL, request)
 
     def coalesce(self, request: Request) -> None:
-        """Let the request wait for the result of the one that it duplicates."""
-        self._add(ActionCode.COALESCE, request)
+        """Let the request wait for the result of the request that it duplicates."""
+        self._add_action(ActionCode.COALESCE, request)
 
     def retain_key(self, request: Request, duration: int) -> None:
         """Treat requests with the same key as duplicates for `duration` nanoseconds."""
-        self._add_with_time(ActionCode.RETAIN_KEY, self.ids[request], duration)
+        self._add_action_with_time(ActionCode.RETAIN_KEY, self.ids[request], duration)
 
     def release_key(self, request: Request) -> None:
         """Drop the key of the request."""
-        self._add(ActionCode.RELEASE_KEY, request)
+        self._add_action(ActionCode.RELEASE_KEY, request)
 
     def set_timer(self, token: int, at: int) -> None:
-        """Ask for a timer record at `at`."""
-        self._add_with_time(ActionCode.SET_TIMER, token, at)
+        """Ask for a timer record at the time `at`."""
+        self._add_action_with_time(ActionCode.SET_TIMER, token, at)
 
     def set_health(self, good: bool, stored: bool) -> None:
         """Set the answer to health checks."""
         self.reply.records.append(wire.ACTION_HEALTH.pack(ActionCode.SET_HEALTH, self.number, stored, good))
 
     def report_load(self, value: float) -> None:
-        """Give clients this value."""
+        """Send this load report to clients."""
         self.reply.records.append(wire.ACTION_VALUE.pack(ActionCode.REPORT_LOAD, self.number, value))
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Close connections that are idle for `timeout` nanoseconds, from now on."""
+        """Close connections once they are idle for `timeout` nanoseconds."""
         self.reply.records.append(wire.ACTION_TIME.pack(ActionCode.CLOSE_IDLE, self.number, timeout))
 
     def note(self, text: str) -> None:
-        """Add a remark."""
+        """Add a remark to the reply."""
         self.reply.add_text(ActionCode.NOTE, self.number, text)
--- a/oakkeel/simulator_adapter/table.py
+++ b/oakkeel/simulator_adapter/table.py
@@ -1,4 +1,4 @@
-"""The table of instances: each record of a batch becomes one call on the instance that it names."""
+"""The table of simulated instances, which passes each record of a batch to its instance."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class InstanceTable:
-    """Many instances that share nothing but the frames.
+    """Instances that share the frames of one input and one output, and no other state.
 
-    A handler takes a batch and the offset of a record in its body. It returns the instance that is to be
-    scheduled, or None.
+    A handler takes a batch and the offset of a record in the batch's body. The handler returns the instance
+    to schedule after the batch, or None.
     """
 
     def __init__(self) -> None:
@@ -25,28 +25,28 @@
         self.instances: dict[int, Instance] = {}
         self.reply = wire.Reply()
         self.handlers: dict[int, Handler] = {
-            EventCode.START: self._start,
-            EventCode.ARRIVAL: self._arrival,
-            EventCode.RUN_FINISHED: self._run_finished,
-            EventCode.CALL_NEEDED: self._call_needed,
-            EventCode.CALL_FINISHED: self._call_finished,
-            EventCode.DRAIN: self._drain,
-            EventCode.CLIENT_DISCONNECTED: self._client_disconnected,
-            EventCode.TIMER_EXPIRED: self._timer_expired,
-            EventCode.KILLED: self._killed,
+            EventCode.START: self._handle_start,
+            EventCode.ARRIVAL: self._handle_arrival,
+            EventCode.RUN_FINISHED: self._handle_run_finished,
+            EventCode.CALL_NEEDED: self._handle_call_needed,
+            EventCode.CALL_FINISHED: self._handle_call_finished,
+            EventCode.DRAIN: self._handle_drain,
+            EventCode.CLIENT_DISCONNECTED: self._handle_client_disconnected,
+            EventCode.TIMER_EXPIRED: self._handle_timer_expired,
+            EventCode.KILLED: self._handle_killed,
         }
 
     def handle(self, batch: Batch) -> bytes:
-        """Handle the records of a batch, schedule each instance that had one, and return the reply."""
-        touched: dict[int, Instance] = {}
+        """Handle the records of a batch, schedule the instances that they name, and return the reply."""
+        instances_to_schedule: dict[int, Instance] = {}
         for offset in range(0, batch.records_size, wire.EVENT_SIZE):
             code, instance_id = wire.EVENT_HEAD.unpack_from(batch.body, offset)
             instance = self._handle_record(batch, offset, code, instance_id)
             if instance is not None:
-                touched[instance_id] = instance
+                instances_to_schedule[instance_id] = instance
             else:
-                touched.pop(instance_id, None)
-        for instance in touched.values():
+                instances_to_schedule.pop(instance_id, None)
+        for instance in instances_to_schedule.values():
             self._schedule(instance, batch.clock)
         return self.reply.take_frame(batch.number)
 
@@ -58,18 +58,18 @@
             return handler(batch, offset)
         except (WireError, UnicodeDecodeError):
             raise
-        except Exception as error:  # the boundary of the decisions
+        except Exception as error:  # any fault in the admission decisions
             self._report_error(instance_id, error)
             return None
 
     def _schedule(self, instance: Instance, now: int) -> None:
         try:
             instance.admission.schedule(now)
-        except Exception as error:  # the boundary of the decisions
+        except Exception as error:  # any fault in the admission decisions
             self._report_error(instance.number, error)
 
     def _report_error(self, instance_id: int, error: Exception) -> None:
-        """Add an error of the decisions to the reply; the simulator stops and prints it."""
+        """Add an error of the admission decisions to the reply; the simulator stops and prints the error."""
         self.reply.add_text(ActionCode.INTERNAL_ERROR, instance_id, f"{type(error).__name__}: {error}")
 
     def _instance(self, instance_id: int) -> Instance:
@@ -78,7 +78,7 @@
             raise WireError(f"event for unknown instance {instance_id}")
         return instance
 
-    def _start(self, batch: Batch, offset: int) -> Instance:
+    def _handle_start(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, seed, start, length = wire.START.unpack_from(batch.body, offset)
         start += batch.records_size
         if start + length > len(batch.body):
@@ -88,45 +88,45 @@
         self.instances[instance_id] = instance
         return instance
 
-    def _arrival(self, batch: Batch, offset: int) -> Instance:
+    def _handle_arrival(self, batch: Batch, offset: int) -> Instance:
         arrival = wire.Arrival._make(wire.ARRIVAL.unpack_from(batch.body, offset))
         instance = self._instance(arrival.instance_id)
         instance.arrive(batch.clock, arrival)
         return instance
 
-    def _run_finished(self, batch: Batch, offset: int) -> Instance:
+    def _handle_run_finished(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, request_id, status, _ = wire.FINISHED.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
-        outcome = _outcome(status, instance_id)
-        instance.admission.run_finished(batch.clock, instance.request_of(request_id), outcome)
+        outcome = _parse_outcome(status, instance_id)
+        instance.admission.run_finished(batch.clock, instance.find_request(request_id), outcome)
         return instance
 
-    def _call_finished(self, batch: Batch, offset: int) -> Instance:
+    def _handle_call_finished(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, request_id, status, _ = wire.FINISHED.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
-        outcome = _outcome(status, instance_id)
-        instance.admission.call_finished(batch.clock, instance.request_of(request_id), outcome)
+        outcome = _parse_outcome(status, instance_id)
+        instance.admission.call_finished(batch.clock, instance.find_request(request_id), outcome)
         return instance
 
-    def _call_needed(self, batch: Batch, offset: int) -> Instance:
+    def _handle_call_needed(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, request_id = wire.EVENT_VALUE.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
-        instance.admission.call_needed(batch.clock, instance.request_of(request_id))
+        instance.admission.call_needed(batch.clock, instance.find_request(request_id))
         return instance
 
-    def _client_disconnected(self, batch: Batch, offset: int) -> Instance:
+    def _handle_client_disconnected(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, request_id = wire.EVENT_VALUE.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
-        instance.admission.client_disconnected(batch.clock, instance.request_of(request_id))
+        instance.admission.client_disconnected(batch.clock, instance.find_request(request_id))
         return instance
 
-    def _drain(self, batch: Batch, offset: int) -> Instance:
+    def _handle_drain(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, remaining = wire.EVENT_VALUE.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
         instance.admission.drain(batch.clock, remaining)
         return instance
 
-    def _timer_expired(self, batch: Batch, offset: int) -> Instance:
+    def _handle_timer_expired(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, token, count = wire.TIMER.unpack_from(batch.body, offset)
         instance = self._instance(instance_id)
         if count > wire.MAX_GAUGES:
@@ -135,12 +135,12 @@
         instance.admission.timer_expired(batch.clock, token, instance.read_gauges(values))
         return instance
 
-    def _killed(self, batch: Batch, offset: int) -> None:
+    def _handle_killed(self, batch: Batch, offset: int) -> None:
         _, instance_id = wire.EVENT_HEAD.unpack_from(batch.body, offset)
         del self.instances[self._instance(instance_id).number]
 
 
-def _outcome(status: int, instance_id: int) -> Outcome:
+def _parse_outcome(status: int, instance_id: int) -> Outcome:
     outcome = OUTCOMES.get(status)
     if outcome is None:
         raise WireError(f"unknown outcome {status} on instance {instance_id}")
--- a/oakkeel/simulator_adapter/wire.py
+++ b/oakkeel/simulator_adapter/wire.py
@@ -1,7 +1,7 @@
-"""The frames of the simulator's wire: batches of events in, replies with actions out.
+"""The frames of the simulator's protocol: batches of events in, replies with actions out.
 
-Codes and records are mapped here to the terms of the code; a comment has the name that the wire gives. This
-module knows nothing of the decisions.
+This module maps codes and records to the terms of the code; comments give the names of the protocol. The
+module does not depend on the admission decisions.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 EVENT_SIZE = 72
 GAUGE_SIZE = 4
-BATCH_HEADER = Struct("<IIQI")  # number, bytes that follow the second field, clock, records
-REPLY_HEADER = Struct("<III")  # number, bytes that follow the second field, records
-UNCOUNTED_HEADER_SIZE = 8  # the number and the length itself
+BATCH_HEADER = Struct("<IIQI")  # number, length of the rest of the frame, clock, count of records
+REPLY_HEADER = Struct("<III")  # number, length of the rest of the frame, count of records
+UNCOUNTED_HEADER_SIZE = 8  # the number and the length, which the length does not count
 
 
 class EventCode(IntEnum):
@@ -58,14 +58,14 @@
 START = Struct("<BIQII")  # seed, offset and length of the settings
 ARRIVAL = Struct("<BIQHfQfBHQIQQQ")  # the fields of `Arrival`
 FINISHED = Struct("<BIQHQ")  # of a run or a call: request, status, latency
-EVENT_VALUE = Struct("<BIQ")  # request; or for a drain the time left
+EVENT_VALUE = Struct("<BIQ")  # request; or the time left of a drain
 TIMER = Struct("<BIQB")  # token, number of gauges; the gauges follow
 MAX_GAUGES = (EVENT_SIZE - TIMER.size) // GAUGE_SIZE
 
 # Records of actions: code, instance, then the fields, padded to 24 bytes.
 ACTION_REQUEST = Struct("<BIQ11x")
 ACTION_REQUEST_TIME = Struct("<BIQQ3x")  # request or token of a timer, time
-ACTION_REJECT = Struct("<BIQBQ2x")  # request, final, time to stay away
+ACTION_REJECT = Struct("<BIQBQ2x")  # request, final, Retry-After
 ACTION_HEALTH = Struct("<BIBB17x")  # stored, good
 ACTION_VALUE = Struct("<BIf15x")
 ACTION_TIME = Struct("<BIQ11x")
@@ -75,7 +75,7 @@
 
 
 class WireError(OakkeelError):
-    """A frame that can't be read; the message is one line for whoever started the adapter."""
+    """A frame that can't be read; the message is one line for the standard error of the adapter."""
 
 
 class Arrival(NamedTuple):
@@ -98,7 +98,7 @@
 
 
 class Batch(NamedTuple):
-    """One frame from the simulator; the body has the records, then the settings that start records name."""
+    """A frame from the simulator; its body has the records, then the settings that START records refer to."""
 
     number: int
     clock: int
@@ -107,13 +107,13 @@
 
     @property
     def records_size(self) -> int:
-        """Return the size of all records: where the settings begin."""
+        """Return the size of all records, which is the offset of the settings."""
         return self.record_count * EVENT_SIZE
 
 
-def read_batch(source: BinaryIO) -> Batch | None:
-    """Read the next batch, or None at the end of the input. Raises `WireError` for one that is cut short."""
-    header = source.read(BATCH_HEADER.size)
+def read_batch(input_stream: BinaryIO) -> Batch | None:
+    """Read the next batch; return None at the end of the input. Raises `WireError` for a truncated batch."""
+    header = input_stream.read(BATCH_HEADER.size)
     if not header:
         return None
     if len(header) < BATCH_HEADER.size:
@@ -122,7 +122,7 @@
     size = length - (BATCH_HEADER.size - UNCOUNTED_HEADER_SIZE)
     if size < record_count * EVENT_SIZE:
         raise WireError(f"batch {number}: {length} bytes are too few for {record_count} records")
-    body = source.read(size)
+    body = input_stream.read(size)
     if len(body) < size:
         raise WireError(f"batch {number} cut short: {len(body)} of {size} bytes")
     return Batch(number, clock, record_count, body)
@@ -147,7 +147,7 @@
         self.text_size += len(data)
 
     def take_frame(self, number: int) -> bytes:
-        """Return the frame of all that was added since the last one, as the reply to batch `number`."""
+        """Return the frame with all actions added since the last frame, as the reply to batch `number`."""
         body = b"".join(self.records) + b"".join(self.texts)
         length = REPLY_HEADER.size - UNCOUNTED_HEADER_SIZE + len(body)
         frame = REPLY_HEADER.pack(number, length, len(self.records)) + body
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator wire: its own examples, and frames that can't be read."""
+"""The frames of the simulator's protocol: its own examples, and malformed frames."""
 
 import io
 import struct
@@ -29,8 +29,8 @@
 )
 
 
-def batch(*records: bytes, tail: bytes = b"") -> bytes:
-    body = b"".join(records) + tail
+def batch(*records: bytes, settings: bytes = b"") -> bytes:
+    body = b"".join(records) + settings
     return wire.BATCH_HEADER.pack(5, len(body) + 12, 10**9, len(records)) + body
 
 
@@ -41,7 +41,7 @@
 
 
 class SimulatorWireTest(unittest.TestCase):
-    def test_reads_and_writes_the_examples_of_the_wire(self):
+    def test_reads_and_writes_the_examples_of_the_protocol(self):
         empty = bytes.fromhex("010000000c00000090bf68f50100000000000000")
         self.assertEqual(wire.read_batch(io.BytesIO(empty)), wire.Batch(1, 8_412_249_999 + 1, 0, b""))
         self.assertEqual(wire.Reply().take_frame(1).hex(), "010000000400000000000000")
@@ -67,17 +67,17 @@
         bounce = wire.ACTION_REJECT.pack(wire.ActionCode.REJECT, 3, 0x000CB2900E6F2B19, True, 250_000_000)
         self.assertEqual(bounce.hex(), "0903000000192b6f0e90b20c000180b2e60e000000000000")
 
-    def test_runs_an_arrival_and_a_restarted_instance_forgets_it(self):
+    def test_a_restarted_instance_runs_a_request_id_that_was_used_before(self):
         table = InstanceTable()
-        frame = table.handle(wire.read_batch(io.BytesIO(batch(START, ARRIVAL, tail=SETTINGS))))
+        frame = table.handle(wire.read_batch(io.BytesIO(batch(START, ARRIVAL, settings=SETTINGS))))
         self.assertIn(wire.ACTION_REQUEST.pack(wire.ActionCode.RUN, 3, 77), frame)
         killed = wire.EVENT_HEAD.pack(9, 3).ljust(wire.EVENT_SIZE, b"\0")
-        frame = table.handle(wire.read_batch(io.BytesIO(batch(killed, START, ARRIVAL, tail=SETTINGS))))
+        frame = table.handle(wire.read_batch(io.BytesIO(batch(killed, START, ARRIVAL, settings=SETTINGS))))
         self.assertIn(wire.ACTION_REQUEST.pack(wire.ActionCode.RUN, 3, 77), frame)
 
-    def test_reports_an_error_of_the_decisions_as_a_record(self):
+    def test_reports_an_error_of_the_admission_decisions_as_a_record(self):
         table = InstanceTable()
-        table.handle(wire.read_batch(io.BytesIO(batch(START, tail=SETTINGS))))
+        table.handle(wire.read_batch(io.BytesIO(batch(START, settings=SETTINGS))))
         table.instances[3].admission.arrive = None
         frame = table.handle(wire.read_batch(io.BytesIO(batch(ARRIVAL))))
         self.assertEqual(struct.unpack_from("<B", frame, 12)[0], wire.ActionCode.INTERNAL_ERROR)
@@ -90,16 +90,16 @@
         unknown_request = wire.FINISHED.pack(3, 3, 55, 200, 0).ljust(wire.EVENT_SIZE, b"\0")
         for data in (
             b"abc",
-            batch(START, tail=SETTINGS)[:-4],
+            batch(START, settings=SETTINGS)[:-4],
             unknown_code,
             batch(ARRIVAL),
-            batch(START, unknown_request, tail=SETTINGS),
-            batch(START.replace(SETTINGS, b""), tail=b""),
+            batch(START, unknown_request, settings=SETTINGS),
+            batch(START.replace(SETTINGS, b""), settings=b""),
         ):
-            ended = run_adapter(data)
-            self.assertEqual(ended.returncode, 2)
-            self.assertEqual(ended.stderr.count(b"\n"), 1)
-            self.assertNotIn(b"Traceback", ended.stderr)
+            process = run_adapter(data)
+            self.assertEqual(process.returncode, 2)
+            self.assertEqual(process.stderr.count(b"\n"), 1)
+            self.assertNotIn(b"Traceback", process.stderr)
 
     def test_names_missing_settings(self):
         start = wire.START.pack(1, 3, 99, 0, 0).ljust(wire.EVENT_SIZE, b"\0")
