--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -1,7 +1,7 @@
-"""A listener in the loop of the test, with dispatchers that are plain sockets.
+"""A listener in the event loop of the test, with dispatchers that are plain sockets.
 
-What one of these sends is in the kernel at once, and the loop has not looked until the test awaits: so bytes,
-closes and accepts are forced into one order.
+Bytes that a socket sends are in the kernel at once, and the event loop reads them only when the test awaits.
+So a test determines the order of bytes, closes and accepts.
 """
 
 import asyncio
@@ -33,10 +33,10 @@
 )
 
 
-LAST = [b"0", b"last"]
+DRAIN_NOTICE = [b"0", b"last"]
 
 
-DEADLINE = 1.5 * WAIT  # seconds from a test's set-up to that of the next
+TEST_TIMEOUT = 1.5 * WAIT  # seconds from a test's set-up to that of the next
 
 
 def call(tag: int, size: int = 4) -> bytes:
@@ -44,7 +44,7 @@
 
 
 class DispatcherClient:
-    """A dispatcher's end of a connection."""
+    """The dispatcher's side of a connection."""
 
     def __init__(self, address, size: int = 0) -> None:
         self.socket = socket.socket()
@@ -58,7 +58,7 @@
         self.socket.send(data)
 
     async def read(self) -> bool:
-        """Read more; return False at an end without a reset. Raises ConnectionResetError."""
+        """Read some bytes; return False at the end of the input. Raises ConnectionResetError."""
         loop = asyncio.get_running_loop()
         data = await asyncio.wait_for(loop.sock_recv(self.socket, 65536), WAIT)
         self.received += data
@@ -73,14 +73,16 @@
             del lines[: 2 * count]
         return found
 
-    async def until(self, tag: int) -> list[bytes]:
+    async def answer_to(self, tag: int) -> list[bytes]:
         """Return the answer with a tag."""
-        while not (found := [each for each in self.arrays() if each[0] == b"%d" % tag and each != LAST]):
+        while not (
+            found := [each for each in self.arrays() if each[0] == b"%d" % tag and each != DRAIN_NOTICE]
+        ):
             assert await self.read(), f"ended before {tag} was answered"
         return found[0]
 
-    async def end(self) -> list[list[bytes]]:
-        """Read to the end; return all arrays. Raises ConnectionResetError."""
+    async def read_to_end(self) -> list[list[bytes]]:
+        """Read to the end of the input; return all arrays. Raises ConnectionResetError."""
         while await self.read():
             pass
         return self.arrays()
@@ -98,12 +100,12 @@
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Cancel the deadline only after the last event loop is closed, as that may hang too."""
+        """Cancel the timeout only after the last event loop is closed, as the close may hang too."""
         cls.addClassCleanup(faulthandler.cancel_dump_traceback_later)
 
     async def asyncSetUp(self) -> None:
         # Ends a test whose event loop never yields, or whose tearDown hangs.
-        faulthandler.dump_traceback_later(DEADLINE, exit=True)
+        faulthandler.dump_traceback_later(TEST_TIMEOUT, exit=True)
         self.received_requests, self.disconnected_requests = [], []
         self.reader = RequestReader(
             FakeHost(request_classes=[{}]).limits, ["quote"], [], self.resource_limits
@@ -120,7 +122,7 @@
             each.close()
         await asyncio.wait_for(self.listener.wait_closed(), WAIT)
 
-    # The node, as connections see it.
+    # The methods of `ConnectionOwner`, which the node has otherwise.
 
     def request_received(self, request) -> None:
         self.received_requests.append(request)
@@ -140,40 +142,40 @@
     def retry_after(self) -> int:
         return 250 * MS
 
-    # Steps.
+    # Steps of tests.
 
     def client(self, size: int = 0) -> DispatcherClient:
         self.clients.append(DispatcherClient(self.listener.address, size))
         return self.clients[-1]
 
-    async def until(self, true) -> None:
+    async def wait_until(self, condition) -> None:
         """Run the event loop until a condition is true."""
         end = time.monotonic() + WAIT
-        while not true():
+        while not condition():
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.001)
 
     async def connected_client(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
         before = set(self.listener.connections)
         client = self.client(size)
-        await self.until(lambda: set(self.listener.connections) - before)
+        await self.wait_until(lambda: set(self.listener.connections) - before)
         connection = (set(self.listener.connections) - before).pop()
-        await self.until(connection.stream.reading)
+        await self.wait_until(connection.stream.reading)
         return client, connection
 
     async def client_with_open_request(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
         """Return a client and its connection with one open request."""
         client, connection = await self.connected_client(size)
         client.send(call(1))
-        await self.until(lambda: connection.open_requests)
+        await self.wait_until(lambda: connection.open_requests)
         return client, connection
 
     async def idle_client(self) -> tuple[DispatcherClient, Connection]:
         """Return a client and its connection, idle after an answered request."""
         client, connection = await self.client_with_open_request()
         self.answer()
-        await client.until(1)
-        await self.until(connection.is_idle)
+        await client.answer_to(1)
+        await self.wait_until(connection.is_idle)
         return client, connection
 
     async def client_with_unsent_answers(self) -> tuple[DispatcherClient, Connection]:
@@ -182,7 +184,7 @@
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         for tag in range(1, 31):
             client.send(call(tag))
-        await self.until(lambda: len(self.received_requests) == 30)
+        await self.wait_until(lambda: len(self.received_requests) == 30)
         for _ in range(30):
             self.answer(bytes(4096))
         self.assertTrue(connection.unsent_bytes)
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -13,7 +13,7 @@
 from oakkeel.stream_buffers import BufferPool
 from oakkeel.units import MS, SECOND
 from tests.dispatch.listener_case import (
-    LAST,
+    DRAIN_NOTICE,
     RESOURCE_LIMITS,
     DispatcherClient,
     ListenerTestCase,
@@ -35,69 +35,71 @@
     async def test_does_not_evict_a_connection_with_unread_bytes(self):
         client, first = await self.idle_client()
         other, second = await self.idle_client()
-        client.send(call(2))  # it is idle for longest, but has received this
+        client.send(call(2))  # the connection is idle for longest, but this request is unread
         third = self.client()
-        await self.until(lambda: second.state is ConnectionState.LINGERING)
+        await self.wait_until(lambda: second.state is ConnectionState.LINGERING)
         self.assertIs(first.state, ConnectionState.OPEN)
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(2))[1], b"ok")
+        self.assertEqual((await client.answer_to(2))[1], b"ok")
         third.send(call(3))
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await third.until(3))[1], b"ok")
-        self.assertEqual(len(await other.end()), 1)
+        self.assertEqual((await third.answer_to(3))[1], b"ok")
+        self.assertEqual(len(await other.read_to_end()), 1)
 
     async def test_does_not_evict_a_connection_with_the_rest_of_its_array_unread(self):
-        # The rest of its array is unread.
+        # A connection with an incomplete array may be evicted, but here the rest of the array is unread.
         await self.client_with_open_request()
-        client, half = await self.connected_client()
+        client, incomplete = await self.connected_client()
         client.send(call(2)[:25])
-        await self.until(lambda: half.read_buffer.has_data and half.stream.reading())
-        self.listener.without_requests[half] -= 700 * SECOND
+        await self.wait_until(lambda: incomplete.read_buffer.has_data and incomplete.stream.reading())
+        self.listener.without_requests[incomplete] -= 700 * SECOND
         client.send(call(2)[25:])
         self.assertFalse(self.listener._evict_one("connection_limit"))
         self.received_requests.clear()
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(2))[1], b"ok")
+        self.assertEqual((await client.answer_to(2))[1], b"ok")
 
     async def test_rejects_the_request_that_arrives_with_a_connection_over_the_limit(self):
         # A close with the request unread would reset the connection without an answer.
         await self.client_with_open_request()
         await self.client_with_open_request()
-        late = self.client()
-        late.send(call(3) + call(4))
-        self.assertEqual((await late.until(4))[1:3], [b"full", b"holdoff=250"])
-        self.assertEqual((await late.until(3))[1], b"full")
+        late_client = self.client()
+        late_client.send(call(3) + call(4))
+        self.assertEqual((await late_client.answer_to(4))[1:3], [b"full", b"holdoff=250"])
+        self.assertEqual((await late_client.answer_to(3))[1], b"full")
         self.assertEqual(len(self.received_requests), 2)
 
     async def test_rejects_a_request_shortly_after_the_accept_of_a_connection_over_the_limit(self):
         await self.client_with_open_request()
         await self.client_with_open_request()
-        late = self.client()
-        await self.until(lambda: self.listener.evicted)
+        late_client = self.client()
+        await self.wait_until(lambda: self.listener.evicted)
         connection = next(iter(self.listener.evicted))
-        late.send(call(3))
+        late_client.send(call(3))
         connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
-        self.assertEqual((await late.until(3))[1], b"full")
-        await self.until(connection.is_idle)
+        self.assertEqual((await late_client.answer_to(3))[1], b"full")
+        await self.wait_until(connection.is_idle)
         connection._on_drain_timeout(SECOND)
-        self.assertEqual((await late.end())[-1][:2], [b"3", b"full"])
+        self.assertEqual((await late_client.read_to_end())[-1][:2], [b"3", b"full"])
 
     async def test_a_connection_over_the_limit_gets_its_rejection_and_no_reset(self):
-        # The same happens to the next connection over the limit, and to the rest just before the stop.
+        # Connections are closed like this by later connections over the limit, and just before the stop.
         await self.client_with_open_request()
         await self.client_with_open_request()
-        late = self.client()
-        late.send(call(3))
-        await self.until(lambda: self.listener.evicted)
+        late_client = self.client()
+        late_client.send(call(3))
+        await self.wait_until(lambda: self.listener.evicted)
         connection = next(iter(self.listener.evicted))
-        await self.until(lambda: not connection.unsent_bytes)
-        late.send(call(4))
+        await self.wait_until(lambda: not connection.unsent_bytes)
+        late_client.send(call(4))
         connection.close()
-        self.assertEqual([each[:2] for each in await late.end()], [[b"3", b"full"], LAST])
+        self.assertEqual(
+            [each[:2] for each in await late_client.read_to_end()], [[b"3", b"full"], DRAIN_NOTICE]
+        )
 
     async def test_a_flood_over_the_limit_is_bounded_and_each_of_its_requests_rejected(self):
         client, _ = await self.client_with_open_request()
@@ -107,41 +109,41 @@
             flood.append(self.client())
             flood[-1].send(call(tag))
         for tag, each in enumerate(flood, 10):
-            self.assertEqual((await each.until(tag))[1], b"full")
+            self.assertEqual((await each.answer_to(tag))[1], b"full")
             self.assertLessEqual(len(self.listener.evicted), self.resource_limits.max_evicted_connections)
         self.answer()
         self.answer()
-        self.assertEqual((await client.until(1))[1], b"ok")
-        self.assertEqual((await other.until(1))[1], b"ok")
+        self.assertEqual((await client.answer_to(1))[1], b"ok")
+        self.assertEqual((await other.answer_to(1))[1], b"ok")
 
     async def test_a_thousand_connects_and_resets_leak_nothing(self):
         for _ in range(1000):
             self.client().close(reset=True)
             self.clients.pop()
             await asyncio.sleep(0)
-        await self.until(lambda: not self.listener.connections and not self.listener.evicted)
+        await self.wait_until(lambda: not self.listener.connections and not self.listener.evicted)
         client, _ = await self.client_with_open_request()
         self.answer()
-        self.assertEqual((await client.until(1))[1], b"ok")
+        self.assertEqual((await client.answer_to(1))[1], b"ok")
 
 
 class FailingSocket:
     """A listening socket whose first accepts fail in a given order."""
 
-    def __init__(self, real: socket.socket, *errors: int) -> None:
-        self.real, self.errors, self.asked = real, list(errors), 0
+    def __init__(self, real_socket: socket.socket, *errors: int) -> None:
+        self.real_socket, self.errors, self.accept_count = real_socket, list(errors), 0
 
     def accept(self):
-        self.asked += 1
+        self.accept_count += 1
         if self.errors:
             raise OSError(self.errors.pop(0), "forced")
-        return self.real.accept()
+        return self.real_socket.accept()
 
     def fileno(self) -> int:
-        return self.real.fileno()
+        return self.real_socket.fileno()
 
     def close(self) -> None:
-        self.real.close()
+        self.real_socket.close()
 
 
 class AcceptingTest(ListenerTestCase):
@@ -151,14 +153,14 @@
         waiting[1].send(call(2)[:9])
         await self.listener.close()
         self.listener.drain_connections()
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         waiting[1].send(call(2)[9:])
-        await self.until(lambda: len(self.received_requests) == 2)
+        await self.wait_until(lambda: len(self.received_requests) == 2)
         self.answer()
         self.answer()
-        self.assertEqual((await waiting[0].until(1))[1], b"ok")
-        self.assertEqual((await waiting[1].until(2))[1], b"ok")
-        while LAST not in waiting[2].arrays():
+        self.assertEqual((await waiting[0].answer_to(1))[1], b"ok")
+        self.assertEqual((await waiting[1].answer_to(2))[1], b"ok")
+        while DRAIN_NOTICE not in waiting[2].arrays():
             self.assertTrue(await waiting[2].read())
         self.assertRaises(ConnectionRefusedError, self.client)
 
@@ -168,16 +170,16 @@
         await asyncio.sleep(0)  # the first pass is done
         self.assertLess(len(self.listener.connections), len(waiting))
         self.assertFalse(closing.done())
-        late = self.client()
-        late.send(call(1))
+        late_client = self.client()
+        late_client.send(call(1))
         await asyncio.wait_for(closing, WAIT)
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await late.until(1))[1], b"ok")
+        self.assertEqual((await late_client.answer_to(1))[1], b"ok")
         self.assertEqual(len(self.listener.connections), len(waiting) + 1)
 
     async def test_a_failed_accept_does_not_affect_the_connections_behind_it(self):
-        # It must not end the accepting: the close would reset the rest.
+        # A failed accept must not end the accepting: the close would reset the other connections.
         waiting = [self.client() for _ in range(3)]
         for tag, each in enumerate(waiting, 1):
             each.send(call(tag))
@@ -187,15 +189,15 @@
         asyncio.get_running_loop().add_reader(self.listener.socket, lambda: None)
         self.listener.accepting = True
         await self.listener.close()
-        await self.until(lambda: len(self.received_requests) == 3)
+        await self.wait_until(lambda: len(self.received_requests) == 3)
 
     async def test_a_flood_does_not_keep_the_listener_open(self):
-        # Each connection that is accepted frees a place for the next, as long as they arrive.
+        # Each accepted connection frees a place in the kernel's queue for another connection.
         class Flood(FailingSocket):
             def accept(self):
-                self.asked += 1
-                if self.asked > 3 * MAX_WAITING_CONNECTIONS:
-                    raise AssertionError("accepted for ever")
+                self.accept_count += 1
+                if self.accept_count > 3 * MAX_WAITING_CONNECTIONS:
+                    raise AssertionError("the listener accepts connections without end")
                 ours, theirs = socket.socketpair()
                 theirs.close()
                 return ours, ""
@@ -209,24 +211,26 @@
         self.listener.socket = flood
         asyncio.get_running_loop().add_reader(flood, lambda: None)
         await asyncio.wait_for(self.listener.close(), WAIT)
-        self.assertLessEqual(flood.asked, MAX_WAITING_CONNECTIONS + self.resource_limits.accepts_per_pass)
+        self.assertLessEqual(
+            flood.accept_count, MAX_WAITING_CONNECTIONS + self.resource_limits.accepts_per_pass
+        )
 
     async def test_accepting_pauses_without_a_descriptor_and_resumes(self):
-        # The socket stays readable: the loop must not wake for it again and again.
+        # The socket stays readable: without a pause it would keep the event loop busy.
         loop = asyncio.get_running_loop()
-        real = self.listener.socket
-        loop.remove_reader(real)
-        self.listener.socket = failing = FailingSocket(real, errno.EMFILE)
+        real_socket = self.listener.socket
+        loop.remove_reader(real_socket)
+        self.listener.socket = failing = FailingSocket(real_socket, errno.EMFILE)
         loop.add_reader(failing, self.listener._accept_batch)
         client = self.client()
         client.send(call(1))
-        await self.until(lambda: failing.asked)
+        await self.wait_until(lambda: failing.accept_count)
         for _ in range(20):
             await asyncio.sleep(0)
-        self.assertEqual(failing.asked, 1)
-        await self.until(lambda: self.received_requests)
+        self.assertEqual(failing.accept_count, 1)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(1))[1], b"ok")
+        self.assertEqual((await client.answer_to(1))[1], b"ok")
 
     async def test_a_connection_accepted_after_the_drain_notice_is_served_and_notified_at_the_end(self):
         self.listener.drain_connections()
@@ -235,8 +239,8 @@
         await self.listener.close()
         self.listener.drain_connections()
         self.answer()
-        await client.until(1)
-        self.assertIn(LAST, client.arrays())
+        await client.answer_to(1)
+        self.assertIn(DRAIN_NOTICE, client.arrays())
 
     async def test_refuses_connections_before_it_is_opened(self):
         listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, self, EventLog("test", 0))
@@ -245,14 +249,14 @@
 
 
 class DrainDeadlineTest(ListenerTestCase):
-    """A drain with dispatchers that close nothing; the node has no engine yet, so there is no grace."""
+    """A drain with dispatchers that close no connection; the node has no engine yet, so there is no grace."""
 
     directory_reporter = types.SimpleNamespace(set_accepting=lambda taking: None)
     host = types.SimpleNamespace(is_started=False)
     log = EventLog("test", 0)
 
     async def test_closes_the_remaining_connections_just_before_the_stop(self):
-        # Otherwise the drain waits for them until SIGKILL.
+        # Otherwise the drain would wait for these connections until SIGKILL.
         self.done = asyncio.Event()
         _, idle = await self.idle_client()
         _, unread = await self.client_with_unsent_answers()
@@ -269,7 +273,7 @@
     resource_limits = ConnectionLimitTest.resource_limits
 
     async def test_closes_with_more_waiting_connections_than_buffers(self):
-        # Accepted in one step they would exhaust the buffers and end the drain.
+        # If accepted in one pass, the connections would exhaust the buffers and end the drain.
         waiting = [self.client() for _ in range(2 * self.resource_limits.max_buffers)]
         for tag, each in enumerate(waiting, 1):
             each.send(call(tag))
@@ -278,21 +282,21 @@
         for tag, each in enumerate(
             waiting[self.resource_limits.max_connections :], self.resource_limits.max_connections + 1
         ):
-            self.assertEqual((await each.until(tag))[1], b"full")
-        await self.until(lambda: len(self.received_requests) == self.resource_limits.max_connections)
+            self.assertEqual((await each.answer_to(tag))[1], b"full")
+        await self.wait_until(lambda: len(self.received_requests) == self.resource_limits.max_connections)
 
     async def test_accepting_pauses_without_a_buffer_and_reserves_those_of_the_links(self):
-        # A flood must not take the last one: the link to the engine could not reconnect.
+        # A flood must not take the last buffers: the link to the engine could not reconnect.
         pool = self.listener.pool
-        taken = [
+        leased = [
             pool.lease() for _ in range(self.resource_limits.max_buffers - 2 * self.resource_limits.max_links)
         ]
         client = self.client()
         client.send(call(1))
-        await self.until(lambda: self.listener.resume_timer)
+        await self.wait_until(lambda: self.listener.resume_timer)
         self.assertEqual(pool.available, 2 * self.resource_limits.max_links)
-        for each in taken:
+        for each in leased:
             pool.release(each)
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(1))[1], b"ok")
+        self.assertEqual((await client.answer_to(1))[1], b"ok")
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -1,4 +1,4 @@
-"""The end of a connection: a request that crosses it is served, rejected or provably not run."""
+"""The end of a connection: a request in flight at that time is served, rejected or provably not run."""
 
 import asyncio
 import gc
@@ -8,7 +8,7 @@
 from oakkeel.dispatch.connection_state import ConnectionState
 from oakkeel.units import SECOND
 from tests.dispatch.listener_case import (
-    LAST,
+    DRAIN_NOTICE,
     ListenerTestCase,
     call,
 )
@@ -19,9 +19,9 @@
         client, connection = await self.idle_client()
         client.send(call(2))
         connection.drain()
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(2))[1], b"ok")
+        self.assertEqual((await client.answer_to(2))[1], b"ok")
 
     async def test_a_request_at_the_drain_timeout_is_served_and_delays_the_close(self):
         client, connection = await self.idle_client()
@@ -29,37 +29,37 @@
         client.send(call(2))  # unread in the kernel: a close now would reset the connection
         connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         connection._on_drain_timeout(SECOND)  # the request is open
         self.answer()
         connection._on_drain_timeout(SECOND)  # its answer is in flight
-        self.assertEqual((await client.until(2))[1], b"ok")
-        await self.until(connection.is_idle)
+        self.assertEqual((await client.answer_to(2))[1], b"ok")
+        await self.wait_until(connection.is_idle)
         connection._on_drain_timeout(SECOND)
-        self.assertEqual((await client.end())[-1], [b"2", b"ok", b"", b"result"])
+        self.assertEqual((await client.read_to_end())[-1], [b"2", b"ok", b"", b"result"])
 
     async def test_an_incomplete_request_keeps_the_connection_open(self):
         client, connection = await self.idle_client()
         connection.drain()
         client.send(call(2)[:30])
-        await self.until(lambda: connection.read_buffer.has_data)
+        await self.wait_until(lambda: connection.read_buffer.has_data)
         connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
         client.send(call(2)[30:])
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(2))[1], b"ok")
+        self.assertEqual((await client.answer_to(2))[1], b"ok")
 
     async def test_a_request_that_crosses_the_shutdown_never_runs_and_resets_nothing(self):
         client, connection = await self.client_with_open_request()
         connection.finish()
         self.answer(bytes(3000))
-        await self.until(lambda: connection.state is ConnectionState.LINGERING)
+        await self.wait_until(lambda: connection.state is ConnectionState.LINGERING)
         client.send(call(2))  # written before the dispatcher has read the shutdown
         client.send(call(3)[:20])
         await asyncio.sleep(0)
         connection.close()  # the linger timeout, with bytes unread
-        self.assertEqual([each[:2] for each in await client.end()], [[b"1", b"ok"]])
+        self.assertEqual([each[:2] for each in await client.read_to_end()], [[b"1", b"ok"]])
         self.assertEqual(self.received_requests, [])
 
     async def test_a_lingering_connection_drops_input_until_the_dispatcher_closes(self):
@@ -67,17 +67,17 @@
         connection.finish()
         for tag in range(2, 40):
             client.send(call(tag, 2000))
-        self.assertEqual(len(await client.end()), 1)
+        self.assertEqual(len(await client.read_to_end()), 1)
         client.close()
-        await self.until(lambda: connection.state is ConnectionState.CLOSED)
+        await self.wait_until(lambda: connection.state is ConnectionState.CLOSED)
         self.assertEqual(self.received_requests, [])
 
     async def test_an_idle_connection_is_closed_without_a_reset(self):
         client, connection = await self.idle_client()
         connection.drain()
-        self.assertEqual(await client.until(1) and (await client.read()), True)
+        self.assertEqual(await client.answer_to(1) and (await client.read()), True)
         connection._on_drain_timeout(SECOND)
-        self.assertEqual((await client.end())[1:], [LAST])
+        self.assertEqual((await client.read_to_end())[1:], [DRAIN_NOTICE])
 
     async def test_unsent_answers_keep_the_connection_open(self):
         client, connection = await self.client_with_unsent_answers()
@@ -85,38 +85,38 @@
         connection._on_drain_timeout(SECOND)
         connection.finish()
         self.assertIs(connection.state, ConnectionState.ENDING)
-        found = await client.end()
-        self.assertEqual(sorted(int(each[0]) for each in found if each != LAST), list(range(1, 31)))
-        self.assertTrue(all(len(each[3]) == 4096 for each in found if each != LAST))
+        found = await client.read_to_end()
+        self.assertEqual(sorted(int(each[0]) for each in found if each != DRAIN_NOTICE), list(range(1, 31)))
+        self.assertTrue(all(len(each[3]) == 4096 for each in found if each != DRAIN_NOTICE))
 
     async def test_a_connection_whose_reading_pauses_is_not_idle(self):
         client, connection = await self.idle_client()
         client.send(call(2))
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        await client.until(2)
+        await client.answer_to(2)
         client.send(call(3))  # within the pause between two reads
         connection.drain()
         connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
 
     async def test_a_half_closed_connection_gets_its_answers(self):
         # The end of the input must not close both directions: the answer would be lost.
         client, connection = await self.connected_client()
         client.send(call(1) + call(2))
         client.socket.shutdown(socket.SHUT_WR)
-        await self.until(lambda: len(self.received_requests) == 2)
-        await self.until(lambda: connection.stream.at_eof)
+        await self.wait_until(lambda: len(self.received_requests) == 2)
+        await self.wait_until(lambda: connection.stream.at_eof)
         self.assertEqual(self.disconnected_requests, [])
         self.answer()
         self.answer()
         self.assertEqual(
-            [each for each in await client.end() if each != LAST],
+            [each for each in await client.read_to_end() if each != DRAIN_NOTICE],
             [[b"1", b"ok", b"", b"result"], [b"2", b"ok", b"", b"result"]],
         )
 
-    async def test_bytes_that_arrive_with_the_end_are_read(self):
+    async def test_bytes_that_arrive_with_the_end_of_the_input_are_read(self):
         for size in (0, 1, 100, 2000):
             client, _ = await self.connected_client()
             data = call(7, size)
@@ -124,65 +124,65 @@
             await asyncio.sleep(0.01)
             client.send(data[-1:])
             client.socket.shutdown(socket.SHUT_WR)
-            await self.until(lambda: self.received_requests)
+            await self.wait_until(lambda: self.received_requests)
             self.assertEqual(len(self.received_requests[0].body), size)
             self.answer()
-            self.assertEqual((await client.until(7))[1], b"ok")
+            self.assertEqual((await client.answer_to(7))[1], b"ok")
 
     async def test_drops_the_requests_of_a_dispatcher_that_closes_both_directions(self):
         client, _ = await self.client_with_open_request()
         client.close()
-        await self.until(lambda: self.disconnected_requests)
+        await self.wait_until(lambda: self.disconnected_requests)
         self.assertEqual(self.disconnected_requests, self.received_requests)
 
     async def test_drops_the_requests_of_a_dispatcher_that_resets(self):
         client, _ = await self.client_with_open_request()
         client.close(reset=True)
-        await self.until(lambda: self.disconnected_requests)
+        await self.wait_until(lambda: self.disconnected_requests)
 
     async def test_a_reset_while_lingering_leaves_no_reference_cycle(self):
-        # The traceback of its error refers to the frames, and these to the stream with its buffer.
+        # The traceback of the stream's error refers to frames, and the frames to the stream and its buffer.
         gc.disable()
         self.addCleanup(gc.enable)
         client, connection = await self.idle_client()
         stream = weakref.ref(connection.stream)
         connection.finish()
         client.close(reset=True)
-        await self.until(lambda: stream() is None or connection.state is ConnectionState.CLOSED)
+        await self.wait_until(lambda: stream() is None or connection.state is ConnectionState.CLOSED)
         self.assertIsInstance(stream().error, ConnectionResetError)
         connection = None
-        await self.until(lambda: stream() is None)
+        await self.wait_until(lambda: stream() is None)
 
     async def test_an_answer_after_a_lost_connection_raises_nothing(self):
-        # The reader has not run yet: the answer must not shut down a socket that is gone.
+        # The reader has not run yet: the answer must not shut down a socket that is closed.
         _, connection = await self.client_with_open_request()
         connection.finish()
         connection.stream.close()
         self.answer()
         self.assertEqual(connection.open_requests, {})
-        await self.until(lambda: connection.state is ConnectionState.CLOSED)
+        await self.wait_until(lambda: connection.state is ConnectionState.CLOSED)
 
     async def test_a_timeout_check_of_a_lost_connection_raises_nothing(self):
-        # An error would end the checks: no incomplete array would be overdue any more.
+        # An error would end the timeout checks, and incomplete arrays would have no timeout any more.
         client, connection = await self.connected_client()
         client.send(call(1)[:20])
-        await self.until(lambda: connection.read_buffer.has_data)
+        await self.wait_until(lambda: connection.read_buffer.has_data)
         connection.array_reader.wait_started_at -= 700 * SECOND
         connection.stream.close()
         before = self.listener.sweeper
         self.listener._sweep()
         self.assertIsNot(self.listener.sweeper, before)
         before.cancel()
-        await self.until(lambda: connection.state is ConnectionState.CLOSED)
+        await self.wait_until(lambda: connection.state is ConnectionState.CLOSED)
 
 
-class IdleTrimmingTest(ListenerTestCase):
+class IdleTimeoutTest(ListenerTestCase):
     async def test_an_unread_request_of_an_idle_connection_that_is_drained_is_served(self):
         client, connection = await self.idle_client()
         client.send(call(2))
         self.listener.set_idle_timeout(1)
         self.assertIs(connection.state, ConnectionState.DRAINING)
         connection._on_drain_timeout(SECOND)
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(2))[1], b"ok")
+        self.assertEqual((await client.answer_to(2))[1], b"ok")
--- a/tests/dispatch/test_listener.py
+++ b/tests/dispatch/test_listener.py
@@ -11,9 +11,9 @@
 from tests.support.node_request import LOG, RESOURCE_LIMITS
 
 
-class MakeRoomTest(unittest.TestCase):
+class EvictionTest(unittest.TestCase):
     def test_closes_recent_connections_last(self):
-        # In a flood of silent connections what a dispatcher has just sent is not read yet.
+        # In a flood of silent connections, the bytes that a dispatcher has just sent are not read yet.
         class FakeConnection:
             closed = False
 
@@ -26,10 +26,10 @@
 
         listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
         self.addCleanup(listener.socket.close)
-        old, new, held = FakeConnection(), FakeConnection(), FakeConnection()
+        old, new, idle = FakeConnection(), FakeConnection(), FakeConnection()
         listener.without_requests = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
-        listener.idle = {held: 0}
-        for closed in (old, held, new):
+        listener.idle = {idle: 0}
+        for closed in (old, idle, new):
             self.assertTrue(listener._evict_one("connection_limit"))
             self.assertTrue(closed.closed)
         self.assertFalse(listener._evict_one("connection_limit"))
@@ -42,29 +42,29 @@
             ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
         )
         listener.socket.listen(40)
-        callers = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
+        client_sockets = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
         listener.open()
         await listener.close()
-        self.assertEqual(len(listener.connections), len(callers))
-        for opened in (*listener.connections, *callers):
+        self.assertEqual(len(listener.connections), len(client_sockets))
+        for opened in (*listener.connections, *client_sockets):
             opened.close()
         await listener.wait_closed()
 
     async def test_accepts_a_flood_of_connections_a_few_at_a_time(self):
-        # Accepted in one pass they would stop all reads and answers for 180 ms.
+        # Accepted in one pass, the connections would stop all reads and answers for 180 ms.
         listener = Listener(
             ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
         )
         listener.socket.listen(40)
-        callers = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
+        client_sockets = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
         listener.open()
-        seen = []
-        while len(listener.connections) < len(callers):
+        counts = []
+        while len(listener.connections) < len(client_sockets):
             await asyncio.sleep(0)
-            seen.append(len(listener.connections))
-        steps = [after - before for before, after in zip([0, *seen], seen, strict=False)]
+            counts.append(len(listener.connections))
+        steps = [after - before for before, after in zip([0, *counts], counts, strict=False)]
         self.assertLessEqual(max(steps), RESOURCE_LIMITS.accepts_per_pass)
         await listener.close()
-        for opened in (*listener.connections, *callers):
+        for opened in (*listener.connections, *client_sockets):
             opened.close()
         await listener.wait_closed()
--- a/tests/dispatch/test_parsers.py
+++ b/tests/dispatch/test_parsers.py
@@ -9,18 +9,18 @@
 
 
 def parse_in_pieces(data: bytes, step: int, parse: Callable[[ReadBuffer], Iterable]) -> list:
-    """Return what a parser makes of bytes that arrive in pieces of one size."""
-    read_buffer, found = ReadBuffer(BufferPool(512, 1)), []
-    for at in range(0, len(data), step):
-        piece = data[at : at + step]
+    """Return the messages that a parser reads from bytes that arrive in pieces of one size."""
+    read_buffer, parsed = ReadBuffer(BufferPool(512, 1)), []
+    for position in range(0, len(data), step):
+        piece = data[position : position + step]
         read_buffer.buffer[read_buffer.end : read_buffer.end + len(piece)] = piece
         read_buffer.end += len(piece)
-        found += parse(read_buffer)
-    return found
+        parsed += parse(read_buffer)
+    return parsed
 
 
 def parse_lines(with_body: frozenset) -> Callable[[ReadBuffer], list]:
-    """Return a function that reads lines with one parser, which it makes at the first call."""
+    """Return a function that reads lines with one parser, created at the first call."""
     parsers: list[LineParser] = []
 
     def parse(read_buffer: ReadBuffer) -> list:
@@ -33,15 +33,15 @@
 
 class ParserTest(unittest.TestCase):
     def test_parses_the_same_arrays_from_pieces_of_any_size(self):
-        wanted = [
+        expected = [
             [b"CALL", b"7", b"checkout", b"req=1", b"*1\r\n$\r\n\0"],
             [b"CANCEL", b"7"],
             [b"CHECK", b"8", b""],
         ]
-        data = b"".join(encode(*words) for words in wanted)
+        data = b"".join(encode(*tokens) for tokens in expected)
         for step in (1, 2, 3, 7, len(data)):
             self.assertEqual(
-                parse_in_pieces(data, step, lambda read_buffer: list(parse_arrays(read_buffer, 16))), wanted
+                parse_in_pieces(data, step, lambda read_buffer: list(parse_arrays(read_buffer, 16))), expected
             )
 
     def test_rejects_malformed_arrays(self):
@@ -60,19 +60,19 @@
                 parse_in_pieces(data, len(data), lambda read_buffer: list(parse_arrays(read_buffer, 16)))
 
     def test_parses_the_same_lines_from_pieces_of_any_size(self):
-        wanted = [
+        expected = [
             ([b"HELLO", b"steady", b"12.5"], b""),
             ([b"DONE", b"1", b"9b1f", b"success", b"77.4", b"6"], b"\r\nDONE"),
             ([b"NEED", b"2", b"9b1f", b"0"], b""),
             ([b"9b1f", b"DATA", b"3"], b"a\r\n"),
         ]
         data = b"".join(
-            b" ".join(words) + b"\r\n" + (body + b"\r\n" if at else b"")
-            for at, (words, body) in enumerate(wanted)
+            b" ".join(tokens) + b"\r\n" + (body + b"\r\n" if position else b"")
+            for position, (tokens, body) in enumerate(expected)
         )
         with_body = frozenset({(0, b"DONE"), (0, b"NEED"), (1, b"DATA")})
         for step in (1, 2, 5, len(data)):
-            self.assertEqual(parse_in_pieces(data, step, parse_lines(with_body)), wanted)
+            self.assertEqual(parse_in_pieces(data, step, parse_lines(with_body)), expected)
 
     def test_rejects_malformed_lines(self):
         for data in (
--- a/tests/dispatch/test_progress.py
+++ b/tests/dispatch/test_progress.py
@@ -17,11 +17,11 @@
         self.progress = Progress(stream)
 
     async def test_a_wait_that_is_cancelled_as_progress_is_made_is_cancelled(self):
-        for timeout, turns in itertools.product((0, 60 * SECOND), (0, 1)):
-            with self.subTest(timeout=timeout, turns=turns):
+        for timeout, loop_passes in itertools.product((0, 60 * SECOND), (0, 1)):
+            with self.subTest(timeout=timeout, loop_passes=loop_passes):
                 task = asyncio.ensure_future(followed_by_wait(self.progress.wait(timeout)))
                 await let_run()
-                self.assertTrue(await ends_cancelled(task, self.progress.set, turns))
+                self.assertTrue(await ends_cancelled(task, self.progress.set, loop_passes))
 
     async def test_a_wait_with_a_limit_ends_without_progress(self):
         async with asyncio.timeout(20):
--- a/tests/dispatch/test_violations.py
+++ b/tests/dispatch/test_violations.py
@@ -12,56 +12,56 @@
 
 
 class ViolationTest(ListenerTestCase):
-    async def test_malformed_bytes_lose_no_answer_however_many_follow(self):
+    async def test_malformed_bytes_followed_by_many_more_lose_no_answer(self):
         # A close with the following bytes unread would reset the connection.
         client, connection = await self.client_with_open_request()
         client.send(b"GET / HTTP/1.1\r\n" + b"x" * 60_000)
-        await client.until(0)
+        await client.answer_to(0)
         client.send(b"y" * 60_000)
         self.answer(bytes(4000))
-        self.assertEqual([each[:2] for each in await client.end()], [[b"0", b"fault"], [b"1", b"ok"]])
+        self.assertEqual([each[:2] for each in await client.read_to_end()], [[b"0", b"fault"], [b"1", b"ok"]])
         client.close()
-        await self.until(lambda: connection.state is ConnectionState.CLOSED)
+        await self.wait_until(lambda: connection.state is ConnectionState.CLOSED)
 
     async def test_open_requests_have_no_timeout_on_the_connection(self):
         client, connection = await self.client_with_open_request()
         client.send(b"?")
-        await client.until(0)
+        await client.answer_to(0)
         connection.check_timeouts(time.monotonic_ns() + 9 * SECOND)
         await asyncio.sleep(0.05)
         self.assertEqual(self.disconnected_requests, [])
         self.answer()
-        self.assertEqual((await client.end())[-1][:2], [b"1", b"ok"])
+        self.assertEqual((await client.read_to_end())[-1][:2], [b"1", b"ok"])
 
     async def test_an_overdue_incomplete_array_loses_no_answer(self):
         client, connection = await self.client_with_open_request()
         client.send(call(2)[:25])
-        await self.until(lambda: connection.read_buffer.has_data and connection.stream.reading())
+        await self.wait_until(lambda: connection.read_buffer.has_data and connection.stream.reading())
         connection.check_timeouts(time.monotonic_ns() + 3 * SECOND)
         self.assertIs(connection.state, ConnectionState.ENDING)
-        client.send(call(2)[25:])  # too late: it is dropped, and resets nothing
+        client.send(call(2)[25:])  # too late: these bytes are dropped and do not reset the connection
         self.answer()
-        self.assertEqual([each[:2] for each in await client.end()], [[b"1", b"ok"]])
+        self.assertEqual([each[:2] for each in await client.read_to_end()], [[b"1", b"ok"]])
         self.assertEqual(self.received_requests, [])
 
     async def test_the_unread_rest_of_an_overdue_array_is_read_first(self):
-        # The complete request is in the kernel, and must not be dropped.
+        # The rest of the request is in the kernel, and must not be dropped.
         client, connection = await self.connected_client()
         client.send(call(1)[:25])
-        await self.until(lambda: connection.read_buffer.has_data and connection.stream.reading())
+        await self.wait_until(lambda: connection.read_buffer.has_data and connection.stream.reading())
         client.send(call(1)[25:])
         connection.check_timeouts(
             connection.array_reader.wait_started_at + self.resource_limits.array_timeout + 1
         )
         self.assertIs(connection.state, ConnectionState.OPEN)
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(1))[1], b"ok")
+        self.assertEqual((await client.answer_to(1))[1], b"ok")
 
     async def test_a_connection_that_trickles_is_ended_at_the_second_check(self):
         client, connection = await self.connected_client()
         client.send(call(1)[:25])
-        await self.until(lambda: connection.read_buffer.has_data and connection.stream.reading())
+        await self.wait_until(lambda: connection.read_buffer.has_data and connection.stream.reading())
         for overdue, state in (
             (1, ConnectionState.OPEN),
             (self.resource_limits.sweep_interval, ConnectionState.LINGERING),
@@ -76,11 +76,11 @@
         client, connection = await self.connected_client()
         client.send(call(1))
         connection.check_timeouts(time.monotonic_ns() + 3 * SECOND)
-        await self.until(lambda: self.received_requests)
+        await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.until(1))[1], b"ok")
+        self.assertEqual((await client.answer_to(1))[1], b"ok")
 
     async def test_a_connection_that_reads_nothing_is_closed(self):
         _, connection = await self.client_with_unsent_answers()
         connection.check_timeouts(time.monotonic_ns() + 11 * SECOND)
-        await self.until(lambda: connection.state is ConnectionState.CLOSED)
+        await self.wait_until(lambda: connection.state is ConnectionState.CLOSED)
