--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -6,5 +6,5 @@
 from tests.known_red import run
 
 if __name__ == "__main__":
-    here = Path(__file__).resolve().parent
-    sys.exit(run(here, here.parent))
+    folder = Path(__file__).resolve().parent
+    sys.exit(run(folder, folder.parent))
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -66,20 +66,20 @@
 
     def arrays(self) -> list[list[bytes]]:
         """Return the complete arrays that were received."""
-        found, lines = [], self.received.split(b"\r\n")
+        arrays, lines = [], self.received.split(b"\r\n")
         while lines and lines[0].startswith(b"*"):
             count = int(lines.pop(0)[1:])
-            found.append(lines[1 : 2 * count : 2])
+            arrays.append(lines[1 : 2 * count : 2])
             del lines[: 2 * count]
-        return found
+        return arrays
 
     async def answer_to(self, tag: int) -> list[bytes]:
         """Return the answer with a tag."""
         while not (
-            found := [each for each in self.arrays() if each[0] == b"%d" % tag and each != DRAIN_NOTICE]
+            answers := [array for array in self.arrays() if array[0] == b"%d" % tag and array != DRAIN_NOTICE]
         ):
             assert await self.read(), f"ended before {tag} was answered"
-        return found[0]
+        return answers[0]
 
     async def read_to_end(self) -> list[list[bytes]]:
         """Read to the end of the input; return all arrays. Raises ConnectionResetError."""
@@ -118,8 +118,8 @@
     async def asyncTearDown(self) -> None:
         await self.listener.close()
         self.listener.close_connections()
-        for each in self.clients:
-            each.close()
+        for client in self.clients:
+            client.close()
         await asyncio.wait_for(self.listener.wait_closed(), WAIT)
 
     # The methods of `ConnectionOwner`, which the node has otherwise.
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -98,7 +98,7 @@
         late_client.send(call(4))
         connection.close()
         self.assertEqual(
-            [each[:2] for each in await late_client.read_to_end()], [[b"3", b"full"], DRAIN_NOTICE]
+            [array[:2] for array in await late_client.read_to_end()], [[b"3", b"full"], DRAIN_NOTICE]
         )
 
     async def test_a_flood_over_the_limit_is_bounded_and_each_of_its_requests_rejected(self):
@@ -108,8 +108,8 @@
         for tag in range(10, 70):
             flood.append(self.client())
             flood[-1].send(call(tag))
-        for tag, each in enumerate(flood, 10):
-            self.assertEqual((await each.answer_to(tag))[1], b"full")
+        for tag, flood_client in enumerate(flood, 10):
+            self.assertEqual((await flood_client.answer_to(tag))[1], b"full")
             self.assertLessEqual(len(self.listener.evicted), self.resource_limits.max_evicted_connections)
         self.answer()
         self.answer()
@@ -181,8 +181,8 @@
     async def test_a_failed_accept_does_not_affect_the_connections_behind_it(self):
         # A failed accept must not end the accepting: the close would reset the other connections.
         waiting = [self.client() for _ in range(3)]
-        for tag, each in enumerate(waiting, 1):
-            each.send(call(tag))
+        for tag, client in enumerate(waiting, 1):
+            client.send(call(tag))
         asyncio.get_running_loop().remove_reader(self.listener.socket)
         self.listener.socket = FailingSocket(self.listener.socket, errno.ECONNABORTED, errno.ECONNABORTED)
         self.listener.accepting = False
@@ -275,14 +275,14 @@
     async def test_closes_with_more_waiting_connections_than_buffers(self):
         # If accepted in one pass, the connections would exhaust the buffers and end the drain.
         waiting = [self.client() for _ in range(2 * self.resource_limits.max_buffers)]
-        for tag, each in enumerate(waiting, 1):
-            each.send(call(tag))
+        for tag, client in enumerate(waiting, 1):
+            client.send(call(tag))
         await asyncio.wait_for(self.listener.close(), WAIT)
         self.assertRaises(ConnectionRefusedError, self.client)
-        for tag, each in enumerate(
+        for tag, client in enumerate(
             waiting[self.resource_limits.max_connections :], self.resource_limits.max_connections + 1
         ):
-            self.assertEqual((await each.answer_to(tag))[1], b"full")
+            self.assertEqual((await client.answer_to(tag))[1], b"full")
         await self.wait_until(lambda: len(self.received_requests) == self.resource_limits.max_connections)
 
     async def test_accepting_pauses_without_a_buffer_and_reserves_those_of_the_links(self):
@@ -295,8 +295,8 @@
         client.send(call(1))
         await self.wait_until(lambda: self.listener.resume_timer)
         self.assertEqual(pool.available, 2 * self.resource_limits.max_links)
-        for each in leased:
-            pool.release(each)
+        for buffer in leased:
+            pool.release(buffer)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
         self.assertEqual((await client.answer_to(1))[1], b"ok")
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -59,7 +59,7 @@
         client.send(call(3)[:20])
         await asyncio.sleep(0)
         connection.close()  # the linger timeout, with bytes unread
-        self.assertEqual([each[:2] for each in await client.read_to_end()], [[b"1", b"ok"]])
+        self.assertEqual([array[:2] for array in await client.read_to_end()], [[b"1", b"ok"]])
         self.assertEqual(self.received_requests, [])
 
     async def test_a_lingering_connection_drops_input_until_the_dispatcher_closes(self):
@@ -85,9 +85,11 @@
         connection._on_drain_timeout(SECOND)
         connection.finish()
         self.assertIs(connection.state, ConnectionState.ENDING)
-        found = await client.read_to_end()
-        self.assertEqual(sorted(int(each[0]) for each in found if each != DRAIN_NOTICE), list(range(1, 31)))
-        self.assertTrue(all(len(each[3]) == 4096 for each in found if each != DRAIN_NOTICE))
+        answers = await client.read_to_end()
+        self.assertEqual(
+            sorted(int(array[0]) for array in answers if array != DRAIN_NOTICE), list(range(1, 31))
+        )
+        self.assertTrue(all(len(array[3]) == 4096 for array in answers if array != DRAIN_NOTICE))
 
     async def test_a_connection_whose_reading_pauses_is_not_idle(self):
         client, connection = await self.idle_client()
@@ -112,7 +114,7 @@
         self.answer()
         self.answer()
         self.assertEqual(
-            [each for each in await client.read_to_end() if each != DRAIN_NOTICE],
+            [array for array in await client.read_to_end() if array != DRAIN_NOTICE],
             [[b"1", b"ok", b"", b"result"], [b"2", b"ok", b"", b"result"]],
         )
 
--- a/tests/dispatch/test_violations.py
+++ b/tests/dispatch/test_violations.py
@@ -19,7 +19,9 @@
         await client.answer_to(0)
         client.send(b"y" * 60_000)
         self.answer(bytes(4000))
-        self.assertEqual([each[:2] for each in await client.read_to_end()], [[b"0", b"fault"], [b"1", b"ok"]])
+        self.assertEqual(
+            [array[:2] for array in await client.read_to_end()], [[b"0", b"fault"], [b"1", b"ok"]]
+        )
         client.close()
         await self.wait_until(lambda: connection.state is ConnectionState.CLOSED)
 
@@ -41,7 +43,7 @@
         self.assertIs(connection.state, ConnectionState.ENDING)
         client.send(call(2)[25:])  # too late: these bytes are dropped and do not reset the connection
         self.answer()
-        self.assertEqual([each[:2] for each in await client.read_to_end()], [[b"1", b"ok"]])
+        self.assertEqual([array[:2] for array in await client.read_to_end()], [[b"1", b"ok"]])
         self.assertEqual(self.received_requests, [])
 
     async def test_the_unread_rest_of_an_overdue_array_is_read_first(self):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""Runs all tests and passes over the ones that `KNOWN-RED.txt` lists as failing for an open fault.
+"""Runs all tests, and tolerates failures of the tests that `KNOWN-RED.txt` lists with an open fault.
 
-Each line of `KNOWN-RED.txt` is one test: its name as unittest prints it, the command with its seed that shows
-the failure, what was seen, and the number of the open issue, separated by ` | `. A listed test runs like the
-others, is expected to fail, and is printed. The run fails if a listed test passes, if a line lacks a field or
-if it names no test.
+Each line of `KNOWN-RED.txt` describes one test: its name as unittest prints it, the command with the seed
+that shows the failure, the observed failure, and the number of the open issue, separated by ` | `. A listed
+test is run, expected to fail, and printed. The run fails if a listed test passes, or if a line lacks a field
+or names a test that does not exist.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test that is known to fail for a fault that an open issue describes."""
+    """A test that is known to fail because of a fault with an open issue."""
 
     test: str
     command: str
@@ -33,7 +33,7 @@
 
 
 def read(path: Path) -> list[KnownRed]:
-    """Return the entries of a file, none if there is no file. Raises KnownRedError."""
+    """Return the entries of a file, or no entries without a file. Raises KnownRedError."""
     if not path.exists():
         return []
     lines = path.read_text(encoding="utf-8").splitlines()
@@ -61,14 +61,14 @@
 
 
 def _tests_of(suite: unittest.TestSuite) -> dict[str, unittest.TestCase]:
-    """Return the tests of a suite and of the suites in it, by name."""
-    found: dict[str, unittest.TestCase] = {}
-    for each in suite:
-        if isinstance(each, unittest.TestSuite):
-            found.update(_tests_of(each))
+    """Return the tests of a suite and of its nested suites, by name."""
+    tests: dict[str, unittest.TestCase] = {}
+    for item in suite:
+        if isinstance(item, unittest.TestSuite):
+            tests.update(_tests_of(item))
         else:
-            found[each.id()] = each
-    return found
+            tests[item.id()] = item
+    return tests
 
 
 def _expect_failures(tests: dict[str, unittest.TestCase], entries: list[KnownRed]) -> None:
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -1,4 +1,4 @@
-"""The page of decisions names files, functions and constants that exist."""
+"""The files, functions and constants that the page of decisions names exist."""
 
 import ast
 import re
@@ -33,8 +33,8 @@
         ]
 
 
-def rules_of(text: str) -> list[Rule]:
-    """Return the rows of all tables, without their heads."""
+def parse_rules(text: str) -> list[Rule]:
+    """Return the rows of all tables, without their header rows."""
     rows = []
     for line in text.splitlines():
         if line.startswith("| ") and not line.startswith(("| ---", "| rule")):
@@ -45,7 +45,7 @@
     return rows
 
 
-def functions_in(path: Path) -> set[str]:
+def read_functions(path: Path) -> set[str]:
     """Return the functions of a module by name, methods also as `Class.method`."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -60,7 +60,7 @@
     return found
 
 
-def names_defined() -> set[str]:
+def defined_names() -> set[str]:
     """Return the constants, fields, properties and classes that oakkeel defines."""
     found = set()
     for path in (ROOT / "oakkeel").rglob("*.py"):
@@ -76,9 +76,9 @@
 
 class DecisionsPageTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.rules = rules_of(PAGE.read_text(encoding="utf-8"))
+        self.rules = parse_rules(PAGE.read_text(encoding="utf-8"))
 
-    def test_lists_rules_with_a_reason_and_by_what_they_are_seen(self):
+    def test_each_rule_has_inputs_a_reason_and_a_way_to_observe_it(self):
         self.assertGreaterEqual(len(self.rules), MIN_RULES)
         for rule in self.rules:
             self.assertTrue(rule.inputs and rule.reason and rule.seen_by, rule.name)
@@ -88,10 +88,10 @@
             with self.subTest(rule.name):
                 self.assertTrue(rule.locations(), rule.where)
                 for path, function in rule.locations():
-                    self.assertIn(function, functions_in(ROOT / "oakkeel" / path), path)
+                    self.assertIn(function, read_functions(ROOT / "oakkeel" / path), path)
 
     def test_each_constant_exists(self):
-        defined = names_defined()
+        defined = defined_names()
         for rule in self.rules:
             for name in re.findall(r"`(\w+)`", rule.constants):
                 with self.subTest(rule.name):
@@ -99,9 +99,9 @@
 
     def test_notices_a_function_that_does_not_exist(self):
         row = "| a | `raft/elections.py`: `decide_nothing` | b | c | d | e |"
-        [rule] = rules_of(row)
+        [rule] = parse_rules(row)
         [(path, function)] = rule.locations()
-        self.assertNotIn(function, functions_in(ROOT / "oakkeel" / path))
+        self.assertNotIn(function, read_functions(ROOT / "oakkeel" / path))
 
 
 if __name__ == "__main__":
--- a/tests/test_deploy_lists.py
+++ b/tests/test_deploy_lists.py
@@ -1,4 +1,4 @@
-"""The files that the deploy file lists are those that a node loads."""
+"""The deploy file lists every file that a node loads."""
 
 import subprocess
 import sys
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,7 @@
-"""Imports between the modules of oakkeel go down only; `tests/control` holds the sides of a node apart."""
+"""Imports between the modules of oakkeel go from higher to lower layers only.
+
+`tests/control` checks that the sides of a node do not import each other.
+"""
 
 import ast
 import unittest
@@ -7,7 +10,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 NODE_SIDES = ("dispatch", "engine", "catalogue", "directory", "control")
-# Packages of the control plane from the bottom up: none imports one that stands after it.
+# Packages of the control plane from the bottom up: none imports a package that follows it in this list.
 CONTROL_PLANE_LAYERS = ("raft", "disruption", "rollout", "agent", "fleet", "rendering", "cli")
 
 
@@ -18,25 +21,25 @@
 
 
 def imports_by_module() -> dict[str, set[str]]:
-    """Return what each module of oakkeel imports from oakkeel, also for type checking only."""
+    """Return the modules of oakkeel that each module imports, also those for type checking only."""
     trees = {
         module_name(path): ast.parse(path.read_text(encoding="utf-8"))
         for path in (ROOT / "oakkeel").rglob("*.py")
     }
-    found: dict[str, set[str]] = {name: set() for name in trees}
+    imports: dict[str, set[str]] = {name: set() for name in trees}
     for name, tree in trees.items():
         for node in ast.walk(tree):
             if isinstance(node, ast.ImportFrom) and node.module and node.module.split(".")[0] == "oakkeel":
                 for alias in node.names:
                     submodule = f"{node.module}.{alias.name}"
-                    found[name].add(submodule if submodule in trees else node.module)
+                    imports[name].add(submodule if submodule in trees else node.module)
             elif isinstance(node, ast.Import):
-                found[name].update(alias.name for alias in node.names if alias.name in trees)
-    return found
+                imports[name].update(alias.name for alias in node.names if alias.name in trees)
+    return imports
 
 
 def package_of(module: str) -> str:
-    """Return the package below oakkeel that a module is in, or its own name."""
+    """Return the name of the module's package below oakkeel, or of a module at the top of oakkeel."""
     return module.split(".")[1] if "." in module else ""
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The run of all tests passes over the ones that are known to fail, prints them, and nothing else."""
+"""The run of all tests tolerates and prints the tests that are known to fail, and no others."""
 
 import os
 import subprocess
@@ -26,27 +26,27 @@
 
 class KnownRedTest(unittest.TestCase):
     def run_tests(self, *lines: str, source: str = SOURCE) -> tuple[int, str]:
-        """Run three tests, one of them good, with these lines in the list; return exit code and output."""
+        """Run the tests of `source` with these lines in the list; return the exit code and the output."""
         with tempfile.TemporaryDirectory() as folder:
-            some = Path(folder, "some")
-            some.mkdir()
-            (some / "__init__.py").touch()
-            (some / "test_some.py").write_text(textwrap.dedent(source))
+            package = Path(folder, "some")
+            package.mkdir()
+            (package / "__init__.py").touch()
+            (package / "test_some.py").write_text(textwrap.dedent(source))
             if lines:
                 Path(folder, "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
             run = (
                 f"from pathlib import Path; from tests.known_red import run; "
-                f"raise SystemExit(run(Path({str(some)!r}), Path({folder!r})))"
+                f"raise SystemExit(run(Path({str(package)!r}), Path({folder!r})))"
             )
             root = str(Path(__file__).resolve().parent.parent)
-            done = subprocess.run(
+            process = subprocess.run(
                 [sys.executable, "-c", run],
                 capture_output=True,
                 text=True,
                 timeout=60,
                 env={**os.environ, "PYTHONPATH": root},
             )
-            return done.returncode, done.stdout + done.stderr
+            return process.returncode, process.stdout + process.stderr
 
     def test_counts_each_failure_without_a_list(self):
         code, output = self.run_tests()
