--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -26,7 +26,7 @@
     b"NOUSE": Outcome.NEVER_STARTED,
 }
 REPLY_TOKENS = 2  # request ID and verb
-DATA_REPLY_TOKENS = 3  # and the length of the body
+DATA_REPLY_TOKENS = 3  # request ID, verb and length of the body
 MAX_LOGGED_LINE_BYTES = 60
 
 
@@ -55,7 +55,7 @@
 
     def give_up(self, outcome: Outcome | None = Outcome.TIMED_OUT) -> None:
         """End the call without a reply; its link may be broken and takes no further call."""
-        if self.link.unsent.pop(self.request.request_id, None) is None:
+        if self.link.unsent_lines.pop(self.request.request_id, None) is None:
             self.link.retired = True
             self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
@@ -75,12 +75,12 @@
         self.log = log
         self.calls: dict[bytes, Call] = {}
         self.connected = False
-        self.retired = False  # takes no more calls, and closes after its last
+        self.retired = False  # takes no more calls, and closes after its last call
         self.unmatched_replies = 0  # replies without a call
         self.last_used = time.monotonic_ns()
         self.stream = IOStream(socket.socket(), max_write_buffer_size=resource_limits.max_write_backlog)
         self.read_buffer = ReadBuffer(pool)
-        self.unsent: dict[bytes, bytes] = {}  # calls made before the connection is open, by request ID
+        self.unsent_lines: dict[bytes, bytes] = {}  # calls made before the connection is open, by request ID
         self.reply_timer: asyncio.TimerHandle | None = None  # closes the link if a reply stays incomplete
         self.task = asyncio.ensure_future(self._serve())
 
@@ -88,9 +88,9 @@
         try:
             await connect(self.stream, self.address)
             self.connected = True
-            for line in self.unsent.values():
+            for line in self.unsent_lines.values():
                 self.write(line)
-            self.unsent.clear()
+            self.unsent_lines.clear()
             parser = LineParser(self.read_buffer, WITH_BODY, self.resource_limits.max_tokens)
             while True:
                 await self.read_buffer.fill(self.stream)
@@ -143,7 +143,7 @@
         if self.connected:
             self.write(line)
         else:
-            self.unsent[request_id] = line
+            self.unsent_lines[request_id] = line
 
     def write(self, line: bytes) -> None:
         """Write one line, if the stream is still open."""
--- a/oakkeel/dispatch/answer_writer.py
+++ b/oakkeel/dispatch/answer_writer.py
@@ -16,27 +16,27 @@
     does not read.
     """
 
-    __slots__ = ("_backlog", "_on_written", "_sending", "_stream", "has_written", "write_started_at")
+    __slots__ = ("_backlog", "_on_written", "_sending_bytes", "_stream", "has_written", "write_started_at")
 
     def __init__(self, stream: HalfClosingStream, on_written: Callable[[], None]) -> None:
         """`on_written` is called after each finished write."""
         self._stream = stream
         self._on_written = on_written
         self._backlog = bytearray()  # answers to send
-        self._sending = 0  # bytes of the write in progress
+        self._sending_bytes = 0  # bytes of the write in progress
         self.has_written = False  # at least one answer was passed to `write`
         self.write_started_at = 0  # monotonic nanoseconds; 0: no write is in progress
 
     @property
     def unsent_bytes(self) -> int:
-        """The bytes of answers that the kernel has not taken yet."""
-        return self._sending + len(self._backlog)
+        """The number of bytes of answers that the kernel has not taken yet."""
+        return self._sending_bytes + len(self._backlog)
 
     def write(self, data: bytes) -> None:
         """Send at once, or after the write in progress."""
         self.has_written = True
         self._backlog += data
-        if not self._sending:
+        if not self._sending_bytes:
             self._send_backlog()
 
     def detach(self) -> None:
@@ -47,12 +47,12 @@
         data = bytes(self._backlog)
         self._backlog.clear()
         if written := send(self._stream, data):
-            self._sending = len(data)
+            self._sending_bytes = len(data)
             self.write_started_at = time.monotonic_ns()
             written.add_done_callback(self._on_write_done)
 
     def _on_write_done(self, _: asyncio.Future[None]) -> None:
-        self._sending = self.write_started_at = 0
+        self._sending_bytes = self.write_started_at = 0
         if self._backlog:
             self._send_backlog()
         self._on_written()
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -107,7 +107,7 @@
         final: bool = False,
         retry_after: int = 0,
     ) -> None:
-        """Write the one answer of a request; `retry_after` in nanoseconds."""
+        """Write the only answer of a request; `retry_after` is in nanoseconds."""
         self._write(
             codec.encode_answer(request.tag, status, self._owner.load_report(), body, final, retry_after)
         )
@@ -143,7 +143,7 @@
             )
         try:
             request = reader.read(tag, tokens, self._channel)
-            if owner.has_request(request.request_id):  # a reused ID must not affect it
+            if owner.has_request(request.request_id):  # a reused ID must not affect the open request
                 raise codec.MalformedRequestError("the id of an open request", request.request_id)
         except codec.MalformedRequestError as error:
             self._reject_malformed(tag, str(error), error.request_id)
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -85,7 +85,7 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """The bytes of answers that are not sent yet."""
+        """The number of bytes of answers that are not sent yet."""
         return self._writer.unsent_bytes
 
     def answer(
@@ -96,7 +96,7 @@
         final: bool = False,
         retry_after: int = 0,
     ) -> None:
-        """Write the one answer of a request; `retry_after` in nanoseconds."""
+        """Write the only answer of a request; `retry_after` is in nanoseconds."""
         self._commands.answer(request, status, body, final, retry_after)
 
     def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -17,7 +17,7 @@
 from oakkeel.stream_buffers import BufferPool, HalfClosingStream
 from oakkeel.units import SECOND
 
-MAX_WAITING_CONNECTIONS = 1024  # for an accept, in the kernel
+MAX_WAITING_CONNECTIONS = 1024  # in the accept queue of the kernel
 # Reasons of `descriptors_exhausted`.
 CONNECTION_LIMIT = "connection_limit"
 NO_DESCRIPTOR = "no_descriptor"
@@ -43,7 +43,7 @@
     for connection in (*silent, *idle, *in_grace):
         if connection.is_idle():
             return connection
-    with_incomplete_array = silent  # these are not idle because of the part of an array that they sent
+    with_incomplete_array = silent  # they are not idle, as they sent a part of an array
     for connection in with_incomplete_array:
         if not (connection.open_requests or connection.unsent_bytes or has_incoming(connection.stream)):
             return connection
@@ -71,13 +71,13 @@
         # Monotonic times of the last activity of connections without a request yet, the oldest first.
         self.without_requests: dict[Connection, int] = {}
         self.evicted: dict[Connection, None] = {}  # closing, as they are over the limit; the oldest first
-        self.idle: dict[Connection, int] = {}  # since when no request is open, the oldest first
+        self.idle: dict[Connection, int] = {}  # time since which no request is open, the oldest first
         self.idle_timeout = 0  # nanoseconds; 0: idle connections stay
         self.idle_timer: asyncio.TimerHandle | None = None
         self.sweeper: asyncio.TimerHandle | None = None
         self.connection_closed = asyncio.Event()
         self.accepting = False
-        self.resume_timer: asyncio.TimerHandle | None = None  # accepts again after no descriptor was left
+        self.resume_timer: asyncio.TimerHandle | None = None  # resumes accepting after a pause
         self.socket = _bind(address)
         self.address: tuple[str, int] = self.socket.getsockname()
 
--- a/oakkeel/dispatch/socket_state.py
+++ b/oakkeel/dispatch/socket_state.py
@@ -8,7 +8,7 @@
 
 from oakkeel.stream_buffers import HalfClosingStream, is_readable
 
-MAX_DISCARD_READS = 16  # a peer that keeps sending must not keep the event loop
+MAX_DISCARD_READS = 16  # a peer that keeps sending must not block the event loop
 DISCARD_READ_BYTES = 4096
 
 
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -68,7 +68,7 @@
         self.reattach_at = 0
         self.handover_tag = b""  # of the gauges that end the connection to the earlier address
         self.stream: IOStream | None = None
-        self.connecting: IOStream | None = None  # the same stream, also before it is connected
+        self.connecting: IOStream | None = None  # the stream in use, also while it connects
         self.hello_timer: asyncio.TimerHandle | None = None  # closes a connection without a greeting
         self.open = False  # attached, and all missed notices are read
         self.losses = 0
@@ -285,7 +285,7 @@
 
     def _reattach(self) -> None:
         """Open the link and resend the lost commands, after all missed notices were read."""
-        self.gauge_requests.clear()  # a waiter for lost gauges has its own timeout
+        self.gauge_requests.clear()  # the callers that wait for lost gauges have a timeout
         commands = self.unconfirmed.prepare_resend()
         self.open = True
         for command in commands:
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -48,7 +48,7 @@
         self.line_count = 0
         self.dropped = 0
         self.left_out = 0
-        self.written_lines: set[str] = set()  # this second's: a flood of one line must not hide other lines
+        self.written_lines: set[str] = set()  # in this second; a flood of one line must not hide others
 
     def admits(self, event: str, fields: Event) -> bool:
         """Return whether to write a line; `left_out` is the number of lines dropped before it."""
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -23,14 +23,14 @@
         final: bool = False,
         retry_after: int = 0,
     ) -> None:
-        """Write the answer of the request, of which there is one; `retry_after` is in nanoseconds."""
+        """Write the only answer of the request; `retry_after` is in nanoseconds."""
 
     def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
         """Log a malformed request, with its ID if known, and count it against the connection."""
 
 
 class DownstreamCall(Protocol):
-    """A call to the catalogue in flight."""
+    """A downstream call in flight."""
 
     sent_at: int  # nanoseconds of the monotonic clock
 
--- a/oakkeel/resource_limits.py
+++ b/oakkeel/resource_limits.py
@@ -6,7 +6,7 @@
 
 from oakkeel.units import MS, SECOND
 
-MAX_ENGINE_LINKS = 2  # one may be closing while its successor opens
+MAX_ENGINE_LINKS = 2  # a link may be closing while its successor opens
 BUFFERS_PER_STREAM = 2  # a connection or a link may be closing while its successor opens
 
 
@@ -14,7 +14,7 @@
 class ResourceLimits:
     """Sizes, counts and times of the network code: times in nanoseconds, sizes in bytes.
 
-    None of these decides whether a request is admitted: the admission controller does.
+    These limits do not decide whether a request is admitted: the admission controller does.
     """
 
     # Given at the start.
@@ -41,7 +41,7 @@
     new_connection_grace: int = 50 * MS  # from the accept; received bytes may not be read yet
     sweep_interval: int = 250 * MS  # between the checks of timeouts
     array_timeout: int = 2 * SECOND  # from the accept to the first array, from an array's start to its end
-    half_closed_poll: int = 20 * MS  # between checks whether a half-closed connection is closed both ways
+    half_closed_poll: int = 20 * MS  # between checks whether a half-closed connection is fully closed
     linger_timeout: int = SECOND  # from the shutdown of our side of a connection to its close
     max_evicted_connections: int = 16  # connections over the limit that are closing
     accept_retry_delay: int = 50 * MS  # after an accept without a free descriptor or buffer
@@ -52,7 +52,7 @@
 
     # The engine.
     engine_retry_delay: int = 50 * MS  # from one connection attempt to the next
-    engine_loss_window: int = 150 * MS  # commands written less than this before a loss may be lost
+    engine_loss_window: int = 150 * MS  # before a loss of the link: commands written in it may be lost
     engine_timeout: int = 2 * SECOND  # for a greeting or an answer with gauges; then the link reconnects
     engine_restart_margin: int = SECOND  # minimum shift of the start time that proves a restart
     engine_handover_timeout: int = 200 * MS  # for the earlier engine to confirm that it has read all commands
