--- a/tests/catalogue/test_links.py
+++ b/tests/catalogue/test_links.py
@@ -74,7 +74,7 @@
         finished = await finished_call(request)
         self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"new"))
 
-    async def test_maps_each_reply_to_the_outcome_that_it_proves(self):
+    async def test_maps_each_reply_to_its_outcome(self):
         for verb, outcome in (
             (b"LATER", Outcome.REJECTED),
             (b"FAULT", Outcome.ERROR),
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -122,7 +122,7 @@
             client.close()
         await asyncio.wait_for(self.listener.wait_closed(), WAIT)
 
-    # The methods of `ConnectionOwner`, which the node has otherwise.
+    # The methods of `ConnectionOwner`, in place of a node.
 
     def request_received(self, request) -> None:
         self.received_requests.append(request)
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -285,7 +285,7 @@
             self.assertEqual((await client.answer_to(tag))[1], b"full")
         await self.wait_until(lambda: len(self.received_requests) == self.resource_limits.max_connections)
 
-    async def test_accepting_pauses_without_a_buffer_and_reserves_those_of_the_links(self):
+    async def test_accepting_pauses_without_a_buffer_and_reserves_the_buffers_of_the_links(self):
         # A flood must not take the last buffers: the link to the engine could not reconnect.
         pool = self.listener.pool
         leased = [
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -50,7 +50,7 @@
         self.answer()
         self.assertEqual((await client.answer_to(2))[1], b"ok")
 
-    async def test_a_request_that_crosses_the_shutdown_never_runs_and_resets_nothing(self):
+    async def test_a_request_in_flight_during_the_shutdown_never_runs_and_causes_no_reset(self):
         client, connection = await self.client_with_open_request()
         connection.finish()
         self.answer(bytes(3000))
