--- a/oakkeel/admission/arrival_decision.py
+++ b/oakkeel/admission/arrival_decision.py
@@ -19,11 +19,11 @@
     """Why a request is rejected on arrival."""
 
     DEADLINE = auto()  # its deadline has passed
-    MEMORY = auto()
+    MEMORY = auto()  # it would exceed the memory limit
     DRAIN = auto()  # it arrived after the grace period of a drain
     SHARE = auto()  # its flow has used its fair share
     STAGE = auto()  # the overload stage is REJECT
-    FIT = auto()  # it can't complete in time after its wait in the queue
+    FIT = auto()  # it can't end in time after its wait in the queue
     RANK = auto()  # its rank is below the shedding threshold
 
 
@@ -83,10 +83,10 @@
         return can_end_in_time(now, request, service_time)
 
     def _decide_by_share(self, now: int, request: Request, stage: Stage, depth: float) -> Decision:
-        """Decide on a reservation as in NORMAL; reject an exceeded share unless the node is idle."""
+        """Admit a request with a reservation as at NORMAL; reject an exceeded share while a request runs."""
         if request.share_status is ShareStatus.RESERVED:
             return self._decide_by_rank(now, request, Stage.NORMAL, depth)
-        if self.node.occupancy.holding_run_slot():
+        if self.node.occupancy.run_slots_in_use():
             return RejectionDecision(Rejection.FINAL, RejectionReason.SHARE)
         return self._decide_by_rank(now, request, stage, depth)
 
--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -1,4 +1,4 @@
-"""The sequence of a downstream call: it waits, is placed, and is retried, skipped or failed."""
+"""Places the downstream calls of requests, and retries or skips a failed call or fails its request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         """Start with no waiting request."""
         self.node = node
         self.request_ends = request_ends
-        self.waiting_requests: deque[Request] = deque()  # their calls can't be placed yet
+        self.waiting_requests: deque[Request] = deque()  # requests whose calls can't be placed yet
 
     def call_needed(self, now: int, request: Request) -> None:
         """Place the downstream call that a run needs before it can continue."""
@@ -53,7 +53,7 @@
         elif step is FailedCallStep.SKIP:
             self._skip(now, request)
         else:
-            self.request_ends.end_unanswered(now, request)
+            self.request_ends.end_without_result(now, request)
 
     def place_waiting(self, now: int) -> None:
         """Place the waiting calls that the breaker and the quota now allow."""
@@ -84,7 +84,7 @@
             return True
         node = self.node
         service_time = node.ranking.service_time(request)
-        call_end = node.downstream_calls.reserve(now, request, node.occupancy.calling(), service_time)
+        call_end = node.downstream_calls.reserve(now, request, node.occupancy.calls_in_flight(), service_time)
         if call_end is None:
             return False
         node.host.call(request, call_end)
--- a/oakkeel/admission/circuit_breaker.py
+++ b/oakkeel/admission/circuit_breaker.py
@@ -9,7 +9,7 @@
 
 
 class CircuitBreaker:
-    """Opens after failures in a row; while open it lets at most one half-open probe through per interval."""
+    """Opens after failures in a row; while open, it lets at most one half-open probe through per interval."""
 
     __slots__ = ("failures_in_row", "next_probe_at")
 
@@ -19,7 +19,7 @@
         self.next_probe_at = 0
 
     def is_open(self) -> bool:
-        """Return whether calls are expected to fail."""
+        """Return whether the breaker is open: calls are expected to fail."""
         return self.failures_in_row >= MAX_FAILURES_IN_ROW
 
     def allows_call(self, now: int) -> bool:
--- a/oakkeel/admission/client_returns.py
+++ b/oakkeel/admission/client_returns.py
@@ -14,7 +14,7 @@
     """The sum and the number of the return times that fall into one step."""
 
     total_ns: float
-    returns: int
+    return_count: int
 
 
 class ClientReturns:
@@ -34,7 +34,7 @@
         self.return_times = [SlidingWindow(RETURNS_WINDOW_STEP_NS) for _ in range(steps + 1)]
 
     def record_request(self, now: int, client: int) -> None:
-        """Count the time since the last request of this client."""
+        """Count the time since the last request of this client, in the step that contains it."""
         return_time = now - self.last_seen.pop(client, -(self.step << self.steps))
         self.last_seen[client] = now
         self.return_times[min(self.steps, (return_time // self.step).bit_length())].add(now, return_time)
--- a/oakkeel/admission/client_signals.py
+++ b/oakkeel/admission/client_signals.py
@@ -45,7 +45,10 @@
         self.node.host.set_health(healthy, True)
 
     def report_load(self, threshold: float, warmth: float) -> None:
-        """Send the load report if it has changed; it depends on the shedding threshold and the slow start."""
+        """Send the load report if it has changed.
+
+        `threshold` is the shedding threshold, `warmth` the share of full speed of the node (slow start).
+        """
         node = self.node
         busy_per_core = node.concurrency.parsing_per_core() + node.depth_per_core()
         value = self.load_report.next_value(node.drain.is_draining, threshold, busy_per_core, warmth)
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -42,7 +42,8 @@
     from oakkeel.admission.fairness import FairSharing
 
 POLL_INTERVAL_NS = SECOND
-MIN_FIRST_POLL_RATIO = 0.5  # earliest first poll, in intervals; randomized so that nodes do not poll together
+# Earliest first poll, as a share of the interval; its time is random, so that nodes do not poll together.
+MIN_FIRST_POLL_RATIO = 0.5
 POLL_TOKEN = 0  # token of the poll timer; the token of a request timer is the number of its step
 TIMER_STEP_NS = 16 * MS  # one timer of the host serves all requests of a step
 BACKPRESSURE_DELAY_NS = 50 * MS  # delay before an admitted request is queued, in BACKPRESSURE
@@ -63,7 +64,7 @@
         self.overload = OverloadStages()
         self.ranking = Ranking(limits)
         self.drain_notice = Drain()
-        self.fair_sharing = _fair_sharing(limits, self.random)
+        self.fair_sharing = _create_fair_sharing(limits, self.random)
         self.node = NodeState(
             host=host,
             limits=limits,
@@ -80,13 +81,13 @@
         self.call_sequence = CallSequence(self.node, self.request_ends)
         self.shedding = SheddingThreshold(limits.cores)
         self.queue = RequestQueue()
-        self.retries = SlidingWindow()  # 1 for each arrival that is a retry, else 0
+        self.retries = SlidingWindow()  # 1 for each arrival that is a retry, 0 for any other
         self.arrivals = ArrivalDecisions(self.node, self.shedding, self.retries)
         self.signals = ClientSignals(self.node)
         self.signals.send_health(True)
         self._report_load(now)
-        first_poll = int(POLL_INTERVAL_NS * (MIN_FIRST_POLL_RATIO + self.random() / 2))
-        host.set_timer(POLL_TOKEN, now + first_poll)
+        first_poll_delay = int(POLL_INTERVAL_NS * (MIN_FIRST_POLL_RATIO + self.random() / 2))
+        host.set_timer(POLL_TOKEN, now + first_poll_delay)
 
     def arrive(self, now: int, request: Request) -> None:
         """Coalesce, reject, delay or queue a request that was read."""
@@ -137,7 +138,7 @@
         if retains_key(request, self.limits.cache_ttl):
             duration = key_retention(now, request, self.limits.cache_ttl)
             self.host.retain_key(request, duration)
-            request.key_retained = True
+            request.is_key_retained = True
             self.occupancy.retain_key(now + duration)
         self.timers.set(now, request, request.deadline)
         if self.fair_sharing:
@@ -160,7 +161,9 @@
         allowed_runs = self.concurrency.allowed_runs()
         max_active = self.concurrency.max_active(self._warmth(now))
         while (request := self.queue.first()) is not None:
-            if not may_start(occupancy.holding_run_slot(), occupancy.calling(), allowed_runs, max_active):
+            if not may_start(
+                occupancy.run_slots_in_use(), occupancy.calls_in_flight(), allowed_runs, max_active
+            ):
                 break
             if not has_memory_to_run(request, occupancy.memory_kb, self.limits):
                 break
@@ -198,13 +201,13 @@
         """Stop the work of a request whose client has disconnected; the request gets no answer."""
         self.request_ends.abandon(now, request)
 
-    def drain(self, now: int, remaining: int | None) -> None:
-        """Stop in `remaining` nanoseconds, with all requests answered by then; None cancels the drain."""
-        if remaining is None:
+    def drain(self, now: int, time_to_stop: int | None) -> None:
+        """Stop in `time_to_stop` nanoseconds, with all requests answered by then; None cancels the drain."""
+        if time_to_stop is None:
             self.drain_notice.cancel()
         else:
-            self.drain_notice.start(now, remaining, self.limits.drain_grace)
-        self.signals.send_health(remaining is None)
+            self.drain_notice.start(now, time_to_stop, self.limits.drain_grace)
+        self.signals.send_health(time_to_stop is None)
         self._report_load(now)
         if self.drain_notice.is_draining:
             self._move_deadlines_before(now, latest_deadline(self.drain_notice.stop_at))
@@ -221,7 +224,7 @@
 
     def timer_expired(self, now: int, token: int, gauges: Gauges) -> None:
         """Poll, or act on the requests whose timers belong to this token."""
-        self.concurrency.observe(now, gauges.run_queue - self.occupancy.holding_run_slot())
+        self.concurrency.observe(now, gauges.run_queue - self.occupancy.run_slots_in_use())
         if token == POLL_TOKEN:
             self._poll(now, gauges)
         else:
@@ -230,7 +233,7 @@
 
     def _request_timer_expired(self, now: int, request: Request) -> None:
         if self.timers.is_due(now, request.deadline):
-            self.request_ends.end_unanswered(now, request)
+            self.request_ends.end_without_result(now, request)
         elif request.state is State.AWAITING_CALL:
             self.call_sequence.skip_if_overdue(now, request)
         elif request.state is State.DELAYED:
@@ -256,8 +259,8 @@
         return self.limits.warmth(now - self.started)
 
 
-def _fair_sharing(limits: NodeLimits, random: Callable[[], float]) -> FairSharing | None:
-    """Return the fair sharing of a node; its modules are loaded only if an operator enables it."""
+def _create_fair_sharing(limits: NodeLimits, random: Callable[[], float]) -> FairSharing | None:
+    """Create the fair sharing of a node; its modules are loaded only if an operator enables it."""
     if limits.fair_sharing is None:
         return None
     from oakkeel.admission.fairness import FairSharing
--- a/oakkeel/admission/deadline.py
+++ b/oakkeel/admission/deadline.py
@@ -8,9 +8,10 @@
 from oakkeel.admission.types import Request
 from oakkeel.units import MS
 
-ANSWER_HEADROOM_NS = 20 * MS  # an answer leaves this long before its client times out
-STOP_HEADROOM_NS = 64 * MS  # every answer leaves this long before the stop of a drain
-MIN_SERVICE_TIME_RATIO = 0.7  # the part of the expected service time that must fit: service times vary
+ANSWER_HEADROOM_NS = 20 * MS  # an answer leaves at least this long before its client times out
+STOP_HEADROOM_NS = 64 * MS  # every answer leaves at least this long before the stop of a drain
+# Share of the expected service time that must fit before `useful_end`: service times vary.
+MIN_SERVICE_TIME_RATIO = 0.7
 
 
 def objective_end(now: int, request: Request) -> int:
@@ -25,8 +26,8 @@
     of the objective.
     """
     request_class = request.request_class
-    remaining = request.remaining_time or max(0, request_class.client_timeout - request.queueing_delay)
-    client_deadline = now + remaining - ANSWER_HEADROOM_NS
+    time_to_timeout = request.remaining_time or max(0, request_class.client_timeout - request.queueing_delay)
+    client_deadline = now + time_to_timeout - ANSWER_HEADROOM_NS
     deadline = client_deadline if request_class.late_weight else min(client_deadline, request.objective_end)
     return min(deadline, latest_deadline(stop_at)) if stop_at else deadline
 
@@ -50,8 +51,8 @@
     now: int, request: Request, service_time: float, queue_wait_time: float
 ) -> bool:
     """Return whether a request can end in time if it first waits `queue_wait_time` in the queue."""
-    needed = int(MIN_SERVICE_TIME_RATIO * (service_time + queue_wait_time))
-    return now + needed <= useful_end(request)
+    needed_time = int(MIN_SERVICE_TIME_RATIO * (service_time + queue_wait_time))
+    return now + needed_time <= useful_end(request)
 
 
 def queue_wait_time(service_times: Sequence[float], waiting: int, cores: int) -> float:
--- a/oakkeel/admission/downstream_calls.py
+++ b/oakkeel/admission/downstream_calls.py
@@ -11,14 +11,15 @@
 
 MAX_QUOTA_RATIO = 0.8  # mean of the calls in flight within the window, as a share of the quota
 MAX_QUOTA_IN_FLIGHT_RATIO = 0.5  # calls in flight at one time, as a share of the quota
-MIN_CALLS_IN_FLIGHT = 1.0
+MIN_CALLS_IN_FLIGHT = 1.0  # lower bound of the limit on calls in flight
 MAX_CALL_TIME_RATIO = 0.25  # duration of one call, as a share of the latency objective
 MIN_CALLS_PER_BUDGET = 2  # no single call may use the whole budget of a window
-MIN_OPTIONAL_CALL_TIME_NS = MS
-MAX_OPTIONAL_CALL_WAIT_RATIO = 0.15  # wait before a call is skipped, as a share of the objective
+MIN_OPTIONAL_CALL_TIME_NS = MS  # the latest end of an optional call is at least this far ahead
+MAX_OPTIONAL_CALL_WAIT_RATIO = 0.15  # wait before an optional call is skipped, as a share of the objective
 MAX_CALL_ATTEMPTS = 3
 
-LINK_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})  # the service may have capacity
+# The link failed, so the downstream service may have capacity.
+LINK_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
 OUTCOMES_WITHOUT_EFFECT = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NEVER_STARTED})
 
 
@@ -57,7 +58,7 @@
 
 
 def max_call_time(request: Request, budget: float) -> int:
-    """Return the maximum duration of a call in nanoseconds; `budget` is for all calls of a window."""
+    """Return the maximum duration of a call; `budget` is the time for all calls of a window (nanoseconds)."""
     objective = request.request_class.latency_objective
     return int(min(objective * MAX_CALL_TIME_RATIO, budget / MIN_CALLS_PER_BUDGET))
 
@@ -74,8 +75,9 @@
         """Start with the breaker closed and the quota unused."""
         self.limits = limits
         self.breaker = CircuitBreaker()
+        # Downstream time of the calls that ended.
         self.spent_time = SlidingWindow(limits.downstream_window // (WINDOW_STEPS - 1) + 1)
-        self.committed_time = 0  # booked for calls in flight
+        self.committed_time = 0  # downstream time booked for calls in flight
 
     def reserve(self, now: int, request: Request, in_flight: int, service_time: float) -> int | None:
         """Book a call and return its latest end; None if the breaker or the quota forbids the call."""
--- a/oakkeel/admission/drain.py
+++ b/oakkeel/admission/drain.py
@@ -15,13 +15,13 @@
         self.stop_at = 0
         self.grace_end = 0
 
-    def start(self, now: int, remaining: int, grace: int) -> None:
-        """Stop in `remaining` nanoseconds, after a grace period of `grace`.
+    def start(self, now: int, time_to_stop: int, grace_period: int) -> None:
+        """Stop in `time_to_stop` nanoseconds, and admit requests for `grace_period` nanoseconds.
 
         A further notice moves the stop, but not the end of the grace period.
         """
-        self.stop_at = now + remaining
-        self.grace_end = self.grace_end or now + grace
+        self.stop_at = now + time_to_stop
+        self.grace_end = self.grace_end or now + grace_period
 
     def cancel(self) -> None:
         """Withdraw the notice."""
--- a/oakkeel/admission/duplicates.py
+++ b/oakkeel/admission/duplicates.py
@@ -1,4 +1,4 @@
-"""Duplicates: which requests share the result of another, and how long a key is retained for that."""
+"""Which requests share the result of another, and how long a key is retained to recognize duplicates."""
 
 from __future__ import annotations
 
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -19,11 +19,11 @@
 MAX_BURST_NS = 500 * MS  # work that a flow may use at once, as time at its allowed rate
 MAX_RESERVED_RATIO = 0.5  # work of reservations, as a share of the capacity of the node
 RESERVATION_STEP_NS = 50 * MS
-MAX_RESERVATION_STEPS = 200  # steps ahead that can be booked
-MAX_EARLY_NS = 25 * MS  # a request that arrives earlier can't use its reservation
-MAX_LATE_NS = SECOND  # a request that arrives later can't use its reservation
-MAX_POSTPONEMENTS = 8  # of one reservation whose client keeps retrying early
-MAX_POSTPONEMENT_NS = SECOND
+MAX_RESERVATION_STEPS = 200  # number of future steps that can be booked
+MAX_EARLY_NS = 25 * MS  # before the reserved time; an earlier request can't use the reservation
+MAX_LATE_NS = SECOND  # after the reserved time; a later request can't use the reservation
+MAX_POSTPONEMENTS = 8  # for one reservation whose client keeps retrying early
+MAX_POSTPONEMENT_NS = SECOND  # for one early retry
 MAX_FLOW_RETRY_RATIO = 0.2  # work of the retries of a flow, as a share of all its work
 MIN_ALLOWED_RATE = 1.0  # nanoseconds of service time a second; avoids a division by zero
 
@@ -37,18 +37,19 @@
     """Decides the share status and the Retry-After of requests by the shares of their flows."""
 
     def __init__(self, rules: FairSharingRules, marks_retries: bool, random: Callable[[], float]) -> None:
-        """Start with no flow known; `random` draws from 0 to 1."""
+        """Start with no flow counted; `random` returns a random number from 0 to 1."""
         self.marks_retries = marks_retries
         self.random = random
         self.shares = MaxMinShares(len(rules.levels), rules.max_flows, rules.half_life, rules.weights)
         self.reservations = Reservations(RESERVATION_STEP_NS, MAX_RESERVATION_STEPS, rules.max_reservations)
-        self.reservable_work = 0.0  # in one step
-        self.allocated_at = 0
+        self.reservable_work = 0.0  # maximum work of reservations in one step
+        self.allocated_at = 0  # time of the last allocation
 
     def arrive(self, now: int, request: Request, work: float, capacity: float) -> None:
         """Count a request for its flows, and set its share status.
 
-        `work` is its expected service time in nanoseconds, `capacity` the run limit of the node.
+        `work` is the expected service time of the request in nanoseconds, `capacity` is the run limit of the
+        node.
         """
         self._allocate(now, capacity)
         may_use_reservation = request.retry_attempt or not self.marks_retries
@@ -77,7 +78,7 @@
         reservation = request.reservation
         if reservation and reservation.work:
             return ShareStatus.RESERVED
-        if reservation:  # without capacity, the request counts as any other
+        if reservation:  # it has no capacity, so the request counts as any other
             self.reservations.end(reservation, ReservationEnd.RELEASED)
             request.reservation = None
         elif may_use_reservation and (last_reservation := self.reservations.last_backed(flow.key)):
@@ -95,8 +96,8 @@
     def _exceeds_share(self, now: int, request: Request, flow: Flow) -> bool:
         """Return whether the flow has used its share or its retries.
 
-        A flow that is not certainly heavier than the flows outside the table is admitted with the probability
-        `unknown_share`.
+        A flow that is not certainly heavier than the flows outside the table of heavy hitters is admitted
+        with the probability `unknown_share`.
         """
         is_heavy = self.shares.is_heavy(now, flow)
         if flow.is_limited:
@@ -123,8 +124,8 @@
     def reserve_retry(self, now: int, request: Request, max_retry_after: int) -> int:
         """Reserve capacity for a rejected client, and return the nanoseconds until it may retry.
 
-        If no capacity is left, the time is `max_retry_after`; it is recorded, so that a retry at that time
-        does not count as early. A client that retried early gets no second reservation.
+        If no capacity is left, the client may retry after `max_retry_after`. That time is recorded, so that a
+        retry then does not count as early. A client that retried early gets no second reservation.
         """
         flow = request.flow
         if flow is None:
@@ -134,15 +135,15 @@
             self.reservations.end(request.reservation, ReservationEnd.BROKEN)
         if has_exceeded_share and not flow.is_limited:
             return max_retry_after  # one of many flows whose share is too small for a reservation
-        booked = None
+        new_reservation = None
         if not has_exceeded_share or not request.retry_attempt:
             not_before = max(now, flow.theoretical_arrival_time - MAX_BURST_NS if flow.is_limited else now)
             work = request.expected_work
-            booked = self.reservations.book(now, not_before, flow.key, work, self.reservable_work)
-        if booked and booked.due_at - now <= max_retry_after:
+            new_reservation = self.reservations.book(now, not_before, flow.key, work, self.reservable_work)
+        if new_reservation and new_reservation.due_at - now <= max_retry_after:
             self._charge(now, request, flow)
-            return booked.due_at - now
-        if booked:  # clients do not wait that long, so the reservation is not announced
-            self.reservations.end(booked, ReservationEnd.RELEASED)
+            return new_reservation.due_at - now
+        if new_reservation:  # clients do not wait that long, so the reservation is not announced
+            self.reservations.end(new_reservation, ReservationEnd.RELEASED)
         self.reservations.record_unbacked(now + max_retry_after, flow.key)
         return max_retry_after
--- a/oakkeel/admission/load_report.py
+++ b/oakkeel/admission/load_report.py
@@ -5,14 +5,15 @@
 from oakkeel.admission.overload import DEPTH_PER_CORE
 from oakkeel.admission.types import LoadReportKind, NodeLimits
 
-MAX_BUSY_PER_CORE = 2.0  # requests that want a core; above this number the advertised share falls
-SHARE_DECREASE_RATIO = 0.8  # at each report: at the start, each poll and each change of a drain
-SHARE_INCREASE_RATIO = 1.15  # at each report
+MAX_BUSY_PER_CORE = 2.0  # requests for each core that want one; above it the advertised share falls
+# Factors on the advertised share at each report: at the start, each poll and each change of a drain.
+SHARE_DECREASE_RATIO = 0.8
+SHARE_INCREASE_RATIO = 1.15
 MIN_ADVERTISED_SHARE_RATIO = 0.05  # a few requests must still come, or clients would not notice a recovery
 
 
 class LoadReport:
-    """Computes the value of the kind `NodeLimits.load_report`, and remembers the last reported one."""
+    """Computes the value of the kind `NodeLimits.load_report`, and remembers the last reported value."""
 
     def __init__(self, limits: NodeLimits) -> None:
         """Start with an advertised share of 1 and nothing reported."""
@@ -25,7 +26,8 @@
     ) -> float | None:
         """Return the value to report; None if it has not changed or clients use no load reports.
 
-        `threshold` is the shedding threshold, `warmth` the share of full speed that the node may have.
+        `threshold` is the shedding threshold, `busy_per_core` the requests for each core that want one, and
+        `warmth` the share of full speed that the node has at least (slow start).
         """
         kind = self.limits.load_report
         if kind is LoadReportKind.NONE:
@@ -44,6 +46,9 @@
         return value
 
     def _update_share(self, busy_per_core: float) -> None:
-        """Lower the share while too many requests want a core: those sent elsewhere cost no parsing here."""
-        step = SHARE_DECREASE_RATIO if busy_per_core > MAX_BUSY_PER_CORE else SHARE_INCREASE_RATIO
-        self.share = min(1.0, max(MIN_ADVERTISED_SHARE_RATIO, self.share * step))
+        """Lower the share while too many requests want a core, else raise it.
+
+        A request that its client sends to another node costs no parsing on this node.
+        """
+        factor = SHARE_DECREASE_RATIO if busy_per_core > MAX_BUSY_PER_CORE else SHARE_INCREASE_RATIO
+        self.share = min(1.0, max(MIN_ADVERTISED_SHARE_RATIO, self.share * factor))
--- a/oakkeel/admission/occupancy.py
+++ b/oakkeel/admission/occupancy.py
@@ -37,10 +37,10 @@
 
     def __init__(self, limits: NodeLimits) -> None:
         """Start with no request and no key."""
-        self.count = [0] * len(State)
+        self.count = [0] * len(State)  # number of requests, by state
         self.memory_kb = 0.0
         self.key_kb = limits.key_kb
-        self.key_expiries: list[int] = []
+        self.key_expiries: list[int] = []  # a heap of the times at which retained keys expire
         self.memory_factors = [self._memory_factor(state, limits) for state in State]
 
     @staticmethod
@@ -51,7 +51,7 @@
         return 1 if state in STATES_WITH_QUEUED_MEMORY else limits.running_memory_factor
 
     def move(self, now: int, request: Request, state: State) -> None:
-        """Change the state of a request; no other code does."""
+        """Change the state of a request; no other code changes it."""
         old_state = request.state
         if state not in TRANSITIONS[old_state]:
             raise InvalidTransitionError("a request", old_state.name, state.name)
@@ -78,10 +78,10 @@
         """Count the requests that wait for a core."""
         return self.count[DELAYED] + self.count[QUEUED]
 
-    def holding_run_slot(self) -> int:
+    def run_slots_in_use(self) -> int:
         """Count the requests that hold a run slot: those running or waiting for their call to be placed."""
         return self.count[RUNNING] + self.count[ORPHANED] + self.count[AWAITING_CALL]
 
-    def calling(self) -> int:
+    def calls_in_flight(self) -> int:
         """Count the requests with a downstream call in flight."""
         return self.count[CALLING]
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -1,4 +1,7 @@
-"""Overload stages with hysteresis, from the CPU use, the depth and the latency of a node."""
+"""Overload stages with hysteresis, from the CPU use, the depth and the latency of a node.
+
+The depth is the number of requests for each core that are queued or hold a run slot.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageThresholds:
-    """The value of a signal at which each stage begins; a stage ends below this minus the hysteresis."""
+    """The value of a signal at which each stage begins; it ends below that value minus the hysteresis."""
 
     expand: float
     reap: float
@@ -59,15 +62,16 @@
     Stage.BACKPRESSURE: 1.0,
     Stage.REJECT: 3.0,
 }
-UNCOUNTED_DEPTH_REQUESTS = 2  # with few cores, each further request is a large step of depth
+# Requests that the depth leaves out: with few cores, each request is a large step of depth.
+UNCOUNTED_DEPTH_REQUESTS = 2
 
 
-def depth_per_core(waiting: int, holding_run_slot: int, cores: int) -> float:
+def depth_per_core(waiting: int, run_slots_in_use: int, cores: int) -> float:
     """Return the number of requests for each core that are queued or hold a run slot.
 
     Requests with a downstream call in flight are not counted: `ConcurrencyLimits.max_active` limits them.
     """
-    return max(0, waiting + holding_run_slot - UNCOUNTED_DEPTH_REQUESTS) / cores
+    return max(0, waiting + run_slots_in_use - UNCOUNTED_DEPTH_REQUESTS) / cores
 
 
 def next_stage(stage: Stage, value: float, thresholds: StageThresholds) -> Stage:
@@ -86,7 +90,7 @@
 
 
 class OverloadStages:
-    """The stage of each signal."""
+    """The overload stage by each signal: CPU use, depth and latency."""
 
     def __init__(self) -> None:
         """Start at NORMAL."""
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -14,7 +14,8 @@
 
 # Until a request of a class completes, its service time is taken as the latency objective divided by this.
 OBJECTIVE_PER_INITIAL_SERVICE_TIME = 6
-SERVICE_TIME_DECAY_RATIO = 0.8  # at each poll without an observation, so that requests run again as probes
+# Factor on the expected service time at each poll without an observation; requests then run again as probes.
+SERVICE_TIME_DECAY_RATIO = 0.8
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,11 +53,12 @@
         classes = limits.request_classes
         tenants = max(1, len(limits.tenants))
         self.limits = limits
-        # By class, in nanoseconds, of runs that completed or were abandoned.
+        # Service times in nanoseconds of runs that completed or were abandoned, by class.
         self.observed_service_times = [SlidingWindow() for _ in classes]
         self.service_times = [
             request_class.latency_objective / OBJECTIVE_PER_INITIAL_SERVICE_TIME for request_class in classes
         ]
+        # By class, then by tenant.
         self.arrivals = [[SlidingWindow() for _ in range(tenants)] for _ in classes]
         self.ranks = [[RankRange(start=0.0, width=1.0)] * tenants for _ in classes]
 
@@ -76,11 +78,11 @@
         """Return the expected service time of a request, in nanoseconds."""
         return self.service_times[request.request_class.index]
 
-    def poll(self, now: int, started: int) -> None:
-        """Update the service times and the ranks; `started` is the start time of the node."""
+    def poll(self, now: int, started_at: int) -> None:
+        """Update the service times and the ranks; `started_at` is the start time of the node."""
         for index, window in enumerate(self.observed_service_times):
             self.service_times[index] = window.mean(now, self.service_times[index] * SERVICE_TIME_DECAY_RATIO)
-        window_ns = min(WINDOW_STEPS * DEFAULT_WINDOW_STEP_NS, max(1, now - started))
+        window_ns = min(WINDOW_STEPS * DEFAULT_WINDOW_STEP_NS, max(1, now - started_at))
         demands: list[Demand] = []
         for tenant_index in range(len(self.arrivals[0])):
             demands += self._demands_of_tenant(now, tenant_index, window_ns)
--- a/oakkeel/admission/request_ends.py
+++ b/oakkeel/admission/request_ends.py
@@ -19,29 +19,29 @@
         self.node = node
 
     def reject(self, now: int, request: Request, rejection: Rejection) -> None:
-        """Answer that a request never ran, with a time to retry, and release its key."""
+        """Reject a request that never ran, with a time to retry, and release its key."""
         self._answer_rejected(request, rejection, self._retry_after(now, request))
-        if request.key_retained:
-            request.key_retained = False
+        if request.is_key_retained:
+            request.is_key_retained = False
             self.node.host.release_key(request)
         self.node.occupancy.move(now, request, State.FINISHED)
 
     def _answer_rejected(self, request: Request, rejection: Rejection, retry_after: int) -> None:
-        """Answer that a request had no lasting effect: it never ran, or it is idempotent."""
+        """Reject a request that had no lasting effect: it never ran, or it is idempotent."""
         self.node.host.reject(request, rejection is Rejection.FINAL, retry_after)
 
     def _retry_after(self, now: int, request: Request) -> int:
         """Return the nanoseconds until a retry; fair sharing, if it is on, reserves capacity for the retry.
 
-        A draining node makes no reservations, as it will have stopped by then.
+        A draining node makes no reservations, as it stops before the retry.
         """
         node = self.node
         if node.fair_sharing and node.limits.max_retry_after and not node.drain.is_draining:
             return node.fair_sharing.reserve_retry(now, request, node.limits.max_retry_after)
         return node.retry_after()
 
-    def end_unanswered(self, now: int, request: Request) -> None:
-        """Answer a request that has no answer yet and gets no result, and stop its work.
+    def end_without_result(self, now: int, request: Request) -> None:
+        """Answer a request that gets no result, unless it is answered already, and stop its work.
 
         Its deadline has passed or its call has failed. A request that has started is rejected if it is
         idempotent; otherwise it may have taken effect, so it is failed.
--- a/oakkeel/admission/request_queue.py
+++ b/oakkeel/admission/request_queue.py
@@ -11,16 +11,16 @@
 class RequestQueue:
     """Requests that may start; a request that is no longer QUEUED is dropped once it reaches the head."""
 
-    __slots__ = ("_heap", "_numbers")
+    __slots__ = ("_arrival_numbers", "_heap")
 
     def __init__(self) -> None:
         """Start empty."""
         self._heap: list[tuple[float, int, Request]] = []  # by negative rank, then by order of arrival
-        self._numbers = count()
+        self._arrival_numbers = count()
 
     def push(self, request: Request) -> None:
         """Add a request."""
-        heappush(self._heap, (-request.rank, next(self._numbers), request))
+        heappush(self._heap, (-request.rank, next(self._arrival_numbers), request))
 
     def first(self) -> Request | None:
         """Return the queued request of the highest rank, or None."""
--- a/oakkeel/admission/request_timers.py
+++ b/oakkeel/admission/request_timers.py
@@ -17,10 +17,10 @@
         """Start with no timer; `step` is in nanoseconds."""
         self.host = host
         self.step = step
-        self.steps: dict[int, list[Request]] = {}
+        self.steps: dict[int, list[Request]] = {}  # requests with a timer, by step number
 
     def set(self, now: int, request: Request, due_at: int) -> None:
-        """Set a timer for the start of the step that contains `due_at`, or of the next step if it has begun.
+        """Set a timer for the start of the step that contains `due_at`; if it has begun, of the next step.
 
         The timer may fire up to one step before `due_at`: `is_due` allows for that.
         """
@@ -35,7 +35,7 @@
         self.set(now, request, due_at + self.step)
 
     def is_due(self, now: int, due_at: int) -> bool:
-        """Return whether `due_at` has passed or is within a step: its timer may have fired early."""
+        """Return whether `due_at` has passed or is less than a step ahead: its timer may fire early."""
         return now + self.step > due_at
 
     def take_expired(self, token: int) -> list[Request]:
--- a/oakkeel/admission/shedding.py
+++ b/oakkeel/admission/shedding.py
@@ -5,11 +5,11 @@
 from oakkeel.admission.overload import DEPTH_PER_CORE, LATENCY_RATIO, Stage, StageThresholds
 from oakkeel.admission.types import Rejection, Request
 
-MAX_SHED_RATIO = 0.9  # maximum threshold, and so of the share of arrivals that is shed: some must still run
-# Part of the distance to its target by which the threshold moves at each arrival.
+MAX_SHED_RATIO = 0.9  # maximum of the threshold and so of the share of arrivals that is shed: some must run
+# Share of the distance to its target by which the threshold moves at each arrival, for each core.
 SHED_STEP_RATIO_PER_CORE = 0.08
-MAX_ARRIVAL_RETRY_RATIO = 0.1  # retries among arrivals; above it, other nodes are assumed full as well
-MAX_PARSING_PER_CORE_FOR_RETRY = 0.75  # above it, a retry only adds parsing work elsewhere
+MAX_ARRIVAL_RETRY_RATIO = 0.1  # share of retries among arrivals above which other nodes are assumed full too
+MAX_PARSING_PER_CORE_FOR_RETRY = 0.75  # parsing backlog above which a retry only adds parsing work elsewhere
 
 
 def position_in_shedding_range(value: float, thresholds: StageThresholds) -> float:
@@ -26,9 +26,10 @@
         self.step_ratio = min(1.0, SHED_STEP_RATIO_PER_CORE * cores)
 
     def update(self, depth: float, latency_ratio: float) -> None:
-        """Move the threshold towards the higher of both signals.
+        """Move the threshold one step towards the target that the higher of both signals sets.
 
-        The threshold moves in steps, because the depth of a node with few cores has only a few values.
+        `depth` is the depth for each core, `latency_ratio` the mean of time to completion divided by latency
+        objective. The threshold moves in steps, as the depth of a node with few cores has only a few values.
         """
         position = max(
             position_in_shedding_range(depth, DEPTH_PER_CORE),
--- a/oakkeel/admission/sliding_window.py
+++ b/oakkeel/admission/sliding_window.py
@@ -21,7 +21,7 @@
         self.bucket_numbers = [0] * WINDOW_STEPS
 
     def add(self, now: int, value: float) -> None:
-        """Add a value at this time."""
+        """Add a value to the bucket of the time `now`."""
         bucket_number = now // self.step
         bucket = bucket_number % WINDOW_STEPS
         if self.bucket_numbers[bucket] != bucket_number:
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -1,9 +1,9 @@
-"""The types between the decisions (`oakkeel.admission`) and their host.
+"""The interface between the decisions (`oakkeel.admission`) and their host.
 
 A host (`oakkeel.node`, `oakkeel.simulator_adapter`) makes one `AdmissionController` for each node, from
 `NodeLimits`, a seed and the time. It calls `arrive`, `run_finished`, `call_needed`, `call_finished`,
 `client_disconnected`, `drain` and `timer_expired` for events, and `schedule` once after all events of one
-moment; it implements `Host`, through which the decisions take effect. Instants and limits are whole
+moment; it implements `Host`, through which the decisions take effect. Instants and time limits are whole
 nanoseconds, estimates of durations are floats in nanoseconds, memory is in kilobytes. This module makes no
 decisions.
 """
@@ -21,27 +21,27 @@
     from oakkeel.fair_sharing.reservations import Reservation
 
 
-# The values of these enums are not the words of the settings: tables in `oakkeel/node_limits.py` map those.
+# The values of these enums are not the words of the settings; `oakkeel/node_limits.py` translates those.
 
 
 class Idempotency(Enum):
     """Whether a request may take effect more than once."""
 
-    IDEMPOTENT = "repeatable"
-    IDEMPOTENCY_KEY = "deduplicated"
-    NON_IDEMPOTENT = "mutating"
+    IDEMPOTENT = "repeatable"  # it may run any number of times
+    IDEMPOTENCY_KEY = "deduplicated"  # it may take effect once; its key identifies duplicates
+    NON_IDEMPOTENT = "mutating"  # it may take effect once
 
 
 class StopKind(Enum):
     """The way in which a host can stop running work."""
 
-    NONE = "none"
+    NONE = "none"  # a run can't be stopped
     ABORT = "abort"
     SUSPEND = "suspend"
 
 
 class LoadReportKind(Enum):
-    """The meaning to clients of the value passed to `Host.report_load`."""
+    """What the value passed to `Host.report_load` means to clients."""
 
     NONE = "silent"
     MINIMUM_RANK = "level"  # no request ranked below the value is sent here
@@ -53,8 +53,8 @@
     """The kind of downstream service that the requests of this node call."""
 
     NONE = "nothing"
-    SHARED = "shared"
-    TIER = "tier"
+    SHARED = "shared"  # calls keep within the downstream quota of the node
+    TIER = "tier"  # calls have no quota
 
 
 class Outcome(Enum):
@@ -62,12 +62,12 @@
 
     COMPLETED = "completed"
     ERROR = "error"
-    REJECTED = "denied"  # without lasting effect: it never ran, or it is idempotent
+    REJECTED = "denied"  # it had no lasting effect: it never ran, or its request is idempotent
     TIMED_OUT = "given up"
-    CONNECT_FAILED = "unreached"  # never ran
+    CONNECT_FAILED = "unreached"  # it never ran: there was no connection
     RESET = "reset"
     CANCELLED = "stopped"
-    NEVER_STARTED = "moot"  # never ran
+    NEVER_STARTED = "moot"  # it never ran
 
 
 class Admission(Enum):
@@ -79,24 +79,27 @@
 
 
 class Rejection(Enum):
-    """How a request without lasting effect is rejected: it never ran, or it is idempotent."""
+    """Whether the client of a rejected request may retry on another node.
+
+    A rejected request had no lasting effect: it never ran, or it is idempotent.
+    """
 
     RETRY_ELSEWHERE = auto()  # another node may have capacity
-    FINAL = auto()  # a retry elsewhere is not worth its parsing
+    FINAL = auto()  # a retry on another node would only add parsing work there
 
 
 class RequestState(IntEnum):
     """The states of a request; only `Occupancy.move` changes them."""
 
-    READ = 0  # read, not yet decided
-    DELAYED = 1  # queued, under the delay of the backpressure stage
+    READ = 0  # read, not yet admitted or rejected
+    DELAYED = 1  # admitted; queued after the delay of the backpressure stage
     QUEUED = 2  # may start
     COALESCED = 3  # waits for the result of the request that it duplicates
     RUNNING = 4  # on the cores
     AWAITING_CALL = 5  # paused until its call is placed; it holds its run slot
-    CALLING = 6  # paused, its call placed; it holds no run slot
-    ORPHANED = 7  # answered, its run still on the cores, in its run slot
-    RELEASING = 8  # answered during its call, its memory not yet free
+    CALLING = 6  # paused during its call; it holds no run slot
+    ORPHANED = 7  # answered, but its run is still on the cores and holds its run slot
+    RELEASING = 8  # answered during its call; its memory is not free yet
     FINISHED = 9
 
 
@@ -104,7 +107,7 @@
 class RequestClass:
     """A class of requests, with weights and time limits."""
 
-    index: int
+    index: int  # position in `NodeLimits.request_classes`
     idempotency: Idempotency
     priority_weight: float
     latency_objective: int
@@ -126,10 +129,10 @@
 
 @dataclass(slots=True, eq=False)
 class Tenant:
-    """A tenant and the rate that it may send to the whole fleet (0: not limited)."""
+    """A tenant and the rate of requests that it may send to the whole fleet."""
 
-    index: int
-    allowance_per_s: float
+    index: int  # position in `NodeLimits.tenants`
+    allowance_per_s: float  # requests per second; 0: not limited
 
 
 class ShareStatus(IntEnum):
@@ -158,22 +161,22 @@
     cores: int
     memory_kb: float
     running_memory_factor: float  # memory of a running request divided by its memory when queued
-    key_kb: float
+    key_kb: float  # memory of one retained idempotency key
     starts_cold: bool
     slow_start_share: float  # share of full speed at the start of a cold node
-    slow_start_time: int
+    slow_start_time: int  # time from the start of a cold node to full speed
     overload_multiple: float  # running requests for each core that a warm node survives
-    drain_grace: int
+    drain_grace: int  # time for which a draining node still admits requests
     marks_retries: bool  # dispatchers mark retries
     max_retry_after: int  # 0: clients ignore Retry-After
     stop_kind: StopKind
-    peers: int
+    peers: int  # number of nodes in the fleet, this node included
     downstream: DownstreamKind
-    downstream_quota: float  # mean calls in flight downstream; 0: no bound
-    downstream_window: int
-    call_linger: int
+    downstream_quota: float  # maximum mean of calls in flight downstream; 0: no bound
+    downstream_window: int  # time over which that mean is taken
+    call_linger: int  # time for which a call that is given up may still occupy the service
     cache_ttl: int  # time for which an answer may serve other reads; 0: none
-    idle_timeout: int
+    idle_timeout: int  # maximum idle time of a connection
     load_report: LoadReportKind
     over_allowance_weight: float  # factor on the priority weight above the allowance of the tenant
     request_classes: list[RequestClass]
@@ -181,11 +184,11 @@
     fair_sharing: FairSharingRules | None = None  # None: fair sharing is off
 
     def warmth(self, age: int) -> float:
-        """Return the minimum share of full speed of a node that is `age` nanoseconds old (slow start)."""
+        """Return the share of full speed that a node of this age (nanoseconds) has at least (slow start)."""
         if not self.starts_cold or not self.slow_start_time:
             return 1.0
-        warmed = min(1.0, age / self.slow_start_time)
-        return self.slow_start_share + (1 - self.slow_start_share) * warmed
+        progress = min(1.0, age / self.slow_start_time)
+        return self.slow_start_share + (1 - self.slow_start_share) * progress
 
 
 @dataclass(slots=True, eq=False)
@@ -199,19 +202,19 @@
     retry_attempt: bool
     remaining_time: int  # until its client times out; 0 if unknown
     queueing_delay: int  # from its arrival at the machine until it was read
-    has_key: bool  # reads of its key may be shared
+    has_key: bool  # duplicates can be recognized by its key
     is_duplicate: bool  # the host retains the same key from an earlier request
 
     state: RequestState = RequestState.READ
-    objective_end: int = 0
-    deadline: int = 0
+    objective_end: int = 0  # latest time for an answer that meets the latency objective
+    deadline: int = 0  # latest time for any answer
     state_since: int = 0  # when it entered its state
     arrived_at: int = 0
-    service_time: int = 0  # on the cores so far
+    service_time: int = 0  # time on the cores so far
     rank: float = 0.0  # 0 (lowest) to 1 (highest) plus the share status, so -1 to 2
     failed_calls: int = 0
-    committed_call_time: int = 0  # booked for its call in flight
-    key_retained: bool = False
+    committed_call_time: int = 0  # downstream time booked for its call in flight
+    is_key_retained: bool = False
 
     # For fair sharing; `flow_keys` has a key and a label for each level, the outermost first.
     flow_keys: tuple[tuple[int, bytes], ...] = ()
@@ -225,10 +228,10 @@
 class Gauges:
     """The gauges of a node, as last read."""
 
-    core_busy: float = 0.0
-    run_queue: float = 0.0
-    memory_share: float = 0.0
-    connections: float = 0.0
+    core_busy: float = 0.0  # share of the cores that is busy
+    run_queue: float = 0.0  # number of tasks that run on a core or wait for one
+    memory_share: float = 0.0  # share of the memory that is in use
+    connections: float = 0.0  # number of open connections
 
 
 class Host(Protocol):
@@ -240,7 +243,7 @@
     def reject(self, request: Request, final: bool, retry_after: int) -> None:
         """Answer that the request had no lasting effect: it never ran, or it is idempotent.
 
-        `final` if a retry elsewhere is not worth its parsing.
+        `final` is true if a retry on another node would only add parsing work there.
         """
 
     def fail(self, request: Request) -> None:
@@ -268,7 +271,7 @@
         """Call `AdmissionController.timer_expired` with the token at `at`."""
 
     def set_health(self, good: bool, stored: bool) -> None:
-        """Set the answer to health checks; `stored` if a check computes nothing."""
+        """Set the answer to health checks; with `stored`, a check returns it without computing anything."""
 
     def report_load(self, value: float) -> None:
         """Send clients the value; `NodeLimits.load_report` defines its meaning."""
