--- a/oakkeel/fair_sharing/heavy_hitters.py
+++ b/oakkeel/fair_sharing/heavy_hitters.py
@@ -5,9 +5,9 @@
 B. Xu, "Forward Decay", ICDE 2009).
 
 Bounds: the true sum of a flow is the sum of its weights, each halved with every `half_life` of its age. The
-`count` of a flow is at least its true sum and exceeds it by at most `error`, and `error` is at most
-total / max_flows. Every flow whose true sum exceeds total / max_flows is in the table. It follows that
-`count - error` never exceeds the true sum of a flow.
+`count` of a flow is at least its true sum and exceeds it by at most `count_error`. `count_error` is at most
+total / max_flows, where total is the true sum of all flows. Every flow whose true sum exceeds
+total / max_flows is in the table. It follows that `count - count_error` never exceeds the true sum of a flow.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     __slots__ = (
         "allowed_rate",
         "count",
-        "error",
+        "count_error",
         "key",
         "label",
         "parent",
@@ -42,7 +42,7 @@
         self.key = key
         self.label = label
         self.parent = parent
-        self.count = self.error = self.retries = 0.0
+        self.count = self.count_error = self.retries = 0.0  # `retries`: the part of the count that is retries
         # The following fields are set when capacity is allocated or used.
         self.allowed_rate = math.inf  # per second; infinite while the flow has no limit
         # In nanoseconds, as in the generic cell rate algorithm (GCRA): the time at which the work charged so
@@ -76,7 +76,7 @@
         self.flows: dict[int, Flow] = {}
         self.heap: list[tuple[float, int]] = []  # a lower bound of the flow's count, and its key
         self.landmark = 0  # the instant in nanoseconds at which the scale is one
-        self.sum = 0.0
+        self.sum = 0.0  # of the weights of all flows, in the scale of the table
 
     def add(
         self,
@@ -89,25 +89,25 @@
     ) -> Flow:
         """Add a weight to the count of its flow, and return the flow.
 
-        A new flow in a full table replaces the lightest one and inherits its count as error. `label` and
-        `parent` are used only for a new flow.
+        A new flow in a full table replaces the lightest one and inherits its count as count error. `label`
+        and `parent` are used only for a new flow.
         """
-        scaled = weight * self.scale(now)
-        self.sum += scaled
+        scaled_weight = weight * self.scale(now)
+        self.sum += scaled_weight
         flow = self.flows.get(key)
         if flow is None:
             flow = Flow(key, label, parent)
             if len(self.flows) < self.max_flows:
-                heappush(self.heap, (scaled, key))
+                heappush(self.heap, (scaled_weight, key))
             else:
                 lightest = self._lightest()
                 del self.flows[lightest.key]
-                flow.count = flow.error = lightest.count
-                heapreplace(self.heap, (flow.count + scaled, key))
+                flow.count = flow.count_error = lightest.count
+                heapreplace(self.heap, (flow.count + scaled_weight, key))
             self.flows[key] = flow
-        flow.count += scaled
+        flow.count += scaled_weight
         if is_retry:
-            flow.retries += scaled
+            flow.retries += scaled_weight
         return flow
 
     def restore(self, now: int, key: int, past: PastRates, label: bytes, parent: Flow | None) -> Flow:
@@ -119,10 +119,10 @@
 
     def rate(self, now: int, flow: Flow) -> float:
         """Return a lower bound of the flow's recent weight per second."""
-        return (flow.count - flow.error) * self._rate_factor(now)
+        return (flow.count - flow.count_error) * self._rate_factor(now)
 
     def retry_rate(self, now: int, flow: Flow) -> float:
-        """Return the rate of the retries of the flow."""
+        """Return the recent weight per second of the retries of the flow."""
         return flow.retries * self._rate_factor(now)
 
     def total_rate(self, now: int) -> float:
@@ -154,7 +154,7 @@
         self.sum *= factor
         for flow in self.flows.values():
             flow.count *= factor
-            flow.error *= factor
+            flow.count_error *= factor
             flow.retries *= factor
         self.heap = [(flow.count, flow.key) for flow in self.flows.values()]
         heapify(self.heap)
--- a/oakkeel/fair_sharing/keys.py
+++ b/oakkeel/fair_sharing/keys.py
@@ -16,7 +16,10 @@
     """Computes the keys and labels of the flows of a request from the values of its fields."""
 
     def __init__(self, secret: bytes, fields: tuple[bytes, ...]) -> None:
-        """Take `fields` by level, the outermost first; inner flows of two outer flows are distinct."""
+        """Use one of the `fields` for each level, the outermost first.
+
+        The same value of an inner field gives distinct flows for two outer flows.
+        """
         self.secret = secret
         self.fields = fields
 
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -19,7 +19,7 @@
 
 
 class MissingFlowError(OakkeelError, ValueError):
-    """A request has no flow, or an inner flow no outer flow: a defect of the caller."""
+    """A request has no flow, or an inner flow has no outer flow: a defect of the caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,10 @@
     """The tables of flows by level, the outermost first, and the allocation of capacity to flows."""
 
     def __init__(self, levels: int, max_flows: int, half_life: int, weights: Mapping[bytes, float]) -> None:
-        """Start with no flow; `half_life` in nanoseconds; `weights` by label, and may change later."""
+        """Start with no flow; `half_life` is in nanoseconds.
+
+        `weights` has the weights of flows by label; the caller may change them later.
+        """
         self.tables = [HeavyHitters(max_flows, half_life) for _ in range(levels)]
         self.weights = weights
         self.unknown_share = 1.0  # share of their work that flows outside the outermost table may send
@@ -96,28 +99,28 @@
             flow.allowed_rate = inf
         if demand <= capacity * (1 + DEMAND_TOLERANCE_RATIO):
             return 1.0
-        error = table.error_rate(now)
-        rates = {flow: rate for flow in flows if (rate := table.rate(now, flow)) >= error}
-        unknown_rate = max(0.0, demand - sum(rates.values())) if error else 0.0
+        error_rate = table.error_rate(now)
+        rates = {flow: rate for flow in flows if (rate := table.rate(now, flow)) >= error_rate}
+        unknown_rate = max(0.0, demand - sum(rates.values())) if error_rate else 0.0
         demands = [Demand(rate, self._weight(flow)) for flow, rate in rates.items()]
         if unknown_rate > 0:
-            # The weight is the number of flows of the rate `error`.
-            demands.append(Demand(unknown_rate, unknown_rate / error))
-        level = fair_level(demands, capacity)
+            # The weight is the number of flows if each of them has the maximum rate `error_rate`.
+            demands.append(Demand(unknown_rate, unknown_rate / error_rate))
+        rate_per_weight = fair_rate_per_weight(demands, capacity)
         for flow, rate in rates.items():
-            share = level * self._weight(flow)
+            share = rate_per_weight * self._weight(flow)
             if rate > share:
                 flow.allowed_rate = share
-        return min(1.0, level / error) if error else 1.0
+        return min(1.0, rate_per_weight / error_rate) if error_rate else 1.0
 
     def _weight(self, flow: Flow) -> float:
         return self.weights.get(flow.label, DEFAULT_WEIGHT)
 
 
-def fair_level(demands: list[Demand], capacity: float) -> float:
+def fair_rate_per_weight(demands: list[Demand], capacity: float) -> float:
     """Return the max-min rate for each unit of weight; infinite if the capacity meets every demand.
 
-    The max-min fair share of a flow is this level times its weight, or its demand if that is less.
+    The max-min fair share of a flow is this rate times its weight, or its demand if that is less.
     """
     remaining_capacity = capacity
     remaining_weight = sum(demand.weight for demand in demands)
--- a/oakkeel/fair_sharing/persistence.py
+++ b/oakkeel/fair_sharing/persistence.py
@@ -1,4 +1,4 @@
-"""The snapshot of fair sharing: flows and reservations, with times relative to its writing."""
+"""The snapshot of fair sharing: flows and reservations, with times relative to the time of writing."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from oakkeel.units import SECOND
 
 MAX_SNAPSHOT_AGE_NS = 60 * SECOND  # an older snapshot does not describe the present flows
-MAX_CLOCK_LEAD_NS = SECOND  # maximum lead of the clock that wrote the snapshot
+MAX_CLOCK_LEAD_NS = SECOND  # maximum lead of the clock at the writing of the snapshot over the present clock
 
 
 class FlowRecord(msgspec.Struct, array_like=True):
-    """A flow of the table; positional on disk."""
+    """A flow of the table; its fields are stored by position."""
 
     key: int
     label: bytes
     parent: int  # key of the outer flow; 0: none
     rate: float  # lower bound, in nanoseconds of service time per second
-    retries: float
+    retries: float  # rate of the retries
 
 
 class ReservationRecord(msgspec.Struct, array_like=True):
-    """A reservation; positional on disk."""
+    """A reservation; its fields are stored by position."""
 
     key: int
-    after: int  # nanoseconds from the writing of the snapshot
-    work: float
+    after: int  # nanoseconds from the writing of the snapshot to the reserved time
+    work: float  # nanoseconds of service time; 0: no capacity is reserved
 
 
 class FairSharingSnapshot(msgspec.Struct, array_like=True):
-    """The state of fair sharing; positional on disk."""
+    """The state of fair sharing; its fields are stored by position."""
 
     written_at: int  # Unix nanoseconds
     levels: list[str]
@@ -121,7 +121,7 @@
         for record in sorted(records, key=lambda record: -record.rate)[: table.max_flows]:
             parent = outer.get(record.parent)
             if level > 0 and parent is None:
-                continue  # the outer flow was no longer in the table, so no share could be divided
+                continue  # the outer flow was no longer in the table, so there is no share to divide
             past = PastRates(record.rate, record.retries, age)
             inner[record.key] = table.restore(now, record.key, past, record.label, parent)
         outer = inner
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -13,16 +13,16 @@
 MAX_BACKED_PER_FLOW = 4  # reservations with capacity, of one flow
 MAX_RECORDED_PER_FLOW = 64  # reservations of one flow, including those without capacity
 MAX_UNBACKED_RATIO = 4  # maximum of reservations without capacity, divided by the maximum with capacity
-NO_STEP = -1
+NO_STEP = -1  # number of a slot that has held no step yet
 
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """The time `due_at` (nanoseconds) at which a flow may retry and be admitted."""
+    """The time `due_at` at which a flow may retry and be admitted."""
 
-    key: int
+    key: int  # key of the flow
     due_at: int
-    work: float  # 0: no capacity is reserved
+    work: float  # nanoseconds of service time; 0: no capacity is reserved
     early_attempts: int = 0  # number of retries of the flow before `due_at`
 
 
@@ -31,7 +31,7 @@
 
     KEPT = "kept"  # the flow retried in time and was admitted
     BROKEN = "broken"  # the flow retried in time and was rejected
-    # It expired, was moved, has no capacity or was not announced; its capacity is free for other flows.
+    # The reservation expired, was moved, has no capacity or was not announced; its capacity is free.
     RELEASED = "released"
 
 
@@ -52,7 +52,7 @@
         self.booked_count = 0
         self.kept_count = 0
         self.broken_count = 0
-        self.expired_count = 0  # with capacity, and without a retry in time
+        self.expired_count = 0  # reservations with capacity that expired without a retry in time
 
     def find_due(self, now: int, key: int, max_early: int, max_late: int) -> Reservation | None:
         """Return the reservation that a retry of the flow at `now` uses; drop expired reservations.
--- a/tests/fair_sharing/test_heavy_hitters.py
+++ b/tests/fair_sharing/test_heavy_hitters.py
@@ -19,10 +19,10 @@
         st.integers(1, 12),
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_bounds_the_true_count_from_above_and_below(self, sent, max_flows):
+    def test_bounds_the_true_count_from_above_and_below(self, additions, max_flows):
         table = HeavyHitters(max_flows, NO_DECAY_HALF_LIFE)
         true_counts = {}
-        for key, weight in sent:
+        for key, weight in additions:
             table.add(0, key, weight)
             true_counts[key] = true_counts.get(key, 0) + weight
         total = sum(true_counts.values())
@@ -30,12 +30,12 @@
         self.assertEqual(len(table.heap), len(table.flows))
         for key, flow in table.flows.items():
             self.assertGreaterEqual(flow.count, true_counts[key])
-            self.assertLessEqual(flow.count - flow.error, true_counts[key])
-            self.assertLessEqual(flow.error, total / max_flows)
-        scale = table.total_rate(0) / total
+            self.assertLessEqual(flow.count - flow.count_error, true_counts[key])
+            self.assertLessEqual(flow.count_error, total / max_flows)
+        rate_per_weight = table.total_rate(0) / total
         for key, count in true_counts.items():
             if key not in table.flows:
-                self.assertLessEqual(count * scale, table.error_rate(0) * 1.000001)
+                self.assertLessEqual(count * rate_per_weight, table.error_rate(0) * 1.000001)
                 self.assertLessEqual(count, total / max_flows)
 
     def test_halves_counts_each_half_life_and_returns_rates(self):
@@ -52,12 +52,13 @@
 
     def test_finds_the_heavy_flow_among_many_light_ones_and_reports_no_other(self):
         table = HeavyHitters(256, 4 * SECOND)
+        request_interval = 40_000  # nanoseconds
         generator = random.Random(7)
         for number in range(100_000):
-            table.add(number * 40_000, generator.getrandbits(60), 1.0)
+            table.add(number * request_interval, generator.getrandbits(60), 1.0)
             if number % 50 == 0:
-                heavy = table.add(number * 40_000, 1, 1.0)
-        now = 100_000 * 40_000
+                heavy = table.add(number * request_interval, 1, 1.0)
+        now = 100_000 * request_interval
         self.assertIs(table.flows.get(1), heavy)
         self.assertGreaterEqual(table.rate(now, heavy), table.error_rate(now))
         reported = [flow for flow in table.flows.values() if table.rate(now, flow) >= table.error_rate(now)]
@@ -68,10 +69,10 @@
 class FlowKeysTest(unittest.TestCase):
     def test_keys_depend_on_the_secret_and_on_each_field(self):
         names = [f"client-{number}".encode() for number in range(300)]
-        first, second = (FlowKeys(bytes([number]) * SECRET_BYTES, (b"client",)) for number in (1, 2))
+        secrets = (bytes([number]) * SECRET_BYTES for number in (1, 2))
         keys = [
             [flow_keys.flow_keys(lambda field, name=name: name)[0][0] for name in names]
-            for flow_keys in (first, second)
+            for flow_keys in (FlowKeys(secret, (b"client",)) for secret in secrets)
         ]
         self.assertEqual(len(set(keys[0])), 300)
         self.assertFalse(set(keys[0]) & set(keys[1]))
--- a/tests/fair_sharing/test_max_min.py
+++ b/tests/fair_sharing/test_max_min.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakkeel.fair_sharing.max_min import Demand, MaxMinShares, fair_level
+from oakkeel.fair_sharing.max_min import Demand, MaxMinShares, fair_rate_per_weight
 from oakkeel.units import MS, SECOND
 
 
@@ -16,8 +16,8 @@
     )
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_fills_all_of_the_capacity_and_gives_no_flow_more_than_its_demand(self, demands, capacity):
-        level = fair_level([Demand(rate, weight) for rate, weight in demands], capacity)
-        allocated = sum(min(rate, level * weight) for rate, weight in demands)
+        rate_per_weight = fair_rate_per_weight([Demand(rate, weight) for rate, weight in demands], capacity)
+        allocated = sum(min(rate, rate_per_weight * weight) for rate, weight in demands)
         self.assertAlmostEqual(
             allocated, min(capacity, sum(rate for rate, _ in demands)), delta=1e-6 * capacity
         )
@@ -27,8 +27,11 @@
         now = 0
         for _ in range(4000):
             now += 5 * MS
-            for outer, name, inner in ((1, b"big", 10), (2, b"small", 20 + now // (5 * MS) % 1000)):
-                shares.count(now, ((outer, name), (inner, b"")), 1.0, False)
+            for tenant_key, label, client_key in (
+                (1, b"big", 10),
+                (2, b"small", 20 + now // (5 * MS) % 1000),
+            ):
+                shares.count(now, ((tenant_key, label), (client_key, b"")), 1.0, False)
         shares.allocate(now, 200.0)  # the demand is 400 a second
         big, small = shares.tables[0].flows[1], shares.tables[0].flows[2]
         self.assertAlmostEqual(big.allowed_rate, 150, delta=3)
--- a/tests/fair_sharing/test_node.py
+++ b/tests/fair_sharing/test_node.py
@@ -44,11 +44,11 @@
             )
 
     def fetch_flows(self) -> dict:
-        with socket.socket(socket.AF_UNIX) as link:
-            link.connect(os.path.join(self.folder, "n3.sock"))
-            link.settimeout(20)
-            link.sendall(b'{"type":"clients","tag":1}\n')
-            with link.makefile("rb") as stream:
+        with socket.socket(socket.AF_UNIX) as connection:
+            connection.connect(os.path.join(self.folder, "n3.sock"))
+            connection.settimeout(20)
+            connection.sendall(b'{"type":"clients","tag":1}\n')
+            with connection.makefile("rb") as stream:
                 return json.loads(stream.readline())
 
     def serve_request(self, dispatcher, client: str) -> None:
@@ -63,7 +63,7 @@
             self.serve_request(dispatcher, client)
         report = self.fetch_flows()
         self.assertEqual(
-            [(each["name"], round(each["asks"], 1)) for each in report["clients"]],
+            [(flow["name"], round(flow["asks"], 1)) for flow in report["clients"]],
             [("a", 0.8), ("b", 0.2)] if report["clients"][0]["asks"] > 0.76 else [("a", 0.7), ("b", 0.3)],
         )
         self.process.send_signal(signal.SIGTERM)
@@ -72,7 +72,7 @@
         self.process.stderr.close()
         self.engine.number = 0
         self.begin()
-        self.assertEqual([each["name"] for each in self.fetch_flows()["clients"]], ["a", "b"])
+        self.assertEqual([flow["name"] for flow in self.fetch_flows()["clients"]], ["a", "b"])
 
     def test_quarantines_a_damaged_snapshot_and_serves_requests(self):
         with open(os.path.join(self.folder, "n3.shares"), "wb") as file:
@@ -96,9 +96,9 @@
         self.serve_request(self.dispatcher(), "a")
 
     def test_reports_unusable_settings_in_one_line(self):
-        for text in ("", "{}x", '{"fair": {"by": []}}', '{"fair": {"by": ["a"], "weights": {"b": -1}}}'):
+        for content in ("", "{}x", '{"fair": {"by": []}}', '{"fair": {"by": ["a"], "weights": {"b": -1}}}'):
             with open(self.settings_path, "w") as file:
-                file.write(text)
+                file.write(content)
             process = self.launch(self.told())
-            _, error = process.communicate(timeout=20)
-            self.assertEqual((process.returncode, error.count("\n")), (2, 1), error)
+            _, stderr = process.communicate(timeout=20)
+            self.assertEqual((process.returncode, stderr.count("\n")), (2, 1), stderr)
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -13,12 +13,14 @@
 from oakkeel.units import SECOND
 from tests.support.fair_sharing import simulated_node
 
+WRITTEN_AT = 10**18  # Unix nanoseconds at which the snapshots of these tests are written
+
 
 class SnapshotTest(unittest.TestCase):
     def setUp(self) -> None:
         self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "n1.shares")
 
-    def loaded_node(self) -> SimulatedNode:
+    def node_under_load(self) -> SimulatedNode:
         node = simulated_node()
         node.add(
             SimulatedClient(b"crawler", 500, honours_retry_after=False),
@@ -27,36 +29,42 @@
         node.pass_time(5)
         return node
 
-    def content(self, node: SimulatedNode, unix: int = 10**18) -> bytes:
-        fair = node.admission.fair_sharing
+    def snapshot_of(self, node: SimulatedNode) -> bytes:
+        fair_sharing = node.admission.fair_sharing
         return persistence.encode_snapshot(
-            node.now, unix, ("caller",), bytes(SECRET_BYTES), fair.shares, fair.reservations
+            node.now,
+            WRITTEN_AT,
+            ("caller",),
+            bytes(SECRET_BYTES),
+            fair_sharing.shares,
+            fair_sharing.reservations,
         )
 
     def test_restores_flows_and_reservations_after_a_restart(self):
-        node, restarted = self.loaded_node(), simulated_node()
-        content = self.content(node)
-        snapshot = persistence.decode_snapshot(content, 10**18 + SECOND, ("caller",))
+        node, restarted = self.node_under_load(), simulated_node()
+        content = self.snapshot_of(node)
+        snapshot = persistence.decode_snapshot(content, WRITTEN_AT + SECOND, ("caller",))
         restored, original = restarted.admission.fair_sharing, node.admission.fair_sharing
         persistence.restore_snapshot(
-            snapshot, restarted.now, 10**18 + SECOND, restored.shares, restored.reservations
+            snapshot, restarted.now, WRITTEN_AT + SECOND, restored.shares, restored.reservations
         )
         key = max(original.shares.tables[0].flows.values(), key=lambda flow: flow.count).key
-        before = original.shares.tables[0].rate(node.now, original.shares.tables[0].flows[key])
-        after = restored.shares.tables[0].rate(restarted.now, restored.shares.tables[0].flows[key])
-        self.assertAlmostEqual(after / before, 0.5**0.25, delta=0.01)  # after a quarter of the half-life
+        rate_before = original.shares.tables[0].rate(node.now, original.shares.tables[0].flows[key])
+        rate_after = restored.shares.tables[0].rate(restarted.now, restored.shares.tables[0].flows[key])
+        # A quarter of the half-life has passed.
+        self.assertAlmostEqual(rate_after / rate_before, 0.5**0.25, delta=0.01)
         remaining_times = [
             sorted(
-                reservation.due_at - from_time
+                reservation.due_at - now
                 for flow_reservations in reservations.by_flow.values()
                 for reservation in flow_reservations
             )
-            for reservations, from_time in (
+            for reservations, now in (
                 (original.reservations, node.now + SECOND),
                 (restored.reservations, restarted.now),
             )
         ]
-        self.assertEqual(remaining_times[1], [time for time in remaining_times[0] if time > 0])
+        self.assertEqual(remaining_times[1], [time_left for time_left in remaining_times[0] if time_left > 0])
 
     def test_drops_a_client_whose_tenant_is_not_in_the_snapshot(self):
         shares = MaxMinShares(2, 2, 4 * SECOND, {})
@@ -66,26 +74,26 @@
         self.assertNotIn(0, shares.tables[0].flows)
         self.assertIn(10, shares.tables[1].flows)
         content = persistence.encode_snapshot(
-            0, 10**18, ("tenant", "client"), bytes(SECRET_BYTES), shares, Reservations(SECOND, 8, 8)
+            0, WRITTEN_AT, ("tenant", "client"), bytes(SECRET_BYTES), shares, Reservations(SECOND, 8, 8)
         )
         restored = MaxMinShares(2, 2, 4 * SECOND, {})
-        snapshot = persistence.decode_snapshot(content, 10**18, ("tenant", "client"))
-        persistence.restore_snapshot(snapshot, SECOND, 10**18, restored, Reservations(SECOND, 8, 8))
+        snapshot = persistence.decode_snapshot(content, WRITTEN_AT, ("tenant", "client"))
+        persistence.restore_snapshot(snapshot, SECOND, WRITTEN_AT, restored, Reservations(SECOND, 8, 8))
         restored.allocate(SECOND, 0.1)
         self.assertEqual(set(restored.tables[0].flows), {1, 2})
         self.assertEqual(set(restored.tables[1].flows), {11})
 
     def test_rejects_a_snapshot_from_the_future_too_old_of_other_levels_or_truncated(self):
-        content = self.content(self.loaded_node())
+        content = self.snapshot_of(self.node_under_load())
         for unix_now, levels in (
-            (10**18 - 5 * SECOND, ("caller",)),
-            (10**18 + 61 * SECOND, ("caller",)),
-            (10**18, ("tenant",)),
+            (WRITTEN_AT - 5 * SECOND, ("caller",)),
+            (WRITTEN_AT + 61 * SECOND, ("caller",)),
+            (WRITTEN_AT, ("tenant",)),
         ):
             with self.assertRaises(persistence.SnapshotRejectedError):
                 persistence.decode_snapshot(content, unix_now, levels)
         with self.assertRaises(persistence.SnapshotRejectedError):
-            persistence.decode_snapshot(content[:50], 10**18, ("caller",))
+            persistence.decode_snapshot(content[:50], WRITTEN_AT, ("caller",))
 
     def test_detects_a_truncated_or_changed_file(self):
         snapshot_file.write(self.path, b"content" * 100)
--- a/tests/fair_sharing/test_reservations.py
+++ b/tests/fair_sharing/test_reservations.py
@@ -15,15 +15,14 @@
     def test_never_books_more_than_the_capacity(self, bookings):
         reservations = Reservations(50 * MS, 20, 40)
         now = 0
-        for key, work, pauses in bookings:
-            now += pauses * 20 * MS
+        for key, work, pause_steps in bookings:
+            now += pause_steps * 20 * MS
             reservations.book(now, now, key, work, 30.0)
             self.assertLessEqual(max(reservations.booked), 30.0)
             self.assertLessEqual(reservations.open_count, 40)
-            self.assertEqual(
-                reservations.open_count, sum(len(each) for each in reservations.by_flow.values())
-            )
-            self.assertTrue(all(len(each) <= MAX_BACKED_PER_FLOW for each in reservations.by_flow.values()))
+            counts_by_flow = [len(flow_reservations) for flow_reservations in reservations.by_flow.values()]
+            self.assertEqual(reservations.open_count, sum(counts_by_flow))
+            self.assertTrue(all(count <= MAX_BACKED_PER_FLOW for count in counts_by_flow))
 
     def test_frees_the_capacity_of_ended_reservations_and_drops_expired_ones(self):
         reservations = Reservations(50 * MS, 20, 2)
