--- a/tests/admission/test_arrival_decision.py
+++ b/tests/admission/test_arrival_decision.py
@@ -14,9 +14,11 @@
         self.host = FakeHost()
         self.controller = self.host.admission
 
-    def decide(self, remaining: int = SECOND, share_status=ShareStatus.WITHIN_SHARE, **fields) -> Decision:
+    def decide(
+        self, time_to_deadline: int = SECOND, share_status=ShareStatus.WITHIN_SHARE, **fields
+    ) -> Decision:
         request = make_request(self.host.limits.request_classes[0], **fields)
-        request.deadline = self.host.now + remaining
+        request.deadline = self.host.now + time_to_deadline
         request.objective_end = request.deadline
         request.share_status = share_status
         request.rank = 0.1
@@ -30,7 +32,7 @@
         self.assertIs(self.decide(share_status=ShareStatus.EXCEEDED), Admission.QUEUE)
 
     def test_rejects_after_the_deadline(self):
-        self.assert_rejected(self.decide(remaining=0), Rejection.FINAL, RejectionReason.DEADLINE)
+        self.assert_rejected(self.decide(time_to_deadline=0), Rejection.FINAL, RejectionReason.DEADLINE)
 
     def test_rejects_a_request_that_exceeds_the_memory(self):
         decision = self.decide(memory_kb=100_000)
@@ -53,7 +55,7 @@
 
     def test_rejects_a_request_that_cannot_end_in_time_even_with_a_reservation(self):
         for share_status in ShareStatus:
-            decision = self.decide(remaining=100 * MS, share_status=share_status)
+            decision = self.decide(time_to_deadline=100 * MS, share_status=share_status)
             self.assert_rejected(decision, Rejection.RETRY_ELSEWHERE, RejectionReason.FIT)
 
     def test_rejects_a_low_rank_from_reorder_on_and_delays_a_high_rank_at_backpressure(self):
--- a/tests/admission/test_concurrency.py
+++ b/tests/admission/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Limits of one node: memory, slow start, and concurrency beside a parsing backlog."""
+"""Limits of one node: memory, slow start, and the run limit while requests wait to be parsed."""
 
 import unittest
 
@@ -34,7 +34,7 @@
             1.25 * host.limits.cores,
         )
 
-    def test_runs_fewer_requests_beside_a_parsing_backlog(self):
+    def test_runs_fewer_requests_while_there_is_a_parsing_backlog(self):
         host = FakeHost()
         host.gauges.run_queue = 4
         host.run_until(2 * SECOND)
@@ -42,7 +42,7 @@
         self.assertLess(len(host.in_state(requests, RequestState.RUNNING)), host.limits.cores)
 
     def test_starts_no_run_while_arrivals_are_stale(self):
-        # A run beside the parsing would make every request too old, and the backlog would never clear.
+        # Runs would delay the parsing until every request is too old, and the backlog would never clear.
         host = FakeHost()
         host.gauges.run_queue = 4
         host.run_until(2 * SECOND)
@@ -51,7 +51,7 @@
         host.arrive()
         self.assertEqual(host.actions_on(stale_request), ["run"])
 
-    def test_rejects_finally_beside_a_large_parsing_backlog(self):
+    def test_lets_no_rejected_client_retry_elsewhere_while_the_parsing_backlog_is_large(self):
         host = FakeHost()
         host.gauges.run_queue = 8
         host.run_until(3 * SECOND)
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -22,9 +22,9 @@
             request = host.arrive()
             host.need_call(request)
             if request.state is RequestState.CALLING:
-                started = host.now
+                started_at = host.now
                 host.run_until(host.now + 300 * MS)
-                call_time += host.now - started
+                call_time += host.now - started_at
                 host.finish_call(request, Outcome.COMPLETED)
                 host.finish(request)
             host.run_until(host.now + 100 * MS)
@@ -41,10 +41,10 @@
         for _ in range(100):
             request = host.arrive()
             host.need_call(request)
-            started = host.now
+            started_at = host.now
             host.run_until(host.now + 300 * MS)
             if request.state is RequestState.CALLING:
-                call_time += host.now - started
+                call_time += host.now - started_at
                 host.finish_call(request, Outcome.COMPLETED)
                 host.finish(request)
         self.assertLessEqual(host.admission.occupancy.count[RequestState.CALLING], 1)
@@ -77,7 +77,7 @@
         host.run_until(host.now + 400 * MS)
         self.assertEqual(host.actions_on(second), ["run", "skip_call"])
 
-    def test_ends_an_optional_call_early_enough_to_complete_without_it(self):
+    def test_ends_an_optional_call_early_enough_for_the_run_to_complete_without_its_result(self):
         # A call that hangs must end early enough for the run to complete without its result.
         host = FakeHost(request_classes=[{"degraded_weight": 0.5}], downstream=DownstreamKind.TIER)
         request = host.arrive()
@@ -88,15 +88,15 @@
         host.finish_call(request, Outcome.TIMED_OUT)
         self.assertEqual(host.actions_on(request), ["run", "call", "skip_call"])
 
-    def test_repeats_the_call_of_a_non_idempotent_request_only_if_it_never_ran(self):
-        for outcome, calls in ((Outcome.CONNECT_FAILED, 2), (Outcome.RESET, 1)):
+    def test_repeats_a_call_of_a_non_idempotent_request_only_if_the_call_never_ran(self):
+        for outcome, call_count in ((Outcome.CONNECT_FAILED, 2), (Outcome.RESET, 1)):
             host = FakeHost(
                 request_classes=[{"idempotency": Idempotency.NON_IDEMPOTENT}], downstream=DownstreamKind.TIER
             )
             request = host.arrive()
             host.need_call(request)
             host.finish_call(request, outcome)
-            self.assertEqual(host.actions_on(request).count("call"), calls)
+            self.assertEqual(host.actions_on(request).count("call"), call_count)
 
     def test_repeats_an_optional_call_only_where_its_link_failed(self):
         for outcome, expected in (
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -26,7 +26,7 @@
             self.assertGreater(sum(shares) / len(shares), 0.9)
             self.assertGreater(min(shares), 0.75)
             self.assertGreater(kept_ratio, 0.95)
-            self.assertGreater(jain([each.counts["in time"] for each in compliant]), 0.98)
+            self.assertGreater(jain([client.counts["in time"] for client in compliant]), 0.98)
 
     def test_gives_a_tenant_no_more_for_having_many_clients(self):
         node = simulated_node(by=("tenant", "caller"), places=128)
@@ -37,30 +37,32 @@
         ]
         node.add(*compliant, *crowd)
         node.pass_time(5)
-        before = [each.counts["in time"] for each in compliant], sum(each.counts["in time"] for each in crowd)
+        compliant_before = [client.counts["in time"] for client in compliant]
+        crowd_before = sum(client.counts["in time"] for client in crowd)
         node.pass_time(8)
         rates = [
-            (each.counts["in time"] - count) / 8 for each, count in zip(compliant, before[0], strict=True)
+            (client.counts["in time"] - count) / 8
+            for client, count in zip(compliant, compliant_before, strict=True)
         ]
-        crowd_rate = (sum(each.counts["in time"] for each in crowd) - before[1]) / 8
+        crowd_rate = (sum(client.counts["in time"] for client in crowd) - crowd_before) / 8
         self.assertGreater(sum(rates) / len(rates), 15)
         self.assertLess(crowd_rate, 60)  # of the thousand requests a second that the crowd sends
 
-    def test_follows_weights_that_change_while_it_runs(self):
+    def test_follows_weights_that_change_while_the_node_runs(self):
         weights = {b"heavy": 3.0}
         node = simulated_node(weights=weights)
         first, second = SimulatedClient(b"heavy", 300), SimulatedClient(b"plain", 300)
         node.add(first, second)
         node.pass_time(4)
-        before = first.counts["in time"], second.counts["in time"]
+        counts_before = first.counts["in time"], second.counts["in time"]
         node.pass_time(8)
-        ratio = (first.counts["in time"] - before[0]) / (second.counts["in time"] - before[1])
+        ratio = (first.counts["in time"] - counts_before[0]) / (second.counts["in time"] - counts_before[1])
         self.assertAlmostEqual(ratio, 3.0, delta=0.8)
         weights[b"heavy"] = 1.0
         node.pass_time(4)
-        before = first.counts["in time"], second.counts["in time"]
+        counts_before = first.counts["in time"], second.counts["in time"]
         node.pass_time(8)
-        ratio = (first.counts["in time"] - before[0]) / (second.counts["in time"] - before[1])
+        ratio = (first.counts["in time"] - counts_before[0]) / (second.counts["in time"] - counts_before[1])
         self.assertAlmostEqual(ratio, 1.0, delta=0.25)
 
     def test_gives_all_capacity_to_a_lone_flow_and_a_share_to_a_flow_that_returns(self):
@@ -78,8 +80,8 @@
 
     def test_allows_half_the_requests_on_a_node_of_half_the_speed(self):
         allowed_requests = []
-        for slow in (1.0, 2.0):
-            node = simulated_node(slow=slow, objective=SECOND)
+        for slowdown in (1.0, 2.0):
+            node = simulated_node(slow=slowdown, objective=SECOND)
             node.add(*self.compliant_clients(10, 40))
             node.pass_time(10)
             fair_sharing = node.admission.fair_sharing
@@ -100,7 +102,7 @@
         node.add(*compliant)
         _, kept_ratio = shares_obtained(node, compliant)
         self.assertGreater(kept_ratio, 0.95)
-        self.assertGreater(sum(each.scheduled_returns for each in compliant), 200)
+        self.assertGreater(sum(client.scheduled_returns for client in compliant), 200)
 
     def test_postpones_the_reservation_of_a_client_that_retries_early(self):
         node = simulated_node()
@@ -122,14 +124,15 @@
         node, compliant = simulated_node(), self.compliant_clients(30, 15)
         node.add(*compliant)
         node.pass_time(5)
-        fair_sharing, before = node.admission.fair_sharing, sum(each.admitted_returns for each in compliant)
+        fair_sharing = node.admission.fair_sharing
+        returns_before = sum(client.admitted_returns for client in compliant)
         node.admission.drain(node.now, 5 * SECOND)
         booked_count = fair_sharing.reservations.booked_count
         node.pass_time(1.5)
         self.assertEqual(fair_sharing.reservations.booked_count, booked_count)
-        self.assertGreater(sum(each.admitted_returns for each in compliant), before)
+        self.assertGreater(sum(client.admitted_returns for client in compliant), returns_before)
 
-    def test_is_off_without_rules(self):
+    def test_has_no_fair_sharing_without_rules(self):
         node, compliant = simulated_node(False), self.compliant_clients(4, 10)
         node.add(*compliant)
         node.pass_time(2)
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -23,18 +23,18 @@
             [action[1:] for action in host.actions if action[0] == "set_health"][-1], (True, True)
         )
 
-    def idle_time(self, clients: int, run_queue: float = 0) -> int:
+    def idle_time(self, client_count: int, run_queue: float = 0) -> int:
         host = FakeHost()
         host.gauges.connections, host.gauges.run_queue = 60, run_queue
         for number in range(100):
-            host.finish(host.arrive(client=number % clients))
+            host.finish(host.arrive(client=number % client_count))
             host.run_until(host.now + 100 * MS)
         return [action[1] for action in host.actions if action[0] == "set_idle_timeout"][-1]
 
     def test_keeps_idle_connections_for_clients_that_return(self):
         # Otherwise hundreds of clients that seldom return would fill the table of connections.
-        self.assertGreater(self.idle_time(clients=5), 400 * MS)
-        self.assertLess(self.idle_time(clients=100), 100 * MS)
+        self.assertGreater(self.idle_time(client_count=5), 400 * MS)
+        self.assertLess(self.idle_time(client_count=100), 100 * MS)
 
     def test_remembers_the_most_recent_clients(self):
         host = FakeHost()
@@ -46,9 +46,9 @@
 
     def test_keeps_idle_connections_while_new_connections_fill_the_cores(self):
         # Otherwise the node of a hot key would spend its cores on connections that it soon closes.
-        self.assertGreater(self.idle_time(clients=100, run_queue=20), SECOND)
+        self.assertGreater(self.idle_time(client_count=100, run_queue=20), SECOND)
 
-    def test_lowers_the_advertised_share_poll_by_poll_while_full(self):
+    def test_lowers_the_advertised_share_at_each_poll_while_the_node_is_full(self):
         host = FakeHost(load_report=LoadReportKind.ADVERTISED_SHARE)
         host.gauges.run_queue = 12
         for _ in range(4):
