--- a/oakkeel/models/disruption.py
+++ b/oakkeel/models/disruption.py
@@ -1,7 +1,7 @@
 """Models of permit expiry and of the leader's lease for z3, with clocks that run at different rates.
 
-The rate of a clock is between 1 - drift and 1 + drift, so a duration that it measures is between those
-multiples of the true duration. All conditions are linear, and z3 decides them for all real numbers.
+The rate of a clock is between 1 - drift and 1 + drift, and so is the ratio of a measured duration to the true
+duration. All conditions are linear, and z3 decides them for all real numbers.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import z3
 
-from oakkeel.models.clocks import measured
+from oakkeel.models.clocks import measured_duration
 
 
 class CountedFrom(Enum):
@@ -20,44 +20,46 @@
     RECEIVED = "the response was received"
 
 
-def started_after_expiry(
+def can_start_after_expiry(
     validity: float, expiry: float, drift: float, counted_from: CountedFrom = CountedFrom.SENT
 ) -> bool:
     """Whether an agent can start a permit after the leader has expired it.
 
-    The agent counts what the leader reports as left of `validity`, from the event `counted_from`. The leader
-    expires the permit after `expiry`. Both count in seconds by their own clock.
+    The leader reports the rest of `validity`, and the agent counts it down from the event `counted_from`. The
+    leader expires the permit after `expiry`. Each counts in seconds by its own clock.
     """
-    granted, sent, answered, received, started, expired = z3.Reals(
+    granted_at, sent_at, answered_at, received_at, started_at, expired_at = z3.Reals(
         "granted sent answered received started expired"
     )
     solver = z3.Solver()
     solver.add(
-        granted >= 0,
-        sent <= answered,
-        granted <= answered,
-        answered <= received,
-        received <= started,
-        granted <= expired,
+        granted_at >= 0,
+        sent_at <= answered_at,
+        granted_at <= answered_at,
+        answered_at <= received_at,
+        received_at <= started_at,
+        granted_at <= expired_at,
     )
-    elapsed = measured(solver, "elapsed", granted, answered, drift)  # by the leader
+    elapsed = measured_duration(solver, "elapsed", granted_at, answered_at, drift)  # by the leader
     remaining = z3.If(elapsed >= validity, 0, validity - elapsed)
-    since = sent if counted_from is CountedFrom.SENT else received
-    counted = measured(solver, "counted", since, started, drift)  # by the agent
+    since = sent_at if counted_from is CountedFrom.SENT else received_at
+    counted = measured_duration(solver, "counted", since, started_at, drift)  # by the agent
     solver.add(remaining > 0, counted < remaining)
     # After `elapsed` the rate of the leader's clock may change within the drift.
-    rest = measured(solver, "rest", answered, expired, drift)
-    solver.add(expired >= answered, elapsed + rest >= expiry)
-    solver.add(started >= expired)
+    until_expiry = measured_duration(solver, "rest", answered_at, expired_at, drift)
+    solver.add(expired_at >= answered_at, elapsed + until_expiry >= expiry)
+    solver.add(started_at >= expired_at)
     return bool(solver.check() == z3.sat)
 
 
-def two_hold_a_lease(lease: float, election_timeout: float, drift: float) -> bool:
+def can_two_leaders_hold_lease(lease: float, election_timeout: float, drift: float) -> bool:
     """Whether a leader can hold its lease after its voters have elected another leader."""
-    sent, received, elected, holding = z3.Reals("sent received elected holding")
+    sent_at, received_at, elected_at, still_leading_at = z3.Reals("sent received elected holding")
     solver = z3.Solver()
-    solver.add(sent >= 0, sent <= received, received <= elected, holding >= elected)
-    by_leader = measured(solver, "by_leader", sent, holding, drift)
-    by_follower = measured(solver, "by_follower", received, elected, drift)
+    solver.add(
+        sent_at >= 0, sent_at <= received_at, received_at <= elected_at, still_leading_at >= elected_at
+    )
+    by_leader = measured_duration(solver, "by_leader", sent_at, still_leading_at, drift)
+    by_follower = measured_duration(solver, "by_follower", received_at, elected_at, drift)
     solver.add(by_leader < lease, by_follower >= election_timeout)
     return bool(solver.check() == z3.sat)
--- a/oakkeel/models/policy_change.py
+++ b/oakkeel/models/policy_change.py
@@ -1,9 +1,9 @@
 """Model of policy changes for z3: no request is decided under an earlier version once the change is in force.
 
 The rate of a clock is between 1 - drift and 1 + drift. An agent sends a heartbeat, and a leader responds with
-the earlier version. The agent counts the lease on it, passes it to a node, and the node decides under it
-while the lease lasts. The leader commits the change after its response, waits, and reports the change as in
-force.
+the earlier version. The agent counts down the lease on that version and passes the version to a node, which
+decides requests under it while the lease lasts. After its response, the leader commits the change, waits, and
+reports the change as in force.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import z3
 
-from oakkeel.models.clocks import measured
+from oakkeel.models.clocks import measured_duration
 
 
 class LeaseRule(Enum):
@@ -29,51 +29,55 @@
 ) -> bool:
     """Whether a node can use the earlier version after the change was reported as in force.
 
-    `lease` and the `wait` of the leader are in seconds.
+    `lease` and `wait`, the wait of the leader, are in seconds.
     """
-    sent, answered, received, decided, reported, used = z3.Reals(
+    sent_at, answered_at, received_at, decided_at, reported_at, used_at = z3.Reals(
         "sent answered received decided reported used"
     )
     solver = z3.Solver()
     solver.add(
-        sent >= 0,
-        sent <= answered,
-        answered <= received,
-        answered <= decided,
-        decided <= reported,
-        received <= used,
-        used >= reported,
+        sent_at >= 0,
+        sent_at <= answered_at,
+        answered_at <= received_at,
+        answered_at <= decided_at,
+        decided_at <= reported_at,
+        received_at <= used_at,
+        used_at >= reported_at,
     )
-    solver.add(measured(solver, "waited", decided, reported, drift) >= wait)
-    since = received if rule is LeaseRule.FROM_RECEIVED else sent
+    solver.add(measured_duration(solver, "waited", decided_at, reported_at, drift) >= wait)
+    since = received_at if rule is LeaseRule.FROM_RECEIVED else sent_at
     if rule in (LeaseRule.FROM_SENT, LeaseRule.FROM_RECEIVED):
-        solver.add(measured(solver, "counted", since, used, drift) < lease)
+        solver.add(measured_duration(solver, "counted", since, used_at, drift) < lease)
     elif rule is LeaseRule.WALL_CLOCK:
-        back = z3.Real("back")
-        solver.add(back >= 0, measured(solver, "counted", since, used, drift) - back < lease)
+        set_back = z3.Real("back")
+        solver.add(
+            set_back >= 0, measured_duration(solver, "counted", since, used_at, drift) - set_back < lease
+        )
     return bool(solver.check() == z3.sat)
 
 
 def withdrawn_and_used(order_rules: set[str]) -> bool:
-    """Whether a version can be reported as withdrawn under which a node decided.
+    """Whether a version under which a node decided can be reported as withdrawn.
 
-    Every sequence of steps is explored. The rules: a node learns only of decided versions ("decided first"),
-    and a decided version can't be withdrawn ("decided stays").
+    The model explores every sequence of steps. The rules: a node learns only of decided versions ("decided
+    first"), and a decided version can't be withdrawn ("decided stays").
     """
-    pending = [("proposed", False, False)]  # state, a node uses it, reported as withdrawn
-    seen = set()
-    while pending:
-        state = pending.pop()
-        if state in seen:
+    to_visit = [
+        ("proposed", False, False)
+    ]  # state, whether a node uses it, whether it is reported as withdrawn
+    visited = set()
+    while to_visit:
+        state = to_visit.pop()
+        if state in visited:
             continue
-        seen.add(state)
-        name, used, withdrawn = state
-        if used and withdrawn:
+        visited.add(state)
+        name, is_used, is_withdrawn = state
+        if is_used and is_withdrawn:
             return True
         if name == "proposed":
-            pending += [("decided", used, withdrawn), ("withdrawn", used, True)]
+            to_visit += [("decided", is_used, is_withdrawn), ("withdrawn", is_used, True)]
         if name == "decided" and "decided stays" not in order_rules:
-            pending.append(("withdrawn", used, True))
+            to_visit.append(("withdrawn", is_used, True))
         if name == "decided" or "decided first" not in order_rules:
-            pending.append((name, True, withdrawn))
+            to_visit.append((name, True, is_withdrawn))
     return False
--- a/oakkeel/models/ranking.py
+++ b/oakkeel/models/ranking.py
@@ -1,4 +1,4 @@
-"""Termination by a rank: if a number decreases with every step, every run of a model ends."""
+"""Proof of termination by a rank: every run ends if a rank of 0 or more decreases with every step."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def reachable(start: ModelState, successors: Callable[[ModelState], Iterable[ModelState]]) -> set[ModelState]:
-    """Return all states that can be reached from `start`, itself included."""
-    found: set[ModelState] = set()
-    pending = [start]
-    while pending:
-        state = pending.pop()
-        if state not in found:
-            found.add(state)
-            pending += successors(state)
-    return found
+    """Return all states that can be reached from `start`, including `start`."""
+    visited: set[ModelState] = set()
+    to_visit = [start]
+    while to_visit:
+        state = to_visit.pop()
+        if state not in visited:
+            visited.add(state)
+            to_visit += successors(state)
+    return visited
 
 
 def has_rank(states: Iterable[ModelState], successors: Callable[[ModelState], Iterable[ModelState]]) -> bool:
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -1,7 +1,8 @@
 """Model of releases for z3: every release ends, and steps of two controllers are never both applied.
 
-Two targets are released. z3 searches for a rank that decreases with every step of a controller: if there is
-one, every release ends unless an operator acts. Operators may act at any time; their actions are not ranked.
+Two targets are released. z3 searches for a rank that decreases with every step of a controller. If such a
+rank exists, every release ends unless an operator acts. Operators may act at any time; their actions are not
+ranked.
 """
 
 from __future__ import annotations
@@ -13,10 +14,11 @@
 from oakkeel.models.ranking import has_rank, reachable
 
 MAX_ATTEMPTS = 2
-MAX_STEPS = 5  # that are explored
-# State, whether it rolls back, the target that is out (0: none), versions of both targets, attempts.
+MAX_STEPS = 5  # applied steps up to which interleavings are explored
+# Name of the state, whether the release rolls back, the target that is out (0: none), versions of both
+# targets, attempts.
 State = tuple[str, bool, int, str, str, int]
-OPERATOR_MOVES = {
+OPERATOR_TRANSITIONS = {
     ("running", "paused"),
     ("paused", "running"),
     ("running", "halted"),
@@ -29,104 +31,139 @@
     ("halted", "left"),
     ("preparing", "left"),
 }
-ENDS = ("done", "undone", "left", "halted", "paused")
+FINAL_OR_SUSPENDED_STATES = ("done", "undone", "left", "halted", "paused")
 
 
-def steps(state: State, omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that a controller can reach by one step, without an operator."""
-    name, back, out, one, two, attempts = state
-    found: list[State] = []
+def controller_steps(state: State, omitted: Iterable[str] = ()) -> list[State]:
+    """Return the states that a controller can reach in one step, without an action of an operator."""
+    name, rolls_back, target_out, first_version, second_version, attempts = state
+    states: list[State] = []
     if name == "preparing":
-        return [("running", back, out, one, two, attempts), ("left", back, out, one, two, attempts)]
-    if out:  # the batch ends with the new or the old version, whichever was intended
+        return [
+            ("running", rolls_back, target_out, first_version, second_version, attempts),
+            ("left", rolls_back, target_out, first_version, second_version, attempts),
+        ]
+    if target_out:  # the batch may end with either version on the target
         for version in ("new", "old"):
-            found.append(
-                (name, back, 0, version if out == 1 else one, version if out == 2 else two, attempts)
+            states.append(
+                (
+                    name,
+                    rolls_back,
+                    0,
+                    version if target_out == 1 else first_version,
+                    version if target_out == 2 else second_version,
+                    attempts,
+                )
             )
-        if name in ("running", "undoing"):  # it failed, or a gate rejected the new version
-            found.append(("halted", back, out, one, two, attempts))
+        if name in ("running", "undoing"):  # the batch failed, or a gate rejected the new version
+            states.append(("halted", rolls_back, target_out, first_version, second_version, attempts))
             if name == "running":
-                found.append(("undoing", True, out, one, two, 0))
-        return found
+                states.append(("undoing", True, target_out, first_version, second_version, 0))
+        return states
     if name not in ("running", "undoing"):
         return []
-    end = "old" if back else "new"
-    wrong = [target for target, version in ((1, one), (2, two)) if version != end]
-    if not wrong:
-        found.append(("undone" if back else "done", back, 0, one, two, attempts))
+    intended_version = "old" if rolls_back else "new"
+    outdated = [
+        target for target, version in ((1, first_version), (2, second_version)) if version != intended_version
+    ]
+    if not outdated:
+        states.append(
+            ("undone" if rolls_back else "done", rolls_back, 0, first_version, second_version, attempts)
+        )
     elif attempts < MAX_ATTEMPTS * 2 or "attempts" in omitted:
-        more = 0 if "attempts" in omitted else 1
-        found += [(name, back, target, one, two, attempts + more) for target in wrong]
+        increment = 0 if "attempts" in omitted else 1
+        states += [
+            (name, rolls_back, target, first_version, second_version, attempts + increment)
+            for target in outdated
+        ]
     else:
-        found.append(("halted", back, 0, one, two, attempts))
+        states.append(("halted", rolls_back, 0, first_version, second_version, attempts))
     if name == "running":
-        found.append(("halted", back, 0, one, two, attempts))
-    return found
+        states.append(("halted", rolls_back, 0, first_version, second_version, attempts))
+    return states
 
 
 def operator_steps(state: State) -> list[State]:
-    """Return the states that an action of an operator leads to."""
-    name, back, out, one, two, attempts = state
-    found = []
-    for before, after in sorted(OPERATOR_MOVES):
-        if before == name and not (after == "running" and back):
+    """Return the states that an operator can reach by one action."""
+    name, rolls_back, target_out, first_version, second_version, attempts = state
+    states = []
+    for before, after in sorted(OPERATOR_TRANSITIONS):
+        if before == name and not (after == "running" and rolls_back):
             kept_attempts = attempts if (before, after) == ("running", "paused") else 0
-            found.append((after, back or after == "undoing", out, one, two, kept_attempts))
-    return found
+            states.append(
+                (
+                    after,
+                    rolls_back or after == "undoing",
+                    target_out,
+                    first_version,
+                    second_version,
+                    kept_attempts,
+                )
+            )
+    return states
 
 
-def reached(omitted: Iterable[str] = ()) -> set[State]:
-    """Return all states that can be reached, with actions of operators."""
+def reachable_states(omitted: Iterable[str] = ()) -> set[State]:
+    """Return all states that can be reached by steps of a controller and actions of operators."""
     start: State = ("preparing", False, 0, "old", "old", 0)
-    return reachable(start, lambda state: [*steps(state, omitted), *operator_steps(state)])
+    return reachable(start, lambda state: [*controller_steps(state, omitted), *operator_steps(state)])
 
 
-MOVES = OPERATOR_MOVES | {
-    (state[0], after[0]) for state in reached() for after in steps(state) if state[0] != after[0]
+TRANSITIONS = OPERATOR_TRANSITIONS | {
+    (state[0], after[0])
+    for state in reachable_states()
+    for after in controller_steps(state)
+    if state[0] != after[0]
 }
 
 
-def stuck() -> list[State]:
+def stuck_states() -> list[State]:
     """Return the states that are not final and have no step."""
-    return sorted(state for state in reached() if not steps(state) and state[0] not in ENDS)
+    return sorted(
+        state
+        for state in reachable_states()
+        if not controller_steps(state) and state[0] not in FINAL_OR_SUSPENDED_STATES
+    )
 
 
 def always_ends(omitted: Iterable[str] = ()) -> bool:
-    """Whether there is a rank that decreases with every step."""
-    return has_rank(reached(omitted), lambda state: steps(state, omitted))
+    """Whether a rank exists that decreases with every step of a controller."""
+    return has_rank(reachable_states(omitted), lambda state: controller_steps(state, omitted))
 
 
 Variables = dict[str, z3.ArithRef]
 VARIABLES = ("fence", "step", "fence0", "fence1", "knows0", "knows1", "way0", "way1", "under0", "under1")
 
 
-def both_applied(count: int, rules: set[str]) -> bool:
-    """Whether within `count` moves a step is applied twice, or applied under an expired lease.
+def can_apply_both(count: int, rules: set[str]) -> bool:
+    """Whether a step can be applied twice, or under an expired lease, within `count` transitions.
 
-    A controller knows a fencing token and a step; its proposal may be in flight for any time, and be proposed
-    again. `rules` names what the state machine checks: fence, step.
+    A controller knows a fencing token and a step. Its proposal may stay in flight for any time and may be
+    repeated. `rules` names the checks of the state machine: fence, step.
     """
     solver = z3.Solver()
     states = [{name: z3.Int(f"{name}.{number}") for name in VARIABLES} for number in range(count + 1)]
-    bad = [z3.Bool(f"bad.{number}") for number in range(count + 1)]
+    is_violated = [z3.Bool(f"bad.{number}") for number in range(count + 1)]
     solver.add(
         *[value == (1 if name in ("fence", "fence0") else 0) for name, value in states[0].items()],
-        z3.Not(bad[0]),
+        z3.Not(is_violated[0]),
     )
     for number in range(count):
         before = states[number]
         after = states[number + 1]
-        moves = [
-            move
+        transitions = [
+            transition
             for controller in "01"
-            for move in (
-                _lease_transferred(before, after, controller, bad[number], bad[number + 1]),
-                _next_step_proposed(before, after, controller, bad[number], bad[number + 1]),
-                _step_applied(before, after, controller, rules, bad[number], bad[number + 1]),
+            for transition in (
+                _lease_transfer(before, after, controller, is_violated[number], is_violated[number + 1]),
+                _step_proposal(before, after, controller, is_violated[number], is_violated[number + 1]),
+                _step_application(
+                    before, after, controller, rules, is_violated[number], is_violated[number + 1]
+                ),
             )
         ]
-        solver.add(z3.Or(*moves))
-    solver.add(bad[count])
+        solver.add(z3.Or(*transitions))
+    solver.add(is_violated[count])
     return bool(solver.check() == z3.sat)
 
 
@@ -134,37 +171,45 @@
     return [after[name] == before[name] for name in VARIABLES if name not in changed]
 
 
-def _lease_transferred(
-    before: Variables, after: Variables, controller: str, bad: z3.BoolRef, bad_after: z3.BoolRef
+def _lease_transfer(
+    before: Variables,
+    after: Variables,
+    controller: str,
+    is_violated: z3.BoolRef,
+    is_violated_after: z3.BoolRef,
 ) -> z3.BoolRef:
     return z3.And(
         after["fence"] == before["fence"] + 1,
         after["fence" + controller] == before["fence"] + 1,
         after["knows" + controller] == before["step"],
         *_unchanged(before, after, "fence", "fence" + controller, "knows" + controller),
-        bad_after == bad,
+        is_violated_after == is_violated,
     )
 
 
-def _next_step_proposed(
-    before: Variables, after: Variables, controller: str, bad: z3.BoolRef, bad_after: z3.BoolRef
+def _step_proposal(
+    before: Variables,
+    after: Variables,
+    controller: str,
+    is_violated: z3.BoolRef,
+    is_violated_after: z3.BoolRef,
 ) -> z3.BoolRef:
     return z3.And(
         before["fence" + controller] > 0,
         after["way" + controller] == before["knows" + controller] + 1,
         after["under" + controller] == before["fence" + controller],
         *_unchanged(before, after, "way" + controller, "under" + controller),
-        bad_after == bad,
+        is_violated_after == is_violated,
     )
 
 
-def _step_applied(
+def _step_application(
     before: Variables,
     after: Variables,
     controller: str,
     rules: set[str],
-    bad: z3.BoolRef,
-    bad_after: z3.BoolRef,
+    is_violated: z3.BoolRef,
+    is_violated_after: z3.BoolRef,
 ) -> z3.BoolRef:
     in_flight = before["way" + controller]
     fence = before["under" + controller]
@@ -173,65 +218,77 @@
         conditions.append(fence == before["fence"])
     if "step" in rules:
         conditions.append(in_flight == before["step"] + 1)
-    wrong = z3.Or(fence != before["fence"], in_flight <= before["step"])
+    is_invalid = z3.Or(fence != before["fence"], in_flight <= before["step"])
     step = z3.If(in_flight > before["step"], in_flight, before["step"])
     return z3.And(
         *conditions,
         after["step"] == step,
         *_unchanged(before, after, "step"),
-        bad_after == z3.Or(bad, wrong),
+        is_violated_after == z3.Or(is_violated, is_invalid),
     )
 
 
-# Step, what each controller saw, proposals in flight (controller's step, target), open batch, what is out.
+# Step, the step that each controller saw last, their proposals in flight (step, target), target of the open
+# batch (-1: none), targets that are out.
 Proposal = tuple[int, int] | tuple[()]
 Interleaving = tuple[int, tuple[int, int], tuple[Proposal, Proposal], int, frozenset[int]]
 
 
-def max_unavailable(bound: int, rules: set[str]) -> int:
-    """Return how many of three targets are out at one time, at most, over all runs of two controllers.
+def max_targets_out(bound: int, rules: set[str]) -> int:
+    """Return the maximum number of three targets that are out at one time, over all runs of two controllers.
 
-    Each controller knows the step that it saw last and may propose a batch of any target that is in; a
-    command may be applied at once or later. `rules`: step, a batch is accepted once; permits, none without
-    one within the bound; one batch, the next only after the last is finished.
+    Each controller knows the step that it saw last and may propose a batch of any target that serves. A
+    command may be applied at once or later. Rules: "step", a step is applied once; "permits", a batch needs a
+    permit, and permits are limited to `bound`; "one batch", a batch starts only after the previous one has
+    finished.
     """
-    most = 0
-    seen: set[Interleaving] = set()
-    pending: list[Interleaving] = [(0, (0, 0), ((), ()), -1, frozenset())]
-    while pending:
-        state = pending.pop()
-        if state in seen:
+    maximum = 0
+    visited: set[Interleaving] = set()
+    to_visit: list[Interleaving] = [(0, (0, 0), ((), ()), -1, frozenset())]
+    while to_visit:
+        state = to_visit.pop()
+        if state in visited:
             continue
-        seen.add(state)
-        most = max(most, len(state[4]))
+        visited.add(state)
+        maximum = max(maximum, len(state[4]))
         if state[0] <= MAX_STEPS:
-            pending += _next_interleavings(state, bound, rules)
-    return most
+            to_visit += _next_interleavings(state, bound, rules)
+    return maximum
 
 
 def _next_interleavings(state: Interleaving, bound: int, rules: set[str]) -> list[Interleaving]:
-    step, saw, in_flight, batch, out = state
-    found: list[Interleaving] = []
+    step, seen_steps, in_flight, batch, targets_out = state
+    states: list[Interleaving] = []
     for controller in (0, 1):
-        found.append((step, (step, saw[1]) if controller == 0 else (saw[0], step), in_flight, batch, out))
+        states.append(
+            (
+                step,
+                (step, seen_steps[1]) if controller == 0 else (seen_steps[0], step),
+                in_flight,
+                batch,
+                targets_out,
+            )
+        )
         proposal = in_flight[controller]
         if not proposal:
             for target in range(3):
-                sent = (saw[controller], target)
-                flying = (sent, in_flight[1]) if controller == 0 else (in_flight[0], sent)
-                found.append((step, saw, flying, batch, out))
+                sent = (seen_steps[controller], target)
+                proposals_after = (sent, in_flight[1]) if controller == 0 else (in_flight[0], sent)
+                states.append((step, seen_steps, proposals_after, batch, targets_out))
             continue
-        at, target = proposal
-        rest: tuple[Proposal, Proposal] = ((), in_flight[1]) if controller == 0 else (in_flight[0], ())
+        proposed_step, target = proposal
+        proposals_left: tuple[Proposal, Proposal] = (
+            ((), in_flight[1]) if controller == 0 else (in_flight[0], ())
+        )
         accepted = (
-            ("step" not in rules or at == step)
+            ("step" not in rules or proposed_step == step)
             and ("one batch" not in rules or batch < 0)
-            and target not in out
-            and ("permits" not in rules or len(out) < bound)
+            and target not in targets_out
+            and ("permits" not in rules or len(targets_out) < bound)
         )
-        found.append((step, saw, rest, batch, out))  # rejected, or lost in flight
+        states.append((step, seen_steps, proposals_left, batch, targets_out))  # rejected, or lost in flight
         if accepted:
-            found.append((step + 1, saw, rest, target, out | {target}))
-    for target in out:  # it is back in service, and the batch may be finished
-        found.append((step, saw, in_flight, -1 if target == batch else batch, out - {target}))
-    return found
+            states.append((step + 1, seen_steps, proposals_left, target, targets_out | {target}))
+    for target in targets_out:  # the target serves again, which finishes its batch
+        states.append((step, seen_steps, in_flight, -1 if target == batch else batch, targets_out - {target}))
+    return states
