--- a/oakkeel/invariants/__init__.py
+++ b/oakkeel/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of promises from what is seen outside. Imports nothing of what it checks."""
+"""Checks of the invariants from observed events, without imports of the code that they check."""
--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -1,19 +1,19 @@
-"""Audit of the invariants of consensus and of disruption permits, by what happened.
+"""Audit of the invariants of consensus and of disruption permits, from observed events.
 
-The invariants, which breaches call promises:
+The invariants (the text of a breach calls them promises):
 
-1. A term has one leader at most.
+1. A term has at most one leader.
 2. All replicas have the same committed entry at an index, and it never changes.
-3. An order that was acknowledged is in the log at the index that was returned.
-4. No more targets of a budget group are taken out at one time than its maximum unavailable. A target that
-   serves is taken out only while those that have failed for long enough to be detected count as unavailable
-   too.
-5. No target is taken out without a permit that a committed command granted, and no process is drained under a
-   lower fencing token than one before it.
-6. No generation of an instance is ever used twice.
-7. Once no target of a halted order waits for a permit or has an unused one, the order takes no target out.
-
-The audit receives events with the true time, and shares no code with what it checks.
+3. An acknowledged order is in the log at the index that was returned to the operator.
+4. The number of targets of a budget group that are taken out at one time does not exceed its maximum
+   unavailable. When a serving target is taken out, targets that failed long enough ago to be detected count
+   as unavailable too.
+5. No target is taken out without a permit that a committed command granted, and the fencing tokens under
+   which a target is drained never decrease.
+6. No generation of an instance is used twice.
+7. Once no target of a halted order waits for a permit or has an unused permit, the order takes no target out.
+
+The audit receives events with the true time and shares no code with the implementation.
 """
 
 from __future__ import annotations
@@ -26,35 +26,35 @@
 
 
 class ConsensusAudit:
-    """Checks the invariants with each event. All times are nanoseconds of one clock."""
+    """Checks the invariants at each event. All times are nanoseconds of one clock."""
 
     def __init__(
-        self, groups: dict[str, tuple[int, list[str]]], known_after: int, max_breaches: int = 100
+        self, groups: dict[str, tuple[int, list[str]]], detection_time: int, max_breaches: int = 100
     ) -> None:
-        """`groups` gives the maximum unavailable and the targets by name.
+        """`groups` gives the maximum unavailable and the targets of each budget group by name.
 
-        `known_after` is how long after its failure a target must count as unavailable for every new permit.
+        A target must count as unavailable for every new permit from `detection_time` after its failure on.
         """
         self.groups = groups
-        self.known_after = known_after
+        self.detection_time = detection_time
         self.max_breaches = max_breaches
         self.breaches: list[str] = []
         self.leaders: dict[int, str] = {}  # by term
         self.committed: dict[int, bytes] = {}  # by index
         self.acknowledged_orders: list[tuple[str, int]] = []
         self.taken_out: dict[str, int] = {}  # fencing token by target that an order has taken out
-        self.out_since: dict[str, int] = {}  # by target that is unavailable without an order
-        self.fences: dict[str, int] = {}  # the highest by target
-        self.generations: dict[str, int] = {}
+        self.unavailable_since: dict[str, int] = {}  # time by target that is unavailable without an order
+        self.latest_fences: dict[str, int] = {}  # fencing token of the latest drain by target
+        self.generations: dict[str, int] = {}  # latest by target
         self.halted_orders: set[str] = set()
-        self.granted: dict[str, set[int]] = {}  # committed fencing tokens by target
+        self.granted_fences: dict[str, set[int]] = {}  # committed fencing tokens by target
         self.most_out: dict[str, int] = dict.fromkeys(groups, 0)
 
     def leader_observed(self, now: int, term: int, replica: str) -> None:
         """Record the leader of a term."""
-        other = self.leaders.setdefault(term, replica)
-        if other != replica:
-            self._breach(now, f"1: {other} and {replica} both lead in term {term}")
+        known_leader = self.leaders.setdefault(term, replica)
+        if known_leader != replica:
+            self._breach(now, f"1: {known_leader} and {replica} both lead in term {term}")
 
     def command_applied(self, now: int, replica: str, index: int, content: bytes) -> None:
         """Record that a replica has applied a committed command."""
@@ -68,61 +68,62 @@
 
     def permit_granted(self, target: str, fence: int) -> None:
         """Record that a permit for a target was committed."""
-        self.granted.setdefault(target, set()).add(fence)
+        self.granted_fences.setdefault(target, set()).add(fence)
 
     def order_acknowledged(self, ident: str, index: int) -> None:
         """Record that an operator received the index of an order."""
         self.acknowledged_orders.append((ident, index))
 
     def order_halted(self, ident: str) -> None:
-        """Record that an order is halted and none of its targets waits or has an unused permit."""
+        """Record that an order is halted and none of its targets waits for a permit or has an unused one."""
         self.halted_orders.add(ident)
 
     def drain_started(self, now: int, target: str, fence: int, ident: str = "") -> None:
         """Record that a process is drained by an order."""
-        if ident in self.halted_orders and self.fences.get(target) != fence:
+        if ident in self.halted_orders and self.latest_fences.get(target) != fence:
             self._breach(now, f"7: {target} is drained by {ident}, which is halted")
-        if fence not in self.granted.get(target, ()):
+        if fence not in self.granted_fences.get(target, ()):
             self._breach(
                 now, f"5: {target} is drained under {fence}, which no committed command granted to it"
             )
-        if fence < self.fences.get(target, 0):
-            self._breach(now, f"5: {target} is drained under {fence} after {self.fences[target]}")
-        first = target not in self.taken_out
-        self.fences[target] = self.taken_out[target] = fence
-        served = self.out_since.pop(target, None) is None
-        if first:
+        if fence < self.latest_fences.get(target, 0):
+            self._breach(now, f"5: {target} is drained under {fence} after {self.latest_fences[target]}")
+        is_first = target not in self.taken_out
+        self.latest_fences[target] = self.taken_out[target] = fence
+        was_serving = self.unavailable_since.pop(target, None) is None
+        if is_first:
             for name, (_, targets) in self.groups.items():
                 if target in targets:
-                    self._check_bound(now, name, served)
+                    self._check_max_unavailable(now, name, was_serving)
 
-    def _check_bound(self, now: int, name: str, served: bool) -> None:
-        bound, targets = self.groups[name]
+    def _check_max_unavailable(self, now: int, name: str, was_serving: bool) -> None:
+        max_unavailable, targets = self.groups[name]
         taken_out = [target for target in targets if target in self.taken_out]
-        known_out = [
+        known_unavailable = [
             target
             for target in targets
-            if target not in self.taken_out and now - self.out_since.get(target, now) > self.known_after
+            if target not in self.taken_out
+            and now - self.unavailable_since.get(target, now) > self.detection_time
         ]
         self.most_out[name] = max(self.most_out[name], len(taken_out))
-        if len(taken_out) > bound:
-            self._breach(now, f"4: {name}: {', '.join(taken_out)} are taken out, maximum {bound}")
-        elif served and len(taken_out) + len(known_out) > bound:
+        if len(taken_out) > max_unavailable:
+            self._breach(now, f"4: {name}: {', '.join(taken_out)} are taken out, maximum {max_unavailable}")
+        elif was_serving and len(taken_out) + len(known_unavailable) > max_unavailable:
             self._breach(
                 now,
-                f"4: {name}: {', '.join(taken_out)} are taken out while {', '.join(known_out)} are"
-                f" known to be unavailable, maximum {bound}",
+                f"4: {name}: {', '.join(taken_out)} are taken out while {', '.join(known_unavailable)} are"
+                f" known to be unavailable, maximum {max_unavailable}",
             )
 
     def serving(self, now: int, target: str) -> None:
         """Record that a target serves."""
         self.taken_out.pop(target, None)
-        self.out_since.pop(target, None)
+        self.unavailable_since.pop(target, None)
 
     def out_by_itself(self, now: int, target: str) -> None:
-        """Record that a target does not serve without an order."""
+        """Record that a target stopped serving without an order."""
         if target not in self.taken_out:
-            self.out_since.setdefault(target, now)
+            self.unavailable_since.setdefault(target, now)
 
     def generation_started(self, now: int, target: str, generation: int) -> None:
         """Record that a process of a generation starts."""
@@ -132,7 +133,7 @@
         self.generations[target] = max(generation, latest)
 
     def finish(self, now: int) -> list[str]:
-        """Check the acknowledged orders, and return all breaches."""
+        """Check the acknowledged orders and return all breaches."""
         for ident, index in self.acknowledged_orders:
             content = self.committed.get(index)
             if content is None or msgspec.msgpack.decode(content)[1] != ident:
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -1,6 +1,6 @@
-"""Reads the logs of agents and the journals of nodes, ordered by the monotonic clock of their machine.
+"""Reads the logs of agents and the journals of fake nodes and feeds their events to `ConsensusAudit`.
 
-`ConsensusAudit` gets its events from them alone, without a request to any process.
+Events are ordered by the monotonic clock of the machine. The audit sends no request to any process.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 
 class LogEvent(NamedTuple):
-    """One line of an agent's log, or of a node's journal (the kind is `node` and the word of the line)."""
+    """A line of an agent's log or of a node's journal (its kind is `node` and the first word of the line)."""
 
-    at: int  # monotonic nanoseconds
+    time: int  # monotonic nanoseconds
     kind: str
     fields: dict[str, Any]
 
 
 def read_events(folder: str, hosts: dict[str, list[str]]) -> list[LogEvent]:
-    """Return all events of a site's folder, the earliest first."""
-    found: list[LogEvent] = []
+    """Return all events in the folder of a site, the earliest first."""
+    events: list[LogEvent] = []
     for host, names in hosts.items():
-        found += _agent_events(folder, host)
+        events += _agent_events(folder, host)
         for name in names:
-            found += _node_events(folder, host, name)
-    return sorted(found, key=lambda event: event.at)
+            events += _node_events(folder, host, name)
+    return sorted(events, key=lambda event: event.time)
 
 
 def _agent_events(folder: str, host: str) -> Iterator[LogEvent]:
@@ -50,8 +50,8 @@
         return
     with open(path, encoding="ascii") as file:
         for line in file:
-            word, generation, _, at = line.split()
-            yield LogEvent(int(at), f"node {word}", {"target": name, "generation": int(generation)})
+            word, generation, _, time = line.split()
+            yield LogEvent(int(time), f"node {word}", {"target": name, "generation": int(generation)})
 
 
 def audit_groups(
@@ -66,23 +66,23 @@
 
 
 def audit_logs(
-    folder: str, hosts: dict[str, list[str]], groups: dict[str, tuple[int, list[str]]], known_after: int
+    folder: str, hosts: dict[str, list[str]], groups: dict[str, tuple[int, list[str]]], detection_time: int
 ) -> ConsensusAudit:
-    """Return the audit of one run, with its breaches and the maximum of unavailable targets."""
-    audit = ConsensusAudit(groups, known_after)
-    for at, kind, fields in read_events(folder, hosts):
+    """Return the audit of a run, which holds the breaches and the maximum number of unavailable targets."""
+    audit = ConsensusAudit(groups, detection_time)
+    for time, kind, fields in read_events(folder, hosts):
         target = fields.get("target", "")
         if kind == "leader_elected":
-            audit.leader_observed(at, fields["term"], fields["host"])
+            audit.leader_observed(time, fields["term"], fields["host"])
         elif kind == "permit_granted":
             audit.permit_granted(target, fields["fence"])
         elif kind == "drain_requested" and "order" in fields:
-            audit.drain_started(at, target, fields.get("fence", -1))
+            audit.drain_started(time, target, fields.get("fence", -1))
         elif kind == "node start":
-            audit.generation_started(at, target, fields["generation"])
-            audit.out_by_itself(at, target)
+            audit.generation_started(time, target, fields["generation"])
+            audit.out_by_itself(time, target)
         elif kind in ("node up", "node stay"):
-            audit.serving(at, target)
+            audit.serving(time, target)
         elif kind in ("node end", "node killed"):
-            audit.out_by_itself(at, target)
+            audit.out_by_itself(time, target)
     return audit
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -1,11 +1,15 @@
-"""Audit of the invariants of releases, by what was committed, started and reported.
+"""Audit of the invariants of releases, from observed commands, starts and reports.
 
-8. No target starts with the version of a release before a committed batch of it names that target, nor after
-the release is reported as undone. 9. When a release is reported as done, each target of it that serves runs
-the new version; as undone, what it ran before. 10. Each step of a release is applied once, the same on every
-replica, under fencing tokens that only increase.
+The invariants, numbered after those of the consensus audit:
 
-The audit receives events with the true time, and shares no code with what it checks.
+8. No target starts with the version of a release before a committed batch of the release names that target,
+   nor after the release is reported as undone.
+9. When a release is reported as done, each of its serving targets runs the new version; when it is reported
+   as undone, each runs its previous version.
+10. Each step of a release is applied once, identically on every replica, under fencing tokens that never
+    decrease.
+
+The audit receives events with the true time and shares no code with the implementation.
 """
 
 from __future__ import annotations
@@ -18,7 +22,7 @@
 
 from oakkeel.units import SECOND
 
-STEP_TAGS = ("go", "batch", "settle", "judge", "finish")  # of the controller's commands
+STEP_TAGS = ("go", "batch", "settle", "judge", "finish")  # tags of the controller's commands
 STEP_EVENTS = (
     "release_batch_started",
     "release_batch_finished",
@@ -28,20 +32,20 @@
 
 
 class RolloutAudit:
-    """Checks the invariants with each event; a breach is a line of text with a time."""
+    """Checks the invariants at each event; a breach is a line of text with a time."""
 
     def __init__(self, max_breaches: int = 100) -> None:
-        """Keep `max_breaches` breaches."""
+        """Keep at most `max_breaches` breaches."""
         self.max_breaches = max_breaches
         self.breaches: list[str] = []
-        self.version: dict[str, str] = {}  # by release
-        self.targets: dict[str, set[str]] = {}  # by release
-        self.batched: dict[str, set[str]] = {}  # by release: targets that its batches have named
+        self.version: dict[str, str] = {}  # new version by release
+        self.targets: dict[str, set[str]] = {}  # all targets by release
+        self.batch_targets: dict[str, set[str]] = {}  # targets named by its batches, by release
         self.steps: dict[tuple[str, int], bytes] = {}
-        # by release: the latest step and its fencing token
+        # latest step and highest fencing token, by release
         self.latest_steps: dict[str, tuple[int, int]] = {}
-        self.running: dict[str, str] = {}  # version by target
-        self.finished: dict[str, str] = {}  # state by release
+        self.running_versions: dict[str, str] = {}  # by target
+        self.final_states: dict[str, str] = {}  # by release
 
     def record_command(self, now: int, replica: str, content: bytes) -> None:
         """Record a command that a replica has applied without a rejection."""
@@ -53,60 +57,62 @@
         elif tag in STEP_TAGS:
             self._record_step(now, replica, command, content)
             if tag == "batch":
-                self.batched.setdefault(command[1], set()).update(target for target, _ in command[5])
+                self.batch_targets.setdefault(command[1], set()).update(target for target, _ in command[5])
 
     def _record_step(self, now: int, replica: str, command: Any, content: bytes) -> None:
         tag = command[0]
         release_id, fence, step = command[1:4]
         known = self.steps.setdefault((release_id, step), content)
         if known != content:
-            self._add_breach(
+            self._breach(
                 now, f"10: step {step} of {release_id} is applied differently, by {replica} as {tag}"
             )
-        last, last_fence = self.latest_steps.get(release_id, (-1, 0))
-        if step > last:
+        last_step, last_fence = self.latest_steps.get(release_id, (-1, 0))
+        if step > last_step:
             if fence < last_fence:
-                self._add_breach(now, f"10: step {step} of {release_id} under {fence} after {last_fence}")
+                self._breach(now, f"10: step {step} of {release_id} under {fence} after {last_fence}")
             self.latest_steps[release_id] = step, max(fence, last_fence)
 
     def record_start(self, now: int, target: str, version: str) -> None:
-        """Record a process that started with a version."""
-        self.running[target] = version
-        for release_id, new in self.version.items():
-            if version != new or target not in self.targets[release_id]:
+        """Record that a process of a target started with a version."""
+        self.running_versions[target] = version
+        for release_id, new_version in self.version.items():
+            if version != new_version or target not in self.targets[release_id]:
                 continue
-            others = [
+            other_releases = [
                 other
-                for other, same in self.version.items()
-                if same == new and other != release_id and self.finished.get(other) in ("done", "left")
+                for other, other_version in self.version.items()
+                if other_version == new_version
+                and other != release_id
+                and self.final_states.get(other) in ("done", "left")
             ]
-            if target not in self.batched.get(release_id, ()) and not others:
-                self._add_breach(now, f"8: {target} starts with {version[:8]} before {release_id} names it")
-            if self.finished.get(release_id) == "undone" and not others:
-                self._add_breach(now, f"8: {target} starts with {version[:8]} after {release_id} is undone")
+            if target not in self.batch_targets.get(release_id, ()) and not other_releases:
+                self._breach(now, f"8: {target} starts with {version[:8]} before {release_id} names it")
+            if self.final_states.get(release_id) == "undone" and not other_releases:
+                self._breach(now, f"8: {target} starts with {version[:8]} after {release_id} is undone")
 
     def record_end(self, now: int, release_id: str, state: str, serving: set[str]) -> None:
-        """Record a release that is reported as ended; `serving` are the targets that serve at that time."""
-        if release_id in self.finished:
+        """Record the reported final state of a release; `serving` are the targets that serve at that time."""
+        if release_id in self.final_states:
             return
-        self.finished[release_id] = state
-        new = self.version[release_id]
+        self.final_states[release_id] = state
+        new_version = self.version[release_id]
         for target in sorted(self.targets[release_id] & serving):
-            running = self.running.get(target, "")
-            if (state == "done" and running != new) or (state == "undone" and running == new):
-                self._add_breach(
+            version = self.running_versions.get(target, "")
+            if (state == "done" and version != new_version) or (state == "undone" and version == new_version):
+                self._breach(
                     now,
-                    f"9: {release_id} is reported as {state}, and {target} runs {running[:8] or 'as set'}",
+                    f"9: {release_id} is reported as {state}, and {target} runs {version[:8] or 'as set'}",
                 )
 
-    def _add_breach(self, now: int, text: str) -> None:
+    def _breach(self, now: int, text: str) -> None:
         if len(self.breaches) < self.max_breaches:
             self.breaches.append(f"{now / SECOND:.3f} s: promise {text}")
 
 
 def read_running_versions(folder: str, hosts: dict[str, list[str]]) -> dict[str, str]:
-    """Return the version that the last process of each fake node wrote to its journal, by name."""
-    found = {}
+    """Return the version that the latest process of each fake node wrote to its journal, by node name."""
+    versions = {}
     for host, names in hosts.items():
         for name in names:
             path = os.path.join(folder, host, f"{name}.journal")
@@ -116,14 +122,14 @@
                 for line in file:
                     entry = line.split()[0]
                     if entry == "start":
-                        found[name] = ""
+                        versions[name] = ""
                     elif entry.startswith("runs-"):
-                        found[name] = entry.removeprefix("runs-")
-    return found
+                        versions[name] = entry.removeprefix("runs-")
+    return versions
 
 
 def find_diverging_steps(folder: str, hosts: dict[str, list[str]]) -> list[str]:
-    """Return the steps of releases that two agents logged differently, by what each replica committed."""
+    """Return the steps of releases that the replicas of two agents logged differently."""
     steps: dict[tuple[str, int], str] = {}
     diverging = []
     for host in hosts:
--- a/tests/invariants/test_logs.py
+++ b/tests/invariants/test_logs.py
@@ -8,53 +8,58 @@
 
 
 class LogAuditTest(unittest.TestCase):
-    """What agents and nodes wrote down, with a fault planted in it, read by the auditor."""
+    """The audit reads the logs of agents and the journals of nodes, with planted faults."""
 
     def setUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         os.makedirs(os.path.join(self.folder, "h1"))
         self.hosts = {"h1": ["n1", "n2"]}
 
-    def audit(self, lines: list[dict], **journals: str) -> list[str]:
+    def audit(self, agent_events: list[dict], **journals_by_node: str) -> list[str]:
         with open(os.path.join(self.folder, "h1.agent.log"), "w", encoding="utf-8") as file:
-            file.writelines(json.dumps(line) + "\n" for line in lines)
-            file.write('{"event": "cut short by a ki')
-        for name, text in journals.items():
+            file.writelines(json.dumps(event) + "\n" for event in agent_events)
+            file.write('{"event": "truncated by a ki')
+        for name, text in journals_by_node.items():
             with open(os.path.join(self.folder, "h1", f"{name}.journal"), "w", encoding="ascii") as file:
                 file.write(text)
         return audit_logs(self.folder, self.hosts, {"site": (1, ["n1", "n2"])}, KNOWN_AFTER).finish(0)
 
     @staticmethod
-    def left(at: int, name: str, fence: int) -> list[dict]:
+    def drain_events(time: int, name: str, fence: int) -> list[dict]:
         return [
-            {"mono": at, "event": "permit_granted", "target": name, "fence": fence},
-            {"mono": at + 1, "event": "drain_requested", "target": name, "fence": fence, "order": "o"},
+            {"mono": time, "event": "permit_granted", "target": name, "fence": fence},
+            {"mono": time + 1, "event": "drain_requested", "target": name, "fence": fence, "order": "o"},
         ]
 
     def test_finds_each_planted_fault_and_none_in_a_good_run(self):
-        up = "start 1 9 1\nup 1 9 2\n"
-        good = [*self.left(10, "n1", 3), *self.left(30, "n2", 5)]
+        started = "start 1 9 1\nup 1 9 2\n"
+        valid_drains = [*self.drain_events(10, "n1", 3), *self.drain_events(30, "n2", 5)]
         self.assertEqual(
-            self.audit(good, n1=up + "leave 1 9 12\nend 1 9 13\nstart 2 9 14\nup 2 9 20\n", n2=up), []
+            self.audit(
+                valid_drains, n1=started + "leave 1 9 12\nend 1 9 13\nstart 2 9 14\nup 2 9 20\n", n2=started
+            ),
+            [],
         )
-        for planted, lines, journal in (
+        for expected_breach, agent_events, journal_of_n1 in (
             (
                 "promise 1",
                 [
                     {"mono": 1, "event": "leader_elected", "term": 4},
                     {"mono": 2, "event": "leader_elected", "term": 4},
                 ],
-                up,
+                started,
             ),
-            ("promise 4", good, up),  # the first is not back
-            ("promise 5", [self.left(10, "n1", 3)[1]], up),  # no grant
-            ("promise 5", [*self.left(10, "n1", 3), *self.left(30, "n1", 2)], up),
-            ("promise 6", [], up + "end 1 9 3\nstart 1 9 4\n"),
+            ("promise 4", valid_drains, started),  # n1 does not serve again
+            ("promise 5", [self.drain_events(10, "n1", 3)[1]], started),  # no committed grant
+            ("promise 5", [*self.drain_events(10, "n1", 3), *self.drain_events(30, "n1", 2)], started),
+            ("promise 6", [], started + "end 1 9 3\nstart 1 9 4\n"),
         ):
-            if planted == "promise 1":
-                lines[1]["host"] = "h2"
-            with self.subTest(planted):
-                self.assertRegex("\n".join(self.audit(lines, n1=journal, n2=up)), planted)
+            if expected_breach == "promise 1":
+                agent_events[1]["host"] = "h2"
+            with self.subTest(expected_breach):
+                self.assertRegex(
+                    "\n".join(self.audit(agent_events, n1=journal_of_n1, n2=started)), expected_breach
+                )
 
 
 if __name__ == "__main__":
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -16,27 +16,27 @@
 from oakkeel.units import SECOND
 
 
-def release(to: int = 0, who: int = 1) -> Fault:
-    """Of the kind `to % 4`: good, good, worse, crash; on all things."""
-    return Fault(2 * SECOND, "release", who, to, 0, 1.0)
+def release(version: int = 0, subject: int = 1) -> Fault:
+    """Return a release of all instances whose version is, by `version % 4`: good, good, worse, crashing."""
+    return Fault(2 * SECOND, "release", subject, version, 0, 1.0)
 
 
 class RolloutAuditTest(unittest.TestCase):
-    """Each invariant is broken on purpose, and the check detects it."""
+    """The audit detects a planted breach of each invariant."""
 
-    def breaches(self, plant) -> str:
-        found: list[str] = []
+    def breaches(self, plant_fault) -> str:
+        breaches: list[str] = []
         for seed in range(2000, 2030):
             try:
-                found += play(draw(seed, releases=True, duration=30 * SECOND), plant)[1]
+                breaches += play(draw(seed, releases=True, duration=30 * SECOND), plant_fault)[1]
             except RuntimeError as error:
-                found.append(str(error))
-            if found:
+                breaches.append(str(error))
+            if breaches:
                 break
-        return found[0] if found else ""
+        return breaches[0] if breaches else ""
 
     def test_detects_start_with_new_version_before_its_batch(self):
-        def early(world: ConsensusSimulation) -> None:
+        def start_early(world: ConsensusSimulation) -> None:
             original = VersionAssignments.version
             self.enterContext(
                 unittest.mock.patch.object(
@@ -49,20 +49,20 @@
                 )
             )
 
-        self.assertIn("promise 8", self.breaches(early))
+        self.assertIn("promise 8", self.breaches(start_early))
 
-    def test_detects_release_reported_done_too_early(self):
-        for owner, name, fake in (
+    def test_detects_release_reported_as_done_too_early(self):
+        for owner, name, replacement in (
             (Observations, "is_updated", lambda observations, release, target, tasks: release.batch_forward),
             (Observations, "has_arrived", lambda *arguments: True),
             (Observations, "deviates", lambda *arguments: False),
             (VersionAssignments, "version", lambda *arguments: ""),
             (RolloutController, "_check_gate", lambda *arguments: Step(None, "")),
         ):
-            self.enterContext(unittest.mock.patch.object(owner, name, fake))
+            self.enterContext(unittest.mock.patch.object(owner, name, replacement))
         self.assertIn("promise 9", self.breaches(None))
 
-    def test_detects_steps_of_two_controllers_both_applied(self):
+    def test_detects_conflicting_steps_of_two_controllers(self):
         audit = RolloutAudit()
         audit.record_command(
             0,
