--- a/oakkeel/fakes/catalogue.py
+++ b/oakkeel/fakes/catalogue.py
@@ -1,19 +1,19 @@
-"""A fake catalogue: answers calls, or rejects them."""
+"""A fake catalogue, which answers or rejects calls."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 
-from oakkeel.fakes.faults import Fault, Faulty
+from oakkeel.fakes.faults import FakeWithFaults, Fault
 from oakkeel.fakes.stream_server import StreamServer
 
 
-class Catalogue(Faulty):
-    """Answers each call with its body, or rejects all of them while it is `full`."""
+class Catalogue(FakeWithFaults):
+    """Answers each call with its body, or rejects all calls while `full` is set."""
 
     def __init__(self, work: float = 0.005, full: bool = False) -> None:
-        """`work` in seconds for each call."""
+        """`work` is the time for each call, in seconds."""
         super().__init__()
         self.work = work
         self.full = full
@@ -25,11 +25,11 @@
         return await self.server.open(port)
 
     def stop_listening(self) -> None:
-        """Take no more connections; those that are open stay until `close`."""
+        """Accept no more connections; open connections stay until `close`."""
         self.server.stop_listening()
 
     async def close(self) -> None:
-        """End the listener and the connections, and wait for their tasks."""
+        """Close the listener and the connections, and wait for their tasks."""
         await self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -41,11 +41,11 @@
                     continue
                 body = (await reader.readexactly(int(line[3]) + 2))[:-2]
                 self.calls += 1
-                await asyncio.sleep(self.work * self.factor)
+                await asyncio.sleep(self.work * self.slowdown)
                 if self.fault is Fault.HANG:
                     continue
                 reply = b"LATER\r\n" if self.full else b"DATA %d\r\n%s\r\n" % (len(body) + 4, b"for " + body)
-                data, ends = self.truncate(line[1] + b" " + reply)
+                data, connection_ends = self.truncate(line[1] + b" " + reply)
                 writer.write(data)
-                if ends:
+                if connection_ends:
                     break
--- a/oakkeel/fakes/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -1,7 +1,7 @@
-"""An agent over fake nodes that kills itself at a given durable step: `... SETTINGS HOST [STEP]`.
+"""An agent with fake nodes that kills itself at a given step, as a process: `... SETTINGS HOST [STEP]`.
 
-Steps are counted before and after each write to the state, each process made and each signal: after a
-SIGKILL at any of them, the next agent must find the order exactly once.
+There is a step before and after each write to the state, each start of a process and each signal. After a
+SIGKILL at any step, the next agent must find the order exactly once.
 """
 
 from __future__ import annotations
@@ -24,63 +24,63 @@
 
 
 class CrashPoint:
-    """Counts steps, and kills the process at a given one; 0: never."""
+    """Counts steps and kills the process at a given step; 0: never."""
 
-    def __init__(self, last: int) -> None:
-        """`last` is the step that is not survived."""
-        self.last = last
+    def __init__(self, fatal_step: int) -> None:
+        """`fatal_step` is the step at which the process is killed."""
+        self.fatal_step = fatal_step
         self.count = 0
 
-    def step(self) -> None:
-        """Count a step, or die."""
+    def count_step(self) -> None:
+        """Count a step, and kill the process if it is the fatal step."""
         self.count += 1
-        if self.count == self.last:
+        if self.count == self.fatal_step:
             os.kill(os.getpid(), signal.SIGKILL)
 
 
 class CrashingDatabase(Database):
-    """A database with a step before and after each write."""
+    """A database that counts a step before and after each write."""
 
-    def __init__(self, path: str, steps: CrashPoint) -> None:
+    def __init__(self, path: str, crash_point: CrashPoint) -> None:
         """Open the database of an agent."""
-        self.steps = steps
+        self.crash_point = crash_point
         super().__init__(path, SCHEMA, VERSION)
 
     def write(self, statements: Sequence[Statement]) -> None:
-        """Write all statements in one transaction, between two steps."""
-        self.steps.step()
+        """Write all statements in one transaction."""
+        self.crash_point.count_step()
         super().write(statements)
-        self.steps.step()
+        self.crash_point.count_step()
 
 
-def crashing_processes(steps: CrashPoint) -> type[Processes]:
-    """Processes with a step before and after each start and each signal."""
+def crashing_processes(crash_point: CrashPoint) -> type[Processes]:
+    """Return a class of processes that count a step before and after each start and each signal."""
 
     class CrashingProcesses(Processes):
         def spawn(self, name: str, generation: int, argv: list[str], variables: dict[str, str]) -> Process:
-            steps.step()
+            crash_point.count_step()
             process = super().spawn(name, generation, argv, variables)
-            steps.step()
+            crash_point.count_step()
             return process
 
         def signal(self, process: Process, number: signal.Signals) -> bool:
-            steps.step()
+            crash_point.count_step()
             sent = super().signal(process, number)
-            steps.step()
+            crash_point.count_step()
             return sent
 
     return CrashingProcesses
 
 
-def make_agent(last: int, settings: AgentSettings, keys: AgentKeys, log: EventLog, seed: int) -> Agent:
-    """Make an agent that kills itself at step `last`."""
+def make_agent(fatal_step: int, settings: AgentSettings, keys: AgentKeys, log: EventLog, seed: int) -> Agent:
+    """Make an agent that kills itself at step `fatal_step`."""
     os.makedirs(settings.host.state, mode=0o700, exist_ok=True)
-    steps = CrashPoint(last)
-    store = CrashingDatabase(os.path.join(settings.host.state, "agent.db"), steps)
-    parts = AgentParts(store, crashing_processes(steps), PROGRAM)
+    crash_point = CrashPoint(fatal_step)
+    store = CrashingDatabase(os.path.join(settings.host.state, "agent.db"), crash_point)
+    parts = AgentParts(store, crashing_processes(crash_point), PROGRAM)
     return Agent(settings, keys, log, seed, parts)
 
 
 if __name__ == "__main__":
-    crash_at = int([*sys.argv, "0"][3])
-    sys.exit(serve(sys.argv[1], sys.argv[2], make=functools.partial(make_agent, crash_at)))
+    fatal_step = int([*sys.argv, "0"][3])
+    sys.exit(serve(sys.argv[1], sys.argv[2], make=functools.partial(make_agent, fatal_step)))
--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher: sends requests at a rate whatever comes back, and counts what became of every one."""
+"""A dispatcher that sends requests at a rate independent of the responses and counts their outcomes."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 from oakkeel.fakes.node_connection import Address, NodeConnection
 
 CONNECT_TIMEOUT = 0.25  # seconds
-LATE_MARGIN = 0.05  # seconds past the timeout, for the way of the response
-ANSWERS = ("ok", "full", "fault")  # a node's own outcomes
+LATE_MARGIN = 0.05  # seconds past the timeout, for the transfer of the response
+ANSWERS = ("ok", "full", "fault")  # outcomes that a node sends
 
 
 class SentRequest:
-    """One request on its way."""
+    """A request that was sent to a node."""
 
-    __slots__ = ("at", "group", "node")
+    __slots__ = ("group", "node", "sent_at")
 
-    def __init__(self, node: str, at: float, group: str) -> None:
-        """`at` in monotonic seconds; `group` is the request class."""
+    def __init__(self, node: str, sent_at: float, group: str) -> None:
+        """`sent_at` in monotonic seconds; `group` is the request class."""
         self.node = node
-        self.at = at
+        self.sent_at = sent_at
         self.group = group
 
 
 class DispatcherConnection(NodeConnection):
-    """One of a dispatcher's connections to one node."""
+    """A connection of a dispatcher to a node."""
 
     max_open = 32
 
     def __init__(
-        self, owner: Dispatcher, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, dispatcher: Dispatcher, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """`owner` counts what becomes of the requests."""
-        self.owner = owner
+        """`dispatcher` counts the outcomes of the requests."""
+        self.dispatcher = dispatcher
         self.node = node
         self.open: dict[int, SentRequest] = {}
         super().__init__(reader, writer)
 
     @property
     def open_count(self) -> int:
-        """How many requests have no response yet."""
+        """The number of requests without a response."""
         return len(self.open)
 
     def call(self, sent: SentRequest, fields: str, body: bytes) -> None:
@@ -53,18 +53,18 @@
         self.open[self.last_tag] = sent
         self._write_call(sent.group.encode(), fields.encode(), body)
 
-    def _answered(self, tag: int, outcome: bytes, fields: bytes) -> None:
+    def _on_response(self, tag: int, outcome: bytes, fields: bytes) -> None:
         if sent := self.open.pop(tag, None):
-            self.owner.request_ended(sent, outcome.decode())
+            self.dispatcher.request_ended(sent, outcome.decode())
 
-    def _ended(self) -> None:
+    def _on_connection_end(self) -> None:
         for sent in self.open.values():
-            self.owner.request_ended(sent, "lost")
-        self.owner.connection_ended(self)
+            self.dispatcher.request_ended(sent, "lost")
+        self.dispatcher.remove_connection(self)
 
 
 class Dispatcher:
-    """Sends to the nodes that `addresses` gives, in turn; a node that refuses a connection is passed over."""
+    """Sends to the nodes that `addresses` returns, in turn, and skips nodes that refuse a connection."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         groups: tuple[str, ...] = ("quote", "card"),
         timeout: float = 4.0,
     ) -> None:
-        """`rate` in requests a second; `timeout` in seconds, sent to the node and waited for."""
+        """`rate` in requests a second; `timeout` in seconds, sent to the node: later responses are late."""
         self.number = number
         self.addresses = addresses
         self.rate = rate
@@ -83,23 +83,23 @@
         self.timeout = timeout
         self.random = Random(seed)
         self.connections: dict[str, list[DispatcherConnection]] = {}
-        self.counts: Counter[str] = Counter()  # by outcome; lost and late beside the node's own
+        self.counts: Counter[str] = Counter()  # by outcome, and `sent` and `unsent`
         self.by_node: dict[str, Counter[str]] = {}
         self.sending: asyncio.Task[None] | None = None
-        self.max_send_delay = 0.0  # maximum delay in seconds from when a request was due to when it was sent
-        self._next = 0  # the node whose turn it is
+        self.max_send_delay = 0.0  # maximum seconds from the time that a request was due until it was sent
+        self._next = 0  # index of the next node, modulo the number of nodes
 
     def start(self) -> None:
-        """Send from now on."""
+        """Start to send requests."""
         self.sending = asyncio.ensure_future(self._send())
 
     async def stop(self) -> None:
-        """Send no more, wait for the responses that are due, and close: the rest is lost."""
+        """Stop sending, wait for outstanding responses, and close; requests still without one are lost."""
         if self.sending:
             self.sending.cancel()
             await asyncio.gather(self.sending, return_exceptions=True)
-        until = time.monotonic() + self.timeout + 0.5
-        while time.monotonic() < until and self.open:
+        deadline = time.monotonic() + self.timeout + 0.5
+        while time.monotonic() < deadline and self.open:
             await asyncio.sleep(0.01)
         for connections in list(self.connections.values()):
             for connection in list(connections):
@@ -107,7 +107,7 @@
                 await asyncio.wait((connection.task,), timeout=1.0)
 
     async def send_one(self) -> None:
-        """Send one request to the next node that takes a connection."""
+        """Send a request to the next node that accepts a connection."""
         nodes = sorted(self.addresses().items())
         for _ in nodes:
             self._next += 1
@@ -126,29 +126,31 @@
         self.counts["unsent"] += 1  # no node took a connection
 
     def request_sent(self, request_id: str, sent: SentRequest) -> None:
-        """For subclasses that follow each request."""
+        """Called for each request that is sent, for subclasses."""
 
     def request_ended(self, sent: SentRequest, outcome: str) -> str:
-        """Count what became of a request; returns the outcome that it was counted under."""
-        if outcome != "lost" and time.monotonic() - sent.at > self.timeout + LATE_MARGIN:
+        """Count the outcome of a request, and return the outcome under which it was counted."""
+        if outcome != "lost" and time.monotonic() - sent.sent_at > self.timeout + LATE_MARGIN:
             outcome = "late"
         self.counts[outcome] += 1
         self.by_node.setdefault(sent.node, Counter())[outcome] += 1
         return outcome
 
-    def connection_ended(self, connection: DispatcherConnection) -> None:
-        """Use a connection no more."""
+    def remove_connection(self, connection: DispatcherConnection) -> None:
+        """Remove a connection that has ended."""
         with contextlib.suppress(ValueError, KeyError):
             self.connections[connection.node].remove(connection)
 
     @property
     def open(self) -> int:
-        """How many requests have no response yet."""
-        return sum(len(item.open) for items in self.connections.values() for item in items)
+        """The number of requests without a response."""
+        return sum(
+            len(connection.open) for connections in self.connections.values() for connection in connections
+        )
 
     @property
     def answered(self) -> int:
-        """How many requests a node answered in time, whatever the answer."""
+        """The number of requests that nodes answered in time, with any outcome."""
         return sum(self.counts[outcome] for outcome in ANSWERS)
 
     async def _send(self) -> None:
@@ -164,7 +166,7 @@
             if connection.usable:
                 return connection
         try:
-            # Not `wait_for`: Python 3.11's swallows a cancellation that meets the end of what it waits for.
+            # Not `wait_for`: in Python 3.11 it loses a cancellation that coincides with the result.
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 reader, writer = await asyncio.open_connection(*address)
         except (TimeoutError, OSError):
--- a/oakkeel/fakes/engine.py
+++ b/oakkeel/fakes/engine.py
@@ -1,4 +1,4 @@
-"""A fake engine: a few cores that run what a node orders, with notices when a run ends or needs a call."""
+"""A fake engine, which runs requests on a few cores and sends notices when a run ends or needs a call."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from collections import deque
 from random import Random
 
-from oakkeel.fakes.faults import Fault, Faulty
+from oakkeel.fakes.faults import FakeWithFaults, Fault
 from oakkeel.fakes.stream_server import StreamServer
 
-MAX_NOTICES = 4000  # retained for the next link
-NEW_NODE_DELAY = 0.3  # seconds without a link, after which one that knows no notice is a new node's
+MAX_NOTICES = 4000  # retained for the next link of the node
+# seconds without a link, after which a link that acknowledges no notice is from a new node
+NEW_NODE_DELAY = 0.3
 
 
-class Engine(Faulty):
-    """Runs share its cores in turn; each takes about `work` seconds, and one in `calls` needs a call."""
+class Engine(FakeWithFaults):
+    """Runs take about `work` seconds on a core, in turn; one run in `calls` needs a call."""
 
     def __init__(self, seed: int = 1, cores: int = 2, work: float = 0.01, calls: int = 0) -> None:
-        """`work` in seconds; no run needs a call where `calls` is 0."""
+        """`work` in seconds; no run needs a call if `calls` is 0."""
         super().__init__()
         self.cores = cores
         self.work = work
         self.calls = calls
-        self.chance = Random(seed).random
-        self.free = asyncio.Semaphore(cores)
+        self.random_fraction = Random(seed).random
+        self.core_semaphore = asyncio.Semaphore(cores)
         self.runs: dict[bytes, asyncio.Task[None]] = {}
-        self.replies: dict[bytes, asyncio.Future[None]] = {}
+        self.call_replies: dict[bytes, asyncio.Future[None]] = {}
         self.notices: deque[tuple[int, bytes]] = deque(maxlen=MAX_NOTICES)
-        self.number = 0
-        self.started_at = time.monotonic() - 60  # it reports that it has run for a while
-        self.running = 0
-        self.link_ended_at = 0.0  # when a link ended last
-        self.start_counts: dict[
-            bytes, int
-        ] = {}  # how often each run was started: more than once is a double effect
-        self.first_started: dict[bytes, float] = {}  # when each run was first started, monotonic seconds
+        self.last_notice_number = 0
+        self.started_at = time.monotonic() - 60  # the engine reports that it has run for a minute
+        self.running_count = 0
+        self.link_ended_at = 0.0  # monotonic seconds; the end of the last link
+        # starts of each run: more than one start is a duplicate effect
+        self.start_counts: dict[bytes, int] = {}
+        self.first_started: dict[bytes, float] = {}  # first start of each run, monotonic seconds
         self.link: asyncio.StreamWriter | None = None
         self.server = StreamServer(self._serve)
 
@@ -45,7 +45,7 @@
         return await self.server.open()
 
     async def close(self) -> None:
-        """End the listener, the link and the runs, and wait for their tasks."""
+        """Close the listener and the link, cancel the runs, and wait for their tasks."""
         await self.server.close()
         runs = list(self.runs.values())
         for task in runs:
@@ -53,7 +53,7 @@
         await asyncio.gather(*runs, return_exceptions=True)
 
     def script(self, fault: Fault, slowness: float = 10.0) -> None:
-        """Set the fault from now on; a crash ends the link at once."""
+        """Set the fault; a crash closes the link at once."""
         super().script(fault, slowness)
         if fault is Fault.CRASH and self.link:
             self.link.close()
@@ -77,41 +77,44 @@
     def _command(self, writer: asyncio.StreamWriter, line: list[bytes], body: bytes) -> None:
         verb = line[0]
         if verb == b"ATTACH":
-            if (
-                int(line[1]) == 0 and time.monotonic() - self.link_ended_at > NEW_NODE_DELAY
-            ):  # a new node knows no notice
-                self.number = 0
+            # a new node has no notice to acknowledge
+            if int(line[1]) == 0 and time.monotonic() - self.link_ended_at > NEW_NODE_DELAY:
+                self.last_notice_number = 0
                 self.notices.clear()
             if self.link:
                 self.link.close()
             self.link = writer
             self._write(b"HELLO steady %d\r\n" % ((time.monotonic() - self.started_at) * 1000))
-            for number, notice in list(self.notices):
-                if number > int(line[1]):
+            for notice_number, notice in list(self.notices):
+                if notice_number > int(line[1]):
                     self._write(notice)
         elif verb == b"STAT":
-            busy = min(1.0, self.running / self.cores)
-            self._write(b"STATS %s %.3f %.3f 0.1 1\r\n" % (line[1], busy, self.running))
+            busy = min(1.0, self.running_count / self.cores)
+            self._write(b"STATS %s %.3f %.3f 0.1 1\r\n" % (line[1], busy, self.running_count))
         elif verb == b"RUN":
             if line[1] not in self.runs:
                 self.runs[line[1]] = asyncio.ensure_future(self._run(line[1], body))
         elif verb == b"HALT":
             if task := self.runs.get(line[1]):
                 task.cancel()
-        elif verb in (b"FEED", b"SKIP") and (reply := self.replies.pop(line[1], None)) and not reply.done():
-            reply.set_result(None)
+        elif (
+            verb in (b"FEED", b"SKIP")
+            and (call_reply := self.call_replies.pop(line[1], None))
+            and not call_reply.done()
+        ):
+            call_reply.set_result(None)
 
     async def _run(self, run_id: bytes, body: bytes) -> None:
         self.start_counts[run_id] = self.start_counts.get(run_id, 0) + 1
         self.first_started.setdefault(run_id, time.monotonic())
         end = b"failure"
         try:
-            work = self.work * (0.5 + self.chance()) * self.factor
+            work = self.work * (0.5 + self.random_fraction()) * self.slowdown
             await self._compute(work)
-            if self.calls and int(self.chance() * self.calls) == 0:
-                self.replies[run_id] = asyncio.get_running_loop().create_future()
+            if self.calls and int(self.random_fraction() * self.calls) == 0:
+                self.call_replies[run_id] = asyncio.get_running_loop().create_future()
                 self._notice(b"NEED %%d %s 4" % run_id, b"call")
-                await self.replies[run_id]
+                await self.call_replies[run_id]
                 await self._compute(work / 2)
             end = b"success"
         except asyncio.CancelledError:
@@ -122,25 +125,25 @@
             self._notice(b"DONE %%d %s %s 1.0 %d" % (run_id, end, len(result)), result)
 
     async def _compute(self, seconds: float) -> None:
-        self.running += 1
+        self.running_count += 1
         try:
-            async with self.free:
+            async with self.core_semaphore:
                 await asyncio.sleep(seconds)
         finally:
-            self.running -= 1
+            self.running_count -= 1
 
     def _notice(self, line: bytes, body: bytes) -> None:
-        self.number += 1
-        notice = line % self.number + b"\r\n" + body + b"\r\n"
-        self.notices.append((self.number, notice))
+        self.last_notice_number += 1
+        notice = line % self.last_notice_number + b"\r\n" + body + b"\r\n"
+        self.notices.append((self.last_notice_number, notice))
         self._write(notice)
 
     def _write(self, data: bytes) -> None:
         if self.link is None or self.fault is Fault.HANG:
             return
-        data, ends = self.truncate(data)
+        data, link_ends = self.truncate(data)
         self.link.write(data)
-        if ends:
+        if link_ends:
             self.link.close()
             self.link = None
             self.link_ended_at = time.monotonic()
--- a/oakkeel/fakes/faults.py
+++ b/oakkeel/fakes/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a fake can be set to have, one at a time, until it is set to another."""
+"""Faults of a fake; a fake has one fault at a time."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 
 class Fault(Enum):
-    """What goes wrong with a fake."""
+    """A fault of a fake."""
 
     NONE = "none"
-    HANG = "hang"  # it takes what is sent and answers nothing
-    CRASH = "crash"  # it ends its connections, and each new one at once
-    SLOW = "slow"  # all takes `slowness` times as long
-    BREAK = "break"  # the next message ends in the middle, with the connection
+    HANG = "hang"  # the fake reads messages and does not answer
+    CRASH = "crash"  # the fake closes its connections, and each new connection at once
+    SLOW = "slow"  # all work takes `slowness` times as long
+    BREAK = "break"  # the next message is truncated, and its connection closed
 
 
-class Faulty:
+class FakeWithFaults:
     """A fake with a fault that can be set."""
 
     def __init__(self) -> None:
-        """Nothing is wrong at first."""
+        """Start without a fault."""
         self.fault = Fault.NONE
         self.slowness = 10.0
 
     def script(self, fault: Fault, slowness: float = 10.0) -> None:
-        """Set the fault from now on; `slowness` is the factor of `Fault.SLOW`."""
+        """Set the fault; `slowness` is the factor of `Fault.SLOW`."""
         self.fault = fault
         self.slowness = slowness
 
     @property
-    def factor(self) -> float:
-        """How many times as long everything takes."""
+    def slowdown(self) -> float:
+        """The factor by which all work is slowed down."""
         return self.slowness if self.fault is Fault.SLOW else 1.0
 
     def truncate(self, data: bytes) -> tuple[bytes, bool]:
-        """What of a message is sent, and whether its connection ends then."""
+        """Return the part of a message to send, and whether its connection ends after that part."""
         if self.fault is Fault.BREAK:
             self.fault = Fault.NONE
             return data[: max(1, len(data) // 2)], True
--- a/oakkeel/fakes/link_mesh.py
+++ b/oakkeel/fakes/link_mesh.py
@@ -1,4 +1,4 @@
-"""The faulty links from each agent to each other, and what may go wrong on all or some of them."""
+"""The faulty links between all agents, with faults on all or some of them."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class LinkMesh:
-    """One faulty link for each pair of hosts: the first asks, the second answers."""
+    """A faulty link for each ordered pair of hosts: the first sends requests, the second answers."""
 
     def __init__(self, ports: dict[str, int], random: Random) -> None:
-        """`ports` are those that the agents listen on, by host."""
+        """`ports` are the listening ports of the agents, by host."""
         self._ports = ports
         self._random = random
         self.links: dict[tuple[str, str], FaultyLink] = {}
 
     async def open(self, source: str) -> dict[str, int]:
-        """Open the links of one host; return the port by which it reaches each other host."""
-        found = {}
+        """Open the links of a host, and return the port of the link to each other host."""
+        ports = {}
         for host, port in self._ports.items():
             if host == source:
                 continue
             seed = self._random.getrandbits(32)
             link = FaultyLink(("127.0.0.1", port), LinkDirection(), LinkDirection(), seed)
             self.links[source, host] = link
-            found[host] = await link.open()
-        return found
+            ports[host] = await link.open()
+        return ports
 
     async def close(self) -> None:
         """Close all links and wait for their tasks."""
@@ -36,7 +36,7 @@
             await link.close()
 
     def cut(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
-        """Lose all that goes from some hosts to others, and (`both`) all that comes back."""
+        """Lose all messages from `sources` to `destinations`, and with `both` also those in return."""
         sources = list(sources)
         destinations = list(destinations)
         directions = self._between(sources, destinations)
@@ -52,11 +52,11 @@
                 setattr(direction, name, value)
 
     def clear_faults(self) -> None:
-        """Let all links pass everything as it comes."""
+        """Reset the faults of all links."""
         self.set_faults(**dataclasses.asdict(LinkDirection()))
 
     def break_connections(self) -> None:
-        """Close every connection that is open now."""
+        """Close all open connections of all links."""
         for link in self.links.values():
             link.break_connections()
 
@@ -66,7 +66,7 @@
             yield link.back
 
     def _between(self, sources: list[str], destinations: list[str]) -> list[LinkDirection]:
-        """The directions from some hosts to others, in whichever link they are."""
+        """Return the link directions from `sources` to `destinations`, of requests and of responses."""
         return [
             direction
             for source in sources
--- a/oakkeel/fakes/load_clients.py
+++ b/oakkeel/fakes/load_clients.py
@@ -10,20 +10,20 @@
 from oakkeel.fakes.node_connection import Address, NodeConnection
 
 MAX_ATTEMPTS = 4  # of one request
-MAX_RETRY_AFTER_MS = 5000  # milliseconds; the most that a node tells, which promises nothing
+MAX_RETRY_AFTER_MS = 5000  # the maximum that a node sends; a delay of this length has no reservation
 DEFAULT_RETRY_AFTER = b"1000"  # milliseconds
 CONNECTION_LOST = b""
 
 
 class ClientConnection(NodeConnection):
-    """One connection to a node, whose calls are awaited."""
+    """A connection to a node, whose calls are awaited."""
 
     max_open = 30
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Start to read at once."""
+        """Start to read responses at once."""
         self.open_calls: dict[int, asyncio.Future[tuple[bytes, bytes]]] = {}
-        self.ended = False
+        self.has_ended = False
         super().__init__(reader, writer)
 
     @classmethod
@@ -33,32 +33,32 @@
 
     @property
     def open_count(self) -> int:
-        """How many calls have no response yet."""
+        """The number of calls without a response."""
         return len(self.open_calls)
 
     async def call(self, request_class: bytes, fields: bytes) -> tuple[bytes, bytes]:
-        """Outcome and fields of the response; empty ones where the connection ends."""
+        """Send a call; returns outcome and fields of the response, both empty if the connection ends."""
         self.last_tag += 1
         response: asyncio.Future[tuple[bytes, bytes]] = asyncio.get_running_loop().create_future()
         self.open_calls[self.last_tag] = response
         self._write_call(request_class, fields, b"what")
         return await response
 
-    def _answered(self, tag: int, outcome: bytes, fields: bytes) -> None:
+    def _on_response(self, tag: int, outcome: bytes, fields: bytes) -> None:
         if (response := self.open_calls.pop(tag, None)) and not response.done():
             response.set_result((outcome, fields))
 
-    def _ended(self) -> None:
-        self.ended = True
+    def _on_connection_end(self) -> None:
+        self.has_ended = True
         for response in self.open_calls.values():
             if not response.done():
                 response.set_result((CONNECTION_LOST, b""))
 
 
 class PoliteClient:
-    """Sends requests at a random rate and retries rejected ones after the time that the node gave."""
+    """Sends requests at random intervals and retries rejected requests after the delay that the node gave."""
 
-    retry_delay: float | None = None  # seconds until a retry, for clients that do not honour Retry-After
+    retry_delay: float | None = None  # seconds until a retry; None: as the node asks
 
     def __init__(self, name: str, address: Address, rate: float, seed: int, timeout: float = 2.0) -> None:
         """`rate` in requests a second; `timeout` in seconds, sent to the node."""
@@ -72,24 +72,24 @@
         self.reset_counts()
 
     def reset_counts(self) -> None:
-        """Count from now on."""
+        """Set all counters to zero."""
         self.sent = self.tries = self.completed = self.returned = self.went_ahead = self.lost = 0
 
     async def start(self) -> None:
-        """Send from now on."""
+        """Start to send requests."""
         self._start_task(self._send())
 
     async def stop(self) -> None:
-        """Give up what is on its way, and close."""
+        """Cancel all requests and close the connections."""
         for task in list(self.tasks):
             task.cancel()
         for connection in self.connections:
             connection.writer.close()
-        reading = (connection.task for connection in self.connections)
-        await asyncio.gather(*self.tasks, *reading, return_exceptions=True)
+        read_tasks = (connection.task for connection in self.connections)
+        await asyncio.gather(*self.tasks, *read_tasks, return_exceptions=True)
 
-    def _start_task(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -103,38 +103,38 @@
 
     async def send_one(self) -> None:
         """Send one request with all its retries."""
-        invited = False  # the node said when to come again
-        for number in range(MAX_ATTEMPTS):
+        has_reservation = False  # whether the node reserved capacity for this attempt
+        for attempt in range(MAX_ATTEMPTS):
             self.tries += 1
-            self.returned += invited
-            outcome, fields = await self._try(number > 0)
+            self.returned += has_reservation
+            outcome, fields = await self._send_attempt(attempt > 0)
             if outcome == b"ok":
                 self.completed += 1
-                self.went_ahead += invited
+                self.went_ahead += has_reservation
                 return
             if outcome != b"full":
                 self.lost += outcome == CONNECTION_LOST
                 return
-            values = dict(item.partition(b"=")[::2] for item in fields.split(b","))
+            values = dict(field.partition(b"=")[::2] for field in fields.split(b","))
             retry_after = float(values.get(b"holdoff", DEFAULT_RETRY_AFTER))
-            invited = self.retry_delay is None and retry_after < MAX_RETRY_AFTER_MS
+            has_reservation = self.retry_delay is None and retry_after < MAX_RETRY_AFTER_MS
             await asyncio.sleep(retry_after / 1000 if self.retry_delay is None else self.retry_delay)
 
-    async def _try(self, retry: bool) -> tuple[bytes, bytes]:
-        connection = next((item for item in self.connections if item.usable), None)
+    async def _send_attempt(self, is_retry: bool) -> tuple[bytes, bytes]:
+        connection = next((other for other in self.connections if other.usable), None)
         if connection is None:
             connection = await ClientConnection.open(self.address)
-            self.connections = [item for item in self.connections if not item.ended] + [connection]
+            self.connections = [other for other in self.connections if not other.has_ended] + [connection]
         fields = (
             f"req={self.random.getrandbits(64):016x},ts={time.time_ns() // 1_000_000},via=1,"
             f"timeout={int(self.timeout * 1000)},need=24.5,level=0.5,client={self.name}"
         )
-        if retry:
+        if is_retry:
             fields += ",resent=1"
         return await connection.call(b"quote", fields.encode())
 
 
 class CrawlerClient(PoliteClient):
-    """Takes no advice: what is rejected comes again at once."""
+    """Ignores Retry-After and retries rejected requests after 20 ms."""
 
     retry_delay = 0.02
--- a/oakkeel/fakes/load_generator.py
+++ b/oakkeel/fakes/load_generator.py
@@ -1,8 +1,9 @@
-"""A load generator as a process of its own: `python -m oakkeel.fakes.load_generator RATE SEED`.
+"""A load generator in a separate process: `python -m oakkeel.fakes.load_generator RATE SEED`.
 
-Its two dispatchers keep their pace whatever the process that reads them is busy with. Lines of JSON: commands
-on standard input, one report for each request that has ended on standard output, and a summary as the last
-line. The end of the input stops it as `stop` does. Times are monotonic seconds, which all processes share.
+Its two dispatchers send at their rate even while the parent process is busy. Messages are lines of JSON:
+commands on standard input; on standard output a report for each request that has ended, and a summary as the
+last line. The end of the input stops the generator as the command `stop` does. Times are monotonic seconds,
+which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 
 
 class LoadCommand(msgspec.Struct, omit_defaults=True):
-    """What the generator does from now on; what is left out stays as it is."""
+    """A change of the generator's parameters; omitted fields stay unchanged."""
 
     addresses: dict[str, Address] | None = None  # the nodes to send to
-    rate: float | None = None  # requests a second of each dispatcher
+    rate: float | None = None  # requests a second, for each dispatcher
     stop: bool = False
 
 
 class RequestReport(msgspec.Struct, tag="request"):
-    """What became of one request: the node's word for it, `lost` or `late`."""
+    """The outcome of a request: the outcome that the node sent, `lost` or `late`."""
 
     id: str
     node: str
@@ -39,14 +40,14 @@
 
 
 class LoadSummary(msgspec.Struct, tag="summary"):
-    """The requests sent by outcome, and by how many seconds one was sent late at most."""
+    """The number of requests by outcome, and the maximum delay in seconds of sending a request."""
 
     counts: dict[str, int]
     max_send_delay: float
 
 
 class ReportingDispatcher(Dispatcher):
-    """Reports each request when it ends."""
+    """A dispatcher that reports each request when it ends."""
 
     def __init__(
         self,
@@ -56,48 +57,48 @@
         seed: int,
         report: Callable[[RequestReport], None],
     ) -> None:
-        """`report` takes the report of each request as it ends."""
+        """`report` is called with the report of each request when it ends."""
         super().__init__(number, addresses, rate, seed)
         self._report = report
         self._ids: dict[SentRequest, str] = {}
 
     def request_sent(self, request_id: str, sent: SentRequest) -> None:
-        """Remember the ID until the request ends."""
+        """Keep the request ID until the request ends."""
         self._ids[sent] = request_id
 
     def request_ended(self, sent: SentRequest, outcome: str) -> str:
-        """Count the request, and report it as it was counted."""
+        """Count the request, and report it with the counted outcome."""
         outcome = super().request_ended(sent, outcome)
         now = asyncio.get_running_loop().time()  # the monotonic clock
-        self._report(RequestReport(self._ids.pop(sent), sent.node, sent.at, now, outcome))
+        self._report(RequestReport(self._ids.pop(sent), sent.node, sent.sent_at, now, outcome))
         return outcome
 
 
 class LoadGenerator:
-    """Two dispatchers that follow commands until they are stopped."""
+    """Two dispatchers that are controlled by commands."""
 
     def __init__(self, rate: float, seed: int, report: Callable[[RequestReport], None]) -> None:
-        """`rate` in requests a second of each dispatcher; sending starts with the first addresses."""
+        """`rate` in requests a second, for each dispatcher; sending starts with the first addresses."""
         self._addresses: dict[str, Address] = {}
-        self._started = False
+        self._has_started = False
         self._dispatchers = [
             ReportingDispatcher(number, lambda: self._addresses, rate, seed + number, report)
             for number in range(1, DISPATCHERS + 1)
         ]
 
     def apply(self, command: LoadCommand) -> None:
-        """Follow a command; `stop` is left to the caller."""
+        """Apply a command, except `stop`, which the caller handles."""
         if command.addresses is not None:
             self._addresses = command.addresses
         for dispatcher in self._dispatchers:
             if command.rate is not None:
                 dispatcher.rate = command.rate
-            if not self._started and self._addresses:
+            if not self._has_started and self._addresses:
                 dispatcher.start()
-        self._started = self._started or bool(self._addresses)
+        self._has_started = self._has_started or bool(self._addresses)
 
     async def stop(self) -> LoadSummary:
-        """Send no more, wait for the answers that are due, and sum up."""
+        """Stop sending, wait for outstanding responses, and return the summary."""
         for dispatcher in self._dispatchers:
             await dispatcher.stop()
         counts: Counter[str] = sum((dispatcher.counts for dispatcher in self._dispatchers), Counter())
@@ -110,13 +111,14 @@
     commands = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
     transport, protocol = await loop.connect_write_pipe(asyncio.streams.FlowControlMixin, sys.stdout)
-    transport.set_write_buffer_limits(high=0)  # `drain` waits until all is written
+    transport.set_write_buffer_limits(high=0)  # `drain` waits until the buffer is empty
     output = asyncio.StreamWriter(transport, protocol, None, loop)
     encoder = msgspec.json.Encoder()
     decoder = msgspec.json.Decoder(LoadCommand)
 
-    def report(item: RequestReport | LoadSummary) -> None:
-        output.write(encoder.encode(item) + b"\n")  # buffered: a slow reader doesn't hold up what is sent
+    def report(message: RequestReport | LoadSummary) -> None:
+        # buffered, so that a slow reader does not delay requests
+        output.write(encoder.encode(message) + b"\n")
 
     generator = LoadGenerator(rate, seed, report)
     while line := await commands.readline():
--- a/oakkeel/fakes/load_process.py
+++ b/oakkeel/fakes/load_process.py
@@ -1,4 +1,4 @@
-"""Starts a load generator in a process of its own, sends it commands and reads its reports."""
+"""Starts a load generator in a separate process, sends it commands and reads its reports."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class LoadProcessError(OakkeelError):
-    """The load generator cannot be used as it is."""
+    """The load generator is not started, or has no output."""
 
 
 class LoadProcess:
-    """A load generator in a process of its own, with the outcome of each of its requests."""
+    """A load generator in a separate process, with the reports of its requests."""
 
     def __init__(self) -> None:
-        """Not started yet."""
+        """The process is started by `start`."""
         self.reports: list[RequestReport] = []
         # monotonic seconds of the last request that succeeded, by node
         self.last_success: dict[str, float] = {}
         self.summary: LoadSummary | None = None
         self._addresses: dict[str, Address] = {}
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._read_task: asyncio.Task[None] | None = None
 
     async def start(self, rate: float, seed: int) -> None:
-        """Start the process; it sends from the first addresses on, `rate` a second and dispatcher."""
+        """Start the process; once it has addresses, each dispatcher sends `rate` requests a second."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -45,7 +45,7 @@
         output = self._process.stdout
         if output is None:
             raise LoadProcessError("the load generator has no standard output")
-        self._reading = asyncio.ensure_future(self._read(self._process, output))
+        self._read_task = asyncio.ensure_future(self._read(self._process, output))
 
     def set_addresses(self, addresses: dict[str, Address]) -> None:
         """Set the nodes to send to."""
@@ -54,27 +54,27 @@
             self._send(LoadCommand(addresses=addresses))
 
     def set_rate(self, rate: float) -> None:
-        """Set the requests a second of each dispatcher."""
+        """Set the rate in requests a second, for each dispatcher."""
         self._send(LoadCommand(rate=rate))
 
     async def stop(self) -> LoadSummary:
-        """Let it wait for its responses and end. Raises EOFError if it ends without a summary."""
+        """Let the process wait for outstanding responses and end; raises EOFError if it sends no summary."""
         self._send(LoadCommand(stop=True))
-        if self._reading is not None:
+        if self._read_task is not None:
             async with asyncio.timeout(STOP_TIMEOUT_S):
-                await self._reading
+                await self._read_task
         if self.summary is None:
             raise EOFError("the load generator ended without a summary")
         return self.summary
 
     async def close(self) -> None:
-        """End the process, also where it was not stopped, and wait for it."""
+        """Kill the process if it still runs, and wait for its end."""
         if self._process is not None:
             if self._process.returncode is None:
                 self._process.kill()
             await self._process.wait()
-        if self._reading is not None:
-            await asyncio.gather(self._reading, return_exceptions=True)
+        if self._read_task is not None:
+            await asyncio.gather(self._read_task, return_exceptions=True)
 
     def _send(self, command: LoadCommand) -> None:
         if self._process is None or self._process.stdin is None:
@@ -84,11 +84,13 @@
     async def _read(self, process: asyncio.subprocess.Process, output: asyncio.StreamReader) -> None:
         decoder = msgspec.json.Decoder(RequestReport | LoadSummary)
         while line := await output.readline():
-            item = decoder.decode(line)
-            if isinstance(item, LoadSummary):
-                self.summary = item
+            message = decoder.decode(line)
+            if isinstance(message, LoadSummary):
+                self.summary = message
                 continue
-            self.reports.append(item)
-            if item.outcome == "ok":
-                self.last_success[item.node] = max(item.ended_at, self.last_success.get(item.node, 0.0))
+            self.reports.append(message)
+            if message.outcome == "ok":
+                self.last_success[message.node] = max(
+                    message.ended_at, self.last_success.get(message.node, 0.0)
+                )
         await process.wait()
--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -1,11 +1,12 @@
-"""A fake of a node for its agent: it starts at once, answers on its control socket, and drains.
-
-Its behaviour is set by NAME.script beside its control socket, read again before each answer. Words: `mute`
-accepts and never answers, `old` answers with an earlier generation, `crash` ends at the start with code 3,
-`deaf` does not drain, `cold` reports that it is cold, `linger` takes a second to drain, `slow` is cold for a
-second at its start; `worse` and `slower` serve worse than others, `leak` grows, `mortal` exits
-after a second, `worse-cold` serves worse while it is cold. OAKKEEL_BEHAVE adds words to all of these. What
-happens to it is a line in NAME.journal: a word, its generation, its pid, and the monotonic time.
+"""A fake node for an agent, which starts at once, answers on its control socket, and drains.
+
+The file NAME.script beside the control socket sets its behaviour and is read again before each answer. Words:
+`mute` accepts connections and never answers, `old` answers with an earlier generation, `crash` exits at the
+start with code 3, `deaf` does not drain, `cold` reports that it is cold, `linger` takes a second to drain,
+`slow` is cold for a second after its start, `worse` reports fewer good responses and `slower` higher
+latencies than other nodes, `worse-cold` reports fewer good responses while it is cold, `leak` reports growing
+memory, `mortal` exits after a second. OAKKEEL_BEHAVE holds additional words. Each event of the node is a line
+in NAME.journal: a word, the generation, the process ID, and the monotonic time.
 """
 
 from __future__ import annotations
@@ -19,29 +20,29 @@
 import sys
 import time
 
-RATE = 400.0  # requests a second that it pretends to serve
+RATE = 400.0  # requests a second that the node reports as served
 
 
 class FakeNode:
-    """One node, with its control socket and its journal."""
+    """A fake node with its control socket and its journal."""
 
     def __init__(self) -> None:
-        """All that it needs is in its environment."""
+        """Read the settings from the environment."""
         self.path = os.environ["OAKKEEL_CONTROL"]
         self.base = self.path.removesuffix(".sock")
         self.generation = int(os.environ["OAKKEEL_GENERATION"])
         self.started_at = time.monotonic()
-        self.draining_since = 0.0  # 0: it doesn't drain
-        self.final = False
-        self.up = False
+        self.draining_since = 0.0  # monotonic seconds; 0: not draining
+        self.drain_is_final = False
+        self.is_up = False
 
     def journal(self, word: str) -> None:
-        """Write a line into the journal."""
+        """Append a line to the journal."""
         with open(self.base + ".journal", "a", encoding="ascii") as file:
             file.write(f"{word} {self.generation} {os.getpid()} {time.monotonic_ns()}\n")
 
     def script(self) -> list[str]:
-        """The words that apply now."""
+        """Return the words that apply now."""
         words = os.environ.get("OAKKEEL_BEHAVE", "").split()
         with contextlib.suppress(OSError), open(self.base + ".script", encoding="ascii") as file:
             return words + file.read().split()
@@ -51,8 +52,8 @@
         """Return the figures of a node that has answered RATE requests a second since its start."""
         uptime = time.monotonic() - self.started_at
         count = float(int(RATE * uptime))
-        bad = 0.3 if "worse" in script or ("worse-cold" in script and cold) else 0.02
-        good = float(int(count * (1 - bad)))
+        failure_ratio = 0.3 if "worse" in script or ("worse-cold" in script and cold) else 0.02
+        good = float(int(count * (1 - failure_ratio)))
         mean = -2.0 + ("slower" in script)
         return {
             "version": os.environ.get("OAKKEEL_VERSION", ""),
@@ -64,27 +65,27 @@
 
     def stop(self, *_: object) -> None:
         """Drain on SIGTERM; this drain cannot be cancelled."""
-        self.final = True
+        self.drain_is_final = True
         self.drain()
 
     def drain(self) -> None:
         """Start to drain; `cancel_drain` reverts it."""
         if not self.draining_since:
             self.draining_since = time.monotonic()
-            self.up = False
+            self.is_up = False
             self.journal("leave")
 
     def cancel_drain(self) -> str:
-        """Serve again; returns why not, or nothing."""
-        if self.final:
+        """Serve again; returns the reason if this is not possible, or an empty text."""
+        if self.drain_is_final:
             return "the drain is final: the node stops after SIGTERM"
         if self.draining_since:
             self.draining_since = 0.0
             self.journal("stay")
         return ""
 
-    def drained(self, script: list[str]) -> bool:
-        """Whether it has drained and ends."""
+    def is_drained(self, script: list[str]) -> bool:
+        """Whether the drain is complete, so that the node can end."""
         duration = 1.0 if "linger" in script else 0.0
         return (
             bool(self.draining_since)
@@ -93,18 +94,18 @@
         )
 
     def state(self, script: list[str]) -> str:
-        """The state that it reports."""
+        """Return the state to report."""
         if self.draining_since:
             return "draining"
         if "cold" in script or ("slow" in script and time.monotonic() - self.started_at < 1.0):
             return "cold"
-        if not self.up:
-            self.up = True
+        if not self.is_up:
+            self.is_up = True
             self.journal("up")
         return "serving"
 
     def run(self) -> int:
-        """Answer until it has drained; returns the exit code."""
+        """Answer requests until the drain is complete; returns the exit code."""
         signal.signal(signal.SIGTERM, self.stop)
         self.journal("start")
         if version := os.environ.get("OAKKEEL_VERSION", ""):
@@ -118,7 +119,7 @@
         server.listen(8)
         selector = selectors.DefaultSelector()
         selector.register(server, selectors.EVENT_READ)
-        while not self.drained(self.script()):
+        while not self.is_drained(self.script()):
             if "mortal" in self.script() and time.monotonic() - self.started_at > 1.0:
                 self.journal("died")
                 return 4
@@ -132,7 +133,7 @@
         return 0
 
     def answer_or_close(self, connection: socket.socket) -> bool:
-        """Answer a message; return whether the connection stays open, which an agent's death may end."""
+        """Answer a message; return whether the connection stays open (it closes when the agent is killed)."""
         try:
             return self.answer(connection)
         except (BrokenPipeError, ConnectionResetError):
@@ -147,16 +148,16 @@
             request = json.loads(line)
             if request["type"] in ("leave", "stay"):
                 expected = request["generation"]
-                why = (
+                reason = (
                     f"the order is for generation {expected}, this is generation {self.generation}"
                     if expected != self.generation
                     else ""
                 )
-                if not why and request["type"] == "stay":
-                    why = self.cancel_drain()
-                elif not why:
+                if not reason and request["type"] == "stay":
+                    reason = self.cancel_drain()
+                elif not reason:
                     self.drain()
-                answer = {"type": "told", "tag": request["tag"], "done": not why, "why": why}
+                answer = {"type": "told", "tag": request["tag"], "done": not reason, "why": reason}
             else:
                 answer = {
                     "type": "report",
--- a/oakkeel/fakes/node_connection.py
+++ b/oakkeel/fakes/node_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to a node: calls in RESP, and responses with their tags."""
+"""A client's connection to a node, with calls in RESP and tagged responses."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from abc import ABC, abstractmethod
 
 Address = tuple[str, int]
-CLOSING_TAG = 0  # the node takes no further call on this connection
+CLOSING_TAG = 0  # tag of the message that the node accepts no further call on this connection
 
 
 class NodeConnection(ABC):
     """Writes calls, and reads responses in a task of its own until the connection ends."""
 
-    max_open: int  # calls on one connection
+    max_open: int  # maximum calls without a response on one connection
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Start to read at once."""
+        """Start to read responses at once."""
         self.reader = reader
         self.writer = writer
         self.last_tag = 0
-        self.closing = False  # the node takes no more on it
+        self.closing = False  # whether the node has sent `CLOSING_TAG`
         self.task = asyncio.ensure_future(self._run())
 
     @property
     @abstractmethod
     def open_count(self) -> int:
-        """How many calls have no response yet."""
+        """The number of calls without a response."""
 
     @property
     def usable(self) -> bool:
@@ -34,12 +34,12 @@
         return not self.closing and not self.writer.is_closing() and self.open_count < self.max_open
 
     @abstractmethod
-    def _answered(self, tag: int, outcome: bytes, fields: bytes) -> None:
-        """A response came."""
+    def _on_response(self, tag: int, outcome: bytes, fields: bytes) -> None:
+        """Handle a response."""
 
     @abstractmethod
-    def _ended(self) -> None:
-        """The connection has ended; no response comes any more."""
+    def _on_connection_end(self) -> None:
+        """Handle the end of the connection, after which no response arrives."""
 
     def _write_call(self, request_class: bytes, fields: bytes, body: bytes) -> None:
         """Write a call under `last_tag`."""
@@ -56,9 +56,9 @@
                 if tag == CLOSING_TAG:
                     self.closing = True
                 else:
-                    self._answered(tag, parts[1], parts[2] if len(parts) > 2 else b"")
+                    self._on_response(tag, parts[1], parts[2] if len(parts) > 2 else b"")
         self.writer.close()
-        self._ended()
+        self._on_connection_end()
 
     async def _read_array(self) -> list[bytes]:
         parts = []
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -1,7 +1,7 @@
-"""Many processes on loopback: agents with their nodes, a faulty link from each host to each other, faults.
+"""A rig of processes on loopback: agents with nodes, faulty links between all hosts, and fault injection.
 
-Only processes that it made are ended, by their IDs; nodes by the process ID that they wrote down themselves
-while they hold their lock.
+The rig ends only processes that it started, by process ID. The ID of a node comes from its PID file and is
+used only while the node holds its lock.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     """The agents of a site as processes, with fault injection."""
 
     def __init__(self, site: FakeSite, seed: int = 1, real: bool = False) -> None:
-        """`real`: with real nodes, and engines, catalogue and directory round them."""
+        """`real`: with real nodes instead of fake nodes."""
         super().__init__(site)
         self.real = real
         self.agents: dict[str, asyncio.subprocess.Process] = {}
@@ -65,15 +65,15 @@
         await self.site.close()
 
     def settings_path(self, host: str) -> str:
-        """The settings of one host's agent, with the ports of its links."""
+        """Return the path of the settings of a host's agent, with the ports of its links."""
         return os.path.join(self.site.folder, f"fleet-{host}.xml")
 
     def state_folder(self, host: str) -> str:
-        """The state folder of one host's agent."""
+        """Return the state folder of a host's agent."""
         return os.path.join(self.site.folder, host)
 
     async def start_agent(self, host: str) -> None:
-        """Start the agent of a host on the state that is there."""
+        """Start the agent of a host with the state in its folder."""
         with open(os.path.join(self.site.folder, f"{host}.agent.log"), "ab") as log:
             self.agents[host] = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -86,22 +86,22 @@
             )
 
     async def kill_agent(self, host: str) -> None:
-        """Kill the agent of a host by SIGKILL, if it runs; its nodes go on."""
+        """Kill the agent of a host with SIGKILL, if it runs; its nodes continue."""
         if process := self.agents.pop(host, None):
             if process.returncode is None:
                 process.kill()
             await process.wait()
 
     def suspend_agent(self, host: str) -> None:
-        """Stop the agent of a host by SIGSTOP."""
+        """Suspend the agent of a host with SIGSTOP."""
         self.agents[host].send_signal(signal.SIGSTOP)
 
     def resume_agent(self, host: str) -> None:
-        """Let a suspended agent go on."""
+        """Resume a suspended agent with SIGCONT."""
         self.agents[host].send_signal(signal.SIGCONT)
 
     def kill_node(self, name: str) -> None:
-        """Kill a node by SIGKILL, if it runs, and write that into its journal."""
+        """Kill a node with SIGKILL, if it runs, and record that in its journal."""
         folder = self.state_folder(self._host_of(name))
         processes = Processes(folder, lambda process, why: None)
         if processes.is_running(name) and (process := processes.adopt(name)):
@@ -111,30 +111,30 @@
         processes.close()
 
     def set_node_script(self, name: str, words: str) -> None:
-        """Set how a fake node behaves; `oakkeel.fakes.node` lists the `words`."""
+        """Set the behaviour of a fake node; `oakkeel.fakes.node` describes the `words`."""
         path = os.path.join(self.state_folder(self._host_of(name)), f"{name}.script")
         with open(path, "w", encoding="ascii") as file:
             file.write(words)
 
     def enable_fault(self, host: str, fault: str, text: str = "") -> None:
-        """Enable a fault of an agent; `oakkeel.fakes.agent` lists their names and what `text` holds."""
+        """Enable a fault of an agent; `oakkeel.fakes.agent` describes the faults and their `text`."""
         with open(os.path.join(self.state_folder(host), fault), "w", encoding="ascii") as file:
             file.write(text)
 
     def disable_fault(self, host: str, fault: str) -> None:
-        """Disable a fault that is enabled."""
+        """Disable an enabled fault of an agent."""
         os.unlink(os.path.join(self.state_folder(host), fault))
 
     def delete_databases(self, host: str, *names: str) -> None:
-        """Delete `record.db`, `agent.db` or both of an agent that does not run."""
+        """Delete the databases `names` of an agent that does not run: `record.db`, `agent.db` or both."""
         for name in names:
-            for ending in ("", "-wal", "-shm"):
-                path = os.path.join(self.state_folder(host), name + ending)
+            for suffix in ("", "-wal", "-shm"):
+                path = os.path.join(self.state_folder(host), name + suffix)
                 if os.path.exists(path):
                     os.unlink(path)
 
     def back_up_replica(self, host: str) -> str:
-        """Copy the Raft database of a host as it is; returns the folder of the copy."""
+        """Copy the Raft database of a host in its present state; returns the folder of the copy."""
         folder = tempfile.mkdtemp(prefix=f"backup-{host}-", dir=self.site.folder)
         for name in os.listdir(self.state_folder(host)):
             if name.startswith(RAFT_DATABASE):
@@ -142,7 +142,7 @@
         return folder
 
     def restore_replica(self, host: str, backup: str) -> None:
-        """Put the Raft database of an agent that does not run back to a copy."""
+        """Restore the Raft database of an agent that does not run from a copy."""
         self.delete_databases(host, RAFT_DATABASE)
         for name in os.listdir(backup):
             shutil.copy(os.path.join(backup, name), self.state_folder(host))
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -1,6 +1,6 @@
-"""The decisions of one node in simulated time, with clients that honour its retry times or do not.
+"""A node in simulated time, with clients that honour or ignore Retry-After, without sockets or a clock.
 
-No socket and no clock. Runs share the cores: past one a core, all take as much longer as there are too many.
+Runs share the cores: with more than one run a core, the time of each run grows in proportion.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from oakkeel.units import MS, SECOND
 
 Arguments = TypeVarTuple("Arguments")
-Event = tuple[int, int, Callable[[], None]]  # time in nanoseconds, order of scheduling, what happens
+Event = tuple[int, int, Callable[[], None]]  # time in nanoseconds, order of scheduling, callback
 
 LIMITS = NodeLimits(
     cores=4,
@@ -62,23 +62,23 @@
 
 @dataclass(eq=False)
 class SimulatedClient:
-    """Sends at a random rate; retries what is rejected when it may, or at once and again."""
+    """Sends requests at random intervals; retries rejected ones as the node asks, or after a fixed delay."""
 
     name: bytes
     rate: float  # first attempts a second
     tenant: bytes = b""
     honours_retry_after: bool = True
     max_attempts: int = 4  # of one request
-    retry_gap: int = 20 * MS  # nanoseconds, of one that does not honour retry times
+    fixed_retry_delay: int = 20 * MS  # nanoseconds, if the client does not honour Retry-After
     first_attempts: int = 0
     counts: Counter[str] = field(default_factory=Counter)
-    retry_delays: list[int] = field(default_factory=list)  # given to it, nanoseconds
-    scheduled_returns: int = 0  # retries at exactly the time given
-    admitted_returns: int = 0  # of those, admitted
+    retry_delays: list[int] = field(default_factory=list)  # delays that the node gave, nanoseconds
+    scheduled_returns: int = 0  # retries at exactly the time that the node gave
+    admitted_returns: int = 0  # scheduled returns that were admitted
 
 
 class SimulatedNode:
-    """A node and its machine; `fair` as an operator sets it, None without fair sharing."""
+    """The admission of a node, with simulated cores; `fair` holds the rules, None: no fair sharing."""
 
     def __init__(
         self,
@@ -92,53 +92,57 @@
         max_retry_after: int = 5 * SECOND,
         **limits: Any,
     ) -> None:
-        """Start a node; `work` and `objective` in nanoseconds, `slow` times slower than it could be."""
+        """Start a node; `work` and `objective` in nanoseconds; `slow` is a factor of the time of each run."""
         base = replace(LIMITS, cores=cores, starts_cold=starts_cold, max_retry_after=max_retry_after)
-        row = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, objective, 4 * objective, 0, 0.0, 0.0)
-        self.limits = replace(base, request_classes=[row], fair_sharing=fair, **limits)
+        request_class = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, objective, 4 * objective, 0, 0.0, 0.0)
+        self.limits = replace(base, request_classes=[request_class], fair_sharing=fair, **limits)
         self.random = Random(seed)
         self.now = 1000 * SECOND
-        self.order = count()
+        self.event_order = count()
         self.events: list[Event] = []
         self.work = work
         self.slow = slow
-        self.running = 0
+        self.running_count = 0
         self.clients: list[SimulatedClient] = []
-        self.owners: dict[Request, tuple[SimulatedClient, int, bool]] = {}
+        self.attempts_by_request: dict[Request, tuple[SimulatedClient, int, bool]] = {}
         self.admission = AdmissionController(self, self.limits, seed, self.now)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        """Ignore what of `Host` means nothing here: health, load reports, connections."""
+        """Ignore calls of `Host` that have no effect here: health, load reports, connections."""
         if name.startswith("_") or name == "admission":
             raise AttributeError(name)
-        return lambda *words: None
+        return lambda *arguments: None
 
-    def at(self, when: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Call something at a time, in nanoseconds."""
-        event: Event = (when, next(self.order), partial(callback, *arguments))
+    def schedule_at(
+        self, time_ns: int, callback: Callable[[*Arguments], None], *arguments: *Arguments
+    ) -> None:
+        """Schedule a callback at a time, in nanoseconds."""
+        event: Event = (time_ns, next(self.event_order), partial(callback, *arguments))
         heappush(self.events, event)
 
-    def run_until(self, when: int) -> None:
-        """Play all events up to a time, in nanoseconds."""
-        while self.events and self.events[0][0] <= when:
+    def run_until(self, time_ns: int) -> None:
+        """Run all events up to a time, in nanoseconds."""
+        while self.events and self.events[0][0] <= time_ns:
             self.now, _, callback = heappop(self.events)
             callback()
             self.admission.schedule(self.now)
-        self.now = when
+        self.now = time_ns
 
     def pass_time(self, seconds: float) -> None:
-        """Play the time from now on."""
+        """Run all events of the next `seconds`."""
         self.run_until(self.now + int(seconds * SECOND))
 
     def add(self, *clients: SimulatedClient) -> None:
-        """Let clients send from now on."""
+        """Add clients, which start to send."""
         for client in clients:
             self.clients.append(client)
             self._schedule_first(client)
 
     def _schedule_first(self, client: SimulatedClient) -> None:
         if client.rate > 0:
-            self.at(self.now + int(self.random.expovariate(client.rate) * SECOND), self._send_first, client)
+            self.schedule_at(
+                self.now + int(self.random.expovariate(client.rate) * SECOND), self._send_first, client
+            )
 
     def _send_first(self, client: SimulatedClient) -> None:
         if client in self.clients:
@@ -146,10 +150,10 @@
             self.send(client, 1)
             self._schedule_first(client)
 
-    def send(self, client: SimulatedClient, number: int, as_given: bool = False) -> None:
+    def send(self, client: SimulatedClient, attempt: int, is_scheduled_return: bool = False) -> None:
         """Send one attempt of a request."""
         client.counts["tries"] += 1
-        request = Request(self.limits.request_classes[0], None, 0, 10.0, number > 1, 0, 0, False, False)
+        request = Request(self.limits.request_classes[0], None, 0, 10.0, attempt > 1, 0, 0, False, False)
         if fair := self.limits.fair_sharing:
             labels = {"tenant": client.tenant, "caller": client.name}
             key = 0
@@ -158,55 +162,55 @@
                 key = hash((key, labels[level])) & (1 << 62) - 1
                 flow_keys.append((key, labels[level]))
             request.flow_keys = tuple(flow_keys)
-        self.owners[request] = client, number, as_given
-        client.scheduled_returns += as_given
+        self.attempts_by_request[request] = client, attempt, is_scheduled_return
+        client.scheduled_returns += is_scheduled_return
         self.admission.arrive(self.now, request)
 
     def run(self, request: Request) -> None:
-        """Start it on the cores: the more there are, the longer it takes."""
-        client, _, as_given = self.owners[request]
-        client.admitted_returns += as_given
-        self.running += 1
-        crowd = max(1.0, self.running / self.limits.cores) * self.slow
-        time = self.work * (0.5 + self.random.random()) * crowd
-        self.at(self.now + int(time), self._done, request)
+        """Run a request on the cores; its time grows with the number of runs."""
+        client, _, is_scheduled_return = self.attempts_by_request[request]
+        client.admitted_returns += is_scheduled_return
+        self.running_count += 1
+        slowdown = max(1.0, self.running_count / self.limits.cores) * self.slow
+        run_time = self.work * (0.5 + self.random.random()) * slowdown
+        self.schedule_at(self.now + int(run_time), self._done, request)
 
     def _done(self, request: Request) -> None:
-        self.running -= 1
+        self.running_count -= 1
         self.admission.run_finished(self.now, request, Outcome.COMPLETED)
-        if request in self.owners:
-            client, _, _ = self.owners.pop(request)
+        if request in self.attempts_by_request:
+            client, _, _ = self.attempts_by_request.pop(request)
             client.counts["in time" if self.now <= request.objective_end else "late"] += 1
 
     def reject(self, request: Request, final: bool, retry_after: int) -> None:
-        """Count the rejection, and retry as the client does."""
-        client, number, _ = self.owners.pop(request)
+        """Count a rejection, and schedule the retry of the client."""
+        client, attempt, _ = self.attempts_by_request.pop(request)
         client.counts["denied"] += 1
         client.retry_delays.append(retry_after)
-        if number >= client.max_attempts:
+        if attempt >= client.max_attempts:
             client.counts["given up"] += 1
         elif client.honours_retry_after:
-            given = retry_after < self.limits.max_retry_after
-            self.at(self.now + retry_after, self.send, client, number + 1, given)
+            has_reservation = retry_after < self.limits.max_retry_after
+            self.schedule_at(self.now + retry_after, self.send, client, attempt + 1, has_reservation)
         else:
-            self.at(self.now + client.retry_gap, self.send, client, number + 1)
+            self.schedule_at(self.now + client.fixed_retry_delay, self.send, client, attempt + 1)
 
     def fail(self, request: Request) -> None:
         """Count a failed request."""
-        if request in self.owners:
-            self.owners.pop(request)[0].counts["terminated"] += 1
+        if request in self.attempts_by_request:
+            self.attempts_by_request.pop(request)[0].counts["terminated"] += 1
 
     def set_timer(self, token: int, at: int) -> None:
-        """Call `timer_expired` with the token at this time."""
-        self.at(at, self._timer, token)
+        """Call `timer_expired` with the token at a time."""
+        self.schedule_at(at, self._timer, token)
 
     def _timer(self, token: int) -> None:
-        busy = min(1.0, self.running / self.limits.cores)
-        self.admission.timer_expired(self.now, token, Gauges(busy, float(self.running), 0.1, 1.0))
+        busy = min(1.0, self.running_count / self.limits.cores)
+        self.admission.timer_expired(self.now, token, Gauges(busy, float(self.running_count), 0.1, 1.0))
 
 
 def fair_share(rates: list[float], capacity: float) -> list[float]:
-    """Return max-min shares of a capacity, worked out independently: by halving, not by sorting."""
+    """Return max-min shares of a capacity by bisection, independently of the algorithm under test."""
     if sum(rates) <= capacity:
         return list(rates)
     low = 0.0
@@ -218,5 +222,5 @@
 
 
 def jain(values: list[float]) -> float:
-    """Return Jain's index: 1 where all are the same (R. Jain, D. Chiu, W. Hawe, DEC TR-301, 1984)."""
+    """Return Jain's fairness index: 1 if all values are equal (Jain, Chiu, Hawe, DEC TR-301, 1984)."""
     return sum(values) ** 2 / (len(values) * sum(value * value for value in values)) if any(values) else 0.0
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -1,4 +1,4 @@
-"""A small site in one folder: fake engines, catalogue and directory; settings and keys for its processes."""
+"""A site in a folder: fake engines, catalogue and directory, and the settings and keys of its processes."""
 
 from __future__ import annotations
 
@@ -42,22 +42,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SiteOptions:
-    """What a fake site has, and how it behaves."""
+    """The options of a fake site."""
 
-    max_unavailable: int  # instances of each site
-    fleet_max_unavailable: int = 0  # instances of the fleet; 0: no bound
+    max_unavailable: int  # maximum unavailable instances of each site
+    fleet_max_unavailable: int = 0  # maximum unavailable instances of the fleet; 0: no limit
     sites: dict[str, str] | None = None  # the site of each host; None: one site
     replicas: tuple[str, ...] = ()  # hosts with a replica of the control plane
-    downstream: str = ""  # the XML element of the settings
-    dependencies: dict[str, str] | None = None  # the downstream service, by instance
-    supervision: str = ""  # the XML element of the settings
+    downstream: str = ""  # XML element of the downstream services
+    dependencies: dict[str, str] | None = None  # name of the downstream service by instance
+    supervision: str = ""  # XML element of the supervision rules
     seed: int = 1
     work: float = 0.005  # seconds of each run and call
     max_retry_after: int = 1  # seconds
 
 
 class FakeSite:
-    """Hosts with instances and the fakes around them. Started by `open`, ended by `close`."""
+    """Hosts with instances, and the fakes that they use; started by `open`, ended by `close`."""
 
     def __init__(self, folder: str, hosts: dict[str, list[str]], options: SiteOptions) -> None:
         """`hosts` names the instances of each host."""
@@ -72,13 +72,13 @@
         }
         self.catalogue = Catalogue()
         self.directory = Directory()
-        self.catalogues: dict[str, str] = {}  # other addresses than the common one, by instance
+        self.catalogues: dict[str, str] = {}  # addresses other than that of the shared catalogue, by instance
         self.engines: dict[str, Engine] = {}
         self.ports = {host: free_port() for host in hosts}
         self.settings = os.path.join(folder, "fleet.xml")
 
     async def open(self) -> None:
-        """Start the fakes, and write configurations, keys and settings."""
+        """Start the fakes, and write the configurations, keys and settings."""
         catalogue = await self.catalogue.open()
         directory = await self.directory.open()
         for name in (name for names in self.hosts.values() for name in names):
@@ -93,18 +93,18 @@
         self.write_settings()
 
     async def close(self) -> None:
-        """End the fakes and wait for their tasks; what was written stays."""
+        """Close the fakes and wait for their tasks; the files stay."""
         for engine in self.engines.values():
             await engine.close()
         await self.catalogue.close()
         await self.directory.close()
 
     def write_settings(self, **operators: str) -> None:
-        """`operators`: the whole elements of those that are not as they were at first."""
+        """Write the settings; `operators` replaces the XML elements of operators, by name."""
         self.write_to(self.settings, {}, **operators)
 
     def write_to(self, path: str, ports: dict[str, int], **operators: str) -> None:
-        """Write settings with other ports of some agents: those of the links between hosts."""
+        """Write the settings, with other `ports` for some agents: those of the links between hosts."""
         element = '<operator name="{0}" role="{1}"><key id="{0}-1" file="{0}.key"/></operator>'
         elements = {name: element.format(name, role) for name, role in OPERATORS.items()} | operators
         limit = f' away="{self.options.fleet_max_unavailable}"' if self.options.fleet_max_unavailable else ""
@@ -155,10 +155,10 @@
 
 
 def free_port() -> int:
-    """Find a port that nobody listens on, for loopback and tests only.
+    """Return a port without a listener, for loopback and tests only.
 
-    It is below those that the kernel gives out itself: otherwise a connection that is opened meanwhile may
-    have it by the time that it is listened on.
+    The port is below the ephemeral range of the kernel: otherwise a connection that is opened meanwhile could
+    get the port before it is listened on.
     """
     while True:
         port = 10_000 + secrets.randbelow(20_000)
--- a/oakkeel/fakes/stream_server.py
+++ b/oakkeel/fakes/stream_server.py
@@ -1,4 +1,4 @@
-"""A loopback TCP server that owns the task of each of its connections, and ends them all when it closes."""
+"""A loopback TCP server that owns the tasks of its connections and cancels them when it is closed."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 class StreamServer:
     """Serves each connection in a task of its own.
 
-    `asyncio.start_server` with a coroutine function leaves its connection tasks to the loop. One that is
-    still open when the loop ends is cancelled there, and Python 3.11 then prints the `CancelledError` through
-    the exception handler of the loop. Here `close` cancels the tasks and waits for them.
+    `asyncio.start_server` with a coroutine function leaves its connection tasks to the loop. A task that
+    still runs when the loop ends is cancelled by the loop, and Python 3.11 then prints the `CancelledError`
+    through the exception handler of the loop. Here `close` cancels the tasks and waits for them.
     """
 
     def __init__(self, serve: Serve) -> None:
@@ -24,18 +24,18 @@
 
     async def open(self, port: int = 0) -> int:
         """Listen on loopback; returns the port."""
-        # Not a coroutine function: the stream protocol would make the task itself.
+        # Not a coroutine function, for which the stream protocol would create the task itself.
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", port)
         return int(self._server.sockets[0].getsockname()[1])
 
     def stop_listening(self) -> None:
-        """Take no more connections; those that are open stay."""
+        """Accept no more connections; open connections stay."""
         if self._server:
             self._server.close()
             self._server = None
 
     async def close(self) -> None:
-        """Take no more connections, end those that are open and wait for their tasks."""
+        """Accept no more connections, close the open ones and wait for their tasks."""
         self.stop_listening()
         tasks = list(self._tasks)
         for task in tasks:
--- a/tests/fakes/test_faulty_link.py
+++ b/tests/fakes/test_faulty_link.py
@@ -6,14 +6,14 @@
 
 
 class FaultyLinkTest(unittest.IsolatedAsyncioTestCase):
-    async def test_loses_whole_messages_and_passes_the_others_unchanged(self):
+    async def test_loses_and_duplicates_whole_messages(self):
         from oakkeel.fakes.faulty_link import FaultyLink, LinkDirection
 
         async def echo(reader, writer):
             with contextlib.suppress(asyncio.IncompleteReadError):
                 while True:
-                    head = await reader.readexactly(4)
-                    writer.write(head + await reader.readexactly(int.from_bytes(head, "big")))
+                    length_field = await reader.readexactly(4)
+                    writer.write(length_field + await reader.readexactly(int.from_bytes(length_field, "big")))
 
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         there, back = LinkDirection(), LinkDirection()
@@ -27,7 +27,7 @@
         there.cut, there.double = False, 1.0
         writer.write(frame(b"two"))
         self.assertEqual(await asyncio.wait_for(reader.readexactly(14), 5), frame(b"two") * 2)
-        self.assertEqual(link.lost, 1)
+        self.assertEqual(link.lost_count, 1)
         writer.close()
         await link.close()
         server.close()
--- a/tests/fakes/test_load_generator.py
+++ b/tests/fakes/test_load_generator.py
@@ -12,13 +12,13 @@
 async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Read RESP calls; every fourth is rejected, the others succeed."""
     while head := await reader.readline():
-        words = []
+        parts = []
         for _ in range(int(head[1:])):
             length = int((await reader.readline())[1:])
-            words.append((await reader.readexactly(length + 2))[:-2])
-        tag = words[1]
-        word = b"full" if int(tag) % 4 == 0 else b"ok"
-        writer.write(b"*2\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(item), item) for item in (tag, word)))
+            parts.append((await reader.readexactly(length + 2))[:-2])
+        tag = parts[1]
+        outcome = b"full" if int(tag) % 4 == 0 else b"ok"
+        writer.write(b"*2\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(item), item) for item in (tag, outcome)))
 
 
 class LoadProcessTest(unittest.IsolatedAsyncioTestCase):
@@ -29,7 +29,7 @@
         self.load = LoadProcess()
         self.addAsyncCleanup(self.load.close)
 
-    async def test_reports_what_became_of_every_request(self):
+    async def test_reports_outcome_of_each_request(self):
         await self.load.start(100.0, 1)
         self.load.set_addresses({"n1": self.address})
         async with asyncio.timeout(20):
@@ -39,23 +39,23 @@
         self.assertEqual(len(self.load.reports), summary.counts["sent"])
         outcomes = [report.outcome for report in self.load.reports]
         self.assertEqual(
-            {word: outcomes.count(word) for word in set(outcomes)},
-            {word: summary.counts[word] for word in ("ok", "full")},
+            {outcome: outcomes.count(outcome) for outcome in set(outcomes)},
+            {outcome: summary.counts[outcome] for outcome in ("ok", "full")},
         )
         self.assertEqual(len({report.id for report in self.load.reports}), summary.counts["sent"])
         self.assertTrue(all(report.sent_at <= report.ended_at for report in self.load.reports))
         self.assertIn("n1", self.load.last_success)
 
-    async def test_keeps_its_pace_while_the_process_that_reads_it_stands_still(self):
+    async def test_keeps_its_rate_while_parent_process_is_blocked(self):
         await self.load.start(50.0, 1)
-        self.load.set_addresses({"n1": ("127.0.0.1", 1)})  # nobody listens: each is counted as unsent
+        self.load.set_addresses({"n1": ("127.0.0.1", 1)})  # no listener: each request is counted as unsent
         await asyncio.sleep(0.5)
-        time.sleep(1.0)  # the loop of this process stands still
+        time.sleep(1.0)  # blocks the event loop of this process
         summary = await self.load.stop()
         self.assertGreater(summary.counts["unsent"], 50)
         self.assertLess(summary.max_send_delay, 0.5)
 
-    async def test_a_request_without_an_answer_is_reported_lost(self):
+    async def test_reports_request_without_response_as_lost(self):
         server = StreamServer(self.close_after_first_line)
         self.addAsyncCleanup(server.close)
         await self.load.start(20.0, 1)
@@ -67,20 +67,20 @@
         self.assertEqual({report.outcome for report in self.load.reports}, {"lost"})
         self.assertEqual(summary.counts["lost"], summary.counts["sent"])
 
-    async def test_an_end_without_a_summary_is_an_error(self):
+    async def test_end_without_summary_is_an_error(self):
         await self.load.start(1.0, 1)
         await self.load.close()
         with self.assertRaises((EOFError, OSError)):
             await self.load.stop()
 
-    async def test_a_stop_that_is_cancelled_as_the_process_ends_is_cancelled(self):
-        ended = asyncio.Event()
-        self.load._reading = asyncio.ensure_future(ended.wait())
+    async def test_stop_that_is_cancelled_as_process_ends_is_cancelled(self):
+        process_ended = asyncio.Event()
+        self.load._read_task = asyncio.ensure_future(process_ended.wait())
         self.load.summary = LoadSummary({}, 0.0)
         with mock.patch.object(self.load, "_send"):
             task = asyncio.ensure_future(followed_by_wait(self.load.stop()))
             await let_run()
-            self.assertTrue(await ends_cancelled(task, ended.set))
+            self.assertTrue(await ends_cancelled(task, process_ended.set))
 
     @staticmethod
     async def close_after_first_line(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/fakes/test_node.py
+++ b/tests/fakes/test_node.py
@@ -1,4 +1,4 @@
-"""The fake node outlives the agent that it talks to."""
+"""The fake node keeps serving when connections of its agent break."""
 
 import os
 import signal
@@ -46,21 +46,21 @@
             self.assertIn(b'"state"', connection.recv(4096))
         self.assertIsNone(self.process.poll())
 
-    def test_serves_on_after_a_client_that_closes_with_its_answer_unread(self):
+    def test_keeps_serving_after_a_client_closes_with_an_unread_answer(self):
         connection = self.connect()
         connection.sendall(REQUEST)
         self.assertTrue(connection.recv(1, socket.MSG_PEEK))
-        connection.close()  # the peer reads a reset
+        connection.close()  # resets the connection
         self.assert_serves()
 
-    def test_serves_on_after_a_client_that_closes_before_its_answer(self):
+    def test_keeps_serving_after_clients_close_before_their_answers(self):
         for _ in range(20):
             connection = self.connect()
             connection.sendall(REQUEST)
             connection.close()
         self.assert_serves()
 
-    def test_ends_on_sigterm_once_it_has_drained(self):
+    def test_ends_after_sigterm_and_drain(self):
         self.assert_serves()
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
--- a/tests/fakes/test_stream_server.py
+++ b/tests/fakes/test_stream_server.py
@@ -10,23 +10,25 @@
 
 
 class CleanShutdownTest(unittest.TestCase):
-    """A fake that is closed with connections open leaves no task, and prints nothing at the loop's end."""
+    """Closing a fake with open connections leaves no task and causes no error when the loop ends."""
 
     def setUp(self) -> None:
         self.errors: list[dict] = []
-        self.left: list[asyncio.Task] = []
+        self.remaining_tasks: list[asyncio.Task] = []
 
-    def play(self, scenario) -> None:
+    def run_and_check(self, scenario) -> None:
         async def run() -> None:
             asyncio.get_running_loop().set_exception_handler(lambda _, context: self.errors.append(context))
             await scenario()
-            self.left = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
+            self.remaining_tasks = [
+                task for task in asyncio.all_tasks() if task is not asyncio.current_task()
+            ]
 
-        asyncio.run(run())  # it cancels what is left, as at the end of a measurement
+        asyncio.run(run())  # `run` cancels remaining tasks, as at the end of a measurement
         self.assertEqual(self.errors, [])
-        self.assertEqual(self.left, [])
+        self.assertEqual(self.remaining_tasks, [])
 
-    def test_engine_ends_its_link_and_its_runs(self):
+    def test_engine_closes_its_link_and_cancels_its_runs(self):
         async def scenario() -> None:
             engine = Engine(work=60.0)
             reader, writer = await asyncio.open_connection("127.0.0.1", await engine.open())
@@ -38,19 +40,21 @@
             self.assertEqual(engine.runs, {})
             writer.close()
 
-        self.play(scenario)
+        self.run_and_check(scenario)
 
-    def test_catalogue_ends_its_connections(self):
+    def test_catalogue_closes_its_connections(self):
         async def scenario() -> None:
             catalogue = Catalogue()
             reader, writer = await asyncio.open_connection("127.0.0.1", await catalogue.open())
             writer.write(b"FETCH 1 quote 4\r\nbody\r\n")
             self.assertEqual(await reader.readline(), b"1 DATA 8\r\n")
             await catalogue.close()
-            self.assertEqual(await asyncio.wait_for(reader.read(), 5), b"for body\r\n")  # and its end
+            self.assertEqual(
+                await asyncio.wait_for(reader.read(), 5), b"for body\r\n"
+            )  # and the end of the stream
             writer.close()
 
-        self.play(scenario)
+        self.run_and_check(scenario)
 
     def test_downstream_service_can_be_opened_again_at_its_port(self):
         async def scenario() -> None:
@@ -64,9 +68,9 @@
                 with self.assertRaises(ConnectionRefusedError):
                     await asyncio.open_connection("127.0.0.1", service.port)
 
-        self.play(scenario)
+        self.run_and_check(scenario)
 
-    def test_faulty_link_ends_what_it_forwards_and_what_it_holds_back(self):
+    def test_faulty_link_closes_connections_and_drops_delayed_messages(self):
         async def scenario() -> None:
             catalogue = Catalogue()
             there, back = LinkDirection(), LinkDirection()
@@ -76,7 +80,7 @@
             there.delay = 60.0
             forwarded.write(frame(b"late"))
             await asyncio.sleep(0.05)
-            there.cut = True  # a new connection is left without an answer
+            there.cut = True  # a new connection gets no answer
             _, unanswered = await asyncio.open_connection("127.0.0.1", port)
             await asyncio.sleep(0.05)
             await link.close()
@@ -84,7 +88,7 @@
             forwarded.close()
             unanswered.close()
 
-        self.play(scenario)
+        self.run_and_check(scenario)
 
 
 if __name__ == "__main__":
