--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -123,7 +123,7 @@
                 connection.call(sent, fields, request_id.encode())
                 self.counts["sent"] += 1
                 return
-        self.counts["unsent"] += 1  # no node took a connection
+        self.counts["unsent"] += 1  # no node accepted a connection
 
     def request_sent(self, request_id: str, sent: SentRequest) -> None:
         """Called for each request that is sent, for subclasses."""
--- a/oakkeel/fakes/node_connection.py
+++ b/oakkeel/fakes/node_connection.py
@@ -7,11 +7,11 @@
 from abc import ABC, abstractmethod
 
 Address = tuple[str, int]
-CLOSING_TAG = 0  # tag of the message that the node accepts no further call on this connection
+CLOSING_TAG = 0  # of the message by which the node closes the connection to further calls
 
 
 class NodeConnection(ABC):
-    """Writes calls, and reads responses in a task of its own until the connection ends."""
+    """Writes calls, and reads responses in a separate task until the connection ends."""
 
     max_open: int  # maximum calls without a response on one connection
 
@@ -20,7 +20,7 @@
         self.reader = reader
         self.writer = writer
         self.last_tag = 0
-        self.closing = False  # whether the node has sent `CLOSING_TAG`
+        self.closing = False  # whether the node has closed the connection to further calls
         self.task = asyncio.ensure_future(self._run())
 
     @property
--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -121,7 +121,7 @@
         self.unavailable_since.pop(target, None)
 
     def out_by_itself(self, now: int, target: str) -> None:
-        """Record that a target stopped serving without an order."""
+        """Record that a target is unavailable without an order."""
         if target not in self.taken_out:
             self.unavailable_since.setdefault(target, now)
 
--- a/oakkeel/models/policy_change.py
+++ b/oakkeel/models/policy_change.py
@@ -62,9 +62,8 @@
     The model explores every sequence of steps. The rules: a node learns only of decided versions ("decided
     first"), and a decided version can't be withdrawn ("decided stays").
     """
-    to_visit = [
-        ("proposed", False, False)
-    ]  # state, whether a node uses it, whether it is reported as withdrawn
+    # state of the version, whether a node uses the version, whether the version is reported as withdrawn
+    to_visit = [("proposed", False, False)]
     visited = set()
     while to_visit:
         state = to_visit.pop()
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -43,7 +43,7 @@
             ("running", rolls_back, target_out, first_version, second_version, attempts),
             ("left", rolls_back, target_out, first_version, second_version, attempts),
         ]
-    if target_out:  # the batch may end with either version on the target
+    if target_out:  # the batch may end with either version, whichever is intended
         for version in ("new", "old"):
             states.append(
                 (
--- a/tests/fakes/test_stream_server.py
+++ b/tests/fakes/test_stream_server.py
@@ -24,7 +24,7 @@
                 task for task in asyncio.all_tasks() if task is not asyncio.current_task()
             ]
 
-        asyncio.run(run())  # `run` cancels remaining tasks, as at the end of a measurement
+        asyncio.run(run())  # `asyncio.run` cancels remaining tasks, as at the end of a measurement
         self.assertEqual(self.errors, [])
         self.assertEqual(self.remaining_tasks, [])
 
