--- a/oakkeel/fakes/control_plane.py
+++ b/oakkeel/fakes/control_plane.py
@@ -64,9 +64,9 @@
         order = messages.FleetOrderRequest(order_id, verb, targets, int(duration * 1e9), atomic)
         return await self.clients.request_leader(order)
 
-    async def end_order(self, order_id: str, back: bool) -> messages.Response:
-        """Cancel an order and bring its targets back (`back`), or halt it; raises NoLeaderError."""
-        return await self.clients.request_leader(messages.EndFleetOrderRequest(order_id, back))
+    async def end_order(self, order_id: str, bring_back: bool) -> messages.Response:
+        """Cancel an order and bring its targets back (`bring_back`), or halt it; raises NoLeaderError."""
+        return await self.clients.request_leader(messages.EndFleetOrderRequest(order_id, bring_back))
 
     async def instance_statuses(self) -> dict[str, messages.InstanceStatus]:
         """Return the status of each instance whose agent answers, by name."""
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -34,15 +34,19 @@
 
 
 class FaultyLink:
-    """Forwards requests (`there`) and responses (`back`), whose faults may be changed at any time."""
+    """Forwards requests and responses; the faults of both directions may be changed at any time."""
 
     def __init__(
-        self, address: tuple[str, int], there: LinkDirection, back: LinkDirection, seed: int
+        self,
+        address: tuple[str, int],
+        request_direction: LinkDirection,
+        response_direction: LinkDirection,
+        seed: int,
     ) -> None:
         """`address` is the address of the agent that answers."""
         self.address = address
-        self.there = there
-        self.back = back
+        self.request_direction = request_direction
+        self.response_direction = response_direction
         self.random = Random(seed)
         self.tasks: set[asyncio.Task[None]] = set()
         self.writers: set[asyncio.StreamWriter] = set()
@@ -69,7 +73,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         try:
-            if self.there.cut or self.back.cut:
+            if self.request_direction.cut or self.response_direction.cut:
                 await asyncio.sleep(UNANSWERED_CONNECT_TIME)
             else:
                 await self._connect(reader, writer)
@@ -86,8 +90,8 @@
             return
         self.writers.add(remote_writer)
         directions = [
-            self._start(self._forward(reader, remote_writer, self.there)),
-            self._start(self._forward(remote_reader, writer, self.back)),
+            self._start(self._forward(reader, remote_writer, self.request_direction)),
+            self._start(self._forward(remote_reader, writer, self.response_direction)),
         ]
         try:
             await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
--- a/oakkeel/fakes/link_mesh.py
+++ b/oakkeel/fakes/link_mesh.py
@@ -62,8 +62,8 @@
 
     def _directions(self) -> Iterator[LinkDirection]:
         for link in self.links.values():
-            yield link.there
-            yield link.back
+            yield link.request_direction
+            yield link.response_direction
 
     def _between(self, sources: list[str], destinations: list[str]) -> list[LinkDirection]:
         """Return the link directions from `sources` to `destinations`, of requests and of responses."""
@@ -72,5 +72,8 @@
             for source in sources
             for destination in destinations
             if source != destination
-            for direction in (self.links[source, destination].there, self.links[destination, source].back)
+            for direction in (
+                self.links[source, destination].request_direction,
+                self.links[destination, source].response_direction,
+            )
         ]
--- a/tests/fakes/test_faulty_link.py
+++ b/tests/fakes/test_faulty_link.py
@@ -16,15 +16,15 @@
                     writer.write(length_field + await reader.readexactly(int.from_bytes(length_field, "big")))
 
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
-        there, back = LinkDirection(), LinkDirection()
-        link = FaultyLink(server.sockets[0].getsockname(), there, back, 1)
+        request_direction, response_direction = LinkDirection(), LinkDirection()
+        link = FaultyLink(server.sockets[0].getsockname(), request_direction, response_direction, 1)
         reader, writer = await asyncio.open_connection("127.0.0.1", await link.open())
         writer.write(frame(b"one"))
         self.assertEqual(await reader.readexactly(7), frame(b"one"))
-        there.cut = True
+        request_direction.cut = True
         writer.write(frame(b"lost"))
         await asyncio.sleep(0.1)
-        there.cut, there.double = False, 1.0
+        request_direction.cut, request_direction.double = False, 1.0
         writer.write(frame(b"two"))
         self.assertEqual(await asyncio.wait_for(reader.readexactly(14), 5), frame(b"two") * 2)
         self.assertEqual(link.lost_count, 1)
--- a/tests/fakes/test_stream_server.py
+++ b/tests/fakes/test_stream_server.py
@@ -73,14 +73,14 @@
     def test_faulty_link_closes_connections_and_drops_delayed_messages(self):
         async def scenario() -> None:
             catalogue = Catalogue()
-            there, back = LinkDirection(), LinkDirection()
-            link = FaultyLink(("127.0.0.1", await catalogue.open()), there, back, 1)
+            request_direction, response_direction = LinkDirection(), LinkDirection()
+            link = FaultyLink(("127.0.0.1", await catalogue.open()), request_direction, response_direction, 1)
             port = await link.open()
             _, forwarded = await asyncio.open_connection("127.0.0.1", port)
-            there.delay = 60.0
+            request_direction.delay = 60.0
             forwarded.write(frame(b"late"))
             await asyncio.sleep(0.05)
-            there.cut = True  # a new connection gets no answer
+            request_direction.cut = True  # a new connection gets no answer
             _, unanswered = await asyncio.open_connection("127.0.0.1", port)
             await asyncio.sleep(0.05)
             await link.close()
