--- a/oakkeel/control/client.py
+++ b/oakkeel/control/client.py
@@ -39,9 +39,9 @@
     def __init__(self, path: str) -> None:
         """Use the Unix socket at `path`; the first request connects to it."""
         self.path = path
-        self.tags = itertools.count(1)
+        self.tags = itertools.count(1)  # number the requests; a response repeats the tag of its request
         self.stream: IOStream | None = None
-        self.pid = 0  # of the node, as the kernel reports it
+        self.pid = 0  # process ID of the node, as the kernel reports it; 0 before the first connection
 
     async def status(self, timeout: float) -> NodeStatus:
         """Fetch the state of the node within `timeout` seconds. Raises ControlError, as all requests do."""
@@ -90,8 +90,10 @@
         if self.stream is None:
             self.stream = IOStream(socket.socket(socket.AF_UNIX), max_buffer_size=MAX_LINE_BYTES)
             await self.stream.connect(self.path)  # the address of a Unix socket is its path
-            peer = self.stream.socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
-            self.pid = PEER_CREDENTIALS.unpack(peer)[0]
+            credentials = self.stream.socket.getsockopt(
+                socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size
+            )
+            self.pid = PEER_CREDENTIALS.unpack(credentials)[0]
         self.stream.write(encode(request))
         line = await self.stream.read_until(b"\n", max_bytes=MAX_LINE_BYTES)
         response = decode_response(line)
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -1,4 +1,4 @@
-"""The node's end of its control links. Limits on their number and read rate keep CPU time for requests."""
+"""The node's end of its control links. Limits on links and on their reads keep CPU time for requests."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
             self.links[link] = asyncio.ensure_future(link.serve())
 
     def mark_active(self, link: ControlLink) -> None:
-        """Move a link that has just been read to the end of the order."""
+        """Move a link that has just been read to the end of `links`, as the most recently active one."""
         if link in self.links:
             self.links[link] = self.links.pop(link)
 
@@ -123,7 +123,7 @@
         """Read and answer requests until the link is closed."""
         try:
             while True:
-                await self._read()
+                await self._read_and_answer()
         except MalformedInputError:
             self._refuse(f"a line of more than {MAX_LINE_BYTES} bytes")
         except TimeoutError:
@@ -138,8 +138,8 @@
     def _refuse(self, reason: str) -> None:
         send(self.stream, encode(Acknowledgement(0, False, reason)))
 
-    async def _read(self) -> None:
-        """Answer the messages of one read, then pause, to limit the event loop time of a fast client."""
+    async def _read_and_answer(self) -> None:
+        """Answer the messages of one read, then pause, so that a fast client can't occupy the event loop."""
         limits = self.listener.resource_limits
         read_buffer = self.read_buffer
         started_at = time.monotonic_ns()
--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -1,6 +1,7 @@
 """Messages of the control link: one JSON object per line, typed and of bounded size.
 
-The protocol fixes tags and keys; a field whose key differs from its name in the code declares the key.
+The protocol fixes the message types (`tag=` of each class) and the keys; a field whose key differs from its
+name in the code declares the key. The field `tag` of a message numbers a request; its response repeats it.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 class ServingState(StrEnum):
     """The serving state of a node in its status reports."""
 
-    WAITING = "waiting"  # for its engine
+    WAITING = "waiting"  # for its engine to come up
     WARMING_UP = "cold"  # in slow start
     SERVING = "serving"
     DRAINING = "draining"
@@ -53,33 +54,35 @@
 
 
 class NodeStatus(msgspec.Struct, tag="report"):
-    """The state of a node. Times in nanoseconds."""
+    """The state of a node; its times are in nanoseconds."""
 
     tag: int
     name: str
     pid: int
-    generation: int  # set at its start
-    state: str  # a `ServingState`; a node of another version may report another one
+    generation: int  # number that the agent gave to this start of the node
+    state: str  # a `ServingState`; a node of another version may report another value
     address: str
     uptime: int
-    stage: str = "NORMAL"  # of overload
-    shedding_threshold: float = msgspec.field(default=0.0, name="cut")  # lower ranks are rejected
+    stage: str = "NORMAL"  # name of the overload stage
+    # Requests of a lower rank are rejected.
+    shedding_threshold: float = msgspec.field(default=0.0, name="cut")
+    # Counts of requests: queued, running in the engine, and waiting for a downstream call.
     queued: int = msgspec.field(default=0, name="hold")
     running: int = msgspec.field(default=0, name="runs")
     calling: int = msgspec.field(default=0, name="calls")
-    memory_kb: float = 0.0  # of requests, by the count of the admission controller
-    resident_kb: int = 0
+    memory_kb: float = 0.0  # estimated memory of open requests and of retained keys
+    resident_kb: int = 0  # memory of the process
     descriptors: int = 0
     connections: int = 0
-    gauges_age: int = -1  # -1: never read
+    gauges_age: int = -1  # time since the gauges of the engine were read; -1: never read
     open_requests: int = msgspec.field(default=0, name="owes")  # read and not finished
     open_by_class: dict[str, int] = msgspec.field(default_factory=dict, name="owes_by")  # while draining
     completed: int = 0  # since the start of the node, as are `rejected` and `failed`
     rejected: int = msgspec.field(default=0, name="denied")
     failed: int = msgspec.field(default=0, name="terminated")
-    cpu: int = 0  # nanoseconds of CPU time since its start
+    cpu: int = 0  # CPU time of the process since its start
     version: str = ""  # of the program, set by the agent
-    load: float = 0.0  # ratio of its cores, by the last gauges
+    load: float = 0.0  # fraction of the engine's cores that is busy, by the last gauges
     # Count, sum and sum of squares over all requests since the start: `earned_weight` of the priority weight
     # that each request earned; `latencies`, by request class, of the logarithm of the seconds until a request
     # was completed.
@@ -96,21 +99,21 @@
 
 
 class ClientUsage(msgspec.Struct):
-    """One client; its rates are shares of the total demand."""
+    """One client; `demand` and `retries` are fractions of the request rate of all clients."""
 
     name: str
     demand: float = msgspec.field(name="asks")
     retries: float
-    fair_fraction: float = msgspec.field(name="keeps")  # ratio of its demand that its fair share allows
+    fair_fraction: float = msgspec.field(name="keeps")  # fraction of its demand that its fair share allows
 
 
 class ClientsStatus(msgspec.Struct, tag="clients"):
     """The heaviest clients, and the counts of reservations since the start of the node."""
 
     tag: int
-    flow_key: list[str] = msgspec.field(name="by")  # fields that identify a client; empty: none
-    known: int = 0
-    error: float = 0.0  # maximum share of a client that is not tracked
+    flow_key: list[str] = msgspec.field(name="by")  # request fields that identify a client; empty: none
+    known: int = 0  # number of clients that the node tracks
+    error: float = 0.0  # upper bound of the `demand` of a client that is not tracked
     reservations_open: int = msgspec.field(default=0, name="open")
     reservations_made: int = msgspec.field(default=0, name="made")
     reservations_honored: int = msgspec.field(default=0, name="kept")
