--- a/oakkeel/node/components.py
+++ b/oakkeel/node/components.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeComponents:
-    """The sockets, the response cache, the metrics and the log of one node."""
+    """The links and sockets, the response cache, the metrics and the log of one node."""
 
     engine: EngineLink
     listener: Listener
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -24,7 +24,7 @@
     """The fair-sharing rules, and the file that keeps the shares across restarts."""
 
     rules: FairSharingRules | None
-    snapshot: str  # path; empty for no snapshot
+    snapshot_path: str  # empty for no snapshot
 
 
 NO_FAIR_SHARING = FairSharingSettings(None, "")
@@ -32,24 +32,24 @@
 
 @dataclass(slots=True)
 class NodeConfiguration:
-    """The configuration of a node."""
+    """The settings that a node reads at its start and at each reload."""
 
     name: str
     listen: Address
     engine: Address
     directory: Address
     catalogue: Address | None  # None at the last tier
-    seed: int
+    seed: int  # of the random number generator of the admission controller
     resource_limits: ResourceLimits
     limits: NodeLimits
-    gauges: list[str | None]
+    gauges: list[str | None]  # fields of `Gauges` in the order of the engine's values; None for an unused one
     class_names: list[str]
     tenant_names: list[str]
     readiness: bool  # whether the directory is notified of changes of the node's health
     log_form: str  # console or json
-    control: str  # path of the control socket; empty for none
-    snapshot: str  # path of the file that keeps fair shares across restarts; empty for none
-    generation: int  # set by the agent, reported on the control link
+    control_path: str  # path of the control socket; empty for none
+    snapshot_path: str  # path of the file that keeps fair shares across restarts; empty for none
+    generation: int  # number that the agent gives to each start of the node; 0 without an agent
 
 
 def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
@@ -58,32 +58,36 @@
     Raises LimitsError with a message of one line.
     """
     document = _read_document(variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set"))
-    settings = Settings(flatten({name: value for name, value in document.items() if name != "settings"}))
-    node = Settings(flatten(document.get("settings") or {}))
+    process_settings = Settings(
+        flatten({name: value for name, value in document.items() if name != "settings"})
+    )
+    node_settings = Settings(flatten(document.get("settings") or {}))
     try:
-        limits = read_limits(node)
+        limits = read_limits(node_settings)
         fair_sharing = _read_fair_sharing(variables.get("OAKKEEL_TOLD", ""))
         limits.fair_sharing = fair_sharing.rules
         return NodeConfiguration(
-            name=variables.get("PROXY_NAME") or settings.required("name"),
-            listen=_address(variables.get("PROXY_LISTEN") or settings.required("listen")),
-            engine=_address(settings.required("engine")),
-            directory=_address(settings.required("lookup")),
-            catalogue=_address(settings.get("catalog", "")) if settings.get("catalog", "") else None,
+            name=variables.get("PROXY_NAME") or process_settings.required("name"),
+            listen=_address(variables.get("PROXY_LISTEN") or process_settings.required("listen")),
+            engine=_address(process_settings.required("engine")),
+            directory=_address(process_settings.required("lookup")),
+            catalogue=_address(process_settings.get("catalog", ""))
+            if process_settings.get("catalog", "")
+            else None,
             seed=_seed(document.get("seed", 0)),
             resource_limits=ResourceLimits(
-                sockets=int(settings.required_number("limits.sockets")),
-                memory=int(settings.required_number("limits.memory_mb") * BYTES_PER_MB),
-                stop_after=int(settings.required_number("stop_ms") * MS),
+                sockets=int(process_settings.required_number("limits.sockets")),
+                memory=int(process_settings.required_number("limits.memory_mb") * BYTES_PER_MB),
+                stop_after=int(process_settings.required_number("stop_ms") * MS),
             ),
             limits=limits,
-            gauges=node.gauges(),
-            class_names=node.names("classes"),
-            tenant_names=node.names("tenants"),
-            readiness=node.flag("extra.readiness"),
-            snapshot=fair_sharing.snapshot,
+            gauges=node_settings.gauges(),
+            class_names=node_settings.names("classes"),
+            tenant_names=node_settings.names("tenants"),
+            readiness=node_settings.flag("extra.readiness"),
+            snapshot_path=fair_sharing.snapshot_path,
             log_form="json" if variables.get("OAKKEEL_LOG") == "json" else "console",
-            control=variables.get("OAKKEEL_CONTROL", ""),
+            control_path=variables.get("OAKKEEL_CONTROL", ""),
             generation=int(variables.get("OAKKEEL_GENERATION") or 0),
         )
     except LimitsError:
@@ -121,7 +125,10 @@
         if not 1 <= len(rules.levels) <= MAX_FLOW_LEVELS or not all(
             0 < weight < MAX_FLOW_WEIGHT for weight in rules.weights.values()
         ):
-            fail(f"the operators' settings need 1 to {MAX_FLOW_LEVELS} levels of flows, and weights in range")
+            fail(
+                f"the operators' settings need 1 to {MAX_FLOW_LEVELS} levels of flows,"
+                f" and weights above 0 and below {MAX_FLOW_WEIGHT:g}"
+            )
         return FairSharingSettings(rules, str(document["snapshot"]))
     except (OSError, KeyError, TypeError, ValueError) as error:
         raise LimitsError(f"the operators' settings have a malformed value: {error}") from None
@@ -135,5 +142,5 @@
 
 
 def _seed(value: Any) -> int:
-    """Return the seed of the random draws; a string is hexadecimal."""
+    """Return the seed of the random number generator; a string is hexadecimal."""
     return int(value, HEX_BASE) if isinstance(value, str) else int(value)
--- a/oakkeel/node/context.py
+++ b/oakkeel/node/context.py
@@ -1,4 +1,4 @@
-"""The protocol of a node for its control endpoint."""
+"""The interface of a node that its control endpoint uses."""
 
 from __future__ import annotations
 
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -1,4 +1,4 @@
-"""The status that a node reports and the orders that it accepts. Imported only for a control link."""
+"""Status reports and drain orders of a node. Imported only if the node has a control link."""
 
 from __future__ import annotations
 
@@ -25,16 +25,18 @@
 class WrongGenerationError(OrderRefusedError):
     """An order is for another generation: the node has restarted since the order was sent."""
 
-    def __init__(self, order_generation: int, own_generation: int) -> None:
+    def __init__(self, order_generation: int, node_generation: int) -> None:
         """Name the generation of the order and the generation of this process in the message."""
         super().__init__(
-            f"the order is for generation {order_generation}, this is generation {own_generation}"
+            f"the order is for generation {order_generation}, but the node is of generation {node_generation}"
         )
 
 
 def open_control(node: NodeContext) -> ControlListener:
     """Bind the control socket of a node; raises OSError."""
-    return ControlListener(node.configuration.control, ControlEndpoint(node), node.resource_limits, node.log)
+    return ControlListener(
+        node.configuration.control_path, ControlEndpoint(node), node.resource_limits, node.log
+    )
 
 
 class ControlEndpoint:
@@ -60,7 +62,7 @@
         )
 
     def status(self, tag: int) -> NodeStatus:
-        """Return the present state of the node."""
+        """Return the present state of the node, for the request with this tag."""
         node = self.node
         now = time.monotonic_ns()
         host, port = node.listener.address
@@ -69,7 +71,7 @@
             name=node.configuration.name,
             pid=os.getpid(),
             generation=node.configuration.generation,
-            state=self._state(now).value,
+            state=self._serving_state(now).value,
             address=f"{host}:{port}",
             uptime=now - self.started_at,
             resident_kb=resident_bytes() // BYTES_PER_KB,
@@ -90,7 +92,7 @@
         if node.host.is_started:
             self._add_admission(status)
         if node.drain.is_started:
-            status.open_by_class = self._open_by_class()
+            status.open_by_class = self._count_open_by_class()
         return status
 
     def _add_admission(self, status: NodeStatus) -> None:
@@ -100,11 +102,11 @@
         status.shedding_threshold = round(admission.shedding.threshold, STATUS_DECIMALS)
         status.memory_kb = round(admission.occupancy.memory_kb, 1)
         status.queued = admission.occupancy.waiting()
-        count = admission.occupancy.count
-        status.running = count[RequestState.RUNNING] + count[RequestState.ORPHANED]
-        status.calling = count[RequestState.AWAITING_CALL] + count[RequestState.CALLING]
+        count_by_state = admission.occupancy.count
+        status.running = count_by_state[RequestState.RUNNING] + count_by_state[RequestState.ORPHANED]
+        status.calling = count_by_state[RequestState.AWAITING_CALL] + count_by_state[RequestState.CALLING]
 
-    def _open_by_class(self) -> dict[str, int]:
+    def _count_open_by_class(self) -> dict[str, int]:
         return dict(
             Counter(
                 request.class_name.decode(errors="replace")
@@ -114,24 +116,24 @@
         )
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
-        """Return the heaviest clients; an empty list if fair sharing is off or has not started."""
+        """Return at most `limit` of the heaviest clients; none if fair sharing is off or has not started."""
         fair_sharing = self.node.fair_sharing
         if fair_sharing and self.node.host.is_started:
             return fair_sharing.clients_status(tag, limit)
         return ClientsStatus(tag, [])
 
-    def _state(self, now: int) -> ServingState:
+    def _serving_state(self, now: int) -> ServingState:
         node = self.node
         if node.drain.is_started:
             return ServingState.DRAINING
         if not node.host.is_started:
             return ServingState.WAITING
         limits = node.configuration.limits
-        in_slow_start = limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
-        return ServingState.WARMING_UP if in_slow_start else ServingState.SERVING
+        is_in_slow_start = limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
+        return ServingState.WARMING_UP if is_in_slow_start else ServingState.SERVING
 
     def request_drain(self, generation: int, timeout: int) -> None:
-        """Start a drain of `timeout` nanoseconds. Raises `OrderRefusedError`."""
+        """Start a drain of at most `timeout` nanoseconds. Raises `OrderRefusedError`."""
         self._check_generation(generation)
         self.node.drain.start(timeout)
 
@@ -141,6 +143,6 @@
         self.node.drain.cancel()
 
     def _check_generation(self, generation: int) -> None:
-        own_generation = self.node.configuration.generation
-        if generation != own_generation:
-            raise WrongGenerationError(generation, own_generation)
+        node_generation = self.node.configuration.generation
+        if generation != node_generation:
+            raise WrongGenerationError(generation, node_generation)
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -44,7 +44,7 @@
     host: NodeHost
     log: EventLog
     resource_limits: ResourceLimits
-    done: asyncio.Event
+    done: asyncio.Event  # set at the end of the drain
 
     def resume_serving(self) -> None:
         """Serve again after a cancelled drain."""
@@ -56,8 +56,8 @@
     def __init__(self, node: DrainContext, grace: int, stop_after: int) -> None:
         """Prepare a drain that has not started.
 
-        Both times are nanoseconds from the start of the drain: requests that arrive after `grace` are not
-        read, and the process may be killed at `stop_after`.
+        Both times are nanoseconds from the start of the drain: requests that arrive after `grace` do not
+        run, and the process may be killed at `stop_after`.
         """
         self.node = node
         self.grace = grace
@@ -85,7 +85,7 @@
         if self.is_final:
             return
         self.is_final = True
-        if self.is_started:  # the order may have allowed more time
+        if self.is_started:  # a drain order may have allowed more time than `stop_after`
             self._set_deadline(self.stop_after)
             self._notify_admission(self.stop_after)
             return
@@ -142,7 +142,7 @@
         node.done.set()
 
     def _set_deadline(self, time_left: int) -> None:
-        """Set the timer that closes the remaining connections just before the stop.
+        """Set the timer that closes the remaining connections just before the process may be killed.
 
         Some dispatchers neither close a connection nor read from it: without the deadline the process would
         wait for them until SIGKILL.
@@ -164,7 +164,7 @@
             self.node.log.error("drain_admission_notice_failed", error=describe_error(error))
 
     def _set_state(self, state: DrainState) -> None:
-        """Change the state; no other method does so after the construction."""
+        """Change the state; apart from the constructor, only this method sets it."""
         if state not in TRANSITIONS[self.state]:
             raise InvalidTransitionError("a drain", self.state.value, state.value)
         self.state = state
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -18,39 +18,40 @@
 from oakkeel.units import SECOND
 
 SNAPSHOT_INTERVAL_NS = 5 * SECOND
-MIN_RATE = 1e-9  # lowest divisor: the rate of a flow, a lower bound, can be 0
+MIN_RATE = 1e-9  # avoids a division by zero: the rate of a flow is estimated from below and can be 0
 
 
 class NodeFairSharing:
     """The fair-sharing state of one node, restored from its snapshot and written there."""
 
-    def __init__(self, host: NodeHost, log: EventLog, rules: FairSharingRules, path: str) -> None:
-        """Read the snapshot at `path`; with an empty path, no snapshot is read or written."""
+    def __init__(self, host: NodeHost, log: EventLog, rules: FairSharingRules, snapshot_path: str) -> None:
+        """Read the snapshot at `snapshot_path`; with an empty path, no snapshot is read or written."""
         self.host = host
         self.log = log
         self.rules = rules
-        self.path = path
+        self.snapshot_path = snapshot_path
         self.loaded_snapshot = self._read_snapshot()
+        # The keys of flows depend on the secret: those of a snapshot need the secret of the snapshot.
         self.secret = self.loaded_snapshot.secret if self.loaded_snapshot else os.urandom(SECRET_BYTES)
         self.keys = FlowKeys(self.secret, flow_fields(rules.levels))
-        self.timer: asyncio.TimerHandle | None = None
+        self.write_timer: asyncio.TimerHandle | None = None
 
     def _read_snapshot(self) -> persistence.FairSharingSnapshot | None:
-        if not self.path:
+        if not self.snapshot_path:
             return None
         try:
-            content = snapshot_file.read(self.path)
+            content = snapshot_file.read(self.snapshot_path)
             if content is not None:
                 return persistence.decode_snapshot(content, time.time_ns(), self.rules.levels)
         except persistence.SnapshotRejectedError as error:
             self.log.warning("fair_sharing_snapshot_rejected", reason=str(error))
         except (snapshot_file.SnapshotError, OSError) as error:
-            quarantined = snapshot_file.quarantine(self.path)
+            quarantined = snapshot_file.quarantine(self.snapshot_path)
             self.log.warning("fair_sharing_snapshot_quarantined", reason=str(error), file=quarantined)
         return None
 
     def start(self) -> None:
-        """Restore the snapshot; call it once, when the admission controller has started."""
+        """Restore the snapshot and start its periodic writes, once the admission controller has started."""
         fair_sharing = self.host.admission.fair_sharing
         if self.loaded_snapshot and fair_sharing:
             persistence.restore_snapshot(
@@ -66,23 +67,23 @@
                 reservations=fair_sharing.reservations.open_count,
             )
         self.loaded_snapshot = None
-        if self.path:
+        if self.snapshot_path:
             self._write_periodically()
 
     def _write_periodically(self) -> None:
         self.write_snapshot()
-        self.timer = asyncio.get_running_loop().call_later(
+        self.write_timer = asyncio.get_running_loop().call_later(
             SNAPSHOT_INTERVAL_NS / SECOND, self._write_periodically
         )
 
     def write_snapshot(self) -> None:
         """Write the snapshot, if a path is configured and admission has started."""
         fair_sharing = self.host.admission.fair_sharing if self.host.is_started else None
-        if not self.path or fair_sharing is None:
+        if not self.snapshot_path or fair_sharing is None:
             return
         try:
             snapshot_file.write(
-                self.path,
+                self.snapshot_path,
                 persistence.encode_snapshot(
                     time.monotonic_ns(),
                     time.time_ns(),
@@ -97,8 +98,8 @@
 
     def stop(self) -> None:
         """Stop the periodic writes and write the snapshot for the last time."""
-        if self.timer:
-            self.timer.cancel()
+        if self.write_timer:
+            self.write_timer.cancel()
         self.write_snapshot()
 
     def reload(self, rules: FairSharingRules | None) -> None:
@@ -115,20 +116,20 @@
         self.log.info("flow_weights_reloaded", weights=len(rules.weights))
 
     def clients_status(self, tag: int, limit: int) -> ClientsStatus:
-        """Return the at most `limit` heaviest clients of the innermost level at present."""
+        """Return at most `limit` clients: the flows of the innermost level with the highest rates."""
         fair_sharing = self.host.admission.fair_sharing
         now = time.monotonic_ns()
         if fair_sharing is None:
             return ClientsStatus(tag, list(self.rules.levels))
         table = fair_sharing.shares.tables[-1]
         reservations = fair_sharing.reservations
-        total = table.total_rate(now) or 1.0
+        total_rate = table.total_rate(now) or 1.0
         heaviest = sorted(table.flows.values(), key=lambda flow: -table.rate(now, flow))[:limit]
         return ClientsStatus(
             tag,
             flow_key=list(self.rules.levels),
             known=len(table.flows),
-            error=table.error_rate(now) / total,
+            error=table.error_rate(now) / total_rate,
             reservations_open=reservations.open_count,
             reservations_made=reservations.booked_count,
             reservations_honored=reservations.kept_count,
@@ -137,8 +138,8 @@
             clients=[
                 ClientUsage(
                     name=_flow_path(flow),
-                    demand=table.rate(now, flow) / total,
-                    retries=table.retry_rate(now, flow) / total,
+                    demand=table.rate(now, flow) / total_rate,
+                    retries=table.retry_rate(now, flow) / total_rate,
                     fair_fraction=min(1.0, flow.allowed_rate / max(MIN_RATE, table.rate(now, flow))),
                 )
                 for flow in heaviest
@@ -147,5 +148,5 @@
 
 
 def _flow_path(flow: Flow) -> str:
-    outer = _flow_path(flow.parent) + "/" if flow.parent else ""
-    return outer + flow.label.decode(errors="replace")
+    prefix = _flow_path(flow.parent) + "/" if flow.parent else ""
+    return prefix + flow.label.decode(errors="replace")
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -1,4 +1,4 @@
-"""The `Host` of the admission controller on a node: passes its verdicts to the request handlers."""
+"""The `Host` on a node: passes the verdicts of the admission controller to the request handlers."""
 
 from __future__ import annotations
 
@@ -42,33 +42,33 @@
         self.loop = asyncio.get_running_loop()
         self.gauges = Gauges()
         self.gauges_read_at = 0  # nanoseconds of the monotonic clock; 0 for never
-        self.is_healthy = True
+        self.is_healthy = True  # last verdict of the admission controller
         self.load_report_value: float | None = None  # `NodeLimits.load_report` defines its meaning
         self.is_schedule_pending = False
         self.timer_tasks: set[asyncio.Task[None]] = set()
         self.admission: AdmissionController  # set by `start_admission`
         self.is_started = False
 
-    def start_admission(self, cold: bool, age: int) -> None:
-        """Start the admission controller; the engine has been up for `age` nanoseconds.
+    def start_admission(self, is_cold: bool, engine_age: int) -> None:
+        """Start the admission controller; the engine booted `engine_age` nanoseconds ago.
 
-        A cold engine has just booted: slow start counts from the boot of the engine.
+        With a cold engine, which has just booted, slow start counts from the boot of the engine.
         """
         limits = self.configuration.limits
-        limits.starts_cold = limits.starts_cold or cold
+        limits.starts_cold = limits.starts_cold or is_cold
         self.is_started = True
-        started_at = time.monotonic_ns() - (age if cold else 0)
+        started_at = time.monotonic_ns() - (engine_age if is_cold else 0)
         # The controller passes back the requests that it was given, which are of the type NodeRequest.
         self.admission = AdmissionController(self, limits, self.configuration.seed, started_at)  # type: ignore[arg-type]
 
-    def engine_restarted(self, cold: bool, age: int) -> None:
-        """Begin slow start again if the engine has restarted cold, `age` nanoseconds ago."""
-        if cold:
+    def on_engine_restart(self, is_cold: bool, engine_age: int) -> None:
+        """Begin slow start again if the engine is cold; it booted `engine_age` nanoseconds ago."""
+        if is_cold:
             self.configuration.limits.starts_cold = True
-            self.admission.started = time.monotonic_ns() - age
+            self.admission.started = time.monotonic_ns() - engine_age
 
     def notify(self, method: Callable[[int, *Arguments], None], *arguments: *Arguments) -> None:
-        """Call a method of the admission controller with the time; schedule once per loop iteration."""
+        """Call a method of the admission controller with the time; schedule once per event loop iteration."""
         method(time.monotonic_ns(), *arguments)
         if not self.is_schedule_pending:
             self.is_schedule_pending = True
@@ -90,7 +90,7 @@
     def reject(self, request: NodeRequest, final: bool, retry_after: int) -> None:
         """Answer that the request is not admitted.
 
-        With `final`, no other node should be tried. `retry_after` is in nanoseconds; 0 for no advice.
+        With `final`, no other node should be tried. `retry_after` is in nanoseconds; 0 for none.
         """
         request.post(RejectRequest(final, retry_after))
 
@@ -103,11 +103,11 @@
         request.post(CancelRun())
 
     def call(self, request: NodeRequest, until: int) -> None:
-        """Place the call that the run waits for."""
+        """Place the downstream call that the run waits for; `until` is its deadline."""
         request.post(PlaceCall(until))
 
     def skip_call(self, request: NodeRequest) -> None:
-        """Let the run continue without its call."""
+        """Let the run continue without its downstream call."""
         request.post(SkipCall())
 
     def coalesce(self, request: NodeRequest) -> None:
@@ -115,7 +115,7 @@
         request.post(AwaitSharedResponse())
 
     def retain_key(self, request: NodeRequest, duration: int) -> None:
-        """Keep the key of the request for `duration` nanoseconds."""
+        """Treat later requests with the same key as duplicates for `duration` nanoseconds."""
         self.response_cache.retain(request, time.monotonic_ns(), duration)
 
     def release_key(self, request: NodeRequest) -> None:
@@ -125,17 +125,17 @@
     # Timers.
 
     def set_timer(self, token: int, at: int) -> None:
-        """Pass `token` back at the time `at`, in nanoseconds of the monotonic clock."""
-        self.loop.call_at(at / SECOND, self._timer_due, token, at)
+        """Pass `token` to `AdmissionController.timer_expired` at `at`, nanoseconds of the monotonic clock."""
+        self.loop.call_at(at / SECOND, self._on_timer_due, token, at)
 
-    def _timer_due(self, token: int, at: int) -> None:
+    def _on_timer_due(self, token: int, at: int) -> None:
         self.metrics.count_timer(time.monotonic_ns() - at)
         task = self.loop.create_task(self._read_gauges_and_notify(token))
         self.timer_tasks.add(task)
         task.add_done_callback(self.timer_tasks.discard)
 
     async def _read_gauges_and_notify(self, token: int) -> None:
-        """Notify the controller of an expired timer, with fresh gauges to compare with the present runs."""
+        """Read the gauges, which the controller compares with present runs, and notify it of the timer."""
         try:
             reply = self.engine.maintain_and_ask_gauges()
             if reply:
@@ -150,14 +150,17 @@
             else:
                 self.metrics.gauges_missed += 1
             self.notify(self.admission.timer_expired, token, self.gauges)
-        except Exception as error:  # a defect must not stop the polls, which timers drive as well
+        except Exception as error:  # timers also drive the polls of the gauges, which a defect must not stop
             self.log.error("timer_failed", error=describe_error(error))
             self.set_timer(token, time.monotonic_ns() + self.configuration.resource_limits.timer_retry_delay)
 
     # Verdicts about the whole node.
 
     def set_health(self, good: bool, stored: bool) -> None:
-        """Set whether the node is healthy, for health checks and, with `readiness`, the directory."""
+        """Set whether the node is healthy, for health checks and, with `readiness`, the directory.
+
+        `stored` is not used: a node answers every health check from the value set here.
+        """
         self.is_healthy = good
         if self.configuration.readiness:
             self.directory_reporter.set_accepting(good)
--- a/oakkeel/node/metrics.py
+++ b/oakkeel/node/metrics.py
@@ -16,12 +16,13 @@
 
 
 class Metrics:
-    """Counts since the last log line.
+    """Counts since the last `metrics` line of the log.
 
-    The first bucket of the timer lags ends at one millisecond; each further bucket ends at twice the lag.
+    The first bucket of the timer lags ends at one millisecond, and each further bucket at twice the end of
+    the bucket before it.
     """
 
-    LAG_BUCKETS = 12
+    LAG_BUCKET_COUNT = 12
 
     def __init__(self) -> None:
         """Start all counts at zero, without an observer of answers."""
@@ -33,14 +34,14 @@
         self.requests_read = 0
         self.answers: dict[bytes, int] = {}
         self.calls_by_outcome: dict[str, int] = {}
-        self.timer_lags = [0] * (self.LAG_BUCKETS + 1)
+        self.timer_lags = [0] * (self.LAG_BUCKET_COUNT + 1)  # timers by bucket; the last holds longer lags
         self.max_timer_lag = self.gauges_missed = 0
         self.cpu_at_reset = time.process_time_ns()
         self.reset_at = time.monotonic_ns()
 
     def count_timer(self, lag: int) -> None:
         """Count a timer that expired `lag` nanoseconds late."""
-        self.timer_lags[min(self.LAG_BUCKETS, max(0, lag // MS).bit_length())] += 1
+        self.timer_lags[min(self.LAG_BUCKET_COUNT, max(0, lag // MS).bit_length())] += 1
         self.max_timer_lag = max(self.max_timer_lag, lag)
 
     def count_answer(self, status: bytes) -> None:
@@ -54,12 +55,12 @@
 
     def _lag_quantile(self, quantile: float) -> int:
         """Return this quantile of the timer lags, in milliseconds, rounded up to the end of its bucket."""
-        remaining = quantile * sum(self.timer_lags)
+        remaining_count = quantile * sum(self.timer_lags)
         for bucket, count in enumerate(self.timer_lags):
-            remaining -= count
-            if remaining <= 0:
+            remaining_count -= count
+            if remaining_count <= 0:
                 return 1 << bucket
-        return 1 << self.LAG_BUCKETS
+        return 1 << self.LAG_BUCKET_COUNT
 
     def collect(self, connections: int, open_requests: int, link_losses: int) -> LogFields:
         """Return the fields of a log line and reset the counts; memory is in MB, CPU use in cores."""
@@ -78,12 +79,13 @@
             "resident_mb": round(resident_bytes() / BYTES_PER_MB, 1),
             "cpu": round((cpu - self.cpu_at_reset) / max(1, now - self.reset_at), CPU_DECIMALS),
             "timers": sum(self.timer_lags),
+            # Median, 99th percentile and maximum of the lags of expired timers.
             "late_ms_half": self._lag_quantile(MEDIAN),
             "late_ms_99": self._lag_quantile(HIGH_QUANTILE),
             "latest_ms": round(self.max_timer_lag / MS, 1),
             "gauges_missed": self.gauges_missed,
-            "link_losses": link_losses,
-            "over_s": round((now - self.reset_at) / SECOND, 1),
+            "link_losses": link_losses,  # since the start of the node
+            "over_s": round((now - self.reset_at) / SECOND, 1),  # time since the previous line
         }
         self._reset()
         return fields
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -40,8 +40,8 @@
 class PendingEngine:
     """An engine that came up while the node was draining."""
 
-    cold: bool
-    age: int  # nanoseconds since its boot, at `came_up_at`
+    is_cold: bool
+    age: int  # nanoseconds from the boot of the engine to `came_up_at`
     came_up_at: int  # nanoseconds of the monotonic clock
 
 
@@ -59,7 +59,7 @@
         self.reader: RequestReader | None = None
         self.open_requests: dict[bytes, asyncio.Task[None]] = {}  # handlers by request ID
         self.pending_engine: PendingEngine | None = None
-        self.done = asyncio.Event()
+        self.done = asyncio.Event()  # set at the end of the drain
         self.listener = Listener(configuration.listen, self.pool, resource_limits, self, self.log)
         self.directory_reporter = DirectoryReporter(
             configuration.directory, configuration.name, resource_limits
@@ -91,10 +91,10 @@
         # A node without fair sharing must not import the libraries of this module: they cost memory.
         from oakkeel.node.fair_sharing import NodeFairSharing
 
-        return NodeFairSharing(self.host, self.log, rules, self.configuration.snapshot)
+        return NodeFairSharing(self.host, self.log, rules, self.configuration.snapshot_path)
 
     def _open_control(self) -> ControlListener | None:
-        if not self.configuration.control:
+        if not self.configuration.control_path:
             return None
         # A node without a control link must not import the libraries of this module: they cost memory.
         from oakkeel.node.control_endpoint import open_control
@@ -105,8 +105,8 @@
         """Serve until the end of the drain."""
         loop = asyncio.get_running_loop()
         self.log.capture_library_logs(loop)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         # Unblocking delivers the signals that arrived before the event loop ran.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
@@ -131,14 +131,14 @@
         self.log.info("metrics", **self._metric_fields())
         self.log.info("node_stopped")
 
-    def _on_engine_up(self, cold: bool, age: int) -> None:
+    def _on_engine_up(self, is_cold: bool, engine_age: int) -> None:
         if self.host.is_started:
-            self.host.engine_restarted(cold, age)
+            self.host.on_engine_restart(is_cold, engine_age)
             return
         if self.drain.is_started:  # no request is read unless the drain is cancelled
-            self.pending_engine = PendingEngine(cold, age, time.monotonic_ns())
+            self.pending_engine = PendingEngine(is_cold, engine_age, time.monotonic_ns())
             return
-        self.host.start_admission(cold, age)
+        self.host.start_admission(is_cold, engine_age)
         self.directory_reporter.start()
         flow_keys = None
         if self.fair_sharing:
@@ -151,13 +151,15 @@
             self.resource_limits,
             flow_keys=flow_keys,
         )
-        self.log.info("engine_ready", state="cold" if cold else "steady", age_s=round(age / SECOND, 1))
+        self.log.info(
+            "engine_ready", state="cold" if is_cold else "steady", age_s=round(engine_age / SECOND, 1)
+        )
 
     def resume_serving(self) -> None:
         """Serve again after a cancelled drain; use an engine that came up during the drain."""
         if pending := self.pending_engine:
             self.pending_engine = None
-            self._on_engine_up(pending.cold, pending.age + time.monotonic_ns() - pending.came_up_at)
+            self._on_engine_up(pending.is_cold, pending.age + time.monotonic_ns() - pending.came_up_at)
 
     def reload(self) -> None:
         """Read the configuration again and apply its engine, catalogue, directory and flow weights."""
@@ -197,11 +199,11 @@
         return self.host.is_healthy and self.host.is_started and not self.drain.is_started
 
     def load_report(self) -> float | None:
-        """Return the value of the load report; None before the first report."""
+        """Return the value to report with each answer; None before the admission controller has set one."""
         return self.host.load_report_value
 
     def retry_after(self) -> int:
-        """Return the Retry-After of a request rejected on arrival, in nanoseconds; 0 for no advice."""
+        """Return the Retry-After of a request rejected on arrival, in nanoseconds; 0 for none."""
         return self.host.admission.retry_after() if self.host.is_started else 0
 
     def stop(self) -> None:
--- a/oakkeel/node/outcome_counters.py
+++ b/oakkeel/node/outcome_counters.py
@@ -1,7 +1,7 @@
 """Sums over the request outcomes of one node since its start.
 
-The difference of two readings gives the sums for the time between them. Performs no I/O. Imported only if the
-node has a control link.
+The difference of two status reports gives the sums for the time between them. Performs no I/O. Imported
+only if the node has a control link.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
     """Sums over answered requests: the earned weight of all, and the latencies of each request class."""
 
     def __init__(self, highest_weight: float) -> None:
-        """Start at zero; `highest_weight`, that of any request class, is the unit of earned weights."""
+        """Start at zero; `highest_weight` of all request classes is the unit of earned weights."""
         self.highest_weight = highest_weight or 1.0
         self.earned_weight = Moments()
         self.latencies: dict[str, Moments] = {}  # by class name: logarithms of latencies in seconds
 
-    def count(self, now: int, request: Request, class_name: str, completed: bool) -> None:
-        """Count one answer; a late one earns the part of its priority weight that its request class sets."""
+    def count(self, now: int, request: Request, class_name: str, is_completed: bool) -> None:
+        """Count one answer; `late_weight` of the class reduces the earned weight of a late answer."""
         earned = 0.0
-        if completed:
+        if is_completed:
             request_class = request.request_class
             timeliness = 1.0 if now <= request.objective_end else request_class.late_weight
             earned = request_class.priority_weight / self.highest_weight * timeliness
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -1,4 +1,4 @@
-"""The request handler: takes a request from its last byte to its only answer and the end of its run."""
+"""The request handler: follows a request from its complete read to its answer and the end of its run."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     StartRun,
 )
 
-RELEASED = RequestReleased()
+RELEASED = RequestReleased()  # no further event can follow for the request
 
 
 class UnexpectedEventError(OakkeelError, RuntimeError):
@@ -41,7 +41,7 @@
 
 
 class RequestHandler:
-    """Follows each request of a node from its last byte to its answer and the end of its run."""
+    """Follows each request of a node from its complete read to its answer and the end of its run."""
 
     def __init__(self, host: NodeHost, components: NodeComponents) -> None:
         """Take the host and the components that requests pass through."""
@@ -109,11 +109,13 @@
             raise UnexpectedEventError(event, request.state)
         self._finish_run(request, event)
 
-    async def _make_calls(self, request: NodeRequest, needed: CallNeeded) -> RequestEvent | RequestReleased:
+    async def _make_calls(
+        self, request: NodeRequest, call_needed: CallNeeded
+    ) -> RequestEvent | RequestReleased:
         """Place the call, retry or skip it as the verdicts say, and return the next event of the run."""
         event = await self._next_event(request)
         while isinstance(event, PlaceCall):
-            self.catalogue.fetch(request, event.deadline, needed.body)
+            self.catalogue.fetch(request, event.deadline, call_needed.body)
             event = await self._next_event(request)
             if isinstance(event, CallFinished):
                 self.metrics.count_call(event.outcome.value)
@@ -122,14 +124,15 @@
                     self.engine.feed(request, event.reply)
                 event = await self._next_event(request)
         if isinstance(event, SkipCall):
-            self.engine.skip(request, needed.notice_number)
+            self.engine.skip(request, call_needed.notice_number)
             event = await self._next_event(request)
         return event
 
     async def _next_event(self, request: NodeRequest) -> RequestEvent | RequestReleased:
         """Wait for the next event that the caller must handle.
 
-        Early answers, cancelled runs and disconnected clients are handled here.
+        Early answers, cancelled runs and disconnected clients are handled here. Returns `RELEASED` if the
+        request has finished and the engine no longer runs it.
         """
         while True:
             if request.state is RequestState.FINISHED and not request.in_engine and not request.events:
@@ -148,17 +151,19 @@
             if not request.awaits_answer:
                 self.catalogue.quit(request)  # no client waits for the reply of the downstream call
 
-    def _finish_run(self, request: NodeRequest, run: RunFinished) -> None:
+    def _finish_run(self, request: NodeRequest, finished_run: RunFinished) -> None:
         """Report a finished run to admission, keep its response and answer its request."""
         # The engine does not start the run of a request that was halted before. The controller counts such a
         # request as running: the outcome "never started" would leave the request counted forever.
-        counted_outcome = Outcome.CANCELLED if run.outcome is Outcome.NEVER_STARTED else run.outcome
+        counted_outcome = (
+            Outcome.CANCELLED if finished_run.outcome is Outcome.NEVER_STARTED else finished_run.outcome
+        )
         self.host.notify(self.host.admission.run_finished, request, counted_outcome)
         if request.unknown_to_engine:
             request.connection.report_violation("request_id_unknown")
         if request.may_have_run:
-            self.response_cache.finish(request, counted_outcome, run.result)
-        self._answer_run(request, run.outcome, run.result)
+            self.response_cache.finish(request, counted_outcome, finished_run.result)
+        self._answer_run(request, finished_run.outcome, finished_run.result)
 
     def _answer_run(self, request: NodeRequest, outcome: Outcome, result: bytes) -> None:
         if outcome is Outcome.COMPLETED:
@@ -192,7 +197,7 @@
             request.connection.answer(request, status, body, final, retry_after)
 
     async def _clean_up(self, request: NodeRequest) -> None:
-        """Answer a request after a defect, and follow its run to the end, so that the cores are counted."""
+        """Answer a request after a defect, and follow its run, so that its core counts as free at the end."""
         self._answer(request, codec.FAILED)
         try:
             self.host.notify(self.host.admission.client_disconnected, request)
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -24,11 +24,14 @@
 
 
 class ResponseCache:
-    """Entries by request class, tenant and key; a new request replaces the expired entry of its key."""
+    """Entries by request class, tenant and key; a new request replaces the expired entry of its key.
+
+    A read is an idempotent request: its entry may be evicted early, as a second run has no further effect.
+    """
 
     def __init__(self, resource_limits: ResourceLimits, read_ttl: int) -> None:
         """Make an empty cache; the result of a read serves duplicates for `read_ttl` nanoseconds."""
-        self.capacity = resource_limits.max_results
+        self.capacity = resource_limits.max_results  # entries
         self.read_ttl = read_ttl
         self.entries: dict[CacheKey, CachedResponse] = {}
 
@@ -77,8 +80,9 @@
         original.add_follower(request)
 
     def make_room(self, now: int) -> bool:
-        """If the cache is full, evict expired entries, then the entry of one read; return whether a key fits.
+        """Make room for one entry if the cache is full; return whether there is room.
 
+        Evicts the expired entries and, if these do not suffice, the entry of one read.
         A valid idempotency key is never evicted: a duplicate would run a second time.
         """
         if len(self.entries) < self.capacity:
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -28,7 +28,7 @@
         self.engine.attach()
         self.log("engine_ready")
         dispatcher = self.dispatcher()
-        ident = dispatcher.call("card")
+        request_id = dispatcher.call("card")
         self.engine.next()
         report = self.say(link, type="ask", tag=2)
         self.assertEqual(
@@ -42,7 +42,7 @@
             ),
             (2, "n3", 7, "serving", 1, 1),
         )
-        self.engine.done(ident)
+        self.engine.done(request_id)
         dispatcher.answer()
         report = self.say(link, type="ask", tag=3)
         self.assertEqual((report["owes"], report["runs"], report["completed"]), (0, 0, 1))
@@ -53,17 +53,17 @@
         response = self.say(link, type="leave", tag=1, generation=6)
         self.assertEqual(
             (response["done"], response["why"]),
-            (False, "the order is for generation 6, this is generation 7"),
+            (False, "the order is for generation 6, but the node is of generation 7"),
         )
         self.assertEqual(self.say(link, type="ask", tag=2)["state"], "serving")
 
     def test_a_drain_order_drains_as_sigterm_does(self):
-        dispatcher, ident = self.running("card")
+        dispatcher, request_id = self.running("card")
         link = self.link()
         self.assertTrue(self.say(link, type="leave", tag=1, generation=7)["done"])
         report = self.say(link, type="ask", tag=2)
         self.assertEqual((report["state"], report["owes"]), ("draining", 1))
-        self.engine.done(ident)
+        self.engine.done(request_id)
         self.assertEqual(dispatcher.answer()[1], b"ok")
         dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
@@ -89,20 +89,20 @@
         flood, poller = self.link(), self.link()
         flood._sock.setblocking(False)
         status_requests = b'{"type":"ask","tag":1}\n' * 400
-        sent = 0
+        sent_byte_count = 0
         dispatcher = self.dispatcher()
         for _ in range(20):  # the flooding client never reads its responses
             with contextlib.suppress(BlockingIOError):
-                sent += flood._sock.send(status_requests)
-            ident = dispatcher.call()
+                sent_byte_count += flood._sock.send(status_requests)
+            request_id = dispatcher.call()
             self.engine.done(self.engine.next()[1])
             self.assertEqual(dispatcher.answer()[1], b"ok")
-        self.assertGreater(sent, len(status_requests))
+        self.assertGreater(sent_byte_count, len(status_requests))
         cpu_before, started_at = self.say(poller, type="ask", tag=1)["cpu"], time.monotonic_ns()
         time.sleep(0.5)  # the period over which CPU time is measured
         cpu_used = self.say(poller, type="ask", tag=2)["cpu"] - cpu_before
         self.assertLess(cpu_used / (time.monotonic_ns() - started_at), 0.2)
-        self.assertTrue(ident)
+        self.assertTrue(request_id)
 
     def test_a_link_over_the_limit_replaces_the_least_recently_active_one(self):
         self.begin()
@@ -126,27 +126,28 @@
     def wait_until_not_listening(self) -> None:
         until_refused(self.port)  # after the grace period of 0.3 s
 
-    def test_a_cancel_after_the_grace_accepts_requests_at_once_and_loses_nothing(self):
-        dispatcher, ident = self.running("card")
+    def test_a_cancel_after_the_grace_period_accepts_requests_at_once_and_loses_no_request(self):
+        dispatcher, request_id = self.running("card")
         second_dispatcher = self.dispatcher()
         link = self.link()
         self.order_drain(link)
         self.assertEqual(dispatcher.next(), [b"0", b"last"])
-        in_grace = second_dispatcher.call("card")  # read within the grace period: it runs
-        self.assertEqual(self.engine.next()[:2], ("RUN", in_grace))
+        grace_id = second_dispatcher.call("card")  # read within the grace period: this request runs
+        self.assertEqual(self.engine.next()[:2], ("RUN", grace_id))
         self.wait_until_not_listening()
-        second_dispatcher.call("card", tag=2)  # after the grace period, before the cancel: it does not run
+        # A request after the grace period and before the cancellation does not run.
+        second_dispatcher.call("card", tag=2)
         self.assertEqual(second_dispatcher.answer()[:2], (2, b"full"))
         self.assertEqual(self.say(link, type="ask", tag=2)["owes_by"], {"card": 2})
         while self.report() != "PULSE n3 closed":
             pass
         self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])
         new_dispatcher = self.dispatcher()
-        after_cancel = new_dispatcher.call("card")
-        self.assertEqual(self.engine.next()[:2], ("RUN", after_cancel))
-        self.engine.done(after_cancel)
-        self.engine.done(ident)
-        self.engine.done(in_grace)
+        new_id = new_dispatcher.call("card")
+        self.assertEqual(self.engine.next()[:2], ("RUN", new_id))
+        self.engine.done(new_id)
+        self.engine.done(request_id)
+        self.engine.done(grace_id)
         for connection in (new_dispatcher, dispatcher, second_dispatcher):
             self.assertEqual(connection.answer()[1], b"ok")
         while self.report() != "PULSE n3 open":
@@ -158,19 +159,19 @@
             connection.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_a_cancel_within_the_grace_keeps_the_listening_socket(self):
+    def test_a_cancel_within_the_grace_period_keeps_the_listening_socket(self):
         self.begin()
         link = self.link()
         self.order_drain(link)
         self.assertTrue(self.say(link, type="stay", tag=2, generation=7)["done"])
         self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])  # a repetition is accepted
         dispatcher = self.dispatcher()
-        ident = dispatcher.call()
-        self.engine.done(ident if self.engine.next() else "")
+        request_id = dispatcher.call()
+        self.engine.done(request_id if self.engine.next() else "")
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
     def test_sigterm_after_a_drain_order_is_final(self):
-        dispatcher, ident = self.running("card")
+        dispatcher, request_id = self.running("card")
         link = self.link()
         self.order_drain(link)
         self.process.send_signal(signal.SIGTERM)
@@ -178,13 +179,13 @@
             self.order_drain(link)  # the signal was not handled yet
         self.assertEqual(response["why"], "the drain is final: the node stops after SIGTERM")
         self.assertFalse(self.say(link, type="stay", tag=3, generation=6)["done"])
-        self.engine.done(ident)
+        self.engine.done(request_id)
         dispatcher.answer()
         dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
     def test_a_cancel_is_refused_if_another_process_uses_the_address(self):
-        dispatcher, ident = self.running("card")
+        dispatcher, request_id = self.running("card")
         link = self.link()
         self.order_drain(link)
         self.wait_until_not_listening()
@@ -192,7 +193,7 @@
             response = self.say(link, type="stay", tag=2, generation=7)
         self.assertIn("can't listen again", response["why"])
         self.assertEqual(self.say(link, type="ask", tag=3)["state"], "draining")
-        self.engine.done(ident)
+        self.engine.done(request_id)
         dispatcher.answer()
         dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
@@ -206,24 +207,24 @@
     def setUp(self) -> None:
         super().setUp()
         with open(os.path.join(self.root, "deploy", "balancer.toml"), "rb") as file:
-            run = tomllib.load(file)["run"]
-        self.command = ["/bin/sh", "-c", f"cd {shlex.quote(self.root)} && {run}"]
+            run_command = tomllib.load(file)["run"]
+        self.command = ["/bin/sh", "-c", f"cd {shlex.quote(self.root)} && {run_command}"]
         self.variables = {"PYTHONPROFILEIMPORTTIME": "1"}
 
     def test_a_node_is_one_process_without_children_and_loads_no_module_of_the_agent(self):
         self.launch(self.told())
-        loaded, port = [], 0
+        loaded_modules, port = [], 0
         for line in self.process.stderr:
             if line.startswith("import time:"):
-                loaded.append(line.rpartition("|")[2].strip())
+                loaded_modules.append(line.rpartition("|")[2].strip())
             elif "listening" in line:
                 port = int(line.rsplit(":", 1)[1])
                 break
         self.port = port
         self.engine.attach()
         dispatcher = self.dispatcher()
-        ident = dispatcher.call()
-        self.engine.done(ident if self.engine.next() else "")
+        request_id = dispatcher.call()
+        self.engine.done(request_id if self.engine.next() else "")
         self.assertEqual(dispatcher.answer()[1], b"ok")
         with open(f"/proc/{self.process.pid}/cmdline", "rb") as file:
             self.assertEqual(file.read().split(b"\0")[1:3], [b"-m", b"oakkeel"])  # exec replaced the shell
@@ -231,8 +232,8 @@
             self.assertEqual(file.read(), b"")
         with open(f"/proc/{self.process.pid}/maps", encoding="utf-8") as file:
             self.assertRegex(file.read(), r"/ld-linux|/ld-musl")  # linked dynamically
-        self.assertIn("oakkeel.node.node", loaded)
-        unwanted = (
+        self.assertIn("oakkeel.node.node", loaded_modules)
+        forbidden_prefixes = (
             "msgspec",
             "blake3",
             "lxml",
@@ -248,7 +249,7 @@
             "subprocess._",
             "multiprocessing",
         )
-        self.assertEqual([name for name in loaded if name.startswith(unwanted)], [])
+        self.assertEqual([name for name in loaded_modules if name.startswith(forbidden_prefixes)], [])
 
 
 class ImportTest(NodeProcessTest):
