--- a/tests/node/test_dispatcher_connections.py
+++ b/tests/node/test_dispatcher_connections.py
@@ -40,14 +40,14 @@
         self.begin()
         dispatcher = self.dispatcher()
         dispatcher.call("unheard-of")
-        bad_number = dispatcher.call(fields=",need=much")
+        bad_number_id = dispatcher.call(fields=",need=much")
         dispatcher.send("CALL", "3", "quote", "ts=1", b"")
         dispatcher.send("WHAT", "4")
         self.assertEqual(
             [dispatcher.answer()[:2] for _ in range(4)],
             [(1, b"fault"), (2, b"fault"), (3, b"fault"), (4, b"fault")],
         )
-        self.assertIn(f"request_id={bad_number}", self.log("in need"))
+        self.assertIn(f"request_id={bad_number_id}", self.log("in need"))
         self.engine.done(dispatcher.call(tag=5) and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (5, b"ok"))
 
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -89,7 +89,7 @@
     def test_releasing_an_entry_that_was_replaced_keeps_the_present_entry(self):
         first, second = self.retain_request(), self.retain_request(NOW + 1100 * MS)
         third = self.retain_request(NOW + 2200 * MS)
-        self.response_cache.release(second)  # the third has replaced its entry: nothing changes
+        self.response_cache.release(second)  # no effect: the third request has replaced its entry
         self.assertIs(self.response_cache.entries[CACHE_KEY], third.cache_entry)
         self.response_cache.finish(first, Outcome.CANCELLED, b"")
         self.response_cache.finish(third, Outcome.COMPLETED, b"third")
@@ -134,10 +134,10 @@
         cache = ResponseCache(RESOURCE_LIMITS, 0)
         first = keyed_request()
         cache.retain(first, NOW, SECOND)
-        for body, mismatch in ((b"two seats", False), (b"nine seats", True), (b"", True)):
+        for body, is_mismatch in ((b"two seats", False), (b"nine seats", True), (b"", True)):
             request = keyed_request(body=body)
             self.assertTrue(cache.find_original(request, NOW))
-            self.assertEqual(cache.has_key_mismatch(request), mismatch)
+            self.assertEqual(cache.has_key_mismatch(request), is_mismatch)
 
 
 class DuplicateRequestTest(NodeProcessTest):
@@ -166,23 +166,23 @@
 
     def test_requests_of_two_tenants_with_one_key_both_run_and_get_their_own_results(self):
         dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
-        first = self.send_order(dispatcher, fields=",owner=hall")
-        self.assert_runs(first)
-        second = self.send_order(other_dispatcher, fields=",owner=fete")
-        self.assert_runs(second)
-        self.engine.done(second, body=b"for fete")
-        self.engine.done(first, body=b"for hall")
+        first_id = self.send_order(dispatcher, fields=",owner=hall")
+        self.assert_runs(first_id)
+        second_id = self.send_order(other_dispatcher, fields=",owner=fete")
+        self.assert_runs(second_id)
+        self.engine.done(second_id, body=b"for fete")
+        self.engine.done(first_id, body=b"for hall")
         self.assertEqual(dispatcher.answer()[1::2], (b"ok", b"for hall"))
         self.assertEqual(other_dispatcher.answer()[1::2], (b"ok", b"for fete"))
 
     def test_a_request_with_a_known_key_and_another_body_gets_no_result(self):
         # A client that guesses a key must not get the result of another client's request.
         dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
-        first = self.send_order(dispatcher)
-        self.assert_runs(first)
+        first_id = self.send_order(dispatcher)
+        self.assert_runs(first_id)
         self.send_order(other_dispatcher, body=b"nine seats")
         self.assertEqual(other_dispatcher.answer()[1::2], (b"fault", b""))
-        self.engine.done(first)
+        self.engine.done(first_id)
         self.assertEqual(dispatcher.answer()[1], b"ok")
         self.send_order(other_dispatcher, body=b"nine seats", tag=2)  # also rejected after the run
         self.assertEqual(other_dispatcher.answer()[1::2], (b"fault", b""))
@@ -197,22 +197,22 @@
         self.assert_runs(unknown_id)
         self.engine.say(f"NO RUN {unknown_id}")
         self.assertEqual(other_dispatcher.answer()[1], b"fault")
-        first = self.send_order(dispatcher)
-        self.assert_runs(first)
-        self.engine.done(first)
+        first_id = self.send_order(dispatcher)
+        self.assert_runs(first_id)
+        self.engine.done(first_id)
         self.assertEqual(dispatcher.answer()[1], b"ok")
 
     def test_duplicates_of_a_queued_running_or_finished_request_share_one_run(self):
         dispatcher, other_dispatcher, running_ids = self.occupy_cores()
-        first = self.send_order(dispatcher, tag=9)
+        first_id = self.send_order(dispatcher, tag=9)
         self.wait_until_read(dispatcher)
         self.send_order(other_dispatcher, tag=1, fields=",resent=1")  # while the first is queued
         self.wait_until_read(other_dispatcher)
         self.engine.done(running_ids[0])
-        self.assert_runs(first)
+        self.assert_runs(first_id)
         self.send_order(other_dispatcher, tag=2, fields=",resent=1")  # while the first runs
         self.wait_until_read(other_dispatcher)
-        self.engine.done(first, body=b"once")
+        self.engine.done(first_id, body=b"once")
         self.send_order(other_dispatcher, tag=3, fields=",resent=1")  # when the first has just finished
         answers = [other_dispatcher.answer()[::3] for _ in range(3)]
         # The third may be read between the end of the run and the wake-up of the two followers.
@@ -222,15 +222,15 @@
 
     def test_two_duplicates_in_one_write_share_one_run(self):
         dispatcher, _ = self.begin_with_two_dispatchers()
-        sent = []
+        sent_chunks = []
         dispatcher.socket = SimpleNamespace(
-            sendall=sent.append, close=dispatcher.socket.close, real=dispatcher.socket
+            sendall=sent_chunks.append, close=dispatcher.socket.close, real=dispatcher.socket
         )
-        first = self.send_order(dispatcher)
+        first_id = self.send_order(dispatcher)
         self.send_order(dispatcher)
-        dispatcher.socket.real.sendall(b"".join(sent))
-        self.assert_runs(first)
-        self.engine.done(first, body=b"once")
+        dispatcher.socket.real.sendall(b"".join(sent_chunks))
+        self.assert_runs(first_id)
+        self.engine.done(first_id, body=b"once")
         self.assertEqual([dispatcher.answer()[::3] for _ in range(2)], [(1, b"once"), (2, b"once")])
         self.assertTrue(self.engine.commands.empty())
 
@@ -242,22 +242,22 @@
         self.send_order(other_dispatcher, fields=",resent=1")
         self.wait_until_read(other_dispatcher)
         dispatcher.send("CANCEL", "9")
-        tag, word, fields, _ = other_dispatcher.answer()
-        self.assertEqual((tag, word), (1, b"full"))
+        tag, status, fields, _ = other_dispatcher.answer()
+        self.assertEqual((tag, status), (1, b"full"))
         self.assertIn(b"holdoff=", fields)
-        again = self.send_order(other_dispatcher, tag=2, fields=",resent=1")
+        resent_id = self.send_order(other_dispatcher, tag=2, fields=",resent=1")
         self.engine.done(running_ids[0])
-        self.assert_runs(again)
+        self.assert_runs(resent_id)
 
     def test_followers_of_a_request_cancelled_while_running_fail(self):
         dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
-        first = self.send_order(dispatcher)
-        self.assert_runs(first)
+        first_id = self.send_order(dispatcher)
+        self.assert_runs(first_id)
         self.send_order(other_dispatcher, fields=",resent=1")
         self.wait_until_read(other_dispatcher)
         dispatcher.send("CANCEL", "1")
-        self.assertEqual(self.engine.next()[:2], ("HALT", first))
-        self.engine.done(first, "interrupted", b"")
+        self.assertEqual(self.engine.next()[:2], ("HALT", first_id))
+        self.engine.done(first_id, "interrupted", b"")
         self.assertEqual(other_dispatcher.answer()[:2], (1, b"fault"))
         self.send_order(other_dispatcher, tag=2, fields=",resent=1")  # must not run again in the window
         self.assertEqual(other_dispatcher.answer()[:2], (2, b"fault"))
@@ -265,13 +265,13 @@
 
     def test_a_duplicate_of_a_failed_request_fails_and_does_not_run(self):
         dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
-        first = self.send_order(dispatcher, timeout=1500)
-        self.assert_runs(first)
+        first_id = self.send_order(dispatcher, timeout=1500)
+        self.assert_runs(first_id)
         self.assertEqual(dispatcher.answer()[1], b"fault")
-        self.assertEqual(self.engine.next()[:2], ("HALT", first))
+        self.assertEqual(self.engine.next()[:2], ("HALT", first_id))
         self.send_order(other_dispatcher, timeout=400, fields=",resent=1")  # the run outlasts this request
         self.assertEqual(other_dispatcher.answer()[1], b"fault")
-        self.engine.done(first, "interrupted", b"")
+        self.engine.done(first_id, "interrupted", b"")
         self.send_order(other_dispatcher, tag=2, fields=",resent=1")
         self.assertEqual(other_dispatcher.answer()[1], b"fault")
         self.assertTrue(self.engine.commands.empty())
@@ -279,18 +279,18 @@
     def test_a_request_after_the_window_runs_even_if_the_first_still_runs(self):
         self.begin(settings=self.short_window_settings())
         dispatcher, other_dispatcher = self.dispatcher(), self.dispatcher()
-        first = self.send_order(dispatcher, age=100)  # sent 100 ms ago: the window of 1 ms is over
-        self.assert_runs(first)
-        late_request = self.send_order(other_dispatcher)
-        self.assert_runs(late_request)
-        self.engine.done(late_request, body=b"second")
-        self.engine.done(first, body=b"first")
+        first_id = self.send_order(dispatcher, age=100)  # sent 100 ms ago: its window of 1 ms is over
+        self.assert_runs(first_id)
+        late_id = self.send_order(other_dispatcher)
+        self.assert_runs(late_id)
+        self.engine.done(late_id, body=b"second")
+        self.engine.done(first_id, body=b"first")
         self.assertEqual(other_dispatcher.answer()[3], b"second")
         self.assertEqual(dispatcher.answer()[3], b"first")
 
     def short_window_settings(self) -> dict:
         settings = self.settings()
-        settings["classes"] = [{**each, "window": 1 * MS} for each in settings["classes"]]
+        settings["classes"] = [{**request_class, "window": 1 * MS} for request_class in settings["classes"]]
         return settings
 
     def test_a_duplicate_runs_after_a_restart_of_the_node(self):
@@ -302,21 +302,21 @@
         self.begin(listen=f"127.0.0.1:{self.port}", state="booting", age="1.0")
         self.engine.number = 0
         other_dispatcher = self.dispatcher()
-        again = self.send_order(other_dispatcher, fields=",resent=1")
-        self.assert_runs(again)
-        self.engine.done(again)
+        resent_id = self.send_order(other_dispatcher, fields=",resent=1")
+        self.assert_runs(resent_id)
+        self.engine.done(resent_id)
         self.assertEqual(other_dispatcher.answer()[1], b"ok")
 
     def test_a_full_cache_rejects_new_keys_and_recognizes_the_retained_ones(self):
         self.begin(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # a capacity of one key
         dispatcher, other_dispatcher = self.dispatcher(), self.dispatcher()
-        first = self.send_order(dispatcher)
-        self.assert_runs(first)
+        first_id = self.send_order(dispatcher)
+        self.assert_runs(first_id)
         self.send_order(other_dispatcher, "k2")
-        _tag, word, fields, _ = other_dispatcher.answer()
-        self.assertEqual(word, b"full")
+        _tag, status, fields, _ = other_dispatcher.answer()
+        self.assertEqual(status, b"full")
         self.assertIn(b"holdoff=", fields)
-        self.engine.done(first)
+        self.engine.done(first_id)
         self.send_order(other_dispatcher, tag=2, fields=",resent=1")
         self.assertEqual(other_dispatcher.answer()[1], b"ok")
 
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -52,14 +52,16 @@
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         self.engine.lose()
         self.log("engine_link_lost")
-        unwritten_id = dispatcher.call("card")  # its RUN is not written yet: the new engine runs the request
+        # The RUN of this request is not written before the restart: the new engine runs the request.
+        unwritten_id = dispatcher.call("card")
         dispatcher.send("CHECK", "9", "")
         self.assertEqual(dispatcher.answer()[0], 9)
         self.engine.number = 0
         self.assertEqual(self.engine.attach("booting", "5.0", answer=False), 1)
         self.engine.say("HELLO booting 5.0")
         self.assertEqual(self.engine.attach("booting"), 0)
-        self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))  # may have run, and must not run again
+        # The second request may have run on the earlier engine, and must not run again.
+        self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))
         self.assertEqual(self.engine.next()[:2], ("RUN", unwritten_id))
         self.engine.done(unwritten_id)
         self.assertEqual(dispatcher.answer()[:2], (3, b"ok"))
@@ -97,7 +99,7 @@
         self.assertEqual(link.stream.readline(), b"")  # the earlier link closes after its last call
 
     def test_a_non_idempotent_call_whose_link_closes_as_it_is_written_is_not_sent_again(self):
-        dispatcher, _ident, link = self.calling("pay")
+        dispatcher, _request_id, link = self.calling("pay")
         link.close()
         self.assertEqual(dispatcher.answer()[:2], (1, b"fault"))
         self.catalogue.setblocking(False)
@@ -166,14 +168,14 @@
         return reader, writer
 
     async def test_a_link_without_a_greeting_reconnects_once_the_engine_was_up(self):
-        # A node whose engine has moved away from such an address must not wait forever for a greeting.
+        # A node must not wait forever for a greeting at an address that its engine has left.
         server = self.open_server()
         self.start_link(server)
         _, writer = await self.accept_link(server)
         writer.close()
         silent_link = await self.accept_link(server, with_greeting=False)
         await self.accept_link(server)
-        silent_link[1].close()  # open until here
+        silent_link[1].close()  # the silent link stays open until here
 
     async def test_an_engine_that_was_never_up_may_delay_its_greeting(self):
         server = self.open_server()
@@ -208,19 +210,19 @@
 
     async def test_a_second_move_waits_until_the_old_engine_has_read_what_was_written(self):
         # Closing the earlier link at once would make the state of at-most-once runs uncertain.
-        first, second, third = self.open_server(), self.open_server(), self.open_server()
-        self.start_link(first)
-        reader, writer = await self.accept_link(first)
+        first_server, second_server, third_server = self.open_server(), self.open_server(), self.open_server()
+        self.start_link(first_server)
+        reader, writer = await self.accept_link(first_server)
         request = node_request()
         self.link.run(request)
-        self.link.move(second.getsockname())
-        self.link.move(third.getsockname())
+        self.link.move(second_server.getsockname())
+        self.link.move(third_server.getsockname())
         self.assertEqual((await asyncio.wait_for(reader.readline(), WAIT)).split()[0], b"RUN")
         await reader.readline()
         barrier = (await asyncio.wait_for(reader.readline(), WAIT)).split()
         self.assertEqual(barrier[0], b"STAT")
         writer.write(b"STATS %s 0 0 0 0\r\n" % barrier[1])
-        await self.accept_link(third)
+        await self.accept_link(third_server)
         self.assertEqual(self.link.unconfirmed.uncertain_runs, {})
         self.assertEqual(list(self.link.unconfirmed.commands), [])
 
--- a/tests/node/test_log.py
+++ b/tests/node/test_log.py
@@ -11,7 +11,7 @@
         self.now = 0
         self.limiter = LineLimiter(2, lambda: self.now)
 
-    def test_admits_one_line_per_second_of_those_that_differ_only_in_the_request_id(self):
+    def test_admits_one_line_per_second_of_lines_that_differ_only_in_the_request_id(self):
         # Each request of a flood of malformed requests has a new ID: the flood must not hide other events.
         admitted = [
             self.limiter.admits("request_malformed", {"reason": "no class", "request_id": f"{number:016x}"})
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -164,7 +164,7 @@
         self.engine.done(dispatcher.call() and self.engine.next()[1])
         self.assertEqual(dispatcher.answer()[:2], (4, b"ok"))
 
-    def test_a_drain_answers_every_request_starts_no_run_after_the_grace_and_ends(self):
+    def test_a_drain_answers_every_request_starts_no_run_after_the_grace_period_and_ends(self):
         self.begin(settings=self.settings(readiness=False))
         dispatcher, late_dispatcher = self.dispatcher(), self.dispatcher()
         request_id = dispatcher.call()
@@ -176,9 +176,9 @@
         while self.report() != "PULSE n3 closed":
             pass
         self.assertEqual(dispatcher.next(), [b"0", b"last"])
-        grace_id = late_dispatcher.call()  # a request that is read in the grace runs
+        grace_id = late_dispatcher.call()  # a request that is read in the grace period runs
         self.assertEqual(self.engine.next()[:2], ("RUN", grace_id))
-        until_refused(self.port)  # the grace of 0.3 s ends: the listening socket closes
+        until_refused(self.port)  # the grace period of 0.3 s ends: the listening socket closes
         late_dispatcher.call(tag=2)
         self.assertEqual(late_dispatcher.answer()[:2], (2, b"full"))
         self.engine.done(grace_id)
--- a/tests/node/test_node_limits.py
+++ b/tests/node/test_node_limits.py
@@ -1,4 +1,4 @@
-"""Formats of the node limits."""
+"""The formats in which the limits of a node are given."""
 
 import unittest
 
--- a/tests/node/test_request_handler.py
+++ b/tests/node/test_request_handler.py
@@ -1,4 +1,4 @@
-"""One request in the handler, without a network."""
+"""The request handler and the events of a request, without a network."""
 
 import asyncio
 import unittest
--- a/tests/node/test_request_handling.py
+++ b/tests/node/test_request_handling.py
@@ -20,13 +20,13 @@
     def test_answers_may_be_reordered_and_a_failed_run_fails_its_request(self):
         self.begin()
         dispatcher = self.dispatcher()
-        first, second = dispatcher.call(), dispatcher.call("card", b"")
-        self.assertEqual({self.engine.next()[1], self.engine.next()[1]}, {first, second})
+        first_id, second_id = dispatcher.call(), dispatcher.call("card", b"")
+        self.assertEqual({self.engine.next()[1], self.engine.next()[1]}, {first_id, second_id})
         self.engine.say("NOTE 1 " + "a remark of no meaning " * 20)
         self.engine.number = 1
-        self.engine.done(second, "failure", b"")
+        self.engine.done(second_id, "failure", b"")
         self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))
-        self.engine.done(first)
+        self.engine.done(first_id)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
 
     def test_the_reply_of_a_downstream_call_is_passed_to_its_run(self):
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -60,9 +60,9 @@
     def listening_port(self) -> int:
         """Return the port of the only socket that the process listens on."""
         inodes = set()
-        for number in os.listdir(f"/proc/{self.process.pid}/fd"):
+        for descriptor in os.listdir(f"/proc/{self.process.pid}/fd"):
             with contextlib.suppress(OSError):
-                inodes.add(os.readlink(f"/proc/{self.process.pid}/fd/{number}"))
+                inodes.add(os.readlink(f"/proc/{self.process.pid}/fd/{descriptor}"))
         with open("/proc/net/tcp") as file:
             sockets = [line.split() for line in file][1:]
         return next(
@@ -72,13 +72,13 @@
         )
 
     def test_signals_during_the_shutdown_do_not_change_the_exit_code(self):
-        for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
+        for signal_number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             self.begin()
             self.process.send_signal(signal.SIGTERM)
             self.log("node_stopped")
             with contextlib.suppress(ProcessLookupError):
                 for _ in range(50):
-                    self.process.send_signal(number)
+                    self.process.send_signal(signal_number)
             self.assertEqual(self.process.wait(WAIT), 0)
             self.process.stderr.close()
 
@@ -109,12 +109,12 @@
             self.engine.done(request_id)
         self.assertEqual(set(is_run), set(request_ids) - set(started_ids[1:]))
         self.assertEqual(
-            sorted(dispatcher.answer()[:2] for _ in request_ids), [(n, b"ok") for n in range(1, 7)]
+            sorted(dispatcher.answer()[:2] for _ in request_ids), [(tag, b"ok") for tag in range(1, 7)]
         )
         dispatcher.close()
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_requests_completed_within_the_grace_after_a_signal_are_served(self):
+    def test_requests_completed_within_the_grace_period_after_a_signal_are_served(self):
         self.begin()
         dispatchers = [self.dispatcher() for _ in range(2)]
         for dispatcher in dispatchers:
@@ -128,7 +128,7 @@
             self.assertEqual(dispatcher.next(), [b"0", b"last"])
         dispatchers[0].socket.sendall(self.encode_request()[20:])
         request_id = self.engine.next()[1]
-        until_refused(self.port)  # the grace ends
+        until_refused(self.port)  # the grace period ends
         dispatchers[1].socket.sendall(self.encode_request()[20:])
         self.assertEqual(dispatchers[1].answer()[:2], (1, b"full"))
         self.engine.done(request_id)
@@ -189,7 +189,7 @@
 
 class DrainDeadlineTest(NodeProcessTest):
     def test_dispatchers_that_never_close_do_not_delay_the_stop(self):
-        # The node must not wait for such dispatchers until SIGKILL.
+        # The node must not wait until SIGKILL for dispatchers that never close their connections.
         self.begin(stop_ms=1500)
         idle_dispatcher, unread_dispatcher = self.dispatcher(), self.dispatcher()
         self.engine.done(idle_dispatcher.call() and self.engine.next()[1])
@@ -201,13 +201,13 @@
         self.assertEqual(idle_dispatcher.next(), [b"0", b"last"])
         self.assertEqual(idle_dispatcher.next(), [])  # the connection is closed without a reset
 
-    def test_a_request_after_the_grace_is_rejected_or_unanswered_and_never_runs(self):
+    def test_a_request_after_the_grace_period_is_rejected_or_unanswered_and_never_runs(self):
         self.begin()
         idle_dispatcher = self.dispatcher()
         self.engine.done(idle_dispatcher.call() and self.engine.next()[1])
         self.assertEqual(idle_dispatcher.answer()[1], b"ok")
         self.process.send_signal(signal.SIGTERM)
-        until_refused(self.port)  # the grace ends
+        until_refused(self.port)  # the grace period ends
         idle_dispatcher.call(tag=2)
         answers = []
         while words := idle_dispatcher.next():
@@ -216,7 +216,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertEqual(self.engine.next(), ("END",))
 
-    def test_a_flood_of_connects_does_not_delay_the_end_of_the_grace(self):
+    def test_a_flood_of_connects_does_not_delay_the_end_of_the_grace_period(self):
         self.begin(stop_ms=20_000)
         is_refused = threading.Event()
 
