--- a/tests/compatibility/test_network.py
+++ b/tests/compatibility/test_network.py
@@ -12,7 +12,7 @@
 from oakkeel.simulator_adapter import wire
 from oakkeel.simulator_adapter.table import InstanceTable
 from tests.compatibility.fixtures import DATA, leaves, load
-from tests.support.node_process import words_of
+from tests.support.node_process import read_resp_array
 
 FIELDS = {  # of a request, by the names of the earlier version
     "group": "request_class",
@@ -44,7 +44,7 @@
         reader = codec.RequestReader(limits, classes, tenants, bounds, lambda: NOW)
         for encoded, values in zip(self.expected["calls"], self.expected["read"], strict=True):
             content = base64.b64decode(encoded)
-            call = words_of(io.BytesIO(content))
+            call = read_resp_array(io.BytesIO(content))
             self.assertEqual(resp.encode(*call), content)
             request = reader.read(int(call[1]), call, None)
             self.assertEqual(leaves({old: getattr(request, new) for old, new in FIELDS.items()}), values)
--- a/tests/compatibility/test_node_bytes.py
+++ b/tests/compatibility/test_node_bytes.py
@@ -5,7 +5,7 @@
 
 from oakkeel.dispatch import resp
 from tests.compatibility.fixtures import load
-from tests.support.node_process import NodeProcessTest, words_of
+from tests.support.node_process import NodeProcessTest, read_resp_array
 
 
 class NodeBytesTest(NodeProcessTest):
@@ -68,7 +68,7 @@
         self.expect_command()
         self.link.sendall(b"DONE 3 00c4913a5d91c410 interrupted 1.0 0\r\n\r\n")
         self.socket.sendall(resp.encode(b"CHECK", b"3"))
-        answers = [words_of(self.answers), words_of(self.answers)]
+        answers = [read_resp_array(self.answers), read_resp_array(self.answers)]
         self.sent["dispatcher"] = [re.sub(r"signal=[\d.]+", "signal=VALUE", str(words)) for words in answers]
         self.sent["directory"].append(self.report())
         self.assertEqual(self.sent, load("node-bytes.json"))
--- a/tests/support/cancellation.py
+++ b/tests/support/cancellation.py
@@ -3,31 +3,32 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-TURNS = 20  # of the event loop, for a task to begin its wait, or to end after its cancellation
-CANCEL_INTERVAL = 0.05  # seconds between the cancellations of a task that went on
+LOOP_ITERATIONS = 20  # event loop iterations in which a task begins its wait, or ends after a cancellation
+CANCEL_INTERVAL = 0.05  # seconds between the cancellations of a task that does not end
 
 
-async def let_run(turns: int = TURNS) -> None:
-    """Let the event loop turn so many times."""
-    for _ in range(turns):
+async def let_run(iterations: int = LOOP_ITERATIONS) -> None:
+    """Let the event loop run for the given number of iterations."""
+    for _ in range(iterations):
         await asyncio.sleep(0)
 
 
 async def followed_by_wait(awaitable: Awaitable[object]) -> None:
-    """Await, and then wait without end, as a caller that goes on if it is not cancelled."""
+    """Await the awaitable, then wait for ever: a caller that was not cancelled goes on to this wait."""
     await awaitable
     await asyncio.get_running_loop().create_future()
 
 
-async def ends_cancelled(task: asyncio.Task, make_ready: Callable[[], None], turns: int = 1) -> bool:
-    """Cancel a waiting task so many turns after its result is ready; return whether that ended it cancelled.
+async def ends_cancelled(task: asyncio.Task, make_ready: Callable[[], None], iterations: int = 1) -> bool:
+    """Cancel a waiting task some loop iterations after its result is ready; return whether it was cancelled.
 
-    The task is ended in any case. What was awaited in a task of its own has its result after one turn.
+    The task is ended in any case. A coroutine that is awaited in a separate task has its result after one
+    iteration.
     """
     make_ready()
-    await let_run(turns)
+    await let_run(iterations)
     task.cancel()
-    for _ in range(TURNS):
+    for _ in range(LOOP_ITERATIONS):
         if task.done():
             break
         await asyncio.sleep(0)
--- a/tests/support/control_process.py
+++ b/tests/support/control_process.py
@@ -1,4 +1,4 @@
-"""A node as a process, with its control link open to a test."""
+"""A test case for a node process with a control link to the test."""
 
 import json
 import os
@@ -31,5 +31,5 @@
     def ended(self, stream) -> bool:
         try:
             return stream.readline() == b""
-        except ConnectionResetError:  # it had more to say than was read
+        except ConnectionResetError:  # the node closed the link before it read all input
             return True
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -1,4 +1,4 @@
-"""A host that records what the admission controller asks of it."""
+"""A host that records the actions that the admission controller requests."""
 
 from __future__ import annotations
 
@@ -62,8 +62,8 @@
 
 
 def make_request(request_class: RequestClass = GROUP, **fields: Any) -> Request:
-    """Return an ordinary request that was just read; `fields` replace those of it."""
-    given = {
+    """Return an ordinary request that was just read; `fields` override its defaults."""
+    defaults = {
         "request_class": request_class,
         "tenant": None,
         "client": 0,
@@ -74,11 +74,11 @@
         "has_key": False,
         "is_duplicate": False,
     }
-    return Request(**(given | fields))
+    return Request(**(defaults | fields))
 
 
 class FakeHost:
-    """Records every action in `actions` and carries none out; timers wait for `run_until`."""
+    """Records every action in `actions` and performs none; timers expire in `run_until`."""
 
     def __init__(
         self,
@@ -86,9 +86,11 @@
         tenants: Sequence[float] = (),
         **limits: Any,
     ) -> None:
-        rows = [replace(GROUP, index=index, **row) for index, row in enumerate(request_classes or [{}])]
+        classes = [
+            replace(GROUP, index=index, **changes) for index, changes in enumerate(request_classes or [{}])
+        ]
         self.limits = replace(
-            LIMITS, request_classes=rows, tenants=[Tenant(*pair) for pair in enumerate(tenants)], **limits
+            LIMITS, request_classes=classes, tenants=[Tenant(*pair) for pair in enumerate(tenants)], **limits
         )
         self.actions: list[tuple[Any, ...]] = []
         self.timers: list[tuple[int, int]] = []
@@ -99,13 +101,13 @@
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *arguments: self.actions.append((name, *arguments))
 
-    def set_timer(self, token: int, at: int) -> None:
-        self.timers.append((at, token))
+    def set_timer(self, token: int, expires_at: int) -> None:
+        self.timers.append((expires_at, token))
 
     def arrive(
         self, class_index: int = 0, schedule: bool = True, tenant: int | None = None, **fields: Any
     ) -> Request:
-        """Let a request arrive; `fields` replace those of an ordinary one."""
+        """Let an ordinary request arrive; `fields` override its defaults."""
         request = make_request(
             self.limits.request_classes[class_index],
             tenant=None if tenant is None else self.limits.tenants[tenant],
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -1,4 +1,4 @@
-"""A node as a process, and blocking peers round it for tests."""
+"""A test case for a node process, and the blocking peers that the node talks to."""
 
 from __future__ import annotations
 
@@ -41,19 +41,22 @@
         )
     ],
     "clients": {"marks-retry": True},
-    "unheard": {"of": [1, {"two": None}]},
+    "unknown": {"values": [1, {"two": None}]},  # the node ignores unknown settings
 }
 
 
-def words_of(stream) -> list[bytes]:
-    """One RESP array off a blocking file; an empty list at its end."""
+def read_resp_array(stream) -> list[bytes]:
+    """Read one RESP array from a blocking file; return an empty list at its end."""
     head = stream.readline()
     return [stream.read(int(stream.readline()[1:]) + 2)[:-2] for _ in range(int(head[1:]))] if head else []
 
 
 def until_refused(port: int) -> None:
-    """Connect until nobody listens any more. A listening socket that is closed resets whoever it had not
-    accepted by then, and a connect that was just under way tells that in place of a refusal."""
+    """Connect until no socket listens on the port any more.
+
+    The close of a listening socket resets the connections that it has not accepted, so a connect at that
+    moment fails with a reset instead of a refusal.
+    """
     while True:
         try:
             socket.create_connection(("127.0.0.1", port), timeout=WAIT).close()
@@ -74,31 +77,31 @@
 
     def call(
         self,
-        group: str = "quote",
+        class_name: str = "quote",
         body: bytes = b"what",
         tag: int = 0,
         fields: str = "",
         age: int = 0,
         timeout: int = 10_000,
     ) -> str:
-        """Send an exchange and return its id."""
+        """Send a request and return its id."""
         self.tag = tag or self.tag + 1
-        ident = f"{id(self) % 2**32:08x}{self.tag:08x}"
-        stamp = time.time_ns() // MS - age
+        request_id = f"{id(self) % 2**32:08x}{self.tag:08x}"
+        timestamp = time.time_ns() // MS - age
         self.send(
             "CALL",
             str(self.tag),
-            group,
-            f"req={ident},ts={stamp},via=4,timeout={timeout},need=24.5,level=0.5{fields}",
+            class_name,
+            f"req={request_id},ts={timestamp},via=4,timeout={timeout},need=24.5,level=0.5{fields}",
             body,
         )
-        return ident
+        return request_id
 
     def next(self) -> list[bytes]:
-        return words_of(self.stream)
+        return read_resp_array(self.stream)
 
     def answer(self) -> tuple[int, bytes, bytes, bytes]:
-        """The next answer as tag, word, fields and body; `0 last` is passed over."""
+        """Return the next answer as tag, outcome word, fields and body; skips drain notices (`0 last`)."""
         while (words := self.next()) == [b"0", b"last"]:
             pass
         return int(words[0]), words[1], *words[2:4]
@@ -109,35 +112,37 @@
 
 
 class Engine:
-    """Answers STAT by itself, gives the test every other command, and says what it is told to."""
+    """A fake engine that answers STAT itself and queues the other commands for the test."""
 
     def __init__(self) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
         self.gauges = "0.1 0.0 0.1 1.0"
         self.number = 0
         self.link: socket.socket | None = None
-        self.begun = time.monotonic() - 60.0
+        self.started_at = time.monotonic() - 60.0
 
     def age(self) -> str:
-        """In milliseconds, as its greeting tells it."""
-        return f"{(time.monotonic() - self.begun) * 1000:.1f}"
+        """Return the age of the engine in milliseconds, in the format of its greeting."""
+        return f"{(time.monotonic() - self.started_at) * 1000:.1f}"
 
     def attach(self, state: str = "steady", age: str = "", answer: bool = True) -> int:
-        """Take a link; returns the number of the last notice that the node has read. An age that is given
-        holds from now on."""
+        """Accept a link; return the number of the last notice that the node has read.
+
+        An `age` that is given sets the start time of the engine.
+        """
         if age:
-            self.begun = time.monotonic() - float(age) / 1000
+            self.started_at = time.monotonic() - float(age) / 1000
         self.server.settimeout(WAIT)
         self.close()
         self.link, _ = self.server.accept()
         self.commands: queue.Queue[tuple] = queue.Queue()
         self.stream = self.link.makefile("rb")
-        heard = int(self.stream.readline().split()[1])
+        last_read_number = int(self.stream.readline().split()[1])
         self.answering = answer
         if answer:
             self.say(f"HELLO {state} {self.age()}")
             threading.Thread(target=self._read, args=(self.stream, self.commands), daemon=True).start()
-        return heard
+        return last_read_number
 
     def _read(self, stream, commands: queue.Queue) -> None:
         with contextlib.suppress(OSError, ValueError), stream:
@@ -155,17 +160,17 @@
     def next(self) -> tuple:
         return self.commands.get(timeout=WAIT)
 
-    def done(self, ident: str, end: str = "success", body: bytes = b"result") -> None:
+    def done(self, request_id: str, outcome: str = "success", body: bytes = b"result") -> None:
         self.number += 1
-        self.say(f"DONE {self.number} {ident} {end} 12.345 {len(body)}", body)
+        self.say(f"DONE {self.number} {request_id} {outcome} 12.345 {len(body)}", body)
 
-    def need(self, ident: str, body: bytes = b"call") -> None:
+    def need(self, request_id: str, body: bytes = b"call") -> None:
         self.number += 1
-        self.say(f"NEED {self.number} {ident} {len(body)}", body)
+        self.say(f"NEED {self.number} {request_id} {len(body)}", body)
 
     def lose(self) -> None:
         with self.link, contextlib.suppress(OSError):
-            self.link.shutdown(socket.SHUT_RDWR)  # the reader's file, where there is one, ends by this too
+            self.link.shutdown(socket.SHUT_RDWR)  # also ends the file of the reader thread, if any
 
     def close(self) -> None:
         if self.link:
@@ -176,7 +181,7 @@
 
 
 class CatalogueLink:
-    """One accepted connection of the catalogue's stand-in."""
+    """One accepted connection of the fake catalogue."""
 
     def __init__(self, server: socket.socket) -> None:
         server.settimeout(WAIT)
@@ -198,7 +203,7 @@
 
 
 class NodeProcessTest(unittest.TestCase):
-    """A test of the program, started as `run` in deploy/balancer.toml does."""
+    """A test of the program, started by the command of `run` in deploy/balancer.toml."""
 
     command: ClassVar[list[str]] = [sys.executable, "-m", "oakkeel"]
     variables: ClassVar[dict[str, str]] = {}
@@ -209,15 +214,15 @@
         self.directory.bind(("127.0.0.1", 0))
         self.directory.settimeout(WAIT)
         self.process: subprocess.Popen | None = None
-        self.addCleanup(self._end)
+        self.addCleanup(self._close)
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         if self.process:
             self.process.kill()
             self.process.wait()
             self.process.stderr.close()
-        for opened in (self.engine, self.engine.server, self.catalogue, self.directory):
-            opened.close()
+        for peer in (self.engine, self.engine.server, self.catalogue, self.directory):
+            peer.close()
 
     def told(self, **changes) -> dict:
         host = "127.0.0.1:"
@@ -234,73 +239,76 @@
             **changes,
         }
 
-    def launch(self, told: dict | str | None) -> subprocess.Popen:
+    def launch(self, configuration: dict | str | None) -> subprocess.Popen:
         with tempfile.NamedTemporaryFile("w", suffix=".json", delete=False) as file:
-            file.write(told if isinstance(told, str) else json.dumps(told))
+            file.write(configuration if isinstance(configuration, str) else json.dumps(configuration))
         self.addCleanup(os.unlink, file.name)
         self.config = file.name
-        given = {"PROXY_CONFIG": file.name} if told is not None else {}
+        environment = {"PROXY_CONFIG": file.name} if configuration is not None else {}
         self.process = subprocess.Popen(
-            self.command, env={**os.environ, **self.variables, **given}, stderr=subprocess.PIPE, text=True
+            self.command,
+            env={**os.environ, **self.variables, **environment},
+            stderr=subprocess.PIPE,
+            text=True,
         )
-        watch = threading.Timer(4 * WAIT, self.process.kill)  # a test that hangs ends, and fails
-        watch.start()
-        self.addCleanup(watch.cancel)
+        watchdog = threading.Timer(4 * WAIT, self.process.kill)  # a test that hangs ends with a failure
+        watchdog.start()
+        self.addCleanup(watchdog.cancel)
         return self.process
 
-    def reload(self, told: dict | str) -> None:
-        """Replace the file and tell the node to read it again."""
+    def reload(self, configuration: dict | str) -> None:
+        """Replace the configuration file and signal the node to read it again."""
         with open(self.config, "w") as file:
-            file.write(told if isinstance(told, str) else json.dumps(told))
+            file.write(configuration if isinstance(configuration, str) else json.dumps(configuration))
         self.process.send_signal(signal.SIGHUP)
 
     def replace_parties(self) -> tuple[Engine, socket.socket, socket.socket]:
-        """A new engine, catalogue and directory; returns the old ones."""
+        """Open a new engine, catalogue and directory; return the old ones."""
         old = self.engine, self.catalogue, self.directory
         self.engine, self.catalogue = Engine(), socket.create_server(("127.0.0.1", 0))
-        self.engine.begun = old[0].begun  # the same engine at another address
+        self.engine.started_at = old[0].started_at  # the same engine at another address
         self.directory = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.directory.bind(("127.0.0.1", 0))
         self.directory.settimeout(WAIT)
-        for opened in (old[0], old[0].server, *old[1:]):
-            self.addCleanup(opened.close)
+        for peer in (old[0], old[0].server, *old[1:]):
+            self.addCleanup(peer.close)
         return old
 
     def begin(self, attach: bool = True, state: str = "steady", age: str = "", **changes) -> None:
-        """Start the node, learn its port from its log, and let its engine be up."""
+        """Start the node, read its port from its log and attach the engine if `attach` is set."""
         self.launch(self.told(**changes))
         self.port = int(self.log("listening").rsplit(":", 1)[1])
         if attach:
             self.engine.attach(state, age)
             self.log("engine_ready")
 
-    def log(self, part: str) -> str:
-        """Wait for a line of the log."""
+    def log(self, text: str) -> str:
+        """Wait for a log line that contains a text, and return the line."""
         for line in self.process.stderr:
-            if part in line:
+            if text in line:
                 return line
-        raise AssertionError(f"the node ended without {part!r} in its log")
+        raise AssertionError(f"the node exited without {text!r} in its log")
 
     def dispatcher(self) -> Dispatcher:
-        made = Dispatcher(self.port)
-        self.addCleanup(made.close)
-        return made
+        dispatcher = Dispatcher(self.port)
+        self.addCleanup(dispatcher.close)
+        return dispatcher
 
-    def running(self, *group: str, **more) -> tuple[Dispatcher, str]:
-        """A node that has just started to run an exchange, with its dispatcher and its id."""
+    def running(self, *class_name: str, **options) -> tuple[Dispatcher, str]:
+        """Start a node and let it run a request; return the dispatcher and the request id."""
         self.begin()
         dispatcher = self.dispatcher()
-        ident = dispatcher.call(*group, **more)
-        self.assertEqual(self.engine.next()[:2], ("RUN", ident))
-        return dispatcher, ident
-
-    def calling(self, *group: str) -> tuple[Dispatcher, str, CatalogueLink]:
-        """The same with its call at the catalogue."""
-        dispatcher, ident = self.running(*group)
-        self.engine.need(ident)
+        request_id = dispatcher.call(*class_name, **options)
+        self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
+        return dispatcher, request_id
+
+    def calling(self, *class_name: str) -> tuple[Dispatcher, str, CatalogueLink]:
+        """Let a running request make a downstream call; return also the catalogue link."""
+        dispatcher, request_id = self.running(*class_name)
+        self.engine.need(request_id)
         link = self.catalogue_link()
-        self.assertEqual(link.next()[:2], ("FETCH", ident))
-        return dispatcher, ident, link
+        self.assertEqual(link.next()[:2], ("FETCH", request_id))
+        return dispatcher, request_id, link
 
     def catalogue_link(self) -> CatalogueLink:
         link = CatalogueLink(self.catalogue)
--- a/tests/support/node_request.py
+++ b/tests/support/node_request.py
@@ -1,4 +1,4 @@
-"""Builder of requests as the node reads them, with resource limits and a log for tests."""
+"""Builds requests as the node reads them; resource limits and an event log for tests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     request_class: RequestClass = GROUP,
     **fields: Any,
 ) -> NodeRequest:
-    """Return a request of the tests' class; other fields than the defaults are given by name."""
+    """Return a request of the default test class; `fields` override the defaults."""
     defaults: dict[str, Any] = {
         "request_class": request_class,
         "tenant": None,
