--- a/tests/compatibility/fixtures.py
+++ b/tests/compatibility/fixtures.py
@@ -1,4 +1,4 @@
-"""Reads what an earlier version wrote, and compares structures whatever their fields are called."""
+"""Reads data that an earlier version wrote, and compares structures without their field names."""
 
 import asyncio
 import gzip
@@ -15,44 +15,45 @@
 HOSTS = {"h1": ["n1a", "n1b"], "h2": ["n2a", "n2b"], "h3": ["n3a", "n3b"]}
 
 
-def load(name: str):
+def load_fixture(name: str):
     if name.endswith(".gz"):
         return json.loads(gzip.decompress((DATA / name).read_bytes()))
     return json.loads((DATA / name).read_text(encoding="utf-8"))
 
 
-RENAMED = {  # members of enums, as the old version called them
+EARLIER_REPRESENTATIONS = {  # of enum members, in the earlier version
     "<Idempotency.IDEMPOTENT: 'repeatable'>": "<Effect.REPEATABLE: 'repeatable'>",
     "<Idempotency.IDEMPOTENCY_KEY: 'deduplicated'>": "<Effect.DEDUPLICATED: 'deduplicated'>",
     "<Idempotency.NON_IDEMPOTENT: 'mutating'>": "<Effect.MUTATING: 'mutating'>",
 }
 
 
-def leaves(value: object) -> list[str]:
-    """All plain values in a structure, as sorted texts: what they are called does not count."""
+def leaf_values(value: object) -> list[str]:
+    """Return the representations of all plain values in a structure, sorted and without field names."""
     if isinstance(value, dict):
-        found = [leaf for pair in value.items() for each in pair for leaf in leaves(each)]
+        values = [leaf for pair in value.items() for item in pair for leaf in leaf_values(item)]
     elif isinstance(value, list | tuple | set | frozenset):
-        found = [leaf for each in value for leaf in leaves(each)]
+        values = [leaf for item in value for leaf in leaf_values(item)]
     elif hasattr(value, "__dataclass_fields__"):
-        found = [leaf for name in value.__dataclass_fields__ for leaf in leaves(getattr(value, name))]
+        values = [leaf for name in value.__dataclass_fields__ for leaf in leaf_values(getattr(value, name))]
     else:
-        found = [RENAMED.get(repr(value), repr(value))]
-    return sorted(found)
+        values = [EARLIER_REPRESENTATIONS.get(repr(value), repr(value))]
+    return sorted(values)
 
 
-def paths(value: object, path: str = "$") -> set[str]:
-    """The keys of a JSON document with the types of its values."""
+def document_paths(value: object, path: str = "$") -> set[str]:
+    """Return the path of each key of a JSON document, and the paths with the types of the values."""
     if isinstance(value, dict):
-        inner = {found for key, each in value.items() for found in paths(each, f"{path}.{key}")}
+        inner = {nested for key, item in value.items() for nested in document_paths(item, f"{path}.{key}")}
         return {f"{path}.{key}" for key in value} | inner
     if isinstance(value, list):
-        return {found for each in value for found in paths(each, f"{path}[]")}
+        return {nested for item in value for nested in document_paths(item, f"{path}[]")}
     return {f"{path}: {type(value).__name__}"}
 
 
-async def assert_same_keys(test: unittest.TestCase, folder: str, row: dict) -> None:
-    variables = {
+async def assert_same_keys(test: unittest.TestCase, folder: str, expected: dict) -> None:
+    """Run a recorded command; check that its exit code and the keys of its JSON output are as recorded."""
+    environment = {
         **os.environ,
         "OAKKEEL_SETTINGS": os.path.join(folder, "fleet.xml"),
         "OAKKEEL_OPERATOR": "asha",
@@ -61,21 +62,21 @@
         sys.executable,
         "-m",
         "oakkeel",
-        *row["arguments"],
+        *expected["arguments"],
         "--output",
         "json",
-        env=variables,
+        env=environment,
         stdin=subprocess.DEVNULL,
         stdout=subprocess.PIPE,
     )
-    printed, _ = await process.communicate()
-    document = json.loads(printed.splitlines()[0] if row["arguments"][0] == "watch" else printed)
-    with test.subTest(row["arguments"]):
-        test.assertEqual(process.returncode, row["code"])
-        test.assertEqual(keys_of(paths(document)), keys_of(row["paths"]))
+    output, _ = await process.communicate()
+    document = json.loads(output.splitlines()[0] if expected["arguments"][0] == "watch" else output)
+    with test.subTest(expected["arguments"]):
+        test.assertEqual(process.returncode, expected["code"])
+        test.assertEqual(key_paths(document_paths(document)), key_paths(expected["paths"]))
 
 
-def keys_of(found) -> list[str]:
-    """Without the types, and without plain list items: those may be there or not, by what happens."""
-    names = {path.rsplit(": ", 1)[0] for path in found}
+def key_paths(paths) -> list[str]:
+    """Return the sorted paths without types and without plain list items, whose presence varies by run."""
+    names = {path.rsplit(": ", 1)[0] for path in paths}
     return sorted(name for name in names if not name.endswith("[]"))
--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -3,12 +3,12 @@
 import os
 
 from tests.agent.agent_test_case import AgentTestCase
-from tests.compatibility.fixtures import assert_same_keys, load
+from tests.compatibility.fixtures import assert_same_keys, load_fixture
 
 
 class CommandLineCompatibilityTest(AgentTestCase):
     async def test_json_output_of_one_host_has_the_same_keys(self):
         agent = await self.agent()
         await self.serving(agent)
-        for row in load("command-line.json")["one host"]:
-            await assert_same_keys(self, os.path.dirname(self.site.settings), row)
+        for expected in load_fixture("command-line.json")["one host"]:
+            await assert_same_keys(self, os.path.dirname(self.site.settings), expected)
--- a/tests/compatibility/test_files.py
+++ b/tests/compatibility/test_files.py
@@ -10,18 +10,20 @@
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import write_key
 from oakkeel.store import snapshot_file
-from tests.compatibility.fixtures import DATA, leaves, load
+from tests.compatibility.fixtures import DATA, leaf_values, load_fixture
 
 
 class FileCompatibilityTest(unittest.TestCase):
     def test_settings_are_read_to_the_same_values(self):
         fleet = read_fleet(str(DATA / "fleet.xml"))
-        self.assertEqual([leaf.replace(str(DATA), "HERE") for leaf in leaves(fleet)], load("settings.json"))
+        self.assertEqual(
+            [leaf.replace(str(DATA), "HERE") for leaf in leaf_values(fleet)], load_fixture("settings.json")
+        )
 
     def test_a_snapshot_of_fair_shares_is_read_and_written_with_the_same_bytes(self):
         content = snapshot_file.read(str(DATA / "fair-shares.snapshot"))
-        found = persistence.decode_snapshot(content, 1_700_000_001_000_000_000, ("tenant", "via"))
-        self.assertEqual(msgspec.msgpack.encode(found), content)
+        snapshot = persistence.decode_snapshot(content, 1_700_000_001_000_000_000, ("tenant", "via"))
+        self.assertEqual(msgspec.msgpack.encode(snapshot), content)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "snapshot"
             snapshot_file.write(str(path), content)
--- a/tests/compatibility/test_state_folder.py
+++ b/tests/compatibility/test_state_folder.py
@@ -1,4 +1,4 @@
-"""Agents that start on the state folders of an earlier version."""
+"""Agents start with the state folders of an earlier version."""
 
 import contextlib
 import os
@@ -12,17 +12,17 @@
 from oakkeel.agent.processes import read_boot_id
 from oakkeel.fakes.rig import ProcessRig
 from oakkeel.fakes.site import FakeSite, SiteOptions
-from tests.compatibility.fixtures import DATA, HOSTS, assert_same_keys, load
+from tests.compatibility.fixtures import DATA, HOSTS, assert_same_keys, load_fixture
 from tests.support.rig_case import SUPERVISION
 
 HOUR = 3600 * 1_000_000_000
 
 
 def move_to_this_boot(path: str) -> None:
-    """Let a copied database be of this boot, with its orders still open.
+    """Set the boot id and the times of a copied database to those of this boot.
 
-    Its times are monotonic ones of the machine that wrote it: as they are, its orders would be open or
-    expired, and its instances startable or not, by how long the machine of the test has been up.
+    The database holds monotonic times of the machine that wrote it. With these times, the uptime of the test
+    machine would decide whether the orders have expired and whether the instances may start.
     """
     with contextlib.closing(sqlite3.connect(path)) as database, database:
         database.execute("UPDATE boot SET id = ?", (read_boot_id(),))
@@ -31,7 +31,7 @@
 
 
 class StateFolderCompatibilityTest(unittest.IsolatedAsyncioTestCase):
-    """Agents that are started on the state folders of ea5a81e go on where that version stopped."""
+    """Agents that start with the state folders of ea5a81e continue from the state of that version."""
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -55,27 +55,27 @@
         await self.rig.open()
         await self.rig.wait_for_leader()
 
-    async def test_orders_generations_permits_and_the_log_are_there(self):
-        expected = load("state/expected.json")
-        found = (await self.rig.raft_statuses())[await self.rig.wait_for_leader()]
-        self.assertEqual(found.epoch, expected["epoch"])
-        self.assertGreater(found.term, expected["term"])
-        self.assertGreaterEqual(found.committed, expected["committed"])
+    async def test_orders_generations_permits_and_the_log_are_kept(self):
+        expected = load_fixture("state/expected.json")
+        status = (await self.rig.raft_statuses())[await self.rig.wait_for_leader()]
+        self.assertEqual(status.epoch, expected["epoch"])
+        self.assertGreater(status.term, expected["term"])
+        self.assertGreaterEqual(status.committed, expected["committed"])
         orders = (await self.rig.fleet_status()).orders
         self.assertEqual(
-            {order.order_id: {part.target: part.state for part in order.tasks} for order in orders},
+            {order.order_id: {task.target: task.state for task in order.tasks} for order in orders},
             expected["orders"],
         )
         permits = {
-            each.target: each.order_id
-            for each in (await self.rig.fleet_status()).unavailable
-            if each.order_id
+            target.target: target.order_id
+            for target in (await self.rig.fleet_status()).unavailable
+            if target.order_id
         }
-        self.assertEqual(permits, {thing: order for thing, order in expected["permits"].items() if order})
+        self.assertEqual(permits, {target: order for target, order in expected["permits"].items() if order})
         release = await self.rig.clients.request_leader(messages.ReleaseStatusRequest())
         self.assertEqual((release.release_id, release.state), (expected["release"], "done"))
 
-        async def started_again() -> bool:
+        async def is_restarted() -> bool:
             generations = await self.rig.generations()
             return all(
                 generations[name] > generation
@@ -83,9 +83,8 @@
                 if name not in expected["permits"]
             )
 
-        await self.rig.wait_until("all that serves has a later generation", started_again)
-        for row in load("command-line.json")["cluster"]:
-            arguments = [
-                "cli-2" if word == "cli-1" else word for word in row["arguments"]
-            ]  # that id is known
-            await assert_same_keys(self, self.folder, {**row, "arguments": arguments})
+        await self.rig.wait_until("each serving instance has a later generation", is_restarted)
+        for command in load_fixture("command-line.json")["cluster"]:
+            # The state of the earlier version holds an order with the recorded id.
+            arguments = ["cli-2" if word == "cli-1" else word for word in command["arguments"]]
+            await assert_same_keys(self, self.folder, {**command, "arguments": arguments})
