--- a/tests/cluster/test_leader_changes.py
+++ b/tests/cluster/test_leader_changes.py
@@ -8,30 +8,31 @@
 
 
 class LeaderChangeTest(RigTestCase):
-    async def test_leader_suspended_through_an_election_repeats_nothing_when_it_resumes(self):
+    async def test_leader_suspended_during_an_election_repeats_no_restart_when_it_resumes(self):
         leader = await self.rig.wait_for_leader()
-        await self.order("o1", "restart", ["n1a", "n3a", "n4a"])
+        await self.submit_order_with_retry("o1", "restart", ["n1a", "n3a", "n4a"])
         self.rig.suspend_agent(leader)
-        began = time.monotonic()
-        other = await self.rig.wait_for_leader(excluding=[leader])
-        self.assertLess(time.monotonic() - began, 3.0)
-        await self.order("o2", "restart", ["n5b"])
+        started_at = time.monotonic()
+        new_leader = await self.rig.wait_for_leader(excluding=[leader])
+        self.assertLess(time.monotonic() - started_at, 3.0)
+        await self.submit_order_with_retry("o2", "restart", ["n5b"])
         self.rig.resume_agent(leader)
         self.assertEqual(set((await self.rig.wait_until_ended("o1")).values()), {"done"})
         self.assertEqual(set((await self.rig.wait_until_ended("o2")).values()), {"done"})
         self.assertEqual(
             (await self.rig.raft_statuses())[leader].is_leader, leader == await self.rig.wait_for_leader()
         )
-        self.assertIsNotNone(other)
+        self.assertIsNotNone(new_leader)
         await self.rig.wait_until_serving()
         self.assertEqual(
-            [self.journal_of(name).count("start") for name in ("n1a", "n3a", "n4a", "n5b")], [2] * 4
+            [self.journal_events(name).count("start") for name in ("n1a", "n3a", "n4a", "n5b")], [2] * 4
         )
 
-    async def test_replicas_killed_at_once_continue_with_what_was_committed(self):
-        await self.order("o1", "drain", ["n4a"])
+    async def test_replicas_killed_together_keep_committed_orders_after_restart(self):
+        await self.submit_order_with_retry("o1", "drain", ["n4a"])
         await self.rig.wait_until_ended("o1")
-        await self.order("o2", "drain", ["n4b", "n5a"], duration=60)  # no room: they wait
+        # The budget is used up: the tasks of the second order wait.
+        await self.submit_order_with_retry("o2", "drain", ["n4b", "n5a"], duration=60)
         for host in self.replicas:
             await self.rig.kill_agent(host)
         with self.assertRaises(NoLeaderError):
@@ -39,10 +40,10 @@
         for host in self.replicas:
             await self.rig.start_agent(host)
         await self.rig.wait_for_leader()
-        states = {part.target: part.state for part in (await self.rig.fleet_status("o2")).orders[0].tasks}
+        states = {task.target: task.state for task in (await self.rig.fleet_status("o2")).orders[0].tasks}
         self.assertEqual(states, {"n4b": "waiting", "n5a": "waiting"})
-        answer = await self.rig.end_order("o1", True)
-        self.assertIsInstance(answer, messages.FleetOrderStatus, answer)
+        response = await self.rig.end_order("o1", True)
+        self.assertIsInstance(response, messages.FleetOrderStatus, response)
         await self.rig.wait_until_serving(["n4a"])
         await self.wait_until_granted("o2", "n4b")
         await self.rig.end_order("o2", True)
@@ -50,30 +51,30 @@
 
     async def test_replicas_partitioned_both_ways_one_way_and_in_a_ring_commit_with_a_majority_only(self):
         leader = await self.rig.wait_for_leader()
-        others = [host for host in self.hosts if host != leader]
-        self.rig.links.cut([leader], others)
-        second = await self.rig.wait_for_leader(excluding=[leader])
-        await self.order("two", "restart", ["n4a"])
+        other_hosts = [host for host in self.hosts if host != leader]
+        self.rig.links.cut([leader], other_hosts)
+        second_leader = await self.rig.wait_for_leader(excluding=[leader])
+        await self.submit_order_with_retry("two", "restart", ["n4a"])
         self.rig.links.clear_faults()
-        others = [host for host in self.hosts if host != second]
-        self.rig.links.cut(others, [second], both=False)  # it is heard, and hears nobody
-        third = await self.rig.wait_for_leader(excluding=[second])
-        await self.order("one", "restart", ["n5a"])
+        other_hosts = [host for host in self.hosts if host != second_leader]
+        self.rig.links.cut(other_hosts, [second_leader], both=False)  # the leader sends but receives nothing
+        third_leader = await self.rig.wait_for_leader(excluding=[second_leader])
+        await self.submit_order_with_retry("one", "restart", ["n5a"])
         self.rig.links.clear_faults()
         ring = list(self.replicas)
-        for place, host in enumerate(ring):  # each hears only the one before
-            self.rig.links.cut([ring[(place + 1) % 3]], [host], both=False)
+        for position, host in enumerate(ring):  # each receives only from the replica before it
+            self.rig.links.cut([ring[(position + 1) % 3]], [host], both=False)
         await asyncio.sleep(1.5)
         self.rig.links.clear_faults()
         await self.rig.wait_for_leader()
-        await self.order("ring", "restart", ["n3a"])
-        for ident in ("two", "one", "ring"):
-            self.assertEqual(set((await self.rig.wait_until_ended(ident)).values()), {"done"})
-        self.assertIsNotNone(third)
+        await self.submit_order_with_retry("ring", "restart", ["n3a"])
+        for order_id in ("two", "one", "ring"):
+            self.assertEqual(set((await self.rig.wait_until_ended(order_id)).values()), {"done"})
+        self.assertIsNotNone(third_leader)
 
-    async def test_lossy_doubling_slow_and_altering_links_break_no_invariant(self):
+    async def test_links_that_lose_duplicate_delay_and_alter_messages_break_no_invariant(self):
         self.rig.links.set_faults(loss=0.1, double=0.1, altered=0.05, mixed=0.02)
-        await self.order("o1", "restart", ["n1a", "n2a", "n3a", "n4a"], duration=60)
+        await self.submit_order_with_retry("o1", "restart", ["n1a", "n2a", "n3a", "n4a"], duration=60)
         self.rig.links.clear_faults()
         self.rig.links.break_connections()
         self.rig.links.set_faults(delay=1.5)  # longer than any lease
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -38,20 +38,21 @@
             "h4",
             "h5",
         ]
-        ended = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
-        self.assertEqual(ended.returncode, 0, ended)
-        members = json.loads(ended.stdout)["members"]
-        self.assertEqual(sorted(each["name"] for each in members if each["votes"]), sorted(self.hosts))
+        completed = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
+        self.assertEqual(completed.returncode, 0, completed)
+        members = json.loads(completed.stdout)["members"]
+        self.assertEqual(sorted(member["name"] for member in members if member["votes"]), sorted(self.hosts))
         self.rig.links.clear_faults()
         for host in list(self.replicas)[:2]:
             await self.rig.kill_agent(host)
         await self.rig.wait_for_leader()
-        await self.order("o1", "restart", ["n5a"])
-        for host in list(self.replicas)[:2]:  # until then their instances count as out
+        await self.submit_order_with_retry("o1", "restart", ["n5a"])
+        # The instances of the killed agents count as unavailable until the agents are restarted.
+        for host in list(self.replicas)[:2]:
             await self.rig.start_agent(host)
         self.assertEqual(await self.rig.wait_until_ended("o1"), {"n5a": "done"})
 
-    async def test_messages_of_strangers_other_fleets_and_sizes_change_nothing(self):
+    async def test_messages_with_unknown_keys_wrong_senders_or_wrong_sizes_change_nothing(self):
         leader = await self.rig.wait_for_leader()
         address = ("127.0.0.1", self.site.ports[leader])
         before = (await self.rig.raft_statuses())[leader]
@@ -63,34 +64,44 @@
                 await asyncio.wait_for(reader.read(), 5)
             writer.close()
         keys = read_agent_keys(self.rig.fleet)
-        letter = Envelope("0" * 16, "h9", "h9.1", RecoveryRequest(1, True, 9, 9, 9))
-        stranger = Key("agent:h1", "h1", Role.AGENT, os.urandom(32))
+        envelope = Envelope("0" * 16, "h9", "h9.1", RecoveryRequest(1, True, 9, 9, 9))
+        unknown_key = Key("agent:h1", "h1", Role.AGENT, os.urandom(32))
         with self.assertRaisesRegex(OSError, "rejected key"):
-            await request_once(address, stranger, messages.PeerEnvelopesRequest([letter]))
-        other = next(host for host in self.hosts if host != leader)
-        answer = await request_once(
-            address, keys[other], messages.PeerEnvelopesRequest([letter])
-        )  # its key, another's name
-        self.assertIsInstance(answer, messages.PeerEnvelopesResponse)
-        answer = await request_once(
-            address, keys[other], messages.HeartbeatRequest(Heartbeat(leader, 1, 1, 0, [], [], {}))
+            await request_once(address, unknown_key, messages.PeerEnvelopesRequest([envelope]))
+        follower = next(host for host in self.hosts if host != leader)
+        # The envelope names another sender than the key does.
+        response = await request_once(address, keys[follower], messages.PeerEnvelopesRequest([envelope]))
+        self.assertIsInstance(response, messages.PeerEnvelopesResponse)
+        response = await request_once(
+            address, keys[follower], messages.HeartbeatRequest(Heartbeat(leader, 1, 1, 0, [], [], {}))
+        )
+        self.assertRegex(response.why, f"a heartbeat of {leader} can't be sent with the key of {follower}")
+        response = await request_once(
+            address, keys[follower], messages.FleetOrderRequest("x", "drain", [("n1a", 1)], 1)
         )
-        self.assertRegex(answer.why, f"a heartbeat of {leader} can't be sent with the key of {other}")
-        answer = await request_once(
-            address, keys[other], messages.FleetOrderRequest("x", "drain", [("n1a", 1)], 1)
+        self.assertRegex(response.why, "the role of key .* does not allow that request")
+        response = await request_once(
+            address, self.rig.clients.key, messages.PeerEnvelopesRequest([envelope])
         )
-        self.assertRegex(answer.why, "the role of key .* does not allow that request")
-        answer = await request_once(address, self.rig.clients.key, messages.PeerEnvelopesRequest([letter]))
-        self.assertRegex(answer.why, "the role of key .* does not allow that request")
+        self.assertRegex(response.why, "the role of key .* does not allow that request")
         after = (await self.rig.raft_statuses())[leader]
         self.assertEqual((after.term, after.leader, len(after.members)), (before.term, leader, 3))
 
     async def test_commands_of_a_new_user_work_on_a_running_fleet(self):
         leader = await self.rig.wait_for_leader()
 
-        def run(*words: str) -> subprocess.CompletedProcess:
+        def run(*arguments: str) -> subprocess.CompletedProcess:
             return subprocess.run(
-                [sys.executable, "-m", "oakkeel", *words, "--settings", self.site.settings, "--as", "asha"],
+                [
+                    sys.executable,
+                    "-m",
+                    "oakkeel",
+                    *arguments,
+                    "--settings",
+                    self.site.settings,
+                    "--as",
+                    "asha",
+                ],
                 capture_output=True,
                 text=True,
             )
@@ -101,15 +112,15 @@
         drained = await asyncio.to_thread(run, "drain", "n4a", "--id", "d1", "--whole")
         self.assertEqual(drained.returncode, 0, drained)
         shown = await asyncio.to_thread(run, "places", "--output", "json")
-        told = json.loads(shown.stdout)
-        self.assertEqual([each["thing"] for each in told["out"]], ["n4a"])
+        shown_places = json.loads(shown.stdout)
+        self.assertEqual([entry["thing"] for entry in shown_places["out"]], ["n4a"])
         halted = await asyncio.to_thread(run, "drain", "--halt", "d1")
         self.assertEqual(halted.returncode, 0, halted)
-        back = await asyncio.to_thread(run, "cancel", "d1")
-        self.assertEqual(back.returncode, 0, back)
+        cancelled = await asyncio.to_thread(run, "cancel", "d1")
+        self.assertEqual(cancelled.returncode, 0, cancelled)
         await self.rig.wait_until_serving(["n4a"])
-        again = await asyncio.to_thread(run, "cancel", "d9")
-        self.assertEqual((again.returncode, again.stderr), (1, "oakkeel: unknown order d9\n"))
+        rejected = await asyncio.to_thread(run, "cancel", "d9")
+        self.assertEqual((rejected.returncode, rejected.stderr), (1, "oakkeel: unknown order d9\n"))
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/fixtures.py
+++ b/tests/compatibility/fixtures.py
@@ -42,7 +42,7 @@
 
 
 def document_paths(value: object, path: str = "$") -> set[str]:
-    """Return the path of each key of a JSON document, and the paths with the types of the values."""
+    """Return the path of each key of a JSON document, and the path of each plain value with its type."""
     if isinstance(value, dict):
         inner = {nested for key, item in value.items() for nested in document_paths(item, f"{path}.{key}")}
         return {f"{path}.{key}" for key in value} | inner
--- a/tests/support/cancellation.py
+++ b/tests/support/cancellation.py
@@ -14,7 +14,7 @@
 
 
 async def followed_by_wait(awaitable: Awaitable[object]) -> None:
-    """Await the awaitable, then wait for ever: a caller that was not cancelled goes on to this wait."""
+    """Await, then wait without end, like a caller that continues unless it is cancelled."""
     await awaitable
     await asyncio.get_running_loop().create_future()
 
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -46,7 +46,7 @@
 
 
 def read_resp_array(stream) -> list[bytes]:
-    """Read one RESP array from a blocking file; return an empty list at its end."""
+    """Read one RESP array from a blocking file; return an empty list at the end of the file."""
     head = stream.readline()
     return [stream.read(int(stream.readline()[1:]) + 2)[:-2] for _ in range(int(head[1:]))] if head else []
 
@@ -128,7 +128,7 @@
     def attach(self, state: str = "steady", age: str = "", answer: bool = True) -> int:
         """Accept a link; return the number of the last notice that the node has read.
 
-        An `age` that is given sets the start time of the engine.
+        A non-empty `age` sets the start time of the engine.
         """
         if age:
             self.started_at = time.monotonic() - float(age) / 1000
--- a/tests/support/rig_case.py
+++ b/tests/support/rig_case.py
@@ -1,4 +1,4 @@
-"""A test case over many processes: agents that agree while faults happen, then an audit of their logs."""
+"""A test case with many agent and node processes; an audit of their logs ends each test."""
 
 import os
 import tempfile
@@ -14,6 +14,7 @@
 HOSTS = {f"h{number}": [f"n{number}a", f"n{number}b"] for number in range(1, 6)}
 SITES = {"h1": "woodbrook", "h2": "woodbrook", "h3": "belmont", "h4": "belmont", "h5": "belmont"}
 SUPERVISION = '<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>'
+# Nanoseconds after its failure from which a target must count as unavailable for every new permit.
 KNOWN_AFTER = PermitTimeouts().expiry_ns + PermitTimeouts().max_agent_silence_ns + 2_000_000_000
 
 
@@ -39,46 +40,46 @@
             ),
         )
         self.rig = ProcessRig(self.site)
-        self.addAsyncCleanup(self.end)
+        self.addAsyncCleanup(self.close_and_audit)
         await self.rig.open()
         await self.rig.wait_for_leader()
         await self.rig.wait_until_serving()
 
-    async def end(self) -> None:
+    async def close_and_audit(self) -> None:
         await self.rig.close()
         groups = audit_groups(self.hosts, self.sites, self.max_unavailable, self.fleet_max_unavailable)
         audit = audit_logs(self.folder, self.hosts, groups, KNOWN_AFTER)
         self.assertEqual(audit.finish(0), [])
 
-    def log_of(self, host: str) -> str:
+    def agent_log(self, host: str) -> str:
         with open(os.path.join(self.folder, f"{host}.agent.log"), encoding="utf-8") as file:
             return file.read()
 
-    def journal_of(self, name: str) -> list[str]:
+    def journal_events(self, name: str) -> list[str]:
         host = next(host for host, names in self.hosts.items() if name in names)
         with open(os.path.join(self.folder, host, f"{name}.journal"), encoding="ascii") as file:
             return [line.split()[0] for line in file]
 
-    async def wait_until_granted(self, ident: str, *things: str) -> None:
-        async def granted() -> bool:
-            parts = (await self.rig.fleet_status(ident)).orders[0].tasks
-            return all(part.state != "waiting" for part in parts if part.target in things)
+    async def wait_until_granted(self, order_id: str, *targets: str) -> None:
+        async def are_granted() -> bool:
+            tasks = (await self.rig.fleet_status(order_id)).orders[0].tasks
+            return all(task.state != "waiting" for task in tasks if task.target in targets)
 
-        await self.rig.wait_until(f"{things} have places", granted)
+        await self.rig.wait_until(f"{targets} have permits", are_granted)
 
-    async def follower(self, *but: str) -> str:
+    async def follower(self, *excluded: str) -> str:
         leader = await self.rig.wait_for_leader()
-        return next(host for host in self.replicas if host != leader and host not in but)
+        return next(host for host in self.replicas if host != leader and host not in excluded)
 
-    async def order(self, *words, **more) -> messages.FleetOrderStatus:
-        """Through changes of leader, with the same id."""
-        answer: messages.Response | None = None
+    async def submit_order_with_retry(self, *arguments, **options) -> messages.FleetOrderStatus:
+        """Submit an order, with the same id, until a leader accepts it."""
+        response: messages.Response | None = None
 
-        async def taken() -> bool:
-            nonlocal answer
-            answer = await self.rig.submit_order(*words, **more)
-            return isinstance(answer, messages.FleetOrderStatus)
+        async def is_accepted() -> bool:
+            nonlocal response
+            response = await self.rig.submit_order(*arguments, **options)
+            return isinstance(response, messages.FleetOrderStatus)
 
-        await self.rig.wait_until("the order is taken", taken)
-        assert isinstance(answer, messages.FleetOrderStatus)
-        return answer
+        await self.rig.wait_until("the order is accepted", is_accepted)
+        assert isinstance(response, messages.FleetOrderStatus)
+        return response
