--- a/oakkeel/raft/durable_state.py
+++ b/oakkeel/raft/durable_state.py
@@ -16,7 +16,7 @@
 
     name: str
     incarnation: str
-    epoch: str = ""
+    epoch: str = ""  # random ID of the cluster; empty until the replica belongs to a cluster
     term: int = 0
     voted_for: str = ""  # the incarnation that got the vote in `term`; empty: none
     snapshot: Snapshot = EMPTY_SNAPSHOT
@@ -30,7 +30,7 @@
 
     snapshot: Snapshot | None = None
     replaces_log: bool = False  # the snapshot replaces all entries, even the ones after its index
-    truncate_from: int = 0  # index of the first entry to drop; 0: none
+    truncate_from: int = 0  # index of the first entry to drop; 0: no entry is dropped
     entries: list[tuple[int, Entry]] = field(default_factory=list)
     updates_metadata: bool = False  # incarnation, epoch, term, vote or acknowledgements changed
 
--- a/oakkeel/raft/elections.py
+++ b/oakkeel/raft/elections.py
@@ -77,7 +77,7 @@
         self._request_votes(now)
 
     def _request_votes(self, now: int) -> None:
-        """Request the votes of the other voters; a pre-vote is for the next term."""
+        """Request the votes of the other voters. A pre-vote asks for votes in the next term."""
         replica = self.replica
         if replica.has_majority(self.votes_received):
             self._advance_election(now)
@@ -90,6 +90,7 @@
                 replica.send(member.name, request)
 
     def _advance_election(self, now: int) -> None:
+        """Take the next step of the election, after a majority has voted for this replica."""
         if self.replica.role is Role.PRE_CANDIDATE:
             self._become_candidate(now)
         else:
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -29,8 +29,8 @@
     def replicate(self, now: int, leader_state: LeaderState) -> None:
         """Send new entries to the members that have no request in flight."""
         for peer in leader_state.peers.values():
-            has_more = peer.next_index <= self.replica.log.last_index or peer.needs_snapshot
-            if not peer.in_flight and has_more:
+            has_unsent_content = peer.next_index <= self.replica.log.last_index or peer.needs_snapshot
+            if not peer.in_flight and has_unsent_content:
                 self._send(now, leader_state, peer)
 
     def _send(self, now: int, leader_state: LeaderState, peer: PeerProgress) -> None:
@@ -76,7 +76,7 @@
         _record_contact(peer, response.sent_at)
         if response.success:
             if response.index <= replica.log.last_index:
-                _record_stored(peer, response.index)
+                _record_match_index(peer, response.index)
         elif response.index >= peer.match_index:  # else a later request has already succeeded
             peer.next_index = min(replica.log.last_index, response.index) + 1
 
@@ -92,7 +92,7 @@
             peer.needs_snapshot = False
         elif response.next_offset >= len(snapshot.content):
             peer.needs_snapshot = False
-            _record_stored(peer, response.last_included_index)
+            _record_match_index(peer, response.last_included_index)
         elif is_latest or response.next_offset > peer.snapshot_offset:
             peer.snapshot_offset = response.next_offset
 
@@ -119,6 +119,6 @@
     return True
 
 
-def _record_stored(peer: PeerProgress, index: int) -> None:
+def _record_match_index(peer: PeerProgress, index: int) -> None:
     peer.match_index = max(peer.match_index, index)
     peer.next_index = peer.match_index + 1
--- a/oakkeel/raft/leader_state.py
+++ b/oakkeel/raft/leader_state.py
@@ -32,7 +32,7 @@
     def __init__(
         self, now: int, incarnation: str, term: int, log: ReplicatedLog, timeouts: RaftTimeouts
     ) -> None:
-        """`incarnation` is that of the replica that was elected leader of `term`."""
+        """`incarnation` identifies the replica that was elected leader of `term`."""
         self.incarnation = incarnation
         self.term = term
         self.log = log
@@ -71,19 +71,19 @@
         """Return the index up to which the log is committed: the rule of commit.
 
         An entry is committed once a majority of the voters has stored it. Only an entry of the leader's own
-        term is counted: a later leader could still replace one of an earlier term. No committed entry is ever
-        lost.
+        term is counted: a later leader could still replace an entry of an earlier term. No committed entry is
+        ever lost.
         """
         voters = self._voters()
         if not voters:
             return commit_index
-        stored = [
+        stored_indexes = [
             self.log.last_index
             if voter.incarnation == self.incarnation
             else self.peers[voter.incarnation].match_index
             for voter in voters
         ]
-        index = majority_value(stored)
+        index = majority_value(stored_indexes)
         if index > commit_index and self.log.term_at(index) == self.term:
             return index
         return commit_index
@@ -93,13 +93,13 @@
         voters = self._voters()
         if not voters:
             return now
-        contacts = [
+        contact_times = [
             now
             if voter.incarnation == self.incarnation
             else self.peers[voter.incarnation].acknowledged_sent_at
             for voter in voters
         ]
-        return majority_value(contacts)
+        return majority_value(contact_times)
 
     def lease_until(self, now: int) -> int:
         """Return the instant at which the leader's lease ends: the rule of lease validity.
@@ -109,11 +109,11 @@
         """
         return self._majority_contact_at(now) + self.timeouts.lease_ns
 
-    def lost_majority(self, now: int) -> bool:
-        """Whether the leader has to step down, as no majority responded for the maximum election timeout.
+    def has_lost_majority(self, now: int) -> bool:
+        """Whether the leader has to step down, as no majority has responded for the maximum election timeout.
 
-        The other voters may have elected a leader that this one cannot reach, so this leader must not accept
-        proposals for ever.
+        The other voters may have elected a leader that this leader can't reach, so this leader must not
+        accept proposals for ever.
         """
         silent_since = max(self.elected_at, self._majority_contact_at(now))
         return now - silent_since > self.timeouts.max_election_timeout_ns
--- a/oakkeel/raft/log.py
+++ b/oakkeel/raft/log.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipChange:
-    """The members from the entry at an index on."""
+    """The members that are in effect from the entry at `index` on."""
 
     index: int
     members: tuple[Member, ...]
@@ -42,7 +42,7 @@
         """`entries` follow the snapshot without a gap."""
         self.snapshot = snapshot
         self.entries = entries
-        # in order of the index; the first change is that of the snapshot
+        # in the order of the index; the first change holds the members of the snapshot
         self.membership_changes = [MembershipChange(snapshot.index, snapshot.members)]
         for index, entry in enumerate(entries, snapshot.index + 1):
             self._record_membership(index, entry)
@@ -94,11 +94,11 @@
     def batch_after(self, index: int) -> list[Entry]:
         """Return the entries after an index that fit into one message."""
         batch: list[Entry] = []
-        size = 0
+        size_bytes = 0
         start = index - self.snapshot.index
         for entry in self.entries[start : start + MAX_BATCH_ENTRIES]:
-            size += len(entry.content) + ENTRY_OVERHEAD_BYTES
-            if batch and size > MAX_BATCH_BYTES:
+            size_bytes += len(entry.content) + ENTRY_OVERHEAD_BYTES
+            if batch and size_bytes > MAX_BATCH_BYTES:
                 break
             batch.append(entry)
         return batch
@@ -116,7 +116,7 @@
             self.membership_changes.pop()
 
     def compact(self, index: int, content: bytes) -> Snapshot:
-        """Replace the entries up to an index with a snapshot, whose content is given."""
+        """Replace the entries up to an index with a snapshot. `content` is its encoded state."""
         members = self.members_as_of(index)
         snapshot = Snapshot(index, self.term_at(index), members, content)
         del self.entries[: index - self.snapshot.index]
--- a/oakkeel/raft/membership.py
+++ b/oakkeel/raft/membership.py
@@ -9,7 +9,7 @@
 
 
 def next_membership(now: int, replica: ReplicaState, leader_state: LeaderState) -> list[Member] | None:
-    """Return the members after the next change; None if none is needed or possible.
+    """Return the members after the next change; None if no change is needed or possible.
 
     One member changes at a time, and the next change waits until the previous one is committed, so that two
     majorities always have a voter in common. `now` is in monotonic nanoseconds.
@@ -27,7 +27,7 @@
     """Whether a majority of the voters after the change responded within the maximum election timeout."""
     peers = leader_state.peers
     voters = {member.incarnation for member in members if member.is_voter}
-    recent = {
+    recent_voters = {
         incarnation
         for incarnation in voters
         if incarnation == replica.incarnation
@@ -36,16 +36,16 @@
             and now - peers[incarnation].acknowledged_sent_at < replica.timeouts.max_election_timeout_ns
         )
     }
-    return is_majority(recent, voters)
+    return is_majority(recent_voters, voters)
 
 
 def _next_members(now: int, replica: ReplicaState, leader_state: LeaderState) -> list[Member] | None:
-    desired = set(replica.state_machine.desired_voters()) or {member.name for member in replica.members}
+    desired_names = set(replica.state_machine.desired_voters()) or {member.name for member in replica.members}
     return (
         _replace_lost_incarnation(now, replica)
-        or _promote_learner(now, replica, leader_state, desired)
-        or _add_learner(now, replica, desired)
-        or _remove_member(replica, desired)
+        or _promote_learner(now, replica, leader_state, desired_names)
+        or _add_learner(now, replica, desired_names)
+        or _remove_member(replica, desired_names)
     )
 
 
@@ -57,7 +57,7 @@
         request = requests.get(member.name)
         if (
             request
-            and request.empty
+            and request.has_empty_file
             and request.incarnation != member.incarnation
             and member.incarnation != replica.incarnation
         ):
@@ -67,15 +67,15 @@
 
 
 def _promote_learner(
-    now: int, replica: ReplicaState, leader_state: LeaderState, desired: set[str]
+    now: int, replica: ReplicaState, leader_state: LeaderState, desired_names: set[str]
 ) -> list[Member] | None:
-    """Return the members with a desired learner as a voter, once it has stored all committed entries."""
+    """Return the members with a desired learner made a voter, once it has stored all committed entries."""
     for learner in replica.members:
         peer = leader_state.peers.get(learner.incarnation)
         if (
             peer
             and not learner.is_voter
-            and learner.name in desired
+            and learner.name in desired_names
             and peer.match_index >= replica.commit_index
             and now - peer.acknowledged_sent_at < replica.timeouts.min_election_timeout_ns
         ):
@@ -86,23 +86,25 @@
     return None
 
 
-def _add_learner(now: int, replica: ReplicaState, desired: set[str]) -> list[Member] | None:
-    """Return the members with a desired voter that has sent a recovery request, first as a learner."""
+def _add_learner(now: int, replica: ReplicaState, desired_names: set[str]) -> list[Member] | None:
+    """Return the members with a desired voter added as a learner, once its recovery request has arrived."""
     requests = replica.recent_recovery_requests(now)
-    for name in sorted(desired - {member.name for member in replica.members}):
+    for name in sorted(desired_names - {member.name for member in replica.members}):
         if name in requests:
             return [*replica.members, Member(name, requests[name].incarnation, False)]
     return None
 
 
-def _remove_member(replica: ReplicaState, desired: set[str]) -> list[Member] | None:
+def _remove_member(replica: ReplicaState, desired_names: set[str]) -> list[Member] | None:
     """Return the members without an undesired member; the leader is removed last.
 
     No member is removed before all desired members are voters.
     """
-    if not desired <= {member.name for member in replica.members if member.is_voter}:
+    if not desired_names <= {member.name for member in replica.members if member.is_voter}:
         return None
-    for leaving in sorted(replica.members, key=lambda member: member.incarnation == replica.incarnation):
-        if leaving.name not in desired:
-            return [member for member in replica.members if member is not leaving]
+    for leaving_member in sorted(
+        replica.members, key=lambda member: member.incarnation == replica.incarnation
+    ):
+        if leaving_member.name not in desired_names:
+            return [member for member in replica.members if member is not leaving_member]
     return None
--- a/oakkeel/raft/messages.py
+++ b/oakkeel/raft/messages.py
@@ -53,15 +53,15 @@
     nonce: int  # drawn at each start
     empty: bool  # the file is new: the replica belongs to no cluster yet
     term: int
-    last_term: int
+    last_term: int  # of the last entry in the sender's log
     last_index: int
 
 
 class RecoveryResponse(msgspec.Struct, tag="known", array_like=True):
     """The last entry that the requesting replica is known to have stored, and the responder's term."""
 
-    nonce: int
-    empty: bool
+    nonce: int  # of the request
+    empty: bool  # the responder belongs to no cluster yet
     term: int
     acknowledged_term: int
     acknowledged_index: int
@@ -70,7 +70,7 @@
 class JoinCluster(msgspec.Struct, tag="found", array_like=True):
     """Names the cluster that a replica with a new file belongs to."""
 
-    nonce: int
+    nonce: int  # of the recovery request
     epoch: str
     members: list[Member]
 
@@ -80,7 +80,7 @@
 
     term: int
     pre_vote: bool
-    last_term: int
+    last_term: int  # of the last entry in the candidate's log
     last_index: int
 
 
@@ -120,7 +120,7 @@
     last_included_index: int
     last_included_term: int
     members: list[Member]
-    offset: int
+    offset: int  # of the chunk within the snapshot, in bytes
     total_bytes: int
     content: bytes
     sent_at: int
@@ -151,9 +151,9 @@
 class Envelope(msgspec.Struct, array_like=True):
     """A message with its sender."""
 
-    epoch: str  # of the cluster; empty while the sender belongs to none
+    epoch: str  # ID of the cluster; empty while the sender belongs to no cluster
     sender: str
-    incarnation: str
+    incarnation: str  # of the sender
     message: Message
 
 
--- a/oakkeel/raft/proposals.py
+++ b/oakkeel/raft/proposals.py
@@ -13,7 +13,7 @@
 
     PENDING = "pending"
     COMMITTED = "committed"
-    UNKNOWN = "unknown"  # its leader stepped down: the next leader may still commit it
+    UNKNOWN = "unknown"  # the leader stepped down: the next leader may still commit the command
 
 
 @dataclass(slots=True, eq=False)
--- a/oakkeel/raft/recovery.py
+++ b/oakkeel/raft/recovery.py
@@ -2,7 +2,8 @@
 
 A replica that has just started asks the other replicas for the last entry that it acknowledged. If that entry
 is after the end of its log, its file is an older copy: the replica is stale and must begin a new incarnation.
-It does not vote before a majority has responded, and never in a term that a responder knows.
+The replica does not vote before a majority has responded, and never in a term that a responder has already
+reached.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
         self.initial_voters = initial_voters
         self.started_at = now
         self.next_request_at = now
-        self.start_position = replica.log.last_position
+        self.start_position = replica.log.last_position  # the end of the log at the start
         self.nonce = replica.random.getrandbits(NONCE_BITS)
         self.responders: set[str] = set()  # incarnations
 
@@ -40,12 +41,12 @@
         recovering = replica.role is Role.RECOVERING
         position = self.start_position if recovering else replica.log.last_position
         request = RecoveryRequest(self.nonce, not durable.epoch, durable.term, position.term, position.index)
-        names = {
+        recipients = {
             *(member.name for member in replica.members),
             *self.initial_voters,
             *replica.state_machine.desired_voters(),
         }
-        for name in sorted(names):  # a fixed order, so that a simulation is reproducible by its seed
+        for name in sorted(recipients):  # a fixed order, so that a simulation is reproducible by its seed
             replica.send(name, request)
         if not durable.epoch and self.initial_voters and replica.name == min(self.initial_voters):
             self._bootstrap(now)
@@ -56,7 +57,7 @@
         incarnations = {
             name: request.incarnation
             for name, request in replica.recent_recovery_requests(now).items()
-            if request.empty
+            if request.has_empty_file
         }
         incarnations[replica.name] = replica.incarnation
         if set(incarnations) >= set(self.initial_voters):
@@ -73,15 +74,15 @@
         replica.reset_election_timer(now)
 
     def handle_request(self, now: int, envelope: Envelope, request: RecoveryRequest) -> None:
-        """Respond with the last acknowledged entry of the sender, and tell a new member its cluster."""
+        """Respond with the last acknowledged entry of the sender, and name the cluster to a new member."""
         replica = self.replica
         durable = replica.durable
         if envelope.epoch and envelope.epoch != durable.epoch:
-            return  # of another cluster
+            return  # the sender belongs to another cluster
         replica.recovery_requests[envelope.sender] = ReceivedRecoveryRequest(
             envelope.incarnation, now, request.empty
         )
-        acknowledged = self._known_position(envelope.incarnation)
+        acknowledged = self._acknowledged_position(envelope.incarnation)
         response = RecoveryResponse(
             request.nonce, not durable.epoch, durable.term, acknowledged.term, acknowledged.index
         )
@@ -92,7 +93,7 @@
             members = list(replica.log.snapshot.members)
             replica.send(envelope.sender, JoinCluster(request.nonce, durable.epoch, members))
 
-    def _known_position(self, incarnation: str) -> LogPosition:
+    def _acknowledged_position(self, incarnation: str) -> LogPosition:
         """Return the last entry that a replica is known to have stored."""
         replica = self.replica
         position = replica.durable.acknowledgements.get(incarnation, LogPosition(0, 0))
@@ -116,7 +117,7 @@
                 f" {self.start_position.term}",
             )
             return
-        replica.set_term(max(response.term, replica.term), UNKNOWN_VOTE)  # an earlier vote may be lost
+        replica.set_term(max(response.term, replica.term), UNKNOWN_VOTE)  # the file may lack an earlier vote
         self.responders.add(envelope.incarnation)
         if self._is_complete(now):
             replica.change_role(now, Role.FOLLOWER)
@@ -131,8 +132,8 @@
         incarnations = self.responders | {replica.incarnation}
         if incarnations >= replica.voters:
             return True
-        waited = now - self.started_at
-        return waited >= replica.timeouts.max_recovery_wait_ns and replica.has_majority(incarnations)
+        waited_ns = now - self.started_at
+        return waited_ns >= replica.timeouts.max_recovery_wait_ns and replica.has_majority(incarnations)
 
     def handle_join(self, now: int, message: JoinCluster) -> None:
         """Join the cluster that a message names, if the message responds to a request of this start."""
--- a/oakkeel/raft/replica.py
+++ b/oakkeel/raft/replica.py
@@ -7,8 +7,9 @@
   and has no vote until the leader has replaced the former member with it.
 - A replica that has just started recovers first, which detects an older copy of its file: see `recovery`.
 
-Each call returns an `Output`, whose storage update must be on disk before the rest is carried out. If the
-write fails, the caller discards the replica and creates it again from the stored state, as after a crash.
+Each call returns an `Output`, whose storage update must be on disk before its messages are sent and its
+completed proposals are reported. If the write fails, the caller discards the replica and creates it again
+from the stored state, as after a crash.
 """
 
 from __future__ import annotations
@@ -65,7 +66,8 @@
         self.snapshot_receiver = SnapshotReceiver(self)
         self.next_membership_check_at = now
         if self.voters == {self.incarnation} or (durable.epoch and not self.is_eligible):
-            # Recovery is useless without a vote, and for the only voter, whose acknowledgements nobody knows.
+            # A replica without a vote needs no recovery. No other replica knows the acknowledgements of the
+            # only voter.
             self.change_role(now, Role.FOLLOWER)
 
     def next_tick_at(self) -> int:
@@ -90,7 +92,7 @@
 
     def _tick_as_leader(self, now: int, leader_state: LeaderState) -> None:
         self.leader_replication.send_heartbeats(now, leader_state)
-        if leader_state.lost_majority(now):
+        if leader_state.has_lost_majority(now):
             self.become_follower(now, self.term, "")
         elif now >= self.next_membership_check_at:
             self.next_membership_check_at = now + self.timeouts.membership_interval_ns
--- a/oakkeel/raft/replication.py
+++ b/oakkeel/raft/replication.py
@@ -67,15 +67,15 @@
         return is_covered or log.term_at(previous_index) == request.previous_term
 
     def _become_stale(self, now: int, leader: str, lost_position: LogPosition) -> None:
-        last = self.replica.log.last_position
+        last_position = self.replica.log.last_position
         self.replica.become_stale(
             now,
             f"{leader} has its acknowledgement of entry {lost_position.index} of term {lost_position.term},"
-            f" but its log ends with entry {last.index} of term {last.term}",
+            f" but its log ends with entry {last_position.index} of term {last_position.term}",
         )
 
     def _lost_entry(self, request: AppendEntriesRequest) -> LogPosition | None:
-        """Return the entry that this replica acknowledged and lost, if the leader knows of one.
+        """Return the entry that this replica acknowledged and lost, if the leader names such an entry.
 
         Such an entry may count as committed: the replica is stale and must not vote or acknowledge again.
         """
--- a/oakkeel/raft/snapshot_transfer.py
+++ b/oakkeel/raft/snapshot_transfer.py
@@ -39,7 +39,7 @@
 
 
 class SnapshotReceiver:
-    """The follower's side of the transfer."""
+    """Receives and installs the leader's snapshot, on the follower's side."""
 
     def __init__(self, replica: ReplicaState) -> None:
         """`replica` is the state to read and change."""
@@ -63,7 +63,7 @@
         self._respond(envelope.sender, chunk, min(len(received), chunk.total_bytes))
 
     def _add(self, chunk: SnapshotChunk) -> bytearray:
-        """Append the chunk if it is the next one, and return the content of its snapshot received so far."""
+        """Append the chunk if it is the next one. Returns the part of its snapshot that was received."""
         incoming = self.incoming
         if incoming is None or not incoming.includes(chunk):
             incoming = IncomingSnapshot(chunk.last_included_index, chunk.last_included_term)
--- a/oakkeel/raft/state.py
+++ b/oakkeel/raft/state.py
@@ -45,8 +45,8 @@
     """Work for the caller: the storage update comes first, the rest once the update is on disk."""
 
     storage_update: StorageUpdate | None = None
-    envelopes: list[tuple[str, Envelope]] = field(default_factory=list)  # by the recipient's name
-    completed: list[Proposal] = field(default_factory=list)
+    envelopes: list[tuple[str, Envelope]] = field(default_factory=list)  # each with the name of its recipient
+    completed: list[Proposal] = field(default_factory=list)  # committed, or with an unknown outcome
 
 
 class ReceivedRecoveryRequest(NamedTuple):
@@ -54,7 +54,7 @@
 
     incarnation: str
     received_at: int
-    empty: bool
+    has_empty_file: bool
 
 
 class ReplicaState:
@@ -74,7 +74,7 @@
         self.role = Role.RECOVERING
         self.role_since = now
         self.stale_reason = ""
-        self.leader = ""  # by name
+        self.leader = ""  # name of the leader; empty if it is unknown
         self.leader_state: LeaderState | None = None
         self.leader_contact_at = now  # before its start the replica may have been in contact with a leader
         self.election_at = now  # the end of the election timeout
@@ -82,8 +82,8 @@
         self.commit_index = durable.snapshot.index
         self.applied_index = durable.snapshot.index
         state_machine.restore(durable.snapshot.content)
-        self.recovery_requests: dict[str, ReceivedRecoveryRequest] = {}  # by name
-        self.proposals: dict[int, Proposal] = {}
+        self.recovery_requests: dict[str, ReceivedRecoveryRequest] = {}  # by the sender's name
+        self.proposals: dict[int, Proposal] = {}  # by index: proposals that are not committed yet
         self.storage_update = StorageUpdate()
         self.output = Output()
 
@@ -140,7 +140,7 @@
         return is_majority(incarnations, self.voters)
 
     def recent_recovery_requests(self, now: int) -> dict[str, ReceivedRecoveryRequest]:
-        """Return the recovery requests that are recent enough to act on, by name."""
+        """Return the recovery requests that are recent enough to act on, by the sender's name."""
         window = MAX_RECOVERY_REQUEST_AGE_INTERVALS * self.timeouts.recovery_interval_ns
         return {
             name: request
@@ -156,7 +156,7 @@
         self.role_since = now
 
     def become_stale(self, now: int, reason: str) -> None:
-        """Stop taking part in the cluster, as the replica's file is an older copy of its state."""
+        """Stop taking part in the cluster, as the replica's file is an older copy."""
         self.stale_reason = reason
         self.change_role(now, Role.STALE)
 
--- a/oakkeel/raft/storage.py
+++ b/oakkeel/raft/storage.py
@@ -14,7 +14,7 @@
 from oakkeel.raft.write_counter import WriteCounter
 from oakkeel.store.database import Database, Statement
 
-VERSION = 1
+VERSION = 1  # of the schema
 MAX_FILE_BYTES = 256 * 1024 * 1024
 # Stored names: `life` is the incarnation, `voted` the vote, `marks` the acknowledgements, `place` an index.
 SCHEMA = """
@@ -79,7 +79,7 @@
 
 
 def load(database: Database, name: str, new_incarnation: str) -> DurableState:
-    """Return the stored state; an empty file begins `new_incarnation`.
+    """Return the stored state; a new file gets the incarnation `new_incarnation`.
 
     Raises DatabaseError, and CorruptStateError for fields that can't be decoded.
     """
--- a/oakkeel/raft/write_counter.py
+++ b/oakkeel/raft/write_counter.py
@@ -34,7 +34,7 @@
         self.file_count = int(content) if content.strip().isdigit() else 0
 
     def stale_reason(self) -> str:
-        """Return why the database is an older copy; empty if it is not."""
+        """Return why the database is an older copy; empty if it is current."""
         if self.file_count <= self.count:
             return ""
         return f"the write count is {self.count} in the database and {self.file_count} beside it"
@@ -49,7 +49,7 @@
         self._write_file(self.count)
 
     def reset(self) -> None:
-        """Reset the file to zero and close it, as the database was removed."""
+        """Set the count in the file to zero and close the file, after the database was removed."""
         self._write_file(0)
         os.close(self.descriptor)
 
