--- a/tests/raft/cluster.py
+++ b/tests/raft/cluster.py
@@ -14,7 +14,7 @@
 
 
 class RecordingStateMachine:
-    """Records the commands that were committed; `voters a b c` names the desired voters."""
+    """Records the committed commands. The command `voters a b c` sets the desired voters."""
 
     def __init__(self) -> None:
         """Start without commands and desired voters."""
@@ -34,8 +34,8 @@
 
     def restore(self, content: bytes) -> None:
         """Replace the state with that of a snapshot."""
-        first, *self.commands = content.split(b"\n") if content else [b""]
-        self.voters = tuple(first.decode().split())
+        voters_line, *self.commands = content.split(b"\n") if content else [b""]
+        self.voters = tuple(voters_line.decode().split())
 
     def desired_voters(self) -> tuple[str, ...]:
         """Return the voters that the last `voters` command named."""
@@ -43,7 +43,7 @@
 
 
 class Delivery(NamedTuple):
-    """A message in transit."""
+    """A message in transit. Messages that are due at one time arrive in the order of their numbers."""
 
     due_at: int
     number: int
@@ -65,7 +65,7 @@
         self.replicas: dict[str, Replica] = {}
         self.in_transit: list[Delivery] = []
         self.cut_links: set[tuple[str, str]] = set()  # by sender and recipient
-        self.last_number = 0  # of a start or a message
+        self.last_number = 0  # the last number that a start or a message got
         for name in names:
             self.start(name)
 
@@ -85,11 +85,11 @@
         )
 
     def isolate(self, name: str) -> None:
-        """Cut all links of one replica and restore the others."""
+        """Cut all links of one replica, and restore all other links."""
         self.cut_links = {link for other in self.replicas for link in ((name, other), (other, name))}
 
     def carry_out(self, name: str, output: Output) -> None:
-        """Store the output of a replica's call and send its messages."""
+        """Store the storage update of a replica's output, and send the messages of the output."""
         if output.storage_update:
             self.storages[name].write(self.replicas[name].durable, output.storage_update)
         for recipient, envelope in output.envelopes:
@@ -99,20 +99,20 @@
 
     def run(self, duration: int, is_done: Callable[[], bool] = lambda: False) -> None:
         """Advance the time until `is_done` returns true, or for the whole duration."""
-        end = self.now + duration
-        while self.now < end and not is_done():
-            ticks = [replica.next_tick_at() for replica in self.replicas.values()]
-            next_at = min(ticks + [delivery.due_at for delivery in self.in_transit])
-            self.now = max(self.now, min(next_at, end))
+        end_at = self.now + duration
+        while self.now < end_at and not is_done():
+            tick_times = [replica.next_tick_at() for replica in self.replicas.values()]
+            next_at = min(tick_times + [delivery.due_at for delivery in self.in_transit])
+            self.now = max(self.now, min(next_at, end_at))
             self._deliver()
             for name, replica in list(self.replicas.items()):
                 if replica.next_tick_at() <= self.now:
                     self.carry_out(name, replica.tick(self.now))
 
     def _deliver(self) -> None:
-        due = sorted(delivery for delivery in self.in_transit if delivery.due_at <= self.now)
+        due_deliveries = sorted(delivery for delivery in self.in_transit if delivery.due_at <= self.now)
         self.in_transit = [delivery for delivery in self.in_transit if delivery.due_at > self.now]
-        for delivery in due:
+        for delivery in due_deliveries:
             if delivery.recipient in self.replicas:
                 replica = self.replicas[delivery.recipient]
                 self.carry_out(delivery.recipient, replica.receive(self.now, delivery.envelope))
@@ -125,7 +125,7 @@
         return bool(self._leaders())
 
     def leader(self) -> Replica:
-        """Return the leader, and wait for its election if there is none."""
+        """Return the leader that holds the lease, after an election of at most 5 s if there is none."""
         self.run(5 * SECOND, self.has_leader)
         return self._leaders()[0]
 
@@ -144,6 +144,6 @@
             assert proposal.status is ProposalStatus.COMMITTED, proposal.status
 
     def applied_commands(self) -> dict[str, list[bytes]]:
-        """Return the commands that each replica has applied after 500 ms more."""
+        """Advance the time by 500 ms, and return the commands that each replica has applied."""
         self.run(500 * MS)
         return {name: replica.state_machine.commands for name, replica in self.replicas.items()}
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -16,10 +16,10 @@
         cluster = Cluster("a", "b", "c", "d", "e")
         cluster.commit(b"one")
         for _ in range(2):
-            crashed = cluster.leader().name
-            del cluster.replicas[crashed]
+            crashed_name = cluster.leader().name
+            del cluster.replicas[crashed_name]
             crashed_at = cluster.now
-            self.assertNotEqual(cluster.leader().name, crashed)
+            self.assertNotEqual(cluster.leader().name, crashed_name)
             self.assertLess(cluster.now - crashed_at, 2 * SECOND)
         cluster.commit(b"two")
         self.assertEqual(set(map(tuple, cluster.applied_commands().values())), {(b"one", b"two")})
@@ -27,10 +27,10 @@
     def test_partitioned_replica_does_not_depose_the_leader_on_its_return(self):
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
-        partitioned = next(name for name in cluster.replicas if name != leader.name)
-        cluster.isolate(partitioned)
+        partitioned_name = next(name for name in cluster.replicas if name != leader.name)
+        cluster.isolate(partitioned_name)
         cluster.run(10 * SECOND)
-        self.assertEqual(cluster.replicas[partitioned].role, Role.PRE_CANDIDATE)
+        self.assertEqual(cluster.replicas[partitioned_name].role, Role.PRE_CANDIDATE)
         cluster.cut_links.clear()
         cluster.run(SECOND)
         self.assertEqual((cluster.leader(), leader.term, leader.elections_won), (leader, 1, 1))
@@ -59,8 +59,8 @@
     def test_removed_leader_steps_down(self):
         cluster = Cluster("a", "b", "c", "d")
         leader = cluster.leader()
-        others = [name for name in cluster.replicas if name != leader.name]
-        cluster.commit(b"voters " + " ".join(others).encode())
+        other_names = [name for name in cluster.replicas if name != leader.name]
+        cluster.commit(b"voters " + " ".join(other_names).encode())
         cluster.run(5 * SECOND, lambda: leader.role is not Role.LEADER)
         self.assertNotEqual(cluster.leader().name, leader.name)
         cluster.commit(b"after")
@@ -71,22 +71,22 @@
         cluster = Cluster("a", "b", "c", "d")
         cluster.commit(b"one")
         leader = cluster.leader()
-        others = [name for name in cluster.replicas if name != leader.name]
-        cluster.cut_links = {(leader.name, other) for other in others}
+        other_names = [name for name in cluster.replicas if name != leader.name]
+        cluster.cut_links = {(leader.name, other) for other in other_names}
         leader.append(
             cluster.now,
             EntryKind.MEMBERS,
             encode_members([member for member in leader.members if member.name != leader.name]),
         )
         cluster.carry_out(leader.name, leader._finish(cluster.now))
-        del cluster.storages[others[0]]
-        cluster.start(others[0])
+        del cluster.storages[other_names[0]]
+        cluster.start(other_names[0])
         cluster.run(3 * SECOND)
         cluster.cut_links.clear()
         cluster.commit(b"two")
         cluster.run(3 * SECOND)
         self.assertNotIn(leader.incarnation, cluster.leader().voters)
-        self.assertEqual(cluster.replicas[others[1]].state_machine.commands, [b"one", b"two"])
+        self.assertEqual(cluster.replicas[other_names[1]].state_machine.commands, [b"one", b"two"])
 
 
 class VoteDecisionTest(unittest.TestCase):
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -21,8 +21,8 @@
             timeouts=RaftTimeouts(max_entries_before_snapshot=4),
         )
         cluster.commit(*(b"%d" % number for number in range(6)))
-        partitioned = next(name for name in "abc" if name != cluster.leader().name)
-        cluster.isolate(partitioned)
+        partitioned_name = next(name for name in "abc" if name != cluster.leader().name)
+        cluster.isolate(partitioned_name)
         cluster.commit(b"voters a b c d e")
 
         def voters() -> set[str]:
--- a/tests/raft/test_properties.py
+++ b/tests/raft/test_properties.py
@@ -20,18 +20,18 @@
     names = st.sampled_from("abc")
 
     def __init__(self) -> None:
-        """Start a cluster and give it the time to elect a leader."""
+        """Start a cluster, and wait 3 s for the election of a leader."""
         super().__init__()
         self.cluster = Cluster("a", "b", "c", timeouts=RaftTimeouts(max_entries_before_snapshot=3))
         self.cluster.run(3 * SECOND)
         self.proposals: list[tuple[bytes, Proposal]] = []
-        self.leaders: dict[int, str] = {}
-        self.committed: list[bytes] = []
+        self.leaders: dict[int, str] = {}  # incarnation by term
+        self.committed: list[bytes] = []  # the longest list of applied commands seen
 
-    @rule(wait=st.integers(1, 2000))
-    def advance_time(self, wait):
+    @rule(wait_ms=st.integers(1, 2000))
+    def advance_time(self, wait_ms):
         """Let some milliseconds pass."""
-        self.cluster.run(wait * MS)
+        self.cluster.run(wait_ms * MS)
 
     @rule(name=names, other=names, both_directions=st.booleans())
     def cut(self, name, other, both_directions):
@@ -79,8 +79,8 @@
         """Compare the commands that each replica has applied, and the leaders of each term."""
         for replica in self.cluster.replicas.values():
             commands = replica.state_machine.commands
-            common = min(len(commands), len(self.committed))
-            assert commands[:common] == self.committed[:common]
+            common_length = min(len(commands), len(self.committed))
+            assert commands[:common_length] == self.committed[:common_length]
             self.committed = max(self.committed, list(commands), key=len)
             if replica.role is Role.LEADER:
                 assert self.leaders.setdefault(replica.term, replica.incarnation) == replica.incarnation
--- a/tests/raft/test_recovery.py
+++ b/tests/raft/test_recovery.py
@@ -39,58 +39,60 @@
     def test_replica_with_an_older_file_is_stale(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
-        restored = next(name for name in cluster.replicas if name != cluster.leader().name)
-        backup = cluster.storages[restored].copy()
+        restored_name = next(name for name in cluster.replicas if name != cluster.leader().name)
+        backup = cluster.storages[restored_name].copy()
         cluster.commit(b"two", b"three", b"four")  # acknowledgements are stored with later entries
-        cluster.storages[restored] = backup
-        cluster.start(restored)
-        cluster.run(SECOND, lambda: cluster.replicas[restored].role is not Role.RECOVERING)
-        self.assertEqual(cluster.replicas[restored].role, Role.STALE)
-        self.assertRegex(cluster.replicas[restored].stale_reason, "knows that this replica stored entry")
-        del cluster.storages[restored]
-        cluster.start(restored)
-        cluster.run(5 * SECOND, lambda: cluster.replicas[restored].incarnation in cluster.leader().voters)
-        self.assertEqual(cluster.applied_commands()[restored], [b"one", b"two", b"three", b"four"])
+        cluster.storages[restored_name] = backup
+        cluster.start(restored_name)
+        cluster.run(SECOND, lambda: cluster.replicas[restored_name].role is not Role.RECOVERING)
+        self.assertEqual(cluster.replicas[restored_name].role, Role.STALE)
+        self.assertRegex(cluster.replicas[restored_name].stale_reason, "knows that this replica stored entry")
+        del cluster.storages[restored_name]
+        cluster.start(restored_name)
+        cluster.run(
+            5 * SECOND, lambda: cluster.replicas[restored_name].incarnation in cluster.leader().voters
+        )
+        self.assertEqual(cluster.applied_commands()[restored_name], [b"one", b"two", b"three", b"four"])
 
     def test_recovery_waits_for_the_responses_of_all_reachable_voters(self):
         """Simulated schedule 1018860: the first response came from a voter that did not know of the latest
         acknowledgement."""
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
-        leader = cluster.leader().name
-        restored, other = (name for name in cluster.replicas if name != leader)
-        backup = cluster.storages[restored].copy()
-        cluster.cut_links = {(leader, other), (other, leader)}
+        leader_name = cluster.leader().name
+        restored_name, other_name = (name for name in cluster.replicas if name != leader_name)
+        backup = cluster.storages[restored_name].copy()
+        cluster.cut_links = {(leader_name, other_name), (other_name, leader_name)}
         cluster.commit(b"two", b"three")
-        cluster.storages[restored] = backup
-        cluster.start(restored)
-        cluster.run(300 * MS, lambda: cluster.replicas[restored].role is not Role.RECOVERING)
-        self.assertEqual(cluster.replicas[restored].role, Role.STALE)
+        cluster.storages[restored_name] = backup
+        cluster.start(restored_name)
+        cluster.run(300 * MS, lambda: cluster.replicas[restored_name].role is not Role.RECOVERING)
+        self.assertEqual(cluster.replicas[restored_name].role, Role.STALE)
 
     def test_follower_whose_log_ends_before_its_acknowledgement_is_stale(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
-        leader = cluster.leader().name
-        restored = next(name for name in cluster.replicas if name != leader)
-        backup = cluster.storages[restored].copy()
+        leader_name = cluster.leader().name
+        restored_name = next(name for name in cluster.replicas if name != leader_name)
+        backup = cluster.storages[restored_name].copy()
         cluster.commit(b"two", b"three")
-        cluster.storages[restored] = backup
-        cluster.start(restored)
-        cluster.replicas[restored].change_role(
+        cluster.storages[restored_name] = backup
+        cluster.start(restored_name)
+        cluster.replicas[restored_name].change_role(
             cluster.now, Role.FOLLOWER
         )  # as if no voter knew of the acknowledgement
-        cluster.run(SECOND, lambda: cluster.replicas[restored].role is Role.STALE)
-        self.assertRegex(cluster.replicas[restored].stale_reason, "has its acknowledgement of entry")
+        cluster.run(SECOND, lambda: cluster.replicas[restored_name].role is Role.STALE)
+        self.assertRegex(cluster.replicas[restored_name].stale_reason, "has its acknowledgement of entry")
 
     def test_recovering_replica_in_contact_with_the_leader_is_not_stale(self):
         cluster = Cluster("a", "b", "c")
         cluster.commit(b"one")
         leader = cluster.leader()
-        name = next(other for other in cluster.replicas if other != leader.name)
+        name = next(other_name for other_name in cluster.replicas if other_name != leader.name)
         cluster.start(name)
         replica = cluster.replicas[name]
         # The recovery requests of the replica are lost, but the messages of the leader arrive.
-        cluster.cut_links = {(name, other) for other in cluster.replicas}
+        cluster.cut_links = {(name, other_name) for other_name in cluster.replicas}
         cluster.commit(b"two", b"three")
         cluster.run(300 * MS)
         cluster.cut_links.clear()
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -62,17 +62,17 @@
         responses = [AppendEntriesResponse(leader.term, False, 0, peer.sent_at)]
         for _ in range(12):
             cluster.now += MS
-            sent = []
+            sent_messages = []
             for response in responses:
                 output = leader.receive(
                     cluster.now, Envelope(leader.durable.epoch, peer.name, incarnation, response)
                 )
-                sent += [
+                sent_messages += [
                     envelope.message for recipient, envelope in output.envelopes if recipient == peer.name
                 ]
             responses = [
                 AppendEntriesResponse(leader.term, False, 0, message.sent_at)
-                for message in sent
+                for message in sent_messages
                 for _ in range(2)
             ]
         self.assertEqual(len(responses), 2)
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -27,7 +27,7 @@
                 os.unlink(self.path)
             database = Database(self.path, storage.SCHEMA, storage.VERSION)
             durable = storage.load(database, "a", "a.1")
-            memory = InMemoryStorage(durable)
+            memory_storage = InMemoryStorage(durable)
             log = ReplicatedLog(Snapshot(0, 0, (), b""), [])
             for _ in range(40):
                 update = StorageUpdate()
@@ -47,25 +47,25 @@
                         generator.randint(log.snapshot.index + 1, log.last_index), b"all"
                     )
                 storage.write(database, durable, update)
-                memory.write(durable, update)
+                memory_storage.write(durable, update)
             database.close()
             database = Database(self.path, storage.SCHEMA, storage.VERSION)
-            self.assertEqual(storage.load(database, "a", "a.2"), memory.load())
-            storage.check(memory.load())
+            self.assertEqual(storage.load(database, "a", "a.2"), memory_storage.load())
+            storage.check(memory_storage.load())
             database.close()
 
     def test_undecodable_snapshot_members_and_acknowledgements_are_corrupt_state(self):
-        for damage in (
+        for corrupting_statement in (
             "INSERT OR REPLACE INTO snapshot VALUES (1, 1, 1, x'ff', x'')",
             "UPDATE head SET marks = 'not JSON'",
             "UPDATE head SET marks = '[]'",
         ):
-            with self.subTest(damage):
+            with self.subTest(corrupting_statement):
                 if os.path.exists(self.path):
                     os.unlink(self.path)
                 database = Database(self.path, storage.SCHEMA, storage.VERSION)
                 storage.load(database, "a", "a.1")
-                database.write([(damage, ())])
+                database.write([(corrupting_statement, ())])
                 with self.assertRaises(storage.CorruptStateError):
                     storage.load(database, "a", "a.2")
                 database.close()
@@ -73,8 +73,8 @@
     def test_failed_write_stores_nothing(self):
         database = Database(self.path, storage.SCHEMA, storage.VERSION)
         durable = storage.load(database, "a", "a.1")
-        pages = database.read_pragma("page_count")
-        database.connection.execute(f"PRAGMA max_page_count = {pages}")
+        page_count = database.read_pragma("page_count")
+        database.connection.execute(f"PRAGMA max_page_count = {page_count}")
         with self.assertRaises(DatabaseError):
             storage.write(
                 database,
@@ -97,9 +97,9 @@
         self.assertEqual(WriteCounter(self.path + ".count", reopened).stale_reason(), "")
         reopened.close()
         os.replace(self.path + ".backup", self.path)
-        for ending in ("-wal", "-shm"):
+        for suffix in ("-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(self.path + ending)
+                os.unlink(self.path + suffix)
         connection = sqlite3.connect(self.path)
         connection.execute(f"PRAGMA application_id = {APPLICATION_ID}")
         connection.close()
