--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -5,8 +5,8 @@
 targets of a host that fails count as unavailable.
 
 A permit may be started within its validity, which the agent counts by its own clock from the time at which
-it sent its heartbeat. The permit expires once the validity has ended by any clock within the drift. The
-leader only proposes commands; they take effect once they are committed.
+it sent its heartbeat. The permit expires once the validity has ended by every clock whose drift is within
+the bound. The leader only proposes commands, which take effect once they are committed.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
             self._track_order(now, order)
 
     def _track_order(self, now: int, order: DisruptionOrder) -> None:
-        """Track an order that is open or has permits."""
+        """Track an order if it is open or has permits."""
         has_permit = any(permit.order_id == order.id for permit in self.state_machine.state.permits.values())
         if order.is_open:
             self.clock.order_submitted_at.setdefault(order.id, now)
@@ -94,7 +94,9 @@
             or self._is_silent(now, latest_session)
         ):
             self._update_availability(heartbeat.host, session)
-        return self._deduplicate(heartbeats.commands_of(self.state_machine.state, self.host_of, heartbeat))
+        return self._deduplicate(
+            heartbeats.report_commands(self.state_machine.state, self.host_of, heartbeat)
+        )
 
     def _is_silent(self, now: int, session: AgentSession) -> bool:
         """Whether an agent's last heartbeat is so old that its targets count as unavailable."""
@@ -170,7 +172,7 @@
                 self._update_availability(host, session)
 
     def _deduplicate(self, to_propose: list[commands.Command]) -> list[commands.Command]:
-        """Return the commands that are not pending: heartbeats repeat a report until it is committed."""
+        """Return the commands that are not pending yet: heartbeats repeat a report until it is committed."""
         not_pending = []
         for command in to_propose:
             content = commands.encode(command)
--- a/oakkeel/disruption/cluster_handlers.py
+++ b/oakkeel/disruption/cluster_handlers.py
@@ -7,9 +7,9 @@
 from oakkeel.disruption.state import Lease, Rejection
 
 MAX_LEASES = 256
-# The bound of the stored list. `VOTER_COUNTS` of the settings is narrower and is checked before a command is
-# proposed, so that a later version may allow other counts and replicas of both versions apply the command
-# alike.
+# The maximum length of the stored list of voters. `VOTER_COUNTS` of the settings allows fewer counts and is
+# checked before a command is proposed, so that a later version may allow other counts, and replicas of both
+# versions still apply the command alike.
 MAX_VOTERS = 9
 
 
@@ -28,7 +28,7 @@
 
 
 def set_voters(view: ControlPlaneView, index: int, command: commands.SetVoters) -> int | Rejection:
-    """Record the hosts that should be voters."""
+    """Record which hosts should be voters."""
     voters = command.voters
     if not voters or len(set(voters)) != len(voters) or len(voters) > MAX_VOTERS:
         return Rejection(f"name 1 to {MAX_VOTERS} replicas, each once")
--- a/oakkeel/disruption/command_registry.py
+++ b/oakkeel/disruption/command_registry.py
@@ -1,4 +1,4 @@
-"""The commands of a replicated state machine: one decoder for all, and a handler for each."""
+"""The commands of a replicated state machine: one decoder for all types, and a handler for each type."""
 
 from __future__ import annotations
 
--- a/oakkeel/disruption/commands.py
+++ b/oakkeel/disruption/commands.py
@@ -27,8 +27,8 @@
     verb: str
     created_at: int  # Unix time in nanoseconds, shown to operators
     timeout: int  # nanoseconds
-    atomic: bool  # all targets or none
-    targets: list[tuple[str, int]]
+    atomic: bool  # take out all targets or none
+    targets: list[tuple[str, int]]  # name and generation of each target
 
 
 class HaltOrder(msgspec.Struct, tag="halt", array_like=True):
@@ -90,10 +90,10 @@
 
 
 class ReserveGenerations(msgspec.Struct, tag="reserve", array_like=True):
-    """Reserve generations of an agent's targets up to these limits."""
+    """Reserve the generations of an agent's targets up to a limit for each target."""
 
     host: str
-    limits: dict[str, int]
+    limits: dict[str, int]  # by target
 
 
 class SetVoters(msgspec.Struct, tag="keepers", array_like=True):
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -28,7 +28,7 @@
 
 
 class LeaderExtension(Protocol):
-    """A leader's duties beside permits. An extension exists as long as the leader's `PermitAllocator`."""
+    """A leader's duties beside permits. An extension lives as long as the leader's `PermitAllocator`."""
 
     def receive_heartbeat(self, now: int, heartbeat: Heartbeat, /) -> Sequence[msgspec.Struct]:
         """Record an agent's heartbeat. Returns commands to propose."""
@@ -83,7 +83,7 @@
         self.allocator: PermitAllocator | None = None
         # called with the index, the command and the result of each applied command
         self.on_committed: Callable[[int, commands.Command, object], None] | None = None
-        # pending proposals of the allocator and the extension
+        # the commands of the pending proposals of the allocator and the extension
         self.proposals: dict[Proposal, msgspec.Struct] = {}
         self.replica = Replica(
             now, durable, self.state_machine, seed, settings.raft_timeouts, settings.initial_voters
--- a/oakkeel/disruption/expiry.py
+++ b/oakkeel/disruption/expiry.py
@@ -10,8 +10,8 @@
 from oakkeel.disruption.state import ControlPlaneState, DisruptionOrder, Lease, Permit
 from oakkeel.disruption.timeouts import PermitTimeouts
 
-# The grant times of former permits are forgotten once the number of kept times exceeds twice the number of
-# permits by this.
+# An `ExpiryClock` forgets the grant times of deleted permits once it holds more grant times than twice the
+# number of permits plus this number.
 MAX_STALE_GRANT_TIMES = 64
 
 
@@ -19,7 +19,7 @@
     """The instants at which permits were granted, leases renewed and open orders submitted."""
 
     def __init__(self, timeouts: PermitTimeouts) -> None:
-        """Nothing has been granted or submitted yet."""
+        """Start without grants, leases and orders."""
         self.timeouts = timeouts
         self.granted_at: dict[int, int] = {}  # by fencing token
         self.lease_renewed_at: dict[str, int] = {}  # by name of the lease
@@ -52,16 +52,16 @@
         return not order.halted_by and now - self.order_submitted_at[order.id] > order.timeout
 
     def remaining_validity(self, now: int, permit: Permit) -> int:
-        """Return the nanoseconds within which a permit may still be started; not below 0."""
+        """Return the nanoseconds until the end of a permit's validity; 0 after it."""
         granted_at = self.granted_at.setdefault(permit.fencing_token, now)
         return max(0, granted_at + self.timeouts.validity_ns - now)
 
     def remaining_time(self, now: int, order: DisruptionOrder) -> int:
-        """Return the nanoseconds until the timeout of an order; not below 0."""
+        """Return the nanoseconds until the timeout of an order; 0 after it."""
         return max(0, self.order_submitted_at.get(order.id, now) + order.timeout - now)
 
     def forget_ended_orders(self, state: ControlPlaneState) -> list[str]:
-        """Forget the orders that are not open any more, and return their IDs."""
+        """Forget the orders that are no longer open, and return the IDs of these orders."""
         ended_ids = [
             order_id
             for order_id in self.order_submitted_at
--- a/oakkeel/disruption/grants.py
+++ b/oakkeel/disruption/grants.py
@@ -29,7 +29,8 @@
         """Start without waiting targets. `reset` sets the allocator's unavailable targets."""
         self.state_machine = state_machine
         self.unavailable = UnavailableTargets(state_machine.state.topology)
-        # targets by order and by their budget groups; the dictionary of targets is an ordered set
+        # Targets by order and by the budget groups and dependents of the target. The innermost dictionary is
+        # an ordered set of targets.
         self.waiting: dict[str, dict[tuple[str, ...], dict[str, None]]] = {}
 
     def reset(self, unavailable: UnavailableTargets) -> None:
@@ -143,4 +144,5 @@
 
 
 def _has_begun(order: DisruptionOrder) -> bool:
+    """Whether a task of the order no longer waits for a permit."""
     return any(task.state != FleetTaskState.WAITING for task in order.tasks.values())
--- a/oakkeel/disruption/heartbeats.py
+++ b/oakkeel/disruption/heartbeats.py
@@ -18,17 +18,17 @@
 MAX_REASON_LENGTH = 200  # characters
 
 
-def commands_of(
-    state: ControlPlaneState, host_of: dict[str, str], heartbeat: Heartbeat
+def report_commands(
+    state: ControlPlaneState, host_by_target: dict[str, str], heartbeat: Heartbeat
 ) -> list[commands.Command]:
     """Return the commands that update the replicated state by an agent's report.
 
-    `host_of` names the host of each target: an agent reports for its own targets only.
+    `host_by_target` names the host of each target: an agent reports for the targets of its own host only.
     """
     to_propose: list[commands.Command] = []
     for report in heartbeat.targets:
         permit = state.permits.get(report.name)
-        if permit is not None and host_of.get(report.name) == heartbeat.host:
+        if permit is not None and host_by_target.get(report.name) == heartbeat.host:
             to_propose += _permit_commands(permit, report, heartbeat.last_index)
     for result in heartbeat.task_results:
         order = state.orders.get(result.order_id)
@@ -38,7 +38,7 @@
     limits = {
         target: limit
         for target, limit in heartbeat.generation_limits.items()
-        if host_of.get(target) == heartbeat.host and limit > state.generations.get(target, 0)
+        if host_by_target.get(target) == heartbeat.host and limit > state.generations.get(target, 0)
     }
     if limits:
         to_propose.append(commands.ReserveGenerations(heartbeat.host, limits))
@@ -51,10 +51,10 @@
     is_started = report.started_token == token
     if is_started and not permit.started:
         to_propose.append(commands.StartPermit(report.name, token))
-    is_back = is_started and report.restored and report.serving
+    is_back_in_service = is_started and report.restored and report.serving
     # An agent that knows of the expiry can no longer start the permit.
     was_never_started = not is_started and 0 < permit.expired_index <= last_index
-    if is_back or report.unused_token == token or was_never_started:
+    if is_back_in_service or report.unused_token == token or was_never_started:
         to_propose.append(commands.ReleasePermit(report.name, token))
     return to_propose
 
@@ -97,19 +97,19 @@
 
     def _assigned_orders(self, now: int, host: str, targets: tuple[str, ...]) -> list[AssignedOrder]:
         state = self.state_machine.state
-        order_ids = self.orders_by_host.get(host, [])
-        assigned = []
-        for order_id in list(order_ids):
+        host_order_ids = self.orders_by_host.get(host, [])
+        assigned_orders = []
+        for order_id in list(host_order_ids):
             order = state.orders.get(order_id)
             if order is None or not _concerns(state, order, targets):
-                order_ids.remove(order_id)  # an order that has ended on a host is never resumed there
+                host_order_ids.remove(order_id)  # an order that has ended on a host is never resumed there
                 continue
-            assigned.append(_assigned_order(order, targets, self.clock.remaining_time(now, order)))
-        return assigned
+            assigned_orders.append(_assigned_order(order, targets, self.clock.remaining_time(now, order)))
+        return assigned_orders
 
 
 def _concerns(state: ControlPlaneState, order: DisruptionOrder, targets: tuple[str, ...]) -> bool:
-    """Whether an order has an open task or a permit among some targets."""
+    """Whether an order has an open task or a permit for one of the targets."""
     for target in targets:
         task = order.tasks.get(target)
         permit = state.permits.get(target)
--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -1,8 +1,8 @@
 """The agent's part of disruption permits: the permits that it holds, and its heartbeats. Free of I/O.
 
 The validity of a permit counts from the sending of the heartbeat, by the agent's own clock, so a delay of the
-response shortens the validity. A permit whose fencing token is lower than an earlier one of its target is
-never used.
+response shortens the validity. A permit is never used if an earlier permit of its target had a higher
+fencing token.
 """
 
 from __future__ import annotations
@@ -56,26 +56,26 @@
         self.targets = targets
         self.incarnation = incarnation
         self.epoch = ""
-        self.sequence = 0
-        self.last_index = 0
-        self.timestamp = (0, 0)
+        self.sequence = 0  # number of the last heartbeat
+        self.last_index = 0  # index of the last accepted response
+        self.timestamp = (0, 0)  # timestamp of the last response, which the next heartbeat echoes
         self.synchronized = False  # whether a response was accepted since the start
-        self.permits: dict[str, HeldPermit] = {}
+        self.permits: dict[str, HeldPermit] = {}  # by target
         self.highest_tokens: dict[str, int] = {}  # by target: the highest token seen
         self.generations: dict[str, int] = {}  # by target: highest reserved generation
         self.orders: dict[str, AssignedOrder] = {}  # open on this host or with a permit, by ID
-        self.changed: set[str] = set()
-        self.rejection_reason = ""  # of the last response; empty if that was accepted
+        self.changed: set[str] = set()  # targets whose permit or generation limit has to be stored
+        self.rejection_reason = ""  # of the last response; empty if the response was accepted
 
     def restore(self, epoch: str, permits: list[StoredPermit], generations: dict[str, int]) -> None:
         """Restore the stored state; only started permits are still valid."""
         self.epoch = epoch
         self.generations = dict(generations)
-        for stored in permits:
-            self.highest_tokens[stored.target] = stored.fencing_token
-            if stored.started:
-                self.permits[stored.target] = HeldPermit(
-                    stored.target, stored.order_id, stored.fencing_token, 0, True
+        for stored_permit in permits:
+            self.highest_tokens[stored_permit.target] = stored_permit.fencing_token
+            if stored_permit.started:
+                self.permits[stored_permit.target] = HeldPermit(
+                    stored_permit.target, stored_permit.order_id, stored_permit.fencing_token, 0, True
                 )
 
     def heartbeat(
@@ -120,7 +120,7 @@
 
         A response of another cluster, or of an earlier state than the last accepted one, is rejected.
         """
-        # Also of a rejected response: the echoed timestamp shows the leader that this agent is alive.
+        # A rejected response's timestamp is kept too: its echo shows the leader that this agent is alive.
         self.timestamp = response.timestamp
         self.rejection_reason = self._find_rejection(response)
         if self.rejection_reason:
@@ -149,7 +149,7 @@
         return ""
 
     def _drop_permits(self, granted: dict[str, GrantedPermit]) -> None:
-        """Delete the permits that were released or replaced, which may not be started any more."""
+        """Delete the permits that were released or replaced. They may not be started any more."""
         ended_targets = [
             target
             for target, held_permit in self.permits.items()
--- a/oakkeel/disruption/lease_holder.py
+++ b/oakkeel/disruption/lease_holder.py
@@ -1,8 +1,8 @@
 """The holder's part of a replicated lease: its fencing token and its expiry. Free of I/O.
 
 The holder counts the duration from the sending of the command, by its own clock. The leader expires the lease
-only after the duration has ended by any clock within the drift, and the next token is higher. Commands under
-a lease carry its token.
+only after the duration has ended by every clock whose drift is within the bound, and the next holder gets a
+higher token. Commands under a lease carry the token of the lease.
 """
 
 from __future__ import annotations
--- a/oakkeel/disruption/messages.py
+++ b/oakkeel/disruption/messages.py
@@ -20,7 +20,7 @@
 
 
 class TaskResult(msgspec.Struct, array_like=True):
-    """The final state of a task of an order."""
+    """The final state of a task of an order, as the agent reports it."""
 
     order_id: str
     target: str
@@ -57,7 +57,7 @@
     """A task of an order for a target of the host."""
 
     target: str
-    generation: int
+    generation: int  # the generation of the target that the order applies to
     state: str
 
 
@@ -67,8 +67,8 @@
     id: str
     operator: str
     verb: str
-    created_at: int
-    remaining: int
+    created_at: int  # Unix time
+    remaining: int  # time until the timeout of the order
     halted_by: str
     cancelled_by: str
     tasks: list[AssignedTask]
@@ -78,10 +78,10 @@
     """The response to a heartbeat."""
 
     epoch: str
-    index: int
+    index: int  # of the last command that the leader had applied
     permits: list[GrantedPermit]
     orders: list[AssignedOrder]
-    generations: dict[str, int]
+    generations: dict[str, int]  # highest reserved generation, by target
     voters: list[str] = []  # hosts that are members of the Raft group or should be
     extension: bytes = b""  # from the LeaderExtension
     # Nonce and clock of the leader. An agent that echoes the timestamp was alive at that time.
--- a/oakkeel/disruption/order_handlers.py
+++ b/oakkeel/disruption/order_handlers.py
@@ -59,6 +59,7 @@
 
 
 def _is_repeated(existing: DisruptionOrder, command: commands.SubmitOrder) -> bool:
+    """Whether a command submits an existing order again."""
     generations = {target: task.generation for target, task in existing.tasks.items()}
     return (existing.operator, existing.verb, generations) == (
         command.operator,
@@ -96,13 +97,13 @@
 
 
 def _forget_ended_orders(view: ControlPlaneView) -> None:
-    """Delete the oldest orders that have ended and have no permit, until at most the maximum remains."""
+    """Delete the oldest orders that have ended and have no permit, down to `MAX_ORDERS` orders."""
     orders = view.state.orders
-    with_permit = {permit.order_id for permit in view.state.permits.values()}
+    order_ids_with_permit = {permit.order_id for permit in view.state.permits.values()}
     for order_id, order in list(orders.items()):
         if len(orders) <= MAX_ORDERS:
             break
-        if not order.is_open and order_id not in with_permit:
+        if not order.is_open and order_id not in order_ids_with_permit:
             del orders[order_id]
 
 
--- a/oakkeel/disruption/state.py
+++ b/oakkeel/disruption/state.py
@@ -45,7 +45,7 @@
 class DisruptionTask(msgspec.Struct, array_like=True):
     """One target of an order. Only `move` changes its state."""
 
-    generation: int
+    generation: int  # the generation of the target that the order applies to
     state: FleetTaskState = FleetTaskState.WAITING
     reason: str = ""
 
@@ -72,20 +72,20 @@
     verb: str
     created_at: int  # Unix time in nanoseconds, shown to operators
     timeout: int
-    atomic: bool  # all targets or none
-    index: int  # of the command that submitted it
+    atomic: bool  # take out all targets or none
+    index: int  # of the command that submitted the order
     tasks: dict[str, DisruptionTask]
     halted_by: str = ""
     cancelled_by: str = ""
 
     @property
     def is_open(self) -> bool:
-        """Whether any of its tasks has not ended."""
+        """Whether a task of the order has not ended."""
         return any(task.state in OPEN_FLEET_TASK_STATES for task in self.tasks.values())
 
     @property
     def returns_targets(self) -> bool:
-        """Whether the order was cancelled, and so its targets that were taken out return to service.
+        """Whether the order was cancelled, so that the targets that it has taken out return to service.
 
         The targets of a restart return in any case.
         """
--- a/oakkeel/disruption/topology.py
+++ b/oakkeel/disruption/topology.py
@@ -1,7 +1,7 @@
 """The targets, their dependencies, and the budget of unavailable targets of each group. Free of I/O.
 
-A target is an instance or a downstream service. Without a service the instances that depend on it are
-unavailable too.
+A target is an instance or a downstream service. While a service is unavailable, the instances that depend on
+the service are unavailable too.
 """
 
 from __future__ import annotations
@@ -28,7 +28,10 @@
 
 
 class Topology(msgspec.Struct, array_like=True, frozen=True):
-    """The topology by the operators' settings. It is replicated, so that all replicas decide the same."""
+    """The targets, budgets and dependencies that the operators' settings define.
+
+    The topology is replicated, so that all replicas decide the same.
+    """
 
     hosts: dict[str, tuple[str, ...]] = {}  # the targets of each host
     groups: tuple[BudgetGroup, ...] = ()
@@ -40,8 +43,8 @@
     """A budget that additional unavailable targets would exceed."""
 
     group: str
-    unavailable: int  # targets, now
-    additional: int  # targets
+    unavailable: int  # number of unavailable targets now
+    additional: int  # number of targets that would become unavailable too
     max_unavailable: int
 
     def __str__(self) -> str:
@@ -67,7 +70,7 @@
         self.counts = dict.fromkeys(self.groups, 0)
 
     def add(self, target: str, reason: str) -> None:
-        """Add a reason why a target is unavailable, and so the instances that depend on it."""
+        """Add a reason why a target is unavailable. The instances that depend on it are unavailable too."""
         reasons = self.reasons.setdefault(target, set())
         if reason in reasons:
             return
@@ -79,7 +82,7 @@
                 self.add(instance, DEPENDENCY_REASON_PREFIX + target)
 
     def remove(self, target: str, reason: str) -> None:
-        """Remove a reason; a target without any is available."""
+        """Remove a reason why a target is unavailable. A target without a reason is available."""
         reasons = self.reasons.get(target)
         if not reasons or reason not in reasons:
             return
@@ -105,14 +108,14 @@
         This is the rule of maximum unavailable: an unavailable target is not counted twice, and a service
         counts with the instances that depend on it.
         """
-        added = {
+        newly_unavailable = {
             dependent
             for target in targets
             for dependent in (target, *self.topology.dependents.get(target, ()))
             if dependent not in self.reasons
         }
         additional: dict[str, int] = {}
-        for target in added:
+        for target in newly_unavailable:
             for name in self.groups_of.get(target, ()):
                 additional[name] = additional.get(name, 0) + 1
         for name, count in additional.items():
