--- a/tests/disruption/permit_cluster.py
+++ b/tests/disruption/permit_cluster.py
@@ -1,4 +1,4 @@
-"""A permit state machine with a leader's allocator, and agents that report what a test sets."""
+"""A permit state machine with a leader's allocator, and agents that report the states that a test sets."""
 
 import unittest
 
@@ -37,6 +37,7 @@
         self.elect()
 
     def apply(self, *to_apply: commands.Command) -> object:
+        """Apply commands, and return the result of the last command."""
         result = None
         for command in to_apply:
             self.index += 1
@@ -44,10 +45,14 @@
         return result
 
     def elect(self) -> None:
+        """Replace the allocator with the allocator of a new leader."""
         self.allocator = PermitAllocator(self.now, self.state_machine, PermitTimeouts(), self.index + 1)
 
     def exchange_heartbeats(self, *hosts: str) -> None:
-        """Send a heartbeat from each host, apply what the leader proposes, and deliver its responses."""
+        """Send a heartbeat from each host, and apply the commands that the leader proposes.
+
+        Each host receives the response to its heartbeat. Without arguments, all hosts send a heartbeat.
+        """
         for host in hosts or TOPOLOGY.hosts:
             holder = self.holders[host]
             self.apply(
@@ -64,11 +69,12 @@
             )
         )
 
-    def states(self, order_id: str) -> dict[str, str]:
+    def task_states(self, order_id: str) -> dict[str, str]:
         tasks = self.state_machine.state.orders[order_id].tasks
         return {target: task.state for target, task in tasks.items()}
 
     def start(self, host: str, target: str, order_id: str) -> bool:
+        """Start a permit if the agent may start it, and return whether it was started."""
         if may_start := self.holders[host].may_start(self.now, target, order_id):
             self.holders[host].start(self.now, target)
             self.serving[target] = False
--- a/tests/disruption/test_allocator.py
+++ b/tests/disruption/test_allocator.py
@@ -11,25 +11,29 @@
     def test_grants_nothing_before_all_agents_of_the_site_have_reported(self):
         self.submit("o1", "a")
         self.exchange_heartbeats("h2")
-        self.assertEqual(self.states("o1"), {"a": "waiting"})
+        self.assertEqual(self.task_states("o1"), {"a": "waiting"})
         self.exchange_heartbeats("h1")
-        self.assertEqual(self.states("o1"), {"a": "granted"})
+        self.assertEqual(self.task_states("o1"), {"a": "granted"})
 
     def test_grants_keep_the_budget_of_all_hosts_and_continue_after_a_release(self):
         self.exchange_heartbeats()
         self.submit("o1", "a", "b", "c", "d", verb="restart")
         self.exchange_heartbeats()
         self.exchange_heartbeats()
-        self.assertEqual(sorted(self.states("o1").values()), ["granted", "granted", "waiting", "waiting"])
+        self.assertEqual(
+            sorted(self.task_states("o1").values()), ["granted", "granted", "waiting", "waiting"]
+        )
         self.assertTrue(self.start("h1", "a", "o1"))
         self.assertFalse(self.start("h1", "b", "o1"))
         self.exchange_heartbeats()
-        self.assertEqual(self.states("o1")["a"], "out")
+        self.assertEqual(self.task_states("o1")["a"], "out")
         self.serving["a"] = True
         self.holders["h1"].mark_restored("a")
         self.exchange_heartbeats()
         self.exchange_heartbeats()
-        self.assertEqual(self.states("o1"), {"a": "done", "b": "granted", "c": "granted", "d": "waiting"})
+        self.assertEqual(
+            self.task_states("o1"), {"a": "done", "b": "granted", "c": "granted", "d": "waiting"}
+        )
 
     def test_atomic_order_waits_for_room_for_all_its_targets(self):
         self.exchange_heartbeats()
@@ -37,7 +41,7 @@
         self.exchange_heartbeats()
         self.submit("o2", "c", "d", atomic=True)
         self.exchange_heartbeats()
-        self.assertEqual(self.states("o2"), {"c": "waiting", "d": "waiting"})
+        self.assertEqual(self.task_states("o2"), {"c": "waiting", "d": "waiting"})
         self.start("h1", "a", "o1")
         self.exchange_heartbeats()
         self.apply(commands.CancelOrder("o1", "ravi"))
@@ -45,23 +49,25 @@
         self.holders["h1"].mark_restored("a")
         self.exchange_heartbeats()
         self.exchange_heartbeats()
-        self.assertEqual(self.states("o2"), {"c": "granted", "d": "granted"})
+        self.assertEqual(self.task_states("o2"), {"c": "granted", "d": "granted"})
         self.assertIsInstance(self.submit("o3", "a", "b", "nobody"), Rejection)
         self.assertEqual(self.state_machine.state.orders["o2"].atomic, True)
 
-    def test_taken_or_failed_service_counts_with_its_dependents(self):
+    def test_unavailable_service_counts_with_its_dependents(self):
         self.exchange_heartbeats()
         self.submit("o1", "cat2")
         self.exchange_heartbeats()
         # c and d depend on cat2, so the budget of the fleet is exhausted.
-        self.assertEqual(self.states("o1"), {"cat2": "granted"})
+        self.assertEqual(self.task_states("o1"), {"cat2": "granted"})
         self.submit("o2", "a")
         self.exchange_heartbeats()
-        self.assertEqual(self.states("o2"), {"a": "waiting"})
+        self.assertEqual(self.task_states("o2"), {"a": "waiting"})
         self.serving["cat1"] = False  # cat1 fails while cat2, of the same kind, is out
         self.submit("o3", "cat1")
         self.exchange_heartbeats()
-        self.assertEqual((self.states("o2"), self.states("o3")), ({"a": "waiting"}, {"cat1": "waiting"}))
+        self.assertEqual(
+            (self.task_states("o2"), self.task_states("o3")), ({"a": "waiting"}, {"cat1": "waiting"})
+        )
         self.assertIn("hangs on cat1", self.allocator.unavailable.reasons["a"])
 
     def test_permit_beyond_the_budget_can_be_started_only_while_its_target_is_down(self):
@@ -76,7 +82,7 @@
 
 
 class ExpiryTest(PermitClusterTest):
-    def test_permit_expires_after_its_validity_and_counts_until_its_agent_reports(self):
+    def test_permit_expires_after_its_validity_and_uses_its_budget_until_its_agent_reports(self):
         self.exchange_heartbeats()
         self.submit("o1", "a")
         self.submit("o2", "c", "d")
@@ -112,7 +118,7 @@
         self.serving["b"] = False  # b is down, so the budget has no room for a second permit
         self.exchange_heartbeats()
         self.exchange_heartbeats()
-        self.assertEqual((self.states("o1"), self.states("o2")), ({"a": "out"}, {"b": "waiting"}))
+        self.assertEqual((self.task_states("o1"), self.task_states("o2")), ({"a": "out"}, {"b": "waiting"}))
 
     def test_new_leader_counts_the_full_validity_of_a_permit_again(self):
         self.exchange_heartbeats()
@@ -131,9 +137,9 @@
         self.now += 3 * SECOND
         self.submit("o1", "a")
         self.exchange_heartbeats("h1")
-        self.assertEqual(self.states("o1"), {"a": "waiting"})  # c and d may be down
+        self.assertEqual(self.task_states("o1"), {"a": "waiting"})  # c and d count as unavailable
         self.exchange_heartbeats("h2")
-        self.assertEqual(self.states("o1"), {"a": "granted"})
+        self.assertEqual(self.task_states("o1"), {"a": "granted"})
 
     def test_ignores_late_heartbeat_of_an_earlier_incarnation(self):
         self.exchange_heartbeats()
@@ -141,7 +147,7 @@
         self.holders["h1"] = PermitHolder("h1", TOPOLOGY.hosts["h1"], 2)
         self.serving["a"] = False
         self.exchange_heartbeats("h1")
-        self.exchange_heartbeats("h1")  # its echo of the leader's timestamp shows the later incarnation
+        self.exchange_heartbeats("h1")  # the echo of the leader's timestamp shows the later incarnation
         self.allocator.receive_heartbeat(self.now, late_heartbeat)
         self.assertIn("does not serve", self.allocator.unavailable.reasons["a"])
 
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -20,8 +20,8 @@
 
 class PermitHolderTest(PermitClusterTest):
     def test_target_gets_no_first_drain_request_after_the_validity_of_its_permit(self):
-        """Simulated schedule 1047676: a permit was started, and the disk was full for eight seconds. Targets
-        that failed meanwhile were not counted when the permit was used."""
+        """Simulated schedule 1047676: a permit was started, and the disk was full for eight seconds. The
+        targets that failed during that time were not counted when the permit was used."""
         for is_late, state in ((False, "serving"), (True, "serving"), (True, "draining")):
             self.setUp()
             self.exchange_heartbeats()
@@ -62,48 +62,50 @@
         self.assertFalse(holder.receive_response(SECOND, SECOND, HeartbeatResponse("e", 5, [], [], {})))
         self.assertFalse(holder.receive_response(SECOND, SECOND, HeartbeatResponse("other", 9, [], [], {})))
         holder.start(SECOND, "a")
-        restarted = PermitHolder("h1", ("a",), 2)
-        restarted.restore("e", [StoredPermit("a", 6, "o1", True)], {})
-        self.assertTrue(restarted.may_start(9 * SECOND, "a", "o1"))  # the permit was started before
-        restarted.receive_response(
+        restarted_holder = PermitHolder("h1", ("a",), 2)
+        restarted_holder.restore("e", [StoredPermit("a", 6, "o1", True)], {})
+        self.assertTrue(restarted_holder.may_start(9 * SECOND, "a", "o1"))  # the permit was started before
+        restarted_holder.receive_response(
             SECOND, SECOND, HeartbeatResponse("e", 9, [GrantedPermit("a", "o0", 4, False, SECOND)], [], {})
         )
-        self.assertFalse(restarted.may_start(SECOND, "a", "o0"))
+        self.assertFalse(restarted_holder.may_start(SECOND, "a", "o0"))
 
 
 class LeaseHolderTest(PermitClusterTest):
     def test_lease_has_one_holder_at_a_time_and_the_next_holder_gets_a_higher_token(self):
-        first = LeaseHolder("release", "h1", SECOND)
-        second = LeaseHolder("release", "h2", SECOND)
+        first_holder = LeaseHolder("release", "h1", SECOND)
+        second_holder = LeaseHolder("release", "h2", SECOND)
         sent_at = self.now
-        self.assertTrue(first.receive_result(sent_at, self.apply(first.acquire_command())))
-        token = first.fencing_token
-        self.assertFalse(second.receive_result(self.now, self.apply(second.acquire_command())))
+        self.assertTrue(first_holder.receive_result(sent_at, self.apply(first_holder.acquire_command())))
+        token = first_holder.fencing_token
+        self.assertFalse(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
         self.now += SECOND // 2
         # A renewal keeps the token.
-        self.assertTrue(first.receive_result(self.now, self.apply(first.acquire_command())))
-        self.assertEqual((first.fencing_token, first.expires_at), (token, sent_at + SECOND // 2 + SECOND))
+        self.assertTrue(first_holder.receive_result(self.now, self.apply(first_holder.acquire_command())))
+        self.assertEqual(
+            (first_holder.fencing_token, first_holder.expires_at), (token, sent_at + SECOND // 2 + SECOND)
+        )
         self.elect()  # a new leader does not know the time of the renewal
         self.now += SECOND
-        self.assertFalse(first.is_held(self.now))
+        self.assertFalse(first_holder.is_held(self.now))
         self.apply(*self.allocator.tick(self.now))
-        self.assertFalse(second.receive_result(self.now, self.apply(second.acquire_command())))
+        self.assertFalse(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
         self.now += self.allocator.timeouts.upper_bound(SECOND) + MS
         self.apply(*self.allocator.tick(self.now))
-        self.assertTrue(second.receive_result(self.now, self.apply(second.acquire_command())))
-        self.assertGreater(second.fencing_token, token)
+        self.assertTrue(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
+        self.assertGreater(second_holder.fencing_token, token)
         self.assertIsInstance(self.apply(commands.ReleaseLease("release", token)), Rejection)
-        self.assertFalse(first.receive_result(self.now, Rejection("h2 holds it")))
+        self.assertFalse(first_holder.receive_result(self.now, Rejection("h2 holds it")))
 
 
 class LeaderLocatorTest(unittest.TestCase):
     def test_polls_the_leader_of_a_redirect_or_else_each_voter_in_turn(self):
         locator = LeaderLocator(["h1", "h2", "h3"], ["h1", "h2", "h3", "h4"])
-        polled = []
+        polled_hosts = []
         for leader in ("", "", "h4", "h9", "h4"):
             locator.redirect(leader)
-            polled.append(locator.current)
-        self.assertEqual(polled, ["h2", "h3", "h4", "h1", "h4"])
+            polled_hosts.append(locator.current)
+        self.assertEqual(polled_hosts, ["h2", "h3", "h4", "h1", "h4"])
         locator.set_voters(["h9"])
         locator.redirect("")
         self.assertIn(locator.current, ("h1", "h2", "h3"))
--- a/tests/disruption/test_state_machine.py
+++ b/tests/disruption/test_state_machine.py
@@ -44,7 +44,7 @@
         self.apply(commands.HaltOrder("o1", "ravi"))
         self.exchange_heartbeats()
         self.exchange_heartbeats()
-        self.assertEqual(self.states("o1"), {"a": "out", "c": "halted", "d": "halted"})
+        self.assertEqual(self.task_states("o1"), {"a": "out", "c": "halted", "d": "halted"})
         self.assertFalse(self.start("h2", "c", "o1"))
         self.assertEqual(set(self.state_machine.state.permits), {"a"})
 
@@ -55,62 +55,68 @@
 
     def test_rejects_command_of_a_later_version_and_restores_the_same_state(self):
         self.assertIsInstance(self.state_machine.apply(99, b"\x91\xa5other"), Rejection)
-        restored = PermitStateMachine()
-        restored.restore(self.state_machine.snapshot())
-        self.assertEqual(restored.snapshot(), self.state_machine.snapshot())
+        restored_machine = PermitStateMachine()
+        restored_machine.restore(self.state_machine.snapshot())
+        self.assertEqual(restored_machine.snapshot(), self.state_machine.snapshot())
 
 
 class PermitCommandsMachine(RuleBasedStateMachine):
-    """Applies random commands in any order: no budget is exceeded by permits."""
+    """Applies random commands in any order. The targets with permits never exceed a budget."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state_machine = PermitStateMachine()
         self.index = 0
-        self.tokens = {}
+        self.tokens = {}  # by target: fencing token of the last grant
         self.apply(commands.SetTopology(TOPOLOGY))
 
     def apply(self, command) -> object:
         self.index += 1
         return self.state_machine.apply(self.index, commands.encode(command))
 
-    target_names = st.sampled_from(["a", "b", "c", "d", "cat1", "cat2"])
-    order_ids = st.sampled_from(["o1", "o2", "o3"])
+    target_strategy = st.sampled_from(["a", "b", "c", "d", "cat1", "cat2"])
+    order_id_strategy = st.sampled_from(["o1", "o2", "o3"])
 
     @rule(
-        order_id=order_ids,
-        names=st.sets(target_names, min_size=1),
+        order_id=order_id_strategy,
+        target_names=st.sets(target_strategy, min_size=1),
         verb=st.sampled_from(["drain", "stop", "restart"]),
         atomic=st.booleans(),
     )
-    def submit(self, order_id, names, verb, atomic):
-        generations = [(target, 1) for target in sorted(names)]
+    def submit(self, order_id, target_names, verb, atomic):
+        generations = [(name, 1) for name in sorted(target_names)]
         self.apply(commands.SubmitOrder(order_id, "asha", verb, 0, SECOND, atomic, generations))
 
-    @rule(order_id=order_ids, names=st.sets(target_names, min_size=1))
-    def grant(self, order_id, names):
-        result = self.apply(commands.GrantPermits(order_id, sorted(names)))
-        for target in names if isinstance(result, int) else ():
-            assert result > self.tokens.get(target, 0)
-            self.tokens[target] = result
+    @rule(order_id=order_id_strategy, target_names=st.sets(target_strategy, min_size=1))
+    def grant(self, order_id, target_names):
+        result = self.apply(commands.GrantPermits(order_id, sorted(target_names)))
+        for name in target_names if isinstance(result, int) else ():
+            assert result > self.tokens.get(name, 0)
+            self.tokens[name] = result
 
     @rule(
-        name=target_names,
-        kind=st.sampled_from([commands.StartPermit, commands.ReleasePermit, commands.ExpirePermit]),
+        target_name=target_strategy,
+        command_type=st.sampled_from([commands.StartPermit, commands.ReleasePermit, commands.ExpirePermit]),
     )
-    def move_permit(self, name, kind):
-        self.apply(kind(name, self.tokens.get(name, 0)))
+    def move_permit(self, target_name, command_type):
+        self.apply(command_type(target_name, self.tokens.get(target_name, 0)))
 
-    @rule(order_id=order_ids, name=target_names, state=st.sampled_from(["done", "failed", "refused"]))
-    def finish_task(self, order_id, name, state):
-        self.apply(commands.FinishTask(order_id, name, state, ""))
+    @rule(
+        order_id=order_id_strategy,
+        target_name=target_strategy,
+        state=st.sampled_from(["done", "failed", "refused"]),
+    )
+    def finish_task(self, order_id, target_name, state):
+        self.apply(commands.FinishTask(order_id, target_name, state, ""))
 
     @rule(
-        order_id=order_ids,
-        kind=st.sampled_from([commands.HaltOrder, commands.CancelOrder, commands.ExpireOrder]),
+        order_id=order_id_strategy,
+        command_type=st.sampled_from([commands.HaltOrder, commands.CancelOrder, commands.ExpireOrder]),
     )
-    def end_order(self, order_id, kind):
-        self.apply(kind(order_id) if kind is commands.ExpireOrder else kind(order_id, "ravi"))
+    def end_order(self, order_id, command_type):
+        self.apply(
+            command_type(order_id) if command_type is commands.ExpireOrder else command_type(order_id, "ravi")
+        )
 
     @rule()
     def restore_snapshot(self):
