--- a/oakkeel/disruption/commands.py
+++ b/oakkeel/disruption/commands.py
@@ -24,7 +24,7 @@
 
     order_id: str
     operator: str
-    verb: str
+    verb: str  # drain, stop or restart
     created_at: int  # Unix time in nanoseconds, shown to operators
     timeout: int  # nanoseconds
     atomic: bool  # take out all targets or none
@@ -79,7 +79,7 @@
 
     order_id: str
     target: str
-    state: str
+    state: str  # a final `FleetTaskState`
     reason: str
 
 
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -58,9 +58,9 @@
 class ReplicaSettings:
     """The settings that the replicas of one control plane have in common.
 
-    `initial_voters` names the voters of a new cluster. `topology` is by this host's settings: it takes effect
-    once a leader with the same settings has committed it. `state_machine` and `extension` add the features
-    that are built on permits.
+    `initial_voters` names the voters of a new cluster. `topology` follows this host's settings, and takes
+    effect once a leader with the same settings has committed it. `state_machine` and `extension` add the
+    features that are built on permits.
     """
 
     initial_voters: tuple[str, ...]
--- a/oakkeel/disruption/expiry.py
+++ b/oakkeel/disruption/expiry.py
@@ -48,7 +48,7 @@
         return now - renewed_at > self.timeouts.upper_bound(lease.duration)
 
     def is_order_expired(self, now: int, order: DisruptionOrder) -> bool:
-        """Whether an open order expires: targets that wait for a permit at its timeout are not taken out."""
+        """Whether an open order expires, so that targets which still wait for a permit are not taken out."""
         return not order.halted_by and now - self.order_submitted_at[order.id] > order.timeout
 
     def remaining_validity(self, now: int, permit: Permit) -> int:
--- a/oakkeel/disruption/grants.py
+++ b/oakkeel/disruption/grants.py
@@ -124,8 +124,8 @@
         The first check counts all unavailable targets: a target that is already unavailable adds nothing. The
         second check counts the permits alone: a target without a permit adds one to each of its budgets.
         """
-        by_permits = self.state_machine.unavailable
-        return self.unavailable.find_violation(targets) or by_permits.find_violation(targets)
+        unavailable_by_permits = self.state_machine.unavailable
+        return self.unavailable.find_violation(targets) or unavailable_by_permits.find_violation(targets)
 
     def _grant(self, order: DisruptionOrder, targets: list[str]) -> commands.GrantPermits:
         """Return the grant of permits for targets, which count as unavailable from now on.
--- a/oakkeel/disruption/messages.py
+++ b/oakkeel/disruption/messages.py
@@ -24,7 +24,7 @@
 
     order_id: str
     target: str
-    state: str
+    state: str  # a final `FleetTaskState`
     reason: str
 
 
--- a/oakkeel/disruption/permit_handlers.py
+++ b/oakkeel/disruption/permit_handlers.py
@@ -67,7 +67,7 @@
     task = order.tasks[permit.target] if order else None
     if order and task and task.is_open:
         if permit.started:
-            _end_started(order, task)
+            _end_started_task(order, task)
         elif order.halted_by:
             state = FleetTaskState.CANCELLED if order.cancelled_by else FleetTaskState.HALTED
             task.move(state, f"by {order.halted_by}")
@@ -81,7 +81,7 @@
     return index
 
 
-def _end_started(order: DisruptionOrder, task: DisruptionTask) -> None:
+def _end_started_task(order: DisruptionOrder, task: DisruptionTask) -> None:
     """End a task whose target was taken out and is back in service."""
     if order.returns_targets:
         task.move(FleetTaskState.CANCELLED, f"by {order.cancelled_by}")
--- a/oakkeel/disruption/topology.py
+++ b/oakkeel/disruption/topology.py
@@ -109,10 +109,10 @@
         counts with the instances that depend on it.
         """
         newly_unavailable = {
-            dependent
+            affected_target
             for target in targets
-            for dependent in (target, *self.topology.dependents.get(target, ()))
-            if dependent not in self.reasons
+            for affected_target in (target, *self.topology.dependents.get(target, ()))
+            if affected_target not in self.reasons
         }
         additional: dict[str, int] = {}
         for target in newly_unavailable:
--- a/oakkeel/raft/elections.py
+++ b/oakkeel/raft/elections.py
@@ -1,4 +1,4 @@
-"""Elections with a pre-vote."""
+"""Elections of a leader, each with a pre-vote."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
         return VoteDecision.LOG_BEHIND
     if request.term < replica.term or (request.pre_vote and request.term == replica.term):
         return VoteDecision.TERM_ENDED
-    has_vote = replica.durable.voted_for in ("", envelope.incarnation)
-    if request.term == replica.term and not has_vote:
+    may_vote_for_sender = replica.durable.voted_for in ("", envelope.incarnation)
+    if request.term == replica.term and not may_vote_for_sender:
         return VoteDecision.ALREADY_VOTED
     return VoteDecision.GRANT
 
@@ -60,7 +60,7 @@
     def __init__(self, replica: ReplicaState) -> None:
         """`replica` is the state to read and change."""
         self.replica = replica
-        self.votes_received: set[str] = set()  # incarnations
+        self.votes_received: set[str] = set()  # incarnations of the voters that granted a vote
 
     def start_pre_vote(self, now: int) -> None:
         """Ask whether a majority would vote for this replica.
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -65,7 +65,7 @@
         replica.send(peer.name, request)
 
     def handle_append_response(self, now: int, envelope: Envelope, response: AppendEntriesResponse) -> None:
-        """Record a member's response to an append entries request; step down if its term is later."""
+        """Record a member's response to an append entries request. Steps down on a later term."""
         replica = self.replica
         if response.term > replica.term:
             replica.become_follower(now, response.term, "")
@@ -88,7 +88,7 @@
         is_latest = _record_contact(peer, response.sent_at)
         snapshot = self.replica.log.snapshot
         if response.last_included_index != snapshot.index:
-            # A later snapshot has replaced that of the chunk: restart the transfer.
+            # A later snapshot has replaced the snapshot of the chunk: restart the transfer.
             peer.needs_snapshot = False
         elif response.next_offset >= len(snapshot.content):
             peer.needs_snapshot = False
@@ -107,10 +107,10 @@
 
 
 def _record_contact(peer: PeerProgress, sent_at: int) -> bool:
-    """Record that a member received the message of `sent_at`. Returns whether that is the latest message.
+    """Record that a member received the message of `sent_at`. Returns whether it is the latest message.
 
-    Only a response to the latest message allows the next one. If duplicates of earlier responses did so too,
-    a link that duplicates messages would multiply them without end.
+    Only a response to the latest message allows the next message. If duplicates of earlier responses allowed
+    further messages, a link that duplicates messages would multiply them without end.
     """
     peer.acknowledged_sent_at = max(peer.acknowledged_sent_at, sent_at)
     if sent_at != peer.sent_at:
--- a/oakkeel/raft/leader_state.py
+++ b/oakkeel/raft/leader_state.py
@@ -19,7 +19,7 @@
     name: str
     next_index: int  # of the first entry that the next append entries request carries
     match_index: int = 0  # the member has stored all entries up to this index
-    sent_at: int = -NEVER
+    sent_at: int = -NEVER  # when the last message to the member was sent
     in_flight: bool = False  # a request with entries was sent and has no response yet
     acknowledged_sent_at: int = -NEVER  # latest `sent_at` that the member responded to, by the leader's clock
     snapshot_offset: int = 0  # of the next chunk, in bytes
--- a/oakkeel/raft/memory_storage.py
+++ b/oakkeel/raft/memory_storage.py
@@ -1,4 +1,4 @@
-"""Storage of durable state in memory: the reference for other storages. Free of I/O."""
+"""Storage of durable state in memory: the reference implementation of a storage. Free of I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     metadata: DurableState
     snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: dict[int, Entry] = field(default_factory=dict)
-    writes: int = 0
+    writes: int = 0  # number of calls of `write`
 
     def write(self, durable: DurableState, update: StorageUpdate) -> None:
         """Store an update."""
--- a/oakkeel/raft/recovery.py
+++ b/oakkeel/raft/recovery.py
@@ -29,7 +29,7 @@
         self.next_request_at = now
         self.start_position = replica.log.last_position  # the end of the log at the start
         self.nonce = replica.random.getrandbits(NONCE_BITS)
-        self.responders: set[str] = set()  # incarnations
+        self.responders: set[str] = set()  # incarnations of the replicas that responded
 
     def tick(self, now: int) -> None:
         """Send recovery requests if they are due, and create the cluster if there is none."""
--- a/oakkeel/raft/timeouts.py
+++ b/oakkeel/raft/timeouts.py
@@ -20,7 +20,8 @@
     max_election_timeout_ns: int = 1000 * MS  # an election timeout is drawn between the minimum and this
     max_clock_drift_ratio: float = 0.04  # maximum deviation of a clock's rate from real time
     recovery_interval_ns: int = 200 * MS  # between two recovery requests of a replica
-    max_recovery_wait_ns: int = 700 * MS  # until all voters have responded; then a majority is enough
+    # A recovering replica waits this long for the responses of all voters; then a majority is enough.
+    max_recovery_wait_ns: int = 700 * MS
     membership_interval_ns: int = 200 * MS  # between two checks of the leader whether to change the members
     max_entries_before_snapshot: int = 512  # committed since the last snapshot
 
