--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -22,12 +22,13 @@
 
 @dataclass(slots=True, eq=False)
 class HeldPermit:
-    """A permit of this agent."""
+    """A permit of this agent for one target."""
 
     target: str
     order_id: str
     fencing_token: int
-    start_before: int  # by the agent's monotonic clock, in nanoseconds
+    # The permit may be started before this instant of the agent's monotonic clock, in nanoseconds; 0: never.
+    start_before: int
     started: bool = False
     restored: bool = False  # the target is back in service
     unused: bool = False  # the agent will not start the permit
@@ -55,7 +56,7 @@
         self.host = host
         self.targets = targets
         self.incarnation = incarnation
-        self.epoch = ""
+        self.epoch = ""  # ID of the cluster; empty until a response was accepted
         self.sequence = 0  # number of the last heartbeat
         self.last_index = 0  # index of the last accepted response
         self.timestamp = (0, 0)  # timestamp of the last response, which the next heartbeat echoes
@@ -63,7 +64,8 @@
         self.permits: dict[str, HeldPermit] = {}  # by target
         self.highest_tokens: dict[str, int] = {}  # by target: the highest token seen
         self.generations: dict[str, int] = {}  # by target: highest reserved generation
-        self.orders: dict[str, AssignedOrder] = {}  # open on this host or with a permit, by ID
+        # by ID: the orders that are open on this host or have a permit
+        self.orders: dict[str, AssignedOrder] = {}
         self.changed: set[str] = set()  # targets whose permit or generation limit has to be stored
         self.rejection_reason = ""  # of the last response; empty if the response was accepted
 
@@ -86,7 +88,7 @@
         generation_limits: dict[str, int],
         in_flight: dict[str, str] | None = None,
     ) -> Heartbeat:
-        """Return the next heartbeat."""
+        """Build the next heartbeat. `in_flight` describes the requests in flight of draining targets."""
         self.sequence += 1
         return Heartbeat(
             self.host,
--- a/oakkeel/raft/log.py
+++ b/oakkeel/raft/log.py
@@ -73,7 +73,7 @@
         return self.membership_changes[-1].index
 
     def members_as_of(self, index: int) -> tuple[Member, ...]:
-        """Return the members by the entries up to an index; empty if the log no longer holds them."""
+        """Return the members by the entries up to an index; empty if the snapshot is of a later index."""
         members: tuple[Member, ...] = ()
         for change in self.membership_changes:
             if change.index <= index:
--- a/oakkeel/raft/membership.py
+++ b/oakkeel/raft/membership.py
@@ -14,8 +14,8 @@
     One member changes at a time, and the next change waits until the previous one is committed, so that two
     majorities always have a voter in common. `now` is in monotonic nanoseconds.
     """
-    uncommitted = replica.log.members_index > replica.commit_index
-    if uncommitted or not leader_state.has_committed(replica.commit_index):
+    has_uncommitted_change = replica.log.members_index > replica.commit_index
+    if has_uncommitted_change or not leader_state.has_committed(replica.commit_index):
         return None
     members = _next_members(now, replica, leader_state)
     if members is None or not _can_commit(now, replica, leader_state, members):
--- a/oakkeel/raft/recovery.py
+++ b/oakkeel/raft/recovery.py
@@ -38,8 +38,8 @@
         replica = self.replica
         durable = replica.durable
         self.next_request_at = now + replica.timeouts.recovery_interval_ns
-        recovering = replica.role is Role.RECOVERING
-        position = self.start_position if recovering else replica.log.last_position
+        is_recovering = replica.role is Role.RECOVERING
+        position = self.start_position if is_recovering else replica.log.last_position
         request = RecoveryRequest(self.nonce, not durable.epoch, durable.term, position.term, position.index)
         recipients = {
             *(member.name for member in replica.members),
