--- a/oakkeel/disruption/commands.py
+++ b/oakkeel/disruption/commands.py
@@ -24,11 +24,11 @@
 
     order_id: str
     operator: str
-    verb: str
+    verb: str  # drain, stop or restart
     created_at: int  # Unix time in nanoseconds, shown to operators
     timeout: int  # nanoseconds
-    atomic: bool  # all targets or none
-    targets: list[tuple[str, int]]
+    atomic: bool  # take out all targets or none
+    targets: list[tuple[str, int]]  # name and generation of each target
 
 
 class HaltOrder(msgspec.Struct, tag="halt", array_like=True):
@@ -79,7 +79,7 @@
 
     order_id: str
     target: str
-    state: str
+    state: str  # a final `FleetTaskState`
     reason: str
 
 
@@ -90,10 +90,10 @@
 
 
 class ReserveGenerations(msgspec.Struct, tag="reserve", array_like=True):
-    """Reserve generations of an agent's targets up to these limits."""
+    """Reserve the generations of an agent's targets up to a limit for each target."""
 
     host: str
-    limits: dict[str, int]
+    limits: dict[str, int]  # by target
 
 
 class SetVoters(msgspec.Struct, tag="keepers", array_like=True):
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -28,7 +28,7 @@
 
 
 class LeaderExtension(Protocol):
-    """A leader's duties beside permits. An extension exists as long as the leader's `PermitAllocator`."""
+    """A leader's duties beside permits. An extension lives as long as the leader's `PermitAllocator`."""
 
     def receive_heartbeat(self, now: int, heartbeat: Heartbeat, /) -> Sequence[msgspec.Struct]:
         """Record an agent's heartbeat. Returns commands to propose."""
@@ -58,9 +58,9 @@
 class ReplicaSettings:
     """The settings that the replicas of one control plane have in common.
 
-    `initial_voters` names the voters of a new cluster. `topology` is by this host's settings: it takes effect
-    once a leader with the same settings has committed it. `state_machine` and `extension` add the features
-    that are built on permits.
+    `initial_voters` names the voters of a new cluster. `topology` follows this host's settings, and takes
+    effect once a leader with the same settings has committed it. `state_machine` and `extension` add the
+    features that are built on permits.
     """
 
     initial_voters: tuple[str, ...]
@@ -83,7 +83,7 @@
         self.allocator: PermitAllocator | None = None
         # called with the index, the command and the result of each applied command
         self.on_committed: Callable[[int, commands.Command, object], None] | None = None
-        # pending proposals of the allocator and the extension
+        # the commands of the pending proposals of the allocator and the extension
         self.proposals: dict[Proposal, msgspec.Struct] = {}
         self.replica = Replica(
             now, durable, self.state_machine, seed, settings.raft_timeouts, settings.initial_voters
--- a/oakkeel/raft/elections.py
+++ b/oakkeel/raft/elections.py
@@ -1,4 +1,4 @@
-"""Elections with a pre-vote."""
+"""Elections of a leader, each with a pre-vote."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
         return VoteDecision.LOG_BEHIND
     if request.term < replica.term or (request.pre_vote and request.term == replica.term):
         return VoteDecision.TERM_ENDED
-    has_vote = replica.durable.voted_for in ("", envelope.incarnation)
-    if request.term == replica.term and not has_vote:
+    may_vote_for_sender = replica.durable.voted_for in ("", envelope.incarnation)
+    if request.term == replica.term and not may_vote_for_sender:
         return VoteDecision.ALREADY_VOTED
     return VoteDecision.GRANT
 
@@ -60,7 +60,7 @@
     def __init__(self, replica: ReplicaState) -> None:
         """`replica` is the state to read and change."""
         self.replica = replica
-        self.votes_received: set[str] = set()  # incarnations
+        self.votes_received: set[str] = set()  # incarnations of the voters that granted a vote
 
     def start_pre_vote(self, now: int) -> None:
         """Ask whether a majority would vote for this replica.
@@ -77,7 +77,7 @@
         self._request_votes(now)
 
     def _request_votes(self, now: int) -> None:
-        """Request the votes of the other voters; a pre-vote is for the next term."""
+        """Request the votes of the other voters. A pre-vote asks for votes in the next term."""
         replica = self.replica
         if replica.has_majority(self.votes_received):
             self._advance_election(now)
@@ -90,6 +90,7 @@
                 replica.send(member.name, request)
 
     def _advance_election(self, now: int) -> None:
+        """Take the next step of the election, after a majority has voted for this replica."""
         if self.replica.role is Role.PRE_CANDIDATE:
             self._become_candidate(now)
         else:
--- a/oakkeel/raft/leader.py
+++ b/oakkeel/raft/leader.py
@@ -29,8 +29,8 @@
     def replicate(self, now: int, leader_state: LeaderState) -> None:
         """Send new entries to the members that have no request in flight."""
         for peer in leader_state.peers.values():
-            has_more = peer.next_index <= self.replica.log.last_index or peer.needs_snapshot
-            if not peer.in_flight and has_more:
+            has_unsent_content = peer.next_index <= self.replica.log.last_index or peer.needs_snapshot
+            if not peer.in_flight and has_unsent_content:
                 self._send(now, leader_state, peer)
 
     def _send(self, now: int, leader_state: LeaderState, peer: PeerProgress) -> None:
@@ -65,7 +65,7 @@
         replica.send(peer.name, request)
 
     def handle_append_response(self, now: int, envelope: Envelope, response: AppendEntriesResponse) -> None:
-        """Record a member's response to an append entries request; step down if its term is later."""
+        """Record a member's response to an append entries request. Steps down on a later term."""
         replica = self.replica
         if response.term > replica.term:
             replica.become_follower(now, response.term, "")
@@ -76,7 +76,7 @@
         _record_contact(peer, response.sent_at)
         if response.success:
             if response.index <= replica.log.last_index:
-                _record_stored(peer, response.index)
+                _record_match_index(peer, response.index)
         elif response.index >= peer.match_index:  # else a later request has already succeeded
             peer.next_index = min(replica.log.last_index, response.index) + 1
 
@@ -88,11 +88,11 @@
         is_latest = _record_contact(peer, response.sent_at)
         snapshot = self.replica.log.snapshot
         if response.last_included_index != snapshot.index:
-            # A later snapshot has replaced that of the chunk: restart the transfer.
+            # A later snapshot has replaced the snapshot of the chunk: restart the transfer.
             peer.needs_snapshot = False
         elif response.next_offset >= len(snapshot.content):
             peer.needs_snapshot = False
-            _record_stored(peer, response.last_included_index)
+            _record_match_index(peer, response.last_included_index)
         elif is_latest or response.next_offset > peer.snapshot_offset:
             peer.snapshot_offset = response.next_offset
 
@@ -107,10 +107,10 @@
 
 
 def _record_contact(peer: PeerProgress, sent_at: int) -> bool:
-    """Record that a member received the message of `sent_at`. Returns whether that is the latest message.
+    """Record that a member received the message of `sent_at`. Returns whether it is the latest message.
 
-    Only a response to the latest message allows the next one. If duplicates of earlier responses did so too,
-    a link that duplicates messages would multiply them without end.
+    Only a response to the latest message allows the next message. If duplicates of earlier responses allowed
+    further messages, a link that duplicates messages would multiply them without end.
     """
     peer.acknowledged_sent_at = max(peer.acknowledged_sent_at, sent_at)
     if sent_at != peer.sent_at:
@@ -119,6 +119,6 @@
     return True
 
 
-def _record_stored(peer: PeerProgress, index: int) -> None:
+def _record_match_index(peer: PeerProgress, index: int) -> None:
     peer.match_index = max(peer.match_index, index)
     peer.next_index = peer.match_index + 1
