--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -16,9 +16,9 @@
 from oakkeel.settings.keys import read_agent_keys, read_keys
 from oakkeel.settings.types import Fleet, HostSettings, SettingsError
 
-MAX_SOCKET_PATH_BYTES = 107  # of a Unix socket
+MAX_SOCKET_PATH_BYTES = 107  # limit of the operating system for the path of a Unix socket
 LOCK_FILE_MODE = 0o600
-MAX_PID_BYTES = 20
+MAX_PID_BYTES = 20  # read from the lock file
 EXIT_BAD_SETTINGS = 2
 AgentFactory = Callable[[AgentSettings, AgentKeys, EventLog, int], Agent]
 
@@ -46,7 +46,7 @@
 
 
 def _read_keys(fleet: Fleet) -> AgentKeys:
-    """The keys of operators and agents. Raises SettingsError."""
+    """Read the keys of operators and agents from their files. Raises SettingsError."""
     accepted_keys = read_keys(fleet)
     agent_keys = read_agent_keys(fleet)
     accepted_keys |= {key.ident: key for key in agent_keys.values()}
@@ -76,7 +76,7 @@
 
 
 def _reload_settings(agent: Agent, settings_path: str) -> None:
-    """Apply the settings after a SIGHUP; keys can be rotated while the agent serves."""
+    """Read the settings again after a SIGHUP and apply them; keys can be rotated while the agent serves."""
     try:
         fleet = read_fleet(settings_path)
         agent.apply_settings(fleet, _read_keys(fleet).accepted)
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -40,7 +40,7 @@
 
 CYCLE_INTERVAL_NS = 100 * MS
 MAX_LOG_LINES_PER_SECOND = 50
-MAX_CONNECTIONS_PER_HOST = 3
+MAX_CONNECTIONS_PER_HOST = 3  # additional connections for each host of a fleet with a control plane
 STATE_FOLDER_MODE = 0o700
 SEED_BITS = 63
 INCARNATION_BITS = 60
@@ -67,7 +67,7 @@
         self.log = log
         self.started_at = time.monotonic_ns()
         self.store = parts.store or Database(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
-        self.notes: list[str] = []
+        self.notes: list[str] = []  # conditions found at the start, for the operator
         fleet = settings.fleet
         self.fleet = fleet if fleet and fleet.control_plane else None
         self._restore_state(seed)
@@ -128,9 +128,10 @@
         return permit_holder
 
     def _record_boot(self) -> bool:
-        """Store the ID of the current boot. Returns whether no reboot is known since the state was stored.
+        """Store the ID of the current boot.
 
-        A new state file holds no boot ID, so the result is True.
+        Returns False if the host was rebooted since the state was stored; True for a new state file, which
+        holds no boot ID.
         """
         boot_id = read_boot_id()
         stored_ids = self.store.read("SELECT id FROM boot")
@@ -146,7 +147,7 @@
 
     @property
     def status_reporter(self) -> StatusReporter | None:
-        """The sender of heartbeats, if the fleet has a control plane."""
+        """The sender of this host's heartbeats, if the fleet has a control plane."""
         return self.member.status_reporter if self.member else None
 
     @property
@@ -221,7 +222,7 @@
             now = time.monotonic_ns()
             if self.executor.unidentified:
                 self.executor.identify_processes(now)
-            if not self.storage_error:  # changes by orders must be stored before they are executed
+            if not self.storage_error:  # an order's changes must be stored before its steps are executed
                 self.orders.advance(now)
             steps = self.orders.permitted_steps(now, self.supervisor.tick(now))
             is_saved = self.save()
@@ -243,7 +244,7 @@
         return self.state_writer.storage_error
 
     def save(self) -> bool:
-        """Write the changed state. If that fails, supervision continues and orders wait."""
+        """Write the changed state; return False if that fails: supervision continues, and orders wait."""
         return self.state_writer.save()
 
     def apply_settings(self, fleet: Fleet, keys: dict[str, Key]) -> None:
@@ -254,12 +255,12 @@
 
 
 def _server_limits(fleet: Fleet | None) -> ServerLimits | None:
-    """The limits of the server; with a control plane, each agent of the fleet may connect as well."""
+    """The limits of the server. With a control plane, the agents of the other hosts connect as well."""
     if fleet is None:
         return None
     return ServerLimits(max_connections=DEFAULT_MAX_CONNECTIONS + MAX_CONNECTIONS_PER_HOST * len(fleet.hosts))
 
 
 def new_seed() -> int:
-    """A seed from the system's entropy."""
+    """Return a random seed from the entropy of the operating system."""
     return random.SystemRandom().getrandbits(SEED_BITS)
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -24,7 +24,7 @@
 
 MAX_ERROR_LENGTH = 300  # characters of the error that a host reports for a failed preparation
 FOLDER_MODE = 0o700
-PACKAGE_FOLDER = os.path.dirname(os.path.abspath(oakkeel.__file__))  # of the program that this agent runs
+PACKAGE_FOLDER = os.path.dirname(os.path.abspath(oakkeel.__file__))  # of the running program
 
 
 class ArtifactStore:
@@ -37,10 +37,10 @@
         self.assignments = assignments
         self.log = log
         self.on_ready = on_ready
-        self.settings = {each.name: each for each in host.instances}
+        self.settings = {each.name: each for each in host.instances}  # by instance
         self.state_folder = host.state
         self.contents = ContentStore(os.path.join(host.state, "versions"))
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.tasks: set[asyncio.Task[None]] = set()  # preparations that are not complete
 
     # Preparation.
 
@@ -72,9 +72,9 @@
         self.on_ready()
 
     def _copy_content(self, request: ArtifactRequest) -> dict[str, str]:
-        """Copy the requested version, and the content that targets without an assigned version run.
+        """Copy the requested version, and the current content of targets without an assigned version.
 
-        Returns the versions of that content by target. Raises OSError.
+        Returns the versions of the current content by target, for a roll back. Raises OSError.
         """
         os.makedirs(os.path.join(self.contents.folder, "content"), mode=FOLDER_MODE, exist_ok=True)
         self._import_version(request.spec)
@@ -115,7 +115,7 @@
     def launch_command(self, name: str, program: list[str]) -> tuple[list[str], dict[str, str]]:
         """The command of an instance's next process, and its additional environment variables.
 
-        Raises ContentError if its version is not on this host.
+        Raises ContentError if the version of the instance is not on this host.
         """
         version = self.assignments.version(name)
         settings = self.settings[name]
@@ -123,7 +123,7 @@
             return program, {}
         content = self.contents.find(version)
         if content is None and (spec := self.assignments.sources.get(version)):
-            self._import_version(spec)  # the copy is lost: copy the source again
+            self._import_version(spec)  # the copy was lost: the source is copied again
             content = self.contents.find(version)
         if content is None:
             raise ContentError(f"this host has no copy of version {version}")
@@ -153,7 +153,7 @@
     def prune(self, running_versions: set[str]) -> None:
         """Delete versions that neither a release nor an instance needs.
 
-        `running_versions` has the versions of running processes, which may still read their copies.
+        `running_versions` holds the versions of running processes, which may still read their copies.
         """
         if self.tasks or self.assignments.release:
             return
@@ -167,7 +167,10 @@
 
 
 def version_of(program: str, patch: str) -> str:
-    """The version of the program and the patch at these paths; one may be empty. Raises ContentError."""
+    """Compute the version of a program and a patch from their paths; one path may be empty.
+
+    Raises ContentError.
+    """
     content = Content(hash_folder(program) if program else "", hash_file(patch) if patch else "")
     if patch:
         read_json(patch)
--- a/oakkeel/agent/command_log.py
+++ b/oakkeel/agent/command_log.py
@@ -6,26 +6,26 @@
 from oakkeel.disruption.control_plane import ControlPlaneReplica
 from oakkeel.disruption.state import Rejection
 from oakkeel.log import EventLog, LogFields
-from oakkeel.rollout import commands as releases
+from oakkeel.rollout import commands as rollout_commands
 from oakkeel.rollout.state_machine import RolloutStateMachine
 
-RELEASE_EVENTS: dict[type, str] = {
-    releases.StartRelease: "release_started",
-    releases.ControlRelease: "release_controlled",
-    releases.ReportPrepared: "release_host_prepared",
-    releases.BeginRollout: "release_rollout_begun",
-    releases.StartBatch: "release_batch_started",
-    releases.FinishBatch: "release_batch_finished",
-    releases.RecordVerdict: "release_halted",
-    releases.FinishRelease: "release_finished",
+RELEASE_EVENTS: dict[type, str] = {  # by type of the command
+    rollout_commands.StartRelease: "release_started",
+    rollout_commands.ControlRelease: "release_controlled",
+    rollout_commands.ReportPrepared: "release_host_prepared",
+    rollout_commands.BeginRollout: "release_rollout_begun",
+    rollout_commands.StartBatch: "release_batch_started",
+    rollout_commands.FinishBatch: "release_batch_finished",
+    rollout_commands.RecordVerdict: "release_halted",
+    rollout_commands.FinishRelease: "release_finished",
 }
 
 
 class CommandLog:
-    """Logs permit grants at each replica, as the leader may have failed, and other commands at the leader."""
+    """Logs committed commands: permit grants on each replica, as a leader may fail, others on the leader."""
 
     def __init__(self, log: EventLog) -> None:
-        """Write to that log."""
+        """Write the events to `log`."""
         self.log = log
 
     def log_committed(
@@ -39,7 +39,7 @@
                 self.log.info("permit_granted", target=target, fence=index, order=command.order_id)
         if control_plane is None or control_plane.allocator is None:
             return
-        if isinstance(command, releases.Command):
+        if isinstance(command, rollout_commands.Command):
             self._log_release_command(control_plane, command)
         elif isinstance(command, commands.SetTopology):
             self.log.info("topology_committed", fence=index)
@@ -48,17 +48,19 @@
         elif isinstance(command, commands.ExpirePermit):
             self.log.warning("permit_expired", target=command.target, fence=command.fencing_token)
 
-    def _log_release_command(self, control_plane: ControlPlaneReplica, command: releases.Command) -> None:
+    def _log_release_command(
+        self, control_plane: ControlPlaneReplica, command: rollout_commands.Command
+    ) -> None:
         state_machine = control_plane.state_machine
         if not isinstance(state_machine, RolloutStateMachine):
             return
         release = state_machine.state.releases.get(command.ident)
-        if release is None or (isinstance(command, releases.RecordVerdict) and not command.why):
+        if release is None or (isinstance(command, rollout_commands.RecordVerdict) and not command.why):
             return
         fields: LogFields = {"release": release.ident, "state": release.state, "batch": release.batch}
-        if isinstance(command, releases.StartBatch):
+        if isinstance(command, rollout_commands.StartBatch):
             fields["targets"] = ",".join(target for target, _ in command.targets)
             fields["fence"] = command.fence
-        elif isinstance(command, releases.FinishBatch):
+        elif isinstance(command, rollout_commands.FinishBatch):
             fields["new"] = ",".join(command.updated)
         self.log.info(RELEASE_EVENTS[type(command)], step=release.step, reason=release.why or None, **fields)
--- a/oakkeel/agent/configuration.py
+++ b/oakkeel/agent/configuration.py
@@ -16,7 +16,7 @@
 
 
 class NoControlPlaneError(OakkeelError):
-    """A part of the control plane was constructed for a fleet whose settings have none."""
+    """A part of the control plane was constructed for a fleet without a control plane."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,7 +30,7 @@
 
     @classmethod
     def of_host(cls, fleet: Fleet, name: str) -> AgentSettings:
-        """The settings of a host of the fleet. Raises SettingsError."""
+        """The settings of the agent of host `name`. Raises SettingsError."""
         return cls(fleet.host(name), timeouts_from_settings(fleet.supervision), fleet.fairness, fleet)
 
 
@@ -38,8 +38,8 @@
 class AgentKeys:
     """The keys that an agent reads from its files."""
 
-    accepted: dict[str, Key]  # by key ID: keys whose requests the agent serves
-    agents: dict[str, Key] = field(default_factory=dict)  # by host: keys of agents, with a control plane
+    accepted: dict[str, Key]  # by key ID: keys of the senders whose requests the agent serves
+    agents: dict[str, Key] = field(default_factory=dict)  # by host; empty: no control plane
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,7 +52,7 @@
 
 
 def control_plane_of(fleet: Fleet | None) -> ControlPlaneSettings:
-    """The settings of the control plane. Raises NoControlPlaneError."""
+    """The control plane settings of a fleet. Raises NoControlPlaneError."""
     if fleet is None or fleet.control_plane is None:
         raise NoControlPlaneError("this fleet has no control plane: name its voters in <keepers>")
     return fleet.control_plane
--- a/oakkeel/agent/control_plane_handlers.py
+++ b/oakkeel/agent/control_plane_handlers.py
@@ -13,7 +13,7 @@
 from oakkeel.disruption.state import DisruptionOrder, Rejection
 from oakkeel.errors import OakkeelError
 from oakkeel.raft.proposals import NotLeaderError
-from oakkeel.rollout import commands as releases
+from oakkeel.rollout import commands as rollout_commands
 from oakkeel.rollout.release import Release
 from oakkeel.settings.types import VOTER_COUNTS
 
@@ -29,14 +29,14 @@
 
 
 class UnexpectedRequestError(OakkeelError):
-    """A request or a result has a type that its handler does not know: a defect."""
+    """A request or a result has a type that its handler does not know, which is a defect of the program."""
 
 
 class ControlPlaneHandlers:
     """Handlers for the requests that only the leader of the control plane can serve."""
 
     def __init__(self, agent: HandlerContext) -> None:
-        """Serve requests with the replica of that agent."""
+        """Serve requests with the replica of `agent`."""
         self.agent = agent
 
     async def handle(self, key: Key, request: messages.Request) -> messages.Response:
@@ -111,15 +111,17 @@
     """Respond that a command may be committed or lost.
 
     The leader sends the response of a replica that knows no leader. A client then searches for the leader
-    again and repeats the request with the same ID, which has no second effect.
+    again and repeats the request with the same ID; a command that is committed twice takes effect once.
     """
     return messages.NotLeaderResponse(
         "", f"not known to be committed: {error}; send it again with the same id"
     )
 
 
-def _command_of(key: Key, request: messages.Request, unix_time: int) -> commands.Command | releases.Command:
-    """The replicated command for a request."""
+def _command_of(
+    key: Key, request: messages.Request, unix_time: int
+) -> commands.Command | rollout_commands.Command:
+    """The command that a request adds to the replicated log."""
     if isinstance(request, messages.FleetOrderRequest):
         return commands.SubmitOrder(
             request.order_id,
@@ -131,11 +133,11 @@
             list(request.targets),
         )
     if isinstance(request, messages.StartReleaseRequest):
-        return releases.StartRelease(
+        return rollout_commands.StartRelease(
             request.release_id, key.operator, unix_time, request.version, request.policy, request.targets
         )
     if isinstance(request, messages.ControlReleaseRequest):
-        return releases.ControlRelease(request.release_id, key.operator, request.action)
+        return rollout_commands.ControlRelease(request.release_id, key.operator, request.action)
     if not isinstance(request, messages.EndFleetOrderRequest):
         raise UnexpectedRequestError(f"no command for {type(request).__name__}")
     if request.cancel:
--- a/oakkeel/agent/control_plane_member.py
+++ b/oakkeel/agent/control_plane_member.py
@@ -19,7 +19,7 @@
 from oakkeel.settings.types import Fleet, Service
 from oakkeel.units import SECOND
 
-PRUNE_INTERVAL_NS = 60 * SECOND  # between deletions of unused versions
+PRUNE_INTERVAL_NS = 60 * SECOND  # between deletions of unused program and configuration versions
 
 
 class ControlPlaneMember:
@@ -41,17 +41,19 @@
         self.executor = executor
         self.run_cycle = run_cycle
         self.log = log
-        self.artifacts = ArtifactStore(self.host, reconciler.assignments, log, self._artifacts_ready)
+        self.artifacts = ArtifactStore(
+            self.host, reconciler.assignments, log, self._handle_prepared_artifacts
+        )
         executor.launcher.artifacts = self.artifacts
         self.pruned_at = time.monotonic_ns()
         self.raft: RaftRuntime | None = None
         self.status_reporter: StatusReporter | None = None
-        self.tasks: list[asyncio.Task[None]] = []
+        self.tasks: list[asyncio.Task[None]] = []  # heartbeats and probes
 
     def join(self, fleet: Fleet) -> None:
         """Start the heartbeats, the probes of downstream services, and the replica if this host has one."""
         reporter = StatusReporter(
-            fleet, self.host.name, self.agent_keys, self.reconciler, self.log, self._response_received
+            fleet, self.host.name, self.agent_keys, self.reconciler, self.log, self._handle_response
         )
         self.status_reporter = reporter
         has_replica_file = os.path.exists(os.path.join(self.host.state, RAFT_DATABASE))
@@ -76,7 +78,7 @@
         if self.status_reporter:
             self.status_reporter.wake.set()
 
-    def _response_received(self, response: HeartbeatResponse) -> None:
+    def _handle_response(self, response: HeartbeatResponse) -> None:
         if self.raft is None and self.host.name in response.voters and self.status_reporter:
             self._start_raft(self.status_reporter)
         self.run_cycle()
@@ -84,15 +86,15 @@
         self._prune_artifacts()
 
     def _prune_artifacts(self) -> None:
-        """Delete unused versions, if the version of each running process is known."""
+        """Delete the copies of unused versions, if the version of each running process is known."""
         running_instances = list(self.executor.running_processes)
         is_due = time.monotonic_ns() - self.pruned_at > PRUNE_INTERVAL_NS
         if is_due and all(instance.report for instance in running_instances):
             self.pruned_at = time.monotonic_ns()
             self.artifacts.prune({instance.running_version for instance in running_instances})
 
-    def _artifacts_ready(self) -> None:
-        """Send a heartbeat at once, with the result of a release's preparation."""
+    def _handle_prepared_artifacts(self) -> None:
+        """Send a heartbeat at once: it reports whether this host has prepared the release."""
         self.run_cycle()
         self.wake()
 
--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -21,11 +21,11 @@
 NO_ROLE = "none"
 UNKNOWN_PHASE = "unknown"
 MAX_LISTED_ORDERS = 50
-MAX_LISTED_RELEASES = 5
+MAX_LISTED_RELEASES = 5  # besides the requested release
 
 
 class UnexpectedControlPlaneError(OakkeelError):
-    """The replica runs without releases, which an agent never starts: a defect."""
+    """The replica runs without releases: a defect, as an agent starts each replica with releases."""
 
 
 def raft_status(
@@ -82,7 +82,7 @@
 
 
 def _member_status(now: int, replica: Replica, member: Member) -> messages.MemberStatus:
-    """The lag of a member, and the age of its last acknowledgement; -1: not known to this replica."""
+    """The lag of a member and the age of its last acknowledgement; -1 if this replica does not know them."""
     peer = replica.leader_state.peers.get(member.incarnation) if replica.leader_state else None
     lag = UNKNOWN
     age = UNKNOWN
--- a/oakkeel/agent/control_requests.py
+++ b/oakkeel/agent/control_requests.py
@@ -1,4 +1,4 @@
-"""Requests of an agent to the control links of its nodes."""
+"""Requests that an agent sends to its nodes over their control links."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         self.processes = processes
         self.node_drain_timeout_ns = node_drain_timeout_ns
         self.log = log
-        self.tasks: dict[Instance, asyncio.Task[None]] = {}
+        self.tasks: dict[Instance, asyncio.Task[None]] = {}  # latest request to each instance
 
     def send(self, instance: Instance, process: Process, action: Action, fields: LogFields) -> None:
         """Send a drain or its cancellation after earlier requests to the instance; `fields` are logged."""
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -20,14 +20,14 @@
 from oakkeel.settings.types import FairSharingSettings
 from oakkeel.units import MS, SECOND
 
-MIN_STATUS_INTERVAL_NS = 200 * MS
-STATUS_INTERVAL_PER_INSTANCE_NS = 4 * MS
+MIN_STATUS_INTERVAL_NS = 200 * MS  # between two status requests to one node
+STATUS_INTERVAL_PER_INSTANCE_NS = 4 * MS  # the interval grows with the number of instances
 IDENTIFICATION_TIMEOUT_NS = 2 * SECOND  # for processes of an earlier agent to write their pid files
 IDENTIFICATION_INTERVAL_NS = 10 * MS
 
 
 class InstanceExecutor:
-    """The processes of a host's instances and the tasks that poll them."""
+    """Executes steps on the processes of a host's instances, and polls the status of each process."""
 
     def __init__(
         self,
@@ -45,13 +45,13 @@
         self.log = log
         self.on_exit = on_exit
         self.running_processes: dict[Instance, Process] = {}
-        self.processes = parts.processes(host.state, self._process_exited)
+        self.processes = parts.processes(host.state, self._handle_process_exit)
         self.launcher = InstanceLauncher(host, self.processes, parts.program, settings.fair_sharing)
         self.drain_sender = DrainSender(
             self.running_processes, self.processes, supervisor.timeouts.node_drain_timeout_ns, log
         )
-        self.pollers: dict[Instance, asyncio.Task[None]] = {}
-        self.unidentified: set[Instance] = set()  # a process of unknown pid holds the lock of each
+        self.pollers: dict[Instance, asyncio.Task[None]] = {}  # tasks that poll the status
+        self.unidentified: set[Instance] = set()  # instances whose lock a process of unknown pid holds
 
     # Steps.
 
@@ -74,7 +74,7 @@
             self.processes.signal(process, signal.SIGKILL)
 
     def _log_fields(self, instance: Instance) -> LogFields:
-        """Instance, generation, order and fencing token of a step, for the log."""
+        """The instance, generation, order and fencing token of a step, as fields of a log event."""
         fields: LogFields = {"target": instance.name, "generation": instance.process_generation}
         if instance.task:
             order = instance.task.order
@@ -120,23 +120,23 @@
     async def find_processes(self) -> None:
         """Adopt the processes that an earlier agent left, and find out which of them have ended."""
         self.unidentified = {
-            each for each in self.supervisor.instances if self.processes.is_running(each.name)
+            instance for instance in self.supervisor.instances if self.processes.is_running(instance.name)
         }
         for instance in self.supervisor.instances:
             if instance not in self.unidentified:
-                self._process_not_found(instance)
+                self._record_missing_process(instance)
         deadline = time.monotonic_ns() + IDENTIFICATION_TIMEOUT_NS
         while self.unidentified and time.monotonic_ns() < deadline:
             self.identify_processes(time.monotonic_ns())
             if self.unidentified:
                 await asyncio.sleep(IDENTIFICATION_INTERVAL_NS / SECOND)
 
-    def _process_not_found(self, instance: Instance) -> None:
+    def _record_missing_process(self, instance: Instance) -> None:
         _, recorded_generation = self.processes.read_pid_file(instance.name)
         self.supervisor.process_not_found(time.monotonic_ns(), instance, recorded_generation)
 
     def identify_processes(self, now: int) -> None:
-        """Adopt the unidentified processes whose pid files are written by now."""
+        """Adopt the processes of unidentified instances whose pid files are written by now."""
         for instance in list(self.unidentified):
             if process := self.processes.adopt(instance.name):
                 self.unidentified.discard(instance)
@@ -147,15 +147,15 @@
                 )
             elif not self.processes.is_running(instance.name):
                 self.unidentified.discard(instance)
-                self._process_not_found(instance)
+                self._record_missing_process(instance)
 
     def _watch(self, instance: Instance, process: Process) -> None:
         self.running_processes[instance] = process
         self.pollers[instance] = asyncio.ensure_future(self._poll_status(instance, process))
 
-    def _process_exited(self, process: Process, why: str) -> None:
+    def _handle_process_exit(self, process: Process, why: str) -> None:
         instance = next(
-            (each for each, current in self.running_processes.items() if current is process), None
+            (instance for instance, current in self.running_processes.items() if current is process), None
         )
         if instance is None:
             return
@@ -173,7 +173,7 @@
         self.on_exit()
 
     async def _poll_status(self, instance: Instance, process: Process) -> None:
-        """Poll the status of a node until cancelled."""
+        """Poll the status of a node until this task is cancelled."""
         client = ControlClient(self.processes.path(instance.name, "sock"))
         instance_count = len(self.supervisor.instances)
         interval_ns = max(MIN_STATUS_INTERVAL_NS, STATUS_INTERVAL_PER_INSTANCE_NS * instance_count)
@@ -191,7 +191,7 @@
             client.close()
 
     async def _request_status(self, client: ControlClient, instance: Instance, process: Process) -> None:
-        """Request a report once. Raises ControlError, also if another process answers."""
+        """Request one report of a node. Raises ControlError, also if another process answers."""
         report = await client.status(CONTROL_REQUEST_TIMEOUT_NS / SECOND)
         if client.pid != process.pid:
             client.close()
--- a/oakkeel/agent/host_status.py
+++ b/oakkeel/agent/host_status.py
@@ -75,7 +75,7 @@
     listed = {task.instance for task in tasks}
     tasks += [
         messages.TaskStatus(name, HostTaskState.REFUSED.value, 0, "this host has no such instance")
-        for name, _ in order.requested
+        for name, _ in order.requested_instances
         if name not in listed
     ]
     return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, tasks)
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -18,12 +18,12 @@
 class Phase(Enum):
     """The known state of an instance; only `Supervisor` changes it. The values are sent and stored."""
 
-    STOPPED = "stopped"  # has no process, and none is to be started yet
-    STARTING = "starting"  # its process takes no requests yet
+    STOPPED = "stopped"  # has no process, and no start is due
+    STARTING = "starting"  # its process accepts no requests yet
     COLD = "cold"  # warming up
     SERVING = "serving"
     DRAINING = "draining"  # by an order, or by the node itself
-    SILENT = "silent"  # its process exists and sends no reports
+    SILENT = "silent"  # its process exists, and no reports arrive
     STUCK = "stuck"  # silent for longer than any request may take
     FAILING = "failing"  # has crashed, and waits for its restart backoff
 
@@ -46,7 +46,7 @@
     Phase.STUCK: {Phase.STARTING, Phase.COLD, Phase.SERVING, Phase.DRAINING, Phase.STOPPED, Phase.FAILING},
     Phase.FAILING: {Phase.STARTING, Phase.STOPPED},
 }
-REPORTED_PHASES = {
+REPORTED_PHASES = {  # by the state in a node's report
     "waiting": Phase.STARTING,
     "cold": Phase.COLD,
     "serving": Phase.SERVING,
@@ -69,25 +69,25 @@
     site: str
     goal: Goal = Goal.UP
     phase: Phase = Phase.STOPPED
-    phase_since: int = 0
+    phase_since: int = 0  # time of the last change of the phase
     generation: int = 0  # incremented by each start and each accepted order
-    changed_at: int = 0  # when that was, in Unix nanoseconds, for display
-    changed_by: str = ""  # operator and verb of that change, or the agent
+    changed_at: int = 0  # time of the last increment of `generation`, in Unix nanoseconds, for display
+    changed_by: str = ""  # operator and verb of that increment, or the agent
     process_generation: int = 0  # generation of the current process, or of the last one
     spawned: bool = False  # whether the current or last process is known to have been started
     last_report_at: int = 0
     report: NodeStatus | None = None  # the last report of its process
     drain_sent_at: int = 0  # when the drain was last sent to its process; 0: not yet
     kill_after_drain: bool = False  # whether its process is killed when the drain timeout expires
-    start_not_before: int = 0
+    start_not_before: int = 0  # time before which the instance is not started
     consecutive_crashes: int = 0  # reset once the instance has served for `steady_after_ns`
     # Times of crashes, and of restarts of the stuck instance, within the restart window.
     crash_times: deque[int] = field(default_factory=deque)
     restarts_exhausted: bool = False  # whether its restart budget is spent (stored as `resting`)
     why: str = ""  # the last error, for display
     crashes_since_agent_start: int = 0
-    running_version: str = ""  # version of its process, by the start or the last report
-    is_drain_cancellable: bool = False  # whether its drain is sent by the control link, which can cancel it
+    running_version: str = ""  # release version of its process, as of the start or the last report
+    is_drain_cancellable: bool = False  # whether its drain is sent over the control link
     is_drain_cancelled: bool = False  # whether a cancellation of its drain is not confirmed yet
     generation_limit: int = MAX_GENERATION  # highest generation that the control plane has reserved
     task: Task | None = None  # task of the open order on the instance
@@ -158,13 +158,13 @@
 
     order: Order
     instance: Instance
-    generation: int  # of the instance, as seen by the operator
+    generation: int  # generation of the instance that the operator saw
     state: HostTaskState = HostTaskState.WAITING
     state_since: int = 0
     why: str = ""
     drain_sent: bool = False  # whether its process may have received the drain
-    replaces_generation: int = 0  # generation of the process that a restart ends
-    undo_snapshot: InstanceSnapshot | None = None  # the instance before the order; None once that is stored
+    replaced_generation: int = 0  # generation of the process that a restart replaces
+    undo_snapshot: InstanceSnapshot | None = None  # before the order; None once the order is stored
 
     @property
     def is_open(self) -> bool:
@@ -180,11 +180,11 @@
     operator: str
     verb: Verb
     accepted_at: int  # Unix nanoseconds
-    expires_at: int
-    requested: tuple[tuple[str, int], ...]  # instances and the generations that the operator saw
+    expires_at: int  # monotonic
+    requested_instances: tuple[tuple[str, int], ...]  # instances and the generations that the operator saw
     tasks: list[Task] = field(default_factory=list)
 
     @property
     def is_open(self) -> bool:
-        """Whether any of its tasks is open."""
+        """Whether any task of the order is open."""
         return any(task.is_open for task in self.tasks)
--- a/oakkeel/agent/launcher.py
+++ b/oakkeel/agent/launcher.py
@@ -13,13 +13,13 @@
 
 VERSION_VARIABLE = "OAKKEEL_VERSION"
 NODE_SETTINGS_VARIABLE = "OAKKEEL_TOLD"
-NODE_SETTINGS_SUFFIX = "told"
-FLOW_SNAPSHOT_SUFFIX = "shares"
+NODE_SETTINGS_SUFFIX = "told"  # of the file with a node's fair-sharing settings
+FLOW_SNAPSHOT_SUFFIX = "shares"  # of the file with the snapshot of a node's flows
 
 
 @dataclass(slots=True, frozen=True)
 class LaunchedProcess:
-    """A new process and its release version; None: it runs the program and configuration of its settings."""
+    """A new process and its version; None: no release has assigned a version to its instance."""
 
     process: Process
     version: str | None
@@ -39,7 +39,7 @@
         self.processes = processes
         self.program = list(program)
         self.fair_sharing = fair_sharing
-        self.settings: dict[str, InstanceSettings] = {each.name: each for each in host.instances}
+        self.settings: dict[str, InstanceSettings] = {each.name: each for each in host.instances}  # by name
         self.artifacts: ArtifactStore | None = None  # None: the fleet has no releases
 
     def launch(self, instance: Instance) -> LaunchedProcess:
@@ -55,7 +55,7 @@
         return LaunchedProcess(process, variables.get(VERSION_VARIABLE))
 
     def _environment_variables(self, name: str) -> dict[str, str]:
-        """The environment variables of a node, without those of a release."""
+        """The environment variables of a node, without the variables that a release adds."""
         settings = self.settings[name]
         variables = {
             **os.environ,
--- a/oakkeel/agent/leader_locator.py
+++ b/oakkeel/agent/leader_locator.py
@@ -6,13 +6,13 @@
 
 
 class LeaderLocator:
-    """The voter that an agent sends its requests to."""
+    """Selects the host whose replica receives the requests of an agent."""
 
     def __init__(self, voters: Sequence[str], hosts: Iterable[str]) -> None:
         """`hosts` are the hosts of the settings; a leader that is not among them is ignored."""
         self.voters = voters
         self.hosts = frozenset(hosts)
-        self.current = voters[0]
+        self.current = voters[0]  # host that requests are sent to
         self.voter_index = 0
 
     def set_voters(self, voters: Sequence[str]) -> None:
@@ -20,9 +20,9 @@
         self.voters = [name for name in voters if name in self.hosts] or self.voters
 
     def redirect(self, leader: str) -> None:
-        """Select the leader that the current voter named, or the next voter if `leader` is empty.
+        """Select the leader that the current host named, or the next voter if `leader` is empty.
 
-        Called if the current voter is not the leader, or did not respond.
+        Called if the current host is not the leader, or did not respond.
         """
         if leader in self.hosts and leader != self.current:
             self.current = leader
--- a/oakkeel/agent/messages.py
+++ b/oakkeel/agent/messages.py
@@ -127,7 +127,7 @@
     operator: str
     verb: str
     state: str
-    age: int
+    age: int  # of the state
 
 
 class InstanceStatus(msgspec.Struct):
@@ -168,7 +168,7 @@
 
     instance: str
     state: str
-    age: int
+    age: int  # of the state
     why: str
 
 
@@ -231,15 +231,15 @@
     order_id: str = msgspec.field(name="ident")
     operator: str
     verb: str
-    unix_time: int = msgspec.field(name="unix")
+    unix_time: int = msgspec.field(name="unix")  # of the submission
     atomic: bool = msgspec.field(name="whole")
-    halted: str
-    cancelled: str
+    halted: str  # operator or other cause of the halt; empty: not halted
+    cancelled: str  # operator who cancelled the order; empty: not cancelled
     tasks: list[FleetTaskStatus] = msgspec.field(name="parts")
 
 
 class UnavailableTarget(msgspec.Struct):
-    """An unavailable target, and why."""
+    """A target that is unavailable, with the reasons."""
 
     target: str = msgspec.field(name="thing")
     host: str
@@ -251,7 +251,7 @@
 class BudgetUsage(msgspec.Struct):
     """The use of a disruption budget."""
 
-    name: str
+    name: str  # of the budget group
     unavailable: int = msgspec.field(name="out")
     limit: int = msgspec.field(name="bound")
 
@@ -259,19 +259,19 @@
 class FleetStatus(msgspec.Struct, tag="fleet state"):
     """Budgets, unavailable targets and orders of the fleet."""
 
-    index: int
+    index: int  # of the last applied entry of the replicated log
     budgets: list[BudgetUsage] = msgspec.field(name="groups")
     unavailable: list[UnavailableTarget] = msgspec.field(name="out")
     orders: list[FleetOrderStatus]  # latest first
 
 
 class MemberStatus(msgspec.Struct):
-    """A member of the Raft group, as a replica knows it. -1: not known to the replica."""
+    """A member of the Raft group, as the reporting replica knows it. -1: not known to that replica."""
 
     name: str
     incarnation: str = msgspec.field(name="life")
     is_voter: bool = msgspec.field(name="votes")
-    lag: int = msgspec.field(name="behind")  # entries
+    lag: int = msgspec.field(name="behind")  # entries of the log that the member has not acknowledged
     contact_age: int = msgspec.field(name="heard_age")
 
 
@@ -281,16 +281,16 @@
     host: str
     role: str  # "none": this host has no replica
     role_age: int
-    epoch: str
+    epoch: str  # of the replicated log
     term: int
     leader: str
     is_leader: bool = msgspec.field(name="leads")  # with a valid lease
-    committed: int = msgspec.field(name="agreed")  # index
+    committed: int = msgspec.field(name="agreed")  # index of the last committed entry
     last_index: int = msgspec.field(name="last")
-    elections: int
+    elections: int  # won by this replica
     contact_age: int = msgspec.field(name="heard_age")  # of the last accepted response of a leader
     members: list[MemberStatus]
-    why: str
+    why: str  # reason the replica is stale or not running, or the last heartbeat failed
 
 
 class ReleaseTargetStatus(msgspec.Struct):
@@ -301,7 +301,7 @@
     state: str  # old, changing, new
     running_version: str = msgspec.field(name="runs")  # the version that the process reported
     phase: str
-    report_age: int = msgspec.field(name="age")  # of that report
+    report_age: int = msgspec.field(name="age")  # of the last report of the target
     why: str = ""
 
 
@@ -315,10 +315,10 @@
     version: VersionSpec = msgspec.field(name="what")
     step: int
     batch: int
-    why: str
+    why: str  # reason of the state
     gate_summary: str = msgspec.field(name="said")  # figures of the gates
-    waiting_for: str = msgspec.field(name="waits")
-    controller: str = msgspec.field(name="driver")
+    waiting_for: str = msgspec.field(name="waits")  # empty if the release has ended
+    controller: str = msgspec.field(name="driver")  # host of the rollout controller
     targets: list[ReleaseTargetStatus] = msgspec.field(name="parts")
     other_releases: list[tuple[str, str]] = msgspec.field(name="others")  # ended releases: ID and state
 
@@ -329,7 +329,7 @@
     why: str
 
 
-PeerRequest = PeerEnvelopesRequest | HeartbeatRequest  # with the key of an agent
+PeerRequest = PeerEnvelopesRequest | HeartbeatRequest  # accepted only with the key of an agent
 Request = (
     HostStatusRequest
     | OrderRequest
--- a/oakkeel/agent/order_rules.py
+++ b/oakkeel/agent/order_rules.py
@@ -14,7 +14,7 @@
 
 
 class OrderRejectedError(OakkeelError, ValueError):
-    """The order as a whole is not accepted; the message says why."""
+    """An order is rejected for all of its instances; the message has the reason."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,7 +24,7 @@
     order_id: str
     operator: str
     verb: Verb
-    requested: tuple[tuple[str, int], ...]  # instances and the generations that the operator saw
+    requested_instances: tuple[tuple[str, int], ...]  # instances and the generations that the operator saw
     lifetime_ns: int  # from the acceptance of the order
     supersede: bool = False  # replace the open orders of the instances
 
@@ -40,12 +40,12 @@
 def check_submission(submission: OrderSubmission, instance_count: int) -> None:
     """Raise OrderRejectedError if an order is malformed."""
     order_id = submission.order_id
-    requested = submission.requested
+    requested_instances = submission.requested_instances
     if not order_id or len(order_id) > MAX_ORDER_ID_LENGTH:
         raise OrderRejectedError(f"an order needs an id of 1 to {MAX_ORDER_ID_LENGTH} characters")
-    if not requested or len(requested) > instance_count:
+    if not requested_instances or len(requested_instances) > instance_count:
         raise OrderRejectedError(f"an order names 1 to {instance_count} instances of this host")
-    if len({name for name, _ in requested}) < len(requested):
+    if len({name for name, _ in requested_instances}) < len(requested_instances):
         raise OrderRejectedError("the order names an instance twice")
 
 
@@ -77,9 +77,10 @@
 
 
 def task_outcome(now: int, task: Task) -> TaskOutcome | None:
-    """The outcome of an acting task that is over by now; None if it continues.
+    """The outcome of an acting task that has ended; None if the task continues.
 
-    A task fails once its instance has no restart left or its order has expired, as nothing else would end it.
+    A task fails once its instance has no restart left or its order has expired, as the task might otherwise
+    never end.
     """
     instance = task.instance
     if _is_complete(task):
@@ -102,15 +103,15 @@
     is_up = instance.phase in (Phase.COLD, Phase.SERVING)
     if verb is Verb.START:
         return is_up
-    return is_up and instance.process_generation != task.replaces_generation
+    return is_up and instance.process_generation != task.replaced_generation
 
 
 def needs_permit_to_drain(task: Task) -> bool:
-    """Whether the drain of a task that is about to be sent for the first time needs a valid permit."""
+    """Whether the next drain of a task needs a valid permit: only the first drain of a task does."""
     return not task.drain_sent and task.state is HostTaskState.ACTING and task.order.verb is not Verb.START
 
 
-def has_taken_out(task: Task) -> bool:
+def has_taken_out_of_service(task: Task) -> bool:
     """Whether a task has taken its instance out of service."""
     return task.state in (HostTaskState.ACTING, HostTaskState.DONE) and task.order.verb in (
         Verb.DRAIN,
@@ -119,5 +120,5 @@
 
 
 def _time_of_day(unix_ns: int) -> str:
-    """A wall-clock time for display."""
+    """Format a wall-clock time for display."""
     return time.strftime("%H:%M:%S UTC", time.gmtime(unix_ns // SECOND))
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -1,8 +1,9 @@
 """The orders on the instances of one host: accepting, starting, ending and cancelling them. Free of I/O.
 
-An order has an ID chosen by its sender: an order that is sent twice is accepted once. For each instance it
-names the generation that the operator saw (see `order_rules`). Changes by an order must be stored before its
-response is sent or its steps are executed; `changed` and `deleted` list the orders to write.
+The sender of an order chooses its ID, so that an order that is sent twice is accepted once. For each
+instance, the order names the generation that the operator saw (see `order_rules`). Changes by an order must
+be stored before its response is sent or its steps are executed; `changed` and `deleted` list the orders to
+write.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
     OrderRejectedError,
     OrderSubmission,
     check_submission,
-    has_taken_out,
+    has_taken_out_of_service,
     needs_permit_to_drain,
     rejection_reason,
     task_outcome,
@@ -52,7 +53,7 @@
         self.unix_time = unix_time
         self.permit_holder = permit_holder
         self.max_orders = MAX_ORDERS
-        self.instances = {each.name: each for each in supervisor.instances}
+        self.instances = {instance.name: instance for instance in supervisor.instances}
         self.orders: dict[str, Order] = {}  # oldest first
         self.open_tasks: list[Task] = []  # in the order in which they were accepted
         self.changed: set[Order] = set()  # orders to store
@@ -63,11 +64,11 @@
     def submit(self, now: int, submission: OrderSubmission) -> Order:
         """Accept an order; each of its tasks is open, or refused with a reason.
 
-        Returns the same order if it is submitted again. Raises OrderRejectedError if it is malformed, if its
-        ID belongs to another order, or if too many orders are open.
+        Returns the registered order if it is submitted again. Raises OrderRejectedError if the order is
+        malformed, if its ID belongs to another order, or if too many orders are open.
         """
-        if known_order := self.orders.get(submission.order_id):
-            return _check_duplicate(known_order, submission)
+        if registered_order := self.orders.get(submission.order_id):
+            return _check_duplicate(registered_order, submission)
         check_submission(submission, len(self.instances))
         if sum(order.is_open for order in self.orders.values()) >= MAX_OPEN_ORDERS:
             raise OrderRejectedError(
@@ -79,13 +80,13 @@
             submission.verb,
             self.unix_time(),
             now + max(MIN_ORDER_LIFETIME_NS, submission.lifetime_ns),
-            submission.requested,
+            submission.requested_instances,
         )
-        for name, generation in submission.requested:
+        for name, generation in submission.requested_instances:
             if instance := self.instances.get(name):  # the response reports unknown instances as refused
                 self._add_task(now, order, instance, generation, submission.supersede)
         if not order.is_open:
-            return order  # refused as a whole: it is not registered
+            return order  # refused for all instances: the order is not registered
         self.orders[order.order_id] = order
         self.changed.add(order)
         self._delete_oldest()
@@ -142,7 +143,7 @@
     def revert(self, now: int, order: Order, operator: str) -> None:
         """Cancel an order with its started tasks, and restore the instances that it has drained."""
         for task in order.tasks:
-            is_taken_out = has_taken_out(task)
+            is_taken_out = has_taken_out_of_service(task)
             if task.state in OPEN_HOST_TASK_STATES:
                 self._transition(now, task, HostTaskState.CANCELLED, f"by {operator}")
             if is_taken_out and task.instance.goal is Goal.DOWN and task.instance.task is None:
@@ -165,7 +166,7 @@
         self.open_tasks = [task for task in self.open_tasks if task.is_open]
 
     def _may_take_out(self, now: int, task: Task) -> bool:
-        """Whether the host's part of the disruption budget, or a permit of the fleet, allows the start."""
+        """Whether the host's part of the disruption budget, or a permit of the fleet, lets the task start."""
         if self.permit_holder is None:
             return self.supervisor.has_capacity(task.instance)
         return self.permit_holder.may_start(now, task.instance.name, task.order.order_id, task.instance.alive)
@@ -175,7 +176,7 @@
         verb = task.order.verb
         if self.permit_holder and verb is not Verb.START:
             self.permit_holder.start(now, instance.name)
-        task.replaces_generation = instance.process_generation
+        task.replaced_generation = instance.process_generation
         self._transition(now, task, HostTaskState.ACTING)
         if verb is Verb.START:
             if not instance.alive or instance.phase is Phase.DRAINING:
@@ -200,7 +201,7 @@
         return [step for step in steps if self._is_permitted(now, step, holder)]
 
     def _is_permitted(self, now: int, step: Step, holder: PermitHolder) -> bool:
-        """Whether a step may be executed; a drain that comes too late is reverted."""
+        """Whether a step may be executed; a drain after the notification deadline is reverted."""
         instance = step.instance
         task = instance.task
         is_drain = step.action in (Action.DRAIN, Action.TERM)
@@ -215,11 +216,11 @@
             self._transition(now, task, HostTaskState.CANCELLED, why)
             self.supervisor.revert_unsent_drain(now, instance, reported_state)
         else:
-            instance.drain_sent_at = 0  # decided again once the process reports whether it drains
+            instance.drain_sent_at = 0  # the drain is decided again once the process has reported its state
         return False
 
     def fail_open_tasks(self, now: int, why: str) -> None:
-        """End all open tasks as failed: the host was rebooted, and their processes no longer run."""
+        """End all open tasks as failed: a reboot of the host has ended the processes of their instances."""
         for task in self.open_tasks:
             self._transition(now, task, HostTaskState.FAILED, why)
         self.open_tasks.clear()
@@ -236,7 +237,7 @@
                     self.open_tasks.append(task)
 
     def _transition(self, now: int, task: Task, state: HostTaskState, why: str = "") -> None:
-        """Change the state of a task; no other function does. Raises InvalidTransitionError."""
+        """Change the state of a task; no other function changes it. Raises InvalidTransitionError."""
         if state not in TASK_TRANSITIONS[task.state]:
             raise InvalidTransitionError(f"order {task.order.order_id}", task.state.value, state.value)
         task.state = state
@@ -248,7 +249,7 @@
             task.instance.dirty = True
 
     def _delete_oldest(self) -> None:
-        """Delete the oldest ended orders. Their duplicates are refused, as the generations were replaced."""
+        """Delete the oldest ended orders. A duplicate of one is refused, as its generations are outdated."""
         for order_id, order in list(self.orders.items()):
             if len(self.orders) <= self.max_orders:
                 break
@@ -258,12 +259,14 @@
                 self.deleted.append(order_id)
 
 
-def _check_duplicate(known_order: Order, submission: OrderSubmission) -> Order:
+def _check_duplicate(registered_order: Order, submission: OrderSubmission) -> Order:
     """Return the known order of that ID. Raises OrderRejectedError if the submission differs from it."""
-    is_same_command = known_order.operator == submission.operator and known_order.verb is submission.verb
-    if not is_same_command or known_order.requested != submission.requested:
-        raise OrderRejectedError(f"that id belongs to another order, by {known_order.operator}")
-    return known_order
+    is_same_command = (
+        registered_order.operator == submission.operator and registered_order.verb is submission.verb
+    )
+    if not is_same_command or registered_order.requested_instances != submission.requested_instances:
+        raise OrderRejectedError(f"that id belongs to another order, by {registered_order.operator}")
+    return registered_order
 
 
 def _snapshot(instance: Instance) -> InstanceSnapshot:
--- a/oakkeel/agent/peer_sender.py
+++ b/oakkeel/agent/peer_sender.py
@@ -30,21 +30,21 @@
         on_response: Callable[[str, list[Envelope]], None],
         log: EventLog,
     ) -> None:
-        """Start the task that sends; `on_response` gets the envelopes of each response."""
+        """Start the task that sends envelopes; `on_response` is called with each response's envelopes."""
         self.name = name
         self.link = link
         self.on_response = on_response
         self.log = log
         self.queue: deque[Envelope] = deque(maxlen=MAX_QUEUED_ENVELOPES)
-        self.not_empty = asyncio.Event()
+        self.not_empty = asyncio.Event()  # set while the queue holds envelopes
         self.task = asyncio.ensure_future(self._send())
 
-    def put(self, envelope: Envelope) -> None:
+    def enqueue(self, envelope: Envelope) -> None:
         """Queue an envelope; if the queue is full, the oldest is dropped."""
         self.queue.append(envelope)
         self.not_empty.set()
 
-    def take(self) -> list[Envelope]:
+    def dequeue(self) -> list[Envelope]:
         """Remove and return as many envelopes as one request may hold."""
         envelopes: list[Envelope] = []
         size = 0
@@ -60,12 +60,13 @@
     async def _send(self) -> None:
         while True:
             await self.not_empty.wait()
-            envelopes = self.take()
+            envelopes = self.dequeue()
             if not envelopes:
                 continue
             try:
                 if self.link.stream is None:
-                    await self._request([])  # authenticates the link: only then is a long request accepted
+                    # Authenticates the link: the peer accepts long requests only after that.
+                    await self._request([])
                 await self._request(envelopes)
             except (LinkError, msgspec.MsgspecError):
                 # The envelopes are lost: Raft sends them again.
@@ -82,6 +83,6 @@
             self.on_response(self.name, response.envelopes)
 
     def close(self) -> None:
-        """Cancel the task and close the connection."""
+        """Cancel the sending task and close the connection."""
         self.task.cancel()
         self.link.close()
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -1,4 +1,4 @@
-"""The processes of instances: starts, adopts, watches and signals them. No pid is trusted on its own.
+"""The processes of instances: starts, adopts, watches and signals them. A pid alone identifies no process.
 
 Each process holds a lock on its instance's lock file for its whole life: an agent that can take the lock
 knows that no process of the instance is left, even if another agent started it. Signals go through a pidfd,
@@ -18,7 +18,7 @@
 
 # Writes the pid file before the program begins, so that the next agent finds the process if this agent ends.
 START_SCRIPT = 'echo "$$ $OAKKEEL_GENERATION" >"$OAKKEEL_PID_FILE" && unset OAKKEEL_PID_FILE && exec "$@"'
-MAX_LOG_BYTES = 4 * 1024 * 1024  # of an instance's log: beyond it, the next start begins a new file
+MAX_LOG_BYTES = 4 * 1024 * 1024  # of an instance's log; if longer, the next start begins a new file
 MAX_PID_FILE_BYTES = 64
 LOCK_FILE_MODE = 0o600
 START_TIME_FIELD = 19  # of /proc/PID/stat, counted after the name of the program
@@ -81,7 +81,7 @@
             raise ProcessError(str(error)) from error
         finally:
             os.close(lock)  # the child holds the lock
-        child.returncode = 0  # `_exited` waits for the child, so that the destructor of `Popen` does not
+        child.returncode = 0  # `_handle_exit` waits for the child, so `Popen` must not
         pidfd = os.pidfd_open(child.pid)
         return self._watch(Process(name, child.pid, read_start_ticks(child.pid), generation, pidfd))
 
@@ -93,7 +93,7 @@
         return lock < 0
 
     def read_pid_file(self, name: str) -> tuple[int, int]:
-        """The pid and generation of the last process that was started; zeros if none is recorded."""
+        """The pid and generation of the last process that was started; zeros if the file has none."""
         try:
             with open(self.path(name, "pid"), encoding="ascii") as file:
                 pid, generation = file.read(MAX_PID_FILE_BYTES).split()
@@ -116,7 +116,7 @@
         return self._watch(Process(name, pid, read_start_ticks(pid), generation, pidfd))
 
     def signal(self, process: Process, number: signal.Signals) -> bool:
-        """Signal a process; False if it has ended."""
+        """Send a signal to a process; return False if the process has ended."""
         if process.pidfd not in self.watched or read_start_ticks(process.pid) != process.start_ticks:
             return False
         try:
@@ -126,7 +126,7 @@
         return True
 
     def _acquire_lock(self, name: str) -> int:
-        """A descriptor that holds the lock; -1 if another process holds it."""
+        """Take the lock of an instance; return its descriptor, or -1 if another process holds the lock."""
         lock = os.open(self.path(name, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -149,10 +149,10 @@
 
     def _watch(self, process: Process) -> Process:
         self.watched[process.pidfd] = process
-        asyncio.get_running_loop().add_reader(process.pidfd, self._exited, process)
+        asyncio.get_running_loop().add_reader(process.pidfd, self._handle_exit, process)
         return process
 
-    def _exited(self, process: Process) -> None:
+    def _handle_exit(self, process: Process) -> None:
         self._unwatch(process)
         why = "ended as the child of another process"  # the exit status is unknown
         with contextlib.suppress(ChildProcessError):
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -32,7 +32,7 @@
 from oakkeel.raft.roles import Role
 from oakkeel.raft.state import Output
 from oakkeel.raft.timeouts import RaftTimeouts
-from oakkeel.rollout import commands as releases
+from oakkeel.rollout import commands as rollout_commands
 from oakkeel.rollout.controller import RolloutController
 from oakkeel.rollout.state_machine import RolloutStateMachine
 from oakkeel.settings.types import Fleet
@@ -76,11 +76,11 @@
         self.command_log = CommandLog(log)
         self.topology = topology_of(fleet)
         self.peers: dict[str, PeerSender] = {}
-        self.futures: dict[Proposal, asyncio.Future[object]] = {}
+        self.futures: dict[Proposal, asyncio.Future[object]] = {}  # results of the open proposals
         self.timer: asyncio.TimerHandle | None = None
-        self.storage_error = ""  # why the file can't be written
-        self.has_allocator = False  # whether the control plane had an allocator when last logged
-        self.retry_at = 0  # when to start the replica again, if it is stopped
+        self.storage_error = ""  # reason the file can't be written; empty if it can
+        self.has_allocator = False  # as of the last log event of a change of leadership
+        self.retry_at = 0  # time of the next attempt to start a stopped replica
         self.control_plane: ControlPlaneReplica | None = None
 
     def open(self) -> None:
@@ -93,7 +93,7 @@
         try:
             stored_state = self.file.load()
         except DatabaseError as error:
-            self._storage_failed(error)
+            self._handle_storage_failure(error)
             return
         self.storage_error = ""
         self.control_plane = ControlPlaneReplica(
@@ -108,7 +108,7 @@
                 extension=self._make_controller,
             ),
         )
-        self.control_plane.on_committed = self._command_committed
+        self.control_plane.on_committed = self._log_committed_command
 
     def _make_controller(
         self, now: int, state_machine: RolloutStateMachine, allocator: PermitAllocator
@@ -117,10 +117,10 @@
         controller_id = f"{self.name}.{secrets.token_hex(CONTROLLER_ID_BYTES)}"
         return RolloutController(now, state_machine, allocator, controller_id)
 
-    def _command_committed(self, index: int, command: commands.Command, result: object) -> None:
+    def _log_committed_command(self, index: int, command: commands.Command, result: object) -> None:
         self.command_log.log_committed(self.control_plane, index, command, result)
 
-    def _storage_failed(self, error: DatabaseError) -> None:
+    def _handle_storage_failure(self, error: DatabaseError) -> None:
         """Stop the replica as if it had crashed; it is started again once its file can be written."""
         if str(error) != self.storage_error:
             self.log.error("raft_storage_write_failed", error=str(error))
@@ -138,12 +138,12 @@
     # Events.
 
     def receive_envelopes(self, sender: str, envelopes: list[Envelope]) -> list[Envelope]:
-        """Receive the envelopes of an authenticated host. Returns the envelopes that are queued for it."""
+        """Receive the envelopes of an authenticated host. Returns the envelopes queued for that host."""
         for envelope in envelopes:
             if envelope.sender == sender and self.control_plane:
                 self._execute(self.control_plane.receive(time.monotonic_ns(), envelope))
         self._schedule()
-        return self._peer(sender).take() if sender in self.keys else []
+        return self._peer_sender(sender).dequeue() if sender in self.keys else []
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> messages.Response:
         """Answer an agent's heartbeat, or name the leader."""
@@ -157,7 +157,7 @@
         self._schedule()
         return messages.HeartbeatAccepted(response)
 
-    async def propose(self, command: commands.Command | releases.Command) -> object:
+    async def propose(self, command: commands.Command | rollout_commands.Command) -> object:
         """Return the result of a command once it is committed.
 
         Raises NotLeaderError, or CommitUnknownError if the outcome is not known in time.
@@ -173,7 +173,7 @@
             async with asyncio.timeout(COMMIT_TIMEOUT_NS / SECOND):
                 return await future
         except TimeoutError as error:
-            if not future.cancelled():  # the result arrived in the same turn of the event loop as the timeout
+            if not future.cancelled():  # the result arrived in the same pass of the event loop as the timeout
                 return future.result()
             raise CommitUnknownError("no majority has stored the command yet") from error
         finally:
@@ -195,7 +195,8 @@
         if self.timer:
             self.timer.cancel()
         now = time.monotonic_ns()
-        # A fixed time: each arriving envelope reschedules the tick, and would postpone a delay for ever.
+        # `retry_at` is a time, not a delay: each arriving envelope reschedules the tick, and a delay that
+        # starts again each time might never end.
         next_tick_at = self.retry_at
         if self.control_plane:
             has_allocator = self.control_plane.allocator is not None
@@ -205,7 +206,7 @@
         self.timer = loop.call_later(max(MIN_TIMER_DELAY_NS, next_tick_at - now) / SECOND, self._tick)
 
     def _execute(self, outputs: list[Output]) -> None:
-        """Execute outputs in order; each is stored before its envelopes are sent and its results reported."""
+        """Execute the outputs in order: store each one, then send its envelopes and report its results."""
         for output in outputs:
             if self.control_plane is None:
                 return
@@ -214,13 +215,13 @@
                 try:
                     self.file.write(durable, output.storage_update)
                 except DatabaseError as error:
-                    self._storage_failed(error)
+                    self._handle_storage_failure(error)
                     return
             for name, envelope in output.envelopes:
                 if name in self.keys:
-                    self._peer(name).put(envelope)
+                    self._peer_sender(name).enqueue(envelope)
             for proposal in output.completed:
-                self._proposal_decided(proposal)
+                self._complete_proposal(proposal)
         if self.control_plane is not None:
             self._check_role(self.control_plane)
 
@@ -243,7 +244,7 @@
                 committed=replica.commit_index,
             )
 
-    def _proposal_decided(self, proposal: Proposal) -> None:
+    def _complete_proposal(self, proposal: Proposal) -> None:
         future = self.futures.pop(proposal, None)
         if future is None or future.done():
             return
@@ -252,13 +253,13 @@
         else:
             future.set_exception(CommitUnknownError("the replica that received it is no longer the leader"))
 
-    def _peer(self, name: str) -> PeerSender:
+    def _peer_sender(self, name: str) -> PeerSender:
         if name not in self.peers:
             link = AuthenticatedClient(self.fleet.host(name).agent, self.keys[self.name])
-            self.peers[name] = PeerSender(name, link, self._envelopes_received, self.log)
+            self.peers[name] = PeerSender(name, link, self._receive_response_envelopes, self.log)
         return self.peers[name]
 
-    def _envelopes_received(self, name: str, envelopes: list[Envelope]) -> None:
+    def _receive_response_envelopes(self, name: str, envelopes: list[Envelope]) -> None:
         """Receive the envelopes of a peer's response."""
         for envelope in envelopes:
             if envelope.sender == name and self.control_plane:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -19,9 +19,10 @@
 from oakkeel.rollout.assignments import VersionAssignments
 from oakkeel.rollout.messages import TargetStatus
 
-DEFAULT_GENERATION_BLOCK = 64
-CONTROL_PLANE = "the control plane"  # recorded as the operator who cancelled an order that has ended there
-# States of results on the wire.
+DEFAULT_GENERATION_BLOCK = 64  # generations that an agent reserves at once for an instance
+# Stands for the operator when this agent cancels an order that has ended in the control plane.
+CONTROL_PLANE = "the control plane"
+# States of task results on the wire.
 RESULT_STATES = {
     HostTaskState.DONE: "done",
     HostTaskState.FAILED: "failed",
@@ -30,7 +31,7 @@
     HostTaskState.SUPERSEDED: "failed",
     HostTaskState.EXPIRED: "expired",
 }
-STARTED_STATE = "out"
+STARTED_STATE = "out"  # of a started task, on the wire
 TAKE_OUT_VERBS = (Verb.DRAIN.value, Verb.STOP.value)
 
 
@@ -45,26 +46,27 @@
         generation_block: int = DEFAULT_GENERATION_BLOCK,
         services: tuple[str, ...] = (),
     ) -> None:
-        """Limit instances to their reserved generations, reserved in blocks of `generation_block`."""
+        """Limit instances to their reserved generations, which are reserved `generation_block` at a time."""
         self.supervisor = supervisor
         self.orders = orders
         self.permit_holder = permit_holder
         self.generation_block = generation_block
         self.services = DownstreamServices(permit_holder, services)
         self.assignments = VersionAssignments(services)
-        self.is_state_lost = False  # whether the state file is new: nothing starts before a response arrives
+        # Whether the state file is new: no instance starts before a response arrives.
+        self.is_state_lost = False
         for instance in supervisor.instances:
             instance.generation_limit = permit_holder.generations.get(instance.name, 0)
         self.rejections: dict[tuple[str, str], str] = {}  # reasons by order and target
 
     def state_file_lost(self) -> None:
-        """Recover generations, orders and goals from the next response, as none is stored here."""
+        """Recover generations, orders and goals from the next response, as the state file is new."""
         self.is_state_lost = True
 
     # Heartbeats.
 
     def build_heartbeat(self, now: int) -> Heartbeat:
-        """The next heartbeat: states, results and generations to reserve."""
+        """Build the next heartbeat: states of targets, results of tasks and generations to reserve."""
         self.services.advance(now)
         serving = dict(self.services.is_up)
         generation_limits: dict[str, int] = {}
@@ -89,14 +91,14 @@
         return not self.is_state_lost and instance.generation + self.generation_block // 2 > reserved
 
     def _target_statuses(self, now: int) -> list[TargetStatus]:
-        """The versions that run here and their performance, for the rollout controller."""
+        """The versions and performance of this host's targets, for the rollout controller."""
         collect_samples = self.assignments.collect_samples
         statuses = [service_status(name, is_up) for name, is_up in self.services.is_up.items()]
         statuses += [instance_status(now, each, collect_samples) for each in self.supervisor.instances]
         return statuses
 
     def _update_permit(self, instance: Instance) -> None:
-        """Note whether the target of a started permit serves again, so that the permit can be released."""
+        """Record whether the target of a started permit serves again, so that the permit can be released."""
         permit = self.permit_holder.permits.get(instance.name)
         if permit is None or not permit.started:
             return
@@ -107,31 +109,31 @@
             self.permit_holder.mark_unavailable(instance.name)
 
     def _task_results(self) -> list[TaskResult]:
-        """Results of tasks that are open in the control plane and over on this host."""
+        """The results of tasks that are open in the control plane and have ended on this host."""
         results = self.services.results()
         for order in self.permit_holder.orders.values():
-            known_order = self.orders.orders.get(order.id)
-            tasks = {task.instance.name: task for task in known_order.tasks} if known_order else {}
-            for assigned in order.tasks:
-                target = assigned.target
-                if assigned.state not in OPEN_FLEET_TASK_STATES or target in self.services.is_up:
+            registered_order = self.orders.orders.get(order.id)
+            tasks = {task.instance.name: task for task in registered_order.tasks} if registered_order else {}
+            for assigned_task in order.tasks:
+                target = assigned_task.target
+                if assigned_task.state not in OPEN_FLEET_TASK_STATES or target in self.services.is_up:
                     continue
-                if result := self._task_result(order, target, assigned.state, tasks.get(target)):
+                if result := self._task_result(order, target, assigned_task.state, tasks.get(target)):
                     results.append(result)
         return results
 
     def _task_result(
         self, order: AssignedOrder, target: str, state: str, task: Task | None
     ) -> TaskResult | None:
-        """The result of an open task, or None while the task is not over on this host."""
+        """The result of a task that is open in the control plane; None if it has not ended on this host."""
         if task is not None and not task.is_open:
             return TaskResult(order.id, target, RESULT_STATES[task.state], task.why)
         if why := self.rejections.get((order.id, target)):
             return TaskResult(order.id, target, "refused", why)
         if self._completed_before_loss(order, target):
             return TaskResult(order.id, target, "done", "")
-        is_over = bool(order.halted_by) or order.remaining <= 0
-        if task is None and state == STARTED_STATE and is_over:
+        is_order_over = bool(order.halted_by) or order.remaining <= 0
+        if task is None and state == STARTED_STATE and is_order_over:
             # The task would stay open for ever: this agent no longer knows that it was started.
             return TaskResult(order.id, target, "failed", "the agent lost its state file after the start")
         return None
@@ -153,7 +155,7 @@
     # Responses.
 
     def apply_response(self, now: int, sent_at: int, response: HeartbeatResponse) -> list[Order]:
-        """Apply a response to the heartbeat of `sent_at`. Returns the orders that are new here."""
+        """Apply the response to a heartbeat that was sent at `sent_at`. Returns newly accepted orders."""
         is_first = not self.permit_holder.synchronized
         stored_limits = dict(self.permit_holder.generations)
         if not self.permit_holder.receive_response(now, sent_at, response):
@@ -167,31 +169,31 @@
         for instance in self.supervisor.instances:
             if instance.name in self.permit_holder.generations:
                 instance.generation_limit = self.permit_holder.generations[instance.name]
-        accepted = self._apply_orders(now, response.orders)
+        accepted_orders = self._apply_orders(now, response.orders)
         open_ids = {assigned.id for assigned in response.orders}
         self._cancel_orders_that_ended(now, open_ids)
         self.rejections = {key: why for key, why in self.rejections.items() if key[0] in open_ids}
-        return accepted
+        return accepted_orders
 
     def _apply_orders(self, now: int, assigned_orders: list[AssignedOrder]) -> list[Order]:
-        """Accept, halt or cancel the orders of a response. Returns the orders that are new here."""
-        accepted = []
+        """Accept, halt or cancel the orders of a response. Returns newly accepted orders."""
+        accepted_orders = []
         for assigned in assigned_orders:
             order = self.orders.orders.get(assigned.id)
             if order is None and not assigned.halted_by:
                 order = self._submit_order(now, assigned)
                 if order is not None:
-                    accepted.append(order)
+                    accepted_orders.append(order)
             if order is None:
                 continue
             if assigned.cancelled_by:
                 self.orders.revert(now, order, assigned.cancelled_by)
             elif assigned.halted_by and any(task.state is HostTaskState.WAITING for task in order.tasks):
                 self.orders.cancel(now, order.order_id, assigned.halted_by)
-        return accepted
+        return accepted_orders
 
     def _cancel_orders_that_ended(self, now: int, open_ids: set[str]) -> None:
-        """Cancel waiting tasks of orders that are over in the replicated log: they must not start here."""
+        """Cancel waiting tasks of orders that have ended in the control plane, so that they do not start."""
         ended_orders = [
             task.order
             for task in self.orders.open_tasks
@@ -203,7 +205,7 @@
             self.orders.cancel(now, order.order_id, CONTROL_PLANE)
 
     def _recover_state(self, now: int) -> None:
-        """Skip used generations, and stop the instances that an order had stopped before the loss."""
+        """Skip used generations, and stop the instances that were stopped by an order before the loss."""
         self._skip_used_generations({})
         for instance in self.supervisor.instances:
             permit = self.permit_holder.permits.get(instance.name)
@@ -229,16 +231,16 @@
 
     def _submit_order(self, now: int, assigned: AssignedOrder) -> Order | None:
         """Submit an assigned order; None if the order is refused, or a reserved generation is missing."""
-        requested = self._open_requests(assigned)
-        if not requested or not self._have_generations(requested):
+        requested_instances = self._open_requests(assigned)
+        if not requested_instances or not self._have_generations(requested_instances):
             return None
         try:
             submission = OrderSubmission(
-                assigned.id, assigned.operator, Verb(assigned.verb), requested, assigned.remaining
+                assigned.id, assigned.operator, Verb(assigned.verb), requested_instances, assigned.remaining
             )
             order = self.orders.submit(now, submission)
         except (OrderRejectedError, ValueError) as error:
-            for target, _ in requested:
+            for target, _ in requested_instances:
                 self.rejections[assigned.id, target] = str(error)
             return None
         if not order.is_open:
@@ -257,7 +259,7 @@
             and task.target in self.orders.instances
         )
 
-    def _have_generations(self, requested: tuple[tuple[str, int], ...]) -> bool:
+    def _have_generations(self, requested_instances: tuple[tuple[str, int], ...]) -> bool:
         """Whether each instance has a reserved generation left: accepting an order uses one."""
-        instances = [self.orders.instances[target] for target, _ in requested]
+        instances = [self.orders.instances[target] for target, _ in requested_instances]
         return all(instance.generation < instance.generation_limit for instance in instances)
--- a/oakkeel/agent/replica_file.py
+++ b/oakkeel/agent/replica_file.py
@@ -35,12 +35,12 @@
         self.write_counter = WriteCounter(self.path + ".count", self.store)
 
     def _reset_write_counter(self) -> None:
-        """Start counting writes again: the file is new."""
+        """Start counting writes from zero, for a new file."""
         self.write_counter.reset()
         self.write_counter = WriteCounter(self.path + ".count", self.store)
 
     def load(self) -> DurableState:
-        """Load the state; corrupt state is quarantined, and an empty one loaded. Raises DatabaseError."""
+        """Load the state; quarantine a corrupt file and load an empty state. Raises DatabaseError."""
         try:
             state = storage.load(self.store, self.name, self._new_incarnation())
             storage.check(state)
--- a/oakkeel/agent/request_handlers.py
+++ b/oakkeel/agent/request_handlers.py
@@ -20,7 +20,7 @@
 from oakkeel.log import EventLog
 from oakkeel.units import SECOND
 
-MAX_LISTED_ORDERS = 200
+MAX_LISTED_ORDERS = 200  # in one response
 MAX_QUOTED_LENGTH = 20  # characters of a request that are quoted in an error message
 # The request is of the type that the handler is registered for.
 Handler = Callable[[Key, Any], messages.Response | Awaitable[messages.Response]]
@@ -30,7 +30,7 @@
     """Handlers for all requests that an agent receives."""
 
     def __init__(self, agent: HandlerContext) -> None:
-        """Serve requests on that agent."""
+        """Serve requests on `agent`."""
         self.agent = agent
         self._handlers: dict[type[messages.Request], Handler] = {
             messages.PeerEnvelopesRequest: self._receive_envelopes,
@@ -133,7 +133,7 @@
             return messages.ErrorResponse(
                 "this fleet has a control plane: submit drains, stops and restarts to its leader"
             )
-        is_known = request.order_id in agent.orders.orders
+        is_duplicate = request.order_id in agent.orders.orders
         try:
             submission = OrderSubmission(
                 request.order_id,
@@ -146,11 +146,11 @@
             order = agent.orders.submit(now, submission)
         except OrderRejectedError as error:
             return messages.ErrorResponse(str(error))
-        if order.is_open and not is_known:
+        if order.is_open and not is_duplicate:
             if not agent.save():
                 agent.orders.undo(order)
                 return messages.ErrorResponse(
-                    f"not accepted, as the state file can't be written: {agent.storage_error}"
+                    f"the order is not accepted, as the state file can't be written: {agent.storage_error}"
                 )
             agent.orders.confirm(order)
             _log_order_accepted(agent.log, order)
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -37,8 +37,8 @@
 DEFAULT_MAX_CONNECTIONS = 64
 LISTEN_BACKLOG = 256
 FRAME_HEADER_BYTES = 4
-MAX_SIGNATURE_BYTES = 256  # of a response's frame, around its content
-# Rejected for a key that may only view.
+MAX_SIGNATURE_BYTES = 256  # upper bound of the bytes that signing adds to a response
+# Requests that are rejected if their key may only view.
 ORDER_REQUESTS = (
     messages.OrderRequest,
     messages.CancelOrderRequest,
@@ -57,7 +57,7 @@
     max_connections: int = DEFAULT_MAX_CONNECTIONS
     timeout_ns: int = 10 * SECOND  # for a whole request, and for the client to read a response
     max_accepts: int = 16  # new connections in one pass of the event loop
-    rejection_log_interval_ns: int = SECOND  # between two log lines
+    rejection_log_interval_ns: int = SECOND  # between two log lines of rejections
 
 
 class AgentServer:
@@ -78,7 +78,7 @@
         self.limits = limits or ServerLimits()
         self.connections: dict[IOStream, asyncio.Task[None]] = {}  # oldest first
         self.rejection_logged_at = 0
-        self.rejected = 0
+        self.rejection_count = 0  # since the last log line
         self.socket = socket.socket()
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.setblocking(False)
@@ -108,7 +108,7 @@
                 self.connections[stream] = asyncio.ensure_future(self._serve(stream))
 
     def _close_oldest(self) -> None:
-        """Close the oldest connection: its client had the most time for a request."""
+        """Close the oldest connection, whose client has had the most time to send a request."""
         oldest_stream = next(iter(self.connections))
         del self.connections[oldest_stream]
         oldest_stream.close()
@@ -180,11 +180,11 @@
             return messages.ErrorResponse("internal error of the agent; its log has the cause")
 
     def _log_rejection(self, why: str) -> None:
-        """Log the number of rejections since the last such line, at most once per interval."""
-        self.rejected += 1
+        """Log the number of rejections since the last log line of a rejection, at most once per interval."""
+        self.rejection_count += 1
         now = time.monotonic_ns()
         is_due = now - self.rejection_logged_at >= self.limits.rejection_log_interval_ns
         if is_due or not self.rejection_logged_at:
-            self.log.warning("message_rejected", error=why, refused=self.rejected)
+            self.log.warning("message_rejected", error=why, refused=self.rejection_count)
             self.rejection_logged_at = now
-            self.rejected = 0
+            self.rejection_count = 0
--- a/oakkeel/agent/state_writer.py
+++ b/oakkeel/agent/state_writer.py
@@ -22,7 +22,7 @@
         self.instances = orders.supervisor.instances
         self.permit_holder = orders.permit_holder
         self.assignments = reconciler.assignments if reconciler else None
-        self.storage_error = ""
+        self.storage_error = ""  # reason the last write failed; empty if it succeeded
 
     def save(self) -> bool:
         """Write the changed state; return False if that fails, and the next call retries."""
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -22,15 +22,15 @@
 from oakkeel.units import MS, SECOND
 
 MIN_HEARTBEAT_INTERVAL_NS = 150 * MS
-HEARTBEAT_INTERVAL_PER_HOST_NS = MS // 2
+HEARTBEAT_INTERVAL_PER_HOST_NS = MS // 2  # the interval grows with the number of hosts in the fleet
 HEARTBEAT_TIMEOUT_NS = 800 * MS
-COALESCING_DELAY_NS = 5 * MS  # before a heartbeat for a change, to include changes that follow at once
+COALESCING_DELAY_NS = 5 * MS  # before a heartbeat that reports a change, to include changes soon after it
 PROBE_INTERVAL_NS = 400 * MS
 PROBE_TIMEOUT_NS = 400 * MS
 
 
 class StatusReporter:
-    """Sends a host's heartbeats to the leader and applies its responses."""
+    """Sends a host's heartbeats to the leader and applies the leader's responses."""
 
     def __init__(
         self,
@@ -52,8 +52,9 @@
         self.locator = LeaderLocator(control_plane_of(fleet).hosts, host_names)
         self.raft: RaftRuntime | None = None
         self.clients: dict[str, AuthenticatedClient] = {}
-        self.last_response_at = 0  # monotonic; 0: never
-        self.why = "no heartbeat was sent yet"  # reason the last heartbeat has no accepted response
+        self.last_response_at = 0  # time of the last accepted response, monotonic; 0: none yet
+        # Reason the last heartbeat has no accepted response; empty if it has one.
+        self.why = "no heartbeat was sent yet"
         self.wake = asyncio.Event()
         self.interval_ns = max(MIN_HEARTBEAT_INTERVAL_NS, HEARTBEAT_INTERVAL_PER_HOST_NS * len(fleet.hosts))
 
@@ -125,7 +126,7 @@
 
 
 async def probe(service: Service, services: DownstreamServices, on_change: Callable[[], None]) -> None:
-    """Probe whether a downstream service accepts connections, until cancelled."""
+    """Probe whether a downstream service accepts connections, until this task is cancelled."""
     while True:
         is_up = await _accepts_connections(service.address)
         was_up = services.is_up[service.name]
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -20,10 +20,10 @@
 # `start_at` the time before which the instance is not started, `failures` the consecutive crashes, `deaths`
 # the crash times, `resting` whether the restarts are exhausted. `orders`: `place` is the sequence number,
 # `taken` the time of acceptance, `asked` the requested instances. `parts` are tasks: `replaces` is the
-# generation of the process that a restart ends. `places` are permits: `thing` is the target, `fence` the
+# generation of the process that a restart replaces. `places` are permits: `thing` is the target, `fence` the
 # highest fencing token, `begun` whether the permit was started. `reserved`: `upto` is the highest reserved
-# generation. `fitting` has the version assignments, `heard` the epoch of the replicated log that the permits
-# belong to. `ident` is the ID of an order.
+# generation. `fitting` holds the version assignments, `heard` the epoch of the replicated log that granted
+# the permits. `ident` is the ID of an order.
 SCHEMA = """
 CREATE TABLE boot (id TEXT NOT NULL);
 CREATE TABLE instances (name TEXT PRIMARY KEY, generation INTEGER, changed INTEGER, changed_by TEXT,
@@ -92,7 +92,7 @@
         order.verb.value,
         order.accepted_at,
         order.expires_at,
-        json.dumps(order.requested),
+        json.dumps(order.requested_instances),
     )
     return (PUT_ORDER, values)
 
@@ -105,7 +105,7 @@
         task.state.value,
         task.state_since,
         task.why,
-        task.replaces_generation,
+        task.replaced_generation,
     )
     return (PUT_TASK, values)
 
@@ -113,36 +113,36 @@
 def restore_instances(store: Database, instances: dict[str, Instance], is_same_boot: bool) -> None:
     """Restore stored instances. After a reboot, times of the monotonic clock are invalid."""
     for row in store.read("SELECT * FROM instances"):
-        each = instances.get(row[0])
-        if each is None:
-            continue  # not in the settings any more; the row stays, in case the instance is added again
+        instance = instances.get(row[0])
+        if instance is None:
+            continue  # no longer in the settings; the row stays, in case the instance is added again
         (
             _,
-            each.generation,
-            each.changed_at,
-            each.changed_by,
-            each.process_generation,
+            instance.generation,
+            instance.changed_at,
+            instance.changed_by,
+            instance.process_generation,
             spawned,
             goal,
             phase,
             kill,
-            each.start_not_before,
-            each.consecutive_crashes,
+            instance.start_not_before,
+            instance.consecutive_crashes,
             crash_times_json,
             resting,
-            each.why,
+            instance.why,
         ) = row
-        each.spawned = bool(spawned)
-        each.kill_after_drain = bool(kill)
-        each.restarts_exhausted = bool(resting)
-        each.goal = Goal(goal)
-        each.phase = Phase(phase)
-        each.crash_times = deque(json.loads(crash_times_json))
+        instance.spawned = bool(spawned)
+        instance.kill_after_drain = bool(kill)
+        instance.restarts_exhausted = bool(resting)
+        instance.goal = Goal(goal)
+        instance.phase = Phase(phase)
+        instance.crash_times = deque(json.loads(crash_times_json))
         if not is_same_boot:
-            each.start_not_before = 0
-            each.consecutive_crashes = 0
-            each.restarts_exhausted = False
-            each.crash_times.clear()
+            instance.start_not_before = 0
+            instance.consecutive_crashes = 0
+            instance.restarts_exhausted = False
+            instance.crash_times.clear()
 
 
 def restore_orders(store: Database, orders: OrderRegistry) -> None:
@@ -151,13 +151,17 @@
     for order_id, operator, verb, accepted_at, expires_at, requested_json in store.read(
         "SELECT ident, operator, verb, taken, expires, asked FROM orders ORDER BY place"
     ):
-        requested = tuple((name, generation) for name, generation in json.loads(requested_json))
-        restored[order_id] = Order(order_id, operator, Verb(verb), accepted_at, expires_at, requested)
-    for order_id, name, generation, state, since, why, replaces in store.read("SELECT * FROM parts"):
+        requested_instances = tuple((name, generation) for name, generation in json.loads(requested_json))
+        restored[order_id] = Order(
+            order_id, operator, Verb(verb), accepted_at, expires_at, requested_instances
+        )
+    for order_id, name, generation, state, since, why, replaced_generation in store.read(
+        "SELECT * FROM parts"
+    ):
         instance = orders.instances.get(name)
         if instance is not None and order_id in restored:
-            # Whether a drain was sent is not stored. It counts as sent for a started task: with a process
-            # that does not answer, the task would otherwise wait for a report until its order expires.
+            # Whether a drain was sent is not stored. The drain of a started task counts as sent: if the
+            # process does not answer, the task would otherwise wait for a report until its order expires.
             restored[order_id].tasks.append(
                 Task(
                     restored[order_id],
@@ -166,15 +170,15 @@
                     HostTaskState(state),
                     since,
                     why,
-                    drain_sent=bool(replaces),
-                    replaces_generation=replaces,
+                    drain_sent=bool(replaced_generation),
+                    replaced_generation=replaced_generation,
                 )
             )
     orders.restore(list(restored.values()))
 
 
 def permit_statements(permit_holder: PermitHolder) -> list[Statement]:
-    """The statements that write changed permits, and the replicated log that they belong to."""
+    """The statements that write changed permits, and the epoch of the replicated log that granted them."""
     statements: list[Statement] = []
     for target in sorted(permit_holder.changed):
         permit = permit_holder.permits.get(target)
@@ -214,7 +218,7 @@
 
 
 def assignment_statements(assignments: VersionAssignments) -> list[Statement]:
-    """The statement that writes the versions of the targets, their sources and the versions before them."""
+    """The statement that writes the version assignments: versions, sources and earlier versions."""
     if not assignments.changed:
         return []
     return [
@@ -226,7 +230,7 @@
 
 
 def restore_assignments(store: Database, assignments: VersionAssignments) -> None:
-    """Restore which versions the targets run."""
+    """Restore the version assignments of the targets."""
     for (content,) in store.read("SELECT content FROM fitting"):
         assignments.restore(
             *msgspec.msgpack.decode(
--- a/oakkeel/agent/supervision_rules.py
+++ b/oakkeel/agent/supervision_rules.py
@@ -23,7 +23,7 @@
     start_timeout_ns: int = 10 * SECOND  # without a first report, until an instance is silent
     stuck_timeout_ns: int = 30 * SECOND  # of silence, until stuck: longer than any client timeout
     restart_stuck: bool = True
-    drain_timeout_ns: int = 10 * SECOND  # from SIGTERM to SIGKILL
+    drain_timeout_ns: int = 10 * SECOND  # between the drain and SIGKILL
     min_backoff_ns: int = 500 * MS  # before the first restart; doubled by each consecutive crash
     max_backoff_ns: int = 30 * SECOND
     steady_after_ns: int = 30 * SECOND  # of service, until earlier crashes no longer count as consecutive
@@ -37,7 +37,7 @@
         return self.drain_timeout_ns * NODE_DRAIN_PERCENT // 100
 
 
-# Fields by the names that the parser of the settings gives them.
+# Fields of `SupervisionTimeouts` by their names in the parsed settings.
 FIELD_OF_SETTING = {
     "silent": "silence_timeout_ns",
     "start": "start_timeout_ns",
@@ -54,7 +54,7 @@
 
 
 def timeouts_from_settings(settings: Mapping[str, int | bool]) -> SupervisionTimeouts:
-    """The timeouts of the settings, with defaults for missing ones."""
+    """The timeouts in the settings, with defaults for missing settings."""
     fields = {FIELD_OF_SETTING[name]: value for name, value in settings.items()}
     return replace(SupervisionTimeouts(), **fields)  # type: ignore[arg-type]
 
@@ -74,7 +74,7 @@
     """When a crashed instance may be started again."""
 
     start_not_before: int
-    restarts_exhausted: bool  # the start waits until the oldest crash leaves the restart window
+    restarts_exhausted: bool  # whether the start waits until the oldest crash leaves the restart window
 
 
 def decide_restart(
@@ -104,25 +104,25 @@
         crash_times.popleft()
 
 
-def wants_start(now: int, instance: Instance) -> bool:
-    """Whether an instance without a process is to be started by now."""
+def is_start_due(now: int, instance: Instance) -> bool:
+    """Whether the start of an instance without a process is due."""
     return instance.goal is Goal.UP and now >= instance.start_not_before
 
 
 def has_generation_left(instance: Instance) -> bool:
-    """Whether a start may use a generation: no generation is ever used for two processes."""
-    was_never_started = not instance.spawned and instance.process_generation != 0
-    return instance.generation < instance.generation_limit or was_never_started
+    """Whether a generation is left for a start: two processes never have the same generation."""
+    is_last_generation_unused = not instance.spawned and instance.process_generation != 0
+    return instance.generation < instance.generation_limit or is_last_generation_unused
 
 
 def next_drain_action(now: int, instance: Instance, timeouts: SupervisionTimeouts) -> Action | None:
     """The action that is due for a draining instance; a kill is due only after the drain timeout."""
-    since_sent = now - instance.drain_sent_at
+    time_since_drain_sent = now - instance.drain_sent_at
     if instance.is_drain_cancelled:
-        return Action.CANCEL_DRAIN if since_sent >= CANCEL_DRAIN_RETRY_INTERVAL_NS else None
+        return Action.CANCEL_DRAIN if time_since_drain_sent >= CANCEL_DRAIN_RETRY_INTERVAL_NS else None
     if not instance.drain_sent_at:
         return Action.DRAIN if instance.is_drain_cancellable else Action.TERM
-    if instance.kill_after_drain and since_sent >= timeouts.drain_timeout_ns:
+    if instance.kill_after_drain and time_since_drain_sent >= timeouts.drain_timeout_ns:
         return Action.KILL
     return None
 
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -1,7 +1,7 @@
 """The state machine of a host's instances: it applies the rules of `supervision_rules`. Free of I/O.
 
 Its caller reports events (`report_received`, `process_exited`, ...), calls `tick` periodically and executes
-the steps that it returns. Only the end of a process proves that an instance is down, never its silence.
+the returned steps. Only the end of its process shows that an instance is down; missing reports do not.
 A process is killed only after it was asked to drain and the drain timeout has expired.
 """
 
@@ -18,11 +18,11 @@
     decide_restart,
     has_generation_left,
     is_silent,
+    is_start_due,
     is_stuck,
     is_unavailable,
     next_drain_action,
     remove_old_crashes,
-    wants_start,
 )
 from oakkeel.control.messages import NodeStatus
 from oakkeel.errors import InvalidTransitionError
@@ -39,7 +39,7 @@
 
 
 class Supervisor:
-    """The instances of one host. `max_unavailable` is the host's part of the budget of each site."""
+    """Supervises the instances of one host. `max_unavailable` is the host's part of each site's budget."""
 
     def __init__(
         self,
@@ -55,11 +55,11 @@
         self.max_unavailable = max_unavailable
         self.unix_time = unix_time
         self.random = Random(seed).random
-        self.unavailable = dict.fromkeys({each.site for each in self.instances}, 0)  # by site
+        self.unavailable = dict.fromkeys({instance.site for instance in self.instances}, 0)  # count by site
         self.starting_count = 0
-        for each in self.instances:
-            self.unavailable[each.site] += is_unavailable(each)
-            self.starting_count += each.phase is Phase.STARTING
+        for instance in self.instances:
+            self.unavailable[instance.site] += is_unavailable(instance)
+            self.starting_count += instance.phase is Phase.STARTING
 
     # Events.
 
@@ -68,7 +68,7 @@
     ) -> None:
         """Apply the report of a node; a report of another generation is ignored."""
         if not instance.alive:
-            return  # sent before its process ended
+            return  # the report was sent before the process ended
         if generation != instance.process_generation:
             instance.why = (
                 f"received a report of generation {generation}, expected {instance.process_generation}"
@@ -106,12 +106,13 @@
         instance.report = None
         if not instance.alive:
             self._transition(now, instance, Phase.STARTING)
-        instance.drain_sent_at = 0  # a drain is sent again: it is idempotent, and may not have arrived
+        # A drain is sent again: it is idempotent, and the earlier drain may not have arrived.
+        instance.drain_sent_at = 0
 
     def process_not_found(self, now: int, instance: Instance, recorded_generation: int) -> None:
         """Record that an instance has no process when the agent starts.
 
-        `recorded_generation` in the pid file shows whether a process of that generation was ever started.
+        `recorded_generation`, from the pid file, shows whether a process of the last generation was started.
         """
         if not instance.alive:
             return
@@ -121,7 +122,7 @@
             self.start_abandoned(now, instance)
 
     def start_abandoned(self, now: int, instance: Instance) -> None:
-        """Record that a start was decided and no process was started."""
+        """Record that a start was decided, but no process was started."""
         instance.start_not_before = now
         self._transition(now, instance, Phase.STOPPED)
 
@@ -188,7 +189,7 @@
             instance.drain_sent_at = 0
 
     def revert_unsent_drain(self, now: int, instance: Instance, reported_state: str) -> None:
-        """Revert a drain that was not sent to the process. `reported_state` is the last state it reported."""
+        """Revert a drain that was not sent. `reported_state` is the last state that the process reported."""
         instance.goal = Goal.UP
         instance.dirty = True
         instance.is_drain_cancellable = False
@@ -232,7 +233,7 @@
         return None
 
     def _may_start(self, now: int, instance: Instance) -> bool:
-        if not wants_start(now, instance):
+        if not is_start_due(now, instance):
             return False
         if not has_generation_left(instance):
             instance.why = "no reserved generation is left; it is started once the leader reserves more"
@@ -259,7 +260,7 @@
         return True
 
     def _start(self, now: int, instance: Instance) -> None:
-        """Begin a start with a new generation, or with the last one if no process ever used it."""
+        """Begin a start with a new generation, or with the last generation if no process has used it."""
         if instance.spawned or not instance.process_generation:
             instance.generation += 1
             instance.process_generation = instance.generation
@@ -278,7 +279,7 @@
             self._transition(now, instance, Phase.DRAINING)
 
     def _transition(self, now: int, instance: Instance, phase: Phase) -> None:
-        """Change the phase; no other function does. Raises InvalidTransitionError."""
+        """Change the phase of an instance; no other function changes it. Raises InvalidTransitionError."""
         if phase not in TRANSITIONS[instance.phase]:
             raise InvalidTransitionError(instance.name, instance.phase.value, phase.value)
         self.unavailable[instance.site] -= is_unavailable(instance)
--- a/oakkeel/agent/target_status.py
+++ b/oakkeel/agent/target_status.py
@@ -9,7 +9,7 @@
 from oakkeel.rollout.sequential import Sums
 
 NO_REPORT_AGE = -1
-SUMS_LENGTH = 3  # count, sum and sum of squares
+SUMS_LENGTH = 3  # count, sum and sum of squares of a sampled quantity
 MAX_SUMMARY_LENGTH = 200  # characters
 
 
@@ -47,7 +47,7 @@
 
 
 def in_flight_summary(instance: Instance) -> str:
-    """The requests in flight of a draining node, for display; empty if it does not drain."""
+    """The requests in flight of a draining node, for display; empty if the node does not drain."""
     report = instance.report
     if instance.phase is not Phase.DRAINING or report is None or not report.open_requests:
         return ""
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -123,9 +123,9 @@
         generation: int = 0,
         supersede: bool = False,
     ) -> dict[str, messages.TaskStatus]:
-        requested = [(name, generation or await self.current_generation(name)) for name in names]
+        requested_instances = [(name, generation or await self.current_generation(name)) for name in names]
         response = await self.send_request(
-            messages.OrderRequest(order_id, verb, requested, 30 * SECOND, supersede), operator
+            messages.OrderRequest(order_id, verb, requested_instances, 30 * SECOND, supersede), operator
         )
         self.assertIsInstance(response, messages.OrderStatus, response)
         return {task.instance: task for task in response.tasks}
--- a/tests/agent/simulated_host.py
+++ b/tests/agent/simulated_host.py
@@ -65,10 +65,10 @@
         lifetime_ns: int = 60 * SECOND,
         supersede: bool = False,
     ):
-        requested = tuple(
+        requested_instances = tuple(
             (each.name, each.generation if generation is None else generation) for each in instances
         )
-        submission = OrderSubmission(order_id, operator, verb, requested, lifetime_ns, supersede)
+        submission = OrderSubmission(order_id, operator, verb, requested_instances, lifetime_ns, supersede)
         return self.orders.submit(self.now, submission)
 
     def crash(self, instance: Instance) -> None:
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -171,13 +171,15 @@
     def test_rejects_malformed_orders(self):
         host = self.serving_host()
         instance = host.instances[0]
-        for requested in (
+        for requested_instances in (
             (),
             ((instance.name, 1), (instance.name, 1)),
             tuple((f"x{n}", 1) for n in range(9)),
         ):
             with self.assertRaises(OrderRejectedError):
-                host.orders.submit(host.now, OrderSubmission("o1", "asha", Verb.STOP, requested, SECOND))
+                host.orders.submit(
+                    host.now, OrderSubmission("o1", "asha", Verb.STOP, requested_instances, SECOND)
+                )
         unknown = OrderSubmission("o1", "asha", Verb.STOP, (("x", 1),), SECOND)
         self.assertEqual(host.orders.submit(host.now, unknown).tasks, [])
 
--- a/tests/agent/test_raft_runtime.py
+++ b/tests/agent/test_raft_runtime.py
@@ -37,7 +37,7 @@
     def commit(self) -> None:
         self.proposal.status = ProposalStatus.COMMITTED
         self.proposal.result = "committed"
-        self.runtime._proposal_decided(self.proposal)
+        self.runtime._complete_proposal(self.proposal)
 
     async def test_a_proposal_that_is_cancelled_as_it_is_committed_is_cancelled(self):
         for turns in (0, 1):
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -37,5 +37,5 @@
         restore_orders(store, restored)
 
         [task] = restored.open_tasks
-        self.assertEqual((task.state, task.replaces_generation), (HostTaskState.ACTING, 3))
+        self.assertEqual((task.state, task.replaced_generation), (HostTaskState.ACTING, 3))
         self.assertIs(task.drain_sent, True)
