--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -71,13 +71,13 @@
     phase: Phase = Phase.STOPPED
     phase_since: int = 0  # time of the last change of the phase
     generation: int = 0  # incremented by each start and each accepted order
-    changed_at: int = 0  # time of the last increment of `generation`, in Unix nanoseconds, for display
-    changed_by: str = ""  # operator and verb of that increment, or the agent
-    process_generation: int = 0  # generation of the current process, or of the last one
+    changed_at: int = 0  # time of the last start or accepted order, in Unix nanoseconds, for display
+    changed_by: str = ""  # operator and verb of that order, or the agent
+    process_generation: int = 0  # generation of the current or the last process
     spawned: bool = False  # whether the current or last process is known to have been started
     last_report_at: int = 0
     report: NodeStatus | None = None  # the last report of its process
-    drain_sent_at: int = 0  # when the drain was last sent to its process; 0: not yet
+    drain_sent_at: int = 0  # time at which its process was last sent the drain; 0: not yet
     kill_after_drain: bool = False  # whether its process is killed when the drain timeout expires
     start_not_before: int = 0  # time before which the instance is not started
     consecutive_crashes: int = 0  # reset once the instance has served for `steady_after_ns`
@@ -89,7 +89,7 @@
     running_version: str = ""  # release version of its process, as of the start or the last report
     is_drain_cancellable: bool = False  # whether its drain is sent over the control link
     is_drain_cancelled: bool = False  # whether a cancellation of its drain is not confirmed yet
-    generation_limit: int = MAX_GENERATION  # highest generation that the control plane has reserved
+    generation_limit: int = MAX_GENERATION  # highest generation that is reserved for the instance
     task: Task | None = None  # task of the open order on the instance
     dirty: bool = False  # whether the instance has changed since the last write
 
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -25,7 +25,7 @@
 from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.units import MS, SECOND
 
-WAIT = 20.0
+WAIT = 20.0  # timeout of each wait, in seconds
 SHORT_TIMEOUTS = SupervisionTimeouts(
     silence_timeout_ns=400 * MS,
     start_timeout_ns=3 * SECOND,
@@ -54,7 +54,7 @@
         self.addAsyncCleanup(self.kill_nodes)
 
     async def kill_nodes(self) -> None:
-        """Kill the fake nodes, each only while it holds the lock of its instance."""
+        """Kill the fake nodes; a node is killed only while it holds the lock of its instance."""
         os.makedirs(self.host.state, exist_ok=True)
         processes = Processes(self.host.state, lambda process, why: None)
         for name in ("n1", "n2", "n3"):
@@ -64,16 +64,19 @@
         processes.close()
 
     def script(self, name: str, behavior: str) -> None:
+        """Set the behaviour of an instance's fake node; empty: the node serves."""
         os.makedirs(self.host.state, exist_ok=True)
         with open(os.path.join(self.host.state, f"{name}.script"), "w") as file:
             file.write(behavior)
 
     def read_journal(self, name: str) -> list[list[str]]:
+        """The events that the fake nodes of an instance have recorded."""
         with contextlib.suppress(OSError), open(os.path.join(self.host.state, f"{name}.journal")) as file:
             return [line.split() for line in file]
         return []
 
     def starts(self, name: str) -> list[int]:
+        """The generations of an instance that were started, in order."""
         return [int(line[1]) for line in self.read_journal(name) if line[0] == "start"]
 
     async def agent(self, timeouts: SupervisionTimeouts = SHORT_TIMEOUTS, **options) -> Agent:
@@ -104,6 +107,7 @@
             await asyncio.sleep(0.01)
 
     async def serving(self, agent: Agent) -> None:
+        """Wait until all instances of an agent serve."""
         await self.wait_until(lambda: all(each.phase is Phase.SERVING for each in agent.supervisor.instances))
 
     def instance(self, agent: Agent, name: str):
@@ -123,6 +127,7 @@
         generation: int = 0,
         supersede: bool = False,
     ) -> dict[str, messages.TaskStatus]:
+        """Submit an order for the current generations, or for `generation`; returns its tasks by instance."""
         requested_instances = [(name, generation or await self.current_generation(name)) for name in names]
         response = await self.send_request(
             messages.OrderRequest(order_id, verb, requested_instances, 30 * SECOND, supersede), operator
--- a/tests/agent/simulated_host.py
+++ b/tests/agent/simulated_host.py
@@ -11,11 +11,11 @@
 from oakkeel.control.messages import NodeStatus
 from oakkeel.units import MS, SECOND
 
-REPORT = NodeStatus(0, "", 0, 0, "", "", 0)
+EMPTY_REPORT = NodeStatus(0, "", 0, 0, "", "", 0)
 
 
 class SimulatedHost:
-    """A host in simulated time: steps are executed at once, and processes behave as the test says."""
+    """A host in simulated time: steps are executed at once, and the test sets the behaviour of processes."""
 
     def __init__(self, instance_count: int = 4, max_unavailable: int = 1, **timeouts) -> None:
         self.now = 1000 * SECOND
@@ -28,11 +28,12 @@
             lambda: 1_790_000_000 * SECOND + self.now,
         )
         self.orders = CheckedOrderRegistry(self.supervisor, time.time_ns)
-        self.steps: list[tuple[Action, Instance]] = []
+        self.steps: list[tuple[Action, Instance]] = []  # all executed steps
         self.silent: set[Instance] = set()  # instances whose processes send no reports
         self.ignoring_drain: set[Instance] = set()  # instances whose processes end only when killed
 
     def tick(self) -> list[tuple[Action, Instance]]:
+        """Advance the orders and execute the steps that are due; returns the steps."""
         self.orders.advance(self.now)
         steps = [(step.action, step.instance) for step in self.supervisor.tick(self.now)]
         self.steps += steps
@@ -45,13 +46,14 @@
         return steps
 
     def run(self, seconds: float, step: int = 100 * MS, state: str = "serving") -> None:
+        """Advance the time in steps of `step` nanoseconds; running processes report `state` in each step."""
         end = self.now + int(seconds * SECOND)
         while self.now < end:
             self.now += step
             for instance in self.instances:
                 if instance.alive and instance.phase is not Phase.DRAINING and instance not in self.silent:
                     self.supervisor.report_received(
-                        self.now, instance, state, instance.process_generation, REPORT
+                        self.now, instance, state, instance.process_generation, EMPTY_REPORT
                     )
             self.tick()
 
@@ -79,14 +81,20 @@
     """Checks at each start of a task that it does not exceed the disruption budget."""
 
     def _start_task(self, now, task) -> None:
-        before = self.supervisor.unavailable["woodbrook"]
+        unavailable_before = self.supervisor.unavailable["woodbrook"]
         super()._start_task(now, task)
-        after = self.supervisor.unavailable["woodbrook"]
-        assert after <= max(before, self.supervisor.max_unavailable["woodbrook"]), (before, after)
+        unavailable_after = self.supervisor.unavailable["woodbrook"]
+        assert unavailable_after <= max(unavailable_before, self.supervisor.max_unavailable["woodbrook"]), (
+            unavailable_before,
+            unavailable_after,
+        )
 
 
 class HostTestCase(unittest.TestCase):
+    """A test case with a simulated host."""
+
     def serving_host(self, **options) -> SimulatedHost:
+        """A host whose instances all serve, with no steps recorded."""
         host = SimulatedHost(**options)
         host.run(3)
         self.assertEqual({each.phase for each in host.instances}, {Phase.SERVING})
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -1,4 +1,4 @@
-"""Tests of the cycle of an agent."""
+"""Tests of the reconciliation cycle of an agent."""
 
 import unittest
 from unittest import mock
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -89,23 +89,25 @@
     async def test_never_signals_or_adopts_a_reused_pid(self):
         agent = await self.agent()
         await self.serving(agent)
-        with subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) as unrelated:
+        with subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) as unrelated_process:
             with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
-                file.write(f"{unrelated.pid} 1\n")
-            self.assertIsNone(agent.processes.adopt("n1"))  # it does not hold the lock
-            pidfd = os.pidfd_open(unrelated.pid)
-            earlier = Process("n1", unrelated.pid, read_start_ticks(unrelated.pid) - 1, 1, pidfd)
-            agent.processes.watched[pidfd] = earlier
-            self.assertFalse(agent.processes.signal(earlier, signal.SIGKILL))
+                file.write(f"{unrelated_process.pid} 1\n")
+            self.assertIsNone(agent.processes.adopt("n1"))  # the process does not hold the lock
+            pidfd = os.pidfd_open(unrelated_process.pid)
+            earlier_process = Process(
+                "n1", unrelated_process.pid, read_start_ticks(unrelated_process.pid) - 1, 1, pidfd
+            )
+            agent.processes.watched[pidfd] = earlier_process
+            self.assertFalse(agent.processes.signal(earlier_process, signal.SIGKILL))
             del agent.processes.watched[pidfd]
             os.close(pidfd)
-            self.assertIsNone(unrelated.poll())
-            unrelated.communicate(b"\n")
+            self.assertIsNone(unrelated_process.poll())
+            unrelated_process.communicate(b"\n")
         with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
             file.write(f"{agent.running_processes[self.instance(agent, 'n1')].pid} 1\n")
 
     async def test_second_agent_of_a_host_exits_with_the_reason(self):
-        first = await asyncio.create_subprocess_exec(
+        first_agent = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "oakkeel.fakes.crashing",
@@ -113,20 +115,20 @@
             "wb1",
             stderr=subprocess.PIPE,
         )
-        await asyncio.wait_for(first.stderr.readline(), WAIT)
-        second = await asyncio.create_subprocess_exec(
+        await asyncio.wait_for(first_agent.stderr.readline(), WAIT)
+        second_agent = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "oakkeel.agent", self.site.settings, "wb1", stderr=subprocess.PIPE
         )
-        _, error = await asyncio.wait_for(second.communicate(), WAIT)
+        _, error = await asyncio.wait_for(second_agent.communicate(), WAIT)
         self.assertEqual(
-            (second.returncode, error.decode()),
-            (2, f"oakkeel: another agent already runs for wb1: process {first.pid}\n"),
+            (second_agent.returncode, error.decode()),
+            (2, f"oakkeel: another agent already runs for wb1: process {first_agent.pid}\n"),
         )
-        first.terminate()
-        await first.communicate()
-        self.assertEqual(first.returncode, 0)
+        first_agent.terminate()
+        await first_agent.communicate()
+        self.assertEqual(first_agent.returncode, 0)
 
-    async def test_next_agent_adopts_running_processes_and_restarts_ended_ones(self):
+    async def test_next_agent_adopts_running_processes_and_restarts_ended_instances(self):
         agent = await self.agent()
         await self.serving(agent)
         pids = {each.name: process.pid for each, process in agent.running_processes.items()}
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -1,4 +1,4 @@
-"""Tests of orders to an agent with real processes, which is also killed at each durable step."""
+"""Tests of orders to an agent with real processes, also with a crash of the agent at each durable step."""
 
 import asyncio
 import contextlib
@@ -40,7 +40,7 @@
         self.assertIn(f"{accepted.operator}'s {accepted.verb} is open since", refused.tasks[0].why)
         self.assertEqual(await self.wait_for_final_states(accepted.order_id), {"n1": "done"})
 
-    async def test_rolling_restart_respects_the_limit_and_starts_each_once(self):
+    async def test_rolling_restart_respects_the_budget_and_starts_each_instance_once(self):
         # A stall of the event loop must not make instances silent, which would count as unavailable too.
         agent = await self.agent(replace(SHORT_TIMEOUTS, silence_timeout_ns=30 * SECOND))
         await self.serving(agent)
@@ -75,13 +75,13 @@
         self.assertEqual(await self.wait_for_final_states(), {"n1": "done"})
         self.assertEqual((self.instance(next_agent, "n1").phase, self.starts("n1")), (Phase.STOPPED, [1]))
 
-    async def test_full_disk_rejects_orders_and_supervision_continues(self):
+    async def test_rejects_orders_and_continues_supervision_while_the_disk_is_full(self):
         os.makedirs(self.host.state, exist_ok=True)
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
         store.connection.execute("PRAGMA max_page_count = 1")  # no page can be added
-        for number in range(200):  # until the existing pages have no free space
+        for number in range(200):  # orders fill the free space of the existing pages
             generation = await self.current_generation("n2")
             response = await self.send_request(
                 messages.OrderRequest(f"f{number}", "start", [("n2", generation)], SECOND)
@@ -100,7 +100,7 @@
         await self.submit_order("restart", "n2", order_id="later")
         self.assertEqual(await self.wait_for_final_states("later"), {"n2": "done"})
 
-    async def test_read_only_state_file_rejects_orders(self):
+    async def test_rejects_orders_while_the_state_file_is_read_only(self):
         os.makedirs(self.host.state, exist_ok=True)
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
@@ -113,21 +113,21 @@
         )
 
     async def test_executes_an_order_once_when_killed_at_any_durable_step(self):
-        """Each step is tested with a separate agent and folder, several at a time."""
+        """Tests each step with a separate agent and folder; several steps are tested at the same time."""
         semaphore = asyncio.Semaphore(8)
 
         async def run_limited(step: int) -> bool:
             async with semaphore:
                 return await self.run_with_crash_at(step)
 
-        unreached, step = [], 1
-        while not any(unreached):
-            unreached = await asyncio.gather(*(run_limited(each) for each in range(step, step + 16)))
+        never_reached, step = [], 1
+        while not any(never_reached):
+            never_reached = await asyncio.gather(*(run_limited(each) for each in range(step, step + 16)))
             step += 16
-        self.assertGreater(step - 16 + unreached.index(True), 14)
+        self.assertGreater(step - 16 + never_reached.index(True), 14)
 
     async def run_with_crash_at(self, step: int) -> bool:
-        """Check that a restart is executed once; return whether the agent never reached the step."""
+        """Check that a restart is executed once if the agent crashes at `step`; return True if it never did."""
         folder = os.path.join(self.folder, f"at{step}")
         os.mkdir(folder)
         site = FakeSite(
@@ -161,7 +161,7 @@
         step: int,
         agents: list[asyncio.subprocess.Process],
     ) -> None:
-        """Order a restart and wait for its end; the first agent dies at `step`, those after it do not."""
+        """Order a restart and wait for its end; the first agent crashes at `step`, later agents do not."""
         deadline, is_accepted = time.monotonic() + 2 * WAIT, False
         while time.monotonic() < deadline:
             if not agents or agents[-1].returncode is not None:
@@ -170,7 +170,7 @@
                 status = await asyncio.wait_for(request_once(address, key, messages.HostStatusRequest()), 1)
                 instance = status.instances[0]
                 if not is_accepted and instance.phase == "serving":
-                    # Without a response the order is sent again: the sender can't know whether it arrived.
+                    # The order is sent again until a response arrives: the first one may have been lost.
                     order = messages.OrderRequest("o1", "restart", [("n1", 1)], 30 * SECOND)
                     response = await asyncio.wait_for(request_once(address, key, order), 1)
                     is_accepted = response.tasks[0].state != "refused"
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -12,7 +12,7 @@
 
 
 class OrderRegistryTest(HostTestCase):
-    def test_orders_respect_the_limit_and_continue_as_capacity_returns(self):
+    def test_orders_respect_the_budget_and_continue_as_instances_serve_again(self):
         host = self.serving_host(max_unavailable=2)
         order = host.submit(Verb.RESTART, *host.instances)
         most_unavailable = 0
@@ -30,11 +30,13 @@
         host.run(5)
         self.assertEqual(order.tasks[0].state, HostTaskState.WAITING)
         # An unavailable instance needs no budget.
-        drain = host.submit(Verb.DRAIN, host.instances[0], order_id="o2")
+        drain_order = host.submit(Verb.DRAIN, host.instances[0], order_id="o2")
         host.run(0.2)
-        self.assertEqual((drain.tasks[0].state, host.instances[0].phase), (HostTaskState.DONE, Phase.STOPPED))
+        self.assertEqual(
+            (drain_order.tasks[0].state, host.instances[0].phase), (HostTaskState.DONE, Phase.STOPPED)
+        )
 
-    def test_first_of_two_orders_for_one_generation_wins(self):
+    def test_accepts_the_first_of_two_orders_for_one_generation_and_refuses_the_second(self):
         host = self.serving_host()
         instance = host.instances[0]
         seen_generation = instance.generation
@@ -90,7 +92,7 @@
         self.assertIn("changed by the agent", order.tasks[0].why)
         self.assertEqual(instance.phase, Phase.SERVING)
 
-    def test_stop_of_a_crashed_instance_starts_nothing(self):
+    def test_stop_of_a_crashed_instance_prevents_its_restart(self):
         host = self.serving_host()
         instance = host.instances[0]
         host.crash(instance)
@@ -116,17 +118,26 @@
             (Phase.SERVING, [Action.TERM, Action.START]),
         )
 
-    def test_stop_kills_and_drain_does_not(self):
+    def test_stop_kills_an_instance_after_the_drain_timeout_and_drain_does_not(self):
         host = self.serving_host(max_unavailable=2, drain_timeout_ns=5 * SECOND)
-        drained, stopped = host.instances[:2]
-        host.ignoring_drain |= {drained, stopped}
-        drain = host.submit(Verb.DRAIN, drained, lifetime_ns=30 * SECOND)
-        host.submit(Verb.STOP, stopped, order_id="o2")
+        drained_instance, stopped_instance = host.instances[:2]
+        host.ignoring_drain |= {drained_instance, stopped_instance}
+        drain_order = host.submit(Verb.DRAIN, drained_instance, lifetime_ns=30 * SECOND)
+        host.submit(Verb.STOP, stopped_instance, order_id="o2")
         host.run(40)
-        self.assertEqual(host.steps, [(Action.TERM, drained), (Action.TERM, stopped), (Action.KILL, stopped)])
-        self.assertEqual((drain.tasks[0].state, drained.phase), (HostTaskState.FAILED, Phase.DRAINING))
+        self.assertEqual(
+            host.steps,
+            [
+                (Action.TERM, drained_instance),
+                (Action.TERM, stopped_instance),
+                (Action.KILL, stopped_instance),
+            ],
+        )
+        self.assertEqual(
+            (drain_order.tasks[0].state, drained_instance.phase), (HostTaskState.FAILED, Phase.DRAINING)
+        )
 
-    def test_cancels_waiting_tasks_and_reports_started_ones(self):
+    def test_cancel_ends_waiting_tasks_and_reports_started_tasks(self):
         host = self.serving_host(max_unavailable=1)
         host.ignoring_drain.update(host.instances)
         order = host.submit(Verb.STOP, *host.instances[:2])
@@ -139,7 +150,7 @@
         with self.assertRaises(OrderRejectedError):
             host.orders.cancel(host.now, "o9", "ravi")
 
-    def test_expires_a_task_without_capacity_in_time(self):
+    def test_expires_a_task_that_the_budget_never_allows(self):
         host = self.serving_host(max_unavailable=0)
         order = host.submit(Verb.STOP, host.instances[0], lifetime_ns=3 * SECOND)
         host.run(4)
@@ -157,13 +168,13 @@
         self.assertEqual(order.tasks[0].state, HostTaskState.FAILED)
         self.assertIn("SIGSEGV", order.tasks[0].why)
 
-    def test_undo_leaves_no_trace_of_an_order(self):
+    def test_undo_reverts_all_changes_of_an_order(self):
         host = self.serving_host(max_unavailable=4)
         instance = host.instances[0]
         open_order = host.submit(Verb.STOP, instance, operator="ravi")
-        before = instance.generation, instance.changed_by
+        generation_and_author = instance.generation, instance.changed_by
         host.orders.undo(host.submit(Verb.START, instance, order_id="o2", supersede=True))
-        self.assertEqual((instance.generation, instance.changed_by), before)
+        self.assertEqual((instance.generation, instance.changed_by), generation_and_author)
         self.assertIs(instance.task, open_order.tasks[0])
         host.run(1)
         self.assertEqual((open_order.tasks[0].state, instance.phase), (HostTaskState.DONE, Phase.STOPPED))
@@ -200,7 +211,7 @@
         super().__init__()
         self.host = SimulatedHost(instance_count=5, max_unavailable=2, max_starting=5)
         self.host.run(2)
-        self.number = 0
+        self.number = 0  # of the last order
 
     @rule(
         verb=st.sampled_from(list(Verb)),
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the agent's server: authentication, limits of connections, long responses."""
+"""Tests of the agent's server: authentication, the limit of connections and long responses."""
 
 import asyncio
 import contextlib
@@ -39,23 +39,23 @@
             return await asyncio.wait_for(reader.readexactly(length), WAIT)
         return b""
 
-    async def test_rejects_replayed_altered_and_foreign_messages(self):
+    async def test_rejects_replayed_altered_and_malformed_frames_and_wrong_keys(self):
         agent = await self.agent()
         await self.serving(agent)
-        recorded: list[bytes] = []
+        sent_frames: list[bytes] = []
         with mock.patch(
             "oakkeel.authentication.client.frame",
-            lambda content: recorded.append(frame(content)) or recorded[-1],
+            lambda content: sent_frames.append(frame(content)) or sent_frames[-1],
         ):
             await self.send_request(messages.OrderRequest("o1", "start", [("n1", 1)], SECOND))
         generation = self.instance(agent, "n1").generation
-        for malformed in (
-            recorded[0],
-            recorded[0][:-1] + bytes([recorded[0][-1] ^ 1]),
+        for rejected_frame in (
+            sent_frames[0],
+            sent_frames[0][:-1] + bytes([sent_frames[0][-1] ^ 1]),
             frame(b"what"),
             (1 << 30).to_bytes(4, "big"),
         ):
-            hello, response = await self.exchange_frames(malformed)
+            hello, response = await self.exchange_frames(rejected_frame)
             self.assertTrue(hello.startswith(HELLO))
             self.assertEqual(response, REFUSED)
         wrong_key = Key("asha-1", "asha", Role.ACT, os.urandom(32))
@@ -63,7 +63,7 @@
             await request_once(self.host.agent, wrong_key, messages.HostStatusRequest())
         self.assertEqual(self.instance(agent, "n1").generation, generation)
         rejections = [line for line in self.log_output.getvalue().splitlines() if "message_rejected" in line]
-        self.assertLessEqual(len(rejections), 2)  # at most one line a second
+        self.assertLessEqual(len(rejections), 2)  # at most one log line per second
 
     async def test_viewer_may_not_send_orders(self):
         agent = await self.agent()
@@ -75,16 +75,16 @@
         self.assertEqual(response.why, "lena may only view")
         self.assertEqual(self.instance(agent, "n1").generation, 1)
 
-    async def test_partial_messages_and_too_many_connections_affect_no_other_client(self):
+    async def test_partial_frames_and_too_many_connections_do_not_affect_other_clients(self):
         agent = await self.agent()
         await self.serving(agent)
-        partial = [await asyncio.open_connection(*self.host.agent) for _ in range(80)]
-        for _, writer in partial:
+        partial_connections = [await asyncio.open_connection(*self.host.agent) for _ in range(80)]
+        for _, writer in partial_connections:
             writer.write(b"\x00\x00")
         for _ in range(10):
             self.assertIsInstance(await self.send_request(messages.HostStatusRequest()), messages.HostStatus)
         self.assertLessEqual(len(agent.server.connections), agent.server.limits.max_connections)
-        for _, writer in partial:
+        for _, writer in partial_connections:
             writer.close()
 
     async def test_rotates_keys_while_serving(self):
@@ -112,7 +112,7 @@
                     with self.assertRaises(AgentRejectedError):
                         await request_once(self.host.agent, key, messages.HostStatusRequest())
 
-    async def test_reports_a_host_of_a_thousand_instances(self):
+    async def test_sends_the_status_of_a_host_with_a_thousand_instances(self):
         status = messages.HostStatus(
             "wb1",
             "woodbrook",
@@ -153,7 +153,7 @@
         self.assertEqual(len(response.instances), 1000)
         server.close()
 
-    async def test_reports_an_agent_past_the_deadline_as_unknown(self):
+    async def test_reports_an_agent_that_answers_after_the_deadline_as_unknown(self):
         async def respond_late(reader, writer):
             tasks.append(asyncio.current_task())
             writer.write(frame(HELLO + b"c" * 16))
@@ -193,7 +193,7 @@
 
     async def asyncSetUp(self) -> None:
         self.requests: asyncio.Queue[bytes] = asyncio.Queue()
-        self.handled = 0
+        self.handled_count = 0
         authenticator = mock.Mock()
         authenticator.verify.return_value = (Key("asha-1", "asha", Role.ACT, b""), b"request")
         authenticator.sign.return_value = b"response"
@@ -205,7 +205,7 @@
         self.enterContext(mock.patch.object(self.server, "_respond", self.respond))
 
     async def respond(self, key: Key, content: bytes) -> messages.Response:
-        self.handled += 1
+        self.handled_count += 1
         return messages.ErrorResponse("none")
 
     async def test_a_connection_that_is_cancelled_as_a_request_arrives_is_cancelled(self):
@@ -218,7 +218,7 @@
         task = asyncio.ensure_future(self.server._serve(stream))
         self.requests.put_nowait(b"request")
         await let_run()
-        self.assertEqual(self.handled, 1)
+        self.assertEqual(self.handled_count, 1)
         self.assertTrue(await ends_cancelled(task, lambda: stream.written.set_result(None)))
 
     async def test_a_client_that_always_sends_does_not_block_the_event_loop(self):
@@ -228,9 +228,9 @@
             self.requests.put_nowait(b"request")
         task = asyncio.ensure_future(self.server._serve(FakeStream(written)))
         handled_counts = [0]
-        while self.handled < 100:
+        while self.handled_count < 100:
             await asyncio.sleep(0)
-            handled_counts.append(self.handled)
+            handled_counts.append(self.handled_count)
         task.cancel()
         await asyncio.wait([task])
         self.assertEqual(max(after - before for before, after in itertools.pairwise(handled_counts)), 1)
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -28,14 +28,14 @@
         folder = self.enterContext(tempfile.TemporaryDirectory())
         store = Database(os.path.join(folder, "agent.db"), SCHEMA, VERSION)
         self.addCleanup(store.close)
-        stored, restored = make_registry(), make_registry()
+        registry, restored_registry = make_registry(), make_registry()
         submission = OrderSubmission("o1", "asha", Verb.RESTART, (("n1", 3),), 60 * SECOND)
-        order = stored.submit(SECOND, submission)
-        stored.advance(SECOND)
+        order = registry.submit(SECOND, submission)
+        registry.advance(SECOND)
         store.write(order_statements([], [order], []))
 
-        restore_orders(store, restored)
+        restore_orders(store, restored_registry)
 
-        [task] = restored.open_tasks
+        [task] = restored_registry.open_tasks
         self.assertEqual((task.state, task.replaced_generation), (HostTaskState.ACTING, 3))
         self.assertIs(task.drain_sent, True)
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -5,7 +5,7 @@
 from oakkeel.agent.instances import Phase, Verb
 from oakkeel.agent.supervision_rules import Action
 from oakkeel.units import MS, SECOND
-from tests.agent.simulated_host import REPORT, HostTestCase, SimulatedHost
+from tests.agent.simulated_host import EMPTY_REPORT, HostTestCase, SimulatedHost
 
 
 class SupervisorTest(HostTestCase):
@@ -38,7 +38,7 @@
         host.run(5)
         self.assertEqual(host.steps, [(Action.TERM, stuck), (Action.KILL, stuck), (Action.START, stuck)])
 
-    def test_leaves_a_stuck_instance_where_restart_stuck_is_off(self):
+    def test_does_not_restart_a_stuck_instance_if_restart_stuck_is_off(self):
         host = self.serving_host(stuck_timeout_ns=5 * SECOND, restart_stuck=False)
         host.silent.add(host.instances[0])
         host.run(60)
@@ -46,18 +46,20 @@
 
     def test_backs_off_in_a_crash_loop_until_the_budget_is_spent(self):
         host = self.serving_host(max_restarts=4, restart_window_ns=300 * SECOND, min_backoff_ns=SECOND)
-        crashing, starts = host.instances[0], []
+        crashing, start_times = host.instances[0], []
         for _ in range(2000):
             if crashing.phase is Phase.STARTING:
-                starts.append(host.now)
+                start_times.append(host.now)
             if crashing.alive:
                 host.crash(crashing)
             host.now += 100 * MS
             host.tick()
-        intervals = [after - before for before, after in pairwise(starts)]
-        for crashes, interval in enumerate(intervals[:4]):  # jitter leaves at least half of the backoff
+        intervals = [after - before for before, after in pairwise(start_times)]
+        for crashes, interval in enumerate(
+            intervals[:4]
+        ):  # with jitter, a delay is at least half of its backoff
             self.assertGreaterEqual(interval, SECOND << crashes >> 1)
-        self.assertLessEqual(len(starts), 4)
+        self.assertLessEqual(len(start_times), 4)
         self.assertTrue(crashing.restarts_exhausted)
         host.submit(Verb.START, crashing)
         host.tick()
@@ -83,7 +85,7 @@
         last_report_at = instance.last_report_at
         host.now += SECOND // 2
         host.supervisor.report_received(
-            host.now, instance, "draining", instance.process_generation - 1, REPORT
+            host.now, instance, "draining", instance.process_generation - 1, EMPTY_REPORT
         )
         self.assertEqual((instance.phase, instance.last_report_at), (Phase.SERVING, last_report_at))
         expected = instance.process_generation
@@ -93,11 +95,11 @@
         host = self.serving_host()
         host.crash(host.instances[0])
         host.supervisor.report_received(
-            host.now, host.instances[0], "serving", host.instances[0].process_generation, REPORT
+            host.now, host.instances[0], "serving", host.instances[0].process_generation, EMPTY_REPORT
         )
         self.assertEqual(host.instances[0].phase, Phase.FAILING)
 
-    def test_counts_a_crash_where_the_process_wrote_its_generation(self):
+    def test_counts_a_crash_if_the_missing_process_had_written_its_generation(self):
         host = SimulatedHost()
         host.tick()
         started = host.instances[0]
