--- a/oakkeel/agent/downstream_services.py
+++ b/oakkeel/agent/downstream_services.py
@@ -47,7 +47,7 @@
             else:
                 self.permit_holder.mark_unavailable(name)
 
-    def results(self) -> list[TaskResult]:
+    def task_results(self) -> list[TaskResult]:
         """Results of orders on services: a task is done once its service is down."""
         return [
             TaskResult(order.id, task.target, "done", "")
--- a/oakkeel/agent/host_status.py
+++ b/oakkeel/agent/host_status.py
@@ -72,10 +72,10 @@
         messages.TaskStatus(task.instance.name, task.state.value, max(0, now - task.state_since), task.why)
         for task in order.tasks
     ]
-    listed = {task.instance for task in tasks}
+    listed_names = {task.instance for task in tasks}
     tasks += [
         messages.TaskStatus(name, HostTaskState.REFUSED.value, 0, "this host has no such instance")
         for name, _ in order.requested_instances
-        if name not in listed
+        if name not in listed_names
     ]
     return messages.OrderStatus(order.order_id, order.operator, order.verb.value, order.accepted_at, tasks)
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -123,11 +123,11 @@
 
 OPEN_HOST_TASK_STATES = (HostTaskState.WAITING, HostTaskState.ACTING)
 OPEN_HOST_TASK_STATE_VALUES = tuple(state.value for state in OPEN_HOST_TASK_STATES)
-FINAL_STATES = frozenset(HostTaskState) - set(OPEN_HOST_TASK_STATES) - {HostTaskState.REFUSED}
+FINAL_HOST_TASK_STATES = frozenset(HostTaskState) - set(OPEN_HOST_TASK_STATES) - {HostTaskState.REFUSED}
 TASK_TRANSITIONS = {
-    HostTaskState.WAITING: {HostTaskState.ACTING} | FINAL_STATES,
-    HostTaskState.ACTING: FINAL_STATES - {HostTaskState.EXPIRED},
-    **{state: frozenset() for state in FINAL_STATES},
+    HostTaskState.WAITING: {HostTaskState.ACTING} | FINAL_HOST_TASK_STATES,
+    HostTaskState.ACTING: FINAL_HOST_TASK_STATES - {HostTaskState.EXPIRED},
+    **{state: frozenset() for state in FINAL_HOST_TASK_STATES},
     HostTaskState.REFUSED: frozenset(),
 }
 
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -100,7 +100,7 @@
             task.state = HostTaskState.REFUSED
             task.why = why
             return
-        task.undo_snapshot = _snapshot(instance)
+        task.undo_snapshot = _snapshot_instance(instance)
         changed_by = f"{order.operator}: {order.verb.value}"
         if instance.task is not None:
             why = f"by {order.operator}, {order.verb.value}"
@@ -122,7 +122,7 @@
         for task in order.tasks:
             if task.undo_snapshot is None:
                 continue
-            _restore(task.instance, task.undo_snapshot)
+            _restore_instance(task.instance, task.undo_snapshot)
             self.open_tasks.remove(task)
         self.orders.pop(order.order_id, None)
         self.changed.discard(order)
@@ -269,7 +269,7 @@
     return registered_order
 
 
-def _snapshot(instance: Instance) -> InstanceSnapshot:
+def _snapshot_instance(instance: Instance) -> InstanceSnapshot:
     """The fields of an instance that accepting an order changes, for `undo`."""
     task = instance.task
     return InstanceSnapshot(
@@ -280,13 +280,13 @@
     )
 
 
-def _restore(instance: Instance, snapshot: InstanceSnapshot) -> None:
+def _restore_instance(instance: Instance, snapshot: InstanceSnapshot) -> None:
     instance.generation = snapshot.generation
     instance.changed_at = snapshot.changed_at
     instance.changed_by = snapshot.changed_by
-    superseded = snapshot.superseded_task
-    instance.task = superseded.task if superseded else None
-    if superseded:
-        superseded.task.state = superseded.state
-        superseded.task.state_since = superseded.state_since
-        superseded.task.why = superseded.why
+    superseded_task = snapshot.superseded_task
+    instance.task = superseded_task.task if superseded_task else None
+    if superseded_task:
+        superseded_task.task.state = superseded_task.state
+        superseded_task.task.state_since = superseded_task.state_since
+        superseded_task.task.why = superseded_task.why
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -68,10 +68,10 @@
     def build_heartbeat(self, now: int) -> Heartbeat:
         """Build the next heartbeat: states of targets, results of tasks and generations to reserve."""
         self.services.advance(now)
-        serving = dict(self.services.is_up)
+        is_serving = dict(self.services.is_up)
         generation_limits: dict[str, int] = {}
         for instance in self.supervisor.instances:
-            serving[instance.name] = instance.phase is Phase.SERVING
+            is_serving[instance.name] = instance.phase is Phase.SERVING
             self._update_permit(instance)
             if self._needs_generations(instance):
                 generation_limits[instance.name] = instance.generation + self.generation_block
@@ -79,7 +79,7 @@
             each.name: summary for each in self.supervisor.instances if (summary := in_flight_summary(each))
         }
         heartbeat = self.permit_holder.heartbeat(
-            now, serving, self._task_results(), generation_limits, in_flight
+            now, is_serving, self._task_results(), generation_limits, in_flight
         )
         if self.assignments.active:
             heartbeat.extension = self.assignments.encode_report(self._target_statuses(now))
@@ -87,8 +87,10 @@
 
     def _needs_generations(self, instance: Instance) -> bool:
         """Whether less than half a block of reserved generations is left for an instance."""
-        reserved = self.permit_holder.generations.get(instance.name, 0)
-        return not self.is_state_lost and instance.generation + self.generation_block // 2 > reserved
+        reserved_generation = self.permit_holder.generations.get(instance.name, 0)
+        return (
+            not self.is_state_lost and instance.generation + self.generation_block // 2 > reserved_generation
+        )
 
     def _target_statuses(self, now: int) -> list[TargetStatus]:
         """The versions and performance of this host's targets, for the rollout controller."""
@@ -110,7 +112,7 @@
 
     def _task_results(self) -> list[TaskResult]:
         """The results of tasks that are open in the control plane and have ended on this host."""
-        results = self.services.results()
+        task_results = self.services.task_results()
         for order in self.permit_holder.orders.values():
             registered_order = self.orders.orders.get(order.id)
             tasks = {task.instance.name: task for task in registered_order.tasks} if registered_order else {}
@@ -119,8 +121,8 @@
                 if assigned_task.state not in OPEN_FLEET_TASK_STATES or target in self.services.is_up:
                     continue
                 if result := self._task_result(order, target, assigned_task.state, tasks.get(target)):
-                    results.append(result)
-        return results
+                    task_results.append(result)
+        return task_results
 
     def _task_result(
         self, order: AssignedOrder, target: str, state: str, task: Task | None
@@ -156,50 +158,52 @@
 
     def apply_response(self, now: int, sent_at: int, response: HeartbeatResponse) -> list[Order]:
         """Apply the response to a heartbeat that was sent at `sent_at`. Returns newly accepted orders."""
-        is_first = not self.permit_holder.synchronized
-        stored_limits = dict(self.permit_holder.generations)
+        is_first_response = not self.permit_holder.synchronized
+        stored_generation_limits = dict(self.permit_holder.generations)
         if not self.permit_holder.receive_response(now, sent_at, response):
             return []
         self.assignments.handle_response(response.extension)
         if self.is_state_lost:
             self._recover_state(now)
-        elif is_first:
-            self._skip_used_generations(stored_limits)
+        elif is_first_response:
+            self._skip_used_generations(stored_generation_limits)
         self.services.advance(now)
         for instance in self.supervisor.instances:
             if instance.name in self.permit_holder.generations:
                 instance.generation_limit = self.permit_holder.generations[instance.name]
         accepted_orders = self._apply_orders(now, response.orders)
-        open_ids = {assigned.id for assigned in response.orders}
-        self._cancel_orders_that_ended(now, open_ids)
-        self.rejections = {key: why for key, why in self.rejections.items() if key[0] in open_ids}
+        open_order_ids = {assigned_order.id for assigned_order in response.orders}
+        self._cancel_orders_that_ended(now, open_order_ids)
+        self.rejections = {key: why for key, why in self.rejections.items() if key[0] in open_order_ids}
         return accepted_orders
 
     def _apply_orders(self, now: int, assigned_orders: list[AssignedOrder]) -> list[Order]:
         """Accept, halt or cancel the orders of a response. Returns newly accepted orders."""
         accepted_orders = []
-        for assigned in assigned_orders:
-            order = self.orders.orders.get(assigned.id)
-            if order is None and not assigned.halted_by:
-                order = self._submit_order(now, assigned)
+        for assigned_order in assigned_orders:
+            order = self.orders.orders.get(assigned_order.id)
+            if order is None and not assigned_order.halted_by:
+                order = self._submit_order(now, assigned_order)
                 if order is not None:
                     accepted_orders.append(order)
             if order is None:
                 continue
-            if assigned.cancelled_by:
-                self.orders.revert(now, order, assigned.cancelled_by)
-            elif assigned.halted_by and any(task.state is HostTaskState.WAITING for task in order.tasks):
-                self.orders.cancel(now, order.order_id, assigned.halted_by)
+            if assigned_order.cancelled_by:
+                self.orders.revert(now, order, assigned_order.cancelled_by)
+            elif assigned_order.halted_by and any(
+                task.state is HostTaskState.WAITING for task in order.tasks
+            ):
+                self.orders.cancel(now, order.order_id, assigned_order.halted_by)
         return accepted_orders
 
-    def _cancel_orders_that_ended(self, now: int, open_ids: set[str]) -> None:
+    def _cancel_orders_that_ended(self, now: int, open_order_ids: set[str]) -> None:
         """Cancel waiting tasks of orders that have ended in the control plane, so that they do not start."""
         ended_orders = [
             task.order
             for task in self.orders.open_tasks
             if task.state is HostTaskState.WAITING
             and task.order.verb is not Verb.START
-            and task.order.order_id not in open_ids
+            and task.order.order_id not in open_order_ids
         ]
         for order in ended_orders:
             self.orders.cancel(now, order.order_id, CONTROL_PLANE)
@@ -221,45 +225,49 @@
                 self.supervisor.order_stop(now, instance, kill, cancellable=True)
         self.is_state_lost = False
 
-    def _skip_used_generations(self, stored_limits: dict[str, int]) -> None:
+    def _skip_used_generations(self, stored_generation_limits: dict[str, int]) -> None:
         """Skip generations that were reserved beyond the stored limit: any of them may have been used."""
         for instance in self.supervisor.instances:
-            limit = self.permit_holder.generations.get(instance.name, 0)
-            if limit > stored_limits.get(instance.name, 0):
-                instance.generation = max(instance.generation, limit)
+            reserved_generation = self.permit_holder.generations.get(instance.name, 0)
+            if reserved_generation > stored_generation_limits.get(instance.name, 0):
+                instance.generation = max(instance.generation, reserved_generation)
                 instance.dirty = True
 
-    def _submit_order(self, now: int, assigned: AssignedOrder) -> Order | None:
+    def _submit_order(self, now: int, assigned_order: AssignedOrder) -> Order | None:
         """Submit an assigned order; None if the order is refused, or a reserved generation is missing."""
-        requested_instances = self._open_requests(assigned)
-        if not requested_instances or not self._have_generations(requested_instances):
+        requested_instances = self._open_requests(assigned_order)
+        if not requested_instances or not self._have_generation_left(requested_instances):
             return None
         try:
             submission = OrderSubmission(
-                assigned.id, assigned.operator, Verb(assigned.verb), requested_instances, assigned.remaining
+                assigned_order.id,
+                assigned_order.operator,
+                Verb(assigned_order.verb),
+                requested_instances,
+                assigned_order.remaining,
             )
             order = self.orders.submit(now, submission)
         except (OrderRejectedError, ValueError) as error:
             for target, _ in requested_instances:
-                self.rejections[assigned.id, target] = str(error)
+                self.rejections[assigned_order.id, target] = str(error)
             return None
         if not order.is_open:
             for task in order.tasks:
-                self.rejections[assigned.id, task.instance.name] = task.why
+                self.rejections[assigned_order.id, task.instance.name] = task.why
             return None
         return order
 
-    def _open_requests(self, assigned: AssignedOrder) -> tuple[tuple[str, int], ...]:
+    def _open_requests(self, assigned_order: AssignedOrder) -> tuple[tuple[str, int], ...]:
         """The open tasks of an order for instances of this host: names and generations."""
         return tuple(
             (task.target, task.generation)
-            for task in assigned.tasks
+            for task in assigned_order.tasks
             if task.state in OPEN_FLEET_TASK_STATES
-            and (assigned.id, task.target) not in self.rejections
+            and (assigned_order.id, task.target) not in self.rejections
             and task.target in self.orders.instances
         )
 
-    def _have_generations(self, requested_instances: tuple[tuple[str, int], ...]) -> bool:
+    def _have_generation_left(self, requested_instances: tuple[tuple[str, int], ...]) -> bool:
         """Whether each instance has a reserved generation left: accepting an order uses one."""
         instances = [self.orders.instances[target] for target, _ in requested_instances]
         return all(instance.generation < instance.generation_limit for instance in instances)
--- a/oakkeel/agent/topology.py
+++ b/oakkeel/agent/topology.py
@@ -10,24 +10,29 @@
     """Targets by host, and a budget for the fleet, each site and each kind of downstream service."""
     control_plane = fleet.control_plane
     services = control_plane.services if control_plane else ()
-    hosts: dict[str, tuple[str, ...]] = {}
-    sites: dict[str, list[str]] = {site: [] for site in fleet.sites}
-    dependants: dict[str, list[str]] = {service.name: [] for service in services}
+    targets_by_host: dict[str, tuple[str, ...]] = {}
+    instances_by_site: dict[str, list[str]] = {site: [] for site in fleet.sites}
+    dependants_by_service: dict[str, list[str]] = {service.name: [] for service in services}
     for host in fleet.hosts:
         names = [instance.name for instance in host.instances]
-        sites[host.site] += names
-        hosts[host.name] = (*names, *(each.name for each in services if each.host == host.name))
+        instances_by_site[host.site] += names
+        targets_by_host[host.name] = (*names, *(each.name for each in services if each.host == host.name))
         for instance in host.instances:
             for name in instance.downstream:
-                dependants[name].append(instance.name)
-    groups = [BudgetGroup(f"site {site}", fleet.sites[site], tuple(names)) for site, names in sites.items()]
+                dependants_by_service[name].append(instance.name)
+    budget_groups = [
+        BudgetGroup(f"site {site}", fleet.sites[site], tuple(names))
+        for site, names in instances_by_site.items()
+    ]
     if control_plane:
-        instances = tuple(name for names in sites.values() for name in names)
-        groups.append(BudgetGroup("fleet", control_plane.max_unavailable, instances))
-        groups += [
+        instances = tuple(name for names in instances_by_site.values() for name in names)
+        budget_groups.append(BudgetGroup("fleet", control_plane.max_unavailable, instances))
+        budget_groups += [
             BudgetGroup(f"kind {kind}", limit, tuple(each.name for each in services if each.kind == kind))
             for kind, limit in control_plane.kinds.items()
         ]
     return Topology(
-        hosts, tuple(groups), {service: tuple(names) for service, names in dependants.items() if names}
+        targets_by_host,
+        tuple(budget_groups),
+        {service: tuple(names) for service, names in dependants_by_service.items() if names},
     )
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -127,7 +127,7 @@
         self.assertGreater(step - 16 + never_reached.index(True), 14)
 
     async def run_with_crash_at(self, step: int) -> bool:
-        """Check that a restart is executed once if the agent crashes at `step`; return True if it never did."""
+        """Check that a restart is executed once if the agent crashes at `step`; return True if it did not."""
         folder = os.path.join(self.folder, f"at{step}")
         os.mkdir(folder)
         site = FakeSite(
