--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -177,7 +177,7 @@
 
 
 def release_status(now: int, raft: RaftRuntime, release_id: str) -> messages.Response:
-    """The release with that ID; without an ID, the open or the latest release. Raises NotLeaderError."""
+    """The release `release_id`; if empty, the open or the latest release. Raises NotLeaderError."""
     control_plane, allocator = _require_leader(now, raft)
     state_machine = control_plane.state_machine
     controller = control_plane.extension
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -87,7 +87,7 @@
     why: str = ""  # the last error, for display
     crashes_since_agent_start: int = 0
     running_version: str = ""  # release version of its process, as of the start or the last report
-    is_drain_cancellable: bool = False  # whether its drain is sent over the control link
+    is_drain_cancellable: bool = False  # whether its drain is sent over the control link, which can cancel it
     is_drain_cancelled: bool = False  # whether a cancellation of its drain is not confirmed yet
     generation_limit: int = MAX_GENERATION  # highest generation that is reserved for the instance
     task: Task | None = None  # task of the open order on the instance
--- a/oakkeel/agent/launcher.py
+++ b/oakkeel/agent/launcher.py
@@ -19,10 +19,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LaunchedProcess:
-    """A new process and its version; None: no release has assigned a version to its instance."""
+    """A new process and the version that a release has assigned to its instance."""
 
     process: Process
-    version: str | None
+    version: str | None  # None: the process runs the program and configuration of the settings
 
 
 class InstanceLauncher:
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -43,7 +43,7 @@
 
 
 class OrderRegistry:
-    """The open orders of a host and the latest ended ones."""
+    """The open orders of a host and the latest ended orders."""
 
     def __init__(
         self, supervisor: Supervisor, unix_time: Callable[[], int], permit_holder: PermitHolder | None = None
@@ -249,7 +249,7 @@
             task.instance.dirty = True
 
     def _delete_oldest(self) -> None:
-        """Delete the oldest ended orders. A duplicate of one is refused, as its generations are outdated."""
+        """Delete the oldest ended orders. Their duplicates are refused, as the generations are outdated."""
         for order_id, order in list(self.orders.items()):
             if len(self.orders) <= self.max_orders:
                 break
@@ -260,7 +260,7 @@
 
 
 def _check_duplicate(registered_order: Order, submission: OrderSubmission) -> Order:
-    """Return the known order of that ID. Raises OrderRejectedError if the submission differs from it."""
+    """Return the registered order with the same ID. Raises OrderRejectedError if the submission differs."""
     is_same_command = (
         registered_order.operator == submission.operator and registered_order.verb is submission.verb
     )
--- a/oakkeel/agent/peer_sender.py
+++ b/oakkeel/agent/peer_sender.py
@@ -21,7 +21,7 @@
 
 
 class PeerSender:
-    """The queue of envelopes to one peer, and the task that sends them."""
+    """The queue of envelopes to one peer, and the task that sends the envelopes."""
 
     def __init__(
         self,
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -49,7 +49,7 @@
         self.watched: dict[int, Process] = {}  # by pidfd
 
     def path(self, name: str, suffix: str) -> str:
-        """The path of an instance's file with that suffix."""
+        """The path of an instance's file with the suffix `suffix`."""
         return os.path.join(self.folder, f"{name}.{suffix}")
 
     def spawn(self, name: str, generation: int, argv: list[str], variables: dict[str, str]) -> Process:
@@ -81,7 +81,8 @@
             raise ProcessError(str(error)) from error
         finally:
             os.close(lock)  # the child holds the lock
-        child.returncode = 0  # `_handle_exit` waits for the child, so `Popen` must not
+        # `_handle_exit` waits for the child; the exit code keeps the destructor of `Popen` from waiting.
+        child.returncode = 0
         pidfd = os.pidfd_open(child.pid)
         return self._watch(Process(name, child.pid, read_start_ticks(child.pid), generation, pidfd))
 
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -209,7 +209,7 @@
             self.orders.cancel(now, order.order_id, CONTROL_PLANE)
 
     def _recover_state(self, now: int) -> None:
-        """Skip used generations, and stop the instances that were stopped by an order before the loss."""
+        """Skip used generations, and stop the instances that an order stopped before the state was lost."""
         self._skip_used_generations({})
         for instance in self.supervisor.instances:
             permit = self.permit_holder.permits.get(instance.name)
@@ -226,7 +226,7 @@
         self.is_state_lost = False
 
     def _skip_used_generations(self, stored_generation_limits: dict[str, int]) -> None:
-        """Skip generations that were reserved beyond the stored limit: any of them may have been used."""
+        """Skip the generations reserved beyond the stored limits, as any of them may have been used."""
         for instance in self.supervisor.instances:
             reserved_generation = self.permit_holder.generations.get(instance.name, 0)
             if reserved_generation > stored_generation_limits.get(instance.name, 0):
@@ -268,6 +268,6 @@
         )
 
     def _have_generation_left(self, requested_instances: tuple[tuple[str, int], ...]) -> bool:
-        """Whether each instance has a reserved generation left: accepting an order uses one."""
+        """Whether each instance has a reserved generation left, as accepting an order uses a generation."""
         instances = [self.orders.instances[target] for target, _ in requested_instances]
         return all(instance.generation < instance.generation_limit for instance in instances)
--- a/oakkeel/agent/supervision_rules.py
+++ b/oakkeel/agent/supervision_rules.py
@@ -33,7 +33,7 @@
 
     @property
     def node_drain_timeout_ns(self) -> int:
-        """The deadline that a node gets for its drain."""
+        """The time that a node is given for its drain."""
         return self.drain_timeout_ns * NODE_DRAIN_PERCENT // 100
 
 
