--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -21,11 +21,11 @@
 NO_ROLE = "none"
 UNKNOWN_PHASE = "unknown"
 MAX_LISTED_ORDERS = 50
-MAX_LISTED_RELEASES = 5
+MAX_LISTED_RELEASES = 5  # besides the requested release
 
 
 class UnexpectedControlPlaneError(OakkeelError):
-    """The replica runs without releases, which an agent never starts: a defect."""
+    """The replica runs without releases: a defect, as an agent starts each replica with releases."""
 
 
 def raft_status(
@@ -82,7 +82,7 @@
 
 
 def _member_status(now: int, replica: Replica, member: Member) -> messages.MemberStatus:
-    """The lag of a member, and the age of its last acknowledgement; -1: not known to this replica."""
+    """The lag of a member and the age of its last acknowledgement; -1 if this replica does not know them."""
     peer = replica.leader_state.peers.get(member.incarnation) if replica.leader_state else None
     lag = UNKNOWN
     age = UNKNOWN
@@ -177,7 +177,7 @@
 
 
 def release_status(now: int, raft: RaftRuntime, release_id: str) -> messages.Response:
-    """The release with that ID; without an ID, the open or the latest release. Raises NotLeaderError."""
+    """The release `release_id`; if empty, the open or the latest release. Raises NotLeaderError."""
     control_plane, allocator = _require_leader(now, raft)
     state_machine = control_plane.state_machine
     controller = control_plane.extension
