--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -17,6 +17,7 @@
 from oakkeel.stream_buffers import BufferPool, MalformedInputError, ReadBuffer, connect, is_readable, send
 from oakkeel.units import MS, SECOND
 
+# Replies with a body, by the index and the value of the token that marks them.
 WITH_BODY = frozenset({(1, b"DATA")})
 REPLY_OUTCOMES = {
     b"DATA": Outcome.COMPLETED,
@@ -47,16 +48,16 @@
         """End the call; `CallFinished` is posted unless the outcome is None."""
         self.timer.cancel()
         self.link.calls.pop(self.request.request_id, None)
-        self.link.last_used = time.monotonic_ns()
+        self.link.last_used_at = time.monotonic_ns()
         self.request.call = None
         if outcome is not None:
-            self.request.post(CallFinished(outcome, reply, self.link.last_used - self.sent_at))
+            self.request.post(CallFinished(outcome, reply, self.link.last_used_at - self.sent_at))
         self.link.close_if_unused()
 
     def give_up(self, outcome: Outcome | None = Outcome.TIMED_OUT) -> None:
         """End the call without a reply; its link may be broken and takes no further call."""
         if self.link.unsent_lines.pop(self.request.request_id, None) is None:
-            self.link.retired = True
+            self.link.is_retired = True
             self.link.write(b"QUIT %s\r\n" % self.request.request_id)
         elif outcome is not None:
             outcome = Outcome.CONNECT_FAILED  # the call was never sent
@@ -73,11 +74,11 @@
         self.address = address
         self.resource_limits = resource_limits
         self.log = log
-        self.calls: dict[bytes, Call] = {}
-        self.connected = False
-        self.retired = False  # takes no more calls, and closes after its last call
-        self.unmatched_replies = 0  # replies without a call
-        self.last_used = time.monotonic_ns()
+        self.calls: dict[bytes, Call] = {}  # calls in flight, by request ID
+        self.is_connected = False  # stays true after the connection is lost
+        self.is_retired = False  # the link takes no more calls, and closes after its last call
+        self.unmatched_reply_count = 0  # replies without a call
+        self.last_used_at = time.monotonic_ns()
         self.stream = IOStream(socket.socket(), max_write_buffer_size=resource_limits.max_write_backlog)
         self.read_buffer = ReadBuffer(pool)
         self.unsent_lines: dict[bytes, bytes] = {}  # calls made before the connection is open, by request ID
@@ -87,7 +88,7 @@
     async def _serve(self) -> None:
         try:
             await connect(self.stream, self.address)
-            self.connected = True
+            self.is_connected = True
             for line in self.unsent_lines.values():
                 self.write(line)
             self.unsent_lines.clear()
@@ -109,8 +110,8 @@
             self.read_buffer.close()
             if self.reply_timer:
                 self.reply_timer.cancel()
-            # Without a connection no call was sent; after a lost one the calls may have been carried out.
-            outcome = Outcome.RESET if self.connected else Outcome.CONNECT_FAILED
+            # Without a connection no call was sent; calls on a lost connection may have been carried out.
+            outcome = Outcome.RESET if self.is_connected else Outcome.CONNECT_FAILED
             for call in list(self.calls.values()):
                 call.end(outcome)
 
@@ -122,10 +123,10 @@
             call.end(REPLY_OUTCOMES[tokens[1]], body)
             return
         # A duplicate or a reply without a call: the link takes no more calls, but finishes its open calls.
-        self.retired = True
-        self.unmatched_replies += 1
-        if self.unmatched_replies > self.resource_limits.max_unmatched_replies:
-            raise MalformedInputError(f"{self.unmatched_replies} replies without a call")
+        self.is_retired = True
+        self.unmatched_reply_count += 1
+        if self.unmatched_reply_count > self.resource_limits.max_unmatched_replies:
+            raise MalformedInputError(f"{self.unmatched_reply_count} replies without a call")
         self.close_if_unused()
 
     def _limit_partial_reply(self, had_complete_reply: bool) -> None:
@@ -140,7 +141,7 @@
 
     def send_call(self, request_id: bytes, line: bytes) -> None:
         """Send the line of a call, or keep the line until the connection is open."""
-        if self.connected:
+        if self.is_connected:
             self.write(line)
         else:
             self.unsent_lines[request_id] = line
@@ -151,7 +152,7 @@
 
     def close_if_unused(self) -> None:
         """Close a retired link once it has no call in flight."""
-        if self.retired and not self.calls:
+        if self.is_retired and not self.calls:
             self.stream.close()
 
 
@@ -200,7 +201,7 @@
             return
         self.address = address
         for link in self.links:
-            link.retired = True
+            link.is_retired = True
             link.close_if_unused()
 
     def _select_link(self, request: NodeRequest) -> CallLink | None:
@@ -212,12 +213,12 @@
         self._close_idle()
         if self.address is None:
             return None
-        usable = [link for link in self.links if not link.retired and link not in request.used_links]
-        free = [link for link in usable if not link.calls and link.connected]
-        for link in sorted(free, key=lambda link: link.last_used, reverse=True):
+        usable = [link for link in self.links if not link.is_retired and link not in request.used_links]
+        free = [link for link in usable if not link.calls and link.is_connected]
+        for link in sorted(free, key=lambda link: link.last_used_at, reverse=True):
             if not is_readable(link.stream.socket):
                 return link
-            link.retired = True  # closed by the peer, or a reply without a call is unread
+            link.is_retired = True  # closed by the peer, or a reply without a call is unread
             link.close_if_unused()
             usable.remove(link)
         return self._open_link(self.address) or min(usable, key=lambda link: len(link.calls), default=None)
@@ -235,10 +236,10 @@
         return link
 
     def _close_idle(self) -> None:
-        """Remove closed links, and close idle links before the catalogue does, as a call could be lost."""
+        """Remove closed links, and close idle links before the catalogue does and loses a call."""
         now = time.monotonic_ns()
         for link in list(self.links):
-            if not link.calls and now - link.last_used > self.resource_limits.call_idle_timeout:
+            if not link.calls and now - link.last_used_at > self.resource_limits.call_idle_timeout:
                 link.stream.close()
             if link.stream.closed():
                 self.links.remove(link)
--- a/tests/catalogue/test_links.py
+++ b/tests/catalogue/test_links.py
@@ -28,7 +28,7 @@
 
 class CatalogueTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.peers: asyncio.Queue[tuple] = asyncio.Queue()
+        self.peers: asyncio.Queue[tuple] = asyncio.Queue()  # reader and writer of each accepted connection
         self.writers = []
         self.server = await asyncio.start_server(self._accept_connection, "127.0.0.1", 0)
         address = self.server.sockets[0].getsockname()
@@ -83,7 +83,7 @@
         ):
             request = node_request(b"%016x" % len(verb))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
-            if not self.catalogue.links[0].connected:
+            if not self.catalogue.links[0].is_connected:
                 _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
             writer.write(b"%s %s\r\n" % (request.request_id, verb))
             self.assertEqual((await finished_call(request)).outcome, outcome)
@@ -140,7 +140,7 @@
 
     async def test_closes_a_link_past_its_idle_timeout_instead_of_using_it(self):
         request, link = await self._answered_call()
-        link.last_used -= RESOURCE_LIMITS.call_idle_timeout + SECOND
+        link.last_used_at -= RESOURCE_LIMITS.call_idle_timeout + SECOND
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
         self.assertTrue(link.stream.closed())
         self.assertIsNot(self.catalogue.links[0], link)
@@ -174,7 +174,7 @@
 
     async def test_call_without_a_descriptor_fails_to_connect(self):
         # Without a connection the call has not run.
-        def raise_no_descriptor(*words):
+        def raise_no_descriptor(*arguments):
             raise OSError(errno.EMFILE, "forced")
 
         request = node_request()
