--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -16,7 +16,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The node, as its connections see it."""
+    """The methods of the node that its connections call."""
 
     reader: codec.RequestReader | None  # None while the node can't accept requests yet
 
@@ -114,9 +114,9 @@
         # Only after the write: closing the last request shuts down an ending connection.
         self._close_request(request)
 
-    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
-        """Log and count a malformed request: parsing costs time, and too many end the connection."""
-        self._log.warning(event, reason=why or None, request_id=request_id.decode() or None)
+    def report_violation(self, event: str, reason: str = "", request_id: bytes = b"") -> None:
+        """Log and count a violation: parsing costs time, and too many violations end the connection."""
+        self._log.warning(event, reason=reason or None, request_id=request_id.decode() or None)
         self.violations += 1
 
     def disconnect(self, request: NodeRequest) -> None:
@@ -125,7 +125,7 @@
         self._owner.client_disconnected(request)
 
     def detach(self) -> None:
-        """Drop the references to the connection, so that it is in no cycle; no command may follow."""
+        """Drop the references to the connection, which would form a cycle; no command may follow."""
         del self._channel, self._on_idle
 
     def _handle_call(self, tag: int, tokens: list[bytes]) -> None:
@@ -144,7 +144,7 @@
         try:
             request = reader.read(tag, tokens, self._channel)
             if owner.has_request(request.request_id):  # a reused ID must not affect the open request
-                raise codec.MalformedRequestError("the id of an open request", request.request_id)
+                raise codec.MalformedRequestError("req is the ID of an open request", request.request_id)
         except codec.MalformedRequestError as error:
             self._reject_malformed(tag, str(error), error.request_id)
             return
@@ -152,9 +152,9 @@
         self.has_received_request = True
         owner.request_received(request)
 
-    def _reject_malformed(self, tag: int, why: str, request_id: bytes = b"") -> None:
+    def _reject_malformed(self, tag: int, reason: str, request_id: bytes = b"") -> None:
         self._write(codec.encode_answer(tag, codec.FAILED, self._owner.load_report()))
-        self.report_violation("request_malformed", why, request_id)
+        self.report_violation("request_malformed", reason, request_id)
 
     def _close_request(self, request: NodeRequest) -> None:
         if self.open_requests.pop(request.tag, None) and not self.open_requests:
--- a/oakkeel/dispatch/connection.py
+++ b/oakkeel/dispatch/connection.py
@@ -1,7 +1,7 @@
 """One connection of a dispatcher, from its accept to its end, as a state machine.
 
-`connection_state` has its table. `ArrayReader` parses commands, `CommandHandler` carries them out, and
-`AnswerWriter` writes the answers.
+`connection_state` has the states and their transitions. `ArrayReader` parses commands, `CommandHandler`
+carries them out, and `AnswerWriter` writes the answers.
 """
 
 from __future__ import annotations
@@ -99,9 +99,9 @@
         """Write the only answer of a request; `retry_after` is in nanoseconds."""
         self._commands.answer(request, status, body, final, retry_after)
 
-    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
+    def report_violation(self, event: str, reason: str = "", request_id: bytes = b"") -> None:
         """Log a malformed request, and count it against this connection."""
-        self._commands.report_violation(event, why, request_id)
+        self._commands.report_violation(event, reason, request_id)
 
     async def serve(self) -> None:
         """Read commands and write answers until both sides have closed."""
@@ -175,7 +175,8 @@
     def drain(self, timeout: int = 0) -> None:
         """Notify the dispatcher to close the connection after its answers.
 
-        If it does not, the node closes it when idle, after `timeout` nanoseconds (0: the configured timeout).
+        If the dispatcher does not close the connection, the node does so once the connection is idle, after
+        `timeout` nanoseconds (0: the configured timeout).
         """
         if self.state is ConnectionState.OPEN:
             self._lifecycle.change(ConnectionState.DRAINING)
@@ -237,7 +238,7 @@
     def reject_all(self) -> None:
         """Reject all requests, as the connection is over the limit, and drain it after its grace."""
         self._commands.rejects_all = True
-        with contextlib.suppress(BlockingIOError, OSError):  # nothing received yet, or reset: `serve` fails
+        with contextlib.suppress(BlockingIOError, OSError):  # no bytes yet, or a reset: `serve` fails
             self.read_buffer.receive(self.stream.socket)
         self._parse()
         self.drain(self._resource_limits.new_connection_grace)
--- a/oakkeel/engine/commands.py
+++ b/oakkeel/engine/commands.py
@@ -1,4 +1,4 @@
-"""Commands to the engine that a lost connection may take with it."""
+"""Commands to the engine that may be lost with the connection."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     line: bytes
     request: NodeRequest | None  # None for a request for gauges, whose answer confirms earlier commands
     verb: bytes
-    last_notice: int = 0  # number of the last notice for the request when the command was made
-    is_written: bool = False
+    last_notice_number: int = 0  # number of the last notice for the request when the command was made
+    is_written: bool = False  # to the stream of a connection
 
     def must_resend(self) -> bool:
         """Return whether the command has to be sent again on a new connection.
@@ -32,10 +32,10 @@
             return False
         if self.verb == HALT or not self.is_written:
             return True
-        return self.last_notice == request.last_notice and not self.is_uncertain()
+        return self.last_notice_number == request.last_notice_number and not self.is_uncertain()
 
     def is_uncertain(self) -> bool:
-        """Return whether this starts an at-most-once run that the engine may or may not have read."""
+        """Return whether this is the RUN of an at-most-once run that the engine may or may not have read."""
         request = self.request
         return bool(
             request
@@ -43,7 +43,7 @@
             and self.is_written
             and self.verb == RUN
             and request.request_class.at_most_once
-            and self.last_notice == request.last_notice
+            and self.last_notice_number == request.last_notice_number
         )
 
 
@@ -51,7 +51,7 @@
 class GaugeRequest:
     """A request for the engine's gauges that is not answered yet."""
 
-    future: asyncio.Future[list[float]]
+    future: asyncio.Future[list[float]]  # of the gauge values
     command: Command
     sent_at: int  # nanoseconds of the monotonic clock
 
@@ -66,7 +66,7 @@
         # Answered requests for gauges, each with the time of its answer in nanoseconds, the oldest first.
         self.confirmations: deque[tuple[int, Command]] = deque()
         # Requests whose run may be lost, each with the time in nanoseconds at which the request was seen
-        # to be answered; 0: it still awaits its answer.
+        # to be answered; 0: the request still awaits its answer.
         self.uncertain_runs: dict[NodeRequest, int] = {}
 
     def add(self, command: Command) -> None:
@@ -78,8 +78,8 @@
     def confirm(self, marker: Command, now: int) -> None:
         """Drop the commands before an answered request for gauges, once the loss window has passed.
 
-        The engine has read all commands before that request, but the most recent ones may still be lost with
-        the connection.
+        The engine has read all commands before that request, but the most recent commands may still be lost
+        with the connection.
         """
         self.confirmations.append((now, marker))
         while (
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -60,18 +60,18 @@
         self.notices = NoticeHandler(log, self._on_hello, self._on_gauges)
         self.unconfirmed = UnconfirmedCommands(resource_limits)
         self.gauge_requests: dict[bytes, GaugeRequest] = {}  # by tag, the oldest first
-        self.tags = count(1)
+        self.tags = count(1)  # numbers of the requests for gauges on this link
         self.has_greeted = False  # an engine has sent its first greeting
-        self.attached_at = 0  # time of the ATTACH on this connection
-        self.latest_start = 0  # latest possible start time of the engine, by its greetings
+        self.attached_at = 0  # time of the ATTACH on this connection, in monotonic nanoseconds
+        self.latest_start = 0  # latest possible start time of the engine, in monotonic nanoseconds
         self.reattach_tag = b""  # of the gauges that follow all missed notices
-        self.reattach_at = 0
+        self.reattach_at = 0  # time at which these gauges were asked for
         self.handover_tag = b""  # of the gauges that end the connection to the earlier address
         self.stream: IOStream | None = None
         self.connecting: IOStream | None = None  # the stream in use, also while it connects
         self.hello_timer: asyncio.TimerHandle | None = None  # closes a connection without a greeting
         self.open = False  # attached, and all missed notices are read
-        self.losses = 0
+        self.losses = 0  # number of lost connections
         self.loss_reason = ""  # of this connection, for the log; empty: the other side closed it
 
     async def serve(self) -> None:
@@ -189,7 +189,7 @@
         line = b" ".join((verb, request.request_id, arguments)).rstrip() + b"\r\n"
         if body is not None:
             line += body + b"\r\n"
-        command = Command(line, request, verb, last_notice=request.last_notice)
+        command = Command(line, request, verb, last_notice_number=request.last_notice_number)
         self.unconfirmed.add(command)
         if self.open:
             self._write(command)
@@ -264,7 +264,7 @@
         """Fail the runs that the earlier engine may have started; other runs wait for the new engine."""
         unwritten = self.unconfirmed.keep_unwritten_runs()
         self.log.warning("engine_restarted", runs_lost=len(self.notices.runs) - len(unwritten))
-        self.notices.restart(unwritten)
+        self.notices.handle_engine_restart(unwritten)
         if self.stream:
             self._note_loss("engine_restarted")
             self.stream.close()  # its ATTACH named a notice that this engine never sent
--- a/oakkeel/engine/notices.py
+++ b/oakkeel/engine/notices.py
@@ -12,6 +12,7 @@
 from oakkeel.request_events import CallNeeded, RunFinished
 from oakkeel.stream_buffers import MalformedInputError
 
+# Notices with a body, by the index and the value of the token that marks them.
 WITH_BODY = frozenset({(0, DONE), (0, NEED)})
 RUN_OUTCOMES = {
     b"success": Outcome.COMPLETED,
@@ -25,7 +26,7 @@
 
 
 class NoticeHandler:
-    """The runs in the engine, and the handling of its notices."""
+    """Holds the requests that run in the engine, and handles the notices of the engine."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         self.log = log
         self.on_hello = on_hello
         self.on_gauges = on_gauges
-        self.runs: dict[bytes, NodeRequest] = {}
+        self.runs: dict[bytes, NodeRequest] = {}  # requests in the engine, by request ID
         self.last_number = 0  # of the last notice read
 
     def handle(self, tokens: list[bytes], body: bytes) -> None:
@@ -60,7 +61,7 @@
                 if verb == DONE:
                     self.finish(tokens[2], RUN_OUTCOMES[tokens[3]], parse_milliseconds(tokens[4]), body)
                 elif verb == NEED and (request := self.runs.get(tokens[2])):
-                    request.last_notice = number
+                    request.last_notice_number = number
                     request.post(CallNeeded(number, body))
             elif verb == NO:
                 self._handle_rejected_command(tokens[1], tokens[2])
@@ -78,8 +79,8 @@
             request.may_have_run = outcome is not Outcome.NEVER_STARTED
             request.post(RunFinished(outcome, result, service_time))
 
-    def restart(self, unwritten: Container[NodeRequest]) -> None:
-        """End all runs but those of `unwritten` as failed: a restarted engine knows no earlier run.
+    def handle_engine_restart(self, unwritten: Container[NodeRequest]) -> None:
+        """Fail all runs except those of the `unwritten` requests: a restarted engine knows no earlier run.
 
         A restarted engine also numbers its notices from 1 again.
         """
--- a/oakkeel/request.py
+++ b/oakkeel/request.py
@@ -13,7 +13,7 @@
 
 
 class ResponseChannel(Protocol):
-    """The connection of a request, as its handler sees it."""
+    """The methods of a connection that the handler of a request calls."""
 
     def answer(
         self,
@@ -25,7 +25,7 @@
     ) -> None:
         """Write the only answer of the request; `retry_after` is in nanoseconds."""
 
-    def report_violation(self, event: str, why: str = "", request_id: bytes = b"") -> None:
+    def report_violation(self, event: str, reason: str = "", request_id: bytes = b"") -> None:
         """Log a malformed request, with its ID if known, and count it against the connection."""
 
 
@@ -52,7 +52,7 @@
     awaits_answer: bool = True  # until it is answered or its client has disconnected
     may_have_run: bool = False  # passed to the engine, without proof that it had no effect
     in_engine: bool = False  # from the command to run until the notice that the run is over
-    last_notice: int = 0  # number of the engine's last notice for this request
+    last_notice_number: int = 0  # number of the engine's last notice for this request
     call: DownstreamCall | None = None
     unknown_to_engine: bool = False
     used_links: list[object] = field(default_factory=list)  # the links that carried a call of this request
