--- a/oakkeel/dispatch/__init__.py
+++ b/oakkeel/dispatch/__init__.py
@@ -1,7 +1,7 @@
 """The dispatchers' side of a node: their protocol, their connections and the listening socket.
 
 - dispatcher: the load balancer that connects to the node, and sends it the requests of many clients.
-- client: who sent a request to the dispatcher and waits for its answer; known by a number in the field `via`.
-- caller: in settings of fair sharing, the name of that field.
-- peer: another node of the same fleet, or the other side of a link where it does not matter which it is.
+- client: the sender of a request to the dispatcher; the field `via` has the number of the client.
+- caller: the name of the field `via` in the settings of fair sharing.
+- peer: another node of the same fleet, or the other side of any link.
 """
--- a/oakkeel/dispatch/answer_writer.py
+++ b/oakkeel/dispatch/answer_writer.py
@@ -33,7 +33,7 @@
         return self._sending_bytes + len(self._backlog)
 
     def write(self, data: bytes) -> None:
-        """Send at once, or after the write in progress."""
+        """Send `data` at once, or after the write in progress."""
         self.has_written = True
         self._backlog += data
         if not self._sending_bytes:
--- a/oakkeel/dispatch/array_reader.py
+++ b/oakkeel/dispatch/array_reader.py
@@ -1,4 +1,4 @@
-"""Parsing of the commands that a connection receives, and the time since which one is incomplete."""
+"""Parsing of the commands that a connection receives, and the start of the wait for a complete command."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
         self._buffer = buffer
         self._max_tokens = max_tokens
         self._handle = handle
-        self.wait_started_at = time.monotonic_ns()  # of the wait for a complete array; 0: none is expected
+        # Start of the wait for a complete array, in monotonic nanoseconds; 0: no array is expected.
+        self.wait_started_at = time.monotonic_ns()
 
     def handle_received(self) -> bool:
-        """Handle the complete arrays; return whether there was one. Raises MalformedInputError."""
+        """Handle the complete arrays; return whether there was any. Raises MalformedInputError."""
         any_handled = False
         for tokens in parse_arrays(self._buffer, self._max_tokens):
             self._handle(tokens)
--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -55,9 +55,10 @@
 BODY_TOKEN = 4
 CALL_TOKENS = 4
 CALL_TOKENS_WITH_BODY = 5
-MAX_FIELD_NUMBER = 1e15  # exact as a float
+MAX_FIELD_NUMBER = 1e15  # integers up to this limit are exact as floats
 
-# Request fields by their names in the operators' settings of flows; any other name is the field's own.
+# Request fields by their names in the operators' settings of flows. Any other name in these settings is the
+# name of the request field itself.
 FLOW_FIELDS = {"tenant": TENANT_FIELD, "caller": CLIENT_FIELD, "subject": SUBJECT_FIELD}
 
 
@@ -112,7 +113,7 @@
         fields = dict(item.partition(b"=")[::2] for item in tokens[FIELDS_TOKEN].split(b",") if item)
         request_id = fields.get(REQUEST_ID_FIELD, b"")
         if not REQUEST_ID.fullmatch(request_id):
-            raise MalformedRequestError("no id of 16 hexadecimal digits in req")
+            raise MalformedRequestError("req is not an ID of 16 hexadecimal digits")
         try:
             return self._read_fields(
                 tag, tokens[CLASS_TOKEN], request_class, request_id, fields, body, connection
@@ -170,7 +171,9 @@
             return 0
         age = self._unix_ns() - int(self._parse_number(fields, TIMESTAMP_FIELD, MAX_FIELD_NUMBER) * MS)
         if abs(age) > self._resource_limits.max_clock_skew:
-            raise MalformedRequestError("the timestamp in ts is too far from now: check the clock")
+            raise MalformedRequestError(
+                "the timestamp in ts is too far from the clock of this node: check both clocks"
+            )
         return max(0, age)
 
     def _client_timeout(self, fields: dict[bytes, bytes]) -> int:
@@ -189,7 +192,9 @@
         except ValueError:
             value = -1.0
         if not 0 <= value < limit:
-            raise MalformedRequestError(f"no number from 0 to below {limit:g} in {name.decode()}")
+            raise MalformedRequestError(
+                f"{name.decode()} is not a number of at least 0 and less than {limit:g}"
+            )
         return value
 
 
--- a/oakkeel/dispatch/listener.py
+++ b/oakkeel/dispatch/listener.py
@@ -43,7 +43,7 @@
     for connection in (*silent, *idle, *in_grace):
         if connection.is_idle():
             return connection
-    with_incomplete_array = silent  # they are not idle, as they sent a part of an array
+    with_incomplete_array = silent  # those that are not idle have sent a part of an array
     for connection in with_incomplete_array:
         if not (connection.open_requests or connection.unsent_bytes or has_incoming(connection.stream)):
             return connection
@@ -70,13 +70,14 @@
         self.tasks: set[asyncio.Task[None]] = set()
         # Monotonic times of the last activity of connections without a request yet, the oldest first.
         self.without_requests: dict[Connection, int] = {}
-        self.evicted: dict[Connection, None] = {}  # closing, as they are over the limit; the oldest first
+        # Connections that are closing, as they are over the limit; the oldest first.
+        self.evicted: dict[Connection, None] = {}
         self.idle: dict[Connection, int] = {}  # time since which no request is open, the oldest first
         self.idle_timeout = 0  # nanoseconds; 0: idle connections stay
         self.idle_timer: asyncio.TimerHandle | None = None
-        self.sweeper: asyncio.TimerHandle | None = None
-        self.connection_closed = asyncio.Event()
-        self.accepting = False
+        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.connection_closed = asyncio.Event()  # set when a connection is removed
+        self.is_accepting = False
         self.resume_timer: asyncio.TimerHandle | None = None  # resumes accepting after a pause
         self.socket = _bind(address)
         self.address: tuple[str, int] = self.socket.getsockname()
@@ -85,8 +86,8 @@
         """Listen and accept."""
         self.socket.listen(MAX_WAITING_CONNECTIONS)
         asyncio.get_running_loop().add_reader(self.socket, self._accept_batch)
-        self.accepting = True
-        if self.sweeper is None:
+        self.is_accepting = True
+        if self.sweep_timer is None:
             self._sweep()
 
     async def close(self) -> None:
@@ -98,13 +99,13 @@
         a flood of connections would keep the listener open forever.
         """
         for _ in range(MAX_WAITING_CONNECTIONS // self.resource_limits.accepts_per_pass + 1):
-            if self.accepting and not self.resume_timer and not self._accept_batch():
+            if self.is_accepting and not self.resume_timer and not self._accept_batch():
                 break
-            # Evicted connections end in the next pass and free descriptors and buffers for later ones.
+            # Evicted connections end in the next pass and free descriptors and buffers for later connections.
             await asyncio.sleep(self.resource_limits.accept_retry_delay / SECOND if self.resume_timer else 0)
-        if self.accepting:
+        if self.is_accepting:
             asyncio.get_running_loop().remove_reader(self.socket)
-            self.accepting = False
+            self.is_accepting = False
         if self.resume_timer:
             self.resume_timer.cancel()
             self.resume_timer = None
@@ -112,7 +113,7 @@
 
     def reopen(self) -> None:
         """Accept again at the same address. Raises OSError if another process uses it."""
-        if not self.accepting:
+        if not self.is_accepting:
             self.socket = _bind(self.address)
             self.open()
 
@@ -223,7 +224,7 @@
 
     def _sweep(self) -> None:
         """Check all connections for timeouts, and again after an interval."""
-        self.sweeper = asyncio.get_running_loop().call_later(
+        self.sweep_timer = asyncio.get_running_loop().call_later(
             self.resource_limits.sweep_interval / SECOND, self._sweep
         )
         now = time.monotonic_ns()
@@ -245,9 +246,9 @@
         while self.connections or self.evicted:
             self.connection_closed.clear()
             await self.connection_closed.wait()
-        if self.sweeper:
-            self.sweeper.cancel()
-            self.sweeper = None
+        if self.sweep_timer:
+            self.sweep_timer.cancel()
+            self.sweep_timer = None
 
     # Idle connections.
 
--- a/oakkeel/dispatch/progress.py
+++ b/oakkeel/dispatch/progress.py
@@ -11,17 +11,17 @@
 
 
 class Progress:
-    """Set when a request of a connection is finished, an answer is sent, or the stream is closed."""
+    """An event that is set when a request is finished, an answer is sent, or the stream is closed."""
 
     __slots__ = ("_event", "_stream")
 
     def __init__(self, stream: IOStream) -> None:
-        """Start without progress."""
+        """Start with the event not set."""
         self._stream = stream
         self._event = asyncio.Event()
 
     def set(self) -> None:
-        """Wake the reader."""
+        """Set the event, which wakes the reader."""
         self._event.set()
 
     async def wait(self, timeout: int = 0) -> None:
--- a/oakkeel/dispatch/resp.py
+++ b/oakkeel/dispatch/resp.py
@@ -19,7 +19,7 @@
 
 
 class ParsedLength(NamedTuple):
-    """The number of a line, and the position after the line."""
+    """The number in a length line, and the position after the line."""
 
     value: int
     end: int
@@ -57,13 +57,13 @@
     return ParsedArray(tokens, position)
 
 
-def _parse_length(read_buffer: ReadBuffer, position: int, sign: bytes) -> ParsedLength | None:
-    """Return the number after the type byte `sign`; None if the line is incomplete."""
+def _parse_length(read_buffer: ReadBuffer, position: int, type_byte: bytes) -> ParsedLength | None:
+    """Return the number of a line that starts with `type_byte`; None if the line is incomplete."""
     if position == read_buffer.end:
         return None
-    if read_buffer.buffer[position : position + 1] != sign:
+    if read_buffer.buffer[position : position + 1] != type_byte:
         raise MalformedInputError(
-            f"received {bytes(read_buffer.buffer[position : position + 1])!r}, expected {sign!r}"
+            f"received {bytes(read_buffer.buffer[position : position + 1])!r}, expected {type_byte!r}"
         )
     end = read_buffer.buffer.find(LINE_END, position, min(read_buffer.end, position + MAX_LENGTH_BYTES))
     if end < 0:
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -32,10 +32,8 @@
     sweep_interval=600 * SECOND,
 )
 
-
 DRAIN_NOTICE = [b"0", b"last"]
 
-
 TEST_TIMEOUT = 1.5 * WAIT  # seconds from a test's set-up to that of the next
 
 
@@ -46,10 +44,10 @@
 class DispatcherClient:
     """The dispatcher's side of a connection."""
 
-    def __init__(self, address, size: int = 0) -> None:
+    def __init__(self, address, receive_buffer_size: int = 0) -> None:
         self.socket = socket.socket()
-        if size:
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
+        if receive_buffer_size:
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_size)
         self.socket.connect(address)
         self.socket.setblocking(False)
         self.received = b""
@@ -78,7 +76,7 @@
         while not (
             answers := [array for array in self.arrays() if array[0] == b"%d" % tag and array != DRAIN_NOTICE]
         ):
-            assert await self.read(), f"ended before {tag} was answered"
+            assert await self.read(), f"the connection ended before the answer with tag {tag}"
         return answers[0]
 
     async def read_to_end(self) -> list[list[bytes]]:
@@ -144,28 +142,30 @@
 
     # Steps of tests.
 
-    def client(self, size: int = 0) -> DispatcherClient:
-        self.clients.append(DispatcherClient(self.listener.address, size))
+    def connect_client(self, receive_buffer_size: int = 0) -> DispatcherClient:
+        self.clients.append(DispatcherClient(self.listener.address, receive_buffer_size))
         return self.clients[-1]
 
     async def wait_until(self, condition) -> None:
         """Run the event loop until a condition is true."""
-        end = time.monotonic() + WAIT
+        deadline = time.monotonic() + WAIT
         while not condition():
-            self.assertLess(time.monotonic(), end)
+            self.assertLess(time.monotonic(), deadline)
             await asyncio.sleep(0.001)
 
-    async def connected_client(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
+    async def connected_client(self, receive_buffer_size: int = 0) -> tuple[DispatcherClient, Connection]:
         before = set(self.listener.connections)
-        client = self.client(size)
+        client = self.connect_client(receive_buffer_size)
         await self.wait_until(lambda: set(self.listener.connections) - before)
         connection = (set(self.listener.connections) - before).pop()
         await self.wait_until(connection.stream.reading)
         return client, connection
 
-    async def client_with_open_request(self, size: int = 0) -> tuple[DispatcherClient, Connection]:
+    async def client_with_open_request(
+        self, receive_buffer_size: int = 0
+    ) -> tuple[DispatcherClient, Connection]:
         """Return a client and its connection with one open request."""
-        client, connection = await self.connected_client(size)
+        client, connection = await self.connected_client(receive_buffer_size)
         client.send(call(1))
         await self.wait_until(lambda: connection.open_requests)
         return client, connection
@@ -180,7 +180,7 @@
 
     async def client_with_unsent_answers(self) -> tuple[DispatcherClient, Connection]:
         """Return a client that reads nothing, and its connection with unsent answers."""
-        client, connection = await self.connected_client(size=4096)
+        client, connection = await self.connected_client(receive_buffer_size=4096)
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         for tag in range(1, 31):
             client.send(call(tag))
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -1,4 +1,4 @@
-"""Accepting, the limit of connections, and the close of the listener."""
+"""Accepting of connections, their limit, and the close of the listener."""
 
 import asyncio
 import errno
@@ -36,7 +36,7 @@
         client, first = await self.idle_client()
         other, second = await self.idle_client()
         client.send(call(2))  # the connection is idle for longest, but this request is unread
-        third = self.client()
+        third = self.connect_client()
         await self.wait_until(lambda: second.state is ConnectionState.LINGERING)
         self.assertIs(first.state, ConnectionState.OPEN)
         await self.wait_until(lambda: self.received_requests)
@@ -66,7 +66,7 @@
         # A close with the request unread would reset the connection without an answer.
         await self.client_with_open_request()
         await self.client_with_open_request()
-        late_client = self.client()
+        late_client = self.connect_client()
         late_client.send(call(3) + call(4))
         self.assertEqual((await late_client.answer_to(4))[1:3], [b"full", b"holdoff=250"])
         self.assertEqual((await late_client.answer_to(3))[1], b"full")
@@ -75,7 +75,7 @@
     async def test_rejects_a_request_shortly_after_the_accept_of_a_connection_over_the_limit(self):
         await self.client_with_open_request()
         await self.client_with_open_request()
-        late_client = self.client()
+        late_client = self.connect_client()
         await self.wait_until(lambda: self.listener.evicted)
         connection = next(iter(self.listener.evicted))
         late_client.send(call(3))
@@ -90,7 +90,7 @@
         # Connections are closed like this by later connections over the limit, and just before the stop.
         await self.client_with_open_request()
         await self.client_with_open_request()
-        late_client = self.client()
+        late_client = self.connect_client()
         late_client.send(call(3))
         await self.wait_until(lambda: self.listener.evicted)
         connection = next(iter(self.listener.evicted))
@@ -106,7 +106,7 @@
         other, _ = await self.client_with_open_request()
         flood = []
         for tag in range(10, 70):
-            flood.append(self.client())
+            flood.append(self.connect_client())
             flood[-1].send(call(tag))
         for tag, flood_client in enumerate(flood, 10):
             self.assertEqual((await flood_client.answer_to(tag))[1], b"full")
@@ -118,7 +118,7 @@
 
     async def test_a_thousand_connects_and_resets_leak_nothing(self):
         for _ in range(1000):
-            self.client().close(reset=True)
+            self.connect_client().close(reset=True)
             self.clients.pop()
             await asyncio.sleep(0)
         await self.wait_until(lambda: not self.listener.connections and not self.listener.evicted)
@@ -148,7 +148,7 @@
 
 class AcceptingTest(ListenerTestCase):
     async def test_waiting_connections_are_served_when_the_listener_closes(self):
-        waiting = [self.client() for _ in range(3)]
+        waiting = [self.connect_client() for _ in range(3)]
         waiting[0].send(call(1))
         waiting[1].send(call(2)[:9])
         await self.listener.close()
@@ -162,15 +162,15 @@
         self.assertEqual((await waiting[1].answer_to(2))[1], b"ok")
         while DRAIN_NOTICE not in waiting[2].arrays():
             self.assertTrue(await waiting[2].read())
-        self.assertRaises(ConnectionRefusedError, self.client)
+        self.assertRaises(ConnectionRefusedError, self.connect_client)
 
     async def test_a_connection_during_the_close_of_the_listener_is_served(self):
-        waiting = [self.client() for _ in range(5 * self.resource_limits.accepts_per_pass)]
+        waiting = [self.connect_client() for _ in range(5 * self.resource_limits.accepts_per_pass)]
         closing = asyncio.ensure_future(self.listener.close())
         await asyncio.sleep(0)  # the first pass is done
         self.assertLess(len(self.listener.connections), len(waiting))
         self.assertFalse(closing.done())
-        late_client = self.client()
+        late_client = self.connect_client()
         late_client.send(call(1))
         await asyncio.wait_for(closing, WAIT)
         await self.wait_until(lambda: self.received_requests)
@@ -180,14 +180,14 @@
 
     async def test_a_failed_accept_does_not_affect_the_connections_behind_it(self):
         # A failed accept must not end the accepting: the close would reset the other connections.
-        waiting = [self.client() for _ in range(3)]
+        waiting = [self.connect_client() for _ in range(3)]
         for tag, client in enumerate(waiting, 1):
             client.send(call(tag))
         asyncio.get_running_loop().remove_reader(self.listener.socket)
         self.listener.socket = FailingSocket(self.listener.socket, errno.ECONNABORTED, errno.ECONNABORTED)
-        self.listener.accepting = False
+        self.listener.is_accepting = False
         asyncio.get_running_loop().add_reader(self.listener.socket, lambda: None)
-        self.listener.accepting = True
+        self.listener.is_accepting = True
         await self.listener.close()
         await self.wait_until(lambda: len(self.received_requests) == 3)
 
@@ -204,7 +204,7 @@
 
         flood = Flood(self.listener.socket)
         asyncio.get_running_loop().remove_reader(self.listener.socket)
-        self.listener.accepting, self.listener.resource_limits = (
+        self.listener.is_accepting, self.listener.resource_limits = (
             True,
             replace(self.resource_limits, sockets=140),
         )
@@ -222,7 +222,7 @@
         loop.remove_reader(real_socket)
         self.listener.socket = failing = FailingSocket(real_socket, errno.EMFILE)
         loop.add_reader(failing, self.listener._accept_batch)
-        client = self.client()
+        client = self.connect_client()
         client.send(call(1))
         await self.wait_until(lambda: failing.accept_count)
         for _ in range(20):
@@ -251,7 +251,7 @@
 class DrainDeadlineTest(ListenerTestCase):
     """A drain with dispatchers that close no connection; the node has no engine yet, so there is no grace."""
 
-    directory_reporter = types.SimpleNamespace(set_accepting=lambda taking: None)
+    directory_reporter = types.SimpleNamespace(set_accepting=lambda is_accepting: None)
     host = types.SimpleNamespace(is_started=False)
     log = EventLog("test", 0)
 
@@ -274,11 +274,11 @@
 
     async def test_closes_with_more_waiting_connections_than_buffers(self):
         # If accepted in one pass, the connections would exhaust the buffers and end the drain.
-        waiting = [self.client() for _ in range(2 * self.resource_limits.max_buffers)]
+        waiting = [self.connect_client() for _ in range(2 * self.resource_limits.max_buffers)]
         for tag, client in enumerate(waiting, 1):
             client.send(call(tag))
         await asyncio.wait_for(self.listener.close(), WAIT)
-        self.assertRaises(ConnectionRefusedError, self.client)
+        self.assertRaises(ConnectionRefusedError, self.connect_client)
         for tag, client in enumerate(
             waiting[self.resource_limits.max_connections :], self.resource_limits.max_connections + 1
         ):
@@ -291,7 +291,7 @@
         leased = [
             pool.lease() for _ in range(self.resource_limits.max_buffers - 2 * self.resource_limits.max_links)
         ]
-        client = self.client()
+        client = self.connect_client()
         client.send(call(1))
         await self.wait_until(lambda: self.listener.resume_timer)
         self.assertEqual(pool.available, 2 * self.resource_limits.max_links)
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -171,9 +171,9 @@
         await self.wait_until(lambda: connection.read_buffer.has_data)
         connection.array_reader.wait_started_at -= 700 * SECOND
         connection.stream.close()
-        before = self.listener.sweeper
+        before = self.listener.sweep_timer
         self.listener._sweep()
-        self.assertIsNot(self.listener.sweeper, before)
+        self.assertIsNot(self.listener.sweep_timer, before)
         before.cancel()
         await self.wait_until(lambda: connection.state is ConnectionState.CLOSED)
 
--- a/tests/dispatch/test_listener.py
+++ b/tests/dispatch/test_listener.py
@@ -22,7 +22,7 @@
 
             def evict(self):
                 self.closed = True
-                return False  # its descriptor is free
+                return False  # the connection holds no descriptor any more
 
         listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
         self.addCleanup(listener.socket.close)
--- a/tests/dispatch/test_progress.py
+++ b/tests/dispatch/test_progress.py
@@ -1,4 +1,4 @@
-"""Waits for the progress of a connection."""
+"""The event that the reader of a connection waits for."""
 
 import asyncio
 import itertools
--- a/tests/dispatch/test_violations.py
+++ b/tests/dispatch/test_violations.py
@@ -60,7 +60,7 @@
         self.answer()
         self.assertEqual((await client.answer_to(1))[1], b"ok")
 
-    async def test_a_connection_that_trickles_is_ended_at_the_second_check(self):
+    async def test_a_connection_that_sends_an_array_too_slowly_is_ended_at_the_second_check(self):
         client, connection = await self.connected_client()
         client.send(call(1)[:25])
         await self.wait_until(lambda: connection.read_buffer.has_data and connection.stream.reading())
