--- a/oakkeel/directory/reports.py
+++ b/oakkeel/directory/reports.py
@@ -11,7 +11,7 @@
 
 
 def report_interval(repeats_left: int, limits: ResourceLimits) -> int:
-    """Return the nanoseconds to the next report: few after a change, as the report of it may be lost."""
+    """Return the nanoseconds to the next report: fewer after a change, as the first report may be lost."""
     return limits.report_repeat_interval if repeats_left else limits.report_interval
 
 
@@ -22,8 +22,8 @@
         """Open the datagram socket; nothing is sent before `start`."""
         self.name = name
         self.resource_limits = resource_limits
-        self.accepting = True
-        self.repeats_left = 0  # reports of the last change, sent at the short interval in case one is lost
+        self.is_accepting = True
+        self.repeats_left = 0  # reports of the last change still to send soon, as one may be lost
         self.timer: asyncio.TimerHandle | None = None
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
@@ -35,12 +35,12 @@
 
     def set_accepting(self, accepting: bool) -> None:
         """Set whether the node is listed as accepting requests; report a change at once."""
-        if accepting != self.accepting:
-            self.accepting = accepting
+        if accepting != self.is_accepting:
+            self.is_accepting = accepting
             self._report_change()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Report to another directory from now on, and at once, as it may not know this node."""
+        """Report to another directory from now on, and at once, as that one may not know this node."""
         self.address = address
         self._report_change()
 
@@ -51,7 +51,7 @@
             self._report()
 
     def _report(self) -> None:
-        state = "open" if self.accepting else "closed"
+        state = "open" if self.is_accepting else "closed"
         # No retry: a directory that is down expires no entry, and the next report follows.
         with contextlib.suppress(OSError):
             self.socket.sendto(f"PULSE {self.name} {state}".encode(), self.address)
