--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One simulated instance: maps the request IDs of the wire to requests, and decisions to action records."""
+"""A simulated instance: maps request IDs of the protocol to requests, and decisions to action records."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self.gauge_names = parsed.gauges()
         self.gauges = Gauges()
         self.requests: dict[int, Request] = {}
-        self.ids: dict[Request, int] = {}
+        self.request_ids: dict[Request, int] = {}
         self.admission = AdmissionController(self, self.limits, seed, now)
 
     def find_request(self, request_id: int) -> Request:
@@ -69,10 +69,10 @@
             is_duplicate=bool(arrival.earlier_request),
         )
         self.requests[request_id] = request
-        self.ids[request] = request_id
+        self.request_ids[request] = request_id
         self.admission.arrive(now, request)
 
-    def read_gauges(self, values: tuple[float, ...]) -> Gauges:
+    def update_gauges(self, values: tuple[float, ...]) -> Gauges:
         """Store the gauge values of a timer record, and return all gauges."""
         for name, value in zip(self.gauge_names, values, strict=False):
             if name:
@@ -81,7 +81,7 @@
 
     def _add_action(self, code: ActionCode, request: Request) -> None:
         """Add an action that names a request and has no further field."""
-        self.reply.records.append(wire.ACTION_REQUEST.pack(code, self.number, self.ids[request]))
+        self.reply.records.append(wire.ACTION_REQUEST.pack(code, self.number, self.request_ids[request]))
 
     def _add_action_with_time(self, code: ActionCode, number: int, time: int) -> None:
         """Add an action that names a request or a timer, and a time."""
@@ -92,9 +92,11 @@
         self._add_action(ActionCode.RUN, request)
 
     def reject(self, request: Request, final: bool, retry_after: int) -> None:
-        """Answer that the request never ran, with the delay before a retry."""
+        """Answer that the request never ran; `retry_after` is the delay before a retry, in nanoseconds."""
         self.reply.records.append(
-            wire.ACTION_REJECT.pack(ActionCode.REJECT, self.number, self.ids[request], final, retry_after)
+            wire.ACTION_REJECT.pack(
+                ActionCode.REJECT, self.number, self.request_ids[request], final, retry_after
+            )
         )
 
     def fail(self, request: Request) -> None:
@@ -106,8 +108,8 @@
         self._add_action(ActionCode.CANCEL, request)
 
     def call(self, request: Request, until: int) -> None:
-        """Place the downstream call of the request."""
-        self._add_action_with_time(ActionCode.CALL, self.ids[request], until)
+        """Make the downstream call of the request, with the deadline `until`."""
+        self._add_action_with_time(ActionCode.CALL, self.request_ids[request], until)
 
     def skip_call(self, request: Request) -> None:
         """Let the run of the request continue without its call."""
@@ -119,7 +121,7 @@
 
     def retain_key(self, request: Request, duration: int) -> None:
         """Treat requests with the same key as duplicates for `duration` nanoseconds."""
-        self._add_action_with_time(ActionCode.RETAIN_KEY, self.ids[request], duration)
+        self._add_action_with_time(ActionCode.RETAIN_KEY, self.request_ids[request], duration)
 
     def release_key(self, request: Request) -> None:
         """Drop the key of the request."""
--- a/oakkeel/simulator_adapter/table.py
+++ b/oakkeel/simulator_adapter/table.py
@@ -58,21 +58,21 @@
             return handler(batch, offset)
         except (WireError, UnicodeDecodeError):
             raise
-        except Exception as error:  # any fault in the admission decisions
+        except Exception as error:  # a defect of the admission controller
             self._report_error(instance_id, error)
             return None
 
     def _schedule(self, instance: Instance, now: int) -> None:
         try:
             instance.admission.schedule(now)
-        except Exception as error:  # any fault in the admission decisions
+        except Exception as error:  # a defect of the admission controller
             self._report_error(instance.number, error)
 
     def _report_error(self, instance_id: int, error: Exception) -> None:
         """Add an error of the admission decisions to the reply; the simulator stops and prints the error."""
         self.reply.add_text(ActionCode.INTERNAL_ERROR, instance_id, f"{type(error).__name__}: {error}")
 
-    def _instance(self, instance_id: int) -> Instance:
+    def _find_instance(self, instance_id: int) -> Instance:
         instance = self.instances.get(instance_id)
         if instance is None:
             raise WireError(f"event for unknown instance {instance_id}")
@@ -90,54 +90,54 @@
 
     def _handle_arrival(self, batch: Batch, offset: int) -> Instance:
         arrival = wire.Arrival._make(wire.ARRIVAL.unpack_from(batch.body, offset))
-        instance = self._instance(arrival.instance_id)
+        instance = self._find_instance(arrival.instance_id)
         instance.arrive(batch.clock, arrival)
         return instance
 
     def _handle_run_finished(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, request_id, status, _ = wire.FINISHED.unpack_from(batch.body, offset)
-        instance = self._instance(instance_id)
+        instance = self._find_instance(instance_id)
         outcome = _parse_outcome(status, instance_id)
         instance.admission.run_finished(batch.clock, instance.find_request(request_id), outcome)
         return instance
 
     def _handle_call_finished(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, request_id, status, _ = wire.FINISHED.unpack_from(batch.body, offset)
-        instance = self._instance(instance_id)
+        instance = self._find_instance(instance_id)
         outcome = _parse_outcome(status, instance_id)
         instance.admission.call_finished(batch.clock, instance.find_request(request_id), outcome)
         return instance
 
     def _handle_call_needed(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, request_id = wire.EVENT_VALUE.unpack_from(batch.body, offset)
-        instance = self._instance(instance_id)
+        instance = self._find_instance(instance_id)
         instance.admission.call_needed(batch.clock, instance.find_request(request_id))
         return instance
 
     def _handle_client_disconnected(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, request_id = wire.EVENT_VALUE.unpack_from(batch.body, offset)
-        instance = self._instance(instance_id)
+        instance = self._find_instance(instance_id)
         instance.admission.client_disconnected(batch.clock, instance.find_request(request_id))
         return instance
 
     def _handle_drain(self, batch: Batch, offset: int) -> Instance:
-        _, instance_id, remaining = wire.EVENT_VALUE.unpack_from(batch.body, offset)
-        instance = self._instance(instance_id)
-        instance.admission.drain(batch.clock, remaining)
+        _, instance_id, time_left = wire.EVENT_VALUE.unpack_from(batch.body, offset)
+        instance = self._find_instance(instance_id)
+        instance.admission.drain(batch.clock, time_left)
         return instance
 
     def _handle_timer_expired(self, batch: Batch, offset: int) -> Instance:
         _, instance_id, token, count = wire.TIMER.unpack_from(batch.body, offset)
-        instance = self._instance(instance_id)
+        instance = self._find_instance(instance_id)
         if count > wire.MAX_GAUGES:
             raise WireError(f"{count} gauges do not fit a record of instance {instance_id}")
         values = struct.unpack_from(f"<{count}f", batch.body, offset + wire.TIMER.size)
-        instance.admission.timer_expired(batch.clock, token, instance.read_gauges(values))
+        instance.admission.timer_expired(batch.clock, token, instance.update_gauges(values))
         return instance
 
     def _handle_killed(self, batch: Batch, offset: int) -> None:
         _, instance_id = wire.EVENT_HEAD.unpack_from(batch.body, offset)
-        del self.instances[self._instance(instance_id).number]
+        del self.instances[self._find_instance(instance_id).number]
 
 
 def _parse_outcome(status: int, instance_id: int) -> Outcome:
--- a/oakkeel/simulator_adapter/wire.py
+++ b/oakkeel/simulator_adapter/wire.py
@@ -63,12 +63,12 @@
 MAX_GAUGES = (EVENT_SIZE - TIMER.size) // GAUGE_SIZE
 
 # Records of actions: code, instance, then the fields, padded to 24 bytes.
-ACTION_REQUEST = Struct("<BIQ11x")
+ACTION_REQUEST = Struct("<BIQ11x")  # request
 ACTION_REQUEST_TIME = Struct("<BIQQ3x")  # request or token of a timer, time
 ACTION_REJECT = Struct("<BIQBQ2x")  # request, final, Retry-After
-ACTION_HEALTH = Struct("<BIBB17x")  # stored, good
-ACTION_VALUE = Struct("<BIf15x")
-ACTION_TIME = Struct("<BIQ11x")
+ACTION_HEALTH = Struct("<BIBB17x")  # `stored` and `good` of `Instance.set_health`
+ACTION_VALUE = Struct("<BIf15x")  # load report
+ACTION_TIME = Struct("<BIQ11x")  # idle timeout
 ACTION_TEXT = Struct("<BIII11x")  # offset and length of the text
 
 RETRY_FLAG = 2
@@ -101,7 +101,7 @@
     """A frame from the simulator; its body has the records, then the settings that START records refer to."""
 
     number: int
-    clock: int
+    clock: int  # simulated time in nanoseconds
     record_count: int
     body: bytes
 
@@ -129,7 +129,7 @@
 
 
 class Reply:
-    """The actions of one reply."""
+    """Collects the actions of one reply and encodes them as a frame."""
 
     __slots__ = ("records", "text_size", "texts")
 
