--- a/oakkeel/__init__.py
+++ b/oakkeel/__init__.py
@@ -1,1 +1,1 @@
-"""oakkeel: admission and scheduling for the servers behind other people's balancers."""
+"""oakkeel: admission control and scheduling for servers behind load balancers of other operators."""
--- a/oakkeel/backoff.py
+++ b/oakkeel/backoff.py
@@ -1,6 +1,6 @@
 """Delays before another attempt: exponential backoff and jitter.
 
-Free of I/O and of state: callers pass a random number, so the same seed gives the same delays.
+This module has no I/O and no state: callers pass a random number, so the same seed gives the same delays.
 """
 
 from __future__ import annotations
--- a/oakkeel/cached_response.py
+++ b/oakkeel/cached_response.py
@@ -1,4 +1,4 @@
-"""The response of a request, shared with its duplicates: retries with its key, and equal reads."""
+"""The response of a request, shared with duplicates: retries with the same key, and equal reads."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def body_digest(body: bytes) -> bytes:
-    """Return the digest that distinguishes requests with the same idempotency key but another body."""
+    """Return the digest that distinguishes requests with the same idempotency key and different bodies."""
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
@@ -30,7 +30,7 @@
 
 
 class CachedResponse:
-    """The response of a request that may have duplicates; the outcome is set once its run is over."""
+    """The response of a request that may have duplicates; the outcome is set once the run is over."""
 
     __slots__ = (
         "at_most_once",
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from structlog.typing import Processor
 
-if "rich" not in sys.modules:  # structlog imports rich if it is installed: 8 MB
+if "rich" not in sys.modules:  # structlog imports rich if it is installed, which takes 8 MB
     sys.modules["rich"] = None  # type: ignore[assignment]
     import structlog
 
@@ -31,7 +31,7 @@
 
 # Lines that differ only in these fields count as the same line: a flood of bad requests must not hide other
 # events.
-SAMPLED_FIELDS = {"request_id"}
+UNCOMPARED_FIELDS = {"request_id"}
 
 
 class LineLimiter:
@@ -46,9 +46,9 @@
         self.clock = clock
         self.current_second = 0
         self.line_count = 0
-        self.dropped = 0
-        self.left_out = 0
-        self.written_lines: set[str] = set()  # in this second; a flood of one line must not hide others
+        self.dropped = 0  # lines dropped in the current second
+        self.left_out = 0  # lines dropped before the last line that was checked
+        self.written_lines: set[str] = set()  # in this second; a flood of one line must not hide other lines
 
     def admits(self, event: str, fields: Event) -> bool:
         """Return whether to write a line; `left_out` is the number of lines dropped before it."""
@@ -62,7 +62,7 @@
             self.written_lines.clear()
         if (
             self.line_count < self.lines_per_s
-            and (text := f"{event}{_without_sampled_fields(fields)}") not in self.written_lines
+            and (text := f"{event}{_compared_fields(fields)}") not in self.written_lines
         ):
             self.line_count += 1
             self.written_lines.add(text)
@@ -71,8 +71,8 @@
         return False
 
 
-def _without_sampled_fields(fields: Event) -> Event:
-    return {key: value for key, value in fields.items() if key not in SAMPLED_FIELDS}
+def _compared_fields(fields: Event) -> Event:
+    return {key: value for key, value in fields.items() if key not in UNCOMPARED_FIELDS}
 
 
 def console_renderer(name: str) -> Callable[[object, str, Event], str]:
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -22,8 +22,8 @@
 Choice = TypeVar("Choice")
 JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
 
-# The words of the settings, on the left, are mapped to the terms of the code only here; the paths are mapped
-# in `read_limits` and `_request_class`.
+# The words in the settings (the keys of these tables) are mapped to the terms of the code only here; the
+# paths are mapped in `read_limits` and `_request_class`.
 IDEMPOTENCY = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
@@ -60,18 +60,18 @@
     Plain lists are joined by commas; a list of objects has a `count` and an index for each object.
     """
     if isinstance(value, dict):
-        inner = [(f"{path}.{name}" if path else str(name), item) for name, item in value.items()]
+        children = [(f"{path}.{name}" if path else str(name), item) for name, item in value.items()]
     elif isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
-        inner = [(f"{path}.{index}", item) for index, item in enumerate(value)]
-        inner.append((f"{path}.count", len(value)))
+        children = [(f"{path}.{index}", item) for index, item in enumerate(value)]
+        children.append((f"{path}.count", len(value)))
     elif isinstance(value, list):
-        return {path: ",".join(_scalar(item) for item in value)}
+        return {path: ",".join(_format_scalar(item) for item in value)}
     else:
-        return {path: _scalar(value)}
-    return {name: text for prefix, item in inner for name, text in flatten(item, prefix).items()}
+        return {path: _format_scalar(value)}
+    return {name: text for prefix, item in children for name, text in flatten(item, prefix).items()}
 
 
-def _scalar(value: JsonValue) -> str:
+def _format_scalar(value: JsonValue) -> str:
     if value is None:
         return ""
     return str(value).lower() if isinstance(value, bool) else str(value)
@@ -102,7 +102,7 @@
         return self._parse(path, self.get(path, str(default)))
 
     def time(self, path: str) -> int:
-        """Return nanoseconds, 0 if absent."""
+        """Return a time in nanoseconds, or 0 if it is absent."""
         return int(self.number(path))
 
     def required_number(self, path: str) -> float:
@@ -118,12 +118,12 @@
         parts = self.get(path, "").split(",")
         return parts[index] if index < len(parts) and parts[index] else default
 
-    def choice(self, path: str, known: dict[str, Choice], default: str) -> Choice:
-        """Return the value that `known` has for the setting. Raises `LimitsError` for an unknown word."""
+    def choice(self, path: str, choices: dict[str, Choice], default: str) -> Choice:
+        """Return the value that `choices` has for the word. Raises `LimitsError` for an unknown word."""
         word = self.get(path, default)
-        if word not in known:
-            fail(f"the settings have an unknown value: {path}={word}, expected one of {', '.join(known)}")
-        return known[word]
+        if word not in choices:
+            fail(f"the settings have an unknown value: {path}={word}, expected one of {', '.join(choices)}")
+        return choices[word]
 
     @staticmethod
     def _parse(path: str, value: str) -> float:
@@ -142,7 +142,7 @@
 
 
 def read_limits(settings: Settings) -> NodeLimits:
-    """Return the limits of a node; times in the settings are nanoseconds already."""
+    """Return the limits of a node; times in the settings are in nanoseconds, too."""
     gives_retry_after = settings.flag("ceilings.retry-after")
     max_retry_after = settings.time("ceilings.max-retry-after") if gives_retry_after else 0
     return NodeLimits(
--- a/oakkeel/resource_limits.py
+++ b/oakkeel/resource_limits.py
@@ -18,9 +18,9 @@
     """
 
     # Given at the start.
-    sockets: int  # descriptors that the process may hold
+    sockets: int  # descriptors that the process may hold open
     memory: int  # bytes that the process may use
-    stop_after: int  # from SIGTERM to SIGKILL
+    stop_after: int  # time from SIGTERM to SIGKILL
 
     # Buffers of one size: no array, line with its body, or field may be longer.
     buffer_size: int = 8192
@@ -52,11 +52,11 @@
 
     # The engine.
     engine_retry_delay: int = 50 * MS  # from one connection attempt to the next
-    engine_loss_window: int = 150 * MS  # before a loss of the link: commands written in it may be lost
+    engine_loss_window: int = 150 * MS  # commands written this shortly before a loss of the link may be lost
     engine_timeout: int = 2 * SECOND  # for a greeting or an answer with gauges; then the link reconnects
     engine_restart_margin: int = SECOND  # minimum shift of the start time that proves a restart
     engine_handover_timeout: int = 200 * MS  # for the earlier engine to confirm that it has read all commands
-    gauges_timeout: int = 10 * MS  # for fresh gauges before an admission timer
+    gauges_timeout: int = 10 * MS  # of the wait for fresh gauges before an admission timer
     max_unconfirmed_commands: int = 8192  # at the limit, commands that need no resend are dropped
     max_write_backlog: int = 8 * 1024 * 1024  # bytes, on one link
 
@@ -75,7 +75,7 @@
     report_repeats: int = 3  # reports at the short interval, after a change
 
     # The response cache, for duplicates.
-    result_size: int = 16 * 1024  # bytes; maximum of a key and its result
+    result_size: int = 16 * 1024  # maximum bytes of a key and its result
     results_memory_share: float = 0.25  # of the memory, for retained results
 
     # Control links.
--- a/oakkeel/stream_buffers.py
+++ b/oakkeel/stream_buffers.py
@@ -141,7 +141,7 @@
 async def connect(stream: IOStream, address: tuple[str, int]) -> None:
     """Connect a stream. Raises StreamClosedError if this fails or the stream is closed meanwhile."""
     await stream.connect(address)
-    if stream.closed():  # between the connect and this step of the task
+    if stream.closed():  # closed after the connect, before this task resumed
         raise StreamClosedError
     stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -161,4 +161,4 @@
 
 def _retrieve_exception(written: asyncio.Future[None]) -> None:
     if not written.cancelled():
-        written.exception()  # otherwise asyncio reports that it was never retrieved
+        written.exception()  # otherwise asyncio logs an exception that was never retrieved
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Runs all tests, and tolerates failures of the tests that `KNOWN-RED.txt` lists with an open fault.
+"""Runs all tests, and tolerates failures of the tests that `KNOWN-RED.txt` lists with an open issue.
 
 Each line of `KNOWN-RED.txt` describes one test: its name as unittest prints it, the command with the seed
 that shows the failure, the observed failure, and the number of the open issue, separated by ` | `. A listed
@@ -47,16 +47,16 @@
     return entries
 
 
-def _parse(line: str, where: str) -> KnownRed:
+def _parse(line: str, location: str) -> KnownRed:
     values = [value.strip() for value in line.split(SEPARATOR.strip())]
     for field, value in zip(FIELDS, values + [""] * len(FIELDS), strict=False):
         if not value:
-            raise KnownRedError(f"{where}: no {field}; expected {SEPARATOR.join(FIELDS)}")
+            raise KnownRedError(f"{location}: no {field}; expected {SEPARATOR.join(FIELDS)}")
     if len(values) > len(FIELDS):
-        raise KnownRedError(f"{where}: {len(values)} fields; expected {SEPARATOR.join(FIELDS)}")
+        raise KnownRedError(f"{location}: {len(values)} fields; expected {SEPARATOR.join(FIELDS)}")
     test, command, seen, issue = values
     if not issue.isdecimal():
-        raise KnownRedError(f"{where}: issue {issue!r} is not a number")
+        raise KnownRedError(f"{location}: issue {issue!r} is not a number")
     return KnownRed(test, command, seen, int(issue))
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Delays before another attempt."""
+"""Exponential backoff and jitter."""
 
 import unittest
 
