--- a/oakkeel/dispatch/codec.py
+++ b/oakkeel/dispatch/codec.py
@@ -134,8 +134,8 @@
     ) -> NodeRequest:
         if len(body) > self._resource_limits.max_body_size:
             raise MalformedRequestError(f"a body of more than {self._resource_limits.max_body_size} bytes")
-        age = self._request_age(fields)
-        timeout = self._client_timeout(fields)
+        age = self._parse_request_age(fields)
+        timeout = self._parse_client_timeout(fields)
         if LEVEL_FIELD in fields:
             self._parse_number(fields, LEVEL_FIELD, 1.0)  # validated only: the node does not use it
         key_field = KEY_FIELDS.get(request_class.idempotency)
@@ -161,7 +161,7 @@
             flow_keys=self._flow_keys(lambda name: fields.get(name, b"")) if self._flow_keys else (),
         )
 
-    def _request_age(self, fields: dict[bytes, bytes]) -> int:
+    def _parse_request_age(self, fields: dict[bytes, bytes]) -> int:
         """Return the nanoseconds since the timestamp of the request; 0 if it has none.
 
         An age out of range is rejected: the admission controller measures delays by the age, and a single
@@ -176,7 +176,7 @@
             )
         return max(0, age)
 
-    def _client_timeout(self, fields: dict[bytes, bytes]) -> int:
+    def _parse_client_timeout(self, fields: dict[bytes, bytes]) -> int:
         """Return the client's timeout in nanoseconds, counted from the timestamp; 0 if unknown."""
         if TIMEOUT_FIELD not in fields:
             return 0
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -46,7 +46,7 @@
         self.clock = clock
         self.current_second = 0
         self.line_count = 0
-        self.dropped = 0  # lines dropped in the current second
+        self.dropped_count = 0  # lines dropped in the current second
         self.left_out = 0  # lines dropped before the last line that was checked
         self.written_lines: set[str] = set()  # in this second; a flood of one line must not hide other lines
 
@@ -55,10 +55,10 @@
         second = self.clock() // SECOND
         self.left_out = 0
         if second != self.current_second:
-            self.left_out = self.dropped
+            self.left_out = self.dropped_count
             self.current_second = second
             self.line_count = 0
-            self.dropped = 0
+            self.dropped_count = 0
             self.written_lines.clear()
         if (
             self.line_count < self.lines_per_s
@@ -67,7 +67,7 @@
             self.line_count += 1
             self.written_lines.add(text)
             return True
-        self.dropped += 1
+        self.dropped_count += 1
         return False
 
 
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -62,8 +62,8 @@
         self.received += data
         return bool(data)
 
-    def arrays(self) -> list[list[bytes]]:
-        """Return the complete arrays that were received."""
+    def received_arrays(self) -> list[list[bytes]]:
+        """Return the complete arrays that were received so far."""
         arrays, lines = [], self.received.split(b"\r\n")
         while lines and lines[0].startswith(b"*"):
             count = int(lines.pop(0)[1:])
@@ -71,10 +71,12 @@
             del lines[: 2 * count]
         return arrays
 
-    async def answer_to(self, tag: int) -> list[bytes]:
-        """Return the answer with a tag."""
+    async def read_answer(self, tag: int) -> list[bytes]:
+        """Read until the answer with a tag is complete, and return that answer."""
         while not (
-            answers := [array for array in self.arrays() if array[0] == b"%d" % tag and array != DRAIN_NOTICE]
+            answers := [
+                array for array in self.received_arrays() if array[0] == b"%d" % tag and array != DRAIN_NOTICE
+            ]
         ):
             assert await self.read(), f"the connection ended before the answer with tag {tag}"
         return answers[0]
@@ -83,7 +85,7 @@
         """Read to the end of the input; return all arrays. Raises ConnectionResetError."""
         while await self.read():
             pass
-        return self.arrays()
+        return self.received_arrays()
 
     def close(self, reset: bool = False) -> None:
         if reset:
@@ -174,7 +176,7 @@
         """Return a client and its connection, idle after an answered request."""
         client, connection = await self.client_with_open_request()
         self.answer()
-        await client.answer_to(1)
+        await client.read_answer(1)
         await self.wait_until(connection.is_idle)
         return client, connection
 
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -41,11 +41,11 @@
         self.assertIs(first.state, ConnectionState.OPEN)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(2))[1], b"ok")
+        self.assertEqual((await client.read_answer(2))[1], b"ok")
         third.send(call(3))
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await third.answer_to(3))[1], b"ok")
+        self.assertEqual((await third.read_answer(3))[1], b"ok")
         self.assertEqual(len(await other.read_to_end()), 1)
 
     async def test_does_not_evict_a_connection_with_the_rest_of_its_array_unread(self):
@@ -60,7 +60,7 @@
         self.received_requests.clear()
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(2))[1], b"ok")
+        self.assertEqual((await client.read_answer(2))[1], b"ok")
 
     async def test_rejects_the_request_that_arrives_with_a_connection_over_the_limit(self):
         # A close with the request unread would reset the connection without an answer.
@@ -68,8 +68,8 @@
         await self.client_with_open_request()
         late_client = self.connect_client()
         late_client.send(call(3) + call(4))
-        self.assertEqual((await late_client.answer_to(4))[1:3], [b"full", b"holdoff=250"])
-        self.assertEqual((await late_client.answer_to(3))[1], b"full")
+        self.assertEqual((await late_client.read_answer(4))[1:3], [b"full", b"holdoff=250"])
+        self.assertEqual((await late_client.read_answer(3))[1], b"full")
         self.assertEqual(len(self.received_requests), 2)
 
     async def test_rejects_a_request_shortly_after_the_accept_of_a_connection_over_the_limit(self):
@@ -81,7 +81,7 @@
         late_client.send(call(3))
         connection._on_drain_timeout(SECOND)
         self.assertIs(connection.state, ConnectionState.DRAINING)
-        self.assertEqual((await late_client.answer_to(3))[1], b"full")
+        self.assertEqual((await late_client.read_answer(3))[1], b"full")
         await self.wait_until(connection.is_idle)
         connection._on_drain_timeout(SECOND)
         self.assertEqual((await late_client.read_to_end())[-1][:2], [b"3", b"full"])
@@ -109,12 +109,12 @@
             flood.append(self.connect_client())
             flood[-1].send(call(tag))
         for tag, flood_client in enumerate(flood, 10):
-            self.assertEqual((await flood_client.answer_to(tag))[1], b"full")
+            self.assertEqual((await flood_client.read_answer(tag))[1], b"full")
             self.assertLessEqual(len(self.listener.evicted), self.resource_limits.max_evicted_connections)
         self.answer()
         self.answer()
-        self.assertEqual((await client.answer_to(1))[1], b"ok")
-        self.assertEqual((await other.answer_to(1))[1], b"ok")
+        self.assertEqual((await client.read_answer(1))[1], b"ok")
+        self.assertEqual((await other.read_answer(1))[1], b"ok")
 
     async def test_a_thousand_connects_and_resets_leak_nothing(self):
         for _ in range(1000):
@@ -124,7 +124,7 @@
         await self.wait_until(lambda: not self.listener.connections and not self.listener.evicted)
         client, _ = await self.client_with_open_request()
         self.answer()
-        self.assertEqual((await client.answer_to(1))[1], b"ok")
+        self.assertEqual((await client.read_answer(1))[1], b"ok")
 
 
 class FailingSocket:
@@ -158,9 +158,9 @@
         await self.wait_until(lambda: len(self.received_requests) == 2)
         self.answer()
         self.answer()
-        self.assertEqual((await waiting[0].answer_to(1))[1], b"ok")
-        self.assertEqual((await waiting[1].answer_to(2))[1], b"ok")
-        while DRAIN_NOTICE not in waiting[2].arrays():
+        self.assertEqual((await waiting[0].read_answer(1))[1], b"ok")
+        self.assertEqual((await waiting[1].read_answer(2))[1], b"ok")
+        while DRAIN_NOTICE not in waiting[2].received_arrays():
             self.assertTrue(await waiting[2].read())
         self.assertRaises(ConnectionRefusedError, self.connect_client)
 
@@ -175,7 +175,7 @@
         await asyncio.wait_for(closing, WAIT)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await late_client.answer_to(1))[1], b"ok")
+        self.assertEqual((await late_client.read_answer(1))[1], b"ok")
         self.assertEqual(len(self.listener.connections), len(waiting) + 1)
 
     async def test_a_failed_accept_does_not_affect_the_connections_behind_it(self):
@@ -230,7 +230,7 @@
         self.assertEqual(failing.accept_count, 1)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(1))[1], b"ok")
+        self.assertEqual((await client.read_answer(1))[1], b"ok")
 
     async def test_a_connection_accepted_after_the_drain_notice_is_served_and_notified_at_the_end(self):
         self.listener.drain_connections()
@@ -239,8 +239,8 @@
         await self.listener.close()
         self.listener.drain_connections()
         self.answer()
-        await client.answer_to(1)
-        self.assertIn(DRAIN_NOTICE, client.arrays())
+        await client.read_answer(1)
+        self.assertIn(DRAIN_NOTICE, client.received_arrays())
 
     async def test_refuses_connections_before_it_is_opened(self):
         listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, self, EventLog("test", 0))
@@ -282,7 +282,7 @@
         for tag, client in enumerate(
             waiting[self.resource_limits.max_connections :], self.resource_limits.max_connections + 1
         ):
-            self.assertEqual((await client.answer_to(tag))[1], b"full")
+            self.assertEqual((await client.read_answer(tag))[1], b"full")
         await self.wait_until(lambda: len(self.received_requests) == self.resource_limits.max_connections)
 
     async def test_accepting_pauses_without_a_buffer_and_reserves_the_buffers_of_the_links(self):
@@ -299,4 +299,4 @@
             pool.release(buffer)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(1))[1], b"ok")
+        self.assertEqual((await client.read_answer(1))[1], b"ok")
--- a/tests/dispatch/test_closing.py
+++ b/tests/dispatch/test_closing.py
@@ -21,7 +21,7 @@
         connection.drain()
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(2))[1], b"ok")
+        self.assertEqual((await client.read_answer(2))[1], b"ok")
 
     async def test_a_request_at_the_drain_timeout_is_served_and_delays_the_close(self):
         client, connection = await self.idle_client()
@@ -33,7 +33,7 @@
         connection._on_drain_timeout(SECOND)  # the request is open
         self.answer()
         connection._on_drain_timeout(SECOND)  # its answer is in flight
-        self.assertEqual((await client.answer_to(2))[1], b"ok")
+        self.assertEqual((await client.read_answer(2))[1], b"ok")
         await self.wait_until(connection.is_idle)
         connection._on_drain_timeout(SECOND)
         self.assertEqual((await client.read_to_end())[-1], [b"2", b"ok", b"", b"result"])
@@ -48,7 +48,7 @@
         client.send(call(2)[30:])
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(2))[1], b"ok")
+        self.assertEqual((await client.read_answer(2))[1], b"ok")
 
     async def test_a_request_in_flight_during_the_shutdown_never_runs_and_causes_no_reset(self):
         client, connection = await self.client_with_open_request()
@@ -75,7 +75,7 @@
     async def test_an_idle_connection_is_closed_without_a_reset(self):
         client, connection = await self.idle_client()
         connection.drain()
-        self.assertEqual(await client.answer_to(1) and (await client.read()), True)
+        self.assertEqual(await client.read_answer(1) and (await client.read()), True)
         connection._on_drain_timeout(SECOND)
         self.assertEqual((await client.read_to_end())[1:], [DRAIN_NOTICE])
 
@@ -96,7 +96,7 @@
         client.send(call(2))
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        await client.answer_to(2)
+        await client.read_answer(2)
         client.send(call(3))  # within the pause between two reads
         connection.drain()
         connection._on_drain_timeout(SECOND)
@@ -129,7 +129,7 @@
             await self.wait_until(lambda: self.received_requests)
             self.assertEqual(len(self.received_requests[0].body), size)
             self.answer()
-            self.assertEqual((await client.answer_to(7))[1], b"ok")
+            self.assertEqual((await client.read_answer(7))[1], b"ok")
 
     async def test_drops_the_requests_of_a_dispatcher_that_closes_both_directions(self):
         client, _ = await self.client_with_open_request()
@@ -187,4 +187,4 @@
         connection._on_drain_timeout(SECOND)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(2))[1], b"ok")
+        self.assertEqual((await client.read_answer(2))[1], b"ok")
--- a/tests/dispatch/test_violations.py
+++ b/tests/dispatch/test_violations.py
@@ -16,7 +16,7 @@
         # A close with the following bytes unread would reset the connection.
         client, connection = await self.client_with_open_request()
         client.send(b"GET / HTTP/1.1\r\n" + b"x" * 60_000)
-        await client.answer_to(0)
+        await client.read_answer(0)
         client.send(b"y" * 60_000)
         self.answer(bytes(4000))
         self.assertEqual(
@@ -28,7 +28,7 @@
     async def test_open_requests_have_no_timeout_on_the_connection(self):
         client, connection = await self.client_with_open_request()
         client.send(b"?")
-        await client.answer_to(0)
+        await client.read_answer(0)
         connection.check_timeouts(time.monotonic_ns() + 9 * SECOND)
         await asyncio.sleep(0.05)
         self.assertEqual(self.disconnected_requests, [])
@@ -58,7 +58,7 @@
         self.assertIs(connection.state, ConnectionState.OPEN)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(1))[1], b"ok")
+        self.assertEqual((await client.read_answer(1))[1], b"ok")
 
     async def test_a_connection_that_sends_an_array_too_slowly_is_ended_at_the_second_check(self):
         client, connection = await self.connected_client()
@@ -80,7 +80,7 @@
         connection.check_timeouts(time.monotonic_ns() + 3 * SECOND)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
-        self.assertEqual((await client.answer_to(1))[1], b"ok")
+        self.assertEqual((await client.read_answer(1))[1], b"ok")
 
     async def test_a_connection_that_reads_nothing_is_closed(self):
         _, connection = await self.client_with_unsent_answers()
