--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -23,14 +23,14 @@
 AgentError = LinkError
 AgentRejectedError = AuthenticationRejectedError
 OnResponse = Callable[[str, int, messages.Response], None]
-MAX_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, in deadlines of one request
+MAX_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, as a multiple of that of one request
 SEED_BITS = 63
 NO_LEADER_TEXT = "no reachable agent leads the control plane"
 UNEXPECTED_RESPONSE = "the agent sent an unexpected response"
 
 
 class NoLeaderError(OakkeelError, OSError):
-    """No reachable agent leads the control plane; `reasons` has the failure or response by host."""
+    """No reachable agent leads the control plane; `reasons` has the failure or response of each host."""
 
     def __init__(self, reasons: dict[str, str]) -> None:
         """Store the reasons, by host."""
@@ -53,7 +53,7 @@
     """One fan-out in progress: its attempts, and the responses received."""
 
     def __init__(self, clients: AgentClients, requests: dict[str, messages.Request], fan_out: FanOut) -> None:
-        """Prepare to send each host its request."""
+        """Prepare to send each host its request; `fan_out` decides on the attempts."""
         self.clients = clients
         self.requests = requests
         self.fan_out = fan_out
@@ -141,17 +141,17 @@
         if self.fleet.control_plane is None:
             raise SettingsError(f"{self.fleet.path}: the fleet has no replicas (`keepers`), so no leader")
         voters = self.fleet.control_plane.hosts
-        others = [host.name for host in self.fleet.hosts if host.name not in voters]
+        other_hosts = [host.name for host in self.fleet.hosts if host.name not in voters]
         request_deadline = self.fleet.client.deadline
         search = LeaderDiscovery(
             time.monotonic_ns(),
-            [*voters, *others],
+            [*voters, *other_hosts],
             deadline or MAX_LEADER_SEARCH_DEADLINES * request_deadline,
         )
         while search.state is SearchState.SEARCHING:
             now = time.monotonic_ns()
             if not (name := search.next_host(now)):
-                await asyncio.sleep(max(0, min(search.not_before, search.deadline) - now) / SECOND)
+                await asyncio.sleep(max(0, min(search.next_query_at, search.deadline) - now) / SECOND)
                 continue
             timeout = min(request_deadline, max(1, search.deadline - now))
             try:
--- a/oakkeel/fleet/fan_out.py
+++ b/oakkeel/fleet/fan_out.py
@@ -2,7 +2,7 @@
 
 Every request is idempotent: a read changes nothing, and an order has an ID by which its agent recognises it.
 Retries and hedged requests share one budget over all targets, which limits the additional load on agents
-that are slow at the same time. A fan-out to few targets may still send `min_retry_budget` of them.
+that are slow at the same time. The budget of a fan-out to few targets is at least `min_retry_budget`.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     ANSWERED = "answered"
     REJECTED = "refused"  # the agent does not accept this client: no retry can succeed; also in JSON output
     FAILED = "failed"  # no attempt is left, or no retry budget
-    TIMED_OUT = "did not answer"  # before the deadline
+    TIMED_OUT = "did not answer"  # no response before the deadline
 
 
 TRANSITIONS = {
@@ -64,13 +64,14 @@
     hedge_delay: int  # without a response for this time, another attempt is sent, up to `max_attempts`
     max_attempts: int  # for each target
     retry_budget_ratio: float = DEFAULT_RETRY_BUDGET_RATIO  # of the number of targets
-    min_retry_budget: int = DEFAULT_MIN_RETRY_BUDGET  # applies to few targets
+    min_retry_budget: int = DEFAULT_MIN_RETRY_BUDGET  # lower bound of the budget, for few targets
 
 
 def retry_budget(targets: int, policy: FanOutPolicy) -> int:
-    """Return the number of retries and hedged requests for a number of targets together.
+    """Return the total number of retries and hedged requests that a fan-out may send.
 
-    A common budget keeps agents that are slow at the same time from receiving twice the requests.
+    `targets` is the number of its targets. They share one budget: without it, agents that are slow at the
+    same time would receive twice the requests.
     """
     return max(policy.min_retry_budget, int(policy.retry_budget_ratio * targets))
 
@@ -91,10 +92,10 @@
 
     name: str  # of the host
     state: TargetState = TargetState.SENT
-    sent: int = 0
-    in_flight: int = 0  # attempts that may still be answered
+    sent_count: int = 0  # attempts so far
+    in_flight_count: int = 0  # attempts that may still be answered
     retry_at: int = 0  # monotonic nanoseconds
-    reason: str = ""
+    reason: str = ""  # of the last failure
 
 
 class FanOut:
@@ -145,7 +146,7 @@
         """
         if now >= self.deadline:
             return Action.TIME_OUT
-        if not target.sent:
+        if not target.sent_count:
             return Action.SEND
         if now >= target.retry_at and self._may_retry(target):
             return Action.RETRY
@@ -155,7 +156,7 @@
 
     def _may_retry(self, target: Target) -> bool:
         """Return whether neither the attempts of a target nor the retry budget are used up."""
-        return target.sent < self.max_attempts and self.retries_left > 0
+        return target.sent_count < self.max_attempts and self.retries_left > 0
 
     def next_tick_at(self) -> int:
         """Return the time of the next `tick`, in monotonic nanoseconds, unless a response arrives earlier."""
@@ -169,7 +170,7 @@
     def record_response(self, now: int, name: str) -> bool:
         """Record a response; return whether it counts: it is the first, and arrived before the deadline."""
         target = self.targets[name]
-        target.in_flight -= 1
+        target.in_flight_count -= 1
         if target.state in FINAL_STATES:
             return False
         self._move(target, TargetState.ANSWERED)
@@ -178,7 +179,7 @@
     def record_rejection(self, now: int, name: str, reason: str) -> None:
         """Record that the agent does not accept this client."""
         target = self.targets[name]
-        target.in_flight -= 1
+        target.in_flight_count -= 1
         if target.state not in FINAL_STATES:
             target.reason = reason
             self._move(target, TargetState.REJECTED)
@@ -186,21 +187,21 @@
     def record_failure(self, now: int, name: str, reason: str) -> None:
         """Record that one attempt failed; other attempts to the same agent may still be in flight."""
         target = self.targets[name]
-        target.in_flight -= 1
+        target.in_flight_count -= 1
         if target.state in FINAL_STATES:
             return
         target.reason = reason
-        if target.in_flight:
+        if target.in_flight_count:
             return
-        if target.sent >= self.max_attempts:
+        if target.sent_count >= self.max_attempts:
             self._move(target, TargetState.FAILED)
             return
         self._move(target, TargetState.BACKING_OFF)
         target.retry_at = now + with_jitter(self.policy.hedge_delay, self.random())
 
     def _send(self, now: int, target: Target) -> str:
-        target.sent += 1
-        target.in_flight += 1
+        target.sent_count += 1
+        target.in_flight_count += 1
         target.retry_at = now + self.policy.hedge_delay
         return target.name
 
--- a/oakkeel/fleet/leader_discovery.py
+++ b/oakkeel/fleet/leader_discovery.py
@@ -4,7 +4,7 @@
 queried once in a round, and a round without a leader is followed by a delay.
 
 `agent/leader_locator.py` has another rule on purpose: an agent sends all its heartbeats to one replica, and
-changes the replica in rotation. This search serves one request of a client; it has rounds and a deadline.
+changes the replica in rotation. The search here serves one request of a client, and ends at a deadline.
 """
 
 from __future__ import annotations
@@ -42,20 +42,20 @@
         self.state = SearchState.SEARCHING
         self.queried_this_round: set[str] = set()
         self.next_candidate = self.names[0]
-        self.not_before = now
-        self.reasons: dict[str, str] = {}  # failure, or response of an agent that does not lead, by host
+        self.next_query_at = now
+        self.reasons: dict[str, str] = {}  # by host: the failure, or the reason why it does not lead
 
     def next_host(self, now: int) -> str:
-        """Return the host to query now; empty before `not_before` and after the end of the search."""
+        """Return the host to query now; empty before `next_query_at` and after the end of the search."""
         if self.state is SearchState.SEARCHING and now >= self.deadline:
             self._move(SearchState.TIMED_OUT)
-        if self.state is not SearchState.SEARCHING or now < self.not_before:
+        if self.state is not SearchState.SEARCHING or now < self.next_query_at:
             return ""
         self.queried_this_round.add(self.next_candidate)
         return self.next_candidate
 
     def record_not_leader(self, now: int, name: str, leader: str, reason: str) -> None:
-        """Record a response of an agent that does not lead; `leader` is the one that it names, if any."""
+        """Record a response of an agent that does not lead; `leader` is the host that it names, if any."""
         self.reasons[name] = reason
         self._choose_next(now, leader)
 
@@ -65,7 +65,7 @@
         self._choose_next(now, "")
 
     def record_leader(self) -> None:
-        """Record that the host queried last leads."""
+        """Record that the host queried last is the leader."""
         self._move(SearchState.FOUND)
 
     def _choose_next(self, now: int, leader: str) -> None:
@@ -78,7 +78,7 @@
         else:
             self.queried_this_round.clear()
             self.next_candidate = leader if leader in self.names else self.names[0]
-            self.not_before = now + self.round_delay
+            self.next_query_at = now + self.round_delay
 
     def _move(self, state: SearchState) -> None:
         if self.state is not SearchState.SEARCHING:
--- a/oakkeel/fleet/order_tracking.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -20,10 +20,10 @@
 class TaskStage(Enum):
     """The progress of an order for one instance, as known to its sender. Only `OrderTracker` changes it."""
 
-    NOT_SENT = "not ordered"  # no agent reported the instance, so its generation is not known
+    NOT_SENT = "not ordered"  # no agent reported the generation of the instance, which an order must name
     SENT = "sent"
     REJECTED = "refused"
-    UNKNOWN = "not known"  # without a response: the agent may have accepted the order
+    UNKNOWN = "not known"  # no response: the agent may have accepted the order
     OPEN = "open"
     DONE = "done"
     ENDED = "ended"  # without success
@@ -138,16 +138,16 @@
 
     @property
     def finished(self) -> bool:
-        """Whether no task is open, so that waiting longer changes nothing."""
+        """Whether no task is open, so that a sender need not wait longer."""
         return all(task.stage is not TaskStage.OPEN for task in self.tasks.values())
 
     @property
     def ended_count(self) -> int:
-        """The number of tasks that are neither open nor just sent."""
+        """The number of tasks whose outcome, known or not, no longer waits for an agent."""
         return sum(task.stage not in (TaskStage.OPEN, TaskStage.SENT) for task in self.tasks.values())
 
     def result(self, waited: bool) -> Result:
-        """Return the result; for a sender that did not wait, an open task counts as done."""
+        """Return the result; if the sender has not `waited` for it, an open task counts as done."""
         unresolved = (TaskStage.NOT_SENT, TaskStage.UNKNOWN, TaskStage.SENT)
         if any(task.stage in unresolved for task in self.tasks.values()):
             return Result.SOME_SILENT
--- a/oakkeel/fleet/selection.py
+++ b/oakkeel/fleet/selection.py
@@ -11,6 +11,7 @@
 from oakkeel.errors import OakkeelError
 from oakkeel.fleet.view import Row
 
+# The states by which an operator can select instances; `old` marks a state that was not reported recently.
 STATES = [phase.value for phase in Phase] + ["unknown", "old"]
 
 
@@ -22,7 +23,8 @@
 class Selection:
     """Glob patterns that select instances.
 
-    A field without patterns selects all instances; a field with several, those that match one of them.
+    A field without patterns selects all instances; a field with patterns selects the instances that match at
+    least one pattern.
     """
 
     names: tuple[str, ...] = ()
@@ -60,7 +62,7 @@
 
 
 def targets_by_host(rows: Sequence[Row]) -> dict[str, list[tuple[str, int]]]:
-    """Return names and reported generations by host; rows that no agent reported are left out."""
+    """Return names and reported generations by host, without instances that no agent reported."""
     targets: dict[str, list[tuple[str, int]]] = {}
     for row in rows:
         if row.status is not None:
@@ -69,7 +71,10 @@
 
 
 def sites_over_share(rows: Sequence[Row], selected: Sequence[Row], share: float) -> list[str]:
-    """Return a line for each site of which an order would leave more than `share` unavailable."""
+    """Return a line for each site that would have more than a ratio `share` of its instances unavailable.
+
+    `rows` are all instances, `selected` those that an order takes out of service.
+    """
     sizes = Counter(row.site for row in rows)
     newly_unavailable = Counter(row.site for row in selected if not row.is_unavailable)
     unavailable = Counter(row.site for row in rows if row.is_unavailable)
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -36,10 +36,10 @@
     site: str
     host: str
     state: str  # a phase, or `unknown` if its agent never reported the instance
-    old: bool = False  # the state is older than `MAX_STATUS_AGE_NS`
-    age: int = -1  # nanoseconds; -1: never reported
-    report_age: int = -1  # of the instance's own report, in nanoseconds; -1: none
-    source: str = "nobody"  # the agent that reported
+    old: bool = False  # whether the state is older than `MAX_STATUS_AGE_NS`
+    age: int = -1  # of the agent's status, in nanoseconds; -1: never reported
+    report_age: int = -1  # of the instance's last report to its agent, in nanoseconds; -1: none
+    source: str = "nobody"  # the agent that reported the status
     status: InstanceStatus | None = None
 
     @property
@@ -54,7 +54,7 @@
 
 
 class FleetView:
-    """All instances in the settings of a fleet, with the last status that their agents reported."""
+    """All instances in the settings of a fleet, each with the last status that its agent reported."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Start without any status."""
--- a/tests/fleet/test_fan_out.py
+++ b/tests/fleet/test_fan_out.py
@@ -45,7 +45,7 @@
     def test_agents_that_are_all_slow_share_one_retry_budget(self):
         fan_out = fan_out_to(100)
         sent = sum(len(fan_out.tick(tick * 10 * MS)) for tick in range(100))
-        self.assertEqual(sent, 120)
+        self.assertEqual(sent, 120)  # one attempt to each of 100 targets, and a retry budget of 20 %
 
     def test_retries_a_failed_attempt_after_a_backoff_but_never_a_rejected_one(self):
         fan_out = fan_out_to(2)
@@ -72,7 +72,7 @@
         in_flight = []
         sent = fan_out.tick(now)
         in_flight += sent
-        total = len(sent)
+        total_sent = len(sent)
         for target, event in events:
             name = f"h{target}"
             if event == "time":
@@ -85,7 +85,7 @@
                     getattr(fan_out, f"record_{event}")(now, name, "a reason")
             sent = fan_out.tick(now)
             in_flight += sent
-            total += len(sent)
+            total_sent += len(sent)
         fan_out.tick(SECOND)
         self.assertTrue(fan_out.is_finished)
-        self.assertLessEqual(total, 5 + 3)
+        self.assertLessEqual(total_sent, 5 + 3)  # one attempt to each target, and the minimum retry budget
--- a/tests/fleet/test_order_tracking.py
+++ b/tests/fleet/test_order_tracking.py
@@ -16,8 +16,8 @@
 class OrderTrackerTest(unittest.TestCase):
     def setUp(self) -> None:
         view = FleetView(fleet_of(3, 1))
-        view.update("h0", SECOND, host_status("h0", numbers=(0,)))
-        view.update("h1", SECOND, host_status("h1", numbers=(0,)))
+        view.update("h0", SECOND, host_status("h0", instance_numbers=(0,)))
+        view.update("h1", SECOND, host_status("h1", instance_numbers=(0,)))
         self.tracker = OrderTracker(OrderSpec("o1", "stop", 60 * SECOND), view.rows(SECOND))
 
     def test_gives_each_instance_one_outcome_and_sends_no_order_for_unreported_ones(self):
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -35,12 +35,12 @@
         self.assertIn("the agent of h1 answered at its address", self.view.notes()[0])
 
     def test_shows_an_instance_that_its_agent_does_not_know_as_unknown(self):
-        self.view.update("h0", SECOND, host_status("h0", numbers=(0,)))
+        self.view.update("h0", SECOND, host_status("h0", instance_numbers=(0,)))
         self.assertEqual([row.state for row in self.view.rows(SECOND)[:3]], ["serving", "unknown", "unknown"])
 
     def test_notes_the_clock_skew_of_an_agent(self):
         self.view.clock_offset = 1000 * SECOND
-        self.view.update("h0", 10 * SECOND, host_status("h0", unix=(1010 - 3600) * SECOND))
+        self.view.update("h0", 10 * SECOND, host_status("h0", unix_time=(1010 - 3600) * SECOND))
         self.assertIn("its clock is -3600 s off the clock of this host", self.view.notes()[0])
 
 
