--- a/oakkeel/rollout/assignments.py
+++ b/oakkeel/rollout/assignments.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ArtifactRequest:
-    """A request for copies of the content of a version, and of programs that targets run without one."""
+    """A request to copy a version, and the content that targets without an assigned version run."""
 
     release: str
     spec: VersionSpec
@@ -31,14 +31,16 @@
         self.services = frozenset(services)
         self.versions: dict[str, str] = {}  # by target
         self.sources: dict[str, VersionSpec] = {}  # by version
-        self.bases: dict[str, str] = {}  # by target: version of the copy of its program without a version
-        self.changed = False
+        # By target without an assigned version: the version of the copy of its content, for a rollback.
+        self.bases: dict[str, str] = {}
+        self.changed = False  # whether the agent has to store the assignments
         self.active = False  # whether the leader supports releases
-        self.collect_samples = False
-        self.release = ""
-        self.prepared: dict[str, str] = {}  # by release: why it can't be installed, empty if it can
+        self.collect_samples = False  # whether reports contain samples
+        self.release = ""  # ID of the open release; empty: none has targets on this host
+        # By release: the reason why this host can't run its version; empty if it can.
+        self.prepared: dict[str, str] = {}
         self.requested: set[str] = set()  # releases whose copies were requested
-        self.pending: dict[str, ArtifactRequest] = {}
+        self.pending: dict[str, ArtifactRequest] = {}  # by release, until `take_requests` returns them
 
     def restore(
         self, versions: dict[str, str], sources: dict[str, VersionSpec], bases: dict[str, str]
@@ -53,7 +55,7 @@
         return self.versions.get(target, "")
 
     def encode_report(self, statuses: list[TargetStatus]) -> bytes:
-        """Return the encoded report to send; it has no samples while no release is open."""
+        """Return the encoded report to send; it has samples only while a release is open."""
         if not self.collect_samples:
             statuses = [
                 TargetStatus(
@@ -97,13 +99,16 @@
             self.pending[received.release] = ArtifactRequest(received.release, received.spec, targets)
 
     def take_requests(self) -> list[ArtifactRequest]:
-        """Return the copies to make now; each is returned once, and again after a restart of the agent."""
+        """Return the requests for copies to make now; each is returned once, and again after a restart."""
         requests = list(self.pending.values())
         self.pending = {}
         return requests
 
     def record_prepared(self, release: str, why: str, bases: dict[str, str]) -> None:
-        """Record why the new version can't run on this host, empty if it can, and the copies of programs."""
+        """Record why this host can't run the version of a release, empty if it can, and its copies.
+
+        `bases` has the version of the copied content by target; `why` is reported to the leader.
+        """
         if release != self.release:
             return
         self.prepared[release] = why
@@ -113,5 +118,5 @@
             self.changed = True
 
     def needed_versions(self) -> set[str]:
-        """Return the versions whose copies must be kept."""
+        """Return the versions whose copies the agent has to keep."""
         return {*self.versions.values(), *self.sources, *self.bases.values()}
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -1,6 +1,6 @@
 """Starts and finishes the batches of a release. Free of I/O.
 
-Each function returns the next step for a state; the controller proposes the step.
+Each function decides the next step from a `BatchView`; the controller proposes the command of the step.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from oakkeel.units import SECOND
 
 MAX_BATCH = 500  # targets of one batch
-BATCH_GRACE_NS = 8 * SECOND  # after the timeout of a batch, until its last reports have arrived
-MAX_LISTED_TARGETS = 5  # in one reason
+BATCH_GRACE_NS = 8 * SECOND  # added to the timeout of a batch, for its last reports to arrive
+MAX_LISTED_TARGETS = 5  # targets that one reason names
 # Final states of a task after which a batch finishes without a report of the new process: the task was not
 # started, or it completed. A target that does not run the intended version is changed again by a later batch.
 ENDED_WITHOUT_FAILURE = ("refused", "expired", "halted", "cancelled", "done")
@@ -30,8 +30,8 @@
     """The next command, if any, and the reason why the release waits."""
 
     command: commands.Command | None = None
-    why: str | None = None  # None keeps the last reason, an empty one clears it
-    retry: bool = False  # plan again after a delay
+    why: str | None = None  # None keeps the last reason, an empty text clears it
+    retry: bool = False  # whether to plan again after a delay
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,7 +43,7 @@
     release: Release
     gate: Gate
     observations: Observations
-    fence: int
+    fence: int  # fencing token of the controller's lease
 
     @property
     def tasks(self) -> dict[str, DisruptionTask]:
@@ -108,7 +108,7 @@
 
 
 def _is_stopped(view: BatchView) -> bool:
-    """Return whether the batch need not complete, because an operator stopped or reversed it."""
+    """Return whether the open batch need not complete: it was halted, or its release stopped or reversed."""
     release = view.release
     order = view.order
     order_halted = bool(order and order.halted_by not in ("", TIMEOUT_OPERATOR))
@@ -198,7 +198,7 @@
     """Return the maximum number of targets of the next batch, out of the remaining ones.
 
     A gated release starts with its canaries and grows by a factor, so that a bad version reaches few targets
-    before the gates have samples. A rollback takes as many as its policy allows.
+    before the gates have samples. A batch of a rollback has as many targets as its policy allows.
     """
     policy = release.policy
     if release.rolling_back:
@@ -218,13 +218,17 @@
 
 
 def _choose_comparison_targets(view: BatchView, chosen: list[str]) -> list[str]:
-    """Choose as many old targets as canaries to restart with the canaries, if the budgets allow both."""
+    """Choose targets that run the old version to restart together with the canaries, for comparison.
+
+    Returns at most one for each canary; none if the budgets do not allow canaries and comparison targets
+    together.
+    """
     observations = view.observations
     release = view.release
     unavailable = observations.allocator.unavailable
     candidates = [
         target
-        for target in observations.planner.site
+        for target in observations.planner.site_of
         if target not in chosen
         and (observation := observations.targets.get(target))
         and observation.is_serving
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -1,4 +1,10 @@
-"""Replicated commands of releases. A command with a fencing token needs the lease of the controller."""
+"""Replicated commands of releases.
+
+Some fields have the same meaning in all commands: `ident` is the ID of the release, `fence` the fencing
+token of the rollout controller's lease, `step` the last step of the release that the controller observed,
+and `unix` a wall-clock time in nanoseconds. A command with a fencing token is rejected if the lease has
+passed to another controller.
+"""
 
 from __future__ import annotations
 
@@ -24,15 +30,15 @@
 
     canary: int = 1  # targets of the first batch
     growth: float = 2.0  # each batch multiplies the number of updated targets by this factor
-    max_batch: int = 0  # targets of one batch; 0: as the disruption budgets allow
+    max_batch: int = 0  # maximum number of targets of one batch; 0: only the disruption budgets limit it
     control: bool = True  # restart as many old targets together with the canaries, to compare cold processes
-    gated: bool = True
+    gated: bool = True  # whether the gates compare the versions, and halt the release if the new one is worse
     auto_roll_back: bool = False  # roll back automatically after the gates have halted the release
     soak: int = 60_000_000_000  # minimum time after each batch
     verdict_timeout: int = 600_000_000_000  # maximum time without a verdict of the gates
     batch_timeout: int = 120_000_000_000
-    margin: float = 0.02  # the loss to rule out, as a ratio of the earned weight
-    max_load: float = 0.85  # ratio of the cores of the remaining targets of a site
+    margin: float = 0.02  # the loss of earned weight to rule out, as a ratio of that of the old version
+    max_load: float = 0.85  # load of the targets of a site that stay in service, as a ratio of their cores
 
 
 class StartRelease(msgspec.Struct, tag="begin", array_like=True):
@@ -47,7 +53,7 @@
 
 
 class ControlRelease(msgspec.Struct, tag="turn", array_like=True):
-    """An operator's control: pause, resume, abort, undo (roll back) or leave (abandon)."""
+    """Pause, resume, abort, roll back (undo) or abandon (leave) a release, as its operator decides."""
 
     ident: str
     operator: str
@@ -55,17 +61,17 @@
 
 
 class ReportPrepared(msgspec.Struct, tag="ready", array_like=True):
-    """A host has copies of the new and of the running version, or reports why it has none."""
+    """A host has made the copies for a release, or reports why it can't run the new version."""
 
     ident: str
     fence: int
     host: str
-    why: str
+    why: str  # the reason why the host can't run the new version; empty if it can
     bases: dict[str, str]  # by target: the version of the copy of its running program
 
 
 class BeginRollout(msgspec.Struct, tag="go", array_like=True):
-    """All hosts are prepared: the first batch may start."""
+    """Start the rollout of a prepared release: all its hosts have made their copies."""
 
     ident: str
     fence: int
@@ -84,7 +90,7 @@
 
 
 class FinishBatch(msgspec.Struct, tag="settle", array_like=True):
-    """The open batch has finished: `updated` targets run the new version, the others the old one."""
+    """Finish the open batch: the targets in `updated` run the new version, its other targets the old one."""
 
     ident: str
     fence: int
@@ -93,7 +99,7 @@
 
 
 class RecordVerdict(msgspec.Struct, tag="judge", array_like=True):
-    """The state of the gates, for the next controller; with a reason the release halts."""
+    """Store the state of the gates for the next controller; with a reason, also halt the release."""
 
     ident: str
     fence: int
@@ -104,7 +110,7 @@
 
 
 class FinishRelease(msgspec.Struct, tag="finish", array_like=True):
-    """All targets have reached the end state of the release."""
+    """Finish the release: all its targets have reached its end state."""
 
     ident: str
     fence: int
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -54,8 +54,8 @@
         self.lease = ControllerLease(now, holder)
         self.observations = Observations(allocator)
         self.gate: Gate | None = None
-        self.gate_key = ""  # release and direction of the gate
-        # The time at which the last batch finished or the release began, if this controller observed that.
+        self.gate_key = ""  # identifies the release, direction and operator action of the gate
+        # The time at which the last batch finished or the gate was created; the soak time counts from it.
         self.waiting_since = now
         self.batch_started_at = now  # the time at which this controller first observed the open batch
         self.batch_key = BatchKey()
@@ -69,7 +69,10 @@
     def receive_heartbeat(
         self, now: int, heartbeat: Heartbeat
     ) -> list[commands.Command | permit_commands.Command]:
-        """Record the report of a host, which is no older than the response that the heartbeat echoes."""
+        """Record the report of a host; return the commands to propose.
+
+        The report is no older than the response that the heartbeat echoes.
+        """
         session = self.allocator.sessions.get(heartbeat.host)
         if (
             session is None
@@ -134,7 +137,7 @@
     # Results of commands.
 
     def applied(self, now: int, command: object, result: object) -> None:
-        """Handle the result of a command that was applied."""
+        """Handle the result of a command that the state machine has applied."""
         if isinstance(command, permit_commands.SetTopology):
             self.observations.update_topology()
         if self.lease.is_own_request(command):
@@ -184,7 +187,7 @@
         return proposals
 
     def _next_step(self, now: int, release: Release, gate: Gate) -> Step:
-        """Return the next step of a release in its state: prepare, start or finish a batch, wait, finish."""
+        """Return the next step of a release: it depends on the state of the release and of its open batch."""
         view = BatchView(
             now, self.state_machine.state, release, gate, self.observations, self.lease.fencing_token
         )
@@ -205,7 +208,7 @@
         return Step(step.command, step.why or "", step.retry)
 
     def _prepare(self, now: int, release: Release) -> Step:
-        """Begin once all hosts have their copies; a host that does not report in time ends the release."""
+        """Begin the rollout once all hosts have their copies; abandon it if a host reports none in time."""
         host_of = self.allocator.host_of
         hosts = {host_of[target] for target in release.targets if target in host_of}
         missing = sorted(hosts - set(release.prepared_hosts)) if not release.spec.services else []
@@ -219,7 +222,7 @@
         return Step(None, why)
 
     def _check_gate(self, view: BatchView) -> Step:
-        """Halt, or wait for a verdict and the soak time; return an empty step if the next batch may start.
+        """Halt the release, or wait for a verdict and the soak time; an empty step lets the next batch start.
 
         The release halts if there is no verdict within the timeout of the policy: an operator has to decide.
         """
--- a/oakkeel/rollout/controller_lease.py
+++ b/oakkeel/rollout/controller_lease.py
@@ -8,14 +8,17 @@
 from oakkeel.units import MS, SECOND
 
 LEASE_DURATION_NS = 2 * SECOND
-LEASE_RENEWAL_NS = LEASE_DURATION_NS * 3 // 4  # before the expiry, which leaves time for failed renewals
-LEASE_RETRY_DELAY_NS = (
-    200 * MS
-)  # after a request, and after a rejection because another controller holds the lease
+# The lease is renewed this long before its expiry, which leaves time to repeat a failed renewal.
+LEASE_RENEWAL_NS = LEASE_DURATION_NS * 3 // 4
+# Between two requests, and after a rejection because another controller holds the lease.
+LEASE_RETRY_DELAY_NS = 200 * MS
 
 
 class ControllerLease:
-    """One controller's lease. Times are nanoseconds of the leader's monotonic clock."""
+    """The lease of a rollout controller: only its holder takes steps of a release.
+
+    Times are nanoseconds of the leader's monotonic clock.
+    """
 
     def __init__(self, now: int, holder: str) -> None:
         """`holder` is a name that no earlier controller had."""
@@ -59,5 +62,5 @@
         self.requested_at = 0
 
     def handle_lost_request(self) -> None:
-        """Handle a request that was not committed: another one may be sent."""
+        """Handle a request that was not committed: the controller may request the lease again."""
         self.requested_at = 0
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -1,7 +1,8 @@
-"""Gates of a release: compare reports of nodes with the new and the old version over the same time.
+"""Gates of a release: compare nodes that run the new version with nodes that run the old one. Free of I/O.
 
-Cold processes are compared only with cold ones, such as the comparison targets of a batch. All metrics share
-one bound on the probability of halting a version that is as good as the old. Free of I/O.
+The reports of both versions cover the same time. Cold processes are compared only with other cold processes,
+such as the comparison targets of a batch. All metrics share one bound on the probability of halting a version
+that is as good as the old.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from oakkeel.rollout.sequential import Difference, Events, Sums, log_mean
 from oakkeel.units import SECOND
 
-FALSE_HALT_RATE = 0.01
-FALSE_PASS_RATE = 0.05
-WINDOW_NS = SECOND  # samples of one window are compared
-# A release halts at this number of crashes of the new version if the old version has fewer. The larger limit
-# applies.
+FALSE_HALT_RATE = 0.01  # bound on the probability that a version as good as the old halts its release
+FALSE_PASS_RATE = 0.05  # bound on the probability that a version with a loss of `margin` passes
+WINDOW_NS = SECOND  # both versions are compared by their samples of the same window
+# A release halts if the new version has crashed at least this often, and more often than the old version. The
+# larger of the two limits applies.
 MAX_DEATHS = 3
 MAX_DEATH_RATIO = 0.1  # of the processes of the new version
-MIN_SAMPLES = 50  # requests of each arm before a metric counts
-MIN_REFERENCE_WEIGHT = 1e-6
+MIN_SAMPLES = 50  # requests to each version that a metric needs before it is used
+MIN_REFERENCE_WEIGHT = 1e-6  # keeps the tolerated losses above zero if the old version earns nothing
 
 # Tolerated losses, and the typical sizes (scales) of the losses beyond them that matter.
 TOLERATED_MARGIN_RATIO = 0.25  # of the margin
@@ -84,11 +85,11 @@
     latency: dict[str, Difference] = {}  # by request class
     memory_growth: Difference = msgspec.field(default_factory=Difference)
     deaths: Events = msgspec.field(default_factory=Events)
-    population: int = 0  # maximum number of processes of the new version at a crash
+    population: int = 0  # maximum number of processes of the new version at the time of any crash
 
 
 class Gate:
-    """The sequential tests of one release in one direction."""
+    """The sequential tests of one release, in one direction: rollout or rollback."""
 
     def __init__(self, now: int, state: bytes, margin: float) -> None:
         """Continue from the state of an earlier controller, which is dropped if it can't be decoded.
@@ -104,7 +105,7 @@
         self.window_start = now
 
     def encode_state(self) -> bytes:
-        """Return the state for the next controller."""
+        """Return the encoded state, from which the next controller continues."""
         return msgspec.msgpack.encode(self.state)
 
     def sample_count(self) -> float:
@@ -157,7 +158,7 @@
                 tests[request_class].observe(_negated(old), _negated(new), INITIAL_LOG_LATENCY_VARIANCE)
 
     def verdict(self, reference: float) -> Verdict:
-        """Return whether all samples so far halt a release, let it continue, or are too few.
+        """Return whether the samples so far halt the release, let it continue, or are too few.
 
         Losses are relative to `reference`, the mean earned weight of a request of the old version. The
         evidence of all metrics is averaged before it is compared, so that one bound on false halts holds for
@@ -195,35 +196,37 @@
                 f"{warm.new.count:.0f} requests to the new and {warm.old.count:.0f} to the old version"
                 f" at the same time; {MIN_SAMPLES} to each are needed"
             )
-        if warm.not_worse(scale, scale) < math.log(1 / FALSE_PASS_RATE):
+        if warm.log_evidence_not_worse(scale, scale) < math.log(1 / FALSE_PASS_RATE):
             return f"a loss of {_percent(self.margin)} is not ruled out yet"
         return ""
 
     def _evidence(self, scale: float) -> dict[Metric, float]:
-        """Return the log evidence by metric that the new version is worse than tolerated."""
+        """Return, by metric, the log evidence that the new version is worse than tolerated."""
         state = self.state
         margin = self.margin
         slower = [
-            test.worse(TOLERATED_LOG_LATENCY, LOG_LATENCY_SCALE)
+            test.log_evidence_worse(TOLERATED_LOG_LATENCY, LOG_LATENCY_SCALE)
             for test in state.latency.values()
             if _has_samples(test)
         ]
         return {
             Metric.WARM_WEIGHT: (
-                state.warm.worse(TOLERATED_MARGIN_RATIO * scale, scale) if _has_samples(state.warm) else 0.0
+                state.warm.log_evidence_worse(TOLERATED_MARGIN_RATIO * scale, scale)
+                if _has_samples(state.warm)
+                else 0.0
             ),
             Metric.COLD_WEIGHT: (
-                state.cold.worse(TOLERATED_COLD_MARGIN_RATIO * scale, COLD_SCALE_RATIO * scale)
+                state.cold.log_evidence_worse(TOLERATED_COLD_MARGIN_RATIO * scale, COLD_SCALE_RATIO * scale)
                 if _has_samples(state.cold)
                 else 0.0
             ),
             Metric.REJECTED: (
-                state.rejected.worse(TOLERATED_MARGIN_RATIO * margin, margin)
+                state.rejected.log_evidence_worse(TOLERATED_MARGIN_RATIO * margin, margin)
                 if _has_samples(state.rejected)
                 else 0.0
             ),
-            Metric.DEATHS: state.deaths.worse(),
-            Metric.MEMORY: state.memory_growth.worse(
+            Metric.DEATHS: state.deaths.log_evidence_worse(),
+            Metric.MEMORY: state.memory_growth.log_evidence_worse(
                 TOLERATED_MEMORY_GROWTH_KB_PER_SECOND, MEMORY_GROWTH_SCALE_KB_PER_SECOND
             ),
             Metric.LATENCY: log_mean(slower),
@@ -234,7 +237,7 @@
         return self.state.warm.old.mean or 1.0
 
     def _describe(self, worst: Metric) -> str:
-        """Return the figures of both versions in the metric with the most evidence, for display."""
+        """Return the figures of both versions in the metric `worst`, for display."""
         state = self.state
         if worst is Metric.DEATHS:
             return f"{state.deaths.new} crashes of the new, {state.deaths.old} of the old"
@@ -269,10 +272,10 @@
         )
 
 
-def _observe_loss(test: Difference, window: Window, age: AgeClass, initial_variance: float) -> None:
+def _observe_loss(test: Difference, window: Window, age_class: AgeClass, initial_variance: float) -> None:
     """Compare the earned weight of both arms in one age class."""
-    old = window.earned_weight.get((Arm.OLD, age), Sums())
-    new = window.earned_weight.get((Arm.NEW, age), Sums())
+    old = window.earned_weight.get((Arm.OLD, age_class), Sums())
+    new = window.earned_weight.get((Arm.NEW, age_class), Sums())
     test.observe(old, new, initial_variance)
 
 
--- a/oakkeel/rollout/messages.py
+++ b/oakkeel/rollout/messages.py
@@ -18,7 +18,7 @@
     age: int  # of the last report of the target, in nanoseconds; -1: none
     backing_off: bool = False  # the process crashed repeatedly, and its restart is delayed
     deaths: int = 0  # crashes since its agent started
-    load: float = 0.0  # of its cores
+    load: float = 0.0  # ratio of its cores in use
     samples: Samples | None = None
 
 
@@ -26,19 +26,19 @@
     """The status of the targets of an agent, and its preparation of the open release."""
 
     statuses: list[TargetStatus] = []
-    prepared: dict[str, str] = {}  # by release: why it can't be installed, empty if it can
-    bases: dict[str, str] = {}  # by target: version of the copy of its program
+    prepared: dict[str, str] = {}  # by release: why the host can't run its version; empty if it can
+    bases: dict[str, str] = {}  # by target that had no assigned version: version of the copy of its content
 
 
 class AgentAssignments(msgspec.Struct, array_like=True):
     """The response to a report: the versions of the targets of the agent from their next start on."""
 
     versions: dict[str, str] = {}
-    sources: dict[str, VersionSpec] = {}  # specification to copy from, by version
+    sources: dict[str, VersionSpec] = {}  # by version: the paths from which to copy its content
     release: str = ""  # ID of the open release, if it has targets on this host
-    spec: VersionSpec = msgspec.field(default_factory=lambda: VersionSpec(""))
-    targets: list[str] = []  # of the release, on this host
-    collect_samples: bool = False
+    spec: VersionSpec = msgspec.field(default_factory=lambda: VersionSpec(""))  # of the open release
+    targets: list[str] = []  # of the open release, on this host
+    collect_samples: bool = False  # whether reports have to contain samples
 
 
 _report_decoder = msgspec.msgpack.Decoder(AgentReport)
@@ -51,10 +51,10 @@
 
 
 def decode_report(content: bytes) -> AgentReport:
-    """Decode a report, without content an empty one. Raises `msgspec.MsgspecError`."""
+    """Decode a report; no content means an empty report. Raises `msgspec.MsgspecError`."""
     return _report_decoder.decode(content) if content else AgentReport()
 
 
 def decode_assignments(content: bytes) -> AgentAssignments:
-    """Decode a response, without content an empty one. Raises `msgspec.MsgspecError`."""
+    """Decode a response; no content means empty assignments. Raises `msgspec.MsgspecError`."""
     return _assignments_decoder.decode(content) if content else AgentAssignments()
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -14,7 +14,8 @@
 
 COLD_PHASE = "cold"  # warming up
 RUNNING_PHASES = (COLD_PHASE, "serving")
-PROCESS_PHASES = ("starting", COLD_PHASE, "serving", "silent", "stuck")  # a process runs and does not drain
+# Phases of a target that has a process which is not draining.
+PROCESS_PHASES = ("starting", COLD_PHASE, "serving", "silent", "stuck")
 BROKEN_PHASES = ("failing", "stopped", "silent", "stuck")
 
 
@@ -85,9 +86,9 @@
             gate.record_death(self.arm(release, status.name, previous_version), running)
         if status.samples is not None and status.phase in RUNNING_PHASES:
             process = ProcessIdentity(status.version, status.generation)
-            age = AgeClass.COLD if status.phase == COLD_PHASE else AgeClass.WARM
+            age_class = AgeClass.COLD if status.phase == COLD_PHASE else AgeClass.WARM
             arm = self.arm(release, status.name, status.version)
-            gate.record(now, status.name, arm, ProcessReport(process, age, status.samples))
+            gate.record(now, status.name, arm, ProcessReport(process, age_class, status.samples))
 
     def arm(self, release: Release, target: str, version: str) -> Arm:
         """Return the arm of a target that runs `version`.
@@ -112,7 +113,10 @@
         return observation if observation and observation.is_fresh(now) else None
 
     def has_arrived(self, now: int, release: Release, target: str) -> bool:
-        """Return whether a target of the open batch runs the version of the batch."""
+        """Return whether a target of the open batch runs the version of the batch.
+
+        A service, which reports no version, has arrived once it is available.
+        """
         if release.spec.services:
             return target not in self.allocator.unavailable.reasons
         observation = self.fresh_observation(now, target)
@@ -125,7 +129,7 @@
     def deviates(self, now: int, release: Release, target: str) -> bool:
         """Return whether a target runs another version than a finished batch assigned to it.
 
-        This happens if the target crashed and restarted before its agent received the assignment.
+        A target deviates if it crashed and restarted before its agent received the assignment.
         """
         observation = self.fresh_observation(now, target)
         if release.spec.services or observation is None:
@@ -142,7 +146,7 @@
         """Return whether a target runs the new version, or may start with it at any moment.
 
         A target without a process, or with a draining one, may start with the version of the batch and has to
-        be changed again. For a service: whether the operator has replaced it.
+        be changed again. A service runs the new version if its operator has replaced it.
         """
         if release.spec.services:
             replaced = target in tasks and tasks[target].state == "done"
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -37,7 +37,7 @@
     generation: int = 0
     version: str = ""
     observed_at: int = NEVER_OBSERVED_AT_NS  # the earliest possible time, in nanoseconds
-    load: float = 0.0  # ratio of its cores
+    load: float = 0.0  # ratio of its cores in use
     backing_off: bool = False  # the process crashed repeatedly, and its restart is delayed
 
     def is_fresh(self, now: int) -> bool:
@@ -64,7 +64,7 @@
 
     max_targets: int
     max_load: float  # ratio of the cores of the remaining targets at a site
-    broken_first: bool = False  # for a rollback; else unavailable targets come after available ones
+    broken_first: bool = False  # choose unavailable targets before available ones, as in a rollback
     keep_last: bool = True  # never choose the last serving target of a group
 
 
@@ -75,13 +75,13 @@
         """Index the targets of a topology by group, site and dependency."""
         self.topology = topology
         self.groups = {group.name: group for group in topology.groups}
-        self.site: dict[str, str] = {}
-        self.groups_of: dict[str, list[str]] = {}
+        self.site_of: dict[str, str] = {}  # name of the group of the site, by target
+        self.groups_of: dict[str, list[str]] = {}  # names, by target
         for group in topology.groups:
             for target in group.targets:
                 self.groups_of.setdefault(target, []).append(group.name)
                 if group.name.startswith("site "):
-                    self.site[target] = group.name
+                    self.site_of[target] = group.name
         # The rank spreads a batch over hosts: a host starts few targets at a time, and may fail as a whole.
         self.rank = {target: rank for names in topology.hosts.values() for rank, target in enumerate(names)}
         self.services_of: dict[str, list[str]] = {}  # services on which an instance depends
@@ -104,11 +104,11 @@
         """
         broken: list[str] = []
         available: list[str] = []
-        stale = 0
+        stale_count = 0
         for target in candidates:
             observation = observations.get(target)
             if observation is None or not observation.is_fresh(now):
-                stale += 1
+                stale_count += 1
             elif target not in unavailable.reasons:
                 available.append(target)
             elif observation.phase != "draining" and not any(
@@ -117,7 +117,7 @@
                 broken.append(target)
         if not broken and not available:
             return BatchChoice(
-                [], f"the last reports of {stale} targets are stale" if stale else NONE_AVAILABLE
+                [], f"the last reports of {stale_count} targets are stale" if stale_count else NONE_AVAILABLE
             )
         selection = _Selection(self, now, observations, unavailable, limits)
         if limits.broken_first:
@@ -146,38 +146,39 @@
         self.unavailable = unavailable
         self.limits = limits
         self.targets: list[str] = []
-        self.objection = ""  # to the last candidate
+        self.objection = ""  # why the last candidate was not chosen
         self.chosen_count: dict[str, int] = {}  # by site
-        self.serving: dict[str, int] = {}  # by group
+        self.serving_count: dict[str, int] = {}  # by group
         self.capacity: dict[str, float] = {}  # by site, in nodes' worth of cores
-        self.load: dict[str, float] = {}  # by site, in the same unit
+        self.load: dict[str, float] = {}  # by site, in nodes' worth of cores
         for target in planner.groups_of:
-            self._count(now, target, observations.get(target))
+            self._count_target(now, target, observations.get(target))
 
-    def _count(self, now: int, target: str, observation: TargetObservation | None) -> None:
-        site = self.planner.site.get(target, "")
+    def _count_target(self, now: int, target: str, observation: TargetObservation | None) -> None:
+        """Add a target to the serving counts of its groups, and to the capacity and load of its site."""
+        site = self.planner.site_of.get(target, "")
         available = target not in self.unavailable.reasons
         if observation is None or not observation.is_fresh(now):
             if available:  # such as a downstream service, which reports no phase
-                self._add_serving(target, 1)
+                self._change_serving_count(target, 1)
         elif observation.is_serving and available:
-            self._add_serving(target, 1)
+            self._change_serving_count(target, 1)
             self.capacity[site] = self.capacity.get(site, 0.0) + 1.0
             self.load[site] = self.load.get(site, 0.0) + observation.load
         elif observation.phase == "cold":
             self.capacity[site] = self.capacity.get(site, 0.0) + COLD_CAPACITY_RATIO
             self.load[site] = self.load.get(site, 0.0) + observation.load
 
-    def _add_serving(self, target: str, change: int) -> None:
+    def _change_serving_count(self, target: str, change: int) -> None:
         for group in self.planner.groups_of.get(target, ()):
-            self.serving[group] = self.serving.get(group, 0) + change
+            self.serving_count[group] = self.serving_count.get(group, 0) + change
 
     def fill(self, available: list[str]) -> None:
         """Choose from available targets, site by site in turn, up to the size of the batch."""
         by_site: dict[str, list[str]] = {}
         rank = self.planner.rank
         for target in sorted(available, key=lambda target: (rank.get(target, 0), target), reverse=True):
-            by_site.setdefault(self.planner.site.get(target, ""), []).append(target)
+            by_site.setdefault(self.planner.site_of.get(target, ""), []).append(target)
         while len(self.targets) < self.limits.max_targets and by_site:
             target = self._next_target(by_site)
             if not target:
@@ -185,9 +186,9 @@
             self._add(target)
 
     def _next_target(self, by_site: dict[str, list[str]]) -> str:
-        """Return the next target without an objection, empty if none; drop the sites that have none."""
+        """Return the next target without an objection, empty if none; drop sites without such a target."""
         for site in sorted(
-            by_site, key=lambda site: (self.chosen_count.get(site, 0), -self.serving.get(site, 0), site)
+            by_site, key=lambda site: (self.chosen_count.get(site, 0), -self.serving_count.get(site, 0), site)
         ):
             for target in by_site[site][-MAX_CANDIDATES_PER_SITE:][::-1]:
                 self.objection = self._find_objection(target)
@@ -221,23 +222,23 @@
         groups_of = self.planner.groups_of
         groups = self.planner.groups
         for name in groups_of.get(target, ()):
-            if self.serving.get(name, 0) <= 1 and len(groups[name].targets) > 1:
+            if self.serving_count.get(name, 0) <= 1 and len(groups[name].targets) > 1:
                 return f"{target} is the last serving target of {name}"
         dependents = self.planner.topology.dependents.get(target, ())
         for name in {name for dependent in dependents for name in groups_of.get(dependent, ())}:
             members = groups[name].targets
-            if self.serving.get(name, 0) <= sum(dependent in members for dependent in dependents):
+            if self.serving_count.get(name, 0) <= sum(dependent in members for dependent in dependents):
                 return f"the dependents of {target} are the last serving targets of {name}"
         return ""
 
     def _load_objection(self, target: str) -> str:
         dependents = self.planner.topology.dependents.get(target, ())
-        site_of = self.planner.site
+        site_of = self.planner.site_of
         max_load = self.limits.max_load
         for site in {site_of.get(target, ""), *(site_of.get(dependent, "") for dependent in dependents)}:
             lost_count = sum(site_of.get(name, "") == site for name in (target, *dependents)) if site else 0
             if not lost_count or lost_count >= len(self.planner.groups[site].targets):
-                continue  # all targets of the site: none remains to carry its load
+                continue  # all targets of the site stop together: no target remains to carry its load
             capacity = self.capacity.get(site, 0.0) - lost_count
             load = self.load.get(site, 0.0)
             if load > MIN_CHECKED_LOAD and load > max_load * max(capacity, MIN_CAPACITY):
@@ -250,9 +251,9 @@
     def _add(self, target: str) -> None:
         """Add a target to the batch; its dependents stop serving with it."""
         for name in (target, *self.planner.topology.dependents.get(target, ())):
-            self._add_serving(name, -1)
-            site = self.planner.site.get(name, "")
+            self._change_serving_count(name, -1)
+            site = self.planner.site_of.get(name, "")
             self.capacity[site] = self.capacity.get(site, 0.0) - 1.0
-        site = self.planner.site.get(target, "")
+        site = self.planner.site_of.get(target, "")
         self.chosen_count[site] = self.chosen_count.get(site, 0) + 1
         self.targets.append(target)
--- a/oakkeel/rollout/release.py
+++ b/oakkeel/rollout/release.py
@@ -61,10 +61,10 @@
 class ReleaseTarget(msgspec.Struct, array_like=True):
     """One target of a release. Only `RolloutStateMachine._move_target` changes its state."""
 
-    previous: str  # the version before the release
+    previous: str  # the assigned version before the release; empty: none
     state: TargetState = TargetState.OLD
     base: str = ""  # version of the copy of the program that ran before the release; for the rollback
-    attempts: int = 0
+    attempts: int = 0  # batches that included the target since the last `reset_progress`
 
 
 class Release(msgspec.Struct, array_like=True):
@@ -72,8 +72,8 @@
 
     ident: str
     operator: str
-    unix: int
-    index: int
+    unix: int  # wall-clock time of the start, in nanoseconds
+    index: int  # of the command that started the release, in the replicated log
     spec: VersionSpec
     policy: RolloutPolicy
     targets: dict[str, ReleaseTarget]
@@ -82,13 +82,13 @@
     batch: int = 0  # number of the last batch
     in_progress: list[str] = []  # targets of the open batch
     comparison_targets: list[str] = []  # targets that restart unchanged with the open batch
-    prepared_hosts: list[str] = []
+    prepared_hosts: list[str] = []  # hosts that have made their copies
     rolling_back: bool = False  # also while the rollback is halted
-    why: str = ""
+    why: str = ""  # the reason for the state, for display
     gate_state: bytes = b""
     summary: str = ""  # of the gates, for display
     operator_actions: int = 0  # number of accepted operator actions
-    batch_forward: bool = True  # the open batch changes its targets to the new version
+    batch_forward: bool = True  # whether the last batch changes its targets to the new version
 
     @property
     def is_finished(self) -> bool:
--- a/oakkeel/rollout/samples.py
+++ b/oakkeel/rollout/samples.py
@@ -14,7 +14,7 @@
 from oakkeel.rollout.sequential import Sums
 from oakkeel.units import SECOND
 
-MIN_MEMORY_WINDOW_NS = 5 * SECOND  # over a shorter time, noise exceeds the growth
+MIN_MEMORY_WINDOW_NS = 5 * SECOND  # minimum time between two readings: below it, noise exceeds the growth
 MAX_REQUEST_CLASSES = 16
 
 
@@ -34,19 +34,19 @@
 
 
 class Samples(msgspec.Struct, array_like=True):
-    """The totals of one process since its start."""
+    """The totals of one process since its start, and its memory."""
 
     # For each request, the part of its full priority weight that its response earned.
     earned_weight: Sums = msgspec.field(default_factory=Sums)
-    rejected: float = 0.0
-    failed: float = 0.0
-    memory_kb: float = 0.0
-    latencies: dict[str, Sums] = {}  # by request class: logs of the seconds until completion
+    rejected: float = 0.0  # number of requests
+    failed: float = 0.0  # number of requests
+    memory_kb: float = 0.0  # resident memory at the time of the report
+    latencies: dict[str, Sums] = {}  # by request class: sums of the logs of the seconds until completion
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessIdentity:
-    """The process to which totals belong: a new generation starts to count at zero."""
+    """The process to which totals belong; the totals of a new generation start at zero."""
 
     version: str
     generation: int
@@ -57,7 +57,7 @@
     """The totals of one process at one time."""
 
     process: ProcessIdentity
-    age: AgeClass
+    age_class: AgeClass
     samples: Samples
 
 
@@ -107,7 +107,7 @@
     def record(self, now: int, target: str, arm: Arm, report: ProcessReport) -> None:
         """Add the samples of a target's process since its last report to the window.
 
-        Reports are subtracted only if they are of one process, in one arm and one age class. `now` is in
+        The last two reports are subtracted only if they have the same process, arm and age class. `now` is in
         monotonic nanoseconds.
         """
         baseline = self.baselines.get(target)
@@ -115,9 +115,9 @@
             self.baselines[target] = ProcessBaseline(report, arm)
             return
         if report.samples.earned_weight.count < baseline.report.samples.earned_weight.count:
-            return  # an older report
-        same_group = baseline.report.age is report.age and baseline.arm is arm
-        if same_group and arm is not Arm.NEITHER:
+            return  # the report is older than the last one
+        same_arm_and_age_class = baseline.report.age_class is report.age_class and baseline.arm is arm
+        if same_arm_and_age_class and arm is not Arm.NEITHER:
             self._add_to_window(now, baseline, report.samples)
         else:
             baseline.memory = None
@@ -125,14 +125,14 @@
         baseline.arm = arm
 
     def _add_to_window(self, now: int, baseline: ProcessBaseline, samples: Samples) -> None:
-        """Add the samples of a process since its last report."""
+        """Add the samples of a process since its last report to the window; `samples` are its new totals."""
         window = self.window
         arm = baseline.arm
-        age = baseline.report.age
+        age_class = baseline.report.age_class
         before = baseline.report.samples
         earned_weight = samples.earned_weight.minus(before.earned_weight)
-        window.earned_weight.setdefault((arm, age), Sums()).add(earned_weight)
-        if age is AgeClass.COLD:
+        window.earned_weight.setdefault((arm, age_class), Sums()).add(earned_weight)
+        if age_class is AgeClass.COLD:
             return
         rejected = max(0.0, samples.rejected - before.rejected)
         window.rejected.setdefault(arm, Sums()).add(Sums(earned_weight.count, rejected, rejected))
--- a/oakkeel/rollout/sequential.py
+++ b/oakkeel/rollout/sequential.py
@@ -16,7 +16,7 @@
 
 MIN_VARIANCE = 1e-12
 INITIAL_VARIANCE_SAMPLES = 30.0  # weight of the initial variance, as a number of samples
-BET_ODDS = (3.0, 10.0, 30.0)  # of an event on the new arm, relative to its share of the exposure
+BET_ODDS = (3.0, 10.0, 30.0)  # odds of an event on the new arm, relative to those under the null hypothesis
 MIN_EXPOSURE_RATIO = 0.001
 MAX_EXPOSURE_RATIO = 0.999
 MIN_ERFC_POINT = -30  # far below this point, `math.erfc` underflows
@@ -48,8 +48,8 @@
 class PooledVariance(msgspec.Struct, array_like=True):
     """The variance within arms, estimated from earlier samples and an initial value that loses weight."""
 
-    degrees: float = 0.0
-    squares: float = 0.0
+    degrees: float = 0.0  # degrees of freedom
+    squares: float = 0.0  # sum of the squared deviations from the mean of each arm and window
 
     def add(self, arm: Sums) -> None:
         """Add the samples of one arm in one window."""
@@ -64,7 +64,7 @@
 
 
 class Difference(msgspec.Struct, array_like=True):
-    """Tests whether the new mean is lower than the old by more than tolerated, or not lower by a margin.
+    """Tests whether the new mean is lower than the old by more than tolerated, or by less than a margin.
 
     Both arms are compared over the same windows, so that changes common to both cancel out.
     """
@@ -72,8 +72,8 @@
     score: float = 0.0  # sum of differences, each divided by its variance
     weight: float = 0.0  # sum of the reciprocals of these variances
     pooled: PooledVariance = msgspec.field(default_factory=PooledVariance)
-    old: Sums = msgspec.field(default_factory=Sums)
-    new: Sums = msgspec.field(default_factory=Sums)
+    old: Sums = msgspec.field(default_factory=Sums)  # of all windows
+    new: Sums = msgspec.field(default_factory=Sums)  # of all windows
 
     def observe(self, old: Sums, new: Sums, initial_variance: float) -> bool:
         """Add one window's samples of both arms; return False and change nothing if one arm has none."""
@@ -97,14 +97,14 @@
         """Return the standard error of the loss."""
         return 1 / math.sqrt(self.weight) if self.weight else math.inf
 
-    def worse(self, tolerated: float, scale: float) -> float:
+    def log_evidence_worse(self, tolerated: float, scale: float) -> float:
         """Return the log evidence that the new mean is lower by more than `tolerated`.
 
         `scale` is the typical size of a loss beyond `tolerated` that matters.
         """
         return log_half_normal_mixture(self.score - tolerated * self.weight, self.weight, scale)
 
-    def not_worse(self, margin: float, scale: float) -> float:
+    def log_evidence_not_worse(self, margin: float, scale: float) -> float:
         """Return the log evidence that the new mean is lower by less than `margin`."""
         return log_half_normal_mixture(margin * self.weight - self.score, self.weight, scale)
 
@@ -128,15 +128,17 @@
 
 
 class Events(msgspec.Struct, array_like=True):
-    """Tests whether rare events happen on the new arm more often than its share of the exposure explains.
+    """Tests whether rare events, such as crashes, happen on the new arm more often than its share explains.
 
-    Under the null hypothesis an event happens on the new arm with a probability equal to its share of the
-    exposure at that time. The test value is the mean of bets on higher odds, `BET_ODDS` times as high.
+    The share of an arm is its part of the exposure (the running processes) at the time of an event. Under the
+    null hypothesis, an event happens on the new arm with a probability equal to that share. The value of the
+    test is the mean of the values of several bets that the odds are higher, by the factors in `BET_ODDS`.
     """
 
+    # The logarithm of the value of each bet, in the order of `BET_ODDS`.
     logs: list[float] = msgspec.field(default_factory=lambda: [0.0, 0.0, 0.0])
-    old: int = 0
-    new: int = 0
+    old: int = 0  # number of events on the old arm
+    new: int = 0  # number of events on the new arm
 
     def record(self, on_new: bool, exposure: float) -> None:
         """Add an event; `exposure` is the new arm's share of the exposure, strictly between 0 and 1."""
@@ -147,7 +149,7 @@
         self.new += on_new
         self.old += not on_new
 
-    def worse(self) -> float:
+    def log_evidence_worse(self) -> float:
         """Return the log evidence that events happen on the new arm more often than its share explains."""
         return log_mean(self.logs)
 
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -1,4 +1,4 @@
-"""Applies the replicated commands of releases: assigns versions, and takes the steps of the open release.
+"""Applies the replicated commands of releases: assigns versions to targets, and moves the open release on.
 
 Every command of a controller carries the fencing token of its lease and the number of the last step that the
 controller observed. Every replica therefore rejects the commands of a former controller, and a step that was
@@ -32,7 +32,7 @@
 from oakkeel.rollout.validation import find_rejection_reason
 
 LEASE = "release"  # the name of the lease of the rollout controller
-MAX_FINISHED_RELEASES = 32
+MAX_FINISHED_RELEASES = 32  # kept in the state for display; older ones are dropped
 MAX_GATE_STATE_BYTES = 16 * 1024
 MAX_TEXT = 500  # characters of a reason or summary
 # The next state of a release, by operator action. The state after `resume` depends on the direction of the
@@ -46,7 +46,7 @@
 
 
 class RolloutStateMachine(PermitStateMachine):
-    """Applies the commands of releases; the base class applies all others."""
+    """Applies the commands of releases; the base class applies all other commands."""
 
     state: RolloutState
     STATE = RolloutState
@@ -268,7 +268,7 @@
         return release
 
     def _clean_up(self, release: Release) -> None:
-        """Assign unchanged targets their earlier versions, and drop the sources of unused versions."""
+        """Assign targets with the old version their earlier one, and drop the sources of unused versions."""
         for name, target in release.targets.items():
             if target.state is TargetState.OLD:
                 self._assign_version(name, target.previous)
--- a/tests/rollout/test_gates.py
+++ b/tests/rollout/test_gates.py
@@ -1,4 +1,4 @@
-"""Sequential tests and the gates of a release."""
+"""The sequential tests and the gates of a release."""
 
 import unittest
 from random import Random
@@ -8,26 +8,32 @@
 from oakkeel.rollout.sequential import Difference, Events, Sums
 from oakkeel.units import SECOND
 
+# The log evidence at which a test halts a release: log(1 / 0.01), for a false halt rate of 0.01.
+HALT_LOG_EVIDENCE = 4.605
+FIXED_SAMPLE_THRESHOLD = 2.326  # quantile 0.99 of the normal distribution: the same rate for one evaluation
+
 
 def draw_sums(random: Random, success_rate: float, count: int) -> Sums:
+    """Return the sums of `count` random samples, each 1 with a probability of `success_rate`, else 0."""
     successes = sum(random.random() < success_rate for _ in range(count))
     return Sums(count, successes, successes)
 
 
 def record(
-    gate: Gate, now: int, target: str, arm: Arm, generation: int, age: AgeClass, samples: Samples
+    gate: Gate, now: int, target: str, arm: Arm, generation: int, age_class: AgeClass, samples: Samples
 ) -> None:
-    """Give the gate a report of a process whose version is named like its arm."""
-    gate.record(now, target, arm, ProcessReport(ProcessIdentity(arm.value, generation), age, samples))
+    """Add a report of a process to the gate; the name of the version is that of the arm."""
+    gate.record(now, target, arm, ProcessReport(ProcessIdentity(arm.value, generation), age_class, samples))
 
 
 class SequentialStatisticsTest(unittest.TestCase):
-    def halts(self, seed: int, old: float, new: float, windows: int = 300) -> bool:
+    def halts(self, seed: int, old_rate: float, new_rate: float, windows: int = 300) -> bool:
+        """Return whether versions with these success rates halt a release within a number of windows."""
         random = Random(seed)
         test = Difference()
         for _ in range(windows):
-            test.observe(draw_sums(random, old, 110), draw_sums(random, new, 10), 0.05)
-            if test.new.count > 50 and test.worse(0.0, 0.02) > 4.605:
+            test.observe(draw_sums(random, old_rate, 110), draw_sums(random, new_rate, 10), 0.05)
+            if test.new.count > 50 and test.log_evidence_worse(0.0, 0.02) > HALT_LOG_EVIDENCE:
                 return True
         return False
 
@@ -45,7 +51,7 @@
                 old.add(draw_sums(random, 0.95, 110))
                 new.add(draw_sums(random, 0.95, 10))
                 spread = (0.95 * 0.05 * (1 / old.count + 1 / new.count)) ** 0.5
-                if new.count > 50 and (old.mean - new.mean) / spread > 2.326:
+                if new.count > 50 and (old.mean - new.mean) / spread > FIXED_SAMPLE_THRESHOLD:
                     false_halts += 1
                     break
         self.assertGreater(false_halts, 4)
@@ -54,15 +60,15 @@
         excess = Events()
         proportional = Events()
         excess.record(True, 1 / 12)
-        self.assertLess(excess.worse(), 4.605)
+        self.assertLess(excess.log_evidence_worse(), HALT_LOG_EVIDENCE)
         excess.record(True, 1 / 12)
         excess.record(True, 1 / 12)
-        self.assertGreater(excess.worse(), 4.605)
+        self.assertGreater(excess.log_evidence_worse(), HALT_LOG_EVIDENCE)
         for number in range(60):
             proportional.record(number % 12 == 0, 1 / 12)
-        self.assertLess(proportional.worse(), 0)
+        self.assertLess(proportional.log_evidence_worse(), 0)
 
-    def test_samples_of_one_arm_alone_change_nothing(self):
+    def test_a_window_with_samples_of_only_one_arm_changes_nothing(self):
         test = Difference()
         self.assertFalse(test.observe(Sums(100, 10, 10), Sums(), 0.05))
         self.assertEqual(test.weight, 0)
@@ -78,6 +84,7 @@
         cold_new_loss: float | None = None,
         start: int = 0,
     ) -> None:
+        """Report one new and two old warm processes each second; with `cold_new_loss` a cold pair as well."""
         for second in range(start, start + seconds):
             now = second * SECOND
             for target, arm in (("new", Arm.NEW), ("old1", Arm.OLD), ("old2", Arm.OLD)):
@@ -88,7 +95,7 @@
                 samples = Samples(Sums(count, earned, earned), 0, 0, 20000 + growth)
                 record(gate, now, target, arm, 1, AgeClass.WARM, samples)
             if cold_new_loss is not None:
-                for target, arm, loss in (("cold new", Arm.NEW, cold_new_loss), ("control", Arm.OLD, 0.02)):
+                for target, arm, loss in (("cold new", Arm.NEW, cold_new_loss), ("cold old", Arm.OLD, 0.02)):
                     earned = count * (1 - loss)
                     record(gate, now, target, arm, 2, AgeClass.COLD, Samples(Sums(count, earned, earned)))
             gate.evaluate(now)
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -12,12 +12,15 @@
 
 
 def release(kind: int = 0, subject: int = 1) -> Fault:
-    """Return the start of a release to all targets, of the kind `kind % 4`: good, good, worse, crash."""
+    """Return the start of a release to all targets.
+
+    `kind % 4` selects its version: good, good, worse, crash. It rolls back automatically if `kind % 3` is 0.
+    """
     return Fault(2 * SECOND, "release", subject, kind, 0, 1.0)
 
 
 def release_state(simulation: ConsensusSimulation) -> tuple[str, str]:
-    """Return the state of the only release and its reason, as the leader has them."""
+    """Return the state of the only release and its reason, from the replica that leads."""
     for host in simulation.hosts.values():
         if host.control_plane and host.control_plane.allocator:
             [only_release] = host.control_plane.state_machine.state.releases.values()
@@ -51,11 +54,11 @@
 
     def test_without_a_majority_a_release_takes_no_step_and_breaks_no_invariant(self):
         stops = [Fault(2500_000_000, "stop", host, 0, 30 * SECOND, 0.0) for host in (0, 1)]
-        short, breaches = play(schedule([release(1), *stops], seconds=15))
+        short_run, breaches = play(schedule([release(1), *stops], seconds=15))
         self.assertEqual(breaches, [])
-        steps = max((step for _, step in short.rollout_audit.steps), default=0)
-        long, _ = play(schedule([release(1), *stops], seconds=25))
-        self.assertEqual(max((step for _, step in long.rollout_audit.steps), default=0), steps)
+        last_step = max((step for _, step in short_run.rollout_audit.steps), default=0)
+        long_run, _ = play(schedule([release(1), *stops], seconds=25))
+        self.assertEqual(max((step for _, step in long_run.rollout_audit.steps), default=0), last_step)
 
     def test_random_schedules_break_no_invariant_and_finish(self):
         for seed in range(2000, 2040):
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -19,7 +19,7 @@
 
 
 class RolloutStateMachineTest(unittest.TestCase):
-    """Steps are accepted once, with the fencing token of the current lease."""
+    """A step is accepted once, and only with the fencing token of the current lease."""
 
     def setUp(self) -> None:
         self.state_machine = RolloutStateMachine()
