--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -59,8 +59,8 @@
         self.fan_out = fan_out
         self.responses: dict[str, messages.Response] = {}
         self.on_response: OnResponse | None = None
-        self.progress = asyncio.Event()
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.progress = asyncio.Event()  # set when an attempt ends
+        self.tasks: set[asyncio.Task[None]] = set()  # one for each attempt
 
     async def run(self) -> None:
         """Send and retry until the fan-out is finished, then cancel the attempts in flight."""
@@ -72,10 +72,10 @@
                 if self.fan_out.is_finished:
                     break
                 self.progress.clear()
-                wait = max(0, self.fan_out.next_tick_at() - time.monotonic_ns())
+                delay = max(0, self.fan_out.next_tick_at() - time.monotonic_ns())
                 with contextlib.suppress(TimeoutError):
                     # before Python 3.12, `wait_for` may lose a cancellation
-                    async with asyncio.timeout(wait / SECOND):
+                    async with asyncio.timeout(delay / SECOND):
                         await self.progress.wait()
         finally:
             for task in self.tasks:
@@ -123,15 +123,15 @@
         settings = self.fleet.client
         policy = FanOutPolicy(deadline or settings.deadline, settings.hedge, settings.tries)
         fan_out = FanOut(time.monotonic_ns(), requests, policy, secrets.randbits(SEED_BITS))
-        in_progress = FanOutRequest(self, requests, fan_out)
-        in_progress.on_response = on_response
-        await in_progress.run()
+        fan_out_request = FanOutRequest(self, requests, fan_out)
+        fan_out_request.on_response = on_response
+        await fan_out_request.run()
         failures = {
             name: describe_failure(target)
             for name, target in fan_out.targets.items()
             if target.state is not TargetState.ANSWERED
         }
-        return in_progress.responses, failures
+        return fan_out_request.responses, failures
 
     async def request_leader(self, request: messages.Request, deadline: int = 0) -> messages.Response:
         """Send a request to the leader of the control plane. Raises NoLeaderError.
--- a/oakkeel/fleet/order_tracking.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -143,7 +143,7 @@
 
     @property
     def ended_count(self) -> int:
-        """The number of tasks whose outcome, known or not, no longer waits for an agent."""
+        """The number of tasks that are neither open nor waiting for the response to the order."""
         return sum(task.stage not in (TaskStage.OPEN, TaskStage.SENT) for task in self.tasks.values())
 
     def result(self, waited: bool) -> Result:
--- a/tests/fleet/test_agent_clients.py
+++ b/tests/fleet/test_agent_clients.py
@@ -32,13 +32,13 @@
         clients = clients_of(60 * SECOND)
         requests = {name: messages.HostStatusRequest() for name in ("h0", "h1")}
         fan_out = FanOut(0, requests, FanOutPolicy(1 << 62, 1 << 62, 1), 7)
-        in_progress = FanOutRequest(clients, requests, fan_out)
+        fan_out_request = FanOutRequest(clients, requests, fan_out)
         with mock.patch.object(clients, "request", never_respond):
-            task = asyncio.ensure_future(in_progress.run())
+            task = asyncio.ensure_future(fan_out_request.run())
             await let_run()
-            sends = set(in_progress.tasks)
+            sends = set(fan_out_request.tasks)
             self.assertEqual(len(sends), 2)
-            self.assertTrue(await ends_cancelled(task, in_progress.progress.set))
+            self.assertTrue(await ends_cancelled(task, fan_out_request.progress.set))
         self.assertTrue(all(send.cancelled() for send in sends))
 
 
