--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -88,15 +88,15 @@
         for target in (*release.in_progress, *release.comparison_targets)
         if target in tasks and tasks[target].state in OPEN_FLEET_TASK_STATES
     ]
-    stopped = _is_stopped(view)
-    if not stopped and (why := _failure_reason(view)):
+    is_stopped = _is_stopped(view)
+    if not is_stopped and (why := _failure_reason(view)):
         return view.halt_step(why)
     time_left = started_at + release.policy.batch_timeout + BATCH_GRACE_NS - view.now
     if release.state in MOVING_STATES and time_left < 0:
         late_target = next((target for target in open_targets or release.in_progress), "")
         return view.halt_step(f"{late_target} did not finish before the timeout of its batch")
-    if waiting := _wait_reason(view, stopped, open_targets):
-        return Step(None, waiting)
+    if wait_reason := _wait_reason(view, is_stopped, open_targets):
+        return Step(None, wait_reason)
     if not release.spec.services and any(
         view.observations.fresh_observation(view.now, target) is None for target in release.in_progress
     ):
@@ -131,7 +131,7 @@
     return ""
 
 
-def _wait_reason(view: BatchView, stopped: bool, open_targets: list[str]) -> str:
+def _wait_reason(view: BatchView, is_stopped: bool, open_targets: list[str]) -> str:
     """Return why the open batch has to wait; empty if it can finish.
 
     A stopped batch does not wait for broken targets: they do not recover without an operator.
@@ -139,24 +139,26 @@
     release = view.release
     tasks = view.tasks
     permits = view.state.permits
-    with_permit = [
+    targets_with_permit = [
         target
         for target in release.in_progress
         if target in permits and permits[target].order_id == release.order_id
     ]
-    if open_targets or with_permit:
-        missing = {*open_targets, *with_permit} & set(release.in_progress)
-        if not stopped or any(not view.observations.is_broken(view.now, target) for target in missing):
-            names = ", ".join((open_targets or with_permit)[:MAX_LISTED_TARGETS])
+    if open_targets or targets_with_permit:
+        awaited_targets = {*open_targets, *targets_with_permit} & set(release.in_progress)
+        if not is_stopped or any(
+            not view.observations.is_broken(view.now, target) for target in awaited_targets
+        ):
+            names = ", ".join((open_targets or targets_with_permit)[:MAX_LISTED_TARGETS])
             return f"batch {release.batch}: {names} not available again yet"
         return ""
     all_ended = all(
         tasks[target].state in ENDED_WITHOUT_FAILURE for target in release.in_progress if target in tasks
     )
-    arrived = [
+    arrived_targets = [
         target for target in release.in_progress if view.observations.has_arrived(view.now, release, target)
     ]
-    if not stopped and len(arrived) < len(release.in_progress) and not all_ended:
+    if not is_stopped and len(arrived_targets) < len(release.in_progress) and not all_ended:
         return f"batch {release.batch}: waits for reports of the running versions"
     return ""
 
@@ -166,13 +168,13 @@
     release = view.release
     policy = release.policy
     observations = view.observations
-    free = [target for target in remaining if target not in busy]
-    if not free:
+    targets_without_order = [target for target in remaining if target not in busy]
+    if not targets_without_order:
         return Step(None, f"{remaining[0]} has an open order: {busy[remaining[0]]}")
     max_targets = batch_size(release, len(remaining))
     choice = observations.planner.choose(
         view.now,
-        free,
+        targets_without_order,
         observations.targets,
         observations.allocator.unavailable,
         BatchLimits(max_targets, policy.max_load, release.rolling_back, len(release.targets) > 1),
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -38,7 +38,7 @@
     verdict_timeout: int = 600_000_000_000  # maximum time without a verdict of the gates
     batch_timeout: int = 120_000_000_000
     margin: float = 0.02  # the loss of earned weight to rule out, as a ratio of that of the old version
-    max_load: float = 0.85  # load of the targets of a site that stay in service, as a ratio of their cores
+    max_load: float = 0.85  # maximum load of the remaining targets of a site, as a ratio of their cores
 
 
 class StartRelease(msgspec.Struct, tag="begin", array_like=True):
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -55,7 +55,8 @@
         self.observations = Observations(allocator)
         self.gate: Gate | None = None
         self.gate_key = ""  # identifies the release, direction and operator action of the gate
-        # The time at which the last batch finished or the gate was created; the soak time counts from it.
+        # The time at which the last batch finished or the gate was created. The soak time and the timeouts of
+        # the preparation and of the verdict count from it.
         self.waiting_since = now
         self.batch_started_at = now  # the time at which this controller first observed the open batch
         self.batch_key = BatchKey()
@@ -278,7 +279,7 @@
         return Step(commands.FinishRelease(release.ident, self.lease.fencing_token, release.step))
 
     def _busy_targets(self) -> dict[str, str]:
-        """Describe the open order by target: another order for such a target would be rejected."""
+        """Describe the open order of each target that has one: another order for it would be rejected."""
         return {
             target: f"{order.operator}'s {order.verb} {order.id}"
             for ident in self.allocator.clock.order_submitted_at
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -49,7 +49,7 @@
 
 
 class Metric(StrEnum):
-    """A metric by which versions are compared; reasons contain its value."""
+    """A metric by which versions are compared; its value is its name in reasons."""
 
     WARM_WEIGHT = "benefit"
     COLD_WEIGHT = "benefit while cold"
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -14,7 +14,7 @@
 
 COLD_PHASE = "cold"  # warming up
 RUNNING_PHASES = (COLD_PHASE, "serving")
-# Phases of a target that has a process which is not draining.
+# Phases of a target that has a process, except while the process drains.
 PROCESS_PHASES = ("starting", COLD_PHASE, "serving", "silent", "stuck")
 BROKEN_PHASES = ("failing", "stopped", "silent", "stuck")
 
--- a/oakkeel/rollout/plan.py
+++ b/oakkeel/rollout/plan.py
@@ -60,10 +60,10 @@
 
 @dataclass(slots=True, frozen=True)
 class BatchLimits:
-    """The limits of one batch."""
+    """The limits and options of one batch."""
 
     max_targets: int
-    max_load: float  # ratio of the cores of the remaining targets at a site
+    max_load: float  # maximum load of the remaining targets of a site, as a ratio of their cores
     broken_first: bool = False  # choose unavailable targets before available ones, as in a rollback
     keep_last: bool = True  # never choose the last serving target of a group
 
@@ -76,7 +76,7 @@
         self.topology = topology
         self.groups = {group.name: group for group in topology.groups}
         self.site_of: dict[str, str] = {}  # name of the group of the site, by target
-        self.groups_of: dict[str, list[str]] = {}  # names, by target
+        self.groups_of: dict[str, list[str]] = {}  # names of its budget groups, by target
         for group in topology.groups:
             for target in group.targets:
                 self.groups_of.setdefault(target, []).append(group.name)
@@ -84,7 +84,7 @@
                     self.site_of[target] = group.name
         # The rank spreads a batch over hosts: a host starts few targets at a time, and may fail as a whole.
         self.rank = {target: rank for names in topology.hosts.values() for rank, target in enumerate(names)}
-        self.services_of: dict[str, list[str]] = {}  # services on which an instance depends
+        self.services_of: dict[str, list[str]] = {}  # by instance: the services on which it depends
         for service, instances in topology.dependents.items():
             for instance in instances:
                 self.services_of.setdefault(instance, []).append(service)
--- a/oakkeel/rollout/sequential.py
+++ b/oakkeel/rollout/sequential.py
@@ -121,7 +121,7 @@
 
 
 def log_normal_cdf(point: float) -> float:
-    """Return the log of the normal distribution function, even if its value is too small for a float."""
+    """Return the log of the standard normal distribution function, even where the function underflows."""
     if point > MIN_ERFC_POINT:
         return math.log(0.5 * math.erfc(-point / math.sqrt(2)))
     return -0.5 * point * point - math.log(-point * math.sqrt(2 * math.pi))
--- a/oakkeel/rollout/state_machine.py
+++ b/oakkeel/rollout/state_machine.py
@@ -1,4 +1,4 @@
-"""Applies the replicated commands of releases: assigns versions to targets, and moves the open release on.
+"""Applies the replicated commands of releases: assigns versions to targets, and changes the open release.
 
 Every command of a controller carries the fencing token of its lease and the number of the last step that the
 controller observed. Every replica therefore rejects the commands of a former controller, and a step that was
--- a/tests/rollout/test_gates.py
+++ b/tests/rollout/test_gates.py
@@ -75,7 +75,7 @@
 
 
 class GateTest(unittest.TestCase):
-    def feed(
+    def feed_reports(
         self,
         gate: Gate,
         seconds: int,
@@ -102,17 +102,17 @@
 
     def test_reports_too_few_samples_with_their_number(self):
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 1)
+        self.feed_reports(gate, 1)
         verdict = gate.verdict(gate.reference_weight())
         self.assertIs(verdict.decision, Decision.TOO_FEW)
         self.assertIn("0 requests", verdict.why)
 
     def test_a_good_version_passes_and_a_worse_one_halts_with_figures(self):
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 60)
+        self.feed_reports(gate, 60)
         self.assertIs(gate.verdict(gate.reference_weight()).decision, Decision.GOOD)
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 60, new_loss=0.10)
+        self.feed_reports(gate, 60, new_loss=0.10)
         verdict = gate.verdict(gate.reference_weight())
         self.assertIs(verdict.decision, Decision.WORSE)
         self.assertIn("0.9", verdict.why)
@@ -131,10 +131,10 @@
 
     def test_names_a_memory_leak_and_a_loss_while_cold(self):
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 120, memory_growth=2000.0)
+        self.feed_reports(gate, 120, memory_growth=2000.0)
         self.assertIn("memory", gate.verdict(gate.reference_weight()).why)
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 60, cold_new_loss=0.25)
+        self.feed_reports(gate, 60, cold_new_loss=0.25)
         self.assertIn("while cold", gate.verdict(gate.reference_weight()).why)
 
     def test_a_cold_new_process_is_not_compared_with_a_warm_old_one(self):
@@ -150,7 +150,7 @@
 
     def test_the_next_controller_restores_the_state_and_drops_a_damaged_one(self):
         gate = Gate(0, b"", 0.02)
-        self.feed(gate, 60, new_loss=0.10)
+        self.feed_reports(gate, 60, new_loss=0.10)
         restored = Gate(0, gate.encode_state(), 0.02)
         self.assertIs(restored.verdict(restored.reference_weight()).decision, Decision.WORSE)
         self.assertEqual(Gate(0, b"\x93spoilt", 0.02).sample_count(), 0)
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -29,6 +29,7 @@
         broken_first: bool = False,
         now: int = 0,
     ) -> BatchChoice:
+        """Choose a batch from the candidates, whose names are separated by spaces."""
         limits = BatchLimits(max_targets, max_load, broken_first)
         return self.planner.choose(now, candidates.split(), self.observations, self.unavailable, limits)
 
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -30,6 +30,7 @@
 
 class SimulatedRolloutTest(unittest.TestCase):
     def play(self, *faults: Fault, **options) -> tuple[str, str]:
+        """Play a schedule without a breach; return the state of its release and the reason for the state."""
         simulation, breaches = play(schedule(list(faults), **options))
         self.assertEqual(breaches, [])
         return release_state(simulation)
@@ -43,9 +44,9 @@
     def test_a_new_controller_continues_at_any_step_at_which_the_old_one_was_killed(self):
         final_states = set()
         for offset_ms in range(0, 6000, 150):
-            for kind in (0, 1):
+            for crash_point in (0, 1):  # before or after the next write
                 kills = [
-                    Fault((2 * SECOND) + offset_ms * 1_000_000, "kill in a step", host, kind, 0, 0.0)
+                    Fault((2 * SECOND) + offset_ms * 1_000_000, "kill in a step", host, crash_point, 0, 0.0)
                     for host in range(3)
                 ]
                 kills = kills[: 1 + offset_ms // 150 % 3]
@@ -53,11 +54,11 @@
         self.assertEqual(final_states, {"done"})
 
     def test_without_a_majority_a_release_takes_no_step_and_breaks_no_invariant(self):
-        stops = [Fault(2500_000_000, "stop", host, 0, 30 * SECOND, 0.0) for host in (0, 1)]
-        short_run, breaches = play(schedule([release(1), *stops], seconds=15))
+        stop_faults = [Fault(2500_000_000, "stop", host, 0, 30 * SECOND, 0.0) for host in (0, 1)]
+        short_run, breaches = play(schedule([release(1), *stop_faults], seconds=15))
         self.assertEqual(breaches, [])
         last_step = max((step for _, step in short_run.rollout_audit.steps), default=0)
-        long_run, _ = play(schedule([release(1), *stops], seconds=25))
+        long_run, _ = play(schedule([release(1), *stop_faults], seconds=25))
         self.assertEqual(max((step for _, step in long_run.rollout_audit.steps), default=0), last_step)
 
     def test_random_schedules_break_no_invariant_and_finish(self):
