--- a/oakkeel/rollout/assignments.py
+++ b/oakkeel/rollout/assignments.py
@@ -36,7 +36,7 @@
         self.changed = False  # whether the agent has to store the assignments
         self.active = False  # whether the leader supports releases
         self.collect_samples = False  # whether reports contain samples
-        self.release = ""  # ID of the open release; empty: none has targets on this host
+        self.release = ""  # ID of the open release, empty if there is none
         # By release: the reason why this host can't run its version; empty if it can.
         self.prepared: dict[str, str] = {}
         self.requested: set[str] = set()  # releases whose copies were requested
--- a/oakkeel/rollout/messages.py
+++ b/oakkeel/rollout/messages.py
@@ -35,7 +35,7 @@
 
     versions: dict[str, str] = {}
     sources: dict[str, VersionSpec] = {}  # by version: the paths from which to copy its content
-    release: str = ""  # ID of the open release, if it has targets on this host
+    release: str = ""  # ID of the open release, empty if there is none
     spec: VersionSpec = msgspec.field(default_factory=lambda: VersionSpec(""))  # of the open release
     targets: list[str] = []  # of the open release, on this host
     collect_samples: bool = False  # whether reports have to contain samples
