--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -23,14 +23,14 @@
 AgentError = LinkError
 AgentRejectedError = AuthenticationRejectedError
 OnResponse = Callable[[str, int, messages.Response], None]
-MAX_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, in deadlines of one request
+MAX_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, as a multiple of that of one request
 SEED_BITS = 63
 NO_LEADER_TEXT = "no reachable agent leads the control plane"
 UNEXPECTED_RESPONSE = "the agent sent an unexpected response"
 
 
 class NoLeaderError(OakkeelError, OSError):
-    """No reachable agent leads the control plane; `reasons` has the failure or response by host."""
+    """No reachable agent leads the control plane; `reasons` has the failure or response of each host."""
 
     def __init__(self, reasons: dict[str, str]) -> None:
         """Store the reasons, by host."""
@@ -53,14 +53,14 @@
     """One fan-out in progress: its attempts, and the responses received."""
 
     def __init__(self, clients: AgentClients, requests: dict[str, messages.Request], fan_out: FanOut) -> None:
-        """Prepare to send each host its request."""
+        """Prepare to send each host its request; `fan_out` decides on the attempts."""
         self.clients = clients
         self.requests = requests
         self.fan_out = fan_out
         self.responses: dict[str, messages.Response] = {}
         self.on_response: OnResponse | None = None
-        self.progress = asyncio.Event()
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.progress = asyncio.Event()  # set when an attempt ends
+        self.tasks: set[asyncio.Task[None]] = set()  # one for each attempt
 
     async def run(self) -> None:
         """Send and retry until the fan-out is finished, then cancel the attempts in flight."""
@@ -72,10 +72,10 @@
                 if self.fan_out.is_finished:
                     break
                 self.progress.clear()
-                wait = max(0, self.fan_out.next_tick_at() - time.monotonic_ns())
+                delay = max(0, self.fan_out.next_tick_at() - time.monotonic_ns())
                 with contextlib.suppress(TimeoutError):
                     # before Python 3.12, `wait_for` may lose a cancellation
-                    async with asyncio.timeout(wait / SECOND):
+                    async with asyncio.timeout(delay / SECOND):
                         await self.progress.wait()
         finally:
             for task in self.tasks:
@@ -123,15 +123,15 @@
         settings = self.fleet.client
         policy = FanOutPolicy(deadline or settings.deadline, settings.hedge, settings.tries)
         fan_out = FanOut(time.monotonic_ns(), requests, policy, secrets.randbits(SEED_BITS))
-        in_progress = FanOutRequest(self, requests, fan_out)
-        in_progress.on_response = on_response
-        await in_progress.run()
+        fan_out_request = FanOutRequest(self, requests, fan_out)
+        fan_out_request.on_response = on_response
+        await fan_out_request.run()
         failures = {
             name: describe_failure(target)
             for name, target in fan_out.targets.items()
             if target.state is not TargetState.ANSWERED
         }
-        return in_progress.responses, failures
+        return fan_out_request.responses, failures
 
     async def request_leader(self, request: messages.Request, deadline: int = 0) -> messages.Response:
         """Send a request to the leader of the control plane. Raises NoLeaderError.
@@ -141,17 +141,17 @@
         if self.fleet.control_plane is None:
             raise SettingsError(f"{self.fleet.path}: the fleet has no replicas (`keepers`), so no leader")
         voters = self.fleet.control_plane.hosts
-        others = [host.name for host in self.fleet.hosts if host.name not in voters]
+        other_hosts = [host.name for host in self.fleet.hosts if host.name not in voters]
         request_deadline = self.fleet.client.deadline
         search = LeaderDiscovery(
             time.monotonic_ns(),
-            [*voters, *others],
+            [*voters, *other_hosts],
             deadline or MAX_LEADER_SEARCH_DEADLINES * request_deadline,
         )
         while search.state is SearchState.SEARCHING:
             now = time.monotonic_ns()
             if not (name := search.next_host(now)):
-                await asyncio.sleep(max(0, min(search.not_before, search.deadline) - now) / SECOND)
+                await asyncio.sleep(max(0, min(search.next_query_at, search.deadline) - now) / SECOND)
                 continue
             timeout = min(request_deadline, max(1, search.deadline - now))
             try:
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -1,6 +1,6 @@
 """Starts and finishes the batches of a release. Free of I/O.
 
-Each function returns the next step for a state; the controller proposes the step.
+Each function decides the next step from a `BatchView`; the controller proposes the command of the step.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from oakkeel.units import SECOND
 
 MAX_BATCH = 500  # targets of one batch
-BATCH_GRACE_NS = 8 * SECOND  # after the timeout of a batch, until its last reports have arrived
-MAX_LISTED_TARGETS = 5  # in one reason
+BATCH_GRACE_NS = 8 * SECOND  # added to the timeout of a batch, for its last reports to arrive
+MAX_LISTED_TARGETS = 5  # targets that one reason names
 # Final states of a task after which a batch finishes without a report of the new process: the task was not
 # started, or it completed. A target that does not run the intended version is changed again by a later batch.
 ENDED_WITHOUT_FAILURE = ("refused", "expired", "halted", "cancelled", "done")
@@ -30,8 +30,8 @@
     """The next command, if any, and the reason why the release waits."""
 
     command: commands.Command | None = None
-    why: str | None = None  # None keeps the last reason, an empty one clears it
-    retry: bool = False  # plan again after a delay
+    why: str | None = None  # None keeps the last reason, an empty text clears it
+    retry: bool = False  # whether to plan again after a delay
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,7 +43,7 @@
     release: Release
     gate: Gate
     observations: Observations
-    fence: int
+    fence: int  # fencing token of the controller's lease
 
     @property
     def tasks(self) -> dict[str, DisruptionTask]:
@@ -88,15 +88,15 @@
         for target in (*release.in_progress, *release.comparison_targets)
         if target in tasks and tasks[target].state in OPEN_FLEET_TASK_STATES
     ]
-    stopped = _is_stopped(view)
-    if not stopped and (why := _failure_reason(view)):
+    is_stopped = _is_stopped(view)
+    if not is_stopped and (why := _failure_reason(view)):
         return view.halt_step(why)
     time_left = started_at + release.policy.batch_timeout + BATCH_GRACE_NS - view.now
     if release.state in MOVING_STATES and time_left < 0:
         late_target = next((target for target in open_targets or release.in_progress), "")
         return view.halt_step(f"{late_target} did not finish before the timeout of its batch")
-    if waiting := _wait_reason(view, stopped, open_targets):
-        return Step(None, waiting)
+    if wait_reason := _wait_reason(view, is_stopped, open_targets):
+        return Step(None, wait_reason)
     if not release.spec.services and any(
         view.observations.fresh_observation(view.now, target) is None for target in release.in_progress
     ):
@@ -108,7 +108,7 @@
 
 
 def _is_stopped(view: BatchView) -> bool:
-    """Return whether the batch need not complete, because an operator stopped or reversed it."""
+    """Return whether the open batch need not complete: it was halted, or its release stopped or reversed."""
     release = view.release
     order = view.order
     order_halted = bool(order and order.halted_by not in ("", TIMEOUT_OPERATOR))
@@ -131,7 +131,7 @@
     return ""
 
 
-def _wait_reason(view: BatchView, stopped: bool, open_targets: list[str]) -> str:
+def _wait_reason(view: BatchView, is_stopped: bool, open_targets: list[str]) -> str:
     """Return why the open batch has to wait; empty if it can finish.
 
     A stopped batch does not wait for broken targets: they do not recover without an operator.
@@ -139,24 +139,26 @@
     release = view.release
     tasks = view.tasks
     permits = view.state.permits
-    with_permit = [
+    targets_with_permit = [
         target
         for target in release.in_progress
         if target in permits and permits[target].order_id == release.order_id
     ]
-    if open_targets or with_permit:
-        missing = {*open_targets, *with_permit} & set(release.in_progress)
-        if not stopped or any(not view.observations.is_broken(view.now, target) for target in missing):
-            names = ", ".join((open_targets or with_permit)[:MAX_LISTED_TARGETS])
+    if open_targets or targets_with_permit:
+        awaited_targets = {*open_targets, *targets_with_permit} & set(release.in_progress)
+        if not is_stopped or any(
+            not view.observations.is_broken(view.now, target) for target in awaited_targets
+        ):
+            names = ", ".join((open_targets or targets_with_permit)[:MAX_LISTED_TARGETS])
             return f"batch {release.batch}: {names} not available again yet"
         return ""
     all_ended = all(
         tasks[target].state in ENDED_WITHOUT_FAILURE for target in release.in_progress if target in tasks
     )
-    arrived = [
+    arrived_targets = [
         target for target in release.in_progress if view.observations.has_arrived(view.now, release, target)
     ]
-    if not stopped and len(arrived) < len(release.in_progress) and not all_ended:
+    if not is_stopped and len(arrived_targets) < len(release.in_progress) and not all_ended:
         return f"batch {release.batch}: waits for reports of the running versions"
     return ""
 
@@ -166,13 +168,13 @@
     release = view.release
     policy = release.policy
     observations = view.observations
-    free = [target for target in remaining if target not in busy]
-    if not free:
+    targets_without_order = [target for target in remaining if target not in busy]
+    if not targets_without_order:
         return Step(None, f"{remaining[0]} has an open order: {busy[remaining[0]]}")
     max_targets = batch_size(release, len(remaining))
     choice = observations.planner.choose(
         view.now,
-        free,
+        targets_without_order,
         observations.targets,
         observations.allocator.unavailable,
         BatchLimits(max_targets, policy.max_load, release.rolling_back, len(release.targets) > 1),
@@ -198,7 +200,7 @@
     """Return the maximum number of targets of the next batch, out of the remaining ones.
 
     A gated release starts with its canaries and grows by a factor, so that a bad version reaches few targets
-    before the gates have samples. A rollback takes as many as its policy allows.
+    before the gates have samples. A batch of a rollback has as many targets as its policy allows.
     """
     policy = release.policy
     if release.rolling_back:
@@ -218,13 +220,17 @@
 
 
 def _choose_comparison_targets(view: BatchView, chosen: list[str]) -> list[str]:
-    """Choose as many old targets as canaries to restart with the canaries, if the budgets allow both."""
+    """Choose targets that run the old version to restart together with the canaries, for comparison.
+
+    Returns at most one for each canary; none if the budgets do not allow canaries and comparison targets
+    together.
+    """
     observations = view.observations
     release = view.release
     unavailable = observations.allocator.unavailable
     candidates = [
         target
-        for target in observations.planner.site
+        for target in observations.planner.site_of
         if target not in chosen
         and (observation := observations.targets.get(target))
         and observation.is_serving
