--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -43,7 +43,7 @@
             ):
                 continue
             for release in leader.state_machine.state.releases.values():  # type: ignore[attr-defined]
-                if release.is_finished and release.ident in world.rollout_audit.version:
+                if release.is_finished and release.ident in world.rollout_audit.new_versions:
                     world.rollout_audit.record_end(
                         world.clock.now, release.ident, release.state, self._serving_instances()
                     )
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -79,7 +79,7 @@
         if isinstance(command, releases.StartRelease):
             self.releases.append(ident)
         if isinstance(command, commands.SubmitOrder):
-            self.world.audit.order_acknowledged(ident, getattr(result, "index", proposal.index))
+            self.world.audit.record_acknowledgement(ident, getattr(result, "index", proposal.index))
 
     def act(self, action: Fault) -> None:
         """Carry out an action of the schedule."""
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -97,7 +97,7 @@
         name = step.instance.name
         now = world.clock.now
         generation = step.instance.process_generation
-        world.audit.generation_started(now, name, generation)
+        world.audit.record_process_start(now, name, generation)
         version = self.owner.reconciler.assignments.version(name)
         world.rollout_audit.record_start(now, name, version)
         process = Process(
@@ -121,7 +121,7 @@
             fencing_token = permit.fencing_token if permit and permit.started else -1
             world.audit.drain_started(now, name, fencing_token, permit.order_id if permit else "")
         else:
-            world.audit.out_by_itself(now, name)
+            world.audit.record_unavailable(now, name)
         process.exits_at = now + machine.random.randrange(MIN_DRAIN_TIME_NS, MAX_DRAIN_TIME_NS)
         world.clock.call_at(process.exits_at, self.end, name, process, "left")
 
@@ -138,7 +138,7 @@
         if not unconditional and not (process.exits_at and world.clock.now >= process.exits_at):
             return
         del self.running[name]
-        world.audit.out_by_itself(world.clock.now, name)
+        world.audit.record_unavailable(world.clock.now, name)
         self._on_exited(name, reason, self.machine.restarts)
 
     def _on_exited(self, name: str, reason: str, restarts: int) -> None:
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -86,7 +86,7 @@
         audit = world.audit
         now = world.clock.now
         content = commands.encode(command)
-        audit.command_applied(now, self.machine.name, index, content)
+        audit.record_applied_command(now, self.machine.name, index, content)
         if not isinstance(result, Rejection):
             world.rollout_audit.record_command(now, self.machine.name, content)
         if self.control_plane and isinstance(
@@ -97,7 +97,7 @@
                 if order.halted_by and all(
                     task.state not in ("waiting", "granted") for task in order.tasks.values()
                 ):
-                    audit.order_halted(order.id)
+                    audit.record_halt(order.id)
 
     def start_timer(self, restarts: int) -> None:
         """Schedule the first tick."""
@@ -136,7 +136,7 @@
                     complete(proposal)
         replica = self.control_plane and self.control_plane.replica
         if replica and replica.role is Role.LEADER:
-            self.world.audit.leader_observed(self.world.clock.now, replica.term, replica.incarnation)
+            self.world.audit.record_leader(self.world.clock.now, replica.term, replica.incarnation)
         if replica and replica.role is Role.STALE:
             self.storage = None
             self.start()
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -1,4 +1,4 @@
-"""Reads the logs of agents and the journals of fake nodes and feeds their events to `ConsensusAudit`.
+"""Passes the events in the logs of agents and in the journals of fake nodes to `ConsensusAudit`.
 
 Events are ordered by the monotonic clock of the machine. The audit sends no request to any process.
 """
@@ -14,7 +14,10 @@
 
 
 class LogEvent(NamedTuple):
-    """A line of an agent's log or of a node's journal (its kind is `node` and the first word of the line)."""
+    """A line of an agent's log or of a node's journal.
+
+    The kind is the event name of the agent's log, or `node` and the first word of the journal line.
+    """
 
     time: int  # monotonic nanoseconds
     kind: str
@@ -68,21 +71,21 @@
 def audit_logs(
     folder: str, hosts: dict[str, list[str]], groups: dict[str, tuple[int, list[str]]], detection_time: int
 ) -> ConsensusAudit:
-    """Return the audit of a run, which holds the breaches and the maximum number of unavailable targets."""
+    """Return the audit of a run, with its breaches and the maximum number of targets taken out."""
     audit = ConsensusAudit(groups, detection_time)
     for time, kind, fields in read_events(folder, hosts):
         target = fields.get("target", "")
         if kind == "leader_elected":
-            audit.leader_observed(time, fields["term"], fields["host"])
+            audit.record_leader(time, fields["term"], fields["host"])
         elif kind == "permit_granted":
-            audit.permit_granted(target, fields["fence"])
+            audit.record_permit(target, fields["fence"])
         elif kind == "drain_requested" and "order" in fields:
             audit.drain_started(time, target, fields.get("fence", -1))
         elif kind == "node start":
-            audit.generation_started(time, target, fields["generation"])
-            audit.out_by_itself(time, target)
+            audit.record_process_start(time, target, fields["generation"])
+            audit.record_unavailable(time, target)
         elif kind in ("node up", "node stay"):
             audit.serving(time, target)
         elif kind in ("node end", "node killed"):
-            audit.out_by_itself(time, target)
+            audit.record_unavailable(time, target)
     return audit
--- a/oakkeel/invariants/policy_change.py
+++ b/oakkeel/invariants/policy_change.py
@@ -18,19 +18,21 @@
         """Keep at most `max_breaches` breaches."""
         self.max_breaches = max_breaches
         self.breaches: list[str] = []
-        self.in_force = 0
+        self.in_force = 0  # latest version that was reported as in force
         self.refused_or_withdrawn: set[int] = set()
-        self.first_nodes: dict[int, str] = {}  # node of the first decision, by version
-        self.decided: dict[int, int] = {}  # number of requests, by version
+        self.first_nodes: dict[int, str] = {}  # node that decided the first request, by version
+        self.decided: dict[int, int] = {}  # number of decided requests, by version
 
     def record_decision(self, now: int, node: str, number: int) -> None:
         """Record that a node decided a request under a version."""
         self.first_nodes.setdefault(number, node)
         self.decided[number] = self.decided.get(number, 0) + 1
         if number < self.in_force:
-            self._breach(now, f"11: {node} decides under {number} while {self.in_force} is in force")
+            self._breach(now, f"11: {node} decides under version {number} while {self.in_force} is in force")
         if number in self.refused_or_withdrawn:
-            self._breach(now, f"12: {node} decides under {number}, which was reported as not made")
+            self._breach(
+                now, f"12: {node} decides under version {number}, which was reported as refused or withdrawn"
+            )
 
     def record_in_force(self, now: int, number: int) -> None:
         """Record that a version was reported as in force."""
@@ -42,9 +44,10 @@
         if number in self.first_nodes:
             self._breach(
                 now,
-                f"12: {self.first_nodes[number]} had decided under {number}, which is reported as not made",
+                f"12: {self.first_nodes[number]} had decided under version {number}, which is reported as"
+                " refused or withdrawn",
             )
 
     def _breach(self, now: int, text: str) -> None:
         if len(self.breaches) < self.max_breaches:
-            self.breaches.append(f"{now / SECOND:.3f} s: promise {text}")
+            self.breaches.append(f"{now / SECOND:.3f} s: invariant {text}")
--- a/oakkeel/invariants/rollout.py
+++ b/oakkeel/invariants/rollout.py
@@ -22,8 +22,14 @@
 
 from oakkeel.units import SECOND
 
-STEP_TAGS = ("go", "batch", "settle", "judge", "finish")  # tags of the controller's commands
-STEP_EVENTS = (
+STEP_TAGS = (
+    "go",
+    "batch",
+    "settle",
+    "judge",
+    "finish",
+)  # tags of the replicated commands for a step of a release
+STEP_EVENTS = (  # events in the logs of agents that report a step of a release
     "release_batch_started",
     "release_batch_finished",
     "release_rollout_begun",
@@ -38,10 +44,10 @@
         """Keep at most `max_breaches` breaches."""
         self.max_breaches = max_breaches
         self.breaches: list[str] = []
-        self.version: dict[str, str] = {}  # new version by release
+        self.new_versions: dict[str, str] = {}  # by release
         self.targets: dict[str, set[str]] = {}  # all targets by release
-        self.batch_targets: dict[str, set[str]] = {}  # targets named by its batches, by release
-        self.steps: dict[tuple[str, int], bytes] = {}
+        self.batch_targets: dict[str, set[str]] = {}  # targets of all its batches, by release
+        self.steps: dict[tuple[str, int], bytes] = {}  # encoded command by release and step
         # latest step and highest fencing token, by release
         self.latest_steps: dict[str, tuple[int, int]] = {}
         self.running_versions: dict[str, str] = {}  # by target
@@ -52,7 +58,7 @@
         command: Any = msgspec.msgpack.decode(content)
         tag = command[0]
         if tag == "begin":
-            self.version[command[1]] = command[4][0]
+            self.new_versions[command[1]] = command[4][0]
             self.targets[command[1]] = set(command[6])
         elif tag in STEP_TAGS:
             self._record_step(now, replica, command, content)
@@ -62,32 +68,37 @@
     def _record_step(self, now: int, replica: str, command: Any, content: bytes) -> None:
         tag = command[0]
         release_id, fence, step = command[1:4]
-        known = self.steps.setdefault((release_id, step), content)
-        if known != content:
+        known_content = self.steps.setdefault((release_id, step), content)
+        if known_content != content:
             self._breach(
                 now, f"10: step {step} of {release_id} is applied differently, by {replica} as {tag}"
             )
         last_step, last_fence = self.latest_steps.get(release_id, (-1, 0))
         if step > last_step:
             if fence < last_fence:
-                self._breach(now, f"10: step {step} of {release_id} under {fence} after {last_fence}")
+                self._breach(
+                    now,
+                    f"10: step {step} of {release_id} has fencing token {fence} after {last_fence}",
+                )
             self.latest_steps[release_id] = step, max(fence, last_fence)
 
     def record_start(self, now: int, target: str, version: str) -> None:
         """Record that a process of a target started with a version."""
         self.running_versions[target] = version
-        for release_id, new_version in self.version.items():
+        for release_id, new_version in self.new_versions.items():
             if version != new_version or target not in self.targets[release_id]:
                 continue
             other_releases = [
                 other
-                for other, other_version in self.version.items()
+                for other, other_version in self.new_versions.items()
                 if other_version == new_version
                 and other != release_id
                 and self.final_states.get(other) in ("done", "left")
             ]
             if target not in self.batch_targets.get(release_id, ()) and not other_releases:
-                self._breach(now, f"8: {target} starts with {version[:8]} before {release_id} names it")
+                self._breach(
+                    now, f"8: {target} starts with {version[:8]} before a batch of {release_id} names it"
+                )
             if self.final_states.get(release_id) == "undone" and not other_releases:
                 self._breach(now, f"8: {target} starts with {version[:8]} after {release_id} is undone")
 
@@ -96,18 +107,18 @@
         if release_id in self.final_states:
             return
         self.final_states[release_id] = state
-        new_version = self.version[release_id]
+        new_version = self.new_versions[release_id]
         for target in sorted(self.targets[release_id] & serving):
             version = self.running_versions.get(target, "")
             if (state == "done" and version != new_version) or (state == "undone" and version == new_version):
                 self._breach(
                     now,
-                    f"9: {release_id} is reported as {state}, and {target} runs {version[:8] or 'as set'}",
+                    f"9: {release_id} is reported {state}, but {target} runs {version[:8] or 'no release'}",
                 )
 
     def _breach(self, now: int, text: str) -> None:
         if len(self.breaches) < self.max_breaches:
-            self.breaches.append(f"{now / SECOND:.3f} s: promise {text}")
+            self.breaches.append(f"{now / SECOND:.3f} s: invariant {text}")
 
 
 def read_running_versions(folder: str, hosts: dict[str, list[str]]) -> dict[str, str]:
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -91,35 +91,35 @@
             mock.patch.object(PermitHolder, "may_notify", ignore_expiry),
         ):
             breaches = [breach for schedule in schedules for breach in play(schedule)[1]]
-        self.assertRegex(breaches[0], "promise 7: ")
+        self.assertRegex(breaches[0], "invariant 7: ")
 
     def test_audit_detects_each_breach(self):
         def audit_with_grants() -> ConsensusAudit:
             audit = ConsensusAudit({"s": (1, ["a", "b"])}, SECOND)
-            audit.command_applied(0, "k", 5, b"\x93\xa5grant\xa1o\x92\xa1a\xa1b")
+            audit.record_applied_command(0, "k", 5, b"\x93\xa5grant\xa1o\x92\xa1a\xa1b")
             return audit
 
         audit = audit_with_grants()
-        audit.leader_observed(0, 1, "x")
-        audit.leader_observed(1, 1, "y")
-        audit.command_applied(1, "y", 5, b"\x93\xa5grant\xa1o\x91\xa1a")
-        audit.order_acknowledged("o9", 5)
-        audit.generation_started(2, "a", 3)
-        audit.generation_started(3, "a", 3)
+        audit.record_leader(0, 1, "x")
+        audit.record_leader(1, 1, "y")
+        audit.record_applied_command(1, "y", 5, b"\x93\xa5grant\xa1o\x91\xa1a")
+        audit.record_acknowledgement("o9", 5)
+        audit.record_process_start(2, "a", 3)
+        audit.record_process_start(3, "a", 3)
         audit.drain_started(3, "a", 4)
         audit.drain_started(4, "b", 5)
         audit.drain_started(5, "b", 3)
-        audit.order_halted("o")
+        audit.record_halt("o")
         audit.drain_started(6, "b", 6, "o")
         breaches = "\n".join(audit.finish(9))
-        for number in range(1, 8):
-            self.assertIn(f"promise {number}: ", breaches)
+        for invariant in range(1, 8):
+            self.assertIn(f"invariant {invariant}: ", breaches)
         early_drain_audit = audit_with_grants()
-        early_drain_audit.out_by_itself(0, "a")
+        early_drain_audit.record_unavailable(0, "a")
         # The leader need not know yet that "a" is unavailable.
         early_drain_audit.drain_started(SECOND // 2, "b", 5)
         self.assertEqual(early_drain_audit.finish(9), [])
         late_drain_audit = audit_with_grants()
-        late_drain_audit.out_by_itself(0, "a")
+        late_drain_audit.record_unavailable(0, "a")
         late_drain_audit.drain_started(2 * SECOND, "b", 5)
         self.assertRegex(late_drain_audit.finish(9)[0], "known to be unavailable")
--- a/tests/invariants/test_logs.py
+++ b/tests/invariants/test_logs.py
@@ -32,33 +32,40 @@
         ]
 
     def test_finds_each_planted_fault_and_none_in_a_good_run(self):
-        started = "start 1 9 1\nup 1 9 2\n"
+        # event, generation, process ID and time
+        serving_journal = "start 1 9 1\nup 1 9 2\n"
         valid_drains = [*self.drain_events(10, "n1", 3), *self.drain_events(30, "n2", 5)]
         self.assertEqual(
             self.audit(
-                valid_drains, n1=started + "leave 1 9 12\nend 1 9 13\nstart 2 9 14\nup 2 9 20\n", n2=started
+                valid_drains,
+                n1=serving_journal + "leave 1 9 12\nend 1 9 13\nstart 2 9 14\nup 2 9 20\n",
+                n2=serving_journal,
             ),
             [],
         )
         for expected_breach, agent_events, journal_of_n1 in (
             (
-                "promise 1",
+                "invariant 1",
                 [
                     {"mono": 1, "event": "leader_elected", "term": 4},
                     {"mono": 2, "event": "leader_elected", "term": 4},
                 ],
-                started,
+                serving_journal,
             ),
-            ("promise 4", valid_drains, started),  # n1 does not serve again
-            ("promise 5", [self.drain_events(10, "n1", 3)[1]], started),  # no committed grant
-            ("promise 5", [*self.drain_events(10, "n1", 3), *self.drain_events(30, "n1", 2)], started),
-            ("promise 6", [], started + "end 1 9 3\nstart 1 9 4\n"),
+            ("invariant 4", valid_drains, serving_journal),  # n1 does not serve again
+            ("invariant 5", [self.drain_events(10, "n1", 3)[1]], serving_journal),  # no committed grant
+            (
+                "invariant 5",
+                [*self.drain_events(10, "n1", 3), *self.drain_events(30, "n1", 2)],
+                serving_journal,
+            ),
+            ("invariant 6", [], serving_journal + "end 1 9 3\nstart 1 9 4\n"),
         ):
-            if expected_breach == "promise 1":
+            if expected_breach == "invariant 1":
                 agent_events[1]["host"] = "h2"
             with self.subTest(expected_breach):
                 self.assertRegex(
-                    "\n".join(self.audit(agent_events, n1=journal_of_n1, n2=started)), expected_breach
+                    "\n".join(self.audit(agent_events, n1=journal_of_n1, n2=serving_journal)), expected_breach
                 )
 
 
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -44,12 +44,12 @@
                     "version",
                     lambda assignments, target: (
                         original(assignments, target)
-                        or (world.rollout_audit.version.get(assignments.release, ""))
+                        or (world.rollout_audit.new_versions.get(assignments.release, ""))
                     ),
                 )
             )
 
-        self.assertIn("promise 8", self.breaches(start_early))
+        self.assertIn("invariant 8", self.breaches(start_early))
 
     def test_detects_release_reported_as_done_too_early(self):
         for owner, name, replacement in (
@@ -60,7 +60,7 @@
             (RolloutController, "_check_gate", lambda *arguments: Step(None, "")),
         ):
             self.enterContext(unittest.mock.patch.object(owner, name, replacement))
-        self.assertIn("promise 9", self.breaches(None))
+        self.assertIn("invariant 9", self.breaches(None))
 
     def test_detects_conflicting_steps_of_two_controllers(self):
         audit = RolloutAudit()
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -195,7 +195,7 @@
 
     def test_detects_nodes_that_decide_without_a_lease(self):
         with mock.patch.object(NodePolicyLease, "may_decide", lambda lease, now: lease.expires_at > 0):
-            self.assertRegex(self.breaches()[0], "promise 11: ")
+            self.assertRegex(self.breaches()[0], "invariant 11: ")
 
     def test_detects_a_lease_that_starts_at_the_response(self):
         original = PolicyHost.receive_assignment
@@ -206,11 +206,11 @@
                 host, incarnation, host.now(), assignment
             ),
         ):
-            self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
+            self.assertRegex(self.breaches((129, 258))[0], "invariant 11: ")
 
     def test_detects_a_version_in_force_before_the_longest_lease_has_expired(self):
         with mock.patch.object(PermitTimeouts, "upper_bound", lambda timeouts, duration: duration // 4):
-            self.assertRegex(self.breaches()[0], "promise 11: ")
+            self.assertRegex(self.breaches()[0], "invariant 11: ")
 
     def test_detects_a_version_used_before_it_is_decided(self):
         original = PolicyCoordinator.assign
@@ -223,7 +223,7 @@
             return assignment
 
         with mock.patch.object(PolicyCoordinator, "assign", assign_proposed_version):
-            self.assertRegex(self.breaches()[0], "promise 12: ")
+            self.assertRegex(self.breaches()[0], "invariant 12: ")
 
     def test_audit_detects_decisions_under_a_withdrawn_version_and_under_an_earlier_one(self):
         audit = PolicyChangeAudit()
