--- a/oakkeel/models/disruption.py
+++ b/oakkeel/models/disruption.py
@@ -23,10 +23,11 @@
 def can_start_after_expiry(
     validity: float, expiry: float, drift: float, counted_from: CountedFrom = CountedFrom.SENT
 ) -> bool:
-    """Whether an agent can start a permit after the leader has expired it.
+    """Whether an agent can start the drain that a permit allows after the leader has expired the permit.
 
-    The leader reports the rest of `validity`, and the agent counts it down from the event `counted_from`. The
-    leader expires the permit after `expiry`. Each counts in seconds by its own clock.
+    The leader reports the remaining part of `validity`, and the agent counts it down from the event
+    `counted_from`. The leader expires the permit after `expiry`. Both are in seconds, and leader and agent
+    each measure by their own clock.
     """
     granted_at, sent_at, answered_at, received_at, started_at, expired_at = z3.Reals(
         "granted sent answered received started expired"
@@ -41,10 +42,10 @@
         granted_at <= expired_at,
     )
     elapsed = measured_duration(solver, "elapsed", granted_at, answered_at, drift)  # by the leader
-    remaining = z3.If(elapsed >= validity, 0, validity - elapsed)
+    remaining_validity = z3.If(elapsed >= validity, 0, validity - elapsed)
     since = sent_at if counted_from is CountedFrom.SENT else received_at
-    counted = measured_duration(solver, "counted", since, started_at, drift)  # by the agent
-    solver.add(remaining > 0, counted < remaining)
+    agent_elapsed = measured_duration(solver, "counted", since, started_at, drift)  # by the agent
+    solver.add(remaining_validity > 0, agent_elapsed < remaining_validity)
     # After `elapsed` the rate of the leader's clock may change within the drift.
     until_expiry = measured_duration(solver, "rest", answered_at, expired_at, drift)
     solver.add(expired_at >= answered_at, elapsed + until_expiry >= expiry)
--- a/oakkeel/models/drains.py
+++ b/oakkeel/models/drains.py
@@ -11,8 +11,9 @@
 
 from oakkeel.models.ranking import has_rank, reachable
 
-# The phase of the instance (serving, draining, stopped, starting), the state of its node (serves, grace,
-# emptying, gone), and whether a cancel is pending (none, stands).
+# The phase of the instance (serving, draining, stopped, starting), the state of its node (serves; grace:
+# drains and still accepts requests; emptying: drains and accepts none; gone), and whether an operator's
+# cancel is pending (none, pending).
 State = tuple[str, str, str]
 FINAL_STATES = {("serving", "serves", "none"), ("stopped", "gone", "none")}
 
@@ -20,26 +21,27 @@
 def next_states(state: State, omitted: Iterable[str] = ()) -> list[State]:
     """Return the possible next states without an action of an operator or a crash.
 
-    `omitted` names the rules that a variant of the model omits.
+    `omitted` names the rules that a variant of the model omits; "restart": a stopped instance is started
+    again after a cancel.
     """
     phase, node, cancel = state
     omitted_rules = set(omitted)
     states = []
     if phase == "draining" and cancel == "none" and node == "serves":
         states.append((phase, "grace", cancel))  # the node is asked to drain
-    if phase == "draining" and cancel == "stands" and node in ("grace", "emptying"):
+    if phase == "draining" and cancel == "pending" and node in ("grace", "emptying"):
         states.append((phase, "serves", cancel))  # the node is asked to cancel the drain
-    if node == "grace" and not (phase == "draining" and cancel == "stands"):
+    if node == "grace" and not (phase == "draining" and cancel == "pending"):
         states.append((phase, "emptying", cancel))
-    if node == "emptying" and not (phase == "draining" and cancel == "stands"):
+    if node == "emptying" and not (phase == "draining" and cancel == "pending"):
         states.append((phase, "gone", cancel))
-    if node in ("grace", "emptying") and phase == "draining" and cancel == "stands":
+    if node in ("grace", "emptying") and phase == "draining" and cancel == "pending":
         states.append((phase, "gone", cancel))  # the node ended before the cancel arrived
     if phase == "draining" and node == "gone":
         states.append(("stopped", node, cancel))
-    if phase == "draining" and cancel == "stands" and node == "serves":
+    if phase == "draining" and cancel == "pending" and node == "serves":
         states.append(("serving", node, "none"))
-    if phase == "stopped" and cancel == "stands" and "restart" not in omitted_rules:
+    if phase == "stopped" and cancel == "pending" and "restart" not in omitted_rules:
         states.append(("starting", node, cancel))
     if phase == "starting" and node == "gone":
         states.append(("serving", "serves", "none"))
@@ -53,7 +55,7 @@
         phase, node, cancel = state
         states = next_states(state, omitted)
         if phase in ("draining", "stopped") and cancel == "none":
-            states.append((phase, node, "stands"))
+            states.append((phase, node, "pending"))
         return states
 
     return reachable(("draining", "serves", "none"), successors)
--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -17,6 +17,9 @@
 LOG_LENGTH = 2
 MAX_TERM = 4
 QUORUMS = [set(quorum) for size in (2, 3) for quorum in combinations(range(REPLICAS), size)]
+# "one vote": a replica votes once in a term. "current log": a replica votes only for a candidate whose log is
+# at least as up to date as its own log. "own term": a leader commits only up to an entry of its own term. A
+# variant with "forgets" adds steps in which a replica loses its stored vote.
 RULES = {"one vote", "current log", "own term"}
 
 Terms = list[z3.ArithRef]
@@ -32,7 +35,7 @@
             return [z3.Int(f"{name}.{field}{number}") for number in range(count)]
 
         self.term = integers("term", REPLICAS)
-        self.voted_for = integers("voted", REPLICAS)  # -1: none
+        self.voted_for = integers("voted", REPLICAS)  # replica that got the vote of the term; -1: none
         self.log = [integers(f"log{replica}.", LOG_LENGTH) for replica in range(REPLICAS)]  # 0: no entry
         self.leads = integers("leads", REPLICAS)  # the term in which the replica leads; 0: none
         self.committed = integers("committed", LOG_LENGTH)  # term of the committed entry by index; 0: none
@@ -72,7 +75,7 @@
 def election_step(
     before: State, after: State, candidate: int, voters: set[int], rules: set[str]
 ) -> z3.BoolRef:
-    """Condition: the voters elect the candidate in a later term than theirs."""
+    """Condition: the voters elect the candidate in a term in which each of them may vote for it."""
     term = after.leads[candidate]
     conditions = [term > before.term[candidate], term <= MAX_TERM]
     for voter in voters:
@@ -208,7 +211,7 @@
 
 
 def all_runs(steps: int, rules: set[str]) -> tuple[z3.Solver, list[State]]:
-    """Return a solver for all runs of `steps` steps, and the states of a run."""
+    """Return a solver whose solutions are the runs of `steps` steps, and the variables of a run's states."""
     solver = z3.Solver()
     states = [State(f"s{number}") for number in range(steps + 1)]
     first = states[0]
--- a/oakkeel/models/policy_change.py
+++ b/oakkeel/models/policy_change.py
@@ -16,7 +16,7 @@
 
 
 class LeaseRule(Enum):
-    """When the lease on an earlier version ends."""
+    """The rule by which the lease on an earlier version ends."""
 
     FROM_SENT = "counted from when the heartbeat was sent"
     FROM_RECEIVED = "counted from when the response was received"
@@ -29,7 +29,8 @@
 ) -> bool:
     """Whether a node can use the earlier version after the change was reported as in force.
 
-    `lease` and `wait`, the wait of the leader, are in seconds.
+    `lease`: validity of the lease; `wait`: time from the commit of the change until the leader reports it as
+    in force; both in seconds.
     """
     sent_at, answered_at, received_at, decided_at, reported_at, used_at = z3.Reals(
         "sent answered received decided reported used"
@@ -59,8 +60,8 @@
 def withdrawn_and_used(order_rules: set[str]) -> bool:
     """Whether a version under which a node decided can be reported as withdrawn.
 
-    The model explores every sequence of steps. The rules: a node learns only of decided versions ("decided
-    first"), and a decided version can't be withdrawn ("decided stays").
+    The model explores every sequence of steps. `order_rules` names the rules that apply: a node learns only
+    of decided versions ("decided first"), and a decided version can't be withdrawn ("decided stays").
     """
     # state of the version, whether a node uses the version, whether the version is reported as withdrawn
     to_visit = [("proposed", False, False)]
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -13,10 +13,10 @@
 
 from oakkeel.models.ranking import has_rank, reachable
 
-MAX_ATTEMPTS = 2
+MAX_ATTEMPTS = 2  # per target; the sum over both targets is limited
 MAX_STEPS = 5  # applied steps up to which interleavings are explored
-# Name of the state, whether the release rolls back, the target that is out (0: none), versions of both
-# targets, attempts.
+# Name of the state, whether the release rolls back, the number of the target that is out of service (0:
+# none), the versions of targets 1 and 2, and the number of attempts to update a target.
 State = tuple[str, bool, int, str, str, int]
 OPERATOR_TRANSITIONS = {
     ("running", "paused"),
@@ -35,7 +35,10 @@
 
 
 def controller_steps(state: State, omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that a controller can reach in one step, without an action of an operator."""
+    """Return the states that a controller can reach in one step, without an action of an operator.
+
+    With "attempts" in `omitted`, the number of attempts is not limited.
+    """
     name, rolls_back, target_out, first_version, second_version, attempts = state
     states: list[State] = []
     if name == "preparing":
@@ -43,7 +46,7 @@
             ("running", rolls_back, target_out, first_version, second_version, attempts),
             ("left", rolls_back, target_out, first_version, second_version, attempts),
         ]
-    if target_out:  # the batch may end with either version, whichever is intended
+    if target_out:  # the batch may end with either version, whichever version is intended
         for version in ("new", "old"):
             states.append(
                 (
@@ -132,23 +135,39 @@
 
 
 Variables = dict[str, z3.ArithRef]
-VARIABLES = ("fence", "step", "fence0", "fence1", "knows0", "knows1", "way0", "way1", "under0", "under1")
-
-
-def can_apply_both(count: int, rules: set[str]) -> bool:
-    """Whether a step can be applied twice, or under an expired lease, within `count` transitions.
-
-    A controller knows a fencing token and a step. Its proposal may stay in flight for any time and may be
-    repeated. `rules` names the checks of the state machine: fence, step.
+# The state machine's latest fencing token and step, and for each of controllers 0 and 1: the fencing token of
+# its lease, the step that it saw last, and step (0: none) and fencing token of its proposal in flight.
+VARIABLES = (
+    "fence",
+    "step",
+    "fence0",
+    "fence1",
+    "seen_step0",
+    "seen_step1",
+    "proposed_step0",
+    "proposed_step1",
+    "proposal_fence0",
+    "proposal_fence1",
+)
+
+
+def can_apply_invalid_step(transition_count: int, rules: set[str]) -> bool:
+    """Whether a step can be applied twice, or under an earlier lease, within a number of transitions.
+
+    A controller knows the fencing token of its lease and the step that it saw last. Its proposal may stay in
+    flight for any time and may be applied repeatedly. `rules` names the checks of the state machine: "fence",
+    the proposal has the latest fencing token; "step", the proposal has the next step.
     """
     solver = z3.Solver()
-    states = [{name: z3.Int(f"{name}.{number}") for name in VARIABLES} for number in range(count + 1)]
-    is_violated = [z3.Bool(f"bad.{number}") for number in range(count + 1)]
+    states = [
+        {name: z3.Int(f"{name}.{number}") for name in VARIABLES} for number in range(transition_count + 1)
+    ]
+    is_violated = [z3.Bool(f"bad.{number}") for number in range(transition_count + 1)]
     solver.add(
         *[value == (1 if name in ("fence", "fence0") else 0) for name, value in states[0].items()],
         z3.Not(is_violated[0]),
     )
-    for number in range(count):
+    for number in range(transition_count):
         before = states[number]
         after = states[number + 1]
         transitions = [
@@ -163,7 +182,7 @@
             )
         ]
         solver.add(z3.Or(*transitions))
-    solver.add(is_violated[count])
+    solver.add(is_violated[transition_count])
     return bool(solver.check() == z3.sat)
 
 
@@ -181,8 +200,8 @@
     return z3.And(
         after["fence"] == before["fence"] + 1,
         after["fence" + controller] == before["fence"] + 1,
-        after["knows" + controller] == before["step"],
-        *_unchanged(before, after, "fence", "fence" + controller, "knows" + controller),
+        after["seen_step" + controller] == before["step"],
+        *_unchanged(before, after, "fence", "fence" + controller, "seen_step" + controller),
         is_violated_after == is_violated,
     )
 
@@ -196,9 +215,9 @@
 ) -> z3.BoolRef:
     return z3.And(
         before["fence" + controller] > 0,
-        after["way" + controller] == before["knows" + controller] + 1,
-        after["under" + controller] == before["fence" + controller],
-        *_unchanged(before, after, "way" + controller, "under" + controller),
+        after["proposed_step" + controller] == before["seen_step" + controller] + 1,
+        after["proposal_fence" + controller] == before["fence" + controller],
+        *_unchanged(before, after, "proposed_step" + controller, "proposal_fence" + controller),
         is_violated_after == is_violated,
     )
 
@@ -211,15 +230,15 @@
     is_violated: z3.BoolRef,
     is_violated_after: z3.BoolRef,
 ) -> z3.BoolRef:
-    in_flight = before["way" + controller]
-    fence = before["under" + controller]
-    conditions = [in_flight > 0]
+    proposed_step = before["proposed_step" + controller]
+    fence = before["proposal_fence" + controller]
+    conditions = [proposed_step > 0]
     if "fence" in rules:
         conditions.append(fence == before["fence"])
     if "step" in rules:
-        conditions.append(in_flight == before["step"] + 1)
-    is_invalid = z3.Or(fence != before["fence"], in_flight <= before["step"])
-    step = z3.If(in_flight > before["step"], in_flight, before["step"])
+        conditions.append(proposed_step == before["step"] + 1)
+    is_invalid = z3.Or(fence != before["fence"], proposed_step <= before["step"])
+    step = z3.If(proposed_step > before["step"], proposed_step, before["step"])
     return z3.And(
         *conditions,
         after["step"] == step,
@@ -228,14 +247,14 @@
     )
 
 
-# Step, the step that each controller saw last, their proposals in flight (step, target), target of the open
-# batch (-1: none), targets that are out.
+# The step, the step that each controller saw last, the proposal (step, target) of each controller in flight,
+# the target of the open batch (-1: none), and the targets that are out of service.
 Proposal = tuple[int, int] | tuple[()]
 Interleaving = tuple[int, tuple[int, int], tuple[Proposal, Proposal], int, frozenset[int]]
 
 
 def max_targets_out(bound: int, rules: set[str]) -> int:
-    """Return the maximum number of three targets that are out at one time, over all runs of two controllers.
+    """Return how many of three targets can be out of service at one time, over all runs of two controllers.
 
     Each controller knows the step that it saw last and may propose a batch of any target that serves. A
     command may be applied at once or later. Rules: "step", a step is applied once; "permits", a batch needs a
--- a/tests/models/test_models.py
+++ b/tests/models/test_models.py
@@ -59,7 +59,7 @@
         self.assertTrue(drains.always_ends())
 
     def test_cancel_after_the_stop_is_stuck_without_a_restart(self):
-        self.assertEqual(drains.stuck_states({"restart"}), [("stopped", "gone", "stands")])
+        self.assertEqual(drains.stuck_states({"restart"}), [("stopped", "gone", "pending")])
 
 
 if __name__ == "__main__":
--- a/tests/models/test_releases.py
+++ b/tests/models/test_releases.py
@@ -11,9 +11,9 @@
         self.assertEqual(model.stuck_states(), [])
         self.assertTrue(model.always_ends())
         self.assertFalse(model.always_ends({"attempts"}))
-        self.assertFalse(model.can_apply_both(4, {"fence", "step"}))
-        self.assertTrue(model.can_apply_both(4, {"fence"}))
-        self.assertTrue(model.can_apply_both(4, {"step"}))
+        self.assertFalse(model.can_apply_invalid_step(4, {"fence", "step"}))
+        self.assertTrue(model.can_apply_invalid_step(4, {"fence"}))
+        self.assertTrue(model.can_apply_invalid_step(4, {"step"}))
 
     def test_permits_alone_keep_maximum_unavailable_with_two_controllers(self):
         self.assertEqual(model.max_targets_out(2, {"permits"}), 2)
