--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -26,7 +26,7 @@
 
     ROUND_ROBIN = "round"
     LEAST_REQUESTS = "least"  # fewest open requests of this dispatcher
-    HASH = "subject"  # of the request's routing key
+    HASH = "subject"  # hash of the request's routing key
     LEAST_LATENCY = "fastest"  # lowest moving average of latencies
 
 
@@ -45,8 +45,8 @@
     policy: BalancingPolicy = BalancingPolicy.ROUND_ROBIN
     max_attempts: int = 3
     timeout: int = 2 * SECOND  # of each attempt, and of all attempts of a request together
-    abandon_after: int = 0  # disconnects if there is no response by then; 0: only after the timeout
-    honors_retry_after: bool = True  # avoids a node for the time that its rejection states
+    abandon_after: int = 0  # disconnects if no response has arrived by then; 0: at the timeout
+    honors_retry_after: bool = True  # avoids a node for the time that its response asks for
     network_delay: int = MS  # mean one-way network delay
     loss_ratio: float = 0.0  # share of attempts that never reach their node
 
@@ -77,7 +77,7 @@
 class ClientRequest:
     """One request of a client, attempted once or more."""
 
-    __slots__ = ("attempts", "cost", "finished", "name", "request_class", "routing_key", "started_at")
+    __slots__ = ("attempts", "cost", "is_finished", "name", "request_class", "routing_key", "started_at")
 
     def __init__(
         self, name: str, request_class: RequestClass, started_at: int, routing_key: int, cost: float
@@ -89,13 +89,13 @@
         self.routing_key = routing_key
         self.cost = cost
         self.attempts = 0
-        self.finished = False
+        self.is_finished = False
 
 
 class ClientAttempt:
     """One attempt of a request on one node, from the dispatcher's side."""
 
-    __slots__ = ("client_request", "closed", "dispatcher", "request_id", "sent_at", "view", "wire_request")
+    __slots__ = ("client_request", "dispatcher", "is_closed", "request_id", "sent_at", "view", "wire_request")
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
         self.request_id = request_id
         self.wire_request = wire_request
         self.sent_at = dispatcher.clock.now
-        self.closed = False
+        self.is_closed = False
 
     def send(self) -> None:
         """Send the request, unless it is lost, and set the timer that abandons the attempt."""
@@ -152,7 +152,7 @@
         dispatcher.clock.call_after(dispatcher.draw_network_delay(), self._on_response, status, retry_after)
 
     def _on_response(self, status: ResponseStatus, retry_after: int) -> None:
-        if self.closed:
+        if self.is_closed:
             return
         dispatcher = self.dispatcher
         self._close()
@@ -169,7 +169,7 @@
 
     def _on_timeout(self) -> None:
         """Abandon the attempt and disconnect from the node."""
-        if self.closed:
+        if self.is_closed:
             return
         dispatcher = self.dispatcher
         self._close()
@@ -180,7 +180,7 @@
         dispatcher.retry(self.client_request, self.client_request.request_class.at_most_once)
 
     def _close(self) -> None:
-        self.closed = True
+        self.is_closed = True
         self.view.record_latency(self.dispatcher.clock.now - self.sent_at)
 
 
@@ -206,13 +206,14 @@
         self.audit = audit
         self.random = Random(seed)
         self.views: list[NodeView] = []
-        self.rate = 0.0
-        self.next_index = 0  # of the round-robin policy
+        self.rate = 0.0  # requests created per second
+        self.next_index = 0  # of the view that the round-robin policy tries next
         self.requests_created = 0
         self.attempts_sent = 0
+        # requests by result, other responses by status, and "asked" for all requests
         self.counts: Counter[str] = Counter()
-        self.goodput = 0.0
-        self.latencies: list[int] = []
+        self.goodput = 0.0  # sum of the priority weights of completed requests, reduced for late ones
+        self.latencies: list[int] = []  # of completed requests, in nanoseconds
 
     def set_nodes(self, nodes: list[SimulatedNode]) -> None:
         """Set the nodes listed by the directory; the views of nodes that are still listed are kept."""
@@ -307,9 +308,9 @@
 
     def finish(self, client_request: ClientRequest, result: RequestResult) -> None:
         """Count the result of a request; further results of the same request are ignored."""
-        if client_request.finished:
+        if client_request.is_finished:
             return
-        client_request.finished = True
+        client_request.is_finished = True
         self.counts[result] += 1
         if result is RequestResult.COMPLETED:
             request_class = client_request.request_class
--- a/oakkeel/emulator/clock.py
+++ b/oakkeel/emulator/clock.py
@@ -10,7 +10,7 @@
 
 
 class ScheduledEvent:
-    """A callback with its arguments, due at some time; it can be cancelled."""
+    """A callback with its arguments, which a clock calls once unless the event is cancelled."""
 
     __slots__ = ("arguments", "callback")
 
@@ -30,9 +30,9 @@
     def __init__(self) -> None:
         """Start at 0 with nothing scheduled."""
         self.now = 0
-        self.sequence = 0
+        self.sequence = 0  # number of the event scheduled last
         self.events_processed = 0
-        self.scheduled: list[tuple[int, int, ScheduledEvent]] = []
+        self.scheduled: list[tuple[int, int, ScheduledEvent]] = []  # heap by time and sequence
 
     def call_at(
         self, when: int, callback: Callable[[*Arguments], None], *arguments: *Arguments
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -13,8 +13,9 @@
 from oakkeel.units import MS, SECOND
 
 CHECK_INTERVAL_NS = 50 * MS
-EXTRA_CONVERGENCE_TIME_NS = 12 * SECOND  # for an order that was submitted late
-EXPECTED_REASONS = (  # why a release waits for targets that operators have stopped for good
+EXTRA_CONVERGENCE_TIME_NS = 12 * SECOND  # after the run, for an order that was submitted late
+# Phrases in the reasons of a release that waits for targets which operators have stopped for good.
+EXPECTED_REASONS = (
     BUDGET_EXCEEDED_TEXT,
     "last serving target",
     NONE_AVAILABLE,
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -12,12 +12,12 @@
 
 LINK_FAULTS = ("cut", "cut one way", "part", "slow links", "loss", "double")
 MAX_RATE_DIFFERENCE = 0.03  # between the fastest and the slowest machine clock
-WHOLE_FOLDER_SHARE = 0.3  # of the restored backups; all other backups restore the file only
-MIN_RESTART_DELAY_NS = 200 * MS  # after all hosts were killed
+WHOLE_FOLDER_SHARE = 0.3  # share of backups that restore the whole folder, not only the replica's file
+MIN_RESTART_DELAY_NS = 200 * MS  # of a host, after all hosts were killed
 
 
 class FaultInjector:
-    """Injects the faults of a schedule, and passes its operators' actions on."""
+    """Injects the faults of a schedule, and passes operators' actions to `Operators`."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
                     MIN_RESTART_DELAY_NS + int(self.world.random.random() * fault.duration)
                 )
         elif fault.kind == "kill in a step":
-            host.replica.planned_crash = 1 + fault.other % 2
+            host.replica.planned_crash = 1 + fault.other % 2  # before or after the next write
         elif fault.kind == "power":
             host.end_processes("power")
             host.machine.kill(fault.duration)
@@ -101,11 +101,14 @@
     def _restore_backup(
         self, host: SimulatedHost, backup: InMemoryStorage, known_writes: int, restart_delay: int
     ) -> None:
-        """Restore a backup of the replica's file; `known_writes`: its count of writes, or negative."""
+        """Restore a backup of the replica's file.
+
+        `known_writes`: the host's count of writes at the backup, or -1 if that count is not restored.
+        """
         if not host.machine.running or not self._may_lose_storage(host):
             return
         if known_writes >= 0:
-            # The host can't detect that its whole folder is old. Only others can, so all others must respond.
+            # The host can't detect that its whole folder is old. Only other hosts can, so all must respond.
             others = [other for other in self.hosts.values() if other is not host]
             if any(
                 not other.machine.running or other.machine.stopped or other.machine.disk_full
--- a/oakkeel/emulator/faults.py
+++ b/oakkeel/emulator/faults.py
@@ -9,24 +9,24 @@
 from oakkeel.units import MS, SECOND
 
 FAULT_KINDS = (
-    "kill",
-    "kill in a step",
-    "stop",
-    "stop in a step",
-    "power",
-    "lose the file",
-    "old file",
+    "kill",  # SIGKILL of the agent and the replica of a host
+    "kill in a step",  # the same, before or after the next write of the replica
+    "stop",  # SIGSTOP of the agent and the replica of a host
+    "stop in a step",  # the same, at the next response that grants a permit
+    "power",  # a host loses power: its instances end too
+    "lose the file",  # a host loses the files of its replica and its agent
+    "old file",  # a backup of the replica's file is restored
     "full disk",
-    "cut",
-    "cut one way",
-    "part",
+    "cut",  # a host is disconnected from one other host or from all
+    "cut one way",  # the messages of a host, or those to it, are lost
+    "part",  # the network is partitioned in two
     "slow links",
-    "loss",
-    "double",
-    "die",
-    "die all of a site",
-    "clock",
-    "kill all",
+    "loss",  # some messages are lost
+    "double",  # messages are duplicated
+    "die",  # the process of an instance ends
+    "die all of a site",  # the processes of all instances of a host end
+    "clock",  # the clock of a host runs at another rate
+    "kill all",  # "kill" on all hosts
 )
 # Combinations that stress one mechanism. Half of the schedules draw their faults from one combination only.
 FAULT_COMBINATIONS = (
@@ -41,19 +41,19 @@
 # An action that is listed twice is drawn twice as often.
 OPERATOR_ACTIONS = (
     "drain",
-    "drain whole",
+    "drain whole",  # an atomic order
     "restart",
-    "stop it",
+    "stop it",  # an order that stops instances
     "start",
     "start",
     "halt",
     "cancel",
     "cancel",
-    "keepers",
+    "keepers",  # changes the voters
 )
 FAULT_DURATIONS_NS = ((40 * MS, 150 * MS, 700 * MS), (150 * MS, 700 * MS, 1500 * MS, 4 * SECOND))
 DEFAULT_DURATION_NS = 22 * SECOND
-# Keys in schedule files of fields that have another name here.
+# Keys in schedule files, by name of the field, where the two differ.
 FAULT_KEYS = {"subject": "who", "other": "to", "duration": "lasts", "intensity": "size"}
 SCHEDULE_KEYS = {"voters": "keepers", "budget": "bound", "faults": "troubles", "duration": "lasts"}
 
@@ -62,7 +62,8 @@
 class Fault:
     """A fault or an operators' action.
 
-    `subject` and `other` are numbers of hosts or instances, modulo the number of these.
+    `subject` and `other` select a host, an instance or a variant of the action by their remainder modulo the
+    number of choices.
     """
 
     at: int  # in nanoseconds, like all times
--- a/oakkeel/emulator/invariants.py
+++ b/oakkeel/emulator/invariants.py
@@ -1,7 +1,12 @@
 """Checks the four rules of request handling from outside; shares no code with the node or its decisions.
 
-The audit is given the requests that clients sent, the responses to them and the runs on the machines, but
-no reasons for any of these.
+1. An attempt gets one response, by its deadline, and is reported as completed only if it ran.
+2. An attempt runs at most once, and an at-most-once request takes effect at most once.
+3. An attempt that reaches a draining node after its grace period does not run.
+4. A node does not run more requests at once than its limits allow.
+
+The audit receives the attempts that clients sent, the responses and the runs on the machines, but not the
+reasons for the node's decisions.
 """
 
 from __future__ import annotations
@@ -35,7 +40,7 @@
     response_waived: bool = False  # the client disconnected, or the node crashed
 
     def breaches(self, attempt_id: int, now: int) -> list[str]:
-        """Return the breaches of rule 1 that show at the end of the scenario."""
+        """Return the breaches of rule 1 that can be detected at the end of the scenario."""
         breaches = []
         if len(self.responses) > 1:
             breaches.append(f"rule 1: attempt {attempt_id} got {len(self.responses)} responses")
@@ -90,16 +95,18 @@
         attempt = self.attempts[attempt_id]
         attempt.runs += 1
         if attempt.runs > 1:
-            self._add(f"rule 2: attempt {attempt_id} ran {attempt.runs} times")
+            self._add_breach(f"rule 2: attempt {attempt_id} ran {attempt.runs} times")
         if arrived_at > self.grace_ends.get(attempt.node, arrived_at):
-            self._add(f"rule 3: attempt {attempt_id} reached {attempt.node} after its grace period and ran")
+            self._add_breach(
+                f"rule 3: attempt {attempt_id} reached {attempt.node} after its grace period and ran"
+            )
 
     def run_completed(self, attempt_id: int) -> None:
         """Record that a run completed and took effect."""
         attempt = self.attempts[attempt_id]
         self.effects[attempt.request_name] += 1
         if attempt.at_most_once and self.effects[attempt.request_name] > 1:
-            self._add(
+            self._add_breach(
                 f"rule 2: {attempt.request_name} took effect {self.effects[attempt.request_name]} times"
             )
 
@@ -111,15 +118,15 @@
 
     def node_overloaded(self, node: str, reason: str) -> None:
         """Record a node that ran more requests at once than its limits allow."""
-        self._add(f"rule 4: {node} was overloaded: {reason}")
+        self._add_breach(f"rule 4: {node} was overloaded: {reason}")
 
     def end(self, now: int) -> list[str]:
-        """Return all breaches, including those that show only at the end of the scenario."""
+        """Return all breaches, including those that can be detected only at the end of the scenario."""
         for attempt_id, attempt in self.attempts.items():
             for breach in attempt.breaches(attempt_id, now):
-                self._add(breach)
+                self._add_breach(breach)
         return self.breaches
 
-    def _add(self, breach: str) -> None:
+    def _add_breach(self, breach: str) -> None:
         if len(self.breaches) < self.max_breaches:
             self.breaches.append(breach)
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -61,11 +61,11 @@
         self.limits = limits
         self.machine = Machine(clock, limits.cores)
         self.open_requests: dict[Request, OpenRequest] = {}
-        self.running = 0
+        self.running_count = 0
         self.alive = True
         self.healthy = True
-        self.schedule_pending = False
-        self.last_gauges = (0.0, clock.now)  # busy time of the machine, and when that was read
+        self.is_schedule_pending = False
+        self.last_gauges = (0.0, clock.now)  # busy time of the machine, and the time at which it was read
         self.admission = AdmissionController(self, limits, seed, clock.now)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
@@ -96,10 +96,10 @@
             self.admission.client_disconnected(self.clock.now, request)
             self._request_schedule()
 
-    def drain(self, remaining: int) -> None:
-        """Start to drain; the node exits in `remaining` nanoseconds."""
+    def drain(self, time_until_exit: int) -> None:
+        """Start to drain; the node exits in `time_until_exit` nanoseconds."""
         self.audit.drain_started(self.name, self.clock.now + self.limits.drain_grace)
-        self.admission.drain(self.clock.now, remaining)
+        self.admission.drain(self.clock.now, time_until_exit)
 
     def crash(self) -> None:
         """Crash: open requests are lost and get no response."""
@@ -116,16 +116,16 @@
         open_request = self.open_requests[request]
         self.audit.run_started(open_request.request_id, open_request.arrived_at)
         open_request.task = self.machine.start(open_request.cost, lambda: self._complete(open_request))
-        self.running += 1
+        self.running_count += 1
         warm_share = self.machine.speed_factor if self.limits.starts_cold else 1.0
-        concurrency = self.running / self.limits.cores
+        concurrency = self.running_count / self.limits.cores
         if concurrency > 1 + (self.limits.overload_multiple - 1) * warm_share:
             self.audit.node_overloaded(self.name, f"{concurrency:.1f} runs per core")
 
     def _complete(self, open_request: OpenRequest) -> None:
         if not self.alive:
             return
-        self.running -= 1
+        self.running_count -= 1
         self.audit.run_completed(open_request.request_id)
         self.admission.run_finished(self.clock.now, open_request.request, Outcome.COMPLETED)
         self._respond(open_request, ResponseStatus.COMPLETED, 0)
@@ -137,7 +137,7 @@
         open_request = self.open_requests[request]
         if open_request.task and open_request.task.active:
             self.machine.stop(open_request.task)
-            self.running -= 1
+            self.running_count -= 1
             self.clock.call_after(0, self._report_cancelled, open_request)
 
     def _report_cancelled(self, open_request: OpenRequest) -> None:
@@ -182,12 +182,12 @@
 
     def _request_schedule(self) -> None:
         """Run the scheduler once, after all events already scheduled for this time."""
-        if not self.schedule_pending:
-            self.schedule_pending = True
+        if not self.is_schedule_pending:
+            self.is_schedule_pending = True
             self.clock.call_after(0, self._schedule)
 
     def _schedule(self) -> None:
-        self.schedule_pending = False
+        self.is_schedule_pending = False
         if self.alive:
             self.admission.schedule(self.clock.now)
 
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -17,7 +17,7 @@
 RETRY_DELAY_NS = 100 * MS
 RESPONSE_TIMEOUT_NS = 2 * SECOND
 ORDER_DEADLINE_NS = 6 * SECOND
-VERBS = {"restart": "restart", "stop it": "stop"}  # by kind of action; other kinds drain
+VERBS = {"restart": "restart", "stop it": "stop"}  # verb of the order by kind of action; otherwise: drain
 
 
 class Operators:
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -32,11 +32,11 @@
 MIN_DECISION_INTERVAL_NS = MAX_DECISION_INTERVAL_NS // 4
 LEADER_TICK_INTERVAL_NS = 50 * MS
 STOPPED_RETRY_DELAY_NS = 20 * MS  # until a stopped agent tries to read a message again
-MAX_INBOX = 16  # maximum of lease renewals queued for a node that is stopped
-MAX_RATE_ERROR = 0.018  # of a host's clock
+MAX_INBOX = 16  # maximum number of lease renewals queued for a node
+MAX_RATE_ERROR = 0.018  # share by which the clock of a host may be fast or slow
 NODES_PER_HOST = 2
-CONVERGENCE_TIME_NS = 12 * SECOND  # at the end of a run, in which no fault starts
-EXTRA_ACTION_COUNT = 8  # drawn in addition to the faults
+CONVERGENCE_TIME_NS = 12 * SECOND  # last part of a run, in which no fault starts
+EXTRA_ACTION_COUNT = 8  # faults and operators' actions in addition to the requested number
 FAULT_DURATIONS_NS = (200 * MS, SECOND, 2500 * MS, 5 * SECOND)
 MIN_ELECTION_TIME_NS = 600 * MS
 MAX_ELECTION_TIME_NS = 2 * SECOND
@@ -45,11 +45,11 @@
 MAX_EXTRA_DELAY_NS = 1800 * MS  # while the network is slow
 # A kind is drawn in proportion to its number of entries. The order determines the faults of a seed.
 FAULT_KINDS = (
+    "leader",  # the leader ends, and another is elected later
     "leader",
-    "leader",
-    "cut",
+    "cut",  # a host is disconnected
     "cut",
-    "slow",
+    "slow",  # the network is slow
     "node stops",
     "node stops",
     "node dies",
@@ -59,7 +59,7 @@
     "propose",
     "propose",
     "withdraw",
-    "bad",
+    "bad",  # proposes a version that a node cannot use
 )
 
 
@@ -73,7 +73,7 @@
         self.lease = NodePolicyLease()
         self.stopped = False
         self.incarnation = 0
-        self.inbox: list[tuple[int, int]] = []
+        self.inbox: list[tuple[int, int]] = []  # lease renewals: policy version, end of the lease
         host.agent.node_started(name)
         host.simulation.clock.call_after(host.random.randrange(MAX_DECISION_INTERVAL_NS), self.decide, 0)
 
@@ -121,7 +121,7 @@
         self.name = name
         self.random = Random(f"{simulation.seed} {name}")
         self.rate = 1 + self.random.uniform(-MAX_RATE_ERROR, MAX_RATE_ERROR)
-        self.offset = self.random.randrange(10 * SECOND)
+        self.offset = self.random.randrange(10 * SECOND)  # time of the host's clock at the true time 0
         self.agent = AgentPolicyLease()
         self.stopped = False
         self.incarnation = 0
@@ -199,16 +199,16 @@
     """A simulation of hosts with drawn faults and changes of the leader."""
 
     def __init__(self, seed: int, hosts: int = 4, faults: int = 10, duration: int = 40 * SECOND) -> None:
-        """Draw the faults and actions of a seed; `duration` in nanoseconds."""
+        """Draw `faults` + EXTRA_ACTION_COUNT faults and actions of a seed; `duration` in nanoseconds."""
         self.seed = seed
         self.clock = Clock()
         self.audit = PolicyChangeAudit()
         self.random = Random(seed)
         self.duration = duration
-        self.index = 0
+        self.index = 0  # of the last committed command
         self.state_machine = PolicyStateMachine()
         self.names = tuple(f"h{number}" for number in range(hosts))
-        self.disconnected_until: dict[str, int] = {}
+        self.disconnected_until: dict[str, int] = {}  # true time by host
         self.slow_until = 0
         self.coordinator: PolicyCoordinator | None = None
         self.leader_count = 0
@@ -234,7 +234,7 @@
         return result
 
     def elect_leader(self) -> None:
-        """Replace the leader by a new one."""
+        """Start a coordinator on a new leader."""
         self.leader_count += 1
         self.coordinator = PolicyCoordinator(self.clock.now, self.state_machine, self.names, PERMIT_TIMEOUTS)
 
@@ -307,7 +307,7 @@
         return self.audit.breaches
 
     def stuck(self) -> list[str]:
-        """Return descriptions of open versions, and of nodes that do not use the decided version."""
+        """Describe the versions that are still open and the nodes that do not use the decided version."""
         problems = [
             f"version {policy.number} is {policy.state}"
             for policy in self.state_machine.state.policies.values()
@@ -318,5 +318,7 @@
                 if node.lease.number != self.state_machine.state.decided or not node.lease.may_decide(
                     host.now()
                 ):
-                    problems.append(f"{node.name} uses {node.lease.number}, {node.lease.status.value}")
+                    problems.append(
+                        f"{node.name} uses version {node.lease.number}, {node.lease.status.value}"
+                    )
         return problems
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -23,11 +23,11 @@
 from oakkeel.emulator.nodes import SimulatedNode
 from oakkeel.units import MS, SECOND
 
-DISCOVERY_DELAY_NS = SECOND  # until dispatchers receive a change of the fleet
-RESPONSE_TIME_NS = 10 * SECOND  # from the end of the load, for outstanding responses
-DRAIN_TIME_NS = 5 * SECOND  # from the start of the drain to the exit of a node in a release
+DISCOVERY_DELAY_NS = SECOND  # from a change of the fleet until dispatchers receive it
+RESPONSE_TIME_NS = 10 * SECOND  # wait for outstanding responses after the load has ended
+DRAIN_TIME_NS = 5 * SECOND  # from the start of a node's drain to its exit, in a release
 WARM_UP_STEPS = 8  # of one second each
-COLD_SPEED = 0.3  # of full speed
+COLD_SPEED = 0.3  # speed of a cold node, as a share of full speed
 PERCENTILES = (0.5, 0.9, 0.99)
 
 
@@ -48,8 +48,8 @@
     kind: FaultKind
     starts_at: float
     duration: float = 5.0
-    size: float = 0.5
-    node: int = 0
+    size: float = 0.5  # its meaning depends on the kind
+    node: int = 0  # index of the affected node, modulo the number of nodes
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,9 +90,9 @@
 
     requests: int
     goodput: float  # sum of the priority weights of completed requests, reduced for late ones
-    max_goodput: float  # if all requests completed in time
-    counts: dict[str, int]
-    latency_ms: dict[str, float]
+    max_goodput: float  # the goodput if all requests had completed in time
+    counts: dict[str, int]  # requests by result, and other responses by status
+    latency_ms: dict[str, float]  # by percentile, such as "0.99"
     breaches: list[str]
     events_processed: int
 
@@ -115,7 +115,7 @@
 
 
 class ScenarioRun:
-    """One run of a scenario."""
+    """The fleet, dispatchers and clock of one run of a scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         """Create the fleet and its dispatchers."""
--- a/oakkeel/emulator/schedule_shrinking.py
+++ b/oakkeel/emulator/schedule_shrinking.py
@@ -1,4 +1,4 @@
-"""Shrinks a failing schedule to the faults that the failure needs."""
+"""Shrinks a failing schedule to faults that are all needed for the failure."""
 
 from __future__ import annotations
 
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -49,14 +49,18 @@
         processes: SimulatedProcesses,
         send_heartbeat: Callable[[str, Heartbeat, int], None],
     ) -> None:
-        """Create an agent without a process. `send_heartbeat` takes host, heartbeat and the host's time."""
+        """Create an agent without a process.
+
+        `send_heartbeat`: called with the host, the heartbeat and the time of the host's clock.
+        """
         self.machine = machine
         self.processes = processes
         self.processes.owner = self
         self.send_heartbeat = send_heartbeat
         self.instances = machine.world.instances_by_host[machine.name]
         self.disk = AgentDisk()
-        self.pause_on_permit = 0  # nanoseconds to stop for at the next response that grants a permit; 0: none
+        # Duration in nanoseconds of a stop at the next response that grants a permit; 0: no stop.
+        self.pause_on_permit = 0
 
     def start(self) -> None:
         """Start a process of the agent from the state on disk."""
@@ -95,7 +99,7 @@
         self.orders.permit_holder = self.permit_holder
 
     def tick(self, restarts: int) -> None:
-        """Read the reports of the processes, send a heartbeat if one is due, and act."""
+        """Read the reports of the processes, send a heartbeat if it is due, and carry out due steps."""
         machine = self.machine
         if not machine.may_act(restarts, lambda: self.tick(restarts)):
             return
@@ -112,7 +116,7 @@
         machine.world.clock.call_after(TICK_INTERVAL_NS, self.tick, restarts)
 
     def act(self, now: int) -> None:
-        """Carry out the decisions that are due; with a full disk only those that need no storage."""
+        """Carry out the steps that are due; with a full disk only steps that need no storage."""
         machine = self.machine
         for request in self.reconciler.assignments.take_requests():
             preparation_time = machine.random.randrange(MIN_PREPARATION_TIME_NS, MAX_PREPARATION_TIME_NS)
--- a/oakkeel/emulator/simulated_host.py
+++ b/oakkeel/emulator/simulated_host.py
@@ -59,7 +59,7 @@
             self.processes.end(name, process, reason, True)
 
     def lose_files(self) -> None:
-        """Lose all that the replica and the agent have on disk."""
+        """Lose all state of the replica and the agent on disk."""
         self.replica.storage = None
         self.replica.known_writes = 0
         self.agent.disk = AgentDisk()
--- a/oakkeel/emulator/simulated_machine.py
+++ b/oakkeel/emulator/simulated_machine.py
@@ -8,7 +8,7 @@
 from oakkeel.emulator.world import World
 from oakkeel.units import SECOND
 
-MAX_RATE_ERROR = 0.015  # of a machine's clock
+MAX_RATE_ERROR = 0.015  # share by which the clock of a machine may be fast or slow
 MAX_CLOCK_OFFSET_NS = 10 * SECOND
 
 
@@ -22,7 +22,7 @@
         self.random = Random(f"{world.schedule.seed} {name}")
         self.rate = 1 + self.random.uniform(-MAX_RATE_ERROR, MAX_RATE_ERROR)
         self.offset = self.random.randrange(MAX_CLOCK_OFFSET_NS)
-        self.restarts = 0
+        self.restarts = 0  # counts starts and kills; a callback of an earlier process has another number
         self.running = False
         self.stopped = False
         self.disk_full = False
@@ -53,7 +53,7 @@
         self.world.clock.call_after(restart_after, self.start)
 
     def may_act(self, restarts: int, action: Callable[[], None]) -> bool:
-        """Whether the process with that number of restarts may act now; defers the action during a stop."""
+        """Whether the process since `restarts` still runs and may act; defers the action during a stop."""
         if restarts != self.restarts:
             return False
         if self.stopped:
--- a/oakkeel/emulator/simulated_network.py
+++ b/oakkeel/emulator/simulated_network.py
@@ -18,7 +18,7 @@
 MAX_SLOW_LINK_DELAY_NS = 2 * SECOND
 MAX_DUPLICATE_DELAY_NS = 20 * MS  # between two copies of a message
 MIN_LOSS_RATIO = 0.2
-LOSS_RATIO_RANGE = 0.6  # added to the minimum by a fault of full intensity
+LOSS_RATIO_RANGE = 0.6  # a fault of full intensity adds this to the minimum
 
 
 class SimulatedNetwork:
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -19,7 +19,7 @@
 WORSE_SHARE = 0.6  # the same share for a worse version
 MIN_START_TIME_NS = 100 * MS
 MAX_START_TIME_NS = 600 * MS
-CRASH_DELAY_NS = 50 * MS  # from the start of a version that crashes
+CRASH_DELAY_NS = 50 * MS  # from the start of a process whose version crashes
 MIN_DRAIN_TIME_NS = 100 * MS
 MAX_DRAIN_TIME_NS = 1500 * MS
 
@@ -29,13 +29,13 @@
     """One process of an instance."""
 
     generation: int
-    serves_at: int
+    serves_at: int  # true time at which the process is warm
     version: str = ""
     exits_at: int = 0  # end of the drain; 0: not draining
 
 
 class ProcessOwner(Protocol):
-    """The part of the host's agent that its processes use."""
+    """The attributes of the host's agent that `SimulatedProcesses` uses."""
 
     reconciler: Reconciler
     permit_holder: PermitHolder
@@ -131,7 +131,7 @@
             world.audit.serving(world.clock.now, name)
 
     def end(self, name: str, process: Process, reason: str, unconditional: bool = False) -> None:
-        """End a process; without `unconditional` only if its drain is over and was not cancelled."""
+        """End a process; without `unconditional`, only if its drain has ended and was not cancelled."""
         world = self.world
         if self.running.get(name) is not process:
             return
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -24,10 +24,10 @@
 from oakkeel.units import MS, SECOND
 
 RAFT_TIMEOUTS = RaftTimeouts(max_entries_before_snapshot=64)
-RESTART_DELAY_NS = 300 * MS  # after a failed write
+RESTART_DELAY_NS = 300 * MS  # of the replica, after a failed write
 NO_REPLICA_TICK_NS = 100 * MS  # interval of ticks while the disk is full and no replica runs
-MAX_LEADER_TICK_NS = 50 * MS
-MAX_TICK_NS = SECOND
+MAX_LEADER_TICK_NS = 50 * MS  # maximum interval of ticks on the leader
+MAX_TICK_NS = SECOND  # maximum interval of ticks on other replicas
 CRASH_RESTART_DELAY_NS = SECOND
 CRASH_BEFORE_WRITE = 1
 CRASH_AFTER_WRITE = 2
--- a/oakkeel/emulator/world.py
+++ b/oakkeel/emulator/world.py
@@ -13,11 +13,12 @@
 from oakkeel.units import SECOND
 
 PERMIT_TIMEOUTS = PermitTimeouts()
+# Time after which every leader has detected the failure of a target and counts it as unavailable.
 OBSERVATION_TIME_NS = PERMIT_TIMEOUTS.expiry_ns + PERMIT_TIMEOUTS.max_agent_silence_ns + 2 * SECOND
 
 
 class World:
-    """The names of hosts and instances in a schedule, with the clock, the audits and the event log."""
+    """The hosts and instances of a schedule by name, the clock, the audits and the event log."""
 
     def __init__(self, schedule: Schedule) -> None:
         """Create the names, topology and audits of the fleet of a schedule; no host runs yet."""
