--- a/oakkeel/fakes/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -1,4 +1,4 @@
-"""An agent with fake nodes and faults, as a process: `... SETTINGS HOST`.
+"""An agent with fake nodes and faults, as a process: `python -m oakkeel.fakes.agent SETTINGS HOST`.
 
 Files in the state folder of the agent enable faults. `full`: the disk is full, by SQLite's own limit, so that
 a write fails halfway. `clock`: the file holds the offset of the wall clock in seconds. `real`: the agent runs
--- a/oakkeel/fakes/catalogue.py
+++ b/oakkeel/fakes/catalogue.py
@@ -13,11 +13,11 @@
     """Answers each call with its body, or rejects all calls while `full` is set."""
 
     def __init__(self, work: float = 0.005, full: bool = False) -> None:
-        """`work` is the time for each call, in seconds."""
+        """`work`: seconds that each call takes; `full`: whether all calls are rejected."""
         super().__init__()
         self.work = work
         self.full = full
-        self.calls = 0
+        self.calls = 0  # number of calls received
         self.server = StreamServer(self._serve)
 
     async def open(self, port: int = 0) -> int:
--- a/oakkeel/fakes/control_plane.py
+++ b/oakkeel/fakes/control_plane.py
@@ -11,8 +11,8 @@
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentClients, NoLeaderError
 
-TIMEOUT = 30.0  # seconds, of a wait for a condition
-ACTIVE_STATES = ("waiting", "granted", "out")  # states of a task of an order
+TIMEOUT = 30.0  # maximum seconds to wait for a condition
+ACTIVE_STATES = ("waiting", "granted", "out")  # states of a task that has not ended
 
 
 class UnexpectedResponseError(OakkeelError, AssertionError):
@@ -94,7 +94,7 @@
     async def wait_until(
         self, condition_text: str, condition: Callable[[], Awaitable[bool]], timeout: float = TIMEOUT
     ) -> float:
-        """Wait for a condition and return the wait in seconds; raises TimeoutError."""
+        """Wait for a condition and return the waiting time in seconds; raises TimeoutError."""
         started_at = time.monotonic()
         while True:
             try:
@@ -107,14 +107,14 @@
             await asyncio.sleep(0.03)
 
     async def wait_until_serving(self, names: Iterable[str] = (), timeout: float = TIMEOUT) -> float:
-        """Wait until the named instances serve, by default all, and return the wait in seconds."""
+        """Wait until the named instances serve, by default all, and return the waiting time in seconds."""
         expected = set(names) or {name for names in self.site.hosts.values() for name in names}
 
         async def all_serve() -> bool:
             statuses = await self.instance_statuses()
             return all(name in statuses and statuses[name].phase == "serving" for name in expected)
 
-        return await self.wait_until("all serve", all_serve, timeout)
+        return await self.wait_until("all instances serve", all_serve, timeout)
 
     async def wait_until_ended(self, order_id: str, timeout: float = TIMEOUT) -> dict[str, str]:
         """Wait until an order has ended, and return the states of its targets."""
--- a/oakkeel/fakes/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -1,5 +1,6 @@
-"""An agent with fake nodes that kills itself at a given step, as a process: `... SETTINGS HOST [STEP]`.
+"""An agent with fake nodes that kills itself at a given step, as a process.
 
+Usage: `python -m oakkeel.fakes.crashing SETTINGS HOST [STEP]`.
 There is a step before and after each write to the state, each start of a process and each signal. After a
 SIGKILL at any step, the next agent must find the order exactly once.
 """
--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher that sends requests at a rate independent of the responses and counts their outcomes."""
+"""A dispatcher that sends requests at a rate independent of the responses and counts the outcomes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from oakkeel.fakes.node_connection import Address, NodeConnection
 
 CONNECT_TIMEOUT = 0.25  # seconds
-LATE_MARGIN = 0.05  # seconds past the timeout, for the transfer of the response
+LATE_MARGIN = 0.05  # seconds after the timeout, allowed for the transfer of the response
 ANSWERS = ("ok", "full", "fault")  # outcomes that a node sends
 
 
@@ -21,11 +21,11 @@
 
     __slots__ = ("group", "node", "sent_at")
 
-    def __init__(self, node: str, sent_at: float, group: str) -> None:
-        """`sent_at` in monotonic seconds; `group` is the request class."""
+    def __init__(self, node: str, sent_at: float, request_class: str) -> None:
+        """`sent_at`: when the request was sent, in monotonic seconds; `group` keeps the request class."""
         self.node = node
         self.sent_at = sent_at
-        self.group = group
+        self.group = request_class
 
 
 class DispatcherConnection(NodeConnection):
@@ -39,26 +39,26 @@
         """`dispatcher` counts the outcomes of the requests."""
         self.dispatcher = dispatcher
         self.node = node
-        self.open: dict[int, SentRequest] = {}
+        self.open_requests: dict[int, SentRequest] = {}  # requests without a response, by tag
         super().__init__(reader, writer)
 
     @property
     def open_count(self) -> int:
         """The number of requests without a response."""
-        return len(self.open)
+        return len(self.open_requests)
 
     def call(self, sent: SentRequest, fields: str, body: bytes) -> None:
         """Send a request."""
         self.last_tag += 1
-        self.open[self.last_tag] = sent
+        self.open_requests[self.last_tag] = sent
         self._write_call(sent.group.encode(), fields.encode(), body)
 
     def _on_response(self, tag: int, outcome: bytes, fields: bytes) -> None:
-        if sent := self.open.pop(tag, None):
+        if sent := self.open_requests.pop(tag, None):
             self.dispatcher.request_ended(sent, outcome.decode())
 
     def _on_connection_end(self) -> None:
-        for sent in self.open.values():
+        for sent in self.open_requests.values():
             self.dispatcher.request_ended(sent, "lost")
         self.dispatcher.remove_connection(self)
 
@@ -72,21 +72,21 @@
         addresses: Callable[[], dict[str, Address]],
         rate: float,
         seed: int,
-        groups: tuple[str, ...] = ("quote", "card"),
+        request_classes: tuple[str, ...] = ("quote", "card"),
         timeout: float = 4.0,
     ) -> None:
         """`rate` in requests a second; `timeout` in seconds, sent to the node: later responses are late."""
         self.number = number
         self.addresses = addresses
         self.rate = rate
-        self.groups = groups
+        self.request_classes = request_classes
         self.timeout = timeout
         self.random = Random(seed)
-        self.connections: dict[str, list[DispatcherConnection]] = {}
+        self.connections: dict[str, list[DispatcherConnection]] = {}  # by node
         self.counts: Counter[str] = Counter()  # by outcome, and `sent` and `unsent`
-        self.by_node: dict[str, Counter[str]] = {}
-        self.sending: asyncio.Task[None] | None = None
-        self.max_send_delay = 0.0  # maximum seconds from the time that a request was due until it was sent
+        self.by_node: dict[str, Counter[str]] = {}  # number of requests by node and outcome
+        self.sending: asyncio.Task[None] | None = None  # the task that sends; None: not started
+        self.max_send_delay = 0.0  # maximum seconds from the due time of a request until it was sent
         self._next = 0  # index of the next node, modulo the number of nodes
 
     def start(self) -> None:
@@ -118,7 +118,7 @@
                     f"req={request_id},ts={time.time_ns() // 1_000_000},via={self.number},"
                     f"timeout={int(self.timeout * 1000)},need=24.5,level=0.5"
                 )
-                sent = SentRequest(name, time.monotonic(), self.random.choice(self.groups))
+                sent = SentRequest(name, time.monotonic(), self.random.choice(self.request_classes))
                 self.request_sent(request_id, sent)
                 connection.call(sent, fields, request_id.encode())
                 self.counts["sent"] += 1
@@ -126,7 +126,7 @@
         self.counts["unsent"] += 1  # no node accepted a connection
 
     def request_sent(self, request_id: str, sent: SentRequest) -> None:
-        """Called for each request that is sent, for subclasses."""
+        """Called for each request that is sent; subclasses may override it."""
 
     def request_ended(self, sent: SentRequest, outcome: str) -> str:
         """Count the outcome of a request, and return the outcome under which it was counted."""
@@ -145,7 +145,9 @@
     def open(self) -> int:
         """The number of requests without a response."""
         return sum(
-            len(connection.open) for connections in self.connections.values() for connection in connections
+            len(connection.open_requests)
+            for connections in self.connections.values()
+            for connection in connections
         )
 
     @property
@@ -163,7 +165,7 @@
 
     async def _connection(self, name: str, address: Address) -> DispatcherConnection | None:
         for connection in self.connections.get(name, ()):
-            if connection.usable:
+            if connection.is_usable:
                 return connection
         try:
             # Not `wait_for`: in Python 3.11 it loses a cancellation that coincides with the result.
--- a/oakkeel/fakes/engine.py
+++ b/oakkeel/fakes/engine.py
@@ -11,16 +11,16 @@
 from oakkeel.fakes.faults import FakeWithFaults, Fault
 from oakkeel.fakes.stream_server import StreamServer
 
-MAX_NOTICES = 4000  # retained for the next link of the node
-# seconds without a link, after which a link that acknowledges no notice is from a new node
+MAX_NOTICES = 4000  # maximum number of notices retained for the next link of the node
+# After this number of seconds without a link, a link that acknowledges no notice is from a new node.
 NEW_NODE_DELAY = 0.3
 
 
 class Engine(FakeWithFaults):
-    """Runs take about `work` seconds on a core, in turn; one run in `calls` needs a call."""
+    """Each run takes about `work` seconds of a core; on average, one of `calls` runs needs a call."""
 
     def __init__(self, seed: int = 1, cores: int = 2, work: float = 0.01, calls: int = 0) -> None:
-        """`work` in seconds; no run needs a call if `calls` is 0."""
+        """`work` in seconds; if `calls` is 0, no run needs a call."""
         super().__init__()
         self.cores = cores
         self.work = work
@@ -28,15 +28,15 @@
         self.random_fraction = Random(seed).random
         self.core_semaphore = asyncio.Semaphore(cores)
         self.runs: dict[bytes, asyncio.Task[None]] = {}
-        self.call_replies: dict[bytes, asyncio.Future[None]] = {}
-        self.notices: deque[tuple[int, bytes]] = deque(maxlen=MAX_NOTICES)
+        self.call_replies: dict[bytes, asyncio.Future[None]] = {}  # of runs that wait for a call
+        self.notices: deque[tuple[int, bytes]] = deque(maxlen=MAX_NOTICES)  # number and notice
         self.last_notice_number = 0
         self.started_at = time.monotonic() - 60  # the engine reports that it has run for a minute
         self.running_count = 0
-        self.link_ended_at = 0.0  # monotonic seconds; the end of the last link
-        # starts of each run: more than one start is a duplicate effect
+        self.link_ended_at = 0.0  # end of the last link, in monotonic seconds
+        # number of starts by run: more than one start is a duplicate effect
         self.start_counts: dict[bytes, int] = {}
-        self.first_started: dict[bytes, float] = {}  # first start of each run, monotonic seconds
+        self.first_started: dict[bytes, float] = {}  # monotonic seconds of the first start, by run
         self.link: asyncio.StreamWriter | None = None
         self.server = StreamServer(self._serve)
 
@@ -68,13 +68,13 @@
                     if line[0] in (b"RUN", b"FEED"):
                         body = (await reader.readexactly(int(line[-1]) + 2))[:-2]
                     if self.fault is not Fault.HANG:
-                        self._command(writer, line, body)
+                        self._handle_command(writer, line, body)
             finally:
                 if self.link is writer:
                     self.link = None
                     self.link_ended_at = time.monotonic()
 
-    def _command(self, writer: asyncio.StreamWriter, line: list[bytes], body: bytes) -> None:
+    def _handle_command(self, writer: asyncio.StreamWriter, line: list[bytes], body: bytes) -> None:
         verb = line[0]
         if verb == b"ATTACH":
             # a new node has no notice to acknowledge
@@ -107,22 +107,22 @@
     async def _run(self, run_id: bytes, body: bytes) -> None:
         self.start_counts[run_id] = self.start_counts.get(run_id, 0) + 1
         self.first_started.setdefault(run_id, time.monotonic())
-        end = b"failure"
+        result_status = b"failure"
         try:
             work = self.work * (0.5 + self.random_fraction()) * self.slowdown
             await self._compute(work)
             if self.calls and int(self.random_fraction() * self.calls) == 0:
                 self.call_replies[run_id] = asyncio.get_running_loop().create_future()
-                self._notice(b"NEED %%d %s 4" % run_id, b"call")
+                self._send_notice(b"NEED %%d %s 4" % run_id, b"call")
                 await self.call_replies[run_id]
                 await self._compute(work / 2)
-            end = b"success"
+            result_status = b"success"
         except asyncio.CancelledError:
-            end = b"interrupted"
+            result_status = b"interrupted"
         finally:
             del self.runs[run_id]
-            result = b"made of " + body if end == b"success" else b""
-            self._notice(b"DONE %%d %s %s 1.0 %d" % (run_id, end, len(result)), result)
+            result = b"made of " + body if result_status == b"success" else b""
+            self._send_notice(b"DONE %%d %s %s 1.0 %d" % (run_id, result_status, len(result)), result)
 
     async def _compute(self, seconds: float) -> None:
         self.running_count += 1
@@ -132,7 +132,7 @@
         finally:
             self.running_count -= 1
 
-    def _notice(self, line: bytes, body: bytes) -> None:
+    def _send_notice(self, line: bytes, body: bytes) -> None:
         self.last_notice_number += 1
         notice = line % self.last_notice_number + b"\r\n" + body + b"\r\n"
         self.notices.append((self.last_notice_number, notice))
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -14,7 +14,7 @@
 
 from oakkeel.fakes.stream_server import StreamServer
 
-LENGTH_FIELD_BYTES = 4  # bytes of the length field before each message
+LENGTH_FIELD_BYTES = 4  # size of the length field before each message
 MAX_LENGTH = 16 * 1024 * 1024
 CONNECT_TIMEOUT = 2.0  # seconds
 UNANSWERED_CONNECT_TIME = 5.0  # seconds; as with a lost SYN, the client gets no answer until its own timeout
@@ -26,8 +26,8 @@
 
     cut: bool = False  # all messages are lost, and new connections get no answer
     loss: float = 0.0  # share of messages that are lost
-    delay: float = 0.0
-    mixed: float = 0.0  # maximum additional delay, drawn for each message, which may reorder messages
+    delay: float = 0.0  # of each message
+    mixed: float = 0.0  # maximum random delay added to each message, which may reorder messages
     double: float = 0.0  # share of messages that are sent twice
     stall: bool = False  # messages wait until this is reset, and none is lost
     altered: float = 0.0  # share of messages with one bit changed
--- a/oakkeel/fakes/load_clients.py
+++ b/oakkeel/fakes/load_clients.py
@@ -10,9 +10,9 @@
 from oakkeel.fakes.node_connection import Address, NodeConnection
 
 MAX_ATTEMPTS = 4  # of one request
-MAX_RETRY_AFTER_MS = 5000  # the maximum that a node sends; a delay of this length has no reservation
+MAX_RETRY_AFTER_MS = 5000  # maximum delay that a node sends; for this delay it reserves no capacity
 DEFAULT_RETRY_AFTER = b"1000"  # milliseconds
-CONNECTION_LOST = b""
+CONNECTION_LOST = b""  # outcome of a call whose connection ended without a response
 
 
 class ClientConnection(NodeConnection):
@@ -37,7 +37,7 @@
         return len(self.open_calls)
 
     async def call(self, request_class: bytes, fields: bytes) -> tuple[bytes, bytes]:
-        """Send a call; returns outcome and fields of the response, both empty if the connection ends."""
+        """Send a call; return outcome and fields of the response, both empty if the connection ends."""
         self.last_tag += 1
         response: asyncio.Future[tuple[bytes, bytes]] = asyncio.get_running_loop().create_future()
         self.open_calls[self.last_tag] = response
@@ -72,7 +72,11 @@
         self.reset_counts()
 
     def reset_counts(self) -> None:
-        """Set all counters to zero."""
+        """Set all counters to zero.
+
+        Requests are counted as `sent`, then as `completed` or `lost`; their attempts as `tries`. `returned`
+        counts attempts for which the node had reserved capacity, `went_ahead` the successful ones of these.
+        """
         self.sent = self.tries = self.completed = self.returned = self.went_ahead = self.lost = 0
 
     async def start(self) -> None:
@@ -121,7 +125,7 @@
             await asyncio.sleep(retry_after / 1000 if self.retry_delay is None else self.retry_delay)
 
     async def _send_attempt(self, is_retry: bool) -> tuple[bytes, bytes]:
-        connection = next((other for other in self.connections if other.usable), None)
+        connection = next((other for other in self.connections if other.is_usable), None)
         if connection is None:
             connection = await ClientConnection.open(self.address)
             self.connections = [other for other in self.connections if not other.has_ended] + [connection]
--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -1,12 +1,13 @@
 """A fake node for an agent, which starts at once, answers on its control socket, and drains.
 
-The file NAME.script beside the control socket sets its behaviour and is read again before each answer. Words:
-`mute` accepts connections and never answers, `old` answers with an earlier generation, `crash` exits at the
-start with code 3, `deaf` does not drain, `cold` reports that it is cold, `linger` takes a second to drain,
-`slow` is cold for a second after its start, `worse` reports fewer good responses and `slower` higher
-latencies than other nodes, `worse-cold` reports fewer good responses while it is cold, `leak` reports growing
-memory, `mortal` exits after a second. OAKKEEL_BEHAVE holds additional words. Each event of the node is a line
-in NAME.journal: a word, the generation, the process ID, and the monotonic time.
+The file NAME.script beside the control socket sets the behaviour of the node and is read again before each
+answer. The words of the file are: `mute` accepts connections and never answers, `old` answers with an earlier
+generation, `crash` exits at the start with code 3, `deaf` does not drain, `cold` reports that it is cold,
+`linger` takes a second to drain, `slow` is cold for a second after its start, `worse` reports fewer good
+responses and `slower` higher latencies than other nodes, `worse-cold` reports fewer good responses while it
+is cold, `leak` reports growing memory, `mortal` exits after a second. OAKKEEL_BEHAVE holds additional words.
+Each event of the node is a line in NAME.journal: a word, the generation, the process ID, and the monotonic
+time.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 import sys
 import time
 
-RATE = 400.0  # requests a second that the node reports as served
+REPORTED_RATE = 400.0  # requests a second that the node reports as served
 
 
 class FakeNode:
@@ -49,18 +50,24 @@
         return words
 
     def measurements(self, script: list[str], cold: bool) -> dict[str, object]:
-        """Return the figures of a node that has answered RATE requests a second since its start."""
+        """Return the figures of a node that has answered REPORTED_RATE requests a second since its start."""
         uptime = time.monotonic() - self.started_at
-        count = float(int(RATE * uptime))
+        count = float(int(REPORTED_RATE * uptime))
         failure_ratio = 0.3 if "worse" in script or ("worse-cold" in script and cold) else 0.02
-        good = float(int(count * (1 - failure_ratio)))
-        mean = -2.0 + ("slower" in script)
+        good_count = float(int(count * (1 - failure_ratio)))
+        mean_log_latency = -2.0 + ("slower" in script)
         return {
             "version": os.environ.get("OAKKEEL_VERSION", ""),
             "load": 0.2,
-            "benefit": [count, good, good],
+            "benefit": [count, good_count, good_count],
             "resident_kb": 20_000 + int(1000 * uptime) * ("leak" in script),
-            "times": {"quote": [good, good * mean, good * (mean * mean + 0.25)]},
+            "times": {
+                "quote": [
+                    good_count,
+                    good_count * mean_log_latency,
+                    good_count * (mean_log_latency * mean_log_latency + 0.25),
+                ]
+            },
         }
 
     def stop(self, *_: object) -> None:
@@ -76,7 +83,7 @@
             self.journal("leave")
 
     def cancel_drain(self) -> str:
-        """Serve again; returns the reason if this is not possible, or an empty text."""
+        """Cancel the drain; return the reason if this is not possible, or an empty text."""
         if self.drain_is_final:
             return "the drain is final: the node stops after SIGTERM"
         if self.draining_since:
@@ -86,11 +93,11 @@
 
     def is_drained(self, script: list[str]) -> bool:
         """Whether the drain is complete, so that the node can end."""
-        duration = 1.0 if "linger" in script else 0.0
+        min_duration = 1.0 if "linger" in script else 0.0
         return (
             bool(self.draining_since)
             and "deaf" not in script
-            and time.monotonic() - self.draining_since >= duration
+            and time.monotonic() - self.draining_since >= min_duration
         )
 
     def state(self, script: list[str]) -> str:
@@ -147,10 +154,10 @@
         for line in data.splitlines():
             request = json.loads(line)
             if request["type"] in ("leave", "stay"):
-                expected = request["generation"]
+                ordered_generation = request["generation"]
                 reason = (
-                    f"the order is for generation {expected}, this is generation {self.generation}"
-                    if expected != self.generation
+                    f"the order is for generation {ordered_generation}, this is generation {self.generation}"
+                    if ordered_generation != self.generation
                     else ""
                 )
                 if not reason and request["type"] == "stay":
--- a/oakkeel/fakes/node_connection.py
+++ b/oakkeel/fakes/node_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to a node, with calls in RESP and tagged responses."""
+"""A client's connection to a node, which carries calls in RESP and tagged responses."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from abc import ABC, abstractmethod
 
 Address = tuple[str, int]
-CLOSING_TAG = 0  # of the message by which the node closes the connection to further calls
+CLOSING_TAG = 0  # tag of the message after which the node accepts no further calls on the connection
 
 
 class NodeConnection(ABC):
@@ -29,7 +29,7 @@
         """The number of calls without a response."""
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether a further call may be written."""
         return not self.closing and not self.writer.is_closing() and self.open_count < self.max_open
 
@@ -42,7 +42,7 @@
         """Handle the end of the connection, after which no response arrives."""
 
     def _write_call(self, request_class: bytes, fields: bytes, body: bytes) -> None:
-        """Write a call under `last_tag`."""
+        """Write a call with the tag `last_tag`."""
         parts = [b"CALL", b"%d" % self.last_tag, request_class, fields, body]
         self.writer.write(
             b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -70,15 +70,18 @@
     honours_retry_after: bool = True
     max_attempts: int = 4  # of one request
     fixed_retry_delay: int = 20 * MS  # nanoseconds, if the client does not honour Retry-After
-    first_attempts: int = 0
-    counts: Counter[str] = field(default_factory=Counter)
+    first_attempts: int = 0  # number of requests sent
+    counts: Counter[str] = field(default_factory=Counter)  # attempts ("tries") and outcomes
     retry_delays: list[int] = field(default_factory=list)  # delays that the node gave, nanoseconds
     scheduled_returns: int = 0  # retries at exactly the time that the node gave
     admitted_returns: int = 0  # scheduled returns that were admitted
 
 
 class SimulatedNode:
-    """The admission of a node, with simulated cores; `fair` holds the rules, None: no fair sharing."""
+    """The admission of a node, with simulated cores.
+
+    `fair` holds the rules of fair sharing; None: no fair sharing.
+    """
 
     def __init__(
         self,
@@ -173,9 +176,9 @@
         self.running_count += 1
         slowdown = max(1.0, self.running_count / self.limits.cores) * self.slow
         run_time = self.work * (0.5 + self.random.random()) * slowdown
-        self.schedule_at(self.now + int(run_time), self._done, request)
+        self.schedule_at(self.now + int(run_time), self._finish_run, request)
 
-    def _done(self, request: Request) -> None:
+    def _finish_run(self, request: Request) -> None:
         self.running_count -= 1
         self.admission.run_finished(self.now, request, Outcome.COMPLETED)
         if request in self.attempts_by_request:
@@ -202,9 +205,9 @@
 
     def set_timer(self, token: int, at: int) -> None:
         """Call `timer_expired` with the token at a time."""
-        self.schedule_at(at, self._timer, token)
+        self.schedule_at(at, self._on_timer, token)
 
-    def _timer(self, token: int) -> None:
+    def _on_timer(self, token: int) -> None:
         busy = min(1.0, self.running_count / self.limits.cores)
         self.admission.timer_expired(self.now, token, Gauges(busy, float(self.running_count), 0.1, 1.0))
 
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -52,8 +52,8 @@
     dependencies: dict[str, str] | None = None  # name of the downstream service by instance
     supervision: str = ""  # XML element of the supervision rules
     seed: int = 1
-    work: float = 0.005  # seconds of each run and call
-    max_retry_after: int = 1  # seconds
+    work: float = 0.005  # seconds that each run takes on average
+    max_retry_after: int = 1  # maximum Retry-After of the nodes, in seconds
 
 
 class FakeSite:
@@ -79,14 +79,19 @@
 
     async def open(self) -> None:
         """Start the fakes, and write the configurations, keys and settings."""
-        catalogue = await self.catalogue.open()
-        directory = await self.directory.open()
+        catalogue_port = await self.catalogue.open()
+        directory_port = await self.directory.open()
         for name in (name for names in self.hosts.values() for name in names):
             self.engines[name] = Engine(
                 self.options.seed + len(self.engines), work=self.options.work, calls=4
             )
-            port = await self.engines[name].open()
-            self._write_node(name, port, directory, self.catalogues.get(name, f"127.0.0.1:{catalogue}"))
+            engine_port = await self.engines[name].open()
+            self._write_node(
+                name,
+                engine_port,
+                directory_port,
+                self.catalogues.get(name, f"127.0.0.1:{catalogue_port}"),
+            )
         agents = self.hosts if self.options.replicas else ()
         for key in (*OPERATORS, *agents):
             write_key(os.path.join(self.folder, f"{key}.key"), secrets.token_bytes(32))
@@ -107,9 +112,11 @@
         """Write the settings, with other `ports` for some agents: those of the links between hosts."""
         element = '<operator name="{0}" role="{1}"><key id="{0}-1" file="{0}.key"/></operator>'
         elements = {name: element.format(name, role) for name, role in OPERATORS.items()} | operators
-        limit = f' away="{self.options.fleet_max_unavailable}"' if self.options.fleet_max_unavailable else ""
+        fleet_limit = (
+            f' away="{self.options.fleet_max_unavailable}"' if self.options.fleet_max_unavailable else ""
+        )
         lines = [
-            f'<fleet xmlns="urn:oakkeel:fleet:1" name="guild"{limit}>',
+            f'<fleet xmlns="urn:oakkeel:fleet:1" name="guild"{fleet_limit}>',
             "  <operators>",
             *(f"    {operator}" for operator in elements.values()),
             "  </operators>",
@@ -137,13 +144,13 @@
             lines.append(f'      <instance name="{name}" config="{name}.json"{below}/>')
         return [*lines, "    </host>"]
 
-    def _write_node(self, name: str, engine: int, directory: int, catalogue: str) -> None:
-        """Write the configuration of one instance."""
+    def _write_node(self, name: str, engine_port: int, directory_port: int, catalogue: str) -> None:
+        """Write the configuration of one instance; `catalogue`: the address of its catalogue."""
         configuration = {
             "name": name,
             "listen": "127.0.0.1:0",
-            "engine": f"127.0.0.1:{engine}",
-            "lookup": f"127.0.0.1:{directory}",
+            "engine": f"127.0.0.1:{engine_port}",
+            "lookup": f"127.0.0.1:{directory_port}",
             "catalog": catalogue,
             "seed": f"{self.options.seed + len(self.engines):016x}",
             "stop_ms": 3200,
