--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -69,7 +69,7 @@
         self.admission = AdmissionController(self, limits, seed, clock.now)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        """Ignore calls of `Host` that are not simulated: connections, duplicates, load reports."""
+        """Ignore the methods of `Host` that are not simulated: connections, duplicates, load reports."""
         if name.startswith("_") or name in ("admission", "alive"):
             raise AttributeError(name)
         return lambda *arguments: None
--- a/oakkeel/emulator/simulated_machine.py
+++ b/oakkeel/emulator/simulated_machine.py
@@ -21,7 +21,7 @@
         self.name = name
         self.random = Random(f"{world.schedule.seed} {name}")
         self.rate = 1 + self.random.uniform(-MAX_RATE_ERROR, MAX_RATE_ERROR)
-        self.offset = self.random.randrange(MAX_CLOCK_OFFSET_NS)
+        self.offset = self.random.randrange(MAX_CLOCK_OFFSET_NS)  # the clock's time at the true time 0
         self.restarts = 0  # counts starts and kills; a callback of an earlier process has another number
         self.running = False
         self.stopped = False
--- a/oakkeel/fakes/directory.py
+++ b/oakkeel/fakes/directory.py
@@ -15,7 +15,7 @@
         """Start without entries."""
         self.reports: dict[
             str, tuple[float, bool]
-        ] = {}  # by node: monotonic seconds, and whether the node is open
+        ] = {}  # by node: time of the last report, in monotonic seconds, and whether the node is open
         self.transport: asyncio.DatagramTransport | None = None
 
     async def open(self) -> int:
--- a/oakkeel/fakes/load_generator.py
+++ b/oakkeel/fakes/load_generator.py
@@ -1,9 +1,9 @@
 """A load generator in a separate process: `python -m oakkeel.fakes.load_generator RATE SEED`.
 
-Its two dispatchers send at their rate even while the parent process is busy. Messages are lines of JSON:
-commands on standard input; on standard output a report for each request that has ended, and a summary as the
-last line. The end of the input stops the generator as the command `stop` does. Times are monotonic seconds,
-which all processes of a machine share.
+Its two dispatchers send at their rate even while the parent process is busy. The process reads commands from
+standard input. On standard output it writes a report for each request that has ended, and a summary as the
+last message. Each message is a line of JSON. The end of the input stops the generator as the command `stop`
+does. Times are monotonic seconds, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -117,7 +117,7 @@
     decoder = msgspec.json.Decoder(LoadCommand)
 
     def report(message: RequestReport | LoadSummary) -> None:
-        # buffered, so that a slow reader does not delay requests
+        # The output is buffered, so that a slow reader does not delay requests.
         output.write(encoder.encode(message) + b"\n")
 
     generator = LoadGenerator(rate, seed, report)
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -62,7 +62,7 @@
 
 @dataclass(eq=False)
 class SimulatedClient:
-    """Sends requests at random intervals; retries rejected ones as the node asks, or after a fixed delay."""
+    """Sends requests at random intervals; retries a rejected one as the node asks or after a fixed delay."""
 
     name: bytes
     rate: float  # first attempts a second
@@ -111,7 +111,7 @@
         self.admission = AdmissionController(self, self.limits, seed, self.now)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        """Ignore calls of `Host` that have no effect here: health, load reports, connections."""
+        """Ignore the methods of `Host` that are not simulated: health, load reports, connections."""
         if name.startswith("_") or name == "admission":
             raise AttributeError(name)
         return lambda *arguments: None
--- a/tests/fakes/test_load_generator.py
+++ b/tests/fakes/test_load_generator.py
@@ -10,7 +10,7 @@
 
 
 async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Read RESP calls; every fourth is rejected, the others succeed."""
+    """Answer calls in RESP: reject every fourth call, and report the other calls as successful."""
     while head := await reader.readline():
         parts = []
         for _ in range(int(head[1:])):
