--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -17,7 +17,7 @@
 RETRY_DELAY_NS = 100 * MS
 RESPONSE_TIMEOUT_NS = 2 * SECOND
 ORDER_DEADLINE_NS = 6 * SECOND
-VERBS = {"restart": "restart", "stop it": "stop"}  # by kind of action; other kinds drain
+VERBS = {"restart": "restart", "stop it": "stop"}  # verb of the order by kind of action; otherwise: drain
 
 
 class Operators:
@@ -79,7 +79,7 @@
         if isinstance(command, releases.StartRelease):
             self.releases.append(ident)
         if isinstance(command, commands.SubmitOrder):
-            self.world.audit.order_acknowledged(ident, getattr(result, "index", proposal.index))
+            self.world.audit.record_acknowledgement(ident, getattr(result, "index", proposal.index))
 
     def act(self, action: Fault) -> None:
         """Carry out an action of the schedule."""
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -19,7 +19,7 @@
 WORSE_SHARE = 0.6  # the same share for a worse version
 MIN_START_TIME_NS = 100 * MS
 MAX_START_TIME_NS = 600 * MS
-CRASH_DELAY_NS = 50 * MS  # from the start of a version that crashes
+CRASH_DELAY_NS = 50 * MS  # from the start of a process whose version crashes
 MIN_DRAIN_TIME_NS = 100 * MS
 MAX_DRAIN_TIME_NS = 1500 * MS
 
@@ -29,13 +29,13 @@
     """One process of an instance."""
 
     generation: int
-    serves_at: int
+    serves_at: int  # true time at which the process is warm
     version: str = ""
     exits_at: int = 0  # end of the drain; 0: not draining
 
 
 class ProcessOwner(Protocol):
-    """The part of the host's agent that its processes use."""
+    """The attributes of the host's agent that `SimulatedProcesses` uses."""
 
     reconciler: Reconciler
     permit_holder: PermitHolder
@@ -97,7 +97,7 @@
         name = step.instance.name
         now = world.clock.now
         generation = step.instance.process_generation
-        world.audit.generation_started(now, name, generation)
+        world.audit.record_process_start(now, name, generation)
         version = self.owner.reconciler.assignments.version(name)
         world.rollout_audit.record_start(now, name, version)
         process = Process(
@@ -121,7 +121,7 @@
             fencing_token = permit.fencing_token if permit and permit.started else -1
             world.audit.drain_started(now, name, fencing_token, permit.order_id if permit else "")
         else:
-            world.audit.out_by_itself(now, name)
+            world.audit.record_unavailable(now, name)
         process.exits_at = now + machine.random.randrange(MIN_DRAIN_TIME_NS, MAX_DRAIN_TIME_NS)
         world.clock.call_at(process.exits_at, self.end, name, process, "left")
 
@@ -131,14 +131,14 @@
             world.audit.serving(world.clock.now, name)
 
     def end(self, name: str, process: Process, reason: str, unconditional: bool = False) -> None:
-        """End a process; without `unconditional` only if its drain is over and was not cancelled."""
+        """End a process; without `unconditional`, only if its drain has ended and was not cancelled."""
         world = self.world
         if self.running.get(name) is not process:
             return
         if not unconditional and not (process.exits_at and world.clock.now >= process.exits_at):
             return
         del self.running[name]
-        world.audit.out_by_itself(world.clock.now, name)
+        world.audit.record_unavailable(world.clock.now, name)
         self._on_exited(name, reason, self.machine.restarts)
 
     def _on_exited(self, name: str, reason: str, restarts: int) -> None:
