--- a/oakkeel/authentication/client.py
+++ b/oakkeel/authentication/client.py
@@ -34,7 +34,7 @@
     """A connection to one agent; after an error the next request opens it again."""
 
     def __init__(self, address: tuple[str, int], key: Key) -> None:
-        """The first request opens the connection."""
+        """Store the address and the key; the first request opens the connection."""
         self.address = address
         self.key = key
         self.stream: IOStream | None = None
--- a/oakkeel/authentication/framing.py
+++ b/oakkeel/authentication/framing.py
@@ -6,7 +6,7 @@
 
 from oakkeel.errors import OakkeelError
 
-MAX_FRAME_BYTES = 128 * 1024  # content of a frame from a peer that is not authenticated yet
+MAX_FRAME_BYTES = 128 * 1024  # maximum content of a frame from a peer that is not authenticated yet
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 LENGTH_BYTES = 4
 HELLO = b"oakkeel 1 "  # start of the first frame of a connection; the challenge follows
--- a/oakkeel/authentication/mac.py
+++ b/oakkeel/authentication/mac.py
@@ -97,7 +97,7 @@
 
 
 class ClientAuthenticator:
-    """The client's side of one connection."""
+    """Signs the requests of one connection, and verifies the responses. Used by the client."""
 
     def __init__(
         self, key: Key, challenge: bytes, make_nonce: Callable[[], bytes], unix_time: Callable[[], int]
@@ -124,12 +124,14 @@
             RESPONSE_KIND, self.challenge, self.sequence, self.nonce, message.time, message.content
         )
         if not hmac.compare_digest(response.compute_mac(self.key.secret), message.mac):
-            raise AuthenticationError("the response has a wrong MAC: another key, or another request")
+            raise AuthenticationError(
+                "the response has a wrong MAC: it was made with another key, or for another request"
+            )
         return message.content
 
 
 class ServerAuthenticator:
-    """The agent's side of one connection."""
+    """Verifies the requests of one connection, and signs the responses. Used by the agent."""
 
     def __init__(
         self,
--- a/oakkeel/store/content_store.py
+++ b/oakkeel/store/content_store.py
@@ -12,7 +12,7 @@
 
 from oakkeel.errors import OakkeelError
 
-MAX_FILES = 20_000  # in a program
+MAX_FILES = 20_000  # number of files in a program
 MAX_BYTES = 512 * 1024 * 1024  # size of a program or a file
 IGNORED_FOLDERS = {"__pycache__", ".git"}
 HASH_LENGTH = 32  # hexadecimal digits
@@ -108,7 +108,11 @@
 
 
 class ContentStore:
-    """The copies on one host: `content/HASH` and `VERSION.json` in one folder, each written atomically."""
+    """The programs and configurations that are stored on one host.
+
+    The folder has a copy `content/HASH` of each program or file, and a record `VERSION.json` of each version.
+    Each is written atomically.
+    """
 
     def __init__(self, folder: str) -> None:
         """Use a folder, which need not exist yet."""
@@ -119,7 +123,7 @@
         return os.path.join(self.folder, "content", content_hash)
 
     def add_folder(self, folder: str, prefix: str = "") -> str:
-        """Copy a folder and return its hash. Raises ContentError, also if the folder changes meanwhile."""
+        """Copy a folder and return its hash. Raises ContentError, also if the folder changes in between."""
         content_hash = hash_folder(folder, prefix)
         if not os.path.exists(self.path(content_hash)):
             temporary = self._make_temporary(content_hash)
@@ -152,7 +156,7 @@
         os.rename(temporary, self.path(content_hash))
 
     def add_version(self, content: Content) -> str:
-        """Record the parts of a version, and return the version."""
+        """Record the hashes of the parts of a version, and return the hash that names the version."""
         path = os.path.join(self.folder, f"{content.version}.json")
         with open(path + ".new", "w", encoding="utf-8") as file:
             json.dump({"program": content.program, "patch": content.patch, "config": content.config}, file)
@@ -162,10 +166,10 @@
         return content.version
 
     def find(self, version: str) -> Content | None:
-        """Return the parts of a version, or None if its record is unusable or a copy is missing."""
+        """Return the hashes of a version's parts; None if its record is unusable or a copy is missing."""
         try:
-            recorded = read_json(os.path.join(self.folder, f"{version}.json"))
-            content = Content(str(recorded["program"]), str(recorded["patch"]), str(recorded["config"]))
+            record = read_json(os.path.join(self.folder, f"{version}.json"))
+            content = Content(str(record["program"]), str(record["patch"]), str(record["config"]))
         except (ContentError, KeyError):
             return None
         parts = [part for part in (content.program, content.patch, content.config) if part]
@@ -173,9 +177,9 @@
         return content if is_complete else None
 
     def prune(self, needed: set[str]) -> list[str]:
-        """Remove the versions not in `needed`, and unused copies. Returns the removed versions."""
-        removed: list[str] = []
-        used: set[str] = set()
+        """Remove the versions not in `needed`, and copies without a version. Returns the removed versions."""
+        removed_versions: list[str] = []
+        used_hashes: set[str] = set()
         if not os.path.isdir(self.folder):
             return []
         for name in sorted(os.listdir(self.folder)):
@@ -184,19 +188,19 @@
                 continue
             if version in needed:
                 if content := self.find(version):
-                    used |= {content.program, content.patch, content.config}
+                    used_hashes |= {content.program, content.patch, content.config}
             else:
                 os.unlink(os.path.join(self.folder, name))
-                removed.append(version)
-        self._remove_unused_copies(used)
-        return removed
+                removed_versions.append(version)
+        self._remove_unused_copies(used_hashes)
+        return removed_versions
 
-    def _remove_unused_copies(self, used: set[str]) -> None:
+    def _remove_unused_copies(self, used_hashes: set[str]) -> None:
         copies = os.path.join(self.folder, "content")
         if not os.path.isdir(copies):
             return
         for name in os.listdir(copies):
-            if name in used:
+            if name in used_hashes:
                 continue
             path = os.path.join(copies, name)
             if os.path.isdir(path):
--- a/oakkeel/store/database.py
+++ b/oakkeel/store/database.py
@@ -24,7 +24,10 @@
 
 
 def quarantine(path: str) -> str:
-    """Add the time and the process ID to the file names of a closed database. Returns the new path."""
+    """Rename the files of a closed database that can't be used. Returns the new path.
+
+    The new names contain the time and the process ID.
+    """
     quarantined = f"{path}.{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{os.getpid()}"
     for suffix in FILE_SUFFIXES:
         with contextlib.suppress(FileNotFoundError):
@@ -54,8 +57,8 @@
                     f"BEGIN; {schema}; PRAGMA application_id = {APPLICATION_ID};"
                     f" PRAGMA user_version = {version}; COMMIT;"
                 )
-            pages = max(MIN_PAGES, max_bytes // self.read_pragma("page_size"))
-            self.connection.execute(f"PRAGMA max_page_count = {pages}")
+            max_pages = max(MIN_PAGES, max_bytes // self.read_pragma("page_size"))
+            self.connection.execute(f"PRAGMA max_page_count = {max_pages}")
         except sqlite3.Error as error:
             raise DatabaseError(f"{path}: {error}") from error
 
--- a/oakkeel/store/snapshot_file.py
+++ b/oakkeel/store/snapshot_file.py
@@ -11,7 +11,7 @@
 
 MAGIC = b"oakkeel snapshot 1\n"
 CHECKSUM_BYTES = 32
-MAX_BYTES = 4 * 1024 * 1024
+MAX_BYTES = 4 * 1024 * 1024  # size of the file, with the magic number and the checksum
 FILE_MODE = 0o600  # readable and writable by the owner only
 
 
--- a/tests/store/test_database.py
+++ b/tests/store/test_database.py
@@ -28,7 +28,7 @@
         reopened = self.open()
         self.assertEqual((reopened.read("SELECT * FROM words"), reopened.quarantined), ([("kept",)], ""))
 
-    def test_quarantines_damaged_and_foreign_files_and_those_of_another_version(self):
+    def test_quarantines_damaged_files_foreign_files_and_files_of_another_schema_version(self):
         for damage in (lambda: None, self._overwrite_second_page, self._replace_with_foreign_file):
             database = Database(self.path, self.SCHEMA, 1)
             for number in range(500):
