--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -111,19 +111,19 @@
     def read(self) -> Fleet:
         """Return the fleet. Raises SettingsError with a line for each error."""
         root = self.root
-        operators = tuple(self._operator(element) for element in self._elements("operator"))
+        operators = tuple(self._read_operator(element) for element in self._elements("operator"))
         self._check_unique_names()
-        supervision = self._supervision()
-        client = self._client()
+        supervision = self._read_supervision()
+        client = self._read_client()
         fairness = None
         for element in self._elements("fairness"):
-            fairness = self._fair_sharing(element)
+            fairness = self._read_fair_sharing(element)
         hosts: list[HostSettings] = []
         sites = {}
         for site in self._elements("site"):
             sites[site.get("name")] = int(site.get("away"))
-            hosts += self._hosts(site)
-        control_plane = self._control_plane(hosts, sum(sites.values()))
+            hosts += self._read_hosts(site)
+        control_plane = self._read_control_plane(hosts, sum(sites.values()))
         if self.errors:
             raise SettingsError("\n".join(self.errors))
         return Fleet(
@@ -153,7 +153,7 @@
         ):
             self._check_unique(self._elements(name), attribute)
 
-    def _supervision(self) -> dict[str, int | bool]:
+    def _read_supervision(self) -> dict[str, int | bool]:
         supervision: dict[str, int | bool] = {}
         for element in self._elements("supervision"):
             for attribute, value in element.attrib.items():
@@ -164,7 +164,7 @@
                 )
         return supervision
 
-    def _client(self) -> ClientSettings:
+    def _read_client(self) -> ClientSettings:
         values: dict[str, int] = {}
         for element in self._elements("asking"):
             values = {name: _parse_number_or_duration(value) for name, value in element.attrib.items()}
@@ -181,7 +181,7 @@
                 self._add_error(element, f"{attribute}: {value!r} is defined in line {lines[value]} already")
             lines.setdefault(value, element.sourceline)
 
-    def _operator(self, element: Element) -> Operator:
+    def _read_operator(self, element: Element) -> Operator:
         keys = []
         for key in element.iter(NAMESPACE + "key"):
             expires = 0
@@ -190,10 +190,10 @@
                 if expiry.tzinfo is None:
                     expiry = expiry.replace(tzinfo=datetime.UTC)
                 expires = int(expiry.timestamp()) * NS_PER_UNIT["s"]
-            keys.append(KeyFile(key.get("id"), self._path(key.get("file")), expires))
+            keys.append(KeyFile(key.get("id"), self._resolve_path(key.get("file")), expires))
         return Operator(element.get("name"), element.get("role") == "act", tuple(keys))
 
-    def _fair_sharing(self, element: Element) -> FairSharingSettings:
+    def _read_fair_sharing(self, element: Element) -> FairSharingSettings:
         self._check_unique(element.iter(NAMESPACE + "weight"), "of")
         weights = tuple(
             (weight.get("of"), float(weight.get("is"))) for weight in element.iter(NAMESPACE + "weight")
@@ -213,13 +213,15 @@
             settings = replace(settings, snapshot=element.get("snapshot") in ("true", "1"))
         return settings
 
-    def _control_plane(self, hosts: list[HostSettings], site_sum: int) -> ControlPlaneSettings | None:
+    def _read_control_plane(
+        self, hosts: list[HostSettings], site_budget_sum: int
+    ) -> ControlPlaneSettings | None:
         """Return the settings of the control plane; None if the fleet has no replicas (keepers).
 
-        `site_sum` is the sum of the disruption budgets of all sites, the default for the whole fleet.
+        `site_budget_sum` is the sum of the disruption budgets of all sites, the default for the whole fleet.
         """
         host_names = {host.name for host in hosts}
-        services = self._services(host_names)
+        services = self._read_services(host_names)
         replicas = self.root.find(NAMESPACE + "keepers")
         if replicas is None:
             return None
@@ -232,11 +234,13 @@
         for element in self._elements("host"):
             if not element.get("key"):
                 self._add_error(element, "key: in a fleet with replicas (keepers) each agent needs a key")
-        kinds = {kind.get("name"): int(kind.get("away")) for kind in self._elements("kind")}
-        return ControlPlaneSettings(voters, int(self.root.get("away") or site_sum), kinds, services)
+        kind_budgets = {kind.get("name"): int(kind.get("away")) for kind in self._elements("kind")}
+        return ControlPlaneSettings(
+            voters, int(self.root.get("away") or site_budget_sum), kind_budgets, services
+        )
 
-    def _services(self, host_names: set[str]) -> tuple[Service, ...]:
-        """Return the downstream services. Checks them, and all references to services."""
+    def _read_services(self, host_names: set[str]) -> tuple[Service, ...]:
+        """Return the downstream services, after a check of them and of all references to services."""
         services = []
         self._check_unique(self._elements("kind"), "name")
         self._check_unique([*self._elements("instance"), *self._elements("service")], "name")
@@ -247,7 +251,7 @@
                 Service(
                     element.get("name"),
                     element.getparent().get("name"),
-                    self._address(element, "address"),
+                    self._parse_address(element, "address"),
                     element.get("host"),
                 )
             )
@@ -258,11 +262,11 @@
                     self._add_error(element, f"below: there is no service {name!r}")
         return tuple(services)
 
-    def _path(self, text: str) -> str:
+    def _resolve_path(self, text: str) -> str:
         """Resolve a path that is relative to the settings file."""
         return os.path.normpath(os.path.join(self.folder, text))
 
-    def _hosts(self, site: Element) -> list[HostSettings]:
+    def _read_hosts(self, site: Element) -> list[HostSettings]:
         """Return the hosts of a site, each with its share of the site's disruption budget."""
         elements = list(site.iter(NAMESPACE + "host"))
         budgets = self._host_budgets(site, elements)
@@ -270,11 +274,11 @@
             HostSettings(
                 element.get("name"),
                 site.get("name"),
-                self._address(element),
-                self._path(element.get("state")),
+                self._parse_address(element),
+                self._resolve_path(element.get("state")),
                 budget,
-                tuple(self._instance(instance) for instance in element.iter(NAMESPACE + "instance")),
-                self._path(element.get("key")) if element.get("key") else "",
+                tuple(self._read_instance(instance) for instance in element.iter(NAMESPACE + "instance")),
+                self._resolve_path(element.get("key")) if element.get("key") else "",
             )
             for element, budget in zip(elements, budgets, strict=True)
         ]
@@ -282,38 +286,41 @@
     def _host_budgets(self, site: Element, elements: list[Element]) -> list[int]:
         """Return the disruption budget of each host of a site.
 
-        A host without an `away` of its own gets a share of the part of the site's budget that is left.
+        A host without an `away` value gets a share of the part of the site's budget that other hosts leave.
         """
-        total = int(site.get("away"))
-        sizes = [len(list(element.iter(NAMESPACE + "instance"))) for element in elements]
-        configured = [element.get("away") for element in elements]
-        remaining = total - sum(int(value) for value in configured if value is not None)
-        if remaining < 0:
-            self._add_error(site, f"away: the sum of its hosts is {total - remaining}, more than {total}")
-        unset_indexes = [index for index, value in enumerate(configured) if value is None]
-        shares = split_budget(max(0, remaining), [sizes[index] for index in unset_indexes])
-        budgets = [int(value) if value is not None else 0 for value in configured]
+        site_budget = int(site.get("away"))
+        instance_counts = [len(list(element.iter(NAMESPACE + "instance"))) for element in elements]
+        configured_budgets = [element.get("away") for element in elements]
+        remaining_budget = site_budget - sum(int(value) for value in configured_budgets if value is not None)
+        if remaining_budget < 0:
+            self._add_error(
+                site,
+                f"away: the sum of its hosts is {site_budget - remaining_budget}, more than {site_budget}",
+            )
+        unset_indexes = [index for index, value in enumerate(configured_budgets) if value is None]
+        shares = split_budget(max(0, remaining_budget), [instance_counts[index] for index in unset_indexes])
+        budgets = [int(value) if value is not None else 0 for value in configured_budgets]
         for index, share in zip(unset_indexes, shares, strict=True):
             budgets[index] = share
             # In a fleet with a control plane, permits come from its leader, so a host needs no budget.
             if not share and site.getparent().find(NAMESPACE + "keepers") is None:
                 self._add_error(
                     elements[index],
-                    f"away: nothing of the site's budget of {total} is left for this host, so no order could"
-                    " take out an instance; raise the value of the site, or set 0 for this host",
+                    f"away: nothing of the site's budget of {site_budget} is left for this host, so no order"
+                    " could take out an instance; raise the value of the site, or set 0 for this host",
                 )
         return budgets
 
-    def _instance(self, element: Element) -> InstanceSettings:
+    def _read_instance(self, element: Element) -> InstanceSettings:
         return InstanceSettings(
             element.get("name"),
-            self._path(element.get("config")),
+            self._resolve_path(element.get("config")),
             element.get("listen", ""),
             element.get("log", "console"),
             tuple(element.get("below", "").split()),
         )
 
-    def _address(self, element: Element, attribute: str = "agent") -> tuple[str, int]:
+    def _parse_address(self, element: Element, attribute: str = "agent") -> tuple[str, int]:
         host, _, port = element.get(attribute).rpartition(":")
         if not 0 < int(port) <= MAX_PORT:
             self._add_error(element, f"{attribute}: {port} is not a port; 1 to {MAX_PORT} are allowed")
@@ -321,7 +328,7 @@
 
 
 def split_budget(total: int, sizes: list[int]) -> list[int]:
-    """Split an integer into shares in proportion to sizes; the largest remainders are rounded up."""
+    """Split a budget into integer shares in proportion to sizes; the largest remainders are rounded up."""
     size_sum = sum(sizes) or 1
     shares = [total * size // size_sum for size in sizes]
     by_remainder = sorted(range(len(sizes)), key=lambda index: (-(total * sizes[index] % size_sum), index))
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -17,11 +17,11 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyFile:
-    """The file of an operator's key."""
+    """The ID, path and expiry time of an operator's key; the file has only the secret."""
 
     ident: str
     path: str
-    expires: int  # Unix nanoseconds; 0: never
+    expires: int  # Unix time in nanoseconds from which the key is invalid; 0: never
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,7 +40,7 @@
     name: str
     config: str  # path of the node's JSON configuration
     listen: str  # overrides the address of the configuration, unless empty
-    log: str
+    log: str  # log format: console or json
     downstream: tuple[str, ...] = ()  # names of the services that the node depends on
 
 
@@ -50,9 +50,9 @@
 
     name: str
     site: str
-    agent: tuple[str, int]
+    agent: tuple[str, int]  # address of the agent: host name and port
     state: str  # path of the agent's state folder
-    max_unavailable: int  # number of its instances, at one time: its share of the site's budget
+    max_unavailable: int  # instances of the host at one time: the host's share of the site's budget
     instances: tuple[InstanceSettings, ...]
     key: str = ""  # path of the agent's key file
 
@@ -72,30 +72,30 @@
     """The additional settings of a fleet with a replicated control plane."""
 
     hosts: tuple[str, ...]  # the initial voters
-    max_unavailable: int  # number of instances of the fleet, at one time
+    max_unavailable: int  # instances of the fleet at one time
     kinds: dict[str, int]  # maximum number of unavailable services at one time, by kind
     services: tuple[Service, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class ClientSettings:
-    """Settings of the requests from the command line to agents. Times in nanoseconds."""
+    """Settings of the requests from the command line to agents. Times are in nanoseconds."""
 
-    deadline: int = 1000 * MS
+    deadline: int = 1000 * MS  # time in which all agents must respond
     hedge: int = 250 * MS  # time without a response after which a request is sent a second time
-    tries: int = 3
+    tries: int = 3  # maximum number of attempts for each agent
 
 
 @dataclass(slots=True, frozen=True)
 class FairSharingSettings:
-    """How nodes identify flows, and the weights of flows."""
+    """The key and weights by which nodes share capacity fairly, and the limits of what they track."""
 
-    flow_key: tuple[str, ...]  # names of its fields, the outer level first
-    weights: tuple[tuple[str, float], ...]
+    flow_key: tuple[str, ...]  # names of the request fields that identify a flow, the outer level first
+    weights: tuple[tuple[str, float], ...]  # names of flows and their weights
     tracked_flows: int = 256
     max_reservations: int = 1024
-    half_life: int = 4 * SECOND  # nanoseconds
-    snapshot: bool = True
+    half_life: int = 4 * SECOND  # age at which demand counts half, in nanoseconds
+    snapshot: bool = True  # whether nodes write snapshots of their fair sharing state
 
     def node_settings(self, snapshot: str) -> dict[str, object]:
         """Return the JSON object that a node reads; `snapshot` is the path of its snapshot file."""
@@ -116,7 +116,7 @@
     name: str
     path: str
     operators: tuple[Operator, ...]
-    supervision: dict[str, int | bool]  # only those in the file, by a name of `SUPERVISION_FIELDS`
+    supervision: dict[str, int | bool]  # set in the file; the keys are values of `SUPERVISION_FIELDS`
     client: ClientSettings
     sites: dict[str, int]  # maximum number of unavailable instances at one time, by site
     hosts: tuple[HostSettings, ...]
