--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -33,17 +33,17 @@
     number: int  # the lowest version that a node of the agent uses; -1: a node has not reported yet
     held_version: int = 0  # the version whose content the agent has
     ready_version: int = 0  # the proposed version that all its nodes accept; 0: none
-    refused_version: int = 0
-    reason: str = ""
+    refused_version: int = 0  # the proposed version that a node does not accept; 0: none
+    reason: str = ""  # why the version is refused
 
 
 class PolicyAssignment(msgspec.Struct, array_like=True):
     """The response to an agent: the decided version with its lease, and the proposed version."""
 
-    number: int
-    valid_for: int  # nanoseconds, from when the heartbeat was sent
+    number: int  # the decided version
+    valid_for: int  # duration of the lease in nanoseconds, from when the heartbeat was sent
     content: bytes = b""  # empty if the agent already has it
-    proposed_number: int = 0
+    proposed_number: int = 0  # 0: no version is proposed
     proposed_content: bytes = b""  # empty if the agent is ready
 
 
@@ -52,8 +52,8 @@
     """The last report of one host."""
 
     reported_at: int  # earliest time at which the report was sent, in nanoseconds of the leader's clock
-    number: int
-    ready_version: int
+    number: int  # the lowest version that a node of the host uses; -1: a node has not reported yet
+    ready_version: int  # the proposed version that the host accepts; 0: none
 
 
 class PolicyCoordinator:
@@ -140,9 +140,12 @@
         return now - last_seen_at > self.timeouts.upper_bound(HOST_TIMEOUT_NS)
 
     def _deduplicate(self, commands: list[PolicyCommand]) -> list[PolicyCommand]:
-        new = [command for command in commands if msgspec.msgpack.encode(command) not in self.pending]
-        self.pending |= {msgspec.msgpack.encode(command) for command in new}
-        return new
+        """Return the commands that are not pending, and add them to the pending commands."""
+        new_commands = [
+            command for command in commands if msgspec.msgpack.encode(command) not in self.pending
+        ]
+        self.pending |= {msgspec.msgpack.encode(command) for command in new_commands}
+        return new_commands
 
     def lost(self, command: PolicyCommand) -> None:
         """Forget a command that was not committed, so that it may be proposed again."""
--- a/oakkeel/policy_change/state_machine.py
+++ b/oakkeel/policy_change/state_machine.py
@@ -34,13 +34,13 @@
 
 
 class ProposePolicy(msgspec.Struct, tag="propose", array_like=True):
-    """Propose a new version, based on the decided version that the operator edited."""
+    """Propose a new version of the policy."""
 
     change_id: str
     operator: str
     created_at: int
     reason: str
-    based_on: int  # number
+    based_on: int  # number of the decided version that the operator edited
     content: bytes
 
 
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -27,7 +27,7 @@
 )
 from oakkeel.units import SECOND
 
-DRIFT = PermitTimeouts().max_clock_drift_ratio
+MAX_DRIFT_RATIO = PermitTimeouts().max_clock_drift_ratio
 
 
 class PolicyStateMachineTest(unittest.TestCase):
@@ -123,54 +123,54 @@
             self.index += 1
             self.state_machine.apply(self.index, commands.encode(command))
 
-    def state(self) -> str:
+    def version_state(self) -> str:
         return self.state_machine.state.policies[1].state
 
-    def report(self, now: int, host: str, **fields) -> None:
+    def receive_report(self, now: int, host: str, **fields) -> None:
         self.apply(*self.coordinator.receive_report(now, host, PolicyReport(**({"number": 0} | fields)), now))
         self.apply(*self.coordinator.tick(now))
 
     def test_version_is_decided_once_all_are_ready_and_in_force_once_all_use_it(self):
-        self.report(SECOND, "h1", ready_version=1)
-        self.assertEqual(self.state(), "proposed")
-        self.report(SECOND, "h2", ready_version=1)
-        self.assertEqual(self.state(), "decided")
+        self.receive_report(SECOND, "h1", ready_version=1)
+        self.assertEqual(self.version_state(), "proposed")
+        self.receive_report(SECOND, "h2", ready_version=1)
+        self.assertEqual(self.version_state(), "decided")
         self.assertEqual(self.coordinator.assign(SECOND, "h1", PolicyReport(0)).content, b"one")
         self.apply(*self.coordinator.tick(SECOND))
-        self.report(2 * SECOND, "h1", number=1, held_version=1)
-        self.assertEqual(self.state(), "decided")
-        self.report(2 * SECOND, "h2", number=1, held_version=1)
-        self.assertEqual(self.state(), "in force")
+        self.receive_report(2 * SECOND, "h1", number=1, held_version=1)
+        self.assertEqual(self.version_state(), "decided")
+        self.receive_report(2 * SECOND, "h2", number=1, held_version=1)
+        self.assertEqual(self.version_state(), "in force")
 
     def test_version_is_in_force_once_the_lease_of_a_silent_host_has_expired(self):
-        self.report(SECOND, "h1", ready_version=1)
-        self.report(SECOND, "h2", ready_version=1)
+        self.receive_report(SECOND, "h1", ready_version=1)
+        self.receive_report(SECOND, "h2", ready_version=1)
         self.apply(*self.coordinator.tick(SECOND))
-        self.report(2 * SECOND, "h1", number=1, held_version=1)
+        self.receive_report(2 * SECOND, "h1", number=1, held_version=1)
         self.apply(*self.coordinator.tick(SECOND + POLICY_LEASE_NS))
-        self.assertEqual(self.state(), "decided")
+        self.assertEqual(self.version_state(), "decided")
         self.apply(*self.coordinator.tick(SECOND + PermitTimeouts().upper_bound(POLICY_LEASE_NS) + 2))
-        self.assertEqual(self.state(), "in force")
+        self.assertEqual(self.version_state(), "in force")
 
     def test_new_leader_waits_for_a_full_lease(self):
-        self.report(SECOND, "h1", ready_version=1)
-        self.report(SECOND, "h2", ready_version=1)
+        self.receive_report(SECOND, "h1", ready_version=1)
+        self.receive_report(SECOND, "h2", ready_version=1)
         self.coordinator = PolicyCoordinator(3 * SECOND, self.state_machine, ("h1", "h2"), PermitTimeouts())
         self.apply(*self.coordinator.tick(3 * SECOND))
         self.apply(*self.coordinator.tick(3 * SECOND + POLICY_LEASE_NS))
-        self.assertEqual(self.state(), "decided")
+        self.assertEqual(self.version_state(), "decided")
 
     def test_one_refusal_rejects_a_version_and_a_host_that_is_down_does_not_block_a_version(self):
-        self.report(SECOND, "h2", refused_version=1, reason="n3 has no group 'quote'")
+        self.receive_report(SECOND, "h2", refused_version=1, reason="n3 has no group 'quote'")
         self.assertEqual(self.state_machine.state.policies[1].state_reason, "h2: n3 has no group 'quote'")
         self.apply(ProposePolicy("c2", "asha", 0, "", 0, b"two"))
-        self.report(2 * SECOND, "h1", ready_version=2)
-        self.report(12 * SECOND, "h1", ready_version=2)
+        self.receive_report(2 * SECOND, "h1", ready_version=2)
+        self.receive_report(12 * SECOND, "h1", ready_version=2)
         self.assertEqual(self.state_machine.state.policies[2].state, "decided")
 
 
 class PolicySimulationTest(unittest.TestCase):
-    def breaches(self, seeds=range(40)) -> list[str]:
+    def simulated_breaches(self, seeds=range(40)) -> list[str]:
         return [breach for seed in seeds for breach in PolicySimulation(seed).run()]
 
     def test_random_schedules_break_no_invariant_and_complete(self):
@@ -195,7 +195,7 @@
 
     def test_detects_nodes_that_decide_without_a_lease(self):
         with mock.patch.object(NodePolicyLease, "may_decide", lambda lease, now: lease.expires_at > 0):
-            self.assertRegex(self.breaches()[0], "promise 11: ")
+            self.assertRegex(self.simulated_breaches()[0], "promise 11: ")
 
     def test_detects_a_lease_that_starts_at_the_response(self):
         original = PolicyHost.receive_assignment
@@ -206,11 +206,11 @@
                 host, incarnation, host.now(), assignment
             ),
         ):
-            self.assertRegex(self.breaches((129, 258))[0], "promise 11: ")
+            self.assertRegex(self.simulated_breaches((129, 258))[0], "promise 11: ")
 
     def test_detects_a_version_in_force_before_the_longest_lease_has_expired(self):
         with mock.patch.object(PermitTimeouts, "upper_bound", lambda timeouts, duration: duration // 4):
-            self.assertRegex(self.breaches()[0], "promise 11: ")
+            self.assertRegex(self.simulated_breaches()[0], "promise 11: ")
 
     def test_detects_a_version_used_before_it_is_decided(self):
         original = PolicyCoordinator.assign
@@ -223,7 +223,7 @@
             return assignment
 
         with mock.patch.object(PolicyCoordinator, "assign", assign_proposed_version):
-            self.assertRegex(self.breaches()[0], "promise 12: ")
+            self.assertRegex(self.simulated_breaches()[0], "promise 12: ")
 
     def test_audit_detects_decisions_under_a_withdrawn_version_and_under_an_earlier_one(self):
         audit = PolicyChangeAudit()
@@ -237,11 +237,11 @@
 class PolicyModelTest(unittest.TestCase):
     def test_old_versions_are_not_used_within_the_clock_drift_and_each_rule_is_needed(self):
         lease_s = 3.0
-        wait_s = 3.0 * (1 + DRIFT) / (1 - DRIFT)
-        self.assertFalse(model.old_after_in_force(lease_s, wait_s, DRIFT))
+        wait_s = 3.0 * (1 + MAX_DRIFT_RATIO) / (1 - MAX_DRIFT_RATIO)
+        self.assertFalse(model.old_after_in_force(lease_s, wait_s, MAX_DRIFT_RATIO))
         for rule in set(model.LeaseRule) - {model.LeaseRule.FROM_SENT}:
-            self.assertTrue(model.old_after_in_force(lease_s, wait_s, DRIFT, rule), rule)
-        self.assertTrue(model.old_after_in_force(lease_s, lease_s, DRIFT))
+            self.assertTrue(model.old_after_in_force(lease_s, wait_s, MAX_DRIFT_RATIO, rule), rule)
+        self.assertTrue(model.old_after_in_force(lease_s, lease_s, MAX_DRIFT_RATIO))
 
     def test_withdrawn_version_is_never_used_and_both_rules_are_needed(self):
         self.assertFalse(model.withdrawn_and_used({"decided first", "decided stays"}))
