--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -1,4 +1,4 @@
-"""Commands on the control plane of a fleet: on its replicas, disruption permits and orders."""
+"""Commands that use the control plane of a fleet: its replicas, disruption permits and orders."""
 
 from __future__ import annotations
 
@@ -126,7 +126,7 @@
 
 
 def _is_unsettled(task: messages.FleetTaskStatus, cancel: bool) -> bool:
-    """Return whether a halted task may still take effect, or a cancelled one is still in effect."""
+    """Return whether a task of a halted order may still start, or one of a cancelled order is in effect."""
     if cancel:
         return task.state in OPEN_FLEET_TASK_STATES or bool(task.fencing_token)
     return task.state in WAITING_STATES
@@ -170,7 +170,7 @@
     has_leader = any(status.is_leader for status in statuses)
     if client.as_json:
         documents = [msgspec.to_builtins(status) for status in statuses]
-        print_json({"keepers": documents, "silent": failures, "led": has_leader})
+        print_json({"keepers": documents, "silent": failures, "led": has_leader})  # keepers: the replicas
     else:
         stdout_console.print(replicas_table(statuses))
         print_failures(dict(sorted(failures.items())))
@@ -254,9 +254,9 @@
     if client.as_json:
         print_json(
             {
-                "index": status.index,
-                "groups": msgspec.to_builtins(status.budgets),
-                "out": msgspec.to_builtins(unavailable),
+                "index": status.index,  # position in the replicated log
+                "groups": msgspec.to_builtins(status.budgets),  # usage of each budget
+                "out": msgspec.to_builtins(unavailable),  # the unavailable targets
                 "orders": msgspec.to_builtins(status.orders),
             }
         )
@@ -267,7 +267,7 @@
 
 
 def require_control_plane(client: FleetClient) -> FleetClient:
-    """Return the client of a fleet with a control plane; any other fleet ends the command."""
+    """Return the client; a fleet without a control plane ends the command."""
     if client.fleet.control_plane is None:
         fail(f"{client.fleet.path}: the fleet has no replicas (keepers), so no control plane")
     return client
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -44,11 +44,11 @@
         "site": row.site,
         "host": row.host,
         "state": row.state,
-        "old": row.old,
+        "old": row.old,  # whether the status is out of date
         "age_s": round(row.age / NANOSECONDS_PER_SECOND, 3) if row.age >= 0 else None,
         "report_age_s": round(row.report_age / NANOSECONDS_PER_SECOND, 3) if row.report_age >= 0 else None,
         "source": row.source,
-        "told": msgspec.to_builtins(row.status),
+        "told": msgspec.to_builtins(row.status),  # the reported status; null: none
     }
 
 
@@ -182,7 +182,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HostOrder:
-    """The report of an order by the agent of one host."""
+    """The status of an order, as the agent of one host reported it."""
 
     host: str
     status: messages.OrderStatus
@@ -216,7 +216,7 @@
 
 
 def _group_by_order(responses: dict[str, messages.Response]) -> list[list[HostOrder]]:
-    """Return the reports of all agents for each order, the latest order first."""
+    """Return a list for each order, with the status from each host; the latest order is first."""
     by_order_id: dict[str, list[HostOrder]] = {}
     for host, response in responses.items():
         if isinstance(response, messages.OrderList):
@@ -239,8 +239,8 @@
         "order": first.order_id,
         "operator": first.operator,
         "verb": first.verb,
-        "taken": first.accepted_at,
-        "parts": [
+        "taken": first.accepted_at,  # Unix time in nanoseconds
+        "parts": [  # the tasks
             {"host": host_order.host, **msgspec.to_builtins(task)}
             for host_order in host_orders
             for task in host_order.status.tasks
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -41,7 +41,7 @@
 
 SUCCESS_STATES = ("done",)
 ORDER_ID_BYTES = 6
-MAX_FOLLOW_DEADLINES = 2  # after the timeout of an order, in deadlines of one request
+MAX_FOLLOW_DEADLINES = 2  # wait after the timeout of an order, in deadlines of one request
 EXIT_CODE_BY_RESULT = {
     Result.DONE: ExitCode.DONE,
     Result.SOME_FAILED: ExitCode.SOME_FAILED,
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -52,10 +52,10 @@
 class NewVersion:
     """The new version of a release, as the options of `rollout start` name it."""
 
-    program: str | None  # folder
-    patch: str | None  # file
-    label: str  # of downstream services
-    from_settings: bool  # take a program or patch that is not named from the settings
+    program: str | None  # path of a folder
+    patch: str | None  # path of a file
+    label: str  # version of downstream services
+    from_settings: bool  # whether the settings give a program or patch that is not named
 
 
 @dataclass(slots=True, frozen=True)
@@ -172,7 +172,7 @@
     type=click.FloatRange(0.001, 0.5),
     default=0.02,
     show_default=True,
-    help="A loss of this ratio of the benefit (priority weight) must be ruled out.",
+    help="The gates pass a batch when they rule out a loss of this ratio of the benefit (priority weight).",
 )
 @click.option(
     "--ceiling",
@@ -278,7 +278,7 @@
     return f"{text}\n\n\b\nExample: oakkeel rollout {name}"
 
 
-def _status_command(name: str, text: str, wait: bool) -> click.Command:
+def _add_status_command(name: str, text: str, wait: bool) -> click.Command:
     """Add a command that shows a release, and with `wait` follows it."""
 
     @rollout.command(name, epilog=EXIT_CODES_HELP, help=_help_text(name, text))
@@ -295,7 +295,7 @@
     return command
 
 
-def _control_command(name: str, text: str) -> click.Command:
+def _add_control_command(name: str, text: str) -> click.Command:
     """Add a command that controls a release: pause, resume, abort, undo or leave."""
 
     @rollout.command(name, epilog=EXIT_CODES_HELP, help=_help_text(name, text))
@@ -315,17 +315,17 @@
     return command
 
 
-_status_command(
+_add_status_command(
     "status",
     "Show the progress of a release, and the reason why it waits. Without an ID: the open or last release.",
     wait=False,
 )
-_status_command("watch", "Follow a release until it ends or halts.", wait=True)
-_control_command("pause", "Pause a release: no further batch starts until it is resumed.")
-_control_command("resume", "Resume a paused or halted release, in the same direction.")
-_control_command(
+_add_status_command("watch", "Follow a release until it ends or halts.", wait=True)
+_add_control_command("pause", "Pause a release: no further batch starts until it is resumed.")
+_add_control_command("resume", "Resume a paused or halted release, in the same direction.")
+_add_control_command(
     "abort",
     "Halt a release until resume, undo or leave: no further batch starts, and updated targets stay updated.",
 )
-_control_command("undo", "Roll back a release to the versions before it, in batches.")
-_control_command("leave", "Abandon a halted release: some targets keep the new version, some the old.")
+_add_control_command("undo", "Roll back a release to the versions before it, in batches.")
+_add_control_command("leave", "Abandon a halted release: some targets keep the new version, some the old.")
--- a/oakkeel/cli/selection.py
+++ b/oakkeel/cli/selection.py
@@ -8,7 +8,7 @@
 from oakkeel.fleet.selection import Selection, sites_over_share
 from oakkeel.fleet.view import Row
 
-MAX_UNCONFIRMED_SITE_RATIO = 0.34  # unavailable instances after an order, as a ratio of a site's instances
+MAX_UNCONFIRMED_SITE_RATIO = 0.34  # ratio of a site's instances that are unavailable after an order
 
 
 async def select_rows(client: FleetClient, selection: Selection) -> tuple[list[Row], list[Row]]:
--- a/oakkeel/rendering/control_plane.py
+++ b/oakkeel/rendering/control_plane.py
@@ -22,7 +22,7 @@
     "cancelled": "yellow",
 }
 OTHER_TASK_STYLE = "red"
-NO_REPLICA_ROLE = "none"  # reported by an agent whose host has no replica
+NO_REPLICA_ROLE = "none"  # role that an agent reports if its host has no replica
 MAX_DISPLAYED_ORDERS = 10
 
 
@@ -88,7 +88,7 @@
 
 
 def _budgets_table(groups: Sequence[messages.BudgetUsage]) -> Table:
-    table = plain_table("group", "out", "budget")
+    table = plain_table("budget group", "unavailable", "budget")
     for group in groups:
         usage = (
             f"[yellow]{group.unavailable}[/]" if group.unavailable >= group.limit else str(group.unavailable)
@@ -98,7 +98,7 @@
 
 
 def _unavailable_table(unavailable: Sequence[messages.UnavailableTarget]) -> Table:
-    table = plain_table("out", "host", "reasons", "permit", "order")
+    table = plain_table("target", "host", "reasons", "permit", "order")
     for target in unavailable:
         reasons = ", ".join(target.reasons)
         table.add_row(target.target, target.host, reasons, str(target.fencing_token or "-"), target.order_id)
@@ -129,7 +129,7 @@
 
 
 def order_table(order: messages.FleetOrderStatus) -> Table:
-    """Return a table with a row for each target of an order; the title says how the order ended."""
+    """Return a table with a row for each target of an order; the title says who ended it early, if anyone."""
     table = plain_table(
         "target", "host", "state", "permit", "in flight", "remarks", title=_order_title(order)
     )
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -21,7 +21,7 @@
     "failing": "red",
     "unknown": "magenta",
 }
-STALE_STYLE = "magenta"  # of a status that is older than `MAX_STATUS_AGE_NS`
+STALE_STYLE = "magenta"  # style of a status that is older than `MAX_STATUS_AGE_NS`
 MIN_WIDE_TERMINAL = 110  # characters; a narrower terminal shows fewer columns
 DEFAULT_TERMINAL_WIDTH = 120  # characters
 KB_PER_MB = 1024
@@ -31,8 +31,8 @@
 WIDE_NUMBER_COLUMNS = ("stage", "queued", "running", "calls", *NARROW_NUMBER_COLUMNS, "MB")
 SILENT_PHASES = ("silent", "stuck")
 HEALTHY_PHASES = ("serving", "cold", "stopped")  # in these phases, the last error is out of date
-DURATION_FIELDS = ("uptime", "gauges_age")  # of a report
-HIDDEN_FIELDS = ("type", "tag", "name")  # of a report
+DURATION_FIELDS = ("uptime", "gauges_age")  # fields of a report in nanoseconds
+HIDDEN_FIELDS = ("type", "tag", "name")  # fields of a report that are not displayed
 
 
 def instances_table(rows: list[Row], width: int = DEFAULT_TERMINAL_WIDTH) -> Table:
@@ -107,7 +107,7 @@
 
 
 def instance_details(row: Row) -> list[tuple[str, str]]:
-    """Return the details of an instance, as names and values."""
+    """Return the details of an instance as pairs of a label and a value."""
     details = [
         ("instance", row.name),
         ("site, host", f"{row.site}, {row.host}"),
@@ -118,8 +118,8 @@
     if status is None:
         return details
     details += [
-        ("for", format_duration(status.phase_age + row.age)),
-        ("wanted", status.goal),
+        ("in state for", format_duration(status.phase_age + row.age)),
+        ("desired state", status.goal),
         ("process", str(status.pid or "none")),
         ("generation", f"{status.generation}, by {status.changed_by or 'nobody'}"),
         ("recent crashes", str(status.recent_crashes)),
@@ -128,7 +128,7 @@
     if order := status.order:
         details.append(("order", f"{order.order_id}: {order.verb} by {order.operator}, {order.state}"))
     if status.report:
-        details.append(("own report", format_age(row.report_age)))
+        details.append(("report of the instance", format_age(row.report_age)))
         for field, value in msgspec.to_builtins(status.report).items():
             if field in DURATION_FIELDS:
                 details.append(("  " + field, format_duration(value)))
@@ -159,7 +159,7 @@
     if not status.flow_key:
         return "the settings have no flow key, so all requests count for one client"
     return (
-        f"{status.known} known, others demand at most {status.error:.2%} each;"
+        f"{status.known} known clients, any other client has at most {status.error:.2%} of the demand;"
         f" reservations (promises): {status.reservations_made} made, {status.reservations_open} open,"
         f" {status.reservations_honored} honored, {status.reservations_broken} broken,"
         f" {status.reservations_expired} expired"
--- a/oakkeel/rendering/rollout.py
+++ b/oakkeel/rendering/rollout.py
@@ -1,4 +1,4 @@
-"""A release as a table."""
+"""The heading and the table of a release."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     if release.why:
         lines.append(f"reason: {escape(release.why)}")
     if release.waiting_for:
-        lines.append(f"waits: {escape(release.waiting_for)}")
+        lines.append(f"reason for waiting: {escape(release.waiting_for)}")
     if release.gate_summary:
         lines.append(f"gates: {release.gate_summary}")
     if release.controller:
@@ -48,7 +48,7 @@
 
 
 def _targets_table(release: messages.ReleaseStatus) -> Table:
-    table = plain_table("target", "host", "version", "running", "phase", "report", "remarks")
+    table = plain_table("target", "host", "state", "running version", "phase", "report", "remarks")
     for target in sorted(release.targets, key=lambda target: target.target):
         style = TARGET_STYLES.get(target.state, "")
         table.add_row(
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -21,11 +21,11 @@
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
 
-def subcommands(group: Group, path: str = "oakkeel"):
+def iterate_subcommands(group: Group, path: str = "oakkeel"):
     for name, command in group.commands.items():
         yield f"{path} {name}", command
         if isinstance(command, Group):
-            yield from subcommands(command, f"{path} {name}")
+            yield from iterate_subcommands(command, f"{path} {name}")
 
 
 class CommandLineTestCase(AgentTestCase):
@@ -146,7 +146,7 @@
         self.assertEqual((await self.run_oakkeel("settings", "key", path))[0], 2)
 
     async def test_each_command_has_help_with_an_example(self):
-        for path, command in subcommands(main):
+        for path, command in iterate_subcommands(main):
             if not isinstance(command, Group):
                 with self.subTest(path):
                     self.assertIsInstance(command, Command)
--- a/tests/cli/test_control_plane_tables.py
+++ b/tests/cli/test_control_plane_tables.py
@@ -21,7 +21,7 @@
 
 
 class OrderRemarkTest(unittest.TestCase):
-    def listed_remark(self, order: messages.FleetOrderStatus) -> str:
+    def remark_in_order_list(self, order: messages.FleetOrderStatus) -> str:
         orders_table = permit_tables([], [], [order])[-1]
         return next(iter(orders_table.columns[-1].cells))
 
@@ -32,5 +32,5 @@
             (make_order("ann", cancelled="bob"), "cancelled by bob"),
         ):
             with self.subTest(remark=remark):
-                self.assertEqual(self.listed_remark(order), remark)
+                self.assertEqual(self.remark_in_order_list(order), remark)
                 self.assertEqual(order_table(order).title, f"drain, order o1, {remark}")
