--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class HostProgress:
-    """The last report of one host."""
+    """The versions that a host last reported, and when it did."""
 
     reported_at: int  # earliest time at which the report was sent, in nanoseconds of the leader's clock
     number: int  # the lowest version that a node of the host uses; -1: a node has not reported yet
@@ -68,17 +68,21 @@
         self.timeouts = timeouts
         self.started_at = now
         self.progress: dict[str, HostProgress] = {}
-        self.decision_seen_at: dict[int, int] = {}  # by number: no earlier version is assigned from then on
-        self.first_offered_at: dict[int, int] = {}  # by number: when this leader first offered it to hosts
+        # By version number: the time after which this leader assigns no earlier version.
+        self.decision_seen_at: dict[int, int] = {}
+        # By version number: the time at which this leader first offered the version to the hosts.
+        self.first_offered_at: dict[int, int] = {}
         self.pending: set[bytes] = set()  # encoded commands that a call has returned
 
-    def receive_report(self, now: int, host: str, report: PolicyReport, alive_at: int) -> list[PolicyCommand]:
-        """Record a report that was sent after `alive_at`, by the leader's clock."""
+    def receive_report(
+        self, now: int, host: str, report: PolicyReport, sent_after: int
+    ) -> list[PolicyCommand]:
+        """Record a report; the host sent it later than `sent_after`, by the leader's clock."""
         if host not in self.hosts:
             return []
         previous = self.progress.get(host)
-        if previous is None or alive_at >= previous.reported_at:
-            self.progress[host] = HostProgress(alive_at, report.number, report.ready_version)
+        if previous is None or sent_after >= previous.reported_at:
+            self.progress[host] = HostProgress(sent_after, report.number, report.ready_version)
         proposed = self.state_machine.proposed
         if proposed and report.refused_version == proposed.number:
             return self._deduplicate([RejectPolicy(proposed.number, host, report.reason)])
--- a/oakkeel/policy_change/policy_lease.py
+++ b/oakkeel/policy_change/policy_lease.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         """Start without a lease."""
         self.status = LeaseStatus.NONE
-        self.number = 0
+        self.number = 0  # the version that the node uses; 0: none
         self.expires_at = 0  # monotonic nanoseconds
 
     def renew(self, now: int, number: int, expires_at: int) -> bool:
@@ -53,14 +53,14 @@
 
     def __init__(self) -> None:
         """Start without a lease."""
-        self.number = 0
-        self.content = b""
+        self.number = 0  # the version that the agent last adopted; 0: none
+        self.content = b""  # of that version
         self.expires_at = 0  # monotonic nanoseconds
-        self.proposed_number = 0
+        self.proposed_number = 0  # 0: no version is proposed
         self.proposed_content = b""
-        self.ready_version = 0
-        self.refused_version = 0
-        self.reason = ""
+        self.ready_version = 0  # the proposed version, if all nodes accept it; otherwise 0
+        self.refused_version = 0  # the proposed version, if a node does not accept it; otherwise 0
+        self.reason = ""  # why the version is refused
         self.node_versions: dict[str, int] = {}  # by name of a running node; -1: it has not reported yet
 
     def report(self) -> PolicyReport:
