--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -139,14 +139,15 @@
         stdout_console.print(
             f"  {host.site}/{host.name} at {host.agent[0]}:{host.agent[1]}:"
             f" {len(host.instances)} instances"
-            + ("" if fleet.control_plane else f", at most {host.max_unavailable} out at once"),
+            + ("" if fleet.control_plane else f", at most {host.max_unavailable} unavailable at once"),
             highlight=False,
         )
     if control_plane := fleet.control_plane:
         hosts = ", ".join(control_plane.hosts)
         limit = control_plane.max_unavailable
         stdout_console.print(
-            f"  initial replicas (keepers): {hosts}; at most {limit} out at once, and by site {fleet.sites}",
+            f"  initial replicas (keepers): {hosts};"
+            f" at most {limit} unavailable at once, and by site {fleet.sites}",
             highlight=False,
         )
 
--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -40,7 +40,7 @@
 from oakkeel.store.content_store import ContentError
 
 RELEASE_ID_BYTES = 4
-EXIT_CODE_BY_STATE = {
+EXIT_CODE_BY_STATE = {  # states in which a command stops following a release
     "done": ExitCode.DONE,
     "undone": ExitCode.SOME_FAILED,
     "halted": ExitCode.SOME_FAILED,
@@ -224,19 +224,21 @@
 
 
 async def _version_and_targets(
-    client: FleetClient, selection: Selection, new: NewVersion
+    client: FleetClient, selection: Selection, new_version: NewVersion
 ) -> tuple[list[str], VersionSpec]:
     """Return the names of the targets, and the version to assign to them."""
     if services := selected_services(client, selection):
-        if not new.label or new.program or new.patch:
+        if not new_version.label or new_version.program or new_version.patch:
             fail("downstream services are replaced by hand: name their --version, no --program or --config")
-        return services, VersionSpec(new.label, services=True)
-    if new.label or (not new.program and not new.patch):
+        return services, VersionSpec(new_version.label, services=True)
+    if new_version.label or (not new_version.program and not new_version.patch):
         fail("name the new version of instances: --program, --config or both")
-    program = os.path.abspath(new.program) if new.program else ""
-    patch = os.path.abspath(new.patch) if new.patch else ""
+    program = os.path.abspath(new_version.program) if new_version.program else ""
+    patch = os.path.abspath(new_version.patch) if new_version.patch else ""
     try:
-        version = VersionSpec(version_of(program, patch), program, patch, from_settings=new.from_settings)
+        version = VersionSpec(
+            version_of(program, patch), program, patch, from_settings=new_version.from_settings
+        )
     except ContentError as error:
         fail(str(error))
     _, selected_rows = await select_rows(client, selection)
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -75,7 +75,7 @@
         await dispatcher.stop()
         await _stop_nodes(agents, view)
     lost = dispatcher.counts["lost"] + dispatcher.counts["late"]
-    console.print(f"demo: {dispatcher.answered} exchanges answered, {lost} lost", highlight=False)
+    console.print(f"demo: {dispatcher.answered} requests answered, {lost} lost", highlight=False)
     return 1 if lost or not dispatcher.answered else 0
 
 
--- a/oakkeel/settings/keys.py
+++ b/oakkeel/settings/keys.py
@@ -13,7 +13,11 @@
 
 def read_keys(fleet: Fleet) -> dict[str, Key]:
     """Read all keys that an agent accepts, by ID. Raises SettingsError."""
-    return {file.ident: _read_key(operator, file) for operator in fleet.operators for file in operator.keys}
+    return {
+        key_file.ident: _read_key(operator, key_file)
+        for operator in fleet.operators
+        for key_file in operator.keys
+    }
 
 
 def read_agent_keys(fleet: Fleet) -> dict[str, Key]:
@@ -29,19 +33,19 @@
 def read_operator_key(fleet: Fleet, name: str) -> Key:
     """Read the first key of an operator whose file exists. Raises SettingsError."""
     operator = fleet.operator(name)
-    for file in operator.keys:
-        if os.path.exists(file.path):
-            return _read_key(operator, file)
+    for key_file in operator.keys:
+        if os.path.exists(key_file.path):
+            return _read_key(operator, key_file)
     raise SettingsError(f"{operator.keys[0].path}: the key of operator {name} is not on this host")
 
 
-def _read_key(operator: Operator, file: KeyFile) -> Key:
+def _read_key(operator: Operator, key_file: KeyFile) -> Key:
     return Key(
-        file.ident,
+        key_file.ident,
         operator.name,
         Role.ACT if operator.may_act else Role.VIEW,
-        _read_secret(file.path),
-        file.expires,
+        _read_secret(key_file.path),
+        key_file.expires,
     )
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -139,7 +139,7 @@
 
     async def test_checks_settings_and_creates_keys(self):
         code, out, _ = await self.run_oakkeel("settings", "check", self.site.settings, "--keys")
-        self.assertEqual((code, "at most 1 out at once" in out), (0, True))
+        self.assertEqual((code, "at most 1 unavailable at once" in out), (0, True))
         path = os.path.join(self.folder, "new.key")
         self.assertEqual((await self.run_oakkeel("settings", "key", path))[0], 0)
         self.assertEqual(os.stat(path).st_mode & 0o777, 0o600)
@@ -159,7 +159,7 @@
     async def test_demo_loses_no_request_and_leaves_no_folder_or_process(self):
         code, out, err = await self.run_oakkeel("demo", "--for", "3s")
         self.assertEqual(code, 0, out + err)
-        match = re.fullmatch(r"demo: (\d+) exchanges answered, 0 lost", out.splitlines()[-1])
+        match = re.fullmatch(r"demo: (\d+) requests answered, 0 lost", out.splitlines()[-1])
         self.assertGreater(int(match[1]), 20)
         folder = re.search(r"OAKKEEL_SETTINGS=(\S+)/fleet.xml", out)[1]
         self.assertFalse(os.path.exists(folder))
--- a/tests/settings/test_fleet.py
+++ b/tests/settings/test_fleet.py
@@ -118,7 +118,7 @@
 
     @given(st.integers(0, 50), st.lists(st.integers(1, 9), min_size=1, max_size=9))
     @settings(max_examples=200, deadline=None, derandomize=True)
-    def test_shares_sum_to_the_budget_and_each_host_gets_one_if_there_are_enough(self, total, sizes):
+    def test_shares_sum_to_the_budget_and_no_host_gets_zero_if_the_budget_suffices(self, total, sizes):
         shares = split_budget(total, sizes)
         self.assertEqual(sum(shares), total)
         self.assertGreaterEqual(min(shares), 0)
