--- a/oakkeel/settings/fleet.py
+++ b/oakkeel/settings/fleet.py
@@ -210,7 +210,7 @@
         if element.get("half"):
             settings = replace(settings, half_life=max(1, parse_duration(element.get("half"))))
         if element.get("snapshot"):
-            settings = replace(settings, snapshot=element.get("snapshot") in ("true", "1"))
+            settings = replace(settings, has_snapshot=element.get("snapshot") in ("true", "1"))
         return settings
 
     def _read_control_plane(
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -52,7 +52,7 @@
     site: str
     agent: tuple[str, int]  # address of the agent: host name and port
     state: str  # path of the agent's state folder
-    max_unavailable: int  # instances of the host at one time: the host's share of the site's budget
+    max_unavailable: int  # maximum number of unavailable instances: the host's share of the site's budget
     instances: tuple[InstanceSettings, ...]
     key: str = ""  # path of the agent's key file
 
@@ -72,7 +72,7 @@
     """The additional settings of a fleet with a replicated control plane."""
 
     hosts: tuple[str, ...]  # the initial voters
-    max_unavailable: int  # instances of the fleet at one time
+    max_unavailable: int  # maximum number of unavailable instances of the fleet at one time
     kinds: dict[str, int]  # maximum number of unavailable services at one time, by kind
     services: tuple[Service, ...]
 
@@ -95,17 +95,17 @@
     tracked_flows: int = 256
     max_reservations: int = 1024
     half_life: int = 4 * SECOND  # age at which demand counts half, in nanoseconds
-    snapshot: bool = True  # whether nodes write snapshots of their fair sharing state
+    has_snapshot: bool = True  # whether nodes write snapshots of their fair sharing state
 
     def node_settings(self, snapshot: str) -> dict[str, object]:
         """Return the JSON object that a node reads; `snapshot` is the path of its snapshot file."""
         return {
-            "by": list(self.flow_key),
+            "by": list(self.flow_key),  # the fields that identify a flow
             "weights": dict(self.weights),
-            "places": self.tracked_flows,
-            "promises": self.max_reservations,
-            "half": self.half_life,
-            "snapshot": snapshot if self.snapshot else "",
+            "places": self.tracked_flows,  # the maximum number of tracked flows
+            "promises": self.max_reservations,  # the maximum number of reservations
+            "half": self.half_life,  # in nanoseconds
+            "snapshot": snapshot if self.has_snapshot else "",  # empty: no snapshot is written
         }
 
 
