--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -108,7 +108,7 @@
 
 
 class FleetClient:
-    """The fleet, key, view and output format of one command."""
+    """Sends the requests of one command to agents, and keeps their reports and the output format."""
 
     def __init__(self, settings: str, operator: str | None, deadline: int | None, output: str) -> None:
         """Read the settings and the operator's key; errors end the command. `deadline` is in nanoseconds."""
@@ -131,8 +131,8 @@
         self, request: messages.Request, hosts: Sequence[str] | None = None
     ) -> tuple[dict[str, messages.Response], dict[str, str]]:
         """Send one request to these hosts, or to all; return the responses and the failures, by host."""
-        names = [host.name for host in self.fleet.hosts] if hosts is None else hosts
-        return await self.agents.request_each(dict.fromkeys(names, request), self.deadline)
+        host_names = [host.name for host in self.fleet.hosts] if hosts is None else hosts
+        return await self.agents.request_each(dict.fromkeys(host_names, request), self.deadline)
 
     def select(self, rows: list[Row], selection: Selection) -> list[Row]:
         """Return the selected rows; a pattern that matches nothing ends the command."""
@@ -143,7 +143,7 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """Exit code of a command that only displays the view."""
+        """Return the exit code of a command that only displays the view."""
         return ExitCode.SOME_SILENT if self.view.silent else ExitCode.DONE
 
     def print_notes(self) -> None:
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -202,8 +202,8 @@
 
 
 async def _list_orders(client: FleetClient, hosts: tuple[str, ...], only_open: bool) -> ExitCode:
-    names = [host.name for host in client.fleet.hosts if not hosts or host.name in hosts]
-    responses, failures = await client.request_hosts(messages.ListOrdersRequest(), names)
+    host_names = [host.name for host in client.fleet.hosts if not hosts or host.name in hosts]
+    responses, failures = await client.request_hosts(messages.ListOrdersRequest(), host_names)
     listed_orders = _group_by_order(responses)
     if only_open:
         listed_orders = [host_orders for host_orders in listed_orders if _is_open(host_orders)]
@@ -234,12 +234,12 @@
 
 
 def _order_json(host_orders: list[HostOrder]) -> dict[str, object]:
-    first = host_orders[0].status
+    first_status = host_orders[0].status
     return {
-        "order": first.order_id,
-        "operator": first.operator,
-        "verb": first.verb,
-        "taken": first.accepted_at,  # Unix time in nanoseconds
+        "order": first_status.order_id,
+        "operator": first_status.operator,
+        "verb": first_status.verb,
+        "taken": first_status.accepted_at,  # Unix time in nanoseconds
         "parts": [  # the tasks
             {"host": host_order.host, **msgspec.to_builtins(task)}
             for host_order in host_orders
@@ -251,13 +251,13 @@
 def _orders_table(listed_orders: list[list[HostOrder]]) -> Table:
     table = plain_table("order", "operator", "verb", "accepted", "instances")
     for host_orders in listed_orders:
-        first = host_orders[0].status
+        first_status = host_orders[0].status
         states = Counter(task.state for host_order in host_orders for task in host_order.status.tasks)
         table.add_row(
-            first.order_id,
-            first.operator,
-            first.verb,
-            f"{format_duration(time.time_ns() - first.accepted_at)} ago",
+            first_status.order_id,
+            first_status.operator,
+            first_status.verb,
+            f"{format_duration(time.time_ns() - first_status.accepted_at)} ago",
             ", ".join(f"{count} {state}" for state, count in states.items()),
         )
     return table
--- a/oakkeel/store/database.py
+++ b/oakkeel/store/database.py
@@ -13,7 +13,7 @@
 
 APPLICATION_ID = 0x6F616B6B  # identifies an Oakkeel database
 DEFAULT_MAX_BYTES = 64 * 1024 * 1024
-MIN_PAGES = 16
+MIN_PAGES = 16  # lower limit of the maximum size
 LOCK_TIMEOUT_S = 2.0
 FILE_SUFFIXES = ("", "-wal", "-shm")  # main file, write-ahead log and its shared-memory index
 Statement = tuple[str, Sequence[object]]  # SQL text and its values
