--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -44,11 +44,11 @@
         "site": row.site,
         "host": row.host,
         "state": row.state,
-        "old": row.old,
+        "old": row.old,  # whether the status is out of date
         "age_s": round(row.age / NANOSECONDS_PER_SECOND, 3) if row.age >= 0 else None,
         "report_age_s": round(row.report_age / NANOSECONDS_PER_SECOND, 3) if row.report_age >= 0 else None,
         "source": row.source,
-        "told": msgspec.to_builtins(row.status),
+        "told": msgspec.to_builtins(row.status),  # the reported status; null: none
     }
 
 
@@ -182,7 +182,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HostOrder:
-    """The report of an order by the agent of one host."""
+    """The status of an order, as the agent of one host reported it."""
 
     host: str
     status: messages.OrderStatus
@@ -202,8 +202,8 @@
 
 
 async def _list_orders(client: FleetClient, hosts: tuple[str, ...], only_open: bool) -> ExitCode:
-    names = [host.name for host in client.fleet.hosts if not hosts or host.name in hosts]
-    responses, failures = await client.request_hosts(messages.ListOrdersRequest(), names)
+    host_names = [host.name for host in client.fleet.hosts if not hosts or host.name in hosts]
+    responses, failures = await client.request_hosts(messages.ListOrdersRequest(), host_names)
     listed_orders = _group_by_order(responses)
     if only_open:
         listed_orders = [host_orders for host_orders in listed_orders if _is_open(host_orders)]
@@ -216,7 +216,7 @@
 
 
 def _group_by_order(responses: dict[str, messages.Response]) -> list[list[HostOrder]]:
-    """Return the reports of all agents for each order, the latest order first."""
+    """Return a list for each order, with the status from each host; the latest order is first."""
     by_order_id: dict[str, list[HostOrder]] = {}
     for host, response in responses.items():
         if isinstance(response, messages.OrderList):
@@ -234,13 +234,13 @@
 
 
 def _order_json(host_orders: list[HostOrder]) -> dict[str, object]:
-    first = host_orders[0].status
+    first_status = host_orders[0].status
     return {
-        "order": first.order_id,
-        "operator": first.operator,
-        "verb": first.verb,
-        "taken": first.accepted_at,
-        "parts": [
+        "order": first_status.order_id,
+        "operator": first_status.operator,
+        "verb": first_status.verb,
+        "taken": first_status.accepted_at,  # Unix time in nanoseconds
+        "parts": [  # the tasks
             {"host": host_order.host, **msgspec.to_builtins(task)}
             for host_order in host_orders
             for task in host_order.status.tasks
@@ -251,13 +251,13 @@
 def _orders_table(listed_orders: list[list[HostOrder]]) -> Table:
     table = plain_table("order", "operator", "verb", "accepted", "instances")
     for host_orders in listed_orders:
-        first = host_orders[0].status
+        first_status = host_orders[0].status
         states = Counter(task.state for host_order in host_orders for task in host_order.status.tasks)
         table.add_row(
-            first.order_id,
-            first.operator,
-            first.verb,
-            f"{format_duration(time.time_ns() - first.accepted_at)} ago",
+            first_status.order_id,
+            first_status.operator,
+            first_status.verb,
+            f"{format_duration(time.time_ns() - first_status.accepted_at)} ago",
             ", ".join(f"{count} {state}" for state, count in states.items()),
         )
     return table
