--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -1,7 +1,7 @@
 """Measures lost and doubled orders and leaderless time of twelve agents, five of them voters, under faults.
 
-A prober polls the voters for the leader; an operator submits orders; random faults are injected one at a
-time, with a pause of 0.3 to 1.5 seconds after each.
+A prober polls the voters for the leader, and an operator submits orders. Random faults are injected one at a
+time, with a pause of 0.3 to 1.5 seconds after each fault.
 """
 
 from __future__ import annotations
@@ -31,6 +31,7 @@
 VOTERS = ("h1", "h2", "h3", "h4", "h5")
 MAX_UNAVAILABLE = 1
 FLEET_MAX_UNAVAILABLE = 3
+# Time after its failure from which a target must count as unavailable for every new permit.
 OBSERVATION_TIME_NS = PermitTimeouts().expiry_ns + PermitTimeouts().max_agent_silence_ns + 2 * SECOND
 
 
@@ -38,12 +39,13 @@
     """Faults, a prober and an operator on one rig, and their observations; times in seconds."""
 
     def __init__(self, rig: ProcessRig, seed: int) -> None:
-        """Use an open rig; nothing is injected yet."""
+        """Use an open rig; no fault is injected yet."""
         self.rig = rig
         self.random = Random(seed)
         self.faults: Counter[str] = Counter()
-        self.accept_durations: dict[str, float] = {}  # by order, from its first attempt until its acceptance
-        self.undisturbed_commit_durations: list[float] = []  # from the last attempt, with no active fault
+        self.accept_durations: dict[str, float] = {}  # by order ID, from first attempt to acceptance
+        # From the last attempt to the acceptance, for orders during which no fault was active.
+        self.undisturbed_commit_durations: list[float] = []
         self.leaderless_periods: list[tuple[float, float]] = []  # start and length
         self.active_faults = 0
         self.leader_kill_times: list[float] = []
@@ -76,7 +78,7 @@
                 self.active_faults -= 1
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
 
-    def _draw_duration(self) -> float:
+    def _random_duration(self) -> float:
         return self.random.uniform(0.2, 2.5)
 
     def _choose_host(self) -> str:
@@ -92,7 +94,7 @@
 
     async def _kill_agent(self, host: str) -> None:
         await self.rig.kill_agent(host)
-        await asyncio.sleep(self._draw_duration())
+        await asyncio.sleep(self._random_duration())
         await self.rig.start_agent(host)
 
     async def _suspend_random_agent(self) -> None:
@@ -103,7 +105,7 @@
 
     async def _suspend_agent(self, host: str) -> None:
         self.rig.suspend_agent(host)
-        await asyncio.sleep(self._draw_duration())
+        await asyncio.sleep(self._random_duration())
         self.rig.resume_agent(host)
 
     async def _partition_both_ways(self) -> None:
@@ -119,18 +121,18 @@
             self.rig.links.cut([host], others, both)
         else:
             self.rig.links.cut(others, [host], both)
-        await asyncio.sleep(self._draw_duration())
+        await asyncio.sleep(self._random_duration())
         self.rig.links.clear_faults()
 
     async def _disturb_links(self, fault: str, max_value: float) -> None:
         self.rig.links.set_faults(**{fault: self.random.uniform(0.05, max_value)})
-        await asyncio.sleep(self._draw_duration())
+        await asyncio.sleep(self._random_duration())
         self.rig.links.clear_faults()
 
     async def _fill_disk(self) -> None:
         host = self._choose_host()
         self.rig.enable_fault(host, "full")
-        await asyncio.sleep(self._draw_duration())
+        await asyncio.sleep(self._random_duration())
         self.rig.disable_fault(host, "full")
 
     async def _delete_databases(self) -> None:
@@ -172,7 +174,7 @@
 
     async def probe_leader(self) -> None:
         """Record the periods without a leader until the run is finished."""
-        started = 0.0
+        started_at = 0.0
         while not self.is_finished:
             responses, _ = await self.rig.clients.request_each(
                 {host: messages.RaftStatusRequest() for host in VOTERS}, 200_000_000
@@ -182,27 +184,27 @@
                 response for response in responses.values() if isinstance(response, messages.RaftStatus)
             ]
             if any(status.is_leader for status in statuses):
-                if started:
-                    self.leaderless_periods.append((started, now - started))
-                started = 0.0
+                if started_at:
+                    self.leaderless_periods.append((started_at, now - started_at))
+                started_at = 0.0
             else:
-                started = started or now
+                started_at = started_at or now
             await asyncio.sleep(0.03)
 
     async def submit_orders(self) -> None:
         """Submit one order after the other until the run is finished."""
         names = [name for names in HOSTS.values() for name in names]
-        count = 0
+        order_number = 0
         while not self.is_finished:
-            count += 1
+            order_number += 1
             targets = self.random.sample(names, self.random.randint(1, 3))
-            await self._submit(f"o{count}", targets)
+            await self._submit(f"o{order_number}", targets)
             await asyncio.sleep(self.random.uniform(0.2, 0.8))
 
     async def _submit(self, order_id: str, names: list[str]) -> None:
         """Submit an order through changes of leader, with the same ID."""
         was_undisturbed = not self.active_faults
-        started = time.monotonic()
+        started_at = time.monotonic()
         generations: dict[str, int] = {}
         while not self.is_finished:
             try:
@@ -220,22 +222,22 @@
             if isinstance(response, messages.FleetOrderStatus) and any(
                 task.state != "refused" for task in response.tasks
             ):
-                self.accept_durations[order_id] = time.monotonic() - started
+                self.accept_durations[order_id] = time.monotonic() - started_at
                 if was_undisturbed and not self.active_faults:
                     self.undisturbed_commit_durations.append(time.monotonic() - attempt_started)
             return
 
     async def find_lost_orders(self) -> list[str]:
         """Return the accepted orders that the control plane has lost."""
-        known = {order.order_id for order in (await self.rig.fleet_status()).orders}
-        lost = []
+        known_order_ids = {order.order_id for order in (await self.rig.fleet_status()).orders}
+        lost_order_ids = []
         for order_id in self.accept_durations:
-            if order_id not in known:
+            if order_id not in known_order_ids:
                 try:
                     await self.rig.fleet_status(order_id)
                 except UnexpectedResponseError:
-                    lost.append(order_id)
-        return lost
+                    lost_order_ids.append(order_id)
+        return lost_order_ids
 
 
 async def measure(seconds: float, seed: int) -> dict[str, Any]:
@@ -269,10 +271,10 @@
             rig.links.clear_faults()
             await rig.wait_for_leader()
             await rig.wait_until_serving(timeout=60)
-            lost = await run.find_lost_orders()
+            lost_order_ids = await run.find_lost_orders()
         finally:
             await rig.close()
-        return {"seconds": seconds, "lost": lost} | collect_figures(run, folder)
+        return {"seconds": seconds, "lost": lost_order_ids} | collect_figures(run, folder)
 
 
 def collect_figures(run: AgreementRun, folder: str) -> dict[str, Any]:
@@ -281,21 +283,23 @@
     audit = audit_logs(folder, HOSTS, groups, OBSERVATION_TIME_NS)
     failover_durations = [
         duration
-        for started, duration in run.leaderless_periods
-        if any(0 <= started - killed_at < 0.6 for killed_at in run.leader_kill_times)
+        for started_at, duration in run.leaderless_periods
+        if any(0 <= started_at - killed_at < 0.6 for killed_at in run.leader_kill_times)
     ]
     return {
         "machine": describe_machine(),
         "faults": dict(run.faults),
         "elections": sum(kind == "leader_elected" for _, kind, _ in read_events(folder, HOSTS)),
-        "taken": len(run.accept_durations),
-        "doubled": count_doubled_drains(folder),
+        "taken": len(run.accept_durations),  # orders accepted
+        "doubled": count_doubled_drains(folder),  # processes drained twice
         "breaches": audit.finish(0),
-        "most_out": audit.most_out["fleet"],
+        "most_out": audit.most_out["fleet"],  # most targets unavailable at once
         "bound": FLEET_MAX_UNAVAILABLE,
+        # Longest period without a leader.
         "worst_gap_s": max((duration for _, duration in run.leaderless_periods), default=0.0),
+        # Leaderless periods that began within 0.6 s after a kill of the leader.
         "after_death_s": failover_durations,
-        "agreed_s": run.undisturbed_commit_durations,
+        "agreed_s": run.undisturbed_commit_durations,  # time to commit an order while no fault is active
     }
 
 
--- a/measure/common.py
+++ b/measure/common.py
@@ -58,7 +58,7 @@
     """A site with its agents as processes, and a view of their status."""
 
     def __init__(self, site: FakeSite, fleet: Fleet) -> None:
-        """Use an open site on which no agent runs yet."""
+        """Take an open site on which no agent runs yet."""
         self.site = site
         self.fleet = fleet
         self.agents = AgentClients(fleet, read_operator_key(fleet, "asha"))
@@ -82,14 +82,15 @@
         self, condition: Callable[[], bool], timeout: float, poll_interval: float = 0.05
     ) -> float:
         """Poll all agents until the condition holds; return the seconds until then."""
-        started = time.monotonic()
+        started_at = time.monotonic()
         while True:
             await self.agents.refresh(self.view)
             if condition():
-                return time.monotonic() - started
-            if time.monotonic() - started > timeout:
+                return time.monotonic() - started_at
+            if time.monotonic() - started_at > timeout:
                 raise TimeoutError(
-                    f"condition not met within {timeout:g} s; states: {[row.shown for row in self.rows()]}"
+                    f"condition not met within {timeout:g} s; instance states:"
+                    f" {[row.shown for row in self.rows()]}"
                 )
             await asyncio.sleep(poll_interval)
 
--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -1,6 +1,7 @@
-"""Measures the cost of one tick of the agent's decisions with 100 to 10,000 instances, in simulated time.
+"""Measures the cost of one tick of an agent's decisions with 100 to 10,000 instances, in simulated time.
 
-Only `Supervisor` and `OrderRegistry` run: steps are carried out in memory, with no process, socket or file.
+Only `Supervisor` and `OrderRegistry` run. Their steps are carried out in memory, without
+processes, sockets or files.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from oakkeel.control.messages import NodeStatus
 from oakkeel.units import MS, SECOND
 
-REPORT = NodeStatus(0, "", 0, 0, "", "", 0)
-SITES = 10
+NODE_STATUS = NodeStatus(0, "", 0, 0, "", "", 0)
+SITE_COUNT = 10
 
 
 class Fleet:
@@ -28,8 +29,8 @@
     def __init__(self, size: int, seed: int) -> None:
         """Supervise `size` instances at ten sites."""
         self.now = 1000 * SECOND
-        self.instances = [Instance(f"n{n}", f"site{n % SITES}") for n in range(size)]
-        max_unavailable = {f"site{n}": max(1, size // SITES // 10) for n in range(SITES)}
+        self.instances = [Instance(f"n{number}", f"site{number % SITE_COUNT}") for number in range(size)]
+        max_unavailable = {f"site{number}": max(1, size // SITE_COUNT // 10) for number in range(SITE_COUNT)}
         self.supervision = Supervisor(
             self.instances, SupervisionTimeouts(max_starting=size), max_unavailable, seed, lambda: self.now
         )
@@ -55,7 +56,7 @@
         for instance in self.instances:
             if instance.alive and instance.phase is not Phase.DRAINING:
                 self.supervision.report_received(
-                    self.now, instance, state, instance.process_generation, REPORT
+                    self.now, instance, state, instance.process_generation, NODE_STATUS
                 )
         return duration + time.perf_counter_ns()
 
@@ -92,12 +93,12 @@
         )
     return {
         "size": size,
-        "quiet_ms": statistics.median(idle_durations) / 1e6,
-        "busy_ms": statistics.median(restart_durations) / 1e6,
+        "quiet_ms": statistics.median(idle_durations) / 1e6,  # a tick with nothing to do
+        "busy_ms": statistics.median(restart_durations) / 1e6,  # a tick of the restart
         "busy_worst_ms": max(restart_durations) / 1e6,
-        "report_us": statistics.median(report_durations) / 1e3 / size,
-        "turns": len(restart_durations),
-        "beyond_bound": max_excess,
+        "report_us": statistics.median(report_durations) / 1e3 / size,  # one report of an instance
+        "turns": len(restart_durations),  # ticks until the restart of all instances ended
+        "beyond_bound": max_excess,  # largest excess over the maximum unavailable of a site
     }
 
 
--- a/measure/emulator.py
+++ b/measure/emulator.py
@@ -1,4 +1,4 @@
-"""Measures the emulator: events a second of 200 nodes at 2,000 requests a second, and cost by fleet size."""
+"""Measures the event rate of the emulator with 200 nodes, and its cost per request by fleet size."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
         """Return the figures under their JSON keys."""
         return {
             "nodes": self.nodes,
-            "took_s": self.real_seconds,
+            "took_s": self.real_seconds,  # real time of the simulation
             "events": self.events,
-            "asked": self.requests,
-            "times_real": self.speedup,
+            "asked": self.requests,  # number of requests sent
+            "times_real": self.speedup,  # simulated seconds per real second
             "breaches": self.breaches,
             "digest": self.digest,
         }
@@ -67,12 +67,12 @@
     )
 
 
-def print_row(row: Measurement) -> None:
+def print_measurement(measurement: Measurement) -> None:
     """Print the cost of one fleet size."""
-    cost = 1e6 * row.real_seconds / row.requests
+    cost = 1e6 * measurement.real_seconds / measurement.requests
     print_line(
-        f"  {row.nodes:5} nodes, 10 s: {row.real_seconds:.1f} s, {cost:.0f} us an"
-        f" exchange, {row.events} events, {row.breaches} breaches"
+        f"  {measurement.nodes:5} nodes, 10 s: {measurement.real_seconds:.1f} s, {cost:.0f} us an"
+        f" exchange, {measurement.events} events, {measurement.breaches} breaches"
     )
 
 
@@ -80,21 +80,26 @@
     """Measure three fleet sizes, then the requested size; the exit code is 1 if an invariant is broken."""
     arguments = parse_arguments(__doc__ or "", seconds=60.0, nodes=200, seed=18)
     print_line(f"{describe_machine()}; simulated time")
-    rows = []
+    by_fleet_size = []
     for nodes in FLEET_SIZES:
-        row = measure_fleet(nodes, 10.0, arguments.seed)
-        rows.append(row)
-        print_row(row)
-    final = measure_fleet(arguments.nodes, arguments.seconds, arguments.seed)
-    write_figures(arguments, {"rows": [row.to_figures() for row in rows], "whole": final.to_figures()})
+        measurement = measure_fleet(nodes, 10.0, arguments.seed)
+        by_fleet_size.append(measurement)
+        print_measurement(measurement)
+    requested = measure_fleet(arguments.nodes, arguments.seconds, arguments.seed)
+    figures = {
+        "rows": [measurement.to_figures() for measurement in by_fleet_size],
+        "whole": requested.to_figures(),  # the run with the requested size
+    }
+    write_figures(arguments, figures)
     print_line(
-        f"  {final.nodes} nodes, {arguments.seconds:g} s: {final.requests} exchanges,"
-        f" {final.real_seconds:.1f} s, record {final.digest}"
+        f"  {requested.nodes} nodes, {arguments.seconds:g} s: {requested.requests} exchanges,"
+        f" {requested.real_seconds:.1f} s, record {requested.digest}"
     )
     print_line(
-        f"emulator: {final.events / final.real_seconds:.0f} events/s, {final.speedup:.1f} times real time"
+        f"emulator: {requested.events / requested.real_seconds:.0f} events/s,"
+        f" {requested.speedup:.1f} times real time"
     )
-    return 1 if any(row.breaches for row in (*rows, final)) else 0
+    return 1 if any(measurement.breaches for measurement in (*by_fleet_size, requested)) else 0
 
 
 if __name__ == "__main__":
--- a/measure/listing.py
+++ b/measure/listing.py
@@ -1,4 +1,4 @@
-"""Measures the duration of `oakkeel ls` with twelve agents, with all of them running and with one silent."""
+"""Measures the duration of `oakkeel ls` with twelve running agents, and with one of the twelve silent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 async def run_listing(settings: str) -> tuple[float, int, dict[str, Any]]:
     """Run `oakkeel ls`; return its duration in seconds, its exit code and its output."""
-    started = time.monotonic()
+    started_at = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -36,11 +36,11 @@
         stdout=asyncio.subprocess.PIPE,
     )
     output, _ = await process.communicate()
-    return time.monotonic() - started, process.returncode or 0, json.loads(output)
+    return time.monotonic() - started_at, process.returncode or 0, json.loads(output)
 
 
 async def measure(repetitions: int) -> dict[str, Any]:
-    """List the instances `repetitions` times with all agents, and as often with one of them silent."""
+    """List the instances `repetitions` times with all agents, then as often with one silent agent."""
     with tempfile.TemporaryDirectory(prefix="oakkeel-") as folder:
         hosts = {f"h{number}": [f"n{number}"] for number in range(1, 13)}
         async with running_site(
@@ -63,7 +63,7 @@
     return {
         "all_answer_s": [elapsed for elapsed, _, _ in with_all_agents],
         "one_silent_s": [elapsed for elapsed, _, _ in with_silent_agent],
-        "right": is_correct,
+        "right": is_correct,  # whether each listing had the expected exit code and instances
     }
 
 
--- a/measure/node.py
+++ b/measure/node.py
@@ -1,8 +1,8 @@
-"""Compares resident memory and CPU time per request of variants of a node, in turn, at a steady rate.
+"""Compares the resident memory and the CPU time per request of several node variants at a steady rate.
 
-`--before FOLDER` is a checkout of the version to compare with (`git worktree add`); it runs with the same
-interpreter and libraries. `after` is this tree, `linked` this tree with a control link that is polled as an
-agent polls it, and `fair` this tree with fair sharing.
+`--before FOLDER` names a checkout (`git worktree add`) of the version to compare with, which runs with the
+same interpreter and libraries. The variant `after` is this tree, `linked` is this tree with a control link
+that is polled as an agent polls it, and `fair` is this tree with fair sharing.
 """
 
 from __future__ import annotations
@@ -75,17 +75,17 @@
     await asyncio.sleep(1.0)
     cpu = cpu_seconds(pid)
     answered = dispatcher.answered
-    started = time.monotonic()
+    started_at = time.monotonic()
     await asyncio.sleep(seconds)
     cpu = cpu_seconds(pid) - cpu
     answered = dispatcher.answered - answered
     memory = resident_mb(pid)
-    elapsed = time.monotonic() - started
+    elapsed = time.monotonic() - started_at
     await dispatcher.stop()
     return {
         "resident_mb": memory,
-        "ms_an_exchange": 1000 * cpu / answered,
-        "rate": answered / elapsed,
+        "ms_an_exchange": 1000 * cpu / answered,  # CPU time per request
+        "rate": answered / elapsed,  # answers per second
         "lost": dispatcher.counts["lost"] + dispatcher.counts["late"],
     }
 
@@ -127,7 +127,7 @@
 
 
 async def measure(before: str, rounds: int, rate: float, seconds: float) -> dict[str, list[dict[str, float]]]:
-    """Measure each variant once a round."""
+    """Measure each variant once in each round."""
     this_tree = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
     trees = {"before": before, "after": this_tree, "linked": this_tree, "fair": this_tree}
     results: dict[str, list[dict[str, float]]] = {name: [] for name, tree in trees.items() if tree}
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -1,7 +1,8 @@
-"""Checks the invariants of replicas and agents in simulated time under drawn schedules of faults.
+"""Checks the invariants of replicas and agents in simulated time under random schedules of faults.
 
-Plays `--count` schedules from `--seed` on, on all cores; with `--releases 1` each schedule has one or two
-releases in progress. The first failing schedule is shrunk and written to a file; `--play FILE` replays it.
+Runs `--count` schedules on all cores, with consecutive seeds from `--seed` on. With `--releases 1`, one or
+two releases are in progress in each schedule. The first failing schedule is shrunk and written to a file;
+`--play FILE` replays the file.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 @dataclass(slots=True)
 class PlayedSchedule:
-    """Result of one drawn schedule."""
+    """Result of one random schedule."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class Totals:
-    """Results of the schedules played so far."""
+    """Results of the schedules run so far."""
 
     played: int = 0
     events: int = 0
@@ -54,16 +55,16 @@
             print_line(f"schedule {result.seed} did not come to an end: {result.unconverged[0][:160]}")
 
 
-def draw_for_seed(seed: int, releases: bool) -> Schedule:
-    """Draw the schedule of a seed."""
+def schedule_for_seed(seed: int, releases: bool) -> Schedule:
+    """Return the random schedule of a seed."""
     return draw(seed, releases=True, duration=RELEASE_DURATION_NS) if releases else draw(seed)
 
 
 def play_seed(seed: int, releases: bool = False) -> PlayedSchedule:
-    """Play the schedule of a seed."""
+    """Run the schedule of a seed."""
     try:
-        simulation, breaches = play(draw_for_seed(seed, releases))
-    except Exception as error:  # an exception in a decision counts as a breach
+        simulation, breaches = play(schedule_for_seed(seed, releases))
+    except Exception as error:  # an exception in the code under test counts as a breach
         return PlayedSchedule(seed, [f"{type(error).__name__}: {error}"])
     return PlayedSchedule(seed, breaches, simulation.stuck(), simulation.clock.events_processed)
 
@@ -77,7 +78,7 @@
 
 
 def replay(path: str) -> int:
-    """Play a schedule file and print its events; the exit code is 1 if an invariant is broken."""
+    """Run a schedule file and print its events; the exit code is 1 if an invariant is broken."""
     with open(path, encoding="utf-8") as file:
         simulation, breaches = play(schedule_from_json(json.load(file)))
     for line in [*simulation.event_log, *breaches]:
@@ -86,19 +87,19 @@
 
 
 def play_all(seeds: range, releases: bool) -> Totals:
-    """Play the schedules of the seeds on all cores."""
+    """Run the schedules of the seeds on all cores."""
     totals = Totals()
-    started = time.monotonic()
+    started_at = time.monotonic()
     with multiprocessing.Pool(os.cpu_count()) as pool:
         for result in pool.imap_unordered(partial(play_seed, releases=releases), seeds, chunksize=8):
             totals.record(result)
             if totals.played % max(1, len(seeds) // 10) == 0:
-                rate = totals.played / (time.monotonic() - started)
+                rate = totals.played / (time.monotonic() - started_at)
                 print_line(f"{totals.played} played, {len(totals.failed)} broken, {rate:.1f} a second")
     return totals
 
 
-def write_shrunk(schedule: Schedule, path: str) -> None:
+def write_shrunk_schedule(schedule: Schedule, path: str) -> None:
     """Shrink a failing schedule and write it to a file."""
     shrunk = shrink(schedule, breaks_invariant)
     with open(path, "w", encoding="utf-8") as file:
@@ -109,23 +110,28 @@
 
 
 def main() -> int:
-    """Play schedules as the command line requests; the exit code is 1 if an invariant is broken."""
+    """Run the schedules that the command line requests; the exit code is 1 if an invariant is broken."""
     arguments = parse_arguments(
-        "Drawn schedules in simulated time.", count=600, seed=1, play="", out="schedule.json", releases=0
+        "Runs random schedules of faults in simulated time.",
+        count=600,
+        seed=1,
+        play="",
+        out="schedule.json",
+        releases=0,
     )
     if arguments.play:
         return replay(arguments.play)
-    started = time.monotonic()
+    started_at = time.monotonic()
     releases = bool(arguments.releases)
     totals = play_all(range(arguments.seed, arguments.seed + arguments.count), releases)
-    seconds = time.monotonic() - started
+    seconds = time.monotonic() - started_at
     if totals.failed:
-        write_shrunk(draw_for_seed(totals.failed[0][0], releases), arguments.out)
+        write_shrunk_schedule(schedule_for_seed(totals.failed[0][0], releases), arguments.out)
     figures = {
         "machine": describe_machine(),
         "played": arguments.count,
-        "broken": totals.failed,
-        "not_ended": totals.unconverged,
+        "broken": totals.failed,  # seeds and breaches of the schedules that broke an invariant
+        "not_ended": totals.unconverged,  # seeds of the schedules that did not converge
         "seconds": seconds,
         "events": totals.events,
     }
