--- a/tests/compatibility/test_node_bytes.py
+++ b/tests/compatibility/test_node_bytes.py
@@ -1,4 +1,4 @@
-"""A node sends the same bytes as an earlier version."""
+"""Tests that a node sends the same bytes as an earlier version."""
 
 import re
 import socket
--- a/tests/support/cancellation.py
+++ b/tests/support/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellations that reach a task together with the result that it waits for."""
+"""Helpers that cancel a task at about the time at which the result that it awaits becomes ready."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
--- a/tests/support/rig_case.py
+++ b/tests/support/rig_case.py
@@ -1,4 +1,4 @@
-"""A test case with many agent and node processes; an audit of their logs ends each test."""
+"""A test case with many agent and node processes, whose logs are audited at the end of each test."""
 
 import os
 import tempfile
