--- a/measure/drain.py
+++ b/measure/drain.py
@@ -1,6 +1,6 @@
-"""Measures drains cancelled at random times on real nodes under load: requests lost or run after the grace.
+"""Counts the requests lost or run after the grace while drains of real nodes are cancelled at random times.
 
-Two hosts with three nodes each, one replica; dispatchers send throughout, at a varying rate.
+The site has one replica and two hosts with three nodes each. Dispatchers send requests at a varying rate.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 HOSTS = {"h1": ["n1", "n2", "n3"], "h2": ["n4", "n5", "n6"]}
 NODE_NAMES = [name for names in HOSTS.values() for name in names]
 DRAIN_GRACE_NS = NODE_SETTINGS["obligations"]["drain-grace"]  # type: ignore[index]
-LOG_DELAY_S = 0.06  # allowed difference between the time of a message here and that of its log line
+LOG_DELAY_S = 0.06  # allowed difference between the time of an event and the time in its log line
 
 
 @dataclass
@@ -37,15 +37,15 @@
     count: int = 0
     while_draining: int = 0
     cancelled_drain_times: list[float] = field(default_factory=list)  # cancelled while the node was draining
-    restart_times: list[float] = field(default_factory=list)  # cancelled after the stop: started again
+    restart_times: list[float] = field(default_factory=list)  # cancelled after the stop: node started again
     undrained_times: list[float] = field(default_factory=list)  # cancelled before the drain began
 
 
 class DrainScenario:
-    """Two concurrent sequences of drains and cancels on a site under load."""
+    """Runs two concurrent sequences of drains and cancels on a site under load."""
 
     def __init__(self, rig: ProcessRig, load: LoadProcess, rate: float, seed: int) -> None:
-        """`rate`: requests a second of all dispatchers together."""
+        """Use an open rig; all dispatchers together send `rate` requests a second."""
         self.rig = rig
         self.load = load
         self.rate = rate
@@ -170,7 +170,7 @@
 
 
 def collect_figures(
-    cancels: CancelResults, summary: LoadSummary, reported: int, site: FakeSite
+    cancels: CancelResults, summary: LoadSummary, report_count: int, site: FakeSite
 ) -> dict[str, Any]:
     """Return the figures under their JSON keys."""
     counts = Counter(summary.counts)
@@ -178,21 +178,22 @@
     return {
         "cancels": cancels.count,
         "while draining": cancels.while_draining,
-        "back_s": cancels.cancelled_drain_times,
-        "anew_s": cancels.restart_times,
-        "not_left_s": cancels.undrained_times,
-        "sent_late": summary.max_send_delay,
+        # Seconds from a cancel until the node completes a request again, by its phase at the cancel.
+        "back_s": cancels.cancelled_drain_times,  # draining
+        "anew_s": cancels.restart_times,  # any other phase
+        "not_left_s": cancels.undrained_times,  # serving
+        "sent_late": summary.max_send_delay,  # largest delay of a send
         "machine": describe_machine(),
         "counts": dict(counts),
-        "reported": reported,
+        "reported": report_count,
         "lost": counts["lost"] + counts["late"],
-        "doubled": sum(count > 1 for count in run_counts),
+        "doubled": sum(count > 1 for count in run_counts),  # requests that ran more than once
     }
 
 
 def count_runs_after_grace(folder: str, site: FakeSite, reports: list[RequestReport]) -> int:
     """Count the runs of requests that were sent after the grace of a drain and before its cancel or end."""
-    drains: dict[str, list[list[float]]] = {}  # by instance: ends of grace and of drain
+    drains: dict[str, list[list[float]]] = {}  # by instance: the ends of the grace and of the drain
     for time_ns, event, fields in read_events(folder, HOSTS):
         if event == "drain_requested":
             drains.setdefault(fields["target"], []).append(
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -1,8 +1,8 @@
 """Measures the service of clients beside a crawler at 1, 10 and 100 times its share, fairness off and on.
 
 The node runs as a process on loopback; its engine has a fixed number of cores, so that its capacity is known.
-Measured first, in simulated time: memory and time of the heavy-hitter table with 10 to 1,000,000 clients, and
-of other sketches.
+First, the memory and the time of the heavy-hitter table and of other sketches are measured with 10 to
+1,000,000 clients and simulated arrival times.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.units import SECOND
 
-# the engine's cores and the seconds of a request: its capacity is 100 requests a second
+# A request takes WORK_S seconds of one of the engine's cores: the capacity is 100 requests a second.
 CORES = 2
 WORK_S = 0.02
-# the number of compliant clients, and the requests a second of each
 COMPLIANT_CLIENTS = 10
-CLIENT_RATE = 10.0
+CLIENT_RATE = 10.0  # requests a second of each compliant client
 REQUEST_CLASS = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, SECOND, 4 * SECOND, 0, 0.0, 0.0)
+# Fair share of each compliant client and of the crawler, in requests a second.
 FAIR_RATE = CORES / WORK_S / (COMPLIANT_CLIENTS + 1)
 
 
@@ -62,9 +62,9 @@
         for client in clients:
             client.reset_counts()
         cpu = cpu_seconds(node.pid)
-        started = time.monotonic()
+        started_at = time.monotonic()
         await asyncio.sleep(seconds)
-        elapsed = time.monotonic() - started
+        elapsed = time.monotonic() - started_at
         cpu = cpu_seconds(node.pid) - cpu
         figures = compute_shares(compliant, crawler, elapsed)
         attempts = sum(client.tries for client in clients)
@@ -76,9 +76,9 @@
         await site.close()
         return {
             "fair": with_fairness,
-            "times": multiple,
+            "times": multiple,  # rate of the crawler as a multiple of its share
             **figures,
-            "cpu_ms_a_try": 1000 * cpu / max(1, attempts),
+            "cpu_ms_a_try": 1000 * cpu / max(1, attempts),  # CPU time of the node per attempt
         }
 
 
@@ -115,13 +115,14 @@
         for rate, fair_rate in zip(completed_rates[:-1], fair_rates[:-1], strict=True)
     ]
     return {
+        # Fractions of their fair shares that the compliant clients obtained.
         "kept_mean": statistics.mean(obtained_shares),
         "kept_least": min(obtained_shares),
-        "jain": jain(completed_rates[:-1]),
+        "jain": jain(completed_rates[:-1]),  # Jain's fairness index of the compliant clients
         "crawler_a_second": completed_rates[-1],
         "completed_a_second": sum(completed_rates),
-        "returned": sum(client.returned for client in compliant),
-        "went_ahead": sum(client.went_ahead for client in compliant),
+        "returned": sum(client.returned for client in compliant),  # retries at a reserved time
+        "went_ahead": sum(client.went_ahead for client in compliant),  # of these retries, completed
     }
 
 
@@ -136,7 +137,7 @@
     """A counter for each flow: the baseline for the tables of bounded memory."""
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start with all counts at zero."""
         self.counts: dict[int, float] = {}
 
     def add(self, now: int, key: int, weight: float) -> None:
@@ -152,7 +153,7 @@
     """
 
     def __init__(self, rows: int = 4, columns: int = 512) -> None:
-        """Start with nothing counted."""
+        """Start with all counts at zero."""
         self.columns = columns
         self.rows = [[0.0] * columns for _ in range(rows)]
 
@@ -165,14 +166,14 @@
 
 
 class HashedFlows:
-    """Deficit round robin over 512 hashed queues, reduced to its counting.
+    """The request counts of deficit round robin over 512 hashed queues.
 
     P. McKenney 1990; M. Shreedhar, G. Varghese 1995. All flows in the queue of a heavy hitter get
     the same service as the heavy hitter.
     """
 
     def __init__(self, queues: int = 512) -> None:
-        """Start with nothing counted."""
+        """Start with all counts at zero."""
         self.counts = [0.0] * queues
 
     def add(self, now: int, key: int, weight: float) -> None:
@@ -180,8 +181,8 @@
         self.counts[key % len(self.counts)] += weight
 
 
-def draw_keys(clients: int, seed: int, count: int = 200_000) -> list[int]:
-    """Draw the flow keys of requests: one in ten from one heavy flow, the rest from random flows."""
+def random_keys(clients: int, seed: int, count: int = 200_000) -> list[int]:
+    """Return random flow keys of requests: one in ten from one heavy flow, the rest from random flows."""
     generator = random.Random(seed)
     flow_keys = [generator.getrandbits(60) for _ in range(clients)]
     return [
@@ -197,25 +198,25 @@
         "count-min, 4 x 512": CountMin,
         "hashed flows, 512": HashedFlows,
     }
-    rows = []
+    measurements = []
     for clients in (10, 10_000, 1_000_000):
-        keys = draw_keys(clients, seed)
+        keys = random_keys(clients, seed)
         for name, make_table in table_types.items():
             table = make_table()
-            started = time.perf_counter_ns()
+            started_at = time.perf_counter_ns()
             for number, key in enumerate(keys):
                 table.add(number * 100_000, key, 1.0)
-            elapsed = time.perf_counter_ns() - started
+            elapsed = time.perf_counter_ns() - started_at
             tracemalloc.start()
             traced_table = make_table()
             for number, key in enumerate(keys):
                 traced_table.add(number * 100_000, key, 1.0)
             memory = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
-            rows.append(
+            measurements.append(
                 {"clients": clients, "measure": name, "kb": memory / 1024, "us": elapsed / len(keys) / 1e3}
             )
-    return rows
+    return measurements
 
 
 def measure_decisions(seed: int) -> list[dict[str, Any]]:
@@ -238,12 +239,12 @@
                 False,
                 flow_keys=((1 + key % 7, b"tenant"), (key, b"client")),
             )
-            for key in draw_keys(clients, seed, 100_000)
+            for key in random_keys(clients, seed, 100_000)
         ]
-        started = time.perf_counter_ns()
+        started_at = time.perf_counter_ns()
         for number, request in enumerate(requests):
             fair_sharing.arrive(number * 1_000_000, request, 20e6, 4.0)
-        rows.append({"clients": clients, "us": (time.perf_counter_ns() - started) / len(requests) / 1e3})
+        rows.append({"clients": clients, "us": (time.perf_counter_ns() - started_at) / len(requests) / 1e3})
     return rows
 
 
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -1,4 +1,7 @@
-"""Measures how soon the status of twelve instances under load is correct after three die and one stops."""
+"""Measures how soon the status of twelve instances is correct after three are killed and one is suspended.
+
+The instances are under load throughout, and the requests lost are counted.
+"""
 
 from __future__ import annotations
 
@@ -24,15 +27,15 @@
 from oakkeel.fakes.site import FakeSite, SiteOptions
 
 HOSTS = {
-    "wb1": [f"n{n}" for n in (1, 2, 3, 4)],
-    "sj1": [f"n{n}" for n in (5, 6, 7, 8)],
-    "be1": [f"n{n}" for n in (9, 10, 11, 12)],
+    "wb1": [f"n{number}" for number in (1, 2, 3, 4)],
+    "sj1": [f"n{number}" for number in (5, 6, 7, 8)],
+    "be1": [f"n{number}" for number in (9, 10, 11, 12)],
 }
 SITES = {"wb1": "woodbrook", "sj1": "st-james", "be1": "belmont"}
 
 
 async def kill_and_suspend(fleet: RunningSite, random: Random) -> tuple[float, set[str]]:
-    """Kill three instances and stop one; return the seconds until a correct status, and the names."""
+    """Kill three instances and suspend one; return the seconds until a correct status, and the names."""
     pids = {row.name: row.status.pid for row in fleet.rows() if row.status}
     chosen_names = random.sample(sorted(pids), 4)
     killed_pids = {name: pids[name] for name in chosen_names[:3]}
@@ -105,13 +108,13 @@
 def main() -> int:
     """Run the measurement and return the exit code."""
     arguments = parse_arguments(__doc__ or "", rounds=3, rate=120.0, seed=16)
-    started = time.monotonic()
+    started_at = time.monotonic()
     figures = asyncio.run(measure(arguments.rounds, arguments.rate, arguments.seed))
     write_figures(arguments, figures)
     print_line(
         f"{figures['answered']} exchanges answered; lost on the others: {figures['lost_on_others']}; on those"
         f" killed and stopped: {figures['lost_on_killed_and_stopped']};"
-        f" took {time.monotonic() - started:.0f} s"
+        f" took {time.monotonic() - started_at:.0f} s"
     )
     print_line(f"reports true after {format_spread(figures['times_s'])} s")
     max_detection_time = max(figures["times_s"])
--- a/measure/gates.py
+++ b/measure/gates.py
@@ -1,9 +1,9 @@
 """Measures how many releases the gates halt, and how soon, for one good and four defective versions.
 
-Twelve nodes run in simulated time; each has a loss of its own, and all have the same load and disturbance. A
-canary runs beside a control; the number of updated nodes doubles whenever the gates pass. The samples are
-drawn; the gates are those of the program. For comparison, other tests are evaluated on the same samples: a
-fixed-sample test and a Bayesian test every second, and a group-sequential test.
+Twelve nodes run in simulated time; each node has a different loss, and all have the same load and
+disturbance. A canary runs beside a control; the number of updated nodes doubles whenever the gates pass. The
+samples are random; the gates are those of the program. For comparison, other tests are evaluated on the same
+samples: a fixed-sample test and a Bayesian test every second, and a group-sequential test.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 SUCCESS_SHARE = 0.97  # share of the requests that complete in time
 COLD_SECONDS = 20
 COLD_LOSS = 0.15  # share lost by a cold node at its start
-SOAK_SECONDS = 60
-MAX_SECONDS = 1200
+SOAK_SECONDS = 60  # shortest time between two batches
+MAX_SECONDS = 1200  # a release without a result by then ends as "no answer"
+# Behaviour of the new version.
 KINDS = ("good", "worse by 2 %", "dies after a minute", "leaks", "worse while cold")
-# the number of analyses of the group-sequential test, and the seconds between them
-INTERIM_ANALYSES = 10
-INTERIM_INTERVAL = 120
+INTERIM_ANALYSES = 10  # number of analyses of the group-sequential test
+INTERIM_INTERVAL = 120  # seconds between two analyses
 OTHER_TESTS = {
     "once": "fixed-sample, each second",
     "looks": "group-sequential, ten analyses",
@@ -61,7 +61,7 @@
     """One release of a kind of version, judged every second by the gates and by the other tests."""
 
     def __init__(self, seed: int, kind: str) -> None:
-        """Start with old nodes only."""
+        """Start with all nodes at the old version."""
         self.kind = kind
         self.random = numpy.random.default_rng([seed, KINDS.index(kind)])
         self.nodes = [Node("old", -1000, float(self.random.normal(0, 0.0005))) for _ in range(NODES)]
@@ -98,11 +98,11 @@
         return {
             "kind": self.kind,
             "end": end,
-            "second": second,
-            "samples": self.new_requests.count,
+            "second": second,  # duration of the release
+            "samples": self.new_requests.count,  # requests to warm nodes with the new version
             "why": why,
-            "there": self.updated_count,
-            "others": self.other_halt_times,
+            "there": self.updated_count,  # nodes with the new version
+            "others": self.other_halt_times,  # by test; 0 if the test would not halt
         }
 
     def _start_canary(self, second: int) -> None:
@@ -122,7 +122,7 @@
         self.changed_at = second
 
     def _run_node(self, second: int, number: int, disturbance: float) -> None:
-        """Draw the requests of one node in one second, and record them at the gate."""
+        """Generate the requests of one node in one second, and record them at the gate."""
         node = self.nodes[number]
         random = self.random
         age = second - node.started_at
@@ -174,7 +174,7 @@
 
 
 def play(arguments: tuple[int, str]) -> dict[str, Any]:
-    """Play one release, given by seed and kind."""
+    """Run one release, given by its seed and kind."""
     return SimulatedRelease(*arguments).play()
 
 
@@ -219,7 +219,7 @@
 
 
 def print_kind(kind: str, played: list[dict[str, Any]]) -> None:
-    """Print the ends of the releases of one kind, and the share that the other tests would have halted."""
+    """Print how the releases of one kind ended, and the share that the other tests would have halted."""
     halted = [result for result in played if result["end"] == "halted"]
     ends = {end: sum(result["end"] == end for result in played) for end in ("halted", "done", "no answer")}
     line = f"{kind}: {ends}"
@@ -240,7 +240,7 @@
 
 
 def play_all(seed: int, count: int) -> dict[str, list[dict[str, Any]]]:
-    """Play releases of each kind on all cores; return the results by kind."""
+    """Run releases of each kind on all cores; return the results by kind."""
     results: dict[str, list[dict[str, Any]]] = {kind: [] for kind in KINDS}
     with multiprocessing.Pool(os.cpu_count()) as pool:
         jobs = [(seed + number, kind) for kind in KINDS for number in range(count)]
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -29,7 +29,7 @@
     """One host with one instance, an agent that is killed repeatedly, and an operator who sends orders."""
 
     def __init__(self, folder: str, seed: int, crashes: asyncio.Semaphore) -> None:
-        """Take crashes from the semaphore `crashes`, which all hosts share."""
+        """Use the semaphore `crashes`, which all hosts share, to limit the number of crashes."""
         self.folder = folder
         self.random = Random(seed)
         self.remaining_crashes = crashes
@@ -44,18 +44,18 @@
         self.host = self.fleet.hosts[0]
         self.key = read_operator_key(self.fleet, "asha")
         self.agent: asyncio.subprocess.Process | None = None
-        self.crash_count = self.orders = self.resent = self.lost = 0
+        self.crash_count = self.order_count = self.resent_count = self.lost_count = 0
         self.expected_starts = 1
         self.will_crash = False  # the current agent will kill itself
 
     async def run(self) -> None:
-        """Send orders until no crash is left, then wait until the last order has ended."""
+        """Send orders until all crashes have occurred, then wait until the last order has ended."""
         while not self.remaining_crashes.locked() or self.will_crash:
-            await self._carry_out_order(VERBS[self.orders % len(VERBS)])
+            await self._carry_out_order(VERBS[self.order_count % len(VERBS)])
         await self._wait_until_settled()
 
     async def _ensure_agent(self) -> None:
-        """Start an agent if none runs; as long as crashes are left, the agent will kill itself."""
+        """Start an agent if none runs; while crashes remain, the agent will kill itself."""
         if self.agent is None or self.agent.returncode is not None:
             if self.agent is not None:
                 self.crash_count += 1
@@ -103,7 +103,7 @@
                 matching_orders = [order for order in response.orders if order.order_id == order_id]
                 state = matching_orders[0].tasks[0].state if matching_orders else ""
                 if state not in ("waiting", "acting", "done"):
-                    self.lost += 1
+                    self.lost_count += 1
                     print_line(f"  lost: {order_id} {verb} {matching_orders}")
                     return
                 if state == "done":
@@ -113,16 +113,16 @@
     async def _submit_until_acknowledged(self, verb: str) -> str:
         """Send an order, with the same ID until it is acknowledged, and return the ID."""
         generation = await self._wait_until_settled()
-        order_id = f"o{self.orders}"
+        order_id = f"o{self.order_count}"
         request = messages.OrderRequest(order_id, verb, [("n1", generation)], 120 * SECOND)
         while True:
             response = await self._request(request)
             if isinstance(response, messages.OrderStatus):
                 break
-            self.resent += response is None
+            self.resent_count += response is None
         if response.tasks[0].state == "refused":
             raise UnexpectedResponseError(f"{order_id}: {response.tasks[0].why}")
-        self.orders += 1
+        self.order_count += 1
         self.expected_starts += verb in ("restart", "start")
         return order_id
 
@@ -157,14 +157,14 @@
             while not runs.done():
                 await asyncio.wait((runs,), timeout=10)
                 crash_count = sum(scenario.crash_count for scenario in scenarios)
-                orders = sum(scenario.orders for scenario in scenarios)
+                orders = sum(scenario.order_count for scenario in scenarios)
                 print_line(f"  {crash_count} crashes, {orders} orders")
             await runs
             return {
                 "crashes": sum(scenario.crash_count for scenario in scenarios),
-                "orders": sum(scenario.orders for scenario in scenarios),
-                "resent": sum(scenario.resent for scenario in scenarios),
-                "lost": sum(scenario.lost for scenario in scenarios),
+                "orders": sum(scenario.order_count for scenario in scenarios),
+                "resent": sum(scenario.resent_count for scenario in scenarios),
+                "lost": sum(scenario.lost_count for scenario in scenarios),
                 "starts": sum(scenario.count_starts() for scenario in scenarios),
                 "expected_starts": sum(scenario.expected_starts for scenario in scenarios),
             }
@@ -176,14 +176,14 @@
 def main() -> int:
     """Run the measurement and return the exit code."""
     arguments = parse_arguments(__doc__ or "", crashes=300, lanes=6, seed=16)
-    started = time.monotonic()
+    started_at = time.monotonic()
     figures = asyncio.run(measure(arguments.crashes, arguments.lanes, arguments.seed))
     write_figures(arguments, figures)
     doubled = max(0, figures["starts"] - figures["expected_starts"])
     missing = max(0, figures["expected_starts"] - figures["starts"])
     print_line(
         f"{figures['orders']} orders, sent again {figures['resent']} times; {figures['starts']} processes"
-        f" made, {figures['expected_starts']} ordered; took {time.monotonic() - started:.0f} s"
+        f" made, {figures['expected_starts']} ordered; took {time.monotonic() - started_at:.0f} s"
     )
     print_line(
         f"orders: {figures['crashes']} crashes, {figures['lost'] + missing} lost, {doubled} carried out twice"
--- a/measure/places.py
+++ b/measure/places.py
@@ -1,7 +1,7 @@
 """Measures consensus and permits in a simulated restart of all instances of 1,000 agents, with 3 replicas.
 
-The decisions are those of the program, with no socket, file or process. An agent sends a heartbeat every half
-second, as in a fleet of a thousand agents; a restart takes an instance three seconds.
+The program's own decision code runs without sockets, files or processes. An agent sends a heartbeat every
+half second, as in a fleet of a thousand agents; the restart of an instance takes three seconds.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from oakkeel.units import MS, SECOND
 
 RESTART_TIME_NS = 3 * SECOND
-SITES = 20
+SITE_COUNT = 20
 
 
 def make_topology(hosts: int, instances_per_host: int) -> Topology:
@@ -33,8 +33,8 @@
     names = [f"h{number}" for number in range(hosts)]
     targets = {name: tuple(f"{name}i{number}" for number in range(instances_per_host)) for name in names}
     groups = []
-    for site in range(SITES):
-        members = tuple(target for name in names[site::SITES] for target in targets[name])
+    for site in range(SITE_COUNT):
+        members = tuple(target for name in names[site::SITE_COUNT] for target in targets[name])
         groups.append(BudgetGroup(f"site s{site}", max(1, len(members) // 10), members))
     all_targets = tuple(target for members in targets.values() for target in members)
     groups.append(BudgetGroup("fleet", hosts * instances_per_host // 10, all_targets))
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Numbers of heartbeats, envelopes and entries, and the nanoseconds spent on them."""
+    """Numbers of heartbeats, envelopes and log entries, and the nanoseconds spent to handle them."""
 
     heartbeats: int = 0
     heartbeat_ns: int = 0
@@ -92,9 +92,9 @@
         while self.envelopes:
             recipient, envelope = self.envelopes.popleft()
             if recipient in self.control_planes:
-                started = time.perf_counter_ns()
+                started_at = time.perf_counter_ns()
                 outputs = self.control_planes[recipient].receive(self.now, envelope)
-                self.counts.envelope_ns += time.perf_counter_ns() - started
+                self.counts.envelope_ns += time.perf_counter_ns() - started_at
                 self.counts.envelopes += 1
                 self.carry_out(outputs)
 
@@ -105,9 +105,9 @@
         up_by_target = {target: target not in self.restart_end_by_target for target in holder.targets}
         heartbeat = holder.heartbeat(self.now, up_by_target, [], {})
         leader = require_leader(self)
-        started = time.perf_counter_ns()
+        started_at = time.perf_counter_ns()
         response, outputs = leader.receive_heartbeat(self.now, heartbeat)
-        elapsed = time.perf_counter_ns() - started
+        elapsed = time.perf_counter_ns() - started_at
         self.counts.heartbeat_ns += elapsed
         self.counts.max_heartbeat_ns = max(self.counts.max_heartbeat_ns, elapsed)
         self.counts.heartbeats += 1
@@ -178,7 +178,7 @@
     leader = require_leader(fleet)
     submit_restarts(fleet, leader)
     counts_before = replace(fleet.counts)
-    started = fleet.now
+    started_at = fleet.now
     real_start = time.monotonic()
     ticks = 0
     while has_open_orders(leader) and time.monotonic() - real_start < real_limit:
@@ -189,7 +189,7 @@
         "instances": hosts * instances_per_host,
         "ended": not has_open_orders(leader),
         "real_s": time.monotonic() - real_start,
-        **collect_figures(fleet.counts, counts_before, idle_counts, (fleet.now - started) / SECOND),
+        **collect_figures(fleet.counts, counts_before, idle_counts, (fleet.now - started_at) / SECOND),
         "bound": hosts * instances_per_host // 10,
         "snapshot_kb": len(leader.state_machine.snapshot()) / 1024,
     }
@@ -205,15 +205,16 @@
     envelope_ns = counts.envelope_ns - counts_before.envelope_ns
     return {
         "simulated_s": seconds,
+        # A "poll" is a heartbeat, and a "letter" is an envelope.
         "poll_us": heartbeat_ns / max(1, heartbeats) / 1000,
-        "quiet_poll_us": idle_counts.heartbeat_ns / max(1, idle_counts.heartbeats) / 1000,
+        "quiet_poll_us": idle_counts.heartbeat_ns / max(1, idle_counts.heartbeats) / 1000,  # with no order
         "worst_poll_ms": counts.max_heartbeat_ns / 1e6,
         "letter_us": envelope_ns / max(1, envelopes) / 1000,
         "polls_a_second": heartbeats / seconds,
         "letters_a_second": envelopes / seconds,
         "leader_busy": (heartbeat_ns + envelope_ns / 2) / 1e9 / seconds,
-        "entries": counts.entries - counts_before.entries,
-        "most_out": counts.max_unavailable,
+        "entries": counts.entries - counts_before.entries,  # log entries stored by all replicas
+        "most_out": counts.max_unavailable,  # most instances that restart at a time
     }
 
 
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -1,4 +1,4 @@
-"""Measures the planner at 10,000 instances, and a simulated release of 1,000 nodes under drawn faults.
+"""Measures the planner at 10,000 instances, and a simulated release of 1,000 nodes under random faults.
 
 The release runs the program's agents, replicas and rollout controller on the emulator's clock. Its duration
 is compared with a lower bound that is computed afterwards from the outage of each node: no sequence of these
@@ -31,7 +31,10 @@
 
 
 def plan_durations(count: int) -> dict[str, float]:
-    """Return the milliseconds to choose a batch among `count` instances, 10 a host, at 20 sites, by case."""
+    """Return the milliseconds that the planner takes to choose a batch, by case.
+
+    There are `count` instances at 20 sites, with 10 instances on each host.
+    """
     names = [f"n{number}" for number in range(count)]
     sites = [names[number::20] for number in range(20)]
     hosts = {f"h{number}": tuple(names[number * 10 : number * 10 + 10]) for number in range(count // 10)}
@@ -44,9 +47,9 @@
     random = Random(1)
     median_durations: dict[str, float] = {}
     for label, max_batch, unavailable_share in (
-        ("one", 1, 0.0),
-        ("as many as may be", 500, 0.0),
-        ("a tenth out", 500, 0.1),
+        ("one", 1, 0.0),  # a batch of one instance
+        ("as many as may be", 500, 0.0),  # a batch of up to 500 instances
+        ("a tenth out", 500, 0.1),  # the same with a tenth of the instances unavailable
     ):
         unavailable = UnavailableTargets(topology)
         observations = {name: TargetObservation(name, "serving", 1, "", 0, 0.3) for name in names}
@@ -55,15 +58,15 @@
             observations[name].phase = "failing"
         durations = []
         for _ in range(5):
-            started = time.perf_counter()
+            started_at = time.perf_counter()
             planner.choose(0, names, observations, unavailable, BatchLimits(max_batch, 0.85))
-            durations.append(1000 * (time.perf_counter() - started))
+            durations.append(1000 * (time.perf_counter() - started_at))
         median_durations[label] = statistics.median(durations)
     return median_durations
 
 
 class DrainDurations:
-    """The time at which each target was drained by an order, and the duration until it served again."""
+    """Records when each target was drained, and the duration until the target served again."""
 
     def __init__(self, simulation: ConsensusSimulation) -> None:
         """Observe the events that the invariant checks receive."""
@@ -87,8 +90,8 @@
         simulation.audit.serving = on_serving  # type: ignore[method-assign]
 
 
-def _draw_schedule(seed: int, node_deaths: int, agent_kills: int) -> Schedule:
-    """Draw the times at which nodes die and agents are killed; two replicas are killed at fixed times."""
+def _random_schedule(seed: int, node_deaths: int, agent_kills: int) -> Schedule:
+    """Return random times of node deaths and agent kills; two replicas are killed at fixed times."""
     random = Random(seed)
     faults = [
         Fault(
@@ -123,22 +126,22 @@
 
 def release(seed: int, node_deaths: int, agent_kills: int, gated: bool) -> dict[str, Any]:
     """Release 1,000 nodes on 100 hosts at 5 sites, with at most 20 unavailable at each site."""
-    simulation = ConsensusSimulation(_draw_schedule(seed, node_deaths, agent_kills))
+    simulation = ConsensusSimulation(_random_schedule(seed, node_deaths, agent_kills))
     drain_durations = DrainDurations(simulation)
     simulation.clock.run(3 * SECOND)
-    started = simulation.clock.now
+    started_at = simulation.clock.now
     state = _follow_release(simulation, gated)
-    elapsed = (simulation.clock.now - started) / SECOND
+    elapsed = (simulation.clock.now - started_at) / SECOND
     outages = [duration / SECOND for duration in drain_durations.durations.values()]
     lower_bound = max(sum(outages) / (MAX_UNAVAILABLE * SITES), max(outages, default=0.0))
     return {
         "gated": gated,
         "state": state,
         "seconds": elapsed,
-        "best": lower_bound,
+        "best": lower_bound,  # lower bound of the duration
         "nodes": len(outages),
         "out_s": statistics.median(outages) if outages else 0.0,
-        "most": drain_durations.max_unavailable,
+        "most": drain_durations.max_unavailable,  # most nodes drained at a time
         "breaches": simulation.audit.breaches + simulation.rollout_audit.breaches,
         "events": simulation.clock.events_processed,
     }
@@ -146,14 +149,14 @@
 
 def _follow_release(simulation: ConsensusSimulation, gated: bool) -> str:
     """Start a release of all nodes, resume the release whenever it halts, and return its last state."""
-    started = simulation.clock.now
+    started_at = simulation.clock.now
     policy = commands.RolloutPolicy(
         soak=SECOND, verdict_timeout=120 * SECOND, batch_timeout=20 * SECOND, gated=gated, margin=0.05
     )
     spec = VersionSpec("good r", "here")
     propose(simulation, commands.StartRelease("r", "asha", 0, spec, policy, list(simulation.instances)))
     state = ""
-    while simulation.clock.now < started + 600 * SECOND:
+    while simulation.clock.now < started_at + 600 * SECOND:
         simulation.clock.run(simulation.clock.now + 200 * MS)
         leader = leader_of(simulation)
         if leader is None or leader.control_plane is None:
@@ -209,14 +212,14 @@
         )
     runs = []
     for gated in (False, True):
-        started = time.monotonic()
+        started_at = time.monotonic()
         run = release(arguments.seed, arguments.deaths, arguments.kills, gated)
         runs.append(run)
         print_line(
             f"{'with gates' if gated else 'batches alone'}: {run['state']} after {run['seconds']:.1f} s"
             f" simulated, {run['nodes']} changed, each out {run['out_s']:.2f} s in the median, at most"
             f" {run['most']} of {MAX_UNAVAILABLE * SITES} out; at best {run['best']:.1f} s;"
-            f" {run['events']} events in {time.monotonic() - started:.0f} s"
+            f" {run['events']} events in {time.monotonic() - started_at:.0f} s"
         )
         for breach in run["breaches"]:
             print_line(breach)
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -35,8 +35,8 @@
 SITES = {host: ("woodbrook", "belmont")[number % 2] for number, host in enumerate(HOSTS)}
 VOTERS = ("h1", "h2", "h3")
 NODE_NAMES = [name for names in HOSTS.values() for name in names]
-# the replacement of a service makes six nodes unavailable, which the limit of the fleet must allow
 MAX_UNAVAILABLE = 4
+# The replacement of a service makes six nodes unavailable, which the limit of the fleet must allow.
 FLEET_MAX_UNAVAILABLE = 7
 REQUEST_CLASSES: list[dict[str, Any]] = NODE_SETTINGS["classes"]  # type: ignore[assignment]
 PRIORITY_WEIGHTS = {str(group["name"]): float(group.get("worth", 1.0)) for group in REQUEST_CLASSES}
@@ -85,9 +85,9 @@
 
     async def _update_addresses(self) -> None:
         while True:
-            for name, row in (await self.rig.instance_statuses()).items():
-                if row.report:
-                    host, _, port = row.report.address.rpartition(":")
+            for name, status in (await self.rig.instance_statuses()).items():
+                if status.report:
+                    host, _, port = status.report.address.rpartition(":")
                     self.addresses[name] = host, int(port)
             await asyncio.sleep(0.1)
 
@@ -104,7 +104,7 @@
             sum(dispatcher.earned for dispatcher in self.dispatchers),
         )
 
-    def lost_except(self, killed: set[str]) -> int:
+    def count_lost_except(self, killed: set[str]) -> int:
         """Return the number of requests without a response at nodes that were not killed."""
         return sum(
             dispatcher.by_node[name][outcome]
@@ -133,8 +133,9 @@
         self.services = services
         self.ports = ports
         self.random = Random(seed)
-        self.killed: set[str] = set()
-        self.stopped_services: list[Catalogue] = []  # replaced, with connections open until the end
+        self.killed_nodes: set[str] = set()
+        # Replaced services, whose connections stay open until the end.
+        self.stopped_services: list[Catalogue] = []
         self.controller_kills = 0
         self.max_unavailable = 0
         self.max_with_permit = 0
@@ -213,8 +214,8 @@
         await self.rig.start_agent(leader)
 
     def _kill_node(self) -> None:
-        name = self.random.choice([entry for entry in NODE_NAMES if entry not in self.killed])
-        self.killed.add(name)
+        name = self.random.choice([entry for entry in NODE_NAMES if entry not in self.killed_nodes])
+        self.killed_nodes.add(name)
         self.rig.kill_node(name)
 
     async def replace_services(self, status: messages.ReleaseStatus) -> None:
@@ -322,12 +323,12 @@
     await asyncio.sleep(3.0)
     counts_before = load.counts
     weights_before = load.weights
-    started = time.monotonic()
+    started_at = time.monotonic()
     node_release, service_release = await _release_both(run, folder, gated)
-    elapsed = time.monotonic() - started
+    elapsed = time.monotonic() - started_at
     counts = load.counts - counts_before
     offered, earned = (total - at_start for total, at_start in zip(load.weights, weights_before, strict=True))
-    lost = load.lost_except(run.killed)
+    lost = load.count_lost_except(run.killed_nodes)
     await run.rig.wait_until_serving(timeout=60)
     run.is_finished = True
     await watch_task
@@ -341,11 +342,11 @@
         "ends": [node_release.state, service_release.state],
         "counts": dict(counts),
         "lost": lost,
-        "kept": earned / max(1.0, offered),
-        "most_placed": run.max_with_permit,
-        "most_out": run.max_unavailable,
-        "driver_kills": run.controller_kills,
-        "killed": sorted(run.killed),
+        "kept": earned / max(1.0, offered),  # fraction of the priority weight completed in time
+        "most_placed": run.max_with_permit,  # most nodes unavailable by permit
+        "most_out": run.max_unavailable,  # most nodes known to be unavailable, with or without a permit
+        "driver_kills": run.controller_kills,  # kills of the rollout controller
+        "killed": sorted(run.killed_nodes),
         "batches": [node_release.batch, service_release.batch],
         "new": sum(version == node_release.version.version for version in versions),
     }
