--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -55,12 +55,16 @@
     async def test_messages_with_unknown_keys_wrong_senders_or_wrong_sizes_change_nothing(self):
         leader = await self.rig.wait_for_leader()
         address = ("127.0.0.1", self.site.ports[leader])
-        before = (await self.rig.raft_statuses())[leader]
-        for data in (frame(b"what"), (0).to_bytes(4, "big"), (100 << 20).to_bytes(4, "big") + bytes(1 << 20)):
+        status_before = (await self.rig.raft_statuses())[leader]
+        for malformed_data in (
+            frame(b"what"),
+            (0).to_bytes(4, "big"),
+            (100 << 20).to_bytes(4, "big") + bytes(1 << 20),
+        ):
             reader, writer = await asyncio.open_connection(*address)
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 await reader.readexactly(4)
-                writer.write(data)
+                writer.write(malformed_data)
                 await asyncio.wait_for(reader.read(), 5)
             writer.close()
         keys = read_agent_keys(self.rig.fleet)
@@ -69,7 +73,7 @@
         with self.assertRaisesRegex(OSError, "rejected key"):
             await request_once(address, unknown_key, messages.PeerEnvelopesRequest([envelope]))
         follower = next(host for host in self.hosts if host != leader)
-        # The envelope names another sender than the key does.
+        # The sender in the envelope is not the host of the key.
         response = await request_once(address, keys[follower], messages.PeerEnvelopesRequest([envelope]))
         self.assertIsInstance(response, messages.PeerEnvelopesResponse)
         response = await request_once(
@@ -84,13 +88,16 @@
             address, self.rig.clients.key, messages.PeerEnvelopesRequest([envelope])
         )
         self.assertRegex(response.why, "the role of key .* does not allow that request")
-        after = (await self.rig.raft_statuses())[leader]
-        self.assertEqual((after.term, after.leader, len(after.members)), (before.term, leader, 3))
+        status_after = (await self.rig.raft_statuses())[leader]
+        self.assertEqual(
+            (status_after.term, status_after.leader, len(status_after.members)),
+            (status_before.term, leader, 3),
+        )
 
     async def test_commands_of_a_new_user_work_on_a_running_fleet(self):
         leader = await self.rig.wait_for_leader()
 
-        def run(*arguments: str) -> subprocess.CompletedProcess:
+        def run_command(*arguments: str) -> subprocess.CompletedProcess:
             return subprocess.run(
                 [
                     sys.executable,
@@ -106,20 +113,20 @@
                 text=True,
             )
 
-        shown = await asyncio.to_thread(run, "keepers")
+        shown = await asyncio.to_thread(run_command, "keepers")
         self.assertEqual(shown.returncode, 0, shown)
         self.assertIn("leading", next(line for line in shown.stdout.splitlines() if line.startswith(leader)))
-        drained = await asyncio.to_thread(run, "drain", "n4a", "--id", "d1", "--whole")
+        drained = await asyncio.to_thread(run_command, "drain", "n4a", "--id", "d1", "--whole")
         self.assertEqual(drained.returncode, 0, drained)
-        shown = await asyncio.to_thread(run, "places", "--output", "json")
+        shown = await asyncio.to_thread(run_command, "places", "--output", "json")
         shown_places = json.loads(shown.stdout)
         self.assertEqual([entry["thing"] for entry in shown_places["out"]], ["n4a"])
-        halted = await asyncio.to_thread(run, "drain", "--halt", "d1")
+        halted = await asyncio.to_thread(run_command, "drain", "--halt", "d1")
         self.assertEqual(halted.returncode, 0, halted)
-        cancelled = await asyncio.to_thread(run, "cancel", "d1")
+        cancelled = await asyncio.to_thread(run_command, "cancel", "d1")
         self.assertEqual(cancelled.returncode, 0, cancelled)
         await self.rig.wait_until_serving(["n4a"])
-        rejected = await asyncio.to_thread(run, "cancel", "d9")
+        rejected = await asyncio.to_thread(run_command, "cancel", "d9")
         self.assertEqual((rejected.returncode, rejected.stderr), (1, "oakkeel: unknown order d9\n"))
 
 
--- a/tests/cluster/test_rollout_programs.py
+++ b/tests/cluster/test_rollout_programs.py
@@ -16,7 +16,7 @@
 
 class RejectedProgramTest(RolloutCase):
     async def test_worse_program_halts_release_with_figures_until_rolled_back(self):
-        before = read_running_versions(self.folder, self.hosts)
+        versions_before = read_running_versions(self.folder, self.hosts)
         await self.start_release(self.write_program("bad", "worse"))
         status = await self.wait_for_end("halted")
         self.assertRegex(
@@ -32,7 +32,7 @@
         await self.rig.wait_until_serving()
         for name, version in read_running_versions(self.folder, self.hosts).items():
             self.assertNotEqual(version, status.version.version, name)
-        self.assertEqual(set(before.values()), {""})
+        self.assertEqual(set(versions_before.values()), {""})
 
     async def test_crashing_and_silent_programs_roll_back_automatically(self):
         await self.start_release(
@@ -78,8 +78,10 @@
         [host] = [host for host, names in self.hosts.items() if "n4a" in names]
         folder = os.path.join(self.folder, host, "versions")
         self.assertIsNotNone(ContentStore(folder).find(version))
-        dropped = ContentStore(folder).prune({version})
-        self.assertEqual((dropped, ContentStore(folder).find(version) is None), ([spec.version], False))
+        removed_versions = ContentStore(folder).prune({version})
+        self.assertEqual(
+            (removed_versions, ContentStore(folder).find(version) is None), ([spec.version], False)
+        )
 
     async def test_runs_stored_copy_after_its_source_has_changed(self):
         spec = self.write_program("v2")
@@ -98,7 +100,7 @@
     hosts: ClassVar = {"h1": ["n1a"], "h2": ["n2a"], "h3": ["n3a"]}
     sites: ClassVar = dict.fromkeys(hosts, "woodbrook")
 
-    async def oakkeel(self, *arguments: str) -> tuple[int, str, str]:
+    async def run_rollout_command(self, *arguments: str) -> tuple[int, str, str]:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -117,19 +119,19 @@
 
     async def test_rejects_bad_options_and_applies_patch_to_configuration(self):
         program = self.write_program("v2").program
-        for arguments, text in (
+        for arguments, expected_error in (
             (["--program", program], "select instances by name"),
             (["--all"], "name the new version of instances"),
             (["--all", "--program", program, "--version", "x"], "name the new version of instances"),
             (["--all", "--config", self.site.settings], "Expecting value"),
         ):
-            code, _, err = await self.oakkeel("start", *arguments)
-            self.assertEqual((code, text in err), (2, True), err)
-        self.assertEqual((await self.oakkeel("status"))[0], 1)
+            code, _, err = await self.run_rollout_command("start", *arguments)
+            self.assertEqual((code, expected_error in err), (2, True), err)
+        self.assertEqual((await self.run_rollout_command("status"))[0], 1)
         patch = os.path.join(self.folder, "patch.json")
         with open(patch, "w", encoding="ascii") as file:
             file.write('{"settings": {"ceilings": {"max-retry-after": 1234567}}, "stop_ms": null}')
-        code, out, err = await self.oakkeel(
+        code, out, err = await self.run_rollout_command(
             "start", "--config", patch, "n1a", "--no-gates", "--output", "json"
         )
         self.assertEqual((code, json.loads(out)["state"]), (0, "done"), err)
@@ -139,9 +141,9 @@
             configuration["settings"]["ceilings"], {"retry-after": True, "max-retry-after": 1234567}
         )
         self.assertNotIn("stop_ms", configuration)
-        code, _, err = await self.oakkeel("start", "--program", program, "n1a", "--no-wait")
+        code, _, err = await self.run_rollout_command("start", "--program", program, "n1a", "--no-wait")
         self.assertEqual((code, "released patch" in err), (1, True), err)
-        code, out, _ = await self.oakkeel(
+        code, out, _ = await self.run_rollout_command(
             "start", "--program", program, "n1a", "n2a", "--as-set", "--no-gates"
         )
         self.assertEqual((code, "2 new" in out), (0, True), out)
--- a/tests/cluster/test_rollout_services.py
+++ b/tests/cluster/test_rollout_services.py
@@ -11,7 +11,7 @@
 
 
 class ServiceRolloutTest(RolloutCase):
-    """The test replaces the services; the health of the dependents shows the behaviour of the new ones."""
+    """Tests that replace services; scripts of dependent instances simulate the effect of a new service."""
 
     hosts: ClassVar = {"h1": ["n1a", "n1b"], "h2": ["n2a", "n2b"], "h3": ["n3a", "n3b"]}
     sites: ClassVar = {"h1": "woodbrook", "h2": "belmont", "h3": "st-james"}
