--- a/measure/places.py
+++ b/measure/places.py
@@ -165,7 +165,7 @@
     return any(order.is_open for order in leader.state_machine.state.orders.values())
 
 
-def play(hosts: int, instances_per_host: int, real_limit: float) -> dict[str, Any]:
+def measure_restart(hosts: int, instances_per_host: int, real_limit: float) -> dict[str, Any]:
     """Restart a fleet in simulated time, for at most `real_limit` real seconds; return the figures."""
     fleet = Fleet(make_topology(hosts, instances_per_host))
     while fleet.leader is None:
@@ -179,18 +179,18 @@
     submit_restarts(fleet, leader)
     counts_before = replace(fleet.counts)
     started_at = fleet.now
-    real_start = time.monotonic()
+    real_started_at = time.monotonic()
     ticks = 0
-    while has_open_orders(leader) and time.monotonic() - real_start < real_limit:
+    while has_open_orders(leader) and time.monotonic() - real_started_at < real_limit:
         fleet.advance(heartbeat_groups[ticks % 50])
         ticks += 1
     return {
         "hosts": hosts,
         "instances": hosts * instances_per_host,
-        "ended": not has_open_orders(leader),
-        "real_s": time.monotonic() - real_start,
+        "ended": not has_open_orders(leader),  # whether the restart ended within `real_limit`
+        "real_s": time.monotonic() - real_started_at,
         **collect_figures(fleet.counts, counts_before, idle_counts, (fleet.now - started_at) / SECOND),
-        "bound": hosts * instances_per_host // 10,
+        "bound": hosts * instances_per_host // 10,  # maximum unavailable of the fleet
         "snapshot_kb": len(leader.state_machine.snapshot()) / 1024,
     }
 
@@ -223,14 +223,14 @@
     arguments = parse_arguments(__doc__ or "", hosts=1000, each=10, most=240.0)
     figures = []
     for hosts in (arguments.hosts // 10, arguments.hosts):
-        row = play(hosts, arguments.each, arguments.most)
-        figures.append(row)
+        run = measure_restart(hosts, arguments.each, arguments.most)
+        figures.append(run)
         print_line(
-            f"{row['instances']} instances on {hosts} hosts restarted in {row['simulated_s']:.0f} s"
-            f" simulated ({row['real_s']:.0f} s real), at most {row['most_out']} of {row['bound']} out;"
-            f" {row['polls_a_second']:.0f} heartbeats and {row['letters_a_second']:.0f} messages a second,"
-            f" {row['poll_us']:.0f} us a heartbeat ({row['quiet_poll_us']:.0f} with no order, worst"
-            f" {row['worst_poll_ms']:.0f} ms), {row['letter_us']:.0f} us a message"
+            f"{run['instances']} instances on {hosts} hosts restarted in {run['simulated_s']:.0f} s"
+            f" simulated ({run['real_s']:.0f} s real), at most {run['most_out']} of {run['bound']} out;"
+            f" {run['polls_a_second']:.0f} heartbeats and {run['letters_a_second']:.0f} messages a second,"
+            f" {run['poll_us']:.0f} us a heartbeat ({run['quiet_poll_us']:.0f} with no order, worst"
+            f" {run['worst_poll_ms']:.0f} ms), {run['letter_us']:.0f} us a message"
         )
     write_figures(arguments, {"machine": describe_machine(), "plays": figures})
     small, large = figures
@@ -241,7 +241,7 @@
         f" {large['leader_busy']:.2f} of a core, {large['snapshot_kb']:.0f} KB a snapshot,"
         f" {large['poll_us'] / small['poll_us']:.2f} times as much a poll as with {small['hosts']}"
     )
-    return 0 if all(row["ended"] and row["most_out"] <= row["bound"] for row in figures) else 1
+    return 0 if all(run["ended"] and run["most_out"] <= run["bound"] for run in figures) else 1
 
 
 if __name__ == "__main__":
