--- a/tests/support/control_process.py
+++ b/tests/support/control_process.py
@@ -10,12 +10,15 @@
 
 
 class ControlledNodeTest(NodeProcessTest):
+    """A test that sends requests to a node over its control link, as an agent does."""
+
     def setUp(self) -> None:
         super().setUp()
         self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "n3.sock")
         self.enterContext(mock.patch.dict(os.environ, OAKKEEL_CONTROL=self.path, OAKKEEL_GENERATION="7"))
 
     def link(self):
+        """Open a control link and return its stream."""
         link = socket.socket(socket.AF_UNIX)
         link.settimeout(WAIT)
         link.connect(self.path)
@@ -25,10 +28,12 @@
         return stream
 
     def say(self, stream, **message) -> dict:
+        """Send a request and return the response."""
         stream.write(json.dumps(message).encode() + b"\n")
         return json.loads(stream.readline())
 
     def ended(self, stream) -> bool:
+        """Wait for more input; return whether the node has closed the link instead."""
         try:
             return stream.readline() == b""
         except ConnectionResetError:  # the node closed the link before it read all input
--- a/tests/support/fair_sharing.py
+++ b/tests/support/fair_sharing.py
@@ -1,4 +1,4 @@
-"""Simulated nodes with fair sharing, and the shares that their clients obtain."""
+"""Builds simulated nodes with fair sharing, and measures the shares that their clients obtain."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 def shares_obtained(
     node: SimulatedNode, clients: list[SimulatedClient], seconds: float = 8, warm: float = 4
 ) -> tuple[list[float], float]:
-    """Return the fraction of its fair share that each client got, and the admitted fraction of retries."""
+    """Return the fraction of its fair share that each client got, and the admitted fraction of retries.
+
+    The node runs for `warm` seconds before the measurement.
+    """
     node.pass_time(warm)
     before = [
         (client.counts["in time"], client.first_attempts, client.scheduled_returns, client.admitted_returns)
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -49,6 +49,7 @@
 )
 
 
+# The default request class of the tests.
 GROUP = RequestClass(
     index=0,
     idempotency=Idempotency.IDEMPOTENT,
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -20,7 +20,7 @@
 from oakkeel.fakes import site as fakes_site
 from oakkeel.units import MS, SECOND
 
-WAIT = 20
+WAIT = 20  # seconds until a wait of a test fails
 
 
 NODE_SETTINGS = {
@@ -67,10 +67,12 @@
 
 
 class Dispatcher:
+    """A dispatcher with one connection to the node, which sends requests and reads the answers."""
+
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port), timeout=WAIT)
         self.stream = self.socket.makefile("rb")
-        self.tag = 0
+        self.tag = 0  # of the last request
 
     def send(self, *words: bytes | str) -> None:
         self.socket.sendall(encode(*(word if isinstance(word, bytes) else word.encode() for word in words)))
@@ -117,7 +119,7 @@
     def __init__(self) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
         self.gauges = "0.1 0.0 0.1 1.0"
-        self.number = 0
+        self.number = 0  # of the last DONE or NEED that the engine sent
         self.link: socket.socket | None = None
         self.started_at = time.monotonic() - 60.0
 
@@ -126,9 +128,9 @@
         return f"{(time.monotonic() - self.started_at) * 1000:.1f}"
 
     def attach(self, state: str = "steady", age: str = "", answer: bool = True) -> int:
-        """Accept a link; return the number of the last notice that the node has read.
+        """Accept a link; return the number of the last DONE or NEED that the node has read.
 
-        A non-empty `age` sets the start time of the engine.
+        A non-empty `age`, in milliseconds, sets the start time of the engine.
         """
         if age:
             self.started_at = time.monotonic() - float(age) / 1000
