--- a/tests/cluster/test_storage_faults.py
+++ b/tests/cluster/test_storage_faults.py
@@ -43,7 +43,7 @@
     ):
         await self.submit_order_with_retry("o1", "drain", ["n4a"])
         await self.rig.wait_until_ended("o1")
-        before = await self.rig.generations()
+        generations_before = await self.rig.generations()
         await self.rig.kill_agent("h4")
         self.rig.kill_node("n4b")
         self.rig.delete_databases("h4", "agent.db")
@@ -56,9 +56,9 @@
         await self.rig.wait_until_serving(["n4b"])
         statuses = await self.rig.instance_statuses()
         self.assertEqual((statuses["n4a"].phase, statuses["n4a"].goal), ("stopped", "down"))
-        self.assertGreater(statuses["n4a"].generation, before["n4a"])
-        self.assertGreater(statuses["n4b"].generation, before["n4b"])
-        response = await self.rig.submit_order("old", "drain", ["n4b"], generations=before)
+        self.assertGreater(statuses["n4a"].generation, generations_before["n4a"])
+        self.assertGreater(statuses["n4b"].generation, generations_before["n4b"])
+        response = await self.rig.submit_order("old", "drain", ["n4b"], generations=generations_before)
         self.assertIsInstance(response, messages.FleetOrderStatus)
         self.assertEqual(await self.rig.wait_until_ended("old"), {"n4b": "refused"})
 
