--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -88,9 +88,11 @@
         self.rig.kill_node("n5a")
         self.rig.kill_node("n5b")
         await asyncio.sleep(4.0)
-        before = {name: self.journal_events(name).count("start") for name in ("n4a", "n4b")}
+        start_counts = {name: self.journal_events(name).count("start") for name in ("n4a", "n4b")}
         await asyncio.sleep(2.0)
-        self.assertEqual({name: self.journal_events(name).count("start") for name in before}, before)
+        self.assertEqual(
+            {name: self.journal_events(name).count("start") for name in start_counts}, start_counts
+        )
         self.rig.links.clear_faults()
         status = await self.wait_for_end("done", "halted")
         if status.state == "halted":
@@ -128,9 +130,11 @@
         for host in ("h1", "h2"):
             await self.rig.kill_agent(host)
         await asyncio.sleep(1.5)
-        starts = {name: self.journal_events(name).count("start") for name in ALL_TARGETS}
+        start_counts = {name: self.journal_events(name).count("start") for name in ALL_TARGETS}
         await asyncio.sleep(2.0)
-        self.assertEqual({name: self.journal_events(name).count("start") for name in ALL_TARGETS}, starts)
+        self.assertEqual(
+            {name: self.journal_events(name).count("start") for name in ALL_TARGETS}, start_counts
+        )
         for host in ("h1", "h2"):
             await self.rig.start_agent(host)
         status = await self.wait_for_end("done", "halted")
--- a/tests/compatibility/test_state_folder.py
+++ b/tests/compatibility/test_state_folder.py
@@ -15,7 +15,7 @@
 from tests.compatibility.fixtures import DATA, HOSTS, assert_same_keys, load_fixture
 from tests.support.rig_case import SUPERVISION
 
-HOUR = 3600 * 1_000_000_000
+HOUR_NS = 3600 * 1_000_000_000
 
 
 def move_to_this_boot(path: str) -> None:
@@ -26,12 +26,12 @@
     """
     with contextlib.closing(sqlite3.connect(path)) as database, database:
         database.execute("UPDATE boot SET id = ?", (read_boot_id(),))
-        database.execute("UPDATE orders SET expires = ?", (time.monotonic_ns() + HOUR,))
+        database.execute("UPDATE orders SET expires = ?", (time.monotonic_ns() + HOUR_NS,))
         database.execute("UPDATE instances SET start_at = 0")
 
 
 class StateFolderCompatibilityTest(unittest.IsolatedAsyncioTestCase):
-    """Agents that start with the state folders of ea5a81e continue from the state of that version."""
+    """Agents that start with the state folders written by commit ea5a81e continue from that state."""
 
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
