--- a/measure/places.py
+++ b/measure/places.py
@@ -1,7 +1,7 @@
 """Measures consensus and permits in a simulated restart of all instances of 1,000 agents, with 3 replicas.
 
-The decisions are those of the program, with no socket, file or process. An agent sends a heartbeat every half
-second, as in a fleet of a thousand agents; a restart takes an instance three seconds.
+The program's own decision code runs without sockets, files or processes. An agent sends a heartbeat every
+half second, as in a fleet of a thousand agents; the restart of an instance takes three seconds.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from oakkeel.units import MS, SECOND
 
 RESTART_TIME_NS = 3 * SECOND
-SITES = 20
+SITE_COUNT = 20
 
 
 def make_topology(hosts: int, instances_per_host: int) -> Topology:
@@ -33,8 +33,8 @@
     names = [f"h{number}" for number in range(hosts)]
     targets = {name: tuple(f"{name}i{number}" for number in range(instances_per_host)) for name in names}
     groups = []
-    for site in range(SITES):
-        members = tuple(target for name in names[site::SITES] for target in targets[name])
+    for site in range(SITE_COUNT):
+        members = tuple(target for name in names[site::SITE_COUNT] for target in targets[name])
         groups.append(BudgetGroup(f"site s{site}", max(1, len(members) // 10), members))
     all_targets = tuple(target for members in targets.values() for target in members)
     groups.append(BudgetGroup("fleet", hosts * instances_per_host // 10, all_targets))
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Numbers of heartbeats, envelopes and entries, and the nanoseconds spent on them."""
+    """Numbers of heartbeats, envelopes and log entries, and the nanoseconds spent to handle them."""
 
     heartbeats: int = 0
     heartbeat_ns: int = 0
@@ -92,9 +92,9 @@
         while self.envelopes:
             recipient, envelope = self.envelopes.popleft()
             if recipient in self.control_planes:
-                started = time.perf_counter_ns()
+                started_at = time.perf_counter_ns()
                 outputs = self.control_planes[recipient].receive(self.now, envelope)
-                self.counts.envelope_ns += time.perf_counter_ns() - started
+                self.counts.envelope_ns += time.perf_counter_ns() - started_at
                 self.counts.envelopes += 1
                 self.carry_out(outputs)
 
@@ -105,9 +105,9 @@
         up_by_target = {target: target not in self.restart_end_by_target for target in holder.targets}
         heartbeat = holder.heartbeat(self.now, up_by_target, [], {})
         leader = require_leader(self)
-        started = time.perf_counter_ns()
+        started_at = time.perf_counter_ns()
         response, outputs = leader.receive_heartbeat(self.now, heartbeat)
-        elapsed = time.perf_counter_ns() - started
+        elapsed = time.perf_counter_ns() - started_at
         self.counts.heartbeat_ns += elapsed
         self.counts.max_heartbeat_ns = max(self.counts.max_heartbeat_ns, elapsed)
         self.counts.heartbeats += 1
@@ -165,7 +165,7 @@
     return any(order.is_open for order in leader.state_machine.state.orders.values())
 
 
-def play(hosts: int, instances_per_host: int, real_limit: float) -> dict[str, Any]:
+def measure_restart(hosts: int, instances_per_host: int, real_limit: float) -> dict[str, Any]:
     """Restart a fleet in simulated time, for at most `real_limit` real seconds; return the figures."""
     fleet = Fleet(make_topology(hosts, instances_per_host))
     while fleet.leader is None:
@@ -178,19 +178,19 @@
     leader = require_leader(fleet)
     submit_restarts(fleet, leader)
     counts_before = replace(fleet.counts)
-    started = fleet.now
-    real_start = time.monotonic()
+    started_at = fleet.now
+    real_started_at = time.monotonic()
     ticks = 0
-    while has_open_orders(leader) and time.monotonic() - real_start < real_limit:
+    while has_open_orders(leader) and time.monotonic() - real_started_at < real_limit:
         fleet.advance(heartbeat_groups[ticks % 50])
         ticks += 1
     return {
         "hosts": hosts,
         "instances": hosts * instances_per_host,
-        "ended": not has_open_orders(leader),
-        "real_s": time.monotonic() - real_start,
-        **collect_figures(fleet.counts, counts_before, idle_counts, (fleet.now - started) / SECOND),
-        "bound": hosts * instances_per_host // 10,
+        "ended": not has_open_orders(leader),  # whether the restart ended within `real_limit`
+        "real_s": time.monotonic() - real_started_at,
+        **collect_figures(fleet.counts, counts_before, idle_counts, (fleet.now - started_at) / SECOND),
+        "bound": hosts * instances_per_host // 10,  # maximum unavailable of the fleet
         "snapshot_kb": len(leader.state_machine.snapshot()) / 1024,
     }
 
@@ -205,15 +205,16 @@
     envelope_ns = counts.envelope_ns - counts_before.envelope_ns
     return {
         "simulated_s": seconds,
+        # A "poll" is a heartbeat, and a "letter" is an envelope.
         "poll_us": heartbeat_ns / max(1, heartbeats) / 1000,
-        "quiet_poll_us": idle_counts.heartbeat_ns / max(1, idle_counts.heartbeats) / 1000,
+        "quiet_poll_us": idle_counts.heartbeat_ns / max(1, idle_counts.heartbeats) / 1000,  # with no order
         "worst_poll_ms": counts.max_heartbeat_ns / 1e6,
         "letter_us": envelope_ns / max(1, envelopes) / 1000,
         "polls_a_second": heartbeats / seconds,
         "letters_a_second": envelopes / seconds,
         "leader_busy": (heartbeat_ns + envelope_ns / 2) / 1e9 / seconds,
-        "entries": counts.entries - counts_before.entries,
-        "most_out": counts.max_unavailable,
+        "entries": counts.entries - counts_before.entries,  # log entries stored by all replicas
+        "most_out": counts.max_unavailable,  # most instances that restart at a time
     }
 
 
@@ -222,14 +223,14 @@
     arguments = parse_arguments(__doc__ or "", hosts=1000, each=10, most=240.0)
     figures = []
     for hosts in (arguments.hosts // 10, arguments.hosts):
-        row = play(hosts, arguments.each, arguments.most)
-        figures.append(row)
+        run = measure_restart(hosts, arguments.each, arguments.most)
+        figures.append(run)
         print_line(
-            f"{row['instances']} instances on {hosts} hosts restarted in {row['simulated_s']:.0f} s"
-            f" simulated ({row['real_s']:.0f} s real), at most {row['most_out']} of {row['bound']} out;"
-            f" {row['polls_a_second']:.0f} heartbeats and {row['letters_a_second']:.0f} messages a second,"
-            f" {row['poll_us']:.0f} us a heartbeat ({row['quiet_poll_us']:.0f} with no order, worst"
-            f" {row['worst_poll_ms']:.0f} ms), {row['letter_us']:.0f} us a message"
+            f"{run['instances']} instances on {hosts} hosts restarted in {run['simulated_s']:.0f} s"
+            f" simulated ({run['real_s']:.0f} s real), at most {run['most_out']} of {run['bound']} out;"
+            f" {run['polls_a_second']:.0f} heartbeats and {run['letters_a_second']:.0f} messages a second,"
+            f" {run['poll_us']:.0f} us a heartbeat ({run['quiet_poll_us']:.0f} with no order, worst"
+            f" {run['worst_poll_ms']:.0f} ms), {run['letter_us']:.0f} us a message"
         )
     write_figures(arguments, {"machine": describe_machine(), "plays": figures})
     small, large = figures
@@ -240,7 +241,7 @@
         f" {large['leader_busy']:.2f} of a core, {large['snapshot_kb']:.0f} KB a snapshot,"
         f" {large['poll_us'] / small['poll_us']:.2f} times as much a poll as with {small['hosts']}"
     )
-    return 0 if all(row["ended"] and row["most_out"] <= row["bound"] for row in figures) else 1
+    return 0 if all(run["ended"] and run["most_out"] <= run["bound"] for run in figures) else 1
 
 
 if __name__ == "__main__":
