--- a/oakkeel/admission/arrival_decision.py
+++ b/oakkeel/admission/arrival_decision.py
@@ -92,7 +92,9 @@
 
     def _fits_behind_queue(self, now: int, request: Request, service_time: float) -> bool:
         node = self.node
-        wait_time = queue_wait_time(node.ranking.service_times, node.occupancy.waiting(), node.limits.cores)
+        wait_time = queue_wait_time(
+            node.ranking.service_times, node.occupancy.waiting_count(), node.limits.cores
+        )
         return can_end_in_time_after_queue(now, request, service_time, wait_time)
 
     def _reject_as_full(self, now: int, request: Request, reason: RejectionReason) -> RejectionDecision:
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -56,7 +56,7 @@
         """Report the node as healthy and start the poll."""
         self.host = host
         self.limits = limits
-        self.started = now  # set by the host if the engine started earlier or was restarted
+        self.started_at = now  # set by the host if the engine started earlier or was restarted
         self.random = Random(seed).random
         self.timers = RequestTimers(host, TIMER_STEP_NS)
         self.occupancy = Occupancy(limits)
@@ -246,7 +246,7 @@
         """Update overload stages and ranks, and send the health, the load report and the idle time-out."""
         self.overload.poll(now, gauges.core_busy, self.node.depth_per_core())
         self.occupancy.expire_keys(now)
-        self.ranking.poll(now, self.started)
+        self.ranking.poll(now, self.started_at)
         self._report_load(now)
         self.signals.update_health(now)
         self.signals.close_idle_connections(now, gauges.connections)
@@ -256,7 +256,7 @@
         self.signals.report_load(self.shedding.threshold, self._warmth(now))
 
     def _warmth(self, now: int) -> float:
-        return self.limits.warmth(now - self.started)
+        return self.limits.warmth(now - self.started_at)
 
 
 def _create_fair_sharing(limits: NodeLimits, random: Callable[[], float]) -> FairSharing | None:
--- a/oakkeel/admission/node_state.py
+++ b/oakkeel/admission/node_state.py
@@ -36,7 +36,9 @@
 
     def depth_per_core(self) -> float:
         """Return the number of requests for each core that are queued or hold a run slot."""
-        return depth_per_core(self.occupancy.waiting(), self.occupancy.run_slots_in_use(), self.limits.cores)
+        return depth_per_core(
+            self.occupancy.waiting_count(), self.occupancy.run_slots_in_use(), self.limits.cores
+        )
 
     def retry_after(self) -> int:
         """Return the nanoseconds after which a rejected client may retry at the present load."""
--- a/oakkeel/admission/occupancy.py
+++ b/oakkeel/admission/occupancy.py
@@ -37,7 +37,7 @@
 
     def __init__(self, limits: NodeLimits) -> None:
         """Start with no request and no key."""
-        self.count = [0] * len(State)  # number of requests, by state
+        self.counts = [0] * len(State)  # number of requests, by state
         self.memory_kb = 0.0
         self.key_kb = limits.key_kb
         self.key_expiries: list[int] = []  # a heap of the times at which retained keys expire
@@ -57,8 +57,8 @@
             raise InvalidTransitionError("a request", old_state.name, state.name)
         if old_state is RUNNING:
             request.service_time += now - request.state_since
-        self.count[old_state] -= 1
-        self.count[state] += 1
+        self.counts[old_state] -= 1
+        self.counts[state] += 1
         self.memory_kb += request.memory_kb * (self.memory_factors[state] - self.memory_factors[old_state])
         request.state = state
         request.state_since = now
@@ -74,14 +74,14 @@
             heappop(self.key_expiries)
             self.memory_kb -= self.key_kb
 
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Count the requests that wait for a core."""
-        return self.count[DELAYED] + self.count[QUEUED]
+        return self.counts[DELAYED] + self.counts[QUEUED]
 
     def run_slots_in_use(self) -> int:
         """Count the requests that hold a run slot: those running or waiting for their call to be placed."""
-        return self.count[RUNNING] + self.count[ORPHANED] + self.count[AWAITING_CALL]
+        return self.counts[RUNNING] + self.counts[ORPHANED] + self.counts[AWAITING_CALL]
 
     def calls_in_flight(self) -> int:
         """Count the requests with a downstream call in flight."""
-        return self.count[CALLING]
+        return self.counts[CALLING]
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -240,10 +240,10 @@
     def run(self, request: Request) -> None:
         """Start the request on the cores."""
 
-    def reject(self, request: Request, final: bool, retry_after: int) -> None:
+    def reject(self, request: Request, is_final: bool, retry_after: int) -> None:
         """Answer that the request had no lasting effect: it never ran, or it is idempotent.
 
-        `final` is true if a retry on another node would only add parsing work there.
+        `is_final` is true if a retry on another node would only add parsing work there.
         """
 
     def fail(self, request: Request) -> None:
@@ -252,8 +252,8 @@
     def cancel(self, request: Request) -> None:
         """Stop the run of the request."""
 
-    def call(self, request: Request, until: int) -> None:
-        """Place the downstream call of the request, which ends by `until`."""
+    def call(self, request: Request, call_end: int) -> None:
+        """Place the downstream call of the request, which ends by `call_end`."""
 
     def skip_call(self, request: Request) -> None:
         """Continue the run of the request without the call."""
@@ -267,11 +267,11 @@
     def release_key(self, request: Request) -> None:
         """Drop the key of a request that never ran."""
 
-    def set_timer(self, token: int, at: int) -> None:
-        """Call `AdmissionController.timer_expired` with the token at `at`."""
+    def set_timer(self, token: int, due_at: int) -> None:
+        """Call `AdmissionController.timer_expired` with the token at `due_at`."""
 
-    def set_health(self, good: bool, stored: bool) -> None:
-        """Set the answer to health checks; with `stored`, a check returns it without computing anything."""
+    def set_health(self, is_healthy: bool, is_stored: bool) -> None:
+        """Set the answer to health checks; with `is_stored`, a check returns it without computing anything."""
 
     def report_load(self, value: float) -> None:
         """Send clients the value; `NodeLimits.load_report` defines its meaning."""
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -158,7 +158,7 @@
 
     def apply_response(self, now: int, sent_at: int, response: HeartbeatResponse) -> list[Order]:
         """Apply the response to a heartbeat that was sent at `sent_at`. Returns newly accepted orders."""
-        is_first_response = not self.permit_holder.synchronized
+        is_first_response = not self.permit_holder.is_synchronized
         stored_generation_limits = dict(self.permit_holder.generations)
         if not self.permit_holder.receive_response(now, sent_at, response):
             return []
--- a/oakkeel/agent/state_writer.py
+++ b/oakkeel/agent/state_writer.py
@@ -54,7 +54,7 @@
         return bool(
             self.orders.changed
             or self.orders.deleted
-            or (self.permit_holder and self.permit_holder.changed)
+            or (self.permit_holder and self.permit_holder.changed_targets)
             or (self.assignments and self.assignments.changed)
         )
 
@@ -62,6 +62,6 @@
         self.orders.changed.clear()
         self.orders.deleted.clear()
         if self.permit_holder:
-            self.permit_holder.changed.clear()
+            self.permit_holder.changed_targets.clear()
         if self.assignments:
             self.assignments.changed = False
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -180,7 +180,7 @@
 def permit_statements(permit_holder: PermitHolder) -> list[Statement]:
     """The statements that write changed permits, and the epoch of the replicated log that granted them."""
     statements: list[Statement] = []
-    for target in sorted(permit_holder.changed):
+    for target in sorted(permit_holder.changed_targets):
         permit = permit_holder.permits.get(target)
         statements.append(
             (
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -109,7 +109,7 @@
             self.unavailable.set(target, NOT_SERVING_REASON, serving is False)
         self.must_plan = True
 
-    def applied(self, now: int, index: int, command: commands.Command, result: object) -> None:
+    def handle_applied(self, now: int, index: int, command: commands.Command, result: object) -> None:
         """Update the leader's state after a command was applied, whichever leader had proposed it."""
         self._clear_pending(command)
         if isinstance(result, Rejection):
@@ -139,7 +139,7 @@
             if task and task.state == FleetTaskState.WAITING:
                 self.planner.enqueue(order_id, target)
 
-    def lost(self, command: msgspec.Struct) -> None:
+    def handle_lost_command(self, command: msgspec.Struct) -> None:
         """Forget a command that could not be proposed or will never be committed."""
         self._clear_pending(command)
         self.must_plan = True
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -38,11 +38,11 @@
         """Return the `extension` of the response to a host's heartbeat."""
         ...
 
-    def applied(self, now: int, command: msgspec.Struct, result: object, /) -> None:
+    def handle_applied(self, now: int, command: msgspec.Struct, result: object, /) -> None:
         """Update the extension after a command was applied."""
         ...
 
-    def lost(self, command: msgspec.Struct, /) -> None:
+    def handle_lost_command(self, command: msgspec.Struct, /) -> None:
         """Forget a command that will never be committed."""
         ...
 
@@ -188,14 +188,14 @@
 
     def _forget_command(self, command: msgspec.Struct) -> None:
         if self.allocator:
-            self.allocator.lost(command)
+            self.allocator.handle_lost_command(command)
         if self.extension:
-            self.extension.lost(command)
+            self.extension.handle_lost_command(command)
 
     def _handle_applied(self, index: int, command: commands.Command, result: object) -> None:
         if self.on_committed:
             self.on_committed(index, command, result)
         if self.allocator:
-            self.allocator.applied(self.now, index, command, result)
+            self.allocator.handle_applied(self.now, index, command, result)
         if self.extension:
-            self.extension.applied(self.now, command, result)
+            self.extension.handle_applied(self.now, command, result)
--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -48,7 +48,7 @@
 class PermitHolder:
     """The permits of one host's agent.
 
-    The permits of the targets in `changed` must be stored before the agent acts on them.
+    The permits of the targets in `changed_targets` must be stored before the agent acts on them.
     """
 
     def __init__(self, host: str, targets: tuple[str, ...], incarnation: int) -> None:
@@ -60,13 +60,13 @@
         self.sequence = 0  # number of the last heartbeat
         self.last_index = 0  # index of the last accepted response
         self.timestamp = (0, 0)  # timestamp of the last response, which the next heartbeat echoes
-        self.synchronized = False  # whether a response was accepted since the start
+        self.is_synchronized = False  # whether a response was accepted since the start
         self.permits: dict[str, HeldPermit] = {}  # by target
         self.highest_tokens: dict[str, int] = {}  # by target: the highest token seen
         self.generations: dict[str, int] = {}  # by target: highest reserved generation
         # by ID: the orders that are open on this host or have a permit
         self.orders: dict[str, AssignedOrder] = {}
-        self.changed: set[str] = set()  # targets whose permit or generation limit has to be stored
+        self.changed_targets: set[str] = set()  # targets whose permit or generation limit has to be stored
         self.rejection_reason = ""  # of the last response; empty if the response was accepted
 
     def restore(self, epoch: str, permits: list[StoredPermit], generations: dict[str, int]) -> None:
@@ -129,8 +129,8 @@
             return False
         self.epoch = response.epoch
         self.last_index = response.index
-        self.synchronized = True
-        self.changed |= {
+        self.is_synchronized = True
+        self.changed_targets |= {
             target for target, limit in response.generations.items() if self.generations.get(target) != limit
         }
         self.generations.update(response.generations)
@@ -159,7 +159,7 @@
         ]
         for target in ended_targets:
             del self.permits[target]
-            self.changed.add(target)
+            self.changed_targets.add(target)
 
     def _update_permit(self, permit: GrantedPermit, sent_at: int) -> None:
         held_permit = self.permits.get(permit.target)
@@ -167,7 +167,7 @@
             held_permit = HeldPermit(permit.target, permit.order_id, permit.fencing_token, 0, permit.started)
             self.permits[permit.target] = held_permit
             self.highest_tokens[permit.target] = permit.fencing_token
-            self.changed.add(permit.target)
+            self.changed_targets.add(permit.target)
         order = self.orders.get(permit.order_id)
         held_permit.only_while_down = permit.only_while_down
         held_permit.start_before = 0 if permit.started else sent_at + permit.valid_for
@@ -206,7 +206,7 @@
         held_permit = self.permits[target]
         if not held_permit.started:
             held_permit.started = True
-            self.changed.add(target)
+            self.changed_targets.add(target)
 
     def mark_restored(self, target: str) -> None:
         """Record that the target is back in service and that no open order names the target."""
--- a/oakkeel/emulator/nodes.py
+++ b/oakkeel/emulator/nodes.py
@@ -146,7 +146,7 @@
             self._close(open_request)
             self._request_schedule()
 
-    def reject(self, request: Request, final: bool, retry_after: int) -> None:
+    def reject(self, request: Request, is_final: bool, retry_after: int) -> None:
         """Respond that the request is rejected."""
         open_request = self.open_requests[request]
         self._respond(open_request, ResponseStatus.REJECTED, retry_after)
@@ -165,9 +165,9 @@
     def _close(self, open_request: OpenRequest) -> None:
         self.open_requests.pop(open_request.request, None)
 
-    def set_timer(self, token: int, at: int) -> None:
-        """Call the controller's `timer_expired` with `token` at the time `at`."""
-        self.clock.call_at(at, self._on_timer, token)
+    def set_timer(self, token: int, due_at: int) -> None:
+        """Call the controller's `timer_expired` with `token` at the time `due_at`."""
+        self.clock.call_at(due_at, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
         if not self.alive:
@@ -191,6 +191,6 @@
         if self.alive:
             self.admission.schedule(self.clock.now)
 
-    def set_health(self, good: bool, stored: bool) -> None:
+    def set_health(self, is_healthy: bool, is_stored: bool) -> None:
         """Publish whether dispatchers may send requests here."""
-        self.healthy = good
+        self.healthy = is_healthy
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -169,13 +169,13 @@
             permit = permit_holder.permits.get(target)
             has_started = bool(permit and permit.started)
             disk.permits.append(StoredPermit(target, token, permit.order_id if permit else "", has_started))
-        permit_holder.changed.clear()
+        permit_holder.changed_targets.clear()
         self.orders.changed.clear()
         self._save_orders()
 
     def _has_changes(self) -> bool:
         return bool(
-            self.permit_holder.changed
+            self.permit_holder.changed_targets
             or self.orders.changed
             or self.orders.deleted
             or self.reconciler.assignments.changed
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -185,7 +185,7 @@
             client, _, _ = self.attempts_by_request.pop(request)
             client.counts["in time" if self.now <= request.objective_end else "late"] += 1
 
-    def reject(self, request: Request, final: bool, retry_after: int) -> None:
+    def reject(self, request: Request, is_final: bool, retry_after: int) -> None:
         """Count a rejection, and schedule the retry of the client."""
         client, attempt, _ = self.attempts_by_request.pop(request)
         client.counts["denied"] += 1
@@ -203,9 +203,9 @@
         if request in self.attempts_by_request:
             self.attempts_by_request.pop(request)[0].counts["terminated"] += 1
 
-    def set_timer(self, token: int, at: int) -> None:
+    def set_timer(self, token: int, due_at: int) -> None:
         """Call `timer_expired` with the token at a time."""
-        self.schedule_at(at, self._on_timer, token)
+        self.schedule_at(due_at, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
         busy = min(1.0, self.running_count / self.limits.cores)
--- a/oakkeel/node/control_endpoint.py
+++ b/oakkeel/node/control_endpoint.py
@@ -101,8 +101,8 @@
         status.stage = Stage(admission.overload.highest()).name
         status.shedding_threshold = round(admission.shedding.threshold, STATUS_DECIMALS)
         status.memory_kb = round(admission.occupancy.memory_kb, 1)
-        status.queued = admission.occupancy.waiting()
-        count_by_state = admission.occupancy.count
+        status.queued = admission.occupancy.waiting_count()
+        count_by_state = admission.occupancy.counts
         status.running = count_by_state[RequestState.RUNNING] + count_by_state[RequestState.ORPHANED]
         status.calling = count_by_state[RequestState.AWAITING_CALL] + count_by_state[RequestState.CALLING]
 
@@ -129,7 +129,9 @@
         if not node.host.is_started:
             return ServingState.WAITING
         limits = node.configuration.limits
-        is_in_slow_start = limits.starts_cold and now - node.host.admission.started < limits.slow_start_time
+        is_in_slow_start = (
+            limits.starts_cold and now - node.host.admission.started_at < limits.slow_start_time
+        )
         return ServingState.WARMING_UP if is_in_slow_start else ServingState.SERVING
 
     def request_drain(self, generation: int, timeout: int) -> None:
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -65,7 +65,7 @@
         """Begin slow start again if the engine is cold; it booted `engine_age` nanoseconds ago."""
         if is_cold:
             self.configuration.limits.starts_cold = True
-            self.admission.started = time.monotonic_ns() - engine_age
+            self.admission.started_at = time.monotonic_ns() - engine_age
 
     def notify(self, method: Callable[[int, *Arguments], None], *arguments: *Arguments) -> None:
         """Call a method of the admission controller with the time; schedule once per event loop iteration."""
@@ -87,12 +87,12 @@
         """Run the request in the engine."""
         request.post(StartRun())
 
-    def reject(self, request: NodeRequest, final: bool, retry_after: int) -> None:
+    def reject(self, request: NodeRequest, is_final: bool, retry_after: int) -> None:
         """Answer that the request is not admitted.
 
-        With `final`, no other node should be tried. `retry_after` is in nanoseconds; 0 for none.
+        With `is_final`, no other node should be tried. `retry_after` is in nanoseconds; 0 for none.
         """
-        request.post(RejectRequest(final, retry_after))
+        request.post(RejectRequest(is_final, retry_after))
 
     def fail(self, request: NodeRequest) -> None:
         """Answer that the request failed."""
@@ -102,9 +102,9 @@
         """Stop the run of the request."""
         request.post(CancelRun())
 
-    def call(self, request: NodeRequest, until: int) -> None:
-        """Place the downstream call that the run waits for; `until` is its deadline."""
-        request.post(PlaceCall(until))
+    def call(self, request: NodeRequest, call_end: int) -> None:
+        """Place the downstream call that the run waits for; `call_end` is its deadline."""
+        request.post(PlaceCall(call_end))
 
     def skip_call(self, request: NodeRequest) -> None:
         """Let the run continue without its downstream call."""
@@ -124,12 +124,12 @@
 
     # Timers.
 
-    def set_timer(self, token: int, at: int) -> None:
-        """Pass `token` to `AdmissionController.timer_expired` at `at`, nanoseconds of the monotonic clock."""
-        self.loop.call_at(at / SECOND, self._on_timer_due, token, at)
+    def set_timer(self, token: int, due_at: int) -> None:
+        """Pass `token` to `AdmissionController.timer_expired` at `due_at`, in monotonic nanoseconds."""
+        self.loop.call_at(due_at / SECOND, self._on_timer_due, token, due_at)
 
-    def _on_timer_due(self, token: int, at: int) -> None:
-        self.metrics.count_timer(time.monotonic_ns() - at)
+    def _on_timer_due(self, token: int, due_at: int) -> None:
+        self.metrics.count_timer(time.monotonic_ns() - due_at)
         task = self.loop.create_task(self._read_gauges_and_notify(token))
         self.timer_tasks.add(task)
         task.add_done_callback(self.timer_tasks.discard)
@@ -156,14 +156,14 @@
 
     # Verdicts about the whole node.
 
-    def set_health(self, good: bool, stored: bool) -> None:
+    def set_health(self, is_healthy: bool, is_stored: bool) -> None:
         """Set whether the node is healthy, for health checks and, with `readiness`, the directory.
 
-        `stored` is not used: a node answers every health check from the value set here.
+        `is_stored` is not used: a node answers every health check from the value set here.
         """
-        self.is_healthy = good
+        self.is_healthy = is_healthy
         if self.configuration.readiness:
-            self.directory_reporter.set_accepting(good)
+            self.directory_reporter.set_accepting(is_healthy)
 
     def report_load(self, value: float) -> None:
         """Report this value with each answer; `NodeLimits.load_report` defines its meaning."""
--- a/oakkeel/policy_change/coordinator.py
+++ b/oakkeel/policy_change/coordinator.py
@@ -144,6 +144,6 @@
         self.pending |= {msgspec.msgpack.encode(command) for command in new}
         return new
 
-    def lost(self, command: PolicyCommand) -> None:
+    def handle_lost_command(self, command: PolicyCommand) -> None:
         """Forget a command that was not committed, so that it may be proposed again."""
         self.pending.discard(msgspec.msgpack.encode(command))
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -137,7 +137,7 @@
 
     # Results of commands.
 
-    def applied(self, now: int, command: object, result: object) -> None:
+    def handle_applied(self, now: int, command: object, result: object) -> None:
         """Handle the result of a command that the state machine has applied."""
         if isinstance(command, permit_commands.SetTopology):
             self.observations.update_topology()
@@ -151,7 +151,7 @@
             elif isinstance(command, commands.FinishBatch):
                 self.waiting_since = now
 
-    def lost(self, command: object) -> None:
+    def handle_lost_command(self, command: object) -> None:
         """Handle a command that was not committed."""
         if isinstance(command, permit_commands.AcquireLease):
             self.lease.handle_lost_request()
--- a/oakkeel/simulator_adapter/instance.py
+++ b/oakkeel/simulator_adapter/instance.py
@@ -91,11 +91,11 @@
         """Start the request on the cores."""
         self._add_action(ActionCode.RUN, request)
 
-    def reject(self, request: Request, final: bool, retry_after: int) -> None:
+    def reject(self, request: Request, is_final: bool, retry_after: int) -> None:
         """Answer that the request never ran; `retry_after` is the delay before a retry, in nanoseconds."""
         self.reply.records.append(
             wire.ACTION_REJECT.pack(
-                ActionCode.REJECT, self.number, self.request_ids[request], final, retry_after
+                ActionCode.REJECT, self.number, self.request_ids[request], is_final, retry_after
             )
         )
 
@@ -107,9 +107,9 @@
         """Stop the run of the request."""
         self._add_action(ActionCode.CANCEL, request)
 
-    def call(self, request: Request, until: int) -> None:
-        """Make the downstream call of the request, with the deadline `until`."""
-        self._add_action_with_time(ActionCode.CALL, self.request_ids[request], until)
+    def call(self, request: Request, call_end: int) -> None:
+        """Make the downstream call of the request, with the deadline `call_end`."""
+        self._add_action_with_time(ActionCode.CALL, self.request_ids[request], call_end)
 
     def skip_call(self, request: Request) -> None:
         """Let the run of the request continue without its call."""
@@ -127,13 +127,15 @@
         """Drop the key of the request."""
         self._add_action(ActionCode.RELEASE_KEY, request)
 
-    def set_timer(self, token: int, at: int) -> None:
-        """Ask for a timer record at the time `at`."""
-        self._add_action_with_time(ActionCode.SET_TIMER, token, at)
+    def set_timer(self, token: int, due_at: int) -> None:
+        """Ask for a timer record at the time `due_at`."""
+        self._add_action_with_time(ActionCode.SET_TIMER, token, due_at)
 
-    def set_health(self, good: bool, stored: bool) -> None:
+    def set_health(self, is_healthy: bool, is_stored: bool) -> None:
         """Set the answer to health checks."""
-        self.reply.records.append(wire.ACTION_HEALTH.pack(ActionCode.SET_HEALTH, self.number, stored, good))
+        self.reply.records.append(
+            wire.ACTION_HEALTH.pack(ActionCode.SET_HEALTH, self.number, is_stored, is_healthy)
+        )
 
     def report_load(self, value: float) -> None:
         """Send this load report to clients."""
--- a/tests/admission/test_concurrency.py
+++ b/tests/admission/test_concurrency.py
@@ -29,8 +29,8 @@
         for request in requests:
             host.need_call(request)
         self.assertLess(
-            host.admission.occupancy.count[RequestState.CALLING]
-            + host.admission.occupancy.count[RequestState.RUNNING],
+            host.admission.occupancy.counts[RequestState.CALLING]
+            + host.admission.occupancy.counts[RequestState.RUNNING],
             1.25 * host.limits.cores,
         )
 
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -47,7 +47,7 @@
                 call_time += host.now - started_at
                 host.finish_call(request, Outcome.COMPLETED)
                 host.finish(request)
-        self.assertLessEqual(host.admission.occupancy.count[RequestState.CALLING], 1)
+        self.assertLessEqual(host.admission.occupancy.counts[RequestState.CALLING], 1)
         self.assertGreater(call_time, 0)
         self.assertLess(call_time / (host.now - SECOND), 0.4)
 
--- a/tests/disruption/permit_cluster.py
+++ b/tests/disruption/permit_cluster.py
@@ -26,7 +26,7 @@
 
     def setUp(self) -> None:
         self.state_machine = PermitStateMachine(
-            lambda *arguments: self.allocator.applied(self.now, *arguments) if self.allocator else None
+            lambda *arguments: self.allocator.handle_applied(self.now, *arguments) if self.allocator else None
         )
         self.allocator: PermitAllocator | None = None
         self.now = SECOND
