--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -271,7 +271,7 @@
         """Call `AdmissionController.timer_expired` with the token at `due_at`."""
 
     def set_health(self, is_healthy: bool, is_stored: bool) -> None:
-        """Set the answer to health checks; with `is_stored`, a check returns it without computing anything."""
+        """Set the answer to health checks; if `is_stored`, a check returns it without computing anything."""
 
     def report_load(self, value: float) -> None:
         """Send clients the value; `NodeLimits.load_report` defines its meaning."""
--- a/oakkeel/cached_response.py
+++ b/oakkeel/cached_response.py
@@ -41,7 +41,7 @@
         "followers",
         "key",
         "outcome",
-        "previous",
+        "replaced_entry",
         "result",
     )
 
@@ -52,12 +52,12 @@
         body: bytes,
         now: int,
         duration: int,
-        previous: CachedResponse | None,
+        replaced_entry: CachedResponse | None,
     ) -> None:
         """Make an entry that is valid for `duration` nanoseconds.
 
         The duration counts from the arrival at the machine for a request that runs at most once, and from now
-        for a read. `previous` is the entry that this one replaces; it is kept until this request has run.
+        for a read. `replaced_entry` is kept until this request has run.
         """
         self.key = key
         self.at_most_once = request.request_class.at_most_once
@@ -69,7 +69,7 @@
         self.result = b""
         self.finished_at = 0  # nanoseconds of the monotonic clock
         self.followers: list[Follower] = []
-        self.previous = previous
+        self.replaced_entry = replaced_entry
 
     def add_follower(self, request: Follower) -> None:
         """Post this response to a duplicate, now or once the outcome is known."""
@@ -85,7 +85,7 @@
         self.outcome = outcome
         self.result = result
         self.finished_at = time.monotonic_ns()
-        self.previous = None
+        self.replaced_entry = None
         for request in self.followers:
             request.post(SharedResponse(outcome, result))
         self.followers.clear()
--- a/oakkeel/catalogue/links.py
+++ b/oakkeel/catalogue/links.py
@@ -176,7 +176,7 @@
         self.log = log
         self.links: list[CallLink] = []
 
-    def fetch(self, request: NodeRequest, deadline: int, body: bytes) -> None:
+    def place_call(self, request: NodeRequest, deadline: int, body: bytes) -> None:
         """Make the call that the run of a request waits for; `CallFinished` is posted with its outcome."""
         link = self._select_link(request)
         if link is None:
@@ -190,12 +190,12 @@
             request.request_id, b"FETCH %s %d %d\r\n%s\r\n" % (request.request_id, wait_ms, len(body), body)
         )
 
-    def quit(self, request: NodeRequest) -> None:
+    def abandon_call(self, request: NodeRequest) -> None:
         """Abandon the call of a request, if there is one, without an event."""
         if request.call:
             request.call.give_up(None)
 
-    def move(self, address: tuple[str, int] | None) -> None:
+    def change_address(self, address: tuple[str, int] | None) -> None:
         """Make all further calls to another address; links to the old address close after their last call."""
         if address == self.address:
             return
--- a/oakkeel/directory/reports.py
+++ b/oakkeel/directory/reports.py
@@ -39,7 +39,7 @@
             self.is_accepting = accepting
             self._report_change()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Report to another directory from now on, and at once, as that one may not know this node."""
         self.address = address
         self._report_change()
--- a/oakkeel/dispatch/command_handler.py
+++ b/oakkeel/dispatch/command_handler.py
@@ -20,16 +20,16 @@
 
     reader: codec.RequestReader | None  # None while the node can't accept requests yet
 
-    def request_received(self, request: NodeRequest) -> None:
+    def on_request_received(self, request: NodeRequest) -> None:
         """Handle a request that the connection has read."""
 
-    def client_disconnected(self, request: NodeRequest) -> None:
+    def on_client_disconnected(self, request: NodeRequest) -> None:
         """Note that the client no longer waits for the answer."""
 
     def has_request(self, request_id: bytes) -> bool:
         """Return whether a request with this ID is open or still has a run."""
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Return whether the node accepts requests, for health checks."""
 
     def load_report(self) -> float | None:
@@ -92,7 +92,7 @@
             if tag in self.open_requests:
                 self.disconnect(self.open_requests[tag])
         elif verb == codec.CHECK:
-            health = codec.HEALTHY if self._owner.healthy() else codec.UNHEALTHY
+            health = codec.HEALTHY if self._owner.is_healthy() else codec.UNHEALTHY
             self._write(codec.encode_answer(tag, health, self._owner.load_report()))
         else:
             self._reject_malformed(tag, f"unknown verb {verb[:MAX_LOGGED_BYTES]!r}")
@@ -122,7 +122,7 @@
     def disconnect(self, request: NodeRequest) -> None:
         """Drop a request whose client no longer waits."""
         self._close_request(request)
-        self._owner.client_disconnected(request)
+        self._owner.on_client_disconnected(request)
 
     def detach(self) -> None:
         """Drop the references to the connection, which would form a cycle; no command may follow."""
@@ -150,7 +150,7 @@
             return
         self.open_requests[tag] = request
         self.has_received_request = True
-        owner.request_received(request)
+        owner.on_request_received(request)
 
     def _reject_malformed(self, tag: int, reason: str, request_id: bytes = b"") -> None:
         self._write(codec.encode_answer(tag, codec.FAILED, self._owner.load_report()))
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -70,8 +70,8 @@
         self.stream: IOStream | None = None
         self.connecting: IOStream | None = None  # the stream in use, also while it connects
         self.hello_timer: asyncio.TimerHandle | None = None  # closes a connection without a greeting
-        self.open = False  # attached, and all missed notices are read
-        self.losses = 0  # number of lost connections
+        self.is_open = False  # attached, and all missed notices are read
+        self.loss_count = 0  # number of lost connections
         self.loss_reason = ""  # of this connection, for the log; empty: the other side closed it
 
     async def serve(self) -> None:
@@ -134,12 +134,12 @@
         if self.connecting:
             self.connecting.close()
         if self.stream and not self.handover_tag:
-            self.losses += 1
+            self.loss_count += 1
             self.log.warning("engine_link_lost", reason=self.loss_reason or "closed_by_peer")
         self.loss_reason = ""
         self.stream = None
         self.connecting = None
-        self.open = False
+        self.is_open = False
         self.reattach_tag = b""
         self.handover_tag = b""
 
@@ -147,18 +147,18 @@
         """Store the reason for the end of the connection, unless one is stored already."""
         self.loss_reason = self.loss_reason or reason
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Move to another address once the engine has read all commands written so far."""
         if address == self.address:
             return
         self.address = address
         if self.handover_tag:
             return  # the old connection is ending already, and the next one uses the new address
-        if (stream := self.stream) is None or not self.open:
+        if (stream := self.stream) is None or not self.is_open:
             if self.connecting:
                 self.connecting.close()  # a connection attempt may never be accepted
             return
-        self.open = False  # commands wait for the new connection
+        self.is_open = False  # commands wait for the new connection
         self.handover_tag = HANDOVER_TAG_PREFIX + b"%d" % next(self.tags)
         send(stream, b"STAT %s\r\n" % self.handover_tag)
         asyncio.get_running_loop().call_later(
@@ -171,15 +171,15 @@
         self.notices.runs[request.request_id] = request
         self._send_command(request, RUN, b"%s %d" % (request.class_name, len(request.body)), request.body)
 
-    def halt(self, request: NodeRequest) -> None:
+    def cancel_run(self, request: NodeRequest) -> None:
         """Cancel the run of a request."""
         self._send_command(request, HALT)
 
-    def feed(self, request: NodeRequest, reply: bytes) -> None:
+    def send_call_reply(self, request: NodeRequest, reply: bytes) -> None:
         """Give a run the reply of the downstream call that it waits for."""
         self._send_command(request, FEED, b"%d" % len(reply), reply)
 
-    def skip(self, request: NodeRequest, notice_number: int) -> None:
+    def skip_call(self, request: NodeRequest, notice_number: int) -> None:
         """Let a run continue without the call that it asked for in a notice."""
         self._send_command(request, SKIP, b"%d" % notice_number)
 
@@ -191,21 +191,21 @@
             line += body + b"\r\n"
         command = Command(line, request, verb, last_notice_number=request.last_notice_number)
         self.unconfirmed.add(command)
-        if self.open:
+        if self.is_open:
             self._write(command)
 
     def _write(self, command: Command) -> None:
         if self.stream and send(self.stream, command.line):
             command.is_written = True
 
-    def maintain_and_ask_gauges(self) -> asyncio.Future[list[float]] | None:
+    def maintain_and_request_gauges(self) -> asyncio.Future[list[float]] | None:
         """Close an unresponsive link, resend overdue runs, and ask for the gauges.
 
         Return None while the link is not open.
         """
         now = time.monotonic_ns()
         self._close_if_unanswered(now)
-        if not self.open:
+        if not self.is_open:
             return None
         self._resend_overdue_runs(now)
         return self._ask_gauges(now)
@@ -231,7 +231,7 @@
         """Close a connection whose oldest request for gauges is older than the timeout."""
         if self.reattach_tag:
             waiting_since = self.reattach_at
-        elif self.gauge_requests and self.open:
+        elif self.gauge_requests and self.is_open:
             waiting_since = next(iter(self.gauge_requests.values())).sent_at
         else:
             return
@@ -287,6 +287,6 @@
         """Open the link and resend the lost commands, after all missed notices were read."""
         self.gauge_requests.clear()  # the callers that wait for lost gauges have a timeout
         commands = self.unconfirmed.prepare_resend()
-        self.open = True
+        self.is_open = True
         for command in commands:
             self._write(command)
--- a/oakkeel/log.py
+++ b/oakkeel/log.py
@@ -47,15 +47,15 @@
         self.current_second = 0
         self.line_count = 0
         self.dropped_count = 0  # lines dropped in the current second
-        self.left_out = 0  # lines dropped before the last line that was checked
+        self.dropped_before = 0  # lines dropped before the last line that was checked
         self.written_lines: set[str] = set()  # in this second; a flood of one line must not hide other lines
 
     def admits(self, event: str, fields: Event) -> bool:
-        """Return whether to write a line; `left_out` is the number of lines dropped before it."""
+        """Return whether to write a line; `dropped_before` is the number of lines dropped before it."""
         second = self.clock() // SECOND
-        self.left_out = 0
+        self.dropped_before = 0
         if second != self.current_second:
-            self.left_out = self.dropped_count
+            self.dropped_before = self.dropped_count
             self.current_second = second
             self.line_count = 0
             self.dropped_count = 0
@@ -139,8 +139,8 @@
     def write(self, level: str, event: str, fields: LogFields) -> None:
         """Write one event at a level, if the line limiter admits it."""
         if self.line_limiter.admits(event, fields):
-            if self.line_limiter.left_out:
-                fields["left_out"] = self.line_limiter.left_out  # the lines dropped before this line
+            if self.line_limiter.dropped_before:
+                fields["left_out"] = self.line_limiter.dropped_before  # the lines dropped before this line
             self.structlog_logger.msg(event, level=level, **fields)
 
     def msg(self, line: str) -> None:
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from oakkeel.admission.types import FairSharingRules, NodeLimits
-from oakkeel.node_limits import LimitsError, Settings, fail, flatten, read_limits
+from oakkeel.node_limits import LimitsError, Settings, flatten_json, raise_limits_error, read_limits
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.units import BYTES_PER_MB, MS
 
@@ -57,11 +57,11 @@
 
     Raises LimitsError with a message of one line.
     """
-    document = _read_document(variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set"))
+    document = _read_document(variables.get("PROXY_CONFIG") or raise_limits_error("PROXY_CONFIG is not set"))
     process_settings = Settings(
-        flatten({name: value for name, value in document.items() if name != "settings"})
+        flatten_json({name: value for name, value in document.items() if name != "settings"})
     )
-    node_settings = Settings(flatten(document.get("settings") or {}))
+    node_settings = Settings(flatten_json(document.get("settings") or {}))
     try:
         limits = read_limits(node_settings)
         fair_sharing = _read_fair_sharing(variables.get("OAKKEEL_TOLD", ""))
@@ -84,7 +84,7 @@
             gauges=node_settings.gauges(),
             class_names=node_settings.names("classes"),
             tenant_names=node_settings.names("tenants"),
-            readiness=node_settings.flag("extra.readiness"),
+            readiness=node_settings.read_flag("extra.readiness"),
             snapshot_path=fair_sharing.snapshot_path,
             log_form="json" if variables.get("OAKKEEL_LOG") == "json" else "console",
             control_path=variables.get("OAKKEEL_CONTROL", ""),
@@ -103,7 +103,11 @@
             document = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
         raise LimitsError(f"the configuration can't be read: {error}") from None
-    return document if isinstance(document, dict) else fail("the configuration is not a JSON object")
+    return (
+        document
+        if isinstance(document, dict)
+        else raise_limits_error("the configuration is not a JSON object")
+    )
 
 
 def _read_fair_sharing(path: str) -> FairSharingSettings:
@@ -125,7 +129,7 @@
         if not 1 <= len(rules.levels) <= MAX_FLOW_LEVELS or not all(
             0 < weight < MAX_FLOW_WEIGHT for weight in rules.weights.values()
         ):
-            fail(
+            raise_limits_error(
                 f"the operators' settings need 1 to {MAX_FLOW_LEVELS} levels of flows,"
                 f" and weights above 0 and below {MAX_FLOW_WEIGHT:g}"
             )
@@ -137,7 +141,7 @@
 def _address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        fail(f"not an address of the form HOST:PORT: {text}")
+        raise_limits_error(f"not an address of the form HOST:PORT: {text}")
     return host, int(port)
 
 
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -44,7 +44,7 @@
     host: NodeHost
     log: EventLog
     resource_limits: ResourceLimits
-    done: asyncio.Event  # set at the end of the drain
+    drained: asyncio.Event  # set at the end of the drain
 
     def resume_serving(self) -> None:
         """Serve again after a cancelled drain."""
@@ -139,7 +139,7 @@
         self._set_state(DrainState.ENDED)
         if self.deadline_timer:
             self.deadline_timer.cancel()
-        node.done.set()
+        node.drained.set()
 
     def _set_deadline(self, time_left: int) -> None:
         """Set the timer that closes the remaining connections just before the process may be killed.
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -137,7 +137,7 @@
     async def _read_gauges_and_notify(self, token: int) -> None:
         """Read the gauges, which the controller compares with present runs, and notify it of the timer."""
         try:
-            reply = self.engine.maintain_and_ask_gauges()
+            reply = self.engine.maintain_and_request_gauges()
             if reply:
                 await asyncio.wait(
                     (reply,), timeout=self.configuration.resource_limits.gauges_timeout / SECOND
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -59,7 +59,7 @@
         self.reader: RequestReader | None = None
         self.open_requests: dict[bytes, asyncio.Task[None]] = {}  # handlers by request ID
         self.pending_engine: PendingEngine | None = None
-        self.done = asyncio.Event()  # set at the end of the drain
+        self.drained = asyncio.Event()  # set at the end of the drain
         self.listener = Listener(configuration.listen, self.pool, resource_limits, self, self.log)
         self.directory_reporter = DirectoryReporter(
             configuration.directory, configuration.name, resource_limits
@@ -119,7 +119,7 @@
         gc.freeze()  # the objects loaded so far live as long as the process
         host, port = self.listener.address
         self.log.info("listening", address=f"{host}:{port}")
-        await self.done.wait()
+        await self.drained.wait()
         # A further signal must not end the process with an error code during the shutdown.
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
         engine_task.cancel()
@@ -168,16 +168,16 @@
         except (LimitsError, OSError) as error:
             self.log.error("configuration_rejected", error=str(error))
             return
-        self.engine.move(configuration.engine)
-        self.catalogue.move(configuration.catalogue)
-        self.directory_reporter.move(configuration.directory)
+        self.engine.change_address(configuration.engine)
+        self.catalogue.change_address(configuration.catalogue)
+        self.directory_reporter.change_address(configuration.directory)
         if self.fair_sharing:
             self.fair_sharing.reload(configuration.limits.fair_sharing)
         self.log.info("configuration_reloaded")
 
     # Methods of the `ConnectionOwner` of all connections.
 
-    def request_received(self, request: NodeRequest) -> None:
+    def on_request_received(self, request: NodeRequest) -> None:
         """Start the handler for a request that was read."""
         self.metrics.requests_read += 1
         task = asyncio.ensure_future(self.handler.handle(request))
@@ -188,13 +188,13 @@
         """Return whether a request with this ID or its run is open."""
         return request_id in self.open_requests
 
-    def client_disconnected(self, request: NodeRequest) -> None:
+    def on_client_disconnected(self, request: NodeRequest) -> None:
         """Notify the handler that the client no longer waits."""
         if request.awaits_answer:
             request.awaits_answer = False
             request.post(ClientDisconnected())
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Return whether the node accepts requests, for health checks."""
         return self.host.is_healthy and self.host.is_started and not self.drain.is_started
 
@@ -220,5 +220,5 @@
 
     def _metric_fields(self) -> LogFields:
         return self.metrics.collect(
-            len(self.listener.connections), len(self.open_requests), self.engine.losses
+            len(self.listener.connections), len(self.open_requests), self.engine.loss_count
         )
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -67,7 +67,7 @@
             )
             await self._clean_up(request)
         finally:
-            self.catalogue.quit(request)
+            self.catalogue.abandon_call(request)
             if request.may_have_run:
                 self.response_cache.finish(request, Outcome.ERROR, b"")
             else:
@@ -115,16 +115,16 @@
         """Place the call, retry or skip it as the verdicts say, and return the next event of the run."""
         event = await self._next_event(request)
         while isinstance(event, PlaceCall):
-            self.catalogue.fetch(request, event.deadline, call_needed.body)
+            self.catalogue.place_call(request, event.deadline, call_needed.body)
             event = await self._next_event(request)
             if isinstance(event, CallFinished):
                 self.metrics.count_call(event.outcome.value)
                 self.host.notify(self.host.admission.call_finished, request, event.outcome)
                 if event.outcome is Outcome.COMPLETED and request.state is RequestState.RUNNING:
-                    self.engine.feed(request, event.reply)
+                    self.engine.send_call_reply(request, event.reply)
                 event = await self._next_event(request)
         if isinstance(event, SkipCall):
-            self.engine.skip(request, call_needed.notice_number)
+            self.engine.skip_call(request, call_needed.notice_number)
             event = await self._next_event(request)
         return event
 
@@ -143,13 +143,13 @@
             elif isinstance(event, FailRequest):
                 self._answer(request, codec.FAILED)
             elif isinstance(event, CancelRun):
-                self.engine.halt(request)
+                self.engine.cancel_run(request)
             elif isinstance(event, ClientDisconnected):
                 self.host.notify(self.host.admission.client_disconnected, request)
             else:
                 return event
             if not request.awaits_answer:
-                self.catalogue.quit(request)  # no client waits for the reply of the downstream call
+                self.catalogue.abandon_call(request)  # no client waits for the reply of the downstream call
 
     def _finish_run(self, request: NodeRequest, finished_run: RunFinished) -> None:
         """Report a finished run to admission, keep its response and answer its request."""
@@ -204,7 +204,7 @@
             while request.in_engine or request.events:
                 event = await request.next_event()
                 if isinstance(event, CancelRun):
-                    self.engine.halt(request)
+                    self.engine.cancel_run(request)
                 elif isinstance(event, RunFinished):
                     self._finish_run(request, event)
         except Exception as error:
--- a/oakkeel/node/response_cache.py
+++ b/oakkeel/node/response_cache.py
@@ -112,7 +112,7 @@
         entry = request.cache_entry
         if entry is None:
             return
-        previous = entry.previous
+        previous = entry.replaced_entry
         if self.entries.get(entry.key) is entry:
             del self.entries[entry.key]
         if previous and previous.at_most_once:
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -49,12 +49,12 @@
     """The settings of a node can't be parsed, or lack a required value."""
 
 
-def fail(text: str) -> NoReturn:
+def raise_limits_error(text: str) -> NoReturn:
     """Raise a `LimitsError`."""
     raise LimitsError(text)
 
 
-def flatten(value: JsonValue, path: str = "") -> dict[str, str]:
+def flatten_json(value: JsonValue, path: str = "") -> dict[str, str]:
     """Return nested JSON as values by path, as in the text form.
 
     Plain lists are joined by commas; a list of objects has a `count` and an index for each object.
@@ -68,7 +68,7 @@
         return {path: ",".join(_format_scalar(item) for item in value)}
     else:
         return {path: _format_scalar(value)}
-    return {name: text for prefix, item in children for name, text in flatten(item, prefix).items()}
+    return {name: text for prefix, item in children for name, text in flatten_json(item, prefix).items()}
 
 
 def _format_scalar(value: JsonValue) -> str:
@@ -95,7 +95,7 @@
 
     def required(self, path: str) -> str:
         """Return a value. Raises `LimitsError` if it is absent or empty."""
-        return self.values.get(path) or fail(f"the settings lack {path}")
+        return self.values.get(path) or raise_limits_error(f"the settings lack {path}")
 
     def number(self, path: str, default: float = 0.0) -> float:
         """Return a number, or the default if it is absent."""
@@ -109,7 +109,7 @@
         """Return a number. Raises `LimitsError` if it is absent."""
         return self._parse(path, self.required(path))
 
-    def flag(self, path: str) -> bool:
+    def read_flag(self, path: str) -> bool:
         """Return whether the value is `true`."""
         return self.get(path, "false") == "true"
 
@@ -122,7 +122,9 @@
         """Return the value that `choices` has for the word. Raises `LimitsError` for an unknown word."""
         word = self.get(path, default)
         if word not in choices:
-            fail(f"the settings have an unknown value: {path}={word}, expected one of {', '.join(choices)}")
+            raise_limits_error(
+                f"the settings have an unknown value: {path}={word}, expected one of {', '.join(choices)}"
+            )
         return choices[word]
 
     @staticmethod
@@ -130,7 +132,7 @@
         try:
             return float(value)
         except ValueError:
-            fail(f"the settings have a value that is no number: {path}={value}")
+            raise_limits_error(f"the settings have a value that is no number: {path}={value}")
 
     def gauges(self) -> list[str | None]:
         """Return the fields of `Gauges` in the order of the gauge values; None for an unused value."""
@@ -143,19 +145,19 @@
 
 def read_limits(settings: Settings) -> NodeLimits:
     """Return the limits of a node; times in the settings are in nanoseconds, too."""
-    gives_retry_after = settings.flag("ceilings.retry-after")
+    gives_retry_after = settings.read_flag("ceilings.retry-after")
     max_retry_after = settings.time("ceilings.max-retry-after") if gives_retry_after else 0
     return NodeLimits(
         cores=int(settings.required_number("extra.cores")),
         memory_kb=settings.required_number("extra.heap-kb"),
         running_memory_factor=settings.required_number("extra.run-factor"),
         key_kb=settings.number("extra.key-kb"),
-        starts_cold=settings.flag("extra.cold"),
+        starts_cold=settings.read_flag("extra.cold"),
         slow_start_share=settings.number("obligations.cold-from", 1.0),
         slow_start_time=settings.time("obligations.cold"),
         overload_multiple=settings.required_number("obligations.fall-multiple"),
         drain_grace=settings.time("obligations.drain-grace"),
-        marks_retries=settings.flag("clients.marks-retry"),
+        marks_retries=settings.read_flag("clients.marks-retry"),
         max_retry_after=max_retry_after,
         stop_kind=settings.choice("extra.halt", STOP_KINDS, "silent"),
         peers=max(1, int(settings.number("peers-total", 1))),
--- a/tests/catalogue/test_links.py
+++ b/tests/catalogue/test_links.py
@@ -51,7 +51,7 @@
     async def _answered_call(self):
         """Return a request whose call was answered, and the link of that call."""
         request = node_request()
-        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
+        self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         writer.write(b"%s FAULT\r\n" % request.request_id)
         await request.next_event()
@@ -60,11 +60,11 @@
     async def test_ignores_a_late_reply_of_an_earlier_call(self):
         # A reply names only its request: a reply sent before the QUIT arrives must not end the next call.
         request = node_request()
-        self.catalogue.fetch(request, time.monotonic_ns() + 50 * MS, b"first")
+        self.catalogue.place_call(request, time.monotonic_ns() + 50 * MS, b"first")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
         self.assertEqual((await finished_call(request)).outcome, Outcome.TIMED_OUT)
-        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
+        self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"second")
         second_reader, second_writer = await asyncio.wait_for(self.peers.get(), WAIT)
         await second_reader.readline()
         writer.write(b"%s DATA 3\r\nold\r\n" % request.request_id)
@@ -82,7 +82,7 @@
             (b"TOOSLOW", Outcome.TIMED_OUT),
         ):
             request = node_request(b"%016x" % len(verb))
-            self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
+            self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"")
             if not self.catalogue.links[0].is_connected:
                 _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
             writer.write(b"%s %s\r\n" % (request.request_id, verb))
@@ -92,7 +92,7 @@
     async def _call_read_by_catalogue(self, request_id):
         """Return a request whose call the catalogue has read, and the writer for its reply."""
         request = node_request(request_id)
-        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
+        self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"")
         reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         await reader.readline()
         return request, writer
@@ -127,7 +127,7 @@
             writer.write(before.replace(b"%s", reply) + after.replace(b"%s", reply))
             finished = await finished_call(request)
             self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
-            self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"next")
+            self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"next")
             await asyncio.wait_for(self.peers.get(), WAIT)  # the next call uses a new link
             request.call.give_up(None)
 
@@ -141,7 +141,7 @@
     async def test_closes_a_link_past_its_idle_timeout_instead_of_using_it(self):
         request, link = await self._answered_call()
         link.last_used_at -= RESOURCE_LIMITS.call_idle_timeout + SECOND
-        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
+        self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"")
         self.assertTrue(link.stream.closed())
         self.assertIsNot(self.catalogue.links[0], link)
 
@@ -149,13 +149,13 @@
         # The link's reader has not run yet: a call on the link would be reported as reset, not as never sent.
         request, link = await self._answered_call()
         link.stream.close()
-        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"again")
+        self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"again")
         reader, _ = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
 
     async def test_incomplete_reply_resets_its_call_and_closes_its_link(self):
         request = node_request()
-        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
+        self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"")
         _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
         writer.write(b"%s DATA 10\r\nhalf" % request.request_id)
         self.assertEqual((await finished_call(request)).outcome, Outcome.RESET)
@@ -167,7 +167,7 @@
         _, link = await self._answered_call()
         self.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         other_request = node_request()
-        self.catalogue.fetch(other_request, time.monotonic_ns() + 20 * SECOND, b"again")
+        self.catalogue.place_call(other_request, time.monotonic_ns() + 20 * SECOND, b"again")
         self.assertIsNot(other_request.call.link, link)
         reader, _ = await asyncio.wait_for(self.peers.get(), WAIT)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
@@ -179,15 +179,15 @@
 
         request = node_request()
         with unittest.mock.patch("oakkeel.catalogue.links.socket.socket", raise_no_descriptor):
-            self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
+            self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"")
         self.assertEqual((await finished_call(request)).outcome, Outcome.CONNECT_FAILED)
 
     async def test_call_that_times_out_while_connecting_was_never_sent(self):
         request = node_request()
-        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"first")
+        self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"first")
         request.call.give_up()
         self.assertEqual((await finished_call(request)).outcome, Outcome.CONNECT_FAILED)
-        self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
+        self.catalogue.place_call(request, time.monotonic_ns() + 20 * SECOND, b"second")
         readers = [(await asyncio.wait_for(self.peers.get(), WAIT))[0] for _ in range(2)]
         self.catalogue.links[0].stream.close()
         self.assertEqual(await asyncio.wait_for(readers[0].read(), WAIT), b"")
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -124,16 +124,16 @@
 
     # The methods of `ConnectionOwner`, in place of a node.
 
-    def request_received(self, request) -> None:
+    def on_request_received(self, request) -> None:
         self.received_requests.append(request)
 
-    def client_disconnected(self, request) -> None:
+    def on_client_disconnected(self, request) -> None:
         self.disconnected_requests.append(request)
 
     def has_request(self, request_id: bytes) -> bool:
         return False
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         return True
 
     def load_report(self) -> float | None:
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -257,12 +257,12 @@
 
     async def test_closes_the_remaining_connections_just_before_the_stop(self):
         # Otherwise the drain would wait for these connections until SIGKILL.
-        self.done = asyncio.Event()
+        self.drained = asyncio.Event()
         _, idle = await self.idle_client()
         _, unread = await self.client_with_unsent_answers()
         drain = Drain(self, grace=0, stop_after=300 * MS)
         drain.start_final()
-        await asyncio.wait_for(self.done.wait(), WAIT)
+        await asyncio.wait_for(self.drained.wait(), WAIT)
         self.assertIs(drain.state, DrainState.ENDED)
         self.assertEqual({idle.state, unread.state}, {ConnectionState.CLOSED})
 
--- a/tests/engine/test_link.py
+++ b/tests/engine/test_link.py
@@ -85,7 +85,7 @@
         request = node_request()
         link.run(request)
         self.assertEqual(await asyncio.wait_for(received_runs.get(), WAIT), request.request_id)
-        await asyncio.wait_for(link.maintain_and_ask_gauges(), WAIT)
+        await asyncio.wait_for(link.maintain_and_request_gauges(), WAIT)
         writers[0].close()
         self.assertEqual(await asyncio.wait_for(received_runs.get(), WAIT), request.request_id)
         serving.cancel()
@@ -108,7 +108,7 @@
         )
         serving = asyncio.ensure_future(link.serve())
         await asyncio.sleep(0)
-        link.move(addresses[1])
+        link.change_address(addresses[1])
         received = (None, b"")
         while received[1] != b"ATTACH 0\r\n":
             received = await asyncio.wait_for(attach_lines.get(), WAIT)
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -163,7 +163,7 @@
             writer.write(b"HELLO steady %d\r\n" % self.age)
             tag = (await asyncio.wait_for(reader.readline(), WAIT)).split()[1]
             writer.write(b"STATS %s 0 0 0 0\r\n" % tag)
-            while not self.link.open:
+            while not self.link.is_open:
                 await asyncio.sleep(0.001)
         return reader, writer
 
@@ -205,7 +205,7 @@
             await asyncio.sleep(0)
         self.assertIsNone(self.link.stream)
         new_server = self.open_server()
-        self.link.move(new_server.getsockname())
+        self.link.change_address(new_server.getsockname())
         await self.accept_link(new_server)
 
     async def test_a_second_move_waits_until_the_old_engine_has_read_what_was_written(self):
@@ -215,8 +215,8 @@
         reader, writer = await self.accept_link(first_server)
         request = node_request()
         self.link.run(request)
-        self.link.move(second_server.getsockname())
-        self.link.move(third_server.getsockname())
+        self.link.change_address(second_server.getsockname())
+        self.link.change_address(third_server.getsockname())
         self.assertEqual((await asyncio.wait_for(reader.readline(), WAIT)).split()[0], b"RUN")
         await reader.readline()
         barrier = (await asyncio.wait_for(reader.readline(), WAIT)).split()
--- a/tests/node/test_log.py
+++ b/tests/node/test_log.py
@@ -21,7 +21,7 @@
         self.assertTrue(self.limiter.admits("request_malformed", {"reason": "a body", "request_id": "0"}))
         self.now = SECOND
         self.assertTrue(self.limiter.admits("request_malformed", {"reason": "no class", "request_id": "0"}))
-        self.assertEqual(self.limiter.left_out, 8)
+        self.assertEqual(self.limiter.dropped_before, 8)
 
     def test_admits_no_more_lines_than_the_limit(self):
         self.assertEqual([self.limiter.admits(event, {}) for event in "abc"], [True, True, False])
