--- a/measure/decisions.py
+++ b/measure/decisions.py
@@ -18,7 +18,7 @@
 from oakkeel.control.messages import NodeStatus
 from oakkeel.units import MS, SECOND
 
-REPORT = NodeStatus(0, "", 0, 0, "", "", 0)
+EMPTY_REPORT = NodeStatus(0, "", 0, 0, "", "", 0)
 SITES = 10
 
 
@@ -43,9 +43,9 @@
         duration += time.perf_counter_ns()
         for step in steps:
             if step.action is Action.START:
-                self.supervision.process_started(self.now, step.instance)
+                self.supervision.record_start(self.now, step.instance)
             else:
-                self.supervision.process_exited(self.now, step.instance, "ended as ordered")
+                self.supervision.record_exit(self.now, step.instance, "ended as ordered")
         return duration
 
     def advance_time(self, elapsed: int, state: str = "serving") -> int:
@@ -53,9 +53,9 @@
         self.now += elapsed
         duration = -time.perf_counter_ns()
         for instance in self.instances:
-            if instance.alive and instance.phase is not Phase.DRAINING:
-                self.supervision.report_received(
-                    self.now, instance, state, instance.process_generation, REPORT
+            if instance.has_process and instance.phase is not Phase.DRAINING:
+                self.supervision.apply_report(
+                    self.now, instance, state, instance.process_generation, EMPTY_REPORT
                 )
         return duration + time.perf_counter_ns()
 
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -23,17 +23,21 @@
 AgentFactory = Callable[[AgentSettings, AgentKeys, EventLog, int], Agent]
 
 
-def serve(settings_path: str, name: str, log_form: str = "console", make: AgentFactory = Agent) -> int:
+def serve(
+    settings_path: str, name: str, log_format: str = "console", agent_factory: AgentFactory = Agent
+) -> int:
     """Run the agent of a host and return the exit code; if it can't start, print the reason and return 2."""
     try:
         fleet = read_fleet(settings_path)
         settings = AgentSettings.of_host(fleet, name)
         keys = _read_keys(fleet)
         _lock_state_folder(settings_path, settings.host)
-        log = EventLog(f"agent {name}" if log_form == "console" else name, MAX_LOG_LINES_PER_SECOND, log_form)
+        log = EventLog(
+            f"agent {name}" if log_format == "console" else name, MAX_LOG_LINES_PER_SECOND, log_format
+        )
 
         async def run() -> None:
-            agent = make(settings, keys, log, new_seed())
+            agent = agent_factory(settings, keys, log, new_seed())
             loop = asyncio.get_running_loop()
             loop.add_signal_handler(signal.SIGHUP, _reload_settings, agent, settings_path)
             await agent.run()
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -169,7 +169,7 @@
         await self.executor.find_processes()
         if self.fleet and self.reconciler and self.member:
             if self.store.created:
-                self.reconciler.state_file_lost()
+                self.reconciler.recover_from_leader()
             self.member.join(self.fleet)
         self.server.open()
         address = f"{self.server.address[0]}:{self.server.address[1]}"
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -88,11 +88,11 @@
         """Revert a step whose order could not be stored, so that the supervisor returns the step again."""
         instance = step.instance
         if step.action is Action.START:
-            self.supervisor.start_abandoned(time.monotonic_ns(), instance)
+            self.supervisor.record_abandoned_start(time.monotonic_ns(), instance)
         elif step.action in (Action.TERM, Action.DRAIN, Action.CANCEL_DRAIN):
             instance.drain_sent_at = 0
             if instance.task:
-                instance.task.drain_sent = False
+                instance.task.is_drain_sent = False
 
     def _start(self, instance: Instance, fields: LogFields) -> None:
         now = time.monotonic_ns()
@@ -100,12 +100,12 @@
             launched = self.launcher.launch(instance)
         except OSError as error:
             self.log.error("instance_start_failed", error=str(error), **fields)
-            self.supervisor.start_failed(now, instance, str(error))
+            self.supervisor.record_failed_start(now, instance, str(error))
             return
         process = launched.process
         self.log.info("instance_started", pid=process.pid, version=launched.version, **fields)
         instance.running_version = launched.version or ""
-        self.supervisor.process_started(now, instance)
+        self.supervisor.record_start(now, instance)
         self._watch(instance, process)
 
     def update_fair_sharing(self, fair_sharing: FairSharingSettings | None) -> None:
@@ -133,14 +133,14 @@
 
     def _record_missing_process(self, instance: Instance) -> None:
         _, recorded_generation = self.processes.read_pid_file(instance.name)
-        self.supervisor.process_not_found(time.monotonic_ns(), instance, recorded_generation)
+        self.supervisor.record_missing_process(time.monotonic_ns(), instance, recorded_generation)
 
     def identify_processes(self, now: int) -> None:
         """Adopt the processes of unidentified instances whose pid files are written by now."""
         for instance in list(self.unidentified):
             if process := self.processes.adopt(instance.name):
                 self.unidentified.discard(instance)
-                self.supervisor.process_adopted(now, instance, process.generation)
+                self.supervisor.record_adoption(now, instance, process.generation)
                 self._watch(instance, process)
                 self.log.info(
                     "instance_adopted", target=instance.name, pid=process.pid, generation=process.generation
@@ -169,7 +169,7 @@
             how=why,
             phase=instance.phase.value,
         )
-        self.supervisor.process_exited(time.monotonic_ns(), instance, why)
+        self.supervisor.record_exit(time.monotonic_ns(), instance, why)
         self.on_exit()
 
     async def _poll_status(self, instance: Instance, process: Process) -> None:
@@ -196,9 +196,7 @@
         if client.pid != process.pid:
             client.close()
             raise ControlError(f"received a report of process {client.pid}, expected {process.pid}")
-        self.supervisor.report_received(
-            time.monotonic_ns(), instance, report.state, report.generation, report
-        )
+        self.supervisor.apply_report(time.monotonic_ns(), instance, report.state, report.generation, report)
 
     def close(self) -> None:
         """Stop polling and watching; the processes continue."""
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -74,7 +74,7 @@
     changed_at: int = 0  # time of the last start or accepted order, in Unix nanoseconds, for display
     changed_by: str = ""  # operator and verb of that order, or the agent
     process_generation: int = 0  # generation of the current or the last process
-    spawned: bool = False  # whether the current or last process is known to have been started
+    is_spawned: bool = False  # whether the current or last process is known to have been started
     last_report_at: int = 0
     report: NodeStatus | None = None  # the last report of its process
     drain_sent_at: int = 0  # time at which its process was last sent the drain; 0: not yet
@@ -91,10 +91,10 @@
     is_drain_cancelled: bool = False  # whether a cancellation of its drain is not confirmed yet
     generation_limit: int = MAX_GENERATION  # highest generation that is reserved for the instance
     task: Task | None = None  # task of the open order on the instance
-    dirty: bool = False  # whether the instance has changed since the last write
+    is_changed: bool = False  # whether the instance has changed since the last write
 
     @property
-    def alive(self) -> bool:
+    def has_process(self) -> bool:
         """Whether the instance has a process, as far as is known."""
         return self.phase not in (Phase.STOPPED, Phase.FAILING)
 
@@ -162,7 +162,7 @@
     state: HostTaskState = HostTaskState.WAITING
     state_since: int = 0
     why: str = ""
-    drain_sent: bool = False  # whether its process may have received the drain
+    is_drain_sent: bool = False  # whether its process may have received the drain
     replaced_generation: int = 0  # generation of the process that a restart replaces
     undo_snapshot: InstanceSnapshot | None = None  # before the order; None once the order is stored
 
--- a/oakkeel/agent/order_rules.py
+++ b/oakkeel/agent/order_rules.py
@@ -108,7 +108,7 @@
 
 def needs_permit_to_drain(task: Task) -> bool:
     """Whether the next drain of a task needs a valid permit: only the first drain of a task does."""
-    return not task.drain_sent and task.state is HostTaskState.ACTING and task.order.verb is not Verb.START
+    return not task.is_drain_sent and task.state is HostTaskState.ACTING and task.order.verb is not Verb.START
 
 
 def has_taken_out_of_service(task: Task) -> bool:
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -2,8 +2,8 @@
 
 The sender of an order chooses its ID, so that an order that is sent twice is accepted once. For each
 instance, the order names the generation that the operator saw (see `order_rules`). Changes by an order must
-be stored before its response is sent or its steps are executed; `changed` and `deleted` list the orders to
-write.
+be stored before its response is sent or its steps are executed; `changed_orders` and
+`deleted_order_ids` list the orders to write.
 """
 
 from __future__ import annotations
@@ -56,8 +56,8 @@
         self.instances = {instance.name: instance for instance in supervisor.instances}
         self.orders: dict[str, Order] = {}  # oldest first
         self.open_tasks: list[Task] = []  # in the order in which they were accepted
-        self.changed: set[Order] = set()  # orders to store
-        self.deleted: list[str] = []  # IDs of orders to delete from the store
+        self.changed_orders: set[Order] = set()  # orders to store
+        self.deleted_order_ids: list[str] = []  # IDs of orders to delete from the store
 
     # Commands of operators.
 
@@ -88,7 +88,7 @@
         if not order.is_open:
             return order  # refused for all instances: the order is not registered
         self.orders[order.order_id] = order
-        self.changed.add(order)
+        self.changed_orders.add(order)
         self._delete_oldest()
         return order
 
@@ -106,7 +106,7 @@
             why = f"by {order.operator}, {order.verb.value}"
             self._transition(now, instance.task, HostTaskState.SUPERSEDED, why)
         instance.task = task
-        instance.dirty = True
+        instance.is_changed = True
         instance.generation += 1
         instance.changed_at = order.accepted_at
         instance.changed_by = changed_by
@@ -125,7 +125,7 @@
             _restore_instance(task.instance, task.undo_snapshot)
             self.open_tasks.remove(task)
         self.orders.pop(order.order_id, None)
-        self.changed.discard(order)
+        self.changed_orders.discard(order)
 
     def cancel(self, now: int, order_id: str, operator: str) -> Order:
         """Cancel the waiting tasks; started tasks continue. Raises OrderRejectedError for an unknown ID."""
@@ -137,7 +137,7 @@
                 self._transition(now, task, HostTaskState.CANCELLED, f"by {operator}")
             elif task.state is HostTaskState.ACTING:
                 task.why = f"started before {operator} cancelled the order"
-                self.changed.add(order)
+                self.changed_orders.add(order)
         return order
 
     def revert(self, now: int, order: Order, operator: str) -> None:
@@ -169,7 +169,9 @@
         """Whether the host's part of the disruption budget, or a permit of the fleet, lets the task start."""
         if self.permit_holder is None:
             return self.supervisor.has_capacity(task.instance)
-        return self.permit_holder.may_start(now, task.instance.name, task.order.order_id, task.instance.alive)
+        return self.permit_holder.may_start(
+            now, task.instance.name, task.order.order_id, task.instance.has_process
+        )
 
     def _start_task(self, now: int, task: Task) -> None:
         instance = task.instance
@@ -179,7 +181,7 @@
         task.replaced_generation = instance.process_generation
         self._transition(now, task, HostTaskState.ACTING)
         if verb is Verb.START:
-            if not instance.alive or instance.phase is Phase.DRAINING:
+            if not instance.has_process or instance.phase is Phase.DRAINING:
                 self.supervisor.order_start(now, instance)
             instance.goal = Goal.UP
         elif verb is Verb.RESTART:
@@ -209,7 +211,7 @@
             return True
         reported_state = instance.report.state if instance.report else ""
         if reported_state == "draining" or holder.may_notify(now, instance.name, task.order.order_id):
-            task.drain_sent = True
+            task.is_drain_sent = True
             return True
         if reported_state:
             why = "its disruption permit expired before the drain was sent"
@@ -243,10 +245,10 @@
         task.state = state
         task.state_since = now
         task.why = why or task.why
-        self.changed.add(task.order)
+        self.changed_orders.add(task.order)
         if not task.is_open and task.instance.task is task:
             task.instance.task = None
-            task.instance.dirty = True
+            task.instance.is_changed = True
 
     def _delete_oldest(self) -> None:
         """Delete the oldest ended orders. Their duplicates are refused, as the generations are outdated."""
@@ -255,8 +257,8 @@
                 break
             if not order.is_open:
                 del self.orders[order_id]
-                self.changed.discard(order)
-                self.deleted.append(order_id)
+                self.changed_orders.discard(order)
+                self.deleted_order_ids.append(order_id)
 
 
 def _check_duplicate(registered_order: Order, submission: OrderSubmission) -> Order:
--- a/oakkeel/agent/processes.py
+++ b/oakkeel/agent/processes.py
@@ -116,12 +116,12 @@
             return None
         return self._watch(Process(name, pid, read_start_ticks(pid), generation, pidfd))
 
-    def signal(self, process: Process, number: signal.Signals) -> bool:
+    def signal(self, process: Process, signal_number: signal.Signals) -> bool:
         """Send a signal to a process; return False if the process has ended."""
         if process.pidfd not in self.watched or read_start_ticks(process.pid) != process.start_ticks:
             return False
         try:
-            signal.pidfd_send_signal(process.pidfd, number)
+            signal.pidfd_send_signal(process.pidfd, signal_number)
         except ProcessLookupError:
             return False
         return True
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -43,14 +43,14 @@
         supervisor: Supervisor,
         orders: OrderRegistry,
         permit_holder: PermitHolder,
-        generation_block: int = DEFAULT_GENERATION_BLOCK,
+        generation_block_size: int = DEFAULT_GENERATION_BLOCK,
         services: tuple[str, ...] = (),
     ) -> None:
-        """Limit instances to their reserved generations, which are reserved `generation_block` at a time."""
+        """Limit instances to their generations, which are reserved `generation_block_size` at a time."""
         self.supervisor = supervisor
         self.orders = orders
         self.permit_holder = permit_holder
-        self.generation_block = generation_block
+        self.generation_block_size = generation_block_size
         self.services = DownstreamServices(permit_holder, services)
         self.assignments = VersionAssignments(services)
         # Whether the state file is new: no instance starts before a response arrives.
@@ -59,7 +59,7 @@
             instance.generation_limit = permit_holder.generations.get(instance.name, 0)
         self.rejections: dict[tuple[str, str], str] = {}  # reasons by order and target
 
-    def state_file_lost(self) -> None:
+    def recover_from_leader(self) -> None:
         """Recover generations, orders and goals from the next response, as the state file is new."""
         self.is_state_lost = True
 
@@ -74,14 +74,14 @@
             is_serving[instance.name] = instance.phase is Phase.SERVING
             self._update_permit(instance)
             if self._needs_generations(instance):
-                generation_limits[instance.name] = instance.generation + self.generation_block
+                generation_limits[instance.name] = instance.generation + self.generation_block_size
         in_flight = {
             each.name: summary for each in self.supervisor.instances if (summary := in_flight_summary(each))
         }
         heartbeat = self.permit_holder.heartbeat(
             now, is_serving, self._task_results(), generation_limits, in_flight
         )
-        if self.assignments.active:
+        if self.assignments.leader_supports_releases:
             heartbeat.extension = self.assignments.encode_report(self._target_statuses(now))
         return heartbeat
 
@@ -89,7 +89,8 @@
         """Whether less than half a block of reserved generations is left for an instance."""
         reserved_generation = self.permit_holder.generations.get(instance.name, 0)
         return (
-            not self.is_state_lost and instance.generation + self.generation_block // 2 > reserved_generation
+            not self.is_state_lost
+            and instance.generation + self.generation_block_size // 2 > reserved_generation
         )
 
     def _target_statuses(self, now: int) -> list[TargetStatus]:
@@ -231,7 +232,7 @@
             reserved_generation = self.permit_holder.generations.get(instance.name, 0)
             if reserved_generation > stored_generation_limits.get(instance.name, 0):
                 instance.generation = max(instance.generation, reserved_generation)
-                instance.dirty = True
+                instance.is_changed = True
 
     def _submit_order(self, now: int, assigned_order: AssignedOrder) -> Order | None:
         """Submit an assigned order; None if the order is refused, or a reserved generation is missing."""
--- a/oakkeel/agent/state_writer.py
+++ b/oakkeel/agent/state_writer.py
@@ -26,10 +26,12 @@
 
     def save(self) -> bool:
         """Write the changed state; return False if that fails, and the next call retries."""
-        changed_instances = [instance for instance in self.instances if instance.dirty]
+        changed_instances = [instance for instance in self.instances if instance.is_changed]
         if not changed_instances and not self._has_other_changes() and not self.storage_error:
             return True
-        statements = order_statements(changed_instances, self.orders.changed, self.orders.deleted)
+        statements = order_statements(
+            changed_instances, self.orders.changed_orders, self.orders.deleted_order_ids
+        )
         if self.permit_holder:
             statements += permit_statements(self.permit_holder)
         if self.assignments:
@@ -42,7 +44,7 @@
             self.storage_error = str(error)
             return False
         for instance in changed_instances:
-            instance.dirty = False
+            instance.is_changed = False
         self._clear_other_changes()
         if self.storage_error:
             self.log.info("agent_state_write_recovered")
@@ -52,16 +54,16 @@
     def _has_other_changes(self) -> bool:
         """Whether orders, permits or version assignments changed."""
         return bool(
-            self.orders.changed
-            or self.orders.deleted
+            self.orders.changed_orders
+            or self.orders.deleted_order_ids
             or (self.permit_holder and self.permit_holder.changed_targets)
-            or (self.assignments and self.assignments.changed)
+            or (self.assignments and self.assignments.needs_storing)
         )
 
     def _clear_other_changes(self) -> None:
-        self.orders.changed.clear()
-        self.orders.deleted.clear()
+        self.orders.changed_orders.clear()
+        self.orders.deleted_order_ids.clear()
         if self.permit_holder:
             self.permit_holder.changed_targets.clear()
         if self.assignments:
-            self.assignments.changed = False
+            self.assignments.needs_storing = False
--- a/oakkeel/agent/storage.py
+++ b/oakkeel/agent/storage.py
@@ -72,7 +72,7 @@
         instance.changed_at,
         instance.changed_by,
         instance.process_generation,
-        instance.spawned,
+        instance.is_spawned,
         instance.goal.value,
         instance.phase.value,
         instance.kill_after_drain,
@@ -132,7 +132,7 @@
             resting,
             instance.why,
         ) = row
-        instance.spawned = bool(spawned)
+        instance.is_spawned = bool(spawned)
         instance.kill_after_drain = bool(kill)
         instance.restarts_exhausted = bool(resting)
         instance.goal = Goal(goal)
@@ -170,7 +170,7 @@
                     HostTaskState(state),
                     since,
                     why,
-                    drain_sent=bool(replaced_generation),
+                    is_drain_sent=bool(replaced_generation),
                     replaced_generation=replaced_generation,
                 )
             )
@@ -219,7 +219,7 @@
 
 def assignment_statements(assignments: VersionAssignments) -> list[Statement]:
     """The statement that writes the version assignments: versions, sources and earlier versions."""
-    if not assignments.changed:
+    if not assignments.needs_storing:
         return []
     return [
         (
--- a/oakkeel/agent/supervision_rules.py
+++ b/oakkeel/agent/supervision_rules.py
@@ -111,7 +111,7 @@
 
 def has_generation_left(instance: Instance) -> bool:
     """Whether a generation is left for a start: two processes never have the same generation."""
-    is_last_generation_unused = not instance.spawned and instance.process_generation != 0
+    is_last_generation_unused = not instance.is_spawned and instance.process_generation != 0
     return instance.generation < instance.generation_limit or is_last_generation_unused
 
 
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -1,6 +1,6 @@
 """The state machine of a host's instances: it applies the rules of `supervision_rules`. Free of I/O.
 
-Its caller reports events (`report_received`, `process_exited`, ...), calls `tick` periodically and executes
+Its caller reports events (`apply_report`, `record_exit`, ...), calls `tick` periodically and executes
 the returned steps. Only the end of its process shows that an instance is down; missing reports do not.
 A process is killed only after it was asked to drain and the drain timeout has expired.
 """
@@ -63,11 +63,11 @@
 
     # Events.
 
-    def report_received(
+    def apply_report(
         self, now: int, instance: Instance, state: str, generation: int, report: NodeStatus
     ) -> None:
         """Apply the report of a node; a report of another generation is ignored."""
-        if not instance.alive:
+        if not instance.has_process:
             return  # the report was sent before the process ended
         if generation != instance.process_generation:
             instance.why = (
@@ -88,47 +88,47 @@
         if instance.phase is Phase.SERVING and now - instance.phase_since > self.timeouts.steady_after_ns:
             instance.consecutive_crashes = 0
 
-    def process_started(self, now: int, instance: Instance) -> None:
+    def record_start(self, now: int, instance: Instance) -> None:
         """Record that the process of an instance was started."""
-        instance.spawned = True
-        instance.dirty = True
+        instance.is_spawned = True
+        instance.is_changed = True
 
-    def start_failed(self, now: int, instance: Instance, why: str) -> None:
+    def record_failed_start(self, now: int, instance: Instance, why: str) -> None:
         """Record that the process of an instance could not be started, which counts as a crash."""
-        self.process_exited(now, instance, why)
+        self.record_exit(now, instance, why)
 
-    def process_adopted(self, now: int, instance: Instance, generation: int) -> None:
+    def record_adoption(self, now: int, instance: Instance, generation: int) -> None:
         """Take over a process that was running when the agent started."""
         instance.process_generation = generation
-        instance.spawned = True
+        instance.is_spawned = True
         instance.generation = max(instance.generation, generation)
         instance.last_report_at = now  # the silence timeout starts now
         instance.report = None
-        if not instance.alive:
+        if not instance.has_process:
             self._transition(now, instance, Phase.STARTING)
         # A drain is sent again: it is idempotent, and the earlier drain may not have arrived.
         instance.drain_sent_at = 0
 
-    def process_not_found(self, now: int, instance: Instance, recorded_generation: int) -> None:
+    def record_missing_process(self, now: int, instance: Instance, recorded_generation: int) -> None:
         """Record that an instance has no process when the agent starts.
 
         `recorded_generation`, from the pid file, shows whether a process of the last generation was started.
         """
-        if not instance.alive:
+        if not instance.has_process:
             return
-        if instance.spawned or recorded_generation == instance.process_generation:
-            self.process_exited(now, instance, "its process ended while no agent was running")
+        if instance.is_spawned or recorded_generation == instance.process_generation:
+            self.record_exit(now, instance, "its process ended while no agent was running")
         else:
-            self.start_abandoned(now, instance)
+            self.record_abandoned_start(now, instance)
 
-    def start_abandoned(self, now: int, instance: Instance) -> None:
+    def record_abandoned_start(self, now: int, instance: Instance) -> None:
         """Record that a start was decided, but no process was started."""
         instance.start_not_before = now
         self._transition(now, instance, Phase.STOPPED)
 
-    def process_exited(self, now: int, instance: Instance, why: str) -> None:
+    def record_exit(self, now: int, instance: Instance, why: str) -> None:
         """Record that the process of an instance has ended: stopped after a drain, otherwise crashed."""
-        if not instance.alive:
+        if not instance.has_process:
             return
         is_expected = instance.phase is Phase.DRAINING or instance.goal is Goal.DOWN
         instance.drain_sent_at = 0
@@ -165,7 +165,7 @@
     def order_start(self, now: int, instance: Instance) -> None:
         """Start an instance without backoff and with a new restart budget."""
         instance.goal = Goal.UP
-        instance.dirty = True
+        instance.is_changed = True
         instance.start_not_before = now
         instance.consecutive_crashes = 0
         instance.restarts_exhausted = False
@@ -174,10 +174,10 @@
     def order_stop(self, now: int, instance: Instance, kill: bool, cancellable: bool = False) -> None:
         """Drain an instance. `kill`: kill it after the drain timeout; `cancellable`: allow a cancellation."""
         instance.goal = Goal.DOWN
-        instance.dirty = True
+        instance.is_changed = True
         if instance.phase is Phase.FAILING:
             self._transition(now, instance, Phase.STOPPED)
-        elif instance.alive:
+        elif instance.has_process:
             instance.is_drain_cancellable = cancellable
             self._drain(now, instance, kill)
 
@@ -191,7 +191,7 @@
     def revert_unsent_drain(self, now: int, instance: Instance, reported_state: str) -> None:
         """Revert a drain that was not sent. `reported_state` is the last state that the process reported."""
         instance.goal = Goal.UP
-        instance.dirty = True
+        instance.is_changed = True
         instance.is_drain_cancellable = False
         instance.kill_after_drain = False
         instance.is_drain_cancelled = False
@@ -202,7 +202,7 @@
     def order_restart(self, now: int, instance: Instance) -> None:
         """Drain an instance, kill it after the drain timeout, and start it again."""
         self.order_start(now, instance)
-        if instance.alive:
+        if instance.has_process:
             self._drain(now, instance, True)
 
     def has_capacity(self, instance: Instance) -> bool:
@@ -261,10 +261,10 @@
 
     def _start(self, now: int, instance: Instance) -> None:
         """Begin a start with a new generation, or with the last generation if no process has used it."""
-        if instance.spawned or not instance.process_generation:
+        if instance.is_spawned or not instance.process_generation:
             instance.generation += 1
             instance.process_generation = instance.generation
-            instance.spawned = False
+            instance.is_spawned = False
             instance.changed_at = self.unix_time()
             if instance.task is None:
                 instance.changed_by = AGENT_NAME
@@ -286,6 +286,6 @@
         self.starting_count -= instance.phase is Phase.STARTING
         instance.phase = phase
         instance.phase_since = now
-        instance.dirty = True
+        instance.is_changed = True
         self.unavailable[instance.site] += is_unavailable(instance)
         self.starting_count += phase is Phase.STARTING
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -18,7 +18,7 @@
 
 from oakkeel.agent import messages
 from oakkeel.fleet.agent_clients import AgentClients
-from oakkeel.fleet.selection import STATES, Selection, SelectionError
+from oakkeel.fleet.selection import SELECTABLE_STATES, Selection, SelectionError
 from oakkeel.fleet.view import FleetView, Row
 from oakkeel.settings.fleet import parse_duration, read_fleet
 from oakkeel.settings.keys import read_operator_key
@@ -230,7 +230,7 @@
             "--state",
             "states",
             multiple=True,
-            type=click.Choice(STATES),
+            type=click.Choice(SELECTABLE_STATES),
             help="Select instances in this state; may be repeated.",
         ),
     )
--- a/oakkeel/cli/control_plane.py
+++ b/oakkeel/cli/control_plane.py
@@ -30,7 +30,7 @@
 from oakkeel.cli.selection import select_rows, selected_services
 from oakkeel.disruption.state import OPEN_FLEET_TASK_STATES
 from oakkeel.fleet.agent_clients import (
-    MAX_LEADER_SEARCH_DEADLINES,
+    DEFAULT_LEADER_SEARCH_DEADLINES,
     NO_LEADER_TEXT,
     UNEXPECTED_RESPONSE,
     NoLeaderError,
@@ -66,7 +66,9 @@
 async def request_leader(client: FleetClient, request: messages.Request) -> messages.Response:
     """Return the leader's response; a rejection, or no leader, ends the command."""
     try:
-        response = await client.agents.request_leader(request, MAX_LEADER_SEARCH_DEADLINES * client.deadline)
+        response = await client.agents.request_leader(
+            request, DEFAULT_LEADER_SEARCH_DEADLINES * client.deadline
+        )
     except NoLeaderError as error:
         _fail_without_leader(error)
     if isinstance(response, messages.ErrorResponse):
--- a/oakkeel/emulator/simulated_agent.py
+++ b/oakkeel/emulator/simulated_agent.py
@@ -80,17 +80,17 @@
         else:
             self._restore_orders()
         self.reconciler = Reconciler(
-            self.supervisor, self.orders, self.permit_holder, generation_block=GENERATION_BLOCK
+            self.supervisor, self.orders, self.permit_holder, generation_block_size=GENERATION_BLOCK
         )
         self.reconciler.assignments.restore(dict(disk.versions), {}, {})
         if is_new_disk:
-            self.reconciler.state_file_lost()
+            self.reconciler.recover_from_leader()
         for instance in self.supervisor.instances:
             instance.phase_since = instance.phase_since if is_new_disk else now
             if process := self.processes.running.get(instance.name):
-                self.supervisor.process_adopted(now, instance, process.generation)
+                self.supervisor.record_adoption(now, instance, process.generation)
             else:
-                self.supervisor.process_not_found(now, instance, instance.process_generation)
+                self.supervisor.record_missing_process(now, instance, instance.process_generation)
 
     def _restore_orders(self) -> None:
         self.orders = pickle.loads(self.disk.orders)
@@ -108,7 +108,7 @@
             if process := self.processes.running.get(instance.name):
                 state = self.processes.state(process)
                 report = self.processes.report(process, state)
-                self.supervisor.report_received(now, instance, state, process.generation, report)
+                self.supervisor.apply_report(now, instance, state, process.generation, report)
         if now - self.last_heartbeat_at >= HEARTBEAT_INTERVAL_NS:
             self.last_heartbeat_at = now
             self.send_heartbeat(machine.name, self.reconciler.build_heartbeat(now), now)
@@ -137,10 +137,10 @@
         """Revert the steps that need storage, as the disk is full, and return the other steps."""
         for step in steps:
             if step.action is Action.START and step.instance.task is not None:
-                self.supervisor.start_abandoned(now, step.instance)
+                self.supervisor.record_abandoned_start(now, step.instance)
             elif step.action in (Action.TERM, Action.DRAIN) and step.instance.task is not None:
                 step.instance.drain_sent_at = 0
-                step.instance.task.drain_sent = False
+                step.instance.task.is_drain_sent = False
         return [step for step in steps if step.instance.task is None and step.action is not Action.START]
 
     def _on_prepared(self, request: ArtifactRequest, restarts: int) -> None:
@@ -157,11 +157,11 @@
         assignments = self.reconciler.assignments
         if not self._has_changes():
             return
-        assignments.changed = False
+        assignments.needs_storing = False
         disk.versions = dict(assignments.versions)
         for instance in self.supervisor.instances:
-            instance.dirty = False
-        self.orders.deleted.clear()
+            instance.is_changed = False
+        self.orders.deleted_order_ids.clear()
         disk.epoch = permit_holder.epoch
         disk.generations = dict(permit_holder.generations)
         disk.permits = []
@@ -170,16 +170,16 @@
             has_started = bool(permit and permit.started)
             disk.permits.append(StoredPermit(target, token, permit.order_id if permit else "", has_started))
         permit_holder.changed_targets.clear()
-        self.orders.changed.clear()
+        self.orders.changed_orders.clear()
         self._save_orders()
 
     def _has_changes(self) -> bool:
         return bool(
             self.permit_holder.changed_targets
-            or self.orders.changed
-            or self.orders.deleted
-            or self.reconciler.assignments.changed
-            or any(instance.dirty for instance in self.supervisor.instances)
+            or self.orders.changed_orders
+            or self.orders.deleted_order_ids
+            or self.reconciler.assignments.needs_storing
+            or any(instance.is_changed for instance in self.supervisor.instances)
         )
 
     def _save_orders(self) -> None:
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -105,7 +105,7 @@
         )
         self.running[name] = process
         step.instance.running_version = version
-        self.owner.supervisor.process_started(machine.now(), step.instance)
+        self.owner.supervisor.record_start(machine.now(), step.instance)
         if version.startswith("crash"):
             world.clock.call_at(now + CRASH_DELAY_NS, self.end, name, process, "exit code 3", True)
         else:
@@ -150,4 +150,4 @@
         supervisor = self.owner.supervisor
         instance = next(instance for instance in supervisor.instances if instance.name == name)
         if name not in self.running:
-            supervisor.process_exited(machine.now(), instance, reason)
+            supervisor.record_exit(machine.now(), instance, reason)
--- a/oakkeel/fakes/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -84,4 +84,4 @@
 
 if __name__ == "__main__":
     fatal_step = int([*sys.argv, "0"][3])
-    sys.exit(serve(sys.argv[1], sys.argv[2], make=functools.partial(make_agent, fatal_step)))
+    sys.exit(serve(sys.argv[1], sys.argv[2], agent_factory=functools.partial(make_agent, fatal_step)))
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -67,7 +67,7 @@
     name: bytes
     rate: float  # first attempts a second
     tenant: bytes = b""
-    honours_retry_after: bool = True
+    honors_retry_after: bool = True
     max_attempts: int = 4  # of one request
     fixed_retry_delay: int = 20 * MS  # nanoseconds, if the client does not honour Retry-After
     first_attempts: int = 0  # number of requests sent
@@ -192,7 +192,7 @@
         client.retry_delays.append(retry_after)
         if attempt >= client.max_attempts:
             client.counts["given up"] += 1
-        elif client.honours_retry_after:
+        elif client.honors_retry_after:
             has_reservation = retry_after < self.limits.max_retry_after
             self.schedule_at(self.now + retry_after, self.send, client, attempt + 1, has_reservation)
         else:
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -23,7 +23,7 @@
 AgentError = LinkError
 AgentRejectedError = AuthenticationRejectedError
 OnResponse = Callable[[str, int, messages.Response], None]
-MAX_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, as a multiple of that of one request
+DEFAULT_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, as a multiple of that of one request
 SEED_BITS = 63
 NO_LEADER_TEXT = "no reachable agent leads the control plane"
 UNEXPECTED_RESPONSE = "the agent sent an unexpected response"
@@ -136,7 +136,7 @@
     async def request_leader(self, request: messages.Request, deadline: int = 0) -> messages.Response:
         """Send a request to the leader of the control plane. Raises NoLeaderError.
 
-        `deadline` is in nanoseconds; 0: `MAX_LEADER_SEARCH_DEADLINES` times the deadline in the settings.
+        `deadline` is in nanoseconds; 0: `DEFAULT_LEADER_SEARCH_DEADLINES` times the deadline in the settings.
         """
         if self.fleet.control_plane is None:
             raise SettingsError(f"{self.fleet.path}: the fleet has no replicas (`keepers`), so no leader")
@@ -146,7 +146,7 @@
         search = LeaderDiscovery(
             time.monotonic_ns(),
             [*voters, *other_hosts],
-            deadline or MAX_LEADER_SEARCH_DEADLINES * request_deadline,
+            deadline or DEFAULT_LEADER_SEARCH_DEADLINES * request_deadline,
         )
         while search.state is SearchState.SEARCHING:
             now = time.monotonic_ns()
--- a/oakkeel/fleet/selection.py
+++ b/oakkeel/fleet/selection.py
@@ -12,7 +12,7 @@
 from oakkeel.fleet.view import Row
 
 # The states by which an operator can select instances; `old` marks a state that was not reported recently.
-STATES = [phase.value for phase in Phase] + ["unknown", "old"]
+SELECTABLE_STATES = [phase.value for phase in Phase] + ["unknown", "old"]
 
 
 class SelectionError(OakkeelError, ValueError):
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -46,7 +46,7 @@
     class_names: list[str]
     tenant_names: list[str]
     readiness: bool  # whether the directory is notified of changes of the node's health
-    log_form: str  # console or json
+    log_format: str  # console or json
     control_path: str  # path of the control socket; empty for none
     snapshot_path: str  # path of the file that keeps fair shares across restarts; empty for none
     generation: int  # number that the agent gives to each start of the node; 0 without an agent
@@ -86,7 +86,7 @@
             tenant_names=node_settings.names("tenants"),
             readiness=node_settings.read_flag("extra.readiness"),
             snapshot_path=fair_sharing.snapshot_path,
-            log_form="json" if variables.get("OAKKEEL_LOG") == "json" else "console",
+            log_format="json" if variables.get("OAKKEEL_LOG") == "json" else "console",
             control_path=variables.get("OAKKEEL_CONTROL", ""),
             generation=int(variables.get("OAKKEEL_GENERATION") or 0),
         )
--- a/oakkeel/node/node.py
+++ b/oakkeel/node/node.py
@@ -53,7 +53,9 @@
         resource_limits = configuration.resource_limits
         self.configuration = configuration
         self.resource_limits = resource_limits
-        self.log = EventLog(configuration.name, resource_limits.log_lines_per_second, configuration.log_form)
+        self.log = EventLog(
+            configuration.name, resource_limits.log_lines_per_second, configuration.log_format
+        )
         self.metrics = Metrics()
         self.pool = BufferPool(resource_limits.buffer_size, resource_limits.max_buffers)
         self.reader: RequestReader | None = None
--- a/oakkeel/rollout/assignments.py
+++ b/oakkeel/rollout/assignments.py
@@ -1,6 +1,6 @@
 """The versions assigned to the targets of an agent, and the copies that the agent has to make for a release.
 
-Free of I/O: the agent stores changed assignments (`changed`) before it starts a process of an assigned
+Free of I/O: the agent stores changed assignments (`needs_storing`) before it starts a process of an assigned
 version, makes the copies that `take_requests` returns, and passes the result to `record_prepared`.
 """
 
@@ -33,8 +33,8 @@
         self.sources: dict[str, VersionSpec] = {}  # by version
         # By target without an assigned version: the version of the copy of its content, for a rollback.
         self.bases: dict[str, str] = {}
-        self.changed = False  # whether the agent has to store the assignments
-        self.active = False  # whether the leader supports releases
+        self.needs_storing = False  # whether the agent has to store the assignments
+        self.leader_supports_releases = False  # whether the leader supports releases
         self.collect_samples = False  # whether reports contain samples
         self.release = ""  # ID of the open release, empty if there is none
         # By release: the reason why this host can't run its version; empty if it can.
@@ -80,19 +80,19 @@
             received = decode_assignments(content)
         except msgspec.MsgspecError:
             return
-        self.active = True
+        self.leader_supports_releases = True
         self.collect_samples = received.collect_samples
         if (self.versions, self.sources) != (received.versions, received.sources):
             self.versions = received.versions
             self.sources = received.sources
-            self.changed = True
+            self.needs_storing = True
         if received.release != self.release:
             self.release = received.release
             self.prepared = {ident: why for ident, why in self.prepared.items() if ident == received.release}
             self.requested &= {received.release}
             if not received.release and self.bases:
                 self.bases = {}  # the release has ended: no rollback needs them
-                self.changed = True
+                self.needs_storing = True
         targets = tuple(target for target in received.targets if target not in self.services)
         if received.release and targets and received.release not in self.requested:
             self.requested.add(received.release)
@@ -115,7 +115,7 @@
         added = {target: base for target, base in bases.items() if target not in self.bases}
         if added:
             self.bases |= added
-            self.changed = True
+            self.needs_storing = True
 
     def needed_versions(self) -> set[str]:
         """Return the versions whose copies the agent has to keep."""
--- a/oakkeel/rollout/batches.py
+++ b/oakkeel/rollout/batches.py
@@ -156,7 +156,9 @@
         tasks[target].state in ENDED_WITHOUT_FAILURE for target in release.in_progress if target in tasks
     )
     arrived_targets = [
-        target for target in release.in_progress if view.observations.has_arrived(view.now, release, target)
+        target
+        for target in release.in_progress
+        if view.observations.has_reached_batch_version(view.now, release, target)
     ]
     if not is_stopped and len(arrived_targets) < len(release.in_progress) and not all_ended:
         return f"batch {release.batch}: waits for reports of the running versions"
--- a/oakkeel/rollout/observations.py
+++ b/oakkeel/rollout/observations.py
@@ -112,7 +112,7 @@
         observation = self.targets.get(target)
         return observation if observation and observation.is_fresh(now) else None
 
-    def has_arrived(self, now: int, release: Release, target: str) -> bool:
+    def has_reached_batch_version(self, now: int, release: Release, target: str) -> bool:
         """Return whether a target of the open batch runs the version of the batch.
 
         A service, which reports no version, has arrived once it is available.
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -16,9 +16,7 @@
     def test_limits_a_crawler_to_its_share(self):
         for has_fair_sharing in (False, True):
             node, compliant = simulated_node(has_fair_sharing), self.compliant_clients()
-            node.add(
-                *compliant, SimulatedClient(b"crawler", 1000, honours_retry_after=False, max_attempts=10)
-            )
+            node.add(*compliant, SimulatedClient(b"crawler", 1000, honors_retry_after=False, max_attempts=10))
             shares, kept_ratio = shares_obtained(node, compliant)
             if not has_fair_sharing:
                 self.assertLess(sum(shares) / len(shares), 0.5)
@@ -32,7 +30,7 @@
         node = simulated_node(by=("tenant", "caller"), places=128)
         compliant = [SimulatedClient(b"good-%d" % number, 20, tenant=b"t%d" % number) for number in range(8)]
         crowd = [
-            SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", honours_retry_after=False)
+            SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", honors_retry_after=False)
             for number in range(1000)
         ]
         node.add(*compliant, *crowd)
@@ -92,7 +90,7 @@
     def test_limits_a_crawler_on_a_cold_node(self):
         node = simulated_node(starts_cold=True, slow=4.0, objective=2 * SECOND)
         compliant = self.compliant_clients(8, 4)
-        node.add(*compliant, SimulatedClient(b"crawler", 400, honours_retry_after=False))
+        node.add(*compliant, SimulatedClient(b"crawler", 400, honors_retry_after=False))
         shares, _ = shares_obtained(node, compliant, warm=3, seconds=6)
         self.assertGreater(sum(shares) / len(shares), 0.85)
 
@@ -108,7 +106,7 @@
         node = simulated_node()
         node.add(
             SimulatedClient(b"flood", 600),
-            early_client := SimulatedClient(b"one", 0.0, honours_retry_after=False, max_attempts=1),
+            early_client := SimulatedClient(b"one", 0.0, honors_retry_after=False, max_attempts=1),
         )
         node.pass_time(5)
         reservations = node.admission.fair_sharing.reservations
--- a/tests/agent/simulated_host.py
+++ b/tests/agent/simulated_host.py
@@ -39,9 +39,9 @@
         self.steps += steps
         for action, instance in steps:
             if action is Action.START:
-                self.supervisor.process_started(self.now, instance)
+                self.supervisor.record_start(self.now, instance)
             elif action is Action.KILL or instance not in self.ignoring_drain:
-                self.supervisor.process_exited(self.now, instance, "drained or killed")
+                self.supervisor.record_exit(self.now, instance, "drained or killed")
         self.orders.advance(self.now)
         return steps
 
@@ -51,8 +51,12 @@
         while self.now < end:
             self.now += step
             for instance in self.instances:
-                if instance.alive and instance.phase is not Phase.DRAINING and instance not in self.silent:
-                    self.supervisor.report_received(
+                if (
+                    instance.has_process
+                    and instance.phase is not Phase.DRAINING
+                    and instance not in self.silent
+                ):
+                    self.supervisor.apply_report(
                         self.now, instance, state, instance.process_generation, EMPTY_REPORT
                     )
             self.tick()
@@ -74,7 +78,7 @@
         return self.orders.submit(self.now, submission)
 
     def crash(self, instance: Instance) -> None:
-        self.supervisor.process_exited(self.now, instance, "killed by SIGSEGV")
+        self.supervisor.record_exit(self.now, instance, "killed by SIGSEGV")
 
 
 class CheckedOrderRegistry(OrderRegistry):
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -201,7 +201,7 @@
             host.submit(Verb.START, host.instances[0], order_id=f"o{number}")
             host.run(0.2)
         self.assertEqual(list(host.orders.orders), ["o4", "o5", "o6", "o7", "o8"])
-        self.assertEqual(host.orders.deleted, ["o0", "o1", "o2", "o3"])
+        self.assertEqual(host.orders.deleted_order_ids, ["o0", "o1", "o2", "o3"])
 
 
 class AnyOrders(RuleBasedStateMachine):
@@ -233,7 +233,7 @@
 
     @rule(index=st.integers(0, 4))
     def crash(self, index):
-        if self.host.instances[index].alive:
+        if self.host.instances[index].has_process:
             self.host.crash(self.host.instances[index])
 
     @rule(index=st.integers(0, 4))
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -17,7 +17,7 @@
 def make_registry() -> OrderRegistry:
     """An order registry with one serving instance of generation 3."""
     instance = Instance(
-        "n1", "woodbrook", phase=Phase.SERVING, generation=3, process_generation=3, spawned=True
+        "n1", "woodbrook", phase=Phase.SERVING, generation=3, process_generation=3, is_spawned=True
     )
     supervisor = Supervisor([instance], SupervisionTimeouts(), {"woodbrook": 1}, 7, lambda: 0)
     return OrderRegistry(supervisor, lambda: 0)
@@ -38,4 +38,4 @@
 
         [task] = restored_registry.open_tasks
         self.assertEqual((task.state, task.replaced_generation), (HostTaskState.ACTING, 3))
-        self.assertIs(task.drain_sent, True)
+        self.assertIs(task.is_drain_sent, True)
--- a/tests/agent/test_supervisor.py
+++ b/tests/agent/test_supervisor.py
@@ -50,7 +50,7 @@
         for _ in range(2000):
             if crashing.phase is Phase.STARTING:
                 start_times.append(host.now)
-            if crashing.alive:
+            if crashing.has_process:
                 host.crash(crashing)
             host.now += 100 * MS
             host.tick()
@@ -84,7 +84,7 @@
         instance = host.instances[0]
         last_report_at = instance.last_report_at
         host.now += SECOND // 2
-        host.supervisor.report_received(
+        host.supervisor.apply_report(
             host.now, instance, "draining", instance.process_generation - 1, EMPTY_REPORT
         )
         self.assertEqual((instance.phase, instance.last_report_at), (Phase.SERVING, last_report_at))
@@ -94,7 +94,7 @@
     def test_ignores_a_report_after_the_process_exited(self):
         host = self.serving_host()
         host.crash(host.instances[0])
-        host.supervisor.report_received(
+        host.supervisor.apply_report(
             host.now, host.instances[0], "serving", host.instances[0].process_generation, EMPTY_REPORT
         )
         self.assertEqual(host.instances[0].phase, Phase.FAILING)
@@ -103,17 +103,19 @@
         host = SimulatedHost()
         host.tick()
         started = host.instances[0]
-        started.spawned = False  # the agent ended before the start was stored
-        host.supervisor.process_not_found(host.now, started, recorded_generation=started.process_generation)
+        started.is_spawned = False  # the agent ended before the start was stored
+        host.supervisor.record_missing_process(
+            host.now, started, recorded_generation=started.process_generation
+        )
         self.assertEqual((started.phase, len(started.crash_times)), (Phase.FAILING, 1))
 
     def test_adopts_a_running_process_and_reuses_a_generation_that_was_never_started(self):
         host = SimulatedHost()
         adopted, never_started = host.instances[:2]
-        host.supervisor.process_adopted(host.now, adopted, 5)
+        host.supervisor.record_adoption(host.now, adopted, 5)
         self.assertEqual((adopted.phase, adopted.generation), (Phase.STARTING, 5))
         steps = [step.instance for step in host.supervisor.tick(host.now)]
         self.assertNotIn(adopted, steps)
-        host.supervisor.process_not_found(host.now, never_started, recorded_generation=0)
+        host.supervisor.record_missing_process(host.now, never_started, recorded_generation=0)
         host.supervisor.tick(host.now)
         self.assertEqual((never_started.phase, never_started.process_generation), (Phase.STARTING, 1))
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -34,7 +34,7 @@
                 phase=Phase.SERVING,
                 generation=1,
                 process_generation=1,
-                spawned=True,
+                is_spawned=True,
                 generation_limit=9,
             )
             supervision = Supervisor(
@@ -53,7 +53,7 @@
                 self.assertEqual((steps, instance.phase, instance.task), ([], Phase.SERVING, None))
                 self.assertEqual(orders.orders["o1"].tasks[0].state, HostTaskState.CANCELLED)
             else:
-                self.assertEqual((steps, instance.task.drain_sent), ([step], True))
+                self.assertEqual((steps, instance.task.is_drain_sent), ([step], True))
 
     def test_rejects_older_responses_responses_of_other_clusters_and_older_tokens(self):
         holder = PermitHolder("h1", ("a",), 1)
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -23,7 +23,7 @@
     def node_under_load(self) -> SimulatedNode:
         node = simulated_node()
         node.add(
-            SimulatedClient(b"crawler", 500, honours_retry_after=False),
+            SimulatedClient(b"crawler", 500, honors_retry_after=False),
             *(SimulatedClient(b"g%d" % n, 20) for n in range(10)),
         )
         node.pass_time(5)
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -54,7 +54,7 @@
     def test_detects_release_reported_as_done_too_early(self):
         for owner, name, replacement in (
             (Observations, "is_updated", lambda observations, release, target, tasks: release.batch_forward),
-            (Observations, "has_arrived", lambda *arguments: True),
+            (Observations, "has_reached_batch_version", lambda *arguments: True),
             (Observations, "deviates", lambda *arguments: False),
             (VersionAssignments, "version", lambda *arguments: ""),
             (RolloutController, "_check_gate", lambda *arguments: Step(None, "")),
--- a/tests/rollout/test_state_machine.py
+++ b/tests/rollout/test_state_machine.py
@@ -206,7 +206,7 @@
         spec = VersionSpec("v2", "/p")
         response = AgentAssignments({"a": "v2"}, {"v2": spec}, "r", spec, ["a"], True)
         assignments.handle_response(encode(response))
-        self.assertEqual((assignments.version("a"), assignments.changed), ("v2", True))
+        self.assertEqual((assignments.version("a"), assignments.needs_storing), ("v2", True))
         [request] = assignments.take_requests()
         self.assertEqual((request.release, request.targets, assignments.take_requests()), ("r", ("a",), []))
         assignments.record_prepared("r", "", {"a": "base"})
