--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -293,7 +293,7 @@
         "taken": len(run.accept_durations),  # orders accepted
         "doubled": count_doubled_drains(folder),  # processes drained twice
         "breaches": audit.finish(0),
-        "most_out": audit.most_out["fleet"],  # most targets unavailable at once
+        "most_out": audit.max_taken_out["fleet"],  # most targets unavailable at once
         "bound": FLEET_MAX_UNAVAILABLE,
         # Longest period without a leader.
         "worst_gap_s": max((duration for _, duration in run.leaderless_periods), default=0.0),
--- a/measure/common.py
+++ b/measure/common.py
@@ -18,7 +18,7 @@
 from oakkeel.fakes.site import FakeSite
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import targets_by_host
-from oakkeel.fleet.view import FleetView, Row
+from oakkeel.fleet.view import FleetView, InstanceRow
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_operator_key
 from oakkeel.settings.types import Fleet
@@ -90,17 +90,17 @@
             if time.monotonic() - started_at > timeout:
                 raise TimeoutError(
                     f"condition not met within {timeout:g} s; instance states:"
-                    f" {[row.shown for row in self.rows()]}"
+                    f" {[row.displayed_state for row in self.rows()]}"
                 )
             await asyncio.sleep(poll_interval)
 
-    def rows(self) -> list[Row]:
+    def rows(self) -> list[InstanceRow]:
         """Return the current rows of the view."""
         return self.view.rows(time.monotonic_ns())
 
     def all_instances_in(self, *states: str) -> bool:
         """Return whether every instance is shown in one of these states."""
-        return all(row.shown in states for row in self.rows())
+        return all(row.displayed_state in states for row in self.rows())
 
     def addresses(self) -> dict[str, Address]:
         """Return the reported addresses of the nodes that the directory lists as open."""
--- a/measure/drain.py
+++ b/measure/drain.py
@@ -151,7 +151,7 @@
                 supervision='<supervision silent="2s" start="10s" drain="10s" backoff="200ms"/>',
             ),
         )
-        rig = ProcessRig(site, seed, real=True)
+        rig = ProcessRig(site, seed, with_real_nodes=True)
         load = LoadProcess()
         scenario = DrainScenario(rig, load, rate, seed)
         try:
@@ -208,7 +208,7 @@
             for grace_end, drain_end in drains.get(name, ())
         )
         for name, engine in site.engines.items()
-        for request_id in engine.first_started
+        for request_id in engine.first_started_at
         if request_id in sent_at_by_id
     )
 
--- a/measure/fair.py
+++ b/measure/fair.py
@@ -23,9 +23,9 @@
 from oakkeel.admission.fairness import FairSharing
 from oakkeel.admission.types import FairSharingRules, Idempotency, Request, RequestClass
 from oakkeel.fair_sharing.heavy_hitters import HeavyHitters
-from oakkeel.fakes.load_clients import CrawlerClient, PoliteClient
+from oakkeel.fakes.load_clients import CompliantClient, NonCompliantClient
 from oakkeel.fakes.node_connection import Address
-from oakkeel.fakes.simulated_node import fair_share, jain
+from oakkeel.fakes.simulated_node import jain_index, max_min_shares
 from oakkeel.fakes.site import FakeSite, SiteOptions
 from oakkeel.units import SECOND
 
@@ -46,15 +46,15 @@
             folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, seed=seed, work=WORK_S, max_retry_after=5)
         )
         await site.open()
-        site.engines["n1"].calls = 0
+        site.engines["n1"].runs_per_call = 0
         node, address = await start_node(folder, with_fairness)
         log_reader = asyncio.ensure_future(require_stream(node.stderr).read())
         await asyncio.sleep(0.5)
         compliant = [
-            PoliteClient(f"good-{number}", address, CLIENT_RATE, seed + number)
+            CompliantClient(f"good-{number}", address, CLIENT_RATE, seed + number)
             for number in range(COMPLIANT_CLIENTS)
         ]
-        crawler = CrawlerClient("crawler", address, FAIR_RATE * multiple, seed + 99)
+        crawler = NonCompliantClient("crawler", address, FAIR_RATE * multiple, seed + 99)
         clients = [*compliant, crawler]
         for client in clients:
             await client.start()
@@ -67,7 +67,7 @@
         elapsed = time.monotonic() - started_at
         cpu = cpu_seconds(node.pid) - cpu
         figures = compute_shares(compliant, crawler, elapsed)
-        attempts = sum(client.tries for client in clients)
+        attempts = sum(client.attempts for client in clients)
         for client in clients:
             await client.stop()
         node.kill()
@@ -105,11 +105,13 @@
     return node, ("127.0.0.1", int(line.rsplit(b":", 1)[1]))
 
 
-def compute_shares(compliant: list[PoliteClient], crawler: CrawlerClient, elapsed: float) -> dict[str, Any]:
+def compute_shares(
+    compliant: list[CompliantClient], crawler: NonCompliantClient, elapsed: float
+) -> dict[str, Any]:
     """Return the figures of the shares that the clients obtained in `elapsed` seconds."""
     completed_rates = [client.completed / elapsed for client in (*compliant, crawler)]
     sent_rates = [client.sent / elapsed for client in (*compliant, crawler)]
-    fair_rates = fair_share(sent_rates, max(sum(completed_rates), 1.0))
+    fair_rates = max_min_shares(sent_rates, max(sum(completed_rates), 1.0))
     obtained_shares = [
         min(1.0, rate / fair_rate)
         for rate, fair_rate in zip(completed_rates[:-1], fair_rates[:-1], strict=True)
@@ -118,11 +120,12 @@
         # Fractions of their fair shares that the compliant clients obtained.
         "kept_mean": statistics.mean(obtained_shares),
         "kept_least": min(obtained_shares),
-        "jain": jain(completed_rates[:-1]),  # Jain's fairness index of the compliant clients
+        "jain": jain_index(completed_rates[:-1]),  # Jain's fairness index of the compliant clients
         "crawler_a_second": completed_rates[-1],
         "completed_a_second": sum(completed_rates),
-        "returned": sum(client.returned for client in compliant),  # retries at a reserved time
-        "went_ahead": sum(client.went_ahead for client in compliant),  # of these retries, completed
+        "returned": sum(client.reserved_retries for client in compliant),  # retries at a reserved time
+        # completed ones of these retries
+        "went_ahead": sum(client.admitted_reserved_retries for client in compliant),
     }
 
 
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -46,7 +46,7 @@
 
     def is_status_correct() -> bool:
         for row in fleet.rows():
-            if row.old or row.status is None:
+            if row.is_stale or row.status is None:
                 return False
             if row.name in killed_pids:
                 if row.status.pid == killed_pids[row.name]:
@@ -92,8 +92,8 @@
                 detection_times.append(elapsed)
                 for dispatcher in dispatchers:
                     await dispatcher.stop()
-                    answered += dispatcher.answered
-                    for node, counts in dispatcher.by_node.items():
+                    answered += dispatcher.answered_count
+                    for node, counts in dispatcher.counts_by_node.items():
                         group = "touched" if node in affected_names else "others"
                         lost[group] += counts["lost"] + counts["late"]
                 await asyncio.sleep(0.5)
--- a/measure/node.py
+++ b/measure/node.py
@@ -74,11 +74,11 @@
     dispatcher.start()
     await asyncio.sleep(1.0)
     cpu = cpu_seconds(pid)
-    answered = dispatcher.answered
+    answered = dispatcher.answered_count
     started_at = time.monotonic()
     await asyncio.sleep(seconds)
     cpu = cpu_seconds(pid) - cpu
-    answered = dispatcher.answered - answered
+    answered = dispatcher.answered_count - answered
     memory = resident_mb(pid)
     elapsed = time.monotonic() - started_at
     await dispatcher.stop()
--- a/measure/places.py
+++ b/measure/places.py
@@ -103,7 +103,7 @@
         holder = self.agents[name]
         self._mark_restored(holder)
         up_by_target = {target: target not in self.restart_end_by_target for target in holder.targets}
-        heartbeat = holder.heartbeat(self.now, up_by_target, [], {})
+        heartbeat = holder.build_heartbeat(self.now, up_by_target, [], {})
         leader = require_leader(self)
         started_at = time.perf_counter_ns()
         response, outputs = leader.receive_heartbeat(self.now, heartbeat)
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -73,21 +73,21 @@
         self.drained_at: dict[str, int] = {}
         self.durations: dict[str, int] = {}
         self.max_unavailable = 0
-        drain_started = simulation.audit.drain_started
-        serving = simulation.audit.serving
+        record_drain = simulation.audit.record_drain
+        record_serving = simulation.audit.record_serving
 
         def on_drain(now: int, target: str, fence: int, ident: str = "") -> None:
-            drain_started(now, target, fence, ident)
+            record_drain(now, target, fence, ident)
             self.drained_at.setdefault(target, now)
             self.max_unavailable = max(self.max_unavailable, len(self.drained_at) - len(self.durations))
 
         def on_serving(now: int, target: str) -> None:
-            serving(now, target)
+            record_serving(now, target)
             if target in self.drained_at:
                 self.durations.setdefault(target, now - self.drained_at[target])
 
-        simulation.audit.drain_started = on_drain  # type: ignore[method-assign]
-        simulation.audit.serving = on_serving  # type: ignore[method-assign]
+        simulation.audit.record_drain = on_drain  # type: ignore[method-assign]
+        simulation.audit.record_serving = on_serving  # type: ignore[method-assign]
 
 
 def _random_schedule(seed: int, node_deaths: int, agent_kills: int) -> Schedule:
--- a/measure/rollout.py
+++ b/measure/rollout.py
@@ -48,15 +48,15 @@
 
     offered = earned = 0.0
 
-    def request_sent(self, request_id: str, sent: SentRequest) -> None:
+    def on_request_sent(self, request_id: str, sent: SentRequest) -> None:
         """Add the weight of a request that is sent."""
-        self.offered += PRIORITY_WEIGHTS[sent.group]
+        self.offered += PRIORITY_WEIGHTS[sent.request_class]
 
-    def request_ended(self, sent: SentRequest, outcome: str) -> str:
+    def on_request_end(self, sent: SentRequest, outcome: str) -> str:
         """Add the weight of a request if it was completed in time."""
         if outcome == "ok":
-            self.earned += PRIORITY_WEIGHTS[sent.group]
-        return super().request_ended(sent, outcome)
+            self.earned += PRIORITY_WEIGHTS[sent.request_class]
+        return super().on_request_end(sent, outcome)
 
 
 class Load:
@@ -107,10 +107,10 @@
     def count_lost_except(self, killed: set[str]) -> int:
         """Return the number of requests without a response at nodes that were not killed."""
         return sum(
-            dispatcher.by_node[name][outcome]
+            dispatcher.counts_by_node[name][outcome]
             for dispatcher in self.dispatchers
             for name in NODE_NAMES
-            if name not in killed and name in dispatcher.by_node
+            if name not in killed and name in dispatcher.counts_by_node
             for outcome in ("lost", "late")
         )
 
@@ -286,7 +286,7 @@
         services = {name: Catalogue() for name in ports}
         for name, service in services.items():
             await service.open(ports[name])
-        rig = ProcessRig(_make_site(folder, seed, ports), seed, real=True)
+        rig = ProcessRig(_make_site(folder, seed, ports), seed, with_real_nodes=True)
         run = RolloutRun(rig, dict(services), ports, seed)
         try:
             await rig.open()
--- a/measure/schedules.py
+++ b/measure/schedules.py
@@ -16,9 +16,9 @@
 from functools import partial
 
 from measure.common import describe_machine, parse_arguments, print_line, write_figures
-from oakkeel.emulator.consensus import play
-from oakkeel.emulator.faults import Schedule, draw, schedule_from_json
-from oakkeel.emulator.schedule_shrinking import shrink
+from oakkeel.emulator.consensus import run_schedule
+from oakkeel.emulator.faults import Schedule, draw_schedule, schedule_from_json
+from oakkeel.emulator.schedule_shrinking import shrink_schedule
 from oakkeel.units import SECOND
 
 RELEASE_DURATION_NS = 40 * SECOND
@@ -57,22 +57,26 @@
 
 def schedule_for_seed(seed: int, releases: bool) -> Schedule:
     """Return the random schedule of a seed."""
-    return draw(seed, releases=True, duration=RELEASE_DURATION_NS) if releases else draw(seed)
+    return (
+        draw_schedule(seed, releases=True, duration=RELEASE_DURATION_NS) if releases else draw_schedule(seed)
+    )
 
 
 def play_seed(seed: int, releases: bool = False) -> PlayedSchedule:
     """Run the schedule of a seed."""
     try:
-        simulation, breaches = play(schedule_for_seed(seed, releases))
+        simulation, breaches = run_schedule(schedule_for_seed(seed, releases))
     except Exception as error:  # an exception in the code under test counts as a breach
         return PlayedSchedule(seed, [f"{type(error).__name__}: {error}"])
-    return PlayedSchedule(seed, breaches, simulation.stuck(), simulation.clock.events_processed)
+    return PlayedSchedule(
+        seed, breaches, simulation.convergence_failures(), simulation.clock.events_processed
+    )
 
 
 def breaks_invariant(schedule: Schedule) -> bool:
     """Return whether a schedule breaks an invariant or raises an exception."""
     try:
-        return bool(play(schedule)[1])
+        return bool(run_schedule(schedule)[1])
     except Exception:
         return True
 
@@ -80,7 +84,7 @@
 def replay(path: str) -> int:
     """Run a schedule file and print its events; the exit code is 1 if an invariant is broken."""
     with open(path, encoding="utf-8") as file:
-        simulation, breaches = play(schedule_from_json(json.load(file)))
+        simulation, breaches = run_schedule(schedule_from_json(json.load(file)))
     for line in [*simulation.event_log, *breaches]:
         print_line(line)
     return 1 if breaches else 0
@@ -101,7 +105,7 @@
 
 def write_shrunk_schedule(schedule: Schedule, path: str) -> None:
     """Shrink a failing schedule and write it to a file."""
-    shrunk = shrink(schedule, breaks_invariant)
+    shrunk = shrink_schedule(schedule, breaks_invariant)
     with open(path, "w", encoding="utf-8") as file:
         json.dump(shrunk.to_json(), file, indent=1)
     print_line(f"the first, cut down to {len(shrunk.faults)} faults, is in {path}:")
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -87,9 +87,9 @@
     def _restore_state(self, seed: int) -> None:
         """Create the supervisor, the permit holder and the order registry from the stored state."""
         host = self.host
-        if self.store.quarantined:
-            self.notes.append(f"the state file was quarantined: {self.store.quarantined}")
-            self.log.warning("agent_state_quarantined", file=self.store.quarantined)
+        if self.store.quarantine_note:
+            self.notes.append(f"the state file was quarantined: {self.store.quarantine_note}")
+            self.log.warning("agent_state_quarantined", file=self.store.quarantine_note)
         instances = {
             each.name: Instance(each.name, host.site, phase_since=self.started_at) for each in host.instances
         }
@@ -168,7 +168,7 @@
             loop.add_signal_handler(signal_number, self.stop_requested.set)
         await self.executor.find_processes()
         if self.fleet and self.reconciler and self.member:
-            if self.store.created:
+            if self.store.is_new:
                 self.reconciler.recover_from_leader()
             self.member.join(self.fleet)
         self.server.open()
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -100,12 +100,12 @@
             raise ContentError(f"{spec.program} has neither an executable file `run` nor oakkeel/__main__.py")
         patch = self.contents.add_file(spec.patch) if spec.patch else ""
         if patch:
-            read_json(self.contents.path(patch))
+            read_json(self.contents.copy_path(patch))
         if (version := self.contents.add_version(Content(program, patch))) != spec.version:
             raise ContentError(f"the content on this host is version {version}, expected {spec.version}")
 
     def _is_runnable(self, program: str) -> bool:
-        folder = self.contents.path(program)
+        folder = self.contents.copy_path(program)
         return os.access(os.path.join(folder, "run"), os.X_OK) or os.path.exists(
             os.path.join(folder, "oakkeel", "__main__.py")
         )
@@ -129,7 +129,7 @@
             raise ContentError(f"this host has no copy of version {version}")
         variables = {"OAKKEEL_VERSION": version}
         if content.program:
-            folder = self.contents.path(content.program)
+            folder = self.contents.copy_path(content.program)
             if os.access(run := os.path.join(folder, "run"), os.X_OK):
                 program = [run]
             else:
@@ -144,11 +144,11 @@
 
     def _merged_config(self, settings: InstanceSettings, content: Content | None) -> object:
         config = read_json(
-            self.contents.path(content.config) if content and content.config else settings.config
+            self.contents.copy_path(content.config) if content and content.config else settings.config
         )
         if content is None or not content.patch:
             return config
-        return apply_merge_patch(config, read_json(self.contents.path(content.patch)))
+        return apply_merge_patch(config, read_json(self.contents.copy_path(content.patch)))
 
     def prune(self, running_versions: set[str]) -> None:
         """Delete versions that neither a release nor an instance needs.
--- a/oakkeel/agent/control_plane_status.py
+++ b/oakkeel/agent/control_plane_status.py
@@ -160,7 +160,7 @@
         targets.append(
             messages.UnavailableTarget(
                 target=target,
-                host=allocator.host_of.get(target, ""),
+                host=allocator.host_by_target.get(target, ""),
                 reasons=sorted(reasons),
                 fencing_token=permit.fencing_token if permit else 0,
                 order_id=permit.order_id if permit else "",
@@ -229,7 +229,7 @@
         targets.append(
             messages.ReleaseTargetStatus(
                 target=target,
-                host=allocator.host_of.get(target, ""),
+                host=allocator.host_by_target.get(target, ""),
                 state=task.state,
                 running_version=observation.version if observation else "",
                 phase=observation.phase if observation else UNKNOWN_PHASE,
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -78,7 +78,7 @@
         in_flight = {
             each.name: summary for each in self.supervisor.instances if (summary := in_flight_summary(each))
         }
-        heartbeat = self.permit_holder.heartbeat(
+        heartbeat = self.permit_holder.build_heartbeat(
             now, is_serving, self._task_results(), generation_limits, in_flight
         )
         if self.assignments.leader_supports_releases:
--- a/oakkeel/agent/replica_file.py
+++ b/oakkeel/agent/replica_file.py
@@ -23,9 +23,9 @@
         self.name = name
         self.log = log
         self._open()
-        if self.store.quarantined:
-            log.warning("raft_storage_quarantined", file=self.store.quarantined)
-        if self.store.created:
+        if self.store.quarantine_note:
+            log.warning("raft_storage_quarantined", file=self.store.quarantine_note)
+        if self.store.is_new:
             self._reset_write_counter()
         elif why := self.write_counter.stale_reason():
             self.quarantine(f"the file is an older copy: {why}")
--- a/oakkeel/cli/common.py
+++ b/oakkeel/cli/common.py
@@ -19,7 +19,7 @@
 from oakkeel.agent import messages
 from oakkeel.fleet.agent_clients import AgentClients
 from oakkeel.fleet.selection import SELECTABLE_STATES, Selection, SelectionError
-from oakkeel.fleet.view import FleetView, Row
+from oakkeel.fleet.view import FleetView, InstanceRow
 from oakkeel.settings.fleet import parse_duration, read_fleet
 from oakkeel.settings.keys import read_operator_key
 from oakkeel.settings.types import Fleet, SettingsError
@@ -122,7 +122,7 @@
         self.deadline = deadline or self.fleet.client.deadline
         self.as_json = output == "json"
 
-    async def refresh(self, hosts: list[str] | None = None) -> list[Row]:
+    async def refresh(self, hosts: list[str] | None = None) -> list[InstanceRow]:
         """Update the view from the agents of these hosts, or of all; return the rows of the fleet."""
         await self.agents.refresh(self.view, hosts, self.deadline)
         return self.view.rows(time.monotonic_ns())
@@ -134,17 +134,17 @@
         host_names = [host.name for host in self.fleet.hosts] if hosts is None else hosts
         return await self.agents.request_each(dict.fromkeys(host_names, request), self.deadline)
 
-    def select(self, rows: list[Row], selection: Selection) -> list[Row]:
+    def select(self, rows: list[InstanceRow], selection: Selection) -> list[InstanceRow]:
         """Return the selected rows; a pattern that matches nothing ends the command."""
         try:
-            return selection.among(rows)
+            return selection.filter(rows)
         except SelectionError as error:
             fail(str(error))
 
     @property
     def exit_code(self) -> ExitCode:
         """Return the exit code of a command that only displays the view."""
-        return ExitCode.SOME_SILENT if self.view.silent else ExitCode.DONE
+        return ExitCode.SOME_SILENT if self.view.silence_reasons else ExitCode.DONE
 
     def print_notes(self) -> None:
         """Print the notes of the view."""
--- a/oakkeel/cli/inspect.py
+++ b/oakkeel/cli/inspect.py
@@ -31,20 +31,20 @@
     stdout_console,
 )
 from oakkeel.fleet.selection import Selection
-from oakkeel.fleet.view import Row
+from oakkeel.fleet.view import InstanceRow
 from oakkeel.rendering.instances import clients_summary, clients_table, instance_details, instances_table
 from oakkeel.rendering.tables import plain_table
 from oakkeel.rendering.times import NANOSECONDS_PER_SECOND, format_duration
 
 
-def row_json(row: Row) -> dict[str, object]:
+def row_json(row: InstanceRow) -> dict[str, object]:
     """Return the JSON document of an instance's row."""
     return {
         "instance": row.name,
         "site": row.site,
         "host": row.host,
         "state": row.state,
-        "old": row.old,  # whether the status is out of date
+        "old": row.is_stale,  # whether the status is out of date
         "age_s": round(row.age / NANOSECONDS_PER_SECOND, 3) if row.age >= 0 else None,
         "report_age_s": round(row.report_age / NANOSECONDS_PER_SECOND, 3) if row.report_age >= 0 else None,
         "source": row.source,
@@ -71,14 +71,14 @@
         _print_rows_as_json(client, rows)
         return client.exit_code
     stdout_console.print(instances_table(rows, stdout_console.width))
-    counts = Counter(row.shown for row in rows)
+    counts = Counter(row.displayed_state for row in rows)
     summary = ", ".join(f"{count} {state}" for state, count in counts.most_common())
     stderr_console.print(summary or "none", style="dim")
     client.print_notes()
     return client.exit_code
 
 
-def _print_rows_as_json(client: FleetClient, rows: Sequence[Row]) -> None:
+def _print_rows_as_json(client: FleetClient, rows: Sequence[InstanceRow]) -> None:
     print_json({"instances": [row_json(row) for row in rows], "notes": client.view.notes()})
 
 
--- a/oakkeel/cli/operate.py
+++ b/oakkeel/cli/operate.py
@@ -121,9 +121,9 @@
     tracker = OrderTracker(order, selected_rows)
     responses, failures = await client.agents.request_each(tracker.requests(), client.deadline)
     for host, response in responses.items():
-        tracker.answered(host, response)
+        tracker.record_response(host, response)
     for host, reason in failures.items():
-        tracker.no_response(host, reason)
+        tracker.record_no_response(host, reason)
     if wait:
         await follow_order(client, tracker)
     print_tasks(client, order.order_id, order.verb, list(tracker.tasks.values()))
@@ -138,12 +138,12 @@
     is_hidden = not stderr_console.is_terminal
     with Progress(*columns, console=stderr_console, transient=True, disable=is_hidden) as progress:
         progress_task = progress.add_task(f"{order.verb} {order.order_id}", total=len(tracker.tasks))
-        while not tracker.finished and time.monotonic_ns() < timeout_at:
+        while not tracker.is_finished and time.monotonic_ns() < timeout_at:
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
             responses, _ = await client.request_hosts(messages.ListOrdersRequest(), tracker.hosts_to_poll())
             for host, response in responses.items():
-                tracker.answered(host, response)
-            progress.update(progress_task, completed=tracker.ended_count)
+                tracker.record_response(host, response)
+            progress.update(progress_task, completed=tracker.closed_task_count)
 
 
 def print_tasks(
--- a/oakkeel/cli/selection.py
+++ b/oakkeel/cli/selection.py
@@ -5,13 +5,15 @@
 import click
 
 from oakkeel.cli.common import FleetClient, fail, is_interactive, stderr_console
-from oakkeel.fleet.selection import Selection, sites_over_share
-from oakkeel.fleet.view import Row
+from oakkeel.fleet.selection import Selection, describe_large_shares
+from oakkeel.fleet.view import InstanceRow
 
 MAX_UNCONFIRMED_SITE_RATIO = 0.34  # ratio of a site's instances that are unavailable after an order
 
 
-async def select_rows(client: FleetClient, selection: Selection) -> tuple[list[Row], list[Row]]:
+async def select_rows(
+    client: FleetClient, selection: Selection
+) -> tuple[list[InstanceRow], list[InstanceRow]]:
     """Return all rows and the selected ones; an empty selection ends the command."""
     rows = await client.refresh()
     selected_rows = client.select(rows, selection)
@@ -22,7 +24,7 @@
 
 def require_selection(selection: Selection, select_all: bool) -> None:
     """End the command unless either `--all` or other options select its instances."""
-    if selection.all != select_all:
+    if selection.selects_all != select_all:
         fail("select instances by name, --site, --host or --state, or all of them with --all")
 
 
@@ -37,9 +39,9 @@
     return selected
 
 
-def confirm_order(verb: str, rows: list[Row], selected_rows: list[Row]) -> bool:
+def confirm_order(verb: str, rows: list[InstanceRow], selected_rows: list[InstanceRow]) -> bool:
     """Ask for confirmation of an order that takes out a large part of a site; return whether to continue."""
-    if warnings := sites_over_share(rows, selected_rows, MAX_UNCONFIRMED_SITE_RATIO):
+    if warnings := describe_large_shares(rows, selected_rows, MAX_UNCONFIRMED_SITE_RATIO):
         for line in warnings:
             stderr_console.print(line, style="yellow", markup=False)
         if not is_interactive():
--- a/oakkeel/control/messages.py
+++ b/oakkeel/control/messages.py
@@ -112,8 +112,9 @@
 
     tag: int
     flow_key: list[str] = msgspec.field(name="by")  # request fields that identify a client; empty: none
-    known: int = 0  # number of clients that the node tracks
-    error: float = 0.0  # upper bound of the `demand` of a client that is not tracked
+    tracked_count: int = msgspec.field(default=0, name="known")  # number of clients that the node tracks
+    # upper bound of the `demand` of a client that is not tracked
+    untracked_max_share: float = msgspec.field(default=0.0, name="error")
     reservations_open: int = msgspec.field(default=0, name="open")
     reservations_made: int = msgspec.field(default=0, name="made")
     reservations_honored: int = msgspec.field(default=0, name="kept")
--- a/oakkeel/demo/show.py
+++ b/oakkeel/demo/show.py
@@ -75,8 +75,8 @@
         await dispatcher.stop()
         await _stop_nodes(agents, view)
     lost = dispatcher.counts["lost"] + dispatcher.counts["late"]
-    console.print(f"demo: {dispatcher.answered} requests answered, {lost} lost", highlight=False)
-    return 1 if lost or not dispatcher.answered else 0
+    console.print(f"demo: {dispatcher.answered_count} requests answered, {lost} lost", highlight=False)
+    return 1 if lost or not dispatcher.answered_count else 0
 
 
 @contextlib.asynccontextmanager
@@ -108,10 +108,10 @@
     started_at = time.monotonic_ns()
     while not stop_requested.is_set() and (not duration or time.monotonic_ns() - started_at < duration):
         await agents.refresh(view)
-        if dispatcher.sending is None and len(serving_addresses(view)) == len(NODES):
+        if dispatcher.send_task is None and len(serving_addresses(view)) == len(NODES):
             dispatcher.start()
         rows = view.rows(time.monotonic_ns())
-        counts = f"{dispatcher.answered} requests answered, {dispatcher.counts['lost']} lost"
+        counts = f"{dispatcher.answered_count} requests answered, {dispatcher.counts['lost']} lost"
         live.update(Group(instances_table(rows, live.console.width), Text(counts)), refresh=True)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(REFRESH_INTERVAL_SECONDS):
--- a/oakkeel/disruption/allocator.py
+++ b/oakkeel/disruption/allocator.py
@@ -57,8 +57,10 @@
         state = self.state_machine.state
         self.topology: Topology = state.topology
         self.unavailable = UnavailableTargets(state.topology)
-        self.host_of = {target: host for host, targets in state.topology.hosts.items() for target in targets}
-        for target in self.host_of:
+        self.host_by_target = {
+            target: host for host, targets in state.topology.hosts.items() for target in targets
+        }
+        for target in self.host_by_target:
             self.unavailable.add(target, UNKNOWN_REASON)
         for target in state.permits:
             self.unavailable.add(target, PERMIT_REASON)
@@ -75,7 +77,9 @@
         if order.is_open:
             self.clock.order_submitted_at.setdefault(order.id, now)
         if order.is_open or has_permit:
-            for host in sorted({self.host_of[target] for target in order.tasks if target in self.host_of}):
+            for host in sorted(
+                {self.host_by_target[target] for target in order.tasks if target in self.host_by_target}
+            ):
                 self.responses.orders_by_host.setdefault(host, []).append(order.id)
         for target, task in order.tasks.items():
             if task.state == FleetTaskState.WAITING:
@@ -95,7 +99,7 @@
         ):
             self._update_availability(heartbeat.host, session)
         return self._deduplicate(
-            heartbeats.report_commands(self.state_machine.state, self.host_of, heartbeat)
+            heartbeats.report_commands(self.state_machine.state, self.host_by_target, heartbeat)
         )
 
     def _is_silent(self, now: int, session: AgentSession) -> bool:
--- a/oakkeel/disruption/holder.py
+++ b/oakkeel/disruption/holder.py
@@ -80,7 +80,7 @@
                     stored_permit.target, stored_permit.order_id, stored_permit.fencing_token, 0, True
                 )
 
-    def heartbeat(
+    def build_heartbeat(
         self,
         now: int,
         serving: dict[str, bool],
--- a/oakkeel/disruption/lease_holder.py
+++ b/oakkeel/disruption/lease_holder.py
@@ -21,7 +21,7 @@
         self.fencing_token = 0
         self.expires_at = 0  # by the holder's monotonic clock, in nanoseconds
 
-    def acquire_command(self) -> commands.AcquireLease:
+    def build_acquire_command(self) -> commands.AcquireLease:
         """Return the command that acquires or renews the lease; a renewal before expiry keeps the token."""
         return commands.AcquireLease(self.name, self.holder, self.duration)
 
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -1,8 +1,8 @@
 """Runs the decision logic of replicas and agents in simulated time, over a network and disks that fail.
 
 Each host has a clock with its own rate, a disk, a replica, and an agent with instances. State that is not on
-disk is lost when the processes of the host are killed. `play` returns the breaches that the audits found; a
-failing schedule can be shrunk and replayed.
+disk is lost when the processes of the host are killed. `run_schedule` returns the breaches that the audits
+found; a failing schedule can be shrunk and replayed.
 """
 
 from __future__ import annotations
@@ -53,12 +53,12 @@
         self.clock.run(self.schedule.duration)
         return self.audit.finish(self.clock.now) + self.rollout_audit.breaches
 
-    def stuck(self) -> list[str]:
+    def convergence_failures(self) -> list[str]:
         """Return the reasons why the fleet has not converged at the end."""
-        return self.convergence.stuck()
+        return self.convergence.convergence_failures()
 
 
-def play(
+def run_schedule(
     schedule: Schedule, inject_defect: Callable[[ConsensusSimulation], None] | None = None
 ) -> tuple[ConsensusSimulation, list[str]]:
     """Run the simulation of a schedule; return the simulation and its breaches."""
--- a/oakkeel/emulator/convergence.py
+++ b/oakkeel/emulator/convergence.py
@@ -59,7 +59,7 @@
             if not process.exits_at and now >= process.serves_at
         }
 
-    def stuck(self) -> list[str]:
+    def convergence_failures(self) -> list[str]:
         """Return the reasons why the fleet has not converged, even after some extra time."""
         if problems := self._stuck():
             clock = self.world.clock
--- a/oakkeel/emulator/faults.py
+++ b/oakkeel/emulator/faults.py
@@ -106,7 +106,7 @@
     return {names.get(name, name): value for name, value in values.items()}
 
 
-def draw(
+def draw_schedule(
     seed: int,
     max_faults: int = 9,
     max_actions: int = 8,
--- a/oakkeel/emulator/policy_change.py
+++ b/oakkeel/emulator/policy_change.py
@@ -74,7 +74,7 @@
         self.stopped = False
         self.incarnation = 0
         self.inbox: list[tuple[int, int]] = []  # lease renewals: policy version, end of the lease
-        host.agent.node_started(name)
+        host.agent.record_node_start(name)
         host.simulation.clock.call_after(host.random.randrange(MAX_DECISION_INTERVAL_NS), self.decide, 0)
 
     def start(self) -> None:
@@ -83,8 +83,8 @@
         self.lease = NodePolicyLease()
         self.inbox = []
         self.stopped = False
-        self.host.agent.node_stopped(self.name)
-        self.host.agent.node_started(self.name)
+        self.host.agent.remove_node(self.name)
+        self.host.agent.record_node_start(self.name)
         self.host.simulation.clock.call_after(MAX_DECISION_INTERVAL_NS, self.decide, self.incarnation)
 
     def decide(self, incarnation: int) -> None:
@@ -104,7 +104,7 @@
             for number, until in renewals:
                 self.lease.renew(now, number, until)
             if renewals:
-                self.host.agent.node_reported(self.name, self.lease.number)
+                self.host.agent.record_node_version(self.name, self.lease.number)
         simulation.clock.call_after(
             self.host.random.randrange(MIN_DECISION_INTERVAL_NS, MAX_DECISION_INTERVAL_NS),
             self.decide,
@@ -140,7 +140,7 @@
         self.agent = AgentPolicyLease()
         self.stopped = False
         for node in self.nodes:
-            self.agent.node_started(node.name)
+            self.agent.record_node_start(node.name)
         self.simulation.clock.call_after(HEARTBEAT_INTERVAL_NS, self.send_report, self.incarnation)
         self.simulation.clock.call_after(LEASE_RENEWAL_INTERVAL_NS, self.renew_nodes, self.incarnation)
 
@@ -155,7 +155,7 @@
                 and agent.ready_version != agent.proposed_number
                 and not agent.refused_version
             ):
-                agent.report_trial(
+                agent.record_acceptance(
                     agent.proposed_number,
                     "this host cannot use it" if agent.proposed_number == self.unusable_version else "",
                 )
@@ -228,7 +228,7 @@
         result = self.state_machine.apply(self.index, msgspec.msgpack.encode(command))
         for policy in self.state_machine.state.policies.values():
             if policy.state in ("withdrawn", "refused"):
-                self.audit.record_not_made(self.clock.now, policy.number)
+                self.audit.record_refused_or_withdrawn(self.clock.now, policy.number)
             elif policy.state == "in force":
                 self.audit.record_in_force(self.clock.now, policy.number)
         return result
@@ -306,7 +306,7 @@
         self.clock.run(self.duration)
         return self.audit.breaches
 
-    def stuck(self) -> list[str]:
+    def convergence_failures(self) -> list[str]:
         """Describe the versions that are still open and the nodes that do not use the decided version."""
         problems = [
             f"version {policy.number} is {policy.state}"
--- a/oakkeel/emulator/schedule_shrinking.py
+++ b/oakkeel/emulator/schedule_shrinking.py
@@ -8,7 +8,7 @@
 from oakkeel.emulator.faults import Schedule
 
 
-def shrink(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
+def shrink_schedule(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
     """Remove faults one after the other while the schedule still fails, until none can be removed."""
     while True:
         for index in range(len(schedule.faults)):
--- a/oakkeel/emulator/simulated_processes.py
+++ b/oakkeel/emulator/simulated_processes.py
@@ -119,7 +119,7 @@
         permit = self.owner.permit_holder.permits.get(name)
         if step.instance.goal is Goal.DOWN or step.instance.task is not None:
             fencing_token = permit.fencing_token if permit and permit.started else -1
-            world.audit.drain_started(now, name, fencing_token, permit.order_id if permit else "")
+            world.audit.record_drain(now, name, fencing_token, permit.order_id if permit else "")
         else:
             world.audit.record_unavailable(now, name)
         process.exits_at = now + machine.random.randrange(MIN_DRAIN_TIME_NS, MAX_DRAIN_TIME_NS)
@@ -128,7 +128,7 @@
     def _on_serving(self, name: str, process: Process) -> None:
         if self.running.get(name) is process and not process.exits_at:
             world = self.world
-            world.audit.serving(world.clock.now, name)
+            world.audit.record_serving(world.clock.now, name)
 
     def end(self, name: str, process: Process, reason: str, unconditional: bool = False) -> None:
         """End a process; without `unconditional`, only if its drain has ended and was not cancelled."""
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -53,7 +53,7 @@
         """Start a process of the replica from its storage, or with a new incarnation if there is none."""
         machine = self.machine
         now = machine.now()
-        if self.storage is not None and self.storage.writes < self.known_writes:
+        if self.storage is not None and self.storage.write_count < self.known_writes:
             self.storage = None  # an old backup was restored
         if self.storage is None:
             self.known_writes = 0
@@ -154,7 +154,7 @@
             self.world.clock.call_after(RESTART_DELAY_NS, self._restart, machine.restarts)
             return False
         self.storage.write(control_plane.replica.durable, output.storage_update)
-        self.known_writes = self.storage.writes
+        self.known_writes = self.storage.write_count
         return not self._crash_if_planned(CRASH_AFTER_WRITE)
 
     def _crash_if_planned(self, crash_point: int) -> bool:
--- a/oakkeel/fakes/catalogue.py
+++ b/oakkeel/fakes/catalogue.py
@@ -10,14 +10,14 @@
 
 
 class Catalogue(FakeWithFaults):
-    """Answers each call with its body, or rejects all calls while `full` is set."""
+    """Answers each call with its body, or rejects all calls while `rejects_calls` is set."""
 
-    def __init__(self, work: float = 0.005, full: bool = False) -> None:
-        """`work`: seconds that each call takes; `full`: whether all calls are rejected."""
+    def __init__(self, work: float = 0.005, rejects_calls: bool = False) -> None:
+        """`work`: seconds that each call takes; `rejects_calls`: whether all calls are rejected."""
         super().__init__()
         self.work = work
-        self.full = full
-        self.calls = 0  # number of calls received
+        self.rejects_calls = rejects_calls
+        self.call_count = 0  # number of calls received
         self.server = StreamServer(self._serve)
 
     async def open(self, port: int = 0) -> int:
@@ -40,11 +40,15 @@
                 if line[0] != b"FETCH":
                     continue
                 body = (await reader.readexactly(int(line[3]) + 2))[:-2]
-                self.calls += 1
+                self.call_count += 1
                 await asyncio.sleep(self.work * self.slowdown)
                 if self.fault is Fault.HANG:
                     continue
-                reply = b"LATER\r\n" if self.full else b"DATA %d\r\n%s\r\n" % (len(body) + 4, b"for " + body)
+                reply = (
+                    b"LATER\r\n"
+                    if self.rejects_calls
+                    else b"DATA %d\r\n%s\r\n" % (len(body) + 4, b"for " + body)
+                )
                 data, connection_ends = self.truncate(line[1] + b" " + reply)
                 writer.write(data)
                 if connection_ends:
--- a/oakkeel/fakes/dispatcher.py
+++ b/oakkeel/fakes/dispatcher.py
@@ -19,13 +19,13 @@
 class SentRequest:
     """A request that was sent to a node."""
 
-    __slots__ = ("group", "node", "sent_at")
+    __slots__ = ("node", "request_class", "sent_at")
 
     def __init__(self, node: str, sent_at: float, request_class: str) -> None:
-        """`sent_at`: when the request was sent, in monotonic seconds; `group` keeps the request class."""
+        """`sent_at`: when the request was sent, in monotonic seconds."""
         self.node = node
         self.sent_at = sent_at
-        self.group = request_class
+        self.request_class = request_class
 
 
 class DispatcherConnection(NodeConnection):
@@ -51,15 +51,15 @@
         """Send a request."""
         self.last_tag += 1
         self.open_requests[self.last_tag] = sent
-        self._write_call(sent.group.encode(), fields.encode(), body)
+        self._write_call(sent.request_class.encode(), fields.encode(), body)
 
     def _on_response(self, tag: int, outcome: bytes, fields: bytes) -> None:
         if sent := self.open_requests.pop(tag, None):
-            self.dispatcher.request_ended(sent, outcome.decode())
+            self.dispatcher.on_request_end(sent, outcome.decode())
 
     def _on_connection_end(self) -> None:
         for sent in self.open_requests.values():
-            self.dispatcher.request_ended(sent, "lost")
+            self.dispatcher.on_request_end(sent, "lost")
         self.dispatcher.remove_connection(self)
 
 
@@ -84,22 +84,22 @@
         self.random = Random(seed)
         self.connections: dict[str, list[DispatcherConnection]] = {}  # by node
         self.counts: Counter[str] = Counter()  # by outcome, and `sent` and `unsent`
-        self.by_node: dict[str, Counter[str]] = {}  # number of requests by node and outcome
-        self.sending: asyncio.Task[None] | None = None  # the task that sends; None: not started
+        self.counts_by_node: dict[str, Counter[str]] = {}  # number of requests by node and outcome
+        self.send_task: asyncio.Task[None] | None = None  # the task that sends; None: not started
         self.max_send_delay = 0.0  # maximum seconds from the due time of a request until it was sent
         self._next = 0  # index of the next node, modulo the number of nodes
 
     def start(self) -> None:
         """Start to send requests."""
-        self.sending = asyncio.ensure_future(self._send())
+        self.send_task = asyncio.ensure_future(self._send())
 
     async def stop(self) -> None:
         """Stop sending, wait for outstanding responses, and close; requests still without one are lost."""
-        if self.sending:
-            self.sending.cancel()
-            await asyncio.gather(self.sending, return_exceptions=True)
+        if self.send_task:
+            self.send_task.cancel()
+            await asyncio.gather(self.send_task, return_exceptions=True)
         deadline = time.monotonic() + self.timeout + 0.5
-        while time.monotonic() < deadline and self.open:
+        while time.monotonic() < deadline and self.open_count:
             await asyncio.sleep(0.01)
         for connections in list(self.connections.values()):
             for connection in list(connections):
@@ -119,21 +119,21 @@
                     f"timeout={int(self.timeout * 1000)},need=24.5,level=0.5"
                 )
                 sent = SentRequest(name, time.monotonic(), self.random.choice(self.request_classes))
-                self.request_sent(request_id, sent)
+                self.on_request_sent(request_id, sent)
                 connection.call(sent, fields, request_id.encode())
                 self.counts["sent"] += 1
                 return
         self.counts["unsent"] += 1  # no node accepted a connection
 
-    def request_sent(self, request_id: str, sent: SentRequest) -> None:
+    def on_request_sent(self, request_id: str, sent: SentRequest) -> None:
         """Called for each request that is sent; subclasses may override it."""
 
-    def request_ended(self, sent: SentRequest, outcome: str) -> str:
+    def on_request_end(self, sent: SentRequest, outcome: str) -> str:
         """Count the outcome of a request, and return the outcome under which it was counted."""
         if outcome != "lost" and time.monotonic() - sent.sent_at > self.timeout + LATE_MARGIN:
             outcome = "late"
         self.counts[outcome] += 1
-        self.by_node.setdefault(sent.node, Counter())[outcome] += 1
+        self.counts_by_node.setdefault(sent.node, Counter())[outcome] += 1
         return outcome
 
     def remove_connection(self, connection: DispatcherConnection) -> None:
@@ -142,7 +142,7 @@
             self.connections[connection.node].remove(connection)
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """The number of requests without a response."""
         return sum(
             len(connection.open_requests)
@@ -151,7 +151,7 @@
         )
 
     @property
-    def answered(self) -> int:
+    def answered_count(self) -> int:
         """The number of requests that nodes answered in time, with any outcome."""
         return sum(self.counts[outcome] for outcome in ANSWERS)
 
--- a/oakkeel/fakes/engine.py
+++ b/oakkeel/fakes/engine.py
@@ -17,14 +17,14 @@
 
 
 class Engine(FakeWithFaults):
-    """Each run takes about `work` seconds of a core; on average, one of `calls` runs needs a call."""
+    """Each run takes about `work` seconds of a core; on average, one of `runs_per_call` runs needs a call."""
 
-    def __init__(self, seed: int = 1, cores: int = 2, work: float = 0.01, calls: int = 0) -> None:
-        """`work` in seconds; if `calls` is 0, no run needs a call."""
+    def __init__(self, seed: int = 1, cores: int = 2, work: float = 0.01, runs_per_call: int = 0) -> None:
+        """`work` in seconds; if `runs_per_call` is 0, no run needs a call."""
         super().__init__()
         self.cores = cores
         self.work = work
-        self.calls = calls
+        self.runs_per_call = runs_per_call
         self.random_fraction = Random(seed).random
         self.core_semaphore = asyncio.Semaphore(cores)
         self.runs: dict[bytes, asyncio.Task[None]] = {}
@@ -36,7 +36,7 @@
         self.link_ended_at = 0.0  # end of the last link, in monotonic seconds
         # number of starts by run: more than one start is a duplicate effect
         self.start_counts: dict[bytes, int] = {}
-        self.first_started: dict[bytes, float] = {}  # monotonic seconds of the first start, by run
+        self.first_started_at: dict[bytes, float] = {}  # monotonic seconds of the first start, by run
         self.link: asyncio.StreamWriter | None = None
         self.server = StreamServer(self._serve)
 
@@ -52,9 +52,9 @@
             task.cancel()
         await asyncio.gather(*runs, return_exceptions=True)
 
-    def script(self, fault: Fault, slowness: float = 10.0) -> None:
+    def set_fault(self, fault: Fault, slowness: float = 10.0) -> None:
         """Set the fault; a crash closes the link at once."""
-        super().script(fault, slowness)
+        super().set_fault(fault, slowness)
         if fault is Fault.CRASH and self.link:
             self.link.close()
 
@@ -106,12 +106,12 @@
 
     async def _run(self, run_id: bytes, body: bytes) -> None:
         self.start_counts[run_id] = self.start_counts.get(run_id, 0) + 1
-        self.first_started.setdefault(run_id, time.monotonic())
+        self.first_started_at.setdefault(run_id, time.monotonic())
         result_status = b"failure"
         try:
             work = self.work * (0.5 + self.random_fraction()) * self.slowdown
             await self._compute(work)
-            if self.calls and int(self.random_fraction() * self.calls) == 0:
+            if self.runs_per_call and int(self.random_fraction() * self.runs_per_call) == 0:
                 self.call_replies[run_id] = asyncio.get_running_loop().create_future()
                 self._send_notice(b"NEED %%d %s 4" % run_id, b"call")
                 await self.call_replies[run_id]
--- a/oakkeel/fakes/faults.py
+++ b/oakkeel/fakes/faults.py
@@ -23,7 +23,7 @@
         self.fault = Fault.NONE
         self.slowness = 10.0
 
-    def script(self, fault: Fault, slowness: float = 10.0) -> None:
+    def set_fault(self, fault: Fault, slowness: float = 10.0) -> None:
         """Set the fault; `slowness` is the factor of `Fault.SLOW`."""
         self.fault = fault
         self.slowness = slowness
--- a/oakkeel/fakes/load_clients.py
+++ b/oakkeel/fakes/load_clients.py
@@ -55,7 +55,7 @@
                 response.set_result((CONNECTION_LOST, b""))
 
 
-class PoliteClient:
+class CompliantClient:
     """Sends requests at random intervals and retries rejected requests after the delay that the node gave."""
 
     retry_delay: float | None = None  # seconds until a retry; None: as the node asks
@@ -74,10 +74,11 @@
     def reset_counts(self) -> None:
         """Set all counters to zero.
 
-        Requests are counted as `sent`, then as `completed` or `lost`; their attempts as `tries`. `returned`
-        counts attempts for which the node had reserved capacity, `went_ahead` the successful ones of these.
+        Requests are counted as `sent`, then as `completed` or `lost`. `reserved_retries` counts attempts for
+        which the node had reserved capacity, `admitted_reserved_retries` the successful ones of these.
         """
-        self.sent = self.tries = self.completed = self.returned = self.went_ahead = self.lost = 0
+        self.sent = self.attempts = self.completed = self.lost = 0
+        self.reserved_retries = self.admitted_reserved_retries = 0
 
     async def start(self) -> None:
         """Start to send requests."""
@@ -109,12 +110,12 @@
         """Send one request with all its retries."""
         has_reservation = False  # whether the node reserved capacity for this attempt
         for attempt in range(MAX_ATTEMPTS):
-            self.tries += 1
-            self.returned += has_reservation
+            self.attempts += 1
+            self.reserved_retries += has_reservation
             outcome, fields = await self._send_attempt(attempt > 0)
             if outcome == b"ok":
                 self.completed += 1
-                self.went_ahead += has_reservation
+                self.admitted_reserved_retries += has_reservation
                 return
             if outcome != b"full":
                 self.lost += outcome == CONNECTION_LOST
@@ -138,7 +139,7 @@
         return await connection.call(b"quote", fields.encode())
 
 
-class CrawlerClient(PoliteClient):
+class NonCompliantClient(CompliantClient):
     """Ignores Retry-After and retries rejected requests after 20 ms."""
 
     retry_delay = 0.02
--- a/oakkeel/fakes/load_generator.py
+++ b/oakkeel/fakes/load_generator.py
@@ -62,13 +62,13 @@
         self._report = report
         self._ids: dict[SentRequest, str] = {}
 
-    def request_sent(self, request_id: str, sent: SentRequest) -> None:
+    def on_request_sent(self, request_id: str, sent: SentRequest) -> None:
         """Keep the request ID until the request ends."""
         self._ids[sent] = request_id
 
-    def request_ended(self, sent: SentRequest, outcome: str) -> str:
+    def on_request_end(self, sent: SentRequest, outcome: str) -> str:
         """Count the request, and report it with the counted outcome."""
-        outcome = super().request_ended(sent, outcome)
+        outcome = super().on_request_end(sent, outcome)
         now = asyncio.get_running_loop().time()  # the monotonic clock
         self._report(RequestReport(self._ids.pop(sent), sent.node, sent.sent_at, now, outcome))
         return outcome
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -29,10 +29,10 @@
 class ProcessRig(ControlPlane):
     """The agents of a site as processes, with fault injection."""
 
-    def __init__(self, site: FakeSite, seed: int = 1, real: bool = False) -> None:
-        """`real`: with real nodes instead of fake nodes."""
+    def __init__(self, site: FakeSite, seed: int = 1, with_real_nodes: bool = False) -> None:
+        """`with_real_nodes`: with real nodes instead of fake nodes."""
         super().__init__(site)
-        self.real = real
+        self.with_real_nodes = with_real_nodes
         self.agents: dict[str, asyncio.subprocess.Process] = {}
         self.links = LinkMesh(site.ports, Random(seed))
 
@@ -45,7 +45,7 @@
         for host in site.hosts:
             site.write_to(self.settings_path(host), await self.links.open(host))
             os.makedirs(self.state_folder(host), exist_ok=True)
-            if self.real:
+            if self.with_real_nodes:
                 self.enable_fault(host, "real")
         for host in site.hosts:
             await self.start_agent(host)
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -89,13 +89,13 @@
         seed: int,
         cores: int = 4,
         work: int = 20 * MS,
-        slow: float = 1.0,
+        slowdown: float = 1.0,
         objective: int = 500 * MS,
         starts_cold: bool = False,
         max_retry_after: int = 5 * SECOND,
         **limits: Any,
     ) -> None:
-        """Start a node; `work` and `objective` in nanoseconds; `slow` is a factor of the time of each run."""
+        """Start a node; `work` and `objective` in nanoseconds; `slowdown` multiplies the time of each run."""
         base = replace(LIMITS, cores=cores, starts_cold=starts_cold, max_retry_after=max_retry_after)
         request_class = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, objective, 4 * objective, 0, 0.0, 0.0)
         self.limits = replace(base, request_classes=[request_class], fair_sharing=fair, **limits)
@@ -104,7 +104,7 @@
         self.event_order = count()
         self.events: list[Event] = []
         self.work = work
-        self.slow = slow
+        self.slowdown = slowdown
         self.running_count = 0
         self.clients: list[SimulatedClient] = []
         self.attempts_by_request: dict[Request, tuple[SimulatedClient, int, bool]] = {}
@@ -131,11 +131,11 @@
             self.admission.schedule(self.now)
         self.now = time_ns
 
-    def pass_time(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Run all events of the next `seconds`."""
         self.run_until(self.now + int(seconds * SECOND))
 
-    def add(self, *clients: SimulatedClient) -> None:
+    def add_clients(self, *clients: SimulatedClient) -> None:
         """Add clients, which start to send."""
         for client in clients:
             self.clients.append(client)
@@ -174,7 +174,7 @@
         client, _, is_scheduled_return = self.attempts_by_request[request]
         client.admitted_returns += is_scheduled_return
         self.running_count += 1
-        slowdown = max(1.0, self.running_count / self.limits.cores) * self.slow
+        slowdown = max(1.0, self.running_count / self.limits.cores) * self.slowdown
         run_time = self.work * (0.5 + self.random.random()) * slowdown
         self.schedule_at(self.now + int(run_time), self._finish_run, request)
 
@@ -212,7 +212,7 @@
         self.admission.timer_expired(self.now, token, Gauges(busy, float(self.running_count), 0.1, 1.0))
 
 
-def fair_share(rates: list[float], capacity: float) -> list[float]:
+def max_min_shares(rates: list[float], capacity: float) -> list[float]:
     """Return max-min shares of a capacity by bisection, independently of the algorithm under test."""
     if sum(rates) <= capacity:
         return list(rates)
@@ -224,6 +224,6 @@
     return [min(rate, low) for rate in rates]
 
 
-def jain(values: list[float]) -> float:
+def jain_index(values: list[float]) -> float:
     """Return Jain's fairness index: 1 if all values are equal (Jain, Chiu, Hawe, DEC TR-301, 1984)."""
     return sum(values) ** 2 / (len(values) * sum(value * value for value in values)) if any(values) else 0.0
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -83,7 +83,7 @@
         directory_port = await self.directory.open()
         for name in (name for names in self.hosts.values() for name in names):
             self.engines[name] = Engine(
-                self.options.seed + len(self.engines), work=self.options.work, calls=4
+                self.options.seed + len(self.engines), work=self.options.work, runs_per_call=4
             )
             engine_port = await self.engines[name].open()
             self._write_node(
--- a/oakkeel/fleet/order_tracking.py
+++ b/oakkeel/fleet/order_tracking.py
@@ -14,7 +14,7 @@
 from oakkeel.agent import messages
 from oakkeel.errors import InvalidTransitionError
 from oakkeel.fleet.selection import targets_by_host
-from oakkeel.fleet.view import Row
+from oakkeel.fleet.view import InstanceRow
 
 
 class TaskStage(Enum):
@@ -85,7 +85,7 @@
 class OrderTracker:
     """Tracks one order over the agents of the selected instances."""
 
-    def __init__(self, order: OrderSpec, selected: Sequence[Row]) -> None:
+    def __init__(self, order: OrderSpec, selected: Sequence[InstanceRow]) -> None:
         """Track an order for the instances of these rows."""
         self.order = order
         self.targets_by_host = targets_by_host(selected)
@@ -107,7 +107,7 @@
             for host, targets in self.targets_by_host.items()
         }
 
-    def answered(self, host: str, response: messages.Response) -> None:
+    def record_response(self, host: str, response: messages.Response) -> None:
         """Record the response of an agent to the order, or to a later request for its list of orders."""
         if isinstance(response, messages.OrderStatus):
             self._apply_order(host, response)
@@ -119,7 +119,7 @@
                 if task.stage in (TaskStage.SENT, TaskStage.UNKNOWN):
                     self._move(task, TaskStage.REJECTED, "refused", why=response.why)
 
-    def no_response(self, host: str, why: str) -> None:
+    def record_no_response(self, host: str, why: str) -> None:
         """Record that an agent did not answer the order, which it may have accepted."""
         self.silent_hosts.add(host)
         for task in self._tasks_of(host):
@@ -137,21 +137,21 @@
         )
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether no task is open, so that a sender need not wait longer."""
         return all(task.stage is not TaskStage.OPEN for task in self.tasks.values())
 
     @property
-    def ended_count(self) -> int:
+    def closed_task_count(self) -> int:
         """The number of tasks that are neither open nor waiting for the response to the order."""
         return sum(task.stage not in (TaskStage.OPEN, TaskStage.SENT) for task in self.tasks.values())
 
-    def result(self, waited: bool) -> Result:
-        """Return the result; if the sender has not `waited` for it, an open task counts as done."""
+    def result(self, wait_for_end: bool) -> Result:
+        """Return the result; unless the sender waits for its end, an open task counts as done."""
         unresolved = (TaskStage.NOT_SENT, TaskStage.UNKNOWN, TaskStage.SENT)
         if any(task.stage in unresolved for task in self.tasks.values()):
             return Result.SOME_SILENT
-        successful = {TaskStage.DONE} if waited else {TaskStage.DONE, TaskStage.OPEN}
+        successful = {TaskStage.DONE} if wait_for_end else {TaskStage.DONE, TaskStage.OPEN}
         return (
             Result.DONE
             if all(task.stage in successful for task in self.tasks.values())
--- a/oakkeel/fleet/selection.py
+++ b/oakkeel/fleet/selection.py
@@ -9,7 +9,7 @@
 
 from oakkeel.agent.instances import Phase
 from oakkeel.errors import OakkeelError
-from oakkeel.fleet.view import Row
+from oakkeel.fleet.view import InstanceRow
 
 # The states by which an operator can select instances; `old` marks a state that was not reported recently.
 SELECTABLE_STATES = [phase.value for phase in Phase] + ["unknown", "old"]
@@ -33,11 +33,11 @@
     states: tuple[str, ...] = ()
 
     @property
-    def all(self) -> bool:
+    def selects_all(self) -> bool:
         """Whether all instances are selected."""
         return not (self.names or self.sites or self.hosts or self.states)
 
-    def among(self, rows: Sequence[Row]) -> list[Row]:
+    def filter(self, rows: Sequence[InstanceRow]) -> list[InstanceRow]:
         """Return the selected rows in their order. Raises SelectionError if a pattern matches no row."""
         for patterns, field in ((self.names, "name"), (self.sites, "site"), (self.hosts, "host")):
             for pattern in patterns:
@@ -48,12 +48,12 @@
                 raise SelectionError(f"there is no {field} {pattern!r}")
         return [row for row in rows if self._includes(row)]
 
-    def _includes(self, row: Row) -> bool:
+    def _includes(self, row: InstanceRow) -> bool:
         return (
             _matches(self.names, row.name)
             and _matches(self.sites, row.site)
             and _matches(self.hosts, row.host)
-            and (not self.states or row.state in self.states or (row.old and "old" in self.states))
+            and (not self.states or row.state in self.states or (row.is_stale and "old" in self.states))
         )
 
 
@@ -61,7 +61,7 @@
     return not patterns or any(fnmatch.fnmatchcase(value, pattern) for pattern in patterns)
 
 
-def targets_by_host(rows: Sequence[Row]) -> dict[str, list[tuple[str, int]]]:
+def targets_by_host(rows: Sequence[InstanceRow]) -> dict[str, list[tuple[str, int]]]:
     """Return names and reported generations by host, without instances that no agent reported."""
     targets: dict[str, list[tuple[str, int]]] = {}
     for row in rows:
@@ -70,7 +70,9 @@
     return targets
 
 
-def sites_over_share(rows: Sequence[Row], selected: Sequence[Row], share: float) -> list[str]:
+def describe_large_shares(
+    rows: Sequence[InstanceRow], selected: Sequence[InstanceRow], share: float
+) -> list[str]:
     """Return a line for each site that would have more than a ratio `share` of its instances unavailable.
 
     `rows` are all instances, `selected` those that an order takes out of service.
--- a/oakkeel/fleet/view.py
+++ b/oakkeel/fleet/view.py
@@ -29,28 +29,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class InstanceRow:
     """The displayed status of one instance."""
 
     name: str
     site: str
     host: str
     state: str  # a phase, or `unknown` if its agent never reported the instance
-    old: bool = False  # whether the state is older than `MAX_STATUS_AGE_NS`
+    is_stale: bool = False  # whether the state is older than `MAX_STATUS_AGE_NS`
     age: int = -1  # of the agent's status, in nanoseconds; -1: never reported
     report_age: int = -1  # of the instance's last report to its agent, in nanoseconds; -1: none
     source: str = "nobody"  # the agent that reported the status
     status: InstanceStatus | None = None
 
     @property
-    def shown(self) -> str:
+    def displayed_state(self) -> str:
         """The state to display, marked if it is old."""
-        return f"old: {self.state}" if self.old else self.state
+        return f"old: {self.state}" if self.is_stale else self.state
 
     @property
     def is_unavailable(self) -> bool:
         """Whether the instance does not serve, or is not known to serve."""
-        return self.old or self.state in NOT_SERVING_STATES
+        return self.is_stale or self.state in NOT_SERVING_STATES
 
 
 class FleetView:
@@ -60,44 +60,46 @@
         """Start without any status."""
         self.fleet = fleet
         self.reports: dict[str, HostReport] = {}
-        self.silent: dict[str, str] = {}  # reason by host whose agent did not answer the last request
+        self.silence_reasons: dict[str, str] = {}  # by host whose agent did not answer the last request
         self.clock_offset = 0  # this host's clock minus its monotonic clock, in nanoseconds; 0: not set
 
     def update(self, host: str, requested_at: int, status: HostStatus) -> None:
         """Record the response to a request sent at `requested_at`, unless a later request was answered."""
         if status.host != host:
-            self.silent[host] = f"the agent of {status.host} answered at its address"
+            self.silence_reasons[host] = f"the agent of {status.host} answered at its address"
             return
         previous = self.reports.get(host)
         if previous and previous.requested_at >= requested_at:
             return
         self.reports[host] = HostReport(requested_at, status)
-        self.silent.pop(host, None)
+        self.silence_reasons.pop(host, None)
 
     def record_no_response(self, host: str, why: str) -> None:
         """Record that an agent did not answer the last request."""
-        self.silent[host] = why
+        self.silence_reasons[host] = why
 
-    def rows(self, now: int) -> list[Row]:
+    def rows(self, now: int) -> list[InstanceRow]:
         """Return a row for each instance in the settings; `now` is monotonic nanoseconds."""
         return [self._row(now, host, instance) for host in self.fleet.hosts for instance in host.instances]
 
-    def _row(self, now: int, host: HostSettings, instance: InstanceSettings) -> Row:
+    def _row(self, now: int, host: HostSettings, instance: InstanceSettings) -> InstanceRow:
         report = self.reports.get(host.name)
         if report is None:
-            return Row(instance.name, host.site, host.name, "unknown")
+            return InstanceRow(instance.name, host.site, host.name, "unknown")
         source = f"agent of {host.name}"
         status = next((entry for entry in report.status.instances if entry.name == instance.name), None)
         if status is None:
-            return Row(instance.name, host.site, host.name, "unknown", source=source)
+            return InstanceRow(instance.name, host.site, host.name, "unknown", source=source)
         age = now - report.requested_at
         report_age = age + status.report_age if status.report_age >= 0 else -1
-        old = age > MAX_STATUS_AGE_NS
-        return Row(instance.name, host.site, host.name, status.phase, old, age, report_age, source, status)
+        is_stale = age > MAX_STATUS_AGE_NS
+        return InstanceRow(
+            instance.name, host.site, host.name, status.phase, is_stale, age, report_age, source, status
+        )
 
     def notes(self) -> list[str]:
         """Return the notes for an operator in addition to the rows, one line each."""
-        lines = [f"agent of {host}: {why}" for host, why in sorted(self.silent.items())]
+        lines = [f"agent of {host}: {why}" for host, why in sorted(self.silence_reasons.items())]
         for host, report in sorted(self.reports.items()):
             lines += [f"agent of {host}: {note}" for note in report.status.notes]
             skew = report.status.unix_time - (self.clock_offset + report.requested_at)
--- a/oakkeel/invariants/consensus.py
+++ b/oakkeel/invariants/consensus.py
@@ -49,7 +49,7 @@
         self.halted_orders: set[str] = set()  # order IDs
         self.granted_fences: dict[str, set[int]] = {}  # committed fencing tokens by target
         # maximum number of targets that orders had taken out at one time, by budget group
-        self.most_out: dict[str, int] = dict.fromkeys(groups, 0)
+        self.max_taken_out: dict[str, int] = dict.fromkeys(groups, 0)
 
     def record_leader(self, now: int, term: int, replica: str) -> None:
         """Record the leader of a term."""
@@ -79,7 +79,7 @@
         """Record that an order is halted and none of its targets waits for a permit or has an unused one."""
         self.halted_orders.add(order_id)
 
-    def drain_started(self, now: int, target: str, fence: int, ident: str = "") -> None:
+    def record_drain(self, now: int, target: str, fence: int, ident: str = "") -> None:
         """Record that order `ident` starts to drain a target; `fence`: the fencing token of the permit."""
         if ident in self.halted_orders and self.latest_fences.get(target) != fence:
             self._breach(now, f"7: {target} is drained by order {ident}, which is halted")
@@ -110,7 +110,7 @@
             if target not in self.taken_out
             and now - self.unavailable_since.get(target, now) > self.detection_time
         ]
-        self.most_out[name] = max(self.most_out[name], len(taken_out))
+        self.max_taken_out[name] = max(self.max_taken_out[name], len(taken_out))
         if len(taken_out) > max_unavailable:
             self._breach(now, f"4: {name}: {', '.join(taken_out)} are taken out, maximum {max_unavailable}")
         elif was_serving and len(taken_out) + len(known_unavailable) > max_unavailable:
@@ -120,7 +120,7 @@
                 f" known to be unavailable, maximum {max_unavailable}",
             )
 
-    def serving(self, now: int, target: str) -> None:
+    def record_serving(self, now: int, target: str) -> None:
         """Record that a target serves."""
         self.taken_out.pop(target, None)
         self.unavailable_since.pop(target, None)
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -80,12 +80,12 @@
         elif kind == "permit_granted":
             audit.record_permit(target, fields["fence"])
         elif kind == "drain_requested" and "order" in fields:
-            audit.drain_started(time, target, fields.get("fence", -1))
+            audit.record_drain(time, target, fields.get("fence", -1))
         elif kind == "node start":
             audit.record_process_start(time, target, fields["generation"])
             audit.record_unavailable(time, target)
         elif kind in ("node up", "node stay"):
-            audit.serving(time, target)
+            audit.record_serving(time, target)
         elif kind in ("node end", "node killed"):
             audit.record_unavailable(time, target)
     return audit
--- a/oakkeel/invariants/policy_change.py
+++ b/oakkeel/invariants/policy_change.py
@@ -21,12 +21,12 @@
         self.in_force = 0  # latest version that was reported as in force
         self.refused_or_withdrawn: set[int] = set()
         self.first_nodes: dict[int, str] = {}  # node that decided the first request, by version
-        self.decided: dict[int, int] = {}  # number of decided requests, by version
+        self.decision_counts: dict[int, int] = {}  # number of decided requests, by version
 
     def record_decision(self, now: int, node: str, number: int) -> None:
         """Record that a node decided a request under a version."""
         self.first_nodes.setdefault(number, node)
-        self.decided[number] = self.decided.get(number, 0) + 1
+        self.decision_counts[number] = self.decision_counts.get(number, 0) + 1
         if number < self.in_force:
             self._breach(now, f"11: {node} decides under version {number} while {self.in_force} is in force")
         if number in self.refused_or_withdrawn:
@@ -38,7 +38,7 @@
         """Record that a version was reported as in force."""
         self.in_force = max(self.in_force, number)
 
-    def record_not_made(self, now: int, number: int) -> None:
+    def record_refused_or_withdrawn(self, now: int, number: int) -> None:
         """Record that a version was reported as refused or withdrawn."""
         self.refused_or_withdrawn.add(number)
         if number in self.first_nodes:
--- a/oakkeel/models/policy_change.py
+++ b/oakkeel/models/policy_change.py
@@ -24,7 +24,7 @@
     WALL_CLOCK = "at a time of a clock that may be set back"
 
 
-def old_after_in_force(
+def can_use_old_version_after_change(
     lease: float, wait: float, drift: float, rule: LeaseRule = LeaseRule.FROM_SENT
 ) -> bool:
     """Whether a node can use the earlier version after the change was reported as in force.
@@ -57,7 +57,7 @@
     return bool(solver.check() == z3.sat)
 
 
-def withdrawn_and_used(order_rules: set[str]) -> bool:
+def can_withdraw_used_version(order_rules: set[str]) -> bool:
     """Whether a version under which a node decided can be reported as withdrawn.
 
     The model explores every sequence of steps. `order_rules` names the rules that apply: a node learns only
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -128,8 +128,8 @@
         return ClientsStatus(
             tag,
             flow_key=list(self.rules.levels),
-            known=len(table.flows),
-            error=table.error_rate(now) / total_rate,
+            tracked_count=len(table.flows),
+            untracked_max_share=table.error_rate(now) / total_rate,
             reservations_open=reservations.open_count,
             reservations_made=reservations.booked_count,
             reservations_honored=reservations.kept_count,
--- a/oakkeel/policy_change/policy_lease.py
+++ b/oakkeel/policy_change/policy_lease.py
@@ -91,7 +91,7 @@
             self.expires_at = max(self.expires_at, sent_at + assignment.valid_for)
         return True
 
-    def report_trial(self, number: int, refusal_reason: str) -> None:
+    def record_acceptance(self, number: int, refusal_reason: str) -> None:
         """Record whether all nodes accept a proposed version; `refusal_reason` is empty if they do."""
         if number == self.proposed_number:
             self.ready_version = 0 if refusal_reason else number
@@ -102,14 +102,14 @@
         """Return the version to use, and the monotonic time in nanoseconds at which the lease expires."""
         return self.number, self.expires_at
 
-    def node_started(self, name: str) -> None:
+    def record_node_start(self, name: str) -> None:
         """Record that a node runs: it may use any version until it has reported."""
         self.node_versions.setdefault(name, -1)
 
-    def node_reported(self, name: str, number: int) -> None:
+    def record_node_version(self, name: str, number: int) -> None:
         """Record the version that a node uses."""
         self.node_versions[name] = number
 
-    def node_stopped(self, name: str) -> None:
+    def remove_node(self, name: str) -> None:
         """Remove a node that has ended."""
         self.node_versions.pop(name, None)
--- a/oakkeel/raft/memory_storage.py
+++ b/oakkeel/raft/memory_storage.py
@@ -16,11 +16,11 @@
     metadata: DurableState
     snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: dict[int, Entry] = field(default_factory=dict)
-    writes: int = 0  # number of calls of `write`
+    write_count: int = 0  # number of calls of `write`
 
     def write(self, durable: DurableState, update: StorageUpdate) -> None:
         """Store an update."""
-        self.writes += 1
+        self.write_count += 1
         if update.updates_metadata:
             self.metadata = replace(durable, entries=[], acknowledgements=dict(durable.acknowledgements))
         if update.snapshot and update.replaces_log:
@@ -46,7 +46,7 @@
 
     def copy(self) -> InMemoryStorage:
         """Return a copy that later writes do not change."""
-        return InMemoryStorage(self._metadata_copy(), self.snapshot, dict(self.entries), self.writes)
+        return InMemoryStorage(self._metadata_copy(), self.snapshot, dict(self.entries), self.write_count)
 
     def _metadata_copy(self) -> DurableState:
         return replace(self.metadata, acknowledgements=dict(self.metadata.acknowledgements))
--- a/oakkeel/rendering/instances.py
+++ b/oakkeel/rendering/instances.py
@@ -6,7 +6,7 @@
 from rich.table import Table
 
 from oakkeel.control.messages import ClientsStatus
-from oakkeel.fleet.view import Row
+from oakkeel.fleet.view import InstanceRow
 from oakkeel.rendering.tables import plain_table
 from oakkeel.rendering.times import format_age, format_duration
 
@@ -35,7 +35,7 @@
 HIDDEN_FIELDS = ("type", "tag", "name")  # fields of a report that are not displayed
 
 
-def instances_table(rows: list[Row], width: int = DEFAULT_TERMINAL_WIDTH) -> Table:
+def instances_table(rows: list[InstanceRow], width: int = DEFAULT_TERMINAL_WIDTH) -> Table:
     """Return a table with a row for each instance, and columns for a terminal `width` in characters."""
     is_wide = width >= MIN_WIDE_TERMINAL
     text_columns = WIDE_TEXT_COLUMNS if is_wide else NARROW_TEXT_COLUMNS
@@ -57,19 +57,19 @@
     return table
 
 
-def _text_cells(row: Row) -> dict[str, str]:
-    style = STALE_STYLE if row.old else STATE_STYLES.get(row.state, "")
+def _text_cells(row: InstanceRow) -> dict[str, str]:
+    style = STALE_STYLE if row.is_stale else STATE_STYLES.get(row.state, "")
     return {
         "instance": row.name,
         "site": row.site,
         "host": row.host,
-        "state": f"[{style}]{row.shown}[/]" if style else row.shown,
+        "state": f"[{style}]{row.displayed_state}[/]" if style else row.displayed_state,
         "age": format_age(row.age),
         "gen": str(row.status.generation) if row.status else "-",
     }
 
 
-def _number_cells(row: Row) -> dict[str, str]:
+def _number_cells(row: InstanceRow) -> dict[str, str]:
     report = row.status.report if row.status else None
     if report is None:
         return {}
@@ -85,7 +85,7 @@
     }
 
 
-def remarks(row: Row) -> str:
+def remarks(row: InstanceRow) -> str:
     """Return one line with the order, pending restart, missing report and last error of an instance."""
     status = row.status
     if status is None:
@@ -106,12 +106,12 @@
     return "; ".join(texts)
 
 
-def instance_details(row: Row) -> list[tuple[str, str]]:
+def instance_details(row: InstanceRow) -> list[tuple[str, str]]:
     """Return the details of an instance as pairs of a label and a value."""
     details = [
         ("instance", row.name),
         ("site, host", f"{row.site}, {row.host}"),
-        ("state", row.shown),
+        ("state", row.displayed_state),
         ("reported", f"by {row.source}, {format_age(row.age)}" if row.age >= 0 else "never"),
     ]
     status = row.status
@@ -159,7 +159,8 @@
     if not status.flow_key:
         return "the settings have no flow key, so all requests count for one client"
     return (
-        f"{status.known} known clients, any other client has at most {status.error:.2%} of the demand;"
+        f"{status.tracked_count} known clients, any other client has at most"
+        f" {status.untracked_max_share:.2%} of the demand;"
         f" reservations (promises): {status.reservations_made} made, {status.reservations_open} open,"
         f" {status.reservations_honored} honored, {status.reservations_broken} broken,"
         f" {status.reservations_expired} expired"
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -88,7 +88,7 @@
             return []  # the agent runs another version of the program
         release = self.state_machine.open_release
         for status in report.statuses:
-            if self.allocator.host_of.get(status.name) != heartbeat.host:
+            if self.allocator.host_by_target.get(status.name) != heartbeat.host:
                 continue
             previous_version = self.observations.record(status, session.echoed_at)
             if previous_version is not None and release:
@@ -106,7 +106,7 @@
         why = report.prepared.get(release.ident)
         if why is None or (not why and host in release.prepared_hosts):
             return []
-        host_of = self.allocator.host_of
+        host_of = self.allocator.host_by_target
         bases = {target: base for target, base in report.bases.items() if host_of.get(target) == host}
         return [commands.ReportPrepared(release.ident, self.lease.fencing_token, host, why, bases)]
 
@@ -210,7 +210,7 @@
 
     def _prepare(self, now: int, release: Release) -> Step:
         """Begin the rollout once all hosts have their copies; abandon it if a host reports none in time."""
-        host_of = self.allocator.host_of
+        host_of = self.allocator.host_by_target
         hosts = {host_of[target] for target in release.targets if target in host_of}
         missing = sorted(hosts - set(release.prepared_hosts)) if not release.spec.services else []
         if not missing:
--- a/oakkeel/rollout/controller_lease.py
+++ b/oakkeel/rollout/controller_lease.py
@@ -45,7 +45,7 @@
         """Return the command that acquires or renews the lease."""
         self.requested_at = now
         self.next_request_at = now + LEASE_RETRY_DELAY_NS
-        return self.holder.acquire_command()
+        return self.holder.build_acquire_command()
 
     def is_own_request(self, command: object) -> bool:
         """Return whether a command requests the lease for this controller."""
--- a/oakkeel/store/content_store.py
+++ b/oakkeel/store/content_store.py
@@ -118,14 +118,14 @@
         """Use a folder, which need not exist yet."""
         self.folder = folder
 
-    def path(self, content_hash: str) -> str:
+    def copy_path(self, content_hash: str) -> str:
         """Return the path of the copy with a hash; the copy need not exist."""
         return os.path.join(self.folder, "content", content_hash)
 
     def add_folder(self, folder: str, prefix: str = "") -> str:
         """Copy a folder and return its hash. Raises ContentError, also if the folder changes in between."""
         content_hash = hash_folder(folder, prefix)
-        if not os.path.exists(self.path(content_hash)):
+        if not os.path.exists(self.copy_path(content_hash)):
             temporary = self._make_temporary(content_hash)
             for relative_path in list_files(folder):
                 target = os.path.join(temporary, prefix, relative_path)
@@ -137,7 +137,7 @@
     def add_file(self, path: str) -> str:
         """Copy a file and return its hash. Raises ContentError."""
         content_hash = hash_file(path)
-        if not os.path.exists(self.path(content_hash)):
+        if not os.path.exists(self.copy_path(content_hash)):
             temporary = self._make_temporary(content_hash)
             shutil.rmtree(temporary)
             shutil.copy(path, temporary)
@@ -145,15 +145,17 @@
         return content_hash
 
     def _make_temporary(self, content_hash: str) -> str:
-        temporary = self.path(f"{content_hash}.new-{os.getpid()}")
+        temporary = self.copy_path(f"{content_hash}.new-{os.getpid()}")
         shutil.rmtree(temporary, ignore_errors=True)
         os.makedirs(temporary)
         return temporary
 
     def _publish(self, temporary: str, content_hash: str, copy_hash: str) -> None:
         if copy_hash != content_hash:
-            raise ContentError(f"the source of {self.path(content_hash)} changed during the copy: try again")
-        os.rename(temporary, self.path(content_hash))
+            raise ContentError(
+                f"the source of {self.copy_path(content_hash)} changed during the copy: try again"
+            )
+        os.rename(temporary, self.copy_path(content_hash))
 
     def add_version(self, content: Content) -> str:
         """Record the hashes of the parts of a version, and return the hash that names the version."""
@@ -173,7 +175,9 @@
         except (ContentError, KeyError):
             return None
         parts = [part for part in (content.program, content.patch, content.config) if part]
-        is_complete = content.version == version and all(os.path.exists(self.path(part)) for part in parts)
+        is_complete = content.version == version and all(
+            os.path.exists(self.copy_path(part)) for part in parts
+        )
         return content if is_complete else None
 
     def prune(self, needed: set[str]) -> list[str]:
--- a/oakkeel/store/database.py
+++ b/oakkeel/store/database.py
@@ -38,21 +38,21 @@
 class Database:
     """A database file. A damaged one is quarantined (renamed) and replaced by an empty one.
 
-    `quarantined` has the path of the renamed file and the cause; it is empty if no file was quarantined.
-    `created` tells whether the file was created empty.
+    `quarantine_note` has the path of the renamed file and the cause; it is empty if no file was quarantined.
+    `is_new` tells whether the file was created empty.
     """
 
     def __init__(self, path: str, schema: str, version: int, max_bytes: int = DEFAULT_MAX_BYTES) -> None:
         """Open or create the file. Raises DatabaseError if the folder can't be written."""
         self.path = path
         self.version = version
-        self.quarantined = ""
+        self.quarantine_note = ""
         if os.path.exists(path) and (defect := self._find_defect()):
-            self.quarantined = f"{quarantine(path)}: {defect}"
+            self.quarantine_note = f"{quarantine(path)}: {defect}"
         try:
             self.connection = self._connect()
-            self.created = not self.read_pragma("user_version")  # 0 in a new file
-            if self.created:
+            self.is_new = not self.read_pragma("user_version")  # 0 in a new file
+            if self.is_new:
                 self.connection.executescript(
                     f"BEGIN; {schema}; PRAGMA application_id = {APPLICATION_ID};"
                     f" PRAGMA user_version = {version}; COMMIT;"
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -22,7 +22,8 @@
         await self.agent_clients.refresh(self.view)
         rows = self.view.rows(time.monotonic_ns())
         self.assertEqual(
-            [(row.name, row.shown) for row in rows], [("n1", "serving"), ("n2", "serving"), ("n3", "serving")]
+            [(row.name, row.displayed_state) for row in rows],
+            [("n1", "serving"), ("n2", "serving"), ("n3", "serving")],
         )
         self.assertTrue(all(0 <= row.age < row.report_age < 2 * SECOND for row in rows))
         self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1], [1], [1]])
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -168,7 +168,7 @@
         started_at = time.monotonic()
         await self.agent_clients.refresh(self.view, deadline=300 * MS)
         self.assertLess(time.monotonic() - started_at, 0.5)
-        self.assertEqual(self.view.rows(0)[0].shown, "unknown")
+        self.assertEqual(self.view.rows(0)[0].displayed_state, "unknown")
         self.assertIn("did not answer", self.view.notes()[0])
         await asyncio.wait(tasks, timeout=WAIT)
         server.close()
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -16,7 +16,7 @@
 from oakkeel.cli.main import main
 from oakkeel.fakes.dispatcher import Dispatcher
 from oakkeel.fakes.faults import Fault
-from oakkeel.fakes.load_clients import PoliteClient
+from oakkeel.fakes.load_clients import CompliantClient
 from oakkeel.fakes.site import FakeSite, SiteOptions
 from tests.agent.agent_test_case import WAIT, AgentTestCase
 
@@ -206,7 +206,7 @@
             await asyncio.sleep(0.1)
         _, out, _ = await self.run_oakkeel("show", "n1", "--output", "json")
         host, _, port = json.loads(out)["instances"][0]["told"]["report"]["address"].rpartition(":")
-        client = PoliteClient("steelpan", (host, int(port)), 1.0, 7)
+        client = CompliantClient("steelpan", (host, int(port)), 1.0, 7)
         await client.send_one()
         await client.stop()
         code, out, err = await self.run_oakkeel("show", "n1", "--clients")
@@ -264,42 +264,44 @@
 
     async def assert_all_answered(self) -> None:
         await self.dispatcher.stop()
-        self.assertEqual(self.dispatcher.answered, self.dispatcher.counts["sent"], self.dispatcher.counts)
+        self.assertEqual(
+            self.dispatcher.answered_count, self.dispatcher.counts["sent"], self.dispatcher.counts
+        )
         self.assertEqual(max(self.engine.start_counts.values()), 1)
 
     async def test_each_request_is_answered_with_the_result_of_its_run(self):
-        self.engine.calls = 1  # downstream calls of each run
+        self.engine.runs_per_call = 1  # downstream calls of each run
         for _ in range(10):
             await self.send(2)
-            while self.dispatcher.open:
+            while self.dispatcher.open_count:
                 await asyncio.sleep(0.005)
         await self.assert_all_answered()
-        self.assertEqual((self.dispatcher.counts["ok"], self.site.catalogue.calls), (20, 20))
+        self.assertEqual((self.dispatcher.counts["ok"], self.site.catalogue.call_count), (20, 20))
 
     async def test_an_engine_that_breaks_off_within_a_line_loses_no_request_and_repeats_no_run(self):
         for _ in range(4):
-            self.engine.script(Fault.BREAK)
+            self.engine.set_fault(Fault.BREAK)
             await self.send(5)
         await self.assert_all_answered()
 
     async def test_the_node_reconnects_to_an_engine_that_crashed(self):
         await self.send(5)
-        self.engine.script(Fault.CRASH)
+        self.engine.set_fault(Fault.CRASH)
         await self.wait_for_log("engine_link_lost")
-        self.engine.script(Fault.NONE)
+        self.engine.set_fault(Fault.NONE)
         await self.send(5)
         await self.assert_all_answered()
 
     async def test_requests_are_answered_by_their_deadlines_while_the_catalogue_hangs(self):
-        self.engine.calls = 1
-        self.site.catalogue.script(Fault.HANG)
+        self.engine.runs_per_call = 1
+        self.site.catalogue.set_fault(Fault.HANG)
         await self.send(20)
         await self.assert_all_answered()
         self.assertEqual(self.dispatcher.counts["late"], 0)
 
     async def test_a_slow_engine_causes_rejections_and_a_full_catalogue_leaves_no_request_unanswered(self):
-        self.engine.script(Fault.SLOW, 100.0)
-        self.site.catalogue.full = True
+        self.engine.set_fault(Fault.SLOW, 100.0)
+        self.site.catalogue.rejects_calls = True
         await self.send(32)
         await self.assert_all_answered()
         self.assertGreater(self.dispatcher.counts["full"], 0)
--- a/tests/demo/test_show.py
+++ b/tests/demo/test_show.py
@@ -15,7 +15,7 @@
         view.rows.return_value = []
         live = mock.Mock()
         live.console.width = 80
-        dispatcher = mock.Mock(answered=0, counts={"lost": 0})
+        dispatcher = mock.Mock(answered_count=0, counts={"lost": 0})
         stop_requested = asyncio.Event()
         with mock.patch.object(show, "REFRESH_INTERVAL_SECONDS", 60.0):
             show_table = show._show_until_stopped(agents, view, dispatcher, 0, live, stop_requested)
--- a/tests/disruption/permit_cluster.py
+++ b/tests/disruption/permit_cluster.py
@@ -56,7 +56,9 @@
         for host in hosts or TOPOLOGY.hosts:
             holder = self.holders[host]
             self.apply(
-                *self.allocator.receive_heartbeat(self.now, holder.heartbeat(self.now, self.serving, [], {}))
+                *self.allocator.receive_heartbeat(
+                    self.now, holder.build_heartbeat(self.now, self.serving, [], {})
+                )
             )
             while proposed := self.allocator.tick(self.now):
                 self.apply(*proposed)
--- a/tests/disruption/test_allocator.py
+++ b/tests/disruption/test_allocator.py
@@ -99,7 +99,7 @@
         token = self.state_machine.state.permits["a"].fencing_token
         self.assertTrue(self.state_machine.state.permits["a"].expired_index)
         # The agent does not know of the expiry when it sends this heartbeat.
-        heartbeat = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
+        heartbeat = self.holders["h1"].build_heartbeat(self.now, self.serving, [], {})
         self.apply(*self.allocator.receive_heartbeat(self.now, heartbeat))
         self.assertEqual(self.state_machine.state.permits["a"].fencing_token, token)
         self.exchange_heartbeats("h1")
@@ -143,7 +143,7 @@
 
     def test_ignores_late_heartbeat_of_an_earlier_incarnation(self):
         self.exchange_heartbeats()
-        late_heartbeat = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
+        late_heartbeat = self.holders["h1"].build_heartbeat(self.now, self.serving, [], {})
         self.holders["h1"] = PermitHolder("h1", TOPOLOGY.hosts["h1"], 2)
         self.serving["a"] = False
         self.exchange_heartbeats("h1")
@@ -155,7 +155,7 @@
         """Simulated schedule 1020500: after a change of leader, the heartbeat arrived after the successor's
         first heartbeat. The successor was taken for the earlier incarnation, and the leader ignored it."""
         self.exchange_heartbeats()
-        late_heartbeat = self.holders["h1"].heartbeat(self.now, self.serving, [], {})
+        late_heartbeat = self.holders["h1"].build_heartbeat(self.now, self.serving, [], {})
         self.holders["h1"] = PermitHolder("h1", TOPOLOGY.hosts["h1"], 2)
         self.index += 1
         self.elect()
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -76,12 +76,18 @@
         first_holder = LeaseHolder("release", "h1", SECOND)
         second_holder = LeaseHolder("release", "h2", SECOND)
         sent_at = self.now
-        self.assertTrue(first_holder.receive_result(sent_at, self.apply(first_holder.acquire_command())))
+        self.assertTrue(
+            first_holder.receive_result(sent_at, self.apply(first_holder.build_acquire_command()))
+        )
         token = first_holder.fencing_token
-        self.assertFalse(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
+        self.assertFalse(
+            second_holder.receive_result(self.now, self.apply(second_holder.build_acquire_command()))
+        )
         self.now += SECOND // 2
         # A renewal keeps the token.
-        self.assertTrue(first_holder.receive_result(self.now, self.apply(first_holder.acquire_command())))
+        self.assertTrue(
+            first_holder.receive_result(self.now, self.apply(first_holder.build_acquire_command()))
+        )
         self.assertEqual(
             (first_holder.fencing_token, first_holder.expires_at), (token, sent_at + SECOND // 2 + SECOND)
         )
@@ -89,10 +95,14 @@
         self.now += SECOND
         self.assertFalse(first_holder.is_held(self.now))
         self.apply(*self.allocator.tick(self.now))
-        self.assertFalse(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
+        self.assertFalse(
+            second_holder.receive_result(self.now, self.apply(second_holder.build_acquire_command()))
+        )
         self.now += self.allocator.timeouts.upper_bound(SECOND) + MS
         self.apply(*self.allocator.tick(self.now))
-        self.assertTrue(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
+        self.assertTrue(
+            second_holder.receive_result(self.now, self.apply(second_holder.build_acquire_command()))
+        )
         self.assertGreater(second_holder.fencing_token, token)
         self.assertIsInstance(self.apply(commands.ReleaseLease("release", token)), Rejection)
         self.assertFalse(first_holder.receive_result(self.now, Rejection("h2 holds it")))
--- a/tests/emulator/test_consensus.py
+++ b/tests/emulator/test_consensus.py
@@ -9,9 +9,9 @@
 
 from oakkeel.disruption.holder import PermitHolder
 from oakkeel.disruption.topology import UnavailableTargets
-from oakkeel.emulator.consensus import play
-from oakkeel.emulator.faults import Fault, Schedule, draw, schedule_from_json
-from oakkeel.emulator.schedule_shrinking import shrink
+from oakkeel.emulator.consensus import run_schedule
+from oakkeel.emulator.faults import Fault, Schedule, draw_schedule, schedule_from_json
+from oakkeel.emulator.schedule_shrinking import shrink_schedule
 from oakkeel.invariants.consensus import ConsensusAudit
 from oakkeel.units import SECOND
 
@@ -22,18 +22,19 @@
     def test_drawn_schedules_break_no_invariant_and_converge(self):
         for seed in range(7000, 7012):
             with self.subTest(seed=seed):
-                simulation, breaches = play(draw(seed))
-                self.assertEqual((breaches, simulation.stuck()), ([], []))
+                simulation, breaches = run_schedule(draw_schedule(seed))
+                self.assertEqual((breaches, simulation.convergence_failures()), ([], []))
 
     def test_replays_a_schedule_exactly_from_a_file_and_in_another_process(self):
-        schedule = draw(3)
-        first, second = play(schedule)[0], play(schedule_from_json(schedule.to_json()))[0]
+        schedule = draw_schedule(3)
+        first, second = run_schedule(schedule)[0], run_schedule(schedule_from_json(schedule.to_json()))[0]
         self.assertEqual(
             (first.clock.events_processed, first.event_log), (second.clock.events_processed, second.event_log)
         )
         code = (
-            "from oakkeel.emulator.consensus import play; from oakkeel.emulator.faults import draw\n"
-            "print(play(draw(3))[0].clock.events_processed)"
+            "from oakkeel.emulator.consensus import run_schedule\n"
+            "from oakkeel.emulator.faults import draw_schedule\n"
+            "print(run_schedule(draw_schedule(3))[0].clock.events_processed)"
         )
         outputs = {
             subprocess.run(
@@ -51,16 +52,16 @@
         with mock.patch.object(UnavailableTargets, "find_violation", lambda self, targets: ""):
 
             def fails(schedule: Schedule) -> bool:
-                return bool(play(schedule)[1])
+                return bool(run_schedule(schedule)[1])
 
-            schedule = next(candidate for candidate in map(draw, range(20)) if fails(candidate))
-            shrunk_schedule = shrink(schedule, fails)
+            schedule = next(candidate for candidate in map(draw_schedule, range(20)) if fails(candidate))
+            shrunk_schedule = shrink_schedule(schedule, fails)
             self.assertTrue(fails(shrunk_schedule))
             self.assertLess(len(shrunk_schedule.faults), len(schedule.faults))
             for index in range(len(shrunk_schedule.faults)):  # each remaining fault is needed
                 remaining_faults = shrunk_schedule.faults[:index] + shrunk_schedule.faults[index + 1 :]
                 self.assertFalse(fails(dataclasses.replace(shrunk_schedule, faults=remaining_faults)))
-        self.assertEqual(play(shrunk_schedule)[1], [])
+        self.assertEqual(run_schedule(shrunk_schedule)[1], [])
 
     def test_detects_an_agent_that_uses_an_expired_permit(self):
         schedules = [
@@ -80,7 +81,7 @@
             )
             for seed in range(6)
         ]
-        self.assertEqual([breach for schedule in schedules for breach in play(schedule)[1]], [])
+        self.assertEqual([breach for schedule in schedules for breach in run_schedule(schedule)[1]], [])
 
         def ignore_expiry(self, now, target, order_id, may_have_process=True):
             permit = self.permits.get(target)
@@ -90,7 +91,7 @@
             mock.patch.object(PermitHolder, "may_start", ignore_expiry),
             mock.patch.object(PermitHolder, "may_notify", ignore_expiry),
         ):
-            breaches = [breach for schedule in schedules for breach in play(schedule)[1]]
+            breaches = [breach for schedule in schedules for breach in run_schedule(schedule)[1]]
         self.assertRegex(breaches[0], "invariant 7: ")
 
     def test_audit_detects_each_breach(self):
@@ -106,20 +107,20 @@
         audit.record_acknowledgement("o9", 5)
         audit.record_process_start(2, "a", 3)
         audit.record_process_start(3, "a", 3)
-        audit.drain_started(3, "a", 4)
-        audit.drain_started(4, "b", 5)
-        audit.drain_started(5, "b", 3)
+        audit.record_drain(3, "a", 4)
+        audit.record_drain(4, "b", 5)
+        audit.record_drain(5, "b", 3)
         audit.record_halt("o")
-        audit.drain_started(6, "b", 6, "o")
+        audit.record_drain(6, "b", 6, "o")
         breaches = "\n".join(audit.finish(9))
         for invariant in range(1, 8):
             self.assertIn(f"invariant {invariant}: ", breaches)
         early_drain_audit = audit_with_grants()
         early_drain_audit.record_unavailable(0, "a")
         # The leader need not know yet that "a" is unavailable.
-        early_drain_audit.drain_started(SECOND // 2, "b", 5)
+        early_drain_audit.record_drain(SECOND // 2, "b", 5)
         self.assertEqual(early_drain_audit.finish(9), [])
         late_drain_audit = audit_with_grants()
         late_drain_audit.record_unavailable(0, "a")
-        late_drain_audit.drain_started(2 * SECOND, "b", 5)
+        late_drain_audit.record_drain(2 * SECOND, "b", 5)
         self.assertRegex(late_drain_audit.finish(9)[0], "known to be unavailable")
--- a/tests/fair_sharing/test_persistence.py
+++ b/tests/fair_sharing/test_persistence.py
@@ -22,11 +22,11 @@
 
     def node_under_load(self) -> SimulatedNode:
         node = simulated_node()
-        node.add(
+        node.add_clients(
             SimulatedClient(b"crawler", 500, honors_retry_after=False),
             *(SimulatedClient(b"g%d" % n, 20) for n in range(10)),
         )
-        node.pass_time(5)
+        node.run_for(5)
         return node
 
     def snapshot_of(self, node: SimulatedNode) -> bytes:
--- a/tests/fleet/test_order_tracking.py
+++ b/tests/fleet/test_order_tracking.py
@@ -26,10 +26,10 @@
             {host: request.instances for host, request in tracker.requests().items()},
             {"h0": [("n00", 4)], "h1": [("n10", 4)]},
         )
-        tracker.answered("h0", order_status("n00", "waiting"))
-        tracker.answered("h1", messages.ErrorResponse("not taken, as it can't be kept"))
-        self.assertEqual((tracker.finished, tracker.hosts_to_poll()), (False, ["h0"]))
-        tracker.answered("h0", messages.OrderList([order_status("n00", "done")]))
+        tracker.record_response("h0", order_status("n00", "waiting"))
+        tracker.record_response("h1", messages.ErrorResponse("not taken, as it can't be kept"))
+        self.assertEqual((tracker.is_finished, tracker.hosts_to_poll()), (False, ["h0"]))
+        tracker.record_response("h0", messages.OrderList([order_status("n00", "done")]))
         self.assertEqual(
             {task.instance: task.state for task in tracker.tasks.values()},
             {"n00": "done", "n10": "refused", "n20": "not ordered"},
@@ -38,27 +38,27 @@
 
     def test_ignores_outdated_statuses_and_those_of_other_orders_and_hosts(self):
         tracker = self.tracker
-        tracker.answered("h0", order_status("n00", "done"))
-        tracker.answered("h0", order_status("n00", "acting"))
-        tracker.answered("h0", order_status("n00", "failed", ident="o0"))
-        tracker.answered("h1", order_status("n00", "failed"))
+        tracker.record_response("h0", order_status("n00", "done"))
+        tracker.record_response("h0", order_status("n00", "acting"))
+        tracker.record_response("h0", order_status("n00", "failed", ident="o0"))
+        tracker.record_response("h1", order_status("n00", "failed"))
         self.assertEqual(tracker.tasks["n00"].state, "done")
 
     def test_a_task_without_response_is_unknown_until_the_agent_reports(self):
         tracker = self.tracker
-        tracker.answered("h0", order_status("n00", "done"))
-        tracker.no_response("h1", "did not answer")
+        tracker.record_response("h0", order_status("n00", "done"))
+        tracker.record_no_response("h1", "did not answer")
         self.assertEqual(
             (tracker.tasks["n10"].state, tracker.result(True)), ("not known", Result.SOME_SILENT)
         )
         self.assertEqual(tracker.hosts_to_poll(), ["h1"])
-        tracker.answered("h1", messages.OrderList([order_status("n10", "failed")]))
+        tracker.record_response("h1", messages.OrderList([order_status("n10", "failed")]))
         del tracker.tasks["n20"]
         self.assertIs(tracker.result(True), Result.SOME_FAILED)
 
     def test_an_open_task_counts_as_done_for_a_sender_that_does_not_wait(self):
         tracker = self.tracker
         del tracker.tasks["n20"]
-        tracker.answered("h0", order_status("n00", "acting"))
-        tracker.answered("h1", order_status("n10", "waiting"))
+        tracker.record_response("h0", order_status("n00", "acting"))
+        tracker.record_response("h1", order_status("n10", "waiting"))
         self.assertEqual((tracker.result(False), tracker.result(True)), (Result.DONE, Result.SOME_FAILED))
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from oakkeel.fleet.selection import Selection, SelectionError, sites_over_share, targets_by_host
+from oakkeel.fleet.selection import Selection, SelectionError, describe_large_shares, targets_by_host
 from oakkeel.fleet.view import FleetView
 from oakkeel.units import MS, SECOND
 from tests.fleet.builders import fleet_of, host_status
@@ -15,12 +15,17 @@
     def test_ages_count_from_the_request_and_stale_rows_are_shown_as_old(self):
         self.view.update("h0", 10 * SECOND, host_status("h0"))
         rows = self.view.rows(10 * SECOND + 400 * MS)
-        self.assertEqual((rows[0].shown, rows[0].age, rows[0].report_age), ("serving", 400 * MS, 600 * MS))
-        self.assertEqual((rows[3].shown, rows[3].age, rows[3].is_unavailable), ("unknown", -1, True))
+        self.assertEqual(
+            (rows[0].displayed_state, rows[0].age, rows[0].report_age), ("serving", 400 * MS, 600 * MS)
+        )
+        self.assertEqual(
+            (rows[3].displayed_state, rows[3].age, rows[3].is_unavailable), ("unknown", -1, True)
+        )
         self.view.record_no_response("h0", "did not answer")
         rows = self.view.rows(20 * SECOND)
         self.assertEqual(
-            (rows[0].shown, rows[0].age, rows[0].is_unavailable), ("old: serving", 10 * SECOND, True)
+            (rows[0].displayed_state, rows[0].age, rows[0].is_unavailable),
+            ("old: serving", 10 * SECOND, True),
         )
         self.assertEqual(self.view.notes(), ["agent of h0: did not answer"])
 
@@ -49,11 +54,11 @@
         view = FleetView(fleet_of())
         view.update("h0", SECOND, host_status("h0"))
         rows = view.rows(SECOND)
-        self.assertEqual([row.name for row in Selection(names=("n0*",)).among(rows)], ["n00", "n01", "n02"])
-        self.assertEqual([row.name for row in Selection(("n*1",), ("wood*",), ("h1",)).among(rows)], ["n11"])
-        self.assertEqual(len(Selection(states=("unknown",)).among(rows)), 3)
+        self.assertEqual([row.name for row in Selection(names=("n0*",)).filter(rows)], ["n00", "n01", "n02"])
+        self.assertEqual([row.name for row in Selection(("n*1",), ("wood*",), ("h1",)).filter(rows)], ["n11"])
+        self.assertEqual(len(Selection(states=("unknown",)).filter(rows)), 3)
         with self.assertRaisesRegex(SelectionError, "no instance has the name 'x'"):
-            Selection(names=("n00", "x")).among(rows)
+            Selection(names=("n00", "x")).filter(rows)
         self.assertEqual(targets_by_host(rows), {"h0": [("n00", 4), ("n01", 4), ("n02", 4)]})
 
     def test_names_sites_over_a_share_and_counts_instances_that_are_out_already(self):
@@ -61,9 +66,9 @@
         view.update("h0", SECOND, host_status("h0"))
         view.update("h1", SECOND, host_status("h1"))
         rows = view.rows(SECOND)
-        self.assertEqual(sites_over_share(rows, rows[:2], 0.34), [])
-        self.assertIn("3 of 6 would be taken out, 0 are out", sites_over_share(rows, rows[:3], 0.34)[0])
+        self.assertEqual(describe_large_shares(rows, rows[:2], 0.34), [])
+        self.assertIn("3 of 6 would be taken out, 0 are out", describe_large_shares(rows, rows[:3], 0.34)[0])
         view.update("h1", 2 * SECOND, host_status("h1", "failing"))
         rows = view.rows(2 * SECOND)
-        self.assertIn("1 of 6 would be taken out, 3 are out", sites_over_share(rows, rows[:1], 0.34)[0])
-        self.assertEqual(sites_over_share(rows, rows[3:], 0.34), [])
+        self.assertIn("1 of 6 would be taken out, 3 are out", describe_large_shares(rows, rows[:1], 0.34)[0])
+        self.assertEqual(describe_large_shares(rows, rows[3:], 0.34), [])
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -4,8 +4,8 @@
 import unittest.mock
 
 from oakkeel.disruption import commands as permit_commands
-from oakkeel.emulator.consensus import ConsensusSimulation, play
-from oakkeel.emulator.faults import Fault, draw
+from oakkeel.emulator.consensus import ConsensusSimulation, run_schedule
+from oakkeel.emulator.faults import Fault, draw_schedule
 from oakkeel.invariants.rollout import RolloutAudit
 from oakkeel.rollout import commands
 from oakkeel.rollout.assignments import VersionAssignments
@@ -28,7 +28,9 @@
         breaches: list[str] = []
         for seed in range(2000, 2030):
             try:
-                breaches += play(draw(seed, releases=True, duration=30 * SECOND), plant_fault)[1]
+                breaches += run_schedule(
+                    draw_schedule(seed, releases=True, duration=30 * SECOND), plant_fault
+                )[1]
             except RuntimeError as error:
                 breaches.append(str(error))
             if breaches:
--- a/tests/policy_change/test_policy_change.py
+++ b/tests/policy_change/test_policy_change.py
@@ -91,13 +91,13 @@
     def test_agent_reports_the_lowest_version_of_its_nodes_or_that_a_node_has_not_reported(self):
         agent = AgentPolicyLease()
         agent.receive_assignment(0, PolicyAssignment(2, SECOND, b"two"))
-        agent.node_started("a")
-        agent.node_started("b")
-        agent.node_reported("a", 2)
+        agent.record_node_start("a")
+        agent.record_node_start("b")
+        agent.record_node_version("a", 2)
         self.assertEqual((agent.report().number, agent.report().held_version), (-1, 2))
-        agent.node_reported("b", 1)
+        agent.record_node_version("b", 1)
         self.assertEqual(agent.report().number, 1)
-        agent.node_stopped("b")
+        agent.remove_node("b")
         self.assertEqual(agent.report().number, 2)
 
     def test_lease_starts_at_the_heartbeat_and_a_reordered_response_does_not_shorten_it(self):
@@ -177,8 +177,8 @@
         decided_count = 0
         for seed in range(100):
             simulation = PolicySimulation(seed)
-            self.assertEqual((simulation.run(), simulation.stuck()), ([], []), seed)
-            decided_count += len(simulation.audit.decided)
+            self.assertEqual((simulation.run(), simulation.convergence_failures()), ([], []), seed)
+            decided_count += len(simulation.audit.decision_counts)
         self.assertGreater(decided_count, 100)
 
     def test_a_version_that_a_host_cannot_use_is_refused_and_never_used(self):
@@ -190,7 +190,7 @@
                 if policy.state == "refused":
                     refused_count += 1
                     self.assertIn("this host cannot use it", policy.state_reason)
-                    self.assertNotIn(policy.number, simulation.audit.decided)
+                    self.assertNotIn(policy.number, simulation.audit.decision_counts)
         self.assertGreater(refused_count, 0)
 
     def test_detects_nodes_that_decide_without_a_lease(self):
@@ -228,7 +228,7 @@
     def test_audit_detects_decisions_under_a_withdrawn_version_and_under_an_earlier_one(self):
         audit = PolicyChangeAudit()
         audit.record_decision(0, "n1", 2)
-        audit.record_not_made(1, 2)
+        audit.record_refused_or_withdrawn(1, 2)
         audit.record_in_force(2, 3)
         audit.record_decision(3, "n2", 1)
         self.assertEqual(len(audit.breaches), 2)
@@ -238,15 +238,17 @@
     def test_old_versions_are_not_used_within_the_clock_drift_and_each_rule_is_needed(self):
         lease_s = 3.0
         wait_s = 3.0 * (1 + MAX_DRIFT_RATIO) / (1 - MAX_DRIFT_RATIO)
-        self.assertFalse(model.old_after_in_force(lease_s, wait_s, MAX_DRIFT_RATIO))
+        self.assertFalse(model.can_use_old_version_after_change(lease_s, wait_s, MAX_DRIFT_RATIO))
         for rule in set(model.LeaseRule) - {model.LeaseRule.FROM_SENT}:
-            self.assertTrue(model.old_after_in_force(lease_s, wait_s, MAX_DRIFT_RATIO, rule), rule)
-        self.assertTrue(model.old_after_in_force(lease_s, lease_s, MAX_DRIFT_RATIO))
+            self.assertTrue(
+                model.can_use_old_version_after_change(lease_s, wait_s, MAX_DRIFT_RATIO, rule), rule
+            )
+        self.assertTrue(model.can_use_old_version_after_change(lease_s, lease_s, MAX_DRIFT_RATIO))
 
     def test_withdrawn_version_is_never_used_and_both_rules_are_needed(self):
-        self.assertFalse(model.withdrawn_and_used({"decided first", "decided stays"}))
-        self.assertTrue(model.withdrawn_and_used({"decided first"}))
-        self.assertTrue(model.withdrawn_and_used({"decided stays"}))
+        self.assertFalse(model.can_withdraw_used_version({"decided first", "decided stays"}))
+        self.assertTrue(model.can_withdraw_used_version({"decided first"}))
+        self.assertTrue(model.can_withdraw_used_version({"decided stays"}))
 
 
 if __name__ == "__main__":
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from oakkeel.emulator.consensus import ConsensusSimulation, play
-from oakkeel.emulator.faults import Fault, Schedule, draw
+from oakkeel.emulator.consensus import ConsensusSimulation, run_schedule
+from oakkeel.emulator.faults import Fault, Schedule, draw_schedule
 from oakkeel.units import SECOND
 
 
@@ -29,9 +29,9 @@
 
 
 class SimulatedRolloutTest(unittest.TestCase):
-    def play(self, *faults: Fault, **options) -> tuple[str, str]:
+    def run_schedule(self, *faults: Fault, **options) -> tuple[str, str]:
         """Play a schedule without a breach; return the state of its release and the reason for the state."""
-        simulation, breaches = play(schedule(list(faults), **options))
+        simulation, breaches = run_schedule(schedule(list(faults), **options))
         self.assertEqual(breaches, [])
         return release_state(simulation)
 
@@ -55,13 +55,13 @@
 
     def test_without_a_majority_a_release_takes_no_step_and_breaks_no_invariant(self):
         stop_faults = [Fault(2500_000_000, "stop", host, 0, 30 * SECOND, 0.0) for host in (0, 1)]
-        short_run, breaches = play(schedule([release(1), *stop_faults], seconds=15))
+        short_run, breaches = run_schedule(schedule([release(1), *stop_faults], seconds=15))
         self.assertEqual(breaches, [])
         last_step = max((step for _, step in short_run.rollout_audit.steps), default=0)
-        long_run, _ = play(schedule([release(1), *stop_faults], seconds=25))
+        long_run, _ = run_schedule(schedule([release(1), *stop_faults], seconds=25))
         self.assertEqual(max((step for _, step in long_run.rollout_audit.steps), default=0), last_step)
 
     def test_random_schedules_break_no_invariant_and_finish(self):
         for seed in range(2000, 2040):
-            simulation, breaches = play(draw(seed, releases=True, duration=40 * SECOND))
-            self.assertEqual((breaches, simulation.stuck()), ([], []), seed)
+            simulation, breaches = run_schedule(draw_schedule(seed, releases=True, duration=40 * SECOND))
+            self.assertEqual((breaches, simulation.convergence_failures()), ([], []), seed)
--- a/tests/store/test_content_store.py
+++ b/tests/store/test_content_store.py
@@ -26,9 +26,9 @@
         version = self.store.add_version(Content(content_hash))
         self.write("sub/data", "2")
         self.assertNotEqual(hash_folder(self.program), content_hash)
-        self.assertEqual(hash_folder(self.store.path(content_hash)), content_hash)
+        self.assertEqual(hash_folder(self.store.copy_path(content_hash)), content_hash)
         self.assertEqual(self.store.find(version), Content(content_hash))
-        self.assertEqual(self.store.add_folder(self.store.path(content_hash)), content_hash)
+        self.assertEqual(self.store.add_folder(self.store.copy_path(content_hash)), content_hash)
 
     def test_hash_covers_names_contents_and_permissions(self):
         first = hash_folder(self.program)
--- a/tests/store/test_database.py
+++ b/tests/store/test_database.py
@@ -26,7 +26,7 @@
     def test_written_rows_are_read_after_reopening(self):
         self.insert_word(self.open(), "kept")
         reopened = self.open()
-        self.assertEqual((reopened.read("SELECT * FROM words"), reopened.quarantined), ([("kept",)], ""))
+        self.assertEqual((reopened.read("SELECT * FROM words"), reopened.quarantine_note), ([("kept",)], ""))
 
     def test_quarantines_damaged_files_foreign_files_and_files_of_another_schema_version(self):
         for damage in (lambda: None, self._overwrite_second_page, self._replace_with_foreign_file):
@@ -36,9 +36,9 @@
             database.close()
             damage()
             reopened = Database(self.path, self.SCHEMA, 2)
-            self.assertTrue(reopened.quarantined)
+            self.assertTrue(reopened.quarantine_note)
             self.assertEqual(reopened.read("SELECT * FROM words"), [])
-            quarantined_file = reopened.quarantined.partition(": ")[0]
+            quarantined_file = reopened.quarantine_note.partition(": ")[0]
             self.assertGreater(os.path.getsize(quarantined_file), 0)
             reopened.close()
             os.rename(quarantined_file, quarantined_file + str(id(damage)))
--- a/tests/support/fair_sharing.py
+++ b/tests/support/fair_sharing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oakkeel.admission.types import FairSharingRules
-from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode, fair_share
+from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode, max_min_shares
 
 
 def simulated_node(fair=True, by=("caller",), weights=None, seed=7, **options) -> SimulatedNode:
@@ -20,12 +20,12 @@
 
     The node runs for `warm` seconds before the measurement.
     """
-    node.pass_time(warm)
+    node.run_for(warm)
     before = [
         (client.counts["in time"], client.first_attempts, client.scheduled_returns, client.admitted_returns)
         for client in node.clients
     ]
-    node.pass_time(seconds)
+    node.run_for(seconds)
     completion_rates = [
         (client.counts["in time"] - earlier[0]) / seconds
         for client, earlier in zip(node.clients, before, strict=True)
@@ -34,7 +34,7 @@
         (client.first_attempts - earlier[1]) / seconds
         for client, earlier in zip(node.clients, before, strict=True)
     ]
-    shares = fair_share(arrival_rates, max(150.0, sum(completion_rates)))
+    shares = max_min_shares(arrival_rates, max(150.0, sum(completion_rates)))
     scheduled = sum(
         client.scheduled_returns - earlier[2] for client, earlier in zip(node.clients, before, strict=True)
     )
