--- a/measure/orders.py
+++ b/measure/orders.py
@@ -80,7 +80,7 @@
         """Return the agent's response, or None if there was none within a second."""
         await self._ensure_agent()
         with contextlib.suppress(AgentError, asyncio.TimeoutError):
-            return await asyncio.wait_for(request_once(self.host.agent, self.key, request), 1.0)
+            return await asyncio.wait_for(request_once(self.host.agent_address, self.key, request), 1.0)
         await asyncio.sleep(0.02)
         return None
 
@@ -128,7 +128,7 @@
 
     def count_starts(self) -> int:
         """Return the number of processes that were started, from the instance's journal."""
-        with open(os.path.join(self.host.state, "n1.journal"), encoding="ascii") as file:
+        with open(os.path.join(self.host.state_folder, "n1.journal"), encoding="ascii") as file:
             return sum(line.startswith("start") for line in file)
 
     async def close(self) -> None:
@@ -136,7 +136,7 @@
         if self.agent and self.agent.returncode is None:
             self.agent.terminate()
             await self.agent.wait()
-        processes = Processes(self.host.state, lambda process, why: None)
+        processes = Processes(self.host.state_folder, lambda process, why: None)
         if process := processes.adopt("n1"):
             processes.signal(process, 9)  # type: ignore[arg-type]
         processes.close()
--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -53,22 +53,22 @@
     """Read the keys of operators and agents from their files. Raises SettingsError."""
     accepted_keys = read_keys(fleet)
     agent_keys = read_agent_keys(fleet)
-    accepted_keys |= {key.ident: key for key in agent_keys.values()}
+    accepted_keys |= {key.key_id: key for key in agent_keys.values()}
     return AgentKeys(accepted_keys, agent_keys)
 
 
 def _lock_state_folder(settings_path: str, host: HostSettings) -> None:
     """Create the state folder and lock it until this process ends. Raises SettingsError or OSError."""
     longest_path_bytes = max(
-        len(os.path.join(host.state, f"{each.name}.sock").encode()) for each in host.instances
+        len(os.path.join(host.state_folder, f"{each.name}.sock").encode()) for each in host.instances
     )
     if longest_path_bytes > MAX_SOCKET_PATH_BYTES:
         excess_bytes = longest_path_bytes - MAX_SOCKET_PATH_BYTES
         raise SettingsError(
             f"{settings_path}: the state folder of {host.name} is {excess_bytes} bytes too long"
         )
-    os.makedirs(host.state, mode=STATE_FOLDER_MODE, exist_ok=True)
-    path = os.path.join(host.state, "agent.lock")
+    os.makedirs(host.state_folder, mode=STATE_FOLDER_MODE, exist_ok=True)
+    path = os.path.join(host.state_folder, "agent.lock")
     lock = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE)
     try:
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -60,13 +60,13 @@
     ) -> None:
         """Raises OSError if the state folder can't be used or the address is in use."""
         host = settings.host
-        os.makedirs(host.state, mode=STATE_FOLDER_MODE, exist_ok=True)
+        os.makedirs(host.state_folder, mode=STATE_FOLDER_MODE, exist_ok=True)
         self.settings = settings
         self.host = host
         self.keys = keys.accepted
         self.log = log
         self.started_at = time.monotonic_ns()
-        self.store = parts.store or Database(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
+        self.store = parts.store or Database(os.path.join(host.state_folder, "agent.db"), SCHEMA, VERSION)
         self.notes: list[str] = []  # conditions found at the start, for the operator
         fleet = settings.fleet
         self.fleet = fleet if fleet and fleet.control_plane else None
@@ -82,7 +82,7 @@
         self.stop_requested = asyncio.Event()
         self.handlers = RequestHandlers(self)
         limits = _server_limits(self.fleet)
-        self.server = AgentServer(host.agent, lambda: self.keys, self.handlers.handle, log, limits)
+        self.server = AgentServer(host.agent_address, lambda: self.keys, self.handlers.handle, log, limits)
 
     def _restore_state(self, seed: int) -> None:
         """Create the supervisor, the permit holder and the order registry from the stored state."""
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -38,8 +38,8 @@
         self.log = log
         self.on_ready = on_ready
         self.settings = {each.name: each for each in host.instances}  # by instance
-        self.state_folder = host.state
-        self.contents = ContentStore(os.path.join(host.state, "versions"))
+        self.state_folder = host.state_folder
+        self.contents = ContentStore(os.path.join(host.state_folder, "versions"))
         self.tasks: set[asyncio.Task[None]] = set()  # preparations that are not complete
 
     # Preparation.
@@ -87,7 +87,7 @@
             if self.assignments.version(target):
                 continue
             program = program or self.contents.add_folder(PACKAGE_FOLDER, "oakkeel")
-            config = self.contents.add_file(settings.config)
+            config = self.contents.add_file(settings.config_path)
             bases[target] = self.contents.add_version(Content(program, "", config))
         return bases
 
@@ -144,7 +144,7 @@
 
     def _merged_config(self, settings: InstanceSettings, content: Content | None) -> object:
         config = read_json(
-            self.contents.copy_path(content.config) if content and content.config else settings.config
+            self.contents.copy_path(content.config) if content and content.config else settings.config_path
         )
         if content is None or not content.patch:
             return config
--- a/oakkeel/agent/control_plane_member.py
+++ b/oakkeel/agent/control_plane_member.py
@@ -56,8 +56,8 @@
             fleet, self.host.name, self.agent_keys, self.reconciler, self.log, self._handle_response
         )
         self.status_reporter = reporter
-        has_replica_file = os.path.exists(os.path.join(self.host.state, RAFT_DATABASE))
-        if self.host.name in control_plane_of(fleet).hosts or has_replica_file:
+        has_replica_file = os.path.exists(os.path.join(self.host.state_folder, RAFT_DATABASE))
+        if self.host.name in control_plane_of(fleet).initial_voters or has_replica_file:
             self._start_raft(reporter)
         self.tasks.append(asyncio.ensure_future(reporter.run()))
         self.tasks += [
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -45,7 +45,7 @@
         self.log = log
         self.on_exit = on_exit
         self.running_processes: dict[Instance, Process] = {}
-        self.processes = parts.processes(host.state, self._handle_process_exit)
+        self.processes = parts.processes(host.state_folder, self._handle_process_exit)
         self.launcher = InstanceLauncher(host, self.processes, parts.program, settings.fair_sharing)
         self.drain_sender = DrainSender(
             self.running_processes, self.processes, supervisor.timeouts.node_drain_timeout_ns, log
--- a/oakkeel/agent/launcher.py
+++ b/oakkeel/agent/launcher.py
@@ -59,10 +59,10 @@
         settings = self.settings[name]
         variables = {
             **os.environ,
-            "PROXY_CONFIG": settings.config,
+            "PROXY_CONFIG": settings.config_path,
             "PROXY_NAME": settings.name,
             "OAKKEEL_CONTROL": self.processes.path(name, "sock"),
-            "OAKKEEL_LOG": settings.log,
+            "OAKKEEL_LOG": settings.log_format,
         }
         if settings.listen:
             variables["PROXY_LISTEN"] = settings.listen
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -65,13 +65,13 @@
         timeouts: RaftTimeouts | None = None,
     ) -> None:
         """Raises DatabaseError if the file can't be used, and NoControlPlaneError."""
-        self.initial_voters = control_plane_of(fleet).hosts
+        self.initial_voters = control_plane_of(fleet).initial_voters
         self.fleet = fleet
         self.name = name
         self.keys = keys
         self.log = log
         self.timeouts = timeouts or RaftTimeouts()
-        path = os.path.join(fleet.host(name).state, RAFT_DATABASE)
+        path = os.path.join(fleet.host(name).state_folder, RAFT_DATABASE)
         self.file = ReplicaFile(path, name, log)
         self.command_log = CommandLog(log)
         self.topology = topology_of(fleet)
@@ -255,7 +255,7 @@
 
     def _peer_sender(self, name: str) -> PeerSender:
         if name not in self.peers:
-            link = AuthenticatedClient(self.fleet.host(name).agent, self.keys[self.name])
+            link = AuthenticatedClient(self.fleet.host(name).agent_address, self.keys[self.name])
             self.peers[name] = PeerSender(name, link, self._receive_response_envelopes, self.log)
         return self.peers[name]
 
--- a/oakkeel/agent/server.py
+++ b/oakkeel/agent/server.py
@@ -15,12 +15,12 @@
 
 from oakkeel.agent import messages
 from oakkeel.authentication.framing import (
-    HELLO,
+    GREETING_PREFIX,
     MAX_FRAME_BYTES,
     MAX_RESPONSE_BYTES,
-    REFUSED,
+    REJECTION,
     FrameError,
-    frame,
+    encode_frame,
     read_frame,
 )
 from oakkeel.authentication.mac import (
@@ -121,7 +121,7 @@
         except FrameError as error:
             self._log_rejection(str(error))
             with contextlib.suppress(StreamClosedError):
-                stream.write(frame(REFUSED))
+                stream.write(encode_frame(REJECTION))
         except Exception as error:  # a fault of one connection must not end the agent
             self.log.error("agent_connection_failed", error=describe_error(error))
         finally:
@@ -135,7 +135,7 @@
         authenticator = ServerAuthenticator(
             self.keys(), challenge, time.monotonic_ns(), self.limits.timeout_ns
         )
-        stream.write(frame(HELLO + challenge))
+        stream.write(encode_frame(GREETING_PREFIX + challenge))
         max_bytes = MAX_FRAME_BYTES
         while True:
             async with asyncio.timeout(timeout):
@@ -147,7 +147,9 @@
                 key, request = authenticator.verify(time.monotonic_ns(), time.time_ns(), content)
             except AuthenticationError as error:
                 self._log_rejection(str(error))
-                await stream.write(frame(REFUSED))  # without the reason, which would help an attacker
+                await stream.write(
+                    encode_frame(REJECTION)
+                )  # without the reason, which would help an attacker
                 return
             if key.role is Role.AGENT:  # authenticated: replicas send larger requests than operators
                 max_bytes = MAX_RESPONSE_BYTES
@@ -155,7 +157,7 @@
             response = messages.encode(await self._respond(key, request))
             if len(response) > MAX_RESPONSE_BYTES - MAX_SIGNATURE_BYTES:
                 response = messages.encode(messages.ErrorResponse("the response is too long; ask for less"))
-            write_future = stream.write(frame(authenticator.sign(time.time_ns(), response)))
+            write_future = stream.write(encode_frame(authenticator.sign(time.time_ns(), response)))
             async with asyncio.timeout(timeout):
                 await asyncio.shield(write_future)
 
@@ -165,11 +167,13 @@
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return messages.ErrorResponse(f"not a message of this version: {error}")
         if isinstance(request, messages.PeerRequest) != (key.role is Role.AGENT):
-            self.log.warning("message_rejected", key=key.ident, error="the role of the key does not allow it")
-            return messages.ErrorResponse(f"the role of key {key.ident} does not allow that request")
+            self.log.warning(
+                "message_rejected", key=key.key_id, error="the role of the key does not allow it"
+            )
+            return messages.ErrorResponse(f"the role of key {key.key_id} does not allow that request")
         if isinstance(request, ORDER_REQUESTS) and key.role < Role.ACT:
             self.log.warning(
-                "order_rejected", operator=key.operator, key=key.ident, error="the key may only view"
+                "order_rejected", operator=key.operator, key=key.key_id, error="the key may only view"
             )
             return messages.ErrorResponse(f"{key.operator} may only view")
         try:
--- a/oakkeel/agent/status_reporter.py
+++ b/oakkeel/agent/status_reporter.py
@@ -49,7 +49,7 @@
         self.log = log
         self.on_response = on_response
         host_names = (host.name for host in fleet.hosts)
-        self.locator = LeaderLocator(control_plane_of(fleet).hosts, host_names)
+        self.locator = LeaderLocator(control_plane_of(fleet).initial_voters, host_names)
         self.raft: RaftRuntime | None = None
         self.clients: dict[str, AuthenticatedClient] = {}
         self.last_response_at = 0  # time of the last accepted response, monotonic; 0: none yet
@@ -102,7 +102,9 @@
 
     def _leader_client(self) -> AuthenticatedClient:
         if self.leader not in self.clients:
-            self.clients[self.leader] = AuthenticatedClient(self.fleet.host(self.leader).agent, self.key)
+            self.clients[self.leader] = AuthenticatedClient(
+                self.fleet.host(self.leader).agent_address, self.key
+            )
         return self.clients[self.leader]
 
     def _apply_response(self, sent_at: int, response: HeartbeatResponse) -> None:
--- a/oakkeel/agent/topology.py
+++ b/oakkeel/agent/topology.py
@@ -11,7 +11,7 @@
     control_plane = fleet.control_plane
     services = control_plane.services if control_plane else ()
     targets_by_host: dict[str, tuple[str, ...]] = {}
-    instances_by_site: dict[str, list[str]] = {site: [] for site in fleet.sites}
+    instances_by_site: dict[str, list[str]] = {site: [] for site in fleet.max_unavailable_by_site}
     dependants_by_service: dict[str, list[str]] = {service.name: [] for service in services}
     for host in fleet.hosts:
         names = [instance.name for instance in host.instances]
@@ -21,7 +21,7 @@
             for name in instance.downstream:
                 dependants_by_service[name].append(instance.name)
     budget_groups = [
-        BudgetGroup(f"site {site}", fleet.sites[site], tuple(names))
+        BudgetGroup(f"site {site}", fleet.max_unavailable_by_site[site], tuple(names))
         for site, names in instances_by_site.items()
     ]
     if control_plane:
@@ -29,7 +29,7 @@
         budget_groups.append(BudgetGroup("fleet", control_plane.max_unavailable, instances))
         budget_groups += [
             BudgetGroup(f"kind {kind}", limit, tuple(each.name for each in services if each.kind == kind))
-            for kind, limit in control_plane.kinds.items()
+            for kind, limit in control_plane.max_unavailable_by_kind.items()
         ]
     return Topology(
         targets_by_host,
--- a/oakkeel/authentication/client.py
+++ b/oakkeel/authentication/client.py
@@ -10,12 +10,12 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from oakkeel.authentication.framing import (
-    HELLO,
+    GREETING_PREFIX,
     LENGTH_BYTES,
     MAX_RESPONSE_BYTES,
-    REFUSED,
+    REJECTION,
     FrameError,
-    frame,
+    encode_frame,
     read_frame,
 )
 from oakkeel.authentication.mac import NONCE_BYTES, AuthenticationError, ClientAuthenticator, Key
@@ -69,11 +69,11 @@
             self.close()
             self.stream = IOStream(socket.socket(), max_buffer_size=MAX_RESPONSE_BYTES + LENGTH_BYTES)
             self.authenticator = await self._connect(self.stream)
-        self.stream.write(frame(self.authenticator.sign(content)))
+        self.stream.write(encode_frame(self.authenticator.sign(content)))
         response = await read_frame(self.stream, MAX_RESPONSE_BYTES)
-        if response == REFUSED:
+        if response == REJECTION:
             raise AuthenticationRejectedError(
-                f"the agent rejected key {self.key.ident}; the cause is in the agent's log"
+                f"the agent rejected key {self.key.key_id}; the cause is in the agent's log"
             )
         return self.authenticator.verify(response)
 
@@ -82,10 +82,10 @@
         await stream.connect(self.address)
         stream.set_nodelay(True)
         hello = await read_frame(stream)
-        if not hello.startswith(HELLO) or len(hello) != len(HELLO) + NONCE_BYTES:
+        if not hello.startswith(GREETING_PREFIX) or len(hello) != len(GREETING_PREFIX) + NONCE_BYTES:
             raise AuthenticationRejectedError("the listener is not an agent of this version")
         return ClientAuthenticator(
-            self.key, hello[len(HELLO) :], lambda: secrets.token_bytes(NONCE_BYTES), time.time_ns
+            self.key, hello[len(GREETING_PREFIX) :], lambda: secrets.token_bytes(NONCE_BYTES), time.time_ns
         )
 
     def close(self) -> None:
--- a/oakkeel/authentication/framing.py
+++ b/oakkeel/authentication/framing.py
@@ -9,8 +9,8 @@
 MAX_FRAME_BYTES = 128 * 1024  # maximum content of a frame from a peer that is not authenticated yet
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 LENGTH_BYTES = 4
-HELLO = b"oakkeel 1 "  # start of the first frame of a connection; the challenge follows
-REFUSED = b"refused"  # the response to a rejected message, without the cause
+GREETING_PREFIX = b"oakkeel 1 "  # start of the first frame of a connection; the challenge follows
+REJECTION = b"refused"  # the response to a rejected message, without the cause
 
 
 class FrameError(OakkeelError, ValueError):
@@ -25,7 +25,7 @@
     return await stream.read_bytes(length)
 
 
-def frame(content: bytes) -> bytes:
+def encode_frame(content: bytes) -> bytes:
     """Return the frame that holds a content. Raises FrameError."""
     if not 0 < len(content) <= MAX_RESPONSE_BYTES:
         raise FrameError(f"can't send a frame of {len(content)} bytes; 1 to {MAX_RESPONSE_BYTES} are allowed")
--- a/oakkeel/authentication/mac.py
+++ b/oakkeel/authentication/mac.py
@@ -42,11 +42,11 @@
 class Key:
     """One key of an operator. During a rotation both the old and the new key are valid."""
 
-    ident: str
+    key_id: str
     operator: str
     role: Role
     secret: bytes
-    expires: int = 0  # Unix time in nanoseconds from which the key is invalid; 0: never
+    expires_at: int = 0  # Unix time in nanoseconds from which the key is invalid; 0: never
 
 
 class AuthenticatedMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
@@ -162,12 +162,12 @@
         )
         if not hmac.compare_digest(request.compute_mac(key.secret), message.mac):
             raise AuthenticationError(
-                f"key {key.ident}: wrong MAC; the message was altered, replayed or made with another secret"
+                f"key {key.key_id}: wrong MAC; the message was altered, replayed or made with another secret"
             )
         if now - self.issued_at > self.max_lifetime_ns:
-            raise AuthenticationError(f"key {key.ident}: the challenge has expired")
-        if key.expires and unix_now >= key.expires:
-            raise AuthenticationError(f"key {key.ident} has expired: replace it")
+            raise AuthenticationError(f"key {key.key_id}: the challenge has expired")
+        if key.expires_at and unix_now >= key.expires_at:
+            raise AuthenticationError(f"key {key.key_id} has expired: replace it")
         self.sequence = sequence
         self.nonce = message.nonce
         self.key = key
@@ -182,7 +182,7 @@
 
 def _encode(key: Key, mac_input: MacInput) -> bytes:
     message = AuthenticatedMessage(
-        key.ident, mac_input.nonce, mac_input.time, mac_input.content, mac_input.compute_mac(key.secret)
+        key.key_id, mac_input.nonce, mac_input.time, mac_input.content, mac_input.compute_mac(key.secret)
     )
     return _encoder.encode(message)
 
--- a/oakkeel/cli/main.py
+++ b/oakkeel/cli/main.py
@@ -93,12 +93,12 @@
     if not matches:
         fail(f"{fleet.path}: no instance {name!r}")
     host, instance = matches[0]
-    os.makedirs(host.state, mode=0o700, exist_ok=True)
+    os.makedirs(host.state_folder, mode=0o700, exist_ok=True)
     variables = {
-        "PROXY_CONFIG": instance.config,
+        "PROXY_CONFIG": instance.config_path,
         "PROXY_NAME": instance.name,
-        "OAKKEEL_LOG": instance.log,
-        "OAKKEEL_CONTROL": os.path.join(host.state, f"{name}.sock"),
+        "OAKKEEL_LOG": instance.log_format,
+        "OAKKEEL_CONTROL": os.path.join(host.state_folder, f"{name}.sock"),
     }
     if instance.listen:
         variables["PROXY_LISTEN"] = instance.listen
@@ -137,17 +137,17 @@
     )
     for host in fleet.hosts:
         stdout_console.print(
-            f"  {host.site}/{host.name} at {host.agent[0]}:{host.agent[1]}:"
+            f"  {host.site}/{host.name} at {host.agent_address[0]}:{host.agent_address[1]}:"
             f" {len(host.instances)} instances"
             + ("" if fleet.control_plane else f", at most {host.max_unavailable} unavailable at once"),
             highlight=False,
         )
     if control_plane := fleet.control_plane:
-        hosts = ", ".join(control_plane.hosts)
+        hosts = ", ".join(control_plane.initial_voters)
         limit = control_plane.max_unavailable
         stdout_console.print(
             f"  initial replicas (keepers): {hosts};"
-            f" at most {limit} unavailable at once, and by site {fleet.sites}",
+            f" at most {limit} unavailable at once, and by site {fleet.max_unavailable_by_site}",
             highlight=False,
         )
 
--- a/oakkeel/fakes/agent.py
+++ b/oakkeel/fakes/agent.py
@@ -54,8 +54,8 @@
     """Make an agent with the faults that its state folder enables."""
     host = settings.host
     Database.write = write_with_fault  # type: ignore[method-assign]
-    time.time_ns = lambda: shifted_time_ns(host.state)
-    has_real_nodes = os.path.exists(os.path.join(host.state, "real"))
+    time.time_ns = lambda: shifted_time_ns(host.state_folder)
+    has_real_nodes = os.path.exists(os.path.join(host.state_folder, "real"))
     parts = AgentParts() if has_real_nodes else AgentParts(program=PROGRAM)
     return Agent(settings, keys, TimedLog(host.name, 1000, "json"), seed, parts)
 
--- a/oakkeel/fakes/crashing.py
+++ b/oakkeel/fakes/crashing.py
@@ -75,9 +75,9 @@
 
 def make_agent(fatal_step: int, settings: AgentSettings, keys: AgentKeys, log: EventLog, seed: int) -> Agent:
     """Make an agent that kills itself at step `fatal_step`."""
-    os.makedirs(settings.host.state, mode=0o700, exist_ok=True)
+    os.makedirs(settings.host.state_folder, mode=0o700, exist_ok=True)
     crash_point = CrashPoint(fatal_step)
-    store = CrashingDatabase(os.path.join(settings.host.state, "agent.db"), crash_point)
+    store = CrashingDatabase(os.path.join(settings.host.state_folder, "agent.db"), crash_point)
     parts = AgentParts(store, crashing_processes(crash_point), PROGRAM)
     return Agent(settings, keys, log, seed, parts)
 
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -107,7 +107,7 @@
 
     async def request(self, host: str, request: messages.Request) -> messages.Response:
         """Send one request to the agent of a host. Raises AgentError."""
-        return await request_once(self.fleet.host(host).agent, self.key, request)
+        return await request_once(self.fleet.host(host).agent_address, self.key, request)
 
     async def request_each(
         self,
@@ -140,7 +140,7 @@
         """
         if self.fleet.control_plane is None:
             raise SettingsError(f"{self.fleet.path}: the fleet has no replicas (`keepers`), so no leader")
-        voters = self.fleet.control_plane.hosts
+        voters = self.fleet.control_plane.initial_voters
         other_hosts = [host.name for host in self.fleet.hosts if host.name not in voters]
         request_deadline = self.fleet.client.deadline
         search = LeaderDiscovery(
--- a/oakkeel/settings/keys.py
+++ b/oakkeel/settings/keys.py
@@ -14,7 +14,7 @@
 def read_keys(fleet: Fleet) -> dict[str, Key]:
     """Read all keys that an agent accepts, by ID. Raises SettingsError."""
     return {
-        key_file.ident: _read_key(operator, key_file)
+        key_file.key_id: _read_key(operator, key_file)
         for operator in fleet.operators
         for key_file in operator.keys
     }
@@ -25,7 +25,7 @@
     if fleet.control_plane is None:
         return {}
     return {
-        host.name: Key(f"{AGENT_KEY_PREFIX}{host.name}", host.name, Role.AGENT, _read_secret(host.key))
+        host.name: Key(f"{AGENT_KEY_PREFIX}{host.name}", host.name, Role.AGENT, _read_secret(host.key_path))
         for host in fleet.hosts
     }
 
@@ -41,7 +41,7 @@
 
 def _read_key(operator: Operator, key_file: KeyFile) -> Key:
     return Key(
-        key_file.ident,
+        key_file.key_id,
         operator.name,
         Role.ACT if operator.may_act else Role.VIEW,
         _read_secret(key_file.path),
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -19,7 +19,7 @@
 class KeyFile:
     """The ID, path and expiry time of an operator's key; the file has only the secret."""
 
-    ident: str
+    key_id: str
     path: str
     expires: int  # Unix time in nanoseconds from which the key is invalid; 0: never
 
@@ -38,9 +38,9 @@
     """One node that an agent supervises."""
 
     name: str
-    config: str  # path of the node's JSON configuration
+    config_path: str  # path of the node's JSON configuration
     listen: str  # overrides the address of the configuration, unless empty
-    log: str  # log format: console or json
+    log_format: str  # log format: console or json
     downstream: tuple[str, ...] = ()  # names of the services that the node depends on
 
 
@@ -50,11 +50,11 @@
 
     name: str
     site: str
-    agent: tuple[str, int]  # address of the agent: host name and port
-    state: str  # path of the agent's state folder
+    agent_address: tuple[str, int]  # address of the agent: host name and port
+    state_folder: str  # path of the agent's state folder
     max_unavailable: int  # maximum number of unavailable instances: the host's share of the site's budget
     instances: tuple[InstanceSettings, ...]
-    key: str = ""  # path of the agent's key file
+    key_path: str = ""  # path of the agent's key file
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,9 +71,9 @@
 class ControlPlaneSettings:
     """The additional settings of a fleet with a replicated control plane."""
 
-    hosts: tuple[str, ...]  # the initial voters
+    initial_voters: tuple[str, ...]  # the initial voters
     max_unavailable: int  # maximum number of unavailable instances of the fleet at one time
-    kinds: dict[str, int]  # maximum number of unavailable services at one time, by kind
+    max_unavailable_by_kind: dict[str, int]  # maximum number of unavailable services at one time, by kind
     services: tuple[Service, ...]
 
 
@@ -118,7 +118,7 @@
     operators: tuple[Operator, ...]
     supervision: dict[str, int | bool]  # set in the file; the keys are values of `SUPERVISION_FIELDS`
     client: ClientSettings
-    sites: dict[str, int]  # maximum number of unavailable instances at one time, by site
+    max_unavailable_by_site: dict[str, int]  # maximum number of unavailable instances at one time, by site
     hosts: tuple[HostSettings, ...]
     fairness: FairSharingSettings | None = None
     control_plane: ControlPlaneSettings | None = None  # None: agents work independently
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -55,8 +55,8 @@
 
     async def kill_nodes(self) -> None:
         """Kill the fake nodes; a node is killed only while it holds the lock of its instance."""
-        os.makedirs(self.host.state, exist_ok=True)
-        processes = Processes(self.host.state, lambda process, why: None)
+        os.makedirs(self.host.state_folder, exist_ok=True)
+        processes = Processes(self.host.state_folder, lambda process, why: None)
         for name in ("n1", "n2", "n3"):
             if processes.is_running(name) and (process := processes.adopt(name)):
                 processes.signal(process, signal.SIGCONT)
@@ -65,13 +65,16 @@
 
     def script(self, name: str, behavior: str) -> None:
         """Set the behaviour of an instance's fake node; empty: the node serves."""
-        os.makedirs(self.host.state, exist_ok=True)
-        with open(os.path.join(self.host.state, f"{name}.script"), "w") as file:
+        os.makedirs(self.host.state_folder, exist_ok=True)
+        with open(os.path.join(self.host.state_folder, f"{name}.script"), "w") as file:
             file.write(behavior)
 
     def read_journal(self, name: str) -> list[list[str]]:
         """The events that the fake nodes of an instance have recorded."""
-        with contextlib.suppress(OSError), open(os.path.join(self.host.state, f"{name}.journal")) as file:
+        with (
+            contextlib.suppress(OSError),
+            open(os.path.join(self.host.state_folder, f"{name}.journal")) as file,
+        ):
             return [line.split() for line in file]
         return []
 
@@ -115,7 +118,7 @@
 
     async def send_request(self, request: messages.Request, operator: str = "asha") -> messages.Response:
         return await asyncio.wait_for(
-            request_once(self.host.agent, read_operator_key(self.fleet, operator), request), WAIT
+            request_once(self.host.agent_address, read_operator_key(self.fleet, operator), request), WAIT
         )
 
     async def submit_order(
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -91,7 +91,7 @@
         agent = await self.agent()
         await self.serving(agent)
         with subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) as unrelated_process:
-            with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
+            with open(os.path.join(self.host.state_folder, "n1.pid"), "w") as file:
                 file.write(f"{unrelated_process.pid} 1\n")
             self.assertIsNone(agent.processes.adopt("n1"))  # the process does not hold the lock
             pidfd = os.pidfd_open(unrelated_process.pid)
@@ -104,7 +104,7 @@
             os.close(pidfd)
             self.assertIsNone(unrelated_process.poll())
             unrelated_process.communicate(b"\n")
-        with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
+        with open(os.path.join(self.host.state_folder, "n1.pid"), "w") as file:
             file.write(f"{agent.running_processes[self.instance(agent, 'n1')].pid} 1\n")
 
     async def test_second_agent_of_a_host_exits_with_the_reason(self):
@@ -148,7 +148,7 @@
         agent = await self.agent()
         await self.serving(agent)
         await self.stop(agent)
-        with open(os.path.join(self.host.state, "agent.db"), "r+b") as file:
+        with open(os.path.join(self.host.state_folder, "agent.db"), "r+b") as file:
             file.write(b"\x00" * 8192)
         next_agent = await self.agent()
         await self.serving(next_agent)
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -76,8 +76,8 @@
         self.assertEqual((self.instance(next_agent, "n1").phase, self.starts("n1")), (Phase.STOPPED, [1]))
 
     async def test_rejects_orders_and_continues_supervision_while_the_disk_is_full(self):
-        os.makedirs(self.host.state, exist_ok=True)
-        store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
+        os.makedirs(self.host.state_folder, exist_ok=True)
+        store = Database(os.path.join(self.host.state_folder, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
         store.connection.execute("PRAGMA max_page_count = 1")  # no page can be added
@@ -101,8 +101,8 @@
         self.assertEqual(await self.wait_for_final_states("later"), {"n2": "done"})
 
     async def test_rejects_orders_while_the_state_file_is_read_only(self):
-        os.makedirs(self.host.state, exist_ok=True)
-        store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
+        os.makedirs(self.host.state_folder, exist_ok=True)
+        store = Database(os.path.join(self.host.state_folder, "agent.db"), SCHEMA, VERSION)
         agent = await self.agent(store=store)
         await self.serving(agent)
         store.connection.execute("PRAGMA query_only = 1")
@@ -141,14 +141,14 @@
         host, key = fleet.hosts[0], read_operator_key(fleet, "asha")
         agents: list[asyncio.subprocess.Process] = []
         try:
-            await self.restart_through_a_crash(site.settings, host.agent, key, step, agents)
+            await self.restart_through_a_crash(site.settings, host.agent_address, key, step, agents)
             await self.assert_restarted_once(host, key, step)
             return len(agents) == 1
         finally:
             if agents and agents[-1].returncode is None:
                 agents[-1].kill()
                 await agents[-1].wait()
-            processes = Processes(host.state, lambda process, why: None)
+            processes = Processes(host.state_folder, lambda process, why: None)
             if process := processes.adopt("n1"):
                 processes.signal(process, signal.SIGKILL)
             processes.close()
@@ -185,8 +185,8 @@
         return await asyncio.create_subprocess_exec(*command, stderr=subprocess.DEVNULL)
 
     async def assert_restarted_once(self, host: HostSettings, key: Key, step: int) -> None:
-        orders = await request_once(host.agent, key, messages.ListOrdersRequest())
+        orders = await request_once(host.agent_address, key, messages.ListOrdersRequest())
         self.assertEqual([task.state for task in orders.orders[0].tasks], ["done"], f"step {step}")
-        with open(os.path.join(host.state, "n1.journal")) as file:
+        with open(os.path.join(host.state_folder, "n1.journal")) as file:
             events = [line.split()[:2] for line in file if line.startswith(("start ", "end "))]
         self.assertEqual([event for event, _ in events], ["start", "end", "start"], f"step {step}: {events}")
--- a/tests/agent/test_raft_runtime.py
+++ b/tests/agent/test_raft_runtime.py
@@ -23,7 +23,7 @@
         site = FakeSite(folder, {"wb1": ["n1"]}, SiteOptions(max_unavailable=1, replicas=("wb1",)))
         site.write_settings()
         fleet = read_fleet(site.settings)
-        os.makedirs(fleet.host("wb1").state, exist_ok=True)
+        os.makedirs(fleet.host("wb1").state_folder, exist_ok=True)
         self.runtime = RaftRuntime(fleet, "wb1", {}, EventLog("raft", 0))
         self.addCleanup(self.runtime.file.close)
         self.proposal = Proposal(1)
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -10,7 +10,7 @@
 
 from oakkeel.agent import messages
 from oakkeel.agent.server import AgentServer
-from oakkeel.authentication.framing import HELLO, REFUSED, frame
+from oakkeel.authentication.framing import GREETING_PREFIX, REJECTION, encode_frame
 from oakkeel.authentication.mac import Key, Role
 from oakkeel.control.messages import NodeStatus
 from oakkeel.fleet.agent_clients import AgentRejectedError, request_once
@@ -25,7 +25,7 @@
 class AgentServerTest(AgentTestCase):
     async def exchange_frames(self, *frames: bytes) -> list[bytes]:
         """Send frames on one connection; return the challenge and the response to each frame."""
-        reader, writer = await asyncio.open_connection(*self.host.agent)
+        reader, writer = await asyncio.open_connection(*self.host.agent_address)
         responses = [await self.read_frame(reader)]
         for each in frames:
             writer.write(each)
@@ -44,23 +44,23 @@
         await self.serving(agent)
         sent_frames: list[bytes] = []
         with mock.patch(
-            "oakkeel.authentication.client.frame",
-            lambda content: sent_frames.append(frame(content)) or sent_frames[-1],
+            "oakkeel.authentication.client.encode_frame",
+            lambda content: sent_frames.append(encode_frame(content)) or sent_frames[-1],
         ):
             await self.send_request(messages.OrderRequest("o1", "start", [("n1", 1)], SECOND))
         generation = self.instance(agent, "n1").generation
         for rejected_frame in (
             sent_frames[0],
             sent_frames[0][:-1] + bytes([sent_frames[0][-1] ^ 1]),
-            frame(b"what"),
+            encode_frame(b"what"),
             (1 << 30).to_bytes(4, "big"),
         ):
             hello, response = await self.exchange_frames(rejected_frame)
-            self.assertTrue(hello.startswith(HELLO))
-            self.assertEqual(response, REFUSED)
+            self.assertTrue(hello.startswith(GREETING_PREFIX))
+            self.assertEqual(response, REJECTION)
         wrong_key = Key("asha-1", "asha", Role.ACT, os.urandom(32))
         with self.assertRaisesRegex(AgentRejectedError, "the cause is in the agent's log"):
-            await request_once(self.host.agent, wrong_key, messages.HostStatusRequest())
+            await request_once(self.host.agent_address, wrong_key, messages.HostStatusRequest())
         self.assertEqual(self.instance(agent, "n1").generation, generation)
         rejections = [line for line in self.log_output.getvalue().splitlines() if "message_rejected" in line]
         self.assertLessEqual(len(rejections), 2)  # at most one log line per second
@@ -78,7 +78,7 @@
     async def test_partial_frames_and_too_many_connections_do_not_affect_other_clients(self):
         agent = await self.agent()
         await self.serving(agent)
-        partial_connections = [await asyncio.open_connection(*self.host.agent) for _ in range(80)]
+        partial_connections = [await asyncio.open_connection(*self.host.agent_address) for _ in range(80)]
         for _, writer in partial_connections:
             writer.write(b"\x00\x00")
         for _ in range(10):
@@ -105,12 +105,12 @@
             for key, is_accepted in zip((old_key, new_key), expected, strict=True):
                 if is_accepted:
                     self.assertIsInstance(
-                        await request_once(self.host.agent, key, messages.HostStatusRequest()),
+                        await request_once(self.host.agent_address, key, messages.HostStatusRequest()),
                         messages.HostStatus,
                     )
                 else:
                     with self.assertRaises(AgentRejectedError):
-                        await request_once(self.host.agent, key, messages.HostStatusRequest())
+                        await request_once(self.host.agent_address, key, messages.HostStatusRequest())
 
     async def test_sends_the_status_of_a_host_with_a_thousand_instances(self):
         status = messages.HostStatus(
@@ -143,7 +143,7 @@
             ],
         )
         server = AgentServer(
-            self.host.agent,
+            self.host.agent_address,
             lambda: read_keys(self.fleet),
             lambda key, request: status,
             EventLog("server", 10),
@@ -156,15 +156,15 @@
     async def test_reports_an_agent_that_answers_after_the_deadline_as_unknown(self):
         async def respond_late(reader, writer):
             tasks.append(asyncio.current_task())
-            writer.write(frame(HELLO + b"c" * 16))
+            writer.write(encode_frame(GREETING_PREFIX + b"c" * 16))
             await reader.read(10)
             await asyncio.sleep(0.4)
-            writer.write(frame(b"late"))
+            writer.write(encode_frame(b"late"))
             writer.close()
 
         tasks: list[asyncio.Task] = []
 
-        server = await asyncio.start_server(respond_late, *self.host.agent)
+        server = await asyncio.start_server(respond_late, *self.host.agent_address)
         started_at = time.monotonic()
         await self.agent_clients.refresh(self.view, deadline=300 * MS)
         self.assertLess(time.monotonic() - started_at, 0.5)
--- a/tests/authentication/test_mac.py
+++ b/tests/authentication/test_mac.py
@@ -23,7 +23,7 @@
         self.old_key, self.new_key, self.foreign_key = (
             Key(ident, "asha", Role.ACT, secrets.token_bytes(32)) for ident in ("a-1", "a-2", "a-1")
         )
-        self.keys = {key.ident: key for key in (self.old_key, self.new_key)}
+        self.keys = {key.key_id: key for key in (self.old_key, self.new_key)}
 
     def make_authenticators(
         self, key: Key, keys=None, issued_at: int = 0
@@ -62,7 +62,7 @@
         self.assert_rejected(server, client.sign(b"stop n1"))
         client, server = self.make_authenticators(self.old_key)
         self.assert_rejected(server, client.sign(b"stop n1"), now=11 * SECOND)
-        expired = Key("a-1", "asha", Role.ACT, self.old_key.secret, expires=5 * SECOND)
+        expired = Key("a-1", "asha", Role.ACT, self.old_key.secret, expires_at=5 * SECOND)
         client, server = self.make_authenticators(expired, {"a-1": expired})
         self.assert_rejected(server, client.sign(b"stop n1"), unix_now=5 * SECOND)
 
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -7,7 +7,7 @@
 import unittest
 
 from oakkeel.agent import messages
-from oakkeel.authentication.framing import frame
+from oakkeel.authentication.framing import encode_frame
 from oakkeel.authentication.mac import Key, Role
 from oakkeel.disruption.messages import Heartbeat
 from oakkeel.fleet.agent_clients import request_once
@@ -57,7 +57,7 @@
         address = ("127.0.0.1", self.site.ports[leader])
         status_before = (await self.rig.raft_statuses())[leader]
         for malformed_data in (
-            frame(b"what"),
+            encode_frame(b"what"),
             (0).to_bytes(4, "big"),
             (100 << 20).to_bytes(4, "big") + bytes(1 << 20),
         ):
--- a/tests/fakes/test_faulty_link.py
+++ b/tests/fakes/test_faulty_link.py
@@ -2,7 +2,7 @@
 import contextlib
 import unittest
 
-from oakkeel.authentication.framing import frame
+from oakkeel.authentication.framing import encode_frame
 
 
 class FaultyLinkTest(unittest.IsolatedAsyncioTestCase):
@@ -19,14 +19,14 @@
         request_direction, response_direction = LinkDirection(), LinkDirection()
         link = FaultyLink(server.sockets[0].getsockname(), request_direction, response_direction, 1)
         reader, writer = await asyncio.open_connection("127.0.0.1", await link.open())
-        writer.write(frame(b"one"))
-        self.assertEqual(await reader.readexactly(7), frame(b"one"))
+        writer.write(encode_frame(b"one"))
+        self.assertEqual(await reader.readexactly(7), encode_frame(b"one"))
         request_direction.cut = True
-        writer.write(frame(b"lost"))
+        writer.write(encode_frame(b"lost"))
         await asyncio.sleep(0.1)
         request_direction.cut, request_direction.double = False, 1.0
-        writer.write(frame(b"two"))
-        self.assertEqual(await asyncio.wait_for(reader.readexactly(14), 5), frame(b"two") * 2)
+        writer.write(encode_frame(b"two"))
+        self.assertEqual(await asyncio.wait_for(reader.readexactly(14), 5), encode_frame(b"two") * 2)
         self.assertEqual(link.lost_count, 1)
         writer.close()
         await link.close()
--- a/tests/fakes/test_stream_server.py
+++ b/tests/fakes/test_stream_server.py
@@ -1,7 +1,7 @@
 import asyncio
 import unittest
 
-from oakkeel.authentication.framing import frame
+from oakkeel.authentication.framing import encode_frame
 from oakkeel.fakes.catalogue import Catalogue
 from oakkeel.fakes.downstream_service import DownstreamService
 from oakkeel.fakes.engine import Engine
@@ -78,7 +78,7 @@
             port = await link.open()
             _, forwarded = await asyncio.open_connection("127.0.0.1", port)
             request_direction.delay = 60.0
-            forwarded.write(frame(b"late"))
+            forwarded.write(encode_frame(b"late"))
             await asyncio.sleep(0.05)
             request_direction.cut = True  # a new connection gets no answer
             _, unanswered = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/settings/test_fleet.py
+++ b/tests/settings/test_fleet.py
@@ -44,7 +44,7 @@
         self.assertEqual(
             [(host.name, host.max_unavailable) for host in fleet.hosts], [("wb1", 2), ("wb2", 1)]
         )
-        self.assertEqual(fleet.hosts[0].instances[1].config, os.path.join(self.folder, "n2.json"))
+        self.assertEqual(fleet.hosts[0].instances[1].config_path, os.path.join(self.folder, "n2.json"))
 
     def test_error_has_line_and_allowed_values(self):
         for old, new, line, message in (
