--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -156,7 +156,8 @@
             if request["type"] in ("leave", "stay"):
                 ordered_generation = request["generation"]
                 reason = (
-                    f"the order is for generation {ordered_generation}, this is generation {self.generation}"
+                    f"the order is for generation {ordered_generation},"
+                    f" but the node is of generation {self.generation}"
                     if ordered_generation != self.generation
                     else ""
                 )
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -29,7 +29,7 @@
 
 
 class SimulatedRolloutTest(unittest.TestCase):
-    def run_schedule(self, *faults: Fault, **options) -> tuple[str, str]:
+    def play(self, *faults: Fault, **options) -> tuple[str, str]:
         """Play a schedule without a breach; return the state of its release and the reason for the state."""
         simulation, breaches = run_schedule(schedule(list(faults), **options))
         self.assertEqual(breaches, [])
