--- a/oakkeel/agent/__main__.py
+++ b/oakkeel/agent/__main__.py
@@ -23,17 +23,21 @@
 AgentFactory = Callable[[AgentSettings, AgentKeys, EventLog, int], Agent]
 
 
-def serve(settings_path: str, name: str, log_form: str = "console", make: AgentFactory = Agent) -> int:
+def serve(
+    settings_path: str, name: str, log_format: str = "console", agent_factory: AgentFactory = Agent
+) -> int:
     """Run the agent of a host and return the exit code; if it can't start, print the reason and return 2."""
     try:
         fleet = read_fleet(settings_path)
         settings = AgentSettings.of_host(fleet, name)
         keys = _read_keys(fleet)
         _lock_state_folder(settings_path, settings.host)
-        log = EventLog(f"agent {name}" if log_form == "console" else name, MAX_LOG_LINES_PER_SECOND, log_form)
+        log = EventLog(
+            f"agent {name}" if log_format == "console" else name, MAX_LOG_LINES_PER_SECOND, log_format
+        )
 
         async def run() -> None:
-            agent = make(settings, keys, log, new_seed())
+            agent = agent_factory(settings, keys, log, new_seed())
             loop = asyncio.get_running_loop()
             loop.add_signal_handler(signal.SIGHUP, _reload_settings, agent, settings_path)
             await agent.run()
@@ -49,22 +53,22 @@
     """Read the keys of operators and agents from their files. Raises SettingsError."""
     accepted_keys = read_keys(fleet)
     agent_keys = read_agent_keys(fleet)
-    accepted_keys |= {key.ident: key for key in agent_keys.values()}
+    accepted_keys |= {key.key_id: key for key in agent_keys.values()}
     return AgentKeys(accepted_keys, agent_keys)
 
 
 def _lock_state_folder(settings_path: str, host: HostSettings) -> None:
     """Create the state folder and lock it until this process ends. Raises SettingsError or OSError."""
     longest_path_bytes = max(
-        len(os.path.join(host.state, f"{each.name}.sock").encode()) for each in host.instances
+        len(os.path.join(host.state_folder, f"{each.name}.sock").encode()) for each in host.instances
     )
     if longest_path_bytes > MAX_SOCKET_PATH_BYTES:
         excess_bytes = longest_path_bytes - MAX_SOCKET_PATH_BYTES
         raise SettingsError(
             f"{settings_path}: the state folder of {host.name} is {excess_bytes} bytes too long"
         )
-    os.makedirs(host.state, mode=STATE_FOLDER_MODE, exist_ok=True)
-    path = os.path.join(host.state, "agent.lock")
+    os.makedirs(host.state_folder, mode=STATE_FOLDER_MODE, exist_ok=True)
+    path = os.path.join(host.state_folder, "agent.lock")
     lock = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE)
     try:
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/oakkeel/agent/agent.py
+++ b/oakkeel/agent/agent.py
@@ -60,13 +60,13 @@
     ) -> None:
         """Raises OSError if the state folder can't be used or the address is in use."""
         host = settings.host
-        os.makedirs(host.state, mode=STATE_FOLDER_MODE, exist_ok=True)
+        os.makedirs(host.state_folder, mode=STATE_FOLDER_MODE, exist_ok=True)
         self.settings = settings
         self.host = host
         self.keys = keys.accepted
         self.log = log
         self.started_at = time.monotonic_ns()
-        self.store = parts.store or Database(os.path.join(host.state, "agent.db"), SCHEMA, VERSION)
+        self.store = parts.store or Database(os.path.join(host.state_folder, "agent.db"), SCHEMA, VERSION)
         self.notes: list[str] = []  # conditions found at the start, for the operator
         fleet = settings.fleet
         self.fleet = fleet if fleet and fleet.control_plane else None
@@ -82,14 +82,14 @@
         self.stop_requested = asyncio.Event()
         self.handlers = RequestHandlers(self)
         limits = _server_limits(self.fleet)
-        self.server = AgentServer(host.agent, lambda: self.keys, self.handlers.handle, log, limits)
+        self.server = AgentServer(host.agent_address, lambda: self.keys, self.handlers.handle, log, limits)
 
     def _restore_state(self, seed: int) -> None:
         """Create the supervisor, the permit holder and the order registry from the stored state."""
         host = self.host
-        if self.store.quarantined:
-            self.notes.append(f"the state file was quarantined: {self.store.quarantined}")
-            self.log.warning("agent_state_quarantined", file=self.store.quarantined)
+        if self.store.quarantine_note:
+            self.notes.append(f"the state file was quarantined: {self.store.quarantine_note}")
+            self.log.warning("agent_state_quarantined", file=self.store.quarantine_note)
         instances = {
             each.name: Instance(each.name, host.site, phase_since=self.started_at) for each in host.instances
         }
@@ -168,8 +168,8 @@
             loop.add_signal_handler(signal_number, self.stop_requested.set)
         await self.executor.find_processes()
         if self.fleet and self.reconciler and self.member:
-            if self.store.created:
-                self.reconciler.state_file_lost()
+            if self.store.is_new:
+                self.reconciler.recover_from_leader()
             self.member.join(self.fleet)
         self.server.open()
         address = f"{self.server.address[0]}:{self.server.address[1]}"
--- a/oakkeel/agent/artifacts.py
+++ b/oakkeel/agent/artifacts.py
@@ -38,8 +38,8 @@
         self.log = log
         self.on_ready = on_ready
         self.settings = {each.name: each for each in host.instances}  # by instance
-        self.state_folder = host.state
-        self.contents = ContentStore(os.path.join(host.state, "versions"))
+        self.state_folder = host.state_folder
+        self.contents = ContentStore(os.path.join(host.state_folder, "versions"))
         self.tasks: set[asyncio.Task[None]] = set()  # preparations that are not complete
 
     # Preparation.
@@ -87,7 +87,7 @@
             if self.assignments.version(target):
                 continue
             program = program or self.contents.add_folder(PACKAGE_FOLDER, "oakkeel")
-            config = self.contents.add_file(settings.config)
+            config = self.contents.add_file(settings.config_path)
             bases[target] = self.contents.add_version(Content(program, "", config))
         return bases
 
@@ -100,12 +100,12 @@
             raise ContentError(f"{spec.program} has neither an executable file `run` nor oakkeel/__main__.py")
         patch = self.contents.add_file(spec.patch) if spec.patch else ""
         if patch:
-            read_json(self.contents.path(patch))
+            read_json(self.contents.copy_path(patch))
         if (version := self.contents.add_version(Content(program, patch))) != spec.version:
             raise ContentError(f"the content on this host is version {version}, expected {spec.version}")
 
     def _is_runnable(self, program: str) -> bool:
-        folder = self.contents.path(program)
+        folder = self.contents.copy_path(program)
         return os.access(os.path.join(folder, "run"), os.X_OK) or os.path.exists(
             os.path.join(folder, "oakkeel", "__main__.py")
         )
@@ -129,7 +129,7 @@
             raise ContentError(f"this host has no copy of version {version}")
         variables = {"OAKKEEL_VERSION": version}
         if content.program:
-            folder = self.contents.path(content.program)
+            folder = self.contents.copy_path(content.program)
             if os.access(run := os.path.join(folder, "run"), os.X_OK):
                 program = [run]
             else:
@@ -144,11 +144,11 @@
 
     def _merged_config(self, settings: InstanceSettings, content: Content | None) -> object:
         config = read_json(
-            self.contents.path(content.config) if content and content.config else settings.config
+            self.contents.copy_path(content.config) if content and content.config else settings.config_path
         )
         if content is None or not content.patch:
             return config
-        return apply_merge_patch(config, read_json(self.contents.path(content.patch)))
+        return apply_merge_patch(config, read_json(self.contents.copy_path(content.patch)))
 
     def prune(self, running_versions: set[str]) -> None:
         """Delete versions that neither a release nor an instance needs.
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -67,7 +67,7 @@
     name: bytes
     rate: float  # first attempts a second
     tenant: bytes = b""
-    honours_retry_after: bool = True
+    honors_retry_after: bool = True
     max_attempts: int = 4  # of one request
     fixed_retry_delay: int = 20 * MS  # nanoseconds, if the client does not honour Retry-After
     first_attempts: int = 0  # number of requests sent
@@ -89,13 +89,13 @@
         seed: int,
         cores: int = 4,
         work: int = 20 * MS,
-        slow: float = 1.0,
+        slowdown: float = 1.0,
         objective: int = 500 * MS,
         starts_cold: bool = False,
         max_retry_after: int = 5 * SECOND,
         **limits: Any,
     ) -> None:
-        """Start a node; `work` and `objective` in nanoseconds; `slow` is a factor of the time of each run."""
+        """Start a node; `work` and `objective` in nanoseconds; `slowdown` multiplies the time of each run."""
         base = replace(LIMITS, cores=cores, starts_cold=starts_cold, max_retry_after=max_retry_after)
         request_class = RequestClass(0, Idempotency.IDEMPOTENT, 1.0, objective, 4 * objective, 0, 0.0, 0.0)
         self.limits = replace(base, request_classes=[request_class], fair_sharing=fair, **limits)
@@ -104,7 +104,7 @@
         self.event_order = count()
         self.events: list[Event] = []
         self.work = work
-        self.slow = slow
+        self.slowdown = slowdown
         self.running_count = 0
         self.clients: list[SimulatedClient] = []
         self.attempts_by_request: dict[Request, tuple[SimulatedClient, int, bool]] = {}
@@ -131,11 +131,11 @@
             self.admission.schedule(self.now)
         self.now = time_ns
 
-    def pass_time(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Run all events of the next `seconds`."""
         self.run_until(self.now + int(seconds * SECOND))
 
-    def add(self, *clients: SimulatedClient) -> None:
+    def add_clients(self, *clients: SimulatedClient) -> None:
         """Add clients, which start to send."""
         for client in clients:
             self.clients.append(client)
@@ -174,7 +174,7 @@
         client, _, is_scheduled_return = self.attempts_by_request[request]
         client.admitted_returns += is_scheduled_return
         self.running_count += 1
-        slowdown = max(1.0, self.running_count / self.limits.cores) * self.slow
+        slowdown = max(1.0, self.running_count / self.limits.cores) * self.slowdown
         run_time = self.work * (0.5 + self.random.random()) * slowdown
         self.schedule_at(self.now + int(run_time), self._finish_run, request)
 
@@ -185,14 +185,14 @@
             client, _, _ = self.attempts_by_request.pop(request)
             client.counts["in time" if self.now <= request.objective_end else "late"] += 1
 
-    def reject(self, request: Request, final: bool, retry_after: int) -> None:
+    def reject(self, request: Request, is_final: bool, retry_after: int) -> None:
         """Count a rejection, and schedule the retry of the client."""
         client, attempt, _ = self.attempts_by_request.pop(request)
         client.counts["denied"] += 1
         client.retry_delays.append(retry_after)
         if attempt >= client.max_attempts:
             client.counts["given up"] += 1
-        elif client.honours_retry_after:
+        elif client.honors_retry_after:
             has_reservation = retry_after < self.limits.max_retry_after
             self.schedule_at(self.now + retry_after, self.send, client, attempt + 1, has_reservation)
         else:
@@ -203,16 +203,16 @@
         if request in self.attempts_by_request:
             self.attempts_by_request.pop(request)[0].counts["terminated"] += 1
 
-    def set_timer(self, token: int, at: int) -> None:
+    def set_timer(self, token: int, due_at: int) -> None:
         """Call `timer_expired` with the token at a time."""
-        self.schedule_at(at, self._on_timer, token)
+        self.schedule_at(due_at, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
         busy = min(1.0, self.running_count / self.limits.cores)
         self.admission.timer_expired(self.now, token, Gauges(busy, float(self.running_count), 0.1, 1.0))
 
 
-def fair_share(rates: list[float], capacity: float) -> list[float]:
+def max_min_shares(rates: list[float], capacity: float) -> list[float]:
     """Return max-min shares of a capacity by bisection, independently of the algorithm under test."""
     if sum(rates) <= capacity:
         return list(rates)
@@ -224,6 +224,6 @@
     return [min(rate, low) for rate in rates]
 
 
-def jain(values: list[float]) -> float:
+def jain_index(values: list[float]) -> float:
     """Return Jain's fairness index: 1 if all values are equal (Jain, Chiu, Hawe, DEC TR-301, 1984)."""
     return sum(values) ** 2 / (len(values) * sum(value * value for value in values)) if any(values) else 0.0
--- a/oakkeel/fleet/agent_clients.py
+++ b/oakkeel/fleet/agent_clients.py
@@ -23,7 +23,7 @@
 AgentError = LinkError
 AgentRejectedError = AuthenticationRejectedError
 OnResponse = Callable[[str, int, messages.Response], None]
-MAX_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, as a multiple of that of one request
+DEFAULT_LEADER_SEARCH_DEADLINES = 3  # default deadline of a search, as a multiple of that of one request
 SEED_BITS = 63
 NO_LEADER_TEXT = "no reachable agent leads the control plane"
 UNEXPECTED_RESPONSE = "the agent sent an unexpected response"
@@ -107,7 +107,7 @@
 
     async def request(self, host: str, request: messages.Request) -> messages.Response:
         """Send one request to the agent of a host. Raises AgentError."""
-        return await request_once(self.fleet.host(host).agent, self.key, request)
+        return await request_once(self.fleet.host(host).agent_address, self.key, request)
 
     async def request_each(
         self,
@@ -136,17 +136,17 @@
     async def request_leader(self, request: messages.Request, deadline: int = 0) -> messages.Response:
         """Send a request to the leader of the control plane. Raises NoLeaderError.
 
-        `deadline` is in nanoseconds; 0: `MAX_LEADER_SEARCH_DEADLINES` times the deadline in the settings.
+        `deadline` is in nanoseconds; 0: `DEFAULT_LEADER_SEARCH_DEADLINES` times the deadline in the settings.
         """
         if self.fleet.control_plane is None:
             raise SettingsError(f"{self.fleet.path}: the fleet has no replicas (`keepers`), so no leader")
-        voters = self.fleet.control_plane.hosts
+        voters = self.fleet.control_plane.initial_voters
         other_hosts = [host.name for host in self.fleet.hosts if host.name not in voters]
         request_deadline = self.fleet.client.deadline
         search = LeaderDiscovery(
             time.monotonic_ns(),
             [*voters, *other_hosts],
-            deadline or MAX_LEADER_SEARCH_DEADLINES * request_deadline,
+            deadline or DEFAULT_LEADER_SEARCH_DEADLINES * request_deadline,
         )
         while search.state is SearchState.SEARCHING:
             now = time.monotonic_ns()
--- a/oakkeel/rollout/controller.py
+++ b/oakkeel/rollout/controller.py
@@ -88,7 +88,7 @@
             return []  # the agent runs another version of the program
         release = self.state_machine.open_release
         for status in report.statuses:
-            if self.allocator.host_of.get(status.name) != heartbeat.host:
+            if self.allocator.host_by_target.get(status.name) != heartbeat.host:
                 continue
             previous_version = self.observations.record(status, session.echoed_at)
             if previous_version is not None and release:
@@ -106,7 +106,7 @@
         why = report.prepared.get(release.ident)
         if why is None or (not why and host in release.prepared_hosts):
             return []
-        host_of = self.allocator.host_of
+        host_of = self.allocator.host_by_target
         bases = {target: base for target, base in report.bases.items() if host_of.get(target) == host}
         return [commands.ReportPrepared(release.ident, self.lease.fencing_token, host, why, bases)]
 
@@ -137,7 +137,7 @@
 
     # Results of commands.
 
-    def applied(self, now: int, command: object, result: object) -> None:
+    def handle_applied(self, now: int, command: object, result: object) -> None:
         """Handle the result of a command that the state machine has applied."""
         if isinstance(command, permit_commands.SetTopology):
             self.observations.update_topology()
@@ -151,7 +151,7 @@
             elif isinstance(command, commands.FinishBatch):
                 self.waiting_since = now
 
-    def lost(self, command: object) -> None:
+    def handle_lost_command(self, command: object) -> None:
         """Handle a command that was not committed."""
         if isinstance(command, permit_commands.AcquireLease):
             self.lease.handle_lost_request()
@@ -210,7 +210,7 @@
 
     def _prepare(self, now: int, release: Release) -> Step:
         """Begin the rollout once all hosts have their copies; abandon it if a host reports none in time."""
-        host_of = self.allocator.host_of
+        host_of = self.allocator.host_by_target
         hosts = {host_of[target] for target in release.targets if target in host_of}
         missing = sorted(hosts - set(release.prepared_hosts)) if not release.spec.services else []
         if not missing:
--- a/tests/disruption/permit_cluster.py
+++ b/tests/disruption/permit_cluster.py
@@ -26,7 +26,7 @@
 
     def setUp(self) -> None:
         self.state_machine = PermitStateMachine(
-            lambda *arguments: self.allocator.applied(self.now, *arguments) if self.allocator else None
+            lambda *arguments: self.allocator.handle_applied(self.now, *arguments) if self.allocator else None
         )
         self.allocator: PermitAllocator | None = None
         self.now = SECOND
@@ -56,7 +56,9 @@
         for host in hosts or TOPOLOGY.hosts:
             holder = self.holders[host]
             self.apply(
-                *self.allocator.receive_heartbeat(self.now, holder.heartbeat(self.now, self.serving, [], {}))
+                *self.allocator.receive_heartbeat(
+                    self.now, holder.build_heartbeat(self.now, self.serving, [], {})
+                )
             )
             while proposed := self.allocator.tick(self.now):
                 self.apply(*proposed)
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -34,7 +34,7 @@
                 phase=Phase.SERVING,
                 generation=1,
                 process_generation=1,
-                spawned=True,
+                is_spawned=True,
                 generation_limit=9,
             )
             supervision = Supervisor(
@@ -53,7 +53,7 @@
                 self.assertEqual((steps, instance.phase, instance.task), ([], Phase.SERVING, None))
                 self.assertEqual(orders.orders["o1"].tasks[0].state, HostTaskState.CANCELLED)
             else:
-                self.assertEqual((steps, instance.task.drain_sent), ([step], True))
+                self.assertEqual((steps, instance.task.is_drain_sent), ([step], True))
 
     def test_rejects_older_responses_responses_of_other_clusters_and_older_tokens(self):
         holder = PermitHolder("h1", ("a",), 1)
@@ -76,12 +76,18 @@
         first_holder = LeaseHolder("release", "h1", SECOND)
         second_holder = LeaseHolder("release", "h2", SECOND)
         sent_at = self.now
-        self.assertTrue(first_holder.receive_result(sent_at, self.apply(first_holder.acquire_command())))
+        self.assertTrue(
+            first_holder.receive_result(sent_at, self.apply(first_holder.build_acquire_command()))
+        )
         token = first_holder.fencing_token
-        self.assertFalse(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
+        self.assertFalse(
+            second_holder.receive_result(self.now, self.apply(second_holder.build_acquire_command()))
+        )
         self.now += SECOND // 2
         # A renewal keeps the token.
-        self.assertTrue(first_holder.receive_result(self.now, self.apply(first_holder.acquire_command())))
+        self.assertTrue(
+            first_holder.receive_result(self.now, self.apply(first_holder.build_acquire_command()))
+        )
         self.assertEqual(
             (first_holder.fencing_token, first_holder.expires_at), (token, sent_at + SECOND // 2 + SECOND)
         )
@@ -89,10 +95,14 @@
         self.now += SECOND
         self.assertFalse(first_holder.is_held(self.now))
         self.apply(*self.allocator.tick(self.now))
-        self.assertFalse(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
+        self.assertFalse(
+            second_holder.receive_result(self.now, self.apply(second_holder.build_acquire_command()))
+        )
         self.now += self.allocator.timeouts.upper_bound(SECOND) + MS
         self.apply(*self.allocator.tick(self.now))
-        self.assertTrue(second_holder.receive_result(self.now, self.apply(second_holder.acquire_command())))
+        self.assertTrue(
+            second_holder.receive_result(self.now, self.apply(second_holder.build_acquire_command()))
+        )
         self.assertGreater(second_holder.fencing_token, token)
         self.assertIsInstance(self.apply(commands.ReleaseLease("release", token)), Rejection)
         self.assertFalse(first_holder.receive_result(self.now, Rejection("h2 holds it")))
