--- a/tests/admission/test_deadline.py
+++ b/tests/admission/test_deadline.py
@@ -16,7 +16,7 @@
     RequestState,
 )
 from oakkeel.units import MS, SECOND
-from tests.support.fake_host import GROUP, FakeHost, make_request
+from tests.support.fake_host import REQUEST_CLASS, FakeHost, make_request
 
 
 class DeadlineTest(unittest.TestCase):
@@ -47,7 +47,7 @@
 
     def test_deadline_is_the_end_of_the_objective_if_a_late_answer_has_no_weight(self):
         for late_weight, expected in ((0.0, 2 * SECOND), (0.5, 5 * SECOND - ANSWER_HEADROOM_NS)):
-            request = make_request(replace(GROUP, late_weight=late_weight))
+            request = make_request(replace(REQUEST_CLASS, late_weight=late_weight))
             request.objective_end = objective_end(0, request)
             self.assertEqual(answer_deadline(0, request, 0), expected)
 
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -6,7 +6,7 @@
 from oakkeel.admission.downstream_calls import MAX_CALL_ATTEMPTS, FailedCallStep, step_after_failed_call
 from oakkeel.admission.types import DownstreamKind, Idempotency, Outcome, RequestState, StopKind
 from oakkeel.units import MS, SECOND
-from tests.support.fake_host import GROUP, FakeHost, make_request
+from tests.support.fake_host import REQUEST_CLASS, FakeHost, make_request
 
 
 class DownstreamCallsTest(unittest.TestCase):
@@ -118,7 +118,7 @@
         self.assertIs(step_after_failed_call(request, Outcome.RESET), FailedCallStep.FAIL)
 
     def test_skips_an_optional_call_after_the_maximum_of_attempts(self):
-        request = make_request(replace(GROUP, degraded_weight=0.5), failed_calls=MAX_CALL_ATTEMPTS)
+        request = make_request(replace(REQUEST_CLASS, degraded_weight=0.5), failed_calls=MAX_CALL_ATTEMPTS)
         self.assertIs(step_after_failed_call(request, Outcome.RESET), FailedCallStep.SKIP)
 
 
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -6,7 +6,7 @@
 from oakkeel.admission.types import ShareStatus
 from oakkeel.fakes.simulated_node import SimulatedClient, jain
 from oakkeel.units import MS, SECOND
-from tests.support.fair_sharing import shares_obtained, simulated_node
+from tests.support.fair_sharing import measure_shares, simulated_node
 
 
 class FairSharingTest(unittest.TestCase):
@@ -19,7 +19,7 @@
             node.add(
                 *compliant, SimulatedClient(b"crawler", 1000, honours_retry_after=False, max_attempts=10)
             )
-            shares, kept_ratio = shares_obtained(node, compliant)
+            shares, kept_ratio = measure_shares(node, compliant)
             if not has_fair_sharing:
                 self.assertLess(sum(shares) / len(shares), 0.5)
                 continue
@@ -29,7 +29,7 @@
             self.assertGreater(jain([client.counts["in time"] for client in compliant]), 0.98)
 
     def test_gives_a_tenant_no_more_for_having_many_clients(self):
-        node = simulated_node(by=("tenant", "caller"), places=128)
+        node = simulated_node(key_fields=("tenant", "caller"), max_flows=128)
         compliant = [SimulatedClient(b"good-%d" % number, 20, tenant=b"t%d" % number) for number in range(8)]
         crowd = [
             SimulatedClient(b"id-%d" % number, 1.0, tenant=b"crowd", honours_retry_after=False)
@@ -74,7 +74,7 @@
         node.clients.remove(busy)
         node.run_until(node.now + 3600 * SECOND)
         node.add(returning, heavy := SimulatedClient(b"more", 400))
-        shares, _ = shares_obtained(node, [returning], warm=3)
+        shares, _ = measure_shares(node, [returning], warm_up=3)
         self.assertGreater(min(shares), 0.9)
         self.assertGreater(heavy.counts["in time"], 0)
 
@@ -93,14 +93,14 @@
         node = simulated_node(starts_cold=True, slow=4.0, objective=2 * SECOND)
         compliant = self.compliant_clients(8, 4)
         node.add(*compliant, SimulatedClient(b"crawler", 400, honours_retry_after=False))
-        shares, _ = shares_obtained(node, compliant, warm=3, seconds=6)
+        shares, _ = measure_shares(node, compliant, warm_up=3, seconds=6)
         self.assertGreater(sum(shares) / len(shares), 0.85)
 
     def test_keeps_reservations_when_all_clients_return_at_once(self):
         # The clients send three times the capacity of the node.
         node, compliant = simulated_node(), self.compliant_clients(40, 15)
         node.add(*compliant)
-        _, kept_ratio = shares_obtained(node, compliant)
+        _, kept_ratio = measure_shares(node, compliant)
         self.assertGreater(kept_ratio, 0.95)
         self.assertGreater(sum(client.scheduled_returns for client in compliant), 200)
 
--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -25,7 +25,7 @@
 from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.units import MS, SECOND
 
-WAIT = 20.0  # timeout of each wait, in seconds
+TIMEOUT_S = 20.0  # timeout of each wait, in seconds
 SHORT_TIMEOUTS = SupervisionTimeouts(
     silence_timeout_ns=400 * MS,
     start_timeout_ns=3 * SECOND,
@@ -101,7 +101,7 @@
 
     async def wait_until(self, condition, message: str = "") -> None:
         """Wait until a condition holds, while the agent runs."""
-        deadline = time.monotonic() + WAIT
+        deadline = time.monotonic() + TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), deadline, message or self.log_output.getvalue())
             await asyncio.sleep(0.01)
@@ -115,7 +115,7 @@
 
     async def send_request(self, request: messages.Request, operator: str = "asha") -> messages.Response:
         return await asyncio.wait_for(
-            request_once(self.host.agent, read_operator_key(self.fleet, operator), request), WAIT
+            request_once(self.host.agent, read_operator_key(self.fleet, operator), request), TIMEOUT_S
         )
 
     async def submit_order(
@@ -141,7 +141,7 @@
 
     async def wait_for_final_states(self, order_id: str = "o1") -> dict[str, str]:
         """Wait until an order has ended; returns the final state of each of its instances."""
-        deadline = time.monotonic() + WAIT
+        deadline = time.monotonic() + TIMEOUT_S
         while time.monotonic() < deadline:
             response = await self.send_request(messages.ListOrdersRequest())
             for order in response.orders:
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -12,7 +12,7 @@
 from oakkeel.agent.processes import Process, read_start_ticks
 from oakkeel.agent.supervision_rules import SupervisionTimeouts
 from oakkeel.units import MS, SECOND
-from tests.agent.agent_test_case import WAIT, AgentTestCase
+from tests.agent.agent_test_case import TIMEOUT_S, AgentTestCase
 
 
 class InstanceSupervisionTest(AgentTestCase):
@@ -115,11 +115,11 @@
             "wb1",
             stderr=subprocess.PIPE,
         )
-        await asyncio.wait_for(first_agent.stderr.readline(), WAIT)
+        await asyncio.wait_for(first_agent.stderr.readline(), TIMEOUT_S)
         second_agent = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "oakkeel.agent", self.site.settings, "wb1", stderr=subprocess.PIPE
         )
-        _, error = await asyncio.wait_for(second_agent.communicate(), WAIT)
+        _, error = await asyncio.wait_for(second_agent.communicate(), TIMEOUT_S)
         self.assertEqual(
             (second_agent.returncode, error.decode()),
             (2, f"oakkeel: another agent already runs for wb1: process {first_agent.pid}\n"),
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -22,7 +22,7 @@
 from oakkeel.settings.types import HostSettings
 from oakkeel.store.database import Database, DatabaseError
 from oakkeel.units import SECOND
-from tests.agent.agent_test_case import SHORT_TIMEOUTS, WAIT, AgentTestCase
+from tests.agent.agent_test_case import SHORT_TIMEOUTS, TIMEOUT_S, AgentTestCase
 
 
 class OrderHandlingTest(AgentTestCase):
@@ -162,7 +162,7 @@
         agents: list[asyncio.subprocess.Process],
     ) -> None:
         """Order a restart and wait for its end; the first agent crashes at `step`, later agents do not."""
-        deadline, is_accepted = time.monotonic() + 2 * WAIT, False
+        deadline, is_accepted = time.monotonic() + 2 * TIMEOUT_S, False
         while time.monotonic() < deadline:
             if not agents or agents[-1].returncode is not None:
                 agents.append(await self.start_crashing_agent(settings, [] if agents else [str(step)]))
--- a/tests/agent/test_raft_runtime.py
+++ b/tests/agent/test_raft_runtime.py
@@ -14,7 +14,7 @@
 from oakkeel.raft.proposals import Proposal, ProposalStatus
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.units import MS, SECOND
-from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
+from tests.support.cancellation import await_then_block, cancel_after_result, run_event_loop
 
 
 class ProposalTest(unittest.IsolatedAsyncioTestCase):
@@ -40,17 +40,17 @@
         self.runtime._complete_proposal(self.proposal)
 
     async def test_a_proposal_that_is_cancelled_as_it_is_committed_is_cancelled(self):
-        for turns in (0, 1):
-            with self.subTest(turns=turns):
-                task = asyncio.ensure_future(followed_by_wait(self.propose()))
-                await let_run()
-                self.assertTrue(await ends_cancelled(task, self.commit, turns))
+        for iterations in (0, 1):
+            with self.subTest(iterations=iterations):
+                task = asyncio.ensure_future(await_then_block(self.propose()))
+                await run_event_loop()
+                self.assertTrue(await cancel_after_result(task, self.commit, iterations))
                 self.assertEqual(self.runtime.futures, {})
 
     async def test_a_proposal_that_is_not_committed_in_time_has_an_unknown_outcome(self):
         with mock.patch.object(raft_runtime, "COMMIT_TIMEOUT_NS", 10 * MS):
             task = asyncio.ensure_future(self.propose())
-            await let_run(1)
+            await run_event_loop(1)
             (future,) = self.runtime.futures.values()
             with self.assertRaises(CommitUnknownError):
                 await task
@@ -67,7 +67,7 @@
 
             with mock.patch.object(asyncio.get_running_loop(), "call_at", call_at):
                 task = asyncio.ensure_future(self.propose())
-                await let_run()
+                await run_event_loop()
             ((on_timeout, args),) = timers
             self.commit()
             on_timeout(*args)
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -18,8 +18,8 @@
 from oakkeel.settings.fleet import read_fleet
 from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.units import MS, SECOND
-from tests.agent.agent_test_case import WAIT, AgentTestCase
-from tests.support.cancellation import ends_cancelled, let_run
+from tests.agent.agent_test_case import TIMEOUT_S, AgentTestCase
+from tests.support.cancellation import cancel_after_result, run_event_loop
 
 
 class AgentServerTest(AgentTestCase):
@@ -35,8 +35,8 @@
 
     async def read_frame(self, reader: asyncio.StreamReader) -> bytes:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionResetError):
-            length = int.from_bytes(await asyncio.wait_for(reader.readexactly(4), WAIT), "big")
-            return await asyncio.wait_for(reader.readexactly(length), WAIT)
+            length = int.from_bytes(await asyncio.wait_for(reader.readexactly(4), TIMEOUT_S), "big")
+            return await asyncio.wait_for(reader.readexactly(length), TIMEOUT_S)
         return b""
 
     async def test_rejects_replayed_altered_and_malformed_frames_and_wrong_keys(self):
@@ -170,7 +170,7 @@
         self.assertLess(time.monotonic() - started_at, 0.5)
         self.assertEqual(self.view.rows(0)[0].shown, "unknown")
         self.assertIn("did not answer", self.view.notes()[0])
-        await asyncio.wait(tasks, timeout=WAIT)
+        await asyncio.wait(tasks, timeout=TIMEOUT_S)
         server.close()
 
 
@@ -210,16 +210,16 @@
 
     async def test_a_connection_that_is_cancelled_as_a_request_arrives_is_cancelled(self):
         task = asyncio.ensure_future(self.server._serve(FakeStream()))
-        await let_run()
-        self.assertTrue(await ends_cancelled(task, lambda: self.requests.put_nowait(b"request")))
+        await run_event_loop()
+        self.assertTrue(await cancel_after_result(task, lambda: self.requests.put_nowait(b"request")))
 
     async def test_a_connection_that_is_cancelled_as_a_response_is_written_is_cancelled(self):
         stream = FakeStream()
         task = asyncio.ensure_future(self.server._serve(stream))
         self.requests.put_nowait(b"request")
-        await let_run()
+        await run_event_loop()
         self.assertEqual(self.handled_count, 1)
-        self.assertTrue(await ends_cancelled(task, lambda: stream.written.set_result(None)))
+        self.assertTrue(await cancel_after_result(task, lambda: stream.written.set_result(None)))
 
     async def test_a_client_that_always_sends_does_not_block_the_event_loop(self):
         written = asyncio.get_running_loop().create_future()
--- a/tests/catalogue/test_links.py
+++ b/tests/catalogue/test_links.py
@@ -14,13 +14,13 @@
 from oakkeel.request_events import CallFinished
 from oakkeel.stream_buffers import BufferPool
 from oakkeel.units import MS, SECOND
-from tests.support.node_process import WAIT
-from tests.support.node_request import LOG, RESOURCE_LIMITS, node_request
+from tests.support.node_process import TIMEOUT_S
+from tests.support.node_request import EVENT_LOG, RESOURCE_LIMITS, node_request
 
 
 async def finished_call(request: NodeRequest) -> CallFinished:
     """Return the next event of a request, which must be the end of its call."""
-    event = await asyncio.wait_for(request.next_event(), WAIT)
+    event = await asyncio.wait_for(request.next_event(), TIMEOUT_S)
     if not isinstance(event, CallFinished):
         raise AssertionError(f"not the end of a call: {event}")
     return event
@@ -32,7 +32,7 @@
         self.writers = []
         self.server = await asyncio.start_server(self._accept_connection, "127.0.0.1", 0)
         address = self.server.sockets[0].getsockname()
-        self.catalogue = Catalogue(address, BufferPool(8192, 99), RESOURCE_LIMITS, LOG)
+        self.catalogue = Catalogue(address, BufferPool(8192, 99), RESOURCE_LIMITS, EVENT_LOG)
 
     async def _accept_connection(self, reader, writer):
         self.writers.append(writer)
@@ -52,7 +52,7 @@
         """Return a request whose call was answered, and the link of that call."""
         request = node_request()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
-        _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
+        _, writer = await asyncio.wait_for(self.peers.get(), TIMEOUT_S)
         writer.write(b"%s FAULT\r\n" % request.request_id)
         await request.next_event()
         return request, self.catalogue.links[0]
@@ -61,11 +61,11 @@
         # A reply names only its request: a reply sent before the QUIT arrives must not end the next call.
         request = node_request()
         self.catalogue.fetch(request, time.monotonic_ns() + 50 * MS, b"first")
-        reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
+        reader, writer = await asyncio.wait_for(self.peers.get(), TIMEOUT_S)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
         self.assertEqual((await finished_call(request)).outcome, Outcome.TIMED_OUT)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
-        second_reader, second_writer = await asyncio.wait_for(self.peers.get(), WAIT)
+        second_reader, second_writer = await asyncio.wait_for(self.peers.get(), TIMEOUT_S)
         await second_reader.readline()
         writer.write(b"%s DATA 3\r\nold\r\n" % request.request_id)
         await writer.drain()
@@ -84,7 +84,7 @@
             request = node_request(b"%016x" % len(verb))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
             if not self.catalogue.links[0].is_connected:
-                _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
+                _, writer = await asyncio.wait_for(self.peers.get(), TIMEOUT_S)
             writer.write(b"%s %s\r\n" % (request.request_id, verb))
             self.assertEqual((await finished_call(request)).outcome, outcome)
         self.assertEqual(len(self.catalogue.links), 1)
@@ -93,7 +93,7 @@
         """Return a request whose call the catalogue has read, and the writer for its reply."""
         request = node_request(request_id)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
-        reader, writer = await asyncio.wait_for(self.peers.get(), WAIT)
+        reader, writer = await asyncio.wait_for(self.peers.get(), TIMEOUT_S)
         await reader.readline()
         return request, writer
 
@@ -128,7 +128,7 @@
             finished = await finished_call(request)
             self.assertEqual((finished.outcome, finished.reply), (Outcome.COMPLETED, b"ok"))
             self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"next")
-            await asyncio.wait_for(self.peers.get(), WAIT)  # the next call uses a new link
+            await asyncio.wait_for(self.peers.get(), TIMEOUT_S)  # the next call uses a new link
             request.call.give_up(None)
 
     async def test_retires_a_link_after_an_unanswered_call(self):
@@ -150,13 +150,13 @@
         request, link = await self._answered_call()
         link.stream.close()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"again")
-        reader, _ = await asyncio.wait_for(self.peers.get(), WAIT)
+        reader, _ = await asyncio.wait_for(self.peers.get(), TIMEOUT_S)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
 
     async def test_incomplete_reply_resets_its_call_and_closes_its_link(self):
         request = node_request()
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"")
-        _, writer = await asyncio.wait_for(self.peers.get(), WAIT)
+        _, writer = await asyncio.wait_for(self.peers.get(), TIMEOUT_S)
         writer.write(b"%s DATA 10\r\nhalf" % request.request_id)
         self.assertEqual((await finished_call(request)).outcome, Outcome.RESET)
         self.assertTrue(self.catalogue.links[0].stream.closed())
@@ -169,7 +169,7 @@
         other_request = node_request()
         self.catalogue.fetch(other_request, time.monotonic_ns() + 20 * SECOND, b"again")
         self.assertIsNot(other_request.call.link, link)
-        reader, _ = await asyncio.wait_for(self.peers.get(), WAIT)
+        reader, _ = await asyncio.wait_for(self.peers.get(), TIMEOUT_S)
         self.assertTrue((await reader.readline()).startswith(b"FETCH"))
 
     async def test_call_without_a_descriptor_fails_to_connect(self):
@@ -188,8 +188,8 @@
         request.call.give_up()
         self.assertEqual((await finished_call(request)).outcome, Outcome.CONNECT_FAILED)
         self.catalogue.fetch(request, time.monotonic_ns() + 20 * SECOND, b"second")
-        readers = [(await asyncio.wait_for(self.peers.get(), WAIT))[0] for _ in range(2)]
+        readers = [(await asyncio.wait_for(self.peers.get(), TIMEOUT_S))[0] for _ in range(2)]
         self.catalogue.links[0].stream.close()
-        self.assertEqual(await asyncio.wait_for(readers[0].read(), WAIT), b"")
+        self.assertEqual(await asyncio.wait_for(readers[0].read(), TIMEOUT_S), b"")
         await readers[1].readline()
         self.assertEqual(await readers[1].readline(), b"second\r\n")
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -18,7 +18,7 @@
 from oakkeel.fakes.faults import Fault
 from oakkeel.fakes.load_clients import PoliteClient
 from oakkeel.fakes.site import FakeSite, SiteOptions
-from tests.agent.agent_test_case import WAIT, AgentTestCase
+from tests.agent.agent_test_case import TIMEOUT_S, AgentTestCase
 
 
 def iterate_subcommands(group: Group, path: str = "oakkeel"):
@@ -47,7 +47,7 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        out, err = await asyncio.wait_for(process.communicate(), 2 * WAIT)
+        out, err = await asyncio.wait_for(process.communicate(), 2 * TIMEOUT_S)
         return process.returncode, out.decode(), err.decode()
 
     async def instance_states(self, *arguments: str) -> dict[str, str]:
@@ -195,7 +195,7 @@
         await self.agent_process.communicate()
 
     async def wait_for_log(self, text: str) -> str:
-        while line := await asyncio.wait_for(self.agent_process.stderr.readline(), WAIT):
+        while line := await asyncio.wait_for(self.agent_process.stderr.readline(), TIMEOUT_S):
             if text.encode() in line:
                 return line.decode()
         raise AssertionError(f"the agent ended without logging {text!r}")
@@ -249,7 +249,7 @@
         self.addAsyncCleanup(self.kill_node)
 
     async def wait_for_log(self, text: str) -> bytes:
-        while line := await asyncio.wait_for(self.node.stderr.readline(), WAIT):
+        while line := await asyncio.wait_for(self.node.stderr.readline(), TIMEOUT_S):
             if text.encode() in line:
                 return line
         raise AssertionError(f"the node ended without logging {text!r}")
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -17,7 +17,7 @@
 from unittest import mock
 
 from tests.support.control_process import ControlledNodeTest
-from tests.support.node_process import WAIT, NodeProcessTest, until_refused
+from tests.support.node_process import TIMEOUT_S, NodeProcessTest, until_refused
 
 
 class ControlLinkTest(ControlledNodeTest):
@@ -66,7 +66,7 @@
         self.engine.done(request_id)
         self.assertEqual(dispatcher.answer()[1], b"ok")
         dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
         self.assertFalse(os.path.exists(self.path))
 
     def test_malformed_messages_affect_only_their_link(self):
@@ -113,7 +113,7 @@
     def test_a_control_socket_that_cannot_be_bound_fails_the_start_with_one_line(self):
         with mock.patch.dict(os.environ, OAKKEEL_CONTROL="/nowhere/at/all.sock"):
             process = self.launch(self.told())
-        _, error = process.communicate(timeout=WAIT)
+        _, error = process.communicate(timeout=TIMEOUT_S)
         self.assertEqual((process.returncode, error.count("\n")), (2, 1))
 
 
@@ -157,7 +157,7 @@
         self.assertEqual(new_dispatcher.next(), [b"0", b"last"])
         for connection in (new_dispatcher, dispatcher, second_dispatcher):
             connection.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_a_cancel_within_the_grace_period_keeps_the_listening_socket(self):
         self.begin()
@@ -182,7 +182,7 @@
         self.engine.done(request_id)
         dispatcher.answer()
         dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_a_cancel_is_refused_if_another_process_uses_the_address(self):
         dispatcher, request_id = self.running("card")
@@ -196,7 +196,7 @@
         self.engine.done(request_id)
         dispatcher.answer()
         dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
 
 class RunCommandTest(NodeProcessTest):
--- a/tests/control/test_listener.py
+++ b/tests/control/test_listener.py
@@ -8,7 +8,7 @@
 from oakkeel.control.listener import ControlLink
 from oakkeel.control.messages import MAX_LINE_BYTES, NodeStatus, StatusRequest, encode
 from oakkeel.stream_buffers import BufferPool
-from tests.support.cancellation import ends_cancelled, let_run
+from tests.support.cancellation import cancel_after_result, run_event_loop
 from tests.support.node_request import RESOURCE_LIMITS
 
 REQUEST = encode(StatusRequest(1))
@@ -52,25 +52,25 @@
         )
         self.link = ControlLink(self.stream, listener)
         self.task = asyncio.ensure_future(self.link.serve())
-        await let_run()
+        await run_event_loop()
 
     async def test_a_link_that_is_cancelled_as_more_of_a_message_arrives_is_cancelled(self):
         self.stream.receive(REQUEST[:4])
         async with asyncio.timeout(20):
             while len(self.stream.reads) < 2:  # the link pauses between two reads
                 await asyncio.sleep(0.001)
-        await let_run()
-        self.assertTrue(await ends_cancelled(self.task, lambda: self.stream.receive(REQUEST[4:8])))
+        await run_event_loop()
+        self.assertTrue(await cancel_after_result(self.task, lambda: self.stream.receive(REQUEST[4:8])))
 
     async def test_a_link_that_is_cancelled_as_a_response_is_written_is_cancelled(self):
         self.stream.receive(REQUEST)
-        await let_run()
+        await run_event_loop()
         (write,) = self.stream.writes
-        self.assertTrue(await ends_cancelled(self.task, lambda: write.set_result(None)))
+        self.assertTrue(await cancel_after_result(self.task, lambda: write.set_result(None)))
 
     async def test_the_cancellation_of_a_link_does_not_cancel_its_write(self):
         self.stream.receive(REQUEST)
-        await let_run()
+        await run_event_loop()
         self.task.cancel()
         await asyncio.wait([self.task])
         self.assertTrue(self.task.cancelled())
--- a/tests/demo/test_show.py
+++ b/tests/demo/test_show.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from oakkeel.demo import show
-from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
+from tests.support.cancellation import await_then_block, cancel_after_result, run_event_loop
 
 
 class LiveTableTest(unittest.IsolatedAsyncioTestCase):
@@ -19,10 +19,10 @@
         stop_requested = asyncio.Event()
         with mock.patch.object(show, "REFRESH_INTERVAL_SECONDS", 60.0):
             show_table = show._show_until_stopped(agents, view, dispatcher, 0, live, stop_requested)
-            task = asyncio.ensure_future(followed_by_wait(show_table))
-            await let_run()
+            task = asyncio.ensure_future(await_then_block(show_table))
+            await run_event_loop()
             self.assertEqual(live.update.call_count, 1)
-            self.assertTrue(await ends_cancelled(task, stop_requested.set))
+            self.assertTrue(await cancel_after_result(task, stop_requested.set))
 
 
 if __name__ == "__main__":
--- a/tests/directory/test_reports.py
+++ b/tests/directory/test_reports.py
@@ -7,7 +7,7 @@
 
 from oakkeel.directory.reports import DirectoryReporter
 from oakkeel.units import SECOND
-from tests.support.node_process import WAIT
+from tests.support.node_process import TIMEOUT_S
 from tests.support.node_request import RESOURCE_LIMITS
 
 
@@ -22,6 +22,6 @@
             )
             reporter.start()
             reporter.set_accepting(False)
-            received = [await asyncio.wait_for(loop.sock_recv(directory, 99), WAIT) for _ in range(4)]
+            received = [await asyncio.wait_for(loop.sock_recv(directory, 99), TIMEOUT_S) for _ in range(4)]
             reporter.close()
             self.assertEqual(received, [b"PULSE n3 open"] + [b"PULSE n3 closed"] * 3)
--- a/tests/dispatch/listener_case.py
+++ b/tests/dispatch/listener_case.py
@@ -21,7 +21,7 @@
 from oakkeel.stream_buffers import BufferPool
 from oakkeel.units import MS, SECOND
 from tests.support.fake_host import FakeHost
-from tests.support.node_process import WAIT
+from tests.support.node_process import TIMEOUT_S
 
 RESOURCE_LIMITS = ResourceLimits(
     sockets=1024,
@@ -34,7 +34,7 @@
 
 DRAIN_NOTICE = [b"0", b"last"]
 
-TEST_TIMEOUT = 1.5 * WAIT  # seconds from a test's set-up to that of the next
+TEST_TIMEOUT = 1.5 * TIMEOUT_S  # seconds from a test's set-up to that of the next
 
 
 def call(tag: int, size: int = 4) -> bytes:
@@ -58,7 +58,7 @@
     async def read(self) -> bool:
         """Read some bytes; return False at the end of the input. Raises ConnectionResetError."""
         loop = asyncio.get_running_loop()
-        data = await asyncio.wait_for(loop.sock_recv(self.socket, 65536), WAIT)
+        data = await asyncio.wait_for(loop.sock_recv(self.socket, 65536), TIMEOUT_S)
         self.received += data
         return bool(data)
 
@@ -120,7 +120,7 @@
         self.listener.close_connections()
         for client in self.clients:
             client.close()
-        await asyncio.wait_for(self.listener.wait_closed(), WAIT)
+        await asyncio.wait_for(self.listener.wait_closed(), TIMEOUT_S)
 
     # The methods of `ConnectionOwner`, in place of a node.
 
@@ -150,7 +150,7 @@
 
     async def wait_until(self, condition) -> None:
         """Run the event loop until a condition is true."""
-        deadline = time.monotonic() + WAIT
+        deadline = time.monotonic() + TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), deadline)
             await asyncio.sleep(0.001)
--- a/tests/dispatch/test_accepting.py
+++ b/tests/dispatch/test_accepting.py
@@ -19,7 +19,7 @@
     ListenerTestCase,
     call,
 )
-from tests.support.node_process import WAIT
+from tests.support.node_process import TIMEOUT_S
 
 
 class ConnectionLimitTest(ListenerTestCase):
@@ -172,7 +172,7 @@
         self.assertFalse(closing.done())
         late_client = self.connect_client()
         late_client.send(call(1))
-        await asyncio.wait_for(closing, WAIT)
+        await asyncio.wait_for(closing, TIMEOUT_S)
         await self.wait_until(lambda: self.received_requests)
         self.answer()
         self.assertEqual((await late_client.read_answer(1))[1], b"ok")
@@ -210,7 +210,7 @@
         )
         self.listener.socket = flood
         asyncio.get_running_loop().add_reader(flood, lambda: None)
-        await asyncio.wait_for(self.listener.close(), WAIT)
+        await asyncio.wait_for(self.listener.close(), TIMEOUT_S)
         self.assertLessEqual(
             flood.accept_count, MAX_WAITING_CONNECTIONS + self.resource_limits.accepts_per_pass
         )
@@ -262,7 +262,7 @@
         _, unread = await self.client_with_unsent_answers()
         drain = Drain(self, grace=0, stop_after=300 * MS)
         drain.start_final()
-        await asyncio.wait_for(self.done.wait(), WAIT)
+        await asyncio.wait_for(self.done.wait(), TIMEOUT_S)
         self.assertIs(drain.state, DrainState.ENDED)
         self.assertEqual({idle.state, unread.state}, {ConnectionState.CLOSED})
 
@@ -277,7 +277,7 @@
         waiting = [self.connect_client() for _ in range(2 * self.resource_limits.max_buffers)]
         for tag, client in enumerate(waiting, 1):
             client.send(call(tag))
-        await asyncio.wait_for(self.listener.close(), WAIT)
+        await asyncio.wait_for(self.listener.close(), TIMEOUT_S)
         self.assertRaises(ConnectionRefusedError, self.connect_client)
         for tag, client in enumerate(
             waiting[self.resource_limits.max_connections :], self.resource_limits.max_connections + 1
--- a/tests/dispatch/test_listener.py
+++ b/tests/dispatch/test_listener.py
@@ -8,7 +8,7 @@
 from oakkeel.dispatch.listener import Listener
 from oakkeel.stream_buffers import BufferPool
 from oakkeel.units import SECOND
-from tests.support.node_request import LOG, RESOURCE_LIMITS
+from tests.support.node_request import EVENT_LOG, RESOURCE_LIMITS
 
 
 class EvictionTest(unittest.TestCase):
@@ -24,7 +24,7 @@
                 self.closed = True
                 return False  # the connection holds no descriptor any more
 
-        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, LOG)
+        listener = Listener(("127.0.0.1", 0), BufferPool(8192, 9), RESOURCE_LIMITS, None, EVENT_LOG)
         self.addCleanup(listener.socket.close)
         old, new, idle = FakeConnection(), FakeConnection(), FakeConnection()
         listener.without_requests = {old: time.monotonic_ns() - SECOND, new: time.monotonic_ns() + SECOND}
@@ -39,7 +39,7 @@
     async def test_accepts_the_waiting_connections_when_it_closes(self):
         # A request on a connection that the kernel has accepted must get its answer.
         listener = Listener(
-            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
+            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, EVENT_LOG
         )
         listener.socket.listen(40)
         client_sockets = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
@@ -53,7 +53,7 @@
     async def test_accepts_a_flood_of_connections_a_few_at_a_time(self):
         # Accepted in one pass, the connections would stop all reads and answers for 180 ms.
         listener = Listener(
-            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, LOG
+            ("127.0.0.1", 0), BufferPool(8192, RESOURCE_LIMITS.max_buffers), RESOURCE_LIMITS, None, EVENT_LOG
         )
         listener.socket.listen(40)
         client_sockets = [socket.create_connection(listener.socket.getsockname()) for _ in range(40)]
--- a/tests/dispatch/test_progress.py
+++ b/tests/dispatch/test_progress.py
@@ -7,7 +7,7 @@
 
 from oakkeel.dispatch.progress import Progress
 from oakkeel.units import MS, SECOND
-from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
+from tests.support.cancellation import await_then_block, cancel_after_result, run_event_loop
 
 
 class ProgressTest(unittest.IsolatedAsyncioTestCase):
@@ -17,11 +17,11 @@
         self.progress = Progress(stream)
 
     async def test_a_wait_that_is_cancelled_as_progress_is_made_is_cancelled(self):
-        for timeout, loop_passes in itertools.product((0, 60 * SECOND), (0, 1)):
-            with self.subTest(timeout=timeout, loop_passes=loop_passes):
-                task = asyncio.ensure_future(followed_by_wait(self.progress.wait(timeout)))
-                await let_run()
-                self.assertTrue(await ends_cancelled(task, self.progress.set, loop_passes))
+        for timeout, iterations in itertools.product((0, 60 * SECOND), (0, 1)):
+            with self.subTest(timeout=timeout, iterations=iterations):
+                task = asyncio.ensure_future(await_then_block(self.progress.wait(timeout)))
+                await run_event_loop()
+                self.assertTrue(await cancel_after_result(task, self.progress.set, iterations))
 
     async def test_a_wait_with_a_limit_ends_without_progress(self):
         async with asyncio.timeout(20):
--- a/tests/engine/test_link.py
+++ b/tests/engine/test_link.py
@@ -5,8 +5,8 @@
 
 from oakkeel.engine.link import EngineLink
 from oakkeel.stream_buffers import BufferPool
-from tests.support.node_process import WAIT
-from tests.support.node_request import LOG, RESOURCE_LIMITS, node_request
+from tests.support.node_process import TIMEOUT_S
+from tests.support.node_request import EVENT_LOG, RESOURCE_LIMITS, node_request
 
 
 class EngineLinkTest(unittest.IsolatedAsyncioTestCase):
@@ -25,11 +25,11 @@
 
         server = await asyncio.start_server(accept_connection, "127.0.0.1", 0)
         link = EngineLink(
-            server.sockets[0].getsockname(), BufferPool(8192, 9), RESOURCE_LIMITS, LOG, on_started
+            server.sockets[0].getsockname(), BufferPool(8192, 9), RESOURCE_LIMITS, EVENT_LOG, on_started
         )
         serving = asyncio.ensure_future(link.serve())
         for _ in range(2):
-            self.assertEqual(await asyncio.wait_for(attach_lines.get(), WAIT), b"ATTACH 0\r\n")
+            self.assertEqual(await asyncio.wait_for(attach_lines.get(), TIMEOUT_S), b"ATTACH 0\r\n")
         serving.cancel()
         await asyncio.wait((serving,))
         server.close()
@@ -45,13 +45,13 @@
         server = await asyncio.start_server(accept_connection, "127.0.0.1", 0)
         pool = BufferPool(8192, 0)
         link = EngineLink(
-            server.sockets[0].getsockname(), pool, RESOURCE_LIMITS, LOG, lambda is_booting, age: None
+            server.sockets[0].getsockname(), pool, RESOURCE_LIMITS, EVENT_LOG, lambda is_booting, age: None
         )
         serving = asyncio.ensure_future(link.serve())
         for _ in range(9):
             await asyncio.sleep(0)
         pool.unallocated = 9
-        self.assertEqual(await asyncio.wait_for(attach_lines.get(), WAIT), b"ATTACH 0\r\n")
+        self.assertEqual(await asyncio.wait_for(attach_lines.get(), TIMEOUT_S), b"ATTACH 0\r\n")
         serving.cancel()
         await asyncio.wait((serving,))
         server.close()
@@ -77,17 +77,17 @@
             server.sockets[0].getsockname(),
             BufferPool(8192, 9),
             RESOURCE_LIMITS,
-            LOG,
+            EVENT_LOG,
             lambda is_booting, age: engine_started.set(),
         )
         serving = asyncio.ensure_future(link.serve())
-        await asyncio.wait_for(engine_started.wait(), WAIT)
+        await asyncio.wait_for(engine_started.wait(), TIMEOUT_S)
         request = node_request()
         link.run(request)
-        self.assertEqual(await asyncio.wait_for(received_runs.get(), WAIT), request.request_id)
-        await asyncio.wait_for(link.maintain_and_ask_gauges(), WAIT)
+        self.assertEqual(await asyncio.wait_for(received_runs.get(), TIMEOUT_S), request.request_id)
+        await asyncio.wait_for(link.maintain_and_ask_gauges(), TIMEOUT_S)
         writers[0].close()
-        self.assertEqual(await asyncio.wait_for(received_runs.get(), WAIT), request.request_id)
+        self.assertEqual(await asyncio.wait_for(received_runs.get(), TIMEOUT_S), request.request_id)
         serving.cancel()
         await asyncio.wait((serving,))
         server.close()
@@ -104,14 +104,14 @@
         old, new = [await asyncio.start_server(accept_connection, "127.0.0.1", 0) for _ in range(2)]
         addresses = [server.sockets[0].getsockname() for server in (old, new)]
         link = EngineLink(
-            addresses[0], BufferPool(8192, 9), RESOURCE_LIMITS, LOG, lambda is_booting, age: None
+            addresses[0], BufferPool(8192, 9), RESOURCE_LIMITS, EVENT_LOG, lambda is_booting, age: None
         )
         serving = asyncio.ensure_future(link.serve())
         await asyncio.sleep(0)
         link.move(addresses[1])
         received = (None, b"")
         while received[1] != b"ATTACH 0\r\n":
-            received = await asyncio.wait_for(attach_lines.get(), WAIT)
+            received = await asyncio.wait_for(attach_lines.get(), TIMEOUT_S)
         self.assertEqual(received[0], addresses[1])
         serving.cancel()
         await asyncio.wait((serving,))
--- a/tests/fakes/test_load_generator.py
+++ b/tests/fakes/test_load_generator.py
@@ -6,7 +6,7 @@
 from oakkeel.fakes.load_generator import LoadSummary
 from oakkeel.fakes.load_process import LoadProcess
 from oakkeel.fakes.stream_server import StreamServer
-from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
+from tests.support.cancellation import await_then_block, cancel_after_result, run_event_loop
 
 
 async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -78,9 +78,9 @@
         self.load._read_task = asyncio.ensure_future(process_ended.wait())
         self.load.summary = LoadSummary({}, 0.0)
         with mock.patch.object(self.load, "_send"):
-            task = asyncio.ensure_future(followed_by_wait(self.load.stop()))
-            await let_run()
-            self.assertTrue(await ends_cancelled(task, process_ended.set))
+            task = asyncio.ensure_future(await_then_block(self.load.stop()))
+            await run_event_loop()
+            self.assertTrue(await cancel_after_result(task, process_ended.set))
 
     @staticmethod
     async def close_after_first_line(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/fleet/test_agent_clients.py
+++ b/tests/fleet/test_agent_clients.py
@@ -9,7 +9,7 @@
 from oakkeel.fleet.agent_clients import AgentClients, FanOutRequest, NoLeaderError
 from oakkeel.fleet.fan_out import FanOut, FanOutPolicy
 from oakkeel.units import MS, SECOND
-from tests.support.cancellation import ends_cancelled, followed_by_wait, let_run
+from tests.support.cancellation import await_then_block, cancel_after_result, run_event_loop
 
 
 def clients_of(deadline: int) -> AgentClients:
@@ -35,10 +35,10 @@
         fan_out_request = FanOutRequest(clients, requests, fan_out)
         with mock.patch.object(clients, "request", never_respond):
             task = asyncio.ensure_future(fan_out_request.run())
-            await let_run()
+            await run_event_loop()
             sends = set(fan_out_request.tasks)
             self.assertEqual(len(sends), 2)
-            self.assertTrue(await ends_cancelled(task, fan_out_request.progress.set))
+            self.assertTrue(await cancel_after_result(task, fan_out_request.progress.set))
         self.assertTrue(all(send.cancelled() for send in sends))
 
 
@@ -53,9 +53,9 @@
 
         with mock.patch.object(clients, "request", request):
             search = clients.request_leader(messages.HostStatusRequest())
-            task = asyncio.ensure_future(followed_by_wait(search))
-            await let_run()
-            self.assertTrue(await ends_cancelled(task, arrived.set))
+            task = asyncio.ensure_future(await_then_block(search))
+            await run_event_loop()
+            self.assertTrue(await cancel_after_result(task, arrived.set))
 
     async def test_a_request_to_the_leader_is_cancelled_at_its_deadline(self):
         clients = clients_of(20 * MS)
--- a/tests/invariants/test_logs.py
+++ b/tests/invariants/test_logs.py
@@ -4,7 +4,7 @@
 import unittest
 
 from oakkeel.invariants.logs import audit_logs
-from tests.support.rig_case import KNOWN_AFTER
+from tests.support.rig_case import FAILURE_KNOWN_AFTER_NS
 
 
 class LogAuditTest(unittest.TestCase):
@@ -22,7 +22,9 @@
         for name, text in journals_by_node.items():
             with open(os.path.join(self.folder, "h1", f"{name}.journal"), "w", encoding="ascii") as file:
                 file.write(text)
-        return audit_logs(self.folder, self.hosts, {"site": (1, ["n1", "n2"])}, KNOWN_AFTER).finish(0)
+        return audit_logs(
+            self.folder, self.hosts, {"site": (1, ["n1", "n2"])}, FAILURE_KNOWN_AFTER_NS
+        ).finish(0)
 
     @staticmethod
     def drain_events(time: int, name: str, fence: int) -> list[dict]:
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -9,11 +9,13 @@
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request_events import SharedResponse
 from oakkeel.units import MS, SECOND
-from tests.support.fake_host import GROUP, FakeHost
+from tests.support.fake_host import REQUEST_CLASS, FakeHost
 from tests.support.node_process import NodeProcessTest
 from tests.support.node_request import RESOURCE_LIMITS, node_request
 
-AT_MOST_ONCE_CLASS = replace(GROUP, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window=SECOND)
+AT_MOST_ONCE_CLASS = replace(
+    REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window=SECOND
+)
 CACHE_KEY = (0, b"hall", b"k1")
 NOW = 100 * SECOND
 
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -10,8 +10,8 @@
 from oakkeel.engine.link import EngineLink
 from oakkeel.stream_buffers import BufferPool, connect
 from oakkeel.units import MS, SECOND
-from tests.support.node_process import WAIT, NodeProcessTest
-from tests.support.node_request import LOG, RESOURCE_LIMITS, node_request
+from tests.support.node_process import TIMEOUT_S, NodeProcessTest
+from tests.support.node_request import EVENT_LOG, RESOURCE_LIMITS, node_request
 
 
 class HandoverTest(NodeProcessTest):
@@ -131,7 +131,7 @@
             ("127.0.0.1", 1),
             BufferPool(8192, 9),
             self.resource_limits,
-            LOG,
+            EVENT_LOG,
             lambda cold, age: self.cold_flags.append(cold),
         )
         self.servers = []
@@ -154,14 +154,14 @@
 
     async def accept_link(self, server: socket.socket, with_greeting: bool = True):
         loop = asyncio.get_running_loop()
-        accepted, _ = await asyncio.wait_for(loop.sock_accept(server), WAIT)
+        accepted, _ = await asyncio.wait_for(loop.sock_accept(server), TIMEOUT_S)
         reader, writer = await asyncio.open_connection(sock=accepted)
         self.addCleanup(accepted.close)
-        self.assertEqual((await asyncio.wait_for(reader.readline(), WAIT)).split()[0], b"ATTACH")
+        self.assertEqual((await asyncio.wait_for(reader.readline(), TIMEOUT_S)).split()[0], b"ATTACH")
         if with_greeting:
             self.age += 1000
             writer.write(b"HELLO steady %d\r\n" % self.age)
-            tag = (await asyncio.wait_for(reader.readline(), WAIT)).split()[1]
+            tag = (await asyncio.wait_for(reader.readline(), TIMEOUT_S)).split()[1]
             writer.write(b"STATS %s 0 0 0 0\r\n" % tag)
             while not self.link.open:
                 await asyncio.sleep(0.001)
@@ -184,7 +184,7 @@
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(reader.read(1), 3 * self.resource_limits.engine_timeout / SECOND)
         writer.write(b"HELLO booting 10\r\n")
-        self.assertEqual((await asyncio.wait_for(reader.readline(), WAIT)).split()[0], b"STAT")
+        self.assertEqual((await asyncio.wait_for(reader.readline(), TIMEOUT_S)).split()[0], b"STAT")
         self.assertEqual(self.cold_flags, [True])
 
     async def test_a_pending_connect_is_abandoned_for_a_new_address(self):
@@ -217,9 +217,9 @@
         self.link.run(request)
         self.link.move(second_server.getsockname())
         self.link.move(third_server.getsockname())
-        self.assertEqual((await asyncio.wait_for(reader.readline(), WAIT)).split()[0], b"RUN")
+        self.assertEqual((await asyncio.wait_for(reader.readline(), TIMEOUT_S)).split()[0], b"RUN")
         await reader.readline()
-        barrier = (await asyncio.wait_for(reader.readline(), WAIT)).split()
+        barrier = (await asyncio.wait_for(reader.readline(), TIMEOUT_S)).split()
         self.assertEqual(barrier[0], b"STAT")
         writer.write(b"STATS %s 0 0 0 0\r\n" % barrier[1])
         await self.accept_link(third_server)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -6,7 +6,7 @@
 import time
 import unittest
 
-from tests.support.node_process import NODE_SETTINGS, WAIT, NodeProcessTest, until_refused
+from tests.support.node_process import NODE_SETTINGS, TIMEOUT_S, NodeProcessTest, until_refused
 
 ANY_BYTES = bytes(range(256)) * 4 + b"\r\n*3\r\n$1\r\n"
 
@@ -60,7 +60,7 @@
         self.engine.done(request_id)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
 
 class EngineLinkTest(NodeProcessTest):
@@ -187,7 +187,7 @@
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         dispatcher.close()
         late_dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
         self.assertNotIn("drain_started", self.process.stderr.read())
 
     def test_running_requests_are_answered_before_the_stop(self):
@@ -203,7 +203,7 @@
     def test_a_node_that_drains_before_its_engine_is_up_ends_at_once(self):
         self.begin(attach=False)
         self.process.send_signal(signal.SIGTERM)
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_a_killed_node_starts_again_at_its_address(self):
         self.begin()
@@ -232,7 +232,7 @@
             self.told(listen=f"127.0.0.1:{other_server.getsockname()[1]}"),
         ):
             process = self.launch(configuration)
-            _, errors = process.communicate(timeout=WAIT)
+            _, errors = process.communicate(timeout=TIMEOUT_S)
             self.assertEqual((process.returncode, errors.count("\n")), (2, 1), errors)
             self.assertTrue(errors.startswith("oakkeel"), errors)
 
@@ -244,7 +244,7 @@
             env={"PROXY_CONFIG": "/nowhere/at/all"},
             capture_output=True,
             text=True,
-            timeout=WAIT,
+            timeout=TIMEOUT_S,
         )
         self.assertEqual((completed.returncode, completed.stderr.count("\n")), (2, 1))
 
--- a/tests/node/test_request_handler.py
+++ b/tests/node/test_request_handler.py
@@ -9,7 +9,7 @@
 from oakkeel.node.request_handler import RequestHandler
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request_events import CancelRun, ClientDisconnected, StartRun
-from tests.support.node_request import LOG, RESOURCE_LIMITS, node_request
+from tests.support.node_request import EVENT_LOG, RESOURCE_LIMITS, node_request
 
 
 class RequestHandlerTest(unittest.IsolatedAsyncioTestCase):
@@ -35,7 +35,7 @@
             catalogue=parts,
             response_cache=ResponseCache(RESOURCE_LIMITS, 0),
             metrics=Metrics(),
-            log=LOG,
+            log=EVENT_LOG,
         )
         handler = RequestHandler(parts, components)
         for _ in range(2):
--- a/tests/node/test_response_cache.py
+++ b/tests/node/test_response_cache.py
@@ -8,7 +8,7 @@
 from oakkeel.node.response_cache import ResponseCache
 from oakkeel.request_events import SharedResponse
 from oakkeel.units import SECOND
-from tests.support.fake_host import GROUP, FakeHost
+from tests.support.fake_host import REQUEST_CLASS, FakeHost
 from tests.support.node_request import RESOURCE_LIMITS, node_request
 
 
@@ -39,7 +39,7 @@
     def test_is_bounded_and_never_evicts_a_valid_idempotency_key(self):
         resource_limits = replace(RESOURCE_LIMITS, memory=4 * RESOURCE_LIMITS.result_size * 2)  # two results
         at_most_once_class = replace(
-            GROUP,
+            REQUEST_CLASS,
             idempotency=FakeHost(request_classes=[{}])
             .limits.request_classes[0]
             .idempotency.__class__.IDEMPOTENCY_KEY,
@@ -52,4 +52,4 @@
         self.assertFalse(cache.make_room(SECOND // 2))
         # A duplicate that arrived before the expiry may be read until its client times out.
         self.assertFalse(cache.make_room(SECOND))
-        self.assertTrue(cache.make_room(SECOND + GROUP.client_timeout))
+        self.assertTrue(cache.make_room(SECOND + REQUEST_CLASS.client_timeout))
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -13,7 +13,7 @@
 from oakkeel.dispatch.resp import encode
 from oakkeel.units import MS
 from tests.support.control_process import ControlledNodeTest
-from tests.support.node_process import WAIT, NodeProcessTest, until_refused
+from tests.support.node_process import TIMEOUT_S, NodeProcessTest, until_refused
 
 
 class SignalTest(NodeProcessTest):
@@ -39,7 +39,7 @@
         with file:
             json.dump(self.told(), file)
         self.log("drain_started")
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_sighup_during_the_start_reloads_after_it(self):
         path, file = self.launch_with_configuration_in_a_pipe()
@@ -79,13 +79,13 @@
             with contextlib.suppress(ProcessLookupError):
                 for _ in range(50):
                     self.process.send_signal(signal_number)
-            self.assertEqual(self.process.wait(WAIT), 0)
+            self.assertEqual(self.process.wait(TIMEOUT_S), 0)
             self.process.stderr.close()
 
     def test_a_signal_between_the_greeting_and_the_first_request_stops_the_node(self):
         self.begin()
         self.process.send_signal(signal.SIGTERM)
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_queued_running_and_calling_requests_are_all_answered_after_a_signal(self):
         self.begin()
@@ -112,7 +112,7 @@
             sorted(dispatcher.answer()[:2] for _ in request_ids), [(tag, b"ok") for tag in range(1, 7)]
         )
         dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_requests_completed_within_the_grace_period_after_a_signal_are_served(self):
         self.begin()
@@ -135,7 +135,7 @@
         self.assertEqual(dispatchers[0].answer()[:2], (1, b"ok"))
         for dispatcher in dispatchers:
             dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def encode_request(self) -> bytes:
         """Encode a request with the present time; the first 20 bytes are the same in all requests."""
@@ -153,7 +153,7 @@
         self.engine.done(request_id)
         self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
         dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_a_truncated_missing_or_foreign_file_changes_no_request_class(self):
         self.begin()
@@ -197,7 +197,7 @@
         unread_dispatcher.send("CHECK", "1", "")
         self.process.send_signal(signal.SIGTERM)
         self.log("drain_deadline_reached")
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
         self.assertEqual(idle_dispatcher.next(), [b"0", b"last"])
         self.assertEqual(idle_dispatcher.next(), [])  # the connection is closed without a reset
 
@@ -213,7 +213,7 @@
         while words := idle_dispatcher.next():
             answers.append(words[:2])
         self.assertIn(answers, ([[b"0", b"last"], [b"2", b"full"]], [[b"0", b"last"]]))
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
         self.assertEqual(self.engine.next(), ("END",))
 
     def test_a_flood_of_connects_does_not_delay_the_end_of_the_grace_period(self):
@@ -223,24 +223,24 @@
         def open_connections():
             with contextlib.suppress(OSError):
                 while not is_refused.is_set():
-                    socket.create_connection(("127.0.0.1", self.port), timeout=WAIT).close()
+                    socket.create_connection(("127.0.0.1", self.port), timeout=TIMEOUT_S).close()
             is_refused.set()
 
         threads = [threading.Thread(target=open_connections, daemon=True) for _ in range(4)]
         for thread in threads:
             thread.start()
         self.process.send_signal(signal.SIGTERM)
-        self.assertTrue(is_refused.wait(WAIT))
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertTrue(is_refused.wait(TIMEOUT_S))
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
         for thread in threads:
-            thread.join(WAIT)
+            thread.join(TIMEOUT_S)
 
 
 class ReadinessTest(ControlledNodeTest):
     def assert_no_report(self) -> None:
         self.directory.setblocking(False)
         self.assertRaises(BlockingIOError, self.directory.recv, 99)
-        self.directory.settimeout(WAIT)
+        self.directory.settimeout(TIMEOUT_S)
 
     def test_a_node_is_listed_only_once_it_accepts_requests(self):
         # A node must not report `open` before its engine is up, not even after a restart.
@@ -265,7 +265,7 @@
         self.assertEqual(dispatcher.next(), [b"0", b"last"])
         self.engine.attach()
         dispatcher.close()
-        self.assertEqual(self.process.wait(WAIT), 0)
+        self.assertEqual(self.process.wait(TIMEOUT_S), 0)
         self.assert_no_report()
 
     def test_an_engine_that_comes_up_in_a_cancelled_drain_is_used(self):
--- a/tests/support/control_process.py
+++ b/tests/support/control_process.py
@@ -6,7 +6,7 @@
 import tempfile
 from unittest import mock
 
-from tests.support.node_process import WAIT, NodeProcessTest
+from tests.support.node_process import TIMEOUT_S, NodeProcessTest
 
 
 class ControlledNodeTest(NodeProcessTest):
@@ -20,7 +20,7 @@
     def link(self):
         """Open a control link and return its stream."""
         link = socket.socket(socket.AF_UNIX)
-        link.settimeout(WAIT)
+        link.settimeout(TIMEOUT_S)
         link.connect(self.path)
         self.addCleanup(link.close)
         stream = link.makefile("rwb", buffering=0)
--- a/tests/support/fair_sharing.py
+++ b/tests/support/fair_sharing.py
@@ -6,21 +6,21 @@
 from oakkeel.fakes.simulated_node import SimulatedClient, SimulatedNode, fair_share
 
 
-def simulated_node(fair=True, by=("caller",), weights=None, seed=7, **options) -> SimulatedNode:
+def simulated_node(fair=True, key_fields=("caller",), weights=None, seed=7, **options) -> SimulatedNode:
     rules = FairSharingRules(
-        tuple(by), weights if weights is not None else {}, max_flows=options.pop("places", 256)
+        tuple(key_fields), weights if weights is not None else {}, max_flows=options.pop("max_flows", 256)
     )
     return SimulatedNode(rules if fair else None, seed, **options)
 
 
-def shares_obtained(
-    node: SimulatedNode, clients: list[SimulatedClient], seconds: float = 8, warm: float = 4
+def measure_shares(
+    node: SimulatedNode, clients: list[SimulatedClient], seconds: float = 8, warm_up: float = 4
 ) -> tuple[list[float], float]:
     """Return the fraction of its fair share that each client got, and the admitted fraction of retries.
 
-    The node runs for `warm` seconds before the measurement.
+    The node runs for `warm_up` seconds before the measurement.
     """
-    node.pass_time(warm)
+    node.pass_time(warm_up)
     before = [
         (client.counts["in time"], client.first_attempts, client.scheduled_returns, client.admitted_returns)
         for client in node.clients
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -50,7 +50,7 @@
 
 
 # The default request class of the tests.
-GROUP = RequestClass(
+REQUEST_CLASS = RequestClass(
     index=0,
     idempotency=Idempotency.IDEMPOTENT,
     priority_weight=1,
@@ -62,7 +62,7 @@
 )
 
 
-def make_request(request_class: RequestClass = GROUP, **fields: Any) -> Request:
+def make_request(request_class: RequestClass = REQUEST_CLASS, **fields: Any) -> Request:
     """Return an ordinary request that was just read; `fields` override its defaults."""
     defaults = {
         "request_class": request_class,
@@ -88,7 +88,8 @@
         **limits: Any,
     ) -> None:
         classes = [
-            replace(GROUP, index=index, **changes) for index, changes in enumerate(request_classes or [{}])
+            replace(REQUEST_CLASS, index=index, **changes)
+            for index, changes in enumerate(request_classes or [{}])
         ]
         self.limits = replace(
             LIMITS, request_classes=classes, tenants=[Tenant(*pair) for pair in enumerate(tenants)], **limits
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -20,7 +20,7 @@
 from oakkeel.fakes import site as fakes_site
 from oakkeel.units import MS, SECOND
 
-WAIT = 20  # seconds until a wait of a test fails
+TIMEOUT_S = 20  # seconds until a wait of a test fails
 
 
 NODE_SETTINGS = {
@@ -59,7 +59,7 @@
     """
     while True:
         try:
-            socket.create_connection(("127.0.0.1", port), timeout=WAIT).close()
+            socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S).close()
         except ConnectionRefusedError:
             return
         except ConnectionResetError:
@@ -70,7 +70,7 @@
     """A dispatcher with one connection to the node, which sends requests and reads the answers."""
 
     def __init__(self, port: int) -> None:
-        self.socket = socket.create_connection(("127.0.0.1", port), timeout=WAIT)
+        self.socket = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
         self.stream = self.socket.makefile("rb")
         self.tag = 0  # of the last request
 
@@ -134,7 +134,7 @@
         """
         if age:
             self.started_at = time.monotonic() - float(age) / 1000
-        self.server.settimeout(WAIT)
+        self.server.settimeout(TIMEOUT_S)
         self.close()
         self.link, _ = self.server.accept()
         self.commands: queue.Queue[tuple] = queue.Queue()
@@ -160,7 +160,7 @@
         self.link.sendall(line.encode() + b"\r\n" + (b"" if body is None else body + b"\r\n"))
 
     def next(self) -> tuple:
-        return self.commands.get(timeout=WAIT)
+        return self.commands.get(timeout=TIMEOUT_S)
 
     def done(self, request_id: str, outcome: str = "success", body: bytes = b"result") -> None:
         self.number += 1
@@ -186,9 +186,9 @@
     """One accepted connection of the fake catalogue."""
 
     def __init__(self, server: socket.socket) -> None:
-        server.settimeout(WAIT)
+        server.settimeout(TIMEOUT_S)
         self.socket, _ = server.accept()
-        self.socket.settimeout(WAIT)
+        self.socket.settimeout(TIMEOUT_S)
         self.stream = self.socket.makefile("rb")
 
     def next(self) -> tuple:
@@ -214,7 +214,7 @@
         self.engine, self.catalogue = Engine(), socket.create_server(("127.0.0.1", 0))
         self.directory = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.directory.bind(("127.0.0.1", 0))
-        self.directory.settimeout(WAIT)
+        self.directory.settimeout(TIMEOUT_S)
         self.process: subprocess.Popen | None = None
         self.addCleanup(self._close)
 
@@ -253,7 +253,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        watchdog = threading.Timer(4 * WAIT, self.process.kill)  # a test that hangs ends with a failure
+        watchdog = threading.Timer(4 * TIMEOUT_S, self.process.kill)  # a test that hangs ends with a failure
         watchdog.start()
         self.addCleanup(watchdog.cancel)
         return self.process
@@ -271,7 +271,7 @@
         self.engine.started_at = old[0].started_at  # the same engine at another address
         self.directory = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.directory.bind(("127.0.0.1", 0))
-        self.directory.settimeout(WAIT)
+        self.directory.settimeout(TIMEOUT_S)
         for peer in (old[0], old[0].server, *old[1:]):
             self.addCleanup(peer.close)
         return old
--- a/tests/support/node_request.py
+++ b/tests/support/node_request.py
@@ -9,16 +9,16 @@
 from oakkeel.request import NodeRequest
 from oakkeel.resource_limits import ResourceLimits
 from oakkeel.units import SECOND
-from tests.support.fake_host import GROUP
+from tests.support.fake_host import REQUEST_CLASS
 
 RESOURCE_LIMITS = ResourceLimits(sockets=1024, memory=192 * 2**20, stop_after=3 * SECOND)
-LOG = EventLog("test", 0)
+EVENT_LOG = EventLog("test", 0)
 
 
 def node_request(
     request_id: bytes = b"9b1f03aa5c7e2d41",
     key: bytes = b"",
-    request_class: RequestClass = GROUP,
+    request_class: RequestClass = REQUEST_CLASS,
     **fields: Any,
 ) -> NodeRequest:
     """Return a request of the default test class; `fields` override the defaults."""
--- a/tests/support/rig_case.py
+++ b/tests/support/rig_case.py
@@ -15,7 +15,7 @@
 SITES = {"h1": "woodbrook", "h2": "woodbrook", "h3": "belmont", "h4": "belmont", "h5": "belmont"}
 SUPERVISION = '<supervision silent="500ms" start="5s" drain="3s" backoff="200ms"/>'
 # Nanoseconds after its failure from which a target must count as unavailable for every new permit.
-KNOWN_AFTER = PermitTimeouts().expiry_ns + PermitTimeouts().max_agent_silence_ns + 2_000_000_000
+FAILURE_KNOWN_AFTER_NS = PermitTimeouts().expiry_ns + PermitTimeouts().max_agent_silence_ns + 2_000_000_000
 
 
 class RigTestCase(unittest.IsolatedAsyncioTestCase):
@@ -48,7 +48,7 @@
     async def close_and_audit(self) -> None:
         await self.rig.close()
         groups = audit_groups(self.hosts, self.sites, self.max_unavailable, self.fleet_max_unavailable)
-        audit = audit_logs(self.folder, self.hosts, groups, KNOWN_AFTER)
+        audit = audit_logs(self.folder, self.hosts, groups, FAILURE_KNOWN_AFTER_NS)
         self.assertEqual(audit.finish(0), [])
 
     def agent_log(self, host: str) -> str:
