--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -63,7 +63,7 @@
                 processes.signal(process, signal.SIGKILL)
         processes.close()
 
-    def script(self, name: str, behavior: str) -> None:
+    def write_script(self, name: str, behavior: str) -> None:
         """Set the behaviour of an instance's fake node; empty: the node serves."""
         os.makedirs(self.host.state, exist_ok=True)
         with open(os.path.join(self.host.state, f"{name}.script"), "w") as file:
@@ -75,11 +75,11 @@
             return [line.split() for line in file]
         return []
 
-    def starts(self, name: str) -> list[int]:
+    def started_generations(self, name: str) -> list[int]:
         """The generations of an instance that were started, in order."""
         return [int(line[1]) for line in self.read_journal(name) if line[0] == "start"]
 
-    async def agent(self, timeouts: SupervisionTimeouts = SHORT_TIMEOUTS, **options) -> Agent:
+    async def start_agent(self, timeouts: SupervisionTimeouts = SHORT_TIMEOUTS, **options) -> Agent:
         """Start an agent in this process; `stop` ends it as SIGTERM would."""
         agent = Agent(
             AgentSettings(self.host, timeouts),
@@ -106,7 +106,7 @@
             self.assertLess(time.monotonic(), deadline, message or self.log_output.getvalue())
             await asyncio.sleep(0.01)
 
-    async def serving(self, agent: Agent) -> None:
+    async def wait_until_serving(self, agent: Agent) -> None:
         """Wait until all instances of an agent serve."""
         await self.wait_until(lambda: all(each.phase is Phase.SERVING for each in agent.supervisor.instances))
 
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -12,7 +12,7 @@
     async def test_an_agent_that_is_cancelled_as_its_stop_is_requested_is_cancelled(self):
         run = Agent.run
         with mock.patch.object(Agent, "run", lambda agent: await_then_block(run(agent))):
-            agent = await self.agent()
+            agent = await self.start_agent()
         await self.wait_until(lambda: "agent_started" in self.log_output.getvalue())
         self.assertTrue(await cancel_after_result(agent.task, agent.stop_requested.set))
 
--- a/tests/agent/test_instance_supervision.py
+++ b/tests/agent/test_instance_supervision.py
@@ -17,42 +17,42 @@
 
 class InstanceSupervisionTest(AgentTestCase):
     async def test_starts_instances_and_reports_them_with_ages(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         await self.agent_clients.refresh(self.view)
         rows = self.view.rows(time.monotonic_ns())
         self.assertEqual(
             [(row.name, row.shown) for row in rows], [("n1", "serving"), ("n2", "serving"), ("n3", "serving")]
         )
         self.assertTrue(all(0 <= row.age < row.report_age < 2 * SECOND for row in rows))
-        self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1], [1], [1]])
+        self.assertEqual([self.started_generations(name) for name in ("n1", "n2", "n3")], [[1], [1], [1]])
 
     async def test_treats_a_stopped_process_as_silent_without_killing_it(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         n1 = self.instance(agent, "n1")
         process = agent.running_processes[n1]
         agent.processes.signal(process, signal.SIGSTOP)
         await self.wait_until(lambda: n1.phase is Phase.SILENT)
         agent.processes.signal(process, signal.SIGCONT)
         await self.wait_until(lambda: n1.phase is Phase.SERVING)
-        self.assertEqual((self.starts("n1"), agent.running_processes[n1]), ([1], process))
+        self.assertEqual((self.started_generations("n1"), agent.running_processes[n1]), ([1], process))
 
     async def test_treats_an_instance_that_never_answers_as_silent(self):
-        self.script("n1", "mute")
-        agent = await self.agent(
+        self.write_script("n1", "mute")
+        agent = await self.start_agent(
             SupervisionTimeouts(
                 silence_timeout_ns=400 * MS, start_timeout_ns=500 * MS, min_backoff_ns=50 * MS
             )
         )
         await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.SILENT)
-        self.script("n1", "")
+        self.write_script("n1", "")
         await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.SERVING)
-        self.assertEqual(self.starts("n1"), [1])
+        self.assertEqual(self.started_generations("n1"), [1])
 
     async def test_ignores_reports_of_an_old_generation(self):
-        self.script("n1", "old")
-        agent = await self.agent(
+        self.write_script("n1", "old")
+        agent = await self.start_agent(
             SupervisionTimeouts(
                 silence_timeout_ns=400 * MS, start_timeout_ns=500 * MS, min_backoff_ns=50 * MS
             )
@@ -61,34 +61,34 @@
         self.assertIn("received a report of generation 0, expected 1", self.instance(agent, "n1").why)
 
     async def test_restarts_a_killed_process_with_a_new_generation(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         n1 = self.instance(agent, "n1")
         agent.processes.signal(agent.running_processes[n1], signal.SIGKILL)
         await self.wait_until(lambda: n1.process_generation == 2 and n1.phase is Phase.SERVING)
         self.assertIn('how="killed by SIGKILL"', self.log_output.getvalue())
 
     async def test_stops_restarting_a_crash_loop_while_other_instances_serve(self):
-        self.script("n1", "crash")
-        agent = await self.agent(
+        self.write_script("n1", "crash")
+        agent = await self.start_agent(
             SupervisionTimeouts(min_backoff_ns=10 * MS, max_restarts=3, silence_timeout_ns=400 * MS)
         )
         n1 = self.instance(agent, "n1")
         await self.wait_until(lambda: n1.restarts_exhausted)
-        start_count = len(self.starts("n1"))
+        start_count = len(self.started_generations("n1"))
         await self.wait_until(lambda: self.instance(agent, "n2").phase is Phase.SERVING)
-        self.assertEqual((start_count, len(self.starts("n1"))), (4, 4))
+        self.assertEqual((start_count, len(self.started_generations("n1"))), (4, 4))
         response = await self.send_request(messages.HostStatusRequest())
         self.assertEqual(
             (response.instances[0].restarts_exhausted, response.instances[0].why), (True, "exit code 3")
         )
-        self.script("n1", "")
+        self.write_script("n1", "")
         await self.submit_order("start", "n1")
         self.assertEqual(await self.wait_for_final_states(), {"n1": "done"})
 
     async def test_never_signals_or_adopts_a_reused_pid(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         with subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) as unrelated_process:
             with open(os.path.join(self.host.state, "n1.pid"), "w") as file:
                 file.write(f"{unrelated_process.pid} 1\n")
@@ -129,30 +129,31 @@
         self.assertEqual(first_agent.returncode, 0)
 
     async def test_next_agent_adopts_running_processes_and_restarts_ended_instances(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         pids = {each.name: process.pid for each, process in agent.running_processes.items()}
         await self.stop(agent)
         os.kill(pids["n3"], signal.SIGKILL)
-        next_agent = await self.agent()
+        next_agent = await self.start_agent()
         await self.wait_until(lambda: self.instance(next_agent, "n3").process_generation == 2)
-        await self.serving(next_agent)
+        await self.wait_until_serving(next_agent)
         self.assertEqual(
             [next_agent.running_processes[self.instance(next_agent, name)].pid for name in ("n1", "n2")],
             [pids["n1"], pids["n2"]],
         )
-        self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1], [1], [1, 2]])
+        self.assertEqual([self.started_generations(name) for name in ("n1", "n2", "n3")], [[1], [1], [1, 2]])
 
     async def test_quarantines_damaged_state_and_adopts_running_processes(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         await self.stop(agent)
         with open(os.path.join(self.host.state, "agent.db"), "r+b") as file:
             file.write(b"\x00" * 8192)
-        next_agent = await self.agent()
-        await self.serving(next_agent)
+        next_agent = await self.start_agent()
+        await self.wait_until_serving(next_agent)
         response = await self.send_request(messages.HostStatusRequest())
         self.assertIn("the state file was quarantined", response.notes[0])
         self.assertEqual(
-            (self.starts("n1"), [each.generation for each in response.instances]), ([1], [1, 1, 1])
+            (self.started_generations("n1"), [each.generation for each in response.instances]),
+            ([1], [1, 1, 1]),
         )
--- a/tests/agent/test_order_handling.py
+++ b/tests/agent/test_order_handling.py
@@ -27,8 +27,8 @@
 
 class OrderHandlingTest(AgentTestCase):
     async def test_accepts_one_of_two_concurrent_opposite_orders(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         requests = [
             (messages.OrderRequest("o1", "stop", [("n1", 1)], 30 * SECOND), "asha"),
             (messages.OrderRequest("o2", "restart", [("n1", 1)], 30 * SECOND), "ravi"),
@@ -42,20 +42,22 @@
 
     async def test_rolling_restart_respects_the_budget_and_starts_each_instance_once(self):
         # A stall of the event loop must not make instances silent, which would count as unavailable too.
-        agent = await self.agent(replace(SHORT_TIMEOUTS, silence_timeout_ns=30 * SECOND))
-        await self.serving(agent)
+        agent = await self.start_agent(replace(SHORT_TIMEOUTS, silence_timeout_ns=30 * SECOND))
+        await self.wait_until_serving(agent)
         await self.submit_order("restart", "n1", "n2", "n3")
         most_unavailable = 0
         while agent.orders.orders["o1"].is_open:
             most_unavailable = max(most_unavailable, agent.supervisor.unavailable["woodbrook"])
             await asyncio.sleep(0.005)
         self.assertEqual(most_unavailable, 1)
-        self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1, 3]])
+        self.assertEqual(
+            [self.started_generations(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1, 3]]
+        )
 
     async def test_restart_supersedes_a_drain_and_kills_after_the_timeout(self):
-        self.script("n1", "deaf")
-        agent = await self.agent()
-        await self.serving(agent)
+        self.write_script("n1", "deaf")
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         await self.submit_order("drain", "n1")
         await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.DRAINING)
         await self.submit_order("restart", "n1", order_id="o2", operator="ravi", supersede=True)
@@ -64,22 +66,24 @@
         self.assertIn("drain_timeout_killed", self.log_output.getvalue())
 
     async def test_next_agent_completes_orders_left_open_by_sigterm(self):
-        self.script("n1", "deaf")
-        agent = await self.agent()
-        await self.serving(agent)
+        self.write_script("n1", "deaf")
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         await self.submit_order("drain", "n1")
         await self.wait_until(lambda: self.instance(agent, "n1").phase is Phase.DRAINING)
         await self.stop(agent)
-        self.script("n1", "")
-        next_agent = await self.agent()
+        self.write_script("n1", "")
+        next_agent = await self.start_agent()
         self.assertEqual(await self.wait_for_final_states(), {"n1": "done"})
-        self.assertEqual((self.instance(next_agent, "n1").phase, self.starts("n1")), (Phase.STOPPED, [1]))
+        self.assertEqual(
+            (self.instance(next_agent, "n1").phase, self.started_generations("n1")), (Phase.STOPPED, [1])
+        )
 
     async def test_rejects_orders_and_continues_supervision_while_the_disk_is_full(self):
         os.makedirs(self.host.state, exist_ok=True)
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
-        agent = await self.agent(store=store)
-        await self.serving(agent)
+        agent = await self.start_agent(store=store)
+        await self.wait_until_serving(agent)
         store.connection.execute("PRAGMA max_page_count = 1")  # no page can be added
         for number in range(200):  # orders fill the free space of the existing pages
             generation = await self.current_generation("n2")
@@ -103,8 +107,8 @@
     async def test_rejects_orders_while_the_state_file_is_read_only(self):
         os.makedirs(self.host.state, exist_ok=True)
         store = Database(os.path.join(self.host.state, "agent.db"), SCHEMA, VERSION)
-        agent = await self.agent(store=store)
-        await self.serving(agent)
+        agent = await self.start_agent(store=store)
+        await self.wait_until_serving(agent)
         store.connection.execute("PRAGMA query_only = 1")
         response = await self.send_request(messages.OrderRequest("o1", "stop", [("n1", 1)], SECOND))
         self.assertIn("readonly", getattr(response, "why", ""))
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -40,8 +40,8 @@
         return b""
 
     async def test_rejects_replayed_altered_and_malformed_frames_and_wrong_keys(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         sent_frames: list[bytes] = []
         with mock.patch(
             "oakkeel.authentication.client.frame",
@@ -66,8 +66,8 @@
         self.assertLessEqual(len(rejections), 2)  # at most one log line per second
 
     async def test_viewer_may_not_send_orders(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         self.assertIsInstance(
             await self.send_request(messages.HostStatusRequest(), "lena"), messages.HostStatus
         )
@@ -76,8 +76,8 @@
         self.assertEqual(self.instance(agent, "n1").generation, 1)
 
     async def test_partial_frames_and_too_many_connections_do_not_affect_other_clients(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         partial_connections = [await asyncio.open_connection(*self.host.agent) for _ in range(80)]
         for _, writer in partial_connections:
             writer.write(b"\x00\x00")
@@ -88,7 +88,7 @@
             writer.close()
 
     async def test_rotates_keys_while_serving(self):
-        agent = await self.agent()
+        agent = await self.start_agent()
         old_key = read_operator_key(self.fleet, "asha")
         write_key(os.path.join(self.folder, "asha-2.key"), os.urandom(32))
         both_keys = (
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -57,8 +57,8 @@
 
 class CommandLineTest(CommandLineTestCase):
     async def test_lists_instances_by_name_glob_and_state(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         code, out, err = await self.run_oakkeel("ls")
         self.assertEqual((code, len(out.splitlines())), (0, 4))
         self.assertIn("3 serving", err)
@@ -73,11 +73,13 @@
         self.assertEqual(len(json.loads(out.splitlines()[-1])), 3)
 
     async def test_follows_an_order_to_its_end_and_lists_it(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         code, out, err = await self.run_oakkeel("restart", "n1", "n2", "--yes", "--id", "mine")
         self.assertEqual((code, out.count("done")), (0, 2), out + err)
-        self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1]])
+        self.assertEqual(
+            [self.started_generations(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1]]
+        )
         _, out, _ = await self.run_oakkeel("orders", "--output", "json")
         orders = json.loads(out)
         self.assertEqual(
@@ -89,8 +91,8 @@
         self.assertEqual((await self.run_oakkeel("cancel", "other"))[0], 1)
 
     async def test_an_order_for_a_large_part_of_a_site_needs_a_confirmation(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         code, _, err = await self.run_oakkeel("stop", "--site", "wood*")
         self.assertEqual(code, 2)
         self.assertIn("woodbrook: 3 of 3 would be taken out, 0 are out already", err)
@@ -100,9 +102,9 @@
         self.assertEqual((code, "select instances by name" in err), (2, True))
 
     async def test_a_rejection_names_the_operator_of_the_open_order(self):
-        self.script("n1", "deaf")
-        agent = await self.agent()
-        await self.serving(agent)
+        self.write_script("n1", "deaf")
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         code, out, _ = await self.run_oakkeel("drain", "n1", "--no-wait")
         self.assertEqual(code, 0)
         code, out, _ = await self.run_oakkeel("restart", "n1", operator="ravi")
@@ -121,8 +123,8 @@
         self.assertEqual((code, "not ordered" in out), (3, True))
 
     async def test_reports_each_unknown_name_and_invalid_settings_file_in_one_line(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         for arguments, text in (
             (("ls", "n7"), "no instance has the name 'n7'"),
             (("ls", "--as", "nobody"), "no operator 'nobody'"),
--- a/tests/invariants/test_rollout.py
+++ b/tests/invariants/test_rollout.py
@@ -36,7 +36,7 @@
         return breaches[0] if breaches else ""
 
     def test_detects_start_with_new_version_before_its_batch(self):
-        def start_early(world: ConsensusSimulation) -> None:
+        def start_early(simulation: ConsensusSimulation) -> None:
             original = VersionAssignments.version
             self.enterContext(
                 unittest.mock.patch.object(
@@ -44,7 +44,7 @@
                     "version",
                     lambda assignments, target: (
                         original(assignments, target)
-                        or (world.rollout_audit.new_versions.get(assignments.release, ""))
+                        or (simulation.rollout_audit.new_versions.get(assignments.release, ""))
                     ),
                 )
             )
