--- a/tests/compatibility/test_node_bytes.py
+++ b/tests/compatibility/test_node_bytes.py
@@ -17,14 +17,14 @@
 
     def open_peers(self) -> None:
         """Start the node, accept its engine link, and connect a dispatcher."""
-        self.launch(self.told())
-        port = int(self.log("listening").rsplit(":", 1)[1])
+        self.launch(self.configuration())
+        port = int(self.wait_for_log("listening").rsplit(":", 1)[1])
         self.engine.server.settimeout(20)
         self.link, _ = self.engine.server.accept()
         self.engine_commands = self.open_file(self.link)
         self.record_command()
         self.link.sendall(b"HELLO steady 60000.0\r\n")
-        self.log("engine_ready")
+        self.wait_for_log("engine_ready")
         self.socket = socket.create_connection(("127.0.0.1", port), timeout=20)
         self.answers = self.open_file(self.socket)
 
@@ -70,5 +70,5 @@
         self.socket.sendall(resp.encode(b"CHECK", b"3"))
         answers = [read_resp_array(self.answers), read_resp_array(self.answers)]
         self.sent["dispatcher"] = [re.sub(r"signal=[\d.]+", "signal=VALUE", str(words)) for words in answers]
-        self.sent["directory"].append(self.report())
+        self.sent["directory"].append(self.receive_load_report())
         self.assertEqual(self.sent, load_fixture("node-bytes.json"))
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -17,20 +17,20 @@
 from unittest import mock
 
 from tests.support.control_process import ControlledNodeTest
-from tests.support.node_process import TIMEOUT_S, NodeProcessTest, until_refused
+from tests.support.node_process import TIMEOUT_S, NodeProcessTest, wait_until_port_closed
 
 
 class ControlLinkTest(ControlledNodeTest):
     def test_a_status_reports_the_state_and_the_open_requests(self):
-        self.begin(attach=False)
-        link = self.link()
-        self.assertEqual(self.say(link, type="ask", tag=1)["state"], "waiting")
-        self.engine.attach()
-        self.log("engine_ready")
+        self.start_node(attach=False)
+        link = self.connect()
+        self.assertEqual(self.request(link, type="ask", tag=1)["state"], "waiting")
+        self.engine.accept_link()
+        self.wait_for_log("engine_ready")
         dispatcher = self.dispatcher()
         request_id = dispatcher.call("card")
-        self.engine.next()
-        report = self.say(link, type="ask", tag=2)
+        self.engine.next_command()
+        report = self.request(link, type="ask", tag=2)
         self.assertEqual(
             (
                 report["tag"],
@@ -42,51 +42,51 @@
             ),
             (2, "n3", 7, "serving", 1, 1),
         )
-        self.engine.done(request_id)
-        dispatcher.answer()
-        report = self.say(link, type="ask", tag=3)
+        self.engine.send_done(request_id)
+        dispatcher.next_answer()
+        report = self.request(link, type="ask", tag=3)
         self.assertEqual((report["owes"], report["runs"], report["completed"]), (0, 0, 1))
 
     def test_an_order_for_another_generation_changes_nothing(self):
-        self.begin()
-        link = self.link()
-        response = self.say(link, type="leave", tag=1, generation=6)
+        self.start_node()
+        link = self.connect()
+        response = self.request(link, type="leave", tag=1, generation=6)
         self.assertEqual(
             (response["done"], response["why"]),
             (False, "the order is for generation 6, but the node is of generation 7"),
         )
-        self.assertEqual(self.say(link, type="ask", tag=2)["state"], "serving")
+        self.assertEqual(self.request(link, type="ask", tag=2)["state"], "serving")
 
     def test_a_drain_order_drains_as_sigterm_does(self):
-        dispatcher, request_id = self.running("card")
-        link = self.link()
-        self.assertTrue(self.say(link, type="leave", tag=1, generation=7)["done"])
-        report = self.say(link, type="ask", tag=2)
+        dispatcher, request_id = self.start_request("card")
+        link = self.connect()
+        self.assertTrue(self.request(link, type="leave", tag=1, generation=7)["done"])
+        report = self.request(link, type="ask", tag=2)
         self.assertEqual((report["state"], report["owes"]), ("draining", 1))
-        self.engine.done(request_id)
-        self.assertEqual(dispatcher.answer()[1], b"ok")
+        self.engine.send_done(request_id)
+        self.assertEqual(dispatcher.next_answer()[1], b"ok")
         dispatcher.close()
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
         self.assertFalse(os.path.exists(self.path))
 
     def test_malformed_messages_affect_only_their_link(self):
-        self.begin()
-        valid = self.link()
-        incomplete, oversized, malformed = self.link(), self.link(), self.link()
+        self.start_node()
+        valid = self.connect()
+        incomplete, oversized, malformed = self.connect(), self.connect(), self.connect()
         incomplete.write(b'{"type":"ask"')
         oversized.write(b"x" * 5000)
         malformed.write(b"what\n" + b'{"type":"ask","tag":1,"more":2}\n')
         self.assertIn("more than 4096", json.loads(oversized.readline())["why"])
-        self.assertTrue(self.ended(oversized))
+        self.assertTrue(self.is_closed(oversized))
         self.assertFalse(json.loads(malformed.readline())["done"])
         self.assertIn("more", json.loads(malformed.readline())["why"])
         self.assertIn("for too long", json.loads(incomplete.readline())["why"])
-        self.assertTrue(self.ended(incomplete))
-        self.assertEqual(self.say(valid, type="ask", tag=1)["state"], "serving")
+        self.assertTrue(self.is_closed(incomplete))
+        self.assertEqual(self.request(valid, type="ask", tag=1)["state"], "serving")
 
     def test_a_flood_takes_a_bounded_share_of_the_cpu_while_requests_are_served(self):
-        self.begin()
-        flood, poller = self.link(), self.link()
+        self.start_node()
+        flood, poller = self.connect(), self.connect()
         flood._sock.setblocking(False)
         status_requests = b'{"type":"ask","tag":1}\n' * 400
         sent_byte_count = 0
@@ -95,24 +95,24 @@
             with contextlib.suppress(BlockingIOError):
                 sent_byte_count += flood._sock.send(status_requests)
             request_id = dispatcher.call()
-            self.engine.done(self.engine.next()[1])
-            self.assertEqual(dispatcher.answer()[1], b"ok")
+            self.engine.send_done(self.engine.next_command()[1])
+            self.assertEqual(dispatcher.next_answer()[1], b"ok")
         self.assertGreater(sent_byte_count, len(status_requests))
-        cpu_before, started_at = self.say(poller, type="ask", tag=1)["cpu"], time.monotonic_ns()
+        cpu_before, started_at = self.request(poller, type="ask", tag=1)["cpu"], time.monotonic_ns()
         time.sleep(0.5)  # the period over which CPU time is measured
-        cpu_used = self.say(poller, type="ask", tag=2)["cpu"] - cpu_before
+        cpu_used = self.request(poller, type="ask", tag=2)["cpu"] - cpu_before
         self.assertLess(cpu_used / (time.monotonic_ns() - started_at), 0.2)
         self.assertTrue(request_id)
 
     def test_a_link_over_the_limit_replaces_the_least_recently_active_one(self):
-        self.begin()
-        links = [self.link() for _ in range(9)]
-        self.assertEqual(self.say(links[-1], type="ask", tag=1)["tag"], 1)
-        self.assertTrue(self.ended(links[0]))
+        self.start_node()
+        links = [self.connect() for _ in range(9)]
+        self.assertEqual(self.request(links[-1], type="ask", tag=1)["tag"], 1)
+        self.assertTrue(self.is_closed(links[0]))
 
     def test_a_control_socket_that_cannot_be_bound_fails_the_start_with_one_line(self):
         with mock.patch.dict(os.environ, OAKKEEL_CONTROL="/nowhere/at/all.sock"):
-            process = self.launch(self.told())
+            process = self.launch(self.configuration())
         _, error = process.communicate(timeout=TIMEOUT_S)
         self.assertEqual((process.returncode, error.count("\n")), (2, 1))
 
@@ -121,80 +121,82 @@
     """The cancellation of a drain."""
 
     def order_drain(self, link) -> None:
-        self.assertTrue(self.say(link, type="leave", tag=1, generation=7, within=20_000_000_000)["done"])
+        self.assertTrue(self.request(link, type="leave", tag=1, generation=7, within=20_000_000_000)["done"])
 
     def wait_until_not_listening(self) -> None:
-        until_refused(self.port)  # after the grace period of 0.3 s
+        wait_until_port_closed(self.port)  # after the grace period of 0.3 s
 
     def test_a_cancel_after_the_grace_period_accepts_requests_at_once_and_loses_no_request(self):
-        dispatcher, request_id = self.running("card")
+        dispatcher, request_id = self.start_request("card")
         second_dispatcher = self.dispatcher()
-        link = self.link()
+        link = self.connect()
         self.order_drain(link)
-        self.assertEqual(dispatcher.next(), [b"0", b"last"])
+        self.assertEqual(dispatcher.next_array(), [b"0", b"last"])
         grace_id = second_dispatcher.call("card")  # read within the grace period: this request runs
-        self.assertEqual(self.engine.next()[:2], ("RUN", grace_id))
+        self.assertEqual(self.engine.next_command()[:2], ("RUN", grace_id))
         self.wait_until_not_listening()
         # A request after the grace period and before the cancellation does not run.
         second_dispatcher.call("card", tag=2)
-        self.assertEqual(second_dispatcher.answer()[:2], (2, b"full"))
-        self.assertEqual(self.say(link, type="ask", tag=2)["owes_by"], {"card": 2})
-        while self.report() != "PULSE n3 closed":
+        self.assertEqual(second_dispatcher.next_answer()[:2], (2, b"full"))
+        self.assertEqual(self.request(link, type="ask", tag=2)["owes_by"], {"card": 2})
+        while self.receive_load_report() != "PULSE n3 closed":
             pass
-        self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])
+        self.assertTrue(self.request(link, type="stay", tag=3, generation=7)["done"])
         new_dispatcher = self.dispatcher()
         new_id = new_dispatcher.call("card")
-        self.assertEqual(self.engine.next()[:2], ("RUN", new_id))
-        self.engine.done(new_id)
-        self.engine.done(request_id)
-        self.engine.done(grace_id)
+        self.assertEqual(self.engine.next_command()[:2], ("RUN", new_id))
+        self.engine.send_done(new_id)
+        self.engine.send_done(request_id)
+        self.engine.send_done(grace_id)
         for connection in (new_dispatcher, dispatcher, second_dispatcher):
-            self.assertEqual(connection.answer()[1], b"ok")
-        while self.report() != "PULSE n3 open":
+            self.assertEqual(connection.next_answer()[1], b"ok")
+        while self.receive_load_report() != "PULSE n3 open":
             pass
-        self.assertEqual(self.say(link, type="ask", tag=4)["state"], "serving")
+        self.assertEqual(self.request(link, type="ask", tag=4)["state"], "serving")
         self.order_drain(link)  # the node can drain again
-        self.assertEqual(new_dispatcher.next(), [b"0", b"last"])
+        self.assertEqual(new_dispatcher.next_array(), [b"0", b"last"])
         for connection in (new_dispatcher, dispatcher, second_dispatcher):
             connection.close()
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_a_cancel_within_the_grace_period_keeps_the_listening_socket(self):
-        self.begin()
-        link = self.link()
+        self.start_node()
+        link = self.connect()
         self.order_drain(link)
-        self.assertTrue(self.say(link, type="stay", tag=2, generation=7)["done"])
-        self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])  # a repetition is accepted
+        self.assertTrue(self.request(link, type="stay", tag=2, generation=7)["done"])
+        self.assertTrue(
+            self.request(link, type="stay", tag=3, generation=7)["done"]
+        )  # a repetition is accepted
         dispatcher = self.dispatcher()
         request_id = dispatcher.call()
-        self.engine.done(request_id if self.engine.next() else "")
-        self.assertEqual(dispatcher.answer()[1], b"ok")
+        self.engine.send_done(request_id if self.engine.next_command() else "")
+        self.assertEqual(dispatcher.next_answer()[1], b"ok")
 
     def test_sigterm_after_a_drain_order_is_final(self):
-        dispatcher, request_id = self.running("card")
-        link = self.link()
+        dispatcher, request_id = self.start_request("card")
+        link = self.connect()
         self.order_drain(link)
         self.process.send_signal(signal.SIGTERM)
-        while (response := self.say(link, type="stay", tag=2, generation=7))["done"]:
+        while (response := self.request(link, type="stay", tag=2, generation=7))["done"]:
             self.order_drain(link)  # the signal was not handled yet
         self.assertEqual(response["why"], "the drain is final: the node stops after SIGTERM")
-        self.assertFalse(self.say(link, type="stay", tag=3, generation=6)["done"])
-        self.engine.done(request_id)
-        dispatcher.answer()
+        self.assertFalse(self.request(link, type="stay", tag=3, generation=6)["done"])
+        self.engine.send_done(request_id)
+        dispatcher.next_answer()
         dispatcher.close()
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_a_cancel_is_refused_if_another_process_uses_the_address(self):
-        dispatcher, request_id = self.running("card")
-        link = self.link()
+        dispatcher, request_id = self.start_request("card")
+        link = self.connect()
         self.order_drain(link)
         self.wait_until_not_listening()
         with socket.create_server(("127.0.0.1", self.port)):
-            response = self.say(link, type="stay", tag=2, generation=7)
+            response = self.request(link, type="stay", tag=2, generation=7)
         self.assertIn("can't listen again", response["why"])
-        self.assertEqual(self.say(link, type="ask", tag=3)["state"], "draining")
-        self.engine.done(request_id)
-        dispatcher.answer()
+        self.assertEqual(self.request(link, type="ask", tag=3)["state"], "draining")
+        self.engine.send_done(request_id)
+        dispatcher.next_answer()
         dispatcher.close()
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
@@ -212,7 +214,7 @@
         self.variables = {"PYTHONPROFILEIMPORTTIME": "1"}
 
     def test_a_node_is_one_process_without_children_and_loads_no_module_of_the_agent(self):
-        self.launch(self.told())
+        self.launch(self.configuration())
         loaded_modules, port = [], 0
         for line in self.process.stderr:
             if line.startswith("import time:"):
@@ -221,11 +223,11 @@
                 port = int(line.rsplit(":", 1)[1])
                 break
         self.port = port
-        self.engine.attach()
+        self.engine.accept_link()
         dispatcher = self.dispatcher()
         request_id = dispatcher.call()
-        self.engine.done(request_id if self.engine.next() else "")
-        self.assertEqual(dispatcher.answer()[1], b"ok")
+        self.engine.send_done(request_id if self.engine.next_command() else "")
+        self.assertEqual(dispatcher.next_answer()[1], b"ok")
         with open(f"/proc/{self.process.pid}/cmdline", "rb") as file:
             self.assertEqual(file.read().split(b"\0")[1:3], [b"-m", b"oakkeel"])  # exec replaced the shell
         with open(f"/proc/{self.process.pid}/task/{self.process.pid}/children", "rb") as file:
--- a/tests/fair_sharing/test_node.py
+++ b/tests/fair_sharing/test_node.py
@@ -53,11 +53,11 @@
 
     def serve_request(self, dispatcher, client: str) -> None:
         dispatcher.call("card", fields=f",client={client}")
-        self.engine.done(self.engine.next()[1])
-        self.assertEqual(dispatcher.answer()[1], b"ok")
+        self.engine.send_done(self.engine.next_command()[1])
+        self.assertEqual(dispatcher.next_answer()[1], b"ok")
 
     def test_reports_flows_over_the_control_link_and_restores_them_after_a_restart(self):
-        self.begin()
+        self.start_node()
         dispatcher = self.dispatcher()
         for client in ("a", "a", "a", "b"):
             self.serve_request(dispatcher, client)
@@ -70,35 +70,35 @@
         dispatcher.close()
         self.assertEqual(self.process.wait(20), 0)
         self.process.stderr.close()
-        self.engine.number = 0
-        self.begin()
+        self.engine.notice_number = 0
+        self.start_node()
         self.assertEqual([flow["name"] for flow in self.fetch_flows()["clients"]], ["a", "b"])
 
     def test_quarantines_a_damaged_snapshot_and_serves_requests(self):
         with open(os.path.join(self.folder, "n3.shares"), "wb") as file:
             file.write(b"oakkeel snapshot 1\n" + b"x" * 60)
-        self.launch(self.told())
-        self.assertIn("n3.shares.bad", self.log("fair_sharing_snapshot_quarantined"))
-        self.port = int(self.log("listening").rsplit(":", 1)[1])
-        self.engine.attach()
-        self.log("engine_ready")
+        self.launch(self.configuration())
+        self.assertIn("n3.shares.bad", self.wait_for_log("fair_sharing_snapshot_quarantined"))
+        self.port = int(self.wait_for_log("listening").rsplit(":", 1)[1])
+        self.engine.accept_link()
+        self.wait_for_log("engine_ready")
         self.serve_request(self.dispatcher(), "a")
 
     def test_reloads_weights_on_sighup_but_not_flow_fields(self):
-        self.begin()
+        self.start_node()
         self.write_settings(a=4.0)
-        self.reload(self.told())
-        self.assertIn("weights=1", self.log("flow_weights_reloaded"))
+        self.reload(self.configuration())
+        self.assertIn("weights=1", self.wait_for_log("flow_weights_reloaded"))
         self.write_settings(by=("tenant",))
         time.sleep(1.1)  # the log writes a repeated line at most once a second
-        self.reload(self.told())
-        self.assertIn("new_levels=tenant", self.log("flow_key_change_ignored"))
+        self.reload(self.configuration())
+        self.assertIn("new_levels=tenant", self.wait_for_log("flow_key_change_ignored"))
         self.serve_request(self.dispatcher(), "a")
 
     def test_reports_unusable_settings_in_one_line(self):
         for content in ("", "{}x", '{"fair": {"by": []}}', '{"fair": {"by": ["a"], "weights": {"b": -1}}}'):
             with open(self.settings_path, "w") as file:
                 file.write(content)
-            process = self.launch(self.told())
+            process = self.launch(self.configuration())
             _, stderr = process.communicate(timeout=20)
             self.assertEqual((process.returncode, stderr.count("\n")), (2, 1), stderr)
--- a/tests/node/test_duplicates.py
+++ b/tests/node/test_duplicates.py
@@ -149,21 +149,21 @@
         return dispatcher.call("order", body, fields=f",opkey={key}" + options.pop("fields", ""), **options)
 
     def assert_runs(self, request_id: str) -> None:
-        self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
+        self.assertEqual(self.engine.next_command()[:2], ("RUN", request_id))
 
     def wait_until_read(self, dispatcher) -> None:
         """Wait until the node has read everything that the dispatcher has sent."""
         dispatcher.send("CHECK", "99", "")
-        self.assertEqual(dispatcher.answer()[0], 99)
+        self.assertEqual(dispatcher.next_answer()[0], 99)
 
     def begin_with_two_dispatchers(self):
-        self.begin()
+        self.start_node()
         return self.dispatcher(), self.dispatcher()
 
     def occupy_cores(self) -> tuple:
         """Begin, and occupy all cores, so that the next request is queued."""
         dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
-        running_ids = [dispatcher.call("pay") and self.engine.next()[1] for _ in range(4)]
+        running_ids = [dispatcher.call("pay") and self.engine.next_command()[1] for _ in range(4)]
         return dispatcher, other_dispatcher, running_ids
 
     def test_requests_of_two_tenants_with_one_key_both_run_and_get_their_own_results(self):
@@ -172,10 +172,10 @@
         self.assert_runs(first_id)
         second_id = self.send_order(other_dispatcher, fields=",owner=fete")
         self.assert_runs(second_id)
-        self.engine.done(second_id, body=b"for fete")
-        self.engine.done(first_id, body=b"for hall")
-        self.assertEqual(dispatcher.answer()[1::2], (b"ok", b"for hall"))
-        self.assertEqual(other_dispatcher.answer()[1::2], (b"ok", b"for fete"))
+        self.engine.send_done(second_id, body=b"for fete")
+        self.engine.send_done(first_id, body=b"for hall")
+        self.assertEqual(dispatcher.next_answer()[1::2], (b"ok", b"for hall"))
+        self.assertEqual(other_dispatcher.next_answer()[1::2], (b"ok", b"for fete"))
 
     def test_a_request_with_a_known_key_and_another_body_gets_no_result(self):
         # A client that guesses a key must not get the result of another client's request.
@@ -183,13 +183,13 @@
         first_id = self.send_order(dispatcher)
         self.assert_runs(first_id)
         self.send_order(other_dispatcher, body=b"nine seats")
-        self.assertEqual(other_dispatcher.answer()[1::2], (b"fault", b""))
-        self.engine.done(first_id)
-        self.assertEqual(dispatcher.answer()[1], b"ok")
+        self.assertEqual(other_dispatcher.next_answer()[1::2], (b"fault", b""))
+        self.engine.send_done(first_id)
+        self.assertEqual(dispatcher.next_answer()[1], b"ok")
         self.send_order(other_dispatcher, body=b"nine seats", tag=2)  # also rejected after the run
-        self.assertEqual(other_dispatcher.answer()[1::2], (b"fault", b""))
+        self.assertEqual(other_dispatcher.next_answer()[1::2], (b"fault", b""))
         self.send_order(dispatcher, tag=2)
-        self.assertEqual(dispatcher.answer()[1::2], (b"ok", b"result"))
+        self.assertEqual(dispatcher.next_answer()[1::2], (b"ok", b"result"))
         self.assertTrue(self.engine.commands.empty())
 
     def test_a_request_that_the_engine_does_not_know_leaves_its_key_available(self):
@@ -197,12 +197,12 @@
         dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
         unknown_id = self.send_order(other_dispatcher)
         self.assert_runs(unknown_id)
-        self.engine.say(f"NO RUN {unknown_id}")
-        self.assertEqual(other_dispatcher.answer()[1], b"fault")
+        self.engine.send_line(f"NO RUN {unknown_id}")
+        self.assertEqual(other_dispatcher.next_answer()[1], b"fault")
         first_id = self.send_order(dispatcher)
         self.assert_runs(first_id)
-        self.engine.done(first_id)
-        self.assertEqual(dispatcher.answer()[1], b"ok")
+        self.engine.send_done(first_id)
+        self.assertEqual(dispatcher.next_answer()[1], b"ok")
 
     def test_duplicates_of_a_queued_running_or_finished_request_share_one_run(self):
         dispatcher, other_dispatcher, running_ids = self.occupy_cores()
@@ -210,13 +210,13 @@
         self.wait_until_read(dispatcher)
         self.send_order(other_dispatcher, tag=1, fields=",resent=1")  # while the first is queued
         self.wait_until_read(other_dispatcher)
-        self.engine.done(running_ids[0])
+        self.engine.send_done(running_ids[0])
         self.assert_runs(first_id)
         self.send_order(other_dispatcher, tag=2, fields=",resent=1")  # while the first runs
         self.wait_until_read(other_dispatcher)
-        self.engine.done(first_id, body=b"once")
+        self.engine.send_done(first_id, body=b"once")
         self.send_order(other_dispatcher, tag=3, fields=",resent=1")  # when the first has just finished
-        answers = [other_dispatcher.answer()[::3] for _ in range(3)]
+        answers = [other_dispatcher.next_answer()[::3] for _ in range(3)]
         # The third may be read between the end of the run and the wake-up of the two followers.
         self.assertIn([tag for tag, _ in answers], ([1, 2, 3], [1, 3, 2], [3, 1, 2]))
         self.assertEqual([body for _, body in answers], [b"once"] * 3)
@@ -232,8 +232,8 @@
         self.send_order(dispatcher)
         dispatcher.socket.real.sendall(b"".join(sent_chunks))
         self.assert_runs(first_id)
-        self.engine.done(first_id, body=b"once")
-        self.assertEqual([dispatcher.answer()[::3] for _ in range(2)], [(1, b"once"), (2, b"once")])
+        self.engine.send_done(first_id, body=b"once")
+        self.assertEqual([dispatcher.next_answer()[::3] for _ in range(2)], [(1, b"once"), (2, b"once")])
         self.assertTrue(self.engine.commands.empty())
 
     def test_followers_of_a_request_cancelled_in_the_queue_are_rejected_with_retry_after(self):
@@ -244,11 +244,11 @@
         self.send_order(other_dispatcher, fields=",resent=1")
         self.wait_until_read(other_dispatcher)
         dispatcher.send("CANCEL", "9")
-        tag, status, fields, _ = other_dispatcher.answer()
+        tag, status, fields, _ = other_dispatcher.next_answer()
         self.assertEqual((tag, status), (1, b"full"))
         self.assertIn(b"holdoff=", fields)
         resent_id = self.send_order(other_dispatcher, tag=2, fields=",resent=1")
-        self.engine.done(running_ids[0])
+        self.engine.send_done(running_ids[0])
         self.assert_runs(resent_id)
 
     def test_followers_of_a_request_cancelled_while_running_fail(self):
@@ -258,40 +258,40 @@
         self.send_order(other_dispatcher, fields=",resent=1")
         self.wait_until_read(other_dispatcher)
         dispatcher.send("CANCEL", "1")
-        self.assertEqual(self.engine.next()[:2], ("HALT", first_id))
-        self.engine.done(first_id, "interrupted", b"")
-        self.assertEqual(other_dispatcher.answer()[:2], (1, b"fault"))
+        self.assertEqual(self.engine.next_command()[:2], ("HALT", first_id))
+        self.engine.send_done(first_id, "interrupted", b"")
+        self.assertEqual(other_dispatcher.next_answer()[:2], (1, b"fault"))
         self.send_order(other_dispatcher, tag=2, fields=",resent=1")  # must not run again in the window
-        self.assertEqual(other_dispatcher.answer()[:2], (2, b"fault"))
+        self.assertEqual(other_dispatcher.next_answer()[:2], (2, b"fault"))
         self.assertTrue(self.engine.commands.empty())
 
     def test_a_duplicate_of_a_failed_request_fails_and_does_not_run(self):
         dispatcher, other_dispatcher = self.begin_with_two_dispatchers()
         first_id = self.send_order(dispatcher, timeout=1500)
         self.assert_runs(first_id)
-        self.assertEqual(dispatcher.answer()[1], b"fault")
-        self.assertEqual(self.engine.next()[:2], ("HALT", first_id))
+        self.assertEqual(dispatcher.next_answer()[1], b"fault")
+        self.assertEqual(self.engine.next_command()[:2], ("HALT", first_id))
         self.send_order(other_dispatcher, timeout=400, fields=",resent=1")  # the run outlasts this request
-        self.assertEqual(other_dispatcher.answer()[1], b"fault")
-        self.engine.done(first_id, "interrupted", b"")
+        self.assertEqual(other_dispatcher.next_answer()[1], b"fault")
+        self.engine.send_done(first_id, "interrupted", b"")
         self.send_order(other_dispatcher, tag=2, fields=",resent=1")
-        self.assertEqual(other_dispatcher.answer()[1], b"fault")
+        self.assertEqual(other_dispatcher.next_answer()[1], b"fault")
         self.assertTrue(self.engine.commands.empty())
 
     def test_a_request_after_the_window_runs_even_if_the_first_still_runs(self):
-        self.begin(settings=self.short_window_settings())
+        self.start_node(settings=self.short_window_settings())
         dispatcher, other_dispatcher = self.dispatcher(), self.dispatcher()
         first_id = self.send_order(dispatcher, age=100)  # sent 100 ms ago: its window of 1 ms is over
         self.assert_runs(first_id)
         late_id = self.send_order(other_dispatcher)
         self.assert_runs(late_id)
-        self.engine.done(late_id, body=b"second")
-        self.engine.done(first_id, body=b"first")
-        self.assertEqual(other_dispatcher.answer()[3], b"second")
-        self.assertEqual(dispatcher.answer()[3], b"first")
+        self.engine.send_done(late_id, body=b"second")
+        self.engine.send_done(first_id, body=b"first")
+        self.assertEqual(other_dispatcher.next_answer()[3], b"second")
+        self.assertEqual(dispatcher.next_answer()[3], b"first")
 
     def short_window_settings(self) -> dict:
-        settings = self.settings()
+        settings = self.settings_with_extra()
         settings["classes"] = [{**request_class, "window": 1 * MS} for request_class in settings["classes"]]
         return settings
 
@@ -301,26 +301,26 @@
         self.process.kill()
         self.process.wait()
         self.process.stderr.close()
-        self.begin(listen=f"127.0.0.1:{self.port}", state="booting", age="1.0")
-        self.engine.number = 0
+        self.start_node(listen=f"127.0.0.1:{self.port}", state="booting", age="1.0")
+        self.engine.notice_number = 0
         other_dispatcher = self.dispatcher()
         resent_id = self.send_order(other_dispatcher, fields=",resent=1")
         self.assert_runs(resent_id)
-        self.engine.done(resent_id)
-        self.assertEqual(other_dispatcher.answer()[1], b"ok")
+        self.engine.send_done(resent_id)
+        self.assertEqual(other_dispatcher.next_answer()[1], b"ok")
 
     def test_a_full_cache_rejects_new_keys_and_recognizes_the_retained_ones(self):
-        self.begin(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # a capacity of one key
+        self.start_node(limits={"cores": 1.0, "memory_mb": 0.1, "sockets": 1024})  # a capacity of one key
         dispatcher, other_dispatcher = self.dispatcher(), self.dispatcher()
         first_id = self.send_order(dispatcher)
         self.assert_runs(first_id)
         self.send_order(other_dispatcher, "k2")
-        _tag, status, fields, _ = other_dispatcher.answer()
+        _tag, status, fields, _ = other_dispatcher.next_answer()
         self.assertEqual(status, b"full")
         self.assertIn(b"holdoff=", fields)
-        self.engine.done(first_id)
+        self.engine.send_done(first_id)
         self.send_order(other_dispatcher, tag=2, fields=",resent=1")
-        self.assertEqual(other_dispatcher.answer()[1], b"ok")
+        self.assertEqual(other_dispatcher.next_answer()[1], b"ok")
 
 
 if __name__ == "__main__":
--- a/tests/node/test_handover.py
+++ b/tests/node/test_handover.py
@@ -16,105 +16,109 @@
 
 class HandoverTest(NodeProcessTest):
     def test_a_second_loss_while_a_link_is_restored_repeats_no_run(self):
-        dispatcher, request_id = self.running("pay")
-        self.engine.lose()
+        dispatcher, request_id = self.start_request("pay")
+        self.engine.drop_link()
         for _ in range(3):  # the link is lost again after the greeting and the first STAT
-            self.engine.attach(answer=False)
-            self.engine.say(f"HELLO steady {self.engine.age()}")
+            self.engine.accept_link(answer=False)
+            self.engine.send_line(f"HELLO steady {self.engine.age()}")
             self.assertEqual(self.engine.stream.readline().split()[0], b"STAT")
-            self.engine.lose()
+            self.engine.drop_link()
             self.engine.stream.close()
-        self.engine.attach()
+        self.engine.accept_link()
         second_id = dispatcher.call("pay")
-        self.assertEqual(self.engine.next()[:2], ("RUN", second_id))  # the first RUN is not sent again
-        self.engine.done(request_id)
-        self.engine.done(second_id)
-        self.assertEqual(sorted(dispatcher.answer()[:2] for _ in range(2)), [(1, b"ok"), (2, b"ok")])
+        self.assertEqual(
+            self.engine.next_command()[:2], ("RUN", second_id)
+        )  # the first RUN is not sent again
+        self.engine.send_done(request_id)
+        self.engine.send_done(second_id)
+        self.assertEqual(sorted(dispatcher.next_answer()[:2] for _ in range(2)), [(1, b"ok"), (2, b"ok")])
 
     def test_a_halt_that_is_unread_when_the_link_is_lost_is_sent_again(self):
-        dispatcher, request_id = self.running("card")
-        self.engine.lose()
-        self.assertIn("reason=", self.log("engine_link_lost"))
+        dispatcher, request_id = self.start_request("card")
+        self.engine.drop_link()
+        self.assertIn("reason=", self.wait_for_log("engine_link_lost"))
         dispatcher.send("CANCEL", "1")
         dispatcher.send("CHECK", "9", "")
-        self.assertEqual(dispatcher.answer()[0], 9)
-        self.engine.attach()
-        commands = [self.engine.next()[:2] for _ in range(2)]
+        self.assertEqual(dispatcher.next_answer()[0], 9)
+        self.engine.accept_link()
+        commands = [self.engine.next_command()[:2] for _ in range(2)]
         self.assertIn(("HALT", request_id), commands)
 
     def test_a_restarted_engine_fails_the_earlier_runs_and_takes_new_ones(self):
         # A restarted engine numbers its notices from 1 again: they must not be taken for duplicates.
-        self.begin()
+        self.start_node()
         dispatcher = self.dispatcher()
         finished_id, lost_id = dispatcher.call("quote"), dispatcher.call("pay")
-        self.assertEqual({self.engine.next()[1], self.engine.next()[1]}, {finished_id, lost_id})
-        self.engine.done(finished_id)
-        self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
-        self.engine.lose()
-        self.log("engine_link_lost")
+        self.assertEqual(
+            {self.engine.next_command()[1], self.engine.next_command()[1]}, {finished_id, lost_id}
+        )
+        self.engine.send_done(finished_id)
+        self.assertEqual(dispatcher.next_answer()[:2], (1, b"ok"))
+        self.engine.drop_link()
+        self.wait_for_log("engine_link_lost")
         # The RUN of this request is not written before the restart: the new engine runs the request.
         unwritten_id = dispatcher.call("card")
         dispatcher.send("CHECK", "9", "")
-        self.assertEqual(dispatcher.answer()[0], 9)
-        self.engine.number = 0
-        self.assertEqual(self.engine.attach("booting", "5.0", answer=False), 1)
-        self.engine.say("HELLO booting 5.0")
-        self.assertEqual(self.engine.attach("booting"), 0)
+        self.assertEqual(dispatcher.next_answer()[0], 9)
+        self.engine.notice_number = 0
+        self.assertEqual(self.engine.accept_link("booting", "5.0", answer=False), 1)
+        self.engine.send_line("HELLO booting 5.0")
+        self.assertEqual(self.engine.accept_link("booting"), 0)
         # The second request may have run on the earlier engine, and must not run again.
-        self.assertEqual(dispatcher.answer()[:2], (2, b"fault"))
-        self.assertEqual(self.engine.next()[:2], ("RUN", unwritten_id))
-        self.engine.done(unwritten_id)
-        self.assertEqual(dispatcher.answer()[:2], (3, b"ok"))
+        self.assertEqual(dispatcher.next_answer()[:2], (2, b"fault"))
+        self.assertEqual(self.engine.next_command()[:2], ("RUN", unwritten_id))
+        self.engine.send_done(unwritten_id)
+        self.assertEqual(dispatcher.next_answer()[:2], (3, b"ok"))
         new_id = dispatcher.call("pay", tag=10)
-        self.assertEqual(self.engine.next()[:2], ("RUN", new_id))
-        self.engine.done(new_id)
-        self.assertEqual(dispatcher.answer()[:2], (10, b"ok"))
+        self.assertEqual(self.engine.next_command()[:2], ("RUN", new_id))
+        self.engine.send_done(new_id)
+        self.assertEqual(dispatcher.next_answer()[:2], (10, b"ok"))
 
     def test_a_delayed_greeting_is_not_taken_for_a_restart(self):
-        self.begin()
+        self.start_node()
         dispatcher = self.dispatcher()
         request_id = dispatcher.call("pay")
-        self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
-        self.engine.lose()
-        self.assertEqual(self.engine.attach(age=str(float(self.engine.age()) - 400)), 0)
-        self.engine.done(request_id)
-        self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
+        self.assertEqual(self.engine.next_command()[:2], ("RUN", request_id))
+        self.engine.drop_link()
+        self.assertEqual(self.engine.accept_link(age=str(float(self.engine.age()) - 400)), 0)
+        self.engine.send_done(request_id)
+        self.assertEqual(dispatcher.next_answer()[:2], (1, b"ok"))
 
     def test_calls_in_flight_at_a_move_of_the_catalogue_finish_on_their_link(self):
-        dispatcher, request_id, link = self.calling("card")
+        dispatcher, request_id, link = self.start_downstream_call("card")
         old_catalogue = self.catalogue
         self.catalogue = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(old_catalogue.close)
-        self.reload(self.told())
-        self.log("configuration_reloaded")
+        self.reload(self.configuration())
+        self.wait_for_log("configuration_reloaded")
         second_id = dispatcher.call("card")
-        self.assertEqual(self.engine.next()[:2], ("RUN", second_id))
-        self.engine.need(second_id)
+        self.assertEqual(self.engine.next_command()[:2], ("RUN", second_id))
+        self.engine.send_need(second_id)
         new_link = self.catalogue_link()
-        self.assertEqual(new_link.next()[:2], ("FETCH", second_id))
-        link.say(f"{request_id} DATA 3", b"old")
-        self.assertEqual(self.engine.next()[:2], ("FEED", request_id))
-        new_link.say(f"{second_id} DATA 3", b"new")
-        self.assertEqual(self.engine.next()[:2], ("FEED", second_id))
+        self.assertEqual(new_link.next_command()[:2], ("FETCH", second_id))
+        link.send_line(f"{request_id} DATA 3", b"old")
+        self.assertEqual(self.engine.next_command()[:2], ("FEED", request_id))
+        new_link.send_line(f"{second_id} DATA 3", b"new")
+        self.assertEqual(self.engine.next_command()[:2], ("FEED", second_id))
         self.assertEqual(link.stream.readline(), b"")  # the earlier link closes after its last call
 
     def test_a_non_idempotent_call_whose_link_closes_as_it_is_written_is_not_sent_again(self):
-        dispatcher, _request_id, link = self.calling("pay")
+        dispatcher, _request_id, link = self.start_downstream_call("pay")
         link.close()
-        self.assertEqual(dispatcher.answer()[:2], (1, b"fault"))
+        self.assertEqual(dispatcher.next_answer()[:2], (1, b"fault"))
         self.catalogue.setblocking(False)
         self.assertRaises(BlockingIOError, self.catalogue.accept)
 
     def test_a_request_and_its_answer_are_complete_when_transferred_byte_by_byte(self):
-        self.begin()
+        self.start_node()
         dispatcher = self.dispatcher()
         dispatcher.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sent_at = time.time_ns() // MS
         data = encode(b"CALL", b"1", b"quote", b"req=%016x,ts=%d,need=1,timeout=9000" % (7, sent_at), b"body")
         for offset in range(len(data)):
             dispatcher.socket.sendall(data[offset : offset + 1])
-        request_id = self.engine.next()[1]
-        self.engine.done(request_id, body=b"r" * 500)
+        request_id = self.engine.next_command()[1]
+        self.engine.send_done(request_id, body=b"r" * 500)
         answer = b""
         while not answer.endswith(b"r" * 500 + b"\r\n"):
             answer += dispatcher.socket.recv(1)
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -13,7 +13,7 @@
 from oakkeel.dispatch.resp import encode
 from oakkeel.units import MS
 from tests.support.control_process import ControlledNodeTest
-from tests.support.node_process import TIMEOUT_S, NodeProcessTest, until_refused
+from tests.support.node_process import TIMEOUT_S, NodeProcessTest, wait_until_port_closed
 
 
 class SignalTest(NodeProcessTest):
@@ -37,21 +37,21 @@
         _, file = self.launch_with_configuration_in_a_pipe()
         self.process.send_signal(signal.SIGTERM)
         with file:
-            json.dump(self.told(), file)
-        self.log("drain_started")
+            json.dump(self.configuration(), file)
+        self.wait_for_log("drain_started")
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_sighup_during_the_start_reloads_after_it(self):
         path, file = self.launch_with_configuration_in_a_pipe()
         self.process.send_signal(signal.SIGHUP)
         with open(path + ".new", "w") as new_file:
-            json.dump(self.told(), new_file)
+            json.dump(self.configuration(), new_file)
         os.replace(path + ".new", path)
         with file:
-            json.dump(self.told(), file)
-        self.log("configuration_reloaded")
-        self.engine.attach()
-        self.engine.done(self.connect_dispatcher().call() and self.engine.next()[1])
+            json.dump(self.configuration(), file)
+        self.wait_for_log("configuration_reloaded")
+        self.engine.accept_link()
+        self.engine.send_done(self.connect_dispatcher().call() and self.engine.next_command()[1])
 
     def connect_dispatcher(self):
         self.port = self.listening_port()
@@ -73,9 +73,9 @@
 
     def test_signals_during_the_shutdown_do_not_change_the_exit_code(self):
         for signal_number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-            self.begin()
+            self.start_node()
             self.process.send_signal(signal.SIGTERM)
-            self.log("node_stopped")
+            self.wait_for_log("node_stopped")
             with contextlib.suppress(ProcessLookupError):
                 for _ in range(50):
                     self.process.send_signal(signal_number)
@@ -83,56 +83,56 @@
             self.process.stderr.close()
 
     def test_a_signal_between_the_greeting_and_the_first_request_stops_the_node(self):
-        self.begin()
+        self.start_node()
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_queued_running_and_calling_requests_are_all_answered_after_a_signal(self):
-        self.begin()
+        self.start_node()
         dispatcher = self.dispatcher()
         request_ids = [dispatcher.call("card") for _ in range(6)]
-        started_ids = [self.engine.next()[1] for _ in range(4)]
-        self.engine.need(started_ids[0])
+        started_ids = [self.engine.next_command()[1] for _ in range(4)]
+        self.engine.send_need(started_ids[0])
         link = self.catalogue_link()
-        self.assertEqual(link.next()[:2], ("FETCH", started_ids[0]))
+        self.assertEqual(link.next_command()[:2], ("FETCH", started_ids[0]))
         self.process.send_signal(signal.SIGTERM)
         self.process.send_signal(signal.SIGTERM)
-        self.log("drain_started")
-        link.say(f"{started_ids[0]} DATA 5", b"reply")
-        self.engine.done(started_ids[1])
+        self.wait_for_log("drain_started")
+        link.send_line(f"{started_ids[0]} DATA 5", b"reply")
+        self.engine.send_done(started_ids[1])
         is_run = {started_ids[0]: False}
         for _ in range(3):  # the FEED of the reply, and the RUN of the two queued requests
-            verb, request_id, *_ = self.engine.next()
+            verb, request_id, *_ = self.engine.next_command()
             is_run[request_id] = verb == "RUN"
-            self.engine.done(request_id)
+            self.engine.send_done(request_id)
         for request_id in started_ids[2:]:
-            self.engine.done(request_id)
+            self.engine.send_done(request_id)
         self.assertEqual(set(is_run), set(request_ids) - set(started_ids[1:]))
         self.assertEqual(
-            sorted(dispatcher.answer()[:2] for _ in request_ids), [(tag, b"ok") for tag in range(1, 7)]
+            sorted(dispatcher.next_answer()[:2] for _ in request_ids), [(tag, b"ok") for tag in range(1, 7)]
         )
         dispatcher.close()
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_requests_completed_within_the_grace_period_after_a_signal_are_served(self):
-        self.begin()
+        self.start_node()
         dispatchers = [self.dispatcher() for _ in range(2)]
         for dispatcher in dispatchers:
             dispatcher.socket.sendall(self.encode_request()[:20])
             # The answer to a health check shows that the event loop has polled its sockets since.
             checker = self.dispatcher()
             checker.send("CHECK", "1", "")
-            self.assertEqual(checker.answer()[1], b"yes")
+            self.assertEqual(checker.next_answer()[1], b"yes")
         self.process.send_signal(signal.SIGTERM)
         for dispatcher in dispatchers:
-            self.assertEqual(dispatcher.next(), [b"0", b"last"])
+            self.assertEqual(dispatcher.next_array(), [b"0", b"last"])
         dispatchers[0].socket.sendall(self.encode_request()[20:])
-        request_id = self.engine.next()[1]
-        until_refused(self.port)  # the grace period ends
+        request_id = self.engine.next_command()[1]
+        wait_until_port_closed(self.port)  # the grace period ends
         dispatchers[1].socket.sendall(self.encode_request()[20:])
-        self.assertEqual(dispatchers[1].answer()[:2], (1, b"full"))
-        self.engine.done(request_id)
-        self.assertEqual(dispatchers[0].answer()[:2], (1, b"ok"))
+        self.assertEqual(dispatchers[1].next_answer()[:2], (1, b"full"))
+        self.engine.send_done(request_id)
+        self.assertEqual(dispatchers[0].next_answer()[:2], (1, b"ok"))
         for dispatcher in dispatchers:
             dispatcher.close()
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
@@ -143,81 +143,81 @@
         return encode(b"CALL", b"1", b"quote", fields, b"body")
 
     def test_sigterm_during_a_move_of_the_engine_loses_no_request(self):
-        dispatcher, request_id = self.running("card")
-        self.replace_parties()
-        self.reload(self.told())
-        self.log("configuration_reloaded")
+        dispatcher, request_id = self.start_request("card")
+        self.replace_peers()
+        self.reload(self.configuration())
+        self.wait_for_log("configuration_reloaded")
         self.process.send_signal(signal.SIGTERM)
-        self.log("drain_started")
-        self.engine.attach()
-        self.engine.done(request_id)
-        self.assertEqual(dispatcher.answer()[:2], (1, b"ok"))
+        self.wait_for_log("drain_started")
+        self.engine.accept_link()
+        self.engine.send_done(request_id)
+        self.assertEqual(dispatcher.next_answer()[:2], (1, b"ok"))
         dispatcher.close()
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
 
     def test_a_truncated_missing_or_foreign_file_changes_no_request_class(self):
-        self.begin()
-        document = json.dumps(self.told())
+        self.start_node()
+        document = json.dumps(self.configuration())
         for text in (
             document[: len(document) // 2],
             "",
             "[" * 100_000,
-            self.told(seed=[]),
-            self.told(seed={}),
-            self.told(limits=[1]),
-            self.told(settings=[1]),
-            self.told(stop_ms=None),
+            self.configuration(seed=[]),
+            self.configuration(seed={}),
+            self.configuration(limits=[1]),
+            self.configuration(settings=[1]),
+            self.configuration(stop_ms=None),
         ):
             self.reload(text)
-            self.assertEqual(self.log("configuration").count("configuration_rejected"), 1)
+            self.assertEqual(self.wait_for_log("configuration").count("configuration_rejected"), 1)
         os.rename(self.config, self.config + ".gone")
         self.process.send_signal(signal.SIGHUP)
-        self.log("configuration_rejected")
+        self.wait_for_log("configuration_rejected")
         os.rename(self.config + ".gone", self.config)
-        foreign_settings = self.settings()
+        foreign_settings = self.settings_with_extra()
         foreign_settings["classes"] = [{**foreign_settings["classes"][0], "name": "foreign"}]
         foreign_settings["tenants"] = [{"name": "hall", "allowance-per-s": 1.0}]
-        self.reload(self.told(settings=foreign_settings))
-        self.log("configuration_reloaded")
+        self.reload(self.configuration(settings=foreign_settings))
+        self.wait_for_log("configuration_reloaded")
         dispatcher = self.dispatcher()
         dispatcher.call("foreign")
-        self.assertEqual(dispatcher.answer()[:2], (1, b"fault"))
+        self.assertEqual(dispatcher.next_answer()[:2], (1, b"fault"))
         request_id = dispatcher.call("quote")
-        self.engine.done(self.engine.next()[1])
-        self.assertEqual(dispatcher.answer()[:2], (2, b"ok"), request_id)
+        self.engine.send_done(self.engine.next_command()[1])
+        self.assertEqual(dispatcher.next_answer()[:2], (2, b"ok"), request_id)
 
 
 class DrainDeadlineTest(NodeProcessTest):
     def test_dispatchers_that_never_close_do_not_delay_the_stop(self):
         # The node must not wait until SIGKILL for dispatchers that never close their connections.
-        self.begin(stop_ms=1500)
+        self.start_node(stop_ms=1500)
         idle_dispatcher, unread_dispatcher = self.dispatcher(), self.dispatcher()
-        self.engine.done(idle_dispatcher.call() and self.engine.next()[1])
-        self.assertEqual(idle_dispatcher.answer()[1], b"ok")
+        self.engine.send_done(idle_dispatcher.call() and self.engine.next_command()[1])
+        self.assertEqual(idle_dispatcher.next_answer()[1], b"ok")
         unread_dispatcher.send("CHECK", "1", "")
         self.process.send_signal(signal.SIGTERM)
-        self.log("drain_deadline_reached")
+        self.wait_for_log("drain_deadline_reached")
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
-        self.assertEqual(idle_dispatcher.next(), [b"0", b"last"])
-        self.assertEqual(idle_dispatcher.next(), [])  # the connection is closed without a reset
+        self.assertEqual(idle_dispatcher.next_array(), [b"0", b"last"])
+        self.assertEqual(idle_dispatcher.next_array(), [])  # the connection is closed without a reset
 
     def test_a_request_after_the_grace_period_is_rejected_or_unanswered_and_never_runs(self):
-        self.begin()
+        self.start_node()
         idle_dispatcher = self.dispatcher()
-        self.engine.done(idle_dispatcher.call() and self.engine.next()[1])
-        self.assertEqual(idle_dispatcher.answer()[1], b"ok")
+        self.engine.send_done(idle_dispatcher.call() and self.engine.next_command()[1])
+        self.assertEqual(idle_dispatcher.next_answer()[1], b"ok")
         self.process.send_signal(signal.SIGTERM)
-        until_refused(self.port)  # the grace period ends
+        wait_until_port_closed(self.port)  # the grace period ends
         idle_dispatcher.call(tag=2)
         answers = []
-        while words := idle_dispatcher.next():
+        while words := idle_dispatcher.next_array():
             answers.append(words[:2])
         self.assertIn(answers, ([[b"0", b"last"], [b"2", b"full"]], [[b"0", b"last"]]))
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
-        self.assertEqual(self.engine.next(), ("END",))
+        self.assertEqual(self.engine.next_command(), ("END",))
 
     def test_a_flood_of_connects_does_not_delay_the_end_of_the_grace_period(self):
-        self.begin(stop_ms=20_000)
+        self.start_node(stop_ms=20_000)
         is_refused = threading.Event()
 
         def open_connections():
@@ -244,62 +244,62 @@
 
     def test_a_node_is_listed_only_once_it_accepts_requests(self):
         # A node must not report `open` before its engine is up, not even after a restart.
-        self.begin(attach=False)
+        self.start_node(attach=False)
         dispatcher = self.dispatcher()
         dispatcher.send("CHECK", "1", "")
-        self.assertEqual(dispatcher.answer()[1], b"no")
+        self.assertEqual(dispatcher.next_answer()[1], b"no")
         self.assert_no_report()
-        self.engine.attach()
-        self.assertEqual(self.report(), "PULSE n3 open")
+        self.engine.accept_link()
+        self.assertEqual(self.receive_load_report(), "PULSE n3 open")
         dispatcher.send("CHECK", "2", "")
-        self.assertEqual(dispatcher.answer()[1], b"yes")
-        self.engine.done(dispatcher.call(tag=3) and self.engine.next()[1])
-        self.assertEqual(dispatcher.answer()[:2], (3, b"ok"))
+        self.assertEqual(dispatcher.next_answer()[1], b"yes")
+        self.engine.send_done(dispatcher.call(tag=3) and self.engine.next_command()[1])
+        self.assertEqual(dispatcher.next_answer()[:2], (3, b"ok"))
 
     def test_a_node_that_drains_before_its_engine_is_up_is_never_listed(self):
-        self.begin(attach=False)
+        self.start_node(attach=False)
         dispatcher = self.dispatcher()
         dispatcher.send("CHECK", "1", "")
-        self.assertEqual(dispatcher.answer()[1], b"no")
+        self.assertEqual(dispatcher.next_answer()[1], b"no")
         self.process.send_signal(signal.SIGTERM)
-        self.assertEqual(dispatcher.next(), [b"0", b"last"])
-        self.engine.attach()
+        self.assertEqual(dispatcher.next_array(), [b"0", b"last"])
+        self.engine.accept_link()
         dispatcher.close()
         self.assertEqual(self.process.wait(TIMEOUT_S), 0)
         self.assert_no_report()
 
     def test_an_engine_that_comes_up_in_a_cancelled_drain_is_used(self):
-        self.begin(attach=False, state="booting")
+        self.start_node(attach=False, state="booting")
         dispatcher = self.dispatcher()
         dispatcher.send("CHECK", "1", "")
-        self.assertEqual(dispatcher.answer()[1], b"no")
-        link = self.link()
-        self.assertTrue(self.say(link, type="leave", tag=1, generation=7, within=20_000_000_000)["done"])
-        self.assertEqual(dispatcher.next(), [b"0", b"last"])
-        self.engine.attach(age="1000.0", answer=False)
-        self.engine.say(f"HELLO booting {self.engine.age()}")
+        self.assertEqual(dispatcher.next_answer()[1], b"no")
+        link = self.connect()
+        self.assertTrue(self.request(link, type="leave", tag=1, generation=7, within=20_000_000_000)["done"])
+        self.assertEqual(dispatcher.next_array(), [b"0", b"last"])
+        self.engine.accept_link(age="1000.0", answer=False)
+        self.engine.send_line(f"HELLO booting {self.engine.age()}")
         barrier = self.engine.stream.readline().split()  # STAT follows the greeting, so the node has read it
-        self.assertEqual(self.say(link, type="ask", tag=2)["state"], "draining")
-        self.engine.say(f"STATS {barrier[1].decode()} {self.engine.gauges}")
+        self.assertEqual(self.request(link, type="ask", tag=2)["state"], "draining")
+        self.engine.send_line(f"STATS {barrier[1].decode()} {self.engine.gauges}")
         reader = threading.Thread(
             target=self.engine._read, daemon=True, args=(self.engine.stream, self.engine.commands)
         )
         reader.start()
-        self.engine.answering = True
-        self.assertTrue(self.say(link, type="stay", tag=3, generation=7)["done"])
-        self.log("engine_ready")
-        self.assertEqual(self.say(link, type="ask", tag=4)["state"], "cold")
+        self.engine.answers_stat = True
+        self.assertTrue(self.request(link, type="stay", tag=3, generation=7)["done"])
+        self.wait_for_log("engine_ready")
+        self.assertEqual(self.request(link, type="ask", tag=4)["state"], "cold")
         new_dispatcher = self.dispatcher()
-        self.engine.done(new_dispatcher.call() and self.engine.next()[1])
-        self.assertEqual(new_dispatcher.answer()[1], b"ok")
+        self.engine.send_done(new_dispatcher.call() and self.engine.next_command()[1])
+        self.assertEqual(new_dispatcher.next_answer()[1], b"ok")
 
     def test_a_missing_or_moved_directory_does_not_delay_requests(self):
-        self.begin(lookup="127.0.0.1:1")
+        self.start_node(lookup="127.0.0.1:1")
         dispatcher = self.dispatcher()
-        self.engine.done(dispatcher.call() and self.engine.next()[1])
-        self.assertEqual(dispatcher.answer()[1], b"ok")
-        self.reload(self.told())
-        self.assertEqual(self.report(), "PULSE n3 open")
+        self.engine.send_done(dispatcher.call() and self.engine.next_command()[1])
+        self.assertEqual(dispatcher.next_answer()[1], b"ok")
+        self.reload(self.configuration())
+        self.assertEqual(self.receive_load_report(), "PULSE n3 open")
 
 
 if __name__ == "__main__":
--- a/tests/support/control_process.py
+++ b/tests/support/control_process.py
@@ -17,7 +17,7 @@
         self.path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "n3.sock")
         self.enterContext(mock.patch.dict(os.environ, OAKKEEL_CONTROL=self.path, OAKKEEL_GENERATION="7"))
 
-    def link(self):
+    def connect(self):
         """Open a control link and return its stream."""
         link = socket.socket(socket.AF_UNIX)
         link.settimeout(TIMEOUT_S)
@@ -27,12 +27,12 @@
         self.addCleanup(stream.close)
         return stream
 
-    def say(self, stream, **message) -> dict:
+    def request(self, stream, **message) -> dict:
         """Send a request and return the response."""
         stream.write(json.dumps(message).encode() + b"\n")
         return json.loads(stream.readline())
 
-    def ended(self, stream) -> bool:
+    def is_closed(self, stream) -> bool:
         """Wait for more input; return whether the node has closed the link instead."""
         try:
             return stream.readline() == b""
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -51,7 +51,7 @@
     return [stream.read(int(stream.readline()[1:]) + 2)[:-2] for _ in range(int(head[1:]))] if head else []
 
 
-def until_refused(port: int) -> None:
+def wait_until_port_closed(port: int) -> None:
     """Connect until no socket listens on the port any more.
 
     The close of a listening socket resets the connections that it has not accepted, so a connect at that
@@ -99,12 +99,12 @@
         )
         return request_id
 
-    def next(self) -> list[bytes]:
+    def next_array(self) -> list[bytes]:
         return read_resp_array(self.stream)
 
-    def answer(self) -> tuple[int, bytes, bytes, bytes]:
+    def next_answer(self) -> tuple[int, bytes, bytes, bytes]:
         """Return the next answer as tag, outcome word, fields and body; skips drain notices (`0 last`)."""
-        while (words := self.next()) == [b"0", b"last"]:
+        while (words := self.next_array()) == [b"0", b"last"]:
             pass
         return int(words[0]), words[1], *words[2:4]
 
@@ -119,7 +119,7 @@
     def __init__(self) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
         self.gauges = "0.1 0.0 0.1 1.0"
-        self.number = 0  # of the last DONE or NEED that the engine sent
+        self.notice_number = 0  # of the last DONE or NEED that the engine sent
         self.link: socket.socket | None = None
         self.started_at = time.monotonic() - 60.0
 
@@ -127,7 +127,7 @@
         """Return the age of the engine in milliseconds, in the format of its greeting."""
         return f"{(time.monotonic() - self.started_at) * 1000:.1f}"
 
-    def attach(self, state: str = "steady", age: str = "", answer: bool = True) -> int:
+    def accept_link(self, state: str = "steady", age: str = "", answer: bool = True) -> int:
         """Accept a link; return the number of the last DONE or NEED that the node has read.
 
         A non-empty `age`, in milliseconds, sets the start time of the engine.
@@ -140,9 +140,9 @@
         self.commands: queue.Queue[tuple] = queue.Queue()
         self.stream = self.link.makefile("rb")
         last_read_number = int(self.stream.readline().split()[1])
-        self.answering = answer
+        self.answers_stat = answer
         if answer:
-            self.say(f"HELLO {state} {self.age()}")
+            self.send_line(f"HELLO {state} {self.age()}")
             threading.Thread(target=self._read, args=(self.stream, self.commands), daemon=True).start()
         return last_read_number
 
@@ -150,34 +150,34 @@
         with contextlib.suppress(OSError, ValueError), stream:
             while line := stream.readline().split():
                 if line[0] == b"STAT":
-                    self.say(f"STATS {line[1].decode()} {self.gauges}")
+                    self.send_line(f"STATS {line[1].decode()} {self.gauges}")
                     continue
                 body = stream.read(int(line[-1]) + 2)[:-2] if line[0] in (b"RUN", b"FEED") else b""
                 commands.put((*(word.decode() for word in line), body))
         commands.put(("END",))
 
-    def say(self, line: str, body: bytes | None = None) -> None:
+    def send_line(self, line: str, body: bytes | None = None) -> None:
         self.link.sendall(line.encode() + b"\r\n" + (b"" if body is None else body + b"\r\n"))
 
-    def next(self) -> tuple:
+    def next_command(self) -> tuple:
         return self.commands.get(timeout=TIMEOUT_S)
 
-    def done(self, request_id: str, outcome: str = "success", body: bytes = b"result") -> None:
-        self.number += 1
-        self.say(f"DONE {self.number} {request_id} {outcome} 12.345 {len(body)}", body)
+    def send_done(self, request_id: str, outcome: str = "success", body: bytes = b"result") -> None:
+        self.notice_number += 1
+        self.send_line(f"DONE {self.notice_number} {request_id} {outcome} 12.345 {len(body)}", body)
 
-    def need(self, request_id: str, body: bytes = b"call") -> None:
-        self.number += 1
-        self.say(f"NEED {self.number} {request_id} {len(body)}", body)
+    def send_need(self, request_id: str, body: bytes = b"call") -> None:
+        self.notice_number += 1
+        self.send_line(f"NEED {self.notice_number} {request_id} {len(body)}", body)
 
-    def lose(self) -> None:
+    def drop_link(self) -> None:
         with self.link, contextlib.suppress(OSError):
             self.link.shutdown(socket.SHUT_RDWR)  # also ends the file of the reader thread, if any
 
     def close(self) -> None:
         if self.link:
-            self.lose()
-            if not self.answering:
+            self.drop_link()
+            if not self.answers_stat:
                 self.stream.close()
             self.link = None
 
@@ -191,12 +191,12 @@
         self.socket.settimeout(TIMEOUT_S)
         self.stream = self.socket.makefile("rb")
 
-    def next(self) -> tuple:
+    def next_command(self) -> tuple:
         line = self.stream.readline().split()
         body = self.stream.read(int(line[3]) + 2)[:-2] if line[0] == b"FETCH" else b""
         return (*(word.decode() for word in line), body)
 
-    def say(self, line: str, body: bytes | None = None) -> None:
+    def send_line(self, line: str, body: bytes | None = None) -> None:
         self.socket.sendall(line.encode() + b"\r\n" + (b"" if body is None else body + b"\r\n"))
 
     def close(self) -> None:
@@ -226,7 +226,7 @@
         for peer in (self.engine, self.engine.server, self.catalogue, self.directory):
             peer.close()
 
-    def told(self, **changes) -> dict:
+    def configuration(self, **changes) -> dict:
         host = "127.0.0.1:"
         return {
             "name": "n3",
@@ -264,7 +264,7 @@
             file.write(configuration if isinstance(configuration, str) else json.dumps(configuration))
         self.process.send_signal(signal.SIGHUP)
 
-    def replace_parties(self) -> tuple[Engine, socket.socket, socket.socket]:
+    def replace_peers(self) -> tuple[Engine, socket.socket, socket.socket]:
         """Open a new engine, catalogue and directory; return the old ones."""
         old = self.engine, self.catalogue, self.directory
         self.engine, self.catalogue = Engine(), socket.create_server(("127.0.0.1", 0))
@@ -276,15 +276,15 @@
             self.addCleanup(peer.close)
         return old
 
-    def begin(self, attach: bool = True, state: str = "steady", age: str = "", **changes) -> None:
+    def start_node(self, attach: bool = True, state: str = "steady", age: str = "", **changes) -> None:
         """Start the node, read its port from its log and attach the engine if `attach` is set."""
-        self.launch(self.told(**changes))
-        self.port = int(self.log("listening").rsplit(":", 1)[1])
+        self.launch(self.configuration(**changes))
+        self.port = int(self.wait_for_log("listening").rsplit(":", 1)[1])
         if attach:
-            self.engine.attach(state, age)
-            self.log("engine_ready")
+            self.engine.accept_link(state, age)
+            self.wait_for_log("engine_ready")
 
-    def log(self, text: str) -> str:
+    def wait_for_log(self, text: str) -> str:
         """Wait for a log line that contains a text, and return the line."""
         for line in self.process.stderr:
             if text in line:
@@ -296,20 +296,20 @@
         self.addCleanup(dispatcher.close)
         return dispatcher
 
-    def running(self, *class_name: str, **options) -> tuple[Dispatcher, str]:
+    def start_request(self, *class_name: str, **options) -> tuple[Dispatcher, str]:
         """Start a node and let it run a request; return the dispatcher and the request id."""
-        self.begin()
+        self.start_node()
         dispatcher = self.dispatcher()
         request_id = dispatcher.call(*class_name, **options)
-        self.assertEqual(self.engine.next()[:2], ("RUN", request_id))
+        self.assertEqual(self.engine.next_command()[:2], ("RUN", request_id))
         return dispatcher, request_id
 
-    def calling(self, *class_name: str) -> tuple[Dispatcher, str, CatalogueLink]:
+    def start_downstream_call(self, *class_name: str) -> tuple[Dispatcher, str, CatalogueLink]:
         """Let a running request make a downstream call; return also the catalogue link."""
-        dispatcher, request_id = self.running(*class_name)
-        self.engine.need(request_id)
+        dispatcher, request_id = self.start_request(*class_name)
+        self.engine.send_need(request_id)
         link = self.catalogue_link()
-        self.assertEqual(link.next()[:2], ("FETCH", request_id))
+        self.assertEqual(link.next_command()[:2], ("FETCH", request_id))
         return dispatcher, request_id, link
 
     def catalogue_link(self) -> CatalogueLink:
@@ -317,8 +317,8 @@
         self.addCleanup(link.close)
         return link
 
-    def report(self) -> str:
+    def receive_load_report(self) -> str:
         return self.directory.recv(100).decode()
 
-    def settings(self, **extra) -> dict:
+    def settings_with_extra(self, **extra) -> dict:
         return {**NODE_SETTINGS, "extra": {**NODE_SETTINGS["extra"], **extra}}
