--- a/tests/agent/agent_test_case.py
+++ b/tests/agent/agent_test_case.py
@@ -25,7 +25,7 @@
 from oakkeel.settings.keys import read_keys, read_operator_key, write_key
 from oakkeel.units import MS, SECOND
 
-WAIT = 20.0  # timeout of each wait, in seconds
+TIMEOUT_S = 20.0  # timeout of each wait, in seconds
 SHORT_TIMEOUTS = SupervisionTimeouts(
     silence_timeout_ns=400 * MS,
     start_timeout_ns=3 * SECOND,
@@ -63,7 +63,7 @@
                 processes.signal(process, signal.SIGKILL)
         processes.close()
 
-    def script(self, name: str, behavior: str) -> None:
+    def write_script(self, name: str, behavior: str) -> None:
         """Set the behaviour of an instance's fake node; empty: the node serves."""
         os.makedirs(self.host.state_folder, exist_ok=True)
         with open(os.path.join(self.host.state_folder, f"{name}.script"), "w") as file:
@@ -78,11 +78,11 @@
             return [line.split() for line in file]
         return []
 
-    def starts(self, name: str) -> list[int]:
+    def started_generations(self, name: str) -> list[int]:
         """The generations of an instance that were started, in order."""
         return [int(line[1]) for line in self.read_journal(name) if line[0] == "start"]
 
-    async def agent(self, timeouts: SupervisionTimeouts = SHORT_TIMEOUTS, **options) -> Agent:
+    async def start_agent(self, timeouts: SupervisionTimeouts = SHORT_TIMEOUTS, **options) -> Agent:
         """Start an agent in this process; `stop` ends it as SIGTERM would."""
         agent = Agent(
             AgentSettings(self.host, timeouts),
@@ -104,12 +104,12 @@
 
     async def wait_until(self, condition, message: str = "") -> None:
         """Wait until a condition holds, while the agent runs."""
-        deadline = time.monotonic() + WAIT
+        deadline = time.monotonic() + TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), deadline, message or self.log_output.getvalue())
             await asyncio.sleep(0.01)
 
-    async def serving(self, agent: Agent) -> None:
+    async def wait_until_serving(self, agent: Agent) -> None:
         """Wait until all instances of an agent serve."""
         await self.wait_until(lambda: all(each.phase is Phase.SERVING for each in agent.supervisor.instances))
 
@@ -118,7 +118,7 @@
 
     async def send_request(self, request: messages.Request, operator: str = "asha") -> messages.Response:
         return await asyncio.wait_for(
-            request_once(self.host.agent_address, read_operator_key(self.fleet, operator), request), WAIT
+            request_once(self.host.agent_address, read_operator_key(self.fleet, operator), request), TIMEOUT_S
         )
 
     async def submit_order(
@@ -144,7 +144,7 @@
 
     async def wait_for_final_states(self, order_id: str = "o1") -> dict[str, str]:
         """Wait until an order has ended; returns the final state of each of its instances."""
-        deadline = time.monotonic() + WAIT
+        deadline = time.monotonic() + TIMEOUT_S
         while time.monotonic() < deadline:
             response = await self.send_request(messages.ListOrdersRequest())
             for order in response.orders:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -18,7 +18,7 @@
 from oakkeel.fakes.faults import Fault
 from oakkeel.fakes.load_clients import CompliantClient
 from oakkeel.fakes.site import FakeSite, SiteOptions
-from tests.agent.agent_test_case import WAIT, AgentTestCase
+from tests.agent.agent_test_case import TIMEOUT_S, AgentTestCase
 
 
 def iterate_subcommands(group: Group, path: str = "oakkeel"):
@@ -47,7 +47,7 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        out, err = await asyncio.wait_for(process.communicate(), 2 * WAIT)
+        out, err = await asyncio.wait_for(process.communicate(), 2 * TIMEOUT_S)
         return process.returncode, out.decode(), err.decode()
 
     async def instance_states(self, *arguments: str) -> dict[str, str]:
@@ -57,8 +57,8 @@
 
 class CommandLineTest(CommandLineTestCase):
     async def test_lists_instances_by_name_glob_and_state(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         code, out, err = await self.run_oakkeel("ls")
         self.assertEqual((code, len(out.splitlines())), (0, 4))
         self.assertIn("3 serving", err)
@@ -73,11 +73,13 @@
         self.assertEqual(len(json.loads(out.splitlines()[-1])), 3)
 
     async def test_follows_an_order_to_its_end_and_lists_it(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         code, out, err = await self.run_oakkeel("restart", "n1", "n2", "--yes", "--id", "mine")
         self.assertEqual((code, out.count("done")), (0, 2), out + err)
-        self.assertEqual([self.starts(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1]])
+        self.assertEqual(
+            [self.started_generations(name) for name in ("n1", "n2", "n3")], [[1, 3], [1, 3], [1]]
+        )
         _, out, _ = await self.run_oakkeel("orders", "--output", "json")
         orders = json.loads(out)
         self.assertEqual(
@@ -89,8 +91,8 @@
         self.assertEqual((await self.run_oakkeel("cancel", "other"))[0], 1)
 
     async def test_an_order_for_a_large_part_of_a_site_needs_a_confirmation(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         code, _, err = await self.run_oakkeel("stop", "--site", "wood*")
         self.assertEqual(code, 2)
         self.assertIn("woodbrook: 3 of 3 would be taken out, 0 are out already", err)
@@ -100,9 +102,9 @@
         self.assertEqual((code, "select instances by name" in err), (2, True))
 
     async def test_a_rejection_names_the_operator_of_the_open_order(self):
-        self.script("n1", "deaf")
-        agent = await self.agent()
-        await self.serving(agent)
+        self.write_script("n1", "deaf")
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         code, out, _ = await self.run_oakkeel("drain", "n1", "--no-wait")
         self.assertEqual(code, 0)
         code, out, _ = await self.run_oakkeel("restart", "n1", operator="ravi")
@@ -121,8 +123,8 @@
         self.assertEqual((code, "not ordered" in out), (3, True))
 
     async def test_reports_each_unknown_name_and_invalid_settings_file_in_one_line(self):
-        agent = await self.agent()
-        await self.serving(agent)
+        agent = await self.start_agent()
+        await self.wait_until_serving(agent)
         for arguments, text in (
             (("ls", "n7"), "no instance has the name 'n7'"),
             (("ls", "--as", "nobody"), "no operator 'nobody'"),
@@ -195,7 +197,7 @@
         await self.agent_process.communicate()
 
     async def wait_for_log(self, text: str) -> str:
-        while line := await asyncio.wait_for(self.agent_process.stderr.readline(), WAIT):
+        while line := await asyncio.wait_for(self.agent_process.stderr.readline(), TIMEOUT_S):
             if text.encode() in line:
                 return line.decode()
         raise AssertionError(f"the agent ended without logging {text!r}")
@@ -249,7 +251,7 @@
         self.addAsyncCleanup(self.kill_node)
 
     async def wait_for_log(self, text: str) -> bytes:
-        while line := await asyncio.wait_for(self.node.stderr.readline(), WAIT):
+        while line := await asyncio.wait_for(self.node.stderr.readline(), TIMEOUT_S):
             if text.encode() in line:
                 return line
         raise AssertionError(f"the node ended without logging {text!r}")
