--- a/measure/agreement.py
+++ b/measure/agreement.py
@@ -118,9 +118,9 @@
         host = self._choose_host()
         others = [other for other in HOSTS if other != host]
         if self.random.random() < 0.5:
-            self.rig.links.cut([host], others, both)
+            self.rig.links.partition([host], others, both)
         else:
-            self.rig.links.cut(others, [host], both)
+            self.rig.links.partition(others, [host], both)
         await asyncio.sleep(self._random_duration())
         self.rig.links.clear_faults()
 
--- a/measure/orders.py
+++ b/measure/orders.py
@@ -51,7 +51,7 @@
     async def run(self) -> None:
         """Send orders until all crashes have occurred, then wait until the last order has ended."""
         while not self.remaining_crashes.locked() or self.will_crash:
-            await self._carry_out_order(VERBS[self.order_count % len(VERBS)])
+            await self._complete_order(VERBS[self.order_count % len(VERBS)])
         await self._wait_until_settled()
 
     async def _ensure_agent(self) -> None:
@@ -94,7 +94,7 @@
                     return instance.generation
             await asyncio.sleep(0.01)
 
-    async def _carry_out_order(self, verb: str) -> None:
+    async def _complete_order(self, verb: str) -> None:
         """Send an order until it is acknowledged, through all crashes; then wait until it has ended."""
         order_id = await self._submit_until_acknowledged(verb)
         while True:  # the order was acknowledged: no crash may lose it
--- a/measure/places.py
+++ b/measure/places.py
@@ -81,7 +81,7 @@
         """Return the replica that allocates permits, if any."""
         return next((plane for plane in self.control_planes.values() if plane.allocator), None)
 
-    def carry_out(self, outputs: list[Output]) -> None:
+    def process_outputs(self, outputs: list[Output]) -> None:
         """Count the stored log entries, and queue the envelopes to send."""
         for output in outputs:
             self.counts.entries += len(output.storage_update.entries) if output.storage_update else 0
@@ -96,9 +96,9 @@
                 outputs = self.control_planes[recipient].receive(self.now, envelope)
                 self.counts.envelope_ns += time.perf_counter_ns() - started_at
                 self.counts.envelopes += 1
-                self.carry_out(outputs)
+                self.process_outputs(outputs)
 
-    def exchange_heartbeat(self, name: str) -> None:
+    def send_heartbeat(self, name: str) -> None:
         """Exchange a heartbeat of one agent, which starts the restarts that were granted."""
         holder = self.agents[name]
         self._mark_restored(holder)
@@ -111,7 +111,7 @@
         self.counts.heartbeat_ns += elapsed
         self.counts.max_heartbeat_ns = max(self.counts.max_heartbeat_ns, elapsed)
         self.counts.heartbeats += 1
-        self.carry_out(outputs)
+        self.process_outputs(outputs)
         self.deliver()
         holder.receive_response(self.now, self.now, response)
         for permit in response.permits:
@@ -135,10 +135,10 @@
         self.now += 10 * MS
         for control_plane in self.control_planes.values():
             if control_plane.replica.next_tick_at() <= self.now:
-                self.carry_out(control_plane.tick(self.now))
+                self.process_outputs(control_plane.tick(self.now))
         self.deliver()
         for name in names:
-            self.exchange_heartbeat(name)
+            self.send_heartbeat(name)
         self.counts.max_unavailable = max(self.counts.max_unavailable, len(self.restart_end_by_target))
 
 
@@ -156,7 +156,7 @@
         order_targets = [(target, 1) for target in targets[first : first + 1000]]
         order = commands.SubmitOrder(f"o{first}", "asha", "restart", 0, 3600 * SECOND, False, order_targets)
         _, outputs = leader.propose(fleet.now, order)
-        fleet.carry_out(outputs)
+        fleet.process_outputs(outputs)
         fleet.deliver()
 
 
--- a/measure/plan.py
+++ b/measure/plan.py
@@ -178,7 +178,7 @@
     while (leader := leader_of(simulation)) is None or leader.control_plane is None:
         simulation.clock.run(simulation.clock.now + 100 * MS)
     _, outputs = leader.control_plane.propose(leader.machine.now(), command)
-    leader.replica.carry_out(outputs)
+    leader.replica.process_outputs(outputs)
 
 
 def leader_of(simulation: ConsensusSimulation) -> SimulatedHost | None:
--- a/oakkeel/admission/arrival_decision.py
+++ b/oakkeel/admission/arrival_decision.py
@@ -55,9 +55,9 @@
         if request.deadline <= now:
             return RejectionDecision(Rejection.FINAL, RejectionReason.DEADLINE)
         if lacks_memory:
-            return RejectionDecision(Rejection.RETRY_ELSEWHERE, RejectionReason.MEMORY)
+            return RejectionDecision(Rejection.RETRY_ON_OTHER_NODE, RejectionReason.MEMORY)
         if node.drain.is_past_grace(now, request.queueing_delay):
-            return RejectionDecision(Rejection.RETRY_ELSEWHERE, RejectionReason.DRAIN)
+            return RejectionDecision(Rejection.RETRY_ON_OTHER_NODE, RejectionReason.DRAIN)
         return self._decide_by_load(now, request)
 
     def _decide_by_load(self, now: int, request: Request) -> Decision:
--- a/oakkeel/admission/call_sequence.py
+++ b/oakkeel/admission/call_sequence.py
@@ -1,4 +1,4 @@
-"""Places the downstream calls of requests, and retries or skips a failed call or fails its request."""
+"""Issues the downstream calls of requests, and retries or skips a failed call or fails its request."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class CallSequence:
-    """Places the downstream calls of requests; calls that must wait start in order of arrival."""
+    """Issues the downstream calls of requests; calls that must wait start in order of arrival."""
 
     def __init__(self, node: NodeState, request_ends: RequestEnds) -> None:
         """Start with no waiting request."""
         self.node = node
         self.request_ends = request_ends
-        self.waiting_requests: deque[Request] = deque()  # requests whose calls can't be placed yet
+        self.waiting_requests: deque[Request] = deque()  # requests whose calls can't be issued yet
 
     def call_needed(self, now: int, request: Request) -> None:
-        """Place the downstream call that a run needs before it can continue."""
+        """Issue the downstream call that a run needs before it can continue."""
         if request.state is State.ORPHANED:
             self.node.occupancy.move(now, request, State.RELEASING)
         elif request.state is State.RUNNING:
             self.node.occupancy.move(now, request, State.AWAITING_CALL)
-            self._place_or_wait(now, request)
+            self._issue_or_wait(now, request)
 
     def call_finished(self, now: int, request: Request, outcome: Outcome) -> None:
         """Resume the run after a call, or retry the call, skip it or fail the request."""
@@ -49,25 +49,25 @@
         node.occupancy.move(now, request, State.AWAITING_CALL)
         step = step_after_failed_call(request, outcome)
         if step is FailedCallStep.RETRY:
-            self._place_or_wait(now, request)
+            self._issue_or_wait(now, request)
         elif step is FailedCallStep.SKIP:
             self._skip(now, request)
         else:
             self.request_ends.end_without_result(now, request)
 
-    def place_waiting(self, now: int) -> None:
-        """Place the waiting calls that the breaker and the quota now allow."""
-        while self.waiting_requests and self._place(now, self.waiting_requests[0]):
+    def issue_waiting(self, now: int) -> None:
+        """Issue the waiting calls that the breaker and the quota now allow."""
+        while self.waiting_requests and self._issue(now, self.waiting_requests[0]):
             self.waiting_requests.popleft()
 
     def skip_if_overdue(self, now: int, request: Request) -> None:
-        """Skip an optional call that could not be placed within its maximum wait."""
+        """Skip an optional call that could not be issued within its maximum wait."""
         is_overdue = now >= request.state_since + max_optional_call_wait(request)
         if request.request_class.is_call_optional and is_overdue:
             self._skip(now, request)
 
-    def _place_or_wait(self, now: int, request: Request) -> None:
-        if self._place(now, request):
+    def _issue_or_wait(self, now: int, request: Request) -> None:
+        if self._issue(now, request):
             return
         is_optional = request.request_class.is_call_optional
         if is_optional and self.node.downstream_calls.breaker.is_open():
@@ -78,8 +78,8 @@
             skip_at = now + int(max_optional_call_wait(request))
             self.node.timers.set_not_before(now, request, skip_at)
 
-    def _place(self, now: int, request: Request) -> bool:
-        """Place a call if the breaker and the quota allow it; return whether the request no longer waits."""
+    def _issue(self, now: int, request: Request) -> bool:
+        """Issue a call if the breaker and the quota allow it; return whether the request no longer waits."""
         if request.state is not State.AWAITING_CALL:
             return True
         node = self.node
--- a/oakkeel/admission/controller.py
+++ b/oakkeel/admission/controller.py
@@ -155,7 +155,7 @@
 
     def schedule(self, now: int) -> None:
         """Place the waiting calls that may be placed, and start the requests that may run, by rank."""
-        self.call_sequence.place_waiting(now)
+        self.call_sequence.issue_waiting(now)
         occupancy = self.occupancy
         self.concurrency.update_run_limit(self.overload.highest() >= Stage.EXPAND)
         allowed_runs = self.concurrency.allowed_runs()
--- a/oakkeel/admission/fairness.py
+++ b/oakkeel/admission/fairness.py
@@ -99,14 +99,14 @@
         A flow that is not certainly heavier than the flows outside the table of heavy hitters is admitted
         with the probability `unknown_share`.
         """
-        is_heavy = self.shares.is_heavy(now, flow)
+        is_heavy_hitter = self.shares.is_heavy_hitter(now, flow)
         if flow.is_limited:
             exceeds_share = flow.theoretical_arrival_time > now + MAX_BURST_NS
         else:
             unknown_share = self.shares.unknown_flow_share(flow)
-            exceeds_share = unknown_share < 1 and not is_heavy and self.random() > unknown_share
+            exceeds_share = unknown_share < 1 and not is_heavy_hitter and self.random() > unknown_share
         exceeds_retries = (
-            request.retry_attempt and is_heavy and flow.retries > MAX_FLOW_RETRY_RATIO * flow.count
+            request.retry_attempt and is_heavy_hitter and flow.retries > MAX_FLOW_RETRY_RATIO * flow.count
         )
         return exceeds_share or exceeds_retries
 
@@ -119,7 +119,7 @@
     def record_admission(self, request: Request) -> None:
         """Count the reservation that an admitted request used as kept."""
         if request.reservation:
-            self.reservations.end(request.reservation, ReservationEnd.KEPT)
+            self.reservations.end(request.reservation, ReservationEnd.HONORED)
 
     def reserve_retry(self, now: int, request: Request, max_retry_after: int) -> int:
         """Reserve capacity for a rejected client, and return the nanoseconds until it may retry.
@@ -139,7 +139,7 @@
         if not has_exceeded_share or not request.retry_attempt:
             not_before = max(now, flow.theoretical_arrival_time - MAX_BURST_NS if flow.is_limited else now)
             work = request.expected_work
-            new_reservation = self.reservations.book(now, not_before, flow.key, work, self.reservable_work)
+            new_reservation = self.reservations.reserve(now, not_before, flow.key, work, self.reservable_work)
         if new_reservation and new_reservation.due_at - now <= max_retry_after:
             self._charge(now, request, flow)
             return new_reservation.due_at - now
--- a/oakkeel/admission/ranking.py
+++ b/oakkeel/admission/ranking.py
@@ -35,14 +35,14 @@
     arrivals: int
 
 
-def allowance_weight(rate: float, allowance: float, over_allowance_weight: float) -> float:
+def allowance_weight(rate: float, allowance: float, excess_allowance_weight: float) -> float:
     """Return the mean weight factor of the requests of a tenant, which is lower above its allowance.
 
     `rate` and `allowance` are requests a second at this node. The factor is a mean, because no single request
     can be said to be above the allowance.
     """
     within = min(1.0, allowance / rate) if rate and allowance else 1.0
-    return within + (1 - within) * over_allowance_weight
+    return within + (1 - within) * excess_allowance_weight
 
 
 class Ranking:
@@ -94,7 +94,7 @@
         counts = [windows[tenant_index].count(now) for windows in self.arrivals]
         rate = sum(counts) * SECOND / window_ns
         allowance = limits.tenants[tenant_index].allowance_per_s / limits.peers if limits.tenants else 0.0
-        weight = allowance_weight(rate, allowance, limits.over_allowance_weight)
+        weight = allowance_weight(rate, allowance, limits.excess_allowance_weight)
         demands = []
         for request_class in limits.request_classes:
             index = request_class.index
@@ -105,8 +105,8 @@
     def _assign_ranks(self, demands: list[Demand]) -> None:
         """Divide the range 0 to 1 among the demands by their arrivals, the lowest weight first."""
         total = sum(demand.arrivals for demand in demands) or 1
-        arrivals_below = 0
+        lower_ranked_arrivals = 0
         for demand in demands:
-            rank_range = RankRange(arrivals_below / total, demand.arrivals / total)
+            rank_range = RankRange(lower_ranked_arrivals / total, demand.arrivals / total)
             self.ranks[demand.class_index][demand.tenant_index] = rank_range
-            arrivals_below += demand.arrivals
+            lower_ranked_arrivals += demand.arrivals
--- a/oakkeel/admission/shedding.py
+++ b/oakkeel/admission/shedding.py
@@ -50,7 +50,7 @@
     """
     if request.retry_attempt or not marks_retries or retry_ratio > MAX_ARRIVAL_RETRY_RATIO:
         return Rejection.FINAL
-    return Rejection.RETRY_ELSEWHERE
+    return Rejection.RETRY_ON_OTHER_NODE
 
 
 def full_node_rejection(request: Request, parsing_backlog: float, cores: int) -> Rejection:
@@ -61,4 +61,4 @@
     """
     if request.retry_attempt or parsing_backlog > MAX_PARSING_PER_CORE_FOR_RETRY * cores:
         return Rejection.FINAL
-    return Rejection.RETRY_ELSEWHERE
+    return Rejection.RETRY_ON_OTHER_NODE
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -21,7 +21,7 @@
     from oakkeel.fair_sharing.reservations import Reservation
 
 
-# The values of these enums are not the words of the settings; `oakkeel/node_limits.py` translates those.
+# The values of these enums are not the values in the settings; `oakkeel/node_limits.py` translates those.
 
 
 class Idempotency(Enum):
@@ -84,7 +84,7 @@
     A rejected request had no lasting effect: it never ran, or it is idempotent.
     """
 
-    RETRY_ELSEWHERE = auto()  # another node may have capacity
+    RETRY_ON_OTHER_NODE = auto()  # another node may have capacity
     FINAL = auto()  # a retry on another node would only add parsing work there
 
 
@@ -178,7 +178,7 @@
     cache_ttl: int  # time for which an answer may serve other reads; 0: none
     idle_timeout: int  # maximum idle time of a connection
     load_report: LoadReportKind
-    over_allowance_weight: float  # factor on the priority weight above the allowance of the tenant
+    excess_allowance_weight: float  # factor on the priority weight above the allowance of the tenant
     request_classes: list[RequestClass]
     tenants: list[Tenant]
     fair_sharing: FairSharingRules | None = None  # None: fair sharing is off
--- a/oakkeel/agent/control_requests.py
+++ b/oakkeel/agent/control_requests.py
@@ -17,7 +17,7 @@
 CONTROL_REQUEST_TIMEOUT_NS = SECOND
 
 
-class DrainSender:
+class DrainRequester:
     """Sends drains and their cancellation to nodes.
 
     The requests to one instance are sent one after the other, so that a cancellation can't overtake its
--- a/oakkeel/agent/executor.py
+++ b/oakkeel/agent/executor.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from oakkeel.agent.configuration import AgentParts, AgentSettings
-from oakkeel.agent.control_requests import CONTROL_REQUEST_TIMEOUT_NS, DrainSender
+from oakkeel.agent.control_requests import CONTROL_REQUEST_TIMEOUT_NS, DrainRequester
 from oakkeel.agent.instances import Instance
 from oakkeel.agent.launcher import InstanceLauncher
 from oakkeel.agent.processes import Process
@@ -47,7 +47,7 @@
         self.running_processes: dict[Instance, Process] = {}
         self.processes = parts.processes(host.state, self._handle_process_exit)
         self.launcher = InstanceLauncher(host, self.processes, parts.program, settings.fair_sharing)
-        self.drain_sender = DrainSender(
+        self.drain_requester = DrainRequester(
             self.running_processes, self.processes, supervisor.timeouts.node_drain_timeout_ns, log
         )
         self.pollers: dict[Instance, asyncio.Task[None]] = {}  # tasks that poll the status
@@ -65,7 +65,7 @@
         elif process is None:
             self.log.warning("process_not_found", **fields)
         elif step.action in (Action.DRAIN, Action.CANCEL_DRAIN):
-            self.drain_sender.send(instance, process, step.action, fields)
+            self.drain_requester.send(instance, process, step.action, fields)
         elif step.action is Action.TERM:
             self.log.info("drain_requested", **fields)
             self.processes.signal(process, signal.SIGTERM)
@@ -204,5 +204,5 @@
         """Stop polling and watching; the processes continue."""
         for task in self.pollers.values():
             task.cancel()
-        self.drain_sender.close()
+        self.drain_requester.close()
         self.processes.close()
--- a/oakkeel/agent/instances.py
+++ b/oakkeel/agent/instances.py
@@ -113,7 +113,7 @@
 
     REFUSED = "refused"
     WAITING = "waiting"  # for the disruption budget
-    ACTING = "acting"
+    IN_PROGRESS = "acting"
     DONE = "done"
     FAILED = "failed"
     CANCELLED = "cancelled"
@@ -121,12 +121,12 @@
     EXPIRED = "expired"
 
 
-OPEN_HOST_TASK_STATES = (HostTaskState.WAITING, HostTaskState.ACTING)
+OPEN_HOST_TASK_STATES = (HostTaskState.WAITING, HostTaskState.IN_PROGRESS)
 OPEN_HOST_TASK_STATE_VALUES = tuple(state.value for state in OPEN_HOST_TASK_STATES)
 FINAL_HOST_TASK_STATES = frozenset(HostTaskState) - set(OPEN_HOST_TASK_STATES) - {HostTaskState.REFUSED}
 TASK_TRANSITIONS = {
-    HostTaskState.WAITING: {HostTaskState.ACTING} | FINAL_HOST_TASK_STATES,
-    HostTaskState.ACTING: FINAL_HOST_TASK_STATES - {HostTaskState.EXPIRED},
+    HostTaskState.WAITING: {HostTaskState.IN_PROGRESS} | FINAL_HOST_TASK_STATES,
+    HostTaskState.IN_PROGRESS: FINAL_HOST_TASK_STATES - {HostTaskState.EXPIRED},
     **{state: frozenset() for state in FINAL_HOST_TASK_STATES},
     HostTaskState.REFUSED: frozenset(),
 }
--- a/oakkeel/agent/order_rules.py
+++ b/oakkeel/agent/order_rules.py
@@ -108,12 +108,14 @@
 
 def needs_permit_to_drain(task: Task) -> bool:
     """Whether the next drain of a task needs a valid permit: only the first drain of a task does."""
-    return not task.drain_sent and task.state is HostTaskState.ACTING and task.order.verb is not Verb.START
+    return (
+        not task.drain_sent and task.state is HostTaskState.IN_PROGRESS and task.order.verb is not Verb.START
+    )
 
 
 def has_taken_out_of_service(task: Task) -> bool:
     """Whether a task has taken its instance out of service."""
-    return task.state in (HostTaskState.ACTING, HostTaskState.DONE) and task.order.verb in (
+    return task.state in (HostTaskState.IN_PROGRESS, HostTaskState.DONE) and task.order.verb in (
         Verb.DRAIN,
         Verb.STOP,
     )
--- a/oakkeel/agent/orders.py
+++ b/oakkeel/agent/orders.py
@@ -135,7 +135,7 @@
         for task in order.tasks:
             if task.state is HostTaskState.WAITING:
                 self._transition(now, task, HostTaskState.CANCELLED, f"by {operator}")
-            elif task.state is HostTaskState.ACTING:
+            elif task.state is HostTaskState.IN_PROGRESS:
                 task.why = f"started before {operator} cancelled the order"
                 self.changed.add(order)
         return order
@@ -160,7 +160,7 @@
                     self._transition(now, task, HostTaskState.EXPIRED, why)
                 elif task.order.verb is Verb.START or self._may_take_out(now, task):
                     self._start_task(now, task)
-            if task.state is HostTaskState.ACTING and (outcome := task_outcome(now, task)):
+            if task.state is HostTaskState.IN_PROGRESS and (outcome := task_outcome(now, task)):
                 self._transition(now, task, outcome.state, outcome.why)
         # Superseded tasks are removed only here, as `undo` may open them again.
         self.open_tasks = [task for task in self.open_tasks if task.is_open]
@@ -177,7 +177,7 @@
         if self.permit_holder and verb is not Verb.START:
             self.permit_holder.start(now, instance.name)
         task.replaced_generation = instance.process_generation
-        self._transition(now, task, HostTaskState.ACTING)
+        self._transition(now, task, HostTaskState.IN_PROGRESS)
         if verb is Verb.START:
             if not instance.alive or instance.phase is Phase.DRAINING:
                 self.supervisor.order_start(now, instance)
--- a/oakkeel/agent/peer_sender.py
+++ b/oakkeel/agent/peer_sender.py
@@ -20,7 +20,7 @@
 PEER_RECONNECT_DELAY_NS = 100 * MS
 
 
-class PeerSender:
+class PeerTransport:
     """The queue of envelopes to one peer, and the task that sends the envelopes."""
 
     def __init__(
--- a/oakkeel/agent/raft_runtime.py
+++ b/oakkeel/agent/raft_runtime.py
@@ -1,6 +1,6 @@
 """Runs the control plane replica of one agent: its file, connections and timer.
 
-The `RaftRuntime` of an agent owns a `ReplicaFile` (the state on disk), a `PeerSender` for each other
+The `RaftRuntime` of an agent owns a `ReplicaFile` (the state on disk), a `PeerTransport` for each other
 replica, and a `ControlPlaneReplica`. The `ControlPlaneReplica` owns the Raft `Replica`, the state machine
 and, while it leads, a `PermitAllocator` and the rollout controller. After a failed write or a quarantine, a
 new `ControlPlaneReplica` is created from the file.
@@ -16,7 +16,7 @@
 from oakkeel.agent import messages
 from oakkeel.agent.command_log import CommandLog
 from oakkeel.agent.configuration import control_plane_of
-from oakkeel.agent.peer_sender import PeerSender
+from oakkeel.agent.peer_sender import PeerTransport
 from oakkeel.agent.replica_file import ReplicaFile
 from oakkeel.agent.topology import topology_of
 from oakkeel.authentication.client import AuthenticatedClient
@@ -75,7 +75,7 @@
         self.file = ReplicaFile(path, name, log)
         self.command_log = CommandLog(log)
         self.topology = topology_of(fleet)
-        self.peers: dict[str, PeerSender] = {}
+        self.peers: dict[str, PeerTransport] = {}
         self.futures: dict[Proposal, asyncio.Future[object]] = {}  # results of the open proposals
         self.timer: asyncio.TimerHandle | None = None
         self.storage_error = ""  # reason the file can't be written; empty if it can
@@ -143,7 +143,7 @@
             if envelope.sender == sender and self.control_plane:
                 self._execute(self.control_plane.receive(time.monotonic_ns(), envelope))
         self._schedule()
-        return self._peer_sender(sender).dequeue() if sender in self.keys else []
+        return self._peer_transport(sender).dequeue() if sender in self.keys else []
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> messages.Response:
         """Answer an agent's heartbeat, or name the leader."""
@@ -219,7 +219,7 @@
                     return
             for name, envelope in output.envelopes:
                 if name in self.keys:
-                    self._peer_sender(name).enqueue(envelope)
+                    self._peer_transport(name).enqueue(envelope)
             for proposal in output.completed:
                 self._complete_proposal(proposal)
         if self.control_plane is not None:
@@ -253,10 +253,10 @@
         else:
             future.set_exception(CommitUnknownError("the replica that received it is no longer the leader"))
 
-    def _peer_sender(self, name: str) -> PeerSender:
+    def _peer_transport(self, name: str) -> PeerTransport:
         if name not in self.peers:
             link = AuthenticatedClient(self.fleet.host(name).agent, self.keys[self.name])
-            self.peers[name] = PeerSender(name, link, self._receive_response_envelopes, self.log)
+            self.peers[name] = PeerTransport(name, link, self._receive_response_envelopes, self.log)
         return self.peers[name]
 
     def _receive_response_envelopes(self, name: str, envelopes: list[Envelope]) -> None:
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -104,8 +104,8 @@
         permit = self.permit_holder.permits.get(instance.name)
         if permit is None or not permit.started:
             return
-        is_acting = instance.task is not None and instance.task.state is HostTaskState.ACTING
-        if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not is_acting:
+        has_task_in_progress = instance.task is not None and instance.task.state is HostTaskState.IN_PROGRESS
+        if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not has_task_in_progress:
             self.permit_holder.mark_restored(instance.name)
         else:
             self.permit_holder.mark_unavailable(instance.name)
@@ -134,8 +134,8 @@
             return TaskResult(order.id, target, "refused", why)
         if self._completed_before_loss(order, target):
             return TaskResult(order.id, target, "done", "")
-        is_order_over = bool(order.halted_by) or order.remaining <= 0
-        if task is None and state == STARTED_STATE and is_order_over:
+        has_order_ended = bool(order.halted_by) or order.remaining <= 0
+        if task is None and state == STARTED_STATE and has_order_ended:
             # The task would stay open for ever: this agent no longer knows that it was started.
             return TaskResult(order.id, target, "failed", "the agent lost its state file after the start")
         return None
--- a/oakkeel/disruption/control_plane.py
+++ b/oakkeel/disruption/control_plane.py
@@ -137,7 +137,7 @@
                 self._step_down()
             return outputs
         if self.allocator is None:
-            outputs += self._take_over(now)
+            outputs += self._start_leadership(now)
         while self.allocator and (to_propose := self._next_commands(now, self.allocator)):
             new_outputs = self._propose(now, to_propose)
             if not new_outputs:
@@ -153,7 +153,7 @@
                 if command and proposal.status is not ProposalStatus.COMMITTED and self.allocator:
                     self._forget_command(command)
 
-    def _take_over(self, now: int) -> list[Output]:
+    def _start_leadership(self, now: int) -> list[Output]:
         """Create the allocator and the extension, and propose the topology if the committed one differs."""
         nonce = self.replica.random.getrandbits(LEADER_NONCE_BITS) + 1
         self.allocator = PermitAllocator(now, self.state_machine, self.settings.permit_timeouts, nonce)
--- a/oakkeel/emulator/consensus.py
+++ b/oakkeel/emulator/consensus.py
@@ -12,7 +12,7 @@
 from oakkeel.emulator.convergence import ConvergenceCheck
 from oakkeel.emulator.fault_injection import FaultInjector
 from oakkeel.emulator.faults import Schedule
-from oakkeel.emulator.heartbeat_exchange import HeartbeatExchange
+from oakkeel.emulator.heartbeat_exchange import HeartbeatTransport
 from oakkeel.emulator.operators import Operators
 from oakkeel.emulator.simulated_host import SimulatedHost
 from oakkeel.emulator.simulated_network import SimulatedNetwork
@@ -36,7 +36,7 @@
         self.event_log = self.world.event_log
         self.network = SimulatedNetwork(self.world)
         self.hosts: dict[str, SimulatedHost] = {}
-        self.heartbeats = HeartbeatExchange(self.network, self.hosts)
+        self.heartbeats = HeartbeatTransport(self.network, self.hosts)
         self.operators = Operators(self.world, self.hosts)
         self.faults = FaultInjector(self.world, self.hosts, self.network, self.operators)
         self.convergence = ConvergenceCheck(self.world, self.hosts)
--- a/oakkeel/emulator/fault_injection.py
+++ b/oakkeel/emulator/fault_injection.py
@@ -12,7 +12,7 @@
 
 LINK_FAULTS = ("cut", "cut one way", "part", "slow links", "loss", "double")
 MAX_RATE_DIFFERENCE = 0.03  # between the fastest and the slowest machine clock
-WHOLE_FOLDER_SHARE = 0.3  # share of backups that restore the whole folder, not only the replica's file
+FOLDER_RESTORE_SHARE = 0.3  # share of backups that restore the whole folder, not only the replica's file
 MIN_RESTART_DELAY_NS = 200 * MS  # of a host, after all hosts were killed
 
 
@@ -87,7 +87,7 @@
             host.machine.kill(fault.duration)
             host.lose_files()
         elif fault.kind == "old file" and host.replica.storage is not None:
-            with_folder = fault.intensity < WHOLE_FOLDER_SHARE
+            with_folder = fault.intensity < FOLDER_RESTORE_SHARE
             known_writes = host.replica.known_writes if with_folder else -1
             backup = host.replica.storage.copy()
             clock.call_after(fault.duration, self._restore_backup, host, backup, known_writes, fault.duration)
--- a/oakkeel/emulator/heartbeat_exchange.py
+++ b/oakkeel/emulator/heartbeat_exchange.py
@@ -11,7 +11,7 @@
 HEARTBEAT_TIMEOUT_NS = 800 * MS
 
 
-class HeartbeatExchange:
+class HeartbeatTransport:
     """Carries heartbeats of agents to replicas over the network, and the responses back."""
 
     def __init__(self, network: SimulatedNetwork, hosts: dict[str, SimulatedHost]) -> None:
@@ -43,7 +43,7 @@
                 self.network.deliver(recipient.name, host.name, on_redirect, error.leader)
                 return
             self.network.deliver(recipient.name, host.name, on_response, response)
-            recipient.replica.carry_out(outputs)
+            recipient.replica.process_outputs(outputs)
 
         def on_response(response: HeartbeatResponse) -> None:
             nonlocal is_awaiting_response
--- a/oakkeel/emulator/operators.py
+++ b/oakkeel/emulator/operators.py
@@ -59,7 +59,7 @@
                 self._retry(command, ident, attempts)
             return
         host.replica.completions[proposal] = on_completed
-        host.replica.carry_out(outputs)
+        host.replica.process_outputs(outputs)
 
         def on_timeout() -> None:  # the host with the proposal may have been killed
             if not is_completed and attempts:
--- a/oakkeel/emulator/scenario.py
+++ b/oakkeel/emulator/scenario.py
@@ -164,7 +164,7 @@
             cache_ttl=0,
             idle_timeout=15 * SECOND,
             load_report=LoadReportKind.NONE,
-            over_allowance_weight=1.0,
+            excess_allowance_weight=1.0,
             request_classes=self._request_classes(),
             tenants=[],
         )
--- a/oakkeel/emulator/simulated_replica.py
+++ b/oakkeel/emulator/simulated_replica.py
@@ -108,7 +108,7 @@
         if not machine.may_act(restarts, lambda: self._tick(restarts)):
             return
         if self.control_plane:
-            self.carry_out(self.control_plane.tick(machine.now()))
+            self.process_outputs(self.control_plane.tick(machine.now()))
         if restarts == machine.restarts:
             self._schedule_tick()
 
@@ -123,7 +123,7 @@
             delay = min(delay, MAX_LEADER_TICK_NS if self.control_plane.allocator else MAX_TICK_NS)
         self.timer = self.world.clock.call_after(delay, self._tick, machine.restarts)
 
-    def carry_out(self, outputs: list[Output]) -> None:
+    def process_outputs(self, outputs: list[Output]) -> None:
         """Write, send messages and complete proposals, in this order; the process may crash in between."""
         machine = self.machine
         for output in outputs:
@@ -181,6 +181,6 @@
             machine.deferred.append(lambda: self.receive(envelope))
             return
         restarts = machine.restarts
-        self.carry_out(self.control_plane.receive(machine.now(), envelope))
+        self.process_outputs(self.control_plane.receive(machine.now(), envelope))
         if restarts == machine.restarts:
             self._schedule_tick()
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -54,7 +54,7 @@
             raise MissingFlowError("a request has no flow: its flow keys are empty")
         return flow
 
-    def is_heavy(self, now: int, flow: Flow) -> bool:
+    def is_heavy_hitter(self, now: int, flow: Flow) -> bool:
         """Return whether the rate of the flow is at least the maximum rate of a flow outside the table."""
         table = self.tables[-1]
         return table.rate(now, flow) >= table.error_rate(now)
--- a/oakkeel/fair_sharing/reservations.py
+++ b/oakkeel/fair_sharing/reservations.py
@@ -29,7 +29,7 @@
 class ReservationEnd(Enum):
     """The ways in which a reservation ends."""
 
-    KEPT = "kept"  # the flow retried in time and was admitted
+    HONORED = "kept"  # the flow retried in time and was admitted
     BROKEN = "broken"  # the flow retried in time and was rejected
     # The reservation expired, was moved, has no capacity or was not announced; its capacity is free.
     RELEASED = "released"
@@ -50,7 +50,7 @@
         self.unbacked_count = 0  # open reservations without capacity
         # Totals since the start.
         self.booked_count = 0
-        self.kept_count = 0
+        self.honored_count = 0
         self.broken_count = 0
         self.expired_count = 0  # reservations with capacity that expired without a retry in time
 
@@ -76,7 +76,9 @@
             (reservation for reservation in reversed(self.by_flow.get(key, ())) if reservation.work), None
         )
 
-    def book(self, now: int, not_before: int, key: int, work: float, capacity: float) -> Reservation | None:
+    def reserve(
+        self, now: int, not_before: int, key: int, work: float, capacity: float
+    ) -> Reservation | None:
         """Reserve the first step from `not_before` on with capacity for the work; None without such a step.
 
         `capacity` is the limit on the work that is booked in one step. The bounds on open reservations limit
@@ -111,7 +113,7 @@
     def postpone(self, now: int, reservation: Reservation, not_before: int, capacity: float) -> None:
         """Move a reservation whose flow retried early to a later step, or keep it if no step has capacity."""
         self.end(reservation, ReservationEnd.RELEASED)
-        new_reservation = self.book(now, not_before, reservation.key, reservation.work, capacity)
+        new_reservation = self.reserve(now, not_before, reservation.key, reservation.work, capacity)
         if new_reservation is None:
             self._add(reservation)
             return
@@ -140,8 +142,8 @@
             del self.by_flow[reservation.key]
         if end is ReservationEnd.RELEASED:
             self._free_capacity(reservation)
-        elif end is ReservationEnd.KEPT:
-            self.kept_count += 1
+        elif end is ReservationEnd.HONORED:
+            self.honored_count += 1
         else:
             self.broken_count += 1
 
--- a/oakkeel/fakes/directory.py
+++ b/oakkeel/fakes/directory.py
@@ -31,9 +31,9 @@
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
         """Record a report; other datagrams are ignored."""
-        words = data.decode(errors="replace").split()
-        if len(words) == 3 and words[0] == "PULSE":
-            self.reports[words[1]] = time.monotonic(), words[2] == "open"
+        fields = data.decode(errors="replace").split()
+        if len(fields) == 3 and fields[0] == "PULSE":
+            self.reports[fields[1]] = time.monotonic(), fields[2] == "open"
 
     def open_nodes(self) -> list[str]:
         """Return the nodes that accept requests, according to reports that have not expired."""
--- a/oakkeel/fakes/faulty_link.py
+++ b/oakkeel/fakes/faulty_link.py
@@ -24,7 +24,7 @@
 class LinkDirection:
     """The faults of messages in one direction. Times in seconds."""
 
-    cut: bool = False  # all messages are lost, and new connections get no answer
+    blocked: bool = False  # all messages are lost, and new connections get no answer
     loss: float = 0.0  # share of messages that are lost
     delay: float = 0.0  # of each message
     mixed: float = 0.0  # maximum random delay added to each message, which may reorder messages
@@ -73,7 +73,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         try:
-            if self.request_direction.cut or self.response_direction.cut:
+            if self.request_direction.blocked or self.response_direction.blocked:
                 await asyncio.sleep(UNANSWERED_CONNECT_TIME)
             else:
                 await self._connect(reader, writer)
@@ -113,7 +113,7 @@
                 message = length_field + await reader.readexactly(length)
                 while direction.stall:
                     await asyncio.sleep(0.02)
-                if direction.cut or self.random.random() < direction.loss:
+                if direction.blocked or self.random.random() < direction.loss:
                     self.lost_count += 1
                     continue
                 if self.random.random() < direction.altered:
@@ -136,7 +136,7 @@
         self, delay: float, writer: asyncio.StreamWriter, message: bytes, direction: LinkDirection
     ) -> None:
         await asyncio.sleep(delay)
-        if not direction.cut and not writer.is_closing():
+        if not direction.blocked and not writer.is_closing():
             writer.write(message)
 
     def _start(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
--- a/oakkeel/fakes/link_mesh.py
+++ b/oakkeel/fakes/link_mesh.py
@@ -35,7 +35,7 @@
         for link in self.links.values():
             await link.close()
 
-    def cut(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
+    def partition(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
         """Lose all messages from `sources` to `destinations`, and with `both` also those in return."""
         sources = list(sources)
         destinations = list(destinations)
@@ -43,7 +43,7 @@
         if both:
             directions += self._between(destinations, sources)
         for direction in directions:
-            direction.cut = True
+            direction.blocked = True
 
     def set_faults(self, **faults: float | bool) -> None:
         """Set fields of `LinkDirection` on all links, in both directions."""
--- a/oakkeel/fakes/node.py
+++ b/oakkeel/fakes/node.py
@@ -1,12 +1,13 @@
 """A fake node for an agent, which starts at once, answers on its control socket, and drains.
 
 The file NAME.script beside the control socket sets the behaviour of the node and is read again before each
-answer. The words of the file are: `mute` accepts connections and never answers, `old` answers with an earlier
-generation, `crash` exits at the start with code 3, `deaf` does not drain, `cold` reports that it is cold,
-`linger` takes a second to drain, `slow` is cold for a second after its start, `worse` reports fewer good
-responses and `slower` higher latencies than other nodes, `worse-cold` reports fewer good responses while it
-is cold, `leak` reports growing memory, `mortal` exits after a second. OAKKEEL_BEHAVE holds additional words.
-Each event of the node is a line in NAME.journal: a word, the generation, the process ID, and the monotonic
+answer. The behaviours in the file are: `mute` accepts connections and never answers, `old` answers with an
+earlier generation, `crash` exits at the start with code 3, `deaf` does not drain, `cold` reports that it is
+cold, `linger` takes a second to drain, `slow` is cold for a second after its start, `worse` reports fewer
+good responses and `slower` higher latencies than other nodes, `worse-cold` reports fewer good responses
+while it is cold, `leak` reports growing memory, `mortal` exits after a second. OAKKEEL_BEHAVE holds
+additional behaviours.
+Each event of the node is a line in NAME.journal: an event, the generation, the process ID, and the monotonic
 time.
 """
 
@@ -37,17 +38,17 @@
         self.drain_is_final = False
         self.is_up = False
 
-    def journal(self, word: str) -> None:
+    def journal(self, event: str) -> None:
         """Append a line to the journal."""
         with open(self.base + ".journal", "a", encoding="ascii") as file:
-            file.write(f"{word} {self.generation} {os.getpid()} {time.monotonic_ns()}\n")
+            file.write(f"{event} {self.generation} {os.getpid()} {time.monotonic_ns()}\n")
 
     def script(self) -> list[str]:
-        """Return the words that apply now."""
-        words = os.environ.get("OAKKEEL_BEHAVE", "").split()
+        """Return the behaviours that apply now."""
+        behaviours = os.environ.get("OAKKEEL_BEHAVE", "").split()
         with contextlib.suppress(OSError), open(self.base + ".script", encoding="ascii") as file:
-            return words + file.read().split()
-        return words
+            return behaviours + file.read().split()
+        return behaviours
 
     def measurements(self, script: list[str], cold: bool) -> dict[str, object]:
         """Return the figures of a node that has answered REPORTED_RATE requests a second since its start."""
--- a/oakkeel/fakes/rig.py
+++ b/oakkeel/fakes/rig.py
@@ -110,11 +110,11 @@
             processes.signal(process, signal.SIGKILL)
         processes.close()
 
-    def set_node_script(self, name: str, words: str) -> None:
-        """Set the behaviour of a fake node; `oakkeel.fakes.node` describes the `words`."""
+    def set_node_script(self, name: str, behaviours: str) -> None:
+        """Set the behaviour of a fake node; `oakkeel.fakes.node` describes the `behaviours`."""
         path = os.path.join(self.state_folder(self._host_of(name)), f"{name}.script")
         with open(path, "w", encoding="ascii") as file:
-            file.write(words)
+            file.write(behaviours)
 
     def enable_fault(self, host: str, fault: str, text: str = "") -> None:
         """Enable a fault of an agent; `oakkeel.fakes.agent` describes the faults and their `text`."""
--- a/oakkeel/fakes/simulated_node.py
+++ b/oakkeel/fakes/simulated_node.py
@@ -54,7 +54,7 @@
     cache_ttl=0,
     idle_timeout=SECOND,
     load_report=LoadReportKind.NONE,
-    over_allowance_weight=1.0,
+    excess_allowance_weight=1.0,
     request_classes=[],
     tenants=[Tenant(0, 0.0)],
 )
--- a/oakkeel/fakes/site.py
+++ b/oakkeel/fakes/site.py
@@ -140,8 +140,10 @@
         key = f' key="{host}.key"' if self.options.replicas else ""
         lines = [f'    <host name="{host}" agent="127.0.0.1:{port}" state="{host}"{key}>']
         for name in self.hosts[host]:
-            below = f' below="{self.dependencies[name]}"' if name in self.dependencies else ""
-            lines.append(f'      <instance name="{name}" config="{name}.json"{below}/>')
+            dependencies_attribute = (
+                f' below="{self.dependencies[name]}"' if name in self.dependencies else ""
+            )
+            lines.append(f'      <instance name="{name}" config="{name}.json"{dependencies_attribute}/>')
         return [*lines, "    </host>"]
 
     def _write_node(self, name: str, engine_port: int, directory_port: int, catalogue: str) -> None:
--- a/oakkeel/invariants/logs.py
+++ b/oakkeel/invariants/logs.py
@@ -16,7 +16,7 @@
 class LogEvent(NamedTuple):
     """A line of an agent's log or of a node's journal.
 
-    The kind is the event name of the agent's log, or `node` and the first word of the journal line.
+    The kind is the event name of the agent's log, or `node` and the event of the journal line.
     """
 
     time: int  # monotonic nanoseconds
@@ -53,8 +53,8 @@
         return
     with open(path, encoding="ascii") as file:
         for line in file:
-            word, generation, _, time = line.split()
-            yield LogEvent(int(time), f"node {word}", {"target": name, "generation": int(generation)})
+            event, generation, _, time = line.split()
+            yield LogEvent(int(time), f"node {event}", {"target": name, "generation": int(generation)})
 
 
 def audit_groups(
--- a/oakkeel/models/disruption.py
+++ b/oakkeel/models/disruption.py
@@ -55,12 +55,10 @@
 
 def can_two_leaders_hold_lease(lease: float, election_timeout: float, drift: float) -> bool:
     """Whether a leader can hold its lease after its voters have elected another leader."""
-    sent_at, received_at, elected_at, still_leading_at = z3.Reals("sent received elected holding")
+    sent_at, received_at, elected_at, lease_held_at = z3.Reals("sent received elected holding")
     solver = z3.Solver()
-    solver.add(
-        sent_at >= 0, sent_at <= received_at, received_at <= elected_at, still_leading_at >= elected_at
-    )
-    by_leader = measured_duration(solver, "by_leader", sent_at, still_leading_at, drift)
+    solver.add(sent_at >= 0, sent_at <= received_at, received_at <= elected_at, lease_held_at >= elected_at)
+    by_leader = measured_duration(solver, "by_leader", sent_at, lease_held_at, drift)
     by_follower = measured_duration(solver, "by_follower", received_at, elected_at, drift)
     solver.add(by_leader < lease, by_follower >= election_timeout)
     return bool(solver.check() == z3.sat)
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -92,7 +92,7 @@
     states = []
     for before, after in sorted(OPERATOR_TRANSITIONS):
         if before == name and not (after == "running" and rolls_back):
-            kept_attempts = attempts if (before, after) == ("running", "paused") else 0
+            next_attempts = attempts if (before, after) == ("running", "paused") else 0
             states.append(
                 (
                     after,
@@ -100,7 +100,7 @@
                     target_out,
                     first_version,
                     second_version,
-                    kept_attempts,
+                    next_attempts,
                 )
             )
     return states
--- a/oakkeel/node/fair_sharing.py
+++ b/oakkeel/node/fair_sharing.py
@@ -132,7 +132,7 @@
             error=table.error_rate(now) / total_rate,
             reservations_open=reservations.open_count,
             reservations_made=reservations.booked_count,
-            reservations_honored=reservations.kept_count,
+            reservations_honored=reservations.honored_count,
             reservations_broken=reservations.broken_count,
             reservations_expired=reservations.expired_count,
             clients=[
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -17,7 +17,7 @@
     AwaitSharedResponse,
     CancelRun,
     FailRequest,
-    PlaceCall,
+    IssueCall,
     RejectRequest,
     SkipCall,
     StartRun,
@@ -104,7 +104,7 @@
 
     def call(self, request: NodeRequest, until: int) -> None:
         """Place the downstream call that the run waits for; `until` is its deadline."""
-        request.post(PlaceCall(until))
+        request.post(IssueCall(until))
 
     def skip_call(self, request: NodeRequest) -> None:
         """Let the run continue without its downstream call."""
--- a/oakkeel/node/request_handler.py
+++ b/oakkeel/node/request_handler.py
@@ -19,7 +19,7 @@
     CancelRun,
     ClientDisconnected,
     FailRequest,
-    PlaceCall,
+    IssueCall,
     RejectRequest,
     RequestEvent,
     RequestReleased,
@@ -114,7 +114,7 @@
     ) -> RequestEvent | RequestReleased:
         """Place the call, retry or skip it as the verdicts say, and return the next event of the run."""
         event = await self._next_event(request)
-        while isinstance(event, PlaceCall):
+        while isinstance(event, IssueCall):
             self.catalogue.fetch(request, event.deadline, call_needed.body)
             event = await self._next_event(request)
             if isinstance(event, CallFinished):
--- a/oakkeel/node_limits.py
+++ b/oakkeel/node_limits.py
@@ -22,7 +22,7 @@
 Choice = TypeVar("Choice")
 JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
 
-# The words in the settings (the keys of these tables) are mapped to the terms of the code only here; the
+# The values in the settings (the keys of these tables) are mapped to the terms of the code only here; the
 # paths are mapped in `read_limits` and `_request_class`.
 IDEMPOTENCY = {
     "read_like": Idempotency.IDEMPOTENT,
@@ -119,11 +119,11 @@
         return parts[index] if index < len(parts) and parts[index] else default
 
     def choice(self, path: str, choices: dict[str, Choice], default: str) -> Choice:
-        """Return the value that `choices` has for the word. Raises `LimitsError` for an unknown word."""
-        word = self.get(path, default)
-        if word not in choices:
-            fail(f"the settings have an unknown value: {path}={word}, expected one of {', '.join(choices)}")
-        return choices[word]
+        """Return the value that `choices` has for the setting. Raises `LimitsError` for an unknown value."""
+        value = self.get(path, default)
+        if value not in choices:
+            fail(f"the settings have an unknown value: {path}={value}, expected one of {', '.join(choices)}")
+        return choices[value]
 
     @staticmethod
     def _parse(path: str, value: str) -> float:
@@ -166,7 +166,7 @@
         cache_ttl=settings.time("extra.fresh"),
         idle_timeout=settings.time("extra.idle"),
         load_report=settings.choice("extra.say", LOAD_REPORTS, "silent"),
-        over_allowance_weight=settings.number("over-share-worth", 1.0),
+        excess_allowance_weight=settings.number("over-share-worth", 1.0),
         request_classes=[
             _request_class(settings, index) for index in range(int(settings.required_number("classes.count")))
         ],
--- a/oakkeel/request_events.py
+++ b/oakkeel/request_events.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class PlaceCall:
+class IssueCall:
     """Make the downstream call that the run waits for."""
 
     deadline: int  # nanoseconds of the monotonic clock
@@ -96,6 +96,6 @@
     """Nothing is left to wait for: the request is over and not in the engine."""
 
 
-Verdict = StartRun | RejectRequest | FailRequest | CancelRun | PlaceCall | SkipCall | AwaitSharedResponse
+Verdict = StartRun | RejectRequest | FailRequest | CancelRun | IssueCall | SkipCall | AwaitSharedResponse
 ExternalEvent = ClientDisconnected | CallNeeded | CallFinished | RunFinished | SharedResponse
 RequestEvent = Verdict | ExternalEvent
--- a/tests/admission/test_arrival_decision.py
+++ b/tests/admission/test_arrival_decision.py
@@ -36,12 +36,12 @@
 
     def test_rejects_a_request_that_exceeds_the_memory(self):
         decision = self.decide(memory_kb=100_000)
-        self.assert_rejected(decision, Rejection.RETRY_ELSEWHERE, RejectionReason.MEMORY)
+        self.assert_rejected(decision, Rejection.RETRY_ON_OTHER_NODE, RejectionReason.MEMORY)
 
     def test_rejects_after_the_grace_period_of_a_drain(self):
         self.controller.drain(self.host.now, 10 * SECOND)
         self.host.now += 3 * SECOND
-        self.assert_rejected(self.decide(), Rejection.RETRY_ELSEWHERE, RejectionReason.DRAIN)
+        self.assert_rejected(self.decide(), Rejection.RETRY_ON_OTHER_NODE, RejectionReason.DRAIN)
 
     def test_rejects_a_request_beyond_its_share_while_another_runs(self):
         self.host.arrive()
@@ -50,13 +50,13 @@
 
     def test_rejects_every_request_without_a_reservation_at_stage_reject(self):
         self.controller.overload.latency_stage = Stage.REJECT
-        self.assert_rejected(self.decide(), Rejection.RETRY_ELSEWHERE, RejectionReason.STAGE)
+        self.assert_rejected(self.decide(), Rejection.RETRY_ON_OTHER_NODE, RejectionReason.STAGE)
         self.assertIs(self.decide(share_status=ShareStatus.RESERVED), Admission.QUEUE)
 
     def test_rejects_a_request_that_cannot_end_in_time_even_with_a_reservation(self):
         for share_status in ShareStatus:
             decision = self.decide(time_to_deadline=100 * MS, share_status=share_status)
-            self.assert_rejected(decision, Rejection.RETRY_ELSEWHERE, RejectionReason.FIT)
+            self.assert_rejected(decision, Rejection.RETRY_ON_OTHER_NODE, RejectionReason.FIT)
 
     def test_rejects_a_low_rank_from_reorder_on_and_delays_a_high_rank_at_backpressure(self):
         self.controller.overload.latency_stage = Stage.BACKPRESSURE
--- a/tests/admission/test_shedding.py
+++ b/tests/admission/test_shedding.py
@@ -27,7 +27,7 @@
 
     def test_lets_low_ranks_retry_elsewhere_unless_many_retries_arrive(self):
         # If clients choose a node by subject, one node may be full while other nodes have capacity.
-        for retries_in_ten, may_retry_elsewhere in ((0, True), (4, False)):
+        for retries_in_ten, may_retry_on_other_node in ((0, True), (4, False)):
             host = FakeHost()
             requests = []
             for number in range(200):
@@ -42,4 +42,4 @@
                 action[2] for action in host.actions if action[0] == "reject" and not action[1].retry_attempt
             ]
             self.assertGreater(len(final_flags), 10)
-            self.assertEqual(sum(final_flags) < len(final_flags) / 4, may_retry_elsewhere)
+            self.assertEqual(sum(final_flags) < len(final_flags) / 4, may_retry_on_other_node)
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -144,7 +144,7 @@
         host.run(0.5)
         host.orders.cancel(host.now, "o1", "ravi")
         self.assertEqual(
-            [task.state for task in order.tasks], [HostTaskState.ACTING, HostTaskState.CANCELLED]
+            [task.state for task in order.tasks], [HostTaskState.IN_PROGRESS, HostTaskState.CANCELLED]
         )
         self.assertIn("before ravi cancelled", order.tasks[0].why)
         with self.assertRaises(OrderRejectedError):
--- a/tests/agent/test_server.py
+++ b/tests/agent/test_server.py
@@ -23,7 +23,7 @@
 
 
 class AgentServerTest(AgentTestCase):
-    async def exchange_frames(self, *frames: bytes) -> list[bytes]:
+    async def send_frames(self, *frames: bytes) -> list[bytes]:
         """Send frames on one connection; return the challenge and the response to each frame."""
         reader, writer = await asyncio.open_connection(*self.host.agent)
         responses = [await self.read_frame(reader)]
@@ -55,7 +55,7 @@
             frame(b"what"),
             (1 << 30).to_bytes(4, "big"),
         ):
-            hello, response = await self.exchange_frames(rejected_frame)
+            hello, response = await self.send_frames(rejected_frame)
             self.assertTrue(hello.startswith(HELLO))
             self.assertEqual(response, REFUSED)
         wrong_key = Key("asha-1", "asha", Role.ACT, os.urandom(32))
--- a/tests/agent/test_storage.py
+++ b/tests/agent/test_storage.py
@@ -37,5 +37,5 @@
         restore_orders(store, restored_registry)
 
         [task] = restored_registry.open_tasks
-        self.assertEqual((task.state, task.replaced_generation), (HostTaskState.ACTING, 3))
+        self.assertEqual((task.state, task.replaced_generation), (HostTaskState.IN_PROGRESS, 3))
         self.assertIs(task.drain_sent, True)
--- a/tests/cluster/test_leader_changes.py
+++ b/tests/cluster/test_leader_changes.py
@@ -52,18 +52,20 @@
     async def test_replicas_partitioned_both_ways_one_way_and_in_a_ring_commit_with_a_majority_only(self):
         leader = await self.rig.wait_for_leader()
         other_hosts = [host for host in self.hosts if host != leader]
-        self.rig.links.cut([leader], other_hosts)
+        self.rig.links.partition([leader], other_hosts)
         second_leader = await self.rig.wait_for_leader(excluding=[leader])
         await self.submit_order_with_retry("two", "restart", ["n4a"])
         self.rig.links.clear_faults()
         other_hosts = [host for host in self.hosts if host != second_leader]
-        self.rig.links.cut(other_hosts, [second_leader], both=False)  # the leader sends but receives nothing
+        self.rig.links.partition(
+            other_hosts, [second_leader], both=False
+        )  # the leader sends but receives nothing
         third_leader = await self.rig.wait_for_leader(excluding=[second_leader])
         await self.submit_order_with_retry("one", "restart", ["n5a"])
         self.rig.links.clear_faults()
         ring = list(self.replicas)
         for position, host in enumerate(ring):  # each receives only from the replica before it
-            self.rig.links.cut([ring[(position + 1) % 3]], [host], both=False)
+            self.rig.links.partition([ring[(position + 1) % 3]], [host], both=False)
         await asyncio.sleep(1.5)
         self.rig.links.clear_faults()
         await self.rig.wait_for_leader()
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -19,7 +19,7 @@
 class MembershipTest(RigTestCase):
     async def test_membership_grows_from_three_to_five_while_one_replica_is_partitioned(self):
         partitioned = await self.follower()
-        self.rig.links.cut([partitioned], [host for host in self.hosts if host != partitioned])
+        self.rig.links.partition([partitioned], [host for host in self.hosts if host != partitioned])
         command = [
             sys.executable,
             "-m",
--- a/tests/cluster/test_rollout.py
+++ b/tests/cluster/test_rollout.py
@@ -84,7 +84,7 @@
         await self.start_release(spec, gated=False, max_batch=1)
         await self.wait_for_status("the first batch has begun", lambda status: status.batch >= 1)
         partitioned_hosts = ["h3", "h4", "h5"]
-        self.rig.links.cut(partitioned_hosts, ["h1", "h2"])
+        self.rig.links.partition(partitioned_hosts, ["h1", "h2"])
         self.rig.kill_node("n5a")
         self.rig.kill_node("n5b")
         await asyncio.sleep(4.0)
--- a/tests/cluster/test_storage_faults.py
+++ b/tests/cluster/test_storage_faults.py
@@ -47,7 +47,7 @@
         await self.rig.kill_agent("h4")
         self.rig.kill_node("n4b")
         self.rig.delete_databases("h4", "agent.db")
-        self.rig.links.cut(["h4"], [host for host in self.hosts if host != "h4"])
+        self.rig.links.partition(["h4"], [host for host in self.hosts if host != "h4"])
         await self.rig.start_agent("h4")
         await asyncio.sleep(1.5)
         # The partitioned agent may not start an instance.
--- a/tests/disruption/permit_cluster.py
+++ b/tests/disruption/permit_cluster.py
@@ -48,7 +48,7 @@
         """Replace the allocator with the allocator of a new leader."""
         self.allocator = PermitAllocator(self.now, self.state_machine, PermitTimeouts(), self.index + 1)
 
-    def exchange_heartbeats(self, *hosts: str) -> None:
+    def send_heartbeats(self, *hosts: str) -> None:
         """Send a heartbeat from each host, and apply the commands that the leader proposes.
 
         Each host receives the response to its heartbeat. Without arguments, all hosts send a heartbeat.
--- a/tests/disruption/test_holder.py
+++ b/tests/disruption/test_holder.py
@@ -24,9 +24,9 @@
         targets that failed during that time were not counted when the permit was used."""
         for is_late, state in ((False, "serving"), (True, "serving"), (True, "draining")):
             self.setUp()
-            self.exchange_heartbeats()
+            self.send_heartbeats()
             self.submit("o1", "a")
-            self.exchange_heartbeats()
+            self.send_heartbeats()
             holder = self.holders["h1"]
             instance = Instance(
                 "a",
--- a/tests/fair_sharing/test_reservations.py
+++ b/tests/fair_sharing/test_reservations.py
@@ -17,7 +17,7 @@
         now = 0
         for key, work, pause_steps in bookings:
             now += pause_steps * 20 * MS
-            reservations.book(now, now, key, work, 30.0)
+            reservations.reserve(now, now, key, work, 30.0)
             self.assertLessEqual(max(reservations.booked), 30.0)
             self.assertLessEqual(reservations.open_count, 40)
             counts_by_flow = [len(flow_reservations) for flow_reservations in reservations.by_flow.values()]
@@ -26,10 +26,12 @@
 
     def test_frees_the_capacity_of_ended_reservations_and_drops_expired_ones(self):
         reservations = Reservations(50 * MS, 20, 2)
-        first = reservations.book(0, 0, 1, 10.0, 10.0)
-        self.assertEqual((first.due_at, reservations.book(0, 0, 2, 10.0, 10.0).due_at), (50 * MS, 100 * MS))
-        self.assertIsNone(reservations.book(0, 0, 3, 10.0, 10.0))
+        first = reservations.reserve(0, 0, 1, 10.0, 10.0)
+        self.assertEqual(
+            (first.due_at, reservations.reserve(0, 0, 2, 10.0, 10.0).due_at), (50 * MS, 100 * MS)
+        )
+        self.assertIsNone(reservations.reserve(0, 0, 3, 10.0, 10.0))
         reservations.end(first, ReservationEnd.RELEASED)
-        self.assertEqual(reservations.book(0, 0, 3, 10.0, 10.0).due_at, 50 * MS)
-        self.assertIsNotNone(reservations.book(5 * SECOND, 0, 4, 10.0, 10.0))
+        self.assertEqual(reservations.reserve(0, 0, 3, 10.0, 10.0).due_at, 50 * MS)
+        self.assertIsNotNone(reservations.reserve(5 * SECOND, 0, 4, 10.0, 10.0))
         self.assertEqual(reservations.expired_count, 2)
--- a/tests/fakes/test_faulty_link.py
+++ b/tests/fakes/test_faulty_link.py
@@ -21,10 +21,10 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", await link.open())
         writer.write(frame(b"one"))
         self.assertEqual(await reader.readexactly(7), frame(b"one"))
-        request_direction.cut = True
+        request_direction.blocked = True
         writer.write(frame(b"lost"))
         await asyncio.sleep(0.1)
-        request_direction.cut, request_direction.double = False, 1.0
+        request_direction.blocked, request_direction.double = False, 1.0
         writer.write(frame(b"two"))
         self.assertEqual(await asyncio.wait_for(reader.readexactly(14), 5), frame(b"two") * 2)
         self.assertEqual(link.lost_count, 1)
--- a/tests/fakes/test_stream_server.py
+++ b/tests/fakes/test_stream_server.py
@@ -80,7 +80,7 @@
             request_direction.delay = 60.0
             forwarded.write(frame(b"late"))
             await asyncio.sleep(0.05)
-            request_direction.cut = True  # a new connection gets no answer
+            request_direction.blocked = True  # a new connection gets no answer
             _, unanswered = await asyncio.open_connection("127.0.0.1", port)
             await asyncio.sleep(0.05)
             await link.close()
--- a/tests/raft/cluster.py
+++ b/tests/raft/cluster.py
@@ -52,7 +52,7 @@
 
 
 class Cluster:
-    """Replicas on one clock. A message arrives after a millisecond, unless its link is cut."""
+    """Replicas on one clock. A message arrives after a millisecond, unless its link is blocked."""
 
     def __init__(
         self, *names: str, initial_voters: tuple[str, ...] = (), timeouts: RaftTimeouts | None = None
@@ -64,7 +64,7 @@
         self.storages: dict[str, InMemoryStorage] = {}
         self.replicas: dict[str, Replica] = {}
         self.in_transit: list[Delivery] = []
-        self.cut_links: set[tuple[str, str]] = set()  # by sender and recipient
+        self.blocked_links: set[tuple[str, str]] = set()  # by sender and recipient
         self.last_number = 0  # the last number that a start or a message got
         for name in names:
             self.start(name)
@@ -85,15 +85,15 @@
         )
 
     def isolate(self, name: str) -> None:
-        """Cut all links of one replica, and restore all other links."""
-        self.cut_links = {link for other in self.replicas for link in ((name, other), (other, name))}
+        """Block all links of one replica, and restore all other links."""
+        self.blocked_links = {link for other in self.replicas for link in ((name, other), (other, name))}
 
-    def carry_out(self, name: str, output: Output) -> None:
+    def process_output(self, name: str, output: Output) -> None:
         """Store the storage update of a replica's output, and send the messages of the output."""
         if output.storage_update:
             self.storages[name].write(self.replicas[name].durable, output.storage_update)
         for recipient, envelope in output.envelopes:
-            if (name, recipient) not in self.cut_links:
+            if (name, recipient) not in self.blocked_links:
                 self.last_number += 1
                 self.in_transit.append(Delivery(self.now + MS, self.last_number, recipient, envelope))
 
@@ -107,7 +107,7 @@
             self._deliver()
             for name, replica in list(self.replicas.items()):
                 if replica.next_tick_at() <= self.now:
-                    self.carry_out(name, replica.tick(self.now))
+                    self.process_output(name, replica.tick(self.now))
 
     def _deliver(self) -> None:
         due_deliveries = sorted(delivery for delivery in self.in_transit if delivery.due_at <= self.now)
@@ -115,7 +115,7 @@
         for delivery in due_deliveries:
             if delivery.recipient in self.replicas:
                 replica = self.replicas[delivery.recipient]
-                self.carry_out(delivery.recipient, replica.receive(self.now, delivery.envelope))
+                self.process_output(delivery.recipient, replica.receive(self.now, delivery.envelope))
 
     def _leaders(self) -> list[Replica]:
         return [replica for replica in self.replicas.values() if replica.holds_lease(self.now)]
@@ -133,7 +133,7 @@
         """Propose a command to the leader."""
         leader = self.leader()
         proposal, output = leader.propose(self.now, content)
-        self.carry_out(leader.name, output)
+        self.process_output(leader.name, output)
         return proposal
 
     def commit(self, *contents: bytes) -> None:
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -31,7 +31,7 @@
         cluster.isolate(partitioned_name)
         cluster.run(10 * SECOND)
         self.assertEqual(cluster.replicas[partitioned_name].role, Role.PRE_CANDIDATE)
-        cluster.cut_links.clear()
+        cluster.blocked_links.clear()
         cluster.run(SECOND)
         self.assertEqual((cluster.leader(), leader.term, leader.elections_won), (leader, 1, 1))
 
@@ -39,7 +39,7 @@
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
         # The messages of the leader still arrive.
-        cluster.cut_links = {(name, leader.name) for name in cluster.replicas}
+        cluster.blocked_links = {(name, leader.name) for name in cluster.replicas}
         cluster.run(cluster.timeouts.max_election_timeout_ns)
         self.assertFalse(leader.holds_lease(cluster.now))
         cluster.run(2 * SECOND, cluster.has_leader)
@@ -49,7 +49,7 @@
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
         follower = next(replica for replica in cluster.replicas.values() if replica is not leader)
-        cluster.cut_links = {(name, leader.name) for name in cluster.replicas}
+        cluster.blocked_links = {(name, leader.name) for name in cluster.replicas}
         cluster.run(cluster.timeouts.min_election_timeout_ns)
         self.assertIs(leader.role, Role.LEADER)
         self.assertFalse(leader.holds_lease(cluster.now))
@@ -72,17 +72,17 @@
         cluster.commit(b"one")
         leader = cluster.leader()
         other_names = [name for name in cluster.replicas if name != leader.name]
-        cluster.cut_links = {(leader.name, other) for other in other_names}
+        cluster.blocked_links = {(leader.name, other) for other in other_names}
         leader.append(
             cluster.now,
             EntryKind.MEMBERS,
             encode_members([member for member in leader.members if member.name != leader.name]),
         )
-        cluster.carry_out(leader.name, leader._finish(cluster.now))
+        cluster.process_output(leader.name, leader._finish(cluster.now))
         del cluster.storages[other_names[0]]
         cluster.start(other_names[0])
         cluster.run(3 * SECOND)
-        cluster.cut_links.clear()
+        cluster.blocked_links.clear()
         cluster.commit(b"two")
         cluster.run(3 * SECOND)
         self.assertNotIn(leader.incarnation, cluster.leader().voters)
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -30,7 +30,7 @@
 
         cluster.run(10 * SECOND, lambda: voters() == set("abcde"))
         self.assertEqual(voters(), set("abcde"))
-        cluster.cut_links.clear()
+        cluster.blocked_links.clear()
         cluster.commit(b"voters c d e")
         cluster.run(10 * SECOND, lambda: voters() == set("cde"))
         self.assertEqual(voters(), set("cde"))
--- a/tests/raft/test_properties.py
+++ b/tests/raft/test_properties.py
@@ -1,4 +1,4 @@
-"""Properties of Raft under random crashes, cut links and proposals."""
+"""Properties of Raft under random crashes, blocked links and proposals."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 class RaftMachine(RuleBasedStateMachine):
-    """Three replicas under cut links, crashes and proposals in any order.
+    """Three replicas under blocked links, crashes and proposals in any order.
 
     A command that was reported as committed stays committed, in one order, and no term has two leaders.
     """
@@ -34,14 +34,14 @@
         self.cluster.run(wait_ms * MS)
 
     @rule(name=names, other=names, both_directions=st.booleans())
-    def cut(self, name, other, both_directions):
+    def block_link(self, name, other, both_directions):
         """Cut a link in one direction or in both directions."""
-        self.cluster.cut_links |= {(name, other), (other, name)} if both_directions else {(name, other)}
+        self.cluster.blocked_links |= {(name, other), (other, name)} if both_directions else {(name, other)}
 
     @rule()
     def heal(self):
         """Restore all links."""
-        self.cluster.cut_links.clear()
+        self.cluster.blocked_links.clear()
 
     @rule(name=names, loses_messages=st.booleans())
     def crash(self, name, loses_messages):
@@ -62,7 +62,7 @@
         except NotLeaderError:
             return
         self.proposals.append((content, proposal))
-        self.cluster.carry_out(name, output)
+        self.cluster.process_output(name, output)
         self.cluster.run(5 * MS)
 
     @rule(name=names)
--- a/tests/raft/test_recovery.py
+++ b/tests/raft/test_recovery.py
@@ -62,7 +62,7 @@
         leader_name = cluster.leader().name
         restored_name, other_name = (name for name in cluster.replicas if name != leader_name)
         backup = cluster.storages[restored_name].copy()
-        cluster.cut_links = {(leader_name, other_name), (other_name, leader_name)}
+        cluster.blocked_links = {(leader_name, other_name), (other_name, leader_name)}
         cluster.commit(b"two", b"three")
         cluster.storages[restored_name] = backup
         cluster.start(restored_name)
@@ -92,10 +92,10 @@
         cluster.start(name)
         replica = cluster.replicas[name]
         # The recovery requests of the replica are lost, but the messages of the leader arrive.
-        cluster.cut_links = {(name, other_name) for other_name in cluster.replicas}
+        cluster.blocked_links = {(name, other_name) for other_name in cluster.replicas}
         cluster.commit(b"two", b"three")
         cluster.run(300 * MS)
-        cluster.cut_links.clear()
+        cluster.blocked_links.clear()
         cluster.run(2 * SECOND, lambda: replica.role is not Role.RECOVERING)
         self.assertEqual(replica.role, Role.FOLLOWER)
         self.assertEqual(cluster.applied_commands()[name], [b"one", b"two", b"three"])
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -20,11 +20,11 @@
         leader = cluster.leader()
         cluster.isolate(leader.name)
         proposal, output = leader.propose(cluster.now, b"never")
-        cluster.carry_out(leader.name, output)
+        cluster.process_output(leader.name, output)
         cluster.run(3 * SECOND)
         self.assertEqual(proposal.status, ProposalStatus.UNKNOWN)
         cluster.commit(b"other")
-        cluster.cut_links.clear()
+        cluster.blocked_links.clear()
         cluster.commit(b"third")
         self.assertEqual(set(map(tuple, cluster.applied_commands().values())), {(b"other", b"third")})
 
@@ -80,7 +80,7 @@
     def test_leader_rejects_too_many_and_too_large_proposals(self):
         cluster = Cluster("a", "b", "c")
         leader = cluster.leader()
-        cluster.cut_links = {(leader.name, name) for name in cluster.replicas}
+        cluster.blocked_links = {(leader.name, name) for name in cluster.replicas}
         with self.assertRaisesRegex(ProposalLimitError, "1024 proposals are not committed yet"):
             for _ in range(2000):
                 leader.propose(cluster.now, b"x")
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -43,7 +43,7 @@
     cache_ttl=0,
     idle_timeout=30 * SECOND,
     load_report=LoadReportKind.NONE,
-    over_allowance_weight=0.1,
+    excess_allowance_weight=0.1,
     request_classes=[],
     tenants=[],
 )
