--- a/measure/fair.py
+++ b/measure/fair.py
@@ -51,8 +51,7 @@
         log_reader = asyncio.ensure_future(require_stream(node.stderr).read())
         await asyncio.sleep(0.5)
         compliant = [
-            PoliteClient(f"good-{number}", address, CLIENT_RATE, seed + number)
-            for number in range(COMPLIANT_CLIENTS)
+            PoliteClient(f"good-{i}", address, CLIENT_RATE, seed + i) for i in range(COMPLIANT_CLIENTS)
         ]
         crawler = CrawlerClient("crawler", address, FAIR_RATE * multiple, seed + 99)
         clients = [*compliant, crawler]
--- a/oakkeel/agent/supervisor.py
+++ b/oakkeel/agent/supervisor.py
@@ -110,12 +110,10 @@
         instance.drain_sent_at = 0
 
     def process_not_found(self, now: int, instance: Instance, recorded_generation: int) -> None:
-        """Record that an instance has no process when the agent starts.
-
-        `recorded_generation`, from the pid file, shows whether a process of the last generation was started.
-        """
+        """Record that an instance has no process when the agent starts."""
         if not instance.alive:
             return
+        # The pid file's `recorded_generation` shows whether a process of the last generation was started.
         if instance.spawned or recorded_generation == instance.process_generation:
             self.process_exited(now, instance, "its process ended while no agent was running")
         else:
--- a/oakkeel/emulator/heartbeat_exchange.py
+++ b/oakkeel/emulator/heartbeat_exchange.py
@@ -23,27 +23,25 @@
         """Send an agent's heartbeat to the host that the agent last knew as the leader."""
         host = self.hosts[name]
         machine = host.machine
-        recipient = self.hosts[host.agent.leader_locator.current]
+        peer = self.hosts[host.agent.leader_locator.current]
         restarts = machine.restarts
         is_awaiting_response = True
 
         def on_arrival() -> None:
-            if not recipient.machine.running:
+            if not peer.machine.running:
                 return
-            if recipient.machine.stopped:
-                recipient.machine.deferred.append(on_arrival)
+            if peer.machine.stopped:
+                peer.machine.deferred.append(on_arrival)
                 return
-            if recipient.control_plane is None:
+            if peer.control_plane is None:
                 return
             try:
-                response, outputs = recipient.control_plane.receive_heartbeat(
-                    recipient.machine.now(), heartbeat
-                )
+                response, outputs = peer.control_plane.receive_heartbeat(peer.machine.now(), heartbeat)
             except NotLeaderError as error:
-                self.network.deliver(recipient.name, host.name, on_redirect, error.leader)
+                self.network.deliver(peer.name, host.name, on_redirect, error.leader)
                 return
-            self.network.deliver(recipient.name, host.name, on_response, response)
-            recipient.replica.process_outputs(outputs)
+            self.network.deliver(peer.name, host.name, on_response, response)
+            peer.replica.process_outputs(outputs)
 
         def on_response(response: HeartbeatResponse) -> None:
             nonlocal is_awaiting_response
@@ -58,5 +56,5 @@
                 is_awaiting_response = False
                 host.agent.leader_locator.redirect(leader_name)
 
-        self.network.deliver(host.name, recipient.name, on_arrival)
+        self.network.deliver(host.name, peer.name, on_arrival)
         self.network.world.clock.call_after(HEARTBEAT_TIMEOUT_NS, on_redirect, "")
--- a/oakkeel/engine/link.py
+++ b/oakkeel/engine/link.py
@@ -199,10 +199,7 @@
             command.is_written = True
 
     def maintain_and_ask_gauges(self) -> asyncio.Future[list[float]] | None:
-        """Close an unresponsive link, resend overdue runs, and ask for the gauges.
-
-        Return None while the link is not open.
-        """
+        """Close an unresponsive link, resend overdue runs, ask for the gauges; None while it is not open."""
         now = time.monotonic_ns()
         self._close_if_unanswered(now)
         if not self.open:
--- a/oakkeel/models/releases.py
+++ b/oakkeel/models/releases.py
@@ -35,16 +35,13 @@
 
 
 def controller_steps(state: State, omitted: Iterable[str] = ()) -> list[State]:
-    """Return the states that a controller can reach in one step, without an action of an operator.
-
-    With "attempts" in `omitted`, the number of attempts is not limited.
-    """
-    name, rolls_back, target_out, first_version, second_version, attempts = state
+    """Return the states that one step of a controller can reach; "attempts" in `omitted`: without limit."""
+    name, rolls_back, target_out, first, second, attempts = state
     states: list[State] = []
     if name == "preparing":
         return [
-            ("running", rolls_back, target_out, first_version, second_version, attempts),
-            ("left", rolls_back, target_out, first_version, second_version, attempts),
+            ("running", rolls_back, target_out, first, second, attempts),
+            ("left", rolls_back, target_out, first, second, attempts),
         ]
     if target_out:  # the batch may end with either version, whichever version is intended
         for version in ("new", "old"):
@@ -53,36 +50,29 @@
                     name,
                     rolls_back,
                     0,
-                    version if target_out == 1 else first_version,
-                    version if target_out == 2 else second_version,
+                    version if target_out == 1 else first,
+                    version if target_out == 2 else second,
                     attempts,
                 )
             )
         if name in ("running", "undoing"):  # the batch failed, or a gate rejected the new version
-            states.append(("halted", rolls_back, target_out, first_version, second_version, attempts))
+            states.append(("halted", rolls_back, target_out, first, second, attempts))
             if name == "running":
-                states.append(("undoing", True, target_out, first_version, second_version, 0))
+                states.append(("undoing", True, target_out, first, second, 0))
         return states
     if name not in ("running", "undoing"):
         return []
     intended_version = "old" if rolls_back else "new"
-    outdated = [
-        target for target, version in ((1, first_version), (2, second_version)) if version != intended_version
-    ]
+    outdated = [target for target, version in ((1, first), (2, second)) if version != intended_version]
     if not outdated:
-        states.append(
-            ("undone" if rolls_back else "done", rolls_back, 0, first_version, second_version, attempts)
-        )
+        states.append(("undone" if rolls_back else "done", rolls_back, 0, first, second, attempts))
     elif attempts < MAX_ATTEMPTS * 2 or "attempts" in omitted:
         increment = 0 if "attempts" in omitted else 1
-        states += [
-            (name, rolls_back, target, first_version, second_version, attempts + increment)
-            for target in outdated
-        ]
+        states += [(name, rolls_back, target, first, second, attempts + increment) for target in outdated]
     else:
-        states.append(("halted", rolls_back, 0, first_version, second_version, attempts))
+        states.append(("halted", rolls_back, 0, first, second, attempts))
     if name == "running":
-        states.append(("halted", rolls_back, 0, first_version, second_version, attempts))
+        states.append(("halted", rolls_back, 0, first, second, attempts))
     return states
 
 
--- a/oakkeel/node/configuration.py
+++ b/oakkeel/node/configuration.py
@@ -53,10 +53,7 @@
 
 
 def read_configuration(variables: Mapping[str, str]) -> NodeConfiguration:
-    """Read the environment variables and the file that they name.
-
-    Raises LimitsError with a message of one line.
-    """
+    """Read the environment variables and the file they name. Raises LimitsError with a one-line message."""
     document = _read_document(variables.get("PROXY_CONFIG") or fail("PROXY_CONFIG is not set"))
     process_settings = Settings(
         flatten({name: value for name, value in document.items() if name != "settings"})
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -74,20 +74,18 @@
             await request_once(address, unknown_key, messages.PeerEnvelopesRequest([envelope]))
         follower = next(host for host in self.hosts if host != leader)
         # The sender in the envelope is not the host of the key.
-        response = await request_once(address, keys[follower], messages.PeerEnvelopesRequest([envelope]))
-        self.assertIsInstance(response, messages.PeerEnvelopesResponse)
-        response = await request_once(
+        answer = await request_once(address, keys[follower], messages.PeerEnvelopesRequest([envelope]))
+        self.assertIsInstance(answer, messages.PeerEnvelopesResponse)
+        answer = await request_once(
             address, keys[follower], messages.HeartbeatRequest(Heartbeat(leader, 1, 1, 0, [], [], {}))
         )
-        self.assertRegex(response.why, f"a heartbeat of {leader} can't be sent with the key of {follower}")
-        response = await request_once(
+        self.assertRegex(answer.why, f"a heartbeat of {leader} can't be sent with the key of {follower}")
+        answer = await request_once(
             address, keys[follower], messages.FleetOrderRequest("x", "drain", [("n1a", 1)], 1)
         )
-        self.assertRegex(response.why, "the role of key .* does not allow that request")
-        response = await request_once(
-            address, self.rig.clients.key, messages.PeerEnvelopesRequest([envelope])
-        )
-        self.assertRegex(response.why, "the role of key .* does not allow that request")
+        self.assertRegex(answer.why, "the role of key .* does not allow that request")
+        answer = await request_once(address, self.rig.clients.key, messages.PeerEnvelopesRequest([envelope]))
+        self.assertRegex(answer.why, "the role of key .* does not allow that request")
         status_after = (await self.rig.raft_statuses())[leader]
         self.assertEqual(
             (status_after.term, status_after.leader, len(status_after.members)),
