--- a/oakkeel/cli/rollout.py
+++ b/oakkeel/cli/rollout.py
@@ -55,7 +55,7 @@
     program: str | None  # path of a folder
     patch: str | None  # path of a file
     label: str  # version of downstream services
-    from_settings: bool  # whether the settings give a program or patch that is not named
+    from_settings: bool  # whether a released program or patch that is not named is returned to the settings
 
 
 @dataclass(slots=True, frozen=True)
@@ -186,7 +186,8 @@
     "--as-set",
     "from_settings",
     is_flag=True,
-    help="If a program or configuration is not named, take it from the settings instead of the last release.",
+    help="Return a program or configuration that is not named to that of the settings. Without this option, a"
+    " release that leaves out one that an earlier release brought is refused.",
 )
 @click.option(
     "--no-gates", is_flag=True, help="Do not compare the versions; failed targets still halt the release."
--- a/oakkeel/rollout/commands.py
+++ b/oakkeel/rollout/commands.py
@@ -22,7 +22,9 @@
     program: str = ""  # folder
     patch: str = ""  # file, merged into each instance's configuration
     services: bool = False  # the targets are downstream services, which operators replace by hand
-    from_settings: bool = False  # parts not named are taken from the settings, not from the last release
+    # Parts not named are returned to the settings; without it, a release that leaves out a released part is
+    # refused.
+    from_settings: bool = False
 
 
 class RolloutPolicy(msgspec.Struct, array_like=True):
