--- a/oakkeel/admission/client_returns.py
+++ b/oakkeel/admission/client_returns.py
@@ -30,7 +30,7 @@
         self.step = step
         self.steps = steps
         self.max_clients = max_clients
-        self.last_seen: dict[int, int] = {}  # time of the last request by client, the least recent first
+        self.last_seen: dict[int, int] = {}  # time of the last request by client, the oldest first
         self.return_times = [SlidingWindow(RETURNS_WINDOW_STEP_NS) for _ in range(steps + 1)]
 
     def record_request(self, now: int, client: int) -> None:
--- a/oakkeel/admission/concurrency.py
+++ b/oakkeel/admission/concurrency.py
@@ -10,8 +10,8 @@
 MIN_RUNS_PER_CORE = 0.5  # lower bound of the run limit at any parsing backlog
 MAX_RUNS_AND_PARSING_PER_CORE = 1.25  # run limit and parsing backlog together, for each core
 RUN_ROUNDING = 0.5  # the limit is rounded to whole requests
-# Maximum of runs and calls, as a share of the overload multiple: if all calls end at once, all these requests
-# are on the cores.
+# Maximum of runs and calls, as a share of the overload multiple: all these requests are on the cores if all
+# calls end together.
 MAX_OVERLOAD_RATIO = 0.7
 MAX_STALENESS_RATIO_TO_START = 0.2  # maximum staleness at which requests start, as a share of the objective
 MAX_STALE_PARSING_PER_CORE = 0.5  # parsing backlog up to which requests start at any staleness
@@ -78,7 +78,7 @@
         return self.run_limit
 
     def max_active(self, warmth: float) -> float:
-        """Return the limit on runs and calls that keeps the cores from overload if all calls end at once.
+        """Return the limit on runs and calls that keeps the cores from overload if all calls end together.
 
         `warmth` is the share of full speed that the node has at least (slow start).
         """
--- a/oakkeel/admission/deadline.py
+++ b/oakkeel/admission/deadline.py
@@ -8,8 +8,8 @@
 from oakkeel.admission.types import Request
 from oakkeel.units import MS
 
-ANSWER_HEADROOM_NS = 20 * MS  # an answer leaves at least this long before its client times out
-STOP_HEADROOM_NS = 64 * MS  # every answer leaves at least this long before the stop of a drain
+ANSWER_HEADROOM_NS = 20 * MS  # minimum time from an answer to the timeout of its client
+STOP_HEADROOM_NS = 64 * MS  # minimum time from every answer to the stop of a drain
 # Share of the expected service time that must fit before `useful_end`: service times vary.
 MIN_SERVICE_TIME_RATIO = 0.7
 
--- a/oakkeel/admission/downstream_calls.py
+++ b/oakkeel/admission/downstream_calls.py
@@ -14,7 +14,7 @@
 MIN_CALLS_IN_FLIGHT = 1.0  # lower bound of the limit on calls in flight
 MAX_CALL_TIME_RATIO = 0.25  # duration of one call, as a share of the latency objective
 MIN_CALLS_PER_BUDGET = 2  # no single call may use the whole budget of a window
-MIN_OPTIONAL_CALL_TIME_NS = MS  # the latest end of an optional call is at least this far ahead
+MIN_OPTIONAL_CALL_TIME_NS = MS  # minimum time to the latest end of an optional call
 MAX_OPTIONAL_CALL_WAIT_RATIO = 0.15  # wait before an optional call is skipped, as a share of the objective
 MAX_CALL_ATTEMPTS = 3
 
--- a/oakkeel/admission/idle_connections.py
+++ b/oakkeel/admission/idle_connections.py
@@ -13,7 +13,7 @@
 MIN_IDLE_TIME_NS = 10 * MS
 RETURN_STEP_NS = 64 * MS  # end of the shortest step of return times; each further step ends at twice the time
 RETURN_STEPS = 9  # number of steps; longer return times are counted after the last step
-MAX_REMEMBERED_CLIENTS = 512  # the least recently seen client is forgotten first
+MAX_REMEMBERED_CLIENTS = 512  # the client seen longest ago is forgotten first
 MAX_PARSING_PER_CORE = 1.5  # parsing backlog above which new connections fill the cores
 MAX_NEW_CONNECTIONS_PER_CORE_S = 8  # per core and second, while new connections fill the cores
 
--- a/oakkeel/admission/overload.py
+++ b/oakkeel/admission/overload.py
@@ -12,7 +12,7 @@
 
 
 class Stage(IntEnum):
-    """The overload stages; each adds a measure to those of the stages below it."""
+    """The overload stages; each adds a measure to those of the lower stages."""
 
     NORMAL = 0
     EXPAND = 1  # more requests run at one time
--- a/oakkeel/admission/types.py
+++ b/oakkeel/admission/types.py
@@ -184,7 +184,7 @@
     fair_sharing: FairSharingRules | None = None  # None: fair sharing is off
 
     def warmth(self, age: int) -> float:
-        """Return the share of full speed that a node of this age (nanoseconds) has at least (slow start)."""
+        """Return the minimum share of full speed of a node of this age, in nanoseconds (slow start)."""
         if not self.starts_cold or not self.slow_start_time:
             return 1.0
         progress = min(1.0, age / self.slow_start_time)
--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -20,7 +20,7 @@
 from oakkeel.rollout.messages import TargetStatus
 
 DEFAULT_GENERATION_BLOCK = 64  # generations that an agent reserves at once for an instance
-# Stands for the operator when this agent cancels an order that has ended in the control plane.
+# Recorded as the operator when this agent cancels an order that has ended in the control plane.
 CONTROL_PLANE = "the control plane"
 # States of task results on the wire.
 RESULT_STATES = {
--- a/oakkeel/control/listener.py
+++ b/oakkeel/control/listener.py
@@ -63,7 +63,7 @@
         self.node = node
         self.resource_limits = resource_limits
         self.log = log
-        self.links: dict[ControlLink, asyncio.Task[None]] = {}  # by last activity, the least recent first
+        self.links: dict[ControlLink, asyncio.Task[None]] = {}  # in order of last activity, oldest first
         self.pool = BufferPool(MAX_LINE_BYTES, BUFFERS_PER_STREAM * resource_limits.max_control_links)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)  # a node that was killed leaves its socket file
--- a/oakkeel/dispatch/answer_writer.py
+++ b/oakkeel/dispatch/answer_writer.py
@@ -24,7 +24,7 @@
         self._on_written = on_written
         self._backlog = bytearray()  # answers to send
         self._sending_bytes = 0  # bytes of the write in progress
-        self.has_written = False  # at least one answer was passed to `write`
+        self.has_written = False  # one or more answers were passed to `write`
         self.write_started_at = 0  # monotonic nanoseconds; 0: no write is in progress
 
     @property
--- a/oakkeel/emulator/clients.py
+++ b/oakkeel/emulator/clients.py
@@ -207,7 +207,7 @@
         self.random = Random(seed)
         self.views: list[NodeView] = []
         self.rate = 0.0  # requests created per second
-        self.next_index = 0  # of the view that the round-robin policy tries next
+        self.next_index = 0  # of the view that the round-robin policy uses next
         self.requests_created = 0
         self.attempts_sent = 0
         # requests by result, other responses by status, and "asked" for all requests
--- a/oakkeel/emulator/invariants.py
+++ b/oakkeel/emulator/invariants.py
@@ -15,8 +15,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from oakkeel.units import MS
+
 TOLERANCE_NS = 50_000_000  # by which a response may miss its deadline
-MS = 1_000_000  # nanoseconds
 
 
 class Response(NamedTuple):
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -55,7 +55,7 @@
         return flow
 
     def is_heavy_hitter(self, now: int, flow: Flow) -> bool:
-        """Return whether the rate of the flow is at least the maximum rate of a flow outside the table."""
+        """Return whether the flow has the maximum rate of a flow outside the table, or more."""
         table = self.tables[-1]
         return table.rate(now, flow) >= table.error_rate(now)
 
--- a/oakkeel/models/elections.py
+++ b/oakkeel/models/elections.py
@@ -18,8 +18,8 @@
 MAX_TERM = 4
 QUORUMS = [set(quorum) for size in (2, 3) for quorum in combinations(range(REPLICAS), size)]
 # "one vote": a replica votes once in a term. "current log": a replica votes only for a candidate whose log is
-# at least as up to date as its own log. "own term": a leader commits only up to an entry of its own term. A
-# variant with "forgets" adds steps in which a replica loses its stored vote.
+# as up to date as its own log, or more so. "own term": a leader commits only up to an entry of its own term.
+# A variant with "forgets" adds steps in which a replica loses its stored vote.
 RULES = {"one vote", "current log", "own term"}
 
 Terms = list[z3.ArithRef]
@@ -98,7 +98,7 @@
 
 
 def is_up_to_date(candidate: Terms, voter: Terms) -> z3.BoolRef:
-    """Condition: the candidate's log is at least as up to date as the voter's."""
+    """Condition: the candidate's log is as up to date as the voter's, or more so."""
     same_term = last_term(candidate) == last_term(voter)
     return z3.Or(
         last_term(candidate) > last_term(voter), z3.And(same_term, log_length(candidate) >= log_length(voter))
--- a/oakkeel/node/drain.py
+++ b/oakkeel/node/drain.py
@@ -75,7 +75,7 @@
     def start(self, timeout: int) -> None:
         """Start a drain on an order, unless a drain is in progress; `cancel` reverts it.
 
-        The process may be killed `timeout` nanoseconds later; 0 stands for `stop_after`, as after SIGTERM.
+        The process may be killed `timeout` nanoseconds later; 0: after `stop_after`, as after SIGTERM.
         """
         if not self.is_started:
             self._start("order", timeout or self.stop_after)
--- a/oakkeel/rollout/gates.py
+++ b/oakkeel/rollout/gates.py
@@ -20,7 +20,7 @@
 FALSE_HALT_RATE = 0.01  # bound on the probability that a version as good as the old halts its release
 FALSE_PASS_RATE = 0.05  # bound on the probability that a version with a loss of `margin` passes
 WINDOW_NS = SECOND  # both versions are compared by their samples of the same window
-# A release halts if the new version has crashed at least this often, and more often than the old version. The
+# A release halts if the new version has crashed this often or more, and more often than the old version. The
 # larger of the two limits applies.
 MAX_DEATHS = 3
 MAX_DEATH_RATIO = 0.1  # of the processes of the new version
--- a/oakkeel/rollout/samples.py
+++ b/oakkeel/rollout/samples.py
@@ -14,7 +14,7 @@
 from oakkeel.rollout.sequential import Sums
 from oakkeel.units import SECOND
 
-MIN_MEMORY_WINDOW_NS = 5 * SECOND  # minimum time between two readings: below it, noise exceeds the growth
+MIN_MEMORY_WINDOW_NS = 5 * SECOND  # minimum time between two readings: in less time, noise exceeds the growth
 MAX_REQUEST_CLASSES = 16
 
 
--- a/oakkeel/settings/types.py
+++ b/oakkeel/settings/types.py
@@ -7,7 +7,7 @@
 from oakkeel.errors import OakkeelError
 from oakkeel.units import MS, SECOND
 
-# One voter is for trials. An even number of voters tolerates no more failures than the odd number below it.
+# One voter is for trials. An even number of voters tolerates no more failures than the next lower odd number.
 VOTER_COUNTS = (1, 3, 5)
 
 
