--- a/oakkeel/agent/reconciler.py
+++ b/oakkeel/agent/reconciler.py
@@ -20,7 +20,7 @@
 from oakkeel.rollout.messages import TargetStatus
 
 DEFAULT_GENERATION_BLOCK = 64  # generations that an agent reserves at once for an instance
-# Stands for the operator when this agent cancels an order that has ended in the control plane.
+# Recorded as the operator when this agent cancels an order that has ended in the control plane.
 CONTROL_PLANE = "the control plane"
 # States of task results on the wire.
 RESULT_STATES = {
@@ -105,8 +105,8 @@
         permit = self.permit_holder.permits.get(instance.name)
         if permit is None or not permit.started:
             return
-        is_acting = instance.task is not None and instance.task.state is HostTaskState.ACTING
-        if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not is_acting:
+        has_task_in_progress = instance.task is not None and instance.task.state is HostTaskState.IN_PROGRESS
+        if instance.phase is Phase.SERVING and instance.goal is Goal.UP and not has_task_in_progress:
             self.permit_holder.mark_restored(instance.name)
         else:
             self.permit_holder.mark_unavailable(instance.name)
@@ -135,8 +135,8 @@
             return TaskResult(order.id, target, "refused", why)
         if self._completed_before_loss(order, target):
             return TaskResult(order.id, target, "done", "")
-        is_order_over = bool(order.halted_by) or order.remaining <= 0
-        if task is None and state == STARTED_STATE and is_order_over:
+        has_order_ended = bool(order.halted_by) or order.remaining <= 0
+        if task is None and state == STARTED_STATE and has_order_ended:
             # The task would stay open for ever: this agent no longer knows that it was started.
             return TaskResult(order.id, target, "failed", "the agent lost its state file after the start")
         return None
--- a/oakkeel/fair_sharing/max_min.py
+++ b/oakkeel/fair_sharing/max_min.py
@@ -54,8 +54,8 @@
             raise MissingFlowError("a request has no flow: its flow keys are empty")
         return flow
 
-    def is_heavy(self, now: int, flow: Flow) -> bool:
-        """Return whether the rate of the flow is at least the maximum rate of a flow outside the table."""
+    def is_heavy_hitter(self, now: int, flow: Flow) -> bool:
+        """Return whether the flow has the maximum rate of a flow outside the table, or more."""
         table = self.tables[-1]
         return table.rate(now, flow) >= table.error_rate(now)
 
--- a/oakkeel/node/host.py
+++ b/oakkeel/node/host.py
@@ -17,7 +17,7 @@
     AwaitSharedResponse,
     CancelRun,
     FailRequest,
-    PlaceCall,
+    IssueCall,
     RejectRequest,
     SkipCall,
     StartRun,
@@ -104,7 +104,7 @@
 
     def call(self, request: NodeRequest, call_end: int) -> None:
         """Place the downstream call that the run waits for; `call_end` is its deadline."""
-        request.post(PlaceCall(call_end))
+        request.post(IssueCall(call_end))
 
     def skip_call(self, request: NodeRequest) -> None:
         """Let the run continue without its downstream call."""
--- a/tests/node/test_dispatcher_connections.py
+++ b/tests/node/test_dispatcher_connections.py
@@ -47,7 +47,10 @@
             [dispatcher.next_answer()[:2] for _ in range(4)],
             [(1, b"fault"), (2, b"fault"), (3, b"fault"), (4, b"fault")],
         )
-        self.assertIn(f"request_id={bad_number_id}", self.wait_for_log("in need"))
+        self.assertIn(
+            f"request_id={bad_number_id}",
+            self.wait_for_log("need is not a number of at least 0 and less than"),
+        )
         self.engine.send_done(dispatcher.call(tag=5) and self.engine.next_command()[1])
         self.assertEqual(dispatcher.next_answer()[:2], (5, b"ok"))
 
