--- a/tests/fleet/test_agent_clients.py
+++ b/tests/fleet/test_agent_clients.py
@@ -15,7 +15,7 @@
 def clients_of(deadline: int) -> AgentClients:
     """Return the clients of a fleet with one host, which is a replica; `deadline` is that of one request."""
     fleet = types.SimpleNamespace(
-        control_plane=types.SimpleNamespace(hosts=("h0",)),
+        control_plane=types.SimpleNamespace(initial_voters=("h0",)),
         hosts=[types.SimpleNamespace(name="h0")],
         client=types.SimpleNamespace(deadline=deadline),
     )
